--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -326,7 +326,12 @@
 	if d.folder == nil {
 		return nil
 	}
-	return d.folder.Save(r)
+	err := d.folder.Save(r)
+	var write *state.WriteError
+	if errors.As(err, &write) && write.Untouched {
+		return &plan.UntouchedError{Err: err}
+	}
+	return err
 }
 
 // nextRecord is what the state folder holds once the offer is in place.
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -16,6 +16,7 @@
 //
 // Restore is for a record that may have reached the disk: the old one is written again, so that the next start
 // finds what runs now. If that fails too, the machine remembers it, and the next apply begins with another try.
+// A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing in doubt.
 type Machine struct {
 	running  Running
 	phase    phase
@@ -71,6 +72,15 @@
 	ErrEnding = errors.New("the node is ending")
 )
 
+// UntouchedError is how a Persist ends that has failed and left the old record where it was.
+type UntouchedError struct {
+	Err error
+}
+
+func (e *UntouchedError) Error() string { return e.Err.Error() }
+
+func (e *UntouchedError) Unwrap() error { return e.Err }
+
 // NewMachine returns a Machine for what runs. diverged: the state folder may hold something else.
 func NewMachine(running Running, diverged bool) *Machine {
 	return &Machine{running: running, diverged: diverged}
@@ -161,9 +171,7 @@
 		return Persist
 	case persisting:
 		if err != nil {
-			m.cause = fmt.Errorf("the state folder: %w", err)
-			m.phase = restoring
-			return Restore
+			return m.notPersisted(fmt.Errorf("the state folder: %w", err))
 		}
 		m.phase = committing
 		return Commit
@@ -191,6 +199,16 @@
 	return Nothing
 }
 
+// notPersisted goes back to the old record, if that is not known to be there still.
+func (m *Machine) notPersisted(cause error) Step {
+	var untouched *UntouchedError
+	if errors.As(cause, &untouched) {
+		return m.undo(cause)
+	}
+	m.cause, m.phase = cause, restoring
+	return Restore
+}
+
 func (m *Machine) undo(cause error) Step {
 	m.cause, m.phase = cause, undoing
 	return Undo
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -29,6 +29,7 @@
 		"all goes well":                "offer prepare ok persist ok commit ok retire ok nothing",
 		"preparing fails":              "offer prepare fail nothing",
 		"persisting fails":             "offer prepare ok persist fail restore ok undo ok nothing",
+		"nothing was written":          "offer prepare ok persist untouched undo ok nothing offer prepare",
 		"restoring fails too":          "offer prepare ok persist fail restore fail undo ok nothing offer repair ok prepare ok persist ok commit ok retire ok nothing",
 		"the repair fails":             "offer prepare ok persist fail restore fail undo ok nothing offer repair fail nothing offer repair ok prepare fail nothing",
 		"commit is too late":           "offer prepare ok persist ok commit fail restore ok undo ok nothing",
@@ -64,6 +65,8 @@
 					continue
 				case "ok":
 					step = m.Done(nil)
+				case "untouched":
+					step = m.Done(fmt.Errorf("wrapped: %w", &UntouchedError{Err: errStep}))
 				case "fail":
 					step = m.Done(errStep)
 				case "end":
@@ -173,6 +176,8 @@
 					onDisk, persisted = unsure, err == nil
 					if err == nil {
 						onDisk = holdsNew
+					} else if rapid.Bool().Draw(t, "untouched") {
+						onDisk, err = holdsOld, &UntouchedError{Err: err}
 					}
 				case Commit:
 					if !prepared || !persisted {
