--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -70,7 +70,7 @@
 		p("state        in memory only: a restart forgets what is applied")
 	}
 	if s.Diverged {
-		p("state        may hold another configuration than what runs: the next apply mends it first")
+		p("state        may hold another configuration than what runs: it is written again until that succeeds, and the log says what fails")
 	}
 	if len(s.Restart) > 0 {
 		p("restart      needed for %s", join(s.Restart))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,7 +25,8 @@
 	Log      *slog.Logger
 	Node     node.Options
 
-	StateFiles state.Files // for tests: the file system that the state folder is on; nil: the machine's
+	StateFiles state.Files   // for tests: the file system that the state folder is on; nil: the machine's
+	mendAfter  time.Duration // for tests: before the first try to mend the state folder; 0: firstMend
 }
 
 // Daemon is a node with its state and its admin socket.
@@ -41,6 +42,8 @@
 	life    context.Context
 	end     context.CancelFunc
 	changes sync.WaitGroup
+	differs chan struct{} // the state folder may have come to hold another record than that of what runs
+	writing sync.Mutex    // over each write to the state folder
 
 	mu      sync.Mutex
 	machine *plan.Machine
@@ -57,6 +60,9 @@
 	if o.StateFiles == nil {
 		o.StateFiles = state.Disk{}
 	}
+	if o.mendAfter == 0 {
+		o.mendAfter = firstMend
+	}
 	cfg, problems := config.Load(o.File)
 	if err := problems.Err(); err != nil {
 		return nil, err
@@ -64,7 +70,7 @@
 	for _, w := range problems.Warnings() {
 		o.Log.Warn(w.Error())
 	}
-	d := &Daemon{options: o, name: state.NewName(), log: o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone)}
+	d := &Daemon{options: o, differs: make(chan struct{}, 1), name: state.NewName(), log: o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone)}
 	fresh, err := d.choose(cfg)
 	if err != nil {
 		return nil, err
@@ -160,16 +166,19 @@
 // Run serves until ctx ends, and then until all that was taken is answered. No change is begun any more then,
 // and one under way is undone or, once it is in the state folder, finished.
 func (d *Daemon) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() {
-		d.mu.Lock()
-		d.machine.End()
-		d.mu.Unlock()
-		d.end()
-	})
+	stop := context.AfterFunc(ctx, d.endChanges)
 	defer stop()
+	mending, endMending := context.WithCancel(context.Background())
+	mended := make(chan struct{})
+	go func() {
+		defer close(mended)
+		d.keepMended(mending)
+	}()
 	err := d.node.Run(ctx)
-	d.end()
+	d.endChanges()
 	d.changes.Wait()
+	endMending()
+	<-mended
 	if d.server != nil {
 		last, cancel := context.WithTimeout(context.Background(), lastWords)
 		defer cancel()
@@ -180,6 +189,14 @@
 	return err
 }
 
+// endChanges has no change begin any more, and those under way not wait.
+func (d *Daemon) endChanges() {
+	d.mu.Lock()
+	d.machine.End()
+	d.mu.Unlock()
+	d.end()
+}
+
 // Addr is where a listener listens.
 func (d *Daemon) Addr(listener string) string { return d.node.Addr(listener) }
 
@@ -315,6 +332,9 @@
 	d.last = &admin.Outcome{By: o.By, At: now()}
 	if err != nil {
 		d.last.Error = err.Error()
+		if d.machine.Diverged() {
+			d.reportDifference(err)
+		}
 		d.log.Error("a change failed; what ran before runs on", "by", o.By, "serial", d.record.Running.Serial, "error", err)
 		return d.running(), coded(err)
 	}
@@ -326,6 +346,8 @@
 	if d.folder == nil {
 		return nil
 	}
+	d.writing.Lock()
+	defer d.writing.Unlock()
 	err := d.folder.Save(r)
 	var write *state.WriteError
 	if errors.As(err, &write) && write.Untouched {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -547,6 +547,7 @@
 	}
 	r := newRig(t).with(node.Options{Fault: fault})
 	folder := filepath.Join(r.dir, "state")
+	r.options.mendAfter = time.Hour // what an apply itself sees to is looked at here
 	r.options.StateFiles = &statetest.Files{Ask: func(call, path string) error {
 		if call == "close" && path == folder {
 			return nil // behind all that a write needs: its error changes nothing
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -2,11 +2,15 @@
 
 import (
 	"path/filepath"
+	"slices"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
+	"time"
 
 	"woodpick/internal/admin"
+	"woodpick/internal/standin"
 	"woodpick/internal/state"
 	"woodpick/internal/state/statetest"
 )
@@ -36,10 +40,30 @@
 	})
 }
 
+// failAt has those calls fail, by their number from now on.
+func (s *sickDisk) failAt(calls ...int) {
+	s.fail(func(n int, _ string) error {
+		if slices.Contains(calls, n) {
+			return syscall.EIO
+		}
+		return nil
+	})
+}
+
+// made are the calls since the last of the above.
+func (s *sickDisk) made() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.calls)
+}
+
 // mend has all go well again.
 func (s *sickDisk) mend() { s.fail(nil) }
 
 func (s *sickDisk) ask(call, path string) error {
+	if call == "close" && filepath.Base(path) == "state" {
+		return nil // the folder's, behind all that a write needs
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
@@ -104,3 +128,90 @@
 	r.wantServed(t, "b")
 	r.wantKept(t, 2)
 }
+
+// Two or three calls in a row fail, in the write of an apply, in the write of the old record after it, and in those
+// that mend it: each apply is refused with its errno and the path; what ran runs on; the folder holds its record, or the
+// difference is shown and logged, and mended once writes succeed, with no apply.
+func TestFolderIsMendedOnItsOwn(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	r.options.mendAfter = time.Millisecond
+	disk := sick(r)
+	r.write(t, r.text("p1", a.Address(), ""))
+	r.start(t)
+	disk.mend()
+	second := r.plan(t, r.text("p2", b.Address(), ""))
+	if _, err := r.apply(t, second); err != nil {
+		t.Fatal(err)
+	}
+	calls := disk.made()
+	if n := len(calls); n != 7 {
+		t.Fatalf("calls of a write: %v", calls)
+	}
+	if _, err := r.client().Rollback(t.Context(), r.show(t).Running, standin.Limit, nil); err != nil {
+		t.Fatal(err)
+	}
+	second = r.plan(t, r.text("p2", b.Address(), ""))
+	differences, rename := 0, 1+slices.Index(calls, "rename")
+	for first := 1; first <= len(calls); first++ {
+		for restore := 1; restore <= len(calls); restore++ {
+			for _, mend := range []int{0, 1, 3, 7} {
+				if first < rename && restore+mend > 1 {
+					continue // nothing is written after it
+				}
+				disk.failAt(first, first+restore, first+restore+mend)
+				_, err := r.apply(t, second)
+				wantCode(t, err, admin.CodeFailed, syscall.EIO.Error())
+				wantCode(t, err, admin.CodeFailed, filepath.Join(r.dir, "state"))
+				if s := r.show(t); s.Serial != 3 || s.Config.Pools[0].Name != "p1" {
+					t.Fatalf("%+v", s)
+				} else if s.Diverged {
+					differences++
+				}
+				standin.Until(t, "the folder to be mended", func() bool { return !r.show(t).Diverged })
+				disk.mend()
+				r.wantKept(t, 3)
+			}
+		}
+	}
+	r.wantServed(t, "a")
+	if differences == 0 || strings.Count(r.log.String(), "may hold another configuration than what runs") < differences ||
+		strings.Count(r.log.String(), "the state folder holds what runs again") < differences {
+		t.Errorf("%d differences shown; log: %s", differences, r.log)
+	}
+	if running, err := r.apply(t, second); err != nil || running.Serial != 4 {
+		t.Errorf("%+v, %v", running, err)
+	}
+	r.wantServed(t, "b")
+	r.wantKept(t, 4)
+}
+
+// A daemon that ends while its folder differs tries once more, and says so if that fails too.
+func TestEndTriesOnceMoreToMend(t *testing.T) {
+	for _, mended := range []bool{true, false} {
+		a, b := named(t, "a"), named(t, "b")
+		r := newRig(t)
+		r.options.mendAfter = time.Hour
+		disk := sick(r)
+		r.write(t, r.text("p1", a.Address(), ""))
+		_, stop := r.start(t)
+		second := r.plan(t, r.text("p2", b.Address(), ""))
+		disk.failAt(7, 8) // the folder's sync, and the old record's file
+		if _, err := r.apply(t, second); err == nil {
+			t.Fatal("no error")
+		}
+		r.wantKept(t, 2)
+		if s := r.show(t); !s.Diverged || s.Serial != 1 {
+			t.Errorf("%+v", s)
+		}
+		if !mended {
+			disk.failAll("", syscall.EROFS)
+		}
+		stop()
+		if mended {
+			r.wantKept(t, 1)
+		} else if !strings.Contains(r.log.String(), "was not brought up to what ran") {
+			t.Error("not said")
+		}
+	}
+}
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -15,7 +15,8 @@
 //	           Undo      Restore -> Undo
 //
 // Restore is for a record that may have reached the disk: the old one is written again, so that the next start
-// finds what runs now. If that fails too, the machine remembers it, and the next apply begins with another try.
+// finds what runs now. If that fails too, the machine remembers it until it is told that the record has been mended,
+// and an apply that comes before begins with another try.
 // A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing in doubt.
 type Machine struct {
 	running  Running
@@ -95,6 +96,12 @@
 // Diverged says that the state folder may hold another record than that of what runs.
 func (m *Machine) Diverged() bool { return m.diverged }
 
+// Busy says that a change is under way.
+func (m *Machine) Busy() bool { return m.phase != idle }
+
+// Mended says that the record of what runs has been written again, outside of a change.
+func (m *Machine) Mended() { m.diverged = false }
+
 // Next is the serial and fingerprint that the change under way leads to.
 func (m *Machine) Next() Running {
 	r := m.running
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -31,6 +31,8 @@
 		"persisting fails":             "offer prepare ok persist fail restore ok undo ok nothing",
 		"nothing was written":          "offer prepare ok persist untouched undo ok nothing offer prepare",
 		"restoring fails too":          "offer prepare ok persist fail restore fail undo ok nothing offer repair ok prepare ok persist ok commit ok retire ok nothing",
+		"mended before the next":       "offer prepare ok persist fail restore fail undo ok nothing mended offer prepare ok persist",
+		"mended within a repair":       "offer prepare ok persist fail restore fail undo ok nothing offer repair mended ok prepare ok persist",
 		"the repair fails":             "offer prepare ok persist fail restore fail undo ok nothing offer repair fail nothing offer repair ok prepare fail nothing",
 		"commit is too late":           "offer prepare ok persist ok commit fail restore ok undo ok nothing",
 		"the node ends before":         "end offer! ",
@@ -72,6 +74,12 @@
 				case "end":
 					m.End()
 					continue
+				case "mended":
+					m.Mended()
+					if m.Diverged() {
+						t.Error("still diverged")
+					}
+					continue
 				default:
 					if want, known := steps[word]; !known || step != want {
 						t.Fatalf("word %d: step %d, want %s", i, step, word)
