--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -186,6 +186,33 @@
 	r.wantKept(t, 4)
 }
 
+// A plan of what runs already is acknowledged only once the folder holds it.
+func TestApplyOfWhatRunsIsRefusedWhileTheFolderDiffers(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	r.options.mendAfter = time.Hour
+	disk := sick(r)
+	r.write(t, r.text("p1", a.Address(), ""))
+	r.start(t)
+	same, second := r.plan(t, r.text("p1", a.Address(), "")), r.plan(t, r.text("p2", b.Address(), ""))
+	disk.failAt(7, 8) // the folder's sync, and the old record's file
+	if _, err := r.apply(t, second); err == nil {
+		t.Fatal("no error")
+	}
+	r.wantKept(t, 2)
+	disk.failAll("", syscall.EDQUOT)
+	_, err := r.apply(t, same)
+	wantCode(t, err, admin.CodeFailed, syscall.EDQUOT.Error())
+	disk.mend()
+	if running, err := r.apply(t, same); err != nil || running.Serial != 1 {
+		t.Errorf("%+v, %v", running, err)
+	}
+	r.wantKept(t, 1)
+	if r.show(t).Diverged {
+		t.Error("still said to differ")
+	}
+}
+
 // A daemon that ends while its folder differs tries once more, and says so if that fails too.
 func TestEndTriesOnceMoreToMend(t *testing.T) {
 	for _, mended := range []bool{true, false} {
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -113,7 +113,8 @@
 }
 
 // Offer asks for a change. It is refused, with nothing done, while another is under way, while the node ends,
-// and if it was made for something else than what runs. Nothing is done for one to what runs already.
+// and if it was made for something else than what runs. For one to what runs already nothing is done, or the record
+// of that is written again where the disk may hold another: whoever is told that it runs may count on the next start.
 func (m *Machine) Offer(o Offer) (Step, error) {
 	switch {
 	case m.ending:
@@ -124,7 +125,7 @@
 	if err := o.fits(m.running); err != nil {
 		return Nothing, err
 	}
-	if o.Config.Fingerprint() == m.running.Fingerprint {
+	if o.runs(m.running) && !m.diverged {
 		m.cause = nil
 		return Nothing, nil
 	}
@@ -137,6 +138,9 @@
 	return Prepare, nil
 }
 
+// runs says whether it asks for what runs already.
+func (o Offer) runs(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
+
 func (o Offer) fits(now Running) error {
 	if o.Plan != nil {
 		return o.Plan.Fits(now)
@@ -162,6 +166,9 @@
 		if m.ending {
 			return m.stop(ErrEnding)
 		}
+		if m.offer.runs(m.running) {
+			return m.stop(nil)
+		}
 		m.phase = preparing
 		return Prepare
 	case preparing:
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -31,6 +31,8 @@
 		"persisting fails":             "offer prepare ok persist fail restore ok undo ok nothing",
 		"nothing was written":          "offer prepare ok persist untouched undo ok nothing offer prepare",
 		"restoring fails too":          "offer prepare ok persist fail restore fail undo ok nothing offer repair ok prepare ok persist ok commit ok retire ok nothing",
+		"to what runs while in doubt":  "offer prepare ok persist fail restore fail undo ok nothing running repair ok nothing running nothing",
+		"and that can't be written":    "offer prepare ok persist fail restore fail undo ok nothing running repair fail nothing running repair",
 		"mended before the next":       "offer prepare ok persist fail restore fail undo ok nothing mended offer prepare ok persist",
 		"mended within a repair":       "offer prepare ok persist fail restore fail undo ok nothing offer repair mended ok prepare ok persist",
 		"the repair fails":             "offer prepare ok persist fail restore fail undo ok nothing offer repair fail nothing offer repair ok prepare fail nothing",
@@ -59,6 +61,8 @@
 					step, err = m.Offer(scripted(t, m.Running(), 5+i))
 				case "stale!", "same":
 					step, err = m.Offer(scripted(t, first, 3))
+				case "running":
+					step, err = m.Offer(scripted(t, m.Running(), 4))
 				case "nothing!":
 					o := scripted(t, first, 4) // as the example has it
 					if step, err = m.Offer(o); err != nil {
