--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,7 +118,7 @@
 		return false, err
 	}
 	if err := d.folder.Sweep(); err != nil {
-		return false, err
+		d.log.Warn("files of writes that were cut short stay until the next write", "error", err)
 	}
 	held, err := d.folder.Load(cfg.Node.Name)
 	switch {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"os"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -186,6 +187,32 @@
 	r.wantKept(t, 4)
 }
 
+// A left-over file that can't be removed keeps no node from its start; the next write removes it.
+func TestStartGoesOnWhereTheFolderCannotBeSwept(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	disk := sick(r)
+	r.write(t, r.text("p1", a.Address(), ""))
+	_, stop := r.start(t)
+	stop()
+	left := filepath.Join(r.dir, "state", ".running.json17")
+	if err := os.WriteFile(left, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	disk.failAll("remove", syscall.EROFS)
+	r.start(t)
+	if !strings.Contains(r.log.String(), left) {
+		t.Errorf("not logged: %s", r.log)
+	}
+	disk.mend()
+	if _, err := r.apply(t, r.plan(t, r.text("p2", b.Address(), ""))); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := os.Stat(left); err == nil {
+		t.Error("still there")
+	}
+}
+
 // A plan of what runs already is acknowledged only once the folder holds it.
 func TestApplyOfWhatRunsIsRefusedWhileTheFolderDiffers(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -247,3 +247,62 @@
 		}
 	}
 }
+
+// Files that writes left behind since they could not be removed either are removed by the next write that can; they
+// don't pile up.
+func TestWhatCouldNotBeRemovedIsSweptLater(t *testing.T) {
+	f, files, _ := faulty(t)
+	files.Ask = func(call, _ string) error {
+		if call == "sync" || call == "remove" {
+			return syscall.EIO
+		}
+		return nil
+	}
+	for range 3 {
+		if err := f.Save(records[2].record); !errors.Is(err, syscall.EIO) {
+			t.Fatal(err)
+		}
+	}
+	files.Ask = nil
+	if err := f.Save(records[3].record); err != nil {
+		t.Fatal(err)
+	}
+	if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 1 {
+		t.Errorf("left behind: %v", left)
+	}
+}
+
+// Sweep removes what it can: neither a path with a pattern's characters nor a file that stays keeps it from the rest.
+func TestSweepRemovesWhatItCan(t *testing.T) {
+	stays := ""
+	files := &statetest.Files{Ask: func(call, path string) error {
+		if call == "remove" && path == stays {
+			return syscall.EIO
+		}
+		return nil
+	}}
+	f, err := state.OpenOn(files, filepath.Join(t.TempDir(), "[a", "*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := filepath.Dir(f.Path())
+	for _, name := range []string{"1", "2", "3"} {
+		if err := os.WriteFile(filepath.Join(folder, state.TemporaryPrefix+name), nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stays = filepath.Join(folder, state.TemporaryPrefix+"1")
+	if err := f.Sweep(); !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), stays) {
+		t.Errorf("%v", err)
+	}
+	if left, _ := os.ReadDir(folder); len(left) != 1 {
+		t.Errorf("left: %v", left)
+	}
+	stays = ""
+	if err := f.Sweep(); err != nil {
+		t.Error(err)
+	}
+	if left, _ := os.ReadDir(folder); len(left) != 0 {
+		t.Errorf("left: %v", left)
+	}
+}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -19,6 +19,7 @@
 	mathrand "math/rand/v2"
 	"path/filepath"
 	"strconv"
+	"strings"
 	"time"
 
 	"woodpick/internal/config"
@@ -93,8 +94,9 @@
 
 // Folder is a node's state folder. Its methods are not for more than one goroutine at a time.
 type Folder struct {
-	path  string
-	files Files
+	path    string
+	files   Files
+	unswept bool // there may be files of writes that were cut short
 }
 
 // Open uses a folder, which is made if it is not there.
@@ -211,6 +213,9 @@
 	if err != nil {
 		return &WriteError{Untouched: true, Err: err}
 	}
+	if f.unswept {
+		f.Sweep() // what stays is no reason not to write
+	}
 	temporary, err := f.writeTemporary(text)
 	if err != nil {
 		return &WriteError{Untouched: true, Err: err}
@@ -218,7 +223,7 @@
 	// From here on it can't be told which record a start finds: a rename that reports an error may have been
 	// done, and one that was done but not synced may be lost with the power.
 	if err := f.files.Rename(temporary, f.Path()); err != nil {
-		f.files.Remove(temporary)
+		f.discard(temporary)
 		return &WriteError{Err: err}
 	}
 	if err := f.syncFolder(); err != nil {
@@ -234,7 +239,7 @@
 		return "", err
 	}
 	if err := fill(file, text); err != nil {
-		f.files.Remove(path)
+		f.discard(path)
 		return "", err
 	}
 	return path, nil
@@ -276,16 +281,33 @@
 	return folder.Sync()
 }
 
-// Sweep removes what writes that were cut short have left behind.
+// discard removes a file that is not to become the record. Where that fails the next write sweeps.
+func (f *Folder) discard(path string) {
+	if f.files.Remove(path) != nil {
+		f.unswept = true
+	}
+}
+
+// Sweep removes what writes that were cut short have left behind, as far as it can. The next write goes on with it.
 func (f *Folder) Sweep() error {
-	left, err := filepath.Glob(filepath.Join(f.path, temporaryPrefix+"*"))
+	err := f.sweep()
+	f.unswept = err != nil
 	if err != nil {
 		return fmt.Errorf("state folder: %w", err)
 	}
-	for _, path := range left {
-		if err := f.files.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return fmt.Errorf("state folder: %w", err)
+	return nil
+}
+
+func (f *Folder) sweep() error {
+	entries, failed := f.files.ReadDir(f.path)
+	for _, entry := range entries {
+		if !strings.HasPrefix(entry.Name(), temporaryPrefix) {
+			continue
+		}
+		err := f.files.Remove(filepath.Join(f.path, entry.Name()))
+		if failed == nil && !errors.Is(err, fs.ErrNotExist) {
+			failed = err
 		}
 	}
-	return nil
+	return failed
 }
