--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -77,7 +77,6 @@
 	}
 	running := d.record.Running
 	d.booted = running.Config
-	d.machine = plan.NewMachine(d.running(), false)
 	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", d.why)
 	if d.node, err = node.New(running.Config, d.log, o.Node); err != nil {
 		if !fresh {
@@ -86,12 +85,14 @@
 		return nil, err
 	}
 	// Only what could be started is worth keeping: a file that could not is mended, and then read again.
-	if fresh && d.folder != nil {
-		if err := d.folder.Save(d.record); err != nil {
+	kept := !fresh || d.folder == nil
+	if !kept {
+		if kept, err = d.keepFirst(); err != nil {
 			d.node.Close()
 			return nil, err
 		}
 	}
+	d.machine = plan.NewMachine(d.running(), !kept)
 	d.life, d.end = context.WithCancel(context.Background())
 	if path := running.Config.Node.AdminSocket; path != "" {
 		ln, err := admin.Listen(path)
@@ -105,6 +106,20 @@
 	return d, nil
 }
 
+// keepFirst writes the record of a start. One that may succeed later is reported and left to the mending: a node that
+// can serve is not kept from it by a full disk.
+func (d *Daemon) keepFirst() (kept bool, err error) {
+	err = d.folder.Save(d.record)
+	switch {
+	case err == nil:
+		return true, nil
+	case state.Passing(err):
+		d.reportDifference(err)
+		return false, nil
+	}
+	return false, err
+}
+
 // choose settles which configuration runs, the file's or the state folder's, and why. fresh: it is the file's,
 // and the state folder does not hold it yet.
 func (d *Daemon) choose(cfg *config.Config) (fresh bool, err error) {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -1,6 +1,8 @@
 package daemon
 
 import (
+	"errors"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -102,6 +104,17 @@
 	return held.Running.Serial, nil
 }
 
+// startFails is the error of a start.
+func (r *rig) startFails() error {
+	o := r.options
+	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
+	d, err := Start(o)
+	if err == nil {
+		d.node.Close()
+	}
+	return err
+}
+
 // A full disk refuses an apply with its errno and the path. What ran runs on, and since the record was not touched the
 // folder is not said to differ from it.
 func TestFullDiskRefusesAnApplyAndLeavesNothingInDoubt(t *testing.T) {
@@ -187,6 +200,39 @@
 	r.wantKept(t, 4)
 }
 
+// A node starts although its first record, or the file's in place of an earlier one, can't be written for a while: that
+// is logged and shown, and written once it can be. An error that stays, as a folder that nobody may write to, ends the start.
+func TestStartGoesOnWhileTheFolderCannotBeWritten(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	r.options.mendAfter = time.Millisecond
+	r.options.FromFile = true
+	disk := sick(r)
+	for i, by := range []string{"a", "b"} {
+		address := map[string]string{"a": a.Address(), "b": b.Address()}[by]
+		r.write(t, r.text("p"+by, address, ""))
+		for _, call := range []string{"create", "sync", "rename"} {
+			disk.failAll(call, syscall.EACCES)
+			if err := r.startFails(); !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), filepath.Join(r.dir, "state")) {
+				t.Errorf("%s: %v", call, err)
+			}
+		}
+		disk.failAll([]string{"create", "rename"}[i], syscall.ENOSPC)
+		_, stop := r.start(t)
+		r.wantServed(t, by)
+		if s := r.show(t); !s.Diverged || s.Serial != int64(i+1) {
+			t.Errorf("%+v", s)
+		}
+		if log := r.log.String(); !strings.Contains(log, "may hold another configuration than what runs") || !strings.Contains(log, syscall.ENOSPC.Error()) {
+			t.Errorf("not logged: %s", log)
+		}
+		disk.mend()
+		standin.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
+		r.wantKept(t, int64(i+1))
+		stop()
+	}
+}
+
 // A left-over file that can't be removed keeps no node from its start; the next write removes it.
 func TestStartGoesOnWhereTheFolderCannotBeSwept(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
