--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,6 +106,24 @@
 	return d, nil
 }
 
+// How long a start tries to read the state folder's record, and the first wait between two tries.
+const (
+	longestRead = 2 * time.Second
+	firstRead   = 20 * time.Millisecond
+)
+
+// load reads the state folder's record, again for a while where that fails in a way that may pass.
+func (d *Daemon) load(node string) (*state.Record, error) {
+	begun := time.Now()
+	for wait := firstRead; ; wait *= 2 {
+		held, err := d.folder.Load(node)
+		if !state.Passing(err) || time.Since(begun)+wait > longestRead {
+			return held, err
+		}
+		time.Sleep(wait)
+	}
+}
+
 // keepFirst writes the record of a start. One that may succeed later is reported and left to the mending: a node that
 // can serve is not kept from it by a full disk.
 func (d *Daemon) keepFirst() (kept bool, err error) {
@@ -135,13 +153,15 @@
 	if err := d.folder.Sweep(); err != nil {
 		d.log.Warn("files of writes that were cut short stay until the next write", "error", err)
 	}
-	held, err := d.folder.Load(cfg.Node.Name)
+	held, err := d.load(cfg.Node.Name)
 	switch {
 	case errors.Is(err, state.ErrNone):
 		d.why = "the file: the state folder holds none"
 	case errors.Is(err, state.ErrDamaged):
 		d.log.Error("the state folder's record can't be used", "error", err)
 		d.why = "the file: " + err.Error()
+	case state.Passing(err):
+		return false, fmt.Errorf("%w; it may hold what was applied, and the file does not run in its place", err)
 	case err != nil:
 		return false, fmt.Errorf("%w; give this node a folder of its own, or start the program that wrote it", err)
 	case held.Running.Fingerprint == entry.Fingerprint:
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -10,6 +10,7 @@
 	"sync"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"woodpick/internal/admin"
@@ -233,6 +234,57 @@
 	}
 }
 
+// What was applied is found although the folder can't be read for a moment at a start.
+func TestStartReadsAgainWhatCannotBeRead(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	disk := sick(r)
+	r.write(t, r.text("p1", a.Address(), ""))
+	_, stop := r.start(t)
+	if _, err := r.apply(t, r.plan(t, r.text("p2", b.Address(), ""))); err != nil {
+		t.Fatal(err)
+	}
+	stop()
+	for _, call := range []string{"open", "read"} {
+		failures := 0
+		disk.fail(func(_ int, made string) error {
+			if made == call && failures < 3 {
+				failures++
+				return syscall.EMFILE
+			}
+			return nil
+		})
+		_, stop := r.start(t)
+		if s := r.show(t); s.Serial != 2 || failures != 3 {
+			t.Errorf("%s: %d failures, %+v", call, failures, s)
+		}
+		r.wantServed(t, "b")
+		stop()
+	}
+}
+
+// A start gives up on a folder that stays unreadable: it may hold what was applied, so that the file doesn't run in its
+// place. The error says what and where, and asks for no other folder.
+func TestStartGivesUpOnAFolderThatCannotBeRead(t *testing.T) {
+	r := newRig(t)
+	disk := sick(r)
+	r.write(t, r.text("p1", named(t, "a").Address(), ""))
+	_, stop := r.start(t)
+	stop()
+	disk.failAll("read", syscall.EIO)
+	synctest.Test(t, func(t *testing.T) {
+		begun := time.Now()
+		err := r.startFails()
+		if !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), filepath.Join(r.dir, "state", "running.json")) ||
+			strings.Contains(err.Error(), "folder of its own") {
+			t.Errorf("%v", err)
+		}
+		if took := time.Since(begun); took < longestRead/2 || took > longestRead {
+			t.Errorf("given up after %v", took)
+		}
+	})
+}
+
 // A left-over file that can't be removed keeps no node from its start; the next write removes it.
 func TestStartGoesOnWhereTheFolderCannotBeSwept(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
