--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -306,3 +306,39 @@
 		t.Errorf("left: %v", left)
 	}
 }
+
+// A damaged record that can't be set aside is not written over: the next write sets it aside first, or fails.
+func TestDamagedRecordIsNeverWrittenOver(t *testing.T) {
+	f, files, _ := faulty(t)
+	if err := os.WriteFile(f.Path(), []byte("{half"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, call := range []string{"lstat", "rename"} {
+		files.Ask = func(made, _ string) error {
+			if made == call {
+				return syscall.EIO
+			}
+			return nil
+		}
+		if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrDamaged) || !errors.Is(err, syscall.EIO) {
+			t.Errorf("%s: %v", call, err)
+		}
+		var write *state.WriteError
+		if err := f.Save(records[2].record); !errors.Is(err, syscall.EIO) || !errors.As(err, &write) || !write.Untouched {
+			t.Errorf("%s: %v", call, err)
+		}
+		if text, _ := os.ReadFile(f.Path()); string(text) != "{half" {
+			t.Errorf("%s: written over: %s", call, text)
+		}
+	}
+	files.Ask = nil
+	if err := f.Save(records[2].record); err != nil {
+		t.Fatal(err)
+	}
+	if text, _ := os.ReadFile(f.Path() + ".damaged-0"); string(text) != "{half" {
+		t.Errorf("set aside: %q", text)
+	}
+	if text, _ := os.ReadFile(f.Path()); string(text) != records[2].text {
+		t.Errorf("the record: %s", text)
+	}
+}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -96,6 +96,7 @@
 type Folder struct {
 	path    string
 	files   Files
+	damaged bool // a record that can't be used is still in its place
 	unswept bool // there may be files of writes that were cut short
 }
 
@@ -130,6 +131,7 @@
 	r, err := decode(text, node)
 	if err != nil && errors.Is(err, ErrDamaged) {
 		aside, renamed := f.setAside()
+		f.damaged = renamed != nil
 		if renamed != nil {
 			return nil, fmt.Errorf("%w, and could not be set aside: %w", err, renamed)
 		}
@@ -193,8 +195,12 @@
 func (f *Folder) setAside() (string, error) {
 	for i := range 1000 {
 		aside := filepath.Join(f.path, fmt.Sprintf("%s.damaged-%d", name, i))
-		if _, err := f.files.Lstat(aside); errors.Is(err, fs.ErrNotExist) {
+		_, err := f.files.Lstat(aside)
+		switch {
+		case errors.Is(err, fs.ErrNotExist):
 			return aside, f.files.Rename(f.Path(), aside)
+		case err != nil:
+			return "", err
 		}
 	}
 	return "", fmt.Errorf("there are a thousand damaged records in %s already", f.path)
@@ -213,6 +219,12 @@
 	if err != nil {
 		return &WriteError{Untouched: true, Err: err}
 	}
+	if f.damaged {
+		if _, err := f.setAside(); err != nil {
+			return &WriteError{Untouched: true, Err: err}
+		}
+		f.damaged = false
+	}
 	if f.unswept {
 		f.Sweep() // what stays is no reason not to write
 	}
