--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,12 +85,10 @@
 		return nil, err
 	}
 	// Only what could be started is worth keeping: a file that could not is mended, and then read again.
-	kept := !fresh || d.folder == nil
-	if !kept {
-		if kept, err = d.keepFirst(); err != nil {
-			d.node.Close()
-			return nil, err
-		}
+	kept, err := d.keepFirst(fresh)
+	if err != nil {
+		d.node.Close()
+		return nil, err
 	}
 	d.machine = plan.NewMachine(d.running(), !kept)
 	d.life, d.end = context.WithCancel(context.Background())
@@ -124,18 +122,21 @@
 	}
 }
 
-// keepFirst writes the record of a start. One that may succeed later is reported and left to the mending: a node that
-// can serve is not kept from it by a full disk.
-func (d *Daemon) keepFirst() (kept bool, err error) {
+// keepFirst has the state folder hold the record of a start. An error that may pass is reported and left to the mending:
+// a node that can serve is not kept from it by a full disk.
+func (d *Daemon) keepFirst(fresh bool) (kept bool, err error) {
+	if d.folder == nil || !fresh && d.folder.Confirm() == nil {
+		return true, nil
+	}
 	err = d.folder.Save(d.record)
 	switch {
 	case err == nil:
 		return true, nil
-	case state.Passing(err):
-		d.reportDifference(err)
-		return false, nil
+	case fresh && !state.Passing(err):
+		return false, err
 	}
-	return false, err
+	d.reportDifference(err)
+	return false, nil
 }
 
 // choose settles which configuration runs, the file's or the state folder's, and why. fresh: it is the file's,
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -342,3 +342,43 @@
 		t.Errorf("the record: %s", text)
 	}
 }
+
+// A folder that was made is there after a loss of power: every name on the way to it was synced before a write was over,
+// also where that fails at first. One that can't be made for a while is made by the write.
+func TestFolderThatWasMadeOutlastsThePower(t *testing.T) {
+	once.Do(func() { makeRecords(t) })
+	root := t.TempDir()
+	path := filepath.Join(root, "a", "b", "state")
+	files := &statetest.Files{}
+	failing, synced := 0, []string{}
+	files.Ask = func(call, path string) error {
+		if (call == "mkdir" || call == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
+			failing++
+			return syscall.ENOSPC
+		}
+		if call == "sync" {
+			synced = append(synced, path)
+		}
+		return nil
+	}
+	f, err := state.OpenOn(files, path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrNone) {
+		t.Errorf("%v", err)
+	}
+	for f.Save(records[1].record) != nil {
+		if failing > 4 {
+			t.Fatal("fails for ever")
+		}
+	}
+	for at := path; at != root; at = filepath.Dir(at) {
+		if !slices.Contains(synced, filepath.Dir(at)) {
+			t.Errorf("%s may be lost: synced %v", at, synced)
+		}
+	}
+	if failing != 4 {
+		t.Errorf("%d failures", failing)
+	}
+}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -94,21 +94,55 @@
 
 // Folder is a node's state folder. Its methods are not for more than one goroutine at a time.
 type Folder struct {
-	path    string
-	files   Files
-	damaged bool // a record that can't be used is still in its place
-	unswept bool // there may be files of writes that were cut short
+	path     string
+	files    Files
+	made     bool
+	unsynced []string // folders on the way to it whose names may not last yet
+	damaged  bool     // a record that can't be used is still in its place
+	unswept  bool     // there may be files of writes that were cut short
 }
 
-// Open uses a folder, which is made if it is not there.
+// Open uses a folder, which is made if it is not there. One that can't be made for a while is made by Save.
 func Open(path string) (*Folder, error) { return OpenOn(Disk{}, path) }
 
 // OpenOn is Open on another file system than the machine's.
 func OpenOn(files Files, path string) (*Folder, error) {
-	if err := files.MkdirAll(path, 0o700); err != nil {
+	f := &Folder{path: path, files: files}
+	if err := f.make(); err != nil && !Passing(err) {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	return &Folder{path: path, files: files}, nil
+	return f, nil
+}
+
+// make makes the folder where it is not there.
+func (f *Folder) make() error {
+	f.unsynced = []string{filepath.Dir(f.path)} // an earlier process may have made it and not come to the sync
+	for at := filepath.Dir(f.path); at != filepath.Dir(at); at = filepath.Dir(at) {
+		if _, err := f.files.Lstat(at); !errors.Is(err, fs.ErrNotExist) {
+			break
+		}
+		f.unsynced = append(f.unsynced, filepath.Dir(at))
+	}
+	err := f.files.MkdirAll(f.path, 0o700)
+	f.made = err == nil
+	return err
+}
+
+// settle has the folder there to stay: made, and each name on the way to it synced.
+func (f *Folder) settle() error {
+	if !f.made {
+		if err := f.make(); err != nil {
+			return err
+		}
+	}
+	for len(f.unsynced) > 0 {
+		// Who may not read a folder can't sync it; that is no reason not to write.
+		if err := f.sync(f.unsynced[0]); Passing(err) {
+			return err
+		}
+		f.unsynced = f.unsynced[1:]
+	}
+	return nil
 }
 
 // Path is where the record is.
@@ -219,14 +253,8 @@
 	if err != nil {
 		return &WriteError{Untouched: true, Err: err}
 	}
-	if f.damaged {
-		if _, err := f.setAside(); err != nil {
-			return &WriteError{Untouched: true, Err: err}
-		}
-		f.damaged = false
-	}
-	if f.unswept {
-		f.Sweep() // what stays is no reason not to write
+	if err := f.ready(); err != nil {
+		return &WriteError{Untouched: true, Err: err}
 	}
 	temporary, err := f.writeTemporary(text)
 	if err != nil {
@@ -238,12 +266,39 @@
 		f.discard(temporary)
 		return &WriteError{Err: err}
 	}
-	if err := f.syncFolder(); err != nil {
+	if err := f.sync(f.path); err != nil {
 		return &WriteError{Err: err}
 	}
 	return nil
 }
 
+// ready does what earlier failures have left to be done before a write.
+func (f *Folder) ready() error {
+	if err := f.settle(); err != nil {
+		return err
+	}
+	if f.damaged {
+		// It is gone if the rename was done that reported an error.
+		if _, err := f.setAside(); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+		f.damaged = false
+	}
+	if f.unswept {
+		f.Sweep() // what stays is no reason not to write
+	}
+	return nil
+}
+
+// Confirm makes the record that Load has read last: whoever wrote it may have ended between its rename and the folder's
+// sync. After an error it must be written anew.
+func (f *Folder) Confirm() error {
+	if err := f.sync(f.path); err != nil {
+		return fmt.Errorf("state folder: %w", err)
+	}
+	return nil
+}
+
 // writeTemporary writes a text to a new file beside the record, synced, and returns its path.
 func (f *Folder) writeTemporary(text []byte) (string, error) {
 	path, file, err := f.createTemporary()
@@ -283,9 +338,9 @@
 	return file.Close()
 }
 
-// syncFolder makes the names in the folder last.
-func (f *Folder) syncFolder() error {
-	folder, err := f.files.Open(f.path)
+// sync makes the names in a folder last.
+func (f *Folder) sync(path string) error {
+	folder, err := f.files.Open(path)
 	if err != nil {
 		return err
 	}
--- a/internal/state/statetest/files.go
+++ b/internal/state/statetest/files.go
@@ -52,6 +52,13 @@
 	return nil
 }
 
+// Restart has the calls of the next process go through.
+func (f *Files) Restart() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.ended = false
+}
+
 // LosePower leaves the folder as a loss of power might: names that were not synced are as before, and files that were
 // not synced have lost half of their text.
 func (f *Files) LosePower(namesStay bool) error {
