--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -17,6 +17,7 @@
 
 	"woodpick/internal/admin"
 	"woodpick/internal/config"
+	"woodpick/internal/node"
 	"woodpick/internal/plan"
 	"woodpick/internal/standin"
 	"woodpick/internal/state"
@@ -240,7 +241,14 @@
 		strings.Count(r.log.String(), "the state folder holds what runs again") < differences {
 		t.Errorf("%d differences shown; log: %s", differences, r.log)
 	}
-	if running, err := r.apply(t, second); err != nil || running.Serial != 4 {
+	// The target of a rollback is still there: one that can't be kept is refused, the next one leads to it.
+	disk.failAll("sync", syscall.ENOSPC)
+	now := r.show(t).Running
+	_, err := r.client().Rollback(t.Context(), now, standin.Limit, nil)
+	wantCode(t, err, admin.CodeFailed, syscall.ENOSPC.Error())
+	r.wantServed(t, "a")
+	disk.mend()
+	if running, err := r.client().Rollback(t.Context(), now, standin.Limit, nil); err != nil || running.Serial != 4 {
 		t.Errorf("%+v, %v", running, err)
 	}
 	r.wantServed(t, "b")
@@ -453,6 +461,57 @@
 	}
 }
 
+// An apply whose record is written when the node begins to end is refused, and the record put back: by the apply, or if
+// that fails by the end, or else the log says what the next start will find.
+func TestRecordIsPutBackWhereTheSwitchComesTooLate(t *testing.T) {
+	t.Parallel()
+	a, b := named(t, "a"), named(t, "b")
+	for name, c := range map[string]struct {
+		failing int // writes of the old record
+		kept    int64
+	}{"by the apply": {0, 1}, "by the end": {1, 1}, "not": {2, 2}} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			r := newRig(t)
+			r.options.mendAfter = time.Hour
+			disk := sick(r)
+			r.write(t, r.text("p1", a.Address(), ""))
+			d, stop := r.start(t)
+			second := r.plan(t, r.text("p2", b.Address(), ""))
+			creates, stopped := 0, make(chan struct{})
+			disk.fail(func(n int, call string) error {
+				if call == "create" {
+					creates++
+				}
+				if n == 7 { // the last of the write
+					go func() {
+						defer close(stopped)
+						stop()
+					}()
+					standin.Until(t, "the node to be ending", func() bool {
+						_, err := d.node.Prepare(t.Context(), d.booted, 0)
+						return errors.Is(err, node.ErrEnding)
+					})
+				}
+				if call == "create" && creates > 1 && creates <= 1+c.failing {
+					return syscall.EDQUOT
+				}
+				return nil
+			})
+			_, err := r.apply(t, second)
+			wantCode(t, err, admin.CodeEnding, "ending")
+			if c.failing > 0 {
+				wantCode(t, err, admin.CodeEnding, syscall.EDQUOT.Error())
+			}
+			standin.Receive(t, stopped, "the end")
+			r.wantKept(t, c.kept)
+			if said := strings.Contains(r.log.String(), "was not brought up to what ran"); said != (c.kept == 2) {
+				t.Errorf("said: %v", said)
+			}
+		})
+	}
+}
+
 // A daemon that ends while its folder differs tries once more, and says so if that fails too.
 func TestEndTriesOnceMoreToMend(t *testing.T) {
 	t.Parallel()
