--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -4,6 +4,7 @@
 // The folder holds one file, running.json: the configuration that runs, the one before it, and a digest over
 // both. It is written beside and renamed over the old one, the file synced before and the folder after, so that
 // a crash leaves the one or the other. What cannot be read is set aside under another name, never guessed at.
+// docs/design/plan.md says step by step what is left by a failure or an end.
 package state
 
 import (
