--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	o       Options
 	self    peering.Who
 	life    uint64
-	hub     *peering.Hub
+	hub     atomic.Pointer[peering.Hub] // nil until it is open: the tasks of offers and custody begin before it
 	custody *custody.Custodian
 	table   *offers.Table
 	offers  *offers.Exchange
@@ -111,9 +111,8 @@
 	topics := maps.Clone(g.custody.Topics())
 	maps.Copy(topics, g.offers.Topics())
 	maps.Copy(topics, quota.Topics(g.purse))
-	var err error
 	silence := time.Duration(f.Silence)
-	g.hub, err = peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life, Calls: callsAt(o.Config)},
+	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life, Calls: callsAt(o.Config)},
 		Listen: o.Config.Node.Peers.Listen, Key: g.key, Topics: topics, Up: g.up, Changed: g.changed, Beat: beat(f), Silence: silence, Log: o.Log})
 	if err != nil {
 		g.end()
@@ -121,6 +120,7 @@
 		g.custody.Close()
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
+	g.hub.Store(hub)
 	g.setBudgets(p.budgets)
 	g.tasks.Go(g.connect)
 	return g, nil
@@ -142,7 +142,7 @@
 		p.Close()
 	}
 	g.offers.Close()
-	g.hub.Close()
+	g.hub.Load().Close()
 }
 
 // HandOver gives the calls in custody that are not answered yet to others of the group: this gateway ends.
@@ -235,7 +235,7 @@
 			next[b.Name] = old
 			continue
 		}
-		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.To, Now: g.o.Clock.Now, Log: g.o.Log})
+		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.Load().To, Now: g.o.Clock.Now, Log: g.o.Log})
 	}
 	for name, old := range g.purses {
 		if next[name] != old {
@@ -287,21 +287,29 @@
 
 // To implements custody.Links.
 func (l links) To(name string) *peering.Link {
-	return l.hub.To(peering.Who{Partner: l.self.Partner, Name: name})
+	hub := l.hub.Load()
+	if hub == nil {
+		return nil
+	}
+	return hub.To(peering.Who{Partner: l.self.Partner, Name: name})
 }
 
 // All implements custody.Links.
-func (l links) All() []*peering.Link { return l.hub.Links(l.self.Partner) }
+func (l links) All() []*peering.Link {
+	hub := l.hub.Load()
+	if hub == nil {
+		return nil
+	}
+	return hub.Links(l.self.Partner)
+}
 
 // holders are the gateways of the own group that live, in the order of their names.
 func (g *Gateway) holders() []custody.Gateway {
 	out := []custody.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Life: g.life}}
 	for _, m := range g.o.Living() {
 		h := custody.Gateway{Name: m.Name, Zone: m.Zone}
-		if g.hub != nil {
-			if l := (links{g}).To(m.Name); l != nil {
-				h.Life = l.Peer.Life
-			}
+		if l := (links{g}).To(m.Name); l != nil {
+			h.Life = l.Peer.Life
 		}
 		out = append(out, h)
 	}
@@ -323,10 +331,7 @@
 	if at := callsAt(g.o.Config); at != "" {
 		out = append(out, offers.Gateway{Name: g.self.Name, Calls: at, Zone: g.o.Config.Node.Zone})
 	}
-	if g.hub == nil {
-		return out
-	}
-	for _, l := range g.hub.Links(g.self.Partner) {
+	for _, l := range (links{g}).All() {
 		if l.Peer.Calls != "" {
 			out = append(out, offers.Gateway{Name: l.Peer.Name, Calls: l.Peer.Calls, Zone: l.Peer.Zone})
 		}
@@ -380,7 +385,7 @@
 			order := orders[n.Name]
 			for i := range min(n.Links, len(order)) {
 				at := order[(first[n.Name]+i)%len(order)]
-				if g.hub.Down(at) > otherAfter*time.Duration(p.cfg.Federation.Silence) && len(order) > n.Links {
+				if g.hub.Load().Down(at) > otherAfter*time.Duration(p.cfg.Federation.Silence) && len(order) > n.Links {
 					first[n.Name] += n.Links
 					break
 				}
@@ -396,14 +401,14 @@
 		}
 		for at, partner := range want {
 			if kept[at] != partner {
-				g.hub.Drop(at)
-				g.hub.Keep(at, partner)
+				g.hub.Load().Drop(at)
+				g.hub.Load().Keep(at, partner)
 				kept[at] = partner
 			}
 		}
 		for at := range kept {
 			if want[at] == "" {
-				g.hub.Drop(at)
+				g.hub.Load().Drop(at)
 				delete(kept, at)
 			}
 		}
@@ -445,8 +450,8 @@
 
 // Status is what the gateway holds now.
 func (g *Gateway) Status() Status {
-	s := Status{Partner: g.self.Partner, Life: g.life, Stats: g.hub.Stats(), Custody: g.custody.Status(), Offers: g.table.Status(), Quotas: map[string]quota.Status{}}
-	for _, l := range g.hub.Links("") {
+	s := Status{Partner: g.self.Partner, Life: g.life, Stats: g.hub.Load().Stats(), Custody: g.custody.Status(), Offers: g.table.Status(), Quotas: map[string]quota.Status{}}
+	for _, l := range g.hub.Load().Links("") {
 		s.Links = append(s.Links, LinkStatus{l.Peer.Who().String(), l.Peer.Zone, l.Peer.Life, l.RTT()})
 	}
 	g.mu.Lock()
