--- /dev/null
+++ b/internal/node/adopt_test.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"woodpick/internal/config"
+	"woodpick/internal/dispatch"
+	"woodpick/internal/engine"
+	"woodpick/internal/route"
+	"woodpick/internal/standin"
+)
+
+// crossing is how long a call may try to get in between a change's rules and its view. Where it can't, it waits so long.
+const crossing = 20 * time.Millisecond
+
+// noHeaders are a call's that has none.
+type noHeaders struct{}
+
+func (noHeaders) Values(string) []string { return nil }
+
+// federated is a configuration of a gateway that is alone, with these classes.
+func federated(t *testing.T, peers, keyFile, server string, classes ...string) *config.Config {
+	t.Helper()
+	var text strings.Builder
+	fmt.Fprintf(&text, "node \"n1\" {\n limits {\n memory = \"128MiB\"\n descriptors = 512\n }\n peers {\n listen = %q\n key_file = %q\n }\n}\n", peers, keyFile)
+	for _, class := range classes {
+		fmt.Fprintf(&text, "class %q {\n effect = \"safe\"\n aim = \"10s\"\n deadline = \"20s\"\n}\n", class)
+	}
+	fmt.Fprintf(&text, "listener \"main\" {\n address = \"127.0.0.1:0\"\n}\npool \"p\" {\n server \"s\" {\n address = %q\n }\n}\n", server)
+	text.WriteString("route \"all\" {\n default = true\n pool = \"p\"\n}\nfederation \"chavara\" {\n}\n")
+	cfg, problems := config.Parse([]byte(text.String()), "node.hcl")
+	if err := problems.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// taken is what came of handing a call over.
+type taken struct {
+	call *engine.Call
+	err  error
+}
+
+// A change's classes and the gateway's rules for them come at once: no call gets in between, whether it was read under the
+// old view or is to be read under the new one. Calls are begun just before the rules are adopted and just after: each must
+// wait for the whole change, so that one that was read before is stale, and one read after goes by both.
+func TestRulesAndViewOfAChangeAreAdoptedAtOnce(t *testing.T) {
+	server := box(t, "a").Address()
+	keyFile := filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(keyFile, []byte(strings.Repeat("k", 32)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	peers := standin.ClosedPort(t)
+	old, next := federated(t, peers, keyFile, server, "view"), federated(t, peers, keyFile, server, "view", "new")
+	var (
+		n       *Node
+		results []chan taken
+		o       Options
+	)
+	// try begins a call that is read under the view of now, and waits a little whether it is handed over.
+	try := func(class string) {
+		view, result, id := n.calls.View(), make(chan taken, 1), fmt.Sprint("call", len(results))
+		go func() {
+			c := engine.NewCall(id, engine.Request{Method: "GET", Target: "/" + class + "/k"})
+			c.Class, c.At, c.Deadline = class, n.clock.Now(), n.clock.Now()+standin.Limit
+			result <- taken{c, n.calls.Take(view, c, &route.Call{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, Draw: c.ID})}
+		}()
+		results = append(results, result)
+		select {
+		case r := <-result:
+			result <- r
+		case <-time.After(crossing):
+		}
+	}
+	o.adopt = func() {
+		if _, known := n.calls.View().Class("new"); known {
+			t.Error("the new view is in place before the rules are, or while they are adopted")
+			try("new")
+			return
+		}
+		try("view")
+	}
+	n = startOwn(t, old, o)
+	change(t, n, next)
+	if len(results) != 2 {
+		t.Fatalf("%d calls were begun while the rules were adopted", len(results))
+	}
+	for i, result := range results {
+		if r := standin.Receive(t, result, "the call to be handed over"); !errors.Is(r.err, dispatch.ErrStale) {
+			t.Errorf("call %d got in between: %v", i, r.err)
+		}
+	}
+	try("new")
+	r := standin.Receive(t, results[2], "the call to be handed over")
+	if r.err != nil {
+		t.Fatal(r.err)
+	}
+	if a := standin.Receive(t, r.call.Answer(), "its answer"); a.Kind != engine.Served {
+		t.Errorf("%+v", a)
+	}
+}
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -320,7 +320,7 @@
 	now := n.clock.Now()
 	n.calls.Swap(c.view, func() {
 		if n.gateway != nil {
-			n.gateway.Adopt(c.cfg)
+			n.adopt(c.cfg)
 		}
 		for _, u := range c.updates {
 			if old := u.commit(now); old != nil {
@@ -336,6 +336,15 @@
 	return gone
 }
 
+// adopt has the gateway go by another configuration's rules.
+func (n *Node) adopt(c *config.Config) {
+	if n.options.adopt != nil {
+		n.options.adopt()
+		defer n.options.adopt()
+	}
+	n.gateway.Adopt(c)
+}
+
 // switchListeners has every listener of the new configuration accept, and no other.
 func (c *Change) switchListeners(gone *remains) {
 	n := c.node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,6 +82,7 @@
 	ending *ending                                             // for tests: instead of what follows from the configuration
 	settle *time.Duration                                      // for tests: instead of http1.DefaultSettle
 	watch  func(*discovery.Watch)                              // for tests: changes a watch before it begins
+	adopt  func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
 // Limit keeps the process within its cores and its memory.
