--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,6 +14,7 @@
 	"syscall"
 	"time"
 
+	"woodpick/internal/listener"
 	"woodpick/internal/plan"
 )
 
@@ -28,8 +29,7 @@
 
 // Server serves a Control on a Unix socket.
 type Server struct {
-	listener net.Listener
-	http     *http.Server
+	http *http.Server
 }
 
 // Listen opens the socket, with mode 0600. One that a daemon left behind when it was killed is taken over; one
@@ -59,9 +59,9 @@
 
 // NewServer serves on a listener, which Listen opened, until Close.
 func NewServer(ln net.Listener, control Control, log *slog.Logger) *Server {
-	s := &Server{listener: ln, http: &http.Server{Handler: Handler(control), ReadTimeout: readTime, IdleTimeout: readTime, MaxHeaderBytes: 8 << 10,
+	s := &Server{http: &http.Server{Handler: Handler(control), ReadTimeout: readTime, IdleTimeout: readTime, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}}
-	go s.http.Serve(ln)
+	go s.http.Serve(listener.New(ln, log))
 	return s
 }
 
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -83,8 +83,8 @@
 	going bool // let go, and counted as leaving
 }
 
-// ErrReleased ends the accepting from a listener that goes on without its front. The deadline that releases it
-// would itself look passing, to be waited for and tried again.
+// ErrReleased ends the accepting from a listener that goes on without its front. net/http would take the deadline
+// that releases it for a failure that passes, and try again.
 var ErrReleased = errors.New("the listener is released")
 
 // Accept never lets the node run out of descriptors, or nobody could be accepted for a while: beyond the hard limit
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"sync/atomic"
-	"time"
 
 	"woodpick/internal/callers"
 	"woodpick/internal/clock"
@@ -39,23 +38,15 @@
 	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds()}
 }
 
-// retryAccept is how long a front waits after an accept that failed for a while, as when descriptors run out.
-const retryAccept = 5 * time.Millisecond
-
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
-// error.
+// error. What failures pass is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
 	for {
 		c, err := f.callers.Accept(ln)
-		var passing interface{ Temporary() bool }
-		switch {
-		case err == nil:
-			go f.serve(c)
-		case errors.As(err, &passing) && passing.Temporary():
-			time.Sleep(retryAccept)
-		default:
+		if err != nil {
 			return err
 		}
+		go f.serve(c)
 	}
 }
 
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -62,7 +62,7 @@
 }
 
 // Serve accepts callers until the listener fails, is closed or has a deadline in the past, and returns its
-// error.
+// error. What failures pass is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
 	return f.server.Serve(clientListener{ln, f.callers, &f.ahead})
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"woodpick/internal/figures"
+	"woodpick/internal/listener"
 )
 
 // Bounds of what operators may make the node hold.
@@ -23,7 +24,6 @@
 	maxLine      = 256
 	lineTimeout  = 10 * time.Second // for a whole line
 	writeTimeout = 2 * time.Second
-	retryAccept  = 20 * time.Millisecond // after a failed accept, as when descriptors run out
 )
 
 // Control is what the door opens to. Its methods return soon.
@@ -40,7 +40,6 @@
 type Server struct {
 	listener net.Listener
 	control  Control
-	log      *slog.Logger
 	done     sync.WaitGroup
 
 	mu     sync.Mutex
@@ -50,7 +49,7 @@
 
 // Serve opens the door on a listener until Close.
 func Serve(ln net.Listener, c Control, log *slog.Logger) *Server {
-	s := &Server{listener: ln, control: c, log: log}
+	s := &Server{listener: listener.New(ln, log), control: c}
 	s.done.Add(1)
 	go s.accept()
 	return s
@@ -75,13 +74,10 @@
 	defer s.done.Done()
 	for {
 		c, err := s.listener.Accept()
-		switch {
-		case errors.Is(err, net.ErrClosed):
+		if err != nil {
 			return
-		case err != nil:
-			s.log.Warn("the operators' door", "error", err)
-			time.Sleep(retryAccept)
-		case s.add(c):
+		}
+		if s.add(c) {
 			s.done.Add(1)
 			go func() {
 				defer s.done.Done()
--- /dev/null
+++ b/internal/node/accept_test.go
@@ -0,0 +1,186 @@
+package node_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"woodpick/internal/admin"
+	"woodpick/internal/config"
+	"woodpick/internal/figures"
+	"woodpick/internal/mgmt"
+	"woodpick/internal/node"
+	"woodpick/internal/peering"
+	"woodpick/internal/standin"
+)
+
+// text is what a log has written.
+type text struct {
+	mu sync.Mutex
+	b  strings.Builder
+}
+
+func (l *text) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.Write(p)
+}
+
+func (l *text) count(what string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.b.String(), what)
+}
+
+// operators is a control that is always ready.
+type operators struct{ mgmt.Control }
+
+func (operators) Health() error           { return nil }
+func (operators) Figures() figures.Report { return figures.Report{} }
+
+// daemon is a control that shows nothing.
+type daemon struct{ admin.Control }
+
+func (daemon) Show() admin.Show { return admin.Show{} }
+
+// accepting is one kind of listener of the process.
+type accepting struct {
+	name  string
+	serve func(t *testing.T, ln net.Listener, log *slog.Logger) (stop func())
+	ask   func(t *testing.T, address string, i int) // a request on a connection of its own; it must be answered
+}
+
+// acceptingKinds are all that there are.
+func acceptingKinds(server *standin.Server) []accepting {
+	return []accepting{
+		{"HTTP", serveFront(server, config.HTTP1), func(t *testing.T, address string, i int) {
+			c := standin.Dial(t, address)
+			defer c.Close()
+			c.Send("GET", "/view/k", fmt.Sprint("http-", i), "", "60")
+			c.Want(t, 200, "a")
+		}},
+		{"FastCGI", serveFront(server, config.FastCGI), func(t *testing.T, address string, i int) {
+			if got := node.AskFastCGI(t, address, "GET", "/view/k", fmt.Sprint("fastcgi-", i)); !strings.HasPrefix(got, "Status: 200") {
+				t.Errorf("FastCGI: %q", got)
+			}
+		}},
+		{"management", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
+			return mgmt.Serve(ln, operators{}, log).Close
+		}, func(t *testing.T, address string, _ int) {
+			if got := node.AskLine(t, address, "health"); got != "+OK ready\n" {
+				t.Errorf("management: %q", got)
+			}
+		}},
+		{"admin", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
+			return admin.NewServer(ln, daemon{}, log).Close
+		}, askShow},
+		{"peering", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
+			return peering.Serve(ln, gatewayOptions("b", log)).Close
+		}, askLink},
+	}
+}
+
+// serveFront has a node serve a protocol at a listener.
+func serveFront(server *standin.Server, protocol config.Protocol) func(*testing.T, net.Listener, *slog.Logger) func() {
+	return func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
+		cfg := node.OwnConfig(node.Pooled("p", server))
+		cfg.Listeners[0].Protocol = protocol
+		n, err := node.New(cfg, log, node.EndsSoon(node.Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }}))
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		end := make(chan error, 1)
+		go func() { end <- n.Run(ctx) }()
+		return func() {
+			cancel()
+			if err := standin.Receive(t, end, "the node's end"); err != nil {
+				t.Errorf("the node's end: %v", err)
+			}
+		}
+	}
+}
+
+func gatewayOptions(name string, log *slog.Logger) peering.Options {
+	return peering.Options{Self: peering.Peer{Partner: "p", Name: name, Life: 1}, Log: log, Listen: "127.0.0.1:0",
+		Key: func(string) []byte { return []byte("key") }, Silence: standin.Limit}
+}
+
+func askShow(t *testing.T, address string, _ int) {
+	t.Helper()
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: standin.Limit}
+	answer, err := client.Get("http://" + address + "/v1/show")
+	if err != nil {
+		t.Errorf("admin: %v", err)
+		return
+	}
+	answer.Body.Close()
+	if answer.StatusCode != http.StatusOK {
+		t.Errorf("admin: %s", answer.Status)
+	}
+}
+
+// askLink has another gateway open a link.
+func askLink(t *testing.T, address string, i int) {
+	t.Helper()
+	up := make(chan *peering.Link, 1)
+	o := gatewayOptions(fmt.Sprint("a", i), node.Quiet())
+	o.Up = func(l *peering.Link) { up <- l }
+	other, err := peering.Open(o)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	defer other.Close()
+	other.Keep(address, "p")
+	standin.Receive(t, up, "a link")
+}
+
+// Whatever accept fails with, on any of the process's listeners, what comes before it, between two failures and
+// behind them is served, the log is told of it once a second at most, and the end, in the midst of failures that go
+// on, leaves nothing behind.
+func TestEveryListenerOutlivesAcceptsThatFail(t *testing.T) {
+	server := node.Box(t, "a")
+	for _, kind := range acceptingKinds(server) {
+		t.Run(kind.name, func(t *testing.T) {
+			known := goleak.IgnoreCurrent()
+			log := &text{}
+			ln := standin.NewFailingListener(t)
+			begin := time.Now()
+			stop := kind.serve(t, ln, slog.New(slog.NewTextHandler(log, nil)))
+			address, failures := ln.Addr().String(), standin.AcceptErrors()
+			for i, failure := range failures {
+				ln.AwaitAccept(t)
+				ln.FailNext(failure, failure)
+				kind.ask(t, address, i)
+			}
+			kind.ask(t, address, len(failures))
+			ln.AwaitAccept(t)
+			if got := ln.Failed(); got != 2*len(failures) {
+				t.Errorf("%d accepts failed, want %d", got, 2*len(failures))
+			}
+			ln.FailAlways(syscall.ENOBUFS)
+			kind.ask(t, address, len(failures)+1) // the accept that waits takes it
+			standin.Until(t, "failures", func() bool { return ln.Failed() > 2*len(failures)+3 })
+			stop()
+			lines, most := log.count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
+			if lines < 1 || lines > most {
+				t.Errorf("%d lines, want 1 to %d", lines, most)
+			}
+			if _, err := ln.TCPListener.Accept(); !errors.Is(err, net.ErrClosed) {
+				t.Errorf("the listener is not closed: %v", err)
+			}
+			standin.Until(t, "goroutines to end", func() bool { return goleak.Find(known) == nil })
+		})
+	}
+}
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -624,3 +625,25 @@
 	t.Logf("%d changes; %d calls: %d served, %d refused (%.2f %%), %d failed, %d not taken", changes, v.Calls, v.Served, v.Refused,
 		100*float64(v.Refused)/float64(v.Calls), v.Failed, v.NotTaken)
 }
+
+// A listener that gets another protocol while its accepts fail goes over to it, without a wait for better times.
+func TestAListenerIsReleasedWhileAcceptsFail(t *testing.T) {
+	ln := standin.NewFailingListener(t)
+	cfg := func(protocol config.Protocol) *config.Config {
+		c := ownConfig(pooled("p", box(t, "a")))
+		c.Listeners[0].Protocol = protocol
+		return c
+	}
+	n := startOwn(t, cfg(config.HTTP1), Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }})
+	ln.AwaitAccept(t)
+	ln.FailAlways(syscall.ENOMEM)
+	c := standin.Dial(t, n.Addr("main"))
+	c.Send("GET", "/view/k", "1", "", "60")
+	c.Want(t, 200, "a")
+	standin.Until(t, "failures", func() bool { return ln.Failed() > 3 })
+	change(t, n, cfg(config.FastCGI))
+	ln.FailAlways(nil)
+	if got := askFastCGI(t, n.Addr("main"), "GET", "/view/k", "1"); !strings.HasPrefix(got, "Status: 200") {
+		t.Errorf("%q", got)
+	}
+}
--- /dev/null
+++ b/internal/node/export_test.go
@@ -0,0 +1,23 @@
+package node
+
+import (
+	"time"
+
+	"woodpick/internal/standin"
+)
+
+// For the tests outside of the package, which use packages that use it.
+var (
+	AskFastCGI = askFastCGI
+	AskLine    = askLine
+	Box        = box
+	OwnConfig  = ownConfig
+	Pooled     = pooled
+	Quiet      = quiet
+)
+
+// EndsSoon has a node close its listeners at once when it ends.
+func EndsSoon(o Options) Options {
+	o.ending = &ending{last: 100 * time.Millisecond, most: standin.Limit}
+	return o
+}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -11,12 +11,13 @@
 	"woodpick/internal/config"
 	"woodpick/internal/fastcgi"
 	"woodpick/internal/http1"
+	netlistener "woodpick/internal/listener"
 )
 
 // socket is a listening socket. Which front accepts from it can change while it stays open, so that no caller
 // is refused when a listener gets another name or protocol.
 type socket struct {
-	net.Listener
+	*netlistener.Listener
 	key   string        // of the address in configurations
 	front front         // that accepts from it; nil: none yet
 	ended chan error    // what its Serve returned
@@ -54,15 +55,12 @@
 		return nil
 	}
 	close(s.leave)
-	if d, ok := s.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-		if err := d.SetDeadline(time.Now().Add(after)); err != nil && !errors.Is(err, net.ErrClosed) {
-			return err
-		}
-		<-s.ended
-		s.front = nil
-		return d.SetDeadline(time.Time{})
+	if err := s.SetDeadline(time.Now().Add(after)); err != nil && !errors.Is(err, net.ErrClosed) {
+		return err
 	}
-	return errors.ErrUnsupported
+	<-s.ended
+	s.front = nil
+	return s.SetDeadline(time.Time{})
 }
 
 // shut closes the socket.
@@ -139,5 +137,5 @@
 		}
 		return nil, fmt.Errorf("listener %q: %s: %w", l.Name, l.Address, err)
 	}
-	return &socket{Listener: ln, key: socketKey(l)}, nil
+	return &socket{Listener: netlistener.New(ln, n.log.With("listener", l.Name)), key: socketKey(l)}, nil
 }
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -19,7 +19,13 @@
 // door asks a node's operators' door.
 func door(t *testing.T, n *Node, call string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", n.door.Addr().String())
+	return askLine(t, n.door.Addr().String(), call)
+}
+
+// askLine sends a line on a connection of its own and returns all of the answer.
+func askLine(t *testing.T, address, call string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -35,6 +35,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"woodpick/internal/clock"
+	"woodpick/internal/listener"
 )
 
 // Peer is a gateway at the other end of a link.
@@ -131,7 +132,7 @@
 // Hub has all links of a gateway.
 type Hub struct {
 	o     Options
-	ln    net.Listener
+	ln    *listener.Listener
 	ctx   context.Context
 	end   context.CancelFunc
 	tasks sync.WaitGroup
@@ -161,8 +162,8 @@
 	Full   int64          `json:"full,omitempty"`   // messages that were refused for want of room
 }
 
-// Open listens. Links come in from now on, and go out as Keep says, until Close.
-func Open(o Options) (*Hub, error) {
+// withDefaults are the options with what the comments of its fields say of zero values.
+func (o Options) withDefaults() Options {
 	o.Beat, o.Silence, o.Queue = cmp.Or(o.Beat, 250*time.Millisecond), cmp.Or(o.Silence, time.Second), cmp.Or(o.Queue, 2<<20)
 	o.Stuck = cmp.Or(o.Stuck, o.Silence)
 	if o.Changed == nil {
@@ -171,14 +172,25 @@
 	if o.Up == nil {
 		o.Up = func(*Link) {}
 	}
+	return o
+}
+
+// Open listens. Links come in from now on, and go out as Keep says, until Close.
+func Open(o Options) (*Hub, error) {
 	ln, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
-	h := &Hub{o: o, ln: ln, began: time.Now(), links: map[Who][]*Link{}, kept: map[string]*kept{}, stats: Stats{Ended: map[string]int{}}, turns: make(chan struct{}, opening)}
+	return Serve(ln, o), nil
+}
+
+// Serve is Open with a listener, which Close closes.
+func Serve(ln net.Listener, o Options) *Hub {
+	o = o.withDefaults()
+	h := &Hub{o: o, ln: listener.New(ln, o.Log), began: time.Now(), links: map[Who][]*Link{}, kept: map[string]*kept{}, stats: Stats{Ended: map[string]int{}}, turns: make(chan struct{}, opening)}
 	h.ctx, h.end = context.WithCancel(context.Background())
 	h.tasks.Go(h.accept)
-	return h, nil
+	return h
 }
 
 // now is the time since the hub was opened.
@@ -204,12 +216,8 @@
 func (h *Hub) accept() {
 	for {
 		c, err := h.ln.Accept()
-		if errors.Is(err, net.ErrClosed) || h.ctx.Err() != nil {
-			return
-		}
 		if err != nil {
-			clock.Sleep(h.ctx, redialFrom) // out of descriptors: others may be closed meanwhile
-			continue
+			return
 		}
 		h.tasks.Go(func() {
 			if err := h.run(c, false, "", func() {}); errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
