--- a/cmd/damsontrestle/ending_test.go
+++ b/cmd/damsontrestle/ending_test.go
@@ -144,3 +144,31 @@
 		t.Errorf("exit: %v", err)
 	}
 }
+
+// A node whose port another has tries again, and serves once it is free. SIGTERM ends the tries at once, with exit code 0:
+// nothing was taken.
+func TestAStartWaitsForItsPort(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	text := strings.Replace(platformConfig(standin.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, settings), "127.0.0.1:0", taken.Addr().String(), 1)
+	for _, free := range []bool{false, true} {
+		cmd, log := launch(t, build(t).run, path, text)
+		await(t, log, "a socket can't be opened and is tried again")
+		if free {
+			taken.Close()
+			await(t, log, "msg=serving")
+		}
+		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+			t.Fatal(err)
+		}
+		if !free {
+			await(t, log, "told to end before it listened")
+		}
+		if err := cmd.Wait(); err != nil {
+			t.Errorf("port free: %v; exit: %v", free, err)
+		}
+	}
+}
--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -39,8 +39,12 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
-	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: succession.Listen, Line: enter(cfg, log)})
+	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: succession.Listen, Line: enter(cfg, log), Start: ctx})
 	if err != nil {
+		if ctx.Err() != nil {
+			log.Info("told to end before it listened", "error", err)
+			return nil // nothing was taken
+		}
 		return err
 	}
 	log.Info("serving", "address", n.Addr(config.PlatformListener))
--- a/cmd/damsontrestle/main_test.go
+++ b/cmd/damsontrestle/main_test.go
@@ -110,6 +110,14 @@
 
 // startBy does so by a shell's command.
 func startBy(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, address string, log <-chan string) {
+	t.Helper()
+	cmd, log = launch(t, command, path, config, env...)
+	serving := await(t, log, "msg=serving")
+	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], log
+}
+
+// launch starts the node and does not wait until it serves.
+func launch(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, log <-chan string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -132,8 +140,7 @@
 			said <- lines.Text()
 		}
 	}()
-	serving := await(t, said, "msg=serving")
-	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], said
+	return cmd, said
 }
 
 // await returns the first line of a log that holds what is wanted.
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -31,9 +31,13 @@
 			defer stop()
 			o.File = args[0]
 			o.Log = slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			o.Node.Limit = node.Limit
+			o.Node.Limit, o.Node.Start = node.Limit, ctx
 			d, err := daemon.Start(o)
 			if err != nil {
+				if ctx.Err() != nil {
+					o.Log.Info("told to end before it listened", "error", err)
+					return nil // nothing was taken
+				}
 				return err
 			}
 			go func() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -7,11 +7,13 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net"
 	"sync"
 	"time"
 
 	"woodpick/internal/admin"
 	"woodpick/internal/config"
+	"woodpick/internal/listener"
 	"woodpick/internal/node"
 	"woodpick/internal/plan"
 	"woodpick/internal/state"
@@ -70,6 +72,9 @@
 	for _, w := range problems.Warnings() {
 		o.Log.Warn(w.Error())
 	}
+	starting, cancel := o.Node.Starting()
+	defer cancel()
+	o.Node.Start = starting // the node and the admin socket wait within one time
 	d := &Daemon{options: o, differs: make(chan struct{}, 1), name: state.NewName(), log: o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone)}
 	fresh, err := d.choose(cfg)
 	if err != nil {
@@ -93,7 +98,7 @@
 	d.machine = plan.NewMachine(d.running(), !kept)
 	d.life, d.end = context.WithCancel(context.Background())
 	if path := running.Config.Node.AdminSocket; path != "" {
-		ln, err := admin.Listen(path)
+		ln, err := listener.Open(starting, d.log, func() (net.Listener, error) { return admin.Listen(path) })
 		if err != nil {
 			d.end()
 			d.node.Close()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -325,8 +325,11 @@
 func TestStartsThatFail(t *testing.T) {
 	a := named(t, "a")
 	r := newRig(t)
+	ended, cancel := context.WithCancel(t.Context())
+	cancel()
 	begin := func() error {
 		o := r.options
+		o.Node.Start = ended // it tries no socket again
 		o.File, o.Log = r.file, slog.New(slog.NewTextHandler(io.Discard, nil))
 		d, err := Start(o)
 		if err == nil {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -24,24 +23,6 @@
 	"woodpick/internal/standin"
 )
 
-// text is what a log has written.
-type text struct {
-	mu sync.Mutex
-	b  strings.Builder
-}
-
-func (l *text) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *text) count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.b.String(), what)
-}
-
 // operators is a control that is always ready.
 type operators struct{ mgmt.Control }
 
@@ -154,7 +135,7 @@
 	for _, kind := range acceptingKinds(server) {
 		t.Run(kind.name, func(t *testing.T) {
 			known := goleak.IgnoreCurrent()
-			log := &text{}
+			log := &node.Text{}
 			ln := standin.NewFailingListener(t)
 			begin := time.Now()
 			stop := kind.serve(t, ln, slog.New(slog.NewTextHandler(log, nil)))
@@ -173,7 +154,7 @@
 			kind.ask(t, address, len(failures)+1) // the accept that waits takes it
 			standin.Until(t, "failures", func() bool { return ln.Failed() > 2*len(failures)+3 })
 			stop()
-			lines, most := log.count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
+			lines, most := log.Count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
 			if lines < 1 || lines > most {
 				t.Errorf("%d lines, want 1 to %d", lines, most)
 			}
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -12,6 +12,7 @@
 	"woodpick/internal/discovery"
 	"woodpick/internal/dispatch"
 	"woodpick/internal/engine"
+	netlistener "woodpick/internal/listener"
 )
 
 // Errors of a change.
@@ -93,7 +94,7 @@
 		return err
 	}
 	for _, l := range c.cfg.Listeners {
-		if err := c.bind(l); err != nil {
+		if err := c.bind(ctx, l); err != nil {
 			return err
 		}
 	}
@@ -129,7 +130,7 @@
 }
 
 // bind opens the socket of a listener unless the running configuration has it open.
-func (c *Change) bind(l config.Listener) error {
+func (c *Change) bind(ctx context.Context, l config.Listener) error {
 	key := socketKey(l)
 	if c.node.sockets[key] != nil {
 		return nil
@@ -144,7 +145,7 @@
 	if closing != nil {
 		<-closing
 	}
-	s, err := c.node.listen(l)
+	s, err := c.listen(ctx, l)
 	if err != nil {
 		return err
 	}
@@ -153,6 +154,15 @@
 	return c.after("bind " + l.Name)
 }
 
+// listen opens a listener's socket. The first configuration's is tried again until ctx ends, for a process that can't
+// start is of no use; a change that can't be made is refused at once, and what runs goes on.
+func (c *Change) listen(ctx context.Context, l config.Listener) (*socket, error) {
+	if c.node.cfg != nil {
+		return c.node.listen(l)
+	}
+	return netlistener.Open(ctx, c.node.log, func() (*socket, error) { return c.node.listen(l) })
+}
+
 // after is the point just behind a step, where its traces are there to be undone.
 func (c *Change) after(point string) error {
 	if err := c.fault("after " + point); err != nil {
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -16,6 +16,9 @@
 	Quiet      = quiet
 )
 
+// Text is what a log has written.
+type Text = text
+
 // EndsSoon has a node close its listeners at once when it ends.
 func EndsSoon(o Options) Options {
 	o.ending = &ending{last: 100 * time.Millisecond, most: standin.Limit}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -1,16 +1,18 @@
 package node
 
 import (
+	"context"
 	"fmt"
 
 	"woodpick/internal/config"
 	"woodpick/internal/discovery"
 	"woodpick/internal/gateway"
+	netlistener "woodpick/internal/listener"
 	"woodpick/internal/peers"
 )
 
 // openGateway makes the node a gateway, where its file has a federation.
-func (n *Node) openGateway(c *config.Config) error {
+func (n *Node) openGateway(starting context.Context, c *config.Config) error {
 	if c.Federation == nil || n.peers == nil {
 		return nil
 	}
@@ -24,7 +26,7 @@
 			return fmt.Errorf("partner %q: %w", p.Name, err)
 		}
 	}
-	if n.gateway, err = gateway.Open(o); err != nil {
+	if n.gateway, err = netlistener.Open(starting, n.log, func() (*gateway.Gateway, error) { return gateway.Open(o) }); err != nil {
 		return err
 	}
 	n.calls.SetGuard(n.gateway)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,6 +25,7 @@
 	"woodpick/internal/engine"
 	"woodpick/internal/figures"
 	"woodpick/internal/gateway"
+	netlistener "woodpick/internal/listener"
 	"woodpick/internal/mgmt"
 	"woodpick/internal/peers"
 	"woodpick/internal/succession"
@@ -78,6 +79,7 @@
 	Listen func(network, address string) (net.Listener, error) // nil: net.Listen
 	Limit  func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
 	Line   *succession.Line                                    // of this node's processes; nil: this one is alone
+	Start  context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
 	Fault  func(point string) error                            // for tests: an error has a step of a change fail
 	ending *ending                                             // for tests: instead of what follows from the configuration
 	settle *time.Duration                                      // for tests: instead of http1.DefaultSettle
@@ -85,6 +87,14 @@
 	adopt  func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
+// Starting is a context that ends when the start may no longer wait for sockets.
+func (o Options) Starting() (context.Context, context.CancelFunc) {
+	if o.Start == nil {
+		o.Start = context.Background()
+	}
+	return context.WithTimeout(o.Start, netlistener.Patience)
+}
+
 // Limit keeps the process within its cores and its memory.
 func Limit(l config.Limits) {
 	runtime.GOMAXPROCS(l.Cores)
@@ -119,14 +129,16 @@
 		n.two = !o.Line.Seated()
 	}
 	n.resize(cfg)
-	c, err := n.Prepare(n.life, cfg, 0)
+	starting, cancel := o.Starting()
+	defer cancel()
+	c, err := n.Prepare(starting, cfg, 0)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
 	if err := c.Commit(); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	if err := errors.Join(n.openDoor(cfg.Node.Management), n.openPeers(cfg.Node), n.openGateway(cfg)); err != nil {
+	if err := errors.Join(n.openDoor(starting, cfg.Node.Management), n.openPeers(starting, cfg.Node), n.openGateway(starting, cfg)); err != nil {
 		n.close()
 		return nil, fmt.Errorf("node: %w", err)
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -10,15 +10,16 @@
 	"woodpick/internal/duty"
 	"woodpick/internal/engine"
 	"woodpick/internal/figures"
+	netlistener "woodpick/internal/listener"
 	"woodpick/internal/mgmt"
 )
 
 // openDoor opens the operators' door at an address; empty: none.
-func (n *Node) openDoor(address string) error {
+func (n *Node) openDoor(starting context.Context, address string) error {
 	if address == "" {
 		return nil
 	}
-	ln, err := net.Listen("tcp", address)
+	ln, err := netlistener.Open(starting, n.log, func() (net.Listener, error) { return net.Listen("tcp", address) })
 	if err != nil {
 		return fmt.Errorf("the operators' door: %w", err)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"context"
 	"fmt"
 	"net/netip"
 	"time"
@@ -8,12 +9,13 @@
 	"woodpick/internal/config"
 	"woodpick/internal/facts"
 	"woodpick/internal/figures"
+	netlistener "woodpick/internal/listener"
 	"woodpick/internal/members"
 	"woodpick/internal/peers"
 )
 
 // openPeers opens the room in which the node comes to know others, where its file has one.
-func (n *Node) openPeers(c config.Node) error {
+func (n *Node) openPeers(starting context.Context, c config.Node) error {
 	p := c.Peers
 	if p.Listen == "" {
 		return nil
@@ -45,8 +47,9 @@
 		d.Delay = time.Duration(p.Delay)
 		fo = &d
 	}
-	n.peers, err = peers.Open(peers.Options{Listen: p.Listen, Key: key, Members: o, Facts: fo, Clock: n.clock, Log: n.log,
-		Self: members.Peer{Name: c.Name, Addr: addr, Region: p.Region, Zone: c.Zone, Listens: p.ListenOnly}})
+	options := peers.Options{Listen: p.Listen, Key: key, Members: o, Facts: fo, Clock: n.clock, Log: n.log,
+		Self: members.Peer{Name: c.Name, Addr: addr, Region: p.Region, Zone: c.Zone, Listens: p.ListenOnly}}
+	n.peers, err = netlistener.Open(starting, n.log, func() (*peers.Room, error) { return peers.Open(options) })
 	return err
 }
 
