--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,6 +13,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -213,3 +214,41 @@
 		}
 	})
 }
+
+// A daemon whose queue is full can't be asked whether it runs: its socket stays.
+func TestASocketWhoseQueueIsFullIsNotTakenOver(t *testing.T) {
+	dir, err := os.MkdirTemp("", "a") // a Unix socket's path is short
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { os.RemoveAll(dir) })
+	path := dir + "/s"
+	fd, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer syscall.Close(fd)
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrUnix{Name: path}), syscall.Listen(fd, 0)); err != nil {
+		t.Fatal(err)
+	}
+	before, err := os.Lstat(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		c, err := net.Dial("unix", path)
+		if errors.Is(err, syscall.EAGAIN) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer c.Close()
+	}
+	if ln, err := Listen(path); !errors.Is(err, syscall.EAGAIN) {
+		t.Errorf("%v, %v; want EAGAIN", ln, err)
+	}
+	if after, err := os.Lstat(path); err != nil || !os.SameFile(before, after) {
+		t.Errorf("the daemon's socket was taken: %v", err)
+	}
+}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -35,9 +35,14 @@
 // Listen opens the socket, with mode 0600. One that a daemon left behind when it was killed is taken over; one
 // that is answered on is an error.
 func Listen(path string) (net.Listener, error) {
-	if c, err := net.DialTimeout("unix", path, dialTime); err == nil {
+	c, err := net.DialTimeout("unix", path, dialTime)
+	switch {
+	case err == nil:
 		c.Close()
 		return nil, fmt.Errorf("admin socket: %s: another daemon answers on it", path)
+	case listener.Passes(err) || errors.Is(err, os.ErrDeadlineExceeded):
+		// A shortage here, or a queue that is full there: a daemon that runs must not lose its socket for it.
+		return nil, fmt.Errorf("admin socket: whether another daemon answers on it: %w", err)
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&fs.ModeSocket == 0 {
