--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -161,7 +161,7 @@
 	close(r.started)
 	defer close(r.done)
 	defer r.conn.Close()
-	go r.read()
+	go r.read(r.conn)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -203,16 +203,25 @@
 	}
 }
 
+// receiver is the part of a UDP socket that read needs.
+type receiver interface {
+	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
+}
+
+// readPause lies between a read that failed and the next: a failure that lasts costs at most 1,000 calls a second.
+const readPause = time.Millisecond
+
 // read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
-func (r *Room) read() {
+func (r *Room) read(conn receiver) {
 	buf := make([]byte, members.MaxDatagram+1)
 	for {
-		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil {
-			continue // what an earlier datagram met at its end
+		if err != nil { // what an earlier datagram met at its end, or a shortage that may last
+			time.Sleep(readPause)
+			continue
 		}
 		l := letter{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		if n > 0 && buf[0] == facts.Version {
--- /dev/null
+++ b/internal/peers/read_test.go
@@ -0,0 +1,41 @@
+package peers
+
+import (
+	"net"
+	"net/netip"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// failingReceiver fails for a second, then gives one datagram, and is closed.
+type failingReceiver struct {
+	end   time.Time
+	reads int
+	given bool
+}
+
+func (f *failingReceiver) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+	f.reads++
+	switch {
+	case time.Now().Before(f.end) && f.reads < 1_000_000:
+		return 0, netip.AddrPort{}, syscall.ENOBUFS
+	case !f.given:
+		f.given = true
+		return copy(b, "x"), netip.MustParseAddrPort("127.0.0.1:1"), nil
+	}
+	return 0, netip.AddrPort{}, net.ErrClosed
+}
+
+// Reads that fail for a while are not tried without a pause, and what comes behind them is read.
+func TestReadsThatFailAreTriedAgainWithPauses(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := &Room{in: make(chan letter, 1)}
+		conn := &failingReceiver{end: time.Now().Add(time.Second)}
+		r.read(conn)
+		if most := int(time.Second/readPause) + 2; conn.reads > most || len(r.in) != 1 {
+			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(r.in))
+		}
+	})
+}
