--- a/internal/http1/opening.go
+++ b/internal/http1/opening.go
@@ -2,11 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"slices"
-	"syscall"
 	"time"
 
 	"woodpick/internal/clock"
@@ -17,6 +15,12 @@
 // at once takes, and as short as a wait for one to settle.
 const lateAfter = 10 * time.Millisecond
 
+// How a connect is tried again that failed for want of something on this machine.
+const (
+	mostDials = 4
+	dialPause = 5 * time.Millisecond // before the second one; it doubles
+)
+
 // dialed is how the opening of a connection ended.
 type dialed struct {
 	nc  net.Conn
@@ -65,8 +69,28 @@
 	return c, false, nil
 }
 
-// dialOne opens a connection in a place that reserve has taken.
+// dialOne opens a connection in a place that reserve has taken. What the node itself is short of for a moment is waited for: other
+// servers would be dialed in vain as well.
 func (b *Back) dialOne(ctx context.Context, to discovery.Host) dialed {
+	d := b.dialOnce(ctx, to)
+	pause := dialPause
+	for try := 1; try < mostDials && isOwnShortage(d.err); try++ {
+		if clock.Sleep(ctx, pause); ctx.Err() != nil {
+			break
+		}
+		pause *= 2
+		d = b.dialOnce(ctx, to)
+	}
+	if d.err != nil {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.release()
+	}
+	return d
+}
+
+// dialOnce makes one connect.
+func (b *Back) dialOnce(ctx context.Context, to discovery.Host) dialed {
 	b.mu.Lock()
 	dialer := net.Dialer{Timeout: b.limits.ConnectTimeout, KeepAlive: -1}
 	if b.limits.From != nil {
@@ -79,11 +103,6 @@
 	}
 	begin := b.clock.Now()
 	nc, err := dial(ctx, "tcp", to.Endpoint)
-	if err != nil {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.release()
-	}
 	return dialed{nc, b.clock.Now() - begin, err}
 }
 
@@ -94,13 +113,10 @@
 		c.way = d.way
 		return c, true, nil
 	}
-	err = d.err
-	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, own) {
-			err = errors.Join(errNoRoom, err)
-		}
+	if isOwnShortage(d.err) {
+		return nil, true, fmt.Errorf("connect: %w: %w", errNoRoom, d.err)
 	}
-	return nil, true, fmt.Errorf("connect: %w", err)
+	return nil, true, fmt.Errorf("connect: %w", d.err)
 }
 
 // keepLate keeps a connection that comes up when its attempt has gone on by another.
