--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -43,7 +43,7 @@
 // written it leaves what comes to the kernel, where begin sees it.
 func (b *Back) read(c *conn) {
 	for keep := true; keep; {
-		awaitBytes(c.Conn)
+		awaitBytes(c.Conn, b.recv)
 		b.mu.Lock()
 		asked := c.waiter != nil && c.stage != resting
 		b.mu.Unlock()
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -10,6 +10,7 @@
 	"net/url"
 	"strconv"
 	"sync"
+	"syscall"
 	"time"
 
 	"woodpick"
@@ -33,6 +34,7 @@
 	share *descriptors.Share // of all connections to servers, over all pools
 	count *figures.Set
 	dial  func(ctx context.Context, network, address string) (net.Conn, error) // for tests: instead of net.Dialer's
+	recv  receiver                                                             // for tests: instead of syscall.Recvfrom
 
 	mu        sync.Mutex
 	limits    Limits
@@ -46,7 +48,7 @@
 
 // NewBack returns a Back that knows no servers yet.
 func NewBack(c clock.Clock, share *descriptors.Share, count *figures.Set, l Limits) *Back {
-	return &Back{clock: c, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
+	return &Back{clock: c, recv: syscall.Recvfrom, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
 		borrowers: map[discovery.Host][]*borrower{}, seen: map[string]discovery.Target{}}
 }
 
@@ -88,9 +90,13 @@
 			b.giveUp(c, waiter)
 			return engine.Outcome{Ending: woodpick.Void}
 		}
-		if b.begin(c, waiter) {
+		err = b.begin(c, waiter)
+		if err == nil {
 			break
 		}
+		if fresh && errors.Is(err, errNoRoom) {
+			return engine.Outcome{Ending: woodpick.Void}
+		}
 		if fresh {
 			return engine.Outcome{Ending: woodpick.Unreachable}
 		}
@@ -163,19 +169,25 @@
 }
 
 // begin has a request written next, unless the server has closed the connection or said something
-// meanwhile, which can be no answer to it: then the connection is closed, and another will do.
-func (b *Back) begin(c *conn, waiter chan reply) bool {
+// meanwhile, which can be no answer to it: then the connection is closed, and another will do. The error says which it was;
+// errNoRoom: it could not be told.
+func (b *Back) begin(c *conn, waiter chan reply) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.waiter == waiter && !spokenOrClosed(c.Conn) {
+	if c.waiter != waiter {
+		return errUnasked
+	}
+	spoken, short := spokenOrClosed(c.Conn, b.recv)
+	if !spoken && !short {
 		c.stage, c.begun = writing, b.clock.Now()
-		return true
+		return nil
 	}
-	if c.waiter == waiter {
-		c.waiter = nil
-		b.drop(c)
+	c.waiter = nil
+	b.drop(c)
+	if short {
+		return errNoRoom
 	}
-	return false
+	return errUnasked
 }
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
--- a/internal/http1/back_test.go
+++ b/internal/http1/back_test.go
@@ -213,7 +213,7 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			if spokenOrClosed(nc) {
+			if spoken(nc) {
 				t.Fatal("a silent open connection is said to have spoken or closed")
 			}
 			other, err := early.Accept()
@@ -231,7 +231,7 @@
 			} else {
 				io.WriteString(other, say)
 			}
-			standin.Until(t, "it to arrive", func() bool { return spokenOrClosed(nc) })
+			standin.Until(t, "it to arrive", func() bool { return spoken(nc) })
 			if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
 				t.Errorf("ending %d, body %q, %d open", r.Ending, r.Reply.Body, b.open)
 			}
@@ -256,13 +256,13 @@
 		t.Fatal(err)
 	}
 	other.Close()
-	standin.Until(t, "the close to arrive", func() bool { return spokenOrClosed(nc) })
+	standin.Until(t, "the close to arrive", func() bool { return spoken(nc) })
 	b := testBackend(10)
 	waiter := make(chan reply, 1)
 	b.open = 1
 	b.share.Take()
 	c := b.watch(nc, testHost(b, "127.0.0.1:1"), waiter)
-	if b.begin(c, waiter) || b.open != 0 {
+	if b.begin(c, waiter) == nil || b.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
 	}
 }
@@ -386,3 +386,9 @@
 		t.Errorf("after Close: ending %d, %d connections kept", r.Ending, b.Connections())
 	}
 }
+
+// spoken asks the system what spokenOrClosed does.
+func spoken(nc net.Conn) bool {
+	is, _ := spokenOrClosed(nc, syscall.Recvfrom)
+	return is
+}
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -162,7 +162,7 @@
 		ours.set.Add(ours, nil)
 		if early {
 			io.WriteString(theirs, "GET /behind")
-			standin.Until(t, "the bytes to arrive", func() bool { return spokenOrClosed(ours.Conn) })
+			standin.Until(t, "the bytes to arrive", func() bool { return spoken(ours.Conn) })
 		}
 		closed := make(chan struct{})
 		go func() {
--- a/internal/http1/opening_test.go
+++ b/internal/http1/opening_test.go
@@ -170,7 +170,7 @@
 		defer b.mu.Unlock()
 		return c.dead
 	})
-	if b.begin(c, waiter) {
+	if b.begin(c, waiter) == nil {
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
 	if r := standin.Receive(t, first, "the first answer"); r.Ending != woodpick.Success {
--- a/internal/http1/report.go
+++ b/internal/http1/report.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return reply{err: err}
 		}
-		if b.begin(c, waiter) {
+		if b.begin(c, waiter) == nil {
 			defer context.AfterFunc(ctx, func() { b.giveUp(c, waiter) })()
 			if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: backend.local\r\n\r\n"); err != nil {
 				b.giveUp(c, waiter)
--- a/internal/http1/socket.go
+++ b/internal/http1/socket.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"syscall"
+	"time"
 )
 
 // rawConn is the connection below the runtime's, or nil if there is none.
@@ -15,28 +16,57 @@
 	return nil
 }
 
-// peek looks into the kernel's buffer of a connection: whether its other side has said something that
-// was not read yet, or has closed.
-func peek(fd uintptr) bool {
+// receiver is syscall.Recvfrom, or what a test has instead.
+type receiver func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
+
+// peek looks into the kernel's buffer of a connection: whether its other side has said something that was not read yet, or has
+// closed. short: it could not be told, for the system was out of memory.
+func peek(fd uintptr, receive receiver) (spoken, short bool) {
 	var one [1]byte
-	_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err != syscall.EAGAIN && err != syscall.EINTR
+	for {
+		_, _, err := receive(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		switch err {
+		case syscall.EINTR:
+		case syscall.EAGAIN:
+			return false, false
+		case syscall.ENOMEM, syscall.ENOBUFS:
+			return false, true
+		default:
+			return true, false
+		}
+	}
 }
 
+// shortPause is before a call is made again that the system had no memory for.
+const shortPause = 5 * time.Millisecond
+
 // awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
-func awaitBytes(nc net.Conn) {
-	if raw := rawConn(nc); raw != nil {
-		raw.Read(peek) // an error shows at the next read
+func awaitBytes(nc net.Conn, receive receiver) {
+	raw := rawConn(nc)
+	if raw == nil {
+		return
+	}
+	for {
+		var short bool
+		err := raw.Read(func(fd uintptr) bool {
+			var spoken bool
+			spoken, short = peek(fd, receive)
+			return spoken || short // what was short is not waited for: its bytes may have come already, and wake nobody
+		})
+		if err != nil || !short { // an error shows at the next read
+			return
+		}
+		time.Sleep(shortPause)
 	}
 }
 
 // spokenOrClosed asks the same without waiting.
-func spokenOrClosed(nc net.Conn) (is bool) {
+func spokenOrClosed(nc net.Conn, receive receiver) (is, short bool) {
 	raw := rawConn(nc)
 	if raw == nil {
-		return false
+		return false, false
 	}
 	// Control and not Read: the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { is = peek(fd) })
-	return is || err != nil
+	err := raw.Control(func(fd uintptr) { is, short = peek(fd, receive) })
+	return is || err != nil, short
 }
--- a/internal/http1/syscall_test.go
+++ b/internal/http1/syscall_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"os"
 	"sync/atomic"
@@ -94,3 +95,112 @@
 		t.Errorf("the servers got %d requests", seen)
 	}
 }
+
+// receiving has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
+func receiving(errnos ...syscall.Errno) (receive receiver, calls *atomic.Int32) {
+	calls = new(atomic.Int32)
+	return func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
+		if n := int(calls.Add(1)); n <= len(errnos) {
+			return -1, nil, errnos[n-1]
+		}
+		return syscall.Recvfrom(fd, p, flags)
+	}, calls
+}
+
+// tcpPair is a connection's two ends.
+func tcpPair(t *testing.T) (ours, theirs net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	if ours, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	if theirs, err = ln.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ours.Close(); theirs.Close() })
+	return ours, theirs
+}
+
+// A look into a connection that is interrupted is made again; one that the system has no memory for says neither that the other side
+// is silent nor that it has spoken or closed.
+func TestALookThatFailsIsNoAnswer(t *testing.T) {
+	ours, theirs := tcpPair(t)
+	look := func(errnos ...syscall.Errno) (is, short bool) {
+		receive, _ := receiving(errnos...)
+		return spokenOrClosed(ours, receive)
+	}
+	if is, short := look(syscall.EINTR); is || short {
+		t.Errorf("silent, interrupted: spoken %v, short %v", is, short)
+	}
+	io.WriteString(theirs, "x")
+	standin.Until(t, "the byte to arrive", func() bool { return spoken(ours) })
+	if is, short := look(syscall.EINTR, syscall.EINTR); !is || short {
+		t.Errorf("a byte, interrupted twice: spoken %v, short %v", is, short)
+	}
+	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
+		if is, short := look(errno); is || !short {
+			t.Errorf("%v: spoken %v, short %v", errno, is, short)
+		}
+	}
+	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
+		if is, short := look(errno); !is || short {
+			t.Errorf("%v: spoken %v, short %v", errno, is, short)
+		}
+	}
+}
+
+// Who waits for bytes waits on through interruptions and want of memory, also where the bytes came before.
+func TestWaitingForBytesOutlastsFailedLooks(t *testing.T) {
+	for _, before := range []bool{true, false} {
+		ours, theirs := tcpPair(t)
+		if before {
+			io.WriteString(theirs, "x")
+			standin.Until(t, "the byte to arrive", func() bool { return spoken(ours) })
+		}
+		receive, calls := receiving(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
+		ready := make(chan struct{})
+		go func() { awaitBytes(ours, receive); close(ready) }()
+		if !before {
+			standin.Until(t, "the looks that fail, and one that does not", func() bool { return calls.Load() == 4 })
+			select {
+			case <-ready:
+				t.Fatal("the wait ended without a byte")
+			default:
+			}
+			io.WriteString(theirs, "x")
+		}
+		standin.Receive(t, ready, "the wait's end")
+		if calls.Load() < 4 {
+			t.Errorf("it ended after %d looks", calls.Load())
+		}
+	}
+}
+
+// A fresh connection of which the system can't tell whether its server has spoken carries no request, which is no fault of the
+// server's. One that was idle is replaced.
+func TestAConnectionThatCannotBeLookedIntoIsNotUsed(t *testing.T) {
+	s := standin.NewServer(t, standin.Echo)
+	b := testBackend(10)
+	var short atomic.Bool
+	b.recv = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
+		if short.Load() {
+			return -1, nil, syscall.ENOMEM
+		}
+		return syscall.Recvfrom(fd, p, flags)
+	}
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success {
+		t.Fatalf("ending %d", r.Ending)
+	}
+	short.Store(true)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Void || b.Connections() != 0 || s.Seen() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Ending, b.Connections(), s.Seen())
+	}
+	short.Store(false)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success {
+		t.Errorf("after the shortage: ending %d", r.Ending)
+	}
+}
