--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -86,7 +86,7 @@
 	defer close(done)
 	buf := make([]byte, aheadStep)
 	for {
-		n, err := c.Conn.Read(buf)
+		n, err := readAgain(c.Conn, buf)
 		c.note(buf[:n], err)
 		c.keepAhead(buf[:n])
 		if err != nil {
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -132,6 +132,8 @@
 		return got.Outcome
 	case a.Withdrawn():
 		return engine.Outcome{Ending: woodpick.Withdrawn}
+	case sent < len(text) && isOwnShortage(err):
+		return engine.Outcome{Ending: woodpick.Void}
 	case sent < len(text):
 		// The server never got the last byte, so it has not begun: sending again is harmless.
 		return engine.Outcome{Ending: woodpick.Unreachable}
--- /dev/null
+++ b/internal/http1/broken_test.go
@@ -0,0 +1,209 @@
+package http1
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+
+	"woodpick"
+	"woodpick/internal/standin"
+)
+
+// faultyConn is a connection on which single reads and writes fail. A read that fails keeps what came for the next one.
+type faultyConn struct {
+	net.Conn
+
+	mu        sync.Mutex
+	failRead  syscall.Errno // of the next read that brings anything; 0: none
+	failWrite syscall.Errno // of the next write, in its middle; 0: none
+	kept      []byte
+}
+
+func (c *faultyConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+func (c *faultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
+
+// fail arms the connection.
+func (c *faultyConn) fail(read, write syscall.Errno) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failRead, c.failWrite = read, write
+}
+
+func (c *faultyConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	n := copy(p, c.kept)
+	c.kept = c.kept[n:]
+	c.mu.Unlock()
+	if n > 0 {
+		return n, nil
+	}
+	n, err := c.Conn.Read(p)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if errno := c.failRead; n > 0 && errno != 0 {
+		c.failRead, c.kept = 0, append([]byte(nil), p[:n]...)
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
+	}
+	return n, err
+}
+
+func (c *faultyConn) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	errno := c.failWrite
+	c.failWrite = 0
+	c.mu.Unlock()
+	if errno == 0 {
+		return c.Conn.Write(p)
+	}
+	n, err := c.Conn.Write(p[:len(p)/3])
+	if err == nil {
+		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", errno)}
+	}
+	return n, err
+}
+
+// A write that ends within the request proves that nothing ran, whatever ended it, and is the node's own fault or the server's. Once
+// the request is written whole any end of the connection is the same as a reset: it may have run. What passes is gone on with.
+func TestEndsOfAConnectionToAServer(t *testing.T) {
+	for _, c := range []struct {
+		read, write syscall.Errno
+		want        woodpick.Ending
+		seen        int
+	}{
+		{write: syscall.EPIPE, want: woodpick.Unreachable},
+		{write: syscall.ECONNRESET, want: woodpick.Unreachable},
+		{write: syscall.ETIMEDOUT, want: woodpick.Unreachable},
+		{write: syscall.EHOSTUNREACH, want: woodpick.Unreachable},
+		{write: syscall.ENETUNREACH, want: woodpick.Unreachable},
+		{write: syscall.ENETDOWN, want: woodpick.Void},
+		{write: syscall.EPERM, want: woodpick.Void},
+		{write: syscall.ENOBUFS, want: woodpick.Success, seen: 1},
+		{write: syscall.ENOMEM, want: woodpick.Success, seen: 1},
+		{write: syscall.EINTR, want: woodpick.Success, seen: 1},
+		{read: syscall.EPIPE, want: woodpick.Broken, seen: 1},
+		{read: syscall.ECONNRESET, want: woodpick.Broken, seen: 1},
+		{read: syscall.ETIMEDOUT, want: woodpick.Broken, seen: 1},
+		{read: syscall.EHOSTUNREACH, want: woodpick.Broken, seen: 1},
+		{read: syscall.ENETUNREACH, want: woodpick.Broken, seen: 1},
+		{read: syscall.ENETDOWN, want: woodpick.Broken, seen: 1},
+		{read: syscall.ENOBUFS, want: woodpick.Success, seen: 1},
+		{read: syscall.ENOMEM, want: woodpick.Success, seen: 1},
+		{read: syscall.EINTR, want: woodpick.Success, seen: 1},
+	} {
+		s := standin.NewServer(t, standin.Echo)
+		b := testBackend(10)
+		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			nc, err := new(net.Dialer).DialContext(ctx, network, address)
+			return &faultyConn{Conn: nc, failRead: c.read, failWrite: c.write}, err
+		}
+		r := run(t, b, testAttempt(b, s.Address()))
+		kept := 0
+		if c.want == woodpick.Success {
+			kept = 1
+		}
+		if r.Ending != c.want || s.Seen() != c.seen || b.Connections() != kept {
+			t.Errorf("read %d, write %d: ending %d, %d requests at the server, %d connections; want %d, %d, %d",
+				c.read, c.write, r.Ending, s.Seen(), b.Connections(), c.want, c.seen, kept)
+		}
+		b.Close()
+	}
+}
+
+// faultyListener accepts faultyConns, and hands them to the test too.
+type faultyListener struct {
+	net.Listener
+	accepted chan *faultyConn
+}
+
+func (l faultyListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	c := &faultyConn{Conn: nc}
+	l.accepted <- c
+	return c, nil
+}
+
+// heldRequest has a request at a server that holds it, from a client on a connection that can be made to fail.
+func heldRequest(t *testing.T) (n *rig, c *standin.Caller, conn *faultyConn, release func(), ended <-chan struct{}) {
+	hold, got, gone := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
+	s := standin.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
+		got <- struct{}{}
+		closed := make(chan struct{})
+		go func() { defer close(closed); nc.Read(make([]byte, 1)); close(gone) }()
+		select {
+		case <-hold:
+			standin.Echo(nc, r, body)
+			<-closed
+		case <-closed:
+		}
+		return false
+	})
+	accepted := make(chan *faultyConn, 10)
+	n = start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+		n.ln = faultyListener{n.ln, accepted}
+	})
+	c = standin.Dial(t, n.Addr())
+	c.Send("POST", "/note/k", "held", "x", "60")
+	conn = standin.Receive(t, accepted, "the client's connection")
+	standin.Receive(t, got, "the attempt")
+	return n, c, conn, func() { close(hold) }, gone
+}
+
+// A client whose connection ends in any way has gone: its attempt is called off, and its connection leaves nothing behind.
+func TestAnyEndOfAClientsConnectionIsItsEnd(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
+		n, c, conn, _, ended := heldRequest(t)
+		conn.fail(errno, 0)
+		io.WriteString(c, "G")
+		standin.Receive(t, ended, "the attempt's end")
+		standin.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		standin.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
+		if st := n.engine.Status(); st.Gone != 1 || st.Sends != 1 {
+			t.Errorf("%v: %+v", errno, st)
+		}
+	}
+}
+
+// An answer that can't be written ends its connection, and nothing else.
+func TestAnAnswerThatCannotBeWrittenEndsItsConnection(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
+		n, c, conn, release, _ := heldRequest(t)
+		conn.fail(0, errno)
+		release()
+		text, _ := io.ReadAll(c)
+		if len(text) == 0 || len(text) > 60 {
+			t.Errorf("%v: the client got %q", errno, text)
+		}
+		standin.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		standin.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
+		if st := n.engine.Status(); st.Sends != 1 {
+			t.Errorf("%v: %+v", errno, st)
+		}
+	}
+}
+
+// A client's connection on which a call fails in passing is no end: it gets its answer whole.
+func TestAClientsConnectionOutlastsWhatPasses(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
+		_, c, conn, release, _ := heldRequest(t)
+		conn.fail(errno, errno)
+		io.WriteString(c, "G")
+		standin.Until(t, "the read to fail", func() bool {
+			conn.mu.Lock()
+			defer conn.mu.Unlock()
+			return conn.failRead == 0
+		})
+		release()
+		c.Want(t, 200, "for held")
+	}
+}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -57,7 +57,7 @@
 	c.stopAhead()
 	n, err := c.takeAhead(p)
 	if n == 0 && err == nil {
-		n, err = c.Conn.Read(p)
+		n, err = readAgain(c.Conn, p)
 		c.note(p[:n], err)
 	}
 	if n == 1 && len(p) == 1 { // net/http has its byte behind a request, and watches no more
@@ -118,7 +118,7 @@
 		}
 	}
 	c.mu.Unlock()
-	return c.Conn.Write(p)
+	return writeAgain(c.Conn, p)
 }
 
 // Quiet implements callers.Conn.
--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -30,6 +30,12 @@
 	passed bool          // the rest of an answer is read by somebody else. Guarded by Back.mu
 }
 
+// Read goes on through failures that pass.
+func (c *conn) Read(p []byte) (int, error) { return readAgain(c.Conn, p) }
+
+// Write goes on through failures that pass. How much was written proves how far the request came.
+func (c *conn) Write(p []byte) (int, error) { return writeAgain(c.Conn, p) }
+
 // stage is how far the request on a connection is.
 type stage int
 
@@ -98,8 +104,9 @@
 
 // watch starts the reader of a connection that an attempt is about to use.
 func (b *Back) watch(nc net.Conn, to discovery.Host, waiter chan reply) *conn {
-	in := &bounded{Reader: nc}
-	c := &conn{Conn: nc, to: to, in: in, br: bufio.NewReader(in), waiter: waiter}
+	c := &conn{Conn: nc, to: to, waiter: waiter}
+	c.in = &bounded{Reader: c}
+	c.br = bufio.NewReader(c.in)
 	go b.read(c)
 	return c
 }
--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -57,7 +57,7 @@
 
 func (p paced) Write(text []byte) (int, error) {
 	p.SetWriteDeadline(time.Now().Add(sendStall))
-	return p.Conn.Write(text)
+	return p.conn.Write(text)
 }
 
 // upload sends a call whose body still comes, as it comes. Its time runs from the last byte on. An answer that
--- a/internal/http1/socket.go
+++ b/internal/http1/socket.go
@@ -37,9 +37,6 @@
 	}
 }
 
-// shortPause is before a call is made again that the system had no memory for.
-const shortPause = 5 * time.Millisecond
-
 // awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
 func awaitBytes(nc net.Conn, receive receiver) {
 	raw := rawConn(nc)
