--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -170,9 +170,14 @@
 	return c.flush()
 }
 
+// flush writes what is kept. A connection on which that fails carries no other answer, so that it ends. The caller holds mu.
 func (c *client) flush() error {
 	c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	return c.out.Flush()
+	err := c.out.Flush()
+	if err != nil {
+		c.CutOff() // its reader ends, and closes it
+	}
+	return err
 }
 
 func (c *client) event(r *call, e Event) {
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -10,8 +10,11 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"runtime"
 	"strings"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -42,6 +45,12 @@
 }
 
 func startBounded(t testing.TB, bounds Bounds, servers ...string) *rig {
+	t.Helper()
+	return startRigOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
+}
+
+// startRigOn has the front listen on what wrap makes of its listener.
+func startRigOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds Bounds, servers ...string) *rig {
 	t.Helper()
 	cfg := standin.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
@@ -68,6 +77,7 @@
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
+	n.ln = wrap(n.ln)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { defer close(over); n.front.Serve(n.ln) }()
@@ -486,3 +496,61 @@
 		})
 	}
 }
+
+// faultyConn has its next write fail in its middle, with an errno.
+type faultyConn struct {
+	net.Conn
+	errno *atomic.Uint32
+}
+
+func (c faultyConn) Write(p []byte) (int, error) {
+	errno := syscall.Errno(c.errno.Swap(0))
+	if errno == 0 {
+		return c.Conn.Write(p)
+	}
+	n, _ := c.Conn.Write(p[:len(p)/3])
+	return n, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", errno)}
+}
+
+type faultyListener struct {
+	net.Listener
+	errno *atomic.Uint32
+}
+
+func (l faultyListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	return faultyConn{c, l.errno}, err
+}
+
+// A write that ends within a record ends its connection, and the requests on it as their web server's going does: the answers that
+// would follow would be read as the rest of that record.
+func TestAWriteThatFailsEndsItsConnection(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS, syscall.EPIPE} {
+		hold, got := make(chan struct{}), make(chan string, 2)
+		gone := make(chan struct{})
+		s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			id := r.Header.Get("X-Request-Id")
+			got <- id
+			if id == "first" {
+				<-hold
+				return standin.Echo(c, r, body)
+			}
+			c.Read(make([]byte, 1)) // until its attempt is called off
+			close(gone)
+			return false
+		})
+		var fails atomic.Uint32
+		n := startRigOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &fails} }, DefaultBounds(),
+			standin.Entry("s1", s.Address(), "in_service"))
+		w := connect(t, n)
+		w.ask(t, variables("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
+		standin.Receive(t, got, "the first attempt")
+		w.ask(t, variables("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
+		standin.Receive(t, got, "the second attempt")
+		fails.Store(uint32(errno))
+		close(hold)
+		standin.Receive(t, gone, "the other attempt's end")
+		w.wantClosed(t, errno.Error())
+		standin.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
+	}
+}
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -218,10 +218,12 @@
 	return err
 }
 
-// Writer writes records, several in one write. It is not safe for several goroutines.
+// Writer writes records, several in one write. After a write that failed it writes nothing any more: what was written may end
+// within a record, and whatever follows would be read as the rest of that. It is not safe for several goroutines.
 type Writer struct {
 	out io.Writer
 	buf []byte
+	err error // of the write that failed
 }
 
 // flushAt is how much is kept at most before it is written.
@@ -232,19 +234,22 @@
 
 // Flush writes what is kept.
 func (w *Writer) Flush() error {
-	if len(w.buf) == 0 {
-		return nil
+	if len(w.buf) == 0 || w.err != nil {
+		return w.err
 	}
 	_, err := w.out.Write(w.buf)
 	w.buf = w.buf[:0]
 	if err != nil {
-		return fmt.Errorf("fastcgi: write: %w", err)
+		w.err = fmt.Errorf("fastcgi: write: %w", err)
 	}
-	return nil
+	return w.err
 }
 
 // record keeps one record, padded to a multiple of 8 bytes (section 3.3 recommends it).
 func (w *Writer) record(t Type, id uint16, content []byte) error {
+	if w.err != nil {
+		return w.err
+	}
 	padding := -len(content) & 7
 	if len(w.buf)+headerSize+len(content)+padding > flushAt {
 		if err := w.Flush(); err != nil {
