--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -38,6 +38,8 @@
 	calls map[uint16]*call
 	ended bool
 
+	patience time.Duration // with which a write is waited for
+
 	// What callers.Set asks for. Never held while something is read or written.
 	state    sync.Mutex
 	midway   bool // within a record, as far as is known
@@ -61,8 +63,8 @@
 }
 
 func (f *Front) serve(nc net.Conn) {
-	c := &client{Conn: nc, front: f, calls: map[uint16]*call{}}
-	c.out = NewWriter(nc)
+	c := &client{Conn: nc, front: f, calls: map[uint16]*call{}, patience: writeTimeout}
+	c.out = NewWriter(writes{c})
 	c.app = NewApplication(f.bounds, c.out)
 	c.in = bufio.NewReader(reads{c})
 	f.callers.Add(c, f)
@@ -106,6 +108,14 @@
 	return n, err
 }
 
+// writes gives each write its time: what does not fit in with the rest of an answer is written before the answer is flushed.
+type writes struct{ c *client }
+
+func (w writes) Write(p []byte) (int, error) {
+	w.c.Conn.SetWriteDeadline(time.Now().Add(w.c.patience))
+	return w.c.Conn.Write(p)
+}
+
 // await sets until when the next record may come.
 func (c *client) await() {
 	c.mu.Lock()
@@ -172,7 +182,6 @@
 
 // flush writes what is kept. A connection on which that fails carries no other answer, so that it ends. The caller holds mu.
 func (c *client) flush() error {
-	c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	err := c.out.Flush()
 	if err != nil {
 		c.CutOff() // its reader ends, and closes it
@@ -306,7 +315,8 @@
 		if r.over {
 			return false
 		}
-		c.Conn.SetWriteDeadline(time.Now().Add(stall))
+		c.patience = stall
+		defer func() { c.patience = writeTimeout }()
 		return errors.Join(c.out.Stream(Stdout, r.id, p), c.out.Flush()) == nil
 	}
 	on := put(headText(200, a.Reply.ContentType, a.Reply.Length, "")) && put(a.Reply.Body)
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -554,3 +554,52 @@
 		standin.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
 	}
 }
+
+// timedConn tells of each write whether a deadline was set since the one before.
+type timedConn struct {
+	net.Conn
+	timed  *atomic.Bool
+	writes chan bool
+}
+
+func (c timedConn) SetWriteDeadline(t time.Time) error {
+	c.timed.Store(true)
+	return c.Conn.SetWriteDeadline(t)
+}
+
+func (c timedConn) Write(p []byte) (int, error) {
+	c.writes <- c.timed.Swap(false)
+	return c.Conn.Write(p)
+}
+
+type timedListener struct {
+	net.Listener
+	writes chan bool
+}
+
+func (l timedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	return timedConn{c, new(atomic.Bool), l.writes}, err
+}
+
+// An answer that takes two writes has its time for each of them, however long ago the last one on its connection was.
+func TestEachWriteOfAnAnswerHasItsTime(t *testing.T) {
+	long := strings.Repeat("x", maxContent)
+	s := standin.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return standin.Reply200(c, long) })
+	writes := make(chan bool, 100)
+	n := startRigOn(t, func(ln net.Listener) net.Listener { return timedListener{ln, writes} }, DefaultBounds(),
+		standin.Entry("s1", s.Address(), "in_service"))
+	w := connect(t, n)
+	id := w.ask(t, variables("GET", "/view/k", "long"), "")
+	if a := w.hear(t, 1)[id]; a.body() != long {
+		t.Errorf("%d bytes came", len(a.body()))
+	}
+	if len(writes) < 2 {
+		t.Errorf("the answer took %d writes", len(writes))
+	}
+	for len(writes) > 0 {
+		if !<-writes {
+			t.Error("a write had the deadline of one before it")
+		}
+	}
+}
