--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -61,10 +61,16 @@
 // words take a few hundred.
 const mostOut = 64 << 10
 
+// Waits behind reads that fail one after the other.
+const (
+	readPause     = time.Millisecond
+	readPauseMost = 100 * time.Millisecond
+)
+
 // Room is one node's.
 type Room struct {
 	o        Options
-	conn     *net.UDPConn
+	conn     datagrams
 	machine  *members.Machine
 	exchange *exchange // nil: none
 	seen     chan Seen
@@ -79,8 +85,27 @@
 	lost     atomic.Int64
 	purse    float64 // bytes that may go out
 	filled   time.Duration
+	unsent   failures
+}
+
+// datagrams are what a Room needs of a net.UDPConn.
+type datagrams interface {
+	ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error)
+	WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error)
+	LocalAddr() net.Addr
+	Close() error
+}
+
+// failures are of datagrams that could not be sent, each of them as good as lost on its way. They are logged together, once a
+// while.
+type failures struct {
+	count  int           // since they were logged last
+	logged time.Duration // clock time; 0: never
 }
 
+// failuresEvery is how often failures are logged at most.
+const failuresEvery = time.Second
+
 // letter is what came in.
 type letter struct {
 	from netip.AddrPort
@@ -208,21 +233,23 @@
 	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
 }
 
-// readPause lies between a read that failed and the next: a failure that lasts costs at most 1,000 calls a second.
-const readPause = time.Millisecond
-
 // read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
 func (r *Room) read(conn receiver) {
 	buf := make([]byte, members.MaxDatagram+1)
+	pause := readPause
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what an earlier datagram met at its end, or a shortage that may last
-			time.Sleep(readPause)
+		if err != nil { // what an earlier datagram met at its end, or a want of this machine that may last
+			if r.rest(pause); r.hasEnded() {
+				return
+			}
+			pause = min(2*pause, readPauseMost)
 			continue
 		}
+		pause = readPause
 		l := letter{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		if n > 0 && buf[0] == facts.Version {
 			l.told, l.err = r.decode(buf[:n])
@@ -237,6 +264,25 @@
 	}
 }
 
+// rest waits for a while, or for the end.
+func (r *Room) rest(d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+	case <-r.done:
+	}
+}
+
+func (r *Room) hasEnded() bool {
+	select {
+	case <-r.done:
+		return true
+	default:
+		return false
+	}
+}
+
 // decode reads what another tells of facts.
 func (r *Room) decode(b []byte) (*facts.Message, error) {
 	body, ok := members.Unseal(b, r.o.Key)
@@ -282,6 +328,7 @@
 	}
 	r.purse -= float64(len(data))
 	if _, err := r.conn.WriteToUDPAddrPort(data, to); err != nil {
+		r.fail(now, to, err)
 		return false
 	}
 	r.counts.Sent++
@@ -289,6 +336,16 @@
 	return true
 }
 
+// fail notes that a datagram could not be sent.
+func (r *Room) fail(now time.Duration, to netip.AddrPort, err error) {
+	r.unsent.count++
+	if r.unsent.logged != 0 && now-r.unsent.logged < failuresEvery {
+		return
+	}
+	r.o.Log.Warn("datagrams can't be sent", "count", r.unsent.count, "last_to", to, "error", err)
+	r.unsent = failures{logged: now}
+}
+
 // tell logs what has changed of other nodes.
 func (r *Room) tell() {
 	if r.logged == r.machine.Changes() {
