--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -50,7 +50,7 @@
 	log.Info("serving", "address", n.Addr(config.PlatformListener))
 	go func() {
 		for range again {
-			if cfg, _, err := config.LoadPlatform(); err != nil {
+			if cfg, _, err := config.ReloadPlatform(); err != nil {
 				log.Error("the new configuration is bad; the old one stays", "error", err)
 			} else {
 				n.Reload(cfg)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -3,9 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"math/big"
-	"os"
 	"sort"
 	"strings"
 	"time"
@@ -28,14 +26,24 @@
 // Load reads and checks a file of our own. All that is wrong is told at once, as Problems; warnings come with
 // a good configuration too.
 func Load(path string) (*Config, Problems) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, Problems{{File: path, Message: strings.TrimPrefix(err.Error(), "open "+path+": ")}}
-	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, MaxFile+1))
+	text, err := opener(openFile).read(path, MaxFile+1)
+	return parseRead(text, err, path)
+}
+
+// Reload is Load where a configuration runs: a file that can't be read is tried again for two seconds.
+func Reload(path string) (*Config, Problems) {
+	text, err := opener(openFile).readAgain(path, MaxFile+1)
+	return parseRead(text, err, path)
+}
+
+// parseRead is Parse of a file that was read, or could not be.
+func parseRead(text []byte, err error, path string) (*Config, Problems) {
 	if err != nil {
-		return nil, Problems{{File: path, Message: strings.TrimPrefix(err.Error(), "read "+path+": ")}}
+		message := err.Error()
+		for _, doing := range []string{"open ", "read "} {
+			message = strings.Replace(message, doing+path+": ", "", 1)
+		}
+		return nil, Problems{{File: path, Message: message}}
 	}
 	return Parse(text, path)
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -52,12 +52,17 @@
 }
 
 // LoadPlatform reads and checks the file that BALANCER_CONFIG names.
-func LoadPlatform() (*Config, Start, error) {
+func LoadPlatform() (*Config, Start, error) { return loadPlatform(opener(openFile).read) }
+
+// ReloadPlatform is LoadPlatform where a configuration runs: a file that can't be read is tried again for two seconds.
+func ReloadPlatform() (*Config, Start, error) { return loadPlatform(opener(openFile).readAgain) }
+
+func loadPlatform(read func(path string, most int64) ([]byte, error)) (*Config, Start, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
 		return nil, Start{}, errors.New("config: BALANCER_CONFIG is not set")
 	}
-	text, err := os.ReadFile(path)
+	text, err := read(path, math.MaxInt64)
 	if err != nil {
 		return nil, Start{}, fmt.Errorf("config: %w", err)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -282,7 +282,7 @@
 
 // Reload reads the file again and puts it in place, as a plan made and applied at once would.
 func (d *Daemon) Reload() {
-	cfg, problems := config.Load(d.options.File)
+	cfg, problems := config.Reload(d.options.File)
 	if err := problems.Err(); err != nil {
 		d.log.Error("the file is not taken over; what runs stays", "error", err)
 		return
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -782,3 +782,39 @@
 	t.Logf("%d plans and %d rollbacks; %d calls: %d served, %d refused (%.2f %%), %d failed, %d not taken", plans, plans/10, v.Calls, v.Served,
 		v.Refused, 100*float64(v.Refused)/float64(v.Calls), v.Failed, v.NotTaken)
 }
+
+// A file that is away while another takes its name is read once that has come; one that stays away changes nothing, and is told of in
+// one line.
+func TestReloadOfAFileThatIsAway(t *testing.T) {
+	a, b := named(t, "a"), named(t, "b")
+	r := newRig(t)
+	r.write(t, r.text("p1", a.Address(), ""))
+	d, _ := r.start(t)
+	if err := os.Remove(r.file); err != nil {
+		t.Fatal(err)
+	}
+	d.Reload()
+	if lines := strings.Count(r.log.String(), "is not taken over"); lines != 1 || r.show(t).Serial != 1 {
+		t.Errorf("%d lines, serial %d", lines, r.show(t).Serial)
+	}
+	r.wantServed(t, "a")
+	reloaded := make(chan struct{})
+	go func() { d.Reload(); close(reloaded) }()
+	select { // by now the file has been missed, or will not be
+	case <-reloaded:
+		t.Fatal("the file that is away is given up at once")
+	case <-time.After(50 * time.Millisecond):
+	}
+	next := r.file + ".next"
+	if err := os.WriteFile(next, []byte(r.text("p2", b.Address(), "")), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(next, r.file); err != nil {
+		t.Fatal(err)
+	}
+	standin.Receive(t, reloaded, "the reload's end")
+	if s := r.show(t); s.Serial != 2 {
+		t.Errorf("serial %d", s.Serial)
+	}
+	r.wantServed(t, "b")
+}
