--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -126,6 +126,12 @@
 	}
 }
 
+// DialBy has connections be opened by something else than a net.Dialer, as tests do, as long as the watch does not move. It comes
+// before Push and Ask.
+func (w *Watch) DialBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+	w.place().dial = dial
+}
+
 // Push watches an agent from the start until ctx ends. The next call follows each answer at once: a watch is
 // lost when it is late.
 func (w *Watch) Push(ctx context.Context) {
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -52,6 +52,11 @@
 		borrowers: map[discovery.Host][]*borrower{}, seen: map[string]discovery.Target{}}
 }
 
+// DialBy has connections be opened by something else than a net.Dialer, as tests do. It comes before the first attempt.
+func (b *Back) DialBy(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+	b.dial = dial
+}
+
 // Run makes an attempt and tells how it ended. Its connection is closed by then, or idle again.
 func (b *Back) Run(a *engine.Attempt) engine.Outcome {
 	ctx, cancel := context.WithCancel(a.Context())
--- /dev/null
+++ b/internal/node/failures_test.go
@@ -0,0 +1,227 @@
+package node
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"woodpick/internal/discovery"
+	"woodpick/internal/http1"
+	"woodpick/internal/standin"
+)
+
+// seedsVariable names how many seeds of overlapping failures are played; without it fewSeeds are.
+const (
+	seedsVariable = "FAILURE_SEEDS"
+	fewSeeds      = 24
+)
+
+// waits is how long each request's client waits, by its deadline, and answerSlack how much longer a busy machine may take.
+const (
+	waits       = 3 * time.Second
+	answerSlack = 2 * time.Second
+)
+
+// Calls fail at each step of a request's and of a list's way, several at once: each request gets one final answer in time unless its own
+// connection was ended by a failure; nothing unsafe runs twice, and nothing that was refused has run; the node serves on, ends in order
+// and leaves nothing behind.
+func TestCallsThatFail(t *testing.T) {
+	seeds := fewSeeds
+	if text := os.Getenv(seedsVariable); text != "" {
+		var err error
+		if seeds, err = strconv.Atoi(text); err != nil {
+			t.Fatalf("%s: %v", seedsVariable, err)
+		}
+	}
+	goroutines, descriptors := runtime.NumGoroutine(), openDescriptors(t)
+	failed := map[string]int{}
+	for seed := range seeds {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			for op, n := range playFailures(t, uint64(seed)) {
+				failed[op] += n
+			}
+		})
+		standin.Until(t, fmt.Sprintf("goroutines and descriptors to be back after seed %d", seed), func() bool {
+			return runtime.NumGoroutine() <= goroutines && openDescriptors(t) <= descriptors
+		})
+	}
+	for _, op := range []string{"dial", "read", "write"} {
+		if failed[op] < seeds {
+			t.Errorf("only %d calls of %s failed in %d seeds", failed[op], op, seeds)
+		}
+	}
+}
+
+// openDescriptors counts those of this process.
+func openDescriptors(t *testing.T) int {
+	t.Helper()
+	all, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(all)
+}
+
+// asked is a request of a client, and what came of it.
+type asked struct {
+	id, class string
+	status    int // 0: no answer
+	body      string
+	took      time.Duration
+	from      string // the client's address
+	err       error  // why there is no answer
+}
+
+// playFailures runs one node, and returns how many calls of each kind failed.
+func playFailures(t *testing.T, seed uint64) map[string]int {
+	t.Helper()
+	const clients, requests, servers = 6, 5, 3
+	var backends []*standin.Server
+	var entries []string
+	for i := range servers {
+		s := standin.NewServer(t, standin.Echo)
+		backends = append(backends, s)
+		entries = append(entries, standin.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
+	}
+	agent := standin.NewAgent(t)
+	agent.Tell(false, standin.Whole(entries...))
+	faults := standin.NewCallFaults(seed, 0.25, 0.05)
+	cfg := testConfig(standin.Whole(entries...))
+	*cfg.registry() = agent.Address()
+	settle := time.Millisecond
+	cfg.Options.settle = &settle
+	cfg.Options.ending = &ending{last: time.Second, most: standin.Limit}
+	cfg.Options.Listen = func(network, address string) (net.Listener, error) {
+		ln, err := net.Listen(network, address)
+		if err != nil {
+			return nil, err
+		}
+		return faults.Listener(ln), nil
+	}
+	cfg.Options.watch = func(w *discovery.Watch) { w.DialBy(faults.Dial) }
+	cfg.Options.back = func(b *http1.Back) { b.DialBy(faults.Dial) }
+	n, stop := startNode(t, cfg, nil)
+
+	results := make(chan asked, clients*requests)
+	var all sync.WaitGroup
+	for c := range clients {
+		all.Go(func() { playClient(n.Addr("main"), c, requests, results) })
+	}
+	agent.Tell(false, standin.Whole(entries[1:]...)) // while calls fail
+	all.Wait()
+	close(results)
+	for a := range results {
+		checkAsked(t, a, faults, backends)
+	}
+
+	faults.Stop()
+	standin.Until(t, "the list's change to be followed", func() bool { return n.Status().Pools["servers"].Calls.Ready == servers-1 })
+	standin.Until(t, "the node to serve as before", func() bool {
+		last := make(chan asked, 1)
+		playClient(n.Addr("main"), clients, 1, last)
+		return (<-last).status == http.StatusOK
+	})
+	if err := stop(); err != nil {
+		t.Errorf("the node's end: %v", err)
+	}
+	return faults.Counts()
+}
+
+// playClient sends requests one after the other, each on the connection of the one before if that is still open.
+func playClient(address string, client, requests int, results chan<- asked) {
+	var nc net.Conn
+	var reader *bufio.Reader
+	defer func() {
+		if nc != nil {
+			nc.Close()
+		}
+	}()
+	for i := range requests {
+		a := asked{id: fmt.Sprintf("%d-%d", client, i), class: []string{"view", "note", "keyed"}[(client+i)%3]}
+		for nc == nil {
+			var err error
+			nc, err = net.Dial("tcp", address)
+			if err != nil && !errors.Is(err, syscall.ECONNRESET) { // a failure may end it before it is up here
+				a.err = err
+				results <- a
+				return
+			}
+			reader = bufio.NewReader(nc)
+		}
+		a.from = nc.LocalAddr().String()
+		begin := time.Now()
+		nc.SetDeadline(begin.Add(standin.Limit))
+		text := fmt.Sprintf("GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %v\r\n\r\n", a.id, waits.Seconds())
+		if a.class != "view" {
+			key := ""
+			if a.class == "keyed" {
+				key = "Idempotency-Key: key-" + a.id + "\r\n"
+			}
+			text = fmt.Sprintf("POST /%s/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\n%sX-Deadline: %v\r\nContent-Length: 4\r\n\r\nbody",
+				a.class, a.id, key, waits.Seconds())
+		}
+		io.WriteString(nc, text)
+		again := a.read(reader)
+		if a.took = time.Since(begin); !again {
+			nc.Close()
+			nc = nil
+		}
+		results <- a
+	}
+}
+
+// read reads a request's answer, and tells whether the connection is of further use.
+func (a *asked) read(from *bufio.Reader) (again bool) {
+	r, err := http.ReadResponse(from, nil)
+	if err != nil {
+		a.err = err
+		return false
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		a.err = err
+		return false
+	}
+	a.status, a.body = r.StatusCode, strings.TrimSpace(string(body))
+	return !r.Close
+}
+
+// checkAsked checks what came of a request.
+func checkAsked(t *testing.T, a asked, faults *standin.CallFaults, backends []*standin.Server) {
+	t.Helper()
+	ran := 0
+	for _, s := range backends {
+		for _, id := range s.Requests() {
+			if id == a.id {
+				ran++
+			}
+		}
+	}
+	switch {
+	case a.status == 0 && !faults.Ended(a.from):
+		t.Errorf("%s %s: no answer on a connection that no failure has ended: %v, ran %d times", a.class, a.id, a.err, ran)
+	case a.status == http.StatusOK && (a.body != "for "+a.id || ran == 0):
+		t.Errorf("%s %s: served with %q, ran %d times", a.class, a.id, a.body, ran)
+	case a.status == http.StatusServiceUnavailable && a.class == "note" && ran != 0:
+		t.Errorf("%s %s: refused, and has run", a.class, a.id)
+	case a.status != 0 && a.status != 200 && a.status != 502 && a.status != 503 && a.status != 504:
+		t.Errorf("%s %s: status %d", a.class, a.id, a.status)
+	}
+	if a.class == "note" && ran > 1 {
+		t.Errorf("%s %s: ran %d times", a.class, a.id, ran)
+	}
+	if a.took > waits+answerSlack {
+		t.Errorf("%s %s: answered after %v", a.class, a.id, a.took)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,6 +25,7 @@
 	"woodpick/internal/engine"
 	"woodpick/internal/figures"
 	"woodpick/internal/gateway"
+	"woodpick/internal/http1"
 	netlistener "woodpick/internal/listener"
 	"woodpick/internal/mgmt"
 	"woodpick/internal/peers"
@@ -84,6 +85,7 @@
 	ending *ending                                             // for tests: instead of what follows from the configuration
 	settle *time.Duration                                      // for tests: instead of http1.DefaultSettle
 	watch  func(*discovery.Watch)                              // for tests: changes a watch before it begins
+	back   func(*http1.Back)                                   // for tests: the same of a pool's connections
 	adopt  func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -43,6 +43,9 @@
 // watches its registry from then on. Nothing runs before start.
 func (n *Node) newPool(cfg *config.Config, p config.Pool, seed uint64, known discovery.List) (*pool, error) {
 	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: http1.NewBack(n.clock, n.servers, &n.figures, n.limitsOf(cfg, p))}
+	if n.options.back != nil {
+		n.options.back(out.back)
+	}
 	log := n.log
 	if n.named {
 		log = log.With("pool", p.Name)
