--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -1,16 +1,20 @@
 package http1
 
 import (
+	"bytes"
 	"context"
 	"io"
 	"net"
 	"net/http"
 	"os"
+	"strings"
 	"sync"
 	"syscall"
 	"testing"
+	"time"
 
 	"woodpick"
+	"woodpick/internal/engine"
 	"woodpick/internal/standin"
 )
 
@@ -207,3 +211,55 @@
 		c.Want(t, 200, "for held")
 	}
 }
+
+// slowConn returns late from the write that has its connection's last byte: longer than an answer is waited for ahead of that.
+type slowConn struct {
+	net.Conn
+	last     string
+	released <-chan struct{}
+}
+
+func (c *slowConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+func (c *slowConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	if bytes.HasSuffix(p, []byte(c.last)) {
+		<-c.released
+	}
+	return n, err
+}
+
+// A connection that breaks behind the last byte of an upload proves nothing, also where this process was held up for so long that it
+// hears of the break before it hears that the byte has left.
+func TestABreakBehindAnUploadThatIsWholeProvesNothing(t *testing.T) {
+	for length, last := range map[int64]string{-1: "0\r\n\r\n", 7 + 5000: "the end"} {
+		s := standin.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return false })
+		released := make(chan struct{})
+		b := testBackend(10)
+		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			nc, err := new(net.Dialer).DialContext(ctx, network, address)
+			return &slowConn{Conn: nc, last: last, released: released}, err
+		}
+		rest := io.MultiReader(strings.NewReader(strings.Repeat("x", 5000)), strings.NewReader("the end"))
+		call := engine.NewCall("id", engine.Request{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
+		now := b.clock.Now()
+		a := engine.NewAttempt(call, 0, testHost(b, s.Address()), now, now+standin.Limit)
+		end := make(chan engine.Outcome, 1)
+		go func() { end <- b.Run(a) }()
+		standin.Until(t, "the request at the server", func() bool { return s.Seen() == 1 })
+		standin.Until(t, "the connection's end", func() bool { return b.Connections() == 0 })
+		select {
+		case r := <-end:
+			t.Errorf("length %d: ending %d before the writer has told", length, r.Ending)
+			close(released)
+			continue
+		case <-time.After(lastBytes + lastBytes/4):
+		}
+		close(released)
+		if r := standin.Receive(t, end, "the attempt's end"); r.Ending != woodpick.Broken || !r.Spent {
+			t.Errorf("length %d: ending %d, spent %v", length, r.Ending, r.Spent)
+		}
+	}
+}
--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -22,9 +22,11 @@
 type watched struct {
 	io.Reader
 	mu   sync.Mutex
-	used bool // some of it may be gone
-	over bool // the attempt has ended
-	cut  bool // its caller has cut it
+	used bool  // some of it may be gone
+	over bool  // the attempt has ended
+	cut  bool  // its caller has cut it
+	left int64 // that is still to be read; negative: not known
+	last bool  // its end was read
 }
 
 func (w *watched) Read(p []byte) (int, error) {
@@ -36,14 +38,21 @@
 		return 0, errOver
 	}
 	n, err := w.Reader.Read(p)
-	if err != nil && err != io.EOF {
-		w.mu.Lock()
-		w.cut = true
-		w.mu.Unlock()
-	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.left -= int64(n)
+	w.last = w.last || err == io.EOF || n > 0 && w.left == 0
+	w.cut = w.cut || err != nil && err != io.EOF
 	return n, err
 }
 
+// all says that all of it was read, so that its last byte may be on its way.
+func (w *watched) all() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.last
+}
+
 // end keeps the attempt from reading more, which may be another one's by then, and tells whether it has.
 func (w *watched) end() (used, cut bool) {
 	w.mu.Lock()
@@ -63,7 +72,7 @@
 // upload sends a call whose body still comes, as it comes. Its time runs from the last byte on. An answer that
 // comes before that ends it: whatever it says, it is no answer to the whole.
 func (b *Back) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
-	rest := &watched{Reader: a.Call.Request.Rest}
+	rest := &watched{Reader: a.Call.Request.Rest, left: a.Call.Request.Length - int64(len(a.Call.Request.Body))}
 	body := io.MultiReader(bytes.NewReader(a.Call.Request.Body), rest)
 	done := make(chan error, 1)
 	go func() { done <- request(a, a.Deadline-a.Sent, body).Write(paced{c}) }()
@@ -96,6 +105,10 @@
 				whole()
 			}
 		case <-time.After(lastBytes):
+			// Only the writer can tell whether the last byte left. The connection is closed by now, which ends its write.
+			if got.err != nil && rest.all() && <-done == nil {
+				whole()
+			}
 		}
 	}
 	out := got.Outcome
