--- a/policy.go
+++ b/policy.go
@@ -344,14 +344,14 @@
 	b.release()
 }
 
-// askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies that start, or
-// lose their subscription, together from swamping discovery; the wait doubles with each failure
-// but leaves time for two tries before the copy counts as told what it never heard.
+// askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies that start, or lose their
+// subscription, together from swamping discovery; the wait doubles with each failure, to a second at most: a copy
+// counts as told 6 s after discovery can be reached, and one that is slow may refuse it once more until then.
 func (b *Balancer) askAgain() {
 	if !b.set.AskDiscovery {
 		return
 	}
-	most := b.set.AskWithin / 4
+	most := min(time.Second, b.set.AskWithin/4)
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
 	b.do(Wake{At: b.subWanted, Token: "list"})
--- a/policy_test.go
+++ b/policy_test.go
@@ -701,3 +701,19 @@
 		}
 	}
 }
+
+// However seldom a copy must ask, it asks again within a second of a failure: what it misses counts as told soon after
+// discovery can be reached.
+func TestDiscoveryIsAskedAgainSoon(t *testing.T) {
+	for _, within := range []time.Duration{100 * msec, 10 * time.Second, time.Hour} {
+		b := newBalancer(t, func(s *Settings) { s.AskDiscovery, s.AskWithin = true, within })
+		for i := range 50 {
+			now := time.Duration(i) * time.Minute
+			for _, a := range b.Handle(now, ListFailed{}) {
+				if w, ok := a.(Wake); ok && w.At-now > min(time.Second, within/4)+1 {
+					t.Errorf("to ask within %v: asked again %v after failure %d", within, w.At-now, i+1)
+				}
+			}
+		}
+	}
+}
