--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -293,20 +294,27 @@
 // After failures a call that brings nothing new is told all the same: the module waits longer after each failure, and has
 // to know that they are over.
 func TestTheEndOfFailuresIsTold(t *testing.T) {
-	ag := standin.NewAgent(t)
+	calls := 0
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch calls++; calls { // each call comes after the answer to the one before
+		case 1:
+			w.WriteHeader(http.StatusServiceUnavailable)
+		case 2:
+			io.WriteString(w, `{"rev":7,"all":false,"targets":[]}`)
+		default:
+			<-r.Context().Done()
+		}
+	}))
+	defer srv.Close()
 	events := make(sink, 10)
-	w := NewWatch(ag.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	w := NewWatch(srv.Listener.Addr().String(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Hold, w.Grace = 20*time.Millisecond, 20*time.Millisecond
-	ag.Start(7)
-	ag.Tell(true, "")
 	go w.Ask(ctx)
 	w.Subscribe()
 	if e := standin.Receive(t, events, "the failure"); !e.failed {
 		t.Fatalf("got %+v", e)
 	}
-	ag.Tell(false, `{"rev":%d,"all":false,"targets":[]}`)
 	w.Subscribe()
 	if e := standin.Receive(t, events, "their end"); e.failed || tells(e.list) {
 		t.Errorf("got %+v", e)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -24,7 +24,7 @@
 //
 // An agent is on the node's own machine, answers at once and at no cost, and what it has counts as told at once: it is
 // asked three times a second. A service that all nodes ask has a cost, and is held to another clock (6 s after it fell
-// silent, or 2 s after a hold).
+// silent, or 2 s after a hold). It may also be slow, for it works through calls in turn.
 const (
 	agentHold    = 300 * time.Millisecond
 	agentGrace   = 100 * time.Millisecond
@@ -33,10 +33,9 @@
 	backoffFirst = 50 * time.Millisecond
 	backoffMost  = 200 * time.Millisecond // of an agent that fails at once
 	maxList      = 16 << 20
-	longestList  = 2 * time.Second // that an answer of a service may take beyond its hold, while it goes on coming
 
-	// mostCalls are open at an agent at once: while it is silent each doubted call stays open beside the next ones, for
-	// a node that is short of processor time may only be late to read an answer.
+	// mostCalls are open at once: while discovery is silent each doubted call stays open beside the next ones, for a
+	// service may only be slow to answer, and a node that is short of processor time late to read it.
 	mostCalls = 3
 )
 
@@ -110,6 +109,7 @@
 		return
 	}
 	w.at = newPlace(addr, -1)
+	w.at.dial = old.dial
 	w.mu.Unlock()
 	old.leave()
 	old.client.CloseIdleConnections()
@@ -143,6 +143,7 @@
 
 // ending is how a call ended.
 type ending struct {
+	call *openCall
 	list List
 	err  error
 }
@@ -175,7 +176,7 @@
 		l, err := r.watch.call(ctx, r.at, rev, r.hold, func() { c.heard.Store(time.Now().UnixNano()) })
 		if ctx.Err() == nil || err == nil {
 			select {
-			case r.answers <- ending{l, err}:
+			case r.answers <- ending{c, l, err}:
 			default: // another one's answer counts
 			}
 		}
@@ -192,14 +193,26 @@
 	r.calls = slices.DeleteFunc(r.calls, func(c *openCall) bool { return c == least })
 }
 
-// wait returns the first answer. Each time that there is none within the hold and the grace another call is made.
+// hopes tells whether a call is open that may still be answered where another has failed: a later one, or one whose
+// answer is coming.
+func (r *round) hopes(failed *openCall) bool {
+	return slices.ContainsFunc(r.calls, func(c *openCall) bool {
+		return c != failed && (c.begun.After(failed.begun) || c.heard.Load() > 0)
+	})
+}
+
+// wait returns the first answer, or the failure that leaves no hope of one. Each time that there is none within the hold
+// and the grace another call is made.
 func (r *round) wait(ctx context.Context, patience time.Duration, doubted func()) ending {
 	doubt := time.NewTicker(patience)
 	defer doubt.Stop()
 	for {
 		select {
 		case e := <-r.answers:
-			return e
+			if e.err == nil || !r.hopes(e.call) {
+				return e
+			}
+			r.calls = slices.DeleteFunc(r.calls, func(c *openCall) bool { return c == e.call })
 		case <-doubt.C:
 			doubted()
 			r.call(ctx)
@@ -279,24 +292,24 @@
 	}
 }
 
-// watch makes one call to a service, gives it up where it stays silent, and passes on what it tells. After a failure that
-// is told also where it is no news: whoever waits longer after each failure is to know that this is over.
+// watch asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open call:
+// to give that up and wait in turn anew would take most of the time after which a change counts as told. After a failure
+// an answer is told also where it is no news: whoever waits longer after each failure is to know that this is over.
 func (w *Watch) watch(ctx context.Context, p *place) error {
 	hold, grace := w.times(serviceHold, serviceGrace)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.ctx, cancel)()
-	last := time.Now().Add(hold + longestList)
-	silence := time.AfterFunc(hold+grace, cancel)
-	defer silence.Stop()
-	l, err := w.call(ctx, p, p.rev, hold, func() { silence.Reset(min(grace, time.Until(last))) })
-	if w.take(p, l, err) && w.failed {
+	r := &round{watch: w, at: p, hold: hold, answers: make(chan ending, mostCalls)}
+	r.call(ctx)
+	e := r.wait(ctx, hold+grace, func() { w.log.Warn("discovery is silent; asking again") })
+	if w.take(p, e.list, e.err) && w.failed {
 		w.failed = false
-		if !tells(l) {
-			w.sink.TakeList(l)
+		if !tells(e.list) {
+			w.sink.TakeList(e.list)
 		}
 	}
-	return err
+	return e.err
 }
 
 // tells says that a list is news, and not the end of a hold without any.
