--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -6,9 +6,11 @@
 	"fmt"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"os"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -465,6 +467,46 @@
 	wantServed(t, n, "main", "/view/k", "a")
 }
 
+// A registry that is asked and refuses the first call of a change, as one that is crowded does, is asked again: also where
+// the change does not wait for its list, and no engine has heard of the failure.
+func TestARegistryThatRefusesAChangesFirstCallIsAskedAgain(t *testing.T) {
+	a, b := box(t, "a"), box(t, "b")
+	for _, wait := range []time.Duration{standin.Limit, 0} {
+		var calls atomic.Int64
+		refused := make(chan struct{})
+		registry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			switch calls.Add(1) {
+			case 1:
+				w.WriteHeader(http.StatusServiceUnavailable)
+				close(refused)
+			case 2:
+				fmt.Fprintf(w, standin.Whole(standin.Entry("b", b.Address(), "in_service")), 1)
+			default:
+				<-r.Context().Done()
+			}
+		}))
+		t.Cleanup(registry.Close)
+		n := startOwn(t, ownConfig(pooled("p", a)), Options{})
+		p := pooled("p")
+		p.Registry = &config.Registry{Address: registry.Listener.Addr().String(), Mode: config.Asked, AskWithin: config.Duration(10 * time.Second)}
+		c, err := n.Prepare(t.Context(), ownConfig(p), wait)
+		if err != nil {
+			t.Errorf("waiting for the list %v: %v", wait, err)
+			continue
+		}
+		standin.Receive(t, refused, "the refusal")
+		watch := c.updates[0].source.relay
+		if err := c.Commit(); err != nil {
+			t.Fatal(err)
+		}
+		standin.Receive(t, watch.listed, "the list")
+		standin.Until(t, "the new server to be used", func() bool {
+			_, body := ask(t, n.Addr("main"), "GET", "/view/k")
+			return body == "b"
+		})
+	}
+}
+
 // What a change needs is held against the limits, with what retiring pools still have open.
 func TestDescriptorsOfRetiringPoolsCount(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 10)
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -14,6 +14,8 @@
 // relay passes what a watch finds on to a pool's engine. Until it has one it keeps the news, so that a watch
 // can be tried before anything goes by it.
 type relay struct {
+	again func() // has the registry asked again
+
 	mu     sync.Mutex
 	to     discovery.Sink
 	kept   []discovery.List
@@ -61,12 +63,19 @@
 	}
 }
 
-// ListFailed implements discovery.Sink.
+// againAfter is when a watch that failed and that no engine follows yet is begun anew.
+const againAfter = 500 * time.Millisecond
+
+// ListFailed implements discovery.Sink. Who is told asks again; where nobody is yet, the relay does.
 func (r *relay) ListFailed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.closed && r.to != nil {
+	switch {
+	case r.closed:
+	case r.to != nil:
 		r.to.ListFailed()
+	default:
+		time.AfterFunc(againAfter, r.again)
 	}
 }
 
@@ -116,6 +125,7 @@
 func (n *Node) newSource(r config.Registry, rev int64, log *slog.Logger) *source {
 	s := &source{relay: newRelay(), pushed: r.Mode != config.Asked, done: make(chan struct{})}
 	s.watch = discovery.NewWatch(r.Address, rev, s.relay, log)
+	s.relay.again = s.watch.Subscribe
 	if n.options.watch != nil {
 		n.options.watch(s.watch)
 	}
