--- a/internal/rig/audit/figures.go
+++ b/internal/rig/audit/figures.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"math"
 	"slices"
+	"strconv"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -140,7 +141,7 @@
 	return last
 }
 
-// ClassFigures are what became of the calls of a class over a stretch.
+// ClassFigures are what became of the calls of a class, or of another group, over a stretch.
 type ClassFigures struct {
 	Calls      int
 	InAim      float64 // share that was served within the aim
@@ -149,14 +150,25 @@
 
 // ByClass works them out for each class, in the order of the experiment.
 func (a *Audit) ByClass(from, to time.Duration, classes int) []ClassFigures {
+	by := a.By(from, to, func(c Call) string { return strconv.Itoa(c.Class) })
+	out := make([]ClassFigures, classes)
+	for i := range out {
+		out[i] = by[strconv.Itoa(i)]
+	}
+	return out
+}
+
+// By works them out for each group of calls, by the first of each caller's.
+func (a *Audit) By(from, to time.Duration, group func(Call) string) map[string]ClassFigures {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := make([]ClassFigures, classes)
+	out := map[string]ClassFigures{}
 	for _, t := range a.tries() {
 		if t.first.At < from || t.first.At >= to {
 			continue
 		}
-		f, last := &out[t.first.Class], t.last()
+		name := group(*t.first)
+		f, last := out[name], t.last()
 		f.Calls++
 		if last.Heard == Served && last.HeardAt-t.first.At <= t.first.Aim {
 			f.InAim++
@@ -164,10 +176,12 @@
 		if last.Heard == Nothing {
 			f.Unanswered++
 		}
+		out[name] = f
 	}
-	for i := range out {
-		n := float64(max(1, out[i].Calls))
-		out[i].InAim, out[i].Unanswered = out[i].InAim/n, out[i].Unanswered/n
+	for name, f := range out {
+		n := float64(f.Calls)
+		f.InAim, f.Unanswered = f.InAim/n, f.Unanswered/n
+		out[name] = f
 	}
 	return out
 }
--- a/internal/rig/virtual/floors_test.go
+++ b/internal/rig/virtual/floors_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
+	"woodpick"
 	"woodpick/internal/rig/audit"
 	"woodpick/internal/rig/experiment"
 )
@@ -68,3 +70,117 @@
 		t.Error("the floors hold without any admission: they tell nothing")
 	}
 }
+
+// ofLate is the share of what Late serves that a fleet has to serve of each group.
+const ofLate = 1.0 / 3
+
+// ofEachEffect are classes of each effect, some of them of little worth.
+func ofEachEffect() []experiment.Class {
+	class := func(name, effect string, share, worth float64) experiment.Class {
+		return experiment.Class{Name: name, Effect: effect, Aim: time.Second, Deadline: 3 * time.Second, Share: share, Worth: worth}
+	}
+	return []experiment.Class{class("view", "safe", 0.3, 12), class("list", "safe", 0.15, 1), class("note", "unsafe", 0.15, 4),
+		class("log", "unsafe", 0.1, 1), class("pay", "unsafe", 0.2, 6), class("mark", "unsafe", 0.1, 1)}
+}
+
+// keyedClasses repeat by a key, which an experiment's file does not say of a class.
+var keyedClasses = []string{"note", "log"}
+
+func keyed(s *woodpick.Settings) {
+	for i := range s.Classes {
+		if slices.Contains(keyedClasses, s.Classes[i].Name) {
+			s.Classes[i].Effect, s.Classes[i].Scope, s.Classes[i].Window = woodpick.Keyed, woodpick.ScopeAll, time.Second
+		}
+	}
+}
+
+// Tenants, of which a call's is told by its class and node: the module knows none. The loud one sends from two nodes,
+// each with eight times the calls of the others.
+const loudNodes = 2
+
+func tenantOf(classes []experiment.Class, c audit.Call) string {
+	switch {
+	case c.Node < loudNodes:
+		return "loud"
+	case classes[c.Class].Worth == 1:
+		return "of little worth"
+	case c.Node%2 == 0:
+		return "mixed"
+	}
+	return "of much worth"
+}
+
+// groupsOf are the groups of calls that have a floor each.
+func groupsOf(e *experiment.Experiment) map[string]func(audit.Call) string {
+	effect := func(c audit.Call) string {
+		if slices.Contains(keyedClasses, e.Classes[c.Class].Name) {
+			return "keyed"
+		}
+		return e.Classes[c.Class].Effect
+	}
+	return map[string]func(audit.Call) string{
+		"class":  func(c audit.Call) string { return e.Classes[c.Class].Name },
+		"effect": effect,
+		"tenant": func(c audit.Call) string { return tenantOf(e.Classes, c) },
+	}
+}
+
+// underLate plays an experiment by a policy and by Late, and tells what groups get less than their part of what Late serves.
+func underLate(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
+	t.Helper()
+	played, _, err := Play(e, policy, keyed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	late, _, err := Play(e, Late, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for by, group := range groupsOf(e) {
+		got := played.By(e.WarmUp, e.Length(), group)
+		for name, want := range late.By(e.WarmUp, e.Length(), group) {
+			t.Logf("%s, %s %s: %.3f of %d served in time, late-seeing %.3f", policy, by, name, got[name].InAim, got[name].Calls, want.InAim)
+			if want.InAim < 0.1 {
+				t.Errorf("%s %s: the late-seeing policy serves %.3f: it tells nothing", by, name, want.InAim)
+			}
+			found = append(found, underFloor(by+" "+name, got[name], ofLate*want.InAim)...)
+		}
+	}
+	return found
+}
+
+// Under overload, and where a quarter of the servers hangs, fails, vanishes or drags, each class, the classes of each
+// effect and each tenant get at least a third of what a policy serves that sees the true state late. Whoever turns nobody
+// away falls under these floors.
+func TestFloorsOfServiceByEffectAndTenant(t *testing.T) {
+	const from, to = 7 * time.Second, 12 * time.Second
+	for _, c := range []struct {
+		name        string
+		utilisation float64
+		faults      []experiment.Fault
+	}{
+		{"overload", 1.4, nil},
+		{"hang", 0.7, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Part: 0.25}}},
+		{"errors", 0.7, []experiment.Fault{{Kind: experiment.Errors, From: from, To: to, Part: 0.25}}},
+		{"lose", 0.7, []experiment.Fault{{Kind: experiment.Lose, From: from, To: to, Part: 0.25}}},
+		{"drag", 0.7, []experiment.Fault{{Kind: experiment.Drag, From: from, To: to, Part: 0.25, Factor: 5}}},
+		{"overload and hang", 1.2, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Part: 0.25}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := load(t, "overload")
+			e.Classes, e.Callers.Utilisation, e.Faults = ofEachEffect(), c.utilisation, c.faults
+			e.Measure, e.Nodes[0].Count, e.Servers[0].Count = 10*time.Second, e.Nodes[0].Count/2, e.Servers[0].Count/2
+			rest := e.Nodes[0]
+			loud := rest
+			loud.Name, loud.Count, loud.Times = "loud", loudNodes, 8
+			rest.Count -= loudNodes
+			e.Nodes = []experiment.Nodes{loud, rest}
+			for _, found := range underLate(t, e, experiment.Program) {
+				t.Error(found)
+			}
+			if c.utilisation > 1.3 && len(underLate(t, e, experiment.JSQ)) == 0 {
+				t.Error("the floors hold without any admission: they tell nothing")
+			}
+		})
+	}
+}
--- a/internal/rig/virtual/play.go
+++ b/internal/rig/virtual/play.go
@@ -74,9 +74,17 @@
 	rng     *rand.Rand
 	cuts    []experiment.Fault // of links, in force
 	waiting map[*world.Job]*try
-	asked   int // servers, how much they hold
+	asked   int   // servers, how much they hold
+	seen    []int // by Late: what each place held when it looked last; -1: it is down
 }
 
+// Late is a policy for comparison that plays on virtual time only: the one of two servers that held less when all were
+// seen last, and a refusal where even that one would take half of the aim. What a fleet serves is held against it.
+const Late experiment.Policy = "late"
+
+// lateBy is how old the sight of Late becomes.
+const lateBy = 200 * time.Millisecond
+
 // epoch is the clock time of the first call: the module takes 0 for long ago.
 const epoch = time.Hour
 
@@ -113,6 +121,9 @@
 		p.exchange(p.links())
 	}
 	p.at(0, p.sample)
+	if policy == Late {
+		p.look()
+	}
 	end := e.Length()
 	for _, c := range e.Classes {
 		end = max(end, e.Length()+c.Deadline+time.Second)
@@ -213,7 +224,7 @@
 		p.handle(n, woodpick.Request{ID: c.ID, Class: class.Name, Deadline: epoch + p.now + class.Deadline})
 		return
 	}
-	if id := p.pick(n); id != "" {
+	if id := p.pick(n, class); id != "" {
 		p.send(n, k, id, class.Deadline)
 	} else {
 		p.hear(n, k, audit.Refused, "now")
@@ -221,12 +232,15 @@
 }
 
 // pick is how the policies that are no module pick.
-func (p *player) pick(n *node) (id string) {
+func (p *player) pick(n *node, class experiment.Class) (id string) {
 	if len(n.listed) == 0 {
 		return ""
 	}
-	if p.policy == experiment.Random {
+	switch p.policy {
+	case experiment.Random:
 		return n.listed[p.rng.IntN(len(n.listed))]
+	case Late:
+		return p.pickLate(n, class)
 	}
 	least := 0.0
 	for _, c := range n.listed {
@@ -238,6 +252,44 @@
 	return id
 }
 
+// look has Late see all servers, again and again.
+func (p *player) look() {
+	p.seen = p.seen[:0]
+	for i, s := range p.fleet.Servers {
+		held := s.Working() + s.Waiting()
+		if p.isDown(i) {
+			held = -1
+		}
+		p.seen = append(p.seen, held)
+	}
+	p.at(p.now+lateBy, p.look)
+}
+
+// pickLate is how Late picks.
+func (p *player) pickLate(n *node, class experiment.Class) (id string) {
+	up := make([]string, 0, len(n.listed))
+	for _, c := range n.listed {
+		if p.seen[p.place[c]] >= 0 {
+			up = append(up, c)
+		}
+	}
+	if len(up) == 0 {
+		return ""
+	}
+	least := 0.0
+	for range 2 {
+		c := up[p.rng.IntN(len(up))]
+		spec := p.fleet.Servers[p.place[c]].Spec
+		if load := float64(p.seen[p.place[c]]+1) / float64(spec.Slots) * spec.Service.Seconds(); id == "" || load < least {
+			id, least = c, load
+		}
+	}
+	if least > class.Aim.Seconds()/2 { // what others have sent since is not in sight
+		return ""
+	}
+	return id
+}
+
 func (p *player) handle(n *node, e woodpick.Event) {
 	life := n.life
 	for _, a := range n.balancer.Handle(epoch+p.now, e) {
@@ -454,6 +506,11 @@
 	delete(p.waiting, t.job)
 }
 
+// isDown says that no load is meant for the server at a place.
+func (p *player) isDown(place int) bool {
+	return p.lost[place] || p.crashed[place] || p.fleet.Servers[place].Fault == experiment.Hang || p.state[place] != woodpick.Ready
+}
+
 // sample looks at all servers.
 func (p *player) sample() {
 	s := audit.Sample{At: p.now}
@@ -466,7 +523,7 @@
 			}
 		}
 		s.Connections = append(s.Connections, open)
-		s.Down = append(s.Down, p.lost[i] || p.crashed[i] || v.Fault == experiment.Hang || p.state[i] != woodpick.Ready)
+		s.Down = append(s.Down, p.isDown(i))
 	}
 	p.audit.Sample(s)
 	p.at(p.now+audit.SampleEvery, p.sample)
