--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -467,14 +467,21 @@
 			eng.listed[t.ID] = t
 		}
 	}
-	ready := false
-	for _, t := range eng.listed {
-		ready = ready || t.State == woodpick.Ready
-	}
 	eng.tally.keep(eng.listed)
 	eng.backend.Servers(news.Targets, news.Full)
 	eng.handle(eng.clock.Now(), e)
-	eng.ready.Store(ready)
+	eng.ready.Store(eng.listsReady())
+}
+
+// listsReady says that a listed server is in service. Mostly the first one is, so that a change of one among thousands
+// does not look at all.
+func (eng *Engine) listsReady() bool {
+	for _, t := range eng.listed {
+		if t.State == woodpick.Ready {
+			return true
+		}
+	}
+	return false
 }
 
 // holds says that a list tells nothing new.
--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -271,8 +271,11 @@
 			delete(b.seen, t.ID)
 		}
 	}
+	if !full {
+		return
+	}
 	for id, t := range b.seen {
-		if full && !named[id] {
+		if !named[id] {
 			b.dropIdle(t.Host())
 			delete(b.seen, id)
 		}
--- a/policy.go
+++ b/policy.go
@@ -8,7 +8,6 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 )
@@ -316,37 +315,40 @@
 		} else if s.Boot != n.Boot {
 			*s = server{calls: s.calls, coming: s.coming, open: s.open, failing: map[*class]fading{}}
 		}
-		s.Server, s.in = n, b.zoneOf(n.Zone)
-		s.listed = n.State != Gone
-	}
-	b.ready = b.ready[:0]
-	for id, s := range b.servers {
-		if !s.listed && s.idle() {
-			delete(b.servers, id)
-		} else if s.listed && s.State == Ready {
-			b.ready = append(b.ready, s)
+		s.Server, s.in, s.listed = n, b.zoneOf(n.Zone), n.State != Gone
+		b.rank(s)
+	}
+	if e.Full {
+		for _, s := range b.servers {
+			b.rank(s)
 		}
 	}
 	b.forgetZones()
-	// The shared order: every copy sorts by id, which all see alike.
-	sort.Slice(b.ready, func(i, j int) bool { return b.ready[i].ID < b.ready[j].ID })
 	cut := int(math.Ceil(alpha * float64(len(b.ready))))
-	b.whole = groups{b.ready[:cut], b.ready[cut:]}
-	b.width = 0
-	if b.window == 0 {
-		b.window = windowStart * b.fairServers()
-	}
-	if e.Cached {
+	b.whole, b.width = groups{b.ready[:cut], b.ready[cut:]}, 0
+	b.window = cmp.Or(b.window, windowStart*b.fairServers())
+	b.subFails = 0
+	if e.Cached { // as at a start, before anything has failed
 		b.askAgain()
-	} else {
-		b.subFails = 0
 	}
 	b.release()
 }
 
+// rank keeps a server's place in the shared order, by id, which all see alike. An idle unlisted one is forgotten.
+func (b *Balancer) rank(s *server) {
+	i, in := slices.BinarySearchFunc(b.ready, s.ID, func(o *server, id string) int { return cmp.Compare(o.ID, id) })
+	if in {
+		b.ready = slices.Delete(b.ready, i, i+1)
+	}
+	if s.listed && s.State == Ready {
+		b.ready = slices.Insert(b.ready, i, s)
+	} else if !s.listed && s.idle() {
+		delete(b.servers, s.ID)
+	}
+}
+
 // askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies that start, or lose their
-// subscription, together from swamping discovery; the wait doubles with each failure, to a second at most: a copy
-// counts as told 6 s after discovery can be reached, and one that is slow may refuse it once more until then.
+// subscription, together from swamping discovery; the wait doubles with each failure, but all counts as told soon.
 func (b *Balancer) askAgain() {
 	if !b.set.AskDiscovery {
 		return
@@ -680,7 +682,7 @@
 		}
 	}
 	if most := b.mostSick(); len(sick) > most {
-		sort.SliceStable(sick, func(i, j int) bool { return sick[i].streak > sick[j].streak })
+		slices.SortStableFunc(sick, func(a, o *server) int { return cmp.Compare(o.streak, a.streak) })
 		for _, s := range sick[most:] {
 			s.out = false
 		}
--- a/policy_test.go
+++ b/policy_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"math"
+	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -717,3 +719,39 @@
 		}
 	}
 }
+
+// Whatever lists come, the shared order holds the listed servers in service by id, the module knows no server that is
+// neither listed nor busy, and no zone without servers.
+func TestTheSharedOrderFollowsTheList(t *testing.T) {
+	b := newBalancer(t, nil)
+	rng := rand.New(rand.NewPCG(1, 2))
+	listed := map[string]Server{}
+	for step := range 2000 {
+		e := ServerList{Full: rng.IntN(20) == 0}
+		if e.Full {
+			clear(listed)
+		}
+		for range rng.IntN(6) {
+			s := Server{ID: fmt.Sprint("s", rng.IntN(40)), Zone: fmt.Sprint("z", rng.IntN(5)), State: ServerState(rng.IntN(3)), Boot: time.Duration(rng.IntN(2))}
+			if listed[s.ID] = s; s.State == Gone {
+				delete(listed, s.ID)
+			}
+			e.Servers = append(e.Servers, s)
+		}
+		b.Handle(time.Duration(step)*msec, e)
+		var want, got []string
+		zones := map[string]bool{}
+		for id, s := range listed {
+			if zones[s.Zone] = true; s.State == Ready {
+				want = append(want, id)
+			}
+		}
+		slices.Sort(want)
+		for _, s := range b.ready {
+			got = append(got, s.ID)
+		}
+		if !slices.Equal(got, want) || len(b.servers) != len(listed) || len(b.zones) != len(zones) {
+			t.Fatalf("step %d: order %v, want %v; %d servers of %d; %d zones of %d", step, got, want, len(b.servers), len(listed), len(b.zones), len(zones))
+		}
+	}
+}
--- a/zones.go
+++ b/zones.go
@@ -4,6 +4,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -42,11 +43,10 @@
 
 // forgetZones drops those that have no servers any more.
 func (b *Balancer) forgetZones() {
-	used := map[*zone]bool{}
-	for _, s := range b.servers {
-		used[s.in] = true
-	}
-	b.zones = slices.DeleteFunc(b.zones, func(z *zone) bool { return !used[z] })
+	b.zones = slices.DeleteFunc(b.zones, func(z *zone) bool {
+		in := func(s *server) bool { return s.in == z }
+		return !slices.ContainsFunc(b.ready, in) && !slices.ContainsFunc(slices.Collect(maps.Values(b.servers)), in)
+	})
 }
 
 // waiting is how many of a zone's servers have had a call of ours for longer than half a mean latency, and are late
