--- /dev/null
+++ b/internal/discovery/errno_test.go
@@ -0,0 +1,75 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"woodpick/internal/standin"
+)
+
+// brokenConn has its first read fail.
+type brokenConn struct {
+	net.Conn
+	errno syscall.Errno
+}
+
+func (c brokenConn) Read([]byte) (int, error) {
+	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
+}
+
+// Whatever ends a connect or a read, the node's own want or the network's end, the call has failed and another follows at once, or the
+// failure is told to who asks.
+func TestACallThatFailsByAnyErrnoIsMadeAgain(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
+		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ECONNRESET,
+		syscall.ETIMEDOUT} {
+		for _, reads := range []bool{false, true} {
+			ag := standin.NewAgent(t)
+			ag.Tell(false, standin.Whole(standin.Entry("s1", "127.0.0.1:1", "in_service")))
+			for _, pushed := range []bool{true, false} {
+				events := make(sink, 10)
+				w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				var dials atomic.Int32
+				w.DialBy(func(ctx context.Context, network, addr string) (net.Conn, error) {
+					first := dials.Add(1) == 1
+					if first && !reads {
+						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
+					}
+					c, err := new(net.Dialer).DialContext(ctx, network, addr)
+					if first && err == nil {
+						c = brokenConn{c, errno}
+					}
+					return c, err
+				})
+				ctx, cancel := context.WithCancel(context.Background())
+				done := make(chan struct{})
+				go func() {
+					defer close(done)
+					if pushed {
+						w.Push(ctx)
+					} else {
+						w.Ask(ctx)
+					}
+				}()
+				if !pushed {
+					w.Subscribe()
+					if e := standin.Receive(t, events, "the failure"); !e.failed {
+						t.Errorf("%v, reads %v: %+v", errno, reads, e)
+					}
+					w.Subscribe()
+				}
+				if e := standin.Receive(t, events, "the list"); len(e.list.Targets) != 1 || dials.Load() < 2 {
+					t.Errorf("%v, reads %v, pushed %v: %+v after %d connects", errno, reads, pushed, e, dials.Load())
+				}
+				cancel()
+				standin.Receive(t, done, "the watch's end")
+			}
+		}
+	}
+}
