--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -125,6 +125,7 @@
 	total     Totals
 	tally     *tally // nil: nobody wants Sight
 	warmAfter time.Duration
+	starts    discovery.Starts
 	done      chan struct{} // closed once Run has returned
 }
 
@@ -451,6 +452,7 @@
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
 func (eng *Engine) takeList(news discovery.List, cached bool) {
+	news = eng.starts.Local(news, cached, eng.clock.Now(), eng.warmAfter)
 	if !cached && eng.pushed && eng.holds(news) {
 		return
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -346,6 +346,36 @@
 	}
 }
 
+// A server that is listed anew is in slow start whatever the clock that wrote its start shows, and its start stays the same
+// while it is listed with the same boot_ms: the list again is no news, and its connections stay its own.
+func TestAServerListedAnewIsInSlowStartUnderAnyClock(t *testing.T) {
+	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
+		s := newScript()
+		set := settings()
+		set.WarmAfter = 3 * time.Second
+		e, err := New(Options{Settings: set, Seed: 1, Clock: clock.New(), Backend: s, Subscribe: func() {}, Pushed: true, Count: true,
+			Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		if err != nil {
+			t.Fatal(err)
+		}
+		go e.Run(t.Context())
+		l := servers("old")
+		e.TakeList(l)
+		e.Sight() // the first list has been taken
+		l.Targets = append(l.Targets, servers("new").Targets...)
+		l.Targets[1].Boot = e.clock.Now() + off
+		e.TakeList(l)
+		if z := e.Sight().Zones[""]; z.Ready != 2 || z.Warm != 1 {
+			t.Errorf("listed as started %v from now: %d servers, %d warm, want 2 and 1", off, z.Ready, z.Warm)
+		}
+		is := e.listed["new"]
+		e.TakeList(l)
+		if e.Sight(); e.listed["new"] != is {
+			t.Errorf("listed once more: %v, was %v", e.listed["new"], is)
+		}
+	}
+}
+
 // A call that was answered before any engine had it may be left all the same.
 func TestACallThatNoEngineHasMayBeLeft(t *testing.T) {
 	c := NewCall("id", Request{})
