--- a/internal/offers/table.go
+++ b/internal/offers/table.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"hash/fnv"
 	"maps"
+	"math"
 	"slices"
 	"strings"
 	"sync"
@@ -52,8 +53,20 @@
 	changed chan struct{}                  // closed at the next change of what is chosen
 	refused map[string]map[string]int      // by neighbour, by why
 	counts  Counts
+
+	ended map[[2]string]lifeEnd // by partner and gateway
+	lift  map[Source]uint64     // added to the versions of a partner's own offers that a gateway of its tells
+}
+
+// lifeEnd is what was known when a gateway's last link ended.
+type lifeEnd struct {
+	latest uint64 // version of the partner's own offers, from any gateway of its
+	at     time.Time
 }
 
+// lifeEndKept is how long a gateway that comes back is known to have begun anew since.
+const lifeEndKept = 10 * time.Minute
+
 // Counts are of a table since its start.
 type Counts struct {
 	Changes int `json:"changes"` // of best ways
@@ -84,7 +97,8 @@
 // NewTable returns an empty one.
 func NewTable(p Policy, now func() time.Time) *Table {
 	t := &Table{now: now, in: map[Source]map[ID]*Offer{}, stale: map[string]time.Time{}, routes: map[ID]*route{},
-		byClass: map[string]map[string][]*route{}, changed: make(chan struct{}), refused: map[string]map[string]int{}}
+		byClass: map[string]map[string][]*route{}, changed: make(chan struct{}), refused: map[string]map[string]int{},
+		ended: map[[2]string]lifeEnd{}, lift: map[Source]uint64{}}
 	t.SetPolicy(p)
 	return t
 }
@@ -131,6 +145,7 @@
 		}
 		if !known {
 			delete(t.in, s)
+			delete(t.lift, s)
 			delete(t.stale, s.Partner)
 		}
 	}
@@ -176,15 +191,63 @@
 			for id := range table {
 				touched[id] = true
 			}
-			delete(t.in, other)
+			if other == s {
+				continue // it tells its table once more
+			}
+			if other.Gateway == s.Gateway {
+				t.noteEnd(other)
+			}
+			t.forget(other)
 		}
 	}
 	delete(t.stale, s.Partner)
+	t.goOnAbove(s, all)
 	t.in[s] = map[ID]*Offer{}
 	t.put(s, all, touched)
 	t.choose(touched)
 }
 
+// forget drops the table of a source. The caller holds mu.
+func (t *Table) forget(s Source) {
+	delete(t.in, s)
+	delete(t.lift, s)
+}
+
+// noteEnd notes what was known when a gateway's life ended. The caller holds mu.
+func (t *Table) noteEnd(s Source) {
+	end := lifeEnd{at: t.now()}
+	for other, table := range t.in {
+		for id, o := range table {
+			if other.Partner == s.Partner && id.Origin == s.Partner {
+				end.latest = max(end.latest, o.Version)
+			}
+		}
+	}
+	t.ended[[2]string{s.Partner, s.Gateway}] = end
+}
+
+// goOnAbove has a gateway's new life tell higher versions than its partner had told before. A version is the wall time at
+// which a gateway began to go by a rule: where its clock was set back between two of its lives, its newest rule would look
+// older than what the others of its group still go by. A life that began after a version was told has none so low. The caller
+// holds mu.
+func (t *Table) goOnAbove(s Source, all []Offer) {
+	key := [2]string{s.Partner, s.Gateway}
+	end, known := t.ended[key]
+	delete(t.ended, key)
+	if !known {
+		return
+	}
+	least := uint64(math.MaxUint64)
+	for i := range all {
+		if all[i].ID.Origin == s.Partner {
+			least = min(least, all[i].Version)
+		}
+	}
+	if least <= end.latest && end.latest < math.MaxUint64 {
+		t.lift[s] = end.latest + 1 - least
+	}
+}
+
 // change takes what a source tells beyond its table.
 func (t *Table) change(s Source, put []Offer, gone []ID) {
 	t.mu.Lock()
@@ -208,6 +271,9 @@
 	now, table := t.now(), t.in[s]
 	for i := range list {
 		o := &list[i]
+		if o.ID.Origin == s.Partner {
+			o.Version += t.lift[s]
+		}
 		why := ""
 		switch err := o.Check(s.Partner); {
 		case !known:
@@ -242,13 +308,14 @@
 	if t.in[s] == nil {
 		return
 	}
+	t.noteEnd(s)
 	for other := range t.in {
 		if other.Partner == s.Partner && other != s && t.stale[s.Partner].IsZero() {
 			touched := map[ID]bool{}
 			for id := range t.in[s] {
 				touched[id] = true
 			}
-			delete(t.in, s)
+			t.forget(s)
 			t.choose(touched)
 			return
 		}
@@ -272,9 +339,10 @@
 			}
 		}
 		if gone {
-			delete(t.in, s)
+			t.forget(s)
 		}
 	}
+	maps.DeleteFunc(t.ended, func(_ [2]string, e lifeEnd) bool { return now.Sub(e.at) >= lifeEndKept })
 	for p, since := range t.stale {
 		if now.Sub(since) >= t.policy.Stale {
 			delete(t.stale, p)
--- a/internal/offers/table_test.go
+++ b/internal/offers/table_test.go
@@ -372,3 +372,73 @@
 		tb.change(s, some, nil)
 	}
 }
+
+// A gateway that begins anew goes by the newest rule of its partner, and partners go by that too, whatever its clock shows:
+// set back by an hour, by 5 s, right, or ahead. What another gateway of its group goes by since it ended is newer, as ever.
+func TestTheRuleOfAGatewayThatBeganAnewIsTheNewest(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, time.Hour} {
+		for _, overlap := range []bool{false, true} {
+			c := &clock{noon}
+			rule := func(cost int) Policy {
+				p := policyOf("p1", nil, "p0")
+				o := offer("p1", "x", "/view/x/")
+				o.Cost = cost
+				p.Own = []Offer{o}
+				return p
+			}
+			told := func(by *Table) (all []Offer) {
+				sent, _ := by.Sent("p0")
+				for _, o := range sent {
+					all = append(all, o)
+				}
+				return all
+			}
+			there := NewTable(policyOf("p0", nil, "p1"), c.now)
+			cost := func() int {
+				w, ok := there.Choose(&Call{Class: "view", Path: "/view/x/1", Effect: woodpick.Safe})
+				if !ok {
+					t.Fatal("no way")
+				}
+				return w.Cost
+			}
+			a1, a2, b1 := Source{"p1", "a", 1}, Source{"p1", "a", 2}, Source{"p1", "b", 1}
+			a, b := NewTable(rule(1), c.now), NewTable(rule(1), c.now)
+			there.replace(a1, told(a))
+			there.replace(b1, told(b))
+			c.at = c.at.Add(time.Second)
+			if !overlap {
+				there.Lost(a1)
+			}
+			stepped := &clock{c.at.Add(step)}
+			a = NewTable(rule(2), stepped.now)
+			there.replace(a2, told(a))
+			if got := cost(); got != 2 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that a gateway began anew with", step, got)
+			}
+			stepped.at = stepped.at.Add(time.Second)
+			a.SetPolicy(rule(3))
+			there.change(a2, told(a), nil)
+			if got := cost(); got != 3 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of its next rule", step, got)
+			}
+			there.replace(a2, told(a))
+			if got := cost(); got != 3 {
+				t.Errorf("clock stepped by %v: the cost is %d once its whole table was told again", step, got)
+			}
+			if step > 0 {
+				continue // its rules stay the newest until the others' clocks come up to its own
+			}
+			c.at = c.at.Add(5 * time.Second)
+			there.Lost(a2)
+			c.at = c.at.Add(time.Second)
+			a = NewTable(rule(3), c.now)
+			c.at = c.at.Add(time.Second)
+			b.SetPolicy(rule(4))
+			there.change(b1, told(b), nil)
+			there.replace(Source{"p1", "a", 3}, told(a))
+			if got := cost(); got != 4 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that the other gateway took on since", step, got)
+			}
+		}
+	}
+}
