--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -253,6 +253,9 @@
 	standin.Receive(t, a.calls, "the first call")
 	a.pieces <- `{"rev":9,"all":true,`
 	standin.Until(t, "it to begin to answer", func() bool { return r.calls[0].heard.Load() > 0 })
+	if heard := time.Duration(r.calls[0].heard.Load()); heard > time.Hour {
+		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other calls", heard)
+	}
 	doubts := 0
 	go func() {
 		for range 4 * mostCalls { // calls that say nothing
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -53,6 +53,7 @@
 	Hold   time.Duration // how long a call may wait for news; 0: as fits how the registry is asked
 	Grace  time.Duration // and how much later it is doubted
 	failed bool          // the last call to a service. It belongs to Ask
+	began  time.Time     // spans since then order what was heard: the wall clock may be stepped
 
 	mu sync.Mutex
 	at *place // where the list is watched now
@@ -90,7 +91,7 @@
 // NewWatch returns a Watch of the registry at addr that goes on from the version rev of its list; -1: from
 // none. It asks nothing before Push or Ask.
 func NewWatch(addr string, rev int64, sink Sink, log *slog.Logger) *Watch {
-	return &Watch{sink: sink, log: log, at: newPlace(addr, rev), wanted: make(chan struct{}, 1)}
+	return &Watch{sink: sink, log: log, at: newPlace(addr, rev), wanted: make(chan struct{}, 1), began: time.Now()}
 }
 
 func (w *Watch) place() *place {
@@ -152,7 +153,7 @@
 type openCall struct {
 	cancel context.CancelFunc
 	begun  time.Time
-	heard  atomic.Int64 // Unix time in ns when bytes of its answer were read last; 0: none were
+	heard  atomic.Int64 // ns from Watch.began until bytes of its answer were read last; 0: none were
 }
 
 // round are the calls that are open beside one another, until one of them is answered.
@@ -173,7 +174,7 @@
 	c := &openCall{cancel: cancel, begun: time.Now()}
 	r.calls = append(r.calls, c)
 	go func(rev int64) {
-		l, err := r.watch.call(ctx, r.at, rev, r.hold, func() { c.heard.Store(time.Now().UnixNano()) })
+		l, err := r.watch.call(ctx, r.at, rev, r.hold, func() { c.heard.Store(int64(max(1, time.Since(r.watch.began)))) })
 		if ctx.Err() == nil || err == nil {
 			select {
 			case r.answers <- ending{c, l, err}:
