--- a/cold_test.go
+++ b/cold_test.go
@@ -29,6 +29,7 @@
 	nodes    int
 	believed int           // number of nodes that each of them is told; 0: as many as there are
 	uneven   bool          // the load among the nodes: each tenth one has half of it together with its like
+	together bool          // uneven, and the tenth that has half of the load follow one another in the shared order
 	burst    bool          // from 3 s to 6 s there is half as much again, which is more than the warm servers can do
 	returns  time.Duration // when those that had started start anew; 0: never
 }
@@ -97,7 +98,9 @@
 		}
 		k := rng.IntN(f.nodes)
 		if busy := max(1, f.nodes/10); f.uneven && rng.IntN(2) == 0 {
-			k = rng.IntN(busy) * (f.nodes / busy)
+			if k = rng.IntN(busy); !f.together {
+				k *= f.nodes / busy
+			}
 		}
 		do(k, now, fleet[k].Handle(now, Request{ID: fmt.Sprint("r", n), Class: "get", Deadline: now + time.Minute}))
 	}
@@ -127,12 +130,29 @@
 	return share, total
 }
 
+// mostWarm is the most calls that a warm server had within a window.
+func mostWarm(sent map[string][]time.Duration, window time.Duration) (most int) {
+	for i, s := range servers(coldServers) {
+		if i%3 == 0 && i < 3*coldStarted {
+			continue
+		}
+		times := sent[s.ID]
+		for from, j := 0, 0; j < len(times); j++ {
+			for times[j]-times[from] > window {
+				from++
+			}
+			most = max(most, j-from+1)
+		}
+	}
+	return most
+}
+
 // A cold server falls when it gets more than N + 2 root of N + 2 calls in the time that the settings name, N being what the
 // settings allow it then, three times what it can do; the sum over all nodes counts. Whatever the number of nodes that deal
-// out the same load, however uneven their parts, in a burst and for servers that come back cold, no cold server gets as
-// many, though each node goes by its own few calls. Steadily none gets N + 3 root of N + 3 for an N of what it can do, at
-// one node and at many. The number of nodes comes from the settings, and may be wrong by two; told of 600, 300 nodes come
-// to the bound itself.
+// out the same load, however uneven their parts, in a burst and for servers that come back cold, no cold server gets nine
+// tenths of as many, though each node goes by its own few calls. Steadily none gets N + 3 root of N + 3 for an N of what it
+// can do, at one node and at many. The number of nodes comes from the settings, and may be wrong by two; those that have
+// half of the load may all share a pool.
 func TestAFleetPushesNoColdServerOver(t *testing.T) {
 	const window = time.Second
 	allows := func(can float64) float64 { return 3*can + 2*math.Sqrt(3*can) + 2 }
@@ -143,20 +163,19 @@
 			"burst":                {nodes: nodes, burst: true},
 			"burst, uneven":        {nodes: nodes, burst: true, uneven: true},
 			"back cold in a burst": {nodes: nodes, burst: true, uneven: true, returns: 4 * time.Second},
+			"burst, neighbours":    {nodes: nodes, burst: true, uneven: true, together: true},
 			"half are known of":    {nodes: nodes, believed: max(1, nodes/2), burst: true, uneven: true},
 			"twice are known of":   {nodes: nodes, believed: 2 * nodes, burst: true, uneven: true},
 		} {
-			if nodes == 300 && f.believed > nodes {
-				continue
-			}
 			t.Run(fmt.Sprint(nodes, " ", name), func(t *testing.T) {
 				t.Parallel()
 				sent, starts := f.play(t)
 				share, total := worst(sent, starts, window, allows)
 				steady, _ := worst(sent, starts, window, can)
-				t.Logf("%d nodes, %s: at most %.2f of what pushes a cold server over, %.2f of that for what it can do; %d calls", nodes, name, share, steady, total)
-				if share > 1 {
-					t.Errorf("a cold server got %.2f of what pushes it over", share)
+				t.Logf("%d nodes, %s: at most %.2f of what pushes a cold server over, %.2f of that for what it can do; %d calls; at most %d at a warm one",
+					nodes, name, share, steady, total, mostWarm(sent, window))
+				if share > 0.9 {
+					t.Errorf("a cold server got %.2f of what pushes it over, at most 0.9 is wanted", share)
 				}
 				if alone, many := nodes == 1, nodes >= 50; name == "steady" && (alone || many) && steady > 1 {
 					t.Errorf("a cold server got %.2f of what it can do and chance explains", steady)
--- a/policy.go
+++ b/policy.go
@@ -57,6 +57,7 @@
 	whole    groups    // the two groups of the design
 	pool     groups    // the part of each that this node draws from
 	width    int       // servers in the pool
+	places   [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
 	busy     float64   // calls in flight, averaged over sends
 	requests map[string]*request
 	held     []*request
@@ -74,6 +75,7 @@
 	shed      float64 // share of requests answered without an attempt
 	subFails  int
 	subWanted time.Duration
+	usualSize float64 // of the listed servers, on average
 }
 
 // class holds what was learned of a class.
@@ -324,6 +326,7 @@
 		}
 	}
 	b.forgetZones()
+	b.usualSize = usualSize(b.ready)
 	cut := int(math.Ceil(alpha * float64(len(b.ready))))
 	b.whole, b.width = groups{b.ready[:cut], b.ready[cut:]}, 0
 	b.window = cmp.Or(b.window, windowStart*b.fairServers())
@@ -611,13 +614,19 @@
 // and by what it says it holds. Uniform draws over unequal servers crowd the slow ones at loads that the fleet could
 // carry; one node's samples are few, but the errors of many nodes cancel out.
 func (b *Balancer) weight(s *server) float64 {
+	w := b.carries(s)
+	if s.part > 0 { // drawn from the pool
+		w *= s.part
+	}
+	return w
+}
+
+// carries is a server's weight, wherever it is drawn from.
+func (b *Balancer) carries(s *server) float64 {
 	w := math.Exp(-max(s.slow, -1))
 	if s.Size > 0 {
 		w *= min(s.Size, 1e6) // an infinite weight would draw nobody
 	}
-	if s.part > 0 { // drawn from the pool
-		w *= s.part
-	}
 	return w * b.room(s)
 }
 
@@ -632,7 +641,11 @@
 		first = b.whole
 	}
 	for step, g := range []groups{first, b.whole, b.whole} {
-		if s := b.chooseFrom(g, r, step > 0, step < 2); s != nil {
+		s := b.chooseFrom(g, r, step > 0, step < 2)
+		if s != nil && step == 0 && len(r.asked) == 0 && b.warmth(s) < 1 {
+			s = b.spreadCold(r)
+		}
+		if s != nil {
 			return s
 		}
 	}
@@ -822,25 +835,6 @@
 	b.errors += memory * (1 - b.errors)
 }
 
-// ---- Slow start ----
-
-// warmth is the share of its capacity that a server surely has.
-func (b *Balancer) warmth(s *server) float64 {
-	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.set.WarmAfter {
-		return 1
-	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*grown
-}
-
-// warmEnough thins the draw of a cold server to its share of a warm one's, and keeps it to one
-// own call at a time: many nodes that each send a little would push it over together.
-func (b *Balancer) warmEnough(s *server) bool {
-	w := b.warmth(s)
-	return w == 1 || (s.idle() && b.rng.Float64() < w)
-}
-
 // ---- Further attempts ----
 
 // maySendAgain says that the class's effect and the limits allow one more attempt now.
--- /dev/null
+++ b/slowstart.go
@@ -0,0 +1,72 @@
+// Slow start: how much a server gets that has started a short while ago. All else: policy.go.
+
+package woodpick
+
+import (
+	"cmp"
+	"math"
+)
+
+const (
+	coldPerCall = 12 // servers over which cold ones are drawn for each own call in flight
+	coldDraws   = 16 // draws at most until one is taken
+)
+
+// warmth is the share of its capacity that a server surely has.
+func (b *Balancer) warmth(s *server) float64 {
+	age := b.now - s.Boot
+	if s.Boot <= 0 || age >= b.set.WarmAfter {
+		return 1
+	}
+	grown := max(0, float64(age)/float64(b.set.WarmAfter))
+	return b.set.ColdFrom + (1-b.set.ColdFrom)*grown
+}
+
+// warmEnough thins the draw of a cold server to its share of a warm one's, and keeps it to one
+// own call at a time: many nodes that each send a little would push it over together.
+func (b *Balancer) warmEnough(s *server) bool {
+	w := b.warmth(s)
+	return w == 1 || (s.idle() && b.rng.Float64() < w)
+}
+
+// usualSize is what servers carry on average, as listed.
+func usualSize(list []*server) (size float64) {
+	for _, s := range list {
+		size += cmp.Or(min(s.Size, 1e6), 1) / float64(len(list))
+	}
+	return size
+}
+
+// spreadCold takes another server in place of a cold one that was picked from the pool: a cold one too, as its warmth
+// allows, or a warm one where no draw finds one. It draws over the runs of the shared order that begin with the pool,
+// which are the longer the more calls the node has in flight, up to the whole list. So a cold server gets few of each
+// node's calls, whoever shares a pool and however uneven their traffic, and a node of few calls opens connections to
+// few. How many calls go to cold servers at all stays the pool's choice: by the share of the whole list they would
+// leave too many to the warm servers of a pool with many cold ones.
+func (b *Balancer) spreadCold(r *request) *server {
+	copies := float64(max(1, b.set.Balancers))
+	times := min(copies, math.Ceil(max(float64(b.width), coldPerCall*b.busy)/max(b.fairServers(), 1e-9)))
+	var warm *server
+	for range coldDraws {
+		group, place := b.whole.left, b.places[0]
+		if b.rng.IntN(len(b.ready)) >= len(group) {
+			group, place = b.whole.right, b.places[1]
+		}
+		at := (float64(place) + b.rng.Float64()*times) / copies * float64(len(group))
+		s := group[int(at)%len(group)]
+		switch {
+		case !b.mayTake(s, r):
+		case b.warmth(s) == 1:
+			warm = s
+		case b.rng.Float64() < b.carries(s)/b.usualSize && b.warmEnough(s):
+			return s
+		}
+	}
+	return warm
+}
+
+// mayTake says that a server may get a request, as ruleOut and narrow say it of many.
+func (b *Balancer) mayTake(s *server, r *request) bool {
+	ill := b.muted(s) || b.shuns(s, r.class) || b.unfit(s, r)
+	return !ill && b.now >= s.full && b.inScope(r, s) && !tried(r, s)
+}
--- a/spread.go
+++ b/spread.go
@@ -39,7 +39,7 @@
 	}
 	run := func(group []*server, place int) (out []*server) {
 		each := float64(len(group)) / copies
-		from := float64(place%int(copies)) * each
+		from := float64(place) * each
 		to := from + times*each
 		for k := int(from); float64(k) < to-1e-6; k++ {
 			s := group[k%len(group)]
@@ -50,7 +50,8 @@
 		}
 		return out
 	}
-	b.pool = groups{run(b.whole.left, b.set.Index), run(b.whole.right, b.set.Index*stride(int(copies)))}
+	b.places = [2]int{b.set.Index % int(copies), b.set.Index * stride(int(copies)) % int(copies)}
+	b.pool = groups{run(b.whole.left, b.places[0]), run(b.whole.right, b.places[1])}
 }
 
 // stride is a number near the golden section of n that has no divisor in common with it: its multiples come to every
