--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// Clock tells Unix time, moved by the monotonic clock: it compares with the start times that discovery
-// gives, and never jumps.
+// Clock tells the Unix time that the wall clock showed when it was made, moved on by the monotonic clock: it never jumps,
+// and is off by as much as the wall clock was. Times of other machines' clocks do not compare with it.
 type Clock struct {
 	start time.Time
 	base  time.Duration
 }
 
 // New returns a Clock that goes on from the system's time of now.
-func New() Clock {
-	now := time.Now()
-	return Clock{start: now, base: time.Duration(now.UnixNano()) + offset()}
+func New() Clock { return From(time.Now()) }
+
+// From returns a Clock that goes on from another time as if that were the system's.
+func From(wall time.Time) Clock {
+	return Clock{start: time.Now(), base: time.Duration(wall.UnixNano()) + offset()}
 }
 
 // Now is the time since the beginning of 1970.
--- /dev/null
+++ b/internal/engine/clocks_test.go
@@ -0,0 +1,125 @@
+package engine
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"woodpick"
+	"woodpick/internal/clock"
+	"woodpick/internal/discovery"
+	"woodpick/internal/standin"
+)
+
+// stages plays a request in each stage, and a server's drain and slow start, with a wall clock that is off against the one
+// that writes boot_ms. It tells what happened when, counted from its beginning.
+func stages(t *testing.T, off time.Duration) (seen []string) {
+	ctx := t.Context()
+	s, begin := newScript(), time.Now()
+	set := settings()
+	set.WarmAfter, set.ColdFrom = 3*time.Second, 0.1
+	set.Classes = append(set.Classes, woodpick.Class{Name: "put", Effect: woodpick.Keyed, Scope: woodpick.ScopeAll, Window: 2 * time.Second,
+		Aim: standin.Limit, Deadline: 2 * standin.Limit, Worth: 1})
+	e, err := New(Options{Settings: set, Seed: 1, Clock: clock.From(begin.Add(off)), Backend: s, Subscribe: func() {}, Pushed: true,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	if err != nil {
+		t.Fatal(err)
+	}
+	go e.Run(ctx)
+	from := e.clock.Now()
+	note := func(format string, args ...any) {
+		seen = append(seen, fmt.Sprintf("%v ", time.Since(begin))+fmt.Sprintf(format, args...))
+	}
+	begun := func() (string, chan<- Outcome) {
+		a, end := s.expect(t)
+		note("attempt %d of %s at %s, sent at %v, waits until %v, not after %v", a.N, a.Call.ID, a.To.Server, a.Sent-from, a.Deadline-from, min(a.NotAfter-from, time.Hour))
+		return a.To.Server, end
+	}
+	finish := func(end chan<- Outcome, how woodpick.Ending) { end <- Outcome{Ending: how, At: e.clock.Now()} }
+	answered := func(c *Call) { note("%s: kind %d", c.ID, standin.Receive(t, c.Answer(), "the answer").Kind) }
+
+	queued := newCall(e, "queued", "view")
+	e.Take(queued)
+	time.Sleep(50 * time.Millisecond)
+	e.TakeList(servers("s1", "s2"))
+	_, end := begun()
+	time.Sleep(300 * time.Millisecond) // while it is out
+	finish(end, woodpick.Success)
+	answered(queued)
+
+	for _, wait := range []time.Duration{time.Second, 2 * time.Second} { // half of the window is over, and all of it
+		put := newCall(e, fmt.Sprint("put after ", wait), "put")
+		e.Take(put)
+		_, end = begun()
+		time.Sleep(wait)
+		finish(end, woodpick.Broken)
+		if wait < 2*time.Second {
+			_, end = begun()
+			finish(end, woodpick.Success)
+		}
+		answered(put)
+	}
+
+	draining := servers("s1").Targets
+	draining[0].State = woodpick.Draining
+	e.TakeList(discovery.List{Targets: draining})
+	fresh := servers("s3").Targets
+	fresh[0].Boot = time.Duration(time.Now().UnixNano()) // by the other clock, which is right
+	e.TakeList(discovery.List{Targets: fresh})
+	cold := [5]int{}
+	for n := range 250 {
+		c := newCall(e, fmt.Sprint("call ", n), "view")
+		e.Take(c)
+		to, end := begun()
+		if to == "s1" {
+			t.Errorf("off by %v: a call to a server that drains", off)
+		}
+		if to == "s3" {
+			cold[n/50]++
+		}
+		time.Sleep(5 * time.Millisecond)
+		finish(end, woodpick.Success)
+		answered(c)
+		time.Sleep(15 * time.Millisecond)
+	}
+	t.Logf("off by %v: calls to the cold server, each second: %v of 50", off, cold)
+	if cold[0] > 15 || cold[4] < 15 {
+		t.Errorf("off by %v: %v of 50 calls to the cold server each second", off, cold)
+	}
+	late := newCall(e, "late", "note")
+	late.Deadline = late.At + time.Second
+	e.Take(late)
+	_, end = begun()
+	time.Sleep(e.clock.Until(late.Deadline))
+	finish(end, woodpick.TimedOut)
+	answered(late)
+	e.Retire()
+	return seen
+}
+
+// Whatever the wall clock shows as a process starts, and however far boot_ms lies from it, everything happens at the same
+// time: a request waits, an attempt is out, half of a retry window and all of it are over, a server drains and another is
+// in slow start, a deadline ends. What steps while a process runs is never read (clock.TestStepsOfTheWallClock).
+func TestEveryStageIsTheSameUnderAnyWallClock(t *testing.T) {
+	var right []string
+	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
+		var seen []string
+		synctest.Test(t, func(t *testing.T) { seen = stages(t, off) })
+		if off == 0 {
+			right = seen
+		}
+		if !slices.Equal(seen, right) {
+			for i := range min(len(seen), len(right)) {
+				if seen[i] != right[i] {
+					t.Errorf("off by %v: %q, with a right clock %q", off, seen[i], right[i])
+					break
+				}
+			}
+			t.Errorf("off by %v: %d events, with a right clock %d", off, len(seen), len(right))
+		}
+	}
+}
