--- /dev/null
+++ b/internal/clock/uses_test.go
@@ -0,0 +1,81 @@
+package clock
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// wallReads are the functions and methods that make or take a time without its monotonic part.
+var wallReads = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
+	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
+
+// readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
+func readsWall(call *ast.CallExpr) bool {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !wallReads[method.Sel.Name] {
+		return false
+	}
+	of := ""
+	if name, ok := method.X.(*ast.Ident); ok {
+		of = name.Name
+	}
+	switch method.Sel.Name {
+	case "Parse":
+		return of == "time"
+	case "Round":
+		return of != "math"
+	case "Local", "UTC":
+		return len(call.Args) == 0
+	}
+	return true
+}
+
+// Wherever the program reads a wall time, or makes a time of which only that is left, the page on clocks says why.
+func TestWallClockIsReadWhereThePageSays(t *testing.T) {
+	const root = "../.."
+	page, err := os.ReadFile(filepath.Join(root, "docs/design/clocks.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	found := 0
+	look := func(path string, d fs.DirEntry, err error) error {
+		name := strings.TrimPrefix(filepath.ToSlash(path), root+"/")
+		switch {
+		case err != nil:
+			return err
+		case d.IsDir() && (name == "internal/rig" || name == "internal/standin"): // no part of the program
+			return fs.SkipDir
+		case d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
+			return nil
+		}
+		files := token.NewFileSet()
+		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if call, ok := n.(*ast.CallExpr); ok && readsWall(call) {
+				found++
+				if !strings.Contains(string(page), "`"+name+"`") {
+					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(call.Pos()))
+				}
+			}
+			return true
+		})
+		return nil
+	}
+	for _, folder := range []string{"internal", "cmd/damsontrestle"} {
+		if err := filepath.WalkDir(filepath.Join(root, folder), look); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if found < 10 {
+		t.Errorf("%d wall times were found: nothing is looked at", found)
+	}
+}
--- a/internal/offers/table_test.go
+++ b/internal/offers/table_test.go
@@ -188,6 +188,29 @@
 	}
 }
 
+// An export ends at a date, by the wall clock of the gateway that looks: stepped over it the export has ended, at the owner
+// too, and stepped back it has not.
+func TestAnExportEndsByTheWallClock(t *testing.T) {
+	c := &clock{noon}
+	p := policyOf("p0", nil, "p1")
+	own := offer("p0", "x", "/view/x/")
+	own.Rules.Until = noon.Add(30 * time.Minute).Unix()
+	p.Own = []Offer{own}
+	tb := NewTable(p, c.now)
+	call := &Call{Class: "view", Path: "/view/x/1", Effect: woodpick.Safe, Came: []string{"p1"}}
+	for _, s := range []struct {
+		step time.Duration
+		ends bool
+	}{{0, false}, {time.Hour, true}, {-time.Hour, false}, {30*time.Minute - time.Second, false}, {5 * time.Second, true}, {-5 * time.Second, false}} {
+		c.at = c.at.Add(s.step)
+		tb.Sweep()
+		sent, _ := tb.Sent("p1")
+		if _, why := tb.Come(ID{"p0", "x"}, call); (why != "") != s.ends || (len(sent) == 0) != s.ends {
+			t.Errorf("after a step of %v to %v: %q, %d told; ended: %v", s.step, c.at, why, len(sent), s.ends)
+		}
+	}
+}
+
 // Room is dealt out over the gateways of a partner.
 func TestRoomIsDealtOut(t *testing.T) {
 	c := &clock{noon}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -137,6 +137,21 @@
 	}
 }
 
+// When a plan was made is for people to read: it fits or does not under any clock.
+func TestThePlansTimeIsForReading(t *testing.T) {
+	old, next := example(t), example(t)
+	next.Pools[0].Attempts = 2
+	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
+		p := Make(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", made.Add(step))
+		if err := p.Fits(runningOf(old, 3)); err != nil {
+			t.Errorf("made %v from now: %v", step, err)
+		}
+		if err := p.Fits(runningOf(old, 4)); !errors.Is(err, ErrStale) {
+			t.Errorf("made %v from now, for what no longer runs: %v", step, err)
+		}
+	}
+}
+
 func TestPlansThatAreRefused(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
