--- a/internal/offers/table.go
+++ b/internal/offers/table.go
@@ -54,6 +54,8 @@
 	refused map[string]map[string]int      // by neighbour, by why
 	counts  Counts
 
+	latest uint64 // version that an own export had
+
 	ended map[[2]string]lifeEnd // by partner and gateway
 	lift  map[Source]uint64     // added to the versions of a partner's own offers that a gateway of its tells
 }
@@ -117,21 +119,22 @@
 		}
 	}
 	t.policy = p
+	version := max(uint64(now.UnixMilli()), t.latest+1) // whatever became of the wall clock
 	touched := map[ID]bool{}
 	for id := range old {
 		touched[id] = true
 	}
 	for _, o := range p.Own {
 		o.ID.Origin, o.Path = p.Self, nil
-		o.Version = uint64(now.UnixMilli())
+		o.Version = version
 		if was := old[o.ID]; was != nil {
-			o.Version = max(o.Version, was.Version+1)
 			same := was.Offer
 			same.Version = o.Version
 			if equal(&same, &o) {
 				o.Version = was.Version
 			}
 		}
+		t.latest = max(t.latest, o.Version)
 		t.route(o.ID).ways[""] = &Way{Offer: o, Own: true}
 		touched[o.ID] = true
 	}
--- a/internal/offers/table_test.go
+++ b/internal/offers/table_test.go
@@ -188,6 +188,31 @@
 	}
 }
 
+// Versions of own exports rise for as long as a gateway runs, also where one is taken back and given again while the wall
+// clock was set back.
+func TestVersionsRiseWhateverTheWallClockDoes(t *testing.T) {
+	for _, step := range []time.Duration{0, -5 * time.Second, -time.Hour, time.Hour} {
+		c := &clock{noon}
+		p := policyOf("p0", nil, "p1")
+		tb := NewTable(p, c.now)
+		var last uint64
+		for cost := range 3 {
+			p.Own = []Offer{offer("p0", "x", "/view/x/")}
+			p.Own[0].Cost = cost
+			tb.SetPolicy(p)
+			sent, _ := tb.Sent("p1")
+			if v := sent[ID{"p0", "x"}].Version; v <= last {
+				t.Errorf("steps of %v: version %d comes after %d", step, v, last)
+			} else {
+				last = v
+			}
+			p.Own = nil
+			tb.SetPolicy(p)
+			c.at = c.at.Add(step)
+		}
+	}
+}
+
 // An export ends at a date, by the wall clock of the gateway that looks: stepped over it the export has ended, at the owner
 // too, and stepped back it has not.
 func TestAnExportEndsByTheWallClock(t *testing.T) {
