--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -149,18 +149,20 @@
 	return true
 }
 
-// soonest is the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none. It
-// is the one used last, unless that would have to be waited for too long: one that has been idle for longer is likelier
-// to be closed by its server just then. The caller holds mu.
+// soonest is the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none. Of
+// those that have settled it is the one used last: one that has been idle for longer is likelier to be closed by its server
+// just then. Only where none has settled one is waited for, and rather one that may be. The caller holds mu.
 func (b *Back) soonest(to discovery.Host) (c *conn, settles time.Duration) {
 	now := b.clock.Now()
+	waits := false // c is one that may be waited for
 	for _, free := range slices.Backward(b.idle[to]) {
-		left := max(0, free.since+b.limits.Settle-now)
-		if left <= free.patience() {
-			return free, left
+		left := free.since + b.limits.Settle - now
+		if left <= 0 {
+			return free, 0
 		}
-		if c == nil || left < settles {
-			c, settles = free, left
+		may := left <= free.patience()
+		if c == nil || may && !waits || may == waits && left < settles {
+			c, settles, waits = free, left, may
 		}
 	}
 	return c, settles
