--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -59,10 +59,7 @@
 
 // Run makes an attempt and tells how it ended. Its connection is closed by then, or idle again.
 func (b *Back) Run(a *engine.Attempt) engine.Outcome {
-	ctx, cancel := context.WithCancel(a.Context())
-	if a.Call.Request.Rest == nil { // of an upload the time begins with its end
-		ctx, cancel = context.WithTimeout(a.Context(), b.clock.Until(a.Deadline))
-	}
+	ctx, cancel := b.during(a)
 	defer cancel()
 	r := b.try(ctx, a)
 	if r.At == 0 {
@@ -71,6 +68,14 @@
 	return r
 }
 
+// during ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
+func (b *Back) during(a *engine.Attempt) (context.Context, context.CancelFunc) {
+	if a.Call.Request.Rest != nil {
+		return context.WithCancel(a.Context())
+	}
+	return context.WithTimeout(a.Context(), b.clock.Until(a.Deadline))
+}
+
 func (b *Back) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	var (
 		c      *conn
