--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"slices"
 	"strconv"
 )
 
@@ -122,6 +123,6 @@
 		return coded
 	}
 	unframed = s.heads[0].take(coded)
-	s.heads = s.heads[1:]
+	s.heads = slices.Delete(s.heads, 0, 1) // its place is used again
 	return unframed
 }
