--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -110,7 +111,7 @@
 	var body []byte
 	if ok || framed && resp.ContentLength <= maxBody {
 		c.in.left += chunkOverhead * maxBody
-		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
+		body, err = answerBody(resp)
 		if ok && err != nil {
 			return reply{err: errors.Join(errCut, err)}, false
 		}
@@ -133,6 +134,17 @@
 	return r, err == nil && reusable && resp.ContentLength <= maxBody && len(body) <= maxBody && c.br.Buffered() == 0
 }
 
+// expected bounds what is allocated for a body because its head says so, before it has come.
+const expected = 16 << 10
+
+// answerBody reads an answer's body, but no more than one byte beyond the longest that is kept whole.
+func answerBody(resp *http.Response) ([]byte, error) {
+	var body bytes.Buffer
+	body.Grow(int(max(0, min(resp.ContentLength, expected))) + bytes.MinRead) // it reads on until it meets the end
+	_, err := body.ReadFrom(io.LimitReader(resp.Body, maxBody+1))
+	return body.Bytes(), err
+}
+
 // rests is what follows of an answer that passes through.
 func (b *Back) rests(c *conn, body io.Reader, keep bool) io.ReadCloser {
 	c.in.left = chunkOverhead * maxPassed
