--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -1,14 +1,12 @@
 package http1
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"io"
 	"net"
 	"net/http"
 	"net/url"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -122,13 +120,11 @@
 		return b.upload(a, c, waiter)
 	}
 	// The whole request in one write: what Write returns tells whether its last byte left.
-	var out bytes.Buffer
-	out.Grow(512 + len(a.Call.Request.Body))
-	if err := request(a, b.clock.Until(a.Deadline), bytes.NewReader(a.Call.Request.Body)).Write(&out); err != nil {
+	text, err := wholeRequest(a, b.clock.Until(a.Deadline))
+	if err != nil {
 		b.giveUp(c, waiter)
 		return engine.Outcome{Ending: woodpick.Void}
 	}
-	text := out.Bytes()
 	sent, err := c.Write(text)
 	if err != nil {
 		b.giveUp(c, waiter)
@@ -153,12 +149,15 @@
 	return engine.Outcome{Ending: woodpick.Broken}
 }
 
+// backendHost is the name that every server is asked by.
+const backendHost = "backend.local"
+
 // request is what goes to a server. Method, target, body, id and idempotency key go on as they came.
 func request(a *engine.Attempt, left time.Duration, body io.Reader) *http.Request {
 	h := http.Header{
 		"User-Agent":   {""}, // none
 		"X-Request-Id": {a.Call.ID},
-		"X-Deadline":   {strconv.FormatFloat(max(left, time.Millisecond).Seconds(), 'f', 6, 64)},
+		"X-Deadline":   {string(appendDeadline(nil, left))},
 	}
 	if a.Call.Request.Key != "" {
 		h["Idempotency-Key"] = []string{a.Call.Request.Key}
@@ -169,7 +168,7 @@
 	if a.Call.Request.ContentType != "" {
 		h["Content-Type"] = []string{a.Call.Request.ContentType}
 	}
-	r := &http.Request{Method: a.Call.Request.Method, URL: &url.URL{Opaque: a.Call.Request.Target}, Host: "backend.local",
+	r := &http.Request{Method: a.Call.Request.Method, URL: &url.URL{Opaque: a.Call.Request.Target}, Host: backendHost,
 		Header: h, ContentLength: int64(len(a.Call.Request.Body))}
 	if a.Call.Request.Rest != nil {
 		r.ContentLength = a.Call.Request.Length
