--- a/policy.go
+++ b/policy.go
@@ -58,6 +58,7 @@
 	pool     groups    // the part of each that this node draws from
 	width    int       // servers in the pool
 	places   [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
+	times    float64   // how often the runs that it was cut by go round the group
 	busy     float64   // calls in flight, averaged over sends
 	requests map[string]*request
 	held     []*request
--- a/spread.go
+++ b/spread.go
@@ -28,12 +28,12 @@
 func (b *Balancer) fitPool() {
 	n := float64(len(b.ready))
 	want := max(poolLeast, poolPerCall*b.busy, poolOverlap*b.fairServers())
-	if b.width > 0 && want <= float64(b.width) && want > float64(b.width)/3 {
-		return
-	}
 	copies := float64(max(1, b.set.Balancers))
 	times := min(copies, math.Ceil(1.25*want/max(b.fairServers(), 1e-9)))
-	b.width = int(math.Ceil(times / copies * n))
+	if b.width > 0 && (times == b.times || want <= float64(b.width) && want > float64(b.width)/3) {
+		return
+	}
+	b.width, b.times = int(math.Ceil(times/copies*n)), times
 	for _, s := range b.ready {
 		s.part = 0
 	}
--- a/spread_test.go
+++ b/spread_test.go
@@ -309,3 +309,31 @@
 		}
 	}
 }
+
+// A pool is cut anew only where that changes it: the same again costs no memory, also where more servers are wanted than there
+// are. Once the list has changed it is cut again, however much is wanted.
+func TestThePoolIsNotCutAgainTheSame(t *testing.T) {
+	for _, c := range []struct {
+		copies, servers int
+		busy            float64
+	}{{1, 8, 0}, {1, 8, 64}, {3, 8, 64}, {20, 8, 9}, {300, 60, 5}, {300, 60, 1000}} {
+		b := newBalancer(t, func(s *Settings) { s.Balancers = c.copies })
+		l := ServerList{Full: true}
+		for k := range c.servers {
+			l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
+		}
+		b.Handle(time.Second, l)
+		b.busy = c.busy
+		b.fitPool()
+		if n := testing.AllocsPerRun(10, b.fitPool); n > 0 {
+			t.Errorf("%+v: %v allocations for the same pool", c, n)
+		}
+		l.Servers = l.Servers[1:]
+		b.Handle(2*time.Second, l)
+		b.fitPool()
+		first := func(s *server) bool { return s.ID == "s0000" }
+		if slices.ContainsFunc(slices.Concat(b.pool.left, b.pool.right), first) || len(b.pool.left) == 0 {
+			t.Errorf("%+v: the pool still has the server that has left, or has none", c)
+		}
+	}
+}
