--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -25,6 +25,8 @@
 	IsCut() bool
 	// HasBegun says that bytes of a request were read since the last answer.
 	HasBegun() bool
+	// Owes says that a request was read to which no byte of an answer is written.
+	Owes() bool
 	// Quiet is how long ago the last bytes were.
 	Quiet() time.Duration
 	// Abort closes it at once.
@@ -315,6 +317,30 @@
 	return left
 }
 
+// CutHalf ends the wait for the rest of every request that has not come whole. It is for the node's end: a request that
+// came whole in that very moment is refused, and its connection reads no other.
+func (s *Set) CutHalf() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c, a := range s.conns {
+		if a.phase == Reading || a.phase != Open && c.HasBegun() {
+			c.CutOff()
+		}
+	}
+}
+
+// Owed is how many connections wait for an answer of which no byte is written.
+func (s *Set) Owed() (n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if c.Owes() {
+			n++
+		}
+	}
+	return n
+}
+
 // Held is how many connections there are.
 func (s *Set) Held() int {
 	s.mu.Lock()
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -29,6 +29,7 @@
 func (f *fake) CutOff()        { f.cut = true; *f.done = append(*f.done, f.name+" cut off") }
 func (f *fake) IsCut() bool    { return f.cut }
 func (f *fake) HasBegun() bool { return f.begun }
+func (f *fake) Owes() bool     { return f.begun }
 
 func (f *fake) Quiet() time.Duration { return f.quiet }
 func (f *fake) Abort() error         { *f.done = append(*f.done, f.name+" closed"); return nil }
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -44,6 +44,7 @@
 	state    sync.Mutex
 	midway   bool // within a record, as far as is known
 	reading  int  // requests that have begun and are not whole
+	owed     int  // requests that are whole and of whose answers no byte is written
 	oldest   time.Time
 	heard    time.Time
 	leaving  bool
@@ -266,15 +267,24 @@
 		return
 	}
 	r.with = with
+	c.owes(1)
 	go c.wait(r)
 }
 
+// owes follows how many requests wait for an answer.
+func (c *client) owes(more int) {
+	c.state.Lock()
+	defer c.state.Unlock()
+	c.owed += more
+}
+
 // wait gives a request its answer, unless nobody waits for it any more.
 func (c *client) wait(r *call) {
 	f := c.front
 	select {
 	case a := <-r.with.Answer():
 		if a.Reply.Rest != nil {
+			c.owes(-1)
 			c.pass(r, a)
 			break
 		}
@@ -284,7 +294,9 @@
 			c.flush()
 		}
 		c.mu.Unlock()
+		c.owes(-1)
 	case <-r.gone:
+		c.owes(-1)
 	}
 	f.callers.End(c)
 	c.mu.Lock()
@@ -437,6 +449,13 @@
 	return c.midway || c.reading > 0
 }
 
+// Owes implements callers.Conn.
+func (c *client) Owes() bool {
+	c.state.Lock()
+	defer c.state.Unlock()
+	return c.owed > 0
+}
+
 // Quiet implements callers.Conn.
 func (c *client) Quiet() time.Duration {
 	c.state.Lock()
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -240,6 +240,13 @@
 	return c.pending()
 }
 
+// Owes implements callers.Conn.
+func (c *clientConn) Owes() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.served > c.answered
+}
+
 // clientListener makes clientConns.
 type clientListener struct {
 	net.Listener
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"fmt"
 	"time"
 
@@ -11,34 +10,40 @@
 	"woodpick/internal/succession"
 )
 
-// How a node ends: it accepts for a while after it was told to, and is done before it would be killed,
-// which is the longest deadline, killCap at most, and killAfter later.
+// How a node ends: it accepts for a while after it was told to, and is done before it would be killed, which is
+// the longest deadline, killCap at most, and killAfter later. The process may be held up for heldUp at any moment
+// of its end, so that nothing is left to the last of its time.
 const (
-	drainAccept = 600 * time.Millisecond
-	killCap     = 3 * time.Second
-	killAfter   = 700 * time.Millisecond
-	killMargin  = 150 * time.Millisecond
-	lastMargin  = 150 * time.Millisecond // from the last answers to the end
-	quietGrace  = 300 * time.Millisecond // after the last connection was accepted
-	drainStep   = 20 * time.Millisecond
-	handOver    = 100 * time.Millisecond // before the last answers, calls in custody are given to others
+	drainAccept  = 600 * time.Millisecond
+	killCap      = 3 * time.Second
+	killAfter    = 700 * time.Millisecond
+	heldUp       = 150 * time.Millisecond
+	exitMargin   = 50 * time.Millisecond  // from the end of the drain to the exit
+	answerMargin = 100 * time.Millisecond // from the last answers to the end
+	closeMargin  = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last answers
+	quietGrace   = 300 * time.Millisecond // after the last connection was accepted
+	drainStep    = 20 * time.Millisecond
+	handOver     = 100 * time.Millisecond // before the last answers, calls in custody are given to others
 )
 
-// ending tells, from the moment that the node was told to end, until when it accepts connections, until
-// when callers may go on using those that they have, when whatever is left is answered at once, and when
-// it must be over.
-type ending struct{ accept, serve, last, most time.Duration }
+// ending tells, from the moment that the node was told to end, until when it accepts connections, until when clients
+// may go on using those that they have, when whatever is left is answered at once, from when on it is over as soon as
+// no request is owed an answer, and when it must be over.
+type ending struct{ accept, serve, last, most, must time.Duration }
 
-// endingOf is how a node ends: it serves for as long as most answers, which take less than half of their
-// aim, come before the end. Callers that it lets go sooner would find no node at all.
+// endingOf is how a node ends: it serves for as long as most answers, which take less than half of their aim, come
+// before the end. Clients that it lets go sooner would find no node at all.
 func endingOf(cfg *config.Config) ending {
 	var longest, aim time.Duration
 	for _, c := range cfg.Classes {
 		longest, aim = max(longest, time.Duration(c.Deadline)), max(aim, time.Duration(c.Aim))
 	}
-	most := min(longest, killCap) + killAfter - killMargin
-	last := most - lastMargin
-	return ending{accept: drainAccept, serve: max(drainAccept, last-aim/2), last: last, most: most}
+	must := min(longest, killCap) + killAfter - exitMargin
+	most := must - heldUp
+	last := most - answerMargin
+	accept := min(drainAccept, last-closeMargin)
+	serve := min(max(last-aim/2, accept+quietGrace), last-closeMargin)
+	return ending{accept, serve, last, most, must}
 }
 
 // drain lets the callers go, and everything taken is answered: for a while they are served as ever on the
@@ -61,8 +66,6 @@
 	}
 	sockets, pools := n.sockets, n.allPools()
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(n.life, e.most)
-	defer cancel()
 	begin := n.clock.Now()
 	for _, p := range pools {
 		p.engine.CloseAt(begin + e.last)
@@ -83,38 +86,47 @@
 			}
 		}
 	}
-	clock.Sleep(ctx, e.accept)
+	clock.Sleep(n.life, e.accept-since())
 	for _, s := range sockets {
 		if err := s.shut(); err != nil { // what was taken is owed an answer all the same
 			n.log.Warn("a listener was not closed", "address", s.Addr(), "error", err)
 		}
 	}
-	for serve := max(e.serve, e.accept+quietGrace); since() < serve && n.callers.Held() > 0; {
-		clock.Sleep(ctx, drainStep)
+	for since() < e.serve && n.callers.Held() > 0 {
+		clock.Sleep(n.life, drainStep)
 	}
 	for _, f := range fronts {
 		f.SetClosing(true)
 	}
-	for told := false; letGo(fronts, n.callers) > 0; clock.Sleep(ctx, drainStep) {
-		if ctx.Err() != nil {
-			if n.callers.In(callers.Open) == 0 {
-				return nil // all that was taken is answered: who is left has not closed, or has not sent a request whole
-			}
-			return fmt.Errorf("callers are left: %w", ctx.Err())
-		}
+	// told: the last call came at an earlier step, so that its answers have had time to be written
+	for told := false; letGo(fronts, n.callers) > 0; clock.Sleep(n.life, drainStep) {
 		if n.gateway != nil && since() >= e.last-handOver {
 			n.gateway.HandOver()
 		}
-		if !told && since() >= e.last {
-			for _, p := range pools {
-				p.engine.LastCall()
+		if since() >= e.last {
+			if !told {
+				lastCall(pools)
 			}
-			told = true
+			n.callers.CutHalf() // one that came whole in this moment is refused, whatever comes later is not read
 		}
+		switch owed := n.callers.Owed(); {
+		case told && since() >= e.most && owed == 0:
+			return nil // who is left has not closed, or doesn't take its answer
+		case told && since() >= max(e.most, e.must):
+			return fmt.Errorf("%d requests are not answered", owed)
+		}
+		told = told || since() >= e.last
 	}
 	return nil
 }
 
+// lastCall has all that is unanswered answered now.
+func lastCall(pools []*pool) {
+	for _, p := range pools {
+		p.engine.LastCall()
+	}
+}
+
 // letGo closes the fronts' quiet connections and tells how many are left of all.
 func letGo(fronts []front, set *callers.Set) int {
 	for _, f := range fronts {
