--- a/cmd/damsontrestle/ending_test.go
+++ b/cmd/damsontrestle/ending_test.go
@@ -9,6 +9,8 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -172,3 +174,103 @@
 		}
 	}
 }
+
+// endClient sends one request after the other on connections to a node until it connects to nobody any more. It
+// keeps the ids of those that were answered.
+type endClient struct {
+	name, address, deadline string
+	pause                   time.Duration // in the middle of each request's head
+	answered                map[string]bool
+}
+
+func (c *endClient) run(first chan<- struct{}) {
+	for {
+		nc, err := net.Dial("tcp", c.address)
+		if err != nil {
+			return
+		}
+		nc.SetDeadline(time.Now().Add(limit))
+		for in := bufio.NewReader(nc); c.ask(nc, in); {
+			select {
+			case first <- struct{}{}:
+			default:
+			}
+		}
+		nc.Close()
+	}
+}
+
+// ask says whether the connection is of further use.
+func (c *endClient) ask(nc net.Conn, in *bufio.Reader) bool {
+	id := fmt.Sprint(c.name, len(c.answered))
+	io.WriteString(nc, "GET /view/k HT")
+	time.Sleep(c.pause)
+	fmt.Fprintf(nc, "TP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %s\r\n\r\n", id, c.deadline)
+	r, err := http.ReadResponse(in, nil)
+	if err != nil {
+		return false
+	}
+	_, err = io.Copy(io.Discard, r.Body)
+	c.answered[id] = err == nil
+	return err == nil && !r.Close
+}
+
+// The program is over before it would be killed, with 0 and all answered, while clients send on and no server answers any more.
+func TestTheProgramEndsBeforeItsKill(t *testing.T) {
+	for _, deadline := range []time.Duration{200 * time.Millisecond, 300 * time.Millisecond} {
+		t.Run(deadline.String(), func(t *testing.T) {
+			t.Parallel()
+			if took, kill := endOfProgram(t, deadline, nil), deadline+700*time.Millisecond; took >= kill {
+				t.Errorf("over after %v of %v", took, kill)
+			}
+		})
+	}
+}
+
+// endOfProgram tells how long the program takes to end. during is called when SIGTERM was sent; nil: nothing is.
+func endOfProgram(t *testing.T, deadline time.Duration, during func(*os.Process)) (took time.Duration) {
+	var hangs atomic.Bool
+	server := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if hangs.Load() {
+			io.Copy(io.Discard, c)
+			return false
+		}
+		return standin.Echo(c, r, body)
+	})
+	agent := standin.NewAgent(t)
+	agent.Tell(false, standin.Whole(standin.Entry("s1", server.Address(), "in_service")))
+	list := strings.Replace(standin.Whole(standin.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	short := strings.NewReplacer("40000", fmt.Sprint(deadline.Milliseconds()), `"target-ms":20000`, fmt.Sprintf(`"target-ms":%d`, deadline.Milliseconds()/2)).Replace(settings)
+	cmd, address, _ := start(t, filepath.Join(t.TempDir(), "config.json"), platformConfig(agent.Address(), 256, list, short))
+	first := make(chan struct{}, 1)
+	var clients sync.WaitGroup
+	answered := map[string]map[string]bool{}
+	for i := range 6 {
+		c := &endClient{name: fmt.Sprintf("c%d-", i), address: address, deadline: fmt.Sprint(deadline.Seconds()), answered: map[string]bool{}}
+		if i > 3 {
+			c.pause = 30 * time.Millisecond
+		}
+		answered[c.name] = c.answered
+		clients.Go(func() { c.run(first) })
+	}
+	standin.Receive(t, first, "an answer")
+	hangs.Store(true)
+	begin := time.Now()
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if during != nil {
+		during(cmd.Process)
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	took = time.Since(begin)
+	clients.Wait()
+	for _, id := range server.Requests() {
+		if name, _, _ := strings.Cut(id, "-"); !answered[name+"-"][id] {
+			t.Errorf("%s reached a server and has no answer", id)
+		}
+	}
+	return took
+}
