--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -29,6 +29,7 @@
 	Ended   func(*Attempt, *Outcome) // told how each attempt ended
 
 	answer chan Answer // takes one answer without blocking
+	gone   atomic.Bool // its client has left it
 	mu     sync.Mutex
 	owner  *Engine             // that took it
 	left   func(time.Duration) // told instead of the owner that the caller has gone
@@ -45,6 +46,9 @@
 	Body        []byte
 	Rest        io.Reader // what follows Body, to be read once; nil: nothing. An error tells that the caller has cut it
 	Length      int64     // of Body and Rest; negative: not known before its end
+
+	// Gone says whether the client has gone, as the system knows it now; nil: nobody can tell. It may wait for a moment.
+	Gone func() bool
 }
 
 // Field is a header field.
@@ -66,6 +70,7 @@
 // Leave tells whoever took the call that its caller has gone at a clock time: nothing more is owed to it. It is for whoever
 // had the call taken.
 func (c *Call) Leave(at time.Duration) {
+	c.gone.Store(true)
 	c.mu.Lock()
 	left, owner := c.left, c.owner
 	c.mu.Unlock()
@@ -78,6 +83,19 @@
 	}
 }
 
+// IsLeft says that nobody waits for the call any more: its client has left it, whether or not its owner has heard of that,
+// or has gone without a word. It is to be asked right before the first byte of an attempt is written.
+func (c *Call) IsLeft(now func() time.Duration) bool {
+	if c.gone.Load() {
+		return true
+	}
+	if c.Request.Gone == nil || !c.Request.Gone() {
+		return false
+	}
+	c.Leave(now())
+	return true
+}
+
 // Hold has a call be answered by Finish and not by an engine. left is told that its caller has gone.
 func (c *Call) Hold(left func(at time.Duration)) {
 	c.mu.Lock()
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -7,6 +7,7 @@
 	"net"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"woodpick/internal/callers"
@@ -23,6 +24,8 @@
 	writeTimeout = 5 * time.Second         // for a part of an answer to be taken
 	stall        = 10 * time.Second        // the same of an answer that passes through
 	passSize     = 16 << 10                // of such an answer held at once
+	unreadMost   = 10 * time.Millisecond   // for what has come, which may hold an abort, to be read before an attempt begins
+	unreadStep   = 100 * time.Microsecond
 )
 
 // client is a web server's connection.
@@ -39,6 +42,7 @@
 	ended bool
 
 	patience time.Duration // with which a write is waited for
+	inRead   atomic.Bool   // its reader waits for the next bytes
 
 	// What callers.Set asks for. Never held while something is read or written.
 	state    sync.Mutex
@@ -60,6 +64,7 @@
 	body []byte
 	with *engine.Call // once the module has it
 	over bool         // its answer has been given, or nobody waits for it
+	left atomic.Bool  // aborted, or its connection has ended
 	gone chan struct{}
 }
 
@@ -96,7 +101,9 @@
 
 func (r reads) Read(p []byte) (int, error) {
 	c := r.c
+	c.inRead.Store(true)
 	n, err := c.Conn.Read(p)
+	c.inRead.Store(false)
 	if n > 0 {
 		c.state.Lock()
 		defer c.state.Unlock()
@@ -144,6 +151,21 @@
 	}
 }
 
+// hasLeft says that a request was aborted, or that its connection has ended. What the system holds unread may say so too:
+// it is waited for until that is read.
+func (c *client) hasLeft(r *call) bool {
+	for until := time.Now().Add(c.front.unread); ; time.Sleep(unreadStep) {
+		waits := c.inRead.Load()
+		state := callers.StateOf(c.Conn)
+		switch {
+		case r.left.Load() || state == callers.Ended:
+			return true
+		case waits && state == callers.Quiet || time.Now().After(until):
+			return r.left.Load()
+		}
+	}
+}
+
 // begins and whole follow how many requests are being read.
 func (c *client) begins() {
 	c.state.Lock()
@@ -212,6 +234,7 @@
 		c.whole()
 		c.ask(r)
 	case Aborted:
+		r.left.Store(true)
 		if r.with == nil {
 			c.whole()
 		} else {
@@ -258,6 +281,7 @@
 		f.callers.End(c)
 		return
 	}
+	r.in.Call.Gone = func() bool { return c.hasLeft(r) }
 	with, err := intake.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
 	if err != nil {
 		f.figures.End(r.in.Class, figures.Faulted)
@@ -408,6 +432,7 @@
 			c.front.figures.Left()
 		}
 		r.over = true
+		r.left.Store(true)
 		close(r.gone)
 	}
 	clear(c.calls)
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -7,6 +7,7 @@
 	"net"
 	"net/http"
 	"sync/atomic"
+	"time"
 
 	"woodpick/internal/callers"
 	"woodpick/internal/clock"
@@ -29,13 +30,14 @@
 	figures  *figures.Set
 	log      *slog.Logger
 	bounds   Bounds
+	unread   time.Duration
 	unready  atomic.Bool
 	closing  atomic.Bool
 }
 
 // NewFront returns a Front that serves nobody before Serve.
 func NewFront(listener string, c clock.Clock, set *callers.Set, calls *dispatch.Dispatcher, count *figures.Set, log *slog.Logger) *Front {
-	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds()}
+	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost}
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
--- /dev/null
+++ b/internal/fastcgi/left_test.go
@@ -0,0 +1,64 @@
+package fastcgi
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"woodpick/internal/callers"
+	"woodpick/internal/standin"
+)
+
+// clientPair is a web server's connection and what the front has of it; nobody reads it.
+func clientPair(t *testing.T) (ours *client, theirs net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	nc, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { theirs.Close(); nc.Close() })
+	return &client{Conn: nc, front: &Front{unread: standin.Limit}}, theirs
+}
+
+// An abort that the system holds, and that nobody has read yet, is one: it is waited for, but not without end.
+func TestAnAbortThatIsNotReadYetIsSeen(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		cross      func(*client, *call, net.Conn)
+		want, done bool
+	}{
+		{"nothing", func(c *client, _ *call, _ net.Conn) { c.inRead.Store(true) }, false, false},
+		{"bytes that nobody reads", func(c *client, _ *call, theirs net.Conn) {
+			c.front.unread = unreadMost
+			io.WriteString(theirs, "x")
+		}, false, false},
+		{"an abort that is read", func(c *client, r *call, theirs net.Conn) {
+			io.WriteString(theirs, "x")
+			go func() {
+				reads{c}.Read(make([]byte, 1))
+				r.left.Store(true) // as the record says
+				reads{c}.Read(make([]byte, 1))
+			}()
+		}, true, false},
+		{"the connection's end", func(_ *client, _ *call, theirs net.Conn) { theirs.Close() }, true, true},
+		{"its end behind bytes", func(_ *client, _ *call, theirs net.Conn) { io.WriteString(theirs, "x"); theirs.Close() }, true, true},
+	} {
+		ours, theirs := clientPair(t)
+		r := &call{}
+		c.cross(ours, r, theirs)
+		if c.done {
+			standin.Until(t, "the system to know", func() bool { return callers.StateOf(ours.Conn) == callers.Ended })
+		}
+		if got := ours.hasLeft(r); got != c.want {
+			t.Errorf("%s: has left: %v", c.name, got)
+		}
+	}
+}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -212,7 +212,9 @@
 		case err == nil:
 			return settled(out)
 		case errors.Is(err, custody.ErrAlone) && serve:
-			return s.own(ctx, s.call.Request)
+			req := s.call.Request
+			req.Gone = nil // it goes on without its client
+			return s.own(ctx, req)
 		case errors.Is(err, custody.ErrAlone), errors.Is(err, custody.ErrFull), errors.Is(err, custody.ErrUntold):
 			return refused(comeBack)
 		}
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -125,6 +125,10 @@
 		b.giveUp(c, waiter)
 		return engine.Outcome{Ending: woodpick.Void}
 	}
+	if a.Call.IsLeft(b.clock.Now) {
+		b.giveUp(c, waiter)
+		return engine.Outcome{Ending: woodpick.Withdrawn}
+	}
 	sent, err := c.Write(text)
 	if err != nil {
 		b.giveUp(c, waiter)
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -6,12 +6,14 @@
 	"net"
 	"net/http"
 	"strconv"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"woodpick"
+	"woodpick/internal/callers"
 	"woodpick/internal/config"
 	"woodpick/internal/discovery"
 	"woodpick/internal/engine"
@@ -45,6 +47,13 @@
 	}{
 		{"called off", func(_ *Back, a *engine.Attempt) { a.Cancel() }, woodpick.Withdrawn},
 		{"its caller gone, where what has begun is not called off", func(_ *Back, a *engine.Attempt) { a.CancelUnbegun() }, woodpick.Withdrawn},
+		{"its client gone, which its engine has not heard yet", func(b *Back, a *engine.Attempt) { a.Call.Leave(b.clock.Now()) }, woodpick.Withdrawn},
+		{"its client gone, as the system alone knows", func(_ *Back, a *engine.Attempt) {
+			a.Call.Request.Gone = func() bool { return true }
+		}, woodpick.Withdrawn},
+		{"its client gone, as the system alone knows, and its body still to come", func(_ *Back, a *engine.Attempt) {
+			a.Call.Request.Gone, a.Call.Request.Rest = func() bool { return true }, strings.NewReader("rest")
+		}, woodpick.Withdrawn},
 		{"its time over", func(b *Back, a *engine.Attempt) {
 			a.Deadline = a.Sent + 1 // as it was decided on; Run has its own clock
 		}, woodpick.Void},
@@ -146,6 +155,58 @@
 	}
 }
 
+// keptListener keeps what it accepts.
+type keptListener struct {
+	net.Listener
+	accepted chan net.Conn
+}
+
+func (l keptListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err == nil {
+		l.accepted <- c
+	}
+	return c, err
+}
+
+// Whose client leaves in the middle of its body, which nobody reads while a connection is on its way up, is sent nowhere, and
+// its request ends.
+func TestNothingBeginsForAnUploadWhoseClientLeft(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	written := make(chan string, 1)
+	go func() {
+		if conn, err := ln.Accept(); err == nil {
+			text, _ := io.ReadAll(conn)
+			written <- string(text)
+			conn.Close()
+		}
+	}()
+	var dial *lateDial
+	accepted := make(chan net.Conn, 1)
+	n := start(t, testConfig(standin.Whole(standin.Entry("s1", ln.Addr().String(), "in_service"))), func(n *rig) {
+		dial = newLateDial(n.back)
+		n.ln = keptListener{n.ln, accepted}
+	})
+	c := standin.Dial(t, n.Addr())
+	io.WriteString(c, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: u\r\nX-Deadline: 60\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
+	standin.Receive(t, dial.dialing, "the attempt to dial")
+	c.Close()
+	ours := standin.Receive(t, accepted, "the connection")
+	standin.Until(t, "the system to know of the close", func() bool { return callers.StateOf(ours) == callers.Ended })
+	close(dial.up)
+	if text := standin.Receive(t, written, "the close"); text != "" {
+		t.Errorf("%d bytes were written, %.40q", len(text), text)
+	}
+	standin.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Held() == 0 })
+	if got := n.engine.Status(); got.Gone != 1 {
+		t.Errorf("%d have gone, want 1", got.Gone)
+	}
+}
+
 // A second answer that comes late, when the next request is out, is nobody's: that request went over another connection.
 func TestASecondAnswerThatComesLateIsNobodys(t *testing.T) {
 	next := make(chan struct{})
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -46,10 +46,11 @@
 	flooded  bool          // more came than is read ahead
 	end      error         // why nothing more can be read
 	gone     chan struct{} // closed once end is known
+	left     chan struct{} // closed once hasLeft has said yes
 }
 
 func newClientConn(c net.Conn, set *callers.Set, total *atomic.Int64) *clientConn {
-	return &clientConn{Conn: c, set: set, aheadOfAll: total, gone: make(chan struct{})}
+	return &clientConn{Conn: c, set: set, aheadOfAll: total, gone: make(chan struct{}), left: make(chan struct{})}
 }
 
 // Read hands out what was read ahead, or reads.
@@ -107,6 +108,22 @@
 	}
 }
 
+// hasLeft says that the other side has ended the connection, or its sending, by what the system knows: an end that nobody
+// has read yet, or that stands behind bytes which nobody has, is one all the same.
+func (c *clientConn) hasLeft() bool {
+	if !c.isGone() && callers.StateOf(c.Conn) != callers.Ended {
+		return false
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	select {
+	case <-c.left:
+	default:
+		close(c.left)
+	}
+	return true
+}
+
 // Write begins before the client can have seen its answer.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -135,6 +135,7 @@
 	if !coded {                     // what is behind such a body is read by nobody, whoever put it there
 		w.Header().Del("Connection") // write tells whether the answer is the last
 	}
+	in.Call.Gone = conn.hasLeft
 	f.figures.Begin()
 	var (
 		more io.Reader
@@ -170,6 +171,8 @@
 		f.reject(w, conn, view, errNotWhole)
 	case <-gone:
 		f.abandon(w, conn, c)
+	case <-conn.left:
+		f.abandon(w, conn, c)
 	case <-r.Context().Done():
 		if rest != nil && !rest.end() { // net/http takes a body that comes too slowly for its caller's end
 			f.leave(c)
--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -74,6 +74,10 @@
 func (b *Back) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	rest := &watched{Reader: a.Call.Request.Rest, left: a.Call.Request.Length - int64(len(a.Call.Request.Body))}
 	body := io.MultiReader(bytes.NewReader(a.Call.Request.Body), rest)
+	if a.Call.IsLeft(b.clock.Now) {
+		b.giveUp(c, waiter)
+		return engine.Outcome{Ending: woodpick.Withdrawn}
+	}
 	done := make(chan error, 1)
 	go func() { done <- request(a, a.Deadline-a.Sent, body).Write(paced{c}) }()
 	var (
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -135,8 +135,9 @@
 // that is not that of now is looked at again: what it may do can have changed meanwhile. With no error, exactly
 // one answer comes on the call's channel.
 func Take(calls *dispatch.Dispatcher, view *dispatch.View, h *Head, r Request, body []byte, rest io.Reader, at time.Duration) (*engine.Call, error) {
+	gone := r.Call.Gone
 	for {
-		r.Call.Body, r.Call.Rest, r.Call.Length = body, rest, int64(len(body))
+		r.Call.Body, r.Call.Rest, r.Call.Length, r.Call.Gone = body, rest, int64(len(body)), gone
 		if rest != nil {
 			r.Call.Length = h.Length
 		}
