--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -38,6 +38,7 @@
 	told     time.Time // when bytes of an answer were written last
 	leaving  bool
 	cut      bool      // leaving, whatever still comes
+	refused  bool      // an answer was written once it was cut
 	deadline time.Time // as net/http wants it
 
 	ahead    []byte        // read ahead and not handed out yet
@@ -128,6 +129,7 @@
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.told = time.Now()
+	c.refused = c.cut
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 100 ")) { // the body that this asks for is still the request's
 		c.answered = c.served
 		if c.pending() {
@@ -197,12 +199,13 @@
 // Close ends the connection. A close over bytes that nobody has read resets it, and takes along an answer that is still
 // on its way. So behind the last answer only the sending ends, and what still comes is read and thrown away until the
 // other side has closed as well. One that is let go while it waits has no answer on its way: what crosses its close
-// stays unread, so that its client may send it again.
+// stays unread, so that its client may send it again. One that is cut off may have been told so, but its place
+// is wanted: it lingers only over bytes that would reset it now.
 func (c *clientConn) Close() error {
 	c.stopAhead()
 	c.dropAhead()
 	c.mu.Lock()
-	linger := time.Since(c.told) < lingerAfter && c.end == nil && !c.leaving
+	linger := time.Since(c.told) < lingerAfter && c.end == nil && (!c.leaving || c.refused && callers.StateOf(c.Conn) == callers.Unread)
 	c.mu.Unlock()
 	if linger && c.CloseWrite() == nil {
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -157,9 +157,13 @@
 // before the close or after it has begun.
 func TestAnAnswerOutlivesACloseOverUnreadBytes(t *testing.T) {
 	answer := strings.Repeat("x", 1<<20) // more than the client's buffer takes
-	for _, early := range []bool{true, false} {
+	for _, c := range []struct{ early, cut bool }{{true, false}, {false, false}, {true, true}} {
+		early := c.early
 		ours, theirs := connPair(t)
 		ours.set.Add(ours, nil)
+		if c.cut {
+			ours.CutOff() // for want of descriptors, or at the node's end: its client is told
+		}
 		if early {
 			io.WriteString(theirs, "GET /behind")
 			standin.Until(t, "the bytes to arrive", func() bool { return spoken(ours.Conn) })
@@ -177,7 +181,7 @@
 		theirs.SetDeadline(time.Now().Add(standin.Limit))
 		got, err := io.ReadAll(theirs)
 		if err != nil || len(got) != len(answer) {
-			t.Errorf("early %v: %d of %d bytes, %v", early, len(got), len(answer), err)
+			t.Errorf("%+v: %d of %d bytes, %v", c, len(got), len(answer), err)
 		}
 		theirs.Close()
 		standin.Receive(t, closed, "the close")
