--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -120,14 +120,10 @@
 		return b.upload(a, c, waiter)
 	}
 	// The whole request in one write: what Write returns tells whether its last byte left.
-	text, err := wholeRequest(a, b.clock.Until(a.Deadline))
-	if err != nil {
-		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: woodpick.Void}
-	}
-	if a.Call.IsLeft(b.clock.Now) {
+	text, why := b.text(a)
+	if text == nil {
 		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: woodpick.Withdrawn}
+		return engine.Outcome{Ending: why}
 	}
 	sent, err := c.Write(text)
 	if err != nil {
@@ -156,6 +152,30 @@
 // backendHost is the name that every server is asked by.
 const backendHost = "backend.local"
 
+// freshFor is how long a text may be older than the look at its client that goes before its writing: a process may be held up
+// between the two.
+const freshFor = 10 * time.Millisecond
+
+// text is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
+func (b *Back) text(a *engine.Attempt) (text []byte, why woodpick.Ending) {
+	for {
+		left := b.clock.Until(a.Deadline)
+		if left <= 0 {
+			return nil, woodpick.Void
+		}
+		text, err := wholeRequest(a, left)
+		if err != nil {
+			return nil, woodpick.Void
+		}
+		if a.Call.IsLeft(b.clock.Now) {
+			return nil, woodpick.Withdrawn
+		}
+		if left-b.clock.Until(a.Deadline) <= freshFor {
+			return text, 0
+		}
+	}
+}
+
 // request is what goes to a server. Method, target, body, id and idempotency key go on as they came.
 func request(a *engine.Attempt, left time.Duration, body io.Reader) *http.Request {
 	h := http.Header{
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -291,3 +291,40 @@
 		t.Errorf("told %v, at most %v are left", left, most)
 	}
 }
+
+// A process that is held up between reading its clock and writing tells its server what is left by then.
+func TestAnAttemptThatIsHeldUpTellsWhatIsLeft(t *testing.T) {
+	const held = 100 * time.Millisecond
+	told := make(chan time.Duration, 1)
+	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		left, _ := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
+		told <- time.Duration(left * float64(time.Second))
+		return standin.Echo(c, r, body)
+	})
+	b := testBackend(10)
+	a := testAttempt(b, s.Address())
+	looks, left := 0, time.Duration(0)
+	a.Call.Request.Gone = func() bool {
+		if looks++; looks == 1 {
+			time.Sleep(held)
+			left = b.clock.Until(a.Deadline)
+		}
+		return false
+	}
+	run(t, b, a)
+	if got := standin.Receive(t, told, "the request"); got <= 0 || got > left+freshFor || looks < 2 {
+		t.Errorf("told %v after %d looks, %v were left", got, looks, left)
+	}
+}
+
+// What is told of the time that is left is never more than that.
+func TestTheTimeToldIsNotRoundedUp(t *testing.T) {
+	for left, want := range map[time.Duration]string{
+		480 * time.Millisecond: "0.480000", time.Second - 1: "0.999999", 1999: "0.000001", time.Microsecond: "0.000001",
+		3*time.Second + 1500: "3.000001", 90 * time.Second: "90.000000",
+	} {
+		if got := string(appendDeadline(nil, left)); got != want {
+			t.Errorf("%v: told %s, want %s", left, got, want)
+		}
+	}
+}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -66,7 +66,8 @@
 	return append(text, "\r\n"...)
 }
 
-// appendDeadline adds how many seconds are left.
+// appendDeadline adds how many seconds are left, to the microsecond below: no server is told more than is left.
 func appendDeadline(text []byte, left time.Duration) []byte {
-	return strconv.AppendFloat(text, max(left, time.Millisecond).Seconds(), 'f', 6, 64)
+	left = max(left, time.Microsecond).Truncate(time.Microsecond)
+	return strconv.AppendFloat(text, left.Seconds(), 'f', 6, 64)
 }
