--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -328,8 +328,9 @@
 // A caller that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
 // blamed for it.
 func TestAnUploadThatItsCallerCuts(t *testing.T) {
-	whole := make(chan error, 10)
+	begun, whole := make(chan struct{}, 10), make(chan error, 10)
 	ln := raw(t, func(c net.Conn, r *http.Request) {
+		begun <- struct{}{}
 		_, err := io.Copy(io.Discard, r.Body)
 		whole <- err
 	})
@@ -340,6 +341,7 @@
 		if err := write(noise(100 << 10)); err != nil {
 			t.Fatal(err)
 		}
+		standin.Receive(t, begun, "the attempt") // for a client that has left by then none begins
 		if leaves {
 			c.Close()
 		} else {
