--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -323,7 +323,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, a := range s.conns {
-		if a.phase == Reading || a.phase != Open && c.HasBegun() {
+		if a.phase == Reading || (a.phase == Silent || a.phase == Idle) && c.HasBegun() {
 			c.CutOff()
 		}
 	}
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"net"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -26,6 +27,8 @@
 	passSize     = 16 << 10                // of such an answer held at once
 	unreadMost   = 10 * time.Millisecond   // for what has come, which may hold an abort, to be read before an attempt begins
 	unreadStep   = 100 * time.Microsecond
+	lingerTime   = 500 * time.Millisecond // behind the last answer, for the web server to close
+	lingerBytes  = 1 << 20
 )
 
 // client is a web server's connection.
@@ -74,26 +77,68 @@
 	c.app = NewApplication(f.bounds, c.out)
 	c.in = bufio.NewReader(reads{c})
 	f.callers.Add(c, f)
-	defer func() {
-		f.callers.Remove(c)
-		nc.Close()
-	}()
+	defer f.callers.Remove(c)
+	defer c.close()
 	records := NewReader(c.in)
 	for {
 		c.await()
 		rec, err := records.Next()
+		stuck := errors.Is(err, os.ErrDeadlineExceeded)
 		if err == nil {
 			err = c.take(rec)
 		}
-		if err != nil {
-			var named *Error
-			if errors.As(err, &named) && !errors.Is(err, ErrCut) {
-				f.log.Debug("a FastCGI connection ends", "from", nc.RemoteAddr(), "error", err)
-			}
-			c.leave()
-			return
+		if err == nil {
+			continue
+		}
+		var named *Error
+		if errors.As(err, &named) && !errors.Is(err, ErrCut) {
+			f.log.Debug("a FastCGI connection ends", "from", nc.RemoteAddr(), "error", err)
 		}
+		if stuck || isMalformed(err) {
+			c.settle()
+		}
+		c.leave()
+		return
+	}
+}
+
+// isMalformed says that a web server has sent what can't be understood, and is still there.
+func isMalformed(err error) bool {
+	var named *Error
+	var network net.Error
+	return errors.As(err, &named) && !errors.Is(err, ErrCut) && !errors.As(err, &network)
+}
+
+// settle returns once all that the module has is answered. No record can be read any more, but the web server is still there:
+// a request that stopped in its middle, or a record that makes no sense, costs the others on its connection nothing.
+func (c *client) settle() {
+	c.mu.Lock()
+	var open []*call
+	for _, r := range c.calls {
+		if r.with != nil {
+			open = append(open, r)
+		}
+	}
+	c.ended = c.ended || len(open) > 0
+	c.mu.Unlock()
+	for _, r := range open {
+		<-r.gone
+	}
+}
+
+// close ends the connection. Closed over bytes that nobody has read it would be reset, and an answer on its way with it: so
+// behind the last answer only the sending ends, and what still comes is thrown away for a while.
+func (c *client) close() {
+	c.mu.Lock()
+	ended := c.ended
+	c.mu.Unlock()
+	half, ok := c.Conn.(interface{ CloseWrite() error })
+	if ended && ok && half.CloseWrite() == nil {
+		c.front.callers.Move(c, callers.Lingering)
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
+		io.CopyN(io.Discard, c.Conn, lingerBytes)
 	}
+	c.Conn.Close()
 }
 
 // reads notes what is read.
@@ -137,7 +182,7 @@
 	now := time.Now()
 	switch {
 	case c.reading > 0:
-		c.deadline = now.Add(partTimeout)
+		c.deadline = now.Add(c.front.part)
 		if last := c.oldest.Add(wholeTimeout); last.Before(c.deadline) {
 			c.deadline = last
 		}
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -31,13 +31,14 @@
 	log      *slog.Logger
 	bounds   Bounds
 	unread   time.Duration
+	part     time.Duration // for the next bytes of a request that has begun
 	unready  atomic.Bool
 	closing  atomic.Bool
 }
 
 // NewFront returns a Front that serves nobody before Serve.
 func NewFront(listener string, c clock.Clock, set *callers.Set, calls *dispatch.Dispatcher, count *figures.Set, log *slog.Logger) *Front {
-	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost}
+	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost, part: partTimeout}
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
--- a/internal/fastcgi/left_test.go
+++ b/internal/fastcgi/left_test.go
@@ -1,9 +1,13 @@
 package fastcgi
 
 import (
+	"bytes"
 	"io"
+	"log/slog"
 	"net"
+	"sync"
 	"testing"
+	"time"
 
 	"woodpick/internal/callers"
 	"woodpick/internal/standin"
@@ -62,3 +66,41 @@
 		}
 	}
 }
+
+// A request that stops in its middle, or a record that makes no sense, ends its connection, but no other request on it: that is
+// answered first, also over bytes that come behind.
+func TestTroubleOnAConnectionCostsTheOthersNothing(t *testing.T) {
+	for name, trouble := range map[string]func(*webServer){
+		"half a request": func(w *webServer) { w.Begin(variables("POST", "/note/k", "half"), true); w.out.Flush() },
+		"no record":      func(w *webServer) { w.Write(bytes.Repeat([]byte{9}, 64)) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			hold, got := make(chan struct{}), make(chan struct{}, 1)
+			s := standin.NewServer(t, standin.Held(hold, got))
+			n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+			log := &toldOnce{told: make(chan struct{})}
+			n.front.part, n.front.log = 50*time.Millisecond, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+			w := connect(t, n)
+			id := w.ask(t, variables("GET", "/view/k", "held"), "")
+			standin.Receive(t, got, "the attempt")
+			trouble(w)
+			standin.Receive(t, log.told, "the reading to end")
+			io.WriteString(w, "and more")
+			close(hold)
+			if a := w.hear(t, 1)[id]; a.status() != "200 OK" || a.body() != "for held" {
+				t.Errorf("got %q", a.text)
+			}
+		})
+	}
+}
+
+// toldOnce closes told once anything is written.
+type toldOnce struct {
+	told chan struct{}
+	once sync.Once
+}
+
+func (w *toldOnce) Write(p []byte) (int, error) {
+	w.once.Do(func() { close(w.told) })
+	return len(p), nil
+}
