--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -14,6 +14,7 @@
 	"woodpick/internal/dispatch"
 	"woodpick/internal/engine"
 	"woodpick/internal/offers"
+	"woodpick/internal/route"
 	"woodpick/internal/standin"
 )
 
@@ -21,12 +22,14 @@
 type backend struct {
 	outcomes []engine.Outcome
 	attempts []*engine.Attempt
+	takes    time.Duration // each attempt
 }
 
 func (b *backend) Run(a *engine.Attempt) engine.Outcome {
 	a.Allowed()
 	out := b.outcomes[min(len(b.attempts), len(b.outcomes)-1)]
 	b.attempts = append(b.attempts, a)
+	time.Sleep(b.takes)
 	return out
 }
 
@@ -36,6 +39,12 @@
 
 // resume has a call carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
 func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) custody.Outcome {
+	t.Helper()
+	return carry(t, b, pool, effect, attempts, within, []custody.Intent{{Pool: pool, Server: "s0", ID: "call"}})
+}
+
+// carry has a call carried out, of which there have been earlier attempts. Routes name the pool, by an offer of this partner's own.
+func carry(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, earlier []custody.Intent) custody.Outcome {
 	t.Helper()
 	const partner = "p1"
 	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(standin.Limit)}
@@ -53,14 +62,15 @@
 		servers.Targets = append(servers.Targets, discovery.Target{Server: woodpick.Server{ID: id}, Endpoint: "127.0.0.1:1"})
 	}
 	eng.Hold(servers)
-	view, err := dispatch.NewView(&config.Config{}, map[string]*engine.Engine{pool: eng})
+	view, err := dispatch.NewView(&config.Config{Classes: []config.Class{class}, Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}}, Pools: []config.Pool{{Name: pool}}, Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}}}, map[string]*engine.Engine{pool: eng})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
 	g := &Gateway{o: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
-	g.self.Partner, g.table = "p0", offers.NewTable(offers.Policy{Self: "p0"}, time.Now)
+	g.offers = &offers.Exchange{} // that knows of nobody
+	g.self.Partner, g.table = "p0", offers.NewTable(offers.Policy{Self: "p0", Own: []offers.Offer{{ID: offers.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
 	g.policy.Store(&policy{partners: map[string]bool{partner: true}})
 	g.ctx, g.end = context.WithCancel(t.Context())
 	defer g.tasks.Wait()
@@ -69,7 +79,7 @@
 	defer func() { <-over }()
 	defer g.end()
 	record := custody.Record{ID: "call", Key: custody.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
-	earlier := []custody.Intent{{Pool: pool, Server: "s0", ID: "call"}}
+	record.Route.Listener, record.Route.Path = "main", "/note/x"
 	return g.run(ctx, &record, engine.Request{Method: "POST", Target: "/note/x"}, class, earlier, nil)
 }
 
@@ -116,3 +126,17 @@
 		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.N, a.To.Server, a.Call.Request.Beside)
 	}
 }
+
+// A call that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
+func TestAnotherWayHasWhatIsLeft(t *testing.T) {
+	const takes = 100 * time.Millisecond
+	b := &backend{outcomes: []engine.Outcome{{Ending: woodpick.Overloaded, Why: "a rule"}}, takes: takes}
+	carry(t, b, config.PartnerPool("p1"), config.Safe, 1, standin.Limit, nil)
+	if len(b.attempts) != mostWays {
+		t.Fatalf("%d attempts, want %d", len(b.attempts), mostWays)
+	}
+	first, last := b.attempts[0].Call.Deadline, b.attempts[mostWays-1].Call.Deadline
+	if later := last - first; later > takes {
+		t.Errorf("the last attempt may take until %v after the first one's time", later)
+	}
+}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -39,13 +39,7 @@
 // run has a call carried out: by the engine of this partner's pool that routes name, or by a partner whose offer it goes by.
 // w allows its attempts, where it is in custody; earlier are those that others made. A kind of 0: ctx has ended.
 func (g *Gateway) run(ctx context.Context, r *custody.Record, req engine.Request, class config.Class, earlier []custody.Intent, w *custody.Work) custody.Outcome {
-	left := r.Left
-	if w != nil {
-		left = w.Left() - settling
-	} else if at, ok := ctx.Deadline(); ok {
-		left = time.Until(at)
-	}
-	step := custody.Next(class.ForModule().Effect, earlier, left, toPartner)
+	step := custody.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
 	// What may have run goes back to where it may have: servers and partners elsewhere know nothing of it.
 	forced := ""
 	switch step {
@@ -68,7 +62,7 @@
 			}
 			return custody.Outcome{Kind: custody.Refused, NotRun: true, Why: why, Retry: comeBack}
 		}
-		last = g.attempt(ctx, r, req, pool, way, left, earlier, w, false)
+		last = g.attempt(ctx, r, req, pool, way, timeLeft(ctx, r, w), earlier, w, false)
 		if last.unsure && way.Way != nil && way.Custody {
 			// Whoever has it in hand there now tells what became of it.
 			return g.askPartner(ctx, r, req, pool, earlier, w)
@@ -81,6 +75,17 @@
 	return last.out
 }
 
+// timeLeft is what is left now to whoever waits for a call: each way that it tries takes some.
+func timeLeft(ctx context.Context, r *custody.Record, w *custody.Work) time.Duration {
+	if w != nil {
+		return w.Left() - settling
+	}
+	if at, ok := ctx.Deadline(); ok {
+		return time.Until(at)
+	}
+	return r.Left
+}
+
 // mayRunIn is the pool of the last attempt that may have run.
 func mayRunIn(earlier []custody.Intent) (pool string) {
 	for _, in := range earlier {
@@ -126,11 +131,7 @@
 // question was refused, or came to nobody, says nothing of the call: only a refusal that is settled there is its answer.
 func (g *Gateway) askPartner(ctx context.Context, r *custody.Record, req engine.Request, pool string, earlier []custody.Intent, w *custody.Work) custody.Outcome {
 	for ctx.Err() == nil {
-		at, _ := ctx.Deadline()
-		left := time.Until(at)
-		if w != nil {
-			left = w.Left() - settling
-		}
+		left := timeLeft(ctx, r, w)
 		if left <= 0 {
 			break
 		}
