--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -65,7 +65,7 @@
 }
 
 // openDescriptors counts those of this process.
-func openDescriptors(t *testing.T) int {
+func openDescriptors(t testing.TB) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"runtime"
 	"strconv"
 	"strings"
@@ -128,12 +127,6 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// openDescriptors is how many descriptors this process has open.
-func openDescriptors() int {
-	l, _ := os.ReadDir("/proc/self/fd")
-	return len(l)
-}
-
 // countingServer answers all requests, and counts the connections made to it.
 func countingServer(t testing.TB) (address string, made *atomic.Int64) {
 	made = &atomic.Int64{}
@@ -196,7 +189,7 @@
 		agent.tell(endpoint, listChange{uid(i), "in_service", ""})
 	}
 	runtime.GC()
-	before := openDescriptors()
+	before := openDescriptors(t)
 	node := startFleetNode(t, size, agent)
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
@@ -204,7 +197,7 @@
 	look := func() {
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		n.heap, n.descriptors = max(n.heap, m.HeapAlloc), max(n.descriptors, openDescriptors()-before)
+		n.heap, n.descriptors = max(n.heap, m.HeapAlloc), max(n.descriptors, openDescriptors(t)-before)
 	}
 	last := 0
 	for r := range requests * messages {
