--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -47,6 +47,10 @@
 	patience time.Duration // with which a write is waited for
 	inRead   atomic.Bool   // its reader waits for the next bytes
 
+	// unwritable is closed by the first write that fails: no answer can follow it.
+	unwritable     chan struct{}
+	markUnwritable func()
+
 	// What callers.Set asks for. Never held while something is read or written.
 	state    sync.Mutex
 	midway   bool // within a record, as far as is known
@@ -72,7 +76,8 @@
 }
 
 func (f *Front) serve(nc net.Conn) {
-	c := &client{Conn: nc, front: f, calls: map[uint16]*call{}, patience: writeTimeout}
+	c := &client{Conn: nc, front: f, calls: map[uint16]*call{}, patience: writeTimeout, unwritable: make(chan struct{})}
+	c.markUnwritable = sync.OnceFunc(func() { close(c.unwritable) })
 	c.out = NewWriter(writes{c})
 	c.app = NewApplication(f.bounds, c.out)
 	c.in = bufio.NewReader(reads{c})
@@ -109,7 +114,7 @@
 	return errors.As(err, &named) && !errors.Is(err, ErrCut) && !errors.As(err, &network)
 }
 
-// settle returns once all that the module has is answered. No record can be read any more, but the web server is still there:
+// settle returns once all that the module has is answered, or no answer can be written any more. No record can be read any more, but the web server is still there:
 // a request that stopped in its middle, or a record that makes no sense, costs the others on its connection nothing.
 func (c *client) settle() {
 	c.mu.Lock()
@@ -122,7 +127,11 @@
 	c.ended = c.ended || len(open) > 0
 	c.mu.Unlock()
 	for _, r := range open {
-		<-r.gone
+		select {
+		case <-r.gone:
+		case <-c.unwritable:
+			return
+		}
 	}
 }
 
@@ -252,6 +261,7 @@
 func (c *client) flush() error {
 	err := c.out.Flush()
 	if err != nil {
+		c.markUnwritable()
 		c.CutOff() // its reader ends, and closes it
 	}
 	return err
