--- a/cmd/damsontrestle/apply.go
+++ b/cmd/damsontrestle/apply.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/plan"
 )
 
 func join(list []string) string { return strings.Join(list, ", ") }
--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/config"
-	"woodpick/internal/plan"
-	"woodpick/internal/rig/link"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/testpeer"
 )
 
 // site is a folder with a node's file.
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return &site{dir: dir, file: filepath.Join(dir, "node.hcl"), listen: standin.ClosedPort(t)}
+	return &site{dir: dir, file: filepath.Join(dir, "node.hcl"), listen: testpeer.ClosedPort(t)}
 }
 
 // text is a file whose pool has these servers.
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	standin.Until(t, "the node to answer", func() bool {
+	testpeer.Until(t, "the node to answer", func() bool {
 		show, err := admin.NewClient(s.dir + "/admin").Show(t.Context())
 		return err == nil && show.Node == "n1"
 	})
@@ -107,7 +107,7 @@
 }
 
 func TestCommandsAndTheirExitCodes(t *testing.T) {
-	a, b := standin.NewServer(t, standin.Echo), standin.NewServer(t, standin.Echo)
+	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	s := newSite(t)
 	p := s.dir + "/plan"
 	s.write(t, s.text(a.Address()))
@@ -177,7 +177,7 @@
 // A node that serves a file ends with 0 on SIGTERM, reads the file again on SIGHUP, and ends with 1 and all that
 // is wrong if it can't start.
 func TestServeAndItsSignals(t *testing.T) {
-	a := standin.NewServer(t, standin.Echo)
+	a := testpeer.NewServer(t, testpeer.Echo)
 	s := newSite(t)
 	s.write(t, strings.Replace(s.text(a.Address()), `aim = "10s"`, `aim = "1h"`, 2))
 	out, errs, code := s.run(t, "serve", s.file)
@@ -186,13 +186,13 @@
 	}
 	s.write(t, s.text(a.Address()))
 	cmd := s.serve(t)
-	c := standin.Dial(t, s.listen)
+	c := testpeer.Dial(t, s.listen)
 	c.Send("GET", "/view/k", "one", "", "15")
 	c.Want(t, 200, "for one")
-	b := standin.NewServer(t, standin.Echo)
+	b := testpeer.NewServer(t, testpeer.Echo)
 	s.write(t, s.text(a.Address(), b.Address()))
 	cmd.Process.Signal(syscall.SIGHUP)
-	standin.Until(t, "the file to be taken over", func() bool {
+	testpeer.Until(t, "the file to be taken over", func() bool {
 		show, err := admin.NewClient(s.dir + "/admin").Show(t.Context())
 		return err == nil && show.Serial == 2 && show.By == "reload"
 	})
@@ -218,7 +218,7 @@
 	var names [3]string
 	for i := range names {
 		name := fmt.Sprint("box", i)
-		names[i] = standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return standin.Reply200(c, name) }).Address()
+		names[i] = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) }).Address()
 	}
 	s := newSite(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -245,7 +245,7 @@
 			if d := plan.Diff(configs[show.Fingerprint], show.Config); len(d) > 0 || !strings.Contains(show.Start, "as it was put in place") && kill > 1 {
 				t.Fatalf("kill %d: %v, %s", kill, d, show.Start)
 			}
-			c := standin.Dial(t, s.listen)
+			c := testpeer.Dial(t, s.listen)
 			c.Send("GET", "/view/k", fmt.Sprint("kill-", kill), "", "15")
 			if _, body := c.Answer(t); !serves(show.Config, names, body) {
 				t.Fatalf("kill %d: served by %q", kill, body)
@@ -320,8 +320,8 @@
 	}
 	defer os.RemoveAll(dir)
 	cmd := exec.Command("bash", "../../deploy/first-minute.sh")
-	cmd.Env = append(os.Environ(), "FIRST_MINUTE_DIR="+dir, "FIRST_MINUTE_LISTEN="+standin.ClosedPort(t),
-		"FIRST_MINUTE_BOXES="+standin.ClosedPort(t)+","+standin.ClosedPort(t))
+	cmd.Env = append(os.Environ(), "FIRST_MINUTE_DIR="+dir, "FIRST_MINUTE_LISTEN="+testpeer.ClosedPort(t),
+		"FIRST_MINUTE_BOXES="+testpeer.ClosedPort(t)+","+testpeer.ClosedPort(t))
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -361,7 +361,7 @@
 
 // A node tells what it knows of others and of zones; one whose file has neither says so.
 func TestMembersAndFactsAreShown(t *testing.T) {
-	a := standin.NewServer(t, standin.Echo)
+	a := testpeer.NewServer(t, testpeer.Echo)
 	s := newSite(t)
 	s.write(t, s.text(a.Address()))
 	alone := s.serve(t)
@@ -373,12 +373,12 @@
 	if err := os.WriteFile(key, []byte("a key of sixteen bytes or more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	peers := fmt.Sprintf("peers {\n listen = %q\n key_file = %q\n fresh = \"1s\"\n region = \"south\"\n}\n limits {", standin.ClosedPort(t), key)
+	peers := fmt.Sprintf("peers {\n listen = %q\n key_file = %q\n fresh = \"1s\"\n region = \"south\"\n}\n limits {", testpeer.ClosedPort(t), key)
 	s.write(t, strings.Replace(s.text(a.Address()), "limits {", peers, 1))
 	s.want(t, 1, "node.peers.fresh: found 1s; allowed: 4.27s", "validate", s.editedFile(t, `fresh = "1s"`, "fresh = \"1s\"\n delay = \"100ms\""))
 	s.serve(t, "-from-file")
 	s.want(t, 0, "0 alive, 0 suspect, 0 dead, 0 left beside this node", "members", s.file)
-	standin.Until(t, "what it knows of its own zone to be shown", func() bool {
+	testpeer.Until(t, "what it knows of its own zone to be shown", func() bool {
 		out, _, _ := s.run(t, "facts", s.file)
 		return strings.Contains(out, "fresh: up to 1s") && strings.Contains(out, "ALONE") && strings.Contains(out, "newest") && strings.Contains(out, "configuration")
 	})
--- a/cmd/damsontrestle/ending_test.go
+++ b/cmd/damsontrestle/ending_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // platformConfig is a file of the platform's for one node.
@@ -25,9 +25,9 @@
 }
 
 // caller connects to a node for as long as a test may take.
-func caller(t *testing.T, address string) *standin.Caller {
+func caller(t *testing.T, address string) *testpeer.Caller {
 	t.Helper()
-	c := standin.Dial(t, address)
+	c := testpeer.Dial(t, address)
 	c.SetDeadline(time.Now().Add(limit))
 	return c
 }
@@ -36,15 +36,15 @@
 func TestSignalsDuringTheEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	server := standin.NewServer(t, standin.Held(hold, got))
-	agent := standin.NewAgent(t)
-	list := strings.Replace(standin.Whole(standin.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
-	agent.Tell(false, standin.Whole(standin.Entry("s1", server.Address(), "in_service")))
+	server := testpeer.NewServer(t, testpeer.Held(hold, got))
+	agent := testpeer.NewAgent(t)
+	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
 	config := platformConfig(agent.Address(), 256, list, settings)
 	cmd, address, log := start(t, path, config)
 	c := caller(t, address)
 	c.Send("GET", "/view/k", "held", "", "40")
-	standin.Receive(t, got, "the request at the server")
+	testpeer.Receive(t, got, "the request at the server")
 	signal := func(s syscall.Signal) {
 		t.Helper()
 		if err := cmd.Process.Signal(s); err != nil {
@@ -71,7 +71,7 @@
 // A node that is told to end before it has heard of any server refuses what it has taken, and exits with 0.
 func TestSIGTERMBeforeReady(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	agent := standin.NewAgent(t)
+	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
 	short := strings.Replace(settings, `"deadline-ms":40000`, `"deadline-ms":20000`, 1)
 	cmd, address, log := start(t, path, platformConfig(agent.Address(), 256, `{"rev":0,"all":true,"targets":[]}`, short))
@@ -97,8 +97,8 @@
 func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
 	path := filepath.Join(t.TempDir(), "config.json")
-	server := standin.NewServer(t, standin.Echo)
-	discovery := standin.ClosedPort(t)
+	server := testpeer.NewServer(t, testpeer.Echo)
+	discovery := testpeer.ClosedPort(t)
 	cmd, address, log := startBy(t, fmt.Sprintf("ulimit -n %d; %s", sockets, build(t).run), path,
 		platformConfig(discovery, sockets, `{"rev":0,"all":true,"targets":[]}`, settings))
 	for i := range 3 * sockets {
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := strings.Replace(standin.Whole(standin.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	registry := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "1" {
 			<-r.Context().Done() // nothing new
@@ -127,7 +127,7 @@
 	})}
 	go registry.Serve(ln)
 	defer registry.Close()
-	standin.Until(t, "a request to be served", func() bool {
+	testpeer.Until(t, "a request to be served", func() bool {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(platformConfig(standin.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, settings), "127.0.0.1:0", taken.Addr().String(), 1)
+	text := strings.Replace(platformConfig(testpeer.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, settings), "127.0.0.1:0", taken.Addr().String(), 1)
 	for _, free := range []bool{false, true} {
 		cmd, log := launch(t, build(t).run, path, text)
 		await(t, log, "a socket can't be opened and is tried again")
@@ -230,16 +230,16 @@
 // endOfProgram tells how long the program takes to end. during is called when SIGTERM was sent; nil: nothing is.
 func endOfProgram(t *testing.T, deadline time.Duration, during func(*os.Process)) (took time.Duration) {
 	var hangs atomic.Bool
-	server := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if hangs.Load() {
 			io.Copy(io.Discard, c)
 			return false
 		}
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
-	agent := standin.NewAgent(t)
-	agent.Tell(false, standin.Whole(standin.Entry("s1", server.Address(), "in_service")))
-	list := strings.Replace(standin.Whole(standin.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	agent := testpeer.NewAgent(t)
+	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	short := strings.NewReplacer("40000", fmt.Sprint(deadline.Milliseconds()), `"target-ms":20000`, fmt.Sprintf(`"target-ms":%d`, deadline.Milliseconds()/2)).Replace(settings)
 	cmd, address, _ := start(t, filepath.Join(t.TempDir(), "config.json"), platformConfig(agent.Address(), 256, list, short))
 	first := make(chan struct{}, 1)
@@ -253,7 +253,7 @@
 		answered[c.name] = c.answered
 		clients.Go(func() { c.run(first) })
 	}
-	standin.Receive(t, first, "an answer")
+	testpeer.Receive(t, first, "an answer")
 	hangs.Store(true)
 	begin := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -12,9 +12,9 @@
 	"strings"
 	"syscall"
 
-	"woodpick/internal/config"
-	"woodpick/internal/node"
-	"woodpick/internal/succession"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/hotrestart"
+	"damsontrestle/internal/node"
 )
 
 func main() {
@@ -39,7 +39,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
-	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: succession.Listen, Line: enter(cfg, log), Start: ctx})
+	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: hotrestart.Listen, Line: enter(cfg, log), Start: ctx})
 	if err != nil {
 		if ctx.Err() != nil {
 			log.Info("told to end before it listened", "error", err)
@@ -61,12 +61,12 @@
 }
 
 // enter joins the processes of the node that the platform has in its folder while one takes over from another.
-func enter(cfg *config.Config, log *slog.Logger) *succession.Line {
+func enter(cfg *config.Config, log *slog.Logger) *hotrestart.Line {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
 		return nil // what is not the node's own could hold another's files
 	}
-	line, err := succession.Enter(folder, "node")
+	line, err := hotrestart.Enter(folder, "node")
 	if err != nil {
 		log.Warn("this process knows of no other of its node", "error", err)
 	}
--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -8,23 +8,23 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/peers"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/gossip"
 )
 
 func newMembers() *cobra.Command {
 	return newLook("members", "Show what a node knows of other nodes",
 		"members tells of each node that this one knows: whether it lives, since when, when it was heard last, and what\nwas dropped of the datagrams that came and why.",
 		"write everything as JSON",
-		func(s admin.Show) (peers.Status, error) {
+		func(s admin.Show) (gossip.Status, error) {
 			if s.Status.Peers == nil {
-				return peers.Status{}, fmt.Errorf("node %s knows of no others: its file has no peers block", s.Node)
+				return gossip.Status{}, fmt.Errorf("node %s knows of no others: its file has no peers block", s.Node)
 			}
 			return *s.Status.Peers, nil
 		}, writeMembers)
 }
 
-func writeMembers(out io.Writer, s peers.Status) {
+func writeMembers(out io.Writer, s gossip.Status) {
 	count := map[string]int{}
 	for _, m := range s.Members {
 		count[m.Status]++
@@ -51,15 +51,15 @@
 	return newLook("facts", "Show what a node knows of each zone, and how old that is",
 		"facts tells of each zone whether what is known of it is fresh, since when, from how many of its nodes, and how old it\nis at most; then what is known, and what was dropped and why.",
 		"write everything as JSON",
-		func(s admin.Show) (peers.Facts, error) {
+		func(s admin.Show) (gossip.Facts, error) {
 			if s.Status.Peers == nil || s.Status.Peers.Facts == nil {
-				return peers.Facts{}, fmt.Errorf("node %s is told nothing of zones: its file has no peers block with fresh", s.Node)
+				return gossip.Facts{}, fmt.Errorf("node %s is told nothing of zones: its file has no peers block with fresh", s.Node)
 			}
 			return *s.Status.Peers.Facts, nil
 		}, writeFacts)
 }
 
-func writeFacts(out io.Writer, f peers.Facts) {
+func writeFacts(out io.Writer, f gossip.Facts) {
 	fmt.Fprintf(out, "fresh: up to %v; %d rows held", f.Fresh, f.Rows)
 	if f.Alone {
 		fmt.Fprint(out, "; ALONE: nothing fresh is known of anybody else")
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -11,8 +11,8 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/config"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/plan"
 )
 
 // Exit codes of plan with -detailed-exitcode, as Terraform has them.
--- a/cmd/damsontrestle/rollback.go
+++ b/cmd/damsontrestle/rollback.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/plan"
 )
 
 func newRollback() *cobra.Command {
--- a/cmd/damsontrestle/root.go
+++ b/cmd/damsontrestle/root.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/config"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
 )
 
 // newRoot returns the commands.
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/daemon"
-	"woodpick/internal/node"
+	"damsontrestle/internal/daemon"
+	"damsontrestle/internal/node"
 )
 
 func newServe() *cobra.Command {
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/plan"
 )
 
 func newShow() *cobra.Command {
--- a/cmd/damsontrestle/validate.go
+++ b/cmd/damsontrestle/validate.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/config"
+	"damsontrestle/internal/config"
 )
 
 func newValidate() *cobra.Command {
--- a/cmd/fleetlab/compare.go
+++ b/cmd/faultbench/compare.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/rig"
-	"woodpick/internal/rig/report"
+	"damsontrestle/internal/faultbench"
+	"damsontrestle/internal/faultbench/report"
 )
 
 func newCompare() *cobra.Command {
@@ -57,7 +57,7 @@
 }
 
 // results reads all of a folder.
-func results(folder string) (out []*rig.Result, err error) {
+func results(folder string) (out []*faultbench.Result, err error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil || len(paths) == 0 {
 		return nil, fmt.Errorf("%s holds no results", folder)
--- a/cmd/fleetlab/explore.go
+++ b/cmd/faultbench/explore.go
@@ -8,27 +8,27 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/explore"
-	"woodpick/internal/explore/exchange"
-	"woodpick/internal/explore/swim"
-	"woodpick/internal/members"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/modelcheck"
+	"damsontrestle/internal/modelcheck/exchange"
+	"damsontrestle/internal/modelcheck/swim"
 )
 
 // explored are the systems that can be played, each small enough to be searched, and larger for walks.
 var explored = map[string]struct {
-	small func() (explore.State, error)
-	large func() (explore.State, error)
+	small func() (modelcheck.State, error)
+	large func() (modelcheck.State, error)
 }{
 	"members": {
-		func() (explore.State, error) { return swim.New(swim.Small()) },
-		func() (explore.State, error) {
+		func() (modelcheck.State, error) { return swim.New(swim.Small()) },
+		func() (modelcheck.State, error) {
 			return swim.New(swim.Bounds{Nodes: 5, Ticks: 200, Drops: 60, Doubles: 20, Crashes: 5, Leaves: 1, Stops: 5,
-				Skew: 10 * time.Second, Options: members.Defaults(), MostFlying: 60})
+				Skew: 10 * time.Second, Options: membership.Defaults(), MostFlying: 60})
 		},
 	},
 	"facts": {
-		func() (explore.State, error) { return exchange.New(exchange.Small()) },
-		func() (explore.State, error) {
+		func() (modelcheck.State, error) { return exchange.New(exchange.Small()) },
+		func() (modelcheck.State, error) {
 			return exchange.New(exchange.Bounds{Zones: []int{0, 0, 0, 1, 1, 2}, Ticks: 1000, Drops: 100, Doubles: 50, Crashes: 5, Waits: 8,
 				Wait: 900 * time.Millisecond, MostFlying: 60, Fresh: 2 * time.Second})
 		},
@@ -57,7 +57,7 @@
 				return err
 			}
 			begin := time.Now()
-			r, breach := explore.Search(start, states, 100)
+			r, breach := modelcheck.Search(start, states, 100)
 			if breach != nil {
 				return breach
 			}
@@ -66,8 +66,8 @@
 				return err
 			}
 			begin = time.Now()
-			if at, breach := explore.Walks(start, seed, walks, steps); breach != nil {
-				return fmt.Errorf("seed %d: %w", at, explore.Shorten(start, breach))
+			if at, breach := modelcheck.Walks(start, seed, walks, steps); breach != nil {
+				return fmt.Errorf("seed %d: %w", at, modelcheck.Shorten(start, breach))
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d random histories of %d steps, each to its end: %v\n", walks, steps, time.Since(begin).Round(time.Millisecond))
 			return nil
--- a/cmd/fleetlab/league.go
+++ b/cmd/faultbench/federation.go
@@ -8,14 +8,14 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/budget"
-	"woodpick/internal/rig/league"
+	"damsontrestle/internal/budget"
+	"damsontrestle/internal/faultbench/federation"
 )
 
 func newLeague() *cobra.Command {
 	var (
-		o        league.Options
-		d        league.Day
+		o        federation.Options
+		d        federation.Day
 		binary   string
 		seeds    int
 		quota    float64
@@ -27,8 +27,8 @@
 			"plays the same without custody: callers send again by themselves what is harmless to send again.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if !slices.Contains(league.Faults, d.Fault) {
-				return fmt.Errorf("found the fault %q; allowed: %v", d.Fault, league.Faults)
+			if !slices.Contains(federation.Faults, d.Fault) {
+				return fmt.Errorf("found the fault %q; allowed: %v", d.Fault, federation.Faults)
 			}
 			if _, err := os.Stat(binary); err != nil {
 				return fmt.Errorf("the program: %w; build it first: go build -o bin/ ./cmd/...", err)
@@ -57,7 +57,7 @@
 					o.Quota = text
 				}
 				begin := time.Now()
-				l, err := league.Start(cmd.Context(), o)
+				l, err := federation.Start(cmd.Context(), o)
 				if err != nil {
 					return err
 				}
@@ -106,7 +106,7 @@
 	fl.DurationVar(&d.Length, "length", 20*time.Second, "")
 	fl.Float64Var(&d.Rate, "rate", 5, "calls a second that come to each gateway")
 	fl.Float64Var(&d.Away, "away", 0.3, "share of calls for another partner")
-	fl.StringVar(&d.Fault, "fault", "none", fmt.Sprint(league.Faults))
+	fl.StringVar(&d.Fault, "fault", "none", fmt.Sprint(federation.Faults))
 	fl.DurationVar(&d.Every, "every", 200*time.Millisecond, "between two faults")
 	fl.DurationVar(&d.For, "for", time.Second, "that a fault lasts")
 	fl.IntVar(&seeds, "seeds", 1, "")
@@ -122,8 +122,8 @@
 	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Over: 0.05, Lease: 300 * time.Millisecond, Term: time.Second, WhenCut: budget.Closed}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
 	for p := range partners {
-		t.Partners = append(t.Partners, budget.Partner{Name: league.Name(p), Weight: 1, Gateways: gateways})
-		text += fmt.Sprintf(" partner %q {\n gateways = %d\n }\n", league.Name(p), gateways)
+		t.Partners = append(t.Partners, budget.Partner{Name: federation.Name(p), Weight: 1, Gateways: gateways})
+		text += fmt.Sprintf(" partner %q {\n gateways = %d\n }\n", federation.Name(p), gateways)
 	}
 	return t.Bound, text
 }
--- a/cmd/fleetlab/main.go
+++ b/cmd/faultbench/main.go
@@ -1,4 +1,4 @@
-// Command fleetlab plays experiments: hundreds of nodes as processes of their own, servers and callers, and faults
+// Command faultbench plays experiments: hundreds of nodes as processes of their own, servers and callers, and faults
 // between them, and tells how evenly load was spread and which rules were broken.
 package main
 
@@ -15,7 +15,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	root := &cobra.Command{Use: "fleetlab", Short: "Play experiments with hundreds of nodes, and faults between them",
+	root := &cobra.Command{Use: "faultbench", Short: "Play experiments with hundreds of nodes, and faults between them",
 		SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(newRun(), newWeigh(), newCompare(), newExplore(), newCrowd(), newLeague(), newValidate())
 	if err := root.ExecuteContext(ctx); err != nil {
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/faultbench/main_test.go
@@ -12,14 +12,14 @@
 	"syscall"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // build makes the rig and the node's program in a folder of their own.
 func build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir+"/", "woodpick/cmd/fleetlab", "woodpick/cmd/damsontrestle").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir+"/", "damsontrestle/cmd/faultbench", "damsontrestle/cmd/damsontrestle").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return dir
@@ -89,7 +89,7 @@
 // A rig that is killed leaves no process, no file and no port behind.
 func TestAKilledRigLeavesNothing(t *testing.T) {
 	dir, temp := build(t), t.TempDir()
-	cmd := exec.Command(filepath.Join(dir, "fleetlab"), "run", "../../deploy/experiments/even.hcl", "--nodes", "6", "--program", filepath.Join(dir, "damsontrestle"))
+	cmd := exec.Command(filepath.Join(dir, "faultbench"), "run", "../../deploy/experiments/even.hcl", "--nodes", "6", "--program", filepath.Join(dir, "damsontrestle"))
 	cmd.Env = append(os.Environ(), "TMPDIR="+temp)
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -114,7 +114,7 @@
 			}
 		}
 	}()
-	standin.Receive(t, ready, "that the nodes are ready")
+	testpeer.Receive(t, ready, "that the nodes are ready")
 	nodes := children(t, cmd.Process.Pid)
 	if len(nodes) != 6 {
 		t.Fatalf("the rig has %d children, want 6: %v", len(nodes), nodes)
@@ -129,7 +129,7 @@
 	}
 	cmd.Wait()
 	killed = true
-	standin.Until(t, "all that the rig has started ends with it", func() bool {
+	testpeer.Until(t, "all that the rig has started ends with it", func() bool {
 		for id := range nodes {
 			if now, _ := identity(strings.Fields(id)[0]); now != id {
 				delete(nodes, id)
@@ -137,7 +137,7 @@
 		}
 		return len(nodes) == 0
 	})
-	standin.Until(t, "its ports are free", func() bool {
+	testpeer.Until(t, "its ports are free", func() bool {
 		now := listening(t)
 		for inode := range own {
 			if now[inode] {
--- a/cmd/fleetlab/run.go
+++ b/cmd/faultbench/run.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/rig"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 func newRun() *cobra.Command {
@@ -32,10 +32,10 @@
 			"process that ends by itself, makes the command fail; where the rig itself was too slow nothing is judged.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var runs []rig.Options
+			var runs []faultbench.Options
 			for _, p := range policies {
 				if p != string(experiment.Program) {
-					runs = append(runs, rig.Options{Policy: experiment.Policy(p)})
+					runs = append(runs, faultbench.Options{Policy: experiment.Policy(p)})
 					continue
 				}
 				for _, program := range programs {
@@ -46,7 +46,7 @@
 					if _, err := os.Stat(path); err != nil {
 						return fmt.Errorf("the program: %w; build it first: go build -o bin/ ./cmd/...", err)
 					}
-					runs = append(runs, rig.Options{Policy: experiment.Program, Binary: path, Name: name})
+					runs = append(runs, faultbench.Options{Policy: experiment.Program, Binary: path, Name: name})
 				}
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
@@ -71,7 +71,7 @@
 									fmt.Fprintf(cmd.ErrOrStderr(), time.Now().Format("15:04:05.000")+" "+format+"\n", args...)
 								}
 							}
-							res, err := rig.Run(cmd.Context(), e, o)
+							res, err := faultbench.Run(cmd.Context(), e, o)
 							if err != nil {
 								return err
 							}
@@ -148,7 +148,7 @@
 }
 
 // save writes a result to a file of its own.
-func save(folder string, r *rig.Result, utilisation float64) error {
+func save(folder string, r *faultbench.Result, utilisation float64) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("result: %w", err)
 	}
--- a/cmd/fleetlab/crowd.go
+++ b/cmd/faultbench/simulate.go
@@ -8,15 +8,15 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick/internal/explore/crowd"
-	"woodpick/internal/explore/exchange"
-	"woodpick/internal/explore/swim"
-	"woodpick/internal/members"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/modelcheck/exchange"
+	"damsontrestle/internal/modelcheck/swim"
+	"damsontrestle/internal/simulation"
 )
 
 func newCrowd() *cobra.Command {
 	var (
-		w     crowd.World
+		w     simulation.World
 		nodes []int
 		loss  []float64
 		seeds int
@@ -32,14 +32,14 @@
 			defer out.Flush()
 			line := membersLine
 			if args[0] == "facts" {
-				line = func(out io.Writer, worlds []crowd.World) error { return factsLine(out, worlds, fresh) }
+				line = func(out io.Writer, worlds []simulation.World) error { return factsLine(out, worlds, fresh) }
 			}
 			if err := line(out, nil); err != nil {
 				return err
 			}
 			for _, n := range nodes {
 				for _, l := range loss {
-					var worlds []crowd.World
+					var worlds []simulation.World
 					for s := range seeds {
 						w := w
 						w.Nodes, w.Loss, w.Seed = n, l, w.Seed+uint64(s)
@@ -85,7 +85,7 @@
 }
 
 // membersLine plays worlds that differ in their seeds and prints a line; of none, the head. Times are the longest.
-func membersLine(out io.Writer, worlds []crowd.World) error {
+func membersLine(out io.Writer, worlds []simulation.World) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tjoined 95 %\tall\tdead known 95 %\tall\tparted 95 %\tback 95 %\tall\tfalse deaths\tmember-minutes\tdatagrams/s\tbytes/s\tmost\till health\ttook")
 		return err
@@ -98,7 +98,7 @@
 		}
 	}
 	for i, w := range worlds {
-		s, err := swim.Play(w, members.Defaults())
+		s, err := swim.Play(w, membership.Defaults())
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", w.Seed, err)
 		}
@@ -119,7 +119,7 @@
 }
 
 // factsLine is as membersLine, of facts. Shares and rates are means.
-func factsLine(out io.Writer, worlds []crowd.World, fresh time.Duration) error {
+func factsLine(out io.Writer, worlds []simulation.World, fresh time.Duration) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tfresh\tcounted\twhole\tage\tmost\tbeyond the truth\tdatagrams/s\tbytes/s\tmost\trows\tback after a cut\ttook")
 		return err
--- a/cmd/fleetlab/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -7,10 +7,10 @@
 
 	"github.com/spf13/cobra"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/virtual"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/virtual"
 )
 
 // load reads an experiment, with another seed where one is given.
@@ -44,7 +44,7 @@
 						if len(utilisation) > 0 {
 							e.Callers.Rate, e.Callers.Utilisation = 0, utilisation[0]
 						}
-						a, f, err := virtual.PlayTold(e, experiment.Policy(policy), func(s *woodpick.Settings) {
+						a, f, err := virtual.PlayTold(e, experiment.Policy(policy), func(s *balancer.Settings) {
 							if asks >= 0 {
 								s.Asks = asks
 							}
--- a/cmd/woodpick-sim/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command woodpick-sim hosts Balancers on the simulator's wire: batches of events on standard
+// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard
 // input, one reply for each on standard output.
 package main
 
@@ -9,13 +9,13 @@
 	"os"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/wire"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/wire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "woodpick-sim: %v\n", err)
+		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -25,7 +25,7 @@
 	dec := wire.NewDecoder(in)
 	var reply bytes.Buffer
 	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*woodpick.Balancer{}
+	hosted := map[int]*balancer.Balancer{}
 	var now time.Duration
 	for {
 		m, err := dec.Next()
@@ -39,7 +39,7 @@
 		case wire.Sync:
 			now = m.Now
 		case wire.Hello:
-			b, err := woodpick.New(m.Settings, m.Seed)
+			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("instance %d: %w", m.Instance, err)
 			}
--- a/cmd/standin-load/main.go
+++ b/cmd/testload/main.go
@@ -1,4 +1,4 @@
-// Command standin-load stands in for callers: it sends views and notes to nodes and tells what it heard.
+// Command testload stands in for callers: it sends views and notes to nodes and tells what it heard.
 package main
 
 import (
@@ -12,22 +12,22 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintf(os.Stderr, "standin-load: %v\n", err)
+		fmt.Fprintf(os.Stderr, "testload: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 func run(args []string) error {
-	f := flag.NewFlagSet("standin-load", flag.ContinueOnError)
+	f := flag.NewFlagSet("testload", flag.ContinueOnError)
 	to := f.String("to", "127.0.0.1:7070", "the nodes' addresses, with commas")
 	view := f.String("view", "view-interval", "the class of calls that may be repeated")
 	note := f.String("note", "add-note", "the class of those that may not")
-	l := standin.Load{Audit: standin.NewAudit()}
+	l := testpeer.Load{Audit: testpeer.NewAudit()}
 	f.IntVar(&l.Callers, "callers", 8, "callers, each with one call at a time")
 	f.Float64Var(&l.Notes, "notes", 0.5, "share of calls that are notes")
 	f.DurationVar(&l.Deadline, "deadline", 4*time.Second, "how long a caller waits")
--- a/cmd/standin-box/main.go
+++ b/cmd/testserver/main.go
@@ -1,4 +1,4 @@
-// Command standin-box is a stand-in for a log box: it answers HTTP/1.1 with a stated service time and faults,
+// Command testserver is a stand-in for a log box: it answers HTTP/1.1 with a stated service time and faults,
 // and tells at its end what it did. The body of a good answer is its name and the request's id.
 package main
 
@@ -12,19 +12,19 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintf(os.Stderr, "standin-box: %v\n", err)
+		fmt.Fprintf(os.Stderr, "testserver: %v\n", err)
 		os.Exit(1)
 	}
 }
 
 func run(args []string) error {
-	f := flag.NewFlagSet("standin-box", flag.ContinueOnError)
-	var o standin.BoxOptions
+	f := flag.NewFlagSet("testserver", flag.ContinueOnError)
+	var o testpeer.BoxOptions
 	listen := f.String("listen", "127.0.0.1:9001", "addresses to listen at, with commas; each is a box of its own")
 	f.StringVar(&o.Name, "name", "box", "the name in its answers; several are numbered")
 	f.DurationVar(&o.Service, "service", 20*time.Millisecond, "mean time that a request takes")
@@ -40,15 +40,15 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	var boxes []*standin.Box
+	var boxes []*testpeer.Box
 	name := o.Name
 	for i, address := range strings.Split(*listen, ",") {
 		if strings.Contains(*listen, ",") {
 			o.Name = fmt.Sprintf("%s-%d", name, i+1)
 		}
 		o.Seed += uint64(i)
-		b := standin.NewBox(o)
-		s, err := standin.Listen(address, b.Serve)
+		b := testpeer.NewBox(o)
+		s, err := testpeer.Listen(address, b.Serve)
 		if err != nil {
 			return err
 		}
--- a/deploy/first-federation.sh
+++ b/deploy/first-federation.sh
@@ -39,8 +39,8 @@
 for i in 1 2 3; do file "chavara-$i" "$i" chavara "$net.1" "$net.1:7946\", \"$net.2:7946" karunagappally "$net.11:7946\", \"$net.12:7946"; done
 for i in 1 2; do file "karunagappally-$i" "1$i" karunagappally "$net.11" "$net.11:7946\", \"$net.12:7946" chavara "$net.1:7946\", \"$net.2:7946\", \"$net.3:7946"; done
 
-bin/standin-box -name chavara-box -listen "$net.1:9001,$net.1:9002" -service 1s >/dev/null & pids+=($!)
-bin/standin-box -name karunagappally-box -listen "$net.11:9001,$net.11:9002" -service 50ms >/dev/null & pids+=($!)
+bin/testserver -name chavara-box -listen "$net.1:9001,$net.1:9002" -service 1s >/dev/null & pids+=($!)
+bin/testserver -name karunagappally-box -listen "$net.11:9001,$net.11:9002" -service 50ms >/dev/null & pids+=($!)
 for g in chavara-1 chavara-2 chavara-3 karunagappally-1 karunagappally-2; do
 	bin/damsontrestle serve "$dir/$g.hcl" 2>"$dir/$g.log" & pids+=($!)
 	[ "$g" = chavara-1 ] && first=$! && disown
--- a/deploy/first-minute.sh
+++ b/deploy/first-minute.sh
@@ -18,7 +18,7 @@
 file=$dir/node.hcl
 sed -e "s#/tmp/damsontrestle-first-minute#$dir#; s#127.0.0.1:7070#$listen#; s#127.0.0.1:9001#${boxes%%,*}#" deploy/first-minute.hcl >"$file"
 
-bin/standin-box -listen "$boxes" -service 20ms &
+bin/testserver -listen "$boxes" -service 20ms &
 box=$!
 bin/damsontrestle serve "$file" 2>"$dir/log" &
 node=$!
@@ -30,13 +30,13 @@
 done
 
 say bin/damsontrestle show "$file"
-say bin/standin-load -to "$listen" -for 0
+say bin/testload -to "$listen" -for 0
 
 echo
 echo "# A second box joins the pool, and calls may be tried twice only:"
 sed -i -e "s#^  connections {#  attempts = 2\n\n  connections {#; s#^pool \"boxes\" {#pool \"boxes\" {\n  server \"box-2\" {\n    address = \"${boxes##*,}\"\n  }\n#" "$file"
 say bin/damsontrestle plan "$file" -out "$dir/plan"
 say bin/damsontrestle apply "$dir/plan"
-say bin/standin-load -to "$listen" -for 1s
+say bin/testload -to "$listen" -for 1s
 say bin/damsontrestle rollback "$file" -auto-approve
 say bin/damsontrestle show "$file"
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/plan"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/testpeer"
 )
 
 // fake is a Control that does what a test says.
@@ -127,7 +127,7 @@
 		}
 		io.WriteString(nc, c.text)
 		nc.(*net.UnixConn).CloseWrite()
-		nc.SetDeadline(time.Now().Add(standin.Limit))
+		nc.SetDeadline(time.Now().Add(testpeer.Limit))
 		said, _ := io.ReadAll(nc)
 		if !strings.HasPrefix(string(said), "HTTP/1.1 "+c.status) {
 			t.Errorf("%s: %.60q", name, said)
@@ -154,13 +154,13 @@
 		_, err := c.Apply(ctx, nil, 0, nil)
 		left <- err
 	}()
-	standin.Receive(t, begun, "the change")
+	testpeer.Receive(t, begun, "the change")
 	cancel()
-	if err := standin.Receive(t, left, "the client's end"); !errors.Is(err, ErrCut) {
+	if err := testpeer.Receive(t, left, "the client's end"); !errors.Is(err, ErrCut) {
 		t.Errorf("%v", err)
 	}
 	close(on)
-	standin.Receive(t, over, "the change's end")
+	testpeer.Receive(t, over, "the change's end")
 }
 
 func TestNobodyAnswers(t *testing.T) {
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -9,9 +9,9 @@
 import (
 	"time"
 
-	"woodpick/internal/config"
-	"woodpick/internal/node"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
 )
 
 // Show is what runs and what it does.
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"woodpick/internal/plan"
+	"damsontrestle/internal/plan"
 )
 
 // Client asks a daemon on its socket.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/listener"
-	"woodpick/internal/plan"
+	"damsontrestle/internal/listener"
+	"damsontrestle/internal/plan"
 )
 
 // Bounds of what a client may make the daemon hold or wait for.
--- a/woodpick.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package woodpick decides where a load balancer sends each request, when it tries again and
+// Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns. This file is the whole interface; every decision is in policy.go.
 //
@@ -7,7 +7,7 @@
 // give the same actions. Balancers share nothing. Memory is held for each request until it is
 // answered and its attempts have ended, and for each server until it has left the list and its
 // attempts have ended.
-package woodpick
+package balancer
 
 import (
 	"fmt"
@@ -71,18 +71,18 @@
 // validate names the first setting that is out of range.
 func validate(s Settings) error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("woodpick: Classes is empty")
+		return fmt.Errorf("balancer: Classes is empty")
 	}
 	seen := map[string]bool{}
 	for i, c := range s.Classes {
 		field := func(name string) error {
-			return fmt.Errorf("woodpick: Classes[%d].%s (class %q) is out of range", i, name, c.Name)
+			return fmt.Errorf("balancer: Classes[%d].%s (class %q) is out of range", i, name, c.Name)
 		}
 		switch {
 		case c.Name == "":
-			return fmt.Errorf("woodpick: Classes[%d].Name is empty", i)
+			return fmt.Errorf("balancer: Classes[%d].Name is empty", i)
 		case seen[c.Name]:
-			return fmt.Errorf("woodpick: Classes[%d].Name %q is used twice", i, c.Name)
+			return fmt.Errorf("balancer: Classes[%d].Name %q is used twice", i, c.Name)
 		case c.Aim <= 0:
 			return field("Aim")
 		case c.Deadline <= 0:
@@ -106,7 +106,7 @@
 		{"Tick", float64(s.Tick), math.MaxInt64}, {"MaxRetryAfter", float64(s.MaxRetryAfter), math.MaxInt64},
 		{"WarmAfter", float64(s.WarmAfter), math.MaxInt64}} {
 		if !(f.value >= 0 && f.value <= f.max) { // NaN fails too
-			return fmt.Errorf("woodpick: %s is out of range: %v", f.name, f.value)
+			return fmt.Errorf("balancer: %s is out of range: %v", f.name, f.value)
 		}
 	}
 	return nil
--- a/earlier_test.go
+++ b/internal/balancer/earlier_test.go
@@ -1,4 +1,4 @@
-package woodpick
+package balancer
 
 import (
 	"testing"
--- a/policy.go
+++ b/internal/balancer/policy.go
@@ -1,6 +1,6 @@
-// Every decision of woodpick. The interface (settings, events, actions) is in woodpick.go.
+// Every decision of balancer. The interface (settings, events, actions) is in balancer.go.
 
-package woodpick
+package balancer
 
 import (
 	"cmp"
--- a/pick_test.go
+++ b/internal/balancer/selection_test.go
@@ -1,4 +1,4 @@
-package woodpick
+package balancer
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/pages"
+	"damsontrestle/internal/spectest"
 )
 
 // The page of the pick holds, row by row.
 func TestThePageOfThePick(t *testing.T) {
-	const page = "docs/design/pick.md"
+	const page = "../../docs/design/pick.md"
 	group := func(words string) (out []*server) {
 		for i, f := range strings.Fields(words) {
 			if f == "none" {
@@ -27,7 +27,7 @@
 		}
 		return out
 	}
-	for _, r := range pages.Rows(t, page, "Who wins") {
+	for _, r := range spectest.Rows(t, page, "Who wins") {
 		b := newBalancer(t, nil)
 		left, right := group(r.At("left")), group(r.At("right"))
 		want, err := strconv.ParseFloat(r.At("left wins"), 64)
@@ -48,7 +48,7 @@
 			t.Errorf("%s:%d: left wins %.3f", page, r.Line, got)
 		}
 	}
-	for _, r := range pages.Rows(t, page, "How the order is cut") {
+	for _, r := range spectest.Rows(t, page, "How the order is cut") {
 		b := newBalancer(t, nil)
 		l := ServerList{Full: true}
 		for _, id := range strings.Fields(r.At("servers")) {
--- a/size_test.go
+++ b/internal/balancer/size_test.go
@@ -1,4 +1,4 @@
-package woodpick
+package balancer
 
 import (
 	"os"
@@ -13,7 +13,7 @@
 // On-call staff read the whole module at night: the deploy file names as its policy every file that decides, which are all
 // of the module's but its interface, and each stays narrow.
 func TestModuleStaysReadable(t *testing.T) {
-	deploy, err := os.ReadFile("deploy/balancer.toml")
+	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,13 +30,13 @@
 		t.Fatal(err)
 	}
 	files = slices.DeleteFunc(files, func(name string) bool {
-		return strings.HasSuffix(name, "_test.go") || name == "woodpick.go"
+		return strings.HasSuffix(name, "_test.go") || name == "balancer.go"
 	})
 	if slices.Sort(policy); !slices.Equal(policy, files) {
 		t.Errorf("the policy is %q, want every file that decides, %q", policy, files)
 	}
 	for _, name := range policy {
-		text, err := os.ReadFile(name)
+		text, err := os.ReadFile("../../" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -1,6 +1,6 @@
 // Slow start: how much a server gets that has started a short while ago. All else: policy.go.
 
-package woodpick
+package balancer
 
 import (
 	"cmp"
--- a/soak_test.go
+++ b/internal/balancer/soak_test.go
@@ -1,4 +1,4 @@
-package woodpick
+package balancer
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin/heap"
+	"damsontrestle/internal/testpeer/heap"
 )
 
 // A hundred thousand requests under ids that are never seen again, and ten thousand servers that come and go under new
--- a/spread.go
+++ b/internal/balancer/subset.go
@@ -1,6 +1,6 @@
 // How load is spread: the part of the list that a node draws from, and what servers say they hold. All else: policy.go.
 
-package woodpick
+package balancer
 
 import (
 	"math"
--- a/zones.go
+++ b/internal/balancer/zones.go
@@ -1,6 +1,6 @@
 // What own calls tell of a zone's servers together. Everything else is in policy.go.
 
-package woodpick
+package balancer
 
 import (
 	"cmp"
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -11,14 +11,14 @@
 
 	"pgregory.net/rapid"
 
-	_ "woodpick/internal/standin/seeded"
+	_ "damsontrestle/internal/testpeer/seeded"
 
-	"woodpick/internal/pages"
+	"damsontrestle/internal/spectest"
 )
 
 const page = "../../docs/design/quota.md"
 
-func length(t *testing.T, r pages.Row, text string) time.Duration {
+func length(t *testing.T, r spectest.Row, text string) time.Duration {
 	t.Helper()
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 func TestVotes(t *testing.T) {
-	for _, r := range pages.Rows(t, page, "Who may be promised a term") {
+	for _, r := range spectest.Rows(t, page, "Who may be promised a term") {
 		var v Vote
 		var began time.Duration
 		switch f := strings.Fields(r.At("given")); {
@@ -65,7 +65,7 @@
 }
 
 func TestTurns(t *testing.T) {
-	for _, r := range pages.Rows(t, page, "Whose turn it is") {
+	for _, r := range spectest.Rows(t, page, "Whose turn it is") {
 		var claims []Claim
 		for _, p := range strings.Split(r.At("partners"), ", ") {
 			var c Claim
@@ -81,7 +81,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	for _, r := range pages.Rows(t, page, "What terms bound") {
+	for _, r := range spectest.Rows(t, page, "What terms bound") {
 		var b Terms
 		var over, lease, cut string
 		if _, err := fmt.Sscan(r.At("terms"), &b.Rate, &b.Burst, &over, &lease, &cut); err != nil {
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -49,7 +49,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (name == "internal/rig" || name == "internal/standin"): // no part of the program
+		case d.IsDir() && (name == "internal/faultbench" || name == "internal/testpeer"): // no part of the program
 			return fs.SkipDir
 		case d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/facts"
-	"woodpick/internal/route"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/zonestate"
 )
 
 // Bounds of what a configuration may ask for. docs/operate/configuration.md lists them.
@@ -293,7 +293,7 @@
 	}
 	k.duration("node.peers.period", p.Period, 100*time.Millisecond, time.Minute)
 	k.duration("node.peers.delay", p.Delay, time.Millisecond, 10*time.Second)
-	if least := facts.Least(time.Duration(p.Delay)); p.Fresh != 0 && (time.Duration(p.Fresh) < least || time.Duration(p.Fresh) > time.Hour) {
+	if least := zonestate.Least(time.Duration(p.Delay)); p.Fresh != 0 && (time.Duration(p.Fresh) < least || time.Duration(p.Fresh) > time.Hour) {
 		k.fail("node.peers.fresh", "found %v; allowed: %v to 1h, as a datagram may take %v (delay): half of it is between two rows, parts wait for three levels of a tree, and seven hops count as the way there and back",
 			p.Fresh, least, p.Delay)
 	}
@@ -490,7 +490,7 @@
 // validate has the module look at the settings that it is to be given.
 func (c *Config) validate() error {
 	for _, p := range c.Pools {
-		if _, err := woodpick.New(c.Settings(p), 0); err != nil {
+		if _, err := balancer.New(c.Settings(p), 0); err != nil {
 			return err
 		}
 	}
--- a/internal/config/configtest/draw.go
+++ b/internal/config/configtest/draw.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"woodpick/internal/config"
-	"woodpick/internal/route"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/route"
 )
 
 // World is what configurations are drawn from.
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"woodpick/internal/budget"
+	"damsontrestle/internal/budget"
 )
 
 // Federation makes a node a gateway of a partner: it has links to others of its group and to partners' gateways.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 	"github.com/zclconf/go-cty/cty"
 
-	"woodpick/internal/facts"
-	"woodpick/internal/route"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/zonestate"
 )
 
 // MaxFile is how long a file may be.
@@ -440,7 +440,7 @@
 			}, nil)
 		}},
 		{kind: "peers", single: true, read: func(b *hclsyntax.Body, path, _ string) {
-			n.Peers.Period, n.Peers.Delay = Duration(time.Second), Duration(facts.DefaultDelay)
+			n.Peers.Period, n.Peers.Delay = Duration(time.Second), Duration(zonestate.DefaultDelay)
 			r.body(b, path, []field{
 				{"listen", true, text(&n.Peers.Listen)},
 				{"advertise", false, text(&n.Peers.Advertise)},
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -11,10 +11,10 @@
 
 	"pgregory.net/rapid"
 
-	_ "woodpick/internal/standin/seeded"
+	_ "damsontrestle/internal/testpeer/seeded"
 
-	"woodpick"
-	"woodpick/internal/route"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/route"
 )
 
 func TestTheDeployedExampleLoads(t *testing.T) {
@@ -34,7 +34,7 @@
 	if _, err := c.Table(); err != nil {
 		t.Error(err)
 	}
-	if _, err := woodpick.New(c.Settings(boxes), 1); err != nil {
+	if _, err := balancer.New(c.Settings(boxes), 1); err != nil {
 		t.Error(err)
 	}
 }
@@ -334,7 +334,7 @@
 			t.Fatalf("%v: not the same once written and read", err)
 		}
 		for _, p := range c.Pools {
-			if _, err := woodpick.New(c.Settings(p), 1); err != nil {
+			if _, err := balancer.New(c.Settings(p), 1); err != nil {
 				t.Fatalf("the module refuses what Check let pass: %v", err)
 			}
 		}
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/route"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/route"
 )
 
 // Config is a whole configuration. Its JSON form, in which plans and the state folder hold it, has the names
@@ -335,27 +335,27 @@
 	return none, false
 }
 
-var effects = map[Effect]woodpick.Effect{Unsafe: woodpick.Unsafe, Keyed: woodpick.Keyed, Safe: woodpick.Safe}
+var effects = map[Effect]balancer.Effect{Unsafe: balancer.Unsafe, Keyed: balancer.Keyed, Safe: balancer.Safe}
 
-var scopes = map[Scope]woodpick.Scope{CellScope: woodpick.ScopeCell, ZoneScope: woodpick.ScopeZone, AllScope: woodpick.ScopeAll}
+var scopes = map[Scope]balancer.Scope{CellScope: balancer.ScopeCell, ZoneScope: balancer.ScopeZone, AllScope: balancer.ScopeAll}
 
 // ForModule is the class as the decision module has it.
-func (c Class) ForModule() woodpick.Class {
-	return woodpick.Class{Name: c.Name, Effect: effects[c.Effect], Scope: scopes[c.KeyScope],
+func (c Class) ForModule() balancer.Class {
+	return balancer.Class{Name: c.Name, Effect: effects[c.Effect], Scope: scopes[c.KeyScope],
 		Window: time.Duration(c.Window), Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline),
 		LateShare: c.LateShare, Worth: c.Worth}
 }
 
 // Settings are what the Balancer of a pool is told.
-func (c *Config) Settings(p Pool) woodpick.Settings {
-	s := woodpick.Settings{Balancers: p.Copies.Count, Index: p.Copies.Index, Tier: p.Tier,
+func (c *Config) Settings(p Pool) balancer.Settings {
+	s := balancer.Settings{Balancers: p.Copies.Count, Index: p.Copies.Index, Tier: p.Tier,
 		WholeWeight: p.Shedding.Whole, ClassWeight: p.Shedding.WorstClass,
 		Asks: p.LoadReports.Ask, MaxAttempts: p.Attempts, MayCancel: p.Cancel, Tick: time.Duration(p.Tick), MaxRetryAfter: time.Duration(p.RetryAfter),
 		ColdFrom: p.SlowStart.From, WarmAfter: time.Duration(p.SlowStart.Over)}
 	for _, class := range c.Classes {
 		m := class.ForModule()
-		if _, partners := PartnerOf(p.Name); partners && m.Effect == woodpick.Keyed {
-			m.Effect = woodpick.Unsafe // whose boxes drop repeats there nobody knows here: what became of a call is asked
+		if _, partners := PartnerOf(p.Name); partners && m.Effect == balancer.Keyed {
+			m.Effect = balancer.Unsafe // whose boxes drop repeats there nobody knows here: what became of a call is asked
 		}
 		s.Classes = append(s.Classes, m)
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/route"
-	"woodpick/internal/wire"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/wire"
 )
 
 // Start is what the platform tells a node at its start beside the configuration.
@@ -156,14 +156,14 @@
 }
 
 // fromModule is a class as the module has it, in the configuration's words.
-func fromModule(c woodpick.Class) Class {
+func fromModule(c balancer.Class) Class {
 	out := Class{Name: c.Name, Aim: Duration(c.Aim), Deadline: Duration(c.Deadline), LateShare: c.LateShare, Worth: c.Worth}
 	for word, e := range effects {
 		if e == c.Effect {
 			out.Effect = word
 		}
 	}
-	if c.Effect == woodpick.Keyed {
+	if c.Effect == balancer.Keyed {
 		out.Window = Duration(c.Window)
 		for word, s := range scopes {
 			if s == c.Scope {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/config"
-	"woodpick/internal/listener"
-	"woodpick/internal/node"
-	"woodpick/internal/plan"
-	"woodpick/internal/state"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/listener"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/state"
 )
 
 // Options are what a daemon is started with.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,22 +17,22 @@
 
 	"pgregory.net/rapid"
 
-	_ "woodpick/internal/standin/seeded"
-
-	"woodpick/internal/admin"
-	"woodpick/internal/config"
-	"woodpick/internal/config/configtest"
-	"woodpick/internal/node"
-	"woodpick/internal/plan"
-	"woodpick/internal/route"
-	"woodpick/internal/standin"
-	"woodpick/internal/state"
-	"woodpick/internal/state/statetest"
+	_ "damsontrestle/internal/testpeer/seeded"
+
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/config/configtest"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/state"
+	"damsontrestle/internal/state/statetest"
+	"damsontrestle/internal/testpeer"
 )
 
 // named starts a server that answers with its name.
-func named(t *testing.T, name string) *standin.Server {
-	return standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return standin.Reply200(c, name) })
+func named(t *testing.T, name string) *testpeer.Server {
+	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
 }
 
 // rig is a folder for a daemon, its file and its socket.
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return &rig{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: standin.ClosedPort(t), log: &logged{}}
+	return &rig{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &logged{}}
 }
 
 // text is a file with one pool of one server and what is added.
@@ -130,7 +130,7 @@
 	stop = func() {
 		once.Do(func() {
 			cancel()
-			if err := standin.Receive(t, end, "the daemon's end"); err != nil {
+			if err := testpeer.Receive(t, end, "the daemon's end"); err != nil {
 				t.Error(err)
 			}
 		})
@@ -172,7 +172,7 @@
 
 func (r *rig) apply(t *testing.T, p []byte) (plan.Running, error) {
 	t.Helper()
-	return r.client().Apply(t.Context(), p, standin.Limit, nil)
+	return r.client().Apply(t.Context(), p, testpeer.Limit, nil)
 }
 
 func wantCode(t *testing.T, err error, code, say string) {
@@ -191,7 +191,7 @@
 		return err.Error()
 	}
 	nc.Close()
-	c := standin.Dial(t, address)
+	c := testpeer.Dial(t, address)
 	defer c.Close()
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %d\r\nX-Deadline: 4\r\n\r\n", path, host, time.Now().UnixNano())
 	resp, body := c.Answer(t)
@@ -234,7 +234,7 @@
 	}
 	p := r.plan(t, second)
 	var steps []string
-	running, err := r.client().Apply(t.Context(), p, standin.Limit, func(l admin.Line) { steps = append(steps, l.Step) })
+	running, err := r.client().Apply(t.Context(), p, testpeer.Limit, func(l admin.Line) { steps = append(steps, l.Step) })
 	if err != nil || running.Serial != 2 || strings.Join(steps, " ") != "prepare persist commit retire" {
 		t.Fatalf("%+v, %v, steps %v", running, err, steps)
 	}
@@ -250,9 +250,9 @@
 	}
 	stale := s.Running
 	stale.Serial = 1
-	_, err = r.client().Rollback(t.Context(), stale, standin.Limit, nil)
+	_, err = r.client().Rollback(t.Context(), stale, testpeer.Limit, nil)
 	wantCode(t, err, admin.CodeStale, "serial 2")
-	if running, err := r.client().Rollback(t.Context(), s.Running, standin.Limit, nil); err != nil || running.Serial != 3 {
+	if running, err := r.client().Rollback(t.Context(), s.Running, testpeer.Limit, nil); err != nil || running.Serial != 3 {
 		t.Fatalf("%+v, %v", running, err)
 	}
 	r.wantServed(t, "a")
@@ -285,7 +285,7 @@
 	r.wantServed(t, "b")
 	_, err := r.apply(t, old)
 	wantCode(t, err, admin.CodeStale, "started again")
-	if _, err := r.client().Rollback(t.Context(), s.Running, standin.Limit, nil); err != nil { // also after a restart
+	if _, err := r.client().Rollback(t.Context(), s.Running, testpeer.Limit, nil); err != nil { // also after a restart
 		t.Fatal(err)
 	}
 	r.wantServed(t, "a")
@@ -397,7 +397,7 @@
 }
 
 // silent is a registry block that nobody answers at, in a pool of its own.
-func silent(agent *standin.Agent) string {
+func silent(agent *testpeer.Agent) string {
 	return fmt.Sprintf("pool \"silent\" {\n registry {\n address = %q\n }\n}\nroute \"s\" {\n paths = [\"/view/s/*\"]\n pool = \"silent\"\n}\n", agent.Address())
 }
 
@@ -405,7 +405,7 @@
 // on to its end though its client has left.
 func TestOneChangeAtATime(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	agent := standin.NewAgent(t)
+	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
 	r := newRig(t)
 	r.write(t, r.text("p1", a.Address(), ""))
@@ -418,10 +418,10 @@
 	ctx, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
-		_, err := r.client().Apply(ctx, waits, standin.Limit, nil)
+		_, err := r.client().Apply(ctx, waits, testpeer.Limit, nil)
 		left <- err
 	}()
-	standin.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
 	_, err := r.apply(t, quick)
 	wantCode(t, err, admin.CodeBusy, "apply is preparing")
 	_, err = r.client().Rollback(t.Context(), before.Running, 0, nil)
@@ -433,19 +433,19 @@
 	}
 	r.wantServed(t, "a")
 	leave()
-	if err := standin.Receive(t, left, "the client's end"); !errors.Is(err, admin.ErrCut) {
+	if err := testpeer.Receive(t, left, "the client's end"); !errors.Is(err, admin.ErrCut) {
 		t.Errorf("%v", err)
 	}
 	r.wantServed(t, "a")
-	agent.Tell(false, standin.Whole(standin.Entry("b", b.Address(), "in_service")))
-	standin.Until(t, "the apply to be over", func() bool { return r.show(t).Serial == 3 })
+	agent.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
+	testpeer.Until(t, "the apply to be over", func() bool { return r.show(t).Serial == 3 })
 	r.wantServed(t, "b")
 }
 
 // A registry that never answers fails the apply within its time, and nothing has changed.
 func TestApplyGivesUpOnASilentRegistry(t *testing.T) {
 	a := named(t, "a")
-	agent := standin.NewAgent(t)
+	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
 	r := newRig(t)
 	r.write(t, r.text("p1", a.Address(), ""))
@@ -484,34 +484,34 @@
 func TestDrainAndApply(t *testing.T) {
 	a := named(t, "a")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	slow := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	slow := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		<-hold
-		return standin.Reply200(c, "slow")
+		return testpeer.Reply200(c, "slow")
 	})
-	agent := standin.NewAgent(t)
+	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
 	r := newRig(t)
 	r.write(t, r.text("p1", slow.Address(), ""))
 	_, stop := r.start(t)
 	waits, quick := r.plan(t, r.text("p2", a.Address(), silent(agent))), r.plan(t, r.text("p2", a.Address(), ""))
-	held := standin.Dial(t, r.listen)
+	held := testpeer.Dial(t, r.listen)
 	held.Send("GET", "/view/k", "held", "", "15")
-	standin.Receive(t, got, "the attempt")
+	testpeer.Receive(t, got, "the attempt")
 	undone := make(chan error, 1)
 	go func() {
 		_, err := r.apply(t, waits)
 		undone <- err
 	}()
-	standin.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
 	ended := make(chan struct{})
 	go func() { stop(); close(ended) }()
-	wantCode(t, standin.Receive(t, undone, "the apply's end"), admin.CodeEnding, "ending")
+	wantCode(t, testpeer.Receive(t, undone, "the apply's end"), admin.CodeEnding, "ending")
 	_, err := r.apply(t, quick)
 	wantCode(t, err, admin.CodeEnding, "ending")
 	close(hold)
 	held.Want(t, 200, "slow")
-	standin.Receive(t, ended, "the end")
+	testpeer.Receive(t, ended, "the end")
 	_, stop = r.start(t)
 	if s := r.show(t); s.Serial != 1 || s.Config.Pools[0].Name != "p1" {
 		t.Errorf("%+v", s)
@@ -523,8 +523,8 @@
 // what ran runs on, the state folder holds it, and the same plan goes through afterwards.
 func TestEveryFaultOfAnApplyIsUndone(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	agent := standin.NewAgent(t)
-	agent.Tell(false, standin.Whole(standin.Entry("b", b.Address(), "in_service")))
+	agent := testpeer.NewAgent(t)
+	agent.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
 	var (
 		mu     sync.Mutex
 		points []string
@@ -610,7 +610,7 @@
 	wantCode(t, err, admin.CodeFailed, "could not be brought up to what runs")
 	reset()
 	var steps []string
-	if _, err := r.client().Apply(t.Context(), r.plan(t, second), standin.Limit, func(l admin.Line) { steps = append(steps, l.Step) }); err != nil {
+	if _, err := r.client().Apply(t.Context(), r.plan(t, second), testpeer.Limit, func(l admin.Line) { steps = append(steps, l.Step) }); err != nil {
 		t.Fatal(err)
 	}
 	if s := r.show(t); s.Diverged || s.Serial != 4 || steps[0] != "repair" {
@@ -651,10 +651,10 @@
 		s := named(t, fmt.Sprint("box", i))
 		world.Servers = append(world.Servers, s.Address())
 		names[s.Address()] = fmt.Sprint("box", i)
-		world.Listeners = append(world.Listeners, standin.ClosedPort(t))
+		world.Listeners = append(world.Listeners, testpeer.ClosedPort(t))
 	}
 	r := newRig(t)
-	r.listen = standin.ClosedPort(t)
+	r.listen = testpeer.ClosedPort(t)
 	r.write(t, strings.Replace(r.text("p", world.Servers[0], ""), `"n1"`, `"n"`, 1))
 	r.start(t)
 	checks := 0
@@ -681,7 +681,7 @@
 		if first.Fingerprint() == second.Fingerprint() {
 			return
 		}
-		if _, err := r.client().Rollback(t.Context(), r.show(t).Running, standin.Limit, nil); err != nil {
+		if _, err := r.client().Rollback(t.Context(), r.show(t).Running, testpeer.Limit, nil); err != nil {
 			rt.Fatal(err)
 		}
 		if s := r.show(t); s.Fingerprint != first.Fingerprint() || s.Serial != serial+2 {
@@ -728,16 +728,16 @@
 	if testing.Short() {
 		plans = 30
 	}
-	var boxes []*standin.Box
+	var boxes []*testpeer.Box
 	var at []string
 	for i := range 4 {
-		b := standin.NewBox(standin.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i),
-			Faults: standin.Faults{Fail: 0.01, Refuse: 0.02, Reset: 0.01, Cut: 0.005}})
+		b := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i),
+			Faults: testpeer.Faults{Fail: 0.01, Refuse: 0.02, Reset: 0.01, Cut: 0.005}})
 		boxes = append(boxes, b)
-		at = append(at, standin.NewServer(t, b.Serve).Address())
+		at = append(at, testpeer.NewServer(t, b.Serve).Address())
 	}
 	r := newRig(t)
-	side := standin.ClosedPort(t)
+	side := testpeer.ClosedPort(t)
 	text := func(i int) string {
 		more := fmt.Sprintf("pool \"q%d\" {\n attempts = %d\n server \"s\" {\n address = %q\n }\n}\n", i/3, 1+i%3, at[2+i%2])
 		more += fmt.Sprintf("route \"r%d\" {\n classes = [%q]\n to \"q%d\" {\n weight = %d\n }\n to \"p\" {\n weight = 1\n }\n}\n",
@@ -749,11 +749,11 @@
 	}
 	r.write(t, text(0))
 	r.start(t)
-	audit := standin.NewAudit()
+	audit := testpeer.NewAudit()
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		standin.Load{Audit: audit, Callers: 16, Addresses: func() []string { return []string{r.listen, r.listen, side} }, Notes: 0.5,
+		testpeer.Load{Audit: audit, Callers: 16, Addresses: func() []string { return []string{r.listen, r.listen, side} }, Notes: 0.5,
 			Deadline: 15 * time.Second, Pause: time.Millisecond, Seed: 1}.Run(ctx)
 		close(done)
 	}()
@@ -762,14 +762,14 @@
 			t.Fatal(err)
 		}
 		if i%10 == 0 {
-			if _, err := r.client().Rollback(t.Context(), r.show(t).Running, standin.Limit, nil); err != nil {
+			if _, err := r.client().Rollback(t.Context(), r.show(t).Running, testpeer.Limit, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	stop()
-	standin.Receive(t, done, "the callers' last answers")
-	standin.Until(t, "all that went to be over", func() bool { return len(r.show(t).Status.Draining) == 0 })
+	testpeer.Receive(t, done, "the callers' last answers")
+	testpeer.Until(t, "all that went to be over", func() bool { return len(r.show(t).Status.Draining) == 0 })
 	v := audit.Judge(boxes...)
 	for i, w := range v.Wrong {
 		if i < 10 {
@@ -812,7 +812,7 @@
 	if err := os.Rename(next, r.file); err != nil {
 		t.Fatal(err)
 	}
-	standin.Receive(t, reloaded, "the reload's end")
+	testpeer.Receive(t, reloaded, "the reload's end")
 	if s := r.show(t); s.Serial != 2 {
 		t.Errorf("serial %d", s.Serial)
 	}
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -15,13 +15,13 @@
 	"testing/synctest"
 	"time"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/config"
-	"woodpick/internal/node"
-	"woodpick/internal/plan"
-	"woodpick/internal/standin"
-	"woodpick/internal/state"
-	"woodpick/internal/state/statetest"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/state"
+	"damsontrestle/internal/state/statetest"
+	"damsontrestle/internal/testpeer"
 )
 
 // sickDisk is a file system whose calls fail as they are asked to.
@@ -123,7 +123,7 @@
 		d.endChanges()
 		d.server.Close()
 		d.node.Close()
-		standin.Until(t, "the admin socket to be gone", func() bool {
+		testpeer.Until(t, "the admin socket to be gone", func() bool {
 			_, err := os.Stat(r.socket)
 			return errors.Is(err, fs.ErrNotExist)
 		})
@@ -210,7 +210,7 @@
 	if n := len(calls); n != 7 {
 		t.Fatalf("calls of a write: %v", calls)
 	}
-	if _, err := r.client().Rollback(t.Context(), r.show(t).Running, standin.Limit, nil); err != nil {
+	if _, err := r.client().Rollback(t.Context(), r.show(t).Running, testpeer.Limit, nil); err != nil {
 		t.Fatal(err)
 	}
 	second = r.plan(t, r.text("p2", b.Address(), ""))
@@ -230,7 +230,7 @@
 				} else if s.Diverged {
 					differences++
 				}
-				standin.Until(t, "the folder to be mended", func() bool { return !r.show(t).Diverged })
+				testpeer.Until(t, "the folder to be mended", func() bool { return !r.show(t).Diverged })
 				disk.mend()
 				r.wantKept(t, 3)
 			}
@@ -244,11 +244,11 @@
 	// The target of a rollback is still there: one that can't be kept is refused, the next one leads to it.
 	disk.failAll("sync", syscall.ENOSPC)
 	now := r.show(t).Running
-	_, err := r.client().Rollback(t.Context(), now, standin.Limit, nil)
+	_, err := r.client().Rollback(t.Context(), now, testpeer.Limit, nil)
 	wantCode(t, err, admin.CodeFailed, syscall.ENOSPC.Error())
 	r.wantServed(t, "a")
 	disk.mend()
-	if running, err := r.client().Rollback(t.Context(), now, standin.Limit, nil); err != nil || running.Serial != 4 {
+	if running, err := r.client().Rollback(t.Context(), now, testpeer.Limit, nil); err != nil || running.Serial != 4 {
 		t.Errorf("%+v, %v", running, err)
 	}
 	r.wantServed(t, "b")
@@ -283,7 +283,7 @@
 			t.Errorf("not logged: %s", log)
 		}
 		disk.mend()
-		standin.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
+		testpeer.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
 		r.wantKept(t, int64(i+1))
 		stop()
 	}
@@ -399,7 +399,7 @@
 		t.Errorf("%+v", s)
 	}
 	disk.mend()
-	standin.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
+	testpeer.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
 	if !slices.Contains(disk.made(), "rename") {
 		t.Errorf("not written: %v", disk.made())
 	}
@@ -488,7 +488,7 @@
 						defer close(stopped)
 						stop()
 					}()
-					standin.Until(t, "the node to be ending", func() bool {
+					testpeer.Until(t, "the node to be ending", func() bool {
 						_, err := d.node.Prepare(t.Context(), d.booted, 0)
 						return errors.Is(err, node.ErrEnding)
 					})
@@ -503,7 +503,7 @@
 			if c.failing > 0 {
 				wantCode(t, err, admin.CodeEnding, syscall.EDQUOT.Error())
 			}
-			standin.Receive(t, stopped, "the end")
+			testpeer.Receive(t, stopped, "the end")
 			r.wantKept(t, c.kept)
 			if said := strings.Contains(r.log.String(), "was not brought up to what ran"); said != (c.kept == 2) {
 				t.Errorf("said: %v", said)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // told is what a sink was told.
@@ -31,10 +31,10 @@
 
 func TestMalformedListIsDroppedWhole(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
-		`{"rev":2,"all":true,"targets":[` + standin.Entry("s1", "127.0.0.1:1", "in_service") + `,` + standin.Entry("s2", "name:80", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + standin.Entry("s1", "127.0.0.1:1", "asleep") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + standin.Entry("", "127.0.0.1:1", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + standin.Entry("s1", "127.0.0.1:1", "in_service") + `,` + standin.Entry("s1", "127.0.0.1:2", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `,` + testpeer.Entry("s2", "name:80", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "asleep") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("", "127.0.0.1:1", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `,` + testpeer.Entry("s1", "127.0.0.1:2", "in_service") + `]}`,
 		`{"rev":2,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}]}`,
 	} {
 		if l, err := Parse([]byte(bad)); err == nil || l.Targets != nil {
@@ -45,14 +45,14 @@
 
 // A watch that ends without news is no news: the module would take it for a change.
 func TestWatchWithoutNewsTellsNothing(t *testing.T) {
-	ag := standin.NewAgent(t)
+	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	d := NewWatch(ag.Address(), 1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, c := range []struct {
 		text string
 		want int
-	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {standin.Whole(), 1},
-		{`{"rev":%d,"all":false,"targets":[` + standin.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
+	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.Whole(), 1},
+		{`{"rev":%d,"all":false,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
 		ag.Tell(false, c.text)
 		if err := d.watch(t.Context(), d.place()); err != nil {
 			t.Fatal(err)
@@ -65,23 +65,23 @@
 
 // Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
 func TestAskedDiscoveryFollowsSubscribe(t *testing.T) {
-	ag := standin.NewAgent(t)
+	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	d := NewWatch(ag.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ag.Tell(false, standin.Whole(standin.Entry("s1", "127.0.0.1:1", "in_service")))
+	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Ask(ctx)
 	d.Subscribe()
-	if q := standin.Receive(t, ag.Asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
+	if q := testpeer.Receive(t, ag.Asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked %q", q)
 	}
-	if e := standin.Receive(t, events, "the list"); e.failed || len(e.list.Targets) != 1 {
+	if e := testpeer.Receive(t, events, "the list"); e.failed || len(e.list.Targets) != 1 {
 		t.Errorf("got %v", e)
 	}
-	standin.Receive(t, ag.Asked, "the watch to go on")
+	testpeer.Receive(t, ag.Asked, "the watch to go on")
 	ag.Tell(false, "{bad %d")
-	if e := standin.Receive(t, events, "the failure"); !e.failed {
+	if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 		t.Errorf("got %v", e)
 	}
 	select {
@@ -144,19 +144,19 @@
 	go func() { w.Push(ctx); close(done) }()
 	defer func() { cancel(); <-done }()
 	for range 20 {
-		standin.Receive(t, a.calls, "another call")
+		testpeer.Receive(t, a.calls, "another call")
 	}
 	a.mu.Lock()
 	a.silent = false
-	a.text = "{\n  \"rev\": 9,\n  \"all\": true,\n  \"targets\": [\n    " + standin.Entry("s1", "127.0.0.1:1", "terminating") + "\n  ]\n}\n"
+	a.text = "{\n  \"rev\": 9,\n  \"all\": true,\n  \"targets\": [\n    " + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + "\n  ]\n}\n"
 	before := a.n
 	a.mu.Unlock()
-	if e := standin.Receive(t, events, "the list"); len(e.list.Targets) != 1 || e.list.Rev != 9 {
+	if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 || e.list.Rev != 9 {
 		t.Errorf("got %+v", e)
 	}
 	first := 0
 	for first <= before {
-		first = standin.Receive(t, a.calls, "a call after it is back")
+		first = testpeer.Receive(t, a.calls, "a call after it is back")
 	}
 	if first != before+1 {
 		t.Errorf("call %d, want %d", first, before+1)
@@ -179,8 +179,8 @@
 // Connections to an agent that never come up are given up with their calls: however many there were, the agent is heard
 // once one does.
 func TestConnectionsThatNeverComeUpKeepNobodyFromTheAgent(t *testing.T) {
-	ag := standin.NewAgent(t)
-	ag.Tell(false, standin.Whole(standin.Entry("s1", "127.0.0.1:1", "in_service")))
+	ag := testpeer.NewAgent(t)
+	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(sink, 10)
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.Hold, w.Grace = 5*time.Millisecond, 5*time.Millisecond
@@ -194,7 +194,7 @@
 		return new(net.Dialer).DialContext(ctx, network, addr)
 	}
 	startPush(t, w)
-	if e := standin.Receive(t, events, "the list"); len(e.list.Targets) != 1 {
+	if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -250,9 +250,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.call(ctx)
-	standin.Receive(t, a.calls, "the first call")
+	testpeer.Receive(t, a.calls, "the first call")
 	a.pieces <- `{"rev":9,"all":true,`
-	standin.Until(t, "it to begin to answer", func() bool { return r.calls[0].heard.Load() > 0 })
+	testpeer.Until(t, "it to begin to answer", func() bool { return r.calls[0].heard.Load() > 0 })
 	if heard := time.Duration(r.calls[0].heard.Load()); heard > time.Hour {
 		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other calls", heard)
 	}
@@ -268,7 +268,7 @@
 		a.pieces <- `"targets":[]}`
 		close(a.pieces)
 	}()
-	limited, stop := context.WithTimeout(ctx, standin.Limit)
+	limited, stop := context.WithTimeout(ctx, testpeer.Limit)
 	defer stop()
 	if e := r.wait(limited, w.Hold+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
 		t.Errorf("after %d doubts: %+v", doubts, e)
@@ -315,21 +315,21 @@
 	defer cancel()
 	go w.Ask(ctx)
 	w.Subscribe()
-	if e := standin.Receive(t, events, "the failure"); !e.failed {
+	if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := standin.Receive(t, events, "their end"); e.failed || tells(e.list) {
+	if e := testpeer.Receive(t, events, "their end"); e.failed || tells(e.list) {
 		t.Errorf("got %+v", e)
 	}
 }
 
 // Changes tell nothing to one who has no list that they change: the whole one is asked for again.
 func TestChangesWithoutAListAreNoList(t *testing.T) {
-	ag := standin.NewAgent(t)
+	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ag.Tell(false, `{"rev":%d,"all":false,"targets":[`+standin.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
+	ag.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
 	if err := w.watch(t.Context(), w.place()); !errors.Is(err, errMalformed) || len(events) > 0 || w.place().rev != -1 {
 		t.Errorf("%v, %d events, rev %d", err, len(events), w.place().rev)
 	}
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // brokenConn has its first read fail.
@@ -30,8 +30,8 @@
 		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ECONNRESET,
 		syscall.ETIMEDOUT} {
 		for _, reads := range []bool{false, true} {
-			ag := standin.NewAgent(t)
-			ag.Tell(false, standin.Whole(standin.Entry("s1", "127.0.0.1:1", "in_service")))
+			ag := testpeer.NewAgent(t)
+			ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 			for _, pushed := range []bool{true, false} {
 				events := make(sink, 10)
 				w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -59,16 +59,16 @@
 				}()
 				if !pushed {
 					w.Subscribe()
-					if e := standin.Receive(t, events, "the failure"); !e.failed {
+					if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 						t.Errorf("%v, reads %v: %+v", errno, reads, e)
 					}
 					w.Subscribe()
 				}
-				if e := standin.Receive(t, events, "the list"); len(e.list.Targets) != 1 || dials.Load() < 2 {
+				if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 || dials.Load() < 2 {
 					t.Errorf("%v, reads %v, pushed %v: %+v after %d connects", errno, reads, pushed, e, dials.Load())
 				}
 				cancel()
-				standin.Receive(t, done, "the watch's end")
+				testpeer.Receive(t, done, "the watch's end")
 			}
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"woodpick"
+	"damsontrestle/internal/balancer"
 )
 
 // List is discovery's news: the whole list, or the entries that changed.
@@ -21,7 +21,7 @@
 
 // Target is an entry of a list: the module's view of a server, and where it listens.
 type Target struct {
-	woodpick.Server
+	balancer.Server
 	Endpoint string // address with port
 }
 
@@ -35,8 +35,8 @@
 // Host is the life that the entry tells of.
 func (t Target) Host() Host { return Host{t.ID, t.Endpoint, t.Boot} }
 
-var states = map[string]woodpick.ServerState{
-	"in_service": woodpick.Ready, "terminating": woodpick.Draining, "terminated": woodpick.Gone,
+var states = map[string]balancer.ServerState{
+	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
 }
 
 // Parse reads a list as the registry writes it. A malformed one is dropped whole: half a list would look
@@ -71,13 +71,13 @@
 			return List{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, t.UID)
 		case !ok:
 			return List{}, fmt.Errorf("list: targets[%d]: unknown state %q", i, t.State)
-		case err != nil && state != woodpick.Gone:
+		case err != nil && state != balancer.Gone:
 			return List{}, fmt.Errorf("list: targets[%d]: %w", i, err)
 		case !(t.Size >= 0 && t.Size <= 1e12) || !(t.Boot >= 0 && t.Boot <= 1e13):
 			return List{}, fmt.Errorf("list: targets[%d]: capacity_hint or boot_ms is out of range", i)
 		}
 		seen[t.UID] = true
-		l.Targets = append(l.Targets, Target{Endpoint: t.Endpoint, Server: woodpick.Server{ID: t.UID,
+		l.Targets = append(l.Targets, Target{Endpoint: t.Endpoint, Server: balancer.Server{ID: t.UID,
 			Zone: t.Zone, Cell: t.Cell, State: state, Size: t.Size, Boot: time.Duration(math.Round(t.Boot * 1e6))}})
 	}
 	return l, nil
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/testpeer"
 )
 
 // slowService is a service on virtual time, whose connections are pipes.
@@ -95,7 +95,7 @@
 	fmt.Fprint(w, newList)
 }
 
-var newList = `{"rev":2,"all":true,"targets":[` + standin.Entry("s1", "127.0.0.1:1", "terminating") + `]}`
+var newList = `{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + `]}`
 
 // never is a call that is lost.
 func never(r *http.Request) { <-r.Context().Done() }
@@ -114,29 +114,29 @@
 	t     *testing.T
 	mu    sync.Mutex
 	begun time.Time
-	b     *woodpick.Balancer
+	b     *balancer.Balancer
 	watch *Watch
 	heard chan time.Time // when the new list came
 }
 
 // handle has the module take an event late, as in a process that is held up.
-func (m *moduleSink) handle(e woodpick.Event) {
+func (m *moduleSink) handle(e balancer.Event) {
 	time.Sleep(heldUp)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range m.b.Handle(time.Hour+time.Since(m.begun), e) {
 		switch a := a.(type) {
-		case woodpick.Wake:
+		case balancer.Wake:
 			at := m.begun.Add(a.At - time.Hour)
-			time.AfterFunc(time.Until(at), func() { m.handle(woodpick.Timer{Token: a.Token}) })
-		case woodpick.Subscribe:
+			time.AfterFunc(time.Until(at), func() { m.handle(balancer.Timer{Token: a.Token}) })
+		case balancer.Subscribe:
 			m.watch.Subscribe()
 		}
 	}
 }
 
 func (m *moduleSink) TakeList(l List) {
-	m.handle(woodpick.ServerList{Full: l.Full})
+	m.handle(balancer.ServerList{Full: l.Full})
 	if l.Rev == 2 {
 		select {
 		case m.heard <- time.Now():
@@ -145,7 +145,7 @@
 	}
 }
 
-func (m *moduleSink) ListFailed() { m.handle(woodpick.ListFailed{}) }
+func (m *moduleSink) ListFailed() { m.handle(balancer.ListFailed{}) }
 
 // heldUp is for how long a process may be held up.
 const heldUp = 150 * time.Millisecond
@@ -165,7 +165,7 @@
 			running.Go(func() { server.Serve(s) })
 			defer server.Close()
 		}
-		b, err := woodpick.New(woodpick.Settings{Classes: []woodpick.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}},
+		b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}},
 			Balancers: 300, MaxAttempts: 1, AskDiscovery: true, AskWithin: askWithin, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 			ColdFrom: 1}, seed)
 		if err != nil {
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -4,7 +4,7 @@
 	"maps"
 	"time"
 
-	"woodpick"
+	"damsontrestle/internal/balancer"
 )
 
 // Starts tells when servers started by the node's own clock. A boot_ms was written by another machine's clock, so that it
@@ -73,7 +73,7 @@
 	}
 	ready, young := 0, 0
 	for _, t := range l.Targets {
-		if t.State != woodpick.Ready {
+		if t.State != balancer.Ready {
 			continue
 		}
 		ready++
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"woodpick"
+	"damsontrestle/internal/balancer"
 )
 
 // Clocks of the tests: what the node's clock shows, against the one that writes boot_ms, whose time begins at epoch.
@@ -22,7 +22,7 @@
 
 // entry is a ready server that started at a time of the clock that writes boot_ms; negative: long ago, as 0 says.
 func entry(id string, started time.Duration) Target {
-	t := Target{Server: woodpick.Server{ID: id}}
+	t := Target{Server: balancer.Server{ID: id}}
 	if started >= 0 {
 		t.Boot = epoch + started
 	}
@@ -32,10 +32,10 @@
 const slowStart = 3 * time.Second
 
 // newBalancer decides by the clock of a node.
-func newBalancer(t *testing.T) *woodpick.Balancer {
+func newBalancer(t *testing.T) *balancer.Balancer {
 	t.Helper()
-	b, err := woodpick.New(woodpick.Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, ColdFrom: 0.1, WarmAfter: slowStart,
-		MaxRetryAfter: time.Second, Classes: []woodpick.Class{{Name: "view", Effect: woodpick.Safe, Aim: 100 * time.Millisecond,
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, ColdFrom: 0.1, WarmAfter: slowStart,
+		MaxRetryAfter: time.Second, Classes: []balancer.Class{{Name: "view", Effect: balancer.Safe, Aim: 100 * time.Millisecond,
 			Deadline: time.Second, Worth: 1, LateShare: 0.5}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -44,28 +44,28 @@
 }
 
 // shares plays five seconds of requests, and tells the part of each second's that a server got.
-func shares(b *woodpick.Balancer, now time.Duration, server string) (out [5]float64) {
+func shares(b *balancer.Balancer, now time.Duration, server string) (out [5]float64) {
 	const each, took = 10 * time.Millisecond, 8 * time.Millisecond
 	const perSecond = int(time.Second / each)
 	for n := range 5 * perSecond {
 		id := fmt.Sprint(n)
-		for _, a := range b.Handle(now, woodpick.Request{ID: id, Class: "view", Deadline: now + time.Second}) {
-			s, ok := a.(woodpick.Send)
+		for _, a := range b.Handle(now, balancer.Request{ID: id, Class: "view", Deadline: now + time.Second}) {
+			s, ok := a.(balancer.Send)
 			if !ok {
 				continue
 			}
 			if s.Server == server {
 				out[n/perSecond] += 1 / float64(perSecond)
 			}
-			b.Handle(now+took, woodpick.Outcome{ID: id, Server: s.Server, Ending: woodpick.Success, Latency: took, Ended: true})
+			b.Handle(now+took, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Latency: took, Ended: true})
 		}
 		now += each
 	}
 	return out
 }
 
-func listOf(l List) woodpick.ServerList {
-	e := woodpick.ServerList{Full: l.Full}
+func listOf(l List) balancer.ServerList {
+	e := balancer.ServerList{Full: l.Full}
 	for _, t := range l.Targets {
 		e.Servers = append(e.Servers, t.Server)
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // Times of a watch. An agent that is silent answers nothing, not even once it is back, so a call is doubted a little
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -10,15 +10,15 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/engine"
-	"woodpick/internal/route"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/route"
 )
 
 // View is one configuration as the fronts see it. It never changes.
 type View struct {
-	classes   map[string]woodpick.Class
+	classes   map[string]balancer.Class
 	listeners map[string]config.Listener
 	table     *route.Table
 	pools     map[string]*engine.Engine
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dispatch: %w", err)
 	}
-	v := &View{classes: map[string]woodpick.Class{}, listeners: map[string]config.Listener{}, table: table, pools: engines,
+	v := &View{classes: map[string]balancer.Class{}, listeners: map[string]config.Listener{}, table: table, pools: engines,
 		comeBack: time.Millisecond}
 	for _, c := range cfg.Classes {
 		v.classes[c.Name] = c.ForModule()
@@ -49,7 +49,7 @@
 }
 
 // Class tells of a class of calls, if there is one of that name.
-func (v *View) Class(name string) (woodpick.Class, bool) {
+func (v *View) Class(name string) (balancer.Class, bool) {
 	c, ok := v.classes[name]
 	return c, ok
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -9,20 +9,20 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/route"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/testpeer"
 )
 
 // named is a Backend that serves every attempt with a name.
 type named string
 
 func (n named) Run(a *engine.Attempt) engine.Outcome {
-	return engine.Outcome{Ending: woodpick.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
+	return engine.Outcome{Ending: balancer.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
 }
 
 func (named) Servers([]discovery.Target, bool) {}
@@ -38,14 +38,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: woodpick.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
+	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
 	go e.Run(t.Context())
 	return e
 }
 
 // twoPools sends views to one pool and all else to another.
 func twoPools(views, rest string) *config.Config {
-	cfg := standin.Config()
+	cfg := testpeer.Config()
 	other := cfg.Pools[0]
 	cfg.Pools[0].Name, other.Name = views, rest
 	cfg.Pools = append(cfg.Pools, other)
@@ -76,7 +76,7 @@
 		if err := d.Take(v, c, r); err != nil {
 			t.Fatal(err)
 		}
-		if got := standin.Receive(t, c.Answer(), "the answer"); string(got.Reply.Body) != want {
+		if got := testpeer.Receive(t, c.Answer(), "the answer"); string(got.Reply.Body) != want {
 			t.Errorf("%s went to %q", class, got.Reply.Body)
 		}
 	}
@@ -129,7 +129,7 @@
 						t.Errorf("%+v", got)
 						return
 					}
-				case <-time.After(standin.Limit):
+				case <-time.After(testpeer.Limit):
 					t.Error("no answer")
 					return
 				}
@@ -141,7 +141,7 @@
 		d.Swap(v, func() {})
 		for _, e := range old {
 			e.Retire()
-			standin.Receive(t, e.Done(), "the end of a retired engine")
+			testpeer.Receive(t, e.Done(), "the end of a retired engine")
 		}
 		old = engines
 	}
@@ -151,10 +151,10 @@
 
 // BenchmarkTake is a call's way from a front to its engine, with its answer.
 func BenchmarkTake(b *testing.B) {
-	cfg := standin.Config()
+	cfg := testpeer.Config()
 	e, _ := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named("x"),
 		Subscribe: func() {}, Pushed: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: woodpick.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
+	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
 	go e.Run(b.Context())
 	v, err := NewView(cfg, map[string]*engine.Engine{"servers": e})
 	if err != nil {
@@ -175,7 +175,7 @@
 func BenchmarkSwap(b *testing.B) {
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
-			cfg := standin.Config()
+			cfg := testpeer.Config()
 			p := cfg.Pools[0]
 			cfg.Pools, cfg.Routes[0].To = nil, nil
 			engines := map[string]*engine.Engine{}
--- a/internal/callers/callers.go
+++ b/internal/downstream/downstream.go
@@ -1,7 +1,7 @@
-// Package callers keeps the callers' connections of all fronts within their share of the node's descriptors.
+// Package downstream keeps the callers' connections of all fronts within their share of the node's descriptors.
 // Whoever holds a place without a request makes room first; only if nobody does, requests are refused. It knows
 // what each connection does, and nothing of what is spoken on it.
-package callers
+package downstream
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // Conn is a caller's connection, as its front has it. Its methods must not call back.
--- a/internal/callers/callers_test.go
+++ b/internal/downstream/downstream_test.go
@@ -1,4 +1,4 @@
-package callers
+package downstream
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // fake is a connection that notes what is done to it.
--- a/internal/callers/ended.go
+++ b/internal/downstream/ended.go
@@ -1,4 +1,4 @@
-package callers
+package downstream
 
 import (
 	"net"
--- a/internal/callers/ended_test.go
+++ b/internal/downstream/ended_test.go
@@ -1,11 +1,11 @@
-package callers
+package downstream
 
 import (
 	"io"
 	"net"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // What the system knows of a connection's end is seen at once, also behind bytes that nobody has read.
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		c.cross(theirs.(*net.TCPConn))
-		standin.Until(t, c.name+" to be seen", func() bool { return StateOf(ours) == c.want })
+		testpeer.Until(t, c.name+" to be seen", func() bool { return StateOf(ours) == c.want })
 		ours.Close()
 		if StateOf(ours) != Ended {
 			t.Errorf("%s: not ended once we have closed it", c.name)
--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/testpeer"
 )
 
 // stages plays a request in each stage, and a server's drain and slow start, with a wall clock that is off against the one
@@ -22,8 +22,8 @@
 	s, begin := newScript(), time.Now()
 	set := settings()
 	set.WarmAfter, set.ColdFrom = 3*time.Second, 0.1
-	set.Classes = append(set.Classes, woodpick.Class{Name: "put", Effect: woodpick.Keyed, Scope: woodpick.ScopeAll, Window: 2 * time.Second,
-		Aim: standin.Limit, Deadline: 2 * standin.Limit, Worth: 1})
+	set.Classes = append(set.Classes, balancer.Class{Name: "put", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 2 * time.Second,
+		Aim: testpeer.Limit, Deadline: 2 * testpeer.Limit, Worth: 1})
 	e, err := New(Options{Settings: set, Seed: 1, Clock: clock.From(begin.Add(off)), Backend: s, Subscribe: func() {}, Pushed: true,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
@@ -39,8 +39,8 @@
 		note("attempt %d of %s at %s, sent at %v, waits until %v, not after %v", a.N, a.Call.ID, a.To.Server, a.Sent-from, a.Deadline-from, min(a.NotAfter-from, time.Hour))
 		return a.To.Server, end
 	}
-	finish := func(end chan<- Outcome, how woodpick.Ending) { end <- Outcome{Ending: how, At: e.clock.Now()} }
-	answered := func(c *Call) { note("%s: kind %d", c.ID, standin.Receive(t, c.Answer(), "the answer").Kind) }
+	finish := func(end chan<- Outcome, how balancer.Ending) { end <- Outcome{Ending: how, At: e.clock.Now()} }
+	answered := func(c *Call) { note("%s: kind %d", c.ID, testpeer.Receive(t, c.Answer(), "the answer").Kind) }
 
 	queued := newCall(e, "queued", "view")
 	e.Take(queued)
@@ -48,7 +48,7 @@
 	e.TakeList(servers("s1", "s2"))
 	_, end := begun()
 	time.Sleep(300 * time.Millisecond) // while it is out
-	finish(end, woodpick.Success)
+	finish(end, balancer.Success)
 	answered(queued)
 
 	for _, wait := range []time.Duration{time.Second, 2 * time.Second} { // half of the window is over, and all of it
@@ -56,16 +56,16 @@
 		e.Take(put)
 		_, end = begun()
 		time.Sleep(wait)
-		finish(end, woodpick.Broken)
+		finish(end, balancer.Broken)
 		if wait < 2*time.Second {
 			_, end = begun()
-			finish(end, woodpick.Success)
+			finish(end, balancer.Success)
 		}
 		answered(put)
 	}
 
 	draining := servers("s1").Targets
-	draining[0].State = woodpick.Draining
+	draining[0].State = balancer.Draining
 	e.TakeList(discovery.List{Targets: draining})
 	fresh := servers("s3").Targets
 	fresh[0].Boot = time.Duration(time.Now().UnixNano()) // by the other clock, which is right
@@ -82,7 +82,7 @@
 			cold[n/50]++
 		}
 		time.Sleep(5 * time.Millisecond)
-		finish(end, woodpick.Success)
+		finish(end, balancer.Success)
 		answered(c)
 		time.Sleep(15 * time.Millisecond)
 	}
@@ -95,7 +95,7 @@
 	e.Take(late)
 	_, end = begun()
 	time.Sleep(e.clock.Until(late.Deadline))
-	finish(end, woodpick.TimedOut)
+	finish(end, balancer.TimedOut)
 	answered(late)
 	e.Retire()
 	return seen
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
 )
 
 // event is what the other parts tell the loop: one of the types below.
@@ -43,7 +43,7 @@
 	closing     struct{ at time.Duration }
 	lastCall    struct{} // the node ends: what is unanswered is answered now
 	reconfigure struct {
-		settings woodpick.Settings
+		settings balancer.Settings
 		pushed   bool
 	}
 	retire struct{}
@@ -89,7 +89,7 @@
 
 // Options are what an Engine is made of.
 type Options struct {
-	Settings  woodpick.Settings
+	Settings  balancer.Settings
 	Seed      uint64 // for the module's draws
 	Clock     clock.Clock
 	Backend   Backend
@@ -104,7 +104,7 @@
 // with room, and attempts run in goroutines of their own.
 type Engine struct {
 	clock     clock.Clock
-	balancer  *woodpick.Balancer
+	balancer  *balancer.Balancer
 	backend   Backend
 	events    chan event
 	subscribe func()
@@ -152,7 +152,7 @@
 // New returns an Engine that knows no servers yet and does nothing before Run. The error names the setting
 // at fault.
 func New(o Options) (*Engine, error) {
-	b, err := woodpick.New(o.Settings, o.Seed)
+	b, err := balancer.New(o.Settings, o.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -189,7 +189,7 @@
 
 // Reconfigure has the module decide by other settings from the next event on. Settings that New would refuse
 // change nothing.
-func (eng *Engine) Reconfigure(s woodpick.Settings, pushed bool) { eng.post(reconfigure{s, pushed}) }
+func (eng *Engine) Reconfigure(s balancer.Settings, pushed bool) { eng.post(reconfigure{s, pushed}) }
 
 // Retire has Run return once every call that was taken is answered and its attempts have ended.
 func (eng *Engine) Retire() { eng.post(retire{}) }
@@ -277,7 +277,7 @@
 			return
 		}
 		a := heap.Pop(&eng.alarms).(alarm)
-		eng.handle(now, woodpick.Timer{Token: a.token})
+		eng.handle(now, balancer.Timer{Token: a.token})
 	}
 }
 
@@ -302,14 +302,14 @@
 		// Attempts that another node made have their numbers and no more here.
 		eng.pending[e.call.ID] = &pending{call: e.call, attempts: make([]*Attempt, len(e.call.Earlier)), ran: !e.call.notRun()}
 		eng.tally.came(e.call.Class, false)
-		eng.handle(e.call.At, woodpick.Request{ID: e.call.ID, Class: e.call.Class, Deadline: e.call.Deadline,
+		eng.handle(e.call.At, balancer.Request{ID: e.call.ID, Class: e.call.Class, Deadline: e.call.Deadline,
 			Partial: e.call.Request.Rest != nil, Earlier: e.call.Earlier})
 	case callerGone:
 		eng.lag(e.at)
 		if p := eng.pending[e.call.ID]; p != nil && p.call == e.call && !p.answered {
 			eng.stats.Gone++
 			p.close()
-			eng.handle(e.at, woodpick.ClientGone{ID: e.call.ID})
+			eng.handle(e.at, balancer.ClientGone{ID: e.call.ID})
 			eng.forget(p)
 		}
 		e.call.discard()
@@ -318,7 +318,7 @@
 		if p := eng.pending[e.attempt.Call.ID]; p != nil && p.call == e.attempt.Call {
 			p.call.Deadline += e.at - p.call.At
 			p.call.At = e.at
-			eng.handle(e.at, woodpick.Uploaded{ID: p.call.ID, Attempt: e.attempt.N, Deadline: p.call.Deadline})
+			eng.handle(e.at, balancer.Uploaded{ID: p.call.ID, Attempt: e.attempt.N, Deadline: p.call.Deadline})
 		}
 	case ended:
 		eng.lag(e.outcome.At)
@@ -334,14 +334,14 @@
 		}
 	case known:
 		now := eng.clock.Now()
-		eng.handle(now, woodpick.Known{ID: e.id, Loads: []woodpick.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.asked}}})
+		eng.handle(now, balancer.Known{ID: e.id, Loads: []balancer.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.asked}}})
 	case listNews:
 		eng.takeList(e.list, false)
 	case listFailed:
-		eng.handle(eng.clock.Now(), woodpick.ListFailed{})
+		eng.handle(eng.clock.Now(), balancer.ListFailed{})
 	case reconfigure:
 		eng.pushed, eng.warmAfter = e.pushed, e.settings.WarmAfter
-		eng.handle(eng.clock.Now(), woodpick.Reconfigure{Settings: e.settings})
+		eng.handle(eng.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 	case retire:
 		eng.retiring = true
 	case status:
@@ -356,9 +356,9 @@
 	s.add(eng.stats)
 	for _, t := range eng.listed {
 		switch t.State {
-		case woodpick.Ready:
+		case balancer.Ready:
 			s.Ready++
-		case woodpick.Draining:
+		case balancer.Draining:
 			s.Draining++
 		}
 	}
@@ -403,7 +403,7 @@
 	} else {
 		eng.finish(p.call.ID, Answer{Kind: Failed})
 	}
-	eng.handle(eng.clock.Now(), woodpick.ClientGone{ID: p.call.ID})
+	eng.handle(eng.clock.Now(), balancer.ClientGone{ID: p.call.ID})
 }
 
 // end passes on how an attempt ended. The first success is the caller's answer.
@@ -414,13 +414,13 @@
 	p.ran = p.ran || !r.Ending.NeverRan()
 	at, listed := eng.listed[a.To.Server]
 	eng.tally.ended(at, a.To.Server, listed, r.Ending, r.At-a.Sent)
-	if r.Ending == woodpick.Success && !p.answered {
+	if r.Ending == balancer.Success && !p.answered {
 		eng.stats.Served++
 		eng.answer(p, Answer{Kind: Served, Reply: r.Reply})
 	} else {
 		r.Reply.Discard()
 	}
-	eng.handle(r.At, woodpick.Outcome{ID: a.Call.ID, Attempt: a.N, Server: a.To.Server, Ending: r.Ending,
+	eng.handle(r.At, balancer.Outcome{ID: a.Call.ID, Attempt: a.N, Server: a.To.Server, Ending: r.Ending,
 		Latency: r.At - a.Sent, Ended: p.answered, Spent: r.Spent, Load: r.Load})
 	eng.forget(p)
 }
@@ -460,10 +460,10 @@
 		clear(eng.listed)
 	}
 	eng.rev = news.Rev
-	e := woodpick.ServerList{Full: news.Full, Cached: cached}
+	e := balancer.ServerList{Full: news.Full, Cached: cached}
 	for _, t := range news.Targets {
 		e.Servers = append(e.Servers, t.Server)
-		if t.State == woodpick.Gone {
+		if t.State == balancer.Gone {
 			delete(eng.listed, t.ID)
 		} else {
 			eng.listed[t.ID] = t
@@ -479,7 +479,7 @@
 // does not look at all.
 func (eng *Engine) listsReady() bool {
 	for _, t := range eng.listed {
-		if t.State == woodpick.Ready {
+		if t.State == balancer.Ready {
 			return true
 		}
 	}
@@ -491,7 +491,7 @@
 	named := 0
 	for _, t := range news.Targets {
 		held, ok := eng.listed[t.ID]
-		if ok && held != t || !ok && t.State != woodpick.Gone {
+		if ok && held != t || !ok && t.State != balancer.Gone {
 			return false
 		}
 		if ok {
@@ -502,35 +502,35 @@
 }
 
 // handle feeds the module and carries out what it decides.
-func (eng *Engine) handle(at time.Duration, e woodpick.Event) {
+func (eng *Engine) handle(at time.Duration, e balancer.Event) {
 	eng.now = max(eng.now, at)
 	for _, a := range eng.balancer.Handle(eng.now, e) {
 		switch a := a.(type) {
-		case woodpick.Send:
+		case balancer.Send:
 			eng.send(a)
-		case woodpick.Ask:
+		case balancer.Ask:
 			for _, s := range a.Servers {
 				eng.ask(a.ID, eng.listed[s].Host(), a.Within)
 			}
-		case woodpick.Cancel:
+		case balancer.Cancel:
 			if p := eng.pending[a.ID]; p != nil && a.Attempt < len(p.attempts) && p.attempts[a.Attempt] != nil {
 				p.attempts[a.Attempt].Cancel()
 			}
-		case woodpick.LetGo:
+		case balancer.LetGo:
 			eng.backend.LetGo(eng.listed[a.Server].Host())
-		case woodpick.Refuse:
+		case balancer.Refuse:
 			eng.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
-		case woodpick.Fail:
+		case balancer.Fail:
 			eng.finish(a.ID, Answer{Kind: Failed})
-		case woodpick.Wake:
+		case balancer.Wake:
 			heap.Push(&eng.alarms, alarm{a.At, a.Token})
-		case woodpick.Subscribe:
+		case balancer.Subscribe:
 			eng.subscribe()
 		}
 	}
 }
 
-func (eng *Engine) send(s woodpick.Send) {
+func (eng *Engine) send(s balancer.Send) {
 	p := eng.pending[s.ID]
 	a := NewAttempt(p.call, len(p.attempts), eng.listed[s.Server].Host(), eng.now, eng.now+s.Timeout)
 	a.NotAfter = s.NotAfter
@@ -594,9 +594,9 @@
 	}
 	e := s.Endings
 	eng.log.With(eng.more()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Refused,
-		"failed", s.Failed, "gone", s.Gone, "sends", s.Sends, "asks", s.Asks, "success", e[woodpick.Success],
-		"failure", e[woodpick.Failure], "overloaded", e[woodpick.Overloaded],
-		"timed_out", e[woodpick.TimedOut], "unreachable", e[woodpick.Unreachable],
-		"broken", e[woodpick.Broken], "withdrawn", e[woodpick.Withdrawn], "void", e[woodpick.Void],
+		"failed", s.Failed, "gone", s.Gone, "sends", s.Sends, "asks", s.Asks, "success", e[balancer.Success],
+		"failure", e[balancer.Failure], "overloaded", e[balancer.Overloaded],
+		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.Unreachable],
+		"broken", e[balancer.Broken], "withdrawn", e[balancer.Withdrawn], "void", e[balancer.Void],
 		"pending", len(eng.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/testpeer"
 )
 
 // script is a Backend whose attempts end as a test says.
@@ -44,30 +44,30 @@
 	case o := <-end:
 		return o
 	case <-a.Context().Done():
-		return Outcome{Ending: woodpick.Withdrawn, At: a.Sent}
+		return Outcome{Ending: balancer.Withdrawn, At: a.Sent}
 	}
 }
 
 // expect waits for an attempt and returns it with the channel that ends it.
 func (s *script) expect(t *testing.T) (*Attempt, chan<- Outcome) {
 	t.Helper()
-	return standin.Receive(t, s.attempts, "an attempt"), standin.Receive(t, s.next, "its end")
+	return testpeer.Receive(t, s.attempts, "an attempt"), testpeer.Receive(t, s.next, "its end")
 }
 
-func settings() woodpick.Settings {
-	class := func(name string, e woodpick.Effect) woodpick.Class {
-		return woodpick.Class{Name: name, Effect: e, Aim: standin.Limit, Deadline: 2 * standin.Limit, Worth: 1}
+func settings() balancer.Settings {
+	class := func(name string, e balancer.Effect) balancer.Class {
+		return balancer.Class{Name: name, Effect: e, Aim: testpeer.Limit, Deadline: 2 * testpeer.Limit, Worth: 1}
 	}
-	return woodpick.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Tick: time.Millisecond,
+	return balancer.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Tick: time.Millisecond,
 		MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WholeWeight: 1,
-		Classes: []woodpick.Class{class("view", woodpick.Safe), class("note", woodpick.Unsafe)}}
+		Classes: []balancer.Class{class("view", balancer.Safe), class("note", balancer.Unsafe)}}
 }
 
 // servers is a whole list of ready servers.
 func servers(ids ...string) discovery.List {
 	l := discovery.List{Full: true}
 	for _, id := range ids {
-		l.Targets = append(l.Targets, discovery.Target{Server: woodpick.Server{ID: id}, Endpoint: "127.0.0.1:1"})
+		l.Targets = append(l.Targets, discovery.Target{Server: balancer.Server{ID: id}, Endpoint: "127.0.0.1:1"})
 	}
 	return l
 }
@@ -87,7 +87,7 @@
 func newCall(e *Engine, id, class string) *Call {
 	c := NewCall(id, Request{})
 	c.Class, c.At = class, e.clock.Now()
-	c.Deadline = c.At + standin.Limit
+	c.Deadline = c.At + testpeer.Limit
 	return c
 }
 
@@ -99,13 +99,13 @@
 	go e.Run(t.Context())
 	for _, c := range []struct {
 		class string
-		ends  []woodpick.Ending
+		ends  []balancer.Ending
 		want  Kind
 	}{
-		{"view", []woodpick.Ending{woodpick.Broken, woodpick.Success}, Served},
-		{"note", []woodpick.Ending{woodpick.Broken}, Failed},
-		{"note", []woodpick.Ending{woodpick.Unreachable, woodpick.Success}, Served},
-		{"note", []woodpick.Ending{woodpick.Overloaded, woodpick.Unreachable}, Refused},
+		{"view", []balancer.Ending{balancer.Broken, balancer.Success}, Served},
+		{"note", []balancer.Ending{balancer.Broken}, Failed},
+		{"note", []balancer.Ending{balancer.Unreachable, balancer.Success}, Served},
+		{"note", []balancer.Ending{balancer.Overloaded, balancer.Unreachable}, Refused},
 	} {
 		call := newCall(e, "id", c.class)
 		e.Take(call)
@@ -116,7 +116,7 @@
 			}
 			end <- Outcome{Ending: ending, At: e.clock.Now(), Reply: Reply{Body: []byte("body")}}
 		}
-		got := standin.Receive(t, call.Answer(), "the answer")
+		got := testpeer.Receive(t, call.Answer(), "the answer")
 		if got.Kind != c.want || got.Kind == Served && string(got.Reply.Body) != "body" || len(s.attempts) > 0 {
 			t.Errorf("%s after %v: kind %d, body %q, %d more attempts; want kind %d", c.class, c.ends, got.Kind,
 				got.Reply.Body, len(s.attempts), c.want)
@@ -144,8 +144,8 @@
 		if a.To.Server != "s2" {
 			t.Errorf("the call goes to %s; s2 holds least", a.To.Server)
 		}
-		end <- Outcome{Ending: woodpick.Success, At: e.clock.Now(), Load: &woodpick.Load{Busy: 1}}
-		if got := standin.Receive(t, call.Answer(), "the answer"); got.Kind != Served {
+		end <- Outcome{Ending: balancer.Success, At: e.clock.Now(), Load: &balancer.Load{Busy: 1}}
+		if got := testpeer.Receive(t, call.Answer(), "the answer"); got.Kind != Served {
 			t.Errorf("the answer is of kind %d", got.Kind)
 		}
 		if got := e.Status().Asks; got != 4 {
@@ -178,8 +178,8 @@
 			return
 		}
 		if (a.To.Server[1]-'1')%2 == 0 { // zone0
-			end <- Outcome{Ending: woodpick.Success, At: e.clock.Now()}
-			standin.Receive(t, call.Answer(), "the answer")
+			end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
+			testpeer.Receive(t, call.Answer(), "the answer")
 		}
 	}
 }
@@ -193,11 +193,11 @@
 	e.Take(first)
 	_, end := s.expect(t)
 	e.Take(second)
-	if a := standin.Receive(t, second.Answer(), "the second's answer"); a.Kind != Duplicate {
+	if a := testpeer.Receive(t, second.Answer(), "the second's answer"); a.Kind != Duplicate {
 		t.Errorf("kind %d", a.Kind)
 	}
-	end <- Outcome{Ending: woodpick.Success, At: e.clock.Now()}
-	if a := standin.Receive(t, first.Answer(), "the first's answer"); a.Kind != Served {
+	end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
+	if a := testpeer.Receive(t, first.Answer(), "the first's answer"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
 }
@@ -211,8 +211,8 @@
 	e.Take(c)
 	a, _ := s.expect(t)
 	c.Leave(e.clock.Now())
-	standin.Receive(t, a.Context().Done(), "the cancel")
-	standin.Until(t, "the id to be free", func() bool {
+	testpeer.Receive(t, a.Context().Done(), "the cancel")
+	testpeer.Until(t, "the id to be free", func() bool {
 		again := newCall(e, "id", "note")
 		e.Take(again)
 		select {
@@ -233,12 +233,12 @@
 	e.Take(out)
 	s.expect(t)
 	e.LastCall()
-	if a := standin.Receive(t, out.Answer(), "the answer"); a.Kind != Failed {
+	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Failed {
 		t.Errorf("kind %d", a.Kind)
 	}
 	late := newCall(e, "late", "view")
 	e.Take(late)
-	if a := standin.Receive(t, late.Answer(), "the refusal"); a.Kind != Refused || a.RetryAfter <= 0 {
+	if a := testpeer.Receive(t, late.Answer(), "the refusal"); a.Kind != Refused || a.RetryAfter <= 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -250,7 +250,7 @@
 	e := newEngine(t, s, servers("s1"))
 	s.told = 0
 	terminating, moved := servers("s1"), servers("s1")
-	terminating.Targets[0].State = woodpick.Draining
+	terminating.Targets[0].State = balancer.Draining
 	moved.Targets[0].Endpoint = "127.0.0.1:2"
 	for i, c := range []struct {
 		list discovery.List
@@ -275,13 +275,13 @@
 	if got := e.Status(); got.Open != 1 || got.Ready != 2 || got.Calls != 1 {
 		t.Errorf("%+v", got)
 	}
-	end <- Outcome{Ending: woodpick.Broken, At: e.clock.Now()}
+	end <- Outcome{Ending: balancer.Broken, At: e.clock.Now()}
 	_, end = s.expect(t) // still tried again: it is the engine's own
-	end <- Outcome{Ending: woodpick.Success, At: e.clock.Now()}
-	if a := standin.Receive(t, out.Answer(), "the answer"); a.Kind != Served {
+	end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
+	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
-	standin.Receive(t, e.Done(), "the end")
+	testpeer.Receive(t, e.Done(), "the end")
 	out.Leave(e.clock.Now()) // blocks nobody
 	if got := e.Status(); got != (Status{}) {
 		t.Errorf("%+v after the end", got)
@@ -297,11 +297,11 @@
 	e.Take(out)
 	_, end := s.expect(t)
 	next := settings()
-	next.Classes[0].Effect = woodpick.Unsafe
+	next.Classes[0].Effect = balancer.Unsafe
 	e.Reconfigure(next, true)
 	e.Status() // the loop has come so far
-	end <- Outcome{Ending: woodpick.Broken, At: e.clock.Now()}
-	if a := standin.Receive(t, out.Answer(), "the answer"); a.Kind != Failed || len(s.attempts) > 0 {
+	end <- Outcome{Ending: balancer.Broken, At: e.clock.Now()}
+	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Failed || len(s.attempts) > 0 {
 		t.Errorf("kind %d, %d more attempts", a.Kind, len(s.attempts))
 	}
 }
@@ -322,15 +322,15 @@
 	go e.Run(ctx)
 	c := NewCall("1", Request{})
 	c.Class, c.At = "view", e.clock.Now()
-	c.Deadline = c.At + standin.Limit
+	c.Deadline = c.At + testpeer.Limit
 	e.Take(c)
 	a, end := s.expect(t)
 	is := e.Sight()
 	if is.Rev != 7 || is.Classes["view"] != (ClassSight{Calls: 1, Open: 1}) || is.Servers["a"].Held != 1 || is.Zones["z"].Ready != 1 || is.Zones["z"].Warm != 1 {
 		t.Errorf("with a call out: %+v", is)
 	}
-	end <- Outcome{Ending: woodpick.Success, At: a.Sent + 3*time.Millisecond}
-	standin.Receive(t, c.Answer(), "an answer")
+	end <- Outcome{Ending: balancer.Success, At: a.Sent + 3*time.Millisecond}
+	testpeer.Receive(t, c.Answer(), "an answer")
 	is = e.Sight()
 	if z := is.Zones["z"]; is.Classes["view"].Open != 0 || z.Ended != 1 || z.Bad != 0 || z.Took != 3*time.Millisecond || is.Took[12] != 1 || is.Servers["a"].Held != 0 {
 		t.Errorf("after its answer: %+v", is)
@@ -396,8 +396,8 @@
 		call := newCall(e, fmt.Sprint("before", i), "note")
 		e.Take(call)
 		a, end := s.expect(t)
-		end <- Outcome{Ending: woodpick.Success, At: a.Sent + 20*time.Millisecond}
-		standin.Receive(t, call.Answer(), "the answer")
+		end <- Outcome{Ending: balancer.Success, At: a.Sent + 20*time.Millisecond}
+		testpeer.Receive(t, call.Answer(), "the answer")
 	}
 	return e
 }
@@ -423,9 +423,9 @@
 			e.Take(call)
 			if c.want == Served {
 				_, end := s.expect(t)
-				end <- Outcome{Ending: woodpick.Success, At: e.clock.Now()}
+				end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
 			}
-			if got := standin.Receive(t, call.Answer(), "the answer"); got.Kind != c.want || got.Kind == Refused && (got.RetryAfter <= 0 || !got.Elsewhere) {
+			if got := testpeer.Receive(t, call.Answer(), "the answer"); got.Kind != c.want || got.Kind == Refused && (got.RetryAfter <= 0 || !got.Elsewhere) {
 				t.Errorf("answer %+v, want kind %d", got, c.want)
 			}
 		})
@@ -443,7 +443,7 @@
 		t.Fatalf("%+v, want one call that waits", got)
 	}
 	e.CloseAt(e.clock.Now() + 10*time.Millisecond)
-	if got := standin.Receive(t, waiting.Answer(), "the answer"); got.Kind != Refused || len(s.attempts) > 0 {
+	if got := testpeer.Receive(t, waiting.Answer(), "the answer"); got.Kind != Refused || len(s.attempts) > 0 {
 		t.Errorf("answer %+v after %d sends, want a refusal after none", got, len(s.attempts))
 	}
 }
@@ -455,7 +455,7 @@
 	go e.Run(t.Context())
 	same := servers("s1", "s2")
 	less := servers("s1", "s3")
-	less.Targets[1].State = woodpick.Gone
+	less.Targets[1].State = balancer.Gone
 	for _, c := range []struct {
 		name  string
 		list  discovery.List
--- a/internal/engine/call.go
+++ b/internal/engine/request.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
 )
 
 // Call is a caller's request, whatever protocol brought it: read whole, or at least its head and as much of its
@@ -24,7 +24,7 @@
 	Request   Request
 
 	// Of calls that others have a part in. All three may be empty; a Call with them is made by its taker alone.
-	Earlier []woodpick.Earlier       // attempts that another node made
+	Earlier []balancer.Earlier       // attempts that another node made
 	Allow   func(*Attempt) bool      // asked before the first byte of an attempt is written, which must not be where it says no
 	Ended   func(*Attempt, *Outcome) // told how each attempt ended
 
@@ -64,7 +64,7 @@
 
 // notRun says that no attempt that another node made may have run.
 func (c *Call) notRun() bool {
-	return !slices.ContainsFunc(c.Earlier, func(e woodpick.Earlier) bool { return !e.Unsent })
+	return !slices.ContainsFunc(c.Earlier, func(e balancer.Earlier) bool { return !e.Unsent })
 }
 
 // Leave tells whoever took the call that its caller has gone at a clock time: nothing more is owed to it. It is for whoever
@@ -241,10 +241,10 @@
 // Outcome is how an attempt ended. Its Ending is the proof of whether it may have run: after Overloaded,
 // Unreachable and Void it has not, whatever else happens.
 type Outcome struct {
-	Ending woodpick.Ending
+	Ending balancer.Ending
 	At     time.Duration  // clock time: for an answer, when its last byte was read
 	Reply  Reply          // for Success
-	Load   *woodpick.Load // that came with an answer; nil: none
+	Load   *balancer.Load // that came with an answer; nil: none
 	Spent  bool           // some of the call's Rest was read: it can't be sent again
 	Why    string         // what the answer said of the rule that it was refused by
 
--- a/internal/engine/soak_test.go
+++ b/internal/engine/soak_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/discovery"
-	"woodpick/internal/standin"
-	reach "woodpick/internal/standin/heap"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/testpeer"
+	reach "damsontrestle/internal/testpeer/heap"
 )
 
 // A hundred thousand calls under ids that are never seen again, and five thousand servers that come and go: the engine
@@ -21,7 +21,7 @@
 		for {
 			select {
 			case <-s.attempts:
-				(<-s.next) <- Outcome{Ending: woodpick.Success, At: e.clock.Now()}
+				(<-s.next) <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
 			case <-e.Done():
 				return
 			}
@@ -35,7 +35,7 @@
 			old = "s0"
 		}
 		e.TakeList(discovery.List{Targets: []discovery.Target{
-			{Server: woodpick.Server{ID: old, State: woodpick.Gone}}, {Server: woodpick.Server{ID: next}, Endpoint: "127.0.0.1:1"}}})
+			{Server: balancer.Server{ID: old, State: balancer.Gone}}, {Server: balancer.Server{ID: next}, Endpoint: "127.0.0.1:1"}}})
 		var open []*Call
 		for k := range at {
 			c := newCall(e, fmt.Sprint("call-", i+k), "view")
@@ -44,7 +44,7 @@
 			open = append(open, c)
 		}
 		for _, c := range open {
-			standin.Receive(t, c.Answer(), "the answer")
+			testpeer.Receive(t, c.Answer(), "the answer")
 		}
 		if i == calls/10 {
 			base = reach.Reachable()
--- a/internal/engine/sight.go
+++ b/internal/engine/stats.go
@@ -5,8 +5,8 @@
 	"math/bits"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
 )
 
 // Sight is what an engine sees that others may want to know. Counts are since it began.
@@ -70,7 +70,7 @@
 }
 
 // ended notes how an attempt ended. listed: its server is on the list still, as at; of what zone it was otherwise is not known.
-func (t *tally) ended(at discovery.Target, server string, listed bool, e woodpick.Ending, took time.Duration) {
+func (t *tally) ended(at discovery.Target, server string, listed bool, e balancer.Ending, took time.Duration) {
 	if t == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 	s.Held--
 	z.Ended++
 	z.Took += took
-	if e == woodpick.Success {
+	if e == balancer.Success {
 		t.Took[min(bits.Len64(uint64(max(0, took.Microseconds()))), Buckets-1)]++
 	} else {
 		z.Bad++
@@ -127,7 +127,7 @@
 	}
 	now := eng.clock.Now()
 	for _, t := range eng.listed {
-		if t.State != woodpick.Ready {
+		if t.State != balancer.Ready {
 			continue
 		}
 		z := s.Zones[t.Zone]
--- a/internal/due/due.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package due keeps what is to happen on virtual time, in the order of its times, and of one instant in that in which it came.
-package due
+// Package eventqueue keeps what is to happen on virtual time, in the order of its times, and of one instant in that in which it came.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	"woodpick/internal/intake"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/validation"
 )
 
 // Limits on what a web server may make the node wait for.
@@ -37,7 +37,7 @@
 	front *Front
 	in    *bufio.Reader
 
-	// The protocol's state. Held while something is written; callers.Set never waits for it.
+	// The protocol's state. Held while something is written; downstream.Set never waits for it.
 	mu    sync.Mutex
 	app   *Application
 	out   *Writer
@@ -51,7 +51,7 @@
 	unwritable     chan struct{}
 	markUnwritable func()
 
-	// What callers.Set asks for. Never held while something is read or written.
+	// What downstream.Set asks for. Never held while something is read or written.
 	state    sync.Mutex
 	midway   bool // within a record, as far as is known
 	reading  int  // requests that have begun and are not whole
@@ -66,8 +66,8 @@
 // call is a request that is open.
 type call struct {
 	id   uint16
-	head intake.Head
-	in   intake.Request
+	head validation.Head
+	in   validation.Request
 	body []byte
 	with *engine.Call // once the module has it
 	over bool         // its answer has been given, or nobody waits for it
@@ -143,7 +143,7 @@
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if ended && ok && half.CloseWrite() == nil {
-		c.front.callers.Move(c, callers.Lingering)
+		c.front.callers.Move(c, downstream.Lingering)
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 		io.CopyN(io.Discard, c.Conn, lingerBytes)
 	}
@@ -210,11 +210,11 @@
 func (c *client) hasLeft(r *call) bool {
 	for until := time.Now().Add(c.front.unread); ; time.Sleep(unreadStep) {
 		waits := c.inRead.Load()
-		state := callers.StateOf(c.Conn)
+		state := downstream.StateOf(c.Conn)
 		switch {
-		case r.left.Load() || state == callers.Ended:
+		case r.left.Load() || state == downstream.Ended:
 			return true
-		case waits && state == callers.Quiet || time.Now().After(until):
+		case waits && state == downstream.Quiet || time.Now().After(until):
 			return r.left.Load()
 		}
 	}
@@ -273,7 +273,7 @@
 		c.called(r, e.Params)
 	case Body:
 		switch {
-		case len(r.body)+len(e.Data) > intake.MaxBody:
+		case len(r.body)+len(e.Data) > validation.MaxBody:
 			c.reject(r, errTooLong)
 		case r.head.Length >= 0 && int64(len(r.body)+len(e.Data)) > r.head.Length:
 			c.reject(r, errLength)
@@ -316,11 +316,11 @@
 	view := c.front.calls.View()
 	probe := head
 	probe.Length = max(0, head.Length)
-	in, err := intake.Check(view, &probe)
+	in, err := validation.Check(view, &probe)
 	switch {
 	case err != nil:
 		c.reject(r, err)
-	case head.Length > intake.MaxBody:
+	case head.Length > validation.MaxBody:
 		c.reject(r, errTooLong)
 	}
 	r.in = in
@@ -337,9 +337,9 @@
 		return
 	}
 	r.in.Call.Gone = func() bool { return c.hasLeft(r) }
-	with, err := intake.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
+	with, err := validation.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
 	if err != nil {
-		f.figures.End(r.in.Class, figures.Faulted)
+		f.figures.End(r.in.Class, metrics.Faulted)
 		c.say(r, wordsOf(err))
 		f.callers.End(c)
 		c.phase()
@@ -385,10 +385,10 @@
 
 // answer gives a request an answer that is whole. The caller holds mu.
 func (c *client) answer(r *call, a engine.Answer) {
-	c.front.figures.End(r.in.Class, intake.Result(a))
+	c.front.figures.End(r.in.Class, validation.Result(a))
 	if a.Kind != engine.Served {
-		status, words := intake.Words(a)
-		c.say(r, said{status, words, intake.RetryAfter(a)})
+		status, words := validation.Words(a)
+		c.say(r, said{status, words, validation.RetryAfter(a)})
 		return
 	}
 	c.out.Stream(Stdout, r.id, headText(200, a.Reply.ContentType, int64(len(a.Reply.Body)), ""))
@@ -424,10 +424,10 @@
 	case r.over:
 		return // an abort or the connection's end has counted it
 	case on && err == io.EOF:
-		c.front.figures.End(r.in.Class, figures.Fulfilled)
+		c.front.figures.End(r.in.Class, metrics.Fulfilled)
 		c.finish(r, End{})
 	default:
-		c.front.figures.End(r.in.Class, figures.Faulted)
+		c.front.figures.End(r.in.Class, metrics.Faulted)
 		c.finish(r, End{App: 1})
 	}
 	c.flush()
@@ -463,7 +463,7 @@
 	c.phase()
 }
 
-// phase tells callers.Set what the connection does. The caller holds mu.
+// phase tells downstream.Set what the connection does. The caller holds mu.
 func (c *client) phase() {
 	for _, r := range c.calls {
 		if r.with != nil {
@@ -471,9 +471,9 @@
 		}
 	}
 	if len(c.calls) > 0 {
-		c.front.callers.Move(c, callers.Reading)
+		c.front.callers.Move(c, downstream.Reading)
 	} else {
-		c.front.callers.Move(c, callers.Idle)
+		c.front.callers.Move(c, downstream.Idle)
 	}
 }
 
@@ -493,7 +493,7 @@
 	clear(c.calls)
 }
 
-// LetGo implements callers.Conn.
+// LetGo implements downstream.Conn.
 func (c *client) LetGo() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
@@ -504,10 +504,10 @@
 	return c.leaving
 }
 
-// Abort implements callers.Conn.
+// Abort implements downstream.Conn.
 func (c *client) Abort() error { return c.Conn.Close() }
 
-// CutOff implements callers.Conn.
+// CutOff implements downstream.Conn.
 func (c *client) CutOff() {
 	c.state.Lock()
 	defer c.state.Unlock()
@@ -515,28 +515,28 @@
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements callers.Conn.
+// IsCut implements downstream.Conn.
 func (c *client) IsCut() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.cut
 }
 
-// HasBegun implements callers.Conn.
+// HasBegun implements downstream.Conn.
 func (c *client) HasBegun() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.midway || c.reading > 0
 }
 
-// Owes implements callers.Conn.
+// Owes implements downstream.Conn.
 func (c *client) Owes() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.owed > 0
 }
 
-// Quiet implements callers.Conn.
+// Quiet implements downstream.Conn.
 func (c *client) Quiet() time.Duration {
 	c.state.Lock()
 	defer c.state.Unlock()
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/figures"
-	"woodpick/internal/intake"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/validation"
 )
 
 // DefaultBounds are what a web server's connection may hold.
@@ -26,8 +26,8 @@
 	listener string // its name in the configuration
 	clock    clock.Clock
 	calls    *dispatch.Dispatcher
-	callers  *callers.Set
-	figures  *figures.Set
+	callers  *downstream.Set
+	figures  *metrics.Set
 	log      *slog.Logger
 	bounds   Bounds
 	unread   time.Duration
@@ -37,7 +37,7 @@
 }
 
 // NewFront returns a Front that serves nobody before Serve.
-func NewFront(listener string, c clock.Clock, set *callers.Set, calls *dispatch.Dispatcher, count *figures.Set, log *slog.Logger) *Front {
+func NewFront(listener string, c clock.Clock, set *downstream.Set, calls *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
 	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost, part: partTimeout}
 }
 
@@ -83,13 +83,13 @@
 
 // Reasons to turn a body away.
 var (
-	errTooLong = &intake.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
-	errLength  = &intake.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
+	errTooLong = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errLength  = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
 )
 
 // wordsOf are for a request that can't be used, or whose listener has gone.
 func wordsOf(err error) said {
-	var no *intake.Rejected
+	var no *validation.Rejected
 	if errors.As(err, &no) {
 		return said{no.Status, no.Reason, ""}
 	}
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -18,22 +18,22 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/descriptors"
-	"woodpick/internal/discovery"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	"woodpick/internal/http1"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/descriptors"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/http1"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/testpeer"
 )
 
 // rig is a FastCGI front over one pool of HTTP/1.1 servers.
 type rig struct {
 	front   *Front
-	callers *callers.Set
+	callers *downstream.Set
 	engine  *engine.Engine
 	back    *http1.Back
 	ln      net.Listener
@@ -52,12 +52,12 @@
 // startRigOn has the front listen on what wrap makes of its listener.
 func startRigOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds Bounds, servers ...string) *rig {
 	t.Helper()
-	cfg := standin.Config()
+	cfg := testpeer.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c, count := clock.New(), &figures.Set{}
-	n := &rig{back: http1.NewBack(c, descriptors.NewShare(488), count, http1.Limits{Most: 488, ConnectTimeout: standin.Limit, Idle: time.Minute})}
-	n.callers = callers.New(c, callers.Share{Room: 976, Least: 244, Spare: 24}, n.back.Connections)
+	c, count := clock.New(), &metrics.Set{}
+	n := &rig{back: http1.NewBack(c, descriptors.NewShare(488), count, http1.Limits{Most: 488, ConnectTimeout: testpeer.Limit, Idle: time.Minute})}
+	n.callers = downstream.New(c, downstream.Share{Room: 976, Least: 244, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
 		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := discovery.Parse([]byte(strings.Replace(standin.Whole(servers...), "%d", "1", 1)))
+	list, err := discovery.Parse([]byte(strings.Replace(testpeer.Whole(servers...), "%d", "1", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,14 +101,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * standin.Limit))
+	c.SetDeadline(time.Now().Add(2 * testpeer.Limit))
 	out := NewWriter(c)
 	w := &webServer{c, NewWebServer(out), out, NewReader(bufio.NewReader(c))}
 	w.most = 1000
 	return w
 }
 
-// variables are those of a request of one of the classes of standin.Config.
+// variables are those of a request of one of the classes of testpeer.Config.
 func variables(method, target, id string, more ...string) []Param {
 	all := []Param{{"REQUEST_METHOD", method}, {"REQUEST_URI", target}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "h"},
 		{"HTTP_X_REQUEST_ID", id}, {"HTTP_X_DEADLINE", "60"}}
@@ -180,12 +180,12 @@
 		body string
 	}
 	got := make(chan seen, 10)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- seen{r, body}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Other: x\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	})
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	id := w.ask(t, variables("POST", "/keyed/a%2fB?q=%20", "the-id", "HTTP_IDEMPOTENCY_KEY", "K+/=", "CONTENT_TYPE", "c/d", "CONTENT_LENGTH", "4",
 		"HTTP_PROXY", "evil", "HTTP_CONTENT_LENGTH", "4"), "body")
@@ -193,7 +193,7 @@
 	if want := "Status: 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nok"; a.text != want || a.end != (End{}) {
 		t.Errorf("%q, %+v; want %q", a.text, a.end, want)
 	}
-	g := standin.Receive(t, got, "the request")
+	g := testpeer.Receive(t, got, "the request")
 	if g.r.Method != "POST" || g.r.RequestURI != "/keyed/a%2fB?q=%20" || g.body != "body" || g.r.Header.Get("X-Request-Id") != "the-id" ||
 		g.r.Header.Get("Idempotency-Key") != "K+/=" || g.r.Header.Get("Content-Type") != "c/d" || g.r.Header.Get("Proxy") != "" {
 		t.Errorf("%s %s %v %q", g.r.Method, g.r.RequestURI, g.r.Header, g.body)
@@ -204,14 +204,14 @@
 	if a := w.hear(t, 1)[id]; a.body() != "ok" {
 		t.Errorf("%q", a.text)
 	}
-	if g := standin.Receive(t, got, "the request"); g.r.RequestURI != "/note/a%20b?x=y" || g.body != "no length" {
+	if g := testpeer.Receive(t, got, "the request"); g.r.RequestURI != "/note/a%20b?x=y" || g.body != "no length" {
 		t.Errorf("%s %q", g.r.RequestURI, g.body)
 	}
 }
 
 func TestWhatCantBeUsedIsAnswered(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	for _, c := range []struct {
 		name   string
@@ -265,24 +265,24 @@
 		}
 		w.wantClosed(t, name)
 	}
-	standin.Until(t, "the connections to be forgotten", func() bool { return n.callers.Held() == 1 })
+	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Held() == 1 })
 }
 
 // Fifty requests on one connection, of which some are aborted while servers have them: each ends once, the others are
 // served, nothing unsafe runs twice, and the aborted ones' ids may be used again at once.
 func TestFiftyRequestsSomeAborted(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan string, 100)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
 		got <- id
 		if strings.HasPrefix(id, "held") {
 			<-hold
 		}
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
 	var servers []string // enough of them for the module to admit fifty calls
 	for i := range 8 {
-		servers = append(servers, standin.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
+		servers = append(servers, testpeer.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
 	}
 	n := startBounded(t, Bounds{Requests: 50, Params: DefaultBounds().Params}, servers...)
 	w := connect(t, n)
@@ -292,7 +292,7 @@
 		asked[w.ask(t, variables("POST", "/note/k", name, "CONTENT_LENGTH", "2"), "ok")] = name
 	}
 	for range 50 {
-		standin.Receive(t, got, "an attempt")
+		testpeer.Receive(t, got, "an attempt")
 	}
 	late := w.ask(t, variables("GET", "/view/k", "late"), "")
 	if a := w.hear(t, 1)[late]; a.end.Status != Overloaded {
@@ -331,31 +331,31 @@
 			t.Errorf("%s ran twice", id)
 		}
 	}
-	standin.Until(t, "nothing to be open", func() bool { return n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0 })
+	testpeer.Until(t, "nothing to be open", func() bool { return n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0 })
 }
 
 // A web server that goes with requests out: their attempts end, and nothing is left.
 func TestAWebServerThatGoes(t *testing.T) {
 	got, gone := make(chan struct{}, 10), make(chan struct{}, 10)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		c.Read(make([]byte, 1)) // returns when the node closes
 		gone <- struct{}{}
 		return false
 	})
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	for i := range 5 {
 		w.ask(t, variables("POST", "/note/k", fmt.Sprint("out-", i)), "x")
-		standin.Receive(t, got, "the attempt")
+		testpeer.Receive(t, got, "the attempt")
 	}
 	w.Begin(variables("POST", "/note/k", "half"), true)
 	w.out.Flush()
 	w.Close()
 	for range 5 {
-		standin.Receive(t, gone, "the attempt's end")
+		testpeer.Receive(t, gone, "the attempt's end")
 	}
-	standin.Until(t, "nothing to be left", func() bool {
+	testpeer.Until(t, "nothing to be left", func() bool {
 		return n.callers.Held() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
 	})
 	if s.Seen() != 5 {
@@ -366,7 +366,7 @@
 // Long answers pass through, whole or so that the web server can tell.
 func TestLongAnswersThroughFastCGI(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 1<<16)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 		if r.URL.RawQuery == "cut" {
 			io.WriteString(c, text[:len(text)/2])
@@ -375,7 +375,7 @@
 		io.WriteString(c, text)
 		return true
 	})
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	whole, cut := w.ask(t, variables("GET", "/view/k", "whole"), ""), w.ask(t, variables("GET", "/view/k?cut", "cut"), "")
 	heard := w.hear(t, 2)
@@ -391,8 +391,8 @@
 }
 
 func TestReadyAndEnd(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	ready := func(want string) {
 		t.Helper()
@@ -417,20 +417,20 @@
 
 	idle := connect(t, n)
 	idle.hear(t, 0)
-	standin.Until(t, "the idle one to be there", func() bool { return n.callers.Held() == 2 })
+	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Held() == 2 })
 	n.front.SetClosing(true)
 	id = w.ask(t, variables("GET", "/view/k", "last"), "")
 	if a := w.hear(t, 1)[id]; a.body() != "for last" {
 		t.Errorf("%q", a.text)
 	}
 	w.wantClosed(t, "a connection behind its last answer")
-	standin.Until(t, "quiet ones to be let go", func() bool { return n.front.LetQuietGo() == 0 })
+	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.LetQuietGo() == 0 })
 	idle.wantClosed(t, "a quiet connection")
 }
 
 // Refused, with a time to come back; failed where a server may have run it.
 func TestAnswersThatNoServerMade(t *testing.T) {
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "full" {
 			_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
@@ -438,7 +438,7 @@
 		_, err := io.WriteString(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	full, fails := w.ask(t, variables("POST", "/note/k", "full"), ""), w.ask(t, variables("POST", "/note/k", "fails"), "")
 	heard := w.hear(t, 2)
@@ -453,8 +453,8 @@
 // BenchmarkIdleConnections tells what a quiet connection costs the process: heap, stacks and what the runtime keeps.
 func BenchmarkIdleConnections(b *testing.B) {
 	const held = 500
-	s := standin.NewServer(b, standin.Echo)
-	n := startRig(b, standin.Entry("s1", s.Address(), "in_service"))
+	s := testpeer.NewServer(b, testpeer.Echo)
+	n := startRig(b, testpeer.Entry("s1", s.Address(), "in_service"))
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -467,7 +467,7 @@
 			}
 			quiet = append(quiet, c)
 		}
-		standin.Until(b, "all to be there", func() bool { return n.callers.Held() == held })
+		testpeer.Until(b, "all to be there", func() bool { return n.callers.Held() == held })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// The test's own side of each connection is among it.
@@ -475,14 +475,14 @@
 		for _, c := range quiet {
 			c.Close()
 		}
-		standin.Until(b, "all to be gone", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Held() == 0 })
 	}
 }
 
 // BenchmarkCalls passes small calls from one FastCGI connection to an HTTP/1.1 server, one after another and 16 at once.
 func BenchmarkCalls(b *testing.B) {
-	s := standin.NewServer(b, standin.Echo)
-	n := startRig(b, standin.Entry("s1", s.Address(), "in_service"))
+	s := testpeer.NewServer(b, testpeer.Echo)
+	n := startRig(b, testpeer.Entry("s1", s.Address(), "in_service"))
 	for _, at := range []int{1, 16} {
 		b.Run(fmt.Sprint(at, " at once"), func(b *testing.B) {
 			w := connect(b, n)
@@ -528,12 +528,12 @@
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS, syscall.EPIPE} {
 		hold, got := make(chan struct{}), make(chan string, 2)
 		gone := make(chan struct{})
-		s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 			id := r.Header.Get("X-Request-Id")
 			got <- id
 			if id == "first" {
 				<-hold
-				return standin.Echo(c, r, body)
+				return testpeer.Echo(c, r, body)
 			}
 			c.Read(make([]byte, 1)) // until its attempt is called off
 			close(gone)
@@ -541,17 +541,17 @@
 		})
 		var fails atomic.Uint32
 		n := startRigOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &fails} }, DefaultBounds(),
-			standin.Entry("s1", s.Address(), "in_service"))
+			testpeer.Entry("s1", s.Address(), "in_service"))
 		w := connect(t, n)
 		w.ask(t, variables("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
-		standin.Receive(t, got, "the first attempt")
+		testpeer.Receive(t, got, "the first attempt")
 		w.ask(t, variables("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
-		standin.Receive(t, got, "the second attempt")
+		testpeer.Receive(t, got, "the second attempt")
 		fails.Store(uint32(errno))
 		close(hold)
-		standin.Receive(t, gone, "the other attempt's end")
+		testpeer.Receive(t, gone, "the other attempt's end")
 		w.wantClosed(t, errno.Error())
-		standin.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
 	}
 }
 
@@ -585,10 +585,10 @@
 // An answer that takes two writes has its time for each of them, however long ago the last one on its connection was.
 func TestEachWriteOfAnAnswerHasItsTime(t *testing.T) {
 	long := strings.Repeat("x", maxContent)
-	s := standin.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return standin.Reply200(c, long) })
+	s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return testpeer.Reply200(c, long) })
 	writes := make(chan bool, 100)
 	n := startRigOn(t, func(ln net.Listener) net.Listener { return timedListener{ln, writes} }, DefaultBounds(),
-		standin.Entry("s1", s.Address(), "in_service"))
+		testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	id := w.ask(t, variables("GET", "/view/k", "long"), "")
 	if a := w.hear(t, 1)[id]; a.body() != long {
--- a/internal/fastcgi/left_test.go
+++ b/internal/fastcgi/left_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/testpeer"
 )
 
 // clientPair is a web server's connection and what the front has of it; nobody reads it.
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { theirs.Close(); nc.Close() })
-	return &client{Conn: nc, front: &Front{unread: standin.Limit}}, theirs
+	return &client{Conn: nc, front: &Front{unread: testpeer.Limit}}, theirs
 }
 
 // An abort that the system holds, and that nobody has read yet, is one: it is waited for, but not without end.
@@ -59,7 +59,7 @@
 		r := &call{}
 		c.cross(ours, r, theirs)
 		if c.done {
-			standin.Until(t, "the system to know", func() bool { return callers.StateOf(ours.Conn) == callers.Ended })
+			testpeer.Until(t, "the system to know", func() bool { return downstream.StateOf(ours.Conn) == downstream.Ended })
 		}
 		if got := ours.hasLeft(r); got != c.want {
 			t.Errorf("%s: has left: %v", c.name, got)
@@ -76,15 +76,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, got := make(chan struct{}), make(chan struct{}, 1)
-			s := standin.NewServer(t, standin.Held(hold, got))
-			n := startRig(t, standin.Entry("s1", s.Address(), "in_service"))
+			s := testpeer.NewServer(t, testpeer.Held(hold, got))
+			n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 			log := &toldOnce{told: make(chan struct{})}
 			n.front.part, n.front.log = 50*time.Millisecond, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 			w := connect(t, n)
 			id := w.ask(t, variables("GET", "/view/k", "held"), "")
-			standin.Receive(t, got, "the attempt")
+			testpeer.Receive(t, got, "the attempt")
 			trouble(w)
-			standin.Receive(t, log.told, "the reading to end")
+			testpeer.Receive(t, log.told, "the reading to end")
 			io.WriteString(w, "and more")
 			close(hold)
 			if a := w.hear(t, 1)[id]; a.status() != "200 OK" || a.body() != "for held" {
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"woodpick/internal/config"
-	"woodpick/internal/intake"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/validation"
 )
 
 // fromHeader begins the names of variables that were headers (RFC 3875 section 4.1.18).
@@ -17,9 +17,9 @@
 // headOf reads a request's head from its CGI variables (RFC 3875 section 4.1). What could be read in two ways is
 // turned away: a variable that comes twice, headers whose names fall together once they are variables, a length
 // beside another one, line ends in a value.
-func headOf(listener string, params []Param) (intake.Head, *intake.Rejected) {
-	bad := func(reason string) (intake.Head, *intake.Rejected) {
-		return intake.Head{}, &intake.Rejected{Status: http.StatusBadRequest, Reason: reason}
+func headOf(listener string, params []Param) (validation.Head, *validation.Rejected) {
+	bad := func(reason string) (validation.Head, *validation.Rejected) {
+		return validation.Head{}, &validation.Rejected{Status: http.StatusBadRequest, Reason: reason}
 	}
 	vars := make(map[string]string, len(params))
 	headers := http.Header{}
@@ -50,7 +50,7 @@
 			return bad(name + " and its header differ")
 		}
 	}
-	h := intake.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
+	h := validation.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
 		Type: vars["CONTENT_TYPE"], Length: -1, Headers: headers,
 		ID: headers.Values("X-Request-Id"), Wait: headers.Values("X-Deadline"), Key: headers.Values("Idempotency-Key")}
 	if h.Host == "" {
--- a/internal/rig/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/faultbench/world"
 )
 
 // Heard is what a caller heard of a call.
--- a/internal/rig/audit/audit_test.go
+++ b/internal/faultbench/audit/audit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/world"
 )
 
 const ms = time.Millisecond
--- a/internal/rig/audit/figures.go
+++ b/internal/faultbench/audit/figures.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // SampleEvery is how often the servers are looked at.
@@ -74,7 +74,7 @@
 	Failed float64 // neither served nor refused
 }
 
-// Spread says how evenly servers were loaded. See docs/operate/fleetlab.md for the definitions.
+// Spread says how evenly servers were loaded. See docs/operate/faultbench.md for the definitions.
 type Spread struct {
 	Variation       float64           // coefficient of variation of calls a slot over servers, by instant, averaged
 	IdleWhileQueued float64           // free slots while calls wait elsewhere, as a share of all slots
--- a/internal/rig/child/build.go
+++ b/internal/faultbench/child/build.go
@@ -21,7 +21,7 @@
 		if b.dir, b.err = os.MkdirTemp("", "built"); b.err != nil {
 			return
 		}
-		out, err := exec.Command("go", "build", "-tags", "rig", "-o", b.dir+"/", "woodpick/cmd/damsontrestle").CombinedOutput()
+		out, err := exec.Command("go", "build", "-tags", "rig", "-o", b.dir+"/", "damsontrestle/cmd/damsontrestle").CombinedOutput()
 		if err != nil {
 			b.err = fmt.Errorf("go build: %w\n%s", err, out)
 		}
--- a/internal/rig/callers.go
+++ b/internal/faultbench/clients.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/world"
 )
 
 // callers has a node's calls come when they are due, whatever becomes of them, and returns once all have been heard of.
@@ -176,7 +176,7 @@
 	v, _, _, _ := f.list.known(n.lag)
 	var ready []*host
 	for _, t := range v.targets {
-		if t.State == stateNames[woodpick.Ready] {
+		if t.State == stateNames[balancer.Ready] {
 			ready = append(ready, f.hosts[t.place])
 		}
 	}
--- a/internal/rig/cost.go
+++ b/internal/faultbench/cost.go
@@ -1,9 +1,9 @@
-package rig
+package faultbench
 
 import (
 	"os"
 
-	"woodpick/internal/rig/child"
+	"damsontrestle/internal/faultbench/child"
 )
 
 // cost is what all processes took so far.
--- a/internal/rig/rig_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/child"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 var program child.Builder
--- a/internal/rig/league/day.go
+++ b/internal/faultbench/federation/day.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/quota"
-	"woodpick/internal/rig/link"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/quota"
 )
 
 // Day is what a league is put through.
--- a/internal/rig/league/league.go
+++ b/internal/faultbench/federation/federation.go
@@ -1,8 +1,8 @@
-// Package league plays a federation with real processes: gateways of several partners by `damsontrestle serve`, with their
+// Package federation plays a federation with real processes: gateways of several partners by `damsontrestle serve`, with their
 // log boxes, the links between gateways and calls to partners through relays that fail on purpose, callers who come to another
 // gateway with what they had asked for, and an auditor that holds what boxes ran against what callers heard. It leaves nothing
 // behind: processes end with this one, and files lie in a folder that is removed.
-package league
+package federation
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/admin"
-	"woodpick/internal/rig/child"
-	"woodpick/internal/rig/link"
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/link"
 )
 
 // Options are how a league is made.
--- a/internal/rig/league/league_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/rig/child"
-	"woodpick/internal/rig/link"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/testpeer"
 )
 
 var program child.Builder
@@ -37,12 +37,12 @@
 		o.Boxes = 4
 	}
 	if o.Silence == 0 {
-		o.Silence = standin.Limit // a machine that is slow looks like no silence
+		o.Silence = testpeer.Limit // a machine that is slow looks like no silence
 	}
 	if o.Deadline == 0 {
 		o.Deadline = 30 * time.Second
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), 2*standin.Limit)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*testpeer.Limit)
 	defer cancel()
 	l, err := Start(ctx, o)
 	if err != nil {
@@ -66,7 +66,7 @@
 // settle waits until all that run know one another and all offers.
 func settle(t *testing.T, l *League) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), 2*standin.Limit)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*testpeer.Limit)
 	defer cancel()
 	if err := l.Settle(ctx, 3*l.o.Partners); err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 			of = call.Key
 		}
 		first := l.Ask(t.Context(), victim, call)
-		standin.Receive(t, victim.Ended(), "the kill")
+		testpeer.Receive(t, victim.Ended(), "the kill")
 		if first.Status != 0 {
 			t.Errorf("%s %s: the caller of the killed gateway heard %+v", c.class, c.point, first)
 		}
@@ -158,7 +158,7 @@
 			}))
 		}
 		for _, a := range answers {
-			h := standin.Receive(t, a, "an answer")
+			h := testpeer.Receive(t, a, "an answer")
 			if !h.Settled || h.Status != c.status && (c.status != 0 || h.Status != 200 && h.Status != 502) {
 				t.Errorf("%s %s: %+v, want a settled %d", c.class, c.point, h, c.status)
 			}
@@ -192,9 +192,9 @@
 		settle(t, l)
 		call := Call{ID: fmt.Sprintf("h%d", i), Class: c.class, Path: "p0/x"}
 		l.Ask(t.Context(), owner, call)
-		standin.Receive(t, owner.Ended(), "the owner's kill")
+		testpeer.Receive(t, owner.Ended(), "the owner's kill")
 		var heir *Gateway
-		standin.Until(t, "the first heir's kill", func() bool {
+		testpeer.Until(t, "the first heir's kill", func() bool {
 			for _, g := range l.Gateways[1:] {
 				select {
 				case <-g.Ended():
@@ -242,13 +242,13 @@
 		}
 		waits := behind(func() Heard { return l.Ask(t.Context(), owner, call) })
 		// Whoever asks before anybody else holds the call is told that nobody knows it, and comes to the stopped gateway in the end.
-		standin.Until(t, "the call to be held by another", func() bool {
+		testpeer.Until(t, "the call to be held by another", func() bool {
 			return l.Gateway(0, 1).Custody(t.Context()).Voter.Open+l.Gateway(0, 2).Custody(t.Context()).Voter.Open > 0
 		})
 		again := call
 		again.ID, again.Of = call.ID+"-again", call.ID
 		var h Heard
-		standin.Until(t, "the call to be taken over", func() bool {
+		testpeer.Until(t, "the call to be taken over", func() bool {
 			again.ID += "'"
 			h, _ = l.Insist(t.Context(), l.Gateway(0, 1), again)
 			return h.Settled
@@ -260,7 +260,7 @@
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		first := standin.Receive(t, waits, "the answer at the gateway that was stopped")
+		first := testpeer.Receive(t, waits, "the answer at the gateway that was stopped")
 		if first.Status != h.Status || first.Settled && first.Body != h.Body {
 			t.Errorf("%s: who waited heard %+v, others %+v", class, first, h)
 		}
@@ -284,7 +284,7 @@
 			got, release := l.Audit.Hold(held.ID)
 			defer release()
 			waits := behind(func() Heard { return l.Ask(t.Context(), l.Gateway(0, 0), held) })
-			standin.Receive(t, got, "the call at its box")
+			testpeer.Receive(t, got, "the call at its box")
 			mend := l.Cut(from, to, how == "both ways")
 			for i := range 6 { // others are served as ever, both sides of the cut among them
 				for _, c := range []Call{{Class: "note", Path: "p0/x"}, {Class: "note", Path: "p2/x"}} {
@@ -304,7 +304,7 @@
 			}
 			release()
 			mend()
-			if h := standin.Receive(t, waits, "the answer of the call that was there"); h.Status != 200 || !h.Settled {
+			if h := testpeer.Receive(t, waits, "the answer of the call that was there"); h.Status != 200 || !h.Settled {
 				t.Errorf("%+v", h)
 			}
 			if ran, _ := done(l.Audit.Runs(held.ID)); ran != 1 {
@@ -330,10 +330,10 @@
 		has := l.owner(t, 1)
 		has.Kill()
 		if c.class == "view" {
-			standin.Receive(t, got, "the call at another box")
+			testpeer.Receive(t, got, "the call at another box")
 		}
 		release()
-		h := standin.Receive(t, waits, "the answer")
+		h := testpeer.Receive(t, waits, "the answer")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
@@ -370,7 +370,7 @@
 		}
 	}
 	l.Audit.Forbid(l.now(), 1, "p1 lets p0 have it no more", forbidden)
-	standin.Until(t, "p0 to be cut off", func() bool {
+	testpeer.Until(t, "p0 to be cut off", func() bool {
 		return len(l.Gateway(0, 0).Offers(t.Context()).Stale) > 0
 	})
 	mend()
@@ -382,7 +382,7 @@
 			t.Errorf("%+v", h)
 		}
 	}
-	standin.Until(t, "p0's tables to agree", func() bool {
+	testpeer.Until(t, "p0's tables to agree", func() bool {
 		for _, g := range l.Of(0) {
 			if g.Offers(t.Context()).Offers != 8 {
 				return false
@@ -414,7 +414,7 @@
 			})
 		}()
 	}
-	standin.Until(t, "its links to end", func() bool {
+	testpeer.Until(t, "its links to end", func() bool {
 		_, to := l.Gateway(0, 0).Links(t.Context())
 		return len(to) > 0 && to["p0/"+slow.Name] == 0
 	})
@@ -430,11 +430,11 @@
 	defer release()
 	call := Call{ID: "handed", Class: "view", Path: "p0/x"}
 	first := behind(func() Heard { return l.Ask(t.Context(), owner, call) })
-	standin.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the call at its box")
 	if err := owner.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	standin.Receive(t, got, "the call at another box, by another gateway")
+	testpeer.Receive(t, got, "the call at another box, by another gateway")
 	release()
 	again := call
 	again.ID, again.Of = "handed-again", "handed"
@@ -442,10 +442,10 @@
 	if h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	if f := standin.Receive(t, first, "what its first caller heard"); f.Status == 200 && f.Body != h.Body {
+	if f := testpeer.Receive(t, first, "what its first caller heard"); f.Status == 200 && f.Body != h.Body {
 		t.Errorf("%+v, others %+v", f, h)
 	}
-	standin.Receive(t, owner.Ended(), "its end")
+	testpeer.Receive(t, owner.Ended(), "its end")
 }
 
 // Alone, a gateway does what its file says, and a holder that was started anew is no voter in what its earlier life had taken.
@@ -455,7 +455,7 @@
 		for _, g := range l.Gateways[1:] {
 			g.Kill()
 		}
-		standin.Until(t, "it to be alone", func() bool {
+		testpeer.Until(t, "it to be alone", func() bool {
 			return len(l.Gateway(0, 0).Look(t.Context()).Links) == 0
 		})
 		h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "alone-" + when, Class: "note", Path: "p0/x"})
@@ -469,7 +469,7 @@
 	behind(func() Heard {
 		return l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "forgotten", Class: "view", Path: "p0/x"})
 	})
-	standin.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the call at its box")
 	l.Gateway(0, 1).Kill()
 	if err := l.Gateway(0, 1).Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -500,14 +500,14 @@
 			return l.Ask(t.Context(), l.Gateway(0, i%3), Call{ID: id, Class: "note", Path: "p0/x"})
 		}))
 	}
-	standin.Until(t, "a refusal", func() bool {
+	testpeer.Until(t, "a refusal", func() bool {
 		return l.Gateway(0, 0).Custody(t.Context()).Voter.Full > 0
 	})
 	for _, r := range releases {
 		r()
 	}
 	for _, c := range all {
-		h := standin.Receive(t, c, "an answer")
+		h := testpeer.Receive(t, c, "an answer")
 		if h.Status == 503 && h.Retry > 0 {
 			refused++
 		} else if h.Status != 200 {
@@ -530,9 +530,9 @@
 	got, release := l.Audit.Hold("two")
 	defer release()
 	behind(func() Heard { return l.Ask(t.Context(), owner, Call{ID: "two", Class: "view", Path: "p0/x"}) })
-	standin.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the call at its box")
 	owner.Kill()
-	standin.Receive(t, got, "the call at another box, by the other gateway")
+	testpeer.Receive(t, got, "the call at another box, by the other gateway")
 	release()
 	if h, _ := l.Insist(t.Context(), l.Gateway(0, 1), Call{ID: "two-again", Of: "two", Class: "view", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
--- a/internal/rig/league/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // Links that are reset in the middle of frames, again and again, under calls whose bodies fill many of them: nothing of a half
@@ -39,7 +39,7 @@
 			time.Sleep(5 * time.Millisecond) // the faults' pace; nothing waits for it
 		})
 	}()
-	standin.Until(t, "many links to break", func() bool {
+	testpeer.Until(t, "many links to break", func() bool {
 		s, _ := l.Gateway(0, 0).Links(t.Context())
 		return s.Ended["broken"] > 30
 	})
@@ -66,7 +66,7 @@
 	who := "p0/" + gone.Name
 	mend := l.Cut([]*Gateway{gone}, l.But(gone), true)
 	gone.Kill()
-	standin.Until(t, "the half-open links to end", func() bool {
+	testpeer.Until(t, "the half-open links to end", func() bool {
 		for _, g := range l.But(gone) {
 			if s, to := g.Links(t.Context()); to[who] != 0 || s.Ended["silent"] == 0 {
 				return false
@@ -90,7 +90,7 @@
 	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	standin.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Voter.Held > held })
+	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Voter.Held > held })
 }
 
 // p2 knows p0 only through p1, which passes p0's offers on: a call goes through p1's hands, and draws and is held on the way as
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Boxes: 2, Custody: "refuse", Silence: standin.Limit, Deadline: 30 * time.Second, Edit: transit})
+	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Boxes: 2, Custody: "refuse", Silence: testpeer.Limit, Deadline: 30 * time.Second, Edit: transit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 			return true
 		}
 	}
-	standin.Until(t, "p2 to have p0's offer through p1", all(true))
+	testpeer.Until(t, "p2 to have p0's offer through p1", all(true))
 	for i := range 3 {
 		h, _ := l.Insist(t.Context(), l.Gateway(2, i), Call{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
 		if h.Status != 200 || !h.Settled || !strings.HasPrefix(h.Body, "p0-b") {
@@ -162,7 +162,7 @@
 			t.Errorf("%+v", h)
 		}
 	}
-	standin.Until(t, "the withdrawal to reach p2", all(false))
+	testpeer.Until(t, "the withdrawal to reach p2", all(false))
 	// Its group may not have linked by now, which is refused with a time to come again.
 	if h, _ := l.Insist(t.Context(), l.Gateway(1, 0), Call{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
 		t.Errorf("p1 itself: %+v", h)
--- a/internal/rig/league/look.go
+++ b/internal/faultbench/federation/look.go
@@ -1,13 +1,13 @@
-package league
+package federation
 
 import (
 	"context"
 
-	"woodpick/internal/custody"
-	"woodpick/internal/gateway"
-	"woodpick/internal/offers"
-	"woodpick/internal/peering"
-	"woodpick/internal/quota"
+	"damsontrestle/internal/gateway"
+	"damsontrestle/internal/peering"
+	"damsontrestle/internal/quota"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/routeexchange"
 )
 
 // Look is what a gateway's process tells of its part in the federation; nothing where it does not answer.
@@ -30,10 +30,10 @@
 }
 
 // Custody is its part in custody.
-func (g *Gateway) Custody(ctx context.Context) custody.Status { return g.Look(ctx).Custody }
+func (g *Gateway) Custody(ctx context.Context) replication.Status { return g.Look(ctx).Custody }
 
 // Offers is its table.
-func (g *Gateway) Offers(ctx context.Context) offers.Status { return g.Look(ctx).Offers }
+func (g *Gateway) Offers(ctx context.Context) routeexchange.Status { return g.Look(ctx).Offers }
 
 // Notes is its purse of the quota "notes".
 func (g *Gateway) Notes(ctx context.Context) quota.Status { return g.Look(ctx).Quotas["notes"] }
--- a/internal/rig/league/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/budget"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/budget"
+	"damsontrestle/internal/testpeer"
 )
 
 // crowd asks for notes at all gateways that run, over and over, until stop; it counts what it heard.
@@ -59,7 +59,7 @@
 func (c *crowd) more(t *testing.T, n int64) {
 	t.Helper()
 	was := c.served.Load()
-	standin.Until(t, "more calls to be served", func() bool { return c.served.Load() >= was+n })
+	testpeer.Until(t, "more calls to be served", func() bool { return c.served.Load() >= was+n })
 }
 
 // held says that no window saw more calls than the terms bound. A call comes to its box as long after its draw as the slowest
@@ -77,7 +77,7 @@
 // keeper is the gateway that keeps the quota.
 func keeper(t *testing.T, l *League) (k *Gateway) {
 	t.Helper()
-	standin.Until(t, "a keeper", func() bool {
+	testpeer.Until(t, "a keeper", func() bool {
 		for _, g := range l.Gateways {
 			if g.Log() == "" {
 				continue
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	mend := l.Cut(l.Of(second.Partner), l.But(l.Of(second.Partner)...), true)
-	standin.Until(t, "another keeper on the other side", func() bool {
+	testpeer.Until(t, "another keeper on the other side", func() bool {
 		for _, g := range l.But(l.Of(second.Partner)...) {
 			if g.Notes(t.Context()).Mine {
 				return true
@@ -128,7 +128,7 @@
 		}
 		return false
 	})
-	standin.Until(t, "the part that is cut off to draw of its floor", func() bool {
+	testpeer.Until(t, "the part that is cut off to draw of its floor", func() bool {
 		return second.Notes(t.Context()).Own > 0
 	})
 	mend()
@@ -169,7 +169,7 @@
 	}
 	served := func(at *Gateway, c Call) {
 		t.Helper()
-		standin.Until(t, "the call to be served", func() bool { // at first a token may be late
+		testpeer.Until(t, "the call to be served", func() bool { // at first a token may be late
 			h := l.Ask(t.Context(), at, c)
 			if h.Status != 200 && h.Status != 503 {
 				t.Fatalf("%+v", h)
@@ -191,7 +191,7 @@
 	got, release := l.Audit.Hold("over")
 	defer release()
 	behind(func() Heard { return l.Ask(t.Context(), owner, Call{ID: "over", Class: "note", Path: "p0/x"}) })
-	standin.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the call at its box")
 	all := drawn(l.But(owner))
 	owner.Kill()
 	h, _ := l.Insist(t.Context(), l.Gateway(0, 1), Call{ID: "over-again", Of: "over", Class: "note", Path: "p0/x"})
@@ -232,7 +232,7 @@
 		t.Fatal(err)
 	}
 	var second *Gateway
-	standin.Until(t, "another keeper", func() bool {
+	testpeer.Until(t, "another keeper", func() bool {
 		for _, g := range l.But(first) {
 			if g.Notes(t.Context()).Mine {
 				second = g
@@ -245,7 +245,7 @@
 	if err := first.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the one that was stopped to draw under a later keeper", func() bool {
+	testpeer.Until(t, "the one that was stopped to draw under a later keeper", func() bool {
 		s := first.Notes(t.Context())
 		return !s.Mine && s.Term >= term && s.Drawn > 0 || s.Mine && s.Term > term
 	})
@@ -260,7 +260,7 @@
 	l := start(t, Options{Quota: text, Custody: "serve"})
 	keeper(t, l)
 	c := newCrowd(t, l, 2)
-	standin.Until(t, "the budget to be met", func() bool { return c.refused.Load() > 50 })
+	testpeer.Until(t, "the budget to be met", func() bool { return c.refused.Load() > 50 })
 	_, text = notes(400, 400, budget.Closed, 0)
 	withQuota(t, l, text)
 	// At two a second it would take minutes.
@@ -271,7 +271,7 @@
 			t.Errorf("%s still has a purse: %+v", g.Name, q)
 		}
 	}
-	standin.Until(t, "those that were refused before to have heard so", func() bool {
+	testpeer.Until(t, "those that were refused before to have heard so", func() bool {
 		was, served := c.refused.Load(), c.served.Load()
 		c.more(t, 100)
 		return c.refused.Load() == was && c.served.Load() >= served+100
--- a/internal/rig/league/box.go
+++ b/internal/faultbench/federation/server.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"fmt"
--- a/internal/rig/league/silent_test.go
+++ b/internal/faultbench/federation/silent_test.go
@@ -1,4 +1,4 @@
-package league
+package federation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // owner is the gateway of a partner that has a call in hand.
@@ -34,14 +34,14 @@
 	}
 	got, release = l.Audit.Hold(c.ID)
 	waits = behind(func() Heard { return l.Ask(t.Context(), l.Gateway(0, 0), c) })
-	standin.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the call at its box")
 	return of, got, release, waits
 }
 
 // A partner's gateway is stopped while it has a call of ours in hand: its connection stands and says nothing. Others of its
 // group have lost it, and tell what became of the call; nobody waits for the deadline. Awake, it begins nothing.
 func TestAPartnersGatewayIsStoppedUnderACall(t *testing.T) {
-	l := start(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * standin.Limit})
+	l := start(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
 	for _, c := range []struct {
 		class        string
 		status, runs int
@@ -52,10 +52,10 @@
 			t.Fatal(err)
 		}
 		if c.class == "view" {
-			standin.Receive(t, got, "the call at another box")
+			testpeer.Receive(t, got, "the call at another box")
 		}
 		release()
-		h := standin.Receive(t, waits, "the answer, long before the deadline")
+		h := testpeer.Receive(t, waits, "the answer, long before the deadline")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
@@ -76,7 +76,7 @@
 	l := start(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
 	owner, heir := l.Gateway(0, 0), l.Gateway(0, 1)
 	n := 0
-	standin.Until(t, "a call to be served by an heir whose link to the stopped owner stands", func() bool {
+	testpeer.Until(t, "a call to be served by an heir whose link to the stopped owner stands", func() bool {
 		n++
 		owner.Kill()
 		owner.With("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
@@ -90,7 +90,7 @@
 		again := call
 		again.ID, again.Of = call.ID+"-again", call.ID
 		var h Heard
-		for begin := time.Now(); !h.Settled && time.Since(begin) < standin.Limit; { // at first nobody may hold it
+		for begin := time.Now(); !h.Settled && time.Since(begin) < testpeer.Limit; { // at first nobody may hold it
 			again.ID += "'"
 			h, _ = l.Insist(t.Context(), heir, again)
 		}
@@ -98,7 +98,7 @@
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		standin.Receive(t, waits, "the answer at the gateway that was stopped")
+		testpeer.Receive(t, waits, "the answer at the gateway that was stopped")
 		return h.Status == 200 && links["p0/"+owner.Name] == life
 	})
 }
@@ -106,9 +106,9 @@
 // Gateways of a group are restarted one after another, faster than the longest deadline: each learns again which keys its earlier
 // life may have voted for, so that new keys are taken at once and what was asked for before is told and not run again.
 func TestAGroupThatIsRestartedGoesOnTakingKeys(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * standin.Limit})
+	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * testpeer.Limit})
 	ask := func(at *Gateway, id, key string) Heard {
-		return l.Ask(t.Context(), at, Call{ID: id, Class: "log", Path: "p0/x", Key: key, Wait: standin.Limit})
+		return l.Ask(t.Context(), at, Call{ID: id, Class: "log", Path: "p0/x", Key: key, Wait: testpeer.Limit})
 	}
 	var keys []string
 	for round := range 2 * len(l.Gateways) {
@@ -116,7 +116,7 @@
 		for i := range 4 {
 			key := fmt.Sprintf("key-%d-%d", round, i)
 			keys = append(keys, key)
-			standin.Until(t, "a new key to be taken", func() bool { // where two of its voters have just started anew it is refused
+			testpeer.Until(t, "a new key to be taken", func() bool { // where two of its voters have just started anew it is refused
 				h := ask(at, "first-"+key, key)
 				if h.Status != 200 && h.Status != 503 {
 					t.Fatalf("%+v", h)
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 		settle(t, l)
-		standin.Until(t, "the new life to know what the old one voted for", func() bool { return at.Custody(t.Context()).Recalled > 0 })
+		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.Custody(t.Context()).Recalled > 0 })
 	}
 	for i, key := range keys {
 		h := ask(l.Gateways[i%len(l.Gateways)], "again-"+key, key)
--- a/internal/rig/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -1,8 +1,8 @@
-// Package rig plays an experiment with real processes: N nodes by `damsontrestle serve`, with servers, their registry
-// and callers in this process, all traffic between zones through relays that fail on purpose (internal/rig/link), and
-// an auditor that joins what callers heard with what servers ran (internal/rig/audit). It leaves nothing behind: files
+// Package faultbench plays an experiment with real processes: N nodes by `damsontrestle serve`, with servers, their registry
+// and callers in this process, all traffic between zones through relays that fail on purpose (internal/faultbench/link), and
+// an auditor that joins what callers heard with what servers ran (internal/faultbench/audit). It leaves nothing behind: files
 // of nodes are in memory only, and children end with the rig, also when that is killed.
-package rig
+package faultbench
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/child"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/link"
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/faultbench/world"
 )
 
 // Options are how a run is made.
--- a/internal/rig/host.go
+++ b/internal/faultbench/host.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/link"
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/faultbench/world"
 )
 
 // host is a place for one server after another, with a relay for each zone that sends to it.
@@ -25,7 +25,7 @@
 	mu     sync.Mutex
 	server *world.Server
 	visits map[*world.Job]*visit // calls that wait or work
-	state  woodpick.ServerState
+	state  balancer.ServerState
 	down   experiment.Kind // Crash or Lose
 	life   int
 	asked  int
@@ -66,7 +66,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.server.Working(), h.server.Waiting(), conns, h.down != "" || h.server.Fault == experiment.Hang || h.state != woodpick.Ready
+	return h.server.Working(), h.server.Waiting(), conns, h.down != "" || h.server.Fault == experiment.Hang || h.state != balancer.Ready
 }
 
 // serve answers one call after another on a connection from a zone.
@@ -227,7 +227,7 @@
 	case experiment.Drag:
 		h.server.Factor = ft.Factor
 	case experiment.Replace:
-		h.state = woodpick.Draining
+		h.state = balancer.Draining
 		h.mu.Unlock()
 		f.list.news()
 		time.AfterFunc(time.Second, func() { h.renew(true) })
@@ -266,7 +266,7 @@
 	old := h.server
 	f.audit.LifeOver(old, f.now())
 	h.server = f.world.Renew(h.place, f.now(), replacement)
-	h.state, h.down = woodpick.Ready, ""
+	h.state, h.down = balancer.Ready, ""
 	h.life++
 	if replacement {
 		delete(f.place, old.ID)
--- a/internal/rig/link/mesh_test.go
+++ b/internal/faultbench/link/mesh_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // peer is a member's own socket.
@@ -42,7 +42,7 @@
 func (p *peer) hears(want int) (texts []string, from string) {
 	buf := make([]byte, MaxDatagram)
 	for {
-		wait := standin.Limit
+		wait := testpeer.Limit
 		if len(texts) >= want {
 			wait = short
 		}
--- a/internal/rig/link/relay_test.go
+++ b/internal/faultbench/link/relay_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // short is how long a test looks for what must not come: it can only miss a fault by it, never find one wrongly.
@@ -41,12 +41,12 @@
 
 func dial(t *testing.T, r *Relay) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp4", r.Addr(), standin.Limit)
+	c, err := net.DialTimeout("tcp4", r.Addr(), testpeer.Limit)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(standin.Limit))
+	c.SetDeadline(time.Now().Add(testpeer.Limit))
 	return c
 }
 
@@ -79,7 +79,7 @@
 	if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, errTimeout(err)) {
 		t.Fatalf("%d bytes and %v came through a cut", n, err)
 	}
-	c.SetDeadline(time.Now().Add(standin.Limit))
+	c.SetDeadline(time.Now().Add(testpeer.Limit))
 }
 
 func errTimeout(err error) error {
@@ -125,7 +125,7 @@
 	talk(t, c, "one")
 	set(t, r, Shape{CutBack: true})
 	say(t, c, "two")
-	standin.Until(t, "that the far side hears through a cut of the way back", func() bool { return heard.Load() == 2 })
+	testpeer.Until(t, "that the far side hears through a cut of the way back", func() bool { return heard.Load() == 2 })
 	silent(t, c)
 	set(t, r, Shape{CutThere: true})
 	hear(t, c, "two")
@@ -143,7 +143,7 @@
 	c := dial(t, r)
 	talk(t, c, "one")
 	set(t, r, Shape{Refuse: true})
-	if _, err := net.DialTimeout("tcp4", r.Addr(), standin.Limit); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp4", r.Addr(), testpeer.Limit); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v; want it refused", err)
 	}
 	talk(t, c, "two") // one that is up stays
@@ -155,7 +155,7 @@
 	if _, err := k.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("an old connection: %v; want it reset", err)
 	}
-	standin.Until(t, "that no connection is left", func() bool { return r.Connections() == 0 })
+	testpeer.Until(t, "that no connection is left", func() bool { return r.Connections() == 0 })
 }
 
 // What lay in a cut when its connections were broken never comes: whoever is there by then has no part in it.
@@ -168,7 +168,7 @@
 	r.mu.Lock()
 	far := r.conns
 	r.mu.Unlock()
-	standin.Until(t, "that the second line lies in the link", func() bool {
+	testpeer.Until(t, "that the second line lies in the link", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for k := range far {
@@ -183,7 +183,7 @@
 	})
 	r.Break()
 	set(t, r, Shape{})
-	standin.Until(t, "that no connection is left", func() bool { return r.Connections() == 0 })
+	testpeer.Until(t, "that no connection is left", func() bool { return r.Connections() == 0 })
 	if n := heard.Load(); n != 1 {
 		t.Errorf("the far side heard %d lines; the second was lost with its connection", n)
 	}
@@ -203,7 +203,7 @@
 	far := <-conns
 	set(t, r, Shape{CutThere: true})
 	c.Close()
-	standin.Until(t, "that the relay sees the close", func() bool { return !far.Ended().IsZero() })
+	testpeer.Until(t, "that the relay sees the close", func() bool { return !far.Ended().IsZero() })
 	select {
 	case <-far.Gone():
 		t.Error("the far side learned of a close through a cut")
@@ -212,7 +212,7 @@
 	set(t, r, Shape{})
 	select {
 	case <-far.Gone():
-	case <-time.After(standin.Limit):
+	case <-time.After(testpeer.Limit):
 		t.Error("the far side never learned of the close")
 	}
 }
--- a/internal/rig/links.go
+++ b/internal/faultbench/links.go
@@ -1,10 +1,10 @@
-package rig
+package faultbench
 
 import (
 	"slices"
 
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/link"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/link"
 )
 
 // shape is how the link from a zone's nodes to the server at a place is now.
--- a/internal/rig/list.go
+++ b/internal/faultbench/list.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/rig/link"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/link"
 )
 
 // list is the registry: every node asks an agent of its own, which knows of each change after the node's lag.
@@ -47,7 +47,7 @@
 	place int
 }
 
-var stateNames = map[woodpick.ServerState]string{woodpick.Ready: "in_service", woodpick.Draining: "terminating"}
+var stateNames = map[balancer.ServerState]string{balancer.Ready: "in_service", balancer.Draining: "terminating"}
 
 func newList(f *fleet) *list {
 	return &list{fleet: f, changed: make(chan struct{})}
--- a/internal/rig/node.go
+++ b/internal/faultbench/node.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/child"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/link"
-	"woodpick/internal/rig/nodefile"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/faultbench/nodefile"
 )
 
 // node is one node of the fleet: a process, or a policy of the rig's own.
--- a/internal/rig/nodefile/nodefile.go
+++ b/internal/faultbench/nodefile/nodefile.go
@@ -7,9 +7,9 @@
 	"text/template"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // Node is what a node's file says beside the experiment.
@@ -134,15 +134,15 @@
 }
 
 // Settings are what the module of a node goes by: what the program makes of its file.
-func Settings(e *experiment.Experiment, n Node) (woodpick.Settings, error) {
+func Settings(e *experiment.Experiment, n Node) (balancer.Settings, error) {
 	n.Listen, n.Registry = "127.0.0.1:1", "127.0.0.1:2"
 	text, err := Text(e, n)
 	if err != nil {
-		return woodpick.Settings{}, err
+		return balancer.Settings{}, err
 	}
 	c, problems := config.Parse(text, fmt.Sprintf("n%d.hcl", n.Index))
 	if err := problems.Err(); err != nil {
-		return woodpick.Settings{}, err
+		return balancer.Settings{}, err
 	}
 	return c.Settings(c.Pools[0]), nil
 }
--- a/internal/rig/sight.go
+++ b/internal/faultbench/observation.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"woodpick/internal/rig/audit"
+	"damsontrestle/internal/faultbench/audit"
 )
 
 // Sight is what a node came to hold of another, when its log said so.
--- a/internal/rig/report/compare.go
+++ b/internal/faultbench/report/compare.go
@@ -13,14 +13,14 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"woodpick/internal/rig"
+	"damsontrestle/internal/faultbench"
 )
 
 // MaxResult is how long a file with a result may be.
 const MaxResult = 64 << 20
 
 // Load reads a result. One of another version is refused: its figures may mean something else.
-func Load(path string) (*rig.Result, error) {
+func Load(path string) (*faultbench.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("result: %w", err)
@@ -33,7 +33,7 @@
 }
 
 // Parse reads the text of a result.
-func Parse(text []byte) (*rig.Result, error) {
+func Parse(text []byte) (*faultbench.Result, error) {
 	if len(text) > MaxResult {
 		return nil, fmt.Errorf("result: it has %d bytes; allowed: %d", len(text), MaxResult)
 	}
@@ -41,12 +41,12 @@
 	if err := json.Unmarshal(text, &version); err != nil {
 		return nil, fmt.Errorf("result: %w", err)
 	}
-	if version.Version != rig.ResultVersion {
-		return nil, fmt.Errorf("result: found version %d; allowed: %d, which this build writes", version.Version, rig.ResultVersion)
+	if version.Version != faultbench.ResultVersion {
+		return nil, fmt.Errorf("result: found version %d; allowed: %d, which this build writes", version.Version, faultbench.ResultVersion)
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	r := &rig.Result{}
+	r := &faultbench.Result{}
 	if err := d.Decode(r); err != nil {
 		return nil, fmt.Errorf("result: %w", err)
 	}
@@ -67,46 +67,46 @@
 // figure is one that is compared.
 type figure struct {
 	name, unit string
-	of         func(*rig.Result) float64
+	of         func(*faultbench.Result) float64
 }
 
 var figures = []figure{
-	{"served within the aim", "share", func(r *rig.Result) float64 { return r.Figures.InAim }},
-	{"worth, within the aim", "share", func(r *rig.Result) float64 { return r.Figures.Worth }},
-	{"served", "share", func(r *rig.Result) float64 { return r.Figures.Served }},
-	{"refused", "share", func(r *rig.Result) float64 { return r.Figures.Refused }},
-	{"failed or not taken", "share", func(r *rig.Result) float64 { return r.Figures.Failed + r.Figures.NotTaken }},
-	{"callers that left", "share", func(r *rig.Result) float64 { return r.Figures.Left }},
-	{"most to a cold server", "of the rule", func(r *rig.Result) float64 { return r.Figures.Cold }},
-	{"latency, median", "ms", func(r *rig.Result) float64 { return r.Figures.P50.Seconds() * 1e3 }},
-	{"latency, 99 of 100", "ms", func(r *rig.Result) float64 { return r.Figures.P99.Seconds() * 1e3 }},
-	{"slots at work", "share", func(r *rig.Result) float64 { return r.Figures.Utilisation }},
-	{"calls that wait, a slot", "", func(r *rig.Result) float64 { return r.Figures.Waiting }},
-	{"idle while queued", "share", func(r *rig.Result) float64 { return r.Figures.Spread.IdleWhileQueued }},
-	{"variation over servers", "", func(r *rig.Result) float64 { return r.Figures.Spread.Variation }},
-	{"most calls in 1 s", "of mean", func(r *rig.Result) float64 { return r.Figures.Spread.Windows["1s"].Most }},
-	{"most calls in 10 s", "of mean", func(r *rig.Result) float64 { return r.Figures.Spread.Windows["10s"].Most }},
-	{"fewest calls in 10 s", "of mean", func(r *rig.Result) float64 { return r.Figures.Spread.Windows["10s"].Least }},
-	{"longest without a call", "s", func(r *rig.Result) float64 { return r.Figures.Spread.LongestIdle.Seconds() }},
-	{"connections to a server", "", func(r *rig.Result) float64 { return r.Figures.Connections }},
-	{"most connections", "of mean", func(r *rig.Result) float64 { return r.Figures.MostConns }},
-	{"attempts a call", "", func(r *rig.Result) float64 { return r.Figures.Attempts }},
-	{"attempts to other zones", "share", func(r *rig.Result) float64 { return r.Figures.Crossings }},
-	{"processor time a call", "ms", func(r *rig.Result) float64 { return r.Cost.CPUPerCall.Seconds() * 1e3 }},
-	{"breaches of rules", "", func(r *rig.Result) float64 { return float64(len(r.Breaches)) }},
+	{"served within the aim", "share", func(r *faultbench.Result) float64 { return r.Figures.InAim }},
+	{"worth, within the aim", "share", func(r *faultbench.Result) float64 { return r.Figures.Worth }},
+	{"served", "share", func(r *faultbench.Result) float64 { return r.Figures.Served }},
+	{"refused", "share", func(r *faultbench.Result) float64 { return r.Figures.Refused }},
+	{"failed or not taken", "share", func(r *faultbench.Result) float64 { return r.Figures.Failed + r.Figures.NotTaken }},
+	{"callers that left", "share", func(r *faultbench.Result) float64 { return r.Figures.Left }},
+	{"most to a cold server", "of the rule", func(r *faultbench.Result) float64 { return r.Figures.Cold }},
+	{"latency, median", "ms", func(r *faultbench.Result) float64 { return r.Figures.P50.Seconds() * 1e3 }},
+	{"latency, 99 of 100", "ms", func(r *faultbench.Result) float64 { return r.Figures.P99.Seconds() * 1e3 }},
+	{"slots at work", "share", func(r *faultbench.Result) float64 { return r.Figures.Utilisation }},
+	{"calls that wait, a slot", "", func(r *faultbench.Result) float64 { return r.Figures.Waiting }},
+	{"idle while queued", "share", func(r *faultbench.Result) float64 { return r.Figures.Spread.IdleWhileQueued }},
+	{"variation over servers", "", func(r *faultbench.Result) float64 { return r.Figures.Spread.Variation }},
+	{"most calls in 1 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["1s"].Most }},
+	{"most calls in 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Most }},
+	{"fewest calls in 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Least }},
+	{"longest without a call", "s", func(r *faultbench.Result) float64 { return r.Figures.Spread.LongestIdle.Seconds() }},
+	{"connections to a server", "", func(r *faultbench.Result) float64 { return r.Figures.Connections }},
+	{"most connections", "of mean", func(r *faultbench.Result) float64 { return r.Figures.MostConns }},
+	{"attempts a call", "", func(r *faultbench.Result) float64 { return r.Figures.Attempts }},
+	{"attempts to other zones", "share", func(r *faultbench.Result) float64 { return r.Figures.Crossings }},
+	{"processor time a call", "ms", func(r *faultbench.Result) float64 { return r.Cost.CPUPerCall.Seconds() * 1e3 }},
+	{"breaches of rules", "", func(r *faultbench.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
 // Pair is one day, played twice.
-type Pair struct{ A, B *rig.Result }
+type Pair struct{ A, B *faultbench.Result }
 
 // Pairs sorts two sets of runs into pairs of the same experiment and seed. What has no partner, or was played on a
 // machine that was too slow, is left out, and said.
-func Pairs(a, b []*rig.Result) (pairs []Pair, left []string) {
+func Pairs(a, b []*faultbench.Result) (pairs []Pair, left []string) {
 	type day struct {
 		experiment string
 		seed       uint64
 	}
-	of := map[day]*rig.Result{}
+	of := map[day]*faultbench.Result{}
 	for _, r := range b {
 		of[day{r.Experiment, r.Seed}] = r
 	}
--- a/internal/rig/report/page.go
+++ b/internal/faultbench/report/page.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"woodpick/internal/rig"
+	"damsontrestle/internal/faultbench"
 )
 
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
@@ -58,7 +58,7 @@
 		Breaches    []string
 	}{Title: title, A: a, B: b, Pairs: pairs, Rows: Compare(pairs), Left: left}
 	for i, p := range pairs {
-		for _, r := range []*rig.Result{p.A, p.B} {
+		for _, r := range []*faultbench.Result{p.A, p.B} {
 			for _, breach := range r.Breaches {
 				view.Breaches = append(view.Breaches, fmt.Sprintf("%s, %s, seed %d: %v", r.Experiment, r.Policy, r.Seed, breach))
 			}
@@ -88,7 +88,7 @@
 	draw    func(Pair) (string, error)
 }{
 	{"share of the calls of each second that were served within their aim", func(p Pair) (string, error) {
-		return curves("second", "share", p, func(r *rig.Result) (xy plotter.XYs) {
+		return curves("second", "share", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			for i, s := range r.Figures.BySecond {
 				if s.Calls > 0 {
 					xy = append(xy, plotter.XY{X: float64(i), Y: s.InAim})
@@ -98,7 +98,7 @@
 		})
 	}},
 	{"calls that came to each server, from the one with fewest to the one with most, against their mean", func(p Pair) (string, error) {
-		return curves("server", "of mean", p, func(r *rig.Result) (xy plotter.XYs) {
+		return curves("server", "of mean", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			counts, all := slices.Clone(r.Figures.Spread.Counts), 0
 			slices.Sort(counts)
 			for _, c := range counts {
@@ -111,7 +111,7 @@
 		})
 	}},
 	{"calls that wait, for each slot, by tenths of a second", func(p Pair) (string, error) {
-		return curves("second", "calls", p, func(r *rig.Result) (xy plotter.XYs) {
+		return curves("second", "calls", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			for _, s := range r.Figures.Series {
 				xy = append(xy, plotter.XY{X: s.At.Seconds(), Y: s.Waiting})
 			}
@@ -119,7 +119,7 @@
 		})
 	}},
 	{"share of the served calls that were answered within a time", func(p Pair) (string, error) {
-		return curves("ms", "share", p, func(r *rig.Result) (xy plotter.XYs) {
+		return curves("ms", "share", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			h, err := hdrhistogram.Decode(r.Figures.Latency)
 			if err != nil {
 				return nil
@@ -133,11 +133,11 @@
 }
 
 // curves draws one curve for each side of a pair.
-func curves(x, y string, p Pair, of func(*rig.Result) plotter.XYs) (string, error) {
+func curves(x, y string, p Pair, of func(*faultbench.Result) plotter.XYs) (string, error) {
 	chart := plot.New()
 	chart.X.Label.Text, chart.Y.Label.Text = x, y
 	chart.Add(plotter.NewGrid())
-	for i, r := range []*rig.Result{p.A, p.B} {
+	for i, r := range []*faultbench.Result{p.A, p.B} {
 		xy := of(r)
 		if len(xy) == 0 {
 			continue
--- a/internal/rig/timetable.go
+++ b/internal/faultbench/timetable.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // await waits until a time of the run.
--- a/internal/rig/virtual/faults.go
+++ b/internal/faultbench/virtual/faults.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // plan puts a fault on the timetable.
@@ -85,7 +85,7 @@
 	case experiment.Drag:
 		s.Factor = f.Factor
 	case experiment.Replace:
-		p.state[i] = woodpick.Draining
+		p.state[i] = balancer.Draining
 		p.tellAll()
 		p.at(p.now+time.Second, func() {
 			p.gone[s.ID] = true
@@ -99,7 +99,7 @@
 func (p *player) renew(i int, replacement bool) {
 	old := p.fleet.Servers[i]
 	p.audit.LifeOver(old, p.now)
-	p.state[i], p.lost[i], p.crashed[i] = woodpick.Ready, false, false
+	p.state[i], p.lost[i], p.crashed[i] = balancer.Ready, false, false
 	s := p.fleet.Renew(i, p.now, replacement)
 	p.place[s.ID] = i
 }
--- a/internal/rig/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // Floors of service under overload, against the share of calls that the servers could serve if none of their time were lost.
@@ -86,10 +86,10 @@
 // keyedClasses repeat by a key, which an experiment's file does not say of a class.
 var keyedClasses = []string{"note", "log"}
 
-func keyed(s *woodpick.Settings) {
+func keyed(s *balancer.Settings) {
 	for i := range s.Classes {
 		if slices.Contains(keyedClasses, s.Classes[i].Name) {
-			s.Classes[i].Effect, s.Classes[i].Scope, s.Classes[i].Window = woodpick.Keyed, woodpick.ScopeAll, time.Second
+			s.Classes[i].Effect, s.Classes[i].Scope, s.Classes[i].Window = balancer.Keyed, balancer.ScopeAll, time.Second
 		}
 	}
 }
