--- a/internal/rig/virtual/play.go
+++ b/internal/faultbench/virtual/play.go
@@ -9,22 +9,22 @@
 	"slices"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/due"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
-	"woodpick/internal/rig/nodefile"
-	"woodpick/internal/rig/world"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/eventqueue"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
+	"damsontrestle/internal/faultbench/nodefile"
+	"damsontrestle/internal/faultbench/world"
 )
 
 // Tune changes what a module is told, for weighing; nil changes nothing.
-type Tune func(*woodpick.Settings)
+type Tune func(*balancer.Settings)
 
 // node is one node: a module, or a policy that needs none.
 type node struct {
 	index    int
 	zone     string
-	balancer *woodpick.Balancer // nil while it is down, or by another policy
+	balancer *balancer.Balancer // nil while it is down, or by another policy
 	life     int
 	calls    map[string]*call
 	lag      time.Duration // of its list
@@ -61,11 +61,11 @@
 	tune    Tune
 	told    Told
 	now     time.Duration
-	due     due.Queue[func()]
+	due     eventqueue.Queue[func()]
 	audit   *audit.Audit
 	fleet   *world.Fleet
 	place   map[string]int
-	state   []woodpick.ServerState // of each place
+	state   []balancer.ServerState // of each place
 	gone    map[string]bool        // uids that were replaced
 	lost    []bool                 // of each place: its machine says nothing
 	crashed []bool
@@ -97,7 +97,7 @@
 func PlayTold(e *experiment.Experiment, policy experiment.Policy, tune Tune, told Told) (*audit.Audit, audit.Figures, error) {
 	p := &player{e: e, policy: policy, tune: tune, told: told, audit: audit.New(), fleet: world.NewFleet(e), place: map[string]int{},
 		gone: map[string]bool{}, waiting: map[*world.Job]*try{}, streams: world.NewStreams(e, "c"), rng: rand.New(rand.NewPCG(e.Seed, 0x1ab))}
-	p.state = make([]woodpick.ServerState, len(p.fleet.Servers))
+	p.state = make([]balancer.ServerState, len(p.fleet.Servers))
 	p.lost, p.crashed = make([]bool, len(p.state)), make([]bool, len(p.state))
 	for i, s := range p.fleet.Servers {
 		p.place[s.ID] = i
@@ -146,7 +146,7 @@
 func (p *player) start(n *node) error {
 	n.life++
 	if p.policy != experiment.Program {
-		n.balancer = &woodpick.Balancer{}
+		n.balancer = &balancer.Balancer{}
 		p.tell(n, nil)
 		return nil
 	}
@@ -157,7 +157,7 @@
 	if p.tune != nil {
 		p.tune(&set)
 	}
-	if n.balancer, err = woodpick.New(set, p.rng.Uint64()); err != nil {
+	if n.balancer, err = balancer.New(set, p.rng.Uint64()); err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
 	p.tell(n, nil)
@@ -166,14 +166,14 @@
 
 // tell gives a node the list as it stands now; names are the uids that have gone since.
 func (p *player) tell(n *node, gone []string) {
-	l := woodpick.ServerList{Full: len(gone) == 0}
+	l := balancer.ServerList{Full: len(gone) == 0}
 	n.listed = n.listed[:0]
 	for i, s := range p.fleet.Servers {
-		v := woodpick.Server{ID: s.ID, Zone: s.Zone, State: p.state[i], Size: s.Spec.Size}
+		v := balancer.Server{ID: s.ID, Zone: s.Zone, State: p.state[i], Size: s.Spec.Size}
 		if s.Born >= 0 {
 			v.Boot = epoch + s.Born
 		}
-		if v.State == woodpick.Ready {
+		if v.State == balancer.Ready {
 			n.listed = append(n.listed, s.ID)
 		} else {
 			p.audit.Told(n.index, s.ID, p.now)
@@ -181,7 +181,7 @@
 		l.Servers = append(l.Servers, v)
 	}
 	for _, id := range gone {
-		l.Servers = append(l.Servers, woodpick.Server{ID: id, State: woodpick.Gone})
+		l.Servers = append(l.Servers, balancer.Server{ID: id, State: balancer.Gone})
 		p.audit.Told(n.index, id, p.now)
 	}
 	if p.policy == experiment.Program && n.balancer != nil {
@@ -221,7 +221,7 @@
 		p.at(p.now+patience, func() { p.leaveNode(n, k) })
 	}
 	if p.policy == experiment.Program {
-		p.handle(n, woodpick.Request{ID: c.ID, Class: class.Name, Deadline: epoch + p.now + class.Deadline})
+		p.handle(n, balancer.Request{ID: c.ID, Class: class.Name, Deadline: epoch + p.now + class.Deadline})
 		return
 	}
 	if id := p.pick(n, class); id != "" {
@@ -290,28 +290,28 @@
 	return id
 }
 
-func (p *player) handle(n *node, e woodpick.Event) {
+func (p *player) handle(n *node, e balancer.Event) {
 	life := n.life
 	for _, a := range n.balancer.Handle(epoch+p.now, e) {
 		switch a := a.(type) {
-		case woodpick.Send:
+		case balancer.Send:
 			if k := n.calls[a.ID]; k != nil {
 				p.send(n, k, a.Server, a.Timeout)
 			}
-		case woodpick.Ask:
+		case balancer.Ask:
 			p.poll(n, a)
-		case woodpick.Cancel:
+		case balancer.Cancel:
 			if k := n.calls[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-				p.end(k.attempts[a.Attempt], woodpick.Withdrawn, nil)
+				p.end(k.attempts[a.Attempt], balancer.Withdrawn, nil)
 			}
-		case woodpick.Refuse:
+		case balancer.Refuse:
 			p.hear(n, n.calls[a.ID], audit.Refused, a.RetryAfter.String())
-		case woodpick.Fail:
+		case balancer.Fail:
 			p.hear(n, n.calls[a.ID], audit.Failed, "")
-		case woodpick.Wake:
+		case balancer.Wake:
 			p.at(a.At-epoch, func() {
 				if n.life == life && n.balancer != nil {
-					p.handle(n, woodpick.Timer{Token: a.Token})
+					p.handle(n, balancer.Timer{Token: a.Token})
 				}
 			})
 		}
@@ -319,7 +319,7 @@
 }
 
 // poll asks servers how much they hold; those that say nothing are not heard of.
-func (p *player) poll(n *node, a woodpick.Ask) {
+func (p *player) poll(n *node, a balancer.Ask) {
 	life := n.life
 	for _, id := range a.Servers {
 		place := p.place[id]
@@ -334,7 +334,7 @@
 			if back, comes := p.delay(s.Zone, n.zone, false, place); comes && s.Fault != experiment.Hang {
 				p.at(p.now+back, func() {
 					if n.life == life && n.balancer != nil {
-						p.handle(n, woodpick.Known{ID: a.ID, Loads: []woodpick.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
+						p.handle(n, balancer.Known{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
 					}
 				})
 			}
@@ -359,11 +359,11 @@
 	}
 	p.hear(n, k, audit.Gone, "")
 	if p.policy == experiment.Program {
-		p.handle(n, woodpick.ClientGone{ID: k.ID})
+		p.handle(n, balancer.ClientGone{ID: k.ID})
 		return
 	}
 	for _, t := range k.attempts {
-		p.end(t, woodpick.Withdrawn, nil)
+		p.end(t, balancer.Withdrawn, nil)
 	}
 }
 
@@ -409,14 +409,14 @@
 	t := &try{n: len(k.attempts), node: n, call: k, server: s, place: place, sent: p.now, job: &world.Job{ID: k.ID}}
 	k.attempts = append(k.attempts, t)
 	t.Attempt = p.audit.Send(k.ID, id, place, n.zone != s.Zone, p.now)
-	p.at(p.now+timeout, func() { p.end(t, woodpick.TimedOut, nil) })
+	p.at(p.now+timeout, func() { p.end(t, balancer.TimedOut, nil) })
 	there, comes := p.delay(n.zone, s.Zone, true, place)
 	switch {
 	case p.gone[id] || s.ID != id || p.crashed[place]:
-		p.at(p.now+2*there, func() { p.end(t, woodpick.Unreachable, nil) })
+		p.at(p.now+2*there, func() { p.end(t, balancer.Unreachable, nil) })
 	case !comes || p.lost[place]: // a new connection never comes up, an old one says nothing
 		if !n.open[place] {
-			p.at(p.now+time.Second, func() { p.end(t, woodpick.Unreachable, nil) })
+			p.at(p.now+time.Second, func() { p.end(t, balancer.Unreachable, nil) })
 		}
 	default:
 		n.open[place] = true
@@ -435,10 +435,10 @@
 	case world.Queued:
 		p.waiting[t.job] = t
 	case world.TurnedAway:
-		p.back(t, woodpick.Overloaded, nil)
+		p.back(t, balancer.Overloaded, nil)
 	case world.Failed:
 		p.audit.Run(t.Attempt)
-		p.back(t, woodpick.Failure, nil)
+		p.back(t, balancer.Failure, nil)
 	case world.Hung:
 		p.audit.Run(t.Attempt)
 	}
@@ -452,12 +452,12 @@
 			return
 		}
 		next := s.Finish(p.now, t.job)
-		load := &woodpick.Load{Busy: float64(s.Working() + s.Waiting()), Service: -1}
+		load := &balancer.Load{Busy: float64(s.Working() + s.Waiting()), Service: -1}
 		if !s.Spec.Reports {
 			load = nil
 		}
 		if !t.job.Lost && !p.lost[t.place] && s.Fault != experiment.Hang {
-			p.back(t, woodpick.Success, load)
+			p.back(t, balancer.Success, load)
 		}
 		if next != nil {
 			t := p.waiting[next]
@@ -468,33 +468,33 @@
 }
 
 // back has a server's answer come to the node.
-func (p *player) back(t *try, e woodpick.Ending, load *woodpick.Load) {
+func (p *player) back(t *try, e balancer.Ending, load *balancer.Load) {
 	if d, comes := p.delay(t.server.Zone, t.node.zone, false, t.place); comes {
 		p.at(p.now+d, func() { p.end(t, e, load) })
 	}
 }
 
 // end ends an attempt at its node.
-func (p *player) end(t *try, e woodpick.Ending, load *woodpick.Load) {
+func (p *player) end(t *try, e balancer.Ending, load *balancer.Load) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	n, k := t.node, t.call
 	p.audit.Over(t.Attempt, p.now, fmt.Sprint(e))
-	if e == woodpick.TimedOut || e == woodpick.Withdrawn || e == woodpick.Unreachable {
+	if e == balancer.TimedOut || e == balancer.Withdrawn || e == balancer.Unreachable {
 		delete(n.open, t.place) // its connection is closed
 		if d, comes := p.delay(n.zone, t.server.Zone, true, t.place); comes {
 			p.at(p.now+d, func() { p.leave(t) })
 		}
 	}
-	if e == woodpick.Success {
+	if e == balancer.Success {
 		p.hear(n, k, audit.Served, "")
 	}
 	switch {
 	case p.policy == experiment.Program && n.balancer != nil:
-		p.handle(n, woodpick.Outcome{ID: k.ID, Attempt: t.n, Server: t.Server, Ending: e, Latency: p.now - t.sent, Ended: k.answered, Load: load})
-	case e != woodpick.Success:
+		p.handle(n, balancer.Outcome{ID: k.ID, Attempt: t.n, Server: t.Server, Ending: e, Latency: p.now - t.sent, Ended: k.answered, Load: load})
+	case e != balancer.Success:
 		p.hear(n, k, audit.Failed, "")
 	}
 	p.forget(n, k)
@@ -508,7 +508,7 @@
 
 // isDown says that no load is meant for the server at a place.
 func (p *player) isDown(place int) bool {
-	return p.lost[place] || p.crashed[place] || p.fleet.Servers[place].Fault == experiment.Hang || p.state[place] != woodpick.Ready
+	return p.lost[place] || p.crashed[place] || p.fleet.Servers[place].Fault == experiment.Hang || p.state[place] != balancer.Ready
 }
 
 // sample looks at all servers.
--- a/internal/rig/virtual/play_test.go
+++ b/internal/faultbench/virtual/play_test.go
@@ -4,9 +4,9 @@
 	"path/filepath"
 	"testing"
 
-	"woodpick"
-	"woodpick/internal/rig/audit"
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/faultbench/audit"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 const folder = "../../../deploy/experiments"
@@ -110,7 +110,7 @@
 		b.Run(name, func(b *testing.B) {
 			e := load(b, "even-reports")
 			for b.Loop() {
-				f := play(b, e, experiment.Program, func(s *woodpick.Settings) { s.Asks = asks })
+				f := play(b, e, experiment.Program, func(s *balancer.Settings) { s.Asks = asks })
 				b.ReportMetric(f.Spread.IdleWhileQueued, "idle-while-queued")
 				b.ReportMetric(f.Waiting, "waiting/slot")
 			}
--- a/internal/rig/virtual/told.go
+++ b/internal/faultbench/virtual/told.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"woodpick"
+	"damsontrestle/internal/balancer"
 )
 
 // Told is an exchange of counts between nodes: each is told how many calls the others have at each server, as things stood
@@ -44,7 +44,7 @@
 			if n.balancer == nil {
 				continue
 			}
-			known := woodpick.Known{}
+			known := balancer.Known{}
 			for place, s := range p.fleet.Servers {
 				busy := 0.0
 				for j := range p.nodes {
@@ -52,7 +52,7 @@
 						busy += counts[j][place]
 					}
 				}
-				known.Loads = append(known.Loads, woodpick.ServerLoad{Server: s.ID, Busy: busy, Age: p.told.Age})
+				known.Loads = append(known.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.told.Age})
 			}
 			p.handle(n, known)
 		}
--- a/internal/rig/world/layout.go
+++ b/internal/faultbench/world/layout.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // Fleet is all servers of an experiment, in the order of its groups; their ids tell nothing of zones or groups.
--- a/internal/rig/world/server.go
+++ b/internal/faultbench/world/server.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // Job is a call at a server, from its arrival until its work is over or it is taken back.
--- a/internal/rig/world/server_test.go
+++ b/internal/faultbench/world/server_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 const ms = time.Millisecond
--- a/internal/rig/world/stream.go
+++ b/internal/faultbench/world/stream.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"woodpick/internal/rig/experiment"
+	"damsontrestle/internal/faultbench/experiment"
 )
 
 // Call is one call of a caller.
--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/custody"
-	"woodpick/internal/discovery"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	"woodpick/internal/offers"
-	"woodpick/internal/route"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/routeexchange"
+	"damsontrestle/internal/testpeer"
 )
 
 // backend stands in for the servers of a pool: attempts end as a test says, the last outcome again and again.
@@ -38,20 +38,20 @@
 func (*backend) LetGo(discovery.Host)                                      {}
 
 // resume has a call carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
-func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) custody.Outcome {
+func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
-	return carry(t, b, pool, effect, attempts, within, []custody.Intent{{Pool: pool, Server: "s0", ID: "call"}})
+	return carry(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "call"}})
 }
 
 // carry has a call carried out, of which there have been earlier attempts. Routes name the pool, by an offer of this partner's own.
-func carry(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, earlier []custody.Intent) custody.Outcome {
+func carry(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, earlier []replication.Intent) replication.Outcome {
 	t.Helper()
 	const partner = "p1"
-	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(standin.Limit)}
-	settings := woodpick.Settings{Balancers: 1, MaxAttempts: attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second, ColdFrom: 1, WholeWeight: 1,
-		Classes: []woodpick.Class{class.ForModule()}}
+	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
+	settings := balancer.Settings{Balancers: 1, MaxAttempts: attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second, ColdFrom: 1, WholeWeight: 1,
+		Classes: []balancer.Class{class.ForModule()}}
 	settings.Classes[0].Worth = 1
-	settings.Classes[0].Aim = standin.Limit
+	settings.Classes[0].Aim = testpeer.Limit
 	c := clock.New()
 	eng, err := engine.New(engine.Options{Settings: settings, Clock: c, Backend: b, Subscribe: func() {}, Pushed: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	var servers discovery.List
 	for _, id := range []string{"s0", "s1"} {
-		servers.Targets = append(servers.Targets, discovery.Target{Server: woodpick.Server{ID: id}, Endpoint: "127.0.0.1:1"})
+		servers.Targets = append(servers.Targets, discovery.Target{Server: balancer.Server{ID: id}, Endpoint: "127.0.0.1:1"})
 	}
 	eng.Hold(servers)
 	view, err := dispatch.NewView(&config.Config{Classes: []config.Class{class}, Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}}, Pools: []config.Pool{{Name: pool}}, Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}}}, map[string]*engine.Engine{pool: eng})
@@ -69,8 +69,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
 	g := &Gateway{o: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
-	g.offers = &offers.Exchange{} // that knows of nobody
-	g.self.Partner, g.table = "p0", offers.NewTable(offers.Policy{Self: "p0", Own: []offers.Offer{{ID: offers.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
+	g.offers = &routeexchange.Exchange{} // that knows of nobody
+	g.self.Partner, g.table = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Offer{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
 	g.policy.Store(&policy{partners: map[string]bool{partner: true}})
 	g.ctx, g.end = context.WithCancel(t.Context())
 	defer g.tasks.Wait()
@@ -78,38 +78,38 @@
 	go func() { defer close(over); eng.Run(g.ctx) }()
 	defer func() { <-over }()
 	defer g.end()
-	record := custody.Record{ID: "call", Key: custody.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
+	record := replication.Record{ID: "call", Key: replication.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
 	record.Route.Listener, record.Route.Path = "main", "/note/x"
 	return g.run(ctx, &record, engine.Request{Method: "POST", Target: "/note/x"}, class, earlier, nil)
 }
 
 // ask has a partner asked what became of an unsafe call that may run there.
-func ask(t *testing.T, b *backend, within time.Duration) custody.Outcome {
+func ask(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
 	return resume(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
 }
 
 // That a question about a call was refused, or met nobody, says nothing of the call: it may run, and is asked for again.
 func TestARefusedQuestionIsNoRefusalOfTheCall(t *testing.T) {
-	served := engine.Outcome{Ending: woodpick.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
-	p := &backend{outcomes: []engine.Outcome{{Ending: woodpick.Overloaded}, {Ending: woodpick.Unreachable}, {Ending: woodpick.Overloaded}, served}}
-	if out := ask(t, p, standin.Limit); out.Kind != custody.Served || string(out.Body) != "answer" {
+	served := engine.Outcome{Ending: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
+	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded}, {Ending: balancer.Unreachable}, {Ending: balancer.Overloaded}, served}}
+	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Served || string(out.Body) != "answer" {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
 }
 
 // Once the partner has settled that it refused the call, that is the call's answer, and no time is waited for another.
 func TestASettledRefusalIsTheCallsAnswer(t *testing.T) {
-	p := &backend{outcomes: []engine.Outcome{{Ending: woodpick.Overloaded, Settled: true}}}
-	if out := ask(t, p, standin.Limit); out.Kind != custody.Refused || !out.NotRun || len(p.attempts) != 1 {
+	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded, Settled: true}}}
+	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Refused || !out.NotRun || len(p.attempts) != 1 {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
 }
 
 // A partner that never says what became of a call leaves it failed: it may have run.
 func TestACallOfWhichNothingIsToldHasFailed(t *testing.T) {
-	p := &backend{outcomes: []engine.Outcome{{Ending: woodpick.Overloaded}}}
-	if out := ask(t, p, 200*time.Millisecond); out.Kind != custody.Failed {
+	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded}}}
+	if out := ask(t, p, 200*time.Millisecond); out.Kind != replication.Failed {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
 }
@@ -117,9 +117,9 @@
 // A call that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
 // partner's pass goes with it.
 func TestACallGoesOnAtItsOwnServersWhereItWas(t *testing.T) {
-	served := engine.Outcome{Ending: woodpick.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
+	served := engine.Outcome{Ending: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	b := &backend{outcomes: []engine.Outcome{served}}
-	if out := resume(t, b, "boxes", config.Safe, 2, standin.Limit); out.Kind != custody.Served {
+	if out := resume(t, b, "boxes", config.Safe, 2, testpeer.Limit); out.Kind != replication.Served {
 		t.Fatalf("it came to %+v", out)
 	}
 	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Call.Request.Beside) != 0 {
@@ -130,8 +130,8 @@
 // A call that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
 func TestAnotherWayHasWhatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
-	b := &backend{outcomes: []engine.Outcome{{Ending: woodpick.Overloaded, Why: "a rule"}}, takes: takes}
-	carry(t, b, config.PartnerPool("p1"), config.Safe, 1, standin.Limit, nil)
+	b := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded, Why: "a rule"}}, takes: takes}
+	carry(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != mostWays {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), mostWays)
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -6,16 +6,16 @@
 	"sync"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/custody"
-	"woodpick/internal/engine"
-	"woodpick/internal/offers"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/routeexchange"
 )
 
 // tried is what an attempt at a pool came to.
 type tried struct {
-	out     custody.Outcome
+	out     replication.Outcome
 	ruled   bool // a partner's rule refused it, and nothing ran
 	unsure  bool // it may run at a partner, which has not said what became of it
 	settled bool // the partner's refusal is the one answer to the call there: it never ran, and never will
@@ -24,14 +24,14 @@
 // trial is a call, or the question what became of it, on its way through the engine of a pool.
 type trial struct {
 	gateway *Gateway
-	record  *custody.Record
+	record  *replication.Record
 	pool    string
-	partner string           // whose gateways the pool has; empty: it has this partner's servers
-	earlier []custody.Intent // attempts that others made
-	work    *custody.Work    // nil: the call is not in custody
-	ask     bool             // only what became of the call is asked for
-	call    *engine.Call     // as the engine has it
-	over    chan struct{}    // closed once its answer has come
+	partner string               // whose gateways the pool has; empty: it has this partner's servers
+	earlier []replication.Intent // attempts that others made
+	work    *replication.Work    // nil: the call is not in custody
+	ask     bool                 // only what became of the call is asked for
+	call    *engine.Call         // as the engine has it
+	over    chan struct{}        // closed once its answer has come
 
 	mu      sync.Mutex
 	rule    string // of the partner's, by which it was refused
@@ -40,21 +40,21 @@
 }
 
 // attempt gives a call, or the question what became of it, to the engine of a pool and waits for its answer.
-func (g *Gateway) attempt(ctx context.Context, r *custody.Record, req engine.Request, pool string, way offers.Chosen, left time.Duration, earlier []custody.Intent, w *custody.Work, ask bool) tried {
+func (g *Gateway) attempt(ctx context.Context, r *replication.Record, req engine.Request, pool string, way routeexchange.Chosen, left time.Duration, earlier []replication.Intent, w *replication.Work, ask bool) tried {
 	t := &trial{gateway: g, record: r, pool: pool, earlier: earlier, work: w, ask: ask, over: make(chan struct{})}
 	defer close(t.over)
 	if partner, is := config.PartnerOf(pool); is {
 		t.partner = partner
 	}
 	if err := t.prepare(req, way, left); err != nil {
-		return tried{out: custody.Outcome{Kind: custody.Failed}}
+		return tried{out: replication.Outcome{Kind: replication.Failed}}
 	}
 	if way.Way != nil {
 		way.Take()
 		defer way.Done()
 	}
 	if err := g.o.Calls.Hand(t.call, pool); err != nil {
-		return tried{out: custody.Outcome{Kind: custody.Refused, NotRun: true, Retry: comeBack, Why: "no pool takes this call now"}}
+		return tried{out: replication.Outcome{Kind: replication.Refused, NotRun: true, Retry: comeBack, Why: "no pool takes this call now"}}
 	}
 	select {
 	case a := <-t.call.Answer():
@@ -66,7 +66,7 @@
 }
 
 // prepare makes the call as the engine has it.
-func (t *trial) prepare(req engine.Request, way offers.Chosen, left time.Duration) error {
+func (t *trial) prepare(req engine.Request, way routeexchange.Chosen, left time.Duration) error {
 	now := t.gateway.o.Clock.Now()
 	t.call = engine.NewCall(t.record.ID, req)
 	t.call.Class, t.call.At, t.call.Deadline = t.record.Key.Class, now, now+left
@@ -89,10 +89,10 @@
 }
 
 // before are the attempts that others made at the servers of the pool.
-func (t *trial) before(now time.Duration) (list []woodpick.Earlier) {
+func (t *trial) before(now time.Duration) (list []balancer.Earlier) {
 	for _, in := range t.earlier {
 		if in.Pool == t.pool {
-			list = append(list, woodpick.Earlier{Server: in.Server, Zone: in.Zone, Cell: in.Cell, Sent: now - in.Age, Unsent: in.NotRun})
+			list = append(list, balancer.Earlier{Server: in.Server, Zone: in.Zone, Cell: in.Cell, Sent: now - in.Age, Unsent: in.NotRun})
 		}
 	}
 	return list
@@ -108,7 +108,7 @@
 
 // allow implements engine.Call's Allow.
 func (t *trial) allow(a *engine.Attempt) bool {
-	in := custody.Intent{N: t.number(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
+	in := replication.Intent{N: t.number(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
 	if t.work != nil && !t.ask && !t.work.Intend(a.Context(), in) {
 		return false
 	}
@@ -121,8 +121,8 @@
 // ended implements engine.Call's Ended.
 func (t *trial) ended(a *engine.Attempt, o *engine.Outcome) {
 	t.mu.Lock()
-	t.open = t.open || o.Ending == woodpick.Broken || o.Ending == woodpick.TimedOut || o.Ending == woodpick.Withdrawn
-	t.settled = t.settled || o.Ending == woodpick.Overloaded && o.Settled
+	t.open = t.open || o.Ending == balancer.Broken || o.Ending == balancer.TimedOut || o.Ending == balancer.Withdrawn
+	t.settled = t.settled || o.Ending == balancer.Overloaded && o.Settled
 	if o.Why != "" && o.Why != busy {
 		t.rule = o.Why
 	}
--- a/internal/gateway/pass.go
+++ b/internal/gateway/forward.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"strings"
 
-	"woodpick/internal/offers"
-	"woodpick/internal/peering"
+	"damsontrestle/internal/peering"
+	"damsontrestle/internal/routeexchange"
 )
 
 // Header is the header that goes with a call to a partner's gateway: a pass and its tag by the partners' key, both in base64.
@@ -25,14 +25,14 @@
 // pass says of a call what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
 // all of it, the call's id and its target among that.
 type pass struct {
-	ID     string    `cbor:"1,keyasint"`
-	Target string    `cbor:"2,keyasint"`
-	Came   []string  `cbor:"3,keyasint"` // partners that the call came through; the last one sends it
-	Offer  offers.ID `cbor:"4,keyasint"`
-	Tenant string    `cbor:"5,keyasint,omitempty"`
-	Draws  []string  `cbor:"6,keyasint,omitempty"`
-	Again  bool      `cbor:"7,keyasint,omitempty"` // only what became of it is asked for: it is not to be begun
-	From   string    `cbor:"8,keyasint"`           // the sender's own word for the call, the same in all its gateways
+	ID     string           `cbor:"1,keyasint"`
+	Target string           `cbor:"2,keyasint"`
+	Came   []string         `cbor:"3,keyasint"` // partners that the call came through; the last one sends it
+	Offer  routeexchange.ID `cbor:"4,keyasint"`
+	Tenant string           `cbor:"5,keyasint,omitempty"`
+	Draws  []string         `cbor:"6,keyasint,omitempty"`
+	Again  bool             `cbor:"7,keyasint,omitempty"` // only what became of it is asked for: it is not to be begun
+	From   string           `cbor:"8,keyasint"`           // the sender's own word for the call, the same in all its gateways
 }
 
 // mostPass is how long a header may be.
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("%w is malformed", errPass)
 	}
 	var p pass
-	if err := peering.Decode(text, &p); err != nil || len(p.Came) == 0 || len(p.Came) > offers.MostHands {
+	if err := peering.Decode(text, &p); err != nil || len(p.Came) == 0 || len(p.Came) > routeexchange.MostHands {
 		return nil, fmt.Errorf("%w is malformed", errPass)
 	}
 	k := key(p.Came[len(p.Came)-1])
--- a/internal/gateway/pass_test.go
+++ b/internal/gateway/forward_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"woodpick/internal/offers"
+	"damsontrestle/internal/routeexchange"
 )
 
 // A pass holds for the call that it was made for, by the key of the partner that sends it, and for nothing else.
@@ -16,7 +16,7 @@
 		}
 		return nil
 	}
-	p := pass{ID: "c1", Target: "/note/p0/x?y", Came: []string{"p2", "p1"}, Offer: offers.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
+	p := pass{ID: "c1", Target: "/note/p0/x?y", Came: []string{"p2", "p1"}, Offer: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
 	text, err := p.seal(keys("p1"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,17 +22,17 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/custody"
-	"woodpick/internal/discovery"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/members"
-	"woodpick/internal/offers"
-	"woodpick/internal/peering"
-	"woodpick/internal/quota"
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/peering"
+	"damsontrestle/internal/quota"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/routeexchange"
+	"damsontrestle/internal/splitmix"
 )
 
 // Options are what a Gateway is made of.
@@ -40,7 +40,7 @@
 	Config *config.Config
 	Key    []byte                                    // of the own group
 	Keys   map[string][]byte                         // of partners
-	Living func() []members.Peer                     // the others of the group that live
+	Living func() []membership.Peer                  // the others of the group that live
 	Calls  *dispatch.Dispatcher                      // that calls go on by
 	List   func(partner string, list discovery.List) // takes a partner's gateways
 	Clock  clock.Clock
@@ -53,9 +53,9 @@
 	self    peering.Who
 	life    uint64
 	hub     atomic.Pointer[peering.Hub] // nil until it is open: the tasks of offers and custody begin before it
-	custody *custody.Custodian
-	table   *offers.Table
-	offers  *offers.Exchange
+	custody *replication.Custodian
+	table   *routeexchange.Table
+	offers  *routeexchange.Exchange
 	ctx     context.Context
 	end     context.CancelFunc
 	tasks   sync.WaitGroup
@@ -83,8 +83,8 @@
 	Life    uint64                  `json:"life"`
 	Links   []LinkStatus            `json:"links"`
 	Stats   peering.Stats           `json:"link_stats"`
-	Custody custody.Status          `json:"custody"`
-	Offers  offers.Status           `json:"offers"`
+	Custody replication.Status      `json:"custody"`
+	Offers  routeexchange.Status    `json:"offers"`
 	Quotas  map[string]quota.Status `json:"quotas,omitempty"`
 }
 
@@ -104,9 +104,9 @@
 	g.ctx, g.end = context.WithCancel(context.Background())
 	p := newPolicy(o.Config)
 	g.policy.Store(p)
-	g.table = offers.NewTable(g.offerPolicy(o.Config), time.Now)
-	g.offers = offers.NewExchange(offers.Options{Table: g.table, Group: g.group, Heard: g.listen})
-	g.custody = custody.New(custody.Options{Self: custody.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life}, Links: links{g}, Group: g.holders,
+	g.table = routeexchange.NewTable(g.offerPolicy(o.Config), time.Now)
+	g.offers = routeexchange.NewExchange(routeexchange.Options{Table: g.table, Group: g.group, Heard: g.listen})
+	g.custody = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life}, Links: links{g}, Group: g.holders,
 		Run: g.resume, Step: g.step, Beat: beat(f), Silence: time.Duration(f.Silence), Holders: f.Holders, Memory: int(f.Memory), Keep: time.Duration(f.Keep), Fresh: time.Duration(f.Silence) / 2, Forgets: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
 	topics := maps.Clone(g.custody.Topics())
 	maps.Copy(topics, g.offers.Topics())
@@ -175,19 +175,19 @@
 }
 
 // offerPolicy is a configuration's part in offers.
-func (g *Gateway) offerPolicy(c *config.Config) offers.Policy {
-	p := offers.Policy{Self: c.Federation.Partner, Neighbours: map[string]offers.Neighbour{}, Stale: time.Duration(c.Federation.Stale), Share: 1 + len(g.o.Living())}
+func (g *Gateway) offerPolicy(c *config.Config) routeexchange.Policy {
+	p := routeexchange.Policy{Self: c.Federation.Partner, Neighbours: map[string]routeexchange.Neighbour{}, Stale: time.Duration(c.Federation.Stale), Share: 1 + len(g.o.Living())}
 	for _, n := range c.Partners {
-		p.Neighbours[n.Name] = offers.Neighbour{Import: offers.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, Most: n.MostOffers},
-			Passing: offers.Passing{To: n.PassOnTo, Cost: n.Cost, Custody: inCustody(c)}}
+		p.Neighbours[n.Name] = routeexchange.Neighbour{Import: routeexchange.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, Most: n.MostOffers},
+			Passing: routeexchange.Passing{To: n.PassOnTo, Cost: n.Cost, Custody: inCustody(c)}}
 	}
-	effects := map[config.Effect]woodpick.Effect{config.Safe: woodpick.Safe, config.Keyed: woodpick.Keyed, config.Unsafe: woodpick.Unsafe}
+	effects := map[config.Effect]balancer.Effect{config.Safe: balancer.Safe, config.Keyed: balancer.Keyed, config.Unsafe: balancer.Unsafe}
 	for _, e := range c.Exports {
-		o := offers.Offer{ID: offers.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Room: e.Room,
-			Rules: offers.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, Hands: e.Hands, Tenants: e.Tenants, Excluded: e.Excluded}}
+		o := routeexchange.Offer{ID: routeexchange.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Room: e.Room,
+			Rules: routeexchange.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, Hands: e.Hands, Tenants: e.Tenants, Excluded: e.Excluded}}
 		o.Custody = inCustody(c)(e.Class)
 		for _, v := range e.Effects {
-			o.Rules.Effects |= offers.Of(effects[v])
+			o.Rules.Effects |= routeexchange.Of(effects[v])
 		}
 		if at, err := time.Parse(time.RFC3339, e.Until); err == nil {
 			o.Rules.Until = at.Unix()
@@ -285,7 +285,7 @@
 // links are those of the own group, as custody has them.
 type links struct{ *Gateway }
 
-// To implements custody.Links.
+// To implements replication.Links.
 func (l links) To(name string) *peering.Link {
 	hub := l.hub.Load()
 	if hub == nil {
@@ -294,7 +294,7 @@
 	return hub.To(peering.Who{Partner: l.self.Partner, Name: name})
 }
 
-// All implements custody.Links.
+// All implements replication.Links.
 func (l links) All() []*peering.Link {
 	hub := l.hub.Load()
 	if hub == nil {
@@ -304,16 +304,16 @@
 }
 
 // holders are the gateways of the own group that live, in the order of their names.
-func (g *Gateway) holders() []custody.Gateway {
-	out := []custody.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Life: g.life}}
+func (g *Gateway) holders() []replication.Gateway {
+	out := []replication.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Life: g.life}}
 	for _, m := range g.o.Living() {
-		h := custody.Gateway{Name: m.Name, Zone: m.Zone}
+		h := replication.Gateway{Name: m.Name, Zone: m.Zone}
 		if l := (links{g}).To(m.Name); l != nil {
 			h.Life = l.Peer.Life
 		}
 		out = append(out, h)
 	}
-	slices.SortFunc(out, func(a, b custody.Gateway) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b replication.Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -327,16 +327,16 @@
 }
 
 // group is what partners are told of: this gateway and those of its group that it has links to, as far as they take calls.
-func (g *Gateway) group() (out []offers.Gateway) {
+func (g *Gateway) group() (out []routeexchange.Gateway) {
 	if at := callsAt(g.o.Config); at != "" {
-		out = append(out, offers.Gateway{Name: g.self.Name, Calls: at, Zone: g.o.Config.Node.Zone})
+		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.o.Config.Node.Zone})
 	}
 	for _, l := range (links{g}).All() {
 		if l.Peer.Calls != "" {
-			out = append(out, offers.Gateway{Name: l.Peer.Name, Calls: l.Peer.Calls, Zone: l.Peer.Zone})
+			out = append(out, routeexchange.Gateway{Name: l.Peer.Name, Calls: l.Peer.Calls, Zone: l.Peer.Zone})
 		}
 	}
-	slices.SortFunc(out, func(a, b offers.Gateway) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b routeexchange.Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -362,7 +362,7 @@
 	defer tick.Stop()
 	kept := map[string]string{}
 	first := map[string]int{} // of a partner's gateways, in the order of this one
-	given := map[string][]offers.Gateway{}
+	given := map[string][]routeexchange.Gateway{}
 	var of *policy                  // that
 	orders := map[string][]string{} // is by: each partner's gateways as this one tries them
 	for {
@@ -440,10 +440,10 @@
 }
 
 // listOf are a partner's gateways as a pool has its servers.
-func listOf(gateways []offers.Gateway) discovery.List {
+func listOf(gateways []routeexchange.Gateway) discovery.List {
 	l := discovery.List{Full: true}
 	for _, w := range gateways {
-		l.Targets = append(l.Targets, discovery.Target{Endpoint: w.Calls, Server: woodpick.Server{ID: w.Name, Zone: w.Zone}})
+		l.Targets = append(l.Targets, discovery.Target{Endpoint: w.Calls, Server: balancer.Server{ID: w.Name, Zone: w.Zone}})
 	}
 	return l
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/request.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/config"
-	"woodpick/internal/custody"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	"woodpick/internal/offers"
-	"woodpick/internal/route"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/routeexchange"
 )
 
 // Words in refusals to partners' gateways.
@@ -39,8 +39,8 @@
 		c.Finish(engine.Answer{Kind: engine.Refused, NotRun: true, Why: "this class is not known here", RetryAfter: comeBack})
 		return true
 	}
-	rec := custody.Record{ID: c.ID, Method: c.Request.Method, Target: c.Request.Target, Repeats: c.Request.Key, Type: c.Request.ContentType, Body: c.Request.Body,
-		Tenant: value(r.Headers, tenantHeader), Route: custody.Route{Listener: r.Listener, Host: r.Host, Path: r.Path, Draw: r.Draw}, Headers: g.headers(p, r)}
+	rec := replication.Record{ID: c.ID, Method: c.Request.Method, Target: c.Request.Target, Repeats: c.Request.Key, Type: c.Request.ContentType, Body: c.Request.Body,
+		Tenant: value(r.Headers, tenantHeader), Route: replication.Route{Listener: r.Listener, Host: r.Host, Path: r.Path, Draw: r.Draw}, Headers: g.headers(p, r)}
 	again := value(r.Headers, retryHeader)
 	var from string
 	askOnly := false // a partner asks what became of it
@@ -77,7 +77,7 @@
 			return false
 		}
 	}
-	rec.Key = custody.Key{Class: c.Class, ID: "i:" + from + ":" + c.ID}
+	rec.Key = replication.Key{Class: c.Class, ID: "i:" + from + ":" + c.ID}
 	switch {
 	case rec.Repeats != "":
 		rec.Key.ID = "k:" + rec.Repeats
@@ -117,15 +117,15 @@
 // Values implements route.Headers.
 func (k kept) Values(name string) []string { return k[name] }
 
-func callOf(r *custody.Record, class config.Class) *offers.Call {
-	return &offers.Call{Class: class.Name, Path: r.Route.Path, Tenant: r.Tenant, Effect: class.ForModule().Effect, Came: r.Path}
+func callOf(r *replication.Record, class config.Class) *routeexchange.Call {
+	return &routeexchange.Call{Class: class.Name, Path: r.Route.Path, Tenant: r.Tenant, Effect: class.ForModule().Effect, Came: r.Path}
 }
 
 // story is a call from its taking to its answer.
 type story struct {
 	g       *Gateway
 	call    *engine.Call
-	rec     custody.Record
+	rec     replication.Record
 	class   config.Class
 	draws   []string // budgets that it has to draw from
 	again   bool     // its caller only asks for what it asked for before
@@ -211,11 +211,11 @@
 		switch {
 		case err == nil:
 			return settled(out)
-		case errors.Is(err, custody.ErrAlone) && serve:
+		case errors.Is(err, replication.ErrAlone) && serve:
 			req := s.call.Request
 			req.Gone = nil // it goes on without its client
 			return s.own(ctx, req)
-		case errors.Is(err, custody.ErrAlone), errors.Is(err, custody.ErrFull), errors.Is(err, custody.ErrUntold):
+		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrUntold):
 			return refused(comeBack)
 		}
 		// Others have it in hand, or will soon: whatever they settle is this caller's answer too.
@@ -228,7 +228,7 @@
 // found waits for the answer to a call whose key others have in hand. false: they refused it, and it may be begun anew.
 func (s *story) found(ctx context.Context) (engine.Answer, bool) {
 	out, gen, err := s.g.custody.Await(ctx, s.rec.Key)
-	if err == nil && out.Kind == custody.Refused && s.rec.Repeats != "" && gen >= s.rec.Gen {
+	if err == nil && out.Kind == replication.Refused && s.rec.Repeats != "" && gen >= s.rec.Gen {
 		s.rec.Gen = gen + 1
 		return engine.Answer{}, false
 	}
@@ -244,7 +244,7 @@
 	switch {
 	case err == nil:
 		return settled(out)
-	case errors.Is(err, custody.ErrUnknown), errors.Is(err, custody.ErrForgotten):
+	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrForgotten):
 		return engine.Answer{Kind: engine.Failed} // it may have run, or never have come
 	case mayRetry:
 		return refused(comeBack) // to ask again is harmless
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/request_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"woodpick/internal/engine"
-	"woodpick/internal/route"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/testpeer"
 )
 
 // noHeaders are a call's that has none, so that it comes without a partner's pass.
@@ -23,7 +23,7 @@
 	if !g.Take(nil, call, &route.Call{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
 		t.Fatal("the call was left to an engine, and nobody has asked for its pass")
 	}
-	if a := standin.Receive(t, call.Answer(), "the refusal"); a.Kind != engine.Refused || !a.NotRun || a.RetryAfter <= 0 {
+	if a := testpeer.Receive(t, call.Answer(), "the refusal"); a.Kind != engine.Refused || !a.NotRun || a.RetryAfter <= 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -4,19 +4,19 @@
 	"context"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/custody"
-	"woodpick/internal/engine"
-	"woodpick/internal/offers"
-	"woodpick/internal/route"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/routeexchange"
 )
 
-// resume implements custody.Run, for calls that have just come and for such as are taken over.
-func (g *Gateway) resume(ctx context.Context, r *custody.Record, earlier []custody.Intent, w *custody.Work) custody.Outcome {
+// resume implements replication.Run, for calls that have just come and for such as are taken over.
+func (g *Gateway) resume(ctx context.Context, r *replication.Record, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	class, known := g.policy.Load().classes[r.Key.Class]
 	if !known {
-		return custody.Outcome{Kind: custody.Failed}
+		return replication.Outcome{Kind: replication.Failed}
 	}
 	return g.run(ctx, r, engine.Request{Method: r.Method, Target: r.Target, Key: r.Repeats, ContentType: r.Type, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
 }
@@ -28,39 +28,39 @@
 }
 
 // step is what an heir would do with a call, by the classes of now.
-func (g *Gateway) step(r *custody.Record, intents []custody.Intent, left time.Duration) custody.Step {
+func (g *Gateway) step(r *replication.Record, intents []replication.Intent, left time.Duration) replication.Step {
 	class, known := g.policy.Load().classes[r.Key.Class]
 	if !known {
-		return custody.GiveUp
+		return replication.GiveUp
 	}
-	return custody.Next(class.ForModule().Effect, intents, left, toPartner)
+	return replication.Next(class.ForModule().Effect, intents, left, toPartner)
 }
 
 // run has a call carried out: by the engine of this partner's pool that routes name, or by a partner whose offer it goes by.
 // w allows its attempts, where it is in custody; earlier are those that others made. A kind of 0: ctx has ended.
-func (g *Gateway) run(ctx context.Context, r *custody.Record, req engine.Request, class config.Class, earlier []custody.Intent, w *custody.Work) custody.Outcome {
-	step := custody.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
+func (g *Gateway) run(ctx context.Context, r *replication.Record, req engine.Request, class config.Class, earlier []replication.Intent, w *replication.Work) replication.Outcome {
+	step := replication.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
 	// What may have run goes back to where it may have: servers and partners elsewhere know nothing of it.
 	forced := ""
 	switch step {
-	case custody.GiveUp:
-		return custody.Outcome{Kind: custody.Failed}
-	case custody.Again:
+	case replication.GiveUp:
+		return replication.Outcome{Kind: replication.Failed}
+	case replication.Again:
 		forced = mayRunIn(earlier)
-	case custody.Ask:
+	case replication.Ask:
 		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no offer
 	}
 	var last tried
 	for range mostWays {
 		way, pool, why := g.way(r, class, forced)
 		if why != "" && forced != "" {
-			return custody.Outcome{Kind: custody.Failed}
+			return replication.Outcome{Kind: replication.Failed}
 		}
 		if why != "" {
 			if last.out.Kind != 0 {
 				return last.out
 			}
-			return custody.Outcome{Kind: custody.Refused, NotRun: true, Why: why, Retry: comeBack}
+			return replication.Outcome{Kind: replication.Refused, NotRun: true, Why: why, Retry: comeBack}
 		}
 		last = g.attempt(ctx, r, req, pool, way, timeLeft(ctx, r, w), earlier, w, false)
 		if last.unsure && way.Way != nil && way.Custody {
@@ -76,7 +76,7 @@
 }
 
 // timeLeft is what is left now to whoever waits for a call: each way that it tries takes some.
-func timeLeft(ctx context.Context, r *custody.Record, w *custody.Work) time.Duration {
+func timeLeft(ctx context.Context, r *replication.Record, w *replication.Work) time.Duration {
 	if w != nil {
 		return w.Left() - settling
 	}
@@ -87,7 +87,7 @@
 }
 
 // mayRunIn is the pool of the last attempt that may have run.
-func mayRunIn(earlier []custody.Intent) (pool string) {
+func mayRunIn(earlier []replication.Intent) (pool string) {
 	for _, in := range earlier {
 		if !in.NotRun {
 			pool = in.Pool
@@ -97,11 +97,11 @@
 }
 
 // way is where a call goes now, by the rules of now, or why it goes nowhere.
-func (g *Gateway) way(r *custody.Record, class config.Class, forced string) (way offers.Chosen, pool, why string) {
+func (g *Gateway) way(r *replication.Record, class config.Class, forced string) (way routeexchange.Chosen, pool, why string) {
 	call := callOf(r, class)
 	ok := false
 	if len(r.Path) > 0 {
-		if way, why = g.table.Come(offers.ID{Origin: r.Offer[0], Name: r.Offer[1]}, call); why != "" {
+		if way, why = g.table.Come(routeexchange.ID{Origin: r.Offer[0], Name: r.Offer[1]}, call); why != "" {
 			return way, "", why
 		}
 		ok = true
@@ -116,9 +116,9 @@
 	}
 	if forced != "" {
 		if _, partners := config.PartnerOf(forced); partners {
-			return offers.Chosen{}, "", "the partner that may have run it has no offer for it now"
+			return routeexchange.Chosen{}, "", "the partner that may have run it has no offer for it now"
 		}
-		return offers.Chosen{}, forced, ""
+		return routeexchange.Chosen{}, forced, ""
 	}
 	pool, routed := g.o.Calls.Pool(&route.Call{Listener: r.Route.Listener, Class: class.Name, Host: r.Route.Host, Path: r.Route.Path, Headers: kept(r.Headers), Draw: r.Route.Draw})
 	if !routed {
@@ -129,17 +129,17 @@
 
 // askPartner asks a partner what became of a call that may run there, until it says or the call's time is over. That a
 // question was refused, or came to nobody, says nothing of the call: only a refusal that is settled there is its answer.
-func (g *Gateway) askPartner(ctx context.Context, r *custody.Record, req engine.Request, pool string, earlier []custody.Intent, w *custody.Work) custody.Outcome {
+func (g *Gateway) askPartner(ctx context.Context, r *replication.Record, req engine.Request, pool string, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	for ctx.Err() == nil {
 		left := timeLeft(ctx, r, w)
 		if left <= 0 {
 			break
 		}
-		got := g.attempt(ctx, r, req, pool, offers.Chosen{}, left, earlier, w, true)
-		if got.out.Kind == custody.Served || got.out.Kind == custody.Failed && !got.unsure || got.settled {
+		got := g.attempt(ctx, r, req, pool, routeexchange.Chosen{}, left, earlier, w, true)
+		if got.out.Kind == replication.Served || got.out.Kind == replication.Failed && !got.unsure || got.settled {
 			return got.out
 		}
 		clock.Sleep(ctx, askAgain)
 	}
-	return custody.Outcome{Kind: custody.Failed}
+	return replication.Outcome{Kind: replication.Failed}
 }
--- a/internal/peers/exchange.go
+++ b/internal/gossip/exchange.go
@@ -1,27 +1,27 @@
-package peers
+package gossip
 
 import (
 	"fmt"
 	"time"
 
-	"woodpick/internal/facts"
-	"woodpick/internal/members"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/zonestate"
 )
 
 // Seen is what a node sees itself, for the exchange, and the names of what it is about.
 type Seen struct {
-	Entries []facts.Entry
-	Names   map[facts.Subject]string
+	Entries []zonestate.Entry
+	Names   map[zonestate.Subject]string
 }
 
 // Facts is what a Room knows of zones.
 type Facts struct {
-	Fresh   time.Duration  `json:"fresh"` // that the file asks for
-	Alone   bool           `json:"alone"` // nothing fresh is known of anybody else
-	Zones   []Zone         `json:"zones"`
-	Rows    int            `json:"rows"` // that are held, children's parts among them
-	Dropped facts.Dropped  `json:"dropped"`
-	Sent    map[string]int `json:"sent"` // messages by kind
+	Fresh   time.Duration     `json:"fresh"` // that the file asks for
+	Alone   bool              `json:"alone"` // nothing fresh is known of anybody else
+	Zones   []Zone            `json:"zones"`
+	Rows    int               `json:"rows"` // that are held, children's parts among them
+	Dropped zonestate.Dropped `json:"dropped"`
+	Sent    map[string]int    `json:"sent"` // messages by kind
 }
 
 // Zone is what is known of one.
@@ -46,28 +46,28 @@
 }
 
 // whats name kinds for people.
-var whats = map[facts.Kind]string{facts.Demand: "demand", facts.Refused: "refused", facts.Open: "open", facts.Ready: "ready", facts.Warm: "warm",
-	facts.Newest: "newest", facts.Oldest: "oldest", facts.Made: "made", facts.Sent: "sent", facts.Bad: "bad", facts.Lag: "lag",
-	facts.Trouble: "trouble", facts.Held: "held", facts.Sketch: "sketch"}
+var whats = map[zonestate.Kind]string{zonestate.Demand: "demand", zonestate.Refused: "refused", zonestate.Open: "open", zonestate.Ready: "ready", zonestate.Warm: "warm",
+	zonestate.Newest: "newest", zonestate.Oldest: "oldest", zonestate.Made: "made", zonestate.Sent: "sent", zonestate.Bad: "bad", zonestate.Lag: "lag",
+	zonestate.Trouble: "trouble", zonestate.Held: "held", zonestate.Sketch: "sketch"}
 
 // exchange is a Room's part in facts.
 type exchange struct {
-	machine *facts.Machine
-	o       facts.Options
-	places  map[facts.Place][2]string // region and zone
-	names   map[facts.Subject]string
-	words   map[facts.Place]facts.Word // as were logged last
-	changes int                        // of the membership, that the machine has seen
-	sent    [facts.Ask + 1]int
+	machine *zonestate.Machine
+	o       zonestate.Options
+	places  map[zonestate.Place][2]string // region and zone
+	names   map[zonestate.Subject]string
+	words   map[zonestate.Place]zonestate.Word // as were logged last
+	changes int                                // of the membership, that the machine has seen
+	sent    [zonestate.Ask + 1]int
 }
 
-func newExchange(o Options, id members.ID, seed uint64) (*exchange, error) {
-	self := facts.Peer{ID: uint64(id), Addr: o.Self.Addr, Place: facts.PlaceOf(o.Self.Region, o.Self.Zone)}
-	m, err := facts.New(o.Clock.Now(), self, *o.Facts, seed)
+func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
+	self := zonestate.Peer{ID: uint64(id), Addr: o.Self.Addr, Place: zonestate.PlaceOf(o.Self.Region, o.Self.Zone)}
+	m, err := zonestate.New(o.Clock.Now(), self, *o.Facts, seed)
 	if err != nil {
 		return nil, err
 	}
-	x := &exchange{machine: m, o: *o.Facts, words: map[facts.Place]facts.Word{}, changes: -1}
+	x := &exchange{machine: m, o: *o.Facts, words: map[zonestate.Place]zonestate.Word{}, changes: -1}
 	return x, nil
 }
 
@@ -80,22 +80,22 @@
 	x.changes = r.machine.Changes()
 	id, life := r.machine.Self()
 	self := r.o.Self
-	at := facts.PlaceOf(self.Region, self.Zone)
-	all := []facts.Peer{{ID: uint64(id), Addr: self.Addr, Place: at}}
-	x.places = map[facts.Place][2]string{at: {self.Region, self.Zone}}
+	at := zonestate.PlaceOf(self.Region, self.Zone)
+	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: at}}
+	x.places = map[zonestate.Place][2]string{at: {self.Region, self.Zone}}
 	for _, k := range r.machine.Members() {
-		at := facts.PlaceOf(k.Region, k.Zone)
+		at := zonestate.PlaceOf(k.Region, k.Zone)
 		x.places[at] = [2]string{k.Region, k.Zone}
-		all = append(all, facts.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == members.Suspect, Gone: k.Status > members.Suspect})
+		all = append(all, zonestate.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == membership.Suspect, Gone: k.Status > membership.Suspect})
 	}
 	x.machine.SetLife(life)
-	x.machine.See(r.o.Clock.Now(), facts.NewView(all))
+	x.machine.See(r.o.Clock.Now(), zonestate.NewView(all))
 }
 
 // pass sends what the exchange has to say, within the room's purse.
-func (r *Room) pass(packets []facts.Packet) {
+func (r *Room) pass(packets []zonestate.Packet) {
 	for _, p := range packets {
-		if r.write(members.Seal(facts.Append(nil, p.Message), r.o.Key), p.To) {
+		if r.write(membership.Seal(zonestate.Append(nil, p.Message), r.o.Key), p.To) {
 			r.exchange.sent[p.Kind]++
 		}
 	}
@@ -117,7 +117,7 @@
 func (r *Room) set(s Seen) {
 	if x := r.exchange; x != nil {
 		x.names = s.Names
-		x.machine.Set(r.o.Clock.Now(), facts.Sort(append(s.Entries, made()...)))
+		x.machine.Set(r.o.Clock.Now(), zonestate.Sort(append(s.Entries, made()...)))
 	}
 }
 
@@ -131,7 +131,7 @@
 			x.words[z.Place] = z.Word
 			r.o.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Word, "from", z.From, "of", z.Of)
 		}
-		if short := truth.short(x.machine.Read(now, z.Place, facts.Made, 0)); short > 0 {
+		if short := truth.short(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
 			r.o.Log.Error("an age was under-reported", "zone", x.places[z.Place][1], "by", short)
 		}
 	}
@@ -140,12 +140,12 @@
 // status tells what is known, by region and zone.
 func (x *exchange) status(now time.Duration) *Facts {
 	f := &Facts{Fresh: x.o.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
-	for kind, name := range map[facts.MessageKind]string{facts.Up: "parts", facts.Down: "rows", facts.Tell: "answers", facts.Ask: "questions"} {
+	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Tell: "answers", zonestate.Ask: "questions"} {
 		f.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
 		out := Zone{Region: x.places[z.Place][0], Zone: x.places[z.Place][1], Word: z.Word.String(), For: now - z.Since, Age: z.Age, From: z.From, Of: z.Of}
-		for _, page := range []facts.Kind{facts.Demand, facts.Sent, facts.Trouble, facts.Sketch} {
+		for _, page := range []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Trouble, zonestate.Sketch} {
 			row, found := x.machine.Row(now, z.Place, page)
 			for _, e := range row.Entries {
 				what, known := whats[e.Kind]
@@ -154,7 +154,7 @@
 				}
 				name, known := x.names[e.Subject]
 				switch {
-				case e.Kind == facts.Sketch:
+				case e.Kind == zonestate.Sketch:
 					name = fmt.Sprintf("under %v", time.Duration(1<<min(uint(e.Subject), 40))*time.Microsecond)
 				case !known:
 					name = fmt.Sprintf("%#08x", uint32(e.Subject))
--- a/internal/peers/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // faultySocket has its calls fail with the errnos of a table in turn, while it is told to.
@@ -75,13 +75,13 @@
 	run(t, a)
 	run(t, b)
 	begin := b.o.Clock.Now()
-	standin.Until(t, "sends of every errno", func() bool { return socket.writeCall.Load() > int64(2*len(errnos)) })
+	testpeer.Until(t, "sends of every errno", func() bool { return socket.writeCall.Load() > int64(2*len(errnos)) })
 	lines, most := text.count("can't be sent"), 1+int((b.o.Clock.Now()-begin)/failuresEvery)
 	if lines < 1 || lines > most || b.Status().Counts.Sent != 0 {
 		t.Errorf("%d lines in %v, %+v", lines, b.o.Clock.Now()-begin, b.Status().Counts)
 	}
 	socket.writes.Store(false)
-	standin.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
+	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
 }
 
 // Reads that fail one after the other are made seldom, and the first that brings something counts.
@@ -95,13 +95,13 @@
 	run(t, a)
 	stop := run(t, b)
 	begin := b.o.Clock.Now()
-	standin.Until(t, "reads that fail", func() bool { return b.o.Clock.Now()-begin > 4*readPauseMost })
+	testpeer.Until(t, "reads that fail", func() bool { return b.o.Clock.Now()-begin > 4*readPauseMost })
 	// 1, 2, 4 ... 64 ms and then 100 ms each: seven within the first 127 ms, and no more than one each 100 ms from then on.
 	if most := 8 + int64((b.o.Clock.Now()-begin)/readPauseMost); socket.readsBegun.Load() > most {
 		t.Errorf("%d reads in %v, at most %d", socket.readsBegun.Load(), b.o.Clock.Now()-begin, most)
 	}
 	socket.reads.Store(false)
-	standin.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
+	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
 	socket.reads.Store(true)
 	stop()
 }
--- a/internal/peers/peers.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package peers is the one room that carries datagrams between nodes: a UDP socket, the cluster's key, and a bound on what
-// goes out. It decides nothing: who lives is internal/members', and what nodes tell one another is internal/facts'.
-package peers
+// Package gossip is the one room that carries datagrams between nodes: a UDP socket, the cluster's key, and a bound on what
+// goes out. It decides nothing: who lives is internal/membership', and what nodes tell one another is internal/zonestate'.
+package gossip
 
 import (
 	"bytes"
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/facts"
-	"woodpick/internal/members"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/zonestate"
 )
 
 // Bounds of a key's file.
@@ -48,11 +48,11 @@
 
 // Options are what a Room is made of.
 type Options struct {
-	Self    members.Peer
+	Self    membership.Peer
 	Listen  string // address of the UDP socket
 	Key     []byte
-	Members members.Options
-	Facts   *facts.Options // nil: no facts are told, and none are taken
+	Members membership.Options
+	Facts   *zonestate.Options // nil: no facts are told, and none are taken
 	Clock   clock.Clock
 	Log     *slog.Logger
 }
@@ -71,16 +71,16 @@
 type Room struct {
 	o        Options
 	conn     datagrams
-	machine  *members.Machine
+	machine  *membership.Machine
 	exchange *exchange // nil: none
 	seen     chan Seen
 	in       chan letter
 	asks     chan chan Status
 	done     chan struct{}
 	started  chan struct{}
-	living   atomic.Pointer[[]members.Peer]
-	held     map[string]members.Status // as was logged last
-	logged   int                       // changes of the membership that were
+	living   atomic.Pointer[[]membership.Peer]
+	held     map[string]membership.Status // as was logged last
+	logged   int                          // changes of the membership that were
 	counts   Counts
 	lost     atomic.Int64
 	purse    float64 // bytes that may go out
@@ -109,8 +109,8 @@
 // letter is what came in.
 type letter struct {
 	from netip.AddrPort
-	msg  members.Message
-	told *facts.Message // nil: msg is the membership's
+	msg  membership.Message
+	told *zonestate.Message // nil: msg is the membership's
 	err  error
 }
 
@@ -154,7 +154,7 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	m, err := members.New(o.Self, o.Members, binary.LittleEndian.Uint64(seed[:]))
+	m, err := membership.New(o.Self, o.Members, binary.LittleEndian.Uint64(seed[:]))
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
@@ -167,7 +167,7 @@
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	r := &Room{o: o, conn: conn, machine: m, seen: make(chan Seen, 1), in: make(chan letter, 256), asks: make(chan chan Status), done: make(chan struct{}),
-		started: make(chan struct{}), held: map[string]members.Status{}, logged: -1}
+		started: make(chan struct{}), held: map[string]membership.Status{}, logged: -1}
 	if o.Facts != nil {
 		id, _ := m.Self()
 		if r.exchange, err = newExchange(o, id, binary.LittleEndian.Uint64(seed[:])+1); err != nil {
@@ -235,7 +235,7 @@
 
 // read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
 func (r *Room) read(conn receiver) {
-	buf := make([]byte, members.MaxDatagram+1)
+	buf := make([]byte, membership.MaxDatagram+1)
 	pause := readPause
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -251,10 +251,10 @@
 		}
 		pause = readPause
 		l := letter{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
-		if n > 0 && buf[0] == facts.Version {
+		if n > 0 && buf[0] == zonestate.Version {
 			l.told, l.err = r.decode(buf[:n])
 		} else {
-			l.msg, l.err = members.Decode(buf[:n], r.o.Key)
+			l.msg, l.err = membership.Decode(buf[:n], r.o.Key)
 		}
 		select {
 		case r.in <- l:
@@ -284,18 +284,18 @@
 }
 
 // decode reads what another tells of facts.
-func (r *Room) decode(b []byte) (*facts.Message, error) {
-	body, ok := members.Unseal(b, r.o.Key)
+func (r *Room) decode(b []byte) (*zonestate.Message, error) {
+	body, ok := membership.Unseal(b, r.o.Key)
 	if !ok {
-		return nil, members.ErrStrange
+		return nil, membership.ErrStrange
 	}
-	m, err := facts.Parse(body)
+	m, err := zonestate.Parse(body)
 	return &m, err
 }
 
 func (r *Room) take(l letter) {
 	switch {
-	case l.told != nil && r.exchange == nil, errors.Is(l.err, members.ErrVersion), errors.Is(l.err, facts.ErrVersion):
+	case l.told != nil && r.exchange == nil, errors.Is(l.err, membership.ErrVersion), errors.Is(l.err, zonestate.ErrVersion):
 		r.counts.Other++
 	case l.err == nil && l.told != nil:
 		r.counts.Received++
@@ -303,7 +303,7 @@
 	case l.err == nil:
 		r.counts.Received++
 		r.send(r.machine.Receive(r.o.Clock.Now(), l.from, l.msg))
-	case errors.Is(l.err, members.ErrStrange):
+	case errors.Is(l.err, membership.ErrStrange):
 		r.counts.Strange++
 	default:
 		r.counts.Malformed++
@@ -311,9 +311,9 @@
 }
 
 // send sends what the purse allows.
-func (r *Room) send(packets []members.Packet) {
+func (r *Room) send(packets []membership.Packet) {
 	for _, p := range packets {
-		r.write(members.Encode(p.Message, r.o.Key), p.To)
+		r.write(membership.Encode(p.Message, r.o.Key), p.To)
 	}
 }
 
@@ -352,9 +352,9 @@
 		return
 	}
 	r.logged = r.machine.Changes()
-	var living []members.Peer
+	var living []membership.Peer
 	for _, k := range r.machine.Members() {
-		if k.Status <= members.Suspect {
+		if k.Status <= membership.Suspect {
 			living = append(living, k.Peer)
 		}
 	}
@@ -386,7 +386,7 @@
 }
 
 // Living are the other members that are held for alive, or are only suspected not to be; none before Run.
-func (r *Room) Living() []members.Peer {
+func (r *Room) Living() []membership.Peer {
 	if l := r.living.Load(); l != nil {
 		return *l
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"go.uber.org/goleak"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/facts"
-	"woodpick/internal/members"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/membership"
+	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/zonestate"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -28,9 +28,9 @@
 	return openWith(t, name, key, nil, seeds...)
 }
 
-func openWith(t *testing.T, name, key string, told *facts.Options, seeds ...netip.AddrPort) *Room {
+func openWith(t *testing.T, name, key string, told *zonestate.Options, seeds ...netip.AddrPort) *Room {
 	t.Helper()
-	o := members.Defaults()
+	o := membership.Defaults()
 	o.Period, o.Timeout, o.Seeds = 50*time.Millisecond, 15*time.Millisecond, seeds
 	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a port of which the room can tell before it opens
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 	at := free.LocalAddr().String()
 	free.Close()
-	r, err := Open(Options{Self: members.Peer{Name: name, Addr: netip.MustParseAddrPort(at), Zone: "z"}, Listen: at, Key: []byte(key), Members: o, Facts: told,
+	r, err := Open(Options{Self: membership.Peer{Name: name, Addr: netip.MustParseAddrPort(at), Zone: "z"}, Listen: at, Key: []byte(key), Members: o, Facts: told,
 		Clock: clock.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
@@ -50,10 +50,10 @@
 func run(t *testing.T, r *Room) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.Run(ctx)
-	standin.Receive(t, r.started, "its start")
+	testpeer.Receive(t, r.started, "its start")
 	stop = func() {
 		cancel()
-		standin.Receive(t, r.done, "its end")
+		testpeer.Receive(t, r.done, "its end")
 	}
 	t.Cleanup(stop)
 	return stop
@@ -87,9 +87,9 @@
 		r    *Room
 		name string
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
-		standin.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
+		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
 	}
-	standin.Until(t, "the strange datagrams are counted", func() bool { return a.Status().Counts.Strange > 0 })
+	testpeer.Until(t, "the strange datagrams are counted", func() bool { return a.Status().Counts.Strange > 0 })
 	if got := status(a, "other"); got != "" || len(other.Status().Members) > 0 {
 		t.Errorf("another cluster's room is held for %q, and knows %+v", got, other.Status().Members)
 	}
@@ -99,9 +99,9 @@
 	}
 	defer nc.Close()
 	fmt.Fprint(nc, strings.Repeat("x", 400))
-	standin.Until(t, "the malformed datagram is counted", func() bool { return a.Status().Counts.Malformed > 0 })
+	testpeer.Until(t, "the malformed datagram is counted", func() bool { return a.Status().Counts.Malformed > 0 })
 	stop()
-	standin.Until(t, "the one that left has left for the others", func() bool { return status(a, "c") == "left" && status(b, "c") == "left" })
+	testpeer.Until(t, "the one that left has left for the others", func() bool { return status(a, "c") == "left" && status(b, "c") == "left" })
 	if s := c.Status(); len(s.Members) != 0 {
 		t.Errorf("a room that has ended tells %+v", s)
 	}
@@ -111,14 +111,14 @@
 func TestThePaceHolds(t *testing.T) {
 	r := open(t, "a", "a key of sixteen bytes or more")
 	defer r.Close()
-	var packets []members.Packet
+	var packets []membership.Packet
 	for range 3000 {
-		packets = append(packets, members.Packet{To: r.Addr(), Message: members.Message{Kind: members.Ping, From: 1}})
+		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
 	r.filled = r.o.Clock.Now()
 	r.purse = mostOut
 	r.send(packets)
-	size := int64(len(members.Encode(packets[0].Message, r.o.Key)))
+	size := int64(len(membership.Encode(packets[0].Message, r.o.Key)))
 	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < mostOut/2 || r.counts.Sent+r.counts.Paced != 3000 {
 		t.Errorf("%d bytes went out of %d allowed at once, %d datagrams were held back", sent, mostOut, r.counts.Paced)
 	}
@@ -153,10 +153,10 @@
 // does not understand, all live for all, and the others know of one another's parts.
 func TestFactsBesideARoomWithout(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
-	o := facts.Defaults(2 * time.Second)
+	o := zonestate.Defaults(2 * time.Second)
 	a := openWith(t, "a", key, &o)
 	b, c, old := openWith(t, "b", key, &o, a.Addr()), openWith(t, "c", key, &o, a.Addr()), open(t, "old", key, a.Addr())
-	told := Seen{Entries: []facts.Entry{{Kind: facts.Demand, Subject: 5, Value: 1.5}}, Names: map[facts.Subject]string{5: "view"}}
+	told := Seen{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
 	for _, r := range []*Room{a, b, c, old} {
 		run(t, r)
 	}
@@ -176,7 +176,7 @@
 		return 0, 0
 	}
 	for _, r := range []*Room{a, b, c} {
-		standin.Until(t, "three parts to be known", func() bool {
+		testpeer.Until(t, "three parts to be known", func() bool {
 			for _, other := range []*Room{a, b, c} {
 				other.Tell(told)
 			}
@@ -184,7 +184,7 @@
 			return amount == 4.5 && from == 3
 		})
 	}
-	standin.Until(t, "the older one to have counted", func() bool { return old.Status().Counts.Other > 0 && old.Status().Facts == nil })
+	testpeer.Until(t, "the older one to have counted", func() bool { return old.Status().Counts.Other > 0 && old.Status().Facts == nil })
 	for _, r := range []*Room{a, b, c} {
 		if got := status(r, "old"); got != "alive" {
 			t.Errorf("the older one is %s", got)
@@ -196,9 +196,9 @@
 	}
 	defer nc.Close()
 	before := a.Status().Counts
-	nc.Write(members.Seal([]byte{facts.Version, 1, 2, 3}, []byte(key)))
-	nc.Write(members.Seal(append([]byte{facts.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
-	standin.Until(t, "the malformed and the strange one to be counted", func() bool {
+	nc.Write(membership.Seal([]byte{zonestate.Version, 1, 2, 3}, []byte(key)))
+	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
+	testpeer.Until(t, "the malformed and the strange one to be counted", func() bool {
 		is := a.Status().Counts
 		return is.Malformed > before.Malformed && is.Strange > before.Strange
 	})
--- a/internal/peers/read_test.go
+++ b/internal/gossip/read_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"net"
--- a/internal/peers/truth_rig.go
+++ b/internal/gossip/truth_rig.go
@@ -1,19 +1,19 @@
 //go:build rig
 
-package peers
+package gossip
 
 import (
 	"time"
 
-	"woodpick/internal/facts"
+	"damsontrestle/internal/zonestate"
 )
 
 // turn is after which times are told anew: whole milliseconds up to it are kept exactly.
 const turn = 1 << 24
 
 // made tells when a part was made, by the clock that all processes of the rig's machine share and the exchange knows nothing of.
-func made() []facts.Entry {
-	return []facts.Entry{{Kind: facts.Made, Value: float64((time.Now().UnixMilli() + 1) % turn)}}
+func made() []zonestate.Entry {
+	return []zonestate.Entry{{Kind: zonestate.Made, Value: float64((time.Now().UnixMilli() + 1) % turn)}}
 }
 
 // truth is what time it is, for all nodes of one machine.
@@ -22,8 +22,8 @@
 func readTruth() truth { return truth(time.Now().UnixMilli()) }
 
 // short is by how much more an answer is old than it says.
-func (t truth) short(v facts.Value) time.Duration {
-	if v.From == 0 || v.Word == facts.Unknown {
+func (t truth) short(v zonestate.Value) time.Duration {
+	if v.From == 0 || v.Word == zonestate.Unknown {
 		return 0
 	}
 	real := time.Duration((int64(t)%turn-int64(v.Amount)+turn)%turn) * time.Millisecond
--- a/internal/succession/succession.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,7 +1,7 @@
-// Package succession is for two processes of one node that overlap while the one takes over from the other: they
+// Package hotrestart is for two processes of one node that overlap while the one takes over from the other: they
 // listen at the same address, they know of one another, and connections go to the one that stays. What the kernel
 // holds for a process ends with it, so nothing has to be mended after a kill.
-package succession
+package hotrestart
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // Listen opens a TCP socket that another process of the same user may share the address of (SO_REUSEPORT, socket(7)).
--- a/internal/succession/succession_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // taker accepts at an address and counts.
@@ -53,7 +53,7 @@
 		}
 		defer c.Close()
 	}
-	standin.Until(t, "all to be accepted", func() bool { return sum() == before+int64(times) })
+	testpeer.Until(t, "all to be accepted", func() bool { return sum() == before+int64(times) })
 }
 
 // Given two that listen at one address, both are called; once the older yields, only the younger is; if that one
@@ -165,7 +165,7 @@
 	}
 	want := func(told <-chan bool, two bool, who string) {
 		t.Helper()
-		if got := standin.Receive(t, told, who); got != two {
+		if got := testpeer.Receive(t, told, who); got != two {
 			t.Errorf("%s hears two %v, want %v", who, got, two)
 		}
 	}
--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"woodpick/internal/intake"
+	"damsontrestle/internal/validation"
 )
 
 // Bounds of what is read ahead, in bytes. What comes beyond is thrown away, and the answer under way is the last.
 const (
-	aheadMost  = intake.MaxBody + maxHeader // of one connection: room for one whole request
-	aheadTotal = 4 << 20                    // of all connections of a front
+	aheadMost  = validation.MaxBody + maxHeader // of one connection: room for one whole request
+	aheadTotal = 4 << 20                        // of all connections of a front
 	aheadStep  = 4 << 10
 )
 
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -11,12 +11,12 @@
 	"syscall"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/descriptors"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/descriptors"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/metrics"
 )
 
 // Headers of answers that gateways give to one another.
@@ -30,7 +30,7 @@
 type Back struct {
 	clock clock.Clock
 	share *descriptors.Share // of all connections to servers, over all pools
-	count *figures.Set
+	count *metrics.Set
 	dial  func(ctx context.Context, network, address string) (net.Conn, error) // for tests: instead of net.Dialer's
 	recv  receiver                                                             // for tests: instead of syscall.Recvfrom
 
@@ -45,7 +45,7 @@
 }
 
 // NewBack returns a Back that knows no servers yet.
-func NewBack(c clock.Clock, share *descriptors.Share, count *figures.Set, l Limits) *Back {
+func NewBack(c clock.Clock, share *descriptors.Share, count *metrics.Set, l Limits) *Back {
 	return &Back{clock: c, recv: syscall.Recvfrom, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
 		borrowers: map[discovery.Host][]*borrower{}, seen: map[string]discovery.Target{}}
 }
@@ -88,25 +88,25 @@
 		c, fresh, err = b.connect(ctx, a.To, waiter)
 		switch {
 		case errors.Is(err, errNoRoom):
-			return engine.Outcome{Ending: woodpick.Void}
+			return engine.Outcome{Ending: balancer.Void}
 		case err != nil && a.Withdrawn():
-			return engine.Outcome{Ending: woodpick.Withdrawn}
+			return engine.Outcome{Ending: balancer.Withdrawn}
 		case err != nil:
-			return engine.Outcome{Ending: woodpick.Unreachable}
+			return engine.Outcome{Ending: balancer.Unreachable}
 		}
 		if !a.Allowed() {
 			b.giveUp(c, waiter)
-			return engine.Outcome{Ending: woodpick.Void}
+			return engine.Outcome{Ending: balancer.Void}
 		}
 		err = b.begin(c, waiter)
 		if err == nil {
 			break
 		}
 		if fresh && errors.Is(err, errNoRoom) {
-			return engine.Outcome{Ending: woodpick.Void}
+			return engine.Outcome{Ending: balancer.Void}
 		}
 		if fresh {
-			return engine.Outcome{Ending: woodpick.Unreachable}
+			return engine.Outcome{Ending: balancer.Unreachable}
 		}
 	}
 	if why, begins := b.mayBegin(ctx, a, c); !begins {
@@ -137,16 +137,16 @@
 	case got.err == nil:
 		return got.Outcome
 	case a.Withdrawn():
-		return engine.Outcome{Ending: woodpick.Withdrawn}
+		return engine.Outcome{Ending: balancer.Withdrawn}
 	case sent < len(text) && isOwnShortage(err):
-		return engine.Outcome{Ending: woodpick.Void}
+		return engine.Outcome{Ending: balancer.Void}
 	case sent < len(text):
 		// The server never got the last byte, so it has not begun: sending again is harmless.
-		return engine.Outcome{Ending: woodpick.Unreachable}
+		return engine.Outcome{Ending: balancer.Unreachable}
 	case ctx.Err() != nil:
-		return engine.Outcome{Ending: woodpick.TimedOut}
+		return engine.Outcome{Ending: balancer.TimedOut}
 	}
-	return engine.Outcome{Ending: woodpick.Broken}
+	return engine.Outcome{Ending: balancer.Broken}
 }
 
 // backendHost is the name that every server is asked by.
@@ -157,18 +157,18 @@
 const freshFor = 10 * time.Millisecond
 
 // text is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
-func (b *Back) text(a *engine.Attempt) (text []byte, why woodpick.Ending) {
+func (b *Back) text(a *engine.Attempt) (text []byte, why balancer.Ending) {
 	for {
 		left := b.clock.Until(a.Deadline)
 		if left <= 0 {
-			return nil, woodpick.Void
+			return nil, balancer.Void
 		}
 		text, err := wholeRequest(a, left)
 		if err != nil {
-			return nil, woodpick.Void
+			return nil, balancer.Void
 		}
 		if a.Call.IsLeft(b.clock.Now) {
-			return nil, woodpick.Withdrawn
+			return nil, balancer.Withdrawn
 		}
 		if left-b.clock.Until(a.Deadline) <= freshFor {
 			return text, 0
@@ -227,7 +227,7 @@
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
 // long: its caller may have gone by then, its time may be over, and its server may have been told to drain.
-func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why woodpick.Ending, begins bool) {
+func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Ending, begins bool) {
 	b.mu.Lock()
 	serves := b.serves(c.to)
 	b.mu.Unlock()
@@ -235,9 +235,9 @@
 	case serves && ctx.Err() == nil && a.Begin(b.clock.Now(), c.way):
 		return 0, true
 	case a.Withdrawn():
-		return woodpick.Withdrawn, false
+		return balancer.Withdrawn, false
 	case ctx.Err() != nil:
-		return woodpick.Unreachable, false
+		return balancer.Unreachable, false
 	}
-	return woodpick.Void, false
+	return balancer.Void, false
 }
--- a/internal/http1/back_test.go
+++ b/internal/http1/back_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 func testBackend(most int) *Back {
@@ -25,7 +25,7 @@
 
 // testHost has the backend know a server that is named by its endpoint.
 func testHost(b *Back, endpoint string) discovery.Host {
-	t := discovery.Target{Server: woodpick.Server{ID: endpoint, State: woodpick.Ready}, Endpoint: endpoint}
+	t := discovery.Target{Server: balancer.Server{ID: endpoint, State: balancer.Ready}, Endpoint: endpoint}
 	b.Servers([]discovery.Target{t}, false)
 	return t.Host()
 }
@@ -34,59 +34,59 @@
 func testAttempt(b *Back, endpoint string) *engine.Attempt {
 	now := b.clock.Now()
 	c := engine.NewCall("id", engine.Request{Method: "POST", Target: "/note/k", Body: []byte("body")})
-	return engine.NewAttempt(c, 0, testHost(b, endpoint), now, now+standin.Limit)
+	return engine.NewAttempt(c, 0, testHost(b, endpoint), now, now+testpeer.Limit)
 }
 
-// run makes an attempt that must end within the standin.Limit.
+// run makes an attempt that must end within the testpeer.Limit.
 func run(t *testing.T, b *Back, a *engine.Attempt) engine.Outcome {
 	t.Helper()
 	end := make(chan engine.Outcome, 1)
 	go func() { end <- b.Run(a) }()
-	return standin.Receive(t, end, "the attempt's end")
+	return testpeer.Receive(t, end, "the attempt's end")
 }
 
 func TestEndings(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
-		want         woodpick.Ending
+		want         balancer.Ending
 		keeps        bool
 	}{
-		{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", woodpick.Success, true},
-		{"served in chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", woodpick.Success, true},
-		{"served and closed", "200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", woodpick.Success, false},
-		{"served after 100", "100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", woodpick.Success, true},
-		{"error", "500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", woodpick.Failure, true},
-		{"turned away", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", woodpick.Overloaded, true},
-		{"turned away as over", "504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", woodpick.Overloaded, true},
-		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", woodpick.Failure, true},
-		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", woodpick.Failure, true},
-		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", woodpick.Failure, true},
-		{"reset", "-", woodpick.Broken, false},
-		{"cut head", "200 OK\r\nContent-Le", woodpick.Broken, false},
-		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", woodpick.Broken, false},
-		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", woodpick.Broken, false},
-		{"no length, but an end", "200 OK\r\n\r\nok", woodpick.Success, false},
-		{"no length, and a reset", "200 OK\r\n\r\nok", woodpick.Broken, false},
-		{"half a status line", "200", woodpick.Broken, false},
-		{"a 1xx, and an end", "102 Processing\r\n\r\n", woodpick.Broken, false},
-		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", woodpick.Broken, false},
-		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", woodpick.Failure, false},
-		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), woodpick.Broken, false},
-		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), woodpick.Broken, false},
-		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), woodpick.Broken, false},
-		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", woodpick.Broken, false},
-		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", woodpick.Broken, false},
-		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", woodpick.Broken, false},
-		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", woodpick.Broken, false},
-		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", woodpick.Broken, false},
-		{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", woodpick.Success, false},
-		{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", woodpick.Success, false},
-		{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", woodpick.Success, true},
-		{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", woodpick.Success, true},
-		{"no HTTP", "what?\r\n\r\n", woodpick.Broken, false},
+		{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"served in chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Success, true},
+		{"served and closed", "200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", balancer.Success, false},
+		{"served after 100", "100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"error", "500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		{"turned away", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		{"turned away as over", "504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		{"reset", "-", balancer.Broken, false},
+		{"cut head", "200 OK\r\nContent-Le", balancer.Broken, false},
+		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Broken, false},
+		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.Broken, false},
+		{"no length, but an end", "200 OK\r\n\r\nok", balancer.Success, false},
+		{"no length, and a reset", "200 OK\r\n\r\nok", balancer.Broken, false},
+		{"half a status line", "200", balancer.Broken, false},
+		{"a 1xx, and an end", "102 Processing\r\n\r\n", balancer.Broken, false},
+		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Broken, false},
+		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.Broken, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.Broken, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.Broken, false},
+		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.Broken, false},
+		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Broken, false},
+		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
+		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
+		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.Broken, false},
+		{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
+		{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", balancer.Success, false},
+		{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"no HTTP", "what?\r\n\r\n", balancer.Broken, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := standin.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+			s := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 				if c.answer == "-" {
 					conn.(*net.TCPConn).SetLinger(0)
 					return false
@@ -107,7 +107,7 @@
 			b := testBackend(10)
 			h := testHost(b, s.Address())
 			r := run(t, b, testAttempt(b, s.Address()))
-			if r.Ending != c.want || c.want == woodpick.Success && string(r.Reply.Body) != "ok" {
+			if r.Ending != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
 				t.Errorf("ending %d, body %q; want %d", r.Ending, r.Reply.Body, c.want)
 			}
 			b.mu.Lock()
@@ -121,7 +121,7 @@
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, standin.ClosedPort(t))); r.Ending != woodpick.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, testpeer.ClosedPort(t))); r.Ending != balancer.Unreachable || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.Ending, b.open)
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	b := testBackend(10)
 	b.limits.ConnectTimeout = 50 * time.Millisecond
-	if r := run(t, b, testAttempt(b, addr)); r.Ending != woodpick.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, addr)); r.Ending != balancer.Unreachable || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.Ending, b.open)
 	}
 }
@@ -170,14 +170,14 @@
 func (c halfConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
 
 func TestBreakBeforeTheLastByteIsUnreachable(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	nc, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := testBackend(10)
 	b.adopt(halfConn{nc}, testHost(b, s.Address()))
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Unreachable || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.Ending, b.open)
 	}
 	if s.Seen() != 0 {
@@ -202,7 +202,7 @@
 func TestBytesOrACloseBeforeTheRequestAreSeen(t *testing.T) {
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
-			s := standin.NewServer(t, standin.Echo)
+			s := testpeer.NewServer(t, testpeer.Echo)
 			early, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -231,8 +231,8 @@
 			} else {
 				io.WriteString(other, say)
 			}
-			standin.Until(t, "it to arrive", func() bool { return spoken(nc) })
-			if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
+			testpeer.Until(t, "it to arrive", func() bool { return spoken(nc) })
+			if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
 				t.Errorf("ending %d, body %q, %d open", r.Ending, r.Reply.Body, b.open)
 			}
 		})
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	other.Close()
-	standin.Until(t, "the close to arrive", func() bool { return spoken(nc) })
+	testpeer.Until(t, "the close to arrive", func() bool { return spoken(nc) })
 	b := testBackend(10)
 	waiter := make(chan reply, 1)
 	b.open = 1
@@ -268,9 +268,9 @@
 }
 
 func TestTimedOutAndCancelledAttemptsCloseTheirConnection(t *testing.T) {
-	for _, want := range []woodpick.Ending{woodpick.TimedOut, woodpick.Withdrawn} {
+	for _, want := range []balancer.Ending{balancer.TimedOut, balancer.Withdrawn} {
 		got, gone := make(chan struct{}), make(chan struct{})
-		s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 			close(got)
 			c.Read(make([]byte, 1))
 			close(gone)
@@ -278,7 +278,7 @@
 		})
 		b := testBackend(10)
 		a := testAttempt(b, s.Address())
-		if want == woodpick.TimedOut {
+		if want == balancer.TimedOut {
 			a.Deadline = a.Sent + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.Cancel() }()
@@ -286,30 +286,30 @@
 		if r := run(t, b, a); r.Ending != want || b.open != 0 {
 			t.Errorf("ending %d, %d open; want %d", r.Ending, b.open, want)
 		}
-		standin.Receive(t, gone, "the close")
+		testpeer.Receive(t, gone, "the close")
 	}
 }
 
 // A node short of descriptors closes idle connections first; its own lack is no server's fault.
 func TestConnectionsBeyondTheBudget(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	one, two := standin.NewServer(t, standin.Echo), standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	one, two := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		<-hold
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
 	b := testBackend(1)
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != woodpick.Success {
+	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Success {
 		t.Fatalf("ending %d", r.Ending)
 	}
 	end := make(chan engine.Outcome, 1)
 	go func() { end <- b.Run(testAttempt(b, two.Address())) }()
-	standin.Receive(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != woodpick.Void {
+	testpeer.Receive(t, got, "the attempt that took the idle one's place")
+	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Void {
 		t.Errorf("with no descriptor left: ending %d, want Void", r.Ending)
 	}
 	close(hold)
-	if r := standin.Receive(t, end, "the attempt"); r.Ending != woodpick.Success {
+	if r := testpeer.Receive(t, end, "the attempt"); r.Ending != balancer.Success {
 		t.Errorf("ending %d", r.Ending)
 	}
 	if one.Seen() != 1 || b.open != 1 {
@@ -319,27 +319,27 @@
 
 // What was let go takes no attempt any more: the next one opens a connection.
 func TestAConnectionThatWasLetGoTakesNoAttempt(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(10)
 	for _, made := range []int{1, 1, 2} {
 		if made == 2 {
 			b.LetGo(testHost(b, s.Address()))
 		}
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || b.made != made || b.open != 1 {
+		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != made || b.open != 1 {
 			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Ending, b.made, b.open, made)
 		}
 	}
 }
 
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(10)
 	b.limits.Idle = 20 * time.Millisecond
 	run(t, b, testAttempt(b, s.Address()))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go b.Sweep(ctx)
-	standin.Until(t, "the close", func() bool {
+	testpeer.Until(t, "the close", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.open == 0 && len(b.idle) == 0
@@ -352,37 +352,37 @@
 // Limits change while the back runs: idle connections beyond the new bound are closed, and the share of all
 // pools bounds each of them too.
 func TestLimitsChange(t *testing.T) {
-	one, two := standin.NewServer(t, standin.Echo), standin.NewServer(t, standin.Echo)
+	one, two := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(2)
-	for _, s := range []*standin.Server{one, two} {
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success {
+	for _, s := range []*testpeer.Server{one, two} {
+		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success {
 			t.Fatalf("ending %d", r.Ending)
 		}
 	}
-	b.SetLimits(Limits{Most: 1, ConnectTimeout: standin.Limit, Idle: time.Minute})
+	b.SetLimits(Limits{Most: 1, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 	if b.Connections() != 1 || b.share.Used() != 1 {
 		t.Errorf("%d connections, %d descriptors", b.Connections(), b.share.Used())
 	}
-	if r := run(t, b, testAttempt(b, two.Address())); r.Ending != woodpick.Success || two.Opened() != 1 {
+	if r := run(t, b, testAttempt(b, two.Address())); r.Ending != balancer.Success || two.Opened() != 1 {
 		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Ending, two.Opened())
 	}
-	other := NewBack(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: standin.Limit, Idle: time.Minute})
+	other := NewBack(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 	b.share.Resize(1)
-	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != woodpick.Void {
+	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != balancer.Void {
 		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Ending)
 	}
 	b.Close()
 	if b.Connections() != 0 || b.share.Used() != 0 {
 		t.Errorf("%d connections, %d descriptors after Close", b.Connections(), b.share.Used())
 	}
-	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != woodpick.Success {
+	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != balancer.Success {
 		t.Errorf("ending %d", r.Ending)
 	}
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != woodpick.Void { // the other has the only one
+	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Void { // the other has the only one
 		t.Errorf("ending %d", r.Ending)
 	}
 	other.Close()
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != woodpick.Success || b.Connections() != 0 {
+	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Success || b.Connections() != 0 {
 		t.Errorf("after Close: ending %d, %d connections kept", r.Ending, b.Connections())
 	}
 }
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/callers"
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 // lateDial has connections come up only when the test lets them, whatever became of the attempt meanwhile: as one does
@@ -43,28 +43,28 @@
 	for _, c := range []struct {
 		name  string
 		cross func(*Back, *engine.Attempt)
-		want  woodpick.Ending
+		want  balancer.Ending
 	}{
-		{"called off", func(_ *Back, a *engine.Attempt) { a.Cancel() }, woodpick.Withdrawn},
-		{"its caller gone, where what has begun is not called off", func(_ *Back, a *engine.Attempt) { a.CancelUnbegun() }, woodpick.Withdrawn},
-		{"its client gone, which its engine has not heard yet", func(b *Back, a *engine.Attempt) { a.Call.Leave(b.clock.Now()) }, woodpick.Withdrawn},
+		{"called off", func(_ *Back, a *engine.Attempt) { a.Cancel() }, balancer.Withdrawn},
+		{"its caller gone, where what has begun is not called off", func(_ *Back, a *engine.Attempt) { a.CancelUnbegun() }, balancer.Withdrawn},
+		{"its client gone, which its engine has not heard yet", func(b *Back, a *engine.Attempt) { a.Call.Leave(b.clock.Now()) }, balancer.Withdrawn},
 		{"its client gone, as the system alone knows", func(_ *Back, a *engine.Attempt) {
 			a.Call.Request.Gone = func() bool { return true }
-		}, woodpick.Withdrawn},
+		}, balancer.Withdrawn},
 		{"its client gone, as the system alone knows, and its body still to come", func(_ *Back, a *engine.Attempt) {
 			a.Call.Request.Gone, a.Call.Request.Rest = func() bool { return true }, strings.NewReader("rest")
-		}, woodpick.Withdrawn},
+		}, balancer.Withdrawn},
 		{"its time over", func(b *Back, a *engine.Attempt) {
 			a.Deadline = a.Sent + 1 // as it was decided on; Run has its own clock
-		}, woodpick.Void},
-		{"its keys' window over", func(b *Back, a *engine.Attempt) { a.NotAfter = b.clock.Now() }, woodpick.Void},
+		}, balancer.Void},
+		{"its keys' window over", func(b *Back, a *engine.Attempt) { a.NotAfter = b.clock.Now() }, balancer.Void},
 		{"its server drained", func(b *Back, a *engine.Attempt) {
-			b.Servers([]discovery.Target{{Server: woodpick.Server{ID: a.To.Server, State: woodpick.Draining}, Endpoint: a.To.Endpoint}}, false)
-		}, woodpick.Void},
-		{"its server gone from the whole list", func(b *Back, a *engine.Attempt) { b.Servers(nil, true) }, woodpick.Void},
+			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Draining}, Endpoint: a.To.Endpoint}}, false)
+		}, balancer.Void},
+		{"its server gone from the whole list", func(b *Back, a *engine.Attempt) { b.Servers(nil, true) }, balancer.Void},
 		{"its server started anew", func(b *Back, a *engine.Attempt) {
-			b.Servers([]discovery.Target{{Server: woodpick.Server{ID: a.To.Server, State: woodpick.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
-		}, woodpick.Void},
+			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
+		}, balancer.Void},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			closed := make(chan int, 1)
@@ -85,13 +85,13 @@
 			a := testAttempt(b, ln.Addr().String())
 			end := make(chan engine.Outcome, 1)
 			go func() { end <- b.Run(a) }()
-			standin.Receive(t, dial.dialing, "the attempt to dial")
+			testpeer.Receive(t, dial.dialing, "the attempt to dial")
 			c.cross(b, a)
 			close(dial.up)
-			if r := standin.Receive(t, end, "the attempt's end"); r.Ending != c.want || b.Connections() != 0 {
+			if r := testpeer.Receive(t, end, "the attempt's end"); r.Ending != c.want || b.Connections() != 0 {
 				t.Errorf("ending %d, %d open; want %d", r.Ending, b.Connections(), c.want)
 			}
-			if n := standin.Receive(t, closed, "the close"); n != 0 {
+			if n := testpeer.Receive(t, closed, "the close"); n != 0 {
 				t.Error("a byte of it was written")
 			}
 		})
@@ -102,8 +102,8 @@
 // rather than repeats.
 func TestAKeyedRepeatWhoseConnectionComesUpLateIsNotSent(t *testing.T) {
 	breaks := func(c net.Conn, _ *http.Request, _ string) bool { return false } // it may have run
-	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
-	cfg := testConfig(standin.Whole(standin.Entry("s1", one.Address(), "in_service"), standin.Entry("s2", two.Address(), "in_service")))
+	one, two := testpeer.NewServer(t, breaks), testpeer.NewServer(t, breaks)
+	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service")))
 	for i := range cfg.Classes {
 		if cfg.Classes[i].Effect == config.Keyed {
 			cfg.Classes[i].Window = config.Duration(200 * time.Millisecond)
@@ -118,8 +118,8 @@
 			return net.Dial(network, address)
 		}
 	})
-	c := standin.Dial(t, n.Addr())
-	standin.Until(t, "the repeat to be decided on", func() bool {
+	c := testpeer.Dial(t, n.Addr())
+	testpeer.Until(t, "the repeat to be decided on", func() bool {
 		before := one.Seen() + two.Seen()
 		io.WriteString(c, "POST /keyed/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: keyed\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx")
 		r, _ := c.Answer(t)
@@ -137,18 +137,18 @@
 // has begun.
 func TestNothingBeginsForAClientThatLeftWhileItsConnectionCameUp(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
-		s := standin.NewServer(t, standin.Echo)
-		cfg := testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service")))
+		s := testpeer.NewServer(t, testpeer.Echo)
+		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Pools[0].Cancel = cancels
 		var dial *lateDial
 		n := start(t, cfg, func(n *rig) { dial = newLateDial(n.back) })
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		c.Get("leaving")
-		standin.Receive(t, dial.dialing, "the attempt to dial")
+		testpeer.Receive(t, dial.dialing, "the attempt to dial")
 		c.Close()
-		standin.Until(t, "the engine to hear of it", func() bool { return n.engine.Status().Gone == 1 })
+		testpeer.Until(t, "the engine to hear of it", func() bool { return n.engine.Status().Gone == 1 })
 		close(dial.up)
-		standin.Until(t, "the attempt to end", func() bool { return n.back.Connections() == 0 && n.engine.Status().Open == 0 })
+		testpeer.Until(t, "the attempt to end", func() bool { return n.back.Connections() == 0 && n.engine.Status().Open == 0 })
 		if s.Seen() != 0 {
 			t.Errorf("cancels %v: the server got the request", cancels)
 		}
@@ -187,21 +187,21 @@
 	}()
 	var dial *lateDial
 	accepted := make(chan net.Conn, 1)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", ln.Addr().String(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *rig) {
 		dial = newLateDial(n.back)
 		n.ln = keptListener{n.ln, accepted}
 	})
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	io.WriteString(c, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: u\r\nX-Deadline: 60\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
-	standin.Receive(t, dial.dialing, "the attempt to dial")
+	testpeer.Receive(t, dial.dialing, "the attempt to dial")
 	c.Close()
-	ours := standin.Receive(t, accepted, "the connection")
-	standin.Until(t, "the system to know of the close", func() bool { return callers.StateOf(ours) == callers.Ended })
+	ours := testpeer.Receive(t, accepted, "the connection")
+	testpeer.Until(t, "the system to know of the close", func() bool { return downstream.StateOf(ours) == downstream.Ended })
 	close(dial.up)
-	if text := standin.Receive(t, written, "the close"); text != "" {
+	if text := testpeer.Receive(t, written, "the close"); text != "" {
 		t.Errorf("%d bytes were written, %.40q", len(text), text)
 	}
-	standin.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Held() == 0 })
+	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Held() == 0 })
 	if got := n.engine.Status(); got.Gone != 1 {
 		t.Errorf("%d have gone, want 1", got.Gone)
 	}
@@ -211,23 +211,23 @@
 func TestASecondAnswerThatComesLateIsNobodys(t *testing.T) {
 	next := make(chan struct{})
 	var late sync.WaitGroup
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		switch r.Header.Get("X-Request-Id") {
 		case "first":
 			late.Go(func() {
 				<-next // the next request is out
-				standin.Reply200(c, "again for first")
+				testpeer.Reply200(c, "again for first")
 			})
 		case "next":
 			close(next)
 			late.Wait()
 		}
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.back.limits.Settle = standin.Limit // however slow the machine
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+		n.back.limits.Settle = testpeer.Limit // however slow the machine
 	})
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	for _, id := range []string{"first", "next"} {
 		c.Get(id)
 		c.Want(t, http.StatusOK, "for "+id)
@@ -239,7 +239,7 @@
 
 // A connection that has settled is used again; one that soon will have is waited for rather than another opened.
 func TestAConnectionThatSettlesIsUsedAgain(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(10)
 	h := testHost(b, s.Address())
 	idle := func() *conn {
@@ -249,14 +249,14 @@
 	}
 	run(t, b, testAttempt(b, s.Address()))
 	b.limits.Settle = 20 * time.Millisecond
-	standin.Until(t, "the connection to settle", func() bool { return b.clock.Now()-idle().since >= b.limits.Settle })
+	testpeer.Until(t, "the connection to settle", func() bool { return b.clock.Now()-idle().since >= b.limits.Settle })
 	run(t, b, testAttempt(b, s.Address()))
 	if b.made != 1 {
 		t.Fatalf("%d connections made, want 1", b.made)
 	}
 	b.limits.Settle = 100 * time.Millisecond
 	b.mu.Lock()
-	b.idle[h][0].took = standin.Limit // as if the exchange had been long against that
+	b.idle[h][0].took = testpeer.Limit // as if the exchange had been long against that
 	rested := b.idle[h][0].since
 	b.mu.Unlock()
 	run(t, b, testAttempt(b, s.Address()))
@@ -280,14 +280,14 @@
 		}
 		left, _ := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
 		told <- time.Duration(left * float64(time.Second))
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	}
-	one, two := standin.NewServer(t, answer), standin.NewServer(t, answer)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", one.Address(), "in_service"), standin.Entry("s2", two.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	one, two := testpeer.NewServer(t, answer), testpeer.NewServer(t, answer)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	c.Send("GET", "/view/k", "again", "", "20")
 	c.Want(t, http.StatusOK, "for again")
-	if left, most := standin.Receive(t, told, "the second attempt"), wait-time.Duration(spent.Load()); left <= 0 || left > most {
+	if left, most := testpeer.Receive(t, told, "the second attempt"), wait-time.Duration(spent.Load()); left <= 0 || left > most {
 		t.Errorf("told %v, at most %v are left", left, most)
 	}
 }
@@ -296,10 +296,10 @@
 func TestAnAttemptThatIsHeldUpTellsWhatIsLeft(t *testing.T) {
 	const held = 100 * time.Millisecond
 	told := make(chan time.Duration, 1)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		left, _ := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
 		told <- time.Duration(left * float64(time.Second))
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
 	b := testBackend(10)
 	a := testAttempt(b, s.Address())
@@ -312,7 +312,7 @@
 		return false
 	}
 	run(t, b, a)
-	if got := standin.Receive(t, told, "the request"); got <= 0 || got > left+freshFor || looks < 2 {
+	if got := testpeer.Receive(t, told, "the request"); got <= 0 || got > left+freshFor || looks < 2 {
 		t.Errorf("told %v after %d looks, %v were left", got, looks, left)
 	}
 }
--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/engine"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 // faultyConn is a connection on which single reads and writes fail. A read that fails keeps what came for the next one.
@@ -79,30 +79,30 @@
 func TestEndsOfAConnectionToAServer(t *testing.T) {
 	for _, c := range []struct {
 		read, write syscall.Errno
-		want        woodpick.Ending
+		want        balancer.Ending
 		seen        int
 	}{
-		{write: syscall.EPIPE, want: woodpick.Unreachable},
-		{write: syscall.ECONNRESET, want: woodpick.Unreachable},
-		{write: syscall.ETIMEDOUT, want: woodpick.Unreachable},
-		{write: syscall.EHOSTUNREACH, want: woodpick.Unreachable},
-		{write: syscall.ENETUNREACH, want: woodpick.Unreachable},
-		{write: syscall.ENETDOWN, want: woodpick.Void},
-		{write: syscall.EPERM, want: woodpick.Void},
-		{write: syscall.ENOBUFS, want: woodpick.Success, seen: 1},
-		{write: syscall.ENOMEM, want: woodpick.Success, seen: 1},
-		{write: syscall.EINTR, want: woodpick.Success, seen: 1},
-		{read: syscall.EPIPE, want: woodpick.Broken, seen: 1},
-		{read: syscall.ECONNRESET, want: woodpick.Broken, seen: 1},
-		{read: syscall.ETIMEDOUT, want: woodpick.Broken, seen: 1},
-		{read: syscall.EHOSTUNREACH, want: woodpick.Broken, seen: 1},
-		{read: syscall.ENETUNREACH, want: woodpick.Broken, seen: 1},
-		{read: syscall.ENETDOWN, want: woodpick.Broken, seen: 1},
-		{read: syscall.ENOBUFS, want: woodpick.Success, seen: 1},
-		{read: syscall.ENOMEM, want: woodpick.Success, seen: 1},
-		{read: syscall.EINTR, want: woodpick.Success, seen: 1},
+		{write: syscall.EPIPE, want: balancer.Unreachable},
+		{write: syscall.ECONNRESET, want: balancer.Unreachable},
+		{write: syscall.ETIMEDOUT, want: balancer.Unreachable},
+		{write: syscall.EHOSTUNREACH, want: balancer.Unreachable},
+		{write: syscall.ENETUNREACH, want: balancer.Unreachable},
+		{write: syscall.ENETDOWN, want: balancer.Void},
+		{write: syscall.EPERM, want: balancer.Void},
+		{write: syscall.ENOBUFS, want: balancer.Success, seen: 1},
+		{write: syscall.ENOMEM, want: balancer.Success, seen: 1},
+		{write: syscall.EINTR, want: balancer.Success, seen: 1},
+		{read: syscall.EPIPE, want: balancer.Broken, seen: 1},
+		{read: syscall.ECONNRESET, want: balancer.Broken, seen: 1},
+		{read: syscall.ETIMEDOUT, want: balancer.Broken, seen: 1},
+		{read: syscall.EHOSTUNREACH, want: balancer.Broken, seen: 1},
+		{read: syscall.ENETUNREACH, want: balancer.Broken, seen: 1},
+		{read: syscall.ENETDOWN, want: balancer.Broken, seen: 1},
+		{read: syscall.ENOBUFS, want: balancer.Success, seen: 1},
+		{read: syscall.ENOMEM, want: balancer.Success, seen: 1},
+		{read: syscall.EINTR, want: balancer.Success, seen: 1},
 	} {
-		s := standin.NewServer(t, standin.Echo)
+		s := testpeer.NewServer(t, testpeer.Echo)
 		b := testBackend(10)
 		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, network, address)
@@ -110,7 +110,7 @@
 		}
 		r := run(t, b, testAttempt(b, s.Address()))
 		kept := 0
-		if c.want == woodpick.Success {
+		if c.want == balancer.Success {
 			kept = 1
 		}
 		if r.Ending != c.want || s.Seen() != c.seen || b.Connections() != kept {
@@ -138,28 +138,28 @@
 }
 
 // heldRequest has a request at a server that holds it, from a client on a connection that can be made to fail.
-func heldRequest(t *testing.T) (n *rig, c *standin.Caller, conn *faultyConn, release func(), ended <-chan struct{}) {
+func heldRequest(t *testing.T) (n *rig, c *testpeer.Caller, conn *faultyConn, release func(), ended <-chan struct{}) {
 	hold, got, gone := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
-	s := standin.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		closed := make(chan struct{})
 		go func() { defer close(closed); nc.Read(make([]byte, 1)); close(gone) }()
 		select {
 		case <-hold:
-			standin.Echo(nc, r, body)
+			testpeer.Echo(nc, r, body)
 			<-closed
 		case <-closed:
 		}
 		return false
 	})
 	accepted := make(chan *faultyConn, 10)
-	n = start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	n = start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
 		n.ln = faultyListener{n.ln, accepted}
 	})
-	c = standin.Dial(t, n.Addr())
+	c = testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "held", "x", "60")
-	conn = standin.Receive(t, accepted, "the client's connection")
-	standin.Receive(t, got, "the attempt")
+	conn = testpeer.Receive(t, accepted, "the client's connection")
+	testpeer.Receive(t, got, "the attempt")
 	return n, c, conn, func() { close(hold) }, gone
 }
 
@@ -169,9 +169,9 @@
 		n, c, conn, _, ended := heldRequest(t)
 		conn.fail(errno, 0)
 		io.WriteString(c, "G")
-		standin.Receive(t, ended, "the attempt's end")
-		standin.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
-		standin.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
+		testpeer.Receive(t, ended, "the attempt's end")
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Gone != 1 || st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
 		}
@@ -188,8 +188,8 @@
 		if len(text) == 0 || len(text) > 60 {
 			t.Errorf("%v: the client got %q", errno, text)
 		}
-		standin.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
-		standin.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
 		}
@@ -202,7 +202,7 @@
 		_, c, conn, release, _ := heldRequest(t)
 		conn.fail(errno, errno)
 		io.WriteString(c, "G")
-		standin.Until(t, "the read to fail", func() bool {
+		testpeer.Until(t, "the read to fail", func() bool {
 			conn.mu.Lock()
 			defer conn.mu.Unlock()
 			return conn.failRead == 0
@@ -235,7 +235,7 @@
 // hears of the break before it hears that the byte has left.
 func TestABreakBehindAnUploadThatIsWholeProvesNothing(t *testing.T) {
 	for length, last := range map[int64]string{-1: "0\r\n\r\n", 7 + 5000: "the end"} {
-		s := standin.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return false })
+		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return false })
 		released := make(chan struct{})
 		b := testBackend(10)
 		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -245,11 +245,11 @@
 		rest := io.MultiReader(strings.NewReader(strings.Repeat("x", 5000)), strings.NewReader("the end"))
 		call := engine.NewCall("id", engine.Request{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
 		now := b.clock.Now()
-		a := engine.NewAttempt(call, 0, testHost(b, s.Address()), now, now+standin.Limit)
+		a := engine.NewAttempt(call, 0, testHost(b, s.Address()), now, now+testpeer.Limit)
 		end := make(chan engine.Outcome, 1)
 		go func() { end <- b.Run(a) }()
-		standin.Until(t, "the request at the server", func() bool { return s.Seen() == 1 })
-		standin.Until(t, "the connection's end", func() bool { return b.Connections() == 0 })
+		testpeer.Until(t, "the request at the server", func() bool { return s.Seen() == 1 })
+		testpeer.Until(t, "the connection's end", func() bool { return b.Connections() == 0 })
 		select {
 		case r := <-end:
 			t.Errorf("length %d: ending %d before the writer has told", length, r.Ending)
@@ -258,7 +258,7 @@
 		case <-time.After(lastBytes + lastBytes/4):
 		}
 		close(released)
-		if r := standin.Receive(t, end, "the attempt's end"); r.Ending != woodpick.Broken || !r.Spent {
+		if r := testpeer.Receive(t, end, "the attempt's end"); r.Ending != balancer.Broken || !r.Spent {
 			t.Errorf("length %d: ending %d, spent %v", length, r.Ending, r.Spent)
 		}
 	}
--- a/internal/http1/callers_test.go
+++ b/internal/http1/clients_test.go
@@ -15,15 +15,15 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/testpeer"
 )
 
 // idleFor are the usual graces, but for idle connections.
-func idleFor(d time.Duration) callers.Graces {
-	g := callers.DefaultGraces()
+func idleFor(d time.Duration) downstream.Graces {
+	g := downstream.DefaultGraces()
 	g.Idle = d
 	return g
 }
@@ -31,36 +31,36 @@
 // untilIdle waits for a connection to be idle: a request is over a little after its answer.
 func untilIdle(t *testing.T, n *rig) {
 	t.Helper()
-	standin.Until(t, "a connection to be idle", func() bool { return n.callers.In(callers.Idle) > 0 })
+	testpeer.Until(t, "a connection to be idle", func() bool { return n.callers.In(downstream.Idle) > 0 })
 }
 
 func TestCallersBeyondTheBudget(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
 			got <- struct{}{}
 			<-hold
 		}
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
 	const most = 4
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(callers.Share{Room: 2 * most, Least: most, Spare: 24})
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+		n.callers.Resize(downstream.Share{Room: 2 * most, Least: most, Spare: 24})
 		n.callers.SetGrace(idleFor(0))
 	})
-	idle := standin.Dial(t, n.Addr())
+	idle := testpeer.Dial(t, n.Addr())
 	idle.Get("idle")
 	idle.Want(t, 200, "for idle")
 	untilIdle(t, n)
-	var held []*standin.Caller
+	var held []*testpeer.Caller
 	for i := range most {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		c.Get(fmt.Sprint("held-", i))
-		standin.Receive(t, got, "an attempt")
+		testpeer.Receive(t, got, "an attempt")
 		held = append(held, c)
 	}
 	idle.WantClosed(t, "the idle connection when there are too many")
-	over := standin.Dial(t, n.Addr()) // read and refused, never left unread
+	over := testpeer.Dial(t, n.Addr()) // read and refused, never left unread
 	over.Get("over")
 	r, _ := over.Answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	set := callers.New(clock.New(), callers.Share{Room: 2, Spare: 10}, func() int { return 1 })
+	set := downstream.New(clock.New(), downstream.Share{Room: 2, Spare: 10}, func() int { return 1 })
 	f := &Front{callers: set}
 	pair := func() (ours *clientConn, theirs net.Conn) {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
@@ -97,7 +97,7 @@
 	}
 	say := func(from, to net.Conn, text string) {
 		t.Helper()
-		to.SetReadDeadline(time.Now().Add(standin.Limit))
+		to.SetReadDeadline(time.Now().Add(testpeer.Limit))
 		if _, err := io.WriteString(from, text); err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 	say(caller, a, request[1:])
 	a.takeHead(false)
 	say(a, caller, "its answer")
-	set.SetGrace(idleFor(standin.Limit))
+	set.SetGrace(idleFor(testpeer.Limit))
 	f.track(a, http.StateIdle)
 	if a.leaving || !set.Crowded() {
 		t.Fatal("a connection idle for a moment only was let go")
@@ -145,9 +145,9 @@
 // Whatever reaches a server has been read, so its caller must get the answer, however often idle
 // connections are let go meanwhile.
 func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(callers.Share{Room: 8, Least: 4, Spare: 24})
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+		n.callers.Resize(downstream.Share{Room: 8, Least: 4, Spare: 24})
 		n.callers.SetGrace(idleFor(0))
 	})
 	var mu sync.Mutex
@@ -166,7 +166,7 @@
 						t.Error(err)
 						return
 					}
-					c.SetDeadline(time.Now().Add(2 * standin.Limit))
+					c.SetDeadline(time.Now().Add(2 * testpeer.Limit))
 					br = bufio.NewReader(c)
 				}
 				id := fmt.Sprintf("c%d-%d", i, j)
@@ -215,51 +215,51 @@
 // Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
 // good caller needs: they are let go first, before they would time out, and the good one is served.
 func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	cfg := testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service")))
+	s := testpeer.NewServer(t, testpeer.Echo)
+	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	cfg.Room = 256 - 48
 	var accepting countedListener
 	n := start(t, cfg, func(n *rig) {
-		n.front.server.ReadHeaderTimeout, n.front.grace = 2*standin.Limit, 2*standin.Limit // what is let go is let go for want of room
-		n.callers.SetGrace(callers.Graces{Idle: standin.Limit})
+		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is let go is let go for want of room
+		n.callers.SetGrace(downstream.Graces{Idle: testpeer.Limit})
 		accepting.Listener = n.ln
 		n.ln = &accepting
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
-	good := standin.Dial(t, n.Addr())
+	good := testpeer.Dial(t, n.Addr())
 	for i := range 600 {
-		bad := standin.Dial(t, n.Addr())
+		bad := testpeer.Dial(t, n.Addr())
 		io.WriteString(bad, []string{"", "GET /view/k HT", "GET /view/k HTTP/1.1\r\nX-", body}[i%4])
 		if i%20 == 0 {
 			// One that comes while the good one's request is read could cost that its place, with no grace at all.
-			standin.Until(t, "those before to be accepted", func() bool { return int(accepting.calls.Load()) > 2+i+i/20 })
+			testpeer.Until(t, "those before to be accepted", func() bool { return int(accepting.calls.Load()) > 2+i+i/20 })
 			good.Get(fmt.Sprint("good-", i))
 			good.Want(t, http.StatusOK, fmt.Sprint("for good-", i))
-			fresh := standin.Dial(t, n.Addr())
+			fresh := testpeer.Dial(t, n.Addr())
 			fresh.Get(fmt.Sprint("fresh-", i))
 			fresh.Want(t, http.StatusOK, fmt.Sprint("for fresh-", i))
 			fresh.Close()
 		}
 	}
-	standin.Until(t, "the rest to be let go", func() bool { return !n.callers.Crowded() })
+	testpeer.Until(t, "the rest to be let go", func() bool { return !n.callers.Crowded() })
 }
 
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
 func TestConnectionsWithoutARequestEnd(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
 		n.front.server.ReadTimeout = 300 * time.Millisecond
 		n.front.server.IdleTimeout = 300 * time.Millisecond
 	})
 	for _, text := range []string{"", "GET /view/k HTTP/1.1\r\nHo", "\r\n"} {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		io.WriteString(c, text)
 		said, err := io.ReadAll(c)
 		if err != nil {
 			t.Errorf("%q: %v after %q", text, err, said)
 		}
 	}
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	c.Get("once")
 	c.Want(t, http.StatusOK, "for once")
 	c.WantClosed(t, "a connection that asks no more")
@@ -267,13 +267,13 @@
 
 // Callers, requests and servers that are ever new leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s0", s.Address(), "in_service"))), nil)
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s0", s.Address(), "in_service"))), nil)
 	round := func(i int) {
 		l := discovery.List{Full: true, Rev: int64(i), Targets: []discovery.Target{{Endpoint: s.Address()}}}
 		l.Targets[0].ID = fmt.Sprint("s", i)
 		n.engine.TakeList(l)
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		c.Get(fmt.Sprint("r-", i))
 		c.Want(t, http.StatusOK, "")
 		c.Close()
@@ -285,7 +285,7 @@
 	for i := range 300 {
 		round(50 + i)
 	}
-	standin.Until(t, "all that has gone to be forgotten", func() bool {
+	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
 		b := n.back
 		b.mu.Lock()
 		defer b.mu.Unlock()
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/callers"
+	"damsontrestle/internal/downstream"
 )
 
 // clientConn is a client's connection that can be let go while it waits for a request, and only then.
@@ -26,7 +26,7 @@
 // sees no end any more, so that what follows is read ahead here.
 type clientConn struct {
 	net.Conn
-	set        *callers.Set
+	set        *downstream.Set
 	aheadOfAll *atomic.Int64 // bytes that all connections of the front have read ahead
 
 	mu       sync.Mutex
@@ -50,7 +50,7 @@
 	left     chan struct{} // closed once hasLeft has said yes
 }
 
-func newClientConn(c net.Conn, set *callers.Set, total *atomic.Int64) *clientConn {
+func newClientConn(c net.Conn, set *downstream.Set, total *atomic.Int64) *clientConn {
 	return &clientConn{Conn: c, set: set, aheadOfAll: total, gone: make(chan struct{}), left: make(chan struct{})}
 }
 
@@ -112,7 +112,7 @@
 // hasLeft says that the other side has ended the connection, or its sending, by what the system knows: an end that nobody
 // has read yet, or that stands behind bytes which nobody has, is one all the same.
 func (c *clientConn) hasLeft() bool {
-	if !c.isGone() && callers.StateOf(c.Conn) != callers.Ended {
+	if !c.isGone() && downstream.StateOf(c.Conn) != downstream.Ended {
 		return false
 	}
 	c.mu.Lock()
@@ -140,7 +140,7 @@
 	return writeAgain(c.Conn, p)
 }
 
-// Quiet implements callers.Conn.
+// Quiet implements downstream.Conn.
 func (c *clientConn) Quiet() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,7 +205,7 @@
 	c.stopAhead()
 	c.dropAhead()
 	c.mu.Lock()
-	linger := time.Since(c.told) < lingerAfter && c.end == nil && (!c.leaving || c.refused && callers.StateOf(c.Conn) == callers.Unread)
+	linger := time.Since(c.told) < lingerAfter && c.end == nil && (!c.leaving || c.refused && downstream.StateOf(c.Conn) == downstream.Unread)
 	c.mu.Unlock()
 	if linger && c.CloseWrite() == nil {
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
@@ -214,20 +214,20 @@
 	return c.Conn.Close()
 }
 
-// Abort implements callers.Conn.
+// Abort implements downstream.Conn.
 func (c *clientConn) Abort() error { return c.Conn.Close() }
 
 // CloseWrite lets net/http linger after an answer to a request that it did not read whole: at once
 // closed, the connection would be reset, and the answer could be lost.
 func (c *clientConn) CloseWrite() error {
-	c.set.Move(c, callers.Lingering)
+	c.set.Move(c, downstream.Lingering)
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		return half.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
 
-// LetGo implements callers.Conn.
+// LetGo implements downstream.Conn.
 func (c *clientConn) LetGo() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +238,7 @@
 	return c.leaving
 }
 
-// CutOff implements callers.Conn.
+// CutOff implements downstream.Conn.
 func (c *clientConn) CutOff() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,21 +246,21 @@
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements callers.Conn.
+// IsCut implements downstream.Conn.
 func (c *clientConn) IsCut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cut
 }
 
-// HasBegun implements callers.Conn.
+// HasBegun implements downstream.Conn.
 func (c *clientConn) HasBegun() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending()
 }
 
-// Owes implements callers.Conn.
+// Owes implements downstream.Conn.
 func (c *clientConn) Owes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,7 +270,7 @@
 // clientListener makes clientConns.
 type clientListener struct {
 	net.Listener
-	set   *callers.Set
+	set   *downstream.Set
 	ahead *atomic.Int64
 }
 
@@ -305,9 +305,9 @@
 	case http.StateNew:
 		f.callers.Add(c, f)
 	case http.StateActive:
-		f.callers.Move(c, callers.Reading)
+		f.callers.Move(c, downstream.Reading)
 	case http.StateIdle:
-		f.callers.Move(c, callers.Idle)
+		f.callers.Move(c, downstream.Idle)
 	default:
 		f.callers.Remove(c)
 	}
--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
 )
 
 // conn is a connection to a server. Its reader watches it for as long as it is open, so that one
@@ -114,7 +114,7 @@
 // serves says that a server is the one that a host names, and takes requests. The caller holds mu.
 func (b *Back) serves(h discovery.Host) bool {
 	t, listed := b.seen[h.Server]
-	return listed && t.State == woodpick.Ready && t.Host() == h
+	return listed && t.State == balancer.Ready && t.Host() == h
 }
 
 // take returns an idle connection and how long it has yet to settle, or nil once there is room to open one: one that soon
@@ -266,10 +266,10 @@
 		named[t.ID] = true
 		old, known := b.seen[t.ID]
 		b.seen[t.ID] = t
-		if known && (t.State != woodpick.Ready || t.Host() != old.Host()) {
+		if known && (t.State != balancer.Ready || t.Host() != old.Host()) {
 			b.dropIdle(old.Host())
 		}
-		if t.State == woodpick.Gone {
+		if t.State == balancer.Gone {
 			delete(b.seen, t.ID)
 		}
 	}
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -13,13 +13,13 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	"woodpick/internal/intake"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/validation"
 )
 
 // Limits on what a caller may make the node wait for.
@@ -28,7 +28,7 @@
 	idleTimeout  = 4 * time.Second         // a caller that asks no more is let go
 	writeTimeout = 5 * time.Second
 	maxHeader    = 16 << 10
-	maxBody      = intake.MaxBody // the longest body that is kept whole
+	maxBody      = validation.MaxBody // the longest body that is kept whole
 )
 
 // Front serves callers of one listener: exactly one answer for each request taken.
@@ -36,8 +36,8 @@
 	listener string // its name in the configuration
 	clock    clock.Clock
 	calls    *dispatch.Dispatcher
-	callers  *callers.Set
-	figures  *figures.Set
+	callers  *downstream.Set
+	figures  *metrics.Set
 	draining atomic.Bool   // unready
 	closing  atomic.Bool   // each answer closes its connection
 	grace    time.Duration // by which a body may be behind the least rate
@@ -46,7 +46,7 @@
 }
 
 // NewFront returns a Front that serves nobody before Serve.
-func NewFront(listener string, c clock.Clock, set *callers.Set, calls *dispatch.Dispatcher, count *figures.Set, log *slog.Logger) *Front {
+func NewFront(listener string, c clock.Clock, set *downstream.Set, calls *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
 	f := &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, grace: bodyGrace}
 	f.server = &http.Server{
 		Handler:                      f,
@@ -120,7 +120,7 @@
 	}
 	view := f.calls.View()
 	head := f.head(r, unframed)
-	in, err := intake.Check(view, &head)
+	in, err := validation.Check(view, &head)
 	if err != nil {
 		f.reject(w, conn, view, err)
 		return
@@ -151,11 +151,11 @@
 		f.finish(w, r, in.Class, engine.Answer{Kind: engine.Refused, RetryAfter: view.ComeBack()}, rest)
 		return
 	}
-	c, err := intake.Take(f.calls, view, &head, in, body, more, at)
+	c, err := validation.Take(f.calls, view, &head, in, body, more, at)
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		f.reject(w, conn, view, err)
-		f.figures.End(in.Class, figures.Faulted)
+		f.figures.End(in.Class, metrics.Faulted)
 		if rest != nil && !rest.end() {
 			rc.Flush()
 			rest.discard()
@@ -199,7 +199,7 @@
 }
 
 // errNotWhole answers a caller that has not sent its body whole, or not within its time.
-var errNotWhole = &intake.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
+var errNotWhole = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
 
 // finish gives a request its answer, also where the rest of its body has not come yet.
 func (f *Front) finish(w http.ResponseWriter, r *http.Request, class string, a engine.Answer, rest *upload) {
@@ -209,13 +209,13 @@
 	}
 	conn := connOf(r.Context())
 	if err := f.write(w, conn, a); err != nil {
-		f.figures.End(class, figures.Faulted)
+		f.figures.End(class, metrics.Faulted)
 		if !r.ProtoAtLeast(1, 1) {
 			conn.reset() // its end alone would look like the answer's
 		}
 		panic(http.ErrAbortHandler) // so that the caller can tell that the answer is not whole
 	}
-	f.figures.End(class, intake.Result(a))
+	f.figures.End(class, validation.Result(a))
 	if early {
 		http.NewResponseController(w).Flush()
 		rest.discard()
@@ -224,8 +224,8 @@
 
 // head is what a request's head says. net/http drops a Content-Length beside a transfer coding, so that the
 // connection has to tell of it.
-func (f *Front) head(r *http.Request, unframed bool) intake.Head {
-	return intake.Head{Listener: f.listener, Protocol: config.HTTP1, Method: r.Method, Target: originForm(r.RequestURI), Host: r.Host,
+func (f *Front) head(r *http.Request, unframed bool) validation.Head {
+	return validation.Head{Listener: f.listener, Protocol: config.HTTP1, Method: r.Method, Target: originForm(r.RequestURI), Host: r.Host,
 		ID: r.Header["X-Request-Id"], Wait: r.Header["X-Deadline"], Key: r.Header["Idempotency-Key"],
 		Type: r.Header.Get("Content-Type"), Unframed: unframed, Length: r.ContentLength, Headers: r.Header}
 }
@@ -250,7 +250,7 @@
 
 // reject answers a request that can't be used, or whose listener has gone, with its connection's end.
 func (f *Front) reject(w http.ResponseWriter, conn *clientConn, view *dispatch.View, err error) {
-	var no *intake.Rejected
+	var no *validation.Rejected
 	if !errors.As(err, &no) {
 		f.write(w, conn, engine.Answer{Kind: engine.Refused, RetryAfter: view.ComeBack()})
 		return
@@ -292,12 +292,12 @@
 		w.Write(a.Reply.Body)
 		return nil
 	}
-	status, words := intake.Words(a)
+	status, words := validation.Words(a)
 	if a.Kind == engine.Refused && a.NotRun && a.Why != "" { // to a partner's gateway, which must know that nothing ran
 		h.Set("X-Not-Run", "1")
 		h.Set(RefusedBy, a.Why)
 	}
-	if retry := intake.RetryAfter(a); retry != "" {
+	if retry := validation.RetryAfter(a); retry != "" {
 		h.Set("Retry-After", retry)
 	}
 	http.Error(w, words, status)
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/intake"
-	"woodpick/internal/route"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/validation"
 )
 
 func TestPassesARequestThroughUnchanged(t *testing.T) {
@@ -25,19 +25,19 @@
 	}
 	got := make(chan seen, 10)
 	answerBody := strings.Repeat("\x00\xff binary \r\n", 5000)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- seen{r, body}
-		return standin.Reply200(c, answerBody)
+		return testpeer.Reply200(c, answerBody)
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	long := strings.Repeat("b\r\n\x00", maxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
 		id := fmt.Sprint("id-", i)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
 			"X-Deadline: 20.5\r\nContent-Length: %d\r\n\r\n%s", target, id, i, len(long), long)
 		c.Want(t, 200, answerBody)
-		g := standin.Receive(t, got, "the request")
+		g := testpeer.Receive(t, got, "the request")
 		if g.r.Method != "POST" || g.r.RequestURI != target || g.body != long ||
 			g.r.Header.Get("X-Request-Id") != id || g.r.Header.Get("Idempotency-Key") != fmt.Sprint("K+/=", i) {
 			t.Errorf("got %s %s %v", g.r.Method, g.r.RequestURI, g.r.Header)
@@ -49,7 +49,7 @@
 	}
 	c.Get("get")
 	c.Want(t, 200, answerBody)
-	if g := standin.Receive(t, got, "the request"); g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil ||
+	if g := testpeer.Receive(t, got, "the request"); g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil ||
 		g.r.ContentLength != 0 {
 		t.Errorf("got %s %v", g.r.Method, g.r.Header)
 	}
@@ -61,15 +61,15 @@
 // A kept connection that breaks under a request may have carried it: neither the node nor a library
 // below it may send it again, whatever its method or headers.
 func TestNothingUnsafeIsSentAgainAfterAReset(t *testing.T) {
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		return standin.Reply200(c, "")
+		return testpeer.Reply200(c, "")
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	for i := range 2 {
 		c.Send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
 		c.Want(t, 200, "")
@@ -84,18 +84,18 @@
 
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	closing := make(chan struct{}, 100)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		standin.Reply200(c, "ok") // keeps alive, as far as the node can tell
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		testpeer.Reply200(c, "ok") // keeps alive, as far as the node can tell
 		c.Close()
 		closing <- struct{}{}
 		return false
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	for i := range 50 {
 		c.Send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
 		c.Want(t, 200, "ok")
-		standin.Receive(t, closing, "the close")
+		testpeer.Receive(t, closing, "the close")
 	}
 	if s.Seen() != 50 || s.Opened() != 50 {
 		t.Errorf("%d requests on %d connections, want 50 on 50", s.Seen(), s.Opened())
@@ -105,7 +105,7 @@
 func TestCallerGoneCancelsTheAttempt(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers := true
 		first.Do(func() {
 			close(got)
@@ -113,16 +113,16 @@
 			close(gone)
 			answers = false
 		})
-		return answers && standin.Echo(c, r, body)
+		return answers && testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "leaving", "x", "60")
-	standin.Receive(t, got, "the attempt")
+	testpeer.Receive(t, got, "the attempt")
 	c.Close()
-	standin.Receive(t, gone, "the end of the attempt")
-	again := standin.Dial(t, n.Addr())
-	standin.Until(t, "the id to be free again", func() bool {
+	testpeer.Receive(t, gone, "the end of the attempt")
+	again := testpeer.Dial(t, n.Addr())
+	testpeer.Until(t, "the id to be free again", func() bool {
 		again.Send("POST", "/note/k", "leaving", "x", "60")
 		r, _ := again.Answer(t)
 		return r.StatusCode == 200
@@ -131,26 +131,26 @@
 
 func TestSilentServerIsGivenUpInTime(t *testing.T) {
 	closedAt := make(chan struct{}, 2)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		c.Read(make([]byte, 1)) // says nothing until the node closes
 		closedAt <- struct{}{}
 		return false
 	})
-	cfg := testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service")))
+	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	for i := range cfg.Classes {
 		cfg.Classes[i].Aim = config.Duration(300 * time.Millisecond)
 	}
 	n := start(t, cfg, nil)
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "unsafe", "x", "20")
 	c.Want(t, http.StatusBadGateway, "") // it may have run: no refusal
-	standin.Receive(t, closedAt, "the close")
+	testpeer.Receive(t, closedAt, "the close")
 	c.Get("safe")
 	r, _ := c.Answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
-	standin.Receive(t, closedAt, "the close")
+	testpeer.Receive(t, closedAt, "the close")
 	if s.Seen() != 2 {
 		t.Errorf("%d requests were sent, want 2", s.Seen())
 	}
@@ -158,13 +158,13 @@
 
 // A request that the module gives up is refused at once, with advice, though its deadline is far off.
 func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
-	cfg := testConfig(standin.Whole(standin.Entry("s1", standin.ClosedPort(t), "in_service")))
+	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service")))
 	n := start(t, cfg, nil)
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	begin := time.Now()
 	c.Send("POST", "/note/k", "x", "x", "60")
 	r, _ := c.Answer(t)
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > standin.Limit {
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > testpeer.Limit {
 		t.Errorf("got %d, Retry-After %q after %v", r.StatusCode, r.Header.Get("Retry-After"), time.Since(begin))
 	}
 }
@@ -173,22 +173,22 @@
 // one that started anew: whatever is still to come on them belongs to the old one.
 func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := standin.NewServer(t, standin.Held(hold, got))
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	held, c := standin.Dial(t, n.Addr()), standin.Dial(t, n.Addr())
+	s := testpeer.NewServer(t, testpeer.Held(hold, got))
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	held, c := testpeer.Dial(t, n.Addr()), testpeer.Dial(t, n.Addr())
 	held.Get("held")
-	standin.Receive(t, got, "the attempt")
+	testpeer.Receive(t, got, "the attempt")
 	c.Get("one")
 	c.Want(t, 200, "for one")
-	for i, next := range []string{standin.Entry("s2", s.Address(), "in_service"),
-		strings.Replace(standin.Entry("s2", s.Address(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1)} {
-		l, err := discovery.Parse([]byte(strings.Replace(standin.Whole(next), "%d", "9", 1)))
+	for i, next := range []string{testpeer.Entry("s2", s.Address(), "in_service"),
+		strings.Replace(testpeer.Entry("s2", s.Address(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1)} {
+		l, err := discovery.Parse([]byte(strings.Replace(testpeer.Whole(next), "%d", "9", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.engine.TakeList(l)
 		before := s.Opened()
-		standin.Until(t, "the list to be taken", func() bool {
+		testpeer.Until(t, "the list to be taken", func() bool {
 			n.back.mu.Lock()
 			defer n.back.mu.Unlock()
 			got, want := n.back.seen["s2"], l.Targets[0]
@@ -210,20 +210,20 @@
 
 func TestBadRequests(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		select {
 		case got <- struct{}{}:
 		default:
 		}
 		<-hold
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
 		n.front.server.ReadHeaderTimeout, n.front.grace = 300*time.Millisecond, 300*time.Millisecond
 	})
-	first := standin.Dial(t, n.Addr())
+	first := testpeer.Dial(t, n.Addr())
 	first.Get("used")
-	standin.Receive(t, got, "the attempt")
+	testpeer.Receive(t, got, "the attempt")
 	const ok = "Host: h\r\nX-Request-Id: new\r\nX-Deadline: 60\r\n"
 	for _, c := range []struct {
 		name, text string
@@ -255,7 +255,7 @@
 		{"half a body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 10\r\n\r\nhalf", 400},
 		{"another method", "DELETE /view/k HTTP/1.1\r\n" + ok + "\r\n", 405},
 		{"half a long body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 65537\r\n\r\nhalf", 400},
-		{"too long a body", "POST /note/k HTTP/1.1\r\n" + ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", intake.MaxLength+1), 413},
+		{"too long a body", "POST /note/k HTTP/1.1\r\n" + ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", validation.MaxLength+1), 413},
 		{"chunks without end", "POST /note/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", 400},
 		{"spoilt chunks", "POST /note/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", 400},
 		{"GET with a body in chunks", "GET /view/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 400},
@@ -267,7 +267,7 @@
 		{"half-sent headers", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn := standin.Dial(t, n.Addr())
+			conn := testpeer.Dial(t, n.Addr())
 			go io.WriteString(conn, c.text)
 			if c.status == 0 { // a plain answer or none, but the end
 				said, err := io.ReadAll(conn)
@@ -280,7 +280,7 @@
 			conn.WantClosed(t, "a connection that said what can't be used")
 		})
 	}
-	cut := standin.Dial(t, n.Addr())
+	cut := testpeer.Dial(t, n.Addr())
 	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+ok+"Content-Length: 10\r\n\r\nhalf")
 	cut.Conn.(*net.TCPConn).CloseWrite()
 	io.Copy(io.Discard, cut.Reader) // an answer or none, but the end
@@ -295,15 +295,15 @@
 // not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
 func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
 			got <- struct{}{}
 			<-hold
 		}
-		return standin.Echo(c, r, body)
+		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	view := func(id, deadline string) {
 		t.Helper()
 		c.Send("GET", "/view/k", id, "", deadline)
@@ -313,11 +313,11 @@
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*standin.Caller // with these out there is room for a first try, and none for a repeat
+	var busy []*testpeer.Caller // with these out there is room for a first try, and none for a repeat
 	for i := range 9 {
-		busy = append(busy, standin.Dial(t, n.Addr()))
+		busy = append(busy, testpeer.Dial(t, n.Addr()))
 		busy[i].Send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
-		standin.Receive(t, got, "an attempt")
+		testpeer.Receive(t, got, "an attempt")
 	}
 	for i := range 5 {
 		view(fmt.Sprint("another-", i), "25")
@@ -336,9 +336,9 @@
 // where a server could take it for another's.
 func TestPaths(t *testing.T) {
 	got := make(chan string, 1)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- r.RequestURI
-		return standin.Reply200(c, "")
+		return testpeer.Reply200(c, "")
 	})
 	for _, c := range []struct {
 		paths          config.Paths
@@ -362,15 +362,15 @@
 		{config.PathsAsSent, "GET", "/view/..%2fnote/k", 400, ""},
 		{config.PathsAsSent, "GET", `/view/..\note`, 400, ""},
 	} {
-		cfg := testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service")))
+		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Listeners[0].Paths = c.paths
 		n := start(t, cfg, nil)
-		caller := standin.Dial(t, n.Addr())
+		caller := testpeer.Dial(t, n.Addr())
 		caller.Send(c.method, c.target, "id", "", "60")
 		r, body := caller.Answer(t)
 		sent := ""
 		if r.StatusCode == 200 {
-			sent = standin.Receive(t, got, "the request")
+			sent = testpeer.Receive(t, got, "the request")
 		}
 		if r.StatusCode != c.status || sent != c.sent || len(got) > 0 {
 			t.Errorf("%s: %s %s: %d %q, sent %q; want %d, %q", c.paths, c.method, c.target, r.StatusCode, body, sent, c.status, c.sent)
@@ -381,7 +381,7 @@
 // A request whose head was read under one configuration and whose body came under another is taken under the
 // new one: as what it is there, or not at all.
 func TestRequestIsTakenUnderTheConfigurationOfNow(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	for _, c := range []struct {
 		name   string
 		change func(*config.Config)
@@ -400,12 +400,12 @@
 		{"its path is not strict", func(c *config.Config) { c.Listeners[0].Paths = config.StrictPaths }, 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-			caller := standin.Dial(t, n.Addr())
+			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+			caller := testpeer.Dial(t, n.Addr())
 			fmt.Fprint(caller, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
-			standin.Until(t, "its head to be read", func() bool { return n.callers.In(callers.Reading) > 0 })
+			testpeer.Until(t, "its head to be read", func() bool { return n.callers.In(downstream.Reading) > 0 })
 			before := s.Seen()
-			next := standin.Config()
+			next := testpeer.Config()
 			c.change(next)
 			n.calls.Swap(n.view(t, next), func() {})
 			io.WriteString(caller, "k")
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/testpeer"
 )
 
 // heldServer holds every request until the test ends, and tells of each one's arrival and of the end of its connection.
 type heldServer struct {
-	*standin.Server
+	*testpeer.Server
 	got, gone chan string
 }
 
 func newHeldServer(t *testing.T) *heldServer {
 	s := &heldServer{got: make(chan string, 100), gone: make(chan string, 100)}
-	s.Server = standin.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+	s.Server = testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		id := r.Header.Get("X-Request-Id")
 		s.got <- id
 		io.Copy(io.Discard, c)
@@ -56,8 +56,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			one, two := newHeldServer(t), newHeldServer(t)
-			n := start(t, testConfig(standin.Whole(standin.Entry("s1", one.Address(), "in_service"), standin.Entry("s2", two.Address(), "in_service"))), nil)
-			client := standin.Dial(t, n.Addr())
+			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+			client := testpeer.Dial(t, n.Addr())
 			io.WriteString(client, getText("first")+c.with)
 			var at *heldServer
 			select {
@@ -65,7 +65,7 @@
 				at = one
 			case <-two.got:
 				at = two
-			case <-time.After(standin.Limit):
+			case <-time.After(testpeer.Limit):
 				t.Fatal("no attempt")
 			}
 			written := make(chan struct{})
@@ -79,9 +79,9 @@
 				client.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			client.Close()
-			standin.Receive(t, at.gone, "the attempt to be called off")
-			standin.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
-			standin.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
+			testpeer.Receive(t, at.gone, "the attempt to be called off")
+			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
+			testpeer.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
 				t.Errorf("servers got %q", all)
 			}
@@ -96,12 +96,12 @@
 // server made.
 func TestAHalfClosedClientHearsNoMadeUpAnswer(t *testing.T) {
 	s := newHeldServer(t)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	client := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	client := testpeer.Dial(t, n.Addr())
 	client.Get("half")
-	standin.Receive(t, s.got, "an attempt")
+	testpeer.Receive(t, s.got, "an attempt")
 	client.Conn.(*net.TCPConn).CloseWrite()
-	standin.Receive(t, s.gone, "the attempt to be called off")
+	testpeer.Receive(t, s.gone, "the attempt to be called off")
 	r, _ := client.Answer(t)
 	if r.StatusCode != http.StatusBadGateway || !r.Close {
 		t.Errorf("got %d, close %v", r.StatusCode, r.Close)
@@ -111,8 +111,8 @@
 // A client that sends its requests in one go hears all the answers in their order, and none of them is lost where idle
 // connections are let go between two of them: what was read is no idle connection.
 func TestRequestsSentInOneGoAreAllAnswered(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
 		n.callers.SetGrace(idleFor(0))
 	})
 	stop := make(chan struct{})
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(standin.Limit))
+		c.SetDeadline(time.Now().Add(testpeer.Limit))
 		io.WriteString(c, getText("a")+post+getText("c"))
 		in := bufio.NewReader(c)
 		for i, want := range []string{"for a", "for b", "for c"} {
@@ -166,7 +166,7 @@
 		}
 		if early {
 			io.WriteString(theirs, "GET /behind")
-			standin.Until(t, "the bytes to arrive", func() bool { return spoken(ours.Conn) })
+			testpeer.Until(t, "the bytes to arrive", func() bool { return spoken(ours.Conn) })
 		}
 		closed := make(chan struct{})
 		go func() {
@@ -175,16 +175,16 @@
 			close(closed)
 		}()
 		if !early {
-			standin.Until(t, "the close to begin", func() bool { return ours.set.In(callers.Lingering) == 1 })
+			testpeer.Until(t, "the close to begin", func() bool { return ours.set.In(downstream.Lingering) == 1 })
 			io.WriteString(theirs, strings.Repeat("GET /behind", 100))
 		}
-		theirs.SetDeadline(time.Now().Add(standin.Limit))
+		theirs.SetDeadline(time.Now().Add(testpeer.Limit))
 		got, err := io.ReadAll(theirs)
 		if err != nil || len(got) != len(answer) {
 			t.Errorf("%+v: %d of %d bytes, %v", c, len(got), len(answer), err)
 		}
 		theirs.Close()
-		standin.Receive(t, closed, "the close")
+		testpeer.Receive(t, closed, "the close")
 	}
 }
 
@@ -199,7 +199,7 @@
 	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	set := callers.New(clock.New(), callers.Share{Room: 10, Spare: 10}, func() int { return 0 })
+	set := downstream.New(clock.New(), downstream.Share{Room: 10, Spare: 10}, func() int { return 0 })
 	c, err := clientListener{ln, set, new(atomic.Int64)}.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -210,10 +210,10 @@
 
 // Requests that were read together are all answered, also where each answer would end its connection by then.
 func TestWhatWasReadTogetherIsAnsweredBeforeTheLastAnswer(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
+	s := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	n.front.SetClosing(true)
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	io.WriteString(c, getText("a")+getText("b")+getText("c"))
 	for i, id := range []string{"a", "b", "c"} {
 		r, body := c.Answer(t)
@@ -227,14 +227,14 @@
 // What a client sends while its request is served is answered as well, though each answer ends its connection by then.
 func TestWhatComesWhileARequestIsServedIsAnsweredBeforeTheEnd(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := standin.NewServer(t, standin.Held(hold, got))
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
+	s := testpeer.NewServer(t, testpeer.Held(hold, got))
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	n.front.SetClosing(true)
-	c := standin.Dial(t, n.Addr())
+	c := testpeer.Dial(t, n.Addr())
 	c.Get("held")
-	standin.Receive(t, got, "the attempt")
+	testpeer.Receive(t, got, "the attempt")
 	c.Get("behind")
-	standin.Until(t, "the next request to be read", func() bool { return behind(n) })
+	testpeer.Until(t, "the next request to be read", func() bool { return behind(n) })
 	close(hold)
 	for i, id := range []string{"held", "behind"} {
 		r, body := c.Answer(t)
--- a/internal/http1/health_test.go
+++ b/internal/http1/health_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/config"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/testpeer"
 )
 
 // fleet is a list of servers that fail some requests at once with a 500, by class, and count all they get.
@@ -42,7 +42,7 @@
 
 // serve starts a server and returns its entry.
 func (f *fleet) serve(t *testing.T, uid string) string {
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		class := strings.Split(r.URL.Path, "/")[1]
 		f.mu.Lock()
 		f.got[uid+" "+class]++
@@ -67,12 +67,12 @@
 			return false
 		default:
 			time.Sleep(f.work)
-			return standin.Echo(c, r, body)
+			return testpeer.Echo(c, r, body)
 		}
 		_, err := io.WriteString(c, "HTTP/1.1 "+head+"\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	return standin.Entry(uid, s.Address(), "in_service")
+	return testpeer.Entry(uid, s.Address(), "in_service")
 }
 
 // count forgets what came so far and returns a function that tells the share of a class that some got since.
@@ -102,7 +102,7 @@
 	var served atomic.Int64
 	var callers sync.WaitGroup
 	for i := range most {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
@@ -137,12 +137,12 @@
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
 			f := newFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
 			list := []string{f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")}
-			n := start(t, testConfig(standin.Whole(list...)), nil)
+			n := start(t, testConfig(testpeer.Whole(list...)), nil)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
-					n.tell(t, standin.Whole(list...))
-					standin.Until(t, "the new list", func() bool {
+					n.tell(t, testpeer.Whole(list...))
+					testpeer.Until(t, "the new list", func() bool {
 						n.back.mu.Lock()
 						defer n.back.mu.Unlock()
 						_, listed := n.back.seen["s6"]
@@ -171,7 +171,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	cfg := testConfig(standin.Whole(list...))
+	cfg := testConfig(testpeer.Whole(list...))
 	for i := range cfg.Classes {
 		cfg.Classes[i].Aim = config.Duration(900 * time.Millisecond)
 	}
@@ -189,14 +189,14 @@
 func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
 	f := newFleet(0, 0)
 	f.hangs = 5
-	cfg := testConfig(standin.Whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
+	cfg := testConfig(testpeer.Whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
 	cfg.Pools[0].Tier = 1
 	n := start(t, cfg, nil)
 	const callers, each = 8, 20
 	var served [2]atomic.Int64 // of the views and of the notes
 	var all sync.WaitGroup
 	for i := range callers {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -232,7 +232,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	n := start(t, testConfig(standin.Whole(list...)), nil)
+	n := start(t, testConfig(testpeer.Whole(list...)), nil)
 	load(t, n, 20, 100)
 	f.mu.Lock()
 	clear(f.fails)
@@ -259,7 +259,7 @@
 			for _, uid := range uids {
 				list = append(list, f.serve(t, uid))
 			}
-			n := start(t, testConfig(standin.Whole(list...)), nil)
+			n := start(t, testConfig(testpeer.Whole(list...)), nil)
 			load(t, n, 6, 60)
 			share := f.count()
 			load(t, n, 6, 200)
--- a/internal/http1/opening.go
+++ b/internal/http1/opening.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/discovery"
 )
 
 // lateAfter is how long a connection may take to come up before its attempt borrows another. It is longer than any that comes up
--- a/internal/http1/opening_test.go
+++ b/internal/http1/opening_test.go
@@ -7,10 +7,10 @@
 	"net/http"
 	"testing"
 
-	"woodpick"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 // lateAfterFirst has all connections but the first come up only when the test lets them, or when their attempt ends.
@@ -34,17 +34,17 @@
 }
 
 // held is a server that keeps its first request until it is released. behind is run once its answer is written.
-func held(t *testing.T, behind func(net.Conn) bool) (s *standin.Server, got <-chan struct{}, release func()) {
+func held(t *testing.T, behind func(net.Conn) bool) (s *testpeer.Server, got <-chan struct{}, release func()) {
 	came, let := make(chan struct{}, 1), make(chan struct{})
 	first := true
-	s = standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if !first {
-			return standin.Echo(c, r, body)
+			return testpeer.Echo(c, r, body)
 		}
 		first = false
 		came <- struct{}{}
 		<-let
-		return standin.Echo(c, r, body) && behind(c)
+		return testpeer.Echo(c, r, body) && behind(c)
 	})
 	return s, came, func() { close(let) }
 }
@@ -79,13 +79,13 @@
 	ends := make(chan engine.Outcome, 2)
 	attempt := func() { ends <- b.Run(testAttempt(b, s.Address())) }
 	go attempt()
-	standin.Receive(t, got, "the first request at its server")
+	testpeer.Receive(t, got, "the first request at its server")
 	go attempt()
-	standin.Receive(t, dialing, "the second attempt to dial")
-	standin.Until(t, "the second attempt's connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Receive(t, dialing, "the second attempt to dial")
+	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return b.borrowing() == 1 })
 	release()
 	for range 2 {
-		if r := standin.Receive(t, ends, "an answer, with the second connection still on its way"); r.Ending != woodpick.Success {
+		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Ending != balancer.Success {
 			t.Errorf("ending %d", r.Ending)
 		}
 	}
@@ -93,8 +93,8 @@
 		t.Errorf("%d connections were opened, want 1", s.Opened())
 	}
 	let()
-	standin.Until(t, "the late connection to be kept", func() bool { return b.resting() == 2 })
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || b.Connections() != 2 || b.made != 2 {
+	testpeer.Until(t, "the late connection to be kept", func() bool { return b.resting() == 2 })
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.Connections() != 2 || b.made != 2 {
 		t.Errorf("ending %d over %d connections, %d made; want two", r.Ending, b.Connections(), b.made)
 	}
 }
@@ -106,30 +106,30 @@
 	dialing, _ := lateAfterFirst(b)
 	first, second := make(chan engine.Outcome, 1), make(chan engine.Outcome, 1)
 	go func() { first <- b.Run(testAttempt(b, s.Address())) }()
-	standin.Receive(t, got, "the first request at its server")
+	testpeer.Receive(t, got, "the first request at its server")
 	a := testAttempt(b, s.Address())
 	go func() { second <- b.Run(a) }()
-	standin.Receive(t, dialing, "the second attempt to dial")
-	standin.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Receive(t, dialing, "the second attempt to dial")
+	testpeer.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
 	a.Cancel()
-	if r := standin.Receive(t, second, "the second attempt's end"); r.Ending != woodpick.Withdrawn {
+	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Ending != balancer.Withdrawn {
 		t.Errorf("ending %d", r.Ending)
 	}
 	if b.borrowing() != 0 || b.Connections() != 1 {
 		t.Errorf("%d would borrow, %d connections; want none, 1", b.borrowing(), b.Connections())
 	}
 	release()
-	if r := standin.Receive(t, first, "the first answer"); r.Ending != woodpick.Success || s.Seen() != 1 {
+	if r := testpeer.Receive(t, first, "the first answer"); r.Ending != balancer.Success || s.Seen() != 1 {
 		t.Errorf("ending %d, %d requests at the server", r.Ending, s.Seen())
 	}
 }
 
 // A connection that is lent in the moment in which the attempt's own comes up goes back, and serves another.
 func TestALentConnectionThatIsNotNeededIsFreeAgain(t *testing.T) {
-	s := standin.NewServer(t, standin.Echo)
+	s := testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(10)
 	run(t, b, testAttempt(b, s.Address()))
-	standin.Until(t, "the connection to rest", func() bool { return b.resting() == 1 })
+	testpeer.Until(t, "the connection to rest", func() bool { return b.resting() == 1 })
 	to := testHost(b, s.Address())
 	w := &borrower{waiter: make(chan reply, 1), lent: make(chan *conn, 1)}
 	b.borrow(to, w)
@@ -140,7 +140,7 @@
 	if b.resting() != 1 || b.borrowing() != 0 {
 		t.Errorf("%d rest, %d borrow; want 1, 0", b.resting(), b.borrowing())
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || b.made != 1 {
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != 1 {
 		t.Errorf("ending %d, %d connections made", r.Ending, b.made)
 	}
 }
@@ -152,7 +152,7 @@
 	dialing, _ := lateAfterFirst(b)
 	first := make(chan engine.Outcome, 1)
 	go func() { first <- b.Run(testAttempt(b, s.Address())) }()
-	standin.Receive(t, got, "the first request at its server")
+	testpeer.Receive(t, got, "the first request at its server")
 	waiter, lent := make(chan reply, 1), make(chan *conn, 1)
 	if c, _, err := b.take(testHost(b, s.Address()), waiter); c != nil || err != nil {
 		t.Fatalf("%v, %v; want room for another connection", c, err)
@@ -161,11 +161,11 @@
 		c, _, _ := b.openOrBorrow(t.Context(), testHost(b, s.Address()), waiter)
 		lent <- c
 	}()
-	standin.Receive(t, dialing, "the second attempt to dial")
-	standin.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Receive(t, dialing, "the second attempt to dial")
+	testpeer.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
 	release()
-	c := standin.Receive(t, lent, "the first attempt's connection")
-	standin.Until(t, "the connection's end to be seen", func() bool {
+	c := testpeer.Receive(t, lent, "the first attempt's connection")
+	testpeer.Until(t, "the connection's end to be seen", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return c.dead
@@ -173,7 +173,7 @@
 	if b.begin(c, waiter) == nil {
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
-	if r := standin.Receive(t, first, "the first answer"); r.Ending != woodpick.Success {
+	if r := testpeer.Receive(t, first, "the first answer"); r.Ending != balancer.Success {
 		t.Errorf("ending %d", r.Ending)
 	}
 }
@@ -181,12 +181,12 @@
 // A gateway's refusal that is the one answer to a call is told apart from one that says nothing of it.
 func TestASettledRefusalIsTold(t *testing.T) {
 	for header, settled := range map[string]bool{"": false, "X-Settled: 1\r\n": true, "X-Settled: 0\r\n": false} {
-		s := standin.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"+header+"Content-Length: 0\r\n\r\n")
 			return true
 		})
 		b := testBackend(10)
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Overloaded || r.Settled != settled {
+		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Overloaded || r.Settled != settled {
 			t.Errorf("%q: ending %d, settled %v", header, r.Ending, r.Settled)
 		}
 	}
--- a/internal/http1/passing_bench_test.go
+++ b/internal/http1/passing_bench_test.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"testing"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // benchSize is the length of a body or an answer that passes through.
@@ -16,13 +16,13 @@
 // BenchmarkLongAnswer passes answers of 8 MiB through a node on loopback, one after another.
 func BenchmarkLongAnswer(b *testing.B) {
 	text := noise(benchSize)
-	s := standin.NewServer(b, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(b, func(c net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 		_, err := c.Write(text)
 		return err == nil
 	})
-	n := start(b, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(b, n.Addr())
+	n := start(b, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(b, n.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -41,8 +41,8 @@
 func BenchmarkLongBody(b *testing.B) {
 	text := noise(benchSize)
 	ln := raw(b, func(c net.Conn, r *http.Request) {
-		for in := standin.On(c); ; {
-			if got, err := io.Copy(io.Discard, r.Body); got != benchSize || err != nil || !standin.Reply200(c, "") {
+		for in := testpeer.On(c); ; {
+			if got, err := io.Copy(io.Discard, r.Body); got != benchSize || err != nil || !testpeer.Reply200(c, "") {
 				return
 			}
 			var err error
@@ -51,8 +51,8 @@
 			}
 		}
 	})
-	n := start(b, testConfig(standin.Whole(entry("s1", ln))), nil)
-	c := standin.Dial(b, n.Addr())
+	n := start(b, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	c := testpeer.Dial(b, n.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // long is more than the node keeps of a body, and more than the kernel does on the way.
@@ -48,8 +48,8 @@
 			}
 			all.Go(func() {
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(2 * standin.Limit))
-				in := standin.On(c)
+				c.SetDeadline(time.Now().Add(2 * testpeer.Limit))
+				in := testpeer.On(c)
 				if r, err := http.ReadRequest(in.Reader); err == nil {
 					serve(c, r)
 				}
@@ -60,12 +60,12 @@
 }
 
 func entry(id string, ln net.Listener) string {
-	return standin.Entry(id, ln.Addr().String(), "in_service")
+	return testpeer.Entry(id, ln.Addr().String(), "in_service")
 }
 
 func TestLongAnswersPassThroughWhole(t *testing.T) {
 	want := noise(long)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		switch r.URL.RawQuery {
 		case "length":
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: %d\r\n\r\n", len(want))
@@ -83,12 +83,12 @@
 			c.Write(want)
 			return false
 		default:
-			return standin.Echo(c, r, body)
+			return testpeer.Echo(c, r, body)
 		}
 		return true
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	for i, form := range []string{"length", "chunks", "none", "end", "none"} {
 		c.Send("GET", "/view/k?"+form, fmt.Sprint("r", i), "", "60")
 		r, got := c.Answer(t)
@@ -122,8 +122,8 @@
 			}
 		}
 	})
-	n := start(t, testConfig(standin.Whole(entry("s1", ln))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	c.Get("slow")
 	r, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
@@ -138,7 +138,7 @@
 	if got, err := io.Copy(io.Discard, r.Body); got != size || err != nil {
 		t.Errorf("%d bytes, %v", got, err)
 	}
-	standin.Receive(t, over, "the server's end")
+	testpeer.Receive(t, over, "the server's end")
 }
 
 // A server that ends halfway has its caller see that the answer is not whole, whatever its form; nothing is sent again.
@@ -153,8 +153,8 @@
 			}
 			c.Write(noise(100000))
 		})
-		n := start(t, testConfig(standin.Whole(entry("s1", ln))), nil)
-		c := standin.Dial(t, n.Addr())
+		n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+		c := testpeer.Dial(t, n.Addr())
 		c.Get("cut")
 		r, err := http.ReadResponse(c.Reader, nil)
 		if err != nil || r.StatusCode != 200 {
@@ -163,8 +163,8 @@
 		if got, err := io.ReadAll(r.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%s: %d bytes, %v; want an end that can be told from the whole", form, len(got), err)
 		}
-		standin.Until(t, "the connections to be closed", func() bool { return n.back.Connections() == 0 })
-		standin.Until(t, "it to be counted", func() bool { return n.front.figures.Report().Faulted["view"] == 1 })
+		testpeer.Until(t, "the connections to be closed", func() bool { return n.back.Connections() == 0 })
+		testpeer.Until(t, "it to be counted", func() bool { return n.front.figures.Report().Faulted["view"] == 1 })
 		if asked.Load() != 1 {
 			t.Errorf("%s: asked %d times", form, asked.Load())
 		}
@@ -183,19 +183,19 @@
 			}
 		}
 	})
-	n := start(t, testConfig(standin.Whole(entry("s1", ln))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	c.Get("leaving")
 	if _, err := http.ReadResponse(c.Reader, nil); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
-	standin.Receive(t, over, "the server's end")
-	standin.Until(t, "the connection to be closed", func() bool { return n.back.Connections() == 0 })
+	testpeer.Receive(t, over, "the server's end")
+	testpeer.Until(t, "the connection to be closed", func() bool { return n.back.Connections() == 0 })
 }
 
 // upload sends a request's head and returns a function that sends its body in pieces.
-func sendUpload(c *standin.Caller, id string, size int, chunked bool) (write func([]byte) error, end func()) {
+func sendUpload(c *testpeer.Caller, id string, size int, chunked bool) (write func([]byte) error, end func()) {
 	frame := fmt.Sprintf("Content-Length: %d", size)
 	if chunked {
 		frame = "Transfer-Encoding: chunked"
@@ -210,13 +210,13 @@
 
 func TestLongBodiesPassThroughWhole(t *testing.T) {
 	want := noise(long)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		return standin.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	for _, size := range []int{1, maxBody, maxBody + 1, long} {
 		for _, chunked := range []bool{false, true} {
-			c := standin.Dial(t, n.Addr())
+			c := testpeer.Dial(t, n.Addr())
 			for i := range 2 {
 				if i == 1 && chunked {
 					c.WantClosed(t, "a connection behind a body in chunks") // nothing may hide there
@@ -243,11 +243,11 @@
 // An upload goes to another server as long as nothing of it is gone, and is refused, not tried again, once some is:
 // the server that broke never had it whole.
 func TestAnUploadThatAServerBreaks(t *testing.T) {
-	good := standin.NewServer(t, standin.Echo)
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", standin.ClosedPort(t), "in_service"),
-		standin.Entry("s2", good.Address(), "in_service"))), nil)
+	good := testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
+		testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	for i := range 10 { // the closed one is drawn first now and then
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		id := fmt.Sprint("other-", i)
 		write, _ := sendUpload(c, id, 1<<20, false)
 		go write(noise(1 << 20))
@@ -260,8 +260,8 @@
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	m := start(t, testConfig(standin.Whole(entry("s1", ln), entry("s2", ln))), nil)
-	c := standin.Dial(t, m.Addr())
+	m := start(t, testConfig(testpeer.Whole(entry("s1", ln), entry("s2", ln))), nil)
+	c := testpeer.Dial(t, m.Addr())
 	write, _ := sendUpload(c, "broken", long, false)
 	go write(noise(long))
 	r, _ := c.Answer(t)
@@ -280,14 +280,14 @@
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
-	n := start(t, testConfig(standin.Whole(entry("s1", ln))), nil)
-	c := standin.Dial(t, n.Addr())
+	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	write, _ := sendUpload(c, "early", 10<<20, false)
 	if err := write(noise(200 << 10)); err != nil { // and no more
 		t.Fatal(err)
 	}
 	c.Want(t, http.StatusServiceUnavailable, "")
-	standin.Until(t, "the connection to the server to be closed", func() bool { return n.back.Connections() == 0 })
+	testpeer.Until(t, "the connection to the server to be closed", func() bool { return n.back.Connections() == 0 })
 }
 
 // A server that turns an upload away before it has read any of it, and another that takes it: what the first attempt
@@ -299,13 +299,13 @@
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
-	good := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		return standin.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
+	good := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	n := start(t, testConfig(standin.Whole(entry("s1", full), standin.Entry("s2", good.Address(), "in_service"))), nil)
+	n := start(t, testConfig(testpeer.Whole(entry("s1", full), testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	heard := map[int]int{}
 	for i := range 60 {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		write, end := sendUpload(c, fmt.Sprint("u", i), size, i%2 == 0)
 		go func() {
 			for rest, part := text, 1+(i*7919)%(90<<10); len(rest) > 0; rest = rest[min(part, len(rest)):] {
@@ -334,25 +334,25 @@
 		_, err := io.Copy(io.Discard, r.Body)
 		whole <- err
 	})
-	n := start(t, testConfig(standin.Whole(entry("s1", ln))), func(n *rig) { n.front.grace = 300 * time.Millisecond })
+	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *rig) { n.front.grace = 300 * time.Millisecond })
 	for _, leaves := range []bool{true, false} {
-		c := standin.Dial(t, n.Addr())
+		c := testpeer.Dial(t, n.Addr())
 		write, _ := sendUpload(c, fmt.Sprint("cut", leaves), long, false)
 		if err := write(noise(100 << 10)); err != nil {
 			t.Fatal(err)
 		}
-		standin.Receive(t, begun, "the attempt") // for a client that has left by then none begins
+		testpeer.Receive(t, begun, "the attempt") // for a client that has left by then none begins
 		if leaves {
 			c.Close()
 		} else {
 			c.Want(t, http.StatusBadRequest, "")
 			c.WantClosed(t, "an upload that stopped")
 		}
-		if err := standin.Receive(t, whole, "the server's end"); err == nil {
+		if err := testpeer.Receive(t, whole, "the server's end"); err == nil {
 			t.Error("the server had it whole")
 		}
 	}
-	standin.Until(t, "nothing to be open", func() bool {
+	testpeer.Until(t, "nothing to be open", func() bool {
 		return n.back.Connections() == 0 && n.front.figures.Report().Open == 0 && n.engine.Status().Open == 0
 	})
 	if a := n.engine.Status().Avoided; a != 0 {
@@ -362,16 +362,16 @@
 
 // A body may come in pieces at any point, no slower than the least rate and its grace.
 func TestABodyInPieces(t *testing.T) {
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return standin.Reply200(c, body) })
-	n := start(t, testConfig(standin.Whole(standin.Entry("s1", s.Address(), "in_service"))), nil)
-	c := standin.Dial(t, n.Addr())
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, body) })
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	c := testpeer.Dial(t, n.Addr())
 	text := "POST http://backend.local/note/k HTTP/1.1\r\nhost:h\r\nX-Request-Id:  pieces \r\nx-deadline: 60\r\n" +
 		"TRANSFER-ENCODING: Chunked\r\n\r\n2\r\nok\r\n1;x=y\r\n!\r\n0\r\nTrailer: t\r\n\r\n"
 	for i := range len(text) {
 		io.WriteString(c, text[i:i+1])
 	}
 	c.Want(t, 200, "ok!")
-	c = standin.Dial(t, n.Addr())
+	c = testpeer.Dial(t, n.Addr())
 	fmt.Fprintf(c, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: asks\r\nX-Deadline: 60\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	if r, err := http.ReadResponse(c.Reader, nil); err != nil || r.StatusCode != 100 {
 		t.Fatalf("%v %v", r, err)
@@ -435,7 +435,7 @@
 		if whole.state != pieces.state || whole.length != pieces.length || whole.coding != pieces.coding {
 			t.Fatalf("%q: %+v whole, %+v in pieces of %d", text, whole, pieces, int(size)+1)
 		}
-		r, err := http.ReadRequest(standin.On(&readConn{Reader: bytes.NewReader(text)}).Reader)
+		r, err := http.ReadRequest(testpeer.On(&readConn{Reader: bytes.NewReader(text)}).Reader)
 		if err != nil || len(r.TransferEncoding) == 0 {
 			return
 		}
--- a/internal/http1/report.go
+++ b/internal/http1/report.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
 )
 
 // Bounds of a load report. A longer one is noise.
@@ -19,7 +19,7 @@
 )
 
 // load is what an answer says of its server's load, or nil.
-func (b *Back) load(h http.Header) *woodpick.Load {
+func (b *Back) load(h http.Header) *balancer.Load {
 	b.mu.Lock()
 	name := b.limits.Busy
 	b.mu.Unlock()
@@ -30,7 +30,7 @@
 	if !ok {
 		return nil
 	}
-	return &woodpick.Load{Busy: busy, Service: -1}
+	return &balancer.Load{Busy: busy, Service: -1}
 }
 
 // askGrace is how much longer a connection is kept for an answer that nobody waits for any more: it is of use again once
@@ -56,7 +56,7 @@
 	defer t.Stop()
 	select {
 	case r := <-got:
-		if r.err != nil || r.Ending != woodpick.Success {
+		if r.err != nil || r.Ending != balancer.Success {
 			return 0, false
 		}
 		if busy, ok = figure(string(r.Reply.Body), name); !ok && r.Load != nil {
--- a/internal/http1/report_test.go
+++ b/internal/http1/report_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/standin"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/testpeer"
 )
 
 func TestFigure(t *testing.T) {
@@ -47,7 +47,7 @@
 
 // An answer's report reaches the module only where the pool says what it is called; an error may bring one too.
 func TestReportsComeWithAnswers(t *testing.T) {
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		status := "200 OK"
 		if r.URL.Path == "/note/bad" {
 			status = "500 Internal Server Error"
@@ -83,7 +83,7 @@
 // A server that is asked says what it holds; nothing of a call goes there, and its connection serves calls afterwards.
 func TestServersAreAsked(t *testing.T) {
 	ids := make(chan string, 10)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		ids <- r.URL.Path + " " + r.Header.Get("X-Request-Id")
 		body := "ok"
 		if r.URL.Path == "/stats" {
@@ -94,16 +94,16 @@
 	})
 	b := testBackend(10)
 	to := testHost(b, s.Address())
-	if _, ok := b.Ask(to, standin.Limit); ok {
+	if _, ok := b.Ask(to, testpeer.Limit); ok {
 		t.Error("a server was asked though the pool says nothing of it")
 	}
 	asks(b)
 	for range 3 {
-		if busy, ok := b.Ask(to, standin.Limit); !ok || busy != 5 {
+		if busy, ok := b.Ask(to, testpeer.Limit); !ok || busy != 5 {
 			t.Errorf("it says %v, %v; want 5", busy, ok)
 		}
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != woodpick.Success || b.made != 1 || b.open != 1 {
+	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != 1 || b.open != 1 {
 		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Ending, b.made, b.open)
 	}
 	for _, want := range []string{"/stats ", "/stats ", "/stats ", "/note/k id"} {
@@ -116,7 +116,7 @@
 // Nobody waits longer than said for a server that does not answer, and an answer that comes late frees its connection.
 func TestAskingDoesNotWaitForTheSilent(t *testing.T) {
 	let := make(chan bool)
-	s := standin.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		<-let
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
@@ -126,27 +126,27 @@
 		t.Errorf("it says %v before it has answered", busy)
 	}
 	close(let)
-	standin.Until(t, "that the connection is idle again", func() bool {
+	testpeer.Until(t, "that the connection is idle again", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return len(b.idle) == 1 && b.open == 1 || b.open == 0 // or it took longer than it may
 	})
 	b.Close()
 	dead := asks(testBackend(10))
-	if _, ok := dead.Ask(testHost(dead, "127.0.0.1:1"), standin.Limit); ok {
+	if _, ok := dead.Ask(testHost(dead, "127.0.0.1:1"), testpeer.Limit); ok {
 		t.Error("nobody listens there, and it answered")
 	}
 }
 
 func BenchmarkAsk(b *testing.B) {
-	s := standin.NewServer(b, func(c net.Conn, r *http.Request, _ string) bool {
+	s := testpeer.NewServer(b, func(c net.Conn, r *http.Request, _ string) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
 	back := asks(testBackend(10))
 	to := testHost(back, s.Address())
 	for b.Loop() {
-		if _, ok := back.Ask(to, standin.Limit); !ok {
+		if _, ok := back.Ask(to, testpeer.Limit); !ok {
 			b.Fatal("no answer")
 		}
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"woodpick/internal/engine"
+	"damsontrestle/internal/engine"
 )
 
 // headRoom is more than the head of a request takes that has nothing long in it.
--- a/internal/http1/request_bench_test.go
+++ b/internal/http1/request_bench_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/standin"
+	"damsontrestle/internal/testpeer"
 )
 
 // requestAnswer is what the benchmarks' servers answer: 1 KB.
@@ -78,9 +78,9 @@
 func benchRequests(b *testing.B, clients, servers int, service, pause time.Duration) (n *rig, took []time.Duration) {
 	var entries []string
 	for i := range servers {
-		entries = append(entries, standin.Entry(fmt.Sprint("s", i), plainServer(b, service), "in_service"))
+		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), plainServer(b, service), "in_service"))
 	}
-	n = start(b, testConfig(standin.Whole(entries...)), func(n *rig) { n.back.limits.Settle = DefaultSettle })
+	n = start(b, testConfig(testpeer.Whole(entries...)), func(n *rig) { n.back.limits.Settle = DefaultSettle })
 	var (
 		mu  sync.Mutex
 		all sync.WaitGroup
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
 )
 
 // What a server gets is byte for byte what net/http would write, whatever is in the request.
