--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/engine"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/engine"
 )
 
 // Times of an upload.
@@ -76,7 +76,7 @@
 	body := io.MultiReader(bytes.NewReader(a.Call.Request.Body), rest)
 	if a.Call.IsLeft(b.clock.Now) {
 		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: woodpick.Withdrawn}
+		return engine.Outcome{Ending: balancer.Withdrawn}
 	}
 	done := make(chan error, 1)
 	go func() { done <- request(a, a.Deadline-a.Sent, body).Write(paced{c}) }()
@@ -126,19 +126,19 @@
 		if got.Reply.Rest != nil {
 			got.Reply.Rest.Close()
 		}
-		if out.Ending == woodpick.Success {
-			out = engine.Outcome{Ending: woodpick.Failure}
+		if out.Ending == balancer.Success {
+			out = engine.Outcome{Ending: balancer.Failure}
 		}
 	case a.Withdrawn():
-		out.Ending = woodpick.Withdrawn
+		out.Ending = balancer.Withdrawn
 	case cut:
-		out.Ending = woodpick.Void
+		out.Ending = balancer.Void
 	case !written:
-		out.Ending = woodpick.Unreachable
+		out.Ending = balancer.Unreachable
 	case late.Load():
-		out.Ending = woodpick.TimedOut
+		out.Ending = balancer.TimedOut
 	default:
-		out.Ending = woodpick.Broken
+		out.Ending = balancer.Broken
 	}
 	out.Spent = used
 	return out
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"woodpick/internal/engine"
-	"woodpick/internal/intake"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/validation"
 )
 
 // stall is how long a server may say nothing in the midst of an answer that passes through, and a caller may take
@@ -107,6 +107,6 @@
 
 // maxPassed bounds the answers that pass through, and what they may take on the wire in chunks of any size.
 const (
-	maxPassed     = intake.MaxLength
+	maxPassed     = validation.MaxLength
 	chunkOverhead = 8
 )
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/intake"
+	"damsontrestle/internal/validation"
 )
 
 // How slowly a caller may send a body: it may be behind the least rate by the grace, counted from its request's
@@ -33,7 +33,7 @@
 	b.rc.SetReadDeadline(begin.Add(b.grace + time.Duration(b.got)*time.Second/bodyRate - b.waited))
 	n, err := b.body.Read(p)
 	b.waited += time.Since(begin)
-	if b.got += int64(n); b.got > intake.MaxLength {
+	if b.got += int64(n); b.got > validation.MaxLength {
 		return n, errTooLong
 	}
 	if err == io.EOF {
@@ -108,7 +108,7 @@
 	}
 	begun := connOf(r.Context()).Begun()
 	body := &pacedBody{body: r.Body, rc: rc, grace: f.grace, waited: time.Since(begun)}
-	most := int64(intake.MaxBody)
+	most := int64(validation.MaxBody)
 	if r.ContentLength > most {
 		most = firstPart
 	}
--- a/internal/listener/open.go
+++ b/internal/listener/open.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // Patience is for how long a start tries to open its sockets, over all of them: most restarted nodes must be ready
--- a/internal/members/codec.go
+++ b/internal/membership/codec.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"crypto/hmac"
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package members knows which other nodes live: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, and
+// Package membership knows which other nodes live: SWIM (Das, Gupta, Motivala 2002) with suspicion and incarnations, and
 // Lifeguard's refinements (Dadgar, Phillips, Currey 2018): a node's own health stretches its patience, a suspicion that
 // others confirm ends sooner, and whoever is suspected hears of it first. It does no I/O, has no clock and no goroutine:
 // time and messages come in, messages go out.
@@ -15,7 +15,7 @@
 //     and dead for all at most MostSuspicion after that, plus the time that a word takes to spread.
 //   - Whatever the number of members, a node sends at most 1 + Indirect pings a period beside its answers, and messages
 //     hold MostBytes at most.
-package members
+package membership
 
 import (
 	"cmp"
@@ -27,7 +27,7 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/splitmix"
 )
 
 // ID tells members apart: it is made of the name alone.
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures counts what became of requests since the process began, as callers and servers saw it, for the
+// Package metrics counts what became of requests since the process began, as callers and servers saw it, for the
 // operators' door. What is counted is told by the fronts and the back ends; the package knows nothing of either.
-package figures
+package metrics
 
 import "sync"
 
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"encoding/json"
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/figures"
-	"woodpick/internal/listener"
+	"damsontrestle/internal/listener"
+	"damsontrestle/internal/metrics"
 )
 
 // Bounds of what operators may make the node hold.
@@ -30,7 +30,7 @@
 type Control interface {
 	// Health is nil if this process is ready to serve.
 	Health() error
-	Figures() figures.Report
+	Figures() metrics.Report
 	// Quiesce sends callers away; Resume takes them again.
 	Quiesce() error
 	Resume() error
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,7 +1,7 @@
-// Package explore plays machines without I/O through orders of what can happen to them: for small systems all orders, with
+// Package modelcheck plays machines without I/O through orders of what can happen to them: for small systems all orders, with
 // states that were seen before left out; beyond that random walks from a seed. A breach is shortened to the fewest steps
 // that still bring it about, and told as a script. It is for tests and tools, never in the node.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/explore/air.go
+++ b/internal/modelcheck/network.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"cmp"
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	netlistener "woodpick/internal/listener"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/engine"
+	netlistener "damsontrestle/internal/listener"
 )
 
 // Errors of a change.
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/succession"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/hotrestart"
 )
 
 // How a node ends: it accepts for a while after it was told to, and is done before it would be killed, which is
@@ -81,7 +81,7 @@
 	if followed {
 		n.log.Info("another process of this node goes on")
 		for _, s := range sockets {
-			if err := succession.Yield(s.Listener); err != nil {
+			if err := hotrestart.Yield(s.Listener); err != nil {
 				n.log.Warn("callers may still come here", "address", s.Addr(), "error", err)
 			}
 		}
@@ -128,7 +128,7 @@
 }
 
 // letGo closes the fronts' quiet connections and tells how many are left of all.
-func letGo(fronts []front, set *callers.Set) int {
+func letGo(fronts []front, set *downstream.Set) int {
 	for _, f := range fronts {
 		f.LetQuietGo()
 	}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -4,11 +4,11 @@
 	"context"
 	"fmt"
 
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/gateway"
-	netlistener "woodpick/internal/listener"
-	"woodpick/internal/peers"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/gateway"
+	"damsontrestle/internal/gossip"
+	netlistener "damsontrestle/internal/listener"
 )
 
 // openGateway makes the node a gateway, where its file has a federation.
@@ -16,13 +16,13 @@
 	if c.Federation == nil || n.peers == nil {
 		return nil
 	}
-	key, err := peers.LoadKey(c.Node.Peers.KeyFile)
+	key, err := gossip.LoadKey(c.Node.Peers.KeyFile)
 	if err != nil {
 		return err
 	}
 	o := gateway.Options{Config: c, Key: key, Keys: map[string][]byte{}, Living: n.peers.Living, Calls: n.calls, List: n.giveGateways, Clock: n.clock, Log: n.log}
 	for _, p := range c.Partners {
-		if o.Keys[p.Name], err = peers.LoadKey(p.KeyFile); err != nil {
+		if o.Keys[p.Name], err = gossip.LoadKey(p.KeyFile); err != nil {
 			return fmt.Errorf("partner %q: %w", p.Name, err)
 		}
 	}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -7,11 +7,11 @@
 	"os"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/fastcgi"
-	"woodpick/internal/http1"
-	netlistener "woodpick/internal/listener"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/fastcgi"
+	"damsontrestle/internal/http1"
+	netlistener "damsontrestle/internal/listener"
 )
 
 // socket is a listening socket. Which front accepts from it can change while it stays open, so that no caller
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,21 +15,21 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/callers"
-	"woodpick/internal/clock"
-	"woodpick/internal/config"
-	"woodpick/internal/descriptors"
-	"woodpick/internal/discovery"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/duty"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	"woodpick/internal/gateway"
-	"woodpick/internal/http1"
-	netlistener "woodpick/internal/listener"
-	"woodpick/internal/mgmt"
-	"woodpick/internal/peers"
-	"woodpick/internal/succession"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/descriptors"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/gateway"
+	"damsontrestle/internal/gossip"
+	"damsontrestle/internal/hotrestart"
+	"damsontrestle/internal/http1"
+	netlistener "damsontrestle/internal/listener"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/mgmt"
+	"damsontrestle/internal/readiness"
 )
 
 // Node is one load balancer on sockets.
@@ -40,11 +40,11 @@
 	named   bool // pools are told apart in the log
 	start   *first
 	servers *descriptors.Share // of the connections to servers
-	figures figures.Set
+	figures metrics.Set
 	door    *mgmt.Server     // nil: none
-	peers   *peers.Room      // nil: the node knows of no other
+	peers   *gossip.Room     // nil: the node knows of no other
 	gateway *gateway.Gateway // nil: it is no gateway
-	callers *callers.Set
+	callers *downstream.Set
 	calls   *dispatch.Dispatcher
 
 	life       context.Context // ends with the node
@@ -64,7 +64,7 @@
 	change    *Change                  // under way
 	serving   bool
 	ending    bool
-	duty      duty.Duty
+	duty      readiness.Duty
 	parting   context.CancelFunc // ends the letting go of callers that Quiesce began; nil: none is under way
 	two       bool               // another process of this node shares its limits
 }
@@ -79,7 +79,7 @@
 type Options struct {
 	Listen func(network, address string) (net.Listener, error) // nil: net.Listen
 	Limit  func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
-	Line   *succession.Line                                    // of this node's processes; nil: this one is alone
+	Line   *hotrestart.Line                                    // of this node's processes; nil: this one is alone
 	Start  context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
 	Fault  func(point string) error                            // for tests: an error has a step of a change fail
 	ending *ending                                             // for tests: instead of what follows from the configuration
@@ -126,7 +126,7 @@
 		failed: make(chan error, 1), draining: make(chan struct{}), sockets: map[string]*socket{},
 		listeners: map[string]*listener{}, pools: map[string]*pool{}, retiring: map[*pool]bool{}, leaving: map[*listener]bool{}, closing: map[string]chan struct{}{}}
 	n.life, n.stop = context.WithCancel(context.Background())
-	n.callers = callers.New(n.clock, callers.Share{}, n.servers.Used)
+	n.callers = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
 	if o.Line != nil {
 		n.two = !o.Line.Seated()
 	}
@@ -156,7 +156,7 @@
 		limits.Memory, room, spare = limits.Memory/2, room/2, spare/2
 	}
 	n.servers.Resize(room / 2)
-	n.callers.Resize(callers.Share{Room: room, Least: room / 4, Spare: spare})
+	n.callers.Resize(downstream.Share{Room: room, Least: room / 4, Spare: spare})
 	if n.options.Limit != nil {
 		n.options.Limit(limits)
 	}
@@ -286,7 +286,7 @@
 	Draining  []string                  `json:"draining,omitempty"` // of earlier configurations, as "pool a"
 	Callers   int                       `json:"callers"`            // connections
 	Ready     bool                      `json:"ready"`
-	Peers     *peers.Status             `json:"peers,omitempty"` // what is known of other nodes
+	Peers     *gossip.Status            `json:"peers,omitempty"` // what is known of other nodes
 	Gateway   *gateway.Status           `json:"gateway,omitempty"`
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -6,12 +6,12 @@
 	"fmt"
 	"net"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/duty"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	netlistener "woodpick/internal/listener"
-	"woodpick/internal/mgmt"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/engine"
+	netlistener "damsontrestle/internal/listener"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/mgmt"
+	"damsontrestle/internal/readiness"
 )
 
 // openDoor opens the operators' door at an address; empty: none.
@@ -49,7 +49,7 @@
 }
 
 // Figures implements mgmt.Control.
-func (n *Node) Figures() figures.Report {
+func (n *Node) Figures() metrics.Report {
 	r := n.figures.Report()
 	n.mu.Lock()
 	var engines []*engine.Engine
@@ -120,7 +120,7 @@
 }
 
 // follow has the fronts do what the duty says. The caller holds mu.
-func (n *Node) follow(s duty.State) {
+func (n *Node) follow(s readiness.State) {
 	if n.ending {
 		return // the end goes its own way
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
-	"woodpick/internal/engine"
-	"woodpick/internal/http1"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/http1"
 )
 
 // pool is one Balancer with its back end and the source of its list. It lives for as long as configurations
@@ -25,7 +25,7 @@
 
 	// Of the running configuration; guarded by Node.mu.
 	cfg      config.Pool
-	settings woodpick.Settings
+	settings balancer.Settings
 	static   map[string]discovery.Target // the list that the configuration holds
 }
 
@@ -114,7 +114,7 @@
 type update struct {
 	pool     *pool
 	cfg      config.Pool
-	settings woodpick.Settings
+	settings balancer.Settings
 	source   *source // a watch that has been tried; nil: the old one stays, or the configuration holds the list
 }
 
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/discovery"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/discovery"
 )
 
 // relay passes what a watch finds on to a pool's engine. Until it has one it keeps the news, so that a watch
@@ -52,7 +52,7 @@
 		closeOnce(r.listed)
 	}
 	for _, t := range l.Targets {
-		if t.State == woodpick.Ready {
+		if t.State == balancer.Ready {
 			r.ready[t.ID] = true
 		} else {
 			delete(r.ready, t.ID)
@@ -159,9 +159,9 @@
 func staticList(p config.Pool, before map[string]discovery.Target, now time.Duration) discovery.List {
 	l := discovery.List{Full: true}
 	for _, s := range p.Servers {
-		t := discovery.Target{Endpoint: s.Address, Server: woodpick.Server{ID: s.Name, Zone: s.Zone, Cell: s.Cell, Size: s.Size}}
+		t := discovery.Target{Endpoint: s.Address, Server: balancer.Server{ID: s.Name, Zone: s.Zone, Cell: s.Cell, Size: s.Size}}
 		if s.State == config.Draining {
-			t.State = woodpick.Draining
+			t.State = balancer.Draining
 		}
 		if was, known := before[s.Name]; known && was.Endpoint == s.Address {
 			t.Boot = was.Boot
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -34,8 +34,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/listener"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/listener"
 )
 
 // Peer is a gateway at the other end of a link.
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -12,8 +12,8 @@
 	"slices"
 	"strings"
 
-	"woodpick/internal/config"
-	"woodpick/internal/route"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/route"
 )
 
 // Action is what becomes of a resource or a field.
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"woodpick/internal/config"
+	"damsontrestle/internal/config"
 )
 
 // Machine is the order in which an apply's steps come. It is fed what happened and says what to do next, one
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -10,7 +10,7 @@
 	"io"
 	"time"
 
-	"woodpick/internal/config"
+	"damsontrestle/internal/config"
 )
 
 // Format is the version of a plan's form that this program writes and reads.
--- a/internal/quota/keeper.go
+++ b/internal/quota/leader.go
@@ -23,8 +23,8 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/budget"
-	"woodpick/internal/peering"
+	"damsontrestle/internal/budget"
+	"damsontrestle/internal/peering"
 )
 
 // keeper is the bucket of one who may be the keeper of a budget, and its part in electing one. The owner locks it.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/budget"
-	"woodpick/internal/clock"
-	"woodpick/internal/peering"
+	"damsontrestle/internal/budget"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/peering"
 )
 
 // Topics of what gateways ask one another.
--- a/internal/duty/duty.go
+++ b/internal/readiness/readiness.go
@@ -1,6 +1,6 @@
-// Package duty decides whether a node asks the front for callers and whether it lets go of those that it has: an
+// Package readiness decides whether a node asks the front for callers and whether it lets go of those that it has: an
 // operator sends them away and takes them again, and the node's end is for good. It does no I/O and has no clock.
-package duty
+package readiness
 
 import (
 	"errors"
--- a/internal/custody/await.go
+++ b/internal/replication/await.go
@@ -1,4 +1,4 @@
-package custody
+package replication
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/clock"
+	"damsontrestle/internal/clock"
 )
 
 // Await brings the one answer to a call that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
--- a/internal/custody/messages.go
+++ b/internal/replication/messages.go
@@ -1,4 +1,4 @@
-package custody
+package replication
 
 import "time"
 
--- a/internal/custody/recall.go
+++ b/internal/replication/recall.go
@@ -1,4 +1,4 @@
-package custody
+package replication
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/peering"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/peering"
 )
 
 // A gateway that starts anew may have voted in an earlier life for calls whose keys still come, and forgot it: it votes for no key
--- a/internal/custody/voter.go
+++ b/internal/replication/replica.go
@@ -1,9 +1,9 @@
-package custody
+package replication
 
 import (
 	"time"
 
-	"woodpick/internal/peering"
+	"damsontrestle/internal/peering"
 )
 
 // Topics are how others reach it.
--- a/internal/custody/custody.go
+++ b/internal/replication/replication.go
@@ -1,4 +1,4 @@
-package custody
+package replication
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"woodpick/internal/peering"
+	"damsontrestle/internal/peering"
 )
 
 // Links are how a gateway reaches the others of its group.
--- a/internal/custody/rules.go
+++ b/internal/replication/rules.go
@@ -1,4 +1,4 @@
-// Package custody keeps work in hand alive past the gateway that had it: another takes it over, once.
+// Package replication keeps work in hand alive past the gateway that had it: another takes it over, once.
 //
 // A call in custody is recorded at a few gateways of the owner's own group, its voters, and whoever has it in hand goes by
 // ballots, as in Paxos (Lamport 2001) and Viewstamped Replication's views (Liskov, Cowling 2012). The owner's ballot is the
@@ -22,15 +22,15 @@
 //     (when_alone). An answer is kept for Options.Keep after it was settled, or until room is needed.
 //
 // The rules are this file's plain functions; docs/design/custody.md has them as tables, and a test plays each row.
-package custody
+package replication
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/splitmix"
 )
 
 // Gateway is a life of a gateway.
@@ -290,14 +290,14 @@
 func (s Step) String() string { return steps[min(int(s), len(steps)-1)] }
 
 // Next is what whoever takes a call over does first. partner says whether a pool is a partner's.
-func Next(effect woodpick.Effect, intents []Intent, left time.Duration, partner func(pool string) bool) Step {
+func Next(effect balancer.Effect, intents []Intent, left time.Duration, partner func(pool string) bool) Step {
 	may := slices.DeleteFunc(slices.Clone(intents), func(in Intent) bool { return in.NotRun })
 	switch {
 	case left <= 0:
 		return GiveUp
 	case len(may) == 0:
 		return Send
-	case effect != woodpick.Unsafe:
+	case effect != balancer.Unsafe:
 		return Again
 	case partner(may[len(may)-1].Pool):
 		return Ask
--- a/internal/custody/takeover.go
+++ b/internal/replication/takeover.go
@@ -1,11 +1,11 @@
-package custody
+package replication
 
 import (
 	"context"
 	"time"
 
-	"woodpick/internal/clock"
-	"woodpick/internal/fault"
+	"damsontrestle/internal/clock"
+	"damsontrestle/internal/fault"
 )
 
 // Look has it look for calls that nobody has in hand, now rather than soon: a link has ended.
--- a/internal/custody/work.go
+++ b/internal/replication/work.go
@@ -1,4 +1,4 @@
-package custody
+package replication
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/fault"
+	"damsontrestle/internal/fault"
 )
 
 // Work is a call that this gateway has in hand.
--- a/internal/offers/offers.go
+++ b/internal/routeexchange/routeexchange.go
@@ -1,4 +1,4 @@
-package offers
+package routeexchange
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"woodpick/internal/peering"
+	"damsontrestle/internal/peering"
 )
 
 // topicTable tells a neighbour's gateway of a table, or of what has changed in it.
--- a/internal/offers/rules.go
+++ b/internal/routeexchange/rules.go
@@ -1,4 +1,4 @@
-// Package offers merges the route tables of partners, each under its owner's export rules.
+// Package routeexchange merges the route tables of partners, each under its owner's export rules.
 //
 // A partner offers what it serves: a class and a path below which its boxes answer, with rules on who may have the offer, who
 // may pass it on, and for which calls it holds. Three tables stand for each neighbour, as in BGP (RFC 4271): as received, as
@@ -18,7 +18,7 @@
 //     flapWindow is chosen by the number of hands alone for a while, which always settles (docs/design/offers.md).
 //
 // Rules are this file's plain functions; the page has them as tables, and a test plays each row.
-package offers
+package routeexchange
 
 import (
 	"cmp"
@@ -27,14 +27,14 @@
 	"strings"
 	"time"
 
-	"woodpick"
+	"damsontrestle/internal/balancer"
 )
 
 // Effects are a set of effects.
 type Effects uint8
 
 // Of is the set of some effects.
-func Of(list ...woodpick.Effect) (e Effects) {
+func Of(list ...balancer.Effect) (e Effects) {
 	for _, v := range list {
 		e |= 1 << uint(v)
 	}
@@ -42,10 +42,10 @@
 }
 
 // AllEffects are all.
-var AllEffects = Of(woodpick.Safe, woodpick.Keyed, woodpick.Unsafe)
+var AllEffects = Of(balancer.Safe, balancer.Keyed, balancer.Unsafe)
 
 // Has says that an effect is in the set.
-func (e Effects) Has(v woodpick.Effect) bool { return e&(1<<uint(v)) != 0 }
+func (e Effects) Has(v balancer.Effect) bool { return e&(1<<uint(v)) != 0 }
 
 // Rules are what the owner of an offer allows, narrowed by whoever passed it on.
 type Rules struct {
@@ -242,7 +242,7 @@
 	Class  string
 	Path   string // of the target, in its plain form
 	Tenant string
-	Effect woodpick.Effect
+	Effect balancer.Effect
 	Came   []string // partners that it came through, the first caller's first; empty: from a caller of this partner's
 }
 
--- a/internal/offers/table.go
+++ b/internal/routeexchange/table.go
@@ -1,4 +1,4 @@
-package offers
+package routeexchange
 
 import (
 	"cmp"
--- a/internal/explore/crowd/crowd.go
+++ b/internal/simulation/simulation.go
@@ -1,13 +1,13 @@
-// Package crowd plays large fleets of machines without I/O on virtual time: their datagrams get lost, come late, their nodes
+// Package simulation plays large fleets of machines without I/O on virtual time: their datagrams get lost, come late, their nodes
 // sleep, die and are cut off from one another, all from a seed. What the machines are it does not know.
-package crowd
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"woodpick/internal/due"
+	"damsontrestle/internal/eventqueue"
 )
 
 // World is what happens to a fleet.
@@ -110,7 +110,7 @@
 	LookEvery time.Duration
 	Died      func()
 
-	queue due.Queue[event]
+	queue eventqueue.Queue[event]
 }
 
 // New is a fleet without machines.
--- a/internal/pages/pages.go
+++ b/internal/spectest/spectest.go
@@ -1,5 +1,5 @@
-// Package pages reads the tables of the design pages, so that tests play each row of what the pages say.
-package pages
+// Package spectest reads the tables of the design pages, so that tests play each row of what the pages say.
+package spectest
 
 import (
 	"fmt"
--- a/internal/pages/pages_test.go
+++ b/internal/spectest/spectest_test.go
@@ -1,4 +1,4 @@
-package pages
+package spectest
 
 import (
 	"os"
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -23,7 +23,7 @@
 	"strings"
 	"time"
 
-	"woodpick/internal/config"
+	"damsontrestle/internal/config"
 )
 
 // Format is the version of the record's form that this program writes and reads.
--- a/internal/state/statetest/files.go
+++ b/internal/state/statetest/files.go
@@ -9,7 +9,7 @@
 	"strings"
 	"sync"
 
-	"woodpick/internal/state"
+	"damsontrestle/internal/state"
 )
 
 // ErrEnded is what every call of a process gets that has been ended.
--- a/internal/standin/caller.go
+++ b/internal/testpeer/client.go
@@ -1,4 +1,4 @@
-package standin
+package testpeer
 
 import (
 	"bufio"
--- a/internal/standin/config.go
+++ b/internal/testpeer/config.go
@@ -1,10 +1,10 @@
-package standin
+package testpeer
 
 import (
 	"time"
 
-	"woodpick/internal/config"
-	"woodpick/internal/route"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/route"
 )
 
 // Config is a small deployment as the platform describes one, with long limits: a class of each kind (view,
--- a/internal/intake/intake.go
+++ b/internal/validation/validation.go
@@ -1,7 +1,7 @@
-// Package intake reads what callers ask for, whatever protocol they ask in: it checks a request's head against
+// Package validation reads what callers ask for, whatever protocol they ask in: it checks a request's head against
 // the view of now and has it taken under one view whole. What it turns away has been sent to no server. The
 // fronts bring heads and bodies in, and words to answers.
-package intake
+package validation
 
 import (
 	"errors"
@@ -13,12 +13,12 @@
 	"strings"
 	"time"
 
-	"woodpick"
-	"woodpick/internal/config"
-	"woodpick/internal/dispatch"
-	"woodpick/internal/engine"
-	"woodpick/internal/figures"
-	"woodpick/internal/route"
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/dispatch"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/metrics"
+	"damsontrestle/internal/route"
 )
 
 // Bounds of a request.
@@ -101,9 +101,9 @@
 		return no(http.StatusNotFound, "the path names no class")
 	case l.Paths == config.PathsAsSent && !route.Agrees(path, name):
 		return no(http.StatusBadRequest, "the path can be read as one of another class")
-	case (class.Effect == woodpick.Safe) != (h.Method == http.MethodGet):
+	case (class.Effect == balancer.Safe) != (h.Method == http.MethodGet):
 		return no(http.StatusMethodNotAllowed, "the class is not asked for by this method")
-	case len(h.Key) > 1 || (len(h.Key) == 1) != (class.Effect == woodpick.Keyed) || len(h.Key) == 1 && key == "":
+	case len(h.Key) > 1 || (len(h.Key) == 1) != (class.Effect == balancer.Keyed) || len(h.Key) == 1 && key == "":
 		return no(http.StatusBadRequest, "Idempotency-Key does not fit the class, or comes twice")
 	case id == "" || len(id) > maxID || len(h.ID) > 1:
 		return no(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
@@ -118,7 +118,7 @@
 	}
 	r := Request{ID: id, Class: name, Wait: wait, Call: engine.Request{Method: h.Method, Target: target, Key: key, ContentType: h.Type},
 		route: route.Call{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, Draw: id}}
-	if class.Effect == woodpick.Keyed {
+	if class.Effect == balancer.Keyed {
 		r.route.Draw = key // a repeat must meet the servers that know its key
 	}
 	return r, nil
@@ -205,12 +205,12 @@
 }
 
 // Result is how an answer that was given whole counts.
-func Result(a engine.Answer) figures.Result {
+func Result(a engine.Answer) metrics.Result {
 	switch a.Kind {
 	case engine.Served:
-		return figures.Fulfilled
+		return metrics.Fulfilled
 	case engine.Refused:
-		return figures.Throttled
+		return metrics.Throttled
 	}
-	return figures.Faulted
+	return metrics.Faulted
 }
--- a/internal/facts/exchange.go
+++ b/internal/zonestate/exchange.go
@@ -1,4 +1,4 @@
-package facts
+package zonestate
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/splitmix"
 )
 
 // MessageKind says what a message is for.
--- a/internal/facts/read.go
+++ b/internal/zonestate/read.go
@@ -1,4 +1,4 @@
-package facts
+package zonestate
 
 import (
 	"cmp"
--- a/internal/facts/tree.go
+++ b/internal/zonestate/tree.go
@@ -1,4 +1,4 @@
-package facts
+package zonestate
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/splitmix"
 )
 
 // planes is in how many trees each zone's nodes stand.
--- a/internal/facts/facts.go
+++ b/internal/zonestate/zonestate.go
@@ -1,6 +1,6 @@
-// Package facts is what nodes tell one another of their zones: how much is asked for, where it is sent and how that ends,
+// Package zonestate is what nodes tell one another of their zones: how much is asked for, where it is sent and how that ends,
 // what is in service. It does no I/O, has no clock and no goroutine: time, members and messages come in, messages and answers go out. Who
-// lives is internal/members'.
+// lives is internal/membership'.
 //
 // What one node sees is a part. The nodes of a zone add their parts up along two trees, the planes, and the root of each
 // plane makes rows of the sums, which go to the roots of the other zones and down all trees of their plane. So what a node
@@ -20,7 +20,7 @@
 //   - A reader gets the word for a zone (Fresh, Stale, Unknown) with each answer. No guess is made of what is missing.
 //   - A node sends its part once in each plane a period, twice where others hang on it or messages get lost, each row once to each neighbour in its tree, and one question a
 //     half period while something is lacking.
-package facts
+package zonestate
 
 import (
 	"cmp"
@@ -30,7 +30,7 @@
 	"slices"
 	"time"
 
-	"woodpick/internal/splitmix"
+	"damsontrestle/internal/splitmix"
 )
 
 // Kind says what an entry tells of its subject. Its highest bits say how parts are put together, so that a node can add up
