--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -61,7 +61,7 @@
 }
 
 // enter joins the processes of the node that the platform has in its folder while one takes over from another.
-func enter(cfg *config.Config, log *slog.Logger) *hotrestart.Line {
+func enter(cfg *config.Config, log *slog.Logger) *hotrestart.Processes {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
 		return nil // what is not the node's own could hold another's files
--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -29,7 +29,7 @@
 	for _, m := range s.Members {
 		count[m.Status]++
 	}
-	fmt.Fprintf(out, "%d alive, %d suspect, %d dead, %d left beside this node; its life %d, ill health %d of 8", count["alive"], count["suspect"], count["dead"], count["left"], s.Life, s.Health)
+	fmt.Fprintf(out, "%d alive, %d suspect, %d dead, %d left beside this node; its life %d, ill health %d of 8", count["alive"], count["suspect"], count["dead"], count["left"], s.Incarnation, s.Health)
 	if s.Twins > 1 {
 		fmt.Fprintf(out, "; %d words of lives under its name that were not its own: is there another process of this name?", s.Twins)
 	}
@@ -42,7 +42,7 @@
 		if m.Heard >= 0 {
 			heard = m.Heard.Round(100*time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Status, m.For.Round(100*time.Millisecond), heard, m.Life, m.Region, m.Zone, m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Status, m.For.Round(100*time.Millisecond), heard, m.Incarnation, m.Region, m.Zone, m.Addr)
 	}
 	w.Flush()
 }
@@ -51,15 +51,15 @@
 	return newLook("facts", "Show what a node knows of each zone, and how old that is",
 		"facts tells of each zone whether what is known of it is fresh, since when, from how many of its nodes, and how old it\nis at most; then what is known, and what was dropped and why.",
 		"write everything as JSON",
-		func(s admin.Show) (gossip.Facts, error) {
-			if s.Status.Peers == nil || s.Status.Peers.Facts == nil {
-				return gossip.Facts{}, fmt.Errorf("node %s is told nothing of zones: its file has no peers block with fresh", s.Node)
+		func(s admin.Show) (gossip.ZoneStateStatus, error) {
+			if s.Status.Peers == nil || s.Status.Peers.ZoneState == nil {
+				return gossip.ZoneStateStatus{}, fmt.Errorf("node %s is told nothing of zones: its file has no peers block with fresh", s.Node)
 			}
-			return *s.Status.Peers.Facts, nil
+			return *s.Status.Peers.ZoneState, nil
 		}, writeFacts)
 }
 
-func writeFacts(out io.Writer, f gossip.Facts) {
+func writeFacts(out io.Writer, f gossip.ZoneStateStatus) {
 	fmt.Fprintf(out, "fresh: up to %v; %d rows held", f.Fresh, f.Rows)
 	if f.Alone {
 		fmt.Fprint(out, "; ALONE: nothing fresh is known of anybody else")
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -86,23 +86,23 @@
 		}
 		p("last change  %s at %s, %s", s.Last.By, s.Last.At.Format(time.RFC3339), what)
 	}
-	p("callers      %d connections", s.Status.Callers)
+	p("callers      %d connections", s.Status.Clients)
 	for _, name := range slices.Sorted(maps.Keys(s.Status.Listeners)) {
 		p("listener     %s at %s", name, s.Status.Listeners[name].Address)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Status.Pools)) {
 		pool := s.Status.Pools[name]
-		c := pool.Calls
+		c := pool.Requests
 		p("pool         %s: %d servers ready, %d draining, %d connections; calls: %d open, %d taken, %d served, %d refused, %d failed, %d left by their callers",
-			name, c.Ready, c.Draining, pool.Connections, c.Open, c.Calls, c.Served, c.Refused, c.Failed, c.Gone)
+			name, c.Ready, c.Draining, pool.Connections, c.Open, c.Requests, c.Served, c.Rejected, c.Failed, c.Disconnected)
 	}
 	if g := s.Status.Gateway; g != nil {
-		p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Offers.Offers, len(g.Offers.Stale), g.Custody.InHand, g.Custody.Voter.Held)
-		c := g.Custody
+		p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.InHand, g.Replication.Replica.Held)
+		c := g.Replication
 		p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.Alone, c.Fenced, c.Claimed, c.Asked, c.Found)
 		for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
 			q := g.Quotas[name]
-			p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Keeper, q.Term, q.Drawn, q.Refused, q.Held, q.Cut)
+			p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Held, q.Cut)
 		}
 	}
 	for _, name := range s.Status.Draining {
--- a/cmd/damsontrestle/upgrade_test.go
+++ b/cmd/damsontrestle/upgrade_test.go
@@ -16,7 +16,7 @@
 )
 
 // door asks the operators' door of a process.
-func door(t *testing.T, address, call string) string {
+func door(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(limit))
-	fmt.Fprintln(c, call)
+	fmt.Fprintln(c, request)
 	got, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -51,8 +51,8 @@
 					}
 					d.Bound, text = leagueQuota(part, o.Partners, o.Gateways)
 					if o.Apart {
-						whole, _ := leagueQuota(quota, o.Partners, o.Gateways)
-						d.Bound = whole
+						complete, _ := leagueQuota(quota, o.Partners, o.Gateways)
+						d.Bound = complete
 					}
 					o.Quota = text
 				}
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -46,7 +46,7 @@
 						}
 						a, f, err := virtual.PlayTold(e, experiment.Policy(policy), func(s *balancer.Settings) {
 							if asks >= 0 {
-								s.Asks = asks
+								s.PollChoices = asks
 							}
 						}, told)
 						if err != nil {
--- a/cmd/testserver/main.go
+++ b/cmd/testserver/main.go
@@ -40,7 +40,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	var boxes []*testpeer.Box
+	var servers []*testpeer.Box
 	name := o.Name
 	for i, address := range strings.Split(*listen, ",") {
 		if strings.Contains(*listen, ",") {
@@ -54,10 +54,10 @@
 		}
 		defer s.Close()
 		fmt.Printf("%s listens at %s\n", o.Name, s.Address())
-		boxes = append(boxes, b)
+		servers = append(servers, b)
 	}
 	<-ctx.Done()
-	for _, b := range boxes {
+	for _, b := range servers {
 		c := b.Counts()
 		fmt.Printf("%s: %d requests, %d run, %d failed, %d refused, %d reset, %d cut, %d hung\n", b.Name(), c.Requests, c.Ran, c.Failed, c.Refused, c.Reset, c.Cut, c.Hung)
 	}
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,12 +1,10 @@
 // Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns. This file is the whole interface; every decision is in policy.go.
-//
-// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must
-// never go back, and its only randomness is the seed given to New, so the same events always
-// give the same actions. Balancers share nothing. Memory is held for each request until it is
-// answered and its attempts have ended, and for each server until it has left the list and its
-// attempts have ended.
+// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must never go back, and its
+// only randomness is the seed given to New, so the same events always give the same actions. Balancers share nothing.
+// Memory is held for each request until it is answered and its attempts have ended, and for each server until it has
+// left the list and its attempts have ended.
 package balancer
 
 import (
@@ -37,14 +35,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are discarded, from the first send
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	LateShare float64       // share of the worth that an answer after the aim earns
-	Worth     float64
+	Name             string
+	Effect           Effect
+	Scope            Scope         // for Keyed
+	Window           time.Duration // for Keyed: how long repeats are discarded, from the first send
+	LatencyObjective time.Duration // answers within it earn full worth
+	Deadline         time.Duration // how long a client waits over all its tries
+	LateShare        float64       // share of the worth that an answer after the aim earns
+	PriorityWeight   float64
 }
 
 // Settings hold until a Reconfigure.
@@ -53,19 +51,19 @@
 	Balancers   int     // copies that place calls on this tier
 	Index       int     // this copy's number among them, from 0
 	Tier        int     // the tier sent to, 0 being the clients' first
-	WholeWeight float64 // how much the whole of the worth counts when shedding
+	TotalWeight float64 // how much the whole of the worth counts when shedding
 	ClassWeight float64 // how much the worst-served class counts when shedding
 
-	Asks          int // servers that are asked how much they hold before a call goes to one of them; 0: none
+	PollChoices   int // servers that are asked how much they hold before a call goes to one of them; 0: none
 	MaxAttempts   int
 	MayCancel     bool
-	AskDiscovery  bool          // the list follows only a Subscribe
-	AskWithin     time.Duration // an unsubscribed copy must ask at least this often
+	PollDiscovery bool          // the list follows only a Subscribe
+	PollInterval  time.Duration // an unsubscribed copy must ask at least this often
 	Tick          time.Duration // events come no more often than this
 	MaxRetryAfter time.Duration // longest advice that clients heed
 
-	ColdFrom  float64       // share of its capacity that a fresh server has at least
-	WarmAfter time.Duration // time after which it has all of it
+	SlowStartMinimum float64       // share of its capacity that a fresh server has at least
+	SlowStartWindow  time.Duration // time after which it has all of it
 }
 
 // validate names the first setting that is out of range.
@@ -83,13 +81,13 @@
 			return fmt.Errorf("balancer: Classes[%d].Name is empty", i)
 		case seen[c.Name]:
 			return fmt.Errorf("balancer: Classes[%d].Name %q is used twice", i, c.Name)
-		case c.Aim <= 0:
+		case c.LatencyObjective <= 0:
 			return field("Aim")
 		case c.Deadline <= 0:
 			return field("Deadline")
 		case c.Window < 0:
 			return field("Window")
-		case !(c.Worth >= 0 && c.Worth <= math.MaxFloat64):
+		case !(c.PriorityWeight >= 0 && c.PriorityWeight <= math.MaxFloat64):
 			return field("Worth")
 		case !(c.LateShare >= 0 && c.LateShare <= 1):
 			return field("LateShare")
@@ -100,11 +98,12 @@
 		name       string
 		value, max float64
 	}{{"Tier", float64(s.Tier), math.MaxInt32}, {"Index", float64(s.Index), math.MaxInt32},
-		{"Balancers", float64(s.Balancers), math.MaxInt32}, {"Asks", float64(s.Asks), 16}, {"MaxAttempts", float64(s.MaxAttempts), math.MaxInt32},
-		{"WholeWeight", s.WholeWeight, math.MaxFloat64}, {"ClassWeight", s.ClassWeight, math.MaxFloat64},
-		{"ColdFrom", s.ColdFrom, 1}, {"AskWithin", float64(s.AskWithin), math.MaxInt64},
+		{"Balancers", float64(s.Balancers), math.MaxInt32}, {"Asks", float64(s.PollChoices), 16},
+		{"MaxAttempts", float64(s.MaxAttempts), math.MaxInt32},
+		{"WholeWeight", s.TotalWeight, math.MaxFloat64}, {"ClassWeight", s.ClassWeight, math.MaxFloat64},
+		{"ColdFrom", s.SlowStartMinimum, 1}, {"AskWithin", float64(s.PollInterval), math.MaxInt64},
 		{"Tick", float64(s.Tick), math.MaxInt64}, {"MaxRetryAfter", float64(s.MaxRetryAfter), math.MaxInt64},
-		{"WarmAfter", float64(s.WarmAfter), math.MaxInt64}} {
+		{"WarmAfter", float64(s.SlowStartWindow), math.MaxInt64}} {
 		if !(f.value >= 0 && f.value <= f.max) { // NaN fails too
 			return fmt.Errorf("balancer: %s is out of range: %v", f.name, f.value)
 		}
@@ -119,7 +118,7 @@
 const (
 	Ready ServerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Server is an entry of the discovery list.
@@ -132,23 +131,23 @@
 	Boot  time.Duration // clock time of its last start; 0: long ago
 }
 
-// Ending says how an attempt ended.
-type Ending int
+// Result says how an attempt ended.
+type Result int
 
 // Endings. Overloaded, Unreachable and Void prove that the attempt never ran.
 const (
-	Success Ending = iota
+	Success Result = iota
 	Failure
 	Overloaded
 	TimedOut
 	Unreachable
-	Broken
-	Withdrawn
-	Void
+	ConnectionLost
+	Cancelled
+	NotStarted
 )
 
 // NeverRan says that it proves that the attempt never ran.
-func (e Ending) NeverRan() bool { return e == Overloaded || e == Unreachable || e == Void }
+func (e Result) NeverRan() bool { return e == Overloaded || e == Unreachable || e == NotStarted }
 
 // Load is a server's own report, late and noisy. Absent values are negative.
 type Load struct {
@@ -181,9 +180,10 @@
 		ID       string
 		Class    string
 		Deadline time.Duration // clock time
-		Repeat   bool          // the client marked it as a repeat
+		Retry    bool          // the client marked it as a repeat
 		Partial  bool          // its body still comes: Uploaded tells when all of it is at a server
-		Earlier  []Earlier     // attempts that another host made of it, all of which have ended as far as this one is concerned
+		// attempts that another host made of it, all of which have ended as far as this one is concerned
+		PriorAttempts []PriorAttempt
 	}
 	// Uploaded says that the last byte of a Partial request has come, and with an attempt has gone on to its
 	// server: only now may that begin, and only now the client's time, until Deadline, and the attempt's
@@ -195,24 +195,24 @@
 	}
 	// Outcome ends one attempt. Ended: the request has its final answer.
 	Outcome struct {
-		ID      string
-		Attempt int
-		Server  string
-		Ending  Ending
-		Latency time.Duration
-		Ended   bool
-		Spent   bool // part of the request is gone: it can't be sent again
-		Load    *Load
+		ID            string
+		Attempt       int
+		Server        string
+		Result        Result
+		Latency       time.Duration
+		Ended         bool
+		NotReplayable bool // part of the request is gone: it can't be sent again
+		Load          *Load
 	}
 	// Started says that a streamed answer has begun: the attempt is the client's from here on.
 	Started struct {
 		ID      string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
-	ClientGone struct{ ID string }
-	// Known brings what is known from elsewhere than from own calls. It may come at any time, in any order.
-	Known struct {
+	// ClientDisconnected says that the client left; nothing more is owed.
+	ClientDisconnected struct{ ID string }
+	// LoadUpdate brings what is known from elsewhere than from own calls. It may come at any time, in any order.
+	LoadUpdate struct {
 		ID    string // of the request that an Ask was for, which this answers in part; empty: of none
 		Loads []ServerLoad
 	}
@@ -223,23 +223,24 @@
 	Reconfigure struct{ Settings Settings }
 )
 
-func (ServerList) event()  {}
-func (ListFailed) event()  {}
-func (Request) event()     {}
-func (Uploaded) event()    {}
-func (Outcome) event()     {}
-func (Started) event()     {}
-func (ClientGone) event()  {}
-func (Timer) event()       {}
-func (Reconfigure) event() {}
-func (Known) event()       {}
+func (ServerList) event()         {}
+func (ListFailed) event()         {}
+func (Request) event()            {}
+func (Uploaded) event()           {}
+func (Outcome) event()            {}
+func (Started) event()            {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (Reconfigure) event()        {}
+func (LoadUpdate) event()         {}
 
-// Earlier is an attempt of a request that another host had in hand before this one. Attempts are numbered on from it.
-type Earlier struct {
+// PriorAttempt is an attempt of a request that another host had in hand before this one. Attempts are numbered on from
+// it.
+type PriorAttempt struct {
 	Server, Zone string
 	Cell         int
-	Sent         time.Duration // clock time
-	Unsent       bool          // it is known never to have run
+	SentAt       time.Duration // clock time
+	NeverRan     bool          // it is known never to have run
 }
 
 // Action is something the host must do, in the order given: one of the types below.
@@ -253,29 +254,29 @@
 		Timeout    time.Duration
 		NotAfter   time.Duration // time from which it may not begin any more: then it ends as Void, or as Unreachable
 	}
-	// Ask asks servers how much they hold, each of which a Known with this ID is to follow for, soon or not at all.
+	// Poll asks servers how much they hold, each of which a Known with this ID is to follow for, soon or not at all.
 	// Nothing of the request itself goes there.
-	Ask struct {
+	Poll struct {
 		ID      string
 		Servers []string
-		Within  time.Duration
+		Timeout time.Duration
 	}
 	// Cancel stops waiting for an attempt; its Outcome still comes.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// LetGo closes the idle connections to a server: the next Send there opens one.
-	LetGo struct{ Server string }
-	// Refuse is a final answer that promises that a retry does no harm.
-	Refuse struct {
+	// CloseIdle closes the idle connections to a server: the next Send there opens one.
+	CloseIdle struct{ Server string }
+	// Reject is a final answer that promises that a retry does no harm.
+	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct{ ID string }
-	// Wake asks for a Timer with this token at the clock time At.
-	Wake struct {
+	// SetTimer asks for a Timer with this token at the clock time At.
+	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
@@ -284,16 +285,16 @@
 )
 
 func (Send) action()      {}
-func (Ask) action()       {}
+func (Poll) action()      {}
 func (Cancel) action()    {}
-func (LetGo) action()     {}
-func (Refuse) action()    {}
+func (CloseIdle) action() {}
+func (Reject) action()    {}
 func (Fail) action()      {}
-func (Wake) action()      {}
+func (SetTimer) action()  {}
 func (Subscribe) action() {}
 
-// Avoided counts the listed servers that are to get nothing new now, by their state or their health.
-func (b *Balancer) Avoided() int {
+// Unavailable counts the listed servers that are to get nothing new now, by their state or their health.
+func (b *Balancer) Unavailable() int {
 	sick, out := 0, 0
 	for _, s := range b.servers {
 		switch {
@@ -308,8 +309,9 @@
 	return out + min(sick, b.mostSick())
 }
 
-// Takes is the wait for an answer that most of a class's answers stay under as they come now; 0: none has come yet.
-func (b *Balancer) Takes(class string) time.Duration {
+// ExpectedLatency is the wait for an answer that most of a class's answers stay under as they come now; 0: none has
+// come yet.
+func (b *Balancer) ExpectedLatency(class string) time.Duration {
 	c := b.classes[class]
 	switch {
 	case c == nil || c.samples == 0:
@@ -317,12 +319,12 @@
 	case c.samples < fewSamples: // by how much they differ is not known yet
 		return time.Duration(c.mean)
 	}
-	return time.Duration(c.mean + mostTake*c.dev)
+	return time.Duration(c.mean + latencyDeviations*c.dev)
 }
 
-// mostTake are the deviations above the mean that nineteen answers of twenty come within: a mean deviation is four fifths of a
-// standard one.
-const mostTake = 2
+// latencyDeviations are the deviations above the mean that nineteen answers of twenty come within: a mean deviation is
+// four fifths of a standard one.
+const latencyDeviations = 2
 
 // fewSamples are too few to tell by how much a class's answers differ.
 const fewSamples = 8
--- a/internal/balancer/earlier_test.go
+++ b/internal/balancer/earlier_test.go
@@ -7,18 +7,18 @@
 
 // A request that another host had in hand goes on where that one left it: its attempts count, its servers are not tried
 // again, and whether it may be sent once more hangs on the class's effect and on what is known of them.
-func TestARequestThatAnotherHadInHandGoesOnWhereItWas(t *testing.T) {
+func TestTakenOverRequestContinuesAfterPriorAttempts(t *testing.T) {
 	const now = 100 * time.Second
-	made := func(unsent bool, servers ...string) (list []Earlier) {
+	made := func(unsent bool, servers ...string) (list []PriorAttempt) {
 		for _, s := range servers {
-			list = append(list, Earlier{Server: s, Zone: "z", Cell: int(s[2]-'0') % 2, Sent: now - 100*msec, Unsent: unsent})
+			list = append(list, PriorAttempt{Server: s, Zone: "z", Cell: int(s[2]-'0') % 2, SentAt: now - 100*msec, NeverRan: unsent})
 		}
 		return list
 	}
 	for _, c := range []struct {
 		name    string
 		class   string
-		earlier []Earlier
+		earlier []PriorAttempt
 		cells   string // of the servers that it may go to; empty: it is not sent
 		refused bool
 	}{
@@ -28,8 +28,8 @@
 		{"unsafe, never ran", "pay", made(true, "s00"), "01", false},
 		{"unsafe, never ran, all attempts used", "pay", made(true, "s00", "s01", "s02", "s03", "s04"), "", true},
 		{"keyed, may have run: its cell drops repeats", "post", made(false, "s02"), "0", false},
-		{"keyed, and its cell has forgotten", "post", []Earlier{{Server: "s02", Zone: "z", Sent: now - time.Second}}, "", false},
-		{"keyed, of a server that is no more", "post", []Earlier{{Server: "gone", Zone: "z", Cell: 1, Sent: now - 100*msec}}, "1", false},
+		{"keyed, and its cell has forgotten", "post", []PriorAttempt{{Server: "s02", Zone: "z", SentAt: now - time.Second}}, "", false},
+		{"keyed, of a server that is no more", "post", []PriorAttempt{{Server: "gone", Zone: "z", Cell: 1, SentAt: now - 100*msec}}, "1", false},
 	} {
 		seen := map[string]bool{}
 		for seed := range uint64(40) {
@@ -38,13 +38,13 @@
 				t.Fatal(err)
 			}
 			b.Handle(now-time.Second, ServerList{Full: true, Servers: servers(8)})
-			acts := b.Handle(now, Request{ID: "r", Class: c.class, Deadline: now + time.Second, Earlier: c.earlier})
+			acts := b.Handle(now, Request{ID: "r", Class: c.class, Deadline: now + time.Second, PriorAttempts: c.earlier})
 			out := sends(acts)
 			if c.cells == "" {
 				if len(out) > 0 || len(acts) != 1 {
 					t.Fatalf("%s: %+v", c.name, acts)
 				}
-				if _, refused := acts[0].(Refuse); refused != c.refused {
+				if _, refused := acts[0].(Reject); refused != c.refused {
 					t.Fatalf("%s: %+v, want refused %v", c.name, acts[0], c.refused)
 				}
 				continue
@@ -59,7 +59,7 @@
 				}
 			}
 			// Its attempts are numbered on.
-			acts = b.Handle(now+msec, Outcome{ID: "r", Attempt: len(c.earlier), Server: out[0].Server, Ending: Success, Ended: true})
+			acts = b.Handle(now+msec, Outcome{ID: "r", Attempt: len(c.earlier), Server: out[0].Server, Result: Success, Ended: true})
 			if len(b.requests) != 0 || len(acts) != 0 {
 				t.Fatalf("%s: %d requests are left, %+v", c.name, len(b.requests), acts)
 			}
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -12,9 +12,9 @@
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second,
+		SlowStartMinimum: 0.2, SlowStartWindow: 10 * time.Second,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -29,13 +29,13 @@
 
 	now += 3 * time.Millisecond
 	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+		Result: balancer.Unreachable, Latency: 3 * time.Millisecond})
 	second := acts[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Server != first.Server)
 
 	now += 20 * time.Millisecond
 	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+		Result: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 198ms
@@ -52,8 +52,8 @@
 // benchmarkHandle plays a request and its answer at one of 100 copies.
 func benchmarkHandle(bench *testing.B, n int) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: time.Second, Worth: 1}},
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, LatencyObjective: time.Second,
+			Deadline: time.Second, PriorityWeight: 1}},
 		Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
@@ -68,6 +68,6 @@
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
 		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
-		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Result: balancer.Success, Ended: true})
 	}
 }
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -14,69 +14,69 @@
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
 const (
-	alpha       = 0.5    // share of the list in the left group
-	memory      = 0.06   // weight of a new sample in pooled averages (about 16 samples)
-	ownMemory   = 0.25   // weight of a new sample in a single server's averages
-	chance      = 0.08   // a run of bad endings likelier than this by the share of them among all is luck
-	tailSpread  = 3.0    // deviations above the mean at which a wait counts as overlong
-	minSamples  = 3      // good endings that take one doubling of a later ejection back
-	mostOut     = 0.2    // share of the list that health may exclude; beyond that all are drawn
-	failMemory  = 0.15   // weight of a new ending in a server's share of failures in a class
-	failFade    = 36     // mean latencies in which that share falls to a third, if nothing else is heard
-	failWeight  = 3.0    // power of its share of good endings, against all servers', that it is drawn by
-	failMargin  = 0.8    // what that share may fall to by chance, without being drawn less
-	ejection    = 12     // mean latencies that a first ejection lasts
-	maxLevel    = 5      // doublings of an ejection
-	windowFloor = 5.0    // own calls a server that are always admitted
-	retryEarn   = 0.15   // further attempts earned by a success
-	unsentCost  = 0.1    // what a further attempt costs when the last one never ran
-	retryPurse  = 10     // most that can be saved up
-	targetShare = 0.75   // part of the mean, by ratio, of base latency and aim that is steered to
-	targetLeast = 1.35   // times the base latency that is steered to at least
-	baseRise    = 0.0005 // weight of a new sample in a class's base latency when it lies above
-	baseFall    = 0.02   // and when it lies below: a noisy mean now and then is lower than any real one
-	leanness    = 0.3    // part of the target given up when all is shed
-	windowSlack = 2      // times the calls out on average up to which the window grows
-	windowGain  = 0.15   // window moved by an answer, for each target that it came under or over, at a lone node
-	windowStart = 13.0   // own calls for each server a node that are admitted before anything is known
-	hanging     = 0.05   // share of a class's attempts that may fail before a call that hangs is cut short
-	sameTry     = 0.05   // by how much times given to tries may differ and be held for the same
-	mostVotes   = 50     // counted for the time that is usual
+	alpha         = 0.5    // share of the list in the left group
+	memory        = 0.06   // weight of a new sample in pooled averages (about 16 samples)
+	ownMemory     = 0.25   // weight of a new sample in a single server's averages
+	chance        = 0.08   // a run of bad endings likelier than this by the share of them among all is luck
+	tailDeviation = 3.0    // deviations above the mean at which a wait counts as overlong
+	minSamples    = 3      // good endings that take one doubling of a later ejection back
+	mostOut       = 0.2    // share of the list that health may exclude; beyond that all are drawn
+	failMemory    = 0.15   // weight of a new ending in a server's share of failures in a class
+	failFade      = 36     // mean latencies in which that share falls to a third, if nothing else is heard
+	failWeight    = 3.0    // power of its share of good endings, against all servers', that it is drawn by
+	failMargin    = 0.8    // what that share may fall to by chance, without being drawn less
+	ejection      = 12     // mean latencies that a first ejection lasts
+	maxLevel      = 5      // doublings of an ejection
+	windowFloor   = 5.0    // own calls a server that are always admitted
+	retryEarn     = 0.15   // further attempts earned by a success
+	neverRanCost  = 0.1    // what a further attempt costs when the last one never ran
+	retryBudget   = 10     // most that can be saved up
+	targetShare   = 0.75   // part of the mean, by ratio, of base latency and aim that is steered to
+	targetLeast   = 1.35   // times the base latency that is steered to at least
+	baseRise      = 0.0005 // weight of a new sample in a class's base latency when it lies above
+	baseFall      = 0.02   // and when it lies below: a noisy mean now and then is lower than any real one
+	leanness      = 0.3    // part of the target given up when all is shed
+	windowSlack   = 2      // times the calls out on average up to which the window grows
+	windowGain    = 0.15   // window moved by an answer, for each target that it came under or over, at a lone node
+	windowStart   = 13.0   // own calls for each server a node that are admitted before anything is known
+	hanging       = 0.05   // share of a class's attempts that may fail before a call that hangs is cut short
+	sameTry       = 0.05   // by how much times given to tries may differ and be held for the same
+	mostVotes     = 50     // counted for the time that is usual
 )
 
 // ---- State ----
 
 // Balancer decides for one node. See the package comment for its contract.
 type Balancer struct {
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	out      []Action
-	servers  map[string]*server
-	ready    []*server // ready servers in the shared order
-	whole    groups    // the two groups of the design
-	pool     groups    // the part of each that this node draws from
-	width    int       // servers in the pool
-	places   [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
-	times    float64   // how often the runs that it was cut by go round the group
-	busy     float64   // calls in flight, averaged over sends
-	requests map[string]*request
-	held     []*request
-	zones    []*zone // in the order of their names
-	trying   *zone   // that a trial is drawn from
-	classes  map[string]*class
-	order    []*class // every class in the order of the settings, then the unknown one
-
-	errors    float64 // share of bad endings, overlong answers among them, of all attempts
-	lastOK    time.Duration
-	tokens    float64 // retry budget
-	window    float64 // own calls admitted at once (first tier)
-	inFlight  int
-	holds     float64 // calls that a server holds, on average over what was told
-	shed      float64 // share of requests answered without an attempt
-	subFails  int
-	subWanted time.Duration
-	usualSize float64 // of the listed servers, on average
+	set       Settings
+	rng       *rand.Rand
+	now       time.Duration
+	out       []Action
+	servers   map[string]*server
+	ready     []*server // ready servers in the shared order
+	allGroups groups    // the two groups of the design
+	pool      groups    // the part of each that this node draws from
+	width     int       // servers in the pool
+	places    [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
+	times     float64   // how often the runs that it was cut by go round the group
+	busy      float64   // calls in flight, averaged over sends
+	requests  map[string]*request
+	held      []*request
+	zones     []*zone // in the order of their names
+	trying    *zone   // that a trial is drawn from
+	classes   map[string]*class
+	order     []*class // every class in the order of the settings, then the unknown one
+
+	errors           float64 // share of bad endings, overlong answers among them, of all attempts
+	lastOK           time.Duration
+	tokens           float64 // retry budget
+	window           float64 // own calls admitted at once (first tier)
+	inFlight         int
+	meanReportedLoad float64 // calls that a server holds, on average over what was told
+	shed             float64 // share of requests answered without an attempt
+	subFails         int
+	subWanted        time.Duration
+	usualSize        float64 // of the listed servers, on average
 }
 
 // class holds what was learned of a class.
@@ -94,27 +94,27 @@
 // server is a listed server, or one that left with calls of ours still out.
 type server struct {
 	Server
-	in     *zone
-	listed bool
-	calls  int        // own calls in flight
-	coming int        // own calls whose bodies still go there
-	open   []*attempt // the same calls in order of sending
-
-	streak   int // bad endings in a row
-	level    int // doublings of the next ejection
-	goods    int // good endings in a row
-	until    time.Duration
-	slow     float64 // mean log of latency over the class mean
-	samples  int
-	lastOK   time.Duration
-	room     int           // own calls that it had taken when it refused one more
-	full     time.Duration // no more than room until then
-	refusals int           // in a row
-	out      bool          // ruled out for the request at hand
-	failing  map[*class]fading
-	part     float64       // of it that lies in this node's pool; 0: none
-	busy     float64       // calls that it held by the last word of it
-	told     time.Duration // when it did; 0: nothing is known
+	in       *zone
+	listed   bool
+	inFlight int        // own calls in flight
+	coming   int        // own calls whose bodies still go there
+	open     []*attempt // the same calls in order of sending
+
+	streak     int // bad endings in a row
+	level      int // doublings of the next ejection
+	goods      int // good endings in a row
+	until      time.Duration
+	slow       float64 // mean log of latency over the class mean
+	samples    int
+	lastOK     time.Duration
+	capacity   int           // own calls that it had taken when it refused one more
+	full       time.Duration // no more than room until then
+	rejections int           // in a row
+	out        bool          // ruled out for the request at hand
+	failing    map[*class]fading
+	part       float64       // of it that lies in this node's pool; 0: none
+	busy       float64       // calls that it held by the last word of it
+	reportedAt time.Duration // when it did; 0: nothing is known
 }
 
 // fading is a share that is the less sure the longer ago it was seen.
@@ -142,28 +142,28 @@
 	deadline time.Duration
 	attempts []*attempt
 	out      int
-	repeat   bool      // by the client, where clients say so
+	retry    bool      // by the client, where clients say so
 	partial  bool      // its body still comes
 	spent    bool      // and is gone in part
-	asked    []*server // how much they hold, before the first attempt; nil: nobody
-	asking   int       // of them that have not said yet
-	wake     time.Duration
+	polled   []*server // how much they hold, before the first attempt; nil: nobody
+	polling  int       // of them that have not said yet
+	timerAt  time.Duration
 
 	held, answered, streaming bool
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	req    *request
-	srv    *server
-	n      int
-	in     *zone
-	sent   time.Duration
-	zone   string
-	cell   int
-	ended  bool
-	unsent bool // proven never to have run
-	begun  bool // its server may have begun, and it is counted there
+	req      *request
+	srv      *server
+	n        int
+	in       *zone
+	sent     time.Duration
+	zone     string
+	cell     int
+	ended    bool
+	neverRan bool // proven never to have run
+	begun    bool // its server may have begun, and it is counted there
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
@@ -173,7 +173,7 @@
 	}
 	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
 		servers: map[string]*server{}, requests: map[string]*request{},
-		classes: map[string]*class{}, errors: 0.02, tokens: retryPurse / 2}
+		classes: map[string]*class{}, errors: 0.02, tokens: retryBudget / 2}
 	b.takeClasses(set.Classes)
 	return b, nil
 }
@@ -183,14 +183,15 @@
 	old := b.classes
 	b.classes, b.order = map[string]*class{}, nil
 	odd := slices.MaxFunc(list, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
-	other := Class{Aim: odd.Aim, Deadline: odd.Deadline, Worth: odd.Worth}
+	other := Class{LatencyObjective: odd.LatencyObjective, Deadline: odd.Deadline, PriorityWeight: odd.PriorityWeight}
 	for _, c := range append(slices.Clone(list), other) {
 		k := old[c.Name]
 		if k == nil {
 			k = &class{}
 		}
 		if k.Class = c; k.samples == 0 {
-			k.mean, k.dev, k.base = float64(c.Aim)/4, float64(c.Aim)/8, float64(c.Aim)/4
+			k.mean, k.dev, k.base = float64(c.LatencyObjective)/4, float64(c.LatencyObjective)/8,
+				float64(c.LatencyObjective)/4
 		}
 		b.classes[c.Name] = k
 		b.order = append(b.order, k)
@@ -215,8 +216,8 @@
 	if set.Balancers != old.Balancers || set.Index != old.Index {
 		b.width = 0
 	}
-	if set.AskDiscovery && !old.AskDiscovery {
-		b.askAgain()
+	if set.PollDiscovery && !old.PollDiscovery {
+		b.pollAgain()
 	}
 	b.release()
 }
@@ -243,7 +244,7 @@
 		b.takeList(e)
 	case ListFailed:
 		b.subFails++
-		b.askAgain()
+		b.pollAgain()
 	case Request:
 		b.accept(e)
 	case Uploaded:
@@ -254,10 +255,10 @@
 		if r := b.requests[e.ID]; r != nil {
 			r.streaming = true
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		b.close(b.requests[e.ID])
-	case Known:
-		b.takeKnown(e)
+	case LoadUpdate:
+		b.takeLoadUpdate(e)
 	case Timer:
 		b.takeTimer(e)
 	case Reconfigure:
@@ -279,13 +280,13 @@
 	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
 	// late enough, and a review that finds nothing due yet asks for another.
 	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
-		if b.now+b.set.Tick >= r.wake {
-			r.wake = 0
+		if b.now+b.set.Tick >= r.timerAt {
+			r.timerAt = 0
 		}
-		if r.asking > 0 && r.wake == 0 {
-			b.askedAll(r)
+		if r.polling > 0 && r.timerAt == 0 {
+			b.polledAll(r)
 		} else if r.held {
-			b.hold(r)
+			b.delay(r)
 			b.release()
 		}
 	}
@@ -294,11 +295,11 @@
 // wakeAt asks for a review of a request, unless one is due by then already.
 func (b *Balancer) wakeAt(r *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if r.wake > b.now && r.wake <= at {
+	if r.timerAt > b.now && r.timerAt <= at {
 		return
 	}
-	r.wake = at
-	b.do(Wake{At: at, Token: "r:" + r.id})
+	r.timerAt = at
+	b.do(SetTimer{At: at, Token: "r:" + r.id})
 }
 
 // ---- Discovery ----
@@ -316,9 +317,9 @@
 			s = &server{failing: map[*class]fading{}}
 			b.servers[n.ID] = s
 		} else if s.Boot != n.Boot {
-			*s = server{calls: s.calls, coming: s.coming, open: s.open, failing: map[*class]fading{}}
+			*s = server{inFlight: s.inFlight, coming: s.coming, open: s.open, failing: map[*class]fading{}}
 		}
-		s.Server, s.in, s.listed = n, b.zoneOf(n.Zone), n.State != Gone
+		s.Server, s.in, s.listed = n, b.zoneOf(n.Zone), n.State != Removed
 		b.rank(s)
 	}
 	if e.Full {
@@ -329,11 +330,11 @@
 	b.forgetZones()
 	b.usualSize = usualSize(b.ready)
 	cut := int(math.Ceil(alpha * float64(len(b.ready))))
-	b.whole, b.width = groups{b.ready[:cut], b.ready[cut:]}, 0
-	b.window = cmp.Or(b.window, windowStart*b.fairServers())
+	b.allGroups, b.width = groups{b.ready[:cut], b.ready[cut:]}, 0
+	b.window = cmp.Or(b.window, windowStart*b.serversPerNode())
 	b.subFails = 0
 	if e.Cached { // as at a start, before anything has failed
-		b.askAgain()
+		b.pollAgain()
 	}
 	b.release()
 }
@@ -351,16 +352,16 @@
 	}
 }
 
-// askAgain plans a Subscribe where the list must be asked for. Jitter keeps copies that start, or lose their
+// pollAgain plans a Subscribe where the list must be asked for. Jitter keeps copies that start, or lose their
 // subscription, together from swamping discovery; the wait doubles with each failure, but all counts as told soon.
-func (b *Balancer) askAgain() {
-	if !b.set.AskDiscovery {
+func (b *Balancer) pollAgain() {
+	if !b.set.PollDiscovery {
 		return
 	}
-	most := min(time.Second, b.set.AskWithin/4)
+	most := min(time.Second, b.set.PollInterval/4)
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	b.do(SetTimer{At: b.subWanted, Token: "list"})
 }
 
 // ---- Requests ----
@@ -371,15 +372,15 @@
 	}
 	c := cmp.Or(b.classes[e.Class], b.classes[""]) // unknown: unsafe
 	r := &request{id: e.ID, class: c, terms: terms{c.Effect, c.Scope, c.Window}, arrived: b.now,
-		deadline: e.Deadline, repeat: e.Repeat, partial: e.Partial}
+		deadline: e.Deadline, retry: e.Retry, partial: e.Partial}
 	b.requests[e.ID] = r
 	b.backdate(r)
 	for _, k := range b.order {
 		k.arrive, k.serve = k.arrive*0.99, k.serve*0.99
 	}
-	for _, p := range e.Earlier { // made by whoever had it in hand before
-		a := &attempt{req: r, srv: b.servers[p.Server], sent: p.Sent, zone: p.Zone, cell: p.Cell, ended: true}
-		a.unsent, r.attempts = p.Unsent, append(r.attempts, a)
+	for _, p := range e.PriorAttempts { // made by whoever had it in hand before
+		a := &attempt{req: r, srv: b.servers[p.Server], sent: p.SentAt, zone: p.Zone, cell: p.Cell, ended: true}
+		a.neverRan, r.attempts = p.NeverRan, append(r.attempts, a)
 	}
 	if c.arrive++; len(r.attempts) > 0 {
 		b.further(r)
@@ -401,14 +402,14 @@
 	default:
 		c.votes--
 		r.arrived = min(b.now, r.deadline-c.Deadline)
-		r.repeat = r.repeat || b.now-r.arrived > c.Aim/2
+		r.retry = r.retry || b.now-r.arrived > c.LatencyObjective/2
 	}
 }
 
 // place sends a request, or holds it while no server may take it.
 func (b *Balancer) place(r *request) {
 	if !b.full(r) {
-		if b.ask(r) {
+		if b.poll(r) {
 			return
 		}
 		if s := b.choose(r); s != nil {
@@ -416,14 +417,14 @@
 			return
 		}
 	}
-	b.hold(r)
+	b.delay(r)
 }
 
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{req: r, srv: s, n: len(r.attempts), in: s.in, sent: b.now, zone: s.Zone, cell: s.Cell}
 	if b.muted(s) {
-		s.in.trial = a
-		b.do(LetGo{Server: s.ID}) // a connection from before the cut would take the call and say nothing
+		s.in.probe = a
+		b.do(CloseIdle{Server: s.ID}) // a connection from before the cut would take the call and say nothing
 	}
 	if a.n == 0 {
 		b.shed -= memory / 4 * b.shed
@@ -431,7 +432,7 @@
 	last := b.lastBegin(r)
 	r.attempts = append(r.attempts, a)
 	r.out++
-	b.unhold(r)
+	b.sendDelayed(r)
 	if s.coming++; !r.partial {
 		b.begin(a)
 	}
@@ -450,7 +451,7 @@
 func (b *Balancer) begin(a *attempt) {
 	a.begun, a.sent = true, b.now
 	a.srv.coming--
-	a.srv.calls++
+	a.srv.inFlight++
 	a.srv.open = append(a.srv.open, a)
 	a.in.open = append(a.in.open, a)
 	b.inFlight++
@@ -472,20 +473,20 @@
 // useless is when an answer stops being worth anything: work that goes on after it takes the room of
 // answers in time. Below the first tier only the deadline is known.
 func (b *Balancer) useless(r *request) time.Duration {
-	if b.set.Tier > 0 || r.class.LateShare > 0 || r.repeat {
+	if b.set.Tier > 0 || r.class.LateShare > 0 || r.retry {
 		return r.deadline
 	}
-	return min(r.deadline, r.arrived+r.class.Aim-2*b.set.Tick)
+	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.set.Tick)
 }
 
 // overlong is the wait for an answer that most of a class's answers stay well under.
 func (b *Balancer) overlong(c *class) time.Duration {
-	return time.Duration(c.mean + tailSpread*c.dev)
+	return time.Duration(c.mean + tailDeviation*c.dev)
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
-func (b *Balancer) hold(r *request) {
-	if b.now >= b.holdUntil(r) {
+// delay keeps a request back; its timer makes sure that it is answered.
+func (b *Balancer) delay(r *request) {
+	if b.now >= b.delayedUntil(r) {
 		b.answer(r)
 		return
 	}
@@ -493,23 +494,23 @@
 		r.held = true
 		b.held = append(b.held, r)
 	}
-	b.wakeAt(r, b.holdUntil(r))
+	b.wakeAt(r, b.delayedUntil(r))
 }
 
-func (b *Balancer) unhold(r *request) {
+func (b *Balancer) sendDelayed(r *request) {
 	r.held = false
 	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take room. With no
-// server at all a late answer is the best there can be, so then almost until the deadline.
-func (b *Balancer) holdUntil(r *request) time.Duration {
+// delayedUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take room. With
+// no server at all a late answer is the best there can be, so then almost until the deadline.
+func (b *Balancer) delayedUntil(r *request) time.Duration {
 	last := r.deadline - 2*b.set.Tick
 	if len(b.ready) == 0 {
 		return last
 	}
-	aim := r.class.Aim
-	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
+	objective := r.class.LatencyObjective
+	hold := max(objective/4, objective-time.Duration(r.class.mean+2*r.class.dev))
 	return min(last, r.arrived+hold)
 }
 
@@ -540,16 +541,16 @@
 	}
 	a := r.attempts[e.Attempt]
 	a.ended = true
-	a.unsent = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
+	a.neverRan = e.Result == Overloaded || e.Result == Unreachable || e.Result == NotStarted
 	r.out--
-	r.spent = r.spent || e.Spent
+	r.spent = r.spent || e.NotReplayable
 	if e.Load != nil {
 		b.learn(a.srv, e.Load.Busy, b.now)
 	}
-	tells := b.hear(a, e.Ending)
+	tells := b.observe(a, e.Result)
 	if a.begun {
 		b.inFlight--
-		a.srv.calls--
+		a.srv.inFlight--
 		// A hung server's waits tell nothing of how crowded the others are.
 		if tells && !b.silent(a.srv) {
 			b.steer(r, e)
@@ -561,7 +562,7 @@
 		r.arrived, r.deadline = r.arrived+b.now-a.sent, r.deadline+b.now-a.sent
 		a.sent = b.now
 	}
-	if tells && (a.begun || e.Ending != Success) {
+	if tells && (a.begun || e.Result != Success) {
 		b.judge(a, e)
 	}
 	if !a.srv.listed && a.srv.idle() && b.servers[a.srv.ID] == a.srv {
@@ -569,7 +570,7 @@
 	}
 	switch {
 	case e.Ended:
-		if e.Ending == Success && !r.answered && b.now <= r.arrived+r.class.Aim {
+		if e.Result == Success && !r.answered && b.now <= r.arrived+r.class.LatencyObjective {
 			r.class.serve++
 		}
 		b.close(r)
@@ -589,11 +590,11 @@
 	l, leftWeight := b.draw(left)
 	r, rightWeight := b.draw(right)
 	switch {
-	case r == nil || l != nil && l.calls < r.calls:
+	case r == nil || l != nil && l.inFlight < r.inFlight:
 		return l
-	case l == nil || r.calls < l.calls:
+	case l == nil || r.inFlight < l.inFlight:
 		return r
-	case l.calls > 0 || b.rng.Float64()*(leftWeight+rightWeight) < leftWeight:
+	case l.inFlight > 0 || b.rng.Float64()*(leftWeight+rightWeight) < leftWeight:
 		return l
 	}
 	return r
@@ -628,7 +629,7 @@
 	if s.Size > 0 {
 		w *= min(s.Size, 1e6) // an infinite weight would draw nobody
 	}
-	return w * b.room(s)
+	return w * b.capacity(s)
 }
 
 // choose draws from the pool and, where nobody there may be, from the whole groups; those that fail more come last.
@@ -638,12 +639,12 @@
 		return s
 	}
 	first := b.pool
-	if b.unheard() {
-		first = b.whole
+	if b.noServerAnswers() {
+		first = b.allGroups
 	}
-	for step, g := range []groups{first, b.whole, b.whole} {
+	for step, g := range []groups{first, b.allGroups, b.allGroups} {
 		s := b.chooseFrom(g, r, step > 0, step < 2)
-		if s != nil && step == 0 && len(r.asked) == 0 && b.warmth(s) < 1 {
+		if s != nil && step == 0 && len(r.polled) == 0 && b.slowStartShare(s) < 1 {
 			s = b.spreadCold(r)
 		}
 		if s != nil {
@@ -656,23 +657,23 @@
 // ---- Eligibility ----
 
 // idle says that no own call is at a server, or on its way there.
-func (s *server) idle() bool { return s.calls+s.coming == 0 }
+func (s *server) idle() bool { return s.inFlight+s.coming == 0 }
 
 // chooseFrom picks among those servers that a request may go to: in its scope, not tried by it, fit, warm enough and,
 // as long as that leaves any, with room and not crowded with own calls: uniform draws now and then meet the same few
-// servers twice, and a crowd of several nodes' calls there chokes it. Only where anyCold is set may all of them be
-// cold, and may a first try go to an idle cold one whatever the thinning: a pool may be cold as a whole, and would
+// servers twice, and a crowd of several nodes' calls there chokes it. Only where anySlowStarting is set may all of them
+// be cold, and may a first try go to an idle cold one whatever the thinning: a pool may be cold as a whole, and would
 // take a warm one's calls, while the rest is warm.
-func (b *Balancer) chooseFrom(g groups, r *request, anyCold, shun bool) *server {
+func (b *Balancer) chooseFrom(g groups, r *request, anySlowStarting, shun bool) *server {
 	b.ruleOut(g, r, shun)
 	for step, limit := range []int{1 + b.inFlight/max(1, b.width), math.MaxInt, math.MaxInt} {
 		left, idleLeft := b.narrow(g.left, r, limit, step < 2)
 		right, idleRight := b.narrow(g.right, r, limit, step < 2)
-		isWarm := func(s *server) bool { return b.warmth(s) == 1 }
-		if anyCold && len(left)+len(right) > 0 || slices.ContainsFunc(append(left, right...), isWarm) {
+		isWarm := func(s *server) bool { return b.slowStartShare(s) == 1 }
+		if anySlowStarting && len(left)+len(right) > 0 || slices.ContainsFunc(append(left, right...), isWarm) {
 			return b.pick(left, right)
 		}
-		if anyCold && len(idleLeft)+len(idleRight) > 0 {
+		if anySlowStarting && len(idleLeft)+len(idleRight) > 0 {
 			return b.pick(idleLeft, idleRight)
 		}
 	}
@@ -687,9 +688,9 @@
 // tier below's, and those left would take all the load: only the worst are kept out, up to a set share of the list.
 func (b *Balancer) ruleOut(g groups, r *request, shun bool) {
 	var sick []*server
-	asked := len(r.asked) > 0 && r.asking == 0 && len(r.attempts) == 0 // and have said what they hold
+	asked := len(r.polled) > 0 && r.polling == 0 && len(r.attempts) == 0 // and have said what they hold
 	for _, s := range slices.Concat(g.left, g.right) {
-		s.out = shun && (b.muted(s) || b.shuns(s, r.class) || asked && !slices.Contains(r.asked, s))
+		s.out = shun && (b.muted(s) || b.shuns(s, r.class) || asked && !slices.Contains(r.polled, s))
 		if !s.out && b.unfit(s, r) {
 			s.out = true
 			sick = append(sick, s)
@@ -709,9 +710,9 @@
 func (b *Balancer) narrow(group []*server, r *request, limit int, sparing bool) (warm, idle []*server) {
 	for _, s := range group {
 		switch {
-		case s.out || s.calls >= limit || sparing && b.now < s.full && s.calls >= s.room:
+		case s.out || s.inFlight >= limit || sparing && b.now < s.full && s.inFlight >= s.capacity:
 		case !b.inScope(r, s) || tried(r, s):
-		case b.warmEnough(s):
+		case b.mayTakeUpload(s):
 			warm = append(warm, s)
 		case s.idle() && len(r.attempts) == 0:
 			idle = append(idle, s)
@@ -729,7 +730,7 @@
 func (b *Balancer) inScope(r *request, s *server) bool {
 	return r.effect != Keyed || !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		inCell := a.cell == s.Cell || r.scope == ScopeZone
-		return !a.unsent && r.scope != ScopeAll && (a.zone != s.Zone || !inCell)
+		return !a.neverRan && r.scope != ScopeAll && (a.zone != s.Zone || !inCell)
 	})
 }
 
@@ -777,17 +778,17 @@
 func (b *Balancer) judge(a *attempt, e Outcome) {
 	s, c := a.srv, a.req.class
 	took := max(1, float64(b.now-a.sent)) // a coarse clock may show none, and its logarithm no server
-	late, bad := took > c.mean+tailSpread*c.dev, false
-	if now, tells := map[Ending]float64{Success: 0, Failure: 1, TimedOut: 1}[e.Ending]; tells {
+	late, bad := took > c.mean+tailDeviation*c.dev, false
+	if now, tells := map[Result]float64{Success: 0, Failure: 1, TimedOut: 1}[e.Result]; tells {
 		for _, k := range []*class{c, b.classes[""]} {
 			share := b.failing(s, k, c)
 			s.failing[k] = fading{share + failMemory*(now-share), b.now}
 			k.failing += memory * (now - k.failing)
 		}
 	}
-	switch e.Ending {
+	switch e.Result {
 	case Success:
-		b.tokens = min(retryPurse, b.tokens+retryEarn)
+		b.tokens = min(retryBudget, b.tokens+retryEarn)
 		b.lastOK, s.lastOK = b.now, b.now
 		// The first samples replace the guess, or who answers first would look fast against it.
 		c.samples++
@@ -799,22 +800,22 @@
 		if c.samples < 8 {
 			c.base, late = c.mean, false
 		}
-		bad, s.refusals = late, 0
+		bad, s.rejections = late, 0
 	case Overloaded, Unreachable:
-		s.room = s.calls
-		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.refusals
-		s.refusals = min(s.refusals+1, maxLevel)
+		s.capacity = s.inFlight
+		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.rejections
+		s.rejections = min(s.rejections+1, maxLevel)
 		return
-	case Failure, Broken, TimedOut:
+	case Failure, ConnectionLost, TimedOut:
 		bad = true
-	case Withdrawn:
+	case Cancelled:
 		if bad = late; !late {
 			return
 		}
 	default:
 		return
 	}
-	if late || e.Ending == Success {
+	if late || e.Result == Success {
 		s.samples++
 		s.slow += max(ownMemory, 1/float64(s.samples+1)) * (math.Log(took/c.mean) - s.slow)
 	}
@@ -847,7 +848,7 @@
 // lastBegin is until when one more attempt may begin: never once an unsafe one may have run, and behind a keyed one as
 // long as its servers still discard repeats.
 func (b *Balancer) lastBegin(r *request) time.Duration {
-	first := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.unsent })
+	first := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 	switch {
 	case first < 0 || r.effect == Safe:
 		return math.MaxInt64
@@ -861,8 +862,8 @@
 // time for an answer, or the final answer. Without the budget, retries of every tier multiply.
 func (b *Balancer) further(r *request) {
 	left, cost := float64(b.useless(r)-b.now), 1.0
-	if r.attempts[len(r.attempts)-1].unsent {
-		cost = unsentCost
+	if r.attempts[len(r.attempts)-1].neverRan {
+		cost = neverRanCost
 	}
 	if b.maySendAgain(r) && b.tokens >= cost && left >= r.class.mean/2 {
 		if s := b.choose(r); s != nil {
@@ -880,17 +881,17 @@
 // first tier holds back: a call refused further down wastes what was done above it. A client's repeat,
 // whose aim is mostly over, must leave half of the room to first tries, or repeats feed a jam.
 func (b *Balancer) full(r *request) bool {
-	calls := float64(b.inFlight)
-	if r.repeat {
-		calls *= 2
+	requests := float64(b.inFlight)
+	if r.retry {
+		requests *= 2
 	}
-	return len(b.ready) == 0 || b.set.Tier == 0 && calls >= b.window*b.standing(r)
+	return len(b.ready) == 0 || b.set.Tier == 0 && requests >= b.window*b.windowShare(r)
 }
 
-// standing is the part of the window that a request may fill, by its value against the others': the more is shed, the
-// more room is kept for what is worth most, for at a node of few calls seldom two wait at once. None starves: no class
-// loses more than half of the window.
-func (b *Balancer) standing(r *request) float64 {
+// windowShare is the part of the window that a request may fill, by its value against the others': the more is shed,
+// the more room is kept for what is worth most, for at a node of few calls seldom two wait at once. None starves: no
+// class loses more than half of the window.
+func (b *Balancer) windowShare(r *request) float64 {
 	var sum, n float64
 	for _, c := range b.order {
 		sum += c.arrive * b.value(&request{class: c})
@@ -899,8 +900,8 @@
 	return min(2, max(0.5, 1+b.shed*(b.value(r)*n/max(sum, 1e-9)-1)))
 }
 
-// fairServers is how many servers there are for each copy of this tier.
-func (b *Balancer) fairServers() float64 {
+// serversPerNode is how many servers there are for each copy of this tier.
+func (b *Balancer) serversPerNode() float64 {
 	return float64(len(b.ready)) / float64(max(1, b.set.Balancers))
 }
 
@@ -909,8 +910,8 @@
 // in queues that choke servers well before its aim is near. The more is shed, the leaner, but an empty server always
 // meets it, or the shedding would keep itself up.
 func (c *class) target(shed float64) float64 {
-	lean := (1 - leanness*shed) * targetShare * math.Sqrt(c.base*float64(c.Aim))
-	return min(float64(c.Aim), max(targetLeast*c.base, lean))
+	lean := (1 - leanness*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
+	return min(float64(c.LatencyObjective), max(targetLeast*c.base, lean))
 }
 
 // steer moves the window so that latencies stay at their target: crowded servers choke and stay slow, so the crowd must
@@ -920,12 +921,12 @@
 func (b *Balancer) steer(r *request, e Outcome) {
 	over := float64(b.now-r.attempts[e.Attempt].sent) / r.class.target(b.shed)
 	// An error that took as long as a slow answer is mostly a time-out of the tier below.
-	tells := e.Ending == Success || e.Ending == TimedOut || e.Ending == Overloaded ||
-		e.Ending == Unreachable || e.Ending == Failure && over > 1
+	tells := e.Result == Success || e.Result == TimedOut || e.Result == Overloaded ||
+		e.Result == Unreachable || e.Result == Failure && over > 1
 	if b.set.Tier > 0 || !tells {
 		return
 	}
-	if e.Ending != Success {
+	if e.Result != Success {
 		over = max(over, 2)
 	}
 	// A small window moves by up to one call a round of answers, or a node of many would take a day to open it.
@@ -934,7 +935,7 @@
 	if step < 0 || b.window < windowSlack*(b.busy+1) {
 		b.window += step
 	}
-	b.window = max(b.window, 1, windowFloor*b.fairServers())
+	b.window = max(b.window, 1, windowFloor*b.serversPerNode())
 }
 
 // value is what an answer in a class adds to the result for the time it takes, so that shedding
@@ -944,16 +945,16 @@
 	var total float64
 	worst := c
 	for _, k := range b.order {
-		total += k.Worth * k.arrive
+		total += k.PriorityWeight * k.arrive
 		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
 			worst = k
 		}
 	}
-	v := b.set.WholeWeight * c.Worth / max(total, 1e-9)
+	v := b.set.TotalWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
 		v += b.set.ClassWeight / max(c.arrive, 1e-9)
 	}
-	if r.repeat { // its aim runs from the client's first try and is mostly over
+	if r.retry { // its aim runs from the client's first try and is mostly over
 		v *= c.LateShare
 	}
 	return v / c.mean
@@ -968,7 +969,7 @@
 		return
 	}
 	harmless := !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return !a.unsent && (r.effect == Unsafe || r.effect == Keyed && r.scope != ScopeAll)
+		return !a.neverRan && (r.effect == Unsafe || r.effect == Keyed && r.scope != ScopeAll)
 	})
 	if len(r.attempts) == 0 {
 		b.shed += memory / 4 * (1 - b.shed)
@@ -976,7 +977,7 @@
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Refuse{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
 	} else {
 		b.do(Fail{ID: r.id})
 	}
@@ -989,7 +990,7 @@
 		return
 	}
 	r.answered = true
-	b.unhold(r)
+	b.sendDelayed(r)
 	for _, a := range r.attempts {
 		if !a.ended && b.set.MayCancel {
 			b.do(Cancel{ID: r.id, Attempt: a.n})
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -16,15 +16,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "get", Effect: Safe, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Effect: Unsafe, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
+		Balancers: 2, Tier: 0, TotalWeight: 0.6, ClassWeight: 0.3,
 		MaxAttempts: 5, MayCancel: true, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second,
+		PollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartMinimum: 0.2, SlowStartWindow: 10 * time.Second,
 	}
 }
 
@@ -61,11 +61,11 @@
 }
 
 // What the page of the pick does not say: nothing is picked from nothing, and draws from a group are even.
-func TestPickFollowsTheDesign(t *testing.T) {
-	mk := func(calls ...int) []*server {
+func TestSelectionFollowsDesign(t *testing.T) {
+	mk := func(requests ...int) []*server {
 		var l []*server
-		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
+		for i, c := range requests {
+			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, inFlight: c})
 		}
 		return l
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestCopiesShareTheOrder(t *testing.T) {
+func TestNodesShareServerOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
 	a.Handle(0, ServerList{Full: true, Servers: l})
@@ -100,16 +100,16 @@
 }
 
 // A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
-func TestHeldRequestIsAnsweredThoughTimersComeEarly(t *testing.T) {
+func TestDelayedRequestIsAnsweredDespiteEarlyTimers(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
-		var next Wake
+		var next SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -122,14 +122,14 @@
 	t.Fatal("no final answer in time")
 }
 
-// settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
-	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
+// settleWindow answers the single attempt of a request.
+func settleWindow(b *Balancer, now time.Duration, id string, s Send, e Result) []Action {
+	return b.Handle(now, Outcome{ID: id, Server: s.Server, Result: e, Ended: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
+func traffic(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
@@ -140,7 +140,7 @@
 			for k := 0; k < 5; k++ {
 				e := fate(s.Server)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Result: e, Ended: e == Success}))
 				if len(again) == 0 {
 					break
 				}
@@ -153,10 +153,10 @@
 
 // A server that errs at once drains its count; without ejection it would win every draw.
 func TestFastErrorsAreEjected(t *testing.T) {
-	for _, e := range []Ending{Failure, Unreachable, Broken} {
+	for _, e := range []Result{Failure, Unreachable, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-		got := traffic(b, 600, "get", func(s string) Ending {
+		got := traffic(b, 600, "get", func(s string) Result {
 			if s == "s03" {
 				return e
 			}
@@ -172,14 +172,14 @@
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-	got := traffic(b, 800, "get", func(string) Ending { return Failure })
+	got := traffic(b, 800, "get", func(string) Result { return Failure })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
 }
 
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
-func TestSilentServerIsPassedOver(t *testing.T) {
+func TestSilentServerIsSkipped(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
 	stuck, now := 0, time.Duration(0)
@@ -190,7 +190,7 @@
 			if s.Server == "s03" {
 				stuck++
 			} else {
-				settle(b, now+10*msec, id, s, Success)
+				settleWindow(b, now+10*msec, id, s, Success)
 			}
 		}
 	}
@@ -200,25 +200,25 @@
 }
 
 // After an ejection the first trial must not be a request that cannot be repeated.
-func TestTrialIsNeverUnsafe(t *testing.T) {
+func TestProbeIsNeverUnsafeRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
 	s := b.servers["s03"]
 	s.level, s.until = 1, 0
-	if got := traffic(b, 400, "pay", func(string) Ending { return Success }); got["s03"] != 0 {
+	if got := traffic(b, 400, "pay", func(string) Result { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) Ending { return Success }); got["s03"] == 0 {
+	if got := traffic(b, 400, "get", func(string) Result { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
 
 // Below the first tier a server that holds several of our calls is passed over while others idle.
-func TestCrowdedServerIsPassedOver(t *testing.T) {
+func TestOverloadedServerIsSkipped(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
-	b.servers["s00"].calls, b.inFlight = 2, 2
-	got := traffic(b, 300, "get", func(string) Ending { return Success })
+	b.servers["s00"].inFlight, b.inFlight = 2, 2
+	got := traffic(b, 300, "get", func(string) Result { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
@@ -242,13 +242,13 @@
 			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
 				s := open[0]
-				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+				open = append(open[1:], sends(settleWindow(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
+		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.serversPerNode() {
 			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
 		}
-		if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
+		if !tc.grow && b.window > windowFloor*b.serversPerNode()+1 {
 			t.Errorf("late answers left the window at %.1f", b.window)
 		}
 	}
@@ -260,11 +260,11 @@
 		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
 		"Classes[1].Window": func(s *Settings) { s.Classes[1].Window = -1 },
 		"Classes[2].Name":   func(s *Settings) { s.Classes[2].Name = "get" },
-		"Worth":             func(s *Settings) { s.Classes[0].Worth = math.Inf(1) },
-		"WholeWeight":       func(s *Settings) { s.WholeWeight = math.NaN() },
+		"Worth":             func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) },
+		"WholeWeight":       func(s *Settings) { s.TotalWeight = math.NaN() },
 		"Index":             func(s *Settings) { s.Index = -1 },
-		"ColdFrom":          func(s *Settings) { s.ColdFrom = 1.5 },
-		"WarmAfter":         func(s *Settings) { s.WarmAfter = -1 },
+		"ColdFrom":          func(s *Settings) { s.SlowStartMinimum = 1.5 },
+		"WarmAfter":         func(s *Settings) { s.SlowStartWindow = -1 },
 		"LateShare":         func(s *Settings) { s.Classes[0].LateShare = 2 },
 	} {
 		s := testSettings()
@@ -276,39 +276,39 @@
 }
 
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
-func TestFirstTriesGoBeforeRepeats(t *testing.T) {
+func TestFirstAttemptsPrecedeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
 	b.window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes["get"].LateShare = 0.5
-	b.inFlight = int(windowFloor*b.fairServers()) + 2
+	b.inFlight = int(windowFloor*b.serversPerNode()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
-	next := sends(settle(b, 10*msec, "a", first[0], Success))
+	next := sends(settleWindow(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
 	}
 }
 
 // An unmarked repeat shows by a deadline shorter than other tries have.
-func TestShortDeadlineTellsARepeat(t *testing.T) {
+func TestShortDeadlineMarksRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
 
 // In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
-func TestSheddingLeavesMoreServersIn(t *testing.T) {
+func TestSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
@@ -320,7 +320,7 @@
 		}
 		b.shed = c.shed
 		out := 0
-		b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
+		b.ruleOut(b.allGroups, &request{class: b.classes["get"]}, true)
 		for _, s := range b.ready {
 			if s.out {
 				out++
@@ -334,7 +334,7 @@
 
 // Connection tables filled by other copies refuse at once: a server that refused gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
-func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 	now, id := msec, 0
@@ -352,7 +352,7 @@
 				}
 				now += 20 * msec
 				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+					Result: end, Ended: end == Success}))
 			}
 		}
 		return count
@@ -368,13 +368,13 @@
 }
 
 // steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
-func steered(t *testing.T, shed float64, ending Ending, after func(*class) float64) float64 {
+func steered(t *testing.T, shed float64, ending Result, after func(*class) float64) float64 {
 	t.Helper()
 	return steeredAmong(t, 100, shed, ending, after)
 }
 
 // steeredAmong is the same at one of so many nodes.
-func steeredAmong(t *testing.T, copies int, shed float64, ending Ending, after func(*class) float64) float64 {
+func steeredAmong(t *testing.T, copies int, shed float64, ending Result, after func(*class) float64) float64 {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
@@ -383,13 +383,13 @@
 	for range 50 {
 		b.shed = shed
 		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.steer(r, Outcome{Ending: ending})
+		b.steer(r, Outcome{Result: ending})
 	}
 	return b.window
 }
 
 // While much is shed some servers choke for certain, so the window gets leaner.
-func TestWindowIsLeanerWhileMuchIsShed(t *testing.T) {
+func TestWindowIsSmallerWhileShedding(t *testing.T) {
 	late := func(c *class) float64 { return 0.95 * c.target(0) }
 	calm, shedding := steered(t, 0, Success, late), steered(t, 0.8, Success, late)
 	if calm <= 100 || shedding >= 100 {
@@ -399,12 +399,12 @@
 
 // Answers as quick as idle servers give them must open the window however much is shed, or shedding
 // keeps itself up; spoilt answers and errors are no sign of a crowd.
-func TestSheddingDoesNotKeepItselfUp(t *testing.T) {
+func TestSheddingEndsWithOverload(t *testing.T) {
 	idle := func(c *class) float64 { return 1.05 * c.base }
 	if w := steered(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
 	}
-	for _, e := range []Ending{Broken, Failure} {
+	for _, e := range []Result{ConnectionLost, Failure} {
 		if w := steered(t, 0, e, idle); w != 100 {
 			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
 		}
@@ -413,14 +413,14 @@
 
 // The tier below lets a call time out a little before this one would: its error, late as it is, tells of the crowd.
 func TestLateErrorsShrinkTheWindow(t *testing.T) {
-	if w := steered(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.Aim) }); w >= 60 {
+	if w := steered(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.LatencyObjective) }); w >= 60 {
 		t.Errorf("fifty errors just before the aim moved the window from 100 to %.1f", w)
 	}
 }
 
 // All nodes' windows together swing alike however many nodes there are: one of few moves its own with care, one of
 // hundreds by up to a whole call an answer.
-func TestWindowsOfAFleetSwingAlikeWhateverItsSize(t *testing.T) {
+func TestWindowDynamicsAreIndependentOfFleetSize(t *testing.T) {
 	moved := func(copies int) float64 {
 		return 100 - steeredAmong(t, copies, 0, Success, func(c *class) float64 { return 1.5 * c.target(0) })
 	}
@@ -435,15 +435,15 @@
 }
 
 // A refused client is not sent away for long: it would come back when its aim is mostly over.
-func TestRefusalsBringClientsBackSoon(t *testing.T) {
+func TestRejectionsCarryShortRetryAfter(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
 	b.window, b.inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -453,7 +453,7 @@
 }
 
 // Slow servers of the fleet are drawn less, though each node's own counts sit at zero.
-func TestDrawsFollowSizeAndLatency(t *testing.T) {
+func TestSelectionFollowsSizeAndLatency(t *testing.T) {
 	list := servers(4)
 	for i := range list {
 		list[i].Size = 1
@@ -476,7 +476,7 @@
 }
 
 // The pools of many nodes cover each group evenly, and a busy node takes a wider one.
-func TestPoolsCoverTheGroupsEvenly(t *testing.T) {
+func TestSubsetsCoverGroupsEvenly(t *testing.T) {
 	count := map[string]int{}
 	const nodes = 60
 	for i := range nodes {
@@ -504,11 +504,11 @@
 }
 
 // What answers first must not look fast against a guess of the latency, and then win every draw.
-func TestFirstAnswersDoNotLookFast(t *testing.T) {
+func TestFirstResponsesDoNotBiasLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
-	settle(b, 3*msec, "a", s, Success)
+	settleWindow(b, 3*msec, "a", s, Success)
 	if got := b.servers[s.Server].slow; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
@@ -516,7 +516,7 @@
 
 // With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
 // there refuses requests that the fleet could carry, so it must open within seconds of good answers.
-func TestWindowOpensAtANodeOfMany(t *testing.T) {
+func TestWindowOpensInLargeFleet(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers = 300 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(60)})
 	var open []Send
@@ -524,7 +524,7 @@
 		now := time.Duration(i) * 33 * msec
 		for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+100*msec <= now {
 			s := open[0]
-			open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+			open = append(open[1:], sends(settleWindow(b, now, s.ID, s, Success))...)
 		}
 		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 	}
@@ -534,7 +534,7 @@
 }
 
 // Work on an answer that comes too late to be worth anything takes the room of answers in time.
-func TestAttemptsEndWhenTheirAnswerIsWorthless(t *testing.T) {
+func TestAttemptsAreCancelledOnceTheirResponseHasNoValue(t *testing.T) {
 	for _, c := range []struct {
 		tier int
 		late float64
@@ -546,19 +546,19 @@
 		if s.Timeout != c.want {
 			t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
 		}
-		acts := b.Handle(c.want, Outcome{ID: "a", Ending: TimedOut})
-		if _, refused := acts[0].(Refuse); len(acts) != 1 || !refused {
+		acts := b.Handle(c.want, Outcome{ID: "a", Result: TimedOut})
+		if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
 			t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
 		}
 	}
 }
 
 // Repeats by clients make a jam last: they get only half of the window.
-func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
+func TestRetriesLeaveCapacityForFirstAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	b.window, b.inFlight = 10, 6
-	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Repeat: true}))
+	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
 		t.Errorf("sent %v for a repeat and %v for a first try", repeat, first)
@@ -567,18 +567,18 @@
 
 // A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
 // for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
-func TestOverlongAnswerEjects(t *testing.T) {
+func TestOverlongResponseEjectsServer(t *testing.T) {
 	for _, c := range []struct {
 		common float64
 		want   bool
 	}{{0.02, true}, {0.5, false}} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
-		traffic(b, 40, "get", func(string) Ending { return Success })
+		traffic(b, 40, "get", func(string) Result { return Success })
 		b.errors = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
-		settle(b, now+400*msec, "slow", s, Success)
+		settleWindow(b, now+400*msec, "slow", s, Success)
 		if out := b.servers[s.Server].until > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
@@ -587,7 +587,7 @@
 
 // After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
 // rest of the list is warm: many such nodes would push the cold servers over.
-func TestColdPoolLeavesTheThinningOn(t *testing.T) {
+func TestSlowStartSubsetKeepsThinning(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, ServerList{Full: true, Servers: list})
@@ -600,19 +600,19 @@
 		}
 	}
 	b.Handle(time.Second, ServerList{Full: true, Servers: list})
-	cold := 0
+	slowStarting := 0
 	for range 1000 {
 		if s := b.choose(&request{class: b.classes["get"]}); s.Boot > 0 {
-			cold++
+			slowStarting++
 		}
 	}
-	if got := float64(cold) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
+	if got := float64(slowStarting) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
 		t.Errorf("%.2f of the calls went to the cold pool", got)
 	}
 }
 
 // Sizes that a host took from elsewhere may be odd: nobody is left without a draw for it.
-func TestOddSizesDraw(t *testing.T) {
+func TestUnusualSizesAreSelectable(t *testing.T) {
 	list := servers(4)
 	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		list[i].Size = size
@@ -626,24 +626,24 @@
 
 // In overload what is worth least is refused first, also where too few wait for the hold to choose;
 // with nothing shed every class may fill the window, and no class loses more than half of it.
-func TestWindowKeepsRoomForWorth(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[0].Worth, s.Classes[2].Worth, s.ClassWeight = 1, 12, 0 })
+func TestWindowReservesCapacityByPriorityWeight(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.ClassWeight = 1, 12, 0 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	for _, c := range b.order {
 		c.arrive, c.serve = 10, 5
 	}
 	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
-	if l, h := b.standing(low), b.standing(high); l != 1 || h != 1 {
+	if l, h := b.windowShare(low), b.windowShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
 	b.shed = 0.6
-	if l, h := b.standing(low), b.standing(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
+	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
 		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
 	}
 }
 
 // A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
-func TestInstantAnswersLeaveServersToDraw(t *testing.T) {
+func TestInstantResponsesLeaveServersSelectable(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
 	for i := range 50 {
@@ -652,12 +652,12 @@
 		if len(got) != 1 {
 			t.Fatalf("request %d: sent %v", i, got)
 		}
-		settle(b, msec, id, got[0], Success)
+		settleWindow(b, msec, id, got[0], Success)
 	}
 }
 
 // A call is cut short only where calls hang, where it may run again, and where another has time and budget.
-func TestPatienceEndsEarlyOnlyWhereAnotherTryMayFollow(t *testing.T) {
+func TestAttemptTimeoutIsShortenedOnlyIfRetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		tier            int
@@ -684,20 +684,20 @@
 
 // A repeat of a keyed request says until when it may begin: inside the window that runs from the first attempt that may
 // have run, less two ticks. Nothing bounds a first attempt, nor a repeat that is safe or of what never ran.
-func TestARepeatSaysUntilWhenItMayBegin(t *testing.T) {
+func TestRetryCarriesLatestStartTime(t *testing.T) {
 	const none = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
 		class  string
-		ending Ending
+		ending Result
 		want   time.Duration
-	}{{"post", Broken, 900*msec - 2*2*msec}, {"post", Unreachable, none}, {"get", Broken, none}} {
+	}{{"post", ConnectionLost, 900*msec - 2*2*msec}, {"post", Unreachable, none}, {"get", ConnectionLost, none}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(6)})
 		first := sends(b.Handle(0, Request{ID: "r", Class: c.class, Deadline: 1500 * msec}))
 		if len(first) != 1 || first[0].NotAfter != none {
 			t.Fatalf("%s: the first attempt is %+v", c.class, first)
 		}
-		next := sends(b.Handle(100*msec, Outcome{ID: "r", Server: first[0].Server, Ending: c.ending, Latency: 100 * msec}))
+		next := sends(b.Handle(100*msec, Outcome{ID: "r", Server: first[0].Server, Result: c.ending, Latency: 100 * msec}))
 		if len(next) != 1 || next[0].NotAfter != c.want {
 			t.Errorf("%s after %v: the next attempt is %+v, want it to begin by %v", c.class, c.ending, next, c.want)
 		}
@@ -708,11 +708,11 @@
 // discovery can be reached.
 func TestDiscoveryIsAskedAgainSoon(t *testing.T) {
 	for _, within := range []time.Duration{100 * msec, 10 * time.Second, time.Hour} {
-		b := newBalancer(t, func(s *Settings) { s.AskDiscovery, s.AskWithin = true, within })
+		b := newBalancer(t, func(s *Settings) { s.PollDiscovery, s.PollInterval = true, within })
 		for i := range 50 {
 			now := time.Duration(i) * time.Minute
 			for _, a := range b.Handle(now, ListFailed{}) {
-				if w, ok := a.(Wake); ok && w.At-now > min(time.Second, within/4)+1 {
+				if w, ok := a.(SetTimer); ok && w.At-now > min(time.Second, within/4)+1 {
 					t.Errorf("to ask within %v: asked again %v after failure %d", within, w.At-now, i+1)
 				}
 			}
@@ -733,7 +733,7 @@
 		}
 		for range rng.IntN(6) {
 			s := Server{ID: fmt.Sprint("s", rng.IntN(40)), Zone: fmt.Sprint("z", rng.IntN(5)), State: ServerState(rng.IntN(3)), Boot: time.Duration(rng.IntN(2))}
-			if listed[s.ID] = s; s.State == Gone {
+			if listed[s.ID] = s; s.State == Removed {
 				delete(listed, s.ID)
 			}
 			e.Servers = append(e.Servers, s)
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -7,7 +7,7 @@
 
 // A request under way is held to its class's terms as taken or as now, whichever are stricter: one whose class
 // turns unsafe while an attempt is out fails when that may have run, and one that was taken as unsafe stays so.
-func TestReconfigureHoldsRequestsToTheStricterTerms(t *testing.T) {
+func TestReconfigureAppliesStricterTermsToRequests(t *testing.T) {
 	change := func(name string, with func(*Class)) Settings {
 		set := testSettings()
 		for i := range set.Classes {
@@ -20,21 +20,21 @@
 	for _, c := range []struct {
 		name, class string
 		next        Settings
-		ending      Ending
+		ending      Result
 		want        string
 	}{
-		{"as it was", "get", testSettings(), Broken, "send"},
-		{"safe turns unsafe", "get", change("get", func(c *Class) { c.Effect = Unsafe }), Broken, "fail"},
+		{"as it was", "get", testSettings(), ConnectionLost, "send"},
+		{"safe turns unsafe", "get", change("get", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
 		{"safe turns unsafe, and the attempt never ran", "get", change("get", func(c *Class) { c.Effect = Unsafe }), Unreachable, "send"},
-		{"safe turns keyed", "get", change("get", func(c *Class) { c.Effect, c.Scope, c.Window = Keyed, ScopeAll, time.Second }), Broken, "fail"},
-		{"unsafe turns safe", "pay", change("pay", func(c *Class) { c.Effect = Safe }), Broken, "fail"},
-		{"keyed turns safe", "post", change("post", func(c *Class) { c.Effect, c.Scope = Safe, ScopeAll }), Broken, "send"},
-		{"keyed turns unsafe", "post", change("post", func(c *Class) { c.Effect = Unsafe }), Broken, "fail"},
-		{"the window gets shorter", "post", change("post", func(c *Class) { c.Window = msec }), Broken, "fail"},
-		{"the window gets longer", "post", change("post", func(c *Class) { c.Window = time.Hour }), Broken, "send"},
-		{"the class goes", "get", change("get", func(c *Class) { c.Name = "other" }), Broken, "fail"},
-		{"fewer attempts", "get", func() Settings { s := testSettings(); s.MaxAttempts = 1; return s }(), Broken, "refuse"},
-		{"no settings at all", "get", Settings{}, Broken, "send"},
+		{"safe turns keyed", "get", change("get", func(c *Class) { c.Effect, c.Scope, c.Window = Keyed, ScopeAll, time.Second }), ConnectionLost, "fail"},
+		{"unsafe turns safe", "pay", change("pay", func(c *Class) { c.Effect = Safe }), ConnectionLost, "fail"},
+		{"keyed turns safe", "post", change("post", func(c *Class) { c.Effect, c.Scope = Safe, ScopeAll }), ConnectionLost, "send"},
+		{"keyed turns unsafe", "post", change("post", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
+		{"the window gets shorter", "post", change("post", func(c *Class) { c.Window = msec }), ConnectionLost, "fail"},
+		{"the window gets longer", "post", change("post", func(c *Class) { c.Window = time.Hour }), ConnectionLost, "send"},
+		{"the class goes", "get", change("get", func(c *Class) { c.Name = "other" }), ConnectionLost, "fail"},
+		{"fewer attempts", "get", func() Settings { s := testSettings(); s.MaxAttempts = 1; return s }(), ConnectionLost, "refuse"},
+		{"no settings at all", "get", Settings{}, ConnectionLost, "send"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, nil)
@@ -44,7 +44,7 @@
 				t.Fatalf("%d sends", len(first))
 			}
 			b.Handle(2*msec, Reconfigure{c.next})
-			acts := b.Handle(20*msec, Outcome{ID: "r", Server: first[0].Server, Ending: c.ending})
+			acts := b.Handle(20*msec, Outcome{ID: "r", Server: first[0].Server, Result: c.ending})
 			got := "nothing"
 			for _, a := range acts {
 				switch a.(type) {
@@ -52,7 +52,7 @@
 					got = "send"
 				case Fail:
 					got = "fail"
-				case Refuse:
+				case Reject:
 					got = "refuse"
 				}
 			}
@@ -64,7 +64,7 @@
 }
 
 // What was learned of servers and of classes that stay is kept, and what is new of a class holds at once.
-func TestReconfigureKeepsWhatWasLearned(t *testing.T) {
+func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(8)})
 	now := time.Duration(0)
@@ -72,12 +72,12 @@
 		now += 5 * msec
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
-			o := Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true}
+			o := Outcome{ID: id, Server: s.Server, Result: Success, Ended: true}
 			if s.Server == "s03" {
-				o.Ending, o.Ended = Failure, false
+				o.Result, o.Ended = Failure, false
 			}
 			b.Handle(now+2*msec, o)
-			b.Handle(now+2*msec, ClientGone{ID: id})
+			b.Handle(now+2*msec, ClientDisconnected{ID: id})
 		}
 	}
 	bad, get := b.servers["s03"], b.classes["get"]
@@ -86,14 +86,14 @@
 		t.Fatalf("a share of failures of %v after %d samples", share, samples)
 	}
 	next := testSettings()
-	next.Classes[0].Aim, next.Classes[0].Worth = 300*msec, 9
-	next.Classes = append(next.Classes[:1], Class{Name: "new", Aim: 100 * msec, Deadline: time.Second})
+	next.Classes[0].LatencyObjective, next.Classes[0].PriorityWeight = 300*msec, 9
+	next.Classes = append(next.Classes[:1], Class{Name: "new", LatencyObjective: 100 * msec, Deadline: time.Second})
 	b.Handle(now, Reconfigure{next})
 	get = b.classes["get"]
 	if get.mean != mean || get.samples != samples || b.failing(bad, get, get) != share {
 		t.Errorf("mean %v, %d samples, failing %v; want %v, %d, %v", get.mean, get.samples, b.failing(bad, get, get), mean, samples, share)
 	}
-	if get.Aim != 300*msec || get.Worth != 9 || b.classes["pay"] != nil || b.classes["new"].mean != float64(25*msec) || len(b.order) != 3 {
-		t.Errorf("aim %v, worth %v, %d classes", get.Aim, get.Worth, len(b.order))
+	if get.LatencyObjective != 300*msec || get.PriorityWeight != 9 || b.classes["pay"] != nil || b.classes["new"].mean != float64(25*msec) || len(b.order) != 3 {
+		t.Errorf("aim %v, worth %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.order))
 	}
 }
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -25,14 +25,14 @@
 	under    []Class // its class as taken, and as it was reconfigured since
 	deadline time.Duration
 	ended    bool
-	tries    []*tracking
+	attempts []*tracking
 }
 
 type tracking struct {
 	server string
 	at     time.Duration
 	over   bool
-	ending Ending
+	ending Result
 }
 
 func newChecker(set Settings) *checker {
@@ -63,7 +63,7 @@
 func (t *tracked) keyless() bool { return t.under[0].Effect != Keyed }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotStarted)
 }
 
 func (c *checker) event(now time.Duration, e Event) {
@@ -71,7 +71,7 @@
 	case ServerList:
 		if e.Full {
 			for id := range c.state {
-				c.state[id] = Gone
+				c.state[id] = Removed
 			}
 		}
 		for _, s := range e.Servers {
@@ -89,14 +89,14 @@
 			}
 		}
 	case Outcome:
-		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
-			t := r.tries[e.Attempt]
+		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
+			t := r.attempts[e.Attempt]
 			if !t.over {
-				t.over, t.ending = true, e.Ending
+				t.over, t.ending = true, e.Result
 				r.ended = r.ended || e.Ended
 			}
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := c.reqs[e.ID]; r != nil {
 			r.ended = true
 		}
@@ -114,9 +114,9 @@
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
-				for _, t := range r.tries {
+				for _, t := range r.attempts {
 					for _, class := range r.under {
 						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !r.keyless()
 						if t.mayHaveRun() && !loose {
@@ -128,7 +128,7 @@
 		case Fail:
 			c.final(a.ID)
 		case Cancel:
-			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
+			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
 				c.fault("cancel of an attempt never made")
 			}
 			if !c.set.MayCancel {
@@ -158,10 +158,10 @@
 	if !known || state != Ready {
 		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
 	}
-	if len(r.tries) >= c.set.MaxAttempts {
+	if len(r.attempts) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
 	}
-	for _, t := range r.tries {
+	for _, t := range r.attempts {
 		if !t.over {
 			c.fault("second copy of %s", a.ID)
 		}
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.attempts = append(r.attempts, &tracking{server: a.Server, at: now})
 }
 
 // tightened are the test's settings with the safe class unsafe.
@@ -210,16 +210,16 @@
 func TestCheckerCanFail(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
-	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
+	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
 		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
 			Send{ID: "r", Server: "a"}}},
 		{"begin again outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 100 * msec, timedOut,
@@ -265,8 +265,8 @@
 		timeout bool
 	}
 	var out []pending
-	var timers []Wake
-	var asked []Ask
+	var timers []SetTimer
+	var asked []Poll
 	var ids []string
 	fleet := servers(8)
 	now := time.Duration(0)
@@ -301,11 +301,11 @@
 					p.due, p.timeout = now+a.Timeout, true
 				}
 				out = append(out, p)
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
-			case Ask:
+			case Poll:
 				for _, s := range a.Servers {
-					asked = append(asked, Ask{ID: a.ID, Servers: []string{s}})
+					asked = append(asked, Poll{ID: a.ID, Servers: []string{s}})
 				}
 			}
 		}
@@ -324,7 +324,7 @@
 			}
 			var listed []Server
 			for _, s := range fleet {
-				if s.State != Gone {
+				if s.State != Removed {
 					listed = append(listed, s)
 				}
 			}
@@ -347,14 +347,14 @@
 			}
 			out = append(out[:k], out[k+1:]...)
 			k--
-			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Ending: Success}
+			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Result: Success}
 			switch {
 			case p.timeout:
-				e.Ending = TimedOut
+				e.Result = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Result = Result(1 + rng.IntN(int(NotStarted)))
 			}
-			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
+			if r := b.requests[p.id]; e.Result == Success || r == nil || r.answered {
 				ended[p.id] = true
 			}
 			e.Ended = ended[p.id]
@@ -363,7 +363,7 @@
 				give(e)
 			}
 			if rng.IntN(30) == 0 {
-				give(ClientGone{ID: p.id})
+				give(ClientDisconnected{ID: p.id})
 				ended[p.id] = true
 			}
 		}
@@ -383,7 +383,7 @@
 			case 0:
 				var l []Server
 				for _, s := range fleet {
-					if s.State != Gone {
+					if s.State != Removed {
 						l = append(l, s)
 					}
 				}
@@ -400,7 +400,7 @@
 				a := asked[k]
 				asked = append(asked[:k], asked[k+1:]...)
 				if rng.IntN(5) > 0 {
-					e := Known{ID: a.ID, Loads: []ServerLoad{{Server: a.Servers[0], Busy: float64(rng.IntN(12) - 1), Age: time.Duration(rng.IntN(300)) * msec}}}
+					e := LoadUpdate{ID: a.ID, Loads: []ServerLoad{{Server: a.Servers[0], Busy: float64(rng.IntN(12) - 1), Age: time.Duration(rng.IntN(300)) * msec}}}
 					give(e)
 					if rng.IntN(10) == 0 {
 						give(e)
@@ -412,15 +412,15 @@
 			give(Reconfigure{changed(rng, set)})
 		}
 		if rng.IntN(40) == 0 {
-			give(Known{ID: "nobody", Loads: []ServerLoad{{Server: "nobody", Busy: 1}}})
-			give(Outcome{ID: "nobody", Attempt: 3, Ending: Success})
+			give(LoadUpdate{ID: "nobody", Loads: []ServerLoad{{Server: "nobody", Busy: 1}}})
+			give(Outcome{ID: "nobody", Attempt: 3, Result: Success})
 			give(Timer{Token: "r:nobody"})
 			give(Timer{Token: "x"})
-			give(ClientGone{ID: "nobody"})
+			give(ClientDisconnected{ID: "nobody"})
 		}
 		if rng.IntN(50) == 0 && len(ids) > 0 {
 			id := ids[rng.IntN(len(ids))]
-			give(ClientGone{ID: id})
+			give(ClientDisconnected{ID: id})
 			ended[id] = true
 		}
 	}
@@ -442,9 +442,9 @@
 	case 0:
 		next.Classes = next.Classes[:1+rng.IntN(len(next.Classes))]
 	case 1:
-		next.Classes = append(next.Classes, Class{Name: "odd", Effect: Keyed, Window: time.Second, Aim: 400 * msec, Deadline: time.Second})
+		next.Classes = append(next.Classes, Class{Name: "odd", Effect: Keyed, Window: time.Second, LatencyObjective: 400 * msec, Deadline: time.Second})
 	case 2:
-		next.MaxAttempts, next.Index, next.Balancers, next.Asks = 1+rng.IntN(5), rng.IntN(3), 3, rng.IntN(6)
+		next.MaxAttempts, next.Index, next.Balancers, next.PollChoices = 1+rng.IntN(5), rng.IntN(3), 3, rng.IntN(6)
 	case 3:
 		next.Classes = nil
 	}
@@ -455,7 +455,7 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := testSettings()
 		set.Tier = int(seed % 2)
-		set.AskDiscovery = seed%4 == 0
+		set.PollDiscovery = seed%4 == 0
 		if seed%3 == 0 {
 			set.Tick = 10 * msec // coarse: half of the slack after a deadline
 		}
@@ -474,7 +474,7 @@
 				len(b.held), b.inFlight)
 		}
 		for id, s := range b.servers {
-			if !s.listed || s.calls != 0 || len(s.open) != 0 {
+			if !s.listed || s.inFlight != 0 || len(s.open) != 0 {
 				t.Errorf("seed %d: server %s is left over", seed, id)
 			}
 		}
@@ -496,35 +496,35 @@
 
 const fallMultiple, fallFor = 3.0, 2 * time.Second // the budget of testSettings' site
 
-// coldLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
+// slowStartLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
 // on. It tells how many calls the fresh one got, and the most that came in any fallFor against the
 // budget of fallMultiple times what it can do then.
-func coldLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
+func slowStartLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
 	const capacity = 50.0 // a warm server's calls a second
 	rng := rand.New(rand.NewPCG(3, 3))
-	var cold []time.Duration
+	var slowStarting []time.Duration
 	for i := range int(0.75 * 6 * capacity * 12) {
 		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
 		if send(rng.IntN(copies), now, fmt.Sprint(i)) == "s02" {
-			cold = append(cold, now)
+			slowStarting = append(slowStarting, now)
 		}
 	}
 	worst := 0.0
-	for i := range cold {
+	for i := range slowStarting {
 		n := 0
-		for _, at := range cold[i:] {
-			if at < cold[i]+fallFor {
+		for _, at := range slowStarting[i:] {
+			if at < slowStarting[i]+fallFor {
 				n++
 			}
 		}
-		grown := float64(cold[i]-time.Second) / float64(set.WarmAfter)
-		budget := fallMultiple * capacity * min(1, set.ColdFrom+(1-set.ColdFrom)*grown) * fallFor.Seconds()
+		grown := float64(slowStarting[i]-time.Second) / float64(set.SlowStartWindow)
+		budget := fallMultiple * capacity * min(1, set.SlowStartMinimum+(1-set.SlowStartMinimum)*grown) * fallFor.Seconds()
 		worst = max(worst, float64(n)/budget)
 	}
-	return len(cold), worst
+	return len(slowStarting), worst
 }
 
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestServerInSlowStartIsNotOverloaded(t *testing.T) {
 	set := testSettings()
 	for _, copies := range []int{12, 200} {
 		set.Tier, set.Balancers = 1, copies
@@ -540,17 +540,17 @@
 			b.Handle(0, ServerList{Full: true, Servers: list})
 			bs = append(bs, b)
 		}
-		calls, worst := coldLoad(set, copies, func(copy int, now time.Duration, id string) string {
+		requests, worst := slowStartLoad(set, copies, func(copy int, now time.Duration, id string) string {
 			s := sends(bs[copy].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-			bs[copy].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+			bs[copy].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
 			return s.Server
 		})
-		if calls < 20 || worst > 1 {
-			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, calls, worst)
+		if requests < 20 || worst > 1 {
+			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, requests, worst)
 		}
 	}
 	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
-	_, worst := coldLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
+	_, worst := slowStartLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
 	if worst <= 1 {
 		t.Errorf("all calls to the cold server are %.2f of its budget", worst)
 	}
@@ -575,11 +575,11 @@
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
+				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Result: Result(x % 9), Ended: x%2 == 0})
 			case 4:
 				b.Handle(now, Timer{Token: "r:" + id})
 			case 5:
-				b.Handle(now, ClientGone{ID: id})
+				b.Handle(now, ClientDisconnected{ID: id})
 			case 6:
 				b.Handle(now, Started{ID: id, Attempt: i % 3})
 				if x%3 == 0 {
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -12,7 +12,7 @@
 )
 
 // The page of the pick holds, row by row.
-func TestThePageOfThePick(t *testing.T) {
+func TestSelectionDesignTables(t *testing.T) {
 	const page = "../../docs/design/pick.md"
 	group := func(words string) (out []*server) {
 		for i, f := range strings.Fields(words) {
@@ -23,7 +23,7 @@
 			if err != nil {
 				t.Fatalf("%s: nobody plays %q", page, words)
 			}
-			out = append(out, &server{Server: Server{ID: fmt.Sprint(i)}, calls: n})
+			out = append(out, &server{Server: Server{ID: fmt.Sprint(i)}, inFlight: n})
 		}
 		return out
 	}
@@ -62,8 +62,8 @@
 			}
 			return strings.Join(out, " ")
 		}
-		if names(b.whole.left) != r.At("left") || names(b.whole.right) != r.At("right") {
-			t.Errorf("%s:%d: %q and %q", page, r.Line, names(b.whole.left), names(b.whole.right))
+		if names(b.allGroups.left) != r.At("left") || names(b.allGroups.right) != r.At("right") {
+			t.Errorf("%s:%d: %q and %q", page, r.Line, names(b.allGroups.left), names(b.allGroups.right))
 		}
 	}
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -12,20 +12,20 @@
 	coldDraws   = 16 // draws at most until one is taken
 )
 
-// warmth is the share of its capacity that a server surely has.
-func (b *Balancer) warmth(s *server) float64 {
+// slowStartShare is the share of its capacity that a server surely has.
+func (b *Balancer) slowStartShare(s *server) float64 {
 	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.set.WarmAfter {
+	if s.Boot <= 0 || age >= b.set.SlowStartWindow {
 		return 1
 	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*grown
+	grown := max(0, float64(age)/float64(b.set.SlowStartWindow))
+	return b.set.SlowStartMinimum + (1-b.set.SlowStartMinimum)*grown
 }
 
-// warmEnough thins the draw of a cold server to its share of a warm one's, and keeps it to one
+// mayTakeUpload thins the draw of a cold server to its share of a warm one's, and keeps it to one
 // own call at a time: many nodes that each send a little would push it over together.
-func (b *Balancer) warmEnough(s *server) bool {
-	w := b.warmth(s)
+func (b *Balancer) mayTakeUpload(s *server) bool {
+	w := b.slowStartShare(s)
 	return w == 1 || (s.idle() && b.rng.Float64() < w)
 }
 
@@ -45,20 +45,20 @@
 // leave too many to the warm servers of a pool with many cold ones.
 func (b *Balancer) spreadCold(r *request) *server {
 	copies := float64(max(1, b.set.Balancers))
-	times := min(copies, math.Ceil(max(float64(b.width), coldPerCall*b.busy)/max(b.fairServers(), 1e-9)))
+	times := min(copies, math.Ceil(max(float64(b.width), coldPerCall*b.busy)/max(b.serversPerNode(), 1e-9)))
 	var warm *server
 	for range coldDraws {
-		group, place := b.whole.left, b.places[0]
+		group, place := b.allGroups.left, b.places[0]
 		if b.rng.IntN(len(b.ready)) >= len(group) {
-			group, place = b.whole.right, b.places[1]
+			group, place = b.allGroups.right, b.places[1]
 		}
 		at := (float64(place) + b.rng.Float64()*times) / copies * float64(len(group))
 		s := group[int(at)%len(group)]
 		switch {
 		case !b.mayTake(s, r):
-		case b.warmth(s) == 1:
+		case b.slowStartShare(s) == 1:
 			warm = s
-		case b.rng.Float64() < b.carries(s)/b.usualSize && b.warmEnough(s):
+		case b.rng.Float64() < b.carries(s)/b.usualSize && b.mayTakeUpload(s):
 			return s
 		}
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -24,8 +24,8 @@
 func (d *due) Push(x any)        { *d = append(*d, x.(arrival)) }
 func (d *due) Pop() any          { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
 
-// coldFleet is a fleet that deals a load out among servers of which some have just started.
-type coldFleet struct {
+// slowStartFleet is a fleet that deals a load out among servers of which some have just started.
+type slowStartFleet struct {
 	nodes    int
 	believed int           // number of nodes that each of them is told; 0: as many as there are
 	uneven   bool          // the load among the nodes: each tenth one has half of it together with its like
@@ -36,23 +36,23 @@
 
 // Figures of the servers and their load.
 const (
-	coldServers   = 40
-	coldStarted   = 10
-	coldCapacity  = 40.0 // calls a second of a warm server
-	coldTook      = 100 * time.Millisecond
-	coldLength    = 12 * time.Second
-	coldWarmAfter = 10 * time.Second
-	coldFrom      = 0.2
-	coldStart     = 100 * time.Second
+	slowStartServers  = 40
+	slowStartBegun    = 10
+	slowStartCapacity = 40.0 // calls a second of a warm server
+	slowStartLatency  = 100 * time.Millisecond
+	slowStartLength   = 12 * time.Second
+	slowStartWindow   = 10 * time.Second
+	slowStartMinimum  = 0.2
+	slowStartBegin    = 100 * time.Second
 )
 
 // play deals the load out. It returns when calls were sent to each of the servers that had started, and their starts.
-func (f coldFleet) play(t *testing.T) (sent map[string][]time.Duration, starts []time.Duration) {
+func (f slowStartFleet) play(t *testing.T) (sent map[string][]time.Duration, starts []time.Duration) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(uint64(f.nodes), 1))
-	list := servers(coldServers)
-	for i := range coldStarted {
-		list[3*i].Boot = coldStart
+	list := servers(slowStartServers)
+	for i := range slowStartBegun {
+		list[3*i].Boot = slowStartBegin
 	}
 	if f.believed == 0 {
 		f.believed = f.nodes
@@ -60,26 +60,26 @@
 	fleet := make([]*Balancer, f.nodes)
 	for i := range fleet {
 		set := testSettings()
-		set.Balancers, set.Index, set.WarmAfter, set.ColdFrom = f.believed, i%f.believed, coldWarmAfter, coldFrom
+		set.Balancers, set.Index, set.SlowStartWindow, set.SlowStartMinimum = f.believed, i%f.believed, slowStartWindow, slowStartMinimum
 		b, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(coldStart-time.Second, ServerList{Full: true, Servers: list})
+		b.Handle(slowStartBegin-time.Second, ServerList{Full: true, Servers: list})
 		fleet[i] = b
 	}
 	sent = map[string][]time.Duration{}
-	starts = []time.Duration{coldStart}
+	starts = []time.Duration{slowStartBegin}
 	var out due
 	do := func(node int, now time.Duration, acts []Action) {
 		for _, s := range sends(acts) {
 			sent[s.Server] = append(sent[s.Server], now)
-			heap.Push(&out, arrival{now + coldTook, node, Outcome{ID: s.ID, Server: s.Server, Ending: Success, Latency: coldTook, Ended: true}})
+			heap.Push(&out, arrival{now + slowStartLatency, node, Outcome{ID: s.ID, Server: s.Server, Result: Success, Latency: slowStartLatency, Ended: true}})
 		}
 	}
-	for now, n := coldStart, 0; now < coldStart+coldLength; n++ {
-		rate := 0.75 * coldServers * coldCapacity
-		if since := now - coldStart; f.burst && since > 3*time.Second && since < 6*time.Second {
+	for now, n := slowStartBegin, 0; now < slowStartBegin+slowStartLength; n++ {
+		rate := 0.75 * slowStartServers * slowStartCapacity
+		if since := now - slowStartBegin; f.burst && since > 3*time.Second && since < 6*time.Second {
 			rate *= 1.5
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -87,9 +87,9 @@
 			a := heap.Pop(&out).(arrival)
 			do(a.node, a.at, fleet[a.node].Handle(a.at, a.out))
 		}
-		if f.returns > 0 && len(starts) == 1 && now >= coldStart+f.returns {
+		if f.returns > 0 && len(starts) == 1 && now >= slowStartBegin+f.returns {
 			starts = append(starts, now)
-			for i := range coldStarted {
+			for i := range slowStartBegun {
 				list[3*i].Boot = now
 			}
 			for i, b := range fleet {
@@ -110,8 +110,8 @@
 // worst is the greatest share that calls within a window had of what pushes a server over, and how many there were at all.
 // pushes tells what does by what the server can do in that time.
 func worst(sent map[string][]time.Duration, starts []time.Duration, window time.Duration, pushes func(can float64) float64) (share float64, total int) {
-	for i := range coldStarted {
-		times := sent[servers(coldServers)[3*i].ID]
+	for i := range slowStartBegun {
+		times := sent[servers(slowStartServers)[3*i].ID]
 		total += len(times)
 		for from, j := 0, 0; j < len(times); j++ {
 			start := starts[0]
@@ -123,8 +123,8 @@
 			for times[j]-times[from] > window || times[from] < start { // what came before a start went with it
 				from++
 			}
-			warmth := min(1, coldFrom+(1-coldFrom)*(times[from]-start).Seconds()/coldWarmAfter.Seconds())
-			share = max(share, float64(j-from+1)/pushes(warmth*coldCapacity*window.Seconds()))
+			warmth := min(1, slowStartMinimum+(1-slowStartMinimum)*(times[from]-start).Seconds()/slowStartWindow.Seconds())
+			share = max(share, float64(j-from+1)/pushes(warmth*slowStartCapacity*window.Seconds()))
 		}
 	}
 	return share, total
@@ -132,8 +132,8 @@
 
 // mostWarm is the most calls that a warm server had within a window.
 func mostWarm(sent map[string][]time.Duration, window time.Duration) (most int) {
-	for i, s := range servers(coldServers) {
-		if i%3 == 0 && i < 3*coldStarted {
+	for i, s := range servers(slowStartServers) {
+		if i%3 == 0 && i < 3*slowStartBegun {
 			continue
 		}
 		times := sent[s.ID]
@@ -153,12 +153,12 @@
 // tenths of as many, though each node goes by its own few calls. Steadily none gets N + 3 root of N + 3 for an N of what it
 // can do, at one node and at many. The number of nodes comes from the settings, and may be wrong by two; those that have
 // half of the load may all share a pool.
-func TestAFleetPushesNoColdServerOver(t *testing.T) {
+func TestFleetDoesNotOverloadServerInSlowStart(t *testing.T) {
 	const window = time.Second
 	allows := func(can float64) float64 { return 3*can + 2*math.Sqrt(3*can) + 2 }
 	can := func(can float64) float64 { return can + 3*math.Sqrt(can) + 3 }
 	for _, nodes := range []int{1, 5, 20, 30, 50, 300} {
-		for name, f := range map[string]coldFleet{
+		for name, f := range map[string]slowStartFleet{
 			"steady":               {nodes: nodes},
 			"burst":                {nodes: nodes, burst: true},
 			"burst, uneven":        {nodes: nodes, burst: true, uneven: true},
--- a/internal/balancer/soak_test.go
+++ b/internal/balancer/soak_test.go
@@ -11,8 +11,8 @@
 
 // A hundred thousand requests under ids that are never seen again, and ten thousand servers that come and go under new
 // ids in twenty places, in two hundred zones of which two live at a time: nothing of what has gone is kept.
-func TestNothingIsKeptOfWhatHasGone(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Asks = 2 })
+func TestRemovedServersAndRequestsLeaveNoState(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.PollChoices = 2 })
 	now := time.Second
 	place := make([]Server, 20)
 	for i := range place {
@@ -26,7 +26,7 @@
 		if i%each == 0 {
 			k := i / each % len(place)
 			gone := place[k]
-			gone.State = Gone
+			gone.State = Removed
 			place[k] = Server{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprint("zone-", i/500)}
 			b.Handle(now, ServerList{Servers: []Server{gone, place[k]}})
 		}
@@ -36,19 +36,19 @@
 			a := acts[0]
 			acts = acts[1:]
 			switch a := a.(type) {
-			case Ask:
+			case Poll:
 				for _, s := range a.Servers {
-					acts = append(acts, b.Handle(now, Known{ID: a.ID, Loads: []ServerLoad{{Server: s, Busy: 1}}})...)
+					acts = append(acts, b.Handle(now, LoadUpdate{ID: a.ID, Loads: []ServerLoad{{Server: s, Busy: 1}}})...)
 				}
 			case Send:
 				switch i % 7 {
 				case 0:
-					acts = append(acts, b.Handle(now, ClientGone{ID: id})...)
-					b.Handle(now, Outcome{ID: id, Server: a.Server, Ending: Withdrawn, Ended: true})
+					acts = append(acts, b.Handle(now, ClientDisconnected{ID: id})...)
+					b.Handle(now, Outcome{ID: id, Server: a.Server, Result: Cancelled, Ended: true})
 				case 1:
-					acts = append(acts, b.Handle(now, Outcome{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Ending: Unreachable})...)
+					acts = append(acts, b.Handle(now, Outcome{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Result: Unreachable})...)
 				default:
-					b.Handle(now, Outcome{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Ending: Success, Ended: true})
+					b.Handle(now, Outcome{ID: id, Attempt: len(b.requests[id].attempts) - 1, Server: a.Server, Result: Success, Ended: true})
 				}
 			}
 		}
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -11,11 +11,11 @@
 
 const (
 	poolLeast   = 3    // servers that any node draws from, so that a few may be lost
-	poolPerCall = 1.5  // servers drawn from for each own call in flight
+	poolPerOpen = 1.5  // servers drawn from for each own call in flight
 	poolOverlap = 2    // nodes that draw from the same server at least
-	wordFade    = 5    // mean latencies in which a server's word falls to a third of its weight
-	wordWeight  = 16   // power of e by which a server is drawn less for each mean load that it holds more than others
-	askWithin   = 0.25 // mean latencies that a call waits for what servers say
+	loadDecay   = 5    // mean latencies in which a server's word falls to a third of its weight
+	loadWeight  = 16   // power of e by which a server is drawn less for each mean load that it holds more than others
+	pollTimeout = 0.25 // mean latencies that a call waits for what servers say
 )
 
 // fitPool cuts the node's pool from each group: a run of the shared order. Over the whole list a node of many meets
@@ -27,9 +27,9 @@
 // would be too much for a few. Only halving shrinks it, so that it keeps still.
 func (b *Balancer) fitPool() {
 	n := float64(len(b.ready))
-	want := max(poolLeast, poolPerCall*b.busy, poolOverlap*b.fairServers())
+	want := max(poolLeast, poolPerOpen*b.busy, poolOverlap*b.serversPerNode())
 	copies := float64(max(1, b.set.Balancers))
-	times := min(copies, math.Ceil(1.25*want/max(b.fairServers(), 1e-9)))
+	times := min(copies, math.Ceil(1.25*want/max(b.serversPerNode(), 1e-9)))
 	if b.width > 0 && (times == b.times || want <= float64(b.width) && want > float64(b.width)/3) {
 		return
 	}
@@ -51,7 +51,7 @@
 		return out
 	}
 	b.places = [2]int{b.set.Index % int(copies), b.set.Index * stride(int(copies)) % int(copies)}
-	b.pool = groups{run(b.whole.left, b.places[0]), run(b.whole.right, b.places[1])}
+	b.pool = groups{run(b.allGroups.left, b.places[0]), run(b.allGroups.right, b.places[1])}
 }
 
 // stride is a number near the golden section of n that has no divisor in common with it: its multiples come to every
@@ -64,68 +64,68 @@
 	return m
 }
 
-// takeKnown takes what is known from elsewhere than from own calls.
-func (b *Balancer) takeKnown(e Known) {
+// takeLoadUpdate takes what is known from elsewhere than from own calls.
+func (b *Balancer) takeLoadUpdate(e LoadUpdate) {
 	for _, l := range e.Loads {
 		if s := b.servers[l.Server]; s != nil {
 			b.learn(s, l.Busy, b.now-l.Age)
 		}
 	}
-	if r := b.requests[e.ID]; r != nil && r.asking > 0 {
-		if r.asking -= len(e.Loads); r.asking <= 0 {
-			b.askedAll(r)
+	if r := b.requests[e.ID]; r != nil && r.polling > 0 {
+		if r.polling -= len(e.Loads); r.polling <= 0 {
+			b.polledAll(r)
 		}
 	}
 }
 
 // learn takes a word of how much a server held at a time.
 func (b *Balancer) learn(s *server, busy float64, at time.Duration) {
-	if busy >= 0 && at >= s.told {
-		s.busy, s.told = busy, at
-		b.holds += memory * (busy - b.holds)
+	if busy >= 0 && at >= s.reportedAt {
+		s.busy, s.reportedAt = busy, at
+		b.meanReportedLoad += memory * (busy - b.meanReportedLoad)
 	}
 }
 
-// room is by how much more or less a server is drawn for what it holds against others: the less, the older the word of
-// it is. A cold one fills up sooner.
-func (b *Balancer) room(s *server) float64 {
-	if s.told == 0 {
+// capacity is by how much more or less a server is drawn for what it holds against others: the less, the older the word
+// of it is. A cold one fills up sooner.
+func (b *Balancer) capacity(s *server) float64 {
+	if s.reportedAt == 0 {
 		return 1
 	}
-	fade := math.Exp(-float64(b.now-s.told) / (wordFade * b.classes[""].mean))
-	return math.Exp(-wordWeight * fade * (s.busy/b.warmth(s) - b.holds) / (b.holds + 1))
+	fade := math.Exp(-float64(b.now-s.reportedAt) / (loadDecay * b.classes[""].mean))
+	return math.Exp(-loadWeight * fade * (s.busy/b.slowStartShare(s) - b.meanReportedLoad) / (b.meanReportedLoad + 1))
 }
 
-// ask has some servers of the pool say how much they hold, and the request wait for it: a word of even a moment ago is
+// poll has some servers of the pool say how much they hold, and the request wait for it: a word of even a moment ago is
 // much less worth, for the other nodes' calls have come since.
-func (b *Balancer) ask(r *request) bool {
-	if b.set.Asks < 2 || len(r.attempts) > 0 || r.asked != nil {
+func (b *Balancer) poll(r *request) bool {
+	if b.set.PollChoices < 2 || len(r.attempts) > 0 || r.polled != nil {
 		return false
 	}
 	b.fitPool()
 	b.ruleOut(b.pool, r, true)
-	e := Ask{ID: r.id, Within: min(time.Duration(askWithin*r.class.mean), r.deadline-b.now-4*b.set.Tick)}
+	e := Poll{ID: r.id, Timeout: min(time.Duration(pollTimeout*r.class.mean), r.deadline-b.now-4*b.set.Tick)}
 	for i, group := range [][]*server{b.pool.left, b.pool.right} {
-		left := (b.set.Asks + 1 - i) / 2
+		left := (b.set.PollChoices + 1 - i) / 2
 		for _, k := range b.rng.Perm(len(group)) {
-			if s := group[k]; left > 0 && !s.out && b.warmEnough(s) {
-				r.asked, e.Servers, left = append(r.asked, s), append(e.Servers, s.ID), left-1
+			if s := group[k]; left > 0 && !s.out && b.mayTakeUpload(s) {
+				r.polled, e.Servers, left = append(r.polled, s), append(e.Servers, s.ID), left-1
 			}
 		}
 	}
-	r.asking = len(r.asked)
-	if r.asking < 2 || e.Within < b.set.Tick {
-		r.asked, r.asking = []*server{}, 0
+	r.polling = len(r.polled)
+	if r.polling < 2 || e.Timeout < b.set.Tick {
+		r.polled, r.polling = []*server{}, 0
 		return false
 	}
 	b.do(e)
-	b.wakeAt(r, b.now+e.Within)
+	b.wakeAt(r, b.now+e.Timeout)
 	return true
 }
 
-// askedAll places a request once all that it asked have said what they hold, or it has waited for long enough.
-func (b *Balancer) askedAll(r *request) {
-	r.asking = 0
-	r.asked = slices.DeleteFunc(r.asked, func(s *server) bool { return s.told < r.arrived })
+// polledAll places a request once all that it asked have said what they hold, or it has waited for long enough.
+func (b *Balancer) polledAll(r *request) {
+	r.polling = 0
+	r.polled = slices.DeleteFunc(r.polled, func(s *server) bool { return s.reportedAt < r.arrived })
 	b.place(r)
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -32,7 +32,7 @@
 
 // Whatever the numbers of nodes and servers are, all pools together take in the same part of each server, and
 // hardly two nodes have the same pool.
-func TestPoolsTogetherCoverAllServersEvenly(t *testing.T) {
+func TestSubsetsTogetherCoverAllServersEvenly(t *testing.T) {
 	for _, c := range []struct{ copies, servers int }{{200, 60}, {300, 60}, {60, 400}, {300, 5}, {7, 13}, {97, 89}, {1, 40}, {2, 3}} {
 		sum, pools := parts(t, c.copies, c.servers)
 		least, most := math.Inf(1), 0.0
@@ -57,7 +57,7 @@
 
 // A node more or a server more moves few of the connections that a node's pool stands for on the left, where the nodes
 // follow in their order.
-func TestPoolsKeepStillAsServersComeAndGo(t *testing.T) {
+func TestSubsetsAreStableAsServersChange(t *testing.T) {
 	_, before := parts(t, 100, 60)
 	_, after := parts(t, 100, 61)
 	kept, all := 0, 0
@@ -90,14 +90,14 @@
 // told is a node of many, with servers that say what they hold.
 func told(t *testing.T, asks int, busy ...float64) *Balancer {
 	t.Helper()
-	b := newBalancer(t, func(s *Settings) { s.Balancers, s.Asks, s.Tier = 1, asks, 1 })
+	b := newBalancer(t, func(s *Settings) { s.Balancers, s.PollChoices, s.Tier = 1, asks, 1 })
 	l := ServerList{Full: true}
 	for k := range busy {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%d", k)})
 	}
 	b.Handle(time.Second, l)
 	for k, v := range busy {
-		b.Handle(time.Second, Known{Loads: []ServerLoad{{Server: fmt.Sprintf("s%d", k), Busy: v}}})
+		b.Handle(time.Second, LoadUpdate{Loads: []ServerLoad{{Server: fmt.Sprintf("s%d", k), Busy: v}}})
 	}
 	return b
 }
@@ -111,7 +111,7 @@
 		for _, a := range b.Handle(at, Request{ID: id, Class: "get", Deadline: at + time.Second}) {
 			if s, ok := a.(Send); ok {
 				sent[s.Server]++
-				b.Handle(at, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+				b.Handle(at, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // Servers that say they hold much get little, as long as that word is young.
-func TestWhatServersSayFades(t *testing.T) {
+func TestLoadReportsDecay(t *testing.T) {
 	busy := []float64{9, 0, 0, 9, 0, 0}
 	b := told(t, 0, busy...)
 	now := sendsTo(t, b, time.Second+msec, 600)
@@ -131,22 +131,22 @@
 	if n := later["s0"] + later["s3"]; n < 100 {
 		t.Errorf("after a hundred seconds they still get %d of 600 only", n)
 	}
-	b.Handle(100*time.Second, Known{Loads: []ServerLoad{{Server: "s0", Busy: 50, Age: 90 * time.Second}, {Server: "nobody", Busy: 1}, {Server: "s1", Busy: -1}}})
-	if s := b.servers["s0"]; s.busy != 50 || b.now-s.told != 90*time.Second {
-		t.Errorf("a word of 90 s ago: %v, told %v ago", s.busy, b.now-s.told)
+	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 50, Age: 90 * time.Second}, {Server: "nobody", Busy: 1}, {Server: "s1", Busy: -1}}})
+	if s := b.servers["s0"]; s.busy != 50 || b.now-s.reportedAt != 90*time.Second {
+		t.Errorf("a word of 90 s ago: %v, told %v ago", s.busy, b.now-s.reportedAt)
 	}
-	b.Handle(100*time.Second, Known{Loads: []ServerLoad{{Server: "s0", Busy: 1, Age: 95 * time.Second}}})
+	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 1, Age: 95 * time.Second}}})
 	if s := b.servers["s0"]; s.busy != 50 {
 		t.Error("an older word took the place of a younger one")
 	}
 }
 
 // A call waits until those that were asked have said what they hold, and goes to the one that holds least.
-func TestACallGoesToTheLeastOfThoseAsked(t *testing.T) {
+func TestRequestGoesToLeastLoadedPolledServer(t *testing.T) {
 	b := told(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
 	at := 10 * time.Second
 	acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
-	ask, ok := acts[0].(Ask)
+	ask, ok := acts[0].(Poll)
 	if !ok || len(ask.Servers) != 4 || len(acts) != 2 {
 		t.Fatalf("actions %+v; want four servers asked, and a Wake", acts)
 	}
@@ -164,7 +164,7 @@
 		if i == 2 {
 			busy = 0
 		}
-		acts = b.Handle(at+msec, Known{ID: "x", Loads: []ServerLoad{{Server: s, Busy: busy}}})
+		acts = b.Handle(at+msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: s, Busy: busy}}})
 		if i < 3 && len(acts) > 0 {
 			t.Fatalf("after %d answers: %+v", i+1, acts)
 		}
@@ -172,24 +172,24 @@
 	if len(acts) != 1 || acts[0].(Send).Server != ask.Servers[2] {
 		t.Errorf("actions %+v; want it sent to %s", acts, ask.Servers[2])
 	}
-	if acts = b.Handle(at+2*msec, Known{ID: "x", Loads: []ServerLoad{{Server: ask.Servers[0], Busy: 0}}}); len(acts) > 0 {
+	if acts = b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: ask.Servers[0], Busy: 0}}}); len(acts) > 0 {
 		t.Errorf("a word that comes late has it do %+v", acts)
 	}
 }
 
 // Where some say nothing, the call waits for a part of the time that an answer takes and goes to one of those that have;
 // where nobody does, it goes by what is known.
-func TestACallDoesNotWaitForTheSilent(t *testing.T) {
+func TestRequestDoesNotWaitForSilentServer(t *testing.T) {
 	for _, answers := range []int{1, 0} {
 		b := told(t, 4, 1, 1, 1, 1, 1, 1, 1, 1)
 		at := 10 * time.Second
 		acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
-		ask, wake := acts[0].(Ask), acts[1].(Wake)
-		if ask.Within <= 0 || wake.At != at+ask.Within || ask.Within > time.Duration(b.classes["get"].mean) {
-			t.Fatalf("it waits %v, until %v", ask.Within, wake.At)
+		ask, wake := acts[0].(Poll), acts[1].(SetTimer)
+		if ask.Timeout <= 0 || wake.At != at+ask.Timeout || ask.Timeout > time.Duration(b.classes["get"].mean) {
+			t.Fatalf("it waits %v, until %v", ask.Timeout, wake.At)
 		}
 		for _, s := range ask.Servers[:answers] {
-			b.Handle(at+msec, Known{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 7}}})
+			b.Handle(at+msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 7}}})
 		}
 		acts = b.Handle(wake.At, Timer{Token: wake.Token})
 		if len(acts) != 1 {
@@ -198,20 +198,20 @@
 		if to := acts[0].(Send).Server; answers == 1 && to != ask.Servers[0] {
 			t.Errorf("it goes to %s, and only %s has answered", to, ask.Servers[0])
 		}
-		if b.requests["x"].asking != 0 {
+		if b.requests["x"].polling != 0 {
 			t.Error("it still waits for words")
 		}
 	}
 }
 
 // A caller that leaves while servers are asked has nothing sent for it.
-func TestNothingIsSentForACallerThatLeftWhileServersWereAsked(t *testing.T) {
+func TestNothingIsSentForClientDisconnectedWhilePolling(t *testing.T) {
 	b := told(t, 2, 0, 0, 0, 0)
 	at := 10 * time.Second
-	ask := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})[0].(Ask)
-	b.Handle(at+msec, ClientGone{ID: "x"})
+	ask := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})[0].(Poll)
+	b.Handle(at+msec, ClientDisconnected{ID: "x"})
 	for _, s := range ask.Servers {
-		if acts := b.Handle(at+2*msec, Known{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 0}}}); len(acts) > 0 {
+		if acts := b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 0}}}); len(acts) > 0 {
 			t.Errorf("%+v", acts)
 		}
 	}
@@ -222,7 +222,7 @@
 
 // Nodes that hear of a change of their number at different times lay their pools out in two ways for a while, each of
 // them even: together no server is left out, and none lies in much more than its part.
-func TestPoolsCoverAllServersWhileNodesDisagreeOnTheirNumber(t *testing.T) {
+func TestSubsetsCoverAllServersWhileNodesDisagreeOnNodeCount(t *testing.T) {
 	for _, c := range []struct{ was, is, servers int }{{200, 190, 60}, {190, 200, 60}, {100, 200, 60}, {60, 61, 400}, {300, 150, 30}} {
 		before, _ := parts(t, c.was, c.servers)
 		after, _ := parts(t, c.is, c.servers)
@@ -260,7 +260,7 @@
 
 // After a release all nodes are new at once and know nothing: the first calls of three hundred go to sixty servers as
 // evenly as chance has it, and to no few that come first in the order.
-func TestFreshNodesDoNotBeginAtOneServer(t *testing.T) {
+func TestNewNodesDoNotStartAtOneServer(t *testing.T) {
 	const nodes, n = 300, 60
 	for _, reported := range []bool{false, true} {
 		first := map[string]int{}
@@ -282,7 +282,7 @@
 					if k == 7 {
 						busy = 0
 					}
-					b.Handle(time.Second, Known{Loads: []ServerLoad{{Server: l.Servers[k].ID, Busy: busy}}})
+					b.Handle(time.Second, LoadUpdate{Loads: []ServerLoad{{Server: l.Servers[k].ID, Busy: busy}}})
 				}
 			}
 			for _, s := range sends(b.Handle(time.Second+msec, Request{ID: "x", Class: "get", Deadline: 2 * time.Second})) {
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -47,13 +47,13 @@
 
 // However long an upload takes, its time begins with its end: what fails before that long is over may be tried
 // again, and a server that answers soon after it is neither slow nor silent.
-func TestAnUploadsTimeBeginsWithItsEnd(t *testing.T) {
+func TestUploadDeadlineStartsAtLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	first := upload(t, b, 0, "u", "pay")
 	now := time.Minute
 	b.Handle(now, Uploaded{ID: "u", Deadline: now + 1500*msec})
-	again := sends(b.Handle(now+10*msec, Outcome{ID: "u", Server: first.Server, Ending: Overloaded}))
+	again := sends(b.Handle(now+10*msec, Outcome{ID: "u", Server: first.Server, Result: Overloaded}))
 	if len(again) != 1 || again[0].Server == first.Server || again[0].Timeout < 400*msec {
 		t.Fatalf("after %+v, which never ran: %+v", first, again)
 	}
@@ -64,9 +64,9 @@
 		now += 10 * time.Second
 		b.Handle(now, Uploaded{ID: id, Deadline: now + 1500*msec})
 		now += 20 * msec
-		b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+		b.Handle(now, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
 	}
-	if n := b.Avoided(); n != 0 {
+	if n := b.Unavailable(); n != 0 {
 		t.Errorf("%d servers are avoided that answered all in time", n)
 	}
 	if mean := time.Duration(b.classes["pay"].mean); mean > 40*msec {
@@ -76,7 +76,7 @@
 
 // A request of which a part is gone is not sent again: refused if no server ever had it whole, failed if one may
 // have run it. One of which nothing is gone goes on to another server.
-func TestWhatIsSpentIsNotSentAgain(t *testing.T) {
+func TestNonReplayableRequestIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    string
@@ -84,12 +84,12 @@
 		end      Outcome
 		want     string
 	}{
-		{"refused a connection", "pay", false, Outcome{Ending: Unreachable}, "send"},
-		{"broken halfway", "pay", false, Outcome{Ending: Unreachable, Spent: true}, "refuse"},
-		{"turned away at the end", "pay", true, Outcome{Ending: Overloaded, Spent: true}, "refuse"},
-		{"broken at the end", "pay", true, Outcome{Ending: Broken, Spent: true}, "fail"},
-		{"broken at the end, but safe", "get", true, Outcome{Ending: Broken, Spent: true}, "refuse"},
-		{"served", "pay", true, Outcome{Ending: Success, Spent: true, Ended: true}, ""},
+		{"refused a connection", "pay", false, Outcome{Result: Unreachable}, "send"},
+		{"broken halfway", "pay", false, Outcome{Result: Unreachable, NotReplayable: true}, "refuse"},
+		{"turned away at the end", "pay", true, Outcome{Result: Overloaded, NotReplayable: true}, "refuse"},
+		{"broken at the end", "pay", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "fail"},
+		{"broken at the end, but safe", "get", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "refuse"},
+		{"served", "pay", true, Outcome{Result: Success, NotReplayable: true, Ended: true}, ""},
 	} {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -103,7 +103,7 @@
 			switch a.(type) {
 			case Send:
 				got += "send"
-			case Refuse:
+			case Reject:
 				got += "refuse"
 			case Fail:
 				got += "fail"
@@ -116,29 +116,29 @@
 }
 
 // Callers that leave their uploads cost no server its good name, and leave nothing behind.
-func TestUploadsThatAreLeftBlameNobody(t *testing.T) {
+func TestAbandonedUploadsBlameNoServer(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	for i := range 100 {
 		now := time.Duration(i+1) * 10 * time.Second
 		id := fmt.Sprint("u", i)
 		s := upload(t, b, now, id, "pay")
-		b.Handle(now+5*time.Second, ClientGone{ID: id})
-		b.Handle(now+5*time.Second, Outcome{ID: id, Server: s.Server, Ending: Withdrawn, Ended: true, Spent: true})
+		b.Handle(now+5*time.Second, ClientDisconnected{ID: id})
+		b.Handle(now+5*time.Second, Outcome{ID: id, Server: s.Server, Result: Cancelled, Ended: true, NotReplayable: true})
 	}
-	if b.Avoided() != 0 || b.inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("%d servers avoided, %d in flight, %d requests", b.Avoided(), b.inFlight, len(b.requests))
+	if b.Unavailable() != 0 || b.inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("%d servers avoided, %d in flight, %d requests", b.Unavailable(), b.inFlight, len(b.requests))
 	}
 }
 
 // Cold servers get one own call at a time, also of those whose bodies still come: slow uploads to several would end
 // together. Once it has ended, or its caller has left, the next may go there.
-func TestUploadsDoNotCrowdAColdServer(t *testing.T) {
+func TestUploadsDoNotOverloadServerInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	now := time.Hour
-	cold := servers(1)
-	cold[0].Boot = now
-	b.Handle(now, ServerList{Full: true, Servers: cold})
+	slowStarting := servers(1)
+	slowStarting[0].Boot = now
+	b.Handle(now, ServerList{Full: true, Servers: slowStarting})
 	first := upload(t, b, now+msec, "first", "pay")
 	for i := range 50 {
 		e := Request{ID: fmt.Sprint("u", i), Class: "pay", Deadline: now + 1500*msec, Partial: i%2 == 0}
@@ -146,14 +146,14 @@
 			t.Fatalf("request %d goes to a cold server that an upload is on its way to", i)
 		}
 	}
-	if s := b.servers[first.Server]; s.coming != 1 || s.calls != 0 {
-		t.Errorf("%d coming, %d calls", s.coming, s.calls)
+	if s := b.servers[first.Server]; s.coming != 1 || s.inFlight != 0 {
+		t.Errorf("%d coming, %d calls", s.coming, s.inFlight)
 	}
-	b.Handle(now+3*msec, ClientGone{ID: "first"})
-	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Ending: Withdrawn, Ended: true, Spent: true})
+	b.Handle(now+3*msec, ClientDisconnected{ID: "first"})
+	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Result: Cancelled, Ended: true, NotReplayable: true})
 	out := 0
 	for _, s := range b.servers {
-		out += s.calls + s.coming
+		out += s.inFlight + s.coming
 	}
 	if out != 1 {
 		t.Errorf("%d calls at the server or on their way once it was free, want 1", out)
@@ -161,18 +161,18 @@
 }
 
 // What health keeps out is counted up to the share of the list that it may keep out, and draining servers with it.
-func TestAvoidedCountsWhatGetsNothing(t *testing.T) {
+func TestUnavailableCountsServersWithoutNewRequests(t *testing.T) {
 	b := newBalancer(t, nil)
 	l := servers(20)
 	l[19].State = Draining
 	b.Handle(0, ServerList{Full: true, Servers: l})
-	if n := b.Avoided(); n != 1 {
+	if n := b.Unavailable(); n != 1 {
 		t.Errorf("%d avoided of a healthy list, want the draining one", n)
 	}
 	for _, s := range b.servers {
 		s.until = time.Hour
 	}
-	if n, most := b.Avoided(), b.mostSick(); most != 3 || n != 1+most {
+	if n, most := b.Unavailable(), b.mostSick(); most != 3 || n != 1+most {
 		t.Errorf("%d avoided where all are ill, want 1 and %d", n, most)
 	}
 }
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -12,7 +12,7 @@
 
 // Evidence that a zone is cut off or gone is the logarithm of how unlikely its silence would be otherwise.
 const (
-	doubtAfter      = 3.0 // evidence at which it gets nothing new for the time being
+	suspectAfter    = 3.0 // evidence at which it gets nothing new for the time being
 	hushAfter       = 7.0 // and at which it is held for cut off
 	brokenOwes      = 1.0 // evidence of a connection that broke under a call
 	unreachableOwes = 0.5 // and of one that did not come up
@@ -22,13 +22,13 @@
 // a node of few calls would learn of a hundred silent servers one by one, and lose a call to each. That several are
 // silent at once while other zones answer tells of all of them, until one of them answers.
 type zone struct {
-	name   string
-	heard  time.Duration // when one of its servers last answered
-	open   []*attempt    // own calls at its servers, in the order of sending
-	owed   float64       // evidence since then that none comes any more
-	hushed time.Duration // since when it is held for cut off; 0: it is not
-	trial  *attempt      // the one call that tries whether it still is
-	next   time.Duration // no trial before
+	name       string
+	answeredAt time.Duration // when one of its servers last answered
+	open       []*attempt    // own calls at its servers, in the order of sending
+	owed       float64       // evidence since then that none comes any more
+	hushed     time.Duration // since when it is held for cut off; 0: it is not
+	probe      *attempt      // the one call that tries whether it still is
+	next       time.Duration // no trial before
 }
 
 // zoneOf returns the zone of a name.
@@ -57,7 +57,7 @@
 		if b.now-a.sent < time.Duration(c.mean/2) {
 			break
 		}
-		if a == a.srv.open[0] && a.sent > z.heard-b.overlong(c) {
+		if a == a.srv.open[0] && a.sent > z.answeredAt-b.overlong(c) {
 			n++
 		}
 	}
@@ -100,21 +100,21 @@
 	}
 }
 
-// hear takes from an attempt's end what it tells of its zone, and says whether it tells of its server: not in a cut.
-func (b *Balancer) hear(a *attempt, e Ending) bool {
+// observe takes from an attempt's end what it tells of its zone, and says whether it tells of its server: not in a cut.
+func (b *Balancer) observe(a *attempt, e Result) bool {
 	z := a.in
 	z.open = slices.DeleteFunc(z.open, func(o *attempt) bool { return o == a })
-	if z.trial == a {
-		z.trial = nil
+	if z.probe == a {
+		z.probe = nil
 		z.next = b.now + time.Duration((0.5+b.rng.Float64())*a.req.class.mean)
 	}
 	switch e {
 	case Success, Failure:
-		z.heard, z.owed, z.hushed = b.now, 0, 0
+		z.answeredAt, z.owed, z.hushed = b.now, 0, 0
 		b.weigh(z)
 	case Overloaded: // it comes at once, and tells nothing of those that work
-		z.heard, z.owed, z.hushed = b.now, 0, 0
-	case Broken:
+		z.answeredAt, z.owed, z.hushed = b.now, 0, 0
+	case ConnectionLost:
 		z.owed += brokenOwes
 	case Unreachable:
 		z.owed += unreachableOwes
@@ -128,7 +128,7 @@
 	if b.trying != nil {
 		return s.in != b.trying
 	}
-	return s.in.owed > doubtAfter && (s.Boot < s.in.heard || s.in.heard == 0)
+	return s.in.owed > suspectAfter && (s.Boot < s.in.answeredAt || s.in.answeredAt == 0)
 }
 
 // tryZone draws a server of a zone that is kept out, for one call at a time, seldom: a first try, so others may follow.
@@ -139,11 +139,11 @@
 	defer func() { b.trying = nil }()
 	for _, z := range b.zones {
 		waits := z.hushed == 0 && len(z.open) > 0 // for calls that may still be answered
-		if z.owed <= doubtAfter || z.trial != nil || waits || b.now < z.next {
+		if z.owed <= suspectAfter || z.probe != nil || waits || b.now < z.next {
 			continue
 		}
 		b.trying = z
-		for _, g := range []groups{b.pool, b.whole} {
+		for _, g := range []groups{b.pool, b.allGroups} {
 			if s := b.chooseFrom(g, r, false, true); s != nil {
 				return s
 			}
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// unheard says that nobody at all answers of late: the node's pool may lie in one zone, and then only servers beyond
-// it can tell whether that is cut off.
-func (b *Balancer) unheard() bool {
+// noServerAnswers says that nobody at all answers of late: the node's pool may lie in one zone, and then only servers
+// beyond it can tell whether that is cut off.
+func (b *Balancer) noServerAnswers() bool {
 	return slices.ContainsFunc(b.zones, func(z *zone) bool {
 		return len(z.open) > 0 && b.lastOK < z.open[0].sent && b.now-z.open[0].sent > b.overlong(z.open[0].req.class)
 	})
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -35,8 +35,8 @@
 	z := &zoned{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, took: 100 * msec, silent: map[string]bool{}, hung: map[string]bool{},
 		sent: map[string]int{}, fresh: map[string]bool{}}
 	set := testSettings()
-	set.Classes[0].Aim, set.Classes[0].Deadline = time.Second, time.Second
-	set.Classes[2].Aim, set.Classes[2].Deadline = time.Second, time.Second
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Second, time.Second
+	set.Classes[2].LatencyObjective, set.Classes[2].Deadline = time.Second, time.Second
 	set.Tier, set.Balancers = 1, 100
 	if change != nil {
 		change(&set)
@@ -66,20 +66,20 @@
 func (z *zoned) carry(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case LetGo:
+		case CloseIdle:
 			z.fresh[a.Server] = true
 			z.let++
 		case Send:
 			r := z.b.requests[a.ID]
-			o := Outcome{ID: a.ID, Attempt: len(r.attempts) - 1, Server: a.Server, Ending: Success, Ended: true}
+			o := Outcome{ID: a.ID, Attempt: len(r.attempts) - 1, Server: a.Server, Result: Success, Ended: true}
 			after := time.Duration((0.5 + 0.5*z.rng.ExpFloat64()) * float64(z.took))
 			if z.silent[z.zone(a.Server)] || z.hung[a.Server] {
-				o.Ending, o.Ended, after = TimedOut, false, a.Timeout
+				o.Result, o.Ended, after = TimedOut, false, a.Timeout
 				if z.fresh[a.Server] {
-					o.Ending, after = Unreachable, 50*msec
+					o.Result, after = Unreachable, 50*msec
 				}
 			} else if after > a.Timeout {
-				o.Ending, o.Ended, after = TimedOut, false, a.Timeout
+				o.Result, o.Ended, after = TimedOut, false, a.Timeout
 			}
 			delete(z.fresh, a.Server)
 			z.sent[z.zone(a.Server)]++
@@ -87,7 +87,7 @@
 		case Cancel:
 			i := slices.IndexFunc(z.ends, func(e end) bool { return e.ID == a.ID && e.Attempt == a.Attempt })
 			if i >= 0 {
-				z.ends[i].at, z.ends[i].Ending, z.ends[i].Ended = z.now+msec, Withdrawn, false
+				z.ends[i].at, z.ends[i].Result, z.ends[i].Ended = z.now+msec, Cancelled, false
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 			e := z.ends[i]
 			z.ends = slices.Delete(z.ends, i, i+1)
 			z.now = max(z.now, e.at)
-			if e.Ending == Success {
+			if e.Result == Success {
 				z.served++
 			}
 			z.carry(z.b.Handle(z.now, e.Outcome))
@@ -125,7 +125,7 @@
 // Nodes of ten calls a second have a call out at one or two of a zone's forty servers when it is cut off. From a second
 // and a half later on they send nothing there but a trial now and then, each on a connection of its own, so that it is
 // known at once not to have run; a second and a half after the cut has ended the zone has its share again.
-func TestAZoneThatIsCutOffGetsTrialsOnly(t *testing.T) {
+func TestUnreachableZoneGetsProbesOnly(t *testing.T) {
 	const nodes = 40
 	before, during, trials, offered, served, after := 0, 0, 0, 0, 0, 0
 	for seed := range uint64(nodes) {
@@ -159,7 +159,7 @@
 }
 
 // Calls that may run again are taken back from a zone that is cut off and run elsewhere in time.
-func TestSafeCallsAreTakenBackFromAZoneThatIsCutOff(t *testing.T) {
+func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
 	rescued := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
 			z := newZoned(t, seed, 3, 40, nil)
@@ -180,7 +180,7 @@
 }
 
 // What tells of one server, of everybody or of this node itself is held against no zone.
-func TestSilenceThatIsNoZones(t *testing.T) {
+func TestSilenceAcrossZonesBlamesNoZone(t *testing.T) {
 	for name, c := range map[string]func(*zoned){
 		"one server hangs":                   func(z *zoned) { z.hung["s0000"] = true },
 		"everybody is five times as slow":    func(z *zoned) { z.took *= 5 },
@@ -210,8 +210,8 @@
 }
 
 // A zone that was lost comes back as servers that have begun anew: they are no part of what was silent.
-func TestServersThatBeginAnewAreNoPartOfTheSilence(t *testing.T) {
-	z := newZoned(t, 1, 3, 10, func(s *Settings) { s.WarmAfter = 0 })
+func TestRestartedServersDoNotCountAsSilent(t *testing.T) {
+	z := newZoned(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
 	z.run("pay", 20, 5*time.Second)
 	z.silent["zone1"] = true
 	z.run("pay", 20, 3*time.Second)
@@ -232,7 +232,7 @@
 }
 
 // A node whose pool lies in the zone that is cut off hears nobody: it asks beyond its pool, and learns that others answer.
-func TestANodeThatHearsNobodyAsksBeyondItsPool(t *testing.T) {
+func TestNodeWithoutAnswersProbesBeyondItsSubset(t *testing.T) {
 	z := newZoned(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
 	l := ServerList{Full: true}
 	for i := range 120 { // the pool is a run from the start of each group, which begin with 0 and 60
@@ -257,7 +257,7 @@
 // Over a fleet of any size the nodes that see only a few calls each send a zone that is cut off, all together and
 // after two seconds, less than a tenth of what they sent it before, and the servers of the others no more than
 // their share of that in turn.
-func TestFleetsOfAnySizeLeaveAZoneThatIsCutOff(t *testing.T) {
+func TestFleetOfAnySizeLeavesUnreachableZone(t *testing.T) {
 	for _, copies := range []int{10, 100, 1000} {
 		before, during, others := 0, 0, 0
 		for i := range copies {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -132,7 +132,7 @@
 // Vote is what one that could be keeper has promised.
 type Vote struct {
 	Term   uint64
-	Keeper string
+	Leader string
 	Until  time.Duration // by its own clock: before that it promises nobody else anything
 }
 
@@ -141,9 +141,9 @@
 	switch {
 	case now-began < Longer(term):
 		return v, false // it may have promised before it was started
-	case number < v.Term, number == v.Term && v.Keeper != who:
+	case number < v.Term, number == v.Term && v.Leader != who:
 		return v, false
-	case v.Keeper != who && now < v.Until:
+	case v.Leader != who && now < v.Until:
 		return v, false
 	}
 	return Vote{number, who, now + Longer(term)}, true
@@ -186,6 +186,6 @@
 // Lent says until when a keeper may lend a floor whose gateway waived it in an answer to a message of the keeper's of a
 // time, and until when, by its own clock, the gateway draws nothing of it then. The keeper's message came before the answer
 // went out, so that the first is over before the second.
-func Lent(asked, answered time.Duration) (keeper, gateway time.Duration) {
+func Lent(asked, answered time.Duration) (leader, gateway time.Duration) {
 	return asked + Waiver, answered + Longer(Waiver)
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -37,7 +37,7 @@
 			began = length(t, r, f[2])
 		case len(f) == 5 && f[1] == "to":
 			fmt.Sscan(f[0], &v.Term)
-			v.Keeper, v.Until = f[2], length(t, r, f[4])
+			v.Leader, v.Until = f[2], length(t, r, f[4])
 		default:
 			t.Errorf("%s:%d: nobody plays %q", page, r.Line, r.At("given"))
 			continue
@@ -52,7 +52,7 @@
 		got := "no"
 		if ok {
 			got = fmt.Sprintf("yes, until %v", next.Until)
-			if next.Term != number || next.Keeper != who {
+			if next.Term != number || next.Leader != who {
 				t.Errorf("%s:%d: %+v", page, r.Line, next)
 			}
 		} else if next != v {
@@ -111,7 +111,7 @@
 // Whatever clocks show and however late messages come, as long as clocks' rates differ by the drift at most, two terms never
 // overlap, and a voter that is started anew makes no two of them. What happens is drawn first and then played in the order of
 // real time: a voter hears questions in the order in which they reach it, which is not the one in which they were asked.
-func TestThereAreNeverTwoKeepers(t *testing.T) {
+func TestNeverTwoLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const term = time.Second
 		type voter struct {
@@ -121,10 +121,10 @@
 			began time.Duration // by its clock
 		}
 		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "voters")
-		voters := make([]*voter, n)
-		for i := range voters {
-			voters[i] = &voter{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*Drift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "off")) * time.Second}
-			voters[i].began = voters[i].off
+		replicas := make([]*voter, n)
+		for i := range replicas {
+			replicas[i] = &voter{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*Drift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "off")) * time.Second}
+			replicas[i].began = replicas[i].off
 		}
 		clock := func(v *voter, now time.Duration) time.Duration { return v.off + time.Duration(v.rate*float64(now)) }
 		type reign struct {
@@ -150,17 +150,17 @@
 		for range rapid.IntRange(5, 60).Draw(t, "asks") {
 			now += length(600, "later")
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				v := voters[rapid.IntRange(0, n-1).Draw(t, "who")]
+				v := replicas[rapid.IntRange(0, n-1).Draw(t, "who")]
 				on(now-length(300, "before"), func(now time.Duration) { v.vote, v.began = Vote{}, clock(v, now) })
 			}
 			who := rapid.IntRange(0, n-1).Draw(t, "candidate")
-			me := voters[who]
+			me := replicas[who]
 			// By its own clock, and the real time at which the term is over by it.
 			till := time.Duration(float64(clock(me, now)+Shorter(term)-me.off) / me.rate)
 			high = max(1, high+rapid.IntRange(-1, 2).Draw(t, "number"))
 			number := uint64(high)
 			yes := 0
-			for _, v := range voters {
+			for _, v := range replicas {
 				there := time.Duration(rapid.IntRange(0, 60).Draw(t, "there")) * time.Millisecond
 				if rapid.IntRange(0, 9).Draw(t, "late") == 0 {
 					there = length(1200, "there")
@@ -199,7 +199,7 @@
 }
 
 // A promise by the fastest clock outlasts the term that it was given for by the slowest one.
-func TestAPromiseOutlastsItsTerm(t *testing.T) {
+func TestVoteOutlastsItsTerm(t *testing.T) {
 	const fast, slow = 1 + Drift/2, 1 - Drift/2
 	began := time.Duration(0)
 	v, ok := MayVote(Vote{}, began, 10*time.Second, time.Second, 1, "a")
@@ -209,15 +209,15 @@
 }
 
 // A floor that is lent is drawn by nobody else, however late the waiver comes to the keeper, or whether it does.
-func TestALentFloorIsDrawnOnce(t *testing.T) {
+func TestLentFloorIsDrawnOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keeper, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*Drift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*Drift
+		leader, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*Drift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*Drift
 		stamp := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "stamp")) // real
 		sent := stamp + time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "later"))
-		byKeeper := func(real time.Duration) time.Duration { return time.Duration(float64(real) * keeper) }
+		byKeeper := func(real time.Duration) time.Duration { return time.Duration(float64(real) * leader) }
 		byGateway := func(real time.Duration) time.Duration { return time.Duration(float64(real) * gateway) }
 		lent, drawn := Lent(byKeeper(stamp), byGateway(sent))
-		if until, from := float64(lent)/keeper, float64(drawn)/gateway; until > from {
+		if until, from := float64(lent)/leader, float64(drawn)/gateway; until > from {
 			t.Fatalf("lent until %v, drawn from %v", time.Duration(until), time.Duration(from))
 		}
 	})
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -16,8 +16,8 @@
 	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
 
 // readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
-func readsWall(call *ast.CallExpr) bool {
-	method, ok := call.Fun.(*ast.SelectorExpr)
+func readsWall(request *ast.CallExpr) bool {
+	method, ok := request.Fun.(*ast.SelectorExpr)
 	if !ok || !wallReads[method.Sel.Name] {
 		return false
 	}
@@ -31,7 +31,7 @@
 	case "Round":
 		return of != "math"
 	case "Local", "UTC":
-		return len(call.Args) == 0
+		return len(request.Args) == 0
 	}
 	return true
 }
@@ -60,10 +60,10 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if call, ok := n.(*ast.CallExpr); ok && readsWall(call) {
+			if request, ok := n.(*ast.CallExpr); ok && readsWall(request) {
 				found++
 				if !strings.Contains(string(page), "`"+name+"`") {
-					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(call.Pos()))
+					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(request.Pos()))
 				}
 			}
 			return true
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -30,7 +30,7 @@
 	maxWeight      = 1e12
 	maxSocketPath  = 107 // of a Unix socket's address on Linux
 	maxTier        = 16
-	maxAsks        = 16
+	maxPolls       = 16
 )
 
 // Reserved descriptors are for the log, the runtime, the admin socket and its clients, a snapshot being
@@ -136,12 +136,12 @@
 		k.socket("node.admin_socket", n.AdminSocket)
 	}
 	if n.Management != "" {
-		door, err := netip.ParseAddrPort(n.Management)
+		management, err := netip.ParseAddrPort(n.Management)
 		if err != nil {
 			k.fail("node.management", "found %q; allowed: an IP address with a port, such as \"127.0.0.1:9100\"", n.Management)
 		}
 		for _, l := range k.Listeners {
-			if addr, bad := netip.ParseAddrPort(l.Address); err == nil && bad == nil && meets(addr, door) {
+			if addr, bad := netip.ParseAddrPort(l.Address); err == nil && bad == nil && meets(addr, management) {
 				k.fail("node.management", "found %q, which listener %q takes with %q", n.Management, l.Name, l.Address)
 			}
 		}
@@ -183,8 +183,8 @@
 			}
 		}
 		k.duration(path+".deadline", c.Deadline, time.Millisecond, maxDeadline)
-		k.duration(path+".aim", c.Aim, time.Millisecond, max(time.Millisecond, time.Duration(c.Deadline)))
-		k.float(path+".worth", c.Worth, 0, maxWeight)
+		k.duration(path+".aim", c.LatencyObjective, time.Millisecond, max(time.Millisecond, time.Duration(c.Deadline)))
+		k.float(path+".worth", c.PriorityWeight, 0, maxWeight)
 		k.float(path+".late_share", c.LateShare, 0, 1)
 	}
 }
@@ -240,7 +240,7 @@
 		k.duration(path+".retry_after", p.RetryAfter, 0, maxDeadline)
 		k.number(path+".copies.count", p.Copies.Count, 1, maxCopies)
 		k.number(path+".copies.index", p.Copies.Index, 0, max(1, p.Copies.Count)-1)
-		k.float(path+".shedding.whole", p.Shedding.Whole, 0, maxWeight)
+		k.float(path+".shedding.whole", p.Shedding.Total, 0, maxWeight)
 		k.float(path+".shedding.worst_class", p.Shedding.WorstClass, 0, maxWeight)
 		k.number(path+".connections.most", p.Connections.Most, 1, maxDescriptors)
 		k.duration(path+".connections.idle", p.Connections.Idle, 10*time.Millisecond, 24*time.Hour)
@@ -249,10 +249,10 @@
 		k.duration(path+".slow_start.over", p.SlowStart.Over, 0, time.Hour)
 		if p.LoadReports != (LoadReports{}) {
 			k.name(path+".load_reports.busy", p.LoadReports.Busy)
-			k.number(path+".load_reports.ask", p.LoadReports.Ask, 0, maxAsks)
-			if at := p.LoadReports.AskPath; p.LoadReports.Ask == 1 {
-				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: there is nothing to choose from one", maxAsks)
-			} else if (at != "") != (p.LoadReports.Ask > 0) || at != "" && (at[0] != '/' || strings.ContainsFunc(at, func(c rune) bool { return c <= ' ' || c > '~' })) {
+			k.number(path+".load_reports.ask", p.LoadReports.Poll, 0, maxPolls)
+			if at := p.LoadReports.PollPath; p.LoadReports.Poll == 1 {
+				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: there is nothing to choose from one", maxPolls)
+			} else if (at != "") != (p.LoadReports.Poll > 0) || at != "" && (at[0] != '/' || strings.ContainsFunc(at, func(c rune) bool { return c <= ' ' || c > '~' })) {
 				k.fail(path+".load_reports.ask_path", "found %q; allowed: a path from \"/\" on of visible ASCII, and only with ask", at)
 			}
 		}
@@ -320,11 +320,11 @@
 	}
 	if r := p.Registry; r != nil {
 		k.target(path+".registry.address", r.Address)
-		word(k, path+".registry.mode", r.Mode, Pushed, Asked)
-		if r.Mode == Asked {
-			k.duration(path+".registry.ask_within", r.AskWithin, 100*time.Millisecond, time.Hour)
-		} else if r.AskWithin != 0 {
-			k.fail(path+".registry.ask_within", "found %v; it belongs to mode = \"asked\"", r.AskWithin)
+		word(k, path+".registry.mode", r.Mode, Pushed, Polled)
+		if r.Mode == Polled {
+			k.duration(path+".registry.ask_within", r.PollInterval, 100*time.Millisecond, time.Hour)
+		} else if r.PollInterval != 0 {
+			k.fail(path+".registry.ask_within", "found %v; it belongs to mode = \"asked\"", r.PollInterval)
 		}
 	}
 	named(k, path+".server", p.Servers, Server.name)
@@ -423,7 +423,7 @@
 // Memory that parts of a node take, measured and rounded up (docs/design/plan.md).
 const (
 	baseMemory       = 12 << 20
-	callerMemory     = 40 << 10
+	clientMemory     = 40 << 10
 	connectionMemory = 12 << 10
 	poolMemory       = 96 << 10
 	serverMemory     = 4 << 10
@@ -445,7 +445,7 @@
 		servers += len(p.Servers)
 	}
 	own := c.OwnDescriptors()
-	memory := int64(baseMemory) + int64(most)*(callerMemory+connectionMemory) + int64(len(c.AllPools()))*poolMemory +
+	memory := int64(baseMemory) + int64(most)*(clientMemory+connectionMemory) + int64(len(c.AllPools()))*poolMemory +
 		int64(servers)*serverMemory + int64(len(c.Routes))*routeMemory + int64(c.links())*linkMemory
 	if c.Federation != nil {
 		memory += int64(c.Federation.Memory)
@@ -462,14 +462,14 @@
 			registries++
 		}
 	}
-	door := 0
+	management := 0
 	if c.Node.Management != "" {
-		door = managementDescriptors
+		management = managementDescriptors
 	}
 	if c.Node.Peers.Listen != "" {
-		door++
+		management++
 	}
-	return Reserved + door + c.links() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
+	return Reserved + management + c.links() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
 }
 
 // needs compares what is asked for with the limits.
--- a/internal/config/configtest/draw.go
+++ b/internal/config/configtest/draw.go
@@ -29,8 +29,8 @@
 	classes := names("classes", 1, "view", "note", "keyed")
 	for _, name := range classes {
 		k := config.Class{Name: name, Effect: map[string]config.Effect{"view": config.Safe, "note": config.Unsafe, "keyed": config.Keyed}[name],
-			Aim: config.Duration(time.Duration(rapid.IntRange(900, 902).Draw(t, "aim")) * time.Millisecond), Deadline: config.Duration(4 * time.Second),
-			Worth: float64(rapid.IntRange(1, 3).Draw(t, "worth")), LateShare: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "late")}
+			LatencyObjective: config.Duration(time.Duration(rapid.IntRange(900, 902).Draw(t, "aim")) * time.Millisecond), Deadline: config.Duration(4 * time.Second),
+			PriorityWeight: float64(rapid.IntRange(1, 3).Draw(t, "worth")), LateShare: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "late")}
 		if name == "keyed" {
 			k.KeyScope, k.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
 		}
@@ -46,7 +46,7 @@
 	for _, name := range pools {
 		p := config.Pool{Name: name, Protocol: config.HTTP1, Attempts: rapid.IntRange(1, 3).Draw(t, "attempts"), Cancel: rapid.Bool().Draw(t, "cancel"),
 			Tick: config.Duration(time.Millisecond), RetryAfter: config.Duration(time.Second), Copies: config.Copies{Count: 1},
-			Shedding: config.Shedding{Whole: 0.5, WorstClass: 0.5}, SlowStart: config.SlowStart{From: 1},
+			Shedding: config.Shedding{Total: 0.5, WorstClass: 0.5}, SlowStart: config.SlowStart{From: 1},
 			Connections: config.Connections{Most: rapid.IntRange(20, 22).Draw(t, "most"), Idle: config.Duration(time.Minute),
 				ConnectTimeout: config.Duration(time.Duration(rapid.IntRange(1, 2).Draw(t, "connect")) * time.Second)}}
 		servers := names("servers", 1, "s1", "s2", "s3")
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -19,7 +19,7 @@
 type Federation struct {
 	Partner  string   `json:"partner"`            // what this partner is called among all
 	Listener string   `json:"listener,omitempty"` // name of the one by which partners' calls come in; empty: none come
-	Calls    string   `json:"calls,omitempty"`    // address at which partners reach it; empty: the listener's own
+	Requests string   `json:"calls,omitempty"`    // address at which partners reach it; empty: the listener's own
 	Holders  int      `json:"holders"`            // of a call in custody
 	Memory   Size     `json:"memory"`             // for calls that are held for others
 	Keep     Duration `json:"keep"`               // that answers are kept after they were settled
@@ -27,8 +27,8 @@
 	Silence  Duration `json:"silence"`            // without a sign of life, after which a link ends
 }
 
-// Custody says what becomes of calls of a class that has it when too few holders are to be reached.
-type Custody struct {
+// Replication says what becomes of calls of a class that has it when too few holders are to be reached.
+type Replication struct {
 	WhenAlone Alone `json:"when_alone"`
 }
 
@@ -38,7 +38,7 @@
 // What it does.
 const (
 	ServeAlone  Alone = "serve"
-	RefuseAlone Alone = "refuse"
+	RejectAlone Alone = "refuse"
 )
 
 // Partner is another partner, and what this one goes by with it.
@@ -50,7 +50,7 @@
 	Accept      []string `json:"accept,omitempty"` // prefixes below which its offers are taken
 	Deny        []string `json:"deny,omitempty"`   // and below which they are not
 	Preference  int      `json:"preference"`       // of its offers against others'; higher is better
-	MostOffers  int      `json:"most_offers"`
+	MaxRoutes   int      `json:"most_offers"`
 	PassOnTo    []string `json:"pass_on_to,omitempty"` // partners that its offers are passed on to
 	Cost        int      `json:"cost,omitempty"`       // that is added to those
 	Connections int      `json:"connections"`          // for calls, at most
@@ -64,33 +64,33 @@
 	All      bool     `json:"all,omitempty"` // any partner may have it; else
 	To       []string `json:"to,omitempty"`  // these
 	Transit  bool     `json:"transit,omitempty"`
-	Hands    int      `json:"hands"` // partners that a call may come through
+	MaxHops  int      `json:"hands"` // partners that a call may come through
 	Effects  []Effect `json:"effects"`
 	Tenants  []string `json:"tenants,omitempty"`
 	Excluded []string `json:"excluded,omitempty"`
 	Until    string   `json:"until,omitempty"` // RFC 3339; empty: for good
 	Cost     int      `json:"cost,omitempty"`
-	Room     int      `json:"room,omitempty"` // calls at once that one neighbour may have; 0: not said
+	Capacity int      `json:"room,omitempty"` // calls at once that one neighbour may have; 0: not said
 }
 
 // Quota is a budget of calls that all partners draw from.
 type Quota struct {
-	Name     string         `json:"name"`
-	Rate     float64        `json:"rate"` // calls a second
-	Burst    float64        `json:"burst"`
-	Over     float64        `json:"over"`
-	Lease    Duration       `json:"lease"`
-	Term     Duration       `json:"term"`
-	Wait     Duration       `json:"wait,omitempty"`
-	WhenCut  budget.Cut     `json:"when_cut"`
-	Classes  []string       `json:"classes,omitempty"`
-	Tenants  []string       `json:"tenants,omitempty"`
-	Keepers  []QuotaKeeper  `json:"keepers"`
-	Partners []QuotaPartner `json:"partners"`
+	Name       string           `json:"name"`
+	Rate       float64          `json:"rate"` // calls a second
+	Burst      float64          `json:"burst"`
+	Over       float64          `json:"over"`
+	Lease      Duration         `json:"lease"`
+	Term       Duration         `json:"term"`
+	Wait       Duration         `json:"wait,omitempty"`
+	WhenCut    budget.Cut       `json:"when_cut"`
+	Classes    []string         `json:"classes,omitempty"`
+	Tenants    []string         `json:"tenants,omitempty"`
+	Candidates []QuotaCandidate `json:"keepers"`
+	Partners   []QuotaPartner   `json:"partners"`
 }
 
-// QuotaKeeper is a gateway that may keep a budget.
-type QuotaKeeper struct {
+// QuotaCandidate is a gateway that may keep a budget.
+type QuotaCandidate struct {
 	Name    string `json:"name"` // partner/gateway
 	Address string `json:"address"`
 }
@@ -103,11 +103,11 @@
 	Gateways int     `json:"gateways"`
 }
 
-func (p Partner) name() string      { return p.Name }
-func (e Export) name() string       { return e.Name }
-func (q Quota) name() string        { return q.Name }
-func (k QuotaKeeper) name() string  { return k.Name }
-func (p QuotaPartner) name() string { return p.Name }
+func (p Partner) name() string        { return p.Name }
+func (e Export) name() string         { return e.Name }
+func (q Quota) name() string          { return q.Name }
+func (k QuotaCandidate) name() string { return k.Name }
+func (p QuotaPartner) name() string   { return p.Name }
 
 // Terms are the quota's, as they are kept.
 func (q Quota) Terms() budget.Terms {
@@ -163,10 +163,10 @@
 		return nil
 	}
 	for _, class := range c.Classes {
-		if class.Custody == nil {
+		if class.Replication == nil {
 			continue
 		}
-		if class.Custody.WhenAlone == ServeAlone {
+		if class.Replication.WhenAlone == ServeAlone {
 			out = append(out, fmt.Sprintf(`class %q: where too few holders are reached its calls are served all the same; such a call dies with its gateway, and a caller that comes back for it hears that nobody knows it`, class.Name))
 		} else {
 			out = append(out, fmt.Sprintf(`class %q: where too few holders are reached its calls are refused, and one that was begun is told only once a majority has its answer`, class.Name))
@@ -184,7 +184,7 @@
 	f := &Federation{Partner: name, Holders: 3, Memory: 8 << 20, Keep: Duration(30 * time.Second), Stale: Duration(30 * time.Second), Silence: Duration(time.Second)}
 	r.body(b, path, []field{
 		{"listener", false, text(&f.Listener)},
-		{"calls", false, text(&f.Calls)},
+		{"calls", false, text(&f.Requests)},
 		{"holders", false, integer(&f.Holders)},
 		{"memory", false, size(&f.Memory)},
 		{"keep", false, duration(&f.Keep)},
@@ -195,7 +195,7 @@
 }
 
 func (r *reader) partner(b *hclsyntax.Body, path, name string) Partner {
-	p := Partner{Name: name, Links: 2, Preference: 100, MostOffers: 1000, Connections: 16}
+	p := Partner{Name: name, Links: 2, Preference: 100, MaxRoutes: 1000, Connections: 16}
 	r.body(b, path, []field{
 		{"key_file", true, text(&p.KeyFile)},
 		{"gateways", true, texts(&p.Gateways)},
@@ -203,7 +203,7 @@
 		{"accept", false, texts(&p.Accept)},
 		{"deny", false, texts(&p.Deny)},
 		{"preference", false, integer(&p.Preference)},
-		{"most_offers", false, integer(&p.MostOffers)},
+		{"most_offers", false, integer(&p.MaxRoutes)},
 		{"pass_on_to", false, texts(&p.PassOnTo)},
 		{"cost", false, integer(&p.Cost)},
 		{"connections", false, integer(&p.Connections)},
@@ -212,7 +212,7 @@
 }
 
 func (r *reader) export(b *hclsyntax.Body, path, name string) Export {
-	e := Export{Name: name, Hands: 1}
+	e := Export{Name: name, MaxHops: 1}
 	var effects []string
 	r.body(b, path, []field{
 		{"class", true, text(&e.Class)},
@@ -220,13 +220,13 @@
 		{"all", false, flag(&e.All)},
 		{"to", false, texts(&e.To)},
 		{"transit", false, flag(&e.Transit)},
-		{"hands", false, integer(&e.Hands)},
+		{"hands", false, integer(&e.MaxHops)},
 		{"effects", false, texts(&effects)},
 		{"tenants", false, texts(&e.Tenants)},
 		{"excluded", false, texts(&e.Excluded)},
 		{"until", false, text(&e.Until)},
 		{"cost", false, integer(&e.Cost)},
-		{"room", false, integer(&e.Room)},
+		{"room", false, integer(&e.Capacity)},
 	}, nil)
 	for _, v := range effects {
 		e.Effects = append(e.Effects, Effect(v))
@@ -251,9 +251,9 @@
 		{"tenants", false, texts(&q.Tenants)},
 	}, []block{
 		{kind: "keeper", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
-			k := QuotaKeeper{Name: label}
+			k := QuotaCandidate{Name: label}
 			r.body(b, path, []field{{"address", true, text(&k.Address)}}, nil)
-			q.Keepers = append(q.Keepers, k)
+			q.Candidates = append(q.Candidates, k)
 		}},
 		{kind: "partner", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
 			p := QuotaPartner{Name: label, Weight: 1}
@@ -273,8 +273,8 @@
 // Bounds of a federation.
 const (
 	maxHolders  = 7
-	maxHands    = 8
-	maxOffers   = 100_000
+	maxHops     = 8
+	maxRoutes   = 100_000
 	maxGateways = 10_000
 	maxLinks    = 16
 	maxListed   = 256
@@ -285,7 +285,7 @@
 	f := k.Federation
 	if f == nil {
 		for _, c := range k.Classes {
-			if c.Custody != nil {
+			if c.Replication != nil {
 				k.fail("class."+c.Name+".custody", "it needs a federation block, and peers in the node's")
 			}
 		}
@@ -314,8 +314,8 @@
 			k.fail(path+".listener", "found %q, which speaks %s; allowed: one of protocol %q", f.Listener, l.Protocol, HTTP1)
 		}
 	}
-	if f.Calls != "" {
-		k.target(path+".calls", f.Calls)
+	if f.Requests != "" {
+		k.target(path+".calls", f.Requests)
 	}
 	k.number(path+".holders", f.Holders, 1, maxHolders)
 	if f.Memory < 64<<10 || f.Memory > maxMemory {
@@ -325,8 +325,8 @@
 	k.duration(path+".stale", f.Stale, 0, time.Hour)
 	k.duration(path+".silence", f.Silence, 50*time.Millisecond, time.Minute)
 	for _, c := range k.Classes {
-		if c.Custody != nil {
-			word(k, "class."+c.Name+".custody.when_alone", c.Custody.WhenAlone, ServeAlone, RefuseAlone)
+		if c.Replication != nil {
+			word(k, "class."+c.Name+".custody.when_alone", c.Replication.WhenAlone, ServeAlone, RejectAlone)
 		}
 	}
 	k.partners()
@@ -378,7 +378,7 @@
 		}
 		k.number(path+".links", p.Links, 1, maxLinks)
 		k.number(path+".preference", p.Preference, 0, 1_000_000)
-		k.number(path+".most_offers", p.MostOffers, 0, maxOffers)
+		k.number(path+".most_offers", p.MaxRoutes, 0, maxRoutes)
 		k.number(path+".cost", p.Cost, 0, 1_000_000)
 		k.number(path+".connections", p.Connections, 1, maxDescriptors)
 		k.prefixes(path+".accept", p.Accept)
@@ -417,9 +417,9 @@
 				k.fail(path+".to", "found %q: that is this partner itself", to)
 			}
 		}
-		k.number(path+".hands", e.Hands, 1, maxHands)
-		if e.Hands > 1 && !e.Transit {
-			k.fail(path+".hands", "found %d, but transit is not allowed: no call can come through more than one partner's hands", e.Hands)
+		k.number(path+".hands", e.MaxHops, 1, maxHops)
+		if e.MaxHops > 1 && !e.Transit {
+			k.fail(path+".hands", "found %d, but transit is not allowed: no call can come through more than one partner's hands", e.MaxHops)
 		}
 		for _, v := range e.Effects {
 			word(k, path+".effects", v, Unsafe, Keyed, Safe)
@@ -433,7 +433,7 @@
 			}
 		}
 		k.number(path+".cost", e.Cost, 0, 1_000_000)
-		k.number(path+".room", e.Room, 0, 1_000_000)
+		k.number(path+".room", e.Capacity, 0, 1_000_000)
 	}
 }
 
@@ -450,11 +450,11 @@
 				k.fail(path+".classes", "found %q: there is no class of that name", c)
 			}
 		}
-		if len(q.Keepers)%2 == 0 || len(q.Keepers) > maxHolders {
-			k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, so that a majority of them is one", len(q.Keepers))
+		if len(q.Candidates)%2 == 0 || len(q.Candidates) > maxHolders {
+			k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, so that a majority of them is one", len(q.Candidates))
 		}
 		seen := map[string]bool{}
-		for _, g := range q.Keepers {
+		for _, g := range q.Candidates {
 			kp := path + ".keeper." + g.Name
 			partner, name, ok := strings.Cut(g.Name, "/")
 			if !ok || !goodName(partner) || !goodName(name) {
@@ -509,7 +509,7 @@
 		n += 2 * p.Links
 	}
 	for _, q := range c.Quotas {
-		n += len(q.Keepers)
+		n += len(q.Candidates)
 	}
 	return n
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -458,19 +458,19 @@
 }
 
 func (r *reader) class(b *hclsyntax.Body, path, name string) Class {
-	c := Class{Name: name, Worth: 1}
+	c := Class{Name: name, PriorityWeight: 1}
 	r.body(b, path, []field{
 		{"effect", true, words(&c.Effect)},
 		{"key_scope", false, words(&c.KeyScope)},
 		{"window", false, duration(&c.Window)},
-		{"aim", true, duration(&c.Aim)},
+		{"aim", true, duration(&c.LatencyObjective)},
 		{"deadline", true, duration(&c.Deadline)},
 		{"late_share", false, decimal(&c.LateShare)},
-		{"worth", false, decimal(&c.Worth)},
+		{"worth", false, decimal(&c.PriorityWeight)},
 	}, []block{
 		{kind: "custody", single: true, read: func(b *hclsyntax.Body, path, _ string) {
-			c.Custody = &Custody{}
-			r.body(b, path, []field{{"when_alone", true, words(&c.Custody.WhenAlone)}}, nil)
+			c.Replication = &Replication{}
+			r.body(b, path, []field{{"when_alone", true, words(&c.Replication.WhenAlone)}}, nil)
 		}},
 	})
 	return c
@@ -489,7 +489,7 @@
 // defaultPool is what a pool has where the file says nothing.
 func defaultPool(name string) Pool {
 	return Pool{Name: name, Protocol: HTTP1, Attempts: 3, Cancel: true, Tick: Duration(time.Millisecond), RetryAfter: Duration(2 * time.Second),
-		Copies: Copies{Count: 1}, Shedding: Shedding{Whole: 0.75, WorstClass: 0.25},
+		Copies: Copies{Count: 1}, Shedding: Shedding{Total: 0.75, WorstClass: 0.25},
 		Connections: Connections{Most: 64, Idle: Duration(time.Minute), ConnectTimeout: Duration(time.Second)},
 		SlowStart:   SlowStart{From: 1}}
 }
@@ -512,7 +512,7 @@
 		}},
 		{kind: "shedding", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"whole", true, decimal(&p.Shedding.Whole)},
+				{"whole", true, decimal(&p.Shedding.Total)},
 				{"worst_class", true, decimal(&p.Shedding.WorstClass)},
 			}, nil)
 		}},
@@ -532,11 +532,11 @@
 		{kind: "load_reports", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
 				{"busy", true, text(&p.LoadReports.Busy)},
-				{"ask", false, integer(&p.LoadReports.Ask)},
-				{"ask_path", false, text(&p.LoadReports.AskPath)},
+				{"ask", false, integer(&p.LoadReports.Poll)},
+				{"ask_path", false, text(&p.LoadReports.PollPath)},
 			}, nil)
-			if p.LoadReports.Ask > 0 && p.LoadReports.AskPath == "" {
-				p.LoadReports.AskPath = "/stats"
+			if p.LoadReports.Poll > 0 && p.LoadReports.PollPath == "" {
+				p.LoadReports.PollPath = "/stats"
 			}
 		}},
 		{kind: "registry", single: true, read: func(b *hclsyntax.Body, path, _ string) {
@@ -544,7 +544,7 @@
 			r.body(b, path, []field{
 				{"address", true, text(&p.Registry.Address)},
 				{"mode", false, words(&p.Registry.Mode)},
-				{"ask_within", false, duration(&p.Registry.AskWithin)},
+				{"ask_within", false, duration(&p.Registry.PollInterval)},
 			}, nil)
 		}},
 		{kind: "server", labelled: true, read: func(b *hclsyntax.Body, path, label string) {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -22,19 +22,19 @@
 	if len(problems) > 0 {
 		t.Fatalf("%v", problems)
 	}
-	boxes, _ := c.Pool("boxes")
+	servers, _ := c.Pool("boxes")
 	candidate, _ := c.Pool("candidate")
 	view, _ := c.Class("view-interval")
 	bridge, _ := c.Listener("bridge")
-	if c.Node.Name != "annot-1" || c.Node.Limits.Memory != 192<<20 || boxes.Connections.Most != 320 || boxes.SlowStart.From != 0.13 ||
-		boxes.Registry.Address != "127.0.0.1:8500" || boxes.LoadReports != (LoadReports{"inflight", 4, "/stats"}) || c.Settings(boxes).Asks != 4 || len(candidate.Servers) != 2 || candidate.Servers[1].Size != 0.5 ||
-		time.Duration(view.Aim) != 1500*time.Millisecond || view.Worth != 12 || bridge.Paths != NormalizePaths || len(c.Routes) != 3 {
+	if c.Node.Name != "annot-1" || c.Node.Limits.Memory != 192<<20 || servers.Connections.Most != 320 || servers.SlowStart.From != 0.13 ||
+		servers.Registry.Address != "127.0.0.1:8500" || servers.LoadReports != (LoadReports{"inflight", 4, "/stats"}) || c.Settings(servers).PollChoices != 4 || len(candidate.Servers) != 2 || candidate.Servers[1].Size != 0.5 ||
+		time.Duration(view.LatencyObjective) != 1500*time.Millisecond || view.PriorityWeight != 12 || bridge.Paths != NormalizePaths || len(c.Routes) != 3 {
 		t.Errorf("got %+v", c)
 	}
 	if _, err := c.Table(); err != nil {
 		t.Error(err)
 	}
-	if _, err := balancer.New(c.Settings(boxes), 1); err != nil {
+	if _, err := balancer.New(c.Settings(servers), 1); err != nil {
 		t.Error(err)
 	}
 }
@@ -272,7 +272,7 @@
 		"listener": reflect.TypeFor[Listener](), "pool": reflect.TypeFor[Pool](), "copies": reflect.TypeFor[Copies](),
 		"shedding": reflect.TypeFor[Shedding](), "connections": reflect.TypeFor[Connections](), "slow_start": reflect.TypeFor[SlowStart](),
 		"load_reports": reflect.TypeFor[LoadReports](), "registry": reflect.TypeFor[Registry](), "server": reflect.TypeFor[Server](), "route": reflect.TypeFor[route.Route](),
-		"header": reflect.TypeFor[route.Header](), "to": reflect.TypeFor[route.Target](), "custody": reflect.TypeFor[Custody](),
+		"header": reflect.TypeFor[route.Header](), "to": reflect.TypeFor[route.Target](), "custody": reflect.TypeFor[Replication](),
 		"federation": reflect.TypeFor[Federation](), "partner": reflect.TypeFor[Partner](), "export": reflect.TypeFor[Export](), "quota": reflect.TypeFor[Quota]()}
 	seen := 0
 	for kind, block := range blocks {
@@ -383,7 +383,7 @@
 	note, _ := c.Class("note")
 	drilling, _ := find(c.Partners, "drilling", Partner.name)
 	if f := c.Federation; f == nil || f.Partner != "chavara" || f.Holders != 3 || f.Memory != 16<<20 || len(c.Partners) != 2 || len(c.Exports) != 2 || len(c.Quotas) != 1 ||
-		note.Custody == nil || note.Custody.WhenAlone != RefuseAlone || drilling.Preference != 200 || drilling.Links != 2 || c.Exports[1].Hands != 1 || len(c.Quotas[0].Keepers) != 3 {
+		note.Replication == nil || note.Replication.WhenAlone != RejectAlone || drilling.Preference != 200 || drilling.Links != 2 || c.Exports[1].MaxHops != 1 || len(c.Quotas[0].Candidates) != 3 {
 		t.Errorf("got %+v", c)
 	}
 	words := strings.Join(c.FederationWords(), "\n")
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -65,15 +65,15 @@
 
 // Class is a class of calls.
 type Class struct {
-	Name      string   `json:"name"`
-	Effect    Effect   `json:"effect"`
-	KeyScope  Scope    `json:"key_scope,omitempty"`  // for keyed
-	Window    Duration `json:"window,omitempty"`     // for keyed: how long servers discard repeats
-	Aim       Duration `json:"aim"`                  // answers within it earn full worth
-	Deadline  Duration `json:"deadline"`             // how long a caller waits over all its tries
-	LateShare float64  `json:"late_share,omitempty"` // share of the worth that a later answer earns
-	Worth     float64  `json:"worth"`
-	Custody   *Custody `json:"custody,omitempty"` // another gateway takes its calls over; nil: none does
+	Name             string       `json:"name"`
+	Effect           Effect       `json:"effect"`
+	KeyScope         Scope        `json:"key_scope,omitempty"`  // for keyed
+	Window           Duration     `json:"window,omitempty"`     // for keyed: how long servers discard repeats
+	LatencyObjective Duration     `json:"aim"`                  // answers within it earn full worth
+	Deadline         Duration     `json:"deadline"`             // how long a caller waits over all its tries
+	LateShare        float64      `json:"late_share,omitempty"` // share of the worth that a later answer earns
+	PriorityWeight   float64      `json:"worth"`
+	Replication      *Replication `json:"custody,omitempty"` // another gateway takes its calls over; nil: none does
 }
 
 // Listener is an address where callers connect.
@@ -110,7 +110,7 @@
 
 // Shedding weighs what is shed first when not all can be served.
 type Shedding struct {
-	Whole      float64 `json:"whole"`       // the worth of all answers
+	Total      float64 `json:"whole"`       // the worth of all answers
 	WorstClass float64 `json:"worst_class"` // the worst-served class
 }
 
@@ -129,16 +129,16 @@
 
 // LoadReports tells what answers say of their server's load: the names that figures have in X-Load.
 type LoadReports struct {
-	Busy    string `json:"busy"`               // calls that the server holds, in work and waiting
-	Ask     int    `json:"ask,omitempty"`      // servers that are asked before a call goes to one of them; 0: none
-	AskPath string `json:"ask_path,omitempty"` // where
+	Busy     string `json:"busy"`               // calls that the server holds, in work and waiting
+	Poll     int    `json:"ask,omitempty"`      // servers that are asked before a call goes to one of them; 0: none
+	PollPath string `json:"ask_path,omitempty"` // where
 }
 
 // Registry is where a list of servers is watched.
 type Registry struct {
-	Address   string       `json:"address"`
-	Mode      RegistryMode `json:"mode"`
-	AskWithin Duration     `json:"ask_within,omitempty"` // for asked: a node must ask at least this often
+	Address      string       `json:"address"`
+	Mode         RegistryMode `json:"mode"`
+	PollInterval Duration     `json:"ask_within,omitempty"` // for asked: a node must ask at least this often
 }
 
 // Server is a listed server.
@@ -179,7 +179,7 @@
 	PathsAsSent    Paths = "as_sent"   // sent on as they came; only the class must be the same to all
 
 	Pushed RegistryMode = "pushed" // an agent that answers at once
-	Asked  RegistryMode = "asked"  // one service for all nodes, asked when the module says so
+	Polled RegistryMode = "asked"  // one service for all nodes, asked when the module says so
 
 	Ready    ServerState = "ready"
 	Draining ServerState = "draining" // finishes what it has, gets nothing new
@@ -342,16 +342,16 @@
 // ForModule is the class as the decision module has it.
 func (c Class) ForModule() balancer.Class {
 	return balancer.Class{Name: c.Name, Effect: effects[c.Effect], Scope: scopes[c.KeyScope],
-		Window: time.Duration(c.Window), Aim: time.Duration(c.Aim), Deadline: time.Duration(c.Deadline),
-		LateShare: c.LateShare, Worth: c.Worth}
+		Window: time.Duration(c.Window), LatencyObjective: time.Duration(c.LatencyObjective), Deadline: time.Duration(c.Deadline),
+		LateShare: c.LateShare, PriorityWeight: c.PriorityWeight}
 }
 
 // Settings are what the Balancer of a pool is told.
 func (c *Config) Settings(p Pool) balancer.Settings {
 	s := balancer.Settings{Balancers: p.Copies.Count, Index: p.Copies.Index, Tier: p.Tier,
-		WholeWeight: p.Shedding.Whole, ClassWeight: p.Shedding.WorstClass,
-		Asks: p.LoadReports.Ask, MaxAttempts: p.Attempts, MayCancel: p.Cancel, Tick: time.Duration(p.Tick), MaxRetryAfter: time.Duration(p.RetryAfter),
-		ColdFrom: p.SlowStart.From, WarmAfter: time.Duration(p.SlowStart.Over)}
+		TotalWeight: p.Shedding.Total, ClassWeight: p.Shedding.WorstClass,
+		PollChoices: p.LoadReports.Poll, MaxAttempts: p.Attempts, MayCancel: p.Cancel, Tick: time.Duration(p.Tick), MaxRetryAfter: time.Duration(p.RetryAfter),
+		SlowStartMinimum: p.SlowStart.From, SlowStartWindow: time.Duration(p.SlowStart.Over)}
 	for _, class := range c.Classes {
 		m := class.ForModule()
 		if _, partners := PartnerOf(p.Name); partners && m.Effect == balancer.Keyed {
@@ -360,7 +360,7 @@
 		s.Classes = append(s.Classes, m)
 	}
 	if p.Registry != nil {
-		s.AskDiscovery, s.AskWithin = p.Registry.Mode == Asked, time.Duration(p.Registry.AskWithin)
+		s.PollDiscovery, s.PollInterval = p.Registry.Mode == Polled, time.Duration(p.Registry.PollInterval)
 	}
 	return s
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -136,15 +136,15 @@
 		Pools: []Pool{{Name: PlatformPool, Protocol: HTTP1, Tier: set.Tier, Attempts: set.MaxAttempts, Cancel: set.MayCancel,
 			Tick: Duration(set.Tick), RetryAfter: Duration(set.MaxRetryAfter),
 			Copies:   Copies{Count: set.Balancers, Index: set.Index},
-			Shedding: Shedding{Whole: set.WholeWeight, WorstClass: set.ClassWeight},
+			Shedding: Shedding{Total: set.TotalWeight, WorstClass: set.ClassWeight},
 			Connections: Connections{Most: (f.Limits.Sockets - Reserved) / 2,
 				Idle: Duration(millis(s.Limits.ConnIdle)), ConnectTimeout: Duration(millis(s.Limits.ConnectTimeout))},
-			SlowStart: SlowStart{From: set.ColdFrom, Over: Duration(set.WarmAfter)},
-			Registry:  &Registry{Address: f.Discovery, Mode: Pushed, AskWithin: Duration(set.AskWithin)}}},
+			SlowStart: SlowStart{From: set.SlowStartMinimum, Over: Duration(set.SlowStartWindow)},
+			Registry:  &Registry{Address: f.Discovery, Mode: Pushed, PollInterval: Duration(set.PollInterval)}}},
 		Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: PlatformPool, Weight: 1}}}},
 	}
-	if set.AskDiscovery {
-		c.Pools[0].Registry.Mode = Asked
+	if set.PollDiscovery {
+		c.Pools[0].Registry.Mode = Polled
 	}
 	for _, class := range set.Classes {
 		c.Classes = append(c.Classes, fromModule(class))
@@ -157,7 +157,7 @@
 
 // fromModule is a class as the module has it, in the configuration's words.
 func fromModule(c balancer.Class) Class {
-	out := Class{Name: c.Name, Aim: Duration(c.Aim), Deadline: Duration(c.Deadline), LateShare: c.LateShare, Worth: c.Worth}
+	out := Class{Name: c.Name, LatencyObjective: Duration(c.LatencyObjective), Deadline: Duration(c.Deadline), LateShare: c.LateShare, PriorityWeight: c.PriorityWeight}
 	for word, e := range effects {
 		if e == c.Effect {
 			out.Effect = word
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,19 +33,19 @@
 
 // Daemon is a node with its state and its admin socket.
 type Daemon struct {
-	options Options
-	log     *slog.Logger
-	node    *node.Node
-	folder  *state.Folder // nil: nothing is kept
-	server  *admin.Server
-	booted  *config.Config // that the process began with: what takes a restart is as it says
-	name    string         // of this life of the process
-	why     string         // which configuration the start found, and why that one
-	life    context.Context
-	end     context.CancelFunc
-	changes sync.WaitGroup
-	differs chan struct{} // the state folder may have come to hold another record than that of what runs
-	writing sync.Mutex    // over each write to the state folder
+	options     Options
+	log         *slog.Logger
+	node        *node.Node
+	folder      *state.Folder // nil: nothing is kept
+	server      *admin.Server
+	booted      *config.Config // that the process began with: what takes a restart is as it says
+	name        string         // of this life of the process
+	why         string         // which configuration the start found, and why that one
+	incarnation context.Context
+	end         context.CancelFunc
+	changes     sync.WaitGroup
+	differs     chan struct{} // the state folder may have come to hold another record than that of what runs
+	writing     sync.Mutex    // over each write to the state folder
 
 	mu      sync.Mutex
 	machine *plan.Machine
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	d.machine = plan.NewMachine(d.running(), !kept)
-	d.life, d.end = context.WithCancel(context.Background())
+	d.incarnation, d.end = context.WithCancel(context.Background())
 	if path := running.Config.Node.AdminSocket; path != "" {
 		ln, err := listener.Open(starting, d.log, func() (net.Listener, error) { return admin.Listen(path) })
 		if err != nil {
@@ -198,11 +198,11 @@
 
 // named names an entry of the record.
 func (d *Daemon) named(e state.Entry) plan.Running {
-	return plan.Running{Node: d.record.Node, Lineage: d.record.Lineage, Life: d.name, Serial: e.Serial, Fingerprint: e.Fingerprint}
+	return plan.Running{Node: d.record.Node, Lineage: d.record.Lineage, Incarnation: d.name, Serial: e.Serial, Fingerprint: e.Fingerprint}
 }
 
-// lastWords is how long clients may take to read what came of a change when the daemon ends.
-const lastWords = time.Second
+// finalLogLines is how long clients may take to read what came of a change when the daemon ends.
+const finalLogLines = time.Second
 
 // Run serves until ctx ends, and then until all that was taken is answered. No change is begun any more then,
 // and one under way is undone or, once it is in the state folder, finished.
@@ -221,7 +221,7 @@
 	endMending()
 	<-mended
 	if d.server != nil {
-		last, cancel := context.WithTimeout(context.Background(), lastWords)
+		last, cancel := context.WithTimeout(context.Background(), finalLogLines)
 		defer cancel()
 		if d.server.Shutdown(last) != nil {
 			d.server.Close()
@@ -266,7 +266,7 @@
 	if err != nil {
 		return d.refuse("apply", err)
 	}
-	return d.change(plan.Offer{By: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
+	return d.change(plan.Proposal{By: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
 }
 
 // Rollback implements admin.Control.
@@ -277,7 +277,7 @@
 	if previous == nil {
 		return d.refuse("rollback", &admin.Error{Code: admin.CodeNothing, Message: "there is no configuration before this one"})
 	}
-	return d.change(plan.Offer{By: "rollback", Config: previous.Config, Base: base}, wait, step)
+	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
 }
 
 // Reload reads the file again and puts it in place, as a plan made and applied at once would.
@@ -294,7 +294,7 @@
 		d.log.Info("the file is read again and says what runs")
 		return
 	}
-	if _, err := d.change(plan.Offer{By: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
+	if _, err := d.change(plan.Proposal{By: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
 		d.log.Error("the file is not taken over; what runs stays", "error", err)
 	}
 }
@@ -315,7 +315,7 @@
 	}
 	for is, code := range map[error]string{plan.ErrUnreadable: admin.CodeUnreadable, plan.ErrNewer: admin.CodeNewer,
 		plan.ErrOtherNode: admin.CodeOtherNode, plan.ErrInvalid: admin.CodeInvalid, plan.ErrStale: admin.CodeStale,
-		plan.ErrBusy: admin.CodeBusy, plan.ErrEnding: admin.CodeEnding, node.ErrEnding: admin.CodeEnding} {
+		plan.ErrBusy: admin.CodeBusy, plan.ErrEnding: admin.CodeEnding, node.ErrShuttingDown: admin.CodeEnding} {
 		if errors.Is(err, is) {
 			return &admin.Error{Code: code, Message: err.Error()}
 		}
@@ -327,9 +327,9 @@
 	plan.Restore: "restore", plan.Undo: "undo", plan.Retire: "retire"}
 
 // change carries an offer out, one step after another, to its end.
-func (d *Daemon) change(o plan.Offer, wait time.Duration, told func(string, time.Duration)) (plan.Running, error) {
+func (d *Daemon) change(o plan.Proposal, wait time.Duration, told func(string, time.Duration)) (plan.Running, error) {
 	d.mu.Lock()
-	step, err := d.machine.Offer(o)
+	step, err := d.machine.Propose(o)
 	if err == nil {
 		d.changes.Add(1)
 	}
@@ -346,7 +346,7 @@
 		case plan.Repair, plan.Restore:
 			err = d.save(d.record)
 		case plan.Prepare:
-			c, err = d.node.Prepare(d.life, o.Config, wait)
+			c, err = d.node.Prepare(d.incarnation, o.Config, wait)
 		case plan.Persist:
 			next = d.nextRecord(o)
 			err = d.save(next)
@@ -398,7 +398,7 @@
 }
 
 // nextRecord is what the state folder holds once the offer is in place.
-func (d *Daemon) nextRecord(o plan.Offer) *state.Record {
+func (d *Daemon) nextRecord(o plan.Proposal) *state.Record {
 	before := d.record.Running
 	return &state.Record{Node: d.record.Node, Lineage: d.record.Lineage, Previous: &before,
 		Running: state.Entry{Serial: before.Serial + 1, Fingerprint: o.Config.Fingerprint(), By: o.By, At: now(), Config: o.Config}}
