--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -35,8 +35,8 @@
 	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
 }
 
-// rig is a folder for a daemon, its file and its socket.
-type rig struct {
+// fixture is a folder for a daemon, its file and its socket.
+type fixture struct {
 	dir, file, socket string
 	listen            string
 	options           Options
@@ -61,18 +61,18 @@
 	return l.text.String()
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "d") // a Unix socket's path is short
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return &rig{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &logged{}}
+	return &fixture{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &logged{}}
 }
 
 // text is a file with one pool of one server and what is added.
-func (r *rig) text(pool, server, more string) string {
+func (r *fixture) text(pool, server, more string) string {
 	return fmt.Sprintf(`
 node "n1" {
   state_folder = %q
@@ -107,7 +107,7 @@
 %s`, filepath.Join(r.dir, "state"), r.socket, r.listen, pool, server, pool, more)
 }
 
-func (r *rig) write(t *testing.T, text string) {
+func (r *fixture) write(t *testing.T, text string) {
 	t.Helper()
 	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 }
 
 // start runs a daemon until stop, or the test's end.
-func (r *rig) start(t *testing.T) (d *Daemon, stop func()) {
+func (r *fixture) start(t *testing.T) (d *Daemon, stop func()) {
 	t.Helper()
 	o := r.options
 	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
@@ -139,9 +139,9 @@
 	return d, stop
 }
 
-func (r *rig) client() *admin.Client { return admin.NewClient(r.socket) }
+func (r *fixture) client() *admin.Client { return admin.NewClient(r.socket) }
 
-func (r *rig) show(t *testing.T) admin.Show {
+func (r *fixture) show(t *testing.T) admin.Show {
 	t.Helper()
 	s, err := r.client().Show(t.Context())
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // plan makes a plan of a text for what runs now.
-func (r *rig) plan(t *testing.T, text string) []byte {
+func (r *fixture) plan(t *testing.T, text string) []byte {
 	t.Helper()
 	cfg, problems := config.Parse([]byte(text), "planned.hcl")
 	if err := problems.Err(); err != nil {
@@ -160,7 +160,7 @@
 	return r.planOf(t, cfg)
 }
 
-func (r *rig) planOf(t *testing.T, cfg *config.Config) []byte {
+func (r *fixture) planOf(t *testing.T, cfg *config.Config) []byte {
 	t.Helper()
 	s := r.show(t)
 	enc, err := plan.Make(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
@@ -170,7 +170,7 @@
 	return enc
 }
 
-func (r *rig) apply(t *testing.T, p []byte) (plan.Running, error) {
+func (r *fixture) apply(t *testing.T, p []byte) (plan.Running, error) {
 	t.Helper()
 	return r.client().Apply(t.Context(), p, testpeer.Limit, nil)
 }
@@ -201,7 +201,7 @@
 	return body
 }
 
-func (r *rig) wantServed(t *testing.T, by string) {
+func (r *fixture) wantServed(t *testing.T, by string) {
 	t.Helper()
 	if got := ask(t, r.listen, "h", "/view/k"); got != by {
 		t.Errorf("served by %q, want %q", got, by)
@@ -209,14 +209,14 @@
 }
 
 // lastEnding has daemons of these tests end at once.
-func (r *rig) with(o node.Options) *rig {
+func (r *fixture) with(o node.Options) *fixture {
 	r.options.Node = o
 	return r
 }
 
 func TestPlanApplyRollback(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	first, second := r.text("p1", a.Address(), ""), r.text("p2", b.Address(), "")
 	r.write(t, first)
 	r.start(t)
@@ -263,9 +263,9 @@
 
 // What was applied is found again at the next start, whatever the file says, unless the start is told to take
 // the file; a plan that was made before is stale.
-func TestStartFindsWhatWasApplied(t *testing.T) {
+func TestRestartLoadsAppliedConfiguration(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	first, second := r.text("p1", a.Address(), ""), r.text("p2", b.Address(), "")
 	r.write(t, first)
 	_, stop := r.start(t)
@@ -322,9 +322,9 @@
 }
 
 // A start that can't be says why, and leaves the state as it was.
-func TestStartsThatFail(t *testing.T) {
+func TestFailedStarts(t *testing.T) {
 	a := named(t, "a")
-	r := newRig(t)
+	r := newFixture(t)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	begin := func() error {
@@ -359,7 +359,7 @@
 	}
 	taken.Close()
 	_, stop := r.start(t)
-	other := newRig(t)
+	other := newFixture(t)
 	other.socket = r.socket
 	other.write(t, other.text("p", a.Address(), ""))
 	o := Options{File: other.file, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
@@ -383,8 +383,8 @@
 }
 
 // A socket that a killed daemon left behind is taken over.
-func TestSocketLeftBehindIsTakenOver(t *testing.T) {
-	r := newRig(t)
+func TestStaleSocketIsReplaced(t *testing.T) {
+	r := newFixture(t)
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: r.socket, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -407,7 +407,7 @@
 	a, b := named(t, "a"), named(t, "b")
 	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
-	r := newRig(t)
+	r := newFixture(t)
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, _ := r.start(t)
 	if _, err := r.apply(t, r.plan(t, r.text("p2", a.Address(), ""))); err != nil {
@@ -443,11 +443,11 @@
 }
 
 // A registry that never answers fails the apply within its time, and nothing has changed.
-func TestApplyGivesUpOnASilentRegistry(t *testing.T) {
+func TestApplyTimesOutOnSilentRegistry(t *testing.T) {
 	a := named(t, "a")
 	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
-	r := newRig(t)
+	r := newFixture(t)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
 	_, err := r.client().Apply(t.Context(), r.plan(t, r.text("p2", a.Address(), silent(agent))), 200*time.Millisecond, nil)
@@ -461,7 +461,7 @@
 // SIGHUP's way: a bad file leaves what runs, the same file changes nothing, a good one is put in place.
 func TestReload(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, _ := r.start(t)
 	for _, c := range []struct {
@@ -491,7 +491,7 @@
 	})
 	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
-	r := newRig(t)
+	r := newFixture(t)
 	r.write(t, r.text("p1", slow.Address(), ""))
 	_, stop := r.start(t)
 	waits, quick := r.plan(t, r.text("p2", a.Address(), silent(agent))), r.plan(t, r.text("p2", a.Address(), ""))
@@ -521,7 +521,7 @@
 
 // Every point of an apply at which something can fail is failed in turn, those of the state folder among them:
 // what ran runs on, the state folder holds it, and the same plan goes through afterwards.
-func TestEveryFaultOfAnApplyIsUndone(t *testing.T) {
+func TestApplyRollsBackOnEveryFault(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
 	agent := testpeer.NewAgent(t)
 	agent.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
@@ -548,14 +548,14 @@
 			fails[i] = true
 		}
 	}
-	r := newRig(t).with(node.Options{Fault: fault})
+	r := newFixture(t).with(node.Options{Fault: fault})
 	folder := filepath.Join(r.dir, "state")
 	r.options.mendAfter = time.Hour // what an apply itself sees to is looked at here
-	r.options.StateFiles = &statetest.Files{Ask: func(call, path string) error {
-		if call == "close" && path == folder {
+	r.options.StateFiles = &statetest.Files{Ask: func(request, path string) error {
+		if request == "close" && path == folder {
 			return nil // behind all that a write needs: its error changes nothing
 		}
-		return fault("state: " + call)
+		return fault("state: " + request)
 	}}
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, _ := r.start(t)
@@ -621,9 +621,9 @@
 }
 
 // A field that takes a restart is kept for the next start and said to wait for it.
-func TestFieldsThatNeedARestartAreSaid(t *testing.T) {
+func TestFieldsThatNeedRestartAreReported(t *testing.T) {
 	a := named(t, "a")
-	r := newRig(t)
+	r := newFixture(t)
 	text := r.text("p1", a.Address(), "")
 	r.write(t, text)
 	_, stop := r.start(t)
@@ -644,7 +644,7 @@
 
 // For random pairs of configurations: plan and apply leave running exactly what the plan said, asked of the
 // node by calls too; to plan again says no change; rollback gives back the first.
-func TestApplyLeavesRunningWhatThePlanSaid(t *testing.T) {
+func TestApplyMatchesPlan(t *testing.T) {
 	world := configtest.World{}
 	names := map[string]string{}
 	for i := range 3 {
@@ -653,7 +653,7 @@
 		names[s.Address()] = fmt.Sprint("box", i)
 		world.Listeners = append(world.Listeners, testpeer.ClosedPort(t))
 	}
-	r := newRig(t)
+	r := newFixture(t)
 	r.listen = testpeer.ClosedPort(t)
 	r.write(t, strings.Replace(r.text("p", world.Servers[0], ""), `"n1"`, `"n"`, 1))
 	r.start(t)
@@ -708,7 +708,7 @@
 		for _, host := range []string{"a.example", "c.example", "other"} {
 			want := map[string]bool{}
 			for i := range 50 { // a call's own draw is its id: any pool that the route leads to will do
-				to, _ := table.Choose(&route.Call{Listener: l.Name, Class: "view", Host: host, Path: "/view/k", Headers: http.Header{}, Draw: fmt.Sprint(i)})
+				to, _ := table.Choose(&route.Request{Listener: l.Name, Class: "view", Host: host, Path: "/view/k", Headers: http.Header{}, Draw: fmt.Sprint(i)})
 				p, _ := cfg.Pool(to.Pool)
 				for _, s := range p.Servers {
 					want[names[s.Address]] = true
@@ -728,15 +728,15 @@
 	if testing.Short() {
 		plans = 30
 	}
-	var boxes []*testpeer.Box
+	var servers []*testpeer.Box
 	var at []string
 	for i := range 4 {
 		b := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i),
 			Faults: testpeer.Faults{Fail: 0.01, Refuse: 0.02, Reset: 0.01, Cut: 0.005}})
-		boxes = append(boxes, b)
+		servers = append(servers, b)
 		at = append(at, testpeer.NewServer(t, b.Serve).Address())
 	}
-	r := newRig(t)
+	r := newFixture(t)
 	side := testpeer.ClosedPort(t)
 	text := func(i int) string {
 		more := fmt.Sprintf("pool \"q%d\" {\n attempts = %d\n server \"s\" {\n address = %q\n }\n}\n", i/3, 1+i%3, at[2+i%2])
@@ -770,7 +770,7 @@
 	stop()
 	testpeer.Receive(t, done, "the callers' last answers")
 	testpeer.Until(t, "all that went to be over", func() bool { return len(r.show(t).Status.Draining) == 0 })
-	v := audit.Judge(boxes...)
+	v := audit.Judge(servers...)
 	for i, w := range v.Wrong {
 		if i < 10 {
 			t.Error(w)
@@ -787,7 +787,7 @@
 // one line.
 func TestReloadOfAFileThatIsAway(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, _ := r.start(t)
 	if err := os.Remove(r.file); err != nil {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -27,13 +27,13 @@
 // sickDisk is a file system whose calls fail as they are asked to.
 type sickDisk struct {
 	mu    sync.Mutex
-	fails func(n int, call string) error // nil: all is well
-	n     int                            // calls since then
+	fails func(n int, request string) error // nil: all is well
+	n     int                               // calls since then
 	calls []string
 }
 
 // fail has the calls from now on fail as told.
-func (s *sickDisk) fail(fails func(n int, call string) error) {
+func (s *sickDisk) fail(fails func(n int, request string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fails, s.n, s.calls = fails, 0, nil
@@ -41,8 +41,8 @@
 
 // failAll has every call of that name fail ("": every call).
 func (s *sickDisk) failAll(named string, errno error) {
-	s.fail(func(_ int, call string) error {
-		if named == "" || call == named {
+	s.fail(func(_ int, request string) error {
+		if named == "" || request == named {
 			return errno
 		}
 		return nil
@@ -50,9 +50,9 @@
 }
 
 // failAt has those calls fail, by their number from now on.
-func (s *sickDisk) failAt(calls ...int) {
+func (s *sickDisk) failAt(requests ...int) {
 	s.fail(func(n int, _ string) error {
-		if slices.Contains(calls, n) {
+		if slices.Contains(requests, n) {
 			return syscall.EIO
 		}
 		return nil
@@ -69,36 +69,36 @@
 // mend has all go well again.
 func (s *sickDisk) mend() { s.fail(nil) }
 
-func (s *sickDisk) ask(call, path string) error {
-	if call == "close" && filepath.Base(path) == "state" {
+func (s *sickDisk) ask(request, path string) error {
+	if request == "close" && filepath.Base(path) == "state" {
 		return nil // the folder's, behind all that a write needs
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
-	s.calls = append(s.calls, call)
+	s.calls = append(s.calls, request)
 	if s.fails == nil {
 		return nil
 	}
-	return s.fails(s.n, call)
+	return s.fails(s.n, request)
 }
 
 // sick has the rig's state folder on a disk that can fail.
-func sick(r *rig) *sickDisk {
+func sick(r *fixture) *sickDisk {
 	s := &sickDisk{}
 	r.options.StateFiles = &statetest.Files{Ask: s.ask}
 	return s
 }
 
 // wantKept checks which serial a start would find.
-func (r *rig) wantKept(t *testing.T, serial int64) {
+func (r *fixture) wantKept(t *testing.T, serial int64) {
 	t.Helper()
 	if got, err := r.kept(); err != nil || got != serial {
 		t.Errorf("the folder holds serial %d (%v), want %d", got, err, serial)
 	}
 }
 
-func (r *rig) kept() (int64, error) {
+func (r *fixture) kept() (int64, error) {
 	folder, err := state.Open(filepath.Join(r.dir, "state"))
 	if err != nil {
 		return 0, err
@@ -111,7 +111,7 @@
 }
 
 // begin starts a daemon that serves nothing, and returns what ends it at once.
-func (r *rig) begin(t *testing.T) (d *Daemon, end func()) {
+func (r *fixture) begin(t *testing.T) (d *Daemon, end func()) {
 	t.Helper()
 	o := r.options
 	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
@@ -133,7 +133,7 @@
 }
 
 // planFor makes a plan for what such a daemon runs.
-func (r *rig) planFor(t *testing.T, d *Daemon, text string) []byte {
+func (r *fixture) planFor(t *testing.T, d *Daemon, text string) []byte {
 	t.Helper()
 	cfg, problems := config.Parse([]byte(text), "planned.hcl")
 	if err := problems.Err(); err != nil {
@@ -151,7 +151,7 @@
 func silently(string, time.Duration) {}
 
 // startFails is the error of a start.
-func (r *rig) startFails() error {
+func (r *fixture) startFails() error {
 	o := r.options
 	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
 	d, err := Start(o)
@@ -166,18 +166,18 @@
 func TestFullDiskRefusesAnApplyAndLeavesNothingInDoubt(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
 	second := r.plan(t, r.text("p2", b.Address(), ""))
-	for _, call := range []string{"create", "write", "sync", "close"} {
-		disk.failAll(call, syscall.ENOSPC)
+	for _, request := range []string{"create", "write", "sync", "close"} {
+		disk.failAll(request, syscall.ENOSPC)
 		_, err := r.apply(t, second)
 		wantCode(t, err, admin.CodeFailed, filepath.Join(r.dir, "state"))
 		wantCode(t, err, admin.CodeFailed, syscall.ENOSPC.Error())
 		if s := r.show(t); s.Diverged || s.Serial != 1 || s.Last == nil || s.Last.Error == "" {
-			t.Errorf("%s: %+v", call, s)
+			t.Errorf("%s: %+v", request, s)
 		}
 		r.wantServed(t, "a")
 		r.wantKept(t, 1)
@@ -196,7 +196,7 @@
 func TestFolderIsMendedOnItsOwn(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	r.options.mendAfter = time.Millisecond
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
@@ -206,17 +206,17 @@
 	if _, err := r.apply(t, second); err != nil {
 		t.Fatal(err)
 	}
-	calls := disk.made()
-	if n := len(calls); n != 7 {
-		t.Fatalf("calls of a write: %v", calls)
+	requests := disk.made()
+	if n := len(requests); n != 7 {
+		t.Fatalf("calls of a write: %v", requests)
 	}
 	if _, err := r.client().Rollback(t.Context(), r.show(t).Running, testpeer.Limit, nil); err != nil {
 		t.Fatal(err)
 	}
 	second = r.plan(t, r.text("p2", b.Address(), ""))
-	differences, rename := 0, 1+slices.Index(calls, "rename")
-	for first := 1; first <= len(calls); first++ {
-		for restore := 1; restore <= len(calls); restore++ {
+	differences, rename := 0, 1+slices.Index(requests, "rename")
+	for first := 1; first <= len(requests); first++ {
+		for restore := 1; restore <= len(requests); restore++ {
 			for _, mend := range []int{0, 1, 3, 7} {
 				if first < rename && restore+mend > 1 {
 					continue // nothing is written after it
@@ -260,17 +260,17 @@
 func TestStartGoesOnWhileTheFolderCannotBeWritten(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	r.options.mendAfter = time.Millisecond
 	r.options.FromFile = true
 	disk := sick(r)
 	for i, by := range []string{"a", "b"} {
 		address := map[string]string{"a": a.Address(), "b": b.Address()}[by]
 		r.write(t, r.text("p"+by, address, ""))
-		for _, call := range []string{"create", "sync", "rename"} {
-			disk.failAll(call, syscall.EACCES)
+		for _, request := range []string{"create", "sync", "rename"} {
+			disk.failAll(request, syscall.EACCES)
 			if err := r.startFails(); !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), filepath.Join(r.dir, "state")) {
-				t.Errorf("%s: %v", call, err)
+				t.Errorf("%s: %v", request, err)
 			}
 		}
 		disk.failAll([]string{"create", "rename"}[i], syscall.ENOSPC)
@@ -293,7 +293,7 @@
 func TestStartReadsAgainWhatCannotBeRead(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, end := r.begin(t)
@@ -301,10 +301,10 @@
 		t.Fatal(err)
 	}
 	end()
-	for _, call := range []string{"open", "read"} {
+	for _, request := range []string{"open", "read"} {
 		failures := 0
 		disk.fail(func(_ int, made string) error {
-			if made == call && failures < 3 {
+			if made == request && failures < 3 {
 				failures++
 				return syscall.EMFILE
 			}
@@ -312,7 +312,7 @@
 		})
 		d, end := r.begin(t)
 		if s := d.Show(); s.Serial != 2 || s.Config.Pools[0].Name != "p2" || failures != 3 {
-			t.Errorf("%s: %d failures, %+v", call, failures, s)
+			t.Errorf("%s: %d failures, %+v", request, failures, s)
 		}
 		end()
 	}
@@ -321,7 +321,7 @@
 // A start gives up on a folder that stays unreadable: it may hold what was applied, so that the file doesn't run in its
 // place. The error says what and where, and asks for no other folder.
 func TestStartGivesUpOnAFolderThatCannotBeRead(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	disk := sick(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
 	_, end := r.begin(t)
@@ -346,7 +346,7 @@
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	for _, kill := range [][]int{{0, 1}, {0, 2}, {0, 3}, {0, 5}, {0, 6}, {0, 7}, {7, 8}, {7, 12}, {7, 13}, {7, 14}} {
-		r := newRig(t)
+		r := newFixture(t)
 		disk := sick(r)
 		files := r.options.StateFiles.(*statetest.Files)
 		r.write(t, r.text("p1", a.Address(), ""))
@@ -387,7 +387,7 @@
 // A record whose name can't be made to last at a start runs, and is written anew.
 func TestStartWritesAnewWhatItCannotSync(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newFixture(t)
 	r.options.mendAfter = time.Millisecond
 	disk := sick(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
@@ -410,7 +410,7 @@
 func TestStartGoesOnWhereTheFolderCannotBeSwept(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	_, end := r.begin(t)
@@ -437,7 +437,7 @@
 func TestApplyOfWhatRunsIsRefusedWhileTheFolderDiffers(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
-	r := newRig(t)
+	r := newFixture(t)
 	r.options.mendAfter = time.Hour
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
@@ -472,15 +472,15 @@
 	}{"by the apply": {0, 1}, "by the end": {1, 1}, "not": {2, 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t)
+			r := newFixture(t)
 			r.options.mendAfter = time.Hour
 			disk := sick(r)
 			r.write(t, r.text("p1", a.Address(), ""))
 			d, stop := r.start(t)
 			second := r.plan(t, r.text("p2", b.Address(), ""))
 			creates, stopped := 0, make(chan struct{})
-			disk.fail(func(n int, call string) error {
-				if call == "create" {
+			disk.fail(func(n int, request string) error {
+				if request == "create" {
 					creates++
 				}
 				if n == 7 { // the last of the write
@@ -490,10 +490,10 @@
 					}()
 					testpeer.Until(t, "the node to be ending", func() bool {
 						_, err := d.node.Prepare(t.Context(), d.booted, 0)
-						return errors.Is(err, node.ErrEnding)
+						return errors.Is(err, node.ErrShuttingDown)
 					})
 				}
-				if call == "create" && creates > 1 && creates <= 1+c.failing {
+				if request == "create" && creates > 1 && creates <= 1+c.failing {
 					return syscall.EDQUOT
 				}
 				return nil
@@ -517,7 +517,7 @@
 	t.Parallel()
 	for _, mended := range []bool{true, false} {
 		a, b := named(t, "a"), named(t, "b")
-		r := newRig(t)
+		r := newFixture(t)
 		r.options.mendAfter = time.Hour
 		disk := sick(r)
 		r.write(t, r.text("p1", a.Address(), ""))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,19 +17,19 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// told is what a sink was told.
-type told struct {
+// notification is what a sink was told.
+type notification struct {
 	list   List
 	failed bool
 }
 
 // sink keeps what it is told for the test.
-type sink chan told
+type sink chan notification
 
-func (s sink) TakeList(l List) { s <- told{list: l} }
-func (s sink) ListFailed()     { s <- told{failed: true} }
+func (s sink) UpdateList(l List) { s <- notification{list: l} }
+func (s sink) ListFailed()       { s <- notification{failed: true} }
 
-func TestMalformedListIsDroppedWhole(t *testing.T) {
+func TestMalformedListIsRejected(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
 		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `,` + testpeer.Entry("s2", "name:80", "in_service") + `]}`,
 		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "asleep") + `]}`,
@@ -44,7 +44,7 @@
 }
 
 // A watch that ends without news is no news: the module would take it for a change.
-func TestWatchWithoutNewsTellsNothing(t *testing.T) {
+func TestUnchangedWatchNotifiesNobody(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	d := NewWatch(ag.Address(), 1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -54,24 +54,24 @@
 	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.Whole(), 1},
 		{`{"rev":%d,"all":false,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
 		ag.Tell(false, c.text)
-		if err := d.watch(t.Context(), d.place()); err != nil {
+		if err := d.watch(t.Context(), d.agent()); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != c.want || d.place().rev != int64(ag.Rev()) {
-			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.place().rev, c.want, ag.Rev())
+		if len(events) != c.want || d.agent().rev != int64(ag.Rev()) {
+			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().rev, c.want, ag.Rev())
 		}
 	}
 }
 
 // Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
-func TestAskedDiscoveryFollowsSubscribe(t *testing.T) {
+func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	d := NewWatch(ag.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.Ask(ctx)
+	go d.Poll(ctx)
 	d.Subscribe()
 	if q := testpeer.Receive(t, ag.Asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked %q", q)
@@ -134,11 +134,11 @@
 // An agent that is silent is asked again beside the call that is open, by a bounded number of calls, and the first one
 // that is made once it is back tells what it has: nothing waits for a call that it will never answer, and no pause
 // grows meanwhile. Lists may come indented.
-func TestASilentAgentIsAskedAgainBesideAndHeardAtOnce(t *testing.T) {
+func TestSilentAgentIsPolledInParallelAndHeardAtOnce(t *testing.T) {
 	a := newSilentAgent(t)
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Hold, w.Grace = 5*time.Millisecond, 5*time.Millisecond
+	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { w.Push(ctx); close(done) }()
@@ -163,8 +163,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.most > mostCalls+1 { // one whose end the agent has not seen yet
-		t.Errorf("%d calls were open at once, want up to %d", a.most, mostCalls)
+	if a.most > maxPolls+1 { // one whose end the agent has not seen yet
+		t.Errorf("%d calls were open at once, want up to %d", a.most, maxPolls)
 	}
 }
 
@@ -178,16 +178,16 @@
 
 // Connections to an agent that never come up are given up with their calls: however many there were, the agent is heard
 // once one does.
-func TestConnectionsThatNeverComeUpKeepNobodyFromTheAgent(t *testing.T) {
+func TestPendingConnectionsDoNotBlockAgent(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(sink, 10)
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Hold, w.Grace = 5*time.Millisecond, 5*time.Millisecond
+	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
 	var dials atomic.Int64
-	place := w.place()
+	place := w.agent()
 	place.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if dials.Add(1) <= 2*mostCalls {
+		if dials.Add(1) <= 2*maxPolls {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -241,24 +241,24 @@
 
 // A list that comes in pieces for longer than others are waited for is read to its end: of the calls open beside one
 // another those end that have said nothing.
-func TestAListInPiecesIsReadToItsEnd(t *testing.T) {
+func TestChunkedListIsReadToItsEnd(t *testing.T) {
 	a := newPiecemeal(t)
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Hold, w.Grace = 5*time.Millisecond, 5*time.Millisecond
-	r := &round{watch: w, at: w.place(), answers: make(chan ending, mostCalls)}
+	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
+	r := &round{watch: w, at: w.agent(), answers: make(chan pollResult, maxPolls)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.call(ctx)
 	testpeer.Receive(t, a.calls, "the first call")
 	a.pieces <- `{"rev":9,"all":true,`
-	testpeer.Until(t, "it to begin to answer", func() bool { return r.calls[0].heard.Load() > 0 })
-	if heard := time.Duration(r.calls[0].heard.Load()); heard > time.Hour {
+	testpeer.Until(t, "it to begin to answer", func() bool { return r.calls[0].progressAt.Load() > 0 })
+	if heard := time.Duration(r.calls[0].progressAt.Load()); heard > time.Hour {
 		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other calls", heard)
 	}
 	doubts := 0
 	go func() {
-		for range 4 * mostCalls { // calls that say nothing
+		for range 4 * maxPolls { // calls that say nothing
 			select {
 			case <-a.calls:
 			case <-ctx.Done():
@@ -270,36 +270,36 @@
 	}()
 	limited, stop := context.WithTimeout(ctx, testpeer.Limit)
 	defer stop()
-	if e := r.wait(limited, w.Hold+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
+	if e := r.wait(limited, w.LongPollTimeout+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
 		t.Errorf("after %d doubts: %+v", doubts, e)
 	}
 }
 
 // A service whose list comes in pieces, for longer than its silence would be borne, is heard to its end.
-func TestAServicesListInPiecesIsReadToItsEnd(t *testing.T) {
+func TestChunkedServiceListIsReadToItsEnd(t *testing.T) {
 	a := newPiecemeal(t)
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Hold, w.Grace = 50*time.Millisecond, 450*time.Millisecond
+	w.LongPollTimeout, w.Grace = 50*time.Millisecond, 450*time.Millisecond
 	go func() {
 		a.pieces <- `{"rev":9,"all":true,`
-		for begin := time.Now(); time.Since(begin) < w.Hold+w.Grace; time.Sleep(20 * time.Millisecond) {
+		for begin := time.Now(); time.Since(begin) < w.LongPollTimeout+w.Grace; time.Sleep(20 * time.Millisecond) {
 			a.pieces <- "\n "
 		}
 		a.pieces <- `"targets":[]}`
 		close(a.pieces)
 	}()
-	if err := w.watch(t.Context(), w.place()); err != nil || len(events) != 1 {
+	if err := w.watch(t.Context(), w.agent()); err != nil || len(events) != 1 {
 		t.Errorf("%v, %d events", err, len(events))
 	}
 }
 
 // After failures a call that brings nothing new is told all the same: the module waits longer after each failure, and has
 // to know that they are over.
-func TestTheEndOfFailuresIsTold(t *testing.T) {
-	calls := 0
+func TestRecoveryFromFailuresIsLogged(t *testing.T) {
+	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch calls++; calls { // each call comes after the answer to the one before
+		switch requests++; requests { // each call comes after the answer to the one before
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
@@ -313,24 +313,24 @@
 	w := NewWatch(srv.Listener.Addr().String(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go w.Ask(ctx)
+	go w.Poll(ctx)
 	w.Subscribe()
 	if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := testpeer.Receive(t, events, "their end"); e.failed || tells(e.list) {
+	if e := testpeer.Receive(t, events, "their end"); e.failed || expectNotified(e.list) {
 		t.Errorf("got %+v", e)
 	}
 }
 
 // Changes tell nothing to one who has no list that they change: the whole one is asked for again.
-func TestChangesWithoutAListAreNoList(t *testing.T) {
+func TestDeltaWithoutSnapshotIsIgnored(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ag.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
-	if err := w.watch(t.Context(), w.place()); !errors.Is(err, errMalformed) || len(events) > 0 || w.place().rev != -1 {
-		t.Errorf("%v, %d events, rev %d", err, len(events), w.place().rev)
+	if err := w.watch(t.Context(), w.agent()); !errors.Is(err, errMalformed) || len(events) > 0 || w.agent().rev != -1 {
+		t.Errorf("%v, %d events, rev %d", err, len(events), w.agent().rev)
 	}
 }
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -54,7 +54,7 @@
 					if pushed {
 						w.Push(ctx)
 					} else {
-						w.Ask(ctx)
+						w.Poll(ctx)
 					}
 				}()
 				if !pushed {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -36,7 +36,7 @@
 func (t Target) Host() Host { return Host{t.ID, t.Endpoint, t.Boot} }
 
 var states = map[string]balancer.ServerState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
+	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
 }
 
 // Parse reads a list as the registry writes it. A malformed one is dropped whole: half a list would look
@@ -71,7 +71,7 @@
 			return List{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, t.UID)
 		case !ok:
 			return List{}, fmt.Errorf("list: targets[%d]: unknown state %q", i, t.State)
-		case err != nil && state != balancer.Gone:
+		case err != nil && state != balancer.Removed:
 			return List{}, fmt.Errorf("list: targets[%d]: %w", i, err)
 		case !(t.Size >= 0 && t.Size <= 1e12) || !(t.Boot >= 0 && t.Boot <= 1e13):
 			return List{}, fmt.Errorf("list: targets[%d]: capacity_hint or boot_ms is out of range", i)
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -126,7 +126,7 @@
 	defer m.mu.Unlock()
 	for _, a := range m.b.Handle(time.Hour+time.Since(m.begun), e) {
 		switch a := a.(type) {
-		case balancer.Wake:
+		case balancer.SetTimer:
 			at := m.begun.Add(a.At - time.Hour)
 			time.AfterFunc(time.Until(at), func() { m.handle(balancer.Timer{Token: a.Token}) })
 		case balancer.Subscribe:
@@ -135,7 +135,7 @@
 	}
 }
 
-func (m *moduleSink) TakeList(l List) {
+func (m *moduleSink) UpdateList(l List) {
 	m.handle(balancer.ServerList{Full: l.Full})
 	if l.Rev == 2 {
 		select {
@@ -155,7 +155,7 @@
 
 // hears plays a watch of services and returns how long after they had it the new list came. meanwhile is run beside it.
 func hears(t *testing.T, seed uint64, askWithin time.Duration, services map[string]*slowService, meanwhile func(*Watch)) (took time.Duration) {
-	has := newsAfter + time.Duration(seed)*serviceHold/5 // at several moments of a call
+	has := newsAfter + time.Duration(seed)*serviceLongPoll/5 // at several moments of a call
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -165,9 +165,9 @@
 			running.Go(func() { server.Serve(s) })
 			defer server.Close()
 		}
-		b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}},
-			Balancers: 300, MaxAttempts: 1, AskDiscovery: true, AskWithin: askWithin, Tick: time.Millisecond, MaxRetryAfter: time.Second,
-			ColdFrom: 1}, seed)
+		b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}},
+			Balancers: 300, MaxAttempts: 1, PollDiscovery: true, PollInterval: askWithin, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+			SlowStartMinimum: 1}, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,7 +176,7 @@
 		m.watch.at.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return services[addr].connect(ctx, network, addr)
 		}
-		running.Go(func() { m.watch.Ask(ctx) })
+		running.Go(func() { m.watch.Poll(ctx) })
 		m.watch.Subscribe()
 		if meanwhile != nil {
 			running.Go(func() { meanwhile(m.watch) })
@@ -215,8 +215,8 @@
 func lostFrom(next answerer) answerer {
 	return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 		switch left := time.Until(s.news); {
-		case left > serviceHold:
-			after(min(serviceHold, left-serviceHold+time.Millisecond), s, w, r)
+		case left > serviceLongPoll:
+			after(min(serviceLongPoll, left-serviceLongPoll+time.Millisecond), s, w, r)
 		case left > time.Millisecond:
 			after(left-time.Millisecond, s, w, r)
 		case left > 0:
@@ -317,18 +317,18 @@
 		{"a new configuration while it is silent", map[string]*slowService{"first:1": {answer: lostFrom(func(_ *slowService, _ int, _ http.ResponseWriter, r *http.Request) { never(r) })},
 			"next:1": {answer: slow}}, func(w *Watch) {
 			time.Sleep(newsAfter)
-			w.Move("next:1")
+			w.SetAddress("next:1")
 		}},
 		{"a new configuration while it is down", map[string]*slowService{"first:1": {answer: func(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) { refuse(503, w) }},
 			"next:1": {answer: slow}}, func(w *Watch) {
 			time.Sleep(newsAfter)
-			w.Move("next:1")
+			w.SetAddress("next:1")
 		}},
 		{"new configurations in quick succession", map[string]*slowService{"first:1": {answer: func(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) { refuse(503, w) }},
 			"next:1": {answer: slow}}, func(w *Watch) {
 			time.Sleep(newsAfter - 50*time.Millisecond)
 			for i := range 7 {
-				w.Move([]string{"next:1", "first:1"}[i%2])
+				w.SetAddress([]string{"next:1", "first:1"}[i%2])
 				time.Sleep(10 * time.Millisecond)
 			}
 		}},
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -34,9 +34,9 @@
 // newBalancer decides by the clock of a node.
 func newBalancer(t *testing.T) *balancer.Balancer {
 	t.Helper()
-	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, ColdFrom: 0.1, WarmAfter: slowStart,
-		MaxRetryAfter: time.Second, Classes: []balancer.Class{{Name: "view", Effect: balancer.Safe, Aim: 100 * time.Millisecond,
-			Deadline: time.Second, Worth: 1, LateShare: 0.5}}}, 1)
+	b, err := balancer.New(balancer.Settings{Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond, SlowStartMinimum: 0.1, SlowStartWindow: slowStart,
+		MaxRetryAfter: time.Second, Classes: []balancer.Class{{Name: "view", Effect: balancer.Safe, LatencyObjective: 100 * time.Millisecond,
+			Deadline: time.Second, PriorityWeight: 1, LateShare: 0.5}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 			if s.Server == server {
 				out[n/perSecond] += 1 / float64(perSecond)
 			}
-			b.Handle(now+took, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Latency: took, Ended: true})
+			b.Handle(now+took, balancer.Outcome{ID: id, Server: s.Server, Result: balancer.Success, Latency: took, Ended: true})
 		}
 		now += each
 	}
@@ -113,13 +113,13 @@
 			starts.Local(known, true, now, slowStart)
 			for _, e := range starts.Local(list, false, now, slowStart).Targets {
 				age := now - e.Boot
-				cold := e.ID == "now" || e.ID == "two seconds"
+				slowStarting := e.ID == "now" || e.ID == "two seconds"
 				if e.Boot == 0 {
 					age = slowStart
 				}
 				// Of an earlier process's servers the newest may have started just now, as far as that list tells.
 				spared := len(known.Targets) == 2 && (e.ID == "an hour" || e.ID == "a minute")
-				if (age < slowStart) != cold && !spared || age < 0 {
+				if (age < slowStart) != slowStarting && !spared || age < 0 {
 					t.Errorf("%s, %d known: %q is held for %v old", c.name, len(known.Targets), e.ID, age)
 				}
 				if e.ID == "two seconds" && age > 2*time.Second {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -26,41 +26,41 @@
 // asked three times a second. A service that all nodes ask has a cost, and is held to another clock (6 s after it fell
 // silent, or 2 s after a hold). It may also be slow, for it works through calls in turn.
 const (
-	agentHold    = 300 * time.Millisecond
-	agentGrace   = 100 * time.Millisecond
-	serviceHold  = 2 * time.Second
-	serviceGrace = 500 * time.Millisecond
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 200 * time.Millisecond // of an agent that fails at once
-	maxList      = 16 << 20
-
-	// mostCalls are open at once: while discovery is silent each doubted call stays open beside the next ones, for a
+	agentLongPoll   = 300 * time.Millisecond
+	agentGrace      = 100 * time.Millisecond
+	serviceLongPoll = 2 * time.Second
+	serviceGrace    = 500 * time.Millisecond
+	backoffInitial  = 50 * time.Millisecond
+	backoffMax      = 200 * time.Millisecond // of an agent that fails at once
+	maxList         = 16 << 20
+
+	// maxPolls are open at once: while discovery is silent each doubted call stays open beside the next ones, for a
 	// service may only be slow to answer, and a node that is short of processor time late to read it.
-	mostCalls = 3
+	maxPolls = 3
 )
 
 // Sink is told what a watch finds. Its methods may block for a moment only.
 type Sink interface {
-	TakeList(List)
+	UpdateList(List)
 	ListFailed() // a subscription could not be made, or broke
 }
 
 // Watch follows the list of servers at the registry and tells its changes.
 type Watch struct {
-	sink   Sink
-	log    *slog.Logger
-	wanted chan struct{}
-	Hold   time.Duration // how long a call may wait for news; 0: as fits how the registry is asked
-	Grace  time.Duration // and how much later it is doubted
-	failed bool          // the last call to a service. It belongs to Ask
-	began  time.Time     // spans since then order what was heard: the wall clock may be stepped
+	sink            Sink
+	log             *slog.Logger
+	wanted          chan struct{}
+	LongPollTimeout time.Duration // how long a call may wait for news; 0: as fits how the registry is asked
+	Grace           time.Duration // and how much later it is doubted
+	failed          bool          // the last call to a service. It belongs to Ask
+	began           time.Time     // spans since then order what was heard: the wall clock may be stepped
 
 	mu sync.Mutex
-	at *place // where the list is watched now
+	at *agent // where the list is watched now
 }
 
-// place is an address of discovery, with all that holds there only.
-type place struct {
+// agent is an address of discovery, with all that holds there only.
+type agent struct {
 	ctx    context.Context // ends when the watch moves elsewhere
 	leave  context.CancelFunc
 	addr   string
@@ -69,21 +69,21 @@
 	rev    int64 // the version held; -1: none, so the whole list is asked for. It belongs to Push or Ask
 }
 
-func newPlace(addr string, rev int64) *place {
-	p := &place{addr: addr, rev: rev, dial: (&net.Dialer{}).DialContext}
-	p.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: mostCalls, DisableCompression: true, DialContext: p.connect}}
+func newAgent(addr string, rev int64) *agent {
+	p := &agent{addr: addr, rev: rev, dial: (&net.Dialer{}).DialContext}
+	p.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: maxPolls, DisableCompression: true, DialContext: p.connect}}
 	p.ctx, p.leave = context.WithCancel(context.Background())
 	return p
 }
 
-// callKey is under which a call's context holds itself, for connect.
-type callKey struct{}
+// pollKey is under which a call's context holds itself, for connect.
+type pollKey struct{}
 
 // connect opens a connection for a call, and gives up with it. Left to itself http.Transport goes on for as long as the
 // system does, minutes on a network that drops what is sent, and each such connection counts among the few that it opens.
-func (p *place) connect(ctx context.Context, network, addr string) (net.Conn, error) {
-	if call, ok := ctx.Value(callKey{}).(context.Context); ok {
-		ctx = call
+func (p *agent) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+	if request, ok := ctx.Value(pollKey{}).(context.Context); ok {
+		ctx = request
 	}
 	return p.dial(ctx, network, addr)
 }
@@ -91,25 +91,25 @@
 // NewWatch returns a Watch of the registry at addr that goes on from the version rev of its list; -1: from
 // none. It asks nothing before Push or Ask.
 func NewWatch(addr string, rev int64, sink Sink, log *slog.Logger) *Watch {
-	return &Watch{sink: sink, log: log, at: newPlace(addr, rev), wanted: make(chan struct{}, 1), began: time.Now()}
+	return &Watch{sink: sink, log: log, at: newAgent(addr, rev), wanted: make(chan struct{}, 1), began: time.Now()}
 }
 
-func (w *Watch) place() *place {
+func (w *Watch) agent() *agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.at
 }
 
-// Move watches another address from now on. Versions count anew there, so its whole list is asked for;
+// SetAddress watches another address from now on. Versions count anew there, so its whole list is asked for;
 // what the node holds stays in use until that has come. A call to the old address ends.
-func (w *Watch) Move(addr string) {
+func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	old := w.at
 	if old.addr == addr {
 		w.mu.Unlock()
 		return
 	}
-	w.at = newPlace(addr, -1)
+	w.at = newAgent(addr, -1)
 	w.at.dial = old.dial
 	w.mu.Unlock()
 	old.leave()
@@ -117,7 +117,7 @@
 }
 
 // closeIdle leaves no connection behind.
-func (w *Watch) closeIdle() { w.place().client.CloseIdleConnections() }
+func (w *Watch) closeIdle() { w.agent().client.CloseIdleConnections() }
 
 // Subscribe starts a watch where discovery is asked. It never blocks.
 func (w *Watch) Subscribe() {
@@ -130,7 +130,7 @@
 // DialBy has connections be opened by something else than a net.Dialer, as tests do, as long as the watch does not move. It comes
 // before Push and Ask.
 func (w *Watch) DialBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
-	w.place().dial = dial
+	w.agent().dial = dial
 }
 
 // Push watches an agent from the start until ctx ends. The next call follows each answer at once: a watch is
@@ -138,46 +138,46 @@
 func (w *Watch) Push(ctx context.Context) {
 	defer w.closeIdle()
 	for ctx.Err() == nil {
-		w.follow(ctx, w.place())
+		w.follow(ctx, w.agent())
 	}
 }
 
-// ending is how a call ended.
-type ending struct {
-	call *openCall
+// pollResult is how a call ended.
+type pollResult struct {
+	call *openPoll
 	list List
 	err  error
 }
 
-// openCall is a call that has not ended.
-type openCall struct {
-	cancel context.CancelFunc
-	begun  time.Time
-	heard  atomic.Int64 // ns from Watch.began until bytes of its answer were read last; 0: none were
+// openPoll is a call that has not ended.
+type openPoll struct {
+	cancel     context.CancelFunc
+	begun      time.Time
+	progressAt atomic.Int64 // ns from Watch.began until bytes of its answer were read last; 0: none were
 }
 
 // round are the calls that are open beside one another, until one of them is answered.
 type round struct {
 	watch   *Watch
-	at      *place
+	at      *agent
 	hold    time.Duration
-	answers chan ending
-	calls   []*openCall
+	answers chan pollResult
+	calls   []*openPoll
 }
 
 // call makes one more call. Where too many are open already one of them ends.
 func (r *round) call(ctx context.Context) {
-	if len(r.calls) == mostCalls {
+	if len(r.calls) == maxPolls {
 		r.endOne()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	c := &openCall{cancel: cancel, begun: time.Now()}
+	c := &openPoll{cancel: cancel, begun: time.Now()}
 	r.calls = append(r.calls, c)
 	go func(rev int64) {
-		l, err := r.watch.call(ctx, r.at, rev, r.hold, func() { c.heard.Store(int64(max(1, time.Since(r.watch.began)))) })
+		l, err := r.watch.poll(ctx, r.at, rev, r.hold, func() { c.progressAt.Store(int64(max(1, time.Since(r.watch.began)))) })
 		if ctx.Err() == nil || err == nil {
 			select {
-			case r.answers <- ending{c, l, err}:
+			case r.answers <- pollResult{c, l, err}:
 			default: // another one's answer counts
 			}
 		}
@@ -187,38 +187,38 @@
 // endOne ends the call of least promise: the oldest of those whose answer has not begun to come, or else the one that was
 // silent for longest. A list that comes in pieces may take longer than others are waited for.
 func (r *round) endOne() {
-	least := slices.MinFunc(r.calls, func(a, b *openCall) int {
-		return cmp.Or(cmp.Compare(a.heard.Load(), b.heard.Load()), a.begun.Compare(b.begun))
+	least := slices.MinFunc(r.calls, func(a, b *openPoll) int {
+		return cmp.Or(cmp.Compare(a.progressAt.Load(), b.progressAt.Load()), a.begun.Compare(b.begun))
 	})
 	least.cancel()
-	r.calls = slices.DeleteFunc(r.calls, func(c *openCall) bool { return c == least })
+	r.calls = slices.DeleteFunc(r.calls, func(c *openPoll) bool { return c == least })
 }
 
 // hopes tells whether a call is open that may still be answered where another has failed: a later one, or one whose
 // answer is coming.
-func (r *round) hopes(failed *openCall) bool {
-	return slices.ContainsFunc(r.calls, func(c *openCall) bool {
-		return c != failed && (c.begun.After(failed.begun) || c.heard.Load() > 0)
+func (r *round) hopes(failed *openPoll) bool {
+	return slices.ContainsFunc(r.calls, func(c *openPoll) bool {
+		return c != failed && (c.begun.After(failed.begun) || c.progressAt.Load() > 0)
 	})
 }
 
 // wait returns the first answer, or the failure that leaves no hope of one. Each time that there is none within the hold
 // and the grace another call is made.
-func (r *round) wait(ctx context.Context, patience time.Duration, doubted func()) ending {
-	doubt := time.NewTicker(patience)
-	defer doubt.Stop()
+func (r *round) wait(ctx context.Context, patience time.Duration, doubted func()) pollResult {
+	suspicion := time.NewTicker(patience)
+	defer suspicion.Stop()
 	for {
 		select {
 		case e := <-r.answers:
 			if e.err == nil || !r.hopes(e.call) {
 				return e
 			}
-			r.calls = slices.DeleteFunc(r.calls, func(c *openCall) bool { return c == e.call })
-		case <-doubt.C:
+			r.calls = slices.DeleteFunc(r.calls, func(c *openPoll) bool { return c == e.call })
+		case <-suspicion.C:
 			doubted()
 			r.call(ctx)
 		case <-ctx.Done():
-			return ending{err: ctx.Err()}
+			return pollResult{err: ctx.Err()}
 		}
 	}
 }
@@ -226,12 +226,12 @@
 // follow watches an agent at one place until the watch moves or ctx ends. A call that has said nothing by the end of
 // its hold and grace is doubted: another is made beside it, and whichever answers first counts. The others end with
 // it, so that news never comes out of order. After a failure that came at once it waits a little.
-func (w *Watch) follow(ctx context.Context, p *place) {
+func (w *Watch) follow(ctx context.Context, p *agent) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	defer context.AfterFunc(p.ctx, end)()
-	hold, grace := w.times(agentHold, agentGrace)
-	pause, silent := backoffFirst, false
+	hold, grace := w.times(agentLongPoll, agentGrace)
+	pause, silent := backoffInitial, false
 	doubted := func() {
 		if !silent {
 			silent = true
@@ -239,30 +239,30 @@
 		}
 	}
 	for ctx.Err() == nil {
-		calls, over := context.WithCancel(ctx)
-		r := &round{watch: w, at: p, hold: hold, answers: make(chan ending, mostCalls)}
-		r.call(calls)
-		e := r.wait(calls, hold+grace, doubted)
+		requests, over := context.WithCancel(ctx)
+		r := &round{watch: w, at: p, hold: hold, answers: make(chan pollResult, maxPolls)}
+		r.call(requests)
+		e := r.wait(requests, hold+grace, doubted)
 		over()
 		if ctx.Err() != nil {
 			return
 		}
 		if w.take(p, e.list, e.err) {
-			pause, silent = backoffFirst, false
+			pause, silent = backoffInitial, false
 			continue
 		}
-		if pause == backoffFirst {
+		if pause == backoffInitial {
 			w.log.Warn("discovery does not answer; asking again", "error", e.err)
 		}
 		clock.Sleep(ctx, pause)
-		pause = min(2*pause, backoffMost)
+		pause = min(2*pause, backoffMax)
 	}
 }
 
 // times are the hold and the grace of a call.
 func (w *Watch) times(hold, grace time.Duration) (time.Duration, time.Duration) {
-	if w.Hold > 0 {
-		hold = w.Hold
+	if w.LongPollTimeout > 0 {
+		hold = w.LongPollTimeout
 	}
 	if w.Grace > 0 {
 		grace = w.Grace
@@ -270,8 +270,8 @@
 	return hold, grace
 }
 
-// Ask serves Subscribes until ctx ends: a watch that goes on until it fails, which is reported once.
-func (w *Watch) Ask(ctx context.Context) {
+// Poll serves Subscribes until ctx ends: a watch that goes on until it fails, which is reported once.
+func (w *Watch) Poll(ctx context.Context) {
 	defer w.closeIdle()
 	for {
 		select {
@@ -280,7 +280,7 @@
 		case <-w.wanted:
 		}
 		for ctx.Err() == nil {
-			p := w.place()
+			p := w.agent()
 			if err := w.watch(ctx, p); err != nil && p.ctx.Err() == nil {
 				if ctx.Err() == nil {
 					w.log.Warn("the subscription failed", "error", err)
@@ -296,28 +296,28 @@
 // watch asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open call:
 // to give that up and wait in turn anew would take most of the time after which a change counts as told. After a failure
 // an answer is told also where it is no news: whoever waits longer after each failure is to know that this is over.
-func (w *Watch) watch(ctx context.Context, p *place) error {
-	hold, grace := w.times(serviceHold, serviceGrace)
+func (w *Watch) watch(ctx context.Context, p *agent) error {
+	hold, grace := w.times(serviceLongPoll, serviceGrace)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.ctx, cancel)()
-	r := &round{watch: w, at: p, hold: hold, answers: make(chan ending, mostCalls)}
+	r := &round{watch: w, at: p, hold: hold, answers: make(chan pollResult, maxPolls)}
 	r.call(ctx)
 	e := r.wait(ctx, hold+grace, func() { w.log.Warn("discovery is silent; asking again") })
 	if w.take(p, e.list, e.err) && w.failed {
 		w.failed = false
-		if !tells(e.list) {
-			w.sink.TakeList(e.list)
+		if !expectNotified(e.list) {
+			w.sink.UpdateList(e.list)
 		}
 	}
 	return e.err
 }
 
-// tells says that a list is news, and not the end of a hold without any.
-func tells(l List) bool { return l.Full || len(l.Targets) > 0 }
+// expectNotified says that a list is news, and not the end of a hold without any.
+func expectNotified(l List) bool { return l.Full || len(l.Targets) > 0 }
 
 // take passes on what a call told, and goes on from there. It tells whether the call told anything that could be read.
-func (w *Watch) take(p *place, l List, err error) bool {
+func (w *Watch) take(p *agent, l List, err error) bool {
 	if err != nil {
 		if errors.Is(err, errMalformed) {
 			p.rev = -1 // what the dropped answer told is missing: the whole list mends that
@@ -325,8 +325,8 @@
 		return false
 	}
 	p.rev = l.Rev
-	if p.ctx.Err() == nil && tells(l) {
-		w.sink.TakeList(l)
+	if p.ctx.Err() == nil && expectNotified(l) {
+		w.sink.UpdateList(l)
 	}
 	return true
 }
@@ -334,15 +334,15 @@
 // errMalformed is of an answer that came and can't be read.
 var errMalformed = errors.New("malformed")
 
-// call asks for what is newer than a version, and waits for that as long as ctx goes on. heard is called whenever a part
+// poll asks for what is newer than a version, and waits for that as long as ctx goes on. heard is called whenever a part
 // of the answer has come.
-func (w *Watch) call(ctx context.Context, p *place, rev int64, hold time.Duration, heard func()) (List, error) {
+func (w *Watch) poll(ctx context.Context, p *agent, rev int64, hold time.Duration, heard func()) (List, error) {
 	u := url.URL{Scheme: "http", Host: p.addr, Path: "/registry/instances"}
 	if rev >= 0 {
 		u.RawQuery = url.Values{"from": {strconv.FormatInt(rev, 10)},
 			"hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}.Encode()
 	}
-	req, err := http.NewRequestWithContext(context.WithValue(ctx, callKey{}, ctx), http.MethodGet, u.String(), nil)
+	req, err := http.NewRequestWithContext(context.WithValue(ctx, pollKey{}, ctx), http.MethodGet, u.String(), nil)
 	if err != nil {
 		return List{}, fmt.Errorf("watch: %w", err)
 	}
@@ -355,7 +355,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return List{}, fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(heardReader{resp.Body, heard}, maxList))
+	text, err := io.ReadAll(io.LimitReader(progressReader{resp.Body, heard}, maxList))
 	if err != nil {
 		return List{}, fmt.Errorf("watch: %w", err)
 	}
@@ -373,16 +373,16 @@
 	return l, nil
 }
 
-// heardReader tells of each part that it reads.
-type heardReader struct {
+// progressReader tells of each part that it reads.
+type progressReader struct {
 	io.Reader
-	heard func()
+	progress func()
 }
 
-func (r heardReader) Read(p []byte) (int, error) {
+func (r progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.heard()
+		r.progress()
 	}
 	return n, err
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -16,23 +16,23 @@
 	"damsontrestle/internal/route"
 )
 
-// View is one configuration as the fronts see it. It never changes.
-type View struct {
-	classes   map[string]balancer.Class
-	listeners map[string]config.Listener
-	table     *route.Table
-	pools     map[string]*engine.Engine
-	comeBack  time.Duration
+// Snapshot is one configuration as the fronts see it. It never changes.
+type Snapshot struct {
+	classes    map[string]balancer.Class
+	listeners  map[string]config.Listener
+	table      *route.Table
+	pools      map[string]*engine.Engine
+	retryAfter time.Duration
 }
 
-// NewView makes the View of a checked configuration whose pools are served by these engines.
-func NewView(cfg *config.Config, engines map[string]*engine.Engine) (*View, error) {
+// NewSnapshot makes the View of a checked configuration whose pools are served by these engines.
+func NewSnapshot(cfg *config.Config, engines map[string]*engine.Engine) (*Snapshot, error) {
 	table, err := cfg.Table()
 	if err != nil {
 		return nil, fmt.Errorf("dispatch: %w", err)
 	}
-	v := &View{classes: map[string]balancer.Class{}, listeners: map[string]config.Listener{}, table: table, pools: engines,
-		comeBack: time.Millisecond}
+	v := &Snapshot{classes: map[string]balancer.Class{}, listeners: map[string]config.Listener{}, table: table, pools: engines,
+		retryAfter: time.Millisecond}
 	for _, c := range cfg.Classes {
 		v.classes[c.Name] = c.ForModule()
 	}
@@ -43,28 +43,28 @@
 		if engines[p.Name] == nil {
 			return nil, fmt.Errorf("dispatch: pool %q has no engine", p.Name)
 		}
-		v.comeBack = max(v.comeBack, time.Duration(p.Tick))
+		v.retryAfter = max(v.retryAfter, time.Duration(p.Tick))
 	}
 	return v, nil
 }
 
 // Class tells of a class of calls, if there is one of that name.
-func (v *View) Class(name string) (balancer.Class, bool) {
+func (v *Snapshot) Class(name string) (balancer.Class, bool) {
 	c, ok := v.classes[name]
 	return c, ok
 }
 
 // Listener tells of a listener, if there is one of that name.
-func (v *View) Listener(name string) (config.Listener, bool) {
+func (v *Snapshot) Listener(name string) (config.Listener, bool) {
 	l, ok := v.listeners[name]
 	return l, ok
 }
 
-// ComeBack is when to come back after a refusal that no pool worded.
-func (v *View) ComeBack() time.Duration { return v.comeBack }
+// RetryAfter is when to come back after a refusal that no pool worded.
+func (v *Snapshot) RetryAfter() time.Duration { return v.retryAfter }
 
 // Ready says that a listed server is in service in some pool.
-func (v *View) Ready() bool {
+func (v *Snapshot) Ready() bool {
 	for _, e := range v.pools {
 		if e.Ready() {
 			return true
@@ -85,32 +85,32 @@
 type Guard interface {
 	// Take says whether it takes a call that was read under a View; exactly one answer comes on the call's channel then. It
 	// must not block, and gives calls on by Hand later.
-	Take(v *View, c *engine.Call, r *route.Call) bool
+	Take(v *Snapshot, c *engine.Request, r *route.Request) bool
 }
 
 // Dispatcher holds the View of now.
 type Dispatcher struct {
-	view  atomic.Pointer[View]
-	guard Guard        // nil: none
-	mu    sync.RWMutex // held for reading while a call is handed over, for writing while the View is swapped
+	snapshot atomic.Pointer[Snapshot]
+	guard    Guard        // nil: none
+	mu       sync.RWMutex // held for reading while a call is handed over, for writing while the View is swapped
 }
 
 // New returns a Dispatcher with its first View.
-func New(v *View) *Dispatcher {
+func New(v *Snapshot) *Dispatcher {
 	d := &Dispatcher{}
-	d.view.Store(v)
+	d.snapshot.Store(v)
 	return d
 }
 
-// View is the one of now.
-func (d *Dispatcher) View() *View { return d.view.Load() }
+// Snapshot is the one of now.
+func (d *Dispatcher) Snapshot() *Snapshot { return d.snapshot.Load() }
 
 // Take hands a call that was read under a View to the engine that it names for it, unless the View has been
 // swapped meanwhile. With no error, exactly one answer comes on the call's channel.
-func (d *Dispatcher) Take(v *View, c *engine.Call, r *route.Call) error {
+func (d *Dispatcher) Take(v *Snapshot, c *engine.Request, r *route.Request) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if d.view.Load() != v {
+	if d.snapshot.Load() != v {
 		return ErrStale
 	}
 	if d.guard != nil && d.guard.Take(v, c, r) {
@@ -120,7 +120,7 @@
 	if !ok {
 		return ErrNoRoute
 	}
-	v.pools[to.Pool].Take(c)
+	v.pools[to.Pool].Submit(c)
 	return nil
 }
 
@@ -132,28 +132,28 @@
 }
 
 // Pool is the pool that the routes of now name for a call.
-func (d *Dispatcher) Pool(r *route.Call) (string, bool) {
-	to, ok := d.view.Load().table.Choose(r)
+func (d *Dispatcher) Pool(r *route.Request) (string, bool) {
+	to, ok := d.snapshot.Load().table.Choose(r)
 	return to.Pool, ok
 }
 
-// Hand gives a call to the engine of a pool, past the Guard. With no error, exactly one answer comes on its channel.
-func (d *Dispatcher) Hand(c *engine.Call, pool string) error {
+// Submit gives a call to the engine of a pool, past the Guard. With no error, exactly one answer comes on its channel.
+func (d *Dispatcher) Submit(c *engine.Request, pool string) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	e := d.view.Load().pools[pool]
+	e := d.snapshot.Load().pools[pool]
 	if e == nil {
 		return ErrNoRoute
 	}
-	e.Take(c)
+	e.Submit(c)
 	return nil
 }
 
 // Swap puts another View in place and runs with while no call is handed over: what that posts to engines
 // comes after all calls taken under the old View and before any under the new one.
-func (d *Dispatcher) Swap(v *View, with func()) {
+func (d *Dispatcher) Swap(v *Snapshot, with func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	with()
-	d.view.Store(v)
+	d.snapshot.Store(v)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -22,14 +22,14 @@
 type named string
 
 func (n named) Run(a *engine.Attempt) engine.Outcome {
-	return engine.Outcome{Ending: balancer.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
+	return engine.Outcome{Result: balancer.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
 }
 
 func (named) Servers([]discovery.Target, bool) {}
 
-func (named) Ask(discovery.Host, time.Duration) (float64, bool) { return 0, false }
+func (named) Poll(discovery.Host, time.Duration) (float64, bool) { return 0, false }
 
-func (named) LetGo(discovery.Host) {}
+func (named) CloseIdle(discovery.Host) {}
 
 func newEngine(t *testing.T, cfg *config.Config, name string) *engine.Engine {
 	t.Helper()
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
+	e.RestoreList(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
 	go e.Run(t.Context())
 	return e
 }
@@ -54,16 +54,16 @@
 	return cfg
 }
 
-func newCall(id, class string) (*engine.Call, *route.Call) {
-	c := engine.NewCall(id, engine.Request{})
+func newRequest(id, class string) (*engine.Request, *route.Request) {
+	c := engine.NewRequest(id, engine.Message{})
 	c.Class, c.At = class, clock.New().Now()
 	c.Deadline = c.At + time.Hour
-	return c, &route.Call{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
+	return c, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
 }
 
-func TestACallGoesToThePoolOfItsRoute(t *testing.T) {
+func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
 	cfg := twoPools("a", "b")
-	v, err := NewView(cfg, map[string]*engine.Engine{"a": newEngine(t, cfg, "a"), "b": newEngine(t, cfg, "b")})
+	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newEngine(t, cfg, "a"), "b": newEngine(t, cfg, "b")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,30 +72,30 @@
 		t.Error("not ready")
 	}
 	for class, want := range map[string]string{"view": "a", "note": "b"} {
-		c, r := newCall("id", class)
+		c, r := newRequest("id", class)
 		if err := d.Take(v, c, r); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, c.Answer(), "the answer"); string(got.Reply.Body) != want {
+		if got := testpeer.Receive(t, c.Response(), "the answer"); string(got.Reply.Body) != want {
 			t.Errorf("%s went to %q", class, got.Reply.Body)
 		}
 	}
-	c, r := newCall("id", "none")
+	c, r := newRequest("id", "none")
 	if err := d.Take(v, c, r); !errors.Is(err, ErrNoRoute) {
 		t.Errorf("%v", err)
 	}
-	if _, err := NewView(cfg, nil); err == nil {
+	if _, err := NewSnapshot(cfg, nil); err == nil {
 		t.Error("a view without engines")
 	}
 }
 
 // While views are swapped, every call is taken under the view that it was read under, or is told that this has
 // gone; no call meets a pool that its view does not name, and a retired engine gets none.
-func TestSwapIsSeenWhole(t *testing.T) {
+func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
-	make2 := func(i int) (*View, []*engine.Engine) {
+	make2 := func(i int) (*Snapshot, []*engine.Engine) {
 		a, b := newEngine(t, cfg[i], fmt.Sprint("a", i)), newEngine(t, cfg[i], fmt.Sprint("b", i))
-		v, err := NewView(cfg[i], map[string]*engine.Engine{fmt.Sprint("a", i): a, fmt.Sprint("b", i): b})
+		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{fmt.Sprint("a", i): a, fmt.Sprint("b", i): b})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,19 +104,19 @@
 	first, old := make2(0)
 	d := New(first)
 	stop := make(chan struct{})
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 4 {
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
+			defer clients.Done()
 			for k := 0; ; k++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				v := d.View()
-				c, r := newCall(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
+				v := d.Snapshot()
+				c, r := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
 				if err := d.Take(v, c, r); errors.Is(err, ErrStale) {
 					continue
 				} else if err != nil {
@@ -124,7 +124,7 @@
 					return
 				}
 				select {
-				case got := <-c.Answer():
+				case got := <-c.Response():
 					if got.Kind != engine.Served {
 						t.Errorf("%+v", got)
 						return
@@ -146,7 +146,7 @@
 		old = engines
 	}
 	close(stop)
-	callers.Wait()
+	clients.Wait()
 }
 
 // BenchmarkTake is a call's way from a front to its engine, with its answer.
@@ -154,20 +154,20 @@
 	cfg := testpeer.Config()
 	e, _ := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named("x"),
 		Subscribe: func() {}, Pushed: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	e.Hold(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
+	e.RestoreList(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
 	go e.Run(b.Context())
-	v, err := NewView(cfg, map[string]*engine.Engine{"servers": e})
+	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": e})
 	if err != nil {
 		b.Fatal(err)
 	}
 	d := New(v)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c, r := newCall(fmt.Sprint(i), "view")
+		c, r := newRequest(fmt.Sprint(i), "view")
 		if err := d.Take(v, c, r); err != nil {
 			b.Fatal(err)
 		}
-		<-c.Answer()
+		<-c.Response()
 	}
 }
 
@@ -190,7 +190,7 @@
 				engines[p.Name] = e
 				all = append(all, e)
 			}
-			v, err := NewView(cfg, engines)
+			v, err := NewSnapshot(cfg, engines)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -17,8 +17,8 @@
 
 // Conn is a caller's connection, as its front has it. Its methods must not call back.
 type Conn interface {
-	// LetGo has it closed unless a request has begun on it; it tells whether it goes.
-	LetGo() bool
+	// CloseIdle has it closed unless a request has begun on it; it tells whether it goes.
+	CloseIdle() bool
 	// CutOff ends the wait for the rest of a request; the caller may get an answer that says so.
 	CutOff()
 	// IsCut says that CutOff was called.
@@ -74,7 +74,7 @@
 }
 
 // counts tell, for the log, what became of connections.
-type counts struct{ accepted, letGo, crowded, turnedAway int }
+type counts struct{ accepted, evicted, nearLimit, rejected int }
 
 // activity is what a connection does, and since when.
 type activity struct {
@@ -108,9 +108,9 @@
 
 // Share is how descriptors are shared out.
 type Share struct {
-	Room  int // for callers and servers together
-	Least int // of these the servers' connections may always have
-	Spare int // beyond these, for callers whose requests are read only to be refused
+	Capacity int // for callers and servers together
+	Minimum  int // of these the servers' connections may always have
+	Spare    int // beyond these, for callers whose requests are read only to be refused
 }
 
 // New returns the callers' side of a share of descriptors, of which servers tells how many the servers'
@@ -127,7 +127,9 @@
 }
 
 // most is how many connections callers may hold now: what servers leave. The caller holds mu.
-func (s *Set) most() int { return max(s.share.Room/2, s.share.Room-max(s.share.Least, s.servers())) }
+func (s *Set) most() int {
+	return max(s.share.Capacity/2, s.share.Capacity-max(s.share.Minimum, s.servers()))
+}
 
 // Add notes a new connection of a front, and makes room when there are too many.
 func (s *Set) Add(c Conn, group any) {
@@ -135,7 +137,7 @@
 	defer s.mu.Unlock()
 	s.counts.accepted++
 	s.conns[c] = &activity{group: group, phase: Silent, since: s.clock.Now()}
-	s.makeRoom()
+	s.evictOne()
 }
 
 // Move notes what a connection does from now on, and makes room when there are too many.
@@ -145,7 +147,7 @@
 	if a := s.conns[c]; a != nil {
 		s.move(a, p)
 		if p != Lingering {
-			s.makeRoom()
+			s.evictOne()
 		}
 	}
 }
@@ -185,8 +187,8 @@
 	s.move(a, Open)
 	a.open++
 	s.opened++
-	if s.opened > s.share.Room/2 || c.IsCut() {
-		s.counts.crowded++
+	if s.opened > s.share.Capacity/2 || c.IsCut() {
+		s.counts.nearLimit++
 		return false
 	}
 	return true
@@ -208,8 +210,8 @@
 // over is by how many there are too many. The caller holds mu.
 func (s *Set) over() int { return len(s.conns) - s.leaving - s.most() }
 
-// Crowded says that there are too many: each answer had better close its connection.
-func (s *Set) Crowded() bool {
+// NearLimit says that there are too many: each answer had better close its connection.
+func (s *Set) NearLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.over() > 0
@@ -219,18 +221,18 @@
 func (s *Set) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.share.Room+s.share.Spare-s.servers() {
+	if len(s.conns) < s.share.Capacity+s.share.Spare-s.servers() {
 		return false
 	}
-	s.counts.turnedAway++
+	s.counts.rejected++
 	return true
 }
 
-// makeRoom lets connections without a request go while there are too many: those first that are of least
+// evictOne lets connections without a request go while there are too many: those first that are of least
 // use to a good caller, and of these who has been so for longest. One idle for a moment only is spared:
 // a client sends again just once what crosses a close. While there are too many, each answer closes its
 // connection, which nothing can cross. The caller holds mu.
-func (s *Set) makeRoom() {
+func (s *Set) evictOne() {
 	if s.over() <= 0 {
 		return
 	}
@@ -250,7 +252,7 @@
 		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.a.since, y.a.since))
 	})
 	for _, f := range free {
-		if s.letGo(f.conn, f.a); s.over() <= 0 {
+		if s.evict(f.conn, f.a); s.over() <= 0 {
 			return
 		}
 	}
@@ -276,8 +278,8 @@
 	return 0
 }
 
-// letGo lets a connection go if it may be, and counts it as leaving. The caller holds mu.
-func (s *Set) letGo(c Conn, a *activity) {
+// evict lets a connection go if it may be, and counts it as leaving. The caller holds mu.
+func (s *Set) evict(c Conn, a *activity) {
 	gone := true
 	switch {
 	case a.going:
@@ -286,7 +288,7 @@
 	case a.phase == Reading || a.phase == Silent && c.HasBegun():
 		c.CutOff()
 	default:
-		gone = c.LetGo()
+		gone = c.CloseIdle()
 	}
 	s.note(a, gone)
 }
@@ -296,13 +298,13 @@
 	if goes && !a.going {
 		a.going = true
 		s.leaving++
-		s.counts.letGo++
+		s.counts.evicted++
 	}
 }
 
-// LetQuietGo closes the idle connections of a front, and those that have sent nothing yet. One that sends in that very
+// CloseQuiet closes the idle connections of a front, and those that have sent nothing yet. One that sends in that very
 // moment is read and answered. It returns how many of all that it has are left.
-func (s *Set) LetQuietGo(group any) (left int) {
+func (s *Set) CloseQuiet(group any) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, a := range s.conns {
@@ -311,7 +313,7 @@
 		}
 		left++
 		if a.phase == Idle || a.phase == Silent {
-			s.note(a, c.LetGo())
+			s.note(a, c.CloseIdle())
 		}
 	}
 	return left
@@ -341,8 +343,8 @@
 	return n
 }
 
-// Held is how many connections there are.
-func (s *Set) Held() int {
+// Open is how many connections there are.
+func (s *Set) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -365,7 +367,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.share = share
-	s.makeRoom()
+	s.evictOne()
 }
 
 // Report tells, for the log, what became of connections since the last report, and how many there are.
@@ -374,6 +376,6 @@
 	defer s.mu.Unlock()
 	c := s.counts
 	s.counts = counts{}
-	return []any{"callers", len(s.conns), "accepted", c.accepted, "let_go", c.letGo, "crowded", c.crowded,
-		"turned_away", c.turnedAway}
+	return []any{"callers", len(s.conns), "accepted", c.accepted, "let_go", c.evicted, "crowded", c.nearLimit,
+		"turned_away", c.rejected}
 }
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -18,7 +18,7 @@
 	done  *[]string
 }
 
-func (f *fake) LetGo() bool {
+func (f *fake) CloseIdle() bool {
 	if f.begun {
 		return false
 	}
@@ -35,14 +35,14 @@
 func (f *fake) Abort() error         { *f.done = append(*f.done, f.name+" closed"); return nil }
 
 func newSet(room int, servers int) *Set {
-	s := New(clock.New(), Share{Room: room, Least: room / 4, Spare: 100}, func() int { return servers })
+	s := New(clock.New(), Share{Capacity: room, Minimum: room / 4, Spare: 100}, func() int { return servers })
 	s.SetGrace(Graces{})
 	return s
 }
 
 // When there are too many, those that are of least use to a good caller go first: answered for good, then half a
 // request, then silent, then idle. One with a request that is open never does.
-func TestWhoIsLetGoFirst(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	var done []string
 	s := newSet(100, 0)
 	add := func(name string, begun bool, p Phase) *fake {
@@ -63,7 +63,7 @@
 	add("open", true, Open)
 	add("next request", true, Idle)
 	for room := 14; room >= 2; room -= 2 { // callers may have half of it
-		s.Resize(Share{Room: room, Least: room / 2, Spare: 100})
+		s.Resize(Share{Capacity: room, Minimum: room / 2, Spare: 100})
 	}
 	want := []string{"lingering closed", "half cut off", "reading cut off", "silent let go", "idle let go"}
 	if len(done) < len(want) || !slices.Equal(done[:1], want[:1]) || !slices.Contains(done[1:4], "half cut off") || !slices.Contains(done[1:4], "reading cut off") ||
@@ -73,7 +73,7 @@
 }
 
 // Of two callers with half a request each, the one that has stopped sending goes, though the other began before it.
-func TestASlowCallerIsSparedASilentOneIsNot(t *testing.T) {
+func TestSlowClientIsKeptSilentOneIsEvicted(t *testing.T) {
 	var done []string
 	s := newSet(100, 0)
 	s.SetGrace(Graces{Half: time.Minute})
@@ -84,7 +84,7 @@
 	for _, a := range s.conns {
 		a.since -= 2 * time.Hour
 	}
-	s.Resize(Share{Room: 2, Least: 1, Spare: 100})
+	s.Resize(Share{Capacity: 2, Minimum: 1, Spare: 100})
 	if !slices.Equal(done, []string{"silent cut off"}) {
 		t.Errorf("%v", done)
 	}
@@ -124,13 +124,13 @@
 	}
 	s.Remove(other)
 	s.Remove(f)
-	if s.Held() != 0 || s.opened != 0 || s.leaving != 0 {
-		t.Errorf("%d held, %d open, %d leaving", s.Held(), s.opened, s.leaving)
+	if s.Open() != 0 || s.opened != 0 || s.leaving != 0 {
+		t.Errorf("%d held, %d open, %d leaving", s.Open(), s.opened, s.leaving)
 	}
 }
 
 // A front lets go its own only.
-func TestLetQuietGo(t *testing.T) {
+func TestCloseQuiet(t *testing.T) {
 	var done []string
 	s := newSet(1000, 0)
 	for i := range 6 {
@@ -143,7 +143,7 @@
 			s.Begin(f)
 		}
 	}
-	if left := s.LetQuietGo(0); left != 3 || !slices.Equal(slices.Sorted(slices.Values(done)), []string{"0 let go", "4 let go"}) {
+	if left := s.CloseQuiet(0); left != 3 || !slices.Equal(slices.Sorted(slices.Values(done)), []string{"0 let go", "4 let go"}) {
 		t.Errorf("%d left, %v", left, done)
 	}
 }
@@ -151,15 +151,15 @@
 // One that has been so for a moment only is spared, unless descriptors are about to run out.
 func TestGraces(t *testing.T) {
 	var done []string
-	s := New(clock.New(), Share{Room: 4, Least: 4, Spare: 2}, func() int { return 0 })
+	s := New(clock.New(), Share{Capacity: 4, Minimum: 4, Spare: 2}, func() int { return 0 })
 	s.SetGrace(Graces{Lingering: time.Hour, Silent: time.Hour, Half: time.Hour, Idle: time.Hour})
 	for i := range 4 {
 		f := &fake{name: fmt.Sprint(i), done: &done}
 		s.Add(f, nil)
 		s.Move(f, Idle)
 	}
-	if len(done) != 0 || !s.Crowded() || s.Full() {
-		t.Errorf("%v, crowded %v, full %v", done, s.Crowded(), s.Full())
+	if len(done) != 0 || !s.NearLimit() || s.Full() {
+		t.Errorf("%v, crowded %v, full %v", done, s.NearLimit(), s.Full())
 	}
 	for i := range 2 {
 		s.Add(&fake{name: fmt.Sprint("more", i), done: &done}, nil)
@@ -169,24 +169,24 @@
 	}
 }
 
-// crossed begins a request in the moment in which it is asked whether it has.
-type crossed struct{ fake }
+// racingConn begins a request in the moment in which it is asked whether it has.
+type racingConn struct{ fake }
 
-func (c *crossed) HasBegun() bool {
+func (c *racingConn) HasBegun() bool {
 	was := c.begun
 	c.begun = true
 	return was
 }
 
 // A request whose first bytes come while quiet connections are let go is read: it is not cut off.
-func TestLettingQuietOnesGoCutsNothingOff(t *testing.T) {
+func TestClosingQuietConnectionsCutsNoRequest(t *testing.T) {
 	var done []string
 	s := newSet(100, 0)
-	c := &crossed{fake{name: "crossed", done: &done}}
+	c := &racingConn{fake{name: "crossed", done: &done}}
 	s.Add(c, nil)
 	begun := &fake{name: "begun", begun: true, done: &done}
 	s.Add(begun, nil)
-	if left := s.LetQuietGo(nil); left != 2 || c.cut || begun.cut {
+	if left := s.CloseQuiet(nil); left != 2 || c.cut || begun.cut {
 		t.Errorf("%d left, %v", left, done)
 	}
 }
--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -21,9 +21,9 @@
 	ctx := t.Context()
 	s, begin := newScript(), time.Now()
 	set := settings()
-	set.WarmAfter, set.ColdFrom = 3*time.Second, 0.1
+	set.SlowStartWindow, set.SlowStartMinimum = 3*time.Second, 0.1
 	set.Classes = append(set.Classes, balancer.Class{Name: "put", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 2 * time.Second,
-		Aim: testpeer.Limit, Deadline: 2 * testpeer.Limit, Worth: 1})
+		LatencyObjective: testpeer.Limit, Deadline: 2 * testpeer.Limit, PriorityWeight: 1})
 	e, err := New(Options{Settings: set, Seed: 1, Clock: clock.From(begin.Add(off)), Backend: s, Subscribe: func() {}, Pushed: true,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
@@ -36,27 +36,27 @@
 	}
 	begun := func() (string, chan<- Outcome) {
 		a, end := s.expect(t)
-		note("attempt %d of %s at %s, sent at %v, waits until %v, not after %v", a.N, a.Call.ID, a.To.Server, a.Sent-from, a.Deadline-from, min(a.NotAfter-from, time.Hour))
+		note("attempt %d of %s at %s, sent at %v, waits until %v, not after %v", a.N, a.Request.ID, a.To.Server, a.Sent-from, a.Deadline-from, min(a.NotAfter-from, time.Hour))
 		return a.To.Server, end
 	}
-	finish := func(end chan<- Outcome, how balancer.Ending) { end <- Outcome{Ending: how, At: e.clock.Now()} }
-	answered := func(c *Call) { note("%s: kind %d", c.ID, testpeer.Receive(t, c.Answer(), "the answer").Kind) }
+	finish := func(end chan<- Outcome, how balancer.Result) { end <- Outcome{Result: how, At: e.clock.Now()} }
+	answered := func(c *Request) { note("%s: kind %d", c.ID, testpeer.Receive(t, c.Response(), "the answer").Kind) }
 
-	queued := newCall(e, "queued", "view")
-	e.Take(queued)
+	queued := newRequest(e, "queued", "view")
+	e.Submit(queued)
 	time.Sleep(50 * time.Millisecond)
-	e.TakeList(servers("s1", "s2"))
+	e.UpdateList(servers("s1", "s2"))
 	_, end := begun()
 	time.Sleep(300 * time.Millisecond) // while it is out
 	finish(end, balancer.Success)
 	answered(queued)
 
 	for _, wait := range []time.Duration{time.Second, 2 * time.Second} { // half of the window is over, and all of it
-		put := newCall(e, fmt.Sprint("put after ", wait), "put")
-		e.Take(put)
+		put := newRequest(e, fmt.Sprint("put after ", wait), "put")
+		e.Submit(put)
 		_, end = begun()
 		time.Sleep(wait)
-		finish(end, balancer.Broken)
+		finish(end, balancer.ConnectionLost)
 		if wait < 2*time.Second {
 			_, end = begun()
 			finish(end, balancer.Success)
@@ -66,33 +66,33 @@
 
 	draining := servers("s1").Targets
 	draining[0].State = balancer.Draining
-	e.TakeList(discovery.List{Targets: draining})
+	e.UpdateList(discovery.List{Targets: draining})
 	fresh := servers("s3").Targets
 	fresh[0].Boot = time.Duration(time.Now().UnixNano()) // by the other clock, which is right
-	e.TakeList(discovery.List{Targets: fresh})
-	cold := [5]int{}
+	e.UpdateList(discovery.List{Targets: fresh})
+	slowStarting := [5]int{}
 	for n := range 250 {
-		c := newCall(e, fmt.Sprint("call ", n), "view")
-		e.Take(c)
+		c := newRequest(e, fmt.Sprint("call ", n), "view")
+		e.Submit(c)
 		to, end := begun()
 		if to == "s1" {
 			t.Errorf("off by %v: a call to a server that drains", off)
 		}
 		if to == "s3" {
-			cold[n/50]++
+			slowStarting[n/50]++
 		}
 		time.Sleep(5 * time.Millisecond)
 		finish(end, balancer.Success)
 		answered(c)
 		time.Sleep(15 * time.Millisecond)
 	}
-	t.Logf("off by %v: calls to the cold server, each second: %v of 50", off, cold)
-	if cold[0] > 15 || cold[4] < 15 {
-		t.Errorf("off by %v: %v of 50 calls to the cold server each second", off, cold)
+	t.Logf("off by %v: calls to the cold server, each second: %v of 50", off, slowStarting)
+	if slowStarting[0] > 15 || slowStarting[4] < 15 {
+		t.Errorf("off by %v: %v of 50 calls to the cold server each second", off, slowStarting)
 	}
-	late := newCall(e, "late", "note")
+	late := newRequest(e, "late", "note")
 	late.Deadline = late.At + time.Second
-	e.Take(late)
+	e.Submit(late)
 	_, end = begun()
 	time.Sleep(e.clock.Until(late.Deadline))
 	finish(end, balancer.TimedOut)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,10 +19,10 @@
 type event interface{}
 
 type (
-	arrived    struct{ call *Call }
-	callerGone struct {
-		call *Call
-		at   time.Duration
+	arrived            struct{ request *Request }
+	clientDisconnected struct {
+		request *Request
+		at      time.Duration
 	}
 	uploaded struct {
 		attempt *Attempt
@@ -32,7 +32,7 @@
 		attempt *Attempt
 		outcome Outcome
 	}
-	known struct {
+	loadReport struct {
 		id     string // of the call that the asking was for
 		server string
 		busy   float64
@@ -41,38 +41,38 @@
 	listNews    struct{ list discovery.List }
 	listFailed  struct{}
 	closing     struct{ at time.Duration }
-	lastCall    struct{} // the node ends: what is unanswered is answered now
+	answerAll   struct{} // the node ends: what is unanswered is answered now
 	reconfigure struct {
 		settings balancer.Settings
 		pushed   bool
 	}
-	retire struct{}
-	status struct{ to chan Status }
-	sight  struct{ to chan Sight }
+	retire     struct{}
+	status     struct{ to chan Status }
+	statsQuery struct{ to chan Stats }
 )
 
 // pending is a call that the module still knows: unanswered, or with attempts out.
 type pending struct {
-	call     *Call
-	attempts []*Attempt
-	out      int
-	ran      bool // an attempt of it may have
-	answered bool
+	request   *Request
+	attempts  []*Attempt
+	inFlight  int
+	ran       bool // an attempt of it may have
+	responded bool
 }
 
-// alarm is a Wake to come.
-type alarm struct {
+// timer is a Wake to come.
+type timer struct {
 	at    time.Duration
 	token string
 }
 
-type alarms []alarm
+type timerHeap []timer
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timer)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -81,10 +81,10 @@
 
 // stats count what happened, for the log.
 type stats struct {
-	Requests, Served, Refused, Failed, Gone, Sends, Asks int
-	Endings                                              [8]int
-	LagMax, LagSum                                       time.Duration
-	Events                                               int
+	Requests, Served, Rejected, Failed, Disconnected, Sends, Polls int
+	Results                                                        [8]int
+	LagMax, LagSum                                                 time.Duration
+	Events                                                         int
 }
 
 // Options are what an Engine is made of.
@@ -112,32 +112,32 @@
 	more      func() []any
 	log       *slog.Logger
 
-	now       time.Duration
-	pending   map[string]*pending
-	alarms    alarms
-	rev       int64 // of the list
-	listed    map[string]discovery.Target
-	closeAt   time.Duration // clock time of the last call to come; 0: none is known
-	over      bool          // after lastCall
-	retiring  bool          // after retire
-	ready     atomic.Bool   // a listed server may be sent to
-	stats     stats
-	total     Totals
-	tally     *tally // nil: nobody wants Sight
-	warmAfter time.Duration
-	starts    discovery.Starts
-	done      chan struct{} // closed once Run has returned
+	now             time.Duration
+	pending         map[string]*pending
+	alarms          timerHeap
+	rev             int64 // of the list
+	listed          map[string]discovery.Target
+	closeAt         time.Duration // clock time of the last call to come; 0: none is known
+	over            bool          // after answerAll
+	retiring        bool          // after retire
+	ready           atomic.Bool   // a listed server may be sent to
+	stats           stats
+	total           Totals
+	tally           *tally // nil: nobody wants Sight
+	slowStartWindow time.Duration
+	starts          discovery.Starts
+	done            chan struct{} // closed once Run has returned
 }
 
 // Totals count what became of calls since the engine began.
 type Totals struct {
-	Calls   int64 `json:"calls"`
-	Served  int64 `json:"served"`
-	Refused int64 `json:"refused"`
-	Failed  int64 `json:"failed"`
-	Gone    int64 `json:"gone"` // the caller left before its answer
-	Sends   int64 `json:"sends"`
-	Asks    int64 `json:"asks,omitempty"` // to servers, how much they hold
+	Requests     int64 `json:"calls"`
+	Served       int64 `json:"served"`
+	Rejected     int64 `json:"refused"`
+	Failed       int64 `json:"failed"`
+	Disconnected int64 `json:"gone"` // the caller left before its answer
+	Sends        int64 `json:"sends"`
+	Polls        int64 `json:"asks,omitempty"` // to servers, how much they hold
 }
 
 // Status is what an engine holds.
@@ -162,7 +162,7 @@
 	eng := &Engine{clock: o.Clock, balancer: b, backend: o.Backend, subscribe: o.Subscribe, pushed: o.Pushed,
 		more: o.Report, log: o.Log, events: make(chan event, 1024),
 		pending: map[string]*pending{}, listed: map[string]discovery.Target{}, done: make(chan struct{}),
-		warmAfter: o.Settings.WarmAfter}
+		slowStartWindow: o.Settings.SlowStartWindow}
 	if o.Count {
 		eng.tally = newTally()
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-// Take takes a call over: its answer comes on its channel. It must not be called once Retire was.
-func (eng *Engine) Take(c *Call) {
+// Submit takes a call over: its answer comes on its channel. It must not be called once Retire was.
+func (eng *Engine) Submit(c *Request) {
 	c.mu.Lock()
 	c.owner = eng
 	c.mu.Unlock()
@@ -199,11 +199,11 @@
 
 // Status tells what the engine holds now; nothing once Run has returned.
 func (eng *Engine) Status() Status {
-	return inquire(eng, func(to chan Status) event { return status{to} })
+	return query(eng, func(to chan Status) event { return status{to} })
 }
 
-// inquire has the loop answer a question; the answer is empty once Run has returned.
-func inquire[T any](eng *Engine, question func(to chan T) event) (answer T) {
+// query has the loop answer a question; the answer is empty once Run has returned.
+func query[T any](eng *Engine, question func(to chan T) event) (answer T) {
 	to := make(chan T, 1)
 	eng.post(question(to))
 	select {
@@ -213,24 +213,24 @@
 	return answer
 }
 
-// TakeList brings news of the servers.
-func (eng *Engine) TakeList(news discovery.List) { eng.post(listNews{news}) }
+// UpdateList brings news of the servers.
+func (eng *Engine) UpdateList(news discovery.List) { eng.post(listNews{news}) }
 
 // ListFailed says that a subscription failed.
 func (eng *Engine) ListFailed() { eng.post(listFailed{}) }
 
-// CloseAt says at which clock time LastCall will come. What has been sent to no server by then less the time that its
+// ShutdownAt says at which clock time AnswerAll will come. What has been sent to no server by then less the time that its
 // class takes is refused, as early as that is known: begun later, it would be cut in the middle of its work.
-func (eng *Engine) CloseAt(at time.Duration) { eng.post(closing{at}) }
+func (eng *Engine) ShutdownAt(at time.Duration) { eng.post(closing{at}) }
 
-// LastCall has whatever is unanswered answered now, and what still comes refused.
-func (eng *Engine) LastCall() { eng.post(lastCall{}) }
+// AnswerAll has whatever is unanswered answered now, and what still comes refused.
+func (eng *Engine) AnswerAll() { eng.post(answerAll{}) }
 
 // Ready says that a listed server may be sent to.
 func (eng *Engine) Ready() bool { return eng.ready.Load() }
 
-// Hold gives the list as it was last held, perhaps long ago. Only before Run.
-func (eng *Engine) Hold(last discovery.List) { eng.takeList(last, true) }
+// RestoreList gives the list as it was last held, perhaps long ago. Only before Run.
+func (eng *Engine) RestoreList(last discovery.List) { eng.updateList(last, true) }
 
 // statsEvery is how often the log tells what happened, when anything did.
 const statsEvery = 10 * time.Second
@@ -253,13 +253,13 @@
 	defer report.Stop()
 	defer eng.report()
 	for !eng.retiring || len(eng.pending) > 0 {
-		eng.ring()
+		eng.fireTimers()
 		if len(eng.alarms) > 0 {
 			timer.Reset(max(0, eng.clock.Until(eng.alarms[0].at)))
 		}
 		select {
 		case e := <-eng.events:
-			eng.take(e)
+			eng.handleEvent(e)
 		case <-timer.C:
 		case <-report.C:
 			eng.report()
@@ -269,90 +269,90 @@
 	}
 }
 
-// ring handles the alarms that are due.
-func (eng *Engine) ring() {
+// fireTimers handles the alarms that are due.
+func (eng *Engine) fireTimers() {
 	for len(eng.alarms) > 0 {
 		now := eng.clock.Now()
 		if eng.alarms[0].at > now {
 			return
 		}
-		a := heap.Pop(&eng.alarms).(alarm)
+		a := heap.Pop(&eng.alarms).(timer)
 		eng.handle(now, balancer.Timer{Token: a.token})
 	}
 }
 
-// take hands one event to the module, at the time when it happened rather than when the loop got to it.
-func (eng *Engine) take(e event) {
+// handleEvent hands one event to the module, at the time when it happened rather than when the loop got to it.
+func (eng *Engine) handleEvent(e event) {
 	switch e := e.(type) {
 	case arrived:
-		eng.lag(e.call.At)
+		eng.lag(e.request.At)
 		eng.stats.Requests++
-		eng.turnBack()
-		if eng.over || eng.retiring || eng.tooLate(e.call.Class) {
-			eng.stats.Refused++
-			e.call.answer <- Answer{Kind: Refused, RetryAfter: time.Second, Elsewhere: eng.closeAt > 0, NotRun: e.call.notRun()}
+		eng.rejectLate()
+		if eng.over || eng.retiring || eng.tooLate(e.request.Class) {
+			eng.stats.Rejected++
+			e.request.response <- Response{Kind: Rejected, RetryAfter: time.Second, Elsewhere: eng.closeAt > 0, NotRun: e.request.notRun()}
 			return
 		}
-		if eng.pending[e.call.ID] != nil {
+		if eng.pending[e.request.ID] != nil {
 			// The module ignores a second request with an id that it knows, so nobody would answer.
 			eng.stats.Requests--
-			e.call.answer <- Answer{Kind: Duplicate}
+			e.request.response <- Response{Kind: Duplicate}
 			return
 		}
 		// Attempts that another node made have their numbers and no more here.
-		eng.pending[e.call.ID] = &pending{call: e.call, attempts: make([]*Attempt, len(e.call.Earlier)), ran: !e.call.notRun()}
-		eng.tally.came(e.call.Class, false)
-		eng.handle(e.call.At, balancer.Request{ID: e.call.ID, Class: e.call.Class, Deadline: e.call.Deadline,
-			Partial: e.call.Request.Rest != nil, Earlier: e.call.Earlier})
-	case callerGone:
+		eng.pending[e.request.ID] = &pending{request: e.request, attempts: make([]*Attempt, len(e.request.PriorAttempts)), ran: !e.request.notRun()}
+		eng.tally.came(e.request.Class, false)
+		eng.handle(e.request.At, balancer.Request{ID: e.request.ID, Class: e.request.Class, Deadline: e.request.Deadline,
+			Partial: e.request.Message.Rest != nil, PriorAttempts: e.request.PriorAttempts})
+	case clientDisconnected:
 		eng.lag(e.at)
-		if p := eng.pending[e.call.ID]; p != nil && p.call == e.call && !p.answered {
-			eng.stats.Gone++
+		if p := eng.pending[e.request.ID]; p != nil && p.request == e.request && !p.responded {
+			eng.stats.Disconnected++
 			p.close()
-			eng.handle(e.at, balancer.ClientGone{ID: e.call.ID})
+			eng.handle(e.at, balancer.ClientDisconnected{ID: e.request.ID})
 			eng.forget(p)
 		}
-		e.call.discard()
+		e.request.discard()
 	case uploaded:
 		eng.lag(e.at)
-		if p := eng.pending[e.attempt.Call.ID]; p != nil && p.call == e.attempt.Call {
-			p.call.Deadline += e.at - p.call.At
-			p.call.At = e.at
-			eng.handle(e.at, balancer.Uploaded{ID: p.call.ID, Attempt: e.attempt.N, Deadline: p.call.Deadline})
+		if p := eng.pending[e.attempt.Request.ID]; p != nil && p.request == e.attempt.Request {
+			p.request.Deadline += e.at - p.request.At
+			p.request.At = e.at
+			eng.handle(e.at, balancer.Uploaded{ID: p.request.ID, Attempt: e.attempt.N, Deadline: p.request.Deadline})
 		}
 	case ended:
 		eng.lag(e.outcome.At)
-		eng.turnBack()
+		eng.rejectLate()
 		eng.end(e.attempt, e.outcome)
 	case closing:
 		eng.closeAt = e.at
-		eng.turnBack()
-	case lastCall:
+		eng.rejectLate()
+	case answerAll:
 		eng.over = true
 		for _, p := range eng.pending {
-			eng.giveUp(p)
+			eng.abandon(p)
 		}
-	case known:
+	case loadReport:
 		now := eng.clock.Now()
-		eng.handle(now, balancer.Known{ID: e.id, Loads: []balancer.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.asked}}})
+		eng.handle(now, balancer.LoadUpdate{ID: e.id, Loads: []balancer.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.asked}}})
 	case listNews:
-		eng.takeList(e.list, false)
+		eng.updateList(e.list, false)
 	case listFailed:
 		eng.handle(eng.clock.Now(), balancer.ListFailed{})
 	case reconfigure:
-		eng.pushed, eng.warmAfter = e.pushed, e.settings.WarmAfter
+		eng.pushed, eng.slowStartWindow = e.pushed, e.settings.SlowStartWindow
 		eng.handle(eng.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 	case retire:
 		eng.retiring = true
 	case status:
 		e.to <- eng.status()
-	case sight:
-		e.to <- eng.sight()
+	case statsQuery:
+		e.to <- eng.collectStats()
 	}
 }
 
 func (eng *Engine) status() Status {
-	s := Status{Totals: eng.total, Open: len(eng.pending), Avoided: eng.balancer.Avoided()}
+	s := Status{Totals: eng.total, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
 	s.add(eng.stats)
 	for _, t := range eng.listed {
 		switch t.State {
@@ -367,73 +367,73 @@
 
 // add counts what happened since the last report.
 func (t *Totals) add(s stats) {
-	t.Calls += int64(s.Requests)
+	t.Requests += int64(s.Requests)
 	t.Served += int64(s.Served)
-	t.Refused += int64(s.Refused)
+	t.Rejected += int64(s.Rejected)
 	t.Failed += int64(s.Failed)
-	t.Gone += int64(s.Gone)
+	t.Disconnected += int64(s.Disconnected)
 	t.Sends += int64(s.Sends)
-	t.Asks += int64(s.Asks)
+	t.Polls += int64(s.Polls)
 }
 
 // tooLate says that a call of a class would not be answered before the last call, as its answers come now.
 func (eng *Engine) tooLate(class string) bool {
-	return eng.closeAt > 0 && eng.clock.Now()+eng.balancer.Takes(class) > eng.closeAt
+	return eng.closeAt > 0 && eng.clock.Now()+eng.balancer.ExpectedLatency(class) > eng.closeAt
 }
 
-// turnBack refuses what waits for a server and would be sent too late to be answered, before the module sends it.
-func (eng *Engine) turnBack() {
+// rejectLate refuses what waits for a server and would be sent too late to be answered, before the module sends it.
+func (eng *Engine) rejectLate() {
 	if eng.closeAt == 0 {
 		return
 	}
 	for _, p := range eng.pending {
-		if len(p.attempts) == 0 && eng.tooLate(p.call.Class) {
-			eng.giveUp(p)
+		if len(p.attempts) == 0 && eng.tooLate(p.request.Class) {
+			eng.abandon(p)
 		}
 	}
 }
 
-// giveUp answers a call that the node will not be there for, as its caller leaving would end it.
-func (eng *Engine) giveUp(p *pending) {
-	if p.answered {
+// abandon answers a call that the node will not be there for, as its caller leaving would end it.
+func (eng *Engine) abandon(p *pending) {
+	if p.responded {
 		return
 	}
 	if len(p.attempts) == 0 {
-		eng.finish(p.call.ID, Answer{Kind: Refused, RetryAfter: time.Second, Elsewhere: eng.closeAt > 0})
+		eng.finish(p.request.ID, Response{Kind: Rejected, RetryAfter: time.Second, Elsewhere: eng.closeAt > 0})
 	} else {
-		eng.finish(p.call.ID, Answer{Kind: Failed})
+		eng.finish(p.request.ID, Response{Kind: Failed})
 	}
-	eng.handle(eng.clock.Now(), balancer.ClientGone{ID: p.call.ID})
+	eng.handle(eng.clock.Now(), balancer.ClientDisconnected{ID: p.request.ID})
 }
 
 // end passes on how an attempt ended. The first success is the caller's answer.
 func (eng *Engine) end(a *Attempt, r Outcome) {
-	p := eng.pending[a.Call.ID]
-	eng.stats.Endings[r.Ending]++
-	p.out--
-	p.ran = p.ran || !r.Ending.NeverRan()
+	p := eng.pending[a.Request.ID]
+	eng.stats.Results[r.Result]++
+	p.inFlight--
+	p.ran = p.ran || !r.Result.NeverRan()
 	at, listed := eng.listed[a.To.Server]
-	eng.tally.ended(at, a.To.Server, listed, r.Ending, r.At-a.Sent)
-	if r.Ending == balancer.Success && !p.answered {
+	eng.tally.ended(at, a.To.Server, listed, r.Result, r.At-a.Sent)
+	if r.Result == balancer.Success && !p.responded {
 		eng.stats.Served++
-		eng.answer(p, Answer{Kind: Served, Reply: r.Reply})
+		eng.answer(p, Response{Kind: Served, Reply: r.Reply})
 	} else {
 		r.Reply.Discard()
 	}
-	eng.handle(r.At, balancer.Outcome{ID: a.Call.ID, Attempt: a.N, Server: a.To.Server, Ending: r.Ending,
-		Latency: r.At - a.Sent, Ended: p.answered, Spent: r.Spent, Load: r.Load})
+	eng.handle(r.At, balancer.Outcome{ID: a.Request.ID, Attempt: a.N, Server: a.To.Server, Result: r.Result,
+		Latency: r.At - a.Sent, Ended: p.responded, NotReplayable: r.Spent, Load: r.Load})
 	eng.forget(p)
 }
 
-func (eng *Engine) answer(p *pending, a Answer) {
+func (eng *Engine) answer(p *pending, a Response) {
 	p.close()
-	p.call.answer <- a
+	p.request.response <- a
 }
 
 // close notes that nobody waits for an answer any more. Attempts that have not begun by then never do, whatever the
 // settings say of those that have.
 func (p *pending) close() {
-	p.answered = true
+	p.responded = true
 	for _, a := range p.attempts {
 		if a != nil {
 			a.CancelUnbegun()
@@ -443,17 +443,17 @@
 
 // forget drops a call once nothing of it is left, as the module does.
 func (eng *Engine) forget(p *pending) {
-	if p.answered && p.out == 0 {
-		delete(eng.pending, p.call.ID)
+	if p.responded && p.inFlight == 0 {
+		delete(eng.pending, p.request.ID)
 	}
 }
 
-// takeList keeps where the servers listen, and passes the list on. A list that changes nothing, as after
+// updateList keeps where the servers listen, and passes the list on. A list that changes nothing, as after
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
-func (eng *Engine) takeList(news discovery.List, cached bool) {
-	news = eng.starts.Local(news, cached, eng.clock.Now(), eng.warmAfter)
-	if !cached && eng.pushed && eng.holds(news) {
+func (eng *Engine) updateList(news discovery.List, cached bool) {
+	news = eng.starts.Local(news, cached, eng.clock.Now(), eng.slowStartWindow)
+	if !cached && eng.pushed && eng.isCurrent(news) {
 		return
 	}
 	if news.Full {
@@ -463,7 +463,7 @@
 	e := balancer.ServerList{Full: news.Full, Cached: cached}
 	for _, t := range news.Targets {
 		e.Servers = append(e.Servers, t.Server)
-		if t.State == balancer.Gone {
+		if t.State == balancer.Removed {
 			delete(eng.listed, t.ID)
 		} else {
 			eng.listed[t.ID] = t
@@ -486,12 +486,12 @@
 	return false
 }
 
-// holds says that a list tells nothing new.
-func (eng *Engine) holds(news discovery.List) bool {
+// isCurrent says that a list tells nothing new.
+func (eng *Engine) isCurrent(news discovery.List) bool {
 	named := 0
 	for _, t := range news.Targets {
 		held, ok := eng.listed[t.ID]
-		if ok && held != t || !ok && t.State != balancer.Gone {
+		if ok && held != t || !ok && t.State != balancer.Removed {
 			return false
 		}
 		if ok {
@@ -508,22 +508,22 @@
 		switch a := a.(type) {
 		case balancer.Send:
 			eng.send(a)
-		case balancer.Ask:
+		case balancer.Poll:
 			for _, s := range a.Servers {
-				eng.ask(a.ID, eng.listed[s].Host(), a.Within)
+				eng.poll(a.ID, eng.listed[s].Host(), a.Timeout)
 			}
 		case balancer.Cancel:
 			if p := eng.pending[a.ID]; p != nil && a.Attempt < len(p.attempts) && p.attempts[a.Attempt] != nil {
 				p.attempts[a.Attempt].Cancel()
 			}
-		case balancer.LetGo:
-			eng.backend.LetGo(eng.listed[a.Server].Host())
-		case balancer.Refuse:
-			eng.finish(a.ID, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
+		case balancer.CloseIdle:
+			eng.backend.CloseIdle(eng.listed[a.Server].Host())
+		case balancer.Reject:
+			eng.finish(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
 		case balancer.Fail:
-			eng.finish(a.ID, Answer{Kind: Failed})
-		case balancer.Wake:
-			heap.Push(&eng.alarms, alarm{a.At, a.Token})
+			eng.finish(a.ID, Response{Kind: Failed})
+		case balancer.SetTimer:
+			heap.Push(&eng.alarms, timer{a.At, a.Token})
 		case balancer.Subscribe:
 			eng.subscribe()
 		}
@@ -532,43 +532,43 @@
 
 func (eng *Engine) send(s balancer.Send) {
 	p := eng.pending[s.ID]
-	a := NewAttempt(p.call, len(p.attempts), eng.listed[s.Server].Host(), eng.now, eng.now+s.Timeout)
+	a := NewAttempt(p.request, len(p.attempts), eng.listed[s.Server].Host(), eng.now, eng.now+s.Timeout)
 	a.NotAfter = s.NotAfter
 	a.Zone, a.Cell = eng.listed[s.Server].Zone, eng.listed[s.Server].Cell
 	p.attempts = append(p.attempts, a)
 	eng.tally.sent(a.To.Server)
-	p.out++
+	p.inFlight++
 	eng.stats.Sends++
 	go func() {
 		r := eng.backend.Run(a)
 		a.Cancel()
-		if p.call.Ended != nil {
-			p.call.Ended(a, &r)
+		if p.request.AttemptEnded != nil {
+			p.request.AttemptEnded(a, &r)
 		}
 		eng.post(ended{a, r})
 	}()
 }
 
-// ask has a server asked how much it holds.
-func (eng *Engine) ask(id string, to discovery.Host, within time.Duration) {
-	eng.stats.Asks++
+// poll has a server asked how much it holds.
+func (eng *Engine) poll(id string, to discovery.Host, within time.Duration) {
+	eng.stats.Polls++
 	asked := eng.clock.Now()
 	go func() {
-		if busy, ok := eng.backend.Ask(to, within); ok {
-			eng.post(known{id, to.Server, busy, asked})
+		if busy, ok := eng.backend.Poll(to, within); ok {
+			eng.post(loadReport{id, to.Server, busy, asked})
 		}
 	}()
 }
 
-func (eng *Engine) finish(id string, a Answer) {
+func (eng *Engine) finish(id string, a Response) {
 	p := eng.pending[id]
-	if p == nil || p.answered {
+	if p == nil || p.responded {
 		return
 	}
-	if a.Kind == Refused {
-		a.NotRun = !p.ran && p.out == 0
-		eng.stats.Refused++
-		eng.tally.came(p.call.Class, true)
+	if a.Kind == Rejected {
+		a.NotRun = !p.ran && p.inFlight == 0
+		eng.stats.Rejected++
+		eng.tally.came(p.request.Class, true)
 	} else {
 		eng.stats.Failed++
 	}
@@ -592,11 +592,11 @@
 	if s.Events == 0 {
 		return
 	}
-	e := s.Endings
-	eng.log.With(eng.more()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Refused,
-		"failed", s.Failed, "gone", s.Gone, "sends", s.Sends, "asks", s.Asks, "success", e[balancer.Success],
+	e := s.Results
+	eng.log.With(eng.more()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
+		"failed", s.Failed, "gone", s.Disconnected, "sends", s.Sends, "asks", s.Polls, "success", e[balancer.Success],
 		"failure", e[balancer.Failure], "overloaded", e[balancer.Overloaded],
 		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.Unreachable],
-		"broken", e[balancer.Broken], "withdrawn", e[balancer.Withdrawn], "void", e[balancer.Void],
+		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotStarted],
 		"pending", len(eng.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,7 +17,7 @@
 // script is a Backend whose attempts end as a test says.
 type script struct {
 	holds    map[string]float64  // what servers say they hold when they are asked; others say nothing
-	told     int                 // times that news of the servers came
+	updates  int                 // times that news of the servers came
 	let      chan discovery.Host // whose idle connections were let go
 	attempts chan *Attempt       // as they begin
 	next     chan chan Outcome
@@ -27,14 +27,14 @@
 	return &script{attempts: make(chan *Attempt, 100), next: make(chan chan Outcome, 100), let: make(chan discovery.Host, 100)}
 }
 
-func (s *script) Servers([]discovery.Target, bool) { s.told++ }
+func (s *script) Servers([]discovery.Target, bool) { s.updates++ }
 
-func (s *script) Ask(h discovery.Host, _ time.Duration) (float64, bool) {
+func (s *script) Poll(h discovery.Host, _ time.Duration) (float64, bool) {
 	busy, ok := s.holds[h.Server]
 	return busy, ok
 }
 
-func (s *script) LetGo(h discovery.Host) { s.let <- h }
+func (s *script) CloseIdle(h discovery.Host) { s.let <- h }
 
 func (s *script) Run(a *Attempt) Outcome {
 	end := make(chan Outcome, 1)
@@ -44,7 +44,7 @@
 	case o := <-end:
 		return o
 	case <-a.Context().Done():
-		return Outcome{Ending: balancer.Withdrawn, At: a.Sent}
+		return Outcome{Result: balancer.Cancelled, At: a.Sent}
 	}
 }
 
@@ -56,10 +56,10 @@
 
 func settings() balancer.Settings {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Aim: testpeer.Limit, Deadline: 2 * testpeer.Limit, Worth: 1}
+		return balancer.Class{Name: name, Effect: e, LatencyObjective: testpeer.Limit, Deadline: 2 * testpeer.Limit, PriorityWeight: 1}
 	}
 	return balancer.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true, Tick: time.Millisecond,
-		MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WholeWeight: 1,
+		MaxRetryAfter: 2 * time.Second, SlowStartMinimum: 1, TotalWeight: 1,
 		Classes: []balancer.Class{class("view", balancer.Safe), class("note", balancer.Unsafe)}}
 }
 
@@ -79,13 +79,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Hold(l)
+	e.RestoreList(l)
 	return e
 }
 
-// newCall is a call with all the time in the world.
-func newCall(e *Engine, id, class string) *Call {
-	c := NewCall(id, Request{})
+// newRequest is a call with all the time in the world.
+func newRequest(e *Engine, id, class string) *Request {
+	c := NewRequest(id, Message{})
 	c.Class, c.At = class, e.clock.Now()
 	c.Deadline = c.At + testpeer.Limit
 	return c
@@ -99,24 +99,24 @@
 	go e.Run(t.Context())
 	for _, c := range []struct {
 		class string
-		ends  []balancer.Ending
+		ends  []balancer.Result
 		want  Kind
 	}{
-		{"view", []balancer.Ending{balancer.Broken, balancer.Success}, Served},
-		{"note", []balancer.Ending{balancer.Broken}, Failed},
-		{"note", []balancer.Ending{balancer.Unreachable, balancer.Success}, Served},
-		{"note", []balancer.Ending{balancer.Overloaded, balancer.Unreachable}, Refused},
+		{"view", []balancer.Result{balancer.ConnectionLost, balancer.Success}, Served},
+		{"note", []balancer.Result{balancer.ConnectionLost}, Failed},
+		{"note", []balancer.Result{balancer.Unreachable, balancer.Success}, Served},
+		{"note", []balancer.Result{balancer.Overloaded, balancer.Unreachable}, Rejected},
 	} {
-		call := newCall(e, "id", c.class)
-		e.Take(call)
+		request := newRequest(e, "id", c.class)
+		e.Submit(request)
 		for i, ending := range c.ends {
 			a, end := s.expect(t)
 			if a.N != i || len(s.attempts) > 0 {
 				t.Fatalf("%s: attempt %d with %d more out, want attempt %d alone", c.class, a.N, len(s.attempts), i)
 			}
-			end <- Outcome{Ending: ending, At: e.clock.Now(), Reply: Reply{Body: []byte("body")}}
+			end <- Outcome{Result: ending, At: e.clock.Now(), Reply: Reply{Body: []byte("body")}}
 		}
-		got := testpeer.Receive(t, call.Answer(), "the answer")
+		got := testpeer.Receive(t, request.Response(), "the answer")
 		if got.Kind != c.want || got.Kind == Served && string(got.Reply.Body) != "body" || len(s.attempts) > 0 {
 			t.Errorf("%s after %v: kind %d, body %q, %d more attempts; want kind %d", c.class, c.ends, got.Kind,
 				got.Reply.Body, len(s.attempts), c.want)
@@ -125,30 +125,30 @@
 }
 
 // Where the pool has servers asked, a call goes to the one that holds least, and its answer is the caller's as ever.
-func TestServersAreAskedBeforeACall(t *testing.T) {
+func TestServersArePolledBeforeRequest(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newScript()
 		s.holds = map[string]float64{"s1": 4, "s2": 1, "s3": 4, "s4": 4}
 		set := settings()
-		set.Asks = 4
+		set.PollChoices = 4
 		e, err := New(Options{Settings: set, Seed: seed, Clock: clock.New(), Backend: s, Subscribe: func() {}, Pushed: true,
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.Hold(servers("s1", "s2", "s3", "s4"))
+		e.RestoreList(servers("s1", "s2", "s3", "s4"))
 		go e.Run(t.Context())
-		call := newCall(e, "id", "note")
-		e.Take(call)
+		request := newRequest(e, "id", "note")
+		e.Submit(request)
 		a, end := s.expect(t)
 		if a.To.Server != "s2" {
 			t.Errorf("the call goes to %s; s2 holds least", a.To.Server)
 		}
-		end <- Outcome{Ending: balancer.Success, At: e.clock.Now(), Load: &balancer.Load{Busy: 1}}
-		if got := testpeer.Receive(t, call.Answer(), "the answer"); got.Kind != Served {
+		end <- Outcome{Result: balancer.Success, At: e.clock.Now(), Load: &balancer.Load{Busy: 1}}
+		if got := testpeer.Receive(t, request.Response(), "the answer"); got.Kind != Served {
 			t.Errorf("the answer is of kind %d", got.Kind)
 		}
-		if got := e.Status().Asks; got != 4 {
+		if got := e.Status().Polls; got != 4 {
 			t.Errorf("%d servers were asked; want 4", got)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // While a zone's servers say nothing and another's answer, a call that tries the silent ones goes on a connection of
 // its own: the back end is told before the attempt begins.
-func TestATrialOfASilentZoneHasAConnectionOfItsOwn(t *testing.T) {
+func TestProbeOfSilentZoneUsesItsOwnConnection(t *testing.T) {
 	s := newScript()
 	l := servers("s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
 	for i := range l.Targets {
@@ -168,8 +168,8 @@
 		if i == 10000 {
 			t.Fatal("no trial is made")
 		}
-		call := newCall(e, fmt.Sprint(i), "note")
-		e.Take(call)
+		request := newRequest(e, fmt.Sprint(i), "note")
+		e.Submit(request)
 		a, end := s.expect(t)
 		if len(s.let) > 0 {
 			if h := <-s.let; h != a.To || a.To.Server > "s" && (a.To.Server[1]-'1')%2 != 1 {
@@ -178,45 +178,45 @@
 			return
 		}
 		if (a.To.Server[1]-'1')%2 == 0 { // zone0
-			end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
-			testpeer.Receive(t, call.Answer(), "the answer")
+			end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
+			testpeer.Receive(t, request.Response(), "the answer")
 		}
 	}
 }
 
 // An id that is in use gets an answer of its own, and the first call with it goes on.
-func TestIDInUse(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
 	go e.Run(t.Context())
-	first, second := newCall(e, "id", "view"), newCall(e, "id", "view")
-	e.Take(first)
+	first, second := newRequest(e, "id", "view"), newRequest(e, "id", "view")
+	e.Submit(first)
 	_, end := s.expect(t)
-	e.Take(second)
-	if a := testpeer.Receive(t, second.Answer(), "the second's answer"); a.Kind != Duplicate {
+	e.Submit(second)
+	if a := testpeer.Receive(t, second.Response(), "the second's answer"); a.Kind != Duplicate {
 		t.Errorf("kind %d", a.Kind)
 	}
-	end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
-	if a := testpeer.Receive(t, first.Answer(), "the first's answer"); a.Kind != Served {
+	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
+	if a := testpeer.Receive(t, first.Response(), "the first's answer"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
 }
 
 // A caller that leaves has its attempt called off; its id is free again once that has ended.
-func TestLeaveCancelsTheAttempt(t *testing.T) {
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
 	go e.Run(t.Context())
-	c := newCall(e, "id", "note")
-	e.Take(c)
+	c := newRequest(e, "id", "note")
+	e.Submit(c)
 	a, _ := s.expect(t)
-	c.Leave(e.clock.Now())
+	c.Disconnect(e.clock.Now())
 	testpeer.Receive(t, a.Context().Done(), "the cancel")
 	testpeer.Until(t, "the id to be free", func() bool {
-		again := newCall(e, "id", "note")
-		e.Take(again)
+		again := newRequest(e, "id", "note")
+		e.Submit(again)
 		select {
-		case got := <-again.Answer():
+		case got := <-again.Response():
 			return got.Kind != Duplicate
 		case <-s.attempts:
 			return true
@@ -225,30 +225,30 @@
 }
 
 // At the last call what has an attempt out fails, and what still comes is refused with a time to come back.
-func TestLastCall(t *testing.T) {
+func TestAnswerAll(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
 	go e.Run(t.Context())
-	out := newCall(e, "out", "note")
-	e.Take(out)
+	out := newRequest(e, "out", "note")
+	e.Submit(out)
 	s.expect(t)
-	e.LastCall()
-	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Failed {
+	e.AnswerAll()
+	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Failed {
 		t.Errorf("kind %d", a.Kind)
 	}
-	late := newCall(e, "late", "view")
-	e.Take(late)
-	if a := testpeer.Receive(t, late.Answer(), "the refusal"); a.Kind != Refused || a.RetryAfter <= 0 {
+	late := newRequest(e, "late", "view")
+	e.Submit(late)
+	if a := testpeer.Receive(t, late.Response(), "the refusal"); a.Kind != Rejected || a.RetryAfter <= 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
 // A whole list that names what is held already is no news to the module: it would cut its pool anew and
 // open connections for nothing.
-func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
+func TestUnchangedFullListChangesNothing(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
-	s.told = 0
+	s.updates = 0
 	terminating, moved := servers("s1"), servers("s1")
 	terminating.Targets[0].State = balancer.Draining
 	moved.Targets[0].Endpoint = "127.0.0.1:2"
@@ -256,58 +256,58 @@
 		list discovery.List
 		want int
 	}{{servers("s1"), 0}, {terminating, 1}, {moved, 2}, {servers(), 3}} {
-		if e.take(listNews{c.list}); s.told != c.want {
-			t.Errorf("list %d: told %d times, want %d", i, s.told, c.want)
+		if e.handleEvent(listNews{c.list}); s.updates != c.want {
+			t.Errorf("list %d: told %d times, want %d", i, s.updates, c.want)
 		}
 	}
 }
 
 // A retired engine answers what it has taken, by the servers that it has, and ends; what was learned of it
 // last is in its status.
-func TestRetireEndsOnceAllIsAnswered(t *testing.T) {
+func TestRetireEndsOnceAllRequestsAreAnswered(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
-	out := newCall(e, "out", "view")
-	e.Take(out)
+	out := newRequest(e, "out", "view")
+	e.Submit(out)
 	_, end := s.expect(t)
 	e.Retire()
-	if got := e.Status(); got.Open != 1 || got.Ready != 2 || got.Calls != 1 {
+	if got := e.Status(); got.Open != 1 || got.Ready != 2 || got.Requests != 1 {
 		t.Errorf("%+v", got)
 	}
-	end <- Outcome{Ending: balancer.Broken, At: e.clock.Now()}
+	end <- Outcome{Result: balancer.ConnectionLost, At: e.clock.Now()}
 	_, end = s.expect(t) // still tried again: it is the engine's own
-	end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
-	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Served {
+	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
+	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
 	testpeer.Receive(t, e.Done(), "the end")
-	out.Leave(e.clock.Now()) // blocks nobody
+	out.Disconnect(e.clock.Now()) // blocks nobody
 	if got := e.Status(); got != (Status{}) {
 		t.Errorf("%+v after the end", got)
 	}
 }
 
 // Calls that are out when their class turns unsafe are not sent again.
-func TestReconfigureTightensWhatIsOut(t *testing.T) {
+func TestReconfigureTightensInFlightRequests(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
-	out := newCall(e, "out", "view")
-	e.Take(out)
+	out := newRequest(e, "out", "view")
+	e.Submit(out)
 	_, end := s.expect(t)
 	next := settings()
 	next.Classes[0].Effect = balancer.Unsafe
 	e.Reconfigure(next, true)
 	e.Status() // the loop has come so far
-	end <- Outcome{Ending: balancer.Broken, At: e.clock.Now()}
-	if a := testpeer.Receive(t, out.Answer(), "the answer"); a.Kind != Failed || len(s.attempts) > 0 {
+	end <- Outcome{Result: balancer.ConnectionLost, At: e.clock.Now()}
+	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Failed || len(s.attempts) > 0 {
 		t.Errorf("kind %d, %d more attempts", a.Kind, len(s.attempts))
 	}
 }
 
 // Sight tells what was counted, and forgets servers that are listed no more.
-func TestSightTellsWhatHappened(t *testing.T) {
+func TestStatsCountEvents(t *testing.T) {
 	s := newScript()
 	l := servers("a")
 	l.Rev, l.Targets[0].Zone = 7, "z"
@@ -316,32 +316,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Hold(l)
+	e.RestoreList(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go e.Run(ctx)
-	c := NewCall("1", Request{})
+	c := NewRequest("1", Message{})
 	c.Class, c.At = "view", e.clock.Now()
 	c.Deadline = c.At + testpeer.Limit
-	e.Take(c)
+	e.Submit(c)
 	a, end := s.expect(t)
-	is := e.Sight()
-	if is.Rev != 7 || is.Classes["view"] != (ClassSight{Calls: 1, Open: 1}) || is.Servers["a"].Held != 1 || is.Zones["z"].Ready != 1 || is.Zones["z"].Warm != 1 {
+	is := e.Stats()
+	if is.Rev != 7 || is.Classes["view"] != (ClassStats{Requests: 1, InFlight: 1}) || is.Servers["a"].InFlight != 1 || is.Zones["z"].Ready != 1 || is.Zones["z"].WarmedUp != 1 {
 		t.Errorf("with a call out: %+v", is)
 	}
-	end <- Outcome{Ending: balancer.Success, At: a.Sent + 3*time.Millisecond}
-	testpeer.Receive(t, c.Answer(), "an answer")
-	is = e.Sight()
-	if z := is.Zones["z"]; is.Classes["view"].Open != 0 || z.Ended != 1 || z.Bad != 0 || z.Took != 3*time.Millisecond || is.Took[12] != 1 || is.Servers["a"].Held != 0 {
+	end <- Outcome{Result: balancer.Success, At: a.Sent + 3*time.Millisecond}
+	testpeer.Receive(t, c.Response(), "an answer")
+	is = e.Stats()
+	if z := is.Zones["z"]; is.Classes["view"].InFlight != 0 || z.Ended != 1 || z.Failures != 0 || z.TotalLatency != 3*time.Millisecond || is.LatencyHistogram[12] != 1 || is.Servers["a"].InFlight != 0 {
 		t.Errorf("after its answer: %+v", is)
 	}
-	e.TakeList(discovery.List{Full: true, Rev: 8})
-	if is = e.Sight(); len(is.Servers) != 0 || len(is.Zones) != 0 || is.Rev != 8 {
+	e.UpdateList(discovery.List{Full: true, Rev: 8})
+	if is = e.Stats(); len(is.Servers) != 0 || len(is.Zones) != 0 || is.Rev != 8 {
 		t.Errorf("with no server listed: %+v", is)
 	}
 	cancel()
 	<-e.Done()
-	if is = e.Sight(); is.Classes != nil {
+	if is = e.Stats(); is.Classes != nil {
 		t.Errorf("after its end: %+v", is)
 	}
 }
@@ -352,7 +352,7 @@
 	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		s := newScript()
 		set := settings()
-		set.WarmAfter = 3 * time.Second
+		set.SlowStartWindow = 3 * time.Second
 		e, err := New(Options{Settings: set, Seed: 1, Clock: clock.New(), Backend: s, Subscribe: func() {}, Pushed: true, Count: true,
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err != nil {
@@ -360,29 +360,29 @@
 		}
 		go e.Run(t.Context())
 		l := servers("old")
-		e.TakeList(l)
-		e.Sight() // the first list has been taken
+		e.UpdateList(l)
+		e.Stats() // the first list has been taken
 		l.Targets = append(l.Targets, servers("new").Targets...)
 		l.Targets[1].Boot = e.clock.Now() + off
-		e.TakeList(l)
-		if z := e.Sight().Zones[""]; z.Ready != 2 || z.Warm != 1 {
-			t.Errorf("listed as started %v from now: %d servers, %d warm, want 2 and 1", off, z.Ready, z.Warm)
+		e.UpdateList(l)
+		if z := e.Stats().Zones[""]; z.Ready != 2 || z.WarmedUp != 1 {
+			t.Errorf("listed as started %v from now: %d servers, %d warm, want 2 and 1", off, z.Ready, z.WarmedUp)
 		}
 		is := e.listed["new"]
-		e.TakeList(l)
-		if e.Sight(); e.listed["new"] != is {
+		e.UpdateList(l)
+		if e.Stats(); e.listed["new"] != is {
 			t.Errorf("listed once more: %v, was %v", e.listed["new"], is)
 		}
 	}
 }
 
 // A call that was answered before any engine had it may be left all the same.
-func TestACallThatNoEngineHasMayBeLeft(t *testing.T) {
-	c := NewCall("id", Request{})
-	c.Finish(Answer{Kind: Refused})
-	c.Leave(0)
+func TestRequestWithoutEngineMayBeDisconnected(t *testing.T) {
+	c := NewRequest("id", Message{})
+	c.Finish(Response{Kind: Rejected})
+	c.Disconnect(0)
 	select {
-	case a := <-c.Answer():
+	case a := <-c.Response():
 		t.Errorf("%+v is still there for a caller that has gone", a)
 	default:
 	}
@@ -393,18 +393,18 @@
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
 	for i := range 10 {
-		call := newCall(e, fmt.Sprint("before", i), "note")
-		e.Take(call)
+		request := newRequest(e, fmt.Sprint("before", i), "note")
+		e.Submit(request)
 		a, end := s.expect(t)
-		end <- Outcome{Ending: balancer.Success, At: a.Sent + 20*time.Millisecond}
-		testpeer.Receive(t, call.Answer(), "the answer")
+		end <- Outcome{Result: balancer.Success, At: a.Sent + 20*time.Millisecond}
+		testpeer.Receive(t, request.Response(), "the answer")
 	}
 	return e
 }
 
 // Given that the last call is near, what would not be answered by then is refused at once; what has time enough is
 // sent as ever, and so is what nothing is known of.
-func TestWhatCouldNotBeAnsweredBeforeTheEndIsNeverSent(t *testing.T) {
+func TestRequestThatCannotFinishBeforeShutdownIsNeverSent(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		left  time.Duration // until the last call
@@ -412,20 +412,20 @@
 		want  Kind
 	}{
 		{"time enough", time.Hour, "note", Served},
-		{"too little", 10 * time.Millisecond, "note", Refused},
+		{"too little", 10 * time.Millisecond, "note", Rejected},
 		{"nothing known of its class", time.Minute, "view", Served},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScript()
 			e := taught(t, s)
-			e.CloseAt(e.clock.Now() + c.left)
-			call := newCall(e, "late", c.class)
-			e.Take(call)
+			e.ShutdownAt(e.clock.Now() + c.left)
+			request := newRequest(e, "late", c.class)
+			e.Submit(request)
 			if c.want == Served {
 				_, end := s.expect(t)
-				end <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
+				end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 			}
-			if got := testpeer.Receive(t, call.Answer(), "the answer"); got.Kind != c.want || got.Kind == Refused && (got.RetryAfter <= 0 || !got.Elsewhere) {
+			if got := testpeer.Receive(t, request.Response(), "the answer"); got.Kind != c.want || got.Kind == Rejected && (got.RetryAfter <= 0 || !got.Elsewhere) {
 				t.Errorf("answer %+v, want kind %d", got, c.want)
 			}
 		})
@@ -433,35 +433,35 @@
 }
 
 // What waits for a server when the end is told, or when another call tells that time has gone on, is turned back too.
-func TestWhatWaitsForAServerIsTurnedBackBeforeTheEnd(t *testing.T) {
+func TestQueuedRequestIsRejectedBeforeShutdown(t *testing.T) {
 	s := newScript()
 	e := taught(t, s)
-	e.TakeList(discovery.List{Full: true})
-	waiting := newCall(e, "waiting", "note")
-	e.Take(waiting)
+	e.UpdateList(discovery.List{Full: true})
+	waiting := newRequest(e, "waiting", "note")
+	e.Submit(waiting)
 	if got := e.Status(); got.Open != 1 {
 		t.Fatalf("%+v, want one call that waits", got)
 	}
-	e.CloseAt(e.clock.Now() + 10*time.Millisecond)
-	if got := testpeer.Receive(t, waiting.Answer(), "the answer"); got.Kind != Refused || len(s.attempts) > 0 {
+	e.ShutdownAt(e.clock.Now() + 10*time.Millisecond)
+	if got := testpeer.Receive(t, waiting.Response(), "the answer"); got.Kind != Rejected || len(s.attempts) > 0 {
 		t.Errorf("answer %+v after %d sends, want a refusal after none", got, len(s.attempts))
 	}
 }
 
 // A whole list that names one server less is news, also where it names as many entries as are held, one of them long gone.
-func TestAWholeListThatLeavesAServerOutIsNews(t *testing.T) {
+func TestFullListWithoutServerIsAnUpdate(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
 	same := servers("s1", "s2")
 	less := servers("s1", "s3")
-	less.Targets[1].State = balancer.Gone
+	less.Targets[1].State = balancer.Removed
 	for _, c := range []struct {
 		name  string
 		list  discovery.List
 		ready int
 	}{{"the same", same, 2}, {"one less, and one that is gone", less, 1}} {
-		if e.TakeList(c.list); e.Status().Ready != c.ready {
+		if e.UpdateList(c.list); e.Status().Ready != c.ready {
 			t.Errorf("%s: %d ready, want %d", c.name, e.Status().Ready, c.ready)
 		}
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -14,30 +14,30 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Call is a caller's request, whatever protocol brought it: read whole, or at least its head and as much of its
+// Request is a caller's request, whatever protocol brought it: read whole, or at least its head and as much of its
 // body as is kept. The engine looks at its id, class
 // and times only; the Request is for the back end that carries its attempts out.
-type Call struct {
+type Request struct {
 	ID, Class string
 	At        time.Duration // clock time when its last byte was read; with a Rest, when it was handed over
 	Deadline  time.Duration // clock time until which its caller waits; with a Rest, as if At were that of the last byte
-	Request   Request
+	Message   Message
 
 	// Of calls that others have a part in. All three may be empty; a Call with them is made by its taker alone.
-	Earlier []balancer.Earlier       // attempts that another node made
-	Allow   func(*Attempt) bool      // asked before the first byte of an attempt is written, which must not be where it says no
-	Ended   func(*Attempt, *Outcome) // told how each attempt ended
-
-	answer chan Answer // takes one answer without blocking
-	gone   atomic.Bool // its client has left it
-	mu     sync.Mutex
-	owner  *Engine             // that took it
-	left   func(time.Duration) // told instead of the owner that the caller has gone
+	PriorAttempts []balancer.PriorAttempt  // attempts that another node made
+	AllowAttempt  func(*Attempt) bool      // asked before the first byte of an attempt is written, which must not be where it says no
+	AttemptEnded  func(*Attempt, *Outcome) // told how each attempt ended
+
+	response     chan Response // takes one answer without blocking
+	gone         atomic.Bool   // its client has left it
+	mu           sync.Mutex
+	owner        *Engine             // that took it
+	onDisconnect func(time.Duration) // told instead of the owner that the caller has gone
 }
 
-// Request is what a server is to get, in the terms that all protocols share (RFC 9110). What is empty was
+// Message is what a server is to get, in the terms that all protocols share (RFC 9110). What is empty was
 // not given.
-type Request struct {
+type Message struct {
 	Method      string
 	Target      string  // path and query, as they came
 	Key         string  // idempotency key
@@ -54,69 +54,69 @@
 // Field is a header field.
 type Field struct{ Name, Value string }
 
-// NewCall returns a Call that can be answered.
-func NewCall(id string, r Request) *Call {
-	return &Call{ID: id, Request: r, answer: make(chan Answer, 1)}
+// NewRequest returns a Call that can be answered.
+func NewRequest(id string, r Message) *Request {
+	return &Request{ID: id, Message: r, response: make(chan Response, 1)}
 }
 
-// Answer gives the one final answer, once.
-func (c *Call) Answer() <-chan Answer { return c.answer }
+// Response gives the one final answer, once.
+func (c *Request) Response() <-chan Response { return c.response }
 
 // notRun says that no attempt that another node made may have run.
-func (c *Call) notRun() bool {
-	return !slices.ContainsFunc(c.Earlier, func(e balancer.Earlier) bool { return !e.Unsent })
+func (c *Request) notRun() bool {
+	return !slices.ContainsFunc(c.PriorAttempts, func(e balancer.PriorAttempt) bool { return !e.NeverRan })
 }
 
-// Leave tells whoever took the call that its caller has gone at a clock time: nothing more is owed to it. It is for whoever
+// Disconnect tells whoever took the call that its caller has gone at a clock time: nothing more is owed to it. It is for whoever
 // had the call taken.
-func (c *Call) Leave(at time.Duration) {
+func (c *Request) Disconnect(at time.Duration) {
 	c.gone.Store(true)
 	c.mu.Lock()
-	left, owner := c.left, c.owner
+	left, owner := c.onDisconnect, c.owner
 	c.mu.Unlock()
 	if left != nil {
 		left(at)
 		return
 	}
-	if owner == nil || !owner.post(callerGone{c, at}) { // answered by whoever stands before the engines, or by one that has ended
+	if owner == nil || !owner.post(clientDisconnected{c, at}) { // answered by whoever stands before the engines, or by one that has ended
 		c.discard()
 	}
 }
 
 // IsLeft says that nobody waits for the call any more: its client has left it, whether or not its owner has heard of that,
 // or has gone without a word. It is to be asked right before the first byte of an attempt is written.
-func (c *Call) IsLeft(now func() time.Duration) bool {
+func (c *Request) IsLeft(now func() time.Duration) bool {
 	if c.gone.Load() {
 		return true
 	}
-	if c.Request.Gone == nil || !c.Request.Gone() {
+	if c.Message.Gone == nil || !c.Message.Gone() {
 		return false
 	}
-	c.Leave(now())
+	c.Disconnect(now())
 	return true
 }
 
-// Hold has a call be answered by Finish and not by an engine. left is told that its caller has gone.
-func (c *Call) Hold(left func(at time.Duration)) {
+// Intercept has a call be answered by Finish and not by an engine. left is told that its caller has gone.
+func (c *Request) Intercept(left func(at time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left = left
+	c.onDisconnect = left
 }
 
 // Finish gives the answer of a call that is held, once.
-func (c *Call) Finish(a Answer) { c.answer <- a }
+func (c *Request) Finish(a Response) { c.response <- a }
 
 // discard drops an answer that nobody waits for any more.
-func (c *Call) discard() {
+func (c *Request) discard() {
 	select {
-	case a := <-c.answer:
+	case a := <-c.response:
 		a.Reply.Discard()
 	default:
 	}
 }
 
-// Answer is the one final answer to a call.
-type Answer struct {
+// Response is the one final answer to a call.
+type Response struct {
 	Kind       Kind
 	Reply      Reply         // for Served
 	RetryAfter time.Duration // for Refused: when to come back; 0: not said
@@ -142,7 +142,7 @@
 }
 
 // Discard closes what is left of the answer.
-func (a Answer) Discard() { a.Reply.Discard() }
+func (a Response) Discard() { a.Reply.Discard() }
 
 // Kind says what an answer promises.
 type Kind int
@@ -150,14 +150,14 @@
 // Kinds of answers.
 const (
 	Served    Kind = iota
-	Refused        // trying again is harmless
+	Rejected       // trying again is harmless
 	Failed         // promises nothing
 	Duplicate      // the id is in use by another call
 )
 
 // Attempt is one send of a call to a server.
 type Attempt struct {
-	Call           *Call
+	Request        *Request
 	N              int // from 0 for the first of its call
 	To             discovery.Host
 	Zone           string
@@ -184,8 +184,8 @@
 var errLost = errors.New("engine: the server is gone")
 
 // NewAttempt returns the n-th attempt of a call.
-func NewAttempt(c *Call, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
-	a := &Attempt{Call: c, N: n, To: to, Sent: sent, Deadline: deadline, NotAfter: math.MaxInt64}
+func NewAttempt(c *Request, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
+	a := &Attempt{Request: c, N: n, To: to, Sent: sent, Deadline: deadline, NotAfter: math.MaxInt64}
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
 	return a
 }
@@ -196,19 +196,19 @@
 // Uploaded tells the engine that the last byte of a call with a Rest was written to the server at a clock time.
 // It returns until when the attempt is waited for.
 func (a *Attempt) Uploaded(at time.Duration) (deadline time.Duration) {
-	if a.Call.owner != nil {
-		a.Call.owner.post(uploaded{a, at})
+	if a.Request.owner != nil {
+		a.Request.owner.post(uploaded{a, at})
 	}
 	return at + a.Deadline - a.Sent
 }
 
 // Allowed says whether the attempt may begin now that its connection is up. It may take a while.
-func (a *Attempt) Allowed() bool { return a.Call.Allow == nil || a.Call.Allow(a) }
+func (a *Attempt) Allowed() bool { return a.Request.AllowAttempt == nil || a.Request.AllowAttempt(a) }
 
 // Begin says whether the first byte of the attempt may be written at a clock time, to arrive a way later. Once it has said
 // no it never may: an attempt that was called off while it waited for its connection does not begin when that comes up.
 func (a *Attempt) Begin(at, way time.Duration) bool {
-	if at+way >= a.NotAfter || a.Call.Request.Rest == nil && at >= a.Deadline {
+	if at+way >= a.NotAfter || a.Request.Message.Rest == nil && at >= a.Deadline {
 		a.stage.CompareAndSwap(attemptWaiting, attemptOff)
 	}
 	return a.stage.CompareAndSwap(attemptWaiting, attemptBegun)
@@ -227,8 +227,8 @@
 	}
 }
 
-// Lost ends the attempt as if its connection had broken: others know that its server is gone, whatever the connection shows.
-func (a *Attempt) Lost() {
+// ConnectionLost ends the attempt as if its connection had broken: others know that its server is gone, whatever the connection shows.
+func (a *Attempt) ConnectionLost() {
 	a.stage.CompareAndSwap(attemptWaiting, attemptOff)
 	a.cancel(errLost)
 }
@@ -241,7 +241,7 @@
 // Outcome is how an attempt ended. Its Ending is the proof of whether it may have run: after Overloaded,
 // Unreachable and Void it has not, whatever else happens.
 type Outcome struct {
-	Ending balancer.Ending
+	Result balancer.Result
 	At     time.Duration  // clock time: for an answer, when its last byte was read
 	Reply  Reply          // for Success
 	Load   *balancer.Load // that came with an answer; nil: none
@@ -260,7 +260,7 @@
 	// Servers tells of the list's news, before any attempt that follows from it. It must not block.
 	Servers(targets []discovery.Target, full bool)
 	// Ask asks a server how much it holds, and waits for that no longer than within. false: it has not said.
-	Ask(to discovery.Host, within time.Duration) (busy float64, ok bool)
-	// LetGo closes the idle connections to a server. It must not block.
-	LetGo(discovery.Host)
+	Poll(to discovery.Host, within time.Duration) (busy float64, ok bool)
+	// CloseIdle closes the idle connections to a server. It must not block.
+	CloseIdle(discovery.Host)
 }
--- a/internal/engine/soak_test.go
+++ b/internal/engine/soak_test.go
@@ -13,7 +13,7 @@
 
 // A hundred thousand calls under ids that are never seen again, and five thousand servers that come and go: the engine
 // keeps nothing of what has gone, alarms included.
-func TestNothingIsKeptOfCallsThatAreOver(t *testing.T) {
+func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2", "s3", "s4"))
 	go e.Run(t.Context())
@@ -21,7 +21,7 @@
 		for {
 			select {
 			case <-s.attempts:
-				(<-s.next) <- Outcome{Ending: balancer.Success, At: e.clock.Now()}
+				(<-s.next) <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 			case <-e.Done():
 				return
 			}
@@ -34,17 +34,17 @@
 		if i == 0 {
 			old = "s0"
 		}
-		e.TakeList(discovery.List{Targets: []discovery.Target{
-			{Server: balancer.Server{ID: old, State: balancer.Gone}}, {Server: balancer.Server{ID: next}, Endpoint: "127.0.0.1:1"}}})
-		var open []*Call
+		e.UpdateList(discovery.List{Targets: []discovery.Target{
+			{Server: balancer.Server{ID: old, State: balancer.Removed}}, {Server: balancer.Server{ID: next}, Endpoint: "127.0.0.1:1"}}})
+		var open []*Request
 		for k := range at {
-			c := newCall(e, fmt.Sprint("call-", i+k), "view")
+			c := newRequest(e, fmt.Sprint("call-", i+k), "view")
 			c.Deadline = c.At + 2*time.Minute
-			e.Take(c)
+			e.Submit(c)
 			open = append(open, c)
 		}
 		for _, c := range open {
-			testpeer.Receive(t, c.Answer(), "the answer")
+			testpeer.Receive(t, c.Response(), "the answer")
 		}
 		if i == calls/10 {
 			base = reach.Reachable()
@@ -53,8 +53,8 @@
 	// What the loop holds is looked at from within: it answers a Status once all before it is handled.
 	e.Status()
 	grown := reach.Reachable() - base
-	if st := e.Status(); st.Open != 0 || st.Ready > 12 || st.Calls < calls {
-		t.Errorf("%d calls are open and %d servers ready after %d calls", st.Open, st.Ready, st.Calls)
+	if st := e.Status(); st.Open != 0 || st.Ready > 12 || st.Requests < calls {
+		t.Errorf("%d calls are open and %d servers ready after %d calls", st.Open, st.Ready, st.Requests)
 	}
 	if grown > 1<<20 {
 		t.Errorf("the heap grew by %d KiB from the tenth part of the day to its end", grown>>10)
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -9,42 +9,42 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Sight is what an engine sees that others may want to know. Counts are since it began.
-type Sight struct {
-	Classes map[string]ClassSight
-	Zones   map[string]ZoneSight
-	Servers map[string]ServerSight // listed, and such as calls are at or have failed at
-	Rev     int64                  // of the list; negative: of none that has one
-	Took    [Buckets]int64         // attempts that ended well, by the number of bits of what they took in microseconds
+// Stats is what an engine sees that others may want to know. Counts are since it began.
+type Stats struct {
+	Classes          map[string]ClassStats
+	Zones            map[string]ZoneStats
+	Servers          map[string]ServerStats // listed, and such as calls are at or have failed at
+	Rev              int64                  // of the list; negative: of none that has one
+	LatencyHistogram [Buckets]int64         // attempts that ended well, by the number of bits of what they took in microseconds
 }
 
 // Buckets are of what attempts took: the last is of 35 minutes and more.
 const Buckets = 32
 
-// ClassSight is of a class.
-type ClassSight struct {
-	Calls, Refused int64
-	Open           int
+// ClassStats is of a class.
+type ClassStats struct {
+	Requests, Rejected int64
+	InFlight           int
 }
 
-// ZoneSight is of the servers of a zone, as the list names it.
-type ZoneSight struct {
-	Ended, Bad  int64         // attempts; of them, such as did not succeed
-	Took        time.Duration // by all of them together
-	Ready, Warm int           // servers listed as ready; of them, such as are past their slow start
+// ZoneStats is of the servers of a zone, as the list names it.
+type ZoneStats struct {
+	Ended, Failures int64         // attempts; of them, such as did not succeed
+	TotalLatency    time.Duration // by all of them together
+	Ready, WarmedUp int           // servers listed as ready; of them, such as are past their slow start
 }
 
-// ServerSight is of a server.
-type ServerSight struct {
-	Bad  int64 // attempts that did not succeed
-	Held int   // attempts that are out
+// ServerStats is of a server.
+type ServerStats struct {
+	Failures int64 // attempts that did not succeed
+	InFlight int   // attempts that are out
 }
 
 // tally counts what Sight tells. Servers that are not listed are forgotten with their last attempt.
-type tally struct{ Sight }
+type tally struct{ Stats }
 
 func newTally() *tally {
-	return &tally{Sight{Classes: map[string]ClassSight{}, Zones: map[string]ZoneSight{}, Servers: map[string]ServerSight{}}}
+	return &tally{Stats{Classes: map[string]ClassStats{}, Zones: map[string]ZoneStats{}, Servers: map[string]ServerStats{}}}
 }
 
 func (t *tally) came(class string, refused bool) {
@@ -53,9 +53,9 @@
 	}
 	c := t.Classes[class]
 	if refused {
-		c.Refused++
+		c.Rejected++
 	} else {
-		c.Calls++
+		c.Requests++
 	}
 	t.Classes[class] = c
 }
@@ -65,28 +65,28 @@
 		return
 	}
 	s := t.Servers[server]
-	s.Held++
+	s.InFlight++
 	t.Servers[server] = s
 }
 
 // ended notes how an attempt ended. listed: its server is on the list still, as at; of what zone it was otherwise is not known.
-func (t *tally) ended(at discovery.Target, server string, listed bool, e balancer.Ending, took time.Duration) {
+func (t *tally) ended(at discovery.Target, server string, listed bool, e balancer.Result, took time.Duration) {
 	if t == nil {
 		return
 	}
 	s, z := t.Servers[server], t.Zones[at.Zone]
-	s.Held--
+	s.InFlight--
 	z.Ended++
-	z.Took += took
+	z.TotalLatency += took
 	if e == balancer.Success {
-		t.Took[min(bits.Len64(uint64(max(0, took.Microseconds()))), Buckets-1)]++
+		t.LatencyHistogram[min(bits.Len64(uint64(max(0, took.Microseconds()))), Buckets-1)]++
 	} else {
-		z.Bad++
-		s.Bad++
+		z.Failures++
+		s.Failures++
 	}
 	if t.Servers[server] = s; listed {
 		t.Zones[at.Zone] = z
-	} else if s.Held <= 0 {
+	} else if s.InFlight <= 0 {
 		delete(t.Servers, server)
 	}
 }
@@ -96,33 +96,33 @@
 	if t == nil {
 		return
 	}
-	maps.DeleteFunc(t.Servers, func(id string, s ServerSight) bool {
+	maps.DeleteFunc(t.Servers, func(id string, s ServerStats) bool {
 		_, is := listed[id]
-		return !is && s.Held <= 0
+		return !is && s.InFlight <= 0
 	})
 	zones := map[string]bool{}
 	for _, at := range listed {
 		zones[at.Zone] = true
 	}
-	maps.DeleteFunc(t.Zones, func(z string, _ ZoneSight) bool { return !zones[z] })
+	maps.DeleteFunc(t.Zones, func(z string, _ ZoneStats) bool { return !zones[z] })
 }
 
-// Sight tells what the engine sees. It is empty where Options.Count is not set, and once Run has returned.
-func (eng *Engine) Sight() Sight {
-	return inquire(eng, func(to chan Sight) event { return sight{to} })
+// Stats tells what the engine sees. It is empty where Options.Count is not set, and once Run has returned.
+func (eng *Engine) Stats() Stats {
+	return query(eng, func(to chan Stats) event { return statsQuery{to} })
 }
 
-// sight is what Sight gives: a copy.
-func (eng *Engine) sight() Sight {
+// collectStats is what Sight gives: a copy.
+func (eng *Engine) collectStats() Stats {
 	if eng.tally == nil {
-		return Sight{}
+		return Stats{}
 	}
-	s := Sight{maps.Clone(eng.tally.Classes), maps.Clone(eng.tally.Zones), maps.Clone(eng.tally.Servers), eng.rev, eng.tally.Took}
+	s := Stats{maps.Clone(eng.tally.Classes), maps.Clone(eng.tally.Zones), maps.Clone(eng.tally.Servers), eng.rev, eng.tally.LatencyHistogram}
 	for _, p := range eng.pending {
-		if !p.answered {
-			c := s.Classes[p.call.Class]
-			c.Open++
-			s.Classes[p.call.Class] = c
+		if !p.responded {
+			c := s.Classes[p.request.Class]
+			c.InFlight++
+			s.Classes[p.request.Class] = c
 		}
 	}
 	now := eng.clock.Now()
@@ -132,8 +132,8 @@
 		}
 		z := s.Zones[t.Zone]
 		z.Ready++
-		if now-t.Boot >= eng.warmAfter {
-			z.Warm++
+		if now-t.Boot >= eng.slowStartWindow {
+			z.WarmedUp++
 		}
 		s.Zones[t.Zone] = z
 	}
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -69,9 +69,9 @@
 	head validation.Head
 	in   validation.Request
 	body []byte
-	with *engine.Call // once the module has it
-	over bool         // its answer has been given, or nobody waits for it
-	left atomic.Bool  // aborted, or its connection has ended
+	with *engine.Request // once the module has it
+	over bool            // its answer has been given, or nobody waits for it
+	left atomic.Bool     // aborted, or its connection has ended
 	gone chan struct{}
 }
 
@@ -293,7 +293,7 @@
 		if r.with == nil {
 			c.whole()
 		} else {
-			r.with.Leave(c.front.clock.Now())
+			r.with.Disconnect(c.front.clock.Now())
 			c.front.figures.Left()
 		}
 		c.finish(r, End{App: 1})
@@ -313,7 +313,7 @@
 		c.health(r)
 		return
 	}
-	view := c.front.calls.View()
+	view := c.front.calls.Snapshot()
 	probe := head
 	probe.Length = max(0, head.Length)
 	in, err := validation.Check(view, &probe)
@@ -330,13 +330,13 @@
 func (c *client) ask(r *call) {
 	f := c.front
 	f.figures.Begin()
-	view := f.calls.View()
+	view := f.calls.Snapshot()
 	if !f.callers.Begin(c) {
-		c.answer(r, engine.Answer{Kind: engine.Refused, RetryAfter: view.ComeBack()})
+		c.answer(r, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()})
 		f.callers.End(c)
 		return
 	}
-	r.in.Call.Gone = func() bool { return c.hasLeft(r) }
+	r.in.Request.Gone = func() bool { return c.hasLeft(r) }
 	with, err := validation.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
 	if err != nil {
 		f.figures.End(r.in.Class, metrics.Faulted)
@@ -361,7 +361,7 @@
 func (c *client) wait(r *call) {
 	f := c.front
 	select {
-	case a := <-r.with.Answer():
+	case a := <-r.with.Response():
 		if a.Reply.Rest != nil {
 			c.owes(-1)
 			c.pass(r, a)
@@ -384,10 +384,10 @@
 }
 
 // answer gives a request an answer that is whole. The caller holds mu.
-func (c *client) answer(r *call, a engine.Answer) {
+func (c *client) answer(r *call, a engine.Response) {
 	c.front.figures.End(r.in.Class, validation.Result(a))
 	if a.Kind != engine.Served {
-		status, words := validation.Words(a)
+		status, words := validation.Text(a)
 		c.say(r, said{status, words, validation.RetryAfter(a)})
 		return
 	}
@@ -398,7 +398,7 @@
 
 // pass gives a request a long answer as it comes. One that breaks off ends with a status of the application that is
 // not 0, and short of its length if it had one, so that the web server can tell.
-func (c *client) pass(r *call, a engine.Answer) {
+func (c *client) pass(r *call, a engine.Response) {
 	defer a.Reply.Rest.Close()
 	put := func(p []byte) bool {
 		c.mu.Lock()
@@ -453,7 +453,7 @@
 	close(r.gone)
 	delete(c.calls, r.id)
 	keep, err := c.app.Finish(r.id, e)
-	if !keep || c.front.closing.Load() || c.front.callers.Crowded() {
+	if !keep || c.front.closing.Load() || c.front.callers.NearLimit() {
 		c.ended = true
 	}
 	if err != nil || c.ended && len(c.calls) == 0 {
@@ -483,7 +483,7 @@
 	defer c.mu.Unlock()
 	for _, r := range c.calls {
 		if r.with != nil {
-			r.with.Leave(c.front.clock.Now())
+			r.with.Disconnect(c.front.clock.Now())
 			c.front.figures.Left()
 		}
 		r.over = true
@@ -493,8 +493,8 @@
 	clear(c.calls)
 }
 
-// LetGo implements downstream.Conn.
-func (c *client) LetGo() bool {
+// CloseIdle implements downstream.Conn.
+func (c *client) CloseIdle() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	if !c.midway && c.reading == 0 {
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -37,8 +37,8 @@
 }
 
 // NewFront returns a Front that serves nobody before Serve.
-func NewFront(listener string, c clock.Clock, set *downstream.Set, calls *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
-	return &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost, part: partTimeout}
+func NewFront(listener string, c clock.Clock, set *downstream.Set, requests *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
+	return &Front{listener: listener, clock: c, calls: requests, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost, part: partTimeout}
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
@@ -59,15 +59,15 @@
 // SetClosing says whether each connection from now on ends with its last answer.
 func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
 
-// LetQuietGo closes the connections on which nothing is asked. It returns how many are left.
-func (f *Front) LetQuietGo() int { return f.callers.LetQuietGo(f) }
+// CloseQuiet closes the connections on which nothing is asked. It returns how many are left.
+func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
 
 // health tells whoever asks whether to send callers here.
 func (c *client) health(r *call) {
 	switch f := c.front; {
 	case r.head.Method != http.MethodGet && r.head.Method != http.MethodHead || r.head.Length > 0:
 		c.say(r, said{http.StatusMethodNotAllowed, "only GET is served", ""})
-	case f.unready.Load() || !f.calls.View().Ready():
+	case f.unready.Load() || !f.calls.Snapshot().Ready():
 		c.say(r, said{http.StatusServiceUnavailable, "not ready", ""})
 	default:
 		c.say(r, said{http.StatusOK, "ready", ""})
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -57,13 +57,13 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, count := clock.New(), &metrics.Set{}
 	n := &rig{back: http1.NewBack(c, descriptors.NewShare(488), count, http1.Limits{Most: 488, ConnectTimeout: testpeer.Limit, Idle: time.Minute})}
-	n.callers = downstream.New(c, downstream.Share{Room: 976, Least: 244, Spare: 24}, n.back.Connections)
+	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
 		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
-	view, err := dispatch.NewView(cfg, map[string]*engine.Engine{"servers": n.engine})
+	view, err := dispatch.NewSnapshot(cfg, map[string]*engine.Engine{"servers": n.engine})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.engine.Hold(list)
+	n.engine.RestoreList(list)
 	n.front = NewFront("main", c, n.callers, dispatch.New(view), count, log)
 	n.front.bounds = bounds
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -251,7 +251,7 @@
 	if a := w.hear(t, 1)[id]; a.body() != "for good" {
 		t.Errorf("the connection after all that: %q", a.text)
 	}
-	for name, calls := range map[string][]step{
+	for name, requests := range map[string][]step{
 		"an id in use":      {begin(5, Responder), begin(5, Responder)},
 		"a broken record":   {func(w *Writer) error { w.buf = append(w.buf, "\x02what"...); return nil }},
 		"PARAMS of 2 GB":    {begin(5, Responder), stream(Params, 5, "\xff\xff\xff\xff\x01x")},
@@ -259,13 +259,13 @@
 		"an answer to none": {ended(5, Complete)},
 	} {
 		w := connect(t, n)
-		w.Write(written(t, calls...))
+		w.Write(written(t, requests...))
 		if name == "a broken record" {
 			w.Conn.(*net.TCPConn).CloseWrite()
 		}
 		w.wantClosed(t, name)
 	}
-	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Held() == 1 })
+	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Open() == 1 })
 }
 
 // Fifty requests on one connection, of which some are aborted while servers have them: each ends once, the others are
@@ -356,7 +356,7 @@
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
 	testpeer.Until(t, "nothing to be left", func() bool {
-		return n.callers.Held() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
+		return n.callers.Open() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
 	})
 	if s.Seen() != 5 {
 		t.Errorf("%d requests", s.Seen())
@@ -377,9 +377,9 @@
 	})
 	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
-	whole, cut := w.ask(t, variables("GET", "/view/k", "whole"), ""), w.ask(t, variables("GET", "/view/k?cut", "cut"), "")
+	complete, cut := w.ask(t, variables("GET", "/view/k", "whole"), ""), w.ask(t, variables("GET", "/view/k?cut", "cut"), "")
 	heard := w.hear(t, 2)
-	if a := heard[whole]; a.body() != text || a.end != (End{}) {
+	if a := heard[complete]; a.body() != text || a.end != (End{}) {
 		t.Errorf("%d bytes, %+v", len(a.body()), a.end)
 	}
 	if a := heard[cut]; len(a.body()) >= len(text) || a.end.App == 0 {
@@ -417,14 +417,14 @@
 
 	idle := connect(t, n)
 	idle.hear(t, 0)
-	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Held() == 2 })
+	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Open() == 2 })
 	n.front.SetClosing(true)
 	id = w.ask(t, variables("GET", "/view/k", "last"), "")
 	if a := w.hear(t, 1)[id]; a.body() != "for last" {
 		t.Errorf("%q", a.text)
 	}
 	w.wantClosed(t, "a connection behind its last answer")
-	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.LetQuietGo() == 0 })
+	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.CloseQuiet() == 0 })
 	idle.wantClosed(t, "a quiet connection")
 }
 
@@ -467,7 +467,7 @@
 			}
 			quiet = append(quiet, c)
 		}
-		testpeer.Until(b, "all to be there", func() bool { return n.callers.Held() == held })
+		testpeer.Until(b, "all to be there", func() bool { return n.callers.Open() == held })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// The test's own side of each connection is among it.
@@ -475,7 +475,7 @@
 		for _, c := range quiet {
 			c.Close()
 		}
-		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Open() == 0 })
 	}
 }
 
@@ -551,7 +551,7 @@
 		close(hold)
 		testpeer.Receive(t, gone, "the other attempt's end")
 		w.wantClosed(t, errno.Error())
-		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Open() == 0 })
 	}
 }
 
--- a/internal/fastcgi/pairs_test.go
+++ b/internal/fastcgi/pairs_test.go
@@ -81,17 +81,17 @@
 	f.Add([]byte("\x80\x00\x00\x01\x80\x00\x00\x02Zzz\x00"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
 		limits := Limits{Bytes: 300, Count: 5}
-		whole, err1 := feed(NewPairs(limits), text, len(text)+1)
+		complete, err1 := feed(NewPairs(limits), text, len(text)+1)
 		pieces, err2 := feed(NewPairs(limits), text, int(size)+1)
-		if strings.Join(whole, "\x00") != strings.Join(pieces, "\x00") || fmt.Sprint(err1) != fmt.Sprint(err2) {
-			t.Fatalf("%q, %v whole; %q, %v in pieces of %d", whole, err1, pieces, err2, int(size)+1)
+		if strings.Join(complete, "\x00") != strings.Join(pieces, "\x00") || fmt.Sprint(err1) != fmt.Sprint(err2) {
+			t.Fatalf("%q, %v whole; %q, %v in pieces of %d", complete, err1, pieces, err2, int(size)+1)
 		}
 		sum := 0
-		for _, s := range whole {
+		for _, s := range complete {
 			sum += len(s) - 1
 		}
-		if sum > limits.Bytes || len(whole) > limits.Count {
-			t.Fatalf("%d pairs of %d bytes", len(whole), sum)
+		if sum > limits.Bytes || len(complete) > limits.Count {
+			t.Fatalf("%d pairs of %d bytes", len(complete), sum)
 		}
 	})
 }
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -11,12 +11,12 @@
 )
 
 // written is what a writer makes of calls.
-func written(t testing.TB, calls ...func(*Writer) error) []byte {
+func written(t testing.TB, requests ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, call := range calls {
-		if err := call(w); err != nil {
+	for _, request := range requests {
+		if err := request(w); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -59,7 +59,7 @@
 }
 
 // began is a web server with requests 1 to n begun, those whose bodies are to be whole closed.
-func began(t *testing.T, n int, whole bool) *WebServer {
+func began(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
 	s := NewWebServer(NewWriter(io.Discard))
 	s.most = n
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if whole {
+		if complete {
 			if err := s.CloseSend(id); err != nil {
 				t.Fatal(err)
 			}
@@ -165,7 +165,7 @@
 	}
 }
 
-func written2(t testing.TB, calls ...step) string { return string(written(t, calls...)) }
+func written2(t testing.TB, requests ...step) string { return string(written(t, requests...)) }
 
 // The standard library's responder as an application not written here: what goes out is understood, bodies of
 // several records among it, and what comes back is what it was told to answer.
--- a/internal/faultbench/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -140,19 +140,19 @@
 }
 
 // Send notes that the last byte of an attempt has come to a relay, and returns it for what follows.
-func (a *Audit) Send(call, server string, index int, cross bool, at time.Duration) *Attempt {
+func (a *Audit) Send(request, server string, index int, cross bool, at time.Duration) *Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := &Attempt{Call: call, Server: server, Index: index, Cross: cross, Out: at}
+	t := &Attempt{Call: request, Server: server, Index: index, Cross: cross, Out: at}
 	a.arrivals = append(a.arrivals, arrival{at, index})
-	c := a.calls[call]
+	c := a.calls[request]
 	if c == nil {
 		a.orphans = append(a.orphans, t)
 		return t
 	}
 	if told, yes := a.told[c.Node][server]; yes && at > told+DrainGrace {
-		a.breaches = append(a.breaches, Breach{Rule: "drain", Call: call, At: at,
-			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was told that it drains or has gone", c.Node, call, server, (at - told).Round(time.Millisecond))})
+		a.breaches = append(a.breaches, Breach{Rule: "drain", Call: request, At: at,
+			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was told that it drains or has gone", c.Node, request, server, (at - told).Round(time.Millisecond))})
 	}
 	c.attempts = append(c.attempts, t)
 	return t
--- a/internal/faultbench/audit/figures.go
+++ b/internal/faultbench/audit/figures.go
@@ -194,7 +194,7 @@
 	times := Histogram()
 	var seconds []Second
 	var attempts, crossings int
-	var worth, asked float64
+	var weight, asked float64
 	for _, all := range a.tries() {
 		c, last := all.first, all.last()
 		sec := int(c.At / time.Second)
@@ -216,7 +216,7 @@
 		f.Calls++
 		asked += c.Worth
 		if inAim {
-			worth += c.Worth
+			weight += c.Worth
 		}
 		for _, t := range all.calls {
 			attempts += len(t.attempts)
@@ -249,7 +249,7 @@
 	for _, share := range []*float64{&f.InAim, &f.Served, &f.Refused, &f.Failed, &f.NotTaken, &f.Late, &f.Left} {
 		*share /= n
 	}
-	f.Worth, f.Cold = worth/max(asked, 1e-9), a.cold
+	f.Worth, f.Cold = weight/max(asked, 1e-9), a.cold
 	f.Attempts, f.Crossings = float64(attempts)/n, float64(crossings)/float64(max(1, attempts))
 	for i := range seconds {
 		k := float64(max(1, seconds[i].Calls))
--- a/internal/faultbench/child/child.go
+++ b/internal/faultbench/child/child.go
@@ -92,8 +92,8 @@
 	t.text = append(t.text, p...)
 	t.part = append(t.part, p...)
 	for {
-		line, rest, whole := bytes.Cut(t.part, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(t.part, []byte("\n"))
+		if !complete {
 			break
 		}
 		t.part = rest
--- a/internal/faultbench/federation/audit.go
+++ b/internal/faultbench/federation/audit.go
@@ -88,10 +88,10 @@
 }
 
 // Runs are the runs of a call, by its first id or its key.
-func (a *Audit) Runs(call string) []Run {
+func (a *Audit) Runs(request string) []Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.runs[call])
+	return slices.Clone(a.runs[request])
 }
 
 // Hold has boxes keep the call of an id until release is closed; each box that has it says its name.
@@ -140,7 +140,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for call, runs := range a.runs {
+	for request, runs := range a.runs {
 		done := 0
 		for _, r := range runs {
 			if !r.Dropped {
@@ -148,17 +148,17 @@
 			}
 		}
 		if runs[0].Class != "view" && done > 1 {
-			say("%s: the %s call was run %d times: %s; heard: %s", call, runs[0].Class, done, some(runs), some(a.heard[call]))
+			say("%s: the %s call was run %d times: %s; heard: %s", request, runs[0].Class, done, some(runs), some(a.heard[request]))
 		}
 		for _, r := range runs {
 			for _, f := range a.rules {
 				if r.Partner == f.partner && r.At >= f.from && f.forbids(r) {
-					say("%s: ran at %s at %v: %s", call, r.Box, r.At, f.words)
+					say("%s: ran at %s at %v: %s", request, r.Box, r.At, f.words)
 				}
 			}
 		}
 	}
-	for call, all := range a.heard {
+	for request, all := range a.heard {
 		first := -1
 		for i, h := range all {
 			if !h.Settled || h.Status == 503 {
@@ -168,10 +168,10 @@
 				first = i
 			}
 			if h.Status != all[first].Status || h.Status == 200 && h.Body != all[first].Body {
-				say("%s: one heard %d %q at %s, another %d %q at %s", call, all[first].Status, all[first].Body, all[first].Gateway, h.Status, h.Body, h.Gateway)
+				say("%s: one heard %d %q at %s, another %d %q at %s", request, all[first].Status, all[first].Body, all[first].Gateway, h.Status, h.Body, h.Gateway)
 			}
-			if h.Status == 200 && !slices.ContainsFunc(a.runs[call], func(r Run) bool { return strings.HasPrefix(h.Body, r.Box+" ran ") }) {
-				say("%s: heard %q at %s, which no box made", call, h.Body, h.Gateway)
+			if h.Status == 200 && !slices.ContainsFunc(a.runs[request], func(r Run) bool { return strings.HasPrefix(h.Body, r.Box+" ran ") }) {
+				say("%s: heard %q at %s, which no box made", request, h.Body, h.Gateway)
 			}
 		}
 	}
--- a/internal/faultbench/federation/day.go
+++ b/internal/faultbench/federation/day.go
@@ -67,13 +67,13 @@
 func (l *League) Play(ctx context.Context, d Day) *Figures {
 	f := &Figures{}
 	var (
-		mu    sync.Mutex
-		calls = map[string]*open{}
-		tooks []time.Duration
-		apart []time.Duration
-		slow  *Gateway // that is stalled
-		taken []time.Duration
-		all   sync.WaitGroup
+		mu       sync.Mutex
+		requests = map[string]*open{}
+		tooks    []time.Duration
+		apart    []time.Duration
+		slow     *Gateway // that is stalled
+		taken    []time.Duration
+		all      sync.WaitGroup
 	)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,7 +82,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
-		for _, c := range calls {
+		for _, c := range requests {
 			if c.at == g && c.hit.IsZero() && c.until.Sub(now) >= time.Second {
 				c.hit = now
 				f.InHand++
@@ -111,7 +111,7 @@
 		o := &open{class: c.Class, until: time.Now().Add(d.Patience), at: g}
 		near := func() bool { return slow != nil && (slow == g || to != g.Partner && to == slow.Partner) }
 		mu.Lock()
-		calls[id] = o
+		requests[id] = o
 		o.near = near()
 		mu.Unlock()
 		sent := time.Now()
@@ -123,7 +123,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		delete(calls, id)
+		delete(requests, id)
 		if ctx.Err() != nil {
 			return
 		}
@@ -221,8 +221,8 @@
 	}
 	for _, g := range l.Gateways {
 		c := g.Notes(ctx).Counts
-		f.Purses.Drawn, f.Purses.Refused, f.Purses.Own = f.Purses.Drawn+c.Drawn, f.Purses.Refused+c.Refused, f.Purses.Own+c.Own
-		f.Purses.Wasted, f.Purses.Given, f.Purses.Taken = f.Purses.Wasted+c.Wasted, f.Purses.Given+c.Given, f.Purses.Taken+c.Taken
+		f.Purses.Drawn, f.Purses.Rejected, f.Purses.Own = f.Purses.Drawn+c.Drawn, f.Purses.Rejected+c.Rejected, f.Purses.Own+c.Own
+		f.Purses.Wasted, f.Purses.Granted, f.Purses.Returning = f.Purses.Wasted+c.Wasted, f.Purses.Granted+c.Granted, f.Purses.Returning+c.Returning
 	}
 	f.Notes = float64(l.Audit.Count("note", begin.Sub(l.began), begin.Sub(l.began)+d.Length)) / d.Length.Seconds()
 	f.MostIn1s, _ = l.Audit.Most("note", time.Second)
@@ -417,7 +417,7 @@
 					if digests[g.Partner] == nil {
 						digests[g.Partner] = map[uint64]bool{}
 					}
-					digests[g.Partner][s.Offers.Digest] = true
+					digests[g.Partner][s.Routes.Digest] = true
 				}
 			}()
 		}
@@ -451,5 +451,5 @@
 	return fmt.Sprintf("served %s of %d (refused %d, failed %d %v, unanswered %d); %d faults; in hand %d, served %s, of those that may be sent again %s; takeover %v; p50 %v, p99 %v, apart from what was stalled %v; tables agree after %v (%d times not in 2 s); notes %.1f a second, %d in 1 s, %d in 10 s, %.2f of the bound, tokens drawn %d of %d given, %d wasted, %d of %d refused came when they were told; late %v; %d breaches",
 		share(f.Served, f.Calls), f.Calls, f.Refused, f.Failed, f.FailedBy, f.Unanswered, f.Struck, f.InHand, share(f.InHandServed, f.InHand), share(f.MayServed, f.MayRepeat),
 		f.Takeover.Round(time.Millisecond), f.P50.Round(100*time.Microsecond), f.P99.Round(time.Millisecond), f.P99Apart.Round(time.Millisecond), f.Agree.Round(10*time.Millisecond), f.Disagreed,
-		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Given, f.Purses.Wasted, f.Purses.Taken, f.Purses.Refused, f.Late.Round(time.Millisecond), len(f.Breaches))
+		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Granted, f.Purses.Wasted, f.Purses.Returning, f.Purses.Rejected, f.Late.Round(time.Millisecond), len(f.Breaches))
 }
--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -394,11 +394,11 @@
 	}
 	w("%s", exports(l, g.Partner))
 	if o.Quota != "" {
-		keepers := l.Keepers(min(3, o.Partners))
+		candidates := l.Keepers(min(3, o.Partners))
 		if o.Apart {
-			keepers = l.keepersOf(g.Partner)
+			candidates = l.keepersOf(g.Partner)
 		}
-		w("quota \"notes\" {\n%s\n%s}", o.Quota, keepers)
+		w("quota \"notes\" {\n%s\n%s}", o.Quota, candidates)
 	}
 	text := b.String()
 	if o.Edit != nil {
@@ -530,7 +530,7 @@
 func (l *League) now() time.Duration { return time.Since(l.began) }
 
 // Settle waits until every gateway that runs has links to all of its group, to each partner, and knows as many offers.
-func (l *League) Settle(ctx context.Context, offers int) error {
+func (l *League) Settle(ctx context.Context, advertisements int) error {
 	why := ""
 	for ctx.Err() == nil {
 		why = ""
@@ -538,7 +538,7 @@
 			if g.Log() == "" {
 				continue
 			}
-			if w := g.unsettled(ctx, offers); w != "" {
+			if w := g.unsettled(ctx, advertisements); w != "" {
 				why = g.Name + ": " + w
 				break
 			}
@@ -552,7 +552,7 @@
 }
 
 // unsettled is what a gateway still lacks.
-func (g *Gateway) unsettled(ctx context.Context, offers int) string {
+func (g *Gateway) unsettled(ctx context.Context, advertisements int) string {
 	s, err := g.Show(ctx)
 	if err != nil || s.Status.Gateway == nil {
 		return fmt.Sprint(err)
@@ -576,11 +576,11 @@
 			return "no link to " + Name(p)
 		}
 	}
-	if n := s.Status.Gateway.Offers.Offers; n != offers {
-		return fmt.Sprintf("%d offers, want %d", n, offers)
+	if n := s.Status.Gateway.Routes.Advertisements; n != advertisements {
+		return fmt.Sprintf("%d offers, want %d", n, advertisements)
 	}
 	for p := range g.league.o.Partners {
-		if p != g.Partner && s.Status.Pools["partner:"+Name(p)].Calls.Ready == 0 {
+		if p != g.Partner && s.Status.Pools["partner:"+Name(p)].Requests.Ready == 0 {
 			return "no gateway of " + Name(p) + " is known"
 		}
 	}
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -108,7 +108,7 @@
 
 // Given a gateway that is killed while it has a call in hand, at each of its steps: another goes on with it, once, and all who
 // ask hear the same. What is unsafe and may have run ends as failed.
-func TestAKilledGatewaysCallIsTakenOverOnce(t *testing.T) {
+func TestSuccessorTakesOverOnceAfterKill(t *testing.T) {
 	l := start(t, Options{Custody: "refuse"})
 	victim := l.Gateway(0, 0)
 	n := 0
@@ -137,21 +137,21 @@
 			t.Fatal(err)
 		}
 		settle(t, l)
-		call := Call{ID: fmt.Sprintf("c%d-%s-%s", n, c.class, c.point), Class: c.class, Path: "p0/x"}
-		of := call.ID
+		request := Call{ID: fmt.Sprintf("c%d-%s-%s", n, c.class, c.point), Class: c.class, Path: "p0/x"}
+		of := request.ID
 		if c.class == "log" {
-			call.Key = "key-" + call.ID
-			of = call.Key
+			request.Key = "key-" + request.ID
+			of = request.Key
 		}
-		first := l.Ask(t.Context(), victim, call)
+		first := l.Ask(t.Context(), victim, request)
 		testpeer.Receive(t, victim.Ended(), "the kill")
 		if first.Status != 0 {
 			t.Errorf("%s %s: the caller of the killed gateway heard %+v", c.class, c.point, first)
 		}
 		var answers []<-chan Heard
 		for i, g := range l.Of(0, victim) {
-			again := call
-			again.ID, again.Of = fmt.Sprintf("%s-again%d", call.ID, i), call.ID
+			again := request
+			again.ID, again.Of = fmt.Sprintf("%s-again%d", request.ID, i), request.ID
 			answers = append(answers, behind(func() Heard {
 				h, _ := l.Insist(t.Context(), g, again)
 				return h
@@ -171,7 +171,7 @@
 }
 
 // A gateway that is killed as an heir, once it has claimed a call or has an attempt allowed, is followed by the next.
-func TestAKilledHeirIsFollowedByTheNext(t *testing.T) {
+func TestNextSuccessorTakesOverAfterSuccessorIsKilled(t *testing.T) {
 	l := start(t, Options{Partners: 1, Gateways: 5, Boxes: 8, Custody: "refuse"})
 	owner := l.Gateway(0, 0)
 	for i, c := range []struct {
@@ -190,15 +190,15 @@
 			}
 		}
 		settle(t, l)
-		call := Call{ID: fmt.Sprintf("h%d", i), Class: c.class, Path: "p0/x"}
-		l.Ask(t.Context(), owner, call)
+		request := Call{ID: fmt.Sprintf("h%d", i), Class: c.class, Path: "p0/x"}
+		l.Ask(t.Context(), owner, request)
 		testpeer.Receive(t, owner.Ended(), "the owner's kill")
-		var heir *Gateway
+		var successor *Gateway
 		testpeer.Until(t, "the first heir's kill", func() bool {
 			for _, g := range l.Gateways[1:] {
 				select {
 				case <-g.Ended():
-					heir = g
+					successor = g
 					return true
 				default:
 				}
@@ -206,14 +206,14 @@
 			return false
 		})
 		// The next one must live: a claim that it makes is its own first one.
-		if ran, _ := done(l.Audit.Runs(call.ID)); ran > 0 && c.class != "view" {
+		if ran, _ := done(l.Audit.Runs(request.ID)); ran > 0 && c.class != "view" {
 			t.Errorf("%s %s: it ran %d times before the heir's end", c.class, c.point, ran)
 		}
 		// Two of three voters are gone: nobody may go on, and nobody is told anything that is not so.
 		for _, g := range l.Gateways[1:] {
-			if g != heir {
-				again := call
-				again.ID, again.Of, again.Wait = call.ID+"-again", call.ID, 2*time.Second
+			if g != successor {
+				again := request
+				again.ID, again.Of, again.Wait = request.ID+"-again", request.ID, 2*time.Second
 				if h := l.Ask(t.Context(), g, again); h.Settled && h.Status != c.status {
 					t.Errorf("%s %s: %+v", c.class, c.point, h)
 				}
@@ -225,7 +225,7 @@
 
 // A gateway that is stopped with an attempt allowed, and awakes after another has taken its call over, begins nothing; and
 // whoever waited at it hears what all hear.
-func TestAGatewayThatWasStoppedBeginsNothingWhenItAwakes(t *testing.T) {
+func TestSuspendedGatewayStartsNothingOnResume(t *testing.T) {
 	l := start(t, Options{Custody: "refuse", Silence: time.Second, Period: time.Second})
 	owner := l.Gateway(0, 0)
 	for i, class := range []string{"view", "note", "log"} {
@@ -235,18 +235,18 @@
 			t.Fatal(err)
 		}
 		settle(t, l)
-		call := Call{ID: fmt.Sprintf("s%d", i), Class: class, Path: "p0/x"}
-		of := call.ID
+		request := Call{ID: fmt.Sprintf("s%d", i), Class: class, Path: "p0/x"}
+		of := request.ID
 		if class == "log" {
-			call.Key, of = "key-"+call.ID, "key-"+call.ID
+			request.Key, of = "key-"+request.ID, "key-"+request.ID
 		}
-		waits := behind(func() Heard { return l.Ask(t.Context(), owner, call) })
+		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
 		// Whoever asks before anybody else holds the call is told that nobody knows it, and comes to the stopped gateway in the end.
 		testpeer.Until(t, "the call to be held by another", func() bool {
-			return l.Gateway(0, 1).Custody(t.Context()).Voter.Open+l.Gateway(0, 2).Custody(t.Context()).Voter.Open > 0
+			return l.Gateway(0, 1).Custody(t.Context()).Replica.Open+l.Gateway(0, 2).Custody(t.Context()).Replica.Open > 0
 		})
-		again := call
-		again.ID, again.Of = call.ID+"-again", call.ID
+		again := request
+		again.ID, again.Of = request.ID+"-again", request.ID
 		var h Heard
 		testpeer.Until(t, "the call to be taken over", func() bool {
 			again.ID += "'"
@@ -272,7 +272,7 @@
 
 // While a partner is cut off, one way or both, its calls cost others nothing and its own are answered in time; a call that was
 // with it when the cut came is told as it was settled there, once the cut is over.
-func TestAPartnerThatIsCutOff(t *testing.T) {
+func TestPartitionedPartner(t *testing.T) {
 	for _, how := range []string{"both ways", "there", "back"} {
 		t.Run(how, func(t *testing.T) {
 			l := start(t, Options{Custody: "refuse", Silence: time.Second, Stale: 20 * time.Second})
@@ -320,7 +320,7 @@
 
 // A partner's gateway that is killed under a call from another partner: whoever has it in hand there then tells what became
 // of it, and the caller hears that from its own gateway.
-func TestAPartnersGatewayIsKilledUnderACall(t *testing.T) {
+func TestPartnerGatewayKilledDuringRequest(t *testing.T) {
 	l := start(t, Options{Custody: "refuse"})
 	for _, c := range []struct {
 		class        string
@@ -352,7 +352,7 @@
 
 // A rule that is tightened while the partner concerned is cut off holds at its owner from the apply on, whatever the other
 // still believes; and who is refused by it knows at once.
-func TestARuleTightenedDuringACut(t *testing.T) {
+func TestExportRuleTightenedDuringPartition(t *testing.T) {
 	l := start(t, Options{Custody: "refuse", Silence: time.Second})
 	ask := func(p, i int, id string) Heard {
 		return l.Ask(t.Context(), l.Gateway(p, i), Call{ID: fmt.Sprintf("p%d-%s", p, id), Class: "note", Path: "p1/x", Wait: 5 * time.Second})
@@ -384,7 +384,7 @@
 	}
 	testpeer.Until(t, "p0's tables to agree", func() bool {
 		for _, g := range l.Of(0) {
-			if g.Offers(t.Context()).Offers != 8 {
+			if g.Offers(t.Context()).Advertisements != 8 {
 				return false
 			}
 		}
@@ -394,7 +394,7 @@
 
 // A gateway whose links pass next to nothing on is lost to its group within the silence that the file says, and to nobody
 // else: calls that do not need it go on, in custody of those that are left.
-func TestASlowPeerCostsOthersNothing(t *testing.T) {
+func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
 	l := start(t, Options{Partners: 2, Gateways: 4, Custody: "refuse", Silence: time.Second})
 	slow := l.Gateway(0, 3)
 	for _, g := range l.But(slow) {
@@ -423,20 +423,20 @@
 }
 
 // A gateway that ends in order gives what it has in hand to another, which goes on with it; nothing waits for a failure.
-func TestAGatewayThatEndsHandsOver(t *testing.T) {
+func TestShutdownGatewayHandsOver(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Deadline: 20 * time.Second})
 	owner := l.Gateway(0, 0)
 	got, release := l.Audit.Hold("handed")
 	defer release()
-	call := Call{ID: "handed", Class: "view", Path: "p0/x"}
-	first := behind(func() Heard { return l.Ask(t.Context(), owner, call) })
+	request := Call{ID: "handed", Class: "view", Path: "p0/x"}
+	first := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
 	testpeer.Receive(t, got, "the call at its box")
 	if err := owner.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	testpeer.Receive(t, got, "the call at another box, by another gateway")
 	release()
-	again := call
+	again := request
 	again.ID, again.Of = "handed-again", "handed"
 	h, _ := l.Insist(t.Context(), l.Gateway(0, 1), again)
 	if h.Status != 200 || !h.Settled {
@@ -487,7 +487,7 @@
 }
 
 // Past its memory a gateway takes no more into custody, and refuses at once with a time to come back.
-func TestHoldersWithoutRoomRefuse(t *testing.T) {
+func TestReplicasWithoutCapacityReject(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Memory: "64KiB"})
 	var releases []func()
 	refused := 0
@@ -501,7 +501,7 @@
 		}))
 	}
 	testpeer.Until(t, "a refusal", func() bool {
-		return l.Gateway(0, 0).Custody(t.Context()).Voter.Full > 0
+		return l.Gateway(0, 0).Custody(t.Context()).Replica.Full > 0
 	})
 	for _, r := range releases {
 		r()
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -15,11 +15,11 @@
 func TestLinksThatAreResetInTheMiddleOfFrames(t *testing.T) {
 	l := start(t, Options{Partners: 2, Custody: "refuse"})
 	stop := make(chan struct{})
-	var callers, breaker sync.WaitGroup
+	var clients, breaker sync.WaitGroup
 	for w := range 6 {
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
+			defer clients.Done()
 			over(stop, func(i int) {
 				c := Call{ID: fmt.Sprintf("r%d-%d", w, i), Class: []string{"note", "log"}[i%2], Path: fmt.Sprintf("p%d/x", i%2), Size: 60_000}
 				if c.Class == "log" {
@@ -45,7 +45,7 @@
 	})
 	close(stop)
 	breaker.Wait()
-	callers.Wait()
+	clients.Wait()
 	settle(t, l)
 	for i, g := range l.Gateways {
 		if s, _ := g.Links(t.Context()); s.Ended["malformed"] > 0 {
@@ -59,7 +59,7 @@
 
 // A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another life: the links that were
 // left half open end by their silence, the new life's take their place, and it holds calls again.
-func TestALinkThatIsLeftHalfOpen(t *testing.T) {
+func TestHalfOpenLink(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
 	gone := l.Gateway(0, 1)
 	_, before := l.Gateway(0, 0).Links(t.Context())
@@ -86,17 +86,17 @@
 	if _, after := l.Gateway(0, 0).Links(t.Context()); after[who] == 0 || after[who] == before[who] {
 		t.Errorf("the life at the other end was %d and is %d", before[who], after[who])
 	}
-	held := gone.Custody(t.Context()).Voter.Held
+	held := gone.Custody(t.Context()).Replica.Held
 	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Voter.Held > held })
+	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Held > held })
 }
 
 // p2 knows p0 only through p1, which passes p0's offers on: a call goes through p1's hands, and draws and is held on the way as
 // any other. Once p0 says that nobody may pass it on, not one more runs there, whatever the others still believe; and the
 // withdrawal reaches p2.
-func TestACallThroughAPartnersHands(t *testing.T) {
+func TestRequestForwardedThroughPartner(t *testing.T) {
 	transit := func(g *Gateway, text string) string {
 		text = strings.ReplaceAll(text, " all = true\n", " all = true\n transit = true\n hands = 2\n")
 		switch g.Partner {
@@ -125,7 +125,7 @@
 		l.Close()
 	})
 	has := func(g *Gateway) (is bool) {
-		for _, o := range g.Offers(t.Context()).Lines {
+		for _, o := range g.Offers(t.Context()).Routes {
 			is = is || o.ID == "p0/note" && o.Best && strings.Join(o.Path, " ") == "p1 p0"
 		}
 		return is
--- a/internal/faultbench/federation/look.go
+++ b/internal/faultbench/federation/look.go
@@ -24,16 +24,16 @@
 	s := g.Look(ctx)
 	to := map[string]uint64{}
 	for _, l := range s.Links {
-		to[l.Gateway] = l.Life
+		to[l.Gateway] = l.Incarnation
 	}
 	return s.Stats, to
 }
 
 // Custody is its part in custody.
-func (g *Gateway) Custody(ctx context.Context) replication.Status { return g.Look(ctx).Custody }
+func (g *Gateway) Custody(ctx context.Context) replication.Status { return g.Look(ctx).Replication }
 
 // Offers is its table.
-func (g *Gateway) Offers(ctx context.Context) routeexchange.Status { return g.Look(ctx).Offers }
+func (g *Gateway) Offers(ctx context.Context) routeexchange.Status { return g.Look(ctx).Routes }
 
 // Notes is its purse of the quota "notes".
 func (g *Gateway) Notes(ctx context.Context) quota.Status { return g.Look(ctx).Quotas["notes"] }
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -104,7 +104,7 @@
 
 // Nine gateways of three partners draw from one budget while its keeper is killed, a keeper is stopped and awakes, and a partner
 // is cut off: no window sees more than the file's terms bound, and after each fault there is a keeper again.
-func TestOneBudgetWhateverFails(t *testing.T) {
+func TestQuotaBoundHoldsUnderFaults(t *testing.T) {
 	terms, text := notes(60, 60, budget.Floor, 6)
 	l := start(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
 	c := newCrowd(t, l, 3)
@@ -157,7 +157,7 @@
 }
 
 // A call draws once in all, however many partners and gateways it comes through, and whoever takes it over.
-func TestACallDrawsOnce(t *testing.T) {
+func TestRequestDrawsQuotaOnce(t *testing.T) {
 	_, text := notes(1000, 1000, budget.Closed, 0)
 	l := start(t, Options{Quota: text, Custody: "refuse"})
 	keeper(t, l)
@@ -222,7 +222,7 @@
 
 // A keeper that is stopped for longer than its term gives nothing out when it awakes, for another keeps the budget then: no
 // window sees more than the terms bound. It comes to draw again as any other.
-func TestAKeeperThatIsStoppedKeepsNothingWhenItAwakes(t *testing.T) {
+func TestSuspendedQuotaLeaderGrantsNothingOnResume(t *testing.T) {
 	terms, text := notes(60, 60, budget.Closed, 0)
 	l := start(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
 	c := newCrowd(t, l, 3)
@@ -255,7 +255,7 @@
 }
 
 // A quota that is raised gives more from then on, and one that is removed refuses nobody.
-func TestAQuotaIsRaisedAndRemoved(t *testing.T) {
+func TestQuotaIsRaisedAndRemoved(t *testing.T) {
 	_, text := notes(2, 10, budget.Closed, 0)
 	l := start(t, Options{Quota: text, Custody: "serve"})
 	keeper(t, l)
--- a/internal/faultbench/federation/silent_test.go
+++ b/internal/faultbench/federation/silent_test.go
@@ -40,7 +40,7 @@
 
 // A partner's gateway is stopped while it has a call of ours in hand: its connection stands and says nothing. Others of its
 // group have lost it, and tell what became of the call; nobody waits for the deadline. Awake, it begins nothing.
-func TestAPartnersGatewayIsStoppedUnderACall(t *testing.T) {
+func TestPartnerGatewaySuspendedDuringRequest(t *testing.T) {
 	l := start(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
 	for _, c := range []struct {
 		class        string
@@ -71,10 +71,10 @@
 
 // A call whose time is short does not wait until the link to the gateway that has it in hand has ended: its voters doubt that
 // one sooner, and another serves the call while the link still stands.
-func TestASilentHolderIsDoubtedBeforeItsLinkEnds(t *testing.T) {
+func TestSilentReplicaIsSuspectedBeforeLinkEnds(t *testing.T) {
 	const silence = 6 * time.Second
 	l := start(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
-	owner, heir := l.Gateway(0, 0), l.Gateway(0, 1)
+	owner, successor := l.Gateway(0, 0), l.Gateway(0, 1)
 	n := 0
 	testpeer.Until(t, "a call to be served by an heir whose link to the stopped owner stands", func() bool {
 		n++
@@ -84,28 +84,28 @@
 			t.Fatal(err)
 		}
 		settle(t, l)
-		life := owner.Look(t.Context()).Life
-		call := Call{ID: "short" + strings.Repeat("'", n), Class: "view", Path: "p0/x", Wait: 10 * time.Second}
-		waits := behind(func() Heard { return l.Ask(t.Context(), owner, call) })
-		again := call
-		again.ID, again.Of = call.ID+"-again", call.ID
+		incarnation := owner.Look(t.Context()).Incarnation
+		request := Call{ID: "short" + strings.Repeat("'", n), Class: "view", Path: "p0/x", Wait: 10 * time.Second}
+		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
+		again := request
+		again.ID, again.Of = request.ID+"-again", request.ID
 		var h Heard
 		for begin := time.Now(); !h.Settled && time.Since(begin) < testpeer.Limit; { // at first nobody may hold it
 			again.ID += "'"
-			h, _ = l.Insist(t.Context(), heir, again)
+			h, _ = l.Insist(t.Context(), successor, again)
 		}
-		_, links := heir.Links(t.Context())
+		_, links := successor.Links(t.Context())
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 		testpeer.Receive(t, waits, "the answer at the gateway that was stopped")
-		return h.Status == 200 && links["p0/"+owner.Name] == life
+		return h.Status == 200 && links["p0/"+owner.Name] == incarnation
 	})
 }
 
 // Gateways of a group are restarted one after another, faster than the longest deadline: each learns again which keys its earlier
 // life may have voted for, so that new keys are taken at once and what was asked for before is told and not run again.
-func TestAGroupThatIsRestartedGoesOnTakingKeys(t *testing.T) {
+func TestRestartedGroupAcceptsKeys(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * testpeer.Limit})
 	ask := func(at *Gateway, id, key string) Heard {
 		return l.Ask(t.Context(), at, Call{ID: id, Class: "log", Path: "p0/x", Key: key, Wait: testpeer.Limit})
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 		settle(t, l)
-		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.Custody(t.Context()).Recalled > 0 })
+		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.Custody(t.Context()).Recovered > 0 })
 	}
 	for i, key := range keys {
 		h := ask(l.Gateways[i%len(l.Gateways)], "again-"+key, key)
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -285,11 +285,11 @@
 	r.Cost.RigCPU -= before.RigCPU
 	r.Cost.NodesCPU -= before.NodesCPU
 	r.Cost.Asks = asks
-	calls := 0
+	requests := 0
 	for _, s := range r.Figures.BySecond {
-		calls += s.Calls
+		requests += s.Calls
 	}
-	r.Cost.CPUPerCall = r.Cost.NodesCPU / time.Duration(max(1, calls))
+	r.Cost.CPUPerCall = r.Cost.NodesCPU / time.Duration(max(1, requests))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	slices.Sort(f.lates)
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -96,7 +96,7 @@
 func (h *host) answer(c *link.Conn, r *http.Request, zone string) bool {
 	f, id := h.fleet, r.Header.Get("X-Request-Id")
 	h.mu.Lock()
-	s, life := h.server, h.life
+	s, incarnation := h.server, h.life
 	t := f.audit.Send(id, s.ID, h.place, zone != s.Zone, f.of(c.Stamp()))
 	if h.down != "" { // its process or machine is gone: what was on its way is lost
 		h.mu.Unlock()
@@ -138,7 +138,7 @@
 		return false
 	}
 	h.mu.Lock()
-	gone, load := h.life != life || h.down != "", h.load()
+	gone, load := h.life != incarnation || h.down != "", h.load()
 	h.mu.Unlock()
 	if gone {
 		<-c.Gone()
--- a/internal/faultbench/nodefile/nodefile.go
+++ b/internal/faultbench/nodefile/nodefile.go
@@ -104,12 +104,12 @@
 
 // Text is the file of a node.
 func Text(e *experiment.Experiment, n Node) ([]byte, error) {
-	cold := experiment.Servers{ColdFrom: 1}
+	slowStarting := experiment.Servers{ColdFrom: 1}
 	reports := true
 	for _, g := range e.Servers {
 		reports = reports && g.Reports
-		if g.ColdOver > cold.ColdOver { // of several, the longest holds
-			cold = g
+		if g.ColdOver > slowStarting.ColdOver { // of several, the longest holds
+			slowStarting = g
 		}
 	}
 	if n.Descriptors == 0 {
@@ -126,7 +126,7 @@
 		ColdOver any
 		Reports  bool
 		Asks     int
-	}{n, e.Classes, cold.ColdFrom, cold.ColdOver, reports, e.NodeGroup(n.Index).Asks})
+	}{n, e.Classes, slowStarting.ColdFrom, slowStarting.ColdOver, reports, e.NodeGroup(n.Index).Asks})
 	if err != nil {
 		return nil, fmt.Errorf("the file of node %d: %w", n.Index, err)
 	}
--- a/internal/faultbench/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -76,8 +76,8 @@
 
 // ofEachEffect are classes of each effect, some of them of little worth.
 func ofEachEffect() []experiment.Class {
-	class := func(name, effect string, share, worth float64) experiment.Class {
-		return experiment.Class{Name: name, Effect: effect, Aim: time.Second, Deadline: 3 * time.Second, Share: share, Worth: worth}
+	class := func(name, effect string, share, weight float64) experiment.Class {
+		return experiment.Class{Name: name, Effect: effect, Aim: time.Second, Deadline: 3 * time.Second, Share: share, Worth: weight}
 	}
 	return []experiment.Class{class("view", "safe", 0.3, 12), class("list", "safe", 0.15, 1), class("note", "unsafe", 0.15, 4),
 		class("log", "unsafe", 0.1, 1), class("pay", "unsafe", 0.2, 6), class("mark", "unsafe", 0.1, 1)}
--- a/internal/faultbench/virtual/play.go
+++ b/internal/faultbench/virtual/play.go
@@ -181,7 +181,7 @@
 		l.Servers = append(l.Servers, v)
 	}
 	for _, id := range gone {
-		l.Servers = append(l.Servers, balancer.Server{ID: id, State: balancer.Gone})
+		l.Servers = append(l.Servers, balancer.Server{ID: id, State: balancer.Removed})
 		p.audit.Told(n.index, id, p.now)
 	}
 	if p.policy == experiment.Program && n.balancer != nil {
@@ -291,26 +291,26 @@
 }
 
 func (p *player) handle(n *node, e balancer.Event) {
-	life := n.life
+	incarnation := n.life
 	for _, a := range n.balancer.Handle(epoch+p.now, e) {
 		switch a := a.(type) {
 		case balancer.Send:
 			if k := n.calls[a.ID]; k != nil {
 				p.send(n, k, a.Server, a.Timeout)
 			}
-		case balancer.Ask:
+		case balancer.Poll:
 			p.poll(n, a)
 		case balancer.Cancel:
 			if k := n.calls[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-				p.end(k.attempts[a.Attempt], balancer.Withdrawn, nil)
+				p.end(k.attempts[a.Attempt], balancer.Cancelled, nil)
 			}
-		case balancer.Refuse:
+		case balancer.Reject:
 			p.hear(n, n.calls[a.ID], audit.Refused, a.RetryAfter.String())
 		case balancer.Fail:
 			p.hear(n, n.calls[a.ID], audit.Failed, "")
-		case balancer.Wake:
+		case balancer.SetTimer:
 			p.at(a.At-epoch, func() {
-				if n.life == life && n.balancer != nil {
+				if n.life == incarnation && n.balancer != nil {
 					p.handle(n, balancer.Timer{Token: a.Token})
 				}
 			})
@@ -319,8 +319,8 @@
 }
 
 // poll asks servers how much they hold; those that say nothing are not heard of.
-func (p *player) poll(n *node, a balancer.Ask) {
-	life := n.life
+func (p *player) poll(n *node, a balancer.Poll) {
+	incarnation := n.life
 	for _, id := range a.Servers {
 		place := p.place[id]
 		s := p.fleet.Servers[place]
@@ -333,8 +333,8 @@
 			busy := float64(s.Working() + s.Waiting())
 			if back, comes := p.delay(s.Zone, n.zone, false, place); comes && s.Fault != experiment.Hang {
 				p.at(p.now+back, func() {
-					if n.life == life && n.balancer != nil {
-						p.handle(n, balancer.Known{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
+					if n.life == incarnation && n.balancer != nil {
+						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
 					}
 				})
 			}
@@ -359,11 +359,11 @@
 	}
 	p.hear(n, k, audit.Gone, "")
 	if p.policy == experiment.Program {
-		p.handle(n, balancer.ClientGone{ID: k.ID})
+		p.handle(n, balancer.ClientDisconnected{ID: k.ID})
 		return
 	}
 	for _, t := range k.attempts {
-		p.end(t, balancer.Withdrawn, nil)
+		p.end(t, balancer.Cancelled, nil)
 	}
 }
 
@@ -468,21 +468,21 @@
 }
 
 // back has a server's answer come to the node.
-func (p *player) back(t *try, e balancer.Ending, load *balancer.Load) {
+func (p *player) back(t *try, e balancer.Result, load *balancer.Load) {
 	if d, comes := p.delay(t.server.Zone, t.node.zone, false, t.place); comes {
 		p.at(p.now+d, func() { p.end(t, e, load) })
 	}
 }
 
 // end ends an attempt at its node.
-func (p *player) end(t *try, e balancer.Ending, load *balancer.Load) {
+func (p *player) end(t *try, e balancer.Result, load *balancer.Load) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	n, k := t.node, t.call
 	p.audit.Over(t.Attempt, p.now, fmt.Sprint(e))
-	if e == balancer.TimedOut || e == balancer.Withdrawn || e == balancer.Unreachable {
+	if e == balancer.TimedOut || e == balancer.Cancelled || e == balancer.Unreachable {
 		delete(n.open, t.place) // its connection is closed
 		if d, comes := p.delay(n.zone, t.server.Zone, true, t.place); comes {
 			p.at(p.now+d, func() { p.leave(t) })
@@ -493,7 +493,7 @@
 	}
 	switch {
 	case p.policy == experiment.Program && n.balancer != nil:
-		p.handle(n, balancer.Outcome{ID: k.ID, Attempt: t.n, Server: t.Server, Ending: e, Latency: p.now - t.sent, Ended: k.answered, Load: load})
+		p.handle(n, balancer.Outcome{ID: k.ID, Attempt: t.n, Server: t.Server, Result: e, Latency: p.now - t.sent, Ended: k.answered, Load: load})
 	case e != balancer.Success:
 		p.hear(n, k, audit.Failed, "")
 	}
--- a/internal/faultbench/virtual/play_test.go
+++ b/internal/faultbench/virtual/play_test.go
@@ -110,7 +110,7 @@
 		b.Run(name, func(b *testing.B) {
 			e := load(b, "even-reports")
 			for b.Loop() {
-				f := play(b, e, experiment.Program, func(s *balancer.Settings) { s.Asks = asks })
+				f := play(b, e, experiment.Program, func(s *balancer.Settings) { s.PollChoices = asks })
 				b.ReportMetric(f.Spread.IdleWhileQueued, "idle-while-queued")
 				b.ReportMetric(f.Waiting, "waiting/slot")
 			}
--- a/internal/faultbench/virtual/told.go
+++ b/internal/faultbench/virtual/told.go
@@ -44,7 +44,7 @@
 			if n.balancer == nil {
 				continue
 			}
-			known := balancer.Known{}
+			known := balancer.LoadUpdate{}
 			for place, s := range p.fleet.Servers {
 				busy := 0.0
 				for j := range p.nodes {
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -8,31 +8,31 @@
 )
 
 // answerOf is an outcome as callers are told it.
-func answerOf(o replication.Outcome) engine.Answer {
-	if a, ok := o.Live.(engine.Answer); ok {
+func answerOf(o replication.Outcome) engine.Response {
+	if a, ok := o.Live.(engine.Response); ok {
 		return a
 	}
 	switch o.Kind {
 	case replication.Served:
 		if o.Long {
-			return engine.Answer{Kind: engine.Failed} // it was served, and its answer was too long to be kept
+			return engine.Response{Kind: engine.Failed} // it was served, and its answer was too long to be kept
 		}
-		return engine.Answer{Kind: engine.Served, Reply: engine.Reply{Body: o.Body, ContentType: o.Type, Length: int64(len(o.Body))}}
-	case replication.Refused:
-		return engine.Answer{Kind: engine.Refused, RetryAfter: max(o.Retry, time.Millisecond), NotRun: o.NotRun, Why: o.Why}
+		return engine.Response{Kind: engine.Served, Reply: engine.Reply{Body: o.Body, ContentType: o.Type, Length: int64(len(o.Body))}}
+	case replication.Rejected:
+		return engine.Response{Kind: engine.Rejected, RetryAfter: max(o.Retry, time.Millisecond), NotRun: o.NotRun, Why: o.Why}
 	}
-	return engine.Answer{Kind: engine.Failed}
+	return engine.Response{Kind: engine.Failed}
 }
 
 // settled is an outcome that holds for all who ask.
-func settled(o replication.Outcome) engine.Answer {
+func settled(o replication.Outcome) engine.Response {
 	a := answerOf(o)
 	a.Settled = true
 	return a
 }
 
 // outcomeOf is an answer as it is settled.
-func outcomeOf(a engine.Answer) replication.Outcome {
+func outcomeOf(a engine.Response) replication.Outcome {
 	o := replication.Outcome{Live: a}
 	switch a.Kind {
 	case engine.Served:
@@ -42,15 +42,15 @@
 		} else {
 			o.Body = a.Reply.Body
 		}
-	case engine.Refused:
-		o.Kind, o.Retry, o.Why, o.NotRun = replication.Refused, a.RetryAfter, a.Why, a.NotRun
+	case engine.Rejected:
+		o.Kind, o.Retry, o.Why, o.NotRun = replication.Rejected, a.RetryAfter, a.Why, a.NotRun
 	default:
 		o.Kind = replication.Failed
 	}
 	return o
 }
 
-// refused is a refusal of a call of which nothing was begun.
-func refused(retry time.Duration) engine.Answer {
-	return engine.Answer{Kind: engine.Refused, NotRun: true, RetryAfter: max(retry, time.Millisecond)}
+// rejected is a refusal of a call of which nothing was begun.
+func rejected(retry time.Duration) engine.Response {
+	return engine.Response{Kind: engine.Rejected, NotRun: true, RetryAfter: max(retry, time.Millisecond)}
 }
