--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -33,9 +33,9 @@
 	return out
 }
 
-func (*backend) Servers([]discovery.Target, bool)                          {}
-func (*backend) Ask(discovery.Host, time.Duration) (busy float64, ok bool) { return 0, false }
-func (*backend) LetGo(discovery.Host)                                      {}
+func (*backend) Servers([]discovery.Target, bool)                           {}
+func (*backend) Poll(discovery.Host, time.Duration) (busy float64, ok bool) { return 0, false }
+func (*backend) CloseIdle(discovery.Host)                                   {}
 
 // resume has a call carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
 func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
@@ -48,10 +48,10 @@
 	t.Helper()
 	const partner = "p1"
 	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
-	settings := balancer.Settings{Balancers: 1, MaxAttempts: attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second, ColdFrom: 1, WholeWeight: 1,
+	settings := balancer.Settings{Balancers: 1, MaxAttempts: attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second, SlowStartMinimum: 1, TotalWeight: 1,
 		Classes: []balancer.Class{class.ForModule()}}
-	settings.Classes[0].Worth = 1
-	settings.Classes[0].Aim = testpeer.Limit
+	settings.Classes[0].PriorityWeight = 1
+	settings.Classes[0].LatencyObjective = testpeer.Limit
 	c := clock.New()
 	eng, err := engine.New(engine.Options{Settings: settings, Clock: c, Backend: b, Subscribe: func() {}, Pushed: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -61,8 +61,8 @@
 	for _, id := range []string{"s0", "s1"} {
 		servers.Targets = append(servers.Targets, discovery.Target{Server: balancer.Server{ID: id}, Endpoint: "127.0.0.1:1"})
 	}
-	eng.Hold(servers)
-	view, err := dispatch.NewView(&config.Config{Classes: []config.Class{class}, Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}}, Pools: []config.Pool{{Name: pool}}, Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}}}, map[string]*engine.Engine{pool: eng})
+	eng.RestoreList(servers)
+	view, err := dispatch.NewSnapshot(&config.Config{Classes: []config.Class{class}, Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}}, Pools: []config.Pool{{Name: pool}}, Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}}}, map[string]*engine.Engine{pool: eng})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	defer cancel()
 	g := &Gateway{o: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
 	g.offers = &routeexchange.Exchange{} // that knows of nobody
-	g.self.Partner, g.table = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Offer{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
+	g.self.Partner, g.table = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
 	g.policy.Store(&policy{partners: map[string]bool{partner: true}})
 	g.ctx, g.end = context.WithCancel(t.Context())
 	defer g.tasks.Wait()
@@ -80,7 +80,7 @@
 	defer g.end()
 	record := replication.Record{ID: "call", Key: replication.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
 	record.Route.Listener, record.Route.Path = "main", "/note/x"
-	return g.run(ctx, &record, engine.Request{Method: "POST", Target: "/note/x"}, class, earlier, nil)
+	return g.run(ctx, &record, engine.Message{Method: "POST", Target: "/note/x"}, class, earlier, nil)
 }
 
 // ask has a partner asked what became of an unsafe call that may run there.
@@ -90,25 +90,25 @@
 }
 
 // That a question about a call was refused, or met nobody, says nothing of the call: it may run, and is asked for again.
-func TestARefusedQuestionIsNoRefusalOfTheCall(t *testing.T) {
-	served := engine.Outcome{Ending: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
-	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded}, {Ending: balancer.Unreachable}, {Ending: balancer.Overloaded}, served}}
+func TestRejectedQueryDoesNotRejectRequest(t *testing.T) {
+	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
+	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
 	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Served || string(out.Body) != "answer" {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
 }
 
 // Once the partner has settled that it refused the call, that is the call's answer, and no time is waited for another.
-func TestASettledRefusalIsTheCallsAnswer(t *testing.T) {
-	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded, Settled: true}}}
-	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Refused || !out.NotRun || len(p.attempts) != 1 {
+func TestSettledRejectionIsFinalResponse(t *testing.T) {
+	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
+	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Rejected || !out.NotRun || len(p.attempts) != 1 {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
 }
 
 // A partner that never says what became of a call leaves it failed: it may have run.
-func TestACallOfWhichNothingIsToldHasFailed(t *testing.T) {
-	p := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded}}}
+func TestRequestWithoutAnswerHasFailed(t *testing.T) {
+	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
 	if out := ask(t, p, 200*time.Millisecond); out.Kind != replication.Failed {
 		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
 	}
@@ -116,26 +116,26 @@
 
 // A call that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
 // partner's pass goes with it.
-func TestACallGoesOnAtItsOwnServersWhereItWas(t *testing.T) {
-	served := engine.Outcome{Ending: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
+func TestTakenOverRequestContinuesAtOwnServers(t *testing.T) {
+	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	b := &backend{outcomes: []engine.Outcome{served}}
 	if out := resume(t, b, "boxes", config.Safe, 2, testpeer.Limit); out.Kind != replication.Served {
 		t.Fatalf("it came to %+v", out)
 	}
-	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Call.Request.Beside) != 0 {
-		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.N, a.To.Server, a.Call.Request.Beside)
+	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Request.Message.Beside) != 0 {
+		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.N, a.To.Server, a.Request.Message.Beside)
 	}
 }
 
 // A call that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
 func TestAnotherWayHasWhatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
-	b := &backend{outcomes: []engine.Outcome{{Ending: balancer.Overloaded, Why: "a rule"}}, takes: takes}
+	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, takes: takes}
 	carry(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
-	if len(b.attempts) != mostWays {
-		t.Fatalf("%d attempts, want %d", len(b.attempts), mostWays)
+	if len(b.attempts) != maxRoutes {
+		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
 	}
-	first, last := b.attempts[0].Call.Deadline, b.attempts[mostWays-1].Call.Deadline
+	first, last := b.attempts[0].Request.Deadline, b.attempts[maxRoutes-1].Request.Deadline
 	if later := last - first; later > takes {
 		t.Errorf("the last attempt may take until %v after the first one's time", later)
 	}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -22,9 +22,9 @@
 	tenantHeader = "X-Tenant"
 )
 
-// pass says of a call what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
+// envelope says of a call what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
 // all of it, the call's id and its target among that.
-type pass struct {
+type envelope struct {
 	ID     string           `cbor:"1,keyasint"`
 	Target string           `cbor:"2,keyasint"`
 	Came   []string         `cbor:"3,keyasint"` // partners that the call came through; the last one sends it
@@ -35,10 +35,10 @@
 	From   string           `cbor:"8,keyasint"`           // the sender's own word for the call, the same in all its gateways
 }
 
-// mostPass is how long a header may be.
-const mostPass = 8 << 10
+// maxEnvelope is how long a header may be.
+const maxEnvelope = 8 << 10
 
-var errPass = errors.New("the pass")
+var errEnvelope = errors.New("the pass")
 
 func tagOf(key, text []byte) []byte {
 	m := hmac.New(sha256.New, key)
@@ -48,39 +48,39 @@
 }
 
 // seal is a pass as a header.
-func (p *pass) seal(key []byte) (string, error) {
+func (p *envelope) seal(key []byte) (string, error) {
 	text, err := peering.Encode(p)
 	if err != nil {
-		return "", fmt.Errorf("%w: %w", errPass, err)
+		return "", fmt.Errorf("%w: %w", errEnvelope, err)
 	}
 	e := base64.RawURLEncoding
 	return e.EncodeToString(text) + "." + e.EncodeToString(tagOf(key, text)), nil
 }
 
-// openPass reads a header of a call. The error says why the call is none of a partner's.
-func openPass(header []string, key func(partner string) []byte, id, target string) (*pass, error) {
-	if len(header) != 1 || len(header[0]) > mostPass {
-		return nil, fmt.Errorf("%w is missing, comes twice or is too long", errPass)
+// openEnvelope reads a header of a call. The error says why the call is none of a partner's.
+func openEnvelope(header []string, key func(partner string) []byte, id, target string) (*envelope, error) {
+	if len(header) != 1 || len(header[0]) > maxEnvelope {
+		return nil, fmt.Errorf("%w is missing, comes twice or is too long", errEnvelope)
 	}
 	a, b, _ := strings.Cut(header[0], ".")
 	text, err := base64.RawURLEncoding.DecodeString(a)
 	if err != nil {
-		return nil, fmt.Errorf("%w is malformed", errPass)
+		return nil, fmt.Errorf("%w is malformed", errEnvelope)
 	}
 	tag, err := base64.RawURLEncoding.DecodeString(b)
 	if err != nil {
-		return nil, fmt.Errorf("%w is malformed", errPass)
+		return nil, fmt.Errorf("%w is malformed", errEnvelope)
 	}
-	var p pass
-	if err := peering.Decode(text, &p); err != nil || len(p.Came) == 0 || len(p.Came) > routeexchange.MostHands {
-		return nil, fmt.Errorf("%w is malformed", errPass)
+	var p envelope
+	if err := peering.Decode(text, &p); err != nil || len(p.Came) == 0 || len(p.Came) > routeexchange.MaxHops {
+		return nil, fmt.Errorf("%w is malformed", errEnvelope)
 	}
 	k := key(p.Came[len(p.Came)-1])
 	if k == nil || !hmac.Equal(tag, tagOf(k, text)) {
-		return nil, fmt.Errorf("%w has a tag of another key", errPass)
+		return nil, fmt.Errorf("%w has a tag of another key", errEnvelope)
 	}
 	if p.ID != id || p.Target != target {
-		return nil, fmt.Errorf("%w is another call's", errPass)
+		return nil, fmt.Errorf("%w is another call's", errEnvelope)
 	}
 	return &p, nil
 }
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -9,19 +9,19 @@
 )
 
 // A pass holds for the call that it was made for, by the key of the partner that sends it, and for nothing else.
-func TestAPassHoldsForItsCallAlone(t *testing.T) {
+func TestEnvelopeIsBoundToItsRequest(t *testing.T) {
 	keys := func(partner string) []byte {
 		if partner == "p1" || partner == "p2" {
 			return []byte("the key with " + partner)
 		}
 		return nil
 	}
-	p := pass{ID: "c1", Target: "/note/p0/x?y", Came: []string{"p2", "p1"}, Offer: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
+	p := envelope{ID: "c1", Target: "/note/p0/x?y", Came: []string{"p2", "p1"}, Offer: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
 	text, err := p.seal(keys("p1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := openPass([]string{text}, keys, "c1", "/note/p0/x?y")
+	got, err := openEnvelope([]string{text}, keys, "c1", "/note/p0/x?y")
 	if err != nil || got.Tenant != "acme" || !slices.Equal(got.Came, p.Came) || got.Offer != p.Offer || !slices.Equal(got.Draws, p.Draws) || got.Again {
 		t.Fatalf("%+v, %v", got, err)
 	}
@@ -40,21 +40,21 @@
 		"missing":            {nil, "c1", p.Target},
 		"no text of base64":  {[]string{"%." + tag}, "c1", p.Target},
 		"of nobody we know":  {[]string{strings.Repeat("a", 20) + "." + tag}, "c1", p.Target},
-		"longer than it may": {[]string{strings.Repeat("a", mostPass+1)}, "c1", p.Target},
+		"longer than it may": {[]string{strings.Repeat("a", maxEnvelope+1)}, "c1", p.Target},
 	} {
-		if got, err := openPass(c.header, keys, c.id, c.target); err == nil {
+		if got, err := openEnvelope(c.header, keys, c.id, c.target); err == nil {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// FuzzOpenPass: whatever a header holds, it ends in an error or in a pass of the call.
-func FuzzOpenPass(f *testing.F) {
-	p := pass{ID: "c1", Target: "/note/p0/x", Came: []string{"p1"}}
+// FuzzOpenEnvelope: whatever a header holds, it ends in an error or in a pass of the call.
+func FuzzOpenEnvelope(f *testing.F) {
+	p := envelope{ID: "c1", Target: "/note/p0/x", Came: []string{"p1"}}
 	text, _ := p.seal([]byte("key"))
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, header string) {
-		got, err := openPass([]string{header}, func(string) []byte { return []byte("key") }, "c1", "/note/p0/x")
+		got, err := openEnvelope([]string{header}, func(string) []byte { return []byte("key") }, "c1", "/note/p0/x")
 		if err == nil && got.ID != "c1" {
 			t.Errorf("%+v", got)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,21 +49,21 @@
 
 // Gateway is a node's part in a federation.
 type Gateway struct {
-	o       Options
-	self    peering.Who
-	life    uint64
-	hub     atomic.Pointer[peering.Hub] // nil until it is open: the tasks of offers and custody begin before it
-	custody *replication.Custodian
-	table   *routeexchange.Table
-	offers  *routeexchange.Exchange
-	ctx     context.Context
-	end     context.CancelFunc
-	tasks   sync.WaitGroup
-	heard   chan struct{} // a partner's gateways have changed
-	policy  atomic.Pointer[policy]
-
-	mu     sync.Mutex
-	purses map[string]*quota.Purse
+	o           Options
+	self        peering.GatewayID
+	incarnation uint64
+	hub         atomic.Pointer[peering.Hub] // nil until it is open: the tasks of offers and custody begin before it
+	replicator  *replication.Replicator
+	table       *routeexchange.Table
+	offers      *routeexchange.Exchange
+	ctx         context.Context
+	end         context.CancelFunc
+	tasks       sync.WaitGroup
+	heard       chan struct{} // a partner's gateways have changed
+	policy      atomic.Pointer[policy]
+
+	mu       sync.Mutex
+	limiters map[string]*quota.Limiter
 }
 
 // policy is what a configuration says of calls.
@@ -79,45 +79,45 @@
 
 // Status is what a gateway holds now.
 type Status struct {
-	Partner string                  `json:"partner"`
-	Life    uint64                  `json:"life"`
-	Links   []LinkStatus            `json:"links"`
-	Stats   peering.Stats           `json:"link_stats"`
-	Custody replication.Status      `json:"custody"`
-	Offers  routeexchange.Status    `json:"offers"`
-	Quotas  map[string]quota.Status `json:"quotas,omitempty"`
+	Partner     string                  `json:"partner"`
+	Incarnation uint64                  `json:"life"`
+	Links       []LinkStatus            `json:"links"`
+	Stats       peering.Stats           `json:"link_stats"`
+	Replication replication.Status      `json:"custody"`
+	Routes      routeexchange.Status    `json:"offers"`
+	Quotas      map[string]quota.Status `json:"quotas,omitempty"`
 }
 
 // LinkStatus is one link.
 type LinkStatus struct {
-	Gateway string        `json:"gateway"`
-	Zone    string        `json:"zone,omitempty"`
-	Life    uint64        `json:"life"`
-	RTT     time.Duration `json:"rtt"`
+	Gateway     string        `json:"gateway"`
+	Zone        string        `json:"zone,omitempty"`
+	Incarnation uint64        `json:"life"`
+	RTT         time.Duration `json:"rtt"`
 }
 
 // Open opens the links. Calls come once the dispatcher has it as its Guard.
 func Open(o Options) (*Gateway, error) {
 	f := o.Config.Federation
-	g := &Gateway{o: o, self: peering.Who{Partner: f.Partner, Name: o.Config.Node.Name}, life: rand.Uint64()>>1 + 1, heard: make(chan struct{}, 1),
-		purses: map[string]*quota.Purse{}}
+	g := &Gateway{o: o, self: peering.GatewayID{Partner: f.Partner, Name: o.Config.Node.Name}, incarnation: rand.Uint64()>>1 + 1, heard: make(chan struct{}, 1),
+		limiters: map[string]*quota.Limiter{}}
 	g.ctx, g.end = context.WithCancel(context.Background())
 	p := newPolicy(o.Config)
 	g.policy.Store(p)
 	g.table = routeexchange.NewTable(g.offerPolicy(o.Config), time.Now)
 	g.offers = routeexchange.NewExchange(routeexchange.Options{Table: g.table, Group: g.group, Heard: g.listen})
-	g.custody = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life}, Links: links{g}, Group: g.holders,
-		Run: g.resume, Step: g.step, Beat: beat(f), Silence: time.Duration(f.Silence), Holders: f.Holders, Memory: int(f.Memory), Keep: time.Duration(f.Keep), Fresh: time.Duration(f.Silence) / 2, Forgets: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
-	topics := maps.Clone(g.custody.Topics())
+	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Incarnation: g.incarnation}, Links: links{g}, Group: g.holders,
+		Run: g.resume, Step: g.step, Beat: beat(f), Silence: time.Duration(f.Silence), Replicas: f.Holders, Memory: int(f.Memory), Retention: time.Duration(f.Keep), Fresh: time.Duration(f.Silence) / 2, Forgets: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
+	topics := maps.Clone(g.replicator.Topics())
 	maps.Copy(topics, g.offers.Topics())
-	maps.Copy(topics, quota.Topics(g.purse))
+	maps.Copy(topics, quota.Topics(g.limiter))
 	silence := time.Duration(f.Silence)
-	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: o.Config.Node.Zone, Life: g.life, Calls: callsAt(o.Config)},
+	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: o.Config.Node.Zone, Incarnation: g.incarnation, Calls: callsAt(o.Config)},
 		Listen: o.Config.Node.Peers.Listen, Key: g.key, Topics: topics, Up: g.up, Changed: g.changed, Beat: beat(f), Silence: silence, Log: o.Log})
 	if err != nil {
 		g.end()
 		g.offers.Close()
-		g.custody.Close()
+		g.replicator.Close()
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.hub.Store(hub)
@@ -132,13 +132,13 @@
 // Close ends all links and tasks, and returns once they have ended.
 func (g *Gateway) Close() {
 	g.end()
-	g.custody.Close()
+	g.replicator.Close()
 	g.tasks.Wait()
 	g.mu.Lock()
-	purses := g.purses
-	g.purses = map[string]*quota.Purse{}
+	limiters := g.limiters
+	g.limiters = map[string]*quota.Limiter{}
 	g.mu.Unlock()
-	for _, p := range purses {
+	for _, p := range limiters {
 		p.Close()
 	}
 	g.offers.Close()
@@ -146,7 +146,7 @@
 }
 
 // HandOver gives the calls in custody that are not answered yet to others of the group: this gateway ends.
-func (g *Gateway) HandOver() { g.custody.HandOver() }
+func (g *Gateway) HandOver() { g.replicator.HandOver() }
 
 func newPolicy(c *config.Config) *policy {
 	p := &policy{cfg: c, classes: map[string]config.Class{}, listener: c.Federation.Listener, partners: map[string]bool{}}
@@ -163,8 +163,8 @@
 	}
 	for _, q := range c.Quotas {
 		b := quota.Budget{Terms: q.Terms(), Classes: q.Classes, Tenants: q.Tenants}
-		for _, k := range q.Keepers {
-			b.Keepers = append(b.Keepers, quota.KeeperOf(k.Name))
+		for _, k := range q.Candidates {
+			b.Candidates = append(b.Candidates, quota.ParseCandidate(k.Name))
 		}
 		p.budgets = append(p.budgets, b)
 	}
@@ -178,14 +178,14 @@
 func (g *Gateway) offerPolicy(c *config.Config) routeexchange.Policy {
 	p := routeexchange.Policy{Self: c.Federation.Partner, Neighbours: map[string]routeexchange.Neighbour{}, Stale: time.Duration(c.Federation.Stale), Share: 1 + len(g.o.Living())}
 	for _, n := range c.Partners {
-		p.Neighbours[n.Name] = routeexchange.Neighbour{Import: routeexchange.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, Most: n.MostOffers},
-			Passing: routeexchange.Passing{To: n.PassOnTo, Cost: n.Cost, Custody: inCustody(c)}}
+		p.Neighbours[n.Name] = routeexchange.Neighbour{Import: routeexchange.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, MaxRoutes: n.MaxRoutes},
+			Transit: routeexchange.Transit{To: n.PassOnTo, Cost: n.Cost, Replicated: isReplicated(c)}}
 	}
 	effects := map[config.Effect]balancer.Effect{config.Safe: balancer.Safe, config.Keyed: balancer.Keyed, config.Unsafe: balancer.Unsafe}
 	for _, e := range c.Exports {
-		o := routeexchange.Offer{ID: routeexchange.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Room: e.Room,
-			Rules: routeexchange.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, Hands: e.Hands, Tenants: e.Tenants, Excluded: e.Excluded}}
-		o.Custody = inCustody(c)(e.Class)
+		o := routeexchange.Advertisement{ID: routeexchange.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Capacity: e.Capacity,
+			Rules: routeexchange.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, MaxHops: e.MaxHops, Tenants: e.Tenants, Excluded: e.Excluded}}
+		o.Replicated = isReplicated(c)(e.Class)
 		for _, v := range e.Effects {
 			o.Rules.Effects |= routeexchange.Of(effects[v])
 		}
@@ -197,11 +197,11 @@
 	return p
 }
 
-// inCustody says which classes a configuration has in custody.
-func inCustody(c *config.Config) func(class string) bool {
+// isReplicated says which classes a configuration has in custody.
+func isReplicated(c *config.Config) func(class string) bool {
 	return func(name string) bool {
 		class, ok := c.Class(name)
-		return ok && class.Custody != nil
+		return ok && class.Replication != nil
 	}
 }
 
@@ -219,7 +219,7 @@
 
 // Announce tells partners what the configuration that was adopted has changed.
 func (g *Gateway) Announce() {
-	g.offers.Tell()
+	g.offers.Advertise()
 	g.offers.Ask()
 	g.listen()
 }
@@ -227,33 +227,33 @@
 // setBudgets has a purse for each budget. One whose keepers stay goes on.
 func (g *Gateway) setBudgets(budgets []quota.Budget) {
 	g.mu.Lock()
-	var gone []*quota.Purse
-	next := map[string]*quota.Purse{}
+	var gone []*quota.Limiter
+	next := map[string]*quota.Limiter{}
 	for _, b := range budgets {
-		if old := g.purses[b.Name]; old != nil && old.SameKeepers(b) {
+		if old := g.limiters[b.Name]; old != nil && old.SameCandidates(b) {
 			old.Change(b)
 			next[b.Name] = old
 			continue
 		}
 		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.Load().To, Now: g.o.Clock.Now, Log: g.o.Log})
 	}
-	for name, old := range g.purses {
+	for name, old := range g.limiters {
 		if next[name] != old {
 			gone = append(gone, old)
 		}
 	}
-	g.purses = next
+	g.limiters = next
 	g.mu.Unlock()
 	for _, p := range gone {
 		g.tasks.Go(p.Close)
 	}
 }
 
-// purse is the one of a budget; nil: there is none.
-func (g *Gateway) purse(name string) *quota.Purse {
+// limiter is the one of a budget; nil: there is none.
+func (g *Gateway) limiter(name string) *quota.Limiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.purses[name]
+	return g.limiters[name]
 }
 
 // key is what links with a partner's gateways are keyed by.
@@ -272,13 +272,13 @@
 	if l.Peer.Partner != g.self.Partner {
 		g.offers.Up(l)
 	} else {
-		g.custody.Linked(l)
+		g.replicator.Linked(l)
 	}
 }
 
 func (g *Gateway) changed(p peering.Peer, up bool, _ error) {
 	if !up && p.Partner == g.self.Partner {
-		g.custody.Lost(p)
+		g.replicator.PeerLost(p)
 	}
 }
 
@@ -291,7 +291,7 @@
 	if hub == nil {
 		return nil
 	}
-	return hub.To(peering.Who{Partner: l.self.Partner, Name: name})
+	return hub.To(peering.GatewayID{Partner: l.self.Partner, Name: name})
 }
 
 // All implements replication.Links.
@@ -305,11 +305,11 @@
 
 // holders are the gateways of the own group that live, in the order of their names.
 func (g *Gateway) holders() []replication.Gateway {
-	out := []replication.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Life: g.life}}
+	out := []replication.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Incarnation: g.incarnation}}
 	for _, m := range g.o.Living() {
 		h := replication.Gateway{Name: m.Name, Zone: m.Zone}
 		if l := (links{g}).To(m.Name); l != nil {
-			h.Life = l.Peer.Life
+			h.Incarnation = l.Peer.Incarnation
 		}
 		out = append(out, h)
 	}
@@ -319,8 +319,8 @@
 
 // callsAt is where partners' calls come in.
 func callsAt(c *config.Config) string {
-	if c.Federation.Calls != "" {
-		return c.Federation.Calls
+	if c.Federation.Requests != "" {
+		return c.Federation.Requests
 	}
 	l, _ := c.Listener(c.Federation.Listener)
 	return l.Address
@@ -393,8 +393,8 @@
 			}
 		}
 		for _, q := range p.cfg.Quotas {
-			for _, k := range q.Keepers {
-				if who := quota.KeeperOf(k.Name); who.Partner != g.self.Partner {
+			for _, k := range q.Candidates {
+				if who := quota.ParseCandidate(k.Name); who.Partner != g.self.Partner {
 					want[k.Address] = who.Partner
 				}
 			}
@@ -450,13 +450,13 @@
 
 // Status is what the gateway holds now.
 func (g *Gateway) Status() Status {
-	s := Status{Partner: g.self.Partner, Life: g.life, Stats: g.hub.Load().Stats(), Custody: g.custody.Status(), Offers: g.table.Status(), Quotas: map[string]quota.Status{}}
+	s := Status{Partner: g.self.Partner, Incarnation: g.incarnation, Stats: g.hub.Load().Stats(), Replication: g.replicator.Status(), Routes: g.table.Status(), Quotas: map[string]quota.Status{}}
 	for _, l := range g.hub.Load().Links("") {
-		s.Links = append(s.Links, LinkStatus{l.Peer.Who().String(), l.Peer.Zone, l.Peer.Life, l.RTT()})
+		s.Links = append(s.Links, LinkStatus{l.Peer.ID().String(), l.Peer.Zone, l.Peer.Incarnation, l.RTT()})
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name, p := range g.purses {
+	for name, p := range g.limiters {
 		s.Quotas[name] = p.Status()
 	}
 	return s
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -23,31 +23,31 @@
 
 // Times of a call.
 const (
-	comeBack = 250 * time.Millisecond // where nothing better is known
-	lastWord = 10 * time.Millisecond  // of a call's time that is left for its answer
-	settling = 20 * time.Millisecond  // of a call's time in custody that is left to have its outcome taken
-	mostWays = 4                      // ways that a call tries, of which all but the last refused it by their rules
-	askAgain = 20 * time.Millisecond  // after a question for what became of a call, which a partner did not answer
+	comeBack   = 250 * time.Millisecond // where nothing better is known
+	lastWord   = 10 * time.Millisecond  // of a call's time that is left for its answer
+	settling   = 20 * time.Millisecond  // of a call's time in custody that is left to have its outcome taken
+	maxRoutes  = 4                      // ways that a call tries, of which all but the last refused it by their rules
+	retryQuery = 20 * time.Millisecond  // after a question for what became of a call, which a partner did not answer
 )
 
 // Take implements dispatch.Guard: it takes calls of partners, and such of this partner's callers as draw from a budget, are in
 // custody, or go to another partner.
-func (g *Gateway) Take(v *dispatch.View, c *engine.Call, r *route.Call) bool {
+func (g *Gateway) Take(v *dispatch.Snapshot, c *engine.Request, r *route.Request) bool {
 	p := g.policy.Load()
 	class, known := p.classes[c.Class]
 	if !known { // nobody would check a partner's pass, or draw for it
-		c.Finish(engine.Answer{Kind: engine.Refused, NotRun: true, Why: "this class is not known here", RetryAfter: comeBack})
+		c.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: "this class is not known here", RetryAfter: comeBack})
 		return true
 	}
-	rec := replication.Record{ID: c.ID, Method: c.Request.Method, Target: c.Request.Target, Repeats: c.Request.Key, Type: c.Request.ContentType, Body: c.Request.Body,
+	rec := replication.Record{ID: c.ID, Method: c.Message.Method, Target: c.Message.Target, IdempotencyKey: c.Message.Key, Type: c.Message.ContentType, Body: c.Message.Body,
 		Tenant: value(r.Headers, tenantHeader), Route: replication.Route{Listener: r.Listener, Host: r.Host, Path: r.Path, Draw: r.Draw}, Headers: g.headers(p, r)}
 	again := value(r.Headers, retryHeader)
 	var from string
 	askOnly := false // a partner asks what became of it
 	if r.Listener == p.listener && p.listener != "" {
-		m, err := openPass(r.Headers.Values(Header), g.key, c.ID, c.Request.Target)
+		m, err := openEnvelope(r.Headers.Values(Header), g.key, c.ID, c.Message.Target)
 		if err != nil {
-			c.Finish(engine.Answer{Kind: engine.Refused, NotRun: true, Why: err.Error(), RetryAfter: comeBack})
+			c.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: err.Error(), RetryAfter: comeBack})
 			return true
 		}
 		rec.Tenant, rec.Path, rec.Draws = m.Tenant, m.Came, m.Draws
@@ -57,12 +57,12 @@
 			again = c.ID
 		}
 	}
-	inCustody := class.Custody != nil && c.Request.Rest == nil
-	if askOnly && !inCustody {
-		c.Finish(engine.Answer{Kind: engine.Failed}) // nobody here remembers, and it must not be begun
+	isReplicated := class.Replication != nil && c.Message.Rest == nil
+	if askOnly && !isReplicated {
+		c.Finish(engine.Response{Kind: engine.Failed}) // nobody here remembers, and it must not be begun
 		return true
 	}
-	if !inCustody {
+	if !isReplicated {
 		again = ""
 	}
 	var draws []string
@@ -71,7 +71,7 @@
 			draws = append(draws, b.Name)
 		}
 	}
-	if !inCustody && len(draws) == 0 && len(rec.Path) == 0 {
+	if !isReplicated && len(draws) == 0 && len(rec.Path) == 0 {
 		way, ok := g.table.Choose(callOf(&rec, class))
 		if !ok || way.Own {
 			return false
@@ -79,13 +79,13 @@
 	}
 	rec.Key = replication.Key{Class: c.Class, ID: "i:" + from + ":" + c.ID}
 	switch {
-	case rec.Repeats != "":
-		rec.Key.ID = "k:" + rec.Repeats
+	case rec.IdempotencyKey != "":
+		rec.Key.ID = "k:" + rec.IdempotencyKey
 	case again != "":
 		rec.Key.ID = "i:" + from + ":" + again
 	}
-	s := &story{g: g, call: c, rec: rec, class: class, draws: draws, again: again != "" && rec.Repeats == "" || askOnly, back: value(r.Headers, backHeader), custody: inCustody, gone: make(chan struct{})}
-	c.Hold(func(time.Duration) { s.once.Do(func() { close(s.gone) }) })
+	s := &flow{g: g, call: c, rec: rec, class: class, draws: draws, again: again != "" && rec.IdempotencyKey == "" || askOnly, back: value(r.Headers, backHeader), custody: isReplicated, gone: make(chan struct{})}
+	c.Intercept(func(time.Duration) { s.once.Do(func() { close(s.gone) }) })
 	g.tasks.Go(s.tell)
 	return true
 }
@@ -98,7 +98,7 @@
 }
 
 // headers are those that routes look at.
-func (g *Gateway) headers(p *policy, r *route.Call) map[string][]string {
+func (g *Gateway) headers(p *policy, r *route.Request) map[string][]string {
 	var out map[string][]string
 	for _, name := range p.headers {
 		if v := r.Headers.Values(name); len(v) > 0 {
@@ -117,14 +117,14 @@
 // Values implements route.Headers.
 func (k kept) Values(name string) []string { return k[name] }
 
-func callOf(r *replication.Record, class config.Class) *routeexchange.Call {
-	return &routeexchange.Call{Class: class.Name, Path: r.Route.Path, Tenant: r.Tenant, Effect: class.ForModule().Effect, Came: r.Path}
+func callOf(r *replication.Record, class config.Class) *routeexchange.Request {
+	return &routeexchange.Request{Class: class.Name, Path: r.Route.Path, Tenant: r.Tenant, Effect: class.ForModule().Effect, Via: r.Path}
 }
 
-// story is a call from its taking to its answer.
-type story struct {
+// flow is a call from its taking to its answer.
+type flow struct {
 	g       *Gateway
-	call    *engine.Call
+	call    *engine.Request
 	rec     replication.Record
 	class   config.Class
 	draws   []string // budgets that it has to draw from
@@ -136,7 +136,7 @@
 }
 
 // tell tells the story and gives the answer.
-func (s *story) tell() {
+func (s *flow) tell() {
 	g := s.g
 	ctx, cancel := context.WithTimeout(g.ctx, max(0, g.o.Clock.Until(s.call.Deadline)-lastWord))
 	defer cancel()
@@ -150,7 +150,7 @@
 		})
 	}
 	a := s.answer(ctx)
-	if a.Kind == engine.Refused && len(s.rec.Path) > 0 && a.Why == "" && a.NotRun {
+	if a.Kind == engine.Rejected && len(s.rec.Path) > 0 && a.Why == "" && a.NotRun {
 		a.Why = busy
 	}
 	select {
@@ -162,11 +162,11 @@
 }
 
 // answer is the call's way: quota, custody, engine.
-func (s *story) answer(ctx context.Context) (a engine.Answer) {
+func (s *flow) answer(ctx context.Context) (a engine.Response) {
 	g := s.g
 	var drawn []func()
 	defer func() {
-		if a.Kind == engine.Refused && a.NotRun {
+		if a.Kind == engine.Rejected && a.NotRun {
 			for _, undo := range drawn {
 				undo() // nothing was begun, here or at a partner's: others may have what was drawn
 			}
@@ -175,23 +175,23 @@
 	if s.again {
 		return s.await(ctx, true)
 	}
-	if s.custody && s.rec.Repeats != "" && len(s.draws) > 0 && g.custody.Holds(ctx, s.rec.Key) {
+	if s.custody && s.rec.IdempotencyKey != "" && len(s.draws) > 0 && g.replicator.Holds(ctx, s.rec.Key) {
 		if a, over := s.found(ctx); over {
 			return a // a repeat draws nothing
 		}
 	}
 	for _, name := range s.draws {
-		p := g.purse(name)
+		p := g.limiter(name)
 		if p == nil {
 			continue
 		}
-		id := s.rec.Repeats
+		id := s.rec.IdempotencyKey
 		if id == "" {
 			id = s.rec.ID
 		}
 		token, retry := p.Draw(ctx, id, s.back)
 		if token == 0 {
-			a := refused(retry)
+			a := rejected(retry)
 			if len(s.rec.Path) > 0 {
 				a.Why = "quota " + name
 			}
@@ -201,22 +201,22 @@
 		drawn = append(drawn, func() { p.Undo(token) })
 	}
 	if !s.custody {
-		req := s.call.Request
+		req := s.call.Message
 		return s.own(ctx, req)
 	}
 	s.rec.Left = g.o.Clock.Until(s.call.Deadline)
-	serve := s.class.Custody.WhenAlone == config.ServeAlone
+	serve := s.class.Replication.WhenAlone == config.ServeAlone
 	for {
-		out, err := g.custody.Take(ctx, s.rec, serve, time.Duration(s.class.Window))
+		out, err := g.replicator.Take(ctx, s.rec, serve, time.Duration(s.class.Window))
 		switch {
 		case err == nil:
 			return settled(out)
 		case errors.Is(err, replication.ErrAlone) && serve:
-			req := s.call.Request
+			req := s.call.Message
 			req.Gone = nil // it goes on without its client
 			return s.own(ctx, req)
-		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrUntold):
-			return refused(comeBack)
+		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrNoAnswer):
+			return rejected(comeBack)
 		}
 		// Others have it in hand, or will soon: whatever they settle is this caller's answer too.
 		if a, over := s.found(ctx); over {
@@ -226,37 +226,37 @@
 }
 
 // found waits for the answer to a call whose key others have in hand. false: they refused it, and it may be begun anew.
-func (s *story) found(ctx context.Context) (engine.Answer, bool) {
-	out, gen, err := s.g.custody.Await(ctx, s.rec.Key)
-	if err == nil && out.Kind == replication.Refused && s.rec.Repeats != "" && gen >= s.rec.Gen {
+func (s *flow) found(ctx context.Context) (engine.Response, bool) {
+	out, gen, err := s.g.replicator.Await(ctx, s.rec.Key)
+	if err == nil && out.Kind == replication.Rejected && s.rec.IdempotencyKey != "" && gen >= s.rec.Gen {
 		s.rec.Gen = gen + 1
-		return engine.Answer{}, false
+		return engine.Response{}, false
 	}
 	if err != nil {
-		return engine.Answer{Kind: engine.Failed}, true
+		return engine.Response{Kind: engine.Failed}, true
 	}
 	return settled(out), true
 }
 
 // await brings the answer to what a caller asked for before.
-func (s *story) await(ctx context.Context, mayRetry bool) engine.Answer {
-	out, _, err := s.g.custody.Await(ctx, s.rec.Key)
+func (s *flow) await(ctx context.Context, mayRetry bool) engine.Response {
+	out, _, err := s.g.replicator.Await(ctx, s.rec.Key)
 	switch {
 	case err == nil:
 		return settled(out)
 	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrForgotten):
-		return engine.Answer{Kind: engine.Failed} // it may have run, or never have come
+		return engine.Response{Kind: engine.Failed} // it may have run, or never have come
 	case mayRetry:
-		return refused(comeBack) // to ask again is harmless
+		return rejected(comeBack) // to ask again is harmless
 	}
-	return engine.Answer{Kind: engine.Failed}
+	return engine.Response{Kind: engine.Failed}
 }
 
 // own has a call carried out that nobody else holds.
-func (s *story) own(ctx context.Context, req engine.Request) engine.Answer {
+func (s *flow) own(ctx context.Context, req engine.Message) engine.Response {
 	out := s.g.run(ctx, &s.rec, req, s.class, nil, nil)
 	if out.Kind == 0 {
-		return engine.Answer{Kind: engine.Failed}
+		return engine.Response{Kind: engine.Failed}
 	}
 	return answerOf(out)
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -15,15 +15,15 @@
 
 // A call of a class that the gateway's rules do not have goes no way around them: a class may be new in a configuration whose
 // rules are not in place yet.
-func TestACallOfAClassWithoutRulesIsRefused(t *testing.T) {
+func TestRequestOfUnknownClassIsRejected(t *testing.T) {
 	g := &Gateway{}
 	g.policy.Store(&policy{listener: "partners"})
-	call := engine.NewCall("call", engine.Request{})
-	call.Class = "new"
-	if !g.Take(nil, call, &route.Call{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
+	request := engine.NewRequest("call", engine.Message{})
+	request.Class = "new"
+	if !g.Take(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
 		t.Fatal("the call was left to an engine, and nobody has asked for its pass")
 	}
-	if a := testpeer.Receive(t, call.Answer(), "the refusal"); a.Kind != engine.Refused || !a.NotRun || a.RetryAfter <= 0 {
+	if a := testpeer.Receive(t, request.Response(), "the refusal"); a.Kind != engine.Rejected || !a.NotRun || a.RetryAfter <= 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -18,7 +18,7 @@
 	if !known {
 		return replication.Outcome{Kind: replication.Failed}
 	}
-	return g.run(ctx, r, engine.Request{Method: r.Method, Target: r.Target, Key: r.Repeats, ContentType: r.Type, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
+	return g.run(ctx, r, engine.Message{Method: r.Method, Target: r.Target, Key: r.IdempotencyKey, ContentType: r.Type, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
 }
 
 // toPartner says that a pool is a partner's gateways.
@@ -38,7 +38,7 @@
 
 // run has a call carried out: by the engine of this partner's pool that routes name, or by a partner whose offer it goes by.
 // w allows its attempts, where it is in custody; earlier are those that others made. A kind of 0: ctx has ended.
-func (g *Gateway) run(ctx context.Context, r *replication.Record, req engine.Request, class config.Class, earlier []replication.Intent, w *replication.Work) replication.Outcome {
+func (g *Gateway) run(ctx context.Context, r *replication.Record, req engine.Message, class config.Class, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	step := replication.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
 	// What may have run goes back to where it may have: servers and partners elsewhere know nothing of it.
 	forced := ""
@@ -50,9 +50,9 @@
 	case replication.Ask:
 		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no offer
 	}
-	var last tried
-	for range mostWays {
-		way, pool, why := g.way(r, class, forced)
+	var last attemptResult
+	for range maxRoutes {
+		way, pool, why := g.chooseRoute(r, class, forced)
 		if why != "" && forced != "" {
 			return replication.Outcome{Kind: replication.Failed}
 		}
@@ -60,17 +60,17 @@
 			if last.out.Kind != 0 {
 				return last.out
 			}
-			return replication.Outcome{Kind: replication.Refused, NotRun: true, Why: why, Retry: comeBack}
+			return replication.Outcome{Kind: replication.Rejected, NotRun: true, Why: why, Retry: comeBack}
 		}
 		last = g.attempt(ctx, r, req, pool, way, timeLeft(ctx, r, w), earlier, w, false)
-		if last.unsure && way.Way != nil && way.Custody {
+		if last.unsure && way.Route != nil && way.Replicated {
 			// Whoever has it in hand there now tells what became of it.
 			return g.askPartner(ctx, r, req, pool, earlier, w)
 		}
 		if !last.ruled {
 			return last.out
 		}
-		g.table.Drop(way.Way) // its owner's rule has changed: whoever comes next goes another way at once
+		g.table.Drop(way.Route) // its owner's rule has changed: whoever comes next goes another way at once
 	}
 	return last.out
 }
@@ -96,17 +96,17 @@
 	return pool
 }
 
-// way is where a call goes now, by the rules of now, or why it goes nowhere.
-func (g *Gateway) way(r *replication.Record, class config.Class, forced string) (way routeexchange.Chosen, pool, why string) {
-	call := callOf(r, class)
+// chooseRoute is where a call goes now, by the rules of now, or why it goes nowhere.
+func (g *Gateway) chooseRoute(r *replication.Record, class config.Class, forced string) (way routeexchange.Selection, pool, why string) {
+	request := callOf(r, class)
 	ok := false
 	if len(r.Path) > 0 {
-		if way, why = g.table.Come(routeexchange.ID{Origin: r.Offer[0], Name: r.Offer[1]}, call); why != "" {
+		if way, why = g.table.Come(routeexchange.ID{Origin: r.Offer[0], Name: r.Offer[1]}, request); why != "" {
 			return way, "", why
 		}
 		ok = true
 	} else {
-		way, ok = g.table.Choose(call)
+		way, ok = g.table.Choose(request)
 	}
 	if ok && !way.Own {
 		pool = config.PartnerPool(way.Path[0])
@@ -116,11 +116,11 @@
 	}
 	if forced != "" {
 		if _, partners := config.PartnerOf(forced); partners {
-			return routeexchange.Chosen{}, "", "the partner that may have run it has no offer for it now"
+			return routeexchange.Selection{}, "", "the partner that may have run it has no offer for it now"
 		}
-		return routeexchange.Chosen{}, forced, ""
+		return routeexchange.Selection{}, forced, ""
 	}
-	pool, routed := g.o.Calls.Pool(&route.Call{Listener: r.Route.Listener, Class: class.Name, Host: r.Route.Host, Path: r.Route.Path, Headers: kept(r.Headers), Draw: r.Route.Draw})
+	pool, routed := g.o.Calls.Pool(&route.Request{Listener: r.Route.Listener, Class: class.Name, Host: r.Route.Host, Path: r.Route.Path, Headers: kept(r.Headers), Draw: r.Route.Draw})
 	if !routed {
 		return way, "", "no route takes this call"
 	}
@@ -129,17 +129,17 @@
 
 // askPartner asks a partner what became of a call that may run there, until it says or the call's time is over. That a
 // question was refused, or came to nobody, says nothing of the call: only a refusal that is settled there is its answer.
-func (g *Gateway) askPartner(ctx context.Context, r *replication.Record, req engine.Request, pool string, earlier []replication.Intent, w *replication.Work) replication.Outcome {
+func (g *Gateway) askPartner(ctx context.Context, r *replication.Record, req engine.Message, pool string, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	for ctx.Err() == nil {
 		left := timeLeft(ctx, r, w)
 		if left <= 0 {
 			break
 		}
-		got := g.attempt(ctx, r, req, pool, routeexchange.Chosen{}, left, earlier, w, true)
+		got := g.attempt(ctx, r, req, pool, routeexchange.Selection{}, left, earlier, w, true)
 		if got.out.Kind == replication.Served || got.out.Kind == replication.Failed && !got.unsure || got.settled {
 			return got.out
 		}
-		clock.Sleep(ctx, askAgain)
+		clock.Sleep(ctx, retryQuery)
 	}
 	return replication.Outcome{Kind: replication.Failed}
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -14,8 +14,8 @@
 	Names   map[zonestate.Subject]string
 }
 
-// Facts is what a Room knows of zones.
-type Facts struct {
+// ZoneStateStatus is what a Room knows of zones.
+type ZoneStateStatus struct {
 	Fresh   time.Duration     `json:"fresh"` // that the file asks for
 	Alone   bool              `json:"alone"` // nothing fresh is known of anybody else
 	Zones   []Zone            `json:"zones"`
@@ -33,11 +33,11 @@
 	Age    time.Duration `json:"age,omitempty"` // of the oldest part, at most
 	From   int           `json:"from"`          // nodes whose parts are in it
 	Of     int           `json:"of"`            // nodes that live there
-	Told   []Told        `json:"told,omitempty"`
+	Told   []LoadReport  `json:"told,omitempty"`
 }
 
-// Told is one figure.
-type Told struct {
+// LoadReport is one figure.
+type LoadReport struct {
 	What   string        `json:"what"`
 	Of     string        `json:"of"` // the subject's name, or its number where the node knows no name
 	Amount float64       `json:"amount"`
@@ -45,8 +45,8 @@
 	From   int           `json:"from"`
 }
 
-// whats name kinds for people.
-var whats = map[zonestate.Kind]string{zonestate.Demand: "demand", zonestate.Refused: "refused", zonestate.Open: "open", zonestate.Ready: "ready", zonestate.Warm: "warm",
+// reportKinds name kinds for people.
+var reportKinds = map[zonestate.Kind]string{zonestate.Demand: "demand", zonestate.Rejected: "refused", zonestate.Open: "open", zonestate.Ready: "ready", zonestate.Warm: "warm",
 	zonestate.Newest: "newest", zonestate.Oldest: "oldest", zonestate.Made: "made", zonestate.Sent: "sent", zonestate.Bad: "bad", zonestate.Lag: "lag",
 	zonestate.Trouble: "trouble", zonestate.Held: "held", zonestate.Sketch: "sketch"}
 
@@ -58,27 +58,27 @@
 	names   map[zonestate.Subject]string
 	words   map[zonestate.Place]zonestate.Word // as were logged last
 	changes int                                // of the membership, that the machine has seen
-	sent    [zonestate.Ask + 1]int
+	sent    [zonestate.Query + 1]int
 }
 
 func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
 	self := zonestate.Peer{ID: uint64(id), Addr: o.Self.Addr, Place: zonestate.PlaceOf(o.Self.Region, o.Self.Zone)}
-	m, err := zonestate.New(o.Clock.Now(), self, *o.Facts, seed)
+	m, err := zonestate.New(o.Clock.Now(), self, *o.ZoneState, seed)
 	if err != nil {
 		return nil, err
 	}
-	x := &exchange{machine: m, o: *o.Facts, words: map[zonestate.Place]zonestate.Word{}, changes: -1}
+	x := &exchange{machine: m, o: *o.ZoneState, words: map[zonestate.Place]zonestate.Word{}, changes: -1}
 	return x, nil
 }
 
 // follow has the machine see the membership as it is now.
-func (r *Room) follow() {
+func (r *Transport) follow() {
 	x := r.exchange
 	if x == nil || x.changes == r.machine.Changes() {
 		return
 	}
 	x.changes = r.machine.Changes()
-	id, life := r.machine.Self()
+	id, incarnation := r.machine.Self()
 	self := r.o.Self
 	at := zonestate.PlaceOf(self.Region, self.Zone)
 	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: at}}
@@ -88,12 +88,12 @@
 		x.places[at] = [2]string{k.Region, k.Zone}
 		all = append(all, zonestate.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == membership.Suspect, Gone: k.Status > membership.Suspect})
 	}
-	x.machine.SetLife(life)
+	x.machine.SetIncarnation(incarnation)
 	x.machine.See(r.o.Clock.Now(), zonestate.NewView(all))
 }
 
 // pass sends what the exchange has to say, within the room's purse.
-func (r *Room) pass(packets []zonestate.Packet) {
+func (r *Transport) pass(packets []zonestate.Packet) {
 	for _, p := range packets {
 		if r.write(membership.Seal(zonestate.Append(nil, p.Message), r.o.Key), p.To) {
 			r.exchange.sent[p.Kind]++
@@ -101,8 +101,8 @@
 	}
 }
 
-// Tell hands in what the node sees now. It never blocks; of two that wait, the later holds.
-func (r *Room) Tell(s Seen) {
+// PublishLoad hands in what the node sees now. It never blocks; of two that wait, the later holds.
+func (r *Transport) PublishLoad(s Seen) {
 	select {
 	case <-r.seen:
 	default:
@@ -114,15 +114,15 @@
 }
 
 // set takes what the node sees.
-func (r *Room) set(s Seen) {
+func (r *Transport) set(s Seen) {
 	if x := r.exchange; x != nil {
 		x.names = s.Names
 		x.machine.Set(r.o.Clock.Now(), zonestate.Sort(append(s.Entries, made()...)))
 	}
 }
 
-// tellZones logs each change of what is known of a zone.
-func (r *Room) tellZones() {
+// publishZones logs each change of what is known of a zone.
+func (r *Transport) publishZones() {
 	x := r.exchange
 	truth := readTruth() // before the clock: nothing gets older between
 	now := r.o.Clock.Now()
@@ -138,9 +138,9 @@
 }
 
 // status tells what is known, by region and zone.
-func (x *exchange) status(now time.Duration) *Facts {
-	f := &Facts{Fresh: x.o.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
-	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Tell: "answers", zonestate.Ask: "questions"} {
+func (x *exchange) status(now time.Duration) *ZoneStateStatus {
+	f := &ZoneStateStatus{Fresh: x.o.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
+	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Tell: "answers", zonestate.Query: "questions"} {
 		f.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
@@ -148,7 +148,7 @@
 		for _, page := range []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Trouble, zonestate.Sketch} {
 			row, found := x.machine.Row(now, z.Place, page)
 			for _, e := range row.Entries {
-				what, known := whats[e.Kind]
+				what, known := reportKinds[e.Kind]
 				if !known {
 					what = fmt.Sprintf("kind %#x", uint8(e.Kind))
 				}
@@ -160,7 +160,7 @@
 					name = fmt.Sprintf("%#08x", uint32(e.Subject))
 				}
 				if found {
-					out.Told = append(out.Told, Told{what, name, e.Value, row.Age, row.From})
+					out.Told = append(out.Told, LoadReport{what, name, e.Value, row.Age, row.From})
 				}
 			}
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,8 +24,8 @@
 
 // Bounds of a key's file.
 const (
-	leastKey = 16
-	mostKey  = 4 << 10
+	minKey = 16
+	maxKey = 4 << 10
 )
 
 // LoadKey reads a cluster's key: what the file holds without white space round it.
@@ -35,31 +35,31 @@
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostKey+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxKey+1))
 	if err != nil {
 		return nil, fmt.Errorf("peers: the key: %w", err)
 	}
 	key := bytes.TrimSpace(text)
-	if len(key) < leastKey || len(text) > mostKey {
-		return nil, fmt.Errorf("peers: the key in %s has %d bytes; allowed: %d to %d", path, len(key), leastKey, mostKey)
+	if len(key) < minKey || len(text) > maxKey {
+		return nil, fmt.Errorf("peers: the key in %s has %d bytes; allowed: %d to %d", path, len(key), minKey, maxKey)
 	}
 	return key, nil
 }
 
 // Options are what a Room is made of.
 type Options struct {
-	Self    membership.Peer
-	Listen  string // address of the UDP socket
-	Key     []byte
-	Members membership.Options
-	Facts   *zonestate.Options // nil: no facts are told, and none are taken
-	Clock   clock.Clock
-	Log     *slog.Logger
+	Self      membership.Peer
+	Listen    string // address of the UDP socket
+	Key       []byte
+	Members   membership.Options
+	ZoneState *zonestate.Options // nil: no facts are told, and none are taken
+	Clock     clock.Clock
+	Log       *slog.Logger
 }
 
-// mostOut bounds what a node sends, in bytes a second; a burst of as much may go at once. A member's probes, answers and
+// maxOutgoing bounds what a node sends, in bytes a second; a burst of as much may go at once. A member's probes, answers and
 // words take a few hundred.
-const mostOut = 64 << 10
+const maxOutgoing = 64 << 10
 
 // Waits behind reads that fail one after the other.
 const (
@@ -67,25 +67,25 @@
 	readPauseMost = 100 * time.Millisecond
 )
 
-// Room is one node's.
-type Room struct {
-	o        Options
-	conn     datagrams
-	machine  *membership.Machine
-	exchange *exchange // nil: none
-	seen     chan Seen
-	in       chan letter
-	asks     chan chan Status
-	done     chan struct{}
-	started  chan struct{}
-	living   atomic.Pointer[[]membership.Peer]
-	held     map[string]membership.Status // as was logged last
-	logged   int                          // changes of the membership that were
-	counts   Counts
-	lost     atomic.Int64
-	purse    float64 // bytes that may go out
-	filled   time.Duration
-	unsent   failures
+// Transport is one node's.
+type Transport struct {
+	o          Options
+	conn       datagrams
+	machine    *membership.Machine
+	exchange   *exchange // nil: none
+	seen       chan Seen
+	in         chan datagram
+	asks       chan chan Status
+	done       chan struct{}
+	started    chan struct{}
+	living     atomic.Pointer[[]membership.Peer]
+	held       map[string]membership.Status // as was logged last
+	logged     int                          // changes of the membership that were
+	counts     Counts
+	lost       atomic.Int64
+	sendBudget float64 // bytes that may go out
+	filled     time.Duration
+	unsent     failures
 }
 
 // datagrams are what a Room needs of a net.UDPConn.
@@ -106,8 +106,8 @@
 // failuresEvery is how often failures are logged at most.
 const failuresEvery = time.Second
 
-// letter is what came in.
-type letter struct {
+// datagram is what came in.
+type datagram struct {
 	from netip.AddrPort
 	msg  membership.Message
 	told *zonestate.Message // nil: msg is the membership's
@@ -128,28 +128,28 @@
 
 // Status is what a Room knows.
 type Status struct {
-	Life    uint32   `json:"life"`
-	Health  int      `json:"ill_health"` // 0: well; up to 8
-	Twins   int      `json:"twins"`      // words of lives under this name that were none of this process's
-	Members []Member `json:"members"`
-	Counts  Counts   `json:"datagrams"`
-	Facts   *Facts   `json:"facts,omitempty"`
+	Incarnation uint32           `json:"life"`
+	Health      int              `json:"ill_health"` // 0: well; up to 8
+	Twins       int              `json:"twins"`      // words of lives under this name that were none of this process's
+	Members     []Member         `json:"members"`
+	Counts      Counts           `json:"datagrams"`
+	ZoneState   *ZoneStateStatus `json:"facts,omitempty"`
 }
 
 // Member is what is known of another node.
 type Member struct {
-	Name   string        `json:"name"`
-	Addr   string        `json:"address"`
-	Region string        `json:"region,omitempty"`
-	Zone   string        `json:"zone,omitempty"`
-	Status string        `json:"status"` // alive, suspect, dead, left
-	Life   uint32        `json:"life"`
-	For    time.Duration `json:"for"`             // how long it has been of this status here
-	Heard  time.Duration `json:"heard,omitempty"` // how long ago a message of its own came; negative: never
+	Name        string        `json:"name"`
+	Addr        string        `json:"address"`
+	Region      string        `json:"region,omitempty"`
+	Zone        string        `json:"zone,omitempty"`
+	Status      string        `json:"status"` // alive, suspect, dead, left
+	Incarnation uint32        `json:"life"`
+	For         time.Duration `json:"for"`             // how long it has been of this status here
+	Heard       time.Duration `json:"heard,omitempty"` // how long ago a message of its own came; negative: never
 }
 
 // Open opens the socket. Nothing goes out before Run.
-func Open(o Options) (*Room, error) {
+func Open(o Options) (*Transport, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
@@ -166,9 +166,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	r := &Room{o: o, conn: conn, machine: m, seen: make(chan Seen, 1), in: make(chan letter, 256), asks: make(chan chan Status), done: make(chan struct{}),
+	r := &Transport{o: o, conn: conn, machine: m, seen: make(chan Seen, 1), in: make(chan datagram, 256), asks: make(chan chan Status), done: make(chan struct{}),
 		started: make(chan struct{}), held: map[string]membership.Status{}, logged: -1}
-	if o.Facts != nil {
+	if o.ZoneState != nil {
 		id, _ := m.Self()
 		if r.exchange, err = newExchange(o, id, binary.LittleEndian.Uint64(seed[:])+1); err != nil {
 			conn.Close()
@@ -179,10 +179,10 @@
 }
 
 // Addr is where it listens.
-func (r *Room) Addr() netip.AddrPort { return r.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (r *Transport) Addr() netip.AddrPort { return r.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Run takes part until ctx ends, and then says goodbye.
-func (r *Room) Run(ctx context.Context) {
+func (r *Transport) Run(ctx context.Context) {
 	close(r.started)
 	defer close(r.done)
 	defer r.conn.Close()
@@ -203,28 +203,28 @@
 		case <-timer.C:
 			r.tick()
 		}
-		r.tell()
+		r.publishLoad()
 		r.follow()
 		timer.Reset(max(0, r.o.Clock.Until(r.next())))
 	}
 }
 
 // next is when tick is due.
-func (r *Room) next() time.Duration {
+func (r *Transport) next() time.Duration {
 	if r.exchange == nil {
 		return r.machine.Next()
 	}
 	return min(r.machine.Next(), r.exchange.machine.Next())
 }
 
-func (r *Room) tick() {
+func (r *Transport) tick() {
 	if now := r.o.Clock.Now(); r.machine.Next() <= now {
 		r.send(r.machine.Tick(now))
 	}
 	if x := r.exchange; x != nil && x.machine.Next() <= r.o.Clock.Now() {
 		r.follow()
 		r.pass(x.machine.Tick(r.o.Clock.Now()))
-		r.tellZones()
+		r.publishZones()
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 // read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
-func (r *Room) read(conn receiver) {
+func (r *Transport) read(conn receiver) {
 	buf := make([]byte, membership.MaxDatagram+1)
 	pause := readPause
 	for {
@@ -250,7 +250,7 @@
 			continue
 		}
 		pause = readPause
-		l := letter{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
+		l := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		if n > 0 && buf[0] == zonestate.Version {
 			l.told, l.err = r.decode(buf[:n])
 		} else {
@@ -265,7 +265,7 @@
 }
 
 // rest waits for a while, or for the end.
-func (r *Room) rest(d time.Duration) {
+func (r *Transport) rest(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -274,7 +274,7 @@
 	}
 }
 
-func (r *Room) hasEnded() bool {
+func (r *Transport) hasEnded() bool {
 	select {
 	case <-r.done:
 		return true
@@ -284,7 +284,7 @@
 }
 
 // decode reads what another tells of facts.
-func (r *Room) decode(b []byte) (*zonestate.Message, error) {
+func (r *Transport) decode(b []byte) (*zonestate.Message, error) {
 	body, ok := membership.Unseal(b, r.o.Key)
 	if !ok {
 		return nil, membership.ErrStrange
@@ -293,7 +293,7 @@
 	return &m, err
 }
 
-func (r *Room) take(l letter) {
+func (r *Transport) take(l datagram) {
 	switch {
 	case l.told != nil && r.exchange == nil, errors.Is(l.err, membership.ErrVersion), errors.Is(l.err, zonestate.ErrVersion):
 		r.counts.Other++
@@ -311,22 +311,22 @@
 }
 
 // send sends what the purse allows.
-func (r *Room) send(packets []membership.Packet) {
+func (r *Transport) send(packets []membership.Packet) {
 	for _, p := range packets {
 		r.write(membership.Encode(p.Message, r.o.Key), p.To)
 	}
 }
 
 // write sends a datagram if the purse allows it.
-func (r *Room) write(data []byte, to netip.AddrPort) bool {
+func (r *Transport) write(data []byte, to netip.AddrPort) bool {
 	now := r.o.Clock.Now()
-	r.purse = min(mostOut, r.purse+(now-r.filled).Seconds()*mostOut)
+	r.sendBudget = min(maxOutgoing, r.sendBudget+(now-r.filled).Seconds()*maxOutgoing)
 	r.filled = now
-	if r.purse < float64(len(data)) {
+	if r.sendBudget < float64(len(data)) {
 		r.counts.Paced++
 		return false
 	}
-	r.purse -= float64(len(data))
+	r.sendBudget -= float64(len(data))
 	if _, err := r.conn.WriteToUDPAddrPort(data, to); err != nil {
 		r.fail(now, to, err)
 		return false
@@ -337,7 +337,7 @@
 }
 
 // fail notes that a datagram could not be sent.
-func (r *Room) fail(now time.Duration, to netip.AddrPort, err error) {
+func (r *Transport) fail(now time.Duration, to netip.AddrPort, err error) {
 	r.unsent.count++
 	if r.unsent.logged != 0 && now-r.unsent.logged < failuresEvery {
 		return
@@ -346,8 +346,8 @@
 	r.unsent = failures{logged: now}
 }
 
-// tell logs what has changed of other nodes.
-func (r *Room) tell() {
+// publishLoad logs what has changed of other nodes.
+func (r *Transport) publishLoad() {
 	if r.logged == r.machine.Changes() {
 		return
 	}
@@ -362,21 +362,21 @@
 	for _, k := range r.machine.Members() {
 		if was, known := r.held[k.Name]; !known || was != k.Status {
 			r.held[k.Name] = k.Status
-			r.o.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Life)
+			r.o.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
 		}
 	}
 }
 
-func (r *Room) status() Status {
+func (r *Transport) status() Status {
 	now := r.o.Clock.Now()
-	_, life := r.machine.Self()
-	s := Status{Life: life, Health: r.machine.Health(), Twins: r.machine.Twins, Counts: r.counts}
+	_, incarnation := r.machine.Self()
+	s := Status{Incarnation: incarnation, Health: r.machine.Health(), Twins: r.machine.Twins, Counts: r.counts}
 	s.Counts.Lost = r.lost.Load()
 	if r.exchange != nil {
-		s.Facts = r.exchange.status(now)
+		s.ZoneState = r.exchange.status(now)
 	}
 	for _, k := range r.machine.Members() {
-		m := Member{Name: k.Name, Addr: k.Addr.String(), Region: k.Region, Zone: k.Zone, Status: k.Status.String(), Life: k.Life, For: now - k.Since, Heard: -1}
+		m := Member{Name: k.Name, Addr: k.Addr.String(), Region: k.Region, Zone: k.Zone, Status: k.Status.String(), Incarnation: k.Incarnation, For: now - k.Since, Heard: -1}
 		if k.Heard > 0 {
 			m.Heard = now - k.Heard
 		}
@@ -386,7 +386,7 @@
 }
 
 // Living are the other members that are held for alive, or are only suspected not to be; none before Run.
-func (r *Room) Living() []membership.Peer {
+func (r *Transport) Living() []membership.Peer {
 	if l := r.living.Load(); l != nil {
 		return *l
 	}
@@ -394,7 +394,7 @@
 }
 
 // Status tells what is known; nothing before Run and after its end.
-func (r *Room) Status() Status {
+func (r *Transport) Status() Status {
 	to := make(chan Status, 1)
 	select {
 	case <-r.started:
@@ -410,7 +410,7 @@
 }
 
 // Close closes a room that was not run; one that runs ends with its context.
-func (r *Room) Close() {
+func (r *Transport) Close() {
 	select {
 	case <-r.started:
 		<-r.done
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -24,11 +24,11 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // open opens a room on loopback that knows of seeds.
-func open(t *testing.T, name, key string, seeds ...netip.AddrPort) *Room {
+func open(t *testing.T, name, key string, seeds ...netip.AddrPort) *Transport {
 	return openWith(t, name, key, nil, seeds...)
 }
 
-func openWith(t *testing.T, name, key string, told *zonestate.Options, seeds ...netip.AddrPort) *Room {
+func openWith(t *testing.T, name, key string, told *zonestate.Options, seeds ...netip.AddrPort) *Transport {
 	t.Helper()
 	o := membership.Defaults()
 	o.Period, o.Timeout, o.Seeds = 50*time.Millisecond, 15*time.Millisecond, seeds
@@ -38,7 +38,7 @@
 	}
 	at := free.LocalAddr().String()
 	free.Close()
-	r, err := Open(Options{Self: membership.Peer{Name: name, Addr: netip.MustParseAddrPort(at), Zone: "z"}, Listen: at, Key: []byte(key), Members: o, Facts: told,
+	r, err := Open(Options{Self: membership.Peer{Name: name, Addr: netip.MustParseAddrPort(at), Zone: "z"}, Listen: at, Key: []byte(key), Members: o, ZoneState: told,
 		Clock: clock.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 // run runs a room until the test's end, or until stop.
-func run(t *testing.T, r *Room) (stop func()) {
+func run(t *testing.T, r *Transport) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.Run(ctx)
 	testpeer.Receive(t, r.started, "its start")
@@ -60,7 +60,7 @@
 }
 
 // status is what a room holds of another, by name.
-func status(r *Room, name string) string {
+func status(r *Transport, name string) string {
 	for _, m := range r.Status().Members {
 		if m.Name == name {
 			return m.Status
@@ -71,20 +71,20 @@
 
 // Three rooms that know one of them come to know all; who leaves says so. One of another key is not heard, and neither is
 // what is no datagram of theirs.
-func TestRoomsKnowOneAnother(t *testing.T) {
+func TestTransportsDiscoverEachOther(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
 	b, c := open(t, "b", key, a.Addr()), open(t, "c", key, a.Addr())
 	other := open(t, "other", "a key of another cluster", a.Addr())
 	var stop func()
-	for _, r := range []*Room{a, b, c, other} {
+	for _, r := range []*Transport{a, b, c, other} {
 		stopped := run(t, r)
 		if r == c {
 			stop = stopped
 		}
 	}
 	for _, pair := range []struct {
-		r    *Room
+		r    *Transport
 		name string
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
 		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
@@ -108,7 +108,7 @@
 }
 
 // A room never sends beyond its pace, whatever its machine wants.
-func TestThePaceHolds(t *testing.T) {
+func TestSendRateIsBounded(t *testing.T) {
 	r := open(t, "a", "a key of sixteen bytes or more")
 	defer r.Close()
 	var packets []membership.Packet
@@ -116,17 +116,17 @@
 		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
 	r.filled = r.o.Clock.Now()
-	r.purse = mostOut
+	r.sendBudget = maxOutgoing
 	r.send(packets)
 	size := int64(len(membership.Encode(packets[0].Message, r.o.Key)))
-	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < mostOut/2 || r.counts.Sent+r.counts.Paced != 3000 {
-		t.Errorf("%d bytes went out of %d allowed at once, %d datagrams were held back", sent, mostOut, r.counts.Paced)
+	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < maxOutgoing/2 || r.counts.Sent+r.counts.Paced != 3000 {
+		t.Errorf("%d bytes went out of %d allowed at once, %d datagrams were held back", sent, maxOutgoing, r.counts.Paced)
 	}
 }
 
-func TestKeysAndAddressesThatWontDo(t *testing.T) {
+func TestInvalidKeysAndAddresses(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"short": "  short \n", "long": strings.Repeat("k", mostKey+1), "good": " sixteen bytes at least\n"} {
+	for name, text := range map[string]string{"short": "  short \n", "long": strings.Repeat("k", maxKey+1), "good": " sixteen bytes at least\n"} {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -151,18 +151,18 @@
 
 // Rooms that tell one another of zones stand beside one that knows of no such thing, as an older build: it counts what it
 // does not understand, all live for all, and the others know of one another's parts.
-func TestFactsBesideARoomWithout(t *testing.T) {
+func TestZoneStateBesidePeerWithout(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	o := zonestate.Defaults(2 * time.Second)
 	a := openWith(t, "a", key, &o)
 	b, c, old := openWith(t, "b", key, &o, a.Addr()), openWith(t, "c", key, &o, a.Addr()), open(t, "old", key, a.Addr())
 	told := Seen{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
-	for _, r := range []*Room{a, b, c, old} {
+	for _, r := range []*Transport{a, b, c, old} {
 		run(t, r)
 	}
-	sum := func(r *Room) (amount float64, from int) {
-		r.Tell(told)
-		f := r.Status().Facts
+	sum := func(r *Transport) (amount float64, from int) {
+		r.PublishLoad(told)
+		f := r.Status().ZoneState
 		if f == nil || f.Alone {
 			return 0, 0
 		}
@@ -175,17 +175,17 @@
 		}
 		return 0, 0
 	}
-	for _, r := range []*Room{a, b, c} {
+	for _, r := range []*Transport{a, b, c} {
 		testpeer.Until(t, "three parts to be known", func() bool {
-			for _, other := range []*Room{a, b, c} {
-				other.Tell(told)
+			for _, other := range []*Transport{a, b, c} {
+				other.PublishLoad(told)
 			}
 			amount, from := sum(r)
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to have counted", func() bool { return old.Status().Counts.Other > 0 && old.Status().Facts == nil })
-	for _, r := range []*Room{a, b, c} {
+	testpeer.Until(t, "the older one to have counted", func() bool { return old.Status().Counts.Other > 0 && old.Status().ZoneState == nil })
+	for _, r := range []*Transport{a, b, c} {
 		if got := status(r, "old"); got != "alive" {
 			t.Errorf("the older one is %s", got)
 		}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -87,15 +87,15 @@
 	return errors.Join(err, failed)
 }
 
-// Line is a node's processes, the oldest first: the one that holds the seat, and the one that waits for it. Each
+// Processes is a node's processes, the oldest first: the one that holds the seat, and the one that waits for it. Each
 // holds a lock on a file of its own in a folder that they share.
-type Line struct {
+type Processes struct {
 	seat, next *os.File
 }
 
 // Enter joins the processes of a name in a folder. It fails if one waits there already, or the folder can't be used.
-func Enter(folder, name string) (*Line, error) {
-	l := &Line{}
+func Enter(folder, name string) (*Processes, error) {
+	l := &Processes{}
 	for _, f := range []struct {
 		to   **os.File
 		file string
@@ -122,10 +122,10 @@
 }
 
 // Seated says that this process has the seat, and takes it if it is free.
-func (l *Line) Seated() bool { return lock(l.seat) }
+func (l *Processes) Seated() bool { return lock(l.seat) }
 
 // Followed says, of the process that has the seat, that another waits for it.
-func (l *Line) Followed() bool {
+func (l *Processes) Followed() bool {
 	if !lock(l.next) {
 		return true
 	}
@@ -134,7 +134,7 @@
 }
 
 // Leave gives up what is held, as the process's end would.
-func (l *Line) Leave() {
+func (l *Processes) Leave() {
 	for _, f := range []*os.File{l.seat, l.next} {
 		if f != nil {
 			f.Close()
@@ -152,7 +152,7 @@
 
 // Watch tells whenever this process begins or ceases to be one of two, until ctx ends. The first word comes before
 // it waits.
-func (l *Line) Watch(ctx context.Context, tell func(two bool)) {
+func (l *Processes) Watch(ctx context.Context, tell func(two bool)) {
 	for known, was, seated := false, false, false; ctx.Err() == nil; clock.Sleep(ctx, look) {
 		if !seated && l.Seated() {
 			seated = true
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -89,7 +89,7 @@
 }
 
 // Where the system has no rules for shared addresses, a node starts all the same. Multipath TCP is such a place.
-func TestASystemWithoutRules(t *testing.T) {
+func TestUnsupportedSystem(t *testing.T) {
 	lc := net.ListenConfig{}
 	lc.SetMultipathTCP(true)
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -118,7 +118,7 @@
 	}
 }
 
-func enter(t *testing.T, folder string) *Line {
+func enter(t *testing.T, folder string) *Processes {
 	t.Helper()
 	l, err := Enter(folder, "n")
 	if err != nil {
@@ -153,9 +153,9 @@
 }
 
 // The older hears that it is followed, and again when the younger was killed; the younger hears that it is alone.
-func TestTheCompanyOfAnotherIsTold(t *testing.T) {
+func TestOtherProcessIsReported(t *testing.T) {
 	folder := t.TempDir()
-	watch := func(l *Line) <-chan bool {
+	watch := func(l *Processes) <-chan bool {
 		told := make(chan bool, 100)
 		ctx, cancel := context.WithCancel(t.Context())
 		over := make(chan struct{})
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -101,7 +101,7 @@
 	reusable := framed && !resp.Close
 	r := reply{Outcome: engine.Outcome{At: b.clock.Now(), Load: b.load(resp.Header)}}
 	if ok {
-		r.Ending = balancer.Success
+		r.Result = balancer.Success
 		r.Reply = engine.Reply{ContentType: resp.Header.Get("Content-Type"), Length: resp.ContentLength}
 	}
 	if ok && resp.ContentLength > maxBody {
@@ -125,10 +125,10 @@
 		}
 		return r, reusable && c.br.Buffered() == 0
 	}
-	r.Ending = balancer.Failure
+	r.Result = balancer.Failure
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1" {
-		r.Ending, r.Why = balancer.Overloaded, resp.Header.Get(RefusedBy)
+		r.Result, r.Why = balancer.Overloaded, resp.Header.Get(RefusedBy)
 		r.Settled = resp.Header.Get(settledHeader) == "1"
 	}
 	return r, err == nil && reusable && resp.ContentLength <= maxBody && len(body) <= maxBody && c.br.Buffered() == 0
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -68,7 +68,7 @@
 
 // during ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
 func (b *Back) during(a *engine.Attempt) (context.Context, context.CancelFunc) {
-	if a.Call.Request.Rest != nil {
+	if a.Request.Message.Rest != nil {
 		return context.WithCancel(a.Context())
 	}
 	return context.WithTimeout(a.Context(), b.clock.Until(a.Deadline))
@@ -88,42 +88,42 @@
 		c, fresh, err = b.connect(ctx, a.To, waiter)
 		switch {
 		case errors.Is(err, errNoRoom):
-			return engine.Outcome{Ending: balancer.Void}
+			return engine.Outcome{Result: balancer.NotStarted}
 		case err != nil && a.Withdrawn():
-			return engine.Outcome{Ending: balancer.Withdrawn}
+			return engine.Outcome{Result: balancer.Cancelled}
 		case err != nil:
-			return engine.Outcome{Ending: balancer.Unreachable}
+			return engine.Outcome{Result: balancer.Unreachable}
 		}
 		if !a.Allowed() {
 			b.giveUp(c, waiter)
-			return engine.Outcome{Ending: balancer.Void}
+			return engine.Outcome{Result: balancer.NotStarted}
 		}
 		err = b.begin(c, waiter)
 		if err == nil {
 			break
 		}
 		if fresh && errors.Is(err, errNoRoom) {
-			return engine.Outcome{Ending: balancer.Void}
+			return engine.Outcome{Result: balancer.NotStarted}
 		}
 		if fresh {
-			return engine.Outcome{Ending: balancer.Unreachable}
+			return engine.Outcome{Result: balancer.Unreachable}
 		}
 	}
 	if why, begins := b.mayBegin(ctx, a, c); !begins {
 		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: why}
+		return engine.Outcome{Result: why}
 	}
 	// A timed-out or cancelled attempt closes its connection, which ends the wait below.
 	stop := context.AfterFunc(ctx, func() { b.giveUp(c, waiter) })
 	defer stop()
-	if a.Call.Request.Rest != nil {
+	if a.Request.Message.Rest != nil {
 		return b.upload(a, c, waiter)
 	}
 	// The whole request in one write: what Write returns tells whether its last byte left.
 	text, why := b.text(a)
 	if text == nil {
 		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: why}
+		return engine.Outcome{Result: why}
 	}
 	sent, err := c.Write(text)
 	if err != nil {
@@ -137,16 +137,16 @@
 	case got.err == nil:
 		return got.Outcome
 	case a.Withdrawn():
-		return engine.Outcome{Ending: balancer.Withdrawn}
+		return engine.Outcome{Result: balancer.Cancelled}
 	case sent < len(text) && isOwnShortage(err):
-		return engine.Outcome{Ending: balancer.Void}
+		return engine.Outcome{Result: balancer.NotStarted}
 	case sent < len(text):
 		// The server never got the last byte, so it has not begun: sending again is harmless.
-		return engine.Outcome{Ending: balancer.Unreachable}
+		return engine.Outcome{Result: balancer.Unreachable}
 	case ctx.Err() != nil:
-		return engine.Outcome{Ending: balancer.TimedOut}
+		return engine.Outcome{Result: balancer.TimedOut}
 	}
-	return engine.Outcome{Ending: balancer.Broken}
+	return engine.Outcome{Result: balancer.ConnectionLost}
 }
 
 // backendHost is the name that every server is asked by.
@@ -157,18 +157,18 @@
 const freshFor = 10 * time.Millisecond
 
 // text is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
-func (b *Back) text(a *engine.Attempt) (text []byte, why balancer.Ending) {
+func (b *Back) text(a *engine.Attempt) (text []byte, why balancer.Result) {
 	for {
 		left := b.clock.Until(a.Deadline)
 		if left <= 0 {
-			return nil, balancer.Void
+			return nil, balancer.NotStarted
 		}
 		text, err := wholeRequest(a, left)
 		if err != nil {
-			return nil, balancer.Void
+			return nil, balancer.NotStarted
 		}
-		if a.Call.IsLeft(b.clock.Now) {
-			return nil, balancer.Withdrawn
+		if a.Request.IsLeft(b.clock.Now) {
+			return nil, balancer.Cancelled
 		}
 		if left-b.clock.Until(a.Deadline) <= freshFor {
 			return text, 0
@@ -180,22 +180,22 @@
 func request(a *engine.Attempt, left time.Duration, body io.Reader) *http.Request {
 	h := http.Header{
 		"User-Agent":   {""}, // none
-		"X-Request-Id": {a.Call.ID},
+		"X-Request-Id": {a.Request.ID},
 		"X-Deadline":   {string(appendDeadline(nil, left))},
 	}
-	if a.Call.Request.Key != "" {
-		h["Idempotency-Key"] = []string{a.Call.Request.Key}
+	if a.Request.Message.Key != "" {
+		h["Idempotency-Key"] = []string{a.Request.Message.Key}
 	}
-	for _, f := range a.Call.Request.Beside {
+	for _, f := range a.Request.Message.Beside {
 		h[f.Name] = []string{f.Value}
 	}
-	if a.Call.Request.ContentType != "" {
-		h["Content-Type"] = []string{a.Call.Request.ContentType}
+	if a.Request.Message.ContentType != "" {
+		h["Content-Type"] = []string{a.Request.Message.ContentType}
 	}
-	r := &http.Request{Method: a.Call.Request.Method, URL: &url.URL{Opaque: a.Call.Request.Target}, Host: backendHost,
-		Header: h, ContentLength: int64(len(a.Call.Request.Body))}
-	if a.Call.Request.Rest != nil {
-		r.ContentLength = a.Call.Request.Length
+	r := &http.Request{Method: a.Request.Message.Method, URL: &url.URL{Opaque: a.Request.Message.Target}, Host: backendHost,
+		Header: h, ContentLength: int64(len(a.Request.Message.Body))}
+	if a.Request.Message.Rest != nil {
+		r.ContentLength = a.Request.Message.Length
 	}
 	if r.ContentLength != 0 {
 		r.Body = io.NopCloser(body)
@@ -227,7 +227,7 @@
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
 // long: its caller may have gone by then, its time may be over, and its server may have been told to drain.
-func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Ending, begins bool) {
+func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
 	b.mu.Lock()
 	serves := b.serves(c.to)
 	b.mu.Unlock()
@@ -235,9 +235,9 @@
 	case serves && ctx.Err() == nil && a.Begin(b.clock.Now(), c.way):
 		return 0, true
 	case a.Withdrawn():
-		return balancer.Withdrawn, false
+		return balancer.Cancelled, false
 	case ctx.Err() != nil:
 		return balancer.Unreachable, false
 	}
-	return balancer.Void, false
+	return balancer.NotStarted, false
 }
--- a/internal/http1/back_test.go
+++ b/internal/http1/back_test.go
@@ -33,7 +33,7 @@
 // testAttempt is an attempt at an endpoint with all the time in the world.
 func testAttempt(b *Back, endpoint string) *engine.Attempt {
 	now := b.clock.Now()
-	c := engine.NewCall("id", engine.Request{Method: "POST", Target: "/note/k", Body: []byte("body")})
+	c := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
 	return engine.NewAttempt(c, 0, testHost(b, endpoint), now, now+testpeer.Limit)
 }
 
@@ -48,7 +48,7 @@
 func TestEndings(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
-		want         balancer.Ending
+		want         balancer.Result
 		keeps        bool
 	}{
 		{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
@@ -61,29 +61,29 @@
 		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
 		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		{"reset", "-", balancer.Broken, false},
-		{"cut head", "200 OK\r\nContent-Le", balancer.Broken, false},
-		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Broken, false},
-		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.Broken, false},
+		{"reset", "-", balancer.ConnectionLost, false},
+		{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
+		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
+		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
 		{"no length, but an end", "200 OK\r\n\r\nok", balancer.Success, false},
-		{"no length, and a reset", "200 OK\r\n\r\nok", balancer.Broken, false},
-		{"half a status line", "200", balancer.Broken, false},
-		{"a 1xx, and an end", "102 Processing\r\n\r\n", balancer.Broken, false},
-		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Broken, false},
+		{"no length, and a reset", "200 OK\r\n\r\nok", balancer.ConnectionLost, false},
+		{"half a status line", "200", balancer.ConnectionLost, false},
+		{"a 1xx, and an end", "102 Processing\r\n\r\n", balancer.ConnectionLost, false},
+		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
 		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
-		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.Broken, false},
-		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.Broken, false},
-		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.Broken, false},
-		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.Broken, false},
-		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Broken, false},
-		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
-		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
-		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.Broken, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.ConnectionLost, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.ConnectionLost, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.ConnectionLost, false},
+		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost, false},
 		{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
 		{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", balancer.Success, false},
 		{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 		{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
-		{"no HTTP", "what?\r\n\r\n", balancer.Broken, false},
+		{"no HTTP", "what?\r\n\r\n", balancer.ConnectionLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
@@ -107,8 +107,8 @@
 			b := testBackend(10)
 			h := testHost(b, s.Address())
 			r := run(t, b, testAttempt(b, s.Address()))
-			if r.Ending != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
-				t.Errorf("ending %d, body %q; want %d", r.Ending, r.Reply.Body, c.want)
+			if r.Result != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
+				t.Errorf("ending %d, body %q; want %d", r.Result, r.Reply.Body, c.want)
 			}
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -121,8 +121,8 @@
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, testpeer.ClosedPort(t))); r.Ending != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Ending, b.open)
+	if r := run(t, b, testAttempt(b, testpeer.ClosedPort(t))); r.Result != balancer.Unreachable || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.open)
 	}
 }
 
@@ -153,8 +153,8 @@
 	}
 	b := testBackend(10)
 	b.limits.ConnectTimeout = 50 * time.Millisecond
-	if r := run(t, b, testAttempt(b, addr)); r.Ending != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Ending, b.open)
+	if r := run(t, b, testAttempt(b, addr)); r.Result != balancer.Unreachable || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.open)
 	}
 }
 
@@ -177,8 +177,8 @@
 	}
 	b := testBackend(10)
 	b.adopt(halfConn{nc}, testHost(b, s.Address()))
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Ending, b.open)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Unreachable || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.open)
 	}
 	if s.Seen() != 0 {
 		t.Error("the server got the request")
@@ -232,8 +232,8 @@
 				io.WriteString(other, say)
 			}
 			testpeer.Until(t, "it to arrive", func() bool { return spoken(nc) })
-			if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.Ending, r.Reply.Body, b.open)
+			if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.Result, r.Reply.Body, b.open)
 			}
 		})
 	}
@@ -268,7 +268,7 @@
 }
 
 func TestTimedOutAndCancelledAttemptsCloseTheirConnection(t *testing.T) {
-	for _, want := range []balancer.Ending{balancer.TimedOut, balancer.Withdrawn} {
+	for _, want := range []balancer.Result{balancer.TimedOut, balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
 		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 			close(got)
@@ -283,8 +283,8 @@
 		} else {
 			go func() { <-got; a.Cancel() }()
 		}
-		if r := run(t, b, a); r.Ending != want || b.open != 0 {
-			t.Errorf("ending %d, %d open; want %d", r.Ending, b.open, want)
+		if r := run(t, b, a); r.Result != want || b.open != 0 {
+			t.Errorf("ending %d, %d open; want %d", r.Result, b.open, want)
 		}
 		testpeer.Receive(t, gone, "the close")
 	}
@@ -299,18 +299,18 @@
 		return testpeer.Echo(c, r, body)
 	})
 	b := testBackend(1)
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Success {
-		t.Fatalf("ending %d", r.Ending)
+	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.Success {
+		t.Fatalf("ending %d", r.Result)
 	}
 	end := make(chan engine.Outcome, 1)
 	go func() { end <- b.Run(testAttempt(b, two.Address())) }()
 	testpeer.Receive(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Void {
-		t.Errorf("with no descriptor left: ending %d, want Void", r.Ending)
+	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.NotStarted {
+		t.Errorf("with no descriptor left: ending %d, want Void", r.Result)
 	}
 	close(hold)
-	if r := testpeer.Receive(t, end, "the attempt"); r.Ending != balancer.Success {
-		t.Errorf("ending %d", r.Ending)
+	if r := testpeer.Receive(t, end, "the attempt"); r.Result != balancer.Success {
+		t.Errorf("ending %d", r.Result)
 	}
 	if one.Seen() != 1 || b.open != 1 {
 		t.Errorf("%d requests at the first server, %d connections open", one.Seen(), b.open)
@@ -323,10 +323,10 @@
 	b := testBackend(10)
 	for _, made := range []int{1, 1, 2} {
 		if made == 2 {
-			b.LetGo(testHost(b, s.Address()))
+			b.CloseIdle(testHost(b, s.Address()))
 		}
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != made || b.open != 1 {
-			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Ending, b.made, b.open, made)
+		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != made || b.open != 1 {
+			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Result, b.made, b.open, made)
 		}
 	}
 }
@@ -355,35 +355,35 @@
 	one, two := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(2)
 	for _, s := range []*testpeer.Server{one, two} {
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success {
-			t.Fatalf("ending %d", r.Ending)
+		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+			t.Fatalf("ending %d", r.Result)
 		}
 	}
 	b.SetLimits(Limits{Most: 1, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 	if b.Connections() != 1 || b.share.Used() != 1 {
 		t.Errorf("%d connections, %d descriptors", b.Connections(), b.share.Used())
 	}
-	if r := run(t, b, testAttempt(b, two.Address())); r.Ending != balancer.Success || two.Opened() != 1 {
-		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Ending, two.Opened())
+	if r := run(t, b, testAttempt(b, two.Address())); r.Result != balancer.Success || two.Opened() != 1 {
+		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Result, two.Opened())
 	}
 	other := NewBack(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 	b.share.Resize(1)
-	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != balancer.Void {
-		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Ending)
+	if r := run(t, other, testAttempt(other, one.Address())); r.Result != balancer.NotStarted {
+		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Result)
 	}
 	b.Close()
 	if b.Connections() != 0 || b.share.Used() != 0 {
 		t.Errorf("%d connections, %d descriptors after Close", b.Connections(), b.share.Used())
 	}
-	if r := run(t, other, testAttempt(other, one.Address())); r.Ending != balancer.Success {
-		t.Errorf("ending %d", r.Ending)
+	if r := run(t, other, testAttempt(other, one.Address())); r.Result != balancer.Success {
+		t.Errorf("ending %d", r.Result)
 	}
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Void { // the other has the only one
-		t.Errorf("ending %d", r.Ending)
+	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.NotStarted { // the other has the only one
+		t.Errorf("ending %d", r.Result)
 	}
 	other.Close()
-	if r := run(t, b, testAttempt(b, one.Address())); r.Ending != balancer.Success || b.Connections() != 0 {
-		t.Errorf("after Close: ending %d, %d connections kept", r.Ending, b.Connections())
+	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.Success || b.Connections() != 0 {
+		t.Errorf("after Close: ending %d, %d connections kept", r.Result, b.Connections())
 	}
 }
 
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -43,28 +43,28 @@
 	for _, c := range []struct {
 		name  string
 		cross func(*Back, *engine.Attempt)
-		want  balancer.Ending
+		want  balancer.Result
 	}{
-		{"called off", func(_ *Back, a *engine.Attempt) { a.Cancel() }, balancer.Withdrawn},
-		{"its caller gone, where what has begun is not called off", func(_ *Back, a *engine.Attempt) { a.CancelUnbegun() }, balancer.Withdrawn},
-		{"its client gone, which its engine has not heard yet", func(b *Back, a *engine.Attempt) { a.Call.Leave(b.clock.Now()) }, balancer.Withdrawn},
+		{"called off", func(_ *Back, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
+		{"its caller gone, where what has begun is not called off", func(_ *Back, a *engine.Attempt) { a.CancelUnbegun() }, balancer.Cancelled},
+		{"its client gone, which its engine has not heard yet", func(b *Back, a *engine.Attempt) { a.Request.Disconnect(b.clock.Now()) }, balancer.Cancelled},
 		{"its client gone, as the system alone knows", func(_ *Back, a *engine.Attempt) {
-			a.Call.Request.Gone = func() bool { return true }
-		}, balancer.Withdrawn},
+			a.Request.Message.Gone = func() bool { return true }
+		}, balancer.Cancelled},
 		{"its client gone, as the system alone knows, and its body still to come", func(_ *Back, a *engine.Attempt) {
-			a.Call.Request.Gone, a.Call.Request.Rest = func() bool { return true }, strings.NewReader("rest")
-		}, balancer.Withdrawn},
+			a.Request.Message.Gone, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
+		}, balancer.Cancelled},
 		{"its time over", func(b *Back, a *engine.Attempt) {
 			a.Deadline = a.Sent + 1 // as it was decided on; Run has its own clock
-		}, balancer.Void},
-		{"its keys' window over", func(b *Back, a *engine.Attempt) { a.NotAfter = b.clock.Now() }, balancer.Void},
+		}, balancer.NotStarted},
+		{"its keys' window over", func(b *Back, a *engine.Attempt) { a.NotAfter = b.clock.Now() }, balancer.NotStarted},
 		{"its server drained", func(b *Back, a *engine.Attempt) {
 			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Draining}, Endpoint: a.To.Endpoint}}, false)
-		}, balancer.Void},
-		{"its server gone from the whole list", func(b *Back, a *engine.Attempt) { b.Servers(nil, true) }, balancer.Void},
+		}, balancer.NotStarted},
+		{"its server gone from the whole list", func(b *Back, a *engine.Attempt) { b.Servers(nil, true) }, balancer.NotStarted},
 		{"its server started anew", func(b *Back, a *engine.Attempt) {
 			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
-		}, balancer.Void},
+		}, balancer.NotStarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			closed := make(chan int, 1)
@@ -88,8 +88,8 @@
 			testpeer.Receive(t, dial.dialing, "the attempt to dial")
 			c.cross(b, a)
 			close(dial.up)
-			if r := testpeer.Receive(t, end, "the attempt's end"); r.Ending != c.want || b.Connections() != 0 {
-				t.Errorf("ending %d, %d open; want %d", r.Ending, b.Connections(), c.want)
+			if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != c.want || b.Connections() != 0 {
+				t.Errorf("ending %d, %d open; want %d", r.Result, b.Connections(), c.want)
 			}
 			if n := testpeer.Receive(t, closed, "the close"); n != 0 {
 				t.Error("a byte of it was written")
@@ -146,7 +146,7 @@
 		c.Get("leaving")
 		testpeer.Receive(t, dial.dialing, "the attempt to dial")
 		c.Close()
-		testpeer.Until(t, "the engine to hear of it", func() bool { return n.engine.Status().Gone == 1 })
+		testpeer.Until(t, "the engine to hear of it", func() bool { return n.engine.Status().Disconnected == 1 })
 		close(dial.up)
 		testpeer.Until(t, "the attempt to end", func() bool { return n.back.Connections() == 0 && n.engine.Status().Open == 0 })
 		if s.Seen() != 0 {
@@ -201,9 +201,9 @@
 	if text := testpeer.Receive(t, written, "the close"); text != "" {
 		t.Errorf("%d bytes were written, %.40q", len(text), text)
 	}
-	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Held() == 0 })
-	if got := n.engine.Status(); got.Gone != 1 {
-		t.Errorf("%d have gone, want 1", got.Gone)
+	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Open() == 0 })
+	if got := n.engine.Status(); got.Disconnected != 1 {
+		t.Errorf("%d have gone, want 1", got.Disconnected)
 	}
 }
 
@@ -304,7 +304,7 @@
 	b := testBackend(10)
 	a := testAttempt(b, s.Address())
 	looks, left := 0, time.Duration(0)
-	a.Call.Request.Gone = func() bool {
+	a.Request.Message.Gone = func() bool {
 		if looks++; looks == 1 {
 			time.Sleep(held)
 			left = b.clock.Until(a.Deadline)
--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -79,7 +79,7 @@
 func TestEndsOfAConnectionToAServer(t *testing.T) {
 	for _, c := range []struct {
 		read, write syscall.Errno
-		want        balancer.Ending
+		want        balancer.Result
 		seen        int
 	}{
 		{write: syscall.EPIPE, want: balancer.Unreachable},
@@ -87,17 +87,17 @@
 		{write: syscall.ETIMEDOUT, want: balancer.Unreachable},
 		{write: syscall.EHOSTUNREACH, want: balancer.Unreachable},
 		{write: syscall.ENETUNREACH, want: balancer.Unreachable},
-		{write: syscall.ENETDOWN, want: balancer.Void},
-		{write: syscall.EPERM, want: balancer.Void},
+		{write: syscall.ENETDOWN, want: balancer.NotStarted},
+		{write: syscall.EPERM, want: balancer.NotStarted},
 		{write: syscall.ENOBUFS, want: balancer.Success, seen: 1},
 		{write: syscall.ENOMEM, want: balancer.Success, seen: 1},
 		{write: syscall.EINTR, want: balancer.Success, seen: 1},
-		{read: syscall.EPIPE, want: balancer.Broken, seen: 1},
-		{read: syscall.ECONNRESET, want: balancer.Broken, seen: 1},
-		{read: syscall.ETIMEDOUT, want: balancer.Broken, seen: 1},
-		{read: syscall.EHOSTUNREACH, want: balancer.Broken, seen: 1},
-		{read: syscall.ENETUNREACH, want: balancer.Broken, seen: 1},
-		{read: syscall.ENETDOWN, want: balancer.Broken, seen: 1},
+		{read: syscall.EPIPE, want: balancer.ConnectionLost, seen: 1},
+		{read: syscall.ECONNRESET, want: balancer.ConnectionLost, seen: 1},
+		{read: syscall.ETIMEDOUT, want: balancer.ConnectionLost, seen: 1},
+		{read: syscall.EHOSTUNREACH, want: balancer.ConnectionLost, seen: 1},
+		{read: syscall.ENETUNREACH, want: balancer.ConnectionLost, seen: 1},
+		{read: syscall.ENETDOWN, want: balancer.ConnectionLost, seen: 1},
 		{read: syscall.ENOBUFS, want: balancer.Success, seen: 1},
 		{read: syscall.ENOMEM, want: balancer.Success, seen: 1},
 		{read: syscall.EINTR, want: balancer.Success, seen: 1},
@@ -113,9 +113,9 @@
 		if c.want == balancer.Success {
 			kept = 1
 		}
-		if r.Ending != c.want || s.Seen() != c.seen || b.Connections() != kept {
+		if r.Result != c.want || s.Seen() != c.seen || b.Connections() != kept {
 			t.Errorf("read %d, write %d: ending %d, %d requests at the server, %d connections; want %d, %d, %d",
-				c.read, c.write, r.Ending, s.Seen(), b.Connections(), c.want, c.seen, kept)
+				c.read, c.write, r.Result, s.Seen(), b.Connections(), c.want, c.seen, kept)
 		}
 		b.Close()
 	}
@@ -170,9 +170,9 @@
 		conn.fail(errno, 0)
 		io.WriteString(c, "G")
 		testpeer.Receive(t, ended, "the attempt's end")
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Open() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
-		if st := n.engine.Status(); st.Gone != 1 || st.Sends != 1 {
+		if st := n.engine.Status(); st.Disconnected != 1 || st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
 		}
 	}
@@ -188,7 +188,7 @@
 		if len(text) == 0 || len(text) > 60 {
 			t.Errorf("%v: the client got %q", errno, text)
 		}
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Held() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Open() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
@@ -243,7 +243,7 @@
 			return &slowConn{Conn: nc, last: last, released: released}, err
 		}
 		rest := io.MultiReader(strings.NewReader(strings.Repeat("x", 5000)), strings.NewReader("the end"))
-		call := engine.NewCall("id", engine.Request{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
+		call := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
 		now := b.clock.Now()
 		a := engine.NewAttempt(call, 0, testHost(b, s.Address()), now, now+testpeer.Limit)
 		end := make(chan engine.Outcome, 1)
@@ -252,14 +252,14 @@
 		testpeer.Until(t, "the connection's end", func() bool { return b.Connections() == 0 })
 		select {
 		case r := <-end:
-			t.Errorf("length %d: ending %d before the writer has told", length, r.Ending)
+			t.Errorf("length %d: ending %d before the writer has told", length, r.Result)
 			close(released)
 			continue
 		case <-time.After(lastBytes + lastBytes/4):
 		}
 		close(released)
-		if r := testpeer.Receive(t, end, "the attempt's end"); r.Ending != balancer.Broken || !r.Spent {
-			t.Errorf("length %d: ending %d, spent %v", length, r.Ending, r.Spent)
+		if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != balancer.ConnectionLost || !r.Spent {
+			t.Errorf("length %d: ending %d, spent %v", length, r.Result, r.Spent)
 		}
 	}
 }
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -45,7 +45,7 @@
 	})
 	const most = 4
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(downstream.Share{Room: 2 * most, Least: most, Spare: 24})
+		n.callers.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
 		n.callers.SetGrace(idleFor(0))
 	})
 	idle := testpeer.Dial(t, n.Addr())
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	set := downstream.New(clock.New(), downstream.Share{Room: 2, Spare: 10}, func() int { return 1 })
+	set := downstream.New(clock.New(), downstream.Share{Capacity: 2, Spare: 10}, func() int { return 1 })
 	f := &Front{callers: set}
 	pair := func() (ours *clientConn, theirs net.Conn) {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
@@ -105,31 +105,31 @@
 			t.Fatal(err)
 		}
 	}
-	a, caller := pair()
+	a, client := pair()
 	b, _ := pair()
 	request := getText("a")
-	say(caller, a, request)
+	say(client, a, request)
 	f.track(a, http.StateNew)
 	f.track(a, http.StateActive)
 	a.takeHead(false) // the front has it
-	say(a, caller, "its answer")
-	say(caller, a, request[:1]) // the next request's first byte
+	say(a, client, "its answer")
+	say(client, a, request[:1]) // the next request's first byte
 	f.track(a, http.StateIdle)
 	f.track(b, http.StateNew) // one too many
-	if a.leaving || !set.Crowded() {
+	if a.leaving || !set.NearLimit() {
 		t.Fatal("a connection with a request on it was let go")
 	}
-	say(caller, a, request[1:])
+	say(client, a, request[1:])
 	a.takeHead(false)
-	say(a, caller, "its answer")
+	say(a, client, "its answer")
 	set.SetGrace(idleFor(testpeer.Limit))
 	f.track(a, http.StateIdle)
-	if a.leaving || !set.Crowded() {
+	if a.leaving || !set.NearLimit() {
 		t.Fatal("a connection idle for a moment only was let go")
 	}
 	set.SetGrace(idleFor(0))
 	f.track(b, http.StateActive)
-	if !a.leaving || set.Crowded() {
+	if !a.leaving || set.NearLimit() {
 		t.Fatal("the idle connection was not let go")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
@@ -137,8 +137,8 @@
 		t.Errorf("the wait goes on: %v", err)
 	}
 	f.track(a, http.StateClosed)
-	if set.Held() != 1 || set.Crowded() {
-		t.Errorf("%d held, crowded %v", set.Held(), set.Crowded())
+	if set.Open() != 1 || set.NearLimit() {
+		t.Errorf("%d held, crowded %v", set.Open(), set.NearLimit())
 	}
 }
 
@@ -147,16 +147,16 @@
 func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(downstream.Share{Room: 8, Least: 4, Spare: 24})
+		n.callers.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
 		n.callers.SetGrace(idleFor(0))
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 12 {
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
+			defer clients.Done()
 			var c net.Conn
 			var br *bufio.Reader
 			for j := range 60 {
@@ -190,7 +190,7 @@
 			}
 		}()
 	}
-	callers.Wait()
+	clients.Wait()
 	for _, id := range s.Requests() {
 		if !answered[id] {
 			t.Errorf("%s was sent to the server, and its caller got no answer", id)
@@ -241,7 +241,7 @@
 			fresh.Close()
 		}
 	}
-	testpeer.Until(t, "the rest to be let go", func() bool { return !n.callers.Crowded() })
+	testpeer.Until(t, "the rest to be let go", func() bool { return !n.callers.NearLimit() })
 }
 
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
@@ -272,7 +272,7 @@
 	round := func(i int) {
 		l := discovery.List{Full: true, Rev: int64(i), Targets: []discovery.Target{{Endpoint: s.Address()}}}
 		l.Targets[0].ID = fmt.Sprint("s", i)
-		n.engine.TakeList(l)
+		n.engine.UpdateList(l)
 		c := testpeer.Dial(t, n.Addr())
 		c.Get(fmt.Sprint("r-", i))
 		c.Want(t, http.StatusOK, "")
@@ -289,7 +289,7 @@
 		b := n.back
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return n.callers.Held() == 0 && len(b.seen) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+		return n.callers.Open() == 0 && len(b.seen) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -227,8 +227,8 @@
 	return errors.ErrUnsupported
 }
 
-// LetGo implements downstream.Conn.
-func (c *clientConn) LetGo() bool {
+// CloseIdle implements downstream.Conn.
+func (c *clientConn) CloseIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.pending() {
--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -269,7 +269,7 @@
 		if known && (t.State != balancer.Ready || t.Host() != old.Host()) {
 			b.dropIdle(old.Host())
 		}
-		if t.State == balancer.Gone {
+		if t.State == balancer.Removed {
 			delete(b.seen, t.ID)
 		}
 	}
@@ -284,8 +284,8 @@
 	}
 }
 
-// LetGo implements engine.Backend.
-func (b *Back) LetGo(h discovery.Host) {
+// CloseIdle implements engine.Backend.
+func (b *Back) CloseIdle(h discovery.Host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dropIdle(h)
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -46,8 +46,8 @@
 }
 
 // NewFront returns a Front that serves nobody before Serve.
-func NewFront(listener string, c clock.Clock, set *downstream.Set, calls *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
-	f := &Front{listener: listener, clock: c, calls: calls, callers: set, figures: count, grace: bodyGrace}
+func NewFront(listener string, c clock.Clock, set *downstream.Set, requests *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
+	f := &Front{listener: listener, clock: c, calls: requests, callers: set, figures: count, grace: bodyGrace}
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadHeaderTimeout:            headTimeout,
@@ -73,8 +73,8 @@
 // SetClosing says whether each answer from now on closes its connection.
 func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
 
-// LetQuietGo closes the connections of callers that ask nothing. It returns how many are left.
-func (f *Front) LetQuietGo() int { return f.callers.LetQuietGo(f) }
+// CloseQuiet closes the connections of callers that ask nothing. It returns how many are left.
+func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
 
 // health tells the front whether to send callers here.
 func (f *Front) health(w http.ResponseWriter, r *http.Request, conn *clientConn) {
@@ -83,7 +83,7 @@
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
 		return
 	case f.draining.Load():
-	case !f.calls.View().Ready():
+	case !f.calls.Snapshot().Ready():
 		f.keep(w, conn)
 	default:
 		f.keep(w, conn)
@@ -118,7 +118,7 @@
 	if r.ContentLength != 0 {
 		rc.SetReadDeadline(time.Now().Add(f.grace))
 	}
-	view := f.calls.View()
+	view := f.calls.Snapshot()
 	head := f.head(r, unframed)
 	in, err := validation.Check(view, &head)
 	if err != nil {
@@ -135,7 +135,7 @@
 	if !coded {                     // what is behind such a body is read by nobody, whoever put it there
 		w.Header().Del("Connection") // write tells whether the answer is the last
 	}
-	in.Call.Gone = conn.hasLeft
+	in.Request.Gone = conn.hasLeft
 	f.figures.Begin()
 	var (
 		more io.Reader
@@ -148,7 +148,7 @@
 		defer rest.end()
 	}
 	if !f.callers.Begin(conn) {
-		f.finish(w, r, in.Class, engine.Answer{Kind: engine.Refused, RetryAfter: view.ComeBack()}, rest)
+		f.finish(w, r, in.Class, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()}, rest)
 		return
 	}
 	c, err := validation.Take(f.calls, view, &head, in, body, more, at)
@@ -163,7 +163,7 @@
 		return
 	}
 	select {
-	case a := <-c.Answer():
+	case a := <-c.Response():
 		f.finish(w, r, in.Class, a, rest)
 	case <-cut:
 		f.leave(c)
@@ -186,15 +186,15 @@
 
 // abandon ends a request whose client has closed its connection, or its sending: nothing more is begun for it. One that
 // still reads is told that it failed; net/http would tell it of an empty success.
-func (f *Front) abandon(w http.ResponseWriter, conn *clientConn, c *engine.Call) {
+func (f *Front) abandon(w http.ResponseWriter, conn *clientConn, c *engine.Request) {
 	f.leave(c)
 	w.Header().Set("Connection", "close")
-	f.write(w, conn, engine.Answer{Kind: engine.Failed})
+	f.write(w, conn, engine.Response{Kind: engine.Failed})
 }
 
 // leave has a call end for a caller that has gone.
-func (f *Front) leave(c *engine.Call) {
-	c.Leave(f.clock.Now())
+func (f *Front) leave(c *engine.Request) {
+	c.Disconnect(f.clock.Now())
 	f.figures.Left()
 }
 
@@ -202,7 +202,7 @@
 var errNotWhole = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
 
 // finish gives a request its answer, also where the rest of its body has not come yet.
-func (f *Front) finish(w http.ResponseWriter, r *http.Request, class string, a engine.Answer, rest *upload) {
+func (f *Front) finish(w http.ResponseWriter, r *http.Request, class string, a engine.Response, rest *upload) {
 	early := rest != nil && !rest.end()
 	if early {
 		w.Header().Set("Connection", "close")
@@ -249,10 +249,10 @@
 }
 
 // reject answers a request that can't be used, or whose listener has gone, with its connection's end.
-func (f *Front) reject(w http.ResponseWriter, conn *clientConn, view *dispatch.View, err error) {
+func (f *Front) reject(w http.ResponseWriter, conn *clientConn, view *dispatch.Snapshot, err error) {
 	var no *validation.Rejected
 	if !errors.As(err, &no) {
-		f.write(w, conn, engine.Answer{Kind: engine.Refused, RetryAfter: view.ComeBack()})
+		f.write(w, conn, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()})
 		return
 	}
 	http.Error(w, no.Reason, no.Status)
@@ -260,13 +260,13 @@
 
 // isLast says that an answer ends its connection. What was read behind its request is answered first, or it would be
 // lost, unless that is too much.
-func (f *Front) isLast(conn *clientConn, a engine.Answer) bool {
+func (f *Front) isLast(conn *clientConn, a engine.Response) bool {
 	may, must := conn.isLast()
-	return must || may && (f.callers.Crowded() || f.closing.Load() || a.Elsewhere)
+	return must || may && (f.callers.NearLimit() || f.closing.Load() || a.Elsewhere)
 }
 
 // write gives the answer to the caller. With an error it was begun and is not whole.
-func (f *Front) write(w http.ResponseWriter, conn *clientConn, a engine.Answer) error {
+func (f *Front) write(w http.ResponseWriter, conn *clientConn, a engine.Response) error {
 	rc := http.NewResponseController(w)
 	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
@@ -292,8 +292,8 @@
 		w.Write(a.Reply.Body)
 		return nil
 	}
-	status, words := validation.Words(a)
-	if a.Kind == engine.Refused && a.NotRun && a.Why != "" { // to a partner's gateway, which must know that nothing ran
+	status, words := validation.Text(a)
+	if a.Kind == engine.Rejected && a.NotRun && a.Why != "" { // to a partner's gateway, which must know that nothing ran
 		h.Set("X-Not-Run", "1")
 		h.Set(RefusedBy, a.Why)
 	}
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -138,7 +138,7 @@
 	})
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = config.Duration(300 * time.Millisecond)
+		cfg.Classes[i].LatencyObjective = config.Duration(300 * time.Millisecond)
 	}
 	n := start(t, cfg, nil)
 	c := testpeer.Dial(t, n.Addr())
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.engine.TakeList(l)
+		n.engine.UpdateList(l)
 		before := s.Opened()
 		testpeer.Until(t, "the list to be taken", func() bool {
 			n.back.mu.Lock()
@@ -365,9 +365,9 @@
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Listeners[0].Paths = c.paths
 		n := start(t, cfg, nil)
-		caller := testpeer.Dial(t, n.Addr())
-		caller.Send(c.method, c.target, "id", "", "60")
-		r, body := caller.Answer(t)
+		client := testpeer.Dial(t, n.Addr())
+		client.Send(c.method, c.target, "id", "", "60")
+		r, body := client.Answer(t)
 		sent := ""
 		if r.StatusCode == 200 {
 			sent = testpeer.Receive(t, got, "the request")
@@ -387,7 +387,7 @@
 		change func(*config.Config)
 		status int
 	}{
-		{"nothing of it changes", func(c *config.Config) { c.Classes[1].Worth = 7 }, 200},
+		{"nothing of it changes", func(c *config.Config) { c.Classes[1].PriorityWeight = 7 }, 200},
 		{"its class is gone", func(c *config.Config) { c.Classes = c.Classes[:1] }, 404},
 		{"its class turns safe", func(c *config.Config) { c.Classes[1].Effect = config.Safe }, 405},
 		{"its class turns keyed", func(c *config.Config) { c.Classes[1].Effect = config.Keyed }, 400},
@@ -401,15 +401,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
-			caller := testpeer.Dial(t, n.Addr())
-			fmt.Fprint(caller, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
+			client := testpeer.Dial(t, n.Addr())
+			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
 			testpeer.Until(t, "its head to be read", func() bool { return n.callers.In(downstream.Reading) > 0 })
 			before := s.Seen()
 			next := testpeer.Config()
 			c.change(next)
 			n.calls.Swap(n.view(t, next), func() {})
-			io.WriteString(caller, "k")
-			r, body := caller.Answer(t)
+			io.WriteString(client, "k")
+			r, body := client.Answer(t)
 			if r.StatusCode != c.status || (s.Seen() > before) != (c.status == 200) {
 				t.Errorf("%d %q, %d reached the server; want %d", r.StatusCode, body, s.Seen()-before, c.status)
 			}
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -80,13 +80,13 @@
 			}
 			client.Close()
 			testpeer.Receive(t, at.gone, "the attempt to be called off")
-			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Held() == 0 })
+			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Open() == 0 })
 			testpeer.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
 				t.Errorf("servers got %q", all)
 			}
-			if s := n.engine.Status(); s.Calls != 1 || s.Gone != 1 {
-				t.Errorf("the engine was given %d requests, %d of them left", s.Calls, s.Gone)
+			if s := n.engine.Status(); s.Requests != 1 || s.Disconnected != 1 {
+				t.Errorf("the engine was given %d requests, %d of them left", s.Requests, s.Disconnected)
 			}
 		})
 	}
@@ -123,7 +123,7 @@
 			case <-stop:
 				return
 			default:
-				n.front.LetQuietGo()
+				n.front.CloseQuiet()
 			}
 		}
 	}()
@@ -199,7 +199,7 @@
 	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	set := downstream.New(clock.New(), downstream.Share{Room: 10, Spare: 10}, func() int { return 0 })
+	set := downstream.New(clock.New(), downstream.Share{Capacity: 10, Spare: 10}, func() int { return 0 })
 	c, err := clientListener{ln, set, new(atomic.Int64)}.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/health_test.go
+++ b/internal/http1/health_test.go
@@ -100,12 +100,12 @@
 // load has callers send both classes, each waiting for its answer, and returns the share served.
 func load(t *testing.T, n *rig, most, each int) float64 {
 	var served atomic.Int64
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range most {
 		c := testpeer.Dial(t, n.Addr())
-		callers.Add(1)
+		clients.Add(1)
 		go func() {
-			defer callers.Done()
+			defer clients.Done()
 			for j := range each {
 				id := fmt.Sprintf("%p-%d-%d", c, i, j)
 				if j%3 == 0 {
@@ -125,7 +125,7 @@
 			}
 		}()
 	}
-	callers.Wait()
+	clients.Wait()
 	return float64(served.Load()) / float64(most*each)
 }
 
@@ -173,7 +173,7 @@
 	}
 	cfg := testConfig(testpeer.Whole(list...))
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = config.Duration(900 * time.Millisecond)
+		cfg.Classes[i].LatencyObjective = config.Duration(900 * time.Millisecond)
 	}
 	n := start(t, cfg, nil)
 	load(t, n, 24, 8)
--- a/internal/http1/opening_test.go
+++ b/internal/http1/opening_test.go
@@ -85,8 +85,8 @@
 	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return b.borrowing() == 1 })
 	release()
 	for range 2 {
-		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Ending != balancer.Success {
-			t.Errorf("ending %d", r.Ending)
+		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Result != balancer.Success {
+			t.Errorf("ending %d", r.Result)
 		}
 	}
 	if s.Opened() != 1 {
@@ -94,8 +94,8 @@
 	}
 	let()
 	testpeer.Until(t, "the late connection to be kept", func() bool { return b.resting() == 2 })
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.Connections() != 2 || b.made != 2 {
-		t.Errorf("ending %d over %d connections, %d made; want two", r.Ending, b.Connections(), b.made)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.Connections() != 2 || b.made != 2 {
+		t.Errorf("ending %d over %d connections, %d made; want two", r.Result, b.Connections(), b.made)
 	}
 }
 
@@ -112,15 +112,15 @@
 	testpeer.Receive(t, dialing, "the second attempt to dial")
 	testpeer.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
 	a.Cancel()
-	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Ending != balancer.Withdrawn {
-		t.Errorf("ending %d", r.Ending)
+	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
+		t.Errorf("ending %d", r.Result)
 	}
 	if b.borrowing() != 0 || b.Connections() != 1 {
 		t.Errorf("%d would borrow, %d connections; want none, 1", b.borrowing(), b.Connections())
 	}
 	release()
-	if r := testpeer.Receive(t, first, "the first answer"); r.Ending != balancer.Success || s.Seen() != 1 {
-		t.Errorf("ending %d, %d requests at the server", r.Ending, s.Seen())
+	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success || s.Seen() != 1 {
+		t.Errorf("ending %d, %d requests at the server", r.Result, s.Seen())
 	}
 }
 
@@ -140,8 +140,8 @@
 	if b.resting() != 1 || b.borrowing() != 0 {
 		t.Errorf("%d rest, %d borrow; want 1, 0", b.resting(), b.borrowing())
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != 1 {
-		t.Errorf("ending %d, %d connections made", r.Ending, b.made)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != 1 {
+		t.Errorf("ending %d, %d connections made", r.Result, b.made)
 	}
 }
 
@@ -173,8 +173,8 @@
 	if b.begin(c, waiter) == nil {
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
-	if r := testpeer.Receive(t, first, "the first answer"); r.Ending != balancer.Success {
-		t.Errorf("ending %d", r.Ending)
+	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success {
+		t.Errorf("ending %d", r.Result)
 	}
 }
 
@@ -186,8 +186,8 @@
 			return true
 		})
 		b := testBackend(10)
-		if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Overloaded || r.Settled != settled {
-			t.Errorf("%q: ending %d, settled %v", header, r.Ending, r.Settled)
+		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
+			t.Errorf("%q: ending %d, settled %v", header, r.Result, r.Settled)
 		}
 	}
 }
--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -328,11 +328,11 @@
 // A caller that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
 // blamed for it.
 func TestAnUploadThatItsCallerCuts(t *testing.T) {
-	begun, whole := make(chan struct{}, 10), make(chan error, 10)
+	begun, complete := make(chan struct{}, 10), make(chan error, 10)
 	ln := raw(t, func(c net.Conn, r *http.Request) {
 		begun <- struct{}{}
 		_, err := io.Copy(io.Discard, r.Body)
-		whole <- err
+		complete <- err
 	})
 	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *rig) { n.front.grace = 300 * time.Millisecond })
 	for _, leaves := range []bool{true, false} {
@@ -348,7 +348,7 @@
 			c.Want(t, http.StatusBadRequest, "")
 			c.WantClosed(t, "an upload that stopped")
 		}
-		if err := testpeer.Receive(t, whole, "the server's end"); err == nil {
+		if err := testpeer.Receive(t, complete, "the server's end"); err == nil {
 			t.Error("the server had it whole")
 		}
 	}
@@ -427,20 +427,20 @@
 	f.Add([]byte("POST / HTTP/1.1\nHost: h\nContent-Length:5\ntransfer-encoding:chunked\n\n0\r\n\r\n"), uint8(7))
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\r\n folded: x\r\n\r\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
-		var whole, pieces headScan
-		whole.feed(text)
+		var complete, pieces headScan
+		complete.feed(text)
 		for rest, n := text, int(size)+1; len(rest) > 0; rest = rest[min(n, len(rest)):] {
 			pieces.feed(rest[:min(n, len(rest))])
 		}
-		if whole.state != pieces.state || whole.length != pieces.length || whole.coding != pieces.coding {
-			t.Fatalf("%q: %+v whole, %+v in pieces of %d", text, whole, pieces, int(size)+1)
+		if complete.state != pieces.state || complete.length != pieces.length || complete.coding != pieces.coding {
+			t.Fatalf("%q: %+v whole, %+v in pieces of %d", text, complete, pieces, int(size)+1)
 		}
 		r, err := http.ReadRequest(testpeer.On(&readConn{Reader: bytes.NewReader(text)}).Reader)
 		if err != nil || len(r.TransferEncoding) == 0 {
 			return
 		}
 		head, _, _ := bytes.Cut(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")), []byte("\n\n"))
-		if !whole.take(true) && bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:")) {
+		if !complete.take(true) && bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:")) {
 			t.Fatalf("%q: a length beside a coding passes", text)
 		}
 	})
--- a/internal/http1/report.go
+++ b/internal/http1/report.go
@@ -37,9 +37,9 @@
 // that has come.
 const askGrace = time.Second
 
-// Ask implements engine.Backend: a GET without an id, on a connection that calls use too. Like any answer, one that comes
+// Poll implements engine.Backend: a GET without an id, on a connection that calls use too. Like any answer, one that comes
 // too late frees its connection; one that does not come closes it.
-func (b *Back) Ask(to discovery.Host, within time.Duration) (busy float64, ok bool) {
+func (b *Back) Poll(to discovery.Host, within time.Duration) (busy float64, ok bool) {
 	b.mu.Lock()
 	path, name := b.limits.AskPath, b.limits.Busy
 	b.mu.Unlock()
@@ -56,7 +56,7 @@
 	defer t.Stop()
 	select {
 	case r := <-got:
-		if r.err != nil || r.Ending != balancer.Success {
+		if r.err != nil || r.Result != balancer.Success {
 			return 0, false
 		}
 		if busy, ok = figure(string(r.Reply.Body), name); !ok && r.Load != nil {
--- a/internal/http1/report_test.go
+++ b/internal/http1/report_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("the report is %+v, want 3 calls held", r.Load)
 	}
 	a := testAttempt(b, s.Address())
-	a.Call.Request.Target = "/note/bad"
+	a.Request.Message.Target = "/note/bad"
 	if r := run(t, b, a); r.Load == nil || r.Load.Busy != 3 {
 		t.Errorf("an error's report is %+v, want 3 calls held", r.Load)
 	}
@@ -94,17 +94,17 @@
 	})
 	b := testBackend(10)
 	to := testHost(b, s.Address())
-	if _, ok := b.Ask(to, testpeer.Limit); ok {
+	if _, ok := b.Poll(to, testpeer.Limit); ok {
 		t.Error("a server was asked though the pool says nothing of it")
 	}
 	asks(b)
 	for range 3 {
-		if busy, ok := b.Ask(to, testpeer.Limit); !ok || busy != 5 {
+		if busy, ok := b.Poll(to, testpeer.Limit); !ok || busy != 5 {
 			t.Errorf("it says %v, %v; want 5", busy, ok)
 		}
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success || b.made != 1 || b.open != 1 {
-		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Ending, b.made, b.open)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != 1 || b.open != 1 {
+		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Result, b.made, b.open)
 	}
 	for _, want := range []string{"/stats ", "/stats ", "/stats ", "/note/k id"} {
 		if got := <-ids; got != want {
@@ -122,7 +122,7 @@
 		return err == nil
 	})
 	b := asks(testBackend(10))
-	if busy, ok := b.Ask(testHost(b, s.Address()), time.Millisecond); ok {
+	if busy, ok := b.Poll(testHost(b, s.Address()), time.Millisecond); ok {
 		t.Errorf("it says %v before it has answered", busy)
 	}
 	close(let)
@@ -133,7 +133,7 @@
 	})
 	b.Close()
 	dead := asks(testBackend(10))
-	if _, ok := dead.Ask(testHost(dead, "127.0.0.1:1"), testpeer.Limit); ok {
+	if _, ok := dead.Poll(testHost(dead, "127.0.0.1:1"), testpeer.Limit); ok {
 		t.Error("nobody listens there, and it answered")
 	}
 }
@@ -146,7 +146,7 @@
 	back := asks(testBackend(10))
 	to := testHost(back, s.Address())
 	for b.Loop() {
-		if _, ok := back.Ask(to, testpeer.Limit); !ok {
+		if _, ok := back.Poll(to, testpeer.Limit); !ok {
 			b.Fatal("no answer")
 		}
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -17,7 +17,7 @@
 // wholeRequest is the text of a request whose body is kept whole. The usual ones are put together here, byte for byte as
 // net/http would, which takes a header, a URL and readers to do so.
 func wholeRequest(a *engine.Attempt, left time.Duration) ([]byte, error) {
-	r := &a.Call.Request
+	r := &a.Request.Message
 	if !isPlain(r) {
 		var out bytes.Buffer
 		err := request(a, left, bytes.NewReader(r.Body)).Write(&out)
@@ -42,13 +42,13 @@
 	text = append(text, "X-Deadline: "...)
 	text = appendDeadline(text, left)
 	text = append(text, "\r\n"...)
-	text = appendField(text, "X-Request-Id", a.Call.ID)
+	text = appendField(text, "X-Request-Id", a.Request.ID)
 	text = append(text, "\r\n"...)
 	return append(text, r.Body...), nil
 }
 
 // isPlain says that a request has nothing that net/http would look at closely.
-func isPlain(r *engine.Request) bool {
+func isPlain(r *engine.Message) bool {
 	return (r.Method == http.MethodGet || r.Method == http.MethodPost) && len(r.Beside) == 0 &&
 		strings.HasPrefix(r.Target, "/") && !strings.HasPrefix(r.Target, "//") && !strings.ContainsFunc(r.Target, isControl)
 }
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -20,7 +20,7 @@
 	}
 	plain := 0
 	for i := range 5000 {
-		r := engine.Request{Method: pick("GET", "GET", "POST", "POST", "PUT", ""), Target: pick("/view", "/note/k?a=b%20c", "/view?\u00e4", "//view", "", "view", "/a b", "/a\x7f", "/\r\nX: y"),
+		r := engine.Message{Method: pick("GET", "GET", "POST", "POST", "PUT", ""), Target: pick("/view", "/note/k?a=b%20c", "/view?\u00e4", "//view", "", "view", "/a b", "/a\x7f", "/\r\nX: y"),
 			Key: value(), ContentType: value(), Body: []byte(pick("", "body", strings.Repeat("b", 3000)))}
 		if draw.IntN(4) == 0 {
 			r.Beside = []engine.Field{{Name: "X-Beside", Value: value()}, {Name: "A-Beside", Value: "a"}}
@@ -29,7 +29,7 @@
 			plain++
 		}
 		left := time.Duration(draw.Int64N(int64(10*time.Second))) - time.Second
-		a := engine.NewAttempt(engine.NewCall(value(), r), 0, discovery.Host{}, 0, 0)
+		a := engine.NewAttempt(engine.NewRequest(value(), r), 0, discovery.Host{}, 0, 0)
 		var want bytes.Buffer
 		wantErr := request(a, left, bytes.NewReader(r.Body)).Write(&want)
 		got, err := wholeRequest(a, left)
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -52,7 +52,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := clock.New()
 	n := &rig{back: newBack(c, cfg.Room/2)}
-	n.callers = downstream.New(c, downstream.Share{Room: cfg.Room, Least: cfg.Room / 4, Spare: 24}, n.back.Connections)
+	n.callers = downstream.New(c, downstream.Share{Capacity: cfg.Room, Minimum: cfg.Room / 4, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
 		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.engine.Hold(list)
+	n.engine.RestoreList(list)
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -80,13 +80,13 @@
 }
 
 // view is a configuration over the rig's one engine.
-func (n *rig) view(t testing.TB, cfg *config.Config) *dispatch.View {
+func (n *rig) view(t testing.TB, cfg *config.Config) *dispatch.Snapshot {
 	t.Helper()
 	engines := map[string]*engine.Engine{}
 	for _, p := range cfg.Pools {
 		engines[p.Name] = n.engine
 	}
-	v, err := dispatch.NewView(cfg, engines)
+	v, err := dispatch.NewSnapshot(cfg, engines)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,5 +102,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.engine.TakeList(list)
+	n.engine.UpdateList(list)
 }
--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -72,11 +72,11 @@
 // upload sends a call whose body still comes, as it comes. Its time runs from the last byte on. An answer that
 // comes before that ends it: whatever it says, it is no answer to the whole.
 func (b *Back) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
-	rest := &watched{Reader: a.Call.Request.Rest, left: a.Call.Request.Length - int64(len(a.Call.Request.Body))}
-	body := io.MultiReader(bytes.NewReader(a.Call.Request.Body), rest)
-	if a.Call.IsLeft(b.clock.Now) {
+	rest := &watched{Reader: a.Request.Message.Rest, left: a.Request.Message.Length - int64(len(a.Request.Message.Body))}
+	body := io.MultiReader(bytes.NewReader(a.Request.Message.Body), rest)
+	if a.Request.IsLeft(b.clock.Now) {
 		b.giveUp(c, waiter)
-		return engine.Outcome{Ending: balancer.Withdrawn}
+		return engine.Outcome{Result: balancer.Cancelled}
 	}
 	done := make(chan error, 1)
 	go func() { done <- request(a, a.Deadline-a.Sent, body).Write(paced{c}) }()
@@ -85,7 +85,7 @@
 		written bool
 		late    atomic.Bool
 	)
-	whole := func() {
+	complete := func() {
 		written = true
 		c.SetWriteDeadline(time.Time{})
 		b.wrote(c)
@@ -99,19 +99,19 @@
 		if err != nil {
 			b.giveUp(c, waiter)
 		} else {
-			whole()
+			complete()
 		}
 		got = <-waiter
 	case got = <-waiter:
 		select {
 		case err := <-done:
 			if err == nil {
-				whole()
+				complete()
 			}
 		case <-time.After(lastBytes):
 			// Only the writer can tell whether the last byte left. The connection is closed by now, which ends its write.
 			if got.err != nil && rest.all() && <-done == nil {
-				whole()
+				complete()
 			}
 		}
 	}
@@ -126,19 +126,19 @@
 		if got.Reply.Rest != nil {
 			got.Reply.Rest.Close()
 		}
-		if out.Ending == balancer.Success {
-			out = engine.Outcome{Ending: balancer.Failure}
+		if out.Result == balancer.Success {
+			out = engine.Outcome{Result: balancer.Failure}
 		}
 	case a.Withdrawn():
-		out.Ending = balancer.Withdrawn
+		out.Result = balancer.Cancelled
 	case cut:
-		out.Ending = balancer.Void
+		out.Result = balancer.NotStarted
 	case !written:
-		out.Ending = balancer.Unreachable
+		out.Result = balancer.Unreachable
 	case late.Load():
-		out.Ending = balancer.TimedOut
+		out.Result = balancer.TimedOut
 	default:
-		out.Ending = balancer.Broken
+		out.Result = balancer.ConnectionLost
 	}
 	out.Spent = used
 	return out
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (s *stream) end(whole bool) {
+func (s *stream) end(complete bool) {
 	if s.over {
 		return
 	}
@@ -59,7 +59,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.conn.passed = false
-	if !whole || !s.keep || s.conn.br.Buffered() > 0 || s.conn.dead {
+	if !complete || !s.keep || s.conn.br.Buffered() > 0 || s.conn.dead {
 		b.drop(s.conn)
 		return
 	}
--- a/internal/http1/syscall_test.go
+++ b/internal/http1/syscall_test.go
@@ -51,17 +51,17 @@
 		{syscall.ENETUNREACH, false},
 	} {
 		for failures, want := range map[int32]struct {
-			ending balancer.Ending
+			ending balancer.Result
 			dials  int32
-		}{1: {balancer.Success, 2}, 1 << 30: {balancer.Void, mostDials}} {
+		}{1: {balancer.Success, 2}, 1 << 30: {balancer.NotStarted, mostDials}} {
 			if !c.own {
 				want.ending, want.dials = balancer.Unreachable, 1
 			}
 			b := testBackend(10)
 			dials := failingDial(b, c.errno, failures)
 			r := run(t, b, testAttempt(b, s.Address()))
-			if r.Ending != want.ending || dials.Load() != want.dials {
-				t.Errorf("%v %d times: ending %d after %d dials; want %d after %d", c.errno, failures, r.Ending, dials.Load(), want.ending, want.dials)
+			if r.Result != want.ending || dials.Load() != want.dials {
+				t.Errorf("%v %d times: ending %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.ending, want.dials)
 			}
 			b.Close()
 			if b.Connections() != 0 || b.share.Used() != 0 {
@@ -77,8 +77,8 @@
 	dials := failingDial(b, syscall.ENOMEM, 1<<30)
 	a := testAttempt(b, "127.0.0.1:1")
 	a.Deadline = a.Sent + dialPause/2
-	if r := run(t, b, a); r.Ending != balancer.Void || dials.Load() != 1 || b.Connections() != 0 {
-		t.Errorf("ending %d after %d dials, %d connections", r.Ending, dials.Load(), b.Connections())
+	if r := run(t, b, a); r.Result != balancer.NotStarted || dials.Load() != 1 || b.Connections() != 0 {
+		t.Errorf("ending %d after %d dials, %d connections", r.Result, dials.Load(), b.Connections())
 	}
 }
 
@@ -97,14 +97,14 @@
 }
 
 // receiving has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
-func receiving(errnos ...syscall.Errno) (receive receiver, calls *atomic.Int32) {
-	calls = new(atomic.Int32)
+func receiving(errnos ...syscall.Errno) (receive receiver, requests *atomic.Int32) {
+	requests = new(atomic.Int32)
 	return func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
-		if n := int(calls.Add(1)); n <= len(errnos) {
+		if n := int(requests.Add(1)); n <= len(errnos) {
 			return -1, nil, errnos[n-1]
 		}
 		return syscall.Recvfrom(fd, p, flags)
-	}, calls
+	}, requests
 }
 
 // tcpPair is a connection's two ends.
@@ -161,11 +161,11 @@
 			io.WriteString(theirs, "x")
 			testpeer.Until(t, "the byte to arrive", func() bool { return spoken(ours) })
 		}
-		receive, calls := receiving(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
+		receive, requests := receiving(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
 		ready := make(chan struct{})
 		go func() { awaitBytes(ours, receive); close(ready) }()
 		if !before {
-			testpeer.Until(t, "the looks that fail, and one that does not", func() bool { return calls.Load() == 4 })
+			testpeer.Until(t, "the looks that fail, and one that does not", func() bool { return requests.Load() == 4 })
 			select {
 			case <-ready:
 				t.Fatal("the wait ended without a byte")
@@ -174,8 +174,8 @@
 			io.WriteString(theirs, "x")
 		}
 		testpeer.Receive(t, ready, "the wait's end")
-		if calls.Load() < 4 {
-			t.Errorf("it ended after %d looks", calls.Load())
+		if requests.Load() < 4 {
+			t.Errorf("it ended after %d looks", requests.Load())
 		}
 	}
 }
@@ -192,15 +192,15 @@
 		}
 		return syscall.Recvfrom(fd, p, flags)
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success {
-		t.Fatalf("ending %d", r.Ending)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+		t.Fatalf("ending %d", r.Result)
 	}
 	short.Store(true)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Void || b.Connections() != 0 || s.Seen() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Ending, b.Connections(), s.Seen())
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.NotStarted || b.Connections() != 0 || s.Seen() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Result, b.Connections(), s.Seen())
 	}
 	short.Store(false)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Ending != balancer.Success {
-		t.Errorf("after the shortage: ending %d", r.Ending)
+	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+		t.Errorf("after the shortage: ending %d", r.Result)
 	}
 }
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -80,7 +80,7 @@
 
 // end has nobody read any more, and tells whether all had come. Who waits for bytes now does no longer, and the
 // connection is of no further use then.
-func (u *upload) end() (whole bool) {
+func (u *upload) end() (complete bool) {
 	free := u.mu.TryLock()
 	if !free {
 		u.body.rc.SetReadDeadline(time.Unix(1, 0))
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -46,7 +46,7 @@
 	listensBit = 0x08
 )
 
-// Encode writes a message with the tag of a key. It never is longer than MaxDatagram where the updates are within MostBytes.
+// Encode writes a message with the tag of a key. It never is longer than MaxDatagram where the updates are within MaxBytes.
 func Encode(m Message, key []byte) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, version, byte(m.Kind))
@@ -63,7 +63,7 @@
 	}
 	for _, u := range m.Updates {
 		b = binary.BigEndian.AppendUint64(b, uint64(u.ID))
-		b = binary.BigEndian.AppendUint32(b, u.Life)
+		b = binary.BigEndian.AppendUint32(b, u.Incarnation)
 		flags := byte(u.Status)
 		if u.Peer != nil {
 			flags |= peerBit
@@ -81,7 +81,7 @@
 			text(p.Zone)
 			text(string(p.Addr.Addr().Unmap().AsSlice()))
 			b = binary.BigEndian.AppendUint16(b, p.Addr.Port())
-			b = binary.BigEndian.AppendUint32(b, u.PeerLife)
+			b = binary.BigEndian.AppendUint32(b, u.PeerIncarnation)
 		}
 	}
 	return Seal(b, key)
@@ -105,8 +105,8 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// MaxLife is the last life of a member; a word of a later one is malformed, so that none can be put beyond an answer.
-const MaxLife = 1<<31 - 1
+// MaxIncarnation is the last life of a member; a word of a later one is malformed, so that none can be put beyond an answer.
+const MaxIncarnation = 1<<31 - 1
 
 // Errors of a datagram. Nothing of one that has an error is used.
 var (
@@ -175,8 +175,8 @@
 }
 
 func (r *reader) update() Update {
-	u := Update{ID: ID(binary.BigEndian.Uint64(r.take(8))), Life: binary.BigEndian.Uint32(r.take(4))}
-	r.bad = r.bad || u.Life > MaxLife
+	u := Update{ID: ID(binary.BigEndian.Uint64(r.take(8))), Incarnation: binary.BigEndian.Uint32(r.take(4))}
+	r.bad = r.bad || u.Incarnation > MaxIncarnation
 	flags := r.take(1)[0]
 	u.Status = Status(flags & statusBits)
 	if u.Status == Suspect {
@@ -189,9 +189,9 @@
 	p := Peer{Name: r.text(MaxName), Region: r.text(MaxPlace), Zone: r.text(MaxPlace), Listens: flags&listensBit != 0}
 	addr, ok := netip.AddrFromSlice([]byte(r.text(16)))
 	p.Addr = netip.AddrPortFrom(addr, binary.BigEndian.Uint16(r.take(2)))
-	u.PeerLife = binary.BigEndian.Uint32(r.take(4))
+	u.PeerIncarnation = binary.BigEndian.Uint32(r.take(4))
 	// A word must be of the member that it names: one peer cannot make another of it.
-	r.bad = r.bad || !ok || u.PeerLife > u.Life || p.Name == "" || IDOf(p.Name) != u.ID || flags&^(statusBits|peerBit|listensBit) != 0
+	r.bad = r.bad || !ok || u.PeerIncarnation > u.Incarnation || p.Name == "" || IDOf(p.Name) != u.ID || flags&^(statusBits|peerBit|listensBit) != 0
 	u.Peer = &p
 	return u
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -16,13 +16,13 @@
 		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), Listens: true}
 	short := Peer{Name: "a", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
 	m := Message{Kind: Ack, From: IDOf("me"), Seq: 1 << 31, About: 7, Sum: 1 << 63, Updates: []Update{
-		{ID: IDOf(long.Name), Life: 1<<31 - 1, Status: Suspect, By: IDOf("a"), Peer: &long},
-		{ID: IDOf("a"), Life: 3, Status: Left, Peer: &short},
-		{ID: 5, Status: Dead}, {ID: 6, Life: 1}}}
+		{ID: IDOf(long.Name), Incarnation: 1<<31 - 1, Status: Suspect, By: IDOf("a"), Peer: &long},
+		{ID: IDOf("a"), Incarnation: 3, Status: Left, Peer: &short},
+		{ID: 5, Status: Dead}, {ID: 6, Incarnation: 1}}}
 	return m
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	m := full()
 	b := Encode(m, key)
 	got, err := Decode(b, key)
@@ -33,14 +33,14 @@
 	for _, u := range m.Updates {
 		room += size(u)
 	}
-	if len(b) != headSize+room+tagSize || headSize+MostBytes+tagSize > MaxDatagram {
-		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), room, headSize+MostBytes+tagSize)
+	if len(b) != headSize+room+tagSize || headSize+MaxBytes+tagSize > MaxDatagram {
+		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), room, headSize+MaxBytes+tagSize)
 	}
 }
 
 // A datagram of another cluster, of another version, cut short, with a bit turned or with a word of one member under
 // another's name is refused whole.
-func TestDatagramsAreRefusedWhole(t *testing.T) {
+func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := Encode(full(), key)
 	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrStrange) {
 		t.Errorf("another cluster's: %v", err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,9 +12,9 @@
 //     restart under the same name, answers with a later life. While it lives and its words get through, it is alive for
 //     all in the end.
 //   - A member that has stopped is suspected by whoever probes it next and finds neither it nor anybody who reaches it,
-//     and dead for all at most MostSuspicion after that, plus the time that a word takes to spread.
+//     and dead for all at most MaxSuspicion after that, plus the time that a word takes to spread.
 //   - Whatever the number of members, a node sends at most 1 + Indirect pings a period beside its answers, and messages
-//     hold MostBytes at most.
+//     hold MaxBytes at most.
 package membership
 
 import (
@@ -70,13 +70,13 @@
 
 // Update is a word of one member.
 type Update struct {
-	ID     ID
-	Life   uint32
-	Status Status
-	By     ID    // for Suspect: who suspects; one voice each
-	Peer   *Peer // nil: as known
+	ID          ID
+	Incarnation uint32
+	Status      Status
+	By          ID    // for Suspect: who suspects; one voice each
+	Peer        *Peer // nil: as known
 
-	PeerLife uint32 // in which Peer was so
+	PeerIncarnation uint32 // in which Peer was so
 }
 
 // Kind says what a message is for.
@@ -109,8 +109,8 @@
 	Message
 }
 
-// MostBytes is what the updates of a message take at most, as the codec writes them.
-const MostBytes = 200
+// MaxBytes is what the updates of a message take at most, as the codec writes them.
+const MaxBytes = 200
 
 // Options are a fleet's, the same at all members.
 type Options struct {
@@ -141,38 +141,38 @@
 		return fmt.Errorf("members: suspicion %v, stretch %v; allowed: 1 to 100", o.Suspicion, o.Stretch)
 	case o.Spread < 1 || o.Spread > 100 || o.Near < 1 || o.Near > 100:
 		return fmt.Errorf("members: spread %d, near %d; allowed: 1 to 100", o.Spread, o.Near)
-	case o.Forget < o.MostSuspicion(2):
-		return fmt.Errorf("members: forget %v; allowed: %v or more, or a suspicion outlasts it", o.Forget, o.MostSuspicion(2))
+	case o.Forget < o.MaxSuspicion(2):
+		return fmt.Errorf("members: forget %v; allowed: %v or more, or a suspicion outlasts it", o.Forget, o.MaxSuspicion(2))
 	}
 	return nil
 }
 
-// LeastSuspicion and MostSuspicion are how long a suspicion lasts among n members, with all confirmations and with none.
-func (o Options) LeastSuspicion(n int) time.Duration {
+// MinSuspicion and MaxSuspicion are how long a suspicion lasts among n members, with all confirmations and with none.
+func (o Options) MinSuspicion(n int) time.Duration {
 	return time.Duration(o.Suspicion * max(1, math.Log10(float64(n))) * float64(o.Period))
 }
 
-// MostSuspicion is the longest that one lasts.
-func (o Options) MostSuspicion(n int) time.Duration {
-	return time.Duration(o.Stretch * float64(o.LeastSuspicion(n)))
+// MaxSuspicion is the longest that one lasts.
+func (o Options) MaxSuspicion(n int) time.Duration {
+	return time.Duration(o.Stretch * float64(o.MinSuspicion(n)))
 }
 
-// mostIll bounds the count of own ill health, by which periods and timeouts stretch (Lifeguard).
-const mostIll = 8
+// maxHealthScore bounds the count of own ill health, by which periods and timeouts stretch (Lifeguard).
+const maxHealthScore = 8
 
 // member is what is held of one.
 type member struct {
 	ID
 	Peer
-	life   uint32
-	told   uint32 // in which life its Peer was as it is held
-	carry  bool   // its Peer goes with words of it, for it is news
-	status Status
-	since  time.Duration // when it came to this status here
-	heard  time.Duration // last message from it
-	voices []ID          // that suspect it, in their order
-	sent   int           // times that the word of it went out
-	last   time.Duration // until when it may answer a last ping; 0: it was sent none
+	incarnation uint32
+	notified    uint32 // in which life its Peer was as it is held
+	carry       bool   // its Peer goes with words of it, for it is news
+	status      Status
+	since       time.Duration // when it came to this status here
+	heard       time.Duration // last message from it
+	voices      []ID          // that suspect it, in their order
+	sent        int           // times that the word of it went out
+	last        time.Duration // until when it may answer a last ping; 0: it was sent none
 }
 
 // probe is the one under way.
@@ -195,25 +195,25 @@
 
 // Machine is one node's view. Its methods belong to one goroutine.
 type Machine struct {
-	o       Options
-	self    Peer
-	id      ID
-	life    uint32
-	left    bool
-	seed    uint64
-	draws   uint64
-	now     time.Duration
-	members []*member // all others, in the order of their IDs
-	order   []ID      // still to be probed this round
-	probe   probe
-	next    time.Duration // the next period
-	relays  []relay
-	seq     uint32
-	ill     int
-	own     int // times that the own word went out
-	pulling time.Duration
-	out     []Packet
-	behind  []ID // of whom the sender of what is being answered knows less than this node
+	o           Options
+	self        Peer
+	id          ID
+	incarnation uint32
+	left        bool
+	seed        uint64
+	draws       uint64
+	now         time.Duration
+	members     []*member // all others, in the order of their IDs
+	order       []ID      // still to be probed this round
+	probe       probe
+	next        time.Duration // the next period
+	relays      []relay
+	seq         uint32
+	ill         int
+	own         int // times that the own word went out
+	pulling     time.Duration
+	out         []Packet
+	behind      []ID // of whom the sender of what is being answered knows less than this node
 
 	changes int
 
@@ -263,7 +263,7 @@
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From = m.id
 	if msg.Kind != Page {
-		msg.Updates = m.words(to, MostBytes-4*len(msg.Sums))
+		msg.Updates = m.words(to, MaxBytes-4*len(msg.Sums))
 	}
 	m.out = append(m.out, Packet{to, msg})
 }
@@ -331,17 +331,17 @@
 
 // word is what this node says of itself.
 func (m *Machine) word() Update {
-	u := Update{ID: m.id, Life: m.life, Peer: &m.self, PeerLife: m.life}
+	u := Update{ID: m.id, Incarnation: m.incarnation, Peer: &m.self, PeerIncarnation: m.incarnation}
 	if m.left {
 		u.Status = Left
 	}
 	return u
 }
 
-func (k *member) update(whole bool) Update {
-	u := Update{ID: k.ID, Life: k.life, Status: k.status}
-	if whole {
-		u.Peer, u.PeerLife = &k.Peer, k.told
+func (k *member) update(complete bool) Update {
+	u := Update{ID: k.ID, Incarnation: k.incarnation, Status: k.status}
+	if complete {
+		u.Peer, u.PeerIncarnation = &k.Peer, k.notified
 	}
 	if k.status == Suspect && len(k.voices) > 0 {
 		u.By = k.voices[k.sent%len(k.voices)] // each goes round
@@ -372,7 +372,7 @@
 		return k.last
 	}
 	n := m.living()
-	least, most := float64(m.o.LeastSuspicion(n)), float64(m.o.MostSuspicion(n))
+	least, most := float64(m.o.MinSuspicion(n)), float64(m.o.MaxSuspicion(n))
 	wanted := float64(min(m.o.Indirect, n-2))
 	lasts := least
 	if wanted >= 1 {
@@ -393,7 +393,7 @@
 		case k.last == 0:
 			m.lastChance(k)
 		default:
-			m.hold(k, k.life, Dead)
+			m.hold(k, k.incarnation, Dead)
 		}
 	}
 	m.members = slices.DeleteFunc(m.members, func(k *member) bool {
@@ -459,7 +459,7 @@
 	if m.probe.running {
 		// Where others could be asked and say that they have no answer either, it is not this node that is ill.
 		if m.probe.nacks == 0 {
-			m.ill = min(mostIll, m.ill+1)
+			m.ill = min(maxHealthScore, m.ill+1)
 		}
 		if k := m.get(m.probe.of); k != nil && k.status <= Suspect {
 			m.suspect(k, m.id)
@@ -479,7 +479,7 @@
 
 // Bounds of gossip.
 const (
-	mostGossip = 6 // messages a period beside probes
+	maxGossip  = 6 // messages a period beside probes
 	aboutWords = 9 // that a message holds
 )
 
@@ -495,7 +495,7 @@
 			to = append(to, k)
 		}
 	}
-	for range min(mostGossip, waiting/aboutWords, len(to)) {
+	for range min(maxGossip, waiting/aboutWords, len(to)) {
 		m.send(to[m.draw(len(to))].Addr, Message{Kind: Ping})
 	}
 }
@@ -557,7 +557,7 @@
 	for _, u := range msg.Updates {
 		m.take(u, u.ID == msg.From)
 		// Who spreads what is over is told so, as far as it is answered.
-		if k := m.get(u.ID); k != nil && u.Status != Alive && u.Life < k.life {
+		if k := m.get(u.ID); k != nil && u.Status != Alive && u.Incarnation < k.incarnation {
 			m.behind = append(m.behind, u.ID)
 		}
 	}
@@ -619,14 +619,14 @@
 	m.send(from, Message{Kind: Pull, About: at, Sums: m.sums()})
 }
 
-// mostPages go out for one Pull.
-const mostPages = 4
+// maxPages go out for one Pull.
+const maxPages = 4
 
 // page sends a part of the list, from an ID on: of the buckets in which the other holds something else.
 func (m *Machine) page(to netip.AddrPort, at ID, sums []uint32) {
 	own := m.sums()
 	msg, pages := Message{Kind: Page}, 1
-	room := MostBytes
+	room := MaxBytes
 	if at == 0 {
 		msg.Updates = append(msg.Updates, m.word())
 		room -= size(msg.Updates[0])
@@ -636,13 +636,13 @@
 			continue
 		}
 		u := k.update(true)
-		if room -= size(u); room < 0 && pages == mostPages {
+		if room -= size(u); room < 0 && pages == maxPages {
 			msg.About = k.ID
 			break
 		} else if room < 0 {
 			m.send(to, msg)
 			pages++
-			msg, room = Message{Kind: Page}, MostBytes-size(u)
+			msg, room = Message{Kind: Page}, MaxBytes-size(u)
 		}
 		msg.Updates = append(msg.Updates, u)
 	}
@@ -655,15 +655,17 @@
 func bucket(id ID) int { return int(id >> 59) }
 
 // stamp is of one member in a life.
-func stamp(id ID, life uint32) uint64 { return splitmix.Mix(uint64(id) ^ uint64(life)*splitmix.Golden) }
+func stamp(id ID, incarnation uint32) uint64 {
+	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
+}
 
 // sums are as sum, by bucket.
 func (m *Machine) sums() []uint32 {
 	s := make([]uint32, Buckets)
-	s[bucket(m.id)] = uint32(stamp(m.id, m.life))
+	s[bucket(m.id)] = uint32(stamp(m.id, m.incarnation))
 	for _, k := range m.members {
 		if k.status <= Suspect {
-			s[bucket(k.ID)] ^= uint32(stamp(k.ID, k.life))
+			s[bucket(k.ID)] ^= uint32(stamp(k.ID, k.incarnation))
 		}
 	}
 	return s
@@ -672,10 +674,10 @@
 // sum is alike at nodes that hold the same members for alive, at the same lives: dead ones are forgotten at different
 // times, and suspicions pass by themselves. Never 0.
 func (m *Machine) sum() uint64 {
-	s := stamp(m.id, m.life)
+	s := stamp(m.id, m.incarnation)
 	for _, k := range m.members {
 		if k.status <= Suspect {
-			s ^= stamp(k.ID, k.life)
+			s ^= stamp(k.ID, k.incarnation)
 		}
 	}
 	return max(1, s)
@@ -684,13 +686,13 @@
 // take merges a word. own: it comes from whom it is of, who knows best where that is.
 func (m *Machine) take(u Update, own bool) {
 	if u.ID == m.id {
-		if u.Life < MaxLife && (u.Life > m.life || u.Life == m.life && u.Status != Alive) {
-			if u.Life > m.life {
+		if u.Incarnation < MaxIncarnation && (u.Incarnation > m.incarnation || u.Incarnation == m.incarnation && u.Status != Alive) {
+			if u.Incarnation > m.incarnation {
 				m.Twins++
 			}
-			m.life, m.own = u.Life+1, 0
+			m.incarnation, m.own = u.Incarnation+1, 0
 			m.changes++
-		} else if u.Life < m.life && u.Status != Alive {
+		} else if u.Incarnation < m.incarnation && u.Status != Alive {
 			m.own = min(m.own, m.most()-1) // who accuses a life that is over is told of this one
 		}
 		return
@@ -701,7 +703,7 @@
 			return // nobody can be told of it
 		}
 		i, _ := m.find(u.ID)
-		k = &member{ID: u.ID, Peer: *u.Peer, told: u.PeerLife, carry: true, life: u.Life, status: u.Status, since: m.now}
+		k = &member{ID: u.ID, Peer: *u.Peer, notified: u.PeerIncarnation, carry: true, incarnation: u.Incarnation, status: u.Status, since: m.now}
 		if u.Status == Suspect {
 			k.voices = []ID{u.By}
 		}
@@ -709,43 +711,43 @@
 		m.changes++
 		return
 	}
-	if u.Peer != nil && (u.PeerLife > k.told || own && u.PeerLife == k.told) {
-		if k.told = u.PeerLife; k.Peer != *u.Peer {
+	if u.Peer != nil && (u.PeerIncarnation > k.notified || own && u.PeerIncarnation == k.notified) {
+		if k.notified = u.PeerIncarnation; k.Peer != *u.Peer {
 			k.Peer, k.carry, k.sent = *u.Peer, true, 0
 			m.changes++
 		}
 	}
 	switch {
-	case u.Life > k.life || u.Life == k.life && u.Status > k.status:
+	case u.Incarnation > k.incarnation || u.Incarnation == k.incarnation && u.Status > k.status:
 		switch {
 		case u.Status == Suspect:
-			m.hold(k, u.Life, Alive)
+			m.hold(k, u.Incarnation, Alive)
 			m.suspect(k, u.By)
 		case u.Status == Dead && k.status <= Suspect:
-			if u.Life > k.life || k.status == Alive {
-				m.hold(k, u.Life, Suspect)
+			if u.Incarnation > k.incarnation || k.status == Alive {
+				m.hold(k, u.Incarnation, Suspect)
 			}
 			if k.last == 0 {
 				m.lastChance(k)
 			}
 		default:
-			m.hold(k, u.Life, u.Status)
+			m.hold(k, u.Incarnation, u.Status)
 		}
-	case u.Life == k.life && u.Status == Suspect && k.status == Suspect:
+	case u.Incarnation == k.incarnation && u.Status == Suspect && k.status == Suspect:
 		m.suspect(k, u.By)
 	}
 }
 
 // hold has a member be of a life and a status from now on.
-func (m *Machine) hold(k *member, life uint32, s Status) {
-	k.life, k.status, k.since, k.sent, k.last, k.carry, k.voices = life, s, m.now, 0, 0, false, nil
+func (m *Machine) hold(k *member, incarnation uint32, s Status) {
+	k.incarnation, k.status, k.since, k.sent, k.last, k.carry, k.voices = incarnation, s, m.now, 0, 0, false, nil
 	m.changes++
 }
 
 // suspect adds a voice against a member. A few are enough: more would end the suspicion no sooner.
 func (m *Machine) suspect(k *member, by ID) {
 	if k.status == Alive {
-		m.hold(k, k.life, Suspect)
+		m.hold(k, k.incarnation, Suspect)
 	}
 	if i, known := slices.BinarySearch(k.voices, by); !known && len(k.voices) <= m.o.Indirect {
 		k.voices = slices.Insert(k.voices, i, by)
@@ -775,17 +777,17 @@
 // Member is what is told of one.
 type Member struct {
 	Peer
-	ID     ID
-	Life   uint32
-	Status Status
-	Since  time.Duration // time of this node's clock when it came to this status here
-	Heard  time.Duration // and when a message from it came last; 0: never
+	ID          ID
+	Incarnation uint32
+	Status      Status
+	Since       time.Duration // time of this node's clock when it came to this status here
+	Heard       time.Duration // and when a message from it came last; 0: never
 }
 
 // Members are all that are known but the node itself, in the order of their IDs.
 func (m *Machine) Members() (out []Member) {
 	for _, k := range m.members {
-		out = append(out, Member{k.Peer, k.ID, k.life, k.status, k.since, k.heard})
+		out = append(out, Member{k.Peer, k.ID, k.incarnation, k.status, k.since, k.heard})
 	}
 	return out
 }
@@ -794,7 +796,7 @@
 func (m *Machine) Changes() int { return m.changes }
 
 // Self is the node's own ID and life.
-func (m *Machine) Self() (ID, uint32) { return m.id, m.life }
+func (m *Machine) Self() (ID, uint32) { return m.id, m.incarnation }
 
 // Health is 0 where all is well with the node itself, up to 8.
 func (m *Machine) Health() int { return m.ill }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,14 +15,14 @@
 	now      time.Duration
 	machines map[netip.AddrPort]*Machine
 	order    []netip.AddrPort
-	flying   []letter
+	flying   []datagram
 	cut      func(from, to netip.AddrPort) bool
 	loss     float64
 	sent     map[netip.AddrPort]int
 	paused   map[netip.AddrPort]bool
 }
 
-type letter struct {
+type datagram struct {
 	at       time.Duration
 	from, to netip.AddrPort
 	data     []byte
@@ -69,7 +69,7 @@
 		if w.cut != nil && w.cut(from, p.To) || w.rng.Float64() < w.loss {
 			continue
 		}
-		w.flying = append(w.flying, letter{w.now + time.Duration(1+w.rng.IntN(20))*time.Millisecond, from, p.To, data})
+		w.flying = append(w.flying, datagram{w.now + time.Duration(1+w.rng.IntN(20))*time.Millisecond, from, p.To, data})
 	}
 }
 
@@ -132,13 +132,13 @@
 
 // Given sixty nodes that know three seeds, all know all within half a minute; one that dies is dead for all within the
 // bound on suspicion and the time that a word takes; nobody else is doubted.
-func TestAllLearnOfAllAndOfADeath(t *testing.T) {
+func TestMembershipConvergesAndDetectsDeath(t *testing.T) {
 	const n = 60
 	w := newWorld(t, n, 1)
 	w.run(30 * time.Second)
 	w.allAlive(n, "after 30 s")
 	w.machines[addrOf(7)] = nil
-	w.run(Defaults().MostSuspicion(n) + 15*time.Second)
+	w.run(Defaults().MaxSuspicion(n) + 15*time.Second)
 	for i := range n {
 		h := w.held(i)
 		switch {
@@ -151,13 +151,13 @@
 }
 
 // Under the same name again, remembering nothing: it has a later life than before, for all.
-func TestALifeSurvivesARestart(t *testing.T) {
+func TestIncarnationSurvivesRestart(t *testing.T) {
 	const n = 12
 	w := newWorld(t, n, 2)
 	w.run(20 * time.Second)
 	for range 3 {
 		w.machines[addrOf(5)] = nil
-		w.run(Defaults().MostSuspicion(n) + 10*time.Second)
+		w.run(Defaults().MaxSuspicion(n) + 10*time.Second)
 		if h := w.held(5); h[Dead] != n-1 {
 			t.Fatalf("stopped, it is held by %v", h)
 		}
@@ -167,13 +167,13 @@
 			t.Fatalf("back, it is held by %v", h)
 		}
 	}
-	if _, life := w.machines[addrOf(5)].Self(); life != 3 {
-		t.Errorf("after three deaths its life is %d", life)
+	if _, incarnation := w.machines[addrOf(5)].Self(); incarnation != 3 {
+		t.Errorf("after three deaths its life is %d", incarnation)
 	}
 }
 
 // A fifth of all messages lost, and nobody stopped: doubts come up and are answered, and hardly anybody is held for dead.
-func TestLossesKillNobody(t *testing.T) {
+func TestPacketLossCausesNoFalseDeath(t *testing.T) {
 	const n = 30
 	w := newWorld(t, n, 3)
 	w.run(20 * time.Second)
@@ -195,13 +195,13 @@
 
 // Two halves that hear nothing of one another hold each other for dead, and are one fleet again afterwards though nobody
 // was restarted.
-func TestTwoHalvesBecomeOne(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	const n = 20
 	w := newWorld(t, n, 4)
 	w.run(20 * time.Second)
 	half := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
 	w.cut = func(from, to netip.AddrPort) bool { return half(from) != half(to) }
-	w.run(Defaults().MostSuspicion(n) + 30*time.Second)
+	w.run(Defaults().MaxSuspicion(n) + 30*time.Second)
 	for i := range n {
 		if h := w.held(i); h[Dead] != n/2 || h[Alive] != n/2-1 {
 			t.Fatalf("cut in halves, %s is held by %v", nameOf(i), h)
@@ -213,7 +213,7 @@
 }
 
 // One way: a node hears others and is not heard by half of them. Whoever reaches it speaks for it.
-func TestACutOfOneWayIsBridgedByOthers(t *testing.T) {
+func TestOneWayPartitionIsBridgedByIndirectProbes(t *testing.T) {
 	const n = 20
 	w := newWorld(t, n, 5)
 	w.run(20 * time.Second)
@@ -226,12 +226,12 @@
 
 // A node that slept through its own death answers it once it is awake, and does not hold the others for dead on account
 // of its own sleep: its health stretches its patience.
-func TestASleeperWakes(t *testing.T) {
+func TestSuspendedNodeRejoins(t *testing.T) {
 	const n = 16
 	w := newWorld(t, n, 6)
 	w.run(20 * time.Second)
 	w.paused[addrOf(4)] = true
-	w.run(Defaults().MostSuspicion(n) + 10*time.Second)
+	w.run(Defaults().MaxSuspicion(n) + 10*time.Second)
 	if h := w.held(4); h[Dead] != n-1 {
 		t.Fatalf("asleep, it is held by %v", h)
 	}
@@ -241,7 +241,7 @@
 }
 
 // Who leaves says so, and is doubted by nobody; it is soon left for all.
-func TestLeavingInOrder(t *testing.T) {
+func TestGracefulLeave(t *testing.T) {
 	const n = 16
 	w := newWorld(t, n, 7)
 	w.run(20 * time.Second)
@@ -255,7 +255,7 @@
 }
 
 // What a node sends does not grow with the fleet, but for answers.
-func TestWhatANodeSendsDoesNotGrowWithTheFleet(t *testing.T) {
+func TestNodeTrafficIsIndependentOfFleetSize(t *testing.T) {
 	rate := func(n int) float64 {
 		w := newWorld(t, n, 8)
 		w.run(40 * time.Second)
@@ -272,7 +272,7 @@
 	}
 }
 
-func TestOptionsAndPeersOutOfRangeAreRefused(t *testing.T) {
+func TestOptionsAndPeersOutOfRangeAreRejected(t *testing.T) {
 	ok := Peer{Name: "a", Addr: addrOf(1)}
 	for name, change := range map[string]func(*Peer, *Options){
 		"no name":          func(p *Peer, _ *Options) { p.Name = "" },
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -24,7 +24,7 @@
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	ago := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.life, m.left, m.draws, m.seq, m.order, ago(m.next), m.ill, m.own, max(0, ago(m.pulling)))
+	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.incarnation, m.left, m.draws, m.seq, m.order, ago(m.next), m.ill, m.own, max(0, ago(m.pulling)))
 	if m.probe.running {
 		p := m.probe
 		fmt.Fprintf(&b, "p%x,%d,%v,%d,%d|", p.of, p.seq, ago(p.ask), p.asked, p.nacks)
@@ -39,7 +39,7 @@
 		fmt.Fprintf(&b, "r%d,%v,%d,%v|", r.seq, r.to, r.reply, ago(r.until))
 	}
 	for _, k := range m.members {
-		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", k.ID, k.life, k.status, ago(k.since), k.voices, k.sent, k.told, k.carry, last(k))
+		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", k.ID, k.incarnation, k.status, ago(k.since), k.voices, k.sent, k.notified, k.carry, last(k))
 	}
 	return b.String()
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFiguresAreCountedByClass(t *testing.T) {
+func TestMetricsAreCountedByClass(t *testing.T) {
 	var s Set
 	s.Know("note", "view")
 	var wg sync.WaitGroup
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -30,7 +30,7 @@
 type Control interface {
 	// Health is nil if this process is ready to serve.
 	Health() error
-	Figures() metrics.Report
+	Metrics() metrics.Report
 	// Quiesce sends callers away; Resume takes them again.
 	Quiesce() error
 	Resume() error
@@ -134,18 +134,18 @@
 }
 
 // answer does what a line asks for.
-func (s *Server) answer(call string) string {
+func (s *Server) answer(request string) string {
 	said := func(ok string, err error) string {
 		if err != nil {
 			return "-ERR " + err.Error() + "\n"
 		}
 		return "+OK " + ok + "\n"
 	}
-	switch call {
+	switch request {
 	case "health":
 		return said("ready", s.control.Health())
 	case "counters":
-		text, err := json.Marshal(s.control.Figures())
+		text, err := json.Marshal(s.control.Metrics())
 		if err != nil {
 			return said("", err)
 		}
@@ -155,5 +155,5 @@
 	case "resume":
 		return said("clients are taken", s.control.Resume())
 	}
-	return fmt.Sprintf("-ERR %.40q is no call; there are health, counters, quiesce and resume\n", call)
+	return fmt.Sprintf("-ERR %.40q is no call; there are health, counters, quiesce and resume\n", request)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -22,7 +22,7 @@
 }
 
 func (d *desk) Health() error { return d.sick }
-func (d *desk) Figures() metrics.Report {
+func (d *desk) Metrics() metrics.Report {
 	var s metrics.Set
 	s.Know("view")
 	return s.Report()
@@ -106,7 +106,7 @@
 
 // Callers that hold a connection and send half a line must not keep others from being answered, however many
 // they are; the ones that came first are let go.
-func TestSilentCallersDoNotBarTheDoor(t *testing.T) {
+func TestSilentClientsDoNotBlockManagement(t *testing.T) {
 	at := open(t, &desk{})
 	first := dial(t, at)
 	io.WriteString(first, "heal")
--- a/internal/modelcheck/exchange/small.go
+++ b/internal/modelcheck/exchange/small.go
@@ -78,7 +78,7 @@
 		return fmt.Errorf("exchange: %w", err)
 	}
 	m.See(f.clock(i), f.view)
-	m.SetLife(n.lives)
+	m.SetIncarnation(n.lives)
 	n.machine, n.made = m, 0
 	return nil
 }
@@ -268,7 +268,7 @@
 			}
 			row, found := n.machine.Row(now, place(z), zonestate.Made)
 			for k, a := range f.nodes {
-				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Life == a.lives && row.Seq > a.made {
+				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Incarnation == a.lives && row.Seq > a.made {
 					return fmt.Errorf("node %d holds row %d of author %d, who made %d", i, row.Seq, a.peer.ID, a.made)
 				}
 			}
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -178,16 +178,16 @@
 	n := &f.nodes[i]
 	before := n.machine.Members()
 	packets := do(n.machine)
-	_, life := n.machine.Self()
-	n.top = max(n.top, life)
+	_, incarnation := n.machine.Self()
+	n.top = max(n.top, incarnation)
 	after := map[membership.ID]membership.Member{}
 	for _, k := range n.machine.Members() {
 		after[k.ID] = k
 	}
 	for _, was := range before {
 		is, kept := after[was.ID]
-		if kept && (is.Life < was.Life || is.Life == was.Life && is.Status < was.Status) {
-			f.wrong = fmt.Errorf("%s held %s for %v at life %d, and now for %v at life %d", n.name, was.Name, was.Status, was.Life, is.Status, is.Life)
+		if kept && (is.Incarnation < was.Incarnation || is.Incarnation == was.Incarnation && is.Status < was.Status) {
+			f.wrong = fmt.Errorf("%s held %s for %v at life %d, and now for %v at life %d", n.name, was.Name, was.Status, was.Incarnation, is.Status, is.Incarnation)
 		}
 	}
 	for _, p := range packets {
@@ -221,19 +221,19 @@
 	case "raises others":
 		edit(func(u *membership.Update) bool {
 			if u.Status == membership.Suspect {
-				u.Life++
+				u.Incarnation++
 			}
 			return true
 		})
 	case "life not raised":
 		edit(func(u *membership.Update) bool {
 			if u.ID == self {
-				u.Life, u.PeerLife = 0, 0
+				u.Incarnation, u.PeerIncarnation = 0, 0
 			}
 			return true
 		})
 	case "suspicion never cleared":
-		edit(func(u *membership.Update) bool { return u.Status != membership.Alive || u.Life == 0 })
+		edit(func(u *membership.Update) bool { return u.Status != membership.Alive || u.Incarnation == 0 })
 	case "not answered":
 		if p.Kind == membership.Ack {
 			p.Kind = membership.Nack
@@ -245,7 +245,7 @@
 	case "forgets who left":
 		edit(func(u *membership.Update) bool {
 			if u.Status == membership.Left {
-				u.Status, u.Life = membership.Alive, u.Life+1
+				u.Status, u.Incarnation = membership.Alive, u.Incarnation+1
 			}
 			return true
 		})
@@ -306,8 +306,8 @@
 		}
 		for _, k := range n.machine.Members() {
 			for _, o := range f.nodes {
-				if o.name == k.Name && k.Life > o.top {
-					return fmt.Errorf("%s holds %s at life %d, which never was beyond %d", n.name, k.Name, k.Life, o.top)
+				if o.name == k.Name && k.Incarnation > o.top {
+					return fmt.Errorf("%s holds %s at life %d, which never was beyond %d", n.name, k.Name, k.Incarnation, o.top)
 				}
 			}
 		}
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -27,7 +27,7 @@
 type operators struct{ mgmt.Control }
 
 func (operators) Health() error           { return nil }
-func (operators) Figures() metrics.Report { return metrics.Report{} }
+func (operators) Metrics() metrics.Report { return metrics.Report{} }
 
 // daemon is a control that shows nothing.
 type daemon struct{ admin.Control }
@@ -93,7 +93,7 @@
 }
 
 func gatewayOptions(name string, log *slog.Logger) peering.Options {
-	return peering.Options{Self: peering.Peer{Partner: "p", Name: name, Life: 1}, Log: log, Listen: "127.0.0.1:0",
+	return peering.Options{Self: peering.Peer{Partner: "p", Name: name, Incarnation: 1}, Log: log, Listen: "127.0.0.1:0",
 		Key: func(string) []byte { return []byte("key") }, Silence: testpeer.Limit}
 }
 
--- a/internal/node/adopt_test.go
+++ b/internal/node/adopt_test.go
@@ -43,7 +43,7 @@
 
 // taken is what came of handing a call over.
 type taken struct {
-	call *engine.Call
+	call *engine.Request
 	err  error
 }
 
@@ -51,7 +51,7 @@
 // old view or is to be read under the new one. Calls are begun just before the rules are adopted and just after: each must
 // wait for the whole change, so that one that was read before is stale, and one read after goes by both.
 func TestRulesAndViewOfAChangeAreAdoptedAtOnce(t *testing.T) {
-	server := box(t, "a").Address()
+	server := newTestServer(t, "a").Address()
 	keyFile := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(keyFile, []byte(strings.Repeat("k", 32)), 0o600); err != nil {
 		t.Fatal(err)
@@ -65,11 +65,11 @@
 	)
 	// try begins a call that is read under the view of now, and waits a little whether it is handed over.
 	try := func(class string) {
-		view, result, id := n.calls.View(), make(chan taken, 1), fmt.Sprint("call", len(results))
+		view, result, id := n.requests.Snapshot(), make(chan taken, 1), fmt.Sprint("call", len(results))
 		go func() {
-			c := engine.NewCall(id, engine.Request{Method: "GET", Target: "/" + class + "/k"})
+			c := engine.NewRequest(id, engine.Message{Method: "GET", Target: "/" + class + "/k"})
 			c.Class, c.At, c.Deadline = class, n.clock.Now(), n.clock.Now()+testpeer.Limit
-			result <- taken{c, n.calls.Take(view, c, &route.Call{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, Draw: c.ID})}
+			result <- taken{c, n.requests.Take(view, c, &route.Request{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, Draw: c.ID})}
 		}()
 		results = append(results, result)
 		select {
@@ -79,7 +79,7 @@
 		}
 	}
 	o.adopt = func() {
-		if _, known := n.calls.View().Class("new"); known {
+		if _, known := n.requests.Snapshot().Class("new"); known {
 			t.Error("the new view is in place before the rules are, or while they are adopted")
 			try("new")
 			return
@@ -101,7 +101,7 @@
 	if r.err != nil {
 		t.Fatal(r.err)
 	}
-	if a := testpeer.Receive(t, r.call.Answer(), "its answer"); a.Kind != engine.Served {
+	if a := testpeer.Receive(t, r.call.Response(), "its answer"); a.Kind != engine.Served {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -19,8 +19,8 @@
 var (
 	// ErrBusy says that another change is under way.
 	ErrBusy = errors.New("another change is under way")
-	// ErrEnding says that the node is ending.
-	ErrEnding = errors.New("the node is ending")
+	// ErrShuttingDown says that the node is ending.
+	ErrShuttingDown = errors.New("the node is ending")
 )
 
 // Change is a configuration that stands ready beside the one that runs. Nothing of what runs has changed: the
@@ -32,7 +32,7 @@
 	sockets   map[string]*socket // bound for the change
 	pools     map[string]*pool   // made for it, running
 	updates   []update           // of the pools that stay
-	view      *dispatch.View
+	view      *dispatch.Snapshot
 	listeners map[string]*listener
 	undo      []func()
 }
@@ -45,7 +45,7 @@
 	defer n.mu.Unlock()
 	switch {
 	case n.ending:
-		return nil, ErrEnding
+		return nil, ErrShuttingDown
 	case n.change != nil:
 		return nil, ErrBusy
 	}
@@ -55,7 +55,7 @@
 	err := c.prepare(ctx, wait)
 	n.mu.Lock()
 	if err == nil && n.ending {
-		err = ErrEnding
+		err = ErrShuttingDown
 	}
 	if err != nil {
 		c.rollBack()
@@ -90,7 +90,7 @@
 }
 
 func (c *Change) prepare(ctx context.Context, wait time.Duration) error {
-	if err := c.checkRoom(); err != nil {
+	if err := c.checkDescriptors(); err != nil {
 		return err
 	}
 	for _, l := range c.cfg.Listeners {
@@ -109,8 +109,8 @@
 	return c.warm(ctx, wait)
 }
 
-// checkRoom holds what is asked for against the limits, with what retiring pools still have.
-func (c *Change) checkRoom() error {
+// checkDescriptors holds what is asked for against the limits, with what retiring pools still have.
+func (c *Change) checkDescriptors() error {
 	if err := c.fault("check limits"); err != nil {
 		return fmt.Errorf("limits: %w", err)
 	}
@@ -223,7 +223,7 @@
 		engines[u.pool.name] = u.pool.engine
 	}
 	var err error
-	c.view, err = dispatch.NewView(c.cfg, engines)
+	c.view, err = dispatch.NewSnapshot(c.cfg, engines)
 	return err
 }
 
@@ -240,11 +240,11 @@
 			return fmt.Errorf("pool %q: %w", pool, err)
 		}
 		select {
-		case <-r.warm:
+		case <-r.hasList:
 			return nil
 		case <-ctx.Done():
 		case <-c.node.draining:
-			return ErrEnding
+			return ErrShuttingDown
 		}
 		switch {
 		case ctx.Err() != context.DeadlineExceeded:
@@ -281,13 +281,13 @@
 	n.change = nil
 	if n.ending {
 		c.rollBack()
-		return ErrEnding
+		return ErrShuttingDown
 	}
 	c.undo = nil
 	gone := c.swap()
 	n.resize(c.cfg)
 	for _, class := range c.cfg.Classes {
-		n.figures.Know(class.Name)
+		n.metrics.Know(class.Name)
 	}
 	for _, u := range c.updates {
 		u.pool.back.SetLimits(n.limitsOf(c.cfg, u.cfg))
@@ -324,11 +324,11 @@
 			gone.pools = append(gone.pools, p)
 		}
 	}
-	if n.calls == nil {
-		n.calls = dispatch.New(c.view)
+	if n.requests == nil {
+		n.requests = dispatch.New(c.view)
 	}
 	now := n.clock.Now()
-	n.calls.Swap(c.view, func() {
+	n.requests.Swap(c.view, func() {
 		if n.gateway != nil {
 			n.adopt(c.cfg)
 		}
@@ -339,7 +339,7 @@
 		}
 		for _, p := range gone.pools {
 			// What is out and is unsafe from now on must not be sent again by a pool that goes either.
-			p.engine.Reconfigure(c.cfg.Settings(p.cfg), !p.settings.AskDiscovery)
+			p.engine.Reconfigure(c.cfg.Settings(p.cfg), !p.settings.PollDiscovery)
 		}
 	})
 	n.pools = pools
@@ -386,7 +386,7 @@
 		}
 	}
 	n.sockets, n.listeners = sockets, listeners
-	n.follow(n.duty.At(n.clock.Now()))
+	n.follow(n.readiness.At(n.clock.Now()))
 	if !n.serving {
 		return
 	}
@@ -417,7 +417,7 @@
 				delete(n.closing, s.key)
 				n.mu.Unlock()
 			}()
-			if err := s.release(lastAccepts); err != nil {
+			if err := s.release(acceptGrace); err != nil {
 				n.log.Warn("a listener's socket", "address", s.Addr(), "error", err)
 			}
 			s.shut()
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -28,21 +28,21 @@
 func measure(b *testing.B, changing bool) {
 	var servers []*testpeer.Server
 	for i := range 4 {
-		box := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i)})
-		servers = append(servers, testpeer.NewServer(b, box.Serve))
+		server := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i)})
+		servers = append(servers, testpeer.NewServer(b, server.Serve))
 	}
 	configOf := func(i int) *config.Config {
 		c := ownConfig(pooled("stays", servers[0], servers[1], servers[2+i%2]), pooled(fmt.Sprint("p", i%3), servers[3]))
 		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprint("r", i%3), Hosts: []string{"x"}, To: []route.Target{{Pool: c.Pools[1].Name, Weight: 1}}})
 		return c
 	}
-	n, err := New(configOf(0), quiet(), Options{ending: &ending{last: 100 * time.Millisecond, most: testpeer.Limit}})
+	n, err := New(configOf(0), quiet(), Options{ending: &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	life, end := context.WithCancel(b.Context())
+	incarnation, end := context.WithCancel(b.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- n.Run(life) }()
+	go func() { ended <- n.Run(incarnation) }()
 	audit := testpeer.NewAudit()
 	ctx, cancel := context.WithTimeout(b.Context(), 2*time.Second)
 	defer cancel()
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -22,8 +22,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// box starts a server that answers with a name.
-func box(t *testing.T, name string) *testpeer.Server {
+// newTestServer starts a server that answers with a name.
+func newTestServer(t *testing.T, name string) *testpeer.Server {
 	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
 }
 
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	if o.ending == nil {
-		o.ending = &ending{last: 100 * time.Millisecond, most: testpeer.Limit}
+		o.ending = &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}
 	}
 	n, err := New(cfg, quiet(), o)
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 func TestChangeOfListenersPoolsAndRoutes(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	first := ownConfig(pooled("pa", a))
 	n := startOwn(t, first, Options{})
 	wantServed(t, n, "main", "/view/k", "a")
@@ -163,14 +163,14 @@
 // A pool that stays keeps its Balancer, which goes on from what it learned; what is new in its list is taken
 // as fresh, what stays is not.
 func TestAPoolThatStaysKeepsItsBalancer(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
 	wantServed(t, n, "main", "/view/k", "a")
 	was := n.pools["p"]
 	next := ownConfig(pooled("p", a, b))
 	next.Pools[0].Attempts, next.Pools[0].SlowStart = 2, config.SlowStart{From: 0.2, Over: config.Duration(time.Hour)}
 	change(t, n, next)
-	if n.pools["p"] != was || was.engine.Status().Calls != 1 {
+	if n.pools["p"] != was || was.engine.Status().Requests != 1 {
 		t.Error("the pool was made anew")
 	}
 	if s0, s1 := was.static["s0"], was.static["s1"]; s0.Boot != 0 || s1.Boot == 0 {
@@ -186,7 +186,7 @@
 }
 
 // What a removed pool has out is answered once, by what sent it; an unsafe call is never sent to the new one.
-func TestRemovedPoolAnswersWhatItHasOut(t *testing.T) {
+func TestRemovedPoolAnswersInFlightRequests(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan string, 10)
 	old := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
@@ -197,7 +197,7 @@
 		}
 		return testpeer.Reply200(c, "old")
 	})
-	next := box(t, "new")
+	next := newTestServer(t, "new")
 	n := startOwn(t, ownConfig(pooled("p1", old)), Options{})
 	served, broken := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	served.Send("POST", "/note/k", "serve", "x", "60")
@@ -227,7 +227,7 @@
 			<-hold
 			return false
 		})
-		other := box(t, "other")
+		other := newTestServer(t, "other")
 		n := startOwn(t, ownConfig(pooled("p", s)), Options{})
 		c := testpeer.Dial(t, n.Addr("main"))
 		c.Get("view")
@@ -245,7 +245,7 @@
 
 // An address can pass from one listener to another, or two can change places, and no caller is turned away.
 func TestAddressesPassBetweenListeners(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	free := func() string { return testpeer.ClosedPort(t) }
 	one, two := free(), free()
 	cfg := func(first, second string) *config.Config {
@@ -290,8 +290,8 @@
 
 // Whatever fails before the commit undoes all of it: the node goes on as before, asked by calls; no descriptor
 // and no goroutine is left; and the same change goes through afterwards.
-func TestEveryFaultOfAChangeIsUndone(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
+func TestChangeRollsBackOnEveryFault(t *testing.T) {
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	agent, other := testpeer.NewAgent(t), testpeer.NewAgent(t)
 	agent.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "in_service")))
 	other.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
@@ -387,8 +387,8 @@
 	wantServed(t, n, "l2", "/view/4/k", "b")
 }
 
-func TestTakenPortIsNamedAndUndone(t *testing.T) {
-	a := box(t, "a")
+func TestPortInUseIsReportedAndRolledBack(t *testing.T) {
+	a := newTestServer(t, "a")
 	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -412,8 +412,8 @@
 
 // A registry that never answers, or lists nobody, fails the change within its time; one that answers is
 // waited for.
-func TestListsAreWaitedFor(t *testing.T) {
-	a := box(t, "a")
+func TestChangeWaitsForEndpointLists(t *testing.T) {
+	a := newTestServer(t, "a")
 	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
 	silent, empty, late := testpeer.NewAgent(t), testpeer.NewAgent(t), testpeer.NewAgent(t)
 	silent.Tell(true, "")
@@ -470,12 +470,12 @@
 // A registry that is asked and refuses the first call of a change, as one that is crowded does, is asked again: also where
 // the change does not wait for its list, and no engine has heard of the failure.
 func TestARegistryThatRefusesAChangesFirstCallIsAskedAgain(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	for _, wait := range []time.Duration{testpeer.Limit, 0} {
-		var calls atomic.Int64
+		var requests atomic.Int64
 		refused := make(chan struct{})
 		registry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			switch calls.Add(1) {
+			switch requests.Add(1) {
 			case 1:
 				w.WriteHeader(http.StatusServiceUnavailable)
 				close(refused)
@@ -488,7 +488,7 @@
 		t.Cleanup(registry.Close)
 		n := startOwn(t, ownConfig(pooled("p", a)), Options{})
 		p := pooled("p")
-		p.Registry = &config.Registry{Address: registry.Listener.Addr().String(), Mode: config.Asked, AskWithin: config.Duration(10 * time.Second)}
+		p.Registry = &config.Registry{Address: registry.Listener.Addr().String(), Mode: config.Polled, PollInterval: config.Duration(10 * time.Second)}
 		c, err := n.Prepare(t.Context(), ownConfig(p), wait)
 		if err != nil {
 			t.Errorf("waiting for the list %v: %v", wait, err)
@@ -515,7 +515,7 @@
 		<-hold
 		return testpeer.Reply200(c, "held")
 	})
-	b := box(t, "b")
+	b := newTestServer(t, "b")
 	tight := func(name string, s *testpeer.Server) *config.Config {
 		c := ownConfig(pooled(name, s))
 		c.Pools[0].Connections.Most = (512 - config.Reserved) / 2
@@ -548,11 +548,11 @@
 }
 
 // A node that ends takes no change any more, and one that is being prepared is undone.
-func TestEndAndChange(t *testing.T) {
-	a := box(t, "a")
+func TestShutdownDuringChange(t *testing.T) {
+	a := newTestServer(t, "a")
 	silent := testpeer.NewAgent(t)
 	silent.Tell(true, "")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &ending{accept: 300 * time.Millisecond, last: time.Second, most: testpeer.Limit}})
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &shutdownSchedule{accept: 300 * time.Millisecond, last: time.Second, most: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -569,10 +569,10 @@
 	}()
 	testpeer.Receive(t, silent.Asked, "the watch that is tried")
 	cancel()
-	if err := testpeer.Receive(t, prepared, "the change"); !errors.Is(err, ErrEnding) {
+	if err := testpeer.Receive(t, prepared, "the change"); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
-	if _, err := n.Prepare(t.Context(), ownConfig(pooled("q", a)), 0); !errors.Is(err, ErrEnding) {
+	if _, err := n.Prepare(t.Context(), ownConfig(pooled("q", a)), 0); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
 	if err := testpeer.Receive(t, end, "the node's end"); err != nil {
@@ -581,9 +581,9 @@
 }
 
 // A change that was prepared before the end began is undone, not committed, after it.
-func TestCommitAfterTheEndChangesNothing(t *testing.T) {
-	a, b := box(t, "a"), box(t, "b")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &ending{last: time.Second, most: testpeer.Limit}})
+func TestCommitAfterShutdownChangesNothing(t *testing.T) {
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &shutdownSchedule{last: time.Second, most: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -603,7 +603,7 @@
 			return false
 		}
 	})
-	if err := c.Commit(); !errors.Is(err, ErrEnding) {
+	if err := c.Commit(); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
 	if err := testpeer.Receive(t, end, "the node's end"); err != nil {
@@ -672,7 +672,7 @@
 func TestAListenerIsReleasedWhileAcceptsFail(t *testing.T) {
 	ln := testpeer.NewFailingListener(t)
 	cfg := func(protocol config.Protocol) *config.Config {
-		c := ownConfig(pooled("p", box(t, "a")))
+		c := ownConfig(pooled("p", newTestServer(t, "a")))
 		c.Listeners[0].Protocol = protocol
 		return c
 	}
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -11,11 +11,11 @@
 )
 
 // How a node ends: it accepts for a while after it was told to, and is done before it would be killed, which is
-// the longest deadline, killCap at most, and killAfter later. The process may be held up for heldUp at any moment
+// the longest deadline, maxKillAfter at most, and killAfter later. The process may be held up for heldUp at any moment
 // of its end, so that nothing is left to the last of its time.
 const (
 	drainAccept  = 600 * time.Millisecond
-	killCap      = 3 * time.Second
+	maxKillAfter = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
 	heldUp       = 150 * time.Millisecond
 	exitMargin   = 50 * time.Millisecond  // from the end of the drain to the exit
@@ -26,24 +26,24 @@
 	handOver     = 100 * time.Millisecond // before the last answers, calls in custody are given to others
 )
 
-// ending tells, from the moment that the node was told to end, until when it accepts connections, until when clients
+// shutdownSchedule tells, from the moment that the node was told to end, until when it accepts connections, until when clients
 // may go on using those that they have, when whatever is left is answered at once, from when on it is over as soon as
 // no request is owed an answer, and when it must be over.
-type ending struct{ accept, serve, last, most, must time.Duration }
+type shutdownSchedule struct{ accept, serve, last, most, must time.Duration }
 
-// endingOf is how a node ends: it serves for as long as most answers, which take less than half of their aim, come
+// shutdownScheduleOf is how a node ends: it serves for as long as most answers, which take less than half of their aim, come
 // before the end. Clients that it lets go sooner would find no node at all.
-func endingOf(cfg *config.Config) ending {
-	var longest, aim time.Duration
+func shutdownScheduleOf(cfg *config.Config) shutdownSchedule {
+	var longest, objective time.Duration
 	for _, c := range cfg.Classes {
-		longest, aim = max(longest, time.Duration(c.Deadline)), max(aim, time.Duration(c.Aim))
+		longest, objective = max(longest, time.Duration(c.Deadline)), max(objective, time.Duration(c.LatencyObjective))
 	}
-	must := min(longest, killCap) + killAfter - exitMargin
+	must := min(longest, maxKillAfter) + killAfter - exitMargin
 	most := must - heldUp
 	last := most - answerMargin
 	accept := min(drainAccept, last-closeMargin)
-	serve := min(max(last-aim/2, accept+quietGrace), last-closeMargin)
-	return ending{accept, serve, last, most, must}
+	serve := min(max(last-objective/2, accept+quietGrace), last-closeMargin)
+	return shutdownSchedule{accept, serve, last, most, must}
 }
 
 // drain lets the callers go, and everything taken is answered: for a while they are served as ever on the
@@ -54,9 +54,9 @@
 func (n *Node) drain() error {
 	n.mu.Lock()
 	n.ending = true
-	n.duty.End()
+	n.readiness.End()
 	close(n.draining)
-	e := endingOf(n.cfg)
+	e := shutdownScheduleOf(n.cfg)
 	if n.options.ending != nil {
 		e = *n.options.ending
 	}
@@ -68,7 +68,7 @@
 	n.mu.Unlock()
 	begin := n.clock.Now()
 	for _, p := range pools {
-		p.engine.CloseAt(begin + e.last)
+		p.engine.ShutdownAt(begin + e.last)
 	}
 	since := func() time.Duration { return n.clock.Now() - begin }
 	// Where another process of this node goes on at the same addresses, they stay ready: new connections go to
@@ -86,20 +86,20 @@
 			}
 		}
 	}
-	clock.Sleep(n.life, e.accept-since())
+	clock.Sleep(n.incarnation, e.accept-since())
 	for _, s := range sockets {
 		if err := s.shut(); err != nil { // what was taken is owed an answer all the same
 			n.log.Warn("a listener was not closed", "address", s.Addr(), "error", err)
 		}
 	}
-	for since() < e.serve && n.callers.Held() > 0 {
-		clock.Sleep(n.life, drainStep)
+	for since() < e.serve && n.clients.Open() > 0 {
+		clock.Sleep(n.incarnation, drainStep)
 	}
 	for _, f := range fronts {
 		f.SetClosing(true)
 	}
 	// told: the last call came at an earlier step, so that its answers have had time to be written
-	for told := false; letGo(fronts, n.callers) > 0; clock.Sleep(n.life, drainStep) {
+	for told := false; closeIdle(fronts, n.clients) > 0; clock.Sleep(n.incarnation, drainStep) {
 		if n.gateway != nil && since() >= e.last-handOver {
 			n.gateway.HandOver()
 		}
@@ -107,9 +107,9 @@
 			if !told {
 				lastCall(pools)
 			}
-			n.callers.CutHalf() // one that came whole in this moment is refused, whatever comes later is not read
+			n.clients.CutHalf() // one that came whole in this moment is refused, whatever comes later is not read
 		}
-		switch owed := n.callers.Owed(); {
+		switch owed := n.clients.Owed(); {
 		case told && since() >= e.most && owed == 0:
 			return nil // who is left has not closed, or doesn't take its answer
 		case told && since() >= max(e.most, e.must):
@@ -123,14 +123,14 @@
 // lastCall has all that is unanswered answered now.
 func lastCall(pools []*pool) {
 	for _, p := range pools {
-		p.engine.LastCall()
+		p.engine.AnswerAll()
 	}
 }
 
-// letGo closes the fronts' quiet connections and tells how many are left of all.
-func letGo(fronts []front, set *downstream.Set) int {
+// closeIdle closes the fronts' quiet connections and tells how many are left of all.
+func closeIdle(fronts []front, set *downstream.Set) int {
 	for _, f := range fronts {
-		f.LetQuietGo()
+		f.CloseQuiet()
 	}
-	return set.Held()
+	return set.Open()
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -23,7 +23,7 @@
 func shortConfig(deadline time.Duration, list string) testNode {
 	cfg := testConfig(list)
 	for i := range cfg.Classes {
-		cfg.Classes[i].Deadline, cfg.Classes[i].Aim = config.Duration(deadline), config.Duration(deadline/2)
+		cfg.Classes[i].Deadline, cfg.Classes[i].LatencyObjective = config.Duration(deadline), config.Duration(deadline/2)
 	}
 	return cfg
 }
@@ -33,8 +33,8 @@
 func TestTheEndIsOverBeforeTheKill(t *testing.T) {
 	const lastNewConnection = 400 * time.Millisecond // that comes after SIGTERM
 	for _, deadline := range endDeadlines {
-		e := endingOf(shortConfig(deadline, testpeer.Whole()).Config)
-		kill := min(deadline, killCap) + killAfter
+		e := shutdownScheduleOf(shortConfig(deadline, testpeer.Whole()).Config)
+		kill := min(deadline, maxKillAfter) + killAfter
 		if e.accept < lastNewConnection || e.serve < e.accept || e.last < e.serve+drainStep || e.most < e.last+drainStep ||
 			e.last+heldUp+2*drainStep >= kill || e.most+heldUp >= kill || e.must < e.most || e.must >= kill {
 			t.Errorf("deadline %v: accepts until %v, serves until %v, answers all at %v, ends at %v, at %v at the latest, killed at %v",
@@ -130,7 +130,7 @@
 	ending.Store(true)
 	begin := time.Now()
 	err := stop()
-	took, kill := time.Since(begin), min(deadline, killCap)+killAfter
+	took, kill := time.Since(begin), min(deadline, maxKillAfter)+killAfter
 	if err != nil || took >= kill {
 		t.Errorf("ended after %v of %v: %v", took, kill, err)
 	}
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if report := n.figures.Report(); report.Open != 0 {
+	if report := n.metrics.Report(); report.Open != 0 {
 		t.Errorf("%d requests are open", report.Open)
 	}
 }
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -10,7 +10,7 @@
 var (
 	AskFastCGI = askFastCGI
 	AskLine    = askLine
-	Box        = box
+	Box        = newTestServer
 	OwnConfig  = ownConfig
 	Pooled     = pooled
 	Quiet      = quiet
@@ -21,6 +21,6 @@
 
 // EndsSoon has a node close its listeners at once when it ends.
 func EndsSoon(o Options) Options {
-	o.ending = &ending{last: 100 * time.Millisecond, most: testpeer.Limit}
+	o.ending = &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}
 	return o
 }
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -117,7 +117,7 @@
 	*cfg.registry() = agent.Address()
 	settle := time.Millisecond
 	cfg.Options.settle = &settle
-	cfg.Options.ending = &ending{last: time.Second, most: testpeer.Limit}
+	cfg.Options.ending = &shutdownSchedule{last: time.Second, most: testpeer.Limit}
 	cfg.Options.Listen = func(network, address string) (net.Listener, error) {
 		ln, err := net.Listen(network, address)
 		if err != nil {
@@ -142,7 +142,7 @@
 	}
 
 	faults.Stop()
-	testpeer.Until(t, "the list's change to be followed", func() bool { return n.Status().Pools["servers"].Calls.Ready == servers-1 })
+	testpeer.Until(t, "the list's change to be followed", func() bool { return n.Status().Pools["servers"].Requests.Ready == servers-1 })
 	testpeer.Until(t, "the node to serve as before", func() bool {
 		last := make(chan asked, 1)
 		playClient(n.Addr("main"), clients, 1, last)
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -72,7 +72,7 @@
 		station.Want(t, 200, fmt.Sprint("for station-", i))
 	}
 	testpeer.Until(t, "both to be counted alike", func() bool {
-		got := n.figures.Report().Fulfilled
+		got := n.metrics.Report().Fulfilled
 		return got["add-note"] == 20 && got["view-interval"] == 20
 	})
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	o := gateway.Options{Config: c, Key: key, Keys: map[string][]byte{}, Living: n.peers.Living, Calls: n.calls, List: n.giveGateways, Clock: n.clock, Log: n.log}
+	o := gateway.Options{Config: c, Key: key, Keys: map[string][]byte{}, Living: n.peers.Living, Calls: n.requests, List: n.updateGateways, Clock: n.clock, Log: n.log}
 	for _, p := range c.Partners {
 		if o.Keys[p.Name], err = gossip.LoadKey(p.KeyFile); err != nil {
 			return fmt.Errorf("partner %q: %w", p.Name, err)
@@ -29,16 +29,16 @@
 	if n.gateway, err = netlistener.Open(starting, n.log, func() (*gateway.Gateway, error) { return gateway.Open(o) }); err != nil {
 		return err
 	}
-	n.calls.SetGuard(n.gateway)
+	n.requests.SetGuard(n.gateway)
 	return nil
 }
 
-// giveGateways gives the gateways of a partner to their pool.
-func (n *Node) giveGateways(partner string, list discovery.List) {
+// updateGateways gives the gateways of a partner to their pool.
+func (n *Node) updateGateways(partner string, list discovery.List) {
 	n.mu.Lock()
 	p := n.pools[config.PartnerPool(partner)]
 	n.mu.Unlock()
 	if p != nil {
-		p.engine.TakeList(list)
+		p.engine.UpdateList(list)
 	}
 }
