--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -87,11 +87,11 @@
 
 func (a *changesAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	whole := err != nil
+	complete := err != nil
 	a.mu.Lock()
 	a.heard = max(a.heard, from)
 	a.told.Broadcast()
-	if news := a.news; !whole && from == len(a.log) {
+	if news := a.news; !complete && from == len(a.log) {
 		a.mu.Unlock()
 		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 		select {
@@ -102,10 +102,10 @@
 		}
 		a.mu.Lock()
 	}
-	if whole {
+	if complete {
 		a.whole++
 	}
-	text := fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, len(a.log), whole, strings.Join(a.since(from), ","))
+	text := fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, len(a.log), complete, strings.Join(a.since(from), ","))
 	a.mu.Unlock()
 	a.bytes.Add(int64(len(text)))
 	w.Write([]byte(text))
@@ -149,7 +149,7 @@
 	cfg := testpeer.Config()
 	cfg.Pools[0].Registry.Address = strings.TrimPrefix(agent.URL, "http://")
 	cfg.Pools[0].Copies = config.Copies{Count: size.nodes, Index: size.nodes / 3}
-	n, err := NewPlatform(cfg, config.Start{Seed: 1}, quiet(), Options{ending: &ending{last: 100 * time.Millisecond, most: testpeer.Limit}})
+	n, err := NewPlatform(cfg, config.Start{Seed: 1}, quiet(), Options{ending: &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -94,31 +94,31 @@
 	SetReady(bool)
 	// SetClosing says whether each answer from now on ends its connection.
 	SetClosing(bool)
-	// LetQuietGo closes the connections of callers that ask nothing, and tells how many are left of all.
-	LetQuietGo() int
+	// CloseQuiet closes the connections of callers that ask nothing, and tells how many are left of all.
+	CloseQuiet() int
 }
 
 // newFront is a front for a listener; nothing is accepted before Serve.
 func (n *Node) newFront(l config.Listener) front {
 	if l.Protocol == config.FastCGI {
-		return fastcgi.NewFront(l.Name, n.clock, n.callers, n.calls, &n.figures, n.log)
+		return fastcgi.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
 	}
-	return http1.NewFront(l.Name, n.clock, n.callers, n.calls, &n.figures, n.log)
+	return http1.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
 }
 
 // Times of a listener that goes: callers that have connected but were not accepted yet are heard, and then
 // each has its answer and is let go.
 const (
-	lastAccepts = 50 * time.Millisecond
-	letGoStep   = 20 * time.Millisecond
+	acceptGrace   = 50 * time.Millisecond
+	closeIdleStep = 20 * time.Millisecond
 )
 
 // retireFront lets the callers of a front go until none is left.
 func (n *Node) retireFront(f front) {
 	f.SetClosing(true)
-	for f.LetQuietGo() > 0 {
-		clock.Sleep(n.life, letGoStep)
-		if n.life.Err() != nil {
+	for f.CloseQuiet() > 0 {
+		clock.Sleep(n.incarnation, closeIdleStep)
+		if n.incarnation.Err() != nil {
 			return
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,39 +34,39 @@
 
 // Node is one load balancer on sockets.
 type Node struct {
-	clock   clock.Clock
-	log     *slog.Logger
-	options Options
-	named   bool // pools are told apart in the log
-	start   *first
-	servers *descriptors.Share // of the connections to servers
-	figures metrics.Set
-	door    *mgmt.Server     // nil: none
-	peers   *gossip.Room     // nil: the node knows of no other
-	gateway *gateway.Gateway // nil: it is no gateway
-	callers *downstream.Set
-	calls   *dispatch.Dispatcher
+	clock      clock.Clock
+	log        *slog.Logger
+	options    Options
+	named      bool // pools are told apart in the log
+	start      *first
+	servers    *descriptors.Share // of the connections to servers
+	metrics    metrics.Set
+	management *mgmt.Server      // nil: none
+	peers      *gossip.Transport // nil: the node knows of no other
+	gateway    *gateway.Gateway  // nil: it is no gateway
+	clients    *downstream.Set
+	requests   *dispatch.Dispatcher
 
-	life       context.Context // ends with the node
-	stop       context.CancelFunc
-	failed     chan error    // takes the first failure of a part
-	draining   chan struct{} // closed when the end begins
-	behindWork sync.WaitGroup
+	incarnation context.Context // ends with the node
+	stop        context.CancelFunc
+	failed      chan error    // takes the first failure of a part
+	draining    chan struct{} // closed when the end begins
+	behindWork  sync.WaitGroup
 
-	mu        sync.Mutex
-	cfg       *config.Config // that runs; nil before the first
-	sockets   map[string]*socket
-	listeners map[string]*listener
-	pools     map[string]*pool
-	retiring  map[*pool]bool
-	leaving   map[*listener]bool       // whose callers are being let go
-	closing   map[string]chan struct{} // by the keys of sockets that a change left behind, closed once they are
-	change    *Change                  // under way
-	serving   bool
-	ending    bool
-	duty      readiness.Duty
-	parting   context.CancelFunc // ends the letting go of callers that Quiesce began; nil: none is under way
-	two       bool               // another process of this node shares its limits
+	mu                 sync.Mutex
+	cfg                *config.Config // that runs; nil before the first
+	sockets            map[string]*socket
+	listeners          map[string]*listener
+	pools              map[string]*pool
+	retiring           map[*pool]bool
+	leaving            map[*listener]bool       // whose callers are being let go
+	closing            map[string]chan struct{} // by the keys of sockets that a change left behind, closed once they are
+	change             *Change                  // under way
+	serving            bool
+	ending             bool
+	readiness          readiness.Tracker
+	closingConnections context.CancelFunc // ends the letting go of callers that Quiesce began; nil: none is under way
+	hasSuccessor       bool               // another process of this node shares its limits
 }
 
 // first is what the first configuration's pools begin with.
@@ -79,10 +79,10 @@
 type Options struct {
 	Listen func(network, address string) (net.Listener, error) // nil: net.Listen
 	Limit  func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
-	Line   *hotrestart.Line                                    // of this node's processes; nil: this one is alone
+	Line   *hotrestart.Processes                               // of this node's processes; nil: this one is alone
 	Start  context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
 	Fault  func(point string) error                            // for tests: an error has a step of a change fail
-	ending *ending                                             // for tests: instead of what follows from the configuration
+	ending *shutdownSchedule                                   // for tests: instead of what follows from the configuration
 	settle *time.Duration                                      // for tests: instead of http1.DefaultSettle
 	watch  func(*discovery.Watch)                              // for tests: changes a watch before it begins
 	back   func(*http1.Back)                                   // for tests: the same of a pool's connections
@@ -125,10 +125,10 @@
 	n := &Node{clock: clock.New(), log: log, options: o, named: start == nil, start: start, servers: descriptors.NewShare(0),
 		failed: make(chan error, 1), draining: make(chan struct{}), sockets: map[string]*socket{},
 		listeners: map[string]*listener{}, pools: map[string]*pool{}, retiring: map[*pool]bool{}, leaving: map[*listener]bool{}, closing: map[string]chan struct{}{}}
-	n.life, n.stop = context.WithCancel(context.Background())
-	n.callers = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
+	n.incarnation, n.stop = context.WithCancel(context.Background())
+	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
 	if o.Line != nil {
-		n.two = !o.Line.Seated()
+		n.hasSuccessor = !o.Line.Seated()
 	}
 	n.resize(cfg)
 	starting, cancel := o.Starting()
@@ -140,7 +140,7 @@
 	if err := c.Commit(); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	if err := errors.Join(n.openDoor(starting, cfg.Node.Management), n.openPeers(starting, cfg.Node), n.openGateway(starting, cfg)); err != nil {
+	if err := errors.Join(n.openManagement(starting, cfg.Node.Management), n.openPeers(starting, cfg.Node), n.openGateway(starting, cfg)); err != nil {
 		n.close()
 		return nil, fmt.Errorf("node: %w", err)
 	}
@@ -152,11 +152,11 @@
 // holds mu.
 func (n *Node) resize(cfg *config.Config) {
 	limits, room, spare := cfg.Node.Limits, cfg.Node.Limits.Descriptors-cfg.OwnDescriptors(), config.Reserved/2
-	if n.two {
+	if n.hasSuccessor {
 		limits.Memory, room, spare = limits.Memory/2, room/2, spare/2
 	}
 	n.servers.Resize(room / 2)
-	n.callers.Resize(downstream.Share{Room: room, Least: room / 4, Spare: spare})
+	n.clients.Resize(downstream.Share{Capacity: room, Minimum: room / 4, Spare: spare})
 	if n.options.Limit != nil {
 		n.options.Limit(limits)
 	}
@@ -206,7 +206,7 @@
 	}
 	at := cfg.Pools[0].Registry.Address
 	n.log.Info("the configuration is read again", "discovery", at)
-	n.pools[config.PlatformPool].source.Load().watch.Move(at)
+	n.pools[config.PlatformPool].source.Load().watch.SetAddress(at)
 }
 
 // Run serves until ctx ends, and then until all that was taken is answered.
@@ -219,11 +219,11 @@
 	n.mu.Unlock()
 	defer n.close()
 	if n.peers != nil {
-		n.behind(func() { n.peers.Run(n.life) })
-		n.behind(func() { n.tellPeers(n.life, time.Duration(n.Config().Node.Peers.Fresh)) })
+		n.behind(func() { n.peers.Run(n.incarnation) })
+		n.behind(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.Fresh)) })
 	}
 	if n.options.Line != nil {
-		n.behind(func() { n.options.Line.Watch(n.life, n.share) })
+		n.behind(func() { n.options.Line.Watch(n.incarnation, n.share) })
 	}
 	select {
 	case err := <-n.failed:
@@ -250,8 +250,8 @@
 	sockets, pools := n.sockets, n.allPools()
 	n.mu.Unlock()
 	n.stop()
-	if n.door != nil {
-		n.door.Close()
+	if n.management != nil {
+		n.management.Close()
 	}
 	if n.gateway != nil {
 		n.gateway.Close()
@@ -284,7 +284,7 @@
 	Listeners map[string]ListenerStatus `json:"listeners"`
 	Pools     map[string]PoolStatus     `json:"pools"`
 	Draining  []string                  `json:"draining,omitempty"` // of earlier configurations, as "pool a"
-	Callers   int                       `json:"callers"`            // connections
+	Clients   int                       `json:"callers"`            // connections
 	Ready     bool                      `json:"ready"`
 	Peers     *gossip.Status            `json:"peers,omitempty"` // what is known of other nodes
 	Gateway   *gateway.Status           `json:"gateway,omitempty"`
@@ -297,15 +297,15 @@
 
 // PoolStatus is what a pool holds.
 type PoolStatus struct {
-	Calls       engine.Status `json:"calls"`
+	Requests    engine.Status `json:"calls"`
 	Connections int           `json:"connections"` // to servers
 }
 
 // Status tells what the node holds now.
 func (n *Node) Status() Status {
 	n.mu.Lock()
-	s := Status{Listeners: map[string]ListenerStatus{}, Pools: map[string]PoolStatus{}, Callers: n.callers.Held(),
-		Ready: n.calls.View().Ready() && n.duty.At(n.clock.Now()).Ready}
+	s := Status{Listeners: map[string]ListenerStatus{}, Pools: map[string]PoolStatus{}, Clients: n.clients.Open(),
+		Ready: n.requests.Snapshot().Ready() && n.readiness.At(n.clock.Now()).Ready}
 	for name, l := range n.listeners {
 		s.Listeners[name] = ListenerStatus{l.socket.Addr().String()}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -74,7 +74,7 @@
 	return n, stop
 }
 
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	ag := testpeer.NewAgent(t)
 	list := testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service"), testpeer.Entry("s2", b.Address(), "in_service"))
@@ -115,13 +115,13 @@
 }
 
 // An agent that was silent may never answer the call that it was silent on: it must be asked anew.
-func TestSilentDiscoveryIsAskedAgain(t *testing.T) {
+func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	ag := testpeer.NewAgent(t)
 	ag.Tell(true, "")
 	cfg := testConfig(testpeer.Whole())
 	*cfg.registry() = ag.Address()
-	cfg.Options.watch = func(w *discovery.Watch) { w.Hold, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
+	cfg.Options.watch = func(w *discovery.Watch) { w.LongPollTimeout, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
 	n, _ := startNode(t, cfg, nil)
 	for range 3 {
 		if q := testpeer.Receive(t, ag.Asked, "a watch"); q != "" { // the whole list, whatever is known
@@ -150,7 +150,7 @@
 	next.Tell(false, testpeer.Whole(testpeer.Entry("s2", b.Address(), "in_service")))
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service")))
 	*cfg.registry() = old.Address()
-	cfg.Options.watch = func(w *discovery.Watch) { w.Hold = testpeer.Limit }
+	cfg.Options.watch = func(w *discovery.Watch) { w.LongPollTimeout = testpeer.Limit }
 	n, _ := startNode(t, cfg, nil)
 	for !strings.Contains(testpeer.Receive(t, old.Asked, "the watch"), "from=1001&") {
 	}
@@ -180,11 +180,11 @@
 	}
 }
 
-func TestEndOfNodeAnswersAllThatWasTaken(t *testing.T) {
+func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.ending = &ending{accept: time.Second, serve: 2 * time.Second, last: testpeer.Limit, most: 2 * testpeer.Limit}
+		n.options.ending = &shutdownSchedule{accept: time.Second, serve: 2 * time.Second, last: testpeer.Limit, most: 2 * testpeer.Limit}
 	})
 	idle, held, mute := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	idle.Get("before")
@@ -220,7 +220,7 @@
 }
 
 // What no server answers before the node would be killed gets a final answer all the same.
-func TestEndOfNodeAnswersWhatIsStillOut(t *testing.T) {
+func TestShutdownAnswersInFlightRequests(t *testing.T) {
 	got := make(chan struct{}, 1)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
@@ -228,7 +228,7 @@
 		return false
 	})
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.ending = &ending{last: 500 * time.Millisecond, most: testpeer.Limit}
+		n.options.ending = &shutdownSchedule{last: 500 * time.Millisecond, most: testpeer.Limit}
 	})
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Send("POST", "/note/k", "held", "x", "60")
@@ -243,7 +243,7 @@
 
 // A client that has its last answer and does not close holds no end up, nor does one that never sends its request whole:
 // nothing is owed to them.
-func TestWhoIsOwedNothingHoldsNoEndUp(t *testing.T) {
+func TestIdleClientsDoNotDelayShutdown(t *testing.T) {
 	for name, text := range map[string]string{
 		"answered, and open":    "",
 		"half a head":           "GET /view/k HTTP/1.1\r\nX-Req",
@@ -258,7 +258,7 @@
 			ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			*cfg.registry() = ag.Address()
-			cfg.Options.ending = &ending{accept: time.Millisecond, serve: time.Millisecond, last: 500 * time.Millisecond, most: 800 * time.Millisecond}
+			cfg.Options.ending = &shutdownSchedule{accept: time.Millisecond, serve: time.Millisecond, last: 500 * time.Millisecond, most: 800 * time.Millisecond}
 			n, stop := startNode(t, cfg, nil)
 			c, half := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 			c.Get("held")
@@ -281,7 +281,7 @@
 }
 
 // A malformed list is dropped whole, and the whole list asked for anew.
-func TestMalformedListLeavesTheOldOne(t *testing.T) {
+func TestMalformedListKeepsPreviousOne(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	ag := testpeer.NewAgent(t)
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,8 +14,8 @@
 	"damsontrestle/internal/readiness"
 )
 
-// openDoor opens the operators' door at an address; empty: none.
-func (n *Node) openDoor(starting context.Context, address string) error {
+// openManagement opens the operators' door at an address; empty: none.
+func (n *Node) openManagement(starting context.Context, address string) error {
 	if address == "" {
 		return nil
 	}
@@ -23,14 +23,14 @@
 	if err != nil {
 		return fmt.Errorf("the operators' door: %w", err)
 	}
-	n.door = mgmt.Serve(ln, n, n.log)
+	n.management = mgmt.Serve(ln, n, n.log)
 	return nil
 }
 
 // Reasons why a node is not ready.
 var (
-	errSentAway = errors.New("clients are sent away")
-	errNoServer = errors.New("no listed server is in service")
+	errNotAccepting = errors.New("clients are sent away")
+	errNoServer     = errors.New("no listed server is in service")
 )
 
 // Health implements mgmt.Control.
@@ -39,18 +39,18 @@
 	defer n.mu.Unlock()
 	switch {
 	case n.ending:
-		return ErrEnding
-	case !n.duty.At(n.clock.Now()).Ready:
-		return errSentAway
-	case !n.serving || !n.calls.View().Ready():
+		return ErrShuttingDown
+	case !n.readiness.At(n.clock.Now()).Ready:
+		return errNotAccepting
+	case !n.serving || !n.requests.Snapshot().Ready():
 		return errNoServer
 	}
 	return nil
 }
 
-// Figures implements mgmt.Control.
-func (n *Node) Figures() metrics.Report {
-	r := n.figures.Report()
+// Metrics implements mgmt.Control.
+func (n *Node) Metrics() metrics.Report {
+	r := n.metrics.Report()
 	n.mu.Lock()
 	var engines []*engine.Engine
 	for _, p := range n.pools {
@@ -62,7 +62,7 @@
 		r.Listed += s.Ready + s.Draining
 		r.Avoided += s.Avoided
 	}
-	r.Peers = n.peersFigures()
+	r.Peers = n.peerMetrics()
 	return r
 }
 
@@ -74,28 +74,28 @@
 	if n.ending {
 		return nil // who ends sends all away
 	}
-	n.duty.Quiesce(n.clock.Now())
-	n.follow(n.duty.At(n.clock.Now()))
-	if n.parting != nil {
+	n.readiness.Quiesce(n.clock.Now())
+	n.follow(n.readiness.At(n.clock.Now()))
+	if n.closingConnections != nil {
 		return nil
 	}
 	n.log.Info("clients are sent away")
 	var ctx context.Context
-	ctx, n.parting = context.WithCancel(n.life)
+	ctx, n.closingConnections = context.WithCancel(n.incarnation)
 	n.behind(func() { n.part(ctx) })
 	return nil
 }
 
 // part lets callers go until ctx ends or the node does.
 func (n *Node) part(ctx context.Context) {
-	for ; ctx.Err() == nil; clock.Sleep(ctx, letGoStep) {
+	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleStep) {
 		n.mu.Lock()
 		if ctx.Err() == nil && !n.ending {
-			s := n.duty.At(n.clock.Now())
+			s := n.readiness.At(n.clock.Now())
 			n.follow(s)
 			for _, l := range n.listeners {
-				if s.Parted {
-					l.front.LetQuietGo()
+				if s.CloseConnections {
+					l.front.CloseQuiet()
 				}
 			}
 		}
@@ -107,15 +107,15 @@
 func (n *Node) Resume() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.duty.Resume(); err != nil {
+	if err := n.readiness.Resume(); err != nil {
 		return err
 	}
-	if n.parting != nil {
-		n.parting()
-		n.parting = nil
+	if n.closingConnections != nil {
+		n.closingConnections()
+		n.closingConnections = nil
 		n.log.Info("clients are taken again")
 	}
-	n.follow(n.duty.At(n.clock.Now()))
+	n.follow(n.readiness.At(n.clock.Now()))
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	}
 	for _, l := range n.listeners {
 		l.front.SetReady(s.Ready)
-		l.front.SetClosing(s.Parted)
+		l.front.SetClosing(s.CloseConnections)
 	}
 }
 
@@ -134,9 +134,9 @@
 func (n *Node) share(two bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.two != two {
+	if n.hasSuccessor != two {
 		n.log.Info("the node's limits are shared", "by_two", two)
 	}
-	n.two = two
+	n.hasSuccessor = two
 	n.resize(n.cfg)
 }
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -16,14 +16,14 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// door asks a node's operators' door.
-func door(t *testing.T, n *Node, call string) string {
+// management asks a node's operators' door.
+func management(t *testing.T, n *Node, request string) string {
 	t.Helper()
-	return askLine(t, n.door.Addr().String(), call)
+	return askLine(t, n.management.Addr().String(), request)
 }
 
 // askLine sends a line on a connection of its own and returns all of the answer.
-func askLine(t *testing.T, address, call string) string {
+func askLine(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testpeer.Limit))
-	fmt.Fprintln(c, call)
+	fmt.Fprintln(c, request)
 	got, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
@@ -51,26 +51,26 @@
 
 // Given an idle caller, one that is being served and one that comes late, quiesce has the node say no at once,
 // serves all three, and parts with them; the node goes on, and takes callers again when told.
-func TestQuiesceSendsCallersAwayAndResumeTakesThemAgain(t *testing.T) {
+func TestQuiesceAndResume(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	cfg.Node.Management = "127.0.0.1:0"
 	n, _ := startNode(t, cfg, nil)
-	testpeer.Until(t, "the node to be ready", func() bool { return door(t, n, "health") == "+OK ready\n" })
+	testpeer.Until(t, "the node to be ready", func() bool { return management(t, n, "health") == "+OK ready\n" })
 	idle, held := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	idle.Get("before")
 	idle.Want(t, 200, "for before")
 	held.Get("held")
 	testpeer.Receive(t, got, "the attempt")
 
-	if said := door(t, n, "quiesce"); !strings.HasPrefix(said, "+OK") {
+	if said := management(t, n, "quiesce"); !strings.HasPrefix(said, "+OK") {
 		t.Fatalf("quiesce: %q", said)
 	}
 	if status, _ := askReady(t, n.Addr("main")); status != 503 {
 		t.Errorf("health right after quiesce: %d, want 503", status)
 	}
-	if said := door(t, n, "health"); said != "-ERR clients are sent away\n" {
+	if said := management(t, n, "health"); said != "-ERR clients are sent away\n" {
 		t.Errorf("the door's health: %q", said)
 	}
 	idle.Get("during")
@@ -86,7 +86,7 @@
 		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
 	}
 
-	if said := door(t, n, "resume"); !strings.HasPrefix(said, "+OK") {
+	if said := management(t, n, "resume"); !strings.HasPrefix(said, "+OK") {
 		t.Fatalf("resume: %q", said)
 	}
 	if status, closes := askReady(t, n.Addr("main")); status != 200 || closes {
@@ -100,7 +100,7 @@
 }
 
 // What the door counts is what callers heard and servers got, once all is over.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
+func TestPeerMetricsMatchObservations(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
 		switch {
@@ -135,7 +135,7 @@
 		Avoided                       int   `json:"out_of_rotation"`
 	}
 	testpeer.Until(t, "the figures to settle", func() bool {
-		text, ended := strings.CutSuffix(door(t, n, "counters"), "\n.\n")
+		text, ended := strings.CutSuffix(management(t, n, "counters"), "\n.\n")
 		if !ended || json.Unmarshal([]byte(text), &got) != nil {
 			t.Fatalf("counters: %q", text)
 		}
@@ -154,7 +154,7 @@
 // Two nodes share an address and a folder, as the processes of one do while the one takes over. Under a load of
 // callers that keep their connections and of ones that do not, the old one ends: no connection is refused or
 // closed unheard, and in the end only the new one is there.
-func TestTheNextProcessTakesOverUnderLoad(t *testing.T) {
+func TestHotRestartUnderLoad(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	folder := t.TempDir()
 	process := func(address string) (*Node, func() error) {
@@ -170,7 +170,7 @@
 		t.Cleanup(line.Leave)
 		cfg.Options.Listen, cfg.Options.Line = hotrestart.Listen, line
 		return startNode(t, cfg, func(n *Node) {
-			n.options.ending = &ending{accept: 200 * time.Millisecond, serve: 400 * time.Millisecond, last: testpeer.Limit, most: 2 * testpeer.Limit}
+			n.options.ending = &shutdownSchedule{accept: 200 * time.Millisecond, serve: 400 * time.Millisecond, last: testpeer.Limit, most: 2 * testpeer.Limit}
 		})
 	}
 	old, stop := process("")
@@ -223,8 +223,8 @@
 	}
 	progress("calls with one")
 	next, _ := process(address)
-	testpeer.Until(t, "the next to be ready", func() bool { return door(t, next, "health") == "+OK ready\n" })
-	halved := func(n *Node) bool { n.mu.Lock(); defer n.mu.Unlock(); return n.two }
+	testpeer.Until(t, "the next to be ready", func() bool { return management(t, next, "health") == "+OK ready\n" })
+	halved := func(n *Node) bool { n.mu.Lock(); defer n.mu.Unlock(); return n.hasSuccessor }
 	testpeer.Until(t, "both to share the limits", func() bool { return halved(old) && halved(next) })
 	progress("calls with two")
 	if err := stop(); err != nil {
@@ -235,7 +235,7 @@
 	progress("calls with the next alone")
 	close(over)
 	load.Wait()
-	if got := next.figures.Report().Fulfilled["view"]; got == 0 || got == asked.Load() {
+	if got := next.metrics.Report().Fulfilled["view"]; got == 0 || got == asked.Load() {
 		t.Errorf("the next served %d of %d", got, asked.Load())
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -47,14 +47,14 @@
 		d.Delay = time.Duration(p.Delay)
 		fo = &d
 	}
-	options := gossip.Options{Listen: p.Listen, Key: key, Members: o, Facts: fo, Clock: n.clock, Log: n.log,
+	options := gossip.Options{Listen: p.Listen, Key: key, Members: o, ZoneState: fo, Clock: n.clock, Log: n.log,
 		Self: membership.Peer{Name: c.Name, Addr: addr, Region: p.Region, Zone: c.Zone, Listens: p.ListenOnly}}
-	n.peers, err = netlistener.Open(starting, n.log, func() (*gossip.Room, error) { return gossip.Open(options) })
+	n.peers, err = netlistener.Open(starting, n.log, func() (*gossip.Transport, error) { return gossip.Open(options) })
 	return err
 }
 
-// peersFigures is what operators are told of other nodes; nil: none are known of.
-func (n *Node) peersFigures() *metrics.Peers {
+// peerMetrics is what operators are told of other nodes; nil: none are known of.
+func (n *Node) peerMetrics() *metrics.Peers {
 	if n.peers == nil {
 		return nil
 	}
@@ -63,9 +63,9 @@
 	for _, m := range s.Members {
 		out.Members[m.Status]++
 	}
-	if s.Facts != nil {
-		out.Alone = s.Facts.Alone
-		for _, z := range s.Facts.Zones {
+	if s.ZoneState != nil {
+		out.Alone = s.ZoneState.Alone
+		for _, z := range s.ZoneState.Zones {
 			out.Zones[z.Word]++
 		}
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -36,13 +36,13 @@
 		settle = *n.options.settle
 	}
 	return http1.Limits{Most: p.Connections.Most, ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
-		Idle: time.Duration(p.Connections.Idle), Settle: settle, Busy: p.LoadReports.Busy, AskPath: p.LoadReports.AskPath, From: c.LeavesFrom(p)}
+		Idle: time.Duration(p.Connections.Idle), Settle: settle, Busy: p.LoadReports.Busy, AskPath: p.LoadReports.PollPath, From: c.LeavesFrom(p)}
 }
 
 // newPool makes a pool that knows the list that is known, or the one that its configuration holds, and
 // watches its registry from then on. Nothing runs before start.
 func (n *Node) newPool(cfg *config.Config, p config.Pool, seed uint64, known discovery.List) (*pool, error) {
-	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: http1.NewBack(n.clock, n.servers, &n.figures, n.limitsOf(cfg, p))}
+	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: http1.NewBack(n.clock, n.servers, &n.metrics, n.limitsOf(cfg, p))}
 	if n.options.back != nil {
 		n.options.back(out.back)
 	}
@@ -52,26 +52,26 @@
 	}
 	var err error
 	out.engine, err = engine.New(engine.Options{Settings: out.settings, Seed: seed, Clock: n.clock, Backend: out.back,
-		Subscribe: out.subscribe, Pushed: !out.settings.AskDiscovery, Log: log, Count: cfg.Node.Peers.Fresh > 0,
-		Report: func() []any { return append(n.callers.Report(), "servers", out.back.Connections()) }})
+		Subscribe: out.subscribe, Pushed: !out.settings.PollDiscovery, Log: log, Count: cfg.Node.Peers.Fresh > 0,
+		Report: func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) }})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 	}
 	if p.Registry == nil {
 		list := staticList(p, nil, 0)
 		out.static = targetsOf(list)
-		out.engine.Hold(list)
+		out.engine.RestoreList(list)
 		return out, nil
 	}
 	// An agent tells its whole list at once and at no cost: what is known may be of another one's counting.
 	rev := int64(-1)
-	if known.Full && out.settings.AskDiscovery {
+	if known.Full && out.settings.PollDiscovery {
 		rev = known.Rev
 	}
 	s := n.newSource(*p.Registry, rev, log)
 	s.relay.attach(out.engine)
 	out.source.Store(s)
-	out.engine.Hold(discovery.List{Full: true, Targets: known.Targets})
+	out.engine.RestoreList(discovery.List{Full: true, Targets: known.Targets})
 	return out, nil
 }
 
@@ -126,7 +126,7 @@
 func (u update) commit(now time.Duration) (old *source) {
 	p := u.pool
 	if !reflect.DeepEqual(p.settings, u.settings) {
-		p.engine.Reconfigure(u.settings, !u.settings.AskDiscovery)
+		p.engine.Reconfigure(u.settings, !u.settings.PollDiscovery)
 	}
 	if u.move() {
 		if old = p.source.Load(); old != nil {
@@ -140,7 +140,7 @@
 	if u.cfg.Registry == nil && (u.move() || !reflect.DeepEqual(p.cfg.Servers, u.cfg.Servers)) {
 		list := staticList(u.cfg, p.static, now)
 		p.static = targetsOf(list)
-		p.engine.TakeList(list)
+		p.engine.UpdateList(list)
 	}
 	if u.cfg.Registry != nil {
 		p.static = nil // what a later list of the configuration's names is no news to the registry's
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -10,47 +10,47 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// looks are how often a node looks at itself in the time for which facts are fresh: rates go over half of that.
-const looks = 8
+// samplesPerWindow are how often a node looks at itself in the time for which facts are fresh: rates go over half of that.
+const samplesPerWindow = 8
 
-// glimpse is what the node's pools saw at a time.
-type glimpse struct {
+// sample is what the node's pools saw at a time.
+type sample struct {
 	at     time.Duration
-	sights map[string]engine.Sight // by pool
+	stats  map[string]engine.Stats // by pool
 	zone   string                  // the node's
 	shared uint32                  // the number of what nodes' configurations have in common
 }
 
-// tellPeers tells the room what the node sees, until ctx ends.
-func (n *Node) tellPeers(ctx context.Context, fresh time.Duration) {
+// publishToPeers tells the room what the node sees, until ctx ends.
+func (n *Node) publishToPeers(ctx context.Context, fresh time.Duration) {
 	if fresh == 0 {
 		return
 	}
-	var past []glimpse
-	for ; ctx.Err() == nil; clock.Sleep(ctx, fresh/looks) {
-		g := n.glimpse()
-		if past = append(past, g); len(past) > looks/2+1 {
+	var past []sample
+	for ; ctx.Err() == nil; clock.Sleep(ctx, fresh/samplesPerWindow) {
+		g := n.lastSample()
+		if past = append(past, g); len(past) > samplesPerWindow/2+1 {
 			past = past[1:]
 		}
-		n.peers.Tell(told(past[0], g))
+		n.peers.PublishLoad(told(past[0], g))
 	}
 }
 
-// glimpse looks at the pools.
-func (n *Node) glimpse() glimpse {
-	g := glimpse{at: n.clock.Now(), sights: map[string]engine.Sight{}}
+// lastSample looks at the pools.
+func (n *Node) lastSample() sample {
+	g := sample{at: n.clock.Now(), stats: map[string]engine.Stats{}}
 	n.mu.Lock()
 	g.shared, g.zone = n.cfg.Shared(), n.cfg.Node.Zone
 	pools := n.pools
 	n.mu.Unlock()
 	for name, p := range pools {
-		g.sights[name] = p.engine.Sight()
+		g.stats[name] = p.engine.Stats()
 	}
 	return g
 }
 
 // told is what is to be told of the time between two glimpses.
-func told(was, is glimpse) gossip.Seen {
+func told(was, is sample) gossip.Seen {
 	out := gossip.Seen{Names: map[zonestate.Subject]string{}}
 	seconds := (is.at - was.at).Seconds()
 	subject := func(name string) zonestate.Subject {
@@ -72,35 +72,35 @@
 		add(zonestate.Oldest, name, float64(v))
 	}
 	version("configuration", int64(is.shared))
-	for pool, s := range is.sights {
-		p := was.sights[pool]
+	for pool, s := range is.stats {
+		p := was.stats[pool]
 		if s.Rev > 0 {
 			version("list of "+pool, s.Rev)
 		}
 		for name, c := range s.Classes {
-			rate(zonestate.Demand, name, float64(p.Classes[name].Calls), float64(c.Calls))
-			rate(zonestate.Refused, name, float64(p.Classes[name].Refused), float64(c.Refused))
-			add(zonestate.Open, name, float64(c.Open))
+			rate(zonestate.Demand, name, float64(p.Classes[name].Requests), float64(c.Requests))
+			rate(zonestate.Rejected, name, float64(p.Classes[name].Rejected), float64(c.Rejected))
+			add(zonestate.Open, name, float64(c.InFlight))
 		}
 		for name, z := range s.Zones {
 			o := p.Zones[name]
 			rate(zonestate.Sent, name, float64(o.Ended), float64(z.Ended))
-			rate(zonestate.Bad, name, float64(o.Bad), float64(z.Bad))
-			rate(zonestate.Lag, name, o.Took.Seconds(), z.Took.Seconds())
+			rate(zonestate.Bad, name, float64(o.Failures), float64(z.Failures))
+			rate(zonestate.Lag, name, o.TotalLatency.Seconds(), z.TotalLatency.Seconds())
 			if _, lists := s.Zones[is.zone]; name == is.zone || !lists { // each zone's nodes tell of its own
 				add(zonestate.Ready, name, float64(z.Ready))
-				add(zonestate.Warm, name, float64(z.Warm))
+				add(zonestate.Warm, name, float64(z.WarmedUp))
 			}
 		}
 		for name, x := range s.Servers {
 			// Of servers only those are told of that are in trouble: the others are many, and alike.
-			if bad := p.Servers[name].Bad; x.Bad > bad {
-				rate(zonestate.Trouble, name, float64(bad), float64(x.Bad))
-				add(zonestate.Held, name, float64(x.Held))
+			if bad := p.Servers[name].Failures; x.Failures > bad {
+				rate(zonestate.Trouble, name, float64(bad), float64(x.Failures))
+				add(zonestate.Held, name, float64(x.InFlight))
 			}
 		}
-		for i, took := range s.Took {
-			if d := took - p.Took[i]; d > 0 && seconds > 0 {
+		for i, took := range s.LatencyHistogram {
+			if d := took - p.LatencyHistogram[i]; d > 0 && seconds > 0 {
 				out.Entries = append(out.Entries, zonestate.Entry{Kind: zonestate.Sketch, Subject: zonestate.Subject(i), Value: float64(d) / seconds})
 			}
 		}
--- a/internal/node/sample_test.go
+++ b/internal/node/sample_test.go
@@ -13,12 +13,12 @@
 
 // What is told are rates between two glimpses, versions, the own zone's servers, and of servers those in trouble; what was
 // counted anew is not told as a rate below nothing.
-func TestWhatIsTold(t *testing.T) {
-	was := glimpse{at: time.Second, sights: map[string]engine.Sight{"p": {Classes: map[string]engine.ClassSight{"view": {Calls: 10, Refused: 5}},
-		Zones: map[string]engine.ZoneSight{"a": {Ended: 8, Bad: 1, Took: time.Second}}, Servers: map[string]engine.ServerSight{"s1": {Bad: 1}, "s2": {Bad: 1}}}}}
-	is := glimpse{at: 3 * time.Second, zone: "a", shared: 77, sights: map[string]engine.Sight{"p": {Rev: 9, Classes: map[string]engine.ClassSight{"view": {Calls: 16, Refused: 2, Open: 3}},
-		Zones:   map[string]engine.ZoneSight{"a": {Ended: 12, Bad: 3, Took: 2 * time.Second, Ready: 4, Warm: 2}, "b": {Ready: 9}},
-		Servers: map[string]engine.ServerSight{"s1": {Bad: 3, Held: 6}, "s2": {Bad: 1, Held: 2}}, Took: [engine.Buckets]int64{4: 2}}}}
+func TestPublishedLoad(t *testing.T) {
+	was := sample{at: time.Second, stats: map[string]engine.Stats{"p": {Classes: map[string]engine.ClassStats{"view": {Requests: 10, Rejected: 5}},
+		Zones: map[string]engine.ZoneStats{"a": {Ended: 8, Failures: 1, TotalLatency: time.Second}}, Servers: map[string]engine.ServerStats{"s1": {Failures: 1}, "s2": {Failures: 1}}}}}
+	is := sample{at: 3 * time.Second, zone: "a", shared: 77, stats: map[string]engine.Stats{"p": {Rev: 9, Classes: map[string]engine.ClassStats{"view": {Requests: 16, Rejected: 2, InFlight: 3}},
+		Zones:   map[string]engine.ZoneStats{"a": {Ended: 12, Failures: 3, TotalLatency: 2 * time.Second, Ready: 4, WarmedUp: 2}, "b": {Ready: 9}},
+		Servers: map[string]engine.ServerStats{"s1": {Failures: 3, InFlight: 6}, "s2": {Failures: 1, InFlight: 2}}, LatencyHistogram: [engine.Buckets]int64{4: 2}}}}
 	got := map[zonestate.Entry]bool{}
 	seen := told(was, is)
 	for _, e := range seen.Entries {
@@ -43,7 +43,7 @@
 
 // On the platform, whose configuration has no peers block and no federation, no room is opened, no links are, and nothing is
 // counted for others.
-func TestThePlatformsNodeOpensNoRoom(t *testing.T) {
+func TestPlatformNodeOpensNoGossipSocket(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	cfg := testConfig(`{"rev":%d,"all":true,"targets":[]}`)
 	*cfg.registry() = ag.Address()
@@ -57,14 +57,14 @@
 		t.Errorf("a room is open: %+v", s.Peers)
 	}
 	for name, p := range n.pools {
-		if s := p.engine.Sight(); s.Classes != nil {
+		if s := p.engine.Stats(); s.Classes != nil {
 			t.Errorf("pool %s counts for others: %+v", name, s)
 		}
 	}
 }
 
 // A node with a peers block tells operators whom it knows.
-func TestOperatorsAreToldOfPeers(t *testing.T) {
+func TestManagementReportsPeers(t *testing.T) {
 	cfg := testConfig(`{"rev":%d,"all":true,"targets":[]}`)
 	*cfg.registry() = testpeer.NewAgent(t).Address()
 	key := t.TempDir() + "/key"
@@ -76,7 +76,7 @@
 		Fresh: config.Duration(time.Second), Delay: config.Duration(10 * time.Millisecond)}
 	n, _ := startNode(t, cfg, nil)
 	testpeer.Until(t, "its own zone to be known", func() bool {
-		p := n.Figures().Peers
+		p := n.Metrics().Peers
 		return p != nil && p.Alone && p.Zones["fresh"] == 1 && len(p.Members) == 0
 	})
 }
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -21,17 +21,17 @@
 	kept   []discovery.List
 	closed bool
 
-	ready  map[string]bool // ids of the listed servers in service
-	listed chan struct{}   // closed once a whole list has come
-	warm   chan struct{}   // closed once one has come and a server of it is in service
+	ready   map[string]bool // ids of the listed servers in service
+	listed  chan struct{}   // closed once a whole list has come
+	hasList chan struct{}   // closed once one has come and a server of it is in service
 }
 
 func newRelay() *relay {
-	return &relay{ready: map[string]bool{}, listed: make(chan struct{}), warm: make(chan struct{})}
+	return &relay{ready: map[string]bool{}, listed: make(chan struct{}), hasList: make(chan struct{})}
 }
 
-// TakeList implements discovery.Sink.
-func (r *relay) TakeList(l discovery.List) {
+// UpdateList implements discovery.Sink.
+func (r *relay) UpdateList(l discovery.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -39,7 +39,7 @@
 	}
 	r.note(l)
 	if r.to != nil {
-		r.to.TakeList(l)
+		r.to.UpdateList(l)
 		return
 	}
 	r.kept = append(r.kept, l)
@@ -59,7 +59,7 @@
 		}
 	}
 	if isClosed(r.listed) && len(r.ready) > 0 {
-		closeOnce(r.warm)
+		closeOnce(r.hasList)
 	}
 }
 
@@ -85,7 +85,7 @@
 	defer r.mu.Unlock()
 	r.to = to
 	for _, l := range r.kept {
-		to.TakeList(l)
+		to.UpdateList(l)
 	}
 	r.kept = nil
 }
@@ -123,7 +123,7 @@
 
 // newSource watches a registry from the version rev on; -1: from none.
 func (n *Node) newSource(r config.Registry, rev int64, log *slog.Logger) *source {
-	s := &source{relay: newRelay(), pushed: r.Mode != config.Asked, done: make(chan struct{})}
+	s := &source{relay: newRelay(), pushed: r.Mode != config.Polled, done: make(chan struct{})}
 	s.watch = discovery.NewWatch(r.Address, rev, s.relay, log)
 	s.relay.again = s.watch.Subscribe
 	if n.options.watch != nil {
@@ -141,7 +141,7 @@
 		if s.pushed {
 			s.watch.Push(ctx)
 		} else {
-			s.watch.Ask(ctx)
+			s.watch.Poll(ctx)
 		}
 	}()
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -37,15 +37,15 @@
 }
 
 // needsPorts is a configuration with every socket that a node's start opens.
-func needsPorts(t *testing.T, front, door, room net.Addr) *config.Config {
+func needsPorts(t *testing.T, front, management, room net.Addr) *config.Config {
 	t.Helper()
 	key := t.TempDir() + "/key"
 	if err := os.WriteFile(key, []byte("a key of sixteen bytes or more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := ownConfig(pooled("p", box(t, "a")))
+	cfg := ownConfig(pooled("p", newTestServer(t, "a")))
 	cfg.Listeners[0].Address = front.String()
-	cfg.Node.Management = door.String()
+	cfg.Node.Management = management.String()
 	cfg.Node.Peers = config.Peers{Listen: room.String(), KeyFile: key, Period: config.Duration(time.Second)}
 	cfg.Federation = &config.Federation{Partner: "us", Holders: 1, Memory: 1 << 20, Keep: config.Duration(time.Minute), Silence: config.Duration(time.Second)}
 	return cfg
@@ -55,11 +55,11 @@
 func TestAStartWaitsForItsSockets(t *testing.T) {
 	front, unused := takenPort(t)
 	unused.Close()
-	door, unused := takenPort(t)
+	management, unused := takenPort(t)
 	unused.Close()
 	links, room := takenPort(t)
 	log := &text{}
-	cfg := needsPorts(t, front.Addr(), door.Addr(), room.LocalAddr())
+	cfg := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr())
 	type started struct {
 		node *Node
 		err  error
@@ -69,7 +69,7 @@
 		n, err := New(cfg, slog.New(slog.NewTextHandler(log, nil)), Options{})
 		done <- started{n, err}
 	}()
-	for i, held := range []io.Closer{front, door, room, links} {
+	for i, held := range []io.Closer{front, management, room, links} {
 		testpeer.Until(t, "the next socket to be tried", func() bool { return log.Count("a socket can't be opened and is tried again") > i })
 		held.Close()
 	}
@@ -88,10 +88,10 @@
 	front, unused := takenPort(t)
 	defer front.Close()
 	unused.Close()
-	door, room := takenPort(t)
-	door.Close()
+	management, room := takenPort(t)
+	management.Close()
 	room.Close()
-	cfg, known, log := needsPorts(t, front.Addr(), door.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &text{}
+	cfg, known, log := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &text{}
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
--- a/internal/peering/hello.go
+++ b/internal/peering/hello.go
@@ -101,8 +101,8 @@
 		return nil, fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrStrange, p.Partner, partner)
 	case other.To != "" && other.To != o.Self.Partner:
 		return nil, fmt.Errorf("%w: it means a gateway of %q", ErrStrange, other.To)
-	case p.Who() == o.Self.Who():
-		return nil, fmt.Errorf("%w: it has this gateway's own name, %v", ErrStrange, p.Who())
+	case p.ID() == o.Self.ID():
+		return nil, fmt.Errorf("%w: it has this gateway's own name, %v", ErrStrange, p.ID())
 	}
 	key := o.Key(p.Partner)
 	if key == nil {
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -40,20 +40,20 @@
 
 // Peer is a gateway at the other end of a link.
 type Peer struct {
-	Partner string `cbor:"1,keyasint"` // whose gateway it is
-	Name    string `cbor:"2,keyasint"`
-	Zone    string `cbor:"3,keyasint,omitempty"`
-	Life    uint64 `cbor:"4,keyasint"`           // drawn at its start: another one has forgotten what this one knew
-	Calls   string `cbor:"5,keyasint,omitempty"` // address at which it takes partners' calls; empty: it takes none
+	Partner     string `cbor:"1,keyasint"` // whose gateway it is
+	Name        string `cbor:"2,keyasint"`
+	Zone        string `cbor:"3,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"4,keyasint"`           // drawn at its start: another one has forgotten what this one knew
+	Calls       string `cbor:"5,keyasint,omitempty"` // address at which it takes partners' calls; empty: it takes none
 }
 
-// Who names a gateway whatever its life.
-type Who struct{ Partner, Name string }
+// GatewayID names a gateway whatever its life.
+type GatewayID struct{ Partner, Name string }
 
-// Who is the peer's name among all.
-func (p Peer) Who() Who { return Who{p.Partner, p.Name} }
+// ID is the peer's name among all.
+func (p Peer) ID() GatewayID { return GatewayID{p.Partner, p.Name} }
 
-func (w Who) String() string { return w.Partner + "/" + w.Name }
+func (w GatewayID) String() string { return w.Partner + "/" + w.Name }
 
 // Errors of links and of what is sent over them.
 var (
@@ -141,7 +141,7 @@
 	turns chan struct{} // to shake hands
 
 	mu    sync.Mutex
-	links map[Who][]*Link // the newest last
+	links map[GatewayID][]*Link // the newest last
 	kept  map[string]*kept
 	stats Stats
 	full  atomic.Int64
@@ -187,7 +187,7 @@
 // Serve is Open with a listener, which Close closes.
 func Serve(ln net.Listener, o Options) *Hub {
 	o = o.withDefaults()
-	h := &Hub{o: o, ln: listener.New(ln, o.Log), began: time.Now(), links: map[Who][]*Link{}, kept: map[string]*kept{}, stats: Stats{Ended: map[string]int{}}, turns: make(chan struct{}, opening)}
+	h := &Hub{o: o, ln: listener.New(ln, o.Log), began: time.Now(), links: map[GatewayID][]*Link{}, kept: map[string]*kept{}, stats: Stats{Ended: map[string]int{}}, turns: make(chan struct{}, opening)}
 	h.ctx, h.end = context.WithCancel(context.Background())
 	h.tasks.Go(h.accept)
 	return h
@@ -355,11 +355,11 @@
 		h.mu.Unlock()
 		return false
 	}
-	who := l.Peer.Who()
+	who := l.Peer.ID()
 	old := h.links[who]
 	var gone []*Link
 	for _, o := range old {
-		if o.Peer.Life != l.Peer.Life {
+		if o.Peer.Incarnation != l.Peer.Incarnation {
 			gone = append(gone, o)
 		}
 	}
@@ -371,7 +371,7 @@
 	}
 	h.o.Up(l)
 	if len(old) == len(gone) {
-		h.o.Log.Info("link", "gateway", who, "life", l.Peer.Life, "up", true)
+		h.o.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", true)
 		h.o.Changed(l.Peer, true, nil)
 	}
 	return true
@@ -379,9 +379,9 @@
 
 func (h *Hub) remove(l *Link) {
 	h.mu.Lock()
-	who := l.Peer.Who()
+	who := l.Peer.ID()
 	h.links[who] = slices.DeleteFunc(h.links[who], func(o *Link) bool { return o == l })
-	last := !slices.ContainsFunc(h.links[who], func(o *Link) bool { return o.Peer.Life == l.Peer.Life })
+	last := !slices.ContainsFunc(h.links[who], func(o *Link) bool { return o.Peer.Incarnation == l.Peer.Incarnation })
 	if len(h.links[who]) == 0 {
 		delete(h.links, who)
 	}
@@ -389,7 +389,7 @@
 	h.mu.Unlock()
 	if last {
 		if h.ctx.Err() == nil {
-			h.o.Log.Info("link", "gateway", who, "life", l.Peer.Life, "up", false, "why", l.Err())
+			h.o.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", false, "why", l.Err())
 		}
 		h.o.Changed(l.Peer, false, l.Err())
 	}
@@ -409,7 +409,7 @@
 }
 
 // To is the newest link to a gateway; nil: there is none.
-func (h *Hub) To(who Who) *Link {
+func (h *Hub) To(who GatewayID) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if all := h.links[who]; len(all) > 0 {
@@ -479,7 +479,7 @@
 	tell              // a message that asks nothing
 	ask               // answered by reply of its number
 	reply             //
-	refuse            // in place of a reply
+	reject            // in place of a reply
 )
 
 type frame struct {
@@ -581,8 +581,8 @@
 	return l.put(frame{Kind: tell, Topic: topic, Body: body})
 }
 
-// Asked is a question that is under way.
-type Asked struct {
+// IncomingRequest is a question that is under way.
+type IncomingRequest struct {
 	link   *Link
 	number uint64
 	answer chan frame
@@ -621,9 +621,9 @@
 	return was
 }
 
-// Ask sends a question. It comes in its place among all that is sent over the link; Wait brings the answer.
-func (l *Link) Ask(topic string, question any) (*Asked, error) {
-	a := &Asked{link: l, answer: make(chan frame, 1)}
+// Request sends a question. It comes in its place among all that is sent over the link; Wait brings the answer.
+func (l *Link) Request(topic string, question any) (*IncomingRequest, error) {
+	a := &IncomingRequest{link: l, answer: make(chan frame, 1)}
 	var err error
 	if a.number, err = l.ask(topic, question, func(f frame) { a.answer <- f }); err != nil {
 		return nil, err
@@ -633,7 +633,7 @@
 
 // Wait waits for the answer until ctx or the link ends, and reads it into what answer points to. What the other side says
 // instead is a RemoteError.
-func (a *Asked) Wait(ctx context.Context, answer any) error {
+func (a *IncomingRequest) Wait(ctx context.Context, answer any) error {
 	select {
 	case f := <-a.answer:
 		return a.link.answered(f, answer)
@@ -643,9 +643,9 @@
 	}
 }
 
-// AskThen sends a question as Ask does, and has told called once, on the link's reader or on whoever ends the link, with what
+// RequestAsync sends a question as Ask does, and has told called once, on the link's reader or on whoever ends the link, with what
 // reads the answer into what it is given; told must not block. forget has it not be called any more.
-func (l *Link) AskThen(topic string, question any, told func(read func(answer any) error)) (forget func(), err error) {
+func (l *Link) RequestAsync(topic string, question any, told func(read func(answer any) error)) (forget func(), err error) {
 	n, err := l.ask(topic, question, func(f frame) { told(func(answer any) error { return l.answered(f, answer) }) })
 	return func() { l.forget(n) }, err
 }
@@ -658,7 +658,7 @@
 			return fmt.Errorf("%w: %w", ErrFrame, err)
 		}
 		return nil
-	case refuse:
+	case reject:
 		var words string
 		if err := decoding.Unmarshal(f.Body, &words); err != nil {
 			return fmt.Errorf("%w: %w", ErrFrame, err)
@@ -670,7 +670,7 @@
 
 // Do asks and waits.
 func (l *Link) Do(ctx context.Context, topic string, question, answer any) error {
-	a, err := l.Ask(topic, question)
+	a, err := l.Request(topic, question)
 	if err != nil {
 		return err
 	}
@@ -723,7 +723,7 @@
 				l.fail(err)
 			}
 		})
-	case reply, refuse:
+	case reply, reject:
 		l.mu.Lock()
 		to := l.waiting[f.Number]
 		delete(l.waiting, f.Number)
@@ -769,7 +769,7 @@
 func (l *Link) answer(number uint64, answer any, refused error) error {
 	f := frame{Kind: reply, Number: number}
 	if refused != nil {
-		f.Kind, answer = refuse, refused.Error()
+		f.Kind, answer = reject, refused.Error()
 	}
 	var err error
 	if f.Body, err = encoding.Marshal(answer); err != nil {
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -26,8 +26,8 @@
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // options are a gateway's whose links hang on nothing's speed.
-func options(partner, name string, life uint64) Options {
-	return Options{Self: Peer{Partner: partner, Name: name, Life: life}, Listen: "127.0.0.1:0", Log: quiet(),
+func options(partner, name string, incarnation uint64) Options {
+	return Options{Self: Peer{Partner: partner, Name: name, Incarnation: incarnation}, Listen: "127.0.0.1:0", Log: quiet(),
 		Key:  func(string) []byte { return testKey },
 		Beat: 10 * time.Millisecond, Silence: testpeer.Limit}
 }
@@ -46,7 +46,7 @@
 func linked(t *testing.T, from, to *Hub) *Link {
 	t.Helper()
 	var l *Link
-	testpeer.Until(t, "a link", func() bool { l = from.To(to.Self().Who()); return l != nil })
+	testpeer.Until(t, "a link", func() bool { l = from.To(to.Self().ID()); return l != nil })
 	return l
 }
 
@@ -72,7 +72,7 @@
 			came = append(came, n)
 			mu.Unlock()
 			if n%7 == 0 {
-				reply(nil, fmt.Errorf("no %d from %v", n, from.Peer.Who()))
+				reply(nil, fmt.Errorf("no %d from %v", n, from.Peer.ID()))
 				return
 			}
 			go reply(2*n, nil)
@@ -89,9 +89,9 @@
 	a, b := open(t, options("a", "a1", 1)), open(t, o)
 	a.Keep(b.Addr(), "b")
 	l := linked(t, a, b)
-	var all []*Asked
+	var all []*IncomingRequest
 	for i := range 300 {
-		q, err := l.Ask("double", i)
+		q, err := l.Request("double", i)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 	}{
 		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKey},
 		{"a partner that is in no file", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
-		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Life: 9} }, ErrStrange},
+		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrStrange},
 		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKey},
 	} {
 		ob := options("b", "b1", 1)
@@ -288,7 +288,7 @@
 		toGood := linked(t, b, g)
 		stalled(t, b, "slow")
 		var toSlow *Link
-		testpeer.Until(t, "the link", func() bool { toSlow = b.To(Who{"a", "slow"}); return toSlow != nil })
+		testpeer.Until(t, "the link", func() bool { toSlow = b.To(GatewayID{"a", "slow"}); return toSlow != nil })
 		full := false
 		for flood && !full {
 			err := toSlow.Tell("x", make([]byte, 64<<10))
@@ -315,14 +315,14 @@
 
 // A gateway that starts anew is another life: its link takes the place of the old one's, which is told of first, and a
 // link that broke comes back.
-func TestANewLifeTakesThePlaceOfTheOld(t *testing.T) {
+func TestNewIncarnationReplacesOldOne(t *testing.T) {
 	type change struct {
 		life uint64
 		up   bool
 	}
 	changes := make(chan change, 20)
 	o := options("b", "b1", 1)
-	o.Changed = func(p Peer, up bool, _ error) { changes <- change{p.Life, up} }
+	o.Changed = func(p Peer, up bool, _ error) { changes <- change{p.Incarnation, up} }
 	b := open(t, o)
 	first := open(t, options("a", "a1", 7))
 	first.Keep(b.Addr(), "b")
@@ -347,7 +347,7 @@
 	for !seen[change{8, true}] || !seen[change{7, false}] {
 		seen[testpeer.Receive(t, changes, "the second life")] = true
 	}
-	if l := b.To(Who{"a", "a1"}); l == nil || l.Peer.Life != 8 {
+	if l := b.To(GatewayID{"a", "a1"}); l == nil || l.Peer.Incarnation != 8 {
 		t.Errorf("the link is to %+v", l)
 	}
 }
@@ -360,7 +360,7 @@
 	a, b := open(t, options("a", "a1", 1)), open(t, o)
 	a.Keep(b.Addr(), "b")
 	l := linked(t, a, b)
-	q, err := l.Ask("never", 1)
+	q, err := l.Request("never", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -408,7 +408,7 @@
 	defer from.Close()
 	from.Keep(to.Addr(), "b")
 	var l *Link
-	for ; l == nil; l = from.To(to.Self().Who()) {
+	for ; l == nil; l = from.To(to.Self().ID()) {
 		time.Sleep(time.Millisecond)
 	}
 	body := make([]byte, 400)
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -21,7 +21,7 @@
 type Machine struct {
 	running  Running
 	phase    phase
-	offer    *Offer
+	proposal *Proposal
 	cause    error // why the one under way fails
 	diverged bool  // the disk may hold another record than what runs
 	ending   bool
@@ -42,8 +42,8 @@
 
 var phaseNames = [...]string{"idle", "repairing the state", "preparing", "persisting", "committing", "restoring the state", "undoing", "retiring"}
 
-// Offer is a change that is asked for.
-type Offer struct {
+// Proposal is a change that is asked for.
+type Proposal struct {
 	By     string // who asks, for the log: apply, rollback, reload
 	Plan   *Plan  // nil for a rollback or a reload
 	Config *config.Config
@@ -105,22 +105,22 @@
 // Next is the serial and fingerprint that the change under way leads to.
 func (m *Machine) Next() Running {
 	r := m.running
-	if m.offer != nil {
+	if m.proposal != nil {
 		r.Serial++
-		r.Fingerprint = m.offer.Config.Fingerprint()
+		r.Fingerprint = m.proposal.Config.Fingerprint()
 	}
 	return r
 }
 
-// Offer asks for a change. It is refused, with nothing done, while another is under way, while the node ends,
+// Propose asks for a change. It is refused, with nothing done, while another is under way, while the node ends,
 // and if it was made for something else than what runs. For one to what runs already nothing is done, or the record
 // of that is written again where the disk may hold another: whoever is told that it runs may count on the next start.
-func (m *Machine) Offer(o Offer) (Step, error) {
+func (m *Machine) Propose(o Proposal) (Step, error) {
 	switch {
 	case m.ending:
 		return Nothing, ErrEnding
 	case m.phase != idle:
-		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.offer.By, m.Phase())
+		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.proposal.By, m.Phase())
 	}
 	if err := o.fits(m.running); err != nil {
 		return Nothing, err
@@ -129,7 +129,7 @@
 		m.cause = nil
 		return Nothing, nil
 	}
-	m.offer, m.cause = &o, nil
+	m.proposal, m.cause = &o, nil
 	if m.diverged {
 		m.phase = repairing
 		return Repair, nil
@@ -139,9 +139,9 @@
 }
 
 // runs says whether it asks for what runs already.
-func (o Offer) runs(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
+func (o Proposal) runs(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
 
-func (o Offer) fits(now Running) error {
+func (o Proposal) fits(now Running) error {
 	if o.Plan != nil {
 		return o.Plan.Fits(now)
 	}
@@ -166,7 +166,7 @@
 		if m.ending {
 			return m.stop(ErrEnding)
 		}
-		if m.offer.runs(m.running) {
+		if m.proposal.runs(m.running) {
 			return m.stop(nil)
 		}
 		m.phase = preparing
@@ -230,7 +230,7 @@
 
 // stop ends the change under way.
 func (m *Machine) stop(err error) Step {
-	m.cause, m.phase, m.offer = err, idle, nil
+	m.cause, m.phase, m.proposal = err, idle, nil
 	return Nothing
 }
 
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -14,10 +14,10 @@
 )
 
 // scripted is a change to a configuration that differs in one figure.
-func scripted(t testing.TB, base Running, attempts int) Offer {
+func scripted(t testing.TB, base Running, attempts int) Proposal {
 	next := example(t)
 	next.Pools[0].Attempts = attempts
-	return Offer{By: "apply", Config: next, Base: base}
+	return Proposal{By: "apply", Config: next, Base: base}
 }
 
 var errStep = errors.New("step failed")
@@ -58,14 +58,14 @@
 				var err error
 				switch word {
 				case "offer", "offer!":
-					step, err = m.Offer(scripted(t, m.Running(), 5+i))
+					step, err = m.Propose(scripted(t, m.Running(), 5+i))
 				case "stale!", "same":
-					step, err = m.Offer(scripted(t, first, 3))
+					step, err = m.Propose(scripted(t, first, 3))
 				case "running":
-					step, err = m.Offer(scripted(t, m.Running(), 4))
+					step, err = m.Propose(scripted(t, m.Running(), 4))
 				case "nothing!":
 					o := scripted(t, first, 4) // as the example has it
-					if step, err = m.Offer(o); err != nil {
+					if step, err = m.Propose(o); err != nil {
 						t.Fatal(err)
 					}
 					continue
@@ -101,10 +101,10 @@
 // A refusal names what is under way, or what runs.
 func TestRefusalsOfOffersSayWhy(t *testing.T) {
 	m := NewMachine(runningOf(example(t), 1), false)
-	if _, err := m.Offer(scripted(t, m.Running(), 2)); err != nil {
+	if _, err := m.Propose(scripted(t, m.Running(), 2)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.Offer(scripted(t, m.Running(), 3)); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply is preparing") {
+	if _, err := m.Propose(scripted(t, m.Running(), 3)); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply is preparing") {
 		t.Errorf("%v", err)
 	}
 	m.Done(errStep)
@@ -113,16 +113,16 @@
 	}
 	stale := m.Running()
 	stale.Serial = 9
-	if _, err := m.Offer(scripted(t, stale, 2)); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "serial 1") {
+	if _, err := m.Propose(scripted(t, stale, 2)); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "serial 1") {
 		t.Errorf("%v", err)
 	}
 	other := scripted(t, m.Running(), 2)
 	other.Config.Node.Name = "n2"
-	if _, err := m.Offer(other); !errors.Is(err, ErrOtherNode) {
+	if _, err := m.Propose(other); !errors.Is(err, ErrOtherNode) {
 		t.Errorf("%v", err)
 	}
 	m.End()
-	if _, err := m.Offer(scripted(t, m.Running(), 2)); !errors.Is(err, ErrEnding) {
+	if _, err := m.Propose(scripted(t, m.Running(), 2)); !errors.Is(err, ErrEnding) {
 		t.Errorf("%v", err)
 	}
 }
@@ -156,7 +156,7 @@
 			switch event := rapid.SampledFrom([]string{"offer", "done", "done", "done", "end"}).Draw(t, "event"); event {
 			case "offer":
 				before := m.Running()
-				next, err := m.Offer(Offer{By: "apply", Config: configs[fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "to"))], Base: before})
+				next, err := m.Propose(Proposal{By: "apply", Config: configs[fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "to"))], Base: before})
 				if (step != Nothing || ended) && err == nil {
 					t.Fatal("a second change at once, or one at the end")
 				}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -23,7 +23,7 @@
 type Running struct {
 	Node        string `json:"node"`
 	Lineage     string `json:"lineage"`     // drawn when the node first took a configuration for this state folder
-	Life        string `json:"life"`        // drawn at each start of the process
+	Incarnation string `json:"life"`        // drawn at each start of the process
 	Serial      int64  `json:"serial"`      // one more with each apply and rollback
 	Fingerprint string `json:"fingerprint"` // of the configuration
 }
@@ -147,7 +147,7 @@
 		return fmt.Errorf("%w: it would make %q of %q: a node keeps its name for life", ErrOtherNode, p.Config.Node.Name, now.Node)
 	case p.Base.Lineage != now.Lineage:
 		return fmt.Errorf("%w: the node has begun a new state since: plan again", ErrStale)
-	case p.Base.Life != now.Life:
+	case p.Base.Incarnation != now.Incarnation:
 		return fmt.Errorf("%w: the node has been started again since: plan again", ErrStale)
 	case p.Base.Serial != now.Serial || p.Base.Fingerprint != now.Fingerprint:
 		return fmt.Errorf("%w: it was made for serial %d (%s), and serial %d (%s) runs: plan again", ErrStale,
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -117,7 +117,7 @@
 }
 
 // A plan holds exactly the new configuration, and nothing of it can be changed unseen.
-func TestPlanIsReadBackWhole(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
 	p := Make(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", made)
@@ -195,7 +195,7 @@
 	begun := runningOf(old, 3)
 	begun.Lineage = "m"
 	restarted := runningOf(old, 3)
-	restarted.Life = "2"
+	restarted.Incarnation = "2"
 	for name, c := range map[string]struct {
 		now Running
 		is  error
@@ -280,11 +280,11 @@
 func bigPair() (old, next *config.Config) {
 	make := func(changed int) *config.Config {
 		c := &config.Config{Node: config.Node{Name: "n", Limits: config.Limits{Memory: 8 << 30, Descriptors: 1 << 20, Cores: 1}},
-			Classes:   []config.Class{{Name: "view", Effect: config.Safe, Aim: config.Duration(time.Second), Deadline: config.Duration(time.Second), Worth: 1}},
+			Classes:   []config.Class{{Name: "view", Effect: config.Safe, LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second), PriorityWeight: 1}},
 			Listeners: []config.Listener{{Name: "main", Address: "127.0.0.1:7070", Protocol: config.HTTP1, Paths: config.StrictPaths}}}
 		for i := range 1000 {
 			p := config.Pool{Name: fmt.Sprint("pool-", i), Protocol: config.HTTP1, Attempts: 3, Cancel: true, Tick: config.Duration(time.Millisecond),
-				Copies: config.Copies{Count: 1}, Shedding: config.Shedding{Whole: 1}, SlowStart: config.SlowStart{From: 1},
+				Copies: config.Copies{Count: 1}, Shedding: config.Shedding{Total: 1}, SlowStart: config.SlowStart{From: 1},
 				Connections: config.Connections{Most: 64, Idle: config.Duration(time.Minute), ConnectTimeout: config.Duration(time.Second)}}
 			for k := range 3 {
 				p.Servers = append(p.Servers, config.Server{Name: fmt.Sprint("s", k), Address: fmt.Sprintf("127.%d.%d.%d:9000", i/250+1, i%250, k+1), Size: 1, State: config.Ready})
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -27,8 +27,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// keeper is the bucket of one who may be the keeper of a budget, and its part in electing one. The owner locks it.
-type keeper struct {
+// leader is the bucket of one who may be the keeper of a budget, and its part in electing one. The owner locks it.
+type leader struct {
 	terms budget.Terms
 	self  string // partner/name
 	all   []string
@@ -39,13 +39,13 @@
 	term  uint64        // own, while
 	until time.Duration // it lasts; 0: it is not the keeper
 
-	tokens float64
-	filled time.Duration
-	claims map[string]*budget.Claim // by partner
-	lent   map[string]*lease        // by gateway
-	asks   map[peering.Who]*asked   // that wait for tokens, the last of each gateway
-	order  []peering.Who            // of gateways, in turn
-	given  int64
+	tokens   float64
+	filled   time.Duration
+	claims   map[string]*budget.Claim              // by partner
+	lent     map[string]*lease                     // by gateway
+	requests map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
+	order    []peering.GatewayID                   // of gateways, in turn
+	granted  int64
 }
 
 // lease is a gateway's floor that it has waived.
@@ -55,28 +55,28 @@
 	until   time.Duration
 }
 
-// asked is a gateway's question that is not answered yet.
-type asked struct {
+// pendingRequest is a gateway's question that is not answered yet.
+type pendingRequest struct {
 	want, due int
 	got       int
 	reply     func(given int, hint time.Duration)
 }
 
-func newKeeper(t budget.Terms, self string, all []string, now time.Duration) *keeper {
-	return &keeper{terms: t, self: self, all: all, began: now, claims: map[string]*budget.Claim{}, lent: map[string]*lease{}, asks: map[peering.Who]*asked{}}
+func newLeader(t budget.Terms, self string, all []string, now time.Duration) *leader {
+	return &leader{terms: t, self: self, all: all, began: now, claims: map[string]*budget.Claim{}, lent: map[string]*lease{}, requests: map[peering.GatewayID]*pendingRequest{}}
 }
 
-// is says whether this one is the keeper now.
-func (k *keeper) is(now time.Duration) bool { return k.until > 0 && now < k.until }
+// isLeader says whether this one is the keeper now.
+func (k *leader) isLeader(now time.Duration) bool { return k.until > 0 && now < k.until }
 
 // begin takes the office for a term. The bucket begins empty, whatever the one before had given out.
-func (k *keeper) begin(now time.Duration, number uint64) {
+func (k *leader) begin(now time.Duration, number uint64) {
 	k.term, k.tokens, k.filled = number, 0, now
 	k.claims, k.lent = map[string]*budget.Claim{}, map[string]*lease{}
 }
 
 // rate is how fast the bucket fills now: floors that nobody has waived are others' own.
-func (k *keeper) rate(now time.Duration) float64 {
+func (k *leader) rate(now time.Duration) float64 {
 	if k.terms.WhenCut != budget.Floor {
 		return k.terms.Rate
 	}
@@ -96,7 +96,7 @@
 }
 
 // fill lets the bucket run until now.
-func (k *keeper) fill(now time.Duration) {
+func (k *leader) fill(now time.Duration) {
 	if d := (now - k.filled).Seconds(); d > 0 {
 		k.tokens = min(k.terms.Depth(), k.tokens+d*k.rate(now))
 		for _, p := range k.terms.Partners {
@@ -109,7 +109,7 @@
 }
 
 // partner is what a partner has had and is owed.
-func (k *keeper) partner(name string) *budget.Claim {
+func (k *leader) partner(name string) *budget.Claim {
 	c := k.claims[name]
 	if c == nil {
 		c = &budget.Claim{}
@@ -118,20 +118,20 @@
 	return c
 }
 
-// ask takes a gateway's question; a newer one takes the place of one that waits.
-func (k *keeper) ask(who peering.Who, a *asked, back int) {
+// request takes a gateway's question; a newer one takes the place of one that waits.
+func (k *leader) request(who peering.GatewayID, a *pendingRequest, back int) {
 	k.tokens = min(k.terms.Depth(), k.tokens+float64(back))
-	if was := k.asks[who]; was != nil {
+	if was := k.requests[who]; was != nil {
 		was.reply(was.got, 0)
 	} else if !slices.Contains(k.order, who) {
 		k.order = append(k.order, who)
 	}
-	k.asks[who] = a
+	k.requests[who] = a
 }
 
-// deal gives out what the bucket holds, by turns, and answers who has got what it wanted. over: whoever still waits is
+// distribute gives out what the bucket holds, by turns, and answers who has got what it wanted. over: whoever still waits is
 // answered too, with what there is and when to come back.
-func (k *keeper) deal(now time.Duration, over bool) {
+func (k *leader) distribute(now time.Duration, over bool) {
 	k.fill(now)
 	names := make([]string, 0, len(k.terms.Partners))
 	for _, p := range k.terms.Partners {
@@ -141,7 +141,7 @@
 	for i, n := range names {
 		c := k.partner(n)
 		c.Want = 0
-		for who, a := range k.asks {
+		for who, a := range k.requests {
 			if who.Partner == n {
 				c.Want += max(0, a.want-a.got)
 			}
@@ -161,13 +161,13 @@
 		if i < 0 {
 			break
 		}
-		n := k.give(names[i], min(once, wants[i].Want, int(k.tokens)))
+		n := k.grant(names[i], min(once, wants[i].Want, int(k.tokens)))
 		if n == 0 {
 			wants[i].Want = 0
 			continue
 		}
 		k.tokens -= float64(n)
-		k.given += int64(n)
+		k.granted += int64(n)
 		wants[i].Want -= n
 		if wants[i].Credit >= 1 {
 			wants[i].Credit -= float64(n)
@@ -181,7 +181,7 @@
 		c.Credit, c.Had = wants[i].Credit, wants[i].Had
 		waiting += max(0, wants[i].Want)
 	}
-	for who, a := range k.asks {
+	for who, a := range k.requests {
 		if a.got < a.want && !over {
 			continue
 		}
@@ -189,7 +189,7 @@
 		if a.got < a.want {
 			hint = time.Duration(float64(waiting+1) / max(k.rate(now), 1e-3) * float64(time.Second))
 		}
-		delete(k.asks, who)
+		delete(k.requests, who)
 		a.reply(a.got, hint)
 	}
 }
@@ -197,7 +197,7 @@
 // mostTurns is about how many turns a deal takes.
 const mostTurns = 512
 
-func (k *keeper) weight(partner string) float64 {
+func (k *leader) weight(partner string) float64 {
 	for _, p := range k.terms.Partners {
 		if p.Name == partner && p.Weight > 0 {
 			return p.Weight
@@ -206,12 +206,12 @@
 	return 1
 }
 
-// give gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose callers
+// grant gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose callers
 // come back at a time that they were told.
-func (k *keeper) give(partner string, n int) int {
+func (k *leader) grant(partner string, n int) int {
 	for _, due := range []bool{true, false} {
 		for i, who := range k.order {
-			a := k.asks[who]
+			a := k.requests[who]
 			if who.Partner != partner || a == nil {
 				continue
 			}
@@ -232,6 +232,6 @@
 }
 
 // waive notes that a gateway's floor may be lent until a time.
-func (k *keeper) waive(who peering.Who, floor float64, until time.Duration) {
+func (k *leader) waive(who peering.GatewayID, floor float64, until time.Duration) {
 	k.lent[who.String()] = &lease{who.Partner, floor, until}
 }
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -20,7 +20,7 @@
 // dealt plays a keeper for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
 // each partner got, and the most in any window.
 func dealt(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
-	k := newKeeper(t, "p0/g0", []string{"p0/g0"}, 0)
+	k := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
 	k.begin(0, 1)
 	k.until = time.Hour
 	got = map[string]int{}
@@ -28,7 +28,7 @@
 	for now := time.Duration(0); now < length; now += dealEvery {
 		for _, p := range t.Partners {
 			for i := range p.Gateways {
-				who := peering.Who{Partner: p.Name, Name: fmt.Sprint("g", i)}
+				who := peering.GatewayID{Partner: p.Name, Name: fmt.Sprint("g", i)}
 				if waives {
 					k.waive(who, p.Floor/float64(p.Gateways), now+budget.Waiver)
 				}
@@ -37,7 +37,7 @@
 					n = 1
 				}
 				if n > 0 {
-					k.ask(who, &asked{want: n, reply: func(given int, _ time.Duration) {
+					k.request(who, &pendingRequest{want: n, reply: func(given int, _ time.Duration) {
 						got[p.Name] += given
 						for range given {
 							times = append(times, now)
@@ -46,7 +46,7 @@
 				}
 			}
 		}
-		k.deal(now, true)
+		k.distribute(now, true)
 	}
 	from := 0
 	for i, at := range times {
@@ -114,20 +114,20 @@
 	}
 }
 
-// purse is one that is alone, its own keeper, with a clock that the test sets.
-func purse(t testing.TB, terms budget.Terms, now func() time.Duration) *Purse {
-	p := New(Options{Budget: Budget{Terms: terms, Keepers: []Keeper{{"a", "g"}}}, Self: peering.Who{Partner: "a", Name: "g"},
-		To: func(peering.Who) *peering.Link { return nil }, Now: now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+// newTestLimiter is one that is alone, its own keeper, with a clock that the test sets.
+func newTestLimiter(t testing.TB, terms budget.Terms, now func() time.Duration) *Limiter {
+	p := New(Options{Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}}, Self: peering.GatewayID{Partner: "a", Name: "g"},
+		To: func(peering.GatewayID) *peering.Link { return nil }, Now: now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	t.Cleanup(p.Close)
 	return p
 }
 
 // A purse that is its own keeper draws what the budget allows; a refusal says when to come back, and who comes then is taken.
-func TestWhoComesBackAtTheTimeThatItWasToldIsTaken(t *testing.T) {
+func TestRetryAtAdvisedTimeIsAdmitted(t *testing.T) {
 	begin := time.Now()
 	b := terms(20, 3, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	b.WhenCut = budget.Closed
-	p := purse(t, b, func() time.Duration { return time.Since(begin) })
+	p := newTestLimiter(t, b, func() time.Duration { return time.Since(begin) })
 	testpeer.Until(t, "the keeper", func() bool { return p.Status().Mine })
 	taken := 0
 	for i := 0; taken < 20; i++ {
@@ -146,17 +146,17 @@
 			}
 		}
 	}
-	if s := p.Status(); s.Taken == 0 {
+	if s := p.Status(); s.Returning == 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
 // A draw that is taken back is another call's, for as long as its token is good and no longer, and never twice.
-func TestADrawThatIsTakenBack(t *testing.T) {
+func TestUndoReturnsToken(t *testing.T) {
 	now := time.Second
-	p := &Purse{o: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, kick: make(chan struct{}, 1)}
-	p.ctx, p.o.Budget.WhenCut, p.waived = t.Context(), budget.Closed, time.Hour
-	p.batches, p.held = []batch{{1, 2 * time.Second}, {1, 3 * time.Second}}, 2
+	p := &Limiter{options: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, wake: make(chan struct{}, 1)}
+	p.ctx, p.options.Budget.WhenCut, p.waived = t.Context(), budget.Closed, time.Hour
+	p.leases, p.held = []tokenLease{{1, 2 * time.Second}, {1, 3 * time.Second}}, 2
 	draw := func() Token { token, _ := p.Draw(t.Context(), "x", ""); return token }
 	first, second := draw(), draw()
 	if first == 0 || second == 0 || draw() != 0 {
@@ -182,8 +182,8 @@
 func BenchmarkDraw(b *testing.B) {
 	t := terms(1e6, 1e6, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	begin := time.Now()
-	p := &Purse{o: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(begin) }}, kick: make(chan struct{}, 1)}
-	p.batches, p.held = []batch{{1 << 60, time.Hour}}, 1<<60
+	p := &Limiter{options: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(begin) }}, wake: make(chan struct{}, 1)}
+	p.leases, p.held = []tokenLease{{1 << 60, time.Hour}}, 1<<60
 	ctx := b.Context()
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -17,56 +17,56 @@
 
 // Topics of what gateways ask one another.
 const (
-	topicAsk  = "quota.ask"
-	topicVote = "quota.vote"
+	topicLease = "quota.ask"
+	topicVote  = "quota.vote"
 )
 
 type (
-	askMsg struct {
-		Quota string        `cbor:"1,keyasint"`
-		Want  int           `cbor:"2,keyasint"`
-		Due   int           `cbor:"3,keyasint,omitempty"` // of them, for callers who come back when they were told to
-		Back  int           `cbor:"4,keyasint,omitempty"` // tokens that are not needed after all
-		Term  uint64        `cbor:"5,keyasint"`           // of the answer that Stamp is of
-		Stamp time.Duration `cbor:"6,keyasint"`           // the keeper's clock, as its last answer told it
-		Floor float64       `cbor:"7,keyasint,omitempty"` // the own part of a floor, that is waived with this
-		Wait  time.Duration `cbor:"8,keyasint"`           // for tokens, at most
-	}
-	givenMsg struct {
-		Keeper string        `cbor:"1,keyasint"` // who it is; only of the keeper's own answers the rest counts
-		Mine   bool          `cbor:"2,keyasint"`
-		Term   uint64        `cbor:"3,keyasint"`
-		Stamp  time.Duration `cbor:"4,keyasint"`
-		Given  int           `cbor:"5,keyasint"`
-		Hint   time.Duration `cbor:"6,keyasint"` // when there may be one, where there were too few
-	}
-	voteMsg struct {
+	leaseRequest struct {
+		Quota     string        `cbor:"1,keyasint"`
+		Wanted    int           `cbor:"2,keyasint"`
+		Returning int           `cbor:"3,keyasint,omitempty"` // of them, for callers who come back when they were told to
+		Returned  int           `cbor:"4,keyasint,omitempty"` // tokens that are not needed after all
+		Term      uint64        `cbor:"5,keyasint"`           // of the answer that Stamp is of
+		Stamp     time.Duration `cbor:"6,keyasint"`           // the keeper's clock, as its last answer told it
+		Floor     float64       `cbor:"7,keyasint,omitempty"` // the own part of a floor, that is waived with this
+		Wait      time.Duration `cbor:"8,keyasint"`           // for tokens, at most
+	}
+	leaseGrant struct {
+		Leader   string        `cbor:"1,keyasint"` // who it is; only of the keeper's own answers the rest counts
+		IsLeader bool          `cbor:"2,keyasint"`
+		Term     uint64        `cbor:"3,keyasint"`
+		Stamp    time.Duration `cbor:"4,keyasint"`
+		Granted  int           `cbor:"5,keyasint"`
+		Hint     time.Duration `cbor:"6,keyasint"` // when there may be one, where there were too few
+	}
+	voteRequest struct {
 		Quota string `cbor:"1,keyasint"`
 		Term  uint64 `cbor:"2,keyasint"`
 	}
-	votedMsg struct {
+	voteReply struct {
 		Yes  bool   `cbor:"1,keyasint"`
 		Term uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
 	}
 )
 
-// Keeper is one who may keep a budget.
-type Keeper struct{ Partner, Name string }
+// Candidate is one who may keep a budget.
+type Candidate struct{ Partner, Name string }
 
-func (k Keeper) who() peering.Who { return peering.Who{Partner: k.Partner, Name: k.Name} }
+func (k Candidate) id() peering.GatewayID { return peering.GatewayID{Partner: k.Partner, Name: k.Name} }
 
-// KeeperOf reads partner/gateway.
-func KeeperOf(name string) Keeper {
+// ParseCandidate reads partner/gateway.
+func ParseCandidate(name string) Candidate {
 	partner, gateway, _ := strings.Cut(name, "/")
-	return Keeper{partner, gateway}
+	return Candidate{partner, gateway}
 }
 
 // Budget is one quota of a file.
 type Budget struct {
 	budget.Terms
-	Keepers []Keeper // in the order in which they try to be it; an odd number
-	Classes []string // of the calls that draw; empty: all
-	Tenants []string // likewise
+	Candidates []Candidate // in the order in which they try to be it; an odd number
+	Classes    []string    // of the calls that draw; empty: all
+	Tenants    []string    // likewise
 }
 
 // Match says that a call draws from the budget.
@@ -77,62 +77,62 @@
 // Options are what a Purse is made of.
 type Options struct {
 	Budget Budget
-	Self   peering.Who
-	To     func(peering.Who) *peering.Link // nil: there is none
-	Now    func() time.Duration            // a clock that only goes on
+	Self   peering.GatewayID
+	To     func(peering.GatewayID) *peering.Link // nil: there is none
+	Now    func() time.Duration                  // a clock that only goes on
 	Log    *slog.Logger
 }
 
-// Purse is a gateway's part in one budget: the tokens that it has, and its part as keeper, if it may be that.
-type Purse struct {
-	o     Options
-	ctx   context.Context
-	end   context.CancelFunc
-	tasks sync.WaitGroup
-	kick  chan struct{}
-
-	mu      sync.Mutex
-	batches []batch
-	held    int
-	demand  float64       // calls a second, lately
-	came    float64       // tokens a second, lately
-	counted time.Duration // until when both were counted
-	calls   int           // since then
-	tokens  int           // likewise
-	waiting []*waiter
-	booked  []booking
-	back    int
-
-	term   uint64        // the highest keeper's heard of
-	known  string        // who that is
-	stamp  time.Duration // of its last answer
-	heard  time.Duration // when that came; 0: never
-	waived time.Duration // until when the own floor is not drawn
-	floor  float64       // of it, what may be drawn
-	flowed time.Duration
-	hint   time.Duration
-	counts Counts
-
-	office *keeper // nil: this gateway may not be it
+// Limiter is a gateway's part in one budget: the tokens that it has, and its part as keeper, if it may be that.
+type Limiter struct {
+	options Options
+	ctx     context.Context
+	end     context.CancelFunc
+	tasks   sync.WaitGroup
+	wake    chan struct{}
+
+	mu       sync.Mutex
+	leases   []tokenLease
+	held     int
+	demand   float64       // calls a second, lately
+	granted  float64       // tokens a second, lately
+	counted  time.Duration // until when both were counted
+	requests int           // since then
+	tokens   int           // likewise
+	waiting  []*waiter
+	booked   []booking
+	back     int
+
+	term       uint64        // the highest keeper's heard of
+	leaderName string        // who that is
+	stamp      time.Duration // of its last answer
+	grantedAt  time.Duration // when that came; 0: never
+	waived     time.Duration // until when the own floor is not drawn
+	floor      float64       // of it, what may be drawn
+	flowed     time.Duration
+	hint       time.Duration
+	counts     Counts
+
+	leader *leader // nil: this gateway may not be it
 }
 
 // Counts are a purse's since its start.
 type Counts struct {
-	Drawn   int64 `json:"drawn"`
-	Refused int64 `json:"refused"`
-	Own     int64 `json:"own_floor"`     // drawn of the own floor, cut off
-	Wasted  int64 `json:"wasted"`        // tokens whose time was over
-	Given   int64 `json:"given"`         // tokens that came
-	Open    int64 `json:"uncounted"`     // taken without a bound, cut off
-	Elected int64 `json:"elected"`       // terms that this gateway was keeper for
-	Taken   int64 `json:"taken_at_time"` // calls that came back at the time that they were told
-	Undone  int64 `json:"undone"`        // draws that were taken back, for nothing of the call was begun
+	Drawn     int64 `json:"drawn"`
+	Rejected  int64 `json:"refused"`
+	Own       int64 `json:"own_floor"`     // drawn of the own floor, cut off
+	Wasted    int64 `json:"wasted"`        // tokens whose time was over
+	Granted   int64 `json:"given"`         // tokens that came
+	Open      int64 `json:"uncounted"`     // taken without a bound, cut off
+	Elected   int64 `json:"elected"`       // terms that this gateway was keeper for
+	Returning int64 `json:"taken_at_time"` // calls that came back at the time that they were told
+	Undone    int64 `json:"undone"`        // draws that were taken back, for nothing of the call was begun
 }
 
 // Status is a purse's now.
 type Status struct {
 	Counts
-	Keeper   string        `json:"keeper,omitempty"`
+	Leader   string        `json:"keeper,omitempty"`
 	Term     uint64        `json:"term,omitempty"`
 	Mine     bool          `json:"mine,omitempty"` // this gateway is the keeper
 	Cut      bool          `json:"cut,omitempty"`  // no keeper is reached
@@ -141,8 +141,8 @@
 	KeptGave int64         `json:"gave,omitempty"`
 }
 
-// batch are tokens that came together.
-type batch struct {
+// tokenLease are tokens that came together.
+type tokenLease struct {
 	n     int
 	until time.Duration
 }
@@ -167,90 +167,90 @@
 
 // Times of a purse.
 const (
-	dealEvery = 10 * time.Millisecond // of a keeper
-	askSoon   = 20 * time.Millisecond
-	forget    = 2 * time.Second        // in which demand fades
-	comeGrace = 500 * time.Millisecond // in which who comes late still goes before others
-	comeSoon  = 100 * time.Millisecond // in which a token is kept for it
-	mostHint  = 2 * time.Second
-	mostBatch = 100_000 // tokens that may be asked for at once
+	dealEvery   = 10 * time.Millisecond // of a keeper
+	requestSoon = 20 * time.Millisecond
+	forget      = 2 * time.Second        // in which demand fades
+	comeGrace   = 500 * time.Millisecond // in which who comes late still goes before others
+	comeSoon    = 100 * time.Millisecond // in which a token is kept for it
+	mostHint    = 2 * time.Second
+	mostBatch   = 100_000 // tokens that may be asked for at once
 )
 
 // New returns a Purse that asks for tokens and, where it may, keeps the budget, until Close.
-func New(o Options) *Purse {
-	p := &Purse{o: o, kick: make(chan struct{}, 1)}
+func New(o Options) *Limiter {
+	p := &Limiter{options: o, wake: make(chan struct{}, 1)}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	now := o.Now()
 	p.counted, p.flowed = now, now
-	p.sit(now)
-	p.tasks.Go(p.fetch)
+	p.becomeCandidate(now)
+	p.tasks.Go(p.requestTokens)
 	return p
 }
 
-// sit makes the gateway's part as keeper, if it may be that.
-func (p *Purse) sit(now time.Duration) {
+// becomeCandidate makes the gateway's part as keeper, if it may be that.
+func (p *Limiter) becomeCandidate(now time.Duration) {
 	var all []string
 	mine := false
-	for _, k := range p.o.Budget.Keepers {
-		all = append(all, k.who().String())
-		mine = mine || k.who() == p.o.Self
+	for _, k := range p.options.Budget.Candidates {
+		all = append(all, k.id().String())
+		mine = mine || k.id() == p.options.Self
 	}
 	if mine {
-		p.office = newKeeper(p.o.Budget.Terms, p.o.Self.String(), all, now)
-		p.tasks.Go(p.keep)
+		p.leader = newLeader(p.options.Budget.Terms, p.options.Self.String(), all, now)
+		p.tasks.Go(p.runCandidate)
 	}
 }
 
 // Close ends all tasks and returns once they have ended.
-func (p *Purse) Close() {
+func (p *Limiter) Close() {
 	p.end()
 	p.tasks.Wait()
 }
 
 // Change has other terms hold from now on; keepers stay as they are. Tokens that are out are used or end in a lease's time.
-func (p *Purse) Change(b Budget) {
+func (p *Limiter) Change(b Budget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.o.Budget = b
-	if p.office != nil {
-		p.office.fill(p.o.Now())
-		p.office.terms = b.Terms
-		p.office.tokens = min(p.office.tokens, b.Depth())
+	p.options.Budget = b
+	if p.leader != nil {
+		p.leader.fill(p.options.Now())
+		p.leader.terms = b.Terms
+		p.leader.tokens = min(p.leader.tokens, b.Depth())
 	}
 }
 
-// SameKeepers says that a budget is kept by the same as this one.
-func (p *Purse) SameKeepers(b Budget) bool {
+// SameCandidates says that a budget is kept by the same as this one.
+func (p *Limiter) SameCandidates(b Budget) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Equal(p.o.Budget.Keepers, b.Keepers)
+	return slices.Equal(p.options.Budget.Candidates, b.Candidates)
 }
 
 // Status is what the purse does now.
-func (p *Purse) Status() Status {
+func (p *Limiter) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.o.Now()
-	s := Status{Counts: p.counts, Keeper: p.known, Term: p.term, Cut: p.cut(now), Held: p.held}
-	if p.heard > 0 {
-		s.Age = now - p.heard
+	now := p.options.Now()
+	s := Status{Counts: p.counts, Leader: p.leaderName, Term: p.term, Cut: p.isDisconnected(now), Held: p.held}
+	if p.grantedAt > 0 {
+		s.Age = now - p.grantedAt
 	}
-	if p.office != nil {
-		s.Mine, s.KeptGave = p.office.is(now), p.office.given
+	if p.leader != nil {
+		s.Mine, s.KeptGave = p.leader.isLeader(now), p.leader.granted
 	}
 	return s
 }
 
-// cut says that no keeper has answered for so long that the floor is not waived any more. The caller holds mu.
-func (p *Purse) cut(now time.Duration) bool { return now >= p.waived }
+// isDisconnected says that no keeper has answered for so long that the floor is not waived any more. The caller holds mu.
+func (p *Limiter) isDisconnected(now time.Duration) bool { return now >= p.waived }
 
 // own is the gateway's part of its partner's floor, in calls a second. The caller holds mu.
-func (p *Purse) own() float64 {
-	if p.o.Budget.WhenCut != budget.Floor {
+func (p *Limiter) own() float64 {
+	if p.options.Budget.WhenCut != budget.Floor {
 		return 0
 	}
-	for _, k := range p.o.Budget.Partners {
-		if k.Name == p.o.Self.Partner && k.Gateways > 0 {
+	for _, k := range p.options.Budget.Partners {
+		if k.Name == p.options.Self.Partner && k.Gateways > 0 {
 			return k.Floor / float64(k.Gateways)
 		}
 	}
@@ -258,28 +258,28 @@
 }
 
 // take takes a token, if there is one. The caller holds mu.
-func (p *Purse) take(now time.Duration) Token {
-	for len(p.batches) > 0 {
-		b := &p.batches[0]
+func (p *Limiter) take(now time.Duration) Token {
+	for len(p.leases) > 0 {
+		b := &p.leases[0]
 		if now >= b.until {
 			p.counts.Wasted += int64(b.n)
 			p.held -= b.n
-			p.batches = p.batches[1:]
+			p.leases = p.leases[1:]
 			continue
 		}
 		t := Token(b.until)
 		b.n--
 		p.held--
 		if b.n == 0 {
-			p.batches = p.batches[1:]
+			p.leases = p.leases[1:]
 		}
 		return t
 	}
-	if !p.cut(now) {
+	if !p.isDisconnected(now) {
 		p.flowed, p.floor = now, 0
 		return 0
 	}
-	switch p.o.Budget.WhenCut {
+	switch p.options.Budget.WhenCut {
 	case budget.Open:
 		p.counts.Open++
 		return spent
@@ -296,10 +296,10 @@
 
 // Undo takes a draw back of a call of which nothing was begun: its token is another call's, for as long as it would have been
 // good. It is for whoever drew it.
-func (p *Purse) Undo(t Token) {
+func (p *Limiter) Undo(t Token) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.o.Now()
+	now := p.options.Now()
 	if t == 0 {
 		return
 	}
@@ -307,14 +307,14 @@
 	if now >= time.Duration(t) {
 		return
 	}
-	p.batches = append(p.batches, batch{1, time.Duration(t)})
-	slices.SortStableFunc(p.batches, func(a, b batch) int { return cmp.Compare(a.until, b.until) })
+	p.leases = append(p.leases, tokenLease{1, time.Duration(t)})
+	slices.SortStableFunc(p.leases, func(a, b tokenLease) int { return cmp.Compare(a.until, b.until) })
 	p.held++
-	p.serve(now)
+	p.serveWaiting(now)
 }
 
 // flow lets the own floor fill up to one call since the gateway was cut off. The caller holds mu.
-func (p *Purse) flow(now time.Duration) {
+func (p *Limiter) flow(now time.Duration) {
 	from := max(p.flowed, p.waived)
 	if now > from {
 		p.floor = min(1, p.floor+(now-from).Seconds()*p.own())
@@ -324,35 +324,35 @@
 
 // Draw draws one call from the budget, and waits for that no longer than the file says. Where it may not, retry says when
 // it may: a call that comes back then by the same id goes before others. Its id is its caller's key, or what it was refused by.
-func (p *Purse) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
-	now := p.o.Now()
+func (p *Limiter) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
+	now := p.options.Now()
 	p.mu.Lock()
-	p.calls++
-	due := p.comes(id, again, now)
+	p.requests++
+	due := p.noteReturn(id, again, now)
 	if t := p.take(now); t != 0 {
 		p.counts.Drawn++
 		if due {
-			p.counts.Taken++
+			p.counts.Returning++
 		}
 		want := p.wanted(now)
 		p.mu.Unlock()
 		if want > 0 {
-			p.hurry()
+			p.requestNow()
 		}
 		return t, 0
 	}
-	wait := p.o.Budget.Wait
+	wait := p.options.Budget.Wait
 	if wait <= 0 && !due {
-		retry = p.refuse(id, now)
+		retry = p.reject(id, now)
 		p.mu.Unlock()
-		p.hurry()
+		p.requestNow()
 		return 0, retry
 	}
 	w := &waiter{got: make(chan Token, 1), due: due}
 	p.waiting = append(p.waiting, w)
 	p.mu.Unlock()
-	p.hurry()
-	limit := time.NewTimer(max(wait, askSoon))
+	p.requestNow()
+	limit := time.NewTimer(max(wait, requestSoon))
 	defer limit.Stop()
 	select {
 	case t = <-w.got:
@@ -369,28 +369,28 @@
 	default:
 	}
 	p.waiting = slices.DeleteFunc(p.waiting, func(o *waiter) bool { return o == w })
-	return 0, p.refuse(id, p.o.Now())
+	return 0, p.reject(id, p.options.Now())
 }
 
-// comes notes that a call comes that may have been told to. The caller holds mu.
-func (p *Purse) comes(id, again string, now time.Duration) bool {
+// noteReturn notes that a call comes that may have been told to. The caller holds mu.
+func (p *Limiter) noteReturn(id, again string, now time.Duration) bool {
 	p.booked = slices.DeleteFunc(p.booked, func(b booking) bool { return now > b.at+comeGrace })
 	for i, b := range p.booked {
 		if b.id == id || b.id == again {
 			p.booked = slices.Delete(p.booked, i, i+1)
-			return now >= b.at-askSoon
+			return now >= b.at-requestSoon
 		}
 	}
 	return false
 }
 
-// refuse says when a call may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
+// reject says when a call may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
 // The caller holds mu.
-func (p *Purse) refuse(id string, now time.Duration) time.Duration {
-	p.counts.Refused++
-	share := p.came
+func (p *Limiter) reject(id string, now time.Duration) time.Duration {
+	p.counts.Rejected++
+	share := p.granted
 	if share <= 0 {
-		share = 1 / max(p.hint, askSoon).Seconds()
+		share = 1 / max(p.hint, requestSoon).Seconds()
 	}
 	at := time.Duration(float64(len(p.booked)+1) / share * float64(time.Second))
 	if at > mostHint {
@@ -400,61 +400,61 @@
 	return max(at, dealEvery)
 }
 
-// hurry has the keeper asked at once.
-func (p *Purse) hurry() {
+// requestNow has the keeper asked at once.
+func (p *Limiter) requestNow() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
 // wanted is how many tokens to ask for now: for calls that wait, for those that come back soon, and for what is likely to come
 // before the next answer. The caller holds mu.
-func (p *Purse) wanted(now time.Duration) int {
+func (p *Limiter) wanted(now time.Duration) int {
 	if d := now - p.counted; d > 100*time.Millisecond {
 		share := 1 - math.Exp(-d.Seconds()/forget.Seconds())
-		p.demand += share * (float64(p.calls)/d.Seconds() - p.demand)
-		p.came += share * (float64(p.tokens)/d.Seconds() - p.came)
-		p.calls, p.tokens, p.counted = 0, 0, now
+		p.demand += share * (float64(p.requests)/d.Seconds() - p.demand)
+		p.granted += share * (float64(p.tokens)/d.Seconds() - p.granted)
+		p.requests, p.tokens, p.counted = 0, 0, now
 	}
-	ahead := p.demand * p.o.Budget.Lease.Seconds() / 2
+	ahead := p.demand * p.options.Budget.Lease.Seconds() / 2
 	n := len(p.waiting) + p.due(now)
 	switch {
 	case ahead >= 1:
 		n += int(math.Round(ahead))
-	case p.o.Budget.Wait <= 0 && p.demand > 0.05:
+	case p.options.Budget.Wait <= 0 && p.demand > 0.05:
 		n++ // a call that can't wait needs one that is there
 	}
 	return min(mostBatch, n-p.held)
 }
 
 // due are the calls that come back before the next answer. The caller holds mu.
-func (p *Purse) due(now time.Duration) (n int) {
+func (p *Limiter) due(now time.Duration) (n int) {
 	for _, b := range p.booked {
-		if b.at <= now+p.o.Budget.Lease/4 && now <= b.at+comeSoon {
+		if b.at <= now+p.options.Budget.Lease/4 && now <= b.at+comeSoon {
 			n++
 		}
 	}
 	return n
 }
 
-// fetch asks the keeper for tokens: at once when calls wait or tokens run low, else now and then, so that it knows that this
+// requestTokens asks the keeper for tokens: at once when calls wait or tokens run low, else now and then, so that it knows that this
 // gateway's floor is not needed.
-func (p *Purse) fetch() {
+func (p *Limiter) requestTokens() {
 	next := 0 // of the keepers, where none is known
 	for p.ctx.Err() == nil {
 		p.mu.Lock()
-		now := p.o.Now()
-		lease := p.o.Budget.Lease
+		now := p.options.Now()
+		lease := p.options.Budget.Lease
 		want := p.wanted(now)
-		m := askMsg{Quota: p.o.Budget.Name, Want: max(0, want), Due: p.due(now), Term: p.term, Stamp: p.stamp, Floor: p.own(), Wait: lease / 4}
+		m := leaseRequest{Quota: p.options.Budget.Name, Wanted: max(0, want), Returning: p.due(now), Term: p.term, Stamp: p.stamp, Floor: p.own(), Wait: lease / 4}
 		for _, w := range p.waiting {
 			if w.due {
-				m.Due++
+				m.Returning++
 			}
 		}
 		if want < 0 && len(p.waiting) == 0 {
-			m.Back = p.giveBack(-want, now)
+			m.Returned = p.returnUnused(-want, now)
 		}
 		if m.Stamp > 0 {
 			// Whoever hears this lends the floor from its stamp on, which came here before this goes out; whether it answers
@@ -462,30 +462,30 @@
 			_, until := budget.Lent(m.Stamp, now)
 			p.waived = max(p.waived, until)
 		}
-		to := p.known
-		keepers := p.o.Budget.Keepers
+		to := p.leaderName
+		candidates := p.options.Budget.Candidates
 		p.mu.Unlock()
-		if to == "" && len(keepers) > 0 {
-			to = keepers[next%len(keepers)].who().String()
+		if to == "" && len(candidates) > 0 {
+			to = candidates[next%len(candidates)].id().String()
 			next++
 		}
-		answer, ok := p.askOne(to, m, lease)
+		answer, ok := p.requestFrom(to, m, lease)
 		p.mu.Lock()
-		p.took(now, m, answer, ok, to)
-		want = p.wanted(p.o.Now())
+		p.applyGrant(now, m, answer, ok, to)
+		want = p.wanted(p.options.Now())
 		hungry, rich := len(p.waiting) > 0 || want > 0, want < 0
 		p.mu.Unlock()
 		pause := budget.Waiver / 4
 		switch {
-		case !ok || !answer.Mine:
-			pause = askSoon
+		case !ok || !answer.IsLeader:
+			pause = requestSoon
 		case hungry:
-			pause = askSoon
-			if answer.Given > 0 {
+			pause = requestSoon
+			if answer.Granted > 0 {
 				pause = 0
 			}
 		case rich:
-			pause = askSoon // what came too late for whoever waited is of use to others, as long as its lease lasts
+			pause = requestSoon // what came too late for whoever waited is of use to others, as long as its lease lasts
 		}
 		if pause == 0 {
 			continue
@@ -494,19 +494,19 @@
 		select {
 		case <-t.C:
 		case <-p.ctx.Done():
-		case <-p.kick:
-			if !ok || !answer.Mine { // nobody to hurry
-				clock.Sleep(p.ctx, askSoon/2)
+		case <-p.wake:
+			if !ok || !answer.IsLeader { // nobody to hurry
+				clock.Sleep(p.ctx, requestSoon/2)
 			}
 		}
 		t.Stop()
 	}
 }
 
-// giveBack takes tokens out of the purse that nobody is likely to need, those last that came last. The caller holds mu.
-func (p *Purse) giveBack(n int, now time.Duration) (back int) {
-	for n > 0 && len(p.batches) > 0 {
-		b := &p.batches[len(p.batches)-1]
+// returnUnused takes tokens out of the purse that nobody is likely to need, those last that came last. The caller holds mu.
+func (p *Limiter) returnUnused(n int, now time.Duration) (back int) {
+	for n > 0 && len(p.leases) > 0 {
+		b := &p.leases[len(p.leases)-1]
 		if now >= b.until {
 			break
 		}
@@ -515,19 +515,19 @@
 		p.held -= k
 		back, n = back+k, n-k
 		if b.n == 0 {
-			p.batches = p.batches[:len(p.batches)-1]
+			p.leases = p.leases[:len(p.leases)-1]
 		}
 	}
 	return back
 }
 
-// askOne asks a gateway, perhaps this one itself.
-func (p *Purse) askOne(to string, m askMsg, lease time.Duration) (answer givenMsg, ok bool) {
+// requestFrom asks a gateway, perhaps this one itself.
+func (p *Limiter) requestFrom(to string, m leaseRequest, lease time.Duration) (answer leaseGrant, ok bool) {
 	ctx, cancel := context.WithTimeout(p.ctx, lease)
 	defer cancel()
-	if to == p.o.Self.String() {
-		got := make(chan givenMsg, 1)
-		p.asked(p.o.Self, m, func(g givenMsg) { got <- g })
+	if to == p.options.Self.String() {
+		got := make(chan leaseGrant, 1)
+		p.handleRequest(p.options.Self, m, func(g leaseGrant) { got <- g })
 		select {
 		case answer = <-got:
 			return answer, true
@@ -535,53 +535,53 @@
 			return answer, false
 		}
 	}
-	for _, k := range p.o.Budget.Keepers {
-		if k.who().String() != to {
+	for _, k := range p.options.Budget.Candidates {
+		if k.id().String() != to {
 			continue
 		}
-		if l := p.o.To(k.who()); l != nil {
-			return answer, l.Do(ctx, topicAsk, m, &answer) == nil
+		if l := p.options.To(k.id()); l != nil {
+			return answer, l.Do(ctx, topicLease, m, &answer) == nil
 		}
 	}
 	return answer, false
 }
 
-// took takes an answer to what was asked at a time. Tokens of a keeper whom a later one has followed are none, and theirs is a
+// applyGrant takes an answer to what was asked at a time. Tokens of a keeper whom a later one has followed are none, and theirs is a
 // lease's time from when they were asked for. The caller holds mu.
-func (p *Purse) took(asked time.Duration, m askMsg, g givenMsg, ok bool, from string) {
-	now := p.o.Now()
-	if !ok || !g.Mine {
-		if p.known == from {
-			p.known = ""
+func (p *Limiter) applyGrant(asked time.Duration, m leaseRequest, g leaseGrant, ok bool, from string) {
+	now := p.options.Now()
+	if !ok || !g.IsLeader {
+		if p.leaderName == from {
+			p.leaderName = ""
 		}
-		if ok && g.Keeper != from {
-			p.known = g.Keeper
+		if ok && g.Leader != from {
+			p.leaderName = g.Leader
 		}
-		p.serve(now) // perhaps of the own floor
+		p.serveWaiting(now) // perhaps of the own floor
 		return
 	}
 	if g.Term < p.term {
-		p.known = ""
+		p.leaderName = ""
 		return
 	}
-	p.term, p.known, p.stamp, p.heard = g.Term, from, g.Stamp, now
+	p.term, p.leaderName, p.stamp, p.grantedAt = g.Term, from, g.Stamp, now
 	p.hint = g.Hint
-	if g.Given > 0 {
-		p.counts.Given += int64(g.Given)
-		p.tokens += g.Given
-		until := asked + budget.Shorter(p.o.Budget.Lease)
+	if g.Granted > 0 {
+		p.counts.Granted += int64(g.Granted)
+		p.tokens += g.Granted
+		until := asked + budget.Shorter(p.options.Budget.Lease)
 		if now < until {
-			p.batches = append(p.batches, batch{g.Given, until})
-			p.held += g.Given
+			p.leases = append(p.leases, tokenLease{g.Granted, until})
+			p.held += g.Granted
 		} else {
-			p.counts.Wasted += int64(g.Given)
+			p.counts.Wasted += int64(g.Granted)
 		}
 	}
-	p.serve(now)
+	p.serveWaiting(now)
 }
 
-// serve gives tokens to calls that wait. The caller holds mu.
-func (p *Purse) serve(now time.Duration) {
+// serveWaiting gives tokens to calls that wait. The caller holds mu.
+func (p *Limiter) serveWaiting(now time.Duration) {
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
 		switch {
 		case a.due == b.due:
@@ -600,22 +600,22 @@
 		p.waiting = p.waiting[1:]
 		p.counts.Drawn++
 		if w.due {
-			p.counts.Taken++
+			p.counts.Returning++
 		}
 		w.got <- t
 	}
 }
 
-// asked takes a question of another gateway's, or of this one's own, and answers it when there are tokens, or soon.
-func (p *Purse) asked(who peering.Who, m askMsg, reply func(givenMsg)) {
+// handleRequest takes a question of another gateway's, or of this one's own, and answers it when there are tokens, or soon.
+func (p *Limiter) handleRequest(who peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.o.Now()
-	k := p.office
-	if k == nil || !k.is(now) {
-		g := givenMsg{}
+	now := p.options.Now()
+	k := p.leader
+	if k == nil || !k.isLeader(now) {
+		g := leaseGrant{}
 		if k != nil && now < k.vote.Until {
-			g.Keeper = k.vote.Keeper
+			g.Leader = k.vote.Leader
 		}
 		go reply(g) // never under the lock: it may be this gateway's own
 		return
@@ -626,38 +626,38 @@
 		k.waive(who, m.Floor, until)
 	}
 	answer := func(given int, hint time.Duration) {
-		go reply(givenMsg{Keeper: k.self, Mine: true, Term: k.term, Stamp: now, Given: given, Hint: hint})
+		go reply(leaseGrant{Leader: k.self, IsLeader: true, Term: k.term, Stamp: now, Granted: given, Hint: hint})
 	}
-	if m.Want <= 0 {
-		k.tokens = min(k.terms.Depth(), k.tokens+float64(max(0, m.Back)))
+	if m.Wanted <= 0 {
+		k.tokens = min(k.terms.Depth(), k.tokens+float64(max(0, m.Returned)))
 		answer(0, 0)
 		return
 	}
-	a := &asked{want: min(m.Want, mostBatch), due: m.Due, reply: answer}
-	k.ask(who, a, max(0, m.Back))
+	a := &pendingRequest{want: min(m.Wanted, mostBatch), due: m.Returning, reply: answer}
+	k.request(who, a, max(0, m.Returned))
 	p.tasks.Go(func() { // it is answered in time, whatever there is
 		clock.Sleep(p.ctx, min(m.Wait, time.Second))
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if k.asks[who] == a {
-			k.deal(p.o.Now(), false)
-			if k.asks[who] == a {
-				delete(k.asks, who)
-				a.reply(a.got, time.Duration(float64(len(k.asks)+1)/max(k.rate(p.o.Now()), 1e-3)*float64(time.Second)))
+		if k.requests[who] == a {
+			k.distribute(p.options.Now(), false)
+			if k.requests[who] == a {
+				delete(k.requests, who)
+				a.reply(a.got, time.Duration(float64(len(k.requests)+1)/max(k.rate(p.options.Now()), 1e-3)*float64(time.Second)))
 			}
 		}
 	})
 	if k.tokens >= 1 {
-		k.deal(now, false)
+		k.distribute(now, false)
 	}
 }
 
-// keep is a gateway's part as one of the keepers: it asks the others for a term when there is no keeper, renews its own, and
+// runCandidate is a gateway's part as one of the keepers: it asks the others for a term when there is no keeper, renews its own, and
 // deals out what the bucket holds.
-func (p *Purse) keep() {
+func (p *Limiter) runCandidate() {
 	tick := time.NewTicker(dealEvery)
 	defer tick.Stop()
-	rank := slices.Index(p.office.all, p.o.Self.String())
+	rank := slices.Index(p.leader.all, p.options.Self.String())
 	var vacant, renewed time.Duration
 	for {
 		select {
@@ -666,20 +666,20 @@
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		now, term := p.o.Now(), p.o.Budget.Term
-		k := p.office
-		is := k.is(now)
+		now, term := p.options.Now(), p.options.Budget.Term
+		k := p.leader
+		is := k.isLeader(now)
 		if is {
-			k.deal(now, false)
+			k.distribute(now, false)
 		} else if k.until > 0 {
-			p.o.Log.Info("this gateway keeps the quota no more", "quota", p.o.Budget.Name, "term", k.term)
+			p.options.Log.Info("this gateway keeps the quota no more", "quota", p.options.Budget.Name, "term", k.term)
 			k.until = 0
-			for who, a := range k.asks {
-				delete(k.asks, who)
+			for who, a := range k.requests {
+				delete(k.requests, who)
 				a.reply(0, 0)
 			}
 		}
-		taken := !is && now < k.vote.Until && k.vote.Keeper != k.self
+		taken := !is && now < k.vote.Until && k.vote.Leader != k.self
 		if is || taken {
 			vacant = now
 		}
@@ -690,45 +690,45 @@
 		}
 		renewed = now
 		if !p.campaign(now, is) {
-			vacant = p.o.Now() + time.Duration(rank+1)*term/8
+			vacant = p.options.Now() + time.Duration(rank+1)*term/8
 		}
 	}
 }
 
 // campaign asks all who could be keeper for a term, from the time when it asks on: a new one, or the same once more.
-func (p *Purse) campaign(now time.Duration, renew bool) bool {
+func (p *Limiter) campaign(now time.Duration, renew bool) bool {
 	p.mu.Lock()
-	k := p.office
+	k := p.leader
 	number := k.term
 	if !renew {
 		k.seen = max(k.seen, k.vote.Term) + 1
 		number = k.seen
 	}
-	term, keepers := p.o.Budget.Term, p.o.Budget.Keepers
+	term, candidates := p.options.Budget.Term, p.options.Budget.Candidates
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(p.ctx, term/4)
 	defer cancel()
-	votes := make(chan votedMsg, len(keepers))
-	for _, who := range keepers {
-		if who.who() == p.o.Self {
-			votes <- p.voted(p.o.Self, voteMsg{p.o.Budget.Name, number})
+	votes := make(chan voteReply, len(candidates))
+	for _, who := range candidates {
+		if who.id() == p.options.Self {
+			votes <- p.handleVote(p.options.Self, voteRequest{p.options.Budget.Name, number})
 			continue
 		}
-		l := p.o.To(who.who())
+		l := p.options.To(who.id())
 		if l == nil {
-			votes <- votedMsg{}
+			votes <- voteReply{}
 			continue
 		}
 		p.tasks.Go(func() {
-			var v votedMsg
-			if l.Do(ctx, topicVote, voteMsg{p.o.Budget.Name, number}, &v) != nil {
-				v = votedMsg{}
+			var v voteReply
+			if l.Do(ctx, topicVote, voteRequest{p.options.Budget.Name, number}, &v) != nil {
+				v = voteReply{}
 			}
 			votes <- v
 		})
 	}
 	yes := 0
-	for range keepers {
+	for range candidates {
 		v := <-votes
 		if v.Yes {
 			yes++
@@ -736,56 +736,56 @@
 		p.mu.Lock()
 		k.seen = max(k.seen, v.Term)
 		p.mu.Unlock()
-		if yes > len(keepers)/2 {
+		if yes > len(candidates)/2 {
 			break
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if yes <= len(keepers)/2 || renew && !k.is(p.o.Now()) {
+	if yes <= len(candidates)/2 || renew && !k.isLeader(p.options.Now()) {
 		return false
 	}
-	if until := now + budget.Shorter(term); until > p.o.Now() {
+	if until := now + budget.Shorter(term); until > p.options.Now() {
 		if !renew {
-			k.begin(p.o.Now(), number)
+			k.begin(p.options.Now(), number)
 			p.counts.Elected++
-			p.o.Log.Info("this gateway keeps the quota", "quota", p.o.Budget.Name, "term", number)
+			p.options.Log.Info("this gateway keeps the quota", "quota", p.options.Budget.Name, "term", number)
 		}
 		k.until = until
 	}
 	return true
 }
 
-// voted is this gateway's answer to one who would be keeper.
-func (p *Purse) voted(who peering.Who, m voteMsg) votedMsg {
+// handleVote is this gateway's answer to one who would be keeper.
+func (p *Limiter) handleVote(who peering.GatewayID, m voteRequest) voteReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.office
+	k := p.leader
 	if k == nil || !slices.Contains(k.all, who.String()) {
-		return votedMsg{}
+		return voteReply{}
 	}
-	now := p.o.Now()
-	v, ok := budget.MayVote(k.vote, k.began, now, p.o.Budget.Term, m.Term, who.String())
+	now := p.options.Now()
+	v, ok := budget.MayVote(k.vote, k.began, now, p.options.Budget.Term, m.Term, who.String())
 	k.vote = v
 	k.seen = max(k.seen, m.Term)
-	return votedMsg{Yes: ok, Term: max(v.Term, k.seen)}
+	return voteReply{Yes: ok, Term: max(v.Term, k.seen)}
 }
 
 // Topics are how others reach the purses of a gateway, by their budgets' names. One that is not there answers nothing of use.
-func Topics(of func(name string) *Purse) map[string]peering.Handler {
+func Topics(of func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
-		topicAsk: peering.Answer(func(from *peering.Link, m askMsg, answer func(givenMsg)) {
+		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, answer func(leaseGrant)) {
 			if p := of(m.Quota); p != nil {
-				p.asked(from.Peer.Who(), m, answer)
+				p.handleRequest(from.Peer.ID(), m, answer)
 			} else {
-				answer(givenMsg{})
+				answer(leaseGrant{})
 			}
 		}),
-		topicVote: peering.Answer(func(from *peering.Link, m voteMsg, answer func(votedMsg)) {
+		topicVote: peering.Answer(func(from *peering.Link, m voteRequest, answer func(voteReply)) {
 			if p := of(m.Quota); p != nil {
-				answer(p.voted(from.Peer.Who(), m))
+				answer(p.handleVote(from.Peer.ID(), m))
 			} else {
-				answer(votedMsg{})
+				answer(voteReply{})
 			}
 		}),
 	}
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// LettingGo is how long after Quiesce the callers' connections are still served as ever: the front has asked for
+// CloseIdleAfter is how long after Quiesce the callers' connections are still served as ever: the front has asked for
 // readiness and sends nobody new by then, so that who is let go finds another node.
-const LettingGo = 600 * time.Millisecond
+const CloseIdleAfter = 600 * time.Millisecond
 
-// ErrEnding says that the node ends, which nothing takes back.
-var ErrEnding = errors.New("the node is ending")
+// ErrShuttingDown says that the node ends, which nothing takes back.
+var ErrShuttingDown = errors.New("the node is ending")
 
-// Duty is a node's; the zero value serves. It belongs to one goroutine, or its owner locks it.
-type Duty struct {
-	ending, quiesced bool
-	since            time.Duration
+// Tracker is a node's; the zero value serves. It belongs to one goroutine, or its owner locks it.
+type Tracker struct {
+	shuttingDown, quiesced bool
+	since                  time.Duration
 }
 
 // State is what follows for the node now.
 type State struct {
-	Ready  bool // callers may be sent here, as far as this goes
-	Parted bool // each answer closes its connection, and quiet ones are closed
+	Ready            bool // callers may be sent here, as far as this goes
+	CloseConnections bool // each answer closes its connection, and quiet ones are closed
 }
 
 // Quiesce sends callers away from a clock time on. Once that is so, a further call changes nothing.
-func (d *Duty) Quiesce(now time.Duration) {
+func (d *Tracker) Quiesce(now time.Duration) {
 	if !d.quiesced {
 		d.quiesced, d.since = true, now
 	}
 }
 
 // Resume takes callers again.
-func (d *Duty) Resume() error {
-	if d.ending {
-		return ErrEnding
+func (d *Tracker) Resume() error {
+	if d.shuttingDown {
+		return ErrShuttingDown
 	}
 	d.quiesced = false
 	return nil
 }
 
 // End sends callers away for good.
-func (d *Duty) End() { d.ending = true }
+func (d *Tracker) End() { d.shuttingDown = true }
 
 // At is the state at a clock time. When an ending node parts with its callers is the ending's.
-func (d *Duty) At(now time.Duration) State {
-	return State{Ready: !d.quiesced && !d.ending, Parted: d.quiesced && now-d.since >= LettingGo}
+func (d *Tracker) At(now time.Duration) State {
+	return State{Ready: !d.quiesced && !d.shuttingDown, CloseConnections: d.quiesced && now-d.since >= CloseIdleAfter}
 }
--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -11,10 +11,10 @@
 
 // Await brings the one answer to a call that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
 // gen is which of the calls of its key it was, for Record.Gen.
-func (c *Custodian) Await(ctx context.Context, k Key) (out Outcome, gen uint32, err error) {
+func (c *Replicator) Await(ctx context.Context, k Key) (out Outcome, gen uint32, err error) {
 	c.count(func(n *Counts) { n.Asked++ })
 	for {
-		out, gen, err = c.ask(ctx, k, findWait)
+		out, gen, err = c.query(ctx, k, findWait)
 		switch {
 		case err == nil:
 			c.count(func(n *Counts) { n.Found++ })
@@ -22,21 +22,21 @@
 		case errors.Is(err, ErrUnknown), errors.Is(err, ErrForgotten):
 			return Outcome{}, gen, err
 		case ctx.Err() != nil || c.ctx.Err() != nil:
-			return Outcome{}, gen, ErrUnsettled
+			return Outcome{}, gen, ErrUndecided
 		}
-		clock.Sleep(ctx, lookEvery)
+		clock.Sleep(ctx, orphanCheckInterval)
 	}
 }
 
-// ask asks all gateways of the group once what became of a call. An outcome is told that one of them knows to be decided, or
+// query asks all gateways of the group once what became of a call. An outcome is told that one of them knows to be decided, or
 // that a majority of the call's voters has taken by one ballot. That nobody knows it is said once a majority says so of those
 // who would be its voters now, and the others have said so too or have had slowest to say anything: one who is slow must not cost
 // each call of a key its time.
-func (c *Custodian) ask(ctx context.Context, k Key, wait time.Duration) (out Outcome, gen uint32, err error) {
+func (c *Replicator) query(ctx context.Context, k Key, wait time.Duration) (out Outcome, gen uint32, err error) {
 	limit, cancel := context.WithTimeout(ctx, wait+pollLimit)
 	defer cancel()
-	words, asked := c.askAll(limit, k, wait)
-	t := newTally(Voters(k, c.o.Self.Name, c.o.Group(), c.o.Holders))
+	words, asked := c.queryAll(limit, k, wait)
+	t := newTally(ChooseReplicas(k, c.o.Self.Name, c.o.Group(), c.o.Replicas))
 	var late <-chan time.Time
 	for left := asked; left > 0; left-- {
 		select {
@@ -56,30 +56,30 @@
 	return Outcome{}, t.gen, t.err()
 }
 
-// said is what a gateway of the group says that it holds of a call.
-type said struct {
-	by   string
-	word *word // nil: it has not answered
+// groupReply is what a gateway of the group says that it holds of a call.
+type groupReply struct {
+	by    string
+	reply *replicaReply // nil: it has not answered
 }
 
-// askAll asks all gateways of the group, this one among them. As many answers come as were asked.
-func (c *Custodian) askAll(limit context.Context, k Key, wait time.Duration) (answers <-chan said, asked int) {
+// queryAll asks all gateways of the group, this one among them. As many answers come as were asked.
+func (c *Replicator) queryAll(limit context.Context, k Key, wait time.Duration) (answers <-chan groupReply, asked int) {
 	links := c.o.Links.All()
-	words := make(chan said, len(links)+1)
-	c.find(findMsg{k, wait}, func(w word) { words <- said{c.o.Self.Name, &w} })
+	words := make(chan groupReply, len(links)+1)
+	c.find(findMsg{k, wait}, func(w replicaReply) { words <- groupReply{c.o.Self.Name, &w} })
 	for _, l := range links {
-		a, err := l.Ask(topicFind, findMsg{k, wait})
+		a, err := l.Request(topicFind, findMsg{k, wait})
 		if err != nil {
-			words <- said{l.Peer.Name, nil}
+			words <- groupReply{l.Peer.Name, nil}
 			continue
 		}
 		c.tasks.Go(func() {
-			var w word
+			var w replicaReply
 			if a.Wait(limit, &w) != nil {
-				words <- said{l.Peer.Name, nil}
+				words <- groupReply{l.Peer.Name, nil}
 				return
 			}
-			words <- said{l.Peer.Name, &w}
+			words <- groupReply{l.Peer.Name, &w}
 		})
 	}
 	return words, len(links) + 1
@@ -87,13 +87,13 @@
 
 // tally is what gateways have said of a call so far.
 type tally struct {
-	voters    []Gateway    // who would be its voters now
-	strangers int          // of them who hold nothing of it
-	votes     map[vote]int // for outcomes
-	known     bool         // somebody holds it, undecided
-	recalled  bool         // somebody started anew since, and was told of it
-	silent    bool         // somebody has not answered
-	gen       uint32       // of the latest call of its key
+	replicas   []Gateway    // who would be its voters now
+	strangers  int          // of them who hold nothing of it
+	votes      map[vote]int // for outcomes
+	duplicates bool         // somebody holds it, undecided
+	recovered  bool         // somebody started anew since, and was told of it
+	silent     bool         // somebody has not answered
+	gen        uint32       // of the latest call of its key
 }
 
 // vote is for the outcome that a ballot brought.
@@ -102,17 +102,17 @@
 	gen uint32
 }
 
-func newTally(voters []Gateway) *tally { return &tally{voters: voters, votes: map[vote]int{}} }
+func newTally(replicas []Gateway) *tally { return &tally{replicas: replicas, votes: map[vote]int{}} }
 
 // take counts what one gateway says. It returns the entry whose outcome stands by that, if one does.
-func (t *tally) take(s said) *Entry {
-	if s.word == nil {
+func (t *tally) take(s groupReply) *Entry {
+	if s.reply == nil {
 		t.silent = true
 		return nil
 	}
-	e := s.word.Entry
+	e := s.reply.Entry
 	if e == nil {
-		if slices.ContainsFunc(t.voters, func(g Gateway) bool { return g.Name == s.by }) {
+		if slices.ContainsFunc(t.replicas, func(g Gateway) bool { return g.Name == s.by }) {
 			t.strangers++
 		}
 		return nil
@@ -121,41 +121,41 @@
 		return e
 	}
 	t.gen = max(t.gen, e.Record.Gen)
-	if e.Recalled {
-		t.recalled = true
+	if e.Recovered {
+		t.recovered = true
 		return nil
 	}
-	t.known = true
+	t.duplicates = true
 	if e.Outcome == nil {
 		return nil
 	}
 	v := vote{e.At, e.Record.Gen}
-	if t.votes[v]++; t.votes[v] >= Majority(len(e.Record.Voters)) {
+	if t.votes[v]++; t.votes[v] >= Majority(len(e.Record.Replicas)) {
 		return e
 	}
 	return nil
 }
 
 // isUnknown says that a majority of the voters holds nothing of the call.
-func (t *tally) isUnknown() bool { return t.strangers >= Majority(len(t.voters)) }
+func (t *tally) isUnknown() bool { return t.strangers >= Majority(len(t.replicas)) }
 
 // err is what the answers come to where none brought an outcome.
 func (t *tally) err() error {
 	switch {
-	case t.known:
-		return ErrUnsettled
-	case t.recalled && !t.silent:
+	case t.duplicates:
+		return ErrUndecided
+	case t.recovered && !t.silent:
 		return ErrForgotten
-	case !t.recalled && (len(t.voters) == 0 || t.isUnknown()):
+	case !t.recovered && (len(t.replicas) == 0 || t.isUnknown()):
 		return ErrUnknown
-	case !t.recalled:
-		return ErrUntold
+	case !t.recovered:
+		return ErrNoAnswer
 	}
-	return ErrUnsettled
+	return ErrUndecided
 }
 
 // Holds says that somebody holds a call of a key, or that nobody could tell.
-func (c *Custodian) Holds(ctx context.Context, k Key) bool {
-	_, _, err := c.ask(ctx, k, 0)
+func (c *Replicator) Holds(ctx context.Context, k Key) bool {
+	_, _, err := c.query(ctx, k, 0)
 	return !errors.Is(err, ErrUnknown)
 }
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -14,7 +14,7 @@
 // node is one custodian with its links.
 type node struct {
 	hub *peering.Hub
-	c   *Custodian
+	c   *Replicator
 }
 
 // byName are custodians with links to one another over loopback.
@@ -23,7 +23,7 @@
 type linksOf struct{ hub *peering.Hub }
 
 func (l linksOf) To(name string) *peering.Link {
-	return l.hub.To(peering.Who{Partner: "p", Name: name})
+	return l.hub.To(peering.GatewayID{Partner: "p", Name: name})
 }
 func (l linksOf) All() []*peering.Link { return l.hub.Links("p") }
 
@@ -36,17 +36,17 @@
 	}
 	for i, name := range names {
 		k := &node{}
-		self := peering.Peer{Partner: "p", Name: name, Life: uint64(i + 1)}
+		self := peering.Peer{Partner: "p", Name: name, Incarnation: uint64(i + 1)}
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		holders := func() (out []Gateway) {
+		replicas := func() (out []Gateway) {
 			for i, m := range names {
-				out = append(out, Gateway{Name: m, Life: uint64(i + 1)})
+				out = append(out, Gateway{Name: m, Incarnation: uint64(i + 1)})
 			}
 			return out
 		}
 		var topics map[string]peering.Handler
-		o := Options{Self: Gateway{Name: name, Life: self.Life}, Group: holders, Run: run, Step: func(*Record, []Intent, time.Duration) Step { return GiveUp },
-			Beat: 250 * time.Millisecond, Silence: time.Minute, Holders: 3, Memory: 1 << 30, Keep: time.Second,
+		o := Options{Self: Gateway{Name: name, Incarnation: self.Incarnation}, Group: replicas, Run: run, Step: func(*Record, []Intent, time.Duration) Step { return GiveUp },
+			Beat: 250 * time.Millisecond, Silence: time.Minute, Replicas: 3, Memory: 1 << 30, Retention: time.Second,
 			Forgets: func() time.Duration { return time.Second }, Fresh: time.Minute, Now: func() time.Duration { return time.Since(begin) }, Log: log}
 		links := &linksOf{}
 		o.Links = links
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -25,7 +25,7 @@
 
 // Whatever order and loss of messages, whoever claims when, and whichever voters forget: all who are told an outcome are told
 // the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
-func TestOneOutcomeAndOneRunWhateverHappens(t *testing.T) {
+func TestOneOutcomeAndOneRunUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const voters = 3
 		held := make([]*Entry, voters)
@@ -34,9 +34,9 @@
 		var actors []*actor
 		owners := rapid.IntRange(1, 2).Draw(t, "owners") // of one key
 		for i := range owners {
-			b := Ballot{N: 1, By: string(rune('A' + i)), Life: uint64(i + 1)}
+			b := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
 			if i > 0 && rapid.Bool().Draw(t, "its next call") {
-				b = Ballot{N: 1, By: "A", Life: 1, Call: 1}
+				b = Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 1}
 			}
 			actors = append(actors, &actor{by: b, r: recordOf(b)})
 		}
@@ -91,7 +91,7 @@
 				if held[i] == nil || forgot[i] || held[i].Decided {
 					continue
 				}
-				by := Ballot{N: held[i].Promised.N + 1, By: string(rune('D' + i)), Life: uint64(step + 10)}
+				by := Ballot{Number: held[i].Promised.Number + 1, Owner: string(rune('D' + i)), Incarnation: uint64(step + 10)}
 				rec := held[i].Record
 				var entries []Entry
 				yes, answered := poll(func(k int) Verdict {
--- a/internal/replication/page_test.go
+++ b/internal/replication/page_test.go
@@ -16,23 +16,23 @@
 func ballot(words string) (Ballot, error) {
 	var b Ballot
 	if by, ok := strings.CutPrefix(words, "of "); ok {
-		b = Ballot{N: 1, By: by}
-	} else if _, err := fmt.Sscanf(words, "%d by %s", &b.N, &b.By); err != nil {
+		b = Ballot{Number: 1, Owner: by}
+	} else if _, err := fmt.Sscanf(words, "%d by %s", &b.Number, &b.Owner); err != nil {
 		return b, fmt.Errorf("%q is no ballot", words)
 	}
-	b.By, b.Call = strings.TrimSuffix(b.By, "'"), uint64(strings.Count(b.By, "'")) // A' is A's next call of the key
-	if len(b.By) != 1 {
+	b.Owner, b.Call = strings.TrimSuffix(b.Owner, "'"), uint64(strings.Count(b.Owner, "'")) // A' is A's next call of the key
+	if len(b.Owner) != 1 {
 		return b, fmt.Errorf("%q names nobody", words)
 	}
-	b.Life = uint64(b.By[0])
+	b.Incarnation = uint64(b.Owner[0])
 	return b, nil
 }
 
 func recordOf(b Ballot) Record {
-	return Record{Key: Key{"note", "k"}, ID: fmt.Sprint("call ", b.Call, " of ", b.By), Owner: Gateway{Name: b.By, Life: b.Life}}
+	return Record{Key: Key{"note", "k"}, ID: fmt.Sprint("call ", b.Call, " of ", b.Owner), Owner: Gateway{Name: b.Owner, Incarnation: b.Incarnation}}
 }
 
-var kinds = map[string]Kind{"served": Served, "refused": Refused, "failed": Failed}
+var kinds = map[string]Kind{"served": Served, "refused": Rejected, "failed": Failed}
 
 // entry reads what a voter holds.
 func entry(words string) (*Entry, error) {
@@ -87,7 +87,7 @@
 	return e, nil
 }
 
-func TestWhatAVoterTakes(t *testing.T) {
+func TestReplicaAccepts(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "What a voter takes") {
 		e, err := entry(r.At("given"))
 		if err != nil {
@@ -118,7 +118,7 @@
 		case "claim":
 			got = MayClaim(e, b, heard)
 		case "withdrawal":
-			if got = Known; MayWithdraw(e, b) {
+			if got = Duplicate; MayWithdraw(e, b) {
 				got = Yes
 			}
 		default:
@@ -153,7 +153,7 @@
 	return Next(effect, intents, left, func(pool string) bool { return pool == "partner" }), left
 }
 
-func TestWhatAnHeirDoes(t *testing.T) {
+func TestSuccessorNextStep(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "What an heir does") {
 		if got, _ := stepOf(t, r); got.String() != r.At("outcome") {
 			t.Errorf("%s:%d: %v", page, r.Line, got)
@@ -161,20 +161,20 @@
 	}
 }
 
-func TestWhenASilentHolderIsDoubted(t *testing.T) {
+func TestSilentReplicaIsSuspected(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "When a silent holder is doubted") {
 		step, left := stepOf(t, r)
 		way, err := time.ParseDuration(r.At("way"))
 		if err != nil {
 			t.Fatalf("%s:%d: %v", page, r.Line, err)
 		}
-		if got := Doubt(250*time.Millisecond, way, time.Second, left, Servable(step)); got.String() != r.At("outcome") {
+		if got := Suspect(250*time.Millisecond, way, time.Second, left, Servable(step)); got.String() != r.At("outcome") {
 			t.Errorf("%s:%d: %v", page, r.Line, got)
 		}
 	}
 }
 
-func TestWhatAClaimLearns(t *testing.T) {
+func TestClaimLearnsAcceptedOutcome(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Which entries a claim learns from") {
 		var entries []Entry
 		for _, words := range strings.Split(r.At("voters"), "; ") {
@@ -187,7 +187,7 @@
 		_, intents, outcome := Merge(entries)
 		var said []string
 		for _, in := range intents {
-			s := fmt.Sprintf("%d by %d %s", in.N, in.By.N, in.By.By)
+			s := fmt.Sprintf("%d by %d %s", in.N, in.By.Number, in.By.Owner)
 			if in.NotRun {
 				s += " not run"
 			}
@@ -205,9 +205,9 @@
 	}
 }
 
-func TestWhenAVoterKnowsAgain(t *testing.T) {
+func TestReplicaRecovers(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "When one who started anew votes again") {
-		answers := map[string]Recollection{}
+		answers := map[string]Recovery{}
 		for _, part := range strings.Split(r.At("answers"), "; ") {
 			if part == "none" {
 				continue
@@ -217,10 +217,10 @@
 				t.Errorf("%s:%d: nobody plays %q", page, r.Line, part)
 			}
 			by, young := strings.CutSuffix(by, " forgot and")
-			answers[strings.TrimSpace(by)] = Recollection{young, strings.Split(seen, " ")}
+			answers[strings.TrimSpace(by)] = Recovery{young, strings.Split(seen, " ")}
 		}
 		got := "no"
-		if Recalled("A", answers) {
+		if HasRecovered("A", answers) {
 			got = "yes"
 		}
 		if got != r.At("outcome") {
--- a/internal/replication/poll.go
+++ b/internal/replication/poll.go
@@ -6,14 +6,14 @@
 )
 
 // send asks voters something without waiting; each word is told as it comes.
-func (w *Work) send(topic string, message func(Gateway) any, told func(word)) {
+func (w *Work) send(topic string, message func(Gateway) any, told func(replicaReply)) {
 	c := w.c
-	for _, v := range w.r.Voters {
+	for _, v := range w.r.Replicas {
 		if v.Name == c.o.Self.Name {
-			told(c.own(topic, message(v)))
+			told(c.localReply(topic, message(v)))
 			continue
 		}
-		c.put(v, topic, message(v), func(said *word) {
+		c.send(v, topic, message(v), func(said *replicaReply) {
 			if said != nil {
 				told(*said)
 			}
@@ -21,8 +21,8 @@
 	}
 }
 
-// own is this gateway's own word as a voter.
-func (c *Custodian) own(topic string, message any) word {
+// localReply is this gateway's own word as a voter.
+func (c *Replicator) localReply(topic string, message any) replicaReply {
 	switch m := message.(type) {
 	case recordMsg:
 		if topic == topicClaim {
@@ -37,15 +37,15 @@
 	panic(fmt.Sprintf("custody: %s is asked of nobody", topic)) // a defect of this package
 }
 
-// put sends a question to a voter. told hears its word once, on the link's reader, or nil where none comes; it must not block.
+// send sends a question to a voter. told hears its word once, on the link's reader, or nil where none comes; it must not block.
 // nil: the voter is not to be reached in the life that the record names, and told hears nothing.
-func (c *Custodian) put(v Gateway, topic string, message any, told func(*word)) (forget func()) {
+func (c *Replicator) send(v Gateway, topic string, message any, told func(*replicaReply)) (forget func()) {
 	l := c.o.Links.To(v.Name)
-	if l == nil || l.Peer.Life != v.Life {
+	if l == nil || l.Peer.Incarnation != v.Incarnation {
 		return nil
 	}
-	forget, err := l.AskThen(topic, message, func(read func(any) error) {
-		var said word
+	forget, err := l.RequestAsync(topic, message, func(read func(any) error) {
+		var said replicaReply
 		if read(&said) != nil {
 			told(nil)
 			return
@@ -58,25 +58,25 @@
 	return forget
 }
 
-// poll asks all voters at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
-func (c *Custodian) poll(ctx context.Context, voters []Gateway, topic string, message func(Gateway) any) (yes, no []word) {
-	words := make(chan *word, len(voters))
-	for _, v := range voters {
+// collect asks all voters at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
+func (c *Replicator) collect(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) (yes, no []replicaReply) {
+	words := make(chan *replicaReply, len(replicas))
+	for _, v := range replicas {
 		if v.Name == c.o.Self.Name {
-			said := c.own(topic, message(v))
+			said := c.localReply(topic, message(v))
 			words <- &said
 			continue
 		}
-		forget := c.put(v, topic, message(v), func(said *word) { words <- said })
+		forget := c.send(v, topic, message(v), func(said *replicaReply) { words <- said })
 		if forget == nil {
 			words <- nil
 			continue
 		}
 		defer forget()
 	}
-	need := Majority(len(voters))
-	for left := len(voters); left > 0; left-- {
-		var said *word
+	need := Majority(len(replicas))
+	for left := len(replicas); left > 0; left-- {
+		var said *replicaReply
 		select {
 		case said = <-words:
 		case <-ctx.Done():
--- a/internal/replication/recall.go
+++ b/internal/replication/recall.go
@@ -15,30 +15,30 @@
 // until none of them can come any more. It need not wait so long where the others of its group tell it what it may have voted for:
 // a call that was taken has a majority of its voters, so that whoever of them has not forgotten it holds it too.
 
-const topicRecall = "custody.recall"
+const topicRecover = "custody.recall"
 
 type (
-	recallMsg struct {
+	recoverRequest struct {
 		Name string `cbor:"1,keyasint"` // whose votes are asked for
 		From Key    `cbor:"2,keyasint"` // of the keys behind this one
 	}
-	recalledMsg struct {
-		Entries []Entry  `cbor:"1,keyasint,omitempty"` // of keys, without what was asked for, and with answers that are decided
-		More    bool     `cbor:"2,keyasint,omitempty"`
-		Seen    []string `cbor:"3,keyasint,omitempty"` // gateways of the group that lived lately, as this one knows
-		Young   bool     `cbor:"4,keyasint,omitempty"` // this one has forgotten, too
+	recoverReply struct {
+		Entries      []Entry  `cbor:"1,keyasint,omitempty"` // of keys, without what was asked for, and with answers that are decided
+		More         bool     `cbor:"2,keyasint,omitempty"`
+		Incarnations []string `cbor:"3,keyasint,omitempty"` // gateways of the group that lived lately, as this one knows
+		Recovering   bool     `cbor:"4,keyasint,omitempty"` // this one has forgotten, too
 	}
 )
 
 // Times and sizes of a recall.
 const (
-	mostRecalled = 512 << 10 // bytes of entries in an answer, about, beyond the first
-	recallAgain  = 250 * time.Millisecond
+	maxRecovered      = 512 << 10 // bytes of entries in an answer, about, beyond the first
+	recoverRetryDelay = 250 * time.Millisecond
 )
 
-// Recalled says whether one who started anew knows again all that it may have voted for: from every gateway of its group that
+// HasRecovered says whether one who started anew knows again all that it may have voted for: from every gateway of its group that
 // lived lately, as anybody tells who answered, an answer has come of one who has not forgotten itself.
-func Recalled(self string, answers map[string]Recollection) bool {
+func HasRecovered(self string, answers map[string]Recovery) bool {
 	if len(answers) == 0 {
 		return false
 	}
@@ -55,8 +55,8 @@
 	return true
 }
 
-// Recollection is what a gateway told of who lived lately.
-type Recollection struct {
+// Recovery is what a gateway told of who lived lately.
+type Recovery struct {
 	Young bool
 	Seen  []string
 }
@@ -66,89 +66,89 @@
 	return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.ID, b.ID))
 }
 
-// recalled answers one who started anew.
-func (c *Custodian) recalled(m recallMsg) recalledMsg {
-	entries, more := c.store.votes(m.Name, m.From, mostRecalled)
-	a := recalledMsg{Entries: entries, More: more, Young: c.isYoung()}
+// serveRecovery answers one who started anew.
+func (c *Replicator) serveRecovery(m recoverRequest) recoverReply {
+	entries, more := c.store.votes(m.Name, m.From, maxRecovered)
+	a := recoverReply{Entries: entries, More: more, Recovering: c.isRecovering()}
 	for _, g := range c.o.Group() {
-		a.Seen = append(a.Seen, g.Name)
+		a.Incarnations = append(a.Incarnations, g.Name)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.o.Now()
 	for name, l := range c.lost {
-		if now-l.ended < c.o.Forgets() && !slices.Contains(a.Seen, name) {
-			a.Seen = append(a.Seen, name)
+		if now-l.ended < c.o.Forgets() && !slices.Contains(a.Incarnations, name) {
+			a.Incarnations = append(a.Incarnations, name)
 		}
 	}
 	return a
 }
 
-// aged notes that an earlier life of this gateway ended a while ago, as another tells that knew it.
-func (c *Custodian) aged(by string, ago time.Duration) {
+// noteIncarnationEnd notes that an earlier life of this gateway ended a while ago, as another tells that knew it.
+func (c *Replicator) noteIncarnationEnd(by string, ago time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.told[by] {
 		return // that was asked what the earlier life may have voted for
 	}
 	c.young = max(c.young, c.o.Now()+c.o.Forgets()-ago)
-	if !c.recalling && c.ctx.Err() == nil {
-		c.recalling = true
-		c.tasks.Go(c.recall)
+	if !c.recovering && c.ctx.Err() == nil {
+		c.recovering = true
+		c.tasks.Go(c.recoverVotes)
 	}
 }
 
-// recall asks the others for what an earlier life may have voted for, until it knows, or no key of then can come any more. It
+// recoverVotes asks the others for what an earlier life may have voted for, until it knows, or no key of then can come any more. It
 // begins when no attempt can begin any more that an intent of then allowed: an intent that is older than Options.Fresh is asked
 // for anew, and a link is silent for no longer than Options.Silence.
-func (c *Custodian) recall() {
+func (c *Replicator) recoverVotes() {
 	defer func() {
 		c.mu.Lock()
-		c.recalling = false
+		c.recovering = false
 		c.mu.Unlock()
 	}()
 	clock.Sleep(c.ctx, c.o.Silence-(c.o.Now()-c.born))
-	for c.ctx.Err() == nil && c.isYoung() {
-		answers := map[string]Recollection{}
+	for c.ctx.Err() == nil && c.isRecovering() {
+		answers := map[string]Recovery{}
 		var entries []Entry
-		whole := true
+		complete := true
 		for _, l := range c.o.Links.All() {
-			a, told, ok := c.recallFrom(l)
-			whole = whole && ok
+			a, told, ok := c.recoverFrom(l)
+			complete = complete && ok
 			if ok {
 				answers[l.Peer.Name], entries = a, append(entries, told...)
 			}
 		}
 		// Nothing of it is kept unless it is whole: a key that is known to some of its voters and to others not is taken by nobody.
-		if whole && Recalled(c.o.Self.Name, answers) && !slices.ContainsFunc(entries, func(e Entry) bool { return !c.store.remember(e) }) {
+		if complete && HasRecovered(c.o.Self.Name, answers) && !slices.ContainsFunc(entries, func(e Entry) bool { return !c.store.remember(e) }) {
 			c.mu.Lock()
 			for name := range maps.Keys(answers) {
 				c.told[name] = true
 			}
 			c.young = 0
-			c.counts.Recalled++
+			c.counts.Recovered++
 			c.mu.Unlock()
 			c.o.Log.Info("what an earlier life of this gateway voted for is known again", "by", len(answers))
 			return
 		}
-		clock.Sleep(c.ctx, recallAgain)
+		clock.Sleep(c.ctx, recoverRetryDelay)
 	}
 }
 
-// recallFrom asks one gateway, page by page. false: not all of it came.
-func (c *Custodian) recallFrom(l *peering.Link) (r Recollection, entries []Entry, ok bool) {
-	m := recallMsg{Name: c.o.Self.Name}
+// recoverFrom asks one gateway, page by page. false: not all of it came.
+func (c *Replicator) recoverFrom(l *peering.Link) (r Recovery, entries []Entry, ok bool) {
+	m := recoverRequest{Name: c.o.Self.Name}
 	for {
 		ctx, cancel := context.WithTimeout(c.ctx, pollLimit)
-		var a recalledMsg
-		err := l.Do(ctx, topicRecall, m, &a)
+		var a recoverReply
+		err := l.Do(ctx, topicRecover, m, &a)
 		cancel()
 		if err != nil || a.More && len(a.Entries) == 0 {
-			return Recollection{}, nil, false
+			return Recovery{}, nil, false
 		}
 		entries = append(entries, a.Entries...)
 		if !a.More {
-			return Recollection{a.Young, a.Seen}, entries, true
+			return Recovery{a.Recovering, a.Incarnations}, entries, true
 		}
 		m.From = a.Entries[len(a.Entries)-1].Record.Key
 	}
@@ -161,14 +161,14 @@
 	defer s.mu.Unlock()
 	var keys []Key
 	for k, h := range s.held {
-		if h.Record.Repeats != "" && (len(h.Intents) > 0 || h.Outcome != nil || h.Recalled) && compareKeys(k, from) > 0 && slices.ContainsFunc(h.Record.Voters, func(g Gateway) bool { return g.Name == name }) {
+		if h.Record.IdempotencyKey != "" && (len(h.Intents) > 0 || h.Outcome != nil || h.Recovered) && compareKeys(k, from) > 0 && slices.ContainsFunc(h.Record.Replicas, func(g Gateway) bool { return g.Name == name }) {
 			keys = append(keys, k)
 		}
 	}
 	slices.SortFunc(keys, compareKeys)
 	now, size := s.now(), 0
 	for _, k := range keys {
-		e := s.held[k].copy(now)
+		e := s.held[k].snapshot(now)
 		e.Record.Body, e.Record.Headers, e.Intents = nil, nil, nil
 		size += sizeOf(&e.Record)
 		if !e.Decided {
@@ -188,10 +188,10 @@
 func (s *store) remember(e Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h := s.held[e.Record.Key]; h != nil && (!h.Recalled || h.Record.Gen >= e.Record.Gen) {
+	if h := s.held[e.Record.Key]; h != nil && (!h.Recovered || h.Record.Gen >= e.Record.Gen) {
 		return true // what this life has voted for stays
 	}
-	if !s.room(sizeOf(&e.Record)) {
+	if !s.makeSpace(sizeOf(&e.Record)) {
 		s.counts.Full++
 		return false
 	}
@@ -199,7 +199,7 @@
 		s.drop(h)
 	}
 	h := s.add(e.Record, e.Promised)
-	h.Entry, h.Recalled = e, true
+	h.Entry, h.Recovered = e, true
 	if e.Decided {
 		h.settled = s.now()
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -7,89 +7,89 @@
 )
 
 // Topics are how others reach it.
-func (c *Custodian) Topics() map[string]peering.Handler {
+func (c *Replicator) Topics() map[string]peering.Handler {
 	return map[string]peering.Handler{
-		topicRecord: voted(c.record),
-		topicIntend: voted(c.intend),
-		topicSettle: voted(c.settle),
-		topicClaim:  voted(c.claim),
-		topicFind:   peering.Answer(func(_ *peering.Link, m findMsg, answer func(word)) { c.find(m, answer) }),
+		topicRecord: handler(c.record),
+		topicIntend: handler(c.intend),
+		topicSettle: handler(c.settle),
+		topicClaim:  handler(c.claim),
+		topicFind:   peering.Answer(func(_ *peering.Link, m findMsg, answer func(replicaReply)) { c.find(m, answer) }),
 		topicEnded:  peering.Hear(func(_ *peering.Link, m endedMsg) { c.store.ended(m.Key, m.By, m.N) }),
 		topicDecide: peering.Hear(func(_ *peering.Link, m settleMsg) { c.decided(m) }),
 		topicHand: peering.Hear(func(_ *peering.Link, m endedMsg) {
 			c.store.hand(m.Key, m.By)
-			c.Look()
+			c.CheckOrphans()
 		}),
-		topicDrop:   peering.Hear(func(_ *peering.Link, m endedMsg) { c.store.withdraw(m.Key, m.By) }),
-		topicLives:  peering.Hear(func(from *peering.Link, m livesMsg) { c.aged(from.Peer.Name, m.Ago) }),
-		topicRecall: peering.Answer(func(_ *peering.Link, m recallMsg, answer func(recalledMsg)) { answer(c.recalled(m)) }),
+		topicDrop:         peering.Hear(func(_ *peering.Link, m endedMsg) { c.store.withdraw(m.Key, m.By) }),
+		topicIncarnations: peering.Hear(func(from *peering.Link, m incarnationsMsg) { c.noteIncarnationEnd(from.Peer.Name, m.Ago) }),
+		topicRecover:      peering.Answer(func(_ *peering.Link, m recoverRequest, answer func(recoverReply)) { answer(c.serveRecovery(m)) }),
 	}
 }
 
-// voted is a handler of what a voter answers at once.
-func voted[Q any](f func(Q) word) peering.Handler {
-	return peering.Answer(func(_ *peering.Link, q Q, answer func(word)) { answer(f(q)) })
+// handler is a handler of what a voter answers at once.
+func handler[Q any](f func(Q) replicaReply) peering.Handler {
+	return peering.Answer(func(_ *peering.Link, q Q, answer func(replicaReply)) { answer(f(q)) })
 }
 
-func (c *Custodian) record(m recordMsg) word {
-	if m.Life != c.o.Self.Life || m.Record.Repeats != "" && c.isYoung() {
-		return word{Verdict: NotOf}
+func (c *Replicator) record(m recordMsg) replicaReply {
+	if m.Incarnation != c.o.Self.Incarnation || m.Record.IdempotencyKey != "" && c.isRecovering() {
+		return replicaReply{Verdict: OtherIncarnation}
 	}
 	v, e := c.store.record(m.Record, m.By)
-	return word{v, e}
+	return replicaReply{v, e}
 }
 
-func (c *Custodian) intend(m intendMsg) word {
-	if m.Life != c.o.Self.Life {
-		return word{Verdict: NotOf}
+func (c *Replicator) intend(m intendMsg) replicaReply {
+	if m.Incarnation != c.o.Self.Incarnation {
+		return replicaReply{Verdict: OtherIncarnation}
 	}
-	return word{Verdict: c.store.intend(m.Key, m.Intent)}
+	return replicaReply{Verdict: c.store.intend(m.Key, m.Intent)}
 }
 
-func (c *Custodian) settle(m settleMsg) word {
-	if m.Life != c.o.Self.Life {
-		return word{Verdict: NotOf}
+func (c *Replicator) settle(m settleMsg) replicaReply {
+	if m.Incarnation != c.o.Self.Incarnation {
+		return replicaReply{Verdict: OtherIncarnation}
 	}
 	v, e := c.store.settle(m.Key, m.Outcome, m.By)
-	return word{v, e}
+	return replicaReply{v, e}
 }
 
-func (c *Custodian) claim(m recordMsg) word {
-	if m.Life != c.o.Self.Life {
-		return word{Verdict: NotOf}
+func (c *Replicator) claim(m recordMsg) replicaReply {
+	if m.Incarnation != c.o.Self.Incarnation {
+		return replicaReply{Verdict: OtherIncarnation}
 	}
-	v, e := c.store.claim(m.Record, m.By, c.heard)
-	return word{v, e}
+	v, e := c.store.claim(m.Record, m.By, c.ownerAlive)
+	return replicaReply{v, e}
 }
 
 // decided notes an outcome that a majority has taken. Work that is still under way here for the same call is over: its caller
 // hears that outcome, and need not wait for an attempt that may take until the deadline.
-func (c *Custodian) decided(m settleMsg) {
+func (c *Replicator) decided(m settleMsg) {
 	c.store.decide(m.Key, m.Gen, m.Outcome, m.By)
 	c.mu.Lock()
 	w := c.works[m.Key]
 	c.mu.Unlock()
 	if w != nil && w.r.Gen == m.Gen && w.by.Compare(m.By) < 0 {
-		w.fence(ErrKnown)
+		w.fence(ErrDuplicate)
 	}
 }
 
-// isYoung says that this gateway may have taken a key in an earlier life, whose repeats may still come.
-func (c *Custodian) isYoung() bool {
+// isRecovering says that this gateway may have taken a key in an earlier life, whose repeats may still come.
+func (c *Replicator) isRecovering() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.o.Now() < c.young
 }
 
 // find answers with what is held of a key, as soon as it is decided, or when the wait is over.
-func (c *Custodian) find(m findMsg, reply func(word)) {
+func (c *Replicator) find(m findMsg, reply func(replicaReply)) {
 	e, changed := c.store.find(m.Key)
 	switch {
 	case e == nil:
-		reply(word{Verdict: Unknown})
+		reply(replicaReply{Verdict: Unknown})
 		return
 	case e.Decided || m.Wait <= 0:
-		reply(word{Yes, e})
+		reply(replicaReply{Yes, e})
 		return
 	}
 	c.tasks.Go(func() {
@@ -106,29 +106,29 @@
 			break
 		}
 		if e == nil {
-			reply(word{Verdict: Unknown})
+			reply(replicaReply{Verdict: Unknown})
 		} else {
-			reply(word{Yes, e})
+			reply(replicaReply{Yes, e})
 		}
 	})
 }
 
-// heard says that whoever has a call in hand is heard here, lately enough for the time that the call has left.
-func (c *Custodian) heard(e *Entry, left time.Duration) bool {
+// ownerAlive says that whoever has a call in hand is heard here, lately enough for the time that the call has left.
+func (c *Replicator) ownerAlive(e *Entry, left time.Duration) bool {
 	b := e.Promised
-	if b.By == c.o.Self.Name {
+	if b.Owner == c.o.Self.Name {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		w := c.works[e.Record.Key]
-		return b.Life == c.o.Self.Life && w != nil && w.by == b && !w.isOver()
+		return b.Incarnation == c.o.Self.Incarnation && w != nil && w.by == b && !w.isOver()
 	}
-	l := c.o.Links.To(b.By)
-	if l == nil || l.Peer.Life != b.Life {
+	l := c.o.Links.To(b.Owner)
+	if l == nil || l.Peer.Incarnation != b.Incarnation {
 		return false
 	}
 	quiet := l.Quiet()
 	if quiet < 2*c.o.Beat {
 		return true // whatever the call, it is soon enough
 	}
-	return quiet < Doubt(c.o.Beat, l.RTT(), c.o.Silence, left, Servable(c.o.Step(&e.Record, e.Intents, left)))
+	return quiet < Suspect(c.o.Beat, l.RTT(), c.o.Silence, left, Servable(c.o.Step(&e.Record, e.Intents, left)))
 }
--- a/internal/replication/replication.go
+++ b/internal/replication/replication.go
@@ -23,20 +23,20 @@
 
 // Options are what a Custodian is made of.
 type Options struct {
-	Self    Gateway
-	Links   Links
-	Group   func() []Gateway // all that live, this one among them, with the lives that links tell of
-	Run     Run
-	Step    func(r *Record, intents []Intent, left time.Duration) Step // what an heir would do with a call; must not block
-	Beat    time.Duration                                              // between two heartbeats of a link, and
-	Silence time.Duration                                              // how long one stands without an answer
-	Holders int                                                        // voters of a call in a group that has as many
-	Memory  int                                                        // bytes held for others, about
-	Keep    time.Duration                                              // that an answer is kept after it was settled
-	Forgets func() time.Duration                                       // that repeats of a key may come after its first call
-	Fresh   time.Duration                                              // an intent that is older when its first byte is to be written is asked for anew
-	Now     func() time.Duration
-	Log     *slog.Logger
+	Self      Gateway
+	Links     Links
+	Group     func() []Gateway // all that live, this one among them, with the lives that links tell of
+	Run       Run
+	Step      func(r *Record, intents []Intent, left time.Duration) Step // what an heir would do with a call; must not block
+	Beat      time.Duration                                              // between two heartbeats of a link, and
+	Silence   time.Duration                                              // how long one stands without an answer
+	Replicas  int                                                        // voters of a call in a group that has as many
+	Memory    int                                                        // bytes held for others, about
+	Retention time.Duration                                              // that an answer is kept after it was settled
+	Forgets   func() time.Duration                                       // that repeats of a key may come after its first call
+	Fresh     time.Duration                                              // an intent that is older when its first byte is to be written is asked for anew
+	Now       func() time.Duration
+	Log       *slog.Logger
 }
 
 // Run has a call carried out, by the engine of its pool: each attempt is allowed by w.Intend before its first byte. It
@@ -45,16 +45,16 @@
 
 // Times of a custodian. All of them are how soon something is tried, and none is needed for what the package promises.
 const (
-	pollLimit  = 2 * time.Second        // that voters are waited for, where the call's time is not over before
-	lookEvery  = 20 * time.Millisecond  // for orphans, while calls are undecided
-	restEvery  = 200 * time.Millisecond // and while none is
-	claimAgain = 250 * time.Millisecond // after a claim that failed, at most
-	findWait   = 400 * time.Millisecond // that a voter holds a question for an answer
-	slowest    = 50 * time.Millisecond  // that is waited for the others once a majority knows nothing of a key
+	pollLimit           = 2 * time.Second        // that voters are waited for, where the call's time is not over before
+	orphanCheckInterval = 20 * time.Millisecond  // for orphans, while calls are undecided
+	restEvery           = 200 * time.Millisecond // and while none is
+	claimRetryDelay     = 250 * time.Millisecond // after a claim that failed, at most
+	findWait            = 400 * time.Millisecond // that a voter holds a question for an answer
+	slowest             = 50 * time.Millisecond  // that is waited for the others once a majority knows nothing of a key
 )
 
-// Custodian is a gateway's part in custody: its own calls, those that it holds for others, and those that it takes over.
-type Custodian struct {
+// Replicator is a gateway's part in custody: its own calls, those that it holds for others, and those that it takes over.
+type Replicator struct {
 	o     Options
 	store *store
 	ctx   context.Context
@@ -64,17 +64,17 @@
 	calls atomic.Uint64 // ballots that it has made
 
 	mu      sync.Mutex
-	works   map[Key]*Work   // in this gateway's hand
-	ending  bool            // nothing more is taken into custody
-	lost    map[string]life // by gateway, the life to which a link ended last
-	young   time.Duration   // until when this one may have known keys in an earlier life, and does not know them again
-	told    map[string]bool // gateways that told it what it may have voted for
-	born    time.Duration   // when this life began
-	group   []Gateway       // as it was last, and
-	changed time.Duration   // when that changed
+	works   map[Key]*Work          // in this gateway's hand
+	ending  bool                   // nothing more is taken into custody
+	lost    map[string]incarnation // by gateway, the life to which a link ended last
+	young   time.Duration          // until when this one may have known keys in an earlier life, and does not know them again
+	told    map[string]bool        // gateways that told it what it may have voted for
+	born    time.Duration          // when this life began
+	group   []Gateway              // as it was last, and
+	changed time.Duration          // when that changed
 	counts  Counts
 
-	recalling bool // it asks them
+	recovering bool // it asks them
 }
 
 // Counts are of what became of calls in custody, since the start.
@@ -87,38 +87,38 @@
 	Asked   int `json:"asked"`   // by callers that came back
 	Found   int `json:"found"`   // of them, that got the one answer
 	// times that it knew again what an earlier life of it may have voted for
-	Recalled int `json:"recalled"`
+	Recovered int `json:"recalled"`
 }
 
 // Status is what a custodian does now.
 type Status struct {
 	Counts
-	InHand int         `json:"in_hand"`
-	Voter  StoreCounts `json:"voter"`
+	InHand  int         `json:"in_hand"`
+	Replica StoreCounts `json:"voter"`
 }
 
-// life is one of a gateway's, and when the link to it ended.
-type life struct {
+// incarnation is one of a gateway's, and when the link to it ended.
+type incarnation struct {
 	number uint64
 	ended  time.Duration
 }
 
 // New returns a Custodian that answers others. Run claims what is lost.
-func New(o Options) *Custodian {
-	c := &Custodian{o: o, store: newStore(o.Now, o.Keep, o.Memory), works: map[Key]*Work{}, lost: map[string]life{}, told: map[string]bool{}, born: o.Now(), kick: make(chan struct{}, 1)}
+func New(o Options) *Replicator {
+	c := &Replicator{o: o, store: newStore(o.Now, o.Retention, o.Memory), works: map[Key]*Work{}, lost: map[string]incarnation{}, told: map[string]bool{}, born: o.Now(), kick: make(chan struct{}, 1)}
 	c.ctx, c.end = context.WithCancel(context.Background())
 	c.tasks.Go(c.watch)
 	return c
 }
 
 // Close ends all that is under way and returns once it has ended.
-func (c *Custodian) Close() {
+func (c *Replicator) Close() {
 	c.end()
 	c.tasks.Wait()
 }
 
 // Status is what it does now.
-func (c *Custodian) Status() Status {
+func (c *Replicator) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Status{c.counts, len(c.works), c.store.status()}
@@ -126,26 +126,26 @@
 
 // Linked notes that a link to a gateway of the group has come up. Whoever knew an earlier life of its tells it so, first of all
 // that goes over the link.
-func (c *Custodian) Linked(l *peering.Link) {
+func (c *Replicator) Linked(l *peering.Link) {
 	c.mu.Lock()
 	was, known := c.lost[l.Peer.Name]
 	now := c.o.Now()
 	c.mu.Unlock()
-	if known && was.number != l.Peer.Life && now-was.ended < c.o.Forgets() {
-		l.Tell(topicLives, livesMsg{now - was.ended})
+	if known && was.number != l.Peer.Incarnation && now-was.ended < c.o.Forgets() {
+		l.Tell(topicIncarnations, incarnationsMsg{now - was.ended})
 	}
 }
 
-// Lost notes that the last link to a life of a gateway of the group has ended.
-func (c *Custodian) Lost(p peering.Peer) {
+// PeerLost notes that the last link to a life of a gateway of the group has ended.
+func (c *Replicator) PeerLost(p peering.Peer) {
 	c.mu.Lock()
-	c.lost[p.Name] = life{p.Life, c.o.Now()}
+	c.lost[p.Name] = incarnation{p.Incarnation, c.o.Now()}
 	c.mu.Unlock()
-	c.Look()
+	c.CheckOrphans()
 }
 
-// look notes whether the group has changed.
-func (c *Custodian) look() []Gateway {
+// orphanCheck notes whether the group has changed.
+func (c *Replicator) orphanCheck() []Gateway {
 	group := c.o.Group()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,49 +159,49 @@
 var (
 	// ErrAlone says that too few voters are to be reached: nothing was recorded anywhere.
 	ErrAlone = errors.New("custody: too few holders are to be reached")
-	// ErrKnown says that the call has been taken before: Await brings its answer.
-	ErrKnown = errors.New("custody: the call has been taken before")
+	// ErrDuplicate says that the call has been taken before: Await brings its answer.
+	ErrDuplicate = errors.New("custody: the call has been taken before")
 	// ErrFull says that its voters have no room for the call: nothing of it was begun.
 	ErrFull = errors.New("custody: the holders have no room")
 	// ErrUnknown says that nobody holds such a call.
 	ErrUnknown = errors.New("custody: nobody here knows the call")
 	// ErrForgotten says that whoever held the call has started anew since: nobody can tell what became of it.
 	ErrForgotten = errors.New("custody: those who held the call have forgotten what became of it")
-	// ErrUnsettled says that the call is under way, or that too few of its voters are to be reached to tell what became of it.
-	ErrUnsettled = errors.New("custody: the call is not settled")
-	// ErrUntold says that too few could be asked whether the call's key was taken before: nothing was recorded anywhere.
-	ErrUntold = fmt.Errorf("custody: too few tell whether the key was taken before: %w", ErrUnsettled)
+	// ErrUndecided says that the call is under way, or that too few of its voters are to be reached to tell what became of it.
+	ErrUndecided = errors.New("custody: the call is not settled")
+	// ErrNoAnswer says that too few could be asked whether the call's key was taken before: nothing was recorded anywhere.
+	ErrNoAnswer = fmt.Errorf("custody: too few tell whether the key was taken before: %w", ErrUndecided)
 )
 
 // Take has a call recorded and carried out, and returns its outcome once a majority of its voters has taken that. serve
 // says that where voters are lost on the way the outcome is told all the same. window is how long others could have taken the
-// same key before the group changed. With ErrAlone, ErrFull and ErrUntold nothing was begun; ErrKnown says to Await the answer.
-func (c *Custodian) Take(ctx context.Context, r Record, serve bool, window time.Duration) (Outcome, error) {
-	group := c.look()
+// same key before the group changed. With ErrAlone, ErrFull and ErrNoAnswer nothing was begun; ErrDuplicate says to Await the answer.
+func (c *Replicator) Take(ctx context.Context, r Record, serve bool, window time.Duration) (Outcome, error) {
+	group := c.orphanCheck()
 	r.Owner = c.o.Self
-	r.Voters = Voters(r.Key, c.o.Self.Name, group, c.o.Holders)
-	if r.Repeats != "" && c.o.Now()-c.changedAt() < window {
+	r.Replicas = ChooseReplicas(r.Key, c.o.Self.Name, group, c.o.Replicas)
+	if r.IdempotencyKey != "" && c.o.Now()-c.changedAt() < window {
 		// The voters of a key may be others than those that took it: all are asked once.
-		_, gen, err := c.ask(ctx, r.Key, 0)
-		if errors.Is(err, ErrUntold) {
+		_, gen, err := c.query(ctx, r.Key, 0)
+		if errors.Is(err, ErrNoAnswer) {
 			return Outcome{}, err
 		}
 		if !errors.Is(err, ErrUnknown) && gen >= r.Gen {
-			return Outcome{}, ErrKnown
+			return Outcome{}, ErrDuplicate
 		}
 	}
 	reached := 0
-	for _, v := range r.Voters {
+	for _, v := range r.Replicas {
 		if v.Name == c.o.Self.Name || c.o.Links.To(v.Name) != nil {
 			reached++
 		}
 	}
-	if len(r.Voters) == 0 || reached < Majority(len(r.Voters)) {
+	if len(r.Replicas) == 0 || reached < Majority(len(r.Replicas)) {
 		c.count(func(n *Counts) { n.Alone++ })
 		return Outcome{}, ErrAlone
 	}
 	if e, _ := c.store.find(r.Key); e != nil && e.Record.Gen >= r.Gen {
-		return Outcome{}, ErrKnown // whether or not it is a voter of the key now
+		return Outcome{}, ErrDuplicate // whether or not it is a voter of the key now
 	}
 	w, err := c.begin(ctx, r, c.ballot(1), nil)
 	if err != nil {
@@ -210,29 +210,29 @@
 	w.serve = serve
 	c.count(func(n *Counts) { n.Taken++ })
 	// The record is on its way; the first intent follows it over the same links, and is not taken where the record was not.
-	w.send(topicRecord, func(v Gateway) any { return recordMsg{r, w.by, v.Life} }, w.recorded)
-	return w.carry(ctx)
+	w.send(topicRecord, func(v Gateway) any { return recordMsg{r, w.by, v.Incarnation} }, w.recorded)
+	return w.run(ctx)
 }
 
-func (c *Custodian) changedAt() time.Duration {
+func (c *Replicator) changedAt() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-func (c *Custodian) count(f func(*Counts)) {
+func (c *Replicator) count(f func(*Counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.counts)
 }
 
 // ballot is this gateway's next one of a number.
-func (c *Custodian) ballot(n uint32) Ballot {
-	return Ballot{N: n, By: c.o.Self.Name, Life: c.o.Self.Life, Call: c.calls.Add(1)}
+func (c *Replicator) ballot(n uint32) Ballot {
+	return Ballot{Number: n, Owner: c.o.Self.Name, Incarnation: c.o.Self.Incarnation, Call: c.calls.Add(1)}
 }
 
 // HandOver gives all calls that are in hand to others: this gateway ends. What is out is left to end by itself.
-func (c *Custodian) HandOver() {
+func (c *Replicator) HandOver() {
 	c.mu.Lock()
 	c.ending = true
 	var all []*Work
@@ -241,7 +241,7 @@
 	}
 	c.mu.Unlock()
 	for _, w := range all {
-		w.fence(ErrKnown)
-		w.giveOut()
+		w.fence(ErrDuplicate)
+		w.release()
 	}
 }
--- a/internal/replication/rules.go
+++ b/internal/replication/rules.go
@@ -35,9 +35,9 @@
 
 // Gateway is a life of a gateway.
 type Gateway struct {
-	Name string `cbor:"1,keyasint"`
-	Zone string `cbor:"2,keyasint,omitempty"`
-	Life uint64 `cbor:"3,keyasint"` // 0: not known here, for there is no link to it
+	Name        string `cbor:"1,keyasint"`
+	Zone        string `cbor:"2,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"3,keyasint"` // 0: not known here, for there is no link to it
 }
 
 // Key is what a call is asked for by: its class, and its idempotency key or, without one, the id that its caller gave it.
@@ -48,36 +48,36 @@
 
 // Ballot orders those who may have a call in hand. The zero Ballot is below all.
 type Ballot struct {
-	N    uint32 `cbor:"1,keyasint"`
-	By   string `cbor:"2,keyasint"`
-	Life uint64 `cbor:"3,keyasint"`
-	Call uint64 `cbor:"4,keyasint"` // of those that it had in hand in that life: two calls of one key are two ballots
+	Number      uint32 `cbor:"1,keyasint"`
+	Owner       string `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Call        uint64 `cbor:"4,keyasint"` // of those that it had in hand in that life: two calls of one key are two ballots
 }
 
 // Compare orders ballots.
 func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.Life, o.Life), cmp.Compare(b.Call, o.Call))
+	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Owner, o.Owner), cmp.Compare(b.Incarnation, o.Incarnation), cmp.Compare(b.Call, o.Call))
 }
 
 // Record is what is kept of a call, so that another can go on with it.
 type Record struct {
-	Key     Key                 `cbor:"1,keyasint"`
-	Gen     uint32              `cbor:"2,keyasint"` // of calls under one key, of which those before were refused
-	ID      string              `cbor:"3,keyasint"`
-	Method  string              `cbor:"4,keyasint"`
-	Target  string              `cbor:"5,keyasint"`
-	Repeats string              `cbor:"6,keyasint,omitempty"` // idempotency key
-	Type    string              `cbor:"7,keyasint,omitempty"`
-	Body    []byte              `cbor:"8,keyasint,omitempty"`
-	Left    time.Duration       `cbor:"9,keyasint"` // until its caller's deadline, when this was sent
-	Owner   Gateway             `cbor:"10,keyasint"`
-	Voters  []Gateway           `cbor:"11,keyasint"`
-	Tenant  string              `cbor:"12,keyasint,omitempty"`
-	Draws   []string            `cbor:"13,keyasint,omitempty"` // quotas that were drawn from for it
-	Path    []string            `cbor:"14,keyasint,omitempty"` // partners that it came through, the first one first
-	Route   Route               `cbor:"16,keyasint"`
-	Headers map[string][]string `cbor:"18,keyasint,omitempty"` // that routes look at
-	Offer   [2]string           `cbor:"19,keyasint"`           // origin and name of the offer that a partner sent it by
+	Key            Key                 `cbor:"1,keyasint"`
+	Gen            uint32              `cbor:"2,keyasint"` // of calls under one key, of which those before were refused
+	ID             string              `cbor:"3,keyasint"`
+	Method         string              `cbor:"4,keyasint"`
+	Target         string              `cbor:"5,keyasint"`
+	IdempotencyKey string              `cbor:"6,keyasint,omitempty"` // idempotency key
+	Type           string              `cbor:"7,keyasint,omitempty"`
+	Body           []byte              `cbor:"8,keyasint,omitempty"`
+	Left           time.Duration       `cbor:"9,keyasint"` // until its caller's deadline, when this was sent
+	Owner          Gateway             `cbor:"10,keyasint"`
+	Replicas       []Gateway           `cbor:"11,keyasint"`
+	Tenant         string              `cbor:"12,keyasint,omitempty"`
+	Draws          []string            `cbor:"13,keyasint,omitempty"` // quotas that were drawn from for it
+	Path           []string            `cbor:"14,keyasint,omitempty"` // partners that it came through, the first one first
+	Route          Route               `cbor:"16,keyasint"`
+	Headers        map[string][]string `cbor:"18,keyasint,omitempty"` // that routes look at
+	Offer          [2]string           `cbor:"19,keyasint"`           // origin and name of the offer that a partner sent it by
 }
 
 // Route is what routes look at beside headers.
@@ -106,9 +106,9 @@
 
 // Kinds of outcomes.
 const (
-	Served  Kind = iota + 1
-	Refused      // trying again is harmless
-	Failed       // promises nothing
+	Served   Kind = iota + 1
+	Rejected      // trying again is harmless
+	Failed        // promises nothing
 )
 
 // Outcome is the one final answer.
@@ -126,13 +126,13 @@
 
 // Entry is what a voter has taken of a call.
 type Entry struct {
-	Record   Record   `cbor:"1,keyasint"`
-	Promised Ballot   `cbor:"2,keyasint"` // nothing of a lower one is taken
-	Intents  []Intent `cbor:"3,keyasint,omitempty"`
-	Outcome  *Outcome `cbor:"4,keyasint,omitempty"` // that was taken last, and
-	At       Ballot   `cbor:"5,keyasint"`           // by which ballot
-	Decided  bool     `cbor:"6,keyasint,omitempty"` // a majority has taken it
-	Recalled bool     `cbor:"7,keyasint,omitempty"` // an earlier life of the voter may have taken it: this one knows of it, and is no voter
+	Record    Record   `cbor:"1,keyasint"`
+	Promised  Ballot   `cbor:"2,keyasint"` // nothing of a lower one is taken
+	Intents   []Intent `cbor:"3,keyasint,omitempty"`
+	Outcome   *Outcome `cbor:"4,keyasint,omitempty"` // that was taken last, and
+	At        Ballot   `cbor:"5,keyasint"`           // by which ballot
+	Decided   bool     `cbor:"6,keyasint,omitempty"` // a majority has taken it
+	Recovered bool     `cbor:"7,keyasint,omitempty"` // an earlier life of the voter may have taken it: this one knows of it, and is no voter
 }
 
 // Verdict is a voter's word.
@@ -140,13 +140,13 @@
 
 // Verdicts.
 const (
-	Yes     Verdict = iota + 1
-	Higher          // a higher ballot was promised
-	Known           // another call has this key, or the call's outcome is decided
-	Heard           // whoever has the call in hand is heard here
-	Unknown         // this voter has taken no such call
-	Full            // there is no room
-	NotOf           // the voter is not of this life: it may have forgotten what it had taken
+	Yes              Verdict = iota + 1
+	Higher                   // a higher ballot was promised
+	Duplicate                // another call has this key, or the call's outcome is decided
+	OwnerAlive               // whoever has the call in hand is heard here
+	Unknown                  // this voter has taken no such call
+	Full                     // there is no room
+	OtherIncarnation         // the voter is not of this life: it may have forgotten what it had taken
 )
 
 var verdicts = [...]string{"", "yes", "higher", "known", "heard", "unknown", "full", "another life"}
@@ -158,23 +158,23 @@
 	switch {
 	case e == nil:
 		return Yes
-	case r.Gen > e.Record.Gen && e.Outcome != nil && e.Outcome.Kind == Refused:
+	case r.Gen > e.Record.Gen && e.Outcome != nil && e.Outcome.Kind == Rejected:
 		return Yes // what was refused may be asked for anew
 	case r.Gen != e.Record.Gen || r.Owner != e.Record.Owner || r.ID != e.Record.ID:
-		return Known
+		return Duplicate
 	case b.Compare(e.Promised) < 0:
 		return Higher
 	}
 	return Yes
 }
 
-// standing says whether a voter goes by a ballot now.
-func standing(e *Entry, b Ballot) Verdict {
+// ballotVerdict says whether a voter goes by a ballot now.
+func ballotVerdict(e *Entry, b Ballot) Verdict {
 	switch {
 	case b.Compare(e.Promised) < 0:
 		return Higher
-	case b.N == 1 && b != e.Promised:
-		return Known // another owner's: a first ballot was promised by nobody who did not take its record
+	case b.Number == 1 && b != e.Promised:
+		return Duplicate // another owner's: a first ballot was promised by nobody who did not take its record
 	}
 	return Yes
 }
@@ -185,9 +185,9 @@
 	case e == nil:
 		return Unknown
 	case e.Decided:
-		return Known
+		return Duplicate
 	}
-	return standing(e, b)
+	return ballotVerdict(e, b)
 }
 
 // MaySettle says whether a voter takes an outcome. One that is decided stays.
@@ -196,9 +196,9 @@
 	case e == nil:
 		return Unknown
 	case e.Decided && b != e.At:
-		return Known
+		return Duplicate
 	}
-	return standing(e, b)
+	return ballotVerdict(e, b)
 }
 
 // MayClaim says whether a voter promises a ballot. heard: whoever has the call in hand now has a link to this voter, and
@@ -208,11 +208,11 @@
 	case e == nil:
 		return Yes // it surely has taken nothing of this call
 	case e.Decided:
-		return Known
+		return Duplicate
 	case b.Compare(e.Promised) <= 0:
 		return Higher
 	case heard:
-		return Heard
+		return OwnerAlive
 	}
 	return Yes
 }
@@ -220,7 +220,7 @@
 // MayWithdraw says whether a voter lets go of a call whose owner, by its first ballot, says that nothing of it was begun. An intent
 // that was taken comes before that word, for both go over one link.
 func MayWithdraw(e *Entry, b Ballot) bool {
-	return e != nil && b.N == 1 && e.Promised == b && len(e.Intents) == 0 && e.Outcome == nil && !e.Recalled
+	return e != nil && b.Number == 1 && e.Promised == b && len(e.Intents) == 0 && e.Outcome == nil && !e.Recovered
 }
 
 // TakeIntent notes an intent that MayIntend allows. One that is asked for again takes its own place.
@@ -308,19 +308,19 @@
 // Majority is how many of n voters are needed.
 func Majority(n int) int { return n/2 + 1 }
 
-// Voters are who holds the calls of a key: the first of the group by a hash of key and name, of as many zones as there are,
+// ChooseReplicas are who holds the calls of a key: the first of the group by a hash of key and name, of as many zones as there are,
 // and an odd number of them, the owner perhaps among them. Whoever sees the same group sees the same voters. In a group of
 // two the other one votes alone; alone nobody does.
-func Voters(k Key, own string, group []Gateway, holders int) []Gateway {
+func ChooseReplicas(k Key, own string, group []Gateway, replicas int) []Gateway {
 	switch len(group) {
 	case 0, 1:
 		return nil
 	case 2:
 		return slices.DeleteFunc(slices.Clone(group), func(g Gateway) bool { return g.Name == own })
 	}
-	holders = min(holders, len(group))
-	if holders%2 == 0 {
-		holders--
+	replicas = min(replicas, len(group))
+	if replicas%2 == 0 {
+		replicas--
 	}
 	order := slices.Clone(group)
 	slices.SortFunc(order, func(a, b Gateway) int {
@@ -328,9 +328,9 @@
 	})
 	var out []Gateway
 	zones := map[string]int{}
-	for most := 1; len(out) < holders; most++ { // one of each zone first, then two
+	for most := 1; len(out) < replicas; most++ { // one of each zone first, then two
 		for _, g := range order {
-			if len(out) < holders && zones[g.Zone] < most && !slices.ContainsFunc(out, func(o Gateway) bool { return o.Name == g.Name }) {
+			if len(out) < replicas && zones[g.Zone] < most && !slices.ContainsFunc(out, func(o Gateway) bool { return o.Name == g.Name }) {
 				zones[g.Zone]++
 				out = append(out, g)
 			}
@@ -339,12 +339,12 @@
 	return out
 }
 
-// Doubt is how long whoever has a call in hand may be silent, by the heartbeat that it answered last, until a voter takes it
+// Suspect is how long whoever has a call in hand may be silent, by the heartbeat that it answered last, until a voter takes it
 // for lost although its link stands. A link ends after silence; a call whose time is over soon, and that an heir could still
 // have served, is not made to wait for that, but for two heartbeats and the way there and back at least: a third of its time
 // goes to the doubt, the rest is for the claim and the attempt. A doubt that was wrong costs the owner the call, and a call
 // that is safe an attempt, so what an heir could only fail waits for the link.
-func Doubt(beat, rtt, silence, left time.Duration, servable bool) time.Duration {
+func Suspect(beat, rtt, silence, left time.Duration, servable bool) time.Duration {
 	if !servable {
 		return silence
 	}
@@ -354,11 +354,11 @@
 // Servable says that an heir could still have a call served.
 func Servable(s Step) bool { return s == Send || s == Again }
 
-// Patience is how long a voter waits, from when it lost whoever has a call in hand, until it claims the call: those first
+// ClaimDelay is how long a voter waits, from when it lost whoever has a call in hand, until it claims the call: those first
 // that come first among the voters, so that they do not claim against one another.
-func Patience(voters []Gateway, lost, self string) time.Duration {
+func ClaimDelay(replicas []Gateway, lost, self string) time.Duration {
 	rank := 0
-	for _, v := range voters {
+	for _, v := range replicas {
 		if v.Name == self {
 			break
 		}
@@ -369,10 +369,10 @@
 	return claimAfter + time.Duration(rank)*claimStep
 }
 
-// ClaimAgain is how long a voter waits after a claim that others refused, who heard what it did not: heartbeats come to each
+// ClaimRetryDelay is how long a voter waits after a claim that others refused, who heard what it did not: heartbeats come to each
 // of them at another time, and a call whose time is short has none to lose.
-func ClaimAgain(left time.Duration) time.Duration {
-	return min(claimAgain, max(claimAfter, left/8))
+func ClaimRetryDelay(left time.Duration) time.Duration {
+	return min(claimRetryDelay, max(claimAfter, left/8))
 }
 
 // Times of a claim. A link that broke may come back at once.
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -13,7 +13,7 @@
 	most int // bytes
 
 	mu     sync.Mutex
-	held   map[Key]*held
+	held   map[Key]*replicaEntry
 	bytes  int
 	counts StoreCounts
 }
@@ -27,8 +27,8 @@
 	Forgot int `json:"forgot"` // answers that were forgotten early, for want of room
 }
 
-// held is an entry, with what only its voter knows.
-type held struct {
+// replicaEntry is an entry, with what only its voter knows.
+type replicaEntry struct {
 	Entry
 	until    time.Duration // its caller's deadline, by this gateway's clock
 	settled  time.Duration // when it was decided; 0: it is not
@@ -41,12 +41,12 @@
 }
 
 func newStore(now func() time.Duration, keep time.Duration, most int) *store {
-	return &store{now: now, keep: keep, most: most, held: map[Key]*held{}}
+	return &store{now: now, keep: keep, most: most, held: map[Key]*replicaEntry{}}
 }
 
 // sizeOf is about what an entry takes.
 func sizeOf(r *Record) int {
-	n := 600 + len(r.Body) + len(r.Target) + len(r.ID) + 2*len(r.Key.ID) + 64*len(r.Voters)
+	n := 600 + len(r.Body) + len(r.Target) + len(r.ID) + 2*len(r.Key.ID) + 64*len(r.Replicas)
 	for k, v := range r.Headers {
 		n += len(k) + 32
 		for _, s := range v {
@@ -56,10 +56,10 @@
 	return n
 }
 
-// room makes room for n bytes, by forgetting answers before their time, the oldest first. The caller holds mu.
-func (s *store) room(n int) bool {
+// makeSpace makes room for n bytes, by forgetting answers before their time, the oldest first. The caller holds mu.
+func (s *store) makeSpace(n int) bool {
 	for s.bytes+n > s.most {
-		var oldest *held
+		var oldest *replicaEntry
 		for _, h := range s.held {
 			if h.settled > 0 && (oldest == nil || h.settled < oldest.settled) {
 				oldest = h
@@ -74,7 +74,7 @@
 	return true
 }
 
-func (s *store) drop(h *held) {
+func (s *store) drop(h *replicaEntry) {
 	delete(s.held, h.Record.Key)
 	s.bytes -= h.size
 	close(h.changed)
@@ -82,15 +82,15 @@
 }
 
 // add takes a new entry. The caller holds mu and has seen to room.
-func (s *store) add(r Record, b Ballot) *held {
-	h := &held{Entry: Entry{Record: r, Promised: b}, until: s.now() + r.Left, size: sizeOf(&r), changed: make(chan struct{})}
+func (s *store) add(r Record, b Ballot) *replicaEntry {
+	h := &replicaEntry{Entry: Entry{Record: r, Promised: b}, until: s.now() + r.Left, size: sizeOf(&r), changed: make(chan struct{})}
 	s.held[r.Key] = h
 	s.bytes += h.size
 	return h
 }
 
-// tell has those wait no longer who wait for a change of it. The caller holds mu.
-func (h *held) tell() {
+// notify has those wait no longer who wait for a change of it. The caller holds mu.
+func (h *replicaEntry) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
@@ -102,7 +102,7 @@
 	h := s.held[r.Key]
 	v := MayRecord(h.entry(), &r, b)
 	if v != Yes {
-		return v, h.copy(s.now())
+		return v, h.snapshot(s.now())
 	}
 	if h != nil && h.Record.Gen == r.Gen {
 		return Yes, nil // once more
@@ -110,7 +110,7 @@
 	if h != nil {
 		s.drop(h)
 	}
-	if !s.room(sizeOf(&r)) {
+	if !s.makeSpace(sizeOf(&r)) {
 		s.counts.Full++
 		return Full, nil
 	}
@@ -118,15 +118,15 @@
 	return Yes, nil
 }
 
-func (h *held) entry() *Entry {
+func (h *replicaEntry) entry() *Entry {
 	if h == nil {
 		return nil
 	}
 	return &h.Entry
 }
 
-// copy is the entry as it is sent: times become ages.
-func (h *held) copy(now time.Duration) *Entry {
+// snapshot is the entry as it is sent: times become ages.
+func (h *replicaEntry) snapshot(now time.Duration) *Entry {
 	if h == nil {
 		return nil
 	}
@@ -174,17 +174,17 @@
 	h := s.held[k]
 	v := MaySettle(h.entry(), b)
 	if v != Yes {
-		return v, h.copy(s.now())
+		return v, h.snapshot(s.now())
 	}
 	h.TakeOutcome(o, b)
 	s.resize(h)
 	h.lost, h.handed = 0, false
-	h.tell()
+	h.notify()
 	return Yes, nil
 }
 
 // resize counts an entry's answer. A decided one needs its body no more.
-func (s *store) resize(h *held) {
+func (s *store) resize(h *replicaEntry) {
 	s.bytes -= h.size
 	h.size = sizeOf(&h.Record)
 	if h.Outcome != nil {
@@ -206,7 +206,7 @@
 	h.Decided, h.settled = true, s.now()
 	h.Record.Body, h.Record.Headers = nil, nil
 	s.resize(h)
-	h.tell()
+	h.notify()
 }
 
 // claim promises a ballot, and tells what was taken before. A voter that never had the call takes its record with the claim.
@@ -220,10 +220,10 @@
 	}
 	v := MayClaim(h.entry(), b, h != nil && !h.handed && heard(&h.Entry, h.until-s.now()))
 	if v != Yes {
-		return v, h.copy(s.now())
+		return v, h.snapshot(s.now())
 	}
 	if h == nil {
-		if !s.room(sizeOf(&r)) {
+		if !s.makeSpace(sizeOf(&r)) {
 			s.counts.Full++
 			return Full, nil
 		}
@@ -231,7 +231,7 @@
 	}
 	h.Promised = b
 	h.lost, h.handed = 0, false
-	return Yes, h.copy(s.now())
+	return Yes, h.snapshot(s.now())
 }
 
 // hand notes that whoever has a call in hand by a ballot has given it out of hand.
@@ -261,7 +261,7 @@
 	if h == nil {
 		return nil, nil
 	}
-	return h.copy(s.now()), h.changed
+	return h.snapshot(s.now()), h.changed
 }
 
 // orphans are the undecided calls that this gateway should claim now, each once until release: nobody is heard who has it
@@ -275,7 +275,7 @@
 		case h.settled > 0 && now-h.settled > s.keep || h.settled == 0 && now-h.until > s.keep:
 			s.drop(h)
 			continue
-		case h.Decided || h.claiming || h.Recalled:
+		case h.Decided || h.claiming || h.Recovered:
 			continue
 		}
 		open = true
@@ -286,7 +286,7 @@
 		if h.lost == 0 {
 			h.lost = now
 		}
-		wait := Patience(h.Record.Voters, h.Promised.By, self)
+		wait := ClaimDelay(h.Record.Replicas, h.Promised.Owner, self)
 		if h.handed {
 			wait -= claimAfter // it is sure that nobody has it
 		}
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -12,10 +12,10 @@
 
 // Answers are kept for as long as is said, or until room is needed, the oldest forgotten first; what is undecided is never
 // forgotten for room.
-func TestWhatAVoterForgets(t *testing.T) {
+func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
 	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
-	b := Ballot{N: 1, By: "A", Life: 1}
+	b := Ballot{Number: 1, Owner: "A", Incarnation: 1}
 	take := func(id string, body int) Verdict {
 		v, _ := s.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), Left: time.Minute}, b)
 		return v
@@ -59,7 +59,7 @@
 
 // Whoever sees the same group sees the same voters of a key: an odd number, of as many zones as there are, and over many keys
 // all gateways alike. In a group of two the other one votes, alone nobody does.
-func TestVoters(t *testing.T) {
+func TestChooseReplicas(t *testing.T) {
 	var group []Gateway
 	for i := range 9 {
 		group = append(group, Gateway{Name: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i/3)})
@@ -68,10 +68,10 @@
 	const keys = 3000
 	for i := range keys {
 		k := Key{"note", fmt.Sprint(i)}
-		v := Voters(k, "g0", group, 3)
+		v := ChooseReplicas(k, "g0", group, 3)
 		shuffled := slices.Clone(group)
 		slices.Reverse(shuffled)
-		if again := Voters(k, "g5", shuffled, 4); !slices.Equal(v, again) {
+		if again := ChooseReplicas(k, "g5", shuffled, 4); !slices.Equal(v, again) {
 			t.Fatalf("%v, and by another gateway %v", v, again)
 		}
 		if len(v) != 3 || v[0].Zone == v[1].Zone || v[1].Zone == v[2].Zone || v[0].Zone == v[2].Zone {
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, c := range []struct{ group, holders, want int }{{1, 3, 0}, {2, 3, 1}, {3, 3, 3}, {4, 3, 3}, {5, 5, 5}, {4, 5, 3}, {9, 1, 1}} {
-		v := Voters(Key{"note", "k"}, "g0", group[:c.group], c.holders)
+		v := ChooseReplicas(Key{"note", "k"}, "g0", group[:c.group], c.holders)
 		if len(v) != c.want || c.group == 2 && v[0].Name != "g1" {
 			t.Errorf("a group of %d, %d holders: %v", c.group, c.holders, v)
 		}
@@ -96,25 +96,25 @@
 
 // Who was started anew, and is told so by whoever knew its earlier life, takes no key while repeats of before may come; what
 // has no key it takes.
-func TestAVoterThatForgotVotesOnNoKey(t *testing.T) {
+func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
 	var at atomic.Int64
 	at.Store(int64(time.Hour))
-	c := New(Options{Self: Gateway{Name: "A", Life: 7}, Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Keep: time.Second,
+	c := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
 		Forgets: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(at.Load()) }})
 	defer c.Close()
 	ask := func(key string) Verdict {
-		r := Record{Key: Key{"log", fmt.Sprint(at.Load(), key)}, ID: "x", Repeats: key, Left: time.Second}
-		return c.record(recordMsg{Record: r, By: Ballot{N: 1, By: "B", Life: 1}, Life: 7}).Verdict
+		r := Record{Key: Key{"log", fmt.Sprint(at.Load(), key)}, ID: "x", IdempotencyKey: key, Left: time.Second}
+		return c.record(recordMsg{Record: r, By: Ballot{Number: 1, Owner: "B", Incarnation: 1}, Incarnation: 7}).Verdict
 	}
 	if v := ask("k"); v != Yes {
 		t.Errorf("before anybody said anything: %v", v)
 	}
-	body, err := peering.Encode(livesMsg{Ago: 2 * time.Second})
+	body, err := peering.Encode(incarnationsMsg{Ago: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Topics()[topicLives](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
-	if v := ask("k"); v != NotOf {
+	c.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
+	if v := ask("k"); v != OtherIncarnation {
 		t.Errorf("2 s after its earlier life: %v", v)
 	}
 	if v := ask(""); v != Yes {
@@ -128,14 +128,14 @@
 
 // Who started anew is told of keys that it may have voted for, page by page, with answers that are decided, and knows them: it
 // takes no other call of theirs, and none that it voted for in this life is changed. It is no voter of what it was told.
-func TestWhatAnEarlierLifeVotedForIsKnownAgain(t *testing.T) {
+func TestVotesOfEarlierIncarnationAreRecovered(t *testing.T) {
 	now := time.Hour
 	clock := func() time.Duration { return now }
 	other, self := newStore(clock, time.Minute, 1<<20), newStore(clock, time.Minute, 1<<20)
-	b := Ballot{N: 1, By: "A", Life: 1}
-	voters := []Gateway{{Name: "A", Life: 1}, {Name: "B", Life: 2}, {Name: "C", Life: 3}}
+	b := Ballot{Number: 1, Owner: "A", Incarnation: 1}
+	replicas := []Gateway{{Name: "A", Incarnation: 1}, {Name: "B", Incarnation: 2}, {Name: "C", Incarnation: 3}}
 	rec := func(id, repeats string) Record {
-		return Record{Key: Key{"log", id}, ID: id, Repeats: repeats, Body: []byte("body"), Left: time.Second, Voters: voters}
+		return Record{Key: Key{"log", id}, ID: id, IdempotencyKey: repeats, Body: []byte("body"), Left: time.Second, Replicas: replicas}
 	}
 	for i := range 5 {
 		id := fmt.Sprint("k", i)
@@ -146,10 +146,10 @@
 	other.record(rec("nothing allowed", "nothing allowed"), b)
 	other.record(rec("no key", ""), b)
 	elsewhere := rec("elsewhere", "elsewhere")
-	elsewhere.Voters = voters[:1]
+	elsewhere.Replicas = replicas[:1]
 	other.record(elsewhere, b)
-	other.settle(Key{"log", "k0"}, Outcome{Kind: Refused, NotRun: true}, b)
-	other.decide(Key{"log", "k0"}, 0, Outcome{Kind: Refused, NotRun: true}, b)
+	other.settle(Key{"log", "k0"}, Outcome{Kind: Rejected, NotRun: true}, b)
+	other.decide(Key{"log", "k0"}, 0, Outcome{Kind: Rejected, NotRun: true}, b)
 	other.settle(Key{"log", "k1"}, Outcome{Kind: Served, Body: []byte("answer")}, b)
 	other.decide(Key{"log", "k1"}, 0, Outcome{Kind: Served, Body: []byte("answer")}, b)
 	now += 100 * time.Millisecond
@@ -178,10 +178,10 @@
 		id   string
 		gen  uint32
 		want Verdict
-	}{{"k0", 0, Known}, {"k1", 0, Known}, {"k2", 0, Known}, {"k0", 1, Yes}, {"k1", 1, Known}, {"k4", 1, Known}, {"elsewhere", 0, Yes}} {
+	}{{"k0", 0, Duplicate}, {"k1", 0, Duplicate}, {"k2", 0, Duplicate}, {"k0", 1, Yes}, {"k1", 1, Duplicate}, {"k4", 1, Duplicate}, {"elsewhere", 0, Yes}} {
 		r := rec(c.id, c.id)
 		r.ID, r.Gen = "another call", c.gen
-		if v, _ := self.record(r, Ballot{N: 1, By: "C", Life: 3}); v != c.want {
+		if v, _ := self.record(r, Ballot{Number: 1, Owner: "C", Incarnation: 3}); v != c.want {
 			t.Errorf("another call of %s, generation %d: %v, want %v", c.id, c.gen, v, c.want)
 		}
 	}
@@ -191,7 +191,7 @@
 	if e, _ := self.find(Key{"log", "k1"}); e == nil || !e.Decided || string(e.Outcome.Body) != "answer" {
 		t.Errorf("the answer is not known: %+v", e)
 	}
-	if e, _ := self.find(Key{"log", "k2"}); e == nil || e.Decided || !e.Recalled {
+	if e, _ := self.find(Key{"log", "k2"}); e == nil || e.Decided || !e.Recovered {
 		t.Errorf("what is undecided is %+v", e)
 	}
 	now += time.Second
@@ -206,19 +206,19 @@
 }
 
 // What became of a key's first call may be told late, when the next call of the key is held: it decides nothing of that one.
-func TestALateDecisionIsNotTheNextCalls(t *testing.T) {
+func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
 	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
-	first := Ballot{N: 1, By: "A", Life: 1, Call: 1}
-	heir := Ballot{N: 2, By: "B", Life: 2, Call: 1}
-	next := Ballot{N: 1, By: "A", Life: 1, Call: 2}
-	refused := Outcome{Kind: Refused, NotRun: true}
-	s.record(Record{Key: key, ID: "first", Repeats: "k", Left: time.Minute}, first)
+	first := Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 1}
+	successor := Ballot{Number: 2, Owner: "B", Incarnation: 2, Call: 1}
+	next := Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 2}
+	refused := Outcome{Kind: Rejected, NotRun: true}
+	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", Left: time.Minute}, first)
 	s.settle(key, refused, first)
-	if v, _ := s.record(Record{Key: key, Gen: 1, ID: "next", Repeats: "k", Left: time.Minute}, next); v != Yes {
+	if v, _ := s.record(Record{Key: key, Gen: 1, ID: "next", IdempotencyKey: "k", Left: time.Minute}, next); v != Yes {
 		t.Fatalf("what was refused is asked for anew: %v", v)
 	}
-	s.decide(key, 0, refused, heir)
+	s.decide(key, 0, refused, successor)
 	if v := s.intend(key, Intent{By: next, ID: "next"}); v != Yes {
 		t.Errorf("an attempt of the next call, once the first is told to be refused: %v", v)
 	}
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/fault"
 )
 
-// Look has it look for calls that nobody has in hand, now rather than soon: a link has ended.
-func (c *Custodian) Look() {
+// CheckOrphans has it look for calls that nobody has in hand, now rather than soon: a link has ended.
+func (c *Replicator) CheckOrphans() {
 	select {
 	case c.kick <- struct{}{}:
 	default:
@@ -17,7 +17,7 @@
 }
 
 // watch looks for calls that nobody has in hand, and claims them, each in a task of its own.
-func (c *Custodian) watch() {
+func (c *Replicator) watch() {
 	t := time.NewTimer(restEvery)
 	defer t.Stop()
 	for {
@@ -27,13 +27,13 @@
 		case <-c.kick:
 		case <-t.C:
 		}
-		c.look()
-		lost, open := c.store.orphans(c.o.Self.Name, c.heard)
+		c.orphanCheck()
+		lost, open := c.store.orphans(c.o.Self.Name, c.ownerAlive)
 		for _, k := range lost {
 			c.tasks.Go(func() { c.takeOver(k) })
 		}
 		if open {
-			t.Reset(lookEvery)
+			t.Reset(orphanCheckInterval)
 		} else {
 			t.Reset(restEvery)
 		}
@@ -41,7 +41,7 @@
 }
 
 // takeOver claims a call that nobody has in hand, and goes on with it.
-func (c *Custodian) takeOver(k Key) {
+func (c *Replicator) takeOver(k Key) {
 	defer c.store.release(k)
 	e, _ := c.store.find(k)
 	if e == nil || e.Decided {
@@ -50,16 +50,16 @@
 	r := e.Record
 	ctx, cancel := context.WithTimeout(c.ctx, max(r.Left, pollLimit))
 	defer cancel()
-	by := c.ballot(e.Promised.N + 1)
-	yes, no := c.poll(ctx, r.Voters, topicClaim, func(v Gateway) any { return recordMsg{r, by, v.Life} })
+	by := c.ballot(e.Promised.Number + 1)
+	yes, no := c.collect(ctx, r.Replicas, topicClaim, func(v Gateway) any { return recordMsg{r, by, v.Incarnation} })
 	for _, w := range no {
 		if w.Entry != nil && w.Entry.Decided {
 			c.store.decide(k, r.Gen, *w.Entry.Outcome, w.Entry.At) // a later call of the key says what became of it, too
 			return
 		}
 	}
-	if len(yes) < Majority(len(r.Voters)) {
-		clock.Sleep(ctx, ClaimAgain(r.Left))
+	if len(yes) < Majority(len(r.Replicas)) {
+		clock.Sleep(ctx, ClaimRetryDelay(r.Left))
 		return
 	}
 	c.count(func(n *Counts) { n.Claimed++ })
@@ -68,22 +68,22 @@
 	for _, w := range yes {
 		entries = append(entries, *w.Entry)
 	}
-	voters := r.Voters
+	replicas := r.Replicas
 	r, intents, outcome := Merge(entries)
-	r.Voters = voters
+	r.Replicas = replicas
 	w, err := c.begin(ctx, r, by, intents)
 	if err != nil {
 		return
 	}
-	c.o.Log.Info("a call is taken over", "class", r.Key.Class, "id", r.ID, "from", e.Promised.By, "intents", len(intents), "answered", outcome != nil)
+	c.o.Log.Info("a call is taken over", "class", r.Key.Class, "id", r.ID, "from", e.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
 		err := w.finish(ctx, *outcome)
 		w.done()
 		if err != nil {
-			clock.Sleep(ctx, claimAgain)
+			clock.Sleep(ctx, claimRetryDelay)
 		}
 		return
 	}
 	c.count(func(n *Counts) { n.Resumed++ })
-	w.carry(ctx)
+	w.run(ctx)
 }
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -11,7 +11,7 @@
 
 // Work is a call that this gateway has in hand.
 type Work struct {
-	c       *Custodian
+	c       *Replicator
 	r       Record
 	by      Ballot
 	earlier []Intent
@@ -27,14 +27,14 @@
 }
 
 // begin notes that a call is in this gateway's hand.
-func (c *Custodian) begin(ctx context.Context, r Record, by Ballot, earlier []Intent) (*Work, error) {
+func (c *Replicator) begin(ctx context.Context, r Record, by Ballot, earlier []Intent) (*Work, error) {
 	w := &Work{c: c, r: r, by: by, earlier: earlier, until: c.o.Now() + r.Left, fenced: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.works[r.Key] != nil {
-		return nil, ErrKnown
+		return nil, ErrDuplicate
 	}
-	if c.ctx.Err() != nil || c.ending && by.N == 1 {
+	if c.ctx.Err() != nil || c.ending && by.Number == 1 {
 		return nil, ErrAlone
 	}
 	c.works[r.Key] = w
@@ -60,22 +60,22 @@
 }
 
 // recorded takes a voter's word on the record. Once no majority can take it, nothing of it begins any more.
-func (w *Work) recorded(said word) {
+func (w *Work) recorded(said replicaReply) {
 	w.mu.Lock()
 	switch said.Verdict {
 	case Yes:
-		if w.yes++; w.yes == Majority(len(w.r.Voters)) {
+		if w.yes++; w.yes == Majority(len(w.r.Replicas)) {
 			defer fault.Point("custody.recorded")
 		}
-	case Known, Higher:
+	case Duplicate, Higher:
 		w.taken++
-	case Full, NotOf, Unknown:
+	case Full, OtherIncarnation, Unknown:
 		w.full++
 	}
-	lost := w.taken+w.full > len(w.r.Voters)-Majority(len(w.r.Voters))
+	lost := w.taken+w.full > len(w.r.Replicas)-Majority(len(w.r.Replicas))
 	why := ErrFull
 	if w.taken > 0 {
-		why = ErrKnown
+		why = ErrDuplicate
 	}
 	w.mu.Unlock()
 	if lost {
@@ -90,8 +90,8 @@
 	return w.lost
 }
 
-// carry is the call's story from here on, the same for whoever has it in hand: it is run, settled and told.
-func (w *Work) carry(ctx context.Context) (Outcome, error) {
+// run is the call's story from here on, the same for whoever has it in hand: it is run, settled and told.
+func (w *Work) run(ctx context.Context) (Outcome, error) {
 	defer w.done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -106,7 +106,7 @@
 	})
 	out := w.c.o.Run(ctx, &w.r, w.earlier, w)
 	fault.Point("custody.ran")
-	err := ErrUnsettled // nobody waits for it any more, or this gateway ends
+	err := ErrUndecided // nobody waits for it any more, or this gateway ends
 	if w.isOver() {
 		w.c.count(func(n *Counts) { n.Fenced++ })
 		err = w.why()
@@ -115,22 +115,22 @@
 			return out, nil
 		}
 	}
-	if errors.Is(err, ErrFull) || errors.Is(err, ErrKnown) && w.by.N == 1 {
+	if errors.Is(err, ErrFull) || errors.Is(err, ErrDuplicate) && w.by.Number == 1 {
 		w.withdraw()
 	}
-	w.giveOut()
+	w.release()
 	if out.Live != nil {
 		out.Live.Discard()
 	}
 	return Outcome{}, err
 }
 
-// tell says something of the call to all its voters, without waiting; own is what this gateway takes of it, if it is one of them.
-func (w *Work) tell(topic string, n int, own func(*store)) {
-	for _, v := range w.r.Voters {
+// broadcast says something of the call to all its voters, without waiting; own is what this gateway takes of it, if it is one of them.
+func (w *Work) broadcast(topic string, n int, own func(*store)) {
+	for _, v := range w.r.Replicas {
 		if v.Name == w.c.o.Self.Name {
 			own(w.c.store)
-		} else if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Life == v.Life {
+		} else if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Incarnation == v.Incarnation {
 			l.Tell(topic, endedMsg{w.r.Key, w.by, n})
 		}
 	}
@@ -139,12 +139,12 @@
 // withdraw tells voters that nothing of a call was begun and nothing will be: other voters of its key had no room for it or hold
 // another call. Who has taken its record, and no intent behind it, lets go of it, so that the key is free to be taken again.
 func (w *Work) withdraw() {
-	w.tell(topicDrop, 0, func(s *store) { s.withdraw(w.r.Key, w.by) })
+	w.broadcast(topicDrop, 0, func(s *store) { s.withdraw(w.r.Key, w.by) })
 }
 
-// giveOut tells voters that this gateway has the call in hand no more, so that one of them may claim it.
-func (w *Work) giveOut() {
-	w.tell(topicHand, 0, func(s *store) { s.hand(w.r.Key, w.by) })
+// release tells voters that this gateway has the call in hand no more, so that one of them may claim it.
+func (w *Work) release() {
+	w.broadcast(topicHand, 0, func(s *store) { s.hand(w.r.Key, w.by) })
 }
 
 // Left is the time until the call's deadline.
@@ -160,12 +160,12 @@
 		}
 		asked := time.Now()
 		limit, cancel := context.WithTimeout(ctx, min(pollLimit, max(w.Left(), 0)))
-		yes, no := w.c.poll(limit, w.r.Voters, topicIntend, func(v Gateway) any { return intendMsg{w.r.Key, in, v.Life} })
+		yes, no := w.c.collect(limit, w.r.Replicas, topicIntend, func(v Gateway) any { return intendMsg{w.r.Key, in, v.Incarnation} })
 		cancel()
-		if len(yes) < Majority(len(w.r.Voters)) {
+		if len(yes) < Majority(len(w.r.Replicas)) {
 			for _, said := range no {
-				if said.Verdict == Higher || said.Verdict == Known {
-					w.fence(ErrKnown)
+				if said.Verdict == Higher || said.Verdict == Duplicate {
+					w.fence(ErrDuplicate)
 				}
 			}
 			return false
@@ -180,7 +180,7 @@
 // fresh is how old an intent may be. Where voters are far the way to them counts.
 func (w *Work) fresh() time.Duration {
 	d := w.c.o.Fresh
-	for _, v := range w.r.Voters {
+	for _, v := range w.r.Replicas {
 		if l := w.c.o.Links.To(v.Name); l != nil {
 			d = max(d, 4*l.RTT())
 		}
@@ -199,34 +199,34 @@
 
 // Ended tells voters that an attempt has ended and has not run. Whether they hear of it decides nothing.
 func (w *Work) Ended(n int) {
-	w.tell(topicEnded, n, func(s *store) { s.ended(w.r.Key, w.by, n) })
+	w.broadcast(topicEnded, n, func(s *store) { s.ended(w.r.Key, w.by, n) })
 }
 
 // finish has the outcome taken by a majority of the voters, and then tells all of them that it was.
 func (w *Work) finish(ctx context.Context, out Outcome) error {
 	out.Live = nil
-	limit, cancel := context.WithTimeout(ctx, max(min(pollLimit, w.Left()), claimAgain))
+	limit, cancel := context.WithTimeout(ctx, max(min(pollLimit, w.Left()), claimRetryDelay))
 	defer cancel()
-	yes, no := w.c.poll(limit, w.r.Voters, topicSettle, func(v Gateway) any {
-		return settleMsg{Key: w.r.Key, Gen: w.r.Gen, Outcome: out, By: w.by, Life: v.Life}
+	yes, no := w.c.collect(limit, w.r.Replicas, topicSettle, func(v Gateway) any {
+		return settleMsg{Key: w.r.Key, Gen: w.r.Gen, Outcome: out, By: w.by, Incarnation: v.Incarnation}
 	})
-	if len(yes) < Majority(len(w.r.Voters)) {
+	if len(yes) < Majority(len(w.r.Replicas)) {
 		for _, said := range no {
-			if said.Verdict == Higher || said.Verdict == Known {
-				w.fence(ErrKnown)
+			if said.Verdict == Higher || said.Verdict == Duplicate {
+				w.fence(ErrDuplicate)
 				w.c.count(func(n *Counts) { n.Fenced++ })
-				return ErrKnown
+				return ErrDuplicate
 			}
 		}
 		if w.serve {
 			return nil // what this gives up is said with when_alone
 		}
-		return ErrUnsettled
+		return ErrUndecided
 	}
 	fault.Point("custody.settled")
 	w.c.store.decide(w.r.Key, w.r.Gen, out, w.by)
-	for _, v := range w.r.Voters {
-		if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Life == v.Life {
+	for _, v := range w.r.Replicas {
+		if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Incarnation == v.Incarnation {
 			l.Tell(topicDecide, settleMsg{Key: w.r.Key, Gen: w.r.Gen, Outcome: out, By: w.by})
 		}
 	}
