--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -27,11 +27,11 @@
 }
 
 // want checks where calls go: "-" for nowhere. A call is written as listener, class, host, path and headers.
-func want(t *testing.T, table *Table, calls map[string]string) {
+func want(t *testing.T, table *Table, requests map[string]string) {
 	t.Helper()
-	for text, pool := range calls {
+	for text, pool := range requests {
 		f := strings.Fields(text)
-		c := &Call{Listener: f[0], Class: f[1], Host: f[2], Path: f[3], Headers: http.Header{}}
+		c := &Request{Listener: f[0], Class: f[1], Host: f[2], Path: f[3], Headers: http.Header{}}
 		for _, h := range f[4:] {
 			name, value, _ := strings.Cut(h, "=")
 			c.Headers.(http.Header).Add(name, value)
@@ -104,7 +104,7 @@
 		"main view h /view/k": "a", "side view h /view/k": "-", "main note h /note/k": "a",
 		"main note g /note/k": "-", "gone view h /view/k": "-", "main none h /none/k": "-",
 	})
-	if _, ok := table.Choose(&Call{Listener: "main", Class: "view", Host: "h", Path: "/view"}); !ok {
+	if _, ok := table.Choose(&Request{Listener: "main", Class: "view", Host: "h", Path: "/view"}); !ok {
 		t.Error("a call without headers goes nowhere")
 	}
 }
@@ -179,7 +179,7 @@
 		table := compile(t, Route{Name: "r", To: []Target{{Pool: "b", Weight: b}, {Pool: "a", Weight: a}, {Pool: "c"}}})
 		who = map[string]bool{}
 		for i := range 10000 {
-			c := &Call{Listener: "main", Class: "view", Path: "/view/k", Draw: fmt.Sprint("id-", i)}
+			c := &Request{Listener: "main", Class: "view", Path: "/view/k", Draw: fmt.Sprint("id-", i)}
 			got, _ := table.Choose(c)
 			if again, _ := table.Choose(c); again != got || got.Pool == "c" {
 				t.Fatalf("%v, then %v", got, again)
@@ -204,7 +204,7 @@
 }
 
 // naive finds a call's route by looking at all of them: what Table must do faster.
-func naive(routes []Route, c *Call) (best int) {
+func naive(routes []Route, c *Request) (best int) {
 	best = -1
 	var top rank
 	for i, r := range routes {
@@ -268,8 +268,8 @@
 	return append(out, Route{Name: "rest", Default: true, To: to("b")})
 }
 
-func drawCall(t *rapid.T) *Call {
-	c := &Call{Listener: rapid.SampledFrom(testNames.Listeners).Draw(t, "listener"), Class: rapid.SampledFrom(testNames.Classes).Draw(t, "class"),
+func drawRequest(t *rapid.T) *Request {
+	c := &Request{Listener: rapid.SampledFrom(testNames.Listeners).Draw(t, "listener"), Class: rapid.SampledFrom(testNames.Classes).Draw(t, "class"),
 		Host: rapid.SampledFrom([]string{"a.x", "b.x", "c.a.x", "x", "y", "A.X"}).Draw(t, "host")}
 	c.Path = "/" + c.Class + rapid.SampledFrom([]string{"", "/", "/k", "/k/", "/k/l", "/k/l/m", "/kk"}).Draw(t, "path")
 	h := http.Header{}
@@ -285,7 +285,7 @@
 // For any routes that compile, the table chooses as the look at all of them does, and every route but the
 // default takes some call.
 func TestTableChoosesAsTheRankSays(t *testing.T) {
-	compiled, calls := 0, 0
+	compiled, requests := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		routes := drawRoutes(t)
 		table, problems := Compile(routes, testNames)
@@ -294,21 +294,21 @@
 		}
 		compiled++
 		for range 20 {
-			c := drawCall(t)
+			c := drawRequest(t)
 			got, ok := table.Choose(c)
 			if want := naive(routes, c); !ok || got.Route != want {
 				t.Fatalf("%+v: route %d, want %d", c, got.Route, want)
 			}
-			calls++
+			requests++
 		}
 	})
-	t.Logf("%d sets of routes compiled, %d calls", compiled, calls)
+	t.Logf("%d sets of routes compiled, %d calls", compiled, requests)
 }
 
 // What compiles has no two routes of the same rank for one call, and each route takes some call; what does
 // not compile for that reason has such a call or a route that takes none.
 func TestRefusalsAreRight(t *testing.T) {
-	var all []*Call
+	var all []*Request
 	for _, l := range testNames.Listeners {
 		for _, class := range testNames.Classes {
 			for _, host := range []string{"a.x", "b.x", "c.x", "c.a.x", "x", "y"} {
@@ -322,7 +322,7 @@
 							if b != "" {
 								h.Set("X-B", b)
 							}
-							all = append(all, &Call{Listener: l, Class: class, Host: host, Path: "/" + class + tail, Headers: h})
+							all = append(all, &Request{Listener: l, Class: class, Host: host, Path: "/" + class + tail, Headers: h})
 						}
 					}
 				}
@@ -378,7 +378,7 @@
 		b.Fatal(problems[0])
 	}
 	h := http.Header{"X-Team": {"a"}, "Accept": {"*/*"}}
-	calls := []*Call{
+	requests := []*Request{
 		{Listener: "main", Class: "view", Host: "h1000.example", Path: "/view/core-4000/interval/7", Headers: h, Draw: "id"},
 		{Listener: "side", Class: "note", Host: "h2000.example:80", Path: "/note/core-8001", Headers: h, Draw: "id"},
 		{Listener: "main", Class: "log", Host: "h10.example", Path: "/log/core-1/2/3", Headers: h, Draw: "id"},
@@ -386,7 +386,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, ok := table.Choose(calls[i%len(calls)]); !ok {
+		if _, ok := table.Choose(requests[i%len(requests)]); !ok {
 			b.Fatal("no route")
 		}
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -12,8 +12,8 @@
 	pools []string // sorted
 }
 
-// Call is what a route may look at.
-type Call struct {
+// Request is what a route may look at.
+type Request struct {
 	Listener string // name
 	Class    string // name
 	Host     string // as the caller named it, with or without a port
@@ -164,7 +164,7 @@
 }
 
 // Choose tells which pool a call goes to; false if no route takes it.
-func (t *Table) Choose(c *Call) (Choice, bool) {
+func (t *Table) Choose(c *Request) (Choice, bool) {
 	cell := t.cells[cellKey{c.Listener, c.Class}]
 	if cell == nil {
 		return Choice{}, false
@@ -177,11 +177,11 @@
 }
 
 // choose tries the hosts' patterns from the narrowest to the widest, within each the paths'.
-func (c *cell) choose(call *Call) *rule {
+func (c *cell) choose(request *Request) *rule {
 	if len(c.exact)+len(c.below) > 0 {
-		host := hostName(call.Host)
+		host := hostName(request.Host)
 		if b := c.exact[host]; b != nil {
-			if r := b.choose(call); r != nil {
+			if r := b.choose(request); r != nil {
 				return r
 			}
 		}
@@ -192,44 +192,44 @@
 			}
 			if i > 0 && host[i] == '.' { // "*.example" takes all below, not the name itself
 				if b := c.below[host[i:]]; b != nil {
-					if r := b.choose(call); r != nil {
+					if r := b.choose(request); r != nil {
 						return r
 					}
 				}
 			}
 		}
 	}
-	if r := c.any.choose(call); r != nil {
+	if r := c.any.choose(request); r != nil {
 		return r
 	}
 	return c.fallback
 }
 
-func (b *byPath) choose(call *Call) *rule {
+func (b *byPath) choose(request *Request) *rule {
 	if len(b.exact) > 0 {
-		if r := first(b.exact[call.Path], call); r != nil {
+		if r := first(b.exact[request.Path], request); r != nil {
 			return r
 		}
 	}
 	if len(b.below) > 0 {
 		// The path itself is the longest prefix of its own, then what is left before each slash.
-		path := call.Path
+		path := request.Path
 		for n := strings.Count(path, "/"); n > b.depth; n-- {
 			path = path[:strings.LastIndexByte(path, '/')]
 		}
 		for ; path != ""; path = path[:strings.LastIndexByte(path, '/')] {
-			if r := first(b.below[path], call); r != nil {
+			if r := first(b.below[path], request); r != nil {
 				return r
 			}
 		}
 	}
-	return first(b.any, call)
+	return first(b.any, request)
 }
 
 // first is the best of rules that share host and path whose headers a call carries.
-func first(rules []*rule, call *Call) *rule {
+func first(rules []*rule, request *Request) *rule {
 	for _, r := range rules {
-		if carries(call.Headers, r.headers) {
+		if carries(request.Headers, r.headers) {
 			return r
 		}
 	}
--- a/internal/routeexchange/page_test.go
+++ b/internal/routeexchange/page_test.go
@@ -16,8 +16,8 @@
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 // way reads an offer, with what this partner thinks of it.
-func way(words string) (w Way, held bool, err error) {
-	w.Offer = Offer{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{Hands: 1, Effects: Of(balancer.Safe)}}
+func way(words string) (w Route, held bool, err error) {
+	w.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: Of(balancer.Safe)}}
 	w.Preference = 100
 	for _, part := range strings.Split(words, ", ") {
 		verb, rest, _ := strings.Cut(part, " ")
@@ -27,8 +27,8 @@
 		case "by":
 			w.Path = strings.Fields(rest)
 			w.ID.Origin = w.Path[len(w.Path)-1]
-			if w.Rules.Hands < len(w.Path) && !strings.Contains(words, "hands") {
-				w.Rules.Hands = len(w.Path)
+			if w.Rules.MaxHops < len(w.Path) && !strings.Contains(words, "hands") {
+				w.Rules.MaxHops = len(w.Path)
 			}
 		case "to":
 			switch rest {
@@ -39,7 +39,7 @@
 				w.Rules.To = strings.Fields(rest)
 			}
 		case "hands":
-			_, err = fmt.Sscan(rest, &w.Rules.Hands)
+			_, err = fmt.Sscan(rest, &w.Rules.MaxHops)
 		case "cost":
 			_, err = fmt.Sscan(rest, &w.Cost)
 		case "preference":
@@ -70,7 +70,7 @@
 }
 
 // two are the offers of a row that compares.
-func two(t *testing.T, r spectest.Row) (one, other Way, held bool) {
+func two(t *testing.T, r spectest.Row) (one, other Route, held bool) {
 	t.Helper()
 	one, _, errOne := way(r.At("one"))
 	other, held, err := way(r.At("other"))
@@ -87,11 +87,11 @@
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
 		}
-		p := Passing{Cost: 1, Custody: func(string) bool { return false }}
+		p := Transit{Cost: 1, Replicated: func(string) bool { return false }}
 		if to, ok := strings.CutPrefix(r.At("passing on"), "to "); ok {
 			p.To = strings.Fields(to)
 		}
-		o, got := MayExport(w.Offer, "p0", r.At("to"), w.Own, p, noon)
+		o, got := MayExport(w.Advertisement, "p0", r.At("to"), w.Own, p, noon)
 		if got == "" {
 			got = "told by " + strings.Join(o.Path, " ")
 			if err := o.Check("p0"); err != nil {
@@ -105,7 +105,7 @@
 }
 
 func TestImportRules(t *testing.T) {
-	rules := Import{Accept: []string{"/view/"}, Deny: []string{"/view/secret/"}, Most: 2}
+	rules := Import{Accept: []string{"/view/"}, Deny: []string{"/view/secret/"}, MaxRoutes: 2}
 	for _, r := range spectest.Rows(t, page, "Is an offer of a neighbour taken") {
 		w, _, err := way(r.At("offer"))
 		held := 0
@@ -113,7 +113,7 @@
 			t.Errorf("%s:%d: %v, %v", page, r.Line, err, bad)
 			continue
 		}
-		got := MayImport(&w.Offer, "p0", rules, held, noon)
+		got := MayImport(&w.Advertisement, "p0", rules, held, noon)
 		if got == "" {
 			got = "taken"
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestWhichIsBetter(t *testing.T) {
+func TestRoutePreference(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Which of two is better") {
 		a, b, held := two(t, r)
 		want := map[string]int{"one": -1, "other": 1}[r.At("outcome")]
@@ -133,24 +133,24 @@
 	}
 }
 
-func TestWhatTheOwnerTakes(t *testing.T) {
+func TestOwnerEnforcesRules(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Is a call taken by its owner") {
 		w, _, err := way(r.At("rules"))
 		if err != nil {
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
 		}
-		c := Call{Class: "view", Path: "/view/wells/12", Effect: balancer.Safe}
+		c := Request{Class: "view", Path: "/view/wells/12", Effect: balancer.Safe}
 		for _, part := range strings.Split(r.At("call"), ", ") {
 			verb, rest, _ := strings.Cut(part, " ")
 			switch verb {
 			case "from":
 				first, last, passed := strings.Cut(rest, " by ")
 				if first != "nobody" {
-					c.Came = append(c.Came, first)
+					c.Via = append(c.Via, first)
 				}
 				if passed {
-					c.Came = append(c.Came, last)
+					c.Via = append(c.Via, last)
 				}
 			case "of":
 				c.Tenant = rest
@@ -162,7 +162,7 @@
 				t.Errorf("%s:%d: nobody plays %q", page, r.Line, part)
 			}
 		}
-		got := MayCome(&w.Offer, &c, "p0", noon)
+		got := MayCome(&w.Advertisement, &c, "p0", noon)
 		if got == "" {
 			got = "taken"
 		}
@@ -181,8 +181,8 @@
 		to = "to nobody"
 	}
 	out := []string{to}
-	if r.Hands > 1 {
-		out = append(out, fmt.Sprint("hands ", r.Hands))
+	if r.MaxHops > 1 {
+		out = append(out, fmt.Sprint("hands ", r.MaxHops))
 	}
 	if r.NoTransit {
 		out = append(out, "no transit")
--- a/internal/routeexchange/routeexchange.go
+++ b/internal/routeexchange/routeexchange.go
@@ -20,12 +20,12 @@
 
 // table is what goes over a link. A table begins with its first part, of serial 0; what follows has the next serial each time.
 type table struct {
-	Serial uint64    `cbor:"1,keyasint"`
-	Put    []Offer   `cbor:"2,keyasint,omitempty"`
-	Gone   []ID      `cbor:"3,keyasint,omitempty"`
-	More   bool      `cbor:"4,keyasint,omitempty"` // the table or the change goes on with the next message
-	Digest uint64    `cbor:"5,keyasint"`           // of the whole table after the last part
-	Group  []Gateway `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
+	Serial uint64          `cbor:"1,keyasint"`
+	Put    []Advertisement `cbor:"2,keyasint,omitempty"`
+	Gone   []ID            `cbor:"3,keyasint,omitempty"`
+	More   bool            `cbor:"4,keyasint,omitempty"` // the table or the change goes on with the next message
+	Digest uint64          `cbor:"5,keyasint"`           // of the whole table after the last part
+	Group  []Gateway       `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
 }
 
 // Gateway is one of a partner's that takes calls.
@@ -35,8 +35,8 @@
 	Zone  string `cbor:"3,keyasint,omitempty"`
 }
 
-// mostPart is how many offers go in one message.
-const mostPart = 400
+// maxPart is how many offers go in one message.
+const maxPart = 400
 
 // coalesce is how long changes are gathered before a neighbour is told.
 const coalesce = 5 * time.Millisecond
@@ -56,28 +56,28 @@
 	tasks sync.WaitGroup
 
 	mu    sync.Mutex
-	links map[*peering.Link]*reading
+	links map[*peering.Link]*inboundTable
 	last  map[string][]Gateway // by partner, what Gateways told last
 	fresh map[string]bool      // of them, those that still hold
 	own   []Gateway            // this partner's, as neighbours are told of them
 	kick  chan struct{}        // closed when the own group has changed
 }
 
-// reading is how far a neighbour's table has come over a link.
-type reading struct {
-	source Source
-	next   uint64
-	whole  []Offer // of a table that has not come to its end
-	put    []Offer // of a change that has not
-	gone   []ID
-	held   map[ID]uint64 // digests of what the neighbour has told
-	group  []Gateway     // the neighbour's gateways, as this one of them told last
-	again  bool          // the whole table was asked for
+// inboundTable is how far a neighbour's table has come over a link.
+type inboundTable struct {
+	source   Source
+	next     uint64
+	complete []Advertisement // of a table that has not come to its end
+	put      []Advertisement // of a change that has not
+	gone     []ID
+	held     map[ID]uint64 // digests of what the neighbour has told
+	group    []Gateway     // the neighbour's gateways, as this one of them told last
+	again    bool          // the whole table was asked for
 }
 
 // NewExchange returns one that tells nobody yet.
 func NewExchange(o Options) *Exchange {
-	x := &Exchange{o: o, links: map[*peering.Link]*reading{}, last: map[string][]Gateway{}, fresh: map[string]bool{}, own: o.Group(), kick: make(chan struct{})}
+	x := &Exchange{o: o, links: map[*peering.Link]*inboundTable{}, last: map[string][]Gateway{}, fresh: map[string]bool{}, own: o.Group(), kick: make(chan struct{})}
 	x.ctx, x.end = context.WithCancel(context.Background())
 	x.tasks.Go(x.sweep)
 	return x
@@ -94,16 +94,16 @@
 	return map[string]peering.Handler{topicTable: x.take, topicAgain: x.again}
 }
 
-// sweepEvery is how often what is stale is looked at, and whether the own group has changed. Of changes of the group that come
+// sweepInterval is how often what is stale is looked at, and whether the own group has changed. Of changes of the group that come
 // one upon another only the first is told at once: each is told to every neighbour's gateway here, by every gateway of the group,
 // and a group whose links flap would have all partners busy with hearing of it.
 const (
-	sweepEvery = 100 * time.Millisecond
-	groupEvery = 500 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
+	groupInterval = 500 * time.Millisecond
 )
 
 func (x *Exchange) sweep() {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	group := x.o.Group()
 	var told time.Time
@@ -114,18 +114,18 @@
 		case <-tick.C:
 		}
 		x.o.Table.Sweep()
-		if now := x.o.Group(); !slices.Equal(now, group) && time.Since(told) >= groupEvery {
+		if now := x.o.Group(); !slices.Equal(now, group) && time.Since(told) >= groupInterval {
 			group, told = now, time.Now()
 			x.mu.Lock()
 			x.own = now
 			x.mu.Unlock()
-			x.Tell()
+			x.Advertise()
 		}
 	}
 }
 
-// Tell has neighbours told anew: this partner's gateways, or its rules, have changed.
-func (x *Exchange) Tell() {
+// Advertise has neighbours told anew: this partner's gateways, or its rules, have changed.
+func (x *Exchange) Advertise() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	close(x.kick)
@@ -139,7 +139,7 @@
 	if x.links[l] != nil || x.ctx.Err() != nil {
 		return
 	}
-	r := &reading{source: Source{l.Peer.Partner, l.Peer.Name, l.Peer.Life}, held: map[ID]uint64{}}
+	r := &inboundTable{source: Source{l.Peer.Partner, l.Peer.Name, l.Peer.Incarnation}, held: map[ID]uint64{}}
 	x.links[l] = r
 	x.tasks.Go(func() {
 		x.speak(l)
@@ -153,7 +153,7 @@
 		}
 		x.mu.Unlock()
 		if !left {
-			x.o.Table.Lost(r.source)
+			x.o.Table.PeerDown(r.source)
 			x.o.Heard()
 		}
 	})
@@ -164,7 +164,7 @@
 	var (
 		serial  uint64
 		sent    map[ID]uint64 // digests of what it has been told; nil: nothing yet
-		now     map[ID]Offer
+		now     map[ID]Advertisement
 		changed <-chan struct{}
 		looked  time.Time
 		group   []Gateway
@@ -172,24 +172,24 @@
 	for {
 		x.mu.Lock()
 		kick, r, live := x.kick, x.links[l], x.own
-		whole := sent == nil || r.again
+		complete := sent == nil || r.again
 		r.again = false
 		x.mu.Unlock()
 		// A table that has not changed need not be looked at for a change of the group: offers that end by the clock change it
 		// too (Table.Sweep).
-		if whole || isClosed(changed) || time.Since(looked) >= lookEvery {
+		if complete || isClosed(changed) || time.Since(looked) >= checkInterval {
 			now, changed = x.o.Table.Sent(l.Peer.Partner)
 			looked = time.Now()
 		}
-		if whole {
+		if complete {
 			serial, sent = 0, map[ID]uint64{}
 		}
-		if !x.tell(l, now, sent, &serial, live, whole || !slices.Equal(group, live)) {
+		if !x.advertise(l, now, sent, &serial, live, complete || !slices.Equal(group, live)) {
 			sent = nil // not all of it has gone out: the whole table will, when there is room
 			wait(x.ctx, l, nil, nil, 20*coalesce)
 		} else {
 			group = live
-			wait(x.ctx, l, changed, kick, lookEvery)
+			wait(x.ctx, l, changed, kick, checkInterval)
 		}
 		wait(x.ctx, l, nil, nil, coalesce)
 		select {
@@ -202,8 +202,8 @@
 	}
 }
 
-// lookEvery is how often a neighbour's table is looked at though nothing says that it has changed.
-const lookEvery = 10 * time.Second
+// checkInterval is how often a neighbour's table is looked at though nothing says that it has changed.
+const checkInterval = 10 * time.Second
 
 func isClosed(c <-chan struct{}) bool {
 	select {
@@ -227,9 +227,9 @@
 	}
 }
 
-// tell sends what differs between what was sent and the table of now, in parts. false: not all of it could be queued.
-func (x *Exchange) tell(l *peering.Link, now map[ID]Offer, sent map[ID]uint64, serial *uint64, group []Gateway, must bool) bool {
-	var put []Offer
+// advertise sends what differs between what was sent and the table of now, in parts. false: not all of it could be queued.
+func (x *Exchange) advertise(l *peering.Link, now map[ID]Advertisement, sent map[ID]uint64, serial *uint64, group []Gateway, must bool) bool {
+	var put []Advertisement
 	var gone []ID
 	digests := make(map[ID]uint64, len(now))
 	for id, o := range now {
@@ -250,12 +250,12 @@
 	if len(put)+len(gone) == 0 && !must {
 		return true
 	}
-	slices.SortFunc(put, func(a, b Offer) int { return strings.Compare(a.ID.String(), b.ID.String()) })
+	slices.SortFunc(put, func(a, b Advertisement) int { return strings.Compare(a.ID.String(), b.ID.String()) })
 	for first := true; first || len(put)+len(gone) > 0; first = false {
 		m := table{Serial: *serial}
-		n := min(mostPart, len(put))
+		n := min(maxPart, len(put))
 		m.Put, put = put[:n], put[n:]
-		k := min(mostPart-n, len(gone))
+		k := min(maxPart-n, len(gone))
 		m.Gone, gone = gone[:k], gone[k:]
 		if m.More = len(put)+len(gone) > 0; !m.More {
 			m.Digest, m.Group = sum(digests), group // all of it each time: it is short
@@ -279,7 +279,7 @@
 }
 
 // digestOf is a digest of an offer.
-func digestOf(o *Offer) (uint64, error) {
+func digestOf(o *Advertisement) (uint64, error) {
 	text, err := peering.Encode(o)
 	if err != nil {
 		return 0, err
@@ -305,9 +305,9 @@
 		l.Tell(topicAgain, struct{}{})
 		return
 	}
-	whole := m.Serial == 0 || r.whole != nil
+	complete := m.Serial == 0 || r.complete != nil
 	if m.Serial == 0 {
-		r.whole, r.put, r.gone = []Offer{}, nil, nil
+		r.complete, r.put, r.gone = []Advertisement{}, nil, nil
 		clear(r.held)
 	}
 	r.next = m.Serial + 1
@@ -319,8 +319,8 @@
 	for _, id := range m.Gone {
 		delete(r.held, id)
 	}
-	if whole {
-		r.whole = append(r.whole, m.Put...)
+	if complete {
+		r.complete = append(r.complete, m.Put...)
 	} else {
 		r.put, r.gone = append(r.put, m.Put...), append(r.gone, m.Gone...)
 	}
@@ -328,8 +328,8 @@
 		x.mu.Unlock()
 		return
 	}
-	all, put, gone := r.whole, r.put, r.gone
-	r.whole, r.put, r.gone = nil, nil, nil
+	all, put, gone := r.complete, r.put, r.gone
+	r.complete, r.put, r.gone = nil, nil, nil
 	fits := sum(r.held) == m.Digest
 	groupChanged := !slices.Equal(r.group, m.Group)
 	r.group = m.Group
@@ -340,7 +340,7 @@
 	switch {
 	case !fits:
 		l.Tell(topicAgain, struct{}{})
-	case whole:
+	case complete:
 		x.o.Table.replace(r.source, all)
 	default:
 		x.o.Table.change(r.source, put, gone)
@@ -357,7 +357,7 @@
 		r.again = true
 	}
 	x.mu.Unlock()
-	x.Tell()
+	x.Advertise()
 }
 
 // Ask has every neighbour tell its whole table once more: more of it may be taken by the rules of now.
@@ -370,9 +370,9 @@
 	}
 }
 
-// Lives says whether one of a partner's gateways lives, as far as the others of them that are linked here tell. Where none
+// Incarnations says whether one of a partner's gateways lives, as far as the others of them that are linked here tell. Where none
 // tells any more it is not known, and counts as yes.
-func (x *Exchange) Lives(partner, name string) bool {
+func (x *Exchange) Incarnations(partner, name string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	others := false
--- a/internal/routeexchange/rules.go
+++ b/internal/routeexchange/rules.go
@@ -14,7 +14,7 @@
 //   - The owner's rule of now is asked once more when a call arrives (MayCome): one that was tightened holds at that gateway
 //     from the instant of the apply, whatever others believe. Such a refusal proves that the call has not run.
 //   - What one partner sends beyond its bound, or what is malformed, is refused and counted, and harms no other offer.
-//   - Preferences that have no stable outcome end in a hold: an offer whose best path changed more than flapMost times in
+//   - Preferences that have no stable outcome end in a hold: an offer whose best path changed more than maxFlaps times in
 //     flapWindow is chosen by the number of hands alone for a while, which always settles (docs/design/offers.md).
 //
 // Rules are this file's plain functions; the page has them as tables, and a test plays each row.
@@ -52,7 +52,7 @@
 	All       bool     `cbor:"1,keyasint,omitempty"` // any partner may have it; else
 	To        []string `cbor:"2,keyasint,omitempty"` // these
 	NoTransit bool     `cbor:"3,keyasint,omitempty"` // who gets it may not pass it on
-	Hands     int      `cbor:"4,keyasint"`           // partners that a call may come through at most, the first caller's among them
+	MaxHops   int      `cbor:"4,keyasint"`           // partners that a call may come through at most, the first caller's among them
 	Effects   Effects  `cbor:"5,keyasint"`           // of the calls that may come
 	Tenants   []string `cbor:"6,keyasint,omitempty"` // only these; empty: all
 	Excluded  []string `cbor:"7,keyasint,omitempty"` // but not these
@@ -67,42 +67,42 @@
 
 func (i ID) String() string { return i.Origin + "/" + i.Name }
 
-// Offer is one offer as one partner tells it to another.
-type Offer struct {
-	ID      ID       `cbor:"1,keyasint"`
-	Version uint64   `cbor:"2,keyasint"` // of the origin's rule: later ones are higher
-	Class   string   `cbor:"3,keyasint"`
-	Prefix  string   `cbor:"4,keyasint"` // a path, with its last slash
-	Cost    int      `cbor:"5,keyasint,omitempty"`
-	Room    int      `cbor:"6,keyasint,omitempty"` // calls at once that one neighbour may have there; 0: not said
-	Rules   Rules    `cbor:"7,keyasint"`
-	Path    []string `cbor:"8,keyasint"`           // that a call takes: the one who tells of it first, the origin last
-	Custody bool     `cbor:"9,keyasint,omitempty"` // whoever tells of it keeps such calls in custody: it can be asked what became of one
+// Advertisement is one offer as one partner tells it to another.
+type Advertisement struct {
+	ID         ID       `cbor:"1,keyasint"`
+	Version    uint64   `cbor:"2,keyasint"` // of the origin's rule: later ones are higher
+	Class      string   `cbor:"3,keyasint"`
+	Prefix     string   `cbor:"4,keyasint"` // a path, with its last slash
+	Cost       int      `cbor:"5,keyasint,omitempty"`
+	Capacity   int      `cbor:"6,keyasint,omitempty"` // calls at once that one neighbour may have there; 0: not said
+	Rules      Rules    `cbor:"7,keyasint"`
+	Path       []string `cbor:"8,keyasint"`           // that a call takes: the one who tells of it first, the origin last
+	Replicated bool     `cbor:"9,keyasint,omitempty"` // whoever tells of it keeps such calls in custody: it can be asked what became of one
 }
 
 // Bounds of an offer.
 const (
-	MostHands  = 8
-	mostText   = 256
-	mostListed = 256
+	MaxHops   = 8
+	maxText   = 256
+	maxListed = 256
 )
 
 // Check says what is malformed in an offer as it came from a neighbour.
-func (o *Offer) Check(from string) error {
+func (o *Advertisement) Check(from string) error {
 	switch {
 	case len(o.Path) == 0 || o.Path[0] != from:
 		return fmt.Errorf("offer %v: its path does not begin with %q, who tells of it", o.ID, from)
 	case o.Path[len(o.Path)-1] != o.ID.Origin:
 		return fmt.Errorf("offer %v: its path does not end with its origin", o.ID)
-	case o.ID.Name == "" || len(o.ID.Name)+len(o.ID.Origin)+len(o.Class) > mostText || len(o.Prefix) > mostText:
+	case o.ID.Name == "" || len(o.ID.Name)+len(o.ID.Origin)+len(o.Class) > maxText || len(o.Prefix) > maxText:
 		return fmt.Errorf("offer %v: a name or path is empty or too long", o.ID)
 	case o.Class == "" || !strings.HasPrefix(o.Prefix, "/"+o.Class+"/") || !strings.HasSuffix(o.Prefix, "/"):
 		return fmt.Errorf("offer %v: the prefix %q is no path of the class %q with a slash at its end", o.ID, o.Prefix, o.Class)
-	case o.Rules.Hands < 1 || o.Rules.Hands > MostHands || len(o.Path) > MostHands:
-		return fmt.Errorf("offer %v: %d hands on a path of %d; allowed: 1 to %d", o.ID, o.Rules.Hands, len(o.Path), MostHands)
-	case len(o.Rules.To) > mostListed || len(o.Rules.Tenants) > mostListed || len(o.Rules.Excluded) > mostListed:
-		return fmt.Errorf("offer %v: a list of more than %d", o.ID, mostListed)
-	case o.Cost < 0 || o.Room < 0 || o.Rules.Effects&^AllEffects != 0:
+	case o.Rules.MaxHops < 1 || o.Rules.MaxHops > MaxHops || len(o.Path) > MaxHops:
+		return fmt.Errorf("offer %v: %d hands on a path of %d; allowed: 1 to %d", o.ID, o.Rules.MaxHops, len(o.Path), MaxHops)
+	case len(o.Rules.To) > maxListed || len(o.Rules.Tenants) > maxListed || len(o.Rules.Excluded) > maxListed:
+		return fmt.Errorf("offer %v: a list of more than %d", o.ID, maxListed)
+	case o.Cost < 0 || o.Capacity < 0 || o.Rules.Effects&^AllEffects != 0:
 		return fmt.Errorf("offer %v: cost, room or effects are out of range", o.ID)
 	}
 	for i, p := range o.Path {
@@ -115,7 +115,7 @@
 
 // Narrow are rules at least as strict as both.
 func Narrow(a, b Rules) Rules {
-	out := Rules{All: a.All && b.All, NoTransit: a.NoTransit || b.NoTransit, Hands: min(a.Hands, b.Hands), Effects: a.Effects & b.Effects,
+	out := Rules{All: a.All && b.All, NoTransit: a.NoTransit || b.NoTransit, MaxHops: min(a.MaxHops, b.MaxHops), Effects: a.Effects & b.Effects,
 		Until: cmp.Or(min(a.Until, b.Until), max(a.Until, b.Until))}
 	switch {
 	case a.All:
@@ -153,34 +153,34 @@
 	return (r.All || slices.Contains(r.To, partner)) && (r.Until == 0 || now.Unix() < r.Until)
 }
 
-// Passing is what this partner allows of the offers that it has from a neighbour, beyond their own rules.
-type Passing struct {
-	To      []string                // neighbours that it passes them on to; empty: nobody
-	Cost    int                     // that it adds
-	Custody func(class string) bool // whether it keeps calls of a class in custody itself
+// Transit is what this partner allows of the offers that it has from a neighbour, beyond their own rules.
+type Transit struct {
+	To         []string                // neighbours that it passes them on to; empty: nobody
+	Cost       int                     // that it adds
+	Replicated func(class string) bool // whether it keeps calls of a class in custody itself
 }
 
 // MayExport is an offer as it is told to a neighbour, or why it is not. own: it is this partner's; else p is what this
 // partner allows of its neighbour's offers.
-func MayExport(o Offer, self, to string, own bool, p Passing, now time.Time) (Offer, string) {
+func MayExport(o Advertisement, self, to string, own bool, p Transit, now time.Time) (Advertisement, string) {
 	switch {
 	case to == self || slices.Contains(o.Path, to):
-		return Offer{}, "it goes through there already"
+		return Advertisement{}, "it goes through there already"
 	case !o.Rules.mayHave(to, now):
-		return Offer{}, "its rules do not name that partner, or have ended"
+		return Advertisement{}, "its rules do not name that partner, or have ended"
 	case own:
 		o.Path = []string{self}
 		return o, ""
 	case o.Rules.NoTransit:
-		return Offer{}, "it may not be passed on"
+		return Advertisement{}, "it may not be passed on"
 	case !slices.Contains(p.To, to):
-		return Offer{}, "offers from there are not passed on to that partner"
-	case len(o.Path)+1 > o.Rules.Hands:
-		return Offer{}, "a call would come through too many hands"
+		return Advertisement{}, "offers from there are not passed on to that partner"
+	case len(o.Path)+1 > o.Rules.MaxHops:
+		return Advertisement{}, "a call would come through too many hands"
 	}
 	o.Path = slices.Concat([]string{self}, o.Path)
 	o.Cost += p.Cost
-	o.Custody = o.Custody && p.Custody(o.Class)
+	o.Replicated = o.Replicated && p.Replicated(o.Class)
 	return o, ""
 }
 
@@ -189,11 +189,11 @@
 	Accept     []string // prefixes below which offers must lie; empty: none is taken
 	Deny       []string // and below which they must not
 	Preference int      // higher is better
-	Most       int      // offers
+	MaxRoutes  int      // offers
 }
 
 // MayImport says why an offer of a neighbour is not taken; empty: it is. held is how many others of its are.
-func MayImport(o *Offer, self string, i Import, held int, now time.Time) string {
+func MayImport(o *Advertisement, self string, i Import, held int, now time.Time) string {
 	below := func(list []string) bool {
 		return slices.ContainsFunc(list, func(p string) bool { return strings.HasPrefix(o.Prefix, p) })
 	}
@@ -202,28 +202,28 @@
 		return "it goes through here"
 	case !o.Rules.mayHave(self, now):
 		return "its rules do not name this partner, or have ended"
-	case len(o.Path) > o.Rules.Hands:
+	case len(o.Path) > o.Rules.MaxHops:
 		return "a call would come through too many hands"
 	case !below(i.Accept):
 		return "nothing below that path is accepted from there"
 	case below(i.Deny):
 		return "it is denied here"
-	case held >= i.Most:
+	case held >= i.MaxRoutes:
 		return "there are too many from there"
 	}
 	return ""
 }
 
-// Way is an offer as a neighbour tells it, with what this partner thinks of that neighbour.
-type Way struct {
-	Offer
+// Route is an offer as a neighbour tells it, with what this partner thinks of that neighbour.
+type Route struct {
+	Advertisement
 	Preference int
 	Own        bool // this partner serves it
 }
 
 // Better orders two ways of serving calls below one prefix: negative if a is the better one. It is a total order. held:
 // preferences do not count, for they have no stable outcome.
-func Better(a, b *Way, held bool) int {
+func Better(a, b *Route, held bool) int {
 	if a.Own != b.Own {
 		if a.Own {
 			return -1
@@ -237,17 +237,17 @@
 		cmp.Compare(a.ID.Origin, b.ID.Origin), cmp.Compare(a.ID.Name, b.ID.Name))
 }
 
-// Call is what rules look at.
-type Call struct {
+// Request is what rules look at.
+type Request struct {
 	Class  string
 	Path   string // of the target, in its plain form
 	Tenant string
 	Effect balancer.Effect
-	Came   []string // partners that it came through, the first caller's first; empty: from a caller of this partner's
+	Via    []string // partners that it came through, the first caller's first; empty: from a caller of this partner's
 }
 
 // allows says why a call is not one of those that the rules are for; empty: it is.
-func (r *Rules) allows(c *Call, now time.Time) string {
+func (r *Rules) allows(c *Request, now time.Time) string {
 	switch {
 	case r.Until != 0 && now.Unix() >= r.Until:
 		return "the offer has ended"
@@ -262,33 +262,33 @@
 }
 
 // Allows says whether a call may be sent by an offer, before it is.
-func (w *Way) Allows(c *Call, now time.Time) bool {
+func (w *Route) Allows(c *Request, now time.Time) bool {
 	if w.Own {
 		return true
 	}
-	for _, p := range c.Came {
+	for _, p := range c.Via {
 		if slices.Contains(w.Path, p) {
 			return false // it would go round
 		}
 	}
 	// It came through len(Came) partners' hands, this one's are next, and all on the path but the last pass it on.
-	return len(c.Came)+len(w.Path) <= w.Rules.Hands && w.Rules.allows(c, now) == ""
+	return len(c.Via)+len(w.Path) <= w.Rules.MaxHops && w.Rules.allows(c, now) == ""
 }
 
 // MayCome says why a call that came through partners is not taken by this partner's own export; empty: it is. The rules are
 // those of now, whatever whoever sent it had heard.
-func MayCome(o *Offer, c *Call, self string, now time.Time) string {
+func MayCome(o *Advertisement, c *Request, self string, now time.Time) string {
 	switch {
 	case c.Class != o.Class || !strings.HasPrefix(c.Path, o.Prefix):
 		return "the call is not of what is offered"
-	case len(c.Came) == 0 || slices.Contains(c.Came, self):
+	case len(c.Via) == 0 || slices.Contains(c.Via, self):
 		return "it goes round"
-	case len(c.Came) > o.Rules.Hands:
+	case len(c.Via) > o.Rules.MaxHops:
 		return "it came through too many hands"
-	case len(c.Came) > 1 && o.Rules.NoTransit:
+	case len(c.Via) > 1 && o.Rules.NoTransit:
 		return "it was passed on"
 	}
-	for _, p := range c.Came {
+	for _, p := range c.Via {
 		if !o.Rules.All && !slices.Contains(o.Rules.To, p) {
 			return "partner " + p + " may not have the offer"
 		}
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -15,12 +15,12 @@
 // Source is where a table as received came from: one link, to one life of a partner's gateway.
 type Source struct {
 	Partner, Gateway string
-	Life             uint64
+	Incarnation      uint64
 }
 
 // Flaps of an offer: that many changes of its best way in that time have it held for that long.
 const (
-	flapMost   = 6
+	maxFlaps   = 6
 	flapWindow = 10 * time.Second
 	flapHold   = time.Minute
 )
@@ -28,13 +28,13 @@
 // Neighbour is what this partner goes by with one of its neighbours.
 type Neighbour struct {
 	Import  Import
-	Passing Passing
+	Transit Transit
 }
 
 // Policy is what this partner goes by: its file's part of all this.
 type Policy struct {
 	Self       string
-	Own        []Offer // its exports
+	Own        []Advertisement // its exports
 	Neighbours map[string]Neighbour
 	Stale      time.Duration // that the offers of a partner are used whose links have all ended
 	Share      int           // gateways of this partner, over which an offer's room is dealt out
@@ -44,30 +44,30 @@
 type Table struct {
 	now func() time.Time
 
-	mu      sync.RWMutex
-	policy  Policy
-	in      map[Source]map[ID]*Offer // as received, what was imported only
-	stale   map[string]time.Time     // partners whose links have all ended, since when
-	routes  map[ID]*route
-	byClass map[string]map[string][]*route // by prefix, the best first
-	changed chan struct{}                  // closed at the next change of what is chosen
-	refused map[string]map[string]int      // by neighbour, by why
-	counts  Counts
+	mu       sync.RWMutex
+	policy   Policy
+	in       map[Source]map[ID]*Advertisement // as received, what was imported only
+	stale    map[string]time.Time             // partners whose links have all ended, since when
+	routes   map[ID]*route
+	byClass  map[string]map[string][]*route // by prefix, the best first
+	changed  chan struct{}                  // closed at the next change of what is chosen
+	rejected map[string]map[string]int      // by neighbour, by why
+	counts   Counts
 
 	latest uint64 // version that an own export had
 
-	ended map[[2]string]lifeEnd // by partner and gateway
-	lift  map[Source]uint64     // added to the versions of a partner's own offers that a gateway of its tells
+	ended map[[2]string]incarnationEnd // by partner and gateway
+	lift  map[Source]uint64            // added to the versions of a partner's own offers that a gateway of its tells
 }
 
-// lifeEnd is what was known when a gateway's last link ended.
-type lifeEnd struct {
+// incarnationEnd is what was known when a gateway's last link ended.
+type incarnationEnd struct {
 	latest uint64 // version of the partner's own offers, from any gateway of its
 	at     time.Time
 }
 
-// lifeEndKept is how long a gateway that comes back is known to have begun anew since.
-const lifeEndKept = 10 * time.Minute
+// incarnationEndRetention is how long a gateway that comes back is known to have begun anew since.
+const incarnationEndRetention = 10 * time.Minute
 
 // Counts are of a table since its start.
 type Counts struct {
@@ -78,12 +78,12 @@
 
 // route is one offer, with all ways to it.
 type route struct {
-	id    ID
-	ways  map[string]*Way // by neighbour; own: ""
-	best  *Way
-	flaps []time.Time
-	held  time.Time // until when; zero: it is not
-	open  atomic.Int64
+	id         ID
+	candidates map[string]*Route // by neighbour; own: ""
+	best       *Route
+	flaps      []time.Time
+	held       time.Time // until when; zero: it is not
+	open       atomic.Int64
 	// A refusal by the owner ends a version's ways until another version comes, or until a while has passed.
 	dropped map[string]drop
 }
@@ -98,9 +98,9 @@
 
 // NewTable returns an empty one.
 func NewTable(p Policy, now func() time.Time) *Table {
-	t := &Table{now: now, in: map[Source]map[ID]*Offer{}, stale: map[string]time.Time{}, routes: map[ID]*route{},
-		byClass: map[string]map[string][]*route{}, changed: make(chan struct{}), refused: map[string]map[string]int{},
-		ended: map[[2]string]lifeEnd{}, lift: map[Source]uint64{}}
+	t := &Table{now: now, in: map[Source]map[ID]*Advertisement{}, stale: map[string]time.Time{}, routes: map[ID]*route{},
+		byClass: map[string]map[string][]*route{}, changed: make(chan struct{}), rejected: map[string]map[string]int{},
+		ended: map[[2]string]incarnationEnd{}, lift: map[Source]uint64{}}
 	t.SetPolicy(p)
 	return t
 }
@@ -111,11 +111,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	old := map[ID]*Way{}
+	old := map[ID]*Route{}
 	for id, r := range t.routes {
-		if w := r.ways[""]; w != nil {
+		if w := r.candidates[""]; w != nil {
 			old[id] = w
-			delete(r.ways, "")
+			delete(r.candidates, "")
 		}
 	}
 	t.policy = p
@@ -128,14 +128,14 @@
 		o.ID.Origin, o.Path = p.Self, nil
 		o.Version = version
 		if was := old[o.ID]; was != nil {
-			same := was.Offer
+			same := was.Advertisement
 			same.Version = o.Version
 			if equal(&same, &o) {
 				o.Version = was.Version
 			}
 		}
 		t.latest = max(t.latest, o.Version)
-		t.route(o.ID).ways[""] = &Way{Offer: o, Own: true}
+		t.route(o.ID).candidates[""] = &Route{Advertisement: o, Own: true}
 		touched[o.ID] = true
 	}
 	for s, table := range t.in {
@@ -163,29 +163,29 @@
 }
 
 // equal says that two offers differ in nothing.
-func equal(a, b *Offer) bool {
+func equal(a, b *Advertisement) bool {
 	r, o := &a.Rules, &b.Rules
-	return a.ID == b.ID && a.Version == b.Version && a.Class == b.Class && a.Prefix == b.Prefix && a.Cost == b.Cost && a.Room == b.Room && a.Custody == b.Custody &&
-		slices.Equal(a.Path, b.Path) && r.All == o.All && r.NoTransit == o.NoTransit && r.Hands == o.Hands && r.Effects == o.Effects && r.Until == o.Until &&
+	return a.ID == b.ID && a.Version == b.Version && a.Class == b.Class && a.Prefix == b.Prefix && a.Cost == b.Cost && a.Capacity == b.Capacity && a.Replicated == b.Replicated &&
+		slices.Equal(a.Path, b.Path) && r.All == o.All && r.NoTransit == o.NoTransit && r.MaxHops == o.MaxHops && r.Effects == o.Effects && r.Until == o.Until &&
 		slices.Equal(r.To, o.To) && slices.Equal(r.Tenants, o.Tenants) && slices.Equal(r.Excluded, o.Excluded)
 }
 
-func sameWay(a, b *Way) bool {
-	return a.Own == b.Own && a.Preference == b.Preference && equal(&a.Offer, &b.Offer)
+func sameRoute(a, b *Route) bool {
+	return a.Own == b.Own && a.Preference == b.Preference && equal(&a.Advertisement, &b.Advertisement)
 }
 
 // route is the one of an ID, made if it is not there. The caller holds mu.
 func (t *Table) route(id ID) *route {
 	r := t.routes[id]
 	if r == nil {
-		r = &route{id: id, ways: map[string]*Way{}, dropped: map[string]drop{}}
+		r = &route{id: id, candidates: map[string]*Route{}, dropped: map[string]drop{}}
 		t.routes[id] = r
 	}
 	return r
 }
 
 // replace takes the whole table of a source in place of what it told before.
-func (t *Table) replace(s Source, all []Offer) {
+func (t *Table) replace(s Source, all []Advertisement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	touched := map[ID]bool{}
@@ -205,7 +205,7 @@
 	}
 	delete(t.stale, s.Partner)
 	t.goOnAbove(s, all)
-	t.in[s] = map[ID]*Offer{}
+	t.in[s] = map[ID]*Advertisement{}
 	t.put(s, all, touched)
 	t.choose(touched)
 }
@@ -218,7 +218,7 @@
 
 // noteEnd notes what was known when a gateway's life ended. The caller holds mu.
 func (t *Table) noteEnd(s Source) {
-	end := lifeEnd{at: t.now()}
+	end := incarnationEnd{at: t.now()}
 	for other, table := range t.in {
 		for id, o := range table {
 			if other.Partner == s.Partner && id.Origin == s.Partner {
@@ -233,7 +233,7 @@
 // which a gateway began to go by a rule: where its clock was set back between two of its lives, its newest rule would look
 // older than what the others of its group still go by. A life that began after a version was told has none so low. The caller
 // holds mu.
-func (t *Table) goOnAbove(s Source, all []Offer) {
+func (t *Table) goOnAbove(s Source, all []Advertisement) {
 	key := [2]string{s.Partner, s.Gateway}
 	end, known := t.ended[key]
 	delete(t.ended, key)
@@ -252,7 +252,7 @@
 }
 
 // change takes what a source tells beyond its table.
-func (t *Table) change(s Source, put []Offer, gone []ID) {
+func (t *Table) change(s Source, put []Advertisement, gone []ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	table := t.in[s]
@@ -269,7 +269,7 @@
 }
 
 // put takes offers of a source as far as they may be imported. The caller holds mu.
-func (t *Table) put(s Source, list []Offer, touched map[ID]bool) {
+func (t *Table) put(s Source, list []Advertisement, touched map[ID]bool) {
 	n, known := t.policy.Neighbours[s.Partner]
 	now, table := t.now(), t.in[s]
 	for i := range list {
@@ -293,19 +293,19 @@
 		touched[o.ID] = true
 		if why != "" {
 			delete(table, o.ID)
-			if t.refused[s.Partner] == nil {
-				t.refused[s.Partner] = map[string]int{}
+			if t.rejected[s.Partner] == nil {
+				t.rejected[s.Partner] = map[string]int{}
 			}
-			t.refused[s.Partner][why]++
+			t.rejected[s.Partner][why]++
 			continue
 		}
 		table[o.ID] = o
 	}
 }
 
-// Lost says that a link has ended. The table that came over it goes, unless it was the last one of its partner: then it stays
+// PeerDown says that a link has ended. The table that came over it goes, unless it was the last one of its partner: then it stays
 // as stale for a while.
-func (t *Table) Lost(s Source) {
+func (t *Table) PeerDown(s Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.in[s] == nil {
@@ -345,7 +345,7 @@
 			t.forget(s)
 		}
 	}
-	maps.DeleteFunc(t.ended, func(_ [2]string, e lifeEnd) bool { return now.Sub(e.at) >= lifeEndKept })
+	maps.DeleteFunc(t.ended, func(_ [2]string, e incarnationEnd) bool { return now.Sub(e.at) >= incarnationEndRetention })
 	for p, since := range t.stale {
 		if now.Sub(since) >= t.policy.Stale {
 			delete(t.stale, p)
@@ -367,7 +367,7 @@
 }
 
 // Drop ends a way whose owner refused a call by its rule, as long as no other version comes and for a while.
-func (t *Table) Drop(w *Way) {
+func (t *Table) Drop(w *Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.routes[w.ID]
@@ -385,7 +385,7 @@
 		return
 	}
 	now := t.now()
-	newest := map[string]map[ID]*Offer{} // by neighbour
+	newest := map[string]map[ID]*Advertisement{} // by neighbour
 	for s, table := range t.in {
 		for id := range touched {
 			o := table[id]
@@ -393,7 +393,7 @@
 				continue
 			}
 			if newest[s.Partner] == nil {
-				newest[s.Partner] = map[ID]*Offer{}
+				newest[s.Partner] = map[ID]*Advertisement{}
 			}
 			if was := newest[s.Partner][id]; was == nil || o.Version > was.Version || o.Version == was.Version && shorter(o, was) {
 				newest[s.Partner][id] = o
@@ -407,18 +407,18 @@
 		if r == nil {
 			r = t.route(id)
 		}
-		for n := range r.ways {
+		for n := range r.candidates {
 			if n != "" && newest[n][id] == nil {
-				delete(r.ways, n)
+				delete(r.candidates, n)
 			}
 		}
 		for n, table := range newest {
 			if o := table[id]; o != nil {
-				r.ways[n] = &Way{Offer: *o, Preference: t.policy.Neighbours[n].Import.Preference}
+				r.candidates[n] = &Route{Advertisement: *o, Preference: t.policy.Neighbours[n].Import.Preference}
 			}
 		}
-		var best *Way
-		for n, w := range r.ways {
+		var best *Route
+		for n, w := range r.candidates {
 			if d, is := r.dropped[n]; is && d.version == w.Version && now.Before(d.until) {
 				continue
 			}
@@ -434,10 +434,10 @@
 		}
 		if best != nil && r.best != nil && !slices.Equal(best.Path, r.best.Path) && r.held.IsZero() {
 			r.flaps = slices.DeleteFunc(append(r.flaps, now), func(at time.Time) bool { return now.Sub(at) > flapWindow })
-			if len(r.flaps) > flapMost {
+			if len(r.flaps) > maxFlaps {
 				r.held = now.Add(flapHold)
 				t.counts.Held++
-				for _, w := range r.ways {
+				for _, w := range r.candidates {
 					if Better(w, best, true) < 0 {
 						best = w
 					}
@@ -445,7 +445,7 @@
 			}
 		}
 		if best != r.best {
-			if best == nil || r.best == nil || !sameWay(best, r.best) {
+			if best == nil || r.best == nil || !sameRoute(best, r.best) {
 				t.counts.Changes++
 				told = true
 			}
@@ -454,7 +454,7 @@
 				t.list(r)
 			}
 		}
-		if best == nil && len(r.ways) == 0 {
+		if best == nil && len(r.candidates) == 0 {
 			delete(t.routes, id)
 		}
 	}
@@ -489,30 +489,30 @@
 }
 
 // shorter orders two words of one neighbour's on one version of an offer, as its gateways may tell while it changes its way.
-func shorter(a, b *Offer) bool {
+func shorter(a, b *Advertisement) bool {
 	return cmp.Or(cmp.Compare(len(a.Path), len(b.Path)), cmp.Compare(a.Cost, b.Cost), slices.Compare(a.Path, b.Path)) < 0
 }
 
-// Chosen is the way that a call takes.
-type Chosen struct {
-	*Way
+// Selection is the way that a call takes.
+type Selection struct {
+	*Route
 	route *route
 }
 
 // Take counts the call as one of those that the way has, until Done. It has no effect on ways of one's own.
-func (c Chosen) Take() { c.route.open.Add(1) }
+func (c Selection) Take() { c.route.open.Add(1) }
 
 // Done ends a Take.
-func (c Chosen) Done() { c.route.open.Add(-1) }
+func (c Selection) Done() { c.route.open.Add(-1) }
 
 // Choose is the way of a call: of the offers below whose paths it lies, those of the longest path that take it, the best one.
 // false: it is nobody's offer, and the own routes say what becomes of it.
-func (t *Table) Choose(c *Call) (Chosen, bool) {
+func (t *Table) Choose(c *Request) (Selection, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	in := t.byClass[c.Class]
 	if in == nil {
-		return Chosen{}, false
+		return Selection{}, false
 	}
 	now := t.now()
 	for end := len(c.Path); end > 0; end = strings.LastIndexByte(c.Path[:end-1], '/') + 1 {
@@ -522,61 +522,61 @@
 			}
 		}
 		for _, r := range in[c.Path[:end]] {
-			room := r.best.Room
+			room := r.best.Capacity
 			if room > 0 && !r.best.Own && r.open.Load() >= int64(max(1, room/max(1, t.policy.Share))) {
 				continue
 			}
 			if r.best.Allows(c, now) {
-				return Chosen{r.best, r}, true
+				return Selection{r.best, r}, true
 			}
 		}
 	}
-	return Chosen{}, false
+	return Selection{}, false
 }
 
 // Come says why a call from a neighbour, by an offer that it names, is not taken here; empty: it is, and w is its way on.
-func (t *Table) Come(id ID, c *Call) (w Chosen, why string) {
+func (t *Table) Come(id ID, c *Request) (w Selection, why string) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	now := t.now()
 	r := t.routes[id]
 	if r == nil || r.best == nil {
-		return Chosen{}, "there is no such offer"
+		return Selection{}, "there is no such offer"
 	}
 	if r.best.Own {
-		return Chosen{r.best, r}, MayCome(&r.best.Offer, c, t.policy.Self, now)
+		return Selection{r.best, r}, MayCome(&r.best.Advertisement, c, t.policy.Self, now)
 	}
-	if len(c.Came) == 0 {
-		return Chosen{}, "it goes round"
+	if len(c.Via) == 0 {
+		return Selection{}, "it goes round"
 	}
-	from := c.Came[len(c.Came)-1]
+	from := c.Via[len(c.Via)-1]
 	if _, why := t.export(r, from, now); why != "" {
-		return Chosen{}, why
+		return Selection{}, why
 	}
 	if !r.best.Allows(c, now) {
-		return Chosen{}, "its rules do not allow this call here"
+		return Selection{}, "its rules do not allow this call here"
 	}
-	return Chosen{r.best, r}, ""
+	return Selection{r.best, r}, ""
 }
 
 // export is the best way of an offer as it is told to a neighbour. The caller holds mu.
-func (t *Table) export(r *route, to string, now time.Time) (Offer, string) {
+func (t *Table) export(r *route, to string, now time.Time) (Advertisement, string) {
 	if r.best == nil {
-		return Offer{}, "there is no way"
+		return Advertisement{}, "there is no way"
 	}
-	var p Passing
+	var p Transit
 	if !r.best.Own {
-		p = t.policy.Neighbours[r.best.Path[0]].Passing
+		p = t.policy.Neighbours[r.best.Path[0]].Transit
 	}
-	return MayExport(r.best.Offer, t.policy.Self, to, r.best.Own, p, now)
+	return MayExport(r.best.Advertisement, t.policy.Self, to, r.best.Own, p, now)
 }
 
 // Sent is the table that a neighbour is told now, and what tells of its next change.
-func (t *Table) Sent(to string) (map[ID]Offer, <-chan struct{}) {
+func (t *Table) Sent(to string) (map[ID]Advertisement, <-chan struct{}) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	now := t.now()
-	out := map[ID]Offer{}
+	out := map[ID]Advertisement{}
 	for id, r := range t.routes {
 		if o, why := t.export(r, to, now); why == "" {
 			out[id] = o
@@ -585,8 +585,8 @@
 	return out, t.changed
 }
 
-// Line is one way, for people.
-type Line struct {
+// RouteStatus is one way, for people.
+type RouteStatus struct {
 	ID     string   `json:"offer"`
 	Class  string   `json:"class"`
 	Prefix string   `json:"prefix"`
@@ -599,23 +599,23 @@
 // Status is what a table holds.
 type Status struct {
 	Counts
-	Offers  int                       `json:"offers"`
-	Digest  uint64                    `json:"digest"` // of what is chosen: the same at all gateways that act alike
-	Refused map[string]map[string]int `json:"refused,omitempty"`
-	Stale   []string                  `json:"stale,omitempty"`
-	Lines   []Line                    `json:"lines,omitempty"`
+	Advertisements int                       `json:"offers"`
+	Digest         uint64                    `json:"digest"` // of what is chosen: the same at all gateways that act alike
+	Rejected       map[string]map[string]int `json:"refused,omitempty"`
+	Stale          []string                  `json:"stale,omitempty"`
+	Routes         []RouteStatus             `json:"lines,omitempty"`
 }
 
-// mostLines of a Status.
-const mostLines = 200
+// maxStatusRoutes of a Status.
+const maxStatusRoutes = 200
 
 // Status is what the table holds now.
 func (t *Table) Status() Status {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	s := Status{Counts: t.counts, Offers: len(t.routes), Refused: map[string]map[string]int{}, Stale: slices.Sorted(maps.Keys(t.stale))}
-	for n, m := range t.refused {
-		s.Refused[n] = maps.Clone(m)
+	s := Status{Counts: t.counts, Advertisements: len(t.routes), Rejected: map[string]map[string]int{}, Stale: slices.Sorted(maps.Keys(t.stale))}
+	for n, m := range t.rejected {
+		s.Rejected[n] = maps.Clone(m)
 	}
 	ids := slices.SortedFunc(maps.Keys(t.routes), func(a, b ID) int { return strings.Compare(a.String(), b.String()) })
 	h := fnv.New64a()
@@ -627,10 +627,10 @@
 			h.Write([]byte(strings.Join(r.best.Path, "/")))
 			h.Write([]byte{0})
 		}
-		for _, n := range slices.Sorted(maps.Keys(r.ways)) {
-			w := r.ways[n]
-			if len(s.Lines) < mostLines {
-				s.Lines = append(s.Lines, Line{id.String(), w.Class, w.Prefix, w.Path, w == r.best, !t.stale[n].IsZero(), !r.held.IsZero()})
+		for _, n := range slices.Sorted(maps.Keys(r.candidates)) {
+			w := r.candidates[n]
+			if len(s.Routes) < maxStatusRoutes {
+				s.Routes = append(s.Routes, RouteStatus{id.String(), w.Class, w.Prefix, w.Path, w == r.best, !t.stale[n].IsZero(), !r.held.IsZero()})
 			}
 		}
 	}
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/balancer"
 )
 
-func hands(string) bool { return false }
+func hops(string) bool { return false }
 
 // policyOf is a partner's that takes all of its neighbours and passes all on.
 func policyOf(self string, preference map[string]int, neighbours ...string) Policy {
@@ -29,13 +29,13 @@
 		if v, ok := preference[n]; ok {
 			pref = v
 		}
-		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, Most: 1 << 20}, Passing{To: to, Custody: hands}}
+		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, MaxRoutes: 1 << 20}, Transit{To: to, Replicated: hops}}
 	}
 	return p
 }
 
-func offer(origin, name, prefix string, path ...string) Offer {
-	return Offer{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{All: true, Hands: 8, Effects: AllEffects}}
+func offer(origin, name, prefix string, path ...string) Advertisement {
+	return Advertisement{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{All: true, MaxHops: 8, Effects: AllEffects}}
 }
 
 // clock is a time that tests set.
@@ -44,16 +44,16 @@
 func (c *clock) now() time.Time { return c.at }
 
 // The way of a call is that of the longest path that takes it, and of these the best.
-func TestTheLongestPathThatTakesACall(t *testing.T) {
+func TestLongestMatchingPathWins(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
 	own := offer("p0", "own", "/view/wells/")
-	p.Own = []Offer{own}
+	p.Own = []Advertisement{own}
 	tb := NewTable(p, c.now)
 	deep := offer("p1", "deep", "/view/wells/north/", "p1")
 	deep.Rules.Tenants = []string{"acme"}
-	tb.replace(Source{"p1", "g", 1}, []Offer{deep, offer("p1", "all", "/view/", "p1"), offer("p1", "well", "/view/wells/", "p1")})
-	tb.replace(Source{"p2", "g", 1}, []Offer{offer("p2", "all", "/view/", "p2")})
+	tb.replace(Source{"p1", "g", 1}, []Advertisement{deep, offer("p1", "all", "/view/", "p1"), offer("p1", "well", "/view/wells/", "p1")})
+	tb.replace(Source{"p2", "g", 1}, []Advertisement{offer("p2", "all", "/view/", "p2")})
 	for _, k := range []struct {
 		path, tenant, want string
 		came               []string
@@ -67,7 +67,7 @@
 		{"/view", "", "", nil},
 		{"/", "", "", nil},
 	} {
-		w, ok := tb.Choose(&Call{Class: "view", Path: k.path, Tenant: k.tenant, Effect: balancer.Safe, Came: k.came})
+		w, ok := tb.Choose(&Request{Class: "view", Path: k.path, Tenant: k.tenant, Effect: balancer.Safe, Via: k.came})
 		got := ""
 		if ok {
 			got = w.ID.String()
@@ -76,81 +76,81 @@
 			t.Errorf("%s of %q: %q, want %q", k.path, k.tenant, got, k.want)
 		}
 	}
-	if _, ok := tb.Choose(&Call{Class: "note", Path: "/note/x"}); ok {
+	if _, ok := tb.Choose(&Request{Class: "note", Path: "/note/x"}); ok {
 		t.Error("a way for a class that nobody offers")
 	}
 }
 
 // What one partner sends beyond its bound or malformed harms nothing else.
-func TestAPartnersSurplusHarmsNothingElse(t *testing.T) {
+func TestExcessAdvertisementsAffectOnlyTheirPartner(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1", "p2")
 	n := p.Neighbours["p1"]
-	n.Import.Most = 100
+	n.Import.MaxRoutes = 100
 	p.Neighbours["p1"] = n
 	tb := NewTable(p, c.now)
-	tb.replace(Source{"p2", "g", 1}, []Offer{offer("p2", "all", "/view/two/", "p2")})
-	var all []Offer
+	tb.replace(Source{"p2", "g", 1}, []Advertisement{offer("p2", "all", "/view/two/", "p2")})
+	var all []Advertisement
 	for i := range 5000 {
 		all = append(all, offer("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/%d/", i), "p1"))
 	}
 	bad := offer("p1", "bad", "/view/bad", "p1")
 	stolen := offer("p2", "all", "/view/two/", "p1", "p2")
-	tb.replace(Source{"p1", "g", 1}, append([]Offer{bad, stolen}, all...))
+	tb.replace(Source{"p1", "g", 1}, append([]Advertisement{bad, stolen}, all...))
 	s := tb.Status()
-	if s.Offers != 100+1-1+0 && s.Offers != 101 {
-		t.Errorf("%d offers", s.Offers)
+	if s.Advertisements != 100+1-1+0 && s.Advertisements != 101 {
+		t.Errorf("%d offers", s.Advertisements)
 	}
-	if s.Refused["p1"]["malformed"] != 1 || s.Refused["p1"]["there are too many from there"] < 4900 {
-		t.Errorf("%v", s.Refused)
+	if s.Rejected["p1"]["malformed"] != 1 || s.Rejected["p1"]["there are too many from there"] < 4900 {
+		t.Errorf("%v", s.Rejected)
 	}
-	if w, ok := tb.Choose(&Call{Class: "view", Path: "/view/two/x", Effect: balancer.Safe}); !ok || w.Path[0] != "p2" {
-		t.Errorf("%+v", w.Way)
+	if w, ok := tb.Choose(&Request{Class: "view", Path: "/view/two/x", Effect: balancer.Safe}); !ok || w.Path[0] != "p2" {
+		t.Errorf("%+v", w.Route)
 	}
 }
 
 // A partner whose links have all ended is used for a while, and then not; a new life's table takes the old one's place.
-func TestStaleOffersGo(t *testing.T) {
+func TestStaleRoutesAreRemoved(t *testing.T) {
 	c := &clock{noon}
 	tb := NewTable(policyOf("p0", nil, "p1"), c.now)
 	first, second := Source{"p1", "a", 1}, Source{"p1", "b", 1}
-	tb.replace(first, []Offer{offer("p1", "x", "/view/x/", "p1")})
-	tb.replace(second, []Offer{offer("p1", "x", "/view/x/", "p1"), offer("p1", "y", "/view/y/", "p1")})
+	tb.replace(first, []Advertisement{offer("p1", "x", "/view/x/", "p1")})
+	tb.replace(second, []Advertisement{offer("p1", "x", "/view/x/", "p1"), offer("p1", "y", "/view/y/", "p1")})
 	has := func(path string) bool {
-		_, ok := tb.Choose(&Call{Class: "view", Path: path, Effect: balancer.Safe})
+		_, ok := tb.Choose(&Request{Class: "view", Path: path, Effect: balancer.Safe})
 		return ok
 	}
-	tb.Lost(second)
+	tb.PeerDown(second)
 	if !has("/view/x/1") || has("/view/y/1") || len(tb.Status().Stale) > 0 {
 		t.Error("what only one link told outlives that link while another is up")
 	}
-	tb.Lost(first)
+	tb.PeerDown(first)
 	c.at = c.at.Add(59 * time.Second)
 	tb.Sweep()
 	if !has("/view/x/1") || len(tb.Status().Stale) != 1 {
 		t.Error("stale offers went too soon")
 	}
-	tb.replace(Source{"p1", "a", 2}, []Offer{offer("p1", "z", "/view/z/", "p1")})
+	tb.replace(Source{"p1", "a", 2}, []Advertisement{offer("p1", "z", "/view/z/", "p1")})
 	if has("/view/x/1") || !has("/view/z/1") || len(tb.Status().Stale) != 0 {
 		t.Error("a new life's table does not take the place of the stale one")
 	}
-	tb.Lost(Source{"p1", "a", 2})
+	tb.PeerDown(Source{"p1", "a", 2})
 	c.at = c.at.Add(time.Minute)
 	tb.Sweep()
-	if has("/view/z/1") || tb.Status().Offers != 0 {
+	if has("/view/z/1") || tb.Status().Advertisements != 0 {
 		t.Error("stale offers stay")
 	}
 }
 
 // A rule that is tightened holds for calls that come at once, and who was refused by it drops the way until another version.
-func TestATightenedRule(t *testing.T) {
+func TestTightenedExportRule(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
-	p.Own = []Offer{offer("p0", "x", "/view/x/")}
+	p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
 	tb := NewTable(p, c.now)
-	call := &Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Came: []string{"p1"}}
+	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	id := ID{"p0", "x"}
-	if _, why := tb.Come(id, call); why != "" {
+	if _, why := tb.Come(id, request); why != "" {
 		t.Fatal(why)
 	}
 	sent, _ := tb.Sent("p1")
@@ -159,10 +159,10 @@
 	if sent, _ = tb.Sent("p1"); sent[id].Version != before {
 		t.Error("a rule that says the same has another version")
 	}
-	p.Own = []Offer{offer("p0", "x", "/view/x/")}
+	p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
 	p.Own[0].Rules.All = false
 	tb.SetPolicy(p)
-	if _, why := tb.Come(id, call); why != "partner p1 may not have the offer" {
+	if _, why := tb.Come(id, request); why != "partner p1 may not have the offer" {
 		t.Errorf("%q", why)
 	}
 	if sent, _ = tb.Sent("p1"); len(sent) != 0 {
@@ -170,19 +170,19 @@
 	}
 	there := NewTable(policyOf("p1", nil, "p0"), c.now)
 	src := Source{"p0", "g", 1}
-	there.replace(src, []Offer{offer("p0", "x", "/view/x/", "p0")})
-	ask := &Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
+	there.replace(src, []Advertisement{offer("p0", "x", "/view/x/", "p0")})
+	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
 	w, ok := there.Choose(ask)
 	if !ok {
 		t.Fatal("no way")
 	}
-	there.Drop(w.Way)
+	there.Drop(w.Route)
 	if _, ok := there.Choose(ask); ok {
 		t.Error("the way is still used")
 	}
 	next := offer("p0", "x", "/view/x/", "p0")
 	next.Version = 2
-	there.change(src, []Offer{next}, nil)
+	there.change(src, []Advertisement{next}, nil)
 	if _, ok := there.Choose(ask); !ok {
 		t.Error("another version is not used")
 	}
@@ -197,7 +197,7 @@
 		tb := NewTable(p, c.now)
 		var last uint64
 		for cost := range 3 {
-			p.Own = []Offer{offer("p0", "x", "/view/x/")}
+			p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
 			p.Own[0].Cost = cost
 			tb.SetPolicy(p)
 			sent, _ := tb.Sent("p1")
@@ -220,9 +220,9 @@
 	p := policyOf("p0", nil, "p1")
 	own := offer("p0", "x", "/view/x/")
 	own.Rules.Until = noon.Add(30 * time.Minute).Unix()
-	p.Own = []Offer{own}
+	p.Own = []Advertisement{own}
 	tb := NewTable(p, c.now)
-	call := &Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Came: []string{"p1"}}
+	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	for _, s := range []struct {
 		step time.Duration
 		ends bool
@@ -230,22 +230,22 @@
 		c.at = c.at.Add(s.step)
 		tb.Sweep()
 		sent, _ := tb.Sent("p1")
-		if _, why := tb.Come(ID{"p0", "x"}, call); (why != "") != s.ends || (len(sent) == 0) != s.ends {
+		if _, why := tb.Come(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
 			t.Errorf("after a step of %v to %v: %q, %d told; ended: %v", s.step, c.at, why, len(sent), s.ends)
 		}
 	}
 }
 
 // Room is dealt out over the gateways of a partner.
-func TestRoomIsDealtOut(t *testing.T) {
+func TestCapacityIsShared(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
 	p.Share = 2
 	tb := NewTable(p, c.now)
 	o := offer("p1", "x", "/view/x/", "p1")
-	o.Room = 4
-	tb.replace(Source{"p1", "g", 1}, []Offer{o})
-	ask := &Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
+	o.Capacity = 4
+	tb.replace(Source{"p1", "g", 1}, []Advertisement{o})
+	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
 	w, _ := tb.Choose(ask)
 	w.Take()
 	if _, ok := tb.Choose(ask); !ok {
@@ -276,7 +276,7 @@
 func (w *world) step(from, to string) bool {
 	a, b := w.tables[from], w.tables[to]
 	all, _ := a.Sent(to)
-	var list []Offer
+	var list []Advertisement
 	for _, o := range all {
 		list = append(list, o)
 	}
@@ -286,12 +286,12 @@
 }
 
 // The dispute that has no stable outcome ends in a hold, and then nothing changes any more, whatever the order of messages.
-func TestADisputeWithoutAStableOutcomeIsHeld(t *testing.T) {
+func TestOscillatingRouteIsDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{c: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
 		origin := policyOf("p0", nil, "p1", "p2", "p3")
-		origin.Own = []Offer{offer("p0", "x", "/view/x/")}
-		origin.Own[0].Rules.Hands = 2 // by way of one other, and no further
+		origin.Own = []Advertisement{offer("p0", "x", "/view/x/")}
+		origin.Own[0].Rules.MaxHops = 2 // by way of one other, and no further
 		w.tables["p0"] = NewTable(origin, w.c.now)
 		for i := 1; i <= 3; i++ { // each prefers the way through the next one
 			next := fmt.Sprint("p", i%3+1)
@@ -314,9 +314,9 @@
 			}
 		}
 		for _, name := range w.names[1:] {
-			way, ok := w.tables[name].Choose(&Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+			way, ok := w.tables[name].Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 			if !ok || way.Path[len(way.Path)-1] != "p0" || slices.Contains(way.Path, name) {
-				t.Fatalf("%s goes by %+v", name, way.Way)
+				t.Fatalf("%s goes by %+v", name, way.Route)
 			}
 		}
 	})
@@ -324,7 +324,7 @@
 
 // Whatever partners hear in whatever order, rules only narrow on the way, no path has a partner twice, and no call that one
 // sends by its table is refused by an owner whose rules have not changed.
-func TestRulesOnlyNarrowOnTheWay(t *testing.T) {
+func TestRulesOnlyNarrowAlongPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"p0", "p1", "p2", "p3", "p4"}
 		w := &world{c: &clock{noon}, tables: map[string]*Table{}, names: names}
@@ -340,7 +340,7 @@
 			for i := range rapid.IntRange(0, 2).Draw(t, "exports") {
 				o := offer(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
 				o.Rules = Rules{All: rapid.Bool().Draw(t, "all"), To: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
-					NoTransit: rapid.Bool().Draw(t, "no transit"), Hands: rapid.IntRange(1, 4).Draw(t, "hands"), Effects: AllEffects}
+					NoTransit: rapid.Bool().Draw(t, "no transit"), MaxHops: rapid.IntRange(1, 4).Draw(t, "hands"), Effects: AllEffects}
 				rules[ID{self, o.ID.Name}] = o.Rules
 				p.Own = append(p.Own, o)
 			}
@@ -357,22 +357,22 @@
 				}
 				b := r.best
 				own := rules[id]
-				if len(b.Path) > own.Hands || len(b.Path) > 1 && own.NoTransit || !own.All && !slices.Contains(own.To, self) || slices.Contains(b.Path, self) {
-					t.Fatalf("%s has %+v by rules %+v", self, b.Offer, own)
+				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.All && !slices.Contains(own.To, self) || slices.Contains(b.Path, self) {
+					t.Fatalf("%s has %+v by rules %+v", self, b.Advertisement, own)
 				}
 				// A call goes from table to table, as long as each still has the way that it told of.
-				call := &Call{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
-				at, way := self, Chosen{b, r}
+				request := &Request{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
+				at, way := self, Selection{b, r}
 				for !way.Own {
-					call.Came = append(call.Came, at)
+					request.Via = append(request.Via, at)
 					at = way.Path[0]
-					if len(call.Came) > 8 {
-						t.Fatalf("the call goes round: %v", call.Came)
+					if len(request.Via) > 8 {
+						t.Fatalf("the call goes round: %v", request.Via)
 					}
-					next, why := w.tables[at].Come(id, call)
+					next, why := w.tables[at].Come(id, request)
 					if why != "" {
-						if next.Way != nil && next.Own {
-							t.Fatalf("the owner refuses %v: %s, rules %+v", call.Came, why, own)
+						if next.Route != nil && next.Own {
+							t.Fatalf("the owner refuses %v: %s, rules %+v", request.Via, why, own)
 						}
 						break // the tables have not settled
 					}
@@ -383,9 +383,9 @@
 	})
 }
 
-func bigTable(n int) (*Table, []Offer) {
+func bigTable(n int) (*Table, []Advertisement) {
 	tb := NewTable(policyOf("p0", nil, "p1", "p2", "p3"), time.Now)
-	var all []Offer
+	var all []Advertisement
 	for i := range n {
 		all = append(all, offer("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/a%d/b%d/", i%100, i), "p1"))
 	}
@@ -396,13 +396,13 @@
 // BenchmarkChoose chooses among 10,000 offers.
 func BenchmarkChoose(b *testing.B) {
 	tb, _ := bigTable(10_000)
-	calls := make([]*Call, 1000)
-	for i := range calls {
-		calls[i] = &Call{Class: "view", Path: fmt.Sprintf("/view/a%d/b%d/leaf/17", i%100, i), Effect: balancer.Safe}
+	requests := make([]*Request, 1000)
+	for i := range requests {
+		requests[i] = &Request{Class: "view", Path: fmt.Sprintf("/view/a%d/b%d/leaf/17", i%100, i), Effect: balancer.Safe}
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		if _, ok := tb.Choose(calls[i%len(calls)]); !ok {
+		if _, ok := tb.Choose(requests[i%len(requests)]); !ok {
 			b.Fatal("no way")
 		}
 	}
@@ -431,10 +431,10 @@
 				p := policyOf("p1", nil, "p0")
 				o := offer("p1", "x", "/view/x/")
 				o.Cost = cost
-				p.Own = []Offer{o}
+				p.Own = []Advertisement{o}
 				return p
 			}
-			told := func(by *Table) (all []Offer) {
+			told := func(by *Table) (all []Advertisement) {
 				sent, _ := by.Sent("p0")
 				for _, o := range sent {
 					all = append(all, o)
@@ -443,7 +443,7 @@
 			}
 			there := NewTable(policyOf("p0", nil, "p1"), c.now)
 			cost := func() int {
-				w, ok := there.Choose(&Call{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+				w, ok := there.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 				if !ok {
 					t.Fatal("no way")
 				}
@@ -455,7 +455,7 @@
 			there.replace(b1, told(b))
 			c.at = c.at.Add(time.Second)
 			if !overlap {
-				there.Lost(a1)
+				there.PeerDown(a1)
 			}
 			stepped := &clock{c.at.Add(step)}
 			a = NewTable(rule(2), stepped.now)
@@ -477,7 +477,7 @@
 				continue // its rules stay the newest until the others' clocks come up to its own
 			}
 			c.at = c.at.Add(5 * time.Second)
-			there.Lost(a2)
+			there.PeerDown(a2)
 			c.at = c.at.Add(time.Second)
 			a = NewTable(rule(3), c.now)
 			c.at = c.at.Add(time.Second)
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -58,15 +58,15 @@
 	calls []string // those made, "sync /path"
 }
 
-func (s *script) ask(call, path string) error {
-	s.calls = append(s.calls, call+" "+path)
+func (s *script) ask(request, path string) error {
+	s.calls = append(s.calls, request+" "+path)
 	return s.fails[len(s.calls)]
 }
 
 // failed says whether a call of that name has failed.
-func (s *script) failed(call string) bool {
+func (s *script) failed(request string) bool {
 	for i := range s.fails {
-		if i <= len(s.calls) && strings.HasPrefix(s.calls[i-1], call+" ") {
+		if i <= len(s.calls) && strings.HasPrefix(s.calls[i-1], request+" ") {
 			return true
 		}
 	}
@@ -138,14 +138,14 @@
 }
 
 // syncedTwice names a file whose sync was tried twice.
-func syncedTwice(calls []string) string {
+func syncedTwice(requests []string) string {
 	seen := map[string]bool{}
-	for _, call := range calls {
-		if strings.HasPrefix(call, "sync ") && strings.Contains(call, state.TemporaryPrefix) {
-			if seen[call] {
-				return call
+	for _, request := range requests {
+		if strings.HasPrefix(request, "sync ") && strings.Contains(request, state.TemporaryPrefix) {
+			if seen[request] {
+				return request
 			}
-			seen[call] = true
+			seen[request] = true
 		}
 	}
 	return ""
@@ -252,8 +252,8 @@
 // don't pile up.
 func TestWhatCouldNotBeRemovedIsSweptLater(t *testing.T) {
 	f, files, _ := faulty(t)
-	files.Ask = func(call, _ string) error {
-		if call == "sync" || call == "remove" {
+	files.Ask = func(request, _ string) error {
+		if request == "sync" || request == "remove" {
 			return syscall.EIO
 		}
 		return nil
@@ -275,8 +275,8 @@
 // Sweep removes what it can: neither a path with a pattern's characters nor a file that stays keeps it from the rest.
 func TestSweepRemovesWhatItCan(t *testing.T) {
 	stays := ""
-	files := &statetest.Files{Ask: func(call, path string) error {
-		if call == "remove" && path == stays {
+	files := &statetest.Files{Ask: func(request, path string) error {
+		if request == "remove" && path == stays {
 			return syscall.EIO
 		}
 		return nil
@@ -313,22 +313,22 @@
 	if err := os.WriteFile(f.Path(), []byte("{half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, call := range []string{"lstat", "rename"} {
+	for _, request := range []string{"lstat", "rename"} {
 		files.Ask = func(made, _ string) error {
-			if made == call {
+			if made == request {
 				return syscall.EIO
 			}
 			return nil
 		}
 		if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrDamaged) || !errors.Is(err, syscall.EIO) {
-			t.Errorf("%s: %v", call, err)
+			t.Errorf("%s: %v", request, err)
 		}
 		var write *state.WriteError
 		if err := f.Save(records[2].record); !errors.Is(err, syscall.EIO) || !errors.As(err, &write) || !write.Untouched {
-			t.Errorf("%s: %v", call, err)
+			t.Errorf("%s: %v", request, err)
 		}
 		if text, _ := os.ReadFile(f.Path()); string(text) != "{half" {
-			t.Errorf("%s: written over: %s", call, text)
+			t.Errorf("%s: written over: %s", request, text)
 		}
 	}
 	files.Ask = nil
@@ -351,12 +351,12 @@
 	path := filepath.Join(root, "a", "b", "state")
 	files := &statetest.Files{}
 	failing, synced := 0, []string{}
-	files.Ask = func(call, path string) error {
-		if (call == "mkdir" || call == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
+	files.Ask = func(request, path string) error {
+		if (request == "mkdir" || request == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
 			failing++
 			return syscall.ENOSPC
 		}
-		if call == "sync" {
+		if request == "sync" {
 			synced = append(synced, path)
 		}
 		return nil
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -42,7 +42,7 @@
 	return f
 }
 
-func TestARecordIsReadBackWhole(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	f := open(t)
 	if _, err := f.Load("annot-1"); !errors.Is(err, ErrNone) {
 		t.Errorf("%v", err)
@@ -66,7 +66,7 @@
 }
 
 // A folder that can't be written, or a full disk, is an error, and the old record stays.
-func TestFolderThatCannotBeWritten(t *testing.T) {
+func TestUnwritableFolder(t *testing.T) {
 	if os.Getuid() == 0 {
 		t.Log("as root a read-only folder can be written: the rename fails on a folder in the record's place")
 	}
@@ -97,7 +97,7 @@
 
 // What is damaged is set aside under a name of its own and told; what a newer program wrote, or is another
 // node's, stays where it is.
-func TestWhatCannotBeUsed(t *testing.T) {
+func TestUnusableRecords(t *testing.T) {
 	f := open(t)
 	if err := f.Save(record(t, 3)); err != nil {
 		t.Fatal(err)
--- a/internal/state/statetest/files.go
+++ b/internal/state/statetest/files.go
@@ -20,7 +20,7 @@
 	state.Disk
 	// Ask is asked before each call, by its name ("write", "sync", "rename", ...) and path: nil lets it through,
 	// ErrEnded ends the process in the middle of it, any other error has it fail. A write that fails has written half.
-	Ask func(call, path string) error
+	Ask func(request, path string) error
 
 	mu      sync.Mutex
 	ended   bool
@@ -29,7 +29,7 @@
 }
 
 // ask settles what becomes of a call.
-func (f *Files) ask(call, path string) error {
+func (f *Files) ask(request, path string) error {
 	f.mu.Lock()
 	ended := f.ended
 	f.mu.Unlock()
@@ -39,7 +39,7 @@
 	if f.Ask == nil {
 		return nil
 	}
-	err := f.Ask(call, path)
+	err := f.Ask(request, path)
 	if errors.Is(err, ErrEnded) {
 		f.mu.Lock()
 		f.ended = true
@@ -47,7 +47,7 @@
 		return err
 	}
 	if err != nil {
-		return &fs.PathError{Op: call, Path: path, Err: err}
+		return &fs.PathError{Op: request, Path: path, Err: err}
 	}
 	return nil
 }
@@ -77,9 +77,9 @@
 		}
 		f.synced[path] = true // it is the file that was there, and that one was
 	}
-	for path, whole := range f.synced {
+	for path, complete := range f.synced {
 		info, err := os.Stat(path)
-		if err != nil || whole {
+		if err != nil || complete {
 			continue
 		}
 		if err := os.Truncate(path, info.Size()/2); err != nil {
--- a/internal/testpeer/callfaults.go
+++ b/internal/testpeer/callfaults.go
@@ -70,10 +70,10 @@
 }
 
 // part draws how much of a write is done.
-func (f *CallFaults) part(whole int) int {
+func (f *CallFaults) part(complete int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rng.IntN(max(1, whole))
+	return f.rng.IntN(max(1, complete))
 }
 
 // Dial connects, or fails.
--- a/internal/testpeer/config.go
+++ b/internal/testpeer/config.go
@@ -11,7 +11,7 @@
 // note, keyed), the listener main, the pool servers whose list a registry tells, and the route default.
 func Config() *config.Config {
 	class := func(name string, e config.Effect) config.Class {
-		return config.Class{Name: name, Effect: e, Aim: config.Duration(Limit), Deadline: config.Duration(2 * Limit), Worth: 1}
+		return config.Class{Name: name, Effect: e, LatencyObjective: config.Duration(Limit), Deadline: config.Duration(2 * Limit), PriorityWeight: 1}
 	}
 	keyed := class("keyed", config.Keyed)
 	keyed.KeyScope, keyed.Window = config.AllScope, config.Duration(Limit)
@@ -20,7 +20,7 @@
 		Classes:   []config.Class{class("view", config.Safe), class("note", config.Unsafe), keyed},
 		Listeners: []config.Listener{{Name: "main", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.PathsAsSent}},
 		Pools: []config.Pool{{Name: "servers", Protocol: config.HTTP1, Attempts: 4, Cancel: true, Tick: config.Duration(time.Millisecond),
-			RetryAfter: config.Duration(2 * time.Second), Copies: config.Copies{Count: 1}, Shedding: config.Shedding{Whole: 1},
+			RetryAfter: config.Duration(2 * time.Second), Copies: config.Copies{Count: 1}, Shedding: config.Shedding{Total: 1},
 			Connections: config.Connections{Most: 488, Idle: config.Duration(time.Minute), ConnectTimeout: config.Duration(Limit)},
 			SlowStart:   config.SlowStart{From: 1}, Registry: &config.Registry{Address: "127.0.0.1:1", Mode: config.Pushed}}},
 		Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: "servers", Weight: 1}}}},
--- a/internal/testpeer/load.go
+++ b/internal/testpeer/load.go
@@ -90,9 +90,9 @@
 
 // Judge holds what callers heard against what boxes ran: every call was heard of once, what was served ran,
 // what was refused or not taken has not run unless it may run again, and nothing unsafe ran twice.
-func (a *Audit) Judge(boxes ...*Box) Verdict {
+func (a *Audit) Judge(servers ...*Box) Verdict {
 	ran := map[string]int{}
-	for _, b := range boxes {
+	for _, b := range servers {
 		for id, n := range b.Ran() {
 			ran[id] += n
 		}
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -49,11 +49,11 @@
 
 // Request is a request whose head has passed.
 type Request struct {
-	Call  engine.Request
-	ID    string
-	Class string
-	Wait  time.Duration // how long its caller waits, from the request's end
-	route route.Call
+	Request engine.Message
+	ID      string
+	Class   string
+	Wait    time.Duration // how long its caller waits, from the request's end
+	route   route.Request
 }
 
 // Rejected says why a request can't be used, with the status that HTTP has for it (RFC 9110 section 15).
@@ -71,7 +71,7 @@
 // Check tells what is wrong with a request's head, and reads its class and how long it may take. A class that
 // does not exist would be sent on as an unsafe one, only for the servers to turn it away, and the module would
 // take that for their ill health.
-func Check(view *dispatch.View, h *Head) (Request, error) {
+func Check(view *dispatch.Snapshot, h *Head) (Request, error) {
 	l, listening := view.Listener(h.Listener)
 	if !listening || l.Protocol != h.Protocol {
 		return Request{}, ErrGone
@@ -116,8 +116,8 @@
 	case h.Length != 0 && h.Method == http.MethodGet:
 		return no(http.StatusBadRequest, "GET has no body")
 	}
-	r := Request{ID: id, Class: name, Wait: wait, Call: engine.Request{Method: h.Method, Target: target, Key: key, ContentType: h.Type},
-		route: route.Call{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, Draw: id}}
+	r := Request{ID: id, Class: name, Wait: wait, Request: engine.Message{Method: h.Method, Target: target, Key: key, ContentType: h.Type},
+		route: route.Request{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, Draw: id}}
 	if class.Effect == balancer.Keyed {
 		r.route.Draw = key // a repeat must meet the servers that know its key
 	}
@@ -134,23 +134,23 @@
 // Take has a request taken whose last byte was read at a clock time, or whose body goes on with rest. One whose head was checked under a view
 // that is not that of now is looked at again: what it may do can have changed meanwhile. With no error, exactly
 // one answer comes on the call's channel.
-func Take(calls *dispatch.Dispatcher, view *dispatch.View, h *Head, r Request, body []byte, rest io.Reader, at time.Duration) (*engine.Call, error) {
-	gone := r.Call.Gone
+func Take(requests *dispatch.Dispatcher, view *dispatch.Snapshot, h *Head, r Request, body []byte, rest io.Reader, at time.Duration) (*engine.Request, error) {
+	gone := r.Request.Gone
 	for {
-		r.Call.Body, r.Call.Rest, r.Call.Length, r.Call.Gone = body, rest, int64(len(body)), gone
+		r.Request.Body, r.Request.Rest, r.Request.Length, r.Request.Gone = body, rest, int64(len(body)), gone
 		if rest != nil {
-			r.Call.Length = h.Length
+			r.Request.Length = h.Length
 		}
-		c := engine.NewCall(r.ID, r.Call)
+		c := engine.NewRequest(r.ID, r.Request)
 		c.Class, c.At, c.Deadline = r.Class, at, at+r.Wait
-		err := calls.Take(view, c, &r.route)
+		err := requests.Take(view, c, &r.route)
 		switch {
 		case err == nil:
 			return c, nil
 		case errors.Is(err, dispatch.ErrNoRoute):
 			return nil, &Rejected{http.StatusNotFound, err.Error()}
 		}
-		view = calls.View()
+		view = requests.Snapshot()
 		if r, err = Check(view, h); err != nil {
 			return nil, err
 		}
@@ -185,10 +185,10 @@
 	return time.Duration(math.Round(s * 1e9)), nil
 }
 
-// Words are the status and the text of an answer that no server made.
-func Words(a engine.Answer) (status int, text string) {
+// Text are the status and the text of an answer that no server made.
+func Text(a engine.Response) (status int, text string) {
 	switch a.Kind {
-	case engine.Refused:
+	case engine.Rejected:
 		return http.StatusServiceUnavailable, "refused"
 	case engine.Duplicate:
 		return http.StatusConflict, "X-Request-Id is in use"
@@ -197,19 +197,19 @@
 }
 
 // RetryAfter is when to come back after a refusal, in seconds with decimals; empty: not said.
-func RetryAfter(a engine.Answer) string {
-	if a.Kind != engine.Refused || a.RetryAfter <= 0 {
+func RetryAfter(a engine.Response) string {
+	if a.Kind != engine.Rejected || a.RetryAfter <= 0 {
 		return ""
 	}
 	return strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64)
 }
 
 // Result is how an answer that was given whole counts.
-func Result(a engine.Answer) metrics.Result {
+func Result(a engine.Response) metrics.Result {
 	switch a.Kind {
 	case engine.Served:
 		return metrics.Fulfilled
-	case engine.Refused:
+	case engine.Rejected:
 		return metrics.Throttled
 	}
 	return metrics.Faulted
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -150,14 +150,14 @@
 		}
 	case "job_in":
 		m.Event = balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
-			Repeat: f.optNum(4)&2 != 0}
+			Retry: f.optNum(4)&2 != 0}
 	case "ring":
 		m.Event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
 		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
-			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
+			Ended: f.text(3) == "1", Attempt: f.num(4), Result: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = balancer.ClientGone{ID: f.text(0)}
+		m.Event = balancer.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
 		m.Event = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
@@ -196,7 +196,7 @@
 		case 0:
 			sv.State = balancer.Draining
 		case 1:
-			sv.State = balancer.Gone
+			sv.State = balancer.Removed
 		default:
 			g.fail(4, "is no state")
 		}
@@ -292,14 +292,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]balancer.Ending{
+var endings = map[string]balancer.Result{
 	"success": balancer.Success, "failure": balancer.Failure,
 	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
-	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
-	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
+	"unreachable": balancer.Unreachable, "broken": balancer.ConnectionLost,
+	"withdrawn": balancer.Cancelled, "void": balancer.NotStarted,
 }
 
-func (f *fields) ending(i int) balancer.Ending {
+func (f *fields) ending(i int) balancer.Result {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -391,19 +391,19 @@
 	}
 	s := balancer.Settings{
 		Balancers: p.Balancers, Index: p.Index, Tier: p.Tier,
-		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
-		MaxAttempts:  p.Limits.MaxAttempts,
-		MayCancel:    p.Limits.Cancelling,
-		AskDiscovery: p.Registry == "on_request", AskWithin: fromMS(p.Rules.AskWithin),
-		Tick: fromMS(p.Tick), ColdFrom: p.Rules.ColdFrom, WarmAfter: fromMS(p.Rules.WarmAfter),
+		TotalWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
+		MaxAttempts:   p.Limits.MaxAttempts,
+		MayCancel:     p.Limits.Cancelling,
+		PollDiscovery: p.Registry == "on_request", PollInterval: fromMS(p.Rules.AskWithin),
+		Tick: fromMS(p.Tick), SlowStartMinimum: p.Rules.ColdFrom, SlowStartWindow: fromMS(p.Rules.WarmAfter),
 	}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
 		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
-			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
-			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth})
+			Scope: scopes[l.Scope], Window: fromMS(l.Window), LatencyObjective: fromMS(l.Target),
+			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, PriorityWeight: l.Worth})
 	}
 	return s, nil
 }
@@ -434,13 +434,13 @@
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
 	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
-	case balancer.LetGo:
+	case balancer.CloseIdle:
 		fmt.Fprintf(e.w, "let_go\t%s\n", a.Server)
-	case balancer.Refuse:
+	case balancer.Reject:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
 	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case balancer.Wake:
+	case balancer.SetTimer:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
 	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,7 +39,7 @@
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
 			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true,
+		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Retry: true,
 			Deadline: 8652250 * time.Microsecond}},
 		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
 			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
@@ -81,8 +81,8 @@
 	e := NewEncoder(&out)
 	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
 	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, balancer.LetGo{Server: "s"})
-	e.Action(5, balancer.Refuse{ID: "b"})
+	e.Action(5, balancer.CloseIdle{Server: "s"})
+	e.Action(5, balancer.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -60,7 +60,7 @@
 		b = binary.BigEndian.AppendUint32(b, uint32(r.Place))
 		b = append(b, r.Plane<<4|r.Page)
 		b = binary.BigEndian.AppendUint64(b, r.Author.ID)
-		b = binary.BigEndian.AppendUint32(b, r.Author.Life)
+		b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
 		b = binary.BigEndian.AppendUint32(b, r.Seq)
 		b = putAge(b, r.Age)
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), mostFrom)))
@@ -84,15 +84,15 @@
 	}
 	m = Message{Kind: MessageKind(b[1]), From: binary.BigEndian.Uint64(b[2:]), Token: binary.BigEndian.Uint32(b[10:]),
 		Echo: binary.BigEndian.Uint32(b[14:]), Held: binary.BigEndian.Uint16(b[18:])}
-	if m.Kind < Up || m.Kind > Ask || m.From == 0 {
+	if m.Kind < Up || m.Kind > Query || m.From == 0 {
 		return Message{}, fmt.Errorf("%w: kind %d from %d", ErrMalformed, m.Kind, m.From)
 	}
 	left := b[headSize:]
-	for m.Kind == Ask && len(left) >= wantSize {
+	for m.Kind == Query && len(left) >= wantSize {
 		m.Wants = append(m.Wants, Want{Place(binary.BigEndian.Uint32(left)), getAge(left[4:])})
 		left = left[wantSize:]
 	}
-	for m.Kind != Ask && len(left) >= rowSize {
+	for m.Kind != Query && len(left) >= rowSize {
 		r := Row{Place: Place(binary.BigEndian.Uint32(left)), Plane: left[4] >> 4, Page: left[4] & 0x0f,
 			Author: Author{binary.BigEndian.Uint64(left[5:]), binary.BigEndian.Uint32(left[13:])}, Seq: binary.BigEndian.Uint32(left[17:]),
 			Age: getAge(left[21:]), From: int(binary.BigEndian.Uint16(left[24:]))}
--- a/internal/zonestate/exchange.go
+++ b/internal/zonestate/exchange.go
@@ -15,10 +15,10 @@
 
 // Kinds of messages.
 const (
-	Up   MessageKind = iota + 1 // parts for the receiver, its sender's parent in a plane
-	Down                        // rows that are news to the sender
-	Tell                        // rows that were asked for
-	Ask                         // asks for rows of zones that are younger than what the sender holds
+	Up    MessageKind = iota + 1 // parts for the receiver, its sender's parent in a plane
+	Down                         // rows that are news to the sender
+	Tell                         // rows that were asked for
+	Query                        // asks for rows of zones that are younger than what the sender holds
 )
 
 // Message is what one node sends another.
@@ -82,24 +82,24 @@
 
 // Machine is one node's exchange. Its methods belong to one goroutine.
 type Machine struct {
-	o      Options
-	self   Peer
-	life   uint32
-	seed   uint64
-	draws  uint64
-	now    time.Duration
-	view   *View
-	words  map[Place]*said // of each place of the view
-	links  map[uint64]*link
-	planes [planes]plane
-	store  store
-	own    Pages
-	told   time.Duration // when own was made; 0: never
-	lossy  time.Duration // until when messages are taken to get lost
-	asked  time.Duration // when the last question went out
-	answer int           // questions that were answered since
-	since  time.Duration // then
-	out    []Packet
+	o           Options
+	self        Peer
+	incarnation uint32
+	seed        uint64
+	draws       uint64
+	now         time.Duration
+	view        *View
+	words       map[Place]*said // of each place of the view
+	links       map[uint64]*link
+	planes      [planes]plane
+	store       store
+	own         Pages
+	told        time.Duration // when own was made; 0: never
+	lossy       time.Duration // until when messages are taken to get lost
+	asked       time.Duration // when the last question went out
+	answer      int           // questions that were answered since
+	since       time.Duration // then
+	out         []Packet
 
 	Dropped Dropped
 }
@@ -126,8 +126,8 @@
 	return splitmix.Draw(m.seed, m.draws, n)
 }
 
-// SetLife takes the life that the membership has for this node. Rows go by it.
-func (m *Machine) SetLife(life uint32) { m.life = max(m.life, life) }
+// SetIncarnation takes the life that the membership has for this node. Rows go by it.
+func (m *Machine) SetIncarnation(incarnation uint32) { m.incarnation = max(m.incarnation, incarnation) }
 
 // Set takes what the node itself sees as of now.
 func (m *Machine) Set(now time.Duration, p Pages) {
@@ -223,7 +223,7 @@
 	p.again = false
 	p.seq++
 	for k := range rows {
-		rows[k].Author, rows[k].Seq = Author{m.self.ID, m.life}, p.seq
+		rows[k].Author, rows[k].Seq = Author{m.self.ID, m.incarnation}, p.seq
 		m.store.put(rows[k], m.now-rows[k].Age)
 	}
 	m.pass(rows, 0)
@@ -239,7 +239,7 @@
 		}
 	}
 	for page := range uint8(pages) {
-		r := Row{Place: m.self.Place, Plane: at, Page: page, Author: Author{m.self.ID, m.life}}
+		r := Row{Place: m.self.Place, Plane: at, Page: page, Author: Author{m.self.ID, m.incarnation}}
 		var lists [][]Entry
 		if m.told > 0 && m.now-m.told <= m.o.hold() {
 			r.From, r.Age = 1, m.now-m.told
@@ -346,7 +346,7 @@
 	if whom[i].ID == m.self.ID {
 		i = (i + 1) % len(whom)
 	}
-	m.send(whom[i], Message{Kind: Ask, Wants: wants[:min(len(wants), mostWants)]})
+	m.send(whom[i], Message{Kind: Query, Wants: wants[:min(len(wants), mostWants)]})
 }
 
 // Bounds on what questions can have a node send.
@@ -406,7 +406,7 @@
 		m.takeParts(from, msg.Rows, delay)
 	case Down, Tell:
 		m.takeRows(from, msg.Rows, delay, msg.Kind == Down)
-	case Ask:
+	case Query:
 		m.tell(from, msg.Wants)
 	}
 	return m.out
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -37,7 +37,7 @@
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	ago := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.life, m.draws, ago(m.told), ago(m.asked), m.answer, max(-m.o.period(), ago(m.since)), max(0, ago(m.lossy)))
+	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, ago(m.told), ago(m.asked), m.answer, max(-m.o.period(), ago(m.since)), max(0, ago(m.lossy)))
 	for _, id := range slices.Sorted(maps.Keys(m.links)) {
 		l := m.links[id]
 		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.token, ago(l.at), max(-2*m.o.period()-1, ago(l.heard)))
@@ -50,7 +50,7 @@
 	})
 	for _, k := range keys {
 		for _, h := range m.store.rows[k] {
-			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Life, h.Seq, ago(h.made), h.From, h.Entries)
+			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, ago(h.made), h.From, h.Entries)
 		}
 	}
 	for i, p := range m.planes {
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -30,7 +30,7 @@
 // later orders a row's versions. Sequences wrap: of two that differ by less than half of their range, and no row lives long
 // enough for more, the one that is ahead is later (RFC 1982).
 func later(a, b Row) int {
-	return cmp.Or(cmp.Compare(a.Author.Life, b.Author.Life), cmp.Compare(int32(a.Seq-b.Seq), 0))
+	return cmp.Or(cmp.Compare(a.Author.Incarnation, b.Author.Incarnation), cmp.Compare(int32(a.Seq-b.Seq), 0))
 }
 
 // put merges a row. news: it takes the place of an earlier one, or of none.
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -49,14 +49,14 @@
 
 // Kinds. Rates are per second, over the last period or so.
 const (
-	Demand  = sum + 0   // of a class: calls that came, a second
-	Refused = sum + 1   // of a class: calls that were refused, a second
-	Open    = sum + 2   // of a class: calls that are unanswered
-	Ready   = most + 0  // of a zone: servers listed as ready
-	Warm    = most + 1  // of a zone: of these, such as are past their slow start
-	Newest  = most + 2  // of a list or configuration: the latest version that a node holds
-	Oldest  = least + 0 // and the earliest
-	Made    = least + 1 // of nothing: when the part was made; only builds for the rig tell it
+	Demand   = sum + 0   // of a class: calls that came, a second
+	Rejected = sum + 1   // of a class: calls that were refused, a second
+	Open     = sum + 2   // of a class: calls that are unanswered
+	Ready    = most + 0  // of a zone: servers listed as ready
+	Warm     = most + 1  // of a zone: of these, such as are past their slow start
+	Newest   = most + 2  // of a list or configuration: the latest version that a node holds
+	Oldest   = least + 0 // and the earliest
+	Made     = least + 1 // of nothing: when the part was made; only builds for the rig tell it
 
 	Sent = sum + pageOne + 0 // of a zone: attempts that ended there, a second
 	Bad  = sum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
@@ -100,8 +100,8 @@
 
 // Author is who made a row: a member by its ID, in a life.
 type Author struct {
-	ID   uint64
-	Life uint32
+	ID          uint64
+	Incarnation uint32
 }
 
 // Row is what one author says of its zone: entries that it put together at one time.
--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -35,7 +35,7 @@
 	r := Row{Place: Place(rapid.IntRange(1, 2).Draw(t, "place")), Plane: uint8(rapid.IntRange(0, 1).Draw(t, "plane")), Page: uint8(rapid.IntRange(0, 1).Draw(t, "page")),
 		Author: Author{uint64(rapid.IntRange(1, mostAuthors).Draw(t, "author")), uint32(rapid.IntRange(0, 2).Draw(t, "life"))},
 		Seq:    uint32(rapid.IntRange(math.MaxUint32-2, math.MaxUint32+2).Draw(t, "seq"))} // sequences that wrap
-	r.From = int(r.Author.Life)*10 + int(int32(r.Seq)) // what it says follows from who made it when
+	r.From = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // what it says follows from who made it when
 	r.Age = time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * ms
 	return r
 }
@@ -70,11 +70,11 @@
 		})
 		lists := rapid.SliceOfN(rapid.SliceOfN(entry, 0, 6), 1, 5).Draw(r, "lists")
 		at := rapid.IntRange(0, len(lists)).Draw(r, "at")
-		whole, _ := add(lists...)
+		complete, _ := add(lists...)
 		left, _ := add(lists[:at]...)
 		right, _ := add(lists[at:]...)
-		if parts, _ := add(right, left); !slices.Equal(parts, whole) {
-			r.Fatalf("%v, and by %v and %v: %v", whole, left, right, parts)
+		if parts, _ := add(right, left); !slices.Equal(parts, complete) {
+			r.Fatalf("%v, and by %v and %v: %v", complete, left, right, parts)
 		}
 	})
 	var many []Entry
@@ -223,7 +223,7 @@
 func seeds() (out [][]byte) {
 	row := Row{Place: 1 << 31, Plane: 1, Page: 1, Author: Author{1, 2}, Seq: 3, Age: 4 * ms, From: 5, Entries: []Entry{{Sent, 6, 7.5}, {Lag, 8, 1e-9}}}
 	for _, m := range []Message{{Kind: Up, From: 1, Rows: []Row{row}}, {Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, {Author: Author{ID: 9}, Age: mostAge + 1, From: 1 << 20}}},
-		{Kind: Tell, From: 3}, {Kind: Ask, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}}} {
+		{Kind: Tell, From: 3}, {Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}}} {
 		out = append(out, Append(nil, m))
 	}
 	return out
