--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -299,7 +299,7 @@
 	}
 }
 
-// serves says that a configuration's pool has the box that answered.
+// serves says that a configuration's pool has the server that answered.
 func serves(cfg *config.Config, names [3]string, body string) bool {
 	for _, srv := range cfg.Pools[0].Servers {
 		for i, address := range names {
@@ -311,7 +311,7 @@
 	return false
 }
 
-// The README's first command works from a clone: boxes and a node come up, a call is served, a plan is shown,
+// The README's first command works from a clone: servers and a node come up, a request is served, a plan is shown,
 // applied and rolled back.
 func TestTheFirstMinute(t *testing.T) {
 	dir, err := os.MkdirTemp("", "f")
@@ -334,7 +334,7 @@
 	}
 }
 
-// So does the first federation: a call goes to the other partner, and one whose gateway is killed is answered by the next.
+// So does the first federation: a request goes to the other partner, and one whose gateway is killed is answered by the next.
 func TestTheFirstFederation(t *testing.T) {
 	dir, err := os.MkdirTemp("", "f")
 	if err != nil {
--- a/cmd/damsontrestle/ending_test.go
+++ b/cmd/damsontrestle/ending_test.go
@@ -110,7 +110,7 @@
 		if i%2 == 0 { // half of them idle behind an answer, the others silent
 			io.WriteString(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 			c.SetReadDeadline(time.Now().Add(limit))
-			http.ReadResponse(bufio.NewReader(c), nil) // or it was turned away
+			http.ReadResponse(bufio.NewReader(c), nil) // or it was rejected
 		}
 	}
 	ln, err := net.Listen("tcp", discovery)
--- a/cmd/damsontrestle/main_test.go
+++ b/cmd/damsontrestle/main_test.go
@@ -164,7 +164,7 @@
 
 // TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
 // changes nothing, nor does the same once more, and a new one moves the node to the servers that another
-// discovery names. No request is lost, and the caller's connection is kept.
+// discovery names. No request is lost, and the client's connection is kept.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	list := func(name string) *httptest.Server {
@@ -311,7 +311,7 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it lets its idle callers go
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it lets its idle clients go
 		t.Fatalf("an idle connection after SIGTERM: %v", err)
 	}
 	close(hold)
--- a/cmd/damsontrestle/upgrade_test.go
+++ b/cmd/damsontrestle/upgrade_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// door asks the operators' door of a process.
+// door asks the management endpoint of a process.
 func door(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -44,7 +44,7 @@
 }
 
 // TestASecondProcessTakesOver runs the real program twice at one address, as the platform does for an upgrade: once
-// the second says that it is ready the first is told to end. Calls go on all the while, half of them on connections of
+// the second says that it is ready the first is told to end. Requests go on all the while, half of them on connections of
 // their own, and each is served.
 func TestASecondProcessTakesOver(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -1,4 +1,4 @@
-// Command faultbench plays experiments: hundreds of nodes as processes of their own, servers and callers, and faults
+// Command faultbench plays experiments: hundreds of nodes as processes of their own, servers and clients, and faults
 // between them, and tells how evenly load was spread and which rules were broken.
 package main
 
--- a/cmd/faultbench/main_test.go
+++ b/cmd/faultbench/main_test.go
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// build makes the rig and the node's program in a folder of their own.
+// build makes the fault bench and the node's program in a folder of their own.
 func build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -86,7 +86,7 @@
 	return out
 }
 
-// A rig that is killed leaves no process, no file and no port behind.
+// A fault bench that is killed leaves no process, no file and no port behind.
 func TestAKilledRigLeavesNothing(t *testing.T) {
 	dir, temp := build(t), t.TempDir()
 	cmd := exec.Command(filepath.Join(dir, "faultbench"), "run", "../../deploy/experiments/even.hcl", "--nodes", "6", "--program", filepath.Join(dir, "damsontrestle"))
--- a/cmd/testload/main.go
+++ b/cmd/testload/main.go
@@ -1,4 +1,4 @@
-// Command testload stands in for callers: it sends views and notes to nodes and tells what it heard.
+// Command testload stands in for clients: it sends views and notes to nodes and tells what it heard.
 package main
 
 import (
--- a/cmd/testserver/main.go
+++ b/cmd/testserver/main.go
@@ -1,4 +1,4 @@
-// Command testserver is a stand-in for a log box: it answers HTTP/1.1 with a stated service time and faults,
+// Command testserver is a stand-in for a log server: it answers HTTP/1.1 with a stated service time and faults,
 // and tells at its end what it did. The body of a good answer is its name and the request's id.
 package main
 
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,10 +1,9 @@
-// Package balancer decides where a load balancer sends each request, when it tries again and
-// when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
-// actions it returns. This file is the whole interface; every decision is in policy.go.
-// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must never go back, and its
-// only randomness is the seed given to New, so the same events always give the same actions. Balancers share nothing.
-// Memory is held for each request until it is answered and its attempts have ended, and for each server until it has
-// left the list and its attempts have ended.
+// Package balancer decides where a load balancer sends each request, when it tries again and when it gives up. It does
+// no I/O: the host feeds events to a Balancer and carries out the actions it returns. This file is the whole interface;
+// every decision is in policy.go. A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which
+// must never go back, and its only randomness is the seed given to New, so the same events always give the same
+// actions. Balancers share nothing. Memory is held for each request until it is answered and its attempts have ended,
+// and for each server until it has left the list and its attempts have ended.
 package balancer
 
 import (
@@ -39,22 +38,22 @@
 	Effect           Effect
 	Scope            Scope         // for Keyed
 	Window           time.Duration // for Keyed: how long repeats are discarded, from the first send
-	LatencyObjective time.Duration // answers within it earn full worth
+	LatencyObjective time.Duration // answers within it earn full priority weight
 	Deadline         time.Duration // how long a client waits over all its tries
-	LateShare        float64       // share of the worth that an answer after the aim earns
+	LateShare        float64       // share of the priority weight that an answer after the objective earns
 	PriorityWeight   float64
 }
 
 // Settings hold until a Reconfigure.
 type Settings struct {
 	Classes     []Class
-	Balancers   int     // copies that place calls on this tier
+	Balancers   int     // copies that place requests on this tier
 	Index       int     // this copy's number among them, from 0
 	Tier        int     // the tier sent to, 0 being the clients' first
-	TotalWeight float64 // how much the whole of the worth counts when shedding
+	TotalWeight float64 // how much the whole of the priority weight counts when shedding
 	ClassWeight float64 // how much the worst-served class counts when shedding
 
-	PollChoices   int // servers that are asked how much they hold before a call goes to one of them; 0: none
+	PollChoices   int // servers that are asked how much they hold before a request goes to one of them; 0: none
 	MaxAttempts   int
 	MayCancel     bool
 	PollDiscovery bool          // the list follows only a Subscribe
@@ -82,13 +81,13 @@
 		case seen[c.Name]:
 			return fmt.Errorf("balancer: Classes[%d].Name %q is used twice", i, c.Name)
 		case c.LatencyObjective <= 0:
-			return field("Aim")
+			return field("LatencyObjective")
 		case c.Deadline <= 0:
 			return field("Deadline")
 		case c.Window < 0:
 			return field("Window")
 		case !(c.PriorityWeight >= 0 && c.PriorityWeight <= math.MaxFloat64):
-			return field("Worth")
+			return field("PriorityWeight")
 		case !(c.LateShare >= 0 && c.LateShare <= 1):
 			return field("LateShare")
 		}
@@ -98,12 +97,12 @@
 		name       string
 		value, max float64
 	}{{"Tier", float64(s.Tier), math.MaxInt32}, {"Index", float64(s.Index), math.MaxInt32},
-		{"Balancers", float64(s.Balancers), math.MaxInt32}, {"Asks", float64(s.PollChoices), 16},
+		{"Balancers", float64(s.Balancers), math.MaxInt32}, {"PollChoices", float64(s.PollChoices), 16},
 		{"MaxAttempts", float64(s.MaxAttempts), math.MaxInt32},
-		{"WholeWeight", s.TotalWeight, math.MaxFloat64}, {"ClassWeight", s.ClassWeight, math.MaxFloat64},
-		{"ColdFrom", s.SlowStartMinimum, 1}, {"AskWithin", float64(s.PollInterval), math.MaxInt64},
+		{"TotalWeight", s.TotalWeight, math.MaxFloat64}, {"ClassWeight", s.ClassWeight, math.MaxFloat64},
+		{"SlowStartMinimum", s.SlowStartMinimum, 1}, {"PollInterval", float64(s.PollInterval), math.MaxInt64},
 		{"Tick", float64(s.Tick), math.MaxInt64}, {"MaxRetryAfter", float64(s.MaxRetryAfter), math.MaxInt64},
-		{"WarmAfter", float64(s.SlowStartWindow), math.MaxInt64}} {
+		{"SlowStartWindow", float64(s.SlowStartWindow), math.MaxInt64}} {
 		if !(f.value >= 0 && f.value <= f.max) { // NaN fails too
 			return fmt.Errorf("balancer: %s is out of range: %v", f.name, f.value)
 		}
@@ -158,7 +157,7 @@
 // ServerLoad is what a server holds, by its own word or by what others know.
 type ServerLoad struct {
 	Server string
-	Busy   float64       // calls in work and waiting; negative: it has not said
+	Busy   float64       // requests in work and waiting; negative: it has not said
 	Age    time.Duration // of the knowledge, at most
 }
 
@@ -211,7 +210,7 @@
 	}
 	// ClientDisconnected says that the client left; nothing more is owed.
 	ClientDisconnected struct{ ID string }
-	// LoadUpdate brings what is known from elsewhere than from own calls. It may come at any time, in any order.
+	// LoadUpdate brings what is known from elsewhere than from own requests. It may come at any time, in any order.
 	LoadUpdate struct {
 		ID    string // of the request that an Ask was for, which this answers in part; empty: of none
 		Loads []ServerLoad
--- a/internal/balancer/policy.go
+++ b/internal/balancer/policy.go
@@ -27,7 +27,7 @@
 	failMargin    = 0.8    // what that share may fall to by chance, without being drawn less
 	ejection      = 12     // mean latencies that a first ejection lasts
 	maxLevel      = 5      // doublings of an ejection
-	windowFloor   = 5.0    // own calls a server that are always admitted
+	windowFloor   = 5.0    // own requests a server that are always admitted
 	retryEarn     = 0.15   // further attempts earned by a success
 	neverRanCost  = 0.1    // what a further attempt costs when the last one never ran
 	retryBudget   = 10     // most that can be saved up
@@ -36,10 +36,10 @@
 	baseRise      = 0.0005 // weight of a new sample in a class's base latency when it lies above
 	baseFall      = 0.02   // and when it lies below: a noisy mean now and then is lower than any real one
 	leanness      = 0.3    // part of the target given up when all is shed
-	windowSlack   = 2      // times the calls out on average up to which the window grows
+	windowSlack   = 2      // times the requests out on average up to which the window grows
 	windowGain    = 0.15   // window moved by an answer, for each target that it came under or over, at a lone node
-	windowStart   = 13.0   // own calls for each server a node that are admitted before anything is known
-	hanging       = 0.05   // share of a class's attempts that may fail before a call that hangs is cut short
+	windowStart   = 13.0   // own requests for each server a node that are admitted before anything is known
+	hanging       = 0.05   // share of a class's attempts that may fail before a request that hangs is cut short
 	sameTry       = 0.05   // by how much times given to tries may differ and be held for the same
 	mostVotes     = 50     // counted for the time that is usual
 )
@@ -59,7 +59,7 @@
 	width     int       // servers in the pool
 	places    [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
 	times     float64   // how often the runs that it was cut by go round the group
-	busy      float64   // calls in flight, averaged over sends
+	busy      float64   // requests in flight, averaged over sends
 	requests  map[string]*request
 	held      []*request
 	zones     []*zone // in the order of their names
@@ -70,9 +70,9 @@
 	errors           float64 // share of bad endings, overlong answers among them, of all attempts
 	lastOK           time.Duration
 	tokens           float64 // retry budget
-	window           float64 // own calls admitted at once (first tier)
+	window           float64 // own requests admitted at once (first tier)
 	inFlight         int
-	meanReportedLoad float64 // calls that a server holds, on average over what was told
+	meanReportedLoad float64 // requests that a server holds, on average over what was told
 	shed             float64 // share of requests answered without an attempt
 	subFails         int
 	subWanted        time.Duration
@@ -91,14 +91,14 @@
 	votes         int     // for it, less those against it
 }
 
-// server is a listed server, or one that left with calls of ours still out.
+// server is a listed server, or one that left with requests of ours still out.
 type server struct {
 	Server
 	in       *zone
 	listed   bool
-	inFlight int        // own calls in flight
-	coming   int        // own calls whose bodies still go there
-	open     []*attempt // the same calls in order of sending
+	inFlight int        // own requests in flight
+	coming   int        // own requests whose bodies still go there
+	open     []*attempt // the same requests in order of sending
 
 	streak     int // bad endings in a row
 	level      int // doublings of the next ejection
@@ -107,13 +107,13 @@
 	slow       float64 // mean log of latency over the class mean
 	samples    int
 	lastOK     time.Duration
-	capacity   int           // own calls that it had taken when it refused one more
+	capacity   int           // own requests that it had taken when it refused one more
 	full       time.Duration // no more than room until then
 	rejections int           // in a row
 	out        bool          // ruled out for the request at hand
 	failing    map[*class]fading
 	part       float64       // of it that lies in this node's pool; 0: none
-	busy       float64       // calls that it held by the last word of it
+	busy       float64       // requests that it held by the last word of it
 	reportedAt time.Duration // when it did; 0: nothing is known
 }
 
@@ -424,7 +424,7 @@
 	a := &attempt{req: r, srv: s, n: len(r.attempts), in: s.in, sent: b.now, zone: s.Zone, cell: s.Cell}
 	if b.muted(s) {
 		s.in.probe = a
-		b.do(CloseIdle{Server: s.ID}) // a connection from before the cut would take the call and say nothing
+		b.do(CloseIdle{Server: s.ID}) // a connection from before the cut would take the request and say nothing
 	}
 	if a.n == 0 {
 		b.shed -= memory / 4 * b.shed
@@ -437,7 +437,7 @@
 		b.begin(a)
 	}
 	left, c := b.useless(r)-b.now, r.class
-	// A server that lets a call hang takes all its time: where that happens below the first tier, one that may run
+	// A server that lets a request hang takes all its time: where that happens below the first tier, one that may run
 	// again gives it half, if nearly all answers come within that.
 	again := r.effect == Safe && a.n+1 < b.set.MaxAttempts && b.tokens >= 1
 	if again && b.set.Tier > 0 && c.failing > hanging && left/2 > b.overlong(c) {
@@ -502,8 +502,8 @@
 	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
 }
 
-// delayedUntil is how long holding makes sense: until an answer may well miss the aim, for late answers take room. With
-// no server at all a late answer is the best there can be, so then almost until the deadline.
+// delayedUntil is how long holding makes sense: until an answer may well miss the objective, for late answers take
+// room. With no server at all a late answer is the best there can be, so then almost until the deadline.
 func (b *Balancer) delayedUntil(r *request) time.Duration {
 	last := r.deadline - 2*b.set.Tick
 	if len(b.ready) == 0 {
@@ -558,7 +558,7 @@
 		a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
 	} else {
 		a.srv.coming--
-		// How long its caller takes to send it is neither the server's doing nor the request's time.
+		// How long its client takes to send it is neither the server's doing nor the request's time.
 		r.arrived, r.deadline = r.arrived+b.now-a.sent, r.deadline+b.now-a.sent
 		a.sent = b.now
 	}
@@ -583,7 +583,7 @@
 
 // ---- The pick ----
 
-// pick is the design's rule: one server drawn from each group, the fewer own calls win, equal counts above zero go
+// pick is the design's rule: one server drawn from each group, the fewer own requests win, equal counts above zero go
 // left, and at zero the side is drawn by the groups' shares. Draws and shares go by weight, which is alike for all
 // while nothing tells the servers apart. An empty group leaves the draw to the other.
 func (b *Balancer) pick(left, right []*server) *server {
@@ -656,14 +656,14 @@
 
 // ---- Eligibility ----
 
-// idle says that no own call is at a server, or on its way there.
+// idle says that no own request is at a server, or on its way there.
 func (s *server) idle() bool { return s.inFlight+s.coming == 0 }
 
 // chooseFrom picks among those servers that a request may go to: in its scope, not tried by it, fit, warm enough and,
-// as long as that leaves any, with room and not crowded with own calls: uniform draws now and then meet the same few
-// servers twice, and a crowd of several nodes' calls there chokes it. Only where anySlowStarting is set may all of them
-// be cold, and may a first try go to an idle cold one whatever the thinning: a pool may be cold as a whole, and would
-// take a warm one's calls, while the rest is warm.
+// as long as that leaves any, with room and not crowded with own requests: uniform draws now and then meet the same few
+// servers twice, and a crowd of several nodes' requests there chokes it. Only where anySlowStarting is set may all of
+// them be cold, and may a first attempt go to an idle server in slow start whatever the thinning: a pool may be cold as
+// a whole, and would take a warm one's requests, while the rest is warm.
 func (b *Balancer) chooseFrom(g groups, r *request, anySlowStarting, shun bool) *server {
 	b.ruleOut(g, r, shun)
 	for step, limit := range []int{1 + b.inFlight/max(1, b.width), math.MaxInt, math.MaxInt} {
@@ -704,9 +704,9 @@
 	}
 }
 
-// narrow lists the servers of a group that pass, and the cold ones that would but for the thinning. Sparing, it passes
-// over one that refused one more call than it has now a while ago: its queue or its connections, which other copies
-// hold idle, are full, and refusals come at once and drain its count. It is not ill: the cap on those does not apply.
+// narrow lists the servers of a group that pass, and those in slow start that would but for the thinning. Sparing, it
+// passes over one that refused one more request than it has now lately: its queue or its connections, which other
+// copies hold idle, are full, and instant rejections drain its count. It is not ill: the cap on those does not apply.
 func (b *Balancer) narrow(group []*server, r *request, limit int, sparing bool) (warm, idle []*server) {
 	for _, s := range group {
 		switch {
@@ -763,7 +763,7 @@
 	return f.share * math.Exp(-float64(b.now-f.at)/(failFade*c.mean))
 }
 
-// silent says that an old call to the server is unanswered while a younger one was answered
+// silent says that an old request to the server is unanswered while a younger one was answered
 // elsewhere: a machine gone quiet, hung or pausing shows nothing else until time-outs end.
 func (b *Balancer) silent(s *server) bool {
 	if len(s.open) == 0 {
@@ -877,9 +877,9 @@
 
 // ---- Admission ----
 
-// full says that the node has as many calls out as the tiers below answer in good time. Only the
-// first tier holds back: a call refused further down wastes what was done above it. A client's repeat,
-// whose aim is mostly over, must leave half of the room to first tries, or repeats feed a jam.
+// full says that the node has as many requests out as the tiers below answer in good time. Only the
+// first tier holds back: a request refused further down wastes what was done above it. A client's repeat,
+// whose objective is mostly over, must leave half of the room to first attempts, or repeats feed a jam.
 func (b *Balancer) full(r *request) bool {
 	requests := float64(b.inFlight)
 	if r.retry {
@@ -889,8 +889,8 @@
 }
 
 // windowShare is the part of the window that a request may fill, by its value against the others': the more is shed,
-// the more room is kept for what is worth most, for at a node of few calls seldom two wait at once. None starves: no
-// class loses more than half of the window.
+// the more room is kept for what is of most priority weight, for at a node of few requests seldom two wait at once.
+// None starves: no class loses more than half of the window.
 func (b *Balancer) windowShare(r *request) float64 {
 	var sum, n float64
 	for _, c := range b.order {
@@ -905,19 +905,19 @@
 	return float64(len(b.ready)) / float64(max(1, b.set.Balancers))
 }
 
-// target is the latency that admission steers to, a little under half way in ratio between a class's latency when
-// there is room and its aim: work that fills much of the aim by itself is no crowd, and work that fills little waits
-// in queues that choke servers well before its aim is near. The more is shed, the leaner, but an empty server always
-// meets it, or the shedding would keep itself up.
+// target is the latency that admission steers to, a little under half way in ratio between a class's latency when there
+// is room and its objective: work that fills much of the objective by itself is no crowd, and work that fills little
+// waits in queues that choke servers well before its objective is near. The more is shed, the leaner, but an empty
+// server always meets it, or the shedding would keep itself up.
 func (c *class) target(shed float64) float64 {
 	lean := (1 - leanness*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
 	return min(float64(c.LatencyObjective), max(targetLeast*c.base, lean))
 }
 
 // steer moves the window so that latencies stay at their target: crowded servers choke and stay slow, so the crowd must
-// wait or be refused here. It grows up to a multiple of the calls out: growing only while nearly full, it would sink by
-// chance at a node whose few calls seldom fill it. Each node's window swings, the more the faster it moves; where many
-// admit, their swings cancel out by the root of their number, and so they may move faster by that.
+// wait or be refused here. It grows up to a multiple of the requests out: growing only while nearly full, it would sink
+// by chance at a node whose few requests seldom fill it. Each node's window swings, the more the faster it moves; where
+// many admit, their swings cancel out by the root of their number, and so they may move faster by that.
 func (b *Balancer) steer(r *request, e Outcome) {
 	over := float64(b.now-r.attempts[e.Attempt].sent) / r.class.target(b.shed)
 	// An error that took as long as a slow answer is mostly a time-out of the tier below.
@@ -929,7 +929,7 @@
 	if e.Result != Success {
 		over = max(over, 2)
 	}
-	// A small window moves by up to one call a round of answers, or a node of many would take a day to open it.
+	// A small window moves by up to one request a round of answers, or a node of many would take a day to open it.
 	gain := min(1, windowGain*math.Sqrt(float64(b.set.Balancers)))
 	step := max(gain, 1/b.window) * (1 - min(over, 2))
 	if step < 0 || b.window < windowSlack*(b.busy+1) {
@@ -939,7 +939,7 @@
 }
 
 // value is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
+// hits what is of least priority weight; the class served worst counts extra, so none starves.
 func (b *Balancer) value(r *request) float64 {
 	c := r.class
 	var total float64
@@ -954,7 +954,7 @@
 	if worst == c {
 		v += b.set.ClassWeight / max(c.arrive, 1e-9)
 	}
-	if r.retry { // its aim runs from the client's first try and is mostly over
+	if r.retry { // its objective runs from the client's first attempt and is mostly over
 		v *= c.LateShare
 	}
 	return v / c.mean
@@ -975,7 +975,7 @@
 		b.shed += memory / 4 * (1 - b.shed)
 	}
 	if harmless {
-		// A client sent away for long comes back when its aim is mostly over, and its late answer
+		// A client sent away for long comes back when its objective is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
 		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
 	} else {
@@ -984,7 +984,7 @@
 	b.close(r)
 }
 
-// close ends a request and calls off what is still out for it.
+// close ends a request and requests off what is still out for it.
 func (b *Balancer) close(r *request) {
 	if r == nil || r.answered {
 		return
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -128,7 +128,7 @@
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
-// returns how many first tries each server got in the second half.
+// returns how many first attempts each server got in the second half.
 func traffic(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -168,7 +168,7 @@
 	}
 }
 
-// When every server fails alike the trouble is below them: nobody may be starved of calls.
+// When every server fails alike the trouble is below them: nobody may be starved of requests.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
@@ -213,7 +213,7 @@
 	}
 }
 
-// Below the first tier a server that holds several of our calls is passed over while others idle.
+// Below the first tier a server that holds several of our requests is passed over while others idle.
 func TestOverloadedServerIsSkipped(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
@@ -234,7 +234,7 @@
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		c := b.classes["get"] // known to answer in 40 ms when there is room
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-		b.window = 15 // less than its growth may reach with the ten calls that are out here
+		b.window = 15 // less than its growth may reach with the ten requests that are out here
 		start, now := b.window, time.Duration(0)
 		var open []Send
 		for i := range 3000 {
@@ -260,11 +260,11 @@
 		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
 		"Classes[1].Window": func(s *Settings) { s.Classes[1].Window = -1 },
 		"Classes[2].Name":   func(s *Settings) { s.Classes[2].Name = "get" },
-		"Worth":             func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) },
-		"WholeWeight":       func(s *Settings) { s.TotalWeight = math.NaN() },
+		"PriorityWeight":    func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) },
+		"TotalWeight":       func(s *Settings) { s.TotalWeight = math.NaN() },
 		"Index":             func(s *Settings) { s.Index = -1 },
-		"ColdFrom":          func(s *Settings) { s.SlowStartMinimum = 1.5 },
-		"WarmAfter":         func(s *Settings) { s.SlowStartWindow = -1 },
+		"SlowStartMinimum":  func(s *Settings) { s.SlowStartMinimum = 1.5 },
+		"SlowStartWindow":   func(s *Settings) { s.SlowStartWindow = -1 },
 		"LateShare":         func(s *Settings) { s.Classes[0].LateShare = 2 },
 	} {
 		s := testSettings()
@@ -275,7 +275,7 @@
 	}
 }
 
-// A marked repeat is mostly past its aim already: while there is little room, first tries go first.
+// A marked repeat is mostly past its objective already: while there is little room, first attempts go first.
 func TestFirstAttemptsPrecedeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
@@ -300,7 +300,7 @@
 	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
-	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
+	// The repeat's objective of 500 ms ended 100 ms before it came: without a server it is still held.
 	r := b.requests["again"]
 	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
@@ -333,7 +333,7 @@
 }
 
 // Connection tables filled by other copies refuse at once: a server that refused gets no more own
-// calls than it had, however many others refuse too, and is tried again later.
+// requests than it had, however many others refuse too, and is tried again later.
 func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
@@ -411,7 +411,7 @@
 	}
 }
 
-// The tier below lets a call time out a little before this one would: its error, late as it is, tells of the crowd.
+// The tier below lets a request time out a little before this one would: its error, late as it is, tells of the crowd.
 func TestLateErrorsShrinkTheWindow(t *testing.T) {
 	if w := steered(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.LatencyObjective) }); w >= 60 {
 		t.Errorf("fifty errors just before the aim moved the window from 100 to %.1f", w)
@@ -434,7 +434,7 @@
 	}
 }
 
-// A refused client is not sent away for long: it would come back when its aim is mostly over.
+// A refused client is not sent away for long: it would come back when its objective is mostly over.
 func TestRejectionsCarryShortRetryAfter(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
@@ -514,7 +514,7 @@
 	}
 }
 
-// With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
+// With hundreds of nodes a share of the servers is one request or less: a window that starts or stays
 // there refuses requests that the fleet could carry, so it must open within seconds of good answers.
 func TestWindowOpensInLargeFleet(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers = 300 })
@@ -586,7 +586,7 @@
 }
 
 // After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
-// rest of the list is warm: many such nodes would push the cold servers over.
+// rest of the list is warm: many such nodes would push the servers in slow start over.
 func TestSlowStartSubsetKeepsThinning(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
 	list := servers(40)
@@ -624,7 +624,7 @@
 	}
 }
 
-// In overload what is worth least is refused first, also where too few wait for the hold to choose;
+// In overload what is of least priority weight is refused first, also where too few wait for the hold to choose;
 // with nothing shed every class may fill the window, and no class loses more than half of it.
 func TestWindowReservesCapacityByPriorityWeight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.ClassWeight = 1, 12, 0 })
@@ -656,7 +656,7 @@
 	}
 }
 
-// A call is cut short only where calls hang, where it may run again, and where another has time and budget.
+// A request is cut short only where requests hang, where it may run again, and where another has time and budget.
 func TestAttemptTimeoutIsShortenedOnlyIfRetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -497,10 +497,10 @@
 const fallMultiple, fallFor = 3.0, 2 * time.Second // the budget of testSettings' site
 
 // slowStartLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
-// on. It tells how many calls the fresh one got, and the most that came in any fallFor against the
+// on. It tells how many requests the fresh one got, and the most that came in any fallFor against the
 // budget of fallMultiple times what it can do then.
 func slowStartLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
-	const capacity = 50.0 // a warm server's calls a second
+	const capacity = 50.0 // a warm server's requests a second
 	rng := rand.New(rand.NewPCG(3, 3))
 	var slowStarting []time.Duration
 	for i := range int(0.75 * 6 * capacity * 12) {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	coldPerCall = 12 // servers over which cold ones are drawn for each own call in flight
+	coldPerCall = 12 // servers over which those in slow start are drawn for each own request in flight
 	coldDraws   = 16 // draws at most until one is taken
 )
 
@@ -22,8 +22,8 @@
 	return b.set.SlowStartMinimum + (1-b.set.SlowStartMinimum)*grown
 }
 
-// mayTakeUpload thins the draw of a cold server to its share of a warm one's, and keeps it to one
-// own call at a time: many nodes that each send a little would push it over together.
+// mayTakeUpload thins the draw of a server in slow start to its share of a warm one's, and keeps it to one
+// own request at a time: many nodes that each send a little would push it over together.
 func (b *Balancer) mayTakeUpload(s *server) bool {
 	w := b.slowStartShare(s)
 	return w == 1 || (s.idle() && b.rng.Float64() < w)
@@ -37,12 +37,13 @@
 	return size
 }
 
-// spreadCold takes another server in place of a cold one that was picked from the pool: a cold one too, as its warmth
-// allows, or a warm one where no draw finds one. It draws over the runs of the shared order that begin with the pool,
-// which are the longer the more calls the node has in flight, up to the whole list. So a cold server gets few of each
-// node's calls, whoever shares a pool and however uneven their traffic, and a node of few calls opens connections to
-// few. How many calls go to cold servers at all stays the pool's choice: by the share of the whole list they would
-// leave too many to the warm servers of a pool with many cold ones.
+// spreadCold takes another server in place of a server in slow start that was picked from the pool: a server in slow
+// start too, as its warmth allows, or a warm one where no draw finds one. It draws over the runs of the shared order
+// that begin with the pool, which are the longer the more requests the node has in flight, up to the full list. So a
+// server in slow start gets few of each node's requests, whoever shares a pool and however uneven their traffic, and a
+// node of few requests opens connections to few. How many requests go to servers in slow start at all stays the pool's
+// choice: by the share of the full list they would leave too many to the warm servers of a pool with many those in slow
+// start.
 func (b *Balancer) spreadCold(r *request) *server {
 	copies := float64(max(1, b.set.Balancers))
 	times := min(copies, math.Ceil(max(float64(b.width), coldPerCall*b.busy)/max(b.serversPerNode(), 1e-9)))
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -38,7 +38,7 @@
 const (
 	slowStartServers  = 40
 	slowStartBegun    = 10
-	slowStartCapacity = 40.0 // calls a second of a warm server
+	slowStartCapacity = 40.0 // requests a second of a warm server
 	slowStartLatency  = 100 * time.Millisecond
 	slowStartLength   = 12 * time.Second
 	slowStartWindow   = 10 * time.Second
@@ -46,7 +46,7 @@
 	slowStartBegin    = 100 * time.Second
 )
 
-// play deals the load out. It returns when calls were sent to each of the servers that had started, and their starts.
+// play deals the load out. It returns when requests were sent to each of the servers that had started, and their starts.
 func (f slowStartFleet) play(t *testing.T) (sent map[string][]time.Duration, starts []time.Duration) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(uint64(f.nodes), 1))
@@ -107,7 +107,7 @@
 	return sent, starts
 }
 
-// worst is the greatest share that calls within a window had of what pushes a server over, and how many there were at all.
+// worst is the greatest share that requests within a window had of what pushes a server over, and how many there were at all.
 // pushes tells what does by what the server can do in that time.
 func worst(sent map[string][]time.Duration, starts []time.Duration, window time.Duration, pushes func(can float64) float64) (share float64, total int) {
 	for i := range slowStartBegun {
@@ -130,7 +130,7 @@
 	return share, total
 }
 
-// mostWarm is the most calls that a warm server had within a window.
+// mostWarm is the most requests that a warm server had within a window.
 func mostWarm(sent map[string][]time.Duration, window time.Duration) (most int) {
 	for i, s := range servers(slowStartServers) {
 		if i%3 == 0 && i < 3*slowStartBegun {
@@ -147,10 +147,10 @@
 	return most
 }
 
-// A cold server falls when it gets more than N + 2 root of N + 2 calls in the time that the settings name, N being what the
+// A server in slow start falls when it gets more than N + 2 root of N + 2 requests in the time that the settings name, N being what the
 // settings allow it then, three times what it can do; the sum over all nodes counts. Whatever the number of nodes that deal
-// out the same load, however uneven their parts, in a burst and for servers that come back cold, no cold server gets nine
-// tenths of as many, though each node goes by its own few calls. Steadily none gets N + 3 root of N + 3 for an N of what it
+// out the same load, however uneven their parts, in a burst and for servers that come back cold, no server in slow start gets nine
+// tenths of as many, though each node goes by its own few requests. Steadily none gets N + 3 root of N + 3 for an N of what it
 // can do, at one node and at many. The number of nodes comes from the settings, and may be wrong by two; those that have
 // half of the load may all share a pool.
 func TestFleetDoesNotOverloadServerInSlowStart(t *testing.T) {
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -11,16 +11,16 @@
 
 const (
 	poolLeast   = 3    // servers that any node draws from, so that a few may be lost
-	poolPerOpen = 1.5  // servers drawn from for each own call in flight
+	poolPerOpen = 1.5  // servers drawn from for each own request in flight
 	poolOverlap = 2    // nodes that draw from the same server at least
 	loadDecay   = 5    // mean latencies in which a server's word falls to a third of its weight
 	loadWeight  = 16   // power of e by which a server is drawn less for each mean load that it holds more than others
-	pollTimeout = 0.25 // mean latencies that a call waits for what servers say
+	pollTimeout = 0.25 // mean latencies that a request waits for what servers say
 )
 
-// fitPool cuts the node's pool from each group: a run of the shared order. Over the whole list a node of many meets
+// fitPool cuts the node's pool from each group: a run of the shared order. Over the full list a node of many meets
 // each server too seldom to tell the slow and the silent, and connections grow with nodes times servers. The nodes'
-// runs lie end to end round the group, a whole number of times in all, as lengths and not as counts: a server at the
+// runs lie end to end round the group, a complete number of times in all, as lengths and not as counts: a server at the
 // end of a run belongs to it in part. So all together have the same part in each server, whatever their numbers. In the
 // right group the nodes follow one another in another order, so that those that share servers on the left do not on the
 // right: no few nodes make a crowd of their own. A busy node takes a wider pool: its counts tell more, and its traffic
@@ -64,7 +64,7 @@
 	return m
 }
 
-// takeLoadUpdate takes what is known from elsewhere than from own calls.
+// takeLoadUpdate takes what is known from elsewhere than from own requests.
 func (b *Balancer) takeLoadUpdate(e LoadUpdate) {
 	for _, l := range e.Loads {
 		if s := b.servers[l.Server]; s != nil {
@@ -87,7 +87,7 @@
 }
 
 // capacity is by how much more or less a server is drawn for what it holds against others: the less, the older the word
-// of it is. A cold one fills up sooner.
+// of it is. A server in slow start fills up sooner.
 func (b *Balancer) capacity(s *server) float64 {
 	if s.reportedAt == 0 {
 		return 1
@@ -97,7 +97,7 @@
 }
 
 // poll has some servers of the pool say how much they hold, and the request wait for it: a word of even a moment ago is
-// much less worth, for the other nodes' calls have come since.
+// much less worth, for the other nodes' requests have come since.
 func (b *Balancer) poll(r *request) bool {
 	if b.set.PollChoices < 2 || len(r.attempts) > 0 || r.polled != nil {
 		return false
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -102,7 +102,7 @@
 	return b
 }
 
-// sendsTo asks a node to place safe calls one after another, each answered before the next, and counts by server.
+// sendsTo asks a node to place safe requests one after another, each answered before the next, and counts by server.
 func sendsTo(t *testing.T, b *Balancer, at time.Duration, n int) map[string]int {
 	t.Helper()
 	sent := map[string]int{}
@@ -141,7 +141,7 @@
 	}
 }
 
-// A call waits until those that were asked have said what they hold, and goes to the one that holds least.
+// A request waits until those that were asked have said what they hold, and goes to the one that holds least.
 func TestRequestGoesToLeastLoadedPolledServer(t *testing.T) {
 	b := told(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
 	at := 10 * time.Second
@@ -177,7 +177,7 @@
 	}
 }
 
-// Where some say nothing, the call waits for a part of the time that an answer takes and goes to one of those that have;
+// Where some say nothing, the request waits for a part of the time that an answer takes and goes to one of those that have;
 // where nobody does, it goes by what is known.
 func TestRequestDoesNotWaitForSilentServer(t *testing.T) {
 	for _, answers := range []int{1, 0} {
@@ -204,7 +204,7 @@
 	}
 }
 
-// A caller that leaves while servers are asked has nothing sent for it.
+// A client that leaves while servers are asked has nothing sent for it.
 func TestNothingIsSentForClientDisconnectedWhilePolling(t *testing.T) {
 	b := told(t, 2, 0, 0, 0, 0)
 	at := 10 * time.Second
@@ -258,7 +258,7 @@
 	}
 }
 
-// After a release all nodes are new at once and know nothing: the first calls of three hundred go to sixty servers as
+// After a release all nodes are new at once and know nothing: the first requests of three hundred go to sixty servers as
 // evenly as chance has it, and to no few that come first in the order.
 func TestNewNodesDoNotStartAtOneServer(t *testing.T) {
 	const nodes, n = 300, 60
@@ -299,7 +299,7 @@
 		if most > 15 || met < n*9/10 {
 			t.Errorf("first calls met %d servers, %d of them one", met, most)
 		}
-		// Who looks idle to all gets the first call of those whose pool it lies in, and of nobody else.
+		// Who looks idle to all gets the first request of those whose pool it lies in, and of nobody else.
 		if in := 0; reported {
 			sum, _ := parts(t, nodes, n)
 			in = int(sum["s0007"]) + 3
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Callers that leave their uploads cost no server its good name, and leave nothing behind.
+// Clients that leave their uploads cost no server its good name, and leave nothing behind.
 func TestAbandonedUploadsBlameNoServer(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -131,8 +131,8 @@
 	}
 }
 
-// Cold servers get one own call at a time, also of those whose bodies still come: slow uploads to several would end
-// together. Once it has ended, or its caller has left, the next may go there.
+// Cold servers get one own request at a time, also of those whose bodies still come: slow uploads to several would end
+// together. Once it has ended, or its client has left, the next may go there.
 func TestUploadsDoNotOverloadServerInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	now := time.Hour
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -1,4 +1,4 @@
-// What own calls tell of a zone's servers together. Everything else is in policy.go.
+// What own requests tell of a zone's servers together. Everything else is in policy.go.
 
 package balancer
 
@@ -14,20 +14,20 @@
 const (
 	suspectAfter    = 3.0 // evidence at which it gets nothing new for the time being
 	hushAfter       = 7.0 // and at which it is held for cut off
-	brokenOwes      = 1.0 // evidence of a connection that broke under a call
+	brokenOwes      = 1.0 // evidence of a connection that broke under a request
 	unreachableOwes = 0.5 // and of one that did not come up
 )
 
-// zone is what is known of the servers of one zone together. A cut, or a zone's loss, says nothing to those outside:
-// a node of few calls would learn of a hundred silent servers one by one, and lose a call to each. That several are
+// zone is what is known of the servers of one zone together. A cut, or a zone's loss, says nothing to those outside: a
+// node of few requests would learn of a hundred silent servers one by one, and lose a request to each. That several are
 // silent at once while other zones answer tells of all of them, until one of them answers.
 type zone struct {
 	name       string
 	answeredAt time.Duration // when one of its servers last answered
-	open       []*attempt    // own calls at its servers, in the order of sending
+	open       []*attempt    // own requests at its servers, in the order of sending
 	owed       float64       // evidence since then that none comes any more
 	hushed     time.Duration // since when it is held for cut off; 0: it is not
-	probe      *attempt      // the one call that tries whether it still is
+	probe      *attempt      // the one request that tries whether it still is
 	next       time.Duration // no trial before
 }
 
@@ -49,7 +49,7 @@
 	})
 }
 
-// waiting is how many of a zone's servers have had a call of ours for longer than half a mean latency, and are late
+// waiting is how many of a zone's servers have had a request of ours for longer than half a mean latency, and are late
 // only since the zone was last heard of: a server that hung before tells nothing of the others.
 func (b *Balancer) waiting(z *zone) (n float64) {
 	for _, a := range z.open {
@@ -84,7 +84,7 @@
 	}
 }
 
-// hush holds a zone for cut off, and has those of its calls that may run again run elsewhere, as long as an answer
+// hush holds a zone for cut off, and has those of its requests that may run again run elsewhere, as long as an answer
 // would come in time.
 func (b *Balancer) hush(z *zone) {
 	z.hushed = b.now
@@ -131,14 +131,14 @@
 	return s.in.owed > suspectAfter && (s.Boot < s.in.answeredAt || s.in.answeredAt == 0)
 }
 
-// tryZone draws a server of a zone that is kept out, for one call at a time, seldom: a first try, so others may follow.
+// tryZone draws a server of an ejected zone, for one request at a time, seldom: a first attempt, so others may follow.
 func (b *Balancer) tryZone(r *request) *server {
 	if len(r.attempts) > 0 || b.set.MaxAttempts < 2 {
 		return nil
 	}
 	defer func() { b.trying = nil }()
 	for _, z := range b.zones {
-		waits := z.hushed == 0 && len(z.open) > 0 // for calls that may still be answered
+		waits := z.hushed == 0 && len(z.open) > 0 // for requests that may still be answered
 		if z.owed <= suspectAfter || z.probe != nil || waits || b.now < z.next {
 			continue
 		}
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// zoned is a fleet of servers in zones, and one node that calls them: each call of it is answered after a drawn
+// zoned is a fleet of servers in zones, and one node that calls them: each request of it is answered after a drawn
 // time, but for zones that say nothing.
 type zoned struct {
 	b      *Balancer
 	rng    *rand.Rand
 	now    time.Duration
 	took   time.Duration   // mean time of an answer
-	silent map[string]bool // zones: calls there end with their time, or as unreachable where a connection is new
+	silent map[string]bool // zones: requests there end with their time, or as unreachable where a connection is new
 	hung   map[string]bool // servers: the same of one
 	ends   []end
 	sent   map[string]int // to each zone, since it was cleared
@@ -93,7 +93,7 @@
 	}
 }
 
-// run has calls of a class come for a while, so many a second, and returns how many were served of them.
+// run has requests of a class come for a while, so many a second, and returns how many were served of them.
 func (z *zoned) run(class string, rate float64, d time.Duration) (offered, served int) {
 	over, was := z.now+d, z.served
 	for arrival := z.now; z.now < over; {
@@ -122,7 +122,7 @@
 	return offered, z.served - was
 }
 
-// Nodes of ten calls a second have a call out at one or two of a zone's forty servers when it is cut off. From a second
+// Nodes of ten requests a second have a request out at one or two of a zone's forty servers when it is cut off. From a second
 // and a half later on they send nothing there but a trial now and then, each on a connection of its own, so that it is
 // known at once not to have run; a second and a half after the cut has ended the zone has its share again.
 func TestUnreachableZoneGetsProbesOnly(t *testing.T) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Calls that may run again are taken back from a zone that is cut off and run elsewhere in time.
+// Requests that may run again are taken back from a zone that is cut off and run elsewhere in time.
 func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
 	rescued := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
@@ -254,7 +254,7 @@
 	}
 }
 
-// Over a fleet of any size the nodes that see only a few calls each send a zone that is cut off, all together and
+// Over a fleet of any size the nodes that see only a few requests each send a zone that is cut off, all together and
 // after two seconds, less than a tenth of what they sent it before, and the servers of the others no more than
 // their share of that in turn.
 func TestFleetOfAnySizeLeavesUnreachableZone(t *testing.T) {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget has the rules of a common budget of calls (internal/quota keeps one): what its terms allow, who may be its
-// keeper, whose turn it is, and for how long a floor is lent. They are plain functions with no clock of their own;
+// Package budget has the rules of a common budget of requests (internal/quota keeps one): what its terms allow, who may be its
+// quota leader, whose turn it is, and for how long a floor is lent. They are plain functions with no clock of their own;
 // docs/design/quota.md has them as tables, and a test plays each row.
 package budget
 
@@ -16,7 +16,7 @@
 func Longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + Drift)) }
 func Shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - Drift)) }
 
-// Cut says what a gateway does that reaches no keeper.
+// Cut says what a gateway does that reaches no quota leader.
 type Cut string
 
 // Cuts.
@@ -29,7 +29,7 @@
 // Partner is a partner's part in a budget.
 type Partner struct {
 	Name     string
-	Floor    float64 // calls a second that are its own
+	Floor    float64 // requests a second that are its own
 	Weight   float64 // of its claim on what is beyond floors
 	Gateways int     // that draw for it
 }
@@ -37,23 +37,23 @@
 // Terms are those of a budget.
 type Terms struct {
 	Name     string
-	Rate     float64 // calls a second
-	Burst    float64 // calls that may come at once
+	Rate     float64 // requests a second
+	Burst    float64 // requests that may come at once
 	Over     float64 // share of what is allowed in a window that may be drawn beyond it
 	Lease    time.Duration
-	Term     time.Duration // of a keeper
-	Wait     time.Duration // that a call may wait for a token
+	Term     time.Duration // of a quota leader
+	Wait     time.Duration // that a request may wait for a token
 	WhenCut  Cut
 	Partners []Partner
 }
 
-// Depth is how many tokens the keeper's bucket holds. Tokens that are out may be used together with what the bucket holds,
+// Depth is how many tokens the quota leader's bucket holds. Tokens that are out may be used together with what the bucket holds,
 // and so may each gateway's one of its own floor: the burst has to be enough for all of it.
 func (t Terms) Depth() float64 {
 	return max(1, t.Burst-t.Rate*Longer(t.Lease).Seconds()-t.own())
 }
 
-// own is how many calls gateways may draw at once of floors, when they are cut off.
+// own is how many requests gateways may draw at once of floors, when they are cut off.
 func (t Terms) own() (n float64) {
 	if t.WhenCut != Floor {
 		return 0
@@ -77,8 +77,8 @@
 // Allowed is what the budget allows in a window.
 func (t Terms) Allowed(window time.Duration) float64 { return t.Rate*window.Seconds() + t.Burst }
 
-// Bound is how many calls draw in a window at most: what the bucket held and what came into it from Lease before the window
-// on, for tokens of then may still be used in it, and a call of its own floor for each gateway that may be cut off.
+// Bound is how many requests draw in a window at most: what the bucket held and what came into it from Lease before the window
+// on, for tokens of then may still be used in it, and a request of its own floor for each gateway that may be cut off.
 func (t Terms) Bound(window time.Duration) float64 {
 	if t.WhenCut == Open {
 		return math.Inf(1)
@@ -129,14 +129,14 @@
 	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(Waiver))
 }
 
-// Vote is what one that could be keeper has promised.
+// Vote is what one that could be quota leader has promised.
 type Vote struct {
 	Term   uint64
 	Leader string
 	Until  time.Duration // by its own clock: before that it promises nobody else anything
 }
 
-// MayVote says whether a voter that began at a time promises a term to one who asks, and what its vote is then.
+// MayVote says whether a replica that began at a time promises a term to one who asks, and what its vote is then.
 func MayVote(v Vote, began, now time.Duration, term time.Duration, number uint64, who string) (Vote, bool) {
 	switch {
 	case now-began < Longer(term):
@@ -183,8 +183,8 @@
 // Waiver is how long a floor is lent that its gateway does not need.
 const Waiver = time.Second
 
-// Lent says until when a keeper may lend a floor whose gateway waived it in an answer to a message of the keeper's of a
-// time, and until when, by its own clock, the gateway draws nothing of it then. The keeper's message came before the answer
+// Lent says until when a quota leader may lend a floor whose gateway waived it in an answer to a message of the quota leader's of a
+// time, and until when, by its own clock, the gateway draws nothing of it then. The quota leader's message came before the answer
 // went out, so that the first is over before the second.
 func Lent(asked, answered time.Duration) (leader, gateway time.Duration) {
 	return asked + Waiver, answered + Longer(Waiver)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -109,8 +109,8 @@
 }
 
 // Whatever clocks show and however late messages come, as long as clocks' rates differ by the drift at most, two terms never
-// overlap, and a voter that is started anew makes no two of them. What happens is drawn first and then played in the order of
-// real time: a voter hears questions in the order in which they reach it, which is not the one in which they were asked.
+// overlap, and a replica that is started anew makes no two of them. What happens is drawn first and then played in the order of
+// real time: a replica hears questions in the order in which they reach it, which is not the one in which they were asked.
 func TestNeverTwoLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const term = time.Second
@@ -208,7 +208,7 @@
 	}
 }
 
-// A floor that is lent is drawn by nobody else, however late the waiver comes to the keeper, or whether it does.
+// A floor that is lent is drawn by nobody else, however late the waiver comes to the quota leader, or whether it does.
 func TestLentFloorIsDrawnOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*Drift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*Drift
--- a/internal/clock/offset_rig.go
+++ b/internal/clock/offset_rig.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// offset is by how much the clock is off, as DAMSONTRESTLE_CLOCK_OFF says. Only a build for the rig reads it.
+// offset is by how much the clock is off, as DAMSONTRESTLE_CLOCK_OFF says. Only a build for the fault bench reads it.
 func offset() time.Duration {
 	text := os.Getenv("DAMSONTRESTLE_CLOCK_OFF")
 	if text == "" {
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -15,7 +15,7 @@
 var wallReads = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
 	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
 
-// readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
+// readsWall says that a request may make or take a time without its monotonic part: by its name, as the types are not known here.
 func readsWall(request *ast.CallExpr) bool {
 	method, ok := request.Fun.(*ast.SelectorExpr)
 	if !ok || !wallReads[method.Sel.Name] {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -34,10 +34,10 @@
 )
 
 // Reserved descriptors are for the log, the runtime, the admin socket and its clients, a snapshot being
-// written, and callers whose requests are read only to be refused.
+// written, and clients whose requests are read only to be refused.
 const Reserved = 48
 
-// managementDescriptors are for the operators' door, beside those of the reserved ones that it may use.
+// managementDescriptors are for the management endpoint, beside those of the reserved ones that it may use.
 const managementDescriptors = 8
 
 // Check tells all that is wrong with a configuration that was read from our own file or that a plan holds.
@@ -432,11 +432,11 @@
 
 // Needs are what a configuration asks of the process.
 type Needs struct {
-	Descriptors int  `json:"descriptors"` // with every pool's connections open, and as many callers
+	Descriptors int  `json:"descriptors"` // with every pool's connections open, and as many clients
 	Memory      Size `json:"memory"`      // likewise, as estimated
 }
 
-// Needs adds up what the configuration may take. Callers may have as many descriptors as servers, and more
+// Needs adds up what the configuration may take. Clients may have as many descriptors as servers, and more
 // while servers need less.
 func (c *Config) Needs() Needs {
 	most, servers := 0, 0
@@ -453,7 +453,7 @@
 	return Needs{Descriptors: own + 2*most, Memory: Size(memory)}
 }
 
-// OwnDescriptors are those that neither callers nor servers have: the reserved ones, which serve for one
+// OwnDescriptors are those that neither clients nor servers have: the reserved ones, which serve for one
 // listener and one registry's watch, and what further ones need.
 func (c *Config) OwnDescriptors() int {
 	registries := 0
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -18,16 +18,16 @@
 // Federation makes a node a gateway of a partner: it has links to others of its group and to partners' gateways.
 type Federation struct {
 	Partner  string   `json:"partner"`            // what this partner is called among all
-	Listener string   `json:"listener,omitempty"` // name of the one by which partners' calls come in; empty: none come
+	Listener string   `json:"listener,omitempty"` // name of the one by which partners' requests come in; empty: none come
 	Requests string   `json:"calls,omitempty"`    // address at which partners reach it; empty: the listener's own
-	Holders  int      `json:"holders"`            // of a call in custody
-	Memory   Size     `json:"memory"`             // for calls that are held for others
+	Holders  int      `json:"holders"`            // of a request replicated
+	Memory   Size     `json:"memory"`             // for requests that are held for others
 	Keep     Duration `json:"keep"`               // that answers are kept after they were settled
 	Stale    Duration `json:"stale"`              // that the offers of a partner are used whose links have all ended
-	Silence  Duration `json:"silence"`            // without a sign of life, after which a link ends
+	Silence  Duration `json:"silence"`            // without a sign that it is alive, after which a link ends
 }
 
-// Replication says what becomes of calls of a class that has it when too few holders are to be reached.
+// Replication says what becomes of requests of a class that has it when too few holders are to be reached.
 type Replication struct {
 	WhenAlone Alone `json:"when_alone"`
 }
@@ -53,7 +53,7 @@
 	MaxRoutes   int      `json:"most_offers"`
 	PassOnTo    []string `json:"pass_on_to,omitempty"` // partners that its offers are passed on to
 	Cost        int      `json:"cost,omitempty"`       // that is added to those
-	Connections int      `json:"connections"`          // for calls, at most
+	Connections int      `json:"connections"`          // for requests, at most
 }
 
 // Export is something that this partner serves and lets others have.
@@ -64,19 +64,19 @@
 	All      bool     `json:"all,omitempty"` // any partner may have it; else
 	To       []string `json:"to,omitempty"`  // these
 	Transit  bool     `json:"transit,omitempty"`
-	MaxHops  int      `json:"hands"` // partners that a call may come through
+	MaxHops  int      `json:"hands"` // partners that a request may come through
 	Effects  []Effect `json:"effects"`
 	Tenants  []string `json:"tenants,omitempty"`
 	Excluded []string `json:"excluded,omitempty"`
 	Until    string   `json:"until,omitempty"` // RFC 3339; empty: for good
 	Cost     int      `json:"cost,omitempty"`
-	Capacity int      `json:"room,omitempty"` // calls at once that one neighbour may have; 0: not said
+	Capacity int      `json:"room,omitempty"` // requests at once that one neighbour may have; 0: not said
 }
 
-// Quota is a budget of calls that all partners draw from.
+// Quota is a budget of requests that all partners draw from.
 type Quota struct {
 	Name       string           `json:"name"`
-	Rate       float64          `json:"rate"` // calls a second
+	Rate       float64          `json:"rate"` // requests a second
 	Burst      float64          `json:"burst"`
 	Over       float64          `json:"over"`
 	Lease      Duration         `json:"lease"`
@@ -138,13 +138,13 @@
 		pool := defaultPool(PartnerPool(p.Name))
 		pool.Tier = 1 // who admits is the one who serves
 		pool.Connections.Most = p.Connections
-		pool.Connections.Idle = Duration(4 * time.Second) // a gateway lets go of callers that ask no more
+		pool.Connections.Idle = Duration(4 * time.Second) // a gateway lets go of clients that ask no more
 		out = append(out, pool)
 	}
 	return out
 }
 
-// LeavesFrom is the IP address that connections of a pool go out from; nil: any. Calls to partners go out from where links come
+// LeavesFrom is the IP address that connections of a pool go out from; nil: any. Requests to partners go out from where links come
 // in.
 func (c *Config) LeavesFrom(p Pool) net.IP {
 	if _, partners := PartnerOf(p.Name); c.Federation == nil || !partners {
@@ -499,7 +499,7 @@
 func word0(c budget.Cut) bool { return c != budget.Floor && c != budget.Closed && c != budget.Open }
 
 // links are how many a gateway may hold, with the descriptors for them: to its group, to partners' gateways, as many from
-// there, and to keepers.
+// there, and to quota candidates.
 func (c *Config) links() int {
 	if c.Federation == nil {
 		return 0
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -38,7 +38,7 @@
 	Zone        string `json:"zone,omitempty"`
 	StateFolder string `json:"state_folder,omitempty"` // empty: nothing outlives the process
 	AdminSocket string `json:"admin_socket,omitempty"` // path of a Unix socket; empty: none
-	Management  string `json:"management,omitempty"`   // address of the operators' door; empty: none
+	Management  string `json:"management,omitempty"`   // address of the management endpoint; empty: none
 	Limits      Limits `json:"limits"`
 	Peers       Peers  `json:"peers,omitzero"` // zero: the node knows of no other
 }
@@ -63,20 +63,20 @@
 	Cores       int  `json:"cores"`       // threads that run Go code at once
 }
 
-// Class is a class of calls.
+// Class is a class of requests.
 type Class struct {
 	Name             string       `json:"name"`
 	Effect           Effect       `json:"effect"`
 	KeyScope         Scope        `json:"key_scope,omitempty"`  // for keyed
 	Window           Duration     `json:"window,omitempty"`     // for keyed: how long servers discard repeats
-	LatencyObjective Duration     `json:"aim"`                  // answers within it earn full worth
-	Deadline         Duration     `json:"deadline"`             // how long a caller waits over all its tries
-	LateShare        float64      `json:"late_share,omitempty"` // share of the worth that a later answer earns
+	LatencyObjective Duration     `json:"aim"`                  // answers within it earn full priority weight
+	Deadline         Duration     `json:"deadline"`             // how long a client waits over all its tries
+	LateShare        float64      `json:"late_share,omitempty"` // share of the priority weight that a later answer earns
 	PriorityWeight   float64      `json:"worth"`
-	Replication      *Replication `json:"custody,omitempty"` // another gateway takes its calls over; nil: none does
+	Replication      *Replication `json:"custody,omitempty"` // another gateway takes its requests over; nil: none does
 }
 
-// Listener is an address where callers connect.
+// Listener is an address where clients connect.
 type Listener struct {
 	Name     string   `json:"name"`
 	Address  string   `json:"address"`
@@ -88,11 +88,11 @@
 type Pool struct {
 	Name        string      `json:"name"`
 	Protocol    Protocol    `json:"protocol"`
-	Tier        int         `json:"tier"`                  // 0: callers come from outside
-	Attempts    int         `json:"attempts"`              // of one call, the first among them
+	Tier        int         `json:"tier"`                  // 0: clients come from outside
+	Attempts    int         `json:"attempts"`              // of one request, the first among them
 	Cancel      bool        `json:"cancel"`                // what is not needed any more is called off
 	Tick        Duration    `json:"tick"`                  // what the module takes for no time at all
-	RetryAfter  Duration    `json:"retry_after,omitempty"` // the longest advice to callers; 0: none is given
+	RetryAfter  Duration    `json:"retry_after,omitempty"` // the longest advice to clients; 0: none is given
 	Copies      Copies      `json:"copies"`
 	Shedding    Shedding    `json:"shedding"`
 	Connections Connections `json:"connections"`
@@ -110,7 +110,7 @@
 
 // Shedding weighs what is shed first when not all can be served.
 type Shedding struct {
-	Total      float64 `json:"whole"`       // the worth of all answers
+	Total      float64 `json:"whole"`       // the priority weight of all answers
 	WorstClass float64 `json:"worst_class"` // the worst-served class
 }
 
@@ -129,8 +129,8 @@
 
 // LoadReports tells what answers say of their server's load: the names that figures have in X-Load.
 type LoadReports struct {
-	Busy     string `json:"busy"`               // calls that the server holds, in work and waiting
-	Poll     int    `json:"ask,omitempty"`      // servers that are asked before a call goes to one of them; 0: none
+	Busy     string `json:"busy"`               // requests that the server holds, in work and waiting
+	Poll     int    `json:"ask,omitempty"`      // servers that are asked before a request goes to one of them; 0: none
 	PollPath string `json:"ask_path,omitempty"` // where
 }
 
@@ -174,7 +174,7 @@
 	HTTP1   Protocol = "http1"
 	FastCGI Protocol = "fastcgi" // of listeners
 
-	StrictPaths    Paths = "strict"    // what servers could read in another way is turned away
+	StrictPaths    Paths = "strict"    // what servers could read in another way is rejected
 	NormalizePaths Paths = "normalize" // or made plain, where there is one plain form
 	PathsAsSent    Paths = "as_sent"   // sent on as they came; only the class must be the same to all
 
@@ -355,7 +355,7 @@
 	for _, class := range c.Classes {
 		m := class.ForModule()
 		if _, partners := PartnerOf(p.Name); partners && m.Effect == balancer.Keyed {
-			m.Effect = balancer.Unsafe // whose boxes drop repeats there nobody knows here: what became of a call is asked
+			m.Effect = balancer.Unsafe // whose servers drop repeats there nobody knows here: what became of a request is asked
 		}
 		s.Classes = append(s.Classes, m)
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -36,7 +36,7 @@
 		{`"settings":{`, `"other":{`, "settings"},
 		{`"conn-idle-ms":60000.0`, `"conn-idle-ms":0`, "conn-idle-ms"},
 		{`"connect-timeout-ms":250.0,`, ``, "connect-timeout-ms"},
-		{`"target-ms":500`, `"target-ms":-1`, "Aim"},
+		{`"target-ms":500`, `"target-ms":-1`, "LatencyObjective"},
 		{`"name":"n3"`, `"name":3`, "name"},
 		{`{"name":"n3"`, `"name":"n3"`, "config"},
 	} {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,7 +28,7 @@
 	Node     node.Options
 
 	StateFiles state.Files   // for tests: the file system that the state folder is on; nil: the machine's
-	mendAfter  time.Duration // for tests: before the first try to mend the state folder; 0: firstMend
+	mendAfter  time.Duration // for tests: before the first attempt to mend the state folder; 0: firstMend
 }
 
 // Daemon is a node with its state and its admin socket.
@@ -39,7 +39,7 @@
 	folder      *state.Folder // nil: nothing is kept
 	server      *admin.Server
 	booted      *config.Config // that the process began with: what takes a restart is as it says
-	name        string         // of this life of the process
+	name        string         // of this incarnation of the process
 	why         string         // which configuration the start found, and why that one
 	incarnation context.Context
 	end         context.CancelFunc
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -643,7 +643,7 @@
 }
 
 // For random pairs of configurations: plan and apply leave running exactly what the plan said, asked of the
-// node by calls too; to plan again says no change; rollback gives back the first.
+// node by requests too; to plan again says no change; rollback gives back the first.
 func TestApplyMatchesPlan(t *testing.T) {
 	world := configtest.World{}
 	names := map[string]string{}
@@ -693,7 +693,7 @@
 	t.Logf("%d pairs", checks)
 }
 
-// serves asks every listener for calls of every kind, and wants each served by a server of the pool that the
+// serves asks every listener for requests of every kind, and wants each served by a server of the pool that the
 // routes name.
 func serves(t *testing.T, rt *rapid.T, cfg *config.Config, names map[string]string) {
 	t.Helper()
@@ -707,7 +707,7 @@
 	for _, l := range cfg.Listeners {
 		for _, host := range []string{"a.example", "c.example", "other"} {
 			want := map[string]bool{}
-			for i := range 50 { // a call's own draw is its id: any pool that the route leads to will do
+			for i := range 50 { // a request's own draw is its id: any pool that the route leads to will do
 				to, _ := table.Choose(&route.Request{Listener: l.Name, Class: "view", Host: host, Path: "/view/k", Headers: http.Header{}, Draw: fmt.Sprint(i)})
 				p, _ := cfg.Pool(to.Pool)
 				for _, s := range p.Servers {
@@ -722,7 +722,7 @@
 }
 
 // Under a load of views and notes, plans are applied that add, change and remove listeners, pools and routes,
-// and some are rolled back: every call is answered once, no note runs twice, none is lost.
+// and some are rolled back: every request is answered once, no note runs twice, none is lost.
 func TestPlansUnderLoad(t *testing.T) {
 	plans := 200
 	if testing.Short() {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -24,22 +24,22 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// sickDisk is a file system whose calls fail as they are asked to.
+// sickDisk is a file system whose requests fail as they are asked to.
 type sickDisk struct {
 	mu    sync.Mutex
 	fails func(n int, request string) error // nil: all is well
-	n     int                               // calls since then
+	n     int                               // requests since then
 	calls []string
 }
 
-// fail has the calls from now on fail as told.
+// fail has the requests from now on fail as told.
 func (s *sickDisk) fail(fails func(n int, request string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fails, s.n, s.calls = fails, 0, nil
 }
 
-// failAll has every call of that name fail ("": every call).
+// failAll has every request of that name fail ("": every request).
 func (s *sickDisk) failAll(named string, errno error) {
 	s.fail(func(_ int, request string) error {
 		if named == "" || request == named {
@@ -49,7 +49,7 @@
 	})
 }
 
-// failAt has those calls fail, by their number from now on.
+// failAt has those requests fail, by their number from now on.
 func (s *sickDisk) failAt(requests ...int) {
 	s.fail(func(n int, _ string) error {
 		if slices.Contains(requests, n) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// made are the calls since the last of the above.
+// made are the requests since the last of the above.
 func (s *sickDisk) made() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	return s.fails(s.n, request)
 }
 
-// sick has the rig's state folder on a disk that can fail.
+// sick has the fault bench's state folder on a disk that can fail.
 func sick(r *fixture) *sickDisk {
 	s := &sickDisk{}
 	r.options.StateFiles = &statetest.Files{Ask: s.ask}
@@ -190,7 +190,7 @@
 	r.wantKept(t, 2)
 }
 
-// Two or three calls in a row fail, in the write of an apply, in the write of the old record after it, and in those
+// Two or three requests in a row fail, in the write of an apply, in the write of the old record after it, and in those
 // that mend it: each apply is refused with its errno and the path; what ran runs on; the folder holds its record, or the
 // difference is shown and logged, and mended once writes succeed, with no apply.
 func TestFolderIsMendedOnItsOwn(t *testing.T) {
@@ -340,7 +340,7 @@
 	})
 }
 
-// The process is killed at each call of an apply's write, or of the write of the old record after one that failed: the
+// The process is killed at each request of an apply's write, or of the write of the old record after one that failed: the
 // next start runs the old configuration or the new one, and the folder holds what runs, also if the power is lost then.
 func TestStartAfterAKillRunsWhatTheFolderHolds(t *testing.T) {
 	t.Parallel()
--- a/internal/daemon/mend.go
+++ b/internal/daemon/mend.go
@@ -12,7 +12,7 @@
 )
 
 // keepMended writes the record of what runs whenever the state folder may hold another, again and again until that
-// succeeds. It returns when ctx ends, after one last try.
+// succeeds. It returns when ctx ends, after one last attempt.
 func (d *Daemon) keepMended(ctx context.Context) {
 	for {
 		select {
@@ -69,7 +69,7 @@
 }
 
 // reportDifference logs that the state folder may hold another record than that of what runs, and has it mended. The
-// caller holds mu, or is alone.
+// client holds mu, or is alone.
 func (d *Daemon) reportDifference(err error) {
 	d.log.Error("the state folder may hold another configuration than what runs; it is written again until that succeeds",
 		"path", d.folder.Path(), "serial", d.record.Running.Serial, "error", err)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// silentAgent answers what comes after it was silent, and nothing of what came before; it tells each call's number.
+// silentAgent answers what comes after it was silent, and nothing of what came before; it tells each poll's number.
 type silentAgent struct {
 	net.Listener
 	calls  chan int
@@ -131,8 +131,8 @@
 	io.WriteString(w, text)
 }
 
-// An agent that is silent is asked again beside the call that is open, by a bounded number of calls, and the first one
-// that is made once it is back tells what it has: nothing waits for a call that it will never answer, and no pause
+// An agent that is silent is asked again beside the poll that is open, by a bounded number of polls, and the first one
+// that is made once it is back tells what it has: nothing waits for a poll that it will never answer, and no pause
 // grows meanwhile. Lists may come indented.
 func TestSilentAgentIsPolledInParallelAndHeardAtOnce(t *testing.T) {
 	a := newSilentAgent(t)
@@ -176,7 +176,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// Connections to an agent that never come up are given up with their calls: however many there were, the agent is heard
+// Connections to an agent that never come up are given up with their polls: however many there were, the agent is heard
 // once one does.
 func TestPendingConnectionsDoNotBlockAgent(t *testing.T) {
 	ag := testpeer.NewAgent(t)
@@ -199,7 +199,7 @@
 	}
 }
 
-// piecemeal answers its first call with a list in pieces, the next of which comes when the test says so, and no other call.
+// piecemeal answers its first poll with a list in pieces, the next of which comes when the test says so, and no other poll.
 type piecemeal struct {
 	net.Listener
 	calls  chan struct{}
@@ -239,7 +239,7 @@
 	return a
 }
 
-// A list that comes in pieces for longer than others are waited for is read to its end: of the calls open beside one
+// A list that comes in pieces for longer than others are waited for is read to its end: of the polls open beside one
 // another those end that have said nothing.
 func TestChunkedListIsReadToItsEnd(t *testing.T) {
 	a := newPiecemeal(t)
@@ -258,7 +258,7 @@
 	}
 	doubts := 0
 	go func() {
-		for range 4 * maxPolls { // calls that say nothing
+		for range 4 * maxPolls { // polls that say nothing
 			select {
 			case <-a.calls:
 			case <-ctx.Done():
@@ -294,12 +294,12 @@
 	}
 }
 
-// After failures a call that brings nothing new is told all the same: the module waits longer after each failure, and has
+// After failures a poll that brings nothing new is told all the same: the module waits longer after each failure, and has
 // to know that they are over.
 func TestRecoveryFromFailuresIsLogged(t *testing.T) {
 	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch requests++; requests { // each call comes after the answer to the one before
+		switch requests++; requests { // each poll comes after the answer to the one before
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -23,7 +23,7 @@
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
 }
 
-// Whatever ends a connect or a read, the node's own want or the network's end, the call has failed and another follows at once, or the
+// Whatever ends a connect or a read, the node's own want or the network's end, the poll has failed and another follows at once, or the
 // failure is told to who asks.
 func TestACallThatFailsByAnyErrnoIsMadeAgain(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -12,7 +12,7 @@
 	"damsontrestle/internal/balancer"
 )
 
-// List is discovery's news: the whole list, or the entries that changed.
+// List is discovery's news: the full list, or the entries that changed.
 type List struct {
 	Rev     int64
 	Full    bool
@@ -39,7 +39,7 @@
 	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
 }
 
-// Parse reads a list as the registry writes it. A malformed one is dropped whole: half a list would look
+// Parse reads a list as the registry writes it. A malformed one is dropped completely: half a list would look
 // like the rest had gone.
 func Parse(text []byte) (List, error) {
 	var f struct {
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -25,7 +25,7 @@
 	mu    sync.Mutex
 	calls int       // since it has the new list
 	news  time.Time // from when on it has it
-	// answer answers the n-th call from then on, and earlier ones as -1.
+	// answer answers the n-th poll from then on, and earlier ones as -1.
 	answer answerer
 	dial   func(ctx context.Context, n int) error // before the n-th connection comes up; nil: at once
 	dials  int
@@ -97,10 +97,10 @@
 
 var newList = `{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + `]}`
 
-// never is a call that is lost.
+// never is a poll that is lost.
 func never(r *http.Request) { <-r.Context().Done() }
 
-// after answers after a while, as if other calls came first.
+// after answers after a while, as if other polls came first.
 func after(d time.Duration, s *slowService, w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-time.After(d):
@@ -155,7 +155,7 @@
 
 // hears plays a watch of services and returns how long after they had it the new list came. meanwhile is run beside it.
 func hears(t *testing.T, seed uint64, askWithin time.Duration, services map[string]*slowService, meanwhile func(*Watch)) (took time.Duration) {
-	has := newsAfter + time.Duration(seed)*serviceLongPoll/5 // at several moments of a call
+	has := newsAfter + time.Duration(seed)*serviceLongPoll/5 // at several moments of a poll
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -210,7 +210,7 @@
 	w.(http.Flusher).Flush()
 }
 
-// lostFrom has calls be lost that are open, or come, in the last moment before the service has the list, and answers the
+// lostFrom has polls be lost that are open, or come, in the last moment before the service has the list, and answers the
 // later ones by next. Earlier ones hold for as long as they may.
 func lostFrom(next answerer) answerer {
 	return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
@@ -227,15 +227,15 @@
 	}
 }
 
-// A service that is asked may be slow to answer, and silent, refuse calls or break them besides: what it has is heard 0.8 s
+// A service that is asked may be slow to answer, and silent, refuse polls or break them besides: what it has is heard 0.8 s
 // or more before it counts as told, 6 s after the service had it and could be reached. Time is virtual.
 func TestASlowServiceIsHeardInTime(t *testing.T) {
 	const (
 		limit  = 5200 * time.Millisecond
-		answer = time.Second // that a call waits for its turn
+		answer = time.Second // that a poll waits for its turn
 	)
 	slow := func(s *slowService, n int, w http.ResponseWriter, r *http.Request) { after(answer, s, w, r) }
-	// down refuses all calls until it has the list.
+	// down refuses all polls until it has the list.
 	down := func(status int, next answerer) answerer {
 		return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			if n < 0 {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,12 +19,12 @@
 	"damsontrestle/internal/clock"
 )
 
-// Times of a watch. An agent that is silent answers nothing, not even once it is back, so a call is doubted a little
+// Times of a watch. An agent that is silent answers nothing, not even once it is back, so a poll is doubted a little
 // after its hold is over: the two together bound how long what the agent has can go unheard once it is back.
 //
 // An agent is on the node's own machine, answers at once and at no cost, and what it has counts as told at once: it is
 // asked three times a second. A service that all nodes ask has a cost, and is held to another clock (6 s after it fell
-// silent, or 2 s after a hold). It may also be slow, for it works through calls in turn.
+// silent, or 2 s after a hold). It may also be slow, for it works through polls in turn.
 const (
 	agentLongPoll   = 300 * time.Millisecond
 	agentGrace      = 100 * time.Millisecond
@@ -34,7 +34,7 @@
 	backoffMax      = 200 * time.Millisecond // of an agent that fails at once
 	maxList         = 16 << 20
 
-	// maxPolls are open at once: while discovery is silent each doubted call stays open beside the next ones, for a
+	// maxPolls are open at once: while discovery is silent each doubted poll stays open beside the next ones, for a
 	// service may only be slow to answer, and a node that is short of processor time late to read it.
 	maxPolls = 3
 )
@@ -50,7 +50,7 @@
 	sink            Sink
 	log             *slog.Logger
 	wanted          chan struct{}
-	LongPollTimeout time.Duration // how long a call may wait for news; 0: as fits how the registry is asked
+	LongPollTimeout time.Duration // how long a poll may wait for news; 0: as fits how the registry is asked
 	Grace           time.Duration // and how much later it is doubted
 	failed          bool          // the last call to a service. It belongs to Ask
 	began           time.Time     // spans since then order what was heard: the wall clock may be stepped
@@ -66,7 +66,7 @@
 	addr   string
 	client *http.Client
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	rev    int64 // the version held; -1: none, so the whole list is asked for. It belongs to Push or Ask
+	rev    int64 // the version held; -1: none, so the full list is asked for. It belongs to Push or Ask
 }
 
 func newAgent(addr string, rev int64) *agent {
@@ -76,10 +76,10 @@
 	return p
 }
 
-// pollKey is under which a call's context holds itself, for connect.
+// pollKey is under which a poll's context holds itself, for connect.
 type pollKey struct{}
 
-// connect opens a connection for a call, and gives up with it. Left to itself http.Transport goes on for as long as the
+// connect opens a connection for a poll, and gives up with it. Left to itself http.Transport goes on for as long as the
 // system does, minutes on a network that drops what is sent, and each such connection counts among the few that it opens.
 func (p *agent) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	if request, ok := ctx.Value(pollKey{}).(context.Context); ok {
@@ -100,8 +100,8 @@
 	return w.at
 }
 
-// SetAddress watches another address from now on. Versions count anew there, so its whole list is asked for;
-// what the node holds stays in use until that has come. A call to the old address ends.
+// SetAddress watches another address from now on. Versions count anew there, so its complete list is asked for;
+// what the node holds stays in use until that has come. A poll to the old address ends.
 func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
 	old := w.at
@@ -133,7 +133,7 @@
 	w.agent().dial = dial
 }
 
-// Push watches an agent from the start until ctx ends. The next call follows each answer at once: a watch is
+// Push watches an agent from the start until ctx ends. The next poll follows each answer at once: a watch is
 // lost when it is late.
 func (w *Watch) Push(ctx context.Context) {
 	defer w.closeIdle()
@@ -142,21 +142,21 @@
 	}
 }
 
-// pollResult is how a call ended.
+// pollResult is how a poll ended.
 type pollResult struct {
 	call *openPoll
 	list List
 	err  error
 }
 
-// openPoll is a call that has not ended.
+// openPoll is a poll that has not ended.
 type openPoll struct {
 	cancel     context.CancelFunc
 	begun      time.Time
 	progressAt atomic.Int64 // ns from Watch.began until bytes of its answer were read last; 0: none were
 }
 
-// round are the calls that are open beside one another, until one of them is answered.
+// round are the polls that are open beside one another, until one of them is answered.
 type round struct {
 	watch   *Watch
 	at      *agent
@@ -165,7 +165,7 @@
 	calls   []*openPoll
 }
 
-// call makes one more call. Where too many are open already one of them ends.
+// call makes one more poll. Where too many are open already one of them ends.
 func (r *round) call(ctx context.Context) {
 	if len(r.calls) == maxPolls {
 		r.endOne()
@@ -184,7 +184,7 @@
 	}(r.at.rev)
 }
 
-// endOne ends the call of least promise: the oldest of those whose answer has not begun to come, or else the one that was
+// endOne ends the poll of least promise: the oldest of those whose answer has not begun to come, or else the one that was
 // silent for longest. A list that comes in pieces may take longer than others are waited for.
 func (r *round) endOne() {
 	least := slices.MinFunc(r.calls, func(a, b *openPoll) int {
@@ -194,7 +194,7 @@
 	r.calls = slices.DeleteFunc(r.calls, func(c *openPoll) bool { return c == least })
 }
 
-// hopes tells whether a call is open that may still be answered where another has failed: a later one, or one whose
+// hopes tells whether a poll is open that may still be answered where another has failed: a later one, or one whose
 // answer is coming.
 func (r *round) hopes(failed *openPoll) bool {
 	return slices.ContainsFunc(r.calls, func(c *openPoll) bool {
@@ -203,7 +203,7 @@
 }
 
 // wait returns the first answer, or the failure that leaves no hope of one. Each time that there is none within the hold
-// and the grace another call is made.
+// and the grace another poll is made.
 func (r *round) wait(ctx context.Context, patience time.Duration, doubted func()) pollResult {
 	suspicion := time.NewTicker(patience)
 	defer suspicion.Stop()
@@ -223,7 +223,7 @@
 	}
 }
 
-// follow watches an agent at one place until the watch moves or ctx ends. A call that has said nothing by the end of
+// follow watches an agent at one place until the watch moves or ctx ends. A poll that has said nothing by the end of
 // its hold and grace is doubted: another is made beside it, and whichever answers first counts. The others end with
 // it, so that news never comes out of order. After a failure that came at once it waits a little.
 func (w *Watch) follow(ctx context.Context, p *agent) {
@@ -235,7 +235,7 @@
 	doubted := func() {
 		if !silent {
 			silent = true
-			w.log.Warn("discovery is silent; asking again")
+			w.log.Warn("discovery is silent; polling again")
 		}
 	}
 	for ctx.Err() == nil {
@@ -252,14 +252,14 @@
 			continue
 		}
 		if pause == backoffInitial {
-			w.log.Warn("discovery does not answer; asking again", "error", e.err)
+			w.log.Warn("discovery does not answer; polling again", "error", e.err)
 		}
 		clock.Sleep(ctx, pause)
 		pause = min(2*pause, backoffMax)
 	}
 }
 
-// times are the hold and the grace of a call.
+// times are the hold and the grace of a poll.
 func (w *Watch) times(hold, grace time.Duration) (time.Duration, time.Duration) {
 	if w.LongPollTimeout > 0 {
 		hold = w.LongPollTimeout
@@ -293,7 +293,7 @@
 	}
 }
 
-// watch asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open call:
+// watch asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open poll:
 // to give that up and wait in turn anew would take most of the time after which a change counts as told. After a failure
 // an answer is told also where it is no news: whoever waits longer after each failure is to know that this is over.
 func (w *Watch) watch(ctx context.Context, p *agent) error {
@@ -303,7 +303,7 @@
 	defer context.AfterFunc(p.ctx, cancel)()
 	r := &round{watch: w, at: p, hold: hold, answers: make(chan pollResult, maxPolls)}
 	r.call(ctx)
-	e := r.wait(ctx, hold+grace, func() { w.log.Warn("discovery is silent; asking again") })
+	e := r.wait(ctx, hold+grace, func() { w.log.Warn("discovery is silent; polling again") })
 	if w.take(p, e.list, e.err) && w.failed {
 		w.failed = false
 		if !expectNotified(e.list) {
@@ -316,11 +316,11 @@
 // expectNotified says that a list is news, and not the end of a hold without any.
 func expectNotified(l List) bool { return l.Full || len(l.Targets) > 0 }
 
-// take passes on what a call told, and goes on from there. It tells whether the call told anything that could be read.
+// take passes on what a poll told, and goes on from there. It tells whether the poll told anything that could be read.
 func (w *Watch) take(p *agent, l List, err error) bool {
 	if err != nil {
 		if errors.Is(err, errMalformed) {
-			p.rev = -1 // what the dropped answer told is missing: the whole list mends that
+			p.rev = -1 // what the dropped answer told is missing: the full list mends that
 		}
 		return false
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch stands between the fronts and the engines. A View is what calls are read under: which
-// classes there are, how a listener takes paths, which pool a call goes to. There is one View at a time, and
-// it is swapped whole: every call is taken under one of them, by the engine that this one names for it.
+// Package dispatch stands between the front ends and the engines. A View is what requests are read under: which
+// classes there are, how a listener takes paths, which pool a request goes to. There is one View at a time, and
+// it is swapped completely: every request is taken under one of them, by the engine that this one names for it.
 package dispatch
 
 import (
@@ -16,7 +16,7 @@
 	"damsontrestle/internal/route"
 )
 
-// Snapshot is one configuration as the fronts see it. It never changes.
+// Snapshot is one configuration as the front ends see it. It never changes.
 type Snapshot struct {
 	classes    map[string]balancer.Class
 	listeners  map[string]config.Listener
@@ -48,7 +48,7 @@
 	return v, nil
 }
 
-// Class tells of a class of calls, if there is one of that name.
+// Class tells of a class of requests, if there is one of that name.
 func (v *Snapshot) Class(name string) (balancer.Class, bool) {
 	c, ok := v.classes[name]
 	return c, ok
@@ -75,16 +75,16 @@
 
 // Errors of Take.
 var (
-	// ErrStale says that the View has been swapped meanwhile: the call must be looked at again.
+	// ErrStale says that the View has been swapped meanwhile: the request must be looked at again.
 	ErrStale = errors.New("the configuration has changed")
-	// ErrNoRoute says that no route takes the call.
+	// ErrNoRoute says that no route takes the request.
 	ErrNoRoute = errors.New("no route takes this call")
 )
 
-// Guard stands before the engines where gateways are federated: it takes calls that need more than an engine.
+// Guard stands before the engines where gateways are federated: it takes requests that need more than an engine.
 type Guard interface {
-	// Take says whether it takes a call that was read under a View; exactly one answer comes on the call's channel then. It
-	// must not block, and gives calls on by Hand later.
+	// Take says whether it takes a request that was read under a View; exactly one answer comes on the request's channel then. It
+	// must not block, and gives requests on by Hand later.
 	Take(v *Snapshot, c *engine.Request, r *route.Request) bool
 }
 
@@ -92,7 +92,7 @@
 type Dispatcher struct {
 	snapshot atomic.Pointer[Snapshot]
 	guard    Guard        // nil: none
-	mu       sync.RWMutex // held for reading while a call is handed over, for writing while the View is swapped
+	mu       sync.RWMutex // held for reading while a request is handed over, for writing while the View is swapped
 }
 
 // New returns a Dispatcher with its first View.
@@ -105,8 +105,8 @@
 // Snapshot is the one of now.
 func (d *Dispatcher) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// Take hands a call that was read under a View to the engine that it names for it, unless the View has been
-// swapped meanwhile. With no error, exactly one answer comes on the call's channel.
+// Take hands a request that was read under a View to the engine that it names for it, unless the View has been
+// swapped meanwhile. With no error, exactly one answer comes on the request's channel.
 func (d *Dispatcher) Take(v *Snapshot, c *engine.Request, r *route.Request) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -131,13 +131,13 @@
 	d.guard = g
 }
 
-// Pool is the pool that the routes of now name for a call.
+// Pool is the pool that the routes of now name for a request.
 func (d *Dispatcher) Pool(r *route.Request) (string, bool) {
 	to, ok := d.snapshot.Load().table.Choose(r)
 	return to.Pool, ok
 }
 
-// Submit gives a call to the engine of a pool, past the Guard. With no error, exactly one answer comes on its channel.
+// Submit gives a request to the engine of a pool, past the Guard. With no error, exactly one answer comes on its channel.
 func (d *Dispatcher) Submit(c *engine.Request, pool string) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// Swap puts another View in place and runs with while no call is handed over: what that posts to engines
-// comes after all calls taken under the old View and before any under the new one.
+// Swap puts another View in place and runs with while no request is handed over: what that posts to engines
+// comes after all requests taken under the old View and before any under the new one.
 func (d *Dispatcher) Swap(v *Snapshot, with func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// While views are swapped, every call is taken under the view that it was read under, or is told that this has
-// gone; no call meets a pool that its view does not name, and a retired engine gets none.
+// While views are swapped, every request is taken under the view that it was read under, or is told that this has
+// gone; no request meets a pool that its view does not name, and a retired engine gets none.
 func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
 	make2 := func(i int) (*Snapshot, []*engine.Engine) {
@@ -149,7 +149,7 @@
 	clients.Wait()
 }
 
-// BenchmarkTake is a call's way from a front to its engine, with its answer.
+// BenchmarkTake is a request's way from a front end to its engine, with its answer.
 func BenchmarkTake(b *testing.B) {
 	cfg := testpeer.Config()
 	e, _ := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named("x"),
@@ -171,7 +171,7 @@
 	}
 }
 
-// BenchmarkSwap is how long no call is handed over while a configuration with so many pools is put in place.
+// BenchmarkSwap is how long no request is handed over while a configuration with so many pools is put in place.
 func BenchmarkSwap(b *testing.B) {
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -1,4 +1,4 @@
-// Package downstream keeps the callers' connections of all fronts within their share of the node's descriptors.
+// Package downstream keeps the clients' connections of all front ends within their share of the node's descriptors.
 // Whoever holds a place without a request makes room first; only if nobody does, requests are refused. It knows
 // what each connection does, and nothing of what is spoken on it.
 package downstream
@@ -15,11 +15,11 @@
 	"damsontrestle/internal/clock"
 )
 
-// Conn is a caller's connection, as its front has it. Its methods must not call back.
+// Conn is a client's connection, as its front end has it. Its methods must not call back.
 type Conn interface {
 	// CloseIdle has it closed unless a request has begun on it; it tells whether it goes.
 	CloseIdle() bool
-	// CutOff ends the wait for the rest of a request; the caller may get an answer that says so.
+	// CutOff ends the wait for the rest of a request; the client may get an answer that says so.
 	CutOff()
 	// IsCut says that CutOff was called.
 	IsCut() bool
@@ -33,14 +33,14 @@
 	Abort() error
 }
 
-// Graces tell how long a caller's connection is spared, when there are too many, in each of the states in
+// Graces tell how long a client's connection is spared, when there are too many, in each of the states in
 // which it holds a place and no request is open on it. Half counts from the last bytes of a request that came.
 type Graces struct{ Lingering, Silent, Half, Idle time.Duration }
 
 // pressing shortens the graces while descriptors are about to run out.
 const pressing = 5
 
-// DefaultGraces spare a good caller, which sends its request as soon as it has connected, and in one piece; one
+// DefaultGraces spare a good client, which sends its request as soon as it has connected, and in one piece; one
 // idle for a moment may meet its next request on the way.
 func DefaultGraces() Graces {
 	return Graces{Lingering: 50 * time.Millisecond, Silent: 100 * time.Millisecond, Half: time.Second,
@@ -59,7 +59,7 @@
 	Lingering              // answered for good; what still comes is thrown away
 )
 
-// Set are the callers' connections of all fronts.
+// Set are the clients' connections of all front ends.
 type Set struct {
 	clock   clock.Clock
 	servers func() int // how many descriptors the servers' connections have
@@ -78,14 +78,14 @@
 
 // activity is what a connection does, and since when.
 type activity struct {
-	group any // its front
+	group any // its front end
 	phase Phase
 	since time.Duration
 	open  int  // requests with the module
 	going bool // let go, and counted as leaving
 }
 
-// ErrReleased ends the accepting from a listener that goes on without its front. net/http would take the deadline
+// ErrReleased ends the accepting from a listener that goes on without its front end. net/http would take the deadline
 // that releases it for a failure that passes, and try again.
 var ErrReleased = errors.New("the listener is released")
 
@@ -108,12 +108,12 @@
 
 // Share is how descriptors are shared out.
 type Share struct {
-	Capacity int // for callers and servers together
+	Capacity int // for clients and servers together
 	Minimum  int // of these the servers' connections may always have
-	Spare    int // beyond these, for callers whose requests are read only to be refused
+	Spare    int // beyond these, for clients whose requests are read only to be refused
 }
 
-// New returns the callers' side of a share of descriptors, of which servers tells how many the servers'
+// New returns the clients' side of a share of descriptors, of which servers tells how many the servers'
 // connections have.
 func New(c clock.Clock, share Share, servers func() int) *Set {
 	return &Set{clock: c, share: share, servers: servers, conns: map[Conn]*activity{}, grace: DefaultGraces()}
@@ -126,12 +126,12 @@
 	s.grace = g
 }
 
-// most is how many connections callers may hold now: what servers leave. The caller holds mu.
+// most is how many connections clients may hold now: what servers leave. The caller holds mu.
 func (s *Set) most() int {
 	return max(s.share.Capacity/2, s.share.Capacity-max(s.share.Minimum, s.servers()))
 }
 
-// Add notes a new connection of a front, and makes room when there are too many.
+// Add notes a new connection of a front end, and makes room when there are too many.
 func (s *Set) Add(c Conn, group any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +175,8 @@
 }
 
 // Begin notes that a request of a connection goes to the module, unless as many are there as servers'
-// connections are kept for, or the connection was to be cut off: its caller would seem to have gone. That there
-// are too many connections is no reason: others' silence must not cost a good caller its answer.
+// connections are kept for, or the connection was to be cut off: its client would seem to have gone. That there
+// are too many connections is no reason: others' silence must not cost a good client its answer.
 func (s *Set) Begin(c Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +229,7 @@
 }
 
 // evictOne lets connections without a request go while there are too many: those first that are of least
-// use to a good caller, and of these who has been so for longest. One idle for a moment only is spared:
+// use to a good client, and of these who has been so for longest. One idle for a moment only is spared:
 // a client sends again just once what crosses a close. While there are too many, each answer closes its
 // connection, which nothing can cross. The caller holds mu.
 func (s *Set) evictOne() {
@@ -258,7 +258,7 @@
 	}
 }
 
-// useless ranks the connections that may be let go, from 1; 0 is none of them.
+// useless ranks the connections that may be closed, from 1; 0 is none of them.
 func (s *Set) useless(c Conn, a *activity, now time.Duration) int {
 	age := now - a.since
 	quiet := c.Quiet()
@@ -302,7 +302,7 @@
 	}
 }
 
-// CloseQuiet closes the idle connections of a front, and those that have sent nothing yet. One that sends in that very
+// CloseQuiet closes the idle connections of a front end, and those that have sent nothing yet. One that sends in that very
 // moment is read and answered. It returns how many of all that it has are left.
 func (s *Set) CloseQuiet(group any) (left int) {
 	s.mu.Lock()
@@ -319,7 +319,7 @@
 	return left
 }
 
-// CutHalf ends the wait for the rest of every request that has not come whole. It is for the node's end: a request that
+// CutHalf ends the wait for the rest of every request that has not come completely. It is for the node's end: a request that
 // came whole in that very moment is refused, and its connection reads no other.
 func (s *Set) CutHalf() {
 	s.mu.Lock()
@@ -362,7 +362,7 @@
 	return n
 }
 
-// Resize changes how descriptors are shared out. Callers beyond are let go now and as others come.
+// Resize changes how descriptors are shared out. Clients beyond are closed now and as others come.
 func (s *Set) Resize(share Share) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-// When there are too many, those that are of least use to a good caller go first: answered for good, then half a
+// When there are too many, those that are of least use to a good client go first: answered for good, then half a
 // request, then silent, then idle. One with a request that is open never does.
 func TestEvictionOrder(t *testing.T) {
 	var done []string
@@ -62,7 +62,7 @@
 	add("lingering", false, Lingering)
 	add("open", true, Open)
 	add("next request", true, Idle)
-	for room := 14; room >= 2; room -= 2 { // callers may have half of it
+	for room := 14; room >= 2; room -= 2 { // clients may have half of it
 		s.Resize(Share{Capacity: room, Minimum: room / 2, Spare: 100})
 	}
 	want := []string{"lingering closed", "half cut off", "reading cut off", "silent let go", "idle let go"}
@@ -72,7 +72,7 @@
 	}
 }
 
-// Of two callers with half a request each, the one that has stopped sending goes, though the other began before it.
+// Of two clients with half a request each, the one that has stopped sending goes, though the other began before it.
 func TestSlowClientIsKeptSilentOneIsEvicted(t *testing.T) {
 	var done []string
 	s := newSet(100, 0)
@@ -129,7 +129,7 @@
 	}
 }
 
-// A front lets go its own only.
+// A front end lets go its own only.
 func TestCloseQuiet(t *testing.T) {
 	var done []string
 	s := newSet(1000, 0)
@@ -178,7 +178,7 @@
 	return was
 }
 
-// A request whose first bytes come while quiet connections are let go is read: it is not cut off.
+// A request whose first bytes come while quiet connections are closed is read: it is not cut off.
 func TestClosingQuietConnectionsCutsNoRequest(t *testing.T) {
 	var done []string
 	s := newSet(100, 0)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine drives one Balancer: calls go in, attempts go out, outcomes come back and each call gets
+// Package engine drives one Balancer: requests go in, attempts go out, outcomes come back and each request gets
 // exactly one final answer. It knows no protocol and decides nothing: it carries out what the module decides,
 // through a Backend, and tells it what happened when it happened.
 package engine
@@ -33,7 +33,7 @@
 		outcome Outcome
 	}
 	loadReport struct {
-		id     string // of the call that the asking was for
+		id     string // of the request that the asking was for
 		server string
 		busy   float64
 		asked  time.Duration // clock time
@@ -51,7 +51,7 @@
 	statsQuery struct{ to chan Stats }
 )
 
-// pending is a call that the module still knows: unanswered, or with attempts out.
+// pending is a request that the module still knows: unanswered, or with attempts out.
 type pending struct {
 	request   *Request
 	attempts  []*Attempt
@@ -129,13 +129,13 @@
 	done            chan struct{} // closed once Run has returned
 }
 
-// Totals count what became of calls since the engine began.
+// Totals count what became of requests since the engine began.
 type Totals struct {
 	Requests     int64 `json:"calls"`
 	Served       int64 `json:"served"`
 	Rejected     int64 `json:"refused"`
 	Failed       int64 `json:"failed"`
-	Disconnected int64 `json:"gone"` // the caller left before its answer
+	Disconnected int64 `json:"gone"` // the client left before its answer
 	Sends        int64 `json:"sends"`
 	Polls        int64 `json:"asks,omitempty"` // to servers, how much they hold
 }
@@ -143,7 +143,7 @@
 // Status is what an engine holds.
 type Status struct {
 	Totals
-	Open     int `json:"open"`     // calls that are unanswered, or have an attempt out
+	Open     int `json:"open"`     // requests that are unanswered, or have an attempt out
 	Ready    int `json:"ready"`    // listed servers by their state
 	Draining int `json:"draining"` //
 	Avoided  int `json:"avoided"`  // of the listed, those that nothing new is sent to
@@ -179,7 +179,7 @@
 	}
 }
 
-// Submit takes a call over: its answer comes on its channel. It must not be called once Retire was.
+// Submit takes a request over: its answer comes on its channel. It must not be called once Retire was.
 func (eng *Engine) Submit(c *Request) {
 	c.mu.Lock()
 	c.owner = eng
@@ -191,7 +191,7 @@
 // change nothing.
 func (eng *Engine) Reconfigure(s balancer.Settings, pushed bool) { eng.post(reconfigure{s, pushed}) }
 
-// Retire has Run return once every call that was taken is answered and its attempts have ended.
+// Retire has Run return once every request that was taken is answered and its attempts have ended.
 func (eng *Engine) Retire() { eng.post(retire{}) }
 
 // Done is closed once Run has returned.
@@ -376,7 +376,7 @@
 	t.Polls += int64(s.Polls)
 }
 
-// tooLate says that a call of a class would not be answered before the last call, as its answers come now.
+// tooLate says that a request of a class would not be answered before the last call, as its answers come now.
 func (eng *Engine) tooLate(class string) bool {
 	return eng.closeAt > 0 && eng.clock.Now()+eng.balancer.ExpectedLatency(class) > eng.closeAt
 }
@@ -393,7 +393,7 @@
 	}
 }
 
-// abandon answers a call that the node will not be there for, as its caller leaving would end it.
+// abandon answers a request that the node will not be there for, as its client leaving would end it.
 func (eng *Engine) abandon(p *pending) {
 	if p.responded {
 		return
@@ -406,7 +406,7 @@
 	eng.handle(eng.clock.Now(), balancer.ClientDisconnected{ID: p.request.ID})
 }
 
-// end passes on how an attempt ended. The first success is the caller's answer.
+// end passes on how an attempt ended. The first success is the client's answer.
 func (eng *Engine) end(a *Attempt, r Outcome) {
 	p := eng.pending[a.Request.ID]
 	eng.stats.Results[r.Result]++
@@ -441,7 +441,7 @@
 	}
 }
 
-// forget drops a call once nothing of it is left, as the module does.
+// forget drops a request once nothing of it is left, as the module does.
 func (eng *Engine) forget(p *pending) {
 	if p.responded && p.inFlight == 0 {
 		delete(eng.pending, p.request.ID)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -63,7 +63,7 @@
 		Classes: []balancer.Class{class("view", balancer.Safe), class("note", balancer.Unsafe)}}
 }
 
-// servers is a whole list of ready servers.
+// servers is a full snapshot of ready servers.
 func servers(ids ...string) discovery.List {
 	l := discovery.List{Full: true}
 	for _, id := range ids {
@@ -83,7 +83,7 @@
 	return e
 }
 
-// newRequest is a call with all the time in the world.
+// newRequest is a request with all the time in the world.
 func newRequest(e *Engine, id, class string) *Request {
 	c := NewRequest(id, Message{})
 	c.Class, c.At = class, e.clock.Now()
@@ -91,8 +91,8 @@
 	return c
 }
 
-// Given two servers, the first attempt of a safe call breaks and the next is served: one answer, no overlap.
-// An unsafe call whose attempt may have run fails, and one whose attempt never ran is tried again.
+// Given two servers, the first attempt of a safe request breaks and the next is served: one answer, no overlap.
+// An unsafe request whose attempt may have run fails, and one whose attempt never ran is tried again.
 func TestOneAnswerAndNoOverlap(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -124,7 +124,7 @@
 	}
 }
 
-// Where the pool has servers asked, a call goes to the one that holds least, and its answer is the caller's as ever.
+// Where the pool has servers asked, a request goes to the one that holds least, and its answer is the client's as ever.
 func TestServersArePolledBeforeRequest(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newScript()
@@ -154,7 +154,7 @@
 	}
 }
 
-// While a zone's servers say nothing and another's answer, a call that tries the silent ones goes on a connection of
+// While a zone's servers say nothing and another's answer, a request that tries the silent ones goes on a connection of
 // its own: the back end is told before the attempt begins.
 func TestProbeOfSilentZoneUsesItsOwnConnection(t *testing.T) {
 	s := newScript()
@@ -184,7 +184,7 @@
 	}
 }
 
-// An id that is in use gets an answer of its own, and the first call with it goes on.
+// An id that is in use gets an answer of its own, and the first request with it goes on.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
@@ -202,7 +202,7 @@
 	}
 }
 
-// A caller that leaves has its attempt called off; its id is free again once that has ended.
+// A client that leaves has its attempt called off; its id is free again once that has ended.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
@@ -243,7 +243,7 @@
 	}
 }
 
-// A whole list that names what is held already is no news to the module: it would cut its pool anew and
+// A full snapshot that names what is held already is no news to the module: it would cut its pool anew and
 // open connections for nothing.
 func TestUnchangedFullListChangesNothing(t *testing.T) {
 	s := newScript()
@@ -288,7 +288,7 @@
 	}
 }
 
-// Calls that are out when their class turns unsafe are not sent again.
+// Requests that are out when their class turns unsafe are not sent again.
 func TestReconfigureTightensInFlightRequests(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -376,7 +376,7 @@
 	}
 }
 
-// A call that was answered before any engine had it may be left all the same.
+// A request that was answered before any engine had it may be left all the same.
 func TestRequestWithoutEngineMayBeDisconnected(t *testing.T) {
 	c := NewRequest("id", Message{})
 	c.Finish(Response{Kind: Rejected})
@@ -388,7 +388,7 @@
 	}
 }
 
-// taught is an engine that runs, and whose ten calls so far took 20 ms each by its clock.
+// taught is an engine that runs, and whose ten requests so far took 20 ms each by its clock.
 func taught(t *testing.T, s *script) *Engine {
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
@@ -432,7 +432,7 @@
 	}
 }
 
-// What waits for a server when the end is told, or when another call tells that time has gone on, is turned back too.
+// What waits for a server when the end is told, or when another request tells that time has gone on, is turned back too.
 func TestQueuedRequestIsRejectedBeforeShutdown(t *testing.T) {
 	s := newScript()
 	e := taught(t, s)
@@ -448,7 +448,7 @@
 	}
 }
 
-// A whole list that names one server less is news, also where it names as many entries as are held, one of them long gone.
+// A full snapshot that names one server less is news, also where it names as many entries as are held, one of them long gone.
 func TestFullListWithoutServerIsAnUpdate(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -14,16 +14,16 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Request is a caller's request, whatever protocol brought it: read whole, or at least its head and as much of its
+// Request is a client's request, whatever protocol brought it: read completely, or at least its head and as much of its
 // body as is kept. The engine looks at its id, class
 // and times only; the Request is for the back end that carries its attempts out.
 type Request struct {
 	ID, Class string
 	At        time.Duration // clock time when its last byte was read; with a Rest, when it was handed over
-	Deadline  time.Duration // clock time until which its caller waits; with a Rest, as if At were that of the last byte
+	Deadline  time.Duration // clock time until which its client waits; with a Rest, as if At were that of the last byte
 	Message   Message
 
-	// Of calls that others have a part in. All three may be empty; a Call with them is made by its taker alone.
+	// Of requests that others have a part in. All three may be empty; a Call with them is made by its taker alone.
 	PriorAttempts []balancer.PriorAttempt  // attempts that another node made
 	AllowAttempt  func(*Attempt) bool      // asked before the first byte of an attempt is written, which must not be where it says no
 	AttemptEnded  func(*Attempt, *Outcome) // told how each attempt ended
@@ -67,8 +67,8 @@
 	return !slices.ContainsFunc(c.PriorAttempts, func(e balancer.PriorAttempt) bool { return !e.NeverRan })
 }
 
-// Disconnect tells whoever took the call that its caller has gone at a clock time: nothing more is owed to it. It is for whoever
-// had the call taken.
+// Disconnect tells whoever took the request that its client has gone at a clock time: nothing more is owed to it. It is for whoever
+// had the request taken.
 func (c *Request) Disconnect(at time.Duration) {
 	c.gone.Store(true)
 	c.mu.Lock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// IsLeft says that nobody waits for the call any more: its client has left it, whether or not its owner has heard of that,
+// IsLeft says that nobody waits for the request any more: its client has left it, whether or not its owner has heard of that,
 // or has gone without a word. It is to be asked right before the first byte of an attempt is written.
 func (c *Request) IsLeft(now func() time.Duration) bool {
 	if c.gone.Load() {
@@ -96,14 +96,14 @@
 	return true
 }
 
-// Intercept has a call be answered by Finish and not by an engine. left is told that its caller has gone.
+// Intercept has a request be answered by Finish and not by an engine. left is told that its client has gone.
 func (c *Request) Intercept(left func(at time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onDisconnect = left
 }
 
-// Finish gives the answer of a call that is held, once.
+// Finish gives the answer of a request that is held, once.
 func (c *Request) Finish(a Response) { c.response <- a }
 
 // discard drops an answer that nobody waits for any more.
@@ -115,18 +115,18 @@
 	}
 }
 
-// Response is the one final answer to a call.
+// Response is the one final answer to a request.
 type Response struct {
 	Kind       Kind
 	Reply      Reply         // for Served
 	RetryAfter time.Duration // for Refused: when to come back; 0: not said
-	Elsewhere  bool          // this node is ending: the caller had better go to another
+	Elsewhere  bool          // this node is ending: the client had better go to another
 	NotRun     bool          // for Refused: no attempt of it may have run
 	Why        string        // for Refused by a rule: which one
-	Settled    bool          // it is the one answer that all hear who ask about the call
+	Settled    bool          // it is the one answer that all hear who ask about the request
 }
 
-// Reply is what a server made for a call.
+// Reply is what a server made for a request.
 type Reply struct {
 	Body        []byte
 	ContentType string        // empty: none was given
@@ -152,13 +152,13 @@
 	Served    Kind = iota
 	Rejected       // trying again is harmless
 	Failed         // promises nothing
-	Duplicate      // the id is in use by another call
+	Duplicate      // the id is in use by another request
 )
 
-// Attempt is one send of a call to a server.
+// Attempt is one send of a request to a server.
 type Attempt struct {
 	Request        *Request
-	N              int // from 0 for the first of its call
+	N              int // from 0 for the first of its request
 	To             discovery.Host
 	Zone           string
 	Cell           int
@@ -183,7 +183,7 @@
 // errLost is why an attempt was called off whose server is gone.
 var errLost = errors.New("engine: the server is gone")
 
-// NewAttempt returns the n-th attempt of a call.
+// NewAttempt returns the n-th attempt of a request.
 func NewAttempt(c *Request, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
 	a := &Attempt{Request: c, N: n, To: to, Sent: sent, Deadline: deadline, NotAfter: math.MaxInt64}
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
@@ -193,7 +193,7 @@
 // Context ends when the attempt is called off.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// Uploaded tells the engine that the last byte of a call with a Rest was written to the server at a clock time.
+// Uploaded tells the engine that the last byte of a request with a Rest was written to the server at a clock time.
 // It returns until when the attempt is waited for.
 func (a *Attempt) Uploaded(at time.Duration) (deadline time.Duration) {
 	if a.Request.owner != nil {
@@ -214,13 +214,13 @@
 	return a.stage.CompareAndSwap(attemptWaiting, attemptBegun)
 }
 
-// Cancel calls the attempt off. Its Outcome still comes.
+// Cancel requests the attempt off. Its Outcome still comes.
 func (a *Attempt) Cancel() {
 	a.stage.CompareAndSwap(attemptWaiting, attemptOff)
 	a.cancel(nil)
 }
 
-// CancelUnbegun calls the attempt off unless it has begun: for a server it then never was.
+// CancelUnbegun requests the attempt off unless it has begun: for a server it then never was.
 func (a *Attempt) CancelUnbegun() {
 	if a.stage.CompareAndSwap(attemptWaiting, attemptOff) {
 		a.cancel(nil)
@@ -245,10 +245,10 @@
 	At     time.Duration  // clock time: for an answer, when its last byte was read
 	Reply  Reply          // for Success
 	Load   *balancer.Load // that came with an answer; nil: none
-	Spent  bool           // some of the call's Rest was read: it can't be sent again
+	Spent  bool           // some of the request's Rest was read: it can't be sent again
 	Why    string         // what the answer said of the rule that it was refused by
 
-	// Settled says of Overloaded that the answer is the one that all hear who ask about the call: it never ran, and never will.
+	// Settled says of Overloaded that the answer is the one that all hear who ask about the request: it never ran, and never will.
 	Settled bool
 }
 
--- a/internal/engine/soak_test.go
+++ b/internal/engine/soak_test.go
@@ -11,7 +11,7 @@
 	reach "damsontrestle/internal/testpeer/heap"
 )
 
-// A hundred thousand calls under ids that are never seen again, and five thousand servers that come and go: the engine
+// A hundred thousand requests under ids that are never seen again, and five thousand servers that come and go: the engine
 // keeps nothing of what has gone, alarms included.
 func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	s := newScript()
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -13,7 +13,7 @@
 type Stats struct {
 	Classes          map[string]ClassStats
 	Zones            map[string]ZoneStats
-	Servers          map[string]ServerStats // listed, and such as calls are at or have failed at
+	Servers          map[string]ServerStats // listed, and such as requests are at or have failed at
 	Rev              int64                  // of the list; negative: of none that has one
 	LatencyHistogram [Buckets]int64         // attempts that ended well, by the number of bits of what they took in microseconds
 }
--- a/internal/fastcgi/application.go
+++ b/internal/fastcgi/application.go
@@ -49,7 +49,7 @@
 // Kinds of events.
 const (
 	Nothing Kind = iota
-	Called       // PARAMS are whole
+	Called       // PARAMS are complete
 	Body         // a part of STDIN
 	BodyEnd
 	Aborted // the web server wants the request's end; End is still owed
--- a/internal/fastcgi/application_test.go
+++ b/internal/fastcgi/application_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// Whatever a web server sends, an application holds no more than its bounds, ends nothing twice, and calls each
+// Whatever a web server sends, an application holds no more than its bounds, ends nothing twice, and requests each
 // request once.
 func FuzzApplication(f *testing.F) {
 	pair := string(AppendPair(nil, "A", "b"))
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -21,7 +21,7 @@
 const (
 	partTimeout  = 2800 * time.Millisecond // for the next bytes of a request that has begun
 	wholeTimeout = 30 * time.Second        // for all of it
-	idleTimeout  = time.Minute             // a connection on which nothing is asked is let go
+	idleTimeout  = time.Minute             // a connection on which nothing is asked is closed
 	writeTimeout = 5 * time.Second         // for a part of an answer to be taken
 	stall        = 10 * time.Second        // the same of an answer that passes through
 	passSize     = 16 << 10                // of such an answer held at once
@@ -54,8 +54,8 @@
 	// What downstream.Set asks for. Never held while something is read or written.
 	state    sync.Mutex
 	midway   bool // within a record, as far as is known
-	reading  int  // requests that have begun and are not whole
-	owed     int  // requests that are whole and of whose answers no byte is written
+	reading  int  // requests that have begun and are not complete
+	owed     int  // requests that are complete and of whose answers no byte is written
 	oldest   time.Time
 	heard    time.Time
 	leaving  bool
@@ -383,7 +383,7 @@
 	c.mu.Unlock()
 }
 
-// answer gives a request an answer that is whole. The caller holds mu.
+// answer gives a request an answer that is complete. The caller holds mu.
 func (c *client) answer(r *call, a engine.Response) {
 	c.front.figures.End(r.in.Class, validation.Result(a))
 	if a.Kind != engine.Served {
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// SetReady has the health answer say from now on whether callers should be sent here.
+// SetReady has the health answer say from now on whether clients should be sent here.
 func (f *Front) SetReady(is bool) { f.unready.Store(!is) }
 
 // SetClosing says whether each connection from now on ends with its last answer.
@@ -62,7 +62,7 @@
 // CloseQuiet closes the connections on which nothing is asked. It returns how many are left.
 func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
 
-// health tells whoever asks whether to send callers here.
+// health tells whoever asks whether to send clients here.
 func (c *client) health(r *call) {
 	switch f := c.front; {
 	case r.head.Method != http.MethodGet && r.head.Method != http.MethodHead || r.head.Length > 0:
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -49,7 +49,7 @@
 	return startRigOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
 }
 
-// startRigOn has the front listen on what wrap makes of its listener.
+// startRigOn has the front end listen on what wrap makes of its listener.
 func startRigOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds Bounds, servers ...string) *rig {
 	t.Helper()
 	cfg := testpeer.Config()
@@ -280,7 +280,7 @@
 		}
 		return testpeer.Echo(c, r, body)
 	})
-	var servers []string // enough of them for the module to admit fifty calls
+	var servers []string // enough of them for the module to admit fifty requests
 	for i := range 8 {
 		servers = append(servers, testpeer.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
 	}
@@ -479,7 +479,7 @@
 	}
 }
 
-// BenchmarkCalls passes small calls from one FastCGI connection to an HTTP/1.1 server, one after another and 16 at once.
+// BenchmarkCalls passes small requests from one FastCGI connection to an HTTP/1.1 server, one after another and 16 at once.
 func BenchmarkCalls(b *testing.B) {
 	s := testpeer.NewServer(b, testpeer.Echo)
 	n := startRig(b, testpeer.Entry("s1", s.Address(), "in_service"))
--- a/internal/fastcgi/left_test.go
+++ b/internal/fastcgi/left_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// clientPair is a web server's connection and what the front has of it; nobody reads it.
+// clientPair is a web server's connection and what the front end has of it; nobody reads it.
 func clientPair(t *testing.T) (ours *client, theirs net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -45,7 +45,7 @@
 type Pairs struct {
 	limits Limits
 	part   []byte // of the pair under way, with its lengths
-	bytes  int    // of the pairs that are whole, without their lengths
+	bytes  int    // of the pairs that are complete, without their lengths
 	count  int
 	offset int64 // of the pair under way in the stream
 	failed error
@@ -58,10 +58,10 @@
 func (p *Pairs) Reset() { *p = Pairs{limits: p.limits, part: p.part[:0]} }
 
 // Feed takes the next bytes and has each pair that they make whole seen. What is seen is valid only meanwhile. After an
-// error, which names the place, each call returns the same.
+// error, which names the place, each request returns the same.
 func (p *Pairs) Feed(text []byte, see func(name, value []byte)) error {
 	for p.failed == nil && len(text) > 0 {
-		if len(p.part) == 0 { // most pairs come whole
+		if len(p.part) == 0 { // most pairs come completely
 			used, err := p.pair(text, see)
 			if p.failed = err; used > 0 {
 				text = text[used:]
@@ -71,7 +71,7 @@
 		if p.failed != nil {
 			break
 		}
-		// One that is not whole grows to what its lengths say, and not beyond.
+		// One that is not complete grows to what its lengths say, and not beyond.
 		n := min(p.missing(), len(text))
 		p.part = append(p.part, text[:n]...)
 		text = text[n:]
@@ -92,7 +92,7 @@
 	return size + name + value - len(p.part)
 }
 
-// pair sees the pair that text begins with, and tells how many bytes it has; 0: it is not whole.
+// pair sees the pair that text begins with, and tells how many bytes it has; 0: it is not complete.
 func (p *Pairs) pair(text []byte, see func(name, value []byte)) (used int, err error) {
 	name, value, size, ok := lengths(text)
 	if !ok {
@@ -126,7 +126,7 @@
 	return fmt.Errorf("fastcgi: pair %d at byte %d of its stream: %w", p.count+1, p.offset, err)
 }
 
-// lengths reads a pair's two lengths and tells how many bytes they take; not ok: they are not whole.
+// lengths reads a pair's two lengths and tells how many bytes they take; not ok: they are not complete.
 func lengths(text []byte) (name, value, size int, ok bool) {
 	var n, v uint32
 	if n, size, ok = length(text, 0); ok {
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -152,7 +152,7 @@
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
 // Next reads the next record. It returns io.EOF at the stream's end between two records, and else an *Error that
-// names the record; every later call returns the same. Records of types that are not known come with id 0 only, for
+// names the record; every later request returns the same. Records of types that are not known come with id 0 only, for
 // these have an answer (section 4.2).
 func (r *Reader) Next() (Record, error) {
 	if r.failed != nil {
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-// written is what a writer makes of calls.
+// written is what a writer makes of requests.
 func written(t testing.TB, requests ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -215,7 +215,7 @@
 	})
 }
 
-// BenchmarkExchange reads and writes a small call's records.
+// BenchmarkExchange reads and writes a small request's records.
 func BenchmarkExchange(b *testing.B) {
 	text := written(b,
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -15,7 +15,7 @@
 const fromHeader = "HTTP_"
 
 // headOf reads a request's head from its CGI variables (RFC 3875 section 4.1). What could be read in two ways is
-// turned away: a variable that comes twice, headers whose names fall together once they are variables, a length
+// rejected: a variable that comes twice, headers whose names fall together once they are variables, a length
 // beside another one, line ends in a value.
 func headOf(listener string, params []Param) (validation.Head, *validation.Rejected) {
 	bad := func(reason string) (validation.Head, *validation.Rejected) {
--- a/internal/fastcgi/webserver.go
+++ b/internal/fastcgi/webserver.go
@@ -118,7 +118,7 @@
 }
 
 // Unrun says, of a Reply that is Ended, that the application has told that it did not take the request (section
-// 5.5). Any other end may have run it, also one that comes before its body was sent whole.
+// 5.5). Any other end may have run it, also one that comes before its body was sent complete.
 func (r Reply) Unrun() bool { return r.End.Status == Overloaded || r.End.Status == CantMultiplex }
 
 // Take takes the next record.
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -58,7 +58,7 @@
 	return func(w *Writer) error { return w.End(id, End{Status: status}) }
 }
 
-// began is a web server with requests 1 to n begun, those whose bodies are to be whole closed.
+// began is a web server with requests 1 to n begun, those whose bodies are to be complete closed.
 func began(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
 	s := NewWebServer(NewWriter(io.Discard))
@@ -80,7 +80,7 @@
 func TestWebServerScripts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		whole bool // bodies are sent whole
+		whole bool // bodies are sent complete
 		calls []step
 		want  string
 	}{
--- a/internal/faultbench/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit compares what callers heard with what servers ran, call by call, and finds every breach of the four
-// rules: one answer in time; nothing unsafe twice, and no two attempts of a call at once; drains kept; no cold server
+// Package audit compares what clients heard with what servers ran, call by call, and finds every breach of the four
+// rules: one answer in time; nothing unsafe twice, and no two attempts of a request at once; drains kept; no server in slow start
 // pushed over. It also works out the figures of a run (figures.go). It does no I/O and has no clock.
 package audit
 
@@ -14,19 +14,19 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// Heard is what a caller heard of a call.
+// Heard is what a client heard of a request.
 type Heard int
 
-// What callers hear.
+// What clients hear.
 const (
 	Nothing  Heard = iota // until the time was up
 	Served                // with the answer that a server made for it
 	Refused               // trying again is harmless
 	Failed                // promises nothing
-	NotTaken              // no connection came up, or it ended before the call was taken
+	NotTaken              // no connection came up, or it ended before the request was taken
 	Broken                // the connection ended after it was taken
-	Wrong                 // an answer that is none to this call, or two
-	Gone                  // its caller left with nothing
+	Wrong                 // an answer that is none to this request, or two
+	Gone                  // its client left with nothing
 )
 
 var heardNames = [...]string{"nothing", "served", "refused", "failed", "not taken", "a broken connection", "a wrong answer", "nothing before its caller left"}
@@ -40,27 +40,27 @@
 	DrainGrace  = 1050 * time.Millisecond
 )
 
-// Race is by how much the rig may see two things of one node in the wrong order: they come on two connections.
+// Race is by how much the fault bench may see two things of one node in the wrong order: they come on two connections.
 const Race = 20 * time.Millisecond
 
-// Call is one call, as its caller sees it.
+// Call is one request, as its client sees it.
 type Call struct {
 	ID       string
-	First    string // of its caller's first try, which a retry belongs to; empty: this is it
+	First    string // of its client's first attempt, which a retry belongs to; empty: this is it
 	Node     int
 	Class    int
 	Unsafe   bool
 	At       time.Duration
 	Aim      time.Duration // from At
 	Deadline time.Duration // from At
-	Worth    float64       // of an answer within the aim
+	Worth    float64       // of an answer within the latency objective
 	Heard    Heard
 	HeardAt  time.Duration
 	Says     string // what else was heard: the refusal's advice, a wrong answer's beginning
 	attempts []*Attempt
 }
 
-// Attempt is one send of a call, as the rig's relays and servers see it.
+// Attempt is one send of a request, as the fault bench's relays and servers see it.
 type Attempt struct {
 	Call   string
 	Server string // uid
@@ -99,13 +99,13 @@
 type Audit struct {
 	mu       sync.Mutex
 	calls    map[string]*Call
-	orphans  []*Attempt // of calls that nobody made
+	orphans  []*Attempt // of requests that nobody made
 	told     map[int]map[string]time.Duration
 	excuses  []Excuse
 	breaches []Breach
 	samples  []Sample
 	arrivals []arrival
-	cold     float64 // most that came to a cold server, of what the rule allows
+	cold     float64 // most that came to a server in slow start, of what the rule allows
 }
 
 type arrival struct {
@@ -118,14 +118,14 @@
 	return &Audit{calls: map[string]*Call{}, told: map[int]map[string]time.Duration{}}
 }
 
-// Ask notes that a caller sends a call.
+// Ask notes that a client sends a request.
 func (a *Audit) Ask(c Call) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls[c.ID] = &c
 }
 
-// Hear notes what its caller heard, once a call; more is a breach.
+// Hear notes what its client heard, once a request; more is a breach.
 func (a *Audit) Hear(id string, h Heard, at time.Duration, says string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,7 +193,7 @@
 	a.excuses = append(a.excuses, e)
 }
 
-// LifeOver notes what came to a server while it was cold, once its life or the run is over.
+// LifeOver notes what came to a server while it was cold, once its incarnation or the run is over.
 func (a *Audit) LifeOver(s *world.Server, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,7 +208,7 @@
 	return slices.ContainsFunc(a.excuses, func(e Excuse) bool { return e.Node == node && e.From <= to && from <= e.To })
 }
 
-// Breaches judges all that was noted, in the order of time. late is by how much the rig itself lagged at most.
+// Breaches judges all that was noted, in the order of time. late is by how much the fault bench itself lagged at most.
 func (a *Audit) Breaches(late time.Duration) []Breach {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -265,7 +265,7 @@
 	return out
 }
 
-// story tells what happened to a call, in the order of time.
+// story tells what happened to a request, in the order of time.
 func (c *Call) story() []string {
 	type line struct {
 		at   time.Duration
--- a/internal/faultbench/audit/audit_test.go
+++ b/internal/faultbench/audit/audit_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// sound is a call that was served by the one server that it was sent to.
+// sound is a request that was served by the one server that it was sent to.
 func sound(a *Audit, id string, unsafe bool) *Attempt {
 	a.Ask(Call{ID: id, Unsafe: unsafe, At: 10 * ms, Aim: 100 * ms, Deadline: 200 * ms})
 	t := a.Send(id, "s1", 0, false, 20*ms)
--- a/internal/faultbench/audit/figures.go
+++ b/internal/faultbench/audit/figures.go
@@ -35,26 +35,26 @@
 
 // Figures are what a run comes to, over the stretch that is measured.
 type Figures struct {
-	Calls       int     // a caller's tries are one
-	InAim       float64 // share of calls that were served within their aim
-	Worth       float64 // of what all calls are worth, the share that was served within the aim
-	Served      float64 // shares of all calls
+	Calls       int     // a client's tries are one
+	InAim       float64 // share of requests that were served within their latency objective
+	Worth       float64 // of what all requests are worth, the share that was served within the latency objective
+	Served      float64 // shares of all requests
 	Refused     float64
 	Failed      float64
 	NotTaken    float64
-	Late        float64 // served after the aim
-	Left        float64 // callers that left with nothing
-	Cold        float64 // most work that came to a cold server in a second, of what the rule allows
-	Attempts    float64 // a call
+	Late        float64 // served after the latency objective
+	Left        float64 // clients that left with nothing
+	Cold        float64 // most work that came to a server in slow start in a second, of what the rule allows
+	Attempts    float64 // a request
 	Crossings   float64 // share of attempts that left their zone
 	P50, P90    time.Duration
 	P99, P999   time.Duration // of those served
 	Utilisation float64       // slots that worked
-	Waiting     float64       // calls that waited, for each slot
+	Waiting     float64       // requests that waited, for each slot
 	Spread      Spread
 	Connections float64  // open to a server, on average
 	MostConns   float64  // at the server that had most, against the mean
-	BySecond    []Second // since the first call
+	BySecond    []Second // since the first request
 	Series      []Point  // of the whole run
 	Latency     []byte   // of those served, in microseconds: an HdrHistogram, encoded as version 2
 }
@@ -63,11 +63,11 @@
 type Point struct {
 	At      time.Duration
 	Working float64 // share of slots
-	Waiting float64 // calls, for each slot
-	Idle    float64 // free slots while calls wait elsewhere, as a share of all slots
+	Waiting float64 // requests, for each slot
+	Idle    float64 // free slots while requests wait elsewhere, as a share of all slots
 }
 
-// Second is what became of the calls of a second.
+// Second is what became of the requests of a second.
 type Second struct {
 	Calls  int
 	InAim  float64
@@ -76,14 +76,14 @@
 
 // Spread says how evenly servers were loaded. See docs/operate/faultbench.md for the definitions.
 type Spread struct {
-	Variation       float64           // coefficient of variation of calls a slot over servers, by instant, averaged
-	IdleWhileQueued float64           // free slots while calls wait elsewhere, as a share of all slots
+	Variation       float64           // coefficient of variation of requests a slot over servers, by instant, averaged
+	IdleWhileQueued float64           // free slots while requests wait elsewhere, as a share of all slots
 	Windows         map[string]Window // by length
-	Counts          []int             // calls that came to each place
-	LongestIdle     time.Duration     // that a server which was up went without a call
+	Counts          []int             // requests that came to each place
+	LongestIdle     time.Duration     // that a server which was up went without a request
 }
 
-// Window compares servers by the calls that came to them within windows of one length, against their part of capacity.
+// Window compares servers by the requests that came to them within windows of one length, against their part of capacity.
 type Window struct {
 	Most, Least             float64 // of the server with most and with least, against the mean; averaged over windows
 	ChanceMost, ChanceLeast float64 // beyond which one server goes in one window of twenty by chance alone
@@ -98,7 +98,7 @@
 // Capacity is what each server's place can do: slots, and how its speed compares.
 type Capacity struct {
 	Slots int
-	Speed float64 // calls a second that one slot works off
+	Speed float64 // requests a second that one slot works off
 }
 
 // Capacities are those of an experiment's servers, in the order of their places.
@@ -111,13 +111,13 @@
 	return c
 }
 
-// tries are all that one caller asked for one thing.
+// tries are all that one client asked for one thing.
 type tries struct {
 	first *Call
 	calls []*Call
 }
 
-// tries are the calls by the first of each caller's. The caller holds mu.
+// tries are the requests by the first of each client's. The caller holds mu.
 func (a *Audit) tries() map[string]*tries {
 	all := map[string]*tries{}
 	for _, c := range a.calls {
@@ -141,10 +141,10 @@
 	return last
 }
 
-// ClassFigures are what became of the calls of a class, or of another group, over a stretch.
+// ClassFigures are what became of the requests of a class, or of another group, over a stretch.
 type ClassFigures struct {
 	Calls      int
-	InAim      float64 // share that was served within the aim
+	InAim      float64 // share that was served within the latency objective
 	Unanswered float64 // share that heard nothing until the time was up
 }
 
@@ -158,7 +158,7 @@
 	return out
 }
 
-// By works them out for each group of calls, by the first of each caller's.
+// By works them out for each group of requests, by the first of each client's.
 func (a *Audit) By(from, to time.Duration, group func(Call) string) map[string]ClassFigures {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,7 +186,7 @@
 	return out
 }
 
-// Figures works them out over a stretch, of calls that were made in it.
+// Figures works them out over a stretch, of requests that were made in it.
 func (a *Audit) Figures(from, to time.Duration, capacity []Capacity) Figures {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -331,7 +331,7 @@
 	f.Series = append(f.Series, Point{at, working, waiting, idle})
 }
 
-// window compares the servers by the calls that came to them.
+// window compares the servers by the requests that came to them.
 func (a *Audit) window(from, to, length time.Duration, capacity []Capacity) (w Window) {
 	count := int((to - from) / length)
 	counts := make([][]float64, count)
@@ -376,7 +376,7 @@
 	return Window{w.Most / used, w.Least / used, w.ChanceMost / used, w.ChanceLeast / used, w.Within / used}
 }
 
-// chance is between how many of n calls a server that is drawn with probability p has, but for the given share of
+// chance is between how many of n requests a server that is drawn with probability p has, but for the given share of
 // cases on either side.
 func chance(n, p, share float64) (high, low float64) {
 	b := distuv.Binomial{N: n, P: p}
@@ -392,7 +392,7 @@
 	return math.Floor(high), max(0, math.Ceil(low))
 }
 
-// longestIdle is the longest that a server which was up went without a call coming to it.
+// longestIdle is the longest that a server which was up went without a request coming to it.
 func (a *Audit) longestIdle(from, to time.Duration, places int) (longest time.Duration) {
 	last := make([]time.Duration, places)
 	for i := range last {
--- a/internal/faultbench/audit/figures_test.go
+++ b/internal/faultbench/audit/figures_test.go
@@ -10,7 +10,7 @@
 
 func near(got, want, by float64) bool { return math.Abs(got-want) <= by }
 
-// Two servers of two slots: at first one works on two calls and holds two more while the other is idle, then each
+// Two servers of two slots: at first one works on two requests and holds two more while the other is idle, then each
 // works on one.
 func TestIdleWhileQueuedAndVariation(t *testing.T) {
 	a := New()
@@ -58,7 +58,7 @@
 	}
 }
 
-// A caller's tries are one call, which is served in its aim if one of them is, counted from the first.
+// A client's tries are one request, which is served in its latency objective if one of them is, counted from the first.
 func TestTriesAreOneCall(t *testing.T) {
 	a := New()
 	a.Ask(Call{ID: "x", At: 10 * ms, Aim: 100 * ms, Deadline: 500 * ms})
--- a/internal/faultbench/child/child.go
+++ b/internal/faultbench/child/child.go
@@ -113,7 +113,7 @@
 	return string(t.text)
 }
 
-// Process is one life of a node.
+// Process is one incarnation of a node.
 type Process struct {
 	Cmd  *exec.Cmd
 	Log  *tail
@@ -121,11 +121,11 @@
 	Err  error         // how
 
 	mu     sync.Mutex
-	wanted bool // its end is the rig's doing
+	wanted bool // its end is the fault bench's doing
 }
 
 // Launch starts the program with a file in memory as its third descriptor.
-// key, if it has one, is the fourth. heard is told of each whole line of its log.
+// key, if it has one, is the fourth. heard is told of each complete line of its log.
 func (s *Spawner) Launch(binary string, file, key *Memfile, keep int, env []string, heard func(string)) (*Process, error) {
 	files := []*os.File{file.File}
 	if key != nil {
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -19,7 +19,7 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// callers has a node's calls come when they are due, whatever becomes of them, and returns once all have been heard of.
+// callers has a node's requests come when they are due, whatever becomes of them, and returns once all have been heard of.
 func (n *node) callers(ctx context.Context, streams *world.Streams) {
 	f := n.fleet
 	var all sync.WaitGroup
@@ -42,7 +42,7 @@
 	}
 }
 
-// call makes a call, and those that its caller makes after it as long as there is time.
+// call makes a request, and those that its client makes after it as long as there is time.
 func (n *node) call(ctx context.Context, c world.Call) {
 	f := n.fleet
 	class := f.e.Classes[c.Class]
@@ -66,7 +66,7 @@
 	}
 }
 
-// ask sends one call and tells what is heard: of a node, or where the rig picks, of a server.
+// ask sends one request and tells what is heard: of a node, or where the fault bench picks, of a server.
 func (n *node) ask(id string, class experiment.Class, left time.Duration) (heard audit.Heard, says string, wait time.Duration) {
 	to := n.listen
 	if n.fleet.o.Policy != experiment.Program {
@@ -93,13 +93,13 @@
 			continue
 		}
 		if n.fleet.o.Policy != experiment.Program && heard == audit.Refused {
-			heard = audit.Failed // turned away by the one server that was picked
+			heard = audit.Failed // rejected by the one server that was picked
 		}
 		return heard, says, wait
 	}
 }
 
-// on makes a call on a connection. open: it is of further use.
+// on makes a request on a connection. open: it is of further use.
 func (n *node) on(c net.Conn, id string, class experiment.Class, left time.Duration) (heard audit.Heard, says string, wait time.Duration, open bool) {
 	leaves := n.fleet.e.Callers.Patience
 	if leaves == 0 || leaves > left {
@@ -170,7 +170,7 @@
 	n.idle[to] = append(n.idle[to], c)
 }
 
-// pick is where a policy of the rig's own sends a call.
+// pick is where a policy of the fault bench's own sends a request.
 func (n *node) pick() (addr string) {
 	f := n.fleet
 	v, _, _, _ := f.list.known(n.lag)
--- a/internal/faultbench/experiment/model.go
+++ b/internal/faultbench/experiment/model.go
@@ -1,4 +1,4 @@
-// Package experiment holds what the rig is to play: a fleet of nodes and servers in zones, callers, and a timetable of
+// Package experiment holds what the fault bench is to play: a fleet of nodes and servers in zones, clients, and a timetable of
 // faults, read from a file in HCL and checked whole. It plays nothing itself.
 package experiment
 
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Experiment is one day on the bench. Times of faults count from the first call.
+// Experiment is one day on the bench. Times of faults count from the first request.
 type Experiment struct {
 	Name    string
 	Note    string // what it is for, in a sentence
@@ -28,10 +28,10 @@
 	Faults   []Fault
 }
 
-// Length is how long callers ask.
+// Length is how long clients ask.
 func (e *Experiment) Length() time.Duration { return e.WarmUp + e.Measure }
 
-// Policy says who picks the server of a call.
+// Policy says who picks the server of a request.
 type Policy string
 
 // Policies. All but Program are for comparison.
@@ -49,8 +49,8 @@
 	Name  string
 	Count int
 	Zones []string
-	Times float64 // calls against the mean of all nodes
-	Asks  int     // servers that a node asks how much they hold before it sends a call to one; 0: none
+	Times float64 // requests against the mean of all nodes
+	Asks  int     // servers that a node asks how much they hold before it sends a request to one; 0: none
 }
 
 // Servers is a group of servers, dealt out over its zones in turn.
@@ -58,12 +58,12 @@
 	Name     string
 	Count    int
 	Zones    []string
-	Slots    int           // calls in work at once
-	Queue    int           // that wait; more are turned away
-	Service  time.Duration // mean time of a call's work
+	Slots    int           // requests in work at once
+	Queue    int           // that wait; more are rejected
+	Service  time.Duration // mean time of a request's work
 	Draw     Draw
 	Size     float64 // as listed; 0: not told
-	Reports  bool    // answers say how many calls the server holds
+	Reports  bool    // answers say how many requests the server holds
 	ColdFrom float64 // share of its speed that a server has when it starts
 	ColdOver time.Duration
 }
@@ -89,23 +89,23 @@
 	return time.Duration(rng.ExpFloat64() * float64(mean))
 }
 
-// Class is a class of calls.
+// Class is a class of requests.
 type Class struct {
 	Name     string
 	Effect   string // safe or unsafe
 	Aim      time.Duration
 	Deadline time.Duration
-	Share    float64 // of all calls
-	Worth    float64 // of one that is served within its aim
+	Share    float64 // of all requests
+	Worth    float64 // of one that is served within its latency objective
 }
 
 // Callers come in an open stream: they do not wait for answers.
 type Callers struct {
-	Rate        float64 // calls a second at a node, on average over all; 0: what Utilisation asks for
+	Rate        float64 // requests a second at a node, on average over all; 0: what Utilisation asks for
 	Utilisation float64 // of all slots of all servers
-	Retries     int     // that a caller makes after a refusal or a failed safe call
+	Retries     int     // that a client makes after a refusal or a failed safe request
 	Wait        time.Duration
-	Patience    time.Duration // after which a caller leaves; 0: it waits until the deadline
+	Patience    time.Duration // after which a client leaves; 0: it waits until the deadline
 }
 
 // Link is what lies between two zones, in both directions.
@@ -127,7 +127,7 @@
 const (
 	Cut      Kind = "cut"       // says nothing in either direction; new connections never come up
 	CutThere Kind = "cut_there" // nothing from a node reaches a server
-	CutBack  Kind = "cut_back"  // nothing from a server reaches a node: calls run and no answer comes
+	CutBack  Kind = "cut_back"  // nothing from a server reaches a node: requests run and no answer comes
 	Reset    Kind = "reset"     // connections are reset, new ones too
 	Refuse   Kind = "refuse"    // new connections are refused
 	Slow     Kind = "slow"      // Delay, Jitter, Loss and Bandwidth are added
@@ -140,7 +140,7 @@
 
 	Crash   Kind = "crash"   // the server's process dies: connections are reset, new ones refused; cold at the end
 	Lose    Kind = "lose"    // its machine vanishes: silence; cold at the end
-	Hang    Kind = "hang"    // takes calls and answers none
+	Hang    Kind = "hang"    // takes requests and answers none
 	Errors  Kind = "errors"  // answers 500 at once
 	Drag    Kind = "drag"    // works Factor times as long
 	Replace Kind = "replace" // drained, and another under a new id in its place
@@ -167,7 +167,7 @@
 // Target is what the kind strikes.
 func (k Kind) Target() Target { return targets[k] }
 
-// RegistrySide is what a fault's Far calls the links between nodes and the registry.
+// RegistrySide is what a fault's Far requests the links between nodes and the registry.
 const RegistrySide = "registry"
 
 // Fault is one thing that goes wrong from one instant to another.
@@ -242,7 +242,7 @@
 	return lags
 }
 
-// Slots is how many calls all servers have in work at most.
+// Slots is how many requests all servers have in work at most.
 func (e *Experiment) Slots() (n int) {
 	for _, g := range e.Servers {
 		n += g.Count * g.Slots
@@ -250,7 +250,7 @@
 	return n
 }
 
-// Rates are the calls a second of each node.
+// Rates are the requests a second of each node.
 func (e *Experiment) Rates() (rates []float64) {
 	var all, times float64
 	for _, g := range e.Nodes {
--- a/internal/faultbench/faultbench_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { program.Main(m) }
 
-// play plays an experiment with processes and returns what it came to. What rests on time is judged only where the rig
+// play plays an experiment with processes and returns what it came to. What rests on time is judged only where the fault bench
 // kept up.
 func play(t *testing.T, text string) *Result {
 	t.Helper()
@@ -78,7 +78,7 @@
 `
 
 // Twelve processes, and for three seconds nothing from one zone's nodes comes to another's servers: the rules hold,
-// every call of a zone that can reach servers is served, and all servers carry their part.
+// every request of a zone that can reach servers is served, and all servers carry their part.
 func TestTwelveProcessesAndAZoneCutOffOneWay(t *testing.T) {
 	res := play(t, dozen+`
 fault "cut" {
@@ -108,7 +108,7 @@
 	}
 }
 
-// asking has nodes ask three servers what they hold before each call.
+// asking has nodes ask three servers what they hold before each request.
 func asking(text string) string {
 	return strings.NewReplacer("count = 12\n}", "count = 12\n  asks  = 3\n}", "queue   = 100", "queue   = 100\n  reports = true").Replace(text)
 }
@@ -175,7 +175,7 @@
 
 // Twelve processes come to know one another by datagrams; one is killed, and a zone is cut off from the others for a
 // while: the dead one is dead for the others, who hear of it, the cut parts hold each other for dead, and when all is over
-// everybody is alive for everybody, the killed one in a later life.
+// everybody is alive for everybody, the killed one in a later incarnation.
 func TestProcessesKnowOneAnother(t *testing.T) {
 	text := strings.NewReplacer(`measure = "8s"`, "measure = \"23s\"\n  peers   = \"200ms\"\n  fresh   = \"2s\"", `rate = 5`, `rate = 1`).Replace(dozen)
 	res := play(t, text+`
@@ -243,7 +243,7 @@
 	}
 }
 
-// A rig that was late says so and names the figures, and the command does not judge.
+// A fault bench that was late says so and names the figures, and the command does not judge.
 func TestARigThatIsTooSlowSaysSo(t *testing.T) {
 	e, err := experiment.Parse([]byte(dozen), "dozen", nil)
 	if err != nil {
@@ -265,7 +265,7 @@
 	}
 }
 
-// What a run did is told by the same auditor whoever picks; the rig's own policies need no process.
+// What a run did is told by the same auditor whoever picks; the fault bench's own policies need no process.
 func TestTheRigsOwnPolicies(t *testing.T) {
 	e, err := experiment.Parse([]byte(strings.NewReplacer(`"8s"`, `"1s"`, `"1s"`, `"200ms"`).Replace(dozen)), "dozen", nil)
 	if err != nil {
--- a/internal/faultbench/federation/audit.go
+++ b/internal/faultbench/federation/audit.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Run is a call at a box.
+// Run is a request at a server.
 type Run struct {
 	ID, Key, Class, Path, Box string
 	Partner                   int
@@ -17,7 +17,7 @@
 	Dropped                   bool // it was a repeat of its key, and nothing was done
 }
 
-// Heard is what a caller heard once.
+// Heard is what a client heard once.
 type Heard struct {
 	Call    string // the first id that it was asked for by
 	ID      string // of this asking
@@ -32,10 +32,10 @@
 	Took    time.Duration
 }
 
-// Audit holds what boxes ran against what callers heard.
+// Audit holds what servers ran against what clients heard.
 type Audit struct {
 	mu     sync.Mutex
-	runs   map[string][]Run // by what a call is known by: its key, or its first id
+	runs   map[string][]Run // by what a request is known by: its key, or its first id
 	firsts map[string]string
 	heard  map[string][]Heard
 	cells  map[[2]int]*cell
@@ -49,10 +49,10 @@
 	release chan struct{}
 }
 
-// rule forbids calls from an instant on.
+// rule forbids requests from an instant on.
 type rule struct {
 	from    time.Duration
-	partner int // whose boxes must not run them
+	partner int // whose servers must not run them
 	words   string
 	forbids func(Run) bool
 }
@@ -71,7 +71,7 @@
 	return a.cells[k]
 }
 
-// ran notes a run, and tells how many there were of the call.
+// ran notes a run, and tells how many there were of the request.
 func (a *Audit) ran(r Run) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,14 +87,14 @@
 	return len(a.runs[k])
 }
 
-// Runs are the runs of a call, by its first id or its key.
+// Runs are the runs of a request, by its first id or its key.
 func (a *Audit) Runs(request string) []Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.runs[request])
 }
 
-// Hold has boxes keep the call of an id until release is closed; each box that has it says its name.
+// Hold has servers keep the request of an id until release is closed; each server that has it says its name.
 func (a *Audit) Hold(id string) (got <-chan string, release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +114,7 @@
 	return a.holds[id]
 }
 
-// asks notes that a call is asked for by another id.
+// asks notes that a request is asked for by another id.
 func (a *Audit) asks(id, first string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,7 +127,7 @@
 	a.heard[h.Call] = append(a.heard[h.Call], h)
 }
 
-// Forbid notes that a partner's boxes must not begin some calls from an instant on.
+// Forbid notes that a partner's servers must not begin some requests from an instant on.
 func (a *Audit) Forbid(from time.Duration, partner int, words string, forbids func(Run) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // Breaches are all that is against the rules: what is unsafe ran twice, a key's work was done twice, two that asked about one
-// call heard different settled answers, a settled success that no box ran, a call on a forbidden path.
+// call heard different settled answers, a settled success that no server ran, a request on a forbidden path.
 func (a *Audit) Breaches() (out []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faultbench/federation/client.go
+++ b/internal/faultbench/federation/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Call is what a caller asks for.
+// Call is what a client asks for.
 type Call struct {
 	ID      string // of this asking
 	First   string // by which the auditor knows it; empty: Of, or this one
--- a/internal/faultbench/federation/day.go
+++ b/internal/faultbench/federation/day.go
@@ -17,15 +17,15 @@
 // Day is what a league is put through.
 type Day struct {
 	Name     string
-	Fault    string        // none, kill, stop, cut, one-way, stall, keeper, rules
+	Fault    string        // none, kill, stop, cut, one-way, stall, quota leader, rules
 	Every    time.Duration // between two faults
 	For      time.Duration // that each lasts
 	Length   time.Duration
-	Rate     float64 // calls a second that come to each gateway
-	Away     float64 // share of calls for another partner
+	Rate     float64 // requests a second that come to each gateway
+	Away     float64 // share of requests for another partner
 	Uneven   float64 // by how much more come to the gateways of the first partner, the third and so on, and less to the others'
 	Patience time.Duration
-	Doubt    time.Duration // after which a caller without an answer asks another gateway
+	Doubt    time.Duration // after which a client without an answer asks another gateway
 	Seed     uint64
 	Bound    func(window time.Duration) float64 // of notes; nil: there is no quota
 }
@@ -38,23 +38,23 @@
 	Calls, Served, Refused, Failed, Unanswered int
 	FailedBy                                   map[string]int // by class, and whether it was settled
 	Struck                                     int            // faults
-	// Calls that a gateway had in hand when it was killed or stopped, with a second left at least.
+	// Requests that a gateway had in hand when it was killed or stopped, with a second left at least.
 	InHand, InHandServed int
 	MayRepeat, MayServed int           // of them, such as may be sent again: safe and keyed ones
 	Takeover             time.Duration // median, from the kill to the answer elsewhere
 	P50, P99             time.Duration
-	P99Apart             time.Duration // of calls that came neither to a gateway that was stalled nor went to its partner
+	P99Apart             time.Duration // of requests that came neither to a gateway that was stalled nor went to its partner
 	Agree                time.Duration // longest until all tables of each partner agreed, after a fault or a change
 	Disagreed            int           // times that they did not within 2 s
 	MostIn1s, MostIn10s  int           // notes
 	Over                 float64       // most notes in a window, against what the terms bound in it
 	Breaches             []string
-	Late                 time.Duration // most by which a call was sent after it was due
+	Late                 time.Duration // most by which a request was sent after it was due
 	Purses               quota.Counts  // of all gateways that run at the end together
 	Notes                float64       // that began a second
 }
 
-// open is a call that a caller waits for.
+// open is a request that a client waits for.
 type open struct {
 	class string
 	until time.Time
@@ -229,7 +229,7 @@
 	f.MostIn10s, _ = l.Audit.Most("note", 10*time.Second)
 	if d.Bound != nil {
 		for w, most := range map[time.Duration]int{time.Second: f.MostIn1s, 10 * time.Second: f.MostIn10s} {
-			// A call comes to its box a little after its draw: windows of draws may be that much longer.
+			// A request comes to its server a little after its draw: windows of draws may be that much longer.
 			f.Over = max(f.Over, float64(most)/d.Bound(w+f.P99))
 		}
 	}
@@ -237,7 +237,7 @@
 	return f
 }
 
-// byThemselves is a caller's without custody: it asks another gateway for what is harmless to send again, and for nothing else.
+// byThemselves is a client's without replication: it asks another gateway for what is harmless to send again, and for nothing else.
 func (l *League) byThemselves(ctx context.Context, at *Gateway, c Call) Heard {
 	group := l.Of(at.Partner)
 	until := time.Now().Add(c.Wait)
--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -1,6 +1,6 @@
 // Package federation plays a federation with real processes: gateways of several partners by `damsontrestle serve`, with their
-// log boxes, the links between gateways and calls to partners through relays that fail on purpose, callers who come to another
-// gateway with what they had asked for, and an auditor that holds what boxes ran against what callers heard. It leaves nothing
+// log servers, the links between gateways and requests to partners through relays that fail on purpose, clients who come to another
+// gateway with what they had asked for, and an auditor that holds what servers ran against what clients heard. It leaves nothing
 // behind: processes end with this one, and files lie in a folder that is removed.
 package federation
 
@@ -32,14 +32,14 @@
 	Service  time.Duration
 	Silence  time.Duration // that ends a link; 0: 1 s
 	Period   time.Duration // of membership; 0: 300 ms
-	Custody  string        // when_alone of all classes; empty: no custody
-	Quota    string        // the body of the block quota "notes"; keepers are added
+	Custody  string        // when_alone of all classes; empty: no replication
+	Quota    string        // the body of the block quota "notes"; quota candidates are added
 	Apart    bool          // each partner keeps the quota by itself: Quota is one partner's part
 	Exports  func(l *League, partner int) string
 	Edit     func(g *Gateway, text string) string // changes a gateway's file; nil: nothing does
 	Stale    time.Duration                        // that offers are used whose links have all ended; 0: 30 s
 	Links    int                                  // that each gateway holds to gateways of each partner; 0: 2
-	Memory   string                               // for calls that are held; empty: 8MiB
+	Memory   string                               // for requests that are held; empty: 8MiB
 	Deadline time.Duration                        // of classes; 0: 5 s
 	Seed     uint64
 	Log      func(format string, args ...any)
@@ -73,7 +73,7 @@
 
 	seen  string      // where others reach its links and datagrams
 	links *link.Relay // in front of its links
-	calls *link.Relay // in front of partners' calls
+	calls *link.Relay // in front of partners' requests
 	file  string
 
 	mu      sync.Mutex
@@ -243,7 +243,7 @@
 	return l.shapes[[2]string{from, to}]
 }
 
-// Set has everything that goes from one gateway to another pass so: links, calls and datagrams, by whoever they were opened.
+// Set has everything that goes from one gateway to another pass so: links, requests and datagrams, by whoever they were opened.
 func (l *League) Set(from, to *Gateway, s link.Shape) {
 	// What a link says in one direction goes over the relay before the one it was opened to, or before the one that opened it.
 	l.mu.Lock()
@@ -323,7 +323,7 @@
 	return b.String()
 }
 
-// Keepers are the blocks of a quota that name its keepers: the first gateways of the first partners.
+// Keepers are the blocks of a quota that name its quota candidates: the first gateways of the first partners.
 func (l *League) Keepers(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -415,7 +415,7 @@
 
 func (g *Gateway) socket() string { return filepath.Join(g.league.dir, g.Name+".sock") }
 
-// Calls is where its callers come.
+// Calls is where its clients come.
 func (g *Gateway) Calls() string { return g.IP + ":7070" }
 
 // Start starts its process and returns once that answers.
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -19,7 +19,7 @@
 func TestMain(m *testing.M) { program.Main(m) }
 
 // start starts nine gateways of three partners, unless the options say otherwise, and waits until they know one another and
-// all offers. They end with the test, and so do all breaches of the rules.
+// all advertisements. They end with the test, and so do all breaches of the rules.
 func start(t *testing.T, o Options) *League {
 	t.Helper()
 	path, err := program.Path()
@@ -63,7 +63,7 @@
 	return l
 }
 
-// settle waits until all that run know one another and all offers.
+// settle waits until all that run know one another and all advertisements.
 func settle(t *testing.T, l *League) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*testpeer.Limit)
@@ -75,7 +75,7 @@
 
 func tail(s string, n int) string { return s[max(0, len(s)-n):] }
 
-// done counts the runs of a call that did something, and those that a cell discarded.
+// done counts the runs of a request that did something, and those that a cell discarded.
 func done(runs []Run) (done, dropped int) {
 	for _, r := range runs {
 		if r.Dropped {
@@ -106,7 +106,7 @@
 	return c
 }
 
-// Given a gateway that is killed while it has a call in hand, at each of its steps: another goes on with it, once, and all who
+// Given a gateway that is killed while it has a request in hand, at each of its steps: another goes on with it, once, and all who
 // ask hear the same. What is unsafe and may have run ends as failed.
 func TestSuccessorTakesOverOnceAfterKill(t *testing.T) {
 	l := start(t, Options{Custody: "refuse"})
@@ -170,7 +170,7 @@
 	}
 }
 
-// A gateway that is killed as an heir, once it has claimed a call or has an attempt allowed, is followed by the next.
+// A gateway that is killed as a successor, once it has claimed a request or has an attempt allowed, is followed by the next.
 func TestNextSuccessorTakesOverAfterSuccessorIsKilled(t *testing.T) {
 	l := start(t, Options{Partners: 1, Gateways: 5, Boxes: 8, Custody: "refuse"})
 	owner := l.Gateway(0, 0)
@@ -178,7 +178,7 @@
 		class, point string
 		status, done int
 	}{{"view", "claimed", 200, 1}, {"note", "claimed", 502, 0}, {"view", "intended", 200, 1}} {
-		// Whoever is the heir dies by its own first claim: all others have the fault.
+		// Whoever is the successor dies by its own first claim: all others have the fault.
 		for k, g := range l.Gateways {
 			g.Kill()
 			g.With(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
@@ -209,7 +209,7 @@
 		if ran, _ := done(l.Audit.Runs(request.ID)); ran > 0 && c.class != "view" {
 			t.Errorf("%s %s: it ran %d times before the heir's end", c.class, c.point, ran)
 		}
-		// Two of three voters are gone: nobody may go on, and nobody is told anything that is not so.
+		// Two of three replicas are gone: nobody may go on, and nobody is told anything that is not so.
 		for _, g := range l.Gateways[1:] {
 			if g != successor {
 				again := request
@@ -223,7 +223,7 @@
 	}
 }
 
-// A gateway that is stopped with an attempt allowed, and awakes after another has taken its call over, begins nothing; and
+// A gateway that is stopped with an attempt allowed, and awakes after another has taken its request over, begins nothing; and
 // whoever waited at it hears what all hear.
 func TestSuspendedGatewayStartsNothingOnResume(t *testing.T) {
 	l := start(t, Options{Custody: "refuse", Silence: time.Second, Period: time.Second})
@@ -241,7 +241,7 @@
 			request.Key, of = "key-"+request.ID, "key-"+request.ID
 		}
 		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
-		// Whoever asks before anybody else holds the call is told that nobody knows it, and comes to the stopped gateway in the end.
+		// Whoever asks before anybody else holds the request is told that nobody knows it, and comes to the stopped gateway in the end.
 		testpeer.Until(t, "the call to be held by another", func() bool {
 			return l.Gateway(0, 1).Custody(t.Context()).Replica.Open+l.Gateway(0, 2).Custody(t.Context()).Replica.Open > 0
 		})
@@ -270,7 +270,7 @@
 	}
 }
 
-// While a partner is cut off, one way or both, its calls cost others nothing and its own are answered in time; a call that was
+// While a partner is cut off, one way or both, its requests cost others nothing and its own are answered in time; a request that was
 // with it when the cut came is told as it was settled there, once the cut is over.
 func TestPartitionedPartner(t *testing.T) {
 	for _, how := range []string{"both ways", "there", "back"} {
@@ -318,8 +318,8 @@
 	}
 }
 
-// A partner's gateway that is killed under a call from another partner: whoever has it in hand there then tells what became
-// of it, and the caller hears that from its own gateway.
+// A partner's gateway that is killed under a request from another partner: whoever has it in hand there then tells what became
+// of it, and the client hears that from its own gateway.
 func TestPartnerGatewayKilledDuringRequest(t *testing.T) {
 	l := start(t, Options{Custody: "refuse"})
 	for _, c := range []struct {
@@ -347,7 +347,7 @@
 	}
 }
 
-// forbidden are calls of p0's callers: their ids say so.
+// forbidden are requests of p0's clients: their ids say so.
 func forbidden(r Run) bool { return strings.HasPrefix(r.ID, "p0-") }
 
 // A rule that is tightened while the partner concerned is cut off holds at its owner from the apply on, whatever the other
@@ -393,7 +393,7 @@
 }
 
 // A gateway whose links pass next to nothing on is lost to its group within the silence that the file says, and to nobody
-// else: calls that do not need it go on, in custody of those that are left.
+// else: requests that do not need it go on, replicated of those that are left.
 func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
 	l := start(t, Options{Partners: 2, Gateways: 4, Custody: "refuse", Silence: time.Second})
 	slow := l.Gateway(0, 3)
@@ -448,7 +448,7 @@
 	testpeer.Receive(t, owner.Ended(), "its end")
 }
 
-// Alone, a gateway does what its file says, and a holder that was started anew is no voter in what its earlier life had taken.
+// Alone, a gateway does what its file says, and a holder that was started anew is no replica in what its earlier incarnation had taken.
 func TestAloneAndAmnesia(t *testing.T) {
 	for _, when := range []string{"serve", "refuse"} {
 		l := start(t, Options{Partners: 1, Custody: when})
@@ -476,7 +476,7 @@
 	}
 	settle(t, l)
 	l.Gateway(0, 0).Kill()
-	// Of its three voters one is dead and one has forgotten: the third alone decides nothing.
+	// Of its three replicas one is dead and one has forgotten: the third alone decides nothing.
 	h := l.Ask(t.Context(), l.Gateway(0, 1), Call{ID: "forgotten-again", Of: "forgotten", Class: "view", Path: "p0/x", Wait: 2 * time.Second})
 	if h.Settled || h.Status == 200 {
 		t.Errorf("%+v", h)
@@ -486,7 +486,7 @@
 	}
 }
 
-// Past its memory a gateway takes no more into custody, and refuses at once with a time to come back.
+// Past its memory a gateway takes no more into replication, and refuses at once with a time to come back.
 func TestReplicasWithoutCapacityReject(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Memory: "64KiB"})
 	var releases []func()
@@ -519,7 +519,7 @@
 	}
 }
 
-// In a group of two the other one takes over by itself; a body that is not kept whole is served, and in nobody's custody.
+// In a group of two the other one takes over by itself; a body that is not kept whole is served, and in nobody's replication.
 func TestAGroupOfTwoAndLongBodies(t *testing.T) {
 	l := start(t, Options{Partners: 1, Gateways: 2, Custody: "refuse"})
 	h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "long", Class: "note", Path: "p0/x", Size: 200_000})
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Links that are reset in the middle of frames, again and again, under calls whose bodies fill many of them: nothing of a half
-// frame is taken, links come back, and each call has one answer.
+// Links that are reset in the middle of frames, again and again, under requests whose bodies fill many of them: nothing of a half
+// frame is taken, links come back, and each request has one answer.
 func TestLinksThatAreResetInTheMiddleOfFrames(t *testing.T) {
 	l := start(t, Options{Partners: 2, Custody: "refuse"})
 	stop := make(chan struct{})
@@ -57,8 +57,8 @@
 	}
 }
 
-// A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another life: the links that were
-// left half open end by their silence, the new life's take their place, and it holds calls again.
+// A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another incarnation: the links that were
+// left half open end by their silence, the new incarnation's take their place, and it holds requests again.
 func TestHalfOpenLink(t *testing.T) {
 	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
 	gone := l.Gateway(0, 1)
@@ -93,7 +93,7 @@
 	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Held > held })
 }
 
-// p2 knows p0 only through p1, which passes p0's offers on: a call goes through p1's hands, and draws and is held on the way as
+// p2 knows p0 only through p1, which passes p0's offers on: a request goes through p1's hands, and draws and is held on the way as
 // any other. Once p0 says that nobody may pass it on, not one more runs there, whatever the others still believe; and the
 // withdrawal reaches p2.
 func TestRequestForwardedThroughPartner(t *testing.T) {
--- a/internal/faultbench/federation/look.go
+++ b/internal/faultbench/federation/look.go
@@ -19,7 +19,7 @@
 	return *s.Status.Gateway
 }
 
-// Links are what its links did, and the life of each gateway that it has one to.
+// Links are what its links did, and the incarnation of each gateway that it has one to.
 func (g *Gateway) Links(ctx context.Context) (peering.Stats, map[string]uint64) {
 	s := g.Look(ctx)
 	to := map[string]uint64{}
@@ -29,11 +29,11 @@
 	return s.Stats, to
 }
 
-// Custody is its part in custody.
+// Custody is its part replicated.
 func (g *Gateway) Custody(ctx context.Context) replication.Status { return g.Look(ctx).Replication }
 
 // Offers is its table.
 func (g *Gateway) Offers(ctx context.Context) routeexchange.Status { return g.Look(ctx).Routes }
 
-// Notes is its purse of the quota "notes".
+// Notes is its limiter of the quota "notes".
 func (g *Gateway) Notes(ctx context.Context) quota.Status { return g.Look(ctx).Quotas["notes"] }
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -17,7 +17,7 @@
 // crowd asks for notes at all gateways that run, over and over, until stop; it counts what it heard.
 type crowd struct {
 	served, refused atomic.Int64
-	slowest         atomic.Int64 // ns that a served call took
+	slowest         atomic.Int64 // ns that a served request took
 	stop            func()
 }
 
@@ -55,14 +55,14 @@
 	return c
 }
 
-// more waits until as many more calls have been served.
+// more waits until as many more requests have been served.
 func (c *crowd) more(t *testing.T, n int64) {
 	t.Helper()
 	was := c.served.Load()
 	testpeer.Until(t, "more calls to be served", func() bool { return c.served.Load() >= was+n })
 }
 
-// held says that no window saw more calls than the terms bound. A call comes to its box as long after its draw as the slowest
+// held says that no window saw more requests than the terms bound. A request comes to its server as long after its draw as the slowest
 // took at most, so that the windows of draws are that much longer.
 func held(t *testing.T, l *League, c *crowd, terms budget.Terms) {
 	t.Helper()
@@ -102,8 +102,8 @@
 	return t, text
 }
 
-// Nine gateways of three partners draw from one budget while its keeper is killed, a keeper is stopped and awakes, and a partner
-// is cut off: no window sees more than the file's terms bound, and after each fault there is a keeper again.
+// Nine gateways of three partners draw from one budget while its quota leader is killed, a quota leader is stopped and awakes, and a partner
+// is cut off: no window sees more than the file's terms bound, and after each fault there is a quota leader again.
 func TestQuotaBoundHoldsUnderFaults(t *testing.T) {
 	terms, text := notes(60, 60, budget.Floor, 6)
 	l := start(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
@@ -156,7 +156,7 @@
 	}
 }
 
-// A call draws once in all, however many partners and gateways it comes through, and whoever takes it over.
+// A request draws once in all, however many partners and gateways it comes through, and whoever takes it over.
 func TestRequestDrawsQuotaOnce(t *testing.T) {
 	_, text := notes(1000, 1000, budget.Closed, 0)
 	l := start(t, Options{Quota: text, Custody: "refuse"})
@@ -186,7 +186,7 @@
 	if n := drawn(l.Gateways) - before; n != calls {
 		t.Errorf("%d calls drew %d times", calls, n)
 	}
-	// Taken over: the owner is killed before any attempt, and the heir draws nothing.
+	// Taken over: the owner is killed before any attempt, and the successor draws nothing.
 	owner := l.Gateway(0, 0)
 	got, release := l.Audit.Hold("over")
 	defer release()
@@ -220,7 +220,7 @@
 	}
 }
 
-// A keeper that is stopped for longer than its term gives nothing out when it awakes, for another keeps the budget then: no
+// A quota leader that is stopped for longer than its term gives nothing out when it awakes, for another keeps the budget then: no
 // window sees more than the terms bound. It comes to draw again as any other.
 func TestSuspendedQuotaLeaderGrantsNothingOnResume(t *testing.T) {
 	terms, text := notes(60, 60, budget.Closed, 0)
--- a/internal/faultbench/federation/server.go
+++ b/internal/faultbench/federation/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Box is a log box of a partner: it takes a while for each call, and discards repeats of a key as all of its cell do.
+// Box is a log server of a partner: it takes a while for each request, and discards repeats of a key as all of its cell do.
 type Box struct {
 	league  *League
 	Partner int
@@ -20,7 +20,7 @@
 	srv     *http.Server
 }
 
-// cell is what the boxes of a partner's cell remember together.
+// cell is what the servers of a partner's cell remember together.
 type cell struct {
 	mu   sync.Mutex
 	ran  map[string]string        // answers by key
@@ -40,7 +40,7 @@
 
 func (b *Box) close() { b.srv.Close() }
 
-// ServeHTTP runs a call.
+// ServeHTTP runs a request.
 func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
--- a/internal/faultbench/federation/silent_test.go
+++ b/internal/faultbench/federation/silent_test.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// owner is the gateway of a partner that has a call in hand.
+// owner is the gateway of a partner that has a request in hand.
 func (l *League) owner(t *testing.T, partner int) (has *Gateway) {
 	t.Helper()
 	for _, g := range l.Of(partner) {
@@ -24,8 +24,8 @@
 	return has
 }
 
-// held asks p0's first gateway for a call and waits until a box has it, which keeps it until release. of is what the auditor knows
-// it by, got hears of further boxes.
+// held asks p0's first gateway for a request and waits until a server has it, which keeps it until release. of is what the auditor knows
+// it by, got hears of further servers.
 func (l *League) held(t *testing.T, c Call) (of string, got <-chan string, release func(), waits <-chan Heard) {
 	t.Helper()
 	of = c.ID
@@ -38,8 +38,8 @@
 	return of, got, release, waits
 }
 
-// A partner's gateway is stopped while it has a call of ours in hand: its connection stands and says nothing. Others of its
-// group have lost it, and tell what became of the call; nobody waits for the deadline. Awake, it begins nothing.
+// A partner's gateway is stopped while it has a request of ours in hand: its connection stands and says nothing. Others of its
+// group have lost it, and tell what became of the request; nobody waits for the deadline. Awake, it begins nothing.
 func TestPartnerGatewaySuspendedDuringRequest(t *testing.T) {
 	l := start(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
 	for _, c := range []struct {
@@ -69,8 +69,8 @@
 	}
 }
 
-// A call whose time is short does not wait until the link to the gateway that has it in hand has ended: its voters doubt that
-// one sooner, and another serves the call while the link still stands.
+// A request whose time is short does not wait until the link to the gateway that has it in hand has ended: its replicas doubt that
+// one sooner, and another serves the request while the link still stands.
 func TestSilentReplicaIsSuspectedBeforeLinkEnds(t *testing.T) {
 	const silence = 6 * time.Second
 	l := start(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
@@ -116,7 +116,7 @@
 		for i := range 4 {
 			key := fmt.Sprintf("key-%d-%d", round, i)
 			keys = append(keys, key)
-			testpeer.Until(t, "a new key to be taken", func() bool { // where two of its voters have just started anew it is refused
+			testpeer.Until(t, "a new key to be taken", func() bool { // where two of its replicas have just started anew it is refused
 				h := ask(at, "first-"+key, key)
 				if h.Status != 200 && h.Status != 503 {
 					t.Fatalf("%+v", h)
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -1,7 +1,7 @@
 // Package faultbench plays an experiment with real processes: N nodes by `damsontrestle serve`, with servers, their registry
-// and callers in this process, all traffic between zones through relays that fail on purpose (internal/faultbench/link), and
-// an auditor that joins what callers heard with what servers ran (internal/faultbench/audit). It leaves nothing behind: files
-// of nodes are in memory only, and children end with the rig, also when that is killed.
+// and clients in this process, all traffic between zones through relays that fail on purpose (internal/faultbench/link), and
+// an auditor that joins what clients heard with what servers ran (internal/faultbench/audit). It leaves nothing behind: files
+// of nodes are in memory only, and children end with the fault bench, also when that is killed.
 package faultbench
 
 import (
@@ -44,13 +44,13 @@
 	spawner *child.Spawner
 	list    *list
 	mesh    *link.Mesh
-	began   atomic.Pointer[time.Time] // when the first call is due
+	began   atomic.Pointer[time.Time] // when the first request is due
 
 	mu      sync.Mutex
 	faults  []experiment.Fault // of links, in force
 	place   map[string]*host   // by uid
 	world   *world.Fleet
-	worst   time.Duration // by which the rig was late, and
+	worst   time.Duration // by which the fault bench was late, and
 	lates   []float64     // all lateness, in seconds
 	errs    []error
 	sights  []Sight
@@ -68,7 +68,7 @@
 	Program    string `json:",omitempty"` // what the build that was run is called
 	Figures    audit.Figures
 	Breaches   []audit.Breach
-	Slow       string `json:",omitempty"` // why nothing is judged: the rig was too slow
+	Slow       string `json:",omitempty"` // why nothing is judged: the fault bench was too slow
 	Cost       Cost
 	Strikes    []Strike `json:",omitempty"`
 	Sights     []Sight  `json:",omitempty"` // what nodes came to hold of one another
@@ -87,7 +87,7 @@
 	CPUPerCall   time.Duration // of the nodes
 	NodeMemory   int64         // resident bytes, mean
 	RigMemory    int64
-	LateP99      time.Duration // by which calls were sent after they were due
+	LateP99      time.Duration // by which requests were sent after they were due
 	LateMost     time.Duration
 	Starting     time.Duration // until all were ready
 	MostOpenRig  int           // descriptors of this process
@@ -100,7 +100,7 @@
 	MostBytes     float64 `json:",omitempty"` // of the node that sent most
 }
 
-// Beyond these the rig was too slow to judge others.
+// Beyond these the fault bench was too slow to judge others.
 const (
 	lateP99  = 20 * time.Millisecond
 	lateMost = 400 * time.Millisecond
@@ -192,7 +192,7 @@
 	all.Wait()
 }
 
-// now is the time of the run: since the first call was due.
+// now is the time of the run: since the first request was due.
 func (f *fleet) now() time.Duration { return time.Since(*f.began.Load()) }
 
 // of is the time of the run of an instant.
@@ -201,7 +201,7 @@
 // begin has the time of the run start at an instant.
 func (f *fleet) begin(at time.Time) { f.began.Store(&at) }
 
-// late notes by how much the rig was late for something that was due.
+// late notes by how much the fault bench was late for something that was due.
 func (f *fleet) late(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,7 +217,7 @@
 	}
 }
 
-// play has callers ask and faults strike until all is over.
+// play has clients ask and faults strike until all is over.
 func (f *fleet) play(ctx context.Context) {
 	f.begin(time.Now().Add(50 * time.Millisecond))
 	f.mesh.Forget()
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -24,14 +24,14 @@
 
 	mu     sync.Mutex
 	server *world.Server
-	visits map[*world.Job]*visit // calls that wait or work
+	visits map[*world.Job]*visit // requests that wait or work
 	state  balancer.ServerState
 	down   experiment.Kind // Crash or Lose
 	life   int
 	asked  int
 }
 
-// visit is a call at a server, from its arrival to its answer.
+// visit is a request at a server, from its arrival to its answer.
 type visit struct {
 	attempt *audit.Attempt
 	conn    *link.Conn
@@ -69,7 +69,7 @@
 	return h.server.Working(), h.server.Waiting(), conns, h.down != "" || h.server.Fault == experiment.Hang || h.state != balancer.Ready
 }
 
-// serve answers one call after another on a connection from a zone.
+// serve answers one request after another on a connection from a zone.
 func (h *host) serve(c *link.Conn, zone string) {
 	in := bufio.NewReader(c)
 	for {
@@ -92,7 +92,7 @@
 	}
 }
 
-// answer has a call run and answers it. It tells whether the connection is of further use.
+// answer has a request run and answers it. It tells whether the connection is of further use.
 func (h *host) answer(c *link.Conn, r *http.Request, zone string) bool {
 	f, id := h.fleet, r.Header.Get("X-Request-Id")
 	h.mu.Lock()
@@ -257,7 +257,7 @@
 	}
 }
 
-// renew puts a cold server in the place: the same one started anew, or another under a new id. Connections of before
+// renew puts a server in slow start in the place: the same one started anew, or another under a new id. Connections of before
 // are reset.
 func (h *host) renew(replacement bool) {
 	f := h.fleet
--- a/internal/faultbench/link/shape.go
+++ b/internal/faultbench/link/shape.go
@@ -1,4 +1,4 @@
-// Package link carries traffic between the rig's groups over loopback and has it fail on purpose: cut in silence, one
+// Package link carries traffic between the fault bench's groups over loopback and has it fail on purpose: cut in silence, one
 // way or both, reset, refused, delayed, lost, doubled, reordered, throttled. A Relay takes TCP connections and hands
 // their far side to whoever serves in this process; a Mesh carries datagrams between processes. Nothing here needs
 // privileges: a cut keeps new connections from coming up by a full accept queue, which drops SYNs as a dead wire does.
--- a/internal/faultbench/list.go
+++ b/internal/faultbench/list.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// tell writes a version to a node, as a whole list.
+// tell writes a version to a node, as a full snapshot.
 func (l *list) tell(n *node, c *link.Conn, v version, nothing bool) bool {
 	f := l.fleet
 	out := struct {
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -21,7 +21,7 @@
 	"damsontrestle/internal/faultbench/nodefile"
 )
 
-// node is one node of the fleet: a process, or a policy of the rig's own.
+// node is one node of the fleet: a process, or a policy of the fault bench's own.
 type node struct {
 	fleet  *fleet
 	index  int
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -121,7 +121,7 @@
 	From, Of int    // nodes of the zone that were in it, and that it holds for alive
 }
 
-// word takes a line of a node's log, if it tells of a zone, or of an age that was under-reported: only a build for the rig
+// word takes a line of a node's log, if it tells of a zone, or of an age that was under-reported: only a build for the fault bench
 // knows of that.
 func (f *fleet) word(n *node, line string) {
 	_, rest, found := strings.Cut(line, "msg=zone ")
@@ -152,10 +152,10 @@
 	f.words = append(f.words, w)
 }
 
-// Freshness tells how much of the time nodes had fresh facts.
+// Freshness tells how much of the time nodes had fresh zone state.
 type Freshness struct {
 	Share   float64       // of node, zone and time, while the node was not struck
-	Longest time.Duration // that a node was without fresh facts of a zone
+	Longest time.Duration // that a node was without fresh zone state of a zone
 	Median  time.Duration // of the stretches without
 	Gaps    int           // such stretches
 }
--- a/internal/faultbench/report/compare.go
+++ b/internal/faultbench/report/compare.go
@@ -1,4 +1,4 @@
-// Package report reads results of the rig and sets two sets of runs side by side, paired by seed: a table with intervals
+// Package report reads results of the fault bench and sets two sets of runs side by side, paired by seed: a table with intervals
 // and, as one HTML page that needs nothing else, plots.
 package report
 
