--- a/internal/faultbench/virtual/faults.go
+++ b/internal/faultbench/virtual/faults.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// renew puts a cold life in a server's place.
+// renew puts an incarnation in slow start in a server's place.
 func (p *player) renew(i int, replacement bool) {
 	old := p.fleet.Servers[i]
 	p.audit.LifeOver(old, p.now)
--- a/internal/faultbench/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -11,12 +11,12 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Floors of service under overload, against the share of calls that the servers could serve if none of their time were lost.
+// Floors of service under overload, against the share of requests that the servers could serve if none of their time were lost.
 const (
 	floorOfAll     = 0.85
 	floorOfClass   = 0.6
 	floorOfThird   = 0.5
-	mostUnanswered = 0.002 // of all calls
+	mostUnanswered = 0.002 // of all requests
 )
 
 // shortfalls plays an experiment and tells where it is under its floors.
@@ -94,8 +94,8 @@
 	}
 }
 
-// Tenants, of which a call's is told by its class and node: the module knows none. The loud one sends from two nodes,
-// each with eight times the calls of the others.
+// Tenants, of which a request's is told by its class and node: the module knows none. The loud one sends from two nodes,
+// each with eight times the requests of the others.
 const loudNodes = 2
 
 func tenantOf(classes []experiment.Class, c audit.Call) string {
@@ -110,7 +110,7 @@
 	return "of much worth"
 }
 
-// groupsOf are the groups of calls that have a floor each.
+// groupsOf are the groups of requests that have a floor each.
 func groupsOf(e *experiment.Experiment) map[string]func(audit.Call) string {
 	effect := func(c audit.Call) string {
 		if slices.Contains(keyedClasses, e.Classes[c.Class].Name) {
--- a/internal/faultbench/virtual/play.go
+++ b/internal/faultbench/virtual/play.go
@@ -33,7 +33,7 @@
 	copies   int
 }
 
-// call is a call that a node has taken.
+// call is a request that a node has taken.
 type call struct {
 	world.Call
 	class    experiment.Class
@@ -47,7 +47,7 @@
 	n      int
 	node   *node
 	call   *call
-	server *world.Server // the life that it was sent to
+	server *world.Server // the incarnation that it was sent to
 	place  int
 	job    *world.Job
 	ended  bool
@@ -79,13 +79,13 @@
 }
 
 // Late is a policy for comparison that plays on virtual time only: the one of two servers that held less when all were
-// seen last, and a refusal where even that one would take half of the aim. What a fleet serves is held against it.
+// seen last, and a refusal where even that one would take half of the latency objective. What a fleet serves is held against it.
 const Late experiment.Policy = "late"
 
 // lateBy is how old the sight of Late becomes.
 const lateBy = 200 * time.Millisecond
 
-// epoch is the clock time of the first call: the module takes 0 for long ago.
+// epoch is the clock time of the first request: the module takes 0 for long ago.
 const epoch = time.Hour
 
 // Play plays an experiment once.
@@ -196,7 +196,7 @@
 	}
 }
 
-// arrive has the next call come to a node.
+// arrive has the next request come to a node.
 func (p *player) arrive(n *node) {
 	c, more := p.streams.Next(n.index)
 	if !more {
@@ -342,7 +342,7 @@
 	}
 }
 
-// hear ends a call for its caller.
+// hear ends a request for its client.
 func (p *player) hear(n *node, k *call, h audit.Heard, says string) {
 	if k == nil || k.answered {
 		return
@@ -352,7 +352,7 @@
 	p.forget(n, k)
 }
 
-// leaveNode has a caller leave that has heard nothing.
+// leaveNode has a client leave that has heard nothing.
 func (p *player) leaveNode(n *node, k *call) {
 	if k.answered || n.calls[k.ID] != k {
 		return
@@ -500,7 +500,7 @@
 	p.forget(n, k)
 }
 
-// leave has a server see that nobody waits for a call any more.
+// leave has a server see that nobody waits for a request any more.
 func (p *player) leave(t *try) {
 	t.server.Leave(t.job)
 	delete(p.waiting, t.job)
--- a/internal/faultbench/virtual/play_test.go
+++ b/internal/faultbench/virtual/play_test.go
@@ -46,7 +46,7 @@
 	return f
 }
 
-// At three quarters of what servers can do, few calls may wait while others are idle: by own counts and latencies they
+// At three quarters of what servers can do, few requests may wait while others are idle: by own counts and latencies they
 // wait half as often as by chance, and where servers are asked a quarter as often; then the idle slots beside them are
 // at most half of chance's. Seeds are fixed, and time is virtual.
 func TestFewWaitWhileOthersAreIdle(t *testing.T) {
@@ -81,7 +81,7 @@
 	for _, name := range []string{"restarts", "errors", "hang", "cold", "replaced", "lists", "recount", "one-way", "zone-silent", "zone-lost", "impatient"} {
 		e := smaller(load(t, name))
 		least := 0.8
-		if name == "impatient" { // whose callers wait for two mean times of service
+		if name == "impatient" { // whose clients wait for two mean times of service
 			least = 0.6
 		}
 		if f := play(t, e, experiment.Program, nil); f.Calls == 0 || f.Served < least {
--- a/internal/faultbench/virtual/told.go
+++ b/internal/faultbench/virtual/told.go
@@ -6,7 +6,7 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Told is an exchange of counts between nodes: each is told how many calls the others have at each server, as things stood
+// Told is an exchange of counts between nodes: each is told how many requests the others have at each server, as things stood
 // Age ago. The zero value is none.
 type Told struct {
 	Age time.Duration
--- a/internal/faultbench/world/layout.go
+++ b/internal/faultbench/world/layout.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("s%06x%04d", f.rng.Uint32()&0xffffff, f.next)
 }
 
-// Renew puts a new life in the place of the i-th server: the same machine started anew or, as replacement, another id.
+// Renew puts a new incarnation in the place of the i-th server: the same machine started anew or, as replacement, another id.
 func (f *Fleet) Renew(i int, now time.Duration, replacement bool) *Server {
 	old := f.Servers[i]
 	id := old.ID
--- a/internal/faultbench/world/server.go
+++ b/internal/faultbench/world/server.go
@@ -1,4 +1,4 @@
-// Package world models what the rig's nodes meet: servers with slots, a queue and a cold start, and streams of calls.
+// Package world models what the fault bench's nodes meet: servers with slots, a queue and a slow start, and streams of requests.
 // It does no I/O and has no clock: whoever plays it, on sockets or on virtual time, says when things happen.
 package world
 
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Job is a call at a server, from its arrival until its work is over or it is taken back.
+// Job is a request at a server, from its arrival until its work is over or it is taken back.
 type Job struct {
 	ID    string
 	Began time.Duration // of its work; negative: it waits
@@ -19,7 +19,7 @@
 	queued bool
 }
 
-// Verdict is what a server does with a call that arrives.
+// Verdict is what a server does with a request that arrives.
 type Verdict int
 
 // Verdicts.
@@ -31,14 +31,14 @@
 	Hung       // taken, and never answered
 )
 
-// Cold-start rule: what comes to a cold server within a span stays under a multiple of what it could do by then.
+// Cold-start rule: what comes to a server in slow start within a span stays under a multiple of what it could do by then.
 const (
 	ColdSpan     = time.Second
 	ColdMultiple = 3
-	coldSlack    = 4 // calls above that are chance
+	coldSlack    = 4 // requests above that are chance
 )
 
-// Server is one life of a server: a machine of slots and a queue. It belongs to one goroutine or one lock.
+// Server is one incarnation of a server: a machine of slots and a queue. It belongs to one goroutine or one lock.
 type Server struct {
 	Spec experiment.Servers
 	ID   string
@@ -51,10 +51,10 @@
 	rng     *rand.Rand
 	work    int
 	queue   []*Job
-	recent  []arrival // to a cold server, within the span
+	recent  []arrival // to a server in slow start, within the span
 	pushed  int
 	pressed float64
-	Ran     int // calls whose work began
+	Ran     int // requests whose work began
 	Turned  int
 }
 
@@ -76,7 +76,7 @@
 	return s.Spec.ColdFrom + (1-s.Spec.ColdFrom)*float64(now-s.Born)/float64(s.Spec.ColdOver)
 }
 
-// Arrive takes a call. After Started its work ends at job.Ends, when Finish is due.
+// Arrive takes a request. After Started its work ends at job.Ends, when Finish is due.
 func (s *Server) Arrive(now time.Duration, j *Job) Verdict {
 	j.Began = -1
 	s.press(now)
@@ -122,7 +122,7 @@
 	return j
 }
 
-// Leave takes back a call that nobody waits for any more. One that waits never runs; work that has begun goes on.
+// Leave takes back a request that nobody waits for any more. One that waits never runs; work that has begun goes on.
 func (s *Server) Leave(j *Job) {
 	j.Lost = true
 	if !j.queued {
@@ -137,13 +137,13 @@
 	}
 }
 
-// Working and Waiting are its calls.
+// Working and Waiting are its requests.
 func (s *Server) Working() int { return s.work }
 
-// Waiting is how many calls are in its queue.
+// Waiting is how many requests are in its queue.
 func (s *Server) Waiting() int { return len(s.queue) }
 
-// press counts what comes to a cold server, all of it, whether it is taken or not.
+// press counts what comes to a server in slow start, all of it, whether it is taken or not.
 func (s *Server) press(now time.Duration) {
 	if s.Speed(now) == 1 {
 		s.recent = nil
--- a/internal/faultbench/world/server_test.go
+++ b/internal/faultbench/world/server_test.go
@@ -43,7 +43,7 @@
 	if s.Arrive(0, j); j.Ends != 400*ms {
 		t.Errorf("at a quarter of its speed 100 ms of work end at %v", j.Ends)
 	}
-	// In a second it could do two slots' work at a quarter of their speed: five calls; three times that and a little
+	// In a second it could do two slots' work at a quarter of their speed: five requests; three times that and a little
 	// more may come.
 	for i := range 17 {
 		s.Arrive(time.Duration(i)*50*ms, &Job{})
@@ -62,7 +62,7 @@
 	}
 }
 
-// The same seed brings the same calls, whatever becomes of them, and about as many as were asked for.
+// The same seed brings the same requests, whatever becomes of them, and about as many as were asked for.
 func TestStreams(t *testing.T) {
 	e := &experiment.Experiment{Seed: 5, Measure: 100 * time.Second, Callers: experiment.Callers{Rate: 3},
 		Nodes:   []experiment.Nodes{{Count: 2, Zones: []string{"a"}, Times: 1}, {Count: 1, Zones: []string{"a"}, Times: 4}},
--- a/internal/faultbench/world/stream.go
+++ b/internal/faultbench/world/stream.go
@@ -8,17 +8,17 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Call is one call of a caller.
+// Call is one request of a client.
 type Call struct {
 	ID    string
 	Node  int
 	Class int
 	At    time.Duration
-	Try   int // 0 for the first; a caller's retry is a call of its own, with a new id
+	Try   int // 0 for the first; a client's retry is a request of its own, with a new id
 }
 
-// Streams draws the calls that come to each node: open Poisson streams, the same for the same seed whatever becomes
-// of the calls.
+// Streams draws the requests that come to each node: open Poisson streams, the same for the same seed whatever becomes
+// of the requests.
 type Streams struct {
 	e     *experiment.Experiment
 	rates []float64
@@ -40,7 +40,7 @@
 	return s
 }
 
-// Next is the next call to a node and true, or false once the day is over.
+// Next is the next request to a node and true, or false once the day is over.
 func (s *Streams) Next(node int) (Call, bool) {
 	at := s.next[node]
 	if at >= s.e.Length() {
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/replication"
 )
 
-// answerOf is an outcome as callers are told it.
+// answerOf is an outcome as clients are told it.
 func answerOf(o replication.Outcome) engine.Response {
 	if a, ok := o.Live.(engine.Response); ok {
 		return a
@@ -50,7 +50,7 @@
 	return o
 }
 
-// rejected is a refusal of a call of which nothing was begun.
+// rejected is a refusal of a request of which nothing was begun.
 func rejected(retry time.Duration) engine.Response {
 	return engine.Response{Kind: engine.Rejected, NotRun: true, RetryAfter: max(retry, time.Millisecond)}
 }
--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -37,13 +37,13 @@
 func (*backend) Poll(discovery.Host, time.Duration) (busy float64, ok bool) { return 0, false }
 func (*backend) CloseIdle(discovery.Host)                                   {}
 
-// resume has a call carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
+// resume has a request carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
 func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
 	return carry(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "call"}})
 }
 
-// carry has a call carried out, of which there have been earlier attempts. Routes name the pool, by an offer of this partner's own.
+// carry has a request carried out, of which there have been earlier attempts. Routes name the pool, by an advertisement of this partner's own.
 func carry(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, earlier []replication.Intent) replication.Outcome {
 	t.Helper()
 	const partner = "p1"
@@ -83,13 +83,13 @@
 	return g.run(ctx, &record, engine.Message{Method: "POST", Target: "/note/x"}, class, earlier, nil)
 }
 
-// ask has a partner asked what became of an unsafe call that may run there.
+// ask has a partner asked what became of an unsafe request that may run there.
 func ask(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
 	return resume(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
 }
 
-// That a question about a call was refused, or met nobody, says nothing of the call: it may run, and is asked for again.
+// That a question about a request was refused, or met nobody, says nothing of the request: it may run, and is asked for again.
 func TestRejectedQueryDoesNotRejectRequest(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
@@ -98,7 +98,7 @@
 	}
 }
 
-// Once the partner has settled that it refused the call, that is the call's answer, and no time is waited for another.
+// Once the partner has settled that it refused the request, that is the request's answer, and no time is waited for another.
 func TestSettledRejectionIsFinalResponse(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
 	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Rejected || !out.NotRun || len(p.attempts) != 1 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// A partner that never says what became of a call leaves it failed: it may have run.
+// A partner that never says what became of a request leaves it failed: it may have run.
 func TestRequestWithoutAnswerHasFailed(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
 	if out := ask(t, p, 200*time.Millisecond); out.Kind != replication.Failed {
@@ -114,7 +114,7 @@
 	}
 }
 
-// A call that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
+// A request that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
 // partner's pass goes with it.
 func TestTakenOverRequestContinuesAtOwnServers(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
@@ -127,7 +127,7 @@
 	}
 }
 
-// A call that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
+// A request that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
 func TestAnotherWayHasWhatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
 	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, takes: takes}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,18 +18,18 @@
 	out     replication.Outcome
 	ruled   bool // a partner's rule refused it, and nothing ran
 	unsure  bool // it may run at a partner, which has not said what became of it
-	settled bool // the partner's refusal is the one answer to the call there: it never ran, and never will
+	settled bool // the partner's refusal is the one answer to the request there: it never ran, and never will
 }
 
-// routedAttempt is a call, or the question what became of it, on its way through the engine of a pool.
+// routedAttempt is a request, or the question what became of it, on its way through the engine of a pool.
 type routedAttempt struct {
 	gateway *Gateway
 	record  *replication.Record
 	pool    string
 	partner string               // whose gateways the pool has; empty: it has this partner's servers
 	earlier []replication.Intent // attempts that others made
-	work    *replication.Work    // nil: the call is not in custody
-	ask     bool                 // only what became of the call is asked for
+	work    *replication.Work    // nil: the request is not replicated
+	ask     bool                 // only what became of the request is asked for
 	call    *engine.Request      // as the engine has it
 	over    chan struct{}        // closed once its answer has come
 
@@ -39,7 +39,7 @@
 	settled bool   // the partner has settled its refusal
 }
 
-// attempt gives a call, or the question what became of it, to the engine of a pool and waits for its answer.
+// attempt gives a request, or the question what became of it, to the engine of a pool and waits for its answer.
 func (g *Gateway) attempt(ctx context.Context, r *replication.Record, req engine.Message, pool string, way routeexchange.Selection, left time.Duration, earlier []replication.Intent, w *replication.Work, ask bool) attemptResult {
 	t := &routedAttempt{gateway: g, record: r, pool: pool, earlier: earlier, work: w, ask: ask, over: make(chan struct{})}
 	defer close(t.over)
@@ -65,7 +65,7 @@
 	}
 }
 
-// prepare makes the call as the engine has it.
+// prepare makes the request as the engine has it.
 func (t *routedAttempt) prepare(req engine.Message, way routeexchange.Selection, left time.Duration) error {
 	now := t.gateway.o.Clock.Now()
 	t.call = engine.NewRequest(t.record.ID, req)
@@ -73,7 +73,7 @@
 	t.call.AllowAttempt, t.call.AttemptEnded = t.allow, t.ended
 	if t.partner == "" {
 		t.call.PriorAttempts = t.before(now)
-		return nil // a partner's gateways know one another's calls: what one has begun another tells of
+		return nil // a partner's gateways know one another's requests: what one has begun another tells of
 	}
 	r := t.record
 	m := envelope{ID: r.ID, Target: r.Target, Came: append(slices.Clone(r.Path), t.gateway.self.Partner), Tenant: r.Tenant, Draws: r.Draws, Again: t.ask, From: t.gateway.self.Partner}
@@ -98,7 +98,7 @@
 	return list
 }
 
-// number is an attempt's among all of its call's. They go on over pools.
+// number is an attempt's among all of its request's. They go on over pools.
 func (t *routedAttempt) number(a *engine.Attempt) int {
 	if len(t.call.PriorAttempts) != len(t.earlier) {
 		return a.N + len(t.earlier)
@@ -155,7 +155,7 @@
 }
 
 // mind ends an attempt at a partner's gateway once the others of that gateway's group have lost it: a connection to one that
-// is stopped or cut off stands for as long as nobody writes, and another of the group knows what became of the call.
+// is stopped or cut off stands for as long as nobody writes, and another of the group knows what became of the request.
 func (g *Gateway) mind(partner string, a *engine.Attempt, over <-chan struct{}) {
 	tick := time.NewTicker(connectEvery)
 	defer tick.Stop()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -12,27 +12,27 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// Header is the header that goes with a call to a partner's gateway: a pass and its tag by the partners' key, both in base64.
+// Header is the header that goes with a request to a partner's gateway: a pass and its tag by the partners' key, both in base64.
 const Header = "X-Federation"
 
-// Headers of callers.
+// Headers of clients.
 const (
-	retryHeader  = "X-Retry-Of"  // the id that a call was asked for by before, whose answer has not come
-	backHeader   = "X-Come-Back" // the id that a call was refused by before, where its caller comes at the time that it was told
+	retryHeader  = "X-Retry-Of"  // the id that a request was asked for by before, whose answer has not come
+	backHeader   = "X-Come-Back" // the id that a request was refused by before, where its client comes at the time that it was told
 	tenantHeader = "X-Tenant"
 )
 
-// envelope says of a call what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
-// all of it, the call's id and its target among that.
+// envelope says of a request what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
+// all of it, the request's id and its target among that.
 type envelope struct {
 	ID     string           `cbor:"1,keyasint"`
 	Target string           `cbor:"2,keyasint"`
-	Came   []string         `cbor:"3,keyasint"` // partners that the call came through; the last one sends it
+	Came   []string         `cbor:"3,keyasint"` // partners that the request came through; the last one sends it
 	Offer  routeexchange.ID `cbor:"4,keyasint"`
 	Tenant string           `cbor:"5,keyasint,omitempty"`
 	Draws  []string         `cbor:"6,keyasint,omitempty"`
 	Again  bool             `cbor:"7,keyasint,omitempty"` // only what became of it is asked for: it is not to be begun
-	From   string           `cbor:"8,keyasint"`           // the sender's own word for the call, the same in all its gateways
+	From   string           `cbor:"8,keyasint"`           // the sender's own word for the request, the same in all its gateways
 }
 
 // maxEnvelope is how long a header may be.
@@ -57,7 +57,7 @@
 	return e.EncodeToString(text) + "." + e.EncodeToString(tagOf(key, text)), nil
 }
 
-// openEnvelope reads a header of a call. The error says why the call is none of a partner's.
+// openEnvelope reads a header of a request. The error says why the request is none of a partner's.
 func openEnvelope(header []string, key func(partner string) []byte, id, target string) (*envelope, error) {
 	if len(header) != 1 || len(header[0]) > maxEnvelope {
 		return nil, fmt.Errorf("%w is missing, comes twice or is too long", errEnvelope)
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// A pass holds for the call that it was made for, by the key of the partner that sends it, and for nothing else.
+// A pass holds for the request that it was made for, by the key of the partner that sends it, and for nothing else.
 func TestEnvelopeIsBoundToItsRequest(t *testing.T) {
 	keys := func(partner string) []byte {
 		if partner == "p1" || partner == "p2" {
@@ -48,7 +48,7 @@
 	}
 }
 
-// FuzzOpenEnvelope: whatever a header holds, it ends in an error or in a pass of the call.
+// FuzzOpenEnvelope: whatever a header holds, it ends in an error or in a pass of the request.
 func FuzzOpenEnvelope(f *testing.F) {
 	p := envelope{ID: "c1", Target: "/note/p0/x", Came: []string{"p1"}}
 	text, _ := p.seal([]byte("key"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,13 +1,13 @@
 // Package gateway makes a node one of a federation: it holds the links to the others of its group and to partners, and takes
-// a call's way through quota, custody and offers to the engine of a pool or to a partner. What is decided there is theirs;
-// this package puts them one after another, the same for a call that has just come and for one that is taken over.
+// a request's way through quota, replication and offers to the engine of a pool or to a partner. What is decided there is theirs;
+// this package puts them one after another, the same for a request that has just come and for one that is taken over.
 //
 // What it promises:
 //
-//   - A call draws once from each budget that it matches, at the gateway that it came to first: what was drawn goes with it,
-//     into custody and to partners.
-//   - A call of a partner's is taken only with that partner's tag over it, by the rules of now.
-//   - Every call that it takes has one answer within its caller's time.
+//   - A request draws once from each budget that it matches, at the gateway that it came to first: what was drawn goes with it,
+//     into replication and to partners.
+//   - A request of a partner's is taken only with that partner's tag over it, by the rules of now.
+//   - Every request that it takes has one answer within its client's time.
 package gateway
 
 import (
@@ -41,7 +41,7 @@
 	Key    []byte                                    // of the own group
 	Keys   map[string][]byte                         // of partners
 	Living func() []membership.Peer                  // the others of the group that live
-	Calls  *dispatch.Dispatcher                      // that calls go on by
+	Calls  *dispatch.Dispatcher                      // that requests go on by
 	List   func(partner string, list discovery.List) // takes a partner's gateways
 	Clock  clock.Clock
 	Log    *slog.Logger
@@ -52,7 +52,7 @@
 	o           Options
 	self        peering.GatewayID
 	incarnation uint64
-	hub         atomic.Pointer[peering.Hub] // nil until it is open: the tasks of offers and custody begin before it
+	hub         atomic.Pointer[peering.Hub] // nil until it is open: the tasks of advertisements and replication begin before it
 	replicator  *replication.Replicator
 	table       *routeexchange.Table
 	offers      *routeexchange.Exchange
@@ -66,15 +66,15 @@
 	limiters map[string]*quota.Limiter
 }
 
-// policy is what a configuration says of calls.
+// policy is what a configuration says of requests.
 type policy struct {
 	cfg      *config.Config
 	classes  map[string]config.Class
 	headers  []string // that routes look at
-	listener string   // of partners' calls
+	listener string   // of partners' requests
 	budgets  []quota.Budget
 	partners map[string]bool
-	longest  time.Duration // that a caller may wait over all its tries
+	longest  time.Duration // that a client may wait over all its tries
 }
 
 // Status is what a gateway holds now.
@@ -96,7 +96,7 @@
 	RTT         time.Duration `json:"rtt"`
 }
 
-// Open opens the links. Calls come once the dispatcher has it as its Guard.
+// Open opens the links. Requests come once the dispatcher has it as its Guard.
 func Open(o Options) (*Gateway, error) {
 	f := o.Config.Federation
 	g := &Gateway{o: o, self: peering.GatewayID{Partner: f.Partner, Name: o.Config.Node.Name}, incarnation: rand.Uint64()>>1 + 1, heard: make(chan struct{}, 1),
@@ -145,7 +145,7 @@
 	g.hub.Load().Close()
 }
 
-// HandOver gives the calls in custody that are not answered yet to others of the group: this gateway ends.
+// HandOver gives the requests replicated that are not answered yet to others of the group: this gateway ends.
 func (g *Gateway) HandOver() { g.replicator.HandOver() }
 
 func newPolicy(c *config.Config) *policy {
@@ -197,7 +197,7 @@
 	return p
 }
 
-// isReplicated says which classes a configuration has in custody.
+// isReplicated says which classes a configuration has replicated.
 func isReplicated(c *config.Config) func(class string) bool {
 	return func(name string) bool {
 		class, ok := c.Class(name)
@@ -205,8 +205,8 @@
 	}
 }
 
-// Adopt has calls go by another configuration from now on. It does not block: it is called while no call is handed over, so that
-// no call of a class, a quota or a partner of the one configuration goes by the rules of the other.
+// Adopt has requests go by another configuration from now on. It does not block: it is called while no request is handed over, so that
+// no request of a class, a quota or a partner of the one configuration goes by the rules of the other.
 func (g *Gateway) Adopt(c *config.Config) {
 	if c.Federation == nil {
 		return // that takes a restart
@@ -224,7 +224,7 @@
 	g.listen()
 }
 
-// setBudgets has a purse for each budget. One whose keepers stay goes on.
+// setBudgets has a limiter for each budget. One whose quota candidates stay goes on.
 func (g *Gateway) setBudgets(budgets []quota.Budget) {
 	g.mu.Lock()
 	var gone []*quota.Limiter
@@ -267,7 +267,7 @@
 	return g.o.Keys[partner]
 }
 
-// up has a partner's gateway told of offers.
+// up has a partner's gateway told of advertisements.
 func (g *Gateway) up(l *peering.Link) {
 	if l.Peer.Partner != g.self.Partner {
 		g.offers.Up(l)
@@ -282,7 +282,7 @@
 	}
 }
 
-// links are those of the own group, as custody has them.
+// links are those of the own group, as replication has them.
 type links struct{ *Gateway }
 
 // To implements replication.Links.
@@ -317,7 +317,7 @@
 	return out
 }
 
-// callsAt is where partners' calls come in.
+// callsAt is where partners' requests come in.
 func callsAt(c *config.Config) string {
 	if c.Federation.Requests != "" {
 		return c.Federation.Requests
@@ -326,7 +326,7 @@
 	return l.Address
 }
 
-// group is what partners are told of: this gateway and those of its group that it has links to, as far as they take calls.
+// group is what partners are told of: this gateway and those of its group that it has links to, as far as they take requests.
 func (g *Gateway) group() (out []routeexchange.Gateway) {
 	if at := callsAt(g.o.Config); at != "" {
 		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.o.Config.Node.Zone})
@@ -356,7 +356,7 @@
 )
 
 // connect holds links to those of the group whose names come later, to as many gateways of each partner as the file says, and
-// to keepers; and gives partners' gateways to their pools.
+// to quota candidates; and gives partners' gateways to their pools.
 func (g *Gateway) connect() {
 	tick := time.NewTicker(connectEvery)
 	defer tick.Stop()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -21,17 +21,17 @@
 	busy = "busy" // no rule refused it
 )
 
-// Times of a call.
+// Times of a request.
 const (
 	comeBack   = 250 * time.Millisecond // where nothing better is known
-	lastWord   = 10 * time.Millisecond  // of a call's time that is left for its answer
-	settling   = 20 * time.Millisecond  // of a call's time in custody that is left to have its outcome taken
-	maxRoutes  = 4                      // ways that a call tries, of which all but the last refused it by their rules
-	retryQuery = 20 * time.Millisecond  // after a question for what became of a call, which a partner did not answer
+	lastWord   = 10 * time.Millisecond  // of a request's time that is left for its answer
+	settling   = 20 * time.Millisecond  // of a request's time replicated that is left to have its outcome taken
+	maxRoutes  = 4                      // ways that a request tries, of which all but the last refused it by their rules
+	retryQuery = 20 * time.Millisecond  // after a question for what became of a request, which a partner did not answer
 )
 
-// Take implements dispatch.Guard: it takes calls of partners, and such of this partner's callers as draw from a budget, are in
-// custody, or go to another partner.
+// Take implements dispatch.Guard: it takes requests of partners, and such of this partner's clients as draw from a budget, are in
+// replication, or go to another partner.
 func (g *Gateway) Take(v *dispatch.Snapshot, c *engine.Request, r *route.Request) bool {
 	p := g.policy.Load()
 	class, known := p.classes[c.Class]
@@ -111,7 +111,7 @@
 	return out
 }
 
-// kept are headers that were kept of a call.
+// kept are headers that were kept of a request.
 type kept map[string][]string
 
 // Values implements route.Headers.
@@ -121,18 +121,18 @@
 	return &routeexchange.Request{Class: class.Name, Path: r.Route.Path, Tenant: r.Tenant, Effect: class.ForModule().Effect, Via: r.Path}
 }
 
-// flow is a call from its taking to its answer.
+// flow is a request from its taking to its answer.
 type flow struct {
 	g       *Gateway
 	call    *engine.Request
 	rec     replication.Record
 	class   config.Class
 	draws   []string // budgets that it has to draw from
-	again   bool     // its caller only asks for what it asked for before
+	again   bool     // its client only asks for what it asked for before
 	back    string   // the id by which it was refused before, as it says
 	custody bool
 	once    sync.Once
-	gone    chan struct{} // its caller has left
+	gone    chan struct{} // its client has left
 }
 
 // tell tells the story and gives the answer.
@@ -140,7 +140,7 @@
 	g := s.g
 	ctx, cancel := context.WithTimeout(g.ctx, max(0, g.o.Clock.Until(s.call.Deadline)-lastWord))
 	defer cancel()
-	if !s.custody { // else it goes on without its caller, who may come back for the answer
+	if !s.custody { // else it goes on without its client, who may come back for the answer
 		g.tasks.Go(func() {
 			select {
 			case <-s.gone:
@@ -161,7 +161,7 @@
 	}
 }
 
-// answer is the call's way: quota, custody, engine.
+// answer is the request's way: quota, replication, engine.
 func (s *flow) answer(ctx context.Context) (a engine.Response) {
 	g := s.g
 	var drawn []func()
@@ -218,14 +218,14 @@
 		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrNoAnswer):
 			return rejected(comeBack)
 		}
-		// Others have it in hand, or will soon: whatever they settle is this caller's answer too.
+		// Others have it in hand, or will soon: whatever they settle is this client's answer too.
 		if a, over := s.found(ctx); over {
 			return a
 		}
 	}
 }
 
-// found waits for the answer to a call whose key others have in hand. false: they refused it, and it may be begun anew.
+// found waits for the answer to a request whose key others have in hand. false: they refused it, and it may be begun anew.
 func (s *flow) found(ctx context.Context) (engine.Response, bool) {
 	out, gen, err := s.g.replicator.Await(ctx, s.rec.Key)
 	if err == nil && out.Kind == replication.Rejected && s.rec.IdempotencyKey != "" && gen >= s.rec.Gen {
@@ -238,7 +238,7 @@
 	return settled(out), true
 }
 
-// await brings the answer to what a caller asked for before.
+// await brings the answer to what a client asked for before.
 func (s *flow) await(ctx context.Context, mayRetry bool) engine.Response {
 	out, _, err := s.g.replicator.Await(ctx, s.rec.Key)
 	switch {
@@ -252,7 +252,7 @@
 	return engine.Response{Kind: engine.Failed}
 }
 
-// own has a call carried out that nobody else holds.
+// own has a request carried out that nobody else holds.
 func (s *flow) own(ctx context.Context, req engine.Message) engine.Response {
 	out := s.g.run(ctx, &s.rec, req, s.class, nil, nil)
 	if out.Kind == 0 {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -8,12 +8,12 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// noHeaders are a call's that has none, so that it comes without a partner's pass.
+// noHeaders are a request's that has none, so that it comes without a partner's pass.
 type noHeaders struct{}
 
 func (noHeaders) Values(string) []string { return nil }
 
-// A call of a class that the gateway's rules do not have goes no way around them: a class may be new in a configuration whose
+// A request of a class that the gateway's rules do not have goes no way around them: a class may be new in a configuration whose
 // rules are not in place yet.
 func TestRequestOfUnknownClassIsRejected(t *testing.T) {
 	g := &Gateway{}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -12,7 +12,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// resume implements replication.Run, for calls that have just come and for such as are taken over.
+// resume implements replication.Run, for requests that have just come and for such as are taken over.
 func (g *Gateway) resume(ctx context.Context, r *replication.Record, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	class, known := g.policy.Load().classes[r.Key.Class]
 	if !known {
@@ -27,7 +27,7 @@
 	return partners
 }
 
-// step is what an heir would do with a call, by the classes of now.
+// step is what a successor would do with a request, by the classes of now.
 func (g *Gateway) step(r *replication.Record, intents []replication.Intent, left time.Duration) replication.Step {
 	class, known := g.policy.Load().classes[r.Key.Class]
 	if !known {
@@ -36,8 +36,8 @@
 	return replication.Next(class.ForModule().Effect, intents, left, toPartner)
 }
 
-// run has a call carried out: by the engine of this partner's pool that routes name, or by a partner whose offer it goes by.
-// w allows its attempts, where it is in custody; earlier are those that others made. A kind of 0: ctx has ended.
+// run has a request carried out: by the engine of this partner's pool that routes name, or by a partner whose advertisement it goes by.
+// w allows its attempts, where it is replicated; earlier are those that others made. A kind of 0: ctx has ended.
 func (g *Gateway) run(ctx context.Context, r *replication.Record, req engine.Message, class config.Class, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	step := replication.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
 	// What may have run goes back to where it may have: servers and partners elsewhere know nothing of it.
@@ -48,7 +48,7 @@
 	case replication.Again:
 		forced = mayRunIn(earlier)
 	case replication.Ask:
-		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no offer
+		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no advertisement
 	}
 	var last attemptResult
 	for range maxRoutes {
@@ -75,7 +75,7 @@
 	return last.out
 }
 
-// timeLeft is what is left now to whoever waits for a call: each way that it tries takes some.
+// timeLeft is what is left now to whoever waits for a request: each way that it tries takes some.
 func timeLeft(ctx context.Context, r *replication.Record, w *replication.Work) time.Duration {
 	if w != nil {
 		return w.Left() - settling
@@ -96,7 +96,7 @@
 	return pool
 }
 
-// chooseRoute is where a call goes now, by the rules of now, or why it goes nowhere.
+// chooseRoute is where a request goes now, by the rules of now, or why it goes nowhere.
 func (g *Gateway) chooseRoute(r *replication.Record, class config.Class, forced string) (way routeexchange.Selection, pool, why string) {
 	request := callOf(r, class)
 	ok := false
@@ -127,8 +127,8 @@
 	return way, pool, ""
 }
 
-// askPartner asks a partner what became of a call that may run there, until it says or the call's time is over. That a
-// question was refused, or came to nobody, says nothing of the call: only a refusal that is settled there is its answer.
+// askPartner asks a partner what became of a request that may run there, until it says or the request's time is over. That a
+// question was refused, or came to nobody, says nothing of the request: only a refusal that is settled there is its answer.
 func (g *Gateway) askPartner(ctx context.Context, r *replication.Record, req engine.Message, pool string, earlier []replication.Intent, w *replication.Work) replication.Outcome {
 	for ctx.Err() == nil {
 		left := timeLeft(ctx, r, w)
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -92,7 +92,7 @@
 	x.machine.See(r.o.Clock.Now(), zonestate.NewView(all))
 }
 
-// pass sends what the exchange has to say, within the room's purse.
+// pass sends what the exchange has to say, within the room's send budget.
 func (r *Transport) pass(packets []zonestate.Packet) {
 	for _, p := range packets {
 		if r.write(membership.Seal(zonestate.Append(nil, p.Message), r.o.Key), p.To) {
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// faultySocket has its calls fail with the errnos of a table in turn, while it is told to.
+// faultySocket has its requests fail with the errnos of a table in turn, while it is told to.
 type faultySocket struct {
 	datagrams
 	reads, writes         atomic.Bool // whether they fail
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -310,14 +310,14 @@
 	}
 }
 
-// send sends what the purse allows.
+// send sends what the send budget allows.
 func (r *Transport) send(packets []membership.Packet) {
 	for _, p := range packets {
 		r.write(membership.Encode(p.Message, r.o.Key), p.To)
 	}
 }
 
-// write sends a datagram if the purse allows it.
+// write sends a datagram if the send budget allows it.
 func (r *Transport) write(data []byte, to netip.AddrPort) bool {
 	now := r.o.Clock.Now()
 	r.sendBudget = min(maxOutgoing, r.sendBudget+(now-r.filled).Seconds()*maxOutgoing)
--- a/internal/gossip/truth_rig.go
+++ b/internal/gossip/truth_rig.go
@@ -11,7 +11,7 @@
 // turn is after which times are told anew: whole milliseconds up to it are kept exactly.
 const turn = 1 << 24
 
-// made tells when a part was made, by the clock that all processes of the rig's machine share and the exchange knows nothing of.
+// made tells when a part was made, by the clock that all processes of the fault bench's machine share and the exchange knows nothing of.
 func made() []zonestate.Entry {
 	return []zonestate.Entry{{Kind: zonestate.Made, Value: float64((time.Now().UnixMilli() + 1) % turn)}}
 }
--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -8,8 +8,8 @@
 
 // Bounds of what is read ahead, in bytes. What comes beyond is thrown away, and the answer under way is the last.
 const (
-	aheadMost  = validation.MaxBody + maxHeader // of one connection: room for one whole request
-	aheadTotal = 4 << 20                        // of all connections of a front
+	aheadMost  = validation.MaxBody + maxHeader // of one connection: room for one complete request
+	aheadTotal = 4 << 20                        // of all connections of a front end
 	aheadStep  = 4 << 10
 )
 
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -14,7 +14,7 @@
 // maxAnswer bounds all of an answer but its body: heads, 1xx before them, chunks' sizes.
 const maxAnswer = 16 << 10
 
-// reply is what came back on a connection: an answer read whole, or why there is none.
+// reply is what came back on a connection: an answer read completely, or why there is none.
 type reply struct {
 	engine.Outcome
 	err error
@@ -77,7 +77,7 @@
 
 var errUnasked = errors.New("the server spoke or closed before it was asked")
 
-// errCut says that an answer is not whole, or can't be told to be.
+// errCut says that an answer is not complete, or can't be told to be.
 var errCut = errors.New("the answer is not whole")
 
 // readAnswer reads one answer, and tells whether the connection is of further use. Only a whole 200 is a
@@ -137,7 +137,7 @@
 // expected bounds what is allocated for a body because its head says so, before it has come.
 const expected = 16 << 10
 
-// answerBody reads an answer's body, but no more than one byte beyond the longest that is kept whole.
+// answerBody reads an answer's body, but no more than one byte beyond the longest that is kept complete.
 func answerBody(resp *http.Response) ([]byte, error) {
 	var body bytes.Buffer
 	body.Grow(int(max(0, min(resp.ContentLength, expected))) + bytes.MinRead) // it reads on until it meets the end
--- a/internal/http1/back.go
+++ b/internal/http1/back.go
@@ -21,8 +21,8 @@
 
 // Headers of answers that gateways give to one another.
 const (
-	RefusedBy     = "X-Refused-By" // the rule that a call was refused by
-	settledHeader = "X-Settled"    // "1": all who ask about the call hear this answer
+	RefusedBy     = "X-Refused-By" // the rule that a request was refused by
+	settledHeader = "X-Settled"    // "1": all who ask about the request hear this answer
 )
 
 // Back runs attempts over pools of kept connections, the last used first. http.Transport would
@@ -119,7 +119,7 @@
 	if a.Request.Message.Rest != nil {
 		return b.upload(a, c, waiter)
 	}
-	// The whole request in one write: what Write returns tells whether its last byte left.
+	// The complete request in one write: what Write returns tells whether its last byte left.
 	text, why := b.text(a)
 	if text == nil {
 		b.giveUp(c, waiter)
@@ -226,7 +226,7 @@
 }
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
-// long: its caller may have gone by then, its time may be over, and its server may have been told to drain.
+// long: its client may have gone by then, its time may be over, and its server may have been told to drain.
 func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
 	b.mu.Lock()
 	serves := b.serves(c.to)
--- a/internal/http1/back_test.go
+++ b/internal/http1/back_test.go
@@ -317,7 +317,7 @@
 	}
 }
 
-// What was let go takes no attempt any more: the next one opens a connection.
+// What was closed takes no attempt any more: the next one opens a connection.
 func TestAConnectionThatWasLetGoTakesNoAttempt(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	b := testBackend(10)
--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// A client's connection on which a call fails in passing is no end: it gets its answer whole.
+// A client's connection on which a request fails in passing is no end: it gets its answer whole.
 func TestAClientsConnectionOutlastsWhatPasses(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
 		_, c, conn, release, _ := heldRequest(t)
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A connection is let go only while it waits: not with a request read that net/http has not told of
+// A connection is closed only while it waits: not with a request read that net/http has not told of
 // yet, nor with the first byte of the next one, read early behind an answer.
 func TestLettingGoSparesARequestBegun(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +111,7 @@
 	say(client, a, request)
 	f.track(a, http.StateNew)
 	f.track(a, http.StateActive)
-	a.takeHead(false) // the front has it
+	a.takeHead(false) // the front end has it
 	say(a, client, "its answer")
 	say(client, a, request[:1]) // the next request's first byte
 	f.track(a, http.StateIdle)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Whatever reaches a server has been read, so its caller must get the answer, however often idle
-// connections are let go meanwhile.
+// Whatever reaches a server has been read, so its client must get the answer, however often idle
+// connections are closed meanwhile.
 func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
@@ -201,7 +201,7 @@
 	}
 }
 
-// countedListener counts the calls of Accept: with the next, all that came before is known.
+// countedListener counts the requests of Accept: with the next, all that came before is known.
 type countedListener struct {
 	net.Listener
 	calls atomic.Int64
@@ -213,14 +213,14 @@
 }
 
 // Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
-// good caller needs: they are let go first, before they would time out, and the good one is served.
+// good client needs: they are closed first, before they would time out, and the good one is served.
 func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	cfg.Room = 256 - 48
 	var accepting countedListener
 	n := start(t, cfg, func(n *rig) {
-		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is let go is let go for want of room
+		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is closed is closed for want of room
 		n.callers.SetGrace(downstream.Graces{Idle: testpeer.Limit})
 		accepting.Listener = n.ln
 		n.ln = &accepting
@@ -265,7 +265,7 @@
 	c.WantClosed(t, "a connection that asks no more")
 }
 
-// Callers, requests and servers that are ever new leave nothing behind.
+// Clients, requests and servers that are ever new leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s0", s.Address(), "in_service"))), nil)
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/downstream"
 )
 
-// clientConn is a client's connection that can be let go while it waits for a request, and only then.
+// clientConn is a client's connection that can be closed while it waits for a request, and only then.
 //
 // Close, in the gap between net/http's read of a request and its report of StateActive, would lose
 // that request. A read deadline in the past ends the wait, or comes too late for it: the request is
@@ -27,11 +27,11 @@
 type clientConn struct {
 	net.Conn
 	set        *downstream.Set
-	aheadOfAll *atomic.Int64 // bytes that all connections of the front have read ahead
+	aheadOfAll *atomic.Int64 // bytes that all connections of the front end have read ahead
 
 	mu       sync.Mutex
 	scan     requestScan
-	served   int       // requests that net/http has brought to the front
+	served   int       // requests that net/http has brought to the front end
 	answered int       // of them
 	at       time.Time // when the first bytes of the request that is read were, or could have been
 	heard    time.Time // when any were last
@@ -198,7 +198,7 @@
 
 // Close ends the connection. A close over bytes that nobody has read resets it, and takes along an answer that is still
 // on its way. So behind the last answer only the sending ends, and what still comes is read and thrown away until the
-// other side has closed as well. One that is let go while it waits has no answer on its way: what crosses its close
+// other side has closed as well. One that is closed while it waits has no answer on its way: what crosses its close
 // stays unread, so that its client may send it again. One that is cut off may have been told so, but its place
 // is wanted: it lingers only over bytes that would reset it now.
 func (c *clientConn) Close() error {
@@ -217,7 +217,7 @@
 // Abort implements downstream.Conn.
 func (c *clientConn) Abort() error { return c.Conn.Close() }
 
-// CloseWrite lets net/http linger after an answer to a request that it did not read whole: at once
+// CloseWrite lets net/http linger after an answer to a request that it did not read completely: at once
 // closed, the connection would be reset, and the answer could be lost.
 func (c *clientConn) CloseWrite() error {
 	c.set.Move(c, downstream.Lingering)
--- a/internal/http1/connections.go
+++ b/internal/http1/connections.go
@@ -51,7 +51,7 @@
 	ConnectTimeout time.Duration // for one to come up
 	Idle           time.Duration // a server closes one that has been idle for so long
 	Settle         time.Duration // behind an answer, before the next request may follow: see DefaultSettle
-	Busy           string        // name that X-Load has for the calls that a server holds; empty: none is read
+	Busy           string        // name that X-Load has for the requests that a server holds; empty: none is read
 	AskPath        string        // where servers answer with their report alone; empty: they are not asked
 	From           net.IP        // that connections go out from; nil: any
 }
@@ -245,7 +245,7 @@
 }
 
 // rest keeps a connection for the next attempt, if its server is still the one that it was made to. The
-// caller holds mu.
+// client holds mu.
 func (b *Back) rest(c *conn) {
 	if b.closed || !b.serves(c.to) {
 		b.drop(c)
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -1,4 +1,4 @@
-// Package http1 is the HTTP/1.1 side of the node (RFC 9110, RFC 9112): Front serves callers, Back carries
+// Package http1 is the HTTP/1.1 side of the node (RFC 9110, RFC 9112): Front serves clients, Back carries
 // attempts to servers. Which server gets what, and what is answered, is the engine's.
 package http1
 
@@ -22,16 +22,16 @@
 	"damsontrestle/internal/validation"
 )
 
-// Limits on what a caller may make the node wait for.
+// Limits on what a client may make the node wait for.
 const (
 	headTimeout  = 2800 * time.Millisecond // for a request's head, from its connection's start or its first bytes
-	idleTimeout  = 4 * time.Second         // a caller that asks no more is let go
+	idleTimeout  = 4 * time.Second         // a client that asks no more is closed
 	writeTimeout = 5 * time.Second
 	maxHeader    = 16 << 10
-	maxBody      = validation.MaxBody // the longest body that is kept whole
+	maxBody      = validation.MaxBody // the longest body that is kept complete
 )
 
-// Front serves callers of one listener: exactly one answer for each request taken.
+// Front serves clients of one listener: exactly one answer for each request taken.
 type Front struct {
 	listener string // its name in the configuration
 	clock    clock.Clock
@@ -61,22 +61,22 @@
 	return f
 }
 
-// Serve accepts callers until the listener fails, is closed or has a deadline in the past, and returns its
+// Serve accepts clients until the listener fails, is closed or has a deadline in the past, and returns its
 // error. What failures pass is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
 	return f.server.Serve(clientListener{ln, f.callers, &f.ahead})
 }
 
-// SetReady has the health answer say from now on whether callers should be sent here.
+// SetReady has the health answer say from now on whether clients should be sent here.
 func (f *Front) SetReady(is bool) { f.draining.Store(!is) }
 
 // SetClosing says whether each answer from now on closes its connection.
 func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
 
-// CloseQuiet closes the connections of callers that ask nothing. It returns how many are left.
+// CloseQuiet closes the connections of clients that ask nothing. It returns how many are left.
 func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
 
-// health tells the front whether to send callers here.
+// health tells the front end whether to send clients here.
 func (f *Front) health(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
@@ -101,7 +101,7 @@
 
 // ServeHTTP answers one request.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Whatever is answered before the request has been read whole closes the connection: cheap, and
+	// Whatever is answered before the request has been read completely closes the connection: cheap, and
 	// net/http would otherwise wait for the rest of a body.
 	w.Header().Set("Connection", "close")
 	conn := connOf(r.Context())
@@ -174,7 +174,7 @@
 	case <-conn.left:
 		f.abandon(w, conn, c)
 	case <-r.Context().Done():
-		if rest != nil && !rest.end() { // net/http takes a body that comes too slowly for its caller's end
+		if rest != nil && !rest.end() { // net/http takes a body that comes too slowly for its client's end
 			f.leave(c)
 			w.Header().Set("Connection", "close")
 			f.reject(w, conn, view, errNotWhole)
@@ -192,13 +192,13 @@
 	f.write(w, conn, engine.Response{Kind: engine.Failed})
 }
 
-// leave has a call end for a caller that has gone.
+// leave has a request end for a client that has gone.
 func (f *Front) leave(c *engine.Request) {
 	c.Disconnect(f.clock.Now())
 	f.figures.Left()
 }
 
-// errNotWhole answers a caller that has not sent its body whole, or not within its time.
+// errNotWhole answers a client that has not sent its body whole, or not within its time.
 var errNotWhole = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
 
 // finish gives a request its answer, also where the rest of its body has not come yet.
@@ -213,7 +213,7 @@
 		if !r.ProtoAtLeast(1, 1) {
 			conn.reset() // its end alone would look like the answer's
 		}
-		panic(http.ErrAbortHandler) // so that the caller can tell that the answer is not whole
+		panic(http.ErrAbortHandler) // so that the client can tell that the answer is not complete
 	}
 	f.figures.End(class, validation.Result(a))
 	if early {
@@ -265,7 +265,7 @@
 	return must || may && (f.callers.NearLimit() || f.closing.Load() || a.Elsewhere)
 }
 
-// write gives the answer to the caller. With an error it was begun and is not whole.
+// write gives the answer to the client. With an error it was begun and is not complete.
 func (f *Front) write(w http.ResponseWriter, conn *clientConn, a engine.Response) error {
 	rc := http.NewResponseController(w)
 	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -291,8 +291,8 @@
 	first.Want(t, 200, "for used")
 }
 
-// A caller gives its last try all the time that it has left, more than tries are usually given. That must
-// not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
+// A client gives its last attempt all the time that it has left, more than tries are usually given. That must
+// not make every other client's first attempt look like a repeat whose latency objective is over, to be refused at once.
 func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 100)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -313,7 +313,7 @@
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*testpeer.Caller // with these out there is room for a first try, and none for a repeat
+	var busy []*testpeer.Caller // with these out there is room for a first attempt, and none for a repeat
 	for i := range 9 {
 		busy = append(busy, testpeer.Dial(t, n.Addr()))
 		busy[i].Send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
@@ -332,7 +332,7 @@
 	}
 }
 
-// How a path reaches servers follows from its listener's setting, and no path carries a call of one class to
+// How a path reaches servers follows from its listener's setting, and no path carries a request of one class to
 // where a server could take it for another's.
 func TestPaths(t *testing.T) {
 	got := make(chan string, 1)
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -109,7 +109,7 @@
 }
 
 // A client that sends its requests in one go hears all the answers in their order, and none of them is lost where idle
-// connections are let go between two of them: what was read is no idle connection.
+// connections are closed between two of them: what was read is no idle connection.
 func TestRequestsSentInOneGoAreAllAnswered(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// connPair is a client's connection and what the front has of it.
+// connPair is a client's connection and what the front end has of it.
 func connPair(t *testing.T) (ours *clientConn, theirs net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,7 +244,7 @@
 	}
 }
 
-// behind says that a request was read behind the one that is served on the rig's only connection.
+// behind says that a request was read behind the one that is served on the fault bench's only connection.
 func behind(n *rig) bool {
 	return n.front.ahead.Load() > 0
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// end notes a head that is whole.
+// end notes a head that is complete.
 func (s *requestScan) end() {
 	s.body = max(s.head.body, 0)
 	s.lost = s.head.coding || s.head.body < 0
--- a/internal/http1/health_test.go
+++ b/internal/http1/health_test.go
@@ -23,7 +23,7 @@
 	got   map[string]int  // by uid and class
 	fails map[string]bool // by uid and class
 	part  int             // of those that fail one in so many is served all the same; 0: none
-	room  int             // requests that each serves at once; beyond that it turns away. 0: any number
+	room  int             // requests that each serves at once; beyond that it rejects. 0: any number
 	busy  map[string]int
 	work  time.Duration // how long what is served takes
 	slow  string        // the server that takes too long for anything
@@ -97,7 +97,7 @@
 	}
 }
 
-// load has callers send both classes, each waiting for its answer, and returns the share served.
+// load has clients send both classes, each waiting for its answer, and returns the share served.
 func load(t *testing.T, n *rig, most, each int) float64 {
 	var served atomic.Int64
 	var clients sync.WaitGroup
@@ -130,7 +130,7 @@
 }
 
 // Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
-// lasts, and having few calls they win the draw. Their share of failures keeps that class away from them,
+// lasts, and having few requests they win the draw. Their share of failures keeps that class away from them,
 // also when they are replaced by others that do the same, and the rest of the work stays with them.
 func TestServersThatFailAClassAtOnceGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
@@ -162,8 +162,8 @@
 	}
 }
 
-// A server that lets most time out holds its part of the node's calls for nothing, and in a small fleet none
-// may be ruled out. Its share of failures keeps calls away from it.
+// A server that lets most time out holds its part of the node's requests for nothing, and in a small fleet none
+// may be ruled out. Its share of failures keeps requests away from it.
 func TestServerThatLetsMostTimeOutGetsFew(t *testing.T) {
 	f := newFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
@@ -184,8 +184,8 @@
 	}
 }
 
-// Where servers alike let calls hang now and then, nobody can be avoided: those that may run again are cut
-// short while there is time for another, below the first tier. A call that may not run again is never cut.
+// Where servers alike let requests hang now and then, nobody can be avoided: those that may run again are cut
+// short while there is time for another, below the first tier. A request that may not run again is never cut.
 func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
 	f := newFleet(0, 0)
 	f.hangs = 5
--- a/internal/http1/opening_test.go
+++ b/internal/http1/opening_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// A gateway's refusal that is the one answer to a call is told apart from one that says nothing of it.
+// A gateway's refusal that is the one answer to a request is told apart from one that says nothing of it.
 func TestASettledRefusalIsTold(t *testing.T) {
 	for header, settled := range map[string]bool{"": false, "X-Settled: 1\r\n": true, "X-Settled: 0\r\n": false} {
 		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// A caller that takes nothing must hold its server up rather than fill the node.
+// A client that takes nothing must hold its server up rather than fill the node.
 func TestASlowReaderHoldsItsServerUp(t *testing.T) {
 	const size = 32 << 20
 	var sent atomic.Int64
@@ -141,7 +141,7 @@
 	testpeer.Receive(t, over, "the server's end")
 }
 
-// A server that ends halfway has its caller see that the answer is not whole, whatever its form; nothing is sent again.
+// A server that ends halfway has its client see that the answer is not complete, whatever its form; nothing is sent again.
 func TestALongAnswerThatIsCut(t *testing.T) {
 	for _, form := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		var asked atomic.Int64
@@ -171,7 +171,7 @@
 	}
 }
 
-// A caller that leaves halfway through an answer frees the server's connection.
+// A client that leaves halfway through an answer frees the server's connection.
 func TestACallerThatLeavesALongAnswer(t *testing.T) {
 	over := make(chan struct{})
 	ln := raw(t, func(c net.Conn, r *http.Request) {
@@ -273,7 +273,7 @@
 	}
 }
 
-// A server that turns an upload away before it is whole: its caller hears so at once, though it has not sent all.
+// A server that turns an upload away before it is complete: its client hears so at once, though it has not sent all.
 func TestAnUploadThatIsTurnedAwayEarly(t *testing.T) {
 	ln := raw(t, func(c net.Conn, r *http.Request) {
 		io.CopyN(io.Discard, r.Body, 100<<10)
@@ -325,7 +325,7 @@
 	}
 }
 
-// A caller that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
+// A client that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
 // blamed for it.
 func TestAnUploadThatItsCallerCuts(t *testing.T) {
 	begun, complete := make(chan struct{}, 10), make(chan error, 10)
--- a/internal/http1/report.go
+++ b/internal/http1/report.go
@@ -15,7 +15,7 @@
 // Bounds of a load report. A longer one is noise.
 const (
 	maxReport  = 1 << 10
-	mostLoaded = 1e6 // calls that a server may say it holds
+	mostLoaded = 1e6 // requests that a server may say it holds
 )
 
 // load is what an answer says of its server's load, or nil.
@@ -37,7 +37,7 @@
 // that has come.
 const askGrace = time.Second
 
-// Poll implements engine.Backend: a GET without an id, on a connection that calls use too. Like any answer, one that comes
+// Poll implements engine.Backend: a GET without an id, on a connection that requests use too. Like any answer, one that comes
 // too late frees its connection; one that does not come closes it.
 func (b *Back) Poll(to discovery.Host, within time.Duration) (busy float64, ok bool) {
 	b.mu.Lock()
--- a/internal/http1/report_test.go
+++ b/internal/http1/report_test.go
@@ -80,7 +80,7 @@
 	return b
 }
 
-// A server that is asked says what it holds; nothing of a call goes there, and its connection serves calls afterwards.
+// A server that is asked says what it holds; nothing of a request goes there, and its connection serves requests afterwards.
 func TestServersAreAsked(t *testing.T) {
 	ids := make(chan string, 10)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -14,7 +14,7 @@
 // headRoom is more than the head of a request takes that has nothing long in it.
 const headRoom = 512
 
-// wholeRequest is the text of a request whose body is kept whole. The usual ones are put together here, byte for byte as
+// wholeRequest is the text of a request whose body is kept complete. The usual ones are put together here, byte for byte as
 // net/http would, which takes a header, a URL and readers to do so.
 func wholeRequest(a *engine.Attempt, left time.Duration) ([]byte, error) {
 	r := &a.Request.Message
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -20,7 +20,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// rig is a front, an engine and a back, as a node joins them.
+// rig is a front end, an engine and a back, as a node joins them.
 type rig struct {
 	front   *Front
 	callers *downstream.Set
@@ -30,10 +30,10 @@
 	ln      net.Listener
 }
 
-// rigConfig is what a rig is made of.
+// rigConfig is what a fault bench is made of.
 type rigConfig struct {
 	*config.Config
-	Room  int    // descriptors for callers and servers
+	Room  int    // descriptors for clients and servers
 	Known string // the list
 }
 
@@ -46,7 +46,7 @@
 	return NewBack(c, descriptors.NewShare(most), &metrics.Set{}, Limits{Most: most, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 }
 
-// start runs a rig until the test ends.
+// start runs a fault bench until the test ends.
 func start(t testing.TB, cfg rigConfig, change func(*rig)) *rig {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -79,7 +79,7 @@
 	return n
 }
 
-// view is a configuration over the rig's one engine.
+// view is a configuration over the fault bench's one engine.
 func (n *rig) view(t testing.TB, cfg *config.Config) *dispatch.Snapshot {
 	t.Helper()
 	engines := map[string]*engine.Engine{}
@@ -95,7 +95,7 @@
 
 func (n *rig) Addr() string { return n.ln.Addr().String() }
 
-// tell gives the rig another list.
+// tell gives the fault bench another list.
 func (n *rig) tell(t testing.TB, text string) {
 	t.Helper()
 	list, err := discovery.Parse([]byte(strings.Replace(text, "%d", "9", 1)))
--- a/internal/http1/send.go
+++ b/internal/http1/send.go
@@ -18,13 +18,13 @@
 	lastBytes = 200 * time.Millisecond // that an answer may be ahead of the note that its request is written whole
 )
 
-// watched reads the rest of a call for one attempt, and notes what became of it.
+// watched reads the rest of a request for one attempt, and notes what became of it.
 type watched struct {
 	io.Reader
 	mu   sync.Mutex
 	used bool  // some of it may be gone
 	over bool  // the attempt has ended
-	cut  bool  // its caller has cut it
+	cut  bool  // its client has cut it
 	left int64 // that is still to be read; negative: not known
 	last bool  // its end was read
 }
@@ -69,7 +69,7 @@
 	return p.conn.Write(text)
 }
 
-// upload sends a call whose body still comes, as it comes. Its time runs from the last byte on. An answer that
+// upload sends a request whose body still comes, as it comes. Its time runs from the last byte on. An answer that
 // comes before that ends it: whatever it says, it is no answer to the whole.
 func (b *Back) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	rest := &watched{Reader: a.Request.Message.Rest, left: a.Request.Message.Length - int64(len(a.Request.Message.Body))}
--- a/internal/http1/shortage.go
+++ b/internal/http1/shortage.go
@@ -8,7 +8,7 @@
 )
 
 // isOwnShortage says that a system call failed for want of something on this machine, or was interrupted: no server is at fault,
-// and the same call may pass a moment later. Of a connect or a write it proves that nothing beyond what was counted has left.
+// and the same request may pass a moment later. Of a connect or a write it proves that nothing beyond what was counted has left.
 func isOwnShortage(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -25,10 +25,10 @@
 	return false
 }
 
-// shortPause is before a call is made again that the system had no memory for.
+// shortPause is before a request is made again that the system had no memory for.
 const shortPause = 5 * time.Millisecond
 
-// isPassing says that a read or a write of an open connection failed, though the connection has not: the same call may pass a moment
+// isPassing says that a read or a write of an open connection failed, though the connection has not: the same request may pass a moment
 // later, and nothing was lost.
 func isPassing(err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EINTR)
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -10,11 +10,11 @@
 	"damsontrestle/internal/validation"
 )
 
-// stall is how long a server may say nothing in the midst of an answer that passes through, and a caller may take
+// stall is how long a server may say nothing in the midst of an answer that passes through, and a client may take
 // nothing of it.
 const stall = 10 * time.Second
 
-// stream is the rest of an answer that passes through, read from its server's connection as its caller takes it.
+// stream is the rest of an answer that passes through, read from its server's connection as its client takes it.
 // The connection is of use to others once all has been read.
 type stream struct {
 	back *Back
@@ -69,7 +69,7 @@
 	go b.read(s.conn)
 }
 
-// pass gives the caller an answer as it comes from the server. With an error it is not whole, and the caller can
+// pass gives the client an answer as it comes from the server. With an error it is not complete, and the client can
 // tell if its connection is cut.
 func pass(w http.ResponseWriter, rc *http.ResponseController, r engine.Reply) error {
 	defer r.Rest.Close()
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/validation"
 )
 
-// How slowly a caller may send a body: it may be behind the least rate by the grace, counted from its request's
+// How slowly a client may send a body: it may be behind the least rate by the grace, counted from its request's
 // first byte, as far as it was waited for.
 const (
 	bodyGrace = headTimeout
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// upload is the rest of a body that passes through: the back end reads it while its caller sends.
+// upload is the rest of a body that passes through: the back end reads it while its client sends.
 type upload struct {
 	body *pacedBody
 	cut  chan struct{} // closed when the caller has ended or left it before its end
@@ -92,7 +92,7 @@
 }
 
 // discard reads on for a while and throws away what comes: a connection that closed at once would be reset, and its
-// caller, which still sends, could miss the answer.
+// client, which still sends, could miss the answer.
 func (u *upload) discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -100,8 +100,8 @@
 	io.CopyN(io.Discard, u.body.body, bodyRate*8)
 }
 
-// readBody reads a body that is kept whole, or the first part of one that passes through, with the rest. The
-// error says that it was not whole, or too slow.
+// readBody reads a body that is kept complete, or the first part of one that passes through, with the rest. The
+// error says that it was not complete, or too slow.
 func (f *Front) readBody(rc *http.ResponseController, r *http.Request) (part []byte, rest *upload, err error) {
 	if r.ContentLength == 0 {
 		return nil, nil, nil
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -15,10 +15,10 @@
 // Pauses after a failed accept.
 const (
 	// One that concerns a single connection has taken it out of the queue: those behind it should not wait. The
-	// pause only bounds what a failure that stays would cost, to 1,000 calls a second.
+	// pause only bounds what a failure that stays would cost, to 1,000 requests a second.
 	onePause = time.Millisecond
 	// One for want of descriptors or memory needs somebody to give some back. The pauses double from shortageFrom
-	// to shortageMost: 50 calls a second cost nothing, and once the shortage is over connections wait no longer
+	// to shortageMost: 50 requests a second cost nothing, and once the shortage is over connections wait no longer
 	// than a small part of the shortest deadlines.
 	shortageFrom = 5 * time.Millisecond
 	shortageMost = 20 * time.Millisecond
--- a/internal/listener/open.go
+++ b/internal/listener/open.go
@@ -18,7 +18,7 @@
 // openPause lies between two tries.
 const openPause = 50 * time.Millisecond
 
-// Open calls open until it succeeds, fails for a reason that does not pass, or ctx ends, and returns what it
+// Open requests open until it succeeds, fails for a reason that does not pass, or ctx ends, and returns what it
 // returned last. The first failure is logged.
 func Open[T any](ctx context.Context, log *slog.Logger, open func() (T, error)) (T, error) {
 	begin := time.Now()
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -39,7 +39,7 @@
 }
 
 // A datagram of another cluster, of another version, cut short, with a bit turned or with a word of one member under
-// another's name is refused whole.
+// another's name is refused completely.
 func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := Encode(full(), key)
 	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrStrange) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -3,13 +3,13 @@
 // others confirm ends sooner, and whoever is suspected hears of it first. It does no I/O, has no clock and no goroutine:
 // time and messages come in, messages go out.
 //
-// What it promises, in the papers' terms, with the incarnation of a member called its life:
+// What it promises, in the papers' terms, with the incarnation of a member called its incarnation:
 //
-//   - Only a member itself raises its life. A word of (life, status) takes the place of another of the same member only
-//     if it is of a later life, or of the same and graver (alive < suspect < dead < left): merging does not hang on
+//   - Only a member itself raises its incarnation. A word of (life, status) takes the place of another of the same member only
+//     if it is of a later incarnation, or of the same and graver (alive < suspect < dead < left): merging does not hang on
 //     order, repetition or grouping, and what a node holds never goes back.
-//   - A member that hears itself called suspect, dead or left, or of a life of its own that it does not remember, as after a
-//     restart under the same name, answers with a later life. While it lives and its words get through, it is alive for
+//   - A member that hears itself called suspect, dead or left, or of an incarnation of its own that it does not remember, as after a
+//     restart under the same name, answers with a later incarnation. While it lives and its words get through, it is alive for
 //     all in the end.
 //   - A member that has stopped is suspected by whoever probes it next and finds neither it nor anybody who reaches it,
 //     and dead for all at most MaxSuspicion after that, plus the time that a word takes to spread.
@@ -39,7 +39,7 @@
 	return ID(max(1, binary.BigEndian.Uint64(sum[:8])))
 }
 
-// Peer is what is told of a member beside its life.
+// Peer is what is told of a member beside its incarnation.
 type Peer struct {
 	Name         string         // up to MaxName bytes
 	Addr         netip.AddrPort // where it listens
@@ -165,7 +165,7 @@
 	ID
 	Peer
 	incarnation uint32
-	notified    uint32 // in which life its Peer was as it is held
+	notified    uint32 // in which incarnation its Peer was as it is held
 	carry       bool   // its Peer goes with words of it, for it is news
 	status      Status
 	since       time.Duration // when it came to this status here
@@ -217,7 +217,7 @@
 
 	changes int
 
-	// Twins counts words of an own life that this process did not have, beyond the first: another process under its name.
+	// Twins counts words of an own incarnation that this process did not have, beyond the first: another process under its name.
 	Twins int
 }
 
@@ -419,7 +419,7 @@
 	return m.flush()
 }
 
-// lastChance pings a member that this node is about to hold for dead: its answer would tell of a later life. Nobody is held
+// lastChance pings a member that this node is about to hold for dead: its answer would tell of a later incarnation. Nobody is held
 // for dead by rumour alone.
 func (m *Machine) lastChance(k *member) {
 	k.last = m.now + m.o.Period
@@ -654,7 +654,7 @@
 
 func bucket(id ID) int { return int(id >> 59) }
 
-// stamp is of one member in a life.
+// stamp is of one member in an incarnation.
 func stamp(id ID, incarnation uint32) uint64 {
 	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
 }
@@ -671,7 +671,7 @@
 	return s
 }
 
-// sum is alike at nodes that hold the same members for alive, at the same lives: dead ones are forgotten at different
+// sum is alike at nodes that hold the same members for alive, at the same incarnations: dead ones are forgotten at different
 // times, and suspicions pass by themselves. Never 0.
 func (m *Machine) sum() uint64 {
 	s := stamp(m.id, m.incarnation)
@@ -693,7 +693,7 @@
 			m.incarnation, m.own = u.Incarnation+1, 0
 			m.changes++
 		} else if u.Incarnation < m.incarnation && u.Status != Alive {
-			m.own = min(m.own, m.most()-1) // who accuses a life that is over is told of this one
+			m.own = min(m.own, m.most()-1) // who accuses an incarnation that is over is told of this one
 		}
 		return
 	}
@@ -738,7 +738,7 @@
 	}
 }
 
-// hold has a member be of a life and a status from now on.
+// hold has a member be of an incarnation and a status from now on.
 func (m *Machine) hold(k *member, incarnation uint32, s Status) {
 	k.incarnation, k.status, k.since, k.sent, k.last, k.carry, k.voices = incarnation, s, m.now, 0, 0, false, nil
 	m.changes++
@@ -792,7 +792,7 @@
 	return out
 }
 
-// Changes grows with each change of who is known, of their lives and statuses, and of the own life.
+// Changes grows with each change of who is known, of their incarnations and statuses, and of the own incarnation.
 func (m *Machine) Changes() int { return m.changes }
 
 // Self is the node's own ID and life.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// Under the same name again, remembering nothing: it has a later life than before, for all.
+// Under the same name again, remembering nothing: it has a later incarnation than before, for all.
 func TestIncarnationSurvivesRestart(t *testing.T) {
 	const n = 12
 	w := newWorld(t, n, 2)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics counts what became of requests since the process began, as callers and servers saw it, for the
-// operators' door. What is counted is told by the fronts and the back ends; the package knows nothing of either.
+// Package metrics counts what became of requests since the process began, as clients and servers saw it, for the
+// management endpoint. What is counted is told by the front ends and the back ends; the package knows nothing of either.
 package metrics
 
 import "sync"
 
-// Result is how a request ended for its caller.
+// Result is how a request ended for its client.
 type Result int
 
 // Results.
@@ -25,7 +25,7 @@
 	open    int64
 }
 
-// Know has classes stand among the figures before anything of them was counted.
+// Know has classes stand among the metrics before anything of them was counted.
 func (s *Set) Know(classes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	s.add(class, r, 1)
 }
 
-// Left notes that a request's caller went before its end, whatever that would have been.
+// Left notes that a request's client went before its end, whatever that would have been.
 func (s *Set) Left() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	s.classes[class] = c
 }
 
-// Report is all figures at one moment, by the names that operators know.
+// Report is all metrics at one moment, by the names that operators know.
 type Report struct {
 	Fulfilled map[string]int64 `json:"fulfilled"` // by class
 	Throttled map[string]int64 `json:"throttled"`
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,5 +1,5 @@
-// Package mgmt is the operators' door: a second address where each connection carries one line and gets one
-// answer, "+OK" or "-ERR" and a reason, or the figures as JSON and a line with a full stop, and is closed. It must answer whatever else the node is busy with, so it
+// Package mgmt is the management endpoint: a second address where each connection carries one line and gets one
+// answer, "+OK" or "-ERR" and a reason, or the metrics as JSON and a line with a full stop, and is closed. It must answer whatever else the node is busy with, so it
 // holds a bounded number of connections and lets go of the one that has been silent for longest when another comes.
 package mgmt
 
@@ -20,23 +20,23 @@
 
 // Bounds of what operators may make the node hold.
 const (
-	Connections  = 12 // at once; beyond, the one that came first without a whole line goes
+	Connections  = 12 // at once; beyond, the one that came first without a complete line goes
 	maxLine      = 256
-	lineTimeout  = 10 * time.Second // for a whole line
+	lineTimeout  = 10 * time.Second // for a complete line
 	writeTimeout = 2 * time.Second
 )
 
-// Control is what the door opens to. Its methods return soon.
+// Control is what the management endpoint opens to. Its methods return soon.
 type Control interface {
 	// Health is nil if this process is ready to serve.
 	Health() error
 	Metrics() metrics.Report
-	// Quiesce sends callers away; Resume takes them again.
+	// Quiesce sends clients away; Resume takes them again.
 	Quiesce() error
 	Resume() error
 }
 
-// Server is the door.
+// Server is the management endpoint.
 type Server struct {
 	listener net.Listener
 	control  Control
@@ -47,7 +47,7 @@
 	closed bool
 }
 
-// Serve opens the door on a listener until Close.
+// Serve opens the management endpoint on a listener until Close.
 func Serve(ln net.Listener, c Control, log *slog.Logger) *Server {
 	s := &Server{listener: listener.New(ln, log), control: c}
 	s.done.Add(1)
@@ -55,10 +55,10 @@
 	return s
 }
 
-// Addr is where the door is.
+// Addr is where the management endpoint is.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close closes the door and every connection.
+// Close closes the management endpoint and every connection.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// Callers that hold a connection and send half a line must not keep others from being answered, however many
+// Clients that hold a connection and send half a line must not keep others from being answered, however many
 // they are; the ones that came first are let go.
 func TestSilentClientsDoNotBlockManagement(t *testing.T) {
 	at := open(t, &desk{})
--- a/internal/modelcheck/exchange/sim.go
+++ b/internal/modelcheck/exchange/sim.go
@@ -120,7 +120,7 @@
 
 // Tick implements simulation.Machine.
 func (a *actor) Tick(now time.Duration) []simulation.Datagram {
-	// When it was so, and one call a second of a class.
+	// When it was so, and one request a second of a class.
 	made := float64((a.p.Now + time.Millisecond - 1).Milliseconds())
 	a.Set(now, zonestate.Sort([]zonestate.Entry{{Kind: zonestate.Made, Subject: 1, Value: made}, {Kind: zonestate.Demand, Subject: 2, Value: 1}}))
 	return a.p.written(a.Machine.Tick(now))
--- a/internal/node/adopt_test.go
+++ b/internal/node/adopt_test.go
@@ -16,10 +16,10 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// crossing is how long a call may try to get in between a change's rules and its view. Where it can't, it waits so long.
+// crossing is how long a request may try to get in between a change's rules and its view. Where it can't, it waits so long.
 const crossing = 20 * time.Millisecond
 
-// noHeaders are a call's that has none.
+// noHeaders are a request's that has none.
 type noHeaders struct{}
 
 func (noHeaders) Values(string) []string { return nil }
@@ -41,14 +41,14 @@
 	return cfg
 }
 
-// taken is what came of handing a call over.
+// taken is what came of handing a request over.
 type taken struct {
 	call *engine.Request
 	err  error
 }
 
-// A change's classes and the gateway's rules for them come at once: no call gets in between, whether it was read under the
-// old view or is to be read under the new one. Calls are begun just before the rules are adopted and just after: each must
+// A change's classes and the gateway's rules for them come at once: no request gets in between, whether it was read under the
+// old view or is to be read under the new one. Requests are begun just before the rules are adopted and just after: each must
 // wait for the whole change, so that one that was read before is stale, and one read after goes by both.
 func TestRulesAndViewOfAChangeAreAdoptedAtOnce(t *testing.T) {
 	server := newTestServer(t, "a").Address()
@@ -63,7 +63,7 @@
 		results []chan taken
 		o       Options
 	)
-	// try begins a call that is read under the view of now, and waits a little whether it is handed over.
+	// try begins a request that is read under the view of now, and waits a little whether it is handed over.
 	try := func(class string) {
 		view, result, id := n.requests.Snapshot(), make(chan taken, 1), fmt.Sprint("call", len(results))
 		go func() {
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -24,7 +24,7 @@
 )
 
 // Change is a configuration that stands ready beside the one that runs. Nothing of what runs has changed: the
-// new listeners' sockets are bound but accept nothing, the new pools know their servers and have no calls.
+// new listeners' sockets are bound but accept nothing, the new pools know their servers and have no requests.
 // One of Commit and Undo ends it.
 type Change struct {
 	node      *Node
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// makeView makes the view under which calls will be read.
+// makeView makes the view under which requests will be read.
 func (c *Change) makeView() error {
 	if err := c.fault("compile routes"); err != nil {
 		return fmt.Errorf("routes: %w", err)
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// Commit puts the configuration in place of the one that runs: one swap, of which no call sees half. It fails
+// Commit puts the configuration in place of the one that runs: one swap, of which no request sees half. It fails
 // only if the node is ending, and has changed nothing then. What goes is retired behind it: its listeners
 // accept no more, what was taken is answered by what took it, and then it is closed.
 func (c *Change) Commit() error {
@@ -309,7 +309,7 @@
 	sockets []*socket
 }
 
-// swap has every call from now on taken under the new view, by pools that go by the new configuration.
+// swap has every request from now on taken under the new view, by pools that go by the new configuration.
 func (c *Change) swap() (gone remains) {
 	n := c.node
 	pools := map[string]*pool{}
@@ -369,7 +369,7 @@
 		old := n.listeners[l.Name]
 		next := &listener{cfg: l, socket: s}
 		if old != nil && old.cfg.Protocol == l.Protocol {
-			next.front = old.front // the callers that it has stay
+			next.front = old.front // the clients that it has stay
 		} else {
 			next.front = n.newFront(l)
 		}
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -12,7 +12,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// BenchmarkLatencyWithAndWithoutChanges has 16 callers ask for two seconds, first of a node that nobody changes,
+// BenchmarkLatencyWithAndWithoutChanges has 16 clients ask for two seconds, first of a node that nobody changes,
 // then of one that is changed every 10 ms: a pool and a route come and go, and the pool that serves gets another
 // list.
 func BenchmarkLatencyWithAndWithoutChanges(b *testing.B) {
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -37,7 +37,7 @@
 	return p
 }
 
-// ownConfig has one listener and these pools; all calls go to the first.
+// ownConfig has one listener and these pools; all requests go to the first.
 func ownConfig(pools ...config.Pool) *config.Config {
 	cfg := testpeer.Config()
 	cfg.Node.Limits.Descriptors = 512
@@ -92,7 +92,7 @@
 	}
 }
 
-// ask sends a call on a connection of its own and returns its answer, or "" if none comes up.
+// ask sends a request on a connection of its own and returns its answer, or "" if none comes up.
 func ask(t *testing.T, address, method, target string) (status int, body string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", address)
@@ -141,7 +141,7 @@
 	wantServed(t, n, "main", "/view/k", "a")
 	wantServed(t, n, "main", "/note/b/k", "b")
 	wantServed(t, n, "side", "/view/k", "b")
-	kept.Get("kept again") // a caller's connection stays with its listener
+	kept.Get("kept again") // a client's connection stays with its listener
 	kept.Want(t, 200, "a")
 	if a.Opened() != opened {
 		t.Errorf("%d more connections to a server of a pool that stayed", a.Opened()-opened)
@@ -185,7 +185,7 @@
 	}
 }
 
-// What a removed pool has out is answered once, by what sent it; an unsafe call is never sent to the new one.
+// What a removed pool has out is answered once, by what sent it; an unsafe request is never sent to the new one.
 func TestRemovedPoolAnswersInFlightRequests(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan string, 10)
 	old := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -218,7 +218,7 @@
 	}
 }
 
-// A class that turns unsafe while its calls are out: none is sent again, be its pool one that stays or goes.
+// A class that turns unsafe while its requests are out: none is sent again, be its pool one that stays or goes.
 func TestClassThatTurnsUnsafe(t *testing.T) {
 	for _, pool := range []string{"p", "another"} {
 		hold, got := make(chan struct{}), make(chan struct{}, 10)
@@ -243,7 +243,7 @@
 	}
 }
 
-// An address can pass from one listener to another, or two can change places, and no caller is turned away.
+// An address can pass from one listener to another, or two can change places, and no client is rejected.
 func TestAddressesPassBetweenListeners(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	free := func() string { return testpeer.ClosedPort(t) }
@@ -270,7 +270,7 @@
 	change(t, n, cfg("y", "x"))
 	at(one, "b")
 	at(two, "a")
-	onX.Get("after") // it is x's caller still
+	onX.Get("after") // it is x's client still
 	onX.Want(t, 200, "a")
 	change(t, n, cfg("z", "y"))
 	at(one, "a")
@@ -288,7 +288,7 @@
 	return len(list)
 }
 
-// Whatever fails before the commit undoes all of it: the node goes on as before, asked by calls; no descriptor
+// Whatever fails before the commit undoes all of it: the node goes on as before, asked by requests; no descriptor
 // and no goroutine is left; and the same change goes through afterwards.
 func TestChangeRollsBackOnEveryFault(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
@@ -467,7 +467,7 @@
 	wantServed(t, n, "main", "/view/k", "a")
 }
 
-// A registry that is asked and refuses the first call of a change, as one that is crowded does, is asked again: also where
+// A registry that is asked and refuses the first request of a change, as one that is crowded does, is asked again: also where
 // the change does not wait for its list, and no engine has heard of the failure.
 func TestARegistryThatRefusesAChangesFirstCallIsAskedAgain(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
@@ -611,7 +611,7 @@
 	}
 }
 
-// Under a load of views and notes, listeners, pools and routes come and go: every call is answered once, no
+// Under a load of views and notes, listeners, pools and routes come and go: every request is answered once, no
 // note runs twice, none is lost.
 func TestChangesUnderLoad(t *testing.T) {
 	changes := 100
--- a/internal/node/ending.go
+++ b/internal/node/ending.go
@@ -23,7 +23,7 @@
 	closeMargin  = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last answers
 	quietGrace   = 300 * time.Millisecond // after the last connection was accepted
 	drainStep    = 20 * time.Millisecond
-	handOver     = 100 * time.Millisecond // before the last answers, calls in custody are given to others
+	handOver     = 100 * time.Millisecond // before the last answers, requests replicated are given to others
 )
 
 // shutdownSchedule tells, from the moment that the node was told to end, until when it accepts connections, until when clients
@@ -31,7 +31,7 @@
 // no request is owed an answer, and when it must be over.
 type shutdownSchedule struct{ accept, serve, last, most, must time.Duration }
 
-// shutdownScheduleOf is how a node ends: it serves for as long as most answers, which take less than half of their aim, come
+// shutdownScheduleOf is how a node ends: it serves for as long as most answers, which take less than half of their latency objective, come
 // before the end. Clients that it lets go sooner would find no node at all.
 func shutdownScheduleOf(cfg *config.Config) shutdownSchedule {
 	var longest, objective time.Duration
@@ -46,7 +46,7 @@
 	return shutdownSchedule{accept, serve, last, most, must}
 }
 
-// drain lets the callers go, and everything taken is answered: for a while they are served as ever on the
+// drain lets the clients go, and everything taken is answered: for a while they are served as ever on the
 // connections that they have, for their requests would fail elsewhere until they are sent to another node;
 // then each answer closes its connection. It returns once all are gone, or with an error when it takes too
 // long. http.Server.Shutdown would wait for seconds on connections that never sent a request, past SIGKILL,
@@ -72,7 +72,7 @@
 	}
 	since := func() time.Duration { return n.clock.Now() - begin }
 	// Where another process of this node goes on at the same addresses, they stay ready: new connections go to
-	// that one, and each answer sends its caller there.
+	// that one, and each answer sends its client there.
 	followed := n.options.Line != nil && n.options.Line.Followed()
 	for _, f := range fronts {
 		f.SetReady(followed)
@@ -82,7 +82,7 @@
 		n.log.Info("another process of this node goes on")
 		for _, s := range sockets {
 			if err := hotrestart.Yield(s.Listener); err != nil {
-				n.log.Warn("callers may still come here", "address", s.Addr(), "error", err)
+				n.log.Warn("clients may still connect here", "address", s.Addr(), "error", err)
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-// closeIdle closes the fronts' quiet connections and tells how many are left of all.
+// closeIdle closes the front ends' quiet connections and tells how many are left of all.
 func closeIdle(fronts []front, set *downstream.Set) int {
 	for _, f := range fronts {
 		f.CloseQuiet()
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -34,7 +34,7 @@
 	answerSlack = 2 * time.Second
 )
 
-// Calls fail at each step of a request's and of a list's way, several at once: each request gets one final answer in time unless its own
+// Requests fail at each step of a request's and of a list's way, several at once: each request gets one final answer in time unless its own
 // connection was ended by a failure; nothing unsafe runs twice, and nothing that was refused has run; the node serves on, ends in order
 // and leaves nothing behind.
 func TestCallsThatFail(t *testing.T) {
@@ -91,13 +91,13 @@
 	body      string // that it sends
 	status    int    // 0: no answer
 	answer    string
-	cut       bool // the answer has begun and is not whole
+	cut       bool // the answer has begun and is not complete
 	took      time.Duration
 	from      string // the client's address
 	err       error  // why there is no answer
 }
 
-// playFailures runs one node, and returns how many calls of each kind failed.
+// playFailures runs one node, and returns how many requests of each kind failed.
 func playFailures(t *testing.T, seed uint64) map[string]int {
 	t.Helper()
 	const clients, requests, servers = 6, 5, 3
@@ -134,7 +134,7 @@
 	for c := range clients {
 		all.Go(func() { playClient(n.Addr("main"), c, requests, results) })
 	}
-	agent.Tell(false, testpeer.Whole(entries[1:]...)) // while calls fail
+	agent.Tell(false, testpeer.Whole(entries[1:]...)) // while requests fail
 	all.Wait()
 	close(results)
 	for a := range results {
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -14,7 +14,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// askFastCGI sends a call on a connection of its own and returns all of its answer.
+// askFastCGI sends a request on a connection of its own and returns all of its answer.
 func askFastCGI(t *testing.T, address, method, target, id string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -49,7 +49,7 @@
 	}
 }
 
-// The example's node serves the same boxes in both protocols, once its addresses are this machine's.
+// The example's node serves the same servers in both protocols, once its addresses are this machine's.
 func TestTheFastCGIExample(t *testing.T) {
 	cfg, problems := config.Load("../../deploy/fastcgi.hcl")
 	if err := problems.Err(); err != nil {
@@ -77,7 +77,7 @@
 	})
 }
 
-// A listener that changes its protocol and back: callers of the old one are served to the end, new ones are heard
+// A listener that changes its protocol and back: clients of the old one are served to the end, new ones are heard
 // in the new one, on the same socket.
 func TestAListenerChangesItsProtocol(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -34,11 +34,11 @@
 	bytes atomic.Int64 // of lists
 
 	mu    sync.Mutex
-	told  *sync.Cond     // a call has come
+	told  *sync.Cond     // a request has come
 	log   []listChange   // the n-th has version n+1
 	last  map[string]int // version of a server's last change
 	news  chan struct{}  // closed at the next change
-	whole int            // whole lists that were asked for
+	whole int            // full snapshots that were asked for
 	heard int            // the version that was asked from last
 }
 
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -14,7 +14,7 @@
 	netlistener "damsontrestle/internal/listener"
 )
 
-// socket is a listening socket. Which front accepts from it can change while it stays open, so that no caller
+// socket is a listening socket. Which front accepts from it can change while it stays open, so that no client
 // is refused when a listener gets another name or protocol.
 type socket struct {
 	*netlistener.Listener
@@ -33,7 +33,7 @@
 	return l.Address
 }
 
-// accept has a front accept from the socket. If that fails, failed is told why.
+// accept has a front end accept from the socket. If that fails, failed is told why.
 func (s *socket) accept(f front, failed func(error)) {
 	s.front, s.ended, s.leave = f, make(chan error, 1), make(chan struct{})
 	ended, leave := s.ended, s.leave
@@ -48,7 +48,7 @@
 	}()
 }
 
-// release has the front accept no more, from a while after now on; callers that have connected by then are
+// release has the front end accept no more, from a while after now on; clients that have connected by then are
 // its own.
 func (s *socket) release(after time.Duration) error {
 	if s.front == nil {
@@ -79,26 +79,26 @@
 	return err
 }
 
-// listener is a front and the socket that it accepts from, as a configuration names them.
+// listener is a front end and the socket that it accepts from, as a configuration names them.
 type listener struct {
 	cfg    config.Listener
 	socket *socket
 	front  front
 }
 
-// front serves the callers of a listener in its protocol.
+// front serves the clients of a listener in its protocol.
 type front interface {
-	// Serve accepts callers until the listener fails, is closed or has a deadline in the past, and returns its error.
+	// Serve accepts clients until the listener fails, is closed or has a deadline in the past, and returns its error.
 	Serve(net.Listener) error
-	// SetReady has health answers say from now on whether callers should be sent here.
+	// SetReady has health answers say from now on whether clients should be sent here.
 	SetReady(bool)
 	// SetClosing says whether each answer from now on ends its connection.
 	SetClosing(bool)
-	// CloseQuiet closes the connections of callers that ask nothing, and tells how many are left of all.
+	// CloseQuiet closes the connections of clients that ask nothing, and tells how many are left of all.
 	CloseQuiet() int
 }
 
-// newFront is a front for a listener; nothing is accepted before Serve.
+// newFront is a front end for a listener; nothing is accepted before Serve.
 func (n *Node) newFront(l config.Listener) front {
 	if l.Protocol == config.FastCGI {
 		return fastcgi.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
@@ -106,14 +106,14 @@
 	return http1.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
 }
 
-// Times of a listener that goes: callers that have connected but were not accepted yet are heard, and then
-// each has its answer and is let go.
+// Times of a listener that goes: clients that have connected but were not accepted yet are heard, and then
+// each has its answer and is closed.
 const (
 	acceptGrace   = 50 * time.Millisecond
 	closeIdleStep = 20 * time.Millisecond
 )
 
-// retireFront lets the callers of a front go until none is left.
+// retireFront lets the clients of a front end go until none is left.
 func (n *Node) retireFront(f front) {
 	f.SetClosing(true)
 	for f.CloseQuiet() > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,13 +59,13 @@
 	listeners          map[string]*listener
 	pools              map[string]*pool
 	retiring           map[*pool]bool
-	leaving            map[*listener]bool       // whose callers are being let go
+	leaving            map[*listener]bool       // whose clients are being let go
 	closing            map[string]chan struct{} // by the keys of sockets that a change left behind, closed once they are
 	change             *Change                  // under way
 	serving            bool
 	ending             bool
 	readiness          readiness.Tracker
-	closingConnections context.CancelFunc // ends the letting go of callers that Quiesce began; nil: none is under way
+	closingConnections context.CancelFunc // ends the closing clients that Quiesce began; nil: none is under way
 	hasSuccessor       bool               // another process of this node shares its limits
 }
 
@@ -148,7 +148,7 @@
 }
 
 // resize shares the descriptors of a configuration out: half of what is not the node's own may be servers'
-// connections, and callers have what servers leave. Two processes of one node have half of all each. The caller
+// connections, and clients have what servers leave. Two processes of one node have half of all each. The client
 // holds mu.
 func (n *Node) resize(cfg *config.Config) {
 	limits, room, spare := cfg.Node.Limits, cfg.Node.Limits.Descriptors-cfg.OwnDescriptors(), config.Reserved/2
@@ -188,7 +188,7 @@
 }
 
 // Reload takes over what may change of the platform's configuration in a running node: where discovery is. The
-// module, the callers and the connections to servers stay as they are.
+// module, the clients and the connections to servers stay as they are.
 func (n *Node) Reload(cfg *config.Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// An agent that was silent may never answer the call that it was silent on: it must be asked anew.
+// An agent that was silent may never answer the request that it was silent on: it must be asked anew.
 func TestSilentDiscoveryIsPolledAgain(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	ag := testpeer.NewAgent(t)
@@ -124,7 +124,7 @@
 	cfg.Options.watch = func(w *discovery.Watch) { w.LongPollTimeout, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
 	n, _ := startNode(t, cfg, nil)
 	for range 3 {
-		if q := testpeer.Receive(t, ag.Asked, "a watch"); q != "" { // the whole list, whatever is known
+		if q := testpeer.Receive(t, ag.Asked, "a watch"); q != "" { // the full list, whatever is known
 			t.Fatalf("asked %q", q)
 		}
 	}
@@ -141,7 +141,7 @@
 	c.Want(t, 200, "for late")
 }
 
-// The watch moves at once, though a call to the old address waits, and versions there count anew.
+// The watch moves at once, though a request to the old address waits, and versions there count anew.
 func TestReloadMovesTheWatch(t *testing.T) {
 	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	old, next := testpeer.NewAgent(t), testpeer.NewAgent(t)
@@ -280,7 +280,7 @@
 	}
 }
 
-// A malformed list is dropped whole, and the whole list asked for anew.
+// A malformed list is dropped completely, and the full list asked for anew.
 func TestMalformedListKeepsPreviousOne(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	ag := testpeer.NewAgent(t)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -14,14 +14,14 @@
 	"damsontrestle/internal/readiness"
 )
 
-// openManagement opens the operators' door at an address; empty: none.
+// openManagement opens the management endpoint at an address; empty: none.
 func (n *Node) openManagement(starting context.Context, address string) error {
 	if address == "" {
 		return nil
 	}
 	ln, err := netlistener.Open(starting, n.log, func() (net.Listener, error) { return net.Listen("tcp", address) })
 	if err != nil {
-		return fmt.Errorf("the operators' door: %w", err)
+		return fmt.Errorf("the management endpoint: %w", err)
 	}
 	n.management = mgmt.Serve(ln, n, n.log)
 	return nil
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// part lets callers go until ctx ends or the node does.
+// part lets clients go until ctx ends or the node does.
 func (n *Node) part(ctx context.Context) {
 	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleStep) {
 		n.mu.Lock()
@@ -113,13 +113,13 @@
 	if n.closingConnections != nil {
 		n.closingConnections()
 		n.closingConnections = nil
-		n.log.Info("clients are taken again")
+		n.log.Info("clients are accepted again")
 	}
 	n.follow(n.readiness.At(n.clock.Now()))
 	return nil
 }
 
-// follow has the fronts do what the duty says. The caller holds mu.
+// follow has the front ends do what the duty says. The caller holds mu.
 func (n *Node) follow(s readiness.State) {
 	if n.ending {
 		return // the end goes its own way
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -16,7 +16,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// management asks a node's operators' door.
+// management asks a node's management endpoint.
 func management(t *testing.T, n *Node, request string) string {
 	t.Helper()
 	return askLine(t, n.management.Addr().String(), request)
@@ -39,7 +39,7 @@
 	return string(got)
 }
 
-// askReady asks on a connection of its own whether callers may come, and whether that connection stays.
+// askReady asks on a connection of its own whether clients may come, and whether that connection stays.
 func askReady(t *testing.T, address string) (status int, closes bool) {
 	t.Helper()
 	c := testpeer.Dial(t, address)
@@ -49,8 +49,8 @@
 	return r.StatusCode, r.Close
 }
 
-// Given an idle caller, one that is being served and one that comes late, quiesce has the node say no at once,
-// serves all three, and parts with them; the node goes on, and takes callers again when told.
+// Given an idle client, one that is being served and one that comes late, quiesce has the node say no at once,
+// serves all three, and parts with them; the node goes on, and takes clients again when told.
 func TestQuiesceAndResume(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
@@ -99,7 +99,7 @@
 	}
 }
 
-// What the door counts is what callers heard and servers got, once all is over.
+// What the management endpoint counts is what clients heard and servers got, once all is over.
 func TestPeerMetricsMatchObservations(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
@@ -152,7 +152,7 @@
 }
 
 // Two nodes share an address and a folder, as the processes of one do while the one takes over. Under a load of
-// callers that keep their connections and of ones that do not, the old one ends: no connection is refused or
+// clients that keep their connections and of ones that do not, the old one ends: no connection is refused or
 // closed unheard, and in the end only the new one is there.
 func TestHotRestartUnderLoad(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -63,7 +63,7 @@
 		out.engine.RestoreList(list)
 		return out, nil
 	}
-	// An agent tells its whole list at once and at no cost: what is known may be of another one's counting.
+	// An agent tells its complete list at once and at no cost: what is known may be of another one's counting.
 	rev := int64(-1)
 	if known.Full && out.settings.PollDiscovery {
 		rev = known.Rev
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -22,7 +22,7 @@
 	closed bool
 
 	ready   map[string]bool // ids of the listed servers in service
-	listed  chan struct{}   // closed once a whole list has come
+	listed  chan struct{}   // closed once a full snapshot has come
 	hasList chan struct{}   // closed once one has come and a server of it is in service
 }
 
@@ -153,7 +153,7 @@
 	<-s.done
 }
 
-// staticList is the whole list that a configuration holds. A server is held for one that has been running for
+// staticList is the full list that a configuration holds. A server is held for one that has been running for
 // long, unless it is new to a list that was there before: then it has just begun as far as anybody knows, and
 // slow start is for it.
 func staticList(p config.Pool, before map[string]discovery.Target, now time.Duration) discovery.List {
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -16,7 +16,7 @@
 //     that writes it. What a topic does with a message must not block its reader.
 //   - No time of day counts: clocks may be set while links are up.
 //
-// A gateway that starts anew under its name is another life (Peer.Life); its links take the place of the old life's.
+// A gateway that starts anew under its name is another incarnation (Peer.Life); its links take the place of the old incarnation's.
 package peering
 
 import (
@@ -44,10 +44,10 @@
 	Name        string `cbor:"2,keyasint"`
 	Zone        string `cbor:"3,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"4,keyasint"`           // drawn at its start: another one has forgotten what this one knew
-	Calls       string `cbor:"5,keyasint,omitempty"` // address at which it takes partners' calls; empty: it takes none
+	Calls       string `cbor:"5,keyasint,omitempty"` // address at which it takes partners' requests; empty: it takes none
 }
 
-// GatewayID names a gateway whatever its life.
+// GatewayID names a gateway whatever its incarnation.
 type GatewayID struct{ Partner, Name string }
 
 // ID is the peer's name among all.
@@ -158,7 +158,7 @@
 type Stats struct {
 	Up     int            `json:"up"`               // links that came up
 	Ended  map[string]int `json:"ended,omitempty"`  // by why
-	Turned int            `json:"turned,omitempty"` // connections that were turned away at their hello
+	Turned int            `json:"turned,omitempty"` // connections that were rejected at their hello
 	Full   int64          `json:"full,omitempty"`   // messages that were refused for want of room
 }
 
@@ -221,7 +221,7 @@
 		}
 		h.tasks.Go(func() {
 			if err := h.run(c, false, "", func() {}); errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
-				h.o.Log.Warn("a connection is turned away", "from", c.RemoteAddr(), "error", err)
+				h.o.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
 			}
 		})
 	}
@@ -348,7 +348,7 @@
 	return l.Err()
 }
 
-// add has a link be the one to its peer. An older life's end with it.
+// add has a link be the one to its peer. An older incarnation's end with it.
 func (h *Hub) add(l *Link) bool {
 	h.mu.Lock()
 	if h.ctx.Err() != nil {
@@ -446,7 +446,7 @@
 	return s
 }
 
-// Link is a stream to one life of a gateway.
+// Link is a stream to one incarnation of a gateway.
 type Link struct {
 	Peer Peer
 
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -313,7 +313,7 @@
 	}
 }
 
-// A gateway that starts anew is another life: its link takes the place of the old one's, which is told of first, and a
+// A gateway that starts anew is another incarnation: its link takes the place of the old one's, which is told of first, and a
 // link that broke comes back.
 func TestNewIncarnationReplacesOldOne(t *testing.T) {
 	type change struct {
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -17,7 +17,7 @@
 // Restore is for a record that may have reached the disk: the old one is written again, so that the next start
 // finds what runs now. If that fails too, the machine remembers it until it is told that the record has been mended,
 // and an apply that comes before begins with another try.
-// A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing in doubt.
+// A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing undecided.
 type Machine struct {
 	running  Running
 	phase    phase
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -1,19 +1,19 @@
-// Package quota keeps one budget of calls that all partners draw from.
+// Package quota keeps one budget of requests that all partners draw from.
 //
-// A keeper, one of a few gateways that the file names, fills a bucket at the budget's rate and gives tokens out of it to the
-// gateways that ask; a token allows one call, at the gateway that it was given to, for a short while. The keeper is elected by
+// A quota leader, one of a few gateways that the file names, fills a bucket at the budget's rate and gives tokens out of it to the
+// gateways that ask; a token allows one request, at the gateway that it was given to, for a short while. The quota leader is elected by
 // a majority of those that could be it, for a term that it renews, and gives nothing out once its term is over by its own
 // clock.
 //
 // What it promises, where clocks differ in rate by Drift at most, whatever they show:
 //
-//   - In any window of W seconds no more than Terms.Bound(W) calls draw, over all gateways, whoever is killed, stopped, cut off
+//   - In any window of W seconds no more than Terms.Bound(W) requests draw, over all gateways, whoever is killed, stopped, cut off
 //     or started anew: a token was taken out of the one bucket before it was given, is used within Lease of when it was asked
-//     for, and the bucket of a new keeper begins empty.
-//   - There are never two keepers: a voter's promise outlasts the term that it was given for, and a voter that has just been
+//     for, and the bucket of a new quota leader begins empty.
+//   - There are never two quota candidates: a replica's promise outlasts the term that it was given for, and a replica that has just been
 //     started promises nothing until what it may have promised before is over.
-//   - A partner's floor is its own: it gets as much as that first, and where links to the keeper are lost, and the file says
-//     so, each gateway goes on with its part of it. The keeper lends a floor to others only as long as whose it is has waived it.
+//   - A partner's floor is its own: it gets as much as that first, and where links to the quota leader are lost, and the file says
+//     so, each gateway goes on with its part of it. The quota leader lends a floor to others only as long as whose it is has waived it.
 //   - What is beyond floors is shared by weight: nobody gets more while another who wants more has less for its weight.
 //
 // The rules are internal/budget's plain functions.
@@ -27,7 +27,7 @@
 	"damsontrestle/internal/peering"
 )
 
-// leader is the bucket of one who may be the keeper of a budget, and its part in electing one. The owner locks it.
+// leader is the bucket of one who may be the quota leader of a budget, and its part in electing one. The owner locks it.
 type leader struct {
 	terms budget.Terms
 	self  string // partner/name
@@ -37,7 +37,7 @@
 	vote  budget.Vote
 	seen  uint64        // the highest term heard of
 	term  uint64        // own, while
-	until time.Duration // it lasts; 0: it is not the keeper
+	until time.Duration // it lasts; 0: it is not the quota leader
 
 	tokens   float64
 	filled   time.Duration
@@ -66,7 +66,7 @@
 	return &leader{terms: t, self: self, all: all, began: now, claims: map[string]*budget.Claim{}, lent: map[string]*lease{}, requests: map[peering.GatewayID]*pendingRequest{}}
 }
 
-// isLeader says whether this one is the keeper now.
+// isLeader says whether this one is the quota leader now.
 func (k *leader) isLeader(now time.Duration) bool { return k.until > 0 && now < k.until }
 
 // begin takes the office for a term. The bucket begins empty, whatever the one before had given out.
@@ -206,7 +206,7 @@
 	return 1
 }
 
-// grant gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose callers
+// grant gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose clients
 // come back at a time that they were told.
 func (k *leader) grant(partner string, n int) int {
 	for _, due := range []bool{true, false} {
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// dealt plays a keeper for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
+// dealt plays a quota leader for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
 // each partner got, and the most in any window.
 func dealt(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
 	k := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
@@ -74,7 +74,7 @@
 		name  string
 		terms budget.Terms
 		wants func(string, time.Duration) int
-		want  map[string]float64 // calls a second
+		want  map[string]float64 // requests a second
 	}{
 		{"alike", terms(100, 200, p("a", 0, 1), p("b", 0, 1)), all, map[string]float64{"a": 50, "b": 50}},
 		{"by weight", terms(100, 200, p("a", 0, 3), p("b", 0, 1)), all, map[string]float64{"a": 75, "b": 25}},
@@ -114,7 +114,7 @@
 	}
 }
 
-// newTestLimiter is one that is alone, its own keeper, with a clock that the test sets.
+// newTestLimiter is one that is alone, its own quota leader, with a clock that the test sets.
 func newTestLimiter(t testing.TB, terms budget.Terms, now func() time.Duration) *Limiter {
 	p := New(Options{Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}}, Self: peering.GatewayID{Partner: "a", Name: "g"},
 		To: func(peering.GatewayID) *peering.Link { return nil }, Now: now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -122,7 +122,7 @@
 	return p
 }
 
-// A purse that is its own keeper draws what the budget allows; a refusal says when to come back, and who comes then is taken.
+// A limiter that is its own quota leader draws what the budget allows; a refusal says when to come back, and who comes then is taken.
 func TestRetryAtAdvisedTimeIsAdmitted(t *testing.T) {
 	begin := time.Now()
 	b := terms(20, 3, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
@@ -151,7 +151,7 @@
 	}
 }
 
-// A draw that is taken back is another call's, for as long as its token is good and no longer, and never twice.
+// A draw that is taken back is another request's, for as long as its token is good and no longer, and never twice.
 func TestUndoReturnsToken(t *testing.T) {
 	now := time.Second
 	p := &Limiter{options: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, wake: make(chan struct{}, 1)}
@@ -178,7 +178,7 @@
 	}
 }
 
-// BenchmarkDraw draws from a purse that has tokens.
+// BenchmarkDraw draws from a limiter that has tokens.
 func BenchmarkDraw(b *testing.B) {
 	t := terms(1e6, 1e6, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	begin := time.Now()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -25,15 +25,15 @@
 	leaseRequest struct {
 		Quota     string        `cbor:"1,keyasint"`
 		Wanted    int           `cbor:"2,keyasint"`
-		Returning int           `cbor:"3,keyasint,omitempty"` // of them, for callers who come back when they were told to
+		Returning int           `cbor:"3,keyasint,omitempty"` // of them, for clients who come back when they were told to
 		Returned  int           `cbor:"4,keyasint,omitempty"` // tokens that are not needed after all
 		Term      uint64        `cbor:"5,keyasint"`           // of the answer that Stamp is of
-		Stamp     time.Duration `cbor:"6,keyasint"`           // the keeper's clock, as its last answer told it
+		Stamp     time.Duration `cbor:"6,keyasint"`           // the quota leader's clock, as its last answer told it
 		Floor     float64       `cbor:"7,keyasint,omitempty"` // the own part of a floor, that is waived with this
 		Wait      time.Duration `cbor:"8,keyasint"`           // for tokens, at most
 	}
 	leaseGrant struct {
-		Leader   string        `cbor:"1,keyasint"` // who it is; only of the keeper's own answers the rest counts
+		Leader   string        `cbor:"1,keyasint"` // who it is; only of the quota leader's own answers the rest counts
 		IsLeader bool          `cbor:"2,keyasint"`
 		Term     uint64        `cbor:"3,keyasint"`
 		Stamp    time.Duration `cbor:"4,keyasint"`
@@ -46,7 +46,7 @@
 	}
 	voteReply struct {
 		Yes  bool   `cbor:"1,keyasint"`
-		Term uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
+		Term uint64 `cbor:"2,keyasint"` // the highest that the replica has heard of
 	}
 )
 
@@ -65,11 +65,11 @@
 type Budget struct {
 	budget.Terms
 	Candidates []Candidate // in the order in which they try to be it; an odd number
-	Classes    []string    // of the calls that draw; empty: all
+	Classes    []string    // of the requests that draw; empty: all
 	Tenants    []string    // likewise
 }
 
-// Match says that a call draws from the budget.
+// Match says that a request draws from the budget.
 func (b *Budget) Match(class, tenant string) bool {
 	return (len(b.Classes) == 0 || slices.Contains(b.Classes, class)) && (len(b.Tenants) == 0 || slices.Contains(b.Tenants, tenant))
 }
@@ -83,7 +83,7 @@
 	Log    *slog.Logger
 }
 
-// Limiter is a gateway's part in one budget: the tokens that it has, and its part as keeper, if it may be that.
+// Limiter is a gateway's part in one budget: the tokens that it has, and its part as quota leader, if it may be that.
 type Limiter struct {
 	options Options
 	ctx     context.Context
@@ -94,7 +94,7 @@
 	mu       sync.Mutex
 	leases   []tokenLease
 	held     int
-	demand   float64       // calls a second, lately
+	demand   float64       // requests a second, lately
 	granted  float64       // tokens a second, lately
 	counted  time.Duration // until when both were counted
 	requests int           // since then
@@ -103,7 +103,7 @@
 	booked   []booking
 	back     int
 
-	term       uint64        // the highest keeper's heard of
+	term       uint64        // the highest quota leader's heard of
 	leaderName string        // who that is
 	stamp      time.Duration // of its last answer
 	grantedAt  time.Duration // when that came; 0: never
@@ -116,7 +116,7 @@
 	leader *leader // nil: this gateway may not be it
 }
 
-// Counts are a purse's since its start.
+// Counts are a limiter's since its start.
 type Counts struct {
 	Drawn     int64 `json:"drawn"`
 	Rejected  int64 `json:"refused"`
@@ -124,20 +124,20 @@
 	Wasted    int64 `json:"wasted"`        // tokens whose time was over
 	Granted   int64 `json:"given"`         // tokens that came
 	Open      int64 `json:"uncounted"`     // taken without a bound, cut off
-	Elected   int64 `json:"elected"`       // terms that this gateway was keeper for
-	Returning int64 `json:"taken_at_time"` // calls that came back at the time that they were told
-	Undone    int64 `json:"undone"`        // draws that were taken back, for nothing of the call was begun
+	Elected   int64 `json:"elected"`       // terms that this gateway was quota leader for
+	Returning int64 `json:"taken_at_time"` // requests that came back at the time that they were told
+	Undone    int64 `json:"undone"`        // draws that were taken back, for nothing of the request was begun
 }
 
-// Status is a purse's now.
+// Status is a limiter's now.
 type Status struct {
 	Counts
 	Leader   string        `json:"keeper,omitempty"`
 	Term     uint64        `json:"term,omitempty"`
-	Mine     bool          `json:"mine,omitempty"` // this gateway is the keeper
-	Cut      bool          `json:"cut,omitempty"`  // no keeper is reached
+	Mine     bool          `json:"mine,omitempty"` // this gateway is the quota leader
+	Cut      bool          `json:"cut,omitempty"`  // no quota leader is reached
 	Held     int           `json:"held"`
-	Age      time.Duration `json:"age,omitempty"` // of the keeper's last answer
+	Age      time.Duration `json:"age,omitempty"` // of the quota leader's last answer
 	KeptGave int64         `json:"gave,omitempty"`
 }
 
@@ -147,27 +147,27 @@
 	until time.Duration
 }
 
-// waiter is a call that waits for a token.
+// waiter is a request that waits for a token.
 type waiter struct {
 	got chan Token
 	due bool
 }
 
-// Token is a draw: until when it may be used for another call, where nothing of its own was begun. 0: there is none.
+// Token is a draw: until when it may be used for another request, where nothing of its own was begun. 0: there is none.
 type Token time.Duration
 
-// spent is the Token of a draw that is of no use to another call: of the own floor, which flows on by itself.
+// spent is the Token of a draw that is of no use to another request: of the own floor, which flows on by itself.
 const spent Token = 1
 
-// booking is a call that was refused and told when to come back.
+// booking is a request that was refused and told when to come back.
 type booking struct {
 	id string
 	at time.Duration
 }
 
-// Times of a purse.
+// Times of a limiter.
 const (
-	dealEvery   = 10 * time.Millisecond // of a keeper
+	dealEvery   = 10 * time.Millisecond // of a quota leader
 	requestSoon = 20 * time.Millisecond
 	forget      = 2 * time.Second        // in which demand fades
 	comeGrace   = 500 * time.Millisecond // in which who comes late still goes before others
@@ -187,7 +187,7 @@
 	return p
 }
 
-// becomeCandidate makes the gateway's part as keeper, if it may be that.
+// becomeCandidate makes the gateway's part as quota leader, if it may be that.
 func (p *Limiter) becomeCandidate(now time.Duration) {
 	var all []string
 	mine := false
@@ -207,7 +207,7 @@
 	p.tasks.Wait()
 }
 
-// Change has other terms hold from now on; keepers stay as they are. Tokens that are out are used or end in a lease's time.
+// Change has other terms hold from now on; quota candidates stay as they are. Tokens that are out are used or end in a lease's time.
 func (p *Limiter) Change(b Budget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +226,7 @@
 	return slices.Equal(p.options.Budget.Candidates, b.Candidates)
 }
 
-// Status is what the purse does now.
+// Status is what the limiter does now.
 func (p *Limiter) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,10 +241,10 @@
 	return s
 }
 
-// isDisconnected says that no keeper has answered for so long that the floor is not waived any more. The caller holds mu.
+// isDisconnected says that no quota leader has answered for so long that the floor is not waived any more. The caller holds mu.
 func (p *Limiter) isDisconnected(now time.Duration) bool { return now >= p.waived }
 
-// own is the gateway's part of its partner's floor, in calls a second. The caller holds mu.
+// own is the gateway's part of its partner's floor, in requests a second. The caller holds mu.
 func (p *Limiter) own() float64 {
 	if p.options.Budget.WhenCut != budget.Floor {
 		return 0
@@ -294,7 +294,7 @@
 	return 0
 }
 
-// Undo takes a draw back of a call of which nothing was begun: its token is another call's, for as long as it would have been
+// Undo takes a draw back of a request of which nothing was begun: its token is another request's, for as long as it would have been
 // good. It is for whoever drew it.
 func (p *Limiter) Undo(t Token) {
 	p.mu.Lock()
@@ -313,7 +313,7 @@
 	p.serveWaiting(now)
 }
 
-// flow lets the own floor fill up to one call since the gateway was cut off. The caller holds mu.
+// flow lets the own floor fill up to one request since the gateway was cut off. The caller holds mu.
 func (p *Limiter) flow(now time.Duration) {
 	from := max(p.flowed, p.waived)
 	if now > from {
@@ -322,8 +322,8 @@
 	p.flowed = now
 }
 
-// Draw draws one call from the budget, and waits for that no longer than the file says. Where it may not, retry says when
-// it may: a call that comes back then by the same id goes before others. Its id is its caller's key, or what it was refused by.
+// Draw draws one request from the budget, and waits for that no longer than the file says. Where it may not, retry says when
+// it may: a request that comes back then by the same id goes before others. Its id is its client's key, or what it was refused by.
 func (p *Limiter) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
 	now := p.options.Now()
 	p.mu.Lock()
@@ -372,7 +372,7 @@
 	return 0, p.reject(id, p.options.Now())
 }
 
-// noteReturn notes that a call comes that may have been told to. The caller holds mu.
+// noteReturn notes that a request comes that may have been told to. The caller holds mu.
 func (p *Limiter) noteReturn(id, again string, now time.Duration) bool {
 	p.booked = slices.DeleteFunc(p.booked, func(b booking) bool { return now > b.at+comeGrace })
 	for i, b := range p.booked {
@@ -384,7 +384,7 @@
 	return false
 }
 
-// reject says when a call may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
+// reject says when a request may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
 // The caller holds mu.
 func (p *Limiter) reject(id string, now time.Duration) time.Duration {
 	p.counts.Rejected++
@@ -400,7 +400,7 @@
 	return max(at, dealEvery)
 }
 
-// requestNow has the keeper asked at once.
+// requestNow has the quota leader asked at once.
 func (p *Limiter) requestNow() {
 	select {
 	case p.wake <- struct{}{}:
@@ -408,7 +408,7 @@
 	}
 }
 
-// wanted is how many tokens to ask for now: for calls that wait, for those that come back soon, and for what is likely to come
+// wanted is how many tokens to ask for now: for requests that wait, for those that come back soon, and for what is likely to come
 // before the next answer. The caller holds mu.
 func (p *Limiter) wanted(now time.Duration) int {
 	if d := now - p.counted; d > 100*time.Millisecond {
@@ -423,12 +423,12 @@
 	case ahead >= 1:
 		n += int(math.Round(ahead))
 	case p.options.Budget.Wait <= 0 && p.demand > 0.05:
-		n++ // a call that can't wait needs one that is there
+		n++ // a request that can't wait needs one that is there
 	}
 	return min(mostBatch, n-p.held)
 }
 
-// due are the calls that come back before the next answer. The caller holds mu.
+// due are the requests that come back before the next answer. The caller holds mu.
 func (p *Limiter) due(now time.Duration) (n int) {
 	for _, b := range p.booked {
 		if b.at <= now+p.options.Budget.Lease/4 && now <= b.at+comeSoon {
@@ -438,10 +438,10 @@
 	return n
 }
 
-// requestTokens asks the keeper for tokens: at once when calls wait or tokens run low, else now and then, so that it knows that this
+// requestTokens asks the quota leader for tokens: at once when requests wait or tokens run low, else now and then, so that it knows that this
 // gateway's floor is not needed.
 func (p *Limiter) requestTokens() {
-	next := 0 // of the keepers, where none is known
+	next := 0 // of the quota candidates, where none is known
 	for p.ctx.Err() == nil {
 		p.mu.Lock()
 		now := p.options.Now()
@@ -503,7 +503,7 @@
 	}
 }
 
-// returnUnused takes tokens out of the purse that nobody is likely to need, those last that came last. The caller holds mu.
+// returnUnused takes tokens out of the limiter that nobody is likely to need, those last that came last. The caller holds mu.
 func (p *Limiter) returnUnused(n int, now time.Duration) (back int) {
 	for n > 0 && len(p.leases) > 0 {
 		b := &p.leases[len(p.leases)-1]
@@ -546,7 +546,7 @@
 	return answer, false
 }
 
-// applyGrant takes an answer to what was asked at a time. Tokens of a keeper whom a later one has followed are none, and theirs is a
+// applyGrant takes an answer to what was asked at a time. Tokens of a quota leader whom a later one has followed are none, and theirs is a
 // lease's time from when they were asked for. The caller holds mu.
 func (p *Limiter) applyGrant(asked time.Duration, m leaseRequest, g leaseGrant, ok bool, from string) {
 	now := p.options.Now()
@@ -580,7 +580,7 @@
 	p.serveWaiting(now)
 }
 
-// serveWaiting gives tokens to calls that wait. The caller holds mu.
+// serveWaiting gives tokens to requests that wait. The caller holds mu.
 func (p *Limiter) serveWaiting(now time.Duration) {
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
 		switch {
@@ -652,7 +652,7 @@
 	}
 }
 
-// runCandidate is a gateway's part as one of the keepers: it asks the others for a term when there is no keeper, renews its own, and
+// runCandidate is a gateway's part as one of the quota candidates: it asks the others for a term when there is no quota leader, renews its own, and
 // deals out what the bucket holds.
 func (p *Limiter) runCandidate() {
 	tick := time.NewTicker(dealEvery)
@@ -672,7 +672,7 @@
 		if is {
 			k.distribute(now, false)
 		} else if k.until > 0 {
-			p.options.Log.Info("this gateway keeps the quota no more", "quota", p.options.Budget.Name, "term", k.term)
+			p.options.Log.Info("this gateway is no longer the quota leader", "quota", p.options.Budget.Name, "term", k.term)
 			k.until = 0
 			for who, a := range k.requests {
 				delete(k.requests, who)
@@ -695,7 +695,7 @@
 	}
 }
 
-// campaign asks all who could be keeper for a term, from the time when it asks on: a new one, or the same once more.
+// campaign asks all who could be quota leader for a term, from the time when it asks on: a new one, or the same once more.
 func (p *Limiter) campaign(now time.Duration, renew bool) bool {
 	p.mu.Lock()
 	k := p.leader
@@ -749,14 +749,14 @@
 		if !renew {
 			k.begin(p.options.Now(), number)
 			p.counts.Elected++
-			p.options.Log.Info("this gateway keeps the quota", "quota", p.options.Budget.Name, "term", number)
+			p.options.Log.Info("this gateway is the quota leader", "quota", p.options.Budget.Name, "term", number)
 		}
 		k.until = until
 	}
 	return true
 }
 
-// handleVote is this gateway's answer to one who would be keeper.
+// handleVote is this gateway's answer to one who would be quota leader.
 func (p *Limiter) handleVote(who peering.GatewayID, m voteRequest) voteReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -771,7 +771,7 @@
 	return voteReply{Yes: ok, Term: max(v.Term, k.seen)}
 }
 
-// Topics are how others reach the purses of a gateway, by their budgets' names. One that is not there answers nothing of use.
+// Topics are how others reach the limiter of a gateway, by their budgets' names. One that is not there answers nothing of use.
 func Topics(of func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
 		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, answer func(leaseGrant)) {
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,4 +1,4 @@
-// Package readiness decides whether a node asks the front for callers and whether it lets go of those that it has: an
+// Package readiness decides whether a node asks the front end for clients and whether it closes those that it has: an
 // operator sends them away and takes them again, and the node's end is for good. It does no I/O and has no clock.
 package readiness
 
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// CloseIdleAfter is how long after Quiesce the callers' connections are still served as ever: the front has asked for
-// readiness and sends nobody new by then, so that who is let go finds another node.
+// CloseIdleAfter is how long after Quiesce the clients' connections are still served as ever: the front end has asked for
+// readiness and sends nobody new by then, so that who is closed finds another node.
 const CloseIdleAfter = 600 * time.Millisecond
 
 // ErrShuttingDown says that the node ends, which nothing takes back.
@@ -22,18 +22,18 @@
 
 // State is what follows for the node now.
 type State struct {
-	Ready            bool // callers may be sent here, as far as this goes
+	Ready            bool // clients may be sent here, as far as this goes
 	CloseConnections bool // each answer closes its connection, and quiet ones are closed
 }
 
-// Quiesce sends callers away from a clock time on. Once that is so, a further call changes nothing.
+// Quiesce sends clients away from a clock time on. Once that is so, a further call changes nothing.
 func (d *Tracker) Quiesce(now time.Duration) {
 	if !d.quiesced {
 		d.quiesced, d.since = true, now
 	}
 }
 
-// Resume takes callers again.
+// Resume takes clients again.
 func (d *Tracker) Resume() error {
 	if d.shuttingDown {
 		return ErrShuttingDown
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// End sends callers away for good.
+// End sends clients away for good.
 func (d *Tracker) End() { d.shuttingDown = true }
 
-// At is the state at a clock time. When an ending node parts with its callers is the ending's.
+// At is the state at a clock time. When an ending node parts with its clients is the ending's.
 func (d *Tracker) At(now time.Duration) State {
 	return State{Ready: !d.quiesced && !d.shuttingDown, CloseConnections: d.quiesced && now-d.since >= CloseIdleAfter}
 }
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -10,7 +10,7 @@
 	_ "damsontrestle/internal/testpeer/seeded"
 )
 
-// Given an operator's calls and the node's end in this order, the node says and does this.
+// Given an operator's requests and the node's end in this order, the node says and does this.
 func TestTrackerTransitions(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Whatever is called in whatever order: an ending node is never ready again, and one that parts with its callers
+// Whatever is called in whatever order: an ending node is never ready again, and one that parts with its clients
 // is not ready.
 func TestTrackerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -9,8 +9,8 @@
 	"damsontrestle/internal/clock"
 )
 
-// Await brings the one answer to a call that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
-// gen is which of the calls of its key it was, for Record.Gen.
+// Await brings the one answer to a request that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
+// gen is which of the requests of its key it was, for Record.Gen.
 func (c *Replicator) Await(ctx context.Context, k Key) (out Outcome, gen uint32, err error) {
 	c.count(func(n *Counts) { n.Asked++ })
 	for {
@@ -28,10 +28,10 @@
 	}
 }
 
-// query asks all gateways of the group once what became of a call. An outcome is told that one of them knows to be decided, or
-// that a majority of the call's voters has taken by one ballot. That nobody knows it is said once a majority says so of those
-// who would be its voters now, and the others have said so too or have had slowest to say anything: one who is slow must not cost
-// each call of a key its time.
+// query asks all gateways of the group once what became of a request. An outcome is told that one of them knows to be decided, or
+// that a majority of the request's replicas has taken by one ballot. That nobody knows it is said once a majority says so of those
+// who would be its replicas now, and the others have said so too or have had slowest to say anything: one who is slow must not cost
+// each request of a key its time.
 func (c *Replicator) query(ctx context.Context, k Key, wait time.Duration) (out Outcome, gen uint32, err error) {
 	limit, cancel := context.WithTimeout(ctx, wait+pollLimit)
 	defer cancel()
@@ -56,7 +56,7 @@
 	return Outcome{}, t.gen, t.err()
 }
 
-// groupReply is what a gateway of the group says that it holds of a call.
+// groupReply is what a gateway of the group says that it holds of a request.
 type groupReply struct {
 	by    string
 	reply *replicaReply // nil: it has not answered
@@ -85,15 +85,15 @@
 	return words, len(links) + 1
 }
 
-// tally is what gateways have said of a call so far.
+// tally is what gateways have said of a request so far.
 type tally struct {
-	replicas   []Gateway    // who would be its voters now
+	replicas   []Gateway    // who would be its replicas now
 	strangers  int          // of them who hold nothing of it
 	votes      map[vote]int // for outcomes
 	duplicates bool         // somebody holds it, undecided
 	recovered  bool         // somebody started anew since, and was told of it
 	silent     bool         // somebody has not answered
-	gen        uint32       // of the latest call of its key
+	gen        uint32       // of the latest request of its key
 }
 
 // vote is for the outcome that a ballot brought.
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// isUnknown says that a majority of the voters holds nothing of the call.
+// isUnknown says that a majority of the replicas holds nothing of the request.
 func (t *tally) isUnknown() bool { return t.strangers >= Majority(len(t.replicas)) }
 
 // err is what the answers come to where none brought an outcome.
@@ -154,7 +154,7 @@
 	return ErrUndecided
 }
 
-// Holds says that somebody holds a call of a key, or that nobody could tell.
+// Holds says that somebody holds a request of a key, or that nobody could tell.
 func (c *Replicator) Holds(ctx context.Context, k Key) bool {
 	_, _, err := c.query(ctx, k, 0)
 	return !errors.Is(err, ErrUnknown)
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/peering"
 )
 
-// node is one custodian with its links.
+// node is one replicator with its links.
 type node struct {
 	hub *peering.Hub
 	c   *Replicator
@@ -79,7 +79,7 @@
 	return all
 }
 
-// BenchmarkTake is a call in custody from its taking to its answer, whose one attempt takes no time, by groups over loopback;
+// BenchmarkTake is a request replicated from its taking to its answer, whose one attempt takes no time, by groups over loopback;
 // "without" is the same attempt with nobody asked.
 func BenchmarkTake(b *testing.B) {
 	served := Outcome{Kind: Served, Body: make([]byte, 200)}
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// claimAt has voters promise a call to a higher ballot, as if they had lost its owner.
+// claimAt has replicas promise a request to a higher ballot, as if they had lost its owner.
 func claimAt(t *testing.T, replicas byName, of *Work, names ...string) Ballot {
 	t.Helper()
 	higher := Ballot{Number: 2, Owner: names[0], Incarnation: replicas[names[0]].c.o.Self.Incarnation, Call: 1}
@@ -29,7 +29,7 @@
 	return higher
 }
 
-// A gateway that started anew votes on no key, its own calls' among them. Once another has claimed such a call, its caller
+// A gateway that started anew votes on no key, its own requests' among them. Once another has claimed such a request, its client
 // hears what became of it, and not that there was no room for it: an attempt of it has begun.
 func TestClaimedRequestIsFoundThoughOneReplicaForgot(t *testing.T) {
 	var replicas byName
@@ -85,7 +85,7 @@
 	}
 }
 
-// Where too few can be asked whether a key was taken before, its call is taken by nobody: its caller may come again, and is not
+// Where too few can be asked whether a key was taken before, its request is taken by nobody: its client may come again, and is not
 // told that it may have run.
 func TestKeyWithoutQuorumIsNotStarted(t *testing.T) {
 	others := []Gateway{{Name: "g0", Incarnation: 1}, {Name: "g1", Incarnation: 2}, {Name: "g2", Incarnation: 3}}
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -20,7 +20,7 @@
 	recordMsg struct {
 		Record      Record `cbor:"1,keyasint"`
 		By          Ballot `cbor:"2,keyasint"`
-		Incarnation uint64 `cbor:"3,keyasint"` // of the voter that is meant
+		Incarnation uint64 `cbor:"3,keyasint"` // of the replica that is meant
 	}
 	intendMsg struct {
 		Key         Key    `cbor:"1,keyasint"`
@@ -44,7 +44,7 @@
 		Wait time.Duration `cbor:"2,keyasint"`
 	}
 	incarnationsMsg struct {
-		Ago time.Duration `cbor:"1,keyasint"` // since the link to an earlier life of the one who is told ended
+		Ago time.Duration `cbor:"1,keyasint"` // since the link to an earlier incarnation of the one who is told ended
 	}
 	replicaReply struct {
 		Verdict Verdict `cbor:"1,keyasint"`
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -12,7 +12,7 @@
 	"damsontrestle/internal/balancer"
 )
 
-// actor is whoever has the call in hand, or thinks so.
+// actor is whoever has the request in hand, or thinks so.
 type actor struct {
 	by       Ballot
 	r        Record
@@ -23,7 +23,7 @@
 	finishes *Outcome // that it has to have taken
 }
 
-// Whatever order and loss of messages, whoever claims when, and whichever voters forget: all who are told an outcome are told
+// Whatever order and loss of messages, whoever claims when, and whichever replicas forget: all who are told an outcome are told
 // the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
 func TestOneOutcomeAndOneRunUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -42,7 +42,7 @@
 		}
 		begun := 0
 		var told *Outcome
-		reach := func(what string) []int { // voters that hear, and of whom the answer comes back
+		reach := func(what string) []int { // replicas that hear, and of whom the answer comes back
 			var out []int
 			for i := range voters {
 				if !forgot[i] && rapid.IntRange(0, 3).Draw(t, what) > 0 {
@@ -76,7 +76,7 @@
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0: // a voter starts anew: it is none any more
+			case 0: // a replica starts anew: it is none any more
 				n := 0
 				for _, f := range forgot {
 					if f {
--- a/internal/replication/page_test.go
+++ b/internal/replication/page_test.go
@@ -20,7 +20,7 @@
 	} else if _, err := fmt.Sscanf(words, "%d by %s", &b.Number, &b.Owner); err != nil {
 		return b, fmt.Errorf("%q is no ballot", words)
 	}
-	b.Owner, b.Call = strings.TrimSuffix(b.Owner, "'"), uint64(strings.Count(b.Owner, "'")) // A' is A's next call of the key
+	b.Owner, b.Call = strings.TrimSuffix(b.Owner, "'"), uint64(strings.Count(b.Owner, "'")) // A' is A's next request of the key
 	if len(b.Owner) != 1 {
 		return b, fmt.Errorf("%q names nobody", words)
 	}
@@ -34,7 +34,7 @@
 
 var kinds = map[string]Kind{"served": Served, "refused": Rejected, "failed": Failed}
 
-// entry reads what a voter holds.
+// entry reads what a replica holds.
 func entry(words string) (*Entry, error) {
 	if words == "nothing" {
 		return nil, nil
@@ -133,7 +133,7 @@
 
 var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-// stepOf is what an heir does by a row's effect, intents and time left.
+// stepOf is what a successor does by a row's effect, intents and time left.
 func stepOf(t *testing.T, r spectest.Row) (Step, time.Duration) {
 	t.Helper()
 	effect, ok := effects[r.At("effect")]
--- a/internal/replication/poll.go
+++ b/internal/replication/poll.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// send asks voters something without waiting; each word is told as it comes.
+// send asks replicas something without waiting; each word is told as it comes.
 func (w *Work) send(topic string, message func(Gateway) any, told func(replicaReply)) {
 	c := w.c
 	for _, v := range w.r.Replicas {
@@ -21,7 +21,7 @@
 	}
 }
 
-// localReply is this gateway's own word as a voter.
+// localReply is this gateway's own word as a replica.
 func (c *Replicator) localReply(topic string, message any) replicaReply {
 	switch m := message.(type) {
 	case recordMsg:
@@ -37,8 +37,8 @@
 	panic(fmt.Sprintf("custody: %s is asked of nobody", topic)) // a defect of this package
 }
 
-// send sends a question to a voter. told hears its word once, on the link's reader, or nil where none comes; it must not block.
-// nil: the voter is not to be reached in the life that the record names, and told hears nothing.
+// send sends a question to a replica. told hears its word once, on the link's reader, or nil where none comes; it must not block.
+// nil: the replica is not to be reached in the incarnation that the record names, and told hears nothing.
 func (c *Replicator) send(v Gateway, topic string, message any, told func(*replicaReply)) (forget func()) {
 	l := c.o.Links.To(v.Name)
 	if l == nil || l.Peer.Incarnation != v.Incarnation {
@@ -58,7 +58,7 @@
 	return forget
 }
 
-// collect asks all voters at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
+// collect asks all replicas at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
 func (c *Replicator) collect(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) (yes, no []replicaReply) {
 	words := make(chan *replicaReply, len(replicas))
 	for _, v := range replicas {
--- a/internal/replication/recall.go
+++ b/internal/replication/recall.go
@@ -11,9 +11,9 @@
 	"damsontrestle/internal/peering"
 )
 
-// A gateway that starts anew may have voted in an earlier life for calls whose keys still come, and forgot it: it votes for no key
+// A gateway that starts anew may have voted in an earlier incarnation for requests whose keys still come, and forgot it: it votes for no key
 // until none of them can come any more. It need not wait so long where the others of its group tell it what it may have voted for:
-// a call that was taken has a majority of its voters, so that whoever of them has not forgotten it holds it too.
+// a request that was taken has a majority of its replicas, so that whoever of them has not forgotten it holds it too.
 
 const topicRecover = "custody.recall"
 
@@ -84,12 +84,12 @@
 	return a
 }
 
-// noteIncarnationEnd notes that an earlier life of this gateway ended a while ago, as another tells that knew it.
+// noteIncarnationEnd notes that an earlier incarnation of this gateway ended a while ago, as another tells that knew it.
 func (c *Replicator) noteIncarnationEnd(by string, ago time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.told[by] {
-		return // that was asked what the earlier life may have voted for
+		return // that was asked what the earlier incarnation may have voted for
 	}
 	c.young = max(c.young, c.o.Now()+c.o.Forgets()-ago)
 	if !c.recovering && c.ctx.Err() == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// recoverVotes asks the others for what an earlier life may have voted for, until it knows, or no key of then can come any more. It
+// recoverVotes asks the others for what an earlier incarnation may have voted for, until it knows, or no key of then can come any more. It
 // begins when no attempt can begin any more that an intent of then allowed: an intent that is older than Options.Fresh is asked
 // for anew, and a link is silent for no longer than Options.Silence.
 func (c *Replicator) recoverVotes() {
@@ -119,7 +119,7 @@
 				answers[l.Peer.Name], entries = a, append(entries, told...)
 			}
 		}
-		// Nothing of it is kept unless it is whole: a key that is known to some of its voters and to others not is taken by nobody.
+		// Nothing of it is kept unless it is complete: a key that is known to some of its replicas and to others not is taken by nobody.
 		if complete && HasRecovered(c.o.Self.Name, answers) && !slices.ContainsFunc(entries, func(e Entry) bool { return !c.store.remember(e) }) {
 			c.mu.Lock()
 			for name := range maps.Keys(answers) {
@@ -128,7 +128,7 @@
 			c.young = 0
 			c.counts.Recovered++
 			c.mu.Unlock()
-			c.o.Log.Info("what an earlier life of this gateway voted for is known again", "by", len(answers))
+			c.o.Log.Info("votes of an earlier incarnation are recovered", "by", len(answers))
 			return
 		}
 		clock.Sleep(c.ctx, recoverRetryDelay)
@@ -154,8 +154,8 @@
 	}
 }
 
-// votes are the entries of keys of which a gateway may have allowed an attempt in any life, behind a key in their order, of about
-// most bytes. One without an intent here allowed none with this voter's word; where two others allowed one they tell of it.
+// votes are the entries of keys of which a gateway may have allowed an attempt in any incarnation, behind a key in their order, of about
+// most bytes. One without an intent here allowed none with this replica's word; where two others allowed one they tell of it.
 func (s *store) votes(name string, from Key, most int) (out []Entry, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +172,7 @@
 		e.Record.Body, e.Record.Headers, e.Intents = nil, nil, nil
 		size += sizeOf(&e.Record)
 		if !e.Decided {
-			e.Outcome = nil // it is this voter's word, and no other's
+			e.Outcome = nil // it is this replica's word, and no other's
 		} else {
 			size += len(e.Outcome.Body)
 		}
@@ -184,12 +184,12 @@
 	return out, false
 }
 
-// remember notes a call that an earlier life may have voted for. It is known, and no vote: whoever counts votes asks lives.
+// remember notes a request that an earlier incarnation may have voted for. It is known, and no vote: whoever counts votes asks lives.
 func (s *store) remember(e Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h := s.held[e.Record.Key]; h != nil && (!h.Recovered || h.Record.Gen >= e.Record.Gen) {
-		return true // what this life has voted for stays
+		return true // what this incarnation has voted for stays
 	}
 	if !s.makeSpace(sizeOf(&e.Record)) {
 		s.counts.Full++
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// handler is a handler of what a voter answers at once.
+// handler is a handler of what a replica answers at once.
 func handler[Q any](f func(Q) replicaReply) peering.Handler {
 	return peering.Answer(func(_ *peering.Link, q Q, answer func(replicaReply)) { answer(f(q)) })
 }
@@ -62,7 +62,7 @@
 	return replicaReply{v, e}
 }
 
-// decided notes an outcome that a majority has taken. Work that is still under way here for the same call is over: its caller
+// decided notes an outcome that a majority has taken. Work that is still under way here for the same request is over: its client
 // hears that outcome, and need not wait for an attempt that may take until the deadline.
 func (c *Replicator) decided(m settleMsg) {
 	c.store.decide(m.Key, m.Gen, m.Outcome, m.By)
@@ -74,7 +74,7 @@
 	}
 }
 
-// isRecovering says that this gateway may have taken a key in an earlier life, whose repeats may still come.
+// isRecovering says that this gateway may have taken a key in an earlier incarnation, whose repeats may still come.
 func (c *Replicator) isRecovering() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,7 @@
 	})
 }
 
-// ownerAlive says that whoever has a call in hand is heard here, lately enough for the time that the call has left.
+// ownerAlive says that whoever has a request in hand is heard here, lately enough for the time that the request has left.
 func (c *Replicator) ownerAlive(e *Entry, left time.Duration) bool {
 	b := e.Promised
 	if b.Owner == c.o.Self.Name {
@@ -128,7 +128,7 @@
 	}
 	quiet := l.Quiet()
 	if quiet < 2*c.o.Beat {
-		return true // whatever the call, it is soon enough
+		return true // whatever the request, it is soon enough
 	}
 	return quiet < Suspect(c.o.Beat, l.RTT(), c.o.Silence, left, Servable(c.o.Step(&e.Record, e.Intents, left)))
 }
--- a/internal/replication/replication.go
+++ b/internal/replication/replication.go
@@ -27,33 +27,33 @@
 	Links     Links
 	Group     func() []Gateway // all that live, this one among them, with the lives that links tell of
 	Run       Run
-	Step      func(r *Record, intents []Intent, left time.Duration) Step // what an heir would do with a call; must not block
+	Step      func(r *Record, intents []Intent, left time.Duration) Step // what a successor would do with a request; must not block
 	Beat      time.Duration                                              // between two heartbeats of a link, and
 	Silence   time.Duration                                              // how long one stands without an answer
-	Replicas  int                                                        // voters of a call in a group that has as many
+	Replicas  int                                                        // replicas of a request in a group that has as many
 	Memory    int                                                        // bytes held for others, about
 	Retention time.Duration                                              // that an answer is kept after it was settled
-	Forgets   func() time.Duration                                       // that repeats of a key may come after its first call
+	Forgets   func() time.Duration                                       // that repeats of a key may come after its first request
 	Fresh     time.Duration                                              // an intent that is older when its first byte is to be written is asked for anew
 	Now       func() time.Duration
 	Log       *slog.Logger
 }
 
-// Run has a call carried out, by the engine of its pool: each attempt is allowed by w.Intend before its first byte. It
-// returns when the call is answered, or when ctx ends; then its outcome's kind is 0. earlier are the attempts that others made.
+// Run has a request carried out, by the engine of its pool: each attempt is allowed by w.Intend before its first byte. It
+// returns when the request is answered, or when ctx ends; then its outcome's kind is 0. earlier are the attempts that others made.
 type Run func(ctx context.Context, r *Record, earlier []Intent, w *Work) Outcome
 
-// Times of a custodian. All of them are how soon something is tried, and none is needed for what the package promises.
+// Times of a replicator. All of them are how soon something is tried, and none is needed for what the package promises.
 const (
-	pollLimit           = 2 * time.Second        // that voters are waited for, where the call's time is not over before
-	orphanCheckInterval = 20 * time.Millisecond  // for orphans, while calls are undecided
+	pollLimit           = 2 * time.Second        // that replicas are waited for, where the request's time is not over before
+	orphanCheckInterval = 20 * time.Millisecond  // for orphans, while requests are undecided
 	restEvery           = 200 * time.Millisecond // and while none is
 	claimRetryDelay     = 250 * time.Millisecond // after a claim that failed, at most
-	findWait            = 400 * time.Millisecond // that a voter holds a question for an answer
+	findWait            = 400 * time.Millisecond // that a replica holds a question for an answer
 	slowest             = 50 * time.Millisecond  // that is waited for the others once a majority knows nothing of a key
 )
 
-// Replicator is a gateway's part in custody: its own calls, those that it holds for others, and those that it takes over.
+// Replicator is a gateway's part replicated: its own requests, those that it holds for others, and those that it takes over.
 type Replicator struct {
 	o     Options
 	store *store
@@ -65,11 +65,11 @@
 
 	mu      sync.Mutex
 	works   map[Key]*Work          // in this gateway's hand
-	ending  bool                   // nothing more is taken into custody
-	lost    map[string]incarnation // by gateway, the life to which a link ended last
-	young   time.Duration          // until when this one may have known keys in an earlier life, and does not know them again
+	ending  bool                   // nothing more is taken into replication
+	lost    map[string]incarnation // by gateway, the incarnation to which a link ended last
+	young   time.Duration          // until when this one may have known keys in an earlier incarnation, and does not know them again
 	told    map[string]bool        // gateways that told it what it may have voted for
-	born    time.Duration          // when this life began
+	born    time.Duration          // when this incarnation began
 	group   []Gateway              // as it was last, and
 	changed time.Duration          // when that changed
 	counts  Counts
@@ -77,20 +77,20 @@
 	recovering bool // it asks them
 }
 
-// Counts are of what became of calls in custody, since the start.
+// Counts are of what became of requests replicated, since the start.
 type Counts struct {
-	Taken   int `json:"taken"`   // own calls
-	Alone   int `json:"alone"`   // for which too few voters were to be reached
+	Taken   int `json:"taken"`   // own requests
+	Alone   int `json:"alone"`   // for which too few replicas were to be reached
 	Fenced  int `json:"fenced"`  // that another took over while they were in hand here
 	Claimed int `json:"claimed"` // that this gateway took over
 	Resumed int `json:"resumed"` // of them, carried on
-	Asked   int `json:"asked"`   // by callers that came back
+	Asked   int `json:"asked"`   // by clients that came back
 	Found   int `json:"found"`   // of them, that got the one answer
-	// times that it knew again what an earlier life of it may have voted for
+	// times that it knew again what an earlier incarnation of it may have voted for
 	Recovered int `json:"recalled"`
 }
 
-// Status is what a custodian does now.
+// Status is what a replicator does now.
 type Status struct {
 	Counts
 	InHand  int         `json:"in_hand"`
@@ -124,7 +124,7 @@
 	return Status{c.counts, len(c.works), c.store.status()}
 }
 
-// Linked notes that a link to a gateway of the group has come up. Whoever knew an earlier life of its tells it so, first of all
+// Linked notes that a link to a gateway of the group has come up. Whoever knew an earlier incarnation of its tells it so, first of all
 // that goes over the link.
 func (c *Replicator) Linked(l *peering.Link) {
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// PeerLost notes that the last link to a life of a gateway of the group has ended.
+// PeerLost notes that the last link to an incarnation of a gateway of the group has ended.
 func (c *Replicator) PeerLost(p peering.Peer) {
 	c.mu.Lock()
 	c.lost[p.Name] = incarnation{p.Incarnation, c.o.Now()}
@@ -157,31 +157,31 @@
 
 // Errors of Take and Await.
 var (
-	// ErrAlone says that too few voters are to be reached: nothing was recorded anywhere.
-	ErrAlone = errors.New("custody: too few holders are to be reached")
-	// ErrDuplicate says that the call has been taken before: Await brings its answer.
-	ErrDuplicate = errors.New("custody: the call has been taken before")
-	// ErrFull says that its voters have no room for the call: nothing of it was begun.
-	ErrFull = errors.New("custody: the holders have no room")
-	// ErrUnknown says that nobody holds such a call.
-	ErrUnknown = errors.New("custody: nobody here knows the call")
-	// ErrForgotten says that whoever held the call has started anew since: nobody can tell what became of it.
-	ErrForgotten = errors.New("custody: those who held the call have forgotten what became of it")
-	// ErrUndecided says that the call is under way, or that too few of its voters are to be reached to tell what became of it.
-	ErrUndecided = errors.New("custody: the call is not settled")
-	// ErrNoAnswer says that too few could be asked whether the call's key was taken before: nothing was recorded anywhere.
-	ErrNoAnswer = fmt.Errorf("custody: too few tell whether the key was taken before: %w", ErrUndecided)
+	// ErrAlone says that too few replicas are to be reached: nothing was recorded anywhere.
+	ErrAlone = errors.New("replication: no quorum of replicas is reachable")
+	// ErrDuplicate says that the request has been taken before: Await brings its answer.
+	ErrDuplicate = errors.New("replication: the request was taken before")
+	// ErrFull says that its replicas have no room for the request: nothing of it was begun.
+	ErrFull = errors.New("replication: the replicas have no capacity")
+	// ErrUnknown says that nobody holds such a request.
+	ErrUnknown = errors.New("replication: no replica knows the request")
+	// ErrForgotten says that whoever held the request has started anew since: nobody can tell what became of it.
+	ErrForgotten = errors.New("replication: the replicas no longer have the request's outcome")
+	// ErrUndecided says that the request is under way, or that too few of its replicas are to be reached to tell what became of it.
+	ErrUndecided = errors.New("replication: the request is not decided")
+	// ErrNoAnswer says that too few could be asked whether the request's key was taken before: nothing was recorded anywhere.
+	ErrNoAnswer = fmt.Errorf("replication: no quorum on whether the key was taken before: %w", ErrUndecided)
 )
 
-// Take has a call recorded and carried out, and returns its outcome once a majority of its voters has taken that. serve
-// says that where voters are lost on the way the outcome is told all the same. window is how long others could have taken the
+// Take has a request recorded and carried out, and returns its outcome once a majority of its replicas has taken that. serve
+// says that where replicas are lost on the way the outcome is told all the same. window is how long others could have taken the
 // same key before the group changed. With ErrAlone, ErrFull and ErrNoAnswer nothing was begun; ErrDuplicate says to Await the answer.
 func (c *Replicator) Take(ctx context.Context, r Record, serve bool, window time.Duration) (Outcome, error) {
 	group := c.orphanCheck()
 	r.Owner = c.o.Self
 	r.Replicas = ChooseReplicas(r.Key, c.o.Self.Name, group, c.o.Replicas)
 	if r.IdempotencyKey != "" && c.o.Now()-c.changedAt() < window {
-		// The voters of a key may be others than those that took it: all are asked once.
+		// The replicas of a key may be others than those that took it: all are asked once.
 		_, gen, err := c.query(ctx, r.Key, 0)
 		if errors.Is(err, ErrNoAnswer) {
 			return Outcome{}, err
@@ -201,7 +201,7 @@
 		return Outcome{}, ErrAlone
 	}
 	if e, _ := c.store.find(r.Key); e != nil && e.Record.Gen >= r.Gen {
-		return Outcome{}, ErrDuplicate // whether or not it is a voter of the key now
+		return Outcome{}, ErrDuplicate // whether or not it is a replica of the key now
 	}
 	w, err := c.begin(ctx, r, c.ballot(1), nil)
 	if err != nil {
@@ -231,7 +231,7 @@
 	return Ballot{Number: n, Owner: c.o.Self.Name, Incarnation: c.o.Self.Incarnation, Call: c.calls.Add(1)}
 }
 
-// HandOver gives all calls that are in hand to others: this gateway ends. What is out is left to end by itself.
+// HandOver gives all requests that are in hand to others: this gateway ends. What is out is left to end by itself.
 func (c *Replicator) HandOver() {
 	c.mu.Lock()
 	c.ending = true
--- a/internal/replication/rules.go
+++ b/internal/replication/rules.go
@@ -1,9 +1,9 @@
 // Package replication keeps work in hand alive past the gateway that had it: another takes it over, once.
 //
-// A call in custody is recorded at a few gateways of the owner's own group, its voters, and whoever has it in hand goes by
+// A request replicated is recorded at a few gateways of the owner's own group, its replicas, and whoever has it in hand goes by
 // ballots, as in Paxos (Lamport 2001) and Viewstamped Replication's views (Liskov, Cowling 2012). The owner's ballot is the
-// first one, and holds only at voters that took its record; every later one was promised by a majority. Before an attempt its intent, and before the answer the outcome, must have been taken by a majority of the
-// voters. An heir claims the call with a higher ballot at a majority, and learns there every intent and outcome that any
+// first one, and holds only at replicas that took its record; every later one was promised by a majority. Before an attempt its intent, and before the answer the outcome, must have been taken by a majority of the
+// replicas. a successor claims the request with a higher ballot at a majority, and learns there every intent and outcome that any
 // majority has taken before, for two majorities meet.
 //
 // What it promises:
@@ -12,13 +12,13 @@
 //     stopped or cut off, begins nothing. No clock and no verdict on who is dead is part of this. (An intent is asked for
 //     again where it is older than Options.Fresh when the first byte is to be written. What is left is a stop that is shorter
 //     or falls between that look and the write, against which only the server could help.)
-//   - At most one outcome is ever told, to the caller and to all who ask, at any gateway: it is told once a majority has taken
-//     it, and an heir that finds one taken goes on with it.
-//   - An heir sends a call again only where that is harmless: none of its intents may have run, or its effect is safe, or it
+//   - At most one outcome is ever told, to the client and to all who ask, at any gateway: it is told once a majority has taken
+//     it, and a successor that finds one taken goes on with it.
+//   - a successor sends a request again only where that is harmless: none of its intents may have run, or its effect is safe, or it
 //     is keyed, and then only to the group that drops repeats and while that remembers, which the decision module sees to.
 //     What is unsafe and may have run ends as failed.
-//   - A gateway that was started anew is no voter in what its earlier life had taken.
-//   - Memory is bounded (Options.Memory): past it new calls are not taken into custody, and what that means the class says
+//   - A gateway that was started anew is no replica in what its earlier incarnation had taken.
+//   - Memory is bounded (Options.Memory): past it new requests are not taken into replication, and what that means the class says
 //     (when_alone). An answer is kept for Options.Keep after it was settled, or until room is needed.
 //
 // The rules are this file's plain functions; docs/design/custody.md has them as tables, and a test plays each row.
@@ -33,25 +33,25 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Gateway is a life of a gateway.
+// Gateway is an incarnation of a gateway.
 type Gateway struct {
 	Name        string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"3,keyasint"` // 0: not known here, for there is no link to it
 }
 
-// Key is what a call is asked for by: its class, and its idempotency key or, without one, the id that its caller gave it.
+// Key is what a request is asked for by: its class, and its idempotency key or, without one, the id that its client gave it.
 type Key struct {
 	Class string `cbor:"1,keyasint"`
 	ID    string `cbor:"2,keyasint"`
 }
 
-// Ballot orders those who may have a call in hand. The zero Ballot is below all.
+// Ballot orders those who may have a request in hand. The zero Ballot is below all.
 type Ballot struct {
 	Number      uint32 `cbor:"1,keyasint"`
 	Owner       string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	Call        uint64 `cbor:"4,keyasint"` // of those that it had in hand in that life: two calls of one key are two ballots
+	Call        uint64 `cbor:"4,keyasint"` // of those that it had in hand in that incarnation: two requests of one key are two ballots
 }
 
 // Compare orders ballots.
@@ -59,17 +59,17 @@
 	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Owner, o.Owner), cmp.Compare(b.Incarnation, o.Incarnation), cmp.Compare(b.Call, o.Call))
 }
 
-// Record is what is kept of a call, so that another can go on with it.
+// Record is what is kept of a request, so that another can go on with it.
 type Record struct {
 	Key            Key                 `cbor:"1,keyasint"`
-	Gen            uint32              `cbor:"2,keyasint"` // of calls under one key, of which those before were refused
+	Gen            uint32              `cbor:"2,keyasint"` // of requests under one key, of which those before were refused
 	ID             string              `cbor:"3,keyasint"`
 	Method         string              `cbor:"4,keyasint"`
 	Target         string              `cbor:"5,keyasint"`
 	IdempotencyKey string              `cbor:"6,keyasint,omitempty"` // idempotency key
 	Type           string              `cbor:"7,keyasint,omitempty"`
 	Body           []byte              `cbor:"8,keyasint,omitempty"`
-	Left           time.Duration       `cbor:"9,keyasint"` // until its caller's deadline, when this was sent
+	Left           time.Duration       `cbor:"9,keyasint"` // until its client's deadline, when this was sent
 	Owner          Gateway             `cbor:"10,keyasint"`
 	Replicas       []Gateway           `cbor:"11,keyasint"`
 	Tenant         string              `cbor:"12,keyasint,omitempty"`
@@ -91,7 +91,7 @@
 // Intent is an attempt that was allowed to begin.
 type Intent struct {
 	By     Ballot        `cbor:"1,keyasint"`
-	N      int           `cbor:"2,keyasint"` // of the call's attempts over all who had it in hand, from 0
+	N      int           `cbor:"2,keyasint"` // of the request's attempts over all who had it in hand, from 0
 	Pool   string        `cbor:"3,keyasint"`
 	Server string        `cbor:"4,keyasint"`
 	Zone   string        `cbor:"5,keyasint,omitempty"`
@@ -124,7 +124,7 @@
 	Live interface{ Discard() } `cbor:"-"` // the answer as it came, for whoever had it run
 }
 
-// Entry is what a voter has taken of a call.
+// Entry is what a replica has taken of a request.
 type Entry struct {
 	Record    Record   `cbor:"1,keyasint"`
 	Promised  Ballot   `cbor:"2,keyasint"` // nothing of a lower one is taken
@@ -132,28 +132,28 @@
 	Outcome   *Outcome `cbor:"4,keyasint,omitempty"` // that was taken last, and
 	At        Ballot   `cbor:"5,keyasint"`           // by which ballot
 	Decided   bool     `cbor:"6,keyasint,omitempty"` // a majority has taken it
-	Recovered bool     `cbor:"7,keyasint,omitempty"` // an earlier life of the voter may have taken it: this one knows of it, and is no voter
+	Recovered bool     `cbor:"7,keyasint,omitempty"` // an earlier incarnation of the replica may have taken it: this one knows of it, and is no replica
 }
 
-// Verdict is a voter's word.
+// Verdict is a replica's word.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Yes              Verdict = iota + 1
 	Higher                   // a higher ballot was promised
-	Duplicate                // another call has this key, or the call's outcome is decided
-	OwnerAlive               // whoever has the call in hand is heard here
-	Unknown                  // this voter has taken no such call
+	Duplicate                // another request has this key, or the request's outcome is decided
+	OwnerAlive               // whoever has the request in hand is heard here
+	Unknown                  // this replica has taken no such request
 	Full                     // there is no room
-	OtherIncarnation         // the voter is not of this life: it may have forgotten what it had taken
+	OtherIncarnation         // the replica is not of this incarnation: it may have forgotten what it had taken
 )
 
 var verdicts = [...]string{"", "yes", "higher", "known", "heard", "unknown", "full", "another life"}
 
 func (v Verdict) String() string { return verdicts[min(int(v), len(verdicts)-1)] }
 
-// MayRecord says whether a voter that has e of this key (nil: nothing) takes a record by its owner's ballot.
+// MayRecord says whether a replica that has e of this key (nil: nothing) takes a record by its owner's ballot.
 func MayRecord(e *Entry, r *Record, b Ballot) Verdict {
 	switch {
 	case e == nil:
@@ -168,7 +168,7 @@
 	return Yes
 }
 
-// ballotVerdict says whether a voter goes by a ballot now.
+// ballotVerdict says whether a replica goes by a ballot now.
 func ballotVerdict(e *Entry, b Ballot) Verdict {
 	switch {
 	case b.Compare(e.Promised) < 0:
@@ -179,7 +179,7 @@
 	return Yes
 }
 
-// MayIntend says whether a voter takes an intent.
+// MayIntend says whether a replica takes an intent.
 func MayIntend(e *Entry, b Ballot) Verdict {
 	switch {
 	case e == nil:
@@ -190,7 +190,7 @@
 	return ballotVerdict(e, b)
 }
 
-// MaySettle says whether a voter takes an outcome. One that is decided stays.
+// MaySettle says whether a replica takes an outcome. One that is decided stays.
 func MaySettle(e *Entry, b Ballot) Verdict {
 	switch {
 	case e == nil:
@@ -201,12 +201,12 @@
 	return ballotVerdict(e, b)
 }
 
-// MayClaim says whether a voter promises a ballot. heard: whoever has the call in hand now has a link to this voter, and
-// has not given the call out of hand.
+// MayClaim says whether a replica promises a ballot. heard: whoever has the request in hand now has a link to this replica, and
+// has not given the request out of hand.
 func MayClaim(e *Entry, b Ballot, heard bool) Verdict {
 	switch {
 	case e == nil:
-		return Yes // it surely has taken nothing of this call
+		return Yes // it surely has taken nothing of this request
 	case e.Decided:
 		return Duplicate
 	case b.Compare(e.Promised) <= 0:
@@ -217,7 +217,7 @@
 	return Yes
 }
 
-// MayWithdraw says whether a voter lets go of a call whose owner, by its first ballot, says that nothing of it was begun. An intent
+// MayWithdraw says whether a replica releases a request whose owner, by its first ballot, says that nothing of it was begun. An intent
 // that was taken comes before that word, for both go over one link.
 func MayWithdraw(e *Entry, b Ballot) bool {
 	return e != nil && b.Number == 1 && e.Promised == b && len(e.Intents) == 0 && e.Outcome == nil && !e.Recovered
@@ -237,9 +237,9 @@
 // TakeOutcome notes an outcome that MaySettle allows.
 func (e *Entry) TakeOutcome(o Outcome, b Ballot) { e.Promised, e.At, e.Outcome = b, b, &o }
 
-// Merge is what an heir has to go by, from the entries of a majority: every intent that any of them has taken, the outcome of
+// Merge is what a successor has to go by, from the entries of a majority: every intent that any of them has taken, the outcome of
 // the highest ballot, if there is one, and the record. An attempt that one of them knows not to have run has not. Where two
-// gateways were given one key at once, voters may hold two records: the one that an intent was for is the call's.
+// gateways were given one key at once, replicas may hold two records: the one that an intent was for is the request's.
 func Merge(entries []Entry) (r Record, intents []Intent, outcome *Outcome) {
 	var at Ballot
 	for _, e := range entries {
@@ -274,7 +274,7 @@
 	return r, intents, outcome
 }
 
-// Step is what an heir does with a call.
+// Step is what a successor does with a request.
 type Step uint8
 
 // Steps.
@@ -289,7 +289,7 @@
 
 func (s Step) String() string { return steps[min(int(s), len(steps)-1)] }
 
-// Next is what whoever takes a call over does first. partner says whether a pool is a partner's.
+// Next is what whoever takes a request over does first. partner says whether a pool is a partner's.
 func Next(effect balancer.Effect, intents []Intent, left time.Duration, partner func(pool string) bool) Step {
 	may := slices.DeleteFunc(slices.Clone(intents), func(in Intent) bool { return in.NotRun })
 	switch {
@@ -305,11 +305,11 @@
 	return GiveUp
 }
 
-// Majority is how many of n voters are needed.
+// Majority is how many of n replicas are needed.
 func Majority(n int) int { return n/2 + 1 }
 
-// ChooseReplicas are who holds the calls of a key: the first of the group by a hash of key and name, of as many zones as there are,
-// and an odd number of them, the owner perhaps among them. Whoever sees the same group sees the same voters. In a group of
+// ChooseReplicas are who holds the requests of a key: the first of the group by a hash of key and name, of as many zones as there are,
+// and an odd number of them, the owner perhaps among them. Whoever sees the same group sees the same replicas. In a group of
 // two the other one votes alone; alone nobody does.
 func ChooseReplicas(k Key, own string, group []Gateway, replicas int) []Gateway {
 	switch len(group) {
@@ -339,11 +339,11 @@
 	return out
 }
 
-// Suspect is how long whoever has a call in hand may be silent, by the heartbeat that it answered last, until a voter takes it
-// for lost although its link stands. A link ends after silence; a call whose time is over soon, and that an heir could still
+// Suspect is how long whoever has a request in hand may be silent, by the heartbeat that it answered last, until a replica takes it
+// for lost although its link stands. A link ends after silence; a request whose time is over soon, and that a successor could still
 // have served, is not made to wait for that, but for two heartbeats and the way there and back at least: a third of its time
-// goes to the doubt, the rest is for the claim and the attempt. A doubt that was wrong costs the owner the call, and a call
-// that is safe an attempt, so what an heir could only fail waits for the link.
+// goes to the doubt, the rest is for the claim and the attempt. a suspicion that was wrong costs the owner the request, and a request
+// that is safe an attempt, so what a successor could only fail waits for the link.
 func Suspect(beat, rtt, silence, left time.Duration, servable bool) time.Duration {
 	if !servable {
 		return silence
@@ -351,11 +351,11 @@
 	return min(silence, max(2*beat+4*rtt, left/3))
 }
 
-// Servable says that an heir could still have a call served.
+// Servable says that a successor could still have a request served.
 func Servable(s Step) bool { return s == Send || s == Again }
 
-// ClaimDelay is how long a voter waits, from when it lost whoever has a call in hand, until it claims the call: those first
-// that come first among the voters, so that they do not claim against one another.
+// ClaimDelay is how long a replica waits, from when it lost whoever has a request in hand, until it claims the request: those first
+// that come first among the replicas, so that they do not claim against one another.
 func ClaimDelay(replicas []Gateway, lost, self string) time.Duration {
 	rank := 0
 	for _, v := range replicas {
@@ -369,8 +369,8 @@
 	return claimAfter + time.Duration(rank)*claimStep
 }
 
-// ClaimRetryDelay is how long a voter waits after a claim that others refused, who heard what it did not: heartbeats come to each
-// of them at another time, and a call whose time is short has none to lose.
+// ClaimRetryDelay is how long a replica waits after a claim that others refused, who heard what it did not: heartbeats come to each
+// of them at another time, and a request whose time is short has none to lose.
 func ClaimRetryDelay(left time.Duration) time.Duration {
 	return min(claimRetryDelay, max(claimAfter, left/8))
 }
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// store is what this gateway holds as a voter.
+// store is what this gateway holds as a replica.
 type store struct {
 	now  func() time.Duration
 	keep time.Duration
@@ -18,19 +18,19 @@
 	counts StoreCounts
 }
 
-// StoreCounts are of a voter since its start.
+// StoreCounts are of a replica since its start.
 type StoreCounts struct {
-	Held   int `json:"held"`   // calls, now
+	Held   int `json:"held"`   // requests, now
 	Open   int `json:"open"`   // of them undecided
 	Bytes  int `json:"bytes"`  // of them, about
 	Full   int `json:"full"`   // records for which there was no room
 	Forgot int `json:"forgot"` // answers that were forgotten early, for want of room
 }
 
-// replicaEntry is an entry, with what only its voter knows.
+// replicaEntry is an entry, with what only its replica knows.
 type replicaEntry struct {
 	Entry
-	until    time.Duration // its caller's deadline, by this gateway's clock
+	until    time.Duration // its client's deadline, by this gateway's clock
 	settled  time.Duration // when it was decided; 0: it is not
 	lost     time.Duration // since when nobody is heard who has it in hand; 0: somebody is
 	handed   bool          // it was given out of hand
@@ -193,7 +193,7 @@
 	s.bytes += h.size
 }
 
-// decide notes that a majority has taken an outcome of a key's call of that generation. One that comes late, when the next call
+// decide notes that a majority has taken an outcome of a key's request of that generation. One that comes late, when the next request
 // of the key is held, says nothing of that.
 func (s *store) decide(k Key, gen uint32, o Outcome, b Ballot) {
 	s.mu.Lock()
@@ -209,7 +209,7 @@
 	h.notify()
 }
 
-// claim promises a ballot, and tells what was taken before. A voter that never had the call takes its record with the claim.
+// claim promises a ballot, and tells what was taken before. A replica that never had the request takes its record with the claim.
 func (s *store) claim(r Record, b Ballot, heard func(e *Entry, left time.Duration) bool) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +234,7 @@
 	return Yes, h.snapshot(s.now())
 }
 
-// hand notes that whoever has a call in hand by a ballot has given it out of hand.
+// hand notes that whoever has a request in hand by a ballot has given it out of hand.
 func (s *store) hand(k Key, b Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +243,7 @@
 	}
 }
 
-// withdraw lets go of a call whose owner says that nothing of it was begun, unless an intent of it was taken or another has it in
+// withdraw releases a request whose owner says that nothing of it was begun, unless an intent of it was taken or another has it in
 // hand by now.
 func (s *store) withdraw(k Key, b Ballot) {
 	s.mu.Lock()
@@ -264,7 +264,7 @@
 	return h.snapshot(s.now()), h.changed
 }
 
-// orphans are the undecided calls that this gateway should claim now, each once until release: nobody is heard who has it
+// orphans are the undecided requests that this gateway should claim now, each once until release: nobody is heard who has it
 // in hand, and has not been for as long as Patience says.
 func (s *store) orphans(self string, heard func(e *Entry, left time.Duration) bool) (out []Key, open bool) {
 	s.mu.Lock()
@@ -298,7 +298,7 @@
 	return out, open
 }
 
-// release has a call be claimed again when it is due.
+// release has a request be claimed again when it is due.
 func (s *store) release(k Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Whoever sees the same group sees the same voters of a key: an odd number, of as many zones as there are, and over many keys
+// Whoever sees the same group sees the same replicas of a key: an odd number, of as many zones as there are, and over many keys
 // all gateways alike. In a group of two the other one votes, alone nobody does.
 func TestChooseReplicas(t *testing.T) {
 	var group []Gateway
@@ -94,7 +94,7 @@
 	}
 }
 
-// Who was started anew, and is told so by whoever knew its earlier life, takes no key while repeats of before may come; what
+// Who was started anew, and is told so by whoever knew its earlier incarnation, takes no key while repeats of before may come; what
 // has no key it takes.
 func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
 	var at atomic.Int64
@@ -127,7 +127,7 @@
 }
 
 // Who started anew is told of keys that it may have voted for, page by page, with answers that are decided, and knows them: it
-// takes no other call of theirs, and none that it voted for in this life is changed. It is no voter of what it was told.
+// takes no other request of theirs, and none that it voted for in this incarnation is changed. It is no replica of what it was told.
 func TestVotesOfEarlierIncarnationAreRecovered(t *testing.T) {
 	now := time.Hour
 	clock := func() time.Duration { return now }
@@ -205,7 +205,7 @@
 	}
 }
 
-// What became of a key's first call may be told late, when the next call of the key is held: it decides nothing of that one.
+// What became of a key's first request may be told late, when the next request of the key is held: it decides nothing of that one.
 func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
 	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/fault"
 )
 
-// CheckOrphans has it look for calls that nobody has in hand, now rather than soon: a link has ended.
+// CheckOrphans has it look for requests that nobody has in hand, now rather than soon: a link has ended.
 func (c *Replicator) CheckOrphans() {
 	select {
 	case c.kick <- struct{}{}:
@@ -16,7 +16,7 @@
 	}
 }
 
-// watch looks for calls that nobody has in hand, and claims them, each in a task of its own.
+// watch looks for requests that nobody has in hand, and claims them, each in a task of its own.
 func (c *Replicator) watch() {
 	t := time.NewTimer(restEvery)
 	defer t.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// takeOver claims a call that nobody has in hand, and goes on with it.
+// takeOver claims a request that nobody has in hand, and goes on with it.
 func (c *Replicator) takeOver(k Key) {
 	defer c.store.release(k)
 	e, _ := c.store.find(k)
@@ -54,7 +54,7 @@
 	yes, no := c.collect(ctx, r.Replicas, topicClaim, func(v Gateway) any { return recordMsg{r, by, v.Incarnation} })
 	for _, w := range no {
 		if w.Entry != nil && w.Entry.Decided {
-			c.store.decide(k, r.Gen, *w.Entry.Outcome, w.Entry.At) // a later call of the key says what became of it, too
+			c.store.decide(k, r.Gen, *w.Entry.Outcome, w.Entry.At) // a later request of the key says what became of it, too
 			return
 		}
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return
 	}
-	c.o.Log.Info("a call is taken over", "class", r.Key.Class, "id", r.ID, "from", e.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
+	c.o.Log.Info("request is taken over", "class", r.Key.Class, "id", r.ID, "from", e.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
 		err := w.finish(ctx, *outcome)
 		w.done()
