--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -9,24 +9,24 @@
 	"damsontrestle/internal/fault"
 )
 
-// Work is a call that this gateway has in hand.
+// Work is a request that this gateway has in hand.
 type Work struct {
 	c       *Replicator
 	r       Record
 	by      Ballot
 	earlier []Intent
-	until   time.Duration // its caller's deadline
+	until   time.Duration // its client's deadline
 	serve   bool
 	fenced  chan struct{} // closed once another has it in hand, or had its key before
 
 	mu    sync.Mutex
-	lost  error // why this gateway has the call in hand no more; nil: it has
-	yes   int   // voters that have taken its record
-	taken int   // voters that have another call of its key in hand, and
+	lost  error // why this gateway has the request in hand no more; nil: it has
+	yes   int   // replicas that have taken its record
+	taken int   // replicas that have another request of its key in hand, and
 	full  int   // such as have no room
 }
 
-// begin notes that a call is in this gateway's hand.
+// begin notes that a request is in this gateway's hand.
 func (c *Replicator) begin(ctx context.Context, r Record, by Ballot, earlier []Intent) (*Work, error) {
 	w := &Work{c: c, r: r, by: by, earlier: earlier, until: c.o.Now() + r.Left, fenced: make(chan struct{})}
 	c.mu.Lock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// fence says that this gateway has the call in hand no more, and why: the first reason stands.
+// fence says that this gateway has the request in hand no more, and why: the first reason stands.
 func (w *Work) fence(why error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// recorded takes a voter's word on the record. Once no majority can take it, nothing of it begins any more.
+// recorded takes a replica's word on the record. Once no majority can take it, nothing of it begins any more.
 func (w *Work) recorded(said replicaReply) {
 	w.mu.Lock()
 	switch said.Verdict {
@@ -83,14 +83,14 @@
 	}
 }
 
-// why is what a call that is fenced comes to here.
+// why is what a request that is fenced comes to here.
 func (w *Work) why() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lost
 }
 
-// run is the call's story from here on, the same for whoever has it in hand: it is run, settled and told.
+// run is the request's story from here on, the same for whoever has it in hand: it is run, settled and told.
 func (w *Work) run(ctx context.Context) (Outcome, error) {
 	defer w.done()
 	ctx, cancel := context.WithCancel(ctx)
@@ -125,7 +125,7 @@
 	return Outcome{}, err
 }
 
-// broadcast says something of the call to all its voters, without waiting; own is what this gateway takes of it, if it is one of them.
+// broadcast says something of the request to all its replicas, without waiting; own is what this gateway takes of it, if it is one of them.
 func (w *Work) broadcast(topic string, n int, own func(*store)) {
 	for _, v := range w.r.Replicas {
 		if v.Name == w.c.o.Self.Name {
@@ -136,21 +136,21 @@
 	}
 }
 
-// withdraw tells voters that nothing of a call was begun and nothing will be: other voters of its key had no room for it or hold
-// another call. Who has taken its record, and no intent behind it, lets go of it, so that the key is free to be taken again.
+// withdraw tells replicas that nothing of a request was begun and nothing will be: other replicas of its key had no room for it or hold
+// another request. Who has taken its record, and no intent behind it, releases it, so that the key is free to be taken again.
 func (w *Work) withdraw() {
 	w.broadcast(topicDrop, 0, func(s *store) { s.withdraw(w.r.Key, w.by) })
 }
 
-// release tells voters that this gateway has the call in hand no more, so that one of them may claim it.
+// release tells replicas that this gateway has the request in hand no more, so that one of them may claim it.
 func (w *Work) release() {
 	w.broadcast(topicHand, 0, func(s *store) { s.hand(w.r.Key, w.by) })
 }
 
-// Left is the time until the call's deadline.
+// Left is the time until the request's deadline.
 func (w *Work) Left() time.Duration { return w.until - w.c.o.Now() }
 
-// Intend has an attempt allowed by a majority of the voters; false: it must not begin. It is called when the connection is up
+// Intend has an attempt allowed by a majority of the replicas; false: it must not begin. It is called when the connection is up
 // and its first byte is written next.
 func (w *Work) Intend(ctx context.Context, in Intent) bool {
 	in.By, in.ID = w.by, w.r.ID
@@ -177,7 +177,7 @@
 	}
 }
 
-// fresh is how old an intent may be. Where voters are far the way to them counts.
+// fresh is how old an intent may be. Where replicas are far the way to them counts.
 func (w *Work) fresh() time.Duration {
 	d := w.c.o.Fresh
 	for _, v := range w.r.Replicas {
@@ -197,12 +197,12 @@
 	}
 }
 
-// Ended tells voters that an attempt has ended and has not run. Whether they hear of it decides nothing.
+// Ended tells replicas that an attempt has ended and has not run. Whether they hear of it decides nothing.
 func (w *Work) Ended(n int) {
 	w.broadcast(topicEnded, n, func(s *store) { s.ended(w.r.Key, w.by, n) })
 }
 
-// finish has the outcome taken by a majority of the voters, and then tells all of them that it was.
+// finish has the outcome taken by a majority of the replicas, and then tells all of them that it was.
 func (w *Work) finish(ctx context.Context, out Outcome) error {
 	out.Live = nil
 	limit, cancel := context.WithTimeout(ctx, max(min(pollLimit, w.Left()), claimRetryDelay))
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route decides which pool a call goes to. A Table is compiled once from the routes of a
-// configuration, whole or not at all, and never changes; the same call gets the same answer from it every
+// Package route decides which pool a request goes to. A Table is compiled once from the routes of a
+// configuration, whole or not at all, and never changes; the same request gets the same answer from it every
 // time. The package does no I/O, has no clock and draws nothing.
 package route
 
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// Route says which calls go to which pools. What it leaves empty holds for all; what it lists holds for any
+// Route says which requests go to which pools. What it leaves empty holds for all; what it lists holds for any
 // of the list; all that it lists must hold.
 type Route struct {
 	Name      string   `json:"name"`
-	Default   bool     `json:"default,omitempty"`   // for the calls that no other route takes
+	Default   bool     `json:"default,omitempty"`   // for the requests that no other route takes
 	Listeners []string `json:"listeners,omitempty"` // names
 	Classes   []string `json:"classes,omitempty"`   // names
 	Hosts     []string `json:"hosts,omitempty"`     // "a.example", or "*.example" for all below it
@@ -23,13 +23,13 @@
 	To        []Target `json:"to"`
 }
 
-// Header is a header that a call must carry: with a value, or with any value if Equals is nil.
+// Header is a header that a request must carry: with a value, or with any value if Equals is nil.
 type Header struct {
 	Name   string  `json:"name"`
 	Equals *string `json:"equals,omitempty"`
 }
 
-// Target is a pool with its share of a route's calls among the weights of all of the route's targets.
+// Target is a pool with its share of a route's requests among the weights of all of the route's targets.
 type Target struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
@@ -237,7 +237,7 @@
 	return strings.Join(sorted, ", ") + rest
 }
 
-// rank orders the rules that match one call: the greatest wins. It goes by the host first, then by the
+// rank orders the rules that match one request: the greatest wins. It goes by the host first, then by the
 // path, then by the headers, then by whether class and listener are named.
 type rank struct {
 	host    int // labels of an exact name, doubled and one more; of a name below which all match, doubled; 0: any
@@ -316,7 +316,7 @@
 	return patterns
 }
 
-// within says whether calls of a class can have such a path: a path's first part is its class. A pattern
+// within says whether requests of a class can have such a path: a path's first part is its class. A pattern
 // that takes the whole class is the same as none, but for its rank.
 func within(pattern, class string) (string, bool) {
 	if pattern == "" {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -26,7 +26,7 @@
 	return table
 }
 
-// want checks where calls go: "-" for nowhere. A call is written as listener, class, host, path and headers.
+// want checks where requests go: "-" for nowhere. A request is written as listener, class, host, path and headers.
 func want(t *testing.T, table *Table, requests map[string]string) {
 	t.Helper()
 	for text, pool := range requests {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Weights share calls out by what they are drawn by, the same each time, and a weight that grows takes calls
+// Weights share requests out by what they are drawn by, the same each time, and a weight that grows takes requests
 // from the others only.
 func TestWeights(t *testing.T) {
 	count := func(a, b int) (toA int, who map[string]bool) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// naive finds a call's route by looking at all of them: what Table must do faster.
+// naive finds a request's route by looking at all of them: what Table must do faster.
 func naive(routes []Route, c *Request) (best int) {
 	best = -1
 	var top rank
@@ -283,7 +283,7 @@
 }
 
 // For any routes that compile, the table chooses as the look at all of them does, and every route but the
-// default takes some call.
+// default takes some request.
 func TestTableChoosesAsTheRankSays(t *testing.T) {
 	compiled, requests := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -305,8 +305,8 @@
 	t.Logf("%d sets of routes compiled, %d calls", compiled, requests)
 }
 
-// What compiles has no two routes of the same rank for one call, and each route takes some call; what does
-// not compile for that reason has such a call or a route that takes none.
+// What compiles has no two routes of the same rank for one request, and each route takes some request; what does
+// not compile for that reason has such a request or a route that takes none.
 func TestRefusalsAreRight(t *testing.T) {
 	var all []*Request
 	for _, l := range testNames.Listeners {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -16,10 +16,10 @@
 type Request struct {
 	Listener string // name
 	Class    string // name
-	Host     string // as the caller named it, with or without a port
+	Host     string // as the client named it, with or without a port
 	Path     string // in its plain form, without the query
 	Headers  Headers
-	// Draw settles which of several pools: it stays the same for calls that must meet the same servers, as
+	// Draw settles which of several pools: it stays the same for requests that must meet the same servers, as
 	// those with one idempotency key.
 	Draw string
 }
@@ -30,10 +30,10 @@
 	Values(name string) []string
 }
 
-// Choice is where a call goes.
+// Choice is where a request goes.
 type Choice struct {
 	Pool  string
-	Route int // index of the route that took the call, among those given to Compile
+	Route int // index of the route that took the request, among those given to Compile
 }
 
 const maxHost = 255
@@ -124,9 +124,9 @@
 	})
 }
 
-// compare finds the rules of the same rank that one call could match, and for each rule one that takes all
+// compare finds the rules of the same rank that one request could match, and for each rule one that takes all
 // that it would. Only rules that share host and path can do either: of patterns that differ, the narrower
-// one leaves the wider calls that it does not match, and has the greater rank.
+// one leaves the wider requests that it does not match, and has the greater rank.
 func (c *cell) compare(overlap func(a, b *rule)) {
 	c.each(func(l []*rule) {
 		for i, r := range l {
@@ -142,7 +142,7 @@
 	})
 }
 
-// meet says that one call may carry what both ask for.
+// meet says that one request may carry what both ask for.
 func meet(a, b []Header) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -163,7 +163,7 @@
 	})
 }
 
-// Choose tells which pool a call goes to; false if no route takes it.
+// Choose tells which pool a request goes to; false if no route takes it.
 func (t *Table) Choose(c *Request) (Choice, bool) {
 	cell := t.cells[cellKey{c.Listener, c.Class}]
 	if cell == nil {
@@ -226,7 +226,7 @@
 	return first(b.any, request)
 }
 
-// first is the best of rules that share host and path whose headers a call carries.
+// first is the best of rules that share host and path whose headers a request carries.
 func first(rules []*rule, request *Request) *rule {
 	for _, r := range rules {
 		if carries(request.Headers, r.headers) {
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// carries says that a call has all headers that are asked for. One that comes twice has no one value.
+// carries says that a request has all headers that are asked for. One that comes twice has no one value.
 func carries(has Headers, wanted []Header) bool {
 	for _, w := range wanted {
 		if has == nil {
@@ -266,7 +266,7 @@
 	return h
 }
 
-// split is how a route's calls are shared among its pools.
+// split is how a route's requests are shared among its pools.
 type split struct {
 	pools []int // indexes into the table's pools, in the order of their names
 	ends  []uint64
--- a/internal/routeexchange/page_test.go
+++ b/internal/routeexchange/page_test.go
@@ -15,7 +15,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// way reads an offer, with what this partner thinks of it.
+// way reads an advertisement, with what this partner thinks of it.
 func way(words string) (w Route, held bool, err error) {
 	w.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: Of(balancer.Safe)}}
 	w.Preference = 100
@@ -69,7 +69,7 @@
 	return w, held, nil
 }
 
-// two are the offers of a row that compares.
+// two are the advertisements of a row that compares.
 func two(t *testing.T, r spectest.Row) (one, other Route, held bool) {
 	t.Helper()
 	one, _, errOne := way(r.At("one"))
--- a/internal/routeexchange/routeexchange.go
+++ b/internal/routeexchange/routeexchange.go
@@ -15,7 +15,7 @@
 // topicTable tells a neighbour's gateway of a table, or of what has changed in it.
 const (
 	topicTable = "offers.table"
-	topicAgain = "offers.again" // asks for the whole table
+	topicAgain = "offers.again" // asks for the complete table
 )
 
 // table is what goes over a link. A table begins with its first part, of serial 0; what follows has the next serial each time.
@@ -24,11 +24,11 @@
 	Put    []Advertisement `cbor:"2,keyasint,omitempty"`
 	Gone   []ID            `cbor:"3,keyasint,omitempty"`
 	More   bool            `cbor:"4,keyasint,omitempty"` // the table or the change goes on with the next message
-	Digest uint64          `cbor:"5,keyasint"`           // of the whole table after the last part
+	Digest uint64          `cbor:"5,keyasint"`           // of the complete table after the last part
 	Group  []Gateway       `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
 }
 
-// Gateway is one of a partner's that takes calls.
+// Gateway is one of a partner's that takes requests.
 type Gateway struct {
 	Name  string `cbor:"1,keyasint"`
 	Calls string `cbor:"2,keyasint"` // address
@@ -72,7 +72,7 @@
 	gone     []ID
 	held     map[ID]uint64 // digests of what the neighbour has told
 	group    []Gateway     // the neighbour's gateways, as this one of them told last
-	again    bool          // the whole table was asked for
+	again    bool          // the complete table was asked for
 }
 
 // NewExchange returns one that tells nobody yet.
@@ -146,7 +146,7 @@
 		x.mu.Lock()
 		delete(x.links, l)
 		delete(x.fresh, r.source.Partner)
-		// Another link to the same life may go on telling the same table.
+		// Another link to the same incarnation may go on telling the same table.
 		left := false
 		for _, o := range x.links {
 			left = left || o.source == r.source
@@ -185,7 +185,7 @@
 			serial, sent = 0, map[ID]uint64{}
 		}
 		if !x.advertise(l, now, sent, &serial, live, complete || !slices.Equal(group, live)) {
-			sent = nil // not all of it has gone out: the whole table will, when there is room
+			sent = nil // not all of it has gone out: the complete table will, when there is room
 			wait(x.ctx, l, nil, nil, 20*coalesce)
 		} else {
 			group = live
@@ -270,7 +270,7 @@
 	return true
 }
 
-// sum is a digest of a whole table, whatever its order.
+// sum is a digest of a complete table, whatever its order.
 func sum(digests map[ID]uint64) (d uint64) {
 	for _, v := range digests {
 		d += v
@@ -278,7 +278,7 @@
 	return d
 }
 
-// digestOf is a digest of an offer.
+// digestOf is a digest of an advertisement.
 func digestOf(o *Advertisement) (uint64, error) {
 	text, err := peering.Encode(o)
 	if err != nil {
@@ -290,7 +290,7 @@
 }
 
 // take takes a part of a neighbour's table. What does not follow what came before, or comes to another whole than the
-// neighbour says, has the whole table asked for.
+// neighbour says, has the complete table asked for.
 func (x *Exchange) take(l *peering.Link, body []byte, _ func(any, error)) {
 	var m table
 	x.Up(l) // its first word may come before this gateway was told of the link
@@ -350,7 +350,7 @@
 	}
 }
 
-// again has the whole table told once more.
+// again has the complete table told once more.
 func (x *Exchange) again(l *peering.Link, _ []byte, _ func(any, error)) {
 	x.mu.Lock()
 	if r := x.links[l]; r != nil {
@@ -360,7 +360,7 @@
 	x.Advertise()
 }
 
-// Ask has every neighbour tell its whole table once more: more of it may be taken by the rules of now.
+// Ask has every neighbour tell its complete table once more: more of it may be taken by the rules of now.
 func (x *Exchange) Ask() {
 	x.mu.Lock()
 	links := slices.Collect(maps.Keys(x.links))
--- a/internal/routeexchange/rules.go
+++ b/internal/routeexchange/rules.go
@@ -1,20 +1,20 @@
 // Package routeexchange merges the route tables of partners, each under its owner's export rules.
 //
-// A partner offers what it serves: a class and a path below which its boxes answer, with rules on who may have the offer, who
+// A partner offers what it serves: a class and a path below which its servers answer, with rules on who may have the advertisement, who
 // may pass it on, and for which calls it holds. Three tables stand for each neighbour, as in BGP (RFC 4271): as received, as
 // chosen, as sent.
 //
 // What it promises:
 //
-//   - Rules only narrow on the way: an offer that is passed on has rules at least as strict as those that it came with, and a
+//   - Rules only narrow on the way: an advertisement that is passed on has rules at least as strict as those that it came with, and a
 //     path that is longer by the one who passes it on (Narrow, MayExport).
-//   - No path has a partner twice, so that no call goes round in a circle (MayImport, MayCome).
+//   - No path has a partner twice, so that no request goes round in a circle (MayImport, MayCome).
 //   - Where two gateways hold the same offers by the same file, they choose alike (Better is a total order), whatever order
-//     the offers came in.
-//   - The owner's rule of now is asked once more when a call arrives (MayCome): one that was tightened holds at that gateway
-//     from the instant of the apply, whatever others believe. Such a refusal proves that the call has not run.
+//     the advertisements came in.
+//   - The owner's rule of now is asked once more when a request arrives (MayCome): one that was tightened holds at that gateway
+//     from the instant of the apply, whatever others believe. Such a refusal proves that the request has not run.
 //   - What one partner sends beyond its bound, or what is malformed, is refused and counted, and harms no other offer.
-//   - Preferences that have no stable outcome end in a hold: an offer whose best path changed more than maxFlaps times in
+//   - Preferences that have no stable outcome end in a hold: an advertisement whose best path changed more than maxFlaps times in
 //     flapWindow is chosen by the number of hands alone for a while, which always settles (docs/design/offers.md).
 //
 // Rules are this file's plain functions; the page has them as tables, and a test plays each row.
@@ -47,13 +47,13 @@
 // Has says that an effect is in the set.
 func (e Effects) Has(v balancer.Effect) bool { return e&(1<<uint(v)) != 0 }
 
-// Rules are what the owner of an offer allows, narrowed by whoever passed it on.
+// Rules are what the owner of an advertisement allows, narrowed by whoever passed it on.
 type Rules struct {
 	All       bool     `cbor:"1,keyasint,omitempty"` // any partner may have it; else
 	To        []string `cbor:"2,keyasint,omitempty"` // these
 	NoTransit bool     `cbor:"3,keyasint,omitempty"` // who gets it may not pass it on
-	MaxHops   int      `cbor:"4,keyasint"`           // partners that a call may come through at most, the first caller's among them
-	Effects   Effects  `cbor:"5,keyasint"`           // of the calls that may come
+	MaxHops   int      `cbor:"4,keyasint"`           // partners that a request may come through at most, the first client's among them
+	Effects   Effects  `cbor:"5,keyasint"`           // of the requests that may come
 	Tenants   []string `cbor:"6,keyasint,omitempty"` // only these; empty: all
 	Excluded  []string `cbor:"7,keyasint,omitempty"` // but not these
 	Until     int64    `cbor:"8,keyasint,omitempty"` // Unix seconds; 0: for good
@@ -67,27 +67,27 @@
 
 func (i ID) String() string { return i.Origin + "/" + i.Name }
 
-// Advertisement is one offer as one partner tells it to another.
+// Advertisement is one advertisement as one partner tells it to another.
 type Advertisement struct {
 	ID         ID       `cbor:"1,keyasint"`
 	Version    uint64   `cbor:"2,keyasint"` // of the origin's rule: later ones are higher
 	Class      string   `cbor:"3,keyasint"`
 	Prefix     string   `cbor:"4,keyasint"` // a path, with its last slash
 	Cost       int      `cbor:"5,keyasint,omitempty"`
-	Capacity   int      `cbor:"6,keyasint,omitempty"` // calls at once that one neighbour may have there; 0: not said
+	Capacity   int      `cbor:"6,keyasint,omitempty"` // requests at once that one neighbour may have there; 0: not said
 	Rules      Rules    `cbor:"7,keyasint"`
-	Path       []string `cbor:"8,keyasint"`           // that a call takes: the one who tells of it first, the origin last
-	Replicated bool     `cbor:"9,keyasint,omitempty"` // whoever tells of it keeps such calls in custody: it can be asked what became of one
+	Path       []string `cbor:"8,keyasint"`           // that a request takes: the one who tells of it first, the origin last
+	Replicated bool     `cbor:"9,keyasint,omitempty"` // whoever tells of it keeps such requests replicated: it can be asked what became of one
 }
 
-// Bounds of an offer.
+// Bounds of an advertisement.
 const (
 	MaxHops   = 8
 	maxText   = 256
 	maxListed = 256
 )
 
-// Check says what is malformed in an offer as it came from a neighbour.
+// Check says what is malformed in an advertisement as it came from a neighbour.
 func (o *Advertisement) Check(from string) error {
 	switch {
 	case len(o.Path) == 0 || o.Path[0] != from:
@@ -148,19 +148,19 @@
 	return out
 }
 
-// mayHave says that a partner may have an offer at a time.
+// mayHave says that a partner may have an advertisement at a time.
 func (r *Rules) mayHave(partner string, now time.Time) bool {
 	return (r.All || slices.Contains(r.To, partner)) && (r.Until == 0 || now.Unix() < r.Until)
 }
 
-// Transit is what this partner allows of the offers that it has from a neighbour, beyond their own rules.
+// Transit is what this partner allows of the advertisements that it has from a neighbour, beyond their own rules.
 type Transit struct {
 	To         []string                // neighbours that it passes them on to; empty: nobody
 	Cost       int                     // that it adds
-	Replicated func(class string) bool // whether it keeps calls of a class in custody itself
+	Replicated func(class string) bool // whether it keeps requests of a class replicated itself
 }
 
-// MayExport is an offer as it is told to a neighbour, or why it is not. own: it is this partner's; else p is what this
+// MayExport is an advertisement as it is told to a neighbour, or why it is not. own: it is this partner's; else p is what this
 // partner allows of its neighbour's offers.
 func MayExport(o Advertisement, self, to string, own bool, p Transit, now time.Time) (Advertisement, string) {
 	switch {
@@ -192,7 +192,7 @@
 	MaxRoutes  int      // offers
 }
 
-// MayImport says why an offer of a neighbour is not taken; empty: it is. held is how many others of its are.
+// MayImport says why an advertisement of a neighbour is not taken; empty: it is. held is how many others of its are.
 func MayImport(o *Advertisement, self string, i Import, held int, now time.Time) string {
 	below := func(list []string) bool {
 		return slices.ContainsFunc(list, func(p string) bool { return strings.HasPrefix(o.Prefix, p) })
@@ -214,14 +214,14 @@
 	return ""
 }
 
-// Route is an offer as a neighbour tells it, with what this partner thinks of that neighbour.
+// Route is an advertisement as a neighbour tells it, with what this partner thinks of that neighbour.
 type Route struct {
 	Advertisement
 	Preference int
 	Own        bool // this partner serves it
 }
 
-// Better orders two ways of serving calls below one prefix: negative if a is the better one. It is a total order. held:
+// Better orders two routes of serving requests below one prefix: negative if a is the better one. It is a total order. held:
 // preferences do not count, for they have no stable outcome.
 func Better(a, b *Route, held bool) int {
 	if a.Own != b.Own {
@@ -243,10 +243,10 @@
 	Path   string // of the target, in its plain form
 	Tenant string
 	Effect balancer.Effect
-	Via    []string // partners that it came through, the first caller's first; empty: from a caller of this partner's
+	Via    []string // partners that it came through, the first client's first; empty: from a client of this partner's
 }
 
-// allows says why a call is not one of those that the rules are for; empty: it is.
+// allows says why a request is not one of those that the rules are for; empty: it is.
 func (r *Rules) allows(c *Request, now time.Time) string {
 	switch {
 	case r.Until != 0 && now.Unix() >= r.Until:
@@ -261,7 +261,7 @@
 	return ""
 }
 
-// Allows says whether a call may be sent by an offer, before it is.
+// Allows says whether a request may be sent by an advertisement, before it is.
 func (w *Route) Allows(c *Request, now time.Time) bool {
 	if w.Own {
 		return true
@@ -275,7 +275,7 @@
 	return len(c.Via)+len(w.Path) <= w.Rules.MaxHops && w.Rules.allows(c, now) == ""
 }
 
-// MayCome says why a call that came through partners is not taken by this partner's own export; empty: it is. The rules are
+// MayCome says why a request that came through partners is not taken by this partner's own export; empty: it is. The rules are
 // those of now, whatever whoever sent it had heard.
 func MayCome(o *Advertisement, c *Request, self string, now time.Time) string {
 	switch {
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Source is where a table as received came from: one link, to one life of a partner's gateway.
+// Source is where a table as received came from: one link, to one incarnation of a partner's gateway.
 type Source struct {
 	Partner, Gateway string
 	Incarnation      uint64
 }
 
-// Flaps of an offer: that many changes of its best way in that time have it held for that long.
+// Flaps of an advertisement: that many changes of its best route in that time have it held for that long.
 const (
 	maxFlaps   = 6
 	flapWindow = 10 * time.Second
@@ -36,8 +36,8 @@
 	Self       string
 	Own        []Advertisement // its exports
 	Neighbours map[string]Neighbour
-	Stale      time.Duration // that the offers of a partner are used whose links have all ended
-	Share      int           // gateways of this partner, over which an offer's room is dealt out
+	Stale      time.Duration // that the advertisements of a partner are used whose links have all ended
+	Share      int           // gateways of this partner, over which an advertisement's room is dealt out
 }
 
 // Table holds what was received, and what is chosen of it. Its zero value is of no use; see NewTable.
@@ -57,12 +57,12 @@
 	latest uint64 // version that an own export had
 
 	ended map[[2]string]incarnationEnd // by partner and gateway
-	lift  map[Source]uint64            // added to the versions of a partner's own offers that a gateway of its tells
+	lift  map[Source]uint64            // added to the versions of a partner's own advertisements that a gateway of its tells
 }
 
 // incarnationEnd is what was known when a gateway's last link ended.
 type incarnationEnd struct {
-	latest uint64 // version of the partner's own offers, from any gateway of its
+	latest uint64 // version of the partner's own advertisements, from any gateway of its
 	at     time.Time
 }
 
@@ -71,12 +71,12 @@
 
 // Counts are of a table since its start.
 type Counts struct {
-	Changes int `json:"changes"` // of best ways
+	Changes int `json:"changes"` // of best routes
 	Held    int `json:"held"`    // offers whose preferences had no stable outcome
-	Dropped int `json:"dropped"` // ways that a refusal of their owner's ended
+	Dropped int `json:"dropped"` // routes that a refusal of their owner's ended
 }
 
-// route is one offer, with all ways to it.
+// route is one advertisement, with all routes to it.
 type route struct {
 	id         ID
 	candidates map[string]*Route // by neighbour; own: ""
@@ -84,7 +84,7 @@
 	flaps      []time.Time
 	held       time.Time // until when; zero: it is not
 	open       atomic.Int64
-	// A refusal by the owner ends a version's ways until another version comes, or until a while has passed.
+	// A refusal by the owner ends a version's routes until another version comes, or until a while has passed.
 	dropped map[string]drop
 }
 
@@ -93,7 +93,7 @@
 	until   time.Time
 }
 
-// dropFor is how long a way is not used whose owner refused a call by its rule.
+// dropFor is how long a route is not used whose owner refused a request by its rule.
 const dropFor = 5 * time.Second
 
 // NewTable returns an empty one.
@@ -155,7 +155,7 @@
 	t.choose(touched)
 }
 
-// SetShare says over how many gateways of this partner an offer's room is dealt out from now on.
+// SetShare says over how many gateways of this partner an advertisement's room is dealt out from now on.
 func (t *Table) SetShare(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,12 +184,12 @@
 	return r
 }
 
-// replace takes the whole table of a source in place of what it told before.
+// replace takes the complete table of a source in place of what it told before.
 func (t *Table) replace(s Source, all []Advertisement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	touched := map[ID]bool{}
-	for other, table := range t.in { // an older life's, and what was kept as stale
+	for other, table := range t.in { // an older incarnation's, and what was kept as stale
 		if other.Partner == s.Partner && (other.Gateway == s.Gateway || !t.stale[s.Partner].IsZero()) {
 			for id := range table {
 				touched[id] = true
@@ -229,9 +229,9 @@
 	t.ended[[2]string{s.Partner, s.Gateway}] = end
 }
 
-// goOnAbove has a gateway's new life tell higher versions than its partner had told before. A version is the wall time at
+// goOnAbove has a gateway's new incarnation tell higher versions than its partner had told before. A version is the wall time at
 // which a gateway began to go by a rule: where its clock was set back between two of its lives, its newest rule would look
-// older than what the others of its group still go by. A life that began after a version was told has none so low. The caller
+// older than what the others of its group still go by. A life that began after a version was told has none so low. The client
 // holds mu.
 func (t *Table) goOnAbove(s Source, all []Advertisement) {
 	key := [2]string{s.Partner, s.Gateway}
@@ -257,7 +257,7 @@
 	defer t.mu.Unlock()
 	table := t.in[s]
 	if table == nil {
-		return // its whole table has not come
+		return // its complete table has not come
 	}
 	touched := map[ID]bool{}
 	for _, id := range gone {
@@ -326,7 +326,7 @@
 	t.stale[s.Partner] = t.now()
 }
 
-// Sweep lets go of what has been stale for too long, and of offers that have ended.
+// Sweep lets go of what has been stale for too long, and of advertisements that have ended.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -366,7 +366,7 @@
 	t.choose(touched)
 }
 
-// Drop ends a way whose owner refused a call by its rule, as long as no other version comes and for a while.
+// Drop ends a route whose owner refused a request by its rule, as long as no other version comes and for a while.
 func (t *Table) Drop(w *Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -379,7 +379,7 @@
 	t.choose(map[ID]bool{w.ID: true})
 }
 
-// choose finds the best way of each offer that was touched, and its place among the offers of its prefix. The caller holds mu.
+// choose finds the best route of each advertisement that was touched, and its place among the advertisements of its prefix. The caller holds mu.
 func (t *Table) choose(touched map[ID]bool) {
 	if len(touched) == 0 {
 		return
@@ -467,7 +467,7 @@
 	}
 }
 
-// unlist and list keep the offers by class and prefix. The caller holds mu.
+// unlist and list keep the advertisements by class and prefix. The caller holds mu.
 func (t *Table) unlist(r *route) {
 	if r.best == nil {
 		return
@@ -488,24 +488,24 @@
 	in[r.best.Prefix] = append(in[r.best.Prefix], r)
 }
 
-// shorter orders two words of one neighbour's on one version of an offer, as its gateways may tell while it changes its way.
+// shorter orders two words of one neighbour's on one version of an advertisement, as its gateways may tell while it changes its way.
 func shorter(a, b *Advertisement) bool {
 	return cmp.Or(cmp.Compare(len(a.Path), len(b.Path)), cmp.Compare(a.Cost, b.Cost), slices.Compare(a.Path, b.Path)) < 0
 }
 
-// Selection is the way that a call takes.
+// Selection is the way that a request takes.
 type Selection struct {
 	*Route
 	route *route
 }
 
-// Take counts the call as one of those that the way has, until Done. It has no effect on ways of one's own.
+// Take counts the request as one of those that the way has, until Done. It has no effect on routes of one's own.
 func (c Selection) Take() { c.route.open.Add(1) }
 
 // Done ends a Take.
 func (c Selection) Done() { c.route.open.Add(-1) }
 
-// Choose is the way of a call: of the offers below whose paths it lies, those of the longest path that take it, the best one.
+// Choose is the way of a request: of the advertisements below whose paths it lies, those of the longest path that take it, the best one.
 // false: it is nobody's offer, and the own routes say what becomes of it.
 func (t *Table) Choose(c *Request) (Selection, bool) {
 	t.mu.RLock()
@@ -534,7 +534,7 @@
 	return Selection{}, false
 }
 
-// Come says why a call from a neighbour, by an offer that it names, is not taken here; empty: it is, and w is its way on.
+// Come says why a request from a neighbour, by an advertisement that it names, is not taken here; empty: it is, and w is its way on.
 func (t *Table) Come(id ID, c *Request) (w Selection, why string) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -559,7 +559,7 @@
 	return Selection{r.best, r}, ""
 }
 
-// export is the best way of an offer as it is told to a neighbour. The caller holds mu.
+// export is the best route of an advertisement as it is told to a neighbour. The caller holds mu.
 func (t *Table) export(r *route, to string, now time.Time) (Advertisement, string) {
 	if r.best == nil {
 		return Advertisement{}, "there is no way"
@@ -585,7 +585,7 @@
 	return out, t.changed
 }
 
-// RouteStatus is one way, for people.
+// RouteStatus is one route, for people.
 type RouteStatus struct {
 	ID     string   `json:"offer"`
 	Class  string   `json:"class"`
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -43,7 +43,7 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-// The way of a call is that of the longest path that takes it, and of these the best.
+// The way of a request is that of the longest path that takes it, and of these the best.
 func TestLongestMatchingPathWins(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
@@ -109,7 +109,7 @@
 	}
 }
 
-// A partner whose links have all ended is used for a while, and then not; a new life's table takes the old one's place.
+// A partner whose links have all ended is used for a while, and then not; a new incarnation's table takes the old one's place.
 func TestStaleRoutesAreRemoved(t *testing.T) {
 	c := &clock{noon}
 	tb := NewTable(policyOf("p0", nil, "p1"), c.now)
@@ -142,7 +142,7 @@
 	}
 }
 
-// A rule that is tightened holds for calls that come at once, and who was refused by it drops the way until another version.
+// A rule that is tightened holds for requests that come at once, and who was refused by it drops the way until another version.
 func TestTightenedExportRule(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
@@ -322,7 +322,7 @@
 	})
 }
 
-// Whatever partners hear in whatever order, rules only narrow on the way, no path has a partner twice, and no call that one
+// Whatever partners hear in whatever order, rules only narrow on the way, no path has a partner twice, and no request that one
 // sends by its table is refused by an owner whose rules have not changed.
 func TestRulesOnlyNarrowAlongPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -360,7 +360,7 @@
 				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.All && !slices.Contains(own.To, self) || slices.Contains(b.Path, self) {
 					t.Fatalf("%s has %+v by rules %+v", self, b.Advertisement, own)
 				}
-				// A call goes from table to table, as long as each still has the way that it told of.
+				// A request goes from table to table, as long as each still has the way that it told of.
 				request := &Request{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
 				at, way := self, Selection{b, r}
 				for !way.Own {
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// script is what becomes of the calls of a folder, by their number.
+// script is what becomes of the requests of a folder, by their number.
 type script struct {
 	fails map[int]error
 	calls []string // those made, "sync /path"
@@ -63,7 +63,7 @@
 	return s.fails[len(s.calls)]
 }
 
-// failed says whether a call of that name has failed.
+// failed says whether a request of that name has failed.
 func (s *script) failed(request string) bool {
 	for i := range s.fails {
 		if i <= len(s.calls) && strings.HasPrefix(s.calls[i-1], request+" ") {
@@ -92,7 +92,7 @@
 	return f, files, s
 }
 
-// callsOfASave counts the calls of a write with no fault.
+// callsOfASave counts the requests of a write with no fault.
 func callsOfASave(t *testing.T) int {
 	f, _, s := faulty(t)
 	s.begin(nil)
@@ -151,8 +151,8 @@
 	return ""
 }
 
-// Each call of a write fails in turn, with each errno, alone or with each of the calls behind it: after each of the
-// writes the folder holds the old record whole or the new one whole, the error says which call failed and where, and
+// Each request of a write fails in turn, with each errno, alone or with each of the requests behind it: after each of the
+// writes the folder holds the old record whole or the new one whole, the error says which request failed and where, and
 // says "untouched" only if the old one is there; no other file is left unless its removal failed; the next write goes through, in another file.
 func TestEveryFaultOfAWriteLeavesOneRecordWhole(t *testing.T) {
 	n := callsOfASave(t)
@@ -201,7 +201,7 @@
 	}
 }
 
-// The process is killed at each call of a write, or of the write after one that failed; a write in hand is half done.
+// The process is killed at each request of a write, or of the write after one that failed; a write in hand is half done.
 // Then, or with the power lost too, the next start finds a record whole, and the newest if its write was over.
 func TestEveryKillLeavesOneRecordWhole(t *testing.T) {
 	n := callsOfASave(t)
--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -20,7 +20,7 @@
 	return errors.As(err, &errno) && slices.Contains(passing[:], errno)
 }
 
-// Files is what a Folder asks of the file system. Tests have each call fail, or end the process there.
+// Files is what a Folder asks of the file system. Tests have each request fail, or end the process there.
 type Files interface {
 	MkdirAll(path string, mode fs.FileMode) error
 	// Create makes a file that is not there yet, for writing.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// No file has Load crash, and one that it takes is whole.
+// No file has Load crash, and one that it takes is complete.
 func FuzzRecord(f *testing.F) {
 	folder := open(f)
 	if err := folder.Save(record(f, 3)); err != nil {
--- a/internal/state/statetest/files.go
+++ b/internal/state/statetest/files.go
@@ -1,4 +1,4 @@
-// Package statetest is a file system for tests of the state folder: it counts the calls, has any of them fail, ends
+// Package statetest is a file system for tests of the state folder: it counts the requests, has any of them fail, ends
 // the process at any of them, and takes the machine's power away.
 package statetest
 
@@ -12,13 +12,13 @@
 	"damsontrestle/internal/state"
 )
 
-// ErrEnded is what every call of a process gets that has been ended.
+// ErrEnded is what every request of a process gets that has been ended.
 var ErrEnded = errors.New("the process has ended")
 
-// Files passes calls on to the disk, after it has asked what is to become of each.
+// Files passes requests on to the disk, after it has asked what is to become of each.
 type Files struct {
 	state.Disk
-	// Ask is asked before each call, by its name ("write", "sync", "rename", ...) and path: nil lets it through,
+	// Ask is asked before each request, by its name ("write", "sync", "rename", ...) and path: nil lets it through,
 	// ErrEnded ends the process in the middle of it, any other error has it fail. A write that fails has written half.
 	Ask func(request, path string) error
 
@@ -28,7 +28,7 @@
 	replace map[string][]byte // renames that would not have happened: what was there, nil for nothing
 }
 
-// ask settles what becomes of a call.
+// ask settles what becomes of a request.
 func (f *Files) ask(request, path string) error {
 	f.mu.Lock()
 	ended := f.ended
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Restart has the calls of the next process go through.
+// Restart has the requests of the next process go through.
 func (f *Files) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// Close implements state.File. The file is closed also where the call fails, as the kernel does it.
+// Close implements state.File. The file is closed also where the request fails, as the kernel does it.
 func (o *file) Close() error {
 	err := o.files.ask("close", o.path)
 	return errors.Join(err, o.File.Close())
--- a/internal/testpeer/agent.go
+++ b/internal/testpeer/agent.go
@@ -12,7 +12,7 @@
 // Agent is the registry's agent: it answers watches with what it was given last, or is silent.
 type Agent struct {
 	net.Listener
-	Asked chan string // the query of each call, as far as there is room
+	Asked chan string // the query of each request, as far as there is room
 
 	mu     sync.Mutex
 	rev    int
@@ -55,7 +55,7 @@
 	text, silent, news := a.text, a.silent, a.news
 	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
 	a.mu.Unlock()
-	if silent { // also once it is back, as a call that was lost
+	if silent { // also once it is back, as a request that was lost
 		<-r.Context().Done()
 		return
 	}
@@ -102,7 +102,7 @@
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
-// Whole is a whole list, its version still %d.
+// Whole is a full snapshot, its version still %d.
 func Whole(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
--- a/internal/testpeer/box.go
+++ b/internal/testpeer/box.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Faults are shares of a box's requests, from 0 to 1, that go wrong in each way.
+// Faults are shares of a server's requests, from 0 to 1, that go wrong in each way.
 type Faults struct {
 	Fail   float64 // answered 500, after they ran
 	Refuse float64 // answered 503 with X-Not-Run, and never run
@@ -28,7 +28,7 @@
 	Seed    uint64
 }
 
-// Box is a log box: it answers HTTP/1.1 as its options say and counts what it ran. The body of a good answer
+// Box is a log server: it answers HTTP/1.1 as its options say and counts what it ran. The body of a good answer
 // is its name, a space and the request's id.
 type Box struct {
 	options BoxOptions
@@ -115,7 +115,7 @@
 	return v, took
 }
 
-// Serve answers a request that was read whole; it is a Then.
+// Serve answers a request that was read complete; it is a Then.
 func (b *Box) Serve(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("X-Request-Id")
 	v, took := b.decide(id)
@@ -143,7 +143,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text[:len(text)/2])
 		return false
 	case hang:
-		io.Copy(io.Discard, c) // until the caller gives up
+		io.Copy(io.Discard, c) // until the client gives up
 		return false
 	default:
 		return Reply200(c, text)
--- a/internal/testpeer/callfaults.go
+++ b/internal/testpeer/callfaults.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// Errnos of calls that fail. What passes leaves its connection as it was; what ends it is all that the side hears of its end.
+// Errnos of requests that fail. What passes leaves its connection as it was; what ends it is all that the side hears of its end.
 var (
 	dialErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ETIMEDOUT}
@@ -32,14 +32,14 @@
 	return &CallFaults{rng: rand.New(rand.NewPCG(seed, 0)), rates: map[string]float64{"dial": dials, "read": others, "write": others}, count: map[string]int{}, ended: map[string]bool{}}
 }
 
-// Stop has no call fail any more.
+// Stop has no request fail any more.
 func (f *CallFaults) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rates = nil
 }
 
-// Counts tells how many calls of each kind failed.
+// Counts tells how many requests of each kind failed.
 func (f *CallFaults) Counts() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +57,7 @@
 	return f.ended[address]
 }
 
-// draw says whether a call fails, and how.
+// draw says whether a request fails, and how.
 func (f *CallFaults) draw(op string, errnos ...[]syscall.Errno) (errno syscall.Errno, passes, fails bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +120,7 @@
 
 func (c *faultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// fail tells of an errno. Where that ends the connection the other side is told as well, and calls on it fail from then on.
+// fail tells of an errno. Where that ends the connection the other side is told as well, and requests on it fail from then on.
 func (c *faultyConn) fail(op string, errno syscall.Errno, passes bool) error {
 	if !passes {
 		if c.accepted {
--- a/internal/testpeer/client.go
+++ b/internal/testpeer/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Caller is one caller's HTTP/1.1 connection to a node.
+// Caller is one client's HTTP/1.1 connection to a node.
 type Caller struct {
 	net.Conn
 	Reader *bufio.Reader
@@ -27,7 +27,7 @@
 	return On(c)
 }
 
-// On is a caller on a connection that is there already.
+// On is a client on a connection that is there already.
 func On(c net.Conn) *Caller { return &Caller{c, bufio.NewReader(c)} }
 
 // Get writes a GET for the class view.
--- a/internal/testpeer/load.go
+++ b/internal/testpeer/load.go
@@ -15,23 +15,23 @@
 	"time"
 )
 
-// Heard is what a caller heard of a call.
+// Heard is what a client heard of a request.
 type Heard int
 
-// What callers hear.
+// What clients hear.
 const (
 	HeardServed Heard = iota
 	HeardRefused
 	HeardFailed
 	HeardNotTaken // no connection came up, or it ended with nothing said
-	HeardWrong    // an answer that is none to this call
+	HeardWrong    // an answer that is none to this request
 )
 
-// Audit compares what callers heard with what boxes ran.
+// Audit compares what clients heard with what servers ran.
 type Audit struct {
 	mu    sync.Mutex
 	heard map[string][]Heard
-	notes map[string]bool // ids of calls that must not run twice
+	notes map[string]bool // ids of requests that must not run twice
 	wrong []string
 	late  []time.Duration
 }
@@ -61,14 +61,14 @@
 	Times                                    []time.Duration
 }
 
-// Heard is what callers heard, with no look at what boxes ran.
+// Heard is what clients heard, with no look at what servers ran.
 func (a *Audit) Heard() Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tally()
 }
 
-// tally counts what callers heard. The caller holds mu.
+// tally counts what clients heard. The caller holds mu.
 func (a *Audit) tally() (v Verdict) {
 	v.Wrong = append(v.Wrong, a.wrong...)
 	v.Times = append(v.Times, a.late...)
@@ -88,7 +88,7 @@
 	return v
 }
 
-// Judge holds what callers heard against what boxes ran: every call was heard of once, what was served ran,
+// Judge holds what clients heard against what servers ran: every request was heard of once, what was served ran,
 // what was refused or not taken has not run unless it may run again, and nothing unsafe ran twice.
 func (a *Audit) Judge(servers ...*Box) Verdict {
 	ran := map[string]int{}
@@ -125,18 +125,18 @@
 	return v
 }
 
-// Load has callers ask for views and notes until ctx ends, each one call at a time on a connection that it
+// Load has clients ask for views and notes until ctx ends, each one request at a time on a connection that it
 // keeps, and notes in an Audit what they hear.
 type Load struct {
 	Audit     *Audit
 	Callers   int
 	Addresses func() []string // where listeners are now
-	Notes     float64         // share of calls that are notes, which must not run twice; the rest are views
+	Notes     float64         // share of requests that are notes, which must not run twice; the rest are views
 	Deadline  time.Duration
-	Pause     time.Duration // mean, between the calls of one caller
+	Pause     time.Duration // mean, between the requests of one client
 	Seed      uint64
 	Prefix    string // of ids
-	View      string // class of the calls that may be repeated; empty: view
+	View      string // class of the requests that may be repeated; empty: view
 	Note      string // class of those that may not; empty: note
 }
 
@@ -161,7 +161,7 @@
 	return fmt.Sprintf("%s\n%s\n", r.Status, body), nil
 }
 
-// Run returns once every caller has heard of its last call.
+// Run returns once every client has heard of its last call.
 func (l Load) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for i := range l.Callers {
@@ -213,7 +213,7 @@
 	}
 }
 
-// ask sends a call and tells what is heard of it, and whether the connection is of further use.
+// ask sends a request and tells what is heard of it, and whether the connection is of further use.
 func (l Load) ask(c *Caller, id string, unsafe bool) (h Heard, what string, open bool) {
 	c.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
 	method, target, body := "GET", "/"+cmp.Or(l.View, "view")+"/k", ""
--- a/internal/testpeer/server.go
+++ b/internal/testpeer/server.go
@@ -21,7 +21,7 @@
 	open     int
 }
 
-// Then answers a request that was read whole; it returns false to close the connection.
+// Then answers a request that was read complete; it returns false to close the connection.
 type Then func(c net.Conn, r *http.Request, body string) bool
 
 // NewServer listens on loopback until the test ends.
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -1,5 +1,5 @@
 // Package testpeer holds what tests and tools share: stand-ins for servers, for the registry's agent and for
-// callers, all on loopback. They do what they are told, faults included, and count what reached them; the
+// clients, all on loopback. They do what they are told, faults included, and count what reached them; the
 // node knows nothing of them.
 package testpeer
 
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -1,6 +1,6 @@
-// Package validation reads what callers ask for, whatever protocol they ask in: it checks a request's head against
-// the view of now and has it taken under one view whole. What it turns away has been sent to no server. The
-// fronts bring heads and bodies in, and words to answers.
+// Package validation reads what clients ask for, whatever protocol they ask in: it checks a request's head against
+// the view of now and has it taken under one view whole. What it rejects has been sent to no server. The
+// front ends bring heads and bodies in, and words to answers.
 package validation
 
 import (
@@ -27,7 +27,7 @@
 	MaxLength     = 33 << 20 // bytes of a body that passes through
 	maxID         = 128
 	maxWait       = time.Hour
-	deadlineSlack = 2 // times the class's deadline that a caller may say it waits
+	deadlineSlack = 2 // times the class's deadline that a client may say it waits
 )
 
 // Head is a request's head, as a protocol's front reads it. Fields that may come once hold all values that
@@ -52,7 +52,7 @@
 	Request engine.Message
 	ID      string
 	Class   string
-	Wait    time.Duration // how long its caller waits, from the request's end
+	Wait    time.Duration // how long its client waits, from the request's end
 	route   route.Request
 }
 
@@ -133,7 +133,7 @@
 
 // Take has a request taken whose last byte was read at a clock time, or whose body goes on with rest. One whose head was checked under a view
 // that is not that of now is looked at again: what it may do can have changed meanwhile. With no error, exactly
-// one answer comes on the call's channel.
+// one answer comes on the request's channel.
 func Take(requests *dispatch.Dispatcher, view *dispatch.Snapshot, h *Head, r Request, body []byte, rest io.Reader, at time.Duration) (*engine.Request, error) {
 	gone := r.Request.Gone
 	for {
--- a/internal/zonestate/exchange.go
+++ b/internal/zonestate/exchange.go
@@ -126,7 +126,7 @@
 	return splitmix.Draw(m.seed, m.draws, n)
 }
 
-// SetIncarnation takes the life that the membership has for this node. Rows go by it.
+// SetIncarnation takes the incarnation that the membership has for this node. Rows go by it.
 func (m *Machine) SetIncarnation(incarnation uint32) { m.incarnation = max(m.incarnation, incarnation) }
 
 // Set takes what the node itself sees as of now.
@@ -420,7 +420,7 @@
 	}
 	gone := time.Duration(m.stamp(m.now)-msg.Echo+2) * time.Millisecond
 	if gone > 1<<17*time.Millisecond {
-		return 0, false // of another life, or long ago
+		return 0, false // of another incarnation, or long ago
 	}
 	held := time.Duration(msg.Held) * time.Millisecond
 	if held > gone+held/drift {
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -15,7 +15,7 @@
 //     time for which the sender says that it held it. What carries no such token is not taken (Dropped.Unbounded).
 //   - A row says how many nodes' parts are in it. A part is in a row of a plane twice at most for Options.hold after its
 //     node came to have another parent; then From may be above the number that live, and readers are told both.
-//   - Of one author, zone, plane and page the row of the latest life and then of the latest sequence holds. Merging does not
+//   - Of one author, zone, plane and page the row of the latest incarnation and then of the latest sequence holds. Merging does not
 //     hang on order, repetition or grouping.
 //   - A reader gets the word for a zone (Fresh, Stale, Unknown) with each answer. No guess is made of what is missing.
 //   - A node sends its part once in each plane a period, twice where others hang on it or messages get lost, each row once to each neighbour in its tree, and one question a
@@ -49,14 +49,14 @@
 
 // Kinds. Rates are per second, over the last period or so.
 const (
-	Demand   = sum + 0   // of a class: calls that came, a second
-	Rejected = sum + 1   // of a class: calls that were refused, a second
-	Open     = sum + 2   // of a class: calls that are unanswered
+	Demand   = sum + 0   // of a class: requests that came, a second
+	Rejected = sum + 1   // of a class: requests that were refused, a second
+	Open     = sum + 2   // of a class: requests that are unanswered
 	Ready    = most + 0  // of a zone: servers listed as ready
 	Warm     = most + 1  // of a zone: of these, such as are past their slow start
 	Newest   = most + 2  // of a list or configuration: the latest version that a node holds
 	Oldest   = least + 0 // and the earliest
-	Made     = least + 1 // of nothing: when the part was made; only builds for the rig tell it
+	Made     = least + 1 // of nothing: when the part was made; only builds for the fault bench tell it
 
 	Sent = sum + pageOne + 0 // of a zone: attempts that ended there, a second
 	Bad  = sum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
@@ -98,7 +98,7 @@
 	Value   float64 // kept as a float32
 }
 
-// Author is who made a row: a member by its ID, in a life.
+// Author is who made a row: a member by its ID, in an incarnation.
 type Author struct {
 	ID          uint64
 	Incarnation uint32
