--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -14,12 +14,12 @@
 	}
 	switch o.Kind {
 	case replication.Served:
-		if o.Long {
+		if o.TooLong {
 			return engine.Response{Kind: engine.Failed} // it was served, and its answer was too long to be kept
 		}
-		return engine.Response{Kind: engine.Served, Reply: engine.Reply{Body: o.Body, ContentType: o.Type, Length: int64(len(o.Body))}}
+		return engine.Response{Kind: engine.Served, Reply: engine.Reply{Body: o.Body, ContentType: o.ContentType, Length: int64(len(o.Body))}}
 	case replication.Rejected:
-		return engine.Response{Kind: engine.Rejected, RetryAfter: max(o.Retry, time.Millisecond), NotRun: o.NotRun, Why: o.Why}
+		return engine.Response{Kind: engine.Rejected, RetryAfter: max(o.RetryAfter, time.Millisecond), NotRun: o.NotRun, Why: o.Reason}
 	}
 	return engine.Response{Kind: engine.Failed}
 }
@@ -36,14 +36,14 @@
 	o := replication.Outcome{Live: a}
 	switch a.Kind {
 	case engine.Served:
-		o.Kind, o.Type = replication.Served, a.Reply.ContentType
+		o.Kind, o.ContentType = replication.Served, a.Reply.ContentType
 		if a.Reply.Rest != nil {
-			o.Long = true
+			o.TooLong = true
 		} else {
 			o.Body = a.Reply.Body
 		}
 	case engine.Rejected:
-		o.Kind, o.Retry, o.Why, o.NotRun = replication.Rejected, a.RetryAfter, a.Why, a.NotRun
+		o.Kind, o.RetryAfter, o.Reason, o.NotRun = replication.Rejected, a.RetryAfter, a.Why, a.NotRun
 	default:
 		o.Kind = replication.Failed
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,7 +54,7 @@
 		defer way.Done()
 	}
 	if err := g.o.Calls.Submit(t.call, pool); err != nil {
-		return attemptResult{out: replication.Outcome{Kind: replication.Rejected, NotRun: true, Retry: comeBack, Why: "no pool takes this call now"}}
+		return attemptResult{out: replication.Outcome{Kind: replication.Rejected, NotRun: true, RetryAfter: comeBack, Reason: "no pool takes this call now"}}
 	}
 	select {
 	case a := <-t.call.Response():
@@ -108,7 +108,7 @@
 
 // allow implements engine.Request's Allow.
 func (t *routedAttempt) allow(a *engine.Attempt) bool {
-	in := replication.Intent{N: t.number(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
+	in := replication.Intent{Attempt: t.number(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
 	if t.work != nil && !t.ask && !t.work.Intend(a.Context(), in) {
 		return false
 	}
@@ -128,7 +128,7 @@
 	}
 	t.mu.Unlock()
 	if t.work != nil && !t.ask && o.Result.NeverRan() { // that a question did not arrive says nothing of the attempt that it is about
-		t.work.Ended(t.number(a))
+		t.work.AttemptNotRun(t.number(a))
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,7 +107,7 @@
 	g.table = routeexchange.NewTable(g.offerPolicy(o.Config), time.Now)
 	g.offers = routeexchange.NewExchange(routeexchange.Options{Table: g.table, Group: g.group, Heard: g.listen})
 	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Incarnation: g.incarnation}, Links: links{g}, Group: g.holders,
-		Run: g.resume, Step: g.step, Beat: beat(f), Silence: time.Duration(f.Silence), Replicas: f.Holders, Memory: int(f.Memory), Retention: time.Duration(f.Keep), Fresh: time.Duration(f.Silence) / 2, Forgets: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
+		Run: g.resume, Step: g.step, Heartbeat: beat(f), Silence: time.Duration(f.Silence), Replicas: f.Holders, Memory: int(f.Memory), Retention: time.Duration(f.Keep), MaxIntentAge: time.Duration(f.Silence) / 2, RecoveryWindow: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
 	topics := maps.Clone(g.replicator.Topics())
 	maps.Copy(topics, g.offers.Topics())
 	maps.Copy(topics, quota.Topics(g.limiter))
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -39,7 +39,7 @@
 		c.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: "this class is not known here", RetryAfter: comeBack})
 		return true
 	}
-	rec := replication.Record{ID: c.ID, Method: c.Message.Method, Target: c.Message.Target, IdempotencyKey: c.Message.Key, Type: c.Message.ContentType, Body: c.Message.Body,
+	rec := replication.Record{ID: c.ID, Method: c.Message.Method, Target: c.Message.Target, IdempotencyKey: c.Message.Key, ContentType: c.Message.ContentType, Body: c.Message.Body,
 		Tenant: value(r.Headers, tenantHeader), Route: replication.Route{Listener: r.Listener, Host: r.Host, Path: r.Path, Draw: r.Draw}, Headers: g.headers(p, r)}
 	again := value(r.Headers, retryHeader)
 	var from string
@@ -204,7 +204,7 @@
 		req := s.call.Message
 		return s.own(ctx, req)
 	}
-	s.rec.Left = g.o.Clock.Until(s.call.Deadline)
+	s.rec.TimeLeft = g.o.Clock.Until(s.call.Deadline)
 	serve := s.class.Replication.WhenAlone == config.ServeAlone
 	for {
 		out, err := g.replicator.Take(ctx, s.rec, serve, time.Duration(s.class.Window))
@@ -228,8 +228,8 @@
 // found waits for the answer to a request whose key others have in hand. false: they refused it, and it may be begun anew.
 func (s *flow) found(ctx context.Context) (engine.Response, bool) {
 	out, gen, err := s.g.replicator.Await(ctx, s.rec.Key)
-	if err == nil && out.Kind == replication.Rejected && s.rec.IdempotencyKey != "" && gen >= s.rec.Gen {
-		s.rec.Gen = gen + 1
+	if err == nil && out.Kind == replication.Rejected && s.rec.IdempotencyKey != "" && gen >= s.rec.Generation {
+		s.rec.Generation = gen + 1
 		return engine.Response{}, false
 	}
 	if err != nil {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -18,7 +18,7 @@
 	if !known {
 		return replication.Outcome{Kind: replication.Failed}
 	}
-	return g.run(ctx, r, engine.Message{Method: r.Method, Target: r.Target, Key: r.IdempotencyKey, ContentType: r.Type, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
+	return g.run(ctx, r, engine.Message{Method: r.Method, Target: r.Target, Key: r.IdempotencyKey, ContentType: r.ContentType, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
 }
 
 // toPartner says that a pool is a partner's gateways.
@@ -45,9 +45,9 @@
 	switch step {
 	case replication.GiveUp:
 		return replication.Outcome{Kind: replication.Failed}
-	case replication.Again:
+	case replication.Resend:
 		forced = mayRunIn(earlier)
-	case replication.Ask:
+	case replication.QueryPartner:
 		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no advertisement
 	}
 	var last attemptResult
@@ -60,7 +60,7 @@
 			if last.out.Kind != 0 {
 				return last.out
 			}
-			return replication.Outcome{Kind: replication.Rejected, NotRun: true, Why: why, Retry: comeBack}
+			return replication.Outcome{Kind: replication.Rejected, NotRun: true, Reason: why, RetryAfter: comeBack}
 		}
 		last = g.attempt(ctx, r, req, pool, way, timeLeft(ctx, r, w), earlier, w, false)
 		if last.unsure && way.Route != nil && way.Replicated {
@@ -78,12 +78,12 @@
 // timeLeft is what is left now to whoever waits for a request: each way that it tries takes some.
 func timeLeft(ctx context.Context, r *replication.Record, w *replication.Work) time.Duration {
 	if w != nil {
-		return w.Left() - settling
+		return w.TimeLeft() - settling
 	}
 	if at, ok := ctx.Deadline(); ok {
 		return time.Until(at)
 	}
-	return r.Left
+	return r.TimeLeft
 }
 
 // mayRunIn is the pool of the last attempt that may have run.
--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -11,18 +11,18 @@
 
 // Await brings the one answer to a request that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
 // gen is which of the requests of its key it was, for Record.Gen.
-func (c *Replicator) Await(ctx context.Context, k Key) (out Outcome, gen uint32, err error) {
-	c.count(func(n *Counts) { n.Asked++ })
+func (r *Replicator) Await(ctx context.Context, key Key) (outcome Outcome, generation uint32, err error) {
+	r.count(func(n *Counts) { n.Asked++ })
 	for {
-		out, gen, err = c.query(ctx, k, findWait)
+		outcome, generation, err = r.queryGroup(ctx, key, findTimeout)
 		switch {
 		case err == nil:
-			c.count(func(n *Counts) { n.Found++ })
-			return out, gen, nil
+			r.count(func(n *Counts) { n.Found++ })
+			return outcome, generation, nil
 		case errors.Is(err, ErrUnknown), errors.Is(err, ErrForgotten):
-			return Outcome{}, gen, err
-		case ctx.Err() != nil || c.ctx.Err() != nil:
-			return Outcome{}, gen, ErrUndecided
+			return Outcome{}, generation, err
+		case ctx.Err() != nil || r.ctx.Err() != nil:
+			return Outcome{}, generation, ErrUndecided
 		}
 		clock.Sleep(ctx, orphanCheckInterval)
 	}
@@ -32,130 +32,130 @@
 // that a majority of the request's replicas has taken by one ballot. That nobody knows it is said once a majority says so of those
 // who would be its replicas now, and the others have said so too or have had slowest to say anything: one who is slow must not cost
 // each request of a key its time.
-func (c *Replicator) query(ctx context.Context, k Key, wait time.Duration) (out Outcome, gen uint32, err error) {
-	limit, cancel := context.WithTimeout(ctx, wait+pollLimit)
+func (r *Replicator) queryGroup(ctx context.Context, key Key, timeout time.Duration) (outcome Outcome, generation uint32, err error) {
+	quorumCtx, cancel := context.WithTimeout(ctx, timeout+quorumTimeout)
 	defer cancel()
-	words, asked := c.queryAll(limit, k, wait)
-	t := newTally(ChooseReplicas(k, c.o.Self.Name, c.o.Group(), c.o.Replicas))
+	replies, asked := r.pollGroup(quorumCtx, key, timeout)
+	votes := newTally(ChooseReplicas(key, r.options.Self.Name, r.options.Group(), r.options.Replicas))
 	var late <-chan time.Time
 	for left := asked; left > 0; left-- {
 		select {
-		case s := <-words:
-			if e := t.take(s); e != nil {
-				return *e.Outcome, e.Record.Gen, nil
+		case reply := <-replies:
+			if entry := votes.add(reply); entry != nil {
+				return *entry.Outcome, entry.Record.Generation, nil
 			}
 		case <-late:
-			return Outcome{}, t.gen, t.err()
+			return Outcome{}, votes.generation, votes.err()
 		}
-		if late == nil && wait == 0 && t.isUnknown() {
-			timer := time.NewTimer(slowest)
+		if late == nil && timeout == 0 && votes.isUnknown() {
+			timer := time.NewTimer(stragglerTimeout)
 			defer timer.Stop()
 			late = timer.C
 		}
 	}
-	return Outcome{}, t.gen, t.err()
+	return Outcome{}, votes.generation, votes.err()
 }
 
 // groupReply is what a gateway of the group says that it holds of a request.
 type groupReply struct {
-	by    string
+	from  string
 	reply *replicaReply // nil: it has not answered
 }
 
 // queryAll asks all gateways of the group, this one among them. As many answers come as were asked.
-func (c *Replicator) queryAll(limit context.Context, k Key, wait time.Duration) (answers <-chan groupReply, asked int) {
-	links := c.o.Links.All()
-	words := make(chan groupReply, len(links)+1)
-	c.find(findMsg{k, wait}, func(w replicaReply) { words <- groupReply{c.o.Self.Name, &w} })
-	for _, l := range links {
-		a, err := l.Request(topicFind, findMsg{k, wait})
+func (r *Replicator) pollGroup(quorumCtx context.Context, key Key, timeout time.Duration) (answers <-chan groupReply, asked int) {
+	links := r.options.Links.All()
+	replies := make(chan groupReply, len(links)+1)
+	r.find(findRequest{key, timeout}, func(reply replicaReply) { replies <- groupReply{r.options.Self.Name, &reply} })
+	for _, link := range links {
+		a, err := link.Request(topicFind, findRequest{key, timeout})
 		if err != nil {
-			words <- groupReply{l.Peer.Name, nil}
+			replies <- groupReply{link.Peer.Name, nil}
 			continue
 		}
-		c.tasks.Go(func() {
-			var w replicaReply
-			if a.Wait(limit, &w) != nil {
-				words <- groupReply{l.Peer.Name, nil}
+		r.tasks.Go(func() {
+			var reply replicaReply
+			if a.Wait(quorumCtx, &reply) != nil {
+				replies <- groupReply{link.Peer.Name, nil}
 				return
 			}
-			words <- groupReply{l.Peer.Name, &w}
+			replies <- groupReply{link.Peer.Name, &reply}
 		})
 	}
-	return words, len(links) + 1
+	return replies, len(links) + 1
 }
 
 // tally is what gateways have said of a request so far.
 type tally struct {
 	replicas   []Gateway    // who would be its replicas now
-	strangers  int          // of them who hold nothing of it
+	unknown    int          // of them who hold nothing of it
 	votes      map[vote]int // for outcomes
-	duplicates bool         // somebody holds it, undecided
-	recovered  bool         // somebody started anew since, and was told of it
+	undecided  bool         // somebody holds it, undecided
+	forgotten  bool         // somebody started anew since, and was told of it
 	silent     bool         // somebody has not answered
-	gen        uint32       // of the latest request of its key
+	generation uint32       // of the latest request of its key
 }
 
 // vote is for the outcome that a ballot brought.
 type vote struct {
-	at  Ballot
-	gen uint32
+	ballot     Ballot
+	generation uint32
 }
 
 func newTally(replicas []Gateway) *tally { return &tally{replicas: replicas, votes: map[vote]int{}} }
 
 // take counts what one gateway says. It returns the entry whose outcome stands by that, if one does.
-func (t *tally) take(s groupReply) *Entry {
-	if s.reply == nil {
+func (t *tally) add(reply groupReply) *Entry {
+	if reply.reply == nil {
 		t.silent = true
 		return nil
 	}
-	e := s.reply.Entry
-	if e == nil {
-		if slices.ContainsFunc(t.replicas, func(g Gateway) bool { return g.Name == s.by }) {
-			t.strangers++
+	entry := reply.reply.Entry
+	if entry == nil {
+		if slices.ContainsFunc(t.replicas, func(g Gateway) bool { return g.Name == reply.from }) {
+			t.unknown++
 		}
 		return nil
 	}
-	if e.Decided {
-		return e
+	if entry.Decided {
+		return entry
 	}
-	t.gen = max(t.gen, e.Record.Gen)
-	if e.Recovered {
-		t.recovered = true
+	t.generation = max(t.generation, entry.Record.Generation)
+	if entry.Recovered {
+		t.forgotten = true
 		return nil
 	}
-	t.duplicates = true
-	if e.Outcome == nil {
+	t.undecided = true
+	if entry.Outcome == nil {
 		return nil
 	}
-	v := vote{e.At, e.Record.Gen}
-	if t.votes[v]++; t.votes[v] >= Majority(len(e.Record.Replicas)) {
-		return e
+	v := vote{entry.AcceptedBy, entry.Record.Generation}
+	if t.votes[v]++; t.votes[v] >= Majority(len(entry.Record.Replicas)) {
+		return entry
 	}
 	return nil
 }
 
 // isUnknown says that a majority of the replicas holds nothing of the request.
-func (t *tally) isUnknown() bool { return t.strangers >= Majority(len(t.replicas)) }
+func (t *tally) isUnknown() bool { return t.unknown >= Majority(len(t.replicas)) }
 
 // err is what the answers come to where none brought an outcome.
 func (t *tally) err() error {
 	switch {
-	case t.duplicates:
+	case t.undecided:
 		return ErrUndecided
-	case t.recovered && !t.silent:
+	case t.forgotten && !t.silent:
 		return ErrForgotten
-	case !t.recovered && (len(t.replicas) == 0 || t.isUnknown()):
+	case !t.forgotten && (len(t.replicas) == 0 || t.isUnknown()):
 		return ErrUnknown
-	case !t.recovered:
+	case !t.forgotten:
 		return ErrNoAnswer
 	}
 	return ErrUndecided
 }
 
 // Holds says that somebody holds a request of a key, or that nobody could tell.
-func (c *Replicator) Holds(ctx context.Context, k Key) bool {
-	_, _, err := c.query(ctx, k, 0)
+func (r *Replicator) Holds(ctx context.Context, key Key) bool {
+	_, _, err := r.queryGroup(ctx, key, 0)
 	return !errors.Is(err, ErrUnknown)
 }
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -45,12 +45,12 @@
 			return out
 		}
 		var topics map[string]peering.Handler
-		o := Options{Self: Gateway{Name: name, Incarnation: self.Incarnation}, Group: replicas, Run: run, Step: func(*Record, []Intent, time.Duration) Step { return GiveUp },
-			Beat: 250 * time.Millisecond, Silence: time.Minute, Replicas: 3, Memory: 1 << 30, Retention: time.Second,
-			Forgets: func() time.Duration { return time.Second }, Fresh: time.Minute, Now: func() time.Duration { return time.Since(begin) }, Log: log}
+		options := Options{Self: Gateway{Name: name, Incarnation: self.Incarnation}, Group: replicas, Run: run, Step: func(*Record, []Intent, time.Duration) Step { return GiveUp },
+			Heartbeat: 250 * time.Millisecond, Silence: time.Minute, Replicas: 3, Memory: 1 << 30, Retention: time.Second,
+			RecoveryWindow: func() time.Duration { return time.Second }, MaxIntentAge: time.Minute, Now: func() time.Duration { return time.Since(begin) }, Log: log}
 		links := &linksOf{}
-		o.Links = links
-		k.c = New(o)
+		options.Links = links
+		k.c = New(options)
 		topics = k.c.Topics()
 		var err error
 		k.hub, err = peering.Open(peering.Options{Self: self, Listen: "127.0.0.1:0", Key: func(string) []byte { return []byte("key") }, Topics: topics, Silence: time.Minute, Log: log})
@@ -101,9 +101,9 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				r := Record{Key: Key{"note", fmt.Sprint(i)}, ID: fmt.Sprint(i), Method: "POST", Target: "/note/x", Body: body, Left: time.Minute}
-				if out, err := owner.Take(context.Background(), r, false, 0); err != nil || out.Kind != Served {
-					b.Fatalf("%+v, %v", out, err)
+				record := Record{Key: Key{"note", fmt.Sprint(i)}, ID: fmt.Sprint(i), Method: "POST", Target: "/note/x", Body: body, TimeLeft: time.Minute}
+				if outcome, err := owner.Take(context.Background(), record, false, 0); err != nil || outcome.Kind != Served {
+					b.Fatalf("%+v, %v", outcome, err)
 				}
 			}
 		})
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -13,17 +13,17 @@
 // claimAt has replicas promise a request to a higher ballot, as if they had lost its owner.
 func claimAt(t *testing.T, replicas byName, of *Work, names ...string) Ballot {
 	t.Helper()
-	higher := Ballot{Number: 2, Owner: names[0], Incarnation: replicas[names[0]].c.o.Self.Incarnation, Call: 1}
+	higher := Ballot{Number: 2, Owner: names[0], Incarnation: replicas[names[0]].c.options.Self.Incarnation, Sequence: 1}
 	for _, name := range names {
 		replica := replicas[name].c
 		testpeer.Until(t, name+" to have the intent, which a majority without it may have taken", func() bool {
-			e, _ := replica.store.find(of.r.Key)
-			return e != nil && len(e.Intents) > 0
+			entry, _ := replica.store.lookup(of.record.Key)
+			return entry != nil && len(entry.Intents) > 0
 		})
-		replica.store.hand(of.r.Key, of.by)
-		said := replica.claim(recordMsg{Record: of.r, By: higher, Incarnation: replica.o.Self.Incarnation})
-		if said.Verdict != Yes {
-			t.Fatalf("%s promises nothing: %v", name, said.Verdict)
+		replica.store.relinquish(of.record.Key, of.ballot)
+		reply := replica.claim(recordRequest{Record: of.record, Ballot: higher, ReplicaIncarnation: replica.options.Self.Incarnation})
+		if reply.Verdict != Yes {
+			t.Fatalf("%s promises nothing: %v", name, reply.Verdict)
 		}
 	}
 	return higher
@@ -38,19 +38,19 @@
 			t.Error("a majority took the record, and the attempt was not allowed")
 		}
 		claimAt(t, replicas, w, "g1", "g2")
-		if w.Intend(ctx, Intent{N: 1, Pool: "boxes", Server: "b"}) {
+		if w.Intend(ctx, Intent{Attempt: 1, Pool: "boxes", Server: "b"}) {
 			t.Error("an attempt was allowed after a majority had promised the call to another")
 		}
 		return Outcome{Kind: Rejected}
 	}
 	replicas = group(t, 3, run)
 	owner := replicas["g0"].c
-	forgotten, err := peering.Encode(incarnationsMsg{})
+	forgotten, err := peering.Encode(incarnationNotice{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	owner.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "g1"}}, forgotten, nil)
-	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", Left: time.Minute}
+	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", TimeLeft: time.Minute}
 	if _, err := owner.Take(t.Context(), request, false, 0); err != ErrDuplicate {
 		t.Errorf("the owner was told %v, want %v", err, ErrDuplicate)
 	}
@@ -68,16 +68,16 @@
 	}
 	replicas = group(t, 3, run)
 	taken := make(chan error, 1)
-	request := Record{Key: Key{"view", "i:call"}, ID: "call", Left: time.Minute}
+	request := Record{Key: Key{"view", "i:call"}, ID: "call", TimeLeft: time.Minute}
 	go func() {
 		_, err := replicas["g0"].c.Take(t.Context(), request, false, 0)
 		taken <- err
 	}()
 	work := testpeer.Receive(t, begun, "the attempt")
-	by := claimAt(t, replicas, work, "g1", "g2")
+	ballot := claimAt(t, replicas, work, "g1", "g2")
 	served := Outcome{Kind: Served, Body: []byte("answer")}
 	link := linksOf{replicas["g1"].hub}.To("g0")
-	if err := link.Tell(topicDecide, settleMsg{Key: request.Key, Outcome: served, By: by}); err != nil {
+	if err := link.Tell(topicDecide, settleRequest{Key: request.Key, Outcome: served, Ballot: ballot}); err != nil {
 		t.Fatal(err)
 	}
 	if err := testpeer.Receive(t, taken, "the work to end"); err != ErrDuplicate {
@@ -93,14 +93,14 @@
 		t.Error("the call was begun")
 		return Outcome{Kind: Served}
 	}
-	c := New(Options{Self: others[0], Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return others }, Run: run, Replicas: 3,
-		Memory: 1 << 20, Retention: time.Second, Forgets: func() time.Duration { return time.Minute }, Now: func() time.Duration { return time.Hour }})
-	defer c.Close()
-	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", Left: time.Minute}
-	if _, err := c.Take(t.Context(), request, true, 2*time.Hour); !errors.Is(err, ErrNoAnswer) {
+	r := New(Options{Self: others[0], Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return others }, Run: run, Replicas: 3,
+		Memory: 1 << 20, Retention: time.Second, RecoveryWindow: func() time.Duration { return time.Minute }, Now: func() time.Duration { return time.Hour }})
+	defer r.Close()
+	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", TimeLeft: time.Minute}
+	if _, err := r.Take(t.Context(), request, true, 2*time.Hour); !errors.Is(err, ErrNoAnswer) {
 		t.Errorf("it was told %v, want %v", err, ErrNoAnswer)
 	}
-	if held := c.Status().Replica.Held; held != 0 {
+	if held := r.Status().Replica.Held; held != 0 {
 		t.Errorf("%d calls are held", held)
 	}
 }
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -10,40 +10,40 @@
 	topicSettle       = "custody.settle"
 	topicDecide       = "custody.decide"
 	topicClaim        = "custody.claim"
-	topicHand         = "custody.hand"
-	topicDrop         = "custody.drop"
+	topicRelinquish   = "custody.hand"
+	topicWithdraw     = "custody.drop"
 	topicFind         = "custody.find"
 	topicIncarnations = "custody.lives"
 )
 
 type (
-	recordMsg struct {
-		Record      Record `cbor:"1,keyasint"`
-		By          Ballot `cbor:"2,keyasint"`
-		Incarnation uint64 `cbor:"3,keyasint"` // of the replica that is meant
+	recordRequest struct {
+		Record             Record `cbor:"1,keyasint"`
+		Ballot             Ballot `cbor:"2,keyasint"`
+		ReplicaIncarnation uint64 `cbor:"3,keyasint"` // of the replica that is meant
 	}
-	intendMsg struct {
-		Key         Key    `cbor:"1,keyasint"`
-		Intent      Intent `cbor:"2,keyasint"`
-		Incarnation uint64 `cbor:"3,keyasint"`
+	intentRequest struct {
+		Key                Key    `cbor:"1,keyasint"`
+		Intent             Intent `cbor:"2,keyasint"`
+		ReplicaIncarnation uint64 `cbor:"3,keyasint"`
 	}
-	endedMsg struct {
-		Key Key    `cbor:"1,keyasint"`
-		By  Ballot `cbor:"2,keyasint"`
-		N   int    `cbor:"3,keyasint"`
+	ownerNotice struct {
+		Key     Key    `cbor:"1,keyasint"`
+		Ballot  Ballot `cbor:"2,keyasint"`
+		Attempt int    `cbor:"3,keyasint"`
 	}
-	settleMsg struct {
-		Key         Key     `cbor:"1,keyasint"`
-		Outcome     Outcome `cbor:"2,keyasint"`
-		By          Ballot  `cbor:"3,keyasint"`
-		Incarnation uint64  `cbor:"4,keyasint"`
-		Gen         uint32  `cbor:"5,keyasint,omitempty"` // of the record that it is the outcome of
+	settleRequest struct {
+		Key                Key     `cbor:"1,keyasint"`
+		Outcome            Outcome `cbor:"2,keyasint"`
+		Ballot             Ballot  `cbor:"3,keyasint"`
+		ReplicaIncarnation uint64  `cbor:"4,keyasint"`
+		Generation         uint32  `cbor:"5,keyasint,omitempty"` // of the record that it is the outcome of
 	}
-	findMsg struct {
-		Key  Key           `cbor:"1,keyasint"`
-		Wait time.Duration `cbor:"2,keyasint"`
+	findRequest struct {
+		Key     Key           `cbor:"1,keyasint"`
+		Timeout time.Duration `cbor:"2,keyasint"`
 	}
-	incarnationsMsg struct {
+	incarnationNotice struct {
 		Ago time.Duration `cbor:"1,keyasint"` // since the link to an earlier incarnation of the one who is told ended
 	}
 	replicaReply struct {
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -34,11 +34,11 @@
 		var actors []*actor
 		owners := rapid.IntRange(1, 2).Draw(t, "owners") // of one key
 		for i := range owners {
-			b := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
+			ballot := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
 			if i > 0 && rapid.Bool().Draw(t, "its next call") {
-				b = Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 1}
+				ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 			}
-			actors = append(actors, &actor{by: b, r: recordOf(b)})
+			actors = append(actors, &actor{by: ballot, r: recordOf(ballot)})
 		}
 		begun := 0
 		var told *Outcome
@@ -54,11 +54,11 @@
 		poll := func(f func(i int) Verdict) (yes int, answered []int) {
 			heard := reach("heard")
 			for _, i := range heard {
-				v := f(i)
+				verdict := f(i)
 				if rapid.IntRange(0, 4).Draw(t, "back") == 0 {
 					continue
 				}
-				if v == Yes {
+				if verdict == Yes {
 					yes++
 					answered = append(answered, i)
 				}
@@ -67,11 +67,11 @@
 		}
 		for _, a := range actors {
 			poll(func(i int) Verdict {
-				v := MayRecord(held[i], &a.r, a.by)
-				if v == Yes {
+				verdict := MayRecord(held[i], &a.r, a.by)
+				if verdict == Yes {
 					held[i] = &Entry{Record: a.r, Promised: a.by}
 				}
-				return v
+				return verdict
 			})
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -91,29 +91,29 @@
 				if held[i] == nil || forgot[i] || held[i].Decided {
 					continue
 				}
-				by := Ballot{Number: held[i].Promised.Number + 1, Owner: string(rune('D' + i)), Incarnation: uint64(step + 10)}
+				ballot := Ballot{Number: held[i].Promised.Number + 1, Owner: string(rune('D' + i)), Incarnation: uint64(step + 10)}
 				rec := held[i].Record
 				var entries []Entry
 				yes, answered := poll(func(k int) Verdict {
-					v := MayClaim(held[k], by, false)
-					if v == Yes {
+					verdict := MayClaim(held[k], ballot, false)
+					if verdict == Yes {
 						if held[k] == nil {
 							held[k] = &Entry{Record: rec}
 						}
-						held[k].Promised = by
+						held[k].Promised = ballot
 					}
-					return v
+					return verdict
 				})
 				if yes < Majority(voters) {
 					continue
 				}
 				for _, k := range answered {
-					e := *held[k]
-					e.Intents = append([]Intent(nil), e.Intents...)
-					entries = append(entries, e)
+					entry := *held[k]
+					entry.Intents = append([]Intent(nil), entry.Intents...)
+					entries = append(entries, entry)
 				}
-				r, intents, outcome := Merge(entries)
-				a := &actor{by: by, r: r, earlier: intents, claimed: true, finishes: outcome}
+				record, intents, outcome := Merge(entries)
+				a := &actor{by: ballot, r: record, earlier: intents, claimed: true, finishes: outcome}
 				actors = append(actors, a)
 			default: // somebody goes on
 				a := actors[rapid.IntRange(0, len(actors)-1).Draw(t, "actor")]
@@ -127,13 +127,13 @@
 					} else if next == GiveUp {
 						a.finishes = &Outcome{Kind: Failed}
 					} else {
-						in := Intent{By: a.by, N: len(a.earlier), ID: a.r.ID}
+						intent := Intent{Ballot: a.by, Attempt: len(a.earlier), ID: a.r.ID}
 						yes, _ := poll(func(i int) Verdict {
-							v := MayIntend(held[i], a.by)
-							if v == Yes {
-								held[i].TakeIntent(in)
+							verdict := MayIntend(held[i], a.by)
+							if verdict == Yes {
+								held[i].TakeIntent(intent)
 							}
-							return v
+							return verdict
 						})
 						if yes < Majority(voters) {
 							continue
@@ -153,11 +153,11 @@
 					continue
 				}
 				yes, _ := poll(func(i int) Verdict {
-					v := MaySettle(held[i], a.by)
-					if v == Yes {
+					verdict := MaySettle(held[i], a.by)
+					if verdict == Yes {
 						held[i].TakeOutcome(*a.finishes, a.by)
 					}
-					return v
+					return verdict
 				})
 				if yes < Majority(voters) {
 					continue
--- a/internal/replication/poll.go
+++ b/internal/replication/poll.go
@@ -6,51 +6,51 @@
 )
 
 // send asks replicas something without waiting; each word is told as it comes.
-func (w *Work) send(topic string, message func(Gateway) any, told func(replicaReply)) {
-	c := w.c
-	for _, v := range w.r.Replicas {
-		if v.Name == c.o.Self.Name {
-			told(c.localReply(topic, message(v)))
+func (w *Work) requestAll(topic string, message func(Gateway) any, onReply func(replicaReply)) {
+	r := w.replicator
+	for _, replica := range w.record.Replicas {
+		if replica.Name == r.options.Self.Name {
+			onReply(r.localReply(topic, message(replica)))
 			continue
 		}
-		c.send(v, topic, message(v), func(said *replicaReply) {
-			if said != nil {
-				told(*said)
+		r.request(replica, topic, message(replica), func(reply *replicaReply) {
+			if reply != nil {
+				onReply(*reply)
 			}
 		})
 	}
 }
 
 // localReply is this gateway's own word as a replica.
-func (c *Replicator) localReply(topic string, message any) replicaReply {
+func (r *Replicator) localReply(topic string, message any) replicaReply {
 	switch m := message.(type) {
-	case recordMsg:
+	case recordRequest:
 		if topic == topicClaim {
-			return c.claim(m)
+			return r.claim(m)
 		}
-		return c.record(m)
-	case intendMsg:
-		return c.intend(m)
-	case settleMsg:
-		return c.settle(m)
+		return r.record(m)
+	case intentRequest:
+		return r.intend(m)
+	case settleRequest:
+		return r.settle(m)
 	}
-	panic(fmt.Sprintf("custody: %s is asked of nobody", topic)) // a defect of this package
+	panic(fmt.Sprintf("replication: no replica answers %s", topic)) // a defect of this package
 }
 
 // send sends a question to a replica. told hears its word once, on the link's reader, or nil where none comes; it must not block.
 // nil: the replica is not to be reached in the incarnation that the record names, and told hears nothing.
-func (c *Replicator) send(v Gateway, topic string, message any, told func(*replicaReply)) (forget func()) {
-	l := c.o.Links.To(v.Name)
-	if l == nil || l.Peer.Incarnation != v.Incarnation {
+func (r *Replicator) request(replica Gateway, topic string, message any, onReply func(*replicaReply)) (forget func()) {
+	link := r.options.Links.To(replica.Name)
+	if link == nil || link.Peer.Incarnation != replica.Incarnation {
 		return nil
 	}
-	forget, err := l.RequestAsync(topic, message, func(read func(any) error) {
-		var said replicaReply
-		if read(&said) != nil {
-			told(nil)
+	forget, err := link.RequestAsync(topic, message, func(read func(any) error) {
+		var reply replicaReply
+		if read(&reply) != nil {
+			onReply(nil)
 			return
 		}
-		told(&said)
+		onReply(&reply)
 	})
 	if err != nil {
 		return nil
@@ -59,39 +59,39 @@
 }
 
 // collect asks all replicas at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
-func (c *Replicator) collect(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) (yes, no []replicaReply) {
-	words := make(chan *replicaReply, len(replicas))
-	for _, v := range replicas {
-		if v.Name == c.o.Self.Name {
-			said := c.localReply(topic, message(v))
-			words <- &said
+func (r *Replicator) collectQuorum(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) (accepted, rejected []replicaReply) {
+	replies := make(chan *replicaReply, len(replicas))
+	for _, replica := range replicas {
+		if replica.Name == r.options.Self.Name {
+			reply := r.localReply(topic, message(replica))
+			replies <- &reply
 			continue
 		}
-		forget := c.send(v, topic, message(v), func(said *replicaReply) { words <- said })
+		forget := r.request(replica, topic, message(replica), func(reply *replicaReply) { replies <- reply })
 		if forget == nil {
-			words <- nil
+			replies <- nil
 			continue
 		}
 		defer forget()
 	}
-	need := Majority(len(replicas))
+	quorum := Majority(len(replicas))
 	for left := len(replicas); left > 0; left-- {
-		var said *replicaReply
+		var reply *replicaReply
 		select {
-		case said = <-words:
+		case reply = <-replies:
 		case <-ctx.Done():
-			return yes, no
+			return accepted, rejected
 		}
 		switch {
-		case said == nil:
-		case said.Verdict == Yes:
-			yes = append(yes, *said)
+		case reply == nil:
+		case reply.Verdict == Yes:
+			accepted = append(accepted, *reply)
 		default:
-			no = append(no, *said)
+			rejected = append(rejected, *reply)
 		}
-		if len(yes) >= need || len(yes)+left-1 < need && len(no) > 0 {
+		if len(accepted) >= quorum || len(accepted)+left-1 < quorum && len(rejected) > 0 {
 			break
 		}
 	}
-	return yes, no
+	return accepted, rejected
 }
--- a/internal/replication/rules.go
+++ b/internal/replication/rules.go
@@ -51,25 +51,25 @@
 	Number      uint32 `cbor:"1,keyasint"`
 	Owner       string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	Call        uint64 `cbor:"4,keyasint"` // of those that it had in hand in that incarnation: two requests of one key are two ballots
+	Sequence    uint64 `cbor:"4,keyasint"` // of those that it had in hand in that incarnation: two requests of one key are two ballots
 }
 
 // Compare orders ballots.
-func (b Ballot) Compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Owner, o.Owner), cmp.Compare(b.Incarnation, o.Incarnation), cmp.Compare(b.Call, o.Call))
+func (ballot Ballot) Compare(o Ballot) int {
+	return cmp.Or(cmp.Compare(ballot.Number, o.Number), cmp.Compare(ballot.Owner, o.Owner), cmp.Compare(ballot.Incarnation, o.Incarnation), cmp.Compare(ballot.Sequence, o.Sequence))
 }
 
 // Record is what is kept of a request, so that another can go on with it.
 type Record struct {
 	Key            Key                 `cbor:"1,keyasint"`
-	Gen            uint32              `cbor:"2,keyasint"` // of requests under one key, of which those before were refused
+	Generation     uint32              `cbor:"2,keyasint"` // of requests under one key, of which those before were refused
 	ID             string              `cbor:"3,keyasint"`
 	Method         string              `cbor:"4,keyasint"`
 	Target         string              `cbor:"5,keyasint"`
 	IdempotencyKey string              `cbor:"6,keyasint,omitempty"` // idempotency key
-	Type           string              `cbor:"7,keyasint,omitempty"`
+	ContentType    string              `cbor:"7,keyasint,omitempty"`
 	Body           []byte              `cbor:"8,keyasint,omitempty"`
-	Left           time.Duration       `cbor:"9,keyasint"` // until its client's deadline, when this was sent
+	TimeLeft       time.Duration       `cbor:"9,keyasint"` // until its client's deadline, when this was sent
 	Owner          Gateway             `cbor:"10,keyasint"`
 	Replicas       []Gateway           `cbor:"11,keyasint"`
 	Tenant         string              `cbor:"12,keyasint,omitempty"`
@@ -90,15 +90,15 @@
 
 // Intent is an attempt that was allowed to begin.
 type Intent struct {
-	By     Ballot        `cbor:"1,keyasint"`
-	N      int           `cbor:"2,keyasint"` // of the request's attempts over all who had it in hand, from 0
-	Pool   string        `cbor:"3,keyasint"`
-	Server string        `cbor:"4,keyasint"`
-	Zone   string        `cbor:"5,keyasint,omitempty"`
-	Cell   int           `cbor:"6,keyasint,omitempty"`
-	Age    time.Duration `cbor:"7,keyasint"`           // since it was allowed, when this was sent
-	NotRun bool          `cbor:"8,keyasint,omitempty"` // it has ended, and is known not to have run
-	ID     string        `cbor:"9,keyasint"`           // of the record that it was for
+	Ballot  Ballot        `cbor:"1,keyasint"`
+	Attempt int           `cbor:"2,keyasint"` // of the request's attempts over all who had it in hand, from 0
+	Pool    string        `cbor:"3,keyasint"`
+	Server  string        `cbor:"4,keyasint"`
+	Zone    string        `cbor:"5,keyasint,omitempty"`
+	Cell    int           `cbor:"6,keyasint,omitempty"`
+	Age     time.Duration `cbor:"7,keyasint"`           // since it was allowed, when this was sent
+	NotRun  bool          `cbor:"8,keyasint,omitempty"` // it has ended, and is known not to have run
+	ID      string        `cbor:"9,keyasint"`           // of the record that it was for
 }
 
 // Kind says what an outcome is.
@@ -113,26 +113,26 @@
 
 // Outcome is the one final answer.
 type Outcome struct {
-	Kind   Kind          `cbor:"1,keyasint"`
-	Body   []byte        `cbor:"2,keyasint,omitempty"`
-	Type   string        `cbor:"3,keyasint,omitempty"`
-	Long   bool          `cbor:"4,keyasint,omitempty"` // it was too long to be kept: only who heard it first has it
-	Retry  time.Duration `cbor:"5,keyasint,omitempty"` // of Refused: when to come back
-	Why    string        `cbor:"6,keyasint,omitempty"` // of Refused by a rule: which one
-	NotRun bool          `cbor:"7,keyasint,omitempty"` // of Refused: no attempt of it may have run
+	Kind        Kind          `cbor:"1,keyasint"`
+	Body        []byte        `cbor:"2,keyasint,omitempty"`
+	ContentType string        `cbor:"3,keyasint,omitempty"`
+	TooLong     bool          `cbor:"4,keyasint,omitempty"` // it was too long to be kept: only who heard it first has it
+	RetryAfter  time.Duration `cbor:"5,keyasint,omitempty"` // of Refused: when to come back
+	Reason      string        `cbor:"6,keyasint,omitempty"` // of Refused by a rule: which one
+	NotRun      bool          `cbor:"7,keyasint,omitempty"` // of Refused: no attempt of it may have run
 
 	Live interface{ Discard() } `cbor:"-"` // the answer as it came, for whoever had it run
 }
 
 // Entry is what a replica has taken of a request.
 type Entry struct {
-	Record    Record   `cbor:"1,keyasint"`
-	Promised  Ballot   `cbor:"2,keyasint"` // nothing of a lower one is taken
-	Intents   []Intent `cbor:"3,keyasint,omitempty"`
-	Outcome   *Outcome `cbor:"4,keyasint,omitempty"` // that was taken last, and
-	At        Ballot   `cbor:"5,keyasint"`           // by which ballot
-	Decided   bool     `cbor:"6,keyasint,omitempty"` // a majority has taken it
-	Recovered bool     `cbor:"7,keyasint,omitempty"` // an earlier incarnation of the replica may have taken it: this one knows of it, and is no replica
+	Record     Record   `cbor:"1,keyasint"`
+	Promised   Ballot   `cbor:"2,keyasint"` // nothing of a lower one is taken
+	Intents    []Intent `cbor:"3,keyasint,omitempty"`
+	Outcome    *Outcome `cbor:"4,keyasint,omitempty"` // that was taken last, and
+	AcceptedBy Ballot   `cbor:"5,keyasint"`           // by which ballot
+	Decided    bool     `cbor:"6,keyasint,omitempty"` // a majority has taken it
+	Recovered  bool     `cbor:"7,keyasint,omitempty"` // an earlier incarnation of the replica may have taken it: this one knows of it, and is no replica
 }
 
 // Verdict is a replica's word.
@@ -151,65 +151,65 @@
 
 var verdicts = [...]string{"", "yes", "higher", "known", "heard", "unknown", "full", "another life"}
 
-func (v Verdict) String() string { return verdicts[min(int(v), len(verdicts)-1)] }
+func (verdict Verdict) String() string { return verdicts[min(int(verdict), len(verdicts)-1)] }
 
 // MayRecord says whether a replica that has e of this key (nil: nothing) takes a record by its owner's ballot.
-func MayRecord(e *Entry, r *Record, b Ballot) Verdict {
+func MayRecord(entry *Entry, record *Record, ballot Ballot) Verdict {
 	switch {
-	case e == nil:
+	case entry == nil:
 		return Yes
-	case r.Gen > e.Record.Gen && e.Outcome != nil && e.Outcome.Kind == Rejected:
+	case record.Generation > entry.Record.Generation && entry.Outcome != nil && entry.Outcome.Kind == Rejected:
 		return Yes // what was refused may be asked for anew
-	case r.Gen != e.Record.Gen || r.Owner != e.Record.Owner || r.ID != e.Record.ID:
+	case record.Generation != entry.Record.Generation || record.Owner != entry.Record.Owner || record.ID != entry.Record.ID:
 		return Duplicate
-	case b.Compare(e.Promised) < 0:
+	case ballot.Compare(entry.Promised) < 0:
 		return Higher
 	}
 	return Yes
 }
 
 // ballotVerdict says whether a replica goes by a ballot now.
-func ballotVerdict(e *Entry, b Ballot) Verdict {
+func ballotVerdict(entry *Entry, ballot Ballot) Verdict {
 	switch {
-	case b.Compare(e.Promised) < 0:
+	case ballot.Compare(entry.Promised) < 0:
 		return Higher
-	case b.Number == 1 && b != e.Promised:
+	case ballot.Number == 1 && ballot != entry.Promised:
 		return Duplicate // another owner's: a first ballot was promised by nobody who did not take its record
 	}
 	return Yes
 }
 
 // MayIntend says whether a replica takes an intent.
-func MayIntend(e *Entry, b Ballot) Verdict {
+func MayIntend(entry *Entry, ballot Ballot) Verdict {
 	switch {
-	case e == nil:
+	case entry == nil:
 		return Unknown
-	case e.Decided:
+	case entry.Decided:
 		return Duplicate
 	}
-	return ballotVerdict(e, b)
+	return ballotVerdict(entry, ballot)
 }
 
 // MaySettle says whether a replica takes an outcome. One that is decided stays.
-func MaySettle(e *Entry, b Ballot) Verdict {
+func MaySettle(entry *Entry, ballot Ballot) Verdict {
 	switch {
-	case e == nil:
+	case entry == nil:
 		return Unknown
-	case e.Decided && b != e.At:
+	case entry.Decided && ballot != entry.AcceptedBy:
 		return Duplicate
 	}
-	return ballotVerdict(e, b)
+	return ballotVerdict(entry, ballot)
 }
 
 // MayClaim says whether a replica promises a ballot. heard: whoever has the request in hand now has a link to this replica, and
 // has not given the request out of hand.
-func MayClaim(e *Entry, b Ballot, heard bool) Verdict {
+func MayClaim(entry *Entry, ballot Ballot, heard bool) Verdict {
 	switch {
-	case e == nil:
+	case entry == nil:
 		return Yes // it surely has taken nothing of this request
-	case e.Decided:
+	case entry.Decided:
 		return Duplicate
-	case b.Compare(e.Promised) <= 0:
+	case ballot.Compare(entry.Promised) <= 0:
 		return Higher
 	case heard:
 		return OwnerAlive
@@ -219,59 +219,61 @@
 
 // MayWithdraw says whether a replica releases a request whose owner, by its first ballot, says that nothing of it was begun. An intent
 // that was taken comes before that word, for both go over one link.
-func MayWithdraw(e *Entry, b Ballot) bool {
-	return e != nil && b.Number == 1 && e.Promised == b && len(e.Intents) == 0 && e.Outcome == nil && !e.Recovered
+func MayWithdraw(entry *Entry, ballot Ballot) bool {
+	return entry != nil && ballot.Number == 1 && entry.Promised == ballot && len(entry.Intents) == 0 && entry.Outcome == nil && !entry.Recovered
 }
 
 // TakeIntent notes an intent that MayIntend allows. One that is asked for again takes its own place.
-func (e *Entry) TakeIntent(in Intent) {
-	e.Promised = in.By
-	i := slices.IndexFunc(e.Intents, func(o Intent) bool { return o.By == in.By && o.N == in.N })
+func (entry *Entry) TakeIntent(intent Intent) {
+	entry.Promised = intent.Ballot
+	i := slices.IndexFunc(entry.Intents, func(o Intent) bool { return o.Ballot == intent.Ballot && o.Attempt == intent.Attempt })
 	if i < 0 {
-		e.Intents = append(e.Intents, in)
+		entry.Intents = append(entry.Intents, intent)
 	} else {
-		e.Intents[i] = in
+		entry.Intents[i] = intent
 	}
 }
 
 // TakeOutcome notes an outcome that MaySettle allows.
-func (e *Entry) TakeOutcome(o Outcome, b Ballot) { e.Promised, e.At, e.Outcome = b, b, &o }
+func (entry *Entry) TakeOutcome(outcome Outcome, ballot Ballot) {
+	entry.Promised, entry.AcceptedBy, entry.Outcome = ballot, ballot, &outcome
+}
 
 // Merge is what a successor has to go by, from the entries of a majority: every intent that any of them has taken, the outcome of
 // the highest ballot, if there is one, and the record. An attempt that one of them knows not to have run has not. Where two
 // gateways were given one key at once, replicas may hold two records: the one that an intent was for is the request's.
-func Merge(entries []Entry) (r Record, intents []Intent, outcome *Outcome) {
-	var at Ballot
-	for _, e := range entries {
-		for _, in := range e.Intents {
-			i := slices.IndexFunc(intents, func(o Intent) bool { return o.By == in.By && o.N == in.N })
+func Merge(entries []Entry) (record Record, intents []Intent, outcome *Outcome) {
+	var accepted Ballot
+	for _, entry := range entries {
+		for _, intent := range entry.Intents {
+			i := slices.IndexFunc(intents, func(o Intent) bool { return o.Ballot == intent.Ballot && o.Attempt == intent.Attempt })
 			if i < 0 {
-				intents = append(intents, in)
+				intents = append(intents, intent)
 				continue
 			}
-			intents[i].NotRun = intents[i].NotRun || in.NotRun
-			intents[i].Age = max(intents[i].Age, in.Age)
+			intents[i].NotRun = intents[i].NotRun || intent.NotRun
+			intents[i].Age = max(intents[i].Age, intent.Age)
 		}
-		if e.Outcome != nil && (outcome == nil || e.At.Compare(at) > 0) {
-			outcome, at = e.Outcome, e.At
+		if entry.Outcome != nil && (outcome == nil || entry.AcceptedBy.Compare(accepted) > 0) {
+			outcome, accepted = entry.Outcome, entry.AcceptedBy
 		}
 	}
-	slices.SortFunc(intents, func(a, b Intent) int { return cmp.Or(a.By.Compare(b.By), cmp.Compare(a.N, b.N)) })
-	of := ""
+	slices.SortFunc(intents, func(a, b Intent) int { return cmp.Or(a.Ballot.Compare(b.Ballot), cmp.Compare(a.Attempt, b.Attempt)) })
+	lastIntended := ""
 	if len(intents) > 0 {
-		of = intents[len(intents)-1].ID
+		lastIntended = intents[len(intents)-1].ID
 	}
-	for i, e := range entries {
-		take := i == 0 || e.Record.Gen > r.Gen || e.Record.Gen == r.Gen && r.ID != of && (e.Record.ID == of || e.Record.ID < r.ID)
-		left := r.Left
+	for i, entry := range entries {
+		take := i == 0 || entry.Record.Generation > record.Generation || entry.Record.Generation == record.Generation && record.ID != lastIntended && (entry.Record.ID == lastIntended || entry.Record.ID < record.ID)
+		left := record.TimeLeft
 		if take {
-			r = e.Record
+			record = entry.Record
 		}
-		if i > 0 && e.Record.Gen == r.Gen {
-			r.Left = max(left, e.Record.Left) // whoever heard of it soonest knows best
+		if i > 0 && entry.Record.Generation == record.Generation {
+			record.TimeLeft = max(left, entry.Record.TimeLeft) // whoever heard of it soonest knows best
 		}
 	}
-	return r, intents, outcome
+	return record, intents, outcome
 }
 
 // Step is what a successor does with a request.
@@ -279,28 +281,28 @@
 
 // Steps.
 const (
-	Send  Step = iota + 1 // as the owner would have
-	Again                 // it may have run: only where the class's effect makes that harmless
-	Ask                   // it may run at a partner, which is asked what became of it and begins nothing for that
+	Send         Step = iota + 1 // as the owner would have
+	Resend                       // it may have run: only where the class's effect makes that harmless
+	QueryPartner                 // it may run at a partner, which is asked what became of it and begins nothing for that
 	GiveUp
 )
 
 var steps = [...]string{"", "send", "send again", "ask the partner", "fail"}
 
-func (s Step) String() string { return steps[min(int(s), len(steps)-1)] }
+func (step Step) String() string { return steps[min(int(step), len(steps)-1)] }
 
 // Next is what whoever takes a request over does first. partner says whether a pool is a partner's.
-func Next(effect balancer.Effect, intents []Intent, left time.Duration, partner func(pool string) bool) Step {
-	may := slices.DeleteFunc(slices.Clone(intents), func(in Intent) bool { return in.NotRun })
+func Next(effect balancer.Effect, intents []Intent, timeLeft time.Duration, partner func(pool string) bool) Step {
+	mayHaveRun := slices.DeleteFunc(slices.Clone(intents), func(intent Intent) bool { return intent.NotRun })
 	switch {
-	case left <= 0:
+	case timeLeft <= 0:
 		return GiveUp
-	case len(may) == 0:
+	case len(mayHaveRun) == 0:
 		return Send
 	case effect != balancer.Unsafe:
-		return Again
-	case partner(may[len(may)-1].Pool):
-		return Ask
+		return Resend
+	case partner(mayHaveRun[len(mayHaveRun)-1].Pool):
+		return QueryPartner
 	}
 	return GiveUp
 }
@@ -311,12 +313,12 @@
 // ChooseReplicas are who holds the requests of a key: the first of the group by a hash of key and name, of as many zones as there are,
 // and an odd number of them, the owner perhaps among them. Whoever sees the same group sees the same replicas. In a group of
 // two the other one votes alone; alone nobody does.
-func ChooseReplicas(k Key, own string, group []Gateway, replicas int) []Gateway {
+func ChooseReplicas(key Key, self string, group []Gateway, replicas int) []Gateway {
 	switch len(group) {
 	case 0, 1:
 		return nil
 	case 2:
-		return slices.DeleteFunc(slices.Clone(group), func(g Gateway) bool { return g.Name == own })
+		return slices.DeleteFunc(slices.Clone(group), func(g Gateway) bool { return g.Name == self })
 	}
 	replicas = min(replicas, len(group))
 	if replicas%2 == 0 {
@@ -324,19 +326,19 @@
 	}
 	order := slices.Clone(group)
 	slices.SortFunc(order, func(a, b Gateway) int {
-		return cmp.Or(cmp.Compare(splitmix.Of(k.Class, k.ID, b.Name), splitmix.Of(k.Class, k.ID, a.Name)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(splitmix.Of(key.Class, key.ID, b.Name), splitmix.Of(key.Class, key.ID, a.Name)), cmp.Compare(a.Name, b.Name))
 	})
-	var out []Gateway
+	var chosen []Gateway
 	zones := map[string]int{}
-	for most := 1; len(out) < replicas; most++ { // one of each zone first, then two
+	for perZone := 1; len(chosen) < replicas; perZone++ { // one of each zone first, then two
 		for _, g := range order {
-			if len(out) < replicas && zones[g.Zone] < most && !slices.ContainsFunc(out, func(o Gateway) bool { return o.Name == g.Name }) {
+			if len(chosen) < replicas && zones[g.Zone] < perZone && !slices.ContainsFunc(chosen, func(o Gateway) bool { return o.Name == g.Name }) {
 				zones[g.Zone]++
-				out = append(out, g)
+				chosen = append(chosen, g)
 			}
 		}
 	}
-	return out
+	return chosen
 }
 
 // Suspect is how long whoever has a request in hand may be silent, by the heartbeat that it answered last, until a replica takes it
@@ -344,39 +346,39 @@
 // have served, is not made to wait for that, but for two heartbeats and the way there and back at least: a third of its time
 // goes to the doubt, the rest is for the claim and the attempt. a suspicion that was wrong costs the owner the request, and a request
 // that is safe an attempt, so what a successor could only fail waits for the link.
-func Suspect(beat, rtt, silence, left time.Duration, servable bool) time.Duration {
+func SuspectAfter(heartbeat, rtt, silence, timeLeft time.Duration, servable bool) time.Duration {
 	if !servable {
 		return silence
 	}
-	return min(silence, max(2*beat+4*rtt, left/3))
+	return min(silence, max(2*heartbeat+4*rtt, timeLeft/3))
 }
 
 // Servable says that a successor could still have a request served.
-func Servable(s Step) bool { return s == Send || s == Again }
+func Servable(step Step) bool { return step == Send || step == Resend }
 
 // ClaimDelay is how long a replica waits, from when it lost whoever has a request in hand, until it claims the request: those first
 // that come first among the replicas, so that they do not claim against one another.
-func ClaimDelay(replicas []Gateway, lost, self string) time.Duration {
+func ClaimDelay(replicas []Gateway, owner, self string) time.Duration {
 	rank := 0
-	for _, v := range replicas {
-		if v.Name == self {
+	for _, replica := range replicas {
+		if replica.Name == self {
 			break
 		}
-		if v.Name != lost {
+		if replica.Name != owner {
 			rank++
 		}
 	}
-	return claimAfter + time.Duration(rank)*claimStep
+	return claimGrace + time.Duration(rank)*claimRankDelay
 }
 
 // ClaimRetryDelay is how long a replica waits after a claim that others refused, who heard what it did not: heartbeats come to each
 // of them at another time, and a request whose time is short has none to lose.
-func ClaimRetryDelay(left time.Duration) time.Duration {
-	return min(claimRetryDelay, max(claimAfter, left/8))
+func ClaimRetryDelay(timeLeft time.Duration) time.Duration {
+	return min(claimRetryDelay, max(claimGrace, timeLeft/8))
 }
 
 // Times of a claim. A link that broke may come back at once.
 const (
-	claimAfter = 60 * time.Millisecond
-	claimStep  = 150 * time.Millisecond
+	claimGrace     = 60 * time.Millisecond
+	claimRankDelay = 150 * time.Millisecond
 )
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -8,14 +8,14 @@
 
 // store is what this gateway holds as a replica.
 type store struct {
-	now  func() time.Duration
-	keep time.Duration
-	most int // bytes
+	now       func() time.Duration
+	retention time.Duration
+	maxBytes  int // bytes
 
-	mu     sync.Mutex
-	held   map[Key]*replicaEntry
-	bytes  int
-	counts StoreCounts
+	mu      sync.Mutex
+	entries map[Key]*replicaEntry
+	bytes   int
+	counts  StoreCounts
 }
 
 // StoreCounts are of a replica since its start.
@@ -30,24 +30,24 @@
 // replicaEntry is an entry, with what only its replica knows.
 type replicaEntry struct {
 	Entry
-	until    time.Duration // its client's deadline, by this gateway's clock
-	settled  time.Duration // when it was decided; 0: it is not
-	lost     time.Duration // since when nobody is heard who has it in hand; 0: somebody is
-	handed   bool          // it was given out of hand
-	claiming bool          // by this gateway
-	seen     []time.Duration
-	size     int
-	changed  chan struct{} // closed at its next change
+	deadline     time.Duration // its client's deadline, by this gateway's clock
+	decidedAt    time.Duration // when it was decided; 0: it is not
+	ownerLostAt  time.Duration // since when nobody is heard who has it in hand; 0: somebody is
+	relinquished bool          // it was given out of hand
+	claiming     bool          // by this gateway
+	intendedAt   []time.Duration
+	size         int
+	changed      chan struct{} // closed at its next change
 }
 
-func newStore(now func() time.Duration, keep time.Duration, most int) *store {
-	return &store{now: now, keep: keep, most: most, held: map[Key]*replicaEntry{}}
+func newStore(now func() time.Duration, retention time.Duration, maxBytes int) *store {
+	return &store{now: now, retention: retention, maxBytes: maxBytes, entries: map[Key]*replicaEntry{}}
 }
 
 // sizeOf is about what an entry takes.
-func sizeOf(r *Record) int {
-	n := 600 + len(r.Body) + len(r.Target) + len(r.ID) + 2*len(r.Key.ID) + 64*len(r.Replicas)
-	for k, v := range r.Headers {
+func sizeOf(record *Record) int {
+	n := 600 + len(record.Body) + len(record.Target) + len(record.ID) + 2*len(record.Key.ID) + 64*len(record.Replicas)
+	for k, v := range record.Headers {
 		n += len(k) + 32
 		for _, s := range v {
 			n += len(s) + 16
@@ -58,11 +58,11 @@
 
 // makeSpace makes room for n bytes, by forgetting answers before their time, the oldest first. The caller holds mu.
 func (s *store) makeSpace(n int) bool {
-	for s.bytes+n > s.most {
+	for s.bytes+n > s.maxBytes {
 		var oldest *replicaEntry
-		for _, h := range s.held {
-			if h.settled > 0 && (oldest == nil || h.settled < oldest.settled) {
-				oldest = h
+		for _, held := range s.entries {
+			if held.decidedAt > 0 && (oldest == nil || held.decidedAt < oldest.decidedAt) {
+				oldest = held
 			}
 		}
 		if oldest == nil {
@@ -74,248 +74,248 @@
 	return true
 }
 
-func (s *store) drop(h *replicaEntry) {
-	delete(s.held, h.Record.Key)
-	s.bytes -= h.size
-	close(h.changed)
-	h.changed = make(chan struct{})
+func (s *store) drop(held *replicaEntry) {
+	delete(s.entries, held.Record.Key)
+	s.bytes -= held.size
+	close(held.changed)
+	held.changed = make(chan struct{})
 }
 
 // add takes a new entry. The caller holds mu and has seen to room.
-func (s *store) add(r Record, b Ballot) *replicaEntry {
-	h := &replicaEntry{Entry: Entry{Record: r, Promised: b}, until: s.now() + r.Left, size: sizeOf(&r), changed: make(chan struct{})}
-	s.held[r.Key] = h
-	s.bytes += h.size
-	return h
+func (s *store) add(record Record, ballot Ballot) *replicaEntry {
+	held := &replicaEntry{Entry: Entry{Record: record, Promised: ballot}, deadline: s.now() + record.TimeLeft, size: sizeOf(&record), changed: make(chan struct{})}
+	s.entries[record.Key] = held
+	s.bytes += held.size
+	return held
 }
 
 // notify has those wait no longer who wait for a change of it. The caller holds mu.
-func (h *replicaEntry) notify() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+func (e *replicaEntry) notifyChange() {
+	close(e.changed)
+	e.changed = make(chan struct{})
 }
 
 // record takes a record, and tells what was held before where it does not.
-func (s *store) record(r Record, b Ballot) (Verdict, *Entry) {
+func (s *store) record(record Record, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[r.Key]
-	v := MayRecord(h.entry(), &r, b)
-	if v != Yes {
-		return v, h.snapshot(s.now())
+	held := s.entries[record.Key]
+	verdict := MayRecord(held.acceptorState(), &record, ballot)
+	if verdict != Yes {
+		return verdict, held.snapshot(s.now())
 	}
-	if h != nil && h.Record.Gen == r.Gen {
+	if held != nil && held.Record.Generation == record.Generation {
 		return Yes, nil // once more
 	}
-	if h != nil {
-		s.drop(h)
+	if held != nil {
+		s.drop(held)
 	}
-	if !s.makeSpace(sizeOf(&r)) {
+	if !s.makeSpace(sizeOf(&record)) {
 		s.counts.Full++
 		return Full, nil
 	}
-	s.add(r, b)
+	s.add(record, ballot)
 	return Yes, nil
 }
 
-func (h *replicaEntry) entry() *Entry {
-	if h == nil {
+func (e *replicaEntry) acceptorState() *Entry {
+	if e == nil {
 		return nil
 	}
-	return &h.Entry
+	return &e.Entry
 }
 
 // snapshot is the entry as it is sent: times become ages.
-func (h *replicaEntry) snapshot(now time.Duration) *Entry {
-	if h == nil {
+func (e *replicaEntry) snapshot(now time.Duration) *Entry {
+	if e == nil {
 		return nil
 	}
-	e := h.Entry
-	e.Record.Left = h.until - now
-	e.Intents = slices.Clone(h.Intents)
-	for i := range e.Intents {
-		e.Intents[i].Age = now - h.seen[i]
+	snapshot := e.Entry
+	snapshot.Record.TimeLeft = e.deadline - now
+	snapshot.Intents = slices.Clone(e.Intents)
+	for i := range snapshot.Intents {
+		snapshot.Intents[i].Age = now - e.intendedAt[i]
 	}
-	return &e
+	return &snapshot
 }
 
-func (s *store) intend(k Key, in Intent) Verdict {
+func (s *store) intend(key Key, intent Intent) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[k]
-	v := MayIntend(h.entry(), in.By)
-	if v == Yes {
-		n := len(h.Intents)
-		h.TakeIntent(in)
-		if len(h.Intents) > n {
-			h.seen = append(h.seen, s.now()-in.Age)
+	held := s.entries[key]
+	verdict := MayIntend(held.acceptorState(), intent.Ballot)
+	if verdict == Yes {
+		n := len(held.Intents)
+		held.TakeIntent(intent)
+		if len(held.Intents) > n {
+			held.intendedAt = append(held.intendedAt, s.now()-intent.Age)
 		}
-		h.lost, h.handed = 0, false
+		held.ownerLostAt, held.relinquished = 0, false
 	}
-	return v
+	return verdict
 }
 
 // ended notes that an attempt has ended and has not run.
-func (s *store) ended(k Key, by Ballot, n int) {
+func (s *store) markNotRun(key Key, ballot Ballot, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h := s.held[k]; h != nil {
-		for i := range h.Intents {
-			if h.Intents[i].By == by && h.Intents[i].N == n {
-				h.Intents[i].NotRun = true
+	if held := s.entries[key]; held != nil {
+		for i := range held.Intents {
+			if held.Intents[i].Ballot == ballot && held.Intents[i].Attempt == n {
+				held.Intents[i].NotRun = true
 			}
 		}
 	}
 }
 
-func (s *store) settle(k Key, o Outcome, b Ballot) (Verdict, *Entry) {
+func (s *store) settle(key Key, outcome Outcome, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[k]
-	v := MaySettle(h.entry(), b)
-	if v != Yes {
-		return v, h.snapshot(s.now())
+	held := s.entries[key]
+	verdict := MaySettle(held.acceptorState(), ballot)
+	if verdict != Yes {
+		return verdict, held.snapshot(s.now())
 	}
-	h.TakeOutcome(o, b)
-	s.resize(h)
-	h.lost, h.handed = 0, false
-	h.notify()
+	held.TakeOutcome(outcome, ballot)
+	s.resize(held)
+	held.ownerLostAt, held.relinquished = 0, false
+	held.notifyChange()
 	return Yes, nil
 }
 
 // resize counts an entry's answer. A decided one needs its body no more.
-func (s *store) resize(h *replicaEntry) {
-	s.bytes -= h.size
-	h.size = sizeOf(&h.Record)
-	if h.Outcome != nil {
-		h.size += len(h.Outcome.Body)
+func (s *store) resize(held *replicaEntry) {
+	s.bytes -= held.size
+	held.size = sizeOf(&held.Record)
+	if held.Outcome != nil {
+		held.size += len(held.Outcome.Body)
 	}
-	s.bytes += h.size
+	s.bytes += held.size
 }
 
 // decide notes that a majority has taken an outcome of a key's request of that generation. One that comes late, when the next request
 // of the key is held, says nothing of that.
-func (s *store) decide(k Key, gen uint32, o Outcome, b Ballot) {
+func (s *store) decide(key Key, generation uint32, outcome Outcome, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[k]
-	if h == nil || h.Decided || h.Record.Gen != gen {
+	held := s.entries[key]
+	if held == nil || held.Decided || held.Record.Generation != generation {
 		return
 	}
-	h.TakeOutcome(o, b)
-	h.Decided, h.settled = true, s.now()
-	h.Record.Body, h.Record.Headers = nil, nil
-	s.resize(h)
-	h.notify()
+	held.TakeOutcome(outcome, ballot)
+	held.Decided, held.decidedAt = true, s.now()
+	held.Record.Body, held.Record.Headers = nil, nil
+	s.resize(held)
+	held.notifyChange()
 }
 
 // claim promises a ballot, and tells what was taken before. A replica that never had the request takes its record with the claim.
-func (s *store) claim(r Record, b Ballot, heard func(e *Entry, left time.Duration) bool) (Verdict, *Entry) {
+func (s *store) claim(record Record, ballot Ballot, heard func(entry *Entry, left time.Duration) bool) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[r.Key]
-	if h != nil && h.Record.Gen < r.Gen {
-		s.drop(h)
-		h = nil
+	held := s.entries[record.Key]
+	if held != nil && held.Record.Generation < record.Generation {
+		s.drop(held)
+		held = nil
 	}
-	v := MayClaim(h.entry(), b, h != nil && !h.handed && heard(&h.Entry, h.until-s.now()))
-	if v != Yes {
-		return v, h.snapshot(s.now())
+	verdict := MayClaim(held.acceptorState(), ballot, held != nil && !held.relinquished && heard(&held.Entry, held.deadline-s.now()))
+	if verdict != Yes {
+		return verdict, held.snapshot(s.now())
 	}
-	if h == nil {
-		if !s.makeSpace(sizeOf(&r)) {
+	if held == nil {
+		if !s.makeSpace(sizeOf(&record)) {
 			s.counts.Full++
 			return Full, nil
 		}
-		h = s.add(r, b)
+		held = s.add(record, ballot)
 	}
-	h.Promised = b
-	h.lost, h.handed = 0, false
-	return Yes, h.snapshot(s.now())
+	held.Promised = ballot
+	held.ownerLostAt, held.relinquished = 0, false
+	return Yes, held.snapshot(s.now())
 }
 
 // hand notes that whoever has a request in hand by a ballot has given it out of hand.
-func (s *store) hand(k Key, b Ballot) {
+func (s *store) relinquish(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h := s.held[k]; h != nil && h.Promised == b && !h.Decided {
-		h.handed = true
+	if held := s.entries[key]; held != nil && held.Promised == ballot && !held.Decided {
+		held.relinquished = true
 	}
 }
 
 // withdraw releases a request whose owner says that nothing of it was begun, unless an intent of it was taken or another has it in
 // hand by now.
-func (s *store) withdraw(k Key, b Ballot) {
+func (s *store) withdraw(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h := s.held[k]; h != nil && MayWithdraw(&h.Entry, b) {
-		s.drop(h)
+	if held := s.entries[key]; held != nil && MayWithdraw(&held.Entry, ballot) {
+		s.drop(held)
 	}
 }
 
 // find is what is held of a key, and what tells of its next change.
-func (s *store) find(k Key) (*Entry, <-chan struct{}) {
+func (s *store) lookup(key Key) (*Entry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held[k]
-	if h == nil {
+	held := s.entries[key]
+	if held == nil {
 		return nil, nil
 	}
-	return h.snapshot(s.now()), h.changed
+	return held.snapshot(s.now()), held.changed
 }
 
 // orphans are the undecided requests that this gateway should claim now, each once until release: nobody is heard who has it
 // in hand, and has not been for as long as Patience says.
-func (s *store) orphans(self string, heard func(e *Entry, left time.Duration) bool) (out []Key, open bool) {
+func (s *store) orphans(self string, heard func(entry *Entry, left time.Duration) bool) (out []Key, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for k, h := range s.held {
+	for key, held := range s.entries {
 		switch {
-		case h.settled > 0 && now-h.settled > s.keep || h.settled == 0 && now-h.until > s.keep:
-			s.drop(h)
+		case held.decidedAt > 0 && now-held.decidedAt > s.retention || held.decidedAt == 0 && now-held.deadline > s.retention:
+			s.drop(held)
 			continue
-		case h.Decided || h.claiming || h.Recovered:
+		case held.Decided || held.claiming || held.Recovered:
 			continue
 		}
 		open = true
-		if !h.handed && heard(&h.Entry, h.until-now) {
-			h.lost = 0
+		if !held.relinquished && heard(&held.Entry, held.deadline-now) {
+			held.ownerLostAt = 0
 			continue
 		}
-		if h.lost == 0 {
-			h.lost = now
+		if held.ownerLostAt == 0 {
+			held.ownerLostAt = now
 		}
-		wait := ClaimDelay(h.Record.Replicas, h.Promised.Owner, self)
-		if h.handed {
-			wait -= claimAfter // it is sure that nobody has it
+		timeout := ClaimDelay(held.Record.Replicas, held.Promised.Owner, self)
+		if held.relinquished {
+			timeout -= claimGrace // it is sure that nobody has it
 		}
-		if now-h.lost >= wait {
-			h.claiming = true
-			out = append(out, k)
+		if now-held.ownerLostAt >= timeout {
+			held.claiming = true
+			out = append(out, key)
 		}
 	}
 	return out, open
 }
 
 // release has a request be claimed again when it is due.
-func (s *store) release(k Key) {
+func (s *store) endClaim(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h := s.held[k]; h != nil {
-		h.claiming, h.lost = false, 0
+	if held := s.entries[key]; held != nil {
+		held.claiming, held.ownerLostAt = false, 0
 	}
 }
 
 func (s *store) status() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts
-	c.Held, c.Bytes = len(s.held), s.bytes
-	for _, h := range s.held {
-		if !h.Decided {
-			c.Open++
+	counts := s.counts
+	counts.Held, counts.Bytes = len(s.entries), s.bytes
+	for _, held := range s.entries {
+		if !held.Decided {
+			counts.Open++
 		}
 	}
-	return c
+	return counts
 }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -15,33 +15,33 @@
 func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
 	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
-	b := Ballot{Number: 1, Owner: "A", Incarnation: 1}
+	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
 	take := func(id string, body int) Verdict {
-		v, _ := s.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), Left: time.Minute}, b)
-		return v
+		verdict, _ := s.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), TimeLeft: time.Minute}, ballot)
+		return verdict
 	}
 	settle := func(id string) {
-		s.settle(Key{"note", id}, Outcome{Kind: Served}, b)
-		s.decide(Key{"note", id}, 0, Outcome{Kind: Served}, b)
+		s.settle(Key{"note", id}, Outcome{Kind: Served}, ballot)
+		s.decide(Key{"note", id}, 0, Outcome{Kind: Served}, ballot)
 		now += time.Second
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if v := take(id, 2000); v != Yes {
-			t.Fatalf("%s: %v", id, v)
+		if verdict := take(id, 2000); verdict != Yes {
+			t.Fatalf("%s: %v", id, verdict)
 		}
 	}
-	if v := take("too much", 5000); v != Full {
-		t.Errorf("a fourth, with nothing to forget: %v", v)
+	if verdict := take("too much", 5000); verdict != Full {
+		t.Errorf("a fourth, with nothing to forget: %v", verdict)
 	}
 	settle("b")
 	settle("a")
-	if v := take("d", 4000); v != Yes {
-		t.Errorf("with bodies of two that are decided let go: %v", v)
+	if verdict := take("d", 4000); verdict != Yes {
+		t.Errorf("with bodies of two that are decided let go: %v", verdict)
 	}
-	if v := take("e", 1500); v != Yes {
-		t.Errorf("with an answer to forget: %v", v)
+	if verdict := take("e", 1500); verdict != Yes {
+		t.Errorf("with an answer to forget: %v", verdict)
 	}
-	held := func(id string) bool { e, _ := s.find(Key{"note", id}); return e != nil }
+	held := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
 	if held("b") || !held("a") || !held("c") || !held("d") {
 		t.Errorf("held: a %v, b %v, c %v, d %v; the oldest answer goes first, the undecided stay", held("a"), held("b"), held("c"), held("d"))
 	}
@@ -67,11 +67,11 @@
 	counts := map[string]int{}
 	const keys = 3000
 	for i := range keys {
-		k := Key{"note", fmt.Sprint(i)}
-		v := ChooseReplicas(k, "g0", group, 3)
+		key := Key{"note", fmt.Sprint(i)}
+		v := ChooseReplicas(key, "g0", group, 3)
 		shuffled := slices.Clone(group)
 		slices.Reverse(shuffled)
-		if again := ChooseReplicas(k, "g5", shuffled, 4); !slices.Equal(v, again) {
+		if again := ChooseReplicas(key, "g5", shuffled, 4); !slices.Equal(v, again) {
 			t.Fatalf("%v, and by another gateway %v", v, again)
 		}
 		if len(v) != 3 || v[0].Zone == v[1].Zone || v[1].Zone == v[2].Zone || v[0].Zone == v[2].Zone {
@@ -99,30 +99,30 @@
 func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
 	var at atomic.Int64
 	at.Store(int64(time.Hour))
-	c := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
-		Forgets: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(at.Load()) }})
-	defer c.Close()
+	r := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
+		RecoveryWindow: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(at.Load()) }})
+	defer r.Close()
 	ask := func(key string) Verdict {
-		r := Record{Key: Key{"log", fmt.Sprint(at.Load(), key)}, ID: "x", IdempotencyKey: key, Left: time.Second}
-		return c.record(recordMsg{Record: r, By: Ballot{Number: 1, Owner: "B", Incarnation: 1}, Incarnation: 7}).Verdict
+		record := Record{Key: Key{"log", fmt.Sprint(at.Load(), key)}, ID: "x", IdempotencyKey: key, TimeLeft: time.Second}
+		return r.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
 	}
-	if v := ask("k"); v != Yes {
-		t.Errorf("before anybody said anything: %v", v)
+	if verdict := ask("k"); verdict != Yes {
+		t.Errorf("before anybody said anything: %v", verdict)
 	}
-	body, err := peering.Encode(incarnationsMsg{Ago: 2 * time.Second})
+	body, err := peering.Encode(incarnationNotice{Ago: 2 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
-	if v := ask("k"); v != OtherIncarnation {
-		t.Errorf("2 s after its earlier life: %v", v)
+	r.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
+	if verdict := ask("k"); verdict != OtherIncarnation {
+		t.Errorf("2 s after its earlier life: %v", verdict)
 	}
-	if v := ask(""); v != Yes {
-		t.Errorf("a call without a key: %v", v)
+	if verdict := ask(""); verdict != Yes {
+		t.Errorf("a call without a key: %v", verdict)
 	}
 	at.Add(int64(3*time.Second + 1))
-	if v := ask("k"); v != Yes {
-		t.Errorf("once no repeat can come: %v", v)
+	if verdict := ask("k"); verdict != Yes {
+		t.Errorf("once no repeat can come: %v", verdict)
 	}
 }
 
@@ -132,43 +132,43 @@
 	now := time.Hour
 	clock := func() time.Duration { return now }
 	other, self := newStore(clock, time.Minute, 1<<20), newStore(clock, time.Minute, 1<<20)
-	b := Ballot{Number: 1, Owner: "A", Incarnation: 1}
+	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
 	replicas := []Gateway{{Name: "A", Incarnation: 1}, {Name: "B", Incarnation: 2}, {Name: "C", Incarnation: 3}}
 	rec := func(id, repeats string) Record {
-		return Record{Key: Key{"log", id}, ID: id, IdempotencyKey: repeats, Body: []byte("body"), Left: time.Second, Replicas: replicas}
+		return Record{Key: Key{"log", id}, ID: id, IdempotencyKey: repeats, Body: []byte("body"), TimeLeft: time.Second, Replicas: replicas}
 	}
 	for i := range 5 {
 		id := fmt.Sprint("k", i)
-		if v, _ := other.record(rec(id, id), b); v != Yes || other.intend(Key{"log", id}, Intent{By: b, ID: id}) != Yes {
-			t.Fatal(v)
+		if verdict, _ := other.record(rec(id, id), ballot); verdict != Yes || other.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Yes {
+			t.Fatal(verdict)
 		}
 	}
-	other.record(rec("nothing allowed", "nothing allowed"), b)
-	other.record(rec("no key", ""), b)
+	other.record(rec("nothing allowed", "nothing allowed"), ballot)
+	other.record(rec("no key", ""), ballot)
 	elsewhere := rec("elsewhere", "elsewhere")
 	elsewhere.Replicas = replicas[:1]
-	other.record(elsewhere, b)
-	other.settle(Key{"log", "k0"}, Outcome{Kind: Rejected, NotRun: true}, b)
-	other.decide(Key{"log", "k0"}, 0, Outcome{Kind: Rejected, NotRun: true}, b)
-	other.settle(Key{"log", "k1"}, Outcome{Kind: Served, Body: []byte("answer")}, b)
-	other.decide(Key{"log", "k1"}, 0, Outcome{Kind: Served, Body: []byte("answer")}, b)
+	other.record(elsewhere, ballot)
+	other.settle(Key{"log", "k0"}, Outcome{Kind: Rejected, NotRun: true}, ballot)
+	other.decide(Key{"log", "k0"}, 0, Outcome{Kind: Rejected, NotRun: true}, ballot)
+	other.settle(Key{"log", "k1"}, Outcome{Kind: Served, Body: []byte("answer")}, ballot)
+	other.decide(Key{"log", "k1"}, 0, Outcome{Kind: Served, Body: []byte("answer")}, ballot)
 	now += 100 * time.Millisecond
 	own := rec("k4", "k4")
 	own.ID = "voted in this life"
-	self.record(own, b)
+	self.record(own, ballot)
 	var from Key
 	told := 0
 	for more := true; more; {
 		var page []Entry
-		page, more = other.votes("B", from, 1700)
-		for _, e := range page {
-			if len(e.Record.Body) > 0 || e.Record.Left != 900*time.Millisecond {
-				t.Errorf("told %+v", e)
+		page, more = other.recoverable("B", from, 1700)
+		for _, entry := range page {
+			if len(entry.Record.Body) > 0 || entry.Record.TimeLeft != 900*time.Millisecond {
+				t.Errorf("told %+v", entry)
 			}
-			if !self.remember(e) || !self.remember(e) {
+			if !self.addRecovered(entry) || !self.addRecovered(entry) {
 				t.Fatal("no room")
 			}
-			from, told = e.Record.Key, told+1
+			from, told = entry.Record.Key, told+1
 		}
 	}
 	if told != 5 {
@@ -179,28 +179,28 @@
 		gen  uint32
 		want Verdict
 	}{{"k0", 0, Duplicate}, {"k1", 0, Duplicate}, {"k2", 0, Duplicate}, {"k0", 1, Yes}, {"k1", 1, Duplicate}, {"k4", 1, Duplicate}, {"elsewhere", 0, Yes}} {
-		r := rec(c.id, c.id)
-		r.ID, r.Gen = "another call", c.gen
-		if v, _ := self.record(r, Ballot{Number: 1, Owner: "C", Incarnation: 3}); v != c.want {
-			t.Errorf("another call of %s, generation %d: %v, want %v", c.id, c.gen, v, c.want)
+		record := rec(c.id, c.id)
+		record.ID, record.Generation = "another call", c.gen
+		if verdict, _ := self.record(record, Ballot{Number: 1, Owner: "C", Incarnation: 3}); verdict != c.want {
+			t.Errorf("another call of %s, generation %d: %v, want %v", c.id, c.gen, verdict, c.want)
 		}
 	}
-	if e, _ := self.find(Key{"log", "k4"}); e == nil || e.Record.ID != "voted in this life" {
-		t.Errorf("what this life voted for is now %+v", e)
+	if entry, _ := self.lookup(Key{"log", "k4"}); entry == nil || entry.Record.ID != "voted in this life" {
+		t.Errorf("what this life voted for is now %+v", entry)
 	}
-	if e, _ := self.find(Key{"log", "k1"}); e == nil || !e.Decided || string(e.Outcome.Body) != "answer" {
-		t.Errorf("the answer is not known: %+v", e)
+	if entry, _ := self.lookup(Key{"log", "k1"}); entry == nil || !entry.Decided || string(entry.Outcome.Body) != "answer" {
+		t.Errorf("the answer is not known: %+v", entry)
 	}
-	if e, _ := self.find(Key{"log", "k2"}); e == nil || e.Decided || !e.Recovered {
-		t.Errorf("what is undecided is %+v", e)
+	if entry, _ := self.lookup(Key{"log", "k2"}); entry == nil || entry.Decided || !entry.Recovered {
+		t.Errorf("what is undecided is %+v", entry)
 	}
 	now += time.Second
 	if lost, _ := self.orphans("B", func(*Entry, time.Duration) bool { return false }); len(lost) > 2 { // k4, and k0's next one
 		t.Errorf("it would claim what it is no voter of: %v", lost)
 	}
 	small := newStore(clock, time.Minute, 700)
-	page, _ := other.votes("B", Key{}, 1<<20)
-	if small.remember(page[0]) && small.remember(page[1]) && small.remember(page[2]) {
+	page, _ := other.recoverable("B", Key{}, 1<<20)
+	if small.addRecovered(page[0]) && small.addRecovered(page[1]) && small.addRecovered(page[2]) {
 		t.Error("more was remembered than there is room for")
 	}
 }
@@ -209,21 +209,21 @@
 func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
 	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
-	first := Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 1}
-	successor := Ballot{Number: 2, Owner: "B", Incarnation: 2, Call: 1}
-	next := Ballot{Number: 1, Owner: "A", Incarnation: 1, Call: 2}
+	first := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
+	successor := Ballot{Number: 2, Owner: "B", Incarnation: 2, Sequence: 1}
+	next := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 2}
 	refused := Outcome{Kind: Rejected, NotRun: true}
-	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", Left: time.Minute}, first)
+	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
 	s.settle(key, refused, first)
-	if v, _ := s.record(Record{Key: key, Gen: 1, ID: "next", IdempotencyKey: "k", Left: time.Minute}, next); v != Yes {
-		t.Fatalf("what was refused is asked for anew: %v", v)
+	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Yes {
+		t.Fatalf("what was refused is asked for anew: %v", verdict)
 	}
 	s.decide(key, 0, refused, successor)
-	if v := s.intend(key, Intent{By: next, ID: "next"}); v != Yes {
-		t.Errorf("an attempt of the next call, once the first is told to be refused: %v", v)
+	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Yes {
+		t.Errorf("an attempt of the next call, once the first is told to be refused: %v", verdict)
 	}
 	s.decide(key, 1, Outcome{Kind: Served}, next)
-	if e, _ := s.find(key); !e.Decided || e.Outcome.Kind != Served {
-		t.Errorf("the next call's own decision: %+v", e)
+	if entry, _ := s.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
+		t.Errorf("the next call's own decision: %+v", entry)
 	}
 }
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -9,81 +9,81 @@
 )
 
 // CheckOrphans has it look for requests that nobody has in hand, now rather than soon: a link has ended.
-func (c *Replicator) CheckOrphans() {
+func (r *Replicator) CheckOrphans() {
 	select {
-	case c.kick <- struct{}{}:
+	case r.checkNow <- struct{}{}:
 	default:
 	}
 }
 
 // watch looks for requests that nobody has in hand, and claims them, each in a task of its own.
-func (c *Replicator) watch() {
-	t := time.NewTimer(restEvery)
-	defer t.Stop()
+func (r *Replicator) watchOrphans() {
+	timer := time.NewTimer(idleCheckInterval)
+	defer timer.Stop()
 	for {
 		select {
-		case <-c.ctx.Done():
+		case <-r.ctx.Done():
 			return
-		case <-c.kick:
-		case <-t.C:
+		case <-r.checkNow:
+		case <-timer.C:
 		}
-		c.orphanCheck()
-		lost, open := c.store.orphans(c.o.Self.Name, c.ownerAlive)
-		for _, k := range lost {
-			c.tasks.Go(func() { c.takeOver(k) })
+		r.observeGroup()
+		lost, open := r.store.orphans(r.options.Self.Name, r.ownerAlive)
+		for _, key := range lost {
+			r.tasks.Go(func() { r.takeOver(key) })
 		}
 		if open {
-			t.Reset(orphanCheckInterval)
+			timer.Reset(orphanCheckInterval)
 		} else {
-			t.Reset(restEvery)
+			timer.Reset(idleCheckInterval)
 		}
 	}
 }
 
 // takeOver claims a request that nobody has in hand, and goes on with it.
-func (c *Replicator) takeOver(k Key) {
-	defer c.store.release(k)
-	e, _ := c.store.find(k)
-	if e == nil || e.Decided {
+func (r *Replicator) takeOver(key Key) {
+	defer r.store.endClaim(key)
+	entry, _ := r.store.lookup(key)
+	if entry == nil || entry.Decided {
 		return
 	}
-	r := e.Record
-	ctx, cancel := context.WithTimeout(c.ctx, max(r.Left, pollLimit))
+	record := entry.Record
+	ctx, cancel := context.WithTimeout(r.ctx, max(record.TimeLeft, quorumTimeout))
 	defer cancel()
-	by := c.ballot(e.Promised.Number + 1)
-	yes, no := c.collect(ctx, r.Replicas, topicClaim, func(v Gateway) any { return recordMsg{r, by, v.Incarnation} })
-	for _, w := range no {
-		if w.Entry != nil && w.Entry.Decided {
-			c.store.decide(k, r.Gen, *w.Entry.Outcome, w.Entry.At) // a later request of the key says what became of it, too
+	ballot := r.newBallot(entry.Promised.Number + 1)
+	accepted, rejected := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any { return recordRequest{record, ballot, replica.Incarnation} })
+	for _, reply := range rejected {
+		if reply.Entry != nil && reply.Entry.Decided {
+			r.store.decide(key, record.Generation, *reply.Entry.Outcome, reply.Entry.AcceptedBy) // a later request of the key says what became of it, too
 			return
 		}
 	}
-	if len(yes) < Majority(len(r.Replicas)) {
-		clock.Sleep(ctx, ClaimRetryDelay(r.Left))
+	if len(accepted) < Majority(len(record.Replicas)) {
+		clock.Sleep(ctx, ClaimRetryDelay(record.TimeLeft))
 		return
 	}
-	c.count(func(n *Counts) { n.Claimed++ })
+	r.count(func(n *Counts) { n.Claimed++ })
 	fault.Point("custody.claimed")
 	var entries []Entry
-	for _, w := range yes {
-		entries = append(entries, *w.Entry)
+	for _, reply := range accepted {
+		entries = append(entries, *reply.Entry)
 	}
-	replicas := r.Replicas
-	r, intents, outcome := Merge(entries)
-	r.Replicas = replicas
-	w, err := c.begin(ctx, r, by, intents)
+	replicas := record.Replicas
+	record, intents, outcome := Merge(entries)
+	record.Replicas = replicas
+	w, err := r.register(ctx, record, ballot, intents)
 	if err != nil {
 		return
 	}
-	c.o.Log.Info("request is taken over", "class", r.Key.Class, "id", r.ID, "from", e.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
+	r.options.Log.Info("request is taken over", "class", record.Key.Class, "id", record.ID, "from", entry.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
-		err := w.finish(ctx, *outcome)
-		w.done()
+		err := w.settle(ctx, *outcome)
+		w.unregister()
 		if err != nil {
 			clock.Sleep(ctx, claimRetryDelay)
 		}
 		return
 	}
-	c.count(func(n *Counts) { n.Resumed++ })
+	r.count(func(n *Counts) { n.Resumed++ })
 	w.run(ctx)
 }
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -11,41 +11,41 @@
 
 // Work is a request that this gateway has in hand.
 type Work struct {
-	c       *Replicator
-	r       Record
-	by      Ballot
-	earlier []Intent
-	until   time.Duration // its client's deadline
-	serve   bool
-	fenced  chan struct{} // closed once another has it in hand, or had its key before
-
-	mu    sync.Mutex
-	lost  error // why this gateway has the request in hand no more; nil: it has
-	yes   int   // replicas that have taken its record
-	taken int   // replicas that have another request of its key in hand, and
-	full  int   // such as have no room
+	replicator   *Replicator
+	record       Record
+	ballot       Ballot
+	priorIntents []Intent
+	deadline     time.Duration // its client's deadline
+	serveAlone   bool
+	fenced       chan struct{} // closed once another has it in hand, or had its key before
+
+	mu         sync.Mutex
+	fenceErr   error // why this gateway has the request in hand no more; nil: it has
+	accepted   int   // replicas that have taken its record
+	duplicates int   // replicas that have another request of its key in hand, and
+	rejected   int   // such as have no room
 }
 
 // begin notes that a request is in this gateway's hand.
-func (c *Replicator) begin(ctx context.Context, r Record, by Ballot, earlier []Intent) (*Work, error) {
-	w := &Work{c: c, r: r, by: by, earlier: earlier, until: c.o.Now() + r.Left, fenced: make(chan struct{})}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.works[r.Key] != nil {
+func (r *Replicator) register(ctx context.Context, record Record, ballot Ballot, priorIntents []Intent) (*Work, error) {
+	w := &Work{replicator: r, record: record, ballot: ballot, priorIntents: priorIntents, deadline: r.options.Now() + record.TimeLeft, fenced: make(chan struct{})}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.active[record.Key] != nil {
 		return nil, ErrDuplicate
 	}
-	if c.ctx.Err() != nil || c.ending && by.Number == 1 {
+	if r.ctx.Err() != nil || r.draining && ballot.Number == 1 {
 		return nil, ErrAlone
 	}
-	c.works[r.Key] = w
+	r.active[record.Key] = w
 	return w, nil
 }
 
-func (w *Work) done() {
-	w.c.mu.Lock()
-	defer w.c.mu.Unlock()
-	if w.c.works[w.r.Key] == w {
-		delete(w.c.works, w.r.Key)
+func (w *Work) unregister() {
+	w.replicator.mu.Lock()
+	defer w.replicator.mu.Unlock()
+	if w.replicator.active[w.record.Key] == w {
+		delete(w.replicator.active, w.record.Key)
 	}
 }
 
@@ -53,28 +53,28 @@
 func (w *Work) fence(why error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lost == nil {
-		w.lost = why
+	if w.fenceErr == nil {
+		w.fenceErr = why
 		close(w.fenced)
 	}
 }
 
 // recorded takes a replica's word on the record. Once no majority can take it, nothing of it begins any more.
-func (w *Work) recorded(said replicaReply) {
+func (w *Work) countRecordReply(reply replicaReply) {
 	w.mu.Lock()
-	switch said.Verdict {
+	switch reply.Verdict {
 	case Yes:
-		if w.yes++; w.yes == Majority(len(w.r.Replicas)) {
+		if w.accepted++; w.accepted == Majority(len(w.record.Replicas)) {
 			defer fault.Point("custody.recorded")
 		}
 	case Duplicate, Higher:
-		w.taken++
+		w.duplicates++
 	case Full, OtherIncarnation, Unknown:
-		w.full++
+		w.rejected++
 	}
-	lost := w.taken+w.full > len(w.r.Replicas)-Majority(len(w.r.Replicas))
+	lost := w.duplicates+w.rejected > len(w.record.Replicas)-Majority(len(w.record.Replicas))
 	why := ErrFull
-	if w.taken > 0 {
+	if w.duplicates > 0 {
 		why = ErrDuplicate
 	}
 	w.mu.Unlock()
@@ -84,54 +84,54 @@
 }
 
 // why is what a request that is fenced comes to here.
-func (w *Work) why() error {
+func (w *Work) fenceReason() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lost
+	return w.fenceErr
 }
 
 // run is the request's story from here on, the same for whoever has it in hand: it is run, settled and told.
 func (w *Work) run(ctx context.Context) (Outcome, error) {
-	defer w.done()
+	defer w.unregister()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(w.c.ctx, cancel)
+	stop := context.AfterFunc(w.replicator.ctx, cancel)
 	defer stop()
-	w.c.tasks.Go(func() {
+	w.replicator.tasks.Go(func() {
 		select {
 		case <-w.fenced:
 			cancel()
 		case <-ctx.Done():
 		}
 	})
-	out := w.c.o.Run(ctx, &w.r, w.earlier, w)
+	outcome := w.replicator.options.Run(ctx, &w.record, w.priorIntents, w)
 	fault.Point("custody.ran")
 	err := ErrUndecided // nobody waits for it any more, or this gateway ends
-	if w.isOver() {
-		w.c.count(func(n *Counts) { n.Fenced++ })
-		err = w.why()
-	} else if out.Kind != 0 {
-		if err = w.finish(ctx, out); err == nil {
-			return out, nil
+	if w.isFenced() {
+		w.replicator.count(func(n *Counts) { n.Fenced++ })
+		err = w.fenceReason()
+	} else if outcome.Kind != 0 {
+		if err = w.settle(ctx, outcome); err == nil {
+			return outcome, nil
 		}
 	}
-	if errors.Is(err, ErrFull) || errors.Is(err, ErrDuplicate) && w.by.Number == 1 {
+	if errors.Is(err, ErrFull) || errors.Is(err, ErrDuplicate) && w.ballot.Number == 1 {
 		w.withdraw()
 	}
-	w.release()
-	if out.Live != nil {
-		out.Live.Discard()
+	w.relinquish()
+	if outcome.Live != nil {
+		outcome.Live.Discard()
 	}
 	return Outcome{}, err
 }
 
 // broadcast says something of the request to all its replicas, without waiting; own is what this gateway takes of it, if it is one of them.
-func (w *Work) broadcast(topic string, n int, own func(*store)) {
-	for _, v := range w.r.Replicas {
-		if v.Name == w.c.o.Self.Name {
-			own(w.c.store)
-		} else if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Incarnation == v.Incarnation {
-			l.Tell(topic, endedMsg{w.r.Key, w.by, n})
+func (w *Work) notifyAll(topic string, n int, own func(*store)) {
+	for _, replica := range w.record.Replicas {
+		if replica.Name == w.replicator.options.Self.Name {
+			own(w.replicator.store)
+		} else if link := w.replicator.options.Links.To(replica.Name); link != nil && link.Peer.Incarnation == replica.Incarnation {
+			link.Tell(topic, ownerNotice{w.record.Key, w.ballot, n})
 		}
 	}
 }
@@ -139,56 +139,56 @@
 // withdraw tells replicas that nothing of a request was begun and nothing will be: other replicas of its key had no room for it or hold
 // another request. Who has taken its record, and no intent behind it, releases it, so that the key is free to be taken again.
 func (w *Work) withdraw() {
-	w.broadcast(topicDrop, 0, func(s *store) { s.withdraw(w.r.Key, w.by) })
+	w.notifyAll(topicWithdraw, 0, func(s *store) { s.withdraw(w.record.Key, w.ballot) })
 }
 
 // release tells replicas that this gateway has the request in hand no more, so that one of them may claim it.
-func (w *Work) release() {
-	w.broadcast(topicHand, 0, func(s *store) { s.hand(w.r.Key, w.by) })
+func (w *Work) relinquish() {
+	w.notifyAll(topicRelinquish, 0, func(s *store) { s.relinquish(w.record.Key, w.ballot) })
 }
 
-// Left is the time until the request's deadline.
-func (w *Work) Left() time.Duration { return w.until - w.c.o.Now() }
+// TimeLeft is the time until the request's deadline.
+func (w *Work) TimeLeft() time.Duration { return w.deadline - w.replicator.options.Now() }
 
 // Intend has an attempt allowed by a majority of the replicas; false: it must not begin. It is called when the connection is up
 // and its first byte is written next.
-func (w *Work) Intend(ctx context.Context, in Intent) bool {
-	in.By, in.ID = w.by, w.r.ID
+func (w *Work) Intend(ctx context.Context, intent Intent) bool {
+	intent.Ballot, intent.ID = w.ballot, w.record.ID
 	for {
-		if w.isOver() {
+		if w.isFenced() {
 			return false
 		}
 		asked := time.Now()
-		limit, cancel := context.WithTimeout(ctx, min(pollLimit, max(w.Left(), 0)))
-		yes, no := w.c.collect(limit, w.r.Replicas, topicIntend, func(v Gateway) any { return intendMsg{w.r.Key, in, v.Incarnation} })
+		quorumCtx, cancel := context.WithTimeout(ctx, min(quorumTimeout, max(w.TimeLeft(), 0)))
+		accepted, rejected := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicIntend, func(replica Gateway) any { return intentRequest{w.record.Key, intent, replica.Incarnation} })
 		cancel()
-		if len(yes) < Majority(len(w.r.Replicas)) {
-			for _, said := range no {
-				if said.Verdict == Higher || said.Verdict == Duplicate {
+		if len(accepted) < Majority(len(w.record.Replicas)) {
+			for _, reply := range rejected {
+				if reply.Verdict == Higher || reply.Verdict == Duplicate {
 					w.fence(ErrDuplicate)
 				}
 			}
 			return false
 		}
 		fault.Point("custody.intended")
-		if time.Since(asked) < w.fresh() {
-			return !w.isOver()
+		if time.Since(asked) < w.maxIntentAge() {
+			return !w.isFenced()
 		}
 	}
 }
 
 // fresh is how old an intent may be. Where replicas are far the way to them counts.
-func (w *Work) fresh() time.Duration {
-	d := w.c.o.Fresh
-	for _, v := range w.r.Replicas {
-		if l := w.c.o.Links.To(v.Name); l != nil {
-			d = max(d, 4*l.RTT())
+func (w *Work) maxIntentAge() time.Duration {
+	age := w.replicator.options.MaxIntentAge
+	for _, replica := range w.record.Replicas {
+		if link := w.replicator.options.Links.To(replica.Name); link != nil {
+			age = max(age, 4*link.RTT())
 		}
 	}
-	return d
+	return age
 }
 
-func (w *Work) isOver() bool {
+func (w *Work) isFenced() bool {
 	select {
 	case <-w.fenced:
 		return true
@@ -197,37 +197,37 @@
 	}
 }
 
-// Ended tells replicas that an attempt has ended and has not run. Whether they hear of it decides nothing.
-func (w *Work) Ended(n int) {
-	w.broadcast(topicEnded, n, func(s *store) { s.ended(w.r.Key, w.by, n) })
+// AttemptNotRun tells replicas that an attempt has ended and has not run. Whether they hear of it decides nothing.
+func (w *Work) AttemptNotRun(n int) {
+	w.notifyAll(topicEnded, n, func(s *store) { s.markNotRun(w.record.Key, w.ballot, n) })
 }
 
 // finish has the outcome taken by a majority of the replicas, and then tells all of them that it was.
-func (w *Work) finish(ctx context.Context, out Outcome) error {
-	out.Live = nil
-	limit, cancel := context.WithTimeout(ctx, max(min(pollLimit, w.Left()), claimRetryDelay))
+func (w *Work) settle(ctx context.Context, outcome Outcome) error {
+	outcome.Live = nil
+	quorumCtx, cancel := context.WithTimeout(ctx, max(min(quorumTimeout, w.TimeLeft()), claimRetryDelay))
 	defer cancel()
-	yes, no := w.c.collect(limit, w.r.Replicas, topicSettle, func(v Gateway) any {
-		return settleMsg{Key: w.r.Key, Gen: w.r.Gen, Outcome: out, By: w.by, Incarnation: v.Incarnation}
+	accepted, rejected := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicSettle, func(replica Gateway) any {
+		return settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot, ReplicaIncarnation: replica.Incarnation}
 	})
-	if len(yes) < Majority(len(w.r.Replicas)) {
-		for _, said := range no {
-			if said.Verdict == Higher || said.Verdict == Duplicate {
+	if len(accepted) < Majority(len(w.record.Replicas)) {
+		for _, reply := range rejected {
+			if reply.Verdict == Higher || reply.Verdict == Duplicate {
 				w.fence(ErrDuplicate)
-				w.c.count(func(n *Counts) { n.Fenced++ })
+				w.replicator.count(func(n *Counts) { n.Fenced++ })
 				return ErrDuplicate
 			}
 		}
-		if w.serve {
+		if w.serveAlone {
 			return nil // what this gives up is said with when_alone
 		}
 		return ErrUndecided
 	}
 	fault.Point("custody.settled")
-	w.c.store.decide(w.r.Key, w.r.Gen, out, w.by)
-	for _, v := range w.r.Replicas {
-		if l := w.c.o.Links.To(v.Name); l != nil && l.Peer.Incarnation == v.Incarnation {
-			l.Tell(topicDecide, settleMsg{Key: w.r.Key, Gen: w.r.Gen, Outcome: out, By: w.by})
+	w.replicator.store.decide(w.record.Key, w.record.Generation, outcome, w.ballot)
+	for _, replica := range w.record.Replicas {
+		if link := w.replicator.options.Links.To(replica.Name); link != nil && link.Peer.Incarnation == replica.Incarnation {
+			link.Tell(topicDecide, settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot})
 		}
 	}
 	return nil
