--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -51,3 +51,18 @@
 		Entry   *Entry  `cbor:"2,keyasint,omitempty"`
 	}
 )
+
+const topicRecover = "custody.recall"
+
+type (
+	recoverRequest struct {
+		Name  string `cbor:"1,keyasint"` // whose votes are asked for
+		After Key    `cbor:"2,keyasint"` // of the keys behind this one
+	}
+	recoverReply struct {
+		Entries        []Entry  `cbor:"1,keyasint,omitempty"` // of keys, without what was asked for, and with answers that are decided
+		More           bool     `cbor:"2,keyasint,omitempty"`
+		RecentGateways []string `cbor:"3,keyasint,omitempty"` // gateways of the group that lived lately, as this one knows
+		Recovering     bool     `cbor:"4,keyasint,omitempty"` // this one has forgotten, too
+	}
+)
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -114,23 +114,3 @@
 		}
 	})
 }
-
-// ownerAlive says that whoever has a request in hand is heard here, lately enough for the time that the request has left.
-func (r *Replicator) ownerAlive(entry *Entry, timeLeft time.Duration) bool {
-	ballot := entry.Promised
-	if ballot.Owner == r.options.Self.Name {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		w := r.active[entry.Record.Key]
-		return ballot.Incarnation == r.options.Self.Incarnation && w != nil && w.ballot == ballot && !w.isFenced()
-	}
-	link := r.options.Links.To(ballot.Owner)
-	if link == nil || link.Peer.Incarnation != ballot.Incarnation {
-		return false
-	}
-	quiet := link.Quiet()
-	if quiet < 2*r.options.Heartbeat {
-		return true // whatever the request, it is soon enough
-	}
-	return quiet < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(r.options.Step(&entry.Record, entry.Intents, timeLeft)))
-}
--- /dev/null
+++ b/internal/replication/take.go
@@ -0,0 +1,48 @@
+package replication
+
+import (
+	"context"
+	"errors"
+	"time"
+)
+
+// Take has a request recorded and carried out, and returns its outcome once a majority of its replicas has taken that. serve
+// says that where replicas are lost on the way the outcome is told all the same. window is how long others could have taken the
+// same key before the group changed. With ErrAlone, ErrFull and ErrNoAnswer nothing was begun; ErrDuplicate says to Await the answer.
+func (r *Replicator) Take(ctx context.Context, record Record, serve bool, window time.Duration) (Outcome, error) {
+	group := r.observeGroup()
+	record.Owner = r.options.Self
+	record.Replicas = ChooseReplicas(record.Key, r.options.Self.Name, group, r.options.Replicas)
+	if record.IdempotencyKey != "" && r.options.Now()-r.groupChangedAt() < window {
+		// The replicas of a key may be others than those that took it: all are asked once.
+		_, generation, err := r.queryGroup(ctx, record.Key, 0)
+		if errors.Is(err, ErrNoAnswer) {
+			return Outcome{}, err
+		}
+		if !errors.Is(err, ErrUnknown) && generation >= record.Generation {
+			return Outcome{}, ErrDuplicate
+		}
+	}
+	reached := 0
+	for _, replica := range record.Replicas {
+		if replica.Name == r.options.Self.Name || r.options.Links.To(replica.Name) != nil {
+			reached++
+		}
+	}
+	if len(record.Replicas) == 0 || reached < Majority(len(record.Replicas)) {
+		r.count(func(n *Counts) { n.Alone++ })
+		return Outcome{}, ErrAlone
+	}
+	if entry, _ := r.store.lookup(record.Key); entry != nil && entry.Record.Generation >= record.Generation {
+		return Outcome{}, ErrDuplicate // whether or not it is a replica of the key now
+	}
+	w, err := r.register(ctx, record, r.newBallot(1), nil)
+	if err != nil {
+		return Outcome{}, err
+	}
+	w.serveAlone = serve
+	r.count(func(n *Counts) { n.Taken++ })
+	// The record is on its way; the first intent follows it over the same links, and is not taken where the record was not.
+	w.requestAll(topicRecord, func(replica Gateway) any { return recordRequest{record, w.ballot, replica.Incarnation} }, w.countRecordReply)
+	return w.run(ctx)
+}
