--- a/internal/replication/acceptor.go
+++ b/internal/replication/acceptor.go
@@ -2,31 +2,38 @@
 
 import "slices"
 
-// Verdict is a replica's word.
+// The rules of a replica as an acceptor (Lamport 2001, phases 1b and 2b), with an Entry for its state. Two invariants hold at each
+// replica, and with the majorities that Work and Replicator ask for they make up what the package promises:
+//
+//   - Promised only rises: nothing is accepted by a ballot below it.
+//   - A first ballot, for which nobody asked a majority, is accepted only where the record came with that ballot.
+
+// Verdict is a replica's reply to a record, an intent, an outcome or a claim.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Yes              Verdict = iota + 1
-	Higher                   // a higher ballot was promised
-	Duplicate                // another request has this key, or the request's outcome is decided
-	OwnerAlive               // whoever has the request in hand is heard here
-	Unknown                  // this replica has taken no such request
-	Full                     // there is no room
-	OtherIncarnation         // the replica is not of this incarnation: it may have forgotten what it had taken
+	Yes              Verdict = iota + 1 // accepted or, to a claim, promised
+	Higher                              // a higher ballot was promised
+	Duplicate                           // another request has this key, or the request's outcome is decided
+	OwnerAlive                          // the request's owner is heard here
+	Unknown                             // this replica has accepted no such record
+	Full                                // there is no capacity
+	OtherIncarnation                    // the replica is of another incarnation: it may have forgotten what it had accepted
 )
 
 var verdicts = [...]string{"", "yes", "higher", "known", "heard", "unknown", "full", "another life"}
 
-func (verdict Verdict) String() string { return verdicts[min(int(verdict), len(verdicts)-1)] }
+// String is the verdict in the words of the design page.
+func (v Verdict) String() string { return verdicts[min(int(v), len(verdicts)-1)] }
 
-// MayRecord says whether a replica that has e of this key (nil: nothing) takes a record by its owner's ballot.
+// MayRecord says whether a replica with this entry of the key (nil: none) accepts a record by its owner's ballot.
 func MayRecord(entry *Entry, record *Record, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
 		return Yes
 	case record.Generation > entry.Record.Generation && entry.Outcome != nil && entry.Outcome.Kind == Rejected:
-		return Yes // what was refused may be asked for anew
+		return Yes // a key whose request was rejected may be used anew
 	case record.Generation != entry.Record.Generation || record.Owner != entry.Record.Owner || record.ID != entry.Record.ID:
 		return Duplicate
 	case ballot.Compare(entry.Promised) < 0:
@@ -35,18 +42,18 @@
 	return Yes
 }
 
-// ballotVerdict says whether a replica goes by a ballot now.
+// ballotVerdict says whether a replica accepts by a ballot now.
 func ballotVerdict(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case ballot.Compare(entry.Promised) < 0:
 		return Higher
 	case ballot.Number == 1 && ballot != entry.Promised:
-		return Duplicate // another owner's: a first ballot was promised by nobody who did not take its record
+		return Duplicate // another owner's: a first ballot is promised only by accepting its record
 	}
 	return Yes
 }
 
-// MayIntend says whether a replica takes an intent.
+// MayIntend says whether a replica accepts an intent by a ballot.
 func MayIntend(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
@@ -57,7 +64,7 @@
 	return ballotVerdict(entry, ballot)
 }
 
-// MaySettle says whether a replica takes an outcome. One that is decided stays.
+// MaySettle says whether a replica accepts an outcome by a ballot. One that is decided stays.
 func MaySettle(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
@@ -68,40 +75,48 @@
 	return ballotVerdict(entry, ballot)
 }
 
-// MayClaim says whether a replica promises a ballot. heard: whoever has the request in hand now has a link to this replica, and
-// has not given the request out of hand.
-func MayClaim(entry *Entry, ballot Ballot, heard bool) Verdict {
+// MayClaim says whether a replica promises a ballot. ownerHeard: the owner has a link to this replica, and has not given the
+// request up.
+func MayClaim(entry *Entry, ballot Ballot, ownerHeard bool) Verdict {
 	switch {
 	case entry == nil:
-		return Yes // it surely has taken nothing of this request
+		return Yes // it surely has accepted nothing of this request
 	case entry.Decided:
 		return Duplicate
 	case ballot.Compare(entry.Promised) <= 0:
 		return Higher
-	case heard:
+	case ownerHeard:
 		return OwnerAlive
 	}
 	return Yes
 }
 
-// MayWithdraw says whether a replica releases a request whose owner, by its first ballot, says that nothing of it was begun. An intent
-// that was taken comes before that word, for both go over one link.
+// MayWithdraw says whether a replica drops a request whose owner, by its first ballot, says that no attempt of it was begun. An
+// intent that was accepted comes before that notice, for both go over one link.
 func MayWithdraw(entry *Entry, ballot Ballot) bool {
-	return entry != nil && ballot.Number == 1 && entry.Promised == ballot && len(entry.Intents) == 0 && entry.Outcome == nil && !entry.Recovered
+	if entry == nil || entry.Recovered {
+		return false
+	}
+	if ballot.Number != 1 || entry.Promised != ballot {
+		return false
+	}
+	return len(entry.Intents) == 0 && entry.Outcome == nil
 }
 
-// TakeIntent notes an intent that MayIntend allows. One that is asked for again takes its own place.
-func (entry *Entry) TakeIntent(intent Intent) {
-	entry.Promised = intent.Ballot
-	i := slices.IndexFunc(entry.Intents, func(o Intent) bool { return o.Ballot == intent.Ballot && o.Attempt == intent.Attempt })
+// TakeIntent accepts an intent that MayIntend allows. One that is sent again replaces itself.
+func (e *Entry) TakeIntent(intent Intent) {
+	e.Promised = intent.Ballot
+	i := slices.IndexFunc(e.Intents, intent.sameAttempt)
 	if i < 0 {
-		entry.Intents = append(entry.Intents, intent)
-	} else {
-		entry.Intents[i] = intent
+		e.Intents = append(e.Intents, intent)
+		return
 	}
+	e.Intents[i] = intent
 }
 
-// TakeOutcome notes an outcome that MaySettle allows.
-func (entry *Entry) TakeOutcome(outcome Outcome, ballot Ballot) {
-	entry.Promised, entry.AcceptedBy, entry.Outcome = ballot, ballot, &outcome
+// TakeOutcome accepts an outcome that MaySettle allows.
+func (e *Entry) TakeOutcome(outcome Outcome, ballot Ballot) {
+	e.Promised = ballot
+	e.AcceptedBy = ballot
+	e.Outcome = &outcome
 }
--- a/internal/replication/quorum.go
+++ b/internal/replication/quorum.go
@@ -3,9 +3,53 @@
 import (
 	"context"
 	"fmt"
+
+	"damsontrestle/internal/peering"
 )
 
-// send asks replicas something without waiting; each word is told as it comes.
+// quorumReplies are what the replicas of one request have replied to one message.
+type quorumReplies struct {
+	quorum   int // how many have to accept
+	accepted []replicaReply
+	rejected []replicaReply
+}
+
+// reached says that a majority of the replicas has accepted.
+func (q *quorumReplies) reached() bool { return len(q.accepted) >= q.quorum }
+
+// superseded says that a replica goes by a higher ballot, or holds another request of the key or a decided outcome: the ballot
+// of the message is over.
+func (q *quorumReplies) superseded() bool {
+	for _, reply := range q.rejected {
+		if reply.Verdict == Higher || reply.Verdict == Duplicate {
+			return true
+		}
+	}
+	return false
+}
+
+// add counts one reply; nil stands for a replica that can't be reached.
+func (q *quorumReplies) add(reply *replicaReply) {
+	switch {
+	case reply == nil:
+	case reply.Verdict == Yes:
+		q.accepted = append(q.accepted, *reply)
+	default:
+		q.rejected = append(q.rejected, *reply)
+	}
+}
+
+// linkTo is the link to a replica in the incarnation that a record names; nil: there is none. A later incarnation is no replica
+// of the record, for it has forgotten what it had accepted.
+func (r *Replicator) linkTo(replica Gateway) *peering.Link {
+	link := r.options.Links.To(replica.Name)
+	if link == nil || link.Peer.Incarnation != replica.Incarnation {
+		return nil
+	}
+	return link
+}
+
+// requestAll sends a message to all replicas without waiting; onReply hears each reply as it comes, and must not block.
 func (w *Work) requestAll(topic string, message func(Gateway) any, onReply func(replicaReply)) {
 	r := w.replicator
 	for _, replica := range w.record.Replicas {
@@ -21,7 +65,7 @@
 	}
 }
 
-// localReply is this gateway's own word as a replica.
+// localReply is this gateway's own reply as a replica.
 func (r *Replicator) localReply(topic string, message any) replicaReply {
 	switch m := message.(type) {
 	case recordRequest:
@@ -37,11 +81,11 @@
 	panic(fmt.Sprintf("replication: no replica answers %s", topic)) // a defect of this package
 }
 
-// send sends a question to a replica. told hears its word once, on the link's reader, or nil where none comes; it must not block.
-// nil: the replica is not to be reached in the incarnation that the record names, and told hears nothing.
+// request sends a message to a replica. onReply hears its reply once, on the link's reader, or nil where none comes; it must not
+// block. nil: the replica can't be reached in the incarnation that the record names, and onReply hears nothing.
 func (r *Replicator) request(replica Gateway, topic string, message any, onReply func(*replicaReply)) (forget func()) {
-	link := r.options.Links.To(replica.Name)
-	if link == nil || link.Peer.Incarnation != replica.Incarnation {
+	link := r.linkTo(replica)
+	if link == nil {
 		return nil
 	}
 	forget, err := link.RequestAsync(topic, message, func(read func(any) error) {
@@ -58,8 +102,9 @@
 	return forget
 }
 
-// collect asks all replicas at once, and returns when enough of them have said yes, or can't any more, or ctx ends.
-func (r *Replicator) collectQuorum(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) (accepted, rejected []replicaReply) {
+// collectQuorum sends a message to all replicas at once. It returns once a majority has accepted, or none can any more and one
+// has said why, or all have replied, or ctx ends.
+func (r *Replicator) collectQuorum(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) quorumReplies {
 	replies := make(chan *replicaReply, len(replicas))
 	for _, replica := range replicas {
 		if replica.Name == r.options.Self.Name {
@@ -74,24 +119,21 @@
 		}
 		defer forget()
 	}
-	quorum := Majority(len(replicas))
-	for left := len(replicas); left > 0; left-- {
-		var reply *replicaReply
+	collected := quorumReplies{quorum: Majority(len(replicas))}
+	for missing := len(replicas) - 1; missing >= 0; missing-- {
 		select {
-		case reply = <-replies:
+		case reply := <-replies:
+			collected.add(reply)
 		case <-ctx.Done():
-			return accepted, rejected
+			return collected
 		}
-		switch {
-		case reply == nil:
-		case reply.Verdict == Yes:
-			accepted = append(accepted, *reply)
-		default:
-			rejected = append(rejected, *reply)
+		if collected.reached() {
+			return collected
 		}
-		if len(accepted) >= quorum || len(accepted)+left-1 < quorum && len(rejected) > 0 {
-			break
+		impossible := len(collected.accepted)+missing < collected.quorum
+		if impossible && len(collected.rejected) > 0 {
+			return collected
 		}
 	}
-	return accepted, rejected
+	return collected
 }
--- a/internal/replication/record.go
+++ b/internal/replication/record.go
@@ -12,6 +12,9 @@
 	Incarnation uint64 `cbor:"3,keyasint"` // 0: not known here, for there is no link to it
 }
 
+// sameName says that both are incarnations of one gateway.
+func (g Gateway) sameName(other Gateway) bool { return g.Name == other.Name }
+
 // Key is what a request is asked for by: its class, and its idempotency key or, without one, the id that its client gave it.
 type Key struct {
 	Class string `cbor:"1,keyasint"`
@@ -73,6 +76,11 @@
 	ID      string        `cbor:"9,keyasint"`           // of the record that it was for
 }
 
+// sameAttempt says that both intents are for one attempt by one ballot.
+func (i Intent) sameAttempt(other Intent) bool {
+	return i.Ballot == other.Ballot && i.Attempt == other.Attempt
+}
+
 // Kind says what an outcome is.
 type Kind uint8
 
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"maps"
 	"slices"
 	"time"
 
@@ -61,8 +60,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Now()
-	for name, l := range r.lostPeers {
-		if now-l.lostAt < r.options.RecoveryWindow() && !slices.Contains(reply.RecentGateways, name) {
+	for name, lost := range r.lostPeers {
+		if now-lost.lostAt < r.options.RecoveryWindow() && !slices.Contains(reply.RecentGateways, name) {
 			reply.RecentGateways = append(reply.RecentGateways, name)
 		}
 	}
@@ -94,32 +93,47 @@
 	}()
 	clock.Sleep(r.ctx, r.options.Silence-(r.options.Now()-r.started))
 	for r.ctx.Err() == nil && r.isRecovering() {
-		recoveries := map[string]Recovery{}
-		var entries []Entry
-		complete := true
-		for _, link := range r.options.Links.All() {
-			recovery, recovered, ok := r.recoverFrom(link)
-			complete = complete && ok
-			if ok {
-				recoveries[link.Peer.Name], entries = recovery, append(entries, recovered...)
-			}
-		}
-		// Nothing of it is kept unless it is complete: a key that is known to some of its replicas and to others not is taken by nobody.
-		if complete && HasRecovered(r.options.Self.Name, recoveries) && !slices.ContainsFunc(entries, func(entry Entry) bool { return !r.store.addRecovered(entry) }) {
-			r.mu.Lock()
-			for name := range maps.Keys(recoveries) {
-				r.recoveredFrom[name] = true
-			}
-			r.recoverUntil = 0
-			r.counts.Recovered++
-			r.mu.Unlock()
-			r.options.Log.Info("votes of an earlier incarnation are recovered", "by", len(recoveries))
+		if r.tryRecovery() {
 			return
 		}
 		clock.Sleep(r.ctx, recoverRetryDelay)
 	}
 }
 
+// tryRecovery asks each gateway of the group once. It reports whether this one knows all of its earlier votes now.
+func (r *Replicator) tryRecovery() bool {
+	recoveries := map[string]Recovery{}
+	var entries []Entry
+	complete := true
+	for _, link := range r.options.Links.All() {
+		recovery, recovered, ok := r.recoverFrom(link)
+		if !ok {
+			complete = false
+			continue
+		}
+		recoveries[link.Peer.Name] = recovery
+		entries = append(entries, recovered...)
+	}
+	// Nothing of it is stored unless it is complete: a key that some of its replicas know and others don't is taken by nobody.
+	if !complete || !HasRecovered(r.options.Self.Name, recoveries) {
+		return false
+	}
+	for _, entry := range entries {
+		if !r.store.addRecovered(entry) {
+			return false
+		}
+	}
+	r.mu.Lock()
+	for name := range recoveries {
+		r.recoveredFrom[name] = true
+	}
+	r.recoverUntil = 0
+	r.counts.Recovered++
+	r.mu.Unlock()
+	r.options.Log.Info("votes of an earlier incarnation are recovered", "by", len(recoveries))
+	return true
+}
+
 // recoverFrom asks one gateway, page by page. false: not all of it came.
 func (r *Replicator) recoverFrom(link *peering.Link) (recovery Recovery, entries []Entry, ok bool) {
 	request := recoverRequest{Name: r.options.Self.Name}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -95,22 +95,28 @@
 		return
 	}
 	r.tasks.Go(func() {
-		timer := time.NewTimer(min(query.Timeout, findTimeout))
-		defer timer.Stop()
-		for entry != nil && !entry.Decided {
-			select {
-			case <-changed:
-				entry, changed = r.store.lookup(query.Key)
-				continue
-			case <-timer.C:
-			case <-r.ctx.Done():
-			}
-			break
-		}
+		entry := r.waitDecided(query.Key, entry, changed, min(query.Timeout, findTimeout))
 		if entry == nil {
 			reply(replicaReply{Verdict: Unknown})
-		} else {
-			reply(replicaReply{Yes, entry})
+			return
 		}
+		reply(replicaReply{Yes, entry})
 	})
 }
+
+// waitDecided waits until the entry of a key is decided, was dropped (nil), or the time is over.
+func (r *Replicator) waitDecided(key Key, entry *Entry, changed <-chan struct{}, timeout time.Duration) *Entry {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for entry != nil && !entry.Decided {
+		select {
+		case <-changed:
+			entry, changed = r.store.lookup(key)
+		case <-timer.C:
+			return entry
+		case <-r.ctx.Done():
+			return entry
+		}
+	}
+	return entry
+}
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -18,6 +18,9 @@
 	counts  StoreCounts
 }
 
+// ownerAlive says whether the owner of an entry, whose request has that much time left, is heard at this gateway.
+type ownerAlive func(entry *Entry, timeLeft time.Duration) bool
+
 // replicaEntry is an entry, with what only its replica knows.
 type replicaEntry struct {
 	Entry
@@ -35,13 +38,22 @@
 	return &store{now: now, retention: retention, maxBytes: maxBytes, entries: map[Key]*replicaEntry{}}
 }
 
-// sizeOf is about what an entry takes.
+// Bytes that parts of an entry take beside their texts, about.
+const (
+	entryOverhead   = 600
+	replicaOverhead = 64
+	headerOverhead  = 32
+	valueOverhead   = 16
+)
+
+// sizeOf is about what an entry takes, in bytes.
 func sizeOf(record *Record) int {
-	n := 600 + len(record.Body) + len(record.Target) + len(record.ID) + 2*len(record.Key.ID) + 64*len(record.Replicas)
-	for k, v := range record.Headers {
-		n += len(k) + 32
-		for _, s := range v {
-			n += len(s) + 16
+	n := entryOverhead + len(record.Body) + len(record.Target) + len(record.ID) + 2*len(record.Key.ID)
+	n += replicaOverhead * len(record.Replicas)
+	for name, values := range record.Headers {
+		n += headerOverhead + len(name)
+		for _, value := range values {
+			n += valueOverhead + len(value)
 		}
 	}
 	return n
@@ -57,6 +69,7 @@
 			}
 		}
 		if oldest == nil {
+			s.counts.Full++
 			return false
 		}
 		s.drop(oldest)
@@ -68,13 +81,17 @@
 func (s *store) drop(held *replicaEntry) {
 	delete(s.entries, held.Record.Key)
 	s.bytes -= held.size
-	close(held.changed)
-	held.changed = make(chan struct{})
+	held.notifyChange()
 }
 
-// add takes a new entry. The caller holds mu and has seen to room.
+// add stores a new entry. The caller holds mu and has seen to room.
 func (s *store) add(record Record, ballot Ballot) *replicaEntry {
-	held := &replicaEntry{Entry: Entry{Record: record, Promised: ballot}, deadline: s.now() + record.TimeLeft, size: sizeOf(&record), changed: make(chan struct{})}
+	held := &replicaEntry{
+		Entry:    Entry{Record: record, Promised: ballot},
+		deadline: s.now() + record.TimeLeft,
+		size:     sizeOf(&record),
+		changed:  make(chan struct{}),
+	}
 	s.entries[record.Key] = held
 	s.bytes += held.size
 	return held
@@ -102,13 +119,24 @@
 		s.drop(held)
 	}
 	if !s.makeSpace(sizeOf(&record)) {
-		s.counts.Full++
 		return Full, nil
 	}
 	s.add(record, ballot)
 	return Yes, nil
 }
 
+// heardOwner notes that whoever goes by the promised ballot was heard: the request is no orphan.
+func (e *replicaEntry) heardOwner() {
+	e.ownerLostAt = 0
+	e.relinquished = false
+}
+
+// ownerHeard says that the owner has not given the request up and is alive, as alive tells.
+func (e *replicaEntry) ownerHeard(now time.Duration, alive ownerAlive) bool {
+	return !e.relinquished && alive(&e.Entry, e.deadline-now)
+}
+
+// acceptorState is what the acceptor's rules go by; nil: the replica holds nothing.
 func (e *replicaEntry) acceptorState() *Entry {
 	if e == nil {
 		return nil
@@ -135,15 +163,16 @@
 	defer s.mu.Unlock()
 	held := s.entries[key]
 	verdict := MayIntend(held.acceptorState(), intent.Ballot)
-	if verdict == Yes {
-		n := len(held.Intents)
-		held.TakeIntent(intent)
-		if len(held.Intents) > n {
-			held.intendedAt = append(held.intendedAt, s.now()-intent.Age)
-		}
-		held.ownerLostAt, held.relinquished = 0, false
+	if verdict != Yes {
+		return verdict
+	}
+	before := len(held.Intents)
+	held.TakeIntent(intent)
+	if len(held.Intents) > before {
+		held.intendedAt = append(held.intendedAt, s.now()-intent.Age)
 	}
-	return verdict
+	held.heardOwner()
+	return Yes
 }
 
 // ended notes that an attempt has ended and has not run.
@@ -169,7 +198,7 @@
 	}
 	held.TakeOutcome(outcome, ballot)
 	s.resize(held)
-	held.ownerLostAt, held.relinquished = 0, false
+	held.heardOwner()
 	held.notifyChange()
 	return Yes, nil
 }
@@ -194,14 +223,16 @@
 		return
 	}
 	held.TakeOutcome(outcome, ballot)
-	held.Decided, held.decidedAt = true, s.now()
-	held.Record.Body, held.Record.Headers = nil, nil
+	held.Decided = true
+	held.decidedAt = s.now()
+	held.Record.Body = nil
+	held.Record.Headers = nil
 	s.resize(held)
 	held.notifyChange()
 }
 
 // claim promises a ballot, and tells what was taken before. A replica that never had the request takes its record with the claim.
-func (s *store) claim(record Record, ballot Ballot, heard func(entry *Entry, left time.Duration) bool) (Verdict, *Entry) {
+func (s *store) claim(record Record, ballot Ballot, alive ownerAlive) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.entries[record.Key]
@@ -209,19 +240,19 @@
 		s.drop(held)
 		held = nil
 	}
-	verdict := MayClaim(held.acceptorState(), ballot, held != nil && !held.relinquished && heard(&held.Entry, held.deadline-s.now()))
+	ownerHeard := held != nil && held.ownerHeard(s.now(), alive)
+	verdict := MayClaim(held.acceptorState(), ballot, ownerHeard)
 	if verdict != Yes {
 		return verdict, held.snapshot(s.now())
 	}
 	if held == nil {
 		if !s.makeSpace(sizeOf(&record)) {
-			s.counts.Full++
 			return Full, nil
 		}
 		held = s.add(record, ballot)
 	}
 	held.Promised = ballot
-	held.ownerLostAt, held.relinquished = 0, false
+	held.heardOwner()
 	return Yes, held.snapshot(s.now())
 }
 
--- a/internal/replication/store_orphans.go
+++ b/internal/replication/store_orphans.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// hand notes that whoever has a request in hand by a ballot has given it out of hand.
+// relinquish notes that the owner by a ballot has given the request up, so that it may be claimed at once.
 func (s *store) relinquish(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -11,45 +11,60 @@
 	}
 }
 
-// orphans are the undecided requests that this gateway should claim now, each once until release: nobody is heard who has it
-// in hand, and has not been for as long as Patience says.
-func (s *store) orphans(self string, heard func(entry *Entry, left time.Duration) bool) (out []Key, open bool) {
+// orphans returns the keys of the undecided requests that this gateway should claim now, each once until endClaim: their owners
+// have not been heard for as long as ClaimDelay says. open: undecided requests are held. Entries past their retention are dropped.
+func (s *store) orphans(self string, alive ownerAlive) (keys []Key, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for key, held := range s.entries {
-		switch {
-		case held.decidedAt > 0 && now-held.decidedAt > s.retention || held.decidedAt == 0 && now-held.deadline > s.retention:
+		if held.isExpired(now, s.retention) {
 			s.drop(held)
 			continue
-		case held.Decided || held.claiming || held.Recovered:
+		}
+		if held.Decided || held.claiming || held.Recovered {
 			continue
 		}
 		open = true
-		if !held.relinquished && heard(&held.Entry, held.deadline-now) {
+		if held.ownerHeard(now, alive) {
 			held.ownerLostAt = 0
 			continue
 		}
-		if held.ownerLostAt == 0 {
-			held.ownerLostAt = now
-		}
-		timeout := ClaimDelay(held.Record.Replicas, held.Promised.Owner, self)
-		if held.relinquished {
-			timeout -= claimGrace // it is sure that nobody has it
-		}
-		if now-held.ownerLostAt >= timeout {
+		if held.claimDue(now, self) {
 			held.claiming = true
-			out = append(out, key)
+			keys = append(keys, key)
 		}
 	}
-	return out, open
+	return keys, open
+}
+
+// isExpired says that nobody asks for the entry any more: retention has passed since it was decided or, undecided, since its
+// client's deadline.
+func (e *replicaEntry) isExpired(now, retention time.Duration) bool {
+	if e.decidedAt > 0 {
+		return now-e.decidedAt > retention
+	}
+	return now-e.deadline > retention
+}
+
+// claimDue says that the owner, which is not heard now, has not been for long enough that this gateway claims the request.
+func (e *replicaEntry) claimDue(now time.Duration, self string) bool {
+	if e.ownerLostAt == 0 {
+		e.ownerLostAt = now
+	}
+	wait := ClaimDelay(e.Record.Replicas, e.Promised.Owner, self)
+	if e.relinquished {
+		wait -= claimGrace // its link can't come back: the owner itself has given it up
+	}
+	return now-e.ownerLostAt >= wait
 }
 
-// release has a request be claimed again when it is due.
+// endClaim has a request be claimed again when it is due.
 func (s *store) endClaim(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held := s.entries[key]; held != nil {
-		held.claiming, held.ownerLostAt = false, 0
+		held.claiming = false
+		held.ownerLostAt = 0
 	}
 }
--- a/internal/replication/store_recovery.go
+++ b/internal/replication/store_recovery.go
@@ -2,25 +2,29 @@
 
 import "slices"
 
-// votes are the entries of keys of which a gateway may have allowed an attempt in any incarnation, behind a key in their order, of about
-// most bytes. One without an intent here allowed none with this replica's word; where two others allowed one they tell of it.
-func (s *store) recoverable(name string, from Key, maxBytes int) (entries []Entry, more bool) {
+// recoverable returns the entries on whose keys a gateway may have voted in any incarnation, behind a key in their order, of
+// about maxBytes; more: others follow. A request without an intent here was allowed none with this replica's vote; where two other
+// replicas allowed one, those tell of it.
+func (s *store) recoverable(name string, after Key, maxBytes int) (entries []Entry, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []Key
 	for key, held := range s.entries {
-		if held.Record.IdempotencyKey != "" && (len(held.Intents) > 0 || held.Outcome != nil || held.Recovered) && compareKeys(key, from) > 0 && slices.ContainsFunc(held.Record.Replicas, func(g Gateway) bool { return g.Name == name }) {
+		if compareKeys(key, after) > 0 && held.mayHaveVote(name) {
 			keys = append(keys, key)
 		}
 	}
 	slices.SortFunc(keys, compareKeys)
-	now, size := s.now(), 0
+	now := s.now()
+	size := 0
 	for _, key := range keys {
 		entry := s.entries[key].snapshot(now)
-		entry.Record.Body, entry.Record.Headers, entry.Intents = nil, nil, nil
+		entry.Record.Body = nil
+		entry.Record.Headers = nil
+		entry.Intents = nil
 		size += sizeOf(&entry.Record)
 		if !entry.Decided {
-			entry.Outcome = nil // it is this replica's word, and no other's
+			entry.Outcome = nil // this replica accepted it, which is no other's vote
 		} else {
 			size += len(entry.Outcome.Body)
 		}
@@ -32,22 +36,36 @@
 	return entries, false
 }
 
-// remember notes a request that an earlier incarnation may have voted for. It is known, and no vote: whoever counts votes asks lives.
+// mayHaveVote says that a gateway, in any incarnation, may have voted for an attempt or an outcome of the request.
+func (e *replicaEntry) mayHaveVote(name string) bool {
+	if e.Record.IdempotencyKey == "" {
+		return false
+	}
+	if len(e.Intents) == 0 && e.Outcome == nil && !e.Recovered {
+		return false
+	}
+	return slices.ContainsFunc(e.Record.Replicas, func(g Gateway) bool { return g.Name == name })
+}
+
+// addRecovered stores a request that an earlier incarnation may have voted for; false: there is no capacity. The entry makes its
+// key known and is no vote: this incarnation is not among the record's replicas.
 func (s *store) addRecovered(entry Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[entry.Record.Key]; held != nil && (!held.Recovered || held.Record.Generation >= entry.Record.Generation) {
+	held := s.entries[entry.Record.Key]
+	if held != nil && (!held.Recovered || held.Record.Generation >= entry.Record.Generation) {
 		return true // what this incarnation has voted for stays
 	}
 	if !s.makeSpace(sizeOf(&entry.Record)) {
-		s.counts.Full++
 		return false
 	}
+	// To make space may have dropped the entry that was held.
 	if held := s.entries[entry.Record.Key]; held != nil {
 		s.drop(held)
 	}
-	held := s.add(entry.Record, entry.Promised)
-	held.Entry, held.Recovered = entry, true
+	held = s.add(entry.Record, entry.Promised)
+	held.Entry = entry
+	held.Recovered = true
 	if entry.Decided {
 		held.decidedAt = s.now()
 	}
--- a/internal/replication/take.go
+++ b/internal/replication/take.go
@@ -15,21 +15,11 @@
 	record.Replicas = ChooseReplicas(record.Key, r.options.Self.Name, group, r.options.Replicas)
 	if record.IdempotencyKey != "" && r.options.Now()-r.groupChangedAt() < window {
 		// The replicas of a key may be others than those that took it: all are asked once.
-		_, generation, err := r.queryGroup(ctx, record.Key, 0)
-		if errors.Is(err, ErrNoAnswer) {
+		if err := r.checkKeyUnused(ctx, &record); err != nil {
 			return Outcome{}, err
 		}
-		if !errors.Is(err, ErrUnknown) && generation >= record.Generation {
-			return Outcome{}, ErrDuplicate
-		}
-	}
-	reached := 0
-	for _, replica := range record.Replicas {
-		if replica.Name == r.options.Self.Name || r.options.Links.To(replica.Name) != nil {
-			reached++
-		}
 	}
-	if len(record.Replicas) == 0 || reached < Majority(len(record.Replicas)) {
+	if !r.quorumReachable(record.Replicas) {
 		r.count(func(n *Counts) { n.Alone++ })
 		return Outcome{}, ErrAlone
 	}
@@ -43,6 +33,30 @@
 	w.serveAlone = serve
 	r.count(func(n *Counts) { n.Taken++ })
 	// The record is on its way; the first intent follows it over the same links, and is not taken where the record was not.
-	w.requestAll(topicRecord, func(replica Gateway) any { return recordRequest{record, w.ballot, replica.Incarnation} }, w.countRecordReply)
+	message := func(replica Gateway) any { return recordRequest{record, w.ballot, replica.Incarnation} }
+	w.requestAll(topicRecord, message, w.countRecordReply)
 	return w.run(ctx)
 }
+
+// checkKeyUnused asks all gateways of the group whether the key was taken before in the record's generation or a later one.
+func (r *Replicator) checkKeyUnused(ctx context.Context, record *Record) error {
+	_, generation, err := r.queryGroup(ctx, record.Key, 0)
+	if errors.Is(err, ErrNoAnswer) {
+		return err
+	}
+	if !errors.Is(err, ErrUnknown) && generation >= record.Generation {
+		return ErrDuplicate
+	}
+	return nil
+}
+
+// quorumReachable says that a majority of replicas is linked, this gateway among them if it is one.
+func (r *Replicator) quorumReachable(replicas []Gateway) bool {
+	reachable := 0
+	for _, replica := range replicas {
+		if replica.Name == r.options.Self.Name || r.options.Links.To(replica.Name) != nil {
+			reachable++
+		}
+	}
+	return len(replicas) > 0 && reachable >= Majority(len(replicas))
+}
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -28,15 +28,15 @@
 		case <-timer.C:
 		}
 		r.observeGroup()
-		lost, open := r.store.orphans(r.options.Self.Name, r.ownerAlive)
-		for _, key := range lost {
+		orphans, open := r.store.orphans(r.options.Self.Name, r.ownerAlive)
+		for _, key := range orphans {
 			r.tasks.Go(func() { r.takeOver(key) })
 		}
+		interval := idleCheckInterval
 		if open {
-			timer.Reset(orphanCheckInterval)
-		} else {
-			timer.Reset(idleCheckInterval)
+			interval = orphanCheckInterval
 		}
+		timer.Reset(interval)
 	}
 }
 
@@ -51,31 +51,20 @@
 	ctx, cancel := context.WithTimeout(r.ctx, max(record.TimeLeft, quorumTimeout))
 	defer cancel()
 	ballot := r.newBallot(entry.Promised.Number + 1)
-	accepted, rejected := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any { return recordRequest{record, ballot, replica.Incarnation} })
-	for _, reply := range rejected {
-		if reply.Entry != nil && reply.Entry.Decided {
-			r.store.decide(key, record.Generation, *reply.Entry.Outcome, reply.Entry.AcceptedBy) // a later request of the key says what became of it, too
-			return
-		}
-	}
-	if len(accepted) < Majority(len(record.Replicas)) {
-		clock.Sleep(ctx, ClaimRetryDelay(record.TimeLeft))
+	promises, ok := r.prepare(ctx, record, ballot)
+	if !ok {
 		return
 	}
 	r.count(func(n *Counts) { n.Claimed++ })
 	fault.Point("custody.claimed")
-	var entries []Entry
-	for _, reply := range accepted {
-		entries = append(entries, *reply.Entry)
-	}
-	replicas := record.Replicas
-	record, intents, outcome := Merge(entries)
-	record.Replicas = replicas
-	w, err := r.register(ctx, record, ballot, intents)
+	merged, intents, outcome := Merge(promises)
+	merged.Replicas = record.Replicas
+	w, err := r.register(ctx, merged, ballot, intents)
 	if err != nil {
 		return
 	}
-	r.options.Log.Info("request is taken over", "class", record.Key.Class, "id", record.ID, "from", entry.Promised.Owner, "intents", len(intents), "answered", outcome != nil)
+	r.options.Log.Info("request is taken over", "class", merged.Key.Class, "id", merged.ID, "from", entry.Promised.Owner,
+		"intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
 		err := w.settle(ctx, *outcome)
 		w.unregister()
@@ -88,6 +77,29 @@
 	w.run(ctx)
 }
 
+// prepare is Paxos' first phase: it has the replicas of a request promise a ballot, and returns the entries of a majority that
+// has. Without one it waits until the next claim is due.
+func (r *Replicator) prepare(ctx context.Context, record Record, ballot Ballot) (entries []Entry, ok bool) {
+	replies := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any {
+		return recordRequest{record, ballot, replica.Incarnation}
+	})
+	for _, reply := range replies.rejected {
+		if reply.Entry != nil && reply.Entry.Decided {
+			// A later request of the key says what became of it, too.
+			r.store.decide(record.Key, record.Generation, *reply.Entry.Outcome, reply.Entry.AcceptedBy)
+			return nil, false
+		}
+	}
+	if !replies.reached() {
+		clock.Sleep(ctx, ClaimRetryDelay(record.TimeLeft))
+		return nil, false
+	}
+	for _, reply := range replies.accepted {
+		entries = append(entries, *reply.Entry)
+	}
+	return entries, true
+}
+
 // ownerAlive says that whoever has a request in hand is heard here, lately enough for the time that the request has left.
 func (r *Replicator) ownerAlive(entry *Entry, timeLeft time.Duration) bool {
 	ballot := entry.Promised
@@ -97,13 +109,14 @@
 		w := r.active[entry.Record.Key]
 		return ballot.Incarnation == r.options.Self.Incarnation && w != nil && w.ballot == ballot && !w.isFenced()
 	}
-	link := r.options.Links.To(ballot.Owner)
-	if link == nil || link.Peer.Incarnation != ballot.Incarnation {
+	link := r.linkTo(Gateway{Name: ballot.Owner, Incarnation: ballot.Incarnation})
+	if link == nil {
 		return false
 	}
 	quiet := link.Quiet()
 	if quiet < 2*r.options.Heartbeat {
 		return true // whatever the request, it is soon enough
 	}
-	return quiet < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(r.options.Step(&entry.Record, entry.Intents, timeLeft)))
+	step := r.options.Step(&entry.Record, entry.Intents, timeLeft)
+	return quiet < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
 }
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -28,7 +28,14 @@
 
 // begin notes that a request is in this gateway's hand.
 func (r *Replicator) register(ctx context.Context, record Record, ballot Ballot, priorIntents []Intent) (*Work, error) {
-	w := &Work{replicator: r, record: record, ballot: ballot, priorIntents: priorIntents, deadline: r.options.Now() + record.TimeLeft, fenced: make(chan struct{})}
+	w := &Work{
+		replicator:   r,
+		record:       record,
+		ballot:       ballot,
+		priorIntents: priorIntents,
+		deadline:     r.options.Now() + record.TimeLeft,
+		fenced:       make(chan struct{}),
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.active[record.Key] != nil {
@@ -61,10 +68,12 @@
 
 // recorded takes a replica's word on the record. Once no majority can take it, nothing of it begins any more.
 func (w *Work) countRecordReply(reply replicaReply) {
+	quorum := Majority(len(w.record.Replicas))
 	w.mu.Lock()
 	switch reply.Verdict {
 	case Yes:
-		if w.accepted++; w.accepted == Majority(len(w.record.Replicas)) {
+		w.accepted++
+		if w.accepted == quorum {
 			defer fault.Point("custody.recorded")
 		}
 	case Duplicate, Higher:
@@ -72,13 +81,13 @@
 	case Full, OtherIncarnation, Unknown:
 		w.rejected++
 	}
-	lost := w.duplicates+w.rejected > len(w.record.Replicas)-Majority(len(w.record.Replicas))
+	impossible := w.duplicates+w.rejected > len(w.record.Replicas)-quorum
 	why := ErrFull
 	if w.duplicates > 0 {
 		why = ErrDuplicate
 	}
 	w.mu.Unlock()
-	if lost {
+	if impossible {
 		w.fence(why)
 	}
 }
@@ -106,14 +115,9 @@
 	})
 	outcome := w.replicator.options.Run(ctx, &w.record, w.priorIntents, w)
 	fault.Point("custody.ran")
-	err := ErrUndecided // nobody waits for it any more, or this gateway ends
-	if w.isFenced() {
-		w.replicator.count(func(n *Counts) { n.Fenced++ })
-		err = w.fenceReason()
-	} else if outcome.Kind != 0 {
-		if err = w.settle(ctx, outcome); err == nil {
-			return outcome, nil
-		}
+	err := w.conclude(ctx, outcome)
+	if err == nil {
+		return outcome, nil
 	}
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrDuplicate) && w.ballot.Number == 1 {
 		w.withdraw()
@@ -125,12 +129,26 @@
 	return Outcome{}, err
 }
 
+// conclude has an outcome settled, unless there is none or the work is fenced.
+func (w *Work) conclude(ctx context.Context, outcome Outcome) error {
+	switch {
+	case w.isFenced():
+		w.replicator.count(func(n *Counts) { n.Fenced++ })
+		return w.fenceReason()
+	case outcome.Kind == 0:
+		return ErrUndecided // nobody waits for it any more, or this gateway ends
+	}
+	return w.settle(ctx, outcome)
+}
+
 // broadcast says something of the request to all its replicas, without waiting; own is what this gateway takes of it, if it is one of them.
 func (w *Work) notifyAll(topic string, n int, own func(*store)) {
 	for _, replica := range w.record.Replicas {
 		if replica.Name == w.replicator.options.Self.Name {
 			own(w.replicator.store)
-		} else if link := w.replicator.options.Links.To(replica.Name); link != nil && link.Peer.Incarnation == replica.Incarnation {
+			continue
+		}
+		if link := w.replicator.linkTo(replica); link != nil {
 			link.Tell(topic, ownerNotice{w.record.Key, w.ballot, n})
 		}
 	}
@@ -160,13 +178,13 @@
 		}
 		asked := time.Now()
 		quorumCtx, cancel := context.WithTimeout(ctx, min(quorumTimeout, max(w.TimeLeft(), 0)))
-		accepted, rejected := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicIntend, func(replica Gateway) any { return intentRequest{w.record.Key, intent, replica.Incarnation} })
+		replies := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicIntend, func(replica Gateway) any {
+			return intentRequest{w.record.Key, intent, replica.Incarnation}
+		})
 		cancel()
-		if len(accepted) < Majority(len(w.record.Replicas)) {
-			for _, reply := range rejected {
-				if reply.Verdict == Higher || reply.Verdict == Duplicate {
-					w.fence(ErrDuplicate)
-				}
+		if !replies.reached() {
+			if replies.superseded() {
+				w.fence(ErrDuplicate)
 			}
 			return false
 		}
@@ -207,28 +225,33 @@
 	outcome.Live = nil
 	quorumCtx, cancel := context.WithTimeout(ctx, max(min(quorumTimeout, w.TimeLeft()), claimRetryDelay))
 	defer cancel()
-	accepted, rejected := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicSettle, func(replica Gateway) any {
-		return settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot, ReplicaIncarnation: replica.Incarnation}
+	decision := settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot}
+	replies := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicSettle, func(replica Gateway) any {
+		proposal := decision
+		proposal.ReplicaIncarnation = replica.Incarnation
+		return proposal
 	})
-	if len(accepted) < Majority(len(w.record.Replicas)) {
-		for _, reply := range rejected {
-			if reply.Verdict == Higher || reply.Verdict == Duplicate {
-				w.fence(ErrDuplicate)
-				w.replicator.count(func(n *Counts) { n.Fenced++ })
-				return ErrDuplicate
-			}
-		}
-		if w.serveAlone {
-			return nil // what this gives up is said with when_alone
-		}
-		return ErrUndecided
+	switch {
+	case replies.reached():
+		fault.Point("custody.settled")
+		w.announce(decision)
+		return nil
+	case replies.superseded():
+		w.fence(ErrDuplicate)
+		w.replicator.count(func(n *Counts) { n.Fenced++ })
+		return ErrDuplicate
+	case w.serveAlone:
+		return nil // what this gives up is said with when_alone
 	}
-	fault.Point("custody.settled")
-	w.replicator.store.decide(w.record.Key, w.record.Generation, outcome, w.ballot)
+	return ErrUndecided
+}
+
+// announce notifies all replicas of the outcome that a majority has accepted.
+func (w *Work) announce(decision settleRequest) {
+	w.replicator.store.decide(decision.Key, decision.Generation, decision.Outcome, decision.Ballot)
 	for _, replica := range w.record.Replicas {
-		if link := w.replicator.options.Links.To(replica.Name); link != nil && link.Peer.Incarnation == replica.Incarnation {
-			link.Tell(topicDecide, settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot})
+		if link := w.replicator.linkTo(replica); link != nil {
+			link.Tell(topicDecide, decision)
 		}
 	}
-	return nil
 }
