--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/clock"
 )
 
-// Await brings the one answer to a request that was taken before, at whichever gateway, and waits for it as long as ctx goes on.
-// gen is which of the requests of its key it was, for Record.Gen.
+// Await returns the outcome of a request that was taken before, at whichever gateway, and waits for it until ctx ends.
+// generation says which request of its key it was (Record.Generation). Errors: ErrUnknown, ErrForgotten, ErrUndecided.
 func (r *Replicator) Await(ctx context.Context, key Key) (outcome Outcome, generation uint32, err error) {
 	r.count(func(n *Counts) { n.Asked++ })
 	for {
@@ -27,17 +27,17 @@
 	}
 }
 
-// query asks all gateways of the group once what became of a request. An outcome is told that one of them knows to be decided, or
-// that a majority of the request's replicas has taken by one ballot. That nobody knows it is said once a majority says so of those
-// who would be its replicas now, and the others have said so too or have had slowest to say anything: one who is slow must not cost
-// each request of a key its time.
+// queryGroup asks all gateways of the group once for the outcome of a request. An outcome is returned that one of them knows to
+// be decided, or that a majority of the request's replicas has accepted by one ballot. ErrUnknown is returned once a majority
+// of those who would be its replicas now hold nothing of it, and the others have replied too or stragglerTimeout is over: a
+// slow gateway must not cost each request of a key its time.
 func (r *Replicator) queryGroup(ctx context.Context, key Key, timeout time.Duration) (outcome Outcome, generation uint32, err error) {
 	quorumCtx, cancel := context.WithTimeout(ctx, timeout+quorumTimeout)
 	defer cancel()
 	replies, asked := r.pollGroup(quorumCtx, key, timeout)
 	votes := newTally(ChooseReplicas(key, r.options.Self.Name, r.options.Group(), r.options.Replicas))
 	var late <-chan time.Time
-	for left := asked; left > 0; left-- {
+	for range asked {
 		select {
 		case reply := <-replies:
 			if entry := votes.add(reply); entry != nil {
@@ -55,20 +55,20 @@
 	return Outcome{}, votes.generation, votes.err()
 }
 
-// queryAll asks all gateways of the group, this one among them. As many answers come as were asked.
-func (r *Replicator) pollGroup(quorumCtx context.Context, key Key, timeout time.Duration) (answers <-chan groupReply, asked int) {
+// pollGroup sends a query to all gateways of the group, this one among them. As many replies come as were asked for.
+func (r *Replicator) pollGroup(ctx context.Context, key Key, timeout time.Duration) (incoming <-chan groupReply, asked int) {
 	links := r.options.Links.All()
 	replies := make(chan groupReply, len(links)+1)
 	r.find(findRequest{key, timeout}, func(reply replicaReply) { replies <- groupReply{r.options.Self.Name, &reply} })
 	for _, link := range links {
-		a, err := link.Request(topicFind, findRequest{key, timeout})
+		pending, err := link.Request(topicFind, findRequest{key, timeout})
 		if err != nil {
 			replies <- groupReply{link.Peer.Name, nil}
 			continue
 		}
 		r.tasks.Go(func() {
 			var reply replicaReply
-			if a.Wait(quorumCtx, &reply) != nil {
+			if pending.Wait(ctx, &reply) != nil {
 				replies <- groupReply{link.Peer.Name, nil}
 				return
 			}
@@ -78,7 +78,7 @@
 	return replies, len(links) + 1
 }
 
-// Holds says that somebody holds a request of a key, or that nobody could tell.
+// Holds says that a gateway holds a request of the key, or that none could tell.
 func (r *Replicator) Holds(ctx context.Context, key Key) bool {
 	_, _, err := r.queryGroup(ctx, key, 0)
 	return !errors.Is(err, ErrUnknown)
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -7,18 +7,18 @@
 
 // Errors of Take and Await.
 var (
-	// ErrAlone says that too few replicas are to be reached: nothing was recorded anywhere.
+	// ErrAlone says that no quorum of the request's replicas is reachable: nothing was recorded anywhere.
 	ErrAlone = errors.New("replication: no quorum of replicas is reachable")
-	// ErrDuplicate says that the request has been taken before: Await brings its answer.
+	// ErrDuplicate says that the request was taken before, or was taken over: Await returns its outcome.
 	ErrDuplicate = errors.New("replication: the request was taken before")
-	// ErrFull says that its replicas have no room for the request: nothing of it was begun.
+	// ErrFull says that the replicas have no capacity for the request: no attempt of it was begun.
 	ErrFull = errors.New("replication: the replicas have no capacity")
-	// ErrUnknown says that nobody holds such a request.
+	// ErrUnknown says that no replica holds such a request.
 	ErrUnknown = errors.New("replication: no replica knows the request")
-	// ErrForgotten says that whoever held the request has started anew since: nobody can tell what became of it.
+	// ErrForgotten says that the replicas of the request have restarted since: its outcome is lost.
 	ErrForgotten = errors.New("replication: the replicas no longer have the request's outcome")
-	// ErrUndecided says that the request is under way, or that too few of its replicas are to be reached to tell what became of it.
+	// ErrUndecided says that the request is under way, or that no quorum of its replicas is reachable to tell its outcome.
 	ErrUndecided = errors.New("replication: the request is not decided")
-	// ErrNoAnswer says that too few could be asked whether the request's key was taken before: nothing was recorded anywhere.
+	// ErrNoAnswer says that no quorum could be asked whether the request's key was taken before: nothing was recorded anywhere.
 	ErrNoAnswer = fmt.Errorf("replication: no quorum on whether the key was taken before: %w", ErrUndecided)
 )
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -10,18 +10,19 @@
 	"damsontrestle/internal/peering"
 )
 
-// A gateway that starts anew may have voted in an earlier incarnation for requests whose keys still come, and forgot it: it votes for no key
-// until none of them can come any more. It need not wait so long where the others of its group tell it what it may have voted for:
-// a request that was taken has a majority of its replicas, so that whoever of them has not forgotten it holds it too.
+// A gateway that restarts may have voted in its earlier incarnation for requests whose keys still come, and has forgotten it. Voting
+// on such a key again could let two requests of one key begin, so it votes on no key until none of them can come any more. It need
+// not wait that long where the others of its group tell it what it may have voted for: a request that was taken has a majority
+// of replicas, so that each of them that has not forgotten it holds it too. (The recovery protocol of Viewstamped Replication
+// Revisited, section 4.3, for the keys alone.)
 
-// Times and sizes of a recall.
 const (
-	maxRecoveryBytes  = 512 << 10 // bytes of entries in an answer, about, beyond the first
+	maxRecoveryBytes  = 512 << 10 // of entries in one reply, about, beyond the first
 	recoverRetryDelay = 250 * time.Millisecond
 )
 
-// HasRecovered says whether one who started anew knows again all that it may have voted for: from every gateway of its group that
-// lived lately, as anybody tells who answered, an answer has come of one who has not forgotten itself.
+// HasRecovered says whether a gateway that restarted knows all that it may have voted for, by the recoveries of others by name:
+// each gateway of its group that was alive lately, as any of them tells, has replied and is not recovering itself.
 func HasRecovered(self string, recoveries map[string]Recovery) bool {
 	if len(recoveries) == 0 {
 		return false
@@ -39,18 +40,18 @@
 	return true
 }
 
-// Recovery is what a gateway told of who lived lately.
+// Recovery is what a gateway replied on who was alive lately.
 type Recovery struct {
-	Recovering     bool
-	RecentGateways []string
+	Recovering     bool     // it has forgotten votes itself
+	RecentGateways []string // that were alive within the recovery window
 }
 
-// compareKeys is an order of keys.
+// compareKeys orders keys, for the pages of a recovery.
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.ID, b.ID))
 }
 
-// serveRecovery answers one who started anew.
+// serveRecovery replies to a gateway that restarted.
 func (r *Replicator) serveRecovery(request recoverRequest) recoverReply {
 	entries, more := r.store.recoverable(request.Name, request.After, maxRecoveryBytes)
 	reply := recoverReply{Entries: entries, More: more, Recovering: r.isRecovering()}
@@ -68,7 +69,8 @@
 	return reply
 }
 
-// noteIncarnationEnd notes that an earlier incarnation of this gateway ended a while ago, as another tells that knew it.
+// noteIncarnationEnd notes that an earlier incarnation of this gateway ended a while ago, as a peer says that knew it, and
+// begins a recovery.
 func (r *Replicator) noteIncarnationEnd(by string, ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,9 +84,9 @@
 	}
 }
 
-// recoverVotes asks the others for what an earlier incarnation may have voted for, until it knows, or no key of then can come any more. It
-// begins when no attempt can begin any more that an intent of then allowed: an intent that is older than Options.Fresh is asked
-// for anew, and a link is silent for no longer than Options.Silence.
+// recoverVotes asks the others what an earlier incarnation may have voted for, until it knows, or no key of then can come any
+// more. It begins when no attempt can begin any more by an intent of then: an intent older than Options.MaxIntentAge is asked
+// for again, and a link is silent for no longer than Options.Silence.
 func (r *Replicator) recoverVotes() {
 	defer func() {
 		r.mu.Lock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -6,14 +6,14 @@
 	"damsontrestle/internal/peering"
 )
 
-// Topics are how others reach it.
+// Topics returns the handlers by which other gateways of the group reach this one.
 func (r *Replicator) Topics() map[string]peering.Handler {
 	return map[string]peering.Handler{
 		topicRecord: replyHandler(r.record),
 		topicIntend: replyHandler(r.intend),
 		topicSettle: replyHandler(r.settle),
 		topicClaim:  replyHandler(r.claim),
-		topicFind:   peering.Answer(func(_ *peering.Link, query findRequest, answer func(replicaReply)) { r.find(query, answer) }),
+		topicFind:   peering.Answer(func(_ *peering.Link, query findRequest, reply func(replicaReply)) { r.find(query, reply) }),
 		topicEnded:  peering.Hear(func(_ *peering.Link, m ownerNotice) { r.store.markNotRun(m.Key, m.Ballot, m.Attempt) }),
 		topicDecide: peering.Hear(func(_ *peering.Link, request settleRequest) { r.applyDecision(request) }),
 		topicRelinquish: peering.Hear(func(_ *peering.Link, m ownerNotice) {
@@ -22,25 +22,30 @@
 		}),
 		topicWithdraw:     peering.Hear(func(_ *peering.Link, m ownerNotice) { r.store.withdraw(m.Key, m.Ballot) }),
 		topicIncarnations: peering.Hear(func(from *peering.Link, m incarnationNotice) { r.noteIncarnationEnd(from.Peer.Name, m.Ago) }),
-		topicRecover: peering.Answer(func(_ *peering.Link, request recoverRequest, answer func(recoverReply)) {
-			answer(r.serveRecovery(request))
+		topicRecover: peering.Answer(func(_ *peering.Link, request recoverRequest, reply func(recoverReply)) {
+			reply(r.serveRecovery(request))
 		}),
 	}
 }
 
-// handler is a handler of what a replica answers at once.
+// replyHandler handles a message to which a replica replies at once.
 func replyHandler[Q any](f func(Q) replicaReply) peering.Handler {
-	return peering.Answer(func(_ *peering.Link, q Q, answer func(replicaReply)) { answer(f(q)) })
+	return peering.Answer(func(_ *peering.Link, message Q, reply func(replicaReply)) { reply(f(message)) })
 }
 
+// record is the replica's reply to the record of an owner.
 func (r *Replicator) record(request recordRequest) replicaReply {
-	if request.ReplicaIncarnation != r.options.Self.Incarnation || request.Record.IdempotencyKey != "" && r.isRecovering() {
+	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
 	}
+	if request.Record.IdempotencyKey != "" && r.isRecovering() {
+		return replicaReply{Verdict: OtherIncarnation} // it may have voted on the key, and forgotten
+	}
 	verdict, entry := r.store.record(request.Record, request.Ballot)
 	return replicaReply{verdict, entry}
 }
 
+// intend is the replica's reply to an intent.
 func (r *Replicator) intend(request intentRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -48,6 +53,7 @@
 	return replicaReply{Verdict: r.store.intend(request.Key, request.Intent)}
 }
 
+// settle is the replica's reply to a proposed outcome.
 func (r *Replicator) settle(request settleRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -56,6 +62,7 @@
 	return replicaReply{verdict, entry}
 }
 
+// claim is the replica's reply to a successor's ballot: phase 1b of Paxos, but for an owner that is heard here.
 func (r *Replicator) claim(request recordRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -64,8 +71,8 @@
 	return replicaReply{verdict, entry}
 }
 
-// decided notes an outcome that a majority has taken. Work that is still under way here for the same request is over: its client
-// hears that outcome, and need not wait for an attempt that may take until the deadline.
+// applyDecision notes an outcome that a majority has accepted. Work that is still under way here for the same request is
+// fenced: its client gets that outcome, and need not wait for an attempt that may take until the deadline.
 func (r *Replicator) applyDecision(request settleRequest) {
 	r.store.decide(request.Key, request.Generation, request.Outcome, request.Ballot)
 	r.mu.Lock()
@@ -76,14 +83,14 @@
 	}
 }
 
-// isRecovering says that this gateway may have taken a key in an earlier incarnation, whose repeats may still come.
+// isRecovering says that this gateway may have voted in an earlier incarnation on keys whose repeats may still come.
 func (r *Replicator) isRecovering() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.options.Now() < r.recoverUntil
 }
 
-// find answers with what is held of a key, as soon as it is decided, or when the wait is over.
+// find replies with the entry of a key, as soon as it is decided or the query's time is over.
 func (r *Replicator) find(query findRequest, reply func(replicaReply)) {
 	entry, changed := r.store.lookup(query.Key)
 	switch {
@@ -104,7 +111,7 @@
 	})
 }
 
-// waitDecided waits until the entry of a key is decided, was dropped (nil), or the time is over.
+// waitDecided waits until the entry of a key is decided or dropped (nil), or the time is over.
 func (r *Replicator) waitDecided(key Key, entry *Entry, changed <-chan struct{}, timeout time.Duration) *Entry {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -10,52 +10,62 @@
 	"damsontrestle/internal/peering"
 )
 
-// Replicator is a gateway's part replicated: its own requests, those that it holds for others, and those that it takes over.
+// Replicator is a gateway's part in replication: its own requests, those that it stores as a replica, and those that it takes
+// over. Its methods may be called by any goroutine; mu guards what follows it.
 type Replicator struct {
 	options  Options
 	store    *store
-	ctx      context.Context
+	ctx      context.Context // ends with Close; tasks go on past the requests that began them
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
-	checkNow chan struct{} // looks for orphans at once
-	sequence atomic.Uint64 // ballots that it has made
+	checkNow chan struct{} // has watchOrphans look at once
+	sequence atomic.Uint64 // of the ballots that it has made
+	started  time.Duration // when this incarnation began
 
-	mu            sync.Mutex
-	active        map[Key]*Work              // in this gateway's hand
-	draining      bool                       // nothing more is taken into replication
-	lostPeers     map[string]lostIncarnation // by gateway, the incarnation to which a link ended last
-	recoverUntil  time.Duration              // until when this one may have known keys in an earlier incarnation, and does not know them again
-	recoveredFrom map[string]bool            // gateways that told it what it may have voted for
-	started       time.Duration              // when this incarnation began
-	lastGroup     []Gateway                  // as it was last, and
-	groupChanged  time.Duration              // when that changed
-	counts        Counts
+	mu        sync.Mutex
+	active    map[Key]*Work              // that this gateway carries
+	draining  bool                       // no request of its own is taken any more
+	lostPeers map[string]lostIncarnation // by gateway, the incarnation to which a link ended last
+	counts    Counts
 
-	recoveryRunning bool // it asks them
+	recoverUntil    time.Duration   // when no key of an earlier incarnation can come any more; before, it votes on none
+	recoveredFrom   map[string]bool // gateways that told what this one may have voted for
+	recoveryRunning bool            // recoverVotes runs
+
+	lastGroup    []Gateway     // the group as it was last seen
+	groupChanged time.Duration // when it was first seen so
 }
 
-// incarnation is one of a gateway's, and when the link to it ended.
+// lostIncarnation is an incarnation of a gateway to which the last link has ended.
 type lostIncarnation struct {
 	incarnation uint64
 	lostAt      time.Duration
 }
 
-// New returns a Custodian that answers others. Run claims what is lost.
+// New returns a replicator that watches for orphans. Others reach it by its Topics. Close ends it.
 func New(options Options) *Replicator {
-	r := &Replicator{options: options, store: newStore(options.Now, options.Retention, options.Memory), active: map[Key]*Work{}, lostPeers: map[string]lostIncarnation{}, recoveredFrom: map[string]bool{}, started: options.Now(), checkNow: make(chan struct{}, 1)}
+	r := &Replicator{
+		options:       options,
+		store:         newStore(options.Now, options.Retention, options.Memory),
+		active:        map[Key]*Work{},
+		lostPeers:     map[string]lostIncarnation{},
+		recoveredFrom: map[string]bool{},
+		started:       options.Now(),
+		checkNow:      make(chan struct{}, 1),
+	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.tasks.Go(r.watchOrphans)
 	return r
 }
 
-// Close ends all that is under way and returns once it has ended.
+// Close ends all that is under way, and returns once it has ended.
 func (r *Replicator) Close() {
 	r.cancel()
 	r.tasks.Wait()
 }
 
-// Linked notes that a link to a gateway of the group has come up. Whoever knew an earlier incarnation of its tells it so, first of all
-// that goes over the link.
+// Linked notes that a link to a gateway of the group has come up. If this gateway knew an earlier incarnation of the peer it
+// says so, before anything else goes over the link: the peer may have forgotten votes.
 func (r *Replicator) Linked(link *peering.Link) {
 	r.mu.Lock()
 	was, known := r.lostPeers[link.Peer.Name]
@@ -74,29 +84,31 @@
 	r.CheckOrphans()
 }
 
-// orphanCheck notes whether the group has changed.
+// observeGroup returns the group, and notes whether it has changed.
 func (r *Replicator) observeGroup() []Gateway {
 	group := r.options.Group()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !slices.EqualFunc(group, r.lastGroup, func(a, b Gateway) bool { return a.Name == b.Name }) {
-		r.lastGroup, r.groupChanged = group, r.options.Now()
+	if !slices.EqualFunc(group, r.lastGroup, Gateway.sameName) {
+		r.lastGroup = group
+		r.groupChanged = r.options.Now()
 	}
 	return group
 }
 
+// groupChangedAt is when the group was seen to change last.
 func (r *Replicator) groupChangedAt() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.groupChanged
 }
 
-// ballot is this gateway's next one of a number.
-func (r *Replicator) newBallot(n uint32) Ballot {
-	return Ballot{Number: n, Owner: r.options.Self.Name, Incarnation: r.options.Self.Incarnation, Sequence: r.sequence.Add(1)}
+// newBallot returns a ballot of that number that this gateway has not used before.
+func (r *Replicator) newBallot(number uint32) Ballot {
+	return Ballot{Number: number, Owner: r.options.Self.Name, Incarnation: r.options.Self.Incarnation, Sequence: r.sequence.Add(1)}
 }
 
-// HandOver gives all requests that are in hand to others: this gateway ends. What is out is left to end by itself.
+// HandOver gives all requests that this gateway carries to successors: it shuts down. Attempts in flight end by themselves.
 func (r *Replicator) HandOver() {
 	r.mu.Lock()
 	r.draining = true
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -1,52 +1,54 @@
 package replication
 
-// Counts are of what became of requests replicated, since the start.
+// Counts are of replicated requests since the gateway's start.
 type Counts struct {
-	Taken   int `json:"taken"`   // own requests
-	Alone   int `json:"alone"`   // for which too few replicas were to be reached
-	Fenced  int `json:"fenced"`  // that another took over while they were in hand here
-	Claimed int `json:"claimed"` // that this gateway took over
-	Resumed int `json:"resumed"` // of them, carried on
-	Asked   int `json:"asked"`   // by clients that came back
-	Found   int `json:"found"`   // of them, that got the one answer
-	// times that it knew again what an earlier incarnation of it may have voted for
-	Recovered int `json:"recalled"`
+	Taken     int `json:"taken"`    // own requests
+	Alone     int `json:"alone"`    // own requests for which no quorum was reachable
+	Fenced    int `json:"fenced"`   // that another gateway took over while this one carried them
+	Claimed   int `json:"claimed"`  // that this gateway claimed
+	Resumed   int `json:"resumed"`  // of those claimed, carried on
+	Asked     int `json:"asked"`    // queries of clients for an earlier request
+	Found     int `json:"found"`    // of those, that got its outcome
+	Recovered int `json:"recalled"` // recoveries of the votes of an earlier incarnation
 }
 
 // Status is what a replicator does now.
 type Status struct {
 	Counts
-	InHand  int         `json:"in_hand"`
+	InHand  int         `json:"in_hand"` // requests that this gateway carries
 	Replica StoreCounts `json:"voter"`
 }
 
-// Status is what it does now.
+// Status returns what the replicator does now.
 func (r *Replicator) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Status{r.counts, len(r.active), r.store.status()}
 }
 
+// count changes the counts.
 func (r *Replicator) count(f func(*Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.counts)
 }
 
-// StoreCounts are of a replica since its start.
+// StoreCounts are of a gateway as a replica. Full and Forgot count since its start.
 type StoreCounts struct {
-	Held   int `json:"held"`   // requests, now
-	Open   int `json:"open"`   // of them undecided
-	Bytes  int `json:"bytes"`  // of them, about
-	Full   int `json:"full"`   // records for which there was no room
-	Forgot int `json:"forgot"` // answers that were forgotten early, for want of room
+	Held   int `json:"held"`   // requests that are stored
+	Open   int `json:"open"`   // of those, undecided
+	Bytes  int `json:"bytes"`  // that they take, about
+	Full   int `json:"full"`   // records for which there was no capacity
+	Forgot int `json:"forgot"` // outcomes that were dropped before their retention, for want of capacity
 }
 
+// status returns the counts of the store.
 func (s *store) status() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts
-	counts.Held, counts.Bytes = len(s.entries), s.bytes
+	counts.Held = len(s.entries)
+	counts.Bytes = s.bytes
 	for _, held := range s.entries {
 		if !held.Decided {
 			counts.Open++
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// store is what this gateway holds as a replica.
+// store is what this gateway has accepted as a replica, in memory. Each method is one step of the replica: the acceptor's rules
+// are looked up and applied under mu.
 type store struct {
 	now       func() time.Duration
 	retention time.Duration
-	maxBytes  int // bytes
+	maxBytes  int
 
 	mu      sync.Mutex
 	entries map[Key]*replicaEntry
@@ -21,19 +22,20 @@
 // ownerAlive says whether the owner of an entry, whose request has that much time left, is heard at this gateway.
 type ownerAlive func(entry *Entry, timeLeft time.Duration) bool
 
-// replicaEntry is an entry, with what only its replica knows.
+// replicaEntry is an entry, with what only this replica knows. Times are by Options.Now.
 type replicaEntry struct {
 	Entry
-	deadline     time.Duration // its client's deadline, by this gateway's clock
-	decidedAt    time.Duration // when it was decided; 0: it is not
-	ownerLostAt  time.Duration // since when nobody is heard who has it in hand; 0: somebody is
-	relinquished bool          // it was given out of hand
-	claiming     bool          // by this gateway
-	intendedAt   []time.Duration
-	size         int
-	changed      chan struct{} // closed at its next change
+	deadline     time.Duration   // of its client, by this gateway's clock
+	decidedAt    time.Duration   // 0: it is not decided
+	ownerLostAt  time.Duration   // since when its owner is not heard; 0: it is heard
+	relinquished bool            // its owner has given it up
+	claiming     bool            // this gateway is claiming it
+	intendedAt   []time.Duration // of each intent
+	size         int             // in bytes, about
+	changed      chan struct{}   // closed at the next change
 }
 
+// newStore returns an empty store of at most so many bytes, about, that drops decided entries after their retention.
 func newStore(now func() time.Duration, retention time.Duration, maxBytes int) *store {
 	return &store{now: now, retention: retention, maxBytes: maxBytes, entries: map[Key]*replicaEntry{}}
 }
@@ -59,7 +61,8 @@
 	return n
 }
 
-// makeSpace makes room for n bytes, by forgetting answers before their time, the oldest first. The caller holds mu.
+// makeSpace makes room for n bytes, by dropping decided entries before their retention is over, the oldest first; what is
+// undecided is never dropped. false: there is no capacity. The caller holds mu.
 func (s *store) makeSpace(n int) bool {
 	for s.bytes+n > s.maxBytes {
 		var oldest *replicaEntry
@@ -78,13 +81,14 @@
 	return true
 }
 
+// drop forgets an entry. The caller holds mu.
 func (s *store) drop(held *replicaEntry) {
 	delete(s.entries, held.Record.Key)
 	s.bytes -= held.size
 	held.notifyChange()
 }
 
-// add stores a new entry. The caller holds mu and has seen to room.
+// add stores a new entry. The caller holds mu and has made space.
 func (s *store) add(record Record, ballot Ballot) *replicaEntry {
 	held := &replicaEntry{
 		Entry:    Entry{Record: record, Promised: ballot},
@@ -97,13 +101,13 @@
 	return held
 }
 
-// notify has those wait no longer who wait for a change of it. The caller holds mu.
+// notifyChange wakes those who wait for a change of the entry. The caller holds mu.
 func (e *replicaEntry) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// record takes a record, and tells what was held before where it does not.
+// record accepts a record, or returns the entry that stands against it.
 func (s *store) record(record Record, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +148,7 @@
 	return &e.Entry
 }
 
-// snapshot is the entry as it is sent: times become ages.
+// snapshot is the entry as it is sent: times become ages, for clocks of gateways differ.
 func (e *replicaEntry) snapshot(now time.Duration) *Entry {
 	if e == nil {
 		return nil
@@ -158,6 +162,7 @@
 	return &snapshot
 }
 
+// intend accepts an intent, if the acceptor's rules allow it.
 func (s *store) intend(key Key, intent Intent) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +180,7 @@
 	return Yes
 }
 
-// ended notes that an attempt has ended and has not run.
+// markNotRun notes that an attempt has ended and has not run.
 func (s *store) markNotRun(key Key, ballot Ballot, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,6 +193,7 @@
 	}
 }
 
+// settle accepts an outcome, or returns the entry that stands against it.
 func (s *store) settle(key Key, outcome Outcome, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +209,7 @@
 	return Yes, nil
 }
 
-// resize counts an entry's answer. A decided one needs its body no more.
+// resize counts an entry's bytes anew. The caller holds mu.
 func (s *store) resize(held *replicaEntry) {
 	s.bytes -= held.size
 	held.size = sizeOf(&held.Record)
@@ -213,8 +219,8 @@
 	s.bytes += held.size
 }
 
-// decide notes that a majority has taken an outcome of a key's request of that generation. One that comes late, when the next request
-// of the key is held, says nothing of that.
+// decide notes that a majority has accepted an outcome of the request of a key and generation, and drops the request's body,
+// which nobody needs any more. A decision that comes late, when the next request of the key is held, says nothing of that one.
 func (s *store) decide(key Key, generation uint32, outcome Outcome, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,7 +237,8 @@
 	held.notifyChange()
 }
 
-// claim promises a ballot, and tells what was taken before. A replica that never had the request takes its record with the claim.
+// claim promises a ballot and returns the entry with all that was accepted before, or the entry that stands against it. A
+// replica that never had the request stores its record with the claim.
 func (s *store) claim(record Record, ballot Ballot, alive ownerAlive) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,8 +263,7 @@
 	return Yes, held.snapshot(s.now())
 }
 
-// withdraw releases a request whose owner says that nothing of it was begun, unless an intent of it was taken or another has it in
-// hand by now.
+// withdraw drops a request whose owner says that no attempt of it was begun, if MayWithdraw allows it.
 func (s *store) withdraw(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +272,7 @@
 	}
 }
 
-// find is what is held of a key, and what tells of its next change.
+// lookup returns the entry of a key and a channel that is closed at its next change; nil: none is held.
 func (s *store) lookup(key Key) (*Entry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replication/take.go
+++ b/internal/replication/take.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
-// Take has a request recorded and carried out, and returns its outcome once a majority of its replicas has taken that. serve
-// says that where replicas are lost on the way the outcome is told all the same. window is how long others could have taken the
-// same key before the group changed. With ErrAlone, ErrFull and ErrNoAnswer nothing was begun; ErrDuplicate says to Await the answer.
+// Take has a request recorded and carried out, and returns its outcome once a majority of its replicas has accepted that. serve
+// says that the outcome is returned also where replicas are lost on the way. window is for how long after a change of the group
+// a key may have been taken by others than its replicas of now.
+//
+// With ErrAlone, ErrFull and ErrNoAnswer no attempt was begun. With ErrDuplicate, Await returns the outcome.
 func (r *Replicator) Take(ctx context.Context, record Record, serve bool, window time.Duration) (Outcome, error) {
 	group := r.observeGroup()
 	record.Owner = r.options.Self
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/fault"
 )
 
-// CheckOrphans has it look for requests that nobody has in hand, now rather than soon: a link has ended.
+// CheckOrphans has watchOrphans look at once, for a link has ended.
 func (r *Replicator) CheckOrphans() {
 	select {
 	case r.checkNow <- struct{}{}:
@@ -16,7 +16,8 @@
 	}
 }
 
-// watch looks for requests that nobody has in hand, and claims them, each in a task of its own.
+// watchOrphans looks for undecided requests whose owners are not heard, and claims them, each in a task of its own, until
+// Close.
 func (r *Replicator) watchOrphans() {
 	timer := time.NewTimer(idleCheckInterval)
 	defer timer.Stop()
@@ -40,7 +41,7 @@
 	}
 }
 
-// takeOver claims a request that nobody has in hand, and goes on with it.
+// takeOver claims an orphan by a higher ballot and, once a majority has promised it, goes on with the request as its successor.
 func (r *Replicator) takeOver(key Key) {
 	defer r.store.endClaim(key)
 	entry, _ := r.store.lookup(key)
@@ -77,8 +78,8 @@
 	w.run(ctx)
 }
 
-// prepare is Paxos' first phase: it has the replicas of a request promise a ballot, and returns the entries of a majority that
-// has. Without one it waits until the next claim is due.
+// prepare is the first phase of Paxos: it has the replicas of a request promise a ballot, and returns the entries of a majority
+// that has. Without a majority it waits until the next claim is due.
 func (r *Replicator) prepare(ctx context.Context, record Record, ballot Ballot) (entries []Entry, ok bool) {
 	replies := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any {
 		return recordRequest{record, ballot, replica.Incarnation}
@@ -100,7 +101,7 @@
 	return entries, true
 }
 
-// ownerAlive says that whoever has a request in hand is heard here, lately enough for the time that the request has left.
+// ownerAlive says that the owner of a request is heard here, lately enough for the time that the request has left.
 func (r *Replicator) ownerAlive(entry *Entry, timeLeft time.Duration) bool {
 	ballot := entry.Promised
 	if ballot.Owner == r.options.Self.Name {
--- a/internal/replication/tally.go
+++ b/internal/replication/tally.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// groupReply is what a gateway of the group says that it holds of a request.
+// groupReply is the reply of one gateway of the group to a query for a request.
 type groupReply struct {
 	from  string
 	reply *replicaReply // nil: it has not answered
 }
 
-// tally is what gateways have said of a request so far.
+// tally counts what gateways have replied to a query for one request.
 type tally struct {
-	replicas   []Gateway    // who would be its replicas now
-	unknown    int          // of them who hold nothing of it
-	votes      map[vote]int // for outcomes
-	undecided  bool         // somebody holds it, undecided
-	forgotten  bool         // somebody started anew since, and was told of it
-	silent     bool         // somebody has not answered
+	replicas   []Gateway    // that the request would have now
+	unknown    int          // of those replicas, that hold nothing of it
+	votes      map[vote]int // replicas that have accepted an outcome
+	undecided  bool         // a gateway holds it, undecided
+	forgotten  bool         // a gateway restarted since, and has only recovered its key
+	silent     bool         // a gateway has not replied
 	generation uint32       // of the latest request of its key
 }
 
-// vote is for the outcome that a ballot brought.
+// vote is for the outcome that was proposed by a ballot.
 type vote struct {
 	ballot     Ballot
 	generation uint32
@@ -27,7 +27,7 @@
 
 func newTally(replicas []Gateway) *tally { return &tally{replicas: replicas, votes: map[vote]int{}} }
 
-// take counts what one gateway says. It returns the entry whose outcome stands by that, if one does.
+// add counts one reply. It returns the entry whose outcome is decided by that, if one is.
 func (t *tally) add(reply groupReply) *Entry {
 	if reply.reply == nil {
 		t.silent = true
@@ -53,16 +53,17 @@
 		return nil
 	}
 	v := vote{entry.AcceptedBy, entry.Record.Generation}
-	if t.votes[v]++; t.votes[v] >= Majority(len(entry.Record.Replicas)) {
-		return entry
+	t.votes[v]++
+	if t.votes[v] < Majority(len(entry.Record.Replicas)) {
+		return nil
 	}
-	return nil
+	return entry
 }
 
 // isUnknown says that a majority of the replicas holds nothing of the request.
 func (t *tally) isUnknown() bool { return t.unknown >= Majority(len(t.replicas)) }
 
-// err is what the answers come to where none brought an outcome.
+// err is what the replies come to where none of them decided an outcome.
 func (t *tally) err() error {
 	switch {
 	case t.undecided:
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -9,24 +9,25 @@
 	"damsontrestle/internal/fault"
 )
 
-// Work is a request that this gateway has in hand.
+// Work is a request that this gateway carries, by one ballot. It is fenced once the ballot is superseded: from then on it begins
+// no attempt and settles nothing.
 type Work struct {
 	replicator   *Replicator
 	record       Record
 	ballot       Ballot
-	priorIntents []Intent
-	deadline     time.Duration // its client's deadline
-	serveAlone   bool
-	fenced       chan struct{} // closed once another has it in hand, or had its key before
+	priorIntents []Intent      // of earlier owners
+	deadline     time.Duration // of the client, by Options.Now
+	serveAlone   bool          // the outcome counts though no quorum accepted it
+	fenced       chan struct{} // closed with fenceErr
 
 	mu         sync.Mutex
-	fenceErr   error // why this gateway has the request in hand no more; nil: it has
-	accepted   int   // replicas that have taken its record
-	duplicates int   // replicas that have another request of its key in hand, and
-	rejected   int   // such as have no room
+	fenceErr   error // why it is fenced; nil: it is not
+	accepted   int   // replicas that have accepted its record,
+	duplicates int   // that go by another request of its key or a higher ballot,
+	rejected   int   // and that have no capacity or have restarted
 }
 
-// begin notes that a request is in this gateway's hand.
+// register makes a request the work of this gateway. ErrDuplicate: it carries one of that key already. ErrAlone: it shuts down.
 func (r *Replicator) register(ctx context.Context, record Record, ballot Ballot, priorIntents []Intent) (*Work, error) {
 	w := &Work{
 		replicator:   r,
@@ -48,6 +49,7 @@
 	return w, nil
 }
 
+// unregister ends the work: the gateway carries the request no more.
 func (w *Work) unregister() {
 	w.replicator.mu.Lock()
 	defer w.replicator.mu.Unlock()
@@ -56,7 +58,7 @@
 	}
 }
 
-// fence says that this gateway has the request in hand no more, and why: the first reason stands.
+// fence ends the right of this gateway to begin attempts of the request. The first reason stands.
 func (w *Work) fence(why error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,7 +68,7 @@
 	}
 }
 
-// recorded takes a replica's word on the record. Once no majority can take it, nothing of it begins any more.
+// countRecordReply counts a replica's reply to the record. Once no majority can accept it the work is fenced.
 func (w *Work) countRecordReply(reply replicaReply) {
 	quorum := Majority(len(w.record.Replicas))
 	w.mu.Lock()
@@ -92,14 +94,15 @@
 	}
 }
 
-// why is what a request that is fenced comes to here.
+// fenceReason is why the work is fenced; nil: it is not.
 func (w *Work) fenceReason() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fenceErr
 }
 
-// run is the request's story from here on, the same for whoever has it in hand: it is run, settled and told.
+// run carries the request out and settles its outcome, the same for an owner and a successor. The first error of Take stands
+// for what it returns.
 func (w *Work) run(ctx context.Context) (Outcome, error) {
 	defer w.unregister()
 	ctx, cancel := context.WithCancel(ctx)
@@ -141,7 +144,8 @@
 	return w.settle(ctx, outcome)
 }
 
-// broadcast says something of the request to all its replicas, without waiting; own is what this gateway takes of it, if it is one of them.
+// notifyAll sends a notice on the request to all its replicas without waiting; own applies it to this gateway's store, if it is
+// a replica.
 func (w *Work) notifyAll(topic string, n int, own func(*store)) {
 	for _, replica := range w.record.Replicas {
 		if replica.Name == w.replicator.options.Self.Name {
@@ -154,22 +158,24 @@
 	}
 }
 
-// withdraw tells replicas that nothing of a request was begun and nothing will be: other replicas of its key had no room for it or hold
-// another request. Who has taken its record, and no intent behind it, releases it, so that the key is free to be taken again.
+// withdraw notifies replicas that no attempt of the request was begun and none will be: other replicas of its key had no
+// capacity for it or hold another request. Those that accepted its record, and no intent behind it, drop it, so that the key is
+// free.
 func (w *Work) withdraw() {
 	w.notifyAll(topicWithdraw, 0, func(s *store) { s.withdraw(w.record.Key, w.ballot) })
 }
 
-// release tells replicas that this gateway has the request in hand no more, so that one of them may claim it.
+// relinquish notifies replicas that this gateway carries the request no more, so that a successor claims it at once.
 func (w *Work) relinquish() {
 	w.notifyAll(topicRelinquish, 0, func(s *store) { s.relinquish(w.record.Key, w.ballot) })
 }
 
-// TimeLeft is the time until the request's deadline.
+// TimeLeft is the time until the request's deadline; negative past it.
 func (w *Work) TimeLeft() time.Duration { return w.deadline - w.replicator.options.Now() }
 
-// Intend has an attempt allowed by a majority of the replicas; false: it must not begin. It is called when the connection is up
-// and its first byte is written next.
+// Intend has a majority of the replicas accept an attempt's intent; false: the attempt must not begin. It is called when the
+// connection is up and the first byte is written next: an intent that has grown old by then is asked for again, for a successor
+// may have claimed the request meanwhile.
 func (w *Work) Intend(ctx context.Context, intent Intent) bool {
 	intent.Ballot, intent.ID = w.ballot, w.record.ID
 	for {
@@ -195,7 +201,7 @@
 	}
 }
 
-// fresh is how old an intent may be. Where replicas are far the way to them counts.
+// maxIntentAge is how old an intent may be when the first byte is written. Where replicas are far the round trip counts.
 func (w *Work) maxIntentAge() time.Duration {
 	age := w.replicator.options.MaxIntentAge
 	for _, replica := range w.record.Replicas {
@@ -206,6 +212,7 @@
 	return age
 }
 
+// isFenced says that the work is fenced.
 func (w *Work) isFenced() bool {
 	select {
 	case <-w.fenced:
@@ -215,12 +222,14 @@
 	}
 }
 
-// AttemptNotRun tells replicas that an attempt has ended and has not run. Whether they hear of it decides nothing.
+// AttemptNotRun notifies replicas that an attempt has ended and has not run. Nothing depends on whether they hear it; a
+// successor that knows it may send the request again.
 func (w *Work) AttemptNotRun(n int) {
 	w.notifyAll(topicEnded, n, func(s *store) { s.markNotRun(w.record.Key, w.ballot, n) })
 }
 
-// finish has the outcome taken by a majority of the replicas, and then tells all of them that it was.
+// settle has a majority of the replicas accept the outcome, and then notifies all of them that it is decided. ErrDuplicate: the
+// ballot is superseded. ErrUndecided: no quorum has replied.
 func (w *Work) settle(ctx context.Context, outcome Outcome) error {
 	outcome.Live = nil
 	quorumCtx, cancel := context.WithTimeout(ctx, max(min(quorumTimeout, w.TimeLeft()), claimRetryDelay))
