--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,171 +13,211 @@
 	"damsontrestle/internal/balancer"
 )
 
-// actor is whoever has the request in hand, or thinks so.
+const modelReplicas = 3
+
+// actor carries the request, or thinks so: its owner, or a successor.
 type actor struct {
-	by       Ballot
-	r        Record
-	earlier  []Intent
-	allowed  int // attempts
-	claimed  bool
-	over     bool
-	finishes *Outcome // that it has to have taken
+	ballot       Ballot
+	record       Record
+	priorIntents []Intent
+	allowed      int // attempts
+	settled      bool
+	outcome      *Outcome // that it proposes; nil: an attempt comes first
 }
 
-// Whatever order and loss of messages, whoever claims when, and whichever replicas forget: all who are told an outcome are told
-// the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
-func TestOneOutcomeAndOneRunUnderFaults(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const voters = 3
-		held := make([]*Entry, voters)
-		forgot := make([]bool, voters)
-		effect := rapid.SampledFrom([]balancer.Effect{balancer.Safe, balancer.Unsafe}).Draw(t, "effect")
-		var actors []*actor
-		owners := rapid.IntRange(1, 2).Draw(t, "owners") // of one key
-		for i := range owners {
-			ballot := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
-			if i > 0 && rapid.Bool().Draw(t, "its next call") {
-				ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
-			}
-			actors = append(actors, &actor{by: ballot, r: recordOf(ballot)})
+// model is one request at three replicas, by the acceptor's and the successor's rules alone. Draws of rapid stand for the order of
+// messages, their losses, restarts and claims.
+type model struct {
+	t         *rapid.T
+	effect    balancer.Effect
+	entries   []*Entry // of the replicas
+	restarted []bool   // replicas that have forgotten theirs
+	actors    []*actor
+	begun     int      // attempts
+	decided   *Outcome // that somebody was told
+}
+
+func newModel(t *rapid.T) *model {
+	m := &model{t: t, entries: make([]*Entry, modelReplicas), restarted: make([]bool, modelReplicas)}
+	m.effect = rapid.SampledFrom([]balancer.Effect{balancer.Safe, balancer.Unsafe}).Draw(t, "effect")
+	owners := rapid.IntRange(1, 2).Draw(t, "owners") // of one key
+	for i := range owners {
+		ballot := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
+		if i > 0 && rapid.Bool().Draw(t, "its next request") {
+			ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 		}
-		begun := 0
-		var told *Outcome
-		reach := func(what string) []int { // replicas that hear, and of whom the answer comes back
-			var out []int
-			for i := range voters {
-				if !forgot[i] && rapid.IntRange(0, 3).Draw(t, what) > 0 {
-					out = append(out, i)
-				}
-			}
-			return out
+		m.actors = append(m.actors, &actor{ballot: ballot, record: recordOf(ballot)})
+	}
+	return m
+}
+
+// reached are the replicas that a message comes to.
+func (m *model) reached(label string) []int {
+	var out []int
+	for i := range modelReplicas {
+		if !m.restarted[i] && rapid.IntRange(0, 3).Draw(m.t, label) > 0 {
+			out = append(out, i)
 		}
-		poll := func(f func(i int) Verdict) (yes int, answered []int) {
-			heard := reach("heard")
-			for _, i := range heard {
-				verdict := f(i)
-				if rapid.IntRange(0, 4).Draw(t, "back") == 0 {
-					continue
-				}
-				if verdict == Yes {
-					yes++
-					answered = append(answered, i)
-				}
+	}
+	return out
+}
+
+// poll sends a message to the replicas, and returns those whose acceptance comes back.
+func (m *model) poll(accept func(i int) Verdict) []int {
+	var accepted []int
+	for _, i := range m.reached("heard") {
+		verdict := accept(i)
+		if rapid.IntRange(0, 4).Draw(m.t, "back") == 0 {
+			continue
+		}
+		if verdict == Yes {
+			accepted = append(accepted, i)
+		}
+	}
+	return accepted
+}
+
+func (m *model) record(a *actor) {
+	m.poll(func(i int) Verdict {
+		verdict := MayRecord(m.entries[i], &a.record, a.ballot)
+		if verdict == Yes {
+			m.entries[i] = &Entry{Record: a.record, Promised: a.ballot}
+		}
+		return verdict
+	})
+}
+
+// restart has a replica forget its entry, and be none of the request any more; one at most.
+func (m *model) restart() {
+	i := rapid.IntRange(0, modelReplicas-1).Draw(m.t, "who")
+	if !slices.Contains(m.restarted, true) {
+		m.restarted[i] = true
+	}
+}
+
+// claim has a replica claim the request.
+func (m *model) claim(step int) {
+	from := rapid.IntRange(0, modelReplicas-1).Draw(m.t, "from")
+	if m.entries[from] == nil || m.restarted[from] || m.entries[from].Decided {
+		return
+	}
+	ballot := Ballot{Number: m.entries[from].Promised.Number + 1, Owner: string(rune('D' + from)), Incarnation: uint64(step + 10)}
+	record := m.entries[from].Record
+	promised := m.poll(func(i int) Verdict {
+		verdict := MayClaim(m.entries[i], ballot, false)
+		if verdict == Yes {
+			if m.entries[i] == nil {
+				m.entries[i] = &Entry{Record: record}
 			}
-			return yes, answered
+			m.entries[i].Promised = ballot
+		}
+		return verdict
+	})
+	if len(promised) < Majority(modelReplicas) {
+		return
+	}
+	var entries []Entry
+	for _, i := range promised {
+		entry := *m.entries[i]
+		entry.Intents = slices.Clone(entry.Intents)
+		entries = append(entries, entry)
+	}
+	merged, intents, outcome := Merge(entries)
+	m.actors = append(m.actors, &actor{ballot: ballot, record: merged, priorIntents: intents, outcome: outcome})
+}
+
+// advance has an actor take its next step.
+func (m *model) advance() {
+	a := m.actors[rapid.IntRange(0, len(m.actors)-1).Draw(m.t, "actor")]
+	if a.settled {
+		return
+	}
+	if a.outcome != nil {
+		m.settle(a)
+		return
+	}
+	next := Next(m.effect, a.priorIntents, time.Second, func(string) bool { return false })
+	switch {
+	case a.allowed > 0:
+		a.outcome = &Outcome{Kind: Served, Body: []byte(fmt.Sprint("by ", a.ballot))}
+	case next == GiveUp:
+		a.outcome = &Outcome{Kind: Failed}
+	default:
+		m.intend(a)
+	}
+}
+
+// intend has an attempt allowed. None is by a ballot once a majority has promised a higher one.
+func (m *model) intend(a *actor) {
+	intent := Intent{Ballot: a.ballot, Attempt: len(a.priorIntents), ID: a.record.ID}
+	accepted := m.poll(func(i int) Verdict {
+		verdict := MayIntend(m.entries[i], a.ballot)
+		if verdict == Yes {
+			m.entries[i].TakeIntent(intent)
+		}
+		return verdict
+	})
+	if len(accepted) < Majority(modelReplicas) {
+		return
+	}
+	higher := 0
+	for i, entry := range m.entries {
+		if entry != nil && !m.restarted[i] && entry.Promised.Compare(a.ballot) > 0 {
+			higher++
 		}
-		for _, a := range actors {
-			poll(func(i int) Verdict {
-				verdict := MayRecord(held[i], &a.r, a.by)
-				if verdict == Yes {
-					held[i] = &Entry{Record: a.r, Promised: a.by}
-				}
-				return verdict
-			})
+	}
+	if higher >= Majority(modelReplicas) {
+		m.t.Fatalf("%v begins an attempt though a majority has promised more", a.ballot)
+	}
+	a.allowed++
+	m.begun++
+}
+
+// settle has an actor's outcome accepted. Whoever is told one is told the same one.
+func (m *model) settle(a *actor) {
+	accepted := m.poll(func(i int) Verdict {
+		verdict := MaySettle(m.entries[i], a.ballot)
+		if verdict == Yes {
+			m.entries[i].TakeOutcome(*a.outcome, a.ballot)
+		}
+		return verdict
+	})
+	if len(accepted) < Majority(modelReplicas) {
+		return
+	}
+	a.settled = true
+	if m.decided != nil && (m.decided.Kind != a.outcome.Kind || string(m.decided.Body) != string(a.outcome.Body)) {
+		m.t.Fatalf("one was told %+v, another %+v", m.decided, a.outcome)
+	}
+	m.decided = a.outcome
+	for _, i := range m.reached("decided") {
+		if m.entries[i] != nil {
+			m.entries[i].TakeOutcome(*a.outcome, a.ballot)
+			m.entries[i].Decided = true
+		}
+	}
+}
+
+// Whatever order and loss of messages, whoever claims when, and whichever replica forgets: all who are told an outcome are told
+// the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
+func TestOneOutcomeAndOneRunUnderFaults(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
+		for _, a := range m.actors {
+			m.record(a)
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0: // a replica starts anew: it is none any more
-				n := 0
-				for _, f := range forgot {
-					if f {
-						n++
-					}
-				}
-				if i := rapid.IntRange(0, voters-1).Draw(t, "who"); n == 0 {
-					forgot[i] = true
-				}
-			case 1, 2: // somebody claims
-				i := rapid.IntRange(0, voters-1).Draw(t, "from")
-				if held[i] == nil || forgot[i] || held[i].Decided {
-					continue
-				}
-				ballot := Ballot{Number: held[i].Promised.Number + 1, Owner: string(rune('D' + i)), Incarnation: uint64(step + 10)}
-				rec := held[i].Record
-				var entries []Entry
-				yes, answered := poll(func(k int) Verdict {
-					verdict := MayClaim(held[k], ballot, false)
-					if verdict == Yes {
-						if held[k] == nil {
-							held[k] = &Entry{Record: rec}
-						}
-						held[k].Promised = ballot
-					}
-					return verdict
-				})
-				if yes < Majority(voters) {
-					continue
-				}
-				for _, k := range answered {
-					entry := *held[k]
-					entry.Intents = append([]Intent(nil), entry.Intents...)
-					entries = append(entries, entry)
-				}
-				record, intents, outcome := Merge(entries)
-				a := &actor{by: ballot, r: record, earlier: intents, claimed: true, finishes: outcome}
-				actors = append(actors, a)
-			default: // somebody goes on
-				a := actors[rapid.IntRange(0, len(actors)-1).Draw(t, "actor")]
-				if a.over {
-					continue
-				}
-				if a.finishes == nil {
-					next := Next(effect, a.earlier, time.Second, func(string) bool { return false })
-					if a.allowed > 0 {
-						a.finishes = &Outcome{Kind: Served, Body: []byte(fmt.Sprint("by ", a.by))}
-					} else if next == GiveUp {
-						a.finishes = &Outcome{Kind: Failed}
-					} else {
-						intent := Intent{Ballot: a.by, Attempt: len(a.earlier), ID: a.r.ID}
-						yes, _ := poll(func(i int) Verdict {
-							verdict := MayIntend(held[i], a.by)
-							if verdict == Yes {
-								held[i].TakeIntent(intent)
-							}
-							return verdict
-						})
-						if yes < Majority(voters) {
-							continue
-						}
-						higher := 0
-						for i := range voters {
-							if held[i] != nil && !forgot[i] && held[i].Promised.Compare(a.by) > 0 {
-								higher++
-							}
-						}
-						if higher >= Majority(voters) {
-							t.Fatalf("%v begins an attempt though a majority has promised more", a.by)
-						}
-						a.allowed++
-						begun++
-					}
-					continue
-				}
-				yes, _ := poll(func(i int) Verdict {
-					verdict := MaySettle(held[i], a.by)
-					if verdict == Yes {
-						held[i].TakeOutcome(*a.finishes, a.by)
-					}
-					return verdict
-				})
-				if yes < Majority(voters) {
-					continue
-				}
-				a.over = true
-				if told != nil && (told.Kind != a.finishes.Kind || string(told.Body) != string(a.finishes.Body)) {
-					t.Fatalf("one was told %+v, another %+v", told, a.finishes)
-				}
-				told = a.finishes
-				for _, i := range reach("decided") {
-					if held[i] != nil {
-						held[i].TakeOutcome(*a.finishes, a.by)
-						held[i].Decided = true
-					}
-				}
+			case 0:
+				m.restart()
+			case 1, 2:
+				m.claim(step)
+			default:
+				m.advance()
 			}
 		}
-		if effect == balancer.Unsafe && begun > 1 {
-			t.Fatalf("%d attempts of an unsafe call began", begun)
+		if m.effect == balancer.Unsafe && m.begun > 1 {
+			t.Fatalf("%d attempts of an unsafe request began", m.begun)
 		}
 	})
 }
