--- a/internal/replication/acceptor.go
+++ b/internal/replication/acceptor.go
@@ -22,7 +22,7 @@
 	OtherIncarnation                    // the replica is of another incarnation: it may have forgotten what it had accepted
 )
 
-var verdicts = [...]string{"", "yes", "higher", "known", "heard", "unknown", "full", "another life"}
+var verdicts = [...]string{"", "yes", "higher", "duplicate", "owner alive", "unknown", "full", "other incarnation"}
 
 // String is the verdict in the words of the design page.
 func (v Verdict) String() string { return verdicts[min(int(v), len(verdicts)-1)] }
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkTake(b *testing.B) {
 	served := Outcome{Kind: Served, Body: make([]byte, 200)}
 	run := func(ctx context.Context, _ *Record, _ []Intent, w *Work) Outcome {
-		if w != nil && !w.Intend(ctx, Intent{Pool: "boxes", Server: "b"}) {
+		if w != nil && !w.Intend(ctx, Intent{Pool: "own", Server: "b"}) {
 			return Outcome{Kind: Failed}
 		}
 		return served
@@ -24,7 +24,7 @@
 	})
 	for _, n := range []int{2, 3, 5} {
 		b.Run(fmt.Sprint("group of ", n), func(b *testing.B) {
-			owner := group(b, n, run)["g0"].c
+			owner := newTestGroup(b, n, run)["g0"].replicator
 			body := make([]byte, 400)
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/replication/conformance_test.go
+++ b/internal/replication/conformance_test.go
@@ -12,7 +12,7 @@
 
 const designPage = "../../docs/design/custody.md"
 
-// ballot reads "of A" or "2 by B".
+// parseBallot reads "of A" or "2 by B"; A' is A's next request of the key.
 func parseBallot(words string) (Ballot, error) {
 	var ballot Ballot
 	if by, ok := strings.CutPrefix(words, "of "); ok {
@@ -20,7 +20,8 @@
 	} else if _, err := fmt.Sscanf(words, "%d by %s", &ballot.Number, &ballot.Owner); err != nil {
 		return ballot, fmt.Errorf("%q is no ballot", words)
 	}
-	ballot.Owner, ballot.Sequence = strings.TrimSuffix(ballot.Owner, "'"), uint64(strings.Count(ballot.Owner, "'")) // A' is A's next request of the key
+	ballot.Sequence = uint64(strings.Count(ballot.Owner, "'"))
+	ballot.Owner = strings.TrimSuffix(ballot.Owner, "'")
 	if len(ballot.Owner) != 1 {
 		return ballot, fmt.Errorf("%q names nobody", words)
 	}
@@ -28,13 +29,18 @@
 	return ballot, nil
 }
 
+// recordOf is the record that came with an owner's first ballot.
 func recordOf(ballot Ballot) Record {
-	return Record{Key: Key{"note", "k"}, ID: fmt.Sprint("call ", ballot.Sequence, " of ", ballot.Owner), Owner: Gateway{Name: ballot.Owner, Incarnation: ballot.Incarnation}}
+	return Record{
+		Key:   Key{"note", "k"},
+		ID:    fmt.Sprint("request ", ballot.Sequence, " of ", ballot.Owner),
+		Owner: Gateway{Name: ballot.Owner, Incarnation: ballot.Incarnation},
+	}
 }
 
-var kindNames = map[string]Kind{"served": Served, "refused": Rejected, "failed": Failed}
+var kindNames = map[string]Kind{"served": Served, "rejected": Rejected, "failed": Failed}
 
-// entry reads what a replica holds.
+// parseEntry reads the state of a replica.
 func parseEntry(words string) (*Entry, error) {
 	if words == "nothing" {
 		return nil, nil
@@ -81,36 +87,36 @@
 		case "decided":
 			entry.Decided = true
 		default:
-			return nil, fmt.Errorf("%q is nothing that a voter holds", part)
+			return nil, fmt.Errorf("%q is nothing that a replica holds", part)
 		}
 	}
 	return entry, nil
 }
 
 func TestReplicaAccepts(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "What a voter takes") {
-		entry, err := parseEntry(r.At("given"))
+	for _, row := range spectest.Rows(t, designPage, "What a replica accepts") {
+		entry, err := parseEntry(row.At("given"))
 		if err != nil {
-			t.Errorf("%s:%d: %v", designPage, r.Line, err)
+			t.Errorf("%s:%d: %v", designPage, row.Line, err)
 			continue
 		}
-		event := r.At("event")
+		event := row.At("event")
 		event, heard := strings.CutSuffix(event, " while A is heard")
 		event, later := strings.CutSuffix(event, ", generation 1")
 		verb, rest, _ := strings.Cut(event, " ")
 		ballot, err := parseBallot(rest)
 		if err != nil {
-			t.Errorf("%s:%d: %v", designPage, r.Line, err)
+			t.Errorf("%s:%d: %v", designPage, row.Line, err)
 			continue
 		}
 		var got Verdict
 		switch verb {
 		case "record":
-			rec := recordOf(ballot)
+			record := recordOf(ballot)
 			if later {
-				rec.Generation = 1
+				record.Generation = 1
 			}
-			got = MayRecord(entry, &rec, ballot)
+			got = MayRecord(entry, &record, ballot)
 		case "intent":
 			got = MayIntend(entry, ballot)
 		case "outcome":
@@ -118,15 +124,16 @@
 		case "claim":
 			got = MayClaim(entry, ballot, heard)
 		case "withdrawal":
-			if got = Duplicate; MayWithdraw(entry, ballot) {
+			got = Duplicate
+			if MayWithdraw(entry, ballot) {
 				got = Yes
 			}
 		default:
-			t.Errorf("%s:%d: nobody plays %q", designPage, r.Line, event)
+			t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, event)
 			continue
 		}
-		if got.String() != r.At("outcome") {
-			t.Errorf("%s:%d: given %s, %s: %v", designPage, r.Line, r.At("given"), r.At("event"), got)
+		if got.String() != row.At("outcome") {
+			t.Errorf("%s:%d: given %s, %s: %v", designPage, row.Line, row.At("given"), row.At("event"), got)
 		}
 	}
 }
@@ -134,53 +141,53 @@
 var effectNames = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
 // stepOf is what a successor does by a row's effect, intents and time left.
-func stepOf(t *testing.T, r spectest.Row) (Step, time.Duration) {
+func stepOf(t *testing.T, row spectest.Row) (Step, time.Duration) {
 	t.Helper()
-	effect, ok := effectNames[r.At("effect")]
-	left, err := time.ParseDuration(r.At("time left"))
+	effect, ok := effectNames[row.At("effect")]
+	left, err := time.ParseDuration(row.At("time left"))
 	if !ok || err != nil {
-		t.Fatalf("%s:%d: effect or time: %v", designPage, r.Line, err)
+		t.Fatalf("%s:%d: effect or time: %v", designPage, row.Line, err)
 	}
 	var intents []Intent
-	for i, part := range strings.Split(r.At("intents"), ", ") {
+	for i, part := range strings.Split(row.At("intents"), ", ") {
 		pool, notRun := strings.CutSuffix(part, " not run")
-		if pool == "boxes" || pool == "partner" {
+		if pool == "own" || pool == "partner" {
 			intents = append(intents, Intent{Attempt: i, Pool: pool, NotRun: notRun})
 		} else if part != "none" {
-			t.Errorf("%s:%d: nobody plays the intent %q", designPage, r.Line, part)
+			t.Errorf("%s:%d: nobody plays the intent %q", designPage, row.Line, part)
 		}
 	}
 	return Next(effect, intents, left, func(pool string) bool { return pool == "partner" }), left
 }
 
 func TestSuccessorNextStep(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "What an heir does") {
-		if got, _ := stepOf(t, r); got.String() != r.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, r.Line, got)
+	for _, row := range spectest.Rows(t, designPage, "What a successor does") {
+		if got, _ := stepOf(t, row); got.String() != row.At("outcome") {
+			t.Errorf("%s:%d: %v", designPage, row.Line, got)
 		}
 	}
 }
 
-func TestSilentReplicaIsSuspected(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "When a silent holder is doubted") {
-		step, left := stepOf(t, r)
-		way, err := time.ParseDuration(r.At("way"))
+func TestSilentOwnerIsSuspected(t *testing.T) {
+	for _, row := range spectest.Rows(t, designPage, "When a silent owner is suspected") {
+		step, left := stepOf(t, row)
+		rtt, err := time.ParseDuration(row.At("round trip"))
 		if err != nil {
-			t.Fatalf("%s:%d: %v", designPage, r.Line, err)
+			t.Fatalf("%s:%d: %v", designPage, row.Line, err)
 		}
-		if got := SuspectAfter(250*time.Millisecond, way, time.Second, left, Servable(step)); got.String() != r.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, r.Line, got)
+		if got := SuspectAfter(250*time.Millisecond, rtt, time.Second, left, Servable(step)); got.String() != row.At("outcome") {
+			t.Errorf("%s:%d: %v", designPage, row.Line, got)
 		}
 	}
 }
 
 func TestClaimLearnsAcceptedOutcome(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "Which entries a claim learns from") {
+	for _, row := range spectest.Rows(t, designPage, "Which entries a claim learns from") {
 		var entries []Entry
-		for _, words := range strings.Split(r.At("voters"), "; ") {
+		for _, words := range strings.Split(row.At("replicas"), "; ") {
 			entry, err := parseEntry(words)
 			if err != nil || entry == nil {
-				t.Fatalf("%s:%d: %v", designPage, r.Line, err)
+				t.Fatalf("%s:%d: %v", designPage, row.Line, err)
 			}
 			entries = append(entries, *entry)
 		}
@@ -199,22 +206,22 @@
 				kind = name
 			}
 		}
-		if got := strings.Join(said, ", "); got != r.At("intents") || kind != r.At("outcome") {
-			t.Errorf("%s:%d: %q, %q", designPage, r.Line, got, kind)
+		if got := strings.Join(said, ", "); got != row.At("intents") || kind != row.At("outcome") {
+			t.Errorf("%s:%d: %q, %q", designPage, row.Line, got, kind)
 		}
 	}
 }
 
 func TestReplicaRecovers(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "When one who started anew votes again") {
+	for _, row := range spectest.Rows(t, designPage, "When a gateway that restarted votes again") {
 		recoveries := map[string]Recovery{}
-		for _, part := range strings.Split(r.At("answers"), "; ") {
+		for _, part := range strings.Split(row.At("answers"), "; ") {
 			if part == "none" {
 				continue
 			}
 			by, seen, ok := strings.Cut(part, " saw ")
 			if !ok {
-				t.Errorf("%s:%d: nobody plays %q", designPage, r.Line, part)
+				t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, part)
 			}
 			by, young := strings.CutSuffix(by, " forgot and")
 			recoveries[strings.TrimSpace(by)] = Recovery{young, strings.Split(seen, " ")}
@@ -223,8 +230,8 @@
 		if HasRecovered("A", recoveries) {
 			got = "yes"
 		}
-		if got != r.At("outcome") {
-			t.Errorf("%s:%d: %s", designPage, r.Line, got)
+		if got != row.At("outcome") {
+			t.Errorf("%s:%d: %s", designPage, row.Line, got)
 		}
 	}
 }
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -11,40 +11,40 @@
 )
 
 // claimAt has replicas promise a request to a higher ballot, as if they had lost its owner.
-func claimAt(t *testing.T, replicas byName, of *Work, names ...string) Ballot {
+func claimAt(t *testing.T, replicas testGroup, of *Work, names ...string) Ballot {
 	t.Helper()
-	higher := Ballot{Number: 2, Owner: names[0], Incarnation: replicas[names[0]].c.options.Self.Incarnation, Sequence: 1}
+	ballot := Ballot{Number: 2, Owner: names[0], Incarnation: replicas[names[0]].replicator.options.Self.Incarnation, Sequence: 1}
 	for _, name := range names {
-		replica := replicas[name].c
+		replica := replicas[name].replicator
 		testpeer.Until(t, name+" to have the intent, which a majority without it may have taken", func() bool {
 			entry, _ := replica.store.lookup(of.record.Key)
 			return entry != nil && len(entry.Intents) > 0
 		})
 		replica.store.relinquish(of.record.Key, of.ballot)
-		reply := replica.claim(recordRequest{Record: of.record, Ballot: higher, ReplicaIncarnation: replica.options.Self.Incarnation})
+		reply := replica.claim(recordRequest{Record: of.record, Ballot: ballot, ReplicaIncarnation: replica.options.Self.Incarnation})
 		if reply.Verdict != Yes {
 			t.Fatalf("%s promises nothing: %v", name, reply.Verdict)
 		}
 	}
-	return higher
+	return ballot
 }
 
-// A gateway that started anew votes on no key, its own requests' among them. Once another has claimed such a request, its client
-// hears what became of it, and not that there was no room for it: an attempt of it has begun.
+// A gateway that restarted votes on no key, its own requests' among them. Once another has claimed such a request, its client
+// hears what became of it, and not that there was no capacity for it: an attempt of it has begun.
 func TestClaimedRequestIsFoundThoughOneReplicaForgot(t *testing.T) {
-	var replicas byName
+	var replicas testGroup
 	run := func(ctx context.Context, _ *Record, _ []Intent, w *Work) Outcome {
-		if !w.Intend(ctx, Intent{Pool: "boxes", Server: "b"}) {
+		if !w.Intend(ctx, Intent{Pool: "own", Server: "b"}) {
 			t.Error("a majority took the record, and the attempt was not allowed")
 		}
 		claimAt(t, replicas, w, "g1", "g2")
-		if w.Intend(ctx, Intent{Attempt: 1, Pool: "boxes", Server: "b"}) {
-			t.Error("an attempt was allowed after a majority had promised the call to another")
+		if w.Intend(ctx, Intent{Attempt: 1, Pool: "own", Server: "b"}) {
+			t.Error("an attempt was allowed after a majority had promised the request to another")
 		}
 		return Outcome{Kind: Rejected}
 	}
-	replicas = group(t, 3, run)
-	owner := replicas["g0"].c
+	replicas = newTestGroup(t, 3, run)
+	owner := replicas["g0"].replicator
 	forgotten, err := peering.Encode(incarnationNotice{})
 	if err != nil {
 		t.Fatal(err)
@@ -58,19 +58,19 @@
 
 // What others settled ends the work on it here at once, however long the attempt under way would still take.
 func TestWorkEndsOnceRequestIsDecided(t *testing.T) {
-	var replicas byName
+	var replicas testGroup
 	begun := make(chan *Work, 1)
 	run := func(ctx context.Context, _ *Record, _ []Intent, w *Work) Outcome {
-		w.Intend(ctx, Intent{Pool: "boxes", Server: "b"})
+		w.Intend(ctx, Intent{Pool: "own", Server: "b"})
 		begun <- w
 		<-ctx.Done() // as an attempt at a server that hangs
 		return Outcome{}
 	}
-	replicas = group(t, 3, run)
+	replicas = newTestGroup(t, 3, run)
 	taken := make(chan error, 1)
 	request := Record{Key: Key{"view", "i:call"}, ID: "call", TimeLeft: time.Minute}
 	go func() {
-		_, err := replicas["g0"].c.Take(t.Context(), request, false, 0)
+		_, err := replicas["g0"].replicator.Take(t.Context(), request, false, 0)
 		taken <- err
 	}()
 	work := testpeer.Receive(t, begun, "the attempt")
@@ -90,7 +90,7 @@
 func TestKeyWithoutQuorumIsNotStarted(t *testing.T) {
 	others := []Gateway{{Name: "g0", Incarnation: 1}, {Name: "g1", Incarnation: 2}, {Name: "g2", Incarnation: 3}}
 	run := func(context.Context, *Record, []Intent, *Work) Outcome {
-		t.Error("the call was begun")
+		t.Error("the request was begun")
 		return Outcome{Kind: Served}
 	}
 	r := New(Options{Self: others[0], Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return others }, Run: run, Replicas: 3,
@@ -101,6 +101,6 @@
 		t.Errorf("it was told %v, want %v", err, ErrNoAnswer)
 	}
 	if held := r.Status().Replica.Held; held != 0 {
-		t.Errorf("%d calls are held", held)
+		t.Errorf("%d requests are held", held)
 	}
 }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// Answers are kept for as long as is said, or until room is needed, the oldest forgotten first; what is undecided is never
-// forgotten for room.
+// Answers are kept for as long as is said, or until capacity is needed, the oldest forgotten first; what is undecided is never
+// forgotten for capacity.
 func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
 	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
@@ -36,7 +36,7 @@
 	settle("b")
 	settle("a")
 	if verdict := take("d", 4000); verdict != Yes {
-		t.Errorf("with bodies of two that are decided let go: %v", verdict)
+		t.Errorf("with bodies of two that are decided dropped: %v", verdict)
 	}
 	if verdict := take("e", 1500); verdict != Yes {
 		t.Errorf("with an answer to forget: %v", verdict)
@@ -48,7 +48,7 @@
 	now += 30 * time.Second
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
 	if held("a") || !held("c") {
-		t.Error("an answer is kept for longer than is said, or an undecided call was let go")
+		t.Error("an answer is kept for longer than is said, or an undecided request was dropped")
 	}
 	now += 2 * time.Minute
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
@@ -86,15 +86,15 @@
 			t.Errorf("%s votes on %d of %d keys", name, n, keys)
 		}
 	}
-	for _, c := range []struct{ group, holders, want int }{{1, 3, 0}, {2, 3, 1}, {3, 3, 3}, {4, 3, 3}, {5, 5, 5}, {4, 5, 3}, {9, 1, 1}} {
-		v := ChooseReplicas(Key{"note", "k"}, "g0", group[:c.group], c.holders)
+	for _, c := range []struct{ group, replicas, want int }{{1, 3, 0}, {2, 3, 1}, {3, 3, 3}, {4, 3, 3}, {5, 5, 5}, {4, 5, 3}, {9, 1, 1}} {
+		v := ChooseReplicas(Key{"note", "k"}, "g0", group[:c.group], c.replicas)
 		if len(v) != c.want || c.group == 2 && v[0].Name != "g1" {
-			t.Errorf("a group of %d, %d holders: %v", c.group, c.holders, v)
+			t.Errorf("a group of %d, %d replicas: %v", c.group, c.replicas, v)
 		}
 	}
 }
 
-// Who was started anew, and is told so by whoever knew its earlier incarnation, takes no key while repeats of before may come; what
+// Who was restarted, and is told so by whoever knew its earlier incarnation, takes no key while repeats of before may come; what
 // has no key it takes.
 func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
 	var at atomic.Int64
@@ -115,10 +115,10 @@
 	}
 	r.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
 	if verdict := ask("k"); verdict != OtherIncarnation {
-		t.Errorf("2 s after its earlier life: %v", verdict)
+		t.Errorf("2 s after its earlier incarnation: %v", verdict)
 	}
 	if verdict := ask(""); verdict != Yes {
-		t.Errorf("a call without a key: %v", verdict)
+		t.Errorf("a request without a key: %v", verdict)
 	}
 	at.Add(int64(3*time.Second + 1))
 	if verdict := ask("k"); verdict != Yes {
@@ -126,82 +126,120 @@
 	}
 }
 
-// Who started anew is told of keys that it may have voted for, page by page, with answers that are decided, and knows them: it
-// takes no other request of theirs, and none that it voted for in this incarnation is changed. It is no replica of what it was told.
-func TestVotesOfEarlierIncarnationAreRecovered(t *testing.T) {
-	now := time.Hour
-	clock := func() time.Duration { return now }
-	other, self := newStore(clock, time.Minute, 1<<20), newStore(clock, time.Minute, 1<<20)
-	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
-	replicas := []Gateway{{Name: "A", Incarnation: 1}, {Name: "B", Incarnation: 2}, {Name: "C", Incarnation: 3}}
-	rec := func(id, repeats string) Record {
-		return Record{Key: Key{"log", id}, ID: id, IdempotencyKey: repeats, Body: []byte("body"), TimeLeft: time.Second, Replicas: replicas}
+// keyedRecord is a request with an idempotency key that may be none.
+func keyedRecord(id, idempotencyKey string) Record {
+	return Record{
+		Key:            Key{"log", id},
+		ID:             id,
+		IdempotencyKey: idempotencyKey,
+		Body:           []byte("body"),
+		TimeLeft:       time.Second,
+		Replicas:       []Gateway{{Name: "A", Incarnation: 1}, {Name: "B", Incarnation: 2}, {Name: "C", Incarnation: 3}},
 	}
+}
+
+// votedStore has five keys k0 to k4 for which B may have voted, k0 rejected and k1 served, and others that are none of B's votes.
+func votedStore(t *testing.T, now func() time.Duration, ballot Ballot) *store {
+	t.Helper()
+	s := newStore(now, time.Minute, 1<<20)
 	for i := range 5 {
 		id := fmt.Sprint("k", i)
-		if verdict, _ := other.record(rec(id, id), ballot); verdict != Yes || other.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Yes {
+		verdict, _ := s.record(keyedRecord(id, id), ballot)
+		if verdict != Yes || s.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Yes {
 			t.Fatal(verdict)
 		}
 	}
-	other.record(rec("nothing allowed", "nothing allowed"), ballot)
-	other.record(rec("no key", ""), ballot)
-	elsewhere := rec("elsewhere", "elsewhere")
-	elsewhere.Replicas = replicas[:1]
-	other.record(elsewhere, ballot)
-	other.settle(Key{"log", "k0"}, Outcome{Kind: Rejected, NotRun: true}, ballot)
-	other.decide(Key{"log", "k0"}, 0, Outcome{Kind: Rejected, NotRun: true}, ballot)
-	other.settle(Key{"log", "k1"}, Outcome{Kind: Served, Body: []byte("answer")}, ballot)
-	other.decide(Key{"log", "k1"}, 0, Outcome{Kind: Served, Body: []byte("answer")}, ballot)
-	now += 100 * time.Millisecond
-	own := rec("k4", "k4")
-	own.ID = "voted in this life"
-	self.record(own, ballot)
-	var from Key
-	told := 0
+	s.record(keyedRecord("nothing allowed", "nothing allowed"), ballot)
+	s.record(keyedRecord("no key", ""), ballot)
+	elsewhere := keyedRecord("elsewhere", "elsewhere")
+	elsewhere.Replicas = elsewhere.Replicas[:1]
+	s.record(elsewhere, ballot)
+	for id, outcome := range map[string]Outcome{
+		"k0": {Kind: Rejected, NotRun: true},
+		"k1": {Kind: Served, Body: []byte("answer")},
+	} {
+		s.settle(Key{"log", id}, outcome, ballot)
+		s.decide(Key{"log", id}, 0, outcome, ballot)
+	}
+	return s
+}
+
+// recoverPages has one store recover B's votes from another, and returns how many came.
+func recoverPages(t *testing.T, from, to *store) int {
+	t.Helper()
+	var after Key
+	count := 0
 	for more := true; more; {
 		var page []Entry
-		page, more = other.recoverable("B", from, 1700)
+		page, more = from.recoverable("B", after, 1700)
 		for _, entry := range page {
 			if len(entry.Record.Body) > 0 || entry.Record.TimeLeft != 900*time.Millisecond {
 				t.Errorf("told %+v", entry)
 			}
-			if !self.addRecovered(entry) || !self.addRecovered(entry) {
-				t.Fatal("no room")
+			if !to.addRecovered(entry) || !to.addRecovered(entry) {
+				t.Fatal("no capacity")
 			}
-			from, told = entry.Record.Key, told+1
+			after = entry.Record.Key
+			count++
 		}
 	}
-	if told != 5 {
-		t.Errorf("%d keys were told, want 5", told)
+	return count
+}
+
+// A gateway that restarted is told of keys that it may have voted for, page by page, with outcomes that are decided, and knows
+// them: it takes no other request of theirs, and none that it voted for in this incarnation is changed. It is no replica of what
+// it was told.
+func TestVotesOfEarlierIncarnationAreRecovered(t *testing.T) {
+	now := time.Hour
+	clock := func() time.Duration { return now }
+	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
+	other := votedStore(t, clock, ballot)
+	now += 100 * time.Millisecond
+	self := newStore(clock, time.Minute, 1<<20)
+	own := keyedRecord("k4", "k4")
+	own.ID = "voted in this incarnation"
+	self.record(own, ballot)
+	if count := recoverPages(t, other, self); count != 5 {
+		t.Errorf("%d keys were told, want 5", count)
 	}
 	for _, c := range []struct {
-		id   string
-		gen  uint32
-		want Verdict
-	}{{"k0", 0, Duplicate}, {"k1", 0, Duplicate}, {"k2", 0, Duplicate}, {"k0", 1, Yes}, {"k1", 1, Duplicate}, {"k4", 1, Duplicate}, {"elsewhere", 0, Yes}} {
-		record := rec(c.id, c.id)
-		record.ID, record.Generation = "another call", c.gen
+		id         string
+		generation uint32
+		want       Verdict
+	}{
+		{"k0", 0, Duplicate},
+		{"k1", 0, Duplicate},
+		{"k2", 0, Duplicate},
+		{"k0", 1, Yes},
+		{"k1", 1, Duplicate},
+		{"k4", 1, Duplicate},
+		{"elsewhere", 0, Yes},
+	} {
+		record := keyedRecord(c.id, c.id)
+		record.ID = "another request"
+		record.Generation = c.generation
 		if verdict, _ := self.record(record, Ballot{Number: 1, Owner: "C", Incarnation: 3}); verdict != c.want {
-			t.Errorf("another call of %s, generation %d: %v, want %v", c.id, c.gen, verdict, c.want)
+			t.Errorf("another request of %s, generation %d: %v, want %v", c.id, c.generation, verdict, c.want)
 		}
 	}
-	if entry, _ := self.lookup(Key{"log", "k4"}); entry == nil || entry.Record.ID != "voted in this life" {
-		t.Errorf("what this life voted for is now %+v", entry)
+	if entry, _ := self.lookup(Key{"log", "k4"}); entry == nil || entry.Record.ID != "voted in this incarnation" {
+		t.Errorf("what this incarnation voted for is now %+v", entry)
 	}
 	if entry, _ := self.lookup(Key{"log", "k1"}); entry == nil || !entry.Decided || string(entry.Outcome.Body) != "answer" {
-		t.Errorf("the answer is not known: %+v", entry)
+		t.Errorf("the outcome is not known: %+v", entry)
 	}
 	if entry, _ := self.lookup(Key{"log", "k2"}); entry == nil || entry.Decided || !entry.Recovered {
 		t.Errorf("what is undecided is %+v", entry)
 	}
 	now += time.Second
-	if lost, _ := self.orphans("B", func(*Entry, time.Duration) bool { return false }); len(lost) > 2 { // k4, and k0's next one
-		t.Errorf("it would claim what it is no voter of: %v", lost)
+	dead := func(*Entry, time.Duration) bool { return false }
+	if orphans, _ := self.orphans("B", dead); len(orphans) > 2 { // k4, and k0's next one
+		t.Errorf("it would claim what it is no replica of: %v", orphans)
 	}
 	small := newStore(clock, time.Minute, 700)
 	page, _ := other.recoverable("B", Key{}, 1<<20)
 	if small.addRecovered(page[0]) && small.addRecovered(page[1]) && small.addRecovered(page[2]) {
-		t.Error("more was remembered than there is room for")
+		t.Error("more was recovered than there is capacity for")
 	}
 }
 
@@ -216,14 +254,14 @@
 	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
 	s.settle(key, refused, first)
 	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Yes {
-		t.Fatalf("what was refused is asked for anew: %v", verdict)
+		t.Fatalf("a key whose request was rejected is used anew: %v", verdict)
 	}
 	s.decide(key, 0, refused, successor)
 	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Yes {
-		t.Errorf("an attempt of the next call, once the first is told to be refused: %v", verdict)
+		t.Errorf("an attempt of the next request, once the first is told to be rejected: %v", verdict)
 	}
 	s.decide(key, 1, Outcome{Kind: Served}, next)
 	if entry, _ := s.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
-		t.Errorf("the next call's own decision: %+v", entry)
+		t.Errorf("the next request's own decision: %+v", entry)
 	}
 }
