--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -8,49 +8,49 @@
 )
 
 // answerOf is an outcome as clients are told it.
-func answerOf(o replication.Outcome) engine.Response {
-	if a, ok := o.Live.(engine.Response); ok {
-		return a
+func responseOf(outcome replication.Outcome) engine.Response {
+	if response, ok := outcome.Live.(engine.Response); ok {
+		return response
 	}
-	switch o.Kind {
+	switch outcome.Kind {
 	case replication.Served:
-		if o.TooLong {
+		if outcome.TooLong {
 			return engine.Response{Kind: engine.Failed} // it was served, and its answer was too long to be kept
 		}
-		return engine.Response{Kind: engine.Served, Reply: engine.Reply{Body: o.Body, ContentType: o.ContentType, Length: int64(len(o.Body))}}
+		return engine.Response{Kind: engine.Served, Reply: engine.Reply{Body: outcome.Body, ContentType: outcome.ContentType, Length: int64(len(outcome.Body))}}
 	case replication.Rejected:
-		return engine.Response{Kind: engine.Rejected, RetryAfter: max(o.RetryAfter, time.Millisecond), NotRun: o.NotRun, Why: o.Reason}
+		return engine.Response{Kind: engine.Rejected, RetryAfter: max(outcome.RetryAfter, time.Millisecond), NotRun: outcome.NotRun, Why: outcome.Reason}
 	}
 	return engine.Response{Kind: engine.Failed}
 }
 
 // settled is an outcome that holds for all who ask.
-func settled(o replication.Outcome) engine.Response {
-	a := answerOf(o)
-	a.Settled = true
-	return a
+func settledResponse(outcome replication.Outcome) engine.Response {
+	response := responseOf(outcome)
+	response.Settled = true
+	return response
 }
 
 // outcomeOf is an answer as it is settled.
-func outcomeOf(a engine.Response) replication.Outcome {
-	o := replication.Outcome{Live: a}
-	switch a.Kind {
+func outcomeOf(response engine.Response) replication.Outcome {
+	outcome := replication.Outcome{Live: response}
+	switch response.Kind {
 	case engine.Served:
-		o.Kind, o.ContentType = replication.Served, a.Reply.ContentType
-		if a.Reply.Rest != nil {
-			o.TooLong = true
+		outcome.Kind, outcome.ContentType = replication.Served, response.Reply.ContentType
+		if response.Reply.Rest != nil {
+			outcome.TooLong = true
 		} else {
-			o.Body = a.Reply.Body
+			outcome.Body = response.Reply.Body
 		}
 	case engine.Rejected:
-		o.Kind, o.RetryAfter, o.Reason, o.NotRun = replication.Rejected, a.RetryAfter, a.Why, a.NotRun
+		outcome.Kind, outcome.RetryAfter, outcome.Reason, outcome.NotRun = replication.Rejected, response.RetryAfter, response.Why, response.NotRun
 	default:
-		o.Kind = replication.Failed
+		outcome.Kind = replication.Failed
 	}
-	return o
+	return outcome
 }
 
 // rejected is a refusal of a request of which nothing was begun.
-func rejected(retry time.Duration) engine.Response {
+func rejection(retry time.Duration) engine.Response {
 	return engine.Response{Kind: engine.Rejected, NotRun: true, RetryAfter: max(retry, time.Millisecond)}
 }
--- a/internal/gateway/ask_test.go
+++ b/internal/gateway/ask_test.go
@@ -22,14 +22,14 @@
 type backend struct {
 	outcomes []engine.Outcome
 	attempts []*engine.Attempt
-	takes    time.Duration // each attempt
+	duration time.Duration // each attempt
 }
 
 func (b *backend) Run(a *engine.Attempt) engine.Outcome {
 	a.Allowed()
 	out := b.outcomes[min(len(b.attempts), len(b.outcomes)-1)]
 	b.attempts = append(b.attempts, a)
-	time.Sleep(b.takes)
+	time.Sleep(b.duration)
 	return out
 }
 
@@ -38,13 +38,13 @@
 func (*backend) CloseIdle(discovery.Host)                                   {}
 
 // resume has a request carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
-func resume(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
+func resumeRequest(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
-	return carry(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "call"}})
+	return carryOut(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "call"}})
 }
 
 // carry has a request carried out, of which there have been earlier attempts. Routes name the pool, by an advertisement of this partner's own.
-func carry(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, earlier []replication.Intent) replication.Outcome {
+func carryOut(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
 	t.Helper()
 	const partner = "p1"
 	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
@@ -68,49 +68,49 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
-	g := &Gateway{o: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
-	g.offers = &routeexchange.Exchange{} // that knows of nobody
-	g.self.Partner, g.table = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
+	g := &Gateway{options: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
+	g.exchange = &routeexchange.Exchange{} // that knows of nobody
+	g.self.Partner, g.routes = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
 	g.policy.Store(&policy{partners: map[string]bool{partner: true}})
-	g.ctx, g.end = context.WithCancel(t.Context())
+	g.ctx, g.cancel = context.WithCancel(t.Context())
 	defer g.tasks.Wait()
 	over := make(chan struct{})
 	go func() { defer close(over); eng.Run(g.ctx) }()
 	defer func() { <-over }()
-	defer g.end()
+	defer g.cancel()
 	record := replication.Record{ID: "call", Key: replication.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
 	record.Route.Listener, record.Route.Path = "main", "/note/x"
-	return g.run(ctx, &record, engine.Message{Method: "POST", Target: "/note/x"}, class, earlier, nil)
+	return g.run(ctx, &record, engine.Message{Method: "POST", Target: "/note/x"}, class, priorIntents, nil)
 }
 
 // ask has a partner asked what became of an unsafe request that may run there.
-func ask(t *testing.T, b *backend, within time.Duration) replication.Outcome {
+func queryUnsafe(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
-	return resume(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
+	return resumeRequest(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
 }
 
 // That a question about a request was refused, or met nobody, says nothing of the request: it may run, and is asked for again.
 func TestRejectedQueryDoesNotRejectRequest(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
-	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Served || string(out.Body) != "answer" {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
+	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Served || string(outcome.Body) != "answer" {
+		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
 	}
 }
 
 // Once the partner has settled that it refused the request, that is the request's answer, and no time is waited for another.
 func TestSettledRejectionIsFinalResponse(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
-	if out := ask(t, p, testpeer.Limit); out.Kind != replication.Rejected || !out.NotRun || len(p.attempts) != 1 {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
+	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Rejected || !outcome.NotRun || len(p.attempts) != 1 {
+		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
 	}
 }
 
 // A partner that never says what became of a request leaves it failed: it may have run.
 func TestRequestWithoutAnswerHasFailed(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
-	if out := ask(t, p, 200*time.Millisecond); out.Kind != replication.Failed {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), out)
+	if outcome := queryUnsafe(t, p, 200*time.Millisecond); outcome.Kind != replication.Failed {
+		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
 	}
 }
 
@@ -119,8 +119,8 @@
 func TestTakenOverRequestContinuesAtOwnServers(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	b := &backend{outcomes: []engine.Outcome{served}}
-	if out := resume(t, b, "boxes", config.Safe, 2, testpeer.Limit); out.Kind != replication.Served {
-		t.Fatalf("it came to %+v", out)
+	if outcome := resumeRequest(t, b, "boxes", config.Safe, 2, testpeer.Limit); outcome.Kind != replication.Served {
+		t.Fatalf("it came to %+v", outcome)
 	}
 	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Request.Message.Beside) != 0 {
 		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.N, a.To.Server, a.Request.Message.Beside)
@@ -130,8 +130,8 @@
 // A request that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
 func TestAnotherWayHasWhatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
-	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, takes: takes}
-	carry(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
+	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, duration: takes}
+	carryOut(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != maxRoutes {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
 	}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -13,26 +13,26 @@
 )
 
 // Header is the header that goes with a request to a partner's gateway: a pass and its tag by the partners' key, both in base64.
-const Header = "X-Federation"
+const envelopeHeader = "X-Federation"
 
 // Headers of clients.
 const (
-	retryHeader  = "X-Retry-Of"  // the id that a request was asked for by before, whose answer has not come
-	backHeader   = "X-Come-Back" // the id that a request was refused by before, where its client comes at the time that it was told
-	tenantHeader = "X-Tenant"
+	retryHeader    = "X-Retry-Of"  // the id that a request was asked for by before, whose answer has not come
+	comeBackHeader = "X-Come-Back" // the id that a request was refused by before, where its client comes at the time that it was told
+	tenantHeader   = "X-Tenant"
 )
 
 // envelope says of a request what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
 // all of it, the request's id and its target among that.
 type envelope struct {
-	ID     string           `cbor:"1,keyasint"`
-	Target string           `cbor:"2,keyasint"`
-	Came   []string         `cbor:"3,keyasint"` // partners that the request came through; the last one sends it
-	Offer  routeexchange.ID `cbor:"4,keyasint"`
-	Tenant string           `cbor:"5,keyasint,omitempty"`
-	Draws  []string         `cbor:"6,keyasint,omitempty"`
-	Again  bool             `cbor:"7,keyasint,omitempty"` // only what became of it is asked for: it is not to be begun
-	From   string           `cbor:"8,keyasint"`           // the sender's own word for the request, the same in all its gateways
+	ID            string           `cbor:"1,keyasint"`
+	Target        string           `cbor:"2,keyasint"`
+	Path          []string         `cbor:"3,keyasint"` // partners that the request came through; the last one sends it
+	Advertisement routeexchange.ID `cbor:"4,keyasint"`
+	Tenant        string           `cbor:"5,keyasint,omitempty"`
+	Draws         []string         `cbor:"6,keyasint,omitempty"`
+	QueryOnly     bool             `cbor:"7,keyasint,omitempty"` // only what became of it is asked for: it is not to be begun
+	From          string           `cbor:"8,keyasint"`           // the sender's own word for the request, the same in all its gateways
 }
 
 // maxEnvelope is how long a header may be.
@@ -40,7 +40,7 @@
 
 var errEnvelope = errors.New("the pass")
 
-func tagOf(key, text []byte) []byte {
+func envelopeTag(key, text []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte("damsontrestle pass"))
 	m.Write(text)
@@ -54,7 +54,7 @@
 		return "", fmt.Errorf("%w: %w", errEnvelope, err)
 	}
 	e := base64.RawURLEncoding
-	return e.EncodeToString(text) + "." + e.EncodeToString(tagOf(key, text)), nil
+	return e.EncodeToString(text) + "." + e.EncodeToString(envelopeTag(key, text)), nil
 }
 
 // openEnvelope reads a header of a request. The error says why the request is none of a partner's.
@@ -72,11 +72,11 @@
 		return nil, fmt.Errorf("%w is malformed", errEnvelope)
 	}
 	var p envelope
-	if err := peering.Decode(text, &p); err != nil || len(p.Came) == 0 || len(p.Came) > routeexchange.MaxHops {
+	if err := peering.Decode(text, &p); err != nil || len(p.Path) == 0 || len(p.Path) > routeexchange.MaxHops {
 		return nil, fmt.Errorf("%w is malformed", errEnvelope)
 	}
-	k := key(p.Came[len(p.Came)-1])
-	if k == nil || !hmac.Equal(tag, tagOf(k, text)) {
+	k := key(p.Path[len(p.Path)-1])
+	if k == nil || !hmac.Equal(tag, envelopeTag(k, text)) {
 		return nil, fmt.Errorf("%w has a tag of another key", errEnvelope)
 	}
 	if p.ID != id || p.Target != target {
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -16,13 +16,13 @@
 		}
 		return nil
 	}
-	p := envelope{ID: "c1", Target: "/note/p0/x?y", Came: []string{"p2", "p1"}, Offer: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
+	p := envelope{ID: "c1", Target: "/note/p0/x?y", Path: []string{"p2", "p1"}, Advertisement: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
 	text, err := p.seal(keys("p1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := openEnvelope([]string{text}, keys, "c1", "/note/p0/x?y")
-	if err != nil || got.Tenant != "acme" || !slices.Equal(got.Came, p.Came) || got.Offer != p.Offer || !slices.Equal(got.Draws, p.Draws) || got.Again {
+	if err != nil || got.Tenant != "acme" || !slices.Equal(got.Path, p.Path) || got.Advertisement != p.Advertisement || !slices.Equal(got.Draws, p.Draws) || got.QueryOnly {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	forged, _ := p.seal(keys("p2"))
@@ -50,7 +50,7 @@
 
 // FuzzOpenEnvelope: whatever a header holds, it ends in an error or in a pass of the request.
 func FuzzOpenEnvelope(f *testing.F) {
-	p := envelope{ID: "c1", Target: "/note/p0/x", Came: []string{"p1"}}
+	p := envelope{ID: "c1", Target: "/note/p0/x", Path: []string{"p1"}}
 	text, _ := p.seal([]byte("key"))
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, header string) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,18 +49,18 @@
 
 // Gateway is a node's part in a federation.
 type Gateway struct {
-	o           Options
-	self        peering.GatewayID
-	incarnation uint64
-	hub         atomic.Pointer[peering.Hub] // nil until it is open: the tasks of advertisements and replication begin before it
-	replicator  *replication.Replicator
-	table       *routeexchange.Table
-	offers      *routeexchange.Exchange
-	ctx         context.Context
-	end         context.CancelFunc
-	tasks       sync.WaitGroup
-	heard       chan struct{} // a partner's gateways have changed
-	policy      atomic.Pointer[policy]
+	options         Options
+	self            peering.GatewayID
+	incarnation     uint64
+	hub             atomic.Pointer[peering.Hub] // nil until it is open: the tasks of advertisements and replication begin before it
+	replicator      *replication.Replicator
+	routes          *routeexchange.Table
+	exchange        *routeexchange.Exchange
+	ctx             context.Context
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
+	gatewaysChanged chan struct{} // a partner's gateways have changed
+	policy          atomic.Pointer[policy]
 
 	mu       sync.Mutex
 	limiters map[string]*quota.Limiter
@@ -68,13 +68,13 @@
 
 // policy is what a configuration says of requests.
 type policy struct {
-	cfg      *config.Config
-	classes  map[string]config.Class
-	headers  []string // that routes look at
-	listener string   // of partners' requests
-	budgets  []quota.Budget
-	partners map[string]bool
-	longest  time.Duration // that a client may wait over all its tries
+	config          *config.Config
+	classes         map[string]config.Class
+	routedHeaders   []string // that routes look at
+	partnerListener string   // of partners' requests
+	quotas          []quota.Budget
+	partners        map[string]bool
+	longestDeadline time.Duration // that a client may wait over all its tries
 }
 
 // Status is what a gateway holds now.
@@ -97,95 +97,97 @@
 }
 
 // Open opens the links. Requests come once the dispatcher has it as its Guard.
-func Open(o Options) (*Gateway, error) {
-	f := o.Config.Federation
-	g := &Gateway{o: o, self: peering.GatewayID{Partner: f.Partner, Name: o.Config.Node.Name}, incarnation: rand.Uint64()>>1 + 1, heard: make(chan struct{}, 1),
+func Open(options Options) (*Gateway, error) {
+	federation := options.Config.Federation
+	g := &Gateway{options: options, self: peering.GatewayID{Partner: federation.Partner, Name: options.Config.Node.Name}, incarnation: rand.Uint64()>>1 + 1, gatewaysChanged: make(chan struct{}, 1),
 		limiters: map[string]*quota.Limiter{}}
-	g.ctx, g.end = context.WithCancel(context.Background())
-	p := newPolicy(o.Config)
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	p := newPolicy(options.Config)
 	g.policy.Store(p)
-	g.table = routeexchange.NewTable(g.offerPolicy(o.Config), time.Now)
-	g.offers = routeexchange.NewExchange(routeexchange.Options{Table: g.table, Group: g.group, Heard: g.listen})
-	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: o.Config.Node.Zone, Incarnation: g.incarnation}, Links: links{g}, Group: g.holders,
-		Run: g.resume, Step: g.step, Heartbeat: beat(f), Silence: time.Duration(f.Silence), Replicas: f.Holders, Memory: int(f.Memory), Retention: time.Duration(f.Keep), MaxIntentAge: time.Duration(f.Silence) / 2, RecoveryWindow: func() time.Duration { return g.policy.Load().longest }, Now: o.Clock.Now, Log: o.Log})
+	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
+	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, Heard: g.wakeConnect})
+	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: options.Config.Node.Zone, Incarnation: g.incarnation}, Links: groupLinks{g}, Group: g.groupMembers,
+		Run: g.resume, Step: g.successorStep, Heartbeat: heartbeat(federation), Silence: time.Duration(federation.Silence), Replicas: federation.Holders, Memory: int(federation.Memory), Retention: time.Duration(federation.Keep), MaxIntentAge: time.Duration(federation.Silence) / 2, RecoveryWindow: func() time.Duration { return g.policy.Load().longestDeadline }, Now: options.Clock.Now, Log: options.Log})
 	topics := maps.Clone(g.replicator.Topics())
-	maps.Copy(topics, g.offers.Topics())
+	maps.Copy(topics, g.exchange.Topics())
 	maps.Copy(topics, quota.Topics(g.limiter))
-	silence := time.Duration(f.Silence)
-	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: o.Config.Node.Zone, Incarnation: g.incarnation, Calls: callsAt(o.Config)},
-		Listen: o.Config.Node.Peers.Listen, Key: g.key, Topics: topics, Up: g.up, Changed: g.changed, Beat: beat(f), Silence: silence, Log: o.Log})
+	silence := time.Duration(federation.Silence)
+	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: options.Config.Node.Zone, Incarnation: g.incarnation, Calls: requestAddress(options.Config)},
+		Listen: options.Config.Node.Peers.Listen, Key: g.key, Topics: topics, Up: g.linkUp, Changed: g.linkChanged, Beat: heartbeat(federation), Silence: silence, Log: options.Log})
 	if err != nil {
-		g.end()
-		g.offers.Close()
+		g.cancel()
+		g.exchange.Close()
 		g.replicator.Close()
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.hub.Store(hub)
-	g.setBudgets(p.budgets)
-	g.tasks.Go(g.connect)
+	g.setQuotas(p.quotas)
+	g.tasks.Go(g.maintainLinks)
 	return g, nil
 }
 
 // beat is the time between two heartbeats of a link.
-func beat(f *config.Federation) time.Duration { return time.Duration(f.Silence) / 4 }
+func heartbeat(federation *config.Federation) time.Duration {
+	return time.Duration(federation.Silence) / 4
+}
 
 // Close ends all links and tasks, and returns once they have ended.
 func (g *Gateway) Close() {
-	g.end()
+	g.cancel()
 	g.replicator.Close()
 	g.tasks.Wait()
 	g.mu.Lock()
 	limiters := g.limiters
 	g.limiters = map[string]*quota.Limiter{}
 	g.mu.Unlock()
-	for _, p := range limiters {
-		p.Close()
+	for _, limiter := range limiters {
+		limiter.Close()
 	}
-	g.offers.Close()
+	g.exchange.Close()
 	g.hub.Load().Close()
 }
 
 // HandOver gives the requests replicated that are not answered yet to others of the group: this gateway ends.
 func (g *Gateway) HandOver() { g.replicator.HandOver() }
 
-func newPolicy(c *config.Config) *policy {
-	p := &policy{cfg: c, classes: map[string]config.Class{}, listener: c.Federation.Listener, partners: map[string]bool{}}
-	for _, class := range c.Classes {
+func newPolicy(cfg *config.Config) *policy {
+	p := &policy{config: cfg, classes: map[string]config.Class{}, partnerListener: cfg.Federation.Listener, partners: map[string]bool{}}
+	for _, class := range cfg.Classes {
 		p.classes[class.Name] = class
-		p.longest = max(p.longest, time.Duration(class.Deadline))
+		p.longestDeadline = max(p.longestDeadline, time.Duration(class.Deadline))
 	}
-	for _, r := range c.Routes {
+	for _, r := range cfg.Routes {
 		for _, h := range r.Headers {
-			if !slices.Contains(p.headers, h.Name) {
-				p.headers = append(p.headers, h.Name)
+			if !slices.Contains(p.routedHeaders, h.Name) {
+				p.routedHeaders = append(p.routedHeaders, h.Name)
 			}
 		}
 	}
-	for _, q := range c.Quotas {
+	for _, q := range cfg.Quotas {
 		b := quota.Budget{Terms: q.Terms(), Classes: q.Classes, Tenants: q.Tenants}
 		for _, k := range q.Candidates {
 			b.Candidates = append(b.Candidates, quota.ParseCandidate(k.Name))
 		}
-		p.budgets = append(p.budgets, b)
+		p.quotas = append(p.quotas, b)
 	}
-	for _, n := range c.Partners {
+	for _, n := range cfg.Partners {
 		p.partners[n.Name] = true
 	}
 	return p
 }
 
 // offerPolicy is a configuration's part in offers.
-func (g *Gateway) offerPolicy(c *config.Config) routeexchange.Policy {
-	p := routeexchange.Policy{Self: c.Federation.Partner, Neighbours: map[string]routeexchange.Neighbour{}, Stale: time.Duration(c.Federation.Stale), Share: 1 + len(g.o.Living())}
-	for _, n := range c.Partners {
+func (g *Gateway) routePolicy(cfg *config.Config) routeexchange.Policy {
+	p := routeexchange.Policy{Self: cfg.Federation.Partner, Neighbours: map[string]routeexchange.Neighbour{}, Stale: time.Duration(cfg.Federation.Stale), Share: 1 + len(g.options.Living())}
+	for _, n := range cfg.Partners {
 		p.Neighbours[n.Name] = routeexchange.Neighbour{Import: routeexchange.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, MaxRoutes: n.MaxRoutes},
-			Transit: routeexchange.Transit{To: n.PassOnTo, Cost: n.Cost, Replicated: isReplicated(c)}}
+			Transit: routeexchange.Transit{To: n.PassOnTo, Cost: n.Cost, Replicated: isReplicated(cfg)}}
 	}
 	effects := map[config.Effect]balancer.Effect{config.Safe: balancer.Safe, config.Keyed: balancer.Keyed, config.Unsafe: balancer.Unsafe}
-	for _, e := range c.Exports {
+	for _, e := range cfg.Exports {
 		o := routeexchange.Advertisement{ID: routeexchange.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Capacity: e.Capacity,
 			Rules: routeexchange.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, MaxHops: e.MaxHops, Tenants: e.Tenants, Excluded: e.Excluded}}
-		o.Replicated = isReplicated(c)(e.Class)
+		o.Replicated = isReplicated(cfg)(e.Class)
 		for _, v := range e.Effects {
 			o.Rules.Effects |= routeexchange.Of(effects[v])
 		}
@@ -198,34 +200,34 @@
 }
 
 // isReplicated says which classes a configuration has replicated.
-func isReplicated(c *config.Config) func(class string) bool {
+func isReplicated(cfg *config.Config) func(class string) bool {
 	return func(name string) bool {
-		class, ok := c.Class(name)
+		class, ok := cfg.Class(name)
 		return ok && class.Replication != nil
 	}
 }
 
 // Adopt has requests go by another configuration from now on. It does not block: it is called while no request is handed over, so that
 // no request of a class, a quota or a partner of the one configuration goes by the rules of the other.
-func (g *Gateway) Adopt(c *config.Config) {
-	if c.Federation == nil {
+func (g *Gateway) Adopt(cfg *config.Config) {
+	if cfg.Federation == nil {
 		return // that takes a restart
 	}
-	p := newPolicy(c)
-	g.setBudgets(p.budgets)
+	p := newPolicy(cfg)
+	g.setQuotas(p.quotas)
 	g.policy.Store(p)
-	g.table.SetPolicy(g.offerPolicy(c))
+	g.routes.SetPolicy(g.routePolicy(cfg))
 }
 
 // Announce tells partners what the configuration that was adopted has changed.
 func (g *Gateway) Announce() {
-	g.offers.Advertise()
-	g.offers.Ask()
-	g.listen()
+	g.exchange.Advertise()
+	g.exchange.Ask()
+	g.wakeConnect()
 }
 
 // setBudgets has a limiter for each budget. One whose quota candidates stay goes on.
-func (g *Gateway) setBudgets(budgets []quota.Budget) {
+func (g *Gateway) setQuotas(budgets []quota.Budget) {
 	g.mu.Lock()
 	var gone []*quota.Limiter
 	next := map[string]*quota.Limiter{}
@@ -235,7 +237,7 @@
 			next[b.Name] = old
 			continue
 		}
-		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.Load().To, Now: g.o.Clock.Now, Log: g.o.Log})
+		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.Load().To, Now: g.options.Clock.Now, Log: g.options.Log})
 	}
 	for name, old := range g.limiters {
 		if next[name] != old {
@@ -244,8 +246,8 @@
 	}
 	g.limiters = next
 	g.mu.Unlock()
-	for _, p := range gone {
-		g.tasks.Go(p.Close)
+	for _, limiter := range gone {
+		g.tasks.Go(limiter.Close)
 	}
 }
 
@@ -259,34 +261,34 @@
 // key is what links with a partner's gateways are keyed by.
 func (g *Gateway) key(partner string) []byte {
 	if partner == g.self.Partner {
-		return g.o.Key
+		return g.options.Key
 	}
 	if !g.policy.Load().partners[partner] {
 		return nil
 	}
-	return g.o.Keys[partner]
+	return g.options.Keys[partner]
 }
 
 // up has a partner's gateway told of advertisements.
-func (g *Gateway) up(l *peering.Link) {
-	if l.Peer.Partner != g.self.Partner {
-		g.offers.Up(l)
+func (g *Gateway) linkUp(link *peering.Link) {
+	if link.Peer.Partner != g.self.Partner {
+		g.exchange.Up(link)
 	} else {
-		g.replicator.Linked(l)
+		g.replicator.Linked(link)
 	}
 }
 
-func (g *Gateway) changed(p peering.Peer, up bool, _ error) {
+func (g *Gateway) linkChanged(p peering.Peer, up bool, _ error) {
 	if !up && p.Partner == g.self.Partner {
 		g.replicator.PeerLost(p)
 	}
 }
 
 // links are those of the own group, as replication has them.
-type links struct{ *Gateway }
+type groupLinks struct{ *Gateway }
 
 // To implements replication.Links.
-func (l links) To(name string) *peering.Link {
+func (l groupLinks) To(name string) *peering.Link {
 	hub := l.hub.Load()
 	if hub == nil {
 		return nil
@@ -295,7 +297,7 @@
 }
 
 // All implements replication.Links.
-func (l links) All() []*peering.Link {
+func (l groupLinks) All() []*peering.Link {
 	hub := l.hub.Load()
 	if hub == nil {
 		return nil
@@ -304,12 +306,12 @@
 }
 
 // holders are the gateways of the own group that live, in the order of their names.
-func (g *Gateway) holders() []replication.Gateway {
-	out := []replication.Gateway{{Name: g.self.Name, Zone: g.o.Config.Node.Zone, Incarnation: g.incarnation}}
-	for _, m := range g.o.Living() {
+func (g *Gateway) groupMembers() []replication.Gateway {
+	out := []replication.Gateway{{Name: g.self.Name, Zone: g.options.Config.Node.Zone, Incarnation: g.incarnation}}
+	for _, m := range g.options.Living() {
 		h := replication.Gateway{Name: m.Name, Zone: m.Zone}
-		if l := (links{g}).To(m.Name); l != nil {
-			h.Incarnation = l.Peer.Incarnation
+		if link := (groupLinks{g}).To(m.Name); link != nil {
+			h.Incarnation = link.Peer.Incarnation
 		}
 		out = append(out, h)
 	}
@@ -318,22 +320,22 @@
 }
 
 // callsAt is where partners' requests come in.
-func callsAt(c *config.Config) string {
-	if c.Federation.Requests != "" {
-		return c.Federation.Requests
+func requestAddress(cfg *config.Config) string {
+	if cfg.Federation.Requests != "" {
+		return cfg.Federation.Requests
 	}
-	l, _ := c.Listener(c.Federation.Listener)
+	l, _ := cfg.Listener(cfg.Federation.Listener)
 	return l.Address
 }
 
 // group is what partners are told of: this gateway and those of its group that it has links to, as far as they take requests.
-func (g *Gateway) group() (out []routeexchange.Gateway) {
-	if at := callsAt(g.o.Config); at != "" {
-		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.o.Config.Node.Zone})
+func (g *Gateway) ownGateways() (out []routeexchange.Gateway) {
+	if at := requestAddress(g.options.Config); at != "" {
+		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.options.Config.Node.Zone})
 	}
-	for _, l := range (links{g}).All() {
-		if l.Peer.Calls != "" {
-			out = append(out, routeexchange.Gateway{Name: l.Peer.Name, Calls: l.Peer.Calls, Zone: l.Peer.Zone})
+	for _, link := range (groupLinks{g}).All() {
+		if link.Peer.Calls != "" {
+			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Calls: link.Peer.Calls, Zone: link.Peer.Zone})
 		}
 	}
 	slices.SortFunc(out, func(a, b routeexchange.Gateway) int { return cmp.Compare(a.Name, b.Name) })
@@ -341,24 +343,24 @@
 }
 
 // listen has the lists of partners' gateways looked at.
-func (g *Gateway) listen() {
+func (g *Gateway) wakeConnect() {
 	select {
-	case g.heard <- struct{}{}:
+	case g.gatewaysChanged <- struct{}{}:
 	default:
 	}
 }
 
 // Times of connecting.
 const (
-	connectEvery = 100 * time.Millisecond
-	gather       = 5 * time.Millisecond
-	otherAfter   = 2 // times the silence that ends a link, after which another of a partner's gateways is tried
+	linkCheckInterval  = 100 * time.Millisecond
+	gatherDelay        = 5 * time.Millisecond
+	otherAfterSilences = 2 // times the silence that ends a link, after which another of a partner's gateways is tried
 )
 
 // connect holds links to those of the group whose names come later, to as many gateways of each partner as the file says, and
 // to quota candidates; and gives partners' gateways to their pools.
-func (g *Gateway) connect() {
-	tick := time.NewTicker(connectEvery)
+func (g *Gateway) maintainLinks() {
+	tick := time.NewTicker(linkCheckInterval)
 	defer tick.Stop()
 	kept := map[string]string{}
 	first := map[string]int{} // of a partner's gateways, in the order of this one
@@ -369,30 +371,30 @@
 		p := g.policy.Load()
 		if p != of {
 			of = p
-			for _, n := range p.cfg.Partners {
-				orders[n.Name] = g.order(n.Gateways)
+			for _, n := range p.config.Partners {
+				orders[n.Name] = g.tryOrder(n.Gateways)
 			}
 		}
 		want := map[string]string{}
-		living := g.o.Living()
-		g.table.SetShare(1 + len(living))
+		living := g.options.Living()
+		g.routes.SetShare(1 + len(living))
 		for _, m := range living {
 			if m.Name > g.self.Name {
 				want[m.Addr.String()] = g.self.Partner
 			}
 		}
-		for _, n := range p.cfg.Partners {
+		for _, n := range p.config.Partners {
 			order := orders[n.Name]
 			for i := range min(n.Links, len(order)) {
 				at := order[(first[n.Name]+i)%len(order)]
-				if g.hub.Load().Down(at) > otherAfter*time.Duration(p.cfg.Federation.Silence) && len(order) > n.Links {
+				if g.hub.Load().Down(at) > otherAfterSilences*time.Duration(p.config.Federation.Silence) && len(order) > n.Links {
 					first[n.Name] += n.Links
 					break
 				}
 				want[at] = n.Name
 			}
 		}
-		for _, q := range p.cfg.Quotas {
+		for _, q := range p.config.Quotas {
 			for _, k := range q.Candidates {
 				if who := quota.ParseCandidate(k.Name); who.Partner != g.self.Partner {
 					want[k.Address] = who.Partner
@@ -412,25 +414,25 @@
 				delete(kept, at)
 			}
 		}
-		for _, n := range p.cfg.Partners {
-			now := g.offers.Gateways(n.Name)
+		for _, n := range p.config.Partners {
+			now := g.exchange.Gateways(n.Name)
 			if !slices.Equal(now, given[n.Name]) {
 				given[n.Name] = now
-				g.o.List(n.Name, listOf(now))
+				g.options.List(n.Name, serverList(now))
 			}
 		}
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-tick.C:
-		case <-g.heard:
-			clock.Sleep(g.ctx, gather) // of many that change, as when a fleet starts, one look is enough
+		case <-g.gatewaysChanged:
+			clock.Sleep(g.ctx, gatherDelay) // of many that change, as when a fleet starts, one look is enough
 		}
 	}
 }
 
 // order is the order in which this gateway tries a partner's, another one for each gateway.
-func (g *Gateway) order(addresses []string) []string {
+func (g *Gateway) tryOrder(addresses []string) []string {
 	out := slices.Clone(addresses)
 	self := g.self.String()
 	slices.SortFunc(out, func(a, b string) int {
@@ -440,7 +442,7 @@
 }
 
 // listOf are a partner's gateways as a pool has its servers.
-func listOf(gateways []routeexchange.Gateway) discovery.List {
+func serverList(gateways []routeexchange.Gateway) discovery.List {
 	l := discovery.List{Full: true}
 	for _, w := range gateways {
 		l.Targets = append(l.Targets, discovery.Target{Endpoint: w.Calls, Server: balancer.Server{ID: w.Name, Zone: w.Zone}})
@@ -450,14 +452,14 @@
 
 // Status is what the gateway holds now.
 func (g *Gateway) Status() Status {
-	s := Status{Partner: g.self.Partner, Incarnation: g.incarnation, Stats: g.hub.Load().Stats(), Replication: g.replicator.Status(), Routes: g.table.Status(), Quotas: map[string]quota.Status{}}
-	for _, l := range g.hub.Load().Links("") {
-		s.Links = append(s.Links, LinkStatus{l.Peer.ID().String(), l.Peer.Zone, l.Peer.Incarnation, l.RTT()})
+	s := Status{Partner: g.self.Partner, Incarnation: g.incarnation, Stats: g.hub.Load().Stats(), Replication: g.replicator.Status(), Routes: g.routes.Status(), Quotas: map[string]quota.Status{}}
+	for _, link := range g.hub.Load().Links("") {
+		s.Links = append(s.Links, LinkStatus{link.Peer.ID().String(), link.Peer.Zone, link.Peer.Incarnation, link.RTT()})
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name, p := range g.limiters {
-		s.Quotas[name] = p.Status()
+	for name, limiter := range g.limiters {
+		s.Quotas[name] = limiter.Status()
 	}
 	return s
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -17,13 +17,13 @@
 // rules are not in place yet.
 func TestRequestOfUnknownClassIsRejected(t *testing.T) {
 	g := &Gateway{}
-	g.policy.Store(&policy{listener: "partners"})
+	g.policy.Store(&policy{partnerListener: "partners"})
 	request := engine.NewRequest("call", engine.Message{})
 	request.Class = "new"
 	if !g.Take(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
 		t.Fatal("the call was left to an engine, and nobody has asked for its pass")
 	}
-	if a := testpeer.Receive(t, request.Response(), "the refusal"); a.Kind != engine.Rejected || !a.NotRun || a.RetryAfter <= 0 {
-		t.Errorf("%+v", a)
+	if response := testpeer.Receive(t, request.Response(), "the refusal"); response.Kind != engine.Rejected || !response.NotRun || response.RetryAfter <= 0 {
+		t.Errorf("%+v", response)
 	}
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -13,105 +13,105 @@
 )
 
 // resume implements replication.Run, for requests that have just come and for such as are taken over.
-func (g *Gateway) resume(ctx context.Context, r *replication.Record, earlier []replication.Intent, w *replication.Work) replication.Outcome {
-	class, known := g.policy.Load().classes[r.Key.Class]
+func (g *Gateway) resume(ctx context.Context, record *replication.Record, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
+	class, known := g.policy.Load().classes[record.Key.Class]
 	if !known {
 		return replication.Outcome{Kind: replication.Failed}
 	}
-	return g.run(ctx, r, engine.Message{Method: r.Method, Target: r.Target, Key: r.IdempotencyKey, ContentType: r.ContentType, Body: r.Body, Length: int64(len(r.Body))}, class, earlier, w)
+	return g.run(ctx, record, engine.Message{Method: record.Method, Target: record.Target, Key: record.IdempotencyKey, ContentType: record.ContentType, Body: record.Body, Length: int64(len(record.Body))}, class, priorIntents, work)
 }
 
 // toPartner says that a pool is a partner's gateways.
-func toPartner(pool string) bool {
+func isPartnerPool(pool string) bool {
 	_, partners := config.PartnerOf(pool)
 	return partners
 }
 
 // step is what a successor would do with a request, by the classes of now.
-func (g *Gateway) step(r *replication.Record, intents []replication.Intent, left time.Duration) replication.Step {
-	class, known := g.policy.Load().classes[r.Key.Class]
+func (g *Gateway) successorStep(record *replication.Record, intents []replication.Intent, timeLeft time.Duration) replication.Step {
+	class, known := g.policy.Load().classes[record.Key.Class]
 	if !known {
 		return replication.GiveUp
 	}
-	return replication.Next(class.ForModule().Effect, intents, left, toPartner)
+	return replication.Next(class.ForModule().Effect, intents, timeLeft, isPartnerPool)
 }
 
 // run has a request carried out: by the engine of this partner's pool that routes name, or by a partner whose advertisement it goes by.
 // w allows its attempts, where it is replicated; earlier are those that others made. A kind of 0: ctx has ended.
-func (g *Gateway) run(ctx context.Context, r *replication.Record, req engine.Message, class config.Class, earlier []replication.Intent, w *replication.Work) replication.Outcome {
-	step := replication.Next(class.ForModule().Effect, earlier, timeLeft(ctx, r, w), toPartner)
+func (g *Gateway) run(ctx context.Context, record *replication.Record, message engine.Message, class config.Class, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
+	step := replication.Next(class.ForModule().Effect, priorIntents, timeLeft(ctx, record, work), isPartnerPool)
 	// What may have run goes back to where it may have: servers and partners elsewhere know nothing of it.
 	forced := ""
 	switch step {
 	case replication.GiveUp:
 		return replication.Outcome{Kind: replication.Failed}
 	case replication.Resend:
-		forced = mayRunIn(earlier)
+		forced = mayRunIn(priorIntents)
 	case replication.QueryPartner:
-		return g.askPartner(ctx, r, req, mayRunIn(earlier), earlier, w) // to ask needs no advertisement
+		return g.askPartner(ctx, record, message, mayRunIn(priorIntents), priorIntents, work) // to ask needs no advertisement
 	}
 	var last attemptResult
 	for range maxRoutes {
-		way, pool, why := g.chooseRoute(r, class, forced)
+		selection, pool, why := g.chooseRoute(record, class, forced)
 		if why != "" && forced != "" {
 			return replication.Outcome{Kind: replication.Failed}
 		}
 		if why != "" {
-			if last.out.Kind != 0 {
-				return last.out
+			if last.outcome.Kind != 0 {
+				return last.outcome
 			}
-			return replication.Outcome{Kind: replication.Rejected, NotRun: true, Reason: why, RetryAfter: comeBack}
+			return replication.Outcome{Kind: replication.Rejected, NotRun: true, Reason: why, RetryAfter: defaultRetryAfter}
 		}
-		last = g.attempt(ctx, r, req, pool, way, timeLeft(ctx, r, w), earlier, w, false)
-		if last.unsure && way.Route != nil && way.Replicated {
+		last = g.attempt(ctx, record, message, pool, selection, timeLeft(ctx, record, work), priorIntents, work, false)
+		if last.mayRun && selection.Route != nil && selection.Replicated {
 			// Whoever has it in hand there now tells what became of it.
-			return g.askPartner(ctx, r, req, pool, earlier, w)
+			return g.askPartner(ctx, record, message, pool, priorIntents, work)
 		}
-		if !last.ruled {
-			return last.out
+		if !last.rejectedByRule {
+			return last.outcome
 		}
-		g.table.Drop(way.Route) // its owner's rule has changed: whoever comes next goes another way at once
+		g.routes.Drop(selection.Route) // its owner's rule has changed: whoever comes next goes another way at once
 	}
-	return last.out
+	return last.outcome
 }
 
 // timeLeft is what is left now to whoever waits for a request: each way that it tries takes some.
-func timeLeft(ctx context.Context, r *replication.Record, w *replication.Work) time.Duration {
-	if w != nil {
-		return w.TimeLeft() - settling
+func timeLeft(ctx context.Context, record *replication.Record, work *replication.Work) time.Duration {
+	if work != nil {
+		return work.TimeLeft() - settleReserve
 	}
 	if at, ok := ctx.Deadline(); ok {
 		return time.Until(at)
 	}
-	return r.TimeLeft
+	return record.TimeLeft
 }
 
 // mayRunIn is the pool of the last attempt that may have run.
-func mayRunIn(earlier []replication.Intent) (pool string) {
-	for _, in := range earlier {
-		if !in.NotRun {
-			pool = in.Pool
+func mayRunIn(priorIntents []replication.Intent) (pool string) {
+	for _, intent := range priorIntents {
+		if !intent.NotRun {
+			pool = intent.Pool
 		}
 	}
 	return pool
 }
 
 // chooseRoute is where a request goes now, by the rules of now, or why it goes nowhere.
-func (g *Gateway) chooseRoute(r *replication.Record, class config.Class, forced string) (way routeexchange.Selection, pool, why string) {
-	request := callOf(r, class)
+func (g *Gateway) chooseRoute(record *replication.Record, class config.Class, forced string) (selection routeexchange.Selection, pool, why string) {
+	request := routedRequest(record, class)
 	ok := false
-	if len(r.Path) > 0 {
-		if way, why = g.table.Come(routeexchange.ID{Origin: r.Offer[0], Name: r.Offer[1]}, request); why != "" {
-			return way, "", why
+	if len(record.Path) > 0 {
+		if selection, why = g.routes.Come(routeexchange.ID{Origin: record.Offer[0], Name: record.Offer[1]}, request); why != "" {
+			return selection, "", why
 		}
 		ok = true
 	} else {
-		way, ok = g.table.Choose(request)
+		selection, ok = g.routes.Choose(request)
 	}
-	if ok && !way.Own {
-		pool = config.PartnerPool(way.Path[0])
+	if ok && !selection.Own {
+		pool = config.PartnerPool(selection.Path[0])
 		if forced == "" || forced == pool {
-			return way, pool, ""
+			return selection, pool, ""
 		}
 	}
 	if forced != "" {
@@ -120,26 +120,26 @@
 		}
 		return routeexchange.Selection{}, forced, ""
 	}
-	pool, routed := g.o.Calls.Pool(&route.Request{Listener: r.Route.Listener, Class: class.Name, Host: r.Route.Host, Path: r.Route.Path, Headers: kept(r.Headers), Draw: r.Route.Draw})
+	pool, routed := g.options.Calls.Pool(&route.Request{Listener: record.Route.Listener, Class: class.Name, Host: record.Route.Host, Path: record.Route.Path, Headers: recordedHeaders(record.Headers), Draw: record.Route.Draw})
 	if !routed {
-		return way, "", "no route takes this call"
+		return selection, "", "no route takes this call"
 	}
-	return way, pool, ""
+	return selection, pool, ""
 }
 
 // askPartner asks a partner what became of a request that may run there, until it says or the request's time is over. That a
 // question was refused, or came to nobody, says nothing of the request: only a refusal that is settled there is its answer.
-func (g *Gateway) askPartner(ctx context.Context, r *replication.Record, req engine.Message, pool string, earlier []replication.Intent, w *replication.Work) replication.Outcome {
+func (g *Gateway) askPartner(ctx context.Context, record *replication.Record, message engine.Message, pool string, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
 	for ctx.Err() == nil {
-		left := timeLeft(ctx, r, w)
+		left := timeLeft(ctx, record, work)
 		if left <= 0 {
 			break
 		}
-		got := g.attempt(ctx, r, req, pool, routeexchange.Selection{}, left, earlier, w, true)
-		if got.out.Kind == replication.Served || got.out.Kind == replication.Failed && !got.unsure || got.settled {
-			return got.out
+		result := g.attempt(ctx, record, message, pool, routeexchange.Selection{}, left, priorIntents, work, true)
+		if result.outcome.Kind == replication.Served || result.outcome.Kind == replication.Failed && !result.mayRun || result.rejectionSettled {
+			return result.outcome
 		}
-		clock.Sleep(ctx, retryQuery)
+		clock.Sleep(ctx, queryRetryDelay)
 	}
 	return replication.Outcome{Kind: replication.Failed}
 }
