--- a/internal/gateway/forward.go
+++ b/internal/gateway/envelope.go
@@ -15,13 +15,6 @@
 // Header is the header that goes with a request to a partner's gateway: a pass and its tag by the partners' key, both in base64.
 const envelopeHeader = "X-Federation"
 
-// Headers of clients.
-const (
-	retryHeader    = "X-Retry-Of"  // the id that a request was asked for by before, whose answer has not come
-	comeBackHeader = "X-Come-Back" // the id that a request was refused by before, where its client comes at the time that it was told
-	tenantHeader   = "X-Tenant"
-)
-
 // envelope says of a request what its headers do not: whence it comes and by which offer, and what was drawn for it. The tag is over
 // all of it, the request's id and its target among that.
 type envelope struct {
--- /dev/null
+++ b/internal/gateway/group.go
@@ -0,0 +1,59 @@
+package gateway
+
+import (
+	"cmp"
+	"slices"
+
+	"damsontrestle/internal/peering"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/routeexchange"
+)
+
+// links are those of the own group, as replication has them.
+type groupLinks struct{ *Gateway }
+
+// To implements replication.Links.
+func (l groupLinks) To(name string) *peering.Link {
+	hub := l.hub.Load()
+	if hub == nil {
+		return nil
+	}
+	return hub.To(peering.GatewayID{Partner: l.self.Partner, Name: name})
+}
+
+// All implements replication.Links.
+func (l groupLinks) All() []*peering.Link {
+	hub := l.hub.Load()
+	if hub == nil {
+		return nil
+	}
+	return hub.Links(l.self.Partner)
+}
+
+// holders are the gateways of the own group that live, in the order of their names.
+func (g *Gateway) groupMembers() []replication.Gateway {
+	out := []replication.Gateway{{Name: g.self.Name, Zone: g.options.Config.Node.Zone, Incarnation: g.incarnation}}
+	for _, m := range g.options.Living() {
+		h := replication.Gateway{Name: m.Name, Zone: m.Zone}
+		if link := (groupLinks{g}).To(m.Name); link != nil {
+			h.Incarnation = link.Peer.Incarnation
+		}
+		out = append(out, h)
+	}
+	slices.SortFunc(out, func(a, b replication.Gateway) int { return cmp.Compare(a.Name, b.Name) })
+	return out
+}
+
+// group is what partners are told of: this gateway and those of its group that it has links to, as far as they take requests.
+func (g *Gateway) ownGateways() (out []routeexchange.Gateway) {
+	if at := requestAddress(g.options.Config); at != "" {
+		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.options.Config.Node.Zone})
+	}
+	for _, link := range (groupLinks{g}).All() {
+		if link.Peer.Calls != "" {
+			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Calls: link.Peer.Calls, Zone: link.Peer.Zone})
+		}
+	}
+	slices.SortFunc(out, func(a, b routeexchange.Gateway) int { return cmp.Compare(a.Name, b.Name) })
+	return out
+}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -8,7 +8,6 @@
 	"damsontrestle/internal/config"
 	"damsontrestle/internal/engine"
 	"damsontrestle/internal/replication"
-	"damsontrestle/internal/route"
 	"damsontrestle/internal/routeexchange"
 )
 
@@ -21,12 +20,6 @@
 	return g.run(ctx, record, engine.Message{Method: record.Method, Target: record.Target, Key: record.IdempotencyKey, ContentType: record.ContentType, Body: record.Body, Length: int64(len(record.Body))}, class, priorIntents, work)
 }
 
-// toPartner says that a pool is a partner's gateways.
-func isPartnerPool(pool string) bool {
-	_, partners := config.PartnerOf(pool)
-	return partners
-}
-
 // step is what a successor would do with a request, by the classes of now.
 func (g *Gateway) successorStep(record *replication.Record, intents []replication.Intent, timeLeft time.Duration) replication.Step {
 	class, known := g.policy.Load().classes[record.Key.Class]
@@ -96,37 +89,6 @@
 	return pool
 }
 
-// chooseRoute is where a request goes now, by the rules of now, or why it goes nowhere.
-func (g *Gateway) chooseRoute(record *replication.Record, class config.Class, forced string) (selection routeexchange.Selection, pool, why string) {
-	request := routedRequest(record, class)
-	ok := false
-	if len(record.Path) > 0 {
-		if selection, why = g.routes.Come(routeexchange.ID{Origin: record.Offer[0], Name: record.Offer[1]}, request); why != "" {
-			return selection, "", why
-		}
-		ok = true
-	} else {
-		selection, ok = g.routes.Choose(request)
-	}
-	if ok && !selection.Own {
-		pool = config.PartnerPool(selection.Path[0])
-		if forced == "" || forced == pool {
-			return selection, pool, ""
-		}
-	}
-	if forced != "" {
-		if _, partners := config.PartnerOf(forced); partners {
-			return routeexchange.Selection{}, "", "the partner that may have run it has no offer for it now"
-		}
-		return routeexchange.Selection{}, forced, ""
-	}
-	pool, routed := g.options.Calls.Pool(&route.Request{Listener: record.Route.Listener, Class: class.Name, Host: record.Route.Host, Path: record.Route.Path, Headers: recordedHeaders(record.Headers), Draw: record.Route.Draw})
-	if !routed {
-		return selection, "", "no route takes this call"
-	}
-	return selection, pool, ""
-}
-
 // askPartner asks a partner what became of a request that may run there, until it says or the request's time is over. That a
 // question was refused, or came to nobody, says nothing of the request: only a refusal that is settled there is its answer.
 func (g *Gateway) askPartner(ctx context.Context, record *replication.Record, message engine.Message, pool string, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
--- /dev/null
+++ b/internal/gateway/status.go
@@ -0,0 +1,43 @@
+package gateway
+
+import (
+	"time"
+
+	"damsontrestle/internal/peering"
+	"damsontrestle/internal/quota"
+	"damsontrestle/internal/replication"
+	"damsontrestle/internal/routeexchange"
+)
+
+// Status is what a gateway holds now.
+type Status struct {
+	Partner     string                  `json:"partner"`
+	Incarnation uint64                  `json:"life"`
+	Links       []LinkStatus            `json:"links"`
+	Stats       peering.Stats           `json:"link_stats"`
+	Replication replication.Status      `json:"custody"`
+	Routes      routeexchange.Status    `json:"offers"`
+	Quotas      map[string]quota.Status `json:"quotas,omitempty"`
+}
+
+// LinkStatus is one link.
+type LinkStatus struct {
+	Gateway     string        `json:"gateway"`
+	Zone        string        `json:"zone,omitempty"`
+	Incarnation uint64        `json:"life"`
+	RTT         time.Duration `json:"rtt"`
+}
+
+// Status is what the gateway holds now.
+func (g *Gateway) Status() Status {
+	s := Status{Partner: g.self.Partner, Incarnation: g.incarnation, Stats: g.hub.Load().Stats(), Replication: g.replicator.Status(), Routes: g.routes.Status(), Quotas: map[string]quota.Status{}}
+	for _, link := range g.hub.Load().Links("") {
+		s.Links = append(s.Links, LinkStatus{link.Peer.ID().String(), link.Peer.Zone, link.Peer.Incarnation, link.RTT()})
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for name, limiter := range g.limiters {
+		s.Quotas[name] = limiter.Status()
+	}
+	return s
+}
