--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,74 +13,116 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// attemptResult is what an attempt at a pool came to.
+// attemptResult is how an attempt at a pool ended.
 type attemptResult struct {
 	outcome          replication.Outcome
-	rejectedByRule   bool // a partner's rule refused it, and nothing ran
-	mayRun           bool // it may run at a partner, which has not said what became of it
-	rejectionSettled bool // the partner's refusal is the one answer to the request there: it never ran, and never will
+	rejectedByRule   bool // a partner's rule rejected it, and nothing ran
+	mayRun           bool // it may run at a partner, which has not said its outcome
+	rejectionSettled bool // the partner's rejection is the one outcome of the request there: it never ran, and never will
 }
 
-// routedAttempt is a request, or the question what became of it, on its way through the engine of a pool.
+// isFinal says that the result of a query is the outcome of the request that it is about.
+func (r *attemptResult) isFinal() bool {
+	switch r.outcome.Kind {
+	case replication.Served:
+		return true
+	case replication.Failed:
+		return !r.mayRun || r.rejectionSettled
+	}
+	return r.rejectionSettled
+}
+
+// routedAttempt is a request, or a query for its outcome, on its way through the engine of a pool. The engine may make several
+// attempts of it.
 type routedAttempt struct {
-	gateway      *Gateway
-	record       *replication.Record
-	pool         string
-	partner      string               // whose gateways the pool has; empty: it has this partner's servers
-	priorIntents []replication.Intent // attempts that others made
-	work         *replication.Work    // nil: the request is not replicated
-	queryOnly    bool                 // only what became of the request is asked for
-	request      *engine.Request      // as the engine has it
-	done         chan struct{}        // closed once its answer has come
+	*execution
+	pool      string
+	partner   string          // whose gateways the pool has; empty: it has this partner's servers
+	queryOnly bool            // only the outcome of the request is asked for
+	request   *engine.Request // as the engine has it
+	done      chan struct{}   // closed once its response has come
 
 	mu         sync.Mutex
-	rejectedBy string // of the partner's, by which it was refused
+	rejectedBy string // the partner's rule that rejected it
 	mayRun     bool   // an attempt of it may run still
-	settled    bool   // the partner has settled its refusal
+	settled    bool   // the partner has settled its rejection
 }
 
-// attempt gives a request, or the question what became of it, to the engine of a pool and waits for its answer.
-func (g *Gateway) attempt(ctx context.Context, record *replication.Record, message engine.Message, pool string, selection routeexchange.Selection, timeLeft time.Duration, priorIntents []replication.Intent, work *replication.Work, ask bool) attemptResult {
-	t := &routedAttempt{gateway: g, record: record, pool: pool, priorIntents: priorIntents, work: work, queryOnly: ask, done: make(chan struct{})}
-	defer close(t.done)
-	if partner, is := config.PartnerOf(pool); is {
+// send gives the request to the engine of a pool, and waits for its response.
+func (e *execution) send(ctx context.Context, to destination) attemptResult {
+	t := e.newAttempt(to.pool)
+	return t.perform(ctx, to.selection, e.timeLeft(ctx))
+}
+
+// query asks a partner for the outcome of the request once.
+func (e *execution) query(ctx context.Context, pool string, timeLeft time.Duration) attemptResult {
+	t := e.newAttempt(pool)
+	t.queryOnly = true
+	return t.perform(ctx, routeexchange.Selection{}, timeLeft)
+}
+
+func (e *execution) newAttempt(pool string) *routedAttempt {
+	t := &routedAttempt{execution: e, pool: pool, done: make(chan struct{})}
+	if partner, ok := config.PartnerOf(pool); ok {
 		t.partner = partner
 	}
-	if err := t.prepare(message, selection, timeLeft); err != nil {
+	return t
+}
+
+// perform hands the request to the engine and waits for its response. The zero result says that ctx has ended.
+func (t *routedAttempt) perform(ctx context.Context, selection routeexchange.Selection, timeLeft time.Duration) attemptResult {
+	defer close(t.done)
+	if err := t.prepare(selection, timeLeft); err != nil {
 		return attemptResult{outcome: replication.Outcome{Kind: replication.Failed}}
 	}
 	if selection.Route != nil {
 		selection.Take()
 		defer selection.Done()
 	}
-	if err := g.options.Calls.Submit(t.request, pool); err != nil {
-		return attemptResult{outcome: replication.Outcome{Kind: replication.Rejected, NotRun: true, RetryAfter: defaultRetryAfter, Reason: "no pool takes this call now"}}
+	if err := t.gateway.options.Calls.Submit(t.request, t.pool); err != nil {
+		return attemptResult{outcome: replication.Outcome{
+			Kind:       replication.Rejected,
+			NotRun:     true,
+			RetryAfter: defaultRetryAfter,
+			Reason:     "no pool takes this request now",
+		}}
 	}
 	select {
 	case response := <-t.request.Response():
 		return t.result(response)
 	case <-ctx.Done():
-		t.request.Disconnect(g.options.Clock.Now())
+		t.request.Disconnect(t.gateway.options.Clock.Now())
 		return attemptResult{}
 	}
 }
 
-// prepare makes the request as the engine has it.
-func (t *routedAttempt) prepare(message engine.Message, selection routeexchange.Selection, timeLeft time.Duration) error {
+// prepare makes the request as the engine has it, with an envelope if it goes to a partner.
+func (t *routedAttempt) prepare(selection routeexchange.Selection, timeLeft time.Duration) error {
 	now := t.gateway.options.Clock.Now()
-	t.request = engine.NewRequest(t.record.ID, message)
-	t.request.Class, t.request.At, t.request.Deadline = t.record.Key.Class, now, now+timeLeft
-	t.request.AllowAttempt, t.request.AttemptEnded = t.allow, t.attemptEnded
+	t.request = engine.NewRequest(t.record.ID, t.message)
+	t.request.Class = t.record.Key.Class
+	t.request.At = now
+	t.request.Deadline = now + timeLeft
+	t.request.AllowAttempt = t.allow
+	t.request.AttemptEnded = t.attemptEnded
 	if t.partner == "" {
 		t.request.PriorAttempts = t.priorAttempts(now)
 		return nil // a partner's gateways know one another's requests: what one has begun another tells of
 	}
-	record := t.record
-	sealed := envelope{ID: record.ID, Target: record.Target, Path: append(slices.Clone(record.Path), t.gateway.self.Partner), Tenant: record.Tenant, Draws: record.Draws, QueryOnly: t.queryOnly, From: t.gateway.self.Partner}
+	self := t.gateway.self.Partner
+	e := envelope{
+		ID:        t.record.ID,
+		Target:    t.record.Target,
+		Path:      append(slices.Clone(t.record.Path), self),
+		Tenant:    t.record.Tenant,
+		Draws:     t.record.Draws,
+		QueryOnly: t.queryOnly,
+		From:      self,
+	}
 	if selection.Route != nil {
-		sealed.Advertisement = selection.ID
+		e.Advertisement = selection.ID
 	}
-	text, err := sealed.seal(t.gateway.key(t.partner))
+	text, err := e.seal(t.gateway.key(t.partner))
 	if err != nil {
 		return err
 	}
@@ -88,17 +130,23 @@
 	return nil
 }
 
-// before are the attempts that others made at the servers of the pool.
+// priorAttempts are the attempts that earlier owners made at the servers of the pool.
 func (t *routedAttempt) priorAttempts(now time.Duration) (list []balancer.PriorAttempt) {
 	for _, intent := range t.priorIntents {
 		if intent.Pool == t.pool {
-			list = append(list, balancer.PriorAttempt{Server: intent.Server, Zone: intent.Zone, Cell: intent.Cell, SentAt: now - intent.Age, NeverRan: intent.NotRun})
+			list = append(list, balancer.PriorAttempt{
+				Server:   intent.Server,
+				Zone:     intent.Zone,
+				Cell:     intent.Cell,
+				SentAt:   now - intent.Age,
+				NeverRan: intent.NotRun,
+			})
 		}
 	}
 	return list
 }
 
-// number is an attempt's among all of its request's. They go on over pools.
+// attemptNumber is an attempt's number among all of its request's. They go on over pools.
 func (t *routedAttempt) attemptNumber(a *engine.Attempt) int {
 	if len(t.request.PriorAttempts) != len(t.priorIntents) {
 		return a.N + len(t.priorIntents)
@@ -106,11 +154,13 @@
 	return a.N
 }
 
-// allow implements engine.Request's Allow.
+// allow implements engine.Request's AllowAttempt: a replicated request's attempt needs its intent accepted.
 func (t *routedAttempt) allow(a *engine.Attempt) bool {
-	intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
-	if t.work != nil && !t.queryOnly && !t.work.Intend(a.Context(), intent) {
-		return false
+	if t.replicates() {
+		intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
+		if !t.work.Intend(a.Context(), intent) {
+			return false
+		}
 	}
 	if t.partner != "" {
 		t.gateway.tasks.Go(func() { t.gateway.watchPartner(t.partner, a, t.done) })
@@ -118,21 +168,29 @@
 	return true
 }
 
-// ended implements engine.Request's Ended.
+// attemptEnded implements engine.Request's AttemptEnded.
 func (t *routedAttempt) attemptEnded(a *engine.Attempt, outcome *engine.Outcome) {
 	t.mu.Lock()
-	t.mayRun = t.mayRun || outcome.Result == balancer.ConnectionLost || outcome.Result == balancer.TimedOut || outcome.Result == balancer.Cancelled
-	t.settled = t.settled || outcome.Result == balancer.Overloaded && outcome.Settled
+	switch outcome.Result {
+	case balancer.ConnectionLost, balancer.TimedOut, balancer.Cancelled:
+		t.mayRun = true
+	case balancer.Overloaded:
+		t.settled = t.settled || outcome.Settled
+	}
 	if outcome.Why != "" && outcome.Why != reasonBusy {
 		t.rejectedBy = outcome.Why
 	}
 	t.mu.Unlock()
-	if t.work != nil && !t.queryOnly && outcome.Result.NeverRan() { // that a question did not arrive says nothing of the attempt that it is about
+	if t.replicates() && outcome.Result.NeverRan() {
 		t.work.AttemptNotRun(t.attemptNumber(a))
 	}
 }
 
-// result is what the engine's answer comes to.
+// replicates says that replicas are to know of attempts. They know none of a query: that it did not arrive says nothing of the
+// attempt that it is about.
+func (t *routedAttempt) replicates() bool { return t.work != nil && !t.queryOnly }
+
+// result is what the engine's response comes to.
 func (t *routedAttempt) result(response engine.Response) attemptResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,27 +200,27 @@
 	if t.partner == "" {
 		return attemptResult{outcome: outcomeOf(response)}
 	}
-	refused := response.Kind == engine.Rejected
-	if refused {
+	rejected := response.Kind == engine.Rejected
+	if rejected {
 		response.Why = ""
 	}
 	return attemptResult{
 		outcome:          outcomeOf(response),
-		rejectedByRule:   refused && t.rejectedBy != "",
+		rejectedByRule:   rejected && t.rejectedBy != "",
 		mayRun:           response.Kind == engine.Failed && t.mayRun,
-		rejectionSettled: refused && t.settled,
+		rejectionSettled: rejected && t.settled,
 	}
 }
 
-// mind ends an attempt at a partner's gateway once the others of that gateway's group have lost it: a connection to one that
-// is stopped or cut off stands for as long as nobody writes, and another of the group knows what became of the request.
-func (g *Gateway) watchPartner(partner string, a *engine.Attempt, over <-chan struct{}) {
+// watchPartner ends an attempt at a partner's gateway once the others of that gateway's group have lost it: a connection to a
+// gateway that is stopped or cut off stands for as long as nobody writes, and another of the group knows the request's outcome.
+func (g *Gateway) watchPartner(partner string, a *engine.Attempt, done <-chan struct{}) {
 	tick := time.NewTicker(linkCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-		case <-over:
+		case <-done:
 			return
 		case <-a.Context().Done():
 			return
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -7,102 +7,145 @@
 
 	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/clock"
+	"damsontrestle/internal/config"
 	"damsontrestle/internal/discovery"
 	"damsontrestle/internal/quota"
 	"damsontrestle/internal/routeexchange"
 	"damsontrestle/internal/splitmix"
 )
 
-// Times of connecting.
 const (
-	linkCheckInterval  = 100 * time.Millisecond
-	gatherDelay        = 5 * time.Millisecond
-	otherAfterSilences = 2 // times the silence that ends a link, after which another of a partner's gateways is tried
+	linkCheckInterval = 100 * time.Millisecond
+	gatherDelay       = 5 * time.Millisecond // of many gateways that change at once, as when a fleet starts, one look is enough
+	// failoverSilences is after how many times the silence that ends a link other gateways of a partner are tried.
+	failoverSilences = 2
 )
 
-// connect holds links to those of the group whose names come later, to as many gateways of each partner as the file says, and
-// to quota candidates; and gives partners' gateways to their pools.
+// connector keeps the links that this gateway opens, and the pools of partners' gateways. Its task alone uses it.
+type connector struct {
+	gateway   *Gateway
+	kept      map[string]string                  // by address, the partner that the link goes to
+	first     map[string]int                     // by partner, the place in its order of the first gateway that is tried
+	announced map[string][]routeexchange.Gateway // by partner, its gateways as its pool has them
+
+	policy *policy
+	orders map[string][]string // by partner, its gateways in the order in which policy has this one try them
+}
+
+// maintainLinks keeps links to those of the group whose names come later, to as many gateways of each partner as the configuration
+// says, and to quota candidates; and notifies pools of partners' gateways. It goes on until Close.
 func (g *Gateway) maintainLinks() {
+	c := &connector{
+		gateway:   g,
+		kept:      map[string]string{},
+		first:     map[string]int{},
+		announced: map[string][]routeexchange.Gateway{},
+		orders:    map[string][]string{},
+	}
 	tick := time.NewTicker(linkCheckInterval)
 	defer tick.Stop()
-	kept := map[string]string{}
-	first := map[string]int{} // of a partner's gateways, in the order of this one
-	given := map[string][]routeexchange.Gateway{}
-	var of *policy                  // that
-	orders := map[string][]string{} // is by: each partner's gateways as this one tries them
 	for {
-		p := g.policy.Load()
-		if p != of {
-			of = p
-			for _, n := range p.config.Partners {
-				orders[n.Name] = g.tryOrder(n.Gateways)
-			}
-		}
-		want := map[string]string{}
-		living := g.options.Living()
-		g.routes.SetShare(1 + len(living))
-		for _, m := range living {
-			if m.Name > g.self.Name {
-				want[m.Addr.String()] = g.self.Partner
-			}
+		c.adopt(g.policy.Load())
+		c.keep(c.wanted())
+		c.updatePools()
+		select {
+		case <-g.ctx.Done():
+			return
+		case <-tick.C:
+		case <-g.gatewaysChanged:
+			clock.Sleep(g.ctx, gatherDelay)
 		}
-		for _, n := range p.config.Partners {
-			order := orders[n.Name]
-			for i := range min(n.Links, len(order)) {
-				at := order[(first[n.Name]+i)%len(order)]
-				if g.hub.Load().Down(at) > otherAfterSilences*time.Duration(p.config.Federation.Silence) && len(order) > n.Links {
-					first[n.Name] += n.Links
-					break
-				}
-				want[at] = n.Name
-			}
+	}
+}
+
+// adopt has the connector go by a policy.
+func (c *connector) adopt(p *policy) {
+	if p == c.policy {
+		return
+	}
+	c.policy = p
+	for _, partner := range p.config.Partners {
+		c.orders[partner.Name] = c.gateway.tryOrder(partner.Gateways)
+	}
+}
+
+// wanted are the links that this gateway should have, by address the partner that each goes to.
+func (c *connector) wanted() map[string]string {
+	g := c.gateway
+	want := map[string]string{}
+	living := g.options.Living()
+	g.routes.SetShare(1 + len(living))
+	for _, member := range living {
+		if member.Name > g.self.Name {
+			want[member.Addr.String()] = g.self.Partner
 		}
-		for _, q := range p.config.Quotas {
-			for _, k := range q.Candidates {
-				if who := quota.ParseCandidate(k.Name); who.Partner != g.self.Partner {
-					want[k.Address] = who.Partner
-				}
+	}
+	for i := range c.policy.config.Partners {
+		c.wantPartner(&c.policy.config.Partners[i], want)
+	}
+	for _, q := range c.policy.config.Quotas {
+		for _, candidate := range q.Candidates {
+			if id := quota.ParseCandidate(candidate.Name); id.Partner != g.self.Partner {
+				want[candidate.Address] = id.Partner
 			}
 		}
-		for at, partner := range want {
-			if kept[at] != partner {
-				g.hub.Load().Drop(at)
-				g.hub.Load().Keep(at, partner)
-				kept[at] = partner
-			}
+	}
+	return want
+}
+
+// wantPartner adds links to a partner's gateways. Where one of them has been down for long, others are tried from the next look on.
+func (c *connector) wantPartner(partner *config.Partner, want map[string]string) {
+	order := c.orders[partner.Name]
+	patience := failoverSilences * time.Duration(c.policy.config.Federation.Silence)
+	for i := range min(partner.Links, len(order)) {
+		address := order[(c.first[partner.Name]+i)%len(order)]
+		if len(order) > partner.Links && c.gateway.hub.Load().Down(address) > patience {
+			c.first[partner.Name] += partner.Links
+			return
 		}
-		for at := range kept {
-			if want[at] == "" {
-				g.hub.Load().Drop(at)
-				delete(kept, at)
-			}
+		want[address] = partner.Name
+	}
+}
+
+// keep has the hub keep the wanted links and no others.
+func (c *connector) keep(want map[string]string) {
+	hub := c.gateway.hub.Load()
+	for address, partner := range want {
+		if c.kept[address] != partner {
+			hub.Drop(address)
+			hub.Keep(address, partner)
+			c.kept[address] = partner
 		}
-		for _, n := range p.config.Partners {
-			now := g.exchange.Gateways(n.Name)
-			if !slices.Equal(now, given[n.Name]) {
-				given[n.Name] = now
-				g.options.List(n.Name, serverList(now))
-			}
+	}
+	for address := range c.kept {
+		if want[address] == "" {
+			hub.Drop(address)
+			delete(c.kept, address)
 		}
-		select {
-		case <-g.ctx.Done():
-			return
-		case <-tick.C:
-		case <-g.gatewaysChanged:
-			clock.Sleep(g.ctx, gatherDelay) // of many that change, as when a fleet starts, one look is enough
+	}
+}
+
+// updatePools notifies the pools of partners whose gateways have changed.
+func (c *connector) updatePools() {
+	for _, partner := range c.policy.config.Partners {
+		gateways := c.gateway.exchange.Gateways(partner.Name)
+		if slices.Equal(gateways, c.announced[partner.Name]) {
+			continue
 		}
+		c.announced[partner.Name] = gateways
+		c.gateway.options.List(partner.Name, serverList(gateways))
 	}
 }
 
-// listen has the lists of partners' gateways looked at.
-func (g *Gateway) wakeConnect() {
+// checkLinks has maintainLinks look at once.
+func (g *Gateway) checkLinks() {
 	select {
 	case g.gatewaysChanged <- struct{}{}:
 	default:
 	}
 }
 
-// order is the order in which this gateway tries a partner's, another one for each gateway.
+// tryOrder is the order in which this gateway tries a partner's addresses, another one at each gateway.
 func (g *Gateway) tryOrder(addresses []string) []string {
 	out := slices.Clone(addresses)
 	self := g.self.String()
@@ -112,11 +155,14 @@
 	return out
 }
 
-// listOf are a partner's gateways as a pool has its servers.
+// serverList is the endpoint list of a pool whose servers are a partner's gateways.
 func serverList(gateways []routeexchange.Gateway) discovery.List {
-	l := discovery.List{Full: true}
-	for _, w := range gateways {
-		l.Targets = append(l.Targets, discovery.Target{Endpoint: w.Calls, Server: balancer.Server{ID: w.Name, Zone: w.Zone}})
+	list := discovery.List{Full: true}
+	for _, gateway := range gateways {
+		list.Targets = append(list.Targets, discovery.Target{
+			Endpoint: gateway.Calls,
+			Server:   balancer.Server{ID: gateway.Name, Zone: gateway.Zone},
+		})
 	}
-	return l
+	return list
 }
--- a/internal/gateway/flow.go
+++ b/internal/gateway/flow.go
@@ -11,26 +11,27 @@
 	"damsontrestle/internal/replication"
 )
 
-// flow is a request from its taking to its answer.
+// requestFlow is a request that the gateway has taken, from there to its response: quota, replication, then the engine of a pool.
 type requestFlow struct {
 	gateway        *Gateway
 	request        *engine.Request
 	record         replication.Record
 	class          config.Class
-	draws          []string // budgets that it has to draw from
-	awaitOnly      bool     // its client only asks for what it asked for before
-	rejectedID     string   // the id by which it was refused before, as it says
+	draws          []string // quotas that it has to draw from
+	awaitOnly      bool     // its sender asks only for the outcome of an earlier request
+	rejectedID     string   // the id of the client's earlier request that was rejected, as it says
 	replicated     bool
 	disconnectOnce sync.Once
-	disconnected   chan struct{} // its client has left
+	disconnected   chan struct{} // closed once its client has disconnected
 }
 
-// tell tells the story and gives the answer.
+// serve sends the response, within the client's time.
 func (f *requestFlow) serve() {
 	g := f.gateway
-	ctx, cancel := context.WithTimeout(g.ctx, max(0, g.options.Clock.Until(f.request.Deadline)-responseReserve))
+	left := g.options.Clock.Until(f.request.Deadline) - responseReserve
+	ctx, cancel := context.WithTimeout(g.ctx, max(0, left))
 	defer cancel()
-	if !f.replicated { // else it goes on without its client, who may come back for the answer
+	if !f.replicated { // a replicated request goes on without its client, who may come back for the response
 		g.tasks.Go(func() {
 			select {
 			case <-f.disconnected:
@@ -40,7 +41,8 @@
 		})
 	}
 	response := f.respond(ctx)
-	if response.Kind == engine.Rejected && len(f.record.Path) > 0 && response.Why == "" && response.NotRun {
+	fromPartner := len(f.record.Path) > 0
+	if fromPartner && response.Kind == engine.Rejected && response.NotRun && response.Why == "" {
 		response.Why = reasonBusy
 	}
 	select {
@@ -51,100 +53,111 @@
 	}
 }
 
-// answer is the request's way: quota, replication, engine.
-func (f *requestFlow) respond(ctx context.Context) (response engine.Response) {
-	g := f.gateway
-	var drawn []func()
-	defer func() {
-		if response.Kind == engine.Rejected && response.NotRun {
-			for _, undo := range drawn {
-				undo() // nothing was begun, here or at a partner's: others may have what was drawn
-			}
-		}
-	}()
+// respond is the request's way: quota, replication, engine. Tokens are given back where nothing was begun, here or at a partner:
+// others may have them.
+func (f *requestFlow) respond(ctx context.Context) engine.Response {
 	if f.awaitOnly {
-		return f.await(ctx, true)
+		return f.awaitEarlier(ctx)
 	}
-	if f.replicated && f.record.IdempotencyKey != "" && len(f.draws) > 0 && g.replicator.Holds(ctx, f.record.Key) {
-		if response, over := f.awaitOther(ctx); over {
+	if f.replicated && f.record.IdempotencyKey != "" && len(f.draws) > 0 && f.gateway.replicator.Holds(ctx, f.record.Key) {
+		if response, ok := f.awaitDuplicate(ctx); ok {
 			return response // a repeat draws nothing
 		}
 	}
+	undo, response, ok := f.drawTokens(ctx)
+	if ok {
+		response = f.carryOut(ctx)
+	}
+	if response.Kind == engine.Rejected && response.NotRun {
+		for _, giveBack := range undo {
+			giveBack()
+		}
+	}
+	return response
+}
+
+// drawTokens draws a token from each quota that the request matches. undo gives those back that were drawn. false: a quota has
+// none for it now, and rejected says so.
+func (f *requestFlow) drawTokens(ctx context.Context) (undo []func(), rejected engine.Response, ok bool) {
+	id := f.record.IdempotencyKey
+	if id == "" {
+		id = f.record.ID
+	}
 	for _, name := range f.draws {
-		limiter := g.limiter(name)
+		limiter := f.gateway.limiter(name)
 		if limiter == nil {
 			continue
 		}
-		id := f.record.IdempotencyKey
-		if id == "" {
-			id = f.record.ID
-		}
-		token, retry := limiter.Draw(ctx, id, f.rejectedID)
+		token, retryAfter := limiter.Draw(ctx, id, f.rejectedID)
 		if token == 0 {
-			response := rejection(retry)
+			rejected = rejection(retryAfter)
 			if len(f.record.Path) > 0 {
-				response.Why = "quota " + name
+				rejected.Why = "quota " + name
 			}
-			return response
+			return undo, rejected, false
 		}
 		f.record.Draws = append(f.record.Draws, name)
-		drawn = append(drawn, func() { limiter.Undo(token) })
+		undo = append(undo, func() { limiter.Undo(token) })
 	}
+	return undo, engine.Response{}, true
+}
+
+// carryOut has the request carried out once, replicated if its class is.
+func (f *requestFlow) carryOut(ctx context.Context) engine.Response {
 	if !f.replicated {
-		message := f.request.Message
-		return f.runLocally(ctx, message)
+		return f.runUnreplicated(ctx, f.request.Message)
 	}
-	f.record.TimeLeft = g.options.Clock.Until(f.request.Deadline)
-	serve := f.class.Replication.WhenAlone == config.ServeAlone
+	f.record.TimeLeft = f.gateway.options.Clock.Until(f.request.Deadline)
+	serveAlone := f.class.Replication.WhenAlone == config.ServeAlone
 	for {
-		outcome, err := g.replicator.Take(ctx, f.record, serve, time.Duration(f.class.Window))
+		outcome, err := f.gateway.replicator.Take(ctx, f.record, serveAlone, time.Duration(f.class.Window))
 		switch {
 		case err == nil:
 			return settledResponse(outcome)
-		case errors.Is(err, replication.ErrAlone) && serve:
+		case errors.Is(err, replication.ErrAlone) && serveAlone:
 			message := f.request.Message
 			message.Gone = nil // it goes on without its client
-			return f.runLocally(ctx, message)
+			return f.runUnreplicated(ctx, message)
 		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrNoAnswer):
 			return rejection(defaultRetryAfter)
 		}
-		// Others have it in hand, or will soon: whatever they settle is this client's answer too.
-		if response, over := f.awaitOther(ctx); over {
+		// Another request of the key is carried out, or a successor carries out this one: what is settled there is the response.
+		if response, ok := f.awaitDuplicate(ctx); ok {
 			return response
 		}
 	}
 }
 
-// found waits for the answer to a request whose key others have in hand. false: they refused it, and it may be begun anew.
-func (f *requestFlow) awaitOther(ctx context.Context) (engine.Response, bool) {
-	outcome, gen, err := f.gateway.replicator.Await(ctx, f.record.Key)
-	if err == nil && outcome.Kind == replication.Rejected && f.record.IdempotencyKey != "" && gen >= f.record.Generation {
-		f.record.Generation = gen + 1
-		return engine.Response{}, false
-	}
+// awaitDuplicate waits for the response to a request whose key is taken. false: that one was rejected, and the key may be used
+// anew.
+func (f *requestFlow) awaitDuplicate(ctx context.Context) (response engine.Response, ok bool) {
+	outcome, generation, err := f.gateway.replicator.Await(ctx, f.record.Key)
 	if err != nil {
 		return engine.Response{Kind: engine.Failed}, true
 	}
+	if outcome.Kind == replication.Rejected && f.record.IdempotencyKey != "" && generation >= f.record.Generation {
+		f.record.Generation = generation + 1
+		return engine.Response{}, false
+	}
 	return settledResponse(outcome), true
 }
 
-// await brings the answer to what a client asked for before.
-func (f *requestFlow) await(ctx context.Context, mayRetry bool) engine.Response {
+// awaitEarlier waits for the response to the sender's earlier request.
+func (f *requestFlow) awaitEarlier(ctx context.Context) engine.Response {
 	outcome, _, err := f.gateway.replicator.Await(ctx, f.record.Key)
 	switch {
 	case err == nil:
 		return settledResponse(outcome)
 	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrForgotten):
 		return engine.Response{Kind: engine.Failed} // it may have run, or never have come
-	case mayRetry:
-		return rejection(defaultRetryAfter) // to ask again is harmless
 	}
-	return engine.Response{Kind: engine.Failed}
+	return rejection(defaultRetryAfter) // to ask again is harmless
 }
 
-// own has a request carried out that nobody else holds.
-func (f *requestFlow) runLocally(ctx context.Context, message engine.Message) engine.Response {
-	outcome := f.gateway.run(ctx, &f.record, message, f.class, nil, nil)
+// runUnreplicated has a request carried out that no replica knows.
+func (f *requestFlow) runUnreplicated(ctx context.Context, message engine.Message) engine.Response {
+	e := &execution{gateway: f.gateway, record: &f.record, message: message, class: f.class}
+	outcome := e.run(ctx)
 	if outcome.Kind == 0 {
 		return engine.Response{Kind: engine.Failed}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 	p := newPolicy(options.Config)
 	g.policy.Store(p)
 	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
-	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, Heard: g.wakeConnect})
+	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, Heard: g.checkLinks})
 	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: options.Config.Node.Zone, Incarnation: g.incarnation}, Links: groupLinks{g}, Group: g.groupMembers,
 		Run: g.resume, Step: g.successorStep, Heartbeat: heartbeat(federation), Silence: time.Duration(federation.Silence), Replicas: federation.Holders, Memory: int(federation.Memory), Retention: time.Duration(federation.Keep), MaxIntentAge: time.Duration(federation.Silence) / 2, RecoveryWindow: func() time.Duration { return g.policy.Load().longestDeadline }, Now: options.Clock.Now, Log: options.Log})
 	topics := maps.Clone(g.replicator.Topics())
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -103,5 +103,5 @@
 func (g *Gateway) Announce() {
 	g.exchange.Advertise()
 	g.exchange.Ask()
-	g.wakeConnect()
+	g.checkLinks()
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -7,49 +7,77 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// kept are headers that were kept of a request.
+// destination is where a request goes.
+type destination struct {
+	pool      string
+	selection routeexchange.Selection // the advertisement that it goes by; none for this partner's own pools
+}
+
+// recordedHeaders are the headers of a request that were recorded, as routes match them.
 type recordedHeaders map[string][]string
 
 // Values implements route.Headers.
-func (k recordedHeaders) Values(name string) []string { return k[name] }
+func (h recordedHeaders) Values(name string) []string { return h[name] }
 
+// routedRequest is a request as advertisements are chosen for it.
 func routedRequest(record *replication.Record, class config.Class) *routeexchange.Request {
-	return &routeexchange.Request{Class: class.Name, Path: record.Route.Path, Tenant: record.Tenant, Effect: class.ForModule().Effect, Via: record.Path}
+	return &routeexchange.Request{
+		Class:  class.Name,
+		Path:   record.Route.Path,
+		Tenant: record.Tenant,
+		Effect: class.ForModule().Effect,
+		Via:    record.Path,
+	}
 }
 
-// toPartner says that a pool is a partner's gateways.
+// isPartnerPool says that a pool is a partner's gateways.
 func isPartnerPool(pool string) bool {
-	_, partners := config.PartnerOf(pool)
-	return partners
+	_, ok := config.PartnerOf(pool)
+	return ok
 }
 
-// chooseRoute is where a request goes now, by the rules of now, or why it goes nowhere.
-func (g *Gateway) chooseRoute(record *replication.Record, class config.Class, forced string) (selection routeexchange.Selection, pool, why string) {
-	request := routedRequest(record, class)
-	ok := false
-	if len(record.Path) > 0 {
-		if selection, why = g.routes.Come(routeexchange.ID{Origin: record.Offer[0], Name: record.Offer[1]}, request); why != "" {
-			return selection, "", why
-		}
-		ok = true
-	} else {
-		selection, ok = g.routes.Choose(request)
+// chooseRoute is where the request goes now, by the rules of now, or the reason why it goes nowhere. forced is the pool that it has
+// to go to; empty: any.
+func (e *execution) chooseRoute(forced string) (to destination, reason string) {
+	selection, ok, reason := e.chooseAdvertisement()
+	if reason != "" {
+		return destination{}, reason
 	}
 	if ok && !selection.Own {
-		pool = config.PartnerPool(selection.Path[0])
+		pool := config.PartnerPool(selection.Path[0])
 		if forced == "" || forced == pool {
-			return selection, pool, ""
+			return destination{pool, selection}, ""
 		}
 	}
 	if forced != "" {
-		if _, partners := config.PartnerOf(forced); partners {
-			return routeexchange.Selection{}, "", "the partner that may have run it has no offer for it now"
+		if isPartnerPool(forced) {
+			return destination{}, "the partner that may have run it advertises no route for it now"
 		}
-		return routeexchange.Selection{}, forced, ""
+		return destination{pool: forced}, ""
 	}
-	pool, routed := g.options.Calls.Pool(&route.Request{Listener: record.Route.Listener, Class: class.Name, Host: record.Route.Host, Path: record.Route.Path, Headers: recordedHeaders(record.Headers), Draw: record.Route.Draw})
+	pool, routed := e.gateway.options.Calls.Pool(&route.Request{
+		Listener: e.record.Route.Listener,
+		Class:    e.class.Name,
+		Host:     e.record.Route.Host,
+		Path:     e.record.Route.Path,
+		Headers:  recordedHeaders(e.record.Headers),
+		Draw:     e.record.Route.Draw,
+	})
 	if !routed {
-		return selection, "", "no route takes this call"
+		return destination{}, "no route takes this request"
+	}
+	return destination{pool, selection}, ""
+}
+
+// chooseAdvertisement is the advertisement by which a partner forwarded the request, if its rules still let it in, or else the
+// best one for it; false: there is none.
+func (e *execution) chooseAdvertisement() (selection routeexchange.Selection, ok bool, reason string) {
+	request := routedRequest(e.record, e.class)
+	if len(e.record.Path) == 0 {
+		selection, ok = e.gateway.routes.Choose(request)
+		return selection, ok, ""
 	}
-	return selection, pool, ""
+	id := routeexchange.ID{Origin: e.record.Offer[0], Name: e.record.Offer[1]}
+	selection, reason = e.gateway.routes.Come(id, request)
+	return selection, reason == "", reason
 }
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -80,7 +80,14 @@
 	defer g.cancel()
 	record := replication.Record{ID: "call", Key: replication.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
 	record.Route.Listener, record.Route.Path = "main", "/note/x"
-	return g.run(ctx, &record, engine.Message{Method: "POST", Target: "/note/x"}, class, priorIntents, nil)
+	e := &execution{
+		gateway:      g,
+		record:       &record,
+		message:      engine.Message{Method: "POST", Target: "/note/x"},
+		class:        class,
+		priorIntents: priorIntents,
+	}
+	return e.run(ctx)
 }
 
 // ask has a partner asked what became of an unsafe request that may run there.
--- a/internal/gateway/take.go
+++ b/internal/gateway/take.go
@@ -5,110 +5,181 @@
 	"slices"
 	"time"
 
+	"damsontrestle/internal/config"
 	"damsontrestle/internal/dispatch"
 	"damsontrestle/internal/engine"
 	"damsontrestle/internal/replication"
 	"damsontrestle/internal/route"
 )
 
-// Words in refusals to partners' gateways.
+// Headers of clients.
+const (
+	retryHeader    = "X-Retry-Of"  // the id of the client's earlier request, whose response has not come
+	comeBackHeader = "X-Come-Back" // the id of the client's earlier request that was rejected, once its Retry-After is over
+	tenantHeader   = "X-Tenant"
+)
+
+// Prefixes of a replicated request's key: by an idempotency key, whoever sends it, or by the sender and its id.
 const (
-	reasonBusy = "busy" // no rule refused it
+	idempotencyKeyPrefix = "k:"
+	requestIDPrefix      = "i:"
 )
 
 // Times of a request.
 const (
-	defaultRetryAfter = 250 * time.Millisecond // where nothing better is known
-	responseReserve   = 10 * time.Millisecond  // of a request's time that is left for its answer
-	settleReserve     = 20 * time.Millisecond  // of a request's time replicated that is left to have its outcome taken
-	maxRoutes         = 4                      // ways that a request tries, of which all but the last refused it by their rules
-	queryRetryDelay   = 20 * time.Millisecond  // after a question for what became of a request, which a partner did not answer
+	defaultRetryAfter = 250 * time.Millisecond // where no better one is known
+	responseReserve   = 10 * time.Millisecond  // of a request's time, for its response
+	settleReserve     = 20 * time.Millisecond  // of a replicated request's time, for its outcome to be settled
 )
 
-// Take implements dispatch.Guard: it takes requests of partners, and such of this partner's clients as draw from a budget, are in
-// replication, or go to another partner.
-func (g *Gateway) Take(snapshot *dispatch.Snapshot, request *engine.Request, r *route.Request) bool {
+// incoming is what a request says of itself, and what its envelope does if a partner forwarded it.
+type incoming struct {
+	record    replication.Record
+	from      string // the partner that forwarded it; empty: a client sent it
+	retryOf   string // the id of the sender's earlier request whose response it asks for
+	queryOnly bool   // a partner asks for the outcome: the request must not be begun
+}
+
+// Take implements dispatch.Guard: it takes requests of partners, and those of this partner's clients that draw from a quota, are
+// replicated or go to another partner.
+func (g *Gateway) Take(_ *dispatch.Snapshot, request *engine.Request, routing *route.Request) bool {
 	p := g.policy.Load()
 	class, known := p.classes[request.Class]
-	if !known { // nobody would check a partner's pass, or draw for it
-		request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: "this class is not known here", RetryAfter: defaultRetryAfter})
+	if !known { // nobody would check a partner's envelope, or draw for it
+		reject(request, "this class is not known here")
 		return true
 	}
-	record := replication.Record{ID: request.ID, Method: request.Message.Method, Target: request.Message.Target, IdempotencyKey: request.Message.Key, ContentType: request.Message.ContentType, Body: request.Message.Body,
-		Tenant: firstValue(r.Headers, tenantHeader), Route: replication.Route{Listener: r.Listener, Host: r.Host, Path: r.Path, Draw: r.Draw}, Headers: g.routedHeaders(p, r)}
-	again := firstValue(r.Headers, retryHeader)
-	var from string
-	queryOnly := false // a partner asks what became of it
-	if r.Listener == p.partnerListener && p.partnerListener != "" {
-		envelope, err := openEnvelope(r.Headers.Values(envelopeHeader), g.key, request.ID, request.Message.Target)
-		if err != nil {
-			request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: err.Error(), RetryAfter: defaultRetryAfter})
-			return true
-		}
-		record.Tenant, record.Path, record.Draws = envelope.Tenant, envelope.Path, envelope.Draws
-		record.Offer = [2]string{envelope.Advertisement.Origin, envelope.Advertisement.Name}
-		from, again, queryOnly = envelope.From, "", envelope.QueryOnly
-		if queryOnly {
-			again = request.ID
-		}
-	}
-	isReplicated := class.Replication != nil && request.Message.Rest == nil
-	if queryOnly && !isReplicated {
-		request.Finish(engine.Response{Kind: engine.Failed}) // nobody here remembers, and it must not be begun
+	in, err := g.readIncoming(p, request, routing)
+	if err != nil {
+		reject(request, err.Error())
 		return true
 	}
-	if !isReplicated {
-		again = ""
-	}
-	var draws []string
-	for i := range p.quotas {
-		if b := &p.quotas[i]; b.Match(request.Class, record.Tenant) && !slices.Contains(record.Draws, b.Name) {
-			draws = append(draws, b.Name)
+	replicated := class.Replication != nil && request.Message.Rest == nil
+	if !replicated {
+		if in.queryOnly {
+			request.Finish(engine.Response{Kind: engine.Failed}) // no replica remembers it, and it must not be begun
+			return true
 		}
+		in.retryOf = ""
 	}
-	if !isReplicated && len(draws) == 0 && len(record.Path) == 0 {
-		selection, ok := g.routes.Choose(routedRequest(&record, class))
-		if !ok || selection.Own {
-			return false
-		}
+	draws := p.draws(request.Class, &in.record)
+	needsGateway := replicated || len(draws) > 0 || len(in.record.Path) > 0
+	if !needsGateway && !g.goesToPartner(&in.record, class) {
+		return false
 	}
-	record.Key = replication.Key{Class: request.Class, ID: "i:" + from + ":" + request.ID}
-	switch {
-	case record.IdempotencyKey != "":
-		record.Key.ID = "k:" + record.IdempotencyKey
-	case again != "":
-		record.Key.ID = "i:" + from + ":" + again
+	in.record.Key = in.key(request)
+	f := &requestFlow{
+		gateway:      g,
+		request:      request,
+		record:       in.record,
+		class:        class,
+		draws:        draws,
+		awaitOnly:    in.queryOnly || in.retryOf != "" && in.record.IdempotencyKey == "",
+		rejectedID:   firstValue(routing.Headers, comeBackHeader),
+		replicated:   replicated,
+		disconnected: make(chan struct{}),
 	}
-	f := &requestFlow{gateway: g, request: request, record: record, class: class, draws: draws, awaitOnly: again != "" && record.IdempotencyKey == "" || queryOnly, rejectedID: firstValue(r.Headers, comeBackHeader), replicated: isReplicated, disconnected: make(chan struct{})}
 	request.Intercept(func(time.Duration) { f.disconnectOnce.Do(func() { close(f.disconnected) }) })
 	g.tasks.Go(f.serve)
 	return true
 }
 
-func firstValue(h route.Headers, name string) string {
-	if list := h.Values(name); len(list) > 0 {
-		return list[0]
+// reject answers a request that was not taken.
+func reject(request *engine.Request, reason string) {
+	request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: reason, RetryAfter: defaultRetryAfter})
+}
+
+// readIncoming reads a request and, on the listener of partners, its envelope. An error says why it is no partner's.
+func (g *Gateway) readIncoming(p *policy, request *engine.Request, routing *route.Request) (*incoming, error) {
+	message := &request.Message
+	in := &incoming{retryOf: firstValue(routing.Headers, retryHeader)}
+	in.record = replication.Record{
+		ID:             request.ID,
+		Method:         message.Method,
+		Target:         message.Target,
+		IdempotencyKey: message.Key,
+		ContentType:    message.ContentType,
+		Body:           message.Body,
+		Tenant:         firstValue(routing.Headers, tenantHeader),
+		Route: replication.Route{
+			Listener: routing.Listener,
+			Host:     routing.Host,
+			Path:     routing.Path,
+			Draw:     routing.Draw,
+		},
+		Headers: routedHeaders(p, routing),
+	}
+	if p.partnerListener == "" || routing.Listener != p.partnerListener {
+		return in, nil
+	}
+	e, err := openEnvelope(routing.Headers.Values(envelopeHeader), g.key, request.ID, message.Target)
+	if err != nil {
+		return nil, err
+	}
+	in.record.Tenant = e.Tenant
+	in.record.Path = e.Path
+	in.record.Draws = e.Draws
+	in.record.Offer = [2]string{e.Advertisement.Origin, e.Advertisement.Name}
+	in.from = e.From
+	in.queryOnly = e.QueryOnly
+	in.retryOf = ""
+	if e.QueryOnly {
+		in.retryOf = request.ID
 	}
-	return ""
+	return in, nil
 }
 
-// headers are those that routes look at.
-func (g *Gateway) routedHeaders(p *policy, r *route.Request) map[string][]string {
+// key is what the request is replicated under.
+func (in *incoming) key(request *engine.Request) replication.Key {
+	id := requestIDPrefix + in.from + ":" + request.ID
+	switch {
+	case in.record.IdempotencyKey != "":
+		id = idempotencyKeyPrefix + in.record.IdempotencyKey
+	case in.retryOf != "":
+		id = requestIDPrefix + in.from + ":" + in.retryOf
+	}
+	return replication.Key{Class: request.Class, ID: id}
+}
+
+// draws are the names of the quotas that a request has to draw from here: those that it matches and has not drawn from before.
+func (p *policy) draws(class string, record *replication.Record) []string {
+	var names []string
+	for i := range p.quotas {
+		budget := &p.quotas[i]
+		if budget.Match(class, record.Tenant) && !slices.Contains(record.Draws, budget.Name) {
+			names = append(names, budget.Name)
+		}
+	}
+	return names
+}
+
+// goesToPartner says that the best route of a request is another partner's advertisement.
+func (g *Gateway) goesToPartner(record *replication.Record, class config.Class) bool {
+	selection, ok := g.routes.Choose(routedRequest(record, class))
+	return ok && !selection.Own
+}
+
+// firstValue is the first value of a header; empty: there is none.
+func firstValue(headers route.Headers, name string) string {
+	values := headers.Values(name)
+	if len(values) == 0 {
+		return ""
+	}
+	return values[0]
+}
+
+// routedHeaders are the headers of a request that routes match, by their canonical names; nil: it has none of them.
+func routedHeaders(p *policy, routing *route.Request) map[string][]string {
 	var out map[string][]string
 	for _, name := range p.routedHeaders {
-		if v := r.Headers.Values(name); len(v) > 0 {
-			if out == nil {
-				out = map[string][]string{}
-			}
-			out[textproto.CanonicalMIMEHeaderKey(name)] = v
+		values := routing.Headers.Values(name)
+		if len(values) == 0 {
+			continue
+		}
+		if out == nil {
+			out = map[string][]string{}
 		}
+		out[textproto.CanonicalMIMEHeaderKey(name)] = values
 	}
 	return out
 }
-
-// Headers of clients.
-const (
-	retryHeader    = "X-Retry-Of"  // the id that a request was asked for by before, whose answer has not come
-	comeBackHeader = "X-Come-Back" // the id that a request was refused by before, where its client comes at the time that it was told
-	tenantHeader   = "X-Tenant"
-)
