--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,13 +1,3 @@
-// Package gateway makes a node one of a federation: it holds the links to the others of its group and to partners, and takes
-// a request's way through quota, replication and offers to the engine of a pool or to a partner. What is decided there is theirs;
-// this package puts them one after another, the same for a request that has just come and for one that is taken over.
-//
-// What it promises:
-//
-//   - A request draws once from each budget that it matches, at the gateway that it came to first: what was drawn goes with it,
-//     into replication and to partners.
-//   - A request of a partner's is taken only with that partner's tag over it, by the rules of now.
-//   - Every request that it takes has one answer within its client's time.
 package gateway
 
 import (
@@ -33,53 +23,55 @@
 
 // Options are what a Gateway is made of.
 type Options struct {
-	Config *config.Config
-	Key    []byte                                    // of the own group
-	Keys   map[string][]byte                         // of partners
-	Living func() []membership.Peer                  // the others of the group that live
-	Calls  *dispatch.Dispatcher                      // that requests go on by
-	List   func(partner string, list discovery.List) // takes a partner's gateways
-	Clock  clock.Clock
-	Log    *slog.Logger
+	Config *config.Config    // with a federation block
+	Key    []byte            // of this partner's own group
+	Keys   map[string][]byte // by partner
+	// Living returns the other gateways of the group that are alive.
+	Living func() []membership.Peer
+	// Calls takes the requests that go on to a pool.
+	Calls *dispatch.Dispatcher
+	// List notifies the pool of a partner of that partner's gateways.
+	List  func(partner string, list discovery.List)
+	Clock clock.Clock
+	Log   *slog.Logger
 }
 
-// Gateway is a node's part in a federation.
+// Gateway is a node's part in a federation. Its methods may be called by any goroutine.
 type Gateway struct {
 	options         Options
 	self            peering.GatewayID
 	incarnation     uint64
-	hub             atomic.Pointer[peering.Hub] // nil until it is open: the tasks of advertisements and replication begin before it
+	hub             atomic.Pointer[peering.Hub] // nil until it is open: tasks of routes and replication begin before it
 	replicator      *replication.Replicator
 	routes          *routeexchange.Table
 	exchange        *routeexchange.Exchange
-	ctx             context.Context
+	ctx             context.Context // ends with Close; tasks go on past the requests that began them
 	cancel          context.CancelFunc
 	tasks           sync.WaitGroup
-	gatewaysChanged chan struct{} // a partner's gateways have changed
+	gatewaysChanged chan struct{} // has maintainLinks look at once
 	policy          atomic.Pointer[policy]
 
 	mu       sync.Mutex
-	limiters map[string]*quota.Limiter
+	limiters map[string]*quota.Limiter // by quota
 }
 
-// Open opens the links. Requests come once the dispatcher has it as its Guard.
+// Open opens the links. Requests come once the dispatcher has the gateway as its Guard. Close ends it.
 func Open(options Options) (*Gateway, error) {
 	federation := options.Config.Federation
-	g := &Gateway{options: options, self: peering.GatewayID{Partner: federation.Partner, Name: options.Config.Node.Name}, incarnation: rand.Uint64()>>1 + 1, gatewaysChanged: make(chan struct{}, 1),
-		limiters: map[string]*quota.Limiter{}}
+	g := &Gateway{
+		options:         options,
+		self:            peering.GatewayID{Partner: federation.Partner, Name: options.Config.Node.Name},
+		incarnation:     rand.Uint64()>>1 + 1,
+		gatewaysChanged: make(chan struct{}, 1),
+		limiters:        map[string]*quota.Limiter{},
+	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	p := newPolicy(options.Config)
 	g.policy.Store(p)
 	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
 	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, Heard: g.checkLinks})
-	g.replicator = replication.New(replication.Options{Self: replication.Gateway{Name: g.self.Name, Zone: options.Config.Node.Zone, Incarnation: g.incarnation}, Links: groupLinks{g}, Group: g.groupMembers,
-		Run: g.resume, Step: g.successorStep, Heartbeat: heartbeat(federation), Silence: time.Duration(federation.Silence), Replicas: federation.Holders, Memory: int(federation.Memory), Retention: time.Duration(federation.Keep), MaxIntentAge: time.Duration(federation.Silence) / 2, RecoveryWindow: func() time.Duration { return g.policy.Load().longestDeadline }, Now: options.Clock.Now, Log: options.Log})
-	topics := maps.Clone(g.replicator.Topics())
-	maps.Copy(topics, g.exchange.Topics())
-	maps.Copy(topics, quota.Topics(g.limiter))
-	silence := time.Duration(federation.Silence)
-	hub, err := peering.Open(peering.Options{Self: peering.Peer{Partner: g.self.Partner, Name: g.self.Name, Zone: options.Config.Node.Zone, Incarnation: g.incarnation, Calls: requestAddress(options.Config)},
-		Listen: options.Config.Node.Peers.Listen, Key: g.key, Topics: topics, Up: g.linkUp, Changed: g.linkChanged, Beat: heartbeat(federation), Silence: silence, Log: options.Log})
+	g.replicator = replication.New(g.replicationOptions(federation))
+	hub, err := peering.Open(g.peeringOptions(federation))
 	if err != nil {
 		g.cancel()
 		g.exchange.Close()
@@ -92,7 +84,56 @@
 	return g, nil
 }
 
-// beat is the time between two heartbeats of a link.
+// replicationOptions are those of the replicator of this gateway.
+func (g *Gateway) replicationOptions(federation *config.Federation) replication.Options {
+	silence := time.Duration(federation.Silence)
+	return replication.Options{
+		Self: replication.Gateway{
+			Name:        g.self.Name,
+			Zone:        g.options.Config.Node.Zone,
+			Incarnation: g.incarnation,
+		},
+		Links:          groupLinks{g},
+		Group:          g.groupMembers,
+		Run:            g.resume,
+		Step:           g.successorStep,
+		Heartbeat:      heartbeat(federation),
+		Silence:        silence,
+		Replicas:       federation.Holders,
+		Memory:         int(federation.Memory),
+		Retention:      time.Duration(federation.Keep),
+		MaxIntentAge:   silence / 2,
+		RecoveryWindow: func() time.Duration { return g.policy.Load().longestDeadline },
+		Now:            g.options.Clock.Now,
+		Log:            g.options.Log,
+	}
+}
+
+// peeringOptions are those of the hub of this gateway, with the topics of all who use its links.
+func (g *Gateway) peeringOptions(federation *config.Federation) peering.Options {
+	topics := maps.Clone(g.replicator.Topics())
+	maps.Copy(topics, g.exchange.Topics())
+	maps.Copy(topics, quota.Topics(g.limiter))
+	return peering.Options{
+		Self: peering.Peer{
+			Partner:     g.self.Partner,
+			Name:        g.self.Name,
+			Zone:        g.options.Config.Node.Zone,
+			Incarnation: g.incarnation,
+			Calls:       requestAddress(g.options.Config),
+		},
+		Listen:  g.options.Config.Node.Peers.Listen,
+		Key:     g.key,
+		Topics:  topics,
+		Up:      g.linkUp,
+		Changed: g.linkChanged,
+		Beat:    heartbeat(federation),
+		Silence: time.Duration(federation.Silence),
+		Log:     g.options.Log,
+	}
+}
+
+// heartbeat is the time between two heartbeats of a link.
 func heartbeat(federation *config.Federation) time.Duration {
 	return time.Duration(federation.Silence) / 4
 }
@@ -113,10 +154,10 @@
 	g.hub.Load().Close()
 }
 
-// HandOver gives the requests replicated that are not answered yet to others of the group: this gateway ends.
+// HandOver gives the replicated requests that have no response yet to successors of the group: the gateway shuts down.
 func (g *Gateway) HandOver() { g.replicator.HandOver() }
 
-// key is what links with a partner's gateways are keyed by.
+// key is what links and envelopes of a partner are keyed by; nil: it is no partner.
 func (g *Gateway) key(partner string) []byte {
 	if partner == g.self.Partner {
 		return g.options.Key
@@ -127,17 +168,18 @@
 	return g.options.Keys[partner]
 }
 
-// up has a partner's gateway told of advertisements.
+// linkUp notifies replication of links to the group, and sends routes to partners' gateways.
 func (g *Gateway) linkUp(link *peering.Link) {
-	if link.Peer.Partner != g.self.Partner {
-		g.exchange.Up(link)
-	} else {
+	if link.Peer.Partner == g.self.Partner {
 		g.replicator.Linked(link)
+		return
 	}
+	g.exchange.Up(link)
 }
 
-func (g *Gateway) linkChanged(p peering.Peer, up bool, _ error) {
-	if !up && p.Partner == g.self.Partner {
-		g.replicator.PeerLost(p)
+// linkChanged notifies replication of links to the group that have ended.
+func (g *Gateway) linkChanged(peer peering.Peer, up bool, _ error) {
+	if !up && peer.Partner == g.self.Partner {
+		g.replicator.PeerLost(peer)
 	}
 }
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// links are those of the own group, as replication has them.
+// groupLinks are the links to the own group, as replication has them.
 type groupLinks struct{ *Gateway }
 
 // To implements replication.Links.
@@ -30,24 +30,25 @@
 	return hub.Links(l.self.Partner)
 }
 
-// holders are the gateways of the own group that live, in the order of their names.
+// groupMembers are the gateways of the own group that are alive, this one among them, in the order of their names.
 func (g *Gateway) groupMembers() []replication.Gateway {
 	out := []replication.Gateway{{Name: g.self.Name, Zone: g.options.Config.Node.Zone, Incarnation: g.incarnation}}
 	for _, m := range g.options.Living() {
-		h := replication.Gateway{Name: m.Name, Zone: m.Zone}
+		member := replication.Gateway{Name: m.Name, Zone: m.Zone}
 		if link := (groupLinks{g}).To(m.Name); link != nil {
-			h.Incarnation = link.Peer.Incarnation
+			member.Incarnation = link.Peer.Incarnation
 		}
-		out = append(out, h)
+		out = append(out, member)
 	}
 	slices.SortFunc(out, func(a, b replication.Gateway) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// group is what partners are told of: this gateway and those of its group that it has links to, as far as they take requests.
+// ownGateways are what partners are told of: this gateway and those of its group that it has links to, as far as they take
+// requests, in the order of their names.
 func (g *Gateway) ownGateways() (out []routeexchange.Gateway) {
-	if at := requestAddress(g.options.Config); at != "" {
-		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: at, Zone: g.options.Config.Node.Zone})
+	if address := requestAddress(g.options.Config); address != "" {
+		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: address, Zone: g.options.Config.Node.Zone})
 	}
 	for _, link := range (groupLinks{g}).All() {
 		if link.Peer.Calls != "" {
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -2,32 +2,39 @@
 
 import "damsontrestle/internal/quota"
 
-// setBudgets has a limiter for each budget. One whose quota candidates stay goes on.
+// setQuotas has a limiter for each quota. One whose candidates stay goes on; those of no quota any more are closed without
+// waiting.
 func (g *Gateway) setQuotas(budgets []quota.Budget) {
 	g.mu.Lock()
-	var gone []*quota.Limiter
+	var removed []*quota.Limiter
 	next := map[string]*quota.Limiter{}
-	for _, b := range budgets {
-		if old := g.limiters[b.Name]; old != nil && old.SameCandidates(b) {
-			old.Change(b)
-			next[b.Name] = old
+	for _, budget := range budgets {
+		if old := g.limiters[budget.Name]; old != nil && old.SameCandidates(budget) {
+			old.Change(budget)
+			next[budget.Name] = old
 			continue
 		}
-		next[b.Name] = quota.New(quota.Options{Budget: b, Self: g.self, To: g.hub.Load().To, Now: g.options.Clock.Now, Log: g.options.Log})
+		next[budget.Name] = quota.New(quota.Options{
+			Budget: budget,
+			Self:   g.self,
+			To:     g.hub.Load().To,
+			Now:    g.options.Clock.Now,
+			Log:    g.options.Log,
+		})
 	}
 	for name, old := range g.limiters {
 		if next[name] != old {
-			gone = append(gone, old)
+			removed = append(removed, old)
 		}
 	}
 	g.limiters = next
 	g.mu.Unlock()
-	for _, limiter := range gone {
+	for _, limiter := range removed {
 		g.tasks.Go(limiter.Close)
 	}
 }
 
-// limiter is the one of a budget; nil: there is none.
+// limiter is the limiter of a quota; nil: there is none.
 func (g *Gateway) limiter(name string) *quota.Limiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -10,66 +10,109 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// policy is what a configuration says of requests.
+// policy is what a configuration says of requests. It is not changed any more once it is made.
 type policy struct {
 	config          *config.Config
 	classes         map[string]config.Class
-	routedHeaders   []string // that routes look at
-	partnerListener string   // of partners' requests
+	routedHeaders   []string // that routes match
+	partnerListener string   // of partners' requests; empty: there is none
 	quotas          []quota.Budget
 	partners        map[string]bool
-	longestDeadline time.Duration // that a client may wait over all its tries
+	longestDeadline time.Duration // of all classes: no repeat of a key comes later
 }
 
+// newPolicy is the policy of a configuration with a federation block.
 func newPolicy(cfg *config.Config) *policy {
-	p := &policy{config: cfg, classes: map[string]config.Class{}, partnerListener: cfg.Federation.Listener, partners: map[string]bool{}}
+	p := &policy{
+		config:          cfg,
+		classes:         map[string]config.Class{},
+		partnerListener: cfg.Federation.Listener,
+		partners:        map[string]bool{},
+	}
 	for _, class := range cfg.Classes {
 		p.classes[class.Name] = class
 		p.longestDeadline = max(p.longestDeadline, time.Duration(class.Deadline))
 	}
-	for _, r := range cfg.Routes {
-		for _, h := range r.Headers {
-			if !slices.Contains(p.routedHeaders, h.Name) {
-				p.routedHeaders = append(p.routedHeaders, h.Name)
+	for _, route := range cfg.Routes {
+		for _, header := range route.Headers {
+			if !slices.Contains(p.routedHeaders, header.Name) {
+				p.routedHeaders = append(p.routedHeaders, header.Name)
 			}
 		}
 	}
 	for _, q := range cfg.Quotas {
-		b := quota.Budget{Terms: q.Terms(), Classes: q.Classes, Tenants: q.Tenants}
-		for _, k := range q.Candidates {
-			b.Candidates = append(b.Candidates, quota.ParseCandidate(k.Name))
+		budget := quota.Budget{Terms: q.Terms(), Classes: q.Classes, Tenants: q.Tenants}
+		for _, candidate := range q.Candidates {
+			budget.Candidates = append(budget.Candidates, quota.ParseCandidate(candidate.Name))
 		}
-		p.quotas = append(p.quotas, b)
+		p.quotas = append(p.quotas, budget)
 	}
-	for _, n := range cfg.Partners {
-		p.partners[n.Name] = true
+	for _, partner := range cfg.Partners {
+		p.partners[partner.Name] = true
 	}
 	return p
 }
 
-// offerPolicy is a configuration's part in offers.
+// routePolicy is what a configuration says of routes: from whom they are imported, to whom they go in transit, and this partner's
+// own exports.
 func (g *Gateway) routePolicy(cfg *config.Config) routeexchange.Policy {
-	p := routeexchange.Policy{Self: cfg.Federation.Partner, Neighbours: map[string]routeexchange.Neighbour{}, Stale: time.Duration(cfg.Federation.Stale), Share: 1 + len(g.options.Living())}
-	for _, n := range cfg.Partners {
-		p.Neighbours[n.Name] = routeexchange.Neighbour{Import: routeexchange.Import{Accept: n.Accept, Deny: n.Deny, Preference: n.Preference, MaxRoutes: n.MaxRoutes},
-			Transit: routeexchange.Transit{To: n.PassOnTo, Cost: n.Cost, Replicated: isReplicated(cfg)}}
+	p := routeexchange.Policy{
+		Self:       cfg.Federation.Partner,
+		Neighbours: map[string]routeexchange.Neighbour{},
+		Stale:      time.Duration(cfg.Federation.Stale),
+		Share:      1 + len(g.options.Living()),
 	}
-	effects := map[config.Effect]balancer.Effect{config.Safe: balancer.Safe, config.Keyed: balancer.Keyed, config.Unsafe: balancer.Unsafe}
-	for _, e := range cfg.Exports {
-		o := routeexchange.Advertisement{ID: routeexchange.ID{Origin: p.Self, Name: e.Name}, Class: e.Class, Prefix: e.Path, Cost: e.Cost, Capacity: e.Capacity,
-			Rules: routeexchange.Rules{All: e.All, To: e.To, NoTransit: !e.Transit, MaxHops: e.MaxHops, Tenants: e.Tenants, Excluded: e.Excluded}}
-		o.Replicated = isReplicated(cfg)(e.Class)
-		for _, v := range e.Effects {
-			o.Rules.Effects |= routeexchange.Of(effects[v])
-		}
-		if at, err := time.Parse(time.RFC3339, e.Until); err == nil {
-			o.Rules.Until = at.Unix()
+	replicated := isReplicated(cfg)
+	for _, partner := range cfg.Partners {
+		p.Neighbours[partner.Name] = routeexchange.Neighbour{
+			Import: routeexchange.Import{
+				Accept:     partner.Accept,
+				Deny:       partner.Deny,
+				Preference: partner.Preference,
+				MaxRoutes:  partner.MaxRoutes,
+			},
+			Transit: routeexchange.Transit{To: partner.PassOnTo, Cost: partner.Cost, Replicated: replicated},
 		}
-		p.Own = append(p.Own, o)
+	}
+	for i := range cfg.Exports {
+		export := &cfg.Exports[i]
+		p.Own = append(p.Own, advertisement(p.Self, export, replicated(export.Class)))
 	}
 	return p
 }
 
+// advertisement is what partners are told of an export.
+func advertisement(self string, export *config.Export, replicated bool) routeexchange.Advertisement {
+	a := routeexchange.Advertisement{
+		ID:       routeexchange.ID{Origin: self, Name: export.Name},
+		Class:    export.Class,
+		Prefix:   export.Path,
+		Cost:     export.Cost,
+		Capacity: export.Capacity,
+		Rules: routeexchange.Rules{
+			All:       export.All,
+			To:        export.To,
+			NoTransit: !export.Transit,
+			MaxHops:   export.MaxHops,
+			Tenants:   export.Tenants,
+			Excluded:  export.Excluded,
+		},
+	}
+	a.Replicated = replicated
+	effects := map[config.Effect]balancer.Effect{
+		config.Safe:   balancer.Safe,
+		config.Keyed:  balancer.Keyed,
+		config.Unsafe: balancer.Unsafe,
+	}
+	for _, effect := range export.Effects {
+		a.Rules.Effects |= routeexchange.Of(effects[effect])
+	}
+	if until, err := time.Parse(time.RFC3339, export.Until); err == nil {
+		a.Rules.Until = until.Unix()
+	}
+	return a
+}
+
 // isReplicated says which classes a configuration has replicated.
 func isReplicated(cfg *config.Config) func(class string) bool {
 	return func(name string) bool {
@@ -78,17 +121,18 @@
 	}
 }
 
-// callsAt is where partners' requests come in.
+// requestAddress is where partners' requests come in; empty: nowhere.
 func requestAddress(cfg *config.Config) string {
 	if cfg.Federation.Requests != "" {
 		return cfg.Federation.Requests
 	}
-	l, _ := cfg.Listener(cfg.Federation.Listener)
-	return l.Address
+	listener, _ := cfg.Listener(cfg.Federation.Listener)
+	return listener.Address
 }
 
-// Adopt has requests go by another configuration from now on. It does not block: it is called while no request is handed over, so that
-// no request of a class, a quota or a partner of the one configuration goes by the rules of the other.
+// Adopt has requests go by another configuration from now on. It does not block: it is called while no request is dispatched,
+// so that no request of a class, a quota or a partner of the one configuration goes by the rules of the other. A configuration
+// without a federation block takes a restart, and changes nothing here.
 func (g *Gateway) Adopt(cfg *config.Config) {
 	if cfg.Federation == nil {
 		return // that takes a restart
@@ -99,7 +143,7 @@
 	g.routes.SetPolicy(g.routePolicy(cfg))
 }
 
-// Announce tells partners what the configuration that was adopted has changed.
+// Announce advertises to partners what the configuration that was adopted has changed.
 func (g *Gateway) Announce() {
 	g.exchange.Advertise()
 	g.exchange.Ask()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// Status is what a gateway holds now.
+// Status is what a gateway does now, as operators see it.
 type Status struct {
 	Partner     string                  `json:"partner"`
 	Incarnation uint64                  `json:"life"`
@@ -20,7 +20,7 @@
 	Quotas      map[string]quota.Status `json:"quotas,omitempty"`
 }
 
-// LinkStatus is one link.
+// LinkStatus is one link to another gateway.
 type LinkStatus struct {
 	Gateway     string        `json:"gateway"`
 	Zone        string        `json:"zone,omitempty"`
@@ -28,10 +28,18 @@
 	RTT         time.Duration `json:"rtt"`
 }
 
-// Status is what the gateway holds now.
+// Status returns what the gateway does now.
 func (g *Gateway) Status() Status {
-	s := Status{Partner: g.self.Partner, Incarnation: g.incarnation, Stats: g.hub.Load().Stats(), Replication: g.replicator.Status(), Routes: g.routes.Status(), Quotas: map[string]quota.Status{}}
-	for _, link := range g.hub.Load().Links("") {
+	hub := g.hub.Load()
+	s := Status{
+		Partner:     g.self.Partner,
+		Incarnation: g.incarnation,
+		Stats:       hub.Stats(),
+		Replication: g.replicator.Status(),
+		Routes:      g.routes.Status(),
+		Quotas:      map[string]quota.Status{},
+	}
+	for _, link := range hub.Links("") {
 		s.Links = append(s.Links, LinkStatus{link.Peer.ID().String(), link.Peer.Zone, link.Peer.Incarnation, link.RTT()})
 	}
 	g.mu.Lock()
