--- a/internal/gateway/envelope_test.go
+++ b/internal/gateway/envelope_test.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// A pass holds for the request that it was made for, by the key of the partner that sends it, and for nothing else.
+// An envelope holds for the request that it was made for, by the key of the partner that sends it, and for nothing else.
 func TestEnvelopeIsBoundToItsRequest(t *testing.T) {
 	keys := func(partner string) []byte {
 		if partner == "p1" || partner == "p2" {
@@ -31,7 +31,7 @@
 		header     []string
 		id, target string
 	}{
-		"another call's":     {[]string{text}, "c2", p.Target},
+		"another request's":  {[]string{text}, "c2", p.Target},
 		"another target's":   {[]string{text}, "c1", "/note/p0/z"},
 		"of another key":     {[]string{forged}, "c1", p.Target},
 		"without a tag":      {[]string{head}, "c1", p.Target},
@@ -48,7 +48,7 @@
 	}
 }
 
-// FuzzOpenEnvelope: whatever a header holds, it ends in an error or in a pass of the request.
+// FuzzOpenEnvelope: whatever a header holds, it ends in an error or in an envelope of the request.
 func FuzzOpenEnvelope(f *testing.F) {
 	p := envelope{ID: "c1", Target: "/note/p0/x", Path: []string{"p1"}}
 	text, _ := p.seal([]byte("key"))
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"sync"
 	"testing"
 	"time"
 
@@ -37,23 +38,34 @@
 func (*backend) Poll(discovery.Host, time.Duration) (busy float64, ok bool) { return 0, false }
 func (*backend) CloseIdle(discovery.Host)                                   {}
 
-// resume has a request carried on whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
+// resumeRequest has a request taken over whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
 func resumeRequest(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
-	return carryOut(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "call"}})
+	return carryOut(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "request"}})
 }
 
-// carry has a request carried out, of which there have been earlier attempts. Routes name the pool, by an advertisement of this partner's own.
-func carryOut(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
+// newEngine is the engine of a pool with two servers, whose attempts end as a backend says.
+func newEngine(t *testing.T, b *backend, class config.Class, attempts int, c clock.Clock) *engine.Engine {
 	t.Helper()
-	const partner = "p1"
-	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
-	settings := balancer.Settings{Balancers: 1, MaxAttempts: attempts, Tick: time.Millisecond, MaxRetryAfter: time.Second, SlowStartMinimum: 1, TotalWeight: 1,
-		Classes: []balancer.Class{class.ForModule()}}
+	settings := balancer.Settings{
+		Balancers:        1,
+		MaxAttempts:      attempts,
+		Tick:             time.Millisecond,
+		MaxRetryAfter:    time.Second,
+		SlowStartMinimum: 1,
+		TotalWeight:      1,
+		Classes:          []balancer.Class{class.ForModule()},
+	}
 	settings.Classes[0].PriorityWeight = 1
 	settings.Classes[0].LatencyObjective = testpeer.Limit
-	c := clock.New()
-	eng, err := engine.New(engine.Options{Settings: settings, Clock: c, Backend: b, Subscribe: func() {}, Pushed: true, Log: slog.New(slog.DiscardHandler)})
+	eng, err := engine.New(engine.Options{
+		Settings:  settings,
+		Clock:     c,
+		Backend:   b,
+		Subscribe: func() {},
+		Pushed:    true,
+		Log:       slog.New(slog.DiscardHandler),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,27 +74,61 @@
 		servers.Targets = append(servers.Targets, discovery.Target{Server: balancer.Server{ID: id}, Endpoint: "127.0.0.1:1"})
 	}
 	eng.RestoreList(servers)
-	view, err := dispatch.NewSnapshot(&config.Config{Classes: []config.Class{class}, Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}}, Pools: []config.Pool{{Name: pool}}, Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}}}, map[string]*engine.Engine{pool: eng})
+	return eng
+}
+
+// newSnapshot routes all requests to a pool.
+func newSnapshot(t *testing.T, class config.Class, pool string, eng *engine.Engine) *dispatch.Snapshot {
+	t.Helper()
+	cfg := &config.Config{
+		Classes:   []config.Class{class},
+		Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}},
+		Pools:     []config.Pool{{Name: pool}},
+		Routes:    []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}},
+	}
+	snapshot, err := dispatch.NewSnapshot(cfg, map[string]*engine.Engine{pool: eng})
 	if err != nil {
 		t.Fatal(err)
 	}
+	return snapshot
+}
+
+// carryOut has a request carried out of which there have been earlier attempts. Routes name the pool, by an advertisement of this
+// partner's own.
+func carryOut(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
+	t.Helper()
+	const partner = "p1"
+	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
+	c := clock.New()
+	eng := newEngine(t, b, class, attempts, c)
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
-	g := &Gateway{options: Options{Calls: dispatch.New(view), Clock: c, Log: slog.New(slog.DiscardHandler), Keys: map[string][]byte{partner: []byte("the partners' key")}}}
+	g := &Gateway{options: Options{
+		Calls: dispatch.New(newSnapshot(t, class, pool, eng)),
+		Clock: c,
+		Log:   slog.New(slog.DiscardHandler),
+		Keys:  map[string][]byte{partner: []byte("the partners' key")},
+	}}
 	g.exchange = &routeexchange.Exchange{} // that knows of nobody
-	g.self.Partner, g.routes = "p0", routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}}}, time.Now)
+	g.self.Partner = "p0"
+	own := routeexchange.Advertisement{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}
+	g.routes = routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{own}}, time.Now)
 	g.policy.Store(&policy{partners: map[string]bool{partner: true}})
 	g.ctx, g.cancel = context.WithCancel(t.Context())
 	defer g.tasks.Wait()
-	over := make(chan struct{})
-	go func() { defer close(over); eng.Run(g.ctx) }()
-	defer func() { <-over }()
+	var engines sync.WaitGroup
+	engines.Go(func() { eng.Run(g.ctx) })
+	defer engines.Wait()
 	defer g.cancel()
-	record := replication.Record{ID: "call", Key: replication.Key{Class: "note", ID: "i:call"}, Method: "POST", Target: "/note/x"}
-	record.Route.Listener, record.Route.Path = "main", "/note/x"
 	e := &execution{
-		gateway:      g,
-		record:       &record,
+		gateway: g,
+		record: &replication.Record{
+			ID:     "request",
+			Key:    replication.Key{Class: "note", ID: "i:request"},
+			Method: "POST",
+			Target: "/note/x",
+			Route:  replication.Route{Listener: "main", Path: "/note/x"},
+		},
 		message:      engine.Message{Method: "POST", Target: "/note/x"},
 		class:        class,
 		priorIntents: priorIntents,
@@ -90,26 +136,26 @@
 	return e.run(ctx)
 }
 
-// ask has a partner asked what became of an unsafe request that may run there.
+// queryUnsafe has a partner asked for the outcome of an unsafe request that may run there.
 func queryUnsafe(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
 	return resumeRequest(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
 }
 
-// That a question about a request was refused, or met nobody, says nothing of the request: it may run, and is asked for again.
+// That a query for a request was rejected, or reached nobody, says nothing of the request: it may run, and is asked for again.
 func TestRejectedQueryDoesNotRejectRequest(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
 	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Served || string(outcome.Body) != "answer" {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
 	}
 }
 
-// Once the partner has settled that it refused the request, that is the request's answer, and no time is waited for another.
+// Once the partner has settled that it rejected the request, that is the request's outcome, and no time is waited for another.
 func TestSettledRejectionIsFinalResponse(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
 	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Rejected || !outcome.NotRun || len(p.attempts) != 1 {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
 	}
 }
 
@@ -117,16 +163,16 @@
 func TestRequestWithoutAnswerHasFailed(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
 	if outcome := queryUnsafe(t, p, 200*time.Millisecond); outcome.Kind != replication.Failed {
-		t.Errorf("after %d questions the call came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
 	}
 }
 
 // A request that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
-// partner's pass goes with it.
+// partner's envelope goes with it.
 func TestTakenOverRequestContinuesAtOwnServers(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	b := &backend{outcomes: []engine.Outcome{served}}
-	if outcome := resumeRequest(t, b, "boxes", config.Safe, 2, testpeer.Limit); outcome.Kind != replication.Served {
+	if outcome := resumeRequest(t, b, "own", config.Safe, 2, testpeer.Limit); outcome.Kind != replication.Served {
 		t.Fatalf("it came to %+v", outcome)
 	}
 	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Request.Message.Beside) != 0 {
@@ -134,8 +180,9 @@
 	}
 }
 
-// A request that a partner's rule refuses after a while goes another way with what is left by then, not with what it had at first.
-func TestAnotherWayHasWhatIsLeft(t *testing.T) {
+// A request that a partner's rule rejects after a while takes another route with the time that is left by then, not with what it had
+// at first.
+func TestNextRouteHasTimeThatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
 	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, duration: takes}
 	carryOut(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
--- a/internal/gateway/take_test.go
+++ b/internal/gateway/take_test.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// noHeaders are a request's that has none, so that it comes without a partner's pass.
+// noHeaders are a request's that has none, so that it comes without a partner's envelope.
 type noHeaders struct{}
 
 func (noHeaders) Values(string) []string { return nil }
@@ -18,12 +18,12 @@
 func TestRequestOfUnknownClassIsRejected(t *testing.T) {
 	g := &Gateway{}
 	g.policy.Store(&policy{partnerListener: "partners"})
-	request := engine.NewRequest("call", engine.Message{})
+	request := engine.NewRequest("request", engine.Message{})
 	request.Class = "new"
 	if !g.Take(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
-		t.Fatal("the call was left to an engine, and nobody has asked for its pass")
+		t.Fatal("the request was left to an engine, and nobody has asked for its envelope")
 	}
-	if response := testpeer.Receive(t, request.Response(), "the refusal"); response.Kind != engine.Rejected || !response.NotRun || response.RetryAfter <= 0 {
+	if response := testpeer.Receive(t, request.Response(), "the rejection"); response.Kind != engine.Rejected || !response.NotRun || response.RetryAfter <= 0 {
 		t.Errorf("%+v", response)
 	}
 }
