--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 // BenchmarkTake is a request replicated from its taking to its answer, whose one attempt takes no time, by groups over loopback;
-// "without" is the same attempt with nobody asked.
+// "without" is the same attempt without replicas.
 func BenchmarkTake(b *testing.B) {
 	served := Outcome{Kind: Served, Body: make([]byte, 200)}
 	run := func(ctx context.Context, _ *Record, _ []Intent, w *Work) Outcome {
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -50,9 +50,9 @@
 		t.Fatal(err)
 	}
 	owner.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "g1"}}, forgotten, nil)
-	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", TimeLeft: time.Minute}
+	request := Record{Key: Key{"log", "k:key"}, ID: "request", IdempotencyKey: "key", TimeLeft: time.Minute}
 	if _, err := owner.Take(t.Context(), request, false, 0); err != ErrDuplicate {
-		t.Errorf("the owner was told %v, want %v", err, ErrDuplicate)
+		t.Errorf("Take returned %v, want %v", err, ErrDuplicate)
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	replicas = newTestGroup(t, 3, run)
 	taken := make(chan error, 1)
-	request := Record{Key: Key{"view", "i:call"}, ID: "call", TimeLeft: time.Minute}
+	request := Record{Key: Key{"view", "i:request"}, ID: "request", TimeLeft: time.Minute}
 	go func() {
 		_, err := replicas["g0"].replicator.Take(t.Context(), request, false, 0)
 		taken <- err
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	if err := testpeer.Receive(t, taken, "the work to end"); err != ErrDuplicate {
-		t.Errorf("the owner was told %v, want %v", err, ErrDuplicate)
+		t.Errorf("Take returned %v, want %v", err, ErrDuplicate)
 	}
 }
 
-// Where too few can be asked whether a key was taken before, its request is taken by nobody: its client may come again, and is not
+// Where too few can be asked whether a key was taken before, its request is not taken: its client may retry, and is not
 // told that it may have run.
 func TestKeyWithoutQuorumIsNotStarted(t *testing.T) {
 	others := []Gateway{{Name: "g0", Incarnation: 1}, {Name: "g1", Incarnation: 2}, {Name: "g2", Incarnation: 3}}
@@ -96,9 +96,9 @@
 	r := New(Options{Self: others[0], Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return others }, Run: run, Replicas: 3,
 		Memory: 1 << 20, Retention: time.Second, RecoveryWindow: func() time.Duration { return time.Minute }, Now: func() time.Duration { return time.Hour }})
 	defer r.Close()
-	request := Record{Key: Key{"log", "k:key"}, ID: "call", IdempotencyKey: "key", TimeLeft: time.Minute}
+	request := Record{Key: Key{"log", "k:key"}, ID: "request", IdempotencyKey: "key", TimeLeft: time.Minute}
 	if _, err := r.Take(t.Context(), request, true, 2*time.Hour); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("it was told %v, want %v", err, ErrNoAnswer)
+		t.Errorf("Take returned %v, want %v", err, ErrNoAnswer)
 	}
 	if held := r.Status().Replica.Held; held != 0 {
 		t.Errorf("%d requests are held", held)
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -34,7 +34,7 @@
 	restarted []bool   // replicas that have forgotten theirs
 	actors    []*actor
 	begun     int      // attempts
-	decided   *Outcome // that somebody was told
+	decided   *Outcome // that a client got
 }
 
 func newModel(t *rapid.T) *model {
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// Answers are kept for as long as is said, or until capacity is needed, the oldest forgotten first; what is undecided is never
-// forgotten for capacity.
+// Outcomes are kept for their retention, or until capacity is needed, the oldest dropped first; what is undecided is never
+// dropped for capacity.
 func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
 	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
@@ -39,16 +39,16 @@
 		t.Errorf("with bodies of two that are decided dropped: %v", verdict)
 	}
 	if verdict := take("e", 1500); verdict != Yes {
-		t.Errorf("with an answer to forget: %v", verdict)
+		t.Errorf("with an outcome to drop: %v", verdict)
 	}
 	held := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
 	if held("b") || !held("a") || !held("c") || !held("d") {
-		t.Errorf("held: a %v, b %v, c %v, d %v; the oldest answer goes first, the undecided stay", held("a"), held("b"), held("c"), held("d"))
+		t.Errorf("held: a %v, b %v, c %v, d %v; the oldest outcome goes first, the undecided stay", held("a"), held("b"), held("c"), held("d"))
 	}
 	now += 30 * time.Second
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
 	if held("a") || !held("c") {
-		t.Error("an answer is kept for longer than is said, or an undecided request was dropped")
+		t.Error("an outcome is kept for longer than its retention, or an undecided request was dropped")
 	}
 	now += 2 * time.Minute
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
@@ -58,7 +58,7 @@
 }
 
 // Whoever sees the same group sees the same replicas of a key: an odd number, of as many zones as there are, and over many keys
-// all gateways alike. In a group of two the other one votes, alone nobody does.
+// all gateways alike. In a group of two the other one is the only replica, alone there is none.
 func TestChooseReplicas(t *testing.T) {
 	var group []Gateway
 	for i := range 9 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Who was restarted, and is told so by whoever knew its earlier incarnation, takes no key while repeats of before may come; what
+// A gateway that restarted, and is told so by a peer that knew its earlier incarnation, takes no key while repeats of before may come; what
 // has no key it takes.
 func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
 	var at atomic.Int64
@@ -107,7 +107,7 @@
 		return r.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
 	}
 	if verdict := ask("k"); verdict != Yes {
-		t.Errorf("before anybody said anything: %v", verdict)
+		t.Errorf("before any peer said so: %v", verdict)
 	}
 	body, err := peering.Encode(incarnationNotice{Ago: 2 * time.Second})
 	if err != nil {
@@ -174,7 +174,7 @@
 		page, more = from.recoverable("B", after, 1700)
 		for _, entry := range page {
 			if len(entry.Record.Body) > 0 || entry.Record.TimeLeft != 900*time.Millisecond {
-				t.Errorf("told %+v", entry)
+				t.Errorf("recovered %+v", entry)
 			}
 			for range 2 { // the same entry comes from several gateways
 				if !to.addRecovered(entry) {
@@ -202,7 +202,7 @@
 	own.ID = "voted in this incarnation"
 	self.record(own, ballot)
 	if count := recoverPages(t, other, self); count != 5 {
-		t.Errorf("%d keys were told, want 5", count)
+		t.Errorf("%d keys were recovered, want 5", count)
 	}
 	for _, c := range []struct {
 		id         string
@@ -245,22 +245,22 @@
 	}
 }
 
-// What became of a key's first request may be told late, when the next request of the key is held: it decides nothing of that one.
+// The decision on a key's first request may come late, when the next request of the key is held: it decides nothing of that one.
 func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
 	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
 	first := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 	successor := Ballot{Number: 2, Owner: "B", Incarnation: 2, Sequence: 1}
 	next := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 2}
-	refused := Outcome{Kind: Rejected, NotRun: true}
+	rejected := Outcome{Kind: Rejected, NotRun: true}
 	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
-	s.settle(key, refused, first)
+	s.settle(key, rejected, first)
 	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Yes {
 		t.Fatalf("a key whose request was rejected is used anew: %v", verdict)
 	}
-	s.decide(key, 0, refused, successor)
+	s.decide(key, 0, rejected, successor)
 	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Yes {
-		t.Errorf("an attempt of the next request, once the first is told to be rejected: %v", verdict)
+		t.Errorf("an attempt of the next request, once the first is decided to be rejected: %v", verdict)
 	}
 	s.decide(key, 1, Outcome{Kind: Served}, next)
 	if entry, _ := s.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
