--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -31,13 +31,13 @@
 type attemptStage = int32
 
 const (
-	attemptWaiting attemptStage = iota // for its connection: nothing of it was written
+	attemptNotBegun attemptStage = iota // for its connection: nothing of it was written
 	attemptBegun
-	attemptOff // called off before it had begun: it never will
+	attemptCancelled // called off before it had begun: it never will
 )
 
-// errLost is why an attempt was called off whose server is gone.
-var errLost = errors.New("engine: the server is gone")
+// errServerGone is why an attempt was called off whose server is gone.
+var errServerGone = errors.New("engine: the server is gone")
 
 // NewAttempt returns the n-th attempt of a request.
 func NewAttempt(c *Request, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
@@ -53,7 +53,7 @@
 // It returns until when the attempt is waited for.
 func (a *Attempt) Uploaded(at time.Duration) (deadline time.Duration) {
 	if a.Request.owner != nil {
-		a.Request.owner.post(uploaded{a, at})
+		a.Request.owner.post(uploadCompleted{a, at})
 	}
 	return at + a.Deadline - a.Sent
 }
@@ -65,33 +65,33 @@
 // no it never may: an attempt that was called off while it waited for its connection does not begin when that comes up.
 func (a *Attempt) Begin(at, way time.Duration) bool {
 	if at+way >= a.NotAfter || a.Request.Message.Rest == nil && at >= a.Deadline {
-		a.stage.CompareAndSwap(attemptWaiting, attemptOff)
+		a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
 	}
-	return a.stage.CompareAndSwap(attemptWaiting, attemptBegun)
+	return a.stage.CompareAndSwap(attemptNotBegun, attemptBegun)
 }
 
 // Cancel requests the attempt off. Its Outcome still comes.
 func (a *Attempt) Cancel() {
-	a.stage.CompareAndSwap(attemptWaiting, attemptOff)
+	a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
 	a.cancel(nil)
 }
 
 // CancelUnbegun requests the attempt off unless it has begun: for a server it then never was.
 func (a *Attempt) CancelUnbegun() {
-	if a.stage.CompareAndSwap(attemptWaiting, attemptOff) {
+	if a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled) {
 		a.cancel(nil)
 	}
 }
 
 // ConnectionLost ends the attempt as if its connection had broken: others know that its server is gone, whatever the connection shows.
 func (a *Attempt) ConnectionLost() {
-	a.stage.CompareAndSwap(attemptWaiting, attemptOff)
-	a.cancel(errLost)
+	a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
+	a.cancel(errServerGone)
 }
 
 // Withdrawn says that the attempt was called off because nobody waits for it any more.
 func (a *Attempt) Withdrawn() bool {
-	return errors.Is(a.ctx.Err(), context.Canceled) && !errors.Is(context.Cause(a.ctx), errLost)
+	return errors.Is(a.ctx.Err(), context.Canceled) && !errors.Is(context.Cause(a.ctx), errServerGone)
 }
 
 // Outcome is how an attempt ended. Its Ending is the proof of whether it may have run: after Overloaded,
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -35,21 +35,21 @@
 	events    chan event
 	subscribe func()
 	pushed    bool
-	more      func() []any
+	logFields func() []any
 	log       *slog.Logger
 
-	now             time.Duration
-	pending         map[string]*pending
-	alarms          timerHeap
-	rev             int64 // of the list
-	listed          map[string]discovery.Target
-	closeAt         time.Duration // clock time of the last call to come; 0: none is known
-	over            bool          // after answerAll
+	moduleTime      time.Duration
+	pending         map[string]*pendingRequest
+	timers          timerHeap
+	listRevision    int64 // of the list
+	servers         map[string]discovery.Target
+	shutdownAt      time.Duration // clock time of the last call to come; 0: none is known
+	shuttingDown    bool          // after answerAll
 	retiring        bool          // after retire
 	ready           atomic.Bool   // a listed server may be sent to
-	stats           stats
-	total           Totals
-	tally           *tally // nil: nobody wants Sight
+	sinceLog        trafficCounts
+	totals          Totals
+	collector       *statsCollector // nil: nobody wants Sight
 	slowStartWindow time.Duration
 	starts          discovery.Starts
 	done            chan struct{} // closed once Run has returned
@@ -66,11 +66,11 @@
 		o.Report = func() []any { return nil }
 	}
 	eng := &Engine{clock: o.Clock, balancer: b, backend: o.Backend, subscribe: o.Subscribe, pushed: o.Pushed,
-		more: o.Report, log: o.Log, events: make(chan event, 1024),
-		pending: map[string]*pending{}, listed: map[string]discovery.Target{}, done: make(chan struct{}),
+		logFields: o.Report, log: o.Log, events: make(chan event, 1024),
+		pending: map[string]*pendingRequest{}, servers: map[string]discovery.Target{}, done: make(chan struct{}),
 		slowStartWindow: o.Settings.SlowStartWindow}
 	if o.Count {
-		eng.tally = newTally()
+		eng.collector = newStatsCollector()
 	}
 	return eng, nil
 }
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	c.owner = eng
 	c.mu.Unlock()
-	eng.post(arrived{c})
+	eng.post(requestArrived{c})
 }
 
 // Reconfigure has the module decide by other settings from the next event on. Settings that New would refuse
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -256,7 +256,7 @@
 		list discovery.List
 		want int
 	}{{servers("s1"), 0}, {terminating, 1}, {moved, 2}, {servers(), 3}} {
-		if e.handleEvent(listNews{c.list}); s.updates != c.want {
+		if e.handleEvent(listUpdated{c.list}); s.updates != c.want {
 			t.Errorf("list %d: told %d times, want %d", i, s.updates, c.want)
 		}
 	}
@@ -368,10 +368,10 @@
 		if z := e.Stats().Zones[""]; z.Ready != 2 || z.WarmedUp != 1 {
 			t.Errorf("listed as started %v from now: %d servers, %d warm, want 2 and 1", off, z.Ready, z.WarmedUp)
 		}
-		is := e.listed["new"]
+		is := e.servers["new"]
 		e.UpdateList(l)
-		if e.Stats(); e.listed["new"] != is {
-			t.Errorf("listed once more: %v, was %v", e.listed["new"], is)
+		if e.Stats(); e.servers["new"] != is {
+			t.Errorf("listed once more: %v, was %v", e.servers["new"], is)
 		}
 	}
 }
--- a/internal/engine/eventloop.go
+++ b/internal/engine/eventloop.go
@@ -7,8 +7,8 @@
 	"damsontrestle/internal/balancer"
 )
 
-// statsEvery is how often the log tells what happened, when anything did.
-const statsEvery = 10 * time.Second
+// trafficLogInterval is how often the log tells what happened, when anything did.
+const trafficLogInterval = 10 * time.Second
 
 // Run handles events until ctx ends, or until all is over after Retire. What is out by then is called off.
 func (eng *Engine) Run(ctx context.Context) {
@@ -24,20 +24,20 @@
 	}()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	report := time.NewTicker(statsEvery)
+	report := time.NewTicker(trafficLogInterval)
 	defer report.Stop()
-	defer eng.report()
+	defer eng.logTraffic()
 	for !eng.retiring || len(eng.pending) > 0 {
 		eng.fireTimers()
-		if len(eng.alarms) > 0 {
-			timer.Reset(max(0, eng.clock.Until(eng.alarms[0].at)))
+		if len(eng.timers) > 0 {
+			timer.Reset(max(0, eng.clock.Until(eng.timers[0].at)))
 		}
 		select {
 		case e := <-eng.events:
 			eng.handleEvent(e)
 		case <-timer.C:
 		case <-report.C:
-			eng.report()
+			eng.logTraffic()
 		case <-ctx.Done():
 			return
 		}
@@ -68,58 +68,58 @@
 // handleEvent hands one event to the module, at the time when it happened rather than when the loop got to it.
 func (eng *Engine) handleEvent(e event) {
 	switch e := e.(type) {
-	case arrived:
-		eng.lag(e.request.At)
-		eng.stats.Requests++
+	case requestArrived:
+		eng.recordLag(e.request.At)
+		eng.sinceLog.Requests++
 		eng.rejectLate()
-		if eng.over || eng.retiring || eng.tooLate(e.request.Class) {
-			eng.stats.Rejected++
-			e.request.response <- Response{Kind: Rejected, RetryAfter: time.Second, Elsewhere: eng.closeAt > 0, NotRun: e.request.notRun()}
+		if eng.shuttingDown || eng.retiring || eng.tooLate(e.request.Class) {
+			eng.sinceLog.Rejected++
+			e.request.response <- Response{Kind: Rejected, RetryAfter: time.Second, Elsewhere: eng.shutdownAt > 0, NotRun: e.request.notRun()}
 			return
 		}
 		if eng.pending[e.request.ID] != nil {
 			// The module ignores a second request with an id that it knows, so nobody would answer.
-			eng.stats.Requests--
+			eng.sinceLog.Requests--
 			e.request.response <- Response{Kind: Duplicate}
 			return
 		}
 		// Attempts that another node made have their numbers and no more here.
-		eng.pending[e.request.ID] = &pending{request: e.request, attempts: make([]*Attempt, len(e.request.PriorAttempts)), ran: !e.request.notRun()}
-		eng.tally.came(e.request.Class, false)
+		eng.pending[e.request.ID] = &pendingRequest{request: e.request, attempts: make([]*Attempt, len(e.request.PriorAttempts)), mayHaveRun: !e.request.notRun()}
+		eng.collector.requestArrived(e.request.Class, false)
 		eng.handle(e.request.At, balancer.Request{ID: e.request.ID, Class: e.request.Class, Deadline: e.request.Deadline,
 			Partial: e.request.Message.Rest != nil, PriorAttempts: e.request.PriorAttempts})
 	case clientDisconnected:
-		eng.lag(e.at)
+		eng.recordLag(e.at)
 		if p := eng.pending[e.request.ID]; p != nil && p.request == e.request && !p.responded {
-			eng.stats.Disconnected++
-			p.close()
+			eng.sinceLog.Disconnected++
+			p.markResponded()
 			eng.handle(e.at, balancer.ClientDisconnected{ID: e.request.ID})
-			eng.forget(p)
+			eng.removeIfFinished(p)
 		}
 		e.request.discard()
-	case uploaded:
-		eng.lag(e.at)
+	case uploadCompleted:
+		eng.recordLag(e.at)
 		if p := eng.pending[e.attempt.Request.ID]; p != nil && p.request == e.attempt.Request {
 			p.request.Deadline += e.at - p.request.At
 			p.request.At = e.at
 			eng.handle(e.at, balancer.Uploaded{ID: p.request.ID, Attempt: e.attempt.N, Deadline: p.request.Deadline})
 		}
-	case ended:
-		eng.lag(e.outcome.At)
+	case attemptEnded:
+		eng.recordLag(e.outcome.At)
 		eng.rejectLate()
-		eng.end(e.attempt, e.outcome)
-	case closing:
-		eng.closeAt = e.at
+		eng.finishAttempt(e.attempt, e.outcome)
+	case shutdownScheduled:
+		eng.shutdownAt = e.at
 		eng.rejectLate()
 	case answerAll:
-		eng.over = true
+		eng.shuttingDown = true
 		for _, p := range eng.pending {
 			eng.abandon(p)
 		}
 	case loadReport:
 		now := eng.clock.Now()
-		eng.handle(now, balancer.LoadUpdate{ID: e.id, Loads: []balancer.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.asked}}})
-	case listNews:
+		eng.handle(now, balancer.LoadUpdate{ID: e.id, Loads: []balancer.ServerLoad{{Server: e.server, Busy: e.busy, Age: now - e.polledAt}}})
+	case listUpdated:
 		eng.updateList(e.list, false)
 	case listFailed:
 		eng.handle(eng.clock.Now(), balancer.ListFailed{})
@@ -128,8 +128,8 @@
 		eng.handle(eng.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 	case retire:
 		eng.retiring = true
-	case status:
-		e.to <- eng.status()
+	case statusQuery:
+		e.to <- eng.collectStatus()
 	case statsQuery:
 		e.to <- eng.collectStats()
 	}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -11,34 +11,34 @@
 type event interface{}
 
 type (
-	arrived            struct{ request *Request }
+	requestArrived     struct{ request *Request }
 	clientDisconnected struct {
 		request *Request
 		at      time.Duration
 	}
-	uploaded struct {
+	uploadCompleted struct {
 		attempt *Attempt
 		at      time.Duration
 	}
-	ended struct {
+	attemptEnded struct {
 		attempt *Attempt
 		outcome Outcome
 	}
 	loadReport struct {
-		id     string // of the request that the asking was for
-		server string
-		busy   float64
-		asked  time.Duration // clock time
+		id       string // of the request that the asking was for
+		server   string
+		busy     float64
+		polledAt time.Duration // clock time
 	}
-	listNews    struct{ list discovery.List }
-	listFailed  struct{}
-	closing     struct{ at time.Duration }
-	answerAll   struct{} // the node ends: what is unanswered is answered now
-	reconfigure struct {
+	listUpdated       struct{ list discovery.List }
+	listFailed        struct{}
+	shutdownScheduled struct{ at time.Duration }
+	answerAll         struct{} // the node ends: what is unanswered is answered now
+	reconfigure       struct {
 		settings balancer.Settings
 		pushed   bool
 	}
-	retire     struct{}
-	status     struct{ to chan Status }
-	statsQuery struct{ to chan Stats }
+	retire      struct{}
+	statusQuery struct{ to chan Status }
+	statsQuery  struct{ to chan Stats }
 )
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -4,18 +4,18 @@
 	"damsontrestle/internal/balancer"
 )
 
-// pending is a request that the module still knows: unanswered, or with attempts out.
-type pending struct {
-	request   *Request
-	attempts  []*Attempt
-	inFlight  int
-	ran       bool // an attempt of it may have
-	responded bool
+// pendingRequest is a request that the module still knows: unanswered, or with attempts out.
+type pendingRequest struct {
+	request    *Request
+	attempts   []*Attempt
+	inFlight   int
+	mayHaveRun bool // an attempt of it may have
+	responded  bool
 }
 
-// close notes that nobody waits for an answer any more. Attempts that have not begun by then never do, whatever the
+// markResponded notes that nobody waits for an answer any more. Attempts that have not begun by then never do, whatever the
 // settings say of those that have.
-func (p *pending) close() {
+func (p *pendingRequest) markResponded() {
 	p.responded = true
 	for _, a := range p.attempts {
 		if a != nil {
@@ -24,48 +24,48 @@
 	}
 }
 
-// end passes on how an attempt ended. The first success is the client's answer.
-func (eng *Engine) end(a *Attempt, r Outcome) {
+// finishAttempt passes on how an attempt ended. The first success is the client's answer.
+func (eng *Engine) finishAttempt(a *Attempt, r Outcome) {
 	p := eng.pending[a.Request.ID]
-	eng.stats.Results[r.Result]++
+	eng.sinceLog.Results[r.Result]++
 	p.inFlight--
-	p.ran = p.ran || !r.Result.NeverRan()
-	at, listed := eng.listed[a.To.Server]
-	eng.tally.ended(at, a.To.Server, listed, r.Result, r.At-a.Sent)
+	p.mayHaveRun = p.mayHaveRun || !r.Result.NeverRan()
+	at, listed := eng.servers[a.To.Server]
+	eng.collector.attemptEnded(at, a.To.Server, listed, r.Result, r.At-a.Sent)
 	if r.Result == balancer.Success && !p.responded {
-		eng.stats.Served++
-		eng.answer(p, Response{Kind: Served, Reply: r.Reply})
+		eng.sinceLog.Served++
+		eng.respond(p, Response{Kind: Served, Reply: r.Reply})
 	} else {
 		r.Reply.Discard()
 	}
 	eng.handle(r.At, balancer.Outcome{ID: a.Request.ID, Attempt: a.N, Server: a.To.Server, Result: r.Result,
 		Latency: r.At - a.Sent, Ended: p.responded, NotReplayable: r.Spent, Load: r.Load})
-	eng.forget(p)
+	eng.removeIfFinished(p)
 }
 
-func (eng *Engine) finish(id string, a Response) {
+func (eng *Engine) respondOnce(id string, a Response) {
 	p := eng.pending[id]
 	if p == nil || p.responded {
 		return
 	}
 	if a.Kind == Rejected {
-		a.NotRun = !p.ran && p.inFlight == 0
-		eng.stats.Rejected++
-		eng.tally.came(p.request.Class, true)
+		a.NotRun = !p.mayHaveRun && p.inFlight == 0
+		eng.sinceLog.Rejected++
+		eng.collector.requestArrived(p.request.Class, true)
 	} else {
-		eng.stats.Failed++
+		eng.sinceLog.Failed++
 	}
-	eng.answer(p, a)
-	eng.forget(p)
+	eng.respond(p, a)
+	eng.removeIfFinished(p)
 }
 
-func (eng *Engine) answer(p *pending, a Response) {
-	p.close()
+func (eng *Engine) respond(p *pendingRequest, a Response) {
+	p.markResponded()
 	p.request.response <- a
 }
 
-// forget drops a request once nothing of it is left, as the module does.
-func (eng *Engine) forget(p *pending) {
+// removeIfFinished drops a request once nothing of it is left, as the module does.
+func (eng *Engine) removeIfFinished(p *pendingRequest) {
 	if p.responded && p.inFlight == 0 {
 		delete(eng.pending, p.request.ID)
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -25,7 +25,7 @@
 	AttemptEnded  func(*Attempt, *Outcome) // told how each attempt ended
 
 	response     chan Response // takes one answer without blocking
-	gone         atomic.Bool   // its client has left it
+	disconnected atomic.Bool   // its client has left it
 	mu           sync.Mutex
 	owner        *Engine             // that took it
 	onDisconnect func(time.Duration) // told instead of the owner that the caller has gone
@@ -66,7 +66,7 @@
 // Disconnect tells whoever took the request that its client has gone at a clock time: nothing more is owed to it. It is for whoever
 // had the request taken.
 func (c *Request) Disconnect(at time.Duration) {
-	c.gone.Store(true)
+	c.disconnected.Store(true)
 	c.mu.Lock()
 	left, owner := c.onDisconnect, c.owner
 	c.mu.Unlock()
@@ -82,7 +82,7 @@
 // IsLeft says that nobody waits for the request any more: its client has left it, whether or not its owner has heard of that,
 // or has gone without a word. It is to be asked right before the first byte of an attempt is written.
 func (c *Request) IsLeft(now func() time.Duration) bool {
-	if c.gone.Load() {
+	if c.disconnected.Load() {
 		return true
 	}
 	if c.Message.Gone == nil || !c.Message.Gone() {
--- a/internal/engine/serverlist.go
+++ b/internal/engine/serverlist.go
@@ -6,7 +6,7 @@
 )
 
 // UpdateList brings news of the servers.
-func (eng *Engine) UpdateList(news discovery.List) { eng.post(listNews{news}) }
+func (eng *Engine) UpdateList(news discovery.List) { eng.post(listUpdated{news}) }
 
 // ListFailed says that a subscription failed.
 func (eng *Engine) ListFailed() { eng.post(listFailed{}) }
@@ -23,28 +23,28 @@
 		return
 	}
 	if news.Full {
-		clear(eng.listed)
+		clear(eng.servers)
 	}
-	eng.rev = news.Rev
+	eng.listRevision = news.Rev
 	e := balancer.ServerList{Full: news.Full, Cached: cached}
 	for _, t := range news.Targets {
 		e.Servers = append(e.Servers, t.Server)
 		if t.State == balancer.Removed {
-			delete(eng.listed, t.ID)
+			delete(eng.servers, t.ID)
 		} else {
-			eng.listed[t.ID] = t
+			eng.servers[t.ID] = t
 		}
 	}
-	eng.tally.keep(eng.listed)
+	eng.collector.retainListed(eng.servers)
 	eng.backend.Servers(news.Targets, news.Full)
 	eng.handle(eng.clock.Now(), e)
-	eng.ready.Store(eng.listsReady())
+	eng.ready.Store(eng.anyServerReady())
 }
 
-// listsReady says that a listed server is in service. Mostly the first one is, so that a change of one among thousands
+// anyServerReady says that a listed server is in service. Mostly the first one is, so that a change of one among thousands
 // does not look at all.
-func (eng *Engine) listsReady() bool {
-	for _, t := range eng.listed {
+func (eng *Engine) anyServerReady() bool {
+	for _, t := range eng.servers {
 		if t.State == balancer.Ready {
 			return true
 		}
@@ -56,7 +56,7 @@
 func (eng *Engine) isCurrent(news discovery.List) bool {
 	named := 0
 	for _, t := range news.Targets {
-		held, ok := eng.listed[t.ID]
+		held, ok := eng.servers[t.ID]
 		if ok && held != t || !ok && t.State != balancer.Removed {
 			return false
 		}
@@ -64,5 +64,5 @@
 			named++
 		}
 	}
-	return !news.Full || named == len(eng.listed)
+	return !news.Full || named == len(eng.servers)
 }
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -40,14 +40,14 @@
 	InFlight int   // attempts that are out
 }
 
-// tally counts what Sight tells. Servers that are not listed are forgotten with their last attempt.
-type tally struct{ Stats }
+// statsCollector counts what Sight tells. Servers that are not listed are forgotten with their last attempt.
+type statsCollector struct{ Stats }
 
-func newTally() *tally {
-	return &tally{Stats{Classes: map[string]ClassStats{}, Zones: map[string]ZoneStats{}, Servers: map[string]ServerStats{}}}
+func newStatsCollector() *statsCollector {
+	return &statsCollector{Stats{Classes: map[string]ClassStats{}, Zones: map[string]ZoneStats{}, Servers: map[string]ServerStats{}}}
 }
 
-func (t *tally) came(class string, refused bool) {
+func (t *statsCollector) requestArrived(class string, refused bool) {
 	if t == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	t.Classes[class] = c
 }
 
-func (t *tally) sent(server string) {
+func (t *statsCollector) attemptStarted(server string) {
 	if t == nil {
 		return
 	}
@@ -69,8 +69,8 @@
 	t.Servers[server] = s
 }
 
-// ended notes how an attempt ended. listed: its server is on the list still, as at; of what zone it was otherwise is not known.
-func (t *tally) ended(at discovery.Target, server string, listed bool, e balancer.Result, took time.Duration) {
+// attemptEnded notes how an attempt ended. listed: its server is on the list still, as at; of what zone it was otherwise is not known.
+func (t *statsCollector) attemptEnded(at discovery.Target, server string, listed bool, e balancer.Result, took time.Duration) {
 	if t == nil {
 		return
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-// keep forgets servers that are not listed and hold nothing, and zones of which none is.
-func (t *tally) keep(listed map[string]discovery.Target) {
+// retainListed forgets servers that are not listed and hold nothing, and zones of which none is.
+func (t *statsCollector) retainListed(listed map[string]discovery.Target) {
 	if t == nil {
 		return
 	}
@@ -114,10 +114,10 @@
 
 // collectStats is what Sight gives: a copy.
 func (eng *Engine) collectStats() Stats {
-	if eng.tally == nil {
+	if eng.collector == nil {
 		return Stats{}
 	}
-	s := Stats{maps.Clone(eng.tally.Classes), maps.Clone(eng.tally.Zones), maps.Clone(eng.tally.Servers), eng.rev, eng.tally.LatencyHistogram}
+	s := Stats{maps.Clone(eng.collector.Classes), maps.Clone(eng.collector.Zones), maps.Clone(eng.collector.Servers), eng.listRevision, eng.collector.LatencyHistogram}
 	for _, p := range eng.pending {
 		if !p.responded {
 			c := s.Classes[p.request.Class]
@@ -126,7 +126,7 @@
 		}
 	}
 	now := eng.clock.Now()
-	for _, t := range eng.listed {
+	for _, t := range eng.servers {
 		if t.State != balancer.Ready {
 			continue
 		}
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -16,7 +16,7 @@
 }
 
 // add counts what happened since the last report.
-func (t *Totals) add(s stats) {
+func (t *Totals) add(s trafficCounts) {
 	t.Requests += int64(s.Requests)
 	t.Served += int64(s.Served)
 	t.Rejected += int64(s.Rejected)
@@ -37,13 +37,13 @@
 
 // Status tells what the engine holds now; nothing once Run has returned.
 func (eng *Engine) Status() Status {
-	return query(eng, func(to chan Status) event { return status{to} })
+	return query(eng, func(to chan Status) event { return statusQuery{to} })
 }
 
-func (eng *Engine) status() Status {
-	s := Status{Totals: eng.total, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
-	s.add(eng.stats)
-	for _, t := range eng.listed {
+func (eng *Engine) collectStatus() Status {
+	s := Status{Totals: eng.totals, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
+	s.add(eng.sinceLog)
+	for _, t := range eng.servers {
 		switch t.State {
 		case balancer.Ready:
 			s.Ready++
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -32,12 +32,12 @@
 
 // fireTimers handles the alarms that are due.
 func (eng *Engine) fireTimers() {
-	for len(eng.alarms) > 0 {
+	for len(eng.timers) > 0 {
 		now := eng.clock.Now()
-		if eng.alarms[0].at > now {
+		if eng.timers[0].at > now {
 			return
 		}
-		a := heap.Pop(&eng.alarms).(timer)
+		a := heap.Pop(&eng.timers).(timer)
 		eng.handle(now, balancer.Timer{Token: a.token})
 	}
 }
--- a/internal/engine/trafficlog.go
+++ b/internal/engine/trafficlog.go
@@ -6,32 +6,32 @@
 	"damsontrestle/internal/balancer"
 )
 
-// stats count what happened, for the log.
-type stats struct {
+// trafficCounts count what happened, for the log.
+type trafficCounts struct {
 	Requests, Served, Rejected, Failed, Disconnected, Sends, Polls int
 	Results                                                        [8]int
 	LagMax, LagSum                                                 time.Duration
 	Events                                                         int
 }
 
-// lag notes how long after an event the loop got to it.
-func (eng *Engine) lag(at time.Duration) {
+// recordLag notes how long after an event the loop got to it.
+func (eng *Engine) recordLag(at time.Duration) {
 	d := -eng.clock.Until(at)
-	eng.stats.LagMax = max(eng.stats.LagMax, d)
-	eng.stats.LagSum += d
-	eng.stats.Events++
+	eng.sinceLog.LagMax = max(eng.sinceLog.LagMax, d)
+	eng.sinceLog.LagSum += d
+	eng.sinceLog.Events++
 }
 
-// report logs what happened since the last report.
-func (eng *Engine) report() {
-	s := eng.stats
-	eng.total.add(s)
-	eng.stats = stats{}
+// logTraffic logs what happened since the last report.
+func (eng *Engine) logTraffic() {
+	s := eng.sinceLog
+	eng.totals.add(s)
+	eng.sinceLog = trafficCounts{}
 	if s.Events == 0 {
 		return
 	}
 	e := s.Results
-	eng.log.With(eng.more()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
+	eng.log.With(eng.logFields()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
 		"failed", s.Failed, "gone", s.Disconnected, "sends", s.Sends, "asks", s.Polls, "success", e[balancer.Success],
 		"failure", e[balancer.Failure], "overloaded", e[balancer.Overloaded],
 		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.Unreachable],
