--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -8,61 +8,84 @@
 	"damsontrestle/internal/discovery"
 )
 
-// handle feeds the module and carries out what it decides.
-func (eng *Engine) handle(at time.Duration, e balancer.Event) {
-	eng.moduleTime = max(eng.moduleTime, at)
-	for _, a := range eng.balancer.Handle(eng.moduleTime, e) {
-		switch a := a.(type) {
-		case balancer.Send:
-			eng.send(a)
-		case balancer.Poll:
-			for _, s := range a.Servers {
-				eng.poll(a.ID, eng.servers[s].Host(), a.Timeout)
-			}
-		case balancer.Cancel:
-			if p := eng.pending[a.ID]; p != nil && a.Attempt < len(p.attempts) && p.attempts[a.Attempt] != nil {
-				p.attempts[a.Attempt].Cancel()
-			}
-		case balancer.CloseIdle:
-			eng.backend.CloseIdle(eng.servers[a.Server].Host())
-		case balancer.Reject:
-			eng.respondOnce(a.ID, Response{Kind: Rejected, RetryAfter: a.RetryAfter})
-		case balancer.Fail:
-			eng.respondOnce(a.ID, Response{Kind: Failed})
-		case balancer.SetTimer:
-			heap.Push(&eng.timers, timer{a.At, a.Token})
-		case balancer.Subscribe:
-			eng.subscribe()
+// decide passes an event to the balancer and carries out the actions that it decides on. The balancer's time never goes
+// back: an event that happened before the last one is passed on as of that one's time.
+func (eng *Engine) decide(at time.Duration, e balancer.Event) {
+	eng.balancerTime = max(eng.balancerTime, at)
+	for _, action := range eng.balancer.Handle(eng.balancerTime, e) {
+		eng.carryOut(action)
+	}
+}
+
+// carryOut does what the balancer has decided.
+func (eng *Engine) carryOut(action balancer.Action) {
+	switch action := action.(type) {
+	case balancer.Send:
+		eng.send(action)
+	case balancer.Poll:
+		for _, server := range action.Servers {
+			eng.poll(action.ID, eng.servers[server].Host(), action.Timeout)
 		}
+	case balancer.Cancel:
+		eng.cancel(action)
+	case balancer.CloseIdle:
+		eng.backend.CloseIdle(eng.servers[action.Server].Host())
+	case balancer.Reject:
+		eng.respondUnserved(action.ID, Response{Kind: Rejected, RetryAfter: action.RetryAfter})
+	case balancer.Fail:
+		eng.respondUnserved(action.ID, Response{Kind: Failed})
+	case balancer.SetTimer:
+		heap.Push(&eng.timers, timer{at: action.At, token: action.Token})
+	case balancer.Subscribe:
+		eng.subscribe()
 	}
 }
 
-func (eng *Engine) send(s balancer.Send) {
-	p := eng.pending[s.ID]
-	a := NewAttempt(p.request, len(p.attempts), eng.servers[s.Server].Host(), eng.moduleTime, eng.moduleTime+s.Timeout)
-	a.NotAfter = s.NotAfter
-	a.Zone, a.Cell = eng.servers[s.Server].Zone, eng.servers[s.Server].Cell
-	p.attempts = append(p.attempts, a)
-	eng.collector.attemptStarted(a.To.Server)
+// send begins an attempt in a goroutine of its own, which ends with the attempt's outcome.
+func (eng *Engine) send(action balancer.Send) {
+	p := eng.pending[action.ID]
+	target := eng.servers[action.Server]
+	attempt := NewAttempt(p.request, len(p.attempts), target.Host(), eng.balancerTime, eng.balancerTime+action.Timeout)
+	attempt.NotAfter = action.NotAfter
+	attempt.Zone = target.Zone
+	attempt.Cell = target.Cell
+	p.attempts = append(p.attempts, attempt)
 	p.inFlight++
+	eng.collector.attemptStarted(attempt.To.Server)
 	eng.sinceLog.Sends++
-	go func() {
-		r := eng.backend.Run(a)
-		a.Cancel()
-		if p.request.AttemptEnded != nil {
-			p.request.AttemptEnded(a, &r)
-		}
-		eng.post(attemptEnded{a, r})
-	}()
+	go eng.runAttempt(attempt)
+}
+
+// runAttempt carries an attempt out and posts its outcome.
+func (eng *Engine) runAttempt(attempt *Attempt) {
+	outcome := eng.backend.Run(attempt)
+	attempt.Cancel() // frees what its context holds
+	if attempt.Request.AttemptEnded != nil {
+		attempt.Request.AttemptEnded(attempt, &outcome)
+	}
+	eng.post(attemptEnded{attempt: attempt, outcome: outcome})
+}
+
+// cancel cancels an attempt if this engine made it and its request is not finished.
+func (eng *Engine) cancel(action balancer.Cancel) {
+	p := eng.pending[action.ID]
+	if p == nil {
+		return
+	}
+	if attempt := p.attempt(action.Attempt); attempt != nil {
+		attempt.Cancel()
+	}
 }
 
-// poll has a server asked how much it holds.
-func (eng *Engine) poll(id string, to discovery.Host, within time.Duration) {
+// poll polls a server for its load, in a goroutine of its own.
+func (eng *Engine) poll(requestID string, to discovery.Host, timeout time.Duration) {
 	eng.sinceLog.Polls++
-	asked := eng.clock.Now()
+	polledAt := eng.clock.Now()
 	go func() {
-		if busy, ok := eng.backend.Poll(to, within); ok {
-			eng.post(loadReport{id, to.Server, busy, asked})
+		busy, ok := eng.backend.Poll(to, timeout)
+		if !ok {
+			return
 		}
+		eng.post(loadReport{requestID: requestID, server: to.Server, busy: busy, polledAt: polledAt})
 	}()
 }
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -6,15 +6,15 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Backend carries attempts out.
+// Backend carries attempts out, by a protocol of its own.
 type Backend interface {
-	// Run makes an attempt and tells how it ended. By then its connection is closed, or of use to another
-	// attempt: nothing more of it can reach the server.
+	// Run makes an attempt and returns its outcome. By then its connection is closed, or of use to another
+	// attempt: nothing more of it can reach the server. It is called in a goroutine of the attempt's own.
 	Run(*Attempt) Outcome
-	// Servers tells of the list's news, before any attempt that follows from it. It must not block.
+	// Servers tells of an update of the endpoint list, before any attempt that follows from it. It must not block.
 	Servers(targets []discovery.Target, full bool)
-	// Ask asks a server how much it holds, and waits for that no longer than within. false: it has not said.
-	Poll(to discovery.Host, within time.Duration) (busy float64, ok bool)
+	// Poll polls a server for how much it holds, and waits for that no longer than timeout. false: the server did not say.
+	Poll(to discovery.Host, timeout time.Duration) (busy float64, ok bool)
 	// CloseIdle closes the idle connections to a server. It must not block.
 	CloseIdle(discovery.Host)
 }
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -1,70 +1,76 @@
 package engine
 
-import (
-	"damsontrestle/internal/balancer"
-)
-
-// pendingRequest is a request that the module still knows: unanswered, or with attempts out.
+// pendingRequest is a request that the balancer still knows: one without a response, or with attempts in flight.
 type pendingRequest struct {
 	request    *Request
-	attempts   []*Attempt
-	inFlight   int
-	mayHaveRun bool // an attempt of it may have
-	responded  bool
+	attempts   []*Attempt // by number; nil: made by another node
+	inFlight   int        // attempts without an outcome
+	mayHaveRun bool       // an attempt of it may have run at a server
+	responded  bool       // it has its response, or nobody waits for one
+}
+
+// newPendingRequest returns the record of a new request. Attempts that another node made have their numbers here and
+// nothing else.
+func newPendingRequest(request *Request) *pendingRequest {
+	return &pendingRequest{
+		request:    request,
+		attempts:   make([]*Attempt, len(request.PriorAttempts)),
+		mayHaveRun: !request.notRun(),
+	}
 }
 
-// markResponded notes that nobody waits for an answer any more. Attempts that have not begun by then never do, whatever the
-// settings say of those that have.
+// attempt returns the attempt of a number, or nil where this engine made none of that number.
+func (p *pendingRequest) attempt(n int) *Attempt {
+	if n >= len(p.attempts) {
+		return nil
+	}
+	return p.attempts[n]
+}
+
+// respond gives the request its response. It must be called once.
+func (p *pendingRequest) respond(response Response) {
+	p.markResponded()
+	p.request.response <- response
+}
+
+// markResponded notes that nobody waits for a response any more. Attempts that have not begun by then never do, whatever
+// the settings say of those that have.
 func (p *pendingRequest) markResponded() {
 	p.responded = true
-	for _, a := range p.attempts {
-		if a != nil {
-			a.CancelUnbegun()
+	for _, attempt := range p.attempts {
+		if attempt != nil {
+			attempt.CancelUnbegun()
 		}
 	}
 }
 
-// finishAttempt passes on how an attempt ended. The first success is the client's answer.
-func (eng *Engine) finishAttempt(a *Attempt, r Outcome) {
-	p := eng.pending[a.Request.ID]
-	eng.sinceLog.Results[r.Result]++
-	p.inFlight--
-	p.mayHaveRun = p.mayHaveRun || !r.Result.NeverRan()
-	at, listed := eng.servers[a.To.Server]
-	eng.collector.attemptEnded(at, a.To.Server, listed, r.Result, r.At-a.Sent)
-	if r.Result == balancer.Success && !p.responded {
-		eng.sinceLog.Served++
-		eng.respond(p, Response{Kind: Served, Reply: r.Reply})
-	} else {
-		r.Reply.Discard()
+// pendingOf returns the record of a request, or nil if that is finished. Its id may be in use by another one by then.
+func (eng *Engine) pendingOf(request *Request) *pendingRequest {
+	p := eng.pending[request.ID]
+	if p == nil || p.request != request {
+		return nil
 	}
-	eng.handle(r.At, balancer.Outcome{ID: a.Request.ID, Attempt: a.N, Server: a.To.Server, Result: r.Result,
-		Latency: r.At - a.Sent, Ended: p.responded, NotReplayable: r.Spent, Load: r.Load})
-	eng.removeIfFinished(p)
+	return p
 }
 
-func (eng *Engine) respondOnce(id string, a Response) {
+// respondUnserved ends a request without a reply, unless it has its response already.
+func (eng *Engine) respondUnserved(id string, response Response) {
 	p := eng.pending[id]
 	if p == nil || p.responded {
 		return
 	}
-	if a.Kind == Rejected {
-		a.NotRun = !p.mayHaveRun && p.inFlight == 0
+	if response.Kind == Rejected {
+		response.NotRun = !p.mayHaveRun && p.inFlight == 0
 		eng.sinceLog.Rejected++
-		eng.collector.requestArrived(p.request.Class, true)
+		eng.collector.requestRejected(p.request.Class)
 	} else {
 		eng.sinceLog.Failed++
 	}
-	eng.respond(p, a)
+	p.respond(response)
 	eng.removeIfFinished(p)
 }
 
-func (eng *Engine) respond(p *pendingRequest, a Response) {
-	p.markResponded()
-	p.request.response <- a
-}
-
-// removeIfFinished drops a request once nothing of it is left, as the module does.
+// removeIfFinished drops a request once it has its response and no attempt in flight, as the balancer does.
 func (eng *Engine) removeIfFinished(p *pendingRequest) {
 	if p.responded && p.inFlight == 0 {
 		delete(eng.pending, p.request.ID)
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -6,19 +6,33 @@
 	"damsontrestle/internal/balancer"
 )
 
-// ShutdownAt says at which clock time AnswerAll will come. What has been sent to no server by then less the time that its
-// class takes is refused, as early as that is known: begun later, it would be cut in the middle of its work.
-func (eng *Engine) ShutdownAt(at time.Duration) { eng.post(shutdownScheduled{at}) }
+// shutdownRetryAfter is the Retry-After of requests that are rejected because the node shuts down.
+const shutdownRetryAfter = time.Second
 
-// AnswerAll has whatever is unanswered answered now, and what still comes refused.
+// ShutdownAt says at which clock time AnswerAll will come. A request that could not be served by then, as latencies of
+// its class are now, is rejected as soon as that is known: begun later, it would be cut off in the middle.
+func (eng *Engine) ShutdownAt(at time.Duration) { eng.post(shutdownScheduled{at: at}) }
+
+// AnswerAll has every request without a response be answered now, and rejects those that still come.
 func (eng *Engine) AnswerAll() { eng.post(answerAll{}) }
 
-// tooLate says that a request of a class would not be answered before the last call, as its answers come now.
+// handleAnswerAll answers every request that is still open.
+func (eng *Engine) handleAnswerAll() {
+	eng.shuttingDown = true
+	for _, p := range eng.pending {
+		eng.abandon(p)
+	}
+}
+
+// tooLate says that a request of a class would not be served before the shutdown, as latencies are now.
 func (eng *Engine) tooLate(class string) bool {
-	return eng.shutdownAt > 0 && eng.clock.Now()+eng.balancer.ExpectedLatency(class) > eng.shutdownAt
+	if eng.shutdownAt == 0 {
+		return false
+	}
+	return eng.clock.Now()+eng.balancer.ExpectedLatency(class) > eng.shutdownAt
 }
 
-// rejectLate refuses what waits for a server and would be sent too late to be answered, before the module sends it.
+// rejectLate rejects queued requests that it is too late for, before the balancer sends them.
 func (eng *Engine) rejectLate() {
 	if eng.shutdownAt == 0 {
 		return
@@ -30,15 +44,15 @@
 	}
 }
 
-// abandon answers a request that the node will not be there for, as its client leaving would end it.
+// abandon answers a request that this node won't finish. For the balancer it ends as if its client had disconnected.
 func (eng *Engine) abandon(p *pendingRequest) {
 	if p.responded {
 		return
 	}
+	response := Response{Kind: Failed}
 	if len(p.attempts) == 0 {
-		eng.respondOnce(p.request.ID, Response{Kind: Rejected, RetryAfter: time.Second, Elsewhere: eng.shutdownAt > 0})
-	} else {
-		eng.respondOnce(p.request.ID, Response{Kind: Failed})
+		response = Response{Kind: Rejected, RetryAfter: shutdownRetryAfter, Elsewhere: eng.shutdownAt > 0}
 	}
-	eng.handle(eng.clock.Now(), balancer.ClientDisconnected{ID: p.request.ID})
+	eng.respondUnserved(p.request.ID, response)
+	eng.decide(eng.clock.Now(), balancer.ClientDisconnected{ID: p.request.ID})
 }
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -9,133 +9,164 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Stats is what an engine sees that others may want to know. Counts are since it began.
+// Buckets is how many buckets Stats.LatencyHistogram has: the last is of 35 minutes and more.
+const Buckets = 32
+
+// Stats are counts and latencies of an engine since it began.
 type Stats struct {
-	Classes          map[string]ClassStats
-	Zones            map[string]ZoneStats
-	Servers          map[string]ServerStats // listed, and such as requests are at or have failed at
-	Rev              int64                  // of the list; negative: of none that has one
-	LatencyHistogram [Buckets]int64         // attempts that ended well, by the number of bits of what they took in microseconds
-}
+	Classes map[string]ClassStats  // by name
+	Zones   map[string]ZoneStats   // by name
+	Servers map[string]ServerStats // by id: listed ones, and others with attempts in flight
+	Rev     int64                  // revision of the endpoint list; negative: it has none
 
-// Buckets are of what attempts took: the last is of 35 minutes and more.
-const Buckets = 32
+	// LatencyHistogram counts attempts that succeeded, by the number of bits of their latency in microseconds.
+	LatencyHistogram [Buckets]int64
+}
 
-// ClassStats is of a class.
+// ClassStats are of the requests of a class.
 type ClassStats struct {
 	Requests, Rejected int64
-	InFlight           int
+	InFlight           int // without a response
 }
 
-// ZoneStats is of the servers of a zone, as the list names it.
+// ZoneStats are of the servers of a zone, as the endpoint list names it.
 type ZoneStats struct {
-	Ended, Failures int64         // attempts; of them, such as did not succeed
-	TotalLatency    time.Duration // by all of them together
-	Ready, WarmedUp int           // servers listed as ready; of them, such as are past their slow start
+	Ended, Failures int64         // attempts; of them, those that did not succeed
+	TotalLatency    time.Duration // of all of them together
+	Ready, WarmedUp int           // servers listed as ready; of them, those that are past their slow start
 }
 
-// ServerStats is of a server.
+// ServerStats are of a server.
 type ServerStats struct {
 	Failures int64 // attempts that did not succeed
-	InFlight int   // attempts that are out
+	InFlight int   // attempts
 }
 
-// statsCollector counts what Sight tells. Servers that are not listed are forgotten with their last attempt.
+// statsCollector counts what Stats returns. Its methods do nothing where it is nil. Servers that are not listed are
+// forgotten with their last attempt.
 type statsCollector struct{ Stats }
 
 func newStatsCollector() *statsCollector {
-	return &statsCollector{Stats{Classes: map[string]ClassStats{}, Zones: map[string]ZoneStats{}, Servers: map[string]ServerStats{}}}
+	return &statsCollector{Stats{
+		Classes: map[string]ClassStats{},
+		Zones:   map[string]ZoneStats{},
+		Servers: map[string]ServerStats{},
+	}}
 }
 
-func (t *statsCollector) requestArrived(class string, refused bool) {
-	if t == nil {
+// requestArrived counts a request that the balancer was told of.
+func (c *statsCollector) requestArrived(class string) {
+	if c == nil {
 		return
 	}
-	c := t.Classes[class]
-	if refused {
-		c.Rejected++
-	} else {
-		c.Requests++
+	stats := c.Classes[class]
+	stats.Requests++
+	c.Classes[class] = stats
+}
+
+// requestRejected counts a request among these that was rejected.
+func (c *statsCollector) requestRejected(class string) {
+	if c == nil {
+		return
 	}
-	t.Classes[class] = c
+	stats := c.Classes[class]
+	stats.Rejected++
+	c.Classes[class] = stats
 }
 
-func (t *statsCollector) attemptStarted(server string) {
-	if t == nil {
+// attemptStarted counts an attempt at a server.
+func (c *statsCollector) attemptStarted(server string) {
+	if c == nil {
 		return
 	}
-	s := t.Servers[server]
-	s.InFlight++
-	t.Servers[server] = s
+	stats := c.Servers[server]
+	stats.InFlight++
+	c.Servers[server] = stats
 }
 
-// attemptEnded notes how an attempt ended. listed: its server is on the list still, as at; of what zone it was otherwise is not known.
-func (t *statsCollector) attemptEnded(at discovery.Target, server string, listed bool, e balancer.Result, took time.Duration) {
-	if t == nil {
+// attemptEnded counts the result of an attempt. target is the entry of its server where that is still listed; the zone of
+// others is not known.
+func (c *statsCollector) attemptEnded(target discovery.Target, server string, listed bool, result balancer.Result, latency time.Duration) {
+	if c == nil {
 		return
 	}
-	s, z := t.Servers[server], t.Zones[at.Zone]
-	s.InFlight--
-	z.Ended++
-	z.TotalLatency += took
-	if e == balancer.Success {
-		t.LatencyHistogram[min(bits.Len64(uint64(max(0, took.Microseconds()))), Buckets-1)]++
+	zone := c.Zones[target.Zone]
+	zone.Ended++
+	zone.TotalLatency += latency
+	stats := c.Servers[server]
+	stats.InFlight--
+	if result == balancer.Success {
+		c.LatencyHistogram[latencyBucket(latency)]++
 	} else {
-		z.Failures++
-		s.Failures++
+		zone.Failures++
+		stats.Failures++
 	}
-	if t.Servers[server] = s; listed {
-		t.Zones[at.Zone] = z
-	} else if s.InFlight <= 0 {
-		delete(t.Servers, server)
+	c.Servers[server] = stats
+	switch {
+	case listed:
+		c.Zones[target.Zone] = zone
+	case stats.InFlight <= 0:
+		delete(c.Servers, server)
 	}
 }
 
-// retainListed forgets servers that are not listed and hold nothing, and zones of which none is.
-func (t *statsCollector) retainListed(listed map[string]discovery.Target) {
-	if t == nil {
+// latencyBucket is the bucket of the histogram that a latency belongs to.
+func latencyBucket(latency time.Duration) int {
+	microseconds := uint64(max(0, latency.Microseconds()))
+	return min(bits.Len64(microseconds), Buckets-1)
+}
+
+// retainListed forgets servers that are not listed and have no attempt in flight, and zones without a listed server.
+func (c *statsCollector) retainListed(listed map[string]discovery.Target) {
+	if c == nil {
 		return
 	}
-	maps.DeleteFunc(t.Servers, func(id string, s ServerStats) bool {
-		_, is := listed[id]
-		return !is && s.InFlight <= 0
+	maps.DeleteFunc(c.Servers, func(id string, stats ServerStats) bool {
+		_, isListed := listed[id]
+		return !isListed && stats.InFlight <= 0
 	})
 	zones := map[string]bool{}
-	for _, at := range listed {
-		zones[at.Zone] = true
+	for _, target := range listed {
+		zones[target.Zone] = true
 	}
-	maps.DeleteFunc(t.Zones, func(z string, _ ZoneStats) bool { return !zones[z] })
+	maps.DeleteFunc(c.Zones, func(zone string, _ ZoneStats) bool { return !zones[zone] })
 }
 
-// Stats tells what the engine sees. It is empty where Options.Count is not set, and once Run has returned.
+// Stats returns the counts of now. They are the zero value where Options.Count is not set, and once Run has returned.
 func (eng *Engine) Stats() Stats {
-	return query(eng, func(to chan Stats) event { return statsQuery{to} })
+	return query(eng, func(to chan Stats) event { return statsQuery{to: to} })
 }
 
-// collectStats is what Sight gives: a copy.
+// collectStats makes the answer to a statsQuery: a copy.
 func (eng *Engine) collectStats() Stats {
 	if eng.collector == nil {
 		return Stats{}
 	}
-	s := Stats{maps.Clone(eng.collector.Classes), maps.Clone(eng.collector.Zones), maps.Clone(eng.collector.Servers), eng.listRevision, eng.collector.LatencyHistogram}
+	stats := Stats{
+		Classes:          maps.Clone(eng.collector.Classes),
+		Zones:            maps.Clone(eng.collector.Zones),
+		Servers:          maps.Clone(eng.collector.Servers),
+		Rev:              eng.listRevision,
+		LatencyHistogram: eng.collector.LatencyHistogram,
+	}
 	for _, p := range eng.pending {
 		if !p.responded {
-			c := s.Classes[p.request.Class]
-			c.InFlight++
-			s.Classes[p.request.Class] = c
+			class := stats.Classes[p.request.Class]
+			class.InFlight++
+			stats.Classes[p.request.Class] = class
 		}
 	}
 	now := eng.clock.Now()
-	for _, t := range eng.servers {
-		if t.State != balancer.Ready {
+	for _, target := range eng.servers {
+		if target.State != balancer.Ready {
 			continue
 		}
-		z := s.Zones[t.Zone]
-		z.Ready++
-		if now-t.Boot >= eng.slowStartWindow {
-			z.WarmedUp++
+		zone := stats.Zones[target.Zone]
+		zone.Ready++
+		if now-target.Boot >= eng.slowStartWindow {
+			zone.WarmedUp++
 		}
-		s.Zones[t.Zone] = z
+		stats.Zones[target.Zone] = zone
 	}
-	return s
+	return stats
 }
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -1,50 +1,49 @@
 package engine
 
-import (
-	"damsontrestle/internal/balancer"
-)
+import "damsontrestle/internal/balancer"
 
-// Totals count what became of requests since the engine began.
+// Totals count what became of requests since the engine began. The tags are the management endpoint's terms.
 type Totals struct {
 	Requests     int64 `json:"calls"`
 	Served       int64 `json:"served"`
 	Rejected     int64 `json:"refused"`
 	Failed       int64 `json:"failed"`
-	Disconnected int64 `json:"gone"` // the client left before its answer
+	Disconnected int64 `json:"gone"` // the client left before its response
 	Sends        int64 `json:"sends"`
-	Polls        int64 `json:"asks,omitempty"` // to servers, how much they hold
+	Polls        int64 `json:"asks,omitempty"` // of servers, for their load
 }
 
-// add counts what happened since the last report.
-func (t *Totals) add(s trafficCounts) {
-	t.Requests += int64(s.Requests)
-	t.Served += int64(s.Served)
-	t.Rejected += int64(s.Rejected)
-	t.Failed += int64(s.Failed)
-	t.Disconnected += int64(s.Disconnected)
-	t.Sends += int64(s.Sends)
-	t.Polls += int64(s.Polls)
+// add adds what happened since the last line of the log.
+func (t *Totals) add(counts trafficCounts) {
+	t.Requests += int64(counts.Requests)
+	t.Served += int64(counts.Served)
+	t.Rejected += int64(counts.Rejected)
+	t.Failed += int64(counts.Failed)
+	t.Disconnected += int64(counts.Disconnected)
+	t.Sends += int64(counts.Sends)
+	t.Polls += int64(counts.Polls)
 }
 
-// Status is what an engine holds.
+// Status is what an engine holds at one moment.
 type Status struct {
 	Totals
-	Open     int `json:"open"`     // requests that are unanswered, or have an attempt out
-	Ready    int `json:"ready"`    // listed servers by their state
-	Draining int `json:"draining"` //
-	Avoided  int `json:"avoided"`  // of the listed, those that nothing new is sent to
+	Open     int `json:"open"`     // requests without a response, or with an attempt in flight
+	Ready    int `json:"ready"`    // listed servers in service
+	Draining int `json:"draining"` // listed servers that drain
+	Avoided  int `json:"avoided"`  // listed servers that get no new request
 }
 
-// Status tells what the engine holds now; nothing once Run has returned.
+// Status returns what the engine holds now; the zero value once Run has returned.
 func (eng *Engine) Status() Status {
-	return query(eng, func(to chan Status) event { return statusQuery{to} })
+	return query(eng, func(to chan Status) event { return statusQuery{to: to} })
 }
 
+// collectStatus makes the answer to a statusQuery.
 func (eng *Engine) collectStatus() Status {
 	s := Status{Totals: eng.totals, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
 	s.add(eng.sinceLog)
-	for _, t := range eng.servers {
-		switch t.State {
+	for _, target := range eng.servers {
+		switch target.State {
 		case balancer.Ready:
 			s.Ready++
 		case balancer.Draining:
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -7,37 +7,35 @@
 	"damsontrestle/internal/balancer"
 )
 
-// timer is a Wake to come.
+// timer is a balancer.Timer to come.
 type timer struct {
-	at    time.Duration
+	at    time.Duration // clock time
 	token string
 }
 
+// timerHeap has the earliest timer first (container/heap).
 type timerHeap []timer
 
-func (a timerHeap) Len() int { return len(a) }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
 
-func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
-
-func (a timerHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-
-func (a *timerHeap) Push(x any) { *a = append(*a, x.(timer)) }
-
-func (a *timerHeap) Pop() any {
-	old := *a
+func (h *timerHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// fireTimers handles the alarms that are due.
+// fireTimers passes the timers that are due to the balancer.
 func (eng *Engine) fireTimers() {
 	for len(eng.timers) > 0 {
 		now := eng.clock.Now()
 		if eng.timers[0].at > now {
 			return
 		}
-		a := heap.Pop(&eng.timers).(timer)
-		eng.handle(now, balancer.Timer{Token: a.token})
+		due := heap.Pop(&eng.timers).(timer)
+		eng.decide(now, balancer.Timer{Token: due.token})
 	}
 }
--- a/internal/engine/trafficlog.go
+++ b/internal/engine/trafficlog.go
@@ -6,35 +6,58 @@
 	"damsontrestle/internal/balancer"
 )
 
-// trafficCounts count what happened, for the log.
+// resultKinds is how many results of attempts there are (balancer.Result).
+const resultKinds = 8
+
+// trafficCounts count what happened since the last line of the log on traffic.
 type trafficCounts struct {
-	Requests, Served, Rejected, Failed, Disconnected, Sends, Polls int
-	Results                                                        [8]int
-	LagMax, LagSum                                                 time.Duration
-	Events                                                         int
+	Requests     int
+	Served       int
+	Rejected     int
+	Failed       int
+	Disconnected int // clients that left before their response
+	Sends        int // attempts
+	Polls        int
+	Results      [resultKinds]int
+	LagMax       time.Duration // from an event to its handling by the loop
+	LagSum       time.Duration
+	Events       int // that LagSum is the sum over
 }
 
-// recordLag notes how long after an event the loop got to it.
+// recordLag notes how long after an event the loop came to it.
 func (eng *Engine) recordLag(at time.Duration) {
-	d := -eng.clock.Until(at)
-	eng.sinceLog.LagMax = max(eng.sinceLog.LagMax, d)
-	eng.sinceLog.LagSum += d
+	lag := -eng.clock.Until(at)
+	eng.sinceLog.LagMax = max(eng.sinceLog.LagMax, lag)
+	eng.sinceLog.LagSum += lag
 	eng.sinceLog.Events++
 }
 
-// logTraffic logs what happened since the last report.
+// logTraffic logs what happened since the last such line, and adds it to the totals.
 func (eng *Engine) logTraffic() {
-	s := eng.sinceLog
-	eng.totals.add(s)
+	counts := eng.sinceLog
+	eng.totals.add(counts)
 	eng.sinceLog = trafficCounts{}
-	if s.Events == 0 {
+	if counts.Events == 0 {
 		return
 	}
-	e := s.Results
-	eng.log.With(eng.logFields()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
-		"failed", s.Failed, "gone", s.Disconnected, "sends", s.Sends, "asks", s.Polls, "success", e[balancer.Success],
-		"failure", e[balancer.Failure], "overloaded", e[balancer.Overloaded],
-		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.Unreachable],
-		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotStarted],
-		"pending", len(eng.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
+	results := counts.Results
+	eng.log.With(eng.logFields()...).Info("traffic",
+		"requests", counts.Requests,
+		"served", counts.Served,
+		"refused", counts.Rejected,
+		"failed", counts.Failed,
+		"gone", counts.Disconnected,
+		"sends", counts.Sends,
+		"asks", counts.Polls,
+		"success", results[balancer.Success],
+		"failure", results[balancer.Failure],
+		"overloaded", results[balancer.Overloaded],
+		"timed_out", results[balancer.TimedOut],
+		"unreachable", results[balancer.Unreachable],
+		"broken", results[balancer.ConnectionLost],
+		"withdrawn", results[balancer.Cancelled],
+		"void", results[balancer.NotStarted],
+		"pending", len(eng.pending),
+		"lag_max", counts.LagMax,
+		"lag_mean", counts.LagSum/time.Duration(counts.Events))
 }
