--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -25,7 +25,7 @@
 
 // Whatever ends a connect or a read, the node's own want or the network's end, the poll has failed and another follows at once, or the
 // failure is told to who asks.
-func TestACallThatFailsByAnyErrnoIsMadeAgain(t *testing.T) {
+func TestPollIsRetriedAfterAnyErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ECONNRESET,
 		syscall.ETIMEDOUT} {
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -229,7 +229,7 @@
 
 // A service that is asked may be slow to answer, and silent, refuse polls or break them besides: what it has is heard 0.8 s
 // or more before it counts as told, 6 s after the service had it and could be reached. Time is virtual.
-func TestASlowServiceIsHeardInTime(t *testing.T) {
+func TestSlowDiscoveryServiceIsHeardInTime(t *testing.T) {
 	const (
 		limit  = 5200 * time.Millisecond
 		answer = time.Second // that a poll waits for its turn
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -74,7 +74,7 @@
 
 // A server that is listed anew gets what it gets with right clocks, whatever the node's clock shows: little for as long as
 // slow start takes, and its half from then on.
-func TestSlowStartOfAServerListedAnewIsTheSameUnderAnyClock(t *testing.T) {
+func TestSlowStartOfNewServerIsTheSameUnderAnyClock(t *testing.T) {
 	var right [5]float64
 	for _, c := range clockSteps {
 		b, starts := newBalancer(t), Starts{}
@@ -98,7 +98,7 @@
 // The first list of a new process names servers of any age. One that has just started is in slow start whatever the node's
 // clock shows, and such as have been running for a while are not. So too where the list is compared with an earlier
 // process's, written under another clock.
-func TestStartsOfAFirstList(t *testing.T) {
+func TestStartTimesOfFirstList(t *testing.T) {
 	const told = 2 * time.Hour // of the clock that writes boot_ms
 	list := List{Full: true, Targets: []Target{entry("long ago", -1), entry("an hour", told-time.Hour), entry("a minute", told-time.Minute),
 		entry("two seconds", told-2*time.Second), entry("now", told)}}
@@ -132,7 +132,7 @@
 
 // A fleet that was started as a whole long ago is warm for a new process whose clock is right; where that lies behind the
 // starts, slow start takes its time and no longer.
-func TestStartsOfAFleetStartedAsAWhole(t *testing.T) {
+func TestStartTimesOfFleetStartedTogether(t *testing.T) {
 	list := List{Full: true, Targets: []Target{entry("a", 0), entry("b", time.Second), entry("c", 2*time.Second)}}
 	for _, c := range []struct {
 		name string
@@ -152,7 +152,7 @@
 
 // A server keeps its start while its boot_ms stays the same, also over a time in which it is not listed, and gets a new
 // one with each other boot_ms, whether that lies before the last, ahead of now, or comes in the same moment.
-func TestOnlyAnotherBootIsANewStart(t *testing.T) {
+func TestOnlyChangedBootTimeIsARestart(t *testing.T) {
 	var starts Starts
 	now := epoch + time.Hour
 	tell := func(full bool, list ...Target) time.Duration {
@@ -185,7 +185,7 @@
 }
 
 // Servers that are listed no more are not kept for ever.
-func TestStartsForgetServersThatAreGone(t *testing.T) {
+func TestStartsForgetUnlistedServers(t *testing.T) {
 	var starts Starts
 	for n := range 1000 {
 		starts.Local(List{Full: true, Targets: []Target{entry(fmt.Sprint(n), 0)}}, false, epoch, slowStart)
--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -15,9 +15,9 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// stages plays a request in each stage, and a server's drain and slow start, with a wall clock that is off against the one
-// that writes boot_ms. It tells what happened when, counted from its beginning.
-func stages(t *testing.T, off time.Duration) (seen []string) {
+// playStages plays a request in each stage, and a server's drain and slow start, with a wall clock that is off against the
+// one that writes boot_ms. It returns what happened when, counted from its beginning.
+func playStages(t *testing.T, off time.Duration) (seen []string) {
 	ctx := t.Context()
 	s, begin := newScript(), time.Now()
 	set := settings()
@@ -40,14 +40,14 @@
 		return a.To.Server, end
 	}
 	finish := func(end chan<- Outcome, how balancer.Result) { end <- Outcome{Result: how, At: e.clock.Now()} }
-	answered := func(c *Request) { note("%s: kind %d", c.ID, testpeer.Receive(t, c.Response(), "the answer").Kind) }
+	answered := func(c *Request) { note("%s: kind %d", c.ID, testpeer.Receive(t, c.Response(), "the response").Kind) }
 
 	queued := newRequest(e, "queued", "view")
 	e.Submit(queued)
 	time.Sleep(50 * time.Millisecond)
 	e.UpdateList(servers("s1", "s2"))
 	_, end := begun()
-	time.Sleep(300 * time.Millisecond) // while it is out
+	time.Sleep(300 * time.Millisecond) // while it is in flight
 	finish(end, balancer.Success)
 	answered(queued)
 
@@ -72,11 +72,11 @@
 	e.UpdateList(discovery.List{Targets: fresh})
 	slowStarting := [5]int{}
 	for n := range 250 {
-		c := newRequest(e, fmt.Sprint("call ", n), "view")
+		c := newRequest(e, fmt.Sprint("request ", n), "view")
 		e.Submit(c)
 		to, end := begun()
 		if to == "s1" {
-			t.Errorf("off by %v: a call to a server that drains", off)
+			t.Errorf("off by %v: a request to a server that drains", off)
 		}
 		if to == "s3" {
 			slowStarting[n/50]++
@@ -86,9 +86,9 @@
 		answered(c)
 		time.Sleep(15 * time.Millisecond)
 	}
-	t.Logf("off by %v: calls to the cold server, each second: %v of 50", off, slowStarting)
+	t.Logf("off by %v: requests to the server in slow start, each second: %v of 50", off, slowStarting)
 	if slowStarting[0] > 15 || slowStarting[4] < 15 {
-		t.Errorf("off by %v: %v of 50 calls to the cold server each second", off, slowStarting)
+		t.Errorf("off by %v: %v of 50 requests to the server in slow start each second", off, slowStarting)
 	}
 	late := newRequest(e, "late", "note")
 	late.Deadline = late.At + time.Second
@@ -102,13 +102,13 @@
 }
 
 // Whatever the wall clock shows as a process starts, and however far boot_ms lies from it, everything happens at the same
-// time: a request waits, an attempt is out, half of a retry window and all of it are over, a server drains and another is
-// in slow start, a deadline ends. What steps while a process runs is never read (clock.TestStepsOfTheWallClock).
-func TestEveryStageIsTheSameUnderAnyWallClock(t *testing.T) {
+// time: a request is queued, an attempt is in flight, half of a retry window and all of it are over, a server drains and another is
+// in slow start, a deadline ends. Steps of the wall clock while a process runs are never seen (clock.TestWallClockStepsAreIgnored).
+func TestWallClockOffsetChangesNoTiming(t *testing.T) {
 	var right []string
 	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		var seen []string
-		synctest.Test(t, func(t *testing.T) { seen = stages(t, off) })
+		synctest.Test(t, func(t *testing.T) { seen = playStages(t, off) })
 		if off == 0 {
 			right = seen
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -16,25 +16,25 @@
 
 // script is a Backend whose attempts end as a test says.
 type script struct {
-	holds    map[string]float64  // what servers say they hold when they are asked; others say nothing
-	updates  int                 // times that news of the servers came
-	let      chan discovery.Host // whose idle connections were let go
+	loads    map[string]float64  // what servers say they hold when they are polled; others say nothing
+	updates  int                 // of the endpoint list
+	closed   chan discovery.Host // servers whose idle connections were closed
 	attempts chan *Attempt       // as they begin
 	next     chan chan Outcome
 }
 
 func newScript() *script {
-	return &script{attempts: make(chan *Attempt, 100), next: make(chan chan Outcome, 100), let: make(chan discovery.Host, 100)}
+	return &script{attempts: make(chan *Attempt, 100), next: make(chan chan Outcome, 100), closed: make(chan discovery.Host, 100)}
 }
 
 func (s *script) Servers([]discovery.Target, bool) { s.updates++ }
 
 func (s *script) Poll(h discovery.Host, _ time.Duration) (float64, bool) {
-	busy, ok := s.holds[h.Server]
+	busy, ok := s.loads[h.Server]
 	return busy, ok
 }
 
-func (s *script) CloseIdle(h discovery.Host) { s.let <- h }
+func (s *script) CloseIdle(h discovery.Host) { s.closed <- h }
 
 func (s *script) Run(a *Attempt) Outcome {
 	end := make(chan Outcome, 1)
@@ -48,10 +48,10 @@
 	}
 }
 
-// expect waits for an attempt and returns it with the channel that ends it.
+// expect waits for an attempt and returns it with the channel for its outcome.
 func (s *script) expect(t *testing.T) (*Attempt, chan<- Outcome) {
 	t.Helper()
-	return testpeer.Receive(t, s.attempts, "an attempt"), testpeer.Receive(t, s.next, "its end")
+	return testpeer.Receive(t, s.attempts, "an attempt"), testpeer.Receive(t, s.next, "its outcome channel")
 }
 
 func settings() balancer.Settings {
@@ -83,7 +83,7 @@
 	return e
 }
 
-// newRequest is a request with all the time in the world.
+// newRequest is a request with a deadline beyond any test.
 func newRequest(e *Engine, id, class string) *Request {
 	c := NewRequest(id, Message{})
 	c.Class, c.At = class, e.clock.Now()
@@ -91,9 +91,9 @@
 	return c
 }
 
-// Given two servers, the first attempt of a safe request breaks and the next is served: one answer, no overlap.
-// An unsafe request whose attempt may have run fails, and one whose attempt never ran is tried again.
-func TestOneAnswerAndNoOverlap(t *testing.T) {
+// Given two servers, the first attempt of a safe request breaks and the next is served: one response, and no two attempts in flight at once.
+// An unsafe request whose attempt may have run fails, and one whose attempt never ran is retried.
+func TestOneResponseAndNoConcurrentAttempts(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
@@ -112,11 +112,11 @@
 		for i, ending := range c.ends {
 			a, end := s.expect(t)
 			if a.N != i || len(s.attempts) > 0 {
-				t.Fatalf("%s: attempt %d with %d more out, want attempt %d alone", c.class, a.N, len(s.attempts), i)
+				t.Fatalf("%s: attempt %d with %d more in flight, want attempt %d alone", c.class, a.N, len(s.attempts), i)
 			}
 			end <- Outcome{Result: ending, At: e.clock.Now(), Reply: Reply{Body: []byte("body")}}
 		}
-		got := testpeer.Receive(t, request.Response(), "the answer")
+		got := testpeer.Receive(t, request.Response(), "the response")
 		if got.Kind != c.want || got.Kind == Served && string(got.Reply.Body) != "body" || len(s.attempts) > 0 {
 			t.Errorf("%s after %v: kind %d, body %q, %d more attempts; want kind %d", c.class, c.ends, got.Kind,
 				got.Reply.Body, len(s.attempts), c.want)
@@ -124,11 +124,11 @@
 	}
 }
 
-// Where the pool has servers asked, a request goes to the one that holds least, and its answer is the client's as ever.
+// Where the pool polls servers, a request goes to the one that holds least, and its reply is the client's as ever.
 func TestServersArePolledBeforeRequest(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newScript()
-		s.holds = map[string]float64{"s1": 4, "s2": 1, "s3": 4, "s4": 4}
+		s.loads = map[string]float64{"s1": 4, "s2": 1, "s3": 4, "s4": 4}
 		set := settings()
 		set.PollChoices = 4
 		e, err := New(Options{Settings: set, Seed: seed, Clock: clock.New(), Backend: s, Subscribe: func() {}, Pushed: true,
@@ -142,20 +142,20 @@
 		e.Submit(request)
 		a, end := s.expect(t)
 		if a.To.Server != "s2" {
-			t.Errorf("the call goes to %s; s2 holds least", a.To.Server)
+			t.Errorf("the request goes to %s; s2 holds least", a.To.Server)
 		}
 		end <- Outcome{Result: balancer.Success, At: e.clock.Now(), Load: &balancer.Load{Busy: 1}}
-		if got := testpeer.Receive(t, request.Response(), "the answer"); got.Kind != Served {
-			t.Errorf("the answer is of kind %d", got.Kind)
+		if got := testpeer.Receive(t, request.Response(), "the response"); got.Kind != Served {
+			t.Errorf("the response is %v", got.Kind)
 		}
 		if got := e.Status().Polls; got != 4 {
-			t.Errorf("%d servers were asked; want 4", got)
+			t.Errorf("%d servers were polled; want 4", got)
 		}
 	}
 }
 
-// While a zone's servers say nothing and another's answer, a request that tries the silent ones goes on a connection of
-// its own: the back end is told before the attempt begins.
+// While the servers of one zone are silent and those of another reply, a probe of the silent ones goes over a connection of
+// its own: the back end closes the idle ones before the attempt begins.
 func TestProbeOfSilentZoneUsesItsOwnConnection(t *testing.T) {
 	s := newScript()
 	l := servers("s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
@@ -164,27 +164,27 @@
 	}
 	e := newEngine(t, s, l)
 	go e.Run(t.Context())
-	for i := 0; len(s.let) == 0; i++ {
+	for i := 0; len(s.closed) == 0; i++ {
 		if i == 10000 {
-			t.Fatal("no trial is made")
+			t.Fatal("no probe is made")
 		}
 		request := newRequest(e, fmt.Sprint(i), "note")
 		e.Submit(request)
 		a, end := s.expect(t)
-		if len(s.let) > 0 {
-			if h := <-s.let; h != a.To || a.To.Server > "s" && (a.To.Server[1]-'1')%2 != 1 {
-				t.Errorf("connections to %v were let go, the attempt goes to %v", h, a.To)
+		if len(s.closed) > 0 {
+			if h := <-s.closed; h != a.To || a.To.Server > "s" && (a.To.Server[1]-'1')%2 != 1 {
+				t.Errorf("idle connections to %v were closed, the attempt goes to %v", h, a.To)
 			}
 			return
 		}
 		if (a.To.Server[1]-'1')%2 == 0 { // zone0
 			end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
-			testpeer.Receive(t, request.Response(), "the answer")
+			testpeer.Receive(t, request.Response(), "the response")
 		}
 	}
 }
 
-// An id that is in use gets an answer of its own, and the first request with it goes on.
+// A request with an id that is in use gets a response of its own, and the first request with it goes on.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
@@ -193,16 +193,16 @@
 	e.Submit(first)
 	_, end := s.expect(t)
 	e.Submit(second)
-	if a := testpeer.Receive(t, second.Response(), "the second's answer"); a.Kind != Duplicate {
+	if a := testpeer.Receive(t, second.Response(), "the second's response"); a.Kind != Duplicate {
 		t.Errorf("kind %d", a.Kind)
 	}
 	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
-	if a := testpeer.Receive(t, first.Response(), "the first's answer"); a.Kind != Served {
+	if a := testpeer.Receive(t, first.Response(), "the first's response"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
 }
 
-// A client that leaves has its attempt called off; its id is free again once that has ended.
+// The attempt of a client that disconnects is cancelled; the id is free again once that has ended.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
@@ -224,8 +224,8 @@
 	})
 }
 
-// At the last call what has an attempt out fails, and what still comes is refused with a time to come back.
-func TestAnswerAll(t *testing.T) {
+// At the end of the shutdown a request with an attempt in flight fails, and new ones are rejected with a Retry-After.
+func TestShutdownFailsInFlightAndRejectsNewRequests(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1"))
 	go e.Run(t.Context())
@@ -233,17 +233,17 @@
 	e.Submit(out)
 	s.expect(t)
 	e.AnswerAll()
-	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Failed {
+	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Failed {
 		t.Errorf("kind %d", a.Kind)
 	}
 	late := newRequest(e, "late", "view")
 	e.Submit(late)
-	if a := testpeer.Receive(t, late.Response(), "the refusal"); a.Kind != Rejected || a.RetryAfter <= 0 {
+	if a := testpeer.Receive(t, late.Response(), "the rejection"); a.Kind != Rejected || a.RetryAfter <= 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A full snapshot that names what is held already is no news to the module: it would cut its pool anew and
+// A full snapshot that names what is known already is not passed to the balancer: it would draw its subset anew and
 // open connections for nothing.
 func TestUnchangedFullListChangesNothing(t *testing.T) {
 	s := newScript()
@@ -257,13 +257,12 @@
 		want int
 	}{{servers("s1"), 0}, {terminating, 1}, {moved, 2}, {servers(), 3}} {
 		if e.handleEvent(listUpdated{c.list}); s.updates != c.want {
-			t.Errorf("list %d: told %d times, want %d", i, s.updates, c.want)
+			t.Errorf("list %d: %d updates, want %d", i, s.updates, c.want)
 		}
 	}
 }
 
-// A retired engine answers what it has taken, by the servers that it has, and ends; what was learned of it
-// last is in its status.
+// A retired engine finishes the requests that it has, with retries, and its Run returns. Its status is empty from then on.
 func TestRetireEndsOnceAllRequestsAreAnswered(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -276,19 +275,19 @@
 		t.Errorf("%+v", got)
 	}
 	end <- Outcome{Result: balancer.ConnectionLost, At: e.clock.Now()}
-	_, end = s.expect(t) // still tried again: it is the engine's own
+	_, end = s.expect(t) // still retried
 	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
-	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Served {
+	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Served {
 		t.Errorf("kind %d", a.Kind)
 	}
-	testpeer.Receive(t, e.Done(), "the end")
-	out.Disconnect(e.clock.Now()) // blocks nobody
+	testpeer.Receive(t, e.Done(), "the end of Run")
+	out.Disconnect(e.clock.Now()) // does not block
 	if got := e.Status(); got != (Status{}) {
-		t.Errorf("%+v after the end", got)
+		t.Errorf("%+v after Run has returned", got)
 	}
 }
 
-// Requests that are out when their class turns unsafe are not sent again.
+// Requests that are in flight when their class becomes unsafe are not retried.
 func TestReconfigureTightensInFlightRequests(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -299,14 +298,14 @@
 	next := settings()
 	next.Classes[0].Effect = balancer.Unsafe
 	e.Reconfigure(next, true)
-	e.Status() // the loop has come so far
+	e.Status() // the loop has handled the new settings
 	end <- Outcome{Result: balancer.ConnectionLost, At: e.clock.Now()}
-	if a := testpeer.Receive(t, out.Response(), "the answer"); a.Kind != Failed || len(s.attempts) > 0 {
+	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Failed || len(s.attempts) > 0 {
 		t.Errorf("kind %d, %d more attempts", a.Kind, len(s.attempts))
 	}
 }
 
-// Sight tells what was counted, and forgets servers that are listed no more.
+// Stats returns what was counted, without servers that are no longer listed.
 func TestStatsCountEvents(t *testing.T) {
 	s := newScript()
 	l := servers("a")
@@ -327,13 +326,13 @@
 	a, end := s.expect(t)
 	is := e.Stats()
 	if is.Rev != 7 || is.Classes["view"] != (ClassStats{Requests: 1, InFlight: 1}) || is.Servers["a"].InFlight != 1 || is.Zones["z"].Ready != 1 || is.Zones["z"].WarmedUp != 1 {
-		t.Errorf("with a call out: %+v", is)
+		t.Errorf("with an attempt in flight: %+v", is)
 	}
 	end <- Outcome{Result: balancer.Success, At: a.Sent + 3*time.Millisecond}
-	testpeer.Receive(t, c.Response(), "an answer")
+	testpeer.Receive(t, c.Response(), "the response")
 	is = e.Stats()
 	if z := is.Zones["z"]; is.Classes["view"].InFlight != 0 || z.Ended != 1 || z.Failures != 0 || z.TotalLatency != 3*time.Millisecond || is.LatencyHistogram[12] != 1 || is.Servers["a"].InFlight != 0 {
-		t.Errorf("after its answer: %+v", is)
+		t.Errorf("after its response: %+v", is)
 	}
 	e.UpdateList(discovery.List{Full: true, Rev: 8})
 	if is = e.Stats(); len(is.Servers) != 0 || len(is.Zones) != 0 || is.Rev != 8 {
@@ -342,13 +341,13 @@
 	cancel()
 	<-e.Done()
 	if is = e.Stats(); is.Classes != nil {
-		t.Errorf("after its end: %+v", is)
+		t.Errorf("after Run has returned: %+v", is)
 	}
 }
 
 // A server that is listed anew is in slow start whatever the clock that wrote its start shows, and its start stays the same
-// while it is listed with the same boot_ms: the list again is no news, and its connections stay its own.
-func TestAServerListedAnewIsInSlowStartUnderAnyClock(t *testing.T) {
+// while it is listed with the same boot_ms: the same list again is no update, and connections stay open.
+func TestNewlyListedServerIsInSlowStartUnderAnyClock(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		s := newScript()
 		set := settings()
@@ -366,7 +365,7 @@
 		l.Targets[1].Boot = e.clock.Now() + off
 		e.UpdateList(l)
 		if z := e.Stats().Zones[""]; z.Ready != 2 || z.WarmedUp != 1 {
-			t.Errorf("listed as started %v from now: %d servers, %d warm, want 2 and 1", off, z.Ready, z.WarmedUp)
+			t.Errorf("listed as started %v from now: %d servers, %d warmed up, want 2 and 1", off, z.Ready, z.WarmedUp)
 		}
 		is := e.servers["new"]
 		e.UpdateList(l)
@@ -376,20 +375,20 @@
 	}
 }
 
-// A request that was answered before any engine had it may be left all the same.
+// The client of a request that never came to an engine may disconnect all the same.
 func TestRequestWithoutEngineMayBeDisconnected(t *testing.T) {
 	c := NewRequest("id", Message{})
 	c.Finish(Response{Kind: Rejected})
 	c.Disconnect(0)
 	select {
 	case a := <-c.Response():
-		t.Errorf("%+v is still there for a caller that has gone", a)
+		t.Errorf("%+v is still there for a client that has disconnected", a)
 	default:
 	}
 }
 
-// taught is an engine that runs, and whose ten requests so far took 20 ms each by its clock.
-func taught(t *testing.T, s *script) *Engine {
+// newEngineWithLatencies is an engine that runs, and whose ten requests so far took 20 ms each by its clock.
+func newEngineWithLatencies(t *testing.T, s *script) *Engine {
 	e := newEngine(t, s, servers("s1", "s2"))
 	go e.Run(t.Context())
 	for i := range 10 {
@@ -397,17 +396,17 @@
 		e.Submit(request)
 		a, end := s.expect(t)
 		end <- Outcome{Result: balancer.Success, At: a.Sent + 20*time.Millisecond}
-		testpeer.Receive(t, request.Response(), "the answer")
+		testpeer.Receive(t, request.Response(), "the response")
 	}
 	return e
 }
 
-// Given that the last call is near, what would not be answered by then is refused at once; what has time enough is
-// sent as ever, and so is what nothing is known of.
+// Shortly before the end of the shutdown a request that would not be served by then is rejected at once. One with enough
+// time is sent as ever, and so is one of a class whose latency is not known.
 func TestRequestThatCannotFinishBeforeShutdownIsNeverSent(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		left  time.Duration // until the last call
+		left  time.Duration // until the end of the shutdown
 		class string
 		want  Kind
 	}{
@@ -417,7 +416,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScript()
-			e := taught(t, s)
+			e := newEngineWithLatencies(t, s)
 			e.ShutdownAt(e.clock.Now() + c.left)
 			request := newRequest(e, "late", c.class)
 			e.Submit(request)
@@ -425,30 +424,31 @@
 				_, end := s.expect(t)
 				end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 			}
-			if got := testpeer.Receive(t, request.Response(), "the answer"); got.Kind != c.want || got.Kind == Rejected && (got.RetryAfter <= 0 || !got.Elsewhere) {
-				t.Errorf("answer %+v, want kind %d", got, c.want)
+			if got := testpeer.Receive(t, request.Response(), "the response"); got.Kind != c.want || got.Kind == Rejected && (got.RetryAfter <= 0 || !got.Elsewhere) {
+				t.Errorf("response %+v, want kind %d", got, c.want)
 			}
 		})
 	}
 }
 
-// What waits for a server when the end is told, or when another request tells that time has gone on, is turned back too.
+// A request that is queued when the shutdown is announced is rejected too where it is too late for it.
 func TestQueuedRequestIsRejectedBeforeShutdown(t *testing.T) {
 	s := newScript()
-	e := taught(t, s)
+	e := newEngineWithLatencies(t, s)
 	e.UpdateList(discovery.List{Full: true})
 	waiting := newRequest(e, "waiting", "note")
 	e.Submit(waiting)
 	if got := e.Status(); got.Open != 1 {
-		t.Fatalf("%+v, want one call that waits", got)
+		t.Fatalf("%+v, want one queued request", got)
 	}
 	e.ShutdownAt(e.clock.Now() + 10*time.Millisecond)
-	if got := testpeer.Receive(t, waiting.Response(), "the answer"); got.Kind != Rejected || len(s.attempts) > 0 {
-		t.Errorf("answer %+v after %d sends, want a refusal after none", got, len(s.attempts))
+	if got := testpeer.Receive(t, waiting.Response(), "the response"); got.Kind != Rejected || len(s.attempts) > 0 {
+		t.Errorf("response %+v after %d attempts, want a rejection after none", got, len(s.attempts))
 	}
 }
 
-// A full snapshot that names one server less is news, also where it names as many entries as are held, one of them long gone.
+// A full snapshot that names one server less is an update, also where it names as many entries as are known because one of
+// them was removed long ago.
 func TestFullListWithoutServerIsAnUpdate(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -460,7 +460,7 @@
 		name  string
 		list  discovery.List
 		ready int
-	}{{"the same", same, 2}, {"one less, and one that is gone", less, 1}} {
+	}{{"the same", same, 2}, {"one less, and one that was removed", less, 1}} {
 		if e.UpdateList(c.list); e.Status().Ready != c.ready {
 			t.Errorf("%s: %d ready, want %d", c.name, e.Status().Ready, c.ready)
 		}
--- a/internal/engine/soak_test.go
+++ b/internal/engine/soak_test.go
@@ -12,7 +12,7 @@
 )
 
 // A hundred thousand requests under ids that are never seen again, and five thousand servers that come and go: the engine
-// keeps nothing of what has gone, alarms included.
+// keeps nothing of finished requests and removed servers, timers included.
 func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2", "s3", "s4"))
@@ -28,8 +28,8 @@
 		}
 	}()
 	var base int64
-	const calls, at = 100_000, 50
-	for i := 0; i < calls; i += at {
+	const requests, at = 100_000, 50
+	for i := 0; i < requests; i += at {
 		old, next := fmt.Sprint("s", i/at-4), fmt.Sprint("s", i/at+5)
 		if i == 0 {
 			old = "s0"
@@ -38,23 +38,23 @@
 			{Server: balancer.Server{ID: old, State: balancer.Removed}}, {Server: balancer.Server{ID: next}, Endpoint: "127.0.0.1:1"}}})
 		var open []*Request
 		for k := range at {
-			c := newRequest(e, fmt.Sprint("call-", i+k), "view")
+			c := newRequest(e, fmt.Sprint("request-", i+k), "view")
 			c.Deadline = c.At + 2*time.Minute
 			e.Submit(c)
 			open = append(open, c)
 		}
 		for _, c := range open {
-			testpeer.Receive(t, c.Response(), "the answer")
+			testpeer.Receive(t, c.Response(), "the response")
 		}
-		if i == calls/10 {
+		if i == requests/10 {
 			base = reach.Reachable()
 		}
 	}
 	// What the loop holds is looked at from within: it answers a Status once all before it is handled.
 	e.Status()
 	grown := reach.Reachable() - base
-	if st := e.Status(); st.Open != 0 || st.Ready > 12 || st.Requests < calls {
-		t.Errorf("%d calls are open and %d servers ready after %d calls", st.Open, st.Ready, st.Requests)
+	if st := e.Status(); st.Open != 0 || st.Ready > 12 || st.Requests < requests {
+		t.Errorf("%d requests are open and %d servers ready after %d requests", st.Open, st.Ready, st.Requests)
 	}
 	if grown > 1<<20 {
 		t.Errorf("the heap grew by %d KiB from the tenth part of the day to its end", grown>>10)
--- a/internal/route/path_test.go
+++ b/internal/route/path_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPlainForm(t *testing.T) {
+func TestPathNormalization(t *testing.T) {
 	for _, c := range []struct {
 		raw, plain string
 		how        Reading
@@ -65,7 +65,7 @@
 }
 
 // A path that is sent on as it came must be of its class to every server.
-func TestAgrees(t *testing.T) {
+func TestPathAgreesWithItsClass(t *testing.T) {
 	for raw, agrees := range map[string]bool{
 		"/view/k": true, "/view": true, "/view/": true, "/view//x/../y": true, `/view/"odd"|{};,`: true, "/view/a%2fB": true,
 		"/view/a/../b": true, "/view/%zz": true,
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestTheNarrowestRouteWins(t *testing.T) {
+func TestMostSpecificRouteWins(t *testing.T) {
 	table := compile(t,
 		Route{Name: "host", Hosts: []string{"a.example"}, To: to("a")},
 		Route{Name: "below", Hosts: []string{"*.example"}, Paths: []string{"/view/x/y/*"}, To: to("b")},
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestHeadersClassAndListenerSettleWhatIsLeft(t *testing.T) {
+func TestHeadersClassAndListenerBreakTies(t *testing.T) {
 	table := compile(t,
 		Route{Name: "class", Classes: []string{"note"}, To: to("b")},
 		Route{Name: "listener", Listeners: []string{"side"}, To: to("c")},
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestNoRouteNoPool(t *testing.T) {
+func TestUnmatchedRequestHasNoPool(t *testing.T) {
 	table := compile(t, Route{Name: "v", Classes: []string{"view"}, Listeners: []string{"main"}, To: to("a")},
 		Route{Name: "n", Classes: []string{"note"}, Hosts: []string{"h"}, To: to("a")})
 	want(t, table, map[string]string{
@@ -110,7 +110,7 @@
 }
 
 // Refusals name the route at fault, and the other one where there is one.
-func TestRefused(t *testing.T) {
+func TestInvalidRoutesAreRejected(t *testing.T) {
 	def := Route{Name: "rest", Default: true, To: to("a")}
 	for _, c := range []struct {
 		name   string
@@ -165,7 +165,7 @@
 }
 
 // All problems come at once.
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestAllProblemsAreReportedTogether(t *testing.T) {
 	_, problems := Compile([]Route{{Name: "r", Classes: []string{"x"}, Hosts: []string{"A"}, To: to("y")}, {Name: "s", To: to("z")}}, testNames)
 	if len(problems) != 4 {
 		t.Errorf("%d problems, want 4: %v", len(problems), problems)
@@ -174,7 +174,7 @@
 
 // Weights share requests out by what they are drawn by, the same each time, and a weight that grows takes requests
 // from the others only.
-func TestWeights(t *testing.T) {
+func TestWeightsSplitRequestsAmongPools(t *testing.T) {
 	count := func(a, b int) (toA int, who map[string]bool) {
 		table := compile(t, Route{Name: "r", To: []Target{{Pool: "b", Weight: b}, {Pool: "a", Weight: a}, {Pool: "c"}}})
 		who = map[string]bool{}
@@ -284,7 +284,7 @@
 
 // For any routes that compile, the table chooses as the look at all of them does, and every route but the
 // default takes some request.
-func TestTableChoosesAsTheRankSays(t *testing.T) {
+func TestTableChoosesRuleOfHighestRank(t *testing.T) {
 	compiled, requests := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		routes := drawRoutes(t)
@@ -307,7 +307,7 @@
 
 // What compiles has no two routes of the same rank for one request, and each route takes some request; what does
 // not compile for that reason has such a request or a route that takes none.
-func TestRefusalsAreRight(t *testing.T) {
+func TestRejectedRoutesAreAmbiguousOrUnreachable(t *testing.T) {
 	var all []*Request
 	for _, l := range testNames.Listeners {
 		for _, class := range testNames.Classes {
