--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -8,18 +8,18 @@
 
 // agent is an address of discovery, with all that holds there only.
 type agent struct {
-	ctx    context.Context // ends when the watch moves elsewhere
-	leave  context.CancelFunc
-	addr   string
-	client *http.Client
-	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	rev    int64 // the version held; -1: none, so the full list is asked for. It belongs to Push or Ask
+	ctx      context.Context // ends when the watch moves elsewhere
+	abandon  context.CancelFunc
+	addr     string
+	client   *http.Client
+	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
+	revision int64 // the version held; -1: none, so the full list is asked for. It belongs to Push or Ask
 }
 
 func newAgent(addr string, rev int64) *agent {
-	p := &agent{addr: addr, rev: rev, dial: (&net.Dialer{}).DialContext}
+	p := &agent{addr: addr, revision: rev, dial: (&net.Dialer{}).DialContext}
 	p.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: maxPolls, DisableCompression: true, DialContext: p.connect}}
-	p.ctx, p.leave = context.WithCancel(context.Background())
+	p.ctx, p.abandon = context.WithCancel(context.Background())
 	return p
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -54,11 +54,11 @@
 	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.Whole(), 1},
 		{`{"rev":%d,"all":false,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
 		ag.Tell(false, c.text)
-		if err := d.watch(t.Context(), d.agent()); err != nil {
+		if err := d.watchOnce(t.Context(), d.agent()); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != c.want || d.agent().rev != int64(ag.Rev()) {
-			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().rev, c.want, ag.Rev())
+		if len(events) != c.want || d.agent().revision != int64(ag.Rev()) {
+			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().revision, c.want, ag.Rev())
 		}
 	}
 }
@@ -246,14 +246,14 @@
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
-	r := &round{watch: w, at: w.agent(), answers: make(chan pollResult, maxPolls)}
+	r := &pollRound{watch: w, agent: w.agent(), results: make(chan pollResult, maxPolls)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.call(ctx)
+	r.startPoll(ctx)
 	testpeer.Receive(t, a.calls, "the first call")
 	a.pieces <- `{"rev":9,"all":true,`
-	testpeer.Until(t, "it to begin to answer", func() bool { return r.calls[0].progressAt.Load() > 0 })
-	if heard := time.Duration(r.calls[0].progressAt.Load()); heard > time.Hour {
+	testpeer.Until(t, "it to begin to answer", func() bool { return r.polls[0].progressAt.Load() > 0 })
+	if heard := time.Duration(r.polls[0].progressAt.Load()); heard > time.Hour {
 		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other calls", heard)
 	}
 	doubts := 0
@@ -270,7 +270,7 @@
 	}()
 	limited, stop := context.WithTimeout(ctx, testpeer.Limit)
 	defer stop()
-	if e := r.wait(limited, w.LongPollTimeout+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
+	if e := r.await(limited, w.LongPollTimeout+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
 		t.Errorf("after %d doubts: %+v", doubts, e)
 	}
 }
@@ -289,7 +289,7 @@
 		a.pieces <- `"targets":[]}`
 		close(a.pieces)
 	}()
-	if err := w.watch(t.Context(), w.agent()); err != nil || len(events) != 1 {
+	if err := w.watchOnce(t.Context(), w.agent()); err != nil || len(events) != 1 {
 		t.Errorf("%v, %d events", err, len(events))
 	}
 }
@@ -319,7 +319,7 @@
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := testpeer.Receive(t, events, "their end"); e.failed || expectNotified(e.list) {
+	if e := testpeer.Receive(t, events, "their end"); e.failed || hasChanges(e.list) {
 		t.Errorf("got %+v", e)
 	}
 }
@@ -330,7 +330,7 @@
 	events := make(sink, 10)
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ag.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
-	if err := w.watch(t.Context(), w.agent()); !errors.Is(err, errMalformed) || len(events) > 0 || w.agent().rev != -1 {
-		t.Errorf("%v, %d events, rev %d", err, len(events), w.agent().rev)
+	if err := w.watchOnce(t.Context(), w.agent()); !errors.Is(err, errMalformed) || len(events) > 0 || w.agent().revision != -1 {
+		t.Errorf("%v, %d events, rev %d", err, len(events), w.agent().revision)
 	}
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -35,7 +35,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return List{}, fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(progressReader{resp.Body, heard}, maxList))
+	text, err := io.ReadAll(io.LimitReader(progressReader{resp.Body, heard}, maxListBytes))
 	if err != nil {
 		return List{}, fmt.Errorf("watch: %w", err)
 	}
--- a/internal/discovery/push.go
+++ b/internal/discovery/push.go
@@ -11,18 +11,18 @@
 func (w *Watch) Push(ctx context.Context) {
 	defer w.closeIdle()
 	for ctx.Err() == nil {
-		w.follow(ctx, w.agent())
+		w.followAgent(ctx, w.agent())
 	}
 }
 
-// follow watches an agent at one place until the watch moves or ctx ends. A poll that has said nothing by the end of
+// followAgent watches an agent at one place until the watch moves or ctx ends. A poll that has said nothing by the end of
 // its hold and grace is doubted: another is made beside it, and whichever answers first counts. The others end with
 // it, so that news never comes out of order. After a failure that came at once it waits a little.
-func (w *Watch) follow(ctx context.Context, p *agent) {
+func (w *Watch) followAgent(ctx context.Context, p *agent) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	defer context.AfterFunc(p.ctx, end)()
-	hold, grace := w.times(agentLongPoll, agentGrace)
+	hold, grace := w.timeouts(agentLongPoll, agentGrace)
 	pause, silent := backoffInitial, false
 	doubted := func() {
 		if !silent {
@@ -32,14 +32,14 @@
 	}
 	for ctx.Err() == nil {
 		requests, over := context.WithCancel(ctx)
-		r := &round{watch: w, at: p, hold: hold, answers: make(chan pollResult, maxPolls)}
-		r.call(requests)
-		e := r.wait(requests, hold+grace, doubted)
+		r := &pollRound{watch: w, agent: p, longPoll: hold, results: make(chan pollResult, maxPolls)}
+		r.startPoll(requests)
+		e := r.await(requests, hold+grace, doubted)
 		over()
 		if ctx.Err() != nil {
 			return
 		}
-		if w.take(p, e.list, e.err) {
+		if w.deliver(p, e.list, e.err) {
 			pause, silent = backoffInitial, false
 			continue
 		}
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -173,7 +173,7 @@
 		}
 		m := &moduleSink{t: t, begun: time.Now(), b: b, heard: make(chan time.Time, 1)}
 		m.watch = NewWatch("first:1", 1, m, slog.New(slog.DiscardHandler))
-		m.watch.at.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		m.watch.current.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return services[addr].connect(ctx, network, addr)
 		}
 		running.Go(func() { m.watch.Poll(ctx) })
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -13,24 +13,24 @@
 //
 // Its zero value holds no server. It belongs to one goroutine.
 type Starts struct {
-	held map[string]start // by uid; also some that are listed no more
-	live bool             // a list has come that was not an earlier process's
+	starts      map[string]serverStart // by uid; also some that are listed no more
+	sawLiveList bool                   // a list has come that was not an earlier process's
 }
 
-// start is the last start of a server: as listed, and by the node's clock.
-type start struct{ boot, at time.Duration }
+// serverStart is the last start of a server: as listed, and by the node's clock.
+type serverStart struct{ listedBoot, startedAt time.Duration }
 
-// leftMost is how many servers that are listed no more are kept for each one that a list names, and some beyond: one that
+// maxUnlistedPerListed is how many servers that are listed no more are kept for each one that a list names, and some beyond: one that
 // is listed again as it was has not started anew.
-const leftMost = 2
+const maxUnlistedPerListed = 2
 
 // Local gives a list's servers their starts by the node's clock. A server that is listed for the first time, or with
 // another boot_ms than before, starts now. Only the first lists of a process name servers that may have been running for
 // long: there a server is as old as boot_ms tells against the reference. ramp is how long slow start takes; cached lists are
 // those of an earlier process. The same list gives the same starts again.
 func (s *Starts) Local(l List, cached bool, now, ramp time.Duration) List {
-	first := cached || !s.live
-	s.live = s.live || !cached
+	first := cached || !s.sawLiveList
+	s.sawLiveList = s.sawLiveList || !cached
 	reference := now
 	if first {
 		reference = s.reference(l, now, ramp)
@@ -38,18 +38,18 @@
 	s.forget(l)
 	out := List{Rev: l.Rev, Full: l.Full, Targets: make([]Target, len(l.Targets))}
 	for i, t := range l.Targets {
-		held, known := s.held[t.ID]
-		same := known && held.boot == t.Boot
-		at := max(now, held.at+1)
+		held, known := s.starts[t.ID]
+		same := known && held.listedBoot == t.Boot
+		at := max(now, held.startedAt+1)
 		switch {
 		case t.Boot == 0:
 			at = 0 // long ago
 		case same:
-			at = held.at
+			at = held.startedAt
 		case first:
 			at = startBefore(now, reference-t.Boot)
 		}
-		s.held[t.ID] = start{t.Boot, at}
+		s.starts[t.ID] = serverStart{t.Boot, at}
 		t.Boot = at
 		out.Targets[i] = t
 	}
@@ -65,8 +65,8 @@
 // whole is not cold again for each new node.
 func (s *Starts) reference(l List, now, ramp time.Duration) time.Duration {
 	var newest time.Duration
-	for _, h := range s.held {
-		newest = max(newest, h.boot)
+	for _, h := range s.starts {
+		newest = max(newest, h.listedBoot)
 	}
 	for _, t := range l.Targets {
 		newest = max(newest, t.Boot)
@@ -89,15 +89,15 @@
 
 // forget drops servers that are listed no more, once they are many.
 func (s *Starts) forget(l List) {
-	if s.held == nil {
-		s.held = map[string]start{}
+	if s.starts == nil {
+		s.starts = map[string]serverStart{}
 	}
-	if !l.Full || len(s.held) <= leftMost*len(l.Targets)+64 {
+	if !l.Full || len(s.starts) <= maxUnlistedPerListed*len(l.Targets)+64 {
 		return
 	}
 	named := make(map[string]bool, len(l.Targets))
 	for _, t := range l.Targets {
 		named[t.ID] = true
 	}
-	maps.DeleteFunc(s.held, func(id string, _ start) bool { return !named[id] })
+	maps.DeleteFunc(s.starts, func(id string, _ serverStart) bool { return !named[id] })
 }
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -190,7 +190,7 @@
 	for n := range 1000 {
 		starts.Local(List{Full: true, Targets: []Target{entry(fmt.Sprint(n), 0)}}, false, epoch, slowStart)
 	}
-	if held := len(starts.held); held > 100 {
+	if held := len(starts.starts); held > 100 {
 		t.Errorf("%d starts are held for one server", held)
 	}
 }
--- a/internal/discovery/subscribe.go
+++ b/internal/discovery/subscribe.go
@@ -11,14 +11,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.wanted:
+		case <-w.subscriptions:
 		}
 		for ctx.Err() == nil {
 			p := w.agent()
-			if err := w.watch(ctx, p); err != nil && p.ctx.Err() == nil {
+			if err := w.watchOnce(ctx, p); err != nil && p.ctx.Err() == nil {
 				if ctx.Err() == nil {
 					w.log.Warn("the subscription failed", "error", err)
-					w.failed = true
+					w.lastPollFailed = true
 					w.sink.ListFailed()
 				}
 				break
@@ -27,25 +27,25 @@
 	}
 }
 
-// watch asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open poll:
+// watchOnce asks a service once, and passes on what it tells. Where it stays silent it is asked again beside the open poll:
 // to give that up and wait in turn anew would take most of the time after which a change counts as told. After a failure
 // an answer is told also where it is no news: whoever waits longer after each failure is to know that this is over.
-func (w *Watch) watch(ctx context.Context, p *agent) error {
-	hold, grace := w.times(serviceLongPoll, serviceGrace)
+func (w *Watch) watchOnce(ctx context.Context, p *agent) error {
+	hold, grace := w.timeouts(serviceLongPoll, serviceGrace)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.ctx, cancel)()
-	r := &round{watch: w, at: p, hold: hold, answers: make(chan pollResult, maxPolls)}
-	r.call(ctx)
-	e := r.wait(ctx, hold+grace, func() { w.log.Warn("discovery is silent; polling again") })
-	if w.take(p, e.list, e.err) && w.failed {
-		w.failed = false
-		if !expectNotified(e.list) {
+	r := &pollRound{watch: w, agent: p, longPoll: hold, results: make(chan pollResult, maxPolls)}
+	r.startPoll(ctx)
+	e := r.await(ctx, hold+grace, func() { w.log.Warn("discovery is silent; polling again") })
+	if w.deliver(p, e.list, e.err) && w.lastPollFailed {
+		w.lastPollFailed = false
+		if !hasChanges(e.list) {
 			w.sink.UpdateList(e.list)
 		}
 	}
 	return e.err
 }
 
-// expectNotified says that a list is news, and not the end of a hold without any.
-func expectNotified(l List) bool { return l.Full || len(l.Targets) > 0 }
+// hasChanges says that a list is news, and not the end of a hold without any.
+func hasChanges(l List) bool { return l.Full || len(l.Targets) > 0 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,7 +22,7 @@
 	serviceGrace    = 500 * time.Millisecond
 	backoffInitial  = 50 * time.Millisecond
 	backoffMax      = 200 * time.Millisecond // of an agent that fails at once
-	maxList         = 16 << 20
+	maxListBytes    = 16 << 20
 
 	// maxPolls are open at once: while discovery is silent each doubted poll stays open beside the next ones, for a
 	// service may only be slow to answer, and a node that is short of processor time late to read it.
@@ -39,41 +39,41 @@
 type Watch struct {
 	sink            Sink
 	log             *slog.Logger
-	wanted          chan struct{}
+	subscriptions   chan struct{}
 	LongPollTimeout time.Duration // how long a poll may wait for news; 0: as fits how the registry is asked
 	Grace           time.Duration // and how much later it is doubted
-	failed          bool          // the last call to a service. It belongs to Ask
-	began           time.Time     // spans since then order what was heard: the wall clock may be stepped
+	lastPollFailed  bool          // the last call to a service. It belongs to Ask
+	epoch           time.Time     // spans since then order what was heard: the wall clock may be stepped
 
-	mu sync.Mutex
-	at *agent // where the list is watched now
+	mu      sync.Mutex
+	current *agent // where the list is watched now
 }
 
 // NewWatch returns a Watch of the registry at addr that goes on from the version rev of its list; -1: from
 // none. It asks nothing before Push or Ask.
 func NewWatch(addr string, rev int64, sink Sink, log *slog.Logger) *Watch {
-	return &Watch{sink: sink, log: log, at: newAgent(addr, rev), wanted: make(chan struct{}, 1), began: time.Now()}
+	return &Watch{sink: sink, log: log, current: newAgent(addr, rev), subscriptions: make(chan struct{}, 1), epoch: time.Now()}
 }
 
 func (w *Watch) agent() *agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.at
+	return w.current
 }
 
 // SetAddress watches another address from now on. Versions count anew there, so its complete list is asked for;
 // what the node holds stays in use until that has come. A poll to the old address ends.
 func (w *Watch) SetAddress(addr string) {
 	w.mu.Lock()
-	old := w.at
+	old := w.current
 	if old.addr == addr {
 		w.mu.Unlock()
 		return
 	}
-	w.at = newAgent(addr, -1)
-	w.at.dial = old.dial
+	w.current = newAgent(addr, -1)
+	w.current.dial = old.dial
 	w.mu.Unlock()
-	old.leave()
+	old.abandon()
 	old.client.CloseIdleConnections()
 }
 
@@ -83,7 +83,7 @@
 // Subscribe starts a watch where discovery is asked. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
-	case w.wanted <- struct{}{}:
+	case w.subscriptions <- struct{}{}:
 	default:
 	}
 }
@@ -94,8 +94,8 @@
 	w.agent().dial = dial
 }
 
-// times are the hold and the grace of a poll.
-func (w *Watch) times(hold, grace time.Duration) (time.Duration, time.Duration) {
+// timeouts are the hold and the grace of a poll.
+func (w *Watch) timeouts(hold, grace time.Duration) (time.Duration, time.Duration) {
 	if w.LongPollTimeout > 0 {
 		hold = w.LongPollTimeout
 	}
@@ -105,16 +105,16 @@
 	return hold, grace
 }
 
-// take passes on what a poll told, and goes on from there. It tells whether the poll told anything that could be read.
-func (w *Watch) take(p *agent, l List, err error) bool {
+// deliver passes on what a poll told, and goes on from there. It tells whether the poll told anything that could be read.
+func (w *Watch) deliver(p *agent, l List, err error) bool {
 	if err != nil {
 		if errors.Is(err, errMalformed) {
-			p.rev = -1 // what the dropped answer told is missing: the full list mends that
+			p.revision = -1 // what the dropped answer told is missing: the full list mends that
 		}
 		return false
 	}
-	p.rev = l.Rev
-	if p.ctx.Err() == nil && expectNotified(l) {
+	p.revision = l.Rev
+	if p.ctx.Err() == nil && hasChanges(l) {
 		w.sink.UpdateList(l)
 	}
 	return true
