--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -246,7 +246,7 @@
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
-	r := &pollRound{watch: w, agent: w.agent(), results: make(chan pollResult, maxPolls)}
+	r := newPollRound(w, w.agent(), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.startPoll(ctx)
@@ -319,7 +319,7 @@
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := testpeer.Receive(t, events, "their end"); e.failed || hasChanges(e.list) {
+	if e := testpeer.Receive(t, events, "their end"); e.failed || e.list.hasChanges() {
 		t.Errorf("got %+v", e)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,9 +1,14 @@
-// Package discovery follows lists of servers. It owns the form in which the registry tells them, and the
-// watch that keeps one up to date; whom to send to is decided elsewhere.
+// Package discovery follows endpoint lists. It owns the form in which the registry writes them (Parse), the Watch that
+// keeps one up to date, by pushes of an agent or by polls of a service, and the start times of servers by the node's own
+// clock (Starts).
+//
+// It promises its Sink updates in the order in which the registry made them, a full list wherever changes may be missing,
+// and an answer soon after a silent registry is back. Which server gets a request is decided elsewhere.
 package discovery
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -12,73 +17,111 @@
 	"damsontrestle/internal/balancer"
 )
 
-// List is discovery's news: the full list, or the entries that changed.
+// List is an update of an endpoint list: a full snapshot, or the entries that changed.
 type List struct {
-	Rev     int64
-	Full    bool
+	Rev     int64 // revision, counted by the registry
+	Full    bool  // servers that are not among Targets are removed
 	Targets []Target
 }
 
-// Target is an entry of a list: the module's view of a server, and where it listens.
+// hasChanges says that a list is an update, and not the end of a long poll without any.
+func (l List) hasChanges() bool { return l.Full || len(l.Targets) > 0 }
+
+// Target is an entry of a list: a server as the balancer knows it, and where it listens.
 type Target struct {
 	balancer.Server
-	Endpoint string // address with port
+	Endpoint string // IP address with port
 }
 
-// Host is one life of a server at one address. A server that starts anew, or another at an address that
-// one has left, must not be met over its predecessor's connections.
+// Host is one incarnation of a server at one address. Connections belong to it: neither a server that has started anew nor
+// another one at the same address may get requests over its predecessor's connections.
 type Host struct {
-	Server, Endpoint string
-	Boot             time.Duration
+	Server   string // id
+	Endpoint string
+	Boot     time.Duration
 }
 
-// Host is the life that the entry tells of.
-func (t Target) Host() Host { return Host{t.ID, t.Endpoint, t.Boot} }
+// Host returns the incarnation that the entry is of.
+func (t Target) Host() Host { return Host{Server: t.ID, Endpoint: t.Endpoint, Boot: t.Boot} }
 
+// states are the states of servers by the registry's names.
 var states = map[string]balancer.ServerState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
+	"in_service":  balancer.Ready,
+	"terminating": balancer.Draining,
+	"terminated":  balancer.Removed,
+}
+
+// Bounds of what an entry may say.
+const (
+	maxCapacityHint = 1e12
+	maxBootMS       = 1e13
+)
+
+// listedTarget is an entry as the registry writes it.
+type listedTarget struct {
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	PodGroup     int     `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	BootMS       float64 `json:"boot_ms"`
 }
 
 // Parse reads a list as the registry writes it. A malformed one is dropped completely: half a list would look
-// like the rest had gone.
+// like the rest had been removed.
 func Parse(text []byte) (List, error) {
-	var f struct {
-		Rev     *int64 `json:"rev"`
-		All     *bool  `json:"all"`
-		Targets []struct {
-			UID      string  `json:"uid"`
-			Endpoint string  `json:"endpoint"`
-			Zone     string  `json:"az"`
-			Cell     int     `json:"pod_group"`
-			State    string  `json:"state"`
-			Size     float64 `json:"capacity_hint"`
-			Boot     float64 `json:"boot_ms"`
-		} `json:"targets"`
+	var listed struct {
+		Rev     *int64         `json:"rev"`
+		All     *bool          `json:"all"`
+		Targets []listedTarget `json:"targets"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &listed); err != nil {
 		return List{}, fmt.Errorf("list: %w", err)
 	}
-	if f.Rev == nil || f.All == nil {
-		return List{}, fmt.Errorf("list: rev or all is missing")
+	if listed.Rev == nil || listed.All == nil {
+		return List{}, errors.New("list: rev or all is missing")
 	}
-	l := List{Rev: *f.Rev, Full: *f.All}
+	list := List{Rev: *listed.Rev, Full: *listed.All}
 	seen := map[string]bool{}
-	for i, t := range f.Targets {
-		state, ok := states[t.State]
-		_, err := netip.ParseAddrPort(t.Endpoint)
-		switch {
-		case t.UID == "" || seen[t.UID]:
-			return List{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, t.UID)
-		case !ok:
-			return List{}, fmt.Errorf("list: targets[%d]: unknown state %q", i, t.State)
-		case err != nil && state != balancer.Removed:
+	for i, entry := range listed.Targets {
+		if entry.UID == "" || seen[entry.UID] {
+			return List{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, entry.UID)
+		}
+		seen[entry.UID] = true
+		target, err := entry.target()
+		if err != nil {
 			return List{}, fmt.Errorf("list: targets[%d]: %w", i, err)
-		case !(t.Size >= 0 && t.Size <= 1e12) || !(t.Boot >= 0 && t.Boot <= 1e13):
-			return List{}, fmt.Errorf("list: targets[%d]: capacity_hint or boot_ms is out of range", i)
 		}
-		seen[t.UID] = true
-		l.Targets = append(l.Targets, Target{Endpoint: t.Endpoint, Server: balancer.Server{ID: t.UID,
-			Zone: t.Zone, Cell: t.Cell, State: state, Size: t.Size, Boot: time.Duration(math.Round(t.Boot * 1e6))}})
+		list.Targets = append(list.Targets, target)
+	}
+	return list, nil
+}
+
+// target checks an entry and returns it in the program's terms.
+func (e listedTarget) target() (Target, error) {
+	state, ok := states[e.State]
+	if !ok {
+		return Target{}, fmt.Errorf("unknown state %q", e.State)
+	}
+	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil && state != balancer.Removed {
+		return Target{}, err
+	}
+	sizeInRange := e.CapacityHint >= 0 && e.CapacityHint <= maxCapacityHint // false for NaN
+	bootInRange := e.BootMS >= 0 && e.BootMS <= maxBootMS
+	if !sizeInRange || !bootInRange {
+		return Target{}, errors.New("capacity_hint or boot_ms is out of range")
 	}
-	return l, nil
+	boot := time.Duration(math.Round(e.BootMS * float64(time.Millisecond)))
+	return Target{
+		Endpoint: e.Endpoint,
+		Server: balancer.Server{
+			ID:    e.UID,
+			Zone:  e.Zone,
+			Cell:  e.PodGroup,
+			State: state,
+			Size:  e.CapacityHint,
+			Boot:  boot,
+		},
+	}, nil
 }
--- a/internal/discovery/push.go
+++ b/internal/discovery/push.go
@@ -6,8 +6,8 @@
 	"damsontrestle/internal/clock"
 )
 
-// Push watches an agent from the start until ctx ends. The next poll follows each answer at once: a watch is
-// lost when it is late.
+// Push watches an agent from the start until ctx ends. The next poll follows each answer at once: a change that is heard
+// late is lost time.
 func (w *Watch) Push(ctx context.Context) {
 	defer w.closeIdle()
 	for ctx.Err() == nil {
@@ -15,38 +15,38 @@
 	}
 }
 
-// followAgent watches an agent at one place until the watch moves or ctx ends. A poll that has said nothing by the end of
-// its hold and grace is doubted: another is made beside it, and whichever answers first counts. The others end with
-// it, so that news never comes out of order. After a failure that came at once it waits a little.
-func (w *Watch) followAgent(ctx context.Context, p *agent) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	defer context.AfterFunc(p.ctx, end)()
-	hold, grace := w.timeouts(agentLongPoll, agentGrace)
-	pause, silent := backoffInitial, false
-	doubted := func() {
+// followAgent watches an agent at one address until the watch moves or ctx ends. After a failure that came at once it backs
+// off.
+func (w *Watch) followAgent(ctx context.Context, a *agent) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer context.AfterFunc(a.ctx, cancel)()
+	times := w.times(agentLongPoll, agentGrace)
+	backoff := backoffInitial
+	silent := false
+	onSilence := func() {
 		if !silent {
 			silent = true
-			w.log.Warn("discovery is silent; polling again")
+			w.logSilence()
 		}
 	}
 	for ctx.Err() == nil {
-		requests, over := context.WithCancel(ctx)
-		r := &pollRound{watch: w, agent: p, longPoll: hold, results: make(chan pollResult, maxPolls)}
-		r.startPoll(requests)
-		e := r.await(requests, hold+grace, doubted)
-		over()
+		result := w.pollUntilAnswered(ctx, a, times, onSilence)
 		if ctx.Err() != nil {
 			return
 		}
-		if w.deliver(p, e.list, e.err) {
-			pause, silent = backoffInitial, false
+		if w.deliver(a, result.list, result.err) {
+			backoff = backoffInitial
+			silent = false
 			continue
 		}
-		if pause == backoffInitial {
-			w.log.Warn("discovery does not answer; polling again", "error", e.err)
+		if backoff == backoffInitial {
+			w.log.Warn("discovery does not answer; polling again", "error", result.err)
 		}
-		clock.Sleep(ctx, pause)
-		pause = min(2*pause, backoffMax)
+		clock.Sleep(ctx, backoff)
+		backoff = min(2*backoff, backoffMax)
 	}
 }
+
+// logSilence logs that a poll had no answer in time.
+func (w *Watch) logSilence() { w.log.Warn("discovery is silent; polling again") }
