--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,18 +16,6 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// notification is what a sink was told.
-type notification struct {
-	list   List
-	failed bool
-}
-
-// sink keeps what it is told for the test.
-type sink chan notification
-
-func (s sink) UpdateList(l List) { s <- notification{list: l} }
-func (s sink) ListFailed()       { s <- notification{failed: true} }
-
 func TestMalformedListIsRejected(t *testing.T) {
 	for _, bad := range []string{"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
 		`{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `,` + testpeer.Entry("s2", "name:80", "in_service") + `]}`,
@@ -43,7 +30,7 @@
 	}
 }
 
-// A watch that ends without news is no news: the module would take it for a change.
+// A long poll that ends without a change notifies nobody: the balancer would take it for a change.
 func TestUnchangedWatchNotifiesNobody(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
@@ -58,12 +45,12 @@
 			t.Fatal(err)
 		}
 		if len(events) != c.want || d.agent().revision != int64(ag.Rev()) {
-			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().revision, c.want, ag.Rev())
+			t.Errorf("poll %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().revision, c.want, ag.Rev())
 		}
 	}
 }
 
-// Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
+// Where discovery is polled, a watch follows only a Subscribe, and its failure is reported.
 func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
@@ -91,49 +78,9 @@
 	}
 }
 
-// silentAgent answers what comes after it was silent, and nothing of what came before; it tells each poll's number.
-type silentAgent struct {
-	net.Listener
-	calls  chan int
-	mu     sync.Mutex
-	n      int
-	silent bool
-	text   string
-	open   int
-	most   int
-}
-
-func newSilentAgent(t *testing.T) *silentAgent {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &silentAgent{Listener: ln, calls: make(chan int, 10_000), silent: true}
-	srv := &http.Server{Handler: a}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
-	return a
-}
-
-func (a *silentAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.mu.Lock()
-	a.n++
-	a.open++
-	a.most = max(a.most, a.open)
-	n, silent, text := a.n, a.silent, a.text
-	a.mu.Unlock()
-	defer func() { a.mu.Lock(); a.open--; a.mu.Unlock() }()
-	a.calls <- n
-	if silent || r.URL.Query().Get("from") == "9" {
-		<-r.Context().Done()
-		return
-	}
-	io.WriteString(w, text)
-}
-
-// An agent that is silent is asked again beside the poll that is open, by a bounded number of polls, and the first one
-// that is made once it is back tells what it has: nothing waits for a poll that it will never answer, and no pause
-// grows meanwhile. Lists may come indented.
+// An agent that is silent is polled again beside the poll that is open, by a bounded number of polls, and the first one
+// that is made once it is back is answered: nothing waits for a poll that it will never answer, and no backoff grows
+// meanwhile. Lists may come indented.
 func TestSilentAgentIsPolledInParallelAndHeardAtOnce(t *testing.T) {
 	a := newSilentAgent(t)
 	events := make(sink, 10)
@@ -144,7 +91,7 @@
 	go func() { w.Push(ctx); close(done) }()
 	defer func() { cancel(); <-done }()
 	for range 20 {
-		testpeer.Receive(t, a.calls, "another call")
+		testpeer.Receive(t, a.polls, "another poll")
 	}
 	a.mu.Lock()
 	a.silent = false
@@ -156,27 +103,19 @@
 	}
 	first := 0
 	for first <= before {
-		first = testpeer.Receive(t, a.calls, "a call after it is back")
+		first = testpeer.Receive(t, a.polls, "a poll after it is back")
 	}
 	if first != before+1 {
-		t.Errorf("call %d, want %d", first, before+1)
+		t.Errorf("poll %d, want %d", first, before+1)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.most > maxPolls+1 { // one whose end the agent has not seen yet
-		t.Errorf("%d calls were open at once, want up to %d", a.most, maxPolls)
+	if a.maxOpen > maxPolls+1 { // one whose end the agent has not seen yet
+		t.Errorf("%d polls were open at once, want up to %d", a.maxOpen, maxPolls)
 	}
 }
 
-// startPush follows an agent until the test ends.
-func startPush(t *testing.T, w *Watch) {
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() { w.Push(ctx); close(done) }()
-	t.Cleanup(func() { cancel(); <-done })
-}
-
-// Connections to an agent that never come up are given up with their polls: however many there were, the agent is heard
+// Connections to an agent that never come up are abandoned with their polls: however many there were, the agent is heard
 // once one does.
 func TestPendingConnectionsDoNotBlockAgent(t *testing.T) {
 	ag := testpeer.NewAgent(t)
@@ -185,8 +124,8 @@
 	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
 	var dials atomic.Int64
-	place := w.agent()
-	place.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	current := w.agent()
+	current.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if dials.Add(1) <= 2*maxPolls {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -199,50 +138,10 @@
 	}
 }
 
-// piecemeal answers its first poll with a list in pieces, the next of which comes when the test says so, and no other poll.
-type piecemeal struct {
-	net.Listener
-	calls  chan struct{}
-	pieces chan string
-}
-
-func newPiecemeal(t *testing.T) *piecemeal {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := &piecemeal{Listener: ln, calls: make(chan struct{}, 10_000), pieces: make(chan string)}
-	first := true
-	var mu sync.Mutex
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		streams := first
-		first = false
-		mu.Unlock()
-		a.calls <- struct{}{}
-		for streams {
-			select {
-			case piece, more := <-a.pieces:
-				if !more {
-					return
-				}
-				io.WriteString(w, piece)
-				w.(http.Flusher).Flush()
-			case <-r.Context().Done():
-				return
-			}
-		}
-		<-r.Context().Done()
-	})}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
-	return a
-}
-
-// A list that comes in pieces for longer than others are waited for is read to its end: of the polls open beside one
-// another those end that have said nothing.
+// A list that comes in chunks for longer than others are waited for is read to its end: of the polls open beside one
+// another those end that are silent.
 func TestChunkedListIsReadToItsEnd(t *testing.T) {
-	a := newPiecemeal(t)
+	a := newChunkedAgent(t)
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
@@ -250,51 +149,51 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.startPoll(ctx)
-	testpeer.Receive(t, a.calls, "the first call")
-	a.pieces <- `{"rev":9,"all":true,`
+	testpeer.Receive(t, a.polls, "the first poll")
+	a.chunks <- `{"rev":9,"all":true,`
 	testpeer.Until(t, "it to begin to answer", func() bool { return r.polls[0].progressAt.Load() > 0 })
 	if heard := time.Duration(r.polls[0].progressAt.Load()); heard > time.Hour {
-		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other calls", heard)
+		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other polls", heard)
 	}
-	doubts := 0
+	silences := 0
 	go func() {
-		for range 4 * maxPolls { // polls that say nothing
+		for range 4 * maxPolls { // polls that are silent
 			select {
-			case <-a.calls:
+			case <-a.polls:
 			case <-ctx.Done():
 				return
 			}
 		}
-		a.pieces <- `"targets":[]}`
-		close(a.pieces)
+		a.chunks <- `"targets":[]}`
+		close(a.chunks)
 	}()
 	limited, stop := context.WithTimeout(ctx, testpeer.Limit)
 	defer stop()
-	if e := r.await(limited, w.LongPollTimeout+w.Grace, func() { doubts++ }); e.err != nil || e.list.Rev != 9 {
-		t.Errorf("after %d doubts: %+v", doubts, e)
+	if e := r.await(limited, w.LongPollTimeout+w.Grace, func() { silences++ }); e.err != nil || e.list.Rev != 9 {
+		t.Errorf("after %d silences: %+v", silences, e)
 	}
 }
 
-// A service whose list comes in pieces, for longer than its silence would be borne, is heard to its end.
+// The list of a service that comes in chunks, for longer than another poll would wait, is read to its end.
 func TestChunkedServiceListIsReadToItsEnd(t *testing.T) {
-	a := newPiecemeal(t)
+	a := newChunkedAgent(t)
 	events := make(sink, 10)
 	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.LongPollTimeout, w.Grace = 50*time.Millisecond, 450*time.Millisecond
 	go func() {
-		a.pieces <- `{"rev":9,"all":true,`
+		a.chunks <- `{"rev":9,"all":true,`
 		for begin := time.Now(); time.Since(begin) < w.LongPollTimeout+w.Grace; time.Sleep(20 * time.Millisecond) {
-			a.pieces <- "\n "
+			a.chunks <- "\n "
 		}
-		a.pieces <- `"targets":[]}`
-		close(a.pieces)
+		a.chunks <- `"targets":[]}`
+		close(a.chunks)
 	}()
 	if err := w.watchOnce(t.Context(), w.agent()); err != nil || len(events) != 1 {
 		t.Errorf("%v, %d events", err, len(events))
 	}
 }
 
-// After failures a poll that brings nothing new is told all the same: the module waits longer after each failure, and has
+// After failures an answer without changes is passed on all the same: the balancer waits longer after each failure, and has
 // to know that they are over.
 func TestRecoveryFromFailuresIsLogged(t *testing.T) {
 	requests := 0
@@ -319,12 +218,12 @@
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := testpeer.Receive(t, events, "their end"); e.failed || e.list.hasChanges() {
+	if e := testpeer.Receive(t, events, "the end of the failures"); e.failed || e.list.hasChanges() {
 		t.Errorf("got %+v", e)
 	}
 }
 
-// Changes tell nothing to one who has no list that they change: the whole one is asked for again.
+// Changes are of no use without the list that they change: the full one is asked for again.
 func TestDeltaWithoutSnapshotIsIgnored(t *testing.T) {
 	ag := testpeer.NewAgent(t)
 	events := make(sink, 10)
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -23,8 +23,8 @@
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
 }
 
-// Whatever ends a connect or a read, the node's own want or the network's end, the poll has failed and another follows at once, or the
-// failure is told to who asks.
+// Whatever error ends a connect or a read, of the node's own resources or of the network, the poll has failed and another
+// follows at once, or the failure is reported where discovery is polled.
 func TestPollIsRetriedAfterAnyErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ECONNRESET,
--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -13,104 +12,10 @@
 	"time"
 
 	"damsontrestle/internal/balancer"
-	"damsontrestle/internal/testpeer"
 )
 
-// slowService is a service on virtual time, whose connections are pipes.
-type slowService struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-
-	mu    sync.Mutex
-	calls int       // since it has the new list
-	news  time.Time // from when on it has it
-	// answer answers the n-th poll from then on, and earlier ones as -1.
-	answer answerer
-	dial   func(ctx context.Context, n int) error // before the n-th connection comes up; nil: at once
-	dials  int
-}
-
-type answerer func(s *slowService, n int, w http.ResponseWriter, r *http.Request)
-
-// start has the service be as new, with a list that it gets after a while.
-func (s *slowService) start(has time.Duration) {
-	s.conns, s.closed, s.once = make(chan net.Conn), make(chan struct{}), sync.Once{}
-	s.calls, s.dials, s.news = 0, 0, time.Now().Add(has)
-}
-
-func (s *slowService) Accept() (net.Conn, error) {
-	select {
-	case c := <-s.conns:
-		return c, nil
-	case <-s.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (s *slowService) Close() error {
-	s.once.Do(func() { close(s.closed) })
-	return nil
-}
-
-func (s *slowService) Addr() net.Addr { return &net.TCPAddr{} }
-
-func (s *slowService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mu.Lock()
-	n := -1
-	if !time.Now().Before(s.news) {
-		n = s.calls
-		s.calls++
-	}
-	s.mu.Unlock()
-	s.answer(s, n, w, r)
-}
-
-// connect gives a watch its connection to the service.
-func (s *slowService) connect(ctx context.Context, _, _ string) (net.Conn, error) {
-	s.mu.Lock()
-	n := s.dials
-	s.dials++
-	s.mu.Unlock()
-	if s.dial != nil {
-		if err := s.dial(ctx, n); err != nil {
-			return nil, err
-		}
-	}
-	near, far := net.Pipe()
-	select {
-	case s.conns <- far:
-		return near, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
-// tell answers by what the service has: the new list, or nothing new.
-func (s *slowService) tell(w io.Writer) {
-	if time.Now().Before(s.news) {
-		fmt.Fprint(w, `{"rev":1,"all":false,"targets":[]}`)
-		return
-	}
-	fmt.Fprint(w, newList)
-}
-
-var newList = `{"rev":2,"all":true,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + `]}`
-
-// never is a poll that is lost.
-func never(r *http.Request) { <-r.Context().Done() }
-
-// after answers after a while, as if other polls came first.
-func after(d time.Duration, s *slowService, w http.ResponseWriter, r *http.Request) {
-	select {
-	case <-time.After(d):
-		s.tell(w)
-	case <-r.Context().Done():
-	}
-}
-
-// moduleSink is the module that a watch of a service tells, which says when the service is asked again.
-type moduleSink struct {
+// balancerSink is a Sink round the balancer that decides when the service is polled again.
+type balancerSink struct {
 	t     *testing.T
 	mu    sync.Mutex
 	begun time.Time
@@ -119,8 +24,8 @@
 	heard chan time.Time // when the new list came
 }
 
-// handle has the module take an event late, as in a process that is held up.
-func (m *moduleSink) handle(e balancer.Event) {
+// handle passes an event to the balancer late, as in a process that is held up.
+func (m *balancerSink) handle(e balancer.Event) {
 	time.Sleep(heldUp)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +40,7 @@
 	}
 }
 
-func (m *moduleSink) UpdateList(l List) {
+func (m *balancerSink) UpdateList(l List) {
 	m.handle(balancer.ServerList{Full: l.Full})
 	if l.Rev == 2 {
 		select {
@@ -145,7 +50,7 @@
 	}
 }
 
-func (m *moduleSink) ListFailed() { m.handle(balancer.ListFailed{}) }
+func (m *balancerSink) ListFailed() { m.handle(balancer.ListFailed{}) }
 
 // heldUp is for how long a process may be held up.
 const heldUp = 150 * time.Millisecond
@@ -153,8 +58,8 @@
 // newsAfter is when the services have the new list, from the start on: far enough for any backoff to be at its longest.
 const newsAfter = 12 * time.Second
 
-// hears plays a watch of services and returns how long after they had it the new list came. meanwhile is run beside it.
-func hears(t *testing.T, seed uint64, askWithin time.Duration, services map[string]*slowService, meanwhile func(*Watch)) (took time.Duration) {
+// timeToHear plays a watch of services and returns how long after they had it the new list came. meanwhile is run beside it.
+func timeToHear(t *testing.T, seed uint64, askWithin time.Duration, services map[string]*slowService, meanwhile func(*Watch)) (took time.Duration) {
 	has := newsAfter + time.Duration(seed)*serviceLongPoll/5 // at several moments of a poll
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -171,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &moduleSink{t: t, begun: time.Now(), b: b, heard: make(chan time.Time, 1)}
+		m := &balancerSink{t: t, begun: time.Now(), b: b, heard: make(chan time.Time, 1)}
 		m.watch = NewWatch("first:1", 1, m, slog.New(slog.DiscardHandler))
 		m.watch.current.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return services[addr].connect(ctx, network, addr)
@@ -198,37 +103,8 @@
 	return took
 }
 
-// refuse answers as a service does that is down or crowded.
-func refuse(status int, w http.ResponseWriter) {
-	w.Header().Set("Retry-After", "30")
-	w.WriteHeader(status)
-}
-
-// half writes the first half of the list, so that the node reads it.
-func half(w http.ResponseWriter) {
-	io.WriteString(w, newList[:len(newList)/2])
-	w.(http.Flusher).Flush()
-}
-
-// lostFrom has polls be lost that are open, or come, in the last moment before the service has the list, and answers the
-// later ones by next. Earlier ones hold for as long as they may.
-func lostFrom(next answerer) answerer {
-	return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-		switch left := time.Until(s.news); {
-		case left > serviceLongPoll:
-			after(min(serviceLongPoll, left-serviceLongPoll+time.Millisecond), s, w, r)
-		case left > time.Millisecond:
-			after(left-time.Millisecond, s, w, r)
-		case left > 0:
-			never(r)
-		default:
-			next(s, n, w, r)
-		}
-	}
-}
-
-// A service that is asked may be slow to answer, and silent, refuse polls or break them besides: what it has is heard 0.8 s
-// or more before it counts as told, 6 s after the service had it and could be reached. Time is virtual.
+// A service that is polled may be slow to answer, and silent, refuse polls or break them besides: its changes are heard
+// 0.8 s or more before the limit, 6 s after the service had them and could be reached. Time is virtual.
 func TestSlowDiscoveryServiceIsHeardInTime(t *testing.T) {
 	const (
 		limit  = 5200 * time.Millisecond
@@ -261,24 +137,24 @@
 		meanwhile func(*Watch)
 	}{
 		{"silent", map[string]*slowService{"first:1": {answer: lostFrom(slow)}}, nil},
-		{"silent, then crowded", map[string]*slowService{"first:1": {answer: lostFrom(func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		{"silent, then overloaded", map[string]*slowService{"first:1": {answer: lostFrom(func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			after(2*answer, s, w, r)
 		})}}, nil},
-		{"crowded", map[string]*slowService{"first:1": {answer: func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		{"overloaded", map[string]*slowService{"first:1": {answer: func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			after(4*answer, s, w, r)
 		}}}, nil},
 		{"down, then slow, 503", map[string]*slowService{"first:1": {answer: down(503, slow)}}, nil},
 		{"down, then slow, 429", map[string]*slowService{"first:1": {answer: down(429, slow)}}, nil},
-		{"down, then crowded, 503", map[string]*slowService{"first:1": {answer: down(503, refusedOnce(503))}}, nil},
-		{"down, then crowded, 429", map[string]*slowService{"first:1": {answer: down(429, refusedOnce(429))}}, nil},
-		{"down, then silent to one call", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		{"down, then overloaded, 503", map[string]*slowService{"first:1": {answer: down(503, refusedOnce(503))}}, nil},
+		{"down, then overloaded, 429", map[string]*slowService{"first:1": {answer: down(429, refusedOnce(429))}}, nil},
+		{"down, then silent to one poll", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			if n == 0 {
 				never(r)
 				return
 			}
 			slow(s, n, w, r)
 		})}}, nil},
-		{"refused while an earlier call is lost", map[string]*slowService{"first:1": {answer: lostFrom(refusedOnce(503))}}, nil},
+		{"refused while an earlier poll is lost", map[string]*slowService{"first:1": {answer: lostFrom(refusedOnce(503))}}, nil},
 		{"breaks midway", map[string]*slowService{"first:1": {answer: lostFrom(func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			if n == 0 {
 				half(w)
@@ -294,7 +170,7 @@
 			}
 			slow(s, n, w, r)
 		})}}, nil},
-		{"list in pieces, and refused beside", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		{"list in chunks, and refused beside", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
 			if n > 0 {
 				refuse(503, w)
 				return
@@ -334,15 +210,15 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			most := time.Duration(0)
+			longest := time.Duration(0)
 			for seed := range uint64(5) {
 				for _, askWithin := range []time.Duration{10 * time.Second, time.Hour} {
-					most = max(most, hears(t, seed, askWithin, c.services, c.meanwhile))
+					longest = max(longest, timeToHear(t, seed, askWithin, c.services, c.meanwhile))
 				}
 			}
-			t.Logf("heard after %v at most", most)
-			if most > limit {
-				t.Errorf("heard after %v, want %v at most", most, limit)
+			t.Logf("heard after %v at most", longest)
+			if longest > limit {
+				t.Errorf("heard after %v, want %v at most", longest, limit)
 			}
 		})
 	}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -16,6 +16,7 @@
 	name string
 	off  time.Duration
 }{
+
 	{"right", 0}, {"an hour ahead", time.Hour}, {"an hour behind", -time.Hour},
 	{"5 s ahead", 5 * time.Second}, {"5 s behind", -5 * time.Second},
 }
@@ -99,17 +100,17 @@
 // clock shows, and such as have been running for a while are not. So too where the list is compared with an earlier
 // process's, written under another clock.
 func TestStartTimesOfFirstList(t *testing.T) {
-	const told = 2 * time.Hour // of the clock that writes boot_ms
-	list := List{Full: true, Targets: []Target{entry("long ago", -1), entry("an hour", told-time.Hour), entry("a minute", told-time.Minute),
-		entry("two seconds", told-2*time.Second), entry("now", told)}}
+	const listedAt = 2 * time.Hour // of the clock that writes boot_ms
+	list := List{Full: true, Targets: []Target{entry("long ago", -1), entry("an hour", listedAt-time.Hour), entry("a minute", listedAt-time.Minute),
+		entry("two seconds", listedAt-2*time.Second), entry("now", listedAt)}}
 	for _, c := range clockSteps {
 		for _, known := range []List{
 			{Full: true},
-			{Full: true, Targets: []Target{entry("long ago", -1), entry("an hour", told-time.Hour)}},
-			{Full: true, Targets: []Target{entry("now", told-time.Hour), entry("a minute", told-time.Minute)}},
+			{Full: true, Targets: []Target{entry("long ago", -1), entry("an hour", listedAt-time.Hour)}},
+			{Full: true, Targets: []Target{entry("now", listedAt-time.Hour), entry("a minute", listedAt-time.Minute)}},
 			list,
 		} {
-			starts, now := Starts{}, epoch+told+c.off
+			starts, now := Starts{}, epoch+listedAt+c.off
 			starts.Local(known, true, now, slowStart)
 			for _, e := range starts.Local(list, false, now, slowStart).Targets {
 				age := now - e.Boot
@@ -120,31 +121,31 @@
 				// Of an earlier process's servers the newest may have started just now, as far as that list tells.
 				spared := len(known.Targets) == 2 && (e.ID == "an hour" || e.ID == "a minute")
 				if (age < slowStart) != slowStarting && !spared || age < 0 {
-					t.Errorf("%s, %d known: %q is held for %v old", c.name, len(known.Targets), e.ID, age)
+					t.Errorf("%s, %d known: %q is taken for %v old", c.name, len(known.Targets), e.ID, age)
 				}
 				if e.ID == "two seconds" && age > 2*time.Second {
-					t.Errorf("%s, %d known: %q is held for %v old, more than it is", c.name, len(known.Targets), e.ID, age)
+					t.Errorf("%s, %d known: %q is taken for %v old, more than it is", c.name, len(known.Targets), e.ID, age)
 				}
 			}
 		}
 	}
 }
 
-// A fleet that was started as a whole long ago is warm for a new process whose clock is right; where that lies behind the
+// Servers that were all started at once long ago are warmed up for a new process whose clock is right; where that lies behind the
 // starts, slow start takes its time and no longer.
 func TestStartTimesOfFleetStartedTogether(t *testing.T) {
 	list := List{Full: true, Targets: []Target{entry("a", 0), entry("b", time.Second), entry("c", 2*time.Second)}}
 	for _, c := range []struct {
-		name string
-		at   time.Duration
-		cold bool
+		name      string
+		at        time.Duration
+		slowStart bool
 	}{{"ten minutes later", 10 * time.Minute, false}, {"by a clock that lies behind", -50 * time.Minute, true}} {
 		var starts Starts
 		now := epoch + c.at
 		for _, e := range starts.Local(list, false, now, slowStart).Targets {
 			age := now - e.Boot
-			if (age < slowStart) != c.cold || age < 0 {
-				t.Errorf("%s: %q is held for %v old", c.name, e.ID, age)
+			if (age < slowStart) != c.slowStart || age < 0 {
+				t.Errorf("%s: %q is taken for %v old", c.name, e.ID, age)
 			}
 		}
 	}
@@ -184,13 +185,13 @@
 	}
 }
 
-// Servers that are listed no more are not kept for ever.
+// Servers that are no longer listed are not kept for ever.
 func TestStartsForgetUnlistedServers(t *testing.T) {
 	var starts Starts
 	for n := range 1000 {
 		starts.Local(List{Full: true, Targets: []Target{entry(fmt.Sprint(n), 0)}}, false, epoch, slowStart)
 	}
 	if held := len(starts.starts); held > 100 {
-		t.Errorf("%d starts are held for one server", held)
+		t.Errorf("%d starts are kept for one server", held)
 	}
 }
