--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -76,7 +76,7 @@
 		if err := d.Take(v, c, r); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, c.Response(), "the answer"); string(got.Reply.Body) != want {
+		if got := testpeer.Receive(t, c.Response(), "the response"); string(got.Reply.Body) != want {
 			t.Errorf("%s went to %q", class, got.Reply.Body)
 		}
 	}
@@ -85,15 +85,15 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := NewSnapshot(cfg, nil); err == nil {
-		t.Error("a view without engines")
+		t.Error("a snapshot without engines")
 	}
 }
 
-// While views are swapped, every request is taken under the view that it was read under, or is told that this has
-// gone; no request meets a pool that its view does not name, and a retired engine gets none.
+// While snapshots are swapped, every request is submitted under the snapshot that it was read under, or gets ErrStale; no
+// request reaches a pool that its snapshot does not name, and a retired engine gets none.
 func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
-	make2 := func(i int) (*Snapshot, []*engine.Engine) {
+	newSnapshot := func(i int) (*Snapshot, []*engine.Engine) {
 		a, b := newEngine(t, cfg[i], fmt.Sprint("a", i)), newEngine(t, cfg[i], fmt.Sprint("b", i))
 		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{fmt.Sprint("a", i): a, fmt.Sprint("b", i): b})
 		if err != nil {
@@ -101,7 +101,7 @@
 		}
 		return v, []*engine.Engine{a, b}
 	}
-	first, old := make2(0)
+	first, old := newSnapshot(0)
 	d := New(first)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -130,18 +130,18 @@
 						return
 					}
 				case <-time.After(testpeer.Limit):
-					t.Error("no answer")
+					t.Error("no response")
 					return
 				}
 			}
 		}()
 	}
 	for k := range 200 {
-		v, engines := make2((k + 1) % 2)
+		v, engines := newSnapshot((k + 1) % 2)
 		d.Swap(v, func() {})
 		for _, e := range old {
 			e.Retire()
-			testpeer.Receive(t, e.Done(), "the end of a retired engine")
+			testpeer.Receive(t, e.Done(), "the end of a retired engine's Run")
 		}
 		old = engines
 	}
@@ -149,7 +149,7 @@
 	clients.Wait()
 }
 
-// BenchmarkTake is a request's way from a front end to its engine, with its answer.
+// BenchmarkTake takes a request from a front end to its engine, and waits for its response.
 func BenchmarkTake(b *testing.B) {
 	cfg := testpeer.Config()
 	e, _ := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named("x"),
@@ -171,7 +171,7 @@
 	}
 }
 
-// BenchmarkSwap is how long no request is handed over while a configuration with so many pools is put in place.
+// BenchmarkSwap is how long no request is submitted while a configuration with so many pools is put in place.
 func BenchmarkSwap(b *testing.B) {
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
