--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,7 @@
-// Package clock tells the time that decisions go by.
+// Package clock tells the time that decisions go by: monotonic time, counted from what the wall clock showed once.
+//
+// It promises that a Clock never jumps, whatever happens to the wall clock while the process runs. Wall time for people,
+// files and other machines is left to package time, and where it is read is listed in docs/design/clocks.md.
 package clock
 
 import (
@@ -6,28 +9,29 @@
 	"time"
 )
 
-// Clock tells the Unix time that the wall clock showed when it was made, moved on by the monotonic clock: it never jumps,
-// and is off by as much as the wall clock was. Times of other machines' clocks do not compare with it.
+// Clock tells clock time: the Unix time that the wall clock showed when the Clock was made, moved on by monotonic time. It
+// is off by as much as the wall clock was then, so that it does not compare with times of other machines' clocks. A Clock
+// may be copied and used by any goroutine.
 type Clock struct {
-	start time.Time
-	base  time.Duration
+	start time.Time     // read with a monotonic part
+	base  time.Duration // clock time at start
 }
 
-// New returns a Clock that goes on from the system's time of now.
+// New returns a Clock that goes on from the wall clock's time of now.
 func New() Clock { return From(time.Now()) }
 
-// From returns a Clock that goes on from another time as if that were the system's.
+// From returns a Clock that goes on from another time as if that were the wall clock's of now.
 func From(wall time.Time) Clock {
 	return Clock{start: time.Now(), base: time.Duration(wall.UnixNano()) + offset()}
 }
 
-// Now is the time since the beginning of 1970.
+// Now returns clock time: the time since the beginning of 1970.
 func (c Clock) Now() time.Duration { return c.base + time.Since(c.start) }
 
-// Until is how long it is to a time of this clock.
+// Until returns how long it is until a clock time; negative: it has passed.
 func (c Clock) Until(at time.Duration) time.Duration { return at - c.Now() }
 
-// Sleep waits for a while or until ctx ends.
+// Sleep returns after d or once ctx ends, whichever is first.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -19,8 +19,8 @@
 	return stepped
 }
 
-// A step of the wall clock while a process runs changes nothing: only what has passed by the monotonic clock counts. One
-// before it started moves the whole clock, and no span of it.
+// A step of the wall clock while a process runs changes nothing: only monotonic time counts. A step before it started
+// moves all clock times, and no span between them.
 func TestWallClockStepsAreIgnored(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		began := time.Now()
--- a/internal/clock/offset.go
+++ b/internal/clock/offset.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// offset is by how much the clock is off: in this build, never.
+// offset is added to clock time: in this build always 0.
 func offset() time.Duration { return 0 }
--- a/internal/clock/offset_rig.go
+++ b/internal/clock/offset_rig.go
@@ -8,15 +8,18 @@
 	"time"
 )
 
-// offset is by how much the clock is off, as DAMSONTRESTLE_CLOCK_OFF says. Only a build for the fault bench reads it.
+// offsetVariable is the environment variable that holds the offset, as a duration of package time.
+const offsetVariable = "DAMSONTRESTLE_CLOCK_OFF"
+
+// offset is added to clock time, as the environment says. Only a build for the fault bench has it.
 func offset() time.Duration {
-	text := os.Getenv("DAMSONTRESTLE_CLOCK_OFF")
+	text := os.Getenv(offsetVariable)
 	if text == "" {
 		return 0
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "DAMSONTRESTLE_CLOCK_OFF: %v\n", err)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", offsetVariable, err)
 		os.Exit(1)
 	}
 	fmt.Fprintf(os.Stderr, "the clock is off by %v, as a test has asked\n", d)
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -15,23 +15,23 @@
 var wallReads = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
 	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
 
-// readsWall says that a request may make or take a time without its monotonic part: by its name, as the types are not known here.
-func readsWall(request *ast.CallExpr) bool {
-	method, ok := request.Fun.(*ast.SelectorExpr)
+// readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
+func readsWall(call *ast.CallExpr) bool {
+	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !wallReads[method.Sel.Name] {
 		return false
 	}
-	of := ""
+	receiver := ""
 	if name, ok := method.X.(*ast.Ident); ok {
-		of = name.Name
+		receiver = name.Name
 	}
 	switch method.Sel.Name {
 	case "Parse":
-		return of == "time"
+		return receiver == "time"
 	case "Round":
-		return of != "math"
+		return receiver != "math"
 	case "Local", "UTC":
-		return len(request.Args) == 0
+		return len(call.Args) == 0
 	}
 	return true
 }
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	found := 0
-	look := func(path string, d fs.DirEntry, err error) error {
+	check := func(path string, d fs.DirEntry, err error) error {
 		name := strings.TrimPrefix(filepath.ToSlash(path), root+"/")
 		switch {
 		case err != nil:
@@ -60,10 +60,10 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if request, ok := n.(*ast.CallExpr); ok && readsWall(request) {
+			if call, ok := n.(*ast.CallExpr); ok && readsWall(call) {
 				found++
 				if !strings.Contains(string(page), "`"+name+"`") {
-					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(request.Pos()))
+					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(call.Pos()))
 				}
 			}
 			return true
@@ -71,11 +71,11 @@
 		return nil
 	}
 	for _, folder := range []string{"internal", "cmd/damsontrestle"} {
-		if err := filepath.WalkDir(filepath.Join(root, folder), look); err != nil {
+		if err := filepath.WalkDir(filepath.Join(root, folder), check); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if found < 10 {
-		t.Errorf("%d wall times were found: nothing is looked at", found)
+		t.Errorf("%d wall times were found: the check looks at too little", found)
 	}
 }
