--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// checkEach looks at each route by itself.
-func (c *compiler) checkEach() {
+// checkRoutes looks at each route by itself.
+func (c *compiler) checkRoutes() {
 	seen := map[string]int{}
 	def := -1
 	for i, r := range c.routes {
 		if first, twice := seen[r.Name]; twice {
-			c.fail(i, "", "the name %q is used twice", r.Name)
+			c.report(i, "", "the name %q is used twice", r.Name)
 			c.problems[len(c.problems)-1].Other = first
 		}
 		seen[r.Name] = i
@@ -21,25 +21,25 @@
 		c.checkTargets(i)
 		if r.Default {
 			if def >= 0 {
-				c.fail(i, "default", "%q is the default already: one route may be it", c.routes[def].Name)
+				c.report(i, "default", "%q is the default already: one route may be it", c.routes[def].Name)
 			}
 			def = i
 			if len(r.Listeners)+len(r.Classes)+len(r.Hosts)+len(r.Paths)+len(r.Headers) > 0 {
-				c.fail(i, "default", "the default route takes what no other does and has no conditions of its own")
+				c.report(i, "default", "the default route takes what no other does and has no conditions of its own")
 			}
 		}
 		for _, h := range r.Hosts {
-			if why := badHost(h); why != "" {
-				c.fail(i, "hosts", "found %q: %s", h, why)
+			if why := hostProblem(h); why != "" {
+				c.report(i, "hosts", "found %q: %s", h, why)
 			}
 		}
 		for _, p := range r.Paths {
-			if why := badPattern(p); why != "" {
-				c.fail(i, "paths", "found %q: %s", p, why)
+			if why := pathProblem(p); why != "" {
+				c.report(i, "paths", "found %q: %s", p, why)
 			}
 		}
-		c.checkTwice(i, "hosts", r.Hosts)
-		c.checkTwice(i, "paths", r.Paths)
+		c.checkDuplicates(i, "hosts", r.Hosts)
+		c.checkDuplicates(i, "paths", r.Paths)
 		c.checkHeaders(i)
 	}
 }
@@ -48,16 +48,16 @@
 func (c *compiler) checkNames(i int, field string, found, known []string) {
 	for _, n := range found {
 		if !slices.Contains(known, n) {
-			c.fail(i, field, "found %q: there is none of that name; allowed: %s", n, list(known))
+			c.report(i, field, "found %q: there is none of that name; allowed: %s", n, quotedList(known))
 		}
 	}
-	c.checkTwice(i, field, found)
+	c.checkDuplicates(i, field, found)
 }
 
-func (c *compiler) checkTwice(i int, field string, found []string) {
+func (c *compiler) checkDuplicates(i int, field string, found []string) {
 	for k, n := range found {
 		if slices.Contains(found[:k], n) {
-			c.fail(i, field, "%q is listed twice", n)
+			c.report(i, field, "%q is listed twice", n)
 		}
 	}
 }
@@ -65,23 +65,23 @@
 func (c *compiler) checkTargets(i int) {
 	r := c.routes[i]
 	if len(r.To) == 0 {
-		c.fail(i, "to", "it leads to no pool; allowed: %s", list(c.names.Pools))
+		c.report(i, "to", "it leads to no pool; allowed: %s", quotedList(c.names.Pools))
 	}
 	sum := 0
 	for k, t := range r.To {
 		if !slices.Contains(c.names.Pools, t.Pool) {
-			c.fail(i, "to", "found pool %q: there is none of that name; allowed: %s", t.Pool, list(c.names.Pools))
+			c.report(i, "to", "found pool %q: there is none of that name; allowed: %s", t.Pool, quotedList(c.names.Pools))
 		}
 		if t.Weight < 0 || t.Weight > MaxWeight {
-			c.fail(i, "to", "pool %q: found weight %d; allowed: 0 to %d", t.Pool, t.Weight, MaxWeight)
+			c.report(i, "to", "pool %q: found weight %d; allowed: 0 to %d", t.Pool, t.Weight, MaxWeight)
 		}
 		if slices.ContainsFunc(r.To[:k], func(o Target) bool { return o.Pool == t.Pool }) {
-			c.fail(i, "to", "pool %q is listed twice", t.Pool)
+			c.report(i, "to", "pool %q is listed twice", t.Pool)
 		}
 		sum += t.Weight
 	}
 	if len(r.To) > 0 && sum == 0 {
-		c.fail(i, "to", "all weights are 0: one must be above")
+		c.report(i, "to", "all weights are 0: one must be above")
 	}
 }
 
@@ -89,13 +89,13 @@
 	r := c.routes[i]
 	for k, h := range r.Headers {
 		if h.Name == "" || strings.Trim(strings.ToLower(h.Name), tokenChars) != "" {
-			c.fail(i, "headers", "found %q: that is no header's name (RFC 9110 section 5.1)", h.Name)
+			c.report(i, "headers", "found %q: that is no header's name (RFC 9110 section 5.1)", h.Name)
 		}
 		if slices.ContainsFunc(r.Headers[:k], func(o Header) bool { return strings.EqualFold(o.Name, h.Name) }) {
-			c.fail(i, "headers", "%q is listed twice", h.Name)
+			c.report(i, "headers", "%q is listed twice", h.Name)
 		}
 		if h.Equals != nil && strings.ContainsAny(*h.Equals, "\r\n\x00") {
-			c.fail(i, "headers", "%q: its value may hold no line ends and no NUL", h.Name)
+			c.report(i, "headers", "%q: its value may hold no line ends and no NUL", h.Name)
 		}
 	}
 }
@@ -103,8 +103,8 @@
 // tokenChars may stand in a header's name (RFC 9110 section 5.6.2), letters in lower case.
 const tokenChars = "abcdefghijklmnopqrstuvwxyz0123456789!#$%&'*+-.^_`|~"
 
-// badHost says why a pattern of hosts can't be used.
-func badHost(h string) string {
+// hostProblem says why a pattern of hosts can't be used.
+func hostProblem(h string) string {
 	name := strings.TrimPrefix(h, "*.")
 	switch {
 	case h == "*":
@@ -119,8 +119,8 @@
 	return ""
 }
 
-// badPattern says why a pattern of paths can't be used.
-func badPattern(p string) string {
+// pathProblem says why a pattern of paths can't be used.
+func pathProblem(p string) string {
 	path := strings.TrimSuffix(p, "/*")
 	switch {
 	case p == "/*":
@@ -140,8 +140,8 @@
 	return ""
 }
 
-// list is for messages: a few names in order, and how many more there are.
-func list(names []string) string {
+// quotedList is for messages: a few names in order, and how many more there are.
+func quotedList(names []string) string {
 	if len(names) == 0 {
 		return "none, for none is defined"
 	}
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -35,14 +35,14 @@
 	if isPlain(raw) {
 		return raw, Same, nil
 	}
-	spelled, err := spell(raw)
+	spelled, err := normalizeEncoding(raw)
 	if err != nil {
 		return "", Same, err
 	}
 	if spelled != raw {
 		how = Spelled
 	}
-	plain, err = resolve(spelled)
+	plain, err = resolveDotSegments(spelled)
 	if err != nil {
 		return "", Same, err
 	}
@@ -65,8 +65,8 @@
 	return true
 }
 
-// spell writes every percent-encoding in the one way.
-func spell(raw string) (string, error) {
+// normalizeEncoding writes every percent-encoding in the one way.
+func normalizeEncoding(raw string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(raw))
 	var octets []byte // as a server would decode it
@@ -113,8 +113,8 @@
 	return b.String(), nil
 }
 
-// resolve takes dot segments and empty segments out.
-func resolve(path string) (string, error) {
+// resolveDotSegments takes dot segments and empty segments out.
+func resolveDotSegments(path string) (string, error) {
 	segments := strings.Split(path[1:], "/")
 	kept := segments[:0:0]
 	for i, s := range segments {
@@ -152,7 +152,7 @@
 	}
 	path := raw
 	for range 2 {
-		path = decode(path)
+		path = decodeOnce(path)
 	}
 	var kept []string
 	for _, s := range strings.FieldsFunc(path, func(r rune) bool { return r == '/' || r == '\\' }) {
@@ -174,8 +174,8 @@
 	return len(kept) > 0 && kept[0] == class
 }
 
-// decode takes one layer of percent-encoding off, as far as there is one.
-func decode(s string) string {
+// decodeOnce takes one layer of percent-encoding off, as far as there is one.
+func decodeOnce(s string) string {
 	if !strings.Contains(s, "%") {
 		return s
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -208,8 +208,8 @@
 	best = -1
 	var top rank
 	for i, r := range routes {
-		for _, h := range orAny(r.Hosts) {
-			for _, p := range orAny(r.Paths) {
+		for _, h := range patternsOrAny(r.Hosts) {
+			for _, p := range patternsOrAny(r.Paths) {
 				host := strings.ToLower(c.Host)
 				matches := r.Default || (len(r.Listeners) == 0 || contains(r.Listeners, c.Listener)) &&
 					(len(r.Classes) == 0 || contains(r.Classes, c.Class)) &&
@@ -222,7 +222,7 @@
 				if !matches {
 					continue
 				}
-				k := rank{host: hostRank(h), path: pathRank(p), headers: len(r.Headers), values: withValue(r.Headers),
+				k := rank{host: hostRank(h), path: pathRank(p), headers: len(r.Headers), values: countWithValue(r.Headers),
 					class: min(1, len(r.Classes)), named: min(1, len(r.Listeners))}
 				if r.Default {
 					k = rank{host: -1}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -23,14 +23,14 @@
 
 // rule is one route for one listener, class, host and path.
 type rule struct {
-	route   int
-	rank    rank
-	host    string // exact, "*.below", or "" for any
-	path    string // exact, "/below/*", or "" for any
-	headers []Header
-	to      split
-	cell    cellKey
-	taken   *rule // a rule that takes all that this one would, if there is one
+	route      int
+	rank       rank
+	host       string // exact, "*.below", or "" for any
+	path       string // exact, "/below/*", or "" for any
+	headers    []Header
+	split      split
+	cell       cellKey
+	shadowedBy *rule // a rule that takes all that this one would, if there is one
 }
 
 func hostRank(h string) int {
@@ -53,7 +53,7 @@
 	return 2*strings.Count(p, "/") + 1
 }
 
-func withValue(headers []Header) (n int) {
+func countWithValue(headers []Header) (n int) {
 	for _, h := range headers {
 		if h.Equals != nil {
 			n++
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -7,8 +7,8 @@
 
 // split is how a route's requests are shared among its pools.
 type split struct {
-	pools []int // indexes into the table's pools, in the order of their names
-	ends  []uint64
+	pools       []int // indexes into the table's pools, in the order of their names
+	upperBounds []uint64
 }
 
 func newSplit(to []Target, pools []string) split {
@@ -20,7 +20,7 @@
 		if t.Weight > 0 {
 			sum += uint64(t.Weight)
 			i, _ := slices.BinarySearch(pools, t.Pool)
-			s.pools, s.ends = append(s.pools, i), append(s.ends, sum)
+			s.pools, s.upperBounds = append(s.pools, i), append(s.upperBounds, sum)
 		}
 	}
 	return s
@@ -32,10 +32,10 @@
 	if len(s.pools) == 1 {
 		return s.pools[0]
 	}
-	sum := s.ends[len(s.ends)-1]
+	sum := s.upperBounds[len(s.upperBounds)-1]
 	at := uint64(float64(hash(draw)>>11) / (1 << 53) * float64(sum))
 	i := 0
-	for s.ends[i] <= at {
+	for s.upperBounds[i] <= at {
 		i++
 	}
 	return s.pools[i]
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -35,7 +35,7 @@
 	Route int // index of the route that took the request, among those given to Compile
 }
 
-const maxHost = 255
+const maxHostLength = 255
 
 // Choose tells which pool a request goes to; false if no route takes it.
 func (t *Table) Choose(c *Request) (Choice, bool) {
@@ -47,13 +47,13 @@
 	if r == nil {
 		return Choice{}, false
 	}
-	return Choice{Pool: t.pools[r.to.choose(c.Draw)], Route: r.route}, true
+	return Choice{Pool: t.pools[r.split.choose(c.Draw)], Route: r.route}, true
 }
 
 func (t *Table) cell(k cellKey) *cell {
 	c := t.cells[k]
 	if c == nil {
-		c = &cell{exact: map[string]*byPath{}, below: map[string]*byPath{}, any: newByPath()}
+		c = &cell{exact: map[string]*pathRules{}, below: map[string]*pathRules{}, anyHost: newPathRules()}
 		t.cells[k] = c
 	}
 	return c
@@ -73,4 +73,4 @@
 	return h
 }
 
-func canonical(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
+func canonicalHeader(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
