--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -5,6 +5,7 @@
 	"strings"
 )
 
+// cellKey names a cell: a listener and a class.
 type cellKey struct{ listener, class string }
 
 // cell holds the rules for one listener and class.
@@ -27,28 +28,46 @@
 	return &pathRules{exact: map[string][]*rule{}, below: map[string][]*rule{}}
 }
 
+func newCell() *cell {
+	return &cell{exact: map[string]*pathRules{}, below: map[string]*pathRules{}, anyHost: newPathRules()}
+}
+
+// add puts a rule among those of its host and path.
 func (c *cell) add(r *rule) {
-	if r.rank.host < 0 {
+	if r.rank == defaultRank {
 		c.fallback = r
 		return
 	}
-	b := c.anyHost
-	if r.host != "" {
-		in, name := c.exact, r.host
-		if below, ok := strings.CutPrefix(r.host, "*"); ok {
-			in, name = c.below, below
-		}
-		if b = in[name]; b == nil {
-			b = newPathRules()
-			in[name] = b
-		}
+	c.hostRules(r.host).add(r)
+}
+
+// hostRules returns the rules of a pattern of hosts, made if it is the first of it.
+func (c *cell) hostRules(pattern string) *pathRules {
+	if pattern == "" {
+		return c.anyHost
+	}
+	byName := c.exact
+	name, isBelow := strings.CutPrefix(pattern, "*")
+	if isBelow {
+		byName = c.below
+	}
+	rules := byName[name]
+	if rules == nil {
+		rules = newPathRules()
+		byName[name] = rules
 	}
-	switch below, is := strings.CutSuffix(r.path, "/*"); {
+	return rules
+}
+
+// add puts a rule among those of its path.
+func (b *pathRules) add(r *rule) {
+	prefix, isBelow := strings.CutSuffix(r.path, "/*")
+	switch {
 	case r.path == "":
 		b.anyPath = append(b.anyPath, r)
-	case is:
-		b.below[below] = append(b.below[below], r)
-		b.maxDepth = max(b.maxDepth, strings.Count(below, "/"))
+	case isBelow:
+		b.below[prefix] = append(b.below[prefix], r)
+		b.maxDepth = max(b.maxDepth, strings.Count(prefix, "/"))
 	default:
 		b.exact[r.path] = append(b.exact[r.path], r)
 	}
@@ -57,16 +76,17 @@
 // eachRuleList goes over the lists of rules that share host and path.
 func (c *cell) eachRuleList(f func([]*rule)) {
 	c.eachHost(func(b *pathRules) {
-		for _, l := range b.exact {
-			f(l)
+		for _, rules := range b.exact {
+			f(rules)
 		}
-		for _, l := range b.below {
-			f(l)
+		for _, rules := range b.below {
+			f(rules)
 		}
 		f(b.anyPath)
 	})
 }
 
+// eachHost goes over the rules of each pattern of hosts.
 func (c *cell) eachHost(f func(*pathRules)) {
 	for _, b := range c.exact {
 		f(b)
@@ -79,32 +99,16 @@
 
 // sort puts the best rule of each list first.
 func (c *cell) sort() {
-	c.eachRuleList(func(l []*rule) {
-		slices.SortStableFunc(l, func(a, b *rule) int { return b.rank.compare(a.rank) })
+	c.eachRuleList(func(rules []*rule) {
+		slices.SortStableFunc(rules, func(a, b *rule) int { return b.rank.compare(a.rank) })
 	})
 }
 
 // choose tries the hosts' patterns from the narrowest to the widest, within each the paths'.
 func (c *cell) choose(request *Request) *rule {
 	if len(c.exact)+len(c.below) > 0 {
-		host := hostName(request.Host)
-		if b := c.exact[host]; b != nil {
-			if r := b.choose(request); r != nil {
-				return r
-			}
-		}
-		// A longer name than the DNS has (RFC 1035 section 2.3.4) is below none, and would take long to try.
-		for i := range len(host) {
-			if len(c.below) == 0 || len(host) > maxHostLength {
-				break
-			}
-			if i > 0 && host[i] == '.' { // "*.example" takes all below, not the name itself
-				if b := c.below[host[i:]]; b != nil {
-					if r := b.choose(request); r != nil {
-						return r
-					}
-				}
-			}
+		if r := c.chooseByHost(hostName(request.Host), request); r != nil {
+			return r
 		}
 	}
 	if r := c.anyHost.choose(request); r != nil {
@@ -113,6 +117,31 @@
 	return c.fallback
 }
 
+// chooseByHost tries the patterns that a host matches, but for the one of any host.
+func (c *cell) chooseByHost(host string, request *Request) *rule {
+	if rules := c.exact[host]; rules != nil {
+		if r := rules.choose(request); r != nil {
+			return r
+		}
+	}
+	// A longer name than the DNS has is below none, and would take long to try.
+	if len(c.below) == 0 || len(host) > maxHostLength {
+		return nil
+	}
+	for i := 1; i < len(host); i++ { // from 1: "*.example" takes all below, not the name itself
+		if host[i] != '.' {
+			continue
+		}
+		if rules := c.below[host[i:]]; rules != nil {
+			if r := rules.choose(request); r != nil {
+				return r
+			}
+		}
+	}
+	return nil
+}
+
+// choose tries the patterns of paths from the narrowest to the widest.
 func (b *pathRules) choose(request *Request) *rule {
 	if len(b.exact) > 0 {
 		if r := firstMatch(b.exact[request.Path], request); r != nil {
@@ -150,8 +179,11 @@
 		if has == nil {
 			return false
 		}
-		v := has.Values(w.Name)
-		if len(v) == 0 || w.Equals != nil && (len(v) > 1 || v[0] != *w.Equals) {
+		values := has.Values(w.Name)
+		if len(values) == 0 {
+			return false
+		}
+		if w.Equals != nil && (len(values) > 1 || values[0] != *w.Equals) {
 			return false
 		}
 	}
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -6,45 +6,53 @@
 	"strings"
 )
 
-// checkRoutes looks at each route by itself.
+// checkRoutes checks each route by itself, and that names and the default stand once.
 func (c *compiler) checkRoutes() {
-	seen := map[string]int{}
-	def := -1
+	byName := map[string]int{}
+	defaultRoute := noRoute
 	for i, r := range c.routes {
-		if first, twice := seen[r.Name]; twice {
-			c.report(i, "", "the name %q is used twice", r.Name)
-			c.problems[len(c.problems)-1].Other = first
+		if first, twice := byName[r.Name]; twice {
+			problem := c.report(i, "", "the name %q is used twice", r.Name)
+			problem.Other = first
 		}
-		seen[r.Name] = i
+		byName[r.Name] = i
 		c.checkNames(i, "listeners", r.Listeners, c.names.Listeners)
 		c.checkNames(i, "classes", r.Classes, c.names.Classes)
 		c.checkTargets(i)
 		if r.Default {
-			if def >= 0 {
-				c.report(i, "default", "%q is the default already: one route may be it", c.routes[def].Name)
-			}
-			def = i
-			if len(r.Listeners)+len(r.Classes)+len(r.Hosts)+len(r.Paths)+len(r.Headers) > 0 {
-				c.report(i, "default", "the default route takes what no other does and has no conditions of its own")
-			}
-		}
-		for _, h := range r.Hosts {
-			if why := hostProblem(h); why != "" {
-				c.report(i, "hosts", "found %q: %s", h, why)
-			}
-		}
-		for _, p := range r.Paths {
-			if why := pathProblem(p); why != "" {
-				c.report(i, "paths", "found %q: %s", p, why)
-			}
+			c.checkDefault(i, defaultRoute)
+			defaultRoute = i
 		}
+		c.checkPatterns(i, "hosts", r.Hosts, hostProblem)
+		c.checkPatterns(i, "paths", r.Paths, pathProblem)
 		c.checkDuplicates(i, "hosts", r.Hosts)
 		c.checkDuplicates(i, "paths", r.Paths)
 		c.checkHeaders(i)
 	}
 }
 
-// checkNames refuses names that do not exist, and those that come twice.
+// checkDefault rejects a second default route, and conditions of one. earlier is the default before it, or noRoute.
+func (c *compiler) checkDefault(i, earlier int) {
+	if earlier != noRoute {
+		c.report(i, "default", "%q is the default already: one route may be it", c.routes[earlier].Name)
+	}
+	r := c.routes[i]
+	conditions := len(r.Listeners) + len(r.Classes) + len(r.Hosts) + len(r.Paths) + len(r.Headers)
+	if conditions > 0 {
+		c.report(i, "default", "the default route takes what no other does and has no conditions of its own")
+	}
+}
+
+// checkPatterns rejects patterns that can't be used. problem says why one can't; empty: it can.
+func (c *compiler) checkPatterns(i int, field string, patterns []string, problem func(string) string) {
+	for _, pattern := range patterns {
+		if why := problem(pattern); why != "" {
+			c.report(i, field, "found %q: %s", pattern, why)
+		}
+	}
+}
+
+// checkNames rejects names that do not exist, and those that come twice.
 func (c *compiler) checkNames(i int, field string, found, known []string) {
 	for _, n := range found {
 		if !slices.Contains(known, n) {
@@ -54,6 +62,7 @@
 	c.checkDuplicates(i, field, found)
 }
 
+// checkDuplicates rejects what a field lists twice.
 func (c *compiler) checkDuplicates(i int, field string, found []string) {
 	for k, n := range found {
 		if slices.Contains(found[:k], n) {
@@ -62,6 +71,7 @@
 	}
 }
 
+// checkTargets rejects pools that do not exist or come twice, and weights out of range.
 func (c *compiler) checkTargets(i int) {
 	r := c.routes[i]
 	if len(r.To) == 0 {
@@ -85,6 +95,7 @@
 	}
 }
 
+// checkHeaders rejects names and values that no header can have (RFC 9110 section 5), and names that come twice.
 func (c *compiler) checkHeaders(i int) {
 	r := c.routes[i]
 	for k, h := range r.Headers {
@@ -103,7 +114,7 @@
 // tokenChars may stand in a header's name (RFC 9110 section 5.6.2), letters in lower case.
 const tokenChars = "abcdefghijklmnopqrstuvwxyz0123456789!#$%&'*+-.^_`|~"
 
-// hostProblem says why a pattern of hosts can't be used.
+// hostProblem says why a pattern of hosts can't be used; empty: it can.
 func hostProblem(h string) string {
 	name := strings.TrimPrefix(h, "*.")
 	switch {
@@ -119,7 +130,7 @@
 	return ""
 }
 
-// pathProblem says why a pattern of paths can't be used.
+// pathProblem says why a pattern of paths can't be used; empty: it can.
 func pathProblem(p string) string {
 	path := strings.TrimSuffix(p, "/*")
 	switch {
@@ -132,26 +143,30 @@
 	case strings.ContainsAny(p, "?#"):
 		return "a path has no query and no fragment here"
 	}
-	if plain, err := Plain(path); err != nil {
+	plain, err := Plain(path)
+	if err != nil {
 		return err.Error()
-	} else if plain != path {
+	}
+	if plain != path {
 		return fmt.Sprintf("no call's path looks so: its plain form is %q", plain)
 	}
 	return ""
 }
 
-// quotedList is for messages: a few names in order, and how many more there are.
+// maxListed is how many names a message lists.
+const maxListed = 8
+
+// quotedList is for messages: the first names in order, and how many more there are.
 func quotedList(names []string) string {
 	if len(names) == 0 {
 		return "none, for none is defined"
 	}
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
-	const most = 8
 	rest := ""
-	if len(sorted) > most {
-		rest = fmt.Sprintf(" and %d more", len(sorted)-most)
-		sorted = sorted[:most]
+	if len(sorted) > maxListed {
+		rest = fmt.Sprintf(" and %d more", len(sorted)-maxListed)
+		sorted = sorted[:maxListed]
 	}
 	for i, n := range sorted {
 		sorted[i] = fmt.Sprintf("%q", n)
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
+	"net/textproto"
 	"slices"
 	"strings"
 )
 
-// Compile makes a Table of routes, or tells all that is wrong with them.
+// Compile makes a Table of routes, or returns all that is wrong with them.
 func Compile(routes []Route, names Names) (*Table, []Problem) {
 	c := &compiler{routes: routes, names: names, table: &Table{cells: map[cellKey]*cell{}}}
 	c.checkRoutes()
@@ -23,48 +24,36 @@
 	return c.table, nil
 }
 
-// compiler holds what Compile knows halfway.
+// compiler is the state of one Compile.
 type compiler struct {
 	routes   []Route
 	names    Names
 	table    *Table
-	rules    [][]*rule // of each route
+	rules    [][]*rule // by route
 	problems []Problem
 }
 
-func (c *compiler) report(route int, field, format string, args ...any) {
-	c.problems = append(c.problems, Problem{Route: route, Field: field, Other: -1, Message: fmt.Sprintf(format, args...)})
+// report notes what is wrong with a route, or with the routes as a whole (noRoute). The Problem that it returns may be added
+// to until the next report.
+func (c *compiler) report(route int, field, format string, args ...any) *Problem {
+	c.problems = append(c.problems, Problem{
+		Route:   route,
+		Field:   field,
+		Other:   noRoute,
+		Message: fmt.Sprintf(format, args...),
+	})
+	return &c.problems[len(c.problems)-1]
 }
 
-// placeRules makes the rules of every route and puts each into the cells that it belongs to: with listeners and
-// classes named one by one, whether a rule can match at all is told within its cell.
+// placeRules makes the rules of every route and puts each into the cell that it belongs to: with listeners and
+// classes named one by one, whether a rule can match at all can be seen within its cell.
 func (c *compiler) placeRules() {
 	c.rules = make([][]*rule, len(c.routes))
 	for i, r := range c.routes {
-		to := newSplit(r.To, c.table.pools)
-		headers := slices.Clone(r.Headers)
-		for k := range headers {
-			headers[k].Name = canonicalHeader(headers[k].Name)
-		}
-		for _, l := range namedOrAll(r.Listeners, c.names.Listeners) {
+		common := rule{route: i, headers: canonicalHeaders(r.Headers), split: newSplit(r.To, c.table.pools)}
+		for _, listener := range namedOrAll(r.Listeners, c.names.Listeners) {
 			for _, class := range namedOrAll(r.Classes, c.names.Classes) {
-				key := cellKey{l, class}
-				for _, h := range patternsOrAny(r.Hosts) {
-					for _, p := range patternsOrAny(r.Paths) {
-						path, fits := patternForClass(p, class)
-						if !fits {
-							continue
-						}
-						n := &rule{route: i, host: h, path: path, headers: headers, split: to, cell: key, rank: rank{
-							host: hostRank(h), path: pathRank(p), headers: len(headers), values: countWithValue(headers),
-							class: min(1, len(r.Classes)), named: min(1, len(r.Listeners))}}
-						if r.Default {
-							n.rank = rank{host: -1}
-						}
-						c.rules[i] = append(c.rules[i], n)
-						c.table.cell(key).add(n)
-					}
-				}
+				c.addRules(cellKey{listener: listener, class: class}, common)
 			}
 		}
 	}
@@ -73,6 +62,36 @@
 	}
 }
 
+// addRules puts a rule into a cell for each host and path of a route that requests of the cell's class can have. common is
+// what the rules of the route share.
+func (c *compiler) addRules(key cellKey, common rule) {
+	r := c.routes[common.route]
+	for _, host := range patternsOrAny(r.Hosts) {
+		for _, path := range patternsOrAny(r.Paths) {
+			pattern, fits := patternForClass(path, key.class)
+			if !fits {
+				continue
+			}
+			added := common
+			added.host = host
+			added.path = pattern
+			added.rank = rankOf(r, host, path)
+			c.rules[common.route] = append(c.rules[common.route], &added)
+			c.table.cell(key).add(&added)
+		}
+	}
+}
+
+// canonicalHeaders returns a copy of headers with canonical names.
+func canonicalHeaders(headers []Header) []Header {
+	canonical := slices.Clone(headers)
+	for i := range canonical {
+		canonical[i].Name = textproto.CanonicalMIMEHeaderKey(canonical[i].Name)
+	}
+	return canonical
+}
+
+// namedOrAll returns the names that a route lists, or all where it lists none.
 func namedOrAll(named, all []string) []string {
 	if len(named) == 0 {
 		return all
@@ -80,6 +99,7 @@
 	return named
 }
 
+// patternsOrAny returns the patterns that a route lists, or the one for any where it lists none.
 func patternsOrAny(patterns []string) []string {
 	if len(patterns) == 0 {
 		return []string{""}
@@ -87,8 +107,8 @@
 	return patterns
 }
 
-// patternForClass says whether requests of a class can have such a path: a path's first part is its class. A pattern
-// that takes the whole class is the same as none, but for its rank.
+// patternForClass returns a pattern of paths as it is to be matched against requests of a class; false if none of them can
+// match, for a path's first part is its class. A pattern that takes the whole class is the same as none, but for its rank.
 func patternForClass(pattern, class string) (string, bool) {
 	if pattern == "" {
 		return "", true
--- a/internal/route/overlap.go
+++ b/internal/route/overlap.go
@@ -3,44 +3,61 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 )
 
-// checkRulesTogether refuses what only the routes together show.
+// checkRulesTogether rejects what only the routes together show.
 func (c *compiler) checkRulesTogether() {
+	c.checkReachable()
+	if !c.checkOverlaps() {
+		c.checkShadowed()
+	}
+	c.checkClassesServed()
+}
+
+// checkReachable rejects a route whose paths no request of its classes can have.
+func (c *compiler) checkReachable() {
 	for i, r := range c.routes {
 		if len(c.rules[i]) == 0 {
 			c.report(i, "paths", "it can never match: a path's first part is the class, and %s has none of its classes there; classes: %s",
 				strings.Join(r.Paths, ", "), quotedList(namedOrAll(r.Classes, c.names.Classes)))
 		}
 	}
-	keys := make([]cellKey, 0, len(c.table.cells))
-	for k := range c.table.cells {
-		keys = append(keys, k)
-	}
-	slices.SortFunc(keys, func(a, b cellKey) int {
-		return cmp.Or(cmp.Compare(a.listener, b.listener), cmp.Compare(a.class, b.class))
-	})
-	overlaps := map[[2]int]bool{}
-	for _, k := range keys {
-		c.table.cells[k].compare(func(a, b *rule) {
-			pair := [2]int{min(a.route, b.route), max(a.route, b.route)}
+}
+
+// checkOverlaps rejects two routes that one request could go by, with none of them before the other. It returns whether
+// there are any.
+func (c *compiler) checkOverlaps() bool {
+	overlaps := map[[2]int]bool{} // pairs of routes
+	for _, key := range c.sortedCells() {
+		c.table.cells[key].compare(func(a, b *rule) {
+			first := min(a.route, b.route)
+			second := max(a.route, b.route)
+			pair := [2]int{first, second}
 			if overlaps[pair] {
 				return
 			}
 			overlaps[pair] = true
-			c.report(pair[1], "", "it overlaps route %q with the same rank: a call of class %q at listener %q%s could go either way",
-				c.routes[pair[0]].Name, k.class, k.listener, describeConditions(a))
-			c.problems[len(c.problems)-1].Other = pair[0]
+			problem := c.report(second, "", "it overlaps route %q with the same rank: a call of class %q at listener %q%s could go either way",
+				c.routes[first].Name, key.class, key.listener, describeConditions(a))
+			problem.Other = first
 		})
 	}
-	if len(overlaps) == 0 {
-		c.checkShadowed()
-	}
-	c.checkClassesServed()
+	return len(overlaps) > 0
+}
+
+// sortedCells returns the keys of the table's cells in order, so that problems always come in the same one.
+func (c *compiler) sortedCells() []cellKey {
+	keys := slices.Collect(maps.Keys(c.table.cells))
+	slices.SortFunc(keys, func(a, b cellKey) int {
+		return cmp.Or(cmp.Compare(a.listener, b.listener), cmp.Compare(a.class, b.class))
+	})
+	return keys
 }
 
+// describeConditions says which host and path a rule asks for.
 func describeConditions(r *rule) string {
 	var b strings.Builder
 	if r.host != "" {
@@ -52,33 +69,40 @@
 	return b.String()
 }
 
-// checkShadowed refuses a route whose every rule loses to another that takes all that it would. The default is
+// checkShadowed rejects a route whose every rule loses to another that takes all that it would. The default is
 // there for what may be left, be it nothing.
 func (c *compiler) checkShadowed() {
 	for i, rules := range c.rules {
-		if len(rules) == 0 || c.routes[i].Default || slices.ContainsFunc(rules, func(r *rule) bool { return r.shadowedBy == nil }) {
+		if len(rules) == 0 || c.routes[i].Default || slices.ContainsFunc(rules, isReachable) {
 			continue
 		}
-		var by []string
+		var others []string
 		for _, r := range rules {
-			if n := c.routes[r.shadowedBy.route].Name; !slices.Contains(by, n) {
-				by = append(by, n)
+			name := c.routes[r.shadowedBy.route].Name
+			if !slices.Contains(others, name) {
+				others = append(others, name)
 			}
 		}
-		c.report(i, "", "it can never match: all that it would take goes to %s", quotedList(by))
-		c.problems[len(c.problems)-1].Other = rules[0].shadowedBy.route
+		problem := c.report(i, "", "it can never match: all that it would take goes to %s", quotedList(others))
+		problem.Other = rules[0].shadowedBy.route
 	}
 }
 
-// checkClassesServed refuses a class that leads nowhere from any listener.
+// isReachable says that no other rule takes all that a rule would.
+func isReachable(r *rule) bool { return r.shadowedBy == nil }
+
+// checkClassesServed rejects a class that leads nowhere from any listener.
 func (c *compiler) checkClassesServed() {
+	if len(c.names.Listeners) == 0 {
+		return
+	}
 	for _, class := range c.names.Classes {
-		served := slices.ContainsFunc(c.names.Listeners, func(l string) bool {
-			return c.table.cells[cellKey{l, class}] != nil
+		served := slices.ContainsFunc(c.names.Listeners, func(listener string) bool {
+			return c.table.cells[cellKey{listener: listener, class: class}] != nil
 		})
-		if !served && len(c.names.Listeners) > 0 {
-			c.report(-1, "", "no route serves class %q", class)
-			c.problems[len(c.problems)-1].Class = class
+		if !served {
+			problem := c.report(noRoute, "", "no route serves class %q", class)
+			problem.Class = class
 		}
 	}
 }
@@ -87,13 +111,13 @@
 // that it would. Only rules that share host and path can do either: of patterns that differ, the narrower
 // one leaves the wider requests that it does not match, and has the greater rank.
 func (c *cell) compare(overlap func(a, b *rule)) {
-	c.eachRuleList(func(l []*rule) {
-		for i, r := range l {
-			for _, better := range l[:i] {
+	c.eachRuleList(func(rules []*rule) {
+		for i, r := range rules {
+			for _, better := range rules[:i] {
 				if better.rank == r.rank && compatible(better.headers, r.headers) {
 					overlap(better, r)
 				}
-				if r.shadowedBy == nil && implies(better.headers, r.headers) {
+				if r.shadowedBy == nil && impliedBy(better.headers, r.headers) {
 					r.shadowedBy = better
 				}
 			}
@@ -105,7 +129,9 @@
 func compatible(a, b []Header) bool {
 	for _, x := range a {
 		for _, y := range b {
-			if x.Name == y.Name && x.Equals != nil && y.Equals != nil && *x.Equals != *y.Equals {
+			sameName := x.Name == y.Name
+			bothValued := x.Equals != nil && y.Equals != nil
+			if sameName && bothValued && *x.Equals != *y.Equals {
 				return false
 			}
 		}
@@ -113,11 +139,24 @@
 	return true
 }
 
-// implies says that whatever carries the headers of b carries those of a.
-func implies(a, b []Header) bool {
-	return !slices.ContainsFunc(a, func(x Header) bool {
-		return !slices.ContainsFunc(b, func(y Header) bool {
-			return x.Name == y.Name && (x.Equals == nil || y.Equals != nil && *x.Equals == *y.Equals)
-		})
-	})
+// impliedBy says that whatever carries the headers of b carries those of a.
+func impliedBy(a, b []Header) bool {
+	for _, wanted := range a {
+		implies := func(given Header) bool { return headerImplies(given, wanted) }
+		if !slices.ContainsFunc(b, implies) {
+			return false
+		}
+	}
+	return true
+}
+
+// headerImplies says that whatever carries one header carries another.
+func headerImplies(given, wanted Header) bool {
+	if given.Name != wanted.Name {
+		return false
+	}
+	if wanted.Equals == nil {
+		return true
+	}
+	return given.Equals != nil && *given.Equals == *wanted.Equals
 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -3,27 +3,41 @@
 import (
 	"errors"
 	"fmt"
+	"strconv"
 	"strings"
 	"unicode/utf8"
 )
 
-// Reading tells how a path came to its plain form.
+// Reading says how a path was brought to its plain form.
 type Reading int
 
-// Readings, from the harmless.
+// Readings, the harmless ones first.
 const (
 	Same    Reading = iota // it was plain
 	Spelled                // other percent-encodings of the same characters (RFC 3986 section 6.2.2.2)
 	Moved                  // dot segments resolved or empty segments dropped: a server may read it otherwise
 )
 
-// Plain is the plain form of a path; see Read.
+// String returns the name of the reading, for logs and tests.
+func (r Reading) String() string {
+	switch r {
+	case Same:
+		return "same"
+	case Spelled:
+		return "spelled"
+	case Moved:
+		return "moved"
+	}
+	return "Reading(" + strconv.Itoa(int(r)) + ")"
+}
+
+// Plain returns the plain form of a path; see Read.
 func Plain(raw string) (string, error) {
 	plain, _, err := Read(raw)
 	return plain, err
 }
 
-// Read tells the plain form of a path (without its query): percent-encodings only where they are needed, with
+// Read returns the plain form of a path (without its query): percent-encodings only where they are needed, with
 // upper-case digits (RFC 3986 sections 6.2.2.1 and 6.2.2.2), no dot segments (section 5.2.4) and no empty
 // segments but a last one. A path that servers are known to read in more than one way whatever is made of it is
 // an error: encoded separators, backslashes, control characters, dots behind a semicolon, what is encoded
@@ -52,7 +66,7 @@
 	return plain, how, nil
 }
 
-// isPlain is the quick look that most paths pass.
+// isPlain is a quick check that most paths pass: a path that does is its own plain form.
 func isPlain(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		switch c := raw[i]; {
@@ -65,11 +79,11 @@
 	return true
 }
 
-// normalizeEncoding writes every percent-encoding in the one way.
+// normalizeEncoding writes each character in one way: percent-encoded only where it has to be, with upper-case digits.
 func normalizeEncoding(raw string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(raw))
-	var octets []byte // as a server would decode it
+	var octets []byte // the path as a server would decode it
 	for i := 0; i < len(raw); i++ {
 		c := raw[i]
 		switch {
@@ -98,14 +112,11 @@
 		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
-			const digits = "0123456789ABCDEF"
-			b.Write([]byte{'%', digits[c>>4], digits[c&15]})
+			writePercentEncoded(&b, c)
 		}
 	}
-	for i := range octets {
-		if octets[i] == '%' && i+2 < len(octets) && isHex(octets[i+1]) && isHex(octets[i+2]) {
-			return "", errors.New("it is percent-encoded twice")
-		}
+	if hasPercentEncoding(octets) {
+		return "", errors.New("it is percent-encoded twice")
 	}
 	if !utf8.Valid(octets) {
 		return "", errors.New("it is no UTF-8 once decoded")
@@ -113,7 +124,25 @@
 	return b.String(), nil
 }
 
-// resolveDotSegments takes dot segments and empty segments out.
+// writePercentEncoded writes an octet in its percent-encoding (RFC 3986 section 2.1).
+func writePercentEncoded(b *strings.Builder, octet byte) {
+	const digits = "0123456789ABCDEF"
+	b.WriteByte('%')
+	b.WriteByte(digits[octet>>4])
+	b.WriteByte(digits[octet&15])
+}
+
+// hasPercentEncoding says that octets hold a percent-encoding.
+func hasPercentEncoding(octets []byte) bool {
+	for i := range octets {
+		if octets[i] == '%' && i+2 < len(octets) && isHex(octets[i+1]) && isHex(octets[i+2]) {
+			return true
+		}
+	}
+	return false
+}
+
+// resolveDotSegments takes dot segments and empty segments out (RFC 3986 section 5.2.4).
 func resolveDotSegments(path string) (string, error) {
 	segments := strings.Split(path[1:], "/")
 	kept := segments[:0:0]
@@ -139,7 +168,7 @@
 	return "/" + strings.Join(kept, "/"), nil
 }
 
-// Agrees says that a path sent on as it came is of its class in the eyes of the most liberal server too: one
+// Agrees says that a path that is forwarded as it came is of its class for the most liberal server too: one
 // that decodes twice, takes backslashes for slashes and cuts parameters off. The class is the path's first
 // part.
 func Agrees(raw, class string) bool {
@@ -156,8 +185,8 @@
 	}
 	var kept []string
 	for _, s := range strings.FieldsFunc(path, func(r rune) bool { return r == '/' || r == '\\' }) {
-		s, _, _ = strings.Cut(s, ";")
-		switch s {
+		name, _, _ := strings.Cut(s, ";")
+		switch name {
 		case ".", "":
 		case "..":
 			if len(kept) == 0 {
@@ -165,7 +194,7 @@
 			}
 			kept = kept[:len(kept)-1]
 		default:
-			kept = append(kept, s)
+			kept = append(kept, name)
 		}
 		if len(kept) > 0 && kept[0] != class {
 			return false
@@ -191,10 +220,12 @@
 	return string(b)
 }
 
+// isHex says that a character is a hexadecimal digit.
 func isHex(c byte) bool {
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
+// unhex returns the value of a hexadecimal digit.
 func unhex(c byte) byte {
 	switch {
 	case c <= '9':
@@ -205,7 +236,7 @@
 	return c - 'a' + 10
 }
 
-// isUnreserved are the characters that mean the same encoded or not (RFC 3986 section 2.3).
+// isUnreserved says that a character means the same percent-encoded or not (RFC 3986 section 2.3).
 func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
 		c == '-' || c == '.' || c == '_' || c == '~'
--- a/internal/route/path_test.go
+++ b/internal/route/path_test.go
@@ -59,12 +59,12 @@
 				t.Errorf("%q: %q, %v; want an error of %q", c.raw, plain, err, c.err)
 			}
 		case err != nil || plain != c.plain || how != c.how:
-			t.Errorf("%q: %q, %d, %v; want %q, %d", c.raw, plain, how, err, c.plain, c.how)
+			t.Errorf("%q: %q, %v, %v; want %q, %v", c.raw, plain, how, err, c.plain, c.how)
 		}
 	}
 }
 
-// A path that is sent on as it came must be of its class to every server.
+// A path that is forwarded as it came must be of its class for every server.
 func TestPathAgreesWithItsClass(t *testing.T) {
 	for raw, agrees := range map[string]bool{
 		"/view/k": true, "/view": true, "/view/": true, "/view//x/../y": true, `/view/"odd"|{};,`: true, "/view/a%2fB": true,
@@ -92,10 +92,10 @@
 		}
 		again, same, err := Read(plain)
 		if err != nil || again != plain || same != Same {
-			t.Fatalf("%q is read as %q, and that as %q (%d, %v)", raw, plain, again, same, err)
+			t.Fatalf("%q is read as %q, and that as %q (%v, %v)", raw, plain, again, same, err)
 		}
 		if (how == Same) != (plain == raw) {
-			t.Fatalf("%q is read as %q: %d", raw, plain, how)
+			t.Fatalf("%q is read as %q: %v", raw, plain, how)
 		}
 		for _, s := range strings.Split(plain[1:], "/") {
 			if s == "." || s == ".." {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,9 @@
-// Package route decides which pool a request goes to. A Table is compiled once from the routes of a
-// configuration, whole or not at all, and never changes; the same request gets the same answer from it every
-// time. The package does no I/O, has no clock and draws nothing.
+// Package route decides which pool a request goes to, and brings paths to the one form that routes are matched against.
+//
+// A Table is compiled from the routes of a configuration, completely or not at all, and never changes. The package promises
+// that the same request gets the same pool from it every time, on every node, and that routes that are ambiguous or can
+// never match do not compile. It does no I/O, has no clock and draws nothing; classes, listeners and pools themselves are
+// left to package config.
 package route
 
 // Route says which requests go to which pools. What it leaves empty holds for all; what it lists holds for any
@@ -28,9 +31,12 @@
 	Weight int    `json:"weight"`
 }
 
-// MaxWeight bounds a weight.
+// MaxWeight is the highest weight that is allowed.
 const MaxWeight = 1_000_000
 
+// noRoute is an index for no single route.
+const noRoute = -1
+
 // Problem is what is wrong with routes. Its message names the other route where two are concerned.
 type Problem struct {
 	Route   int    // index of the route at fault; -1: no single one is
@@ -40,6 +46,7 @@
 	Other   int // index of the other route concerned; -1: none
 }
 
+// String returns the message.
 func (p Problem) String() string { return p.Message }
 
 // Names are what the routes of a configuration may refer to.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -105,11 +105,11 @@
 		"main note g /note/k": "-", "gone view h /view/k": "-", "main none h /none/k": "-",
 	})
 	if _, ok := table.Choose(&Request{Listener: "main", Class: "view", Host: "h", Path: "/view"}); !ok {
-		t.Error("a call without headers goes nowhere")
+		t.Error("a request without headers goes nowhere")
 	}
 }
 
-// Refusals name the route at fault, and the other one where there is one.
+// Problems name the route at fault, and the other one where there is one.
 func TestInvalidRoutesAreRejected(t *testing.T) {
 	def := Route{Name: "rest", Default: true, To: to("a")}
 	for _, c := range []struct {
@@ -172,12 +172,12 @@
 	}
 }
 
-// Weights share requests out by what they are drawn by, the same each time, and a weight that grows takes requests
-// from the others only.
+// Weights split requests by their draws, the same way each time, and a weight that grows takes requests from the other pools
+// only.
 func TestWeightsSplitRequestsAmongPools(t *testing.T) {
-	count := func(a, b int) (toA int, who map[string]bool) {
+	count := func(a, b int) (toA int, draws map[string]bool) {
 		table := compile(t, Route{Name: "r", To: []Target{{Pool: "b", Weight: b}, {Pool: "a", Weight: a}, {Pool: "c"}}})
-		who = map[string]bool{}
+		draws = map[string]bool{}
 		for i := range 10000 {
 			c := &Request{Listener: "main", Class: "view", Path: "/view/k", Draw: fmt.Sprint("id-", i)}
 			got, _ := table.Choose(c)
@@ -186,10 +186,10 @@
 			}
 			if got.Pool == "a" {
 				toA++
-				who[c.Draw] = true
+				draws[c.Draw] = true
 			}
 		}
-		return toA, who
+		return toA, draws
 	}
 	few, first := count(1, 9)
 	more, then := count(2, 8)
@@ -203,8 +203,8 @@
 	}
 }
 
-// naive finds a request's route by looking at all of them: what Table must do faster.
-func naive(routes []Route, c *Request) (best int) {
+// linearSearch finds a request's route by looking at all of them: what Table must do faster.
+func linearSearch(routes []Route, c *Request) (best int) {
 	best = -1
 	var top rank
 	for i, r := range routes {
@@ -223,7 +223,7 @@
 					continue
 				}
 				k := rank{host: hostRank(h), path: pathRank(p), headers: len(r.Headers), values: countWithValue(r.Headers),
-					class: min(1, len(r.Classes)), named: min(1, len(r.Listeners))}
+					class: min(1, len(r.Classes)), listener: min(1, len(r.Listeners))}
 				if r.Default {
 					k = rank{host: -1}
 				}
@@ -245,7 +245,7 @@
 	return false
 }
 
-// drawRoutes makes routes that often overlap, so that many sets are refused and many are not.
+// drawRoutes makes routes that often overlap, so that many sets are rejected and many are not.
 func drawRoutes(t *rapid.T) []Route {
 	some := func(label string, from ...string) []string {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, 2, rapid.ID[string]).Draw(t, label)
@@ -282,7 +282,7 @@
 	return c
 }
 
-// For any routes that compile, the table chooses as the look at all of them does, and every route but the
+// For any routes that compile, the table chooses as a linear search does, and every route but the
 // default takes some request.
 func TestTableChoosesRuleOfHighestRank(t *testing.T) {
 	compiled, requests := 0, 0
@@ -296,13 +296,13 @@
 		for range 20 {
 			c := drawRequest(t)
 			got, ok := table.Choose(c)
-			if want := naive(routes, c); !ok || got.Route != want {
+			if want := linearSearch(routes, c); !ok || got.Route != want {
 				t.Fatalf("%+v: route %d, want %d", c, got.Route, want)
 			}
 			requests++
 		}
 	})
-	t.Logf("%d sets of routes compiled, %d calls", compiled, requests)
+	t.Logf("%d sets of routes compiled, %d requests", compiled, requests)
 }
 
 // What compiles has no two routes of the same rank for one request, and each route takes some request; what does
@@ -333,18 +333,18 @@
 		routes := drawRoutes(t)
 		_, problems := Compile(routes, testNames)
 		taken := map[int]bool{len(routes) - 1: true}
-		either := false
+		ambiguous := false
 		for _, c := range all {
-			first := naive(routes, c)
+			first := linearSearch(routes, c)
 			taken[first] = true
 			reversed := make([]Route, 0, len(routes))
 			for i := range routes {
 				reversed = append(reversed, routes[len(routes)-1-i])
 			}
-			either = either || first != len(routes)-1-naive(reversed, c)
+			ambiguous = ambiguous || first != len(routes)-1-linearSearch(reversed, c)
 		}
-		if bad := either || len(taken) < len(routes); bad != (len(problems) > 0) {
-			t.Fatalf("an overlap: %v; %d of %d routes take calls; problems: %v", either, len(taken), len(routes), problems)
+		if bad := ambiguous || len(taken) < len(routes); bad != (len(problems) > 0) {
+			t.Fatalf("an overlap: %v; %d of %d routes take requests; problems: %v", ambiguous, len(taken), len(routes), problems)
 		}
 	})
 }
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -5,52 +5,66 @@
 	"strings"
 )
 
-// split is how a route's requests are shared among its pools.
+// split shares a route's requests among its pools by their weights.
 type split struct {
-	pools       []int // indexes into the table's pools, in the order of their names
-	upperBounds []uint64
+	pools       []int    // indexes into the table's pools, in the order of their names
+	upperBounds []uint64 // sums of the weights up to and with each pool
 }
 
-func newSplit(to []Target, pools []string) split {
-	to = slices.Clone(to)
-	slices.SortFunc(to, func(a, b Target) int { return strings.Compare(a.Pool, b.Pool) })
+// newSplit returns the split of targets among pools, which are sorted. Targets without weight get nothing.
+func newSplit(targets []Target, pools []string) split {
+	targets = slices.Clone(targets)
+	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.Pool, b.Pool) })
 	var s split
 	var sum uint64
-	for _, t := range to {
-		if t.Weight > 0 {
-			sum += uint64(t.Weight)
-			i, _ := slices.BinarySearch(pools, t.Pool)
-			s.pools, s.upperBounds = append(s.pools, i), append(s.upperBounds, sum)
+	for _, target := range targets {
+		if target.Weight <= 0 {
+			continue
 		}
+		sum += uint64(target.Weight)
+		pool, _ := slices.BinarySearch(pools, target.Pool)
+		s.pools = append(s.pools, pool)
+		s.upperBounds = append(s.upperBounds, sum)
 	}
 	return s
 }
 
-// choose settles on a pool by what is to be drawn by. Each pool has a run of the whole, so that a weight that
-// changes a little moves few.
+// choose returns the pool for a draw. Each pool has one range of the sum of weights, so that a weight that
+// changes a little migrates few requests.
 func (s split) choose(draw string) int {
 	if len(s.pools) == 1 {
 		return s.pools[0]
 	}
 	sum := s.upperBounds[len(s.upperBounds)-1]
-	at := uint64(float64(hash(draw)>>11) / (1 << 53) * float64(sum))
+	point := uint64(unitInterval(hash(draw)) * float64(sum))
 	i := 0
-	for s.upperBounds[i] <= at {
+	for s.upperBounds[i] <= point {
 		i++
 	}
 	return s.pools[i]
 }
 
-// hash is FNV-1a with 64 bits, its low bits mixed into the high ones that choose goes by: the same on every
+// unitInterval maps a hash to [0, 1) by its highest 53 bits, as many as a float64 holds.
+func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+
+// FNV-1a with 64 bits, and the multipliers of MurmurHash3's finalizer.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+	mix1      = 0xff51afd7ed558ccd
+	mix2      = 0xc4ceb9fe1a85ec53
+)
+
+// hash is FNV-1a, its low bits mixed into the high ones that choose goes by: the same on every
 // node and after every start, as a drawn seed would not be.
 func hash(s string) uint64 {
-	h := uint64(14695981039346656037)
+	h := uint64(fnvOffset)
 	for i := range len(s) {
-		h = (h ^ uint64(s[i])) * 1099511628211
+		h = (h ^ uint64(s[i])) * fnvPrime
 	}
 	h ^= h >> 33
-	h *= 0xff51afd7ed558ccd
+	h *= mix1
 	h ^= h >> 33
-	h *= 0xc4ceb9fe1a85ec53
+	h *= mix2
 	return h ^ h>>33
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -1,9 +1,6 @@
 package route
 
-import (
-	"net/textproto"
-	"strings"
-)
+import "strings"
 
 // Table chooses pools. It is made by Compile and never changes.
 type Table struct {
@@ -18,14 +15,14 @@
 	Host     string // as the client named it, with or without a port
 	Path     string // in its plain form, without the query
 	Headers  Headers
-	// Draw settles which of several pools: it stays the same for requests that must meet the same servers, as
-	// those with one idempotency key.
+	// Draw settles which of several pools takes the request: it is the same for requests that must reach the same servers,
+	// as those with one idempotency key.
 	Draw string
 }
 
-// Headers tells the values of headers. http.Header is one.
+// Headers are the headers of a request. http.Header is an implementation.
 type Headers interface {
-	// Values of a header by its canonical name (textproto.CanonicalMIMEHeaderKey).
+	// Values returns the values of a header by its canonical name (textproto.CanonicalMIMEHeaderKey).
 	Values(name string) []string
 }
 
@@ -35,26 +32,29 @@
 	Route int // index of the route that took the request, among those given to Compile
 }
 
+// maxHostLength is the length of the longest name that the DNS has, in octets (RFC 1035 section 2.3.4).
 const maxHostLength = 255
 
-// Choose tells which pool a request goes to; false if no route takes it.
-func (t *Table) Choose(c *Request) (Choice, bool) {
-	cell := t.cells[cellKey{c.Listener, c.Class}]
+// Choose returns where a request goes; false if no route takes it.
+func (t *Table) Choose(request *Request) (Choice, bool) {
+	cell := t.cells[cellKey{listener: request.Listener, class: request.Class}]
 	if cell == nil {
 		return Choice{}, false
 	}
-	r := cell.choose(c)
-	if r == nil {
+	chosen := cell.choose(request)
+	if chosen == nil {
 		return Choice{}, false
 	}
-	return Choice{Pool: t.pools[r.split.choose(c.Draw)], Route: r.route}, true
+	pool := t.pools[chosen.split.choose(request.Draw)]
+	return Choice{Pool: pool, Route: chosen.route}, true
 }
 
-func (t *Table) cell(k cellKey) *cell {
-	c := t.cells[k]
+// cell returns the cell of a key, made if it is the first of it.
+func (t *Table) cell(key cellKey) *cell {
+	c := t.cells[key]
 	if c == nil {
-		c = &cell{exact: map[string]*pathRules{}, below: map[string]*pathRules{}, anyHost: newPathRules()}
-		t.cells[k] = c
+		c = newCell()
+		t.cells[key] = c
 	}
 	return c
 }
@@ -72,5 +72,3 @@
 	}
 	return h
 }
-
-func canonicalHeader(name string) string { return textproto.CanonicalMIMEHeaderKey(name) }
