--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -9,7 +9,7 @@
 
 // Starts gives servers start times by the node's own clock. A boot_ms was written by another machine's clock: it says that a
 // server has started anew, and in what order servers did, but not how long ago, for the two clocks may differ by an hour, and
-// either may be stepped. How long ago is counted from when this process was told, by the monotonic clock.
+// either may be stepped. How long ago is counted from when this process heard of the start, by the monotonic clock.
 //
 // Its zero value knows no server. It belongs to one goroutine.
 type Starts struct {
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -10,7 +10,7 @@
 	}
 }
 
-// Poll serves subscriptions until ctx ends. Each is a watch that goes on until it fails, which the Sink is told once.
+// Poll serves subscriptions until ctx ends. Each is a watch that goes on until it fails, which is reported to the Sink once.
 func (w *Watch) Poll(ctx context.Context) {
 	defer w.closeIdle()
 	for {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -32,7 +32,7 @@
 // noRevision is the revision of a watch that holds no list: the full one is asked for.
 const noRevision = -1
 
-// Sink is told what a watch finds. Its methods may block for a moment only.
+// Sink gets what a watch finds. Its methods may block for a moment only.
 type Sink interface {
 	// UpdateList brings an update of the endpoint list.
 	UpdateList(List)
@@ -134,7 +134,7 @@
 // deliver passes a list on and has the next poll ask for changes since. It returns false where the poll failed.
 func (w *Watch) deliver(a *agent, list List, err error) bool {
 	if errors.Is(err, errMalformed) {
-		a.revision = noRevision // what the dropped answer told is missing: the full list mends that
+		a.revision = noRevision // what the dropped answer said is missing: the full list mends that
 	}
 	if err != nil {
 		return false
--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"slices"
 	"testing"
 	"testing/synctest"
@@ -24,11 +22,9 @@
 	set.SlowStartWindow, set.SlowStartMinimum = 3*time.Second, 0.1
 	set.Classes = append(set.Classes, balancer.Class{Name: "put", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 2 * time.Second,
 		LatencyObjective: testpeer.Limit, Deadline: 2 * testpeer.Limit, PriorityWeight: 1})
-	e, err := New(Options{Settings: set, Seed: 1, Clock: clock.From(begin.Add(off)), Backend: s, Subscribe: func() {}, Pushed: true,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	if err != nil {
-		t.Fatal(err)
-	}
+	o := options(s, set)
+	o.Clock = clock.From(begin.Add(off))
+	e := newEngineWith(t, o)
 	go e.Run(ctx)
 	from := e.clock.Now()
 	note := func(format string, args ...any) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -4,7 +4,7 @@
 // It owns the event loop (Engine.Run), the only goroutine that touches the Balancer, and with it the requests that have no
 // response yet, the timers and the endpoint list as the Balancer knows it. It promises one response to each request that
 // was submitted before Run returned, at most one attempt of a request in flight as the Balancer decides, and that the
-// Balancer is told each event with the time at which it happened.
+// Balancer gets each event with the time at which it happened.
 //
 // It knows no protocol and decides nothing: decisions are the Balancer's, attempts are carried out by a Backend, requests
 // come from front ends, and endpoint lists from package discovery.
@@ -48,7 +48,7 @@
 	// All that follows belongs to the goroutine of Run, and before it to whoever made the Engine.
 
 	balancer        *balancer.Balancer
-	balancerTime    time.Duration // clock time of the latest event that the balancer was told
+	balancerTime    time.Duration // clock time of the latest event that the balancer got
 	pushed          bool          // as in Options
 	slowStartWindow time.Duration
 	pending         map[string]*pendingRequest // by request id
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -54,7 +54,7 @@
 	}}
 }
 
-// requestArrived counts a request that the balancer was told of.
+// requestArrived counts a request that was passed to the balancer.
 func (c *statsCollector) requestArrived(class string) {
 	if c == nil {
 		return
