--- a/internal/discovery/slow_test.go
+++ b/internal/discovery/slow_test.go
@@ -103,117 +103,152 @@
 	return took
 }
 
-// A service that is polled may be slow to answer, and silent, refuse polls or break them besides: its changes are heard
-// 0.8 s or more before the limit, 6 s after the service had them and could be reached. Time is virtual.
-func TestSlowDiscoveryServiceIsHeardInTime(t *testing.T) {
-	const (
-		limit  = 5200 * time.Millisecond
-		answer = time.Second // that a poll waits for its turn
-	)
-	slow := func(s *slowService, n int, w http.ResponseWriter, r *http.Request) { after(answer, s, w, r) }
-	// down refuses all polls until it has the list.
-	down := func(status int, next answerer) answerer {
-		return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n < 0 {
-				refuse(status, w)
-				return
-			}
-			next(s, n, w, r)
+// answerAfter is how long a poll waits for its turn at a slow service.
+const answerAfter = time.Second
+
+// slow answers each poll after a while.
+func slow(s *slowService, _ int, w http.ResponseWriter, r *http.Request) { after(answerAfter, s, w, r) }
+
+// overloaded answers each poll after several times that while.
+func overloaded(times time.Duration) answerer {
+	return func(s *slowService, _ int, w http.ResponseWriter, r *http.Request) { after(times*answerAfter, s, w, r) }
+}
+
+// silent never answers.
+func silent(_ *slowService, _ int, _ http.ResponseWriter, r *http.Request) { never(r) }
+
+// refusing refuses all polls.
+func refusing(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) {
+	refuse(http.StatusServiceUnavailable, w)
+}
+
+// down refuses all polls until the service has the list, and answers later ones by next.
+func down(status int, next answerer) answerer {
+	return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		if n < 0 {
+			refuse(status, w)
+			return
 		}
+		next(s, n, w, r)
 	}
-	refusedOnce := func(status int) answerer {
-		return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n == 0 {
-				time.Sleep(answer)
-				refuse(status, w)
-				return
-			}
-			slow(s, n, w, r)
+}
+
+// firstThenSlow answers the first poll by first, and later ones slowly.
+func firstThenSlow(first answerer) answerer {
+	return func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
+		if n == 0 {
+			first(s, n, w, r)
+			return
 		}
+		slow(s, n, w, r)
 	}
-	for _, c := range []struct {
-		name      string
-		services  map[string]*slowService
-		meanwhile func(*Watch)
-	}{
-		{"silent", map[string]*slowService{"first:1": {answer: lostFrom(slow)}}, nil},
-		{"silent, then overloaded", map[string]*slowService{"first:1": {answer: lostFrom(func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			after(2*answer, s, w, r)
-		})}}, nil},
-		{"overloaded", map[string]*slowService{"first:1": {answer: func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			after(4*answer, s, w, r)
-		}}}, nil},
-		{"down, then slow, 503", map[string]*slowService{"first:1": {answer: down(503, slow)}}, nil},
-		{"down, then slow, 429", map[string]*slowService{"first:1": {answer: down(429, slow)}}, nil},
-		{"down, then overloaded, 503", map[string]*slowService{"first:1": {answer: down(503, refusedOnce(503))}}, nil},
-		{"down, then overloaded, 429", map[string]*slowService{"first:1": {answer: down(429, refusedOnce(429))}}, nil},
-		{"down, then silent to one poll", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n == 0 {
-				never(r)
-				return
-			}
-			slow(s, n, w, r)
-		})}}, nil},
-		{"refused while an earlier poll is lost", map[string]*slowService{"first:1": {answer: lostFrom(refusedOnce(503))}}, nil},
-		{"breaks midway", map[string]*slowService{"first:1": {answer: lostFrom(func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n == 0 {
-				half(w)
-				panic(http.ErrAbortHandler)
-			}
-			slow(s, n, w, r)
-		})}}, nil},
-		{"stops midway", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n == 0 {
-				half(w)
-				never(r)
-				return
-			}
-			slow(s, n, w, r)
-		})}}, nil},
-		{"list in chunks, and refused beside", map[string]*slowService{"first:1": {answer: down(503, func(s *slowService, n int, w http.ResponseWriter, r *http.Request) {
-			if n > 0 {
-				refuse(503, w)
-				return
-			}
-			half(w)
-			for range 7 {
-				time.Sleep(serviceGrace - time.Millisecond)
-				io.WriteString(w, " ")
-				w.(http.Flusher).Flush()
-			}
-			io.WriteString(w, newList[len(newList)/2:])
-		})}}, nil},
-		{"connections that never come up", map[string]*slowService{"first:1": {answer: down(503, slow),
-			dial: func(ctx context.Context, n int) error {
-				if n%2 == 0 {
-					<-ctx.Done()
-				}
-				return ctx.Err()
-			}}}, nil},
-		{"a new configuration while it is silent", map[string]*slowService{"first:1": {answer: lostFrom(func(_ *slowService, _ int, _ http.ResponseWriter, r *http.Request) { never(r) })},
-			"next:1": {answer: slow}}, func(w *Watch) {
-			time.Sleep(newsAfter)
-			w.SetAddress("next:1")
-		}},
-		{"a new configuration while it is down", map[string]*slowService{"first:1": {answer: func(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) { refuse(503, w) }},
-			"next:1": {answer: slow}}, func(w *Watch) {
-			time.Sleep(newsAfter)
-			w.SetAddress("next:1")
-		}},
-		{"new configurations in quick succession", map[string]*slowService{"first:1": {answer: func(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) { refuse(503, w) }},
-			"next:1": {answer: slow}}, func(w *Watch) {
-			time.Sleep(newsAfter - 50*time.Millisecond)
-			for i := range 7 {
-				w.SetAddress([]string{"next:1", "first:1"}[i%2])
-				time.Sleep(10 * time.Millisecond)
-			}
-		}},
-	} {
+}
+
+// refusedOnce refuses the first poll, after a while, and answers later ones slowly.
+func refusedOnce(status int) answerer {
+	return firstThenSlow(func(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(answerAfter)
+		refuse(status, w)
+	})
+}
+
+// breaksMidway closes the connection after half of the list.
+func breaksMidway(_ *slowService, _ int, w http.ResponseWriter, _ *http.Request) {
+	half(w)
+	panic(http.ErrAbortHandler)
+}
+
+// stopsMidway falls silent after half of the list.
+func stopsMidway(_ *slowService, _ int, w http.ResponseWriter, r *http.Request) {
+	half(w)
+	never(r)
+}
+
+// chunkedOnce answers the first poll with the list in chunks, and refuses later ones.
+func chunkedOnce(_ *slowService, n int, w http.ResponseWriter, _ *http.Request) {
+	if n > 0 {
+		refuse(http.StatusServiceUnavailable, w)
+		return
+	}
+	half(w)
+	for range 7 {
+		time.Sleep(serviceGrace - time.Millisecond)
+		io.WriteString(w, " ")
+		w.(http.Flusher).Flush()
+	}
+	io.WriteString(w, newList[len(newList)/2:])
+}
+
+// everySecondDialHangs has every second connection never come up.
+func everySecondDialHangs(ctx context.Context, n int) error {
+	if n%2 == 0 {
+		<-ctx.Done()
+	}
+	return ctx.Err()
+}
+
+// moveOnce has the watch move to another service once that has the list.
+func moveOnce(w *Watch) {
+	time.Sleep(newsAfter)
+	w.SetAddress("next:1")
+}
+
+// moveOften has the watch move between two services several times as they get the list.
+func moveOften(w *Watch) {
+	time.Sleep(newsAfter - 50*time.Millisecond)
+	for i := range 7 {
+		w.SetAddress([]string{"next:1", "first:1"}[i%2])
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// slowCase is a service that is watched, and perhaps a second one that the watch moves to.
+type slowCase struct {
+	name      string
+	first     answerer
+	dial      func(ctx context.Context, n int) error // of first; nil: at once
+	next      answerer                               // nil: there is no second service
+	meanwhile func(*Watch)
+}
+
+func (c slowCase) services() map[string]*slowService {
+	services := map[string]*slowService{"first:1": {answer: c.first, dial: c.dial}}
+	if c.next != nil {
+		services["next:1"] = &slowService{answer: c.next}
+	}
+	return services
+}
+
+var slowCases = []slowCase{
+	{name: "silent", first: lostFrom(slow)},
+	{name: "silent, then overloaded", first: lostFrom(overloaded(2))},
+	{name: "overloaded", first: overloaded(4)},
+	{name: "down, then slow, 503", first: down(503, slow)},
+	{name: "down, then slow, 429", first: down(429, slow)},
+	{name: "down, then overloaded, 503", first: down(503, refusedOnce(503))},
+	{name: "down, then overloaded, 429", first: down(429, refusedOnce(429))},
+	{name: "down, then silent to one poll", first: down(503, firstThenSlow(silent))},
+	{name: "refused while an earlier poll is lost", first: lostFrom(refusedOnce(503))},
+	{name: "breaks midway", first: lostFrom(firstThenSlow(breaksMidway))},
+	{name: "stops midway", first: down(503, firstThenSlow(stopsMidway))},
+	{name: "list in chunks, and refused beside", first: down(503, chunkedOnce)},
+	{name: "connections that never come up", first: down(503, slow), dial: everySecondDialHangs},
+	{name: "a new configuration while it is silent", first: lostFrom(silent), next: slow, meanwhile: moveOnce},
+	{name: "a new configuration while it is down", first: refusing, next: slow, meanwhile: moveOnce},
+	{name: "new configurations in quick succession", first: refusing, next: slow, meanwhile: moveOften},
+}
+
+// A service that is polled may be slow to answer, and silent, refuse polls or break them besides: its changes are heard
+// 0.8 s or more before the limit, 6 s after the service had them and could be reached. Time is virtual.
+func TestSlowDiscoveryServiceIsHeardInTime(t *testing.T) {
+	const limit = 5200 * time.Millisecond
+	for _, c := range slowCases {
 		t.Run(c.name, func(t *testing.T) {
+			services := c.services()
 			longest := time.Duration(0)
 			for seed := range uint64(5) {
 				for _, askWithin := range []time.Duration{10 * time.Second, time.Hour} {
-					longest = max(longest, timeToHear(t, seed, askWithin, c.services, c.meanwhile))
+					longest = max(longest, timeToHear(t, seed, askWithin, services, c.meanwhile))
 				}
 			}
 			t.Logf("heard after %v at most", longest)
