--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -31,23 +31,47 @@
 
 func (named) CloseIdle(discovery.Host) {}
 
-func newEngine(t *testing.T, cfg *config.Config, name string) *engine.Engine {
-	t.Helper()
-	e, err := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named(name),
-		Subscribe: func() {}, Pushed: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+// options are of an engine whose lists are pushed and whose log goes nowhere.
+func options(settings balancer.Settings, name string) engine.Options {
+	return engine.Options{
+		Settings:  settings,
+		Clock:     clock.New(),
+		Backend:   named(name),
+		Subscribe: func() {},
+		Pushed:    true,
+		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+}
+
+// newEngine returns an engine that runs until the test or benchmark ends.
+func newEngine(tb testing.TB, settings balancer.Settings, name string, servers ...discovery.Target) *engine.Engine {
+	tb.Helper()
+	e, err := engine.New(options(settings, name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	if len(servers) > 0 {
+		e.RestoreList(discovery.List{Full: true, Targets: servers})
 	}
-	e.RestoreList(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
-	go e.Run(t.Context())
+	go e.Run(tb.Context())
 	return e
 }
 
+// server is the one server of a pool.
+var server = discovery.Target{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}
+
+// newPoolEngine returns an engine with one server for a pool of twoPools.
+func newPoolEngine(t *testing.T, cfg *config.Config, name string) *engine.Engine {
+	t.Helper()
+	return newEngine(t, cfg.Settings(cfg.Pools[0]), name, server)
+}
+
 // twoPools sends views to one pool and all else to another.
 func twoPools(views, rest string) *config.Config {
 	cfg := testpeer.Config()
 	other := cfg.Pools[0]
-	cfg.Pools[0].Name, other.Name = views, rest
+	other.Name = rest
+	cfg.Pools[0].Name = views
 	cfg.Pools = append(cfg.Pools, other)
 	cfg.Routes = []route.Route{{Name: "views", Classes: []string{"view"}, To: []route.Target{{Pool: views, Weight: 1}}},
 		{Name: "rest", Default: true, To: []route.Target{{Pool: rest, Weight: 1}}}}
@@ -63,7 +87,7 @@
 
 func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
 	cfg := twoPools("a", "b")
-	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newEngine(t, cfg, "a"), "b": newEngine(t, cfg, "b")})
+	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newPoolEngine(t, cfg, "a"), "b": newPoolEngine(t, cfg, "b")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +118,11 @@
 func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
 	newSnapshot := func(i int) (*Snapshot, []*engine.Engine) {
-		a, b := newEngine(t, cfg[i], fmt.Sprint("a", i)), newEngine(t, cfg[i], fmt.Sprint("b", i))
-		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{fmt.Sprint("a", i): a, fmt.Sprint("b", i): b})
+		views := fmt.Sprint("a", i)
+		rest := fmt.Sprint("b", i)
+		a := newPoolEngine(t, cfg[i], views)
+		b := newPoolEngine(t, cfg[i], rest)
+		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{views: a, rest: b})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,9 +133,7 @@
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 4 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
+		clients.Go(func() {
 			for k := 0; ; k++ {
 				select {
 				case <-stop:
@@ -117,9 +142,11 @@
 				}
 				v := d.Snapshot()
 				c, r := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
-				if err := d.Take(v, c, r); errors.Is(err, ErrStale) {
+				err := d.Take(v, c, r)
+				if errors.Is(err, ErrStale) {
 					continue
-				} else if err != nil {
+				}
+				if err != nil {
 					t.Error(err)
 					return
 				}
@@ -134,7 +161,7 @@
 					return
 				}
 			}
-		}()
+		})
 	}
 	for k := range 200 {
 		v, engines := newSnapshot((k + 1) % 2)
@@ -152,10 +179,7 @@
 // BenchmarkTake takes a request from a front end to its engine, and waits for its response.
 func BenchmarkTake(b *testing.B) {
 	cfg := testpeer.Config()
-	e, _ := engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Clock: clock.New(), Backend: named("x"),
-		Subscribe: func() {}, Pushed: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	e.RestoreList(discovery.List{Full: true, Targets: []discovery.Target{{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}}})
-	go e.Run(b.Context())
+	e := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
 	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": e})
 	if err != nil {
 		b.Fatal(err)
@@ -184,9 +208,7 @@
 				p.Name = fmt.Sprint("p", i)
 				cfg.Pools = append(cfg.Pools, p)
 				cfg.Routes[0].To = append(cfg.Routes[0].To, route.Target{Pool: p.Name, Weight: 1})
-				e, _ := engine.New(engine.Options{Settings: cfg.Settings(p), Clock: clock.New(), Backend: named("x"),
-					Subscribe: func() {}, Pushed: true, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-				go e.Run(b.Context())
+				e := newEngine(b, cfg.Settings(p), "x")
 				engines[p.Name] = e
 				all = append(all, e)
 			}
