--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -154,8 +154,9 @@
 }
 
 // Whatever the wall clock shows as a process starts, and however far boot_ms lies from it, everything happens at the same
-// time: a request is queued, an attempt is in flight, half of a retry window and all of it are over, a server drains and another is
-// in slow start, a deadline ends. Steps of the wall clock while a process runs are never seen (clock.TestWallClockStepsAreIgnored).
+// time: a request is queued, an attempt is in flight, half of a retry window and all of it are over, a server drains and
+// another is in slow start, a deadline ends. Steps of the wall clock while a process runs are never seen
+// (clock.TestWallClockStepsAreIgnored).
 func TestWallClockOffsetChangesNoTiming(t *testing.T) {
 	var right []string
 	for _, off := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Given two servers, the first attempt of a safe request breaks and the next is served: one response, and no two attempts in flight at once.
-// An unsafe request whose attempt may have run fails, and one whose attempt never ran is retried.
+// Given two servers, the first attempt of a safe request breaks and the next is served: one response, and no two
+// attempts in flight at once. An unsafe request whose attempt may have run fails, and one whose attempt never ran is retried.
 func TestOneResponseAndNoConcurrentAttempts(t *testing.T) {
 	s := newScript()
 	e := newEngine(t, s, servers("s1", "s2"))
@@ -35,7 +35,7 @@
 		}
 		got := testpeer.Receive(t, request.Response(), "the response")
 		if got.Kind != c.want || got.Kind == Served && string(got.Reply.Body) != "body" || len(s.attempts) > 0 {
-			t.Errorf("%s after %v: kind %d, body %q, %d more attempts; want kind %d", c.class, c.ends, got.Kind,
+			t.Errorf("%s after %v: kind %v, body %q, %d more attempts; want kind %v", c.class, c.ends, got.Kind,
 				got.Reply.Body, len(s.attempts), c.want)
 		}
 	}
@@ -109,11 +109,11 @@
 	_, end := s.expect(t)
 	e.Submit(second)
 	if a := testpeer.Receive(t, second.Response(), "the second's response"); a.Kind != Duplicate {
-		t.Errorf("kind %d", a.Kind)
+		t.Errorf("kind %v", a.Kind)
 	}
 	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 	if a := testpeer.Receive(t, first.Response(), "the first's response"); a.Kind != Served {
-		t.Errorf("kind %d", a.Kind)
+		t.Errorf("kind %v", a.Kind)
 	}
 }
 
@@ -153,7 +153,7 @@
 	e.Status() // the loop has handled the new settings
 	end <- Outcome{Result: balancer.ConnectionLost, At: e.clock.Now()}
 	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Failed || len(s.attempts) > 0 {
-		t.Errorf("kind %d, %d more attempts", a.Kind, len(s.attempts))
+		t.Errorf("kind %v, %d more attempts", a.Kind, len(s.attempts))
 	}
 }
 
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -19,7 +19,7 @@
 	s.expect(t)
 	e.AnswerAll()
 	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Failed {
-		t.Errorf("kind %d", a.Kind)
+		t.Errorf("kind %v", a.Kind)
 	}
 	late := newRequest(e, "late", "view")
 	e.Submit(late)
@@ -51,8 +51,12 @@
 				_, end := s.expect(t)
 				end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 			}
-			if got := testpeer.Receive(t, request.Response(), "the response"); got.Kind != c.want || got.Kind == Rejected && (got.RetryAfter <= 0 || !got.Elsewhere) {
-				t.Errorf("response %+v, want kind %d", got, c.want)
+			got := testpeer.Receive(t, request.Response(), "the response")
+			if got.Kind != c.want {
+				t.Errorf("response %+v, want kind %v", got, c.want)
+			}
+			if got.Kind == Rejected && (got.RetryAfter <= 0 || !got.Elsewhere) {
+				t.Errorf("response %+v, want a Retry-After and another node", got)
 			}
 		})
 	}
@@ -90,7 +94,7 @@
 	_, end = s.expect(t) // still retried
 	end <- Outcome{Result: balancer.Success, At: e.clock.Now()}
 	if a := testpeer.Receive(t, out.Response(), "the response"); a.Kind != Served {
-		t.Errorf("kind %d", a.Kind)
+		t.Errorf("kind %v", a.Kind)
 	}
 	testpeer.Receive(t, e.Done(), "the end of Run")
 	out.Disconnect(e.clock.Now()) // does not block
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -86,7 +86,9 @@
 
 // attemptEnded counts the result of an attempt. target is the entry of its server where that is still listed; the zone of
 // others is not known.
-func (c *statsCollector) attemptEnded(target discovery.Target, server string, listed bool, result balancer.Result, latency time.Duration) {
+func (c *statsCollector) attemptEnded(
+	target discovery.Target, server string, listed bool, result balancer.Result, latency time.Duration,
+) {
 	if c == nil {
 		return
 	}
