--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -20,8 +20,8 @@
 	tagSize  = 12 // of HMAC-SHA-256, shortened
 )
 
-// size is what an update takes: id, life, status and flags, who suspects, and the peer.
-func size(u Update) int {
+// updateSize is what an update takes: id, life, status and flags, who suspects, and the peer.
+func updateSize(u Update) int {
 	n := 8 + 4 + 1
 	if u.Status == Suspect {
 		n += 8
@@ -110,9 +110,9 @@
 
 // Errors of a datagram. Nothing of one that has an error is used.
 var (
-	ErrStrange   = errors.New("members: the tag is of another key") // of another cluster, or nobody's
-	ErrVersion   = errors.New("members: another version")
-	ErrMalformed = errors.New("members: malformed")
+	ErrStrange   = errors.New("membership: the tag is of another key") // of another cluster, or nobody's
+	ErrVersion   = errors.New("membership: another version")
+	ErrMalformed = errors.New("membership: malformed")
 )
 
 // Decode reads a datagram.
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -31,7 +31,7 @@
 	}
 	room := 0
 	for _, u := range m.Updates {
-		room += size(u)
+		room += updateSize(u)
 	}
 	if len(b) != headSize+room+tagSize || headSize+MaxBytes+tagSize > MaxDatagram {
 		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), room, headSize+MaxBytes+tagSize)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -134,15 +134,15 @@
 func (o Options) Check() error {
 	switch {
 	case o.Timeout <= 0 || o.Period < 2*o.Timeout:
-		return fmt.Errorf("members: period %v, timeout %v; allowed: a timeout above 0 and a period of twice it at least", o.Period, o.Timeout)
+		return fmt.Errorf("membership: period %v, timeout %v; allowed: a timeout above 0 and a period of twice it at least", o.Period, o.Timeout)
 	case o.Indirect < 0 || o.Indirect > 16:
-		return fmt.Errorf("members: indirect %d; allowed: 0 to 16", o.Indirect)
+		return fmt.Errorf("membership: indirect %d; allowed: 0 to 16", o.Indirect)
 	case !(o.Suspicion >= 1 && o.Suspicion <= 100) || !(o.Stretch >= 1 && o.Stretch <= 100):
-		return fmt.Errorf("members: suspicion %v, stretch %v; allowed: 1 to 100", o.Suspicion, o.Stretch)
+		return fmt.Errorf("membership: suspicion %v, stretch %v; allowed: 1 to 100", o.Suspicion, o.Stretch)
 	case o.Spread < 1 || o.Spread > 100 || o.Near < 1 || o.Near > 100:
-		return fmt.Errorf("members: spread %d, near %d; allowed: 1 to 100", o.Spread, o.Near)
+		return fmt.Errorf("membership: spread %d, near %d; allowed: 1 to 100", o.Spread, o.Near)
 	case o.Forget < o.MaxSuspicion(2):
-		return fmt.Errorf("members: forget %v; allowed: %v or more, or a suspicion outlasts it", o.Forget, o.MaxSuspicion(2))
+		return fmt.Errorf("membership: forget %v; allowed: %v or more, or a suspicion outlasts it", o.Forget, o.MaxSuspicion(2))
 	}
 	return nil
 }
@@ -164,56 +164,56 @@
 type member struct {
 	ID
 	Peer
-	incarnation uint32
-	notified    uint32 // in which incarnation its Peer was as it is held
-	carry       bool   // its Peer goes with words of it, for it is news
-	status      Status
-	since       time.Duration // when it came to this status here
-	heard       time.Duration // last message from it
-	voices      []ID          // that suspect it, in their order
-	sent        int           // times that the word of it went out
-	last        time.Duration // until when it may answer a last ping; 0: it was sent none
+	incarnation     uint32
+	peerIncarnation uint32 // in which Peer was announced
+	peerPending     bool   // Peer is news and goes with the next updates
+	status          Status
+	since           time.Duration // when it came to this status here
+	heard           time.Duration // last message from it
+	suspectors      []ID          // members that suspect it, sorted
+	transmits       int           // times that the update of it went out
+	finalPingUntil  time.Duration // until when it may answer the final ping; 0: none was sent
 }
 
 // probe is the one under way.
 type probe struct {
-	of      ID
-	seq     uint32
-	ask     time.Duration // when others are asked
-	asked   int
-	nacks   int
-	running bool
+	target     ID
+	seq        uint32
+	indirectAt time.Duration // when others are asked to probe it
+	helpers    int           // members that were asked to probe it
+	nacks      int
+	running    bool
 }
 
-// relay is a ping for another.
-type relay struct {
-	seq   uint32 // of our ping
-	to    netip.AddrPort
-	reply uint32 // the asker's Seq
-	until time.Duration
+// indirectProbe is a ping on behalf of another member (ping-req).
+type indirectProbe struct {
+	seq          uint32 // of our ping
+	requester    netip.AddrPort
+	requesterSeq uint32
+	deadline     time.Duration
 }
 
 // Machine is one node's view. Its methods belong to one goroutine.
 type Machine struct {
-	o           Options
-	self        Peer
-	id          ID
-	incarnation uint32
-	left        bool
-	seed        uint64
-	draws       uint64
-	now         time.Duration
-	members     []*member // all others, in the order of their IDs
-	order       []ID      // still to be probed this round
-	probe       probe
-	next        time.Duration // the next period
-	relays      []relay
-	seq         uint32
-	ill         int
-	own         int // times that the own word went out
-	pulling     time.Duration
-	out         []Packet
-	behind      []ID // of whom the sender of what is being answered knows less than this node
+	options        Options
+	self           Peer
+	id             ID
+	incarnation    uint32
+	left           bool
+	seed           uint64
+	draws          uint64
+	now            time.Duration
+	members        []*member // all others, in the order of their IDs
+	probeOrder     []ID      // still to be probed in this round
+	probe          probe
+	nextPeriod     time.Duration
+	indirectProbes []indirectProbe // for others
+	seq            uint32
+	healthScore    int           // local health score (Lifeguard): 0 is healthy
+	selfTransmits  int           // times that this node's own update went out
+	nextPull       time.Duration // no Pull goes out before
+	packets        []Packet
+	outdated       []ID // members of which the sender of the message at hand knows less than this node
 
 	changes int
 
@@ -227,9 +227,9 @@
 		return nil, err
 	}
 	if self.Name == "" || len(self.Name) > MaxName || len(self.Region) > MaxPlace || len(self.Zone) > MaxPlace || !self.Addr.IsValid() {
-		return nil, fmt.Errorf("members: %+v; allowed: a name of 1 to %d bytes, places of up to %d, an address", self, MaxName, MaxPlace)
+		return nil, fmt.Errorf("membership: %+v; allowed: a name of 1 to %d bytes, places of up to %d, an address", self, MaxName, MaxPlace)
 	}
-	return &Machine{o: o, self: self, id: IDOf(self.Name), seed: seed}, nil
+	return &Machine{options: o, self: self, id: IDOf(self.Name), seed: seed}, nil
 }
 
 // draw is a number below n, from the seed and the count of draws.
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// living counts the members that are not dead or left, this one among them.
-func (m *Machine) living() int {
+// activeCount counts the members that are not dead or left, this one among them.
+func (m *Machine) activeCount() int {
 	n := 1
 	for _, k := range m.members {
 		if k.status <= Suspect {
@@ -263,17 +263,17 @@
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From = m.id
 	if msg.Kind != Page {
-		msg.Updates = m.words(to, MaxBytes-4*len(msg.Sums))
+		msg.Updates = m.piggyback(to, MaxBytes-4*len(msg.Sums))
 	}
-	m.out = append(m.out, Packet{to, msg})
+	m.packets = append(m.packets, Packet{to, msg})
 }
 
-// words are the updates that go with a message: what is held against its receiver first, so that it can answer that, then
+// piggyback chooses the updates that go with a message: what is held against its receiver first, so that it can answer that, then
 // the own word, then those that went out least.
 // Who and where somebody is goes with the first words of it alone.
-func (m *Machine) words(to netip.AddrPort, room int) (out []Update) {
+func (m *Machine) piggyback(to netip.AddrPort, room int) (out []Update) {
 	add := func(u Update) bool {
-		n := size(u)
+		n := updateSize(u)
 		if n > room {
 			return false
 		}
@@ -281,56 +281,56 @@
 		out = append(out, u)
 		return true
 	}
-	most := m.most()
+	most := m.retransmitLimit()
 	for _, k := range m.members {
 		if k.Addr == to && k.status != Alive {
 			add(k.update(false))
 		}
 	}
-	for _, id := range m.behind {
+	for _, id := range m.outdated {
 		if k := m.get(id); k != nil {
 			add(k.update(false))
 		}
 	}
-	if m.own < most || len(m.members) == 0 {
-		m.own++
-		add(m.word())
+	if m.selfTransmits < most || len(m.members) == 0 {
+		m.selfTransmits++
+		add(m.selfUpdate())
 	}
 	var fresh []*member
 	for _, k := range m.members {
-		if k.sent < most && k.Addr != to {
+		if k.transmits < most && k.Addr != to {
 			fresh = append(fresh, k)
 		}
 	}
 	// What has changed of a member goes before who there is: that is found by lists as well, and hundreds of newcomers would
 	// be in the way of a death.
 	slices.SortStableFunc(fresh, func(a, b *member) int {
-		if a.carry != b.carry {
-			if b.carry {
+		if a.peerPending != b.peerPending {
+			if b.peerPending {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(a.sent, b.sent)
+		return cmp.Compare(a.transmits, b.transmits)
 	})
 	for _, k := range fresh {
-		if !add(k.update(k.carry)) {
+		if !add(k.update(k.peerPending)) {
 			break
 		}
-		if k.sent++; k.sent >= most {
-			k.carry = false
+		if k.transmits++; k.transmits >= most {
+			k.peerPending = false
 		}
 	}
 	return out
 }
 
-// most is how often a word is passed on.
-func (m *Machine) most() int {
-	return m.o.Spread * int(math.Ceil(math.Log2(float64(m.living()+1))))
+// retransmitLimit is how often a word is passed on.
+func (m *Machine) retransmitLimit() int {
+	return m.options.Spread * int(math.Ceil(math.Log2(float64(m.activeCount()+1))))
 }
 
-// word is what this node says of itself.
-func (m *Machine) word() Update {
+// selfUpdate is what this node says of itself.
+func (m *Machine) selfUpdate() Update {
 	u := Update{ID: m.id, Incarnation: m.incarnation, Peer: &m.self, PeerIncarnation: m.incarnation}
 	if m.left {
 		u.Status = Left
@@ -341,42 +341,42 @@
 func (k *member) update(complete bool) Update {
 	u := Update{ID: k.ID, Incarnation: k.incarnation, Status: k.status}
 	if complete {
-		u.Peer, u.PeerIncarnation = &k.Peer, k.notified
+		u.Peer, u.PeerIncarnation = &k.Peer, k.peerIncarnation
 	}
-	if k.status == Suspect && len(k.voices) > 0 {
-		u.By = k.voices[k.sent%len(k.voices)] // each goes round
+	if k.status == Suspect && len(k.suspectors) > 0 {
+		u.By = k.suspectors[k.transmits%len(k.suspectors)] // each goes round
 	}
 	return u
 }
 
 // Next is when Tick is due.
 func (m *Machine) Next() time.Duration {
-	at := m.next
-	if m.probe.running && m.probe.asked == 0 && m.probe.ask > 0 {
-		at = min(at, m.probe.ask)
+	at := m.nextPeriod
+	if m.probe.running && m.probe.helpers == 0 && m.probe.indirectAt > 0 {
+		at = min(at, m.probe.indirectAt)
 	}
-	for _, r := range m.relays {
-		at = min(at, r.until)
+	for _, r := range m.indirectProbes {
+		at = min(at, r.deadline)
 	}
 	for _, k := range m.members {
 		if k.status == Suspect {
-			at = min(at, m.due(k))
+			at = min(at, m.suspicionEnd(k))
 		}
 	}
 	return at
 }
 
-// due is when a suspicion ends: the more members confirm it, the sooner.
-func (m *Machine) due(k *member) time.Duration {
-	if k.last > 0 {
-		return k.last
+// suspicionEnd is when a suspicion ends: the more members confirm it, the sooner.
+func (m *Machine) suspicionEnd(k *member) time.Duration {
+	if k.finalPingUntil > 0 {
+		return k.finalPingUntil
 	}
-	n := m.living()
-	least, most := float64(m.o.MinSuspicion(n)), float64(m.o.MaxSuspicion(n))
-	wanted := float64(min(m.o.Indirect, n-2))
+	n := m.activeCount()
+	least, most := float64(m.options.MinSuspicion(n)), float64(m.options.MaxSuspicion(n))
+	wanted := float64(min(m.options.Indirect, n-2))
 	lasts := least
 	if wanted >= 1 {
-		lasts = max(least, most-(most-least)*math.Log(float64(len(k.voices)))/math.Log(wanted+1))
+		lasts = max(least, most-(most-least)*math.Log(float64(len(k.suspectors)))/math.Log(wanted+1))
 	}
 	return k.since + time.Duration(lasts)
 }
@@ -389,123 +389,123 @@
 	}
 	for _, k := range m.members {
 		switch {
-		case k.status != Suspect || m.now < m.due(k):
-		case k.last == 0:
-			m.lastChance(k)
+		case k.status != Suspect || m.now < m.suspicionEnd(k):
+		case k.finalPingUntil == 0:
+			m.sendFinalPing(k)
 		default:
-			m.hold(k, k.incarnation, Dead)
+			m.setStatus(k, k.incarnation, Dead)
 		}
 	}
 	m.members = slices.DeleteFunc(m.members, func(k *member) bool {
-		forgotten := k.status >= Dead && m.now-k.since >= m.o.Forget
+		forgotten := k.status >= Dead && m.now-k.since >= m.options.Forget
 		if forgotten {
 			m.changes++
 		}
 		return forgotten
 	})
-	if p := &m.probe; p.running && p.asked == 0 && m.now >= p.ask {
-		m.ask()
+	if p := &m.probe; p.running && p.helpers == 0 && m.now >= p.indirectAt {
+		m.probeIndirectly()
 	}
-	m.relays = slices.DeleteFunc(m.relays, func(r relay) bool {
-		if m.now < r.until {
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(r indirectProbe) bool {
+		if m.now < r.deadline {
 			return false
 		}
-		m.send(r.to, Message{Kind: Nack, Seq: r.reply})
+		m.send(r.requester, Message{Kind: Nack, Seq: r.requesterSeq})
 		return true
 	})
-	if m.now >= m.next {
-		m.period()
+	if m.now >= m.nextPeriod {
+		m.startPeriod()
 	}
 	return m.flush()
 }
 
-// lastChance pings a member that this node is about to hold for dead: its answer would tell of a later incarnation. Nobody is held
+// sendFinalPing pings a member that this node is about to hold for dead: its answer would tell of a later incarnation. Nobody is held
 // for dead by rumour alone.
-func (m *Machine) lastChance(k *member) {
-	k.last = m.now + m.o.Period
+func (m *Machine) sendFinalPing(k *member) {
+	k.finalPingUntil = m.now + m.options.Period
 	m.send(k.Addr, Message{Kind: Ping})
 }
 
 func (m *Machine) begin(now time.Duration) {
 	m.now = max(m.now, now)
-	m.out, m.behind = nil, nil
+	m.packets, m.outdated = nil, nil
 }
 
-func (m *Machine) flush() []Packet { return m.out }
+func (m *Machine) flush() []Packet { return m.packets }
 
-// ask pings the member that has not answered once more, and has others ping it.
-func (m *Machine) ask() {
+// probeIndirectly pings the member that has not answered once more, and has others ping it.
+func (m *Machine) probeIndirectly() {
 	p := &m.probe
-	if k := m.get(p.of); k != nil {
+	if k := m.get(p.target); k != nil {
 		m.send(k.Addr, Message{Kind: Ping, Seq: p.seq})
 	}
 	var helpers []*member
 	for _, k := range m.members {
-		if k.status == Alive && !k.Listens && k.ID != p.of {
+		if k.status == Alive && !k.Listens && k.ID != p.target {
 			helpers = append(helpers, k)
 		}
 	}
-	p.ask = 0
-	for range min(m.o.Indirect, len(helpers)) {
+	p.indirectAt = 0
+	for range min(m.options.Indirect, len(helpers)) {
 		i := m.draw(len(helpers))
-		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, About: p.of})
+		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, About: p.target})
 		helpers = slices.Delete(helpers, i, i+1)
-		p.asked++
+		p.helpers++
 	}
 }
 
-// period ends the probe that is under way and begins the next.
-func (m *Machine) period() {
+// startPeriod ends the probe that is under way and begins the next.
+func (m *Machine) startPeriod() {
 	if m.probe.running {
 		// Where others could be asked and say that they have no answer either, it is not this node that is ill.
 		if m.probe.nacks == 0 {
-			m.ill = min(maxHealthScore, m.ill+1)
+			m.healthScore = min(maxHealthScore, m.healthScore+1)
 		}
-		if k := m.get(m.probe.of); k != nil && k.status <= Suspect {
+		if k := m.get(m.probe.target); k != nil && k.status <= Suspect {
 			m.suspect(k, m.id)
 		}
 	}
 	m.probe = probe{}
-	stretch := time.Duration(1 + m.ill)
-	m.next = m.now + stretch*m.o.Period
-	if k := m.nextTarget(); k != nil {
+	stretch := time.Duration(1 + m.healthScore)
+	m.nextPeriod = m.now + stretch*m.options.Period
+	if k := m.nextProbeTarget(); k != nil {
 		m.seq++
-		m.probe = probe{of: k.ID, seq: m.seq, ask: m.now + stretch*m.o.Timeout, running: true}
+		m.probe = probe{target: k.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.Timeout, running: true}
 		m.send(k.Addr, Message{Kind: Ping, Seq: m.seq})
 	}
-	m.hail()
+	m.pingUnreachable()
 	m.gossip()
 }
 
 // Bounds of gossip.
 const (
-	maxGossip  = 6 // messages a period beside probes
-	aboutWords = 9 // that a message holds
+	maxGossip         = 6 // messages a period beside probes
+	updatesPerMessage = 9 // that a message holds
 )
 
 // gossip sends more than probes carry, where many words wait: as after many deaths at once.
 func (m *Machine) gossip() {
-	waiting, most := 0, m.most()
+	waiting, most := 0, m.retransmitLimit()
 	var to []*member
 	for _, k := range m.members {
-		if k.sent < most/2 {
+		if k.transmits < most/2 {
 			waiting++
 		}
 		if k.status == Alive {
 			to = append(to, k)
 		}
 	}
-	for range min(maxGossip, waiting/aboutWords, len(to)) {
+	for range min(maxGossip, waiting/updatesPerMessage, len(to)) {
 		m.send(to[m.draw(len(to))].Addr, Message{Kind: Ping})
 	}
 }
 
-// nextTarget is whom to probe: everybody once a round in a drawn order, members of the own zone more often.
-func (m *Machine) nextTarget() *member {
+// nextProbeTarget is whom to probe: everybody once a round in a drawn order, members of the own zone more often.
+func (m *Machine) nextProbeTarget() *member {
 	for range 2 {
-		for len(m.order) > 0 {
-			k := m.get(m.order[0])
-			m.order = m.order[1:]
+		for len(m.probeOrder) > 0 {
+			k := m.get(m.probeOrder[0])
+			m.probeOrder = m.probeOrder[1:]
 			if k != nil && k.status <= Suspect {
 				return k
 			}
@@ -513,37 +513,37 @@
 		for _, k := range m.members {
 			times := 1
 			if k.Zone == m.self.Zone {
-				times = m.o.Near
+				times = m.options.Near
 			}
 			for range times {
-				m.order = append(m.order, k.ID)
+				m.probeOrder = append(m.probeOrder, k.ID)
 			}
 		}
-		for i := len(m.order) - 1; i > 0; i-- {
+		for i := len(m.probeOrder) - 1; i > 0; i-- {
 			j := m.draw(i + 1)
-			m.order[i], m.order[j] = m.order[j], m.order[i]
+			m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i]
 		}
 	}
 	return nil
 }
 
-// hail greets somebody whom this node holds for dead, or a seed that it does not know, now and then: after a cut nobody
+// pingUnreachable pings somebody whom this node holds for dead, or a seed that it does not know, now and then: after a cut nobody
 // else would begin to speak.
-func (m *Machine) hail() {
+func (m *Machine) pingUnreachable() {
 	var strangers []netip.AddrPort
 	for _, k := range m.members {
 		if k.status == Dead {
 			strangers = append(strangers, k.Addr)
 		}
 	}
-	for _, a := range m.o.Seeds {
+	for _, a := range m.options.Seeds {
 		if a != m.self.Addr && !slices.ContainsFunc(m.members, func(k *member) bool { return k.Addr == a }) {
 			strangers = append(strangers, a)
 		}
 	}
 	if len(strangers) > 0 {
 		m.seq++
-		m.own = min(m.own, 1) // who is greeted may never have heard of this node
+		m.selfTransmits = min(m.selfTransmits, 1) // who is greeted may never have heard of this node
 		m.send(strangers[m.draw(len(strangers))], Message{Kind: Ping, Seq: m.seq})
 	}
 }
@@ -555,10 +555,10 @@
 		return m.flush()
 	}
 	for _, u := range msg.Updates {
-		m.take(u, u.ID == msg.From)
+		m.merge(u, u.ID == msg.From)
 		// Who spreads what is over is told so, as far as it is answered.
 		if k := m.get(u.ID); k != nil && u.Status != Alive && u.Incarnation < k.incarnation {
-			m.behind = append(m.behind, u.ID)
+			m.outdated = append(m.outdated, u.ID)
 		}
 	}
 	k := m.get(msg.From)
@@ -567,16 +567,16 @@
 	}
 	switch msg.Kind {
 	case Ping:
-		m.send(from, Message{Kind: Ack, Seq: msg.Seq, Sum: m.sum()})
+		m.send(from, Message{Kind: Ack, Seq: msg.Seq, Sum: m.digest()})
 		if k == nil {
-			m.pull(from, 0)
+			m.requestPages(from, 0)
 		}
 	case Ack:
-		m.takeAck(from, msg)
+		m.receiveAck(from, msg)
 	case PingReq:
-		if t := m.get(msg.About); t != nil && len(m.relays) < 64 {
+		if t := m.get(msg.About); t != nil && len(m.indirectProbes) < 64 {
 			m.seq++
-			m.relays = append(m.relays, relay{m.seq, from, msg.Seq, m.now + m.o.Timeout})
+			m.indirectProbes = append(m.indirectProbes, indirectProbe{m.seq, from, msg.Seq, m.now + m.options.Timeout})
 			m.send(t.Addr, Message{Kind: Ping, Seq: m.seq})
 		}
 	case Nack:
@@ -584,65 +584,65 @@
 			m.probe.nacks++
 		}
 	case Pull:
-		m.page(from, msg.About, msg.Sums)
+		m.sendPages(from, msg.About, msg.Sums)
 	case Page:
 		if msg.About != 0 {
-			m.send(from, Message{Kind: Pull, About: msg.About, Sums: m.sums()})
+			m.send(from, Message{Kind: Pull, About: msg.About, Sums: m.bucketDigests()})
 		}
 	}
 	return m.flush()
 }
 
-func (m *Machine) takeAck(from netip.AddrPort, msg Message) {
-	if m.probe.running && msg.Seq == m.probe.seq && (msg.From == m.probe.of || m.probe.asked > 0) {
+func (m *Machine) receiveAck(from netip.AddrPort, msg Message) {
+	if m.probe.running && msg.Seq == m.probe.seq && (msg.From == m.probe.target || m.probe.helpers > 0) {
 		m.probe.running = false
-		m.ill = max(0, m.ill-1)
+		m.healthScore = max(0, m.healthScore-1)
 	}
-	for i, r := range m.relays {
+	for i, r := range m.indirectProbes {
 		if r.seq == msg.Seq {
-			m.send(r.to, Message{Kind: Ack, Seq: r.reply, Sum: m.sum()})
-			m.relays = slices.Delete(m.relays, i, i+1)
+			m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Sum: m.digest()})
+			m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
 			break
 		}
 	}
-	if msg.Sum != 0 && msg.Sum != m.sum() {
-		m.pull(from, 0)
+	if msg.Sum != 0 && msg.Sum != m.digest() {
+		m.requestPages(from, 0)
 	}
 }
 
-// pull asks for another's list, once a period at most.
-func (m *Machine) pull(from netip.AddrPort, at ID) {
-	if m.now < m.pulling {
+// requestPages asks for another's list, once a period at most.
+func (m *Machine) requestPages(from netip.AddrPort, at ID) {
+	if m.now < m.nextPull {
 		return
 	}
-	m.pulling = m.now + m.o.Period
-	m.send(from, Message{Kind: Pull, About: at, Sums: m.sums()})
+	m.nextPull = m.now + m.options.Period
+	m.send(from, Message{Kind: Pull, About: at, Sums: m.bucketDigests()})
 }
 
 // maxPages go out for one Pull.
 const maxPages = 4
 
-// page sends a part of the list, from an ID on: of the buckets in which the other holds something else.
-func (m *Machine) page(to netip.AddrPort, at ID, sums []uint32) {
-	own := m.sums()
+// sendPages sends a part of the list, from an ID on: of the buckets in which the other holds something else.
+func (m *Machine) sendPages(to netip.AddrPort, at ID, sums []uint32) {
+	own := m.bucketDigests()
 	msg, pages := Message{Kind: Page}, 1
 	room := MaxBytes
 	if at == 0 {
-		msg.Updates = append(msg.Updates, m.word())
-		room -= size(msg.Updates[0])
+		msg.Updates = append(msg.Updates, m.selfUpdate())
+		room -= updateSize(msg.Updates[0])
 	}
 	for _, k := range m.members {
 		if k.ID < at || len(sums) == Buckets && sums[bucket(k.ID)] == own[bucket(k.ID)] {
 			continue
 		}
 		u := k.update(true)
-		if room -= size(u); room < 0 && pages == maxPages {
+		if room -= updateSize(u); room < 0 && pages == maxPages {
 			msg.About = k.ID
 			break
 		} else if room < 0 {
 			m.send(to, msg)
 			pages++
-			msg, room = Message{Kind: Page}, MaxBytes-size(u)
+			msg, room = Message{Kind: Page}, MaxBytes-updateSize(u)
 		}
 		msg.Updates = append(msg.Updates, u)
 	}
@@ -654,46 +654,46 @@
 
 func bucket(id ID) int { return int(id >> 59) }
 
-// stamp is of one member in an incarnation.
-func stamp(id ID, incarnation uint32) uint64 {
+// memberDigest is of one member in an incarnation.
+func memberDigest(id ID, incarnation uint32) uint64 {
 	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
 }
 
-// sums are as sum, by bucket.
-func (m *Machine) sums() []uint32 {
+// bucketDigests are as digest, by bucket.
+func (m *Machine) bucketDigests() []uint32 {
 	s := make([]uint32, Buckets)
-	s[bucket(m.id)] = uint32(stamp(m.id, m.incarnation))
+	s[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
 	for _, k := range m.members {
 		if k.status <= Suspect {
-			s[bucket(k.ID)] ^= uint32(stamp(k.ID, k.incarnation))
+			s[bucket(k.ID)] ^= uint32(memberDigest(k.ID, k.incarnation))
 		}
 	}
 	return s
 }
 
-// sum is alike at nodes that hold the same members for alive, at the same incarnations: dead ones are forgotten at different
+// digest is alike at nodes that hold the same members for alive, at the same incarnations: dead ones are forgotten at different
 // times, and suspicions pass by themselves. Never 0.
-func (m *Machine) sum() uint64 {
-	s := stamp(m.id, m.incarnation)
+func (m *Machine) digest() uint64 {
+	s := memberDigest(m.id, m.incarnation)
 	for _, k := range m.members {
 		if k.status <= Suspect {
-			s ^= stamp(k.ID, k.incarnation)
+			s ^= memberDigest(k.ID, k.incarnation)
 		}
 	}
 	return max(1, s)
 }
 
-// take merges a word. own: it comes from whom it is of, who knows best where that is.
-func (m *Machine) take(u Update, own bool) {
+// merge merges a word. own: it comes from whom it is of, who knows best where that is.
+func (m *Machine) merge(u Update, own bool) {
 	if u.ID == m.id {
 		if u.Incarnation < MaxIncarnation && (u.Incarnation > m.incarnation || u.Incarnation == m.incarnation && u.Status != Alive) {
 			if u.Incarnation > m.incarnation {
 				m.Twins++
 			}
-			m.incarnation, m.own = u.Incarnation+1, 0
+			m.incarnation, m.selfTransmits = u.Incarnation+1, 0
 			m.changes++
 		} else if u.Incarnation < m.incarnation && u.Status != Alive {
-			m.own = min(m.own, m.most()-1) // who accuses an incarnation that is over is told of this one
+			m.selfTransmits = min(m.selfTransmits, m.retransmitLimit()-1) // who accuses an incarnation that is over is told of this one
 		}
 		return
 	}
@@ -703,17 +703,17 @@
 			return // nobody can be told of it
 		}
 		i, _ := m.find(u.ID)
-		k = &member{ID: u.ID, Peer: *u.Peer, notified: u.PeerIncarnation, carry: true, incarnation: u.Incarnation, status: u.Status, since: m.now}
+		k = &member{ID: u.ID, Peer: *u.Peer, peerIncarnation: u.PeerIncarnation, peerPending: true, incarnation: u.Incarnation, status: u.Status, since: m.now}
 		if u.Status == Suspect {
-			k.voices = []ID{u.By}
+			k.suspectors = []ID{u.By}
 		}
 		m.members = slices.Insert(m.members, i, k)
 		m.changes++
 		return
 	}
-	if u.Peer != nil && (u.PeerIncarnation > k.notified || own && u.PeerIncarnation == k.notified) {
-		if k.notified = u.PeerIncarnation; k.Peer != *u.Peer {
-			k.Peer, k.carry, k.sent = *u.Peer, true, 0
+	if u.Peer != nil && (u.PeerIncarnation > k.peerIncarnation || own && u.PeerIncarnation == k.peerIncarnation) {
+		if k.peerIncarnation = u.PeerIncarnation; k.Peer != *u.Peer {
+			k.Peer, k.peerPending, k.transmits = *u.Peer, true, 0
 			m.changes++
 		}
 	}
@@ -721,53 +721,53 @@
 	case u.Incarnation > k.incarnation || u.Incarnation == k.incarnation && u.Status > k.status:
 		switch {
 		case u.Status == Suspect:
-			m.hold(k, u.Incarnation, Alive)
+			m.setStatus(k, u.Incarnation, Alive)
 			m.suspect(k, u.By)
 		case u.Status == Dead && k.status <= Suspect:
 			if u.Incarnation > k.incarnation || k.status == Alive {
-				m.hold(k, u.Incarnation, Suspect)
+				m.setStatus(k, u.Incarnation, Suspect)
 			}
-			if k.last == 0 {
-				m.lastChance(k)
+			if k.finalPingUntil == 0 {
+				m.sendFinalPing(k)
 			}
 		default:
-			m.hold(k, u.Incarnation, u.Status)
+			m.setStatus(k, u.Incarnation, u.Status)
 		}
 	case u.Incarnation == k.incarnation && u.Status == Suspect && k.status == Suspect:
 		m.suspect(k, u.By)
 	}
 }
 
-// hold has a member be of an incarnation and a status from now on.
-func (m *Machine) hold(k *member, incarnation uint32, s Status) {
-	k.incarnation, k.status, k.since, k.sent, k.last, k.carry, k.voices = incarnation, s, m.now, 0, 0, false, nil
+// setStatus has a member be of an incarnation and a status from now on.
+func (m *Machine) setStatus(k *member, incarnation uint32, s Status) {
+	k.incarnation, k.status, k.since, k.transmits, k.finalPingUntil, k.peerPending, k.suspectors = incarnation, s, m.now, 0, 0, false, nil
 	m.changes++
 }
 
 // suspect adds a voice against a member. A few are enough: more would end the suspicion no sooner.
 func (m *Machine) suspect(k *member, by ID) {
 	if k.status == Alive {
-		m.hold(k, k.incarnation, Suspect)
+		m.setStatus(k, k.incarnation, Suspect)
 	}
-	if i, known := slices.BinarySearch(k.voices, by); !known && len(k.voices) <= m.o.Indirect {
-		k.voices = slices.Insert(k.voices, i, by)
-		k.sent = 0
+	if i, known := slices.BinarySearch(k.suspectors, by); !known && len(k.suspectors) <= m.options.Indirect {
+		k.suspectors = slices.Insert(k.suspectors, i, by)
+		k.transmits = 0
 	}
 }
 
 // Leave says goodbye to some members, and has the machine do nothing more.
 func (m *Machine) Leave(now time.Duration) []Packet {
 	m.begin(now)
-	m.left, m.own = true, 0
+	m.left, m.selfTransmits = true, 0
 	var all []*member
 	for _, k := range m.members {
 		if k.status <= Suspect {
 			all = append(all, k)
 		}
 	}
-	for range min(2*(1+m.o.Indirect), len(all)) {
+	for range min(2*(1+m.options.Indirect), len(all)) {
 		i := m.draw(len(all))
-		m.own = 0
+		m.selfTransmits = 0
 		m.send(all[i].Addr, Message{Kind: Ping})
 		all = slices.Delete(all, i, i+1)
 	}
@@ -799,4 +799,4 @@
 func (m *Machine) Self() (ID, uint32) { return m.id, m.incarnation }
 
 // Health is 0 where all is well with the node itself, up to 8.
-func (m *Machine) Health() int { return m.ill }
+func (m *Machine) Health() int { return m.healthScore }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -51,7 +51,7 @@
 		w.t.Fatal(err)
 	}
 	m.now = w.now
-	m.next = w.now + time.Duration(w.rng.Int64N(int64(time.Second)))
+	m.nextPeriod = w.now + time.Duration(w.rng.Int64N(int64(time.Second)))
 	if _, known := w.machines[addrOf(i)]; !known {
 		w.order = append(w.order, addrOf(i))
 	}
