--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -6,41 +6,49 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Buckets are what a Pull tells of apart, by the first bits of members' IDs.
+// Buckets is the number of groups of members, by the first bits of their IDs, for which a Pull carries a digest each.
 const Buckets = 32
 
-func bucket(id ID) int { return int(id >> 59) }
+// bucketShift leaves the bits of an ID that number its bucket.
+const bucketShift = 59
 
-// memberDigest is of one member in an incarnation.
+// maxPages is how many pages answer one Pull.
+const maxPages = 4
+
+// bucket returns the bucket of a member.
+func bucket(id ID) int { return int(id >> bucketShift) }
+
+// memberDigest returns the digest of one member in an incarnation.
 func memberDigest(id ID, incarnation uint32) uint64 {
 	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
 }
 
-// digest is alike at nodes that hold the same members for alive, at the same incarnations: dead ones are forgotten at different
-// times, and suspicions pass by themselves. Never 0.
+// digest returns a number, never 0, that is equal at nodes which hold the same members for active at the same
+// incarnations. Dead members are left out, because they are forgotten at different times, and so is the difference between
+// alive and suspect, because suspicions end by themselves.
 func (m *Machine) digest() uint64 {
-	s := memberDigest(m.id, m.incarnation)
+	sum := memberDigest(m.id, m.incarnation)
 	for _, k := range m.members {
-		if k.status <= Suspect {
-			s ^= memberDigest(k.ID, k.incarnation)
+		if k.active() {
+			sum ^= memberDigest(k.ID, k.incarnation)
 		}
 	}
-	return max(1, s)
+	return max(1, sum)
 }
 
-// bucketDigests are as digest, by bucket.
+// bucketDigests returns the digests of the buckets.
 func (m *Machine) bucketDigests() []uint32 {
-	s := make([]uint32, Buckets)
-	s[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
+	sums := make([]uint32, Buckets)
+	sums[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
 	for _, k := range m.members {
-		if k.status <= Suspect {
-			s[bucket(k.ID)] ^= uint32(memberDigest(k.ID, k.incarnation))
+		if k.active() {
+			sums[bucket(k.ID)] ^= uint32(memberDigest(k.ID, k.incarnation))
 		}
 	}
-	return s
+	return sums
 }
 
-// requestPages asks for another's list, once a period at most.
+// requestPages asks for another node's list from an ID on, once a period at most.
 func (m *Machine) requestPages(from netip.AddrPort, at ID) {
 	if m.now < m.nextPull {
 		return
@@ -49,32 +57,31 @@
 	m.send(from, Message{Kind: Pull, About: at, Sums: m.bucketDigests()})
 }
 
-// maxPages go out for one Pull.
-const maxPages = 4
-
-// sendPages sends a part of the list, from an ID on: of the buckets in which the other holds something else.
+// sendPages sends the members from an ID on whose buckets have another digest than the receiver's. What does not fit into
+// maxPages the receiver asks for again, from the ID that the last page names.
 func (m *Machine) sendPages(to netip.AddrPort, at ID, sums []uint32) {
 	own := m.bucketDigests()
-	msg, pages := Message{Kind: Page}, 1
-	room := MaxBytes
+	page := &updateList{left: MaxBytes}
 	if at == 0 {
-		msg.Updates = append(msg.Updates, m.selfUpdate())
-		room -= updateSize(msg.Updates[0])
+		page.add(m.selfUpdate())
 	}
+	pages := 1
 	for _, k := range m.members {
 		if k.ID < at || len(sums) == Buckets && sums[bucket(k.ID)] == own[bucket(k.ID)] {
 			continue
 		}
 		u := k.update(true)
-		if room -= updateSize(u); room < 0 && pages == maxPages {
-			msg.About = k.ID
-			break
-		} else if room < 0 {
-			m.send(to, msg)
-			pages++
-			msg, room = Message{Kind: Page}, MaxBytes-updateSize(u)
+		if page.add(u) {
+			continue
+		}
+		if pages == maxPages {
+			m.send(to, Message{Kind: Page, About: k.ID, Updates: page.updates})
+			return
 		}
-		msg.Updates = append(msg.Updates, u)
+		m.send(to, Message{Kind: Page, Updates: page.updates})
+		pages++
+		page = &updateList{left: MaxBytes}
+		page.add(u)
 	}
-	m.send(to, msg)
+	m.send(to, Message{Kind: Page, Updates: page.updates})
 }
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -9,7 +9,7 @@
 	"net/netip"
 )
 
-// MaxDatagram is how long a datagram may be: the platform's channel between nodes carries no more (PROTOCOL, Between
+// MaxDatagram is how many bytes a datagram may have: the platform's channel between nodes carries no more (PROTOCOL, Between
 // nodes).
 const MaxDatagram = 256
 
@@ -17,26 +17,33 @@
 const (
 	version  = 2
 	headSize = 1 + 1 + 8 + 4 + 8 + 8
-	tagSize  = 12 // of HMAC-SHA-256, shortened
+	sumSize  = 4
+	tagSize  = 12 // of HMAC-SHA-256, truncated
+	ip4Size  = 4
+	ip16Size = 16
 )
 
-// updateSize is what an update takes: id, life, status and flags, who suspects, and the peer.
+// updateSize returns how many bytes an update takes: id, incarnation, status and flags, suspector, and the peer.
 func updateSize(u Update) int {
 	n := 8 + 4 + 1
 	if u.Status == Suspect {
 		n += 8
 	}
-	if u.Peer != nil {
-		n += 1 + len(u.Peer.Name) + 1 + len(u.Peer.Region) + 1 + len(u.Peer.Zone) + 1 + addrSize(u.Peer.Addr) + 2 + 4
+	if p := u.Peer; p != nil {
+		n += 1 + len(p.Name)
+		n += 1 + len(p.Region)
+		n += 1 + len(p.Zone)
+		n += 1 + addrSize(p.Addr) + 2
+		n += 4 // PeerIncarnation
 	}
 	return n
 }
 
 func addrSize(a netip.AddrPort) int {
 	if a.Addr().Unmap().Is4() {
-		return 4
+		return ip4Size
 	}
-	return 16
+	return ip16Size
 }
 
 // Bits beside the status in an update's byte.
@@ -46,7 +53,8 @@
 	listensBit = 0x08
 )
 
-// Encode writes a message with the tag of a key. It never is longer than MaxDatagram where the updates are within MaxBytes.
+// Encode returns a message as a datagram with the tag of a key. It is no longer than MaxDatagram if the updates are within
+// MaxBytes.
 func Encode(m Message, key []byte) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, version, byte(m.Kind))
@@ -54,43 +62,53 @@
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
 	b = binary.BigEndian.AppendUint64(b, uint64(m.About))
 	b = binary.BigEndian.AppendUint64(b, m.Sum)
-	text := func(s string) {
-		b = append(b, byte(len(s)))
-		b = append(b, s...)
-	}
 	for _, s := range m.Sums {
 		b = binary.BigEndian.AppendUint32(b, s)
 	}
 	for _, u := range m.Updates {
-		b = binary.BigEndian.AppendUint64(b, uint64(u.ID))
-		b = binary.BigEndian.AppendUint32(b, u.Incarnation)
-		flags := byte(u.Status)
-		if u.Peer != nil {
-			flags |= peerBit
-			if u.Peer.Listens {
-				flags |= listensBit
-			}
-		}
-		b = append(b, flags)
-		if u.Status == Suspect {
-			b = binary.BigEndian.AppendUint64(b, uint64(u.By))
-		}
-		if p := u.Peer; p != nil {
-			text(p.Name)
-			text(p.Region)
-			text(p.Zone)
-			text(string(p.Addr.Addr().Unmap().AsSlice()))
-			b = binary.BigEndian.AppendUint16(b, p.Addr.Port())
-			b = binary.BigEndian.AppendUint32(b, u.PeerIncarnation)
-		}
+		b = appendUpdate(b, u)
 	}
 	return Seal(b, key)
 }
 
-// Seal adds the tag of a key to what a datagram says.
+func appendUpdate(b []byte, u Update) []byte {
+	b = binary.BigEndian.AppendUint64(b, uint64(u.ID))
+	b = binary.BigEndian.AppendUint32(b, u.Incarnation)
+	flags := byte(u.Status)
+	if u.Peer != nil {
+		flags |= peerBit
+		if u.Peer.Listens {
+			flags |= listensBit
+		}
+	}
+	b = append(b, flags)
+	if u.Status == Suspect {
+		b = binary.BigEndian.AppendUint64(b, uint64(u.By))
+	}
+	if u.Peer != nil {
+		b = appendPeer(b, u.Peer)
+		b = binary.BigEndian.AppendUint32(b, u.PeerIncarnation)
+	}
+	return b
+}
+
+func appendPeer(b []byte, p *Peer) []byte {
+	b = appendText(b, p.Name)
+	b = appendText(b, p.Region)
+	b = appendText(b, p.Zone)
+	b = appendText(b, string(p.Addr.Addr().Unmap().AsSlice()))
+	return binary.BigEndian.AppendUint16(b, p.Addr.Port())
+}
+
+func appendText(b []byte, s string) []byte {
+	b = append(b, byte(len(s)))
+	return append(b, s...)
+}
+
+// Seal appends the tag of a key to the body of a datagram.
 func Seal(b, key []byte) []byte { return append(b, tag(b, key)...) }
 
-// Unseal takes the tag off a datagram; false: it is of another key.
+// Unseal returns the body of a datagram without its tag; false: the tag is of another key.
 func Unseal(b, key []byte) (body []byte, ok bool) {
 	if len(b) < tagSize {
 		return nil, false
@@ -105,56 +123,64 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// MaxIncarnation is the last life of a member; a word of a later one is malformed, so that none can be put beyond an answer.
+// MaxIncarnation is the last incarnation of a member. An update with a later one is malformed, so that no update can make
+// a member unable to refute it.
 const MaxIncarnation = 1<<31 - 1
 
 // Errors of a datagram. Nothing of one that has an error is used.
 var (
-	ErrStrange   = errors.New("membership: the tag is of another key") // of another cluster, or nobody's
-	ErrVersion   = errors.New("membership: another version")
+	// ErrStrange: the tag is of another key, so the datagram comes from another cluster or from none.
+	ErrStrange = errors.New("membership: the tag is of another key")
+	// ErrVersion: the sender speaks another version of the protocol.
+	ErrVersion = errors.New("membership: another version")
+	// ErrMalformed: the datagram has the right tag and breaks the format.
 	ErrMalformed = errors.New("membership: malformed")
 )
 
-// Decode reads a datagram.
+// Decode reads a datagram and checks its tag with a key. Its errors are ErrStrange, ErrVersion and ErrMalformed.
 func Decode(b, key []byte) (Message, error) {
-	var m Message
 	if len(b) < headSize+tagSize || len(b) > MaxDatagram {
-		return m, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
+		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	body, ok := Unseal(b, key)
 	if !ok {
-		return m, ErrStrange
+		return Message{}, ErrStrange
 	}
-	if body[0] != version {
-		return m, fmt.Errorf("%w: %d", ErrVersion, body[0])
+	r := &reader{left: body}
+	if v := r.byte(); v != version {
+		return Message{}, fmt.Errorf("%w: %d", ErrVersion, v)
+	}
+	m := Message{
+		Kind:  Kind(r.byte()),
+		From:  ID(r.uint64()),
+		Seq:   r.uint32(),
+		About: ID(r.uint64()),
+		Sum:   r.uint64(),
 	}
-	m.Kind = Kind(body[1])
 	if m.Kind < Ping || m.Kind > Page {
 		return Message{}, fmt.Errorf("%w: kind %d", ErrMalformed, m.Kind)
 	}
-	m.From = ID(binary.BigEndian.Uint64(body[2:]))
-	m.Seq = binary.BigEndian.Uint32(body[10:])
-	m.About = ID(binary.BigEndian.Uint64(body[14:]))
-	m.Sum = binary.BigEndian.Uint64(body[22:])
-	r := &reader{left: body[headSize:]}
-	for m.Kind == Pull && len(m.Sums) < Buckets {
-		m.Sums = append(m.Sums, binary.BigEndian.Uint32(r.take(4)))
+	if m.Kind == Pull {
+		for range Buckets {
+			m.Sums = append(m.Sums, r.uint32())
+		}
 	}
 	for len(r.left) > 0 && !r.bad {
 		m.Updates = append(m.Updates, r.update())
 	}
 	if r.bad || m.From == 0 {
-		return Message{}, fmt.Errorf("%w: an update ends too soon, is too long or names nobody", ErrMalformed)
+		return Message{}, fmt.Errorf("%w: an update is truncated, too long or without a valid ID", ErrMalformed)
 	}
 	return m, nil
 }
 
-// reader takes updates off a datagram.
+// reader reads the body of a datagram from its front.
 type reader struct {
 	left []byte
-	bad  bool
+	bad  bool // the body is malformed; what is read after that is zero or of no use
 }
 
+// take returns the next n bytes, or zeros if there are fewer.
 func (r *reader) take(n int) []byte {
 	if r.bad || n > len(r.left) {
 		r.bad = true
@@ -165,9 +191,18 @@
 	return out
 }
 
-func (r *reader) text(most int) string {
-	n := int(r.take(1)[0])
-	if n > most {
+func (r *reader) byte() byte { return r.take(1)[0] }
+
+func (r *reader) uint16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
+
+func (r *reader) uint32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
+
+func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+
+// text reads a string with its length before it, of maxBytes at most.
+func (r *reader) text(maxBytes int) string {
+	n := int(r.byte())
+	if n > maxBytes {
 		r.bad = true
 		return ""
 	}
@@ -175,23 +210,40 @@
 }
 
 func (r *reader) update() Update {
-	u := Update{ID: ID(binary.BigEndian.Uint64(r.take(8))), Incarnation: binary.BigEndian.Uint32(r.take(4))}
-	r.bad = r.bad || u.Incarnation > MaxIncarnation
-	flags := r.take(1)[0]
+	u := Update{ID: ID(r.uint64()), Incarnation: r.uint32()}
+	flags := r.byte()
 	u.Status = Status(flags & statusBits)
 	if u.Status == Suspect {
-		u.By = ID(binary.BigEndian.Uint64(r.take(8)))
+		u.By = ID(r.uint64())
+	}
+	if u.Incarnation > MaxIncarnation {
+		r.bad = true
 	}
 	if flags&peerBit == 0 {
-		r.bad = r.bad || flags&^(statusBits) != 0 || u.ID == 0
+		if u.ID == 0 || flags&^statusBits != 0 {
+			r.bad = true
+		}
 		return u
 	}
-	p := Peer{Name: r.text(MaxName), Region: r.text(MaxPlace), Zone: r.text(MaxPlace), Listens: flags&listensBit != 0}
-	addr, ok := netip.AddrFromSlice([]byte(r.text(16)))
-	p.Addr = netip.AddrPortFrom(addr, binary.BigEndian.Uint16(r.take(2)))
-	u.PeerIncarnation = binary.BigEndian.Uint32(r.take(4))
-	// A word must be of the member that it names: one peer cannot make another of it.
-	r.bad = r.bad || !ok || u.PeerIncarnation > u.Incarnation || p.Name == "" || IDOf(p.Name) != u.ID || flags&^(statusBits|peerBit|listensBit) != 0
-	u.Peer = &p
+	u.Peer = r.peer()
+	u.Peer.Listens = flags&listensBit != 0
+	u.PeerIncarnation = r.uint32()
+	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listensBit) != 0 {
+		r.bad = true
+	}
+	// The ID must be of the name, so that no peer can announce one member as another.
+	if u.Peer.Name == "" || IDOf(u.Peer.Name) != u.ID {
+		r.bad = true
+	}
 	return u
 }
+
+func (r *reader) peer() *Peer {
+	p := &Peer{Name: r.text(MaxName), Region: r.text(MaxPlace), Zone: r.text(MaxPlace)}
+	addr, ok := netip.AddrFromSlice([]byte(r.text(ip16Size)))
+	if !ok {
+		r.bad = true
+	}
+	p.Addr = netip.AddrPortFrom(addr, r.uint16())
+	return p
+}
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -7,76 +7,98 @@
 	"slices"
 )
 
+// Bounds of gossip.
+const (
+	maxGossip         = 6 // messages a period beside probes
+	updatesPerMessage = 9 // as a rule
+)
+
+// send queues a message with the updates that it has room for.
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From = m.id
 	if msg.Kind != Page {
-		msg.Updates = m.piggyback(to, MaxBytes-4*len(msg.Sums))
+		msg.Updates = m.piggyback(to, MaxBytes-sumSize*len(msg.Sums))
 	}
-	m.packets = append(m.packets, Packet{to, msg})
+	m.packets = append(m.packets, Packet{To: to, Message: msg})
 }
 
-// piggyback chooses the updates that go with a message: what is held against its receiver first, so that it can answer that, then
-// the own word, then those that went out least.
-// Who and where somebody is goes with the first words of it alone.
-func (m *Machine) piggyback(to netip.AddrPort, room int) (out []Update) {
-	add := func(u Update) bool {
-		n := updateSize(u)
-		if n > room {
-			return false
-		}
-		room -= n
-		out = append(out, u)
-		return true
+// updateList collects updates up to a number of bytes.
+type updateList struct {
+	updates []Update
+	left    int // bytes
+}
+
+// add appends an update; false: there is no room for it.
+func (l *updateList) add(u Update) bool {
+	n := updateSize(u)
+	if n > l.left {
+		return false
 	}
-	most := m.retransmitLimit()
+	l.left -= n
+	l.updates = append(l.updates, u)
+	return true
+}
+
+// piggyback chooses the updates that go with a message: first what accuses its receiver, so that it can refute that, then
+// what the receiver holds out of date, then the node's own update, then those that went out least often.
+func (m *Machine) piggyback(to netip.AddrPort, maxBytes int) []Update {
+	list := &updateList{left: maxBytes}
+	limit := m.retransmitLimit()
 	for _, k := range m.members {
 		if k.Addr == to && k.status != Alive {
-			add(k.update(false))
+			list.add(k.update(false))
 		}
 	}
 	for _, id := range m.outdated {
 		if k := m.get(id); k != nil {
-			add(k.update(false))
+			list.add(k.update(false))
 		}
 	}
-	if m.selfTransmits < most || len(m.members) == 0 {
+	if m.selfTransmits < limit || len(m.members) == 0 {
 		m.selfTransmits++
-		add(m.selfUpdate())
+		list.add(m.selfUpdate())
+	}
+	for _, k := range m.pendingUpdates(to, limit) {
+		if !list.add(k.update(k.peerPending)) {
+			break
+		}
+		k.transmits++
+		if k.transmits >= limit {
+			k.peerPending = false
+		}
 	}
-	var fresh []*member
+	return list.updates
+}
+
+// pendingUpdates returns the members whose updates have not gone out limit times, in the order in which they are to be
+// sent. A change of a member goes before the announcement of a newcomer: newcomers are found by anti-entropy as well, and
+// hundreds of them would delay the news of a death.
+func (m *Machine) pendingUpdates(to netip.AddrPort, limit int) []*member {
+	var pending []*member
 	for _, k := range m.members {
-		if k.transmits < most && k.Addr != to {
-			fresh = append(fresh, k)
+		if k.transmits < limit && k.Addr != to {
+			pending = append(pending, k)
 		}
 	}
-	// What has changed of a member goes before who there is: that is found by lists as well, and hundreds of newcomers would
-	// be in the way of a death.
-	slices.SortStableFunc(fresh, func(a, b *member) int {
-		if a.peerPending != b.peerPending {
-			if b.peerPending {
-				return -1
-			}
+	slices.SortStableFunc(pending, func(a, b *member) int {
+		switch {
+		case a.peerPending == b.peerPending:
+			return cmp.Compare(a.transmits, b.transmits)
+		case a.peerPending:
 			return 1
+		default:
+			return -1
 		}
-		return cmp.Compare(a.transmits, b.transmits)
 	})
-	for _, k := range fresh {
-		if !add(k.update(k.peerPending)) {
-			break
-		}
-		if k.transmits++; k.transmits >= most {
-			k.peerPending = false
-		}
-	}
-	return out
+	return pending
 }
 
-// retransmitLimit is how often a word is passed on.
+// retransmitLimit returns how often an update is sent (SWIM's λ log n).
 func (m *Machine) retransmitLimit() int {
 	return m.options.Spread * int(math.Ceil(math.Log2(float64(m.activeCount()+1))))
 }
 
-// selfUpdate is what this node says of itself.
+// selfUpdate returns what this node announces of itself.
 func (m *Machine) selfUpdate() Update {
 	u := Update{ID: m.id, Incarnation: m.incarnation, Peer: &m.self, PeerIncarnation: m.incarnation}
 	if m.left {
@@ -85,36 +107,20 @@
 	return u
 }
 
-func (k *member) update(complete bool) Update {
-	u := Update{ID: k.ID, Incarnation: k.incarnation, Status: k.status}
-	if complete {
-		u.Peer, u.PeerIncarnation = &k.Peer, k.peerIncarnation
-	}
-	if k.status == Suspect && len(k.suspectors) > 0 {
-		u.By = k.suspectors[k.transmits%len(k.suspectors)] // each goes round
-	}
-	return u
-}
-
-// Bounds of gossip.
-const (
-	maxGossip         = 6 // messages a period beside probes
-	updatesPerMessage = 9 // that a message holds
-)
-
-// gossip sends more than probes carry, where many words wait: as after many deaths at once.
+// gossip sends pings beside the probes where more updates wait than those carry, as after many deaths at once.
 func (m *Machine) gossip() {
-	waiting, most := 0, m.retransmitLimit()
-	var to []*member
+	waiting := 0
+	limit := m.retransmitLimit()
+	var alive []*member
 	for _, k := range m.members {
-		if k.transmits < most/2 {
+		if k.transmits < limit/2 {
 			waiting++
 		}
 		if k.status == Alive {
-			to = append(to, k)
+			alive = append(alive, k)
 		}
 	}
-	for range min(maxGossip, waiting/updatesPerMessage, len(to)) {
-		m.send(to[m.draw(len(to))].Addr, Message{Kind: Ping})
+	for range min(maxGossip, waiting/updatesPerMessage, len(alive)) {
+		m.send(alive[m.draw(len(alive))].Addr, Message{Kind: Ping})
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -3,34 +3,43 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"fmt"
 	"net/netip"
 	"time"
 )
 
-// ID tells members apart: it is made of the name alone.
+// ID identifies a member. It is made of the name alone.
 type ID uint64
 
-// IDOf is the ID of a name.
+// IDOf returns the ID of a name, which is never 0.
 func IDOf(name string) ID {
 	sum := sha256.Sum256([]byte(name))
 	return ID(max(1, binary.BigEndian.Uint64(sum[:8])))
 }
 
-// Peer is what is told of a member beside its incarnation.
+// Peer is what a member announces of itself beside its incarnation.
 type Peer struct {
 	Name         string         // up to MaxName bytes
 	Addr         netip.AddrPort // where it listens
 	Region, Zone string         // up to MaxPlace bytes each
-	Listens      bool           // it hears and is heard, and is never asked to probe for others
+	Listens      bool           // it takes part as a listener alone, and is never asked for indirect probes
 }
 
-// Bounds of a Peer's words.
+// Bounds of a Peer's fields, in bytes.
 const (
 	MaxName  = 32
 	MaxPlace = 16
 )
 
-// Status is what is held of a member, graver ones later.
+// check returns an error if a field is out of bounds.
+func (p Peer) check() error {
+	if p.Name == "" || len(p.Name) > MaxName || len(p.Region) > MaxPlace || len(p.Zone) > MaxPlace || !p.Addr.IsValid() {
+		return fmt.Errorf("membership: %+v; allowed: a name of 1 to %d bytes, places of up to %d, an address", p, MaxName, MaxPlace)
+	}
+	return nil
+}
+
+// Status is what a node holds of a member. In one incarnation a higher one supersedes a lower one.
 type Status uint8
 
 // Statuses.
@@ -38,14 +47,25 @@
 	Alive Status = iota
 	Suspect
 	Dead
-	Left // in order
+	Left // announced that it leaves
 )
 
 var statusNames = [...]string{"alive", "suspect", "dead", "left"}
 
+// String returns the status in lower case.
 func (s Status) String() string { return statusNames[min(int(s), len(statusNames)-1)] }
 
-// member is what is held of one.
+// Member is what a node holds of another, as Machine.Members returns it.
+type Member struct {
+	Peer
+	ID          ID
+	Incarnation uint32
+	Status      Status
+	Since       time.Duration // time of this node's clock at which the member came to this status here
+	Heard       time.Duration // time of this node's clock at which the last message from it came; 0: none has
+}
+
+// member is the state that is kept of another member.
 type member struct {
 	ID
 	Peer
@@ -54,18 +74,25 @@
 	peerPending     bool   // Peer is news and goes with the next updates
 	status          Status
 	since           time.Duration // when it came to this status here
-	heard           time.Duration // last message from it
-	suspectors      []ID          // members that suspect it, sorted
+	heard           time.Duration // when the last message from it came
+	suspectors      []ID          // members that suspect it, in order
 	transmits       int           // times that the update of it went out
-	finalPingUntil  time.Duration // until when it may answer the final ping; 0: none was sent
+	finalPingUntil  time.Duration // until when it may answer its final ping; 0: none was sent
 }
 
-// Member is what is told of one.
-type Member struct {
-	Peer
-	ID          ID
-	Incarnation uint32
-	Status      Status
-	Since       time.Duration // time of this node's clock when it came to this status here
-	Heard       time.Duration // and when a message from it came last; 0: never
+// active says that the member is neither dead nor left.
+func (k *member) active() bool { return k.status <= Suspect }
+
+// update returns what is held of the member as an update; withPeer: with its name and address.
+func (k *member) update(withPeer bool) Update {
+	u := Update{ID: k.ID, Incarnation: k.incarnation, Status: k.status}
+	if withPeer {
+		u.Peer = &k.Peer
+		u.PeerIncarnation = k.peerIncarnation
+	}
+	if k.status == Suspect && len(k.suspectors) > 0 {
+		// All suspectors take turns, so that each confirmation spreads.
+		u.By = k.suspectors[k.transmits%len(k.suspectors)]
+	}
+	return u
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,42 +2,45 @@
 
 import "net/netip"
 
-// Update is a word of one member.
-type Update struct {
-	ID          ID
-	Incarnation uint32
-	Status      Status
-	By          ID    // for Suspect: who suspects; one voice each
-	Peer        *Peer // nil: as known
+// MaxBytes is how many bytes the updates of a message take at most, as the codec writes them.
+const MaxBytes = 200
 
-	PeerIncarnation uint32 // in which Peer was so
-}
-
-// Kind says what a message is for.
+// Kind is the purpose of a message. Its value is its code on the wire.
 type Kind uint8
 
 // Kinds of messages.
 const (
 	Ping    Kind = iota + 1 // answered by an Ack of the same Seq
-	Ack                     // Sum tells of the sender's list
-	PingReq                 // asks to ping About; answered by an Ack, or by a Nack where none comes
-	Nack
-	Pull // asks for the list from About on
-	Page // a part of the list; About is where the next begins, 0: it was the last
+	Ack                     // Sum is a digest of the members that the sender holds for alive
+	PingReq                 // asks to ping About; answered by an Ack, or by a Nack if there was no answer
+	Nack                    // the member that a PingReq named has not answered
+	Pull                    // asks for the member list from About on
+	Page                    // a part of the list; About is where the next part begins, 0: it was the last
 )
 
+// Update is what its sender holds of one member.
+type Update struct {
+	ID          ID
+	Incarnation uint32
+	Status      Status
+	By          ID    // for Suspect: the member that suspects
+	Peer        *Peer // nil: unchanged
+
+	PeerIncarnation uint32 // in which Peer was announced
+}
+
 // Message is what one member sends another.
 type Message struct {
 	Kind    Kind
 	From    ID
-	Seq     uint32
+	Seq     uint32 // of a probe and its answers
 	About   ID
 	Sum     uint64
 	Updates []Update
-	Sums    []uint32 // of a Pull: what the sender holds for alive, by bucket; only what differs is wanted
+	Sums    []uint32 // of a Pull: the sender's digests by bucket; only buckets that differ are wanted
 }
 
-// Packet is a message on its way out.
+// Packet is a message with the address that it goes to.
 type Packet struct {
 	To netip.AddrPort
 	Message
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// probe is the one under way.
+// maxIndirectProbes bounds the pings on behalf of others that are under way at once.
+const maxIndirectProbes = 64
+
+// probe is the node's own probe of a member in the current period.
 type probe struct {
 	target     ID
 	seq        uint32
-	indirectAt time.Duration // when others are asked to probe it
-	helpers    int           // members that were asked to probe it
-	nacks      int
-	running    bool
+	indirectAt time.Duration // when helpers are asked; 0: they have been
+	helpers    int           // members that were asked for an indirect probe
+	nacks      int           // helpers that got no answer either
+	running    bool          // there is no answer yet
 }
 
-// indirectProbe is a ping on behalf of another member (ping-req).
+// awaitsIndirect says that helpers will be asked if no answer comes before.
+func (p *probe) awaitsIndirect() bool { return p.running && p.helpers == 0 && p.indirectAt > 0 }
+
+// indirectProbe is a ping that another member asked for (ping-req).
 type indirectProbe struct {
-	seq          uint32 // of our ping
+	seq          uint32 // of this node's ping
 	requester    netip.AddrPort
 	requesterSeq uint32
 	deadline     time.Duration
 }
 
-// startPeriod ends the probe that is under way and begins the next.
+// startPeriod ends the probe under way and begins the next one.
 func (m *Machine) startPeriod() {
 	if m.probe.running {
-		// Where others could be asked and say that they have no answer either, it is not this node that is ill.
-		if m.probe.nacks == 0 {
-			m.healthScore = min(maxHealthScore, m.healthScore+1)
-		}
-		if k := m.get(m.probe.target); k != nil && k.status <= Suspect {
-			m.suspect(k, m.id)
-		}
+		m.probeFailed()
 	}
-	m.probe = probe{}
 	stretch := time.Duration(1 + m.healthScore)
 	m.nextPeriod = m.now + stretch*m.options.Period
+	m.probe = probe{}
 	if k := m.nextProbeTarget(); k != nil {
 		m.seq++
 		m.probe = probe{target: k.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.Timeout, running: true}
@@ -47,7 +47,18 @@
 	m.gossip()
 }
 
-// probeIndirectly pings the member that has not answered once more, and has others ping it.
+// probeFailed suspects the target of the probe, to which neither it nor a helper has answered.
+func (m *Machine) probeFailed() {
+	// Helpers that say that they have no answer either show that this node's own links work.
+	if m.probe.nacks == 0 {
+		m.healthScore = min(maxHealthScore, m.healthScore+1)
+	}
+	if k := m.get(m.probe.target); k != nil && k.active() {
+		m.suspect(k, m.id)
+	}
+}
+
+// probeIndirectly pings the target once more and asks other members to ping it.
 func (m *Machine) probeIndirectly() {
 	p := &m.probe
 	if k := m.get(p.target); k != nil {
@@ -68,67 +79,117 @@
 	}
 }
 
-// nextProbeTarget is whom to probe: everybody once a round in a drawn order, members of the own zone more often.
+// nextProbeTarget returns the member to probe next; nil: there is none. Each member comes once in a round, those of the
+// own zone Options.Near times, and the order of each round is random.
 func (m *Machine) nextProbeTarget() *member {
-	for range 2 {
-		for len(m.probeOrder) > 0 {
-			k := m.get(m.probeOrder[0])
-			m.probeOrder = m.probeOrder[1:]
-			if k != nil && k.status <= Suspect {
-				return k
-			}
+	if k := m.takeProbeTarget(); k != nil {
+		return k
+	}
+	m.newProbeRound()
+	if k := m.takeProbeTarget(); k != nil {
+		return k
+	}
+	m.newProbeRound()
+	return nil
+}
+
+// takeProbeTarget takes members off the current round up to the first that is active; nil: the round is over.
+func (m *Machine) takeProbeTarget() *member {
+	for len(m.probeOrder) > 0 {
+		k := m.get(m.probeOrder[0])
+		m.probeOrder = m.probeOrder[1:]
+		if k != nil && k.active() {
+			return k
 		}
-		for _, k := range m.members {
-			times := 1
-			if k.Zone == m.self.Zone {
-				times = m.options.Near
-			}
-			for range times {
-				m.probeOrder = append(m.probeOrder, k.ID)
-			}
+	}
+	return nil
+}
+
+// newProbeRound draws the order of a new round.
+func (m *Machine) newProbeRound() {
+	for _, k := range m.members {
+		times := 1
+		if k.Zone == m.self.Zone {
+			times = m.options.Near
 		}
-		for i := len(m.probeOrder) - 1; i > 0; i-- {
-			j := m.draw(i + 1)
-			m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i]
+		for range times {
+			m.probeOrder = append(m.probeOrder, k.ID)
 		}
 	}
-	return nil
+	for i := len(m.probeOrder) - 1; i > 0; i-- {
+		j := m.draw(i + 1)
+		m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i]
+	}
 }
 
-// pingUnreachable pings somebody whom this node holds for dead, or a seed that it does not know, now and then: after a cut nobody
-// else would begin to speak.
+// pingUnreachable pings a member that this node holds for dead, or a seed that it does not know. After a partition no
+// other member would begin to speak.
 func (m *Machine) pingUnreachable() {
-	var strangers []netip.AddrPort
+	var addrs []netip.AddrPort
 	for _, k := range m.members {
 		if k.status == Dead {
-			strangers = append(strangers, k.Addr)
+			addrs = append(addrs, k.Addr)
 		}
 	}
-	for _, a := range m.options.Seeds {
-		if a != m.self.Addr && !slices.ContainsFunc(m.members, func(k *member) bool { return k.Addr == a }) {
-			strangers = append(strangers, a)
+	for _, seed := range m.options.Seeds {
+		if seed != m.self.Addr && !m.knowsAddr(seed) {
+			addrs = append(addrs, seed)
 		}
 	}
-	if len(strangers) > 0 {
-		m.seq++
-		m.selfTransmits = min(m.selfTransmits, 1) // who is greeted may never have heard of this node
-		m.send(strangers[m.draw(len(strangers))], Message{Kind: Ping, Seq: m.seq})
+	if len(addrs) == 0 {
+		return
 	}
+	m.seq++
+	m.selfTransmits = min(m.selfTransmits, 1) // the receiver may never have heard of this node
+	m.send(addrs[m.draw(len(addrs))], Message{Kind: Ping, Seq: m.seq})
+}
+
+// knowsAddr says that a member has this address.
+func (m *Machine) knowsAddr(addr netip.AddrPort) bool {
+	return slices.ContainsFunc(m.members, func(k *member) bool { return k.Addr == addr })
 }
 
+// receiveAck ends the probe that the Ack answers, passes it on to the member that asked for the ping, and requests the
+// sender's list if its digest differs.
 func (m *Machine) receiveAck(from netip.AddrPort, msg Message) {
 	if m.probe.running && msg.Seq == m.probe.seq && (msg.From == m.probe.target || m.probe.helpers > 0) {
 		m.probe.running = false
 		m.healthScore = max(0, m.healthScore-1)
 	}
-	for i, r := range m.indirectProbes {
-		if r.seq == msg.Seq {
-			m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Sum: m.digest()})
-			m.indirectProbes = slices.Delete(m.indirectProbes, i, i+1)
-			break
-		}
+	answered := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
+	if answered >= 0 {
+		r := m.indirectProbes[answered]
+		m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Sum: m.digest()})
+		m.indirectProbes = slices.Delete(m.indirectProbes, answered, answered+1)
 	}
 	if msg.Sum != 0 && msg.Sum != m.digest() {
 		m.requestPages(from, 0)
 	}
 }
+
+// receivePingReq pings the member that the message names, on behalf of its sender.
+func (m *Machine) receivePingReq(from netip.AddrPort, msg Message) {
+	target := m.get(msg.About)
+	if target == nil || len(m.indirectProbes) >= maxIndirectProbes {
+		return
+	}
+	m.seq++
+	m.indirectProbes = append(m.indirectProbes, indirectProbe{
+		seq:          m.seq,
+		requester:    from,
+		requesterSeq: msg.Seq,
+		deadline:     m.now + m.options.Timeout,
+	})
+	m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
+}
+
+// expireIndirectProbes sends a Nack for each ping on behalf of another that was not answered in time.
+func (m *Machine) expireIndirectProbes() {
+	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(r indirectProbe) bool {
+		if m.now < r.deadline {
+			return false
+		}
+		m.send(r.requester, Message{Kind: Nack, Seq: r.requesterSeq})
+		return true
+	})
+}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Clone is a machine of its own with the same state. It is for whoever plays orders of what can happen.
+// Clone returns a machine with the same state that shares none of it. Model checks play it on in several ways.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.members = make([]*member, len(m.members))
@@ -16,30 +16,34 @@
 		copied.suspectors = slices.Clone(k.suspectors)
 		c.members[i] = &copied
 	}
-	c.probeOrder, c.indirectProbes, c.packets, c.outdated = slices.Clone(m.probeOrder), slices.Clone(m.indirectProbes), nil, nil
+	c.probeOrder = slices.Clone(m.probeOrder)
+	c.indirectProbes = slices.Clone(m.indirectProbes)
+	c.packets = nil
+	c.outdated = nil
 	return &c
 }
 
-// Fingerprint tells states apart: two machines of one fingerprint do the same from here on, at times that are moved alike.
+// Fingerprint identifies the state: two machines of one fingerprint do the same from here on, at times that are shifted
+// alike.
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
-	ago := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.incarnation, m.left, m.draws, m.seq, m.probeOrder, ago(m.nextPeriod), m.healthScore, m.selfTransmits, max(0, ago(m.nextPull)))
+	relative := func(t time.Duration) time.Duration { return t - m.now }
+	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.incarnation, m.left, m.draws, m.seq, m.probeOrder,
+		relative(m.nextPeriod), m.healthScore, m.selfTransmits, max(0, relative(m.nextPull)))
 	if m.probe.running {
 		p := m.probe
-		fmt.Fprintf(&b, "p%x,%d,%v,%d,%d|", p.target, p.seq, ago(p.indirectAt), p.helpers, p.nacks)
-	}
-	last := func(k *member) time.Duration {
-		if k.finalPingUntil == 0 {
-			return -1 << 62
-		}
-		return ago(k.finalPingUntil)
+		fmt.Fprintf(&b, "p%x,%d,%v,%d,%d|", p.target, p.seq, relative(p.indirectAt), p.helpers, p.nacks)
 	}
 	for _, r := range m.indirectProbes {
-		fmt.Fprintf(&b, "r%d,%v,%d,%v|", r.seq, r.requester, r.requesterSeq, ago(r.deadline))
+		fmt.Fprintf(&b, "r%d,%v,%d,%v|", r.seq, r.requester, r.requesterSeq, relative(r.deadline))
 	}
 	for _, k := range m.members {
-		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", k.ID, k.incarnation, k.status, ago(k.since), k.suspectors, k.transmits, k.peerIncarnation, k.peerPending, last(k))
+		finalPing := time.Duration(-1 << 62) // none was sent
+		if k.finalPingUntil != 0 {
+			finalPing = relative(k.finalPingUntil)
+		}
+		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", k.ID, k.incarnation, k.status, relative(k.since), k.suspectors,
+			k.transmits, k.peerIncarnation, k.peerPending, finalPing)
 	}
 	return b.String()
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,37 +6,56 @@
 	"time"
 )
 
-// maxHealthScore bounds the count of own ill health, by which periods and timeouts stretch (Lifeguard).
+// maxHealthScore bounds the local health score, by which periods and timeouts stretch (Lifeguard's local health multiplier).
 const maxHealthScore = 8
 
-// suspect adds a voice against a member. A few are enough: more would end the suspicion no sooner.
+// suspect adds a suspector of a member. Beyond 1 + Options.Indirect they are not counted: more would end the suspicion no
+// sooner.
 func (m *Machine) suspect(k *member, by ID) {
 	if k.status == Alive {
 		m.setStatus(k, k.incarnation, Suspect)
 	}
-	if i, known := slices.BinarySearch(k.suspectors, by); !known && len(k.suspectors) <= m.options.Indirect {
-		k.suspectors = slices.Insert(k.suspectors, i, by)
-		k.transmits = 0
+	i, known := slices.BinarySearch(k.suspectors, by)
+	if known || len(k.suspectors) > m.options.Indirect {
+		return
 	}
+	k.suspectors = slices.Insert(k.suspectors, i, by)
+	k.transmits = 0
 }
 
-// suspicionEnd is when a suspicion ends: the more members confirm it, the sooner.
+// suspicionEnd returns when a suspicion ends: the more members confirm it, the sooner (Lifeguard).
 func (m *Machine) suspicionEnd(k *member) time.Duration {
 	if k.finalPingUntil > 0 {
 		return k.finalPingUntil
 	}
 	n := m.activeCount()
-	least, most := float64(m.options.MinSuspicion(n)), float64(m.options.MaxSuspicion(n))
-	wanted := float64(min(m.options.Indirect, n-2))
-	lasts := least
-	if wanted >= 1 {
-		lasts = max(least, most-(most-least)*math.Log(float64(len(k.suspectors)))/math.Log(wanted+1))
+	shortest := float64(m.options.MinSuspicion(n))
+	longest := float64(m.options.MaxSuspicion(n))
+	expected := float64(min(m.options.Indirect, n-2)) // confirmations beside the first suspector
+	if expected < 1 {
+		return k.since + time.Duration(shortest)
 	}
-	return k.since + time.Duration(lasts)
+	length := longest - (longest-shortest)*math.Log(float64(len(k.suspectors)))/math.Log(expected+1)
+	return k.since + time.Duration(max(shortest, length))
 }
 
-// sendFinalPing pings a member that this node is about to hold for dead: its answer would tell of a later incarnation. Nobody is held
-// for dead by rumour alone.
+// expireSuspicions sends a final ping to members whose suspicion has ended, and holds those for dead that have not
+// answered theirs.
+func (m *Machine) expireSuspicions() {
+	for _, k := range m.members {
+		if k.status != Suspect || m.now < m.suspicionEnd(k) {
+			continue
+		}
+		if k.finalPingUntil == 0 {
+			m.sendFinalPing(k)
+		} else {
+			m.setStatus(k, k.incarnation, Dead)
+		}
+	}
+}
+
+// sendFinalPing pings a member that this node is about to hold for dead. A member that runs answers with a later
+// incarnation, so that no member is held for dead on the updates of others alone.
 func (m *Machine) sendFinalPing(k *member) {
 	k.finalPingUntil = m.now + m.options.Period
 	m.send(k.Addr, Message{Kind: Ping})
