--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -10,8 +10,8 @@
 
 var key = []byte("a key of the cluster")
 
-// full is a message with as much in it as there may be.
-func full() Message {
+// largest is a message that uses every field.
+func largest() Message {
 	long := Peer{Name: strings.Repeat("n", MaxName), Region: strings.Repeat("r", MaxPlace), Zone: strings.Repeat("z", MaxPlace),
 		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), Listens: true}
 	short := Peer{Name: "a", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
@@ -23,7 +23,7 @@
 }
 
 func TestEncodeDecodeRoundTrip(t *testing.T) {
-	m := full()
+	m := largest()
 	b := Encode(m, key)
 	got, err := Decode(b, key)
 	if err != nil || !reflect.DeepEqual(got, m) {
@@ -38,10 +38,10 @@
 	}
 }
 
-// A datagram of another cluster, of another version, cut short, with a bit turned or with a word of one member under
-// another's name is refused completely.
+// A datagram of another cluster or version, truncated, with a flipped bit or with an update of one member under another's
+// ID is rejected as a whole.
 func TestMalformedDatagramsAreRejected(t *testing.T) {
-	good := Encode(full(), key)
+	good := Encode(largest(), key)
 	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrStrange) {
 		t.Errorf("another cluster's: %v", err)
 	}
@@ -49,10 +49,10 @@
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 0x10
 		if m, err := Decode(bad, key); err == nil || m.Kind != 0 {
-			t.Errorf("a bit turned in byte %d: %+v, %v", i, m, err)
+			t.Errorf("a bit flipped in byte %d: %+v, %v", i, m, err)
 		}
 		if m, err := Decode(good[:i], key); err == nil || m.Kind != 0 {
-			t.Errorf("cut to %d bytes: %+v, %v", i, m, err)
+			t.Errorf("truncated to %d bytes: %+v, %v", i, m, err)
 		}
 	}
 	resign := func(change func([]byte)) []byte {
@@ -64,12 +64,12 @@
 		t.Errorf("another version: %v", err)
 	}
 	for name, change := range map[string]func([]byte){
-		"no such kind":           func(b []byte) { b[1] = 9 },
-		"from nobody":            func(b []byte) { copy(b[2:10], make([]byte, 8)) },
-		"another member's name":  func(b []byte) { b[headSize] ^= 1 },
-		"an unknown flag":        func(b []byte) { b[headSize+12] |= 0x80 },
-		"a life out of bounds":   func(b []byte) { b[headSize+8] = 0xff },
-		"a name longer than all": func(b []byte) { b[headSize+21] = 200 },
+		"no such kind":            func(b []byte) { b[1] = 9 },
+		"no sender":               func(b []byte) { copy(b[2:10], make([]byte, 8)) },
+		"another member's ID":     func(b []byte) { b[headSize] ^= 1 },
+		"an unknown flag":         func(b []byte) { b[headSize+12] |= 0x80 },
+		"an incarnation too late": func(b []byte) { b[headSize+8] = 0xff },
+		"a name too long":         func(b []byte) { b[headSize+21] = 200 },
 	} {
 		if m, err := Decode(resign(change), key); !errors.Is(err, ErrMalformed) || m.Kind != 0 {
 			t.Errorf("%s: %+v, %v", name, m, err)
@@ -78,7 +78,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	good := Encode(full(), key)
+	good := Encode(largest(), key)
 	f.Add(good[:len(good)-tagSize])
 	f.Add(Encode(Message{Kind: Ping, From: 1}, key)[:headSize])
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// world carries the messages of machines on virtual time, and loses some.
-type world struct {
+// network carries the messages of machines on virtual time and loses some of them.
+type network struct {
 	t        testing.TB
 	rng      *rand.Rand
 	now      time.Duration
 	machines map[netip.AddrPort]*Machine
 	order    []netip.AddrPort
-	flying   []datagram
-	cut      func(from, to netip.AddrPort) bool
+	inFlight []datagram
+	blocked  func(from, to netip.AddrPort) bool
 	loss     float64
 	sent     map[netip.AddrPort]int
 	paused   map[netip.AddrPort]bool
@@ -34,80 +34,93 @@
 
 func nameOf(i int) string { return fmt.Sprint("node-", i) }
 
-func newWorld(t testing.TB, n int, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), machines: map[netip.AddrPort]*Machine{}, sent: map[netip.AddrPort]int{}, paused: map[netip.AddrPort]bool{}}
+func newNetwork(t testing.TB, n int, seed uint64) *network {
+	net := &network{
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 5)),
+		machines: map[netip.AddrPort]*Machine{},
+		sent:     map[netip.AddrPort]int{},
+		paused:   map[netip.AddrPort]bool{},
+	}
 	for i := range n {
-		w.start(i)
+		net.start(i)
 	}
-	return w
+	return net
 }
 
-func (w *world) start(i int) *Machine {
-	w.t.Helper()
+func (net *network) start(i int) *Machine {
+	net.t.Helper()
 	o := Defaults()
 	o.Seeds = []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}
-	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, w.rng.Uint64())
+	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
 	if err != nil {
-		w.t.Fatal(err)
+		net.t.Fatal(err)
 	}
-	m.now = w.now
-	m.nextPeriod = w.now + time.Duration(w.rng.Int64N(int64(time.Second)))
-	if _, known := w.machines[addrOf(i)]; !known {
-		w.order = append(w.order, addrOf(i))
+	m.now = net.now
+	m.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
+	if _, known := net.machines[addrOf(i)]; !known {
+		net.order = append(net.order, addrOf(i))
 	}
-	w.machines[addrOf(i)] = m
+	net.machines[addrOf(i)] = m
 	return m
 }
 
-func (w *world) carry(from netip.AddrPort, packets []Packet) {
+func (net *network) carry(from netip.AddrPort, packets []Packet) {
 	for _, p := range packets {
-		w.sent[from]++
+		net.sent[from]++
 		data := Encode(p.Message, key)
 		if len(data) > MaxDatagram {
-			w.t.Fatalf("%d bytes", len(data))
+			net.t.Fatalf("%d bytes", len(data))
 		}
-		if w.cut != nil && w.cut(from, p.To) || w.rng.Float64() < w.loss {
+		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
 			continue
 		}
-		w.flying = append(w.flying, datagram{w.now + time.Duration(1+w.rng.IntN(20))*time.Millisecond, from, p.To, data})
+		net.inFlight = append(net.inFlight, datagram{net.now + time.Duration(1+net.rng.IntN(20))*time.Millisecond, from, p.To, data})
 	}
 }
 
-// run goes on for a while, in steps of ten milliseconds.
-func (w *world) run(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.now += 10 * time.Millisecond
-		for {
-			k := -1
-			for i, l := range w.flying {
-				if l.at <= w.now && (k < 0 || l.at < w.flying[k].at) {
-					k = i
-				}
-			}
-			if k < 0 {
-				break
-			}
-			l := w.flying[k]
-			w.flying = append(w.flying[:k], w.flying[k+1:]...)
-			if m := w.machines[l.to]; m != nil && !w.paused[l.to] {
-				msg, err := Decode(l.data, key)
-				if err != nil {
-					w.t.Fatal(err)
-				}
-				w.carry(l.to, m.Receive(w.now, l.from, msg))
-			}
+// run plays on for a while, in steps of ten milliseconds.
+func (net *network) run(d time.Duration) {
+	for end := net.now + d; net.now < end; {
+		net.now += 10 * time.Millisecond
+		for net.deliverNext() {
 		}
-		for _, a := range w.order {
-			if m := w.machines[a]; m != nil && !w.paused[a] && m.Next() <= w.now {
-				w.carry(a, m.Tick(w.now))
+		for _, a := range net.order {
+			if m := net.machines[a]; m != nil && !net.paused[a] && m.Next() <= net.now {
+				net.carry(a, m.Tick(net.now))
 			}
 		}
 	}
 }
 
-// held counts what the machines hold of one, by status; unknown to some: the count falls short.
-func (w *world) held(i int) (counts [4]int) {
-	for a, m := range w.machines {
+// deliverNext delivers the earliest datagram that has arrived; false: there is none.
+func (net *network) deliverNext() bool {
+	next := -1
+	for i, d := range net.inFlight {
+		if d.at <= net.now && (next < 0 || d.at < net.inFlight[next].at) {
+			next = i
+		}
+	}
+	if next < 0 {
+		return false
+	}
+	d := net.inFlight[next]
+	net.inFlight = append(net.inFlight[:next], net.inFlight[next+1:]...)
+	m := net.machines[d.to]
+	if m == nil || net.paused[d.to] {
+		return true
+	}
+	msg, err := Decode(d.data, key)
+	if err != nil {
+		net.t.Fatal(err)
+	}
+	net.carry(d.to, m.Receive(net.now, d.from, msg))
+	return true
+}
+
+// statusCounts counts the machines by the status that they hold of member i. Those that do not know it are not counted.
+func (net *network) statusCounts(i int) (counts [4]int) {
+	for a, m := range net.machines {
 		if m == nil || a == addrOf(i) {
 			continue
 		}
@@ -121,148 +134,148 @@
 }
 
 // allAlive fails unless each of n is alive for all others.
-func (w *world) allAlive(n int, when string) {
-	w.t.Helper()
+func (net *network) allAlive(n int, when string) {
+	net.t.Helper()
 	for i := range n {
-		if h := w.held(i); h != [4]int{n - 1} {
-			w.t.Errorf("%s %s is held alive, suspect, dead, left by %v", when, nameOf(i), h)
+		if h := net.statusCounts(i); h != [4]int{n - 1} {
+			net.t.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), h)
 		}
 	}
 }
 
-// Given sixty nodes that know three seeds, all know all within half a minute; one that dies is dead for all within the
-// bound on suspicion and the time that a word takes; nobody else is doubted.
+// Sixty nodes that are given three seeds know one another within half a minute. One that crashes is dead for all within
+// MaxSuspicion and the time that an update takes to spread, and nobody else is suspected.
 func TestMembershipConvergesAndDetectsDeath(t *testing.T) {
 	const n = 60
-	w := newWorld(t, n, 1)
-	w.run(30 * time.Second)
-	w.allAlive(n, "after 30 s")
-	w.machines[addrOf(7)] = nil
-	w.run(Defaults().MaxSuspicion(n) + 15*time.Second)
+	net := newNetwork(t, n, 1)
+	net.run(30 * time.Second)
+	net.allAlive(n, "after 30 s")
+	net.machines[addrOf(7)] = nil
+	net.run(Defaults().MaxSuspicion(n) + 15*time.Second)
 	for i := range n {
-		h := w.held(i)
+		h := net.statusCounts(i)
 		switch {
 		case i == 7 && h[Dead] != n-1:
-			t.Errorf("the dead one is held by %v", h)
+			t.Errorf("the crashed one has statuses %v", h)
 		case i != 7 && h[Alive] != n-2:
-			t.Errorf("%s lives and is held by %v", nameOf(i), h)
+			t.Errorf("%s runs and has statuses %v", nameOf(i), h)
 		}
 	}
 }
 
-// Under the same name again, remembering nothing: it has a later incarnation than before, for all.
+// A node that restarts under its name without any state comes back for all with a later incarnation.
 func TestIncarnationSurvivesRestart(t *testing.T) {
 	const n = 12
-	w := newWorld(t, n, 2)
-	w.run(20 * time.Second)
+	net := newNetwork(t, n, 2)
+	net.run(20 * time.Second)
 	for range 3 {
-		w.machines[addrOf(5)] = nil
-		w.run(Defaults().MaxSuspicion(n) + 10*time.Second)
-		if h := w.held(5); h[Dead] != n-1 {
-			t.Fatalf("stopped, it is held by %v", h)
+		net.machines[addrOf(5)] = nil
+		net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
+		if h := net.statusCounts(5); h[Dead] != n-1 {
+			t.Fatalf("stopped, it has statuses %v", h)
 		}
-		w.start(5)
-		w.run(20 * time.Second)
-		if h := w.held(5); h[Alive] != n-1 {
-			t.Fatalf("back, it is held by %v", h)
+		net.start(5)
+		net.run(20 * time.Second)
+		if h := net.statusCounts(5); h[Alive] != n-1 {
+			t.Fatalf("restarted, it has statuses %v", h)
 		}
 	}
-	if _, incarnation := w.machines[addrOf(5)].Self(); incarnation != 3 {
-		t.Errorf("after three deaths its life is %d", incarnation)
+	if _, incarnation := net.machines[addrOf(5)].Self(); incarnation != 3 {
+		t.Errorf("after three restarts its incarnation is %d", incarnation)
 	}
 }
 
-// A fifth of all messages lost, and nobody stopped: doubts come up and are answered, and hardly anybody is held for dead.
+// With a fifth of all messages lost and nobody stopped, suspicions come up and are refuted, and hardly any member is held
+// for dead.
 func TestPacketLossCausesNoFalseDeath(t *testing.T) {
 	const n = 30
-	w := newWorld(t, n, 3)
-	w.run(20 * time.Second)
-	w.loss = 0.2
+	net := newNetwork(t, n, 3)
+	net.run(20 * time.Second)
+	net.loss = 0.2
 	dead := 0
 	for range 120 {
-		w.run(time.Second)
+		net.run(time.Second)
 		for i := range n {
-			dead += w.held(i)[Dead]
+			dead += net.statusCounts(i)[Dead]
 		}
 	}
 	if dead > n*n*120/1000 {
-		t.Errorf("members that live are held for dead in %d of %d looks", dead, n*n*120)
+		t.Errorf("running members are held for dead in %d of %d samples", dead, n*n*120)
 	}
-	w.loss = 0
-	w.run(40 * time.Second)
-	w.allAlive(n, "in the end")
+	net.loss = 0
+	net.run(40 * time.Second)
+	net.allAlive(n, "in the end")
 }
 
-// Two halves that hear nothing of one another hold each other for dead, and are one fleet again afterwards though nobody
-// was restarted.
+// Two halves of a partition hold each other for dead, and are one cluster again after it though nobody was restarted.
 func TestPartitionHeals(t *testing.T) {
 	const n = 20
-	w := newWorld(t, n, 4)
-	w.run(20 * time.Second)
+	net := newNetwork(t, n, 4)
+	net.run(20 * time.Second)
 	half := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
-	w.cut = func(from, to netip.AddrPort) bool { return half(from) != half(to) }
-	w.run(Defaults().MaxSuspicion(n) + 30*time.Second)
+	net.blocked = func(from, to netip.AddrPort) bool { return half(from) != half(to) }
+	net.run(Defaults().MaxSuspicion(n) + 30*time.Second)
 	for i := range n {
-		if h := w.held(i); h[Dead] != n/2 || h[Alive] != n/2-1 {
-			t.Fatalf("cut in halves, %s is held by %v", nameOf(i), h)
+		if h := net.statusCounts(i); h[Dead] != n/2 || h[Alive] != n/2-1 {
+			t.Fatalf("during the partition, %s has statuses %v", nameOf(i), h)
 		}
 	}
-	w.cut = nil
-	w.run(60 * time.Second)
-	w.allAlive(n, "after the cut")
+	net.blocked = nil
+	net.run(60 * time.Second)
+	net.allAlive(n, "after the partition")
 }
 
-// One way: a node hears others and is not heard by half of them. Whoever reaches it speaks for it.
+// A node hears all others and is not heard by half of them. The other half answers for it by indirect probes.
 func TestOneWayPartitionIsBridgedByIndirectProbes(t *testing.T) {
 	const n = 20
-	w := newWorld(t, n, 5)
-	w.run(20 * time.Second)
-	w.cut = func(from, to netip.AddrPort) bool { return from == addrOf(3) && to.Addr().As4()[3]%2 == 0 }
-	w.run(60 * time.Second)
-	if h := w.held(3); h[Dead] > 2 {
-		t.Errorf("heard by half of the others it is held by %v", h)
+	net := newNetwork(t, n, 5)
+	net.run(20 * time.Second)
+	net.blocked = func(from, to netip.AddrPort) bool { return from == addrOf(3) && to.Addr().As4()[3]%2 == 0 }
+	net.run(60 * time.Second)
+	if h := net.statusCounts(3); h[Dead] > 2 {
+		t.Errorf("heard by half of the others it has statuses %v", h)
 	}
 }
 
-// A node that slept through its own death answers it once it is awake, and does not hold the others for dead on account
-// of its own sleep: its health stretches its patience.
+// A node that was suspended until others held it for dead refutes that once it runs again, and does not hold the others
+// for dead because of its own pause: its health score stretches its timeouts.
 func TestSuspendedNodeRejoins(t *testing.T) {
 	const n = 16
-	w := newWorld(t, n, 6)
-	w.run(20 * time.Second)
-	w.paused[addrOf(4)] = true
-	w.run(Defaults().MaxSuspicion(n) + 10*time.Second)
-	if h := w.held(4); h[Dead] != n-1 {
-		t.Fatalf("asleep, it is held by %v", h)
+	net := newNetwork(t, n, 6)
+	net.run(20 * time.Second)
+	net.paused[addrOf(4)] = true
+	net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
+	if h := net.statusCounts(4); h[Dead] != n-1 {
+		t.Fatalf("suspended, it has statuses %v", h)
 	}
-	delete(w.paused, addrOf(4))
-	w.run(30 * time.Second)
-	w.allAlive(n, "after the sleep")
+	delete(net.paused, addrOf(4))
+	net.run(30 * time.Second)
+	net.allAlive(n, "after the suspension")
 }
 
-// Who leaves says so, and is doubted by nobody; it is soon left for all.
+// A node that leaves announces it: it is soon left for all, and nobody suspects it.
 func TestGracefulLeave(t *testing.T) {
 	const n = 16
-	w := newWorld(t, n, 7)
-	w.run(20 * time.Second)
-	w.carry(addrOf(4), w.machines[addrOf(4)].Leave(w.now))
-	w.run(time.Second)
-	w.machines[addrOf(4)] = nil
-	w.run(20 * time.Second)
-	if h := w.held(4); h[Left] != n-1 {
-		t.Errorf("it is held by %v", h)
+	net := newNetwork(t, n, 7)
+	net.run(20 * time.Second)
+	net.carry(addrOf(4), net.machines[addrOf(4)].Leave(net.now))
+	net.run(time.Second)
+	net.machines[addrOf(4)] = nil
+	net.run(20 * time.Second)
+	if h := net.statusCounts(4); h[Left] != n-1 {
+		t.Errorf("it has statuses %v", h)
 	}
 }
 
-// What a node sends does not grow with the fleet, but for answers.
+// What a node sends beside answers does not grow with the number of members.
 func TestNodeTrafficIsIndependentOfFleetSize(t *testing.T) {
 	rate := func(n int) float64 {
-		w := newWorld(t, n, 8)
-		w.run(40 * time.Second)
-		clear(w.sent)
-		w.run(10 * time.Second)
+		net := newNetwork(t, n, 8)
+		net.run(40 * time.Second)
+		clear(net.sent)
+		net.run(10 * time.Second)
 		most := 0
-		for _, s := range w.sent {
+		for _, s := range net.sent {
 			most = max(most, s)
 		}
 		return float64(most) / 10
@@ -275,30 +288,30 @@
 func TestOptionsAndPeersOutOfRangeAreRejected(t *testing.T) {
 	ok := Peer{Name: "a", Addr: addrOf(1)}
 	for name, change := range map[string]func(*Peer, *Options){
-		"no name":          func(p *Peer, _ *Options) { p.Name = "" },
-		"a long zone":      func(p *Peer, _ *Options) { p.Zone = "a zone of too many bytes" },
-		"no address":       func(p *Peer, _ *Options) { p.Addr = netip.AddrPort{} },
-		"no time-out":      func(_ *Peer, o *Options) { o.Timeout = 0 },
-		"a short period":   func(_ *Peer, o *Options) { o.Period = o.Timeout },
-		"no suspicion":     func(_ *Peer, o *Options) { o.Suspicion = 0 },
-		"nothing passed":   func(_ *Peer, o *Options) { o.Spread = 0 },
-		"forgotten soon":   func(_ *Peer, o *Options) { o.Forget = time.Second },
-		"too many helpers": func(_ *Peer, o *Options) { o.Indirect = 99 },
+		"no name":            func(p *Peer, _ *Options) { p.Name = "" },
+		"a long zone":        func(p *Peer, _ *Options) { p.Zone = "a zone of too many bytes" },
+		"no address":         func(p *Peer, _ *Options) { p.Addr = netip.AddrPort{} },
+		"no timeout":         func(_ *Peer, o *Options) { o.Timeout = 0 },
+		"a short period":     func(_ *Peer, o *Options) { o.Period = o.Timeout },
+		"no suspicion":       func(_ *Peer, o *Options) { o.Suspicion = 0 },
+		"no transmissions":   func(_ *Peer, o *Options) { o.Spread = 0 },
+		"forgotten too soon": func(_ *Peer, o *Options) { o.Forget = time.Second },
+		"too many helpers":   func(_ *Peer, o *Options) { o.Indirect = 99 },
 	} {
 		p, o := ok, Defaults()
 		change(&p, &o)
 		if _, err := New(p, o, 1); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
 
 func BenchmarkPeriod(b *testing.B) {
-	w := newWorld(b, 100, 9)
-	w.run(30 * time.Second)
+	net := newNetwork(b, 100, 9)
+	net.run(30 * time.Second)
 	b.ResetTimer()
 	for b.Loop() {
-		w.run(100 * time.Millisecond)
+		net.run(100 * time.Millisecond)
 	}
-	b.ReportMetric(float64(len(w.machines)), "members")
+	b.ReportMetric(float64(len(net.machines)), "members")
 }
