--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -19,16 +19,16 @@
 	wantSize  = 4 + 3
 	// MaxMessage leaves room for a tag of 12 bytes in a datagram of 256.
 	MaxMessage = 256 - 12
-	mostWants  = (MaxMessage - headSize) / wantSize
+	maxWants   = (MaxMessage - headSize) / wantSize
 )
 
-// mostAge is the longest that can be written, in 24 bits of milliseconds; what is older is written as that.
-const mostAge = time.Duration(1<<24-1) * time.Millisecond
+// maxAge is the longest that can be written, in 24 bits of milliseconds; what is older is written as that.
+const maxAge = time.Duration(1<<24-1) * time.Millisecond
 
 // Errors of a message. Nothing of one that has an error is used.
 var (
-	ErrVersion   = errors.New("facts: another version")
-	ErrMalformed = errors.New("facts: malformed")
+	ErrVersion   = errors.New("zonestate: another version")
+	ErrMalformed = errors.New("zonestate: malformed")
 )
 
 func size(r Row) int { return rowSize + len(r.Entries)*entrySize }
@@ -39,7 +39,7 @@
 
 // putAge writes an age rounded up: it is never under-reported.
 func putAge(b []byte, age time.Duration) []byte {
-	age = min(max(0, age), mostAge)
+	age = min(max(0, age), maxAge)
 	return put24(b, uint32((age+time.Millisecond-1)/time.Millisecond))
 }
 
@@ -63,7 +63,7 @@
 		b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
 		b = binary.BigEndian.AppendUint32(b, r.Seq)
 		b = putAge(b, r.Age)
-		b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), mostFrom)))
+		b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), maxFrom)))
 		b = append(b, byte(len(r.Entries)))
 		for _, e := range r.Entries {
 			b = append(b, byte(e.Kind))
--- a/internal/zonestate/exchange.go
+++ b/internal/zonestate/exchange.go
@@ -59,47 +59,47 @@
 
 // link is what is known of the way to another.
 type link struct {
-	token uint32        // the last that came
-	at    time.Duration // when
-	heard time.Duration // when a message or a row of its making came last
+	peerToken uint32        // the last that came
+	tokenAt   time.Duration // when
+	heard     time.Duration // when a message or a row of its making came last
 }
 
 // part is what a child, or this node, adds.
 type part struct {
 	Row
-	made time.Duration
+	madeAt time.Duration
 }
 
 // plane is this node's part in one.
 type plane struct {
-	parts map[uint64][pages]*part // by the children's IDs
-	seq   uint32
-	root  Author        // whose row came last
-	last  uint32        // and its sequence
-	due   time.Duration // when the next part goes up, or the next rows are made
-	again bool          // what goes abroad goes up a second time, for one may be lost
+	parts   map[uint64][pages]*part // by the children's IDs
+	seq     uint32
+	root    Author        // whose row came last
+	rootSeq uint32        // and its sequence
+	due     time.Duration // when the next part goes up, or the next rows are made
+	resend  bool          // what goes abroad goes up a second time, for one may be lost
 }
 
 // Machine is one node's exchange. Its methods belong to one goroutine.
 type Machine struct {
-	o           Options
-	self        Peer
-	incarnation uint32
-	seed        uint64
-	draws       uint64
-	now         time.Duration
-	view        *View
-	words       map[Place]*said // of each place of the view
-	links       map[uint64]*link
-	planes      [planes]plane
-	store       store
-	own         Pages
-	told        time.Duration // when own was made; 0: never
-	lossy       time.Duration // until when messages are taken to get lost
-	asked       time.Duration // when the last question went out
-	answer      int           // questions that were answered since
-	since       time.Duration // then
-	out         []Packet
+	options      Options
+	self         Peer
+	incarnation  uint32
+	seed         uint64
+	draws        uint64
+	now          time.Duration
+	view         *View
+	zones        map[Place]*zoneFreshness // of each place of the view
+	links        map[uint64]*link
+	planes       [planes]plane
+	store        store
+	ownPart      Pages
+	ownPartAt    time.Duration // when own was made; 0: never
+	lossUntil    time.Duration // until when messages are taken to get lost
+	queriedAt    time.Duration // when the last question went out
+	repliesSent  int           // questions that were answered since
+	repliesSince time.Duration // then
+	packets      []Packet
 
 	Dropped Dropped
 }
@@ -110,10 +110,10 @@
 		return nil, err
 	}
 	if self.ID == 0 {
-		return nil, fmt.Errorf("facts: a node without an ID")
+		return nil, fmt.Errorf("zonestate: a node without an ID")
 	}
-	m := &Machine{o: o, self: self, seed: seed, now: now, asked: now, since: now, words: map[Place]*said{}, links: map[uint64]*link{},
-		store: store{keep: o.keep(), rows: map[key][]held{}}}
+	m := &Machine{options: o, self: self, seed: seed, now: now, queriedAt: now, repliesSince: now, zones: map[Place]*zoneFreshness{}, links: map[uint64]*link{},
+		store: store{keep: o.maxRowAge(), rows: map[pageKey][]storedRow{}}}
 	for i := range m.planes {
 		m.planes[i] = plane{parts: map[uint64][pages]*part{}, due: now + o.period()*time.Duration(i+1)/planes}
 	}
@@ -132,27 +132,27 @@
 // Set takes what the node itself sees as of now.
 func (m *Machine) Set(now time.Duration, p Pages) {
 	m.now = max(m.now, now)
-	m.own, m.told = p, m.now
+	m.ownPart, m.ownPartAt = p, m.now
 }
 
-// stamp is a time as a token: never 0.
-func (m *Machine) stamp(at time.Duration) uint32 {
+// token is a time as a token: never 0.
+func (m *Machine) token(at time.Duration) uint32 {
 	return max(1, uint32(at/time.Millisecond)+uint32(splitmix.Mix(m.seed)))
 }
 
 func (m *Machine) send(to Peer, msg Message) {
-	msg.From, msg.Token = m.self.ID, m.stamp(m.now)
-	if l := m.links[to.ID]; l != nil && l.token != 0 {
+	msg.From, msg.Token = m.self.ID, m.token(m.now)
+	if l := m.links[to.ID]; l != nil && l.peerToken != 0 {
 		// Rounded down, the hop counts as longer.
-		if held := (m.now - l.at) / time.Millisecond; held < 1<<16 {
-			msg.Echo, msg.Held = l.token, uint16(held)
+		if held := (m.now - l.tokenAt) / time.Millisecond; held < 1<<16 {
+			msg.Echo, msg.Held = l.peerToken, uint16(held)
 		}
 	}
-	m.out = append(m.out, Packet{to.Addr, msg})
+	m.packets = append(m.packets, Packet{to.Addr, msg})
 }
 
-// rows sends rows in as many messages as they take.
-func (m *Machine) rows(to Peer, kind MessageKind, rows []Row, most int) {
+// sendRows sends rows in as many messages as they take.
+func (m *Machine) sendRows(to Peer, kind MessageKind, rows []Row, most int) {
 	var batch []Row
 	room := MaxMessage - headSize
 	for i, r := range rows {
@@ -170,7 +170,7 @@
 
 // Next is when Tick is due.
 func (m *Machine) Next() time.Duration {
-	return min(m.planes[0].due, m.planes[1].due, m.asked+m.o.period()/2)
+	return min(m.planes[0].due, m.planes[1].due, m.queriedAt+m.options.period()/2)
 }
 
 // Tick does what is due at a time of this node's clock.
@@ -179,59 +179,59 @@
 	m.Dropped.Late += m.store.advance(m.now)
 	for i := range m.planes {
 		if m.now >= m.planes[i].due {
-			m.work(uint8(i))
+			m.sendPlane(uint8(i))
 		}
 	}
-	if m.now >= m.asked+m.o.period()/2 {
-		m.asked = m.now
-		m.judge()
-		m.ask()
+	if m.now >= m.queriedAt+m.options.period()/2 {
+		m.queriedAt = m.now
+		m.updateFreshness()
+		m.sendQuery()
 	}
-	return m.out
+	return m.packets
 }
 
 func (m *Machine) begin(now time.Duration) {
 	m.now = max(m.now, now)
-	m.out = nil
+	m.packets = nil
 }
 
-// work sends this node's parts up a plane, or makes rows if it is the root.
-func (m *Machine) work(at uint8) {
-	t, i := m.standing(at)
-	up, hasParent := t.parent(i, m.o.Fan, m.skip)
-	children := t.children(i, m.o.Fan, m.skip)
-	rows := m.sums(at, children)
+// sendPlane sends this node's parts up a plane, or makes rows if it is the root.
+func (m *Machine) sendPlane(at uint8) {
+	t, i := m.position(at)
+	up, hasParent := t.parent(i, m.options.Fan, m.bypassed)
+	children := t.children(i, m.options.Fan, m.bypassed)
+	rows := m.aggregate(at, children)
 	p := &m.planes[at]
 	if hasParent {
-		wait := m.o.period()
-		switch twice := len(children) > 0 || m.now < m.lossy; {
-		case p.again:
-			wait -= step(m.o.Delay) / 2
-			p.again = false
-			rows = slices.DeleteFunc(rows, func(r Row) bool { return near(r.Page) })
+		wait := m.options.period()
+		switch twice := len(children) > 0 || m.now < m.lossUntil; {
+		case p.resend:
+			wait -= levelStep(m.options.Delay) / 2
+			p.resend = false
+			rows = slices.DeleteFunc(rows, func(r Row) bool { return staysInZone(r.Page) })
 		case twice:
-			wait = step(m.o.Delay) / 2
-			p.again = true
+			wait = levelStep(m.options.Delay) / 2
+			p.resend = true
 		}
-		m.rows(t[up], Up, rows, pages)
+		m.sendRows(t[up], Up, rows, pages)
 		p.due = m.now + wait
 		return
 	}
-	if p.due += m.o.period(); p.due <= m.now {
-		p.due = m.now + m.o.period()
+	if p.due += m.options.period(); p.due <= m.now {
+		p.due = m.now + m.options.period()
 	}
-	p.again = false
+	p.resend = false
 	p.seq++
 	for k := range rows {
 		rows[k].Author, rows[k].Seq = Author{m.self.ID, m.incarnation}, p.seq
 		m.store.put(rows[k], m.now-rows[k].Age)
 	}
-	m.pass(rows, 0)
-	m.abroad(at, rows, mostAbroad)
+	m.forwardInZone(rows, 0)
+	m.forwardToZones(at, rows, maxZones)
 }
 
-// sums are this node's own part and its children's, by page.
-func (m *Machine) sums(at uint8, children []Peer) (rows []Row) {
+// aggregate are this node's own part and its children's, by page.
+func (m *Machine) aggregate(at uint8, children []Peer) (rows []Row) {
 	p := &m.planes[at]
 	for id := range p.parts {
 		if !slices.ContainsFunc(children, func(c Peer) bool { return c.ID == id }) {
@@ -241,21 +241,21 @@
 	for page := range uint8(pages) {
 		r := Row{Place: m.self.Place, Plane: at, Page: page, Author: Author{m.self.ID, m.incarnation}}
 		var lists [][]Entry
-		if m.told > 0 && m.now-m.told <= m.o.hold() {
-			r.From, r.Age = 1, m.now-m.told
-			lists = append(lists, m.own[page])
+		if m.ownPartAt > 0 && m.now-m.ownPartAt <= m.options.maxPartAge() {
+			r.From, r.Age = 1, m.now-m.ownPartAt
+			lists = append(lists, m.ownPart[page])
 		}
 		for _, c := range children {
 			x := p.parts[c.ID][page]
-			if x == nil || m.now-x.made > m.o.hold() {
+			if x == nil || m.now-x.madeAt > m.options.maxPartAge() {
 				continue
 			}
 			r.From += x.From
-			r.Age = max(r.Age, m.now-x.made)
+			r.Age = max(r.Age, m.now-x.madeAt)
 			lists = append(lists, x.Entries)
 		}
 		var cut int
-		r.Entries, cut = add(lists...)
+		r.Entries, cut = combine(lists...)
 		m.Dropped.Cut += cut
 		if r.From > 0 { // an empty page says that there is nothing to tell
 			rows = append(rows, r)
@@ -264,8 +264,8 @@
 	return rows
 }
 
-// pass hands rows that are news to the neighbours in their trees, but for who brought them.
-func (m *Machine) pass(rows []Row, but uint64) {
+// forwardInZone hands rows that are news to the neighbours in their trees, but for who brought them.
+func (m *Machine) forwardInZone(rows []Row, but uint64) {
 	for at := range uint8(planes) {
 		var mine []Row
 		for _, r := range rows {
@@ -276,9 +276,9 @@
 		if len(mine) == 0 {
 			continue
 		}
-		t, i := m.standing(at)
-		to := t.children(i, m.o.Fan, m.skip)
-		if up, has := t.parent(i, m.o.Fan, m.skip); has {
+		t, i := m.position(at)
+		to := t.children(i, m.options.Fan, m.bypassed)
+		if up, has := t.parent(i, m.options.Fan, m.bypassed); has {
 			to = append(to, t[up])
 		}
 		for _, p := range to {
@@ -286,51 +286,51 @@
 				continue
 			}
 			// Nobody is told what is its own.
-			m.rows(p, Down, slices.DeleteFunc(slices.Clone(mine), func(r Row) bool { return r.Author.ID == p.ID }), pages*planes)
+			m.sendRows(p, Down, slices.DeleteFunc(slices.Clone(mine), func(r Row) bool { return r.Author.ID == p.ID }), pages*planes)
 		}
 	}
 }
 
-// mostAbroad bounds the zones that a root tells of its own in one period. Where there are more they are drawn, and each root tells
+// maxZones bounds the zones that a root tells of its own in one period. Where there are more they are drawn, and each root tells
 // spread others of what is news to it.
 const (
-	mostAbroad = 8
-	spread     = 2
+	maxZones       = 8
+	zonesPerUpdate = 2
 )
 
-// abroad tells the roots of up to n other zones.
-func (m *Machine) abroad(at uint8, rows []Row, n int) {
-	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return near(r.Page) || r.Plane != at })
+// forwardToZones tells the roots of up to n other zones.
+func (m *Machine) forwardToZones(at uint8, rows []Row, n int) {
+	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return staysInZone(r.Page) || r.Plane != at })
 	if len(rows) == 0 {
 		return
 	}
 	var roots []Peer
 	for place, trees := range m.view.trees {
 		if t := trees[at]; place != m.self.Place && len(t) > 0 {
-			roots = append(roots, t[t.root(m.skip)])
+			roots = append(roots, t[t.root(m.bypassed)])
 		}
 	}
 	slices.SortFunc(roots, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	for range min(n, len(roots)) {
 		i := m.draw(len(roots))
-		m.rows(roots[i], Down, rows, pages)
+		m.sendRows(roots[i], Down, rows, pages)
 		roots = slices.Delete(roots, i, i+1)
 	}
 }
 
-// ask asks somebody for zones of which nothing is known that is young enough, before that is too old: one of the own zone
+// sendQuery asks somebody for zones of which nothing is known that is young enough, before that is too old: one of the own zone
 // as a rule, and now and then anybody.
-func (m *Machine) ask() {
+func (m *Machine) sendQuery() {
 	var wants []Want
 	for at, trees := range m.view.trees {
 		if len(trees[0]) == 0 {
 			continue
 		}
-		age := m.o.keep()
-		if b, found := m.store.best(m.now, at, 0, m.o.Fresh); found {
-			age = m.now - b.made
+		age := m.options.maxRowAge()
+		if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found {
+			age = m.now - b.madeAt
 		}
-		if age > m.o.Fresh*3/4 {
+		if age > m.options.Fresh*3/4 {
 			wants = append(wants, Want{at, age})
 		}
 	}
@@ -339,47 +339,47 @@
 		return
 	}
 	slices.SortFunc(wants, func(a, b Want) int { return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.Place, b.Place)) })
-	if mine, _ := m.standing(0); len(mine) > 1 && m.draw(4) > 0 {
+	if mine, _ := m.position(0); len(mine) > 1 && m.draw(4) > 0 {
 		whom = mine
 	}
 	i := m.draw(len(whom))
 	if whom[i].ID == m.self.ID {
 		i = (i + 1) % len(whom)
 	}
-	m.send(whom[i], Message{Kind: Query, Wants: wants[:min(len(wants), mostWants)]})
+	m.send(whom[i], Message{Kind: Query, Wants: wants[:min(len(wants), maxWants)]})
 }
 
 // Bounds on what questions can have a node send.
 const (
-	mostAnswers = 8 // a period
-	mostTells   = 4 // messages to each
+	maxReplies       = 8 // a period
+	maxReplyMessages = 4 // messages to each
 )
 
-// tell answers a question with what is younger.
-func (m *Machine) tell(to Peer, wants []Want) {
-	if m.now-m.since >= m.o.period() {
-		m.since, m.answer = m.now, 0
+// reply answers a question with what is younger.
+func (m *Machine) reply(to Peer, wants []Want) {
+	if m.now-m.repliesSince >= m.options.period() {
+		m.repliesSince, m.repliesSent = m.now, 0
 	}
 	var rows []Row
 	for _, w := range wants {
 		for page := range uint8(pages) {
-			if near(page) && w.Place != to.Place {
+			if staysInZone(page) && w.Place != to.Place {
 				continue
 			}
-			b, found := m.store.best(m.now, w.Place, page, m.o.Fresh)
-			if found && m.now-b.made < w.Age && b.Author.ID != to.ID {
-				rows = append(rows, b.out(m.now))
+			b, found := m.store.best(m.now, w.Place, page, m.options.Fresh)
+			if found && m.now-b.madeAt < w.Age && b.Author.ID != to.ID {
+				rows = append(rows, b.row(m.now))
 			}
 		}
 	}
 	if len(rows) == 0 {
 		return
 	}
-	if m.answer++; m.answer > mostAnswers {
+	if m.repliesSent++; m.repliesSent > maxReplies {
 		m.Dropped.Paced++
 		return
 	}
-	m.rows(to, Tell, rows, mostTells)
+	m.sendRows(to, Tell, rows, maxReplyMessages)
 }
 
 // Receive takes a message.
@@ -395,30 +395,30 @@
 		l = &link{}
 		m.links[msg.From] = l
 	}
-	l.token, l.at, l.heard = msg.Token, m.now, m.now
-	delay, bounded := m.hop(msg)
+	l.peerToken, l.tokenAt, l.heard = msg.Token, m.now, m.now
+	delay, bounded := m.hopDelay(msg)
 	if !bounded {
 		m.Dropped.Unbounded += len(msg.Rows)
 		msg.Rows = nil
 	}
 	switch msg.Kind {
 	case Up:
-		m.takeParts(from, msg.Rows, delay)
+		m.receiveParts(from, msg.Rows, delay)
 	case Down, Tell:
-		m.takeRows(from, msg.Rows, delay, msg.Kind == Down)
+		m.receiveRows(from, msg.Rows, delay, msg.Kind == Down)
 	case Query:
-		m.tell(from, msg.Wants)
+		m.reply(from, msg.Wants)
 	}
-	return m.out
+	return m.packets
 }
 
-// hop is how long a message can have been on its way: no longer than since this node's own token left, less what the sender
+// hopDelay is how long a message can have been on its way: no longer than since this node's own token left, less what the sender
 // held that for. Both clocks may be off by drift, and times are in milliseconds.
-func (m *Machine) hop(msg Message) (time.Duration, bool) {
+func (m *Machine) hopDelay(msg Message) (time.Duration, bool) {
 	if msg.Echo == 0 {
 		return 0, false
 	}
-	gone := time.Duration(m.stamp(m.now)-msg.Echo+2) * time.Millisecond
+	gone := time.Duration(m.token(m.now)-msg.Echo+2) * time.Millisecond
 	if gone > 1<<17*time.Millisecond {
 		return 0, false // of another incarnation, or long ago
 	}
@@ -429,11 +429,11 @@
 	return max(0, gone-held) + (gone+held)/drift, true
 }
 
-// takeParts takes what a child adds.
-func (m *Machine) takeParts(from Peer, rows []Row, delay time.Duration) {
+// receiveParts takes what a child adds.
+func (m *Machine) receiveParts(from Peer, rows []Row, delay time.Duration) {
 	for _, r := range rows {
-		t, i := m.standing(r.Plane)
-		children := t.children(i, m.o.Fan, m.skip)
+		t, i := m.position(r.Plane)
+		children := t.children(i, m.options.Fan, m.bypassed)
 		if r.Place != m.self.Place || r.Author.ID != from.ID || !slices.ContainsFunc(children, func(c Peer) bool { return c.ID == from.ID }) {
 			m.Dropped.Foreign++
 			continue
@@ -444,7 +444,7 @@
 		}
 		p := m.planes[r.Plane].parts[from.ID]
 		made := m.now - r.Age - delay
-		if was := p[r.Page]; was != nil && was.made >= made {
+		if was := p[r.Page]; was != nil && was.madeAt >= made {
 			continue // came twice, or in another order
 		}
 		p[r.Page] = &part{r, made}
@@ -452,8 +452,8 @@
 	}
 }
 
-// takeRows merges rows, and hands on what is news. wave: they come down a tree, and not late by a question.
-func (m *Machine) takeRows(from Peer, rows []Row, delay time.Duration, wave bool) {
+// receiveRows merges rows, and hands on what is news. wave: they come down a tree, and not late by a question.
+func (m *Machine) receiveRows(from Peer, rows []Row, delay time.Duration, wave bool) {
 	var news []Row
 	for _, r := range rows {
 		author, known := m.view.peers[r.Author.ID]
@@ -462,7 +462,7 @@
 			m.Dropped.Foreign++
 		case r.From > 2*len(m.view.trees[r.Place][0])+8:
 			m.Dropped.Odd++
-		case r.Age+delay > m.o.keep():
+		case r.Age+delay > m.options.maxRowAge():
 			m.Dropped.Late++
 		case m.store.put(r, m.now-r.Age-delay):
 			if l := m.links[r.Author.ID]; l != nil {
@@ -473,48 +473,48 @@
 			r.Age += delay
 			news = append(news, r)
 			if wave && r.Place == m.self.Place && r.Page == 0 {
-				m.follow(r.Plane)
-				m.miss(r)
+				m.alignToRoot(r.Plane)
+				m.noteLoss(r)
 			}
 		}
 	}
 	if len(news) == 0 {
 		return
 	}
-	m.pass(news, from.ID)
-	if len(m.view.trees) > mostAbroad+1 {
+	m.forwardInZone(news, from.ID)
+	if len(m.view.trees) > maxZones+1 {
 		for at := range uint8(planes) {
-			if t, i := m.standing(at); i == t.root(m.skip) {
-				m.abroad(at, news, spread)
+			if t, i := m.position(at); i == t.root(m.bypassed) {
+				m.forwardToZones(at, news, zonesPerUpdate)
 			}
 		}
 	}
 }
 
-// mindful is for how many periods a loss is remembered.
-const mindful = 10
+// lossPeriods is for how many periods a loss is remembered.
+const lossPeriods = 10
 
-// miss notes that rows of the own root were lost: what this node sends up may be too.
-func (m *Machine) miss(r Row) {
+// noteLoss notes that rows of the own root were lost: what this node sends up may be too.
+func (m *Machine) noteLoss(r Row) {
 	p := &m.planes[r.Plane]
-	if p.root == r.Author && int32(r.Seq-p.last) > 1 {
-		m.lossy = m.now + mindful*m.o.period()
+	if p.root == r.Author && int32(r.Seq-p.rootSeq) > 1 {
+		m.lossUntil = m.now + lossPeriods*m.options.period()
 	}
-	p.root, p.last = r.Author, r.Seq
+	p.root, p.rootSeq = r.Author, r.Seq
 }
 
-// follow times this node's work by the root's: parts go up so that each level's are there when the next sends its own, and a
+// alignToRoot times this node's work by the root's: parts go up so that each level's are there when the next sends its own, and a
 // root of the second plane makes its rows half a period from the first's.
-func (m *Machine) follow(at uint8) {
-	t, i := m.standing(at)
-	if i != t.root(m.skip) {
-		m.planes[at].due = m.now + m.o.period() - time.Duration(level(i, m.o.Fan))*step(m.o.Delay) - step(m.o.Delay)/2
-		m.planes[at].again = false
+func (m *Machine) alignToRoot(at uint8) {
+	t, i := m.position(at)
+	if i != t.root(m.bypassed) {
+		m.planes[at].due = m.now + m.options.period() - time.Duration(level(i, m.options.Fan))*levelStep(m.options.Delay) - levelStep(m.options.Delay)/2
+		m.planes[at].resend = false
 	}
 	other := planes - 1 - at
-	t, _ = m.standing(other)
-	if at == 0 && t[t.root(m.skip)].ID == m.self.ID {
+	t, _ = m.position(other)
+	if at == 0 && t[t.root(m.bypassed)].ID == m.self.ID {
 		p := &m.planes[other]
-		p.due = max(p.due-m.o.period()/4, min(m.now+m.o.period()/2, p.due+m.o.period()/4))
+		p.due = max(p.due-m.options.period()/4, min(m.now+m.options.period()/2, p.due+m.options.period()/4))
 	}
 }
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -16,30 +16,30 @@
 	Fresh               // a row of nodes of the zone is known that is not older
 )
 
-var wordNames = [...]string{"unknown", "stale", "fresh"}
+var freshnessNames = [...]string{"unknown", "stale", "fresh"}
 
-func (w Word) String() string { return wordNames[min(int(w), len(wordNames)-1)] }
+func (w Word) String() string { return freshnessNames[min(int(w), len(freshnessNames)-1)] }
 
-// said is the word for a zone.
-type said struct {
-	word  Word
-	since time.Duration
+// zoneFreshness is the word for a zone.
+type zoneFreshness struct {
+	freshness Word
+	since     time.Duration
 }
 
-// judge has each zone's word be that of now.
-func (m *Machine) judge() {
-	for at, z := range m.words {
+// updateFreshness has each zone's word be that of now.
+func (m *Machine) updateFreshness() {
+	for at, z := range m.zones {
 		word := Unknown
-		if b, found := m.store.best(m.now, at, 0, m.o.Fresh); found {
-			if word = Stale; m.now-b.made <= m.o.Fresh {
+		if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found {
+			if word = Stale; m.now-b.madeAt <= m.options.Fresh {
 				word = Fresh
 			}
 		}
-		if word != z.word {
-			if !(word == Unknown && z.word == Stale) {
+		if word != z.freshness {
+			if !(word == Unknown && z.freshness == Stale) {
 				z.since = m.now // unknown since it was stale
 			}
-			z.word = word
+			z.freshness = word
 		}
 	}
 }
@@ -57,8 +57,8 @@
 // Zones tells of all zones, by their places.
 func (m *Machine) Zones(now time.Duration) (out []Zone) {
 	m.now = max(m.now, now)
-	m.judge()
-	for at := range m.words {
+	m.updateFreshness()
+	for at := range m.zones {
 		out = append(out, m.zone(at))
 	}
 	slices.SortFunc(out, func(a, b Zone) int { return cmp.Compare(a.Place, b.Place) })
@@ -66,13 +66,13 @@
 }
 
 func (m *Machine) zone(at Place) Zone {
-	z := m.words[at]
+	z := m.zones[at]
 	if z == nil {
 		return Zone{Place: at}
 	}
-	out := Zone{Place: at, Word: z.word, Since: z.since, Of: len(m.view.trees[at][0])}
-	if b, found := m.store.best(m.now, at, 0, m.o.Fresh); found && z.word != Unknown {
-		out.Age, out.From = m.now-b.made, b.From
+	out := Zone{Place: at, Word: z.freshness, Since: z.since, Of: len(m.view.trees[at][0])}
+	if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found && z.freshness != Unknown {
+		out.Age, out.From = m.now-b.madeAt, b.From
 	}
 	return out
 }
@@ -88,7 +88,7 @@
 		if others == 0 {
 			continue
 		}
-		if b, found := m.store.best(m.now, at, 0, m.o.Fresh); found && m.now-b.made <= m.o.Fresh && (at != m.self.Place || b.From > 1) {
+		if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found && m.now-b.madeAt <= m.options.Fresh && (at != m.self.Place || b.From > 1) {
 			return false
 		}
 	}
@@ -104,14 +104,14 @@
 // Read tells what nodes of a zone say of a subject. A reader that takes no notice of Word takes a guess.
 func (m *Machine) Read(now time.Duration, of Place, k Kind, s Subject) Value {
 	m.now = max(m.now, now)
-	m.judge()
+	m.updateFreshness()
 	v := Value{Zone: m.zone(of)}
-	b, found := m.store.best(m.now, of, k.page(), m.o.Fresh)
+	b, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
 	if !found {
 		return Value{Zone: Zone{Place: of, Of: v.Of}}
 	}
-	v.Age, v.From = max(v.Age, m.now-b.made), b.From
-	if v.Age > m.o.Fresh {
+	v.Age, v.From = max(v.Age, m.now-b.madeAt), b.From
+	if v.Age > m.options.Fresh {
 		v.Word = min(v.Word, Stale)
 	}
 	for _, e := range b.Entries {
@@ -125,8 +125,8 @@
 // Row is what is known of a zone's page; false: nothing.
 func (m *Machine) Row(now time.Duration, of Place, k Kind) (Row, bool) {
 	m.now = max(m.now, now)
-	b, found := m.store.best(m.now, of, k.page(), m.o.Fresh)
-	return b.out(m.now), found
+	b, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
+	return b.row(m.now), found
 }
 
 // Size is how many rows and children's parts are held.
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -12,17 +12,17 @@
 // Clone is a machine of its own with the same state. It is for whoever plays orders of what can happen.
 func (m *Machine) Clone() *Machine {
 	c := *m
-	c.out = nil
-	c.words, c.links = map[Place]*said{}, map[uint64]*link{}
-	for k, w := range m.words {
+	c.packets = nil
+	c.zones, c.links = map[Place]*zoneFreshness{}, map[uint64]*link{}
+	for k, w := range m.zones {
 		copied := *w
-		c.words[k] = &copied
+		c.zones[k] = &copied
 	}
 	for k, l := range m.links {
 		copied := *l
 		c.links[k] = &copied
 	}
-	c.store.rows = map[key][]held{}
+	c.store.rows = map[pageKey][]storedRow{}
 	for k, list := range m.store.rows {
 		c.store.rows[k] = slices.Clone(list) // rows and parts are never written to
 	}
@@ -37,28 +37,28 @@
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	ago := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, ago(m.told), ago(m.asked), m.answer, max(-m.o.period(), ago(m.since)), max(0, ago(m.lossy)))
+	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, ago(m.ownPartAt), ago(m.queriedAt), m.repliesSent, max(-m.options.period(), ago(m.repliesSince)), max(0, ago(m.lossUntil)))
 	for _, id := range slices.Sorted(maps.Keys(m.links)) {
 		l := m.links[id]
-		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.token, ago(l.at), max(-2*m.o.period()-1, ago(l.heard)))
+		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, ago(l.tokenAt), max(-2*m.options.period()-1, ago(l.heard)))
 	}
-	for _, at := range slices.Sorted(maps.Keys(m.words)) {
-		fmt.Fprintf(&b, "w%x,%d|", at, m.words[at].word)
+	for _, at := range slices.Sorted(maps.Keys(m.zones)) {
+		fmt.Fprintf(&b, "w%x,%d|", at, m.zones[at].freshness)
 	}
-	keys := slices.SortedFunc(maps.Keys(m.store.rows), func(a, b key) int {
+	keys := slices.SortedFunc(maps.Keys(m.store.rows), func(a, b pageKey) int {
 		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.plane, b.plane), cmp.Compare(a.page, b.page))
 	})
 	for _, k := range keys {
 		for _, h := range m.store.rows[k] {
-			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, ago(h.made), h.From, h.Entries)
+			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, ago(h.madeAt), h.From, h.Entries)
 		}
 	}
 	for i, p := range m.planes {
-		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, ago(p.due), p.again, p.root, p.last)
+		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, ago(p.due), p.resend, p.root, p.rootSeq)
 		for _, id := range slices.Sorted(maps.Keys(p.parts)) {
 			for _, x := range p.parts[id] {
 				if x != nil {
-					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, x.Page, x.From, ago(x.made), x.Entries)
+					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, x.Page, x.From, ago(x.madeAt), x.Entries)
 				}
 			}
 		}
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -47,8 +47,8 @@
 	return n
 }
 
-// mostChildren bounds whom a node sends to in a tree, those of children that it passes over among them.
-const mostChildren = 32
+// maxChildren bounds whom a node sends to in a tree, those of children that it passes over among them.
+const maxChildren = 32
 
 // root is the first that is not passed over.
 func (t tree) root(skip func(Peer) bool) int {
@@ -78,7 +78,7 @@
 func (t tree) children(i, fan int, skip func(Peer) bool) (out []Peer) {
 	var below func(int)
 	below = func(at int) {
-		for c := at*fan + 1; c <= at*fan+fan && c < len(t) && len(out) < mostChildren; c++ {
+		for c := at*fan + 1; c <= at*fan+fan && c < len(t) && len(out) < maxChildren; c++ {
 			switch {
 			case c == i:
 			case skip(t[c]):
@@ -130,13 +130,13 @@
 	m.now = max(m.now, now)
 	m.view = v
 	for at := range v.trees {
-		if m.words[at] == nil {
-			m.words[at] = &said{since: m.now}
+		if m.zones[at] == nil {
+			m.zones[at] = &zoneFreshness{since: m.now}
 		}
 	}
-	for at := range m.words {
+	for at := range m.zones {
 		if v.trees[at] == nil {
-			delete(m.words, at)
+			delete(m.zones, at)
 		}
 	}
 	for id := range m.links {
@@ -146,18 +146,18 @@
 	}
 }
 
-// standing is this node's tree of a plane, and its place in it.
-func (m *Machine) standing(plane uint8) (tree, int) {
+// position is this node's tree of a plane, and its place in it.
+func (m *Machine) position(plane uint8) (tree, int) {
 	t := m.view.trees[m.self.Place][plane]
 	return t, t.index(m.self.ID)
 }
 
-// skip says that a node is passed over in trees: the membership suspects it, and this node has heard nothing of it either.
+// bypassed says that a node is passed over in trees: the membership suspects it, and this node has heard nothing of it either.
 // A suspicion alone is too often false where messages are lost, and silence alone may be the link's.
-func (m *Machine) skip(p Peer) bool {
+func (m *Machine) bypassed(p Peer) bool {
 	if !p.Suspect || p.ID == m.self.ID {
 		return false
 	}
 	l := m.links[p.ID]
-	return l == nil || m.now-l.heard > 2*m.o.period()
+	return l == nil || m.now-l.heard > 2*m.options.period()
 }
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -39,9 +39,9 @@
 
 // How parts are put together.
 const (
-	sum     Kind = 0x00
-	most    Kind = 0x40
-	least   Kind = 0x80
+	opSum   Kind = 0x00
+	opMax   Kind = 0x40
+	opMin   Kind = 0x80
 	opBits  Kind = 0xc0
 	pageOne Kind = 0x10 // the bits between tell the page
 	pages        = 4
@@ -49,30 +49,30 @@
 
 // Kinds. Rates are per second, over the last period or so.
 const (
-	Demand   = sum + 0   // of a class: requests that came, a second
-	Rejected = sum + 1   // of a class: requests that were refused, a second
-	Open     = sum + 2   // of a class: requests that are unanswered
-	Ready    = most + 0  // of a zone: servers listed as ready
-	Warm     = most + 1  // of a zone: of these, such as are past their slow start
-	Newest   = most + 2  // of a list or configuration: the latest version that a node holds
-	Oldest   = least + 0 // and the earliest
-	Made     = least + 1 // of nothing: when the part was made; only builds for the fault bench tell it
-
-	Sent = sum + pageOne + 0 // of a zone: attempts that ended there, a second
-	Bad  = sum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
-	Lag  = sum + pageOne + 2 // of a zone: what they took in all, seconds a second
-
-	Trouble = sum + 2*pageOne + 0 // of a server: attempts that did not succeed, a second
-	Held    = sum + 2*pageOne + 1 // of a server: attempts that are out
-
-	Sketch = sum + 3*pageOne + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
+	Demand   = opSum + 0 // of a class: requests that came, a second
+	Rejected = opSum + 1 // of a class: requests that were refused, a second
+	Open     = opSum + 2 // of a class: requests that are unanswered
+	Ready    = opMax + 0 // of a zone: servers listed as ready
+	Warm     = opMax + 1 // of a zone: of these, such as are past their slow start
+	Newest   = opMax + 2 // of a list or configuration: the latest version that a node holds
+	Oldest   = opMin + 0 // and the earliest
+	Made     = opMin + 1 // of nothing: when the part was made; only builds for the fault bench tell it
+
+	Sent = opSum + pageOne + 0 // of a zone: attempts that ended there, a second
+	Bad  = opSum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
+	Lag  = opSum + pageOne + 2 // of a zone: what they took in all, seconds a second
+
+	Trouble = opSum + 2*pageOne + 0 // of a server: attempts that did not succeed, a second
+	Held    = opSum + 2*pageOne + 1 // of a server: attempts that are out
+
+	Sketch = opSum + 3*pageOne + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
 )
 
 // page is which of an author's rows holds a kind: each fits into a datagram and is of one time.
 func (k Kind) page() uint8 { return uint8(k&^opBits) / uint8(pageOne) % pages }
 
-// near says that rows of a page stay within their zone.
-func near(page uint8) bool { return page >= 2 }
+// staysInZone says that rows of a page stay within their zone.
+func staysInZone(page uint8) bool { return page >= 2 }
 
 // Subject is what an entry is of, and Place a zone: by a number that all nodes make of the name. With a thousand names two
 // share one with a chance of one in ten thousand; their entries are then added up.
@@ -119,7 +119,7 @@
 // Bounds of a row.
 const (
 	MostEntries = 21
-	mostFrom    = 1<<16 - 1
+	maxFrom     = 1<<16 - 1
 )
 
 // Pages are a node's own entries, by the page.
@@ -133,9 +133,9 @@
 	return p
 }
 
-// add puts entries together: each kind by its own rule. cut counts what there was no room for: of a page too long, the
+// combine puts entries together: each kind by its own rule. cut counts what there was no room for: of a page too long, the
 // rates of kinds that come later, and of one kind the least, go.
-func add(lists ...[]Entry) (out []Entry, cut int) {
+func combine(lists ...[]Entry) (out []Entry, cut int) {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
@@ -143,9 +143,9 @@
 	for _, e := range all {
 		if n := len(out) - 1; n >= 0 && out[n].Kind == e.Kind && out[n].Subject == e.Subject {
 			switch o := &out[n]; e.Kind & opBits {
-			case most:
+			case opMax:
 				o.Value = max(o.Value, e.Value)
-			case least:
+			case opMin:
 				o.Value = min(o.Value, e.Value)
 			default:
 				o.Value += e.Value
@@ -154,7 +154,7 @@
 		}
 		out = append(out, e)
 	}
-	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == sum }) // nought is what is not said
+	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == opSum }) // nought is what is not said
 	if cut = len(out) - MostEntries; cut <= 0 {
 		return out, 0
 	}
@@ -185,18 +185,18 @@
 
 // Least is the least Fresh that holds where nothing is lost and no datagram takes longer than a delay, in zones of up to 4,000
 // nodes: half of it is the period, parts wait for three levels, and each of seven hops counts as its round trip.
-func Least(delay time.Duration) time.Duration { return 2 * (7*step(delay)/2 + 14*delay) }
+func Least(delay time.Duration) time.Duration { return 2 * (7*levelStep(delay)/2 + 14*delay) }
 
-// step is by how much earlier the nodes of each level further from the root send their parts.
-func step(delay time.Duration) time.Duration { return 2*delay + 10*time.Millisecond }
+// levelStep is by how much earlier the nodes of each level further from the root send their parts.
+func levelStep(delay time.Duration) time.Duration { return 2*delay + 10*time.Millisecond }
 
 // Check names the first option that is out of range.
 func (o Options) Check() error {
 	switch {
 	case o.Delay <= 0 || o.Fresh < Least(o.Delay):
-		return fmt.Errorf("facts: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, Least(max(o.Delay, time.Millisecond)))
+		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, Least(max(o.Delay, time.Millisecond)))
 	case o.Fan < 1 || o.Fan > 32:
-		return fmt.Errorf("facts: fan %d; allowed: 1 to 32", o.Fan)
+		return fmt.Errorf("zonestate: fan %d; allowed: 1 to 32", o.Fan)
 	}
 	return nil
 }
@@ -204,9 +204,9 @@
 // period is between two rows of one plane.
 func (o Options) period() time.Duration { return o.Fresh / 2 }
 
-// hold is how old a child's part may grow before it is left out: one of the round before would have the whole row be as old,
+// maxPartAge is how old a child's part may grow before it is left out: one of the round before would have the whole row be as old,
 // and who wants more nodes than young rows have still has the older row.
-func (o Options) hold() time.Duration { return o.period() / 2 }
+func (o Options) maxPartAge() time.Duration { return o.period() / 2 }
 
-// keep is how old a row may grow before it is dropped.
-func (o Options) keep() time.Duration { return 2 * o.Fresh }
+// maxRowAge is how old a row may grow before it is dropped.
+func (o Options) maxRowAge() time.Duration { return 2 * o.Fresh }
--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -33,19 +33,19 @@
 // drawn is a row of a few authors, zones and sequences, so that draws meet.
 func drawn(t *rapid.T) Row {
 	r := Row{Place: Place(rapid.IntRange(1, 2).Draw(t, "place")), Plane: uint8(rapid.IntRange(0, 1).Draw(t, "plane")), Page: uint8(rapid.IntRange(0, 1).Draw(t, "page")),
-		Author: Author{uint64(rapid.IntRange(1, mostAuthors).Draw(t, "author")), uint32(rapid.IntRange(0, 2).Draw(t, "life"))},
+		Author: Author{uint64(rapid.IntRange(1, maxAuthors).Draw(t, "author")), uint32(rapid.IntRange(0, 2).Draw(t, "life"))},
 		Seq:    uint32(rapid.IntRange(math.MaxUint32-2, math.MaxUint32+2).Draw(t, "seq"))} // sequences that wrap
 	r.From = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // what it says follows from who made it when
 	r.Age = time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * ms
 	return r
 }
 
-func TestMergingHangsOnNoOrder(t *testing.T) {
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		rows := rapid.SliceOfN(rapid.Custom(drawn), 1, 12).Draw(r, "rows")
 		order := rapid.Permutation(rows).Draw(r, "order")
 		again := rapid.SliceOfN(rapid.SampledFrom(rows), 0, 5).Draw(r, "again")
-		a, b := store{rows: map[key][]held{}}, store{rows: map[key][]held{}}
+		a, b := store{rows: map[pageKey][]storedRow{}}, store{rows: map[pageKey][]storedRow{}}
 		for _, x := range rows {
 			x, made := x, time.Second-x.Age
 			x.Age = 0
@@ -63,17 +63,17 @@
 }
 
 // Parts are put together in any grouping, and rows that have no room for all lose rates before what is known of servers.
-func TestPartsAddUpInAnyGrouping(t *testing.T) {
+func TestCombineIsAssociative(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Entry {
 			return Entry{rapid.SampledFrom([]Kind{Demand, Open, Ready, Oldest}).Draw(t, "kind"), Subject(rapid.IntRange(1, 4).Draw(t, "subject")), float64(rapid.IntRange(0, 9).Draw(t, "value"))}
 		})
 		lists := rapid.SliceOfN(rapid.SliceOfN(entry, 0, 6), 1, 5).Draw(r, "lists")
 		at := rapid.IntRange(0, len(lists)).Draw(r, "at")
-		complete, _ := add(lists...)
-		left, _ := add(lists[:at]...)
-		right, _ := add(lists[at:]...)
-		if parts, _ := add(right, left); !slices.Equal(parts, complete) {
+		complete, _ := combine(lists...)
+		left, _ := combine(lists[:at]...)
+		right, _ := combine(lists[at:]...)
+		if parts, _ := combine(right, left); !slices.Equal(parts, complete) {
 			r.Fatalf("%v, and by %v and %v: %v", complete, left, right, parts)
 		}
 	})
@@ -82,7 +82,7 @@
 		many = append(many, Entry{Demand, Subject(i + 1), float64(i)})
 	}
 	many = append(many, Entry{Ready, 7, 3})
-	out, cut := add(many)
+	out, cut := combine(many)
 	if len(out) != MostEntries || cut != len(many)-1-MostEntries || out[len(out)-1] != (Entry{Ready, 7, 3}) || out[0].Value != 22 {
 		t.Errorf("%d entries, %d cut: %v", len(out), cut, out)
 	}
@@ -90,10 +90,10 @@
 
 // A hop counts as the time since the receiver's own token, less that for which the sender says it had it; with none, and
 // with one that cannot be, nothing is taken.
-func TestHopsAreBoundedByTheReceiversOwnToken(t *testing.T) {
+func TestHopDelayIsBoundedByOwnToken(t *testing.T) {
 	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
 	m.now = 10 * time.Second
-	token := m.stamp(9 * time.Second)
+	token := m.token(9 * time.Second)
 	for _, c := range []struct {
 		name string
 		echo uint32
@@ -108,7 +108,7 @@
 		{"of another life", token - 1<<20, 0, 0, false},
 		{"of the future", token + 5000, 0, 0, false},
 	} {
-		d, ok := m.hop(Message{Echo: c.echo, Held: c.held})
+		d, ok := m.hopDelay(Message{Echo: c.echo, Held: c.held})
 		if ok != c.ok || d > c.most || ok && d < c.most-10*ms {
 			t.Errorf("%s: %v, %v; want about %v, %v", c.name, d, ok, c.most, c.ok)
 		}
@@ -142,10 +142,10 @@
 
 // What one mistaken peer can do is bounded: rows of an author that is not of their zone, of more nodes than there are, or in
 // this node's own name are dropped, and so are parts of who is no child.
-func TestWhatAMistakenPeerSaysIsDropped(t *testing.T) {
+func TestRowsOfFaultyPeersAreDropped(t *testing.T) {
 	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
 	m.now = time.Second
-	echo := m.stamp(m.now)
+	echo := m.token(m.now)
 	good := Row{Place: peer(2, 1).Place, Author: Author{ID: 3}, Seq: 1, From: 1}
 	for name, change := range map[string]func(*Row){
 		"foreign zone":   func(r *Row) { r.Place = peer(0, 0).Place },
@@ -171,7 +171,7 @@
 }
 
 // Every node but the root has one parent that counts it for a child, whoever is passed over.
-func TestTreesAreTrees(t *testing.T) {
+func TestEachNodeHasOneParent(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n, fan := rapid.IntRange(1, 40).Draw(r, "nodes"), rapid.IntRange(1, 9).Draw(r, "fan")
 		down := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "passed over")
@@ -187,7 +187,7 @@
 				continue
 			}
 			kids := tr.children(i, fan, skip)
-			if len(kids) > mostChildren {
+			if len(kids) > maxChildren {
 				r.Fatalf("%d children", len(kids))
 			}
 			for _, c := range kids {
@@ -199,14 +199,14 @@
 			}
 		}
 		for i, p := range tr {
-			if _, has := tr.parent(i, fan, skip); !skip(p) && has && sons[p.ID] != 1 && n <= mostChildren {
+			if _, has := tr.parent(i, fan, skip); !skip(p) && has && sons[p.ID] != 1 && n <= maxChildren {
 				r.Fatalf("%d is the child of %d", p.ID, sons[p.ID])
 			}
 		}
 	})
 }
 
-func TestOptionsOutOfRangeAreRefused(t *testing.T) {
+func TestOptionsOutOfRangeAreRejected(t *testing.T) {
 	for _, change := range []func(*Options){func(o *Options) { o.Fresh = Least(o.Delay) - 1 }, func(o *Options) { o.Delay = 0 }, func(o *Options) { o.Fan = 0 }, func(o *Options) { o.Fan = 33 }} {
 		o := Defaults(2 * time.Second)
 		change(&o)
@@ -222,7 +222,7 @@
 // seeds are messages of each kind.
 func seeds() (out [][]byte) {
 	row := Row{Place: 1 << 31, Plane: 1, Page: 1, Author: Author{1, 2}, Seq: 3, Age: 4 * ms, From: 5, Entries: []Entry{{Sent, 6, 7.5}, {Lag, 8, 1e-9}}}
-	for _, m := range []Message{{Kind: Up, From: 1, Rows: []Row{row}}, {Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, {Author: Author{ID: 9}, Age: mostAge + 1, From: 1 << 20}}},
+	for _, m := range []Message{{Kind: Up, From: 1, Rows: []Row{row}}, {Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, {Author: Author{ID: 9}, Age: maxAge + 1, From: 1 << 20}}},
 		{Kind: Tell, From: 3}, {Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}}} {
 		out = append(out, Append(nil, m))
 	}
@@ -252,7 +252,7 @@
 }
 
 // Ages are rounded up and amounts kept to seven digits; what is as long as may be fits.
-func TestMessagesKeepWhatTheySay(t *testing.T) {
+func TestAgesRoundUpAndMessagesFit(t *testing.T) {
 	var entries []Entry
 	for i := range MostEntries {
 		entries = append(entries, Entry{Demand, Subject(i), 1000.0 / 3})
@@ -265,7 +265,7 @@
 	}
 }
 
-func BenchmarkWave(b *testing.B) {
+func BenchmarkReceiveRow(b *testing.B) {
 	var all []Peer
 	for i := range 300 {
 		all = append(all, peer(i, i%6))
@@ -283,11 +283,11 @@
 	for b.Loop() {
 		now += ms
 		row.Seq++
-		m.Receive(now, Message{Kind: Down, From: row.Author.ID, Echo: m.stamp(now), Rows: []Row{row}})
+		m.Receive(now, Message{Kind: Down, From: row.Author.ID, Echo: m.token(now), Rows: []Row{row}})
 	}
 }
 
-func BenchmarkView(b *testing.B) {
+func BenchmarkNewView(b *testing.B) {
 	var all []Peer
 	for i := range 300 {
 		all = append(all, peer(i, i%6))
