--- /dev/null
+++ b/internal/zonestate/kind.go
@@ -0,0 +1,42 @@
+package zonestate
+
+// Kind says what an entry tells of its subject. Its highest bits say how parts are put together, so that a node can add up
+// kinds that it does not know.
+type Kind uint8
+
+// How parts are put together.
+const (
+	opSum   Kind = 0x00
+	opMax   Kind = 0x40
+	opMin   Kind = 0x80
+	opBits  Kind = 0xc0
+	pageOne Kind = 0x10 // the bits between tell the page
+	pages        = 4
+)
+
+// Kinds. Rates are per second, over the last period or so.
+const (
+	Demand   = opSum + 0 // of a class: requests that came, a second
+	Rejected = opSum + 1 // of a class: requests that were refused, a second
+	Open     = opSum + 2 // of a class: requests that are unanswered
+	Ready    = opMax + 0 // of a zone: servers listed as ready
+	Warm     = opMax + 1 // of a zone: of these, such as are past their slow start
+	Newest   = opMax + 2 // of a list or configuration: the latest version that a node holds
+	Oldest   = opMin + 0 // and the earliest
+	Made     = opMin + 1 // of nothing: when the part was made; only builds for the fault bench tell it
+
+	Sent = opSum + pageOne + 0 // of a zone: attempts that ended there, a second
+	Bad  = opSum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
+	Lag  = opSum + pageOne + 2 // of a zone: what they took in all, seconds a second
+
+	Trouble = opSum + 2*pageOne + 0 // of a server: attempts that did not succeed, a second
+	Held    = opSum + 2*pageOne + 1 // of a server: attempts that are out
+
+	Sketch = opSum + 3*pageOne + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
+)
+
+// page is which of an author's rows holds a kind: each fits into a datagram and is of one time.
+func (k Kind) page() uint8 { return uint8(k&^opBits) / uint8(pageOne) % pages }
+
+// staysInZone says that rows of a page stay within their zone.
+func staysInZone(page uint8) bool { return page >= 2 }
