--- a/internal/zonestate/aggregate.go
+++ b/internal/zonestate/aggregate.go
@@ -5,74 +5,91 @@
 	"time"
 )
 
-// part is what a child, or this node, adds.
+// lossPeriods is for how many periods this node sends its parts twice after a row was lost.
+const lossPeriods = 10
+
+// part is what a child sends up a plane.
 type part struct {
 	Row
-	madeAt time.Duration
+	madeAt time.Duration // time of this node's clock before which the oldest part in it was not made
 }
 
-// plane is this node's part in one.
+// plane is this node's role in one aggregation tree.
 type plane struct {
 	parts   map[uint64][pages]*part // by the children's IDs
-	seq     uint32
-	root    Author        // whose row came last
-	rootSeq uint32        // and its sequence
-	due     time.Duration // when the next part goes up, or the next rows are made
-	resend  bool          // what goes abroad goes up a second time, for one may be lost
+	seq     uint32                  // of the last row that this node made as the root
+	root    Author                  // of the row that came last from this zone's root
+	rootSeq uint32                  // sequence of that row
+	due     time.Duration           // when the next part goes up, or the root makes its next rows
+	resend  bool                    // the part goes up a second time, in case the first was lost
 }
 
-// sendPlane sends this node's parts up a plane, or makes rows if it is the root.
+// sendPlane sends this node's parts to its parent in a plane, or makes rows if it is the root.
 func (m *Machine) sendPlane(at uint8) {
 	t, i := m.position(at)
-	up, hasParent := t.parent(i, m.options.Fan, m.bypassed)
+	parent, hasParent := t.parent(i, m.options.Fan, m.bypassed)
 	children := t.children(i, m.options.Fan, m.bypassed)
 	rows := m.aggregate(at, children)
-	p := &m.planes[at]
 	if hasParent {
-		wait := m.options.period()
-		switch twice := len(children) > 0 || m.now < m.lossUntil; {
-		case p.resend:
-			wait -= levelStep(m.options.Delay) / 2
-			p.resend = false
-			rows = slices.DeleteFunc(rows, func(r Row) bool { return staysInZone(r.Page) })
-		case twice:
-			wait = levelStep(m.options.Delay) / 2
-			p.resend = true
-		}
-		m.sendRows(t[up], Up, rows, pages)
-		p.due = m.now + wait
+		m.sendUp(at, t[parent], rows, len(children) > 0)
 		return
 	}
-	if p.due += m.options.period(); p.due <= m.now {
+	m.publish(at, rows)
+}
+
+// sendUp sends parts to the parent, and plans a second time if children depend on this node or messages get lost.
+func (m *Machine) sendUp(at uint8, parent Peer, rows []Row, hasChildren bool) {
+	p := &m.planes[at]
+	wait := m.options.period()
+	switch {
+	case p.resend:
+		p.resend = false
+		wait -= levelStep(m.options.Delay) / 2
+		rows = slices.DeleteFunc(rows, func(r Row) bool { return staysInZone(r.Page) })
+	case hasChildren || m.now < m.lossUntil:
+		p.resend = true
+		wait = levelStep(m.options.Delay) / 2
+	}
+	m.sendRows(parent, Up, rows, pages)
+	p.due = m.now + wait
+}
+
+// publish makes rows as the root of a plane and sends them down the trees and to other zones.
+func (m *Machine) publish(at uint8, rows []Row) {
+	p := &m.planes[at]
+	p.due += m.options.period()
+	if p.due <= m.now {
 		p.due = m.now + m.options.period()
 	}
 	p.resend = false
 	p.seq++
-	for k := range rows {
-		rows[k].Author, rows[k].Seq = Author{m.self.ID, m.incarnation}, p.seq
-		m.store.put(rows[k], m.now-rows[k].Age)
+	for i := range rows {
+		rows[i].Seq = p.seq
+		m.store.put(rows[i], m.now-rows[i].Age)
 	}
 	m.forwardInZone(rows, 0)
 	m.forwardToZones(at, rows, maxZones)
 }
 
-// aggregate are this node's own part and its children's, by page.
-func (m *Machine) aggregate(at uint8, children []Peer) (rows []Row) {
-	p := &m.planes[at]
-	for id := range p.parts {
-		if !slices.ContainsFunc(children, func(c Peer) bool { return c.ID == id }) {
-			delete(p.parts, id)
+// aggregate adds up this node's own part and its children's, page by page. A page without parts has no row.
+func (m *Machine) aggregate(at uint8, children []Peer) []Row {
+	parts := m.planes[at].parts
+	for id := range parts {
+		if !containsPeer(children, id) {
+			delete(parts, id)
 		}
 	}
+	var rows []Row
 	for page := range uint8(pages) {
 		r := Row{Place: m.self.Place, Plane: at, Page: page, Author: Author{m.self.ID, m.incarnation}}
 		var lists [][]Entry
 		if m.ownPartAt > 0 && m.now-m.ownPartAt <= m.options.maxPartAge() {
-			r.From, r.Age = 1, m.now-m.ownPartAt
+			r.From = 1
+			r.Age = m.now - m.ownPartAt
 			lists = append(lists, m.ownPart[page])
 		}
 		for _, c := range children {
-			x := p.parts[c.ID][page]
+			x := parts[c.ID][page]
 			if x == nil || m.now-x.madeAt > m.options.maxPartAge() {
 				continue
 			}
@@ -80,63 +97,77 @@
 			r.Age = max(r.Age, m.now-x.madeAt)
 			lists = append(lists, x.Entries)
 		}
-		var cut int
-		r.Entries, cut = combine(lists...)
-		m.Dropped.Cut += cut
-		if r.From > 0 { // an empty page says that there is nothing to tell
+		var dropped int
+		r.Entries, dropped = combine(lists...)
+		m.Dropped.Cut += dropped
+		if r.From > 0 {
 			rows = append(rows, r)
 		}
 	}
 	return rows
 }
 
-// receiveParts takes what a child adds.
+// receiveParts stores the parts that a child sent.
 func (m *Machine) receiveParts(from Peer, rows []Row, delay time.Duration) {
 	for _, r := range rows {
 		t, i := m.position(r.Plane)
 		children := t.children(i, m.options.Fan, m.bypassed)
-		if r.Place != m.self.Place || r.Author.ID != from.ID || !slices.ContainsFunc(children, func(c Peer) bool { return c.ID == from.ID }) {
+		if r.Place != m.self.Place || r.Author.ID != from.ID || !containsPeer(children, from.ID) {
 			m.Dropped.Foreign++
 			continue
 		}
-		if r.From > 2*len(t)+8 {
+		if r.From > maxParts(t) {
 			m.Dropped.Odd++
 			continue
 		}
-		p := m.planes[r.Plane].parts[from.ID]
-		made := m.now - r.Age - delay
-		if was := p[r.Page]; was != nil && was.madeAt >= made {
-			continue // came twice, or in another order
+		parts := m.planes[r.Plane].parts
+		byPage := parts[from.ID]
+		madeAt := m.now - r.Age - delay
+		if earlier := byPage[r.Page]; earlier != nil && earlier.madeAt >= madeAt {
+			continue // a duplicate, or overtaken by a later part
 		}
-		p[r.Page] = &part{r, made}
-		m.planes[r.Plane].parts[from.ID] = p
+		byPage[r.Page] = &part{r, madeAt}
+		parts[from.ID] = byPage
 	}
 }
 
-// lossPeriods is for how many periods a loss is remembered.
-const lossPeriods = 10
+// maxParts returns how many parts a row of a zone can be made of: each node twice, and some that this node does not know
+// yet.
+func maxParts(nodes tree) int { return 2*len(nodes) + 8 }
 
-// noteLoss notes that rows of the own root were lost: what this node sends up may be too.
+func containsPeer(peers []Peer, id uint64) bool {
+	return slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
+}
+
+// noteLoss notes if rows of the own zone's root were lost: then what this node sends up may be lost too.
 func (m *Machine) noteLoss(r Row) {
 	p := &m.planes[r.Plane]
 	if p.root == r.Author && int32(r.Seq-p.rootSeq) > 1 {
 		m.lossUntil = m.now + lossPeriods*m.options.period()
 	}
-	p.root, p.rootSeq = r.Author, r.Seq
+	p.root = r.Author
+	p.rootSeq = r.Seq
 }
 
-// alignToRoot times this node's work by the root's: parts go up so that each level's are there when the next sends its own, and a
-// root of the second plane makes its rows half a period from the first's.
+// alignToRoot times this node's sending by a row of the root. Parts go up so that those of each level have come when the
+// next one sends its own, and the root of the second plane makes its rows half a period after the first's.
 func (m *Machine) alignToRoot(at uint8) {
 	t, i := m.position(at)
 	if i != t.root(m.bypassed) {
-		m.planes[at].due = m.now + m.options.period() - time.Duration(level(i, m.options.Fan))*levelStep(m.options.Delay) - levelStep(m.options.Delay)/2
-		m.planes[at].resend = false
+		step := levelStep(m.options.Delay)
+		p := &m.planes[at]
+		p.due = m.now + m.options.period() - time.Duration(level(i, m.options.Fan))*step - step/2
+		p.resend = false
+	}
+	if at != 0 {
+		return
 	}
-	other := planes - 1 - at
-	t, _ = m.position(other)
-	if at == 0 && t[t.root(m.bypassed)].ID == m.self.ID {
-		p := &m.planes[other]
-		p.due = max(p.due-m.options.period()/4, min(m.now+m.options.period()/2, p.due+m.options.period()/4))
+	const second = planes - 1
+	t, _ = m.position(second)
+	if t[t.root(m.bypassed)].ID != m.self.ID {
+		return
 	}
+	p := &m.planes[second]
+	quarter := m.options.period() / 4
+	p.due = max(p.due-quarter, min(m.now+m.options.period()/2, p.due+quarter))
 }
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -8,36 +8,42 @@
 	"time"
 )
 
-// A message is version, kind, from, token, echo, held (big endian), and then rows, or for an Ask the zones. Whoever carries
-// it adds the tag.
+// A message is version, kind, from, token, echo, held (big endian), and then rows, or the wanted zones of a Query. The
+// transport adds the tag.
 const (
-	// Version is the first byte. A node that knows another version only counts what comes.
+	// Version is the first byte. Messages of other versions are counted and not read.
 	Version   = 0x40
 	headSize  = 1 + 1 + 8 + 4 + 4 + 2
 	rowSize   = 4 + 1 + 8 + 4 + 4 + 3 + 2 + 1
 	entrySize = 1 + 4 + 4
-	wantSize  = 4 + 3
+	// Plane and page of a row share a byte.
+	planeShift = 4
+	pageBits   = 0x0f
+	wantSize   = 4 + 3
 	// MaxMessage leaves room for a tag of 12 bytes in a datagram of 256.
 	MaxMessage = 256 - 12
 	maxWants   = (MaxMessage - headSize) / wantSize
 )
 
-// maxAge is the longest that can be written, in 24 bits of milliseconds; what is older is written as that.
+// maxAge is the highest age that can be written, in 24 bits of milliseconds. Higher ages are written as that.
 const maxAge = time.Duration(1<<24-1) * time.Millisecond
 
 // Errors of a message. Nothing of one that has an error is used.
 var (
-	ErrVersion   = errors.New("zonestate: another version")
+	// ErrVersion: the sender speaks another version of the protocol.
+	ErrVersion = errors.New("zonestate: another version")
+	// ErrMalformed: the message breaks the format.
 	ErrMalformed = errors.New("zonestate: malformed")
 )
 
+// size returns how many bytes a row takes.
 func size(r Row) int { return rowSize + len(r.Entries)*entrySize }
 
 func put24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
 
 func get24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
-// putAge writes an age rounded up: it is never under-reported.
+// putAge writes an age, rounded up so that it stays an upper bound.
 func putAge(b []byte, age time.Duration) []byte {
 	age = min(max(0, age), maxAge)
 	return put24(b, uint32((age+time.Millisecond-1)/time.Millisecond))
@@ -45,7 +51,7 @@
 
 func getAge(b []byte) time.Duration { return time.Duration(get24(b)) * time.Millisecond }
 
-// Append writes a message.
+// Append appends a message to b.
 func Append(b []byte, m Message) []byte {
 	b = append(b, Version, byte(m.Kind))
 	b = binary.BigEndian.AppendUint64(b, m.From)
@@ -57,33 +63,43 @@
 		b = putAge(b, w.Age)
 	}
 	for _, r := range m.Rows {
-		b = binary.BigEndian.AppendUint32(b, uint32(r.Place))
-		b = append(b, r.Plane<<4|r.Page)
-		b = binary.BigEndian.AppendUint64(b, r.Author.ID)
-		b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
-		b = binary.BigEndian.AppendUint32(b, r.Seq)
-		b = putAge(b, r.Age)
-		b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), maxFrom)))
-		b = append(b, byte(len(r.Entries)))
-		for _, e := range r.Entries {
-			b = append(b, byte(e.Kind))
-			b = binary.BigEndian.AppendUint32(b, uint32(e.Subject))
-			b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(e.Value)))
-		}
+		b = appendRow(b, r)
+	}
+	return b
+}
+
+func appendRow(b []byte, r Row) []byte {
+	b = binary.BigEndian.AppendUint32(b, uint32(r.Place))
+	b = append(b, r.Plane<<planeShift|r.Page)
+	b = binary.BigEndian.AppendUint64(b, r.Author.ID)
+	b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
+	b = binary.BigEndian.AppendUint32(b, r.Seq)
+	b = putAge(b, r.Age)
+	b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), maxFrom)))
+	b = append(b, byte(len(r.Entries)))
+	for _, e := range r.Entries {
+		b = append(b, byte(e.Kind))
+		b = binary.BigEndian.AppendUint32(b, uint32(e.Subject))
+		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(e.Value)))
 	}
 	return b
 }
 
-// Parse reads a message.
-func Parse(b []byte) (m Message, err error) {
+// Parse reads a message. Its errors are ErrVersion and ErrMalformed.
+func Parse(b []byte) (Message, error) {
 	if len(b) < headSize || len(b) > MaxMessage {
-		return m, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
+		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	if b[0] != Version {
-		return m, fmt.Errorf("%w: %d", ErrVersion, b[0])
+		return Message{}, fmt.Errorf("%w: %d", ErrVersion, b[0])
+	}
+	m := Message{
+		Kind:  MessageKind(b[1]),
+		From:  binary.BigEndian.Uint64(b[2:]),
+		Token: binary.BigEndian.Uint32(b[10:]),
+		Echo:  binary.BigEndian.Uint32(b[14:]),
+		Held:  binary.BigEndian.Uint16(b[18:]),
 	}
-	m = Message{Kind: MessageKind(b[1]), From: binary.BigEndian.Uint64(b[2:]), Token: binary.BigEndian.Uint32(b[10:]),
-		Echo: binary.BigEndian.Uint32(b[14:]), Held: binary.BigEndian.Uint16(b[18:])}
 	if m.Kind < Up || m.Kind > Query || m.From == 0 {
 		return Message{}, fmt.Errorf("%w: kind %d from %d", ErrMalformed, m.Kind, m.From)
 	}
@@ -93,21 +109,11 @@
 		left = left[wantSize:]
 	}
 	for m.Kind != Query && len(left) >= rowSize {
-		r := Row{Place: Place(binary.BigEndian.Uint32(left)), Plane: left[4] >> 4, Page: left[4] & 0x0f,
-			Author: Author{binary.BigEndian.Uint64(left[5:]), binary.BigEndian.Uint32(left[13:])}, Seq: binary.BigEndian.Uint32(left[17:]),
-			Age: getAge(left[21:]), From: int(binary.BigEndian.Uint16(left[24:]))}
-		n := int(left[26])
-		left = left[rowSize:]
-		if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MostEntries || len(left) < n*entrySize {
-			return Message{}, fmt.Errorf("%w: a row of plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
-		}
-		for ; n > 0; n-- {
-			e := Entry{Kind(left[0]), Subject(binary.BigEndian.Uint32(left[1:])), float64(math.Float32frombits(binary.BigEndian.Uint32(left[5:])))}
-			if math.IsNaN(e.Value) || math.IsInf(e.Value, 0) || e.Kind.page() != r.Page {
-				return Message{}, fmt.Errorf("%w: an entry of kind %d, value %v on page %d", ErrMalformed, e.Kind, e.Value, r.Page)
-			}
-			r.Entries = append(r.Entries, e)
-			left = left[entrySize:]
+		var r Row
+		var err error
+		r, left, err = parseRow(left)
+		if err != nil {
+			return Message{}, err
 		}
 		m.Rows = append(m.Rows, r)
 	}
@@ -116,3 +122,38 @@
 	}
 	return m, nil
 }
+
+// parseRow reads a row from the front of b, which has rowSize bytes at least, and returns what is left.
+func parseRow(b []byte) (r Row, left []byte, err error) {
+	r = Row{
+		Place:  Place(binary.BigEndian.Uint32(b)),
+		Plane:  b[4] >> planeShift,
+		Page:   b[4] & pageBits,
+		Author: Author{ID: binary.BigEndian.Uint64(b[5:]), Incarnation: binary.BigEndian.Uint32(b[13:])},
+		Seq:    binary.BigEndian.Uint32(b[17:]),
+		Age:    getAge(b[21:]),
+		From:   int(binary.BigEndian.Uint16(b[24:])),
+	}
+	n := int(b[26])
+	left = b[rowSize:]
+	if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MostEntries || len(left) < n*entrySize {
+		return Row{}, nil, fmt.Errorf("%w: a row of plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
+	}
+	for range n {
+		e := parseEntry(left)
+		if math.IsNaN(e.Value) || math.IsInf(e.Value, 0) || e.Kind.page() != r.Page {
+			return Row{}, nil, fmt.Errorf("%w: an entry of kind %d, value %v on page %d", ErrMalformed, e.Kind, e.Value, r.Page)
+		}
+		r.Entries = append(r.Entries, e)
+		left = left[entrySize:]
+	}
+	return r, left, nil
+}
+
+func parseEntry(b []byte) Entry {
+	return Entry{
+		Kind:    Kind(b[0]),
+		Subject: Subject(binary.BigEndian.Uint32(b[1:])),
+		Value:   float64(math.Float32frombits(binary.BigEndian.Uint32(b[5:]))),
+	}
+}
--- a/internal/zonestate/combine.go
+++ b/internal/zonestate/combine.go
@@ -6,37 +6,50 @@
 	"slices"
 )
 
-// combine puts entries together: each kind by its own rule. cut counts what there was no room for: of a page too long, the
-// rates of kinds that come later, and of one kind the least, go.
-func combine(lists ...[]Entry) (out []Entry, cut int) {
+// combine aggregates lists of entries, each kind by its own operation. It returns at most MostEntries entries, by kind and
+// subject, and how many it dropped: rates of later kinds first, and of one kind the lowest values.
+func combine(lists ...[]Entry) (out []Entry, dropped int) {
 	all := slices.Concat(lists...)
-	slices.SortStableFunc(all, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
-	})
+	slices.SortStableFunc(all, compareSubjects)
 	for _, e := range all {
-		if n := len(out) - 1; n >= 0 && out[n].Kind == e.Kind && out[n].Subject == e.Subject {
-			switch o := &out[n]; e.Kind & opBits {
-			case opMax:
-				o.Value = max(o.Value, e.Value)
-			case opMin:
-				o.Value = min(o.Value, e.Value)
-			default:
-				o.Value += e.Value
-			}
+		if last := len(out) - 1; last >= 0 && compareSubjects(out[last], e) == 0 {
+			out[last].Value = combineValues(e.Kind, out[last].Value, e.Value)
 			continue
 		}
 		out = append(out, e)
 	}
-	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == opSum }) // nought is what is not said
-	if cut = len(out) - MostEntries; cut <= 0 {
+	// A sum of zero is what readers assume without an entry.
+	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == opSum })
+	if len(out) <= MostEntries {
 		return out, 0
 	}
-	slices.SortStableFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Kind&opBits, a.Kind&opBits), cmp.Compare(a.Kind, b.Kind), cmp.Compare(math.Abs(b.Value), math.Abs(a.Value)))
-	})
+	dropped = len(out) - MostEntries
+	slices.SortStableFunc(out, compareImportance)
 	out = out[:MostEntries]
-	slices.SortFunc(out, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
-	})
-	return out, cut
+	slices.SortFunc(out, compareSubjects)
+	return out, dropped
+}
+
+func combineValues(k Kind, a, b float64) float64 {
+	switch k & opBits {
+	case opMax:
+		return max(a, b)
+	case opMin:
+		return min(a, b)
+	default:
+		return a + b
+	}
+}
+
+func compareSubjects(a, b Entry) int {
+	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
+}
+
+// compareImportance puts first what is kept if a row has no room for all.
+func compareImportance(a, b Entry) int {
+	return cmp.Or(
+		cmp.Compare(b.Kind&opBits, a.Kind&opBits),
+		cmp.Compare(a.Kind, b.Kind),
+		cmp.Compare(math.Abs(b.Value), math.Abs(a.Value)),
+	)
 }
--- a/internal/zonestate/forward.go
+++ b/internal/zonestate/forward.go
@@ -6,69 +6,63 @@
 	"time"
 )
 
+// Bounds on the zones that a root sends rows to. Where there are more zones, the receivers are drawn at random.
+const (
+	maxZones       = 8 // in a period, with the rows of its own zone
+	zonesPerUpdate = 2 // with rows of other zones that are new to it
+)
+
+// send queues a message.
 func (m *Machine) send(to Peer, msg Message) {
-	msg.From, msg.Token = m.self.ID, m.token(m.now)
-	if l := m.links[to.ID]; l != nil && l.peerToken != 0 {
-		// Rounded down, the hop counts as longer.
-		if held := (m.now - l.tokenAt) / time.Millisecond; held < 1<<16 {
-			msg.Echo, msg.Held = l.peerToken, uint16(held)
-		}
-	}
-	m.packets = append(m.packets, Packet{to.Addr, msg})
+	msg.From = m.self.ID
+	m.stampToken(to.ID, &msg)
+	m.packets = append(m.packets, Packet{To: to.Addr, Message: msg})
 }
 
-// sendRows sends rows in as many messages as they take.
-func (m *Machine) sendRows(to Peer, kind MessageKind, rows []Row, most int) {
+// sendRows sends rows in as many messages as they take, up to maxMessages. What is beyond is not sent.
+func (m *Machine) sendRows(to Peer, kind MessageKind, rows []Row, maxMessages int) {
 	var batch []Row
-	room := MaxMessage - headSize
+	left := MaxMessage - headSize
+	sent := 0
 	for i, r := range rows {
 		batch = append(batch, r)
-		room -= size(r)
-		if i+1 == len(rows) || size(rows[i+1]) > room {
-			if most--; most < 0 {
-				return
-			}
-			m.send(to, Message{Kind: kind, Rows: batch})
-			batch, room = nil, MaxMessage-headSize
+		left -= size(r)
+		if i+1 < len(rows) && size(rows[i+1]) <= left {
+			continue
 		}
+		if sent == maxMessages {
+			return
+		}
+		m.send(to, Message{Kind: kind, Rows: batch})
+		sent++
+		batch = nil
+		left = MaxMessage - headSize
 	}
 }
 
-// forwardInZone hands rows that are news to the neighbours in their trees, but for who brought them.
-func (m *Machine) forwardInZone(rows []Row, but uint64) {
+// forwardInZone sends rows to this node's neighbours in the trees of their planes, except the one that they came from.
+func (m *Machine) forwardInZone(rows []Row, from uint64) {
 	for at := range uint8(planes) {
-		var mine []Row
-		for _, r := range rows {
-			if r.Plane == at {
-				mine = append(mine, r)
-			}
-		}
-		if len(mine) == 0 {
+		ofPlane := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Plane != at })
+		if len(ofPlane) == 0 {
 			continue
 		}
 		t, i := m.position(at)
-		to := t.children(i, m.options.Fan, m.bypassed)
-		if up, has := t.parent(i, m.options.Fan, m.bypassed); has {
-			to = append(to, t[up])
+		neighbours := t.children(i, m.options.Fan, m.bypassed)
+		if parent, ok := t.parent(i, m.options.Fan, m.bypassed); ok {
+			neighbours = append(neighbours, t[parent])
 		}
-		for _, p := range to {
-			if p.ID == but {
+		for _, n := range neighbours {
+			if n.ID == from {
 				continue
 			}
-			// Nobody is told what is its own.
-			m.sendRows(p, Down, slices.DeleteFunc(slices.Clone(mine), func(r Row) bool { return r.Author.ID == p.ID }), pages*planes)
+			others := slices.DeleteFunc(slices.Clone(ofPlane), func(r Row) bool { return r.Author.ID == n.ID })
+			m.sendRows(n, Down, others, pages*planes)
 		}
 	}
 }
 
-// maxZones bounds the zones that a root tells of its own in one period. Where there are more they are drawn, and each root tells
-// spread others of what is news to it.
-const (
-	maxZones       = 8
-	zonesPerUpdate = 2
-)
-
-// forwardToZones tells the roots of up to n other zones.
+// forwardToZones sends rows of a plane to the roots of up to n other zones.
 func (m *Machine) forwardToZones(at uint8, rows []Row, n int) {
 	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return staysInZone(r.Page) || r.Plane != at })
 	if len(rows) == 0 {
@@ -88,41 +82,56 @@
 	}
 }
 
-// receiveRows merges rows, and hands on what is news. wave: they come down a tree, and not late by a question.
-func (m *Machine) receiveRows(from Peer, rows []Row, delay time.Duration, wave bool) {
-	var news []Row
+// receiveRows merges rows and forwards those that are new. fromTree says that they came down a tree and not as a reply.
+func (m *Machine) receiveRows(from Peer, rows []Row, delay time.Duration, fromTree bool) {
+	var fresh []Row
 	for _, r := range rows {
-		author, known := m.view.peers[r.Author.ID]
-		switch {
-		case !known || author.Place != r.Place || r.Author.ID == m.self.ID:
-			m.Dropped.Foreign++
-		case r.From > 2*len(m.view.trees[r.Place][0])+8:
-			m.Dropped.Odd++
-		case r.Age+delay > m.options.maxRowAge():
-			m.Dropped.Late++
-		case m.store.put(r, m.now-r.Age-delay):
-			if l := m.links[r.Author.ID]; l != nil {
-				l.heard = m.now
-			} else if r.Place == m.self.Place {
-				m.links[r.Author.ID] = &link{heard: m.now}
-			}
-			r.Age += delay
-			news = append(news, r)
-			if wave && r.Place == m.self.Place && r.Page == 0 {
-				m.alignToRoot(r.Plane)
-				m.noteLoss(r)
-			}
+		if !m.mergeRow(r, delay) {
+			continue
+		}
+		r.Age += delay
+		fresh = append(fresh, r)
+		if fromTree && r.Place == m.self.Place && r.Page == 0 {
+			m.alignToRoot(r.Plane)
+			m.noteLoss(r)
 		}
 	}
-	if len(news) == 0 {
+	if len(fresh) == 0 {
 		return
 	}
-	m.forwardInZone(news, from.ID)
-	if len(m.view.trees) > maxZones+1 {
-		for at := range uint8(planes) {
-			if t, i := m.position(at); i == t.root(m.bypassed) {
-				m.forwardToZones(at, news, zonesPerUpdate)
-			}
+	m.forwardInZone(fresh, from.ID)
+	if len(m.view.trees) <= maxZones+1 {
+		return // the author of a row has sent it to all roots
+	}
+	for at := range uint8(planes) {
+		if t, i := m.position(at); i == t.root(m.bypassed) {
+			m.forwardToZones(at, fresh, zonesPerUpdate)
 		}
 	}
 }
+
+// mergeRow stores a row that was under way for a delay at most; false: it is dropped, or is not new.
+func (m *Machine) mergeRow(r Row, delay time.Duration) bool {
+	author, known := m.view.peers[r.Author.ID]
+	if !known || author.Place != r.Place || r.Author.ID == m.self.ID {
+		m.Dropped.Foreign++
+		return false
+	}
+	if r.From > maxParts(m.view.trees[r.Place][0]) {
+		m.Dropped.Odd++
+		return false
+	}
+	if r.Age+delay > m.options.maxRowAge() {
+		m.Dropped.Late++
+		return false
+	}
+	if !m.store.put(r, m.now-r.Age-delay) {
+		return false
+	}
+	if l := m.links[r.Author.ID]; l != nil {
+		l.heard = m.now
+	} else if r.Place == m.self.Place {
+		m.links[r.Author.ID] = &link{heard: m.now}
+	}
+	return true
+}
--- a/internal/zonestate/hop.go
+++ b/internal/zonestate/hop.go
@@ -6,34 +6,53 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// drift is the part of a time by which two clocks may measure it apart.
-const drift = 1000
+const (
+	driftDivisor = 1000    // clocks may differ in rate by one part in so many
+	maxHeld      = 1 << 16 // ms; what Message.Held can carry is less
+	maxRoundTrip = 1 << 17 * time.Millisecond
+	tokenMargin  = 2 // ms that rounding of two tokens may lose
+)
 
-// link is what is known of the way to another.
+// link is what is known of the path to another node.
 type link struct {
-	peerToken uint32        // the last that came
-	tokenAt   time.Duration // when
-	heard     time.Duration // when a message or a row of its making came last
+	peerToken uint32        // the last one that came; 0: none
+	tokenAt   time.Duration // when it came
+	heard     time.Duration // when a message from it, or a row that it made, came last
 }
 
-// token is a time as a token: never 0.
+// token returns a time of this node's clock as a token, which is never 0.
 func (m *Machine) token(at time.Duration) uint32 {
 	return max(1, uint32(at/time.Millisecond)+uint32(splitmix.Mix(m.seed)))
 }
 
-// hopDelay is how long a message can have been on its way: no longer than since this node's own token left, less what the sender
-// held that for. Both clocks may be off by drift, and times are in milliseconds.
+// stampToken gives a message this node's token, and returns the receiver's last one to it.
+func (m *Machine) stampToken(to uint64, msg *Message) {
+	msg.Token = m.token(m.now)
+	l := m.links[to]
+	if l == nil || l.peerToken == 0 {
+		return
+	}
+	// Rounded down: then the receiver overestimates the delay.
+	held := (m.now - l.tokenAt) / time.Millisecond
+	if held < maxHeld {
+		msg.Echo = l.peerToken
+		msg.Held = uint16(held)
+	}
+}
+
+// hopDelay returns an upper bound on the time that a message was under way: the time since this node's own token left, less
+// the time for which the sender held it. Both clocks may drift, and times are in milliseconds. false: there is no bound.
 func (m *Machine) hopDelay(msg Message) (time.Duration, bool) {
 	if msg.Echo == 0 {
 		return 0, false
 	}
-	gone := time.Duration(m.token(m.now)-msg.Echo+2) * time.Millisecond
-	if gone > 1<<17*time.Millisecond {
-		return 0, false // of another incarnation, or long ago
+	roundTrip := time.Duration(m.token(m.now)-msg.Echo+tokenMargin) * time.Millisecond
+	if roundTrip > maxRoundTrip {
+		return 0, false // a token of an earlier incarnation, or too old
 	}
 	held := time.Duration(msg.Held) * time.Millisecond
-	if held > gone+held/drift {
+	if held > roundTrip+held/driftDivisor {
 		return 0, false
 	}
-	return max(0, gone-held) + (gone+held)/drift, true
+	return max(0, roundTrip-held) + (roundTrip+held)/driftDivisor, true
 }
--- a/internal/zonestate/kind.go
+++ b/internal/zonestate/kind.go
@@ -1,10 +1,10 @@
 package zonestate
 
-// Kind says what an entry tells of its subject. Its highest bits say how parts are put together, so that a node can add up
-// kinds that it does not know.
+// Kind says what the value of an entry measures. Its highest bits say how the values of several parts are combined, so that a
+// node can aggregate kinds that it does not know.
 type Kind uint8
 
-// How parts are put together.
+// How the values of parts are combined, and the number of pages.
 const (
 	opSum   Kind = 0x00
 	opMax   Kind = 0x40
@@ -17,7 +17,7 @@
 // Kinds. Rates are per second, over the last period or so.
 const (
 	Demand   = opSum + 0 // of a class: requests that came, a second
-	Rejected = opSum + 1 // of a class: requests that were refused, a second
+	Rejected = opSum + 1 // of a class: requests that were rejected, a second
 	Open     = opSum + 2 // of a class: requests that are unanswered
 	Ready    = opMax + 0 // of a zone: servers listed as ready
 	Warm     = opMax + 1 // of a zone: of these, such as are past their slow start
@@ -35,8 +35,8 @@
 	Sketch = opSum + 3*pageOne + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
 )
 
-// page is which of an author's rows holds a kind: each fits into a datagram and is of one time.
+// page returns the page of a kind: an author makes a row for each page, which fits into a datagram.
 func (k Kind) page() uint8 { return uint8(k&^opBits) / uint8(pageOne) % pages }
 
-// staysInZone says that rows of a page stay within their zone.
+// staysInZone says that rows of a page are not sent to other zones.
 func staysInZone(page uint8) bool { return page >= 2 }
--- a/internal/zonestate/machine.go
+++ b/internal/zonestate/machine.go
@@ -1,83 +1,106 @@
 package zonestate
 
 import (
-	"fmt"
+	"errors"
 	"time"
 
 	"damsontrestle/internal/splitmix"
 )
 
-// Dropped counts what was not taken, by why.
+// Dropped counts what was not used, by reason.
 type Dropped struct {
-	Unbounded int `json:"unbounded"` // rows whose hop could have taken any time
-	Late      int `json:"late"`      // rows that were or grew too old
-	Foreign   int `json:"foreign"`   // rows of an author that is not known in their zone, or parts of no child
+	Unbounded int `json:"unbounded"` // rows whose delay on the hop has no bound
+	Late      int `json:"late"`      // rows that came or grew too old
+	Foreign   int `json:"foreign"`   // rows whose author is not known in their zone, and parts of nodes that are no children
 	Odd       int `json:"odd"`       // rows of more nodes than there can be
-	Cut       int `json:"cut"`       // entries that a row had no room for
-	Paced     int `json:"paced"`     // questions beyond what is answered in a period
+	Cut       int `json:"cut"`       // entries for which a row had no space
+	Paced     int `json:"paced"`     // queries beyond maxReplies in a period
 }
 
-// Machine is one node's exchange. Its methods belong to one goroutine.
+// Machine is the state of one node's exchange. Its methods belong to one goroutine.
 type Machine struct {
-	options      Options
-	self         Peer
-	incarnation  uint32
-	seed         uint64
-	draws        uint64
-	now          time.Duration
-	view         *View
-	zones        map[Place]*zoneFreshness // of each place of the view
-	links        map[uint64]*link
-	planes       [planes]plane
-	store        store
-	ownPart      Pages
-	ownPartAt    time.Duration // when own was made; 0: never
-	lossUntil    time.Duration // until when messages are taken to get lost
-	queriedAt    time.Duration // when the last question went out
-	repliesSent  int           // questions that were answered since
-	repliesSince time.Duration // then
-	packets      []Packet
+	options     Options
+	self        Peer
+	incarnation uint32
+	now         time.Duration
 
+	seed  uint64 // of the random draws
+	draws uint64 // made so far
+
+	view   *View
+	zones  map[Place]*zoneFreshness // of each zone of the view
+	links  map[uint64]*link         // by the IDs of nodes
+	planes [planes]plane
+	store  store
+
+	ownPart   Pages
+	ownPartAt time.Duration // when ownPart was set; 0: never
+	lossUntil time.Duration // until when messages are assumed to get lost
+
+	queriedAt    time.Duration // when the last query went out
+	repliesSent  int           // queries that were answered since repliesSince
+	repliesSince time.Duration
+
+	packets []Packet // to be sent after the call at hand
+
+	// Dropped counts what this node did not use.
 	Dropped Dropped
 }
 
-// New returns a Machine that knows nobody. Nothing goes out before Tick.
+// New returns a Machine that knows no other node. Nothing goes out before Tick. The seed decides all random draws, so that a
+// run can be repeated. Options out of range and a node without an ID are errors.
 func New(now time.Duration, self Peer, o Options, seed uint64) (*Machine, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
 	if self.ID == 0 {
-		return nil, fmt.Errorf("zonestate: a node without an ID")
+		return nil, errors.New("zonestate: a node without an ID")
+	}
+	m := &Machine{
+		options:      o,
+		self:         self,
+		now:          now,
+		seed:         seed,
+		zones:        map[Place]*zoneFreshness{},
+		links:        map[uint64]*link{},
+		store:        store{maxAge: o.maxRowAge(), rows: map[pageKey][]storedRow{}},
+		queriedAt:    now,
+		repliesSince: now,
 	}
-	m := &Machine{options: o, self: self, seed: seed, now: now, queriedAt: now, repliesSince: now, zones: map[Place]*zoneFreshness{}, links: map[uint64]*link{},
-		store: store{keep: o.maxRowAge(), rows: map[pageKey][]storedRow{}}}
 	for i := range m.planes {
-		m.planes[i] = plane{parts: map[uint64][pages]*part{}, due: now + o.period()*time.Duration(i+1)/planes}
+		// The planes are due in turns.
+		due := now + o.period()*time.Duration(i+1)/planes
+		m.planes[i] = plane{parts: map[uint64][pages]*part{}, due: due}
 	}
 	m.See(now, NewView([]Peer{self}))
 	return m, nil
 }
 
+// draw returns a pseudo-random number below n.
 func (m *Machine) draw(n int) int {
 	m.draws++
 	return splitmix.Draw(m.seed, m.draws, n)
 }
 
-// SetIncarnation takes the incarnation that the membership has for this node. Rows go by it.
+// SetIncarnation sets the incarnation of this node, which membership decides. It never goes back.
 func (m *Machine) SetIncarnation(incarnation uint32) { m.incarnation = max(m.incarnation, incarnation) }
 
-// Set takes what the node itself sees as of now.
+// Set sets this node's own part, as measured now.
 func (m *Machine) Set(now time.Duration, p Pages) {
 	m.now = max(m.now, now)
-	m.ownPart, m.ownPartAt = p, m.now
+	m.ownPart = p
+	m.ownPartAt = m.now
 }
 
-// Next is when Tick is due.
+// Next returns the time at which Tick is due.
 func (m *Machine) Next() time.Duration {
-	return min(m.planes[0].due, m.planes[1].due, m.queriedAt+m.options.period()/2)
+	return min(m.planes[0].due, m.planes[1].due, m.nextQuery())
 }
 
-// Tick does what is due at a time of this node's clock.
+// nextQuery returns when queries are due, which are sent only if something is missing.
+func (m *Machine) nextQuery() time.Duration { return m.queriedAt + m.options.period()/2 }
+
+// Tick does what is due at a time of this node's clock and returns the messages to send.
 func (m *Machine) Tick(now time.Duration) []Packet {
 	m.begin(now)
 	m.Dropped.Late += m.store.advance(m.now)
@@ -86,7 +109,7 @@
 			m.sendPlane(uint8(i))
 		}
 	}
-	if m.now >= m.queriedAt+m.options.period()/2 {
+	if m.now >= m.nextQuery() {
 		m.queriedAt = m.now
 		m.updateFreshness()
 		m.sendQuery()
@@ -94,12 +117,14 @@
 	return m.packets
 }
 
+// begin advances the time, which never goes back, and clears what belonged to the call before.
 func (m *Machine) begin(now time.Duration) {
 	m.now = max(m.now, now)
 	m.packets = nil
 }
 
-// Receive takes a message.
+// Receive handles a message at a time of this node's clock and returns the messages to send. What comes from a node that is not
+// in the view is dropped.
 func (m *Machine) Receive(now time.Duration, msg Message) []Packet {
 	m.begin(now)
 	from, known := m.view.peers[msg.From]
@@ -112,7 +137,9 @@
 		l = &link{}
 		m.links[msg.From] = l
 	}
-	l.peerToken, l.tokenAt, l.heard = msg.Token, m.now, m.now
+	l.peerToken = msg.Token
+	l.tokenAt = m.now
+	l.heard = m.now
 	delay, bounded := m.hopDelay(msg)
 	if !bounded {
 		m.Dropped.Unbounded += len(msg.Rows)
--- a/internal/zonestate/message.go
+++ b/internal/zonestate/message.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// MessageKind says what a message is for.
+// MessageKind is the purpose of a message. Its value is its code on the wire.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	Up    MessageKind = iota + 1 // parts for the receiver, its sender's parent in a plane
-	Down                         // rows that are news to the sender
-	Tell                         // rows that were asked for
-	Query                        // asks for rows of zones that are younger than what the sender holds
+	Up    MessageKind = iota + 1 // parts for the receiver, which is the sender's parent in a plane
+	Down                         // rows that are new to the sender
+	Tell                         // rows that answer a Query
+	Query                        // asks for rows that are younger than what the sender holds
 )
 
 // Message is what one node sends another.
 type Message struct {
 	Kind  MessageKind
 	From  uint64
-	Token uint32 // the sender's clock when it was sent, in milliseconds from a drawn origin
-	Echo  uint32 // the last token that came from the receiver; 0: none
-	Held  uint16 // milliseconds since then
+	Token uint32 // the sender's clock at sending, in milliseconds from a random origin
+	Echo  uint32 // the last token that the sender received from the receiver; 0: none
+	Held  uint16 // milliseconds for which the sender has held Echo
 	Rows  []Row
 	Wants []Want
 }
 
-// Want is a zone of which somebody wants to know more, and how old the best is that it holds.
+// Want is a zone that a Query asks about, and the age of the best row that the sender holds of it.
 type Want struct {
 	Place Place
 	Age   time.Duration
 }
 
-// Packet is a message on its way out.
+// Packet is a message with the address that it goes to.
 type Packet struct {
 	To netip.AddrPort
 	Message
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -6,58 +6,69 @@
 	"time"
 )
 
-// Word says whether what is known of a zone is young enough.
+// Word says whether the best row of a zone is recent enough.
 type Word uint8
 
 // Words.
 const (
-	Unknown Word = iota // nothing is known, or nothing that is young enough to be kept
-	Stale               // what is known is older than Fresh
-	Fresh               // a row of nodes of the zone is known that is not older
+	Unknown Word = iota // no row is stored
+	Stale               // the best row is older than Options.Fresh
+	Fresh               // the best row is not older
 )
 
 var freshnessNames = [...]string{"unknown", "stale", "fresh"}
 
+// String returns the word in lower case.
 func (w Word) String() string { return freshnessNames[min(int(w), len(freshnessNames)-1)] }
 
-// zoneFreshness is the word for a zone.
+// zoneFreshness is the freshness of a zone, and since when it is so.
 type zoneFreshness struct {
 	freshness Word
 	since     time.Duration
 }
 
-// updateFreshness has each zone's word be that of now.
+// updateFreshness brings the freshness of all zones up to date.
 func (m *Machine) updateFreshness() {
 	for at, z := range m.zones {
-		word := Unknown
-		if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found {
-			if word = Stale; m.now-b.madeAt <= m.options.Fresh {
-				word = Fresh
-			}
+		now := m.freshness(at)
+		if now == z.freshness {
+			continue
 		}
-		if word != z.freshness {
-			if !(word == Unknown && z.freshness == Stale) {
-				z.since = m.now // unknown since it was stale
-			}
-			z.freshness = word
+		if z.freshness != Stale || now != Unknown { // a zone that is unknown now has been without fresh rows since it was stale
+			z.since = m.now
 		}
+		z.freshness = now
+	}
+}
+
+// freshness returns the freshness of a zone's first page at the current time.
+func (m *Machine) freshness(at Place) Word {
+	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
+	switch {
+	case !found:
+		return Unknown
+	case m.now-best.madeAt <= m.options.Fresh:
+		return Fresh
+	default:
+		return Stale
 	}
 }
 
-// Zone is what is known of one.
+// Zone is the state of one zone's rows at a node.
 type Zone struct {
 	Place Place
 	Word  Word
-	Since time.Duration // time of this node's clock from which on Word holds; of Unknown after Stale, from which on it was Stale
-	Age   time.Duration // of the oldest part in what is known, at most; 0 where nothing is
-	From  int           // nodes whose parts are in it
-	Of    int           // nodes that live there, as the membership has it
+	Since time.Duration // time of this node's clock since which Word holds; of Unknown after Stale, since which it was Stale
+	Age   time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
+	From  int           // number of nodes whose parts are in the best row
+	Of    int           // number of nodes of the zone that the membership holds for active
 }
 
-// Zones tells of all zones, by their places.
-func (m *Machine) Zones(now time.Duration) (out []Zone) {
+// Zones returns all zones of the view, in the order of their places.
+func (m *Machine) Zones(now time.Duration) []Zone {
 	m.now = max(m.now, now)
 	m.updateFreshness()
+	var out []Zone
 	for at := range m.zones {
 		out = append(out, m.zone(at))
 	}
@@ -65,19 +76,22 @@
 	return out
 }
 
+// zone returns the state of a zone, which is Unknown if it is not in the view.
 func (m *Machine) zone(at Place) Zone {
 	z := m.zones[at]
 	if z == nil {
 		return Zone{Place: at}
 	}
 	out := Zone{Place: at, Word: z.freshness, Since: z.since, Of: len(m.view.trees[at][0])}
-	if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found && z.freshness != Unknown {
-		out.Age, out.From = m.now-b.madeAt, b.From
+	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
+	if found && z.freshness != Unknown {
+		out.Age = m.now - best.madeAt
+		out.From = best.From
 	}
 	return out
 }
 
-// Alone says that this node knows of nobody who lives, or of nobody but itself anything fresh: what it knows is its own.
+// Alone says that this node has no fresh row with other nodes' parts, or that no other node is active.
 func (m *Machine) Alone(now time.Duration) bool {
 	m.now = max(m.now, now)
 	for at, trees := range m.view.trees {
@@ -88,33 +102,38 @@
 		if others == 0 {
 			continue
 		}
-		if b, found := m.store.best(m.now, at, 0, m.options.Fresh); found && m.now-b.madeAt <= m.options.Fresh && (at != m.self.Place || b.From > 1) {
+		best, found := m.store.best(m.now, at, 0, m.options.Fresh)
+		if !found || m.now-best.madeAt > m.options.Fresh {
+			continue
+		}
+		if at != m.self.Place || best.From > 1 {
 			return false
 		}
 	}
 	return true
 }
 
-// Value is what is known of a subject in a zone.
+// Value is the value of a kind and subject in a zone.
 type Value struct {
-	Zone           // of the row that it is from
-	Amount float64 // nought where nothing was said of the subject
+	Zone           // with the age of the row that the value is from
+	Amount float64 // 0 if the row has no entry of the kind and subject
 }
 
-// Read tells what nodes of a zone say of a subject. A reader that takes no notice of Word takes a guess.
+// Read returns the value of a kind and subject in a zone. A caller that ignores Word uses values of any age.
 func (m *Machine) Read(now time.Duration, of Place, k Kind, s Subject) Value {
 	m.now = max(m.now, now)
 	m.updateFreshness()
 	v := Value{Zone: m.zone(of)}
-	b, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
+	best, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
 	if !found {
 		return Value{Zone: Zone{Place: of, Of: v.Of}}
 	}
-	v.Age, v.From = max(v.Age, m.now-b.madeAt), b.From
+	v.Age = max(v.Age, m.now-best.madeAt)
+	v.From = best.From
 	if v.Age > m.options.Fresh {
 		v.Word = min(v.Word, Stale)
 	}
-	for _, e := range b.Entries {
+	for _, e := range best.Entries {
 		if e.Kind == k && e.Subject == s {
 			v.Amount = e.Value
 		}
@@ -122,14 +141,14 @@
 	return v
 }
 
-// Row is what is known of a zone's page; false: nothing.
+// Row returns the best row of the page of a kind in a zone; false: there is none.
 func (m *Machine) Row(now time.Duration, of Place, k Kind) (Row, bool) {
 	m.now = max(m.now, now)
-	b, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
-	return b.row(m.now), found
+	best, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
+	return best.row(m.now), found
 }
 
-// Size is how many rows and children's parts are held.
+// Size returns how many rows and children's parts are stored.
 func (m *Machine) Size() int {
 	n := m.store.size()
 	for _, p := range m.planes {
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Clone is a machine of its own with the same state. It is for whoever plays orders of what can happen.
+// Clone returns a machine with the same state that shares nothing that changes. Model checks play it on in several ways.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.packets = nil
-	c.zones, c.links = map[Place]*zoneFreshness{}, map[uint64]*link{}
-	for k, w := range m.zones {
-		copied := *w
+	c.zones = map[Place]*zoneFreshness{}
+	c.links = map[uint64]*link{}
+	for k, z := range m.zones {
+		copied := *z
 		c.zones[k] = &copied
 	}
 	for k, l := range m.links {
@@ -32,15 +33,15 @@
 	return &c
 }
 
-// Fingerprint tells states apart: two machines of one fingerprint and one view do the same from here on, at times that are
-// moved alike.
+// Fingerprint identifies the state: two machines of one fingerprint and one view do the same from here on, at times that are
+// shifted alike.
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
-	ago := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, ago(m.ownPartAt), ago(m.queriedAt), m.repliesSent, max(-m.options.period(), ago(m.repliesSince)), max(0, ago(m.lossUntil)))
+	relative := func(t time.Duration) time.Duration { return t - m.now }
+	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, relative(m.ownPartAt), relative(m.queriedAt), m.repliesSent, max(-m.options.period(), relative(m.repliesSince)), max(0, relative(m.lossUntil)))
 	for _, id := range slices.Sorted(maps.Keys(m.links)) {
 		l := m.links[id]
-		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, ago(l.tokenAt), max(-2*m.options.period()-1, ago(l.heard)))
+		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, relative(l.tokenAt), max(-2*m.options.period()-1, relative(l.heard)))
 	}
 	for _, at := range slices.Sorted(maps.Keys(m.zones)) {
 		fmt.Fprintf(&b, "w%x,%d|", at, m.zones[at].freshness)
@@ -50,15 +51,15 @@
 	})
 	for _, k := range keys {
 		for _, h := range m.store.rows[k] {
-			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, ago(h.madeAt), h.From, h.Entries)
+			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, relative(h.madeAt), h.From, h.Entries)
 		}
 	}
 	for i, p := range m.planes {
-		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, ago(p.due), p.resend, p.root, p.rootSeq)
+		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, relative(p.due), p.resend, p.root, p.rootSeq)
 		for _, id := range slices.Sorted(maps.Keys(p.parts)) {
 			for _, x := range p.parts[id] {
 				if x != nil {
-					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, x.Page, x.From, ago(x.madeAt), x.Entries)
+					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, x.Page, x.From, relative(x.madeAt), x.Entries)
 				}
 			}
 		}
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -6,56 +6,44 @@
 	"time"
 )
 
-// pageKey is what rows of different authors are alternatives of.
+// pageKey identifies a page of a zone in a plane. Rows of different authors for one key are alternatives.
 type pageKey struct {
 	place       Place
 	plane, page uint8
 }
 
-// storedRow is a row in a store: made is by when on its node's clock its oldest part was made at the latest.
+// storedRow is a row with the time of this node's clock before which its oldest part was not made.
 type storedRow struct {
 	Row
 	madeAt time.Duration
 }
 
-// maxAuthors bounds the rows of one key: nodes may differ for a while on who is a root.
+// maxAuthors bounds the rows of one key. There are several while nodes disagree on which of them is the root.
 const maxAuthors = 3
 
-// store holds rows. Its memory goes with the number of zones.
+// store holds rows. Its memory grows with the number of zones.
 type store struct {
-	keep time.Duration
-	rows map[pageKey][]storedRow // by the authors' IDs
+	maxAge time.Duration
+	rows   map[pageKey][]storedRow // in the order of the authors' IDs
 }
 
-// compareVersions orders a row's versions. Sequences wrap: of two that differ by less than half of their range, and no row lives long
+// compareVersions orders the rows of one author by incarnation and sequence. Sequences wrap: of two that differ by less than half of their range, and no row lives long
 // enough for more, the one that is ahead is later (RFC 1982).
 func compareVersions(a, b Row) int {
 	return cmp.Or(cmp.Compare(a.Author.Incarnation, b.Author.Incarnation), cmp.Compare(int32(a.Seq-b.Seq), 0))
 }
 
-// put merges a row. news: it takes the place of an earlier one, or of none.
-func (s *store) put(r Row, made time.Duration) (news bool) {
+// put merges a row, and reports whether it supersedes an earlier one of its author or is the first.
+func (s *store) put(r Row, madeAt time.Duration) bool {
 	k := pageKey{r.Place, r.Plane, r.Page}
 	list := s.rows[k]
 	i, known := slices.BinarySearchFunc(list, r.Author.ID, func(h storedRow, id uint64) int { return cmp.Compare(h.Author.ID, id) })
 	if known {
-		switch c := compareVersions(r, list[i].Row); {
-		case c > 0:
-			list[i] = storedRow{r, made}
-			return true
-		case c == 0:
-			list[i].madeAt = max(list[i].madeAt, made) // the same by a shorter way
-		}
-		return false
+		return list[i].merge(r, madeAt)
 	}
 	if len(list) >= maxAuthors {
-		oldest := 0
-		for k := range list {
-			if list[k].madeAt < list[oldest].madeAt {
-				oldest = k
-			}
-		}
-		if list[oldest].madeAt >= made {
+		oldest := oldestRow(list)
+		if list[oldest].madeAt >= madeAt {
 			return false
 		}
 		list = slices.Delete(list, oldest, oldest+1)
@@ -63,48 +51,77 @@
 			i--
 		}
 	}
-	s.rows[k] = slices.Insert(list, i, storedRow{r, made})
+	s.rows[k] = slices.Insert(list, i, storedRow{r, madeAt})
+	return true
+}
+
+// merge replaces the row by a later one of its author, and reports whether it did.
+func (h *storedRow) merge(r Row, madeAt time.Duration) bool {
+	order := compareVersions(r, h.Row)
+	if order == 0 {
+		h.madeAt = max(h.madeAt, madeAt) // the same row on a faster path: its age has a tighter bound
+	}
+	if order <= 0 {
+		return false
+	}
+	h.Row = r
+	h.madeAt = madeAt
 	return true
 }
 
-// advance drops what has grown too old, and counts it.
-func (s *store) advance(now time.Duration) (late int) {
+// oldestRow returns the index of the oldest row.
+func oldestRow(list []storedRow) int {
+	oldest := 0
+	for i := range list {
+		if list[i].madeAt < list[oldest].madeAt {
+			oldest = i
+		}
+	}
+	return oldest
+}
+
+// advance drops rows that have grown too old, and returns how many.
+func (s *store) advance(now time.Duration) (dropped int) {
 	for k, list := range s.rows {
-		kept := slices.DeleteFunc(list, func(h storedRow) bool { return now-h.madeAt > s.keep })
-		late += len(list) - len(kept)
-		if s.rows[k] = kept; len(kept) == 0 {
+		recent := slices.DeleteFunc(list, func(h storedRow) bool { return now-h.madeAt > s.maxAge })
+		dropped += len(list) - len(recent)
+		s.rows[k] = recent
+		if len(recent) == 0 {
 			delete(s.rows, k)
 		}
 	}
-	return late
+	return dropped
 }
 
-// best is the row of a page that is of most nodes' parts, and of these the youngest; of rows that are older than fresh, the
-// youngest.
-func (s *store) best(now time.Duration, of Place, page uint8, fresh time.Duration) (b storedRow, found bool) {
+// best returns the row of a page to be read: of fresh rows the one of most nodes' parts, and of these the youngest; if there
+// is no fresh row, the youngest.
+func (s *store) best(now time.Duration, of Place, page uint8, fresh time.Duration) (best storedRow, found bool) {
 	for plane := range uint8(planes) {
 		for _, h := range s.rows[pageKey{of, plane, page}] {
-			better := !found
-			if found {
-				young, was := now-h.madeAt <= fresh, now-b.madeAt <= fresh
-				switch {
-				case young != was:
-					better = young
-				case young && h.From != b.From:
-					better = h.From > b.From
-				default:
-					better = h.madeAt > b.madeAt
-				}
-			}
-			if better {
-				b, found = h, true
+			if !found || h.betterThan(best, now, fresh) {
+				best = h
+				found = true
 			}
 		}
 	}
-	return b, found
+	return best, found
+}
+
+// betterThan says that a row is to be read in place of another.
+func (h storedRow) betterThan(other storedRow, now, fresh time.Duration) bool {
+	isFresh := now-h.madeAt <= fresh
+	otherFresh := now-other.madeAt <= fresh
+	switch {
+	case isFresh != otherFresh:
+		return isFresh
+	case isFresh && h.From != other.From:
+		return h.From > other.From
+	default:
+		return h.madeAt > other.madeAt
+	}
 }
 
-// size is how many rows are held.
+// size returns how many rows are stored.
 func (s *store) size() (n int) {
 	for _, list := range s.rows {
 		n += len(list)
@@ -112,7 +129,7 @@
 	return n
 }
 
-// row is a row with its age as of now.
+// row returns the row with its age as of now.
 func (h storedRow) row(now time.Duration) Row {
 	r := h.Row
 	r.Age = now - h.madeAt
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// planes is in how many trees each zone's nodes stand.
+// planes is the number of aggregation trees of each zone.
 const planes = 2
 
 // Peer is another node, as the membership has it.
@@ -16,14 +16,14 @@
 	ID      uint64
 	Addr    netip.AddrPort
 	Place   Place
-	Suspect bool // it is held for suspect
-	Gone    bool // dead or left: it stands in no tree, and its zone is still one
+	Suspect bool // the membership suspects it
+	Gone    bool // dead or left: it is in no tree, and its zone is known still
 }
 
-// rank is a node's place in its zone's tree of a plane: by a hash of its ID.
+// rank orders the nodes of a zone in a plane: by a hash of their IDs.
 func rank(id uint64, plane uint8) uint64 { return splitmix.Mix(id ^ uint64(plane+1)*splitmix.Golden) }
 
-// tree is one zone's nodes in the order of a plane: the children of the i-th are those from i*fan+1 on, as in a heap.
+// tree holds one zone's nodes in the order of a plane. As in a heap, the fan children of the i-th begin at i*fan+1.
 type tree []Peer
 
 func newTree(nodes []Peer, plane uint8) tree {
@@ -34,62 +34,68 @@
 	return t
 }
 
+// index returns the position of a node; -1: it is not in the tree.
 func (t tree) index(id uint64) int {
 	return slices.IndexFunc(t, func(p Peer) bool { return p.ID == id })
 }
 
-// level is how far the i-th is from the root.
-func level(i, fan int) (n int) {
+// level returns the distance of the i-th from the root.
+func level(i, fan int) int {
+	n := 0
 	for ; i > 0; i = (i - 1) / fan {
 		n++
 	}
 	return n
 }
 
-// maxChildren bounds whom a node sends to in a tree, those of children that it passes over among them.
+// maxChildren bounds the children of a node, with those that it takes over from bypassed children.
 const maxChildren = 32
 
-// root is the first that is not passed over.
-func (t tree) root(skip func(Peer) bool) int {
+// root returns the first node that is not bypassed; if all are, the first.
+func (t tree) root(bypassed func(Peer) bool) int {
 	for i, p := range t {
-		if !skip(p) {
+		if !bypassed(p) {
 			return i
 		}
 	}
 	return 0
 }
 
-// parent is whom the i-th sends its parts to; the root has none.
-func (t tree) parent(i, fan int, skip func(Peer) bool) (int, bool) {
-	root := t.root(skip)
+// parent returns the node to which the i-th sends its parts; false: it is the root.
+func (t tree) parent(i, fan int, bypassed func(Peer) bool) (int, bool) {
+	root := t.root(bypassed)
 	if i == root {
 		return 0, false
 	}
 	for i > 0 {
-		if i = (i - 1) / fan; !skip(t[i]) {
+		i = (i - 1) / fan
+		if !bypassed(t[i]) {
 			return i, true
 		}
 	}
 	return root, true
 }
 
-// children are those whose parts the i-th adds up: its own, and those of such as are passed over, but for itself.
-func (t tree) children(i, fan int, skip func(Peer) bool) (out []Peer) {
-	var below func(int)
-	below = func(at int) {
-		for c := at*fan + 1; c <= at*fan+fan && c < len(t) && len(out) < maxChildren; c++ {
+// children returns the nodes whose parts the i-th adds up: its own children, and in place of bypassed ones theirs.
+func (t tree) children(i, fan int, bypassed func(Peer) bool) []Peer {
+	var out []Peer
+	var addBelow func(int)
+	addBelow = func(at int) {
+		first := at*fan + 1
+		for c := first; c < first+fan && c < len(t) && len(out) < maxChildren; c++ {
 			switch {
 			case c == i:
-			case skip(t[c]):
-				below(c)
+			case bypassed(t[c]):
+				addBelow(c)
 			default:
 				out = append(out, t[c])
 			}
 		}
 	}
-	below(i)
-	if root := t.root(skip); root == i && i > 0 {
-		below(0)
+	addBelow(i)
+	// A node that stands in for the root adopts the nodes that lie below the bypassed ones before it.
+	if i > 0 && t.root(bypassed) == i {
+		addBelow(0)
 	}
 	return out
 }
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -6,37 +6,40 @@
 	"time"
 )
 
-// View is who there is, as the membership of a node has it. It never changes, and may be shared.
+// silentPeriods is after how many periods without a message a suspected node is bypassed.
+const silentPeriods = 2
+
+// View is the set of nodes as the membership of one has it, with the trees of all zones. It does not change and may be shared.
 type View struct {
 	peers  map[uint64]Peer
-	living []Peer // by their IDs
+	active []Peer // neither dead nor left, in the order of their IDs
 	trees  map[Place]*[planes]tree
 }
 
-// NewView makes one of all that the membership knows, the node itself among them.
+// NewView returns the view of all nodes that the membership knows, the node itself among them.
 func NewView(all []Peer) *View {
 	v := &View{peers: make(map[uint64]Peer, len(all)), trees: map[Place]*[planes]tree{}}
-	by := map[Place][]Peer{}
+	byZone := map[Place][]Peer{}
 	for _, p := range all {
 		v.peers[p.ID] = p
-		list := by[p.Place]
+		nodes := byZone[p.Place]
 		if !p.Gone {
-			list = append(list, p)
-			v.living = append(v.living, p)
+			nodes = append(nodes, p)
+			v.active = append(v.active, p)
 		}
-		by[p.Place] = list // a zone of which nobody lives is one still
+		byZone[p.Place] = nodes // a zone without active nodes stays one
 	}
-	slices.SortFunc(v.living, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
-	for at, list := range by {
+	slices.SortFunc(v.active, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	for at, nodes := range byZone {
 		v.trees[at] = new([planes]tree)
 		for plane := range uint8(planes) {
-			v.trees[at][plane] = newTree(list, plane)
+			v.trees[at][plane] = newTree(nodes, plane)
 		}
 	}
 	return v
 }
 
-// See takes a view in which the node itself lives.
+// See sets the view, in which the node itself has to be active. State of zones and nodes that are not in it is dropped.
 func (m *Machine) See(now time.Duration, v *View) {
 	m.now = max(m.now, now)
 	m.view = v
@@ -57,18 +60,18 @@
 	}
 }
 
-// position is this node's tree of a plane, and its place in it.
+// position returns this node's tree of a plane and its index in it.
 func (m *Machine) position(plane uint8) (tree, int) {
 	t := m.view.trees[m.self.Place][plane]
 	return t, t.index(m.self.ID)
 }
 
-// bypassed says that a node is passed over in trees: the membership suspects it, and this node has heard nothing of it either.
-// A suspicion alone is too often false where messages are lost, and silence alone may be the link's.
+// bypassed says that a node is left out of the trees: the membership suspects it, and this node has not heard from it either.
+// A suspicion alone is too often false where messages are lost, and silence alone may be the fault of the link.
 func (m *Machine) bypassed(p Peer) bool {
 	if !p.Suspect || p.ID == m.self.ID {
 		return false
 	}
 	l := m.links[p.ID]
-	return l == nil || m.now-l.heard > 2*m.options.period()
+	return l == nil || m.now-l.heard > silentPeriods*m.options.period()
 }
