--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -16,10 +16,13 @@
 
 const ms = time.Millisecond
 
+// peer is the i-th node, in a zone.
 func peer(i, zone int) Peer {
-	return Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 1), Place: PlaceOf("r", fmt.Sprint(zone))}
+	addr := netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)})
+	return Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(addr, 1), Place: PlaceOf("r", fmt.Sprint(zone))}
 }
 
+// machine is the i-th node's, of zone 0, with a view of all.
 func machine(t testing.TB, i int, all ...Peer) *Machine {
 	t.Helper()
 	m, err := New(0, peer(i, 0), Defaults(2*time.Second), uint64(i))
@@ -30,43 +33,54 @@
 	return m
 }
 
-// drawn is a row of a few authors, zones and sequences, so that draws meet.
-func drawn(t *rapid.T) Row {
-	r := Row{Place: Place(rapid.IntRange(1, 2).Draw(t, "place")), Plane: uint8(rapid.IntRange(0, 1).Draw(t, "plane")), Page: uint8(rapid.IntRange(0, 1).Draw(t, "page")),
-		Author: Author{uint64(rapid.IntRange(1, maxAuthors).Draw(t, "author")), uint32(rapid.IntRange(0, 2).Draw(t, "life"))},
-		Seq:    uint32(rapid.IntRange(math.MaxUint32-2, math.MaxUint32+2).Draw(t, "seq"))} // sequences that wrap
-	r.From = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // what it says follows from who made it when
+// drawRow draws a row from so few authors, zones and sequences that rows often have the same key.
+func drawRow(t *rapid.T) Row {
+	r := Row{
+		Place: Place(rapid.IntRange(1, 2).Draw(t, "place")),
+		Plane: uint8(rapid.IntRange(0, 1).Draw(t, "plane")),
+		Page:  uint8(rapid.IntRange(0, 1).Draw(t, "page")),
+		Author: Author{
+			ID:          uint64(rapid.IntRange(1, maxAuthors).Draw(t, "author")),
+			Incarnation: uint32(rapid.IntRange(0, 2).Draw(t, "incarnation")),
+		},
+		Seq: uint32(rapid.IntRange(math.MaxUint32-2, math.MaxUint32+2).Draw(t, "seq")), // sequences that wrap
+	}
+	r.From = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // the content is a function of author and sequence
 	r.Age = time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * ms
 	return r
 }
 
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		rows := rapid.SliceOfN(rapid.Custom(drawn), 1, 12).Draw(r, "rows")
+		rows := rapid.SliceOfN(rapid.Custom(drawRow), 1, 12).Draw(r, "rows")
 		order := rapid.Permutation(rows).Draw(r, "order")
 		again := rapid.SliceOfN(rapid.SampledFrom(rows), 0, 5).Draw(r, "again")
-		a, b := store{rows: map[pageKey][]storedRow{}}, store{rows: map[pageKey][]storedRow{}}
-		for _, x := range rows {
-			x, made := x, time.Second-x.Age
-			x.Age = 0
-			a.put(x, made)
-		}
-		for _, x := range append(order, again...) {
-			x, made := x, time.Second-x.Age
-			x.Age = 0
-			b.put(x, made)
+		merge := func(rows []Row) store {
+			s := store{rows: map[pageKey][]storedRow{}}
+			for _, x := range rows {
+				madeAt := time.Second - x.Age
+				x.Age = 0
+				s.put(x, madeAt)
+			}
+			return s
 		}
+		a := merge(rows)
+		b := merge(append(order, again...))
 		if !reflect.DeepEqual(a.rows, b.rows) {
-			r.Fatalf("%v\nand in another order, some twice,\n%v", a.rows, b.rows)
+			r.Fatalf("%v\nand in another order, with duplicates,\n%v", a.rows, b.rows)
 		}
 	})
 }
 
-// Parts are put together in any grouping, and rows that have no room for all lose rates before what is known of servers.
+// Parts add up to the same in any grouping, and a row without space for all drops rates before the state of servers.
 func TestCombineIsAssociative(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Entry {
-			return Entry{rapid.SampledFrom([]Kind{Demand, Open, Ready, Oldest}).Draw(t, "kind"), Subject(rapid.IntRange(1, 4).Draw(t, "subject")), float64(rapid.IntRange(0, 9).Draw(t, "value"))}
+			return Entry{
+				Kind:    rapid.SampledFrom([]Kind{Demand, Open, Ready, Oldest}).Draw(t, "kind"),
+				Subject: Subject(rapid.IntRange(1, 4).Draw(t, "subject")),
+				Value:   float64(rapid.IntRange(0, 9).Draw(t, "value")),
+			}
 		})
 		lists := rapid.SliceOfN(rapid.SliceOfN(entry, 0, 6), 1, 5).Draw(r, "lists")
 		at := rapid.IntRange(0, len(lists)).Draw(r, "at")
@@ -88,29 +102,29 @@
 	}
 }
 
-// A hop counts as the time since the receiver's own token, less that for which the sender says it had it; with none, and
-// with one that cannot be, nothing is taken.
+// The delay of a hop is the time since the receiver's own token, less the time for which the sender held it. Without a token
+// and with one that cannot be right nothing is used.
 func TestHopDelayIsBoundedByOwnToken(t *testing.T) {
 	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
 	m.now = 10 * time.Second
 	token := m.token(9 * time.Second)
 	for _, c := range []struct {
-		name string
-		echo uint32
-		held uint16
-		most time.Duration
-		ok   bool
+		name  string
+		echo  uint32
+		held  uint16
+		delay time.Duration
+		ok    bool
 	}{
-		{"a second, of which it held it for 900 ms", token, 900, 104 * ms, true},
-		{"not held at all", token, 0, 1004 * ms, true},
-		{"held for longer than it was away", token, 1100, 0, false},
-		{"none", 0, 0, 0, false},
-		{"of another life", token - 1<<20, 0, 0, false},
+		{"held for 900 ms of a second", token, 900, 104 * ms, true},
+		{"not held", token, 0, 1004 * ms, true},
+		{"held for longer than the round trip", token, 1100, 0, false},
+		{"no token", 0, 0, 0, false},
+		{"of another incarnation", token - 1<<20, 0, 0, false},
 		{"of the future", token + 5000, 0, 0, false},
 	} {
 		d, ok := m.hopDelay(Message{Echo: c.echo, Held: c.held})
-		if ok != c.ok || d > c.most || ok && d < c.most-10*ms {
-			t.Errorf("%s: %v, %v; want about %v, %v", c.name, d, ok, c.most, c.ok)
+		if ok != c.ok || d > c.delay || ok && d < c.delay-10*ms {
+			t.Errorf("%s: %v, %v; want about %v, %v", c.name, d, ok, c.delay, c.ok)
 		}
 	}
 	row := Row{Place: peer(2, 1).Place, Author: Author{ID: 3}, Seq: 1, From: 1, Age: 300 * ms}
@@ -123,7 +137,7 @@
 	if v.Word != Fresh || v.Age < 400*ms || v.Age > 410*ms || v.From != 1 || v.Of != 1 || v.Amount != 0 {
 		t.Errorf("%+v", v)
 	}
-	// The word goes with the age; what was never told of is unknown, and so is a page that never came.
+	// Freshness follows the age; a page that never came is unknown.
 	m.Tick(m.now + 1700*ms)
 	if v = m.Read(m.now, row.Place, Demand, 1); v.Word != Stale || v.Since > m.now || v.Age < 2*time.Second {
 		t.Errorf("%+v", v)
@@ -132,7 +146,7 @@
 		t.Errorf("%+v", v)
 	}
 	if !m.Alone(m.now) {
-		t.Error("with nothing fresh of anybody it is not alone")
+		t.Error("without a fresh row of another node it is not alone")
 	}
 	m.Tick(m.now + 10*time.Second)
 	if v = m.Read(m.now, row.Place, Demand, 1); v.Word != Unknown || m.Size() != 0 {
@@ -140,8 +154,8 @@
 	}
 }
 
-// What one mistaken peer can do is bounded: rows of an author that is not of their zone, of more nodes than there are, or in
-// this node's own name are dropped, and so are parts of who is no child.
+// A faulty peer does limited damage: rows of an author that is not in their zone, of more nodes than there are, or of this
+// node itself are dropped, and so are parts of a node that is no child.
 func TestRowsOfFaultyPeersAreDropped(t *testing.T) {
 	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
 	m.now = time.Second
@@ -150,7 +164,7 @@
 	for name, change := range map[string]func(*Row){
 		"foreign zone":   func(r *Row) { r.Place = peer(0, 0).Place },
 		"unknown author": func(r *Row) { r.Author.ID = 99 },
-		"own name":       func(r *Row) { r.Author.ID, r.Place = 1, peer(0, 0).Place },
+		"own ID":         func(r *Row) { r.Author.ID, r.Place = 1, peer(0, 0).Place },
 		"too many nodes": func(r *Row) { r.From = 50 },
 		"too old":        func(r *Row) { r.Age = time.Minute },
 	} {
@@ -166,64 +180,84 @@
 		t.Errorf("a part from another zone: %+v", m.Dropped)
 	}
 	if m.Receive(m.now, Message{Kind: Down, From: 77, Echo: echo, Rows: []Row{good}}); m.Size() != 0 {
-		t.Error("a stranger's row was taken")
+		t.Error("the row of an unknown sender was stored")
 	}
 }
 
-// Every node but the root has one parent that counts it for a child, whoever is passed over.
+// Each node but the root has one parent that has it for a child, whichever nodes are bypassed.
 func TestEachNodeHasOneParent(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		n, fan := rapid.IntRange(1, 40).Draw(r, "nodes"), rapid.IntRange(1, 9).Draw(r, "fan")
-		down := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "passed over")
+		n := rapid.IntRange(1, 40).Draw(r, "nodes")
+		fan := rapid.IntRange(1, 9).Draw(r, "fan")
+		down := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "bypassed")
 		var nodes []Peer
 		for i := range n {
 			nodes = append(nodes, peer(i, 0))
 		}
 		tr := newTree(nodes, uint8(rapid.IntRange(0, 1).Draw(r, "plane")))
-		skip := func(p Peer) bool { return down[p.ID-1] }
-		sons := map[uint64]int{}
+		bypassed := func(p Peer) bool { return down[p.ID-1] }
+		childOf := map[uint64]int{}
 		for i, p := range tr {
-			if skip(p) {
+			if bypassed(p) {
 				continue
 			}
-			kids := tr.children(i, fan, skip)
-			if len(kids) > maxChildren {
-				r.Fatalf("%d children", len(kids))
+			children := tr.children(i, fan, bypassed)
+			if len(children) > maxChildren {
+				r.Fatalf("%d children", len(children))
 			}
-			for _, c := range kids {
-				sons[c.ID]++
-				up, has := tr.parent(tr.index(c.ID), fan, skip)
-				if !has || tr[up].ID != p.ID || skip(c) {
-					r.Fatalf("%d counts %d for a child, whose parent is %d, %v", p.ID, c.ID, tr[up].ID, has)
+			for _, c := range children {
+				childOf[c.ID]++
+				up, has := tr.parent(tr.index(c.ID), fan, bypassed)
+				if !has || tr[up].ID != p.ID || bypassed(c) {
+					r.Fatalf("%d has the child %d, whose parent is %d, %v", p.ID, c.ID, tr[up].ID, has)
 				}
 			}
 		}
 		for i, p := range tr {
-			if _, has := tr.parent(i, fan, skip); !skip(p) && has && sons[p.ID] != 1 && n <= maxChildren {
-				r.Fatalf("%d is the child of %d", p.ID, sons[p.ID])
+			if _, has := tr.parent(i, fan, bypassed); !bypassed(p) && has && childOf[p.ID] != 1 && n <= maxChildren {
+				r.Fatalf("%d is the child of %d nodes", p.ID, childOf[p.ID])
 			}
 		}
 	})
 }
 
 func TestOptionsOutOfRangeAreRejected(t *testing.T) {
-	for _, change := range []func(*Options){func(o *Options) { o.Fresh = Least(o.Delay) - 1 }, func(o *Options) { o.Delay = 0 }, func(o *Options) { o.Fan = 0 }, func(o *Options) { o.Fan = 33 }} {
+	for _, change := range []func(*Options){
+		func(o *Options) { o.Fresh = Least(o.Delay) - 1 },
+		func(o *Options) { o.Delay = 0 },
+		func(o *Options) { o.Fan = 0 },
+		func(o *Options) { o.Fan = 33 },
+	} {
 		o := Defaults(2 * time.Second)
 		change(&o)
 		if _, err := New(0, peer(0, 0), o, 1); err == nil {
-			t.Errorf("%+v was taken", o)
+			t.Errorf("%+v was accepted", o)
 		}
 	}
 	if _, err := New(0, Peer{}, Defaults(2*time.Second), 1); err == nil {
-		t.Error("a node without an ID was taken")
+		t.Error("a node without an ID was accepted")
 	}
 }
 
-// seeds are messages of each kind.
+// seeds returns a message of each kind as a datagram.
 func seeds() (out [][]byte) {
-	row := Row{Place: 1 << 31, Plane: 1, Page: 1, Author: Author{1, 2}, Seq: 3, Age: 4 * ms, From: 5, Entries: []Entry{{Sent, 6, 7.5}, {Lag, 8, 1e-9}}}
-	for _, m := range []Message{{Kind: Up, From: 1, Rows: []Row{row}}, {Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, {Author: Author{ID: 9}, Age: maxAge + 1, From: 1 << 20}}},
-		{Kind: Tell, From: 3}, {Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}}} {
+	row := Row{
+		Place:   1 << 31,
+		Plane:   1,
+		Page:    1,
+		Author:  Author{1, 2},
+		Seq:     3,
+		Age:     4 * ms,
+		From:    5,
+		Entries: []Entry{{Sent, 6, 7.5}, {Lag, 8, 1e-9}},
+	}
+	outOfBounds := Row{Author: Author{ID: 9}, Age: maxAge + 1, From: 1 << 20}
+	for _, m := range []Message{
+		{Kind: Up, From: 1, Rows: []Row{row}},
+		{Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, outOfBounds}},
+		{Kind: Tell, From: 3},
+		{Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}},
+	} {
 		out = append(out, Append(nil, m))
 	}
 	return out
@@ -239,7 +273,7 @@
 		m, err := Parse(b)
 		if err != nil {
 			if !reflect.DeepEqual(m, Message{}) {
-				t.Error("something of a malformed message")
+				t.Error("a malformed message is returned in part")
 			}
 			return
 		}
@@ -251,7 +285,7 @@
 	})
 }
 
-// Ages are rounded up and amounts kept to seven digits; what is as long as may be fits.
+// Ages are rounded up, values keep seven digits, and the longest row fits into a message.
 func TestAgesRoundUpAndMessagesFit(t *testing.T) {
 	var entries []Entry
 	for i := range MostEntries {
