--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -48,7 +48,7 @@
 // reportKinds name kinds for people.
 var reportKinds = map[zonestate.Kind]string{zonestate.Demand: "demand", zonestate.Rejected: "refused", zonestate.Open: "open", zonestate.Ready: "ready", zonestate.Warm: "warm",
 	zonestate.Newest: "newest", zonestate.Oldest: "oldest", zonestate.Made: "made", zonestate.Sent: "sent", zonestate.Bad: "bad", zonestate.Lag: "lag",
-	zonestate.Trouble: "trouble", zonestate.Held: "held", zonestate.Sketch: "sketch"}
+	zonestate.Failures: "trouble", zonestate.InFlight: "held", zonestate.Sketch: "sketch"}
 
 // exchange is a Room's part in facts.
 type exchange struct {
@@ -56,8 +56,8 @@
 	o       zonestate.Options
 	places  map[zonestate.Place][2]string // region and zone
 	names   map[zonestate.Subject]string
-	words   map[zonestate.Place]zonestate.Word // as were logged last
-	changes int                                // of the membership, that the machine has seen
+	words   map[zonestate.Place]zonestate.Freshness // as were logged last
+	changes int                                     // of the membership, that the machine has seen
 	sent    [zonestate.Query + 1]int
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &exchange{machine: m, o: *o.ZoneState, words: map[zonestate.Place]zonestate.Word{}, changes: -1}
+	x := &exchange{machine: m, o: *o.ZoneState, words: map[zonestate.Place]zonestate.Freshness{}, changes: -1}
 	return x, nil
 }
 
@@ -89,7 +89,7 @@
 		all = append(all, zonestate.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == membership.Suspect, Gone: k.Status > membership.Suspect})
 	}
 	x.machine.SetIncarnation(incarnation)
-	x.machine.See(r.o.Clock.Now(), zonestate.NewView(all))
+	x.machine.SetView(r.o.Clock.Now(), zonestate.NewView(all))
 }
 
 // pass sends what the exchange has to say, within the room's send budget.
@@ -127,9 +127,9 @@
 	truth := readTruth() // before the clock: nothing gets older between
 	now := r.o.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
-		if was, told := x.words[z.Place]; !told || was != z.Word {
-			x.words[z.Place] = z.Word
-			r.o.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Word, "from", z.From, "of", z.Of)
+		if was, told := x.words[z.Place]; !told || was != z.Freshness {
+			x.words[z.Place] = z.Freshness
+			r.o.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Freshness, "from", z.From, "of", z.Of)
 		}
 		if short := truth.short(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
 			r.o.Log.Error("an age was under-reported", "zone", x.places[z.Place][1], "by", short)
@@ -140,12 +140,12 @@
 // status tells what is known, by region and zone.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
 	f := &ZoneStateStatus{Fresh: x.o.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
-	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Tell: "answers", zonestate.Query: "questions"} {
+	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Reply: "answers", zonestate.Query: "questions"} {
 		f.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
-		out := Zone{Region: x.places[z.Place][0], Zone: x.places[z.Place][1], Word: z.Word.String(), For: now - z.Since, Age: z.Age, From: z.From, Of: z.Of}
-		for _, page := range []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Trouble, zonestate.Sketch} {
+		out := Zone{Region: x.places[z.Place][0], Zone: x.places[z.Place][1], Word: z.Freshness.String(), For: now - z.Since, Age: z.Age, From: z.From, Of: z.Of}
+		for _, page := range []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Failures, zonestate.Sketch} {
 			row, found := x.machine.Row(now, z.Place, page)
 			for _, e := range row.Entries {
 				what, known := reportKinds[e.Kind]
--- a/internal/gossip/truth_rig.go
+++ b/internal/gossip/truth_rig.go
@@ -23,7 +23,7 @@
 
 // short is by how much more an answer is old than it says.
 func (t truth) short(v zonestate.Value) time.Duration {
-	if v.From == 0 || v.Word == zonestate.Unknown {
+	if v.From == 0 || v.Freshness == zonestate.Unknown {
 		return 0
 	}
 	real := time.Duration((int64(t)%turn-int64(v.Amount)+turn)%turn) * time.Millisecond
--- a/internal/modelcheck/exchange/sim.go
+++ b/internal/modelcheck/exchange/sim.go
@@ -89,7 +89,7 @@
 		if a.Machine, err = zonestate.New(f.Clock(i), a.peer, o, f.Rand.Uint64()); err != nil {
 			return Seen{}, fmt.Errorf("exchange: %w", err)
 		}
-		a.See(f.Clock(i), view)
+		a.SetView(f.Clock(i), view)
 		f.Nodes[i].Machine = a
 	}
 	f.LookEvery, f.Look = look, p.look
@@ -179,7 +179,7 @@
 		p.steps = p.steps[1:]
 		for i, a := range p.actors {
 			if !p.Nodes[i].Dead {
-				a.See(p.Clock(i), v)
+				a.SetView(p.Clock(i), v)
 			}
 		}
 	}
@@ -220,12 +220,12 @@
 	v := a.Read(clock, place(zone), zonestate.Made, 1)
 	d := a.Read(clock, place(zone), zonestate.Demand, 2)
 	p.sums.all++
-	if v.From > 0 && v.Word != zonestate.Unknown {
+	if v.From > 0 && v.Freshness != zonestate.Unknown {
 		real := p.Now - time.Duration(v.Amount)*time.Millisecond
 		if p.seen.Short = max(p.seen.Short, real-v.Age); real > v.Age {
 			return false, fmt.Errorf("exchange: at %v a node of zone %d was given a fact of zone %d that is %v old, for %v at most", p.Now, a.zone, zone, real, v.Age)
 		}
-		if v.Word == zonestate.Fresh {
+		if v.Freshness == zonestate.Fresh {
 			p.sums.slack += v.Age - real
 		}
 		p.seen.Over = max(p.seen.Over, float64(v.From-max(v.Of, n))/float64(max(v.Of, n)))
@@ -233,7 +233,7 @@
 			return false, fmt.Errorf("exchange: a row of %d nodes that tell 1 each has %v", d.From, d.Amount)
 		}
 	}
-	if v.Word != zonestate.Fresh {
+	if v.Freshness != zonestate.Fresh {
 		return false, nil
 	}
 	p.sums.fresh++
--- a/internal/modelcheck/exchange/small.go
+++ b/internal/modelcheck/exchange/small.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return fmt.Errorf("exchange: %w", err)
 	}
-	m.See(f.clock(i), f.view)
+	m.SetView(f.clock(i), f.view)
 	m.SetIncarnation(n.lives)
 	n.machine, n.made = m, 0
 	return nil
@@ -294,7 +294,7 @@
 	c.view = zonestate.NewView(all)
 	for i, n := range c.nodes {
 		if n.machine != nil {
-			n.machine.See(c.clock(i), c.view)
+			n.machine.SetView(c.clock(i), c.view)
 		}
 	}
 	for end := c.now + 5*c.b.Fresh; c.now < end && c.wrong == nil; {
@@ -317,8 +317,8 @@
 			if n.machine == nil || c.wrong != nil {
 				continue
 			}
-			if v := n.machine.Read(c.clock(i), at, zonestate.Made, 1); v.Word != zonestate.Fresh || v.From != of {
-				return fmt.Errorf("in the end node %d knows of a zone of %d, %v, from %d nodes", i, of, v.Word, v.From)
+			if v := n.machine.Read(c.clock(i), at, zonestate.Made, 1); v.Freshness != zonestate.Fresh || v.From != of {
+				return fmt.Errorf("in the end node %d knows of a zone of %d, %v, from %d nodes", i, of, v.Freshness, v.From)
 			}
 		}
 	}
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -95,8 +95,8 @@
 		for name, x := range s.Servers {
 			// Of servers only those are told of that are in trouble: the others are many, and alike.
 			if bad := p.Servers[name].Failures; x.Failures > bad {
-				rate(zonestate.Trouble, name, float64(bad), float64(x.Failures))
-				add(zonestate.Held, name, float64(x.InFlight))
+				rate(zonestate.Failures, name, float64(bad), float64(x.Failures))
+				add(zonestate.InFlight, name, float64(x.InFlight))
 			}
 		}
 		for i, took := range s.LatencyHistogram {
--- a/internal/node/sample_test.go
+++ b/internal/node/sample_test.go
@@ -30,7 +30,7 @@
 		{Kind: zonestate.Ready, Subject: name("a"), Value: 4}, {Kind: zonestate.Warm, Subject: name("a"), Value: 2},
 		{Kind: zonestate.Newest, Subject: name("list of p"), Value: 9}, {Kind: zonestate.Oldest, Subject: name("list of p"), Value: 9},
 		{Kind: zonestate.Newest, Subject: name("configuration"), Value: 77}, {Kind: zonestate.Oldest, Subject: name("configuration"), Value: 77},
-		{Kind: zonestate.Trouble, Subject: name("s1"), Value: 1}, {Kind: zonestate.Held, Subject: name("s1"), Value: 6}, {Kind: zonestate.Sketch, Subject: 4, Value: 1}}
+		{Kind: zonestate.Failures, Subject: name("s1"), Value: 1}, {Kind: zonestate.InFlight, Subject: name("s1"), Value: 6}, {Kind: zonestate.Sketch, Subject: 4, Value: 1}}
 	for _, e := range want {
 		if !got[e] {
 			t.Errorf("%+v is not told", e)
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -136,7 +136,7 @@
 	}
 	n := int(b[26])
 	left = b[rowSize:]
-	if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MostEntries || len(left) < n*entrySize {
+	if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MaxEntries || len(left) < n*entrySize {
 		return Row{}, nil, fmt.Errorf("%w: a row of plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
 	}
 	for range n {
--- a/internal/zonestate/combine.go
+++ b/internal/zonestate/combine.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// combine aggregates lists of entries, each kind by its own operation. It returns at most MostEntries entries, by kind and
+// combine aggregates lists of entries, each kind by its own operation. It returns at most MaxEntries entries, by kind and
 // subject, and how many it dropped: rates of later kinds first, and of one kind the lowest values.
 func combine(lists ...[]Entry) (out []Entry, dropped int) {
 	all := slices.Concat(lists...)
@@ -20,12 +20,12 @@
 	}
 	// A sum of zero is what readers assume without an entry.
 	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == opSum })
-	if len(out) <= MostEntries {
+	if len(out) <= MaxEntries {
 		return out, 0
 	}
-	dropped = len(out) - MostEntries
+	dropped = len(out) - MaxEntries
 	slices.SortStableFunc(out, compareImportance)
-	out = out[:MostEntries]
+	out = out[:MaxEntries]
 	slices.SortFunc(out, compareSubjects)
 	return out, dropped
 }
--- a/internal/zonestate/kind.go
+++ b/internal/zonestate/kind.go
@@ -29,8 +29,8 @@
 	Bad  = opSum + pageOne + 1 // of a zone: of them, such as did not succeed, a second
 	Lag  = opSum + pageOne + 2 // of a zone: what they took in all, seconds a second
 
-	Trouble = opSum + 2*pageOne + 0 // of a server: attempts that did not succeed, a second
-	Held    = opSum + 2*pageOne + 1 // of a server: attempts that are out
+	Failures = opSum + 2*pageOne + 0 // of a server: attempts that did not succeed, a second
+	InFlight = opSum + 2*pageOne + 1 // of a server: attempts in flight
 
 	Sketch = opSum + 3*pageOne + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
 )
--- a/internal/zonestate/machine.go
+++ b/internal/zonestate/machine.go
@@ -72,7 +72,7 @@
 		due := now + o.period()*time.Duration(i+1)/planes
 		m.planes[i] = plane{parts: map[uint64][pages]*part{}, due: due}
 	}
-	m.See(now, NewView([]Peer{self}))
+	m.SetView(now, NewView([]Peer{self}))
 	return m, nil
 }
 
@@ -148,7 +148,7 @@
 	switch msg.Kind {
 	case Up:
 		m.receiveParts(from, msg.Rows, delay)
-	case Down, Tell:
+	case Down, Reply:
 		m.receiveRows(from, msg.Rows, delay, msg.Kind == Down)
 	case Query:
 		m.reply(from, msg.Wants)
--- a/internal/zonestate/message.go
+++ b/internal/zonestate/message.go
@@ -12,7 +12,7 @@
 const (
 	Up    MessageKind = iota + 1 // parts for the receiver, which is the sender's parent in a plane
 	Down                         // rows that are new to the sender
-	Tell                         // rows that answer a Query
+	Reply                        // rows that answer a Query
 	Query                        // asks for rows that are younger than what the sender holds
 )
 
--- a/internal/zonestate/options.go
+++ b/internal/zonestate/options.go
@@ -20,9 +20,9 @@
 	return Options{Fresh: fresh, Delay: DefaultDelay, Fan: 8}
 }
 
-// Least returns the lowest Fresh that can be kept if nothing is lost and no datagram takes longer than a delay, in zones of up
+// MinFresh returns the lowest Fresh that can be kept if nothing is lost and no datagram takes longer than a delay, in zones of up
 // to 4,000 nodes: half of it is the period, parts wait for three levels, and each of seven hops counts as its round trip.
-func Least(delay time.Duration) time.Duration { return 2 * (7*levelStep(delay)/2 + 14*delay) }
+func MinFresh(delay time.Duration) time.Duration { return 2 * (7*levelStep(delay)/2 + 14*delay) }
 
 // levelStep returns by how much earlier the nodes of each level further from the root send their parts.
 func levelStep(delay time.Duration) time.Duration { return 2*delay + 10*time.Millisecond }
@@ -30,8 +30,8 @@
 // Check returns an error that names the first option out of range.
 func (o Options) Check() error {
 	switch {
-	case o.Delay <= 0 || o.Fresh < Least(o.Delay):
-		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, Least(max(o.Delay, time.Millisecond)))
+	case o.Delay <= 0 || o.Fresh < MinFresh(o.Delay):
+		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, MinFresh(max(o.Delay, time.Millisecond)))
 	case o.Fan < 1 || o.Fan > 32:
 		return fmt.Errorf("zonestate: fan %d; allowed: 1 to 32", o.Fan)
 	}
--- a/internal/zonestate/query.go
+++ b/internal/zonestate/query.go
@@ -64,7 +64,7 @@
 		m.Dropped.Paced++
 		return
 	}
-	m.sendRows(to, Tell, rows, maxReplyMessages)
+	m.sendRows(to, Reply, rows, maxReplyMessages)
 }
 
 // younger returns the best rows of wanted zones that are younger than wanted and not the receiver's own.
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Word says whether the best row of a zone is recent enough.
-type Word uint8
+// Freshness says whether the best row of a zone is recent enough.
+type Freshness uint8
 
-// Words.
+// Degrees of freshness.
 const (
-	Unknown Word = iota // no row is stored
-	Stale               // the best row is older than Options.Fresh
-	Fresh               // the best row is not older
+	Unknown Freshness = iota // no row is stored
+	Stale                    // the best row is older than Options.Fresh
+	Fresh                    // the best row is not older
 )
 
 var freshnessNames = [...]string{"unknown", "stale", "fresh"}
 
-// String returns the word in lower case.
-func (w Word) String() string { return freshnessNames[min(int(w), len(freshnessNames)-1)] }
+// String returns the freshness in lower case.
+func (f Freshness) String() string { return freshnessNames[min(int(f), len(freshnessNames)-1)] }
 
 // zoneFreshness is the freshness of a zone, and since when it is so.
 type zoneFreshness struct {
-	freshness Word
+	freshness Freshness
 	since     time.Duration
 }
 
@@ -42,7 +42,7 @@
 }
 
 // freshness returns the freshness of a zone's first page at the current time.
-func (m *Machine) freshness(at Place) Word {
+func (m *Machine) freshness(at Place) Freshness {
 	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
 	switch {
 	case !found:
@@ -56,12 +56,12 @@
 
 // Zone is the state of one zone's rows at a node.
 type Zone struct {
-	Place Place
-	Word  Word
-	Since time.Duration // time of this node's clock since which Word holds; of Unknown after Stale, since which it was Stale
-	Age   time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
-	From  int           // number of nodes whose parts are in the best row
-	Of    int           // number of nodes of the zone that the membership holds for active
+	Place     Place
+	Freshness Freshness
+	Since     time.Duration // time of this node's clock since which Freshness holds; of Unknown after Stale, since which it was Stale
+	Age       time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
+	From      int           // number of nodes whose parts are in the best row
+	Of        int           // number of nodes of the zone that the membership holds for active
 }
 
 // Zones returns all zones of the view, in the order of their places.
@@ -82,7 +82,7 @@
 	if z == nil {
 		return Zone{Place: at}
 	}
-	out := Zone{Place: at, Word: z.freshness, Since: z.since, Of: len(m.view.trees[at][0])}
+	out := Zone{Place: at, Freshness: z.freshness, Since: z.since, Of: len(m.view.trees[at][0])}
 	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
 	if found && z.freshness != Unknown {
 		out.Age = m.now - best.madeAt
@@ -119,7 +119,7 @@
 	Amount float64 // 0 if the row has no entry of the kind and subject
 }
 
-// Read returns the value of a kind and subject in a zone. A caller that ignores Word uses values of any age.
+// Read returns the value of a kind and subject in a zone. A caller that ignores Freshness uses values of any age.
 func (m *Machine) Read(now time.Duration, of Place, k Kind, s Subject) Value {
 	m.now = max(m.now, now)
 	m.updateFreshness()
@@ -131,7 +131,7 @@
 	v.Age = max(v.Age, m.now-best.madeAt)
 	v.From = best.From
 	if v.Age > m.options.Fresh {
-		v.Word = min(v.Word, Stale)
+		v.Freshness = min(v.Freshness, Stale)
 	}
 	for _, e := range best.Entries {
 		if e.Kind == k && e.Subject == s {
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -39,8 +39,8 @@
 	return v
 }
 
-// See sets the view, in which the node itself has to be active. State of zones and nodes that are not in it is dropped.
-func (m *Machine) See(now time.Duration, v *View) {
+// SetView sets the view, in which the node itself has to be active. State of zones and nodes that are not in it is dropped.
+func (m *Machine) SetView(now time.Duration, v *View) {
 	m.now = max(m.now, now)
 	m.view = v
 	for at := range v.trees {
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -69,13 +69,13 @@
 	Seq     uint32        // grows with each row of the author; it wraps
 	Age     time.Duration // upper bound on the age of the oldest part in it, when the row was passed in or returned
 	From    int           // number of nodes whose parts are in it
-	Entries []Entry       // by kind and subject, MostEntries at most
+	Entries []Entry       // by kind and subject, MaxEntries at most
 }
 
 // Bounds of a row.
 const (
-	MostEntries = 21
-	maxFrom     = 1<<16 - 1
+	MaxEntries = 21
+	maxFrom    = 1<<16 - 1
 )
 
 // Pages are a node's own entries by page.
--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.See(0, NewView(all))
+	m.SetView(0, NewView(all))
 	return m
 }
 
@@ -92,12 +92,12 @@
 		}
 	})
 	var many []Entry
-	for i := range 2 * MostEntries {
+	for i := range 2 * MaxEntries {
 		many = append(many, Entry{Demand, Subject(i + 1), float64(i)})
 	}
 	many = append(many, Entry{Ready, 7, 3})
 	out, cut := combine(many)
-	if len(out) != MostEntries || cut != len(many)-1-MostEntries || out[len(out)-1] != (Entry{Ready, 7, 3}) || out[0].Value != 22 {
+	if len(out) != MaxEntries || cut != len(many)-1-MaxEntries || out[len(out)-1] != (Entry{Ready, 7, 3}) || out[0].Value != 22 {
 		t.Errorf("%d entries, %d cut: %v", len(out), cut, out)
 	}
 }
@@ -129,27 +129,27 @@
 	}
 	row := Row{Place: peer(2, 1).Place, Author: Author{ID: 3}, Seq: 1, From: 1, Age: 300 * ms}
 	m.Receive(m.now, Message{Kind: Down, From: 3, Token: 7, Rows: []Row{row}})
-	if v := m.Read(m.now, row.Place, Demand, 1); v.Word != Unknown || m.Dropped.Unbounded != 1 {
+	if v := m.Read(m.now, row.Place, Demand, 1); v.Freshness != Unknown || m.Dropped.Unbounded != 1 {
 		t.Errorf("%+v, %+v", v, m.Dropped)
 	}
 	m.Receive(m.now, Message{Kind: Down, From: 3, Token: 7, Echo: token, Held: 900, Rows: []Row{row}})
 	v := m.Read(m.now, row.Place, Demand, 1)
-	if v.Word != Fresh || v.Age < 400*ms || v.Age > 410*ms || v.From != 1 || v.Of != 1 || v.Amount != 0 {
+	if v.Freshness != Fresh || v.Age < 400*ms || v.Age > 410*ms || v.From != 1 || v.Of != 1 || v.Amount != 0 {
 		t.Errorf("%+v", v)
 	}
 	// Freshness follows the age; a page that never came is unknown.
 	m.Tick(m.now + 1700*ms)
-	if v = m.Read(m.now, row.Place, Demand, 1); v.Word != Stale || v.Since > m.now || v.Age < 2*time.Second {
+	if v = m.Read(m.now, row.Place, Demand, 1); v.Freshness != Stale || v.Since > m.now || v.Age < 2*time.Second {
 		t.Errorf("%+v", v)
 	}
-	if v := m.Read(m.now, row.Place, Sent, 1); v.Word != Unknown || v.Of != 1 {
+	if v := m.Read(m.now, row.Place, Sent, 1); v.Freshness != Unknown || v.Of != 1 {
 		t.Errorf("%+v", v)
 	}
 	if !m.Alone(m.now) {
 		t.Error("without a fresh row of another node it is not alone")
 	}
 	m.Tick(m.now + 10*time.Second)
-	if v = m.Read(m.now, row.Place, Demand, 1); v.Word != Unknown || m.Size() != 0 {
+	if v = m.Read(m.now, row.Place, Demand, 1); v.Freshness != Unknown || m.Size() != 0 {
 		t.Errorf("%+v, %d rows", v, m.Size())
 	}
 }
@@ -223,7 +223,7 @@
 
 func TestOptionsOutOfRangeAreRejected(t *testing.T) {
 	for _, change := range []func(*Options){
-		func(o *Options) { o.Fresh = Least(o.Delay) - 1 },
+		func(o *Options) { o.Fresh = MinFresh(o.Delay) - 1 },
 		func(o *Options) { o.Delay = 0 },
 		func(o *Options) { o.Fan = 0 },
 		func(o *Options) { o.Fan = 33 },
@@ -255,7 +255,7 @@
 	for _, m := range []Message{
 		{Kind: Up, From: 1, Rows: []Row{row}},
 		{Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, outOfBounds}},
-		{Kind: Tell, From: 3},
+		{Kind: Reply, From: 3},
 		{Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}},
 	} {
 		out = append(out, Append(nil, m))
@@ -288,7 +288,7 @@
 // Ages are rounded up, values keep seven digits, and the longest row fits into a message.
 func TestAgesRoundUpAndMessagesFit(t *testing.T) {
 	var entries []Entry
-	for i := range MostEntries {
+	for i := range MaxEntries {
 		entries = append(entries, Entry{Demand, Subject(i), 1000.0 / 3})
 	}
 	m := Message{Kind: Down, From: 1, Rows: []Row{{Author: Author{ID: 1}, Age: 1500*time.Microsecond + 1, Entries: entries}}}
