--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -53,10 +53,10 @@
 // exchange is a Room's part in facts.
 type exchange struct {
 	machine *zonestate.Machine
-	o       zonestate.Options
+	options zonestate.Options
 	places  map[zonestate.Place][2]string // region and zone
 	names   map[zonestate.Subject]string
-	words   map[zonestate.Place]zonestate.Freshness // as were logged last
+	logged  map[zonestate.Place]zonestate.Freshness // as were logged last
 	changes int                                     // of the membership, that the machine has seen
 	sent    [zonestate.Query + 1]int
 }
@@ -67,79 +67,79 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &exchange{machine: m, o: *o.ZoneState, words: map[zonestate.Place]zonestate.Freshness{}, changes: -1}
+	x := &exchange{machine: m, options: *o.ZoneState, logged: map[zonestate.Place]zonestate.Freshness{}, changes: -1}
 	return x, nil
 }
 
-// follow has the machine see the membership as it is now.
-func (r *Transport) follow() {
-	x := r.exchange
-	if x == nil || x.changes == r.machine.Changes() {
+// updateView has the machine see the membership as it is now.
+func (t *Transport) updateView() {
+	x := t.exchange
+	if x == nil || x.changes == t.machine.Changes() {
 		return
 	}
-	x.changes = r.machine.Changes()
-	id, incarnation := r.machine.Self()
-	self := r.o.Self
+	x.changes = t.machine.Changes()
+	id, incarnation := t.machine.Self()
+	self := t.options.Self
 	at := zonestate.PlaceOf(self.Region, self.Zone)
 	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: at}}
 	x.places = map[zonestate.Place][2]string{at: {self.Region, self.Zone}}
-	for _, k := range r.machine.Members() {
+	for _, k := range t.machine.Members() {
 		at := zonestate.PlaceOf(k.Region, k.Zone)
 		x.places[at] = [2]string{k.Region, k.Zone}
 		all = append(all, zonestate.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == membership.Suspect, Gone: k.Status > membership.Suspect})
 	}
 	x.machine.SetIncarnation(incarnation)
-	x.machine.SetView(r.o.Clock.Now(), zonestate.NewView(all))
+	x.machine.SetView(t.options.Clock.Now(), zonestate.NewView(all))
 }
 
-// pass sends what the exchange has to say, within the room's send budget.
-func (r *Transport) pass(packets []zonestate.Packet) {
+// sendZoneState sends what the exchange has to say, within the room's send budget.
+func (t *Transport) sendZoneState(packets []zonestate.Packet) {
 	for _, p := range packets {
-		if r.write(membership.Seal(zonestate.Append(nil, p.Message), r.o.Key), p.To) {
-			r.exchange.sent[p.Kind]++
+		if t.write(membership.Seal(zonestate.Append(nil, p.Message), t.options.Key), p.To) {
+			t.exchange.sent[p.Kind]++
 		}
 	}
 }
 
 // PublishLoad hands in what the node sees now. It never blocks; of two that wait, the later holds.
-func (r *Transport) PublishLoad(s Seen) {
+func (t *Transport) PublishLoad(s Seen) {
 	select {
-	case <-r.seen:
+	case <-t.loads:
 	default:
 	}
 	select {
-	case r.seen <- s:
+	case t.loads <- s:
 	default:
 	}
 }
 
-// set takes what the node sees.
-func (r *Transport) set(s Seen) {
-	if x := r.exchange; x != nil {
+// setLoad takes what the node sees.
+func (t *Transport) setLoad(s Seen) {
+	if x := t.exchange; x != nil {
 		x.names = s.Names
-		x.machine.Set(r.o.Clock.Now(), zonestate.Sort(append(s.Entries, made()...)))
+		x.machine.Set(t.options.Clock.Now(), zonestate.Sort(append(s.Entries, truthEntries()...)))
 	}
 }
 
-// publishZones logs each change of what is known of a zone.
-func (r *Transport) publishZones() {
-	x := r.exchange
+// logZones logs each change of what is known of a zone.
+func (t *Transport) logZones() {
+	x := t.exchange
 	truth := readTruth() // before the clock: nothing gets older between
-	now := r.o.Clock.Now()
+	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
-		if was, told := x.words[z.Place]; !told || was != z.Freshness {
-			x.words[z.Place] = z.Freshness
-			r.o.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Freshness, "from", z.From, "of", z.Of)
+		if was, told := x.logged[z.Place]; !told || was != z.Freshness {
+			x.logged[z.Place] = z.Freshness
+			t.options.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Freshness, "from", z.From, "of", z.Of)
 		}
-		if short := truth.short(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
-			r.o.Log.Error("an age was under-reported", "zone", x.places[z.Place][1], "by", short)
+		if short := truth.underReported(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
+			t.options.Log.Error("an age was under-reported", "zone", x.places[z.Place][1], "by", short)
 		}
 	}
 }
 
 // status tells what is known, by region and zone.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
-	f := &ZoneStateStatus{Fresh: x.o.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
+	f := &ZoneStateStatus{Fresh: x.options.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
 	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Reply: "answers", zonestate.Query: "questions"} {
 		f.Sent[name] = x.sent[kind]
 	}
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -17,7 +17,7 @@
 
 // faultySocket has its requests fail with the errnos of a table in turn, while it is told to.
 type faultySocket struct {
-	datagrams
+	packetConn
 	reads, writes         atomic.Bool // whether they fail
 	readsBegun, writeCall atomic.Int64
 }
@@ -25,37 +25,37 @@
 var errnos = []syscall.Errno{syscall.ENOBUFS, syscall.EPERM, syscall.ENETUNREACH, syscall.ECONNREFUSED, syscall.ENOMEM, syscall.EHOSTUNREACH,
 	syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR, syscall.EINVAL}
 
-func failed(op string, n int64) error {
+func socketError(op string, n int64) error {
 	return &net.OpError{Op: op, Net: "udp", Err: os.NewSyscallError(op, errnos[n%int64(len(errnos))])}
 }
 
 func (f *faultySocket) ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error) {
 	if n := f.readsBegun.Add(1); f.reads.Load() {
-		return 0, netip.AddrPort{}, failed("recvfrom", n)
+		return 0, netip.AddrPort{}, socketError("recvfrom", n)
 	}
-	return f.datagrams.ReadFromUDPAddrPort(p)
+	return f.packetConn.ReadFromUDPAddrPort(p)
 }
 
 func (f *faultySocket) WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error) {
 	if n := f.writeCall.Add(1); f.writes.Load() {
-		return 0, failed("sendto", n)
+		return 0, socketError("sendto", n)
 	}
-	return f.datagrams.WriteToUDPAddrPort(p, to)
+	return f.packetConn.WriteToUDPAddrPort(p, to)
 }
 
-// logged keeps a log's text.
-type logged struct {
+// logBuffer keeps a log's text.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logged) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
@@ -63,42 +63,42 @@
 
 // A datagram that can't be sent is one that is lost: the room goes on, says so in one line a second, and the others hear of it again
 // once sends pass.
-func TestSendsThatFailAreLostDatagrams(t *testing.T) {
+func TestSendFailuresCountAsLoss(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
 	b := open(t, "b", key, a.Addr())
-	text := &logged{}
-	b.o.Log = slog.New(slog.NewTextHandler(text, nil))
-	socket := &faultySocket{datagrams: b.conn}
+	text := &logBuffer{}
+	b.options.Log = slog.New(slog.NewTextHandler(text, nil))
+	socket := &faultySocket{packetConn: b.conn}
 	socket.writes.Store(true)
 	b.conn = socket
 	run(t, a)
 	run(t, b)
-	begin := b.o.Clock.Now()
+	begin := b.options.Clock.Now()
 	testpeer.Until(t, "sends of every errno", func() bool { return socket.writeCall.Load() > int64(2*len(errnos)) })
-	lines, most := text.count("can't be sent"), 1+int((b.o.Clock.Now()-begin)/failuresEvery)
+	lines, most := text.count("can't be sent"), 1+int((b.options.Clock.Now()-begin)/failureLogInterval)
 	if lines < 1 || lines > most || b.Status().Counts.Sent != 0 {
-		t.Errorf("%d lines in %v, %+v", lines, b.o.Clock.Now()-begin, b.Status().Counts)
+		t.Errorf("%d lines in %v, %+v", lines, b.options.Clock.Now()-begin, b.Status().Counts)
 	}
 	socket.writes.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
 }
 
 // Reads that fail one after the other are made seldom, and the first that brings something counts.
-func TestReadsThatFailDoNotSpin(t *testing.T) {
+func TestReadFailuresBackOff(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
 	b := open(t, "b", key, a.Addr())
-	socket := &faultySocket{datagrams: b.conn}
+	socket := &faultySocket{packetConn: b.conn}
 	socket.reads.Store(true)
 	b.conn = socket
 	run(t, a)
 	stop := run(t, b)
-	begin := b.o.Clock.Now()
-	testpeer.Until(t, "reads that fail", func() bool { return b.o.Clock.Now()-begin > 4*readPauseMost })
+	begin := b.options.Clock.Now()
+	testpeer.Until(t, "reads that fail", func() bool { return b.options.Clock.Now()-begin > 4*maxReadPause })
 	// 1, 2, 4 ... 64 ms and then 100 ms each: seven within the first 127 ms, and no more than one each 100 ms from then on.
-	if most := 8 + int64((b.o.Clock.Now()-begin)/readPauseMost); socket.readsBegun.Load() > most {
-		t.Errorf("%d reads in %v, at most %d", socket.readsBegun.Load(), b.o.Clock.Now()-begin, most)
+	if most := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readsBegun.Load() > most {
+		t.Errorf("%d reads in %v, at most %d", socket.readsBegun.Load(), b.options.Clock.Now()-begin, most)
 	}
 	socket.reads.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,24 +24,24 @@
 
 // Bounds of a key's file.
 const (
-	minKey = 16
-	maxKey = 4 << 10
+	minKeySize = 16
+	maxKeySize = 4 << 10
 )
 
 // LoadKey reads a cluster's key: what the file holds without white space round it.
 func LoadKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("peers: the key: %w", err)
+		return nil, fmt.Errorf("gossip: the key: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxKey+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxKeySize+1))
 	if err != nil {
-		return nil, fmt.Errorf("peers: the key: %w", err)
+		return nil, fmt.Errorf("gossip: the key: %w", err)
 	}
 	key := bytes.TrimSpace(text)
-	if len(key) < minKey || len(text) > maxKey {
-		return nil, fmt.Errorf("peers: the key in %s has %d bytes; allowed: %d to %d", path, len(key), minKey, maxKey)
+	if len(key) < minKeySize || len(text) > maxKeySize {
+		return nil, fmt.Errorf("gossip: the key in %s has %d bytes; allowed: %d to %d", path, len(key), minKeySize, maxKeySize)
 	}
 	return key, nil
 }
@@ -63,55 +63,55 @@
 
 // Waits behind reads that fail one after the other.
 const (
-	readPause     = time.Millisecond
-	readPauseMost = 100 * time.Millisecond
+	minReadPause = time.Millisecond
+	maxReadPause = 100 * time.Millisecond
 )
 
 // Transport is one node's.
 type Transport struct {
-	o          Options
-	conn       datagrams
-	machine    *membership.Machine
-	exchange   *exchange // nil: none
-	seen       chan Seen
-	in         chan datagram
-	asks       chan chan Status
-	done       chan struct{}
-	started    chan struct{}
-	living     atomic.Pointer[[]membership.Peer]
-	held       map[string]membership.Status // as was logged last
-	logged     int                          // changes of the membership that were
-	counts     Counts
-	lost       atomic.Int64
-	sendBudget float64 // bytes that may go out
-	filled     time.Duration
-	unsent     failures
+	options        Options
+	conn           packetConn
+	machine        *membership.Machine
+	exchange       *exchange // nil: none
+	loads          chan Seen
+	incoming       chan datagram
+	statusRequests chan chan Status
+	done           chan struct{}
+	started        chan struct{}
+	active         atomic.Pointer[[]membership.Peer]
+	loggedStatus   map[string]membership.Status // as was logged last
+	loggedChanges  int                          // changes of the membership that were
+	counts         Counts
+	overruns       atomic.Int64
+	sendBudget     float64 // bytes that may go out
+	budgetAt       time.Duration
+	failures       sendFailures
 }
 
-// datagrams are what a Room needs of a net.UDPConn.
-type datagrams interface {
+// packetConn are what a Room needs of a net.UDPConn.
+type packetConn interface {
 	ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error)
 	LocalAddr() net.Addr
 	Close() error
 }
 
-// failures are of datagrams that could not be sent, each of them as good as lost on its way. They are logged together, once a
+// sendFailures are of datagrams that could not be sent, each of them as good as lost on its way. They are logged together, once a
 // while.
-type failures struct {
+type sendFailures struct {
 	count  int           // since they were logged last
 	logged time.Duration // clock time; 0: never
 }
 
-// failuresEvery is how often failures are logged at most.
-const failuresEvery = time.Second
+// failureLogInterval is how often failures are logged at most.
+const failureLogInterval = time.Second
 
 // datagram is what came in.
 type datagram struct {
-	from netip.AddrPort
-	msg  membership.Message
-	told *zonestate.Message // nil: msg is the membership's
-	err  error
+	from      netip.AddrPort
+	msg       membership.Message
+	zoneState *zonestate.Message // nil: msg is the membership's
+	err       error
 }
 
 // Counts are of datagrams since the start.
@@ -152,79 +152,79 @@
 func Open(o Options) (*Transport, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	m, err := membership.New(o.Self, o.Members, binary.LittleEndian.Uint64(seed[:]))
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	addr, err := net.ResolveUDPAddr("udp", o.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	r := &Transport{o: o, conn: conn, machine: m, seen: make(chan Seen, 1), in: make(chan datagram, 256), asks: make(chan chan Status), done: make(chan struct{}),
-		started: make(chan struct{}), held: map[string]membership.Status{}, logged: -1}
+	t := &Transport{options: o, conn: conn, machine: m, loads: make(chan Seen, 1), incoming: make(chan datagram, 256), statusRequests: make(chan chan Status), done: make(chan struct{}),
+		started: make(chan struct{}), loggedStatus: map[string]membership.Status{}, loggedChanges: -1}
 	if o.ZoneState != nil {
 		id, _ := m.Self()
-		if r.exchange, err = newExchange(o, id, binary.LittleEndian.Uint64(seed[:])+1); err != nil {
+		if t.exchange, err = newExchange(o, id, binary.LittleEndian.Uint64(seed[:])+1); err != nil {
 			conn.Close()
-			return nil, fmt.Errorf("peers: %w", err)
+			return nil, fmt.Errorf("gossip: %w", err)
 		}
 	}
-	return r, nil
+	return t, nil
 }
 
 // Addr is where it listens.
-func (r *Transport) Addr() netip.AddrPort { return r.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Run takes part until ctx ends, and then says goodbye.
-func (r *Transport) Run(ctx context.Context) {
-	close(r.started)
-	defer close(r.done)
-	defer r.conn.Close()
-	go r.read(r.conn)
+func (t *Transport) Run(ctx context.Context) {
+	close(t.started)
+	defer close(t.done)
+	defer t.conn.Close()
+	go t.read(t.conn)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.send(r.machine.Leave(r.o.Clock.Now()))
+			t.send(t.machine.Leave(t.options.Clock.Now()))
 			return
-		case l := <-r.in:
-			r.take(l)
-		case to := <-r.asks:
-			to <- r.status()
-		case s := <-r.seen:
-			r.set(s)
+		case l := <-t.incoming:
+			t.receive(l)
+		case to := <-t.statusRequests:
+			to <- t.status()
+		case s := <-t.loads:
+			t.setLoad(s)
 		case <-timer.C:
-			r.tick()
+			t.tick()
 		}
-		r.publishLoad()
-		r.follow()
-		timer.Reset(max(0, r.o.Clock.Until(r.next())))
+		t.publishMembers()
+		t.updateView()
+		timer.Reset(max(0, t.options.Clock.Until(t.next())))
 	}
 }
 
 // next is when tick is due.
-func (r *Transport) next() time.Duration {
-	if r.exchange == nil {
-		return r.machine.Next()
+func (t *Transport) next() time.Duration {
+	if t.exchange == nil {
+		return t.machine.Next()
 	}
-	return min(r.machine.Next(), r.exchange.machine.Next())
+	return min(t.machine.Next(), t.exchange.machine.Next())
 }
 
-func (r *Transport) tick() {
-	if now := r.o.Clock.Now(); r.machine.Next() <= now {
-		r.send(r.machine.Tick(now))
+func (t *Transport) tick() {
+	if now := t.options.Clock.Now(); t.machine.Next() <= now {
+		t.send(t.machine.Tick(now))
 	}
-	if x := r.exchange; x != nil && x.machine.Next() <= r.o.Clock.Now() {
-		r.follow()
-		r.pass(x.machine.Tick(r.o.Clock.Now()))
-		r.publishZones()
+	if x := t.exchange; x != nil && x.machine.Next() <= t.options.Clock.Now() {
+		t.updateView()
+		t.sendZoneState(x.machine.Tick(t.options.Clock.Now()))
+		t.logZones()
 	}
 }
 
@@ -234,58 +234,58 @@
 }
 
 // read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
-func (r *Transport) read(conn receiver) {
+func (t *Transport) read(conn receiver) {
 	buf := make([]byte, membership.MaxDatagram+1)
-	pause := readPause
+	pause := minReadPause
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // what an earlier datagram met at its end, or a want of this machine that may last
-			if r.rest(pause); r.hasEnded() {
+			if t.pause(pause); t.stopped() {
 				return
 			}
-			pause = min(2*pause, readPauseMost)
+			pause = min(2*pause, maxReadPause)
 			continue
 		}
-		pause = readPause
+		pause = minReadPause
 		l := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		if n > 0 && buf[0] == zonestate.Version {
-			l.told, l.err = r.decode(buf[:n])
+			l.zoneState, l.err = t.decodeZoneState(buf[:n])
 		} else {
-			l.msg, l.err = membership.Decode(buf[:n], r.o.Key)
+			l.msg, l.err = membership.Decode(buf[:n], t.options.Key)
 		}
 		select {
-		case r.in <- l:
+		case t.incoming <- l:
 		default:
-			r.lost.Add(1)
+			t.overruns.Add(1)
 		}
 	}
 }
 
-// rest waits for a while, or for the end.
-func (r *Transport) rest(d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// pause waits for a while, or for the end.
+func (t *Transport) pause(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
-	case <-r.done:
+	case <-timer.C:
+	case <-t.done:
 	}
 }
 
-func (r *Transport) hasEnded() bool {
+func (t *Transport) stopped() bool {
 	select {
-	case <-r.done:
+	case <-t.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// decode reads what another tells of facts.
-func (r *Transport) decode(b []byte) (*zonestate.Message, error) {
-	body, ok := membership.Unseal(b, r.o.Key)
+// decodeZoneState reads what another tells of facts.
+func (t *Transport) decodeZoneState(b []byte) (*zonestate.Message, error) {
+	body, ok := membership.Unseal(b, t.options.Key)
 	if !ok {
 		return nil, membership.ErrStrange
 	}
@@ -293,89 +293,89 @@
 	return &m, err
 }
 
-func (r *Transport) take(l datagram) {
+func (t *Transport) receive(l datagram) {
 	switch {
-	case l.told != nil && r.exchange == nil, errors.Is(l.err, membership.ErrVersion), errors.Is(l.err, zonestate.ErrVersion):
-		r.counts.Other++
-	case l.err == nil && l.told != nil:
-		r.counts.Received++
-		r.pass(r.exchange.machine.Receive(r.o.Clock.Now(), *l.told))
+	case l.zoneState != nil && t.exchange == nil, errors.Is(l.err, membership.ErrVersion), errors.Is(l.err, zonestate.ErrVersion):
+		t.counts.Other++
+	case l.err == nil && l.zoneState != nil:
+		t.counts.Received++
+		t.sendZoneState(t.exchange.machine.Receive(t.options.Clock.Now(), *l.zoneState))
 	case l.err == nil:
-		r.counts.Received++
-		r.send(r.machine.Receive(r.o.Clock.Now(), l.from, l.msg))
+		t.counts.Received++
+		t.send(t.machine.Receive(t.options.Clock.Now(), l.from, l.msg))
 	case errors.Is(l.err, membership.ErrStrange):
-		r.counts.Strange++
+		t.counts.Strange++
 	default:
-		r.counts.Malformed++
+		t.counts.Malformed++
 	}
 }
 
 // send sends what the send budget allows.
-func (r *Transport) send(packets []membership.Packet) {
+func (t *Transport) send(packets []membership.Packet) {
 	for _, p := range packets {
-		r.write(membership.Encode(p.Message, r.o.Key), p.To)
+		t.write(membership.Encode(p.Message, t.options.Key), p.To)
 	}
 }
 
 // write sends a datagram if the send budget allows it.
-func (r *Transport) write(data []byte, to netip.AddrPort) bool {
-	now := r.o.Clock.Now()
-	r.sendBudget = min(maxOutgoing, r.sendBudget+(now-r.filled).Seconds()*maxOutgoing)
-	r.filled = now
-	if r.sendBudget < float64(len(data)) {
-		r.counts.Paced++
+func (t *Transport) write(data []byte, to netip.AddrPort) bool {
+	now := t.options.Clock.Now()
+	t.sendBudget = min(maxOutgoing, t.sendBudget+(now-t.budgetAt).Seconds()*maxOutgoing)
+	t.budgetAt = now
+	if t.sendBudget < float64(len(data)) {
+		t.counts.Paced++
 		return false
 	}
-	r.sendBudget -= float64(len(data))
-	if _, err := r.conn.WriteToUDPAddrPort(data, to); err != nil {
-		r.fail(now, to, err)
+	t.sendBudget -= float64(len(data))
+	if _, err := t.conn.WriteToUDPAddrPort(data, to); err != nil {
+		t.noteFailure(now, to, err)
 		return false
 	}
-	r.counts.Sent++
-	r.counts.Bytes += int64(len(data))
+	t.counts.Sent++
+	t.counts.Bytes += int64(len(data))
 	return true
 }
 
-// fail notes that a datagram could not be sent.
-func (r *Transport) fail(now time.Duration, to netip.AddrPort, err error) {
-	r.unsent.count++
-	if r.unsent.logged != 0 && now-r.unsent.logged < failuresEvery {
+// noteFailure notes that a datagram could not be sent.
+func (t *Transport) noteFailure(now time.Duration, to netip.AddrPort, err error) {
+	t.failures.count++
+	if t.failures.logged != 0 && now-t.failures.logged < failureLogInterval {
 		return
 	}
-	r.o.Log.Warn("datagrams can't be sent", "count", r.unsent.count, "last_to", to, "error", err)
-	r.unsent = failures{logged: now}
+	t.options.Log.Warn("datagrams can't be sent", "count", t.failures.count, "last_to", to, "error", err)
+	t.failures = sendFailures{logged: now}
 }
 
-// publishLoad logs what has changed of other nodes.
-func (r *Transport) publishLoad() {
-	if r.logged == r.machine.Changes() {
+// publishMembers logs what has changed of other nodes.
+func (t *Transport) publishMembers() {
+	if t.loggedChanges == t.machine.Changes() {
 		return
 	}
-	r.logged = r.machine.Changes()
+	t.loggedChanges = t.machine.Changes()
 	var living []membership.Peer
-	for _, k := range r.machine.Members() {
+	for _, k := range t.machine.Members() {
 		if k.Status <= membership.Suspect {
 			living = append(living, k.Peer)
 		}
 	}
-	r.living.Store(&living)
-	for _, k := range r.machine.Members() {
-		if was, known := r.held[k.Name]; !known || was != k.Status {
-			r.held[k.Name] = k.Status
-			r.o.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
+	t.active.Store(&living)
+	for _, k := range t.machine.Members() {
+		if was, known := t.loggedStatus[k.Name]; !known || was != k.Status {
+			t.loggedStatus[k.Name] = k.Status
+			t.options.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
 		}
 	}
 }
 
-func (r *Transport) status() Status {
-	now := r.o.Clock.Now()
-	_, incarnation := r.machine.Self()
-	s := Status{Incarnation: incarnation, Health: r.machine.Health(), Twins: r.machine.Twins, Counts: r.counts}
-	s.Counts.Lost = r.lost.Load()
-	if r.exchange != nil {
-		s.ZoneState = r.exchange.status(now)
+func (t *Transport) status() Status {
+	now := t.options.Clock.Now()
+	_, incarnation := t.machine.Self()
+	s := Status{Incarnation: incarnation, Health: t.machine.Health(), Twins: t.machine.Twins, Counts: t.counts}
+	s.Counts.Lost = t.overruns.Load()
+	if t.exchange != nil {
+		s.ZoneState = t.exchange.status(now)
 	}
-	for _, k := range r.machine.Members() {
+	for _, k := range t.machine.Members() {
 		m := Member{Name: k.Name, Addr: k.Addr.String(), Region: k.Region, Zone: k.Zone, Status: k.Status.String(), Incarnation: k.Incarnation, For: now - k.Since, Heard: -1}
 		if k.Heard > 0 {
 			m.Heard = now - k.Heard
@@ -386,35 +386,35 @@
 }
 
 // Living are the other members that are held for alive, or are only suspected not to be; none before Run.
-func (r *Transport) Living() []membership.Peer {
-	if l := r.living.Load(); l != nil {
+func (t *Transport) Living() []membership.Peer {
+	if l := t.active.Load(); l != nil {
 		return *l
 	}
 	return nil
 }
 
 // Status tells what is known; nothing before Run and after its end.
-func (r *Transport) Status() Status {
+func (t *Transport) Status() Status {
 	to := make(chan Status, 1)
 	select {
-	case <-r.started:
+	case <-t.started:
 	default:
 		return Status{}
 	}
 	select {
-	case r.asks <- to:
+	case t.statusRequests <- to:
 		return <-to
-	case <-r.done:
+	case <-t.done:
 		return Status{}
 	}
 }
 
 // Close closes a room that was not run; one that runs ends with its context.
-func (r *Transport) Close() {
+func (t *Transport) Close() {
 	select {
-	case <-r.started:
-		<-r.done
+	case <-t.started:
+		<-t.done
 	default:
-		r.conn.Close()
+		t.conn.Close()
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -115,10 +115,10 @@
 	for range 3000 {
 		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
-	r.filled = r.o.Clock.Now()
+	r.budgetAt = r.options.Clock.Now()
 	r.sendBudget = maxOutgoing
 	r.send(packets)
-	size := int64(len(membership.Encode(packets[0].Message, r.o.Key)))
+	size := int64(len(membership.Encode(packets[0].Message, r.options.Key)))
 	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < maxOutgoing/2 || r.counts.Sent+r.counts.Paced != 3000 {
 		t.Errorf("%d bytes went out of %d allowed at once, %d datagrams were held back", sent, maxOutgoing, r.counts.Paced)
 	}
@@ -126,7 +126,7 @@
 
 func TestInvalidKeysAndAddresses(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"short": "  short \n", "long": strings.Repeat("k", maxKey+1), "good": " sixteen bytes at least\n"} {
+	for name, text := range map[string]string{"short": "  short \n", "long": strings.Repeat("k", maxKeySize+1), "good": " sixteen bytes at least\n"} {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 	}
 	taken := open(t, "a", "a key of sixteen bytes or more")
 	defer taken.Close()
-	if _, err := Open(Options{Self: taken.o.Self, Listen: taken.Addr().String(), Key: taken.o.Key, Members: taken.o.Members, Clock: taken.o.Clock, Log: taken.o.Log}); err == nil {
+	if _, err := Open(Options{Self: taken.options.Self, Listen: taken.Addr().String(), Key: taken.options.Key, Members: taken.options.Members, Clock: taken.options.Clock, Log: taken.options.Log}); err == nil {
 		t.Error("an address that is taken was taken again")
 	}
 }
--- a/internal/gossip/read_test.go
+++ b/internal/gossip/read_test.go
@@ -29,13 +29,13 @@
 }
 
 // Reads that fail for a while are not tried without a pause, and what comes behind them is read.
-func TestReadsThatFailAreTriedAgainWithPauses(t *testing.T) {
+func TestReadResumesAfterFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Transport{in: make(chan datagram, 1)}
+		r := &Transport{incoming: make(chan datagram, 1)}
 		conn := &failingReceiver{end: time.Now().Add(time.Second)}
 		r.read(conn)
-		if most := int(time.Second/readPause) + 2; conn.reads > most || len(r.in) != 1 {
-			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(r.in))
+		if most := int(time.Second/minReadPause) + 2; conn.reads > most || len(r.incoming) != 1 {
+			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(r.incoming))
 		}
 	})
 }
