--- a/internal/gossip/key.go
+++ b/internal/gossip/key.go
@@ -7,22 +7,22 @@
 	"os"
 )
 
-// Bounds of a key's file.
+// Bounds of a key file, in bytes.
 const (
 	minKeySize = 16
 	maxKeySize = 4 << 10
 )
 
-// LoadKey reads a cluster's key: what the file holds without white space round it.
+// LoadKey reads the key of a cluster from a file. White space at its ends is not part of the key.
 func LoadKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: the key: %w", err)
+		return nil, fmt.Errorf("gossip: key file: %w", err)
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxKeySize+1))
 	if err != nil {
-		return nil, fmt.Errorf("gossip: the key: %w", err)
+		return nil, fmt.Errorf("gossip: key file: %w", err)
 	}
 	key := bytes.TrimSpace(text)
 	if len(key) < minKeySize || len(text) > maxKeySize {
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -10,26 +10,26 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// datagram is what came in.
-type datagram struct {
-	from      netip.AddrPort
-	msg       membership.Message
-	zoneState *zonestate.Message // nil: msg is the membership's
-	err       error
-}
-
-// Waits behind reads that fail one after the other.
+// Pauses after reads that fail one after the other.
 const (
 	minReadPause = time.Millisecond
 	maxReadPause = 100 * time.Millisecond
 )
 
-// receiver is the part of a UDP socket that read needs.
+// datagram is a datagram that was received and decoded.
+type datagram struct {
+	from      netip.AddrPort
+	msg       membership.Message // if zoneState is nil
+	zoneState *zonestate.Message
+	err       error
+}
+
+// receiver is what read needs of a UDP socket.
 type receiver interface {
 	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
 }
 
-// read hands what comes in to the loop; what it has no time for is lost, as datagrams may be.
+// read passes incoming datagrams to the loop of Run until the socket is closed. It drops those for which the queue is full.
 func (t *Transport) read(conn receiver) {
 	buf := make([]byte, membership.MaxDatagram+1)
 	pause := minReadPause
@@ -38,29 +38,26 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // what an earlier datagram met at its end, or a want of this machine that may last
-			if t.pause(pause); t.stopped() {
+		if err != nil { // an ICMP error for an earlier datagram, or a shortage on this host, which may last
+			t.pause(pause)
+			if t.stopped() {
 				return
 			}
 			pause = min(2*pause, maxReadPause)
 			continue
 		}
 		pause = minReadPause
-		l := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
-		if n > 0 && buf[0] == zonestate.Version {
-			l.zoneState, l.err = t.decodeZoneState(buf[:n])
-		} else {
-			l.msg, l.err = membership.Decode(buf[:n], t.options.Key)
-		}
+		d := t.decode(buf[:n])
+		d.from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		select {
-		case t.incoming <- l:
+		case t.incoming <- d:
 		default:
 			t.overruns.Add(1)
 		}
 	}
 }
 
-// pause waits for a while, or for the end.
+// pause waits for a while, or until Run ends.
 func (t *Transport) pause(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -70,6 +67,7 @@
 	}
 }
 
+// stopped says that Run has ended.
 func (t *Transport) stopped() bool {
 	select {
 	case <-t.done:
@@ -79,7 +77,18 @@
 	}
 }
 
-// decodeZoneState reads what another tells of facts.
+// decode reads a datagram of either protocol: the first byte is the version of each.
+func (t *Transport) decode(b []byte) datagram {
+	var d datagram
+	if len(b) > 0 && b[0] == zonestate.Version {
+		d.zoneState, d.err = t.decodeZoneState(b)
+	} else {
+		d.msg, d.err = membership.Decode(b, t.options.Key)
+	}
+	return d
+}
+
+// decodeZoneState checks the tag of a datagram of the zone state's protocol and reads it.
 func (t *Transport) decodeZoneState(b []byte) (*zonestate.Message, error) {
 	body, ok := membership.Unseal(b, t.options.Key)
 	if !ok {
@@ -89,19 +98,21 @@
 	return &m, err
 }
 
-func (t *Transport) receive(l datagram) {
+// receive counts a datagram and passes it to its machine.
+func (t *Transport) receive(d datagram) {
+	otherVersion := errors.Is(d.err, membership.ErrVersion) || errors.Is(d.err, zonestate.ErrVersion)
 	switch {
-	case l.zoneState != nil && t.exchange == nil, errors.Is(l.err, membership.ErrVersion), errors.Is(l.err, zonestate.ErrVersion):
+	case otherVersion || d.zoneState != nil && t.exchange == nil:
 		t.counts.Other++
-	case l.err == nil && l.zoneState != nil:
-		t.counts.Received++
-		t.sendZoneState(t.exchange.machine.Receive(t.options.Clock.Now(), *l.zoneState))
-	case l.err == nil:
-		t.counts.Received++
-		t.send(t.machine.Receive(t.options.Clock.Now(), l.from, l.msg))
-	case errors.Is(l.err, membership.ErrStrange):
+	case errors.Is(d.err, membership.ErrStrange):
 		t.counts.Strange++
-	default:
+	case d.err != nil:
 		t.counts.Malformed++
+	case d.zoneState != nil:
+		t.counts.Received++
+		t.sendZoneState(t.exchange.machine.Receive(t.options.Clock.Now(), *d.zoneState))
+	default:
+		t.counts.Received++
+		t.send(t.machine.Receive(t.options.Clock.Now(), d.from, d.msg))
 	}
 }
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -7,28 +7,27 @@
 	"damsontrestle/internal/membership"
 )
 
-// maxOutgoing bounds what a node sends, in bytes a second; a burst of as much may go at once. A member's probes, answers and
-// words take a few hundred.
+// maxOutgoing is the rate of the send budget in bytes a second, and its burst in bytes. A healthy cluster takes a few hundred bytes
+// a second for membership.
 const maxOutgoing = 64 << 10
 
-// sendFailures are of datagrams that could not be sent, each of them as good as lost on its way. They are logged together, once a
-// while.
+// failureLogInterval is the least time between two log lines about failures to send.
+const failureLogInterval = time.Second
+
+// sendFailures counts datagrams that could not be sent. The protocols treat them as lost.
 type sendFailures struct {
-	count  int           // since they were logged last
-	logged time.Duration // clock time; 0: never
+	count  int           // since the last log line
+	logged time.Duration // clock time of the last log line; 0: there was none
 }
 
-// failureLogInterval is how often failures are logged at most.
-const failureLogInterval = time.Second
-
-// send sends what the send budget allows.
+// send sends messages of the membership protocol, as far as the send budget allows.
 func (t *Transport) send(packets []membership.Packet) {
 	for _, p := range packets {
 		t.write(membership.Encode(p.Message, t.options.Key), p.To)
 	}
 }
 
-// write sends a datagram if the send budget allows it.
+// write sends a datagram if the send budget allows it, and reports whether it did.
 func (t *Transport) write(data []byte, to netip.AddrPort) bool {
 	now := t.options.Clock.Now()
 	t.sendBudget = min(maxOutgoing, t.sendBudget+(now-t.budgetAt).Seconds()*maxOutgoing)
@@ -47,7 +46,7 @@
 	return true
 }
 
-// noteFailure notes that a datagram could not be sent.
+// noteFailure counts a datagram that could not be sent, and logs the count at times.
 func (t *Transport) noteFailure(now time.Duration, to netip.AddrPort, err error) {
 	t.failures.count++
 	if t.failures.logged != 0 && now-t.failures.logged < failureLogInterval {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -6,29 +6,29 @@
 	"damsontrestle/internal/membership"
 )
 
-// Counts are of datagrams since the start.
+// Counts are numbers of datagrams since the start.
 type Counts struct {
 	Sent      int64 `json:"sent"`
-	Bytes     int64 `json:"bytes"` // of these, without the headers of UDP and IP
+	Bytes     int64 `json:"bytes"` // in the datagrams sent, without headers of UDP and IP
 	Received  int64 `json:"received"`
 	Strange   int64 `json:"strange"` // of another key
 	Malformed int64 `json:"malformed"`
-	Other     int64 `json:"other"` // of another version, or facts where none are taken
-	Lost      int64 `json:"lost"`  // came faster than they were taken
-	Paced     int64 `json:"paced"` // not sent, for too much went out
+	Other     int64 `json:"other"` // of another version, or zone state at a node without it
+	Lost      int64 `json:"lost"`  // received and dropped, for the queue was full
+	Paced     int64 `json:"paced"` // not sent, for the send budget was spent
 }
 
-// Status is what a Room knows.
+// Status is what a node knows of the others.
 type Status struct {
 	Incarnation uint32           `json:"life"`
-	Health      int              `json:"ill_health"` // 0: well; up to 8
-	Twins       int              `json:"twins"`      // words of lives under this name that were none of this process's
+	Health      int              `json:"ill_health"` // local health score; 0: healthy, up to 8
+	Twins       int              `json:"twins"`      // updates with later incarnations of this name than this process had
 	Members     []Member         `json:"members"`
 	Counts      Counts           `json:"datagrams"`
 	ZoneState   *ZoneStateStatus `json:"facts,omitempty"`
 }
 
-// Member is what is known of another node.
+// Member is the state of another node.
 type Member struct {
 	Name        string        `json:"name"`
 	Addr        string        `json:"address"`
@@ -36,65 +36,83 @@
 	Zone        string        `json:"zone,omitempty"`
 	Status      string        `json:"status"` // alive, suspect, dead, left
 	Incarnation uint32        `json:"life"`
-	For         time.Duration `json:"for"`             // how long it has been of this status here
-	Heard       time.Duration `json:"heard,omitempty"` // how long ago a message of its own came; negative: never
+	For         time.Duration `json:"for"`             // for how long it has had this status here
+	Heard       time.Duration `json:"heard,omitempty"` // time since its last message; negative: there was none
 }
 
-// publishMembers logs what has changed of other nodes.
+// publishMembers makes changes of the membership visible: to Living, and in the log.
 func (t *Transport) publishMembers() {
 	if t.loggedChanges == t.machine.Changes() {
 		return
 	}
 	t.loggedChanges = t.machine.Changes()
-	var living []membership.Peer
-	for _, k := range t.machine.Members() {
+	members := t.machine.Members()
+	var active []membership.Peer
+	for _, k := range members {
 		if k.Status <= membership.Suspect {
-			living = append(living, k.Peer)
+			active = append(active, k.Peer)
 		}
 	}
-	t.active.Store(&living)
-	for _, k := range t.machine.Members() {
-		if was, known := t.loggedStatus[k.Name]; !known || was != k.Status {
-			t.loggedStatus[k.Name] = k.Status
-			t.options.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
+	t.active.Store(&active)
+	for _, k := range members {
+		logged, known := t.loggedStatus[k.Name]
+		if known && logged == k.Status {
+			continue
 		}
+		t.loggedStatus[k.Name] = k.Status
+		t.options.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
 	}
 }
 
-// Living are the other members that are held for alive, or are only suspected not to be; none before Run.
+// Living returns the other members that are alive or suspect; none before Run. The caller must not change the slice.
 func (t *Transport) Living() []membership.Peer {
-	if l := t.active.Load(); l != nil {
-		return *l
+	if active := t.active.Load(); active != nil {
+		return *active
 	}
 	return nil
 }
 
-// Status tells what is known; nothing before Run and after its end.
+// Status returns what the node knows of the others: nothing before Run and after its end. It waits for the loop of Run.
 func (t *Transport) Status() Status {
-	to := make(chan Status, 1)
+	reply := make(chan Status, 1)
 	select {
 	case <-t.started:
 	default:
 		return Status{}
 	}
 	select {
-	case t.statusRequests <- to:
-		return <-to
+	case t.statusRequests <- reply:
+		return <-reply
 	case <-t.done:
 		return Status{}
 	}
 }
 
+// status returns the Status; it runs in the loop of Run.
 func (t *Transport) status() Status {
 	now := t.options.Clock.Now()
 	_, incarnation := t.machine.Self()
-	s := Status{Incarnation: incarnation, Health: t.machine.Health(), Twins: t.machine.Twins, Counts: t.counts}
+	s := Status{
+		Incarnation: incarnation,
+		Health:      t.machine.Health(),
+		Twins:       t.machine.Twins,
+		Counts:      t.counts,
+	}
 	s.Counts.Lost = t.overruns.Load()
 	if t.exchange != nil {
 		s.ZoneState = t.exchange.status(now)
 	}
 	for _, k := range t.machine.Members() {
-		m := Member{Name: k.Name, Addr: k.Addr.String(), Region: k.Region, Zone: k.Zone, Status: k.Status.String(), Incarnation: k.Incarnation, For: now - k.Since, Heard: -1}
+		m := Member{
+			Name:        k.Name,
+			Addr:        k.Addr.String(),
+			Region:      k.Region,
+			Zone:        k.Zone,
+			Status:      k.Status.String(),
+			Incarnation: k.Incarnation,
+			For:         now - k.Since,
+			Heard:       -1,
+		}
 		if k.Heard > 0 {
 			m.Heard = now - k.Heard
 		}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,5 +1,10 @@
-// Package gossip is the one room that carries datagrams between nodes: a UDP socket, the cluster's key, and a bound on what
-// goes out. It decides nothing: who lives is internal/membership', and what nodes tell one another is internal/zonestate'.
+// Package gossip is the transport of datagrams between nodes: a UDP socket, the cluster's key, and a bound on the bytes sent. It
+// drives the state machines of internal/membership and internal/zonestate, which decide what is sent, and it publishes and
+// logs what they hold.
+//
+// It promises that datagrams of another key change nothing, that at most maxOutgoing bytes a second are sent, and that no
+// method but Run blocks for longer than the loop of Run takes for one event. A datagram that can't be sent or read counts
+// as lost.
 package gossip
 
 import (
@@ -18,39 +23,46 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Options are what a Room is made of.
+// queuedDatagrams is how many datagrams may wait for the loop of Run. What comes beyond is dropped.
+const queuedDatagrams = 256
+
+// Options are the parameters of a Transport.
 type Options struct {
 	Self      membership.Peer
-	Listen    string // address of the UDP socket
-	Key       []byte
-	Members   membership.Options
-	ZoneState *zonestate.Options // nil: no facts are told, and none are taken
+	Listen    string             // address of the UDP socket
+	Key       []byte             // of the cluster, as LoadKey returns it
+	Members   membership.Options // of the membership protocol
+	ZoneState *zonestate.Options // nil: zone state is neither sent nor received
 	Clock     clock.Clock
 	Log       *slog.Logger
 }
 
-// Transport is one node's.
+// Transport carries the gossip of one node. Its state belongs to the goroutine of Run, but for the channels, the atomics and
+// what never changes.
 type Transport struct {
-	options        Options
-	conn           packetConn
-	machine        *membership.Machine
-	exchange       *exchange // nil: none
-	loads          chan Seen
-	incoming       chan datagram
-	statusRequests chan chan Status
-	done           chan struct{}
-	started        chan struct{}
+	options  Options
+	conn     packetConn
+	machine  *membership.Machine
+	exchange *exchange // nil: Options.ZoneState was
+
+	loads          chan Seen        // from PublishLoad
+	incoming       chan datagram    // from read
+	statusRequests chan chan Status // from Status
+	started        chan struct{}    // closed when Run begins
+	done           chan struct{}    // closed when Run ends
 	active         atomic.Pointer[[]membership.Peer]
-	loggedStatus   map[string]membership.Status // as was logged last
-	loggedChanges  int                          // changes of the membership that were
-	counts         Counts
-	overruns       atomic.Int64
-	sendBudget     float64 // bytes that may go out
-	budgetAt       time.Duration
-	failures       sendFailures
+	overruns       atomic.Int64 // datagrams that the loop had no time for
+
+	loggedStatus  map[string]membership.Status // by name, as it was logged last
+	loggedChanges int                          // Changes of the membership when it was logged last
+	counts        Counts
+	failures      sendFailures
+
+	sendBudget float64       // bytes that may be sent
+	budgetAt   time.Duration // when sendBudget was computed
 }
 
-// packetConn are what a Room needs of a net.UDPConn.
+// packetConn is what a Transport needs of a net.UDPConn.
 type packetConn interface {
 	ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error)
@@ -58,40 +70,52 @@
 	Close() error
 }
 
-// Open opens the socket. Nothing goes out before Run.
+// Open opens the socket. Nothing is sent before Run.
 func Open(o Options) (*Transport, error) {
-	var seed [8]byte
-	if _, err := rand.Read(seed[:]); err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return nil, fmt.Errorf("gossip: seed: %w", err)
 	}
-	m, err := membership.New(o.Self, o.Members, binary.LittleEndian.Uint64(seed[:]))
+	seed := binary.LittleEndian.Uint64(random[:])
+	m, err := membership.New(o.Self, o.Members, seed)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
+	var x *exchange
+	if o.ZoneState != nil {
+		id, _ := m.Self()
+		x, err = newExchange(o, id, seed+1)
+		if err != nil {
+			return nil, fmt.Errorf("gossip: %w", err)
+		}
+	}
 	addr, err := net.ResolveUDPAddr("udp", o.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, fmt.Errorf("gossip: address: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	t := &Transport{options: o, conn: conn, machine: m, loads: make(chan Seen, 1), incoming: make(chan datagram, 256), statusRequests: make(chan chan Status), done: make(chan struct{}),
-		started: make(chan struct{}), loggedStatus: map[string]membership.Status{}, loggedChanges: -1}
-	if o.ZoneState != nil {
-		id, _ := m.Self()
-		if t.exchange, err = newExchange(o, id, binary.LittleEndian.Uint64(seed[:])+1); err != nil {
-			conn.Close()
-			return nil, fmt.Errorf("gossip: %w", err)
-		}
-	}
-	return t, nil
+	return &Transport{
+		options:        o,
+		conn:           conn,
+		machine:        m,
+		exchange:       x,
+		loads:          make(chan Seen, 1),
+		incoming:       make(chan datagram, queuedDatagrams),
+		statusRequests: make(chan chan Status),
+		started:        make(chan struct{}),
+		done:           make(chan struct{}),
+		loggedStatus:   map[string]membership.Status{},
+		loggedChanges:  -1,
+	}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the socket.
 func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Run takes part until ctx ends, and then says goodbye.
+// Run takes part in the gossip until ctx ends, and then announces that the node leaves. It is called once.
 func (t *Transport) Run(ctx context.Context) {
 	close(t.started)
 	defer close(t.done)
@@ -104,12 +128,12 @@
 		case <-ctx.Done():
 			t.send(t.machine.Leave(t.options.Clock.Now()))
 			return
-		case l := <-t.incoming:
-			t.receive(l)
-		case to := <-t.statusRequests:
-			to <- t.status()
-		case s := <-t.loads:
-			t.setLoad(s)
+		case d := <-t.incoming:
+			t.receive(d)
+		case reply := <-t.statusRequests:
+			reply <- t.status()
+		case load := <-t.loads:
+			t.setLoad(load)
 		case <-timer.C:
 			t.tick()
 		}
@@ -119,7 +143,7 @@
 	}
 }
 
-// next is when tick is due.
+// next returns the time at which tick is due.
 func (t *Transport) next() time.Duration {
 	if t.exchange == nil {
 		return t.machine.Next()
@@ -127,8 +151,10 @@
 	return min(t.machine.Next(), t.exchange.machine.Next())
 }
 
+// tick has the machines do what is due.
 func (t *Transport) tick() {
-	if now := t.options.Clock.Now(); t.machine.Next() <= now {
+	now := t.options.Clock.Now()
+	if t.machine.Next() <= now {
 		t.send(t.machine.Tick(now))
 	}
 	if x := t.exchange; x != nil && x.machine.Next() <= t.options.Clock.Now() {
@@ -138,7 +164,7 @@
 	}
 }
 
-// Close closes a room that was not run; one that runs ends with its context.
+// Close closes a transport that was not run. One that runs ends with its context; then Close waits for that.
 func (t *Transport) Close() {
 	select {
 	case <-t.started:
--- a/internal/gossip/truth.go
+++ b/internal/gossip/truth.go
@@ -8,13 +8,13 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// truthEntries tells when a part was made, for whoever knows the truth: in this build nobody does.
+// truthEntries returns when a part was made, for the auditor of the fault bench. Other builds do not send it.
 func truthEntries() []zonestate.Entry { return nil }
 
-// truth is what time it is, for all nodes of one machine: in this build that is not known.
+// truth is a time that all nodes of one host share. This build does not use it.
 type truth struct{}
 
 func readTruth() truth { return truth{} }
 
-// underReported is by how much more an answer is old than it says.
+// underReported returns by how much the age of a value exceeds the bound that comes with it.
 func (truth) underReported(zonestate.Value) time.Duration { return 0 }
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -5,21 +5,24 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Seen is what a node sees itself, for the exchange, and the names of what it is about.
+// Seen is what a node has measured itself.
 type Seen struct {
 	Entries []zonestate.Entry
-	Names   map[zonestate.Subject]string
+	Names   map[zonestate.Subject]string // of the subjects of all entries, for Status
 }
 
-// exchange is a Room's part in facts.
+// placeName is the name of a place.
+type placeName struct{ region, zone string }
+
+// exchange is a Transport's part in the exchange of zone state. It belongs to the goroutine of Run.
 type exchange struct {
 	machine *zonestate.Machine
 	options zonestate.Options
-	places  map[zonestate.Place][2]string // region and zone
+	places  map[zonestate.Place]placeName
 	names   map[zonestate.Subject]string
-	logged  map[zonestate.Place]zonestate.Freshness // as were logged last
-	changes int                                     // of the membership, that the machine has seen
-	sent    [zonestate.Query + 1]int
+	logged  map[zonestate.Place]zonestate.Freshness // as it was logged last
+	changes int                                     // Changes of the membership in the machine's view; -1: it has none
+	sent    [zonestate.Query + 1]int                // messages, by kind
 }
 
 func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
@@ -28,11 +31,15 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &exchange{machine: m, options: *o.ZoneState, logged: map[zonestate.Place]zonestate.Freshness{}, changes: -1}
-	return x, nil
+	return &exchange{
+		machine: m,
+		options: *o.ZoneState,
+		logged:  map[zonestate.Place]zonestate.Freshness{},
+		changes: -1,
+	}, nil
 }
 
-// updateView has the machine see the membership as it is now.
+// updateView gives the machine the membership as it is now, if that has changed.
 func (t *Transport) updateView() {
 	x := t.exchange
 	if x == nil || x.changes == t.machine.Changes() {
@@ -41,19 +48,25 @@
 	x.changes = t.machine.Changes()
 	id, incarnation := t.machine.Self()
 	self := t.options.Self
-	at := zonestate.PlaceOf(self.Region, self.Zone)
-	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: at}}
-	x.places = map[zonestate.Place][2]string{at: {self.Region, self.Zone}}
+	place := zonestate.PlaceOf(self.Region, self.Zone)
+	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: place}}
+	x.places = map[zonestate.Place]placeName{place: {self.Region, self.Zone}}
 	for _, k := range t.machine.Members() {
-		at := zonestate.PlaceOf(k.Region, k.Zone)
-		x.places[at] = [2]string{k.Region, k.Zone}
-		all = append(all, zonestate.Peer{ID: uint64(k.ID), Addr: k.Addr, Place: at, Suspect: k.Status == membership.Suspect, Gone: k.Status > membership.Suspect})
+		place := zonestate.PlaceOf(k.Region, k.Zone)
+		x.places[place] = placeName{k.Region, k.Zone}
+		all = append(all, zonestate.Peer{
+			ID:      uint64(k.ID),
+			Addr:    k.Addr,
+			Place:   place,
+			Suspect: k.Status == membership.Suspect,
+			Gone:    k.Status > membership.Suspect,
+		})
 	}
 	x.machine.SetIncarnation(incarnation)
 	x.machine.SetView(t.options.Clock.Now(), zonestate.NewView(all))
 }
 
-// sendZoneState sends what the exchange has to say, within the room's send budget.
+// sendZoneState sends messages of the zone state's protocol, as far as the send budget allows.
 func (t *Transport) sendZoneState(packets []zonestate.Packet) {
 	for _, p := range packets {
 		if t.write(membership.Seal(zonestate.Append(nil, p.Message), t.options.Key), p.To) {
@@ -62,7 +75,7 @@
 	}
 }
 
-// PublishLoad hands in what the node sees now. It never blocks; of two that wait, the later holds.
+// PublishLoad sets what the node has measured now. It never blocks: a later call replaces one that Run has not taken yet.
 func (t *Transport) PublishLoad(s Seen) {
 	select {
 	case <-t.loads:
@@ -74,26 +87,30 @@
 	}
 }
 
-// setLoad takes what the node sees.
+// setLoad passes what the node has measured to the machine.
 func (t *Transport) setLoad(s Seen) {
-	if x := t.exchange; x != nil {
-		x.names = s.Names
-		x.machine.Set(t.options.Clock.Now(), zonestate.Sort(append(s.Entries, truthEntries()...)))
+	x := t.exchange
+	if x == nil {
+		return
 	}
+	x.names = s.Names
+	entries := append(s.Entries, truthEntries()...)
+	x.machine.Set(t.options.Clock.Now(), zonestate.Sort(entries))
 }
 
-// logZones logs each change of what is known of a zone.
+// logZones logs each change of a zone's freshness.
 func (t *Transport) logZones() {
 	x := t.exchange
-	truth := readTruth() // before the clock: nothing gets older between
+	truth := readTruth() // before the clock is read, so that no row ages between the two
 	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
-		if was, told := x.logged[z.Place]; !told || was != z.Freshness {
+		name := x.places[z.Place]
+		if logged, known := x.logged[z.Place]; !known || logged != z.Freshness {
 			x.logged[z.Place] = z.Freshness
-			t.options.Log.Info("zone", "region", x.places[z.Place][0], "zone", x.places[z.Place][1], "facts", z.Freshness, "from", z.From, "of", z.Of)
+			t.options.Log.Info("zone", "region", name.region, "zone", name.zone, "facts", z.Freshness, "from", z.From, "of", z.Of)
 		}
 		if short := truth.underReported(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
-			t.options.Log.Error("an age was under-reported", "zone", x.places[z.Place][1], "by", short)
+			t.options.Log.Error("an age was under-reported", "zone", name.zone, "by", short)
 		}
 	}
 }
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -7,70 +7,132 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// ZoneStateStatus is what a Room knows of zones.
+// ZoneStateStatus is what a node knows of zones.
 type ZoneStateStatus struct {
-	Fresh   time.Duration     `json:"fresh"` // that the file asks for
-	Alone   bool              `json:"alone"` // nothing fresh is known of anybody else
+	Fresh   time.Duration     `json:"fresh"` // as configured
+	Alone   bool              `json:"alone"` // nothing fresh is known of other nodes
 	Zones   []Zone            `json:"zones"`
-	Rows    int               `json:"rows"` // that are held, children's parts among them
+	Rows    int               `json:"rows"` // rows and children's parts that are stored
 	Dropped zonestate.Dropped `json:"dropped"`
 	Sent    map[string]int    `json:"sent"` // messages by kind
 }
 
-// Zone is what is known of one.
+// Zone is the state of one zone.
 type Zone struct {
 	Region string        `json:"region,omitempty"`
 	Zone   string        `json:"zone"`
 	Word   string        `json:"word"`          // fresh, stale, unknown
-	For    time.Duration `json:"for"`           // how long that has been so; of unknown after stale, for how long it was not fresh
-	Age    time.Duration `json:"age,omitempty"` // of the oldest part, at most
-	From   int           `json:"from"`          // nodes whose parts are in it
-	Of     int           `json:"of"`            // nodes that live there
+	For    time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
+	Age    time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
+	From   int           `json:"from"`          // number of nodes whose parts are in it
+	Of     int           `json:"of"`            // number of active nodes
 	Told   []LoadReport  `json:"told,omitempty"`
 }
 
-// LoadReport is one figure.
+// LoadReport is one value of a zone.
 type LoadReport struct {
 	What   string        `json:"what"`
-	Of     string        `json:"of"` // the subject's name, or its number where the node knows no name
+	Of     string        `json:"of"` // name of the subject, or its number if the node does not know the name
 	Amount float64       `json:"amount"`
-	Age    time.Duration `json:"age"`
-	From   int           `json:"from"`
+	Age    time.Duration `json:"age"`  // upper bound on the age of the oldest part
+	From   int           `json:"from"` // number of nodes whose parts are in it
 }
 
-// reportKinds name kinds for people.
-var reportKinds = map[zonestate.Kind]string{zonestate.Demand: "demand", zonestate.Rejected: "refused", zonestate.Open: "open", zonestate.Ready: "ready", zonestate.Warm: "warm",
-	zonestate.Newest: "newest", zonestate.Oldest: "oldest", zonestate.Made: "made", zonestate.Sent: "sent", zonestate.Bad: "bad", zonestate.Lag: "lag",
-	zonestate.Failures: "trouble", zonestate.InFlight: "held", zonestate.Sketch: "sketch"}
+// kindNames are the names of kinds in a LoadReport.
+var kindNames = map[zonestate.Kind]string{
+	zonestate.Demand:   "demand",
+	zonestate.Rejected: "refused",
+	zonestate.Open:     "open",
+	zonestate.Ready:    "ready",
+	zonestate.Warm:     "warm",
+	zonestate.Newest:   "newest",
+	zonestate.Oldest:   "oldest",
+	zonestate.Made:     "made",
+	zonestate.Sent:     "sent",
+	zonestate.Bad:      "bad",
+	zonestate.Lag:      "lag",
+	zonestate.Failures: "trouble",
+	zonestate.InFlight: "held",
+	zonestate.Sketch:   "sketch",
+}
+
+// messageNames are the names of messages in ZoneStateStatus.Sent.
+var messageNames = map[zonestate.MessageKind]string{
+	zonestate.Up:    "parts",
+	zonestate.Down:  "rows",
+	zonestate.Reply: "answers",
+	zonestate.Query: "questions",
+}
+
+// firstKinds are a kind of each page.
+var firstKinds = []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Failures, zonestate.Sketch}
+
+// maxSketchPower bounds the power of two in the name of a Sketch entry.
+const maxSketchPower = 40
 
-// status tells what is known, by region and zone.
+// status returns the state of all zones.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
-	f := &ZoneStateStatus{Fresh: x.options.Fresh, Alone: x.machine.Alone(now), Rows: x.machine.Size(), Dropped: x.machine.Dropped, Sent: map[string]int{}}
-	for kind, name := range map[zonestate.MessageKind]string{zonestate.Up: "parts", zonestate.Down: "rows", zonestate.Reply: "answers", zonestate.Query: "questions"} {
-		f.Sent[name] = x.sent[kind]
+	s := &ZoneStateStatus{
+		Fresh:   x.options.Fresh,
+		Alone:   x.machine.Alone(now),
+		Rows:    x.machine.Size(),
+		Dropped: x.machine.Dropped,
+		Sent:    map[string]int{},
+	}
+	for kind, name := range messageNames {
+		s.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
-		out := Zone{Region: x.places[z.Place][0], Zone: x.places[z.Place][1], Word: z.Freshness.String(), For: now - z.Since, Age: z.Age, From: z.From, Of: z.Of}
-		for _, page := range []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Failures, zonestate.Sketch} {
-			row, found := x.machine.Row(now, z.Place, page)
-			for _, e := range row.Entries {
-				what, known := reportKinds[e.Kind]
-				if !known {
-					what = fmt.Sprintf("kind %#x", uint8(e.Kind))
-				}
-				name, known := x.names[e.Subject]
-				switch {
-				case e.Kind == zonestate.Sketch:
-					name = fmt.Sprintf("under %v", time.Duration(1<<min(uint(e.Subject), 40))*time.Microsecond)
-				case !known:
-					name = fmt.Sprintf("%#08x", uint32(e.Subject))
-				}
-				if found {
-					out.Told = append(out.Told, LoadReport{what, name, e.Value, row.Age, row.From})
-				}
-			}
+		name := x.places[z.Place]
+		s.Zones = append(s.Zones, Zone{
+			Region: name.region,
+			Zone:   name.zone,
+			Word:   z.Freshness.String(),
+			For:    now - z.Since,
+			Age:    z.Age,
+			From:   z.From,
+			Of:     z.Of,
+			Told:   x.loadReports(now, z.Place),
+		})
+	}
+	return s
+}
+
+// loadReports returns the values of a zone's rows.
+func (x *exchange) loadReports(now time.Duration, of zonestate.Place) []LoadReport {
+	var reports []LoadReport
+	for _, kind := range firstKinds {
+		row, found := x.machine.Row(now, of, kind)
+		if !found {
+			continue
 		}
-		f.Zones = append(f.Zones, out)
+		for _, e := range row.Entries {
+			reports = append(reports, LoadReport{
+				What:   kindName(e.Kind),
+				Of:     x.subjectName(e),
+				Amount: e.Value,
+				Age:    row.Age,
+				From:   row.From,
+			})
+		}
+	}
+	return reports
+}
+
+func kindName(k zonestate.Kind) string {
+	if name, known := kindNames[k]; known {
+		return name
+	}
+	return fmt.Sprintf("kind %#x", uint8(k))
+}
+
+func (x *exchange) subjectName(e zonestate.Entry) string {
+	if e.Kind == zonestate.Sketch {
+		power := min(uint(e.Subject), maxSketchPower)
+		return fmt.Sprintf("under %v", time.Duration(1<<power)*time.Microsecond)
+	}
+	if name, known := x.names[e.Subject]; known {
+		return name
 	}
-	return f
+	return fmt.Sprintf("%#08x", uint32(e.Subject))
 }
