--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -15,11 +15,11 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// faultySocket has its requests fail with the errnos of a table in turn, while it is told to.
+// faultySocket fails with the errors of a table in turn, while reads or writes are set.
 type faultySocket struct {
 	packetConn
-	reads, writes         atomic.Bool // whether they fail
-	readsBegun, writeCall atomic.Int64
+	reads, writes         atomic.Bool  // they fail
+	readCalls, writeCalls atomic.Int64 // numbers of calls
 }
 
 var errnos = []syscall.Errno{syscall.ENOBUFS, syscall.EPERM, syscall.ENETUNREACH, syscall.ECONNREFUSED, syscall.ENOMEM, syscall.EHOSTUNREACH,
@@ -30,14 +30,14 @@
 }
 
 func (f *faultySocket) ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error) {
-	if n := f.readsBegun.Add(1); f.reads.Load() {
+	if n := f.readCalls.Add(1); f.reads.Load() {
 		return 0, netip.AddrPort{}, socketError("recvfrom", n)
 	}
 	return f.packetConn.ReadFromUDPAddrPort(p)
 }
 
 func (f *faultySocket) WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error) {
-	if n := f.writeCall.Add(1); f.writes.Load() {
+	if n := f.writeCalls.Add(1); f.writes.Load() {
 		return 0, socketError("sendto", n)
 	}
 	return f.packetConn.WriteToUDPAddrPort(p, to)
@@ -61,8 +61,8 @@
 	return strings.Count(l.text.String(), what)
 }
 
-// A datagram that can't be sent is one that is lost: the room goes on, says so in one line a second, and the others hear of it again
-// once sends pass.
+// A datagram that can't be sent counts as lost: the transport goes on, logs one line a second, and its node is alive for others once
+// sends succeed.
 func TestSendFailuresCountAsLoss(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -75,16 +75,17 @@
 	run(t, a)
 	run(t, b)
 	begin := b.options.Clock.Now()
-	testpeer.Until(t, "sends of every errno", func() bool { return socket.writeCall.Load() > int64(2*len(errnos)) })
-	lines, most := text.count("can't be sent"), 1+int((b.options.Clock.Now()-begin)/failureLogInterval)
-	if lines < 1 || lines > most || b.Status().Counts.Sent != 0 {
+	testpeer.Until(t, "a send with each error", func() bool { return socket.writeCalls.Load() > int64(2*len(errnos)) })
+	lines := text.count("can't be sent")
+	maxLines := 1 + int((b.options.Clock.Now()-begin)/failureLogInterval)
+	if lines < 1 || lines > maxLines || b.Status().Counts.Sent != 0 {
 		t.Errorf("%d lines in %v, %+v", lines, b.options.Clock.Now()-begin, b.Status().Counts)
 	}
 	socket.writes.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
 }
 
-// Reads that fail one after the other are made seldom, and the first that brings something counts.
+// Reads that fail one after the other back off, and the first one that succeeds resets that.
 func TestReadFailuresBackOff(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -95,10 +96,10 @@
 	run(t, a)
 	stop := run(t, b)
 	begin := b.options.Clock.Now()
-	testpeer.Until(t, "reads that fail", func() bool { return b.options.Clock.Now()-begin > 4*maxReadPause })
+	testpeer.Until(t, "failing reads", func() bool { return b.options.Clock.Now()-begin > 4*maxReadPause })
 	// 1, 2, 4 ... 64 ms and then 100 ms each: seven within the first 127 ms, and no more than one each 100 ms from then on.
-	if most := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readsBegun.Load() > most {
-		t.Errorf("%d reads in %v, at most %d", socket.readsBegun.Load(), b.options.Clock.Now()-begin, most)
+	if most := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readCalls.Load() > most {
+		t.Errorf("%d reads in %v, at most %d", socket.readCalls.Load(), b.options.Clock.Now()-begin, most)
 	}
 	socket.reads.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -23,30 +23,40 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// open opens a room on loopback that knows of seeds.
+// open opens a transport on loopback with seeds, without zone state.
 func open(t *testing.T, name, key string, seeds ...netip.AddrPort) *Transport {
 	return openWith(t, name, key, nil, seeds...)
 }
 
-func openWith(t *testing.T, name, key string, told *zonestate.Options, seeds ...netip.AddrPort) *Transport {
+// openWith opens a transport on loopback with seeds, and with zone state if its options are not nil.
+func openWith(t *testing.T, name, key string, zoneState *zonestate.Options, seeds ...netip.AddrPort) *Transport {
 	t.Helper()
 	o := membership.Defaults()
-	o.Period, o.Timeout, o.Seeds = 50*time.Millisecond, 15*time.Millisecond, seeds
-	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a port of which the room can tell before it opens
+	o.Period = 50 * time.Millisecond
+	o.Timeout = 15 * time.Millisecond
+	o.Seeds = seeds
+	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a free port, which Self has to name before Open
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := free.LocalAddr().String()
+	addr := free.LocalAddr().String()
 	free.Close()
-	r, err := Open(Options{Self: membership.Peer{Name: name, Addr: netip.MustParseAddrPort(at), Zone: "z"}, Listen: at, Key: []byte(key), Members: o, ZoneState: told,
-		Clock: clock.New(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	r, err := Open(Options{
+		Self:      membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
+		Listen:    addr,
+		Key:       []byte(key),
+		Members:   o,
+		ZoneState: zoneState,
+		Clock:     clock.New(),
+		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// run runs a room until the test's end, or until stop.
+// run runs a transport until the test's end, or until stop.
 func run(t *testing.T, r *Transport) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.Run(ctx)
@@ -59,7 +69,7 @@
 	return stop
 }
 
-// status is what a room holds of another, by name.
+// status returns the status that a transport holds of a node; empty: it does not know it.
 func status(r *Transport, name string) string {
 	for _, m := range r.Status().Members {
 		if m.Name == name {
@@ -69,12 +79,13 @@
 	return ""
 }
 
-// Three rooms that know one of them come to know all; who leaves says so. One of another key is not heard, and neither is
-// what is no datagram of theirs.
+// Three transports with one seed discover one another, and one that leaves announces it. Datagrams of another key and malformed ones
+// are counted and change nothing.
 func TestTransportsDiscoverEachOther(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
-	b, c := open(t, "b", key, a.Addr()), open(t, "c", key, a.Addr())
+	b := open(t, "b", key, a.Addr())
+	c := open(t, "c", key, a.Addr())
 	other := open(t, "other", "a key of another cluster", a.Addr())
 	var stop func()
 	for _, r := range []*Transport{a, b, c, other} {
@@ -89,9 +100,9 @@
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
 		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
 	}
-	testpeer.Until(t, "the strange datagrams are counted", func() bool { return a.Status().Counts.Strange > 0 })
+	testpeer.Until(t, "datagrams of another key are counted", func() bool { return a.Status().Counts.Strange > 0 })
 	if got := status(a, "other"); got != "" || len(other.Status().Members) > 0 {
-		t.Errorf("another cluster's room is held for %q, and knows %+v", got, other.Status().Members)
+		t.Errorf("a node of another cluster has status %q, and knows %+v", got, other.Status().Members)
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
@@ -103,11 +114,11 @@
 	stop()
 	testpeer.Until(t, "the one that left has left for the others", func() bool { return status(a, "c") == "left" && status(b, "c") == "left" })
 	if s := c.Status(); len(s.Members) != 0 {
-		t.Errorf("a room that has ended tells %+v", s)
+		t.Errorf("a transport that has ended returns %+v", s)
 	}
 }
 
-// A room never sends beyond its pace, whatever its machine wants.
+// A transport never exceeds its send budget, whatever its machine asks for.
 func TestSendRateIsBounded(t *testing.T) {
 	r := open(t, "a", "a key of sixteen bytes or more")
 	defer r.Close()
@@ -120,13 +131,17 @@
 	r.send(packets)
 	size := int64(len(membership.Encode(packets[0].Message, r.options.Key)))
 	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < maxOutgoing/2 || r.counts.Sent+r.counts.Paced != 3000 {
-		t.Errorf("%d bytes went out of %d allowed at once, %d datagrams were held back", sent, maxOutgoing, r.counts.Paced)
+		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxOutgoing, r.counts.Paced)
 	}
 }
 
 func TestInvalidKeysAndAddresses(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"short": "  short \n", "long": strings.Repeat("k", maxKeySize+1), "good": " sixteen bytes at least\n"} {
+	for name, text := range map[string]string{
+		"short": "  short \n",
+		"long":  strings.Repeat("k", maxKeySize+1),
+		"good":  " sixteen bytes at least\n",
+	} {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -144,24 +159,28 @@
 	}
 	taken := open(t, "a", "a key of sixteen bytes or more")
 	defer taken.Close()
-	if _, err := Open(Options{Self: taken.options.Self, Listen: taken.Addr().String(), Key: taken.options.Key, Members: taken.options.Members, Clock: taken.options.Clock, Log: taken.options.Log}); err == nil {
-		t.Error("an address that is taken was taken again")
+	again := taken.options
+	again.Listen = taken.Addr().String()
+	if _, err := Open(again); err == nil {
+		t.Error("an address in use was opened again")
 	}
 }
 
-// Rooms that tell one another of zones stand beside one that knows of no such thing, as an older build: it counts what it
-// does not understand, all live for all, and the others know of one another's parts.
+// Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does not
+// understand, all are alive for all, and the others have one another's parts.
 func TestZoneStateBesidePeerWithout(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	o := zonestate.Defaults(2 * time.Second)
 	a := openWith(t, "a", key, &o)
-	b, c, old := openWith(t, "b", key, &o, a.Addr()), openWith(t, "c", key, &o, a.Addr()), open(t, "old", key, a.Addr())
-	told := Seen{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
+	b := openWith(t, "b", key, &o, a.Addr())
+	c := openWith(t, "c", key, &o, a.Addr())
+	old := open(t, "old", key, a.Addr())
+	load := Seen{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
 	for _, r := range []*Transport{a, b, c, old} {
 		run(t, r)
 	}
 	sum := func(r *Transport) (amount float64, from int) {
-		r.PublishLoad(told)
+		r.PublishLoad(load)
 		f := r.Status().ZoneState
 		if f == nil || f.Alone {
 			return 0, 0
@@ -176,18 +195,18 @@
 		return 0, 0
 	}
 	for _, r := range []*Transport{a, b, c} {
-		testpeer.Until(t, "three parts to be known", func() bool {
+		testpeer.Until(t, "the sum of three parts", func() bool {
 			for _, other := range []*Transport{a, b, c} {
-				other.PublishLoad(told)
+				other.PublishLoad(load)
 			}
 			amount, from := sum(r)
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to have counted", func() bool { return old.Status().Counts.Other > 0 && old.Status().ZoneState == nil })
+	testpeer.Until(t, "the older one to count messages", func() bool { return old.Status().Counts.Other > 0 && old.Status().ZoneState == nil })
 	for _, r := range []*Transport{a, b, c} {
 		if got := status(r, "old"); got != "alive" {
-			t.Errorf("the older one is %s", got)
+			t.Errorf("the older one has status %s", got)
 		}
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
@@ -198,7 +217,7 @@
 	before := a.Status().Counts
 	nc.Write(membership.Seal([]byte{zonestate.Version, 1, 2, 3}, []byte(key)))
 	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
-	testpeer.Until(t, "the malformed and the strange one to be counted", func() bool {
+	testpeer.Until(t, "the malformed one and the one of another key to be counted", func() bool {
 		is := a.Status().Counts
 		return is.Malformed > before.Malformed && is.Strange > before.Strange
 	})
--- a/internal/gossip/read_test.go
+++ b/internal/gossip/read_test.go
@@ -11,9 +11,9 @@
 
 // failingReceiver fails for a second, then gives one datagram, and is closed.
 type failingReceiver struct {
-	end   time.Time
-	reads int
-	given bool
+	end       time.Time
+	reads     int
+	delivered bool
 }
 
 func (f *failingReceiver) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
@@ -21,14 +21,14 @@
 	switch {
 	case time.Now().Before(f.end) && f.reads < 1_000_000:
 		return 0, netip.AddrPort{}, syscall.ENOBUFS
-	case !f.given:
-		f.given = true
+	case !f.delivered:
+		f.delivered = true
 		return copy(b, "x"), netip.MustParseAddrPort("127.0.0.1:1"), nil
 	}
 	return 0, netip.AddrPort{}, net.ErrClosed
 }
 
-// Reads that fail for a while are not tried without a pause, and what comes behind them is read.
+// Reads that fail for a while are retried with pauses, and the datagram after them is received.
 func TestReadResumesAfterFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Transport{incoming: make(chan datagram, 1)}
