--- a/internal/peering/hello.go
+++ b/internal/peering/hello.go
@@ -31,8 +31,8 @@
 const (
 	nonceSize = 16
 	tagSize   = 16 // of HMAC-SHA-256, shortened
-	mostHello = 4 << 10
-	mostName  = 64
+	maxHello  = 4 << 10
+	maxName   = 64
 )
 
 // encoding and decoding are of all that goes over links. What comes in is bounded by its frame, and by these.
@@ -60,17 +60,17 @@
 // Encode is how v goes over links.
 func Encode(v any) ([]byte, error) { return encoding.Marshal(v) }
 
-// shaken is what a hello came to.
-type shaken struct {
+// session is what a hello came to.
+type session struct {
 	peer Peer
-	in   *opener
-	out  *sealer
+	in   *frameReader
+	out  *frameWriter
 }
 
-// shake says hello and hears the other side's. Each proves by a tag over both hellos that it has the key; frames carry tags
+// handshake says hello and hears the other side's. Each proves by a tag over both hellos that it has the key; frames carry tags
 // of keys that are made of the key and both nonces, one for each direction.
-func shake(c net.Conn, o Options, dialed bool, partner string) (*shaken, error) {
-	c.SetDeadline(time.Now().Add(helloLimit))
+func handshake(c net.Conn, o Options, dialed bool, partner string) (*session, error) {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	own := hello{Version: version, Peer: o.Self, To: partner, Nonce: make([]byte, nonceSize)}
 	if _, err := rand.Read(own.Nonce); err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
@@ -79,11 +79,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
-	if err := writePart(c, said); err != nil {
+	if err := writeBlock(c, said); err != nil {
 		return nil, err
 	}
 	br := bufio.NewReaderSize(c, 8<<10)
-	heard, err := readPart(br, mostHello)
+	heard, err := readBlock(br, maxHello)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	switch {
 	case other.Version != version:
 		return nil, fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrStrange, other.Version, version)
-	case p.Partner == "" || p.Name == "" || len(p.Partner) > mostName || len(p.Name) > mostName || len(p.Zone) > mostName || len(p.Calls) > mostName || len(other.Nonce) != nonceSize:
+	case p.Partner == "" || p.Name == "" || len(p.Partner) > maxName || len(p.Name) > maxName || len(p.Zone) > maxName || len(p.Calls) > maxName || len(other.Nonce) != nonceSize:
 		return nil, fmt.Errorf("%w: the hello of %q, %q", ErrFrame, p.Partner, p.Name)
 	case partner != "" && p.Partner != partner:
 		return nil, fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrStrange, p.Partner, partner)
@@ -124,10 +124,10 @@
 	if !dialed {
 		ours, theirs = theirs, ours
 	}
-	err = writePart(c, derive("proof of the "+ours))
+	err = writeBlock(c, derive("proof of the "+ours))
 	var proof []byte
 	if err == nil {
-		proof, err = readPart(br, sha256.Size)
+		proof, err = readBlock(br, sha256.Size)
 	}
 	var late net.Error
 	switch {
@@ -140,10 +140,10 @@
 		return nil, ErrKey
 	}
 	c.SetDeadline(time.Time{})
-	return &shaken{p, &opener{br: br, seal: newSeal(derive("frames of the " + theirs))}, &sealer{w: c, seal: newSeal(derive("frames of the " + ours))}}, nil
+	return &session{p, &frameReader{br: br, seal: newSeal(derive("frames of the " + theirs))}, &frameWriter{w: c, seal: newSeal(derive("frames of the " + ours))}}, nil
 }
 
-func writePart(w io.Writer, b []byte) error {
+func writeBlock(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	if err != nil {
 		return fmt.Errorf("peering: hello: %w", err)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func readPart(r io.Reader, most int) ([]byte, error) {
+func readBlock(r io.Reader, most int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, fmt.Errorf("peering: hello: %w", err)
@@ -167,16 +167,16 @@
 	return b, nil
 }
 
-// seal makes the tags of one direction: over the count of frames before, the length and the body.
-type seal struct {
+// frameTag makes the tags of one direction: over the count of frames before, the length and the body.
+type frameTag struct {
 	mac   hash.Hash
 	count uint64
 	sum   []byte // room for the count, and for the sum
 }
 
-func newSeal(key []byte) *seal { return &seal{mac: hmac.New(sha256.New, key)} }
+func newSeal(key []byte) *frameTag { return &frameTag{mac: hmac.New(sha256.New, key)} }
 
-func (s *seal) tag(head, body []byte) []byte {
+func (s *frameTag) tag(head, body []byte) []byte {
 	s.mac.Reset()
 	s.mac.Write(binary.BigEndian.AppendUint64(s.sum[:0], s.count))
 	s.mac.Write(head)
@@ -186,45 +186,45 @@
 	return s.sum[:tagSize]
 }
 
-// keptBuffer is how long a buffer is kept for the next frame.
-const keptBuffer = 16 << 10
+// maxKeptBuffer is how long a buffer is kept for the next frame.
+const maxKeptBuffer = 16 << 10
 
-// sealer writes each body as a frame: its length, its tag, itself.
-type sealer struct {
+// frameWriter writes each body as a frame: its length, its tag, itself.
+type frameWriter struct {
 	w    io.Writer
-	seal *seal
+	seal *frameTag
 	buf  []byte
 }
 
-func (s *sealer) write(body []byte) error {
+func (s *frameWriter) write(body []byte) error {
 	s.buf = binary.BigEndian.AppendUint32(s.buf[:0], uint32(len(body)))
 	s.buf = append(s.buf, s.seal.tag(s.buf, body)...)
 	s.buf = append(s.buf, body...)
 	_, err := s.w.Write(s.buf)
-	if cap(s.buf) > keptBuffer {
+	if cap(s.buf) > maxKeptBuffer {
 		s.buf = nil
 	}
 	return err
 }
 
-// opener reads one frame's body at a time.
-type opener struct {
+// frameReader reads one frame's body at a time.
+type frameReader struct {
 	br   *bufio.Reader
-	seal *seal
+	seal *frameTag
 	head [4 + tagSize]byte
 	buf  []byte
 }
 
 // next is the next frame's body, until the one after it.
-func (o *opener) next() ([]byte, error) {
+func (o *frameReader) next() ([]byte, error) {
 	if _, err := io.ReadFull(o.br, o.head[:]); err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
 	n := int(binary.BigEndian.Uint32(o.head[:4]))
-	if n > MostFrame {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, MostFrame)
+	if n > MaxFrame {
+		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, MaxFrame)
 	}
-	if cap(o.buf) < n || cap(o.buf) > keptBuffer && n <= keptBuffer {
+	if cap(o.buf) < n || cap(o.buf) > maxKeptBuffer && n <= maxKeptBuffer {
 		o.buf = make([]byte, max(n, 1<<10))
 	}
 	body := o.buf[:n]
--- a/internal/peering/page_test.go
+++ b/internal/peering/page_test.go
@@ -10,7 +10,7 @@
 
 const page = "../../docs/design/peering.md"
 
-func TestWhenALinkIsOpenedAgain(t *testing.T) {
+func TestRedialPauses(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "When a link is opened again") {
 		wait, err := time.ParseDuration(r.At("last pause"))
 		if err != nil {
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -119,36 +119,36 @@
 
 // Bounds.
 const (
-	MostFrame  = 1 << 20 // bytes of a frame's body
-	eachFrame  = 64      // bytes that a frame counts beside its own in a queue
-	redialFrom = 50 * time.Millisecond
-	redialMost = time.Second
-	flapMost   = 8 * time.Second // for one whose links come up and end soon
-	standing   = 5               // times the silence, after which a link has stood
-	opening    = 8               // links with which a gateway shakes hands at once
-	helloLimit = 2 * time.Second
+	MaxFrame         = 1 << 20 // bytes of a frame's body
+	frameOverhead    = 64      // bytes that a frame counts beside its own in a queue
+	minRedial        = 50 * time.Millisecond
+	maxRedial        = time.Second
+	maxSilentRedial  = 8 * time.Second // for one whose links come up and end soon
+	stableSilences   = 5               // times the silence, after which a link has stood
+	maxHandshakes    = 8               // links with which a gateway shakes hands at once
+	handshakeTimeout = 2 * time.Second
 )
 
 // Hub has all links of a gateway.
 type Hub struct {
-	o     Options
-	ln    *listener.Listener
-	ctx   context.Context
-	end   context.CancelFunc
-	tasks sync.WaitGroup
-	began time.Time
+	options  Options
+	listener *listener.Listener
+	ctx      context.Context
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
+	start    time.Time
 
-	turns chan struct{} // to shake hands
+	handshakes chan struct{} // to shake hands
 
-	mu    sync.Mutex
-	links map[GatewayID][]*Link // the newest last
-	kept  map[string]*kept
-	stats Stats
-	full  atomic.Int64
+	mu        sync.Mutex
+	links     map[GatewayID][]*Link // the newest last
+	targets   map[string]*target
+	stats     Stats
+	queueFull atomic.Int64
 }
 
-// kept is an address that a link is held to.
-type kept struct {
+// target is an address that a link is held to.
+type target struct {
 	cancel context.CancelFunc
 	up     bool
 	since  time.Duration // hub's time since which it is so
@@ -156,10 +156,10 @@
 
 // Stats count what links did since the start.
 type Stats struct {
-	Up     int            `json:"up"`               // links that came up
-	Ended  map[string]int `json:"ended,omitempty"`  // by why
-	Turned int            `json:"turned,omitempty"` // connections that were rejected at their hello
-	Full   int64          `json:"full,omitempty"`   // messages that were refused for want of room
+	Up       int            `json:"up"`               // links that came up
+	Ended    map[string]int `json:"ended,omitempty"`  // by why
+	Rejected int            `json:"turned,omitempty"` // connections that were rejected at their hello
+	Full     int64          `json:"full,omitempty"`   // messages that were refused for want of room
 }
 
 // withDefaults are the options with what the comments of its fields say of zero values.
@@ -187,25 +187,25 @@
 // Serve is Open with a listener, which Close closes.
 func Serve(ln net.Listener, o Options) *Hub {
 	o = o.withDefaults()
-	h := &Hub{o: o, ln: listener.New(ln, o.Log), began: time.Now(), links: map[GatewayID][]*Link{}, kept: map[string]*kept{}, stats: Stats{Ended: map[string]int{}}, turns: make(chan struct{}, opening)}
-	h.ctx, h.end = context.WithCancel(context.Background())
+	h := &Hub{options: o, listener: listener.New(ln, o.Log), start: time.Now(), links: map[GatewayID][]*Link{}, targets: map[string]*target{}, stats: Stats{Ended: map[string]int{}}, handshakes: make(chan struct{}, maxHandshakes)}
+	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.tasks.Go(h.accept)
 	return h
 }
 
 // now is the time since the hub was opened.
-func (h *Hub) now() time.Duration { return time.Since(h.began) }
+func (h *Hub) now() time.Duration { return time.Since(h.start) }
 
 // Addr is where it listens.
-func (h *Hub) Addr() string { return h.ln.Addr().String() }
+func (h *Hub) Addr() string { return h.listener.Addr().String() }
 
 // Self is this gateway.
-func (h *Hub) Self() Peer { return h.o.Self }
+func (h *Hub) Self() Peer { return h.options.Self }
 
 // Close ends all links and returns once every goroutine has ended.
 func (h *Hub) Close() {
-	h.end()
-	h.ln.Close()
+	h.cancel()
+	h.listener.Close()
 	for _, l := range h.Links("") {
 		l.fail(ErrClosed)
 	}
@@ -215,13 +215,13 @@
 // accept takes links that others open.
 func (h *Hub) accept() {
 	for {
-		c, err := h.ln.Accept()
+		c, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
 		h.tasks.Go(func() {
-			if err := h.run(c, false, "", func() {}); errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
-				h.o.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
+			if err := h.serve(c, false, "", func() {}); errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
+				h.options.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
 			}
 		})
 	}
@@ -232,21 +232,21 @@
 func (h *Hub) Keep(address, partner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.kept[address] != nil || h.ctx.Err() != nil {
+	if h.targets[address] != nil || h.ctx.Err() != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(h.ctx)
-	h.kept[address] = &kept{cancel: cancel, since: h.now()}
-	h.tasks.Go(func() { h.keep(ctx, address, partner) })
+	h.targets[address] = &target{cancel: cancel, since: h.now()}
+	h.tasks.Go(func() { h.maintain(ctx, address, partner) })
 }
 
 // Drop no longer holds a link to an address; one that is up ends.
 func (h *Hub) Drop(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if k := h.kept[address]; k != nil {
+	if k := h.targets[address]; k != nil {
 		k.cancel()
-		delete(h.kept, address)
+		delete(h.targets, address)
 	}
 }
 
@@ -254,55 +254,55 @@
 func (h *Hub) Down(address string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if k := h.kept[address]; k != nil && !k.up {
+	if k := h.targets[address]; k != nil && !k.up {
 		return h.now() - k.since
 	}
 	return 0
 }
 
-// mark notes that the link to a kept address is up or down.
-func (h *Hub) mark(address string, up bool) {
+// setUp notes that the link to a kept address is up or down.
+func (h *Hub) setUp(address string, up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if k := h.kept[address]; k != nil {
+	if k := h.targets[address]; k != nil {
 		k.up, k.since = up, h.now()
 	}
 }
 
-func (h *Hub) keep(ctx context.Context, address, partner string) {
-	d := net.Dialer{Timeout: h.o.Silence, KeepAlive: -1}
-	if own, ok := h.ln.Addr().(*net.TCPAddr); ok && !own.IP.IsUnspecified() {
+func (h *Hub) maintain(ctx context.Context, address, partner string) {
+	d := net.Dialer{Timeout: h.options.Silence, KeepAlive: -1}
+	if own, ok := h.listener.Addr().(*net.TCPAddr); ok && !own.IP.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: own.IP} // links go out from where they come in
 	}
-	wait := redialFrom
+	wait := minRedial
 	for ctx.Err() == nil {
 		c, err := d.DialContext(ctx, "tcp", address)
 		stood, up := time.Duration(0), false
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { c.Close() })
-			done := h.turn(ctx) // one whose start has it open many links does not shake hands with all of them at once
+			done := h.acquireHandshake(ctx) // one whose start has it open many links does not shake hands with all of them at once
 			begin := time.Now()
-			err = h.run(c, true, partner, func() { up = true; done(); h.mark(address, true) })
+			err = h.serve(c, true, partner, func() { up = true; done(); h.setUp(address, true) })
 			done()
 			stop()
-			h.mark(address, false)
+			h.setUp(address, false)
 			stood = time.Since(begin)
 		}
 		if errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) {
-			h.o.Log.Warn("no link", "to", address, "partner", partner, "error", err)
-			wait = redialMost
+			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", err)
+			wait = maxRedial
 		}
 		silent := up && (errors.Is(err, ErrSilent) || errors.Is(err, ErrStuck))
 		clock.Sleep(ctx, wait/2+rand.N(wait))
-		wait = Redial(wait, up, silent, stood, h.o.Silence)
+		wait = Redial(wait, up, silent, stood, h.options.Silence)
 	}
 }
 
-// turn waits for its turn to shake hands, and returns what ends it.
-func (h *Hub) turn(ctx context.Context) (done func()) {
+// acquireHandshake waits for its turn to shake hands, and returns what ends it.
+func (h *Hub) acquireHandshake(ctx context.Context) (done func()) {
 	select {
-	case h.turns <- struct{}{}:
-		return sync.OnceFunc(func() { <-h.turns })
+	case h.handshakes <- struct{}{}:
+		return sync.OnceFunc(func() { <-h.handshakes })
 	case <-ctx.Done():
 		return func() {}
 	}
@@ -313,36 +313,36 @@
 // of processor time must not spend it on links that it then loses again, so there the pause grows for longer.
 func Redial(wait time.Duration, up, silent bool, stood, silence time.Duration) time.Duration {
 	switch {
-	case up && silent && stood < standing*silence:
-		return min(max(2*wait, silence), flapMost)
-	case up && stood > redialMost:
-		return redialFrom
+	case up && silent && stood < stableSilences*silence:
+		return min(max(2*wait, silence), maxSilentRedial)
+	case up && stood > maxRedial:
+		return minRedial
 	}
-	return max(wait, min(2*wait, redialMost))
+	return max(wait, min(2*wait, maxRedial))
 }
 
-// run is a link's reader from hello to end. It returns why the link ended.
-func (h *Hub) run(c net.Conn, dialed bool, partner string, up func()) error {
+// serve is a link's reader from hello to end. It returns why the link ended.
+func (h *Hub) serve(c net.Conn, dialed bool, partner string, up func()) error {
 	defer c.Close()
 	stop := context.AfterFunc(h.ctx, func() { c.Close() })
 	defer stop()
-	s, err := shake(c, h.o, dialed, partner)
+	s, err := handshake(c, h.options, dialed, partner)
 	if err != nil {
 		h.mu.Lock()
-		h.stats.Turned++
+		h.stats.Rejected++
 		h.mu.Unlock()
 		return err
 	}
-	l := &Link{Peer: s.peer, hub: h, conn: c, dialed: dialed, in: s.in, out: s.out, queued: make(chan struct{}, 1), waiting: map[uint64]func(frame){}, done: make(chan struct{})}
-	l.heard.Store(int64(h.now()))
-	l.came.Store(int64(h.now()))
+	l := &Link{Peer: s.peer, hub: h, conn: c, dialed: dialed, reader: s.in, out: s.out, queued: make(chan struct{}, 1), pending: map[uint64]func(frame){}, done: make(chan struct{})}
+	l.answeredPulse.Store(int64(h.now()))
+	l.lastPulse.Store(int64(h.now()))
 	if !h.add(l) {
 		return ErrClosed
 	}
 	up()
 	written := make(chan struct{})
-	h.tasks.Go(func() { defer close(written); l.write() })
-	l.fail(l.read())
+	h.tasks.Go(func() { defer close(written); l.writeLoop() })
+	l.fail(l.readLoop())
 	<-written
 	h.remove(l)
 	return l.Err()
@@ -369,10 +369,10 @@
 	for _, o := range gone {
 		o.fail(ErrReplaced)
 	}
-	h.o.Up(l)
+	h.options.Up(l)
 	if len(old) == len(gone) {
-		h.o.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", true)
-		h.o.Changed(l.Peer, true, nil)
+		h.options.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", true)
+		h.options.Changed(l.Peer, true, nil)
 	}
 	return true
 }
@@ -385,18 +385,18 @@
 	if len(h.links[who]) == 0 {
 		delete(h.links, who)
 	}
-	h.stats.Ended[reason(l.Err())]++
+	h.stats.Ended[endReason(l.Err())]++
 	h.mu.Unlock()
 	if last {
 		if h.ctx.Err() == nil {
-			h.o.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", false, "why", l.Err())
+			h.options.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", false, "why", l.Err())
 		}
-		h.o.Changed(l.Peer, false, l.Err())
+		h.options.Changed(l.Peer, false, l.Err())
 	}
 }
 
-// reason is why a link ended, in a word or two.
-func reason(err error) string {
+// endReason is why a link ended, in a word or two.
+func endReason(err error) string {
 	for _, k := range []struct {
 		err  error
 		word string
@@ -438,7 +438,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.stats
-	s.Full = h.full.Load()
+	s.Full = h.queueFull.Load()
 	s.Ended = map[string]int{}
 	for k, v := range h.stats.Ended {
 		s.Ended[k] = v
@@ -450,36 +450,36 @@
 type Link struct {
 	Peer Peer
 
-	hub    *Hub
-	conn   net.Conn
-	in     *opener
-	out    *sealer
-	queued chan struct{} // takes a word when the queue is no longer empty
-	dialed bool          // this side opened it, and beats
-	heard  atomic.Int64  // ns of the hub's time when the pulse was sent that was answered last
-	came   atomic.Int64  // ns of the hub's time when the other side's pulse came last, and
-	theirs atomic.Int64  // its At
-	rtt    atomic.Int64  // ns
-	done   chan struct{}
+	hub           *Hub
+	conn          net.Conn
+	reader        *frameReader
+	out           *frameWriter
+	queued        chan struct{} // takes a word when the queue is no longer empty
+	dialed        bool          // this side opened it, and beats
+	answeredPulse atomic.Int64  // ns of the hub's time when the pulse was sent that was answered last
+	lastPulse     atomic.Int64  // ns of the hub's time when the other side's pulse came last, and
+	peerStamp     atomic.Int64  // its At
+	rtt           atomic.Int64  // ns
+	done          chan struct{}
 
-	last, asleep time.Duration // hub's time of the last heartbeat, and of the last one that was late by more than another; the writer's
+	lastBeat, pausedUntil time.Duration // hub's time of the last heartbeat, and of the last one that was late by more than another; the writer's
 
-	mu      sync.Mutex
-	frames  [][]byte               // that wait to be written
-	held    int                    // bytes of them
-	waiting map[uint64]func(frame) // by the number of the question; the zero frame says that the link has ended
-	number  uint64
-	err     error
+	mu          sync.Mutex
+	frames      [][]byte               // that wait to be written
+	queuedBytes int                    // bytes of them
+	pending     map[uint64]func(frame) // by the number of the question; the zero frame says that the link has ended
+	number      uint64
+	err         error
 }
 
 // kinds of frames
 const (
-	beat   = iota + 1 // of who opened the link, with a pulse
-	echo              // what the other answers each with
-	tell              // a message that asks nothing
-	ask               // answered by reply of its number
-	reply             //
-	reject            // in place of a reply
+	frameBeat    = iota + 1 // of who opened the link, with a pulse
+	frameEcho               // what the other answers each with
+	frameNotify             // a message that asks nothing
+	frameRequest            // answered by reply of its number
+	frameReply              //
+	frameReject             // in place of a reply
 )
 
 type frame struct {
@@ -513,14 +513,14 @@
 func (l *Link) RTT() time.Duration { return time.Duration(l.rtt.Load()) }
 
 // Quiet is how long ago the other side's last heartbeat came: more than a beat says that it is late, stopped or cut off.
-func (l *Link) Quiet() time.Duration { return l.hub.now() - time.Duration(l.came.Load()) }
+func (l *Link) Quiet() time.Duration { return l.hub.now() - time.Duration(l.lastPulse.Load()) }
 
 // fail ends the link for a reason; the first one counts.
 func (l *Link) fail(why error) {
 	l.mu.Lock()
 	var left map[uint64]func(frame)
 	if l.err == nil {
-		l.err, left, l.waiting = why, l.waiting, nil
+		l.err, left, l.pending = why, l.pending, nil
 		close(l.done)
 	}
 	l.mu.Unlock()
@@ -530,25 +530,25 @@
 	}
 }
 
-// put queues a frame.
-func (l *Link) put(f frame) error {
+// enqueue queues a frame.
+func (l *Link) enqueue(f frame) error {
 	text, err := encoding.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("peering: %w", err)
 	}
-	if len(text) > MostFrame {
-		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, len(text), MostFrame)
+	if len(text) > MaxFrame {
+		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, len(text), MaxFrame)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err != nil {
 		return l.err
 	}
-	if l.held+len(text)+eachFrame > l.hub.o.Queue {
-		l.hub.full.Add(1)
+	if l.queuedBytes+len(text)+frameOverhead > l.hub.options.Queue {
+		l.hub.queueFull.Add(1)
 		return ErrFull
 	}
-	l.held += len(text) + eachFrame
+	l.queuedBytes += len(text) + frameOverhead
 	l.frames = append(l.frames, text)
 	select {
 	case l.queued <- struct{}{}:
@@ -557,8 +557,8 @@
 	return nil
 }
 
-// next takes a frame from the queue; nil: it is empty.
-func (l *Link) next() []byte {
+// dequeue takes a frame from the queue; nil: it is empty.
+func (l *Link) dequeue() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.frames) == 0 {
@@ -568,7 +568,7 @@
 	text := l.frames[0]
 	l.frames[0] = nil
 	l.frames = l.frames[1:]
-	l.held -= len(text) + eachFrame
+	l.queuedBytes -= len(text) + frameOverhead
 	return text
 }
 
@@ -578,18 +578,18 @@
 	if err != nil {
 		return fmt.Errorf("peering: %s: %w", topic, err)
 	}
-	return l.put(frame{Kind: tell, Topic: topic, Body: body})
+	return l.enqueue(frame{Kind: frameNotify, Topic: topic, Body: body})
 }
 
-// IncomingRequest is a question that is under way.
-type IncomingRequest struct {
+// PendingRequest is a question that is under way.
+type PendingRequest struct {
 	link   *Link
 	number uint64
 	answer chan frame
 }
 
-// ask sends a question; told is called once with its answer, on the link's reader, or with the zero frame when the link ends.
-func (l *Link) ask(topic string, question any, told func(frame)) (number uint64, err error) {
+// startRequest sends a question; told is called once with its answer, on the link's reader, or with the zero frame when the link ends.
+func (l *Link) startRequest(topic string, question any, told func(frame)) (number uint64, err error) {
 	body, err := encoding.Marshal(question)
 	if err != nil {
 		return 0, fmt.Errorf("peering: %s: %w", topic, err)
@@ -601,10 +601,10 @@
 	}
 	l.number++
 	number = l.number
-	l.waiting[number] = told
+	l.pending[number] = told
 	l.mu.Unlock()
-	if err := l.put(frame{Kind: ask, Number: number, Topic: topic, Body: body}); err != nil {
-		if l.forget(number) {
+	if err := l.enqueue(frame{Kind: frameRequest, Number: number, Topic: topic, Body: body}); err != nil {
+		if l.cancelRequest(number) {
 			return 0, err
 		}
 		return number, nil // the link has ended meanwhile, and that was told
@@ -612,20 +612,20 @@
 	return number, nil
 }
 
-// forget has an answer be told no more. false: it has been told, or is being told now.
-func (l *Link) forget(number uint64) bool {
+// cancelRequest has an answer be told no more. false: it has been told, or is being told now.
+func (l *Link) cancelRequest(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, was := l.waiting[number]
-	delete(l.waiting, number)
+	_, was := l.pending[number]
+	delete(l.pending, number)
 	return was
 }
 
 // Request sends a question. It comes in its place among all that is sent over the link; Wait brings the answer.
-func (l *Link) Request(topic string, question any) (*IncomingRequest, error) {
-	a := &IncomingRequest{link: l, answer: make(chan frame, 1)}
+func (l *Link) Request(topic string, question any) (*PendingRequest, error) {
+	a := &PendingRequest{link: l, answer: make(chan frame, 1)}
 	var err error
-	if a.number, err = l.ask(topic, question, func(f frame) { a.answer <- f }); err != nil {
+	if a.number, err = l.startRequest(topic, question, func(f frame) { a.answer <- f }); err != nil {
 		return nil, err
 	}
 	return a, nil
@@ -633,12 +633,12 @@
 
 // Wait waits for the answer until ctx or the link ends, and reads it into what answer points to. What the other side says
 // instead is a RemoteError.
-func (a *IncomingRequest) Wait(ctx context.Context, answer any) error {
+func (a *PendingRequest) Wait(ctx context.Context, answer any) error {
 	select {
 	case f := <-a.answer:
-		return a.link.answered(f, answer)
+		return a.link.readReply(f, answer)
 	case <-ctx.Done():
-		a.link.forget(a.number)
+		a.link.cancelRequest(a.number)
 		return ctx.Err()
 	}
 }
@@ -646,19 +646,19 @@
 // RequestAsync sends a question as Ask does, and has told called once, on the link's reader or on whoever ends the link, with what
 // reads the answer into what it is given; told must not block. forget has it not be called any more.
 func (l *Link) RequestAsync(topic string, question any, told func(read func(answer any) error)) (forget func(), err error) {
-	n, err := l.ask(topic, question, func(f frame) { told(func(answer any) error { return l.answered(f, answer) }) })
-	return func() { l.forget(n) }, err
+	n, err := l.startRequest(topic, question, func(f frame) { told(func(answer any) error { return l.readReply(f, answer) }) })
+	return func() { l.cancelRequest(n) }, err
 }
 
-// answered reads the answer to a question.
-func (l *Link) answered(f frame, answer any) error {
+// readReply reads the answer to a question.
+func (l *Link) readReply(f frame, answer any) error {
 	switch f.Kind {
-	case reply:
+	case frameReply:
 		if err := decoding.Unmarshal(f.Body, answer); err != nil {
 			return fmt.Errorf("%w: %w", ErrFrame, err)
 		}
 		return nil
-	case reject:
+	case frameReject:
 		var words string
 		if err := decoding.Unmarshal(f.Body, &words); err != nil {
 			return fmt.Errorf("%w: %w", ErrFrame, err)
@@ -677,10 +677,10 @@
 	return a.Wait(ctx, answer)
 }
 
-// read takes one frame after another until the link ends.
-func (l *Link) read() error {
+// readLoop takes one frame after another until the link ends.
+func (l *Link) readLoop() error {
 	for {
-		text, err := l.in.next()
+		text, err := l.reader.next()
 		if err != nil {
 			return err
 		}
@@ -688,45 +688,45 @@
 		if err := decoding.Unmarshal(text, &f); err != nil {
 			return fmt.Errorf("%w: %w", ErrFrame, err)
 		}
-		if err := l.take(f); err != nil {
+		if err := l.handle(f); err != nil {
 			return err
 		}
 	}
 }
 
-// take does what a frame asks for.
-func (l *Link) take(f frame) error {
+// handle does what a frame asks for.
+func (l *Link) handle(f frame) error {
 	switch f.Kind {
-	case beat, echo:
+	case frameBeat, frameEcho:
 		var p pulse
 		if err := decoding.Unmarshal(f.Body, &p); err != nil {
 			return fmt.Errorf("%w: a heartbeat: %w", ErrFrame, err)
 		}
-		if (f.Kind == echo) != l.dialed {
+		if (f.Kind == frameEcho) != l.dialed {
 			return fmt.Errorf("%w: a heartbeat of the wrong side", ErrFrame)
 		}
-		return l.pulsed(p)
-	case tell, ask:
-		handle := l.hub.o.Topics[f.Topic]
+		return l.receivePulse(p)
+	case frameNotify, frameRequest:
+		handle := l.hub.options.Topics[f.Topic]
 		if handle == nil {
-			if f.Kind == ask {
-				return l.answer(f.Number, nil, fmt.Errorf("topic %q is not known here", f.Topic))
+			if f.Kind == frameRequest {
+				return l.sendReply(f.Number, nil, fmt.Errorf("topic %q is not known here", f.Topic))
 			}
 			return nil // of a later version
 		}
-		if f.Kind == tell {
+		if f.Kind == frameNotify {
 			handle(l, f.Body, nil)
 			return nil
 		}
 		handle(l, f.Body, func(answer any, err error) {
-			if err := l.answer(f.Number, answer, err); err != nil {
+			if err := l.sendReply(f.Number, answer, err); err != nil {
 				l.fail(err)
 			}
 		})
-	case reply, reject:
+	case frameReply, frameReject:
 		l.mu.Lock()
-		to := l.waiting[f.Number]
-		delete(l.waiting, f.Number)
+		to := l.pending[f.Number]
+		delete(l.pending, f.Number)
 		l.mu.Unlock()
 		if to != nil {
 			to(f)
@@ -737,13 +737,13 @@
 	return nil
 }
 
-// pulsed takes the other side's heartbeat, and answers the one who beats.
-func (l *Link) pulsed(p pulse) error {
+// receivePulse takes the other side's heartbeat, and answers the one who beats.
+func (l *Link) receivePulse(p pulse) error {
 	now := int64(l.hub.now())
-	l.came.Store(now)
-	l.theirs.Store(p.At)
-	if p.Echo > l.heard.Load() && p.Echo <= now {
-		l.heard.Store(p.Echo)
+	l.lastPulse.Store(now)
+	l.peerStamp.Store(p.At)
+	if p.Echo > l.answeredPulse.Load() && p.Echo <= now {
+		l.answeredPulse.Store(p.Echo)
 		took, was := now-p.Echo, l.rtt.Load()
 		if !l.dialed {
 			took = p.RTT // the answer to this side's pulse has waited for the next beat
@@ -759,40 +759,40 @@
 	if err != nil {
 		return fmt.Errorf("peering: a heartbeat: %w", err)
 	}
-	if l.put(frame{Kind: echo, Body: body}) != nil {
+	if l.enqueue(frame{Kind: frameEcho, Body: body}) != nil {
 		return ErrOverflow
 	}
 	return nil
 }
 
-// answer queues an answer; that there is no room for it ends the link, or the other side would wait for nothing.
-func (l *Link) answer(number uint64, answer any, refused error) error {
-	f := frame{Kind: reply, Number: number}
+// sendReply queues an answer; that there is no room for it ends the link, or the other side would wait for nothing.
+func (l *Link) sendReply(number uint64, answer any, refused error) error {
+	f := frame{Kind: frameReply, Number: number}
 	if refused != nil {
-		f.Kind, answer = reject, refused.Error()
+		f.Kind, answer = frameReject, refused.Error()
 	}
 	var err error
 	if f.Body, err = encoding.Marshal(answer); err != nil {
 		return fmt.Errorf("peering: an answer: %w", err)
 	}
-	if err := l.put(f); errors.Is(err, ErrFull) {
+	if err := l.enqueue(f); errors.Is(err, ErrFull) {
 		return ErrOverflow
 	}
 	return nil // a link that has ended has been told of
 }
 
-// write sends what is queued, and heartbeats, until the link ends.
-func (l *Link) write() {
-	tick := time.NewTicker(l.hub.o.Beat)
+// writeLoop sends what is queued, and heartbeats, until the link ends.
+func (l *Link) writeLoop() {
+	tick := time.NewTicker(l.hub.options.Beat)
 	defer tick.Stop()
-	l.last = l.hub.now()
+	l.lastBeat = l.hub.now()
 	for {
-		text := l.next()
+		text := l.dequeue()
 		var err error
 		if text != nil {
 			select { // a heartbeat does not wait until the queue is empty
 			case <-tick.C:
-				err = l.beat()
+				err = l.sendBeat()
 			default:
 			}
 		} else {
@@ -801,11 +801,11 @@
 				return
 			case <-l.queued:
 			case <-tick.C:
-				err = l.beat()
+				err = l.sendBeat()
 			}
 		}
 		if err == nil && text != nil {
-			err = l.send(text)
+			err = l.writeFrame(text)
 		}
 		if err != nil {
 			l.fail(err)
@@ -814,42 +814,42 @@
 	}
 }
 
-// beat sends a heartbeat, if this side opened the link, unless the other side has been silent for too long. Who did not open it
+// sendBeat sends a heartbeat, if this side opened the link, unless the other side has been silent for too long. Who did not open it
 // hears what came of its pulse by the next beat, one beat later.
-func (l *Link) beat() error {
+func (l *Link) sendBeat() error {
 	now := l.hub.now()
-	if late := now - l.last - l.hub.o.Beat; late > l.hub.o.Beat {
-		l.asleep = now // this process was stopped, or had no processor: that time is its own silence, not the other's
+	if late := now - l.lastBeat - l.hub.options.Beat; late > l.hub.options.Beat {
+		l.pausedUntil = now // this process was stopped, or had no processor: that time is its own silence, not the other's
 	}
-	l.last = now
-	silence := l.hub.o.Silence
+	l.lastBeat = now
+	silence := l.hub.options.Silence
 	if !l.dialed {
-		silence += l.hub.o.Beat
+		silence += l.hub.options.Beat
 	}
-	if now-max(time.Duration(l.heard.Load()), l.asleep) > silence {
-		return fmt.Errorf("%w for %v", ErrSilent, l.hub.o.Silence)
+	if now-max(time.Duration(l.answeredPulse.Load()), l.pausedUntil) > silence {
+		return fmt.Errorf("%w for %v", ErrSilent, l.hub.options.Silence)
 	}
 	if !l.dialed {
 		return nil
 	}
-	body, err := encoding.Marshal(pulse{At: int64(now), Echo: l.theirs.Load(), RTT: l.rtt.Load()})
+	body, err := encoding.Marshal(pulse{At: int64(now), Echo: l.peerStamp.Load(), RTT: l.rtt.Load()})
 	if err != nil {
 		return fmt.Errorf("peering: a heartbeat: %w", err)
 	}
-	text, err := encoding.Marshal(frame{Kind: beat, Body: body})
+	text, err := encoding.Marshal(frame{Kind: frameBeat, Body: body})
 	if err != nil {
 		return fmt.Errorf("peering: a heartbeat: %w", err)
 	}
-	return l.send(text)
+	return l.writeFrame(text)
 }
 
-// send writes a frame.
-func (l *Link) send(text []byte) error {
-	l.conn.SetWriteDeadline(time.Now().Add(l.hub.o.Stuck))
+// writeFrame writes a frame.
+func (l *Link) writeFrame(text []byte) error {
+	l.conn.SetWriteDeadline(time.Now().Add(l.hub.options.Stuck))
 	err := l.out.write(text)
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		return fmt.Errorf("%w (%v)", ErrStuck, l.hub.o.Stuck)
+		return fmt.Errorf("%w (%v)", ErrStuck, l.hub.options.Stuck)
 	}
 	return err
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -42,8 +42,8 @@
 	return h
 }
 
-// linked waits for a link from one to another.
-func linked(t *testing.T, from, to *Hub) *Link {
+// waitForLink waits for a link from one to another.
+func waitForLink(t *testing.T, from, to *Hub) *Link {
 	t.Helper()
 	var l *Link
 	testpeer.Until(t, "a link", func() bool { l = from.To(to.Self().ID()); return l != nil })
@@ -57,7 +57,7 @@
 }
 
 // Questions over one link come in their order, each gets its own answer, and a topic that is not known is told of.
-func TestQuestionsComeInOrderAndGetTheirAnswers(t *testing.T) {
+func TestRequestsArriveInOrderAndGetTheirReplies(t *testing.T) {
 	var mu sync.Mutex
 	var came []int
 	o := options("b", "b1", 1)
@@ -88,8 +88,8 @@
 	}
 	a, b := open(t, options("a", "a1", 1)), open(t, o)
 	a.Keep(b.Addr(), "b")
-	l := linked(t, a, b)
-	var all []*IncomingRequest
+	l := waitForLink(t, a, b)
+	var all []*PendingRequest
 	for i := range 300 {
 		q, err := l.Request("double", i)
 		if err != nil {
@@ -125,7 +125,7 @@
 }
 
 // Only who has the key and a name in the file gets a link, and says so in the log.
-func TestStrangersGetNoLink(t *testing.T) {
+func TestLinkNeedsKeyAndKnownPartner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Options)
@@ -150,11 +150,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := shake(conn, oa, true, ""); !errors.Is(err, c.want) {
+		if _, err := handshake(conn, oa, true, ""); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 		conn.Close()
-		testpeer.Until(t, "it to be turned away", func() bool { return b.Stats().Turned == 1 })
+		testpeer.Until(t, "it to be turned away", func() bool { return b.Stats().Rejected == 1 })
 		if len(b.Links("")) != 0 {
 			t.Errorf("%s: there is a link", c.name)
 		}
@@ -165,18 +165,18 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := shake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrStrange) {
+	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrStrange) {
 		t.Errorf("a gateway of another partner than was meant: %v", err)
 	}
 }
 
-// tamper passes bytes on until it is told to change one.
-type tamper struct {
+// tamperingConn passes bytes on until it is told to change one.
+type tamperingConn struct {
 	net.Conn
 	now atomic.Bool
 }
 
-func (c *tamper) Write(p []byte) (int, error) {
+func (c *tamperingConn) Write(p []byte) (int, error) {
 	if c.now.CompareAndSwap(true, false) {
 		p = append([]byte(nil), p...)
 		p[len(p)-1] ^= 1
@@ -185,7 +185,7 @@
 }
 
 // A frame that was changed on its way, or that comes a second time, ends the link, and nothing of it is taken.
-func TestAFrameThatWasChangedOrRepeatedEndsTheLink(t *testing.T) {
+func TestTamperedOrReplayedFrameEndsLink(t *testing.T) {
 	for _, how := range []string{"changed", "repeated"} {
 		taken := make(chan int, 10)
 		ob := options("b", "b1", 1)
@@ -205,14 +205,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &tamper{Conn: conn}
-		s, err := shake(c, options("a", "a1", 1), true, "b")
+		c := &tamperingConn{Conn: conn}
+		s, err := handshake(c, options("a", "a1", 1), true, "b")
 		if err != nil {
 			t.Fatal(err)
 		}
 		frameOf := func(n int) []byte {
 			body, _ := Encode(n)
-			text, _ := Encode(frame{Kind: tell, Topic: "n", Body: body})
+			text, _ := Encode(frame{Kind: frameNotify, Topic: "n", Body: body})
 			return text
 		}
 		if err := s.out.write(frameOf(1)); err != nil {
@@ -237,14 +237,14 @@
 	}
 }
 
-// stalled is a gateway that says hello and then reads nothing, though it goes on sending heartbeats.
-func stalled(t *testing.T, to *Hub, name string) {
+// openStalledLink is a gateway that says hello and then reads nothing, though it goes on sending heartbeats.
+func openStalledLink(t *testing.T, to *Hub, name string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := shake(conn, options("a", name, 1), true, "")
+	s, err := handshake(conn, options("a", name, 1), true, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 		defer all.Done()
 		for n := int64(1); ; n++ {
 			body, _ := Encode(pulse{At: int64(n)})
-			text, _ := Encode(frame{Kind: beat, Body: body})
+			text, _ := Encode(frame{Kind: frameBeat, Body: body})
 			if s.out.write(text) != nil {
 				return
 			}
@@ -270,7 +270,7 @@
 }
 
 // A gateway that sends and no longer reads is found out, be the queue to it full or empty, and no other link suffers.
-func TestAStalledReaderEndsItsLinkAndNoOther(t *testing.T) {
+func TestStalledReaderEndsOnlyItsLink(t *testing.T) {
 	for _, flood := range []bool{false, true} {
 		ended := make(chan error, 1)
 		o := options("b", "b1", 1)
@@ -285,8 +285,8 @@
 		good.Topics = map[string]Handler{"echo": func(_ *Link, _ []byte, reply func(any, error)) { reply(1, nil) }}
 		g := open(t, good)
 		g.Keep(b.Addr(), "b")
-		toGood := linked(t, b, g)
-		stalled(t, b, "slow")
+		toGood := waitForLink(t, b, g)
+		openStalledLink(t, b, "slow")
 		var toSlow *Link
 		testpeer.Until(t, "the link", func() bool { toSlow = b.To(GatewayID{"a", "slow"}); return toSlow != nil })
 		full := false
@@ -329,7 +329,7 @@
 	if got := testpeer.Receive(t, changes, "the first life"); got != (change{7, true}) {
 		t.Errorf("%+v", got)
 	}
-	linked(t, first, b).fail(errors.New("broken for the test"))
+	waitForLink(t, first, b).fail(errors.New("broken for the test"))
 	for _, want := range []change{{7, false}, {7, true}} {
 		if got := testpeer.Receive(t, changes, "the link to break and to come back"); got != want {
 			t.Errorf("%+v, want %+v", got, want)
@@ -353,13 +353,13 @@
 }
 
 // What waits for an answer hears of the link's end, and what is sent afterwards is refused.
-func TestTheEndOfALinkReachesWhoWaits(t *testing.T) {
+func TestPendingRequestsFailWhenLinkEnds(t *testing.T) {
 	o := options("b", "b1", 1)
 	got := make(chan struct{}, 1)
 	o.Topics = map[string]Handler{"never": func(*Link, []byte, func(any, error)) { got <- struct{}{} }}
 	a, b := open(t, options("a", "a1", 1)), open(t, o)
 	a.Keep(b.Addr(), "b")
-	l := linked(t, a, b)
+	l := waitForLink(t, a, b)
 	q, err := l.Request("never", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -377,23 +377,23 @@
 // FuzzFrames: whatever comes in place of a hello or a frame ends in an error and in nothing else.
 func FuzzFrames(f *testing.F) {
 	body, _ := Encode(1)
-	good, _ := Encode(frame{Kind: ask, Number: 1, Topic: "x", Body: body})
+	good, _ := Encode(frame{Kind: frameRequest, Number: 1, Topic: "x", Body: body})
 	f.Add(good)
 	f.Add([]byte{0x85, 1, 0, 0x60, 0xf6})
 	f.Add([]byte{0x9f})
-	h := &Hub{o: Options{Queue: 1 << 20}, began: time.Now()}
+	h := &Hub{options: Options{Queue: 1 << 20}, start: time.Now()}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var fr frame
 		if decoding.Unmarshal(b, &fr) != nil {
 			return
 		}
-		l := &Link{hub: h, queued: make(chan struct{}, 1), waiting: map[uint64]func(frame){}, done: make(chan struct{})}
-		l.take(fr)
+		l := &Link{hub: h, queued: make(chan struct{}, 1), pending: map[uint64]func(frame){}, done: make(chan struct{})}
+		l.handle(fr)
 	})
 }
 
-// BenchmarkAsk is a question and its answer over loopback.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkRequest is a question and its answer over loopback.
+func BenchmarkRequest(b *testing.B) {
 	o := options("b", "b1", 1)
 	o.Topics = map[string]Handler{"x": func(_ *Link, body []byte, reply func(any, error)) { reply(len(body), nil) }}
 	to, err := Open(o)
