--- a/internal/peering/encoding.go
+++ b/internal/peering/encoding.go
@@ -6,11 +6,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encoding and decoding are of all that goes over links. What comes in is bounded by its frame, and by these.
+// Limits of what a decoder accepts. The size of a message is limited by its frame.
+const (
+	maxNesting  = 16
+	maxElements = 1 << 17 // of an array or a map
+)
+
+// encoding and decoding are the CBOR modes of everything that links carry (RFC 8949, core deterministic encoding).
 var (
 	encoding = must(cbor.CoreDetEncOptions().EncMode())
-	decoding = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 16, MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17,
-		IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	decoding = must(cbor.DecOptions{
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels:  maxNesting,
+		MaxArrayElements: maxElements,
+		MaxMapPairs:      maxElements,
+		IndefLength:      cbor.IndefLengthForbidden,
+	}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -20,7 +31,7 @@
 	return v
 }
 
-// Decode reads a message's body into what v points to.
+// Decode reads the body of a message into what v points to. Its error is ErrFrame.
 func Decode(body []byte, v any) error {
 	if err := decoding.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrFrame, err)
@@ -28,5 +39,5 @@
 	return nil
 }
 
-// Encode is how v goes over links.
+// Encode returns v as the body of a message.
 func Encode(v any) ([]byte, error) { return encoding.Marshal(v) }
--- a/internal/peering/errors.go
+++ b/internal/peering/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of links and of what is sent over them.
+// Errors of links and of messages.
 var (
 	ErrFull     = errors.New("peering: the queue to this gateway is full")
 	ErrOverflow = errors.New("peering: no room for an answer or a heartbeat")
@@ -15,20 +15,34 @@
 	ErrClosed   = errors.New("peering: closed")
 )
 
-// RemoteError is what the other side says of a question that it could not answer.
-type RemoteError struct{ Words string }
+// endReasons are the names in Stats.Ended of the errors with which links end.
+var endReasons = []struct {
+	err  error
+	name string
+}{
+	{ErrSilent, "silent"},
+	{ErrStuck, "stuck"},
+	{ErrOverflow, "overflow"},
+	{ErrFrame, "malformed"},
+	{ErrReplaced, "replaced"},
+	{ErrClosed, "closed here"},
+}
 
-func (e *RemoteError) Error() string { return e.Words }
+// otherEndReason stands for all other errors.
+const otherEndReason = "broken"
 
-// endReason is why a link ended, in a word or two.
+// endReason returns the name of the error with which a link ended.
 func endReason(err error) string {
-	for _, k := range []struct {
-		err  error
-		word string
-	}{{ErrSilent, "silent"}, {ErrStuck, "stuck"}, {ErrOverflow, "overflow"}, {ErrFrame, "malformed"}, {ErrReplaced, "replaced"}, {ErrClosed, "closed here"}} {
-		if errors.Is(err, k.err) {
-			return k.word
+	for _, r := range endReasons {
+		if errors.Is(err, r.err) {
+			return r.name
 		}
 	}
-	return "broken"
+	return otherEndReason
 }
+
+// RemoteError is an error of the other side's handler, sent in place of a reply.
+type RemoteError struct{ Words string }
+
+// Error returns the text as the other side sent it.
+func (e *RemoteError) Error() string { return e.Words }
--- a/internal/peering/frame.go
+++ b/internal/peering/frame.go
@@ -2,29 +2,36 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// kinds of frames
+// MaxFrame is how many bytes the body of a frame has at most.
+const MaxFrame = 1 << 20
+
+// frameKind is the purpose of a frame. Its value is its code on the wire.
+type frameKind uint8
+
+// Kinds of frames.
 const (
-	frameBeat    = iota + 1 // of who opened the link, with a pulse
-	frameEcho               // what the other answers each with
-	frameNotify             // a message that asks nothing
-	frameRequest            // answered by reply of its number
-	frameReply              //
-	frameReject             // in place of a reply
+	frameBeat    frameKind = iota + 1 // a heartbeat of the side that dialed, with a pulse
+	frameEcho                         // the other side's answer to a heartbeat, with a pulse
+	frameNotify                       // a message without a reply
+	frameRequest                      // a message with a reply of the same number
+	frameReply                        // the reply
+	frameReject                       // an error in place of the reply
 )
 
+// frame is the body of a frame. Its fields are encoded as an array, in this order.
 type frame struct {
 	_      struct{} `cbor:",toarray"`
-	Kind   uint8
-	Number uint64
-	Topic  string
+	Kind   frameKind
+	Number uint64 // of a request and its reply
+	Topic  string // of a notification or request
 	Body   cbor.RawMessage
 }
 
-// pulse is what heartbeats carry. One that goes there and one that comes back prove both directions to both sides: the beat
-// brings the other side's own stamp back to it.
+// pulse is the body of a heartbeat and of its echo. Each returns the last stamp of the other side, so that a heartbeat, its echo
+// and the next heartbeat prove to both sides that both directions work.
 type pulse struct {
 	_    struct{} `cbor:",toarray"`
-	At   int64    // ns of the sender's hub
-	Echo int64    // the At that came last from the other side; 0: none has
-	RTT  int64    // ns, as the one who opened the link measures it
+	At   int64    // the sender's hub time, in ns
+	Echo int64    // the last At of the other side; 0: none has come
+	RTT  int64    // ns, as the side that dialed measures it
 }
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -13,108 +13,176 @@
 	"time"
 )
 
-// version of hellos and frames. Fields are numbered, and those that a reader does not know are passed over, so that a
-// version changes only with what they mean.
+// version of hellos and frames. Fields are numbered, and a reader skips those that it does not know. So a new field needs no
+// new version, and a change of meaning does.
 const version = 1
 
-// hello is what each side says first.
+const (
+	nonceSize        = 16
+	maxHello         = 4 << 10 // bytes
+	maxName          = 64      // bytes of each text in a hello
+	helloBuffer      = 8 << 10 // of the reader that the link goes on to use
+	handshakeTimeout = 2 * time.Second
+)
+
+// Labels of the keys that are derived for a link. They are part of the protocol.
+const (
+	linkLabel   = "damsontrestle link"
+	proofLabel  = "proof of the "
+	framesLabel = "frames of the "
+)
+
+// Sides of a link, as labels name them.
+const (
+	dialerSide   = "caller"
+	listenerSide = "called"
+)
+
+// hello is the first message of each side.
 type hello struct {
 	Version int    `cbor:"1,keyasint"`
 	Peer    Peer   `cbor:"2,keyasint"`
-	To      string `cbor:"3,keyasint,omitempty"` // the partner that is meant; empty: whoever listens
+	To      string `cbor:"3,keyasint,omitempty"` // the partner that is dialed; empty: whoever listens
 	Nonce   []byte `cbor:"4,keyasint"`
 }
 
-const (
-	nonceSize = 16
-	tagSize   = 16 // of HMAC-SHA-256, shortened
-	maxHello  = 4 << 10
-	maxName   = 64
-)
-
-// session is what a hello came to.
+// session is the result of a handshake.
 type session struct {
-	peer Peer
-	in   *frameReader
-	out  *frameWriter
+	peer   Peer
+	reader *frameReader
+	writer *frameWriter
 }
 
-// handshake says hello and hears the other side's. Each proves by a tag over both hellos that it has the key; frames carry tags
-// of keys that are made of the key and both nonces, one for each direction.
+// handshake exchanges hellos and proofs of the key. Each side proves by a tag over both hellos that it has the key, and the
+// keys of the frames' tags, one for each direction, are derived from the key and both hellos.
 func handshake(c net.Conn, o Options, dialed bool, partner string) (*session, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
-	own := hello{Version: version, Peer: o.Self, To: partner, Nonce: make([]byte, nonceSize)}
-	if _, err := rand.Read(own.Nonce); err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
-	}
-	said, err := encoding.Marshal(own)
+	own, err := newHello(o.Self, partner)
 	if err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
+		return nil, err
 	}
-	if err := writeBlock(c, said); err != nil {
+	if err := writeBlock(c, own); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(c, 8<<10)
-	heard, err := readBlock(br, maxHello)
+	br := bufio.NewReaderSize(c, helloBuffer)
+	received, err := readBlock(br, maxHello)
 	if err != nil {
 		return nil, err
 	}
 	var other hello
-	if err := decoding.Unmarshal(heard, &other); err != nil {
+	if err := decoding.Unmarshal(received, &other); err != nil {
 		return nil, fmt.Errorf("%w: the hello: %w", ErrFrame, err)
 	}
-	p := other.Peer
-	switch {
-	case other.Version != version:
-		return nil, fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrStrange, other.Version, version)
-	case p.Partner == "" || p.Name == "" || len(p.Partner) > maxName || len(p.Name) > maxName || len(p.Zone) > maxName || len(p.Calls) > maxName || len(other.Nonce) != nonceSize:
-		return nil, fmt.Errorf("%w: the hello of %q, %q", ErrFrame, p.Partner, p.Name)
-	case partner != "" && p.Partner != partner:
-		return nil, fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrStrange, p.Partner, partner)
-	case other.To != "" && other.To != o.Self.Partner:
-		return nil, fmt.Errorf("%w: it means a gateway of %q", ErrStrange, other.To)
-	case p.ID() == o.Self.ID():
-		return nil, fmt.Errorf("%w: it has this gateway's own name, %v", ErrStrange, p.ID())
+	if err := other.check(o.Self, partner); err != nil {
+		return nil, err
 	}
-	key := o.Key(p.Partner)
+	key := o.Key(other.Peer.Partner)
 	if key == nil {
-		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrStrange, p.Partner)
+		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrStrange, other.Peer.Partner)
+	}
+	var keys linkKeys
+	var ownSide, otherSide string
+	if dialed {
+		keys = linkKeys{key: key, dialerHello: own, listenerHello: received}
+		ownSide, otherSide = dialerSide, listenerSide
+	} else {
+		keys = linkKeys{key: key, dialerHello: received, listenerHello: own}
+		ownSide, otherSide = listenerSide, dialerSide
+	}
+	if err := exchangeProofs(c, br, keys.derive(proofLabel+ownSide), keys.derive(proofLabel+otherSide)); err != nil {
+		return nil, err
 	}
-	first, second := said, heard // the one who called comes first
-	if !dialed {
-		first, second = heard, said
+	c.SetDeadline(time.Time{})
+	return &session{
+		peer:   other.Peer,
+		reader: &frameReader{br: br, mac: newFrameMAC(keys.derive(framesLabel + otherSide))},
+		writer: &frameWriter{w: c, mac: newFrameMAC(keys.derive(framesLabel + ownSide))},
+	}, nil
+}
+
+// newHello returns the encoded hello of this side.
+func newHello(self Peer, partner string) ([]byte, error) {
+	h := hello{Version: version, Peer: self, To: partner, Nonce: make([]byte, nonceSize)}
+	if _, err := rand.Read(h.Nonce); err != nil {
+		return nil, fmt.Errorf("peering: nonce: %w", err)
 	}
-	derive := func(use string) []byte {
-		m := hmac.New(sha256.New, key)
-		for _, part := range [][]byte{[]byte("damsontrestle link"), []byte(use), first, second} {
-			m.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
-			m.Write(part)
-		}
-		return m.Sum(nil)
+	b, err := encoding.Marshal(h)
+	if err != nil {
+		return nil, fmt.Errorf("peering: hello: %w", err)
 	}
-	ours, theirs := "caller", "called"
-	if !dialed {
-		ours, theirs = theirs, ours
+	return b, nil
+}
+
+// check returns an error if the hello is malformed or of a gateway with which there can be no link. partner is the one that
+// was dialed; empty: any.
+func (h hello) check(self Peer, partner string) error {
+	p := h.Peer
+	switch {
+	case h.Version != version:
+		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrStrange, h.Version, version)
+	case !h.wellFormed():
+		return fmt.Errorf("%w: the hello of %q, %q", ErrFrame, p.Partner, p.Name)
+	case partner != "" && p.Partner != partner:
+		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrStrange, p.Partner, partner)
+	case h.To != "" && h.To != self.Partner:
+		return fmt.Errorf("%w: it dialed a gateway of %q", ErrStrange, h.To)
+	case p.ID() == self.ID():
+		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrStrange, p.ID())
+	}
+	return nil
+}
+
+// wellFormed says that the hello names a gateway and that its fields are within their bounds.
+func (h hello) wellFormed() bool {
+	p := h.Peer
+	if p.Partner == "" || p.Name == "" || len(h.Nonce) != nonceSize {
+		return false
+	}
+	for _, text := range []string{p.Partner, p.Name, p.Zone, p.Calls} {
+		if len(text) > maxName {
+			return false
+		}
 	}
-	err = writeBlock(c, derive("proof of the "+ours))
+	return true
+}
+
+// linkKeys derives the keys of one link.
+type linkKeys struct {
+	key           []byte
+	dialerHello   []byte
+	listenerHello []byte
+}
+
+// derive returns the key for a use.
+func (k linkKeys) derive(use string) []byte {
+	m := hmac.New(sha256.New, k.key)
+	for _, part := range [][]byte{[]byte(linkLabel), []byte(use), k.dialerHello, k.listenerHello} {
+		m.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
+		m.Write(part)
+	}
+	return m.Sum(nil)
+}
+
+// exchangeProofs sends this side's proof and checks the other's.
+func exchangeProofs(w io.Writer, r io.Reader, own, want []byte) error {
+	err := writeBlock(w, own)
 	var proof []byte
 	if err == nil {
-		proof, err = readBlock(br, sha256.Size)
+		proof, err = readBlock(r, sha256.Size)
 	}
-	var late net.Error
+	var netErr net.Error
 	switch {
-	case errors.As(err, &late) && late.Timeout(), errors.Is(err, ErrFrame):
-		return nil, err
-	case err != nil: // its end may come as a reset
-		return nil, fmt.Errorf("%w, or does not want this one: it hung up at the proof", ErrKey)
-	}
-	if !hmac.Equal(proof, derive("proof of the "+theirs)) {
-		return nil, ErrKey
+	case errors.As(err, &netErr) && netErr.Timeout(), errors.Is(err, ErrFrame):
+		return err
+	case err != nil: // the other side has closed the connection, which may come as a reset
+		return fmt.Errorf("%w, or does not want this one: it hung up at the proof", ErrKey)
+	case !hmac.Equal(proof, want):
+		return ErrKey
 	}
-	c.SetDeadline(time.Time{})
-	return &session{p, &frameReader{br: br, seal: newSeal(derive("frames of the " + theirs))}, &frameWriter{w: c, seal: newSeal(derive("frames of the " + ours))}}, nil
+	return nil
 }
 
+// writeBlock writes a block of a handshake with its length before it.
 func writeBlock(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	if err != nil {
@@ -123,14 +191,15 @@
 	return nil
 }
 
-func readBlock(r io.Reader, most int) ([]byte, error) {
+// readBlock reads a block of a handshake, of maxBytes at most.
+func readBlock(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, fmt.Errorf("peering: hello: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(most) {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, most)
+	if n > uint32(maxBytes) {
+		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, maxBytes)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -1,22 +1,22 @@
-// Package peering carries messages between gateways, of one partner and of several, over TCP streams. It owns the links:
-// who is at the other end, whether that one still hears, and what is to be told of a link that is slow or gone. What
-// messages mean is their topics' owners'.
+// Package peering carries messages between gateways, of one partner and of several, over TCP streams. It owns the links: the
+// handshake and the keys, heartbeats, bounded queues and dialing again. The meaning of messages is left to the handlers of
+// their topics.
 //
-// What it promises:
+// It promises:
 //
-//   - A link comes up only between two that have one key (Options.Key), and each frame is of that key, of this link and in
-//     its place: a frame that was changed, left out, repeated or moved ends the link.
-//   - What is sent over one link comes in the order in which it was sent, or the link ends and both sides are told.
-//   - Nothing is dropped in silence. A message for which the queue has no room is refused to whoever sends it (ErrFull); an
-//     answer or a heartbeat for which it has none ends the link (ErrOverflow).
-//   - A link ends when its other side has not answered a heartbeat for Options.Silence (ErrSilent), and a beat more on the side
-//     that did not open it, be it stopped, cut off, one way or both, or its reader stalled; or when bytes could not be written for Options.Stuck (ErrStuck). That is the
-//     end of the link and of no other.
-//   - At most Options.Queue bytes wait on a link, and it takes two goroutines, one that reads it from hello to end and one
-//     that writes it. What a topic does with a message must not block its reader.
-//   - No time of day counts: clocks may be set while links are up.
+//   - A link comes up only between two sides that have the same key (Options.Key). Each frame carries a tag over the link's
+//     key and the frame's position: one that was changed, dropped, replayed or reordered ends the link.
+//   - Messages on one link arrive in the order in which they were sent, or the link ends and both sides learn of it.
+//   - Nothing is dropped silently. A message for which the queue has no room is rejected (ErrFull); a reply or a heartbeat
+//     without room ends the link (ErrOverflow).
+//   - A link ends if the other side has not answered a heartbeat for Options.Silence (ErrSilent), and one Options.Beat later on
+//     the side that was dialed: after a crash, a partition in one or both directions, or if its reader stalls. It ends if
+//     bytes could not be written for Options.Stuck (ErrStuck). No other link is affected.
+//   - At most Options.Queue bytes wait on a link, and it takes two goroutines, a reader and a writer. Handlers must not block
+//     the reader.
+//   - Wall-clock time is not used: clocks may be set while links are up.
 //
-// A gateway that starts anew under its name is another incarnation (Peer.Life); its links take the place of the old incarnation's.
+// A gateway that restarts under its name is another incarnation (Peer.Incarnation). Its links replace those of the earlier one.
 package peering
 
 import (
@@ -24,6 +24,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"net"
 	"slices"
 	"sync"
@@ -33,45 +34,33 @@
 	"damsontrestle/internal/listener"
 )
 
-// Bounds.
-const (
-	MaxFrame         = 1 << 20 // bytes of a frame's body
-	frameOverhead    = 64      // bytes that a frame counts beside its own in a queue
-	minRedial        = 50 * time.Millisecond
-	maxRedial        = time.Second
-	maxSilentRedial  = 8 * time.Second // for one whose links come up and end soon
-	stableSilences   = 5               // times the silence, after which a link has stood
-	maxHandshakes    = 8               // links with which a gateway shakes hands at once
-	handshakeTimeout = 2 * time.Second
-)
-
-// Hub has all links of a gateway.
+// Hub owns all links of a gateway. Its methods may be called by any goroutine.
 type Hub struct {
 	options  Options
 	listener *listener.Listener
-	ctx      context.Context
+	ctx      context.Context // ends with Close; it bounds the goroutines that the hub owns
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
-	start    time.Time
+	start    time.Time // of the hub time
 
-	handshakes chan struct{} // to shake hands
+	handshakes chan struct{} // a value for each handshake that this side has begun
 
 	mu        sync.Mutex
 	links     map[GatewayID][]*Link // the newest last
-	targets   map[string]*target
+	targets   map[string]*target    // by address
 	stats     Stats
 	queueFull atomic.Int64
 }
 
-// Stats count what links did since the start.
+// Stats are numbers of events on links since the start.
 type Stats struct {
 	Up       int            `json:"up"`               // links that came up
-	Ended    map[string]int `json:"ended,omitempty"`  // by why
-	Rejected int            `json:"turned,omitempty"` // connections that were rejected at their hello
-	Full     int64          `json:"full,omitempty"`   // messages that were refused for want of room
+	Ended    map[string]int `json:"ended,omitempty"`  // links that ended, by reason
+	Rejected int            `json:"turned,omitempty"` // connections whose handshake failed
+	Full     int64          `json:"full,omitempty"`   // messages that were rejected with ErrFull
 }
 
-// Open listens. Links come in from now on, and go out as Keep says, until Close.
+// Open listens at Options.Listen and accepts links until Close.
 func Open(o Options) (*Hub, error) {
 	ln, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -80,25 +69,35 @@
 	return Serve(ln, o), nil
 }
 
-// Serve is Open with a listener, which Close closes.
+// Serve accepts links from a listener until Close, which closes the listener.
 func Serve(ln net.Listener, o Options) *Hub {
 	o = o.withDefaults()
-	h := &Hub{options: o, listener: listener.New(ln, o.Log), start: time.Now(), links: map[GatewayID][]*Link{}, targets: map[string]*target{}, stats: Stats{Ended: map[string]int{}}, handshakes: make(chan struct{}, maxHandshakes)}
-	h.ctx, h.cancel = context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
+	h := &Hub{
+		options:    o,
+		listener:   listener.New(ln, o.Log),
+		ctx:        ctx,
+		cancel:     cancel,
+		start:      time.Now(),
+		handshakes: make(chan struct{}, maxHandshakes),
+		links:      map[GatewayID][]*Link{},
+		targets:    map[string]*target{},
+		stats:      Stats{Ended: map[string]int{}},
+	}
 	h.tasks.Go(h.accept)
 	return h
 }
 
-// now is the time since the hub was opened.
+// now returns the hub time: the time since the hub was opened.
 func (h *Hub) now() time.Duration { return time.Since(h.start) }
 
-// Addr is where it listens.
+// Addr returns the address on which the hub listens.
 func (h *Hub) Addr() string { return h.listener.Addr().String() }
 
-// Self is this gateway.
+// Self returns this gateway.
 func (h *Hub) Self() Peer { return h.options.Self }
 
-// Close ends all links and returns once every goroutine has ended.
+// Close ends all links and returns once every goroutine of the hub has ended.
 func (h *Hub) Close() {
 	h.cancel()
 	h.listener.Close()
@@ -108,7 +107,7 @@
 	h.tasks.Wait()
 }
 
-// accept takes links that others open.
+// accept serves links that others dial.
 func (h *Hub) accept() {
 	for {
 		c, err := h.listener.Accept()
@@ -116,15 +115,17 @@
 			return
 		}
 		h.tasks.Go(func() {
-			if err := h.serve(c, false, "", func() {}); errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
+			err := h.serve(c, false, "", func() {})
+			if errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
 				h.options.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
 			}
 		})
 	}
 }
 
-// serve is a link's reader from hello to end. It returns why the link ended.
-func (h *Hub) serve(c net.Conn, dialed bool, partner string, up func()) error {
+// serve shakes hands on a connection and serves the link until it ends. onUp is called once the link is up. It returns why there
+// was no link, or why it ended.
+func (h *Hub) serve(c net.Conn, dialed bool, partner string, onUp func()) error {
 	defer c.Close()
 	stop := context.AfterFunc(h.ctx, func() { c.Close() })
 	defer stop()
@@ -135,85 +136,93 @@
 		h.mu.Unlock()
 		return err
 	}
-	l := &Link{Peer: s.peer, hub: h, conn: c, dialed: dialed, reader: s.in, out: s.out, queued: make(chan struct{}, 1), pending: map[uint64]func(frame){}, done: make(chan struct{})}
-	l.answeredPulse.Store(int64(h.now()))
-	l.lastPulse.Store(int64(h.now()))
+	l := newLink(h, c, dialed, s)
 	if !h.add(l) {
 		return ErrClosed
 	}
-	up()
+	onUp()
 	written := make(chan struct{})
-	h.tasks.Go(func() { defer close(written); l.writeLoop() })
+	h.tasks.Go(func() {
+		defer close(written)
+		l.writeLoop()
+	})
 	l.fail(l.readLoop())
 	<-written
 	h.remove(l)
 	return l.Err()
 }
 
-// add has a link be the one to its peer. An older incarnation's end with it.
+// add makes a link the newest one to its peer, and ends the links of other incarnations; false: the hub is closed.
 func (h *Hub) add(l *Link) bool {
+	id := l.Peer.ID()
 	h.mu.Lock()
 	if h.ctx.Err() != nil {
 		h.mu.Unlock()
 		return false
 	}
-	who := l.Peer.ID()
-	old := h.links[who]
-	var gone []*Link
+	old := h.links[id]
+	var replaced []*Link
 	for _, o := range old {
 		if o.Peer.Incarnation != l.Peer.Incarnation {
-			gone = append(gone, o)
+			replaced = append(replaced, o)
 		}
 	}
-	h.links[who] = append(old, l)
+	first := len(old) == len(replaced)
+	h.links[id] = append(old, l)
 	h.stats.Up++
 	h.mu.Unlock()
-	for _, o := range gone {
+	for _, o := range replaced {
 		o.fail(ErrReplaced)
 	}
 	h.options.Up(l)
-	if len(old) == len(gone) {
-		h.options.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", true)
+	if first {
+		h.options.Log.Info("link", "gateway", id, "life", l.Peer.Incarnation, "up", true)
 		h.options.Changed(l.Peer, true, nil)
 	}
 	return true
 }
 
+// remove removes a link that has ended.
 func (h *Hub) remove(l *Link) {
+	id := l.Peer.ID()
+	err := l.Err()
 	h.mu.Lock()
-	who := l.Peer.ID()
-	h.links[who] = slices.DeleteFunc(h.links[who], func(o *Link) bool { return o == l })
-	last := !slices.ContainsFunc(h.links[who], func(o *Link) bool { return o.Peer.Incarnation == l.Peer.Incarnation })
-	if len(h.links[who]) == 0 {
-		delete(h.links, who)
+	links := slices.DeleteFunc(h.links[id], func(o *Link) bool { return o == l })
+	h.links[id] = links
+	if len(links) == 0 {
+		delete(h.links, id)
 	}
-	h.stats.Ended[endReason(l.Err())]++
+	last := !slices.ContainsFunc(links, func(o *Link) bool { return o.Peer.Incarnation == l.Peer.Incarnation })
+	h.stats.Ended[endReason(err)]++
 	h.mu.Unlock()
-	if last {
-		if h.ctx.Err() == nil {
-			h.options.Log.Info("link", "gateway", who, "life", l.Peer.Incarnation, "up", false, "why", l.Err())
-		}
-		h.options.Changed(l.Peer, false, l.Err())
+	if !last {
+		return
+	}
+	if h.ctx.Err() == nil {
+		h.options.Log.Info("link", "gateway", id, "life", l.Peer.Incarnation, "up", false, "why", err)
 	}
+	h.options.Changed(l.Peer, false, err)
 }
 
-// To is the newest link to a gateway; nil: there is none.
-func (h *Hub) To(who GatewayID) *Link {
+// To returns the newest link to a gateway; nil: there is none.
+func (h *Hub) To(id GatewayID) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if all := h.links[who]; len(all) > 0 {
-		return all[len(all)-1]
+	links := h.links[id]
+	if len(links) == 0 {
+		return nil
 	}
-	return nil
+	return links[len(links)-1]
 }
 
-// Links are the newest link to each gateway of a partner; empty: to each of all. They come in the order of names.
-func (h *Hub) Links(partner string) (out []*Link) {
+// Links returns the newest link to each gateway of a partner, or of all partners if it is empty, in the order of their IDs.
+func (h *Hub) Links(partner string) []*Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for who, all := range h.links {
-		if partner == "" || who.Partner == partner {
-			out = append(out, all[len(all)-1])
+	var out []*Link
+	for id, links := range h.links {
+		if partner == "" || id.Partner == partner {
+			out = append(out, links[len(links)-1])
 		}
 	}
 	slices.SortFunc(out, func(a, b *Link) int {
@@ -222,15 +231,12 @@
 	return out
 }
 
-// Stats are what links did so far.
+// Stats returns a copy of the numbers so far.
 func (h *Hub) Stats() Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.stats
 	s.Full = h.queueFull.Load()
-	s.Ended = map[string]int{}
-	for k, v := range h.stats.Ended {
-		s.Ended[k] = v
-	}
+	s.Ended = maps.Clone(h.stats.Ended)
 	return s
 }
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -9,73 +9,99 @@
 	"time"
 )
 
-// Link is a stream to one incarnation of a gateway.
+// Link is a stream to one incarnation of a gateway. Its methods may be called by any goroutine.
 type Link struct {
+	// Peer is the gateway at the other end, as it named itself in its hello.
 	Peer Peer
 
-	hub           *Hub
-	conn          net.Conn
-	reader        *frameReader
-	out           *frameWriter
-	queued        chan struct{} // takes a word when the queue is no longer empty
-	dialed        bool          // this side opened it, and beats
-	answeredPulse atomic.Int64  // ns of the hub's time when the pulse was sent that was answered last
-	lastPulse     atomic.Int64  // ns of the hub's time when the other side's pulse came last, and
-	peerStamp     atomic.Int64  // its At
-	rtt           atomic.Int64  // ns
-	done          chan struct{}
+	hub    *Hub
+	conn   net.Conn
+	dialed bool         // this side dialed, and sends heartbeats
+	reader *frameReader // of the reader's goroutine
+	writer *frameWriter // of the writer's goroutine
+	done   chan struct{}
 
-	lastBeat, pausedUntil time.Duration // hub's time of the last heartbeat, and of the last one that was late by more than another; the writer's
+	// Times are hub times in ns.
+	answeredPulse atomic.Int64 // when the last pulse was sent that the other side has answered
+	lastPulse     atomic.Int64 // when the other side's last pulse came
+	peerStamp     atomic.Int64 // At of that pulse
+	rtt           atomic.Int64 // smoothed, in ns; 0: not measured yet
+
+	// Of the writer's goroutine.
+	lastBeat    time.Duration // hub time of the last heartbeat that was due
+	pausedUntil time.Duration // hub time of the last one that was late by more than another interval
+
+	queued chan struct{} // has a value if the queue may not be empty
 
 	mu          sync.Mutex
-	frames      [][]byte               // that wait to be written
-	queuedBytes int                    // bytes of them
-	pending     map[uint64]func(frame) // by the number of the question; the zero frame says that the link has ended
-	number      uint64
-	err         error
+	queue       [][]byte               // encoded frames
+	queuedBytes int                    // with frameOverhead for each
+	pending     map[uint64]func(frame) // onReply of requests, by their numbers
+	lastNumber  uint64                 // of a request
+	err         error                  // why the link ended; nil: it has not
+}
+
+func newLink(h *Hub, c net.Conn, dialed bool, s *session) *Link {
+	l := &Link{
+		Peer:    s.peer,
+		hub:     h,
+		conn:    c,
+		dialed:  dialed,
+		reader:  s.reader,
+		writer:  s.writer,
+		done:    make(chan struct{}),
+		queued:  make(chan struct{}, 1),
+		pending: map[uint64]func(frame){},
+	}
+	now := int64(h.now())
+	l.answeredPulse.Store(now)
+	l.lastPulse.Store(now)
+	return l
 }
 
-// Done is closed once the link has ended.
+// Done returns a channel that is closed once the link has ended.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// Err is why it ended; nil: it has not.
+// Err returns why the link ended; nil: it has not.
 func (l *Link) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.err
 }
 
-// RTT is how long heartbeats took there and back, about; 0: none has yet.
+// RTT returns the smoothed round trip time of heartbeats; 0: it has not been measured yet.
 func (l *Link) RTT() time.Duration { return time.Duration(l.rtt.Load()) }
 
-// Quiet is how long ago the other side's last heartbeat came: more than a beat says that it is late, stopped or cut off.
+// Quiet returns the time since the other side's last heartbeat. More than Options.Beat says that it is late, stopped or cut off.
 func (l *Link) Quiet() time.Duration { return l.hub.now() - time.Duration(l.lastPulse.Load()) }
 
-// fail ends the link for a reason; the first one counts.
-func (l *Link) fail(why error) {
+// fail ends the link with an error. Only the first call has an effect beside closing the connection.
+func (l *Link) fail(err error) {
 	l.mu.Lock()
-	var left map[uint64]func(frame)
+	var unanswered map[uint64]func(frame)
 	if l.err == nil {
-		l.err, left, l.pending = why, l.pending, nil
+		l.err = err
+		unanswered = l.pending
+		l.pending = nil
 		close(l.done)
 	}
 	l.mu.Unlock()
 	l.conn.Close()
-	for _, told := range left {
-		told(frame{})
+	for _, onReply := range unanswered {
+		onReply(frame{})
 	}
 }
 
-// readLoop takes one frame after another until the link ends.
+// readLoop handles one frame after another until the link ends, and returns why.
 func (l *Link) readLoop() error {
 	for {
-		text, err := l.reader.next()
+		body, err := l.reader.next()
 		if err != nil {
 			return err
 		}
 		var f frame
-		if err := decoding.Unmarshal(text, &f); err != nil {
-			return fmt.Errorf("%w: %w", ErrFrame, err)
+		if err := Decode(body, &f); err != nil {
+			return err
 		}
 		if err := l.handle(f); err != nil {
 			return err
@@ -83,75 +109,80 @@
 	}
 }
 
-// handle does what a frame asks for.
+// handle handles a frame. An error ends the link.
 func (l *Link) handle(f frame) error {
 	switch f.Kind {
 	case frameBeat, frameEcho:
-		var p pulse
-		if err := decoding.Unmarshal(f.Body, &p); err != nil {
-			return fmt.Errorf("%w: a heartbeat: %w", ErrFrame, err)
-		}
-		if (f.Kind == frameEcho) != l.dialed {
-			return fmt.Errorf("%w: a heartbeat of the wrong side", ErrFrame)
-		}
-		return l.receivePulse(p)
+		return l.handlePulse(f)
 	case frameNotify, frameRequest:
-		handle := l.hub.options.Topics[f.Topic]
-		if handle == nil {
-			if f.Kind == frameRequest {
-				return l.sendReply(f.Number, nil, fmt.Errorf("topic %q is not known here", f.Topic))
-			}
-			return nil // of a later version
-		}
-		if f.Kind == frameNotify {
-			handle(l, f.Body, nil)
-			return nil
-		}
-		handle(l, f.Body, func(answer any, err error) {
+		return l.handleMessage(f)
+	case frameReply, frameReject:
+		l.handleReply(f)
+		return nil
+	default:
+		return fmt.Errorf("%w: kind %d", ErrFrame, f.Kind)
+	}
+}
+
+func (l *Link) handlePulse(f frame) error {
+	var p pulse
+	if err := decoding.Unmarshal(f.Body, &p); err != nil {
+		return fmt.Errorf("%w: a heartbeat: %w", ErrFrame, err)
+	}
+	if isEcho := f.Kind == frameEcho; isEcho != l.dialed {
+		return fmt.Errorf("%w: a heartbeat of the wrong side", ErrFrame)
+	}
+	return l.receivePulse(p)
+}
+
+// handleMessage calls the handler of a topic. Notifications of an unknown topic come from a later version and are ignored.
+func (l *Link) handleMessage(f frame) error {
+	handler := l.hub.options.Topics[f.Topic]
+	switch {
+	case f.Kind == frameNotify && handler == nil:
+	case f.Kind == frameNotify:
+		handler(l, f.Body, nil)
+	case handler == nil:
+		return l.sendReply(f.Number, nil, fmt.Errorf("topic %q is not known here", f.Topic))
+	default:
+		handler(l, f.Body, func(answer any, err error) {
 			if err := l.sendReply(f.Number, answer, err); err != nil {
 				l.fail(err)
 			}
 		})
-	case frameReply, frameReject:
-		l.mu.Lock()
-		to := l.pending[f.Number]
-		delete(l.pending, f.Number)
-		l.mu.Unlock()
-		if to != nil {
-			to(f)
-		}
-	default:
-		return fmt.Errorf("%w: kind %d", ErrFrame, f.Kind)
 	}
 	return nil
 }
 
-// writeLoop sends what is queued, and heartbeats, until the link ends.
+// handleReply passes a reply to its request. One for a request that was cancelled is ignored.
+func (l *Link) handleReply(f frame) {
+	l.mu.Lock()
+	onReply := l.pending[f.Number]
+	delete(l.pending, f.Number)
+	l.mu.Unlock()
+	if onReply != nil {
+		onReply(f)
+	}
+}
+
+// writeLoop writes queued frames and heartbeats until the link ends.
 func (l *Link) writeLoop() {
-	tick := time.NewTicker(l.hub.options.Beat)
-	defer tick.Stop()
+	ticker := time.NewTicker(l.hub.options.Beat)
+	defer ticker.Stop()
 	l.lastBeat = l.hub.now()
 	for {
-		text := l.dequeue()
 		var err error
-		if text != nil {
-			select { // a heartbeat does not wait until the queue is empty
-			case <-tick.C:
-				err = l.sendBeat()
-			default:
-			}
+		if body := l.dequeue(); body != nil {
+			err = l.writeQueued(ticker, body)
 		} else {
 			select {
 			case <-l.done:
 				return
 			case <-l.queued:
-			case <-tick.C:
+			case <-ticker.C:
 				err = l.sendBeat()
 			}
 		}
-		if err == nil && text != nil {
-			err = l.writeFrame(text)
-		}
 		if err != nil {
 			l.fail(err)
 			return
@@ -159,12 +190,24 @@
 	}
 }
 
-// writeFrame writes a frame.
-func (l *Link) writeFrame(text []byte) error {
+// writeQueued writes a queued frame, after a heartbeat if one is due: that does not wait until the queue is empty.
+func (l *Link) writeQueued(ticker *time.Ticker, body []byte) error {
+	select {
+	case <-ticker.C:
+		if err := l.sendBeat(); err != nil {
+			return err
+		}
+	default:
+	}
+	return l.writeFrame(body)
+}
+
+// writeFrame writes a frame. It returns ErrStuck if that takes longer than Options.Stuck.
+func (l *Link) writeFrame(body []byte) error {
 	l.conn.SetWriteDeadline(time.Now().Add(l.hub.options.Stuck))
-	err := l.out.write(text)
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+	err := l.writer.write(body)
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return fmt.Errorf("%w (%v)", ErrStuck, l.hub.options.Stuck)
 	}
 	return err
--- a/internal/peering/peer.go
+++ b/internal/peering/peer.go
@@ -2,17 +2,18 @@
 
 // Peer is a gateway at the other end of a link.
 type Peer struct {
-	Partner     string `cbor:"1,keyasint"` // whose gateway it is
-	Name        string `cbor:"2,keyasint"`
+	Partner     string `cbor:"1,keyasint"` // that owns the gateway
+	Name        string `cbor:"2,keyasint"` // among the partner's gateways
 	Zone        string `cbor:"3,keyasint,omitempty"`
-	Incarnation uint64 `cbor:"4,keyasint"`           // drawn at its start: another one has forgotten what this one knew
-	Calls       string `cbor:"5,keyasint,omitempty"` // address at which it takes partners' requests; empty: it takes none
+	Incarnation uint64 `cbor:"4,keyasint"`           // drawn at its start: a new one has no state of an earlier one
+	Calls       string `cbor:"5,keyasint,omitempty"` // address for partners' requests; empty: it takes none
 }
 
-// GatewayID names a gateway whatever its incarnation.
+// GatewayID identifies a gateway across its incarnations.
 type GatewayID struct{ Partner, Name string }
 
-// ID is the peer's name among all.
+// ID returns the ID of the gateway.
 func (p Peer) ID() GatewayID { return GatewayID{p.Partner, p.Name} }
 
-func (w GatewayID) String() string { return w.Partner + "/" + w.Name }
+// String returns partner and name with a slash between them.
+func (id GatewayID) String() string { return id.Partner + "/" + id.Name }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -215,7 +215,7 @@
 			text, _ := Encode(frame{Kind: frameNotify, Topic: "n", Body: body})
 			return text
 		}
-		if err := s.out.write(frameOf(1)); err != nil {
+		if err := s.writer.write(frameOf(1)); err != nil {
 			t.Fatal(err)
 		}
 		if got := testpeer.Receive(t, taken, "the first"); got != 1 {
@@ -223,9 +223,9 @@
 		}
 		if how == "changed" {
 			c.now.Store(true)
-			s.out.write(frameOf(2))
+			s.writer.write(frameOf(2))
 		} else {
-			conn.Write(s.out.buf) // the same bytes once more
+			conn.Write(s.writer.buf) // the same bytes once more
 		}
 		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrFrame) {
 			t.Errorf("%s: %v", how, why)
@@ -256,7 +256,7 @@
 		for n := int64(1); ; n++ {
 			body, _ := Encode(pulse{At: int64(n)})
 			text, _ := Encode(frame{Kind: frameBeat, Body: body})
-			if s.out.write(text) != nil {
+			if s.writer.write(text) != nil {
 				return
 			}
 			select {
--- a/internal/peering/queue.go
+++ b/internal/peering/queue.go
@@ -2,26 +2,31 @@
 
 import "fmt"
 
-// enqueue queues a frame.
+// frameOverhead is how many bytes a frame counts in a queue beside its own.
+const frameOverhead = 64
+
+// enqueue queues a frame for the link's writer. It returns ErrFull if there is no room for it, ErrFrame if it is too long, and
+// the error of the link if that has ended.
 func (l *Link) enqueue(f frame) error {
-	text, err := encoding.Marshal(f)
+	body, err := encoding.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("peering: %w", err)
 	}
-	if len(text) > MaxFrame {
-		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, len(text), MaxFrame)
+	if len(body) > MaxFrame {
+		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, len(body), MaxFrame)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err != nil {
 		return l.err
 	}
-	if l.queuedBytes+len(text)+frameOverhead > l.hub.options.Queue {
+	size := len(body) + frameOverhead
+	if l.queuedBytes+size > l.hub.options.Queue {
 		l.hub.queueFull.Add(1)
 		return ErrFull
 	}
-	l.queuedBytes += len(text) + frameOverhead
-	l.frames = append(l.frames, text)
+	l.queuedBytes += size
+	l.queue = append(l.queue, body)
 	select {
 	case l.queued <- struct{}{}:
 	default:
@@ -29,17 +34,17 @@
 	return nil
 }
 
-// dequeue takes a frame from the queue; nil: it is empty.
+// dequeue takes the first frame from the queue; nil: it is empty.
 func (l *Link) dequeue() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.frames) == 0 {
-		l.frames = nil
+	if len(l.queue) == 0 {
+		l.queue = nil
 		return nil
 	}
-	text := l.frames[0]
-	l.frames[0] = nil
-	l.frames = l.frames[1:]
-	l.queuedBytes -= len(text) + frameOverhead
-	return text
+	body := l.queue[0]
+	l.queue[0] = nil
+	l.queue = l.queue[1:]
+	l.queuedBytes -= len(body) + frameOverhead
+	return body
 }
--- a/internal/peering/request.go
+++ b/internal/peering/request.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Tell sends a message that asks nothing. No error says that it was queued, and no more.
+// Tell sends a notification. A nil error says that it was queued, and no more.
 func (l *Link) Tell(topic string, message any) error {
 	body, err := encoding.Marshal(message)
 	if err != nil {
@@ -15,15 +15,16 @@
 	return l.enqueue(frame{Kind: frameNotify, Topic: topic, Body: body})
 }
 
-// PendingRequest is a question that is under way.
+// PendingRequest is a request whose reply has not been read yet.
 type PendingRequest struct {
 	link   *Link
 	number uint64
-	answer chan frame
+	reply  chan frame
 }
 
-// startRequest sends a question; told is called once with its answer, on the link's reader, or with the zero frame when the link ends.
-func (l *Link) startRequest(topic string, question any, told func(frame)) (number uint64, err error) {
+// startRequest sends a request. onReply is called once: with the reply on the link's reader, or with the zero frame when the
+// link ends.
+func (l *Link) startRequest(topic string, question any, onReply func(frame)) (number uint64, err error) {
 	body, err := encoding.Marshal(question)
 	if err != nil {
 		return 0, fmt.Errorf("peering: %s: %w", topic, err)
@@ -33,96 +34,99 @@
 		l.mu.Unlock()
 		return 0, l.err
 	}
-	l.number++
-	number = l.number
-	l.pending[number] = told
+	l.lastNumber++
+	number = l.lastNumber
+	l.pending[number] = onReply
 	l.mu.Unlock()
-	if err := l.enqueue(frame{Kind: frameRequest, Number: number, Topic: topic, Body: body}); err != nil {
-		if l.cancelRequest(number) {
-			return 0, err
-		}
-		return number, nil // the link has ended meanwhile, and that was told
+	err = l.enqueue(frame{Kind: frameRequest, Number: number, Topic: topic, Body: body})
+	if err != nil && l.cancelRequest(number) {
+		return 0, err
 	}
-	return number, nil
+	return number, nil // after an error the link has ended, and onReply was called
 }
 
-// cancelRequest has an answer be told no more. false: it has been told, or is being told now.
+// cancelRequest has onReply of a request not be called any more; false: it was called, or is being called now.
 func (l *Link) cancelRequest(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, was := l.pending[number]
+	_, pending := l.pending[number]
 	delete(l.pending, number)
-	return was
+	return pending
 }
 
-// Request sends a question. It comes in its place among all that is sent over the link; Wait brings the answer.
+// Request sends a request. Messages on one link arrive in the order in which they were sent. Wait returns the reply.
 func (l *Link) Request(topic string, question any) (*PendingRequest, error) {
-	a := &PendingRequest{link: l, answer: make(chan frame, 1)}
+	r := &PendingRequest{link: l, reply: make(chan frame, 1)}
 	var err error
-	if a.number, err = l.startRequest(topic, question, func(f frame) { a.answer <- f }); err != nil {
+	r.number, err = l.startRequest(topic, question, func(f frame) { r.reply <- f })
+	if err != nil {
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
 
-// Wait waits for the answer until ctx or the link ends, and reads it into what answer points to. What the other side says
-// instead is a RemoteError.
-func (a *PendingRequest) Wait(ctx context.Context, answer any) error {
+// Wait waits for the reply until ctx or the link ends, and reads it into what answer points to. An error of the other side's
+// handler is a RemoteError.
+func (r *PendingRequest) Wait(ctx context.Context, answer any) error {
 	select {
-	case f := <-a.answer:
-		return a.link.readReply(f, answer)
+	case f := <-r.reply:
+		return r.link.readReply(f, answer)
 	case <-ctx.Done():
-		a.link.cancelRequest(a.number)
+		r.link.cancelRequest(r.number)
 		return ctx.Err()
 	}
 }
 
-// RequestAsync sends a question as Ask does, and has told called once, on the link's reader or on whoever ends the link, with what
-// reads the answer into what it is given; told must not block. forget has it not be called any more.
-func (l *Link) RequestAsync(topic string, question any, told func(read func(answer any) error)) (forget func(), err error) {
-	n, err := l.startRequest(topic, question, func(f frame) { told(func(answer any) error { return l.readReply(f, answer) }) })
-	return func() { l.cancelRequest(n) }, err
+// RequestAsync sends a request as Request does. onReply is called once, on the link's reader or on the goroutine that ends the
+// link, with a function that reads the reply into what its argument points to; it must not block. cancel has it not be
+// called any more.
+func (l *Link) RequestAsync(topic string, question any, onReply func(read func(answer any) error)) (cancel func(), err error) {
+	number, err := l.startRequest(topic, question, func(f frame) {
+		onReply(func(answer any) error { return l.readReply(f, answer) })
+	})
+	return func() { l.cancelRequest(number) }, err
 }
 
-// readReply reads the answer to a question.
+// readReply reads a reply. It returns a RemoteError for a rejection, and the link's error for the zero frame.
 func (l *Link) readReply(f frame, answer any) error {
 	switch f.Kind {
 	case frameReply:
-		if err := decoding.Unmarshal(f.Body, answer); err != nil {
-			return fmt.Errorf("%w: %w", ErrFrame, err)
-		}
-		return nil
+		return Decode(f.Body, answer)
 	case frameReject:
 		var words string
-		if err := decoding.Unmarshal(f.Body, &words); err != nil {
-			return fmt.Errorf("%w: %w", ErrFrame, err)
+		if err := Decode(f.Body, &words); err != nil {
+			return err
 		}
 		return &RemoteError{words}
+	default:
+		return l.Err()
 	}
-	return l.Err()
 }
 
-// Do asks and waits.
+// Do sends a request and waits for its reply.
 func (l *Link) Do(ctx context.Context, topic string, question, answer any) error {
-	a, err := l.Request(topic, question)
+	r, err := l.Request(topic, question)
 	if err != nil {
 		return err
 	}
-	return a.Wait(ctx, answer)
+	return r.Wait(ctx, answer)
 }
 
-// sendReply queues an answer; that there is no room for it ends the link, or the other side would wait for nothing.
-func (l *Link) sendReply(number uint64, answer any, refused error) error {
+// sendReply queues the reply to a request, or a rejection. If there is no room for it, it returns ErrOverflow, which ends the
+// link: the other side would wait for nothing.
+func (l *Link) sendReply(number uint64, answer any, rejection error) error {
 	f := frame{Kind: frameReply, Number: number}
-	if refused != nil {
-		f.Kind, answer = frameReject, refused.Error()
+	if rejection != nil {
+		f.Kind = frameReject
+		answer = rejection.Error()
 	}
-	var err error
-	if f.Body, err = encoding.Marshal(answer); err != nil {
-		return fmt.Errorf("peering: an answer: %w", err)
+	body, err := encoding.Marshal(answer)
+	if err != nil {
+		return fmt.Errorf("peering: a reply: %w", err)
 	}
+	f.Body = body
 	if err := l.enqueue(f); errors.Is(err, ErrFull) {
 		return ErrOverflow
 	}
-	return nil // a link that has ended has been told of
+	return nil // any other error means that the link has ended
 }
--- a/internal/peering/seal.go
+++ b/internal/peering/seal.go
@@ -10,71 +10,80 @@
 	"io"
 )
 
-// frameTag makes the tags of one direction: over the count of frames before, the length and the body.
-type frameTag struct {
+const (
+	lengthSize    = 4
+	tagSize       = 16       // of HMAC-SHA-256, truncated
+	minReadBuffer = 1 << 10  // bytes
+	maxKeptBuffer = 16 << 10 // bytes; a larger buffer is released after its frame
+)
+
+// frameMAC computes the tags of one direction: over the number of frames before, the length and the body.
+type frameMAC struct {
 	mac   hash.Hash
 	count uint64
-	sum   []byte // room for the count, and for the sum
+	buf   []byte
 }
 
-func newSeal(key []byte) *frameTag { return &frameTag{mac: hmac.New(sha256.New, key)} }
+func newFrameMAC(key []byte) *frameMAC { return &frameMAC{mac: hmac.New(sha256.New, key)} }
 
-func (s *frameTag) tag(head, body []byte) []byte {
-	s.mac.Reset()
-	s.mac.Write(binary.BigEndian.AppendUint64(s.sum[:0], s.count))
-	s.mac.Write(head)
-	s.mac.Write(body)
-	s.count++
-	s.sum = s.mac.Sum(s.sum[:0])
-	return s.sum[:tagSize]
+// tag returns the tag of the next frame. It is valid until the next call.
+func (m *frameMAC) tag(length, body []byte) []byte {
+	m.mac.Reset()
+	m.buf = binary.BigEndian.AppendUint64(m.buf[:0], m.count)
+	m.mac.Write(m.buf)
+	m.mac.Write(length)
+	m.mac.Write(body)
+	m.count++
+	m.buf = m.mac.Sum(m.buf[:0])
+	return m.buf[:tagSize]
 }
 
-// maxKeptBuffer is how long a buffer is kept for the next frame.
-const maxKeptBuffer = 16 << 10
-
-// frameWriter writes each body as a frame: its length, its tag, itself.
+// frameWriter writes frames: length, tag and body.
 type frameWriter struct {
-	w    io.Writer
-	seal *frameTag
-	buf  []byte
+	w   io.Writer
+	mac *frameMAC
+	buf []byte
 }
 
-func (s *frameWriter) write(body []byte) error {
-	s.buf = binary.BigEndian.AppendUint32(s.buf[:0], uint32(len(body)))
-	s.buf = append(s.buf, s.seal.tag(s.buf, body)...)
-	s.buf = append(s.buf, body...)
-	_, err := s.w.Write(s.buf)
-	if cap(s.buf) > maxKeptBuffer {
-		s.buf = nil
+func (w *frameWriter) write(body []byte) error {
+	w.buf = binary.BigEndian.AppendUint32(w.buf[:0], uint32(len(body)))
+	w.buf = append(w.buf, w.mac.tag(w.buf, body)...)
+	w.buf = append(w.buf, body...)
+	_, err := w.w.Write(w.buf)
+	if cap(w.buf) > maxKeptBuffer {
+		w.buf = nil
 	}
 	return err
 }
 
-// frameReader reads one frame's body at a time.
+// frameReader reads frames and checks their tags.
 type frameReader struct {
 	br   *bufio.Reader
-	seal *frameTag
-	head [4 + tagSize]byte
+	mac  *frameMAC
+	head [lengthSize + tagSize]byte
 	buf  []byte
 }
 
-// next is the next frame's body, until the one after it.
-func (o *frameReader) next() ([]byte, error) {
-	if _, err := io.ReadFull(o.br, o.head[:]); err != nil {
+// next returns the body of the next frame, which is valid until the next call.
+func (r *frameReader) next() ([]byte, error) {
+	if _, err := io.ReadFull(r.br, r.head[:]); err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
-	n := int(binary.BigEndian.Uint32(o.head[:4]))
+	length := r.head[:lengthSize]
+	n := int(binary.BigEndian.Uint32(length))
 	if n > MaxFrame {
 		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, MaxFrame)
 	}
-	if cap(o.buf) < n || cap(o.buf) > maxKeptBuffer && n <= maxKeptBuffer {
-		o.buf = make([]byte, max(n, 1<<10))
+	tooSmall := cap(r.buf) < n
+	tooLarge := cap(r.buf) > maxKeptBuffer && n <= maxKeptBuffer
+	if tooSmall || tooLarge {
+		r.buf = make([]byte, max(n, minReadBuffer))
 	}
-	body := o.buf[:n]
-	if _, err := io.ReadFull(o.br, body); err != nil {
+	body := r.buf[:n]
+	if _, err := io.ReadFull(r.br, body); err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
-	if !hmac.Equal(o.head[4:], o.seal.tag(o.head[:4], body)) {
+	if !hmac.Equal(r.head[lengthSize:], r.mac.tag(length, body)) {
 		return nil, fmt.Errorf("%w: its tag does not fit", ErrFrame)
 	}
 	return body, nil
