--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -23,13 +23,19 @@
 
 var testKey = []byte("the key of two partners")
 
+// quiet returns a log that nobody reads.
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// options are a gateway's whose links hang on nothing's speed.
+// options returns those of a gateway whose links do not end because the host is slow.
 func options(partner, name string, incarnation uint64) Options {
-	return Options{Self: Peer{Partner: partner, Name: name, Incarnation: incarnation}, Listen: "127.0.0.1:0", Log: quiet(),
-		Key:  func(string) []byte { return testKey },
-		Beat: 10 * time.Millisecond, Silence: testpeer.Limit}
+	return Options{
+		Self:    Peer{Partner: partner, Name: name, Incarnation: incarnation},
+		Listen:  "127.0.0.1:0",
+		Log:     quiet(),
+		Key:     func(string) []byte { return testKey },
+		Beat:    10 * time.Millisecond,
+		Silence: testpeer.Limit,
+	}
 }
 
 func open(t *testing.T, o Options) *Hub {
@@ -42,24 +48,28 @@
 	return h
 }
 
-// waitForLink waits for a link from one to another.
+// waitForLink waits until there is a link from one hub to another.
 func waitForLink(t *testing.T, from, to *Hub) *Link {
 	t.Helper()
 	var l *Link
-	testpeer.Until(t, "a link", func() bool { l = from.To(to.Self().ID()); return l != nil })
+	testpeer.Until(t, "a link", func() bool {
+		l = from.To(to.Self().ID())
+		return l != nil
+	})
 	return l
 }
 
+// ctx returns a context that ends with the test, or after the limit of waits in tests.
 func ctx(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(t.Context(), testpeer.Limit)
 	t.Cleanup(cancel)
 	return c
 }
 
-// Questions over one link come in their order, each gets its own answer, and a topic that is not known is told of.
+// Requests on one link arrive in order and get their own replies, and one of an unknown topic is rejected.
 func TestRequestsArriveInOrderAndGetTheirReplies(t *testing.T) {
 	var mu sync.Mutex
-	var came []int
+	var arrived []int
 	o := options("b", "b1", 1)
 	o.Topics = map[string]Handler{
 		"double": func(from *Link, body []byte, reply func(any, error)) {
@@ -69,7 +79,7 @@
 				return
 			}
 			mu.Lock()
-			came = append(came, n)
+			arrived = append(arrived, n)
 			mu.Unlock()
 			if n%7 == 0 {
 				reply(nil, fmt.Errorf("no %d from %v", n, from.Peer.ID()))
@@ -79,14 +89,15 @@
 		},
 		"note": func(_ *Link, body []byte, reply func(any, error)) {
 			if reply != nil {
-				t.Error("a message that asks nothing can be answered")
+				t.Error("a notification can be replied to")
 			}
 			mu.Lock()
-			came = append(came, -1)
+			arrived = append(arrived, -1)
 			mu.Unlock()
 		},
 	}
-	a, b := open(t, options("a", "a1", 1)), open(t, o)
+	a := open(t, options("a", "a1", 1))
+	b := open(t, o)
 	a.Keep(b.Addr(), "b")
 	l := waitForLink(t, a, b)
 	var all []*PendingRequest
@@ -103,19 +114,23 @@
 	for i, q := range all {
 		var got int
 		err := q.Wait(ctx(t), &got)
-		var said *RemoteError
+		var remote *RemoteError
 		if i%7 == 0 {
-			if !errors.As(err, &said) || said.Words != fmt.Sprintf("no %d from a/a1", i) {
+			if !errors.As(err, &remote) || remote.Words != fmt.Sprintf("no %d from a/a1", i) {
 				t.Errorf("%d: %v", i, err)
 			}
 		} else if err != nil || got != 2*i {
 			t.Errorf("%d: %d, %v", i, got, err)
 		}
 	}
-	testpeer.Until(t, "the note", func() bool { mu.Lock(); defer mu.Unlock(); return len(came) == 301 })
-	for i, n := range came[:300] {
+	testpeer.Until(t, "the notification", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return len(arrived) == 301
+	})
+	for i, n := range arrived[:300] {
 		if n != i {
-			t.Fatalf("question %d came in place %d", n, i)
+			t.Fatalf("request %d arrived in place %d", n, i)
 		}
 	}
 	if err := l.Do(ctx(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
@@ -124,7 +139,7 @@
 	testpeer.Until(t, "a round trip", func() bool { return l.RTT() > 0 })
 }
 
-// Only who has the key and a name in the file gets a link, and says so in the log.
+// A link needs the key, a partner that is known and a name that is not the hub's own.
 func TestLinkNeedsKeyAndKnownPartner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -132,7 +147,7 @@
 		want   error
 	}{
 		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKey},
-		{"a partner that is in no file", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
+		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
 		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrStrange},
 		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKey},
 	} {
@@ -154,7 +169,7 @@
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 		conn.Close()
-		testpeer.Until(t, "it to be turned away", func() bool { return b.Stats().Rejected == 1 })
+		testpeer.Until(t, "the connection to be rejected", func() bool { return b.Stats().Rejected == 1 })
 		if len(b.Links("")) != 0 {
 			t.Errorf("%s: there is a link", c.name)
 		}
@@ -166,11 +181,11 @@
 	}
 	defer conn.Close()
 	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrStrange) {
-		t.Errorf("a gateway of another partner than was meant: %v", err)
+		t.Errorf("a gateway of another partner than the dialed one: %v", err)
 	}
 }
 
-// tamperingConn passes bytes on until it is told to change one.
+// tamperingConn changes one bit of the next write after now is set.
 type tamperingConn struct {
 	net.Conn
 	now atomic.Bool
@@ -184,15 +199,15 @@
 	return c.Conn.Write(p)
 }
 
-// A frame that was changed on its way, or that comes a second time, ends the link, and nothing of it is taken.
+// A frame that was changed in transit or replayed ends the link, and is not handled.
 func TestTamperedOrReplayedFrameEndsLink(t *testing.T) {
-	for _, how := range []string{"changed", "repeated"} {
-		taken := make(chan int, 10)
+	for _, how := range []string{"changed", "replayed"} {
+		handled := make(chan int, 10)
 		ob := options("b", "b1", 1)
 		ob.Topics = map[string]Handler{"n": func(_ *Link, body []byte, _ func(any, error)) {
 			var n int
 			Decode(body, &n)
-			taken <- n
+			handled <- n
 		}}
 		ended := make(chan error, 1)
 		ob.Changed = func(_ Peer, up bool, why error) {
@@ -218,26 +233,26 @@
 		if err := s.writer.write(frameOf(1)); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, taken, "the first"); got != 1 {
+		if got := testpeer.Receive(t, handled, "the first"); got != 1 {
 			t.Errorf("got %d", got)
 		}
 		if how == "changed" {
 			c.now.Store(true)
 			s.writer.write(frameOf(2))
 		} else {
-			conn.Write(s.writer.buf) // the same bytes once more
+			conn.Write(s.writer.buf) // the bytes of the first frame again
 		}
 		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrFrame) {
 			t.Errorf("%s: %v", how, why)
 		}
-		if len(taken) > 0 {
-			t.Errorf("%s: %d was taken", how, <-taken)
+		if len(handled) > 0 {
+			t.Errorf("%s: frame %d was handled", how, <-handled)
 		}
 		conn.Close()
 	}
 }
 
-// openStalledLink is a gateway that says hello and then reads nothing, though it goes on sending heartbeats.
+// openStalledLink opens a link that sends heartbeats and never reads.
 func openStalledLink(t *testing.T, to *Hub, name string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.Addr())
@@ -266,15 +281,20 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { close(stop); conn.Close(); all.Wait() })
+	t.Cleanup(func() {
+		close(stop)
+		conn.Close()
+		all.Wait()
+	})
 }
 
-// A gateway that sends and no longer reads is found out, be the queue to it full or empty, and no other link suffers.
+// The link to a gateway that sends and no longer reads ends, whether the queue to it is full or empty, and no other link is affected.
 func TestStalledReaderEndsOnlyItsLink(t *testing.T) {
 	for _, flood := range []bool{false, true} {
 		ended := make(chan error, 1)
 		o := options("b", "b1", 1)
-		o.Silence, o.Queue = 300*time.Millisecond, 1<<20
+		o.Silence = 300 * time.Millisecond
+		o.Queue = 1 << 20
 		o.Changed = func(p Peer, up bool, why error) {
 			if !up && p.Name == "slow" {
 				ended <- why
@@ -288,7 +308,10 @@
 		toGood := waitForLink(t, b, g)
 		openStalledLink(t, b, "slow")
 		var toSlow *Link
-		testpeer.Until(t, "the link", func() bool { toSlow = b.To(GatewayID{"a", "slow"}); return toSlow != nil })
+		testpeer.Until(t, "the link", func() bool {
+			toSlow = b.To(GatewayID{"a", "slow"})
+			return toSlow != nil
+		})
 		full := false
 		for flood && !full {
 			err := toSlow.Tell("x", make([]byte, 64<<10))
@@ -299,26 +322,26 @@
 		}
 		why := testpeer.Receive(t, ended, "its end")
 		if !errors.Is(why, ErrSilent) && !errors.Is(why, ErrStuck) {
-			t.Errorf("flooded %v: it ended for %v", flood, why)
+			t.Errorf("flooded %v: it ended with %v", flood, why)
 		}
 		var one int
 		if err := toGood.Do(ctx(t), "echo", 0, &one); err != nil || toGood.Err() != nil {
 			t.Errorf("the other link: %v, %v", err, toGood.Err())
 		}
 		if flood && full && b.Stats().Full == 0 {
-			t.Error("a refusal for want of room is not counted")
+			t.Error("a message rejected by a full queue is not counted")
 		}
 		b.Close()
 		g.Close()
 	}
 }
 
-// A gateway that starts anew is another incarnation: its link takes the place of the old one's, which is told of first, and a
-// link that broke comes back.
+// A gateway that restarts is another incarnation: its link replaces the earlier one's, whose end is reported first. A link that
+// broke is dialed again.
 func TestNewIncarnationReplacesOldOne(t *testing.T) {
 	type change struct {
-		life uint64
-		up   bool
+		incarnation uint64
+		up          bool
 	}
 	changes := make(chan change, 20)
 	o := options("b", "b1", 1)
@@ -326,7 +349,7 @@
 	b := open(t, o)
 	first := open(t, options("a", "a1", 7))
 	first.Keep(b.Addr(), "b")
-	if got := testpeer.Receive(t, changes, "the first life"); got != (change{7, true}) {
+	if got := testpeer.Receive(t, changes, "the first incarnation"); got != (change{7, true}) {
 		t.Errorf("%+v", got)
 	}
 	waitForLink(t, first, b).fail(errors.New("broken for the test"))
@@ -345,26 +368,27 @@
 	second.Keep(b.Addr(), "b")
 	seen := map[change]bool{}
 	for !seen[change{8, true}] || !seen[change{7, false}] {
-		seen[testpeer.Receive(t, changes, "the second life")] = true
+		seen[testpeer.Receive(t, changes, "the second incarnation")] = true
 	}
 	if l := b.To(GatewayID{"a", "a1"}); l == nil || l.Peer.Incarnation != 8 {
 		t.Errorf("the link is to %+v", l)
 	}
 }
 
-// What waits for an answer hears of the link's end, and what is sent afterwards is refused.
+// A request without a reply fails when the link ends, and what is sent afterwards is rejected.
 func TestPendingRequestsFailWhenLinkEnds(t *testing.T) {
 	o := options("b", "b1", 1)
 	got := make(chan struct{}, 1)
 	o.Topics = map[string]Handler{"never": func(*Link, []byte, func(any, error)) { got <- struct{}{} }}
-	a, b := open(t, options("a", "a1", 1)), open(t, o)
+	a := open(t, options("a", "a1", 1))
+	b := open(t, o)
 	a.Keep(b.Addr(), "b")
 	l := waitForLink(t, a, b)
 	q, err := l.Request("never", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Receive(t, got, "the question")
+	testpeer.Receive(t, got, "the request")
 	b.Close()
 	if err := q.Wait(ctx(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v", err)
@@ -374,7 +398,7 @@
 	}
 }
 
-// FuzzFrames: whatever comes in place of a hello or a frame ends in an error and in nothing else.
+// FuzzFrames handles arbitrary frames: each is handled or returns an error.
 func FuzzFrames(f *testing.F) {
 	body, _ := Encode(1)
 	good, _ := Encode(frame{Kind: frameRequest, Number: 1, Topic: "x", Body: body})
@@ -392,7 +416,7 @@
 	})
 }
 
-// BenchmarkRequest is a question and its answer over loopback.
+// BenchmarkRequest measures a request and its reply over loopback.
 func BenchmarkRequest(b *testing.B) {
 	o := options("b", "b1", 1)
 	o.Topics = map[string]Handler{"x": func(_ *Link, body []byte, reply func(any, error)) { reply(len(body), nil) }}
@@ -422,8 +446,8 @@
 	}
 }
 
-// BenchmarkLinkMemory tells what an end of a link takes that has beaten for a while: heap and stacks of 200 hubs with a link
-// each to one more, against the same hubs without.
+// BenchmarkLinkMemory measures the memory of one end of a link after its first heartbeats: heap and stacks of 200 hubs with a
+// link each to one more, less those of the same hubs without links.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 200
 	used := func() float64 {
@@ -436,7 +460,8 @@
 	for b.Loop() {
 		hub := func(name string) *Hub {
 			o := options("a", name, 1)
-			o.Beat, o.Silence = 20*time.Millisecond, testpeer.Limit
+			o.Beat = 20 * time.Millisecond
+			o.Silence = testpeer.Limit
 			h, err := Open(o)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/peering/redial_test.go
+++ b/internal/peering/redial_test.go
@@ -10,6 +10,7 @@
 
 const page = "../../docs/design/peering.md"
 
+// TestRedialPauses plays the table of pauses in the design page.
 func TestRedialPauses(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "When a link is opened again") {
 		wait, err := time.ParseDuration(r.At("last pause"))
@@ -17,19 +18,19 @@
 			t.Fatalf("%s:%d: %v", page, r.Line, err)
 		}
 		how, after, _ := strings.Cut(r.At("link"), " after ")
-		var stood time.Duration
+		var lifetime time.Duration
 		if after != "" {
-			if stood, err = time.ParseDuration(after); err != nil {
+			if lifetime, err = time.ParseDuration(after); err != nil {
 				t.Fatalf("%s:%d: %v", page, r.Line, err)
 			}
 		}
 		switch how {
 		case "did not come up", "broke", "silent":
 		default:
-			t.Errorf("%s:%d: nobody plays %q", page, r.Line, how)
+			t.Errorf("%s:%d: no case for %q", page, r.Line, how)
 			continue
 		}
-		if got := Redial(wait, how != "did not come up", how == "silent", stood, time.Second); got.String() != r.At("outcome") {
+		if got := Redial(wait, how != "did not come up", how == "silent", lifetime, time.Second); got.String() != r.At("outcome") {
 			t.Errorf("%s:%d: %v", page, r.Line, got)
 		}
 	}
