--- a/internal/zonestate/forward.go
+++ b/internal/zonestate/forward.go
@@ -43,7 +43,7 @@
 // forwardInZone sends rows to this node's neighbours in the trees of their planes, except the one that they came from.
 func (m *Machine) forwardInZone(rows []Row, from uint64) {
 	for at := range uint8(planes) {
-		ofPlane := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Plane != at })
+		ofPlane := rowsOfPlane(rows, at)
 		if len(ofPlane) == 0 {
 			continue
 		}
@@ -62,6 +62,17 @@
 	}
 }
 
+// rowsOfPlane returns the rows of a plane.
+func rowsOfPlane(rows []Row, at uint8) []Row {
+	var out []Row
+	for _, r := range rows {
+		if r.Plane == at {
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
 // forwardToZones sends rows of a plane to the roots of up to n other zones.
 func (m *Machine) forwardToZones(at uint8, rows []Row, n int) {
 	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return staysInZone(r.Page) || r.Plane != at })
