--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,6 @@
-// Package eventqueue keeps what is to happen on virtual time, in the order of its times, and of one instant in that in which it came.
+// Package eventqueue is the event queue of simulations on virtual time. It keeps events in the order of their times, and those of one
+// time in the order in which they were added, so that a run can be repeated. Advancing the time is left to the caller. A
+// queue is not safe for use by several goroutines.
 package eventqueue
 
 import (
@@ -6,45 +8,61 @@
 	"time"
 )
 
-// Queue holds what is due. The zero value is empty.
+// Queue holds events that have not happened yet. The zero value is empty.
 type Queue[T any] struct {
-	items items[T]
-	seq   uint64
+	events eventHeap[T]
+	added  uint64 // number of events so far
 }
 
-type item[T any] struct {
-	at   time.Duration
-	seq  uint64
-	what T
+type event[T any] struct {
+	at      time.Duration
+	seq     uint64 // of its addition
+	payload T
 }
 
-type items[T any] []item[T]
-
-func (q items[T]) Len() int { return len(q) }
-func (q items[T]) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (e event[T]) before(other event[T]) bool {
+	if e.at != other.at {
+		return e.at < other.at
+	}
+	return e.seq < other.seq
 }
-func (q items[T]) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *items[T]) Push(x any)   { *q = append(*q, x.(item[T])) }
-func (q *items[T]) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	old[len(old)-1] = item[T]{}
-	*q = old[:len(old)-1]
+
+// eventHeap implements heap.Interface.
+type eventHeap[T any] []event[T]
+
+// Len returns the number of events.
+func (h eventHeap[T]) Len() int { return len(h) }
+
+// Less says that the i-th event is due before the j-th.
+func (h eventHeap[T]) Less(i, j int) bool { return h[i].before(h[j]) }
+
+// Swap exchanges two events.
+func (h eventHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push appends an event.
+func (h *eventHeap[T]) Push(x any) { *h = append(*h, x.(event[T])) }
+
+// Pop removes the last event.
+func (h *eventHeap[T]) Pop() any {
+	old := *h
+	end := len(old) - 1
+	last := old[end]
+	old[end] = event[T]{} // drops the reference to the payload
+	*h = old[:end]
 	return last
 }
 
-// Add has something happen at a time.
-func (q *Queue[T]) Add(at time.Duration, what T) {
-	q.seq++
-	heap.Push(&q.items, item[T]{at, q.seq, what})
+// Add adds an event that happens at a time.
+func (q *Queue[T]) Add(at time.Duration, payload T) {
+	q.added++
+	heap.Push(&q.events, event[T]{at: at, seq: q.added, payload: payload})
 }
 
-// Next takes what is due first; false: nothing is.
-func (q *Queue[T]) Next() (at time.Duration, what T, ok bool) {
-	if len(q.items) == 0 {
-		return 0, what, false
+// Next removes and returns the earliest event; false: the queue is empty.
+func (q *Queue[T]) Next() (at time.Duration, payload T, ok bool) {
+	if len(q.events) == 0 {
+		return 0, payload, false
 	}
-	x := heap.Pop(&q.items).(item[T])
-	return x.at, x.what, true
+	e := heap.Pop(&q.events).(event[T])
+	return e.at, e.payload, true
 }
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,29 +1,43 @@
-// Package splitmix is splitmix64 (Steele, Lea, Flood 2014): numbers that look random from a seed and a count, so that a machine
-// that draws them can be copied whole and played again.
+// Package splitmix is the generator splitmix64 (Steele, Lea, Flood 2014): pseudo-random numbers as a function of a seed and a count.
+// A state machine that draws from it can be copied with all its state and played again. It also hashes names to numbers on
+// which all nodes agree. It has no state, and is not for secrets.
 package splitmix
 
-// Golden is the step from one state to the next.
+// Golden is the increment between two states: 2^64 divided by the golden ratio.
 const Golden = 0x9e3779b97f4a7c15
 
-// Mix scatters the bits of a number.
+// Parameters of FNV-1a with 64 bits.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// separator ends each word in Of. It is in no UTF-8 text, so that "ab", "c" and "a", "bc" differ.
+const separator = 0xff
+
+// Mix returns the output for a state: a bijection that spreads each bit over all others.
 func Mix(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Draw is the n-th number from a seed, below a bound.
-func Draw(seed, n uint64, below int) int { return int(Mix(seed+n*Golden) % uint64(below)) }
+// Draw returns the n-th number from a seed, from 0 up to but not including limit, which must be positive.
+func Draw(seed, n uint64, limit int) int {
+	return int(Mix(seed+n*Golden) % uint64(limit))
+}
 
-// Of is a number that words have in common with nobody else, but by chance: FNV-1a over them, each with its end, mixed. Where
-// all draw by it who comes first for a key, all draw alike.
+// Of returns a hash of words: FNV-1a over them, each with a separator, mixed. All nodes that rank by it for a key get the same
+// order (rendezvous hashing).
 func Of(words ...string) uint64 {
-	h := uint64(14695981039346656037)
+	h := uint64(fnvOffset)
 	for _, w := range words {
 		for i := range len(w) {
-			h = (h ^ uint64(w[i])) * 1099511628211
+			h = (h ^ uint64(w[i])) * fnvPrime
 		}
-		h = (h ^ 0xff) * 1099511628211
+		h = (h ^ separator) * fnvPrime
 	}
 	return Mix(h)
 }
