--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -30,8 +30,8 @@
 		count[m.Status]++
 	}
 	fmt.Fprintf(out, "%d alive, %d suspect, %d dead, %d left beside this node; its life %d, ill health %d of 8", count["alive"], count["suspect"], count["dead"], count["left"], s.Incarnation, s.Health)
-	if s.Twins > 1 {
-		fmt.Fprintf(out, "; %d words of lives under its name that were not its own: is there another process of this name?", s.Twins)
+	if s.NameConflicts > 1 {
+		fmt.Fprintf(out, "; %d words of lives under its name that were not its own: is there another process of this name?", s.NameConflicts)
 	}
 	c := s.Counts
 	fmt.Fprintf(out, "\ndatagrams: %d sent, %d received; dropped: %d of another key, %d malformed, %d of another version, %d that came too fast, %d beyond the pace\n", c.Sent, c.Received, c.Strange, c.Malformed, c.Other, c.Lost, c.Paced)
@@ -74,11 +74,11 @@
 		if z.From > 0 {
 			age = z.Age.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\n", z.Region, z.Zone, z.Word, z.For.Round(100*time.Millisecond), age, z.From, z.Of)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\n", z.Region, z.Zone, z.Freshness, z.For.Round(100*time.Millisecond), age, z.From, z.Of)
 	}
 	fmt.Fprintln(w, "\nZONE\tWHAT\tOF\tAMOUNT\tAGE\tFROM")
 	for _, z := range f.Zones {
-		for _, t := range z.Told {
+		for _, t := range z.Reports {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%v\t%d\n", z.Zone, t.What, t.Of, t.Amount, t.Age.Round(time.Millisecond), t.From)
 		}
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -175,7 +175,7 @@
 	b := openWith(t, "b", key, &o, a.Addr())
 	c := openWith(t, "c", key, &o, a.Addr())
 	old := open(t, "old", key, a.Addr())
-	load := Seen{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
+	load := Load{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
 	for _, r := range []*Transport{a, b, c, old} {
 		run(t, r)
 	}
@@ -186,8 +186,8 @@
 			return 0, 0
 		}
 		for _, z := range f.Zones {
-			for _, x := range z.Told {
-				if x.What == "demand" && x.Of == "view" && z.Word == "fresh" {
+			for _, x := range z.Reports {
+				if x.What == "demand" && x.Of == "view" && z.Freshness == "fresh" {
 					return x.Amount, x.From
 				}
 			}
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -92,7 +92,7 @@
 func (t *Transport) decodeZoneState(b []byte) (*zonestate.Message, error) {
 	body, ok := membership.Unseal(b, t.options.Key)
 	if !ok {
-		return nil, membership.ErrStrange
+		return nil, membership.ErrKey
 	}
 	m, err := zonestate.Parse(body)
 	return &m, err
@@ -104,7 +104,7 @@
 	switch {
 	case otherVersion || d.zoneState != nil && t.exchange == nil:
 		t.counts.Other++
-	case errors.Is(d.err, membership.ErrStrange):
+	case errors.Is(d.err, membership.ErrKey):
 		t.counts.Strange++
 	case d.err != nil:
 		t.counts.Malformed++
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -20,12 +20,12 @@
 
 // Status is what a node knows of the others.
 type Status struct {
-	Incarnation uint32           `json:"life"`
-	Health      int              `json:"ill_health"` // local health score; 0: healthy, up to 8
-	Twins       int              `json:"twins"`      // updates with later incarnations of this name than this process had
-	Members     []Member         `json:"members"`
-	Counts      Counts           `json:"datagrams"`
-	ZoneState   *ZoneStateStatus `json:"facts,omitempty"`
+	Incarnation   uint32           `json:"life"`
+	Health        int              `json:"ill_health"` // local health score; 0: healthy, up to 8
+	NameConflicts int              `json:"twins"`      // updates with later incarnations of this name than this process had
+	Members       []Member         `json:"members"`
+	Counts        Counts           `json:"datagrams"`
+	ZoneState     *ZoneStateStatus `json:"facts,omitempty"`
 }
 
 // Member is the state of another node.
@@ -93,10 +93,10 @@
 	now := t.options.Clock.Now()
 	_, incarnation := t.machine.Self()
 	s := Status{
-		Incarnation: incarnation,
-		Health:      t.machine.Health(),
-		Twins:       t.machine.Twins,
-		Counts:      t.counts,
+		Incarnation:   incarnation,
+		Health:        t.machine.Health(),
+		NameConflicts: t.machine.NameConflicts,
+		Counts:        t.counts,
 	}
 	s.Counts.Lost = t.overruns.Load()
 	if t.exchange != nil {
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -45,7 +45,7 @@
 	machine  *membership.Machine
 	exchange *exchange // nil: Options.ZoneState was
 
-	loads          chan Seen        // from PublishLoad
+	loads          chan Load        // from PublishLoad
 	incoming       chan datagram    // from read
 	statusRequests chan chan Status // from Status
 	started        chan struct{}    // closed when Run begins
@@ -102,7 +102,7 @@
 		conn:           conn,
 		machine:        m,
 		exchange:       x,
-		loads:          make(chan Seen, 1),
+		loads:          make(chan Load, 1),
 		incoming:       make(chan datagram, queuedDatagrams),
 		statusRequests: make(chan chan Status),
 		started:        make(chan struct{}),
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -5,8 +5,8 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Seen is what a node has measured itself.
-type Seen struct {
+// Load is what a node has measured itself.
+type Load struct {
 	Entries []zonestate.Entry
 	Names   map[zonestate.Subject]string // of the subjects of all entries, for Status
 }
@@ -76,7 +76,7 @@
 }
 
 // PublishLoad sets what the node has measured now. It never blocks: a later call replaces one that Run has not taken yet.
-func (t *Transport) PublishLoad(s Seen) {
+func (t *Transport) PublishLoad(s Load) {
 	select {
 	case <-t.loads:
 	default:
@@ -88,7 +88,7 @@
 }
 
 // setLoad passes what the node has measured to the machine.
-func (t *Transport) setLoad(s Seen) {
+func (t *Transport) setLoad(s Load) {
 	x := t.exchange
 	if x == nil {
 		return
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -19,14 +19,14 @@
 
 // Zone is the state of one zone.
 type Zone struct {
-	Region string        `json:"region,omitempty"`
-	Zone   string        `json:"zone"`
-	Word   string        `json:"word"`          // fresh, stale, unknown
-	For    time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
-	Age    time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
-	From   int           `json:"from"`          // number of nodes whose parts are in it
-	Of     int           `json:"of"`            // number of active nodes
-	Told   []LoadReport  `json:"told,omitempty"`
+	Region    string        `json:"region,omitempty"`
+	Zone      string        `json:"zone"`
+	Freshness string        `json:"word"`          // fresh, stale, unknown
+	For       time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
+	Age       time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
+	From      int           `json:"from"`          // number of nodes whose parts are in it
+	Of        int           `json:"of"`            // number of active nodes
+	Reports   []LoadReport  `json:"told,omitempty"`
 }
 
 // LoadReport is one value of a zone.
@@ -85,14 +85,14 @@
 	for _, z := range x.machine.Zones(now) {
 		name := x.places[z.Place]
 		s.Zones = append(s.Zones, Zone{
-			Region: name.region,
-			Zone:   name.zone,
-			Word:   z.Freshness.String(),
-			For:    now - z.Since,
-			Age:    z.Age,
-			From:   z.From,
-			Of:     z.Of,
-			Told:   x.loadReports(now, z.Place),
+			Region:    name.region,
+			Zone:      name.zone,
+			Freshness: z.Freshness.String(),
+			For:       now - z.Since,
+			Age:       z.Age,
+			From:      z.From,
+			Of:        z.Of,
+			Reports:   x.loadReports(now, z.Place),
 		})
 	}
 	return s
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -54,7 +54,7 @@
 		return
 	}
 	m.nextPull = m.now + m.options.Period
-	m.send(from, Message{Kind: Pull, About: at, Sums: m.bucketDigests()})
+	m.send(from, Message{Kind: Pull, About: at, Digests: m.bucketDigests()})
 }
 
 // sendPages sends the members from an ID on whose buckets have another digest than the receiver's. What does not fit into
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -15,12 +15,12 @@
 
 // A datagram is version, kind, from, seq, about, sum (big endian), for a Pull the sums, the updates, and the tag.
 const (
-	version  = 2
-	headSize = 1 + 1 + 8 + 4 + 8 + 8
-	sumSize  = 4
-	tagSize  = 12 // of HMAC-SHA-256, truncated
-	ip4Size  = 4
-	ip16Size = 16
+	version    = 2
+	headSize   = 1 + 1 + 8 + 4 + 8 + 8
+	digestSize = 4
+	tagSize    = 12 // of HMAC-SHA-256, truncated
+	ip4Size    = 4
+	ip16Size   = 16
 )
 
 // updateSize returns how many bytes an update takes: id, incarnation, status and flags, suspector, and the peer.
@@ -61,8 +61,8 @@
 	b = binary.BigEndian.AppendUint64(b, uint64(m.From))
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
 	b = binary.BigEndian.AppendUint64(b, uint64(m.About))
-	b = binary.BigEndian.AppendUint64(b, m.Sum)
-	for _, s := range m.Sums {
+	b = binary.BigEndian.AppendUint64(b, m.Digest)
+	for _, s := range m.Digests {
 		b = binary.BigEndian.AppendUint32(b, s)
 	}
 	for _, u := range m.Updates {
@@ -129,40 +129,40 @@
 
 // Errors of a datagram. Nothing of one that has an error is used.
 var (
-	// ErrStrange: the tag is of another key, so the datagram comes from another cluster or from none.
-	ErrStrange = errors.New("membership: the tag is of another key")
+	// ErrKey: the tag is of another key, so the datagram comes from another cluster or from none.
+	ErrKey = errors.New("membership: the tag is of another key")
 	// ErrVersion: the sender speaks another version of the protocol.
 	ErrVersion = errors.New("membership: another version")
 	// ErrMalformed: the datagram has the right tag and breaks the format.
 	ErrMalformed = errors.New("membership: malformed")
 )
 
-// Decode reads a datagram and checks its tag with a key. Its errors are ErrStrange, ErrVersion and ErrMalformed.
+// Decode reads a datagram and checks its tag with a key. Its errors are ErrKey, ErrVersion and ErrMalformed.
 func Decode(b, key []byte) (Message, error) {
 	if len(b) < headSize+tagSize || len(b) > MaxDatagram {
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	body, ok := Unseal(b, key)
 	if !ok {
-		return Message{}, ErrStrange
+		return Message{}, ErrKey
 	}
 	r := &reader{left: body}
 	if v := r.byte(); v != version {
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, v)
 	}
 	m := Message{
-		Kind:  Kind(r.byte()),
-		From:  ID(r.uint64()),
-		Seq:   r.uint32(),
-		About: ID(r.uint64()),
-		Sum:   r.uint64(),
+		Kind:   Kind(r.byte()),
+		From:   ID(r.uint64()),
+		Seq:    r.uint32(),
+		About:  ID(r.uint64()),
+		Digest: r.uint64(),
 	}
 	if m.Kind < Ping || m.Kind > Page {
 		return Message{}, fmt.Errorf("%w: kind %d", ErrMalformed, m.Kind)
 	}
 	if m.Kind == Pull {
 		for range Buckets {
-			m.Sums = append(m.Sums, r.uint32())
+			m.Digests = append(m.Digests, r.uint32())
 		}
 	}
 	for len(r.left) > 0 && !r.bad {
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -15,7 +15,7 @@
 	long := Peer{Name: strings.Repeat("n", MaxName), Region: strings.Repeat("r", MaxPlace), Zone: strings.Repeat("z", MaxPlace),
 		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), Listens: true}
 	short := Peer{Name: "a", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
-	m := Message{Kind: Ack, From: IDOf("me"), Seq: 1 << 31, About: 7, Sum: 1 << 63, Updates: []Update{
+	m := Message{Kind: Ack, From: IDOf("me"), Seq: 1 << 31, About: 7, Digest: 1 << 63, Updates: []Update{
 		{ID: IDOf(long.Name), Incarnation: 1<<31 - 1, Status: Suspect, By: IDOf("a"), Peer: &long},
 		{ID: IDOf("a"), Incarnation: 3, Status: Left, Peer: &short},
 		{ID: 5, Status: Dead}, {ID: 6, Incarnation: 1}}}
@@ -42,7 +42,7 @@
 // ID is rejected as a whole.
 func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := Encode(largest(), key)
-	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrStrange) {
+	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrKey) {
 		t.Errorf("another cluster's: %v", err)
 	}
 	for i := range good {
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -17,7 +17,7 @@
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From = m.id
 	if msg.Kind != Page {
-		msg.Updates = m.piggyback(to, MaxBytes-sumSize*len(msg.Sums))
+		msg.Updates = m.piggyback(to, MaxBytes-digestSize*len(msg.Digests))
 	}
 	m.packets = append(m.packets, Packet{To: to, Message: msg})
 }
@@ -95,7 +95,7 @@
 
 // retransmitLimit returns how often an update is sent (SWIM's λ log n).
 func (m *Machine) retransmitLimit() int {
-	return m.options.Spread * int(math.Ceil(math.Log2(float64(m.activeCount()+1))))
+	return m.options.Retransmits * int(math.Ceil(math.Log2(float64(m.activeCount()+1))))
 }
 
 // selfUpdate returns what this node announces of itself.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -56,9 +56,9 @@
 	packets  []Packet // to be sent after the call at hand
 	outdated []ID     // members of which the sender of the message at hand holds less than this node
 
-	// Twins counts the updates about this node's ID with a later incarnation than its own. Beyond the first, which follows
+	// NameConflicts counts the updates about this node's ID with a later incarnation than its own. Beyond the first, which follows
 	// a restart, each one tells of another process under the same name.
-	Twins int
+	NameConflicts int
 }
 
 // New returns a Machine that knows only itself. Nothing goes out before Tick. The seed decides all random draws, so that a
@@ -169,7 +169,7 @@
 	}
 	switch msg.Kind {
 	case Ping:
-		m.send(from, Message{Kind: Ack, Seq: msg.Seq, Sum: m.digest()})
+		m.send(from, Message{Kind: Ack, Seq: msg.Seq, Digest: m.digest()})
 		if sender == nil {
 			m.requestPages(from, 0)
 		}
@@ -182,10 +182,10 @@
 			m.probe.nacks++
 		}
 	case Pull:
-		m.sendPages(from, msg.About, msg.Sums)
+		m.sendPages(from, msg.About, msg.Digests)
 	case Page:
 		if msg.About != 0 {
-			m.send(from, Message{Kind: Pull, About: msg.About, Sums: m.bucketDigests()})
+			m.send(from, Message{Kind: Pull, About: msg.About, Digests: m.bucketDigests()})
 		}
 	}
 	return m.packets
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -294,7 +294,7 @@
 		"no timeout":         func(_ *Peer, o *Options) { o.Timeout = 0 },
 		"a short period":     func(_ *Peer, o *Options) { o.Period = o.Timeout },
 		"no suspicion":       func(_ *Peer, o *Options) { o.Suspicion = 0 },
-		"no transmissions":   func(_ *Peer, o *Options) { o.Spread = 0 },
+		"no transmissions":   func(_ *Peer, o *Options) { o.Retransmits = 0 },
 		"forgotten too soon": func(_ *Peer, o *Options) { o.Forget = time.Second },
 		"too many helpers":   func(_ *Peer, o *Options) { o.Indirect = 99 },
 	} {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -35,7 +35,7 @@
 	switch {
 	case u.Incarnation < MaxIncarnation && (u.Incarnation > m.incarnation || u.Incarnation == m.incarnation && accused):
 		if u.Incarnation > m.incarnation {
-			m.Twins++
+			m.NameConflicts++
 		}
 		m.incarnation = u.Incarnation + 1
 		m.selfTransmits = 0
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -11,7 +11,7 @@
 // Kinds of messages.
 const (
 	Ping    Kind = iota + 1 // answered by an Ack of the same Seq
-	Ack                     // Sum is a digest of the members that the sender holds for alive
+	Ack                     // Digest is of the members that the sender holds for active
 	PingReq                 // asks to ping About; answered by an Ack, or by a Nack if there was no answer
 	Nack                    // the member that a PingReq named has not answered
 	Pull                    // asks for the member list from About on
@@ -35,9 +35,9 @@
 	From    ID
 	Seq     uint32 // of a probe and its answers
 	About   ID
-	Sum     uint64
+	Digest  uint64
 	Updates []Update
-	Sums    []uint32 // of a Pull: the sender's digests by bucket; only buckets that differ are wanted
+	Digests []uint32 // of a Pull: the sender's digests by bucket; only buckets that differ are wanted
 }
 
 // Packet is a message with the address that it goes to.
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -9,34 +9,34 @@
 
 // Options are the parameters of the protocol. They are the same at all members of a cluster.
 type Options struct {
-	Period    time.Duration // between two probes of a healthy node
-	Timeout   time.Duration // of a ping, after which others are asked to probe
-	Indirect  int           // members that are asked for an indirect probe
-	Suspicion float64       // length of a confirmed suspicion: periods, times the decimal logarithm of the number of members
-	Stretch   float64       // factor by which a suspicion without confirmation lasts longer
-	Spread    int           // transmissions of an update: times the binary logarithm of the number of members
-	Near      int           // probes of a member of the own zone for each probe of another's
-	Forget    time.Duration // after which a dead or left member is forgotten
-	Seeds     []netip.AddrPort
+	Period           time.Duration // between two probes of a healthy node
+	Timeout          time.Duration // of a ping, after which others are asked to probe
+	Indirect         int           // members that are asked for an indirect probe
+	Suspicion        float64       // length of a confirmed suspicion: periods, times the decimal logarithm of the number of members
+	SuspicionStretch float64       // factor by which a suspicion without confirmation lasts longer
+	Retransmits      int           // transmissions of an update: times the binary logarithm of the number of members
+	OwnZoneProbes    int           // probes of a member of the own zone for each probe of another's
+	Forget           time.Duration // after which a dead or left member is forgotten
+	Seeds            []netip.AddrPort
 }
 
 // Upper limits of options.
 const (
 	maxIndirect = 16
-	maxFactor   = 100 // of Suspicion, Stretch, Spread and Near
+	maxFactor   = 100 // of Suspicion, SuspicionStretch, Retransmits and OwnZoneProbes
 )
 
 // Defaults returns the parameters of the papers, for a period of a second.
 func Defaults() Options {
 	return Options{
-		Period:    time.Second,
-		Timeout:   300 * time.Millisecond,
-		Indirect:  3,
-		Suspicion: 3,
-		Stretch:   6,
-		Spread:    2,
-		Near:      2,
-		Forget:    10 * time.Minute,
+		Period:           time.Second,
+		Timeout:          300 * time.Millisecond,
+		Indirect:         3,
+		Suspicion:        3,
+		SuspicionStretch: 6,
+		Retransmits:      2,
+		OwnZoneProbes:    2,
+		Forget:           10 * time.Minute,
 	}
 }
 
@@ -48,10 +48,10 @@
 		return fmt.Errorf("membership: period %v, timeout %v; allowed: a timeout above 0 and a period of twice it at least", o.Period, o.Timeout)
 	case o.Indirect < 0 || o.Indirect > maxIndirect:
 		return fmt.Errorf("membership: indirect %d; allowed: 0 to %d", o.Indirect, maxIndirect)
-	case !inRange(o.Suspicion) || !inRange(o.Stretch):
-		return fmt.Errorf("membership: suspicion %v, stretch %v; allowed: 1 to %d", o.Suspicion, o.Stretch, maxFactor)
-	case !inRange(float64(o.Spread)) || !inRange(float64(o.Near)):
-		return fmt.Errorf("membership: spread %d, near %d; allowed: 1 to %d", o.Spread, o.Near, maxFactor)
+	case !inRange(o.Suspicion) || !inRange(o.SuspicionStretch):
+		return fmt.Errorf("membership: suspicion %v, stretch %v; allowed: 1 to %d", o.Suspicion, o.SuspicionStretch, maxFactor)
+	case !inRange(float64(o.Retransmits)) || !inRange(float64(o.OwnZoneProbes)):
+		return fmt.Errorf("membership: spread %d, near %d; allowed: 1 to %d", o.Retransmits, o.OwnZoneProbes, maxFactor)
 	case o.Forget < o.MaxSuspicion(2):
 		return fmt.Errorf("membership: forget %v; allowed: %v or more, or a suspicion outlasts it", o.Forget, o.MaxSuspicion(2))
 	}
@@ -65,5 +65,5 @@
 
 // MaxSuspicion returns how long a suspicion lasts among n members if none confirms it.
 func (o Options) MaxSuspicion(n int) time.Duration {
-	return time.Duration(o.Stretch * float64(o.MinSuspicion(n)))
+	return time.Duration(o.SuspicionStretch * float64(o.MinSuspicion(n)))
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -80,7 +80,7 @@
 }
 
 // nextProbeTarget returns the member to probe next; nil: there is none. Each member comes once in a round, those of the
-// own zone Options.Near times, and the order of each round is random.
+// own zone Options.OwnZoneProbes times, and the order of each round is random.
 func (m *Machine) nextProbeTarget() *member {
 	if k := m.takeProbeTarget(); k != nil {
 		return k
@@ -110,7 +110,7 @@
 	for _, k := range m.members {
 		times := 1
 		if k.Zone == m.self.Zone {
-			times = m.options.Near
+			times = m.options.OwnZoneProbes
 		}
 		for range times {
 			m.probeOrder = append(m.probeOrder, k.ID)
@@ -159,10 +159,10 @@
 	answered := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
 	if answered >= 0 {
 		r := m.indirectProbes[answered]
-		m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Sum: m.digest()})
+		m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Digest: m.digest()})
 		m.indirectProbes = slices.Delete(m.indirectProbes, answered, answered+1)
 	}
-	if msg.Sum != 0 && msg.Sum != m.digest() {
+	if msg.Digest != 0 && msg.Digest != m.digest() {
 		m.requestPages(from, 0)
 	}
 }
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -28,7 +28,7 @@
 // Small are bounds whose states can all be tried.
 func Small() Bounds {
 	o := membership.Defaults()
-	o.Spread, o.Near = 1, 1
+	o.Retransmits, o.OwnZoneProbes = 1, 1
 	return Bounds{Nodes: 2, Ticks: 3, Drops: 1, Crashes: 1, Skew: 2 * time.Second, Options: o, MostFlying: 3}
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -66,7 +66,7 @@
 	if s.ZoneState != nil {
 		out.Alone = s.ZoneState.Alone
 		for _, z := range s.ZoneState.Zones {
-			out.Zones[z.Word]++
+			out.Zones[z.Freshness]++
 		}
 	}
 	return out
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -50,8 +50,8 @@
 }
 
 // told is what is to be told of the time between two glimpses.
-func told(was, is sample) gossip.Seen {
-	out := gossip.Seen{Names: map[zonestate.Subject]string{}}
+func told(was, is sample) gossip.Load {
+	out := gossip.Load{Names: map[zonestate.Subject]string{}}
 	seconds := (is.at - was.at).Seconds()
 	subject := func(name string) zonestate.Subject {
 		s := zonestate.SubjectOf(name)
--- a/internal/peering/dial.go
+++ b/internal/peering/dial.go
@@ -90,7 +90,7 @@
 	wait := minRedial
 	for ctx.Err() == nil {
 		a := h.dial(ctx, dialer, address, partner)
-		if errors.Is(a.err, ErrKey) || errors.Is(a.err, ErrStrange) {
+		if errors.Is(a.err, ErrKey) || errors.Is(a.err, ErrPeer) {
 			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", a.err)
 			wait = maxRedial
 		}
--- a/internal/peering/errors.go
+++ b/internal/peering/errors.go
@@ -9,7 +9,7 @@
 	ErrSilent   = errors.New("peering: heartbeats are not answered")
 	ErrStuck    = errors.New("peering: bytes could not be written in time")
 	ErrKey      = errors.New("peering: the other side has another key")
-	ErrStrange  = errors.New("peering: the other side is none of ours")
+	ErrPeer     = errors.New("peering: the other side is none of ours")
 	ErrFrame    = errors.New("peering: a frame is malformed")
 	ErrReplaced = errors.New("peering: a newer link took its place")
 	ErrClosed   = errors.New("peering: closed")
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -78,7 +78,7 @@
 	}
 	key := o.Key(other.Peer.Partner)
 	if key == nil {
-		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrStrange, other.Peer.Partner)
+		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrPeer, other.Peer.Partner)
 	}
 	var keys linkKeys
 	var ownSide, otherSide string
@@ -119,15 +119,15 @@
 	p := h.Peer
 	switch {
 	case h.Version != version:
-		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrStrange, h.Version, version)
+		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrPeer, h.Version, version)
 	case !h.wellFormed():
 		return fmt.Errorf("%w: the hello of %q, %q", ErrFrame, p.Partner, p.Name)
 	case partner != "" && p.Partner != partner:
-		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrStrange, p.Partner, partner)
+		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeer, p.Partner, partner)
 	case h.To != "" && h.To != self.Partner:
-		return fmt.Errorf("%w: it dialed a gateway of %q", ErrStrange, h.To)
+		return fmt.Errorf("%w: it dialed a gateway of %q", ErrPeer, h.To)
 	case p.ID() == self.ID():
-		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrStrange, p.ID())
+		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeer, p.ID())
 	}
 	return nil
 }
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -116,7 +116,7 @@
 		}
 		h.tasks.Go(func() {
 			err := h.serve(c, false, "", func() {})
-			if errors.Is(err, ErrKey) || errors.Is(err, ErrStrange) || errors.Is(err, ErrFrame) {
+			if errors.Is(err, ErrKey) || errors.Is(err, ErrPeer) || errors.Is(err, ErrFrame) {
 				h.options.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
 			}
 		})
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -148,7 +148,7 @@
 	}{
 		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKey},
 		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
-		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrStrange},
+		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeer},
 		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKey},
 	} {
 		ob := options("b", "b1", 1)
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrStrange) {
+	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrPeer) {
 		t.Errorf("a gateway of another partner than the dialed one: %v", err)
 	}
 }
