--- /dev/null
+++ b/internal/membership/network_test.go
@@ -0,0 +1,144 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+// network carries the messages of machines on virtual time and loses some of them.
+type network struct {
+	t        testing.TB
+	rng      *rand.Rand
+	now      time.Duration
+	machines map[netip.AddrPort]*Machine
+	order    []netip.AddrPort
+	inFlight []datagram
+	blocked  func(from, to netip.AddrPort) bool
+	loss     float64
+	sent     map[netip.AddrPort]int
+	paused   map[netip.AddrPort]bool
+}
+
+type datagram struct {
+	at       time.Duration
+	from, to netip.AddrPort
+	data     []byte
+}
+
+func addrOf(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(1 + i%250)}), 7946)
+}
+
+func nameOf(i int) string { return fmt.Sprint("node-", i) }
+
+func newNetwork(t testing.TB, n int, seed uint64) *network {
+	net := &network{
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 5)),
+		machines: map[netip.AddrPort]*Machine{},
+		sent:     map[netip.AddrPort]int{},
+		paused:   map[netip.AddrPort]bool{},
+	}
+	for i := range n {
+		net.start(i)
+	}
+	return net
+}
+
+func (net *network) start(i int) *Machine {
+	net.t.Helper()
+	o := Defaults()
+	o.Seeds = []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}
+	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
+	if err != nil {
+		net.t.Fatal(err)
+	}
+	m.now = net.now
+	m.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
+	if _, known := net.machines[addrOf(i)]; !known {
+		net.order = append(net.order, addrOf(i))
+	}
+	net.machines[addrOf(i)] = m
+	return m
+}
+
+func (net *network) carry(from netip.AddrPort, packets []Packet) {
+	for _, p := range packets {
+		net.sent[from]++
+		data := Encode(p.Message, key)
+		if len(data) > MaxDatagram {
+			net.t.Fatalf("%d bytes", len(data))
+		}
+		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
+			continue
+		}
+		net.inFlight = append(net.inFlight, datagram{net.now + time.Duration(1+net.rng.IntN(20))*time.Millisecond, from, p.To, data})
+	}
+}
+
+// run plays on for a while, in steps of ten milliseconds.
+func (net *network) run(d time.Duration) {
+	for end := net.now + d; net.now < end; {
+		net.now += 10 * time.Millisecond
+		for net.deliverNext() {
+		}
+		for _, a := range net.order {
+			if m := net.machines[a]; m != nil && !net.paused[a] && m.Next() <= net.now {
+				net.carry(a, m.Tick(net.now))
+			}
+		}
+	}
+}
+
+// deliverNext delivers the earliest datagram that has arrived; false: there is none.
+func (net *network) deliverNext() bool {
+	next := -1
+	for i, d := range net.inFlight {
+		if d.at <= net.now && (next < 0 || d.at < net.inFlight[next].at) {
+			next = i
+		}
+	}
+	if next < 0 {
+		return false
+	}
+	d := net.inFlight[next]
+	net.inFlight = append(net.inFlight[:next], net.inFlight[next+1:]...)
+	m := net.machines[d.to]
+	if m == nil || net.paused[d.to] {
+		return true
+	}
+	msg, err := Decode(d.data, key)
+	if err != nil {
+		net.t.Fatal(err)
+	}
+	net.carry(d.to, m.Receive(net.now, d.from, msg))
+	return true
+}
+
+// statusCounts counts the machines by the status that they hold of member i. Those that do not know it are not counted.
+func (net *network) statusCounts(i int) (counts [4]int) {
+	for a, m := range net.machines {
+		if m == nil || a == addrOf(i) {
+			continue
+		}
+		for _, k := range m.Members() {
+			if k.Name == nameOf(i) {
+				counts[k.Status]++
+			}
+		}
+	}
+	return counts
+}
+
+// allAlive fails unless each of n is alive for all others.
+func (net *network) allAlive(n int, when string) {
+	net.t.Helper()
+	for i := range n {
+		if h := net.statusCounts(i); h != [4]int{n - 1} {
+			net.t.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), h)
+		}
+	}
+}
--- /dev/null
+++ b/internal/peering/handshake_test.go
@@ -0,0 +1,123 @@
+package peering
+
+import (
+	"errors"
+	"net"
+	"sync/atomic"
+	"testing"
+
+	"damsontrestle/internal/testpeer"
+)
+
+// A link needs the key, a partner that is known and a name that is not the hub's own.
+func TestLinkNeedsKeyAndKnownPartner(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Options)
+		want   error
+	}{
+		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKey},
+		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
+		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeer},
+		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKey},
+	} {
+		ob := options("b", "b1", 1)
+		ob.Key = func(partner string) []byte {
+			if partner == "a" || partner == "b" {
+				return testKey
+			}
+			return nil
+		}
+		b := open(t, ob)
+		oa := options("a", "a1", 1)
+		c.change(&oa)
+		conn, err := net.Dial("tcp", b.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := handshake(conn, oa, true, ""); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+		}
+		conn.Close()
+		testpeer.Until(t, "the connection to be rejected", func() bool { return b.Stats().Rejected == 1 })
+		if len(b.Links("")) != 0 {
+			t.Errorf("%s: there is a link", c.name)
+		}
+	}
+	b := open(t, options("b", "b1", 1))
+	conn, err := net.Dial("tcp", b.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrPeer) {
+		t.Errorf("a gateway of another partner than the dialed one: %v", err)
+	}
+}
+
+// tamperingConn changes one bit of the next write after now is set.
+type tamperingConn struct {
+	net.Conn
+	now atomic.Bool
+}
+
+func (c *tamperingConn) Write(p []byte) (int, error) {
+	if c.now.CompareAndSwap(true, false) {
+		p = append([]byte(nil), p...)
+		p[len(p)-1] ^= 1
+	}
+	return c.Conn.Write(p)
+}
+
+// A frame that was changed in transit or replayed ends the link, and is not handled.
+func TestTamperedOrReplayedFrameEndsLink(t *testing.T) {
+	for _, how := range []string{"changed", "replayed"} {
+		handled := make(chan int, 10)
+		ob := options("b", "b1", 1)
+		ob.Topics = map[string]Handler{"n": func(_ *Link, body []byte, _ func(any, error)) {
+			var n int
+			Decode(body, &n)
+			handled <- n
+		}}
+		ended := make(chan error, 1)
+		ob.Changed = func(_ Peer, up bool, why error) {
+			if !up {
+				ended <- why
+			}
+		}
+		b := open(t, ob)
+		conn, err := net.Dial("tcp", b.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		c := &tamperingConn{Conn: conn}
+		s, err := handshake(c, options("a", "a1", 1), true, "b")
+		if err != nil {
+			t.Fatal(err)
+		}
+		frameOf := func(n int) []byte {
+			body, _ := Encode(n)
+			text, _ := Encode(frame{Kind: frameNotify, Topic: "n", Body: body})
+			return text
+		}
+		if err := s.writer.write(frameOf(1)); err != nil {
+			t.Fatal(err)
+		}
+		if got := testpeer.Receive(t, handled, "the first"); got != 1 {
+			t.Errorf("got %d", got)
+		}
+		if how == "changed" {
+			c.now.Store(true)
+			s.writer.write(frameOf(2))
+		} else {
+			conn.Write(s.writer.buf) // the bytes of the first frame again
+		}
+		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrFrame) {
+			t.Errorf("%s: %v", how, why)
+		}
+		if len(handled) > 0 {
+			t.Errorf("%s: frame %d was handled", how, <-handled)
+		}
+		conn.Close()
+	}
+}
