--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the event queue of simulations on virtual time. It keeps events in the order of their times, and those of one
-// time in the order in which they were added, so that a run can be repeated. Advancing the time is left to the caller. A
-// queue is not safe for use by several goroutines.
+// Package eventqueue is the event queue of simulations on virtual time. It keeps events in the order of their times, and those
+// of one time in the order in which they were added, so that a run can be repeated. Advancing the time is left to the
+// caller. A queue is not safe for use by several goroutines.
 package eventqueue
 
 import (
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -61,8 +61,8 @@
 	return strings.Count(l.text.String(), what)
 }
 
-// A datagram that can't be sent counts as lost: the transport goes on, logs one line a second, and its node is alive for others once
-// sends succeed.
+// A datagram that can't be sent counts as lost: the transport goes on, logs one line a second, and its node is alive for others
+// once sends succeed.
 func TestSendFailuresCountAsLoss(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// Three transports with one seed discover one another, and one that leaves announces it. Datagrams of another key and malformed ones
-// are counted and change nothing.
+// Three transports with one seed discover one another, and one that leaves announces it. Datagrams of another key and malformed
+// ones are counted and change nothing.
 func TestTransportsDiscoverEachOther(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -166,8 +166,8 @@
 	}
 }
 
-// Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does not
-// understand, all are alive for all, and the others have one another's parts.
+// Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does
+// not understand, all are alive for all, and the others have one another's parts.
 func TestZoneStateBesidePeerWithout(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	o := zonestate.Defaults(2 * time.Second)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership determines which other nodes are alive. It is SWIM (Das, Gupta, Motivala 2002) with suspicion and
 // incarnations, and with the refinements of Lifeguard (Dadgar, Phillips, Currey 2018): a node's local health score stretches
-// its timeouts, a suspicion that others confirm ends sooner, and a suspected member is the first to be told of it.
+// its timeouts, a suspicion that others confirm ends sooner, and a suspected member is the first to learn of it.
 //
 // The package owns the state machine and its datagram format. It does no I/O and has no clock and no goroutine: time and
 // messages are passed in, messages are returned. Sockets, keys and pacing are left to internal/gossip.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -41,7 +41,7 @@
 		m.selfTransmits = 0
 		m.changes++
 	case u.Incarnation < m.incarnation && accused:
-		// Whoever accuses an earlier incarnation is told of this one.
+		// The node that accuses an earlier incarnation is to learn of this one.
 		m.selfTransmits = min(m.selfTransmits, m.retransmitLimit()-1)
 	}
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -172,7 +172,8 @@
 	})
 }
 
-// The link to a gateway that sends and no longer reads ends, whether the queue to it is full or empty, and no other link is affected.
+// The link to a gateway that sends and no longer reads ends, whether the queue to it is full or empty, and no other link is
+// affected.
 func TestStalledReaderEndsOnlyItsLink(t *testing.T) {
 	for _, flood := range []bool{false, true} {
 		ended := make(chan error, 1)
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,6 +1,6 @@
-// Package splitmix is the generator splitmix64 (Steele, Lea, Flood 2014): pseudo-random numbers as a function of a seed and a count.
-// A state machine that draws from it can be copied with all its state and played again. It also hashes names to numbers on
-// which all nodes agree. It has no state, and is not for secrets.
+// Package splitmix is the generator splitmix64 (Steele, Lea, Flood 2014): pseudo-random numbers as a function of a seed and a
+// count. A state machine that draws from it can be copied with all its state and played again. It also hashes names to
+// numbers on which all nodes agree. It has no state, and is not for secrets.
 package splitmix
 
 // Golden is the increment between two states: 2^64 divided by the golden ratio.
--- a/internal/zonestate/options.go
+++ b/internal/zonestate/options.go
@@ -31,7 +31,8 @@
 func (o Options) Check() error {
 	switch {
 	case o.Delay <= 0 || o.Fresh < MinFresh(o.Delay):
-		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, MinFresh(max(o.Delay, time.Millisecond)))
+		minFresh := MinFresh(max(o.Delay, time.Millisecond))
+		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, minFresh)
 	case o.Fan < 1 || o.Fan > 32:
 		return fmt.Errorf("zonestate: fan %d; allowed: 1 to 32", o.Fan)
 	}
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -38,7 +38,9 @@
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	relative := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|", m.incarnation, m.draws, relative(m.ownPartAt), relative(m.queriedAt), m.repliesSent, max(-m.options.period(), relative(m.repliesSince)), max(0, relative(m.lossUntil)))
+	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|",
+		m.incarnation, m.draws, relative(m.ownPartAt), relative(m.queriedAt), m.repliesSent,
+		max(-m.options.period(), relative(m.repliesSince)), max(0, relative(m.lossUntil)))
 	for _, id := range slices.Sorted(maps.Keys(m.links)) {
 		l := m.links[id]
 		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, relative(l.tokenAt), max(-2*m.options.period()-1, relative(l.heard)))
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -27,8 +27,8 @@
 	rows   map[pageKey][]storedRow // in the order of the authors' IDs
 }
 
-// compareVersions orders the rows of one author by incarnation and sequence. Sequences wrap: of two that differ by less than half of their range, and no row lives long
-// enough for more, the one that is ahead is later (RFC 1982).
+// compareVersions orders the rows of one author by incarnation and sequence. Sequences wrap. They differ by less than half of
+// their range, because no row is stored for longer, so the one that is ahead is later (RFC 1982).
 func compareVersions(a, b Row) int {
 	return cmp.Or(cmp.Compare(a.Author.Incarnation, b.Author.Incarnation), cmp.Compare(int32(a.Seq-b.Seq), 0))
 }
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -72,10 +72,10 @@
 	Entries []Entry       // by kind and subject, MaxEntries at most
 }
 
-// Bounds of a row.
 const (
+	// MaxEntries is how many entries a row has at most, so that it fits into a datagram.
 	MaxEntries = 21
-	maxFrom    = 1<<16 - 1
+	maxFrom    = 1<<16 - 1 // the highest Row.From that can be written
 )
 
 // Pages are a node's own entries by page.
