--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -14,35 +14,35 @@
 
 // Balancer decides for one node. See the package comment for its contract.
 type Balancer struct {
-	set       Settings
-	rng       *rand.Rand
-	now       time.Duration
-	out       []Action
-	servers   map[string]*server
-	ready     []*server // ready servers in the shared order
-	allGroups groups    // the two groups of the design
-	pool      groups    // the part of each that this node draws from
-	width     int       // servers in the pool
-	places    [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
-	times     float64   // how often the runs that it was cut by go round the group
-	busy      float64   // requests in flight, averaged over sends
-	requests  map[string]*request
-	held      []*request
-	zones     []*zone // in the order of their names
-	trying    *zone   // that a trial is drawn from
-	classes   map[string]*class
-	order     []*class // every class in the order of the settings, then the unknown one
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action
+	servers      map[string]*server
+	ready        []*server // ready servers in the shared order
+	allGroups    groups    // the two groups of the design
+	subset       groups    // the part of each that this node draws from
+	subsetSize   int       // servers in the pool
+	subsetStarts [2]int    // where the node's runs begin in the two groups, in places of as many as there are copies
+	subsetTurns  float64   // how often the runs that it was cut by go round the group
+	meanInFlight float64   // requests in flight, averaged over sends
+	requests     map[string]*request
+	delayed      []*request
+	zones        []*zone // in the order of their names
+	probedZone   *zone   // that a trial is drawn from
+	classes      map[string]*class
+	classOrder   []*class // every class in the order of the settings, then the unknown one
 
-	errors           float64 // share of bad endings, overlong answers among them, of all attempts
-	lastOK           time.Duration
-	tokens           float64 // retry budget
+	badShare         float64 // share of bad endings, overlong answers among them, of all attempts
+	lastSuccess      time.Duration
+	retryTokens      float64 // retry budget
 	window           float64 // own requests admitted at once (first tier)
 	inFlight         int
 	meanReportedLoad float64 // requests that a server holds, on average over what was told
-	shed             float64 // share of requests answered without an attempt
-	subFails         int
-	subWanted        time.Duration
-	usualSize        float64 // of the listed servers, on average
+	shedShare        float64 // share of requests answered without an attempt
+	listFailures     int
+	subscribeAt      time.Duration
+	meanSize         float64 // of the listed servers, on average
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
@@ -50,9 +50,9 @@
 	if err := validate(set); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
+	b := &Balancer{settings: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
 		servers: map[string]*server{}, requests: map[string]*request{},
-		classes: map[string]*class{}, errors: 0.02, tokens: retryBudget / 2}
+		classes: map[string]*class{}, badShare: 0.02, retryTokens: maxRetryTokens / 2}
 	b.takeClasses(set.Classes)
 	return b, nil
 }
@@ -60,15 +60,15 @@
 // Handle takes one event at the clock time now and returns what to do, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
-	b.out = nil
+	b.actions = nil
 	switch e := e.(type) {
 	case ServerList:
 		b.takeList(e)
 	case ListFailed:
-		b.subFails++
+		b.listFailures++
 		b.pollAgain()
 	case Request:
-		b.accept(e)
+		b.takeRequest(e)
 	case Uploaded:
 		b.takeUploaded(e)
 	case Outcome:
@@ -78,7 +78,7 @@
 			r.streaming = true
 		}
 	case ClientDisconnected:
-		b.close(b.requests[e.ID])
+		b.finish(b.requests[e.ID])
 	case LoadUpdate:
 		b.takeLoadUpdate(e)
 	case Timer:
@@ -86,30 +86,30 @@
 	case Reconfigure:
 		b.reconfigure(e.Settings)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) takeTimer(e Timer) {
 	if e.Token == "list" {
-		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
-			b.subWanted = 0
-			b.do(Subscribe{})
+		if b.subscribeAt > 0 && b.now+b.settings.Tick >= b.subscribeAt {
+			b.subscribeAt = 0
+			b.emit(Subscribe{})
 		}
 		return
 	}
 	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
 	// late enough, and a review that finds nothing due yet asks for another.
 	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
-		if b.now+b.set.Tick >= r.timerAt {
+		if b.now+b.settings.Tick >= r.timerAt {
 			r.timerAt = 0
 		}
 		if r.polling > 0 && r.timerAt == 0 {
 			b.polledAll(r)
-		} else if r.held {
+		} else if r.delayed {
 			b.delay(r)
-			b.release()
+			b.releaseDelayed()
 		}
 	}
 }
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	memory        = 0.06 // weight of a new sample in pooled averages (about 16 samples)
+	sampleWeight  = 0.06 // weight of a new sample in pooled averages (about 16 samples)
 	tailDeviation = 3.0  // deviations above the mean at which a wait counts as overlong
 )
 
@@ -22,19 +22,19 @@
 // class holds what was learned of a class.
 type class struct {
 	Class
-	mean, dev     float64 // latency of successes, in ns
-	base          float64 // what mean was when there was most room
-	failing       float64 // share of its attempts that fail
-	samples       int
-	arrive, serve float64 // decayed counts
-	usual         float64 // time that most tries are given, in ns
-	votes         int     // for it, less those against it
+	meanLatency, latencyDeviation float64 // latency of successes, in ns
+	baseLatency                   float64 // what mean was when there was most room
+	failureShare                  float64 // share of its attempts that fail
+	samples                       int
+	arrivals, served              float64 // decayed counts
+	commonTime                    float64 // time that most tries are given, in ns
+	votes                         int     // for it, less those against it
 }
 
 // takeClasses knows these classes from now on, and what was learned of them before. One more stands for all others.
 func (b *Balancer) takeClasses(list []Class) {
 	old := b.classes
-	b.classes, b.order = map[string]*class{}, nil
+	b.classes, b.classOrder = map[string]*class{}, nil
 	odd := slices.MaxFunc(list, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
 	other := Class{LatencyObjective: odd.LatencyObjective, Deadline: odd.Deadline, PriorityWeight: odd.PriorityWeight}
 	for _, c := range append(slices.Clone(list), other) {
@@ -43,11 +43,12 @@
 			k = &class{}
 		}
 		if k.Class = c; k.samples == 0 {
-			k.mean, k.dev, k.base = float64(c.LatencyObjective)/4, float64(c.LatencyObjective)/8,
+			k.meanLatency, k.latencyDeviation, k.baseLatency = float64(c.LatencyObjective)/4,
+				float64(c.LatencyObjective)/8,
 				float64(c.LatencyObjective)/4
 		}
 		b.classes[c.Name] = k
-		b.order = append(b.order, k)
+		b.classOrder = append(b.classOrder, k)
 	}
 }
 
@@ -57,22 +58,22 @@
 	if validate(set) != nil {
 		return
 	}
-	old := b.set
-	b.set = set
+	old := b.settings
+	b.settings = set
 	b.takeClasses(set.Classes)
 	for _, s := range b.servers {
-		maps.DeleteFunc(s.failing, func(k *class, _ fading) bool { return b.classes[k.Name] != k })
+		maps.DeleteFunc(s.failures, func(k *class, _ fadingShare) bool { return b.classes[k.Name] != k })
 	}
 	for _, r := range b.requests {
 		r.tighten(b.classes[r.class.Name])
 	}
 	if set.Balancers != old.Balancers || set.Index != old.Index {
-		b.width = 0
+		b.subsetSize = 0
 	}
 	if set.PollDiscovery && !old.PollDiscovery {
 		b.pollAgain()
 	}
-	b.release()
+	b.releaseDelayed()
 }
 
 // ExpectedLatency is the wait for an answer that most of a class's answers stay under as they come now; 0: none has
@@ -83,12 +84,12 @@
 	case c == nil || c.samples == 0:
 		return 0
 	case c.samples < fewSamples: // by how much they differ is not known yet
-		return time.Duration(c.mean)
+		return time.Duration(c.meanLatency)
 	}
-	return time.Duration(c.mean + latencyDeviations*c.dev)
+	return time.Duration(c.meanLatency + latencyDeviations*c.latencyDeviation)
 }
 
-// overlong is the wait for an answer that most of a class's answers stay well under.
-func (b *Balancer) overlong(c *class) time.Duration {
-	return time.Duration(c.mean + tailDeviation*c.dev)
+// overlongLatency is the wait for an answer that most of a class's answers stay well under.
+func (b *Balancer) overlongLatency(c *class) time.Duration {
+	return time.Duration(c.meanLatency + tailDeviation*c.latencyDeviation)
 }
--- a/internal/balancer/policy_test.go
+++ b/internal/balancer/policy_test.go
@@ -204,7 +204,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
 	s := b.servers["s03"]
-	s.level, s.until = 1, 0
+	s.ejectionLevel, s.ejectedUntil = 1, 0
 	if got := traffic(b, 400, "pay", func(string) Result { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -233,7 +233,7 @@
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		c := b.classes["get"] // known to answer in 40 ms when there is room
-		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
+		c.samples, c.meanLatency, c.baseLatency = 100, float64(40*msec), float64(40*msec)
 		b.window = 15 // less than its growth may reach with the ten requests that are out here
 		start, now := b.window, time.Duration(0)
 		var open []Send
@@ -316,13 +316,13 @@
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
 		for _, s := range b.ready[:10] {
-			s.until = time.Minute
+			s.ejectedUntil = time.Minute
 		}
-		b.shed = c.shed
+		b.shedShare = c.shed
 		out := 0
-		b.ruleOut(b.allGroups, &request{class: b.classes["get"]}, true)
+		b.excludeOutliers(b.allGroups, &request{class: b.classes["get"]}, true)
 		for _, s := range b.ready {
-			if s.out {
+			if s.excluded {
 				out++
 			}
 		}
@@ -367,31 +367,31 @@
 	}
 }
 
-// steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
-func steered(t *testing.T, shed float64, ending Result, after func(*class) float64) float64 {
+// adjustedWindow is the window after many alike outcomes, each after share of what is aimed at, from 100.
+func adjustedWindow(t *testing.T, shed float64, ending Result, after func(*class) float64) float64 {
 	t.Helper()
-	return steeredAmong(t, 100, shed, ending, after)
+	return adjustedWindowAmong(t, 100, shed, ending, after)
 }
 
-// steeredAmong is the same at one of so many nodes.
-func steeredAmong(t *testing.T, copies int, shed float64, ending Result, after func(*class) float64) float64 {
+// adjustedWindowAmong is the same at one of so many nodes.
+func adjustedWindowAmong(t *testing.T, copies int, shed float64, ending Result, after func(*class) float64) float64 {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
-	b.window, b.busy = 100, 100
+	b.window, b.meanInFlight = 100, 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
-		b.shed = shed
+		b.shedShare = shed
 		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.steer(r, Outcome{Result: ending})
+		b.adjustWindow(r, Outcome{Result: ending})
 	}
 	return b.window
 }
 
 // While much is shed some servers choke for certain, so the window gets leaner.
 func TestWindowIsSmallerWhileShedding(t *testing.T) {
-	late := func(c *class) float64 { return 0.95 * c.target(0) }
-	calm, shedding := steered(t, 0, Success, late), steered(t, 0.8, Success, late)
+	late := func(c *class) float64 { return 0.95 * c.targetLatency(0) }
+	calm, shedding := adjustedWindow(t, 0, Success, late), adjustedWindow(t, 0.8, Success, late)
 	if calm <= 100 || shedding >= 100 {
 		t.Errorf("window from 100: nothing shed %.1f, want growth; much shed %.1f, want shrinking", calm, shedding)
 	}
@@ -400,12 +400,12 @@
 // Answers as quick as idle servers give them must open the window however much is shed, or shedding
 // keeps itself up; spoilt answers and errors are no sign of a crowd.
 func TestSheddingEndsWithOverload(t *testing.T) {
-	idle := func(c *class) float64 { return 1.05 * c.base }
-	if w := steered(t, 1, Success, idle); w <= 100 {
+	idle := func(c *class) float64 { return 1.05 * c.baseLatency }
+	if w := adjustedWindow(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
 	}
 	for _, e := range []Result{ConnectionLost, Failure} {
-		if w := steered(t, 0, e, idle); w != 100 {
+		if w := adjustedWindow(t, 0, e, idle); w != 100 {
 			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
 		}
 	}
@@ -413,7 +413,7 @@
 
 // The tier below lets a request time out a little before this one would: its error, late as it is, tells of the crowd.
 func TestLateErrorsShrinkTheWindow(t *testing.T) {
-	if w := steered(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.LatencyObjective) }); w >= 60 {
+	if w := adjustedWindow(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.LatencyObjective) }); w >= 60 {
 		t.Errorf("fifty errors just before the aim moved the window from 100 to %.1f", w)
 	}
 }
@@ -422,7 +422,7 @@
 // hundreds by up to a whole call an answer.
 func TestWindowDynamicsAreIndependentOfFleetSize(t *testing.T) {
 	moved := func(copies int) float64 {
-		return 100 - steeredAmong(t, copies, 0, Success, func(c *class) float64 { return 1.5 * c.target(0) })
+		return 100 - adjustedWindowAmong(t, copies, 0, Success, func(c *class) float64 { return 1.5 * c.targetLatency(0) })
 	}
 	for copies, most := range map[int]float64{1: 5, 2: 7, 4: 10, 300: 26} {
 		if got := moved(copies); got <= 0 || got > most {
@@ -443,7 +443,7 @@
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
 		if f, ok := a.(Reject); ok {
-			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
+			if limit := b.settings.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -461,10 +461,10 @@
 	list[0].Size = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: list})
-	b.servers["s02"].slow = math.Log(2)
+	b.servers["s02"].logLatencyRatio = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
-		got[b.choose(&request{class: b.classes["get"]}).ID]++
+		got[b.selectServer(&request{class: b.classes["get"]}).ID]++
 	}
 	// A pair's other side is drawn alike, so the zero tie leaves each its share of all weights.
 	total := 2 + 0.25
@@ -482,16 +482,16 @@
 	for i := range nodes {
 		b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers, s.Index = 1, nodes, i })
 		b.Handle(msec, ServerList{Full: true, Servers: servers(40)})
-		b.choose(&request{class: b.classes["get"]})
-		for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+		b.selectServer(&request{class: b.classes["get"]})
+		for _, s := range append(append([]*server{}, b.subset.left...), b.subset.right...) {
 			count[s.ID]++
 		}
-		if idle := b.width; idle >= 20 {
+		if idle := b.subsetSize; idle >= 20 {
 			t.Fatalf("an idle node's pool has %d servers", idle)
 		}
-		b.busy = 8
-		if b.fitPool(); b.width < 12 {
-			t.Fatalf("a busy node's pool has %d servers", b.width)
+		b.meanInFlight = 8
+		if b.fitSubset(); b.subsetSize < 12 {
+			t.Fatalf("a busy node's pool has %d servers", b.subsetSize)
 		}
 	}
 	least, most := nodes, 0
@@ -509,7 +509,7 @@
 	b.Handle(msec, ServerList{Full: true, Servers: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	settleWindow(b, 3*msec, "a", s, Success)
-	if got := b.servers[s.Server].slow; got < -0.1 {
+	if got := b.servers[s.Server].logLatencyRatio; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
@@ -575,11 +575,11 @@
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 		traffic(b, 40, "get", func(string) Result { return Success })
-		b.errors = c.common
+		b.badShare = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 		settleWindow(b, now+400*msec, "slow", s, Success)
-		if out := b.servers[s.Server].until > b.now; out != c.want {
+		if out := b.servers[s.Server].ejectedUntil > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
 	}
@@ -591,8 +591,8 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, ServerList{Full: true, Servers: list})
-	b.choose(&request{class: b.classes["get"]})
-	for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+	b.selectServer(&request{class: b.classes["get"]})
+	for _, s := range append(append([]*server{}, b.subset.left...), b.subset.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
 				list[i].Boot = time.Second
@@ -602,7 +602,7 @@
 	b.Handle(time.Second, ServerList{Full: true, Servers: list})
 	slowStarting := 0
 	for range 1000 {
-		if s := b.choose(&request{class: b.classes["get"]}); s.Boot > 0 {
+		if s := b.selectServer(&request{class: b.classes["get"]}); s.Boot > 0 {
 			slowStarting++
 		}
 	}
@@ -629,14 +629,14 @@
 func TestWindowReservesCapacityByPriorityWeight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.ClassWeight = 1, 12, 0 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	for _, c := range b.order {
-		c.arrive, c.serve = 10, 5
+	for _, c := range b.classOrder {
+		c.arrivals, c.served = 10, 5
 	}
 	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
 	if l, h := b.windowShare(low), b.windowShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
-	b.shed = 0.6
+	b.shedShare = 0.6
 	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
 		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
 	}
@@ -674,7 +674,7 @@
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-		b.classes[c.class].failing, b.tokens = c.failing, c.tokens
+		b.classes[c.class].failureShare, b.retryTokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -706,7 +706,7 @@
 
 // However seldom a copy must ask, it asks again within a second of a failure: what it misses counts as told soon after
 // discovery can be reached.
-func TestDiscoveryIsAskedAgainSoon(t *testing.T) {
+func TestDiscoveryIsPolledAgainSoon(t *testing.T) {
 	for _, within := range []time.Duration{100 * msec, 10 * time.Second, time.Hour} {
 		b := newBalancer(t, func(s *Settings) { s.PollDiscovery, s.PollInterval = true, within })
 		for i := range 50 {
@@ -722,7 +722,7 @@
 
 // Whatever lists come, the shared order holds the listed servers in service by id, the module knows no server that is
 // neither listed nor busy, and no zone without servers.
-func TestTheSharedOrderFollowsTheList(t *testing.T) {
+func TestServerOrderFollowsEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
 	rng := rand.New(rand.NewPCG(1, 2))
 	listed := map[string]Server{}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -68,7 +68,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(8)})
 	now := time.Duration(0)
-	for i := 0; i < 1000 && (i < 100 || b.failing(b.servers["s03"], b.classes["get"], b.classes["get"]) < 0.1); i++ {
+	for i := 0; i < 1000 && (i < 100 || b.failureShare(b.servers["s03"], b.classes["get"], b.classes["get"]) < 0.1); i++ {
 		now += 5 * msec
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
@@ -81,7 +81,7 @@
 		}
 	}
 	bad, get := b.servers["s03"], b.classes["get"]
-	mean, samples, share := get.mean, get.samples, b.failing(bad, get, get)
+	mean, samples, share := get.meanLatency, get.samples, b.failureShare(bad, get, get)
 	if share < 0.1 || samples < 100 {
 		t.Fatalf("a share of failures of %v after %d samples", share, samples)
 	}
@@ -90,10 +90,10 @@
 	next.Classes = append(next.Classes[:1], Class{Name: "new", LatencyObjective: 100 * msec, Deadline: time.Second})
 	b.Handle(now, Reconfigure{next})
 	get = b.classes["get"]
-	if get.mean != mean || get.samples != samples || b.failing(bad, get, get) != share {
-		t.Errorf("mean %v, %d samples, failing %v; want %v, %d, %v", get.mean, get.samples, b.failing(bad, get, get), mean, samples, share)
+	if get.meanLatency != mean || get.samples != samples || b.failureShare(bad, get, get) != share {
+		t.Errorf("mean %v, %d samples, failing %v; want %v, %d, %v", get.meanLatency, get.samples, b.failureShare(bad, get, get), mean, samples, share)
 	}
-	if get.LatencyObjective != 300*msec || get.PriorityWeight != 9 || b.classes["pay"] != nil || b.classes["new"].mean != float64(25*msec) || len(b.order) != 3 {
-		t.Errorf("aim %v, worth %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.order))
+	if get.LatencyObjective != 300*msec || get.PriorityWeight != 9 || b.classes["pay"] != nil || b.classes["new"].meanLatency != float64(25*msec) || len(b.classOrder) != 3 {
+		t.Errorf("aim %v, worth %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.classOrder))
 	}
 }
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	sameTry   = 0.05 // by how much times given to tries may differ and be held for the same
-	mostVotes = 50   // counted for the time that is usual
-	hanging   = 0.05 // share of a class's attempts that may fail before a request that hangs is cut short
+	sameTimeTolerance = 0.05 // by how much times given to tries may differ and be held for the same
+	maxVotes          = 50   // counted for the time that is usual
+	hangingShare      = 0.05 // share of a class's attempts that may fail before a request that hangs is cut short
 )
 
 // terms say how often a request may run. They are its class's when it was taken, and only ever get stricter.
@@ -34,37 +34,37 @@
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
 	terms
-	id       string
-	class    *class
-	arrived  time.Duration
-	deadline time.Duration
-	attempts []*attempt
-	out      int
-	retry    bool      // by the client, where clients say so
-	partial  bool      // its body still comes
-	spent    bool      // and is gone in part
-	polled   []*server // how much they hold, before the first attempt; nil: nobody
-	polling  int       // of them that have not said yet
-	timerAt  time.Duration
+	id            string
+	class         *class
+	arrived       time.Duration
+	deadline      time.Duration
+	attempts      []*attempt
+	inFlight      int
+	retry         bool      // by the client, where clients say so
+	partial       bool      // its body still comes
+	notReplayable bool      // and is gone in part
+	polled        []*server // how much they hold, before the first attempt; nil: nobody
+	polling       int       // of them that have not said yet
+	timerAt       time.Duration
 
-	held, answered, streaming bool
+	delayed, answered, streaming bool
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	req      *request
-	srv      *server
-	n        int
-	in       *zone
+	request  *request
+	server   *server
+	number   int
+	zone     *zone
 	sent     time.Duration
-	zone     string
+	zoneName string
 	cell     int
 	ended    bool
 	neverRan bool // proven never to have run
-	begun    bool // its server may have begun, and it is counted there
+	counted  bool // its server may have begun, and it is counted there
 }
 
-func (b *Balancer) accept(e Request) {
+func (b *Balancer) takeRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
@@ -73,15 +73,16 @@
 		deadline: e.Deadline, retry: e.Retry, partial: e.Partial}
 	b.requests[e.ID] = r
 	b.backdate(r)
-	for _, k := range b.order {
-		k.arrive, k.serve = k.arrive*0.99, k.serve*0.99
+	for _, k := range b.classOrder {
+		k.arrivals, k.served = k.arrivals*0.99, k.served*0.99
 	}
 	for _, p := range e.PriorAttempts { // made by whoever had it in hand before
-		a := &attempt{req: r, srv: b.servers[p.Server], sent: p.SentAt, zone: p.Zone, cell: p.Cell, ended: true}
+		a := &attempt{request: r, server: b.servers[p.Server], sent: p.SentAt, zoneName: p.Zone, cell: p.Cell,
+			ended: true}
 		a.neverRan, r.attempts = p.NeverRan, append(r.attempts, a)
 	}
-	if c.arrive++; len(r.attempts) > 0 {
-		b.further(r)
+	if c.arrivals++; len(r.attempts) > 0 {
+		b.retryOrRespond(r)
 		return
 	}
 	b.place(r)
@@ -92,11 +93,11 @@
 func (b *Balancer) backdate(r *request) {
 	c, left := r.class, float64(r.deadline-b.now)
 	switch {
-	case b.set.Tier > 0:
-	case math.Abs(left-c.usual) <= sameTry*c.usual:
-		c.votes = min(c.votes+1, mostVotes)
+	case b.settings.Tier > 0:
+	case math.Abs(left-c.commonTime) <= sameTimeTolerance*c.commonTime:
+		c.votes = min(c.votes+1, maxVotes)
 	case c.votes == 0:
-		c.usual, c.votes = left, 1
+		c.commonTime, c.votes = left, 1
 	default:
 		c.votes--
 		r.arrived = min(b.now, r.deadline-c.Deadline)
@@ -106,11 +107,11 @@
 
 // place sends a request, or holds it while no server may take it.
 func (b *Balancer) place(r *request) {
-	if !b.full(r) {
+	if !b.windowFull(r) {
 		if b.poll(r) {
 			return
 		}
-		if s := b.choose(r); s != nil {
+		if s := b.selectServer(r); s != nil {
 			b.send(r, s)
 			return
 		}
@@ -119,41 +120,42 @@
 }
 
 func (b *Balancer) send(r *request, s *server) {
-	a := &attempt{req: r, srv: s, n: len(r.attempts), in: s.in, sent: b.now, zone: s.Zone, cell: s.Cell}
-	if b.muted(s) {
-		s.in.probe = a
-		b.do(CloseIdle{Server: s.ID}) // a connection from before the cut would take the request and say nothing
+	a := &attempt{request: r, server: s, number: len(r.attempts), zone: s.zone, sent: b.now, zoneName: s.Zone,
+		cell: s.Cell}
+	if b.zoneExcluded(s) {
+		s.zone.probe = a
+		b.emit(CloseIdle{Server: s.ID}) // a connection from before the cut would take the request and say nothing
 	}
-	if a.n == 0 {
-		b.shed -= memory / 4 * b.shed
+	if a.number == 0 {
+		b.shedShare -= sampleWeight / 4 * b.shedShare
 	}
 	last := b.lastBegin(r)
 	r.attempts = append(r.attempts, a)
-	r.out++
-	b.sendDelayed(r)
-	if s.coming++; !r.partial {
-		b.begin(a)
+	r.inFlight++
+	b.stopDelaying(r)
+	if s.uploading++; !r.partial {
+		b.countAttempt(a)
 	}
-	left, c := b.useless(r)-b.now, r.class
+	left, c := b.usefulUntil(r)-b.now, r.class
 	// A server that lets a request hang takes all its time: where that happens below the first tier, one that may run
 	// again gives it half, if nearly all answers come within that.
-	again := r.effect == Safe && a.n+1 < b.set.MaxAttempts && b.tokens >= 1
-	if again && b.set.Tier > 0 && c.failing > hanging && left/2 > b.overlong(c) {
+	again := r.effect == Safe && a.number+1 < b.settings.MaxAttempts && b.retryTokens >= 1
+	if again && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > b.overlongLatency(c) {
 		left /= 2
 	}
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(left, b.set.Tick), NotAfter: last})
+	b.emit(Send{ID: r.id, Server: s.ID, Timeout: max(left, b.settings.Tick), NotAfter: last})
 }
 
-// begin counts an attempt at its server. Before the last byte has come there it is no work, whoever sends it
+// countAttempt counts an attempt at its server. Before the last byte has come there it is no work, whoever sends it
 // however slowly, and its silence tells nothing.
-func (b *Balancer) begin(a *attempt) {
-	a.begun, a.sent = true, b.now
-	a.srv.coming--
-	a.srv.inFlight++
-	a.srv.open = append(a.srv.open, a)
-	a.in.open = append(a.in.open, a)
+func (b *Balancer) countAttempt(a *attempt) {
+	a.counted, a.sent = true, b.now
+	a.server.uploading--
+	a.server.inFlight++
+	a.server.open = append(a.server.open, a)
+	a.zone.open = append(a.zone.open, a)
 	b.inFlight++
-	b.busy += memory * (float64(b.inFlight) - b.busy)
+	b.meanInFlight += sampleWeight * (float64(b.inFlight) - b.meanInFlight)
 }
 
 // takeUploaded has a request's time run from now on, and its attempt be counted.
@@ -165,7 +167,7 @@
 	r.partial = false
 	r.arrived += e.Deadline - r.deadline
 	r.deadline = e.Deadline
-	b.begin(r.attempts[e.Attempt])
+	b.countAttempt(r.attempts[e.Attempt])
 }
 
 func (b *Balancer) takeOutcome(e Outcome) {
@@ -176,52 +178,52 @@
 	a := r.attempts[e.Attempt]
 	a.ended = true
 	a.neverRan = e.Result == Overloaded || e.Result == Unreachable || e.Result == NotStarted
-	r.out--
-	r.spent = r.spent || e.NotReplayable
+	r.inFlight--
+	r.notReplayable = r.notReplayable || e.NotReplayable
 	if e.Load != nil {
-		b.learn(a.srv, e.Load.Busy, b.now)
+		b.recordLoad(a.server, e.Load.Busy, b.now)
 	}
-	tells := b.observe(a, e.Result)
-	if a.begun {
+	tells := b.observeZone(a, e.Result)
+	if a.counted {
 		b.inFlight--
-		a.srv.inFlight--
+		a.server.inFlight--
 		// A hung server's waits tell nothing of how crowded the others are.
-		if tells && !b.silent(a.srv) {
-			b.steer(r, e)
+		if tells && !b.silent(a.server) {
+			b.adjustWindow(r, e)
 		}
-		a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
+		a.server.open = slices.DeleteFunc(a.server.open, func(o *attempt) bool { return o == a })
 	} else {
-		a.srv.coming--
+		a.server.uploading--
 		// How long its client takes to send it is neither the server's doing nor the request's time.
 		r.arrived, r.deadline = r.arrived+b.now-a.sent, r.deadline+b.now-a.sent
 		a.sent = b.now
 	}
-	if tells && (a.begun || e.Result != Success) {
-		b.judge(a, e)
+	if tells && (a.counted || e.Result != Success) {
+		b.recordResult(a, e)
 	}
-	if !a.srv.listed && a.srv.idle() && b.servers[a.srv.ID] == a.srv {
-		delete(b.servers, a.srv.ID)
+	if !a.server.listed && a.server.idle() && b.servers[a.server.ID] == a.server {
+		delete(b.servers, a.server.ID)
 	}
 	switch {
 	case e.Ended:
 		if e.Result == Success && !r.answered && b.now <= r.arrived+r.class.LatencyObjective {
-			r.class.serve++
+			r.class.served++
 		}
-		b.close(r)
-	case !r.answered && r.out == 0:
-		b.further(r)
+		b.finish(r)
+	case !r.answered && r.inFlight == 0:
+		b.retryOrRespond(r)
 	}
 	b.forget(r)
-	b.release()
+	b.releaseDelayed()
 }
 
-// useless is when an answer stops being worth anything: work that goes on after it takes the room of
+// usefulUntil is when an answer stops being worth anything: work that goes on after it takes the room of
 // answers in time. Below the first tier only the deadline is known.
-func (b *Balancer) useless(r *request) time.Duration {
-	if b.set.Tier > 0 || r.class.LateShare > 0 || r.retry {
+func (b *Balancer) usefulUntil(r *request) time.Duration {
+	if b.settings.Tier > 0 || r.class.LateShare > 0 || r.retry {
 		return r.deadline
 	}
-	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.set.Tick)
+	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.settings.Tick)
 }
 
 // wakeAt asks for a review of a request, unless one is due by then already.
@@ -231,12 +233,12 @@
 		return
 	}
 	r.timerAt = at
-	b.do(SetTimer{At: at, Token: "r:" + r.id})
+	b.emit(SetTimer{At: at, Token: "r:" + r.id})
 }
 
-// answer gives the final answer: a refusal where the rules let it promise that a retry is
+// respond gives the final answer: a refusal where the rules let it promise that a retry is
 // harmless, else a failure. With an attempt still out it waits for that.
-func (b *Balancer) answer(r *request) {
+func (b *Balancer) respond(r *request) {
 	if r.answered || r.streaming {
 		return
 	}
@@ -244,28 +246,28 @@
 		return !a.neverRan && (r.effect == Unsafe || r.effect == Keyed && r.scope != ScopeAll)
 	})
 	if len(r.attempts) == 0 {
-		b.shed += memory / 4 * (1 - b.shed)
+		b.shedShare += sampleWeight / 4 * (1 - b.shedShare)
 	}
 	if harmless {
 		// A client sent away for long comes back when its objective is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
-		b.do(Fail{ID: r.id})
+		b.emit(Fail{ID: r.id})
 	}
-	b.close(r)
+	b.finish(r)
 }
 
-// close ends a request and requests off what is still out for it.
-func (b *Balancer) close(r *request) {
+// finish ends a request and requests off what is still out for it.
+func (b *Balancer) finish(r *request) {
 	if r == nil || r.answered {
 		return
 	}
 	r.answered = true
-	b.sendDelayed(r)
+	b.stopDelaying(r)
 	for _, a := range r.attempts {
-		if !a.ended && b.set.MayCancel {
-			b.do(Cancel{ID: r.id, Attempt: a.n})
+		if !a.ended && b.settings.MayCancel {
+			b.emit(Cancel{ID: r.id, Attempt: a.number})
 		}
 	}
 	b.forget(r)
@@ -273,7 +275,7 @@
 
 // forget drops a request once nothing of it is left.
 func (b *Balancer) forget(r *request) {
-	if r.answered && r.out == 0 {
+	if r.answered && r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
--- a/internal/balancer/retries.go
+++ b/internal/balancer/retries.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	retryEarn    = 0.15 // further attempts earned by a success
-	neverRanCost = 0.1  // what a further attempt costs when the last one never ran
-	retryBudget  = 10   // most that can be saved up
+	retryTokensPerSuccess = 0.15 // further attempts earned by a success
+	neverRanCost          = 0.1  // what a further attempt costs when the last one never ran
+	maxRetryTokens        = 10   // most that can be saved up
 )
 
 // maySendAgain says that the class's effect and the limits allow one more attempt now.
 func (b *Balancer) maySendAgain(r *request) bool {
-	over := r.answered || r.streaming || r.spent || len(r.attempts) >= max(1, b.set.MaxAttempts)
+	over := r.answered || r.streaming || r.notReplayable || len(r.attempts) >= max(1, b.settings.MaxAttempts)
 	return !over && b.now < b.lastBegin(r)
 }
 
@@ -28,22 +28,22 @@
 	case r.effect == Unsafe:
 		return 0
 	}
-	return r.attempts[first].sent + r.window - 2*b.set.Tick
+	return r.attempts[first].sent + r.window - 2*b.settings.Tick
 }
 
-// further decides what follows when no attempt is left out: another within the budget and with
+// retryOrRespond decides what follows when no attempt is left out: another within the budget and with
 // time for an answer, or the final answer. Without the budget, retries of every tier multiply.
-func (b *Balancer) further(r *request) {
-	left, cost := float64(b.useless(r)-b.now), 1.0
+func (b *Balancer) retryOrRespond(r *request) {
+	left, cost := float64(b.usefulUntil(r)-b.now), 1.0
 	if r.attempts[len(r.attempts)-1].neverRan {
 		cost = neverRanCost
 	}
-	if b.maySendAgain(r) && b.tokens >= cost && left >= r.class.mean/2 {
-		if s := b.choose(r); s != nil {
-			b.tokens -= cost
+	if b.maySendAgain(r) && b.retryTokens >= cost && left >= r.class.meanLatency/2 {
+		if s := b.selectServer(r); s != nil {
+			b.retryTokens -= cost
 			b.send(r, s)
 			return
 		}
 	}
-	b.answer(r)
+	b.respond(r)
 }
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// checker follows the events given to one Balancer and its actions, and notes every broken rule.
+// ruleChecker follows the events given to one Balancer and its actions, and notes every broken rule.
 // It shares no code with the module.
-type checker struct {
+type ruleChecker struct {
 	set    Settings
 	slack  time.Duration
 	state  map[string]ServerState
 	cells  map[string]int
 	zones  map[string]string
-	reqs   map[string]*tracked
+	reqs   map[string]*requestTrace
 	broken []string
 }
 
-type tracked struct {
+type requestTrace struct {
 	name     string
 	under    []Class // its class as taken, and as it was reconfigured since
 	deadline time.Duration
 	ended    bool
-	attempts []*tracking
+	attempts []*attemptTrace
 }
 
-type tracking struct {
+type attemptTrace struct {
 	server string
 	at     time.Duration
 	over   bool
 	ending Result
 }
 
-func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*tracked{}}
+func newRuleChecker(set Settings) *ruleChecker {
+	return &ruleChecker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+		zones: map[string]string{}, reqs: map[string]*requestTrace{}}
 }
 
 // killed forgets what a killed copy held: it is the clients' to ask again.
-func (c *checker) killed() {
-	c.reqs, c.state = map[string]*tracked{}, map[string]ServerState{}
+func (c *ruleChecker) killed() {
+	c.reqs, c.state = map[string]*requestTrace{}, map[string]ServerState{}
 }
 
-func (c *checker) fault(format string, args ...any) {
+func (c *ruleChecker) fault(format string, args ...any) {
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
 // class is what a class is now; one that is not known is unsafe.
-func (c *checker) class(name string) Class {
+func (c *ruleChecker) class(name string) Class {
 	for _, k := range c.set.Classes {
 		if k.Name == name {
 			return k
@@ -60,13 +60,13 @@
 }
 
 // keyless says that a request was taken with no key: it is no keyed one, whatever its class is by now.
-func (t *tracked) keyless() bool { return t.under[0].Effect != Keyed }
+func (t *requestTrace) keyless() bool { return t.under[0].Effect != Keyed }
 
-func (t *tracking) mayHaveRun() bool {
+func (t *attemptTrace) mayHaveRun() bool {
 	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotStarted)
 }
 
-func (c *checker) event(now time.Duration, e Event) {
+func (c *ruleChecker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case ServerList:
 		if e.Full {
@@ -79,7 +79,7 @@
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			c.reqs[e.ID] = &tracked{name: e.Class, under: []Class{c.class(e.Class)}, deadline: e.Deadline}
+			c.reqs[e.ID] = &requestTrace{name: e.Class, under: []Class{c.class(e.Class)}, deadline: e.Deadline}
 		}
 	case Reconfigure:
 		if validate(e.Settings) == nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (c *checker) actions(now time.Duration, acts []Action) {
+func (c *ruleChecker) actions(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
@@ -138,7 +138,7 @@
 	}
 }
 
-func (c *checker) final(id string) *tracked {
+func (c *ruleChecker) final(id string) *requestTrace {
 	r := c.reqs[id]
 	if r == nil || r.ended {
 		c.fault("rule 1: final answer for %s, which is over or unknown", id)
@@ -148,7 +148,7 @@
 	return r
 }
 
-func (c *checker) send(now time.Duration, a Send) {
+func (c *ruleChecker) send(now time.Duration, a Send) {
 	r := c.reqs[a.ID]
 	if r == nil || r.ended {
 		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
@@ -189,25 +189,25 @@
 			}
 		}
 	}
-	r.attempts = append(r.attempts, &tracking{server: a.Server, at: now})
+	r.attempts = append(r.attempts, &attemptTrace{server: a.Server, at: now})
 }
 
-// tightened are the test's settings with the safe class unsafe.
-func tightened() Settings {
+// unsafeSettings are the test's settings with the safe class unsafe.
+func unsafeSettings() Settings {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
 	return set
 }
 
-// keyed are the test's settings with the safe class keyed.
-func keyed() Settings {
+// keyedSettings are the test's settings with the safe class keyed.
+func keyedSettings() Settings {
 	set := testSettings()
 	set.Classes[0].Effect, set.Classes[0].Window = Keyed, time.Hour
 	return set
 }
 
-// TestCheckerCanFail gives the checker a trace that breaks each rule.
-func TestCheckerCanFail(t *testing.T) {
+// TestRuleCheckerReportsEachBreach gives the checker a trace that breaks each rule.
+func TestRuleCheckerReportsEachBreach(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
 	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
@@ -226,13 +226,13 @@
 			Send{ID: "r", Server: "a", NotAfter: 950 * msec}}},
 		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
-		{"rule 2: unsafe", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{tightened()}, timedOut,
+		{"rule 2: unsafe", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{unsafeSettings()}, timedOut,
 			Send{ID: "r", Server: "a"}}},
-		{"no key", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{keyed()}, timedOut,
+		{"no key", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{keyedSettings()}, timedOut,
 			Send{ID: "r", Server: "a"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
-		c := newChecker(testSettings())
+		c := newRuleChecker(testSettings())
 		var now time.Duration
 		for _, s := range tc.steps {
 			switch s := s.(type) {
@@ -251,7 +251,7 @@
 }
 
 // run drives a Balancer with random legal events and odd ones, and returns all its actions.
-func run(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
+func run(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	b, err := New(set, seed)
 	if err != nil {
@@ -409,7 +409,7 @@
 			}
 		}
 		if rng.IntN(150) == 0 {
-			give(Reconfigure{changed(rng, set)})
+			give(Reconfigure{changedSettings(rng, set)})
 		}
 		if rng.IntN(40) == 0 {
 			give(LoadUpdate{ID: "nobody", Loads: []ServerLoad{{Server: "nobody", Busy: 1}}})
@@ -427,9 +427,9 @@
 	return log, b
 }
 
-// changed are other settings for the same place: classes of other effects, one more or one fewer, other bounds.
+// changedSettings are other settings for the same place: classes of other effects, one more or one fewer, other bounds.
 // Now and then they are none that a Balancer could have.
-func changed(rng *rand.Rand, set Settings) Settings {
+func changedSettings(rng *rand.Rand, set Settings) Settings {
 	next := set
 	next.Classes = append([]Class(nil), set.Classes...)
 	for i := range next.Classes {
@@ -451,7 +451,7 @@
 	return next
 }
 
-func TestRulesHoldOnRandomSequences(t *testing.T) {
+func TestProtocolRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := testSettings()
 		set.Tier = int(seed % 2)
@@ -459,7 +459,7 @@
 		if seed%3 == 0 {
 			set.Tick = 10 * msec // coarse: half of the slack after a deadline
 		}
-		c := newChecker(set)
+		c := newRuleChecker(set)
 		log, b := run(t, set, seed, 6000, c)
 		for i, s := range c.broken {
 			if i < 5 {
@@ -469,9 +469,9 @@
 		if len(log) < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, len(log))
 		}
-		if len(b.requests) > 0 || len(b.held) > 0 || b.inFlight != 0 {
+		if len(b.requests) > 0 || len(b.delayed) > 0 || b.inFlight != 0 {
 			t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
-				len(b.held), b.inFlight)
+				len(b.delayed), b.inFlight)
 		}
 		for id, s := range b.servers {
 			if !s.listed || s.inFlight != 0 || len(s.open) != 0 {
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// due are outcomes to come, the earliest first.
-type due []arrival
+// pendingOutcomes are outcomes to come, the earliest first.
+type pendingOutcomes []pendingOutcome
 
-type arrival struct {
+type pendingOutcome struct {
 	at   time.Duration
 	node int
 	out  Outcome
 }
 
-func (d due) Len() int           { return len(d) }
-func (d due) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d due) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *due) Push(x any)        { *d = append(*d, x.(arrival)) }
-func (d *due) Pop() any          { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
+func (d pendingOutcomes) Len() int           { return len(d) }
+func (d pendingOutcomes) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d pendingOutcomes) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *pendingOutcomes) Push(x any)        { *d = append(*d, x.(pendingOutcome)) }
+func (d *pendingOutcomes) Pop() any          { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
 
 // slowStartFleet is a fleet that deals a load out among servers of which some have just started.
 type slowStartFleet struct {
@@ -70,11 +70,11 @@
 	}
 	sent = map[string][]time.Duration{}
 	starts = []time.Duration{slowStartBegin}
-	var out due
+	var out pendingOutcomes
 	do := func(node int, now time.Duration, acts []Action) {
 		for _, s := range sends(acts) {
 			sent[s.Server] = append(sent[s.Server], now)
-			heap.Push(&out, arrival{now + slowStartLatency, node, Outcome{ID: s.ID, Server: s.Server, Result: Success, Latency: slowStartLatency, Ended: true}})
+			heap.Push(&out, pendingOutcome{now + slowStartLatency, node, Outcome{ID: s.ID, Server: s.Server, Result: Success, Latency: slowStartLatency, Ended: true}})
 		}
 	}
 	for now, n := slowStartBegin, 0; now < slowStartBegin+slowStartLength; n++ {
@@ -84,7 +84,7 @@
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		for len(out) > 0 && out[0].at <= now {
-			a := heap.Pop(&out).(arrival)
+			a := heap.Pop(&out).(pendingOutcome)
 			do(a.node, a.at, fleet[a.node].Handle(a.at, a.out))
 		}
 		if f.returns > 0 && len(starts) == 1 && now >= slowStartBegin+f.returns {
@@ -107,9 +107,9 @@
 	return sent, starts
 }
 
-// worst is the greatest share that requests within a window had of what pushes a server over, and how many there were at all.
+// worstOverload is the greatest share that requests within a window had of what pushes a server over, and how many there were at all.
 // pushes tells what does by what the server can do in that time.
-func worst(sent map[string][]time.Duration, starts []time.Duration, window time.Duration, pushes func(can float64) float64) (share float64, total int) {
+func worstOverload(sent map[string][]time.Duration, starts []time.Duration, window time.Duration, pushes func(can float64) float64) (share float64, total int) {
 	for i := range slowStartBegun {
 		times := sent[servers(slowStartServers)[3*i].ID]
 		total += len(times)
@@ -170,8 +170,8 @@
 			t.Run(fmt.Sprint(nodes, " ", name), func(t *testing.T) {
 				t.Parallel()
 				sent, starts := f.play(t)
-				share, total := worst(sent, starts, window, allows)
-				steady, _ := worst(sent, starts, window, can)
+				share, total := worstOverload(sent, starts, window, allows)
+				steady, _ := worstOverload(sent, starts, window, can)
 				t.Logf("%d nodes, %s: at most %.2f of what pushes a cold server over, %.2f of that for what it can do; %d calls; at most %d at a warm one",
 					nodes, name, share, steady, total, mostWarm(sent, window))
 				if share > 0.9 {
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// parts are how much of each server lies in the pools of all copies together.
-func parts(t *testing.T, copies, servers int) (sum map[string]float64, pools [][]string) {
+// subsetShares are how much of each server lies in the pools of all copies together.
+func subsetShares(t *testing.T, copies, servers int) (sum map[string]float64, pools [][]string) {
 	t.Helper()
 	sum = map[string]float64{}
 	for i := range copies {
@@ -19,10 +19,10 @@
 			l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 		}
 		b.Handle(time.Second, l)
-		b.fitPool()
+		b.fitSubset()
 		var pool []string
-		for _, s := range slices.Concat(b.pool.left, b.pool.right) {
-			sum[s.ID] += s.part
+		for _, s := range slices.Concat(b.subset.left, b.subset.right) {
+			sum[s.ID] += s.subsetShare
 			pool = append(pool, s.ID)
 		}
 		pools = append(pools, pool)
@@ -34,7 +34,7 @@
 // hardly two nodes have the same pool.
 func TestSubsetsTogetherCoverAllServersEvenly(t *testing.T) {
 	for _, c := range []struct{ copies, servers int }{{200, 60}, {300, 60}, {60, 400}, {300, 5}, {7, 13}, {97, 89}, {1, 40}, {2, 3}} {
-		sum, pools := parts(t, c.copies, c.servers)
+		sum, pools := subsetShares(t, c.copies, c.servers)
 		least, most := math.Inf(1), 0.0
 		for k := range c.servers {
 			v := sum[fmt.Sprintf("s%04d", k)]
@@ -58,8 +58,8 @@
 // A node more or a server more moves few of the connections that a node's pool stands for on the left, where the nodes
 // follow in their order.
 func TestSubsetsAreStableAsServersChange(t *testing.T) {
-	_, before := parts(t, 100, 60)
-	_, after := parts(t, 100, 61)
+	_, before := subsetShares(t, 100, 60)
+	_, after := subsetShares(t, 100, 61)
 	kept, all := 0, 0
 	for i := range before {
 		for _, id := range before[i] {
@@ -87,8 +87,8 @@
 	}
 }
 
-// told is a node of many, with servers that say what they hold.
-func told(t *testing.T, asks int, busy ...float64) *Balancer {
+// newReportingNode is a node of many, with servers that say what they hold.
+func newReportingNode(t *testing.T, asks int, busy ...float64) *Balancer {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) { s.Balancers, s.PollChoices, s.Tier = 1, asks, 1 })
 	l := ServerList{Full: true}
@@ -121,29 +121,29 @@
 // Servers that say they hold much get little, as long as that word is young.
 func TestLoadReportsDecay(t *testing.T) {
 	busy := []float64{9, 0, 0, 9, 0, 0}
-	b := told(t, 0, busy...)
+	b := newReportingNode(t, 0, busy...)
 	now := sendsTo(t, b, time.Second+msec, 600)
 	if now["s0"]+now["s3"] > 30 {
 		t.Errorf("the two that hold most get %d and %d of 600", now["s0"], now["s3"])
 	}
-	b = told(t, 0, busy...)
+	b = newReportingNode(t, 0, busy...)
 	later := sendsTo(t, b, 100*time.Second, 600)
 	if n := later["s0"] + later["s3"]; n < 100 {
 		t.Errorf("after a hundred seconds they still get %d of 600 only", n)
 	}
 	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 50, Age: 90 * time.Second}, {Server: "nobody", Busy: 1}, {Server: "s1", Busy: -1}}})
-	if s := b.servers["s0"]; s.busy != 50 || b.now-s.reportedAt != 90*time.Second {
-		t.Errorf("a word of 90 s ago: %v, told %v ago", s.busy, b.now-s.reportedAt)
+	if s := b.servers["s0"]; s.reportedLoad != 50 || b.now-s.reportedAt != 90*time.Second {
+		t.Errorf("a word of 90 s ago: %v, told %v ago", s.reportedLoad, b.now-s.reportedAt)
 	}
 	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 1, Age: 95 * time.Second}}})
-	if s := b.servers["s0"]; s.busy != 50 {
+	if s := b.servers["s0"]; s.reportedLoad != 50 {
 		t.Error("an older word took the place of a younger one")
 	}
 }
 
 // A request waits until those that were asked have said what they hold, and goes to the one that holds least.
 func TestRequestGoesToLeastLoadedPolledServer(t *testing.T) {
-	b := told(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
+	b := newReportingNode(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
 	at := 10 * time.Second
 	acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
 	ask, ok := acts[0].(Poll)
@@ -152,7 +152,7 @@
 	}
 	left := 0
 	for _, s := range ask.Servers {
-		if slices.ContainsFunc(b.pool.left, func(o *server) bool { return o.ID == s }) {
+		if slices.ContainsFunc(b.subset.left, func(o *server) bool { return o.ID == s }) {
 			left++
 		}
 	}
@@ -181,11 +181,11 @@
 // where nobody does, it goes by what is known.
 func TestRequestDoesNotWaitForSilentServer(t *testing.T) {
 	for _, answers := range []int{1, 0} {
-		b := told(t, 4, 1, 1, 1, 1, 1, 1, 1, 1)
+		b := newReportingNode(t, 4, 1, 1, 1, 1, 1, 1, 1, 1)
 		at := 10 * time.Second
 		acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
 		ask, wake := acts[0].(Poll), acts[1].(SetTimer)
-		if ask.Timeout <= 0 || wake.At != at+ask.Timeout || ask.Timeout > time.Duration(b.classes["get"].mean) {
+		if ask.Timeout <= 0 || wake.At != at+ask.Timeout || ask.Timeout > time.Duration(b.classes["get"].meanLatency) {
 			t.Fatalf("it waits %v, until %v", ask.Timeout, wake.At)
 		}
 		for _, s := range ask.Servers[:answers] {
@@ -206,7 +206,7 @@
 
 // A client that leaves while servers are asked has nothing sent for it.
 func TestNothingIsSentForClientDisconnectedWhilePolling(t *testing.T) {
-	b := told(t, 2, 0, 0, 0, 0)
+	b := newReportingNode(t, 2, 0, 0, 0, 0)
 	at := 10 * time.Second
 	ask := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})[0].(Poll)
 	b.Handle(at+msec, ClientDisconnected{ID: "x"})
@@ -224,8 +224,8 @@
 // them even: together no server is left out, and none lies in much more than its part.
 func TestSubsetsCoverAllServersWhileNodesDisagreeOnNodeCount(t *testing.T) {
 	for _, c := range []struct{ was, is, servers int }{{200, 190, 60}, {190, 200, 60}, {100, 200, 60}, {60, 61, 400}, {300, 150, 30}} {
-		before, _ := parts(t, c.was, c.servers)
-		after, _ := parts(t, c.is, c.servers)
+		before, _ := subsetShares(t, c.was, c.servers)
+		after, _ := subsetShares(t, c.is, c.servers)
 		sum := map[string]float64{}
 		for i := range c.was { // every second node has heard; those that are gone by the new number still send by the old
 			copies := c.was
@@ -238,13 +238,13 @@
 				l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 			}
 			b.Handle(time.Second, l)
-			b.fitPool()
+			b.fitSubset()
 			var all float64
 			for _, s := range b.ready {
-				all += s.part
+				all += s.subsetShare
 			}
 			for _, s := range b.ready {
-				sum[s.ID] += s.part / all
+				sum[s.ID] += s.subsetShare / all
 			}
 		}
 		mean := float64(c.was) / float64(c.servers)
@@ -301,7 +301,7 @@
 		}
 		// Who looks idle to all gets the first request of those whose pool it lies in, and of nobody else.
 		if in := 0; reported {
-			sum, _ := parts(t, nodes, n)
+			sum, _ := subsetShares(t, nodes, n)
 			in = int(sum["s0007"]) + 3
 			if first["s0007"] > 2*in {
 				t.Errorf("%d of %d first calls go to the server that looks idle to all; it lies in about %d pools", first["s0007"], nodes, in)
@@ -312,7 +312,7 @@
 
 // A pool is cut anew only where that changes it: the same again costs no memory, also where more servers are wanted than there
 // are. Once the list has changed it is cut again, however much is wanted.
-func TestThePoolIsNotCutAgainTheSame(t *testing.T) {
+func TestUnchangedSubsetIsNotRecomputed(t *testing.T) {
 	for _, c := range []struct {
 		copies, servers int
 		busy            float64
@@ -323,16 +323,16 @@
 			l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 		}
 		b.Handle(time.Second, l)
-		b.busy = c.busy
-		b.fitPool()
-		if n := testing.AllocsPerRun(10, b.fitPool); n > 0 {
+		b.meanInFlight = c.busy
+		b.fitSubset()
+		if n := testing.AllocsPerRun(10, b.fitSubset); n > 0 {
 			t.Errorf("%+v: %v allocations for the same pool", c, n)
 		}
 		l.Servers = l.Servers[1:]
 		b.Handle(2*time.Second, l)
-		b.fitPool()
+		b.fitSubset()
 		first := func(s *server) bool { return s.ID == "s0000" }
-		if slices.ContainsFunc(slices.Concat(b.pool.left, b.pool.right), first) || len(b.pool.left) == 0 {
+		if slices.ContainsFunc(slices.Concat(b.subset.left, b.subset.right), first) || len(b.subset.left) == 0 {
 			t.Errorf("%+v: the pool still has the server that has left, or has none", c)
 		}
 	}
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -69,7 +69,7 @@
 	if n := b.Unavailable(); n != 0 {
 		t.Errorf("%d servers are avoided that answered all in time", n)
 	}
-	if mean := time.Duration(b.classes["pay"].mean); mean > 40*msec {
+	if mean := time.Duration(b.classes["pay"].meanLatency); mean > 40*msec {
 		t.Errorf("answers took 20ms, and the mean is %v", mean)
 	}
 }
@@ -146,14 +146,14 @@
 			t.Fatalf("request %d goes to a cold server that an upload is on its way to", i)
 		}
 	}
-	if s := b.servers[first.Server]; s.coming != 1 || s.inFlight != 0 {
-		t.Errorf("%d coming, %d calls", s.coming, s.inFlight)
+	if s := b.servers[first.Server]; s.uploading != 1 || s.inFlight != 0 {
+		t.Errorf("%d coming, %d calls", s.uploading, s.inFlight)
 	}
 	b.Handle(now+3*msec, ClientDisconnected{ID: "first"})
 	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Result: Cancelled, Ended: true, NotReplayable: true})
 	out := 0
 	for _, s := range b.servers {
-		out += s.inFlight + s.coming
+		out += s.inFlight + s.uploading
 	}
 	if out != 1 {
 		t.Errorf("%d calls at the server or on their way once it was free, want 1", out)
@@ -170,9 +170,9 @@
 		t.Errorf("%d avoided of a healthy list, want the draining one", n)
 	}
 	for _, s := range b.servers {
-		s.until = time.Hour
+		s.ejectedUntil = time.Hour
 	}
-	if n, most := b.Unavailable(), b.mostSick(); most != 3 || n != 1+most {
+	if n, most := b.Unavailable(), b.maxEjected(); most != 3 || n != 1+most {
 		t.Errorf("%d avoided where all are ill, want 1 and %d", n, most)
 	}
 }
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -197,7 +197,7 @@
 				z.run("pay", 20, 100*msec)
 				for _, zone := range z.b.zones {
 					all++
-					if zone.hushed > 0 {
+					if zone.unreachableSince > 0 {
 						muted++
 					}
 				}
@@ -215,13 +215,13 @@
 	z.run("pay", 20, 5*time.Second)
 	z.silent["zone1"] = true
 	z.run("pay", 20, 3*time.Second)
-	if s := z.b.zoneOf("zone1"); s.hushed == 0 {
+	if s := z.b.zoneOf("zone1"); s.unreachableSince == 0 {
 		t.Fatal("the zone is not held for cut off")
 	}
 	delete(z.silent, "zone1")
 	z.list(3, 10, map[string]time.Duration{"zone1": z.now})
 	for _, s := range z.b.ready {
-		if z.b.muted(s) {
+		if z.b.zoneExcluded(s) {
 			t.Errorf("%s of %s is kept out", s.ID, s.Zone)
 		}
 	}
