--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -10,6 +10,7 @@
 const (
 	sampleWeight  = 0.06 // weight of a new sample in pooled averages (about 16 samples)
 	tailDeviation = 3.0  // deviations above the mean at which a wait counts as overlong
+	countDecay    = 0.99 // what is left of the classes' counts after one more request
 )
 
 // latencyDeviations are the deviations above the mean that nineteen answers of twenty come within: a mean deviation is
@@ -22,36 +23,56 @@
 // class holds what was learned of a class.
 type class struct {
 	Class
-	meanLatency, latencyDeviation float64 // latency of successes, in ns
-	baseLatency                   float64 // what mean was when there was most room
-	failureShare                  float64 // share of its attempts that fail
-	samples                       int
-	arrivals, served              float64 // decayed counts
-	commonTime                    float64 // time that most tries are given, in ns
-	votes                         int     // for it, less those against it
+	meanLatency      float64 // of successes, in ns
+	latencyDeviation float64 // mean deviation of theirs, in ns
+	baseLatency      float64 // what the mean was when there was most capacity, in ns
+	failureShare     float64 // share of its attempts that fail
+	samples          int
+	arrivals         float64 // decayed count
+	served           float64 // within the latency objective, decayed count
+	commonTime       float64 // time that most attempts of clients are given, in ns
+	votes            int     // for it, less those against it
 }
 
 // takeClasses knows these classes from now on, and what was learned of them before. One more stands for all others.
 func (b *Balancer) takeClasses(list []Class) {
 	old := b.classes
-	b.classes, b.classOrder = map[string]*class{}, nil
-	odd := slices.MaxFunc(list, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
-	other := Class{LatencyObjective: odd.LatencyObjective, Deadline: odd.Deadline, PriorityWeight: odd.PriorityWeight}
-	for _, c := range append(slices.Clone(list), other) {
+	b.classes = map[string]*class{}
+	b.classOrder = nil
+	for _, c := range append(slices.Clone(list), unknownClass(list)) {
 		k := old[c.Name]
 		if k == nil {
 			k = &class{}
 		}
-		if k.Class = c; k.samples == 0 {
-			k.meanLatency, k.latencyDeviation, k.baseLatency = float64(c.LatencyObjective)/4,
-				float64(c.LatencyObjective)/8,
-				float64(c.LatencyObjective)/4
+		k.Class = c
+		if k.samples == 0 {
+			k.guessLatency()
 		}
 		b.classes[c.Name] = k
 		b.classOrder = append(b.classOrder, k)
 	}
 }
 
+// unknownClass is what requests of classes that the settings don't name are taken for: unsafe, with the terms of the
+// class with the longest deadline. Its name is empty.
+func unknownClass(list []Class) Class {
+	byDeadline := func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) }
+	longest := slices.MaxFunc(list, byDeadline)
+	return Class{
+		LatencyObjective: longest.LatencyObjective,
+		Deadline:         longest.Deadline,
+		PriorityWeight:   longest.PriorityWeight,
+	}
+}
+
+// guessLatency stands in for samples until there are some.
+func (c *class) guessLatency() {
+	objective := float64(c.LatencyObjective)
+	c.meanLatency = objective / 4
+	c.latencyDeviation = objective / 8
+	c.baseLatency = objective / 4
+}
+
 // reconfigure takes other settings over, with all that was learned. A request that is under way keeps the
 // terms on which it was taken, as far as its class is not stricter now.
 func (b *Balancer) reconfigure(set Settings) {
--- a/internal/balancer/retries.go
+++ b/internal/balancer/retries.go
@@ -7,15 +7,20 @@
 )
 
 const (
-	retryTokensPerSuccess = 0.15 // further attempts earned by a success
-	neverRanCost          = 0.1  // what a further attempt costs when the last one never ran
-	maxRetryTokens        = 10   // most that can be saved up
+	retryTokensPerSuccess = 0.15 // retries earned by a success
+	neverRanCost          = 0.1  // tokens that a retry costs when the last attempt never ran; else 1
+	maxRetryTokens        = 10   // tokens that can be saved up
 )
 
 // maySendAgain says that the class's effect and the limits allow one more attempt now.
 func (b *Balancer) maySendAgain(r *request) bool {
-	over := r.answered || r.streaming || r.notReplayable || len(r.attempts) >= max(1, b.settings.MaxAttempts)
-	return !over && b.now < b.lastBegin(r)
+	if r.answered || r.streaming || r.notReplayable {
+		return false
+	}
+	if len(r.attempts) >= max(1, b.settings.MaxAttempts) {
+		return false
+	}
+	return b.now < b.lastBegin(r)
 }
 
 // lastBegin is until when one more attempt may begin: never once an unsafe one may have run, and behind a keyed one as
@@ -32,13 +37,16 @@
 }
 
 // retryOrRespond decides what follows when no attempt is left out: another within the budget and with
-// time for an answer, or the final answer. Without the budget, retries of every tier multiply.
+// time for a reply, or the response. Without the retry budget, retries of every tier multiply.
 func (b *Balancer) retryOrRespond(r *request) {
-	left, cost := float64(b.usefulUntil(r)-b.now), 1.0
-	if r.attempts[len(r.attempts)-1].neverRan {
+	cost := 1.0
+	last := r.attempts[len(r.attempts)-1]
+	if last.neverRan {
 		cost = neverRanCost
 	}
-	if b.maySendAgain(r) && b.retryTokens >= cost && left >= r.class.meanLatency/2 {
+	left := float64(b.usefulUntil(r) - b.now)
+	enoughTime := left >= r.class.meanLatency/2
+	if b.maySendAgain(r) && b.retryTokens >= cost && enoughTime {
 		if s := b.selectServer(r); s != nil {
 			b.retryTokens -= cost
 			b.send(r, s)
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -3,43 +3,60 @@
 import (
 	"math"
 	"slices"
+	"time"
 )
 
-// pick is the design's rule: one server drawn from each group, the fewer own requests win, equal counts above zero go
-// left, and at zero the side is drawn by the groups' shares. Draws and shares go by weight, which is alike for all
-// while nothing tells the servers apart. An empty group leaves the draw to the other.
+// maxSize bounds the listed size of a server: with an infinite weight nobody would be drawn.
+const maxSize = 1e6
+
+// selectionRules say how strict one step of the search for a server is.
+type selectionRules struct {
+	allowAllSlowStart bool // also where every server that is left is in slow start
+	avoidOutliers     bool // passes over excluded zones and servers that fail the class more than others do
+}
+
+// pick is the design's rule: one server is drawn from each group, the one with fewer own requests in flight wins, equal
+// counts above zero go left, and at zero the side is drawn by the groups' shares. Draws and shares go by weight, which
+// is alike for all while nothing tells the servers apart. An empty group leaves the draw to the other.
 func (b *Balancer) pick(left, right []*server) *server {
 	l, leftWeight := b.drawWeighted(left)
 	r, rightWeight := b.drawWeighted(right)
 	switch {
-	case r == nil || l != nil && l.inFlight < r.inFlight:
+	case l == nil:
+		return r
+	case r == nil:
+		return l
+	case l.inFlight < r.inFlight:
 		return l
-	case l == nil || r.inFlight < l.inFlight:
+	case r.inFlight < l.inFlight:
 		return r
-	case l.inFlight > 0 || b.rng.Float64()*(leftWeight+rightWeight) < leftWeight:
+	case l.inFlight > 0:
+		return l
+	}
+	if b.rng.Float64()*(leftWeight+rightWeight) < leftWeight {
 		return l
 	}
 	return r
 }
 
-// drawWeighted takes one server by weight and tells the weight of its group.
-func (b *Balancer) drawWeighted(group []*server) (pick *server, total float64) {
+// drawWeighted draws one server by weight. It returns the weight of the whole group too.
+func (b *Balancer) drawWeighted(group []*server) (drawn *server, total float64) {
 	for _, s := range group {
 		w := b.weight(s)
 		total += w
 		if b.rng.Float64()*total < w {
-			pick = s
+			drawn = s
 		}
 	}
-	return pick, total
+	return drawn, total
 }
 
-// weight is what a server can carry against its peers: its listed size, corrected by how its latency stands to theirs
-// and by what it says it holds. Uniform draws over unequal servers crowd the slow ones at loads that the fleet could
-// carry; one node's samples are few, but the errors of many nodes cancel out.
+// weight is what a server can carry against the others: its listed size, corrected by its latency against theirs and by
+// its reported load. Uniform draws over unequal servers overload the slow ones at loads that all together could carry;
+// one node's samples are few, but the errors of many nodes cancel out.
 func (b *Balancer) weight(s *server) float64 {
 	w := b.capacityWeight(s)
-	if s.subsetShare > 0 { // drawn from the pool
+	if s.subsetShare > 0 { // drawn from the subset
 		w *= s.subsetShare
 	}
 	return w
@@ -49,81 +66,139 @@
 func (b *Balancer) capacityWeight(s *server) float64 {
 	w := math.Exp(-max(s.logLatencyRatio, -1))
 	if s.Size > 0 {
-		w *= min(s.Size, 1e6) // an infinite weight would draw nobody
+		w *= min(s.Size, maxSize)
 	}
 	return w * b.loadFactor(s)
 }
 
-// selectServer draws from the pool and, where nobody there may be, from the whole groups; those that fail more come
-// last.
+// selectServer draws from the subset and, where no server there may be used, from the whole groups; servers that fail
+// more than others come last. It returns nil if no server may get the request now.
 func (b *Balancer) selectServer(r *request) *server {
 	b.fitSubset()
 	if s := b.selectProbe(r); s != nil {
 		return s
 	}
-	first := b.subset
+	if s := b.selectFirst(r); s != nil {
+		return s
+	}
+	if s := b.selectFrom(b.allGroups, r, selectionRules{allowAllSlowStart: true, avoidOutliers: true}); s != nil {
+		return s
+	}
+	return b.selectFrom(b.allGroups, r, selectionRules{allowAllSlowStart: true})
+}
+
+// selectFirst draws from the subset, or from all servers while none at all answers. A server in slow start that was
+// drawn is replaced, so that the nodes that share a subset don't overload it together.
+func (b *Balancer) selectFirst(r *request) *server {
+	from := b.subset
 	if b.noServerAnswers() {
-		first = b.allGroups
+		from = b.allGroups
 	}
-	for step, g := range []groups{first, b.allGroups, b.allGroups} {
-		s := b.selectFrom(g, r, step > 0, step < 2)
-		if s != nil && step == 0 && len(r.polled) == 0 && b.slowStartShare(s) < 1 {
-			s = b.spreadSlowStart(r)
-		}
-		if s != nil {
-			return s
-		}
+	s := b.selectFrom(from, r, selectionRules{avoidOutliers: true})
+	if s == nil {
+		return nil
 	}
-	return nil
+	leastLoaded := len(r.polled) > 0
+	if !leastLoaded && b.slowStartShare(s) < 1 {
+		return b.spreadSlowStart(r)
+	}
+	return s
 }
 
-// selectFrom picks among those servers that a request may go to: in its scope, not tried by it, fit, warm enough and,
-// as long as that leaves any, with room and not crowded with own requests: uniform draws now and then meet the same few
-// servers twice, and a crowd of several nodes' requests there chokes it. Only where anySlowStarting is set may all of
-// them be cold, and may a first attempt go to an idle server in slow start whatever the thinning: a pool may be cold as
-// a whole, and would take a warm one's requests, while the rest is warm.
-func (b *Balancer) selectFrom(g groups, r *request, anySlowStarting, shun bool) *server {
-	b.excludeOutliers(g, r, shun)
-	for step, limit := range []int{1 + b.inFlight/max(1, b.subsetSize), math.MaxInt, math.MaxInt} {
-		left, idleLeft := b.eligible(g.left, r, limit, step < 2)
-		right, idleRight := b.eligible(g.right, r, limit, step < 2)
-		isWarm := func(s *server) bool { return b.slowStartShare(s) == 1 }
-		if anySlowStarting && len(left)+len(right) > 0 || slices.ContainsFunc(append(left, right...), isWarm) {
+// selectFrom picks among those servers that a request may go to: in its scope, not tried by it, not excluded, past the
+// thinning of slow start and, as long as that leaves any, with capacity and not crowded with own requests: uniform
+// draws now and then meet the same few servers twice, and several nodes' requests together overload those. Unless the
+// rules allow it, not all of them may be in slow start, nor may a first attempt go to an idle server in slow start
+// whatever the thinning: a whole subset may be in slow start, and would take the requests of a warmed-up one while the
+// other servers are warmed up.
+func (b *Balancer) selectFrom(g groups, r *request, rules selectionRules) *server {
+	b.excludeOutliers(g, r, rules.avoidOutliers)
+	usualLimit := 1 + b.inFlight/max(1, b.subsetSize)
+	for _, load := range []loadRule{
+		{maxInFlight: usualLimit, heedRejections: true},
+		{maxInFlight: math.MaxInt, heedRejections: true},
+		{maxInFlight: math.MaxInt, heedRejections: false},
+	} {
+		left, idleLeft := b.eligible(g.left, r, load)
+		right, idleRight := b.eligible(g.right, r, load)
+		if b.anyWarmedUp(left) || b.anyWarmedUp(right) {
 			return b.pick(left, right)
 		}
-		if anySlowStarting && len(idleLeft)+len(idleRight) > 0 {
+		if !rules.allowAllSlowStart {
+			continue
+		}
+		if len(left)+len(right) > 0 {
+			return b.pick(left, right)
+		}
+		if len(idleLeft)+len(idleRight) > 0 {
 			return b.pick(idleLeft, idleRight)
 		}
 	}
 	return nil
 }
 
-// eligible lists the servers of a group that pass, and those in slow start that would but for the thinning. Sparing, it
-// passes over one that refused one more request than it has now lately: its queue or its connections, which other
-// copies hold idle, are full, and instant rejections drain its count. It is not ill: the cap on those does not apply.
-func (b *Balancer) eligible(group []*server, r *request, limit int, sparing bool) (warm, idle []*server) {
+// anyWarmedUp reports whether one of the servers is past its slow start.
+func (b *Balancer) anyWarmedUp(list []*server) bool {
+	return slices.ContainsFunc(list, func(s *server) bool { return b.slowStartShare(s) == 1 })
+}
+
+// loadRule says how loaded a server may be.
+type loadRule struct {
+	maxInFlight    int  // own requests in flight that it must stay below
+	heedRejections bool // pass over servers that rejected one more request lately
+}
+
+// allows reports whether a server is within the rule. One that has rejected one more request than it has now is full,
+// in its queue or in its connections, which other nodes hold idle, and instant rejections drain its count. It is no
+// outlier: the cap on those does not apply.
+func (rule loadRule) allows(s *server, now time.Duration) bool {
+	if s.inFlight >= rule.maxInFlight {
+		return false
+	}
+	full := now < s.fullUntil && s.inFlight >= s.knownCapacity
+	return !rule.heedRejections || !full
+}
+
+// eligible lists the servers of a group that a request may go to, and the idle ones in slow start that only the
+// thinning keeps out of a first attempt.
+func (b *Balancer) eligible(group []*server, r *request, load loadRule) (passed, idle []*server) {
 	for _, s := range group {
-		switch {
-		case s.excluded || s.inFlight >= limit || sparing && b.now < s.fullUntil && s.inFlight >= s.knownCapacity:
-		case !b.inScope(r, s) || alreadyTried(r, s):
-		case b.passesSlowStart(s):
-			warm = append(warm, s)
-		case s.idle() && len(r.attempts) == 0:
+		if s.excluded || !load.allows(s, b.now) {
+			continue
+		}
+		if !b.inScope(r, s) || alreadyTried(r, s) {
+			continue
+		}
+		if b.passesSlowStart(s) {
+			passed = append(passed, s)
+			continue
+		}
+		if s.idle() && len(r.attempts) == 0 {
 			idle = append(idle, s)
 		}
 	}
-	return warm, idle
+	return passed, idle
 }
 
-// alreadyTried says that the request has been to the server before.
+// alreadyTried reports whether the request has had an attempt at the server.
 func alreadyTried(r *request, s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
 }
 
 // inScope keeps a keyed request that may have run to the servers that discard its repeats.
 func (b *Balancer) inScope(r *request, s *server) bool {
-	return r.effect != Keyed || !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		inCell := a.cell == s.Cell || r.scope == ScopeZone
-		return !a.neverRan && r.scope != ScopeAll && (a.zoneName != s.Zone || !inCell)
-	})
+	if r.effect != Keyed || r.scope == ScopeAll {
+		return true
+	}
+	for _, a := range r.attempts {
+		if a.neverRan {
+			continue
+		}
+		sameZone := a.zoneName == s.Zone
+		sameCell := a.cell == s.Cell
+		if !sameZone || r.scope != ScopeZone && !sameCell {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -55,7 +55,9 @@
 		if b.now-a.sent < time.Duration(c.meanLatency/2) {
 			break
 		}
-		if a == a.server.open[0] && a.sent > z.answeredAt-b.overlongLatency(c) {
+		oldest := a == a.server.open[0]
+		lateSinceAnswer := a.sent > z.answeredAt-b.overlongLatency(c)
+		if oldest && lateSinceAnswer {
 			n++
 		}
 	}
@@ -76,8 +78,9 @@
 		if z == answered || z.unreachableSince > 0 {
 			continue
 		}
-		w := b.waitingServers(z)
-		if z.evidence += math.Log1p(w / (sum - w)); z.evidence > unreachableEvidence {
+		waiting := b.waitingServers(z)
+		z.evidence += math.Log1p(waiting / (sum - waiting))
+		if z.evidence > unreachableEvidence {
 			b.markUnreachable(z)
 		}
 	}
@@ -90,9 +93,9 @@
 	budget := b.retryTokens
 	for _, a := range z.open {
 		r := a.request
-		harmless := r.effect == Safe || r.effect == Keyed && r.scope == ScopeAll
 		inTime := float64(b.usefulUntil(r)-b.now) >= r.class.meanLatency
-		if harmless && inTime && budget >= 1 && b.settings.MayCancel && b.maySendAgain(r) {
+		mayMove := b.settings.MayCancel && r.safeAnywhere() && b.maySendAgain(r)
+		if mayMove && inTime && budget >= 1 {
 			budget--
 			b.emit(Cancel{ID: r.id, Attempt: a.number})
 		}
@@ -110,10 +113,10 @@
 	}
 	switch e {
 	case Success, Failure:
-		z.answeredAt, z.evidence, z.unreachableSince = b.now, 0, 0
+		z.hasAnswered(b.now)
 		b.weighSilence(z)
-	case Overloaded: // it comes at once, and tells nothing of those that work
-		z.answeredAt, z.evidence, z.unreachableSince = b.now, 0, 0
+	case Overloaded: // it comes at once, and tells nothing of other zones
+		z.hasAnswered(b.now)
 	case ConnectionLost:
 		z.evidence += connectionLostEvidence
 	case Unreachable:
@@ -122,13 +125,23 @@
 	return z.unreachableSince == 0
 }
 
+// hasAnswered clears what spoke for the zone being unreachable.
+func (z *zone) hasAnswered(now time.Duration) {
+	z.answeredAt = now
+	z.evidence = 0
+	z.unreachableSince = 0
+}
+
 // zoneExcluded says that a server is kept out for its zone: one that has begun since is no part of what was silent.
 // While a trial is drawn all other zones are.
 func (b *Balancer) zoneExcluded(s *server) bool {
 	if b.probedZone != nil {
 		return s.zone != b.probedZone
 	}
-	return s.zone.evidence > suspectEvidence && (s.Boot < s.zone.answeredAt || s.zone.answeredAt == 0)
+	suspect := s.zone.evidence > suspectEvidence
+	neverAnswered := s.zone.answeredAt == 0
+	startedBefore := s.Boot < s.zone.answeredAt
+	return suspect && (neverAnswered || startedBefore)
 }
 
 // selectProbe draws a server of an ejected zone, for one request at a time, seldom: a first attempt, so others may
@@ -139,13 +152,12 @@
 	}
 	defer func() { b.probedZone = nil }()
 	for _, z := range b.zones {
-		waits := z.unreachableSince == 0 && len(z.open) > 0 // for requests that may still be answered
-		if z.evidence <= suspectEvidence || z.probe != nil || waits || b.now < z.nextProbe {
+		if !b.probeDue(z) {
 			continue
 		}
 		b.probedZone = z
 		for _, g := range []groups{b.subset, b.allGroups} {
-			if s := b.selectFrom(g, r, false, true); s != nil {
+			if s := b.selectFrom(g, r, selectionRules{avoidOutliers: true}); s != nil {
 				return s
 			}
 		}
@@ -153,6 +165,16 @@
 	return nil
 }
 
+// probeDue reports whether a zone that is suspect or unreachable should get a probe now: not while one is under way,
+// nor while requests of a suspect zone may still be answered.
+func (b *Balancer) probeDue(z *zone) bool {
+	if z.evidence <= suspectEvidence || z.probe != nil {
+		return false
+	}
+	waits := z.unreachableSince == 0 && len(z.open) > 0
+	return !waits && b.now >= z.nextProbe
+}
+
 // noServerAnswers says that nobody at all answers of late: the node's pool may lie in one zone, and then only servers
 // beyond it can tell whether that is cut off.
 func (b *Balancer) noServerAnswers() bool {
