--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -13,10 +13,10 @@
 	Send struct {
 		ID, Server string
 		Timeout    time.Duration
-		NotAfter   time.Duration // time from which it may not begin any more: then it ends as Void, or as Unreachable
+		NotAfter   time.Duration // clock time from which it may not begin: it ends as NotStarted or Unreachable
 	}
-	// Poll asks servers how much they hold, each of which a Known with this ID is to follow for, soon or not at all.
-	// Nothing of the request itself goes there.
+	// Poll asks servers for their load. For each a LoadUpdate with this ID follows, soon or not at all. Nothing of the
+	// request itself goes there.
 	Poll struct {
 		ID      string
 		Servers []string
@@ -29,12 +29,12 @@
 	}
 	// CloseIdle closes the idle connections to a server: the next Send there opens one.
 	CloseIdle struct{ Server string }
-	// Reject is a final answer that promises that a retry does no harm.
+	// Reject is a response that promises that a retry does no harm.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // advice; 0: none
+		RetryAfter time.Duration // how long the client is asked to wait; 0: not told
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a response that promises nothing.
 	Fail struct{ ID string }
 	// SetTimer asks for a Timer with this token at the clock time At.
 	SetTimer struct {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -12,12 +12,12 @@
 
 // Server states.
 const (
-	Ready ServerState = iota
-	Draining
-	Removed
+	Ready    ServerState = iota
+	Draining             // gets no new requests, and finishes those it has
+	Removed              // is not listed any more
 )
 
-// Server is an entry of the discovery list.
+// Server is an entry of the endpoint list.
 type Server struct {
 	ID    string
 	Zone  string
--- a/internal/balancer/load_reports.go
+++ b/internal/balancer/load_reports.go
@@ -31,8 +31,8 @@
 
 // recordLoad takes a report of how many requests a server held at a time, unless a younger one is known.
 func (b *Balancer) recordLoad(s *server, busy float64, at time.Duration) {
-	told := busy >= 0
-	if !told || at < s.reportedAt {
+	reported := busy >= 0
+	if !reported || at < s.reportedAt {
 		return
 	}
 	s.reportedLoad = busy
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// request is an accepted request, kept until it is answered and its attempts have ended.
+// request is a client's request, kept until it is answered and its attempts have ended.
 type request struct {
 	terms
 	id            string
@@ -44,11 +44,11 @@
 	deadline      time.Duration
 	attempts      []*attempt
 	inFlight      int
-	retry         bool      // by the client, where clients say so
-	partial       bool      // its body still comes
-	notReplayable bool      // and is gone in part
-	polled        []*server // how much they hold, before the first attempt; nil: nobody
-	polling       int       // of them that have not said yet
+	retry         bool      // the client had sent it before
+	partial       bool      // its body is still on its way
+	notReplayable bool      // part of it is gone
+	polled        []*server // servers polled before the first attempt; nil: not polled yet
+	polling       int       // how many of them have not replied yet
 	timerAt       time.Duration
 
 	delayed   bool // waits in Balancer.delayed
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Evidence that a zone is cut off or gone is the logarithm of how unlikely its silence would be otherwise.
+// Evidence that a zone is unreachable is the logarithm of how unlikely its silence would be otherwise.
 const (
-	suspectEvidence        = 3.0 // evidence at which it gets nothing new for the time being
-	unreachableEvidence    = 7.0 // and at which it is held for cut off
+	suspectEvidence        = 3.0 // evidence at which it gets no new request (suspect)
+	unreachableEvidence    = 7.0 // and at which it counts as unreachable
 	connectionLostEvidence = 1.0 // evidence of a connection that broke under a request
 	connectFailedEvidence  = 0.5 // and of one that did not come up
 )
 
-// zone is what is known of the servers of one zone together. A cut, or a zone's loss, says nothing to those outside: a
-// node of few requests would learn of a hundred silent servers one by one, and lose a request to each. That several are
-// silent at once while other zones answer tells of all of them, until one of them answers.
+// zone is what is known of the servers of one zone together. A partition, or a zone's loss, sends nothing to those
+// outside: a node of few requests would learn of a hundred silent servers one by one, and lose a request to each. That
+// several are silent at once while other zones answer tells of all of them, until one of them answers.
 type zone struct {
 	name             string
 	answeredAt       time.Duration // when one of its servers last answered
 	open             []*attempt    // own requests at its servers, in the order of sending
 	evidence         float64       // evidence since then that none comes any more
-	unreachableSince time.Duration // since when it is held for cut off; 0: it is not
-	probe            *attempt      // the one request that tries whether it still is
-	nextProbe        time.Duration // no trial before
+	unreachableSince time.Duration // since when it counts as unreachable; 0: it does not
+	probe            *attempt      // the one request that tests whether it still is
+	nextProbe        time.Duration // no probe before
 }
 
 // zoneOf returns the zone of a name.
@@ -86,8 +86,8 @@
 	}
 }
 
-// markUnreachable holds a zone for cut off, and has those of its requests that may run again run elsewhere, as long as
-// an answer would come in time.
+// markUnreachable takes a zone for unreachable, and has those of its requests that may run again run elsewhere, as long
+// as an answer would come in time.
 func (b *Balancer) markUnreachable(z *zone) {
 	z.unreachableSince = b.now
 	budget := b.retryTokens
@@ -132,8 +132,8 @@
 	z.unreachableSince = 0
 }
 
-// zoneExcluded says that a server is kept out for its zone: one that has begun since is no part of what was silent.
-// While a trial is drawn all other zones are.
+// zoneExcluded reports whether a server is excluded for its zone: one that has started since is no part of what was
+// silent. While a probe is selected all other zones are excluded.
 func (b *Balancer) zoneExcluded(s *server) bool {
 	if b.probedZone != nil {
 		return s.zone != b.probedZone
@@ -144,8 +144,8 @@
 	return suspect && (neverAnswered || startedBefore)
 }
 
-// selectProbe draws a server of an ejected zone, for one request at a time, seldom: a first attempt, so others may
-// follow.
+// selectProbe draws a server of a suspect or unreachable zone, for one request at a time, seldom: a first attempt, so
+// others may follow.
 func (b *Balancer) selectProbe(r *request) *server {
 	if len(r.attempts) > 0 || b.settings.MaxAttempts < 2 {
 		return nil
@@ -175,8 +175,8 @@
 	return !waits && b.now >= z.nextProbe
 }
 
-// noServerAnswers says that nobody at all answers of late: the node's pool may lie in one zone, and then only servers
-// beyond it can tell whether that is cut off.
+// noServerAnswers says that nobody at all answers of late: the node's subset may lie in one zone, and then only servers
+// beyond it can tell whether that is unreachable.
 func (b *Balancer) noServerAnswers() bool {
 	return slices.ContainsFunc(b.zones, func(z *zone) bool {
 		return len(z.open) > 0 && b.lastSuccess < z.open[0].sent &&
