--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,13 +1,16 @@
 // Package balancer decides where a load balancer sends each request, when it tries again and when it gives up. It does
 // no I/O: the host feeds events to a Balancer and carries out the actions it returns.
+//
 // The interface is in settings.go, events.go, actions.go and this file. Each decision has a file of its own: the
 // endpoint list, classes, requests and their attempts, admission and delay, selection of a server, its subset, slow
 // start, outlier detection, zones, load reports and retries. There are no hedged requests: a request has one attempt in
 // flight at a time.
+//
 // A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must never go back, and its
 // only randomness is the seed given to New, so the same events always give the same actions. Balancers share nothing.
 // Memory is held for each request until it is answered and its attempts have ended, and for each server until it has
 // left the list and its attempts have ended.
+//
 // Tuning constants are shares, ratios or counts; almost every length of time is a setting or was observed.
 package balancer
 
--- /dev/null
+++ b/internal/balancer/helpers_test.go
@@ -0,0 +1,86 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const msec = time.Millisecond
+
+// testSettings has one class of each effect.
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{
+			{Name: "get", Effect: Safe, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Effect: Unsafe, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
+		},
+		Balancers: 2, Tier: 0, TotalWeight: 0.6, ClassWeight: 0.3,
+		MaxAttempts: 5, MayCancel: true, Tick: 2 * msec,
+		PollInterval: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartMinimum: 0.2, SlowStartWindow: 10 * time.Second,
+	}
+}
+
+func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
+	t.Helper()
+	s := testSettings()
+	if change != nil {
+		change(&s)
+	}
+	b, err := New(s, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func servers(n int) []Server {
+	var l []Server
+	for i := range n {
+		l = append(l, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+	}
+	return l
+}
+
+// sends returns the Send actions among acts.
+func sends(acts []Action) []Send {
+	var l []Send
+	for _, a := range acts {
+		if s, ok := a.(Send); ok {
+			l = append(l, s)
+		}
+	}
+	return l
+}
+
+// settleWindow answers the single attempt of a request.
+func settleWindow(b *Balancer, now time.Duration, id string, s Send, e Result) []Action {
+	return b.Handle(now, Outcome{ID: id, Server: s.Server, Result: e, Ended: e == Success})
+}
+
+// traffic sends n requests one after another; fate decides how attempts at a server end. It
+// returns how many first attempts each server got in the second half.
+func traffic(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
+	got := map[string]int{}
+	for i := range n {
+		id, now := fmt.Sprint(class, i), b.now+20*msec
+		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
+			if i >= n/2 {
+				got[s.Server]++
+			}
+			for k := 0; k < 5; k++ {
+				e := fate(s.Server)
+				now += 10 * msec
+				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Result: e, Ended: e == Success}))
+				if len(again) == 0 {
+					break
+				}
+				s = again[0]
+			}
+		}
+	}
+	return got
+}
--- /dev/null
+++ b/internal/balancer/rule_checker_test.go
@@ -0,0 +1,250 @@
+package balancer
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// ruleChecker follows the events given to one Balancer and its actions, and notes every broken rule.
+// It shares no code with the module.
+type ruleChecker struct {
+	set    Settings
+	slack  time.Duration
+	state  map[string]ServerState
+	cells  map[string]int
+	zones  map[string]string
+	reqs   map[string]*requestTrace
+	broken []string
+}
+
+type requestTrace struct {
+	name     string
+	under    []Class // its class as taken, and as it was reconfigured since
+	deadline time.Duration
+	ended    bool
+	attempts []*attemptTrace
+}
+
+type attemptTrace struct {
+	server string
+	at     time.Duration
+	over   bool
+	ending Result
+}
+
+func newRuleChecker(set Settings) *ruleChecker {
+	return &ruleChecker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+		zones: map[string]string{}, reqs: map[string]*requestTrace{}}
+}
+
+// killed forgets what a killed copy held: it is the clients' to ask again.
+func (c *ruleChecker) killed() {
+	c.reqs, c.state = map[string]*requestTrace{}, map[string]ServerState{}
+}
+
+func (c *ruleChecker) fault(format string, args ...any) {
+	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+}
+
+// class is what a class is now; one that is not known is unsafe.
+func (c *ruleChecker) class(name string) Class {
+	for _, k := range c.set.Classes {
+		if k.Name == name {
+			return k
+		}
+	}
+	return Class{Effect: Unsafe}
+}
+
+// keyless says that a request was taken with no key: it is no keyed one, whatever its class is by now.
+func (t *requestTrace) keyless() bool { return t.under[0].Effect != Keyed }
+
+func (t *attemptTrace) mayHaveRun() bool {
+	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotStarted)
+}
+
+func (c *ruleChecker) event(now time.Duration, e Event) {
+	switch e := e.(type) {
+	case ServerList:
+		if e.Full {
+			for id := range c.state {
+				c.state[id] = Removed
+			}
+		}
+		for _, s := range e.Servers {
+			c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
+		}
+	case Request:
+		if c.reqs[e.ID] == nil {
+			c.reqs[e.ID] = &requestTrace{name: e.Class, under: []Class{c.class(e.Class)}, deadline: e.Deadline}
+		}
+	case Reconfigure:
+		if validate(e.Settings) == nil {
+			c.set = e.Settings
+			for _, r := range c.reqs {
+				r.under = append(r.under, c.class(r.name))
+			}
+		}
+	case Outcome:
+		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
+			t := r.attempts[e.Attempt]
+			if !t.over {
+				t.over, t.ending = true, e.Result
+				r.ended = r.ended || e.Ended
+			}
+		}
+	case ClientDisconnected:
+		if r := c.reqs[e.ID]; r != nil {
+			r.ended = true
+		}
+	}
+	for id, r := range c.reqs {
+		if !r.ended && now > r.deadline+c.slack {
+			c.fault("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			r.ended = true
+		}
+	}
+}
+
+func (c *ruleChecker) actions(now time.Duration, acts []Action) {
+	for _, a := range acts {
+		switch a := a.(type) {
+		case Send:
+			c.send(now, a)
+		case Reject:
+			if r := c.final(a.ID); r != nil {
+				for _, t := range r.attempts {
+					for _, class := range r.under {
+						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !r.keyless()
+						if t.mayHaveRun() && !loose {
+							c.fault("rule 2: %s refused though it may have run", a.ID)
+						}
+					}
+				}
+			}
+		case Fail:
+			c.final(a.ID)
+		case Cancel:
+			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+				c.fault("cancel of an attempt never made")
+			}
+			if !c.set.MayCancel {
+				c.fault("cancel is not allowed")
+			}
+		}
+	}
+}
+
+func (c *ruleChecker) final(id string) *requestTrace {
+	r := c.reqs[id]
+	if r == nil || r.ended {
+		c.fault("rule 1: final answer for %s, which is over or unknown", id)
+		return nil
+	}
+	r.ended = true
+	return r
+}
+
+func (c *ruleChecker) send(now time.Duration, a Send) {
+	r := c.reqs[a.ID]
+	if r == nil || r.ended {
+		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
+		return
+	}
+	state, known := c.state[a.Server]
+	if !known || state != Ready {
+		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+	}
+	if len(r.attempts) >= c.set.MaxAttempts {
+		c.fault("more than %d attempts", c.set.MaxAttempts)
+	}
+	for _, t := range r.attempts {
+		if !t.over {
+			c.fault("second copy of %s", a.ID)
+		}
+		if !t.mayHaveRun() {
+			continue
+		}
+		for _, class := range r.under {
+			switch class.Effect {
+			case Unsafe:
+				c.fault("rule 2: unsafe %s sent again", a.ID)
+			case Keyed:
+				if now > t.at+class.Window {
+					c.fault("rule 2: %s sent again outside its window", a.ID)
+				}
+				if a.NotAfter > t.at+class.Window {
+					c.fault("rule 2: %s may begin again outside its window", a.ID)
+				}
+				if class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
+					class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+					c.fault("rule 2: %s sent again outside its scope", a.ID)
+				}
+				if r.keyless() {
+					c.fault("rule 2: %s sent again, with no key that its servers could know it by", a.ID)
+				}
+			}
+		}
+	}
+	r.attempts = append(r.attempts, &attemptTrace{server: a.Server, at: now})
+}
+
+// unsafeSettings are the test's settings with the safe class unsafe.
+func unsafeSettings() Settings {
+	set := testSettings()
+	set.Classes[0].Effect = Unsafe
+	return set
+}
+
+// keyedSettings are the test's settings with the safe class keyed.
+func keyedSettings() Settings {
+	set := testSettings()
+	set.Classes[0].Effect, set.Classes[0].Window = Keyed, time.Hour
+	return set
+}
+
+// TestRuleCheckerReportsEachBreach gives the checker a trace that breaks each rule.
+func TestRuleCheckerReportsEachBreach(t *testing.T) {
+	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
+	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
+	timedOut := Outcome{ID: "r", Attempt: 0, Result: TimedOut}
+	for _, tc := range []struct {
+		want  string
+		steps []any
+	}{
+		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
+		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
+		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
+			Send{ID: "r", Server: "a"}}},
+		{"begin again outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 100 * msec, timedOut,
+			Send{ID: "r", Server: "a", NotAfter: 950 * msec}}},
+		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
+		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
+		{"rule 2: unsafe", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{unsafeSettings()}, timedOut,
+			Send{ID: "r", Server: "a"}}},
+		{"no key", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{keyedSettings()}, timedOut,
+			Send{ID: "r", Server: "a"}}},
+		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
+	} {
+		c := newRuleChecker(testSettings())
+		var now time.Duration
+		for _, s := range tc.steps {
+			switch s := s.(type) {
+			case time.Duration:
+				now = s
+			case Event:
+				c.event(now, s)
+			case Action:
+				c.actions(now, []Action{s})
+			}
+		}
+		if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
+			t.Errorf("want %q among %q", tc.want, c.broken)
+		}
+	}
+}
--- a/internal/balancer/selection_test.go
+++ b/internal/balancer/selection_test.go
@@ -11,6 +11,92 @@
 	"damsontrestle/internal/spectest"
 )
 
+// What the page of the pick does not say: nothing is picked from nothing, and draws from a group are even.
+func TestSelectionFollowsDesign(t *testing.T) {
+	mk := func(requests ...int) []*server {
+		var l []*server
+		for i, c := range requests {
+			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, inFlight: c})
+		}
+		return l
+	}
+	b := newBalancer(t, nil)
+	const n = 20000
+	if b.pick(nil, nil) != nil {
+		t.Error("picked from nothing")
+	}
+	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	for range n {
+		count[b.pick(left, nil)]++
+	}
+	for _, s := range left {
+		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
+			t.Errorf("uniform draw gave a server %.3f", got)
+		}
+	}
+}
+
+// Below the first tier a server that holds several of our requests is passed over while others idle.
+func TestOverloadedServerIsSkipped(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b.servers["s00"].inFlight, b.inFlight = 2, 2
+	got := traffic(b, 300, "get", func(string) Result { return Success })
+	if got["s00"] != 0 || len(got) != 5 {
+		t.Errorf("draws: %v", got)
+	}
+}
+
+// Slow servers of the fleet are drawn less, though each node's own counts sit at zero.
+func TestSelectionFollowsSizeAndLatency(t *testing.T) {
+	list := servers(4)
+	for i := range list {
+		list[i].Size = 1
+	}
+	list[0].Size = 2
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
+	b.Handle(msec, ServerList{Full: true, Servers: list})
+	b.servers["s02"].logLatencyRatio = math.Log(2)
+	got := map[string]int{}
+	for range 9000 {
+		got[b.selectServer(&request{class: b.classes["get"]}).ID]++
+	}
+	// A pair's other side is drawn alike, so the zero tie leaves each its share of all weights.
+	total := 2 + 0.25
+	for id, weight := range map[string]float64{"s00": 1, "s01": 0.5, "s02": 0.25, "s03": 0.5} {
+		if f := float64(got[id]) / 9000; math.Abs(f-weight/total) > 0.02 {
+			t.Errorf("%s got %.3f of the draws, want %.3f", id, f, weight/total)
+		}
+	}
+}
+
+// Sizes that a host took from elsewhere may be odd: nobody is left without a draw for it.
+func TestUnusualSizesAreSelectable(t *testing.T) {
+	list := servers(4)
+	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
+		list[i].Size = size
+	}
+	b := newBalancer(t, nil)
+	b.Handle(0, ServerList{Full: true, Servers: list})
+	if got := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second})); len(got) != 1 {
+		t.Errorf("sent %v", got)
+	}
+}
+
+// A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
+func TestInstantResponsesLeaveServersSelectable(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+	for i := range 50 {
+		id := fmt.Sprint(i)
+		got := sends(b.Handle(msec, Request{ID: id, Class: "get", Deadline: time.Second}))
+		if len(got) != 1 {
+			t.Fatalf("request %d: sent %v", i, got)
+		}
+		settleWindow(b, msec, id, got[0], Success)
+	}
+}
+
 // The page of the pick holds, row by row.
 func TestSelectionDesignTables(t *testing.T) {
 	const page = "../../docs/design/pick.md"
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -9,6 +9,94 @@
 	"time"
 )
 
+// After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
+// rest of the list is warm: many such nodes would push the servers in slow start over.
+func TestSlowStartSubsetKeepsThinning(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
+	list := servers(40)
+	b.Handle(msec, ServerList{Full: true, Servers: list})
+	b.selectServer(&request{class: b.classes["get"]})
+	for _, s := range append(append([]*server{}, b.subset.left...), b.subset.right...) {
+		for i := range list {
+			if list[i].ID == s.ID {
+				list[i].Boot = time.Second
+			}
+		}
+	}
+	b.Handle(time.Second, ServerList{Full: true, Servers: list})
+	slowStarting := 0
+	for range 1000 {
+		if s := b.selectServer(&request{class: b.classes["get"]}); s.Boot > 0 {
+			slowStarting++
+		}
+	}
+	if got := float64(slowStarting) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
+		t.Errorf("%.2f of the calls went to the cold pool", got)
+	}
+}
+
+const fallMultiple, fallFor = 3.0, 2 * time.Second // the budget of testSettings' site
+
+// slowStartLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
+// on. It tells how many requests the fresh one got, and the most that came in any fallFor against the
+// budget of fallMultiple times what it can do then.
+func slowStartLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
+	const capacity = 50.0 // a warm server's requests a second
+	rng := rand.New(rand.NewPCG(3, 3))
+	var slowStarting []time.Duration
+	for i := range int(0.75 * 6 * capacity * 12) {
+		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
+		if send(rng.IntN(copies), now, fmt.Sprint(i)) == "s02" {
+			slowStarting = append(slowStarting, now)
+		}
+	}
+	worst := 0.0
+	for i := range slowStarting {
+		n := 0
+		for _, at := range slowStarting[i:] {
+			if at < slowStarting[i]+fallFor {
+				n++
+			}
+		}
+		grown := float64(slowStarting[i]-time.Second) / float64(set.SlowStartWindow)
+		budget := fallMultiple * capacity * min(1, set.SlowStartMinimum+(1-set.SlowStartMinimum)*grown) * fallFor.Seconds()
+		worst = max(worst, float64(n)/budget)
+	}
+	return len(slowStarting), worst
+}
+
+func TestServerInSlowStartIsNotOverloaded(t *testing.T) {
+	set := testSettings()
+	for _, copies := range []int{12, 200} {
+		set.Tier, set.Balancers = 1, copies
+		list := servers(6)
+		list[2].Boot = time.Second
+		var bs []*Balancer
+		for i := range copies {
+			set.Index = i
+			b, err := New(set, uint64(i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			b.Handle(0, ServerList{Full: true, Servers: list})
+			bs = append(bs, b)
+		}
+		requests, worst := slowStartLoad(set, copies, func(copy int, now time.Duration, id string) string {
+			s := sends(bs[copy].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
+			bs[copy].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
+			return s.Server
+		})
+		if requests < 20 || worst > 1 {
+			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, requests, worst)
+		}
+	}
+	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
+	_, worst := slowStartLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
+	if worst <= 1 {
+		t.Errorf("all calls to the cold server are %.2f of its budget", worst)
+	}
+}
+
 // pendingOutcomes are outcomes to come, the earliest first.
 type pendingOutcomes []pendingOutcome
 
@@ -18,11 +106,15 @@
 	out  Outcome
 }
 
-func (d pendingOutcomes) Len() int           { return len(d) }
+func (d pendingOutcomes) Len() int { return len(d) }
+
 func (d pendingOutcomes) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d pendingOutcomes) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *pendingOutcomes) Push(x any)        { *d = append(*d, x.(pendingOutcome)) }
-func (d *pendingOutcomes) Pop() any          { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
+
+func (d pendingOutcomes) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+func (d *pendingOutcomes) Push(x any) { *d = append(*d, x.(pendingOutcome)) }
+
+func (d *pendingOutcomes) Pop() any { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
 
 // slowStartFleet is a fleet that deals a load out among servers of which some have just started.
 type slowStartFleet struct {
