--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -68,7 +68,7 @@
 }
 
 // Answers as quick as idle servers give them must open the window however much is shed, or shedding
-// keeps itself up; spoilt answers and errors are no sign of a crowd.
+// keeps itself up; spoilt answers and errors are no sign of overload.
 func TestSheddingEndsWithOverload(t *testing.T) {
 	idle := func(c *class) float64 { return 1.05 * c.baseLatency }
 	if w := adjustedWindow(t, 1, Success, idle); w <= 100 {
@@ -81,10 +81,10 @@
 	}
 }
 
-// The tier below lets a request time out a little before this one would: its error, late as it is, tells of the crowd.
+// The tier below lets a request time out a little before this one would: its error, late as it is, tells of the overload.
 func TestLateErrorsShrinkTheWindow(t *testing.T) {
 	if w := adjustedWindow(t, 0, Failure, func(c *class) float64 { return 0.9 * float64(c.LatencyObjective) }); w >= 60 {
-		t.Errorf("fifty errors just before the aim moved the window from 100 to %.1f", w)
+		t.Errorf("fifty errors just before the latency objective moved the window from 100 to %.1f", w)
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // With hundreds of nodes a share of the servers is one request or less: a window that starts or stays
-// there refuses requests that the fleet could carry, so it must open within seconds of good answers.
+// there rejects requests that the fleet could carry, so it must open within seconds of good answers.
 func TestWindowOpensInLargeFleet(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers = 300 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(60)})
@@ -123,7 +123,7 @@
 	}
 }
 
-// Repeats by clients make a jam last: they get only half of the window.
+// Retries by clients make an overload last: they get only half of the window.
 func TestRetriesLeaveCapacityForFirstAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -131,11 +131,11 @@
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
-		t.Errorf("sent %v for a repeat and %v for a first try", repeat, first)
+		t.Errorf("sent %v for a retry and %v for a first attempt", repeat, first)
 	}
 }
 
-// In overload what is of least priority weight is refused first, also where too few wait for the hold to choose;
+// In overload what is of least priority weight is rejected first, also where too few wait for the hold to choose;
 // with nothing shed every class may fill the window, and no class loses more than half of it.
 func TestWindowReservesCapacityByPriorityWeight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.ClassWeight = 1, 12, 0 })
@@ -149,6 +149,6 @@
 	}
 	b.shedShare = 0.6
 	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
-		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
+		t.Errorf("much shed: parts of the window %.2f for low priority weight and %.2f for high", l, h)
 	}
 }
--- a/internal/balancer/delay_test.go
+++ b/internal/balancer/delay_test.go
@@ -28,14 +28,14 @@
 	t.Fatal("no final answer in time")
 }
 
-// A marked repeat is mostly past its objective already: while there is little room, first attempts go first.
+// A marked retry is mostly past its objective already: while there is little room, first attempts go first.
 func TestFirstAttemptsPrecedeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
 	b.window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
+	b.Handle(2*msec, Request{ID: "retry", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes["get"].LateShare = 0.5
 	b.inFlight = int(windowFloor*b.serversPerNode()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
--- a/internal/balancer/load_reports_test.go
+++ b/internal/balancer/load_reports_test.go
@@ -38,7 +38,7 @@
 	return sent
 }
 
-// Servers that say they hold much get little, as long as that word is young.
+// Servers that say they hold much get little, as long as that report is young.
 func TestLoadReportsDecay(t *testing.T) {
 	busy := []float64{9, 0, 0, 9, 0, 0}
 	b := newReportingNode(t, 0, busy...)
@@ -53,22 +53,22 @@
 	}
 	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 50, Age: 90 * time.Second}, {Server: "nobody", Busy: 1}, {Server: "s1", Busy: -1}}})
 	if s := b.servers["s0"]; s.reportedLoad != 50 || b.now-s.reportedAt != 90*time.Second {
-		t.Errorf("a word of 90 s ago: %v, told %v ago", s.reportedLoad, b.now-s.reportedAt)
+		t.Errorf("a report of 90 s ago: %v, reported %v ago", s.reportedLoad, b.now-s.reportedAt)
 	}
 	b.Handle(100*time.Second, LoadUpdate{Loads: []ServerLoad{{Server: "s0", Busy: 1, Age: 95 * time.Second}}})
 	if s := b.servers["s0"]; s.reportedLoad != 50 {
-		t.Error("an older word took the place of a younger one")
+		t.Error("an older report took the place of a younger one")
 	}
 }
 
-// A request waits until those that were asked have said what they hold, and goes to the one that holds least.
+// A request waits until those that were polled have said what they hold, and goes to the one that holds least.
 func TestRequestGoesToLeastLoadedPolledServer(t *testing.T) {
 	b := newReportingNode(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
 	at := 10 * time.Second
 	acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
 	ask, ok := acts[0].(Poll)
 	if !ok || len(ask.Servers) != 4 || len(acts) != 2 {
-		t.Fatalf("actions %+v; want four servers asked, and a Wake", acts)
+		t.Fatalf("actions %+v; want four servers polled, and a SetTimer", acts)
 	}
 	left := 0
 	for _, s := range ask.Servers {
@@ -77,7 +77,7 @@
 		}
 	}
 	if left != 2 {
-		t.Errorf("%d of those asked are of the left group; want one draw from each for either", left)
+		t.Errorf("%d of those polled are of the left group; want one draw from each for either", left)
 	}
 	for i, s := range ask.Servers {
 		busy := 3.0
@@ -93,7 +93,7 @@
 		t.Errorf("actions %+v; want it sent to %s", acts, ask.Servers[2])
 	}
 	if acts = b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: ask.Servers[0], Busy: 0}}}); len(acts) > 0 {
-		t.Errorf("a word that comes late has it do %+v", acts)
+		t.Errorf("a report that comes late has it do %+v", acts)
 	}
 }
 
@@ -119,12 +119,12 @@
 			t.Errorf("it goes to %s, and only %s has answered", to, ask.Servers[0])
 		}
 		if b.requests["x"].polling != 0 {
-			t.Error("it still waits for words")
+			t.Error("it still waits for reports")
 		}
 	}
 }
 
-// A client that leaves while servers are asked has nothing sent for it.
+// A client that leaves while servers are polled has nothing sent for it.
 func TestNothingIsSentForClientDisconnectedWhilePolling(t *testing.T) {
 	b := newReportingNode(t, 2, 0, 0, 0, 0)
 	at := 10 * time.Second
--- a/internal/balancer/outlier_detection_test.go
+++ b/internal/balancer/outlier_detection_test.go
@@ -18,7 +18,7 @@
 			return Success
 		})
 		if got["s03"] > 10 {
-			t.Errorf("ending %d: the bad server got %d of 300 first tries", e, got["s03"])
+			t.Errorf("ending %d: the outlier got %d of 300 first attempts", e, got["s03"])
 		}
 	}
 }
@@ -50,18 +50,18 @@
 		}
 	}
 	if stuck == 0 || stuck > 6 {
-		t.Errorf("the silent server holds %d calls", stuck)
+		t.Errorf("the silent server holds %d requests", stuck)
 	}
 }
 
-// After an ejection the first trial must not be a request that cannot be repeated.
+// After an ejection the first probe must not be a request that cannot be repeated.
 func TestProbeIsNeverUnsafeRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
 	s := b.servers["s03"]
 	s.ejectionLevel, s.ejectedUntil = 1, 0
 	if got := traffic(b, 400, "pay", func(string) Result { return Success }); got["s03"] != 0 {
-		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
+		t.Errorf("a server on probation got %d unsafe requests", got["s03"])
 	}
 	if got := traffic(b, 400, "get", func(string) Result { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
@@ -93,8 +93,8 @@
 	}
 }
 
-// Connection tables filled by other copies refuse at once: a server that refused gets no more own
-// requests than it had, however many others refuse too, and is tried again later.
+// Connection tables filled by other nodes reject at once: a server that rejected gets no more own
+// requests than it had, however many others reject too, and is tried again later.
 func TestRejectingServerGetsNoMoreThanItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
@@ -118,9 +118,9 @@
 		}
 		return count
 	}
-	// Six of ten are full: without memory each request meets more than one refusal.
+	// Six of ten are full: without memory each request meets more than one rejection.
 	if got := refused(24); got < 3 || got > 16 {
-		t.Errorf("%d refusals of 24 requests: full servers are still drawn, or none was found", got)
+		t.Errorf("%d rejections of 24 requests: full servers are still drawn, or none was found", got)
 	}
 	now += time.Minute
 	if refused(20) == 0 {
@@ -140,7 +140,7 @@
 }
 
 // A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
-// for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
+// for a node of many sends to it too seldom to wait for a mean. Where overlong answers are common none is.
 func TestOverlongResponseEjectsServer(t *testing.T) {
 	for _, c := range []struct {
 		common float64
--- a/internal/balancer/random_events_test.go
+++ b/internal/balancer/random_events_test.go
@@ -72,7 +72,7 @@
 	ended := map[string]bool{}
 	for i := range steps {
 		now += set.Tick
-		if rng.IntN(700) == 0 { // a kill: everything held is void, and a fresh copy takes over
+		if rng.IntN(700) == 0 { // a kill: everything held is void, and a fresh node takes over
 			out, timers, asked = nil, nil, nil
 			if b, err = New(current, seed+uint64(i)); err != nil {
 				t.Fatal(err)
@@ -153,7 +153,7 @@
 				give(ServerList{Servers: []Server{*s}})
 			}
 		}
-		for k := 0; k < len(asked); k++ { // answers to an Ask come in any order, late, twice or not at all
+		for k := 0; k < len(asked); k++ { // answers to a Poll come in any order, late, twice or not at all
 			if rng.IntN(4) == 0 {
 				a := asked[k]
 				asked = append(asked[:k], asked[k+1:]...)
@@ -228,7 +228,7 @@
 			t.Errorf("seed %d: only %d actions", seed, len(log))
 		}
 		if len(b.requests) > 0 || len(b.delayed) > 0 || b.inFlight != 0 {
-			t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
+			t.Errorf("seed %d: %d requests, %d delayed and %d requests are left over", seed, len(b.requests),
 				len(b.delayed), b.inFlight)
 		}
 		for id, s := range b.servers {
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -33,7 +33,7 @@
 		{"the window gets shorter", "post", change("post", func(c *Class) { c.Window = msec }), ConnectionLost, "fail"},
 		{"the window gets longer", "post", change("post", func(c *Class) { c.Window = time.Hour }), ConnectionLost, "send"},
 		{"the class goes", "get", change("get", func(c *Class) { c.Name = "other" }), ConnectionLost, "fail"},
-		{"fewer attempts", "get", func() Settings { s := testSettings(); s.MaxAttempts = 1; return s }(), ConnectionLost, "refuse"},
+		{"fewer attempts", "get", func() Settings { s := testSettings(); s.MaxAttempts = 1; return s }(), ConnectionLost, "reject"},
 		{"no settings at all", "get", Settings{}, ConnectionLost, "send"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 				case Fail:
 					got = "fail"
 				case Reject:
-					got = "refuse"
+					got = "reject"
 				}
 			}
 			if got != c.want {
@@ -94,6 +94,6 @@
 		t.Errorf("mean %v, %d samples, failing %v; want %v, %d, %v", get.meanLatency, get.samples, b.failureShare(bad, get, get), mean, samples, share)
 	}
 	if get.LatencyObjective != 300*msec || get.PriorityWeight != 9 || b.classes["pay"] != nil || b.classes["new"].meanLatency != float64(25*msec) || len(b.classOrder) != 3 {
-		t.Errorf("aim %v, worth %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.classOrder))
+		t.Errorf("latency objective %v, priority weight %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.classOrder))
 	}
 }
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// An unmarked repeat shows by a deadline shorter than other tries have.
+// An unmarked retry shows by a deadline shorter than other attempts have.
 func TestShortDeadlineMarksRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
 	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
-		t.Errorf("a first try was taken for a repeat: %+v", r)
+		t.Errorf("a first attempt was taken for a retry: %+v", r)
 	}
-	// The repeat's objective of 500 ms ended 100 ms before it came: without a server it is still held.
+	// The retry's objective of 500 ms ended 100 ms before it came: without a server it is still held.
 	r := b.requests["again"]
 	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
-		t.Errorf("the repeat was not seen: %+v", r)
+		t.Errorf("the retry was not seen: %+v", r)
 	}
 }
 
-// A refused client is not sent away for long: it would come back when its objective is mostly over.
+// A rejected client is not made to wait for long: it would come back when its objective is mostly over.
 func TestRejectionsCarryShortRetryAfter(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	t.Error("not refused")
+	t.Error("not rejected")
 }
 
 // Work on an answer that comes too late to be worth anything takes the room of answers in time.
@@ -67,7 +67,7 @@
 		failing, tokens float64
 		left, want      time.Duration
 	}{
-		{"calls hang", 1, "get", 0.2, 5, 800 * msec, 400 * msec},
+		{"requests hang", 1, "get", 0.2, 5, 800 * msec, 400 * msec},
 		{"in the first tier", 0, "get", 0.2, 5, 400 * msec, 400 * msec},
 		{"must not run twice", 1, "pay", 0.2, 5, 800 * msec, 800 * msec},
 		{"none fails", 1, "get", 0, 5, 800 * msec, 800 * msec},
--- a/internal/balancer/retries_test.go
+++ b/internal/balancer/retries_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A repeat of a keyed request says until when it may begin: inside the window that runs from the first attempt that may
-// have run, less two ticks. Nothing bounds a first attempt, nor a repeat that is safe or of what never ran.
+// A retry of a keyed request says until when it may begin: inside the window that runs from the first attempt that may
+// have run, less two ticks. Nothing bounds a first attempt, nor a retry that is safe or of what never ran.
 func TestRetryCarriesLatestStartTime(t *testing.T) {
 	const none = time.Duration(math.MaxInt64)
 	for _, c := range []struct {
--- a/internal/balancer/rule_checker_test.go
+++ b/internal/balancer/rule_checker_test.go
@@ -39,7 +39,7 @@
 		zones: map[string]string{}, reqs: map[string]*requestTrace{}}
 }
 
-// killed forgets what a killed copy held: it is the clients' to ask again.
+// killed forgets what a killed node held: it is the clients' to ask again.
 func (c *ruleChecker) killed() {
 	c.reqs, c.state = map[string]*requestTrace{}, map[string]ServerState{}
 }
@@ -119,7 +119,7 @@
 					for _, class := range r.under {
 						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !r.keyless()
 						if t.mayHaveRun() && !loose {
-							c.fault("rule 2: %s refused though it may have run", a.ID)
+							c.fault("rule 2: %s rejected though it may have run", a.ID)
 						}
 					}
 				}
@@ -162,7 +162,7 @@
 	}
 	for _, t := range r.attempts {
 		if !t.over {
-			c.fault("second copy of %s", a.ID)
+			c.fault("second attempt in flight of %s", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
@@ -218,7 +218,7 @@
 		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
+		{"rule 2: r rejected", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
 			Send{ID: "r", Server: "a"}}},
 		{"begin again outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 100 * msec, timedOut,
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
-// rest of the list is warm: many such nodes would push the servers in slow start over.
+// After a loss a node's whole subset may come back in slow start. That must not set the thinning aside while the
+// rest of the list is warmed up: many such nodes would push the servers in slow start over.
 func TestSlowStartSubsetKeepsThinning(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
 	list := servers(40)
@@ -31,17 +31,17 @@
 		}
 	}
 	if got := float64(slowStarting) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
-		t.Errorf("%.2f of the calls went to the cold pool", got)
+		t.Errorf("%.2f of the requests went to the subset in slow start", got)
 	}
 }
 
 const fallMultiple, fallFor = 3.0, 2 * time.Second // the budget of testSettings' site
 
-// slowStartLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
+// slowStartLoad has nodes send at three quarters of what 6 servers can do, one of them fresh from second 1
 // on. It tells how many requests the fresh one got, and the most that came in any fallFor against the
 // budget of fallMultiple times what it can do then.
 func slowStartLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
-	const capacity = 50.0 // a warm server's requests a second
+	const capacity = 50.0 // a warmed-up server's requests a second
 	rng := rand.New(rand.NewPCG(3, 3))
 	var slowStarting []time.Duration
 	for i := range int(0.75 * 6 * capacity * 12) {
@@ -87,13 +87,13 @@
 			return s.Server
 		})
 		if requests < 20 || worst > 1 {
-			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, requests, worst)
+			t.Errorf("%d nodes: %d requests to the server in slow start, %.2f of its budget", copies, requests, worst)
 		}
 	}
 	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
 	_, worst := slowStartLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
 	if worst <= 1 {
-		t.Errorf("all calls to the cold server are %.2f of its budget", worst)
+		t.Errorf("all requests to the server in slow start are %.2f of its budget", worst)
 	}
 }
 
@@ -119,10 +119,10 @@
 // slowStartFleet is a fleet that deals a load out among servers of which some have just started.
 type slowStartFleet struct {
 	nodes    int
-	believed int           // number of nodes that each of them is told; 0: as many as there are
+	believed int           // number of nodes that each of them is told of; 0: as many as there are
 	uneven   bool          // the load among the nodes: each tenth one has half of it together with its like
 	together bool          // uneven, and the tenth that has half of the load follow one another in the shared order
-	burst    bool          // from 3 s to 6 s there is half as much again, which is more than the warm servers can do
+	burst    bool          // from 3 s to 6 s there is half as much again, which is more than the warmed-up servers can do
 	returns  time.Duration // when those that had started start anew; 0: never
 }
 
@@ -130,7 +130,7 @@
 const (
 	slowStartServers  = 40
 	slowStartBegun    = 10
-	slowStartCapacity = 40.0 // requests a second of a warm server
+	slowStartCapacity = 40.0 // requests a second of a warmed-up server
 	slowStartLatency  = 100 * time.Millisecond
 	slowStartLength   = 12 * time.Second
 	slowStartWindow   = 10 * time.Second
@@ -222,7 +222,7 @@
 	return share, total
 }
 
-// mostWarm is the most requests that a warm server had within a window.
+// mostWarm is the most requests that a warmed-up server had within a window.
 func mostWarm(sent map[string][]time.Duration, window time.Duration) (most int) {
 	for i, s := range servers(slowStartServers) {
 		if i%3 == 0 && i < 3*slowStartBegun {
@@ -241,39 +241,39 @@
 
 // A server in slow start falls when it gets more than N + 2 root of N + 2 requests in the time that the settings name, N being what the
 // settings allow it then, three times what it can do; the sum over all nodes counts. Whatever the number of nodes that deal
-// out the same load, however uneven their parts, in a burst and for servers that come back cold, no server in slow start gets nine
+// out the same load, however uneven their parts, in a burst and for servers that come back in slow start, no server in slow start gets nine
 // tenths of as many, though each node goes by its own few requests. Steadily none gets N + 3 root of N + 3 for an N of what it
 // can do, at one node and at many. The number of nodes comes from the settings, and may be wrong by two; those that have
-// half of the load may all share a pool.
+// half of the load may all share a subset.
 func TestFleetDoesNotOverloadServerInSlowStart(t *testing.T) {
 	const window = time.Second
 	allows := func(can float64) float64 { return 3*can + 2*math.Sqrt(3*can) + 2 }
 	can := func(can float64) float64 { return can + 3*math.Sqrt(can) + 3 }
 	for _, nodes := range []int{1, 5, 20, 30, 50, 300} {
 		for name, f := range map[string]slowStartFleet{
-			"steady":               {nodes: nodes},
-			"burst":                {nodes: nodes, burst: true},
-			"burst, uneven":        {nodes: nodes, burst: true, uneven: true},
-			"back cold in a burst": {nodes: nodes, burst: true, uneven: true, returns: 4 * time.Second},
-			"burst, neighbours":    {nodes: nodes, burst: true, uneven: true, together: true},
-			"half are known of":    {nodes: nodes, believed: max(1, nodes/2), burst: true, uneven: true},
-			"twice are known of":   {nodes: nodes, believed: 2 * nodes, burst: true, uneven: true},
+			"steady":                        {nodes: nodes},
+			"burst":                         {nodes: nodes, burst: true},
+			"burst, uneven":                 {nodes: nodes, burst: true, uneven: true},
+			"back in slow start in a burst": {nodes: nodes, burst: true, uneven: true, returns: 4 * time.Second},
+			"burst, neighbours":             {nodes: nodes, burst: true, uneven: true, together: true},
+			"half are known of":             {nodes: nodes, believed: max(1, nodes/2), burst: true, uneven: true},
+			"twice are known of":            {nodes: nodes, believed: 2 * nodes, burst: true, uneven: true},
 		} {
 			t.Run(fmt.Sprint(nodes, " ", name), func(t *testing.T) {
 				t.Parallel()
 				sent, starts := f.play(t)
 				share, total := worstOverload(sent, starts, window, allows)
 				steady, _ := worstOverload(sent, starts, window, can)
-				t.Logf("%d nodes, %s: at most %.2f of what pushes a cold server over, %.2f of that for what it can do; %d calls; at most %d at a warm one",
+				t.Logf("%d nodes, %s: at most %.2f of what pushes a server in slow start over, %.2f of that for what it can do; %d requests; at most %d at a warmed-up one",
 					nodes, name, share, steady, total, mostWarm(sent, window))
 				if share > 0.9 {
-					t.Errorf("a cold server got %.2f of what pushes it over, at most 0.9 is wanted", share)
+					t.Errorf("a server in slow start got %.2f of what pushes it over, at most 0.9 is wanted", share)
 				}
 				if alone, many := nodes == 1, nodes >= 50; name == "steady" && (alone || many) && steady > 1 {
-					t.Errorf("a cold server got %.2f of what it can do and chance explains", steady)
+					t.Errorf("a server in slow start got %.2f of what it can do and chance explains", steady)
 				}
 				if total < 500 {
-					t.Errorf("the cold servers got %d calls: the ramp never rose", total)
+					t.Errorf("the servers in slow start got %d requests: the ramp never rose", total)
 				}
 			})
 		}
--- a/internal/balancer/soak_test.go
+++ b/internal/balancer/soak_test.go
@@ -57,14 +57,14 @@
 		}
 	}
 	if len(b.requests) > 0 || len(b.delayed) > 0 {
-		t.Errorf("%d requests are kept, %d held", len(b.requests), len(b.delayed))
+		t.Errorf("%d requests are kept, %d delayed", len(b.requests), len(b.delayed))
 	}
 	if len(b.servers) != len(place) || len(b.ready) != len(place) || len(b.zones) > 3 {
 		t.Errorf("%d servers and %d zones are kept; %d are listed", len(b.servers), len(b.zones), len(place))
 	}
 	for _, s := range b.servers {
 		if len(s.open) > 0 || len(s.failures) > len(b.classes) {
-			t.Errorf("%s keeps %d calls and %d classes", s.ID, len(s.open), len(s.failures))
+			t.Errorf("%s keeps %d requests and %d classes", s.ID, len(s.open), len(s.failures))
 		}
 	}
 	if grown := heap.Reachable() - base; grown > 256<<10 {
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The pools of many nodes cover each group evenly, and a busy node takes a wider one.
+// The subsets of many nodes cover each group evenly, and a busy node takes a wider one.
 func TestSubsetsCoverGroupsEvenly(t *testing.T) {
 	count := map[string]int{}
 	const nodes = 60
@@ -20,11 +20,11 @@
 			count[s.ID]++
 		}
 		if idle := b.subsetSize; idle >= 20 {
-			t.Fatalf("an idle node's pool has %d servers", idle)
+			t.Fatalf("an idle node's subset has %d servers", idle)
 		}
 		b.meanInFlight = 8
 		if b.fitSubset(); b.subsetSize < 12 {
-			t.Fatalf("a busy node's pool has %d servers", b.subsetSize)
+			t.Fatalf("a busy node's subset has %d servers", b.subsetSize)
 		}
 	}
 	least, most := nodes, 0
@@ -32,11 +32,11 @@
 		least, most = min(least, count[s.ID]), max(most, count[s.ID])
 	}
 	if least < 4 || most-least > 3 {
-		t.Errorf("servers are in %d to %d pools", least, most)
+		t.Errorf("servers are in %d to %d subsets", least, most)
 	}
 }
 
-// subsetShares are how much of each server lies in the pools of all copies together.
+// subsetShares are how much of each server lies in the subsets of all nodes together.
 func subsetShares(t *testing.T, copies, servers int) (sum map[string]float64, pools [][]string) {
 	t.Helper()
 	sum = map[string]float64{}
@@ -58,8 +58,8 @@
 	return sum, pools
 }
 
-// Whatever the numbers of nodes and servers are, all pools together take in the same part of each server, and
-// hardly two nodes have the same pool.
+// Whatever the numbers of nodes and servers are, all subsets together take in the same part of each server, and
+// hardly two nodes have the same subset.
 func TestSubsetsTogetherCoverAllServersEvenly(t *testing.T) {
 	for _, c := range []struct{ copies, servers int }{{200, 60}, {300, 60}, {60, 400}, {300, 5}, {7, 13}, {97, 89}, {1, 40}, {2, 3}} {
 		sum, pools := subsetShares(t, c.copies, c.servers)
@@ -69,7 +69,7 @@
 			least, most = min(least, v), max(most, v)
 		}
 		if least <= 0 || most/least > 1.0001 {
-			t.Errorf("%d nodes, %d servers: pools take in %.3f to %.3f of a server", c.copies, c.servers, least, most)
+			t.Errorf("%d nodes, %d servers: subsets take in %.3f to %.3f of a server", c.copies, c.servers, least, most)
 		}
 		same := 0
 		for i := range pools[1:] {
@@ -78,12 +78,12 @@
 			}
 		}
 		if same > len(pools)/10 {
-			t.Errorf("%d nodes, %d servers: %d neighbours have one pool", c.copies, c.servers, same)
+			t.Errorf("%d nodes, %d servers: %d neighbours have one subset", c.copies, c.servers, same)
 		}
 	}
 }
 
-// A node more or a server more moves few of the connections that a node's pool stands for on the left, where the nodes
+// A node more or a server more moves few of the connections that a node's subset stands for on the left, where the nodes
 // follow in their order.
 func TestSubsetsAreStableAsServersChange(t *testing.T) {
 	_, before := subsetShares(t, 100, 60)
@@ -98,7 +98,7 @@
 		}
 	}
 	if kept*10 < all*6 {
-		t.Errorf("one server more: %d of %d places in pools are kept", kept, all)
+		t.Errorf("one server more: %d of %d places in subsets are kept", kept, all)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// Nodes that hear of a change of their number at different times lay their pools out in two ways for a while, each of
+// Nodes that hear of a change of their number at different times lay their subsets out in two ways for a while, each of
 // them even: together no server is left out, and none lies in much more than its part.
 func TestSubsetsCoverAllServersWhileNodesDisagreeOnNodeCount(t *testing.T) {
 	for _, c := range []struct{ was, is, servers int }{{200, 190, 60}, {190, 200, 60}, {100, 200, 60}, {60, 61, 400}, {300, 150, 30}} {
@@ -192,20 +192,20 @@
 		}
 		// Five each on average; fifteen at one of sixty comes by chance in one of a thousand such releases.
 		if most > 15 || met < n*9/10 {
-			t.Errorf("first calls met %d servers, %d of them one", met, most)
+			t.Errorf("first requests met %d servers, %d of them one", met, most)
 		}
-		// Who looks idle to all gets the first request of those whose pool it lies in, and of nobody else.
+		// Who looks idle to all gets the first request of those whose subset it lies in, and of nobody else.
 		if in := 0; reported {
 			sum, _ := subsetShares(t, nodes, n)
 			in = int(sum["s0007"]) + 3
 			if first["s0007"] > 2*in {
-				t.Errorf("%d of %d first calls go to the server that looks idle to all; it lies in about %d pools", first["s0007"], nodes, in)
+				t.Errorf("%d of %d first requests go to the server that looks idle to all; it lies in about %d subsets", first["s0007"], nodes, in)
 			}
 		}
 	}
 }
 
-// A pool is cut anew only where that changes it: the same again costs no memory, also where more servers are wanted than there
+// A subset is cut anew only where that changes it: the same again costs no memory, also where more servers are wanted than there
 // are. Once the list has changed it is cut again, however much is wanted.
 func TestUnchangedSubsetIsNotRecomputed(t *testing.T) {
 	for _, c := range []struct {
@@ -221,14 +221,14 @@
 		b.meanInFlight = c.busy
 		b.fitSubset()
 		if n := testing.AllocsPerRun(10, b.fitSubset); n > 0 {
-			t.Errorf("%+v: %v allocations for the same pool", c, n)
+			t.Errorf("%+v: %v allocations for the same subset", c, n)
 		}
 		l.Servers = l.Servers[1:]
 		b.Handle(2*time.Second, l)
 		b.fitSubset()
 		first := func(s *server) bool { return s.ID == "s0000" }
 		if slices.ContainsFunc(slices.Concat(b.subset.left, b.subset.right), first) || len(b.subset.left) == 0 {
-			t.Errorf("%+v: the pool still has the server that has left, or has none", c)
+			t.Errorf("%+v: the subset still has the server that has left, or has none", c)
 		}
 	}
 }
--- a/internal/balancer/takeover_test.go
+++ b/internal/balancer/takeover_test.go
@@ -27,7 +27,7 @@
 		{"unsafe, may have run", "pay", made(false, "s00"), "", false},
 		{"unsafe, never ran", "pay", made(true, "s00"), "01", false},
 		{"unsafe, never ran, all attempts used", "pay", made(true, "s00", "s01", "s02", "s03", "s04"), "", true},
-		{"keyed, may have run: its cell drops repeats", "post", made(false, "s02"), "0", false},
+		{"keyed, may have run: its cell drops duplicates", "post", made(false, "s02"), "0", false},
 		{"keyed, and its cell has forgotten", "post", []PriorAttempt{{Server: "s02", Zone: "z", SentAt: now - time.Second}}, "", false},
 		{"keyed, of a server that is no more", "post", []PriorAttempt{{Server: "gone", Zone: "z", Cell: 1, SentAt: now - 100*msec}}, "1", false},
 	} {
@@ -45,7 +45,7 @@
 					t.Fatalf("%s: %+v", c.name, acts)
 				}
 				if _, refused := acts[0].(Reject); refused != c.refused {
-					t.Fatalf("%s: %+v, want refused %v", c.name, acts[0], c.refused)
+					t.Fatalf("%s: %+v, want rejected %v", c.name, acts[0], c.refused)
 				}
 				continue
 			}
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -41,7 +41,7 @@
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Minute + 1500*msec})
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Hour})
 	if b.inFlight != room+1 {
-		t.Errorf("%d in flight after a last byte that was told twice, want %d", b.inFlight, room+1)
+		t.Errorf("%d in flight after a last byte that was reported twice, want %d", b.inFlight, room+1)
 	}
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// A request of which a part is gone is not sent again: refused if no server ever had it whole, failed if one may
+// A request of which a part is gone is not sent again: rejected if no server ever had it whole, failed if one may
 // have run it. One of which nothing is gone goes on to another server.
 func TestNonReplayableRequestIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
@@ -84,11 +84,11 @@
 		end      Outcome
 		want     string
 	}{
-		{"refused a connection", "pay", false, Outcome{Result: Unreachable}, "send"},
-		{"broken halfway", "pay", false, Outcome{Result: Unreachable, NotReplayable: true}, "refuse"},
-		{"turned away at the end", "pay", true, Outcome{Result: Overloaded, NotReplayable: true}, "refuse"},
+		{"no connection", "pay", false, Outcome{Result: Unreachable}, "send"},
+		{"broken halfway", "pay", false, Outcome{Result: Unreachable, NotReplayable: true}, "reject"},
+		{"rejected at the end", "pay", true, Outcome{Result: Overloaded, NotReplayable: true}, "reject"},
 		{"broken at the end", "pay", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "fail"},
-		{"broken at the end, but safe", "get", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "refuse"},
+		{"broken at the end, but safe", "get", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "reject"},
 		{"served", "pay", true, Outcome{Result: Success, NotReplayable: true, Ended: true}, ""},
 	} {
 		b := newBalancer(t, nil)
@@ -104,7 +104,7 @@
 			case Send:
 				got += "send"
 			case Reject:
-				got += "refuse"
+				got += "reject"
 			case Fail:
 				got += "fail"
 			}
@@ -143,11 +143,11 @@
 	for i := range 50 {
 		e := Request{ID: fmt.Sprint("u", i), Class: "pay", Deadline: now + 1500*msec, Partial: i%2 == 0}
 		if s := sends(b.Handle(now+2*msec, e)); len(s) > 0 {
-			t.Fatalf("request %d goes to a cold server that an upload is on its way to", i)
+			t.Fatalf("request %d goes to a server in slow start that an upload is on its way to", i)
 		}
 	}
 	if s := b.servers[first.Server]; s.uploading != 1 || s.inFlight != 0 {
-		t.Errorf("%d coming, %d calls", s.uploading, s.inFlight)
+		t.Errorf("%d coming, %d requests", s.uploading, s.inFlight)
 	}
 	b.Handle(now+3*msec, ClientDisconnected{ID: "first"})
 	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Result: Cancelled, Ended: true, NotReplayable: true})
@@ -156,7 +156,7 @@
 		out += s.inFlight + s.uploading
 	}
 	if out != 1 {
-		t.Errorf("%d calls at the server or on their way once it was free, want 1", out)
+		t.Errorf("%d requests at the server or on their way once it was free, want 1", out)
 	}
 }
 
@@ -173,6 +173,6 @@
 		s.ejectedUntil = time.Hour
 	}
 	if n, most := b.Unavailable(), b.maxEjected(); most != 3 || n != 1+most {
-		t.Errorf("%d avoided where all are ill, want 1 and %d", n, most)
+		t.Errorf("%d avoided where all are outliers, want 1 and %d", n, most)
 	}
 }
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// zoned is a fleet of servers in zones, and one node that calls them: each request of it is answered after a drawn
+// zoned is a fleet of servers in zones, and one node that sends to them: each request of it is answered after a drawn
 // time, but for zones that say nothing.
 type zoned struct {
 	b      *Balancer
@@ -122,8 +122,8 @@
 	return offered, z.served - was
 }
 
-// Nodes of ten requests a second have a request out at one or two of a zone's forty servers when it is cut off. From a second
-// and a half later on they send nothing there but a trial now and then, each on a connection of its own, so that it is
+// Nodes of ten requests a second have a request out at one or two of a zone's forty servers when it is unreachable. From a second
+// and a half later on they send nothing there but a probe now and then, each on a connection of its own, so that it is
 // known at once not to have run; a second and a half after the cut has ended the zone has its share again.
 func TestUnreachableZoneGetsProbesOnly(t *testing.T) {
 	const nodes = 40
@@ -148,17 +148,17 @@
 		after += z.sent["zone1"]
 	}
 	if during*20 > before || served*100 < 96*offered {
-		t.Errorf("%d calls to the zone that is cut off beside %d trials, %d before; %d of %d served", during, trials, before, served, offered)
+		t.Errorf("%d requests to the unreachable zone beside %d probes, %d before; %d of %d served", during, trials, before, served, offered)
 	}
 	if trials < nodes*5 || trials > nodes*50 {
-		t.Errorf("%d nodes made %d trials in five seconds", nodes, trials)
+		t.Errorf("%d nodes made %d probes in five seconds", nodes, trials)
 	}
 	if after*4 < before*3 {
-		t.Errorf("the zone gets %d calls once it is back, %d before", after, before)
+		t.Errorf("the zone gets %d requests once it is back, %d before", after, before)
 	}
 }
 
-// Requests that may run again are taken back from a zone that is cut off and run elsewhere in time.
+// Requests that may run again are taken back from a zone that is unreachable and run elsewhere in time.
 func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
 	rescued := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
@@ -175,18 +175,18 @@
 	z, safe := rescued("get")
 	_, unsafe := rescued("pay")
 	if lost := float64(unsafe-safe) / float64(z); lost > -0.1 {
-		t.Errorf("of %d calls in the half second of the cut %d more were served where they may run again", z, safe-unsafe)
+		t.Errorf("of %d requests in the half second of the cut %d more were served where they may run again", z, safe-unsafe)
 	}
 }
 
 // What tells of one server, of everybody or of this node itself is held against no zone.
 func TestSilenceAcrossZonesBlamesNoZone(t *testing.T) {
 	for name, c := range map[string]func(*zoned){
-		"one server hangs":                   func(z *zoned) { z.hung["s0000"] = true },
-		"everybody is five times as slow":    func(z *zoned) { z.took *= 5 },
-		"this node is cut off":               func(z *zoned) { z.silent["zone0"], z.silent["zone1"], z.silent["zone2"] = true, true, true },
-		"nothing is wrong":                   func(z *zoned) {},
-		"few calls, of which some take long": func(z *zoned) { z.took *= 2 },
+		"one server hangs":                      func(z *zoned) { z.hung["s0000"] = true },
+		"everybody is five times as slow":       func(z *zoned) { z.took *= 5 },
+		"this node is unreachable":              func(z *zoned) { z.silent["zone0"], z.silent["zone1"], z.silent["zone2"] = true, true, true },
+		"nothing is wrong":                      func(z *zoned) {},
+		"few requests, of which some take long": func(z *zoned) { z.took *= 2 },
 	} {
 		muted, all := 0, 0
 		for seed := range uint64(10) {
@@ -231,11 +231,11 @@
 	}
 }
 
-// A node whose pool lies in the zone that is cut off hears nobody: it asks beyond its pool, and learns that others answer.
+// A node whose subset lies in the unreachable zone hears nobody: it asks beyond its subset, and learns that others answer.
 func TestNodeWithoutAnswersProbesBeyondItsSubset(t *testing.T) {
 	z := newZoned(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
 	l := ServerList{Full: true}
-	for i := range 120 { // the pool is a run from the start of each group, which begin with 0 and 60
+	for i := range 120 { // the subset is a run from the start of each group, which begin with 0 and 60
 		zone := fmt.Sprint("zone", 1+i%2)
 		if i%60 < 30 {
 			zone = "zone0"
@@ -245,7 +245,7 @@
 	z.carry(z.b.Handle(z.now, l))
 	z.run("pay", 10, 5*time.Second)
 	if len(z.sent) != 1 {
-		t.Fatalf("the pool lies in more than one zone: %v", z.sent)
+		t.Fatalf("the subset lies in more than one zone: %v", z.sent)
 	}
 	z.silent["zone0"] = true
 	z.run("pay", 10, 2*time.Second)
@@ -254,7 +254,7 @@
 	}
 }
 
-// Over a fleet of any size the nodes that see only a few requests each send a zone that is cut off, all together and
+// Over a fleet of any size the nodes that see only a few requests each send a zone that is unreachable, all together and
 // after two seconds, less than a tenth of what they sent it before, and the servers of the others no more than
 // their share of that in turn.
 func TestFleetOfAnySizeLeavesUnreachableZone(t *testing.T) {
@@ -275,10 +275,10 @@
 			others += z.sent["zone0"] + z.sent["zone2"]
 		}
 		if during*10 > before {
-			t.Errorf("%d copies: %d calls to the zone that is cut off, beside trials, %d before", copies, during, before)
+			t.Errorf("%d nodes: %d requests to the unreachable zone, beside probes, %d before", copies, during, before)
 		}
 		if most := 2*before + before*3/2; others > most {
-			t.Errorf("%d copies: the other two zones got %d calls, one got %d before", copies, others, before)
+			t.Errorf("%d nodes: the other two zones got %d requests, one got %d before", copies, others, before)
 		}
 	}
 }
