--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -38,22 +38,22 @@
 }
 
 // adjustedWindow is the window after many alike outcomes, each after share of what is aimed at, from 100.
-func adjustedWindow(t *testing.T, shed float64, ending Result, after func(*class) float64) float64 {
+func adjustedWindow(t *testing.T, shed float64, result Result, after func(*class) float64) float64 {
 	t.Helper()
-	return adjustedWindowAmong(t, 100, shed, ending, after)
+	return adjustedWindowAmong(t, 100, shed, result, after)
 }
 
 // adjustedWindowAmong is the same at one of so many nodes.
-func adjustedWindowAmong(t *testing.T, copies int, shed float64, ending Result, after func(*class) float64) float64 {
+func adjustedWindowAmong(t *testing.T, nodes int, shed float64, result Result, after func(*class) float64) float64 {
 	t.Helper()
-	b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
+	b := newBalancer(t, func(s *Settings) { s.Balancers = nodes })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 	b.window, b.meanInFlight = 100, 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
 		b.shedShare = shed
 		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.adjustWindow(r, Outcome{Result: ending})
+		b.adjustWindow(r, Outcome{Result: result})
 	}
 	return b.window
 }
@@ -91,12 +91,12 @@
 // All nodes' windows together swing alike however many nodes there are: one of few moves its own with care, one of
 // hundreds by up to a whole call an answer.
 func TestWindowDynamicsAreIndependentOfFleetSize(t *testing.T) {
-	moved := func(copies int) float64 {
-		return 100 - adjustedWindowAmong(t, copies, 0, Success, func(c *class) float64 { return 1.5 * c.targetLatency(0) })
+	moved := func(nodes int) float64 {
+		return 100 - adjustedWindowAmong(t, nodes, 0, Success, func(c *class) float64 { return 1.5 * c.targetLatency(0) })
 	}
-	for copies, most := range map[int]float64{1: 5, 2: 7, 4: 10, 300: 26} {
-		if got := moved(copies); got <= 0 || got > most {
-			t.Errorf("at one of %d nodes fifty answers that came half too late moved the window by %.1f, want up to %.0f", copies, got, most)
+	for nodes, most := range map[int]float64{1: 5, 2: 7, 4: 10, 300: 26} {
+		if got := moved(nodes); got <= 0 || got > most {
+			t.Errorf("at one of %d nodes fifty answers that came half too late moved the window by %.1f, want up to %.0f", nodes, got, most)
 		}
 	}
 	if one, four := moved(1), moved(4); math.Abs(four-2*one) > 0.2 {
@@ -128,10 +128,10 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	b.window, b.inFlight = 10, 6
-	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
+	retry := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
-	if len(repeat) != 0 || len(first) != 1 {
-		t.Errorf("sent %v for a retry and %v for a first attempt", repeat, first)
+	if len(retry) != 0 || len(first) != 1 {
+		t.Errorf("sent %v for a retry and %v for a first attempt", retry, first)
 	}
 }
 
--- a/internal/balancer/load_reports_test.go
+++ b/internal/balancer/load_reports_test.go
@@ -66,12 +66,12 @@
 	b := newReportingNode(t, 4, 0, 0, 0, 0, 0, 0, 0, 0)
 	at := 10 * time.Second
 	acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
-	ask, ok := acts[0].(Poll)
-	if !ok || len(ask.Servers) != 4 || len(acts) != 2 {
+	poll, ok := acts[0].(Poll)
+	if !ok || len(poll.Servers) != 4 || len(acts) != 2 {
 		t.Fatalf("actions %+v; want four servers polled, and a SetTimer", acts)
 	}
 	left := 0
-	for _, s := range ask.Servers {
+	for _, s := range poll.Servers {
 		if slices.ContainsFunc(b.subset.left, func(o *server) bool { return o.ID == s }) {
 			left++
 		}
@@ -79,7 +79,7 @@
 	if left != 2 {
 		t.Errorf("%d of those polled are of the left group; want one draw from each for either", left)
 	}
-	for i, s := range ask.Servers {
+	for i, s := range poll.Servers {
 		busy := 3.0
 		if i == 2 {
 			busy = 0
@@ -89,10 +89,10 @@
 			t.Fatalf("after %d answers: %+v", i+1, acts)
 		}
 	}
-	if len(acts) != 1 || acts[0].(Send).Server != ask.Servers[2] {
-		t.Errorf("actions %+v; want it sent to %s", acts, ask.Servers[2])
+	if len(acts) != 1 || acts[0].(Send).Server != poll.Servers[2] {
+		t.Errorf("actions %+v; want it sent to %s", acts, poll.Servers[2])
 	}
-	if acts = b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: ask.Servers[0], Busy: 0}}}); len(acts) > 0 {
+	if acts = b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: poll.Servers[0], Busy: 0}}}); len(acts) > 0 {
 		t.Errorf("a report that comes late has it do %+v", acts)
 	}
 }
@@ -104,19 +104,19 @@
 		b := newReportingNode(t, 4, 1, 1, 1, 1, 1, 1, 1, 1)
 		at := 10 * time.Second
 		acts := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})
-		ask, wake := acts[0].(Poll), acts[1].(SetTimer)
-		if ask.Timeout <= 0 || wake.At != at+ask.Timeout || ask.Timeout > time.Duration(b.classes["get"].meanLatency) {
-			t.Fatalf("it waits %v, until %v", ask.Timeout, wake.At)
+		poll, wake := acts[0].(Poll), acts[1].(SetTimer)
+		if poll.Timeout <= 0 || wake.At != at+poll.Timeout || poll.Timeout > time.Duration(b.classes["get"].meanLatency) {
+			t.Fatalf("it waits %v, until %v", poll.Timeout, wake.At)
 		}
-		for _, s := range ask.Servers[:answers] {
+		for _, s := range poll.Servers[:answers] {
 			b.Handle(at+msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 7}}})
 		}
 		acts = b.Handle(wake.At, Timer{Token: wake.Token})
 		if len(acts) != 1 {
 			t.Fatalf("%d answers: %+v", answers, acts)
 		}
-		if to := acts[0].(Send).Server; answers == 1 && to != ask.Servers[0] {
-			t.Errorf("it goes to %s, and only %s has answered", to, ask.Servers[0])
+		if to := acts[0].(Send).Server; answers == 1 && to != poll.Servers[0] {
+			t.Errorf("it goes to %s, and only %s has answered", to, poll.Servers[0])
 		}
 		if b.requests["x"].polling != 0 {
 			t.Error("it still waits for reports")
@@ -128,9 +128,9 @@
 func TestNothingIsSentForClientDisconnectedWhilePolling(t *testing.T) {
 	b := newReportingNode(t, 2, 0, 0, 0, 0)
 	at := 10 * time.Second
-	ask := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})[0].(Poll)
+	poll := b.Handle(at, Request{ID: "x", Class: "get", Deadline: at + time.Second})[0].(Poll)
 	b.Handle(at+msec, ClientDisconnected{ID: "x"})
-	for _, s := range ask.Servers {
+	for _, s := range poll.Servers {
 		if acts := b.Handle(at+2*msec, LoadUpdate{ID: "x", Loads: []ServerLoad{{Server: s, Busy: 0}}}); len(acts) > 0 {
 			t.Errorf("%+v", acts)
 		}
--- a/internal/balancer/outlier_detection_test.go
+++ b/internal/balancer/outlier_detection_test.go
@@ -100,7 +100,7 @@
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 	now, id := msec, 0
 	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
-	refused := func(n int) (count int) {
+	rejected := func(n int) (count int) {
 		for range n {
 			now += 5 * msec
 			id++
@@ -119,11 +119,11 @@
 		return count
 	}
 	// Six of ten are full: without memory each request meets more than one rejection.
-	if got := refused(24); got < 3 || got > 16 {
+	if got := rejected(24); got < 3 || got > 16 {
 		t.Errorf("%d rejections of 24 requests: full servers are still drawn, or none was found", got)
 	}
 	now += time.Minute
-	if refused(20) == 0 {
+	if rejected(20) == 0 {
 		t.Error("full servers were never tried again")
 	}
 }
--- a/internal/balancer/random_events_test.go
+++ b/internal/balancer/random_events_test.go
@@ -24,7 +24,7 @@
 	}
 	var out []pending
 	var timers []SetTimer
-	var asked []Poll
+	var polled []Poll
 	var ids []string
 	fleet := servers(8)
 	now := time.Duration(0)
@@ -63,7 +63,7 @@
 				timers = append(timers, a)
 			case Poll:
 				for _, s := range a.Servers {
-					asked = append(asked, Poll{ID: a.ID, Servers: []string{s}})
+					polled = append(polled, Poll{ID: a.ID, Servers: []string{s}})
 				}
 			}
 		}
@@ -73,12 +73,12 @@
 	for i := range steps {
 		now += set.Tick
 		if rng.IntN(700) == 0 { // a kill: everything held is void, and a fresh node takes over
-			out, timers, asked = nil, nil, nil
+			out, timers, polled = nil, nil, nil
 			if b, err = New(current, seed+uint64(i)); err != nil {
 				t.Fatal(err)
 			}
 			if c != nil {
-				c.killed()
+				c.restart()
 			}
 			var listed []Server
 			for _, s := range fleet {
@@ -153,10 +153,10 @@
 				give(ServerList{Servers: []Server{*s}})
 			}
 		}
-		for k := 0; k < len(asked); k++ { // answers to a Poll come in any order, late, twice or not at all
+		for k := 0; k < len(polled); k++ { // answers to a Poll come in any order, late, twice or not at all
 			if rng.IntN(4) == 0 {
-				a := asked[k]
-				asked = append(asked[:k], asked[k+1:]...)
+				a := polled[k]
+				polled = append(polled[:k], polled[k+1:]...)
 				if rng.IntN(5) > 0 {
 					e := LoadUpdate{ID: a.ID, Loads: []ServerLoad{{Server: a.Servers[0], Busy: float64(rng.IntN(12) - 1), Age: time.Duration(rng.IntN(300)) * msec}}}
 					give(e)
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
 		}
 		acts := b.Handle(c.want, Outcome{ID: "a", Result: TimedOut})
-		if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
+		if _, rejected := acts[0].(Reject); len(acts) != 1 || !rejected {
 			t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
 		}
 	}
--- a/internal/balancer/rule_checker_test.go
+++ b/internal/balancer/rule_checker_test.go
@@ -21,7 +21,7 @@
 
 type requestTrace struct {
 	name     string
-	under    []Class // its class as taken, and as it was reconfigured since
+	terms    []Class // its class as taken, and as it was reconfigured since
 	deadline time.Duration
 	ended    bool
 	attempts []*attemptTrace
@@ -30,8 +30,8 @@
 type attemptTrace struct {
 	server string
 	at     time.Duration
-	over   bool
-	ending Result
+	ended  bool
+	result Result
 }
 
 func newRuleChecker(set Settings) *ruleChecker {
@@ -39,8 +39,8 @@
 		zones: map[string]string{}, reqs: map[string]*requestTrace{}}
 }
 
-// killed forgets what a killed node held: it is the clients' to ask again.
-func (c *ruleChecker) killed() {
+// restart forgets what a killed node held: it is the clients' to ask again.
+func (c *ruleChecker) restart() {
 	c.reqs, c.state = map[string]*requestTrace{}, map[string]ServerState{}
 }
 
@@ -59,10 +59,10 @@
 }
 
 // keyless says that a request was taken with no key: it is no keyed one, whatever its class is by now.
-func (t *requestTrace) keyless() bool { return t.under[0].Effect != Keyed }
+func (t *requestTrace) keyless() bool { return t.terms[0].Effect != Keyed }
 
 func (t *attemptTrace) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NotStarted)
+	return !t.ended || (t.result != Overloaded && t.result != Unreachable && t.result != NotStarted)
 }
 
 func (c *ruleChecker) event(now time.Duration, e Event) {
@@ -78,20 +78,20 @@
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			c.reqs[e.ID] = &requestTrace{name: e.Class, under: []Class{c.class(e.Class)}, deadline: e.Deadline}
+			c.reqs[e.ID] = &requestTrace{name: e.Class, terms: []Class{c.class(e.Class)}, deadline: e.Deadline}
 		}
 	case Reconfigure:
 		if validate(e.Settings) == nil {
 			c.set = e.Settings
 			for _, r := range c.reqs {
-				r.under = append(r.under, c.class(r.name))
+				r.terms = append(r.terms, c.class(r.name))
 			}
 		}
 	case Outcome:
 		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
 			t := r.attempts[e.Attempt]
-			if !t.over {
-				t.over, t.ending = true, e.Result
+			if !t.ended {
+				t.ended, t.result = true, e.Result
 				r.ended = r.ended || e.Ended
 			}
 		}
@@ -116,7 +116,7 @@
 		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.attempts {
-					for _, class := range r.under {
+					for _, class := range r.terms {
 						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !r.keyless()
 						if t.mayHaveRun() && !loose {
 							c.fault("rule 2: %s rejected though it may have run", a.ID)
@@ -161,13 +161,13 @@
 		c.fault("more than %d attempts", c.set.MaxAttempts)
 	}
 	for _, t := range r.attempts {
-		if !t.over {
+		if !t.ended {
 			c.fault("second attempt in flight of %s", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
 		}
-		for _, class := range r.under {
+		for _, class := range r.terms {
 			switch class.Effect {
 			case Unsafe:
 				c.fault("rule 2: unsafe %s sent again", a.ID)
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -24,13 +24,13 @@
 		}
 	}
 	b.Handle(time.Second, ServerList{Full: true, Servers: list})
-	slowStarting := 0
+	inSlowStart := 0
 	for range 1000 {
 		if s := b.selectServer(&request{class: b.classes["get"]}); s.Boot > 0 {
-			slowStarting++
+			inSlowStart++
 		}
 	}
-	if got := float64(slowStarting) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
+	if got := float64(inSlowStart) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
 		t.Errorf("%.2f of the requests went to the subset in slow start", got)
 	}
 }
@@ -40,39 +40,39 @@
 // slowStartLoad has nodes send at three quarters of what 6 servers can do, one of them fresh from second 1
 // on. It tells how many requests the fresh one got, and the most that came in any fallFor against the
 // budget of fallMultiple times what it can do then.
-func slowStartLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
+func slowStartLoad(set Settings, nodes int, send func(node int, now time.Duration, id string) string) (int, float64) {
 	const capacity = 50.0 // a warmed-up server's requests a second
 	rng := rand.New(rand.NewPCG(3, 3))
-	var slowStarting []time.Duration
+	var inSlowStart []time.Duration
 	for i := range int(0.75 * 6 * capacity * 12) {
 		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
-		if send(rng.IntN(copies), now, fmt.Sprint(i)) == "s02" {
-			slowStarting = append(slowStarting, now)
+		if send(rng.IntN(nodes), now, fmt.Sprint(i)) == "s02" {
+			inSlowStart = append(inSlowStart, now)
 		}
 	}
 	worst := 0.0
-	for i := range slowStarting {
+	for i := range inSlowStart {
 		n := 0
-		for _, at := range slowStarting[i:] {
-			if at < slowStarting[i]+fallFor {
+		for _, at := range inSlowStart[i:] {
+			if at < inSlowStart[i]+fallFor {
 				n++
 			}
 		}
-		grown := float64(slowStarting[i]-time.Second) / float64(set.SlowStartWindow)
+		grown := float64(inSlowStart[i]-time.Second) / float64(set.SlowStartWindow)
 		budget := fallMultiple * capacity * min(1, set.SlowStartMinimum+(1-set.SlowStartMinimum)*grown) * fallFor.Seconds()
 		worst = max(worst, float64(n)/budget)
 	}
-	return len(slowStarting), worst
+	return len(inSlowStart), worst
 }
 
 func TestServerInSlowStartIsNotOverloaded(t *testing.T) {
 	set := testSettings()
-	for _, copies := range []int{12, 200} {
-		set.Tier, set.Balancers = 1, copies
+	for _, nodes := range []int{12, 200} {
+		set.Tier, set.Balancers = 1, nodes
 		list := servers(6)
 		list[2].Boot = time.Second
 		var bs []*Balancer
-		for i := range copies {
+		for i := range nodes {
 			set.Index = i
 			b, err := New(set, uint64(i))
 			if err != nil {
@@ -81,13 +81,13 @@
 			b.Handle(0, ServerList{Full: true, Servers: list})
 			bs = append(bs, b)
 		}
-		requests, worst := slowStartLoad(set, copies, func(copy int, now time.Duration, id string) string {
-			s := sends(bs[copy].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-			bs[copy].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
+		requests, worst := slowStartLoad(set, nodes, func(node int, now time.Duration, id string) string {
+			s := sends(bs[node].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
+			bs[node].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
 			return s.Server
 		})
 		if requests < 20 || worst > 1 {
-			t.Errorf("%d nodes: %d requests to the server in slow start, %.2f of its budget", copies, requests, worst)
+			t.Errorf("%d nodes: %d requests to the server in slow start, %.2f of its budget", nodes, requests, worst)
 		}
 	}
 	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
@@ -118,12 +118,12 @@
 
 // slowStartFleet is a fleet that deals a load out among servers of which some have just started.
 type slowStartFleet struct {
-	nodes    int
-	believed int           // number of nodes that each of them is told of; 0: as many as there are
-	uneven   bool          // the load among the nodes: each tenth one has half of it together with its like
-	together bool          // uneven, and the tenth that has half of the load follow one another in the shared order
-	burst    bool          // from 3 s to 6 s there is half as much again, which is more than the warmed-up servers can do
-	returns  time.Duration // when those that had started start anew; 0: never
+	nodes        int
+	assumedNodes int           // number of nodes that each of them is told of; 0: as many as there are
+	uneven       bool          // the load among the nodes: each tenth one has half of it together with its like
+	together     bool          // uneven, and the tenth that has half of the load follow one another in the shared order
+	burst        bool          // from 3 s to 6 s there is half as much again, which is more than the warmed-up servers can do
+	returns      time.Duration // when those that had started start anew; 0: never
 }
 
 // Figures of the servers and their load.
@@ -146,13 +146,13 @@
 	for i := range slowStartBegun {
 		list[3*i].Boot = slowStartBegin
 	}
-	if f.believed == 0 {
-		f.believed = f.nodes
+	if f.assumedNodes == 0 {
+		f.assumedNodes = f.nodes
 	}
 	fleet := make([]*Balancer, f.nodes)
 	for i := range fleet {
 		set := testSettings()
-		set.Balancers, set.Index, set.SlowStartWindow, set.SlowStartMinimum = f.believed, i%f.believed, slowStartWindow, slowStartMinimum
+		set.Balancers, set.Index, set.SlowStartWindow, set.SlowStartMinimum = f.assumedNodes, i%f.assumedNodes, slowStartWindow, slowStartMinimum
 		b, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -256,8 +256,8 @@
 			"burst, uneven":                 {nodes: nodes, burst: true, uneven: true},
 			"back in slow start in a burst": {nodes: nodes, burst: true, uneven: true, returns: 4 * time.Second},
 			"burst, neighbours":             {nodes: nodes, burst: true, uneven: true, together: true},
-			"half are known of":             {nodes: nodes, believed: max(1, nodes/2), burst: true, uneven: true},
-			"twice are known of":            {nodes: nodes, believed: 2 * nodes, burst: true, uneven: true},
+			"half are known of":             {nodes: nodes, assumedNodes: max(1, nodes/2), burst: true, uneven: true},
+			"twice are known of":            {nodes: nodes, assumedNodes: 2 * nodes, burst: true, uneven: true},
 		} {
 			t.Run(fmt.Sprint(nodes, " ", name), func(t *testing.T) {
 				t.Parallel()
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -37,7 +37,7 @@
 }
 
 // subsetShares are how much of each server lies in the subsets of all nodes together.
-func subsetShares(t *testing.T, copies, servers int) (sum map[string]float64, pools [][]string) {
+func subsetShares(t *testing.T, copies, servers int) (sum map[string]float64, subsets [][]string) {
 	t.Helper()
 	sum = map[string]float64{}
 	for i := range copies {
@@ -48,21 +48,21 @@
 		}
 		b.Handle(time.Second, l)
 		b.fitSubset()
-		var pool []string
+		var subset []string
 		for _, s := range slices.Concat(b.subset.left, b.subset.right) {
 			sum[s.ID] += s.subsetShare
-			pool = append(pool, s.ID)
+			subset = append(subset, s.ID)
 		}
-		pools = append(pools, pool)
+		subsets = append(subsets, subset)
 	}
-	return sum, pools
+	return sum, subsets
 }
 
 // Whatever the numbers of nodes and servers are, all subsets together take in the same part of each server, and
 // hardly two nodes have the same subset.
 func TestSubsetsTogetherCoverAllServersEvenly(t *testing.T) {
 	for _, c := range []struct{ copies, servers int }{{200, 60}, {300, 60}, {60, 400}, {300, 5}, {7, 13}, {97, 89}, {1, 40}, {2, 3}} {
-		sum, pools := subsetShares(t, c.copies, c.servers)
+		sum, subsets := subsetShares(t, c.copies, c.servers)
 		least, most := math.Inf(1), 0.0
 		for k := range c.servers {
 			v := sum[fmt.Sprintf("s%04d", k)]
@@ -72,12 +72,12 @@
 			t.Errorf("%d nodes, %d servers: subsets take in %.3f to %.3f of a server", c.copies, c.servers, least, most)
 		}
 		same := 0
-		for i := range pools[1:] {
-			if slices.Equal(pools[i], pools[i+1]) && len(pools[i]) < c.servers {
+		for i := range subsets[1:] {
+			if slices.Equal(subsets[i], subsets[i+1]) && len(subsets[i]) < c.servers {
 				same++
 			}
 		}
-		if same > len(pools)/10 {
+		if same > len(subsets)/10 {
 			t.Errorf("%d nodes, %d servers: %d neighbours have one subset", c.copies, c.servers, same)
 		}
 	}
--- a/internal/balancer/takeover_test.go
+++ b/internal/balancer/takeover_test.go
@@ -44,7 +44,7 @@
 				if len(out) > 0 || len(acts) != 1 {
 					t.Fatalf("%s: %+v", c.name, acts)
 				}
-				if _, refused := acts[0].(Reject); refused != c.refused {
+				if _, rejected := acts[0].(Reject); rejected != c.refused {
 					t.Fatalf("%s: %+v, want rejected %v", c.name, acts[0], c.refused)
 				}
 				continue
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -21,27 +21,27 @@
 func TestUploadsCountFromTheirLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	room := 0
+	capacity := 0
 	for i := 0; len(sends(b.Handle(msec, Request{ID: fmt.Sprint("r", i), Class: "get", Deadline: 1500 * msec}))) > 0; i++ {
-		room++
+		capacity++
 	}
 	b = newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	for i := range 10 * room {
+	for i := range 10 * capacity {
 		upload(t, b, msec, fmt.Sprint("u", i), "pay")
 	}
-	for i := range room {
+	for i := range capacity {
 		if len(sends(b.Handle(2*msec, Request{ID: fmt.Sprint("r", i), Class: "get", Deadline: 1500 * msec}))) != 1 {
-			t.Fatalf("request %d of %d is not sent beside uploads", i, room)
+			t.Fatalf("request %d of %d is not sent beside uploads", i, capacity)
 		}
 	}
-	if b.inFlight != room {
-		t.Errorf("%d in flight, want %d", b.inFlight, room)
+	if b.inFlight != capacity {
+		t.Errorf("%d in flight, want %d", b.inFlight, capacity)
 	}
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Minute + 1500*msec})
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Hour})
-	if b.inFlight != room+1 {
-		t.Errorf("%d in flight after a last byte that was reported twice, want %d", b.inFlight, room+1)
+	if b.inFlight != capacity+1 {
+		t.Errorf("%d in flight after a last byte that was reported twice, want %d", b.inFlight, capacity+1)
 	}
 }
 
@@ -136,9 +136,9 @@
 func TestUploadsDoNotOverloadServerInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	now := time.Hour
-	slowStarting := servers(1)
-	slowStarting[0].Boot = now
-	b.Handle(now, ServerList{Full: true, Servers: slowStarting})
+	inSlowStart := servers(1)
+	inSlowStart[0].Boot = now
+	b.Handle(now, ServerList{Full: true, Servers: inSlowStart})
 	first := upload(t, b, now+msec, "first", "pay")
 	for i := range 50 {
 		e := Request{ID: fmt.Sprint("u", i), Class: "pay", Deadline: now + 1500*msec, Partial: i%2 == 0}
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// zoned is a fleet of servers in zones, and one node that sends to them: each request of it is answered after a drawn
+// zonedFleet is a fleet of servers in zones, and one node that sends to them: each request of it is answered after a drawn
 // time, but for zones that say nothing.
-type zoned struct {
-	b      *Balancer
-	rng    *rand.Rand
-	now    time.Duration
-	took   time.Duration   // mean time of an answer
-	silent map[string]bool // zones: requests there end with their time, or as unreachable where a connection is new
-	hung   map[string]bool // servers: the same of one
-	ends   []end
-	sent   map[string]int // to each zone, since it was cleared
-	served int
-	fresh  map[string]bool // servers whose idle connections were let go
-	let    int             // times that they were
-	next   int
+type zonedFleet struct {
+	b          *Balancer
+	rng        *rand.Rand
+	now        time.Duration
+	latency    time.Duration   // mean time of an answer
+	silent     map[string]bool // zones: requests there end with their time, or as unreachable where a connection is new
+	hung       map[string]bool // servers: the same of one
+	ends       []end
+	sent       map[string]int // to each zone, since it was cleared
+	served     int
+	fresh      map[string]bool // servers whose idle connections were let go
+	probesSent int             // times that they were
+	next       int
 }
 
 type end struct {
@@ -30,9 +30,9 @@
 	Outcome
 }
 
-func newZoned(t *testing.T, seed uint64, zones, each int, change func(*Settings)) *zoned {
+func newZonedFleet(t *testing.T, seed uint64, zones, each int, change func(*Settings)) *zonedFleet {
 	t.Helper()
-	z := &zoned{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, took: 100 * msec, silent: map[string]bool{}, hung: map[string]bool{},
+	z := &zonedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, latency: 100 * msec, silent: map[string]bool{}, hung: map[string]bool{},
 		sent: map[string]int{}, fresh: map[string]bool{}}
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Second, time.Second
@@ -51,7 +51,7 @@
 }
 
 // list tells the node of the servers, those of a zone with the time of their start.
-func (z *zoned) list(zones, each int, boot map[string]time.Duration) {
+func (z *zonedFleet) list(zones, each int, boot map[string]time.Duration) {
 	l := ServerList{Full: true}
 	for i, n := range rand.New(rand.NewPCG(9, 9)).Perm(zones * each) { // ids tell nothing of zones
 		zone := fmt.Sprint("zone", i%zones)
@@ -60,19 +60,19 @@
 	z.carry(z.b.Handle(z.now, l))
 }
 
-func (z *zoned) zone(server string) string { return z.b.servers[server].Zone }
+func (z *zonedFleet) zone(server string) string { return z.b.servers[server].Zone }
 
 // carry does what the node has decided.
-func (z *zoned) carry(acts []Action) {
+func (z *zonedFleet) carry(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case CloseIdle:
 			z.fresh[a.Server] = true
-			z.let++
+			z.probesSent++
 		case Send:
 			r := z.b.requests[a.ID]
 			o := Outcome{ID: a.ID, Attempt: len(r.attempts) - 1, Server: a.Server, Result: Success, Ended: true}
-			after := time.Duration((0.5 + 0.5*z.rng.ExpFloat64()) * float64(z.took))
+			after := time.Duration((0.5 + 0.5*z.rng.ExpFloat64()) * float64(z.latency))
 			if z.silent[z.zone(a.Server)] || z.hung[a.Server] {
 				o.Result, o.Ended, after = TimedOut, false, a.Timeout
 				if z.fresh[a.Server] {
@@ -94,7 +94,7 @@
 }
 
 // run has requests of a class come for a while, so many a second, and returns how many were served of them.
-func (z *zoned) run(class string, rate float64, d time.Duration) (offered, served int) {
+func (z *zonedFleet) run(class string, rate float64, d time.Duration) (offered, served int) {
 	over, was := z.now+d, z.served
 	for arrival := z.now; z.now < over; {
 		i := -1
@@ -127,9 +127,9 @@
 // known at once not to have run; a second and a half after the cut has ended the zone has its share again.
 func TestUnreachableZoneGetsProbesOnly(t *testing.T) {
 	const nodes = 40
-	before, during, trials, offered, served, after := 0, 0, 0, 0, 0, 0
+	before, during, probes, offered, served, after := 0, 0, 0, 0, 0, 0
 	for seed := range uint64(nodes) {
-		z := newZoned(t, seed, 3, 40, func(s *Settings) { s.Balancers, s.Index = nodes, int(seed) })
+		z := newZonedFleet(t, seed, 3, 40, func(s *Settings) { s.Balancers, s.Index = nodes, int(seed) })
 		z.run("pay", 10, 5*time.Second)
 		clear(z.sent)
 		z.run("pay", 10, 5*time.Second)
@@ -137,10 +137,10 @@
 		z.silent["zone1"] = true
 		z.run("pay", 10, 1500*msec)
 		clear(z.sent)
-		z.let = 0
+		z.probesSent = 0
 		o, s := z.run("pay", 10, 5*time.Second)
 		offered, served = offered+o, served+s
-		during, trials = during+z.sent["zone1"]-z.let, trials+z.let
+		during, probes = during+z.sent["zone1"]-z.probesSent, probes+z.probesSent
 		delete(z.silent, "zone1")
 		z.run("pay", 10, 1500*msec)
 		clear(z.sent)
@@ -148,10 +148,10 @@
 		after += z.sent["zone1"]
 	}
 	if during*20 > before || served*100 < 96*offered {
-		t.Errorf("%d requests to the unreachable zone beside %d probes, %d before; %d of %d served", during, trials, before, served, offered)
+		t.Errorf("%d requests to the unreachable zone beside %d probes, %d before; %d of %d served", during, probes, before, served, offered)
 	}
-	if trials < nodes*5 || trials > nodes*50 {
-		t.Errorf("%d nodes made %d probes in five seconds", nodes, trials)
+	if probes < nodes*5 || probes > nodes*50 {
+		t.Errorf("%d nodes made %d probes in five seconds", nodes, probes)
 	}
 	if after*4 < before*3 {
 		t.Errorf("the zone gets %d requests once it is back, %d before", after, before)
@@ -162,7 +162,7 @@
 func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
 	rescued := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
-			z := newZoned(t, seed, 3, 40, nil)
+			z := newZonedFleet(t, seed, 3, 40, nil)
 			z.run(class, 30, 5*time.Second)
 			z.silent["zone1"] = true
 			o, _ := z.run(class, 30, 500*msec)
@@ -181,16 +181,16 @@
 
 // What tells of one server, of everybody or of this node itself is held against no zone.
 func TestSilenceAcrossZonesBlamesNoZone(t *testing.T) {
-	for name, c := range map[string]func(*zoned){
-		"one server hangs":                      func(z *zoned) { z.hung["s0000"] = true },
-		"everybody is five times as slow":       func(z *zoned) { z.took *= 5 },
-		"this node is unreachable":              func(z *zoned) { z.silent["zone0"], z.silent["zone1"], z.silent["zone2"] = true, true, true },
-		"nothing is wrong":                      func(z *zoned) {},
-		"few requests, of which some take long": func(z *zoned) { z.took *= 2 },
+	for name, c := range map[string]func(*zonedFleet){
+		"one server hangs":                      func(z *zonedFleet) { z.hung["s0000"] = true },
+		"everybody is five times as slow":       func(z *zonedFleet) { z.latency *= 5 },
+		"this node is unreachable":              func(z *zonedFleet) { z.silent["zone0"], z.silent["zone1"], z.silent["zone2"] = true, true, true },
+		"nothing is wrong":                      func(z *zonedFleet) {},
+		"few requests, of which some take long": func(z *zonedFleet) { z.latency *= 2 },
 	} {
 		muted, all := 0, 0
 		for seed := range uint64(10) {
-			z := newZoned(t, seed, 3, 40, nil)
+			z := newZonedFleet(t, seed, 3, 40, nil)
 			z.run("pay", 20, 5*time.Second)
 			c(z)
 			for range 100 {
@@ -211,7 +211,7 @@
 
 // A zone that was lost comes back as servers that have begun anew: they are no part of what was silent.
 func TestRestartedServersDoNotCountAsSilent(t *testing.T) {
-	z := newZoned(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
+	z := newZonedFleet(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
 	z.run("pay", 20, 5*time.Second)
 	z.silent["zone1"] = true
 	z.run("pay", 20, 3*time.Second)
@@ -233,7 +233,7 @@
 
 // A node whose subset lies in the unreachable zone hears nobody: it asks beyond its subset, and learns that others answer.
 func TestNodeWithoutAnswersProbesBeyondItsSubset(t *testing.T) {
-	z := newZoned(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
+	z := newZonedFleet(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
 	l := ServerList{Full: true}
 	for i := range 120 { // the subset is a run from the start of each group, which begin with 0 and 60
 		zone := fmt.Sprint("zone", 1+i%2)
@@ -261,7 +261,7 @@
 	for _, copies := range []int{10, 100, 1000} {
 		before, during, others := 0, 0, 0
 		for i := range copies {
-			z := newZoned(t, uint64(i), 3, max(3, copies/5), func(s *Settings) { s.Balancers, s.Index = copies, i })
+			z := newZonedFleet(t, uint64(i), 3, max(3, copies/5), func(s *Settings) { s.Balancers, s.Index = copies, i })
 			z.run("pay", 5, 2*time.Second)
 			clear(z.sent)
 			z.run("pay", 5, 2*time.Second)
@@ -269,9 +269,9 @@
 			z.silent["zone1"] = true
 			z.run("pay", 5, 3*time.Second)
 			clear(z.sent)
-			z.let = 0
+			z.probesSent = 0
 			z.run("pay", 5, 2*time.Second)
-			during += z.sent["zone1"] - z.let
+			during += z.sent["zone1"] - z.probesSent
 			others += z.sent["zone0"] + z.sent["zone2"]
 		}
 		if during*10 > before {
