--- /dev/null
+++ b/internal/wire/decoder.go
@@ -0,0 +1,281 @@
+package wire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"damsontrestle/internal/balancer"
+)
+
+const (
+	maxLists   = 16      // lists that are kept by number
+	readBuffer = 1 << 20 // bytes
+	noInstance = -1
+	flagRetry  = 2 // bit of a job_in line: the client marked the request as a retry
+)
+
+// Decoder reads messages one at a time.
+type Decoder struct {
+	r        *bufio.Reader
+	line     int
+	inBatch  bool
+	instance int
+	lists    [maxLists][]balancer.Server
+}
+
+// NewDecoder returns a Decoder that reads r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{r: bufio.NewReaderSize(r, readBuffer), instance: noInstance}
+}
+
+// readLine returns the next line without its end. It returns io.ErrUnexpectedEOF for one that has none.
+func (d *Decoder) readLine() (string, error) {
+	s, err := d.r.ReadString('\n')
+	if err == io.EOF {
+		if s == "" {
+			return "", io.EOF
+		}
+		return "", io.ErrUnexpectedEOF
+	}
+	d.line++
+	return strings.TrimRight(s, "\r\n"), err
+}
+
+// Next returns the next message. It returns io.EOF when the input ends between two batches, and
+// an error that names the line for anything else that ends or spoils the input.
+func (d *Decoder) Next() (Message, error) {
+	for {
+		s, err := d.readLine()
+		if err == io.EOF && !d.inBatch {
+			return Message{}, io.EOF
+		}
+		if err == io.EOF || err == io.ErrUnexpectedEOF {
+			return Message{}, fmt.Errorf("line %d: input ends inside a batch", d.line+1)
+		}
+		if err != nil {
+			return Message{}, fmt.Errorf("line %d: %w", d.line+1, err)
+		}
+		if s == "" {
+			continue
+		}
+		m, skip, err := d.decode(s)
+		if err != nil {
+			return Message{}, fmt.Errorf("line %d: %w", d.line, err)
+		}
+		if !skip {
+			return m, nil
+		}
+	}
+}
+
+// decode handles one line; skip is true for lines that only change the decoder's state.
+func (d *Decoder) decode(line string) (m Message, skip bool, err error) {
+	name, rest, _ := strings.Cut(line, "\t")
+	if err := d.checkOrder(name); err != nil {
+		return m, false, err
+	}
+	f := &fields{name: name, parts: strings.Split(rest, "\t")}
+	m.Instance = d.instance
+	switch name {
+	case "sync":
+		m.Kind = Sync
+		m.Now = f.ms(0)
+		d.inBatch = true
+		d.instance = noInstance
+	case "eob":
+		m.Kind = End
+		d.inBatch = false
+	case "about":
+		d.decodeAbout(f)
+		return m, true, f.err
+	case "list":
+		return m, true, d.readList(f)
+	case "hello":
+		m.Kind = Hello
+		m.Seed, m.Settings, err = decodeHello(f, rest)
+		return m, false, err
+	case "crash_now":
+		m.Kind = Stop
+	case "checked", "mail":
+		m.Kind = Other
+	default:
+		m.Kind = Event
+		m.Event, err = d.decodeEvent(f)
+		return m, false, err
+	}
+	return m, false, f.err
+}
+
+// checkOrder refuses a line that may not come here: outside a batch, or before the instance that it is for is named.
+func (d *Decoder) checkOrder(name string) error {
+	if name == "sync" {
+		if d.inBatch {
+			return errors.New("sync inside a batch")
+		}
+		return nil
+	}
+	if !d.inBatch {
+		return fmt.Errorf("%s outside a batch", quote(name))
+	}
+	switch name {
+	case "eob", "list", "about":
+		return nil
+	}
+	if d.instance < 0 {
+		return fmt.Errorf("%s before any about", quote(name))
+	}
+	return nil
+}
+
+// decodeAbout takes the instance that the lines after this one are for.
+func (d *Decoder) decodeAbout(f *fields) {
+	d.instance = f.num(0)
+	if f.err == nil && d.instance < 0 {
+		f.fail(0, "is negative")
+	}
+}
+
+// decodeHello reads the seed and the settings of a new instance. The settings are the rest of the line, tabs and all.
+func decodeHello(f *fields, rest string) (seed uint64, settings balancer.Settings, err error) {
+	seedText, settingsText, found := strings.Cut(rest, "\t")
+	if !found {
+		return 0, settings, errors.New("hello lacks its settings")
+	}
+	f.parts[0] = seedText
+	seed = f.seed(0)
+	if f.err != nil {
+		return seed, settings, f.err
+	}
+	settings, err = ParseSettings([]byte(settingsText))
+	return seed, settings, err
+}
+
+// decodeEvent reads an event of an instance.
+func (d *Decoder) decodeEvent(f *fields) (balancer.Event, error) {
+	var e balancer.Event
+	switch f.name {
+	case "announce":
+		e = d.decodeAnnounce(f)
+	case "job_in":
+		e = balancer.Request{
+			ID:       f.text(0),
+			Deadline: f.ms(1),
+			Class:    f.text(3),
+			Retry:    f.optNum(4)&flagRetry != 0,
+		}
+	case "ring":
+		e = balancer.Timer{Token: f.text(0)}
+	case "outcome":
+		e = balancer.Outcome{
+			ID:      f.text(0),
+			Server:  f.text(1),
+			Latency: f.ms(2),
+			Ended:   f.text(3) == "1",
+			Attempt: f.num(4),
+			Result:  f.result(5),
+			Load:    f.load(6),
+		}
+	case "timed_out_client":
+		e = balancer.ClientDisconnected{ID: f.text(0)}
+	case "flowing":
+		e = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
+	default:
+		return nil, fmt.Errorf("unknown message %s", quote(f.name))
+	}
+	return e, f.err
+}
+
+// Modes of an announce line.
+const (
+	announceChanges = iota
+	announceFull
+	announceCached
+	announceFailed
+)
+
+// decodeAnnounce reads which list is announced, and how; nil if a value is wrong.
+func (d *Decoder) decodeAnnounce(f *fields) balancer.Event {
+	mode := f.num(0)
+	switch mode {
+	case announceChanges, announceFull, announceCached:
+		n := f.num(1)
+		if f.err != nil {
+			return nil
+		}
+		if n < 0 || n >= len(d.lists) {
+			f.fail(1, "is no list number")
+			return nil
+		}
+		return balancer.ServerList{
+			Full:    mode != announceChanges,
+			Cached:  mode == announceCached,
+			Servers: d.lists[n],
+		}
+	case announceFailed:
+		return balancer.ListFailed{}
+	}
+	f.fail(0, "is no mode")
+	return nil
+}
+
+// readList reads a list and its items, and keeps it under its number.
+func (d *Decoder) readList(f *fields) error {
+	table := f.num(0)
+	count := f.num(1)
+	if f.err != nil {
+		return f.err
+	}
+	if table < 0 || table >= len(d.lists) || count < 0 {
+		return errors.New("list number or length out of range")
+	}
+	var servers []balancer.Server
+	for i := range count {
+		line, err := d.readLine()
+		if err != nil {
+			return fmt.Errorf("list ends after %d of %d items", i, count)
+		}
+		name, rest, _ := strings.Cut(line, "\t")
+		if name != "item" {
+			return fmt.Errorf("want item %d of %d, got %s", i+1, count, quote(name))
+		}
+		s, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
+		if err != nil {
+			return err
+		}
+		servers = append(servers, s)
+	}
+	d.lists[table] = servers
+	return nil
+}
+
+// States of a server on the wire.
+const (
+	stateDraining = iota
+	stateRemoved
+	stateReady
+)
+
+// decodeItem reads one server of a list.
+func decodeItem(f *fields) (balancer.Server, error) {
+	s := balancer.Server{
+		ID:   f.text(0),
+		Zone: f.text(1),
+		Cell: f.num(3),
+		Size: f.size(5),
+		Boot: f.optMS(6),
+	}
+	switch f.num(4) {
+	case stateReady:
+		s.State = balancer.Ready
+	case stateDraining:
+		s.State = balancer.Draining
+	case stateRemoved:
+		s.State = balancer.Removed
+	default:
+		f.fail(4, "is no state")
+	}
+	return s, f.err
+}
