--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,9 +1,10 @@
-// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard input, one reply for each on
+// standard output. It decides nothing itself.
 package main
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -20,7 +21,7 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written whole or not at all.
+// run serves batches until the input ends. A reply is written as a whole or not at all.
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	var reply bytes.Buffer
@@ -29,7 +30,7 @@
 	var now time.Duration
 	for {
 		m, err := dec.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,7 +9,7 @@
 const hello = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
-func TestRunAnswersABatch(t *testing.T) {
+func TestEachBatchGetsOneReply(t *testing.T) {
 	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + hello + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
 	var out bytes.Buffer
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
+func TestBadInputEndsWithoutPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
@@ -37,7 +37,7 @@
 
 // A killed instance forgets all: what comes after its fresh start for an old request is ignored,
 // and with an empty list a new request is held.
-func TestKillAndFreshStart(t *testing.T) {
+func TestKilledInstanceForgetsItsRequests(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
 		"sync\t4\nabout\t0\ncrash_now\n" + hello + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
-func all(t *testing.T, text string) ([]Message, error) {
+func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
 	var l []Message
@@ -30,8 +30,8 @@
 	}
 }
 
-func TestDecode(t *testing.T) {
-	l, err := all(t, sample)
+func TestDecodeResolvesBatch(t *testing.T) {
+	l, err := decodeAll(t, sample)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameLineAndValue(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
 		"sync\tx\n":                            "line 1: sync: value 1 is no time",
@@ -63,7 +63,7 @@
 		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
 		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
 	} {
-		if _, err := all(t, text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := decodeAll(t, text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestEncode(t *testing.T) {
+func TestEncodeWritesActionsByInstance(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
