--- /dev/null
+++ b/internal/balancer/random_host_test.go
@@ -0,0 +1,297 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// run drives a Balancer with random legal events and odd ones, and returns all its actions.
+func run(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
+	t.Helper()
+	h := &randomHost{
+		t:       t,
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		set:     set,
+		current: set,
+		checker: c,
+		fleet:   servers(8),
+		ended:   map[string]bool{},
+	}
+	h.start(seed)
+	h.give(ServerList{Full: true, Cached: true, Servers: h.fleet})
+	for i := range steps {
+		h.now += set.Tick
+		if h.rng.IntN(700) == 0 {
+			h.restart(seed + uint64(i))
+		}
+		h.fireTimers()
+		h.endAttempts()
+		if i < steps*3/4 && h.rng.IntN(3) == 0 {
+			h.request(fmt.Sprint("r", i))
+		}
+		if h.rng.IntN(60) == 0 {
+			h.changeServer()
+		}
+		h.answerPolls()
+		if h.rng.IntN(150) == 0 {
+			h.give(Reconfigure{changedSettings(h.rng, set)})
+		}
+		if h.rng.IntN(40) == 0 {
+			h.giveOddEvents()
+		}
+		if h.rng.IntN(50) == 0 && len(h.ids) > 0 {
+			h.disconnect(h.ids[h.rng.IntN(len(h.ids))])
+		}
+	}
+	return h.log, h.b
+}
+
+// randomHost carries out the actions of one Balancer with drawn delays and results.
+type randomHost struct {
+	t       testing.TB
+	rng     *rand.Rand
+	set     Settings // at the start
+	current Settings // after the last Reconfigure
+	checker *ruleChecker
+	b       *Balancer
+	now     time.Duration
+	fleet   []Server
+	open    []openAttempt
+	timers  []SetTimer
+	polled  []Poll // one for each server
+	ids     []string
+	ended   map[string]bool
+	log     []string
+}
+
+// openAttempt is an attempt that the host carries out.
+type openAttempt struct {
+	id       string
+	number   int
+	server   string
+	due      time.Duration
+	timesOut bool
+}
+
+// start begins a Balancer with the settings that hold now.
+func (h *randomHost) start(seed uint64) {
+	h.t.Helper()
+	b, err := New(h.current, seed)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.b = b
+}
+
+// restart kills the Balancer, with all that is open, and starts another one.
+func (h *randomHost) restart(seed uint64) {
+	h.t.Helper()
+	h.open = nil
+	h.timers = nil
+	h.polled = nil
+	h.start(seed)
+	if h.checker != nil {
+		h.checker.restart()
+	}
+	h.give(ServerList{Full: true, Cached: true, Servers: h.listed()})
+}
+
+// listed are the servers that are not removed.
+func (h *randomHost) listed() (list []Server) {
+	for _, s := range h.fleet {
+		if s.State != Removed {
+			list = append(list, s)
+		}
+	}
+	return list
+}
+
+// give hands an event to the Balancer and the checker, and takes the actions.
+func (h *randomHost) give(e Event) {
+	if r, ok := e.(Reconfigure); ok && validate(r.Settings) == nil {
+		h.current = r.Settings
+	}
+	if h.checker != nil {
+		h.checker.event(h.now, e)
+	}
+	acts := h.b.Handle(h.now, e)
+	if h.checker != nil {
+		h.checker.actions(h.now, acts)
+	}
+	for _, a := range acts {
+		h.log = append(h.log, fmt.Sprintf("%v %T%v", h.now, a, a))
+		switch a := a.(type) {
+		case Send:
+			h.send(a)
+		case SetTimer:
+			h.timers = append(h.timers, a)
+		case Poll:
+			for _, s := range a.Servers {
+				h.polled = append(h.polled, Poll{ID: a.ID, Servers: []string{s}})
+			}
+		}
+	}
+}
+
+// send begins an attempt and draws how long it takes.
+func (h *randomHost) send(a Send) {
+	number := 0
+	for _, o := range h.open {
+		if o.id == a.ID && o.number >= number {
+			number = o.number + 1
+		}
+	}
+	if r := h.b.requests[a.ID]; r != nil {
+		number = len(r.attempts) - 1
+	}
+	took := time.Duration(h.rng.ExpFloat64() * float64(120*msec))
+	o := openAttempt{id: a.ID, number: number, server: a.Server, due: h.now + took}
+	if h.rng.IntN(8) == 0 || took > a.Timeout {
+		o.due = h.now + a.Timeout
+		o.timesOut = true
+	}
+	h.open = append(h.open, o)
+}
+
+// fireTimers gives the timers that are due, now and then twice.
+func (h *randomHost) fireTimers() {
+	for k := 0; k < len(h.timers); k++ {
+		w := h.timers[k]
+		if w.At > h.now {
+			continue
+		}
+		h.timers = append(h.timers[:k], h.timers[k+1:]...)
+		k--
+		h.give(Timer{Token: w.Token})
+		if h.rng.IntN(20) == 0 {
+			h.give(Timer{Token: w.Token})
+		}
+	}
+}
+
+// endAttempts gives the outcomes that are due, now and then twice; some clients disconnect then.
+func (h *randomHost) endAttempts() {
+	for k := 0; k < len(h.open); k++ {
+		o := h.open[k]
+		if o.due > h.now {
+			continue
+		}
+		h.open = append(h.open[:k], h.open[k+1:]...)
+		k--
+		e := Outcome{ID: o.id, Attempt: o.number, Server: o.server, Result: h.drawResult(o)}
+		r := h.b.requests[o.id]
+		if e.Result == Success || r == nil || r.answered {
+			h.ended[o.id] = true
+		}
+		e.Ended = h.ended[o.id]
+		h.give(e)
+		if h.rng.IntN(10) == 0 {
+			h.give(e)
+		}
+		if h.rng.IntN(30) == 0 {
+			h.disconnect(o.id)
+		}
+	}
+}
+
+// drawResult draws how an attempt ends.
+func (h *randomHost) drawResult(o openAttempt) Result {
+	if o.timesOut {
+		return TimedOut
+	}
+	if h.rng.IntN(3) == 0 {
+		return Result(1 + h.rng.IntN(int(NotStarted)))
+	}
+	return Success
+}
+
+// disconnect has the client of a request leave.
+func (h *randomHost) disconnect(id string) {
+	h.give(ClientDisconnected{ID: id})
+	h.ended[id] = true
+}
+
+// request begins a request of a drawn class, one of which is unknown.
+func (h *randomHost) request(id string) {
+	class := []string{"get", "post", "pay", "odd"}[h.rng.IntN(4)]
+	h.ids = append(h.ids, id)
+	h.give(Request{ID: id, Class: class, Deadline: h.now + time.Duration(1+h.rng.IntN(1500))*msec})
+}
+
+// changeServer changes a server and tells of it by a full list or a change, or after a failure.
+func (h *randomHost) changeServer() {
+	s := &h.fleet[h.rng.IntN(len(h.fleet))]
+	s.State = ServerState(h.rng.IntN(3))
+	if h.rng.IntN(2) == 0 {
+		s.State = Ready
+		s.Boot = h.now
+	}
+	switch h.rng.IntN(4) {
+	case 0:
+		h.give(ServerList{Full: true, Servers: h.listed()})
+	case 1:
+		h.give(ListFailed{})
+		h.give(ServerList{Servers: []Server{*s}})
+	default:
+		h.give(ServerList{Servers: []Server{*s}})
+	}
+}
+
+// answerPolls gives load reports in any order, late, twice or not at all.
+func (h *randomHost) answerPolls() {
+	for k := 0; k < len(h.polled); k++ {
+		if h.rng.IntN(4) > 0 {
+			continue
+		}
+		poll := h.polled[k]
+		h.polled = append(h.polled[:k], h.polled[k+1:]...)
+		if h.rng.IntN(5) == 0 {
+			continue
+		}
+		load := ServerLoad{
+			Server: poll.Servers[0],
+			Busy:   float64(h.rng.IntN(12) - 1),
+			Age:    time.Duration(h.rng.IntN(300)) * msec,
+		}
+		e := LoadUpdate{ID: poll.ID, Loads: []ServerLoad{load}}
+		h.give(e)
+		if h.rng.IntN(10) == 0 {
+			h.give(e)
+		}
+	}
+}
+
+// giveOddEvents gives events of what nobody knows.
+func (h *randomHost) giveOddEvents() {
+	h.give(LoadUpdate{ID: "nobody", Loads: []ServerLoad{{Server: "nobody", Busy: 1}}})
+	h.give(Outcome{ID: "nobody", Attempt: 3, Result: Success})
+	h.give(Timer{Token: "r:nobody"})
+	h.give(Timer{Token: "x"})
+	h.give(ClientDisconnected{ID: "nobody"})
+}
+
+// changedSettings are other settings for the same place: classes of other effects, one more or one fewer, other bounds.
+// Now and then they are none that a Balancer could have.
+func changedSettings(rng *rand.Rand, set Settings) Settings {
+	next := set
+	next.Classes = append([]Class(nil), set.Classes...)
+	for i := range next.Classes {
+		c := &next.Classes[i]
+		if rng.IntN(3) == 0 {
+			c.Effect, c.Scope, c.Window = Effect(rng.IntN(3)), Scope(rng.IntN(3)), time.Duration(1+rng.IntN(1500))*msec
+		}
+	}
+	switch rng.IntN(5) {
+	case 0:
+		next.Classes = next.Classes[:1+rng.IntN(len(next.Classes))]
+	case 1:
+		next.Classes = append(next.Classes, Class{Name: "odd", Effect: Keyed, Window: time.Second, LatencyObjective: 400 * msec, Deadline: time.Second})
+	case 2:
+		next.MaxAttempts, next.Index, next.Balancers, next.PollChoices = 1+rng.IntN(5), rng.IntN(3), 3, rng.IntN(6)
+	case 3:
+		next.Classes = nil
+	}
+	return next
+}
