--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -39,7 +39,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
-	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: hotrestart.Listen, Line: enter(cfg, log), Start: ctx})
+	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: hotrestart.Listen, Processes: enter(cfg, log), Start: ctx})
 	if err != nil {
 		if ctx.Err() != nil {
 			log.Info("told to end before it listened", "error", err)
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -20,7 +20,7 @@
 	Partner  string   `json:"partner"`            // what this partner is called among all
 	Listener string   `json:"listener,omitempty"` // name of the one by which partners' requests come in; empty: none come
 	Requests string   `json:"calls,omitempty"`    // address at which partners reach it; empty: the listener's own
-	Holders  int      `json:"holders"`            // of a request replicated
+	Replicas int      `json:"holders"`            // of a request replicated
 	Memory   Size     `json:"memory"`             // for requests that are held for others
 	Keep     Duration `json:"keep"`               // that answers are kept after they were settled
 	Stale    Duration `json:"stale"`              // that the offers of a partner are used whose links have all ended
@@ -181,11 +181,11 @@
 // ---- Reading ----
 
 func (r *reader) federation(b *hclsyntax.Body, path, name string) *Federation {
-	f := &Federation{Partner: name, Holders: 3, Memory: 8 << 20, Keep: Duration(30 * time.Second), Stale: Duration(30 * time.Second), Silence: Duration(time.Second)}
+	f := &Federation{Partner: name, Replicas: 3, Memory: 8 << 20, Keep: Duration(30 * time.Second), Stale: Duration(30 * time.Second), Silence: Duration(time.Second)}
 	r.body(b, path, []field{
 		{"listener", false, text(&f.Listener)},
 		{"calls", false, text(&f.Requests)},
-		{"holders", false, integer(&f.Holders)},
+		{"holders", false, integer(&f.Replicas)},
 		{"memory", false, size(&f.Memory)},
 		{"keep", false, duration(&f.Keep)},
 		{"stale", false, duration(&f.Stale)},
@@ -272,7 +272,7 @@
 
 // Bounds of a federation.
 const (
-	maxHolders  = 7
+	maxReplicas = 7
 	maxHops     = 8
 	maxRoutes   = 100_000
 	maxGateways = 10_000
@@ -317,7 +317,7 @@
 	if f.Requests != "" {
 		k.target(path+".calls", f.Requests)
 	}
-	k.number(path+".holders", f.Holders, 1, maxHolders)
+	k.number(path+".holders", f.Replicas, 1, maxReplicas)
 	if f.Memory < 64<<10 || f.Memory > maxMemory {
 		k.fail(path+".memory", "found %v; allowed: %v to %v", f.Memory, Size(64<<10), Size(maxMemory))
 	}
@@ -450,7 +450,7 @@
 				k.fail(path+".classes", "found %q: there is no class of that name", c)
 			}
 		}
-		if len(q.Candidates)%2 == 0 || len(q.Candidates) > maxHolders {
+		if len(q.Candidates)%2 == 0 || len(q.Candidates) > maxReplicas {
 			k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, so that a majority of them is one", len(q.Candidates))
 		}
 		seen := map[string]bool{}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -382,7 +382,7 @@
 	}
 	note, _ := c.Class("note")
 	drilling, _ := find(c.Partners, "drilling", Partner.name)
-	if f := c.Federation; f == nil || f.Partner != "chavara" || f.Holders != 3 || f.Memory != 16<<20 || len(c.Partners) != 2 || len(c.Exports) != 2 || len(c.Quotas) != 1 ||
+	if f := c.Federation; f == nil || f.Partner != "chavara" || f.Replicas != 3 || f.Memory != 16<<20 || len(c.Partners) != 2 || len(c.Exports) != 2 || len(c.Quotas) != 1 ||
 		note.Replication == nil || note.Replication.WhenAlone != RejectAlone || drilling.Preference != 200 || drilling.Links != 2 || c.Exports[1].MaxHops != 1 || len(c.Quotas[0].Candidates) != 3 {
 		t.Errorf("got %+v", c)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 		Step:           g.successorStep,
 		Heartbeat:      heartbeat(federation),
 		Silence:        silence,
-		Replicas:       federation.Holders,
+		Replicas:       federation.Replicas,
 		Memory:         int(federation.Memory),
 		Retention:      time.Duration(federation.Keep),
 		MaxIntentAge:   silence / 2,
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -76,7 +76,7 @@
 	return func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
 		cfg := node.OwnConfig(node.Pooled("p", server))
 		cfg.Listeners[0].Protocol = protocol
-		n, err := node.New(cfg, log, node.EndsSoon(node.Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }}))
+		n, err := node.New(cfg, log, node.WithShortShutdown(node.Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 func askLink(t *testing.T, address string, i int) {
 	t.Helper()
 	up := make(chan *peering.Link, 1)
-	o := gatewayOptions(fmt.Sprint("a", i), node.Quiet())
+	o := gatewayOptions(fmt.Sprint("a", i), node.DiscardLog())
 	o.Up = func(l *peering.Link) { up <- l }
 	other, err := peering.Open(o)
 	if err != nil {
@@ -130,12 +130,12 @@
 // Whatever accept fails with, on any of the process's listeners, what comes before it, between two failures and
 // behind them is served, the log is told of it once a second at most, and the end, in the midst of failures that go
 // on, leaves nothing behind.
-func TestEveryListenerOutlivesAcceptsThatFail(t *testing.T) {
-	server := node.Box(t, "a")
+func TestListenersSurviveAcceptErrors(t *testing.T) {
+	server := node.NewTestServer(t, "a")
 	for _, kind := range acceptingKinds(server) {
 		t.Run(kind.name, func(t *testing.T) {
 			known := goleak.IgnoreCurrent()
-			log := &node.Text{}
+			log := &node.LogBuffer{}
 			ln := testpeer.NewFailingListener(t)
 			begin := time.Now()
 			stop := kind.serve(t, ln, slog.New(slog.NewTextHandler(log, nil)))
--- a/internal/node/adopt_test.go
+++ b/internal/node/adopt_test.go
@@ -49,8 +49,8 @@
 
 // A change's classes and the gateway's rules for them come at once: no request gets in between, whether it was read under the
 // old view or is to be read under the new one. Requests are begun just before the rules are adopted and just after: each must
-// wait for the whole change, so that one that was read before is stale, and one read after goes by both.
-func TestRulesAndViewOfAChangeAreAdoptedAtOnce(t *testing.T) {
+// wait for the complete change, so that one that was read before is stale, and one read after goes by both.
+func TestRulesAndSnapshotChangeAtomically(t *testing.T) {
 	server := newTestServer(t, "a").Address()
 	keyFile := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(keyFile, []byte(strings.Repeat("k", 32)), 0o600); err != nil {
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -32,9 +32,9 @@
 	sockets   map[string]*socket // bound for the change
 	pools     map[string]*pool   // made for it, running
 	updates   []update           // of the pools that stay
-	view      *dispatch.Snapshot
+	snapshot  *dispatch.Snapshot
 	listeners map[string]*listener
-	undo      []func()
+	rollbacks []func()
 }
 
 // Prepare makes a checked configuration ready. It may take until every new list of servers has come, but no
@@ -44,7 +44,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.ending:
+	case n.shuttingDown:
 		return nil, ErrShuttingDown
 	case n.change != nil:
 		return nil, ErrBusy
@@ -54,7 +54,7 @@
 	n.mu.Unlock()
 	err := c.prepare(ctx, wait)
 	n.mu.Lock()
-	if err == nil && n.ending {
+	if err == nil && n.shuttingDown {
 		err = ErrShuttingDown
 	}
 	if err != nil {
@@ -67,10 +67,10 @@
 
 // rollBack undoes what was prepared, the last first.
 func (c *Change) rollBack() {
-	for i := len(c.undo) - 1; i >= 0; i-- {
-		c.undo[i]()
+	for i := len(c.rollbacks) - 1; i >= 0; i-- {
+		c.rollbacks[i]()
 	}
-	c.undo = nil
+	c.rollbacks = nil
 }
 
 // Undo leaves everything as it was.
@@ -103,10 +103,10 @@
 			return err
 		}
 	}
-	if err := c.makeView(); err != nil {
+	if err := c.makeSnapshot(); err != nil {
 		return err
 	}
-	return c.warm(ctx, wait)
+	return c.awaitLists(ctx, wait)
 }
 
 // checkDescriptors holds what is asked for against the limits, with what retiring pools still have.
@@ -140,7 +140,7 @@
 	}
 	// A socket of this address that an earlier change left behind is still being closed, a moment at most.
 	c.node.mu.Lock()
-	closing := c.node.closing[key]
+	closing := c.node.closingSockets[key]
 	c.node.mu.Unlock()
 	if closing != nil {
 		<-closing
@@ -150,7 +150,7 @@
 		return err
 	}
 	c.sockets[key] = s
-	c.undo = append(c.undo, func() { s.shut() })
+	c.rollbacks = append(c.rollbacks, func() { s.shutdown() })
 	return c.after("bind " + l.Name)
 }
 
@@ -190,18 +190,18 @@
 		}
 		made.start()
 		c.pools[p.Name] = made
-		c.undo = append(c.undo, made.close)
+		c.rollbacks = append(c.rollbacks, made.close)
 		return c.after("make pool " + p.Name)
 	}
 	u := update{pool: old, cfg: p, settings: c.cfg.Settings(p)}
-	if u.move() && p.Registry != nil {
+	if u.registryChanged() && p.Registry != nil {
 		if err := c.fault("watch for pool " + p.Name); err != nil {
 			return fmt.Errorf("pool %q: %w", p.Name, err)
 		}
 		u.source = n.newSource(*p.Registry, -1, n.log.With("pool", p.Name))
 		u.source.start()
 		u.source.watch.Subscribe()
-		c.undo = append(c.undo, u.source.stop)
+		c.rollbacks = append(c.rollbacks, u.source.stop)
 		if err := c.after("watch for pool " + p.Name); err != nil {
 			return err
 		}
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// makeView makes the view under which requests will be read.
-func (c *Change) makeView() error {
+// makeSnapshot makes the routing snapshot under which requests will be read.
+func (c *Change) makeSnapshot() error {
 	if err := c.fault("compile routes"); err != nil {
 		return fmt.Errorf("routes: %w", err)
 	}
@@ -223,13 +223,13 @@
 		engines[u.pool.name] = u.pool.engine
 	}
 	var err error
-	c.view, err = dispatch.NewSnapshot(c.cfg, engines)
+	c.snapshot, err = dispatch.NewSnapshot(c.cfg, engines)
 	return err
 }
 
-// warm waits until the registries of new pools, and new registries of old ones, have listed servers in
+// awaitLists waits until the registries of new pools, and new registries of old ones, have listed servers in
 // service.
-func (c *Change) warm(ctx context.Context, wait time.Duration) error {
+func (c *Change) awaitLists(ctx context.Context, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
@@ -279,11 +279,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.change = nil
-	if n.ending {
+	if n.shuttingDown {
 		c.rollBack()
 		return ErrShuttingDown
 	}
-	c.undo = nil
+	c.rollbacks = nil
 	gone := c.swap()
 	n.resize(c.cfg)
 	for _, class := range c.cfg.Classes {
@@ -301,16 +301,16 @@
 	return nil
 }
 
-// remains is what a change leaves behind.
-type remains struct {
+// replaced is what a change leaves behind.
+type replaced struct {
 	pools   []*pool
 	sources []*source
 	fronts  []*listener
 	sockets []*socket
 }
 
-// swap has every request from now on taken under the new view, by pools that go by the new configuration.
-func (c *Change) swap() (gone remains) {
+// swap has every request from now on taken under the new routing snapshot, by pools that go by the new configuration.
+func (c *Change) swap() (gone replaced) {
 	n := c.node
 	pools := map[string]*pool{}
 	for name, p := range c.pools {
@@ -325,10 +325,10 @@
 		}
 	}
 	if n.requests == nil {
-		n.requests = dispatch.New(c.view)
+		n.requests = dispatch.New(c.snapshot)
 	}
 	now := n.clock.Now()
-	n.requests.Swap(c.view, func() {
+	n.requests.Swap(c.snapshot, func() {
 		if n.gateway != nil {
 			n.adopt(c.cfg)
 		}
@@ -356,7 +356,7 @@
 }
 
 // switchListeners has every listener of the new configuration accept, and no other.
-func (c *Change) switchListeners(gone *remains) {
+func (c *Change) switchListeners(gone *replaced) {
 	n := c.node
 	sockets, listeners := map[string]*socket{}, map[string]*listener{}
 	for _, l := range c.cfg.Listeners {
@@ -386,7 +386,7 @@
 		}
 	}
 	n.sockets, n.listeners = sockets, listeners
-	n.follow(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.At(n.clock.Now()))
 	if !n.serving {
 		return
 	}
@@ -403,52 +403,52 @@
 }
 
 // retire sees what a change left behind to its end.
-func (n *Node) retire(gone remains) {
+func (n *Node) retire(gone replaced) {
 	for _, s := range gone.sources {
-		n.behind(func() { s.stop() })
+		n.inBackground(func() { s.stop() })
 	}
 	for _, s := range gone.sockets {
 		closed := make(chan struct{})
-		n.closing[s.key] = closed
-		n.behind(func() {
+		n.closingSockets[s.key] = closed
+		n.inBackground(func() {
 			defer func() {
 				close(closed)
 				n.mu.Lock()
-				delete(n.closing, s.key)
+				delete(n.closingSockets, s.key)
 				n.mu.Unlock()
 			}()
 			if err := s.release(acceptGrace); err != nil {
 				n.log.Warn("a listener's socket", "address", s.Addr(), "error", err)
 			}
-			s.shut()
+			s.shutdown()
 		})
 	}
 	for _, l := range gone.fronts {
 		l.front.SetReady(false)
-		n.leaving[l] = true
-		n.behind(func() {
+		n.retiringListeners[l] = true
+		n.inBackground(func() {
 			n.retireFront(l.front)
 			n.mu.Lock()
-			delete(n.leaving, l)
+			delete(n.retiringListeners, l)
 			n.mu.Unlock()
 		})
 	}
 	for _, p := range gone.pools {
-		n.retiring[p] = true
-		n.behind(func() {
+		n.retiringPools[p] = true
+		n.inBackground(func() {
 			p.retire()
 			n.mu.Lock()
-			delete(n.retiring, p)
+			delete(n.retiringPools, p)
 			n.mu.Unlock()
 		})
 	}
 }
 
-// behind runs a part of a retirement. The node's end waits for it.
-func (n *Node) behind(f func()) {
-	n.behindWork.Add(1)
+// inBackground runs a part of a retirement. close waits for it.
+func (n *Node) inBackground(f func()) {
+	n.background.Add(1)
 	go func() {
-		defer n.behindWork.Done()
+		defer n.background.Done()
 		f()
 	}()
 }
@@ -457,7 +457,7 @@
 func (n *Node) retiringConnections() (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for p := range n.retiring {
+	for p := range n.retiringPools {
 		sum += p.back.Connections()
 	}
 	return sum
@@ -467,15 +467,15 @@
 func (n *Node) StillDraining() (names []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.remains()
+	return n.retiringNames()
 }
 
-// remains names what is being retired. The caller holds mu.
-func (n *Node) remains() (names []string) {
-	for p := range n.retiring {
+// retiringNames names what is being retired. The caller holds mu.
+func (n *Node) retiringNames() (names []string) {
+	for p := range n.retiringPools {
 		names = append(names, "pool "+p.name)
 	}
-	for l := range n.leaving {
+	for l := range n.retiringListeners {
 		names = append(names, "listener "+l.cfg.Name)
 	}
 	slices.Sort(names)
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -58,8 +58,8 @@
 	if err := cfg.Check().Err(); err != nil {
 		t.Fatal(err)
 	}
-	if o.ending == nil {
-		o.ending = &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}
+	if o.shutdown == nil {
+		o.shutdown = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
 	}
 	n, err := New(cfg, quiet(), o)
 	if err != nil {
@@ -162,7 +162,7 @@
 
 // A pool that stays keeps its Balancer, which goes on from what it learned; what is new in its list is taken
 // as fresh, what stays is not.
-func TestAPoolThatStaysKeepsItsBalancer(t *testing.T) {
+func TestUnchangedPoolKeepsItsBalancer(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
 	wantServed(t, n, "main", "/view/k", "a")
@@ -219,7 +219,7 @@
 }
 
 // A class that turns unsafe while its requests are out: none is sent again, be its pool one that stays or goes.
-func TestClassThatTurnsUnsafe(t *testing.T) {
+func TestClassBecomesUnsafe(t *testing.T) {
 	for _, pool := range []string{"p", "another"} {
 		hold, got := make(chan struct{}), make(chan struct{}, 10)
 		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -244,7 +244,7 @@
 }
 
 // An address can pass from one listener to another, or two can change places, and no client is rejected.
-func TestAddressesPassBetweenListeners(t *testing.T) {
+func TestListenersExchangeAddresses(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	free := func() string { return testpeer.ClosedPort(t) }
 	one, two := free(), free()
@@ -469,7 +469,7 @@
 
 // A registry that is asked and refuses the first request of a change, as one that is crowded does, is asked again: also where
 // the change does not wait for its list, and no engine has heard of the failure.
-func TestARegistryThatRefusesAChangesFirstCallIsAskedAgain(t *testing.T) {
+func TestRegistryIsRetriedAfterRejectedSubscription(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	for _, wait := range []time.Duration{testpeer.Limit, 0} {
 		var requests atomic.Int64
@@ -552,7 +552,7 @@
 	a := newTestServer(t, "a")
 	silent := testpeer.NewAgent(t)
 	silent.Tell(true, "")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &shutdownSchedule{accept: 300 * time.Millisecond, last: time.Second, most: testpeer.Limit}})
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{shutdown: &shutdownSchedule{stopAccepting: 300 * time.Millisecond, answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -583,7 +583,7 @@
 // A change that was prepared before the end began is undone, not committed, after it.
 func TestCommitAfterShutdownChangesNothing(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{ending: &shutdownSchedule{last: time.Second, most: testpeer.Limit}})
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{shutdown: &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -653,7 +653,7 @@
 		time.Sleep(5 * time.Millisecond) // a moment of service between two changes
 	}
 	stop()
-	testpeer.Receive(t, done, "the callers' last answers")
+	testpeer.Receive(t, done, "the clients' last responses")
 	testpeer.Until(t, "all retired pools to go", func() bool { return len(n.StillDraining()) == 0 })
 	v := audit.Judge(boxes...)
 	for i, w := range v.Wrong {
@@ -669,7 +669,7 @@
 }
 
 // A listener that gets another protocol while its accepts fail goes over to it, without a wait for better times.
-func TestAListenerIsReleasedWhileAcceptsFail(t *testing.T) {
+func TestListenerIsReleasedWhileAcceptsFail(t *testing.T) {
 	ln := testpeer.NewFailingListener(t)
 	cfg := func(protocol config.Protocol) *config.Config {
 		c := ownConfig(pooled("p", newTestServer(t, "a")))
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -8,19 +8,19 @@
 
 // For the tests outside of the package, which use packages that use it.
 var (
-	AskFastCGI = askFastCGI
-	AskLine    = askLine
-	Box        = newTestServer
-	OwnConfig  = ownConfig
-	Pooled     = pooled
-	Quiet      = quiet
+	AskFastCGI    = askFastCGI
+	AskLine       = askLine
+	NewTestServer = newTestServer
+	OwnConfig     = ownConfig
+	Pooled        = pooled
+	DiscardLog    = quiet
 )
 
-// Text is what a log has written.
-type Text = text
+// LogBuffer is what a log has written.
+type LogBuffer = text
 
-// EndsSoon has a node close its listeners at once when it ends.
-func EndsSoon(o Options) Options {
-	o.ending = &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}
+// WithShortShutdown has a node close its listeners as soon as its shutdown begins.
+func WithShortShutdown(o Options) Options {
+	o.shutdown = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
 	return o
 }
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -37,7 +37,7 @@
 // Requests fail at each step of a request's and of a list's way, several at once: each request gets one final answer in time unless its own
 // connection was ended by a failure; nothing unsafe runs twice, and nothing that was refused has run; the node serves on, ends in order
 // and leaves nothing behind.
-func TestCallsThatFail(t *testing.T) {
+func TestFailedRequests(t *testing.T) {
 	seeds := fewSeeds
 	if text := os.Getenv(seedsVariable); text != "" {
 		var err error
@@ -74,7 +74,7 @@
 	return len(all)
 }
 
-// long is a body, of a request or of an answer, that passes through and is not kept whole.
+// long is a body, of a request or of an answer, that passes through and is never buffered completely.
 var long = strings.Repeat("x", 2*validation.MaxBody)
 
 // answerTo is what a server answers to a request: some answers pass through.
@@ -117,7 +117,7 @@
 	*cfg.registry() = agent.Address()
 	settle := time.Millisecond
 	cfg.Options.settle = &settle
-	cfg.Options.ending = &shutdownSchedule{last: time.Second, most: testpeer.Limit}
+	cfg.Options.shutdown = &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}
 	cfg.Options.Listen = func(network, address string) (net.Listener, error) {
 		ln, err := net.Listen(network, address)
 		if err != nil {
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -50,7 +50,7 @@
 }
 
 // The example's node serves the same servers in both protocols, once its addresses are this machine's.
-func TestTheFastCGIExample(t *testing.T) {
+func TestFastCGIExample(t *testing.T) {
 	cfg, problems := config.Load("../../deploy/fastcgi.hcl")
 	if err := problems.Err(); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 
 // A listener that changes its protocol and back: clients of the old one are served to the end, new ones are heard
 // in the new one, on the same socket.
-func TestAListenerChangesItsProtocol(t *testing.T) {
+func TestListenerChangesProtocol(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	a := testpeer.NewServer(t, testpeer.Echo)
 	a2 := testpeer.NewServer(t, testpeer.Held(hold, got))
--- a/internal/node/trouble_test.go
+++ b/internal/node/faults_test.go
@@ -64,7 +64,7 @@
 
 // Whatever other clients do, and though one server hangs and another does on some requests, each good request gets its one
 // final answer in time; who stops in the middle of a request gets its error or close within 3 s. Nor do they hold the end up.
-func TestTroubleCostsNoGoodRequestItsAnswer(t *testing.T) {
+func TestFaultsCostNoHealthyRequestItsResponse(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
 	var seen atomic.Int64
 	some := func(c net.Conn, r *http.Request, body string) bool {
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -33,13 +33,13 @@
 	*httptest.Server
 	bytes atomic.Int64 // of lists
 
-	mu    sync.Mutex
-	told  *sync.Cond     // a request has come
-	log   []listChange   // the n-th has version n+1
-	last  map[string]int // version of a server's last change
-	news  chan struct{}  // closed at the next change
-	whole int            // full snapshots that were asked for
-	heard int            // the version that was asked from last
+	mu        sync.Mutex
+	told      *sync.Cond     // a request has come
+	log       []listChange   // the n-th has version n+1
+	last      map[string]int // version of a server's last change
+	news      chan struct{}  // closed at the next change
+	snapshots int            // full snapshots that were asked for
+	heard     int            // the version that was asked from last
 }
 
 // listChange is one change of an entry.
@@ -103,7 +103,7 @@
 		a.mu.Lock()
 	}
 	if complete {
-		a.whole++
+		a.snapshots++
 	}
 	text := fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, len(a.log), complete, strings.Join(a.since(from), ","))
 	a.mu.Unlock()
@@ -149,7 +149,7 @@
 	cfg := testpeer.Config()
 	cfg.Pools[0].Registry.Address = strings.TrimPrefix(agent.URL, "http://")
 	cfg.Pools[0].Copies = config.Copies{Count: size.nodes, Index: size.nodes / 3}
-	n, err := NewPlatform(cfg, config.Start{Seed: 1}, quiet(), Options{ending: &shutdownSchedule{last: 100 * time.Millisecond, most: testpeer.Limit}})
+	n, err := NewPlatform(cfg, config.Start{Seed: 1}, quiet(), Options{shutdown: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,8 +225,8 @@
 		}
 	}
 	n.cpu, n.connections, n.bytes = cpuTime()-begun, int(made.Load()), agent.bytes.Load()
-	if agent.mu.Lock(); agent.whole != 1 {
-		t.Errorf("%d servers: the whole list was asked for %d times, want once", size.servers, agent.whole)
+	if agent.mu.Lock(); agent.snapshots != 1 {
+		t.Errorf("%d servers: the full snapshot was asked for %d times, want once", size.servers, agent.snapshots)
 	}
 	agent.mu.Unlock()
 	return n
@@ -254,7 +254,7 @@
 
 // With sixteen times the servers and nodes and the same traffic a node needs no more than the table of the fleet's terms
 // allows, and a change of the list takes about the same processor time however long the list is.
-func TestWhatANodeNeedsHardlyGrowsWithTheFleet(t *testing.T) {
+func TestResourceUseBarelyGrowsWithFleetSize(t *testing.T) {
 	const replaced = 300 // each in a message of its own
 	usual, most := playDay(t, usualSize, replaced, replaced), playDay(t, mostSize, replaced, replaced)
 	t.Logf("usual %+v, most %+v", usual, most)
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -18,10 +18,10 @@
 // is refused when a listener gets another name or protocol.
 type socket struct {
 	*netlistener.Listener
-	key   string        // of the address in configurations
-	front front         // that accepts from it; nil: none yet
-	ended chan error    // what its Serve returned
-	leave chan struct{} // closed when Serve is to return without a failure
+	key      string        // of the address in configurations
+	front    front         // that accepts from it; nil: none yet
+	served   chan error    // what its Serve returned
+	released chan struct{} // closed when Serve is to return without a failure
 }
 
 // socketKey tells whether two listeners, of one configuration or of two, would have the same socket. One whose
@@ -35,8 +35,8 @@
 
 // accept has a front end accept from the socket. If that fails, failed is told why.
 func (s *socket) accept(f front, failed func(error)) {
-	s.front, s.ended, s.leave = f, make(chan error, 1), make(chan struct{})
-	ended, leave := s.ended, s.leave
+	s.front, s.served, s.released = f, make(chan error, 1), make(chan struct{})
+	ended, leave := s.served, s.released
 	go func() {
 		err := f.Serve(s.Listener)
 		select {
@@ -54,23 +54,23 @@
 	if s.front == nil {
 		return nil
 	}
-	close(s.leave)
+	close(s.released)
 	if err := s.SetDeadline(time.Now().Add(after)); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	<-s.ended
+	<-s.served
 	s.front = nil
 	return s.SetDeadline(time.Time{})
 }
 
-// shut closes the socket.
-func (s *socket) shut() error {
-	if s.front != nil && !isClosed(s.leave) {
-		close(s.leave)
+// shutdown closes the socket.
+func (s *socket) shutdown() error {
+	if s.front != nil && !isClosed(s.released) {
+		close(s.released)
 	}
 	err := s.Close()
 	if s.front != nil {
-		<-s.ended
+		<-s.served
 		s.front = nil
 	}
 	if errors.Is(err, net.ErrClosed) {
--- a/internal/node/operators.go
+++ b/internal/node/management.go
@@ -38,7 +38,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case n.ending:
+	case n.shuttingDown:
 		return ErrShuttingDown
 	case !n.readiness.At(n.clock.Now()).Ready:
 		return errNotAccepting
@@ -71,28 +71,28 @@
 func (n *Node) Quiesce() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ending {
+	if n.shuttingDown {
 		return nil // who ends sends all away
 	}
 	n.readiness.Quiesce(n.clock.Now())
-	n.follow(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.At(n.clock.Now()))
 	if n.closingConnections != nil {
 		return nil
 	}
 	n.log.Info("clients are sent away")
 	var ctx context.Context
 	ctx, n.closingConnections = context.WithCancel(n.incarnation)
-	n.behind(func() { n.part(ctx) })
+	n.inBackground(func() { n.closeIdleConnections(ctx) })
 	return nil
 }
 
-// part lets clients go until ctx ends or the node does.
-func (n *Node) part(ctx context.Context) {
+// closeIdleConnections closes idle client connections until ctx or the node ends.
+func (n *Node) closeIdleConnections(ctx context.Context) {
 	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleStep) {
 		n.mu.Lock()
-		if ctx.Err() == nil && !n.ending {
+		if ctx.Err() == nil && !n.shuttingDown {
 			s := n.readiness.At(n.clock.Now())
-			n.follow(s)
+			n.applyReadiness(s)
 			for _, l := range n.listeners {
 				if s.CloseConnections {
 					l.front.CloseQuiet()
@@ -115,13 +115,13 @@
 		n.closingConnections = nil
 		n.log.Info("clients are accepted again")
 	}
-	n.follow(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.At(n.clock.Now()))
 	return nil
 }
 
-// follow has the front ends do what the duty says. The caller holds mu.
-func (n *Node) follow(s readiness.State) {
-	if n.ending {
+// applyReadiness has the front ends follow the readiness state. The caller holds mu.
+func (n *Node) applyReadiness(s readiness.State) {
+	if n.shuttingDown {
 		return // the end goes its own way
 	}
 	for _, l := range n.listeners {
@@ -130,8 +130,8 @@
 	}
 }
 
-// share keeps to half of the limits while another process of this node has the other half.
-func (n *Node) share(two bool) {
+// shareLimits halves the limits while another process of this node uses the other half.
+func (n *Node) shareLimits(two bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.hasSuccessor != two {
--- a/internal/node/operators_test.go
+++ b/internal/node/management_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("health right after quiesce: %d, want 503", status)
 	}
 	if said := management(t, n, "health"); said != "-ERR clients are sent away\n" {
-		t.Errorf("the door's health: %q", said)
+		t.Errorf("the management endpoint's health: %q", said)
 	}
 	idle.Get("during")
 	idle.Want(t, 200, "for during")
@@ -134,7 +134,7 @@
 		Listed                        int   `json:"registry_entries"`
 		Avoided                       int   `json:"out_of_rotation"`
 	}
-	testpeer.Until(t, "the figures to settle", func() bool {
+	testpeer.Until(t, "the metrics to settle", func() bool {
 		text, ended := strings.CutSuffix(management(t, n, "counters"), "\n.\n")
 		if !ended || json.Unmarshal([]byte(text), &got) != nil {
 			t.Fatalf("counters: %q", text)
@@ -143,11 +143,11 @@
 	})
 	for class, h := range heard {
 		if got.Fulfilled[class] != h[200] || got.Throttled[class] != h[503] || got.Faulted[class] != h[502] {
-			t.Errorf("%s: callers heard %v; the figures are %+v", class, h, got)
+			t.Errorf("%s: clients got %v; the metrics are %+v", class, h, got)
 		}
 	}
 	if got.Relayed != int64(s.Seen()) || got.Listed != 2 || got.Avoided < 1 || got.Avoided > 2 { // s1 may be out for its failures
-		t.Errorf("%d requests reached the servers; the figures are %+v", s.Seen(), got)
+		t.Errorf("%d requests reached the servers; the metrics are %+v", s.Seen(), got)
 	}
 }
 
@@ -168,9 +168,9 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(line.Leave)
-		cfg.Options.Listen, cfg.Options.Line = hotrestart.Listen, line
+		cfg.Options.Listen, cfg.Options.Processes = hotrestart.Listen, line
 		return startNode(t, cfg, func(n *Node) {
-			n.options.ending = &shutdownSchedule{accept: 200 * time.Millisecond, serve: 400 * time.Millisecond, last: testpeer.Limit, most: 2 * testpeer.Limit}
+			n.options.shutdown = &shutdownSchedule{stopAccepting: 200 * time.Millisecond, closeConnections: 400 * time.Millisecond, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
 		})
 	}
 	old, stop := process("")
@@ -230,7 +230,7 @@
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
-	old.options.Line.Leave() // as the end of its process does
+	old.options.Processes.Leave() // as the end of its process does
 	testpeer.Until(t, "the limits to be whole again", func() bool { return !halved(next) })
 	progress("calls with the next alone")
 	close(over)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 	log        *slog.Logger
 	options    Options
 	named      bool // pools are told apart in the log
-	start      *first
+	start      *initialState
 	servers    *descriptors.Share // of the connections to servers
 	metrics    metrics.Set
 	management *mgmt.Server      // nil: none
@@ -51,42 +51,42 @@
 	stop        context.CancelFunc
 	failed      chan error    // takes the first failure of a part
 	draining    chan struct{} // closed when the end begins
-	behindWork  sync.WaitGroup
+	background  sync.WaitGroup
 
 	mu                 sync.Mutex
 	cfg                *config.Config // that runs; nil before the first
 	sockets            map[string]*socket
 	listeners          map[string]*listener
 	pools              map[string]*pool
-	retiring           map[*pool]bool
-	leaving            map[*listener]bool       // whose clients are being let go
-	closing            map[string]chan struct{} // by the keys of sockets that a change left behind, closed once they are
+	retiringPools      map[*pool]bool
+	retiringListeners  map[*listener]bool       // whose clients are being let go
+	closingSockets     map[string]chan struct{} // by the keys of sockets that a change left behind, closed once they are
 	change             *Change                  // under way
 	serving            bool
-	ending             bool
+	shuttingDown       bool
 	readiness          readiness.Tracker
 	closingConnections context.CancelFunc // ends the closing clients that Quiesce began; nil: none is under way
 	hasSuccessor       bool               // another process of this node shares its limits
 }
 
-// first is what the first configuration's pools begin with.
-type first struct {
+// initialState is what the first configuration's pools begin with.
+type initialState struct {
 	seed  uint64
 	known discovery.List
 }
 
 // Options are what a node is given beside its configuration. The zero value will do.
 type Options struct {
-	Listen func(network, address string) (net.Listener, error) // nil: net.Listen
-	Limit  func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
-	Line   *hotrestart.Processes                               // of this node's processes; nil: this one is alone
-	Start  context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
-	Fault  func(point string) error                            // for tests: an error has a step of a change fail
-	ending *shutdownSchedule                                   // for tests: instead of what follows from the configuration
-	settle *time.Duration                                      // for tests: instead of http1.DefaultSettle
-	watch  func(*discovery.Watch)                              // for tests: changes a watch before it begins
-	back   func(*http1.Back)                                   // for tests: the same of a pool's connections
-	adopt  func()                                              // for tests: called just before and after a change's rules are adopted
+	Listen    func(network, address string) (net.Listener, error) // nil: net.Listen
+	Limit     func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
+	Processes *hotrestart.Processes                               // of this node's processes; nil: this one is alone
+	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
+	Fault     func(point string) error                            // for tests: an error has a step of a change fail
+	shutdown  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
+	settle    *time.Duration                                      // for tests: instead of http1.DefaultSettle
+	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
+	back      func(*http1.Back)                                   // for tests: the same of a pool's connections
+	adopt     func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
 // Starting is a context that ends when the start may no longer wait for sockets.
@@ -110,7 +110,7 @@
 		log.Warn("the known list is dropped", "error", err)
 		known = discovery.List{Full: true, Rev: -1}
 	}
-	return newNode(cfg, &first{start.Seed, known}, log, o)
+	return newNode(cfg, &initialState{start.Seed, known}, log, o)
 }
 
 // New puts a node together from a checked configuration and begins to listen. Nothing is served before Run.
@@ -118,17 +118,17 @@
 	return newNode(cfg, nil, log, o)
 }
 
-func newNode(cfg *config.Config, start *first, log *slog.Logger, o Options) (*Node, error) {
+func newNode(cfg *config.Config, start *initialState, log *slog.Logger, o Options) (*Node, error) {
 	if o.Listen == nil {
 		o.Listen = net.Listen
 	}
 	n := &Node{clock: clock.New(), log: log, options: o, named: start == nil, start: start, servers: descriptors.NewShare(0),
 		failed: make(chan error, 1), draining: make(chan struct{}), sockets: map[string]*socket{},
-		listeners: map[string]*listener{}, pools: map[string]*pool{}, retiring: map[*pool]bool{}, leaving: map[*listener]bool{}, closing: map[string]chan struct{}{}}
+		listeners: map[string]*listener{}, pools: map[string]*pool{}, retiringPools: map[*pool]bool{}, retiringListeners: map[*listener]bool{}, closingSockets: map[string]chan struct{}{}}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
 	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
-	if o.Line != nil {
-		n.hasSuccessor = !o.Line.Seated()
+	if o.Processes != nil {
+		n.hasSuccessor = !o.Processes.Seated()
 	}
 	n.resize(cfg)
 	starting, cancel := o.Starting()
@@ -148,7 +148,7 @@
 }
 
 // resize shares the descriptors of a configuration out: half of what is not the node's own may be servers'
-// connections, and clients have what servers leave. Two processes of one node have half of all each. The client
+// connections, and clients have what servers leave. Two processes of one node have half of all each. The caller
 // holds mu.
 func (n *Node) resize(cfg *config.Config) {
 	limits, room, spare := cfg.Node.Limits, cfg.Node.Limits.Descriptors-cfg.OwnDescriptors(), config.Reserved/2
@@ -219,11 +219,11 @@
 	n.mu.Unlock()
 	defer n.close()
 	if n.peers != nil {
-		n.behind(func() { n.peers.Run(n.incarnation) })
-		n.behind(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.Fresh)) })
+		n.inBackground(func() { n.peers.Run(n.incarnation) })
+		n.inBackground(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.Fresh)) })
 	}
-	if n.options.Line != nil {
-		n.behind(func() { n.options.Line.Watch(n.incarnation, n.share) })
+	if n.options.Processes != nil {
+		n.inBackground(func() { n.options.Processes.Watch(n.incarnation, n.shareLimits) })
 	}
 	select {
 	case err := <-n.failed:
@@ -243,8 +243,8 @@
 
 func (n *Node) close() {
 	n.mu.Lock()
-	if !n.ending {
-		n.ending = true
+	if !n.shuttingDown {
+		n.shuttingDown = true
 		close(n.draining)
 	}
 	sockets, pools := n.sockets, n.allPools()
@@ -260,12 +260,12 @@
 		n.peers.Close()
 	}
 	for _, s := range sockets {
-		s.shut()
+		s.shutdown()
 	}
 	for _, p := range pools {
 		p.close()
 	}
-	n.behindWork.Wait()
+	n.background.Wait()
 }
 
 // allPools are those that run and those that are being retired. The caller holds mu.
@@ -273,7 +273,7 @@
 	for _, p := range n.pools {
 		all = append(all, p)
 	}
-	for p := range n.retiring {
+	for p := range n.retiringPools {
 		all = append(all, p)
 	}
 	return all
@@ -309,7 +309,7 @@
 	for name, l := range n.listeners {
 		s.Listeners[name] = ListenerStatus{l.socket.Addr().String()}
 	}
-	s.Draining = n.remains()
+	s.Draining = n.retiringNames()
 	pools := n.pools
 	n.mu.Unlock()
 	if n.peers != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -161,8 +161,8 @@
 	moved := testConfig("")
 	*moved.registry() = next.Address()
 	n.Reload(moved.Config)
-	if q := testpeer.Receive(t, next.Asked, "the whole list"); q != "" {
-		t.Errorf("asked %q of the new address, want the whole list", q)
+	if q := testpeer.Receive(t, next.Asked, "the full snapshot"); q != "" {
+		t.Errorf("asked %q of the new address, want the full snapshot", q)
 	}
 	if q := testpeer.Receive(t, next.Asked, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.Rev())) {
 		t.Errorf("asked %q", q)
@@ -184,7 +184,7 @@
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.ending = &shutdownSchedule{accept: time.Second, serve: 2 * time.Second, last: testpeer.Limit, most: 2 * testpeer.Limit}
+		n.options.shutdown = &shutdownSchedule{stopAccepting: time.Second, closeConnections: 2 * time.Second, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
 	})
 	idle, held, mute := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	idle.Get("before")
@@ -228,7 +228,7 @@
 		return false
 	})
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.ending = &shutdownSchedule{last: 500 * time.Millisecond, most: testpeer.Limit}
+		n.options.shutdown = &shutdownSchedule{answerAll: 500 * time.Millisecond, finish: testpeer.Limit}
 	})
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Send("POST", "/note/k", "held", "x", "60")
@@ -241,7 +241,7 @@
 	}
 }
 
-// A client that has its last answer and does not close holds no end up, nor does one that never sends its request whole:
+// A client that has its last answer and does not close holds no end up, nor does one that never completes its request:
 // nothing is owed to them.
 func TestIdleClientsDoNotDelayShutdown(t *testing.T) {
 	for name, text := range map[string]string{
@@ -258,7 +258,7 @@
 			ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			*cfg.registry() = ag.Address()
-			cfg.Options.ending = &shutdownSchedule{accept: time.Millisecond, serve: time.Millisecond, last: 500 * time.Millisecond, most: 800 * time.Millisecond}
+			cfg.Options.shutdown = &shutdownSchedule{stopAccepting: time.Millisecond, closeConnections: time.Millisecond, answerAll: 500 * time.Millisecond, finish: 800 * time.Millisecond}
 			n, stop := startNode(t, cfg, nil)
 			c, half := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 			c.Get("held")
@@ -290,7 +290,7 @@
 	testpeer.Receive(t, ag.Asked, "the first watch")
 	ag.Tell(false, `{"rev":%d,"all":true,"targets":[`+testpeer.Entry("s1", s.Address(), "terminated")+`,{"uid":""}]}`)
 	if q := testpeer.Receive(t, ag.Asked, "the call after the bad list"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("asked %q, want the full snapshot", q)
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Get("r")
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -118,8 +118,10 @@
 	source   *source // a watch that has been tried; nil: the old one stays, or the configuration holds the list
 }
 
-// move says that the list comes from elsewhere than before.
-func (u update) move() bool { return !reflect.DeepEqual(u.pool.cfg.Registry, u.cfg.Registry) }
+// registryChanged says that the list comes from elsewhere than before.
+func (u update) registryChanged() bool {
+	return !reflect.DeepEqual(u.pool.cfg.Registry, u.cfg.Registry)
+}
 
 // commit has the pool go by the new configuration: the module first, then the list. It returns the watch that
 // is of no use any more.
@@ -128,7 +130,7 @@
 	if !reflect.DeepEqual(p.settings, u.settings) {
 		p.engine.Reconfigure(u.settings, !u.settings.PollDiscovery)
 	}
-	if u.move() {
+	if u.registryChanged() {
 		if old = p.source.Load(); old != nil {
 			old.relay.close()
 		}
@@ -137,7 +139,7 @@
 			u.source.relay.attach(p.engine)
 		}
 	}
-	if u.cfg.Registry == nil && (u.move() || !reflect.DeepEqual(p.cfg.Servers, u.cfg.Servers)) {
+	if u.cfg.Registry == nil && (u.registryChanged() || !reflect.DeepEqual(p.cfg.Servers, u.cfg.Servers)) {
 		list := staticList(u.cfg, p.static, now)
 		p.static = targetsOf(list)
 		p.engine.UpdateList(list)
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -10,34 +10,34 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// samplesPerWindow are how often a node looks at itself in the time for which facts are fresh: rates go over half of that.
+// samplesPerWindow is the number of samples taken while zone state is fresh; rates are computed over half of them.
 const samplesPerWindow = 8
 
-// sample is what the node's pools saw at a time.
+// sample holds the stats of the pools at one time.
 type sample struct {
 	at     time.Duration
 	stats  map[string]engine.Stats // by pool
 	zone   string                  // the node's
-	shared uint32                  // the number of what nodes' configurations have in common
+	shared uint32                  // the number of the part of the configuration that nodes share
 }
 
-// publishToPeers tells the room what the node sees, until ctx ends.
+// publishToPeers publishes the load of this node to its peers until ctx ends.
 func (n *Node) publishToPeers(ctx context.Context, fresh time.Duration) {
 	if fresh == 0 {
 		return
 	}
 	var past []sample
 	for ; ctx.Err() == nil; clock.Sleep(ctx, fresh/samplesPerWindow) {
-		g := n.lastSample()
+		g := n.takeSample()
 		if past = append(past, g); len(past) > samplesPerWindow/2+1 {
 			past = past[1:]
 		}
-		n.peers.PublishLoad(told(past[0], g))
+		n.peers.PublishLoad(loadBetween(past[0], g))
 	}
 }
 
-// lastSample looks at the pools.
-func (n *Node) lastSample() sample {
+// takeSample reads the stats of the running pools.
+func (n *Node) takeSample() sample {
 	g := sample{at: n.clock.Now(), stats: map[string]engine.Stats{}}
 	n.mu.Lock()
 	g.shared, g.zone = n.cfg.Shared(), n.cfg.Node.Zone
@@ -49,8 +49,8 @@
 	return g
 }
 
-// told is what is to be told of the time between two glimpses.
-func told(was, is sample) gossip.Load {
+// loadBetween is the load to publish for the time between two samples.
+func loadBetween(was, is sample) gossip.Load {
 	out := gossip.Load{Names: map[zonestate.Subject]string{}}
 	seconds := (is.at - was.at).Seconds()
 	subject := func(name string) zonestate.Subject {
@@ -87,13 +87,13 @@
 			rate(zonestate.Sent, name, float64(o.Ended), float64(z.Ended))
 			rate(zonestate.Bad, name, float64(o.Failures), float64(z.Failures))
 			rate(zonestate.Lag, name, o.TotalLatency.Seconds(), z.TotalLatency.Seconds())
-			if _, lists := s.Zones[is.zone]; name == is.zone || !lists { // each zone's nodes tell of its own
+			if _, lists := s.Zones[is.zone]; name == is.zone || !lists { // the nodes of a zone publish its servers
 				add(zonestate.Ready, name, float64(z.Ready))
 				add(zonestate.Warm, name, float64(z.WarmedUp))
 			}
 		}
 		for name, x := range s.Servers {
-			// Of servers only those are told of that are in trouble: the others are many, and alike.
+			// Only servers with failures are published: the others are many, and alike.
 			if bad := p.Servers[name].Failures; x.Failures > bad {
 				rate(zonestate.Failures, name, float64(bad), float64(x.Failures))
 				add(zonestate.InFlight, name, float64(x.InFlight))
--- a/internal/node/sample_test.go
+++ b/internal/node/sample_test.go
@@ -20,7 +20,7 @@
 		Zones:   map[string]engine.ZoneStats{"a": {Ended: 12, Failures: 3, TotalLatency: 2 * time.Second, Ready: 4, WarmedUp: 2}, "b": {Ready: 9}},
 		Servers: map[string]engine.ServerStats{"s1": {Failures: 3, InFlight: 6}, "s2": {Failures: 1, InFlight: 2}}, LatencyHistogram: [engine.Buckets]int64{4: 2}}}}
 	got := map[zonestate.Entry]bool{}
-	seen := told(was, is)
+	seen := loadBetween(was, is)
 	for _, e := range seen.Entries {
 		got[e] = true
 	}
--- a/internal/node/ending.go
+++ b/internal/node/shutdown.go
@@ -11,37 +11,37 @@
 )
 
 // How a node ends: it accepts for a while after it was told to, and is done before it would be killed, which is
-// the longest deadline, maxKillAfter at most, and killAfter later. The process may be held up for heldUp at any moment
+// the longest deadline, maxKillAfter at most, and killAfter later. The process may be held up for stallAllowance at any moment
 // of its end, so that nothing is left to the last of its time.
 const (
-	drainAccept  = 600 * time.Millisecond
-	maxKillAfter = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
-	heldUp       = 150 * time.Millisecond
-	exitMargin   = 50 * time.Millisecond  // from the end of the drain to the exit
-	answerMargin = 100 * time.Millisecond // from the last answers to the end
-	closeMargin  = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last answers
-	quietGrace   = 300 * time.Millisecond // after the last connection was accepted
-	drainStep    = 20 * time.Millisecond
-	handOver     = 100 * time.Millisecond // before the last answers, requests replicated are given to others
+	acceptTime     = 600 * time.Millisecond
+	maxKillAfter   = 3 * time.Second
+	killAfter      = 700 * time.Millisecond
+	stallAllowance = 150 * time.Millisecond
+	exitMargin     = 50 * time.Millisecond  // from the end of the drain to the exit
+	answerMargin   = 100 * time.Millisecond // from the last answers to the end
+	closeMargin    = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last answers
+	quietGrace     = 300 * time.Millisecond // after the last connection was accepted
+	drainStep      = 20 * time.Millisecond
+	handOverTime   = 100 * time.Millisecond // before the last answers, requests replicated are given to others
 )
 
 // shutdownSchedule tells, from the moment that the node was told to end, until when it accepts connections, until when clients
 // may go on using those that they have, when whatever is left is answered at once, from when on it is over as soon as
 // no request is owed an answer, and when it must be over.
-type shutdownSchedule struct{ accept, serve, last, most, must time.Duration }
+type shutdownSchedule struct{ stopAccepting, closeConnections, answerAll, finish, deadline time.Duration }
 
-// shutdownScheduleOf is how a node ends: it serves for as long as most answers, which take less than half of their latency objective, come
+// newShutdownSchedule is how a node ends: it serves for as long as most answers, which take less than half of their latency objective, come
 // before the end. Clients that it lets go sooner would find no node at all.
-func shutdownScheduleOf(cfg *config.Config) shutdownSchedule {
+func newShutdownSchedule(cfg *config.Config) shutdownSchedule {
 	var longest, objective time.Duration
 	for _, c := range cfg.Classes {
 		longest, objective = max(longest, time.Duration(c.Deadline)), max(objective, time.Duration(c.LatencyObjective))
 	}
 	must := min(longest, maxKillAfter) + killAfter - exitMargin
-	most := must - heldUp
+	most := must - stallAllowance
 	last := most - answerMargin
-	accept := min(drainAccept, last-closeMargin)
+	accept := min(acceptTime, last-closeMargin)
 	serve := min(max(last-objective/2, accept+quietGrace), last-closeMargin)
 	return shutdownSchedule{accept, serve, last, most, must}
 }
@@ -53,12 +53,12 @@
 // and close idle ones under a request just read.
 func (n *Node) drain() error {
 	n.mu.Lock()
-	n.ending = true
+	n.shuttingDown = true
 	n.readiness.End()
 	close(n.draining)
-	e := shutdownScheduleOf(n.cfg)
-	if n.options.ending != nil {
-		e = *n.options.ending
+	e := newShutdownSchedule(n.cfg)
+	if n.options.shutdown != nil {
+		e = *n.options.shutdown
 	}
 	var fronts []front
 	for _, l := range n.listeners {
@@ -68,12 +68,12 @@
 	n.mu.Unlock()
 	begin := n.clock.Now()
 	for _, p := range pools {
-		p.engine.ShutdownAt(begin + e.last)
+		p.engine.ShutdownAt(begin + e.answerAll)
 	}
 	since := func() time.Duration { return n.clock.Now() - begin }
 	// Where another process of this node goes on at the same addresses, they stay ready: new connections go to
 	// that one, and each answer sends its client there.
-	followed := n.options.Line != nil && n.options.Line.Followed()
+	followed := n.options.Processes != nil && n.options.Processes.Followed()
 	for _, f := range fronts {
 		f.SetReady(followed)
 		f.SetClosing(followed)
@@ -86,13 +86,13 @@
 			}
 		}
 	}
-	clock.Sleep(n.incarnation, e.accept-since())
+	clock.Sleep(n.incarnation, e.stopAccepting-since())
 	for _, s := range sockets {
-		if err := s.shut(); err != nil { // what was taken is owed an answer all the same
+		if err := s.shutdown(); err != nil { // what was taken is owed an answer all the same
 			n.log.Warn("a listener was not closed", "address", s.Addr(), "error", err)
 		}
 	}
-	for since() < e.serve && n.clients.Open() > 0 {
+	for since() < e.closeConnections && n.clients.Open() > 0 {
 		clock.Sleep(n.incarnation, drainStep)
 	}
 	for _, f := range fronts {
@@ -100,28 +100,28 @@
 	}
 	// told: the last call came at an earlier step, so that its answers have had time to be written
 	for told := false; closeIdle(fronts, n.clients) > 0; clock.Sleep(n.incarnation, drainStep) {
-		if n.gateway != nil && since() >= e.last-handOver {
+		if n.gateway != nil && since() >= e.answerAll-handOverTime {
 			n.gateway.HandOver()
 		}
-		if since() >= e.last {
+		if since() >= e.answerAll {
 			if !told {
-				lastCall(pools)
+				answerAll(pools)
 			}
-			n.clients.CutHalf() // one that came whole in this moment is refused, whatever comes later is not read
+			n.clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
 		}
 		switch owed := n.clients.Owed(); {
-		case told && since() >= e.most && owed == 0:
+		case told && since() >= e.finish && owed == 0:
 			return nil // who is left has not closed, or doesn't take its answer
-		case told && since() >= max(e.most, e.must):
+		case told && since() >= max(e.finish, e.deadline):
 			return fmt.Errorf("%d requests are not answered", owed)
 		}
-		told = told || since() >= e.last
+		told = told || since() >= e.answerAll
 	}
 	return nil
 }
 
-// lastCall has all that is unanswered answered now.
-func lastCall(pools []*pool) {
+// answerAll has all that is unanswered answered now.
+func answerAll(pools []*pool) {
 	for _, p := range pools {
 		p.engine.AnswerAll()
 	}
--- a/internal/node/ending_test.go
+++ b/internal/node/shutdown_test.go
@@ -30,15 +30,15 @@
 
 // Each part of an end has its time before the next one, whatever the deadlines, and being held up in the last of them
 // still leaves time before the kill.
-func TestTheEndIsOverBeforeTheKill(t *testing.T) {
+func TestShutdownFinishesBeforeKill(t *testing.T) {
 	const lastNewConnection = 400 * time.Millisecond // that comes after SIGTERM
 	for _, deadline := range endDeadlines {
-		e := shutdownScheduleOf(shortConfig(deadline, testpeer.Whole()).Config)
+		e := newShutdownSchedule(shortConfig(deadline, testpeer.Whole()).Config)
 		kill := min(deadline, maxKillAfter) + killAfter
-		if e.accept < lastNewConnection || e.serve < e.accept || e.last < e.serve+drainStep || e.most < e.last+drainStep ||
-			e.last+heldUp+2*drainStep >= kill || e.most+heldUp >= kill || e.must < e.most || e.must >= kill {
+		if e.stopAccepting < lastNewConnection || e.closeConnections < e.stopAccepting || e.answerAll < e.closeConnections+drainStep || e.finish < e.answerAll+drainStep ||
+			e.answerAll+stallAllowance+2*drainStep >= kill || e.finish+stallAllowance >= kill || e.deadline < e.finish || e.deadline >= kill {
 			t.Errorf("deadline %v: accepts until %v, serves until %v, answers all at %v, ends at %v, at %v at the latest, killed at %v",
-				deadline, e.accept, e.serve, e.last, e.most, e.must, kill)
+				deadline, e.stopAccepting, e.closeConnections, e.answerAll, e.finish, e.deadline, kill)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 
 // A node that is told to end answers all that it has taken and is over before it would be killed, however short its
 // deadlines, while clients send on, some slowly, and also where no server answers any more.
-func TestEndOfNodeUnderShortDeadlines(t *testing.T) {
+func TestShutdownUnderShortDeadlines(t *testing.T) {
 	for _, deadline := range endDeadlines[:5] {
 		for _, hangs := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v,hangs=%v", deadline, hangs), func(t *testing.T) {
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -11,15 +11,15 @@
 	"damsontrestle/internal/discovery"
 )
 
-// relay passes what a watch finds on to a pool's engine. Until it has one it keeps the news, so that a watch
+// relay passes what a watch finds on to a pool's engine. Until it has one it buffers the updates, so that a watch
 // can be tried before anything goes by it.
 type relay struct {
-	again func() // has the registry asked again
+	resubscribe func() // has the registry asked again
 
-	mu     sync.Mutex
-	to     discovery.Sink
-	kept   []discovery.List
-	closed bool
+	mu      sync.Mutex
+	sink    discovery.Sink
+	pending []discovery.List
+	closed  bool
 
 	ready   map[string]bool // ids of the listed servers in service
 	listed  chan struct{}   // closed once a full snapshot has come
@@ -37,16 +37,16 @@
 	if r.closed {
 		return
 	}
-	r.note(l)
-	if r.to != nil {
-		r.to.UpdateList(l)
+	r.trackReadiness(l)
+	if r.sink != nil {
+		r.sink.UpdateList(l)
 		return
 	}
-	r.kept = append(r.kept, l)
+	r.pending = append(r.pending, l)
 }
 
-// note follows how warm the list is. The caller holds mu.
-func (r *relay) note(l discovery.List) {
+// trackReadiness follows whether the list has come and has servers in service. The caller holds mu.
+func (r *relay) trackReadiness(l discovery.List) {
 	if l.Full {
 		clear(r.ready)
 		closeOnce(r.listed)
@@ -63,8 +63,8 @@
 	}
 }
 
-// againAfter is when a watch that failed and that no engine follows yet is begun anew.
-const againAfter = 500 * time.Millisecond
+// resubscribeDelay is when a watch that failed and that no engine follows yet is begun anew.
+const resubscribeDelay = 500 * time.Millisecond
 
 // ListFailed implements discovery.Sink. Who is told asks again; where nobody is yet, the relay does.
 func (r *relay) ListFailed() {
@@ -72,22 +72,22 @@
 	defer r.mu.Unlock()
 	switch {
 	case r.closed:
-	case r.to != nil:
-		r.to.ListFailed()
+	case r.sink != nil:
+		r.sink.ListFailed()
 	default:
-		time.AfterFunc(againAfter, r.again)
+		time.AfterFunc(resubscribeDelay, r.resubscribe)
 	}
 }
 
-// attach has the news go to an engine from now on, those that were kept first.
+// attach has updates go to an engine from now on, the buffered ones first.
 func (r *relay) attach(to discovery.Sink) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.to = to
-	for _, l := range r.kept {
+	r.sink = to
+	for _, l := range r.pending {
 		to.UpdateList(l)
 	}
-	r.kept = nil
+	r.pending = nil
 }
 
 // close drops whatever still comes.
@@ -125,7 +125,7 @@
 func (n *Node) newSource(r config.Registry, rev int64, log *slog.Logger) *source {
 	s := &source{relay: newRelay(), pushed: r.Mode != config.Polled, done: make(chan struct{})}
 	s.watch = discovery.NewWatch(r.Address, rev, s.relay, log)
-	s.relay.again = s.watch.Subscribe
+	s.relay.resubscribe = s.watch.Subscribe
 	if n.options.watch != nil {
 		n.options.watch(s.watch)
 	}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -47,12 +47,12 @@
 	cfg.Listeners[0].Address = front.String()
 	cfg.Node.Management = management.String()
 	cfg.Node.Peers = config.Peers{Listen: room.String(), KeyFile: key, Period: config.Duration(time.Second)}
-	cfg.Federation = &config.Federation{Partner: "us", Holders: 1, Memory: 1 << 20, Keep: config.Duration(time.Minute), Silence: config.Duration(time.Second)}
+	cfg.Federation = &config.Federation{Partner: "us", Replicas: 1, Memory: 1 << 20, Keep: config.Duration(time.Minute), Silence: config.Duration(time.Second)}
 	return cfg
 }
 
 // A start tries its sockets again, each in turn, until whoever has their ports gives them up.
-func TestAStartWaitsForItsSockets(t *testing.T) {
+func TestStartRetriesBinding(t *testing.T) {
 	front, unused := takenPort(t)
 	unused.Close()
 	management, unused := takenPort(t)
@@ -84,7 +84,7 @@
 }
 
 // A start that is told to end waits for no socket any more, says which one it misses, and leaves nothing behind.
-func TestAStartThatWaitsCanBeEnded(t *testing.T) {
+func TestStartIsCancelledWhileBinding(t *testing.T) {
 	front, unused := takenPort(t)
 	defer front.Close()
 	unused.Close()
