--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -49,7 +49,13 @@
 	case n.change != nil:
 		return nil, ErrBusy
 	}
-	c := &Change{node: n, cfg: cfg, sockets: map[string]*socket{}, pools: map[string]*pool{}, listeners: map[string]*listener{}}
+	c := &Change{
+		node:      n,
+		cfg:       cfg,
+		sockets:   map[string]*socket{},
+		pools:     map[string]*pool{},
+		listeners: map[string]*listener{},
+	}
 	n.change = c
 	n.mu.Unlock()
 	err := c.prepare(ctx, wait)
@@ -67,8 +73,8 @@
 
 // rollBack undoes what was prepared, the last first.
 func (c *Change) rollBack() {
-	for i := len(c.rollbacks) - 1; i >= 0; i-- {
-		c.rollbacks[i]()
+	for _, rollBack := range slices.Backward(c.rollbacks) {
+		rollBack()
 	}
 	c.rollbacks = nil
 }
@@ -99,7 +105,7 @@
 		}
 	}
 	for _, p := range c.cfg.AllPools() {
-		if err := c.makePool(p); err != nil {
+		if err := c.preparePool(p); err != nil {
 			return err
 		}
 	}
@@ -117,11 +123,12 @@
 	if c.node.cfg == nil {
 		return nil // the first one was checked when it was read
 	}
-	needs, limit := c.cfg.Needs(), c.cfg.Node.Limits
+	needs := c.cfg.Needs()
+	limit := c.cfg.Node.Limits
 	retiring := c.node.retiringConnections()
-	if most := needs.Descriptors + retiring; most > limit.Descriptors {
+	if needed := needs.Descriptors + retiring; needed > limit.Descriptors {
 		return fmt.Errorf("limits: %d descriptors are needed, %d of them until pools that are being retired have closed their connections; node.limits.descriptors is %d",
-			most, retiring, limit.Descriptors)
+			needed, retiring, limit.Descriptors)
 	}
 	if needs.Memory > limit.Memory {
 		return fmt.Errorf("limits: about %v of memory are needed; node.limits.memory is %v", needs.Memory, limit.Memory)
@@ -171,28 +178,39 @@
 	return nil
 }
 
-// makePool makes a pool that is new, and prepares another watch for one that stays and whose list is to come
-// from elsewhere.
+// preparePool makes a pool that is new, or prepares the update of one that stays.
+func (c *Change) preparePool(p config.Pool) error {
+	old := c.node.pools[p.Name]
+	if old == nil || old.cfg.Protocol != p.Protocol {
+		return c.makePool(p)
+	}
+	return c.prepareUpdate(old, p)
+}
+
+// makePool makes a pool, which runs from then on.
 func (c *Change) makePool(p config.Pool) error {
 	n := c.node
-	old := n.pools[p.Name]
-	if old == nil || old.cfg.Protocol != p.Protocol {
-		if err := c.fault("make pool " + p.Name); err != nil {
-			return fmt.Errorf("pool %q: %w", p.Name, err)
-		}
-		known, seed := discovery.List{Full: true, Rev: -1}, rand.Uint64()
-		if n.cfg == nil && n.start != nil {
-			known, seed = n.start.known, n.start.seed
-		}
-		made, err := n.newPool(c.cfg, p, seed, known)
-		if err != nil {
-			return err
-		}
-		made.start()
-		c.pools[p.Name] = made
-		c.rollbacks = append(c.rollbacks, made.close)
-		return c.after("make pool " + p.Name)
+	if err := c.fault("make pool " + p.Name); err != nil {
+		return fmt.Errorf("pool %q: %w", p.Name, err)
+	}
+	first := initialState{seed: rand.Uint64(), known: discovery.List{Full: true, Rev: -1}}
+	if n.cfg == nil && n.start != nil {
+		first = *n.start
 	}
+	made, err := n.newPool(c.cfg, p, first.seed, first.known)
+	if err != nil {
+		return err
+	}
+	made.start()
+	c.pools[p.Name] = made
+	c.rollbacks = append(c.rollbacks, made.close)
+	return c.after("make pool " + p.Name)
+}
+
+// prepareUpdate prepares what becomes of a pool that stays, with another watch where its list is to come from another
+// registry.
+func (c *Change) prepareUpdate(old *pool, p config.Pool) error {
+	n := c.node
 	u := update{pool: old, cfg: p, settings: c.cfg.Settings(p)}
 	if u.registryChanged() && p.Registry != nil {
 		if err := c.fault("watch for pool " + p.Name); err != nil {
@@ -235,249 +253,43 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	await := func(pool string, at config.Registry, r *relay) error {
-		if err := c.fault("warm pool " + pool); err != nil {
-			return fmt.Errorf("pool %q: %w", pool, err)
-		}
-		select {
-		case <-r.hasList:
-			return nil
-		case <-ctx.Done():
-		case <-c.node.draining:
-			return ErrShuttingDown
-		}
-		switch {
-		case ctx.Err() != context.DeadlineExceeded:
-			return fmt.Errorf("pool %q: its list was not waited for: %w", pool, ctx.Err())
-		case isClosed(r.listed):
-			return fmt.Errorf("pool %q: the registry at %s lists no server in service, after %v", pool, at.Address, wait)
-		}
-		return fmt.Errorf("pool %q: the registry at %s has not answered with a list within %v", pool, at.Address, wait)
-	}
 	for _, p := range c.cfg.Pools {
-		if made := c.pools[p.Name]; made != nil && p.Registry != nil {
-			if err := await(p.Name, *p.Registry, made.source.Load().relay); err != nil {
-				return err
-			}
+		made := c.pools[p.Name]
+		if made == nil || p.Registry == nil {
+			continue
 		}
-	}
-	for _, u := range c.updates {
-		if u.source != nil {
-			if err := await(u.pool.name, *u.cfg.Registry, u.source.relay); err != nil {
-				return err
-			}
+		if err := c.awaitList(ctx, p, made.source.Load().relay, wait); err != nil {
+			return err
 		}
 	}
-	return nil
-}
-
-// Commit puts the configuration in place of the one that runs: one swap, of which no request sees half. It fails
-// only if the node is ending, and has changed nothing then. What goes is retired behind it: its listeners
-// accept no more, what was taken is answered by what took it, and then it is closed.
-func (c *Change) Commit() error {
-	n := c.node
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.change = nil
-	if n.shuttingDown {
-		c.rollBack()
-		return ErrShuttingDown
-	}
-	c.rollbacks = nil
-	gone := c.swap()
-	n.resize(c.cfg)
-	for _, class := range c.cfg.Classes {
-		n.metrics.Know(class.Name)
-	}
 	for _, u := range c.updates {
-		u.pool.back.SetLimits(n.limitsOf(c.cfg, u.cfg))
-	}
-	c.switchListeners(&gone)
-	n.cfg = c.cfg
-	if n.gateway != nil {
-		n.gateway.Announce()
-	}
-	n.retire(gone)
-	return nil
-}
-
-// replaced is what a change leaves behind.
-type replaced struct {
-	pools   []*pool
-	sources []*source
-	fronts  []*listener
-	sockets []*socket
-}
-
-// swap has every request from now on taken under the new routing snapshot, by pools that go by the new configuration.
-func (c *Change) swap() (gone replaced) {
-	n := c.node
-	pools := map[string]*pool{}
-	for name, p := range c.pools {
-		pools[name] = p
-	}
-	for _, u := range c.updates {
-		pools[u.pool.name] = u.pool
-	}
-	for name, p := range n.pools {
-		if pools[name] != p {
-			gone.pools = append(gone.pools, p)
-		}
-	}
-	if n.requests == nil {
-		n.requests = dispatch.New(c.snapshot)
-	}
-	now := n.clock.Now()
-	n.requests.Swap(c.snapshot, func() {
-		if n.gateway != nil {
-			n.adopt(c.cfg)
-		}
-		for _, u := range c.updates {
-			if old := u.commit(now); old != nil {
-				gone.sources = append(gone.sources, old)
-			}
-		}
-		for _, p := range gone.pools {
-			// What is out and is unsafe from now on must not be sent again by a pool that goes either.
-			p.engine.Reconfigure(c.cfg.Settings(p.cfg), !p.settings.PollDiscovery)
-		}
-	})
-	n.pools = pools
-	return gone
-}
-
-// adopt has the gateway go by another configuration's rules.
-func (n *Node) adopt(c *config.Config) {
-	if n.options.adopt != nil {
-		n.options.adopt()
-		defer n.options.adopt()
-	}
-	n.gateway.Adopt(c)
-}
-
-// switchListeners has every listener of the new configuration accept, and no other.
-func (c *Change) switchListeners(gone *replaced) {
-	n := c.node
-	sockets, listeners := map[string]*socket{}, map[string]*listener{}
-	for _, l := range c.cfg.Listeners {
-		key := socketKey(l)
-		s := c.sockets[key]
-		if s == nil {
-			s = n.sockets[key]
-		}
-		sockets[key] = s
-		old := n.listeners[l.Name]
-		next := &listener{cfg: l, socket: s}
-		if old != nil && old.cfg.Protocol == l.Protocol {
-			next.front = old.front // the clients that it has stay
-		} else {
-			next.front = n.newFront(l)
-		}
-		listeners[l.Name] = next
-	}
-	for name, old := range n.listeners {
-		if next := listeners[name]; next == nil || next.front != old.front {
-			gone.fronts = append(gone.fronts, old)
-		}
-	}
-	for key, s := range n.sockets {
-		if sockets[key] == nil {
-			gone.sockets = append(gone.sockets, s)
-		}
-	}
-	n.sockets, n.listeners = sockets, listeners
-	n.applyReadiness(n.readiness.At(n.clock.Now()))
-	if !n.serving {
-		return
-	}
-	for _, l := range listeners {
-		if l.socket.front == l.front {
+		if u.source == nil {
 			continue
 		}
-		if err := l.socket.release(0); err != nil {
-			n.fail(fmt.Errorf("listener %q: %w", l.cfg.Name, err))
-			continue
+		if err := c.awaitList(ctx, u.cfg, u.source.relay, wait); err != nil {
+			return err
 		}
-		l.socket.accept(l.front, n.fail)
 	}
+	return nil
 }
 
-// retire sees what a change left behind to its end.
-func (n *Node) retire(gone replaced) {
-	for _, s := range gone.sources {
-		n.inBackground(func() { s.stop() })
-	}
-	for _, s := range gone.sockets {
-		closed := make(chan struct{})
-		n.closingSockets[s.key] = closed
-		n.inBackground(func() {
-			defer func() {
-				close(closed)
-				n.mu.Lock()
-				delete(n.closingSockets, s.key)
-				n.mu.Unlock()
-			}()
-			if err := s.release(acceptGrace); err != nil {
-				n.log.Warn("a listener's socket", "address", s.Addr(), "error", err)
-			}
-			s.shutdown()
-		})
-	}
-	for _, l := range gone.fronts {
-		l.front.SetReady(false)
-		n.retiringListeners[l] = true
-		n.inBackground(func() {
-			n.retireFront(l.front)
-			n.mu.Lock()
-			delete(n.retiringListeners, l)
-			n.mu.Unlock()
-		})
-	}
-	for _, p := range gone.pools {
-		n.retiringPools[p] = true
-		n.inBackground(func() {
-			p.retire()
-			n.mu.Lock()
-			delete(n.retiringPools, p)
-			n.mu.Unlock()
-		})
-	}
-}
-
-// inBackground runs a part of a retirement. close waits for it.
-func (n *Node) inBackground(f func()) {
-	n.background.Add(1)
-	go func() {
-		defer n.background.Done()
-		f()
-	}()
-}
-
-// retiringConnections are those that retiring pools have open.
-func (n *Node) retiringConnections() (sum int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for p := range n.retiringPools {
-		sum += p.back.Connections()
+// awaitList waits until the registry of a pool has listed a server in service, or ctx ends, which does so after wait.
+func (c *Change) awaitList(ctx context.Context, p config.Pool, r *relay, wait time.Duration) error {
+	if err := c.fault("warm pool " + p.Name); err != nil {
+		return fmt.Errorf("pool %q: %w", p.Name, err)
 	}
-	return sum
-}
-
-// StillDraining names what earlier changes left behind and is not over yet: "pool a", "listener b".
-func (n *Node) StillDraining() (names []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.retiringNames()
-}
-
-// retiringNames names what is being retired. The caller holds mu.
-func (n *Node) retiringNames() (names []string) {
-	for p := range n.retiringPools {
-		names = append(names, "pool "+p.name)
+	select {
+	case <-r.hasList:
+		return nil
+	case <-ctx.Done():
+	case <-c.node.draining:
+		return ErrShuttingDown
 	}
-	for l := range n.retiringListeners {
-		names = append(names, "listener "+l.cfg.Name)
+	switch {
+	case !errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return fmt.Errorf("pool %q: its list was not waited for: %w", p.Name, ctx.Err())
+	case isClosed(r.listed):
+		return fmt.Errorf("pool %q: the registry at %s lists no server in service, after %v", p.Name, p.Registry.Address, wait)
 	}
-	slices.Sort(names)
-	return names
+	return fmt.Errorf("pool %q: the registry at %s has not answered with a list within %v", p.Name, p.Registry.Address, wait)
 }
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -36,7 +36,7 @@
 		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprint("r", i%3), Hosts: []string{"x"}, To: []route.Target{{Pool: c.Pools[1].Name, Weight: 1}}})
 		return c
 	}
-	n, err := New(configOf(0), quiet(), Options{shutdown: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
+	n, err := New(configOf(0), quiet(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -58,8 +58,8 @@
 	if err := cfg.Check().Err(); err != nil {
 		t.Fatal(err)
 	}
-	if o.shutdown == nil {
-		o.shutdown = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
+	if o.schedule == nil {
+		o.schedule = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
 	}
 	n, err := New(cfg, quiet(), o)
 	if err != nil {
@@ -552,7 +552,7 @@
 	a := newTestServer(t, "a")
 	silent := testpeer.NewAgent(t)
 	silent.Tell(true, "")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{shutdown: &shutdownSchedule{stopAccepting: 300 * time.Millisecond, answerAll: time.Second, finish: testpeer.Limit}})
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{schedule: &shutdownSchedule{stopAccepting: 300 * time.Millisecond, answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -583,7 +583,7 @@
 // A change that was prepared before the end began is undone, not committed, after it.
 func TestCommitAfterShutdownChangesNothing(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{shutdown: &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}})
+	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{schedule: &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -21,6 +21,6 @@
 
 // WithShortShutdown has a node close its listeners as soon as its shutdown begins.
 func WithShortShutdown(o Options) Options {
-	o.shutdown = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
+	o.schedule = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
 	return o
 }
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -117,7 +117,7 @@
 	*cfg.registry() = agent.Address()
 	settle := time.Millisecond
 	cfg.Options.settle = &settle
-	cfg.Options.shutdown = &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}
+	cfg.Options.schedule = &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}
 	cfg.Options.Listen = func(network, address string) (net.Listener, error) {
 		ln, err := net.Listen(network, address)
 		if err != nil {
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -170,7 +170,7 @@
 		t.Cleanup(line.Leave)
 		cfg.Options.Listen, cfg.Options.Processes = hotrestart.Listen, line
 		return startNode(t, cfg, func(n *Node) {
-			n.options.shutdown = &shutdownSchedule{stopAccepting: 200 * time.Millisecond, closeConnections: 400 * time.Millisecond, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
+			n.options.schedule = &shutdownSchedule{stopAccepting: 200 * time.Millisecond, closeConnections: 400 * time.Millisecond, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
 		})
 	}
 	old, stop := process("")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,11 @@
-// Package node puts the parts of a node together from a configuration, starts them, changes them and ends
-// them. It decides nothing: what is decided is the module's, and that of internal/route and internal/plan;
-// what is spoken is the protocols' packages'.
+// Package node wires the parts of a load balancer node together from a configuration, starts them, changes them while
+// requests are served, and shuts them down gracefully.
+//
+// It owns the listening sockets, the front ends, the pools with their engines and back ends, and the goroutines of all
+// of them: Node.Run returns only when they have ended. A configuration replaces the one that runs by Prepare and
+// Commit, at once and for all requests alike; what it replaces is retired in the background. The package makes no
+// decision on requests: those are internal/balancer's and internal/route's, and the order of a change's steps is
+// internal/plan's.
 package node
 
 import (
@@ -21,7 +26,6 @@
 	"damsontrestle/internal/discovery"
 	"damsontrestle/internal/dispatch"
 	"damsontrestle/internal/downstream"
-	"damsontrestle/internal/engine"
 	"damsontrestle/internal/gateway"
 	"damsontrestle/internal/gossip"
 	"damsontrestle/internal/hotrestart"
@@ -82,7 +86,7 @@
 	Processes *hotrestart.Processes                               // of this node's processes; nil: this one is alone
 	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
 	Fault     func(point string) error                            // for tests: an error has a step of a change fail
-	shutdown  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
+	schedule  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
 	settle    *time.Duration                                      // for tests: instead of http1.DefaultSettle
 	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
 	back      func(*http1.Back)                                   // for tests: the same of a pool's connections
@@ -122,9 +126,22 @@
 	if o.Listen == nil {
 		o.Listen = net.Listen
 	}
-	n := &Node{clock: clock.New(), log: log, options: o, named: start == nil, start: start, servers: descriptors.NewShare(0),
-		failed: make(chan error, 1), draining: make(chan struct{}), sockets: map[string]*socket{},
-		listeners: map[string]*listener{}, pools: map[string]*pool{}, retiringPools: map[*pool]bool{}, retiringListeners: map[*listener]bool{}, closingSockets: map[string]chan struct{}{}}
+	n := &Node{
+		clock:             clock.New(),
+		log:               log,
+		options:           o,
+		named:             start == nil,
+		start:             start,
+		servers:           descriptors.NewShare(0),
+		failed:            make(chan error, 1),
+		draining:          make(chan struct{}),
+		sockets:           map[string]*socket{},
+		listeners:         map[string]*listener{},
+		pools:             map[string]*pool{},
+		retiringPools:     map[*pool]bool{},
+		retiringListeners: map[*listener]bool{},
+		closingSockets:    map[string]chan struct{}{},
+	}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
 	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
 	if o.Processes != nil {
@@ -140,7 +157,12 @@
 	if err := c.Commit(); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	if err := errors.Join(n.openManagement(starting, cfg.Node.Management), n.openPeers(starting, cfg.Node), n.openGateway(starting, cfg)); err != nil {
+	err = errors.Join(
+		n.openManagement(starting, cfg.Node.Management),
+		n.openPeers(starting, cfg.Node),
+		n.openGateway(starting, cfg),
+	)
+	if err != nil {
 		n.close()
 		return nil, fmt.Errorf("node: %w", err)
 	}
@@ -151,12 +173,16 @@
 // connections, and clients have what servers leave. Two processes of one node have half of all each. The caller
 // holds mu.
 func (n *Node) resize(cfg *config.Config) {
-	limits, room, spare := cfg.Node.Limits, cfg.Node.Limits.Descriptors-cfg.OwnDescriptors(), config.Reserved/2
+	limits := cfg.Node.Limits
+	capacity := limits.Descriptors - cfg.OwnDescriptors()
+	spare := config.Reserved / 2
 	if n.hasSuccessor {
-		limits.Memory, room, spare = limits.Memory/2, room/2, spare/2
+		limits.Memory /= 2
+		capacity /= 2
+		spare /= 2
 	}
-	n.servers.Resize(room / 2)
-	n.clients.Resize(downstream.Share{Capacity: room, Minimum: room / 4, Spare: spare})
+	n.servers.Resize(capacity / 2)
+	n.clients.Resize(downstream.Share{Capacity: capacity, Minimum: capacity / 4, Spare: spare})
 	if n.options.Limit != nil {
 		n.options.Limit(limits)
 	}
@@ -193,16 +219,17 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old := n.cfg
-	for _, f := range []struct {
-		name    string
-		changed bool
-	}{
-		{"listen", old.Listeners[0].Address != cfg.Listeners[0].Address}, {"limits", old.Node.Limits != cfg.Node.Limits},
-		{"settings", !reflect.DeepEqual(old.Settings(old.Pools[0]), cfg.Settings(cfg.Pools[0]))},
-	} {
-		if f.changed {
-			n.log.Warn("a change in the configuration waits for the next start", "field", f.name)
-		}
+	needsRestart := func(field string) {
+		n.log.Warn("a change in the configuration waits for the next start", "field", field)
+	}
+	if old.Listeners[0].Address != cfg.Listeners[0].Address {
+		needsRestart("listen")
+	}
+	if old.Node.Limits != cfg.Node.Limits {
+		needsRestart("limits")
+	}
+	if !reflect.DeepEqual(old.Settings(old.Pools[0]), cfg.Settings(cfg.Pools[0])) {
+		needsRestart("settings")
 	}
 	at := cfg.Pools[0].Registry.Address
 	n.log.Info("the configuration is read again", "discovery", at)
@@ -237,10 +264,10 @@
 	return nil
 }
 
-// close ends all parts; nothing is taken any more, and what was is answered.
 // Close ends a node that was not run.
 func (n *Node) Close() { n.close() }
 
+// close ends all parts and waits for their goroutines. Open requests are answered before, by drain.
 func (n *Node) close() {
 	n.mu.Lock()
 	if !n.shuttingDown {
@@ -278,50 +305,3 @@
 	}
 	return all
 }
-
-// Status is what a node holds.
-type Status struct {
-	Listeners map[string]ListenerStatus `json:"listeners"`
-	Pools     map[string]PoolStatus     `json:"pools"`
-	Draining  []string                  `json:"draining,omitempty"` // of earlier configurations, as "pool a"
-	Clients   int                       `json:"callers"`            // connections
-	Ready     bool                      `json:"ready"`
-	Peers     *gossip.Status            `json:"peers,omitempty"` // what is known of other nodes
-	Gateway   *gateway.Status           `json:"gateway,omitempty"`
-}
-
-// ListenerStatus is what a listener does.
-type ListenerStatus struct {
-	Address string `json:"address"` // that it listens at
-}
-
-// PoolStatus is what a pool holds.
-type PoolStatus struct {
-	Requests    engine.Status `json:"calls"`
-	Connections int           `json:"connections"` // to servers
-}
-
-// Status tells what the node holds now.
-func (n *Node) Status() Status {
-	n.mu.Lock()
-	s := Status{Listeners: map[string]ListenerStatus{}, Pools: map[string]PoolStatus{}, Clients: n.clients.Open(),
-		Ready: n.requests.Snapshot().Ready() && n.readiness.At(n.clock.Now()).Ready}
-	for name, l := range n.listeners {
-		s.Listeners[name] = ListenerStatus{l.socket.Addr().String()}
-	}
-	s.Draining = n.retiringNames()
-	pools := n.pools
-	n.mu.Unlock()
-	if n.peers != nil {
-		st := n.peers.Status()
-		s.Peers = &st
-	}
-	if n.gateway != nil {
-		st := n.gateway.Status()
-		s.Gateway = &st
-	}
-	for name, p := range pools {
-		s.Pools[name] = PoolStatus{p.engine.Status(), p.back.Connections()}
-	}
-	return s
-}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -184,7 +184,7 @@
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.shutdown = &shutdownSchedule{stopAccepting: time.Second, closeConnections: 2 * time.Second, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
+		n.options.schedule = &shutdownSchedule{stopAccepting: time.Second, closeConnections: 2 * time.Second, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
 	})
 	idle, held, mute := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	idle.Get("before")
@@ -228,7 +228,7 @@
 		return false
 	})
 	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.options.shutdown = &shutdownSchedule{answerAll: 500 * time.Millisecond, finish: testpeer.Limit}
+		n.options.schedule = &shutdownSchedule{answerAll: 500 * time.Millisecond, finish: testpeer.Limit}
 	})
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Send("POST", "/note/k", "held", "x", "60")
@@ -258,7 +258,7 @@
 			ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 			*cfg.registry() = ag.Address()
-			cfg.Options.shutdown = &shutdownSchedule{stopAccepting: time.Millisecond, closeConnections: time.Millisecond, answerAll: 500 * time.Millisecond, finish: 800 * time.Millisecond}
+			cfg.Options.schedule = &shutdownSchedule{stopAccepting: time.Millisecond, closeConnections: time.Millisecond, answerAll: 500 * time.Millisecond, finish: 800 * time.Millisecond}
 			n, stop := startNode(t, cfg, nil)
 			c, half := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 			c.Get("held")
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,43 +14,64 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// openPeers opens the room in which the node comes to know others, where its file has one.
+// openPeers opens the node's gossip transport, where its file has one.
 func (n *Node) openPeers(starting context.Context, c config.Node) error {
-	p := c.Peers
-	if p.Listen == "" {
+	if c.Peers.Listen == "" {
 		return nil
 	}
-	key, err := gossip.LoadKey(p.KeyFile)
+	options, err := n.gossipOptions(c)
 	if err != nil {
 		return err
 	}
-	at := p.Listen
+	n.peers, err = netlistener.Open(starting, n.log, func() (*gossip.Transport, error) { return gossip.Open(options) })
+	return err
+}
+
+// gossipOptions are those of a configuration's transport.
+func (n *Node) gossipOptions(c config.Node) (gossip.Options, error) {
+	p := c.Peers
+	key, err := gossip.LoadKey(p.KeyFile)
+	if err != nil {
+		return gossip.Options{}, err
+	}
+	advertised := p.Listen
 	if p.Advertise != "" {
-		at = p.Advertise
+		advertised = p.Advertise
 	}
-	addr, err := netip.ParseAddrPort(at)
+	address, err := netip.ParseAddrPort(advertised)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return gossip.Options{}, fmt.Errorf("peers: %w", err)
 	}
-	o := membership.Defaults()
-	o.Period, o.Timeout = time.Duration(p.Period), time.Duration(p.Period)*3/10
+	members := membership.Defaults()
+	members.Period = time.Duration(p.Period)
+	members.Timeout = members.Period * 3 / 10
 	for _, s := range p.Seeds {
 		seed, err := netip.ParseAddrPort(s)
 		if err != nil {
-			return fmt.Errorf("peers: %w", err)
+			return gossip.Options{}, fmt.Errorf("peers: %w", err)
 		}
-		o.Seeds = append(o.Seeds, seed)
+		members.Seeds = append(members.Seeds, seed)
+	}
+	options := gossip.Options{
+		Listen:  p.Listen,
+		Key:     key,
+		Members: members,
+		Clock:   n.clock,
+		Log:     n.log,
+		Self: membership.Peer{
+			Name:    c.Name,
+			Addr:    address,
+			Region:  p.Region,
+			Zone:    c.Zone,
+			Listens: p.ListenOnly,
+		},
 	}
-	var fo *zonestate.Options
 	if p.Fresh > 0 {
-		d := zonestate.Defaults(time.Duration(p.Fresh))
-		d.Delay = time.Duration(p.Delay)
-		fo = &d
+		state := zonestate.Defaults(time.Duration(p.Fresh))
+		state.Delay = time.Duration(p.Delay)
+		options.ZoneState = &state
 	}
-	options := gossip.Options{Listen: p.Listen, Key: key, Members: o, ZoneState: fo, Clock: n.clock, Log: n.log,
-		Self: membership.Peer{Name: c.Name, Addr: addr, Region: p.Region, Zone: c.Zone, Listens: p.ListenOnly}}
-	n.peers, err = netlistener.Open(starting, n.log, func() (*gossip.Transport, error) { return gossip.Open(options) })
-	return err
+	return options, nil
 }
 
 // peerMetrics is what operators are told of other nodes; nil: none are known of.
@@ -59,7 +80,11 @@
 		return nil
 	}
 	s := n.peers.Status()
-	out := &metrics.Peers{Members: map[string]int{}, Zones: map[string]int{}, Dropped: s.Counts.Strange + s.Counts.Malformed + s.Counts.Other + s.Counts.Lost}
+	out := &metrics.Peers{
+		Members: map[string]int{},
+		Zones:   map[string]int{},
+		Dropped: s.Counts.Strange + s.Counts.Malformed + s.Counts.Other + s.Counts.Lost,
+	}
 	for _, m := range s.Members {
 		out.Members[m.Status]++
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -35,8 +35,15 @@
 	if n.options.settle != nil {
 		settle = *n.options.settle
 	}
-	return http1.Limits{Most: p.Connections.Most, ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
-		Idle: time.Duration(p.Connections.Idle), Settle: settle, Busy: p.LoadReports.Busy, AskPath: p.LoadReports.PollPath, From: c.LeavesFrom(p)}
+	return http1.Limits{
+		Most:           p.Connections.Most,
+		ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
+		Idle:           time.Duration(p.Connections.Idle),
+		Settle:         settle,
+		Busy:           p.LoadReports.Busy,
+		AskPath:        p.LoadReports.PollPath,
+		From:           c.LeavesFrom(p),
+	}
 }
 
 // newPool makes a pool that knows the list that is known, or the one that its configuration holds, and
@@ -51,9 +58,17 @@
 		log = log.With("pool", p.Name)
 	}
 	var err error
-	out.engine, err = engine.New(engine.Options{Settings: out.settings, Seed: seed, Clock: n.clock, Backend: out.back,
-		Subscribe: out.subscribe, Pushed: !out.settings.PollDiscovery, Log: log, Count: cfg.Node.Peers.Fresh > 0,
-		Report: func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) }})
+	out.engine, err = engine.New(engine.Options{
+		Settings:  out.settings,
+		Seed:      seed,
+		Clock:     n.clock,
+		Backend:   out.back,
+		Subscribe: out.subscribe,
+		Pushed:    !out.settings.PollDiscovery,
+		Log:       log,
+		Count:     cfg.Node.Peers.Fresh > 0,
+		Report:    func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) },
+	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
 	}
--- /dev/null
+++ b/internal/node/retire.go
@@ -0,0 +1,91 @@
+package node
+
+import "slices"
+
+// replaced is what a change leaves behind.
+type replaced struct {
+	pools   []*pool
+	sources []*source
+	fronts  []*listener
+	sockets []*socket
+}
+
+// retire sees what a change left behind to its end.
+func (n *Node) retire(gone replaced) {
+	for _, s := range gone.sources {
+		n.inBackground(func() { s.stop() })
+	}
+	for _, s := range gone.sockets {
+		closed := make(chan struct{})
+		n.closingSockets[s.key] = closed
+		n.inBackground(func() {
+			defer func() {
+				close(closed)
+				n.mu.Lock()
+				delete(n.closingSockets, s.key)
+				n.mu.Unlock()
+			}()
+			if err := s.release(acceptGrace); err != nil {
+				n.log.Warn("a listener's socket", "address", s.Addr(), "error", err)
+			}
+			s.shutdown()
+		})
+	}
+	for _, l := range gone.fronts {
+		l.front.SetReady(false)
+		n.retiringListeners[l] = true
+		n.inBackground(func() {
+			n.retireFront(l.front)
+			n.mu.Lock()
+			delete(n.retiringListeners, l)
+			n.mu.Unlock()
+		})
+	}
+	for _, p := range gone.pools {
+		n.retiringPools[p] = true
+		n.inBackground(func() {
+			p.retire()
+			n.mu.Lock()
+			delete(n.retiringPools, p)
+			n.mu.Unlock()
+		})
+	}
+}
+
+// inBackground runs a part of a retirement. close waits for it.
+func (n *Node) inBackground(f func()) {
+	n.background.Add(1)
+	go func() {
+		defer n.background.Done()
+		f()
+	}()
+}
+
+// retiringConnections are those that retiring pools have open.
+func (n *Node) retiringConnections() (sum int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for p := range n.retiringPools {
+		sum += p.back.Connections()
+	}
+	return sum
+}
+
+// StillDraining names what earlier changes left behind and is not over yet: "pool a", "listener b".
+func (n *Node) StillDraining() (names []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.retiringNames()
+}
+
+// retiringNames names what is being retired. The caller holds mu.
+func (n *Node) retiringNames() (names []string) {
+	for p := range n.retiringPools {
+		names = append(names, "pool "+p.name)
+	}
+	for l := range n.retiringListeners {
+		names = append(names, "listener "+l.cfg.Name)
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -6,131 +6,175 @@
 
 	"damsontrestle/internal/clock"
 	"damsontrestle/internal/config"
-	"damsontrestle/internal/downstream"
 	"damsontrestle/internal/hotrestart"
 )
 
-// How a node ends: it accepts for a while after it was told to, and is done before it would be killed, which is
-// the longest deadline, maxKillAfter at most, and killAfter later. The process may be held up for stallAllowance at any moment
-// of its end, so that nothing is left to the last of its time.
+// Times of a graceful shutdown. A node accepts connections for a while after SIGTERM, and has finished before it would
+// be killed: killAfter after the longest deadline of its classes, of which maxKillAfter at most counts. The process may
+// be stalled for stallAllowance at any moment, so that nothing is left to the last of its time.
 const (
 	acceptTime     = 600 * time.Millisecond
 	maxKillAfter   = 3 * time.Second
 	killAfter      = 700 * time.Millisecond
 	stallAllowance = 150 * time.Millisecond
 	exitMargin     = 50 * time.Millisecond  // from the end of the drain to the exit
-	answerMargin   = 100 * time.Millisecond // from the last answers to the end
-	closeMargin    = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last answers
+	answerMargin   = 100 * time.Millisecond // from the last responses to the end
+	closeMargin    = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last responses
 	quietGrace     = 300 * time.Millisecond // after the last connection was accepted
 	drainStep      = 20 * time.Millisecond
-	handOverTime   = 100 * time.Millisecond // before the last answers, requests replicated are given to others
+	handOverTime   = 100 * time.Millisecond // before the last responses, replicated requests are handed over to successors
 )
 
-// shutdownSchedule tells, from the moment that the node was told to end, until when it accepts connections, until when clients
-// may go on using those that they have, when whatever is left is answered at once, from when on it is over as soon as
-// no request is owed an answer, and when it must be over.
-type shutdownSchedule struct{ stopAccepting, closeConnections, answerAll, finish, deadline time.Duration }
+// shutdownSchedule holds the times of a shutdown's steps, from its begin.
+type shutdownSchedule struct {
+	stopAccepting    time.Duration // the sockets are closed
+	closeConnections time.Duration // from here on each response closes its connection
+	answerAll        time.Duration // whatever is open is answered at once
+	finish           time.Duration // from here on it is over as soon as no client is owed a response
+	deadline         time.Duration // it must be over
+}
 
-// newShutdownSchedule is how a node ends: it serves for as long as most answers, which take less than half of their latency objective, come
-// before the end. Clients that it lets go sooner would find no node at all.
+// newShutdownSchedule has connections serve until most responses have come, which take less than half of their latency
+// objective: a client whose connection closes sooner would find no node at all.
 func newShutdownSchedule(cfg *config.Config) shutdownSchedule {
 	var longest, objective time.Duration
 	for _, c := range cfg.Classes {
-		longest, objective = max(longest, time.Duration(c.Deadline)), max(objective, time.Duration(c.LatencyObjective))
+		longest = max(longest, time.Duration(c.Deadline))
+		objective = max(objective, time.Duration(c.LatencyObjective))
 	}
-	must := min(longest, maxKillAfter) + killAfter - exitMargin
-	most := must - stallAllowance
-	last := most - answerMargin
-	accept := min(acceptTime, last-closeMargin)
-	serve := min(max(last-objective/2, accept+quietGrace), last-closeMargin)
-	return shutdownSchedule{accept, serve, last, most, must}
+	var s shutdownSchedule
+	s.deadline = min(longest, maxKillAfter) + killAfter - exitMargin
+	s.finish = s.deadline - stallAllowance
+	s.answerAll = s.finish - answerMargin
+	s.stopAccepting = min(acceptTime, s.answerAll-closeMargin)
+	s.closeConnections = min(max(s.answerAll-objective/2, s.stopAccepting+quietGrace), s.answerAll-closeMargin)
+	return s
+}
+
+// shutdown is a graceful shutdown under way.
+type shutdown struct {
+	node     *Node
+	schedule shutdownSchedule
+	begin    time.Duration // on the node's clock
+	fronts   []front
+	sockets  map[string]*socket
+	pools    []*pool
 }
 
-// drain lets the clients go, and everything taken is answered: for a while they are served as ever on the
-// connections that they have, for their requests would fail elsewhere until they are sent to another node;
-// then each answer closes its connection. It returns once all are gone, or with an error when it takes too
-// long. http.Server.Shutdown would wait for seconds on connections that never sent a request, past SIGKILL,
-// and close idle ones under a request just read.
+// drain shuts the node down gracefully: all that was accepted is answered. For a while clients are served as ever on
+// the connections that they have, for their requests would fail elsewhere until they are sent to another node; then
+// each response closes its connection. It returns once all are closed, or with an error when that takes too long.
+// http.Server.Shutdown would wait for seconds on connections that never sent a request, past SIGKILL, and close idle
+// ones under a request just read.
 func (n *Node) drain() error {
+	s := n.beginShutdown()
+	s.announce()
+	s.closeSockets()
+	s.serveConnections()
+	return s.closeConnections()
+}
+
+// beginShutdown has the node begin no change any more, and its engines know when they answer the last requests.
+func (n *Node) beginShutdown() *shutdown {
 	n.mu.Lock()
 	n.shuttingDown = true
 	n.readiness.End()
 	close(n.draining)
-	e := newShutdownSchedule(n.cfg)
-	if n.options.shutdown != nil {
-		e = *n.options.shutdown
+	s := &shutdown{node: n, schedule: newShutdownSchedule(n.cfg), sockets: n.sockets, pools: n.allPools()}
+	if n.options.schedule != nil {
+		s.schedule = *n.options.schedule
 	}
-	var fronts []front
 	for _, l := range n.listeners {
-		fronts = append(fronts, l.front)
+		s.fronts = append(s.fronts, l.front)
 	}
-	sockets, pools := n.sockets, n.allPools()
 	n.mu.Unlock()
-	begin := n.clock.Now()
-	for _, p := range pools {
-		p.engine.ShutdownAt(begin + e.answerAll)
+	s.begin = n.clock.Now()
+	for _, p := range s.pools {
+		p.engine.ShutdownAt(s.begin + s.schedule.answerAll)
 	}
-	since := func() time.Duration { return n.clock.Now() - begin }
-	// Where another process of this node goes on at the same addresses, they stay ready: new connections go to
-	// that one, and each answer sends its client there.
-	followed := n.options.Processes != nil && n.options.Processes.Followed()
-	for _, f := range fronts {
+	return s
+}
+
+// elapsed is the time since the shutdown began.
+func (s *shutdown) elapsed() time.Duration { return s.node.clock.Now() - s.begin }
+
+// announce has the front ends tell clients that the node is not ready. Where another process of this node takes over
+// its addresses they stay ready: new connections go to that process, and each response sends its client there.
+func (s *shutdown) announce() {
+	processes := s.node.options.Processes
+	followed := processes != nil && processes.Followed()
+	for _, f := range s.fronts {
 		f.SetReady(followed)
 		f.SetClosing(followed)
 	}
-	if followed {
-		n.log.Info("another process of this node goes on")
-		for _, s := range sockets {
-			if err := hotrestart.Yield(s.Listener); err != nil {
-				n.log.Warn("clients may still connect here", "address", s.Addr(), "error", err)
-			}
+	if !followed {
+		return
+	}
+	s.node.log.Info("another process of this node goes on")
+	for _, socket := range s.sockets {
+		if err := hotrestart.Yield(socket.Listener); err != nil {
+			s.node.log.Warn("clients may still connect here", "address", socket.Addr(), "error", err)
 		}
 	}
-	clock.Sleep(n.incarnation, e.stopAccepting-since())
-	for _, s := range sockets {
-		if err := s.shutdown(); err != nil { // what was taken is owed an answer all the same
-			n.log.Warn("a listener was not closed", "address", s.Addr(), "error", err)
+}
+
+// closeSockets accepts connections for as long as the schedule says, and then no more.
+func (s *shutdown) closeSockets() {
+	clock.Sleep(s.node.incarnation, s.schedule.stopAccepting-s.elapsed())
+	for _, socket := range s.sockets {
+		if err := socket.shutdown(); err != nil { // the clients that were accepted get their responses all the same
+			s.node.log.Warn("a listener was not closed", "address", socket.Addr(), "error", err)
 		}
 	}
-	for since() < e.closeConnections && n.clients.Open() > 0 {
-		clock.Sleep(n.incarnation, drainStep)
+}
+
+// serveConnections has open connections serve for as long as the schedule says, and while there are any.
+func (s *shutdown) serveConnections() {
+	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Open() > 0 {
+		clock.Sleep(s.node.incarnation, drainStep)
 	}
-	for _, f := range fronts {
+}
+
+// closeConnections has each response close its connection and closes idle ones, until none is open. At the schedule's
+// time all open requests are answered; what is unanswered at its deadline is an error.
+func (s *shutdown) closeConnections() error {
+	for _, f := range s.fronts {
 		f.SetClosing(true)
 	}
-	// told: the last call came at an earlier step, so that its answers have had time to be written
-	for told := false; closeIdle(fronts, n.clients) > 0; clock.Sleep(n.incarnation, drainStep) {
-		if n.gateway != nil && since() >= e.answerAll-handOverTime {
-			n.gateway.HandOver()
+	clients := s.node.clients
+	answered := false // at an earlier step, so that the responses have had time to be written
+	for ; s.closeIdle() > 0; clock.Sleep(s.node.incarnation, drainStep) {
+		if s.node.gateway != nil && s.elapsed() >= s.schedule.answerAll-handOverTime {
+			s.node.gateway.HandOver()
 		}
-		if since() >= e.answerAll {
-			if !told {
-				answerAll(pools)
+		if s.elapsed() >= s.schedule.answerAll {
+			if !answered {
+				s.answerAll()
 			}
-			n.clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
+			clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
 		}
-		switch owed := n.clients.Owed(); {
-		case told && since() >= e.finish && owed == 0:
-			return nil // who is left has not closed, or doesn't take its answer
-		case told && since() >= max(e.finish, e.deadline):
+		switch owed := clients.Owed(); {
+		case answered && s.elapsed() >= s.schedule.finish && owed == 0:
+			return nil // who is left has not closed, or doesn't take its response
+		case answered && s.elapsed() >= max(s.schedule.finish, s.schedule.deadline):
 			return fmt.Errorf("%d requests are not answered", owed)
 		}
-		told = told || since() >= e.answerAll
+		answered = answered || s.elapsed() >= s.schedule.answerAll
 	}
 	return nil
 }
 
-// answerAll has all that is unanswered answered now.
-func answerAll(pools []*pool) {
-	for _, p := range pools {
+// answerAll has the engines answer all open requests now.
+func (s *shutdown) answerAll() {
+	for _, p := range s.pools {
 		p.engine.AnswerAll()
 	}
 }
 
-// closeIdle closes the front ends' quiet connections and tells how many are left of all.
-func closeIdle(fronts []front, set *downstream.Set) int {
-	for _, f := range fronts {
+// closeIdle closes idle client connections and returns how many connections are left of all.
+func (s *shutdown) closeIdle() int {
+	for _, f := range s.fronts {
 		f.CloseQuiet()
 	}
-	return set.Open()
+	return s.node.clients.Open()
 }
