--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -176,7 +176,7 @@
 
 // A node that serves a file ends with 0 on SIGTERM, reads the file again on SIGHUP, and ends with 1 and all that
 // is wrong if it can't start.
-func TestServeAndItsSignals(t *testing.T) {
+func TestServeSignals(t *testing.T) {
 	a := testpeer.NewServer(t, testpeer.Echo)
 	s := newSite(t)
 	s.write(t, strings.Replace(s.text(a.Address()), `aim = "10s"`, `aim = "1h"`, 2))
@@ -207,10 +207,10 @@
 	}
 }
 
-// Killed at any moment of an apply, the node starts with the old configuration whole or the new one whole, and
+// Killed at any moment of an apply, the node starts with the old configuration or the new one, complete, and
 // says which. The moments are counted in the steps that the node tells, and lie within a step by a part of the
 // time that the last one took, so that they are as many on a slow machine.
-func TestKilledAtAnyMomentOfAnApply(t *testing.T) {
+func TestKillDuringApply(t *testing.T) {
 	kills := 120
 	if testing.Short() {
 		kills = 10
@@ -313,7 +313,7 @@
 
 // The README's first command works from a clone: servers and a node come up, a request is served, a plan is shown,
 // applied and rolled back.
-func TestTheFirstMinute(t *testing.T) {
+func TestQuickStart(t *testing.T) {
 	dir, err := os.MkdirTemp("", "f")
 	if err != nil {
 		t.Fatal(err)
@@ -335,7 +335,7 @@
 }
 
 // So does the first federation: a request goes to the other partner, and one whose gateway is killed is answered by the next.
-func TestTheFirstFederation(t *testing.T) {
+func TestFederationQuickStart(t *testing.T) {
 	dir, err := os.MkdirTemp("", "f")
 	if err != nil {
 		t.Fatal(err)
@@ -360,7 +360,7 @@
 }
 
 // A node tells what it knows of others and of zones; one whose file has neither says so.
-func TestMembersAndFactsAreShown(t *testing.T) {
+func TestShowMembersAndZoneState(t *testing.T) {
 	a := testpeer.NewServer(t, testpeer.Echo)
 	s := newSite(t)
 	s.write(t, s.text(a.Address()))
--- a/cmd/damsontrestle/upgrade_test.go
+++ b/cmd/damsontrestle/hotrestart_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// door asks the management endpoint of a process.
-func door(t *testing.T, address, request string) string {
+// manage sends a line to the management endpoint of a process.
+func manage(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -43,10 +43,10 @@
 	return ln.Addr().String()
 }
 
-// TestASecondProcessTakesOver runs the real program twice at one address, as the platform does for an upgrade: once
+// TestHotRestart runs the real program twice at one address, as the platform does for an upgrade: once
 // the second says that it is ready the first is told to end. Requests go on all the while, half of them on connections of
 // their own, and each is served.
-func TestASecondProcessTakesOver(t *testing.T) {
+func TestHotRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
@@ -56,11 +56,11 @@
 		<-r.Context().Done() // nothing new
 	}))
 	defer discovery.Close()
-	address, doors, folder := freeAddress(t), []string{freeAddress(t), freeAddress(t)}, t.TempDir()
+	address, endpoints, folder := freeAddress(t), []string{freeAddress(t), freeAddress(t)}, t.TempDir()
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"mgmt":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"rev":1,"all":true,"targets":[
 		{"uid":"s-1","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
-		"capacity_hint":1,"boot_ms":0}]},"settings":%s}`, address, doors[0], strings.TrimPrefix(discovery.URL, "http://"),
+		"capacity_hint":1,"boot_ms":0}]},"settings":%s}`, address, endpoints[0], strings.TrimPrefix(discovery.URL, "http://"),
 		strings.TrimPrefix(server.URL, "http://"), settings)
 	first, _, log := start(t, path, config, "TMPDIR="+folder)
 
@@ -104,9 +104,9 @@
 		}
 	}
 	progress()
-	second, _, _ := start(t, path, config, "TMPDIR="+folder, "BALANCER_MGMT="+doors[1])
-	for _, d := range doors {
-		if got := door(t, d, "health"); got != "+OK ready\n" {
+	second, _, _ := start(t, path, config, "TMPDIR="+folder, "BALANCER_MGMT="+endpoints[1])
+	for _, d := range endpoints {
+		if got := manage(t, d, "health"); got != "+OK ready\n" {
 			t.Errorf("health: %q", got)
 		}
 	}
--- a/cmd/damsontrestle/main_test.go
+++ b/cmd/damsontrestle/main_test.go
@@ -75,7 +75,7 @@
 func program(t *testing.T) string { return filepath.Join(build(t).dir, "bin", "damsontrestle") }
 
 // The platform loads a library into each process, which takes a program that the machine's dynamic linker starts.
-func TestTheProgramIsLinkedAgainstTheCLibrary(t *testing.T) {
+func TestProgramIsLinkedToLibc(t *testing.T) {
 	f, err := elf.Open(program(t))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -47,7 +47,7 @@
 	w.Flush()
 }
 
-func newFacts() *cobra.Command {
+func newZoneState() *cobra.Command {
 	return newLook("facts", "Show what a node knows of each zone, and how old that is",
 		"facts tells of each zone whether what is known of it is fresh, since when, from how many of its nodes, and how old it\nis at most; then what is known, and what was dropped and why.",
 		"write everything as JSON",
@@ -56,10 +56,10 @@
 				return gossip.ZoneStateStatus{}, fmt.Errorf("node %s is told nothing of zones: its file has no peers block with fresh", s.Node)
 			}
 			return *s.Status.Peers.ZoneState, nil
-		}, writeFacts)
+		}, writeZoneState)
 }
 
-func writeFacts(out io.Writer, f gossip.ZoneStateStatus) {
+func writeZoneState(out io.Writer, f gossip.ZoneStateStatus) {
 	fmt.Fprintf(out, "fresh: up to %v; %d rows held", f.Fresh, f.Rows)
 	if f.Alone {
 		fmt.Fprint(out, "; ALONE: nothing fresh is known of anybody else")
--- a/cmd/damsontrestle/root.go
+++ b/cmd/damsontrestle/root.go
@@ -25,7 +25,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(newServe(), newValidate(), newPlan(), newApply(), newShow(), newRollback(), newMembers(), newFacts(), newVersion())
+	root.AddCommand(newServe(), newValidate(), newPlan(), newApply(), newShow(), newRollback(), newMembers(), newZoneState(), newVersion())
 	return root
 }
 
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -76,8 +76,8 @@
 		p("restart      needed for %s", join(s.Restart))
 	}
 	p("needs        %d of %d descriptors, about %v of %v memory", s.Needs.Descriptors, s.Config.Node.Limits.Descriptors, s.Needs.Memory.Rounded(), s.Config.Node.Limits.Memory)
-	if s.Under != "" {
-		p("under way    %s", s.Under)
+	if s.UnderWay != "" {
+		p("under way    %s", s.UnderWay)
 	}
 	if s.Last != nil {
 		what := "done"
--- a/cmd/damsontrestle/ending_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -33,7 +33,7 @@
 }
 
 // Signals that come while the node ends change nothing of its end: what was taken is answered, and it exits with 0.
-func TestSignalsDuringTheEnd(t *testing.T) {
+func TestSignalsDuringShutdown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	server := testpeer.NewServer(t, testpeer.Held(hold, got))
@@ -149,7 +149,7 @@
 
 // A node whose port another has tries again, and serves once it is free. SIGTERM ends the tries at once, with exit code 0:
 // nothing was taken.
-func TestAStartWaitsForItsPort(t *testing.T) {
+func TestStartRetriesItsPort(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -216,7 +216,7 @@
 }
 
 // The program is over before it would be killed, with 0 and all answered, while clients send on and no server answers any more.
-func TestTheProgramEndsBeforeItsKill(t *testing.T) {
+func TestShutdownFinishesBeforeKill(t *testing.T) {
 	for _, deadline := range []time.Duration{200 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
--- a/cmd/damsontrestle/validate.go
+++ b/cmd/damsontrestle/validate.go
@@ -14,7 +14,7 @@
 	cmd := &cobra.Command{
 		Use:   "validate FILE",
 		Short: "Check a file without asking any node",
-		Long:  "validate checks a file whole and tells all that is wrong with it. It ends with 0 if a node could run it, else with 1.",
+		Long:  "validate checks a file and tells all that is wrong with it. It ends with 0 if a node could run it, else with 1.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, problems := config.Load(args[0])
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -54,7 +54,7 @@
 	return path
 }
 
-func TestStepsAndTheirEndComeThrough(t *testing.T) {
+func TestStepsAndOutcomeAreStreamed(t *testing.T) {
 	var got string
 	var waited time.Duration
 	c := NewClient(serve(t, fake{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
@@ -88,7 +88,7 @@
 }
 
 // A refusal before the first step is a status of its own, with a code.
-func TestRefusalsHaveAStatus(t *testing.T) {
+func TestErrorCodesHaveStatus(t *testing.T) {
 	for code, status := range map[string]int{CodeStale: 409, CodeBusy: 409, CodeOtherNode: 409, CodeNothing: 409, CodeEnding: 503,
 		CodeUnreadable: 400, CodeNewer: 400, CodeInvalid: 400, CodeFailed: 500} {
 		h := Handler(fake{func([]byte, time.Duration, func(string, time.Duration)) (plan.Running, error) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRequestsThatAreMalformed(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	path := serve(t, fake{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 		t.Errorf("carried out: %.20q", text)
 		return plan.Running{}, nil
@@ -137,7 +137,7 @@
 }
 
 // What is carried out goes on though its client has left, and the client is told that it does.
-func TestAChangeOutlivesItsClient(t *testing.T) {
+func TestChangeOutlivesItsClient(t *testing.T) {
 	begun, on, over := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	c := NewClient(serve(t, fake{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 		close(begun)
@@ -163,14 +163,14 @@
 	testpeer.Receive(t, over, "the change's end")
 }
 
-func TestNobodyAnswers(t *testing.T) {
+func TestNoDaemon(t *testing.T) {
 	if _, err := NewClient(filepath.Join(t.TempDir(), "none")).Show(t.Context()); !errors.Is(err, ErrNoDaemon) {
 		t.Errorf("%v", err)
 	}
 }
 
 // An answer that ends before its last line is no success.
-func TestACutAnswerIsNoSuccess(t *testing.T) {
+func TestTruncatedAnswerIsNoSuccess(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, "s"))
 	if err != nil {
@@ -216,7 +216,7 @@
 }
 
 // A daemon whose queue is full can't be asked whether it runs: its socket stays.
-func TestASocketWhoseQueueIsFullIsNotTakenOver(t *testing.T) {
+func TestSocketWithFullQueueIsNotTakenOver(t *testing.T) {
 	dir, err := os.MkdirTemp("", "a") // a Unix socket's path is short
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -27,7 +27,7 @@
 	Before   *config.Config `json:"previous_config,omitempty"` // with its configuration
 	Restart  []string       `json:"needs_restart,omitempty"`   // fields that take effect at the next start
 	Diverged bool           `json:"state_diverged,omitempty"`  // the state folder may hold another record
-	Under    string         `json:"under_way,omitempty"`       // the step of a change under way
+	UnderWay string         `json:"under_way,omitempty"`       // the step of a change under way
 	Last     *Outcome       `json:"last_change,omitempty"`     // of the last change that was begun
 	Memory   bool           `json:"only_in_memory,omitempty"`  // no state folder: a restart forgets it
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -39,7 +39,7 @@
 // Show asks what runs.
 func (c *Client) Show(ctx context.Context) (Show, error) {
 	var s Show
-	resp, err := c.ask(ctx, http.MethodGet, "/v1/show", nil)
+	resp, err := c.send(ctx, http.MethodGet, "/v1/show", nil)
 	if err != nil {
 		return s, err
 	}
@@ -65,7 +65,7 @@
 }
 
 func (c *Client) change(ctx context.Context, target string, text []byte, step func(Line)) (plan.Running, error) {
-	resp, err := c.ask(ctx, http.MethodPost, target, text)
+	resp, err := c.send(ctx, http.MethodPost, target, text)
 	if err != nil {
 		return plan.Running{}, err
 	}
@@ -93,7 +93,7 @@
 	return plan.Running{}, ErrCut
 }
 
-func (c *Client) ask(ctx context.Context, method, target string, body []byte) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, method, target string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://admin"+target, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -20,11 +20,11 @@
 
 // Bounds of what a client may make the daemon hold or wait for.
 const (
-	readTime    = 30 * time.Second
-	maxAsk      = 4 << 10 // a request that is no plan
+	readTimeout = 30 * time.Second
+	maxRollback = 4 << 10 // a request that is no plan
 	DefaultWait = 10 * time.Second
 	MaxWait     = 10 * time.Minute
-	dialTime    = time.Second
+	dialTimeout = time.Second
 )
 
 // Server serves a Control on a Unix socket.
@@ -35,7 +35,7 @@
 // Listen opens the socket, with mode 0600. One that a daemon left behind when it was killed is taken over; one
 // that is answered on is an error.
 func Listen(path string) (net.Listener, error) {
-	c, err := net.DialTimeout("unix", path, dialTime)
+	c, err := net.DialTimeout("unix", path, dialTimeout)
 	switch {
 	case err == nil:
 		c.Close()
@@ -64,7 +64,7 @@
 
 // NewServer serves on a listener, which Listen opened, until Close.
 func NewServer(ln net.Listener, control Control, log *slog.Logger) *Server {
-	s := &Server{http: &http.Server{Handler: Handler(control), ReadTimeout: readTime, IdleTimeout: readTime, MaxHeaderBytes: 8 << 10,
+	s := &Server{http: &http.Server{Handler: Handler(control), ReadTimeout: readTimeout, IdleTimeout: readTimeout, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}}
 	go s.http.Serve(listener.New(ln, log))
 	return s
@@ -88,7 +88,7 @@
 		})
 	})
 	mux.HandleFunc("POST /v1/rollback", func(w http.ResponseWriter, r *http.Request) {
-		change(w, r, maxAsk, func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+		change(w, r, maxRollback, func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 			var now plan.Running
 			if err := json.Unmarshal(text, &now); err != nil {
 				return plan.Running{}, &Error{CodeRequest, "the request: " + err.Error()}
@@ -105,7 +105,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// change reads a request whole, has it carried out and tells of each step as it comes.
+// change reads a complete request, has it carried out and tells of each step as it comes.
 func change(w http.ResponseWriter, r *http.Request, most int64, do func([]byte, time.Duration, func(string, time.Duration)) (plan.Running, error)) {
 	wait, err := waitOf(r)
 	if err != nil {
@@ -119,7 +119,7 @@
 			answer(w, http.StatusRequestEntityTooLarge, &Error{CodeRequest, fmt.Sprintf("the request is longer than %d bytes", most)})
 			return
 		}
-		answer(w, http.StatusBadRequest, &Error{CodeRequest, "the request is not whole: " + err.Error()})
+		answer(w, http.StatusBadRequest, &Error{CodeRequest, "the request is incomplete: " + err.Error()})
 		return
 	}
 	begun := false
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -27,7 +27,7 @@
 	Silence  Duration `json:"silence"`            // without a sign that it is alive, after which a link ends
 }
 
-// Replication says what becomes of requests of a class that has it when too few holders are to be reached.
+// Replication says what becomes of requests of a class that has it when too few replicas can be reached.
 type Replication struct {
 	WhenAlone Alone `json:"when_alone"`
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -389,7 +389,7 @@
 	}
 }
 
-// config reads the file as a whole.
+// config reads the file.
 func (r *reader) config(b *hclsyntax.Body) *Config {
 	c := &Config{}
 	r.body(b, "", nil, []block{
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -17,7 +17,7 @@
 	"damsontrestle/internal/route"
 )
 
-func TestTheDeployedExampleLoads(t *testing.T) {
+func TestDeployedExampleLoads(t *testing.T) {
 	c, problems := Load("../../deploy/damsontrestle.hcl")
 	if len(problems) > 0 {
 		t.Fatalf("%v", problems)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestTheExampleWithPeersLoads(t *testing.T) {
+func TestExampleWithPeersLoads(t *testing.T) {
 	c, problems := Load("../../deploy/peers.hcl")
 	if len(problems) > 0 {
 		t.Fatal(problems)
@@ -76,7 +76,7 @@
 `
 
 // Each error tells the place, what was found and what is allowed.
-func TestErrorsTellPlaceAndWhatIsAllowed(t *testing.T) {
+func TestErrorsNamePlaceAndAllowedValues(t *testing.T) {
 	if _, problems := Parse([]byte(good), "good.hcl"); len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestWarningsComeWithAGoodFile(t *testing.T) {
+func TestWarningsOfValidFile(t *testing.T) {
 	c, problems := Parse([]byte(strings.Replace(good, "256", "512", 1)+"pool \"idle\" {\n server \"s\" {\n address = \"127.0.0.1:9002\"\n }\n}\n"), "f.hcl")
 	if c == nil || problems.Err() != nil || len(problems) != 1 || !strings.Contains(problems.Error(), `f.hcl:25:1: warning: pool.idle: no route leads to it`) {
 		t.Errorf("%v, %v", c, problems)
@@ -168,7 +168,7 @@
 }
 
 // A file that would have the parser recurse without end is refused before it does.
-func TestDeepNestingIsRefused(t *testing.T) {
+func TestDeepNestingIsRejected(t *testing.T) {
 	for _, text := range []string{strings.Repeat("[", 1<<20), "a = " + strings.Repeat("[", 1<<20), "a = " + strings.Repeat("!", 1<<20) + "true",
 		"a = " + strings.Repeat("(", 1<<20), strings.Repeat("a {", 1<<18), "a = " + strings.Repeat("-", 1<<18) + "1"} {
 		if _, problems := Parse([]byte(text), "f.hcl"); problems.Err() == nil || len(problems) > 200 {
@@ -198,7 +198,7 @@
 
 // The platform's file is the same model: what it says has a place there, and is told apart by the same
 // fingerprint.
-func TestThePlatformsFileIsTheSameModel(t *testing.T) {
+func TestPlatformFileHasSameModel(t *testing.T) {
 	c, start, err := ParsePlatform([]byte(goodConfig))
 	if err != nil {
 		t.Fatal(err)
@@ -257,7 +257,7 @@
 }
 
 // The page for operators has every field of the model under the heading of its block.
-func TestThePageNamesEveryField(t *testing.T) {
+func TestPageNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/configuration.md")
 	if err != nil {
 		t.Fatal(err)
@@ -375,7 +375,7 @@
 	}
 }
 
-func TestTheExampleOfAFederationLoads(t *testing.T) {
+func TestFederationExampleLoads(t *testing.T) {
 	c, problems := Load("../../deploy/federation.hcl")
 	if len(problems) > 0 {
 		t.Fatal(problems)
@@ -400,7 +400,7 @@
 }
 
 // What is wrong with a federation is told by line, with what is allowed.
-func TestErrorsOfAFederationTellPlaceAndWhatIsAllowed(t *testing.T) {
+func TestFederationErrorsNamePlaceAndAllowedValues(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/federation.hcl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -16,7 +16,7 @@
 	"damsontrestle/internal/route"
 )
 
-// Config is a whole configuration. Its JSON form, in which plans and the state folder hold it, has the names
+// Config is a complete configuration. Its JSON form, in which plans and the state folder hold it, has the names
 // that our own file has. A field that is added later must mean what was before by its zero value and be left
 // out then, or records of before would no longer fit their fingerprints.
 type Config struct {
@@ -32,7 +32,7 @@
 	Quotas     []Quota     `json:"quotas,omitempty"`
 }
 
-// Node is what concerns the process as a whole.
+// Node is what concerns the process.
 type Node struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone,omitempty"`
@@ -127,7 +127,7 @@
 	Over Duration `json:"over"` // after that long it has all of it
 }
 
-// LoadReports tells what answers say of their server's load: the names that figures have in X-Load.
+// LoadReports tells what answers say of their server's load: the names of metrics in X-Load.
 type LoadReports struct {
 	Busy     string `json:"busy"`               // requests that the server holds, in work and waiting
 	Poll     int    `json:"ask,omitempty"`      // servers that are asked before a request goes to one of them; 0: none
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -35,7 +35,7 @@
 }
 
 // A file that can't be read for a moment is read a moment later; one that can't be read at all is given up after two seconds.
-func TestAFileIsReadAgain(t *testing.T) {
+func TestReadIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOENT, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.ESTALE} {
 		synctest.Test(t, func(t *testing.T) {
 			open, opened := failing(errno, 5)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,8 +27,8 @@
 	Log      *slog.Logger
 	Node     node.Options
 
-	StateFiles state.Files   // for tests: the file system that the state folder is on; nil: the machine's
-	mendAfter  time.Duration // for tests: before the first attempt to mend the state folder; 0: firstMend
+	StateFiles  state.Files   // for tests: the file system that the state folder is on; nil: the machine's
+	repairDelay time.Duration // for tests: before the first attempt to repair the state folder; 0: firstRepairDelay
 }
 
 // Daemon is a node with its state and its admin socket.
@@ -38,13 +38,13 @@
 	node        *node.Node
 	folder      *state.Folder // nil: nothing is kept
 	server      *admin.Server
-	booted      *config.Config // that the process began with: what takes a restart is as it says
+	startConfig *config.Config // that the process began with: what takes a restart is as it says
 	name        string         // of this incarnation of the process
-	why         string         // which configuration the start found, and why that one
+	startReason string         // which configuration the start found, and why that one
 	incarnation context.Context
-	end         context.CancelFunc
+	cancel      context.CancelFunc
 	changes     sync.WaitGroup
-	differs     chan struct{} // the state folder may have come to hold another record than that of what runs
+	divergence  chan struct{} // the state folder may have come to hold another record than that of what runs
 	writing     sync.Mutex    // over each write to the state folder
 
 	mu      sync.Mutex
@@ -62,8 +62,8 @@
 	if o.StateFiles == nil {
 		o.StateFiles = state.Disk{}
 	}
-	if o.mendAfter == 0 {
-		o.mendAfter = firstMend
+	if o.repairDelay == 0 {
+		o.repairDelay = firstRepairDelay
 	}
 	cfg, problems := config.Load(o.File)
 	if err := problems.Err(); err != nil {
@@ -75,32 +75,32 @@
 	starting, cancel := o.Node.Starting()
 	defer cancel()
 	o.Node.Start = starting // the node and the admin socket wait within one time
-	d := &Daemon{options: o, differs: make(chan struct{}, 1), name: state.NewName(), log: o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone)}
+	d := &Daemon{options: o, divergence: make(chan struct{}, 1), name: state.NewName(), log: o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone)}
 	fresh, err := d.choose(cfg)
 	if err != nil {
 		return nil, err
 	}
 	running := d.record.Running
-	d.booted = running.Config
-	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", d.why)
+	d.startConfig = running.Config
+	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", d.startReason)
 	if d.node, err = node.New(running.Config, d.log, o.Node); err != nil {
 		if !fresh {
 			err = fmt.Errorf("%w; this is the configuration that was applied last: a start with -from-file takes the file instead", err)
 		}
 		return nil, err
 	}
-	// Only what could be started is worth keeping: a file that could not is mended, and then read again.
+	// Only a configuration that could be started is recorded: a file that could not is corrected, and then read again.
 	kept, err := d.keepFirst(fresh)
 	if err != nil {
 		d.node.Close()
 		return nil, err
 	}
 	d.machine = plan.NewMachine(d.running(), !kept)
-	d.incarnation, d.end = context.WithCancel(context.Background())
+	d.incarnation, d.cancel = context.WithCancel(context.Background())
 	if path := running.Config.Node.AdminSocket; path != "" {
 		ln, err := listener.Open(starting, d.log, func() (net.Listener, error) { return admin.Listen(path) })
 		if err != nil {
-			d.end()
+			d.cancel()
 			d.node.Close()
 			return nil, err
 		}
@@ -111,16 +111,16 @@
 
 // How long a start tries to read the state folder's record, and the first wait between two tries.
 const (
-	longestRead = 2 * time.Second
-	firstRead   = 20 * time.Millisecond
+	maxReadTime    = 2 * time.Second
+	firstReadDelay = 20 * time.Millisecond
 )
 
 // load reads the state folder's record, again for a while where that fails in a way that may pass.
 func (d *Daemon) load(node string) (*state.Record, error) {
 	begun := time.Now()
-	for wait := firstRead; ; wait *= 2 {
+	for wait := firstReadDelay; ; wait *= 2 {
 		held, err := d.folder.Load(node)
-		if !state.Passing(err) || time.Since(begun)+wait > longestRead {
+		if !state.IsTemporary(err) || time.Since(begun)+wait > maxReadTime {
 			return held, err
 		}
 		time.Sleep(wait)
@@ -137,10 +137,10 @@
 	switch {
 	case err == nil:
 		return true, nil
-	case fresh && !state.Passing(err):
+	case fresh && !state.IsTemporary(err):
 		return false, err
 	}
-	d.reportDifference(err)
+	d.reportDivergence(err)
 	return false, nil
 }
 
@@ -150,7 +150,7 @@
 	entry := state.Entry{Serial: 1, Fingerprint: cfg.Fingerprint(), By: "start", At: now(), Config: cfg}
 	d.record = &state.Record{Node: cfg.Node.Name, Lineage: state.NewName(), Running: entry}
 	if cfg.Node.StateFolder == "" {
-		d.why = "the file: there is no state folder, and what is applied is lost with the process"
+		d.startReason = "the file: there is no state folder, and what is applied is lost with the process"
 		return true, nil
 	}
 	if d.folder, err = state.OpenOn(d.options.StateFiles, cfg.Node.StateFolder); err != nil {
@@ -162,21 +162,21 @@
 	held, err := d.load(cfg.Node.Name)
 	switch {
 	case errors.Is(err, state.ErrNone):
-		d.why = "the file: the state folder holds none"
+		d.startReason = "the file: the state folder holds none"
 	case errors.Is(err, state.ErrDamaged):
 		d.log.Error("the state folder's record can't be used", "error", err)
-		d.why = "the file: " + err.Error()
-	case state.Passing(err):
+		d.startReason = "the file: " + err.Error()
+	case state.IsTemporary(err):
 		return false, fmt.Errorf("%w; it may hold what was applied, and the file does not run in its place", err)
 	case err != nil:
 		return false, fmt.Errorf("%w; give this node a folder of its own, or start the program that wrote it", err)
 	case held.Running.Fingerprint == entry.Fingerprint:
 		d.record = held
-		d.why = fmt.Sprintf("serial %d as it was put in place by %s: the file says the same", held.Running.Serial, held.Running.By)
+		d.startReason = fmt.Sprintf("serial %d as it was put in place by %s: the file says the same", held.Running.Serial, held.Running.By)
 		return false, nil
 	case !d.options.FromFile:
 		d.record = held
-		d.why = fmt.Sprintf("serial %d as it was put in place by %s; the file says something else, which plan and apply can bring, or a start with -from-file",
+		d.startReason = fmt.Sprintf("serial %d as it was put in place by %s; the file says something else, which plan and apply can bring, or a start with -from-file",
 			held.Running.Serial, held.Running.By)
 		d.log.Warn("the file differs from what was applied last, and is not taken", "file", d.options.File, "running", plan.Short(held.Running.Fingerprint))
 		return false, nil
@@ -184,7 +184,7 @@
 		entry.Serial = held.Running.Serial + 1
 		before := held.Running
 		d.record = &state.Record{Node: held.Node, Lineage: held.Lineage, Running: entry, Previous: &before}
-		d.why = fmt.Sprintf("the file, as the start was told: the state folder holds serial %d, which it is not", before.Serial)
+		d.startReason = fmt.Sprintf("the file, as the start was told: the state folder holds serial %d, which it is not", before.Serial)
 	}
 	return true, nil
 }
@@ -201,8 +201,8 @@
 	return plan.Running{Node: d.record.Node, Lineage: d.record.Lineage, Incarnation: d.name, Serial: e.Serial, Fingerprint: e.Fingerprint}
 }
 
-// finalLogLines is how long clients may take to read what came of a change when the daemon ends.
-const finalLogLines = time.Second
+// finalResponseTime is how long clients may take to read what came of a change when the daemon ends.
+const finalResponseTime = time.Second
 
 // Run serves until ctx ends, and then until all that was taken is answered. No change is begun any more then,
 // and one under way is undone or, once it is in the state folder, finished.
@@ -213,7 +213,7 @@
 	mended := make(chan struct{})
 	go func() {
 		defer close(mended)
-		d.keepMended(mending)
+		d.repairOnDivergence(mending)
 	}()
 	err := d.node.Run(ctx)
 	d.endChanges()
@@ -221,7 +221,7 @@
 	endMending()
 	<-mended
 	if d.server != nil {
-		last, cancel := context.WithTimeout(context.Background(), finalLogLines)
+		last, cancel := context.WithTimeout(context.Background(), finalResponseTime)
 		defer cancel()
 		if d.server.Shutdown(last) != nil {
 			d.server.Close()
@@ -233,9 +233,9 @@
 // endChanges has no change begin any more, and those under way not wait.
 func (d *Daemon) endChanges() {
 	d.mu.Lock()
-	d.machine.End()
+	d.machine.Shutdown()
 	d.mu.Unlock()
-	d.end()
+	d.cancel()
 }
 
 // Addr is where a listener listens.
@@ -246,8 +246,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := d.record.Running
-	s := admin.Show{Running: d.running(), By: r.By, Since: r.At, Start: d.why, Config: r.Config, Status: d.node.Status(),
-		Needs: r.Config.Needs(), Restart: plan.Restarts(plan.Diff(d.booted, r.Config)), Diverged: d.machine.Diverged(),
+	s := admin.Show{Running: d.running(), By: r.By, Since: r.At, Start: d.startReason, Config: r.Config, Status: d.node.Status(),
+		Needs: r.Config.Needs(), Restart: plan.Restarts(plan.Diff(d.startConfig, r.Config)), Diverged: d.machine.Diverged(),
 		Last: d.last, Memory: d.folder == nil}
 	if p := d.record.Previous; p != nil {
 		before := d.named(*p)
@@ -255,7 +255,7 @@
 		s.Before = p.Config
 	}
 	if phase := d.machine.Phase(); phase != "idle" {
-		s.Under = phase
+		s.UnderWay = phase
 	}
 	return s
 }
@@ -264,7 +264,7 @@
 func (d *Daemon) Apply(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 	p, err := plan.Decode(text)
 	if err != nil {
-		return d.refuse("apply", err)
+		return d.reject("apply", err)
 	}
 	return d.change(plan.Proposal{By: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
 }
@@ -275,7 +275,7 @@
 	previous := d.record.Previous
 	d.mu.Unlock()
 	if previous == nil {
-		return d.refuse("rollback", &admin.Error{Code: admin.CodeNothing, Message: "there is no configuration before this one"})
+		return d.reject("rollback", &admin.Error{Code: admin.CodeNothing, Message: "there is no configuration before this one"})
 	}
 	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
 }
@@ -299,8 +299,8 @@
 	}
 }
 
-// refuse logs and words a refusal.
-func (d *Daemon) refuse(by string, err error) (plan.Running, error) {
+// reject logs and words a refusal.
+func (d *Daemon) reject(by string, err error) (plan.Running, error) {
 	d.log.Warn("a change is refused", "by", by, "error", err)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -315,7 +315,7 @@
 	}
 	for is, code := range map[error]string{plan.ErrUnreadable: admin.CodeUnreadable, plan.ErrNewer: admin.CodeNewer,
 		plan.ErrOtherNode: admin.CodeOtherNode, plan.ErrInvalid: admin.CodeInvalid, plan.ErrStale: admin.CodeStale,
-		plan.ErrBusy: admin.CodeBusy, plan.ErrEnding: admin.CodeEnding, node.ErrShuttingDown: admin.CodeEnding} {
+		plan.ErrBusy: admin.CodeBusy, plan.ErrShuttingDown: admin.CodeEnding, node.ErrShuttingDown: admin.CodeEnding} {
 		if errors.Is(err, is) {
 			return &admin.Error{Code: code, Message: err.Error()}
 		}
@@ -326,7 +326,7 @@
 var stepNames = map[plan.Step]string{plan.Repair: "repair", plan.Prepare: "prepare", plan.Persist: "persist", plan.Commit: "commit",
 	plan.Restore: "restore", plan.Undo: "undo", plan.Retire: "retire"}
 
-// change carries an offer out, one step after another, to its end.
+// change carries a proposal out, one step after another, to its end.
 func (d *Daemon) change(o plan.Proposal, wait time.Duration, told func(string, time.Duration)) (plan.Running, error) {
 	d.mu.Lock()
 	step, err := d.machine.Propose(o)
@@ -335,7 +335,7 @@
 	}
 	d.mu.Unlock()
 	if err != nil {
-		return d.refuse(o.By, err)
+		return d.reject(o.By, err)
 	}
 	defer d.changes.Done()
 	var c *node.Change
@@ -374,7 +374,7 @@
 	if err != nil {
 		d.last.Error = err.Error()
 		if d.machine.Diverged() {
-			d.reportDifference(err)
+			d.reportDivergence(err)
 		}
 		d.log.Error("a change failed; what ran before runs on", "by", o.By, "serial", d.record.Running.Serial, "error", err)
 		return d.running(), coded(err)
@@ -397,7 +397,7 @@
 	return err
 }
 
-// nextRecord is what the state folder holds once the offer is in place.
+// nextRecord is what the state folder holds once the proposal is in place.
 func (d *Daemon) nextRecord(o plan.Proposal) *state.Record {
 	before := d.record.Running
 	return &state.Record{Node: d.record.Node, Lineage: d.record.Lineage, Previous: &before,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -421,7 +421,7 @@
 		_, err := r.client().Apply(ctx, waits, testpeer.Limit, nil)
 		left <- err
 	}()
-	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).UnderWay == "preparing" })
 	_, err := r.apply(t, quick)
 	wantCode(t, err, admin.CodeBusy, "apply is preparing")
 	_, err = r.client().Rollback(t.Context(), before.Running, 0, nil)
@@ -503,7 +503,7 @@
 		_, err := r.apply(t, waits)
 		undone <- err
 	}()
-	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).Under == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return r.show(t).UnderWay == "preparing" })
 	ended := make(chan struct{})
 	go func() { stop(); close(ended) }()
 	wantCode(t, testpeer.Receive(t, undone, "the apply's end"), admin.CodeEnding, "ending")
@@ -550,7 +550,7 @@
 	}
 	r := newFixture(t).with(node.Options{Fault: fault})
 	folder := filepath.Join(r.dir, "state")
-	r.options.mendAfter = time.Hour // what an apply itself sees to is looked at here
+	r.options.repairDelay = time.Hour // what an apply itself sees to is looked at here
 	r.options.StateFiles = &statetest.Files{Ask: func(request, path string) error {
 		if request == "close" && path == folder {
 			return nil // behind all that a write needs: its error changes nothing
@@ -577,7 +577,7 @@
 		t.Helper()
 		r.wantServed(t, "a")
 		s := r.show(t)
-		if s.Serial != 3 || len(s.Config.Pools) != 1 || d.Addr("side") != "" || s.Under != "" {
+		if s.Serial != 3 || len(s.Config.Pools) != 1 || d.Addr("side") != "" || s.UnderWay != "" {
 			t.Errorf("%s: %+v", point, s)
 		}
 		kept, err := state.Open(folder)
@@ -785,7 +785,7 @@
 
 // A file that is away while another takes its name is read once that has come; one that stays away changes nothing, and is told of in
 // one line.
-func TestReloadOfAFileThatIsAway(t *testing.T) {
+func TestReloadOfMissingFile(t *testing.T) {
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
 	r.write(t, r.text("p1", a.Address(), ""))
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -163,7 +163,7 @@
 
 // A full disk refuses an apply with its errno and the path. What ran runs on, and since the record was not touched the
 // folder is not said to differ from it.
-func TestFullDiskRefusesAnApplyAndLeavesNothingInDoubt(t *testing.T) {
+func TestFullDiskRejectsApplyWithoutDivergence(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
@@ -193,11 +193,11 @@
 // Two or three requests in a row fail, in the write of an apply, in the write of the old record after it, and in those
 // that mend it: each apply is refused with its errno and the path; what ran runs on; the folder holds its record, or the
 // difference is shown and logged, and mended once writes succeed, with no apply.
-func TestFolderIsMendedOnItsOwn(t *testing.T) {
+func TestDivergedFolderIsRepaired(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	r.options.mendAfter = time.Millisecond
+	r.options.repairDelay = time.Millisecond
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
@@ -257,11 +257,11 @@
 
 // A node starts although its first record, or the file's in place of an earlier one, can't be written for a while: that
 // is logged and shown, and written once it can be. An error that stays, as a folder that nobody may write to, ends the start.
-func TestStartGoesOnWhileTheFolderCannotBeWritten(t *testing.T) {
+func TestStartWithUnwritableFolder(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	r.options.mendAfter = time.Millisecond
+	r.options.repairDelay = time.Millisecond
 	r.options.FromFile = true
 	disk := sick(r)
 	for i, by := range []string{"a", "b"} {
@@ -290,7 +290,7 @@
 }
 
 // What was applied is found although the folder can't be read for a moment at a start.
-func TestStartReadsAgainWhatCannotBeRead(t *testing.T) {
+func TestStartRetriesRead(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
@@ -320,7 +320,7 @@
 
 // A start gives up on a folder that stays unreadable: it may hold what was applied, so that the file doesn't run in its
 // place. The error says what and where, and asks for no other folder.
-func TestStartGivesUpOnAFolderThatCannotBeRead(t *testing.T) {
+func TestStartFailsOnUnreadableFolder(t *testing.T) {
 	r := newFixture(t)
 	disk := sick(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
@@ -334,7 +334,7 @@
 			strings.Contains(err.Error(), "folder of its own") {
 			t.Errorf("%v", err)
 		}
-		if took := time.Since(begun); took < longestRead/2 || took > longestRead {
+		if took := time.Since(begun); took < maxReadTime/2 || took > maxReadTime {
 			t.Errorf("given up after %v", took)
 		}
 	})
@@ -342,7 +342,7 @@
 
 // The process is killed at each request of an apply's write, or of the write of the old record after one that failed: the
 // next start runs the old configuration or the new one, and the folder holds what runs, also if the power is lost then.
-func TestStartAfterAKillRunsWhatTheFolderHolds(t *testing.T) {
+func TestStartAfterKillRunsRecordedConfiguration(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	for _, kill := range [][]int{{0, 1}, {0, 2}, {0, 3}, {0, 5}, {0, 6}, {0, 7}, {7, 8}, {7, 12}, {7, 13}, {7, 14}} {
@@ -385,10 +385,10 @@
 }
 
 // A record whose name can't be made to last at a start runs, and is written anew.
-func TestStartWritesAnewWhatItCannotSync(t *testing.T) {
+func TestStartRewritesUnsyncedRecord(t *testing.T) {
 	t.Parallel()
 	r := newFixture(t)
-	r.options.mendAfter = time.Millisecond
+	r.options.repairDelay = time.Millisecond
 	disk := sick(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
 	_, end := r.begin(t)
@@ -407,7 +407,7 @@
 }
 
 // A left-over file that can't be removed keeps no node from its start; the next write removes it.
-func TestStartGoesOnWhereTheFolderCannotBeSwept(t *testing.T) {
+func TestStartWithUnsweptFolder(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
@@ -434,11 +434,11 @@
 }
 
 // A plan of what runs already is acknowledged only once the folder holds it.
-func TestApplyOfWhatRunsIsRefusedWhileTheFolderDiffers(t *testing.T) {
+func TestApplyOfRunningConfigurationFailsWhileFolderDiverges(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	r.options.mendAfter = time.Hour
+	r.options.repairDelay = time.Hour
 	disk := sick(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
@@ -463,7 +463,7 @@
 
 // An apply whose record is written when the node begins to end is refused, and the record put back: by the apply, or if
 // that fails by the end, or else the log says what the next start will find.
-func TestRecordIsPutBackWhereTheSwitchComesTooLate(t *testing.T) {
+func TestRecordIsRestoredWhenCommitFails(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	for name, c := range map[string]struct {
@@ -473,7 +473,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newFixture(t)
-			r.options.mendAfter = time.Hour
+			r.options.repairDelay = time.Hour
 			disk := sick(r)
 			r.write(t, r.text("p1", a.Address(), ""))
 			d, stop := r.start(t)
@@ -489,7 +489,7 @@
 						stop()
 					}()
 					testpeer.Until(t, "the node to be ending", func() bool {
-						_, err := d.node.Prepare(t.Context(), d.booted, 0)
+						_, err := d.node.Prepare(t.Context(), d.startConfig, 0)
 						return errors.Is(err, node.ErrShuttingDown)
 					})
 				}
@@ -513,12 +513,12 @@
 }
 
 // A daemon that ends while its folder differs tries once more, and says so if that fails too.
-func TestEndTriesOnceMoreToMend(t *testing.T) {
+func TestShutdownRetriesRepair(t *testing.T) {
 	t.Parallel()
 	for _, mended := range []bool{true, false} {
 		a, b := named(t, "a"), named(t, "b")
 		r := newFixture(t)
-		r.options.mendAfter = time.Hour
+		r.options.repairDelay = time.Hour
 		disk := sick(r)
 		r.write(t, r.text("p1", a.Address(), ""))
 		_, stop := r.start(t)
--- a/internal/daemon/mend.go
+++ b/internal/daemon/repair.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Waits between two tries to bring the state folder up to what runs.
+// Delays between two attempts to write what runs to the state folder.
 const (
-	firstMend   = 100 * time.Millisecond
-	longestMend = 10 * time.Second
+	firstRepairDelay = 100 * time.Millisecond
+	maxRepairDelay   = 10 * time.Second
 )
 
-// keepMended writes the record of what runs whenever the state folder may hold another, again and again until that
+// repairOnDivergence writes the record of what runs whenever the state folder may hold another, again and again until that
 // succeeds. It returns when ctx ends, after one last attempt.
-func (d *Daemon) keepMended(ctx context.Context) {
+func (d *Daemon) repairOnDivergence(ctx context.Context) {
 	for {
 		select {
-		case <-d.differs:
-			d.mendUntilDone(ctx)
+		case <-d.divergence:
+			d.repairUntilDone(ctx)
 		case <-ctx.Done():
-			if err := d.mend(); err != nil {
+			if err := d.repair(); err != nil {
 				d.log.Error("the state folder was not brought up to what ran; the next start may find another configuration", "error", err)
 			}
 			return
@@ -27,12 +27,12 @@
 	}
 }
 
-// mendUntilDone tries until the state folder holds what runs, or ctx ends.
-func (d *Daemon) mendUntilDone(ctx context.Context) {
-	for wait := d.options.mendAfter; d.diverged(); wait = min(2*wait, longestMend) {
+// repairUntilDone tries until the state folder holds what runs, or ctx ends.
+func (d *Daemon) repairUntilDone(ctx context.Context) {
+	for wait := d.options.repairDelay; d.diverged(); wait = min(2*wait, maxRepairDelay) {
 		select {
 		case <-time.After(wait):
-			d.mend() // the first failure is in the log; it is tried again
+			d.repair() // the first failure is in the log; it is tried again
 		case <-ctx.Done():
 			return
 		}
@@ -46,9 +46,9 @@
 	return d.machine.Diverged()
 }
 
-// mend writes the record of what runs, if the state folder may hold another. A change that is under way writes what
+// repair writes the record of what runs, if the state folder may hold another. A change that is under way writes what
 // is due itself.
-func (d *Daemon) mend() error {
+func (d *Daemon) repair() error {
 	d.writing.Lock()
 	defer d.writing.Unlock()
 	d.mu.Lock()
@@ -62,19 +62,19 @@
 		return err
 	}
 	d.mu.Lock()
-	d.machine.Mended()
+	d.machine.Repaired()
 	d.mu.Unlock()
 	d.log.Info("the state folder holds what runs again", "serial", record.Running.Serial)
 	return nil
 }
 
-// reportDifference logs that the state folder may hold another record than that of what runs, and has it mended. The
-// client holds mu, or is alone.
-func (d *Daemon) reportDifference(err error) {
+// reportDivergence logs that the state folder may hold another record than that of what runs, and has it repaired. The
+// caller holds mu, or is alone.
+func (d *Daemon) reportDivergence(err error) {
 	d.log.Error("the state folder may hold another configuration than what runs; it is written again until that succeeds",
 		"path", d.folder.Path(), "serial", d.record.Running.Serial, "error", err)
 	select {
-	case d.differs <- struct{}{}:
-	default: // it is being mended already
+	case d.divergence <- struct{}{}:
+	default: // a repair is due already
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -34,9 +34,9 @@
 	}
 	// An earlier process may have left a rule for all that listen here. Where the system knows no such rules nobody
 	// can have left one: then the end of the older process costs the connections that its queue holds, and no start.
-	if err := steer(ln, spread); err != nil && !unsupported(err) {
+	if err := directTo(ln, anySocket); err != nil && !unsupported(err) {
 		ln.Close()
-		return nil, fmt.Errorf("succession: %s: %w", address, err)
+		return nil, fmt.Errorf("hotrestart: %s: %w", address, err)
 	}
 	return ln, nil
 }
@@ -54,17 +54,17 @@
 // Sockets of one address are numbered in the order in which they began to listen, and one that is closed gives its
 // number to the last. A number that no socket has leaves the choice to the kernel.
 const (
-	youngest = 1 // of two
-	spread   = 1 << 16
+	successor = 1 // of two
+	anySocket = 1 << 16
 )
 
 // Yield has new connections go to the process that began to listen after this one, if there is one. Those that
 // the kernel has completed already, or is about to, still come here and have to be accepted.
-func Yield(ln net.Listener) error { return steer(ln, youngest) }
+func Yield(ln net.Listener) error { return directTo(ln, successor) }
 
-// steer has all new connections at an address go to the socket of a number (SO_ATTACH_REUSEPORT_CBPF, socket(7)):
+// directTo has all new connections at an address go to the socket of a number (SO_ATTACH_REUSEPORT_CBPF, socket(7)):
 // the program is one instruction that returns it. It needs no privilege.
-func steer(ln net.Listener, number uint32) error {
+func directTo(ln net.Listener, number uint32) error {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -103,7 +103,7 @@
 		file, err := os.OpenFile(filepath.Join(folder, f.file), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			l.Leave()
-			return nil, fmt.Errorf("succession: %w", err)
+			return nil, fmt.Errorf("hotrestart: %w", err)
 		}
 		*f.to = file
 	}
@@ -115,10 +115,10 @@
 		if lock(l.next) {
 			return l, nil
 		}
-		time.Sleep(look / 20)
+		time.Sleep(pollInterval / 20)
 	}
 	l.Leave()
-	return nil, fmt.Errorf("succession: another process waits for the seat of %s already", name)
+	return nil, fmt.Errorf("hotrestart: another process waits for the seat of %s already", name)
 }
 
 // Seated says that this process has the seat, and takes it if it is free.
@@ -147,13 +147,13 @@
 	return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil
 }
 
-// look is how often a process looks whether it is alone.
-const look = 100 * time.Millisecond
+// pollInterval is how often a process looks whether it is alone.
+const pollInterval = 100 * time.Millisecond
 
 // Watch tells whenever this process begins or ceases to be one of two, until ctx ends. The first word comes before
 // it waits.
 func (l *Processes) Watch(ctx context.Context, tell func(two bool)) {
-	for known, was, seated := false, false, false; ctx.Err() == nil; clock.Sleep(ctx, look) {
+	for known, was, seated := false, false, false; ctx.Err() == nil; clock.Sleep(ctx, pollInterval) {
 		if !seated && l.Seated() {
 			seated = true
 			unix.Flock(int(l.next.Fd()), unix.LOCK_UN)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -58,7 +58,7 @@
 
 // Given two that listen at one address, both are called; once the older yields, only the younger is; if that one
 // goes the older is called again; and a third one later does not inherit the rule.
-func TestNewConnectionsGoToTheOneThatStays(t *testing.T) {
+func TestNewConnectionsGoToSuccessor(t *testing.T) {
 	old := take(t, "127.0.0.1:0")
 	next := take(t, old.Addr().String())
 	call(t, 100, old, next)
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if err := steer(ln, spread); err != nil && !unsupported(err) {
+	if err := directTo(ln, anySocket); err != nil && !unsupported(err) {
 		t.Errorf("%v would keep a node from starting", err)
 	}
 	if unsupported(net.ErrClosed) {
@@ -106,7 +106,7 @@
 }
 
 // An address that somebody holds alone is not shared.
-func TestAnAddressHeldAloneIsAnError(t *testing.T) {
+func TestExclusiveAddressIsAnError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 	return l
 }
 
-func TestProcessesOfANodeKnowOfOneAnother(t *testing.T) {
+func TestProcessesDetectOneAnother(t *testing.T) {
 	folder := t.TempDir()
 	old := enter(t, folder)
 	if !old.Seated() || old.Followed() {
@@ -153,7 +153,7 @@
 }
 
 // The older hears that it is followed, and again when the younger was killed; the younger hears that it is alone.
-func TestOtherProcessIsReported(t *testing.T) {
+func TestWatchReportsOtherProcess(t *testing.T) {
 	folder := t.TempDir()
 	watch := func(l *Processes) <-chan bool {
 		told := make(chan bool, 100)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,8 +9,8 @@
 
 // Results.
 const (
-	Fulfilled Result = iota // served, with the whole of a server's answer
-	Throttled               // refused
+	Fulfilled Result = iota // served, with a server's complete reply
+	Throttled               // rejected
 	Faulted                 // anything else
 )
 
@@ -25,7 +25,7 @@
 	open    int64
 }
 
-// Know has classes stand among the metrics before anything of them was counted.
+// Know has classes appear among the metrics before anything of them was counted.
 func (s *Set) Know(classes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,14 +49,14 @@
 	s.add(class, r, 1)
 }
 
-// Left notes that a request's client went before its end, whatever that would have been.
+// Left notes that the client of a request disconnected before its response.
 func (s *Set) Left() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open--
 }
 
-// Relay notes that an attempt was written whole to a server.
+// Relay notes that an attempt was written completely to a server.
 func (s *Set) Relay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	Fulfilled map[string]int64 `json:"fulfilled"` // by class
 	Throttled map[string]int64 `json:"throttled"`
 	Faulted   map[string]int64 `json:"faulted"`
-	Relayed   int64            `json:"relayed"`       // attempts written whole to servers
+	Relayed   int64            `json:"relayed"`       // attempts written completely to servers
 	Open      int64            `json:"open_requests"` // taken and not ended
 
 	// Of the servers' list; its owner fills them in.
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -150,7 +150,7 @@
 }
 
 // flatten notes the fields of a JSON object by their paths. Lists of objects are taken by their names, lists of
-// plain values stay whole.
+// plain values stay one field.
 func flatten(to map[string]json.RawMessage, path string, text json.RawMessage) {
 	join := func(name string) string {
 		if path == "" {
@@ -260,8 +260,8 @@
 	return Live
 }
 
-// Says is what a change does, in words for people.
-func (c Change) Says() string {
+// Description is what a change does, for people.
+func (c Change) Description() string {
 	switch {
 	case c.Kind == "listener" && c.Action == Add:
 		return "begins to listen"
@@ -324,7 +324,7 @@
 		if c.Name != "" {
 			title = fmt.Sprintf("%s %q", c.Kind, c.Name)
 		}
-		fmt.Fprintf(&b, "  %s %s: %s\n", signs[c.Action], title, c.Says())
+		fmt.Fprintf(&b, "  %s %s: %s\n", signs[c.Action], title, c.Description())
 		width := 0
 		for _, f := range c.Fields {
 			width = max(width, len(f.Path))
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -10,21 +10,21 @@
 // Machine is the order in which an apply's steps come. It is fed what happened and says what to do next, one
 // step at a time; nothing of what runs changes before Commit, and whatever fails before it is undone.
 //
-//	Offer -> Prepare -> Persist -> Commit -> Retire
-//	            |          |          |
-//	           Undo      Restore -> Undo
+//	Propose -> Prepare -> Persist -> Commit -> Retire
+//	              |          |          |
+//	             Undo      Restore -> Undo
 //
 // Restore is for a record that may have reached the disk: the old one is written again, so that the next start
-// finds what runs now. If that fails too, the machine remembers it until it is told that the record has been mended,
-// and an apply that comes before begins with another try.
+// finds what runs now. If that fails too, the machine remembers it until it is told that the record has been repaired,
+// and an apply that comes before begins with another attempt.
 // A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing undecided.
 type Machine struct {
-	running  Running
-	phase    phase
-	proposal *Proposal
-	cause    error // why the one under way fails
-	diverged bool  // the disk may hold another record than what runs
-	ending   bool
+	running      Running
+	phase        phase
+	proposal     *Proposal
+	cause        error // why the one under way fails
+	diverged     bool  // the disk may hold another record than what runs
+	shuttingDown bool
 }
 
 type phase int
@@ -65,12 +65,12 @@
 	Retire       // what went is being closed; nothing can fail any more
 )
 
-// Errors of offers.
+// Errors of Propose.
 var (
 	// ErrBusy says that another change is under way.
 	ErrBusy = errors.New("another change is under way")
-	// ErrEnding says that the node is ending.
-	ErrEnding = errors.New("the node is ending")
+	// ErrShuttingDown says that the node is ending.
+	ErrShuttingDown = errors.New("the node is ending")
 )
 
 // UntouchedError is how a Persist ends that has failed and left the old record where it was.
@@ -99,8 +99,8 @@
 // Busy says that a change is under way.
 func (m *Machine) Busy() bool { return m.phase != idle }
 
-// Mended says that the record of what runs has been written again, outside of a change.
-func (m *Machine) Mended() { m.diverged = false }
+// Repaired says that the record of what runs has been written again, outside of a change.
+func (m *Machine) Repaired() { m.diverged = false }
 
 // Next is the serial and fingerprint that the change under way leads to.
 func (m *Machine) Next() Running {
@@ -117,8 +117,8 @@
 // of that is written again where the disk may hold another: whoever is told that it runs may count on the next start.
 func (m *Machine) Propose(o Proposal) (Step, error) {
 	switch {
-	case m.ending:
-		return Nothing, ErrEnding
+	case m.shuttingDown:
+		return Nothing, ErrShuttingDown
 	case m.phase != idle:
 		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.proposal.By, m.Phase())
 	}
@@ -163,8 +163,8 @@
 			return m.stop(fmt.Errorf("the state folder could not be brought up to what runs: %w", err))
 		}
 		m.diverged = false
-		if m.ending {
-			return m.stop(ErrEnding)
+		if m.shuttingDown {
+			return m.stop(ErrShuttingDown)
 		}
 		if m.proposal.runs(m.running) {
 			return m.stop(nil)
@@ -173,13 +173,13 @@
 		return Prepare
 	case preparing:
 		if err != nil { // it has been undone where it failed
-			if m.ending {
-				err = fmt.Errorf("%w: %w", ErrEnding, err)
+			if m.shuttingDown {
+				err = fmt.Errorf("%w: %w", ErrShuttingDown, err)
 			}
 			return m.stop(err)
 		}
-		if m.ending {
-			return m.undo(ErrEnding)
+		if m.shuttingDown {
+			return m.undo(ErrShuttingDown)
 		}
 		m.phase = persisting
 		return Persist
@@ -237,5 +237,5 @@
 // Err is why the last change failed; nil if it did not.
 func (m *Machine) Err() error { return m.cause }
 
-// End says that the node is ending: nothing new is begun, and what has not been persisted yet will be undone.
-func (m *Machine) End() { m.ending = true }
+// Shutdown says that the node is ending: nothing new is begun, and what has not been persisted yet will be undone.
+func (m *Machine) Shutdown() { m.shuttingDown = true }
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -24,7 +24,7 @@
 
 // Each script: what happens (an offer, the end of the node, the outcome of the last step) and the step that
 // must follow.
-func TestScriptsOfAnApply(t *testing.T) {
+func TestApplySteps(t *testing.T) {
 	for name, script := range map[string]string{
 		"all goes well":                "offer prepare ok persist ok commit ok retire ok nothing",
 		"preparing fails":              "offer prepare fail nothing",
@@ -76,10 +76,10 @@
 				case "fail":
 					step = m.Done(errStep)
 				case "end":
-					m.End()
+					m.Shutdown()
 					continue
 				case "mended":
-					m.Mended()
+					m.Repaired()
 					if m.Diverged() {
 						t.Error("still diverged")
 					}
@@ -99,7 +99,7 @@
 }
 
 // A refusal names what is under way, or what runs.
-func TestRefusalsOfOffersSayWhy(t *testing.T) {
+func TestRejectedProposals(t *testing.T) {
 	m := NewMachine(runningOf(example(t), 1), false)
 	if _, err := m.Propose(scripted(t, m.Running(), 2)); err != nil {
 		t.Fatal(err)
@@ -121,8 +121,8 @@
 	if _, err := m.Propose(other); !errors.Is(err, ErrOtherNode) {
 		t.Errorf("%v", err)
 	}
-	m.End()
-	if _, err := m.Propose(scripted(t, m.Running(), 2)); !errors.Is(err, ErrEnding) {
+	m.Shutdown()
+	if _, err := m.Propose(scripted(t, m.Running(), 2)); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
 }
@@ -139,7 +139,7 @@
 // For any order of offers, ends and outcomes: nothing is committed that was not prepared and persisted; what is
 // prepared is committed or undone; what the disk holds is what runs, or the machine knows that it may not be;
 // one change at a time, and none begins once the node ends.
-func TestNoOrderOfEventsLeavesHalfAChange(t *testing.T) {
+func TestChangesAreAtomicInEveryOrder(t *testing.T) {
 	configs := map[string]*config.Config{}
 	for i := range 3 {
 		c := example(t)
@@ -165,7 +165,7 @@
 				}
 			case "end":
 				if rapid.IntRange(0, 4).Draw(t, "really") == 0 {
-					m.End()
+					m.Shutdown()
 					ended = true
 				}
 			case "done":
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -42,7 +42,7 @@
 	Source  Source         `json:"source"` // what it was made from
 	Socket  string         `json:"socket"` // the admin socket that it was made through
 	Result  string         `json:"result"` // fingerprint of the configuration
-	Config  *config.Config `json:"config"` // whole
+	Config  *config.Config `json:"config"` // complete
 	Changes []Change       `json:"changes"`
 	Digest  string         `json:"digest"` // of all the above
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -38,7 +38,7 @@
 }
 
 // Each change tells, down to the field, what becomes of it and what it does.
-func TestDiffTellsWhatEachChangeDoes(t *testing.T) {
+func TestDiffEffects(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*config.Config)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestTextForPeople(t *testing.T) {
+func TestText(t *testing.T) {
 	next := example(t)
 	next.Pools[0].Attempts = 2
 	next.Listeners = next.Listeners[:1]
@@ -138,7 +138,7 @@
 }
 
 // When a plan was made is for people to read: it fits or does not under any clock.
-func TestThePlansTimeIsForReading(t *testing.T) {
+func TestPlanTimeHasNoEffect(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestPlansThatAreRefused(t *testing.T) {
+func TestRejectedPlans(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
 	p := Make(runningOf(old, 3), old, next, Source{"f.hcl", "d"}, "/run/admin", made)
@@ -219,8 +219,8 @@
 }
 
 // For any two configurations a plan says no change exactly if they mean the same, and what it holds is the
-// second one whole.
-func TestDiffIsEmptyExactlyForTheSame(t *testing.T) {
+// second one completely.
+func TestDiffIsEmptyOnlyForEqualConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := configtest.Draw(t, world), configtest.Draw(t, world)
 		if rapid.IntRange(0, 3).Draw(t, "same") == 0 {
@@ -307,7 +307,7 @@
 	return make(0), make(1)
 }
 
-// BenchmarkPlan1000Pools10000Routes is a plan's way whole: check, difference, writing, reading again.
+// BenchmarkPlan1000Pools10000Routes is all steps of a plan: check, difference, writing, reading again.
 func BenchmarkPlan1000Pools10000Routes(b *testing.B) {
 	old, next := bigPair()
 	b.ReportAllocs()
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -14,7 +14,7 @@
 // ErrShuttingDown says that the node ends, which nothing takes back.
 var ErrShuttingDown = errors.New("the node is ending")
 
-// Tracker is a node's; the zero value serves. It belongs to one goroutine, or its owner locks it.
+// Tracker holds whether a node is ready; the zero value is. It belongs to one goroutine, or its owner locks it.
 type Tracker struct {
 	shuttingDown, quiesced bool
 	since                  time.Duration
@@ -27,25 +27,25 @@
 }
 
 // Quiesce sends clients away from a clock time on. Once that is so, a further call changes nothing.
-func (d *Tracker) Quiesce(now time.Duration) {
-	if !d.quiesced {
-		d.quiesced, d.since = true, now
+func (t *Tracker) Quiesce(now time.Duration) {
+	if !t.quiesced {
+		t.quiesced, t.since = true, now
 	}
 }
 
 // Resume takes clients again.
-func (d *Tracker) Resume() error {
-	if d.shuttingDown {
+func (t *Tracker) Resume() error {
+	if t.shuttingDown {
 		return ErrShuttingDown
 	}
-	d.quiesced = false
+	t.quiesced = false
 	return nil
 }
 
 // End sends clients away for good.
-func (d *Tracker) End() { d.shuttingDown = true }
+func (t *Tracker) End() { t.shuttingDown = true }
 
-// At is the state at a clock time. When an ending node parts with its clients is the ending's.
-func (d *Tracker) At(now time.Duration) State {
-	return State{Ready: !d.quiesced && !d.shuttingDown, CloseConnections: d.quiesced && now-d.since >= CloseIdleAfter}
+// At is the state at a clock time. When a node that shuts down closes connections is its shutdown's schedule.
+func (t *Tracker) At(now time.Duration) State {
+	return State{Ready: !t.quiesced && !t.shuttingDown, CloseConnections: t.quiesced && now-t.since >= CloseIdleAfter}
 }
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -105,7 +105,7 @@
 	return len(s.calls)
 }
 
-// held is the serial that a new process finds, whole.
+// held is the serial that a new process finds in a complete record.
 func held(t *testing.T, f *state.Folder) int {
 	t.Helper()
 	next, err := state.Open(filepath.Dir(f.Path()))
@@ -124,7 +124,7 @@
 	}
 	serial := slices.IndexFunc(records[:], func(k known) bool { return k.text == string(text) })
 	if serial < 1 {
-		t.Fatalf("a record that is not whole: %s", text)
+		t.Fatalf("a record that is not complete: %s", text)
 	}
 	return serial
 }
@@ -152,9 +152,9 @@
 }
 
 // Each request of a write fails in turn, with each errno, alone or with each of the requests behind it: after each of the
-// writes the folder holds the old record whole or the new one whole, the error says which request failed and where, and
+// writes the folder holds the old record or the new one, complete, the error says which request failed and where, and
 // says "untouched" only if the old one is there; no other file is left unless its removal failed; the next write goes through, in another file.
-func TestEveryFaultOfAWriteLeavesOneRecordWhole(t *testing.T) {
+func TestWriteFaultsLeaveOneCompleteRecord(t *testing.T) {
 	n := callsOfASave(t)
 	for first := 1; first <= n; first++ {
 		for second := first; second <= first+n; second++ {
@@ -202,8 +202,8 @@
 }
 
 // The process is killed at each request of a write, or of the write after one that failed; a write in hand is half done.
-// Then, or with the power lost too, the next start finds a record whole, and the newest if its write was over.
-func TestEveryKillLeavesOneRecordWhole(t *testing.T) {
+// Then, or with the power lost too, the next start finds a complete record, and the newest if its write was over.
+func TestKillsLeaveOneCompleteRecord(t *testing.T) {
 	n := callsOfASave(t)
 	for _, power := range []string{"stays", "lost with the names", "lost without the names"} {
 		for fails := 0; fails <= n; fails++ {
@@ -233,7 +233,7 @@
 }
 
 // A write that was over is there after a loss of power.
-func TestWhatWasWrittenOutlastsThePower(t *testing.T) {
+func TestSavedRecordSurvivesPowerLoss(t *testing.T) {
 	for _, namesStay := range []bool{false, true} {
 		f, files, _ := faulty(t)
 		if err := f.Save(records[2].record); err != nil {
@@ -250,7 +250,7 @@
 
 // Files that writes left behind since they could not be removed either are removed by the next write that can; they
 // don't pile up.
-func TestWhatCouldNotBeRemovedIsSweptLater(t *testing.T) {
+func TestLeftoverFilesAreSweptLater(t *testing.T) {
 	f, files, _ := faulty(t)
 	files.Ask = func(request, _ string) error {
 		if request == "sync" || request == "remove" {
@@ -273,7 +273,7 @@
 }
 
 // Sweep removes what it can: neither a path with a pattern's characters nor a file that stays keeps it from the rest.
-func TestSweepRemovesWhatItCan(t *testing.T) {
+func TestSweepContinuesAfterErrors(t *testing.T) {
 	stays := ""
 	files := &statetest.Files{Ask: func(request, path string) error {
 		if request == "remove" && path == stays {
@@ -308,7 +308,7 @@
 }
 
 // A damaged record that can't be set aside is not written over: the next write sets it aside first, or fails.
-func TestDamagedRecordIsNeverWrittenOver(t *testing.T) {
+func TestDamagedRecordIsNeverOverwritten(t *testing.T) {
 	f, files, _ := faulty(t)
 	if err := os.WriteFile(f.Path(), []byte("{half"), 0o600); err != nil {
 		t.Fatal(err)
@@ -345,7 +345,7 @@
 
 // A folder that was made is there after a loss of power: every name on the way to it was synced before a write was over,
 // also where that fails at first. One that can't be made for a while is made by the write.
-func TestFolderThatWasMadeOutlastsThePower(t *testing.T) {
+func TestCreatedFolderSurvivesPowerLoss(t *testing.T) {
 	once.Do(func() { makeRecords(t) })
 	root := t.TempDir()
 	path := filepath.Join(root, "a", "b", "state")
--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -9,15 +9,15 @@
 	"syscall"
 )
 
-// passing are the errors of a file system, or of a process short of something, that may be over in a while.
-var passing = [...]syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE,
+// temporaryErrors are those errors of a file system, or of a process short of something, that may be over in a while.
+var temporaryErrors = [...]syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.ESTALE}
 
-// Passing says that what failed may succeed when it is tried again later, with nobody changing the configuration or
+// IsTemporary says that what failed may succeed when it is tried again later, with nobody changing the configuration or
 // the folder's rights.
-func Passing(err error) bool {
+func IsTemporary(err error) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(passing[:], errno)
+	return errors.As(err, &errno) && slices.Contains(temporaryErrors[:], errno)
 }
 
 // Files is what a Folder asks of the file system. Tests have each request fail, or end the process there.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
 // Package state keeps what a node runs in its state folder, so that a start after any end finds the old
-// configuration whole or the new one whole.
+// configuration or the new one, complete.
 //
 // The folder holds one file, running.json: the configuration that runs, the one before it, and a digest over
 // both. It is written beside and renamed over the old one, the file synced before and the folder after, so that
@@ -32,11 +32,11 @@
 // maxRecord bounds what is read of a record.
 const maxRecord = 256 << 20
 
-// name of the file.
-const name = "running.json"
+// recordName is the name of the file.
+const recordName = "running.json"
 
 // temporaryPrefix begins the name of a file that is to become the record.
-const temporaryPrefix = "." + name
+const temporaryPrefix = "." + recordName
 
 // Entry is a configuration as it was put in place.
 type Entry struct {
@@ -63,7 +63,7 @@
 	Record json.RawMessage `json:"record"`
 }
 
-// NewName draws the name of a new line of configurations, or of a life of a process.
+// NewName draws the name of a new lineage of configurations, or of an incarnation of a process.
 func NewName() string {
 	var b [8]byte
 	rand.Read(b[:])
@@ -97,7 +97,7 @@
 type Folder struct {
 	path     string
 	files    Files
-	made     bool
+	created  bool
 	unsynced []string // folders on the way to it whose names may not last yet
 	damaged  bool     // a record that can't be used is still in its place
 	unswept  bool     // there may be files of writes that were cut short
@@ -109,14 +109,14 @@
 // OpenOn is Open on another file system than the machine's.
 func OpenOn(files Files, path string) (*Folder, error) {
 	f := &Folder{path: path, files: files}
-	if err := f.make(); err != nil && !Passing(err) {
+	if err := f.create(); err != nil && !IsTemporary(err) {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	return f, nil
 }
 
-// make makes the folder where it is not there.
-func (f *Folder) make() error {
+// create makes the folder where it is not there.
+func (f *Folder) create() error {
 	f.unsynced = []string{filepath.Dir(f.path)} // an earlier process may have made it and not come to the sync
 	for at := filepath.Dir(f.path); at != filepath.Dir(at); at = filepath.Dir(at) {
 		if _, err := f.files.Lstat(at); !errors.Is(err, fs.ErrNotExist) {
@@ -125,20 +125,20 @@
 		f.unsynced = append(f.unsynced, filepath.Dir(at))
 	}
 	err := f.files.MkdirAll(f.path, 0o700)
-	f.made = err == nil
+	f.created = err == nil
 	return err
 }
 
-// settle has the folder there to stay: made, and each name on the way to it synced.
-func (f *Folder) settle() error {
-	if !f.made {
-		if err := f.make(); err != nil {
+// ensureDurable has the folder there to stay: made, and each name on the way to it synced.
+func (f *Folder) ensureDurable() error {
+	if !f.created {
+		if err := f.create(); err != nil {
 			return err
 		}
 	}
 	for len(f.unsynced) > 0 {
 		// Who may not read a folder can't sync it; that is no reason not to write.
-		if err := f.sync(f.unsynced[0]); Passing(err) {
+		if err := f.sync(f.unsynced[0]); IsTemporary(err) {
 			return err
 		}
 		f.unsynced = f.unsynced[1:]
@@ -147,7 +147,7 @@
 }
 
 // Path is where the record is.
-func (f *Folder) Path() string { return filepath.Join(f.path, name) }
+func (f *Folder) Path() string { return filepath.Join(f.path, recordName) }
 
 func digest(text []byte) string {
 	sum := sha256.Sum256(text)
@@ -229,7 +229,7 @@
 // setAside renames the record to one that no start reads.
 func (f *Folder) setAside() (string, error) {
 	for i := range 1000 {
-		aside := filepath.Join(f.path, fmt.Sprintf("%s.damaged-%d", name, i))
+		aside := filepath.Join(f.path, fmt.Sprintf("%s.damaged-%d", recordName, i))
 		_, err := f.files.Lstat(aside)
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
@@ -241,7 +241,7 @@
 	return "", fmt.Errorf("there are a thousand damaged records in %s already", f.path)
 }
 
-// Save writes a record in place of the one that is there, whole or not at all: after an error the folder holds
+// Save writes a record in place of the one that is there, atomically: after an error the folder holds
 // one of the two, and after none it holds the new one, also if the machine loses its power now. The error is a
 // WriteError. A write that failed is tried again by another Save, in a new file: a sync that failed once may
 // succeed the second time with the text lost.
@@ -254,7 +254,7 @@
 	if err != nil {
 		return &WriteError{Untouched: true, Err: err}
 	}
-	if err := f.ready(); err != nil {
+	if err := f.prepareWrite(); err != nil {
 		return &WriteError{Untouched: true, Err: err}
 	}
 	temporary, err := f.writeTemporary(text)
@@ -273,9 +273,9 @@
 	return nil
 }
 
-// ready does what earlier failures have left to be done before a write.
-func (f *Folder) ready() error {
-	if err := f.settle(); err != nil {
+// prepareWrite does what earlier failures have left to be done before a write.
+func (f *Folder) prepareWrite() error {
+	if err := f.ensureDurable(); err != nil {
 		return err
 	}
 	if f.damaged {
@@ -306,7 +306,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := fill(file, text); err != nil {
+	if err := writeAndSync(file, text); err != nil {
 		f.discard(path)
 		return "", err
 	}
@@ -326,8 +326,8 @@
 	return "", nil, err
 }
 
-// fill writes a text to a file, syncs and closes it.
-func fill(file File, text []byte) error {
+// writeAndSync writes a text to a file, syncs and closes it.
+func writeAndSync(file File, text []byte) error {
 	if _, err := file.Write(text); err != nil {
 		file.Close()
 		return err
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -201,7 +201,7 @@
 
 // A record that an earlier program wrote is read, and this program writes the same bytes for it, so that the earlier
 // one reads them. (A field that is added later changes the bytes: then show that the earlier program reads them.)
-func TestRecordOfAnEarlierProgramIsReadAndWrittenAlike(t *testing.T) {
+func TestRecordOfEarlierProgramRoundTrips(t *testing.T) {
 	earlier, err := os.ReadFile("testdata/running-format1.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/statetest/files.go
+++ b/internal/state/statetest/files.go
@@ -24,7 +24,7 @@
 
 	mu      sync.Mutex
 	ended   bool
-	synced  map[string]bool   // files that would be whole after a loss of power
+	synced  map[string]bool   // files that would be complete after a loss of power
 	replace map[string][]byte // renames that would not have happened: what was there, nil for nothing
 }
 
