--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -10,8 +10,19 @@
 )
 
 // temporaryErrors are those errors of a file system, or of a process short of something, that may be over in a while.
-var temporaryErrors = [...]syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS, syscall.EMFILE, syscall.ENFILE,
-	syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.ESTALE}
+var temporaryErrors = [...]syscall.Errno{
+	syscall.ENOSPC,
+	syscall.EDQUOT,
+	syscall.EIO,
+	syscall.EROFS,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOMEM,
+	syscall.EINTR,
+	syscall.EAGAIN,
+	syscall.ETIMEDOUT,
+	syscall.ESTALE,
+}
 
 // IsTemporary says that what failed may succeed when it is tried again later, with nobody changing the configuration or
 // the folder's rights.
