--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"net"
 	"net/netip"
 	"path/filepath"
@@ -11,7 +10,6 @@
 	"time"
 
 	"damsontrestle/internal/balancer"
-	"damsontrestle/internal/route"
 	"damsontrestle/internal/zonestate"
 )
 
@@ -226,43 +224,6 @@
 	return a.Addr().Unmap() == b.Addr().Unmap() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-func (k *checker) pools() {
-	if len(k.Pools) == 0 {
-		k.fail("pool", "there is none; at least one must be defined")
-	}
-	named(k, "pool", k.Pools, Pool.name)
-	for _, p := range k.Pools {
-		path := "pool." + p.Name
-		word(k, path+".protocol", p.Protocol, HTTP1)
-		k.number(path+".tier", p.Tier, 0, maxTier)
-		k.number(path+".attempts", p.Attempts, 1, maxAttempts)
-		k.duration(path+".tick", p.Tick, time.Microsecond, maxTick)
-		k.duration(path+".retry_after", p.RetryAfter, 0, maxDeadline)
-		k.number(path+".copies.count", p.Copies.Count, 1, maxCopies)
-		k.number(path+".copies.index", p.Copies.Index, 0, max(1, p.Copies.Count)-1)
-		k.float(path+".shedding.whole", p.Shedding.Total, 0, maxWeight)
-		k.float(path+".shedding.worst_class", p.Shedding.WorstClass, 0, maxWeight)
-		k.number(path+".connections.most", p.Connections.Most, 1, maxDescriptors)
-		k.duration(path+".connections.idle", p.Connections.Idle, 10*time.Millisecond, 24*time.Hour)
-		k.duration(path+".connections.connect_timeout", p.Connections.ConnectTimeout, time.Millisecond, time.Minute)
-		k.float(path+".slow_start.from", p.SlowStart.From, 0.01, 1)
-		k.duration(path+".slow_start.over", p.SlowStart.Over, 0, time.Hour)
-		if p.LoadReports != (LoadReports{}) {
-			k.name(path+".load_reports.busy", p.LoadReports.Busy)
-			k.number(path+".load_reports.ask", p.LoadReports.Poll, 0, maxPolls)
-			if at := p.LoadReports.PollPath; p.LoadReports.Poll == 1 {
-				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: there is nothing to choose from one", maxPolls)
-			} else if (at != "") != (p.LoadReports.Poll > 0) || at != "" && (at[0] != '/' || strings.ContainsFunc(at, func(c rune) bool { return c <= ' ' || c > '~' })) {
-				k.fail(path+".load_reports.ask_path", "found %q; allowed: a path from \"/\" on of visible ASCII, and only with ask", at)
-			}
-		}
-		k.servers(path, p)
-		if !k.reached(p.Name) {
-			k.warn(path, "no route leads to it")
-		}
-	}
-}
-
 // maxSeeds is how many others a file may name.
 const maxSeeds = 256
 
@@ -305,46 +266,6 @@
 	maxPlace    = 16
 )
 
-func (k *checker) reached(pool string) bool {
-	return slices.ContainsFunc(k.Routes, func(r route.Route) bool {
-		return slices.ContainsFunc(r.To, func(t route.Target) bool { return t.Pool == pool })
-	})
-}
-
-func (k *checker) servers(path string, p Pool) {
-	switch {
-	case p.Registry != nil && len(p.Servers) > 0:
-		k.fail(path, "it has both a registry and servers of its own; allowed: one of them")
-	case p.Registry == nil && len(p.Servers) == 0:
-		k.fail(path, "it has no servers; allowed: server blocks, or a registry block that tells where their list is")
-	}
-	if r := p.Registry; r != nil {
-		k.target(path+".registry.address", r.Address)
-		word(k, path+".registry.mode", r.Mode, Pushed, Polled)
-		if r.Mode == Polled {
-			k.duration(path+".registry.ask_within", r.PollInterval, 100*time.Millisecond, time.Hour)
-		} else if r.PollInterval != 0 {
-			k.fail(path+".registry.ask_within", "found %v; it belongs to mode = \"asked\"", r.PollInterval)
-		}
-	}
-	named(k, path+".server", p.Servers, Server.name)
-	for i, s := range p.Servers {
-		sp := path + ".server." + s.Name
-		k.target(sp+".address", s.Address)
-		for _, o := range p.Servers[:i] {
-			if o.Address == s.Address {
-				k.fail(sp+".address", "found %q, which server %q has", s.Address, o.Name)
-			}
-		}
-		if s.Zone != "" {
-			k.name(sp+".zone", s.Zone)
-		}
-		k.number(sp+".cell", s.Cell, 0, math.MaxInt32)
-		k.float(sp+".size", s.Size, 0.001, 1e6)
-		word(k, sp+".state", s.State, Ready, Draining)
-	}
-}
-
 // target checks an address to connect to.
 func (k *checker) target(path, found string) {
 	addr, err := netip.ParseAddrPort(found)
@@ -363,130 +284,6 @@
 	return err == nil && host != "" && net.ParseIP(host) == nil
 }
 
-func (k *checker) routes() {
-	if len(k.Routes) == 0 {
-		k.fail("route", "there is none; at least one must be defined")
-		return
-	}
-	for _, r := range k.Routes {
-		k.name("route."+r.Name, r.Name)
-	}
-	names := k.routeNames()
-	_, problems := route.Compile(k.Routes, names)
-	for _, p := range problems {
-		path := "route"
-		switch {
-		case p.Class != "":
-			path = "class." + p.Class
-		case p.Route >= 0:
-			path += "." + k.Routes[p.Route].Name
-		}
-		if p.Field != "" {
-			path += "." + p.Field
-		}
-		k.fail(path, "%s", p.Message)
-	}
-	for _, r := range k.Routes {
-		if len(r.To) > 1 {
-			for _, c := range k.Classes {
-				if c.Effect == Keyed && (len(r.Classes) == 0 || slices.Contains(r.Classes, c.Name)) {
-					k.warn("route."+r.Name, "it shares the keyed class %q among pools: calls go by their key, so that a repeat meets the servers that know it, but a change of weights moves keys", c.Name)
-				}
-			}
-		}
-	}
-}
-
-func (k *checker) routeNames() route.Names {
-	var n route.Names
-	for _, l := range k.Listeners {
-		n.Listeners = append(n.Listeners, l.Name)
-	}
-	for _, c := range k.Classes {
-		n.Classes = append(n.Classes, c.Name)
-	}
-	for _, p := range k.Pools {
-		n.Pools = append(n.Pools, p.Name)
-	}
-	return n
-}
-
-// Table compiles the routes of a checked configuration.
-func (c *Config) Table() (*route.Table, error) {
-	t, problems := route.Compile(c.Routes, (&checker{Config: c}).routeNames())
-	if len(problems) > 0 {
-		return nil, fmt.Errorf("config: routes: %s", problems[0])
-	}
-	return t, nil
-}
-
-// Memory that parts of a node take, measured and rounded up (docs/design/plan.md).
-const (
-	baseMemory       = 12 << 20
-	clientMemory     = 40 << 10
-	connectionMemory = 12 << 10
-	poolMemory       = 96 << 10
-	serverMemory     = 4 << 10
-	routeMemory      = 2 << 10
-)
-
-// Needs are what a configuration asks of the process.
-type Needs struct {
-	Descriptors int  `json:"descriptors"` // with every pool's connections open, and as many clients
-	Memory      Size `json:"memory"`      // likewise, as estimated
-}
-
-// Needs adds up what the configuration may take. Clients may have as many descriptors as servers, and more
-// while servers need less.
-func (c *Config) Needs() Needs {
-	most, servers := 0, 0
-	for _, p := range c.AllPools() {
-		most += p.Connections.Most
-		servers += len(p.Servers)
-	}
-	own := c.OwnDescriptors()
-	memory := int64(baseMemory) + int64(most)*(clientMemory+connectionMemory) + int64(len(c.AllPools()))*poolMemory +
-		int64(servers)*serverMemory + int64(len(c.Routes))*routeMemory + int64(c.links())*linkMemory
-	if c.Federation != nil {
-		memory += int64(c.Federation.Memory)
-	}
-	return Needs{Descriptors: own + 2*most, Memory: Size(memory)}
-}
-
-// OwnDescriptors are those that neither clients nor servers have: the reserved ones, which serve for one
-// listener and one registry's watch, and what further ones need.
-func (c *Config) OwnDescriptors() int {
-	registries := 0
-	for _, p := range c.Pools {
-		if p.Registry != nil {
-			registries++
-		}
-	}
-	management := 0
-	if c.Node.Management != "" {
-		management = managementDescriptors
-	}
-	if c.Node.Peers.Listen != "" {
-		management++
-	}
-	return Reserved + management + c.links() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
-}
-
-// needs compares what is asked for with the limits.
-func (k *checker) needs() {
-	n := k.Config.Needs()
-	if l := k.Node.Limits.Descriptors; n.Descriptors > l {
-		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d of the node's own and, with all pools' connections open, twice %d",
-			l, n.Descriptors, k.OwnDescriptors(), (n.Descriptors-k.OwnDescriptors())/2)
-	}
-	if l := k.Node.Limits.Memory; n.Memory > l {
-		k.fail("node.limits.memory", "found %v, but about %v are needed with all connections open", l, n.Memory.Rounded())
-	}
-}
-
-// Rounded is the size in whole MiB, for people.
-func (s Size) Rounded() Size { return (s + 1<<20 - 1) &^ (1<<20 - 1) }
-
 // validate has the module look at the settings that it is to be given.
 func (c *Config) validate() error {
 	for _, p := range c.Pools {
--- /dev/null
+++ b/internal/config/fingerprint.go
@@ -0,0 +1,86 @@
+package config
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"slices"
+
+	"damsontrestle/internal/route"
+)
+
+// Fingerprint tells configurations apart: it is the same for two that mean the same, whatever the order of
+// their blocks, and differs for all others.
+func (c *Config) Fingerprint() string {
+	text, err := json.Marshal(c.Canonical())
+	if err != nil { // a NaN, which no check lets pass
+		return "sha256:invalid"
+	}
+	sum := sha256.Sum256(text)
+	return "sha256:" + hex.EncodeToString(sum[:])
+}
+
+// Shared is a number of what the nodes of one fleet have alike: classes, routes and pools, but for which copy a node is and
+// where its registry is. Two that differ have the same one with a chance of one in sixteen million.
+func (c *Config) Shared() uint32 {
+	out := Config{Classes: c.Canonical().Classes, Routes: c.Routes, Pools: c.Canonical().Pools}
+	for i := range out.Pools {
+		out.Pools[i].Copies.Index = 0
+		if out.Pools[i].Registry != nil {
+			out.Pools[i].Registry = &Registry{}
+		}
+	}
+	sum := sha256.Sum256([]byte(out.Fingerprint()))
+	return uint32(sum[0])<<16 | uint32(sum[1])<<8 | uint32(sum[2])
+}
+
+// Canonical is a copy of the configuration with all that is named in the order of its names.
+func (c *Config) Canonical() *Config {
+	out := *c
+	out.Classes = sorted(c.Classes, func(c Class) string { return c.Name })
+	out.Listeners = sorted(c.Listeners, func(l Listener) string { return l.Name })
+	out.Pools = sorted(c.Pools, func(p Pool) string { return p.Name })
+	for i := range out.Pools {
+		out.Pools[i].Servers = sorted(out.Pools[i].Servers, func(s Server) string { return s.Name })
+	}
+	out.Partners = sorted(c.Partners, Partner.name)
+	for i := range out.Partners {
+		p := &out.Partners[i]
+		p.Accept = sorted(p.Accept, self)
+		p.Deny = sorted(p.Deny, self)
+		p.PassOnTo = sorted(p.PassOnTo, self)
+		p.Gateways = sorted(p.Gateways, self)
+	}
+	out.Exports = sorted(c.Exports, Export.name)
+	for i := range out.Exports {
+		e := &out.Exports[i]
+		e.To = sorted(e.To, self)
+		e.Tenants = sorted(e.Tenants, self)
+		e.Excluded = sorted(e.Excluded, self)
+		e.Effects = sorted(e.Effects, func(v Effect) string { return string(v) })
+	}
+	out.Quotas = sorted(c.Quotas, Quota.name)
+	for i := range out.Quotas {
+		out.Quotas[i].Partners = sorted(out.Quotas[i].Partners, QuotaPartner.name)
+	}
+	out.Routes = sorted(c.Routes, func(r route.Route) string { return r.Name })
+	for i := range out.Routes {
+		r := &out.Routes[i]
+		r.Listeners = sorted(r.Listeners, self)
+		r.Classes = sorted(r.Classes, self)
+		r.Hosts = sorted(r.Hosts, self)
+		r.Paths = sorted(r.Paths, self)
+		r.Headers = sorted(r.Headers, func(h route.Header) string { return h.Name })
+		r.To = sorted(r.To, func(t route.Target) string { return t.Pool })
+	}
+	return &out
+}
+
+func self(s string) string { return s }
+
+func sorted[T any](list []T, name func(T) string) []T {
+	out := slices.Clone(list)
+	slices.SortStableFunc(out, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
+	return out
+}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -92,72 +92,131 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, Start{}, err
 	}
-	var s platformSettings
 	if len(f.Settings) == 0 {
 		return nil, Start{}, errors.New("settings are missing")
 	}
+	var s platformSettings
 	if err := json.Unmarshal(f.Settings, &s); err != nil {
 		return nil, Start{}, fmt.Errorf("settings: %w", err)
 	}
-	set, err := wire.ParseSettings(f.Settings)
+	module, err := wire.ParseSettings(f.Settings)
 	if err != nil {
 		return nil, Start{}, err
 	}
-	for _, a := range [][2]string{{"listen", f.Listen}, {"discovery", f.Discovery}, {"mgmt", f.Mgmt}} {
-		if a[0] == "mgmt" && a[1] == "" {
-			continue
-		}
-		if _, err := netip.ParseAddrPort(a[1]); err != nil {
-			return nil, Start{}, fmt.Errorf("%s: %w", a[0], err)
-		}
+	if err := f.checkAddresses(); err != nil {
+		return nil, Start{}, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return nil, Start{}, fmt.Errorf("seed: %w", err)
 	}
+	if err := f.checkLimits(); err != nil {
+		return nil, Start{}, err
+	}
+	if err := s.check(); err != nil {
+		return nil, Start{}, err
+	}
+	c := platformConfig(f, s, module)
+	if err := c.validate(); err != nil {
+		return nil, Start{}, fmt.Errorf("settings: %w", err)
+	}
+	return c, Start{Seed: seed, Known: f.Known}, nil
+}
+
+// checkAddresses names the first address that is none.
+func (f *platformFile) checkAddresses() error {
+	addresses := []struct{ field, address string }{
+		{"listen", f.Listen},
+		{"discovery", f.Discovery},
+	}
+	if f.Mgmt != "" {
+		addresses = append(addresses, struct{ field, address string }{"mgmt", f.Mgmt})
+	}
+	for _, a := range addresses {
+		if _, err := netip.ParseAddrPort(a.address); err != nil {
+			return fmt.Errorf("%s: %w", a.field, err)
+		}
+	}
+	return nil
+}
+
+// checkLimits names the first limit that is out of range.
+func (f *platformFile) checkLimits() error {
 	if !(f.Limits.MemoryMB >= 16 && f.Limits.MemoryMB <= 1<<20) {
-		return nil, Start{}, fmt.Errorf("limits.memory_mb is out of range: %v", f.Limits.MemoryMB)
+		return fmt.Errorf("limits.memory_mb is out of range: %v", f.Limits.MemoryMB)
 	}
 	if f.Limits.Sockets < minDescriptors || f.Limits.Sockets > maxDescriptors {
-		return nil, Start{}, fmt.Errorf("limits.sockets is out of range: %d", f.Limits.Sockets)
-	}
-	for _, t := range []struct {
-		name string
-		ms   float64
-	}{{"conn-idle-ms", s.Limits.ConnIdle}, {"connect-timeout-ms", s.Limits.ConnectTimeout}} {
-		if !(t.ms > 0 && t.ms <= 1e9) {
-			return nil, Start{}, fmt.Errorf("settings.limits.%s is out of range: %v", t.name, t.ms)
+		return fmt.Errorf("limits.sockets is out of range: %d", f.Limits.Sockets)
+	}
+	return nil
+}
+
+// check names the first setting that is out of range.
+func (s *platformSettings) check() error {
+	times := []struct {
+		name         string
+		milliseconds float64
+	}{
+		{"conn-idle-ms", s.Limits.ConnIdle},
+		{"connect-timeout-ms", s.Limits.ConnectTimeout},
+	}
+	for _, t := range times {
+		if !(t.milliseconds > 0 && t.milliseconds <= 1e9) {
+			return fmt.Errorf("settings.limits.%s is out of range: %v", t.name, t.milliseconds)
 		}
 	}
+	return nil
+}
+
+// platformConfig is the Config that the platform's file stands for.
+func platformConfig(f platformFile, s platformSettings, module balancer.Settings) *Config {
+	pool := Pool{
+		Name:       PlatformPool,
+		Protocol:   HTTP1,
+		Tier:       module.Tier,
+		Attempts:   module.MaxAttempts,
+		Cancel:     module.MayCancel,
+		Tick:       Duration(module.Tick),
+		RetryAfter: Duration(module.MaxRetryAfter),
+		Copies:     Copies{Count: module.Balancers, Index: module.Index},
+		Shedding:   Shedding{Total: module.TotalWeight, WorstClass: module.ClassWeight},
+		Connections: Connections{
+			Most:           (f.Limits.Sockets - Reserved) / 2,
+			Idle:           Duration(millis(s.Limits.ConnIdle)),
+			ConnectTimeout: Duration(millis(s.Limits.ConnectTimeout)),
+		},
+		SlowStart: SlowStart{From: module.SlowStartMinimum, Over: Duration(module.SlowStartWindow)},
+		Registry:  &Registry{Address: f.Discovery, Mode: Pushed, PollInterval: Duration(module.PollInterval)},
+	}
+	if module.PollDiscovery {
+		pool.Registry.Mode = Polled
+	}
 	c := &Config{
-		Node: Node{Name: f.Name, Zone: s.Zone, Management: f.Mgmt,
-			Limits: Limits{Memory: Size(int64(f.Limits.MemoryMB) << 20), Descriptors: f.Limits.Sockets, Cores: 1}},
+		Node: Node{
+			Name:       f.Name,
+			Zone:       s.Zone,
+			Management: f.Mgmt,
+			Limits:     Limits{Memory: Size(int64(f.Limits.MemoryMB) << 20), Descriptors: f.Limits.Sockets, Cores: 1},
+		},
 		Listeners: []Listener{{Name: PlatformListener, Address: f.Listen, Protocol: HTTP1, Paths: PathsAsSent}},
-		Pools: []Pool{{Name: PlatformPool, Protocol: HTTP1, Tier: set.Tier, Attempts: set.MaxAttempts, Cancel: set.MayCancel,
-			Tick: Duration(set.Tick), RetryAfter: Duration(set.MaxRetryAfter),
-			Copies:   Copies{Count: set.Balancers, Index: set.Index},
-			Shedding: Shedding{Total: set.TotalWeight, WorstClass: set.ClassWeight},
-			Connections: Connections{Most: (f.Limits.Sockets - Reserved) / 2,
-				Idle: Duration(millis(s.Limits.ConnIdle)), ConnectTimeout: Duration(millis(s.Limits.ConnectTimeout))},
-			SlowStart: SlowStart{From: set.SlowStartMinimum, Over: Duration(set.SlowStartWindow)},
-			Registry:  &Registry{Address: f.Discovery, Mode: Pushed, PollInterval: Duration(set.PollInterval)}}},
-		Routes: []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: PlatformPool, Weight: 1}}}},
-	}
-	if set.PollDiscovery {
-		c.Pools[0].Registry.Mode = Polled
-	}
-	for _, class := range set.Classes {
-		c.Classes = append(c.Classes, fromModule(class))
+		Pools:     []Pool{pool},
+		Routes:    []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: PlatformPool, Weight: 1}}}},
 	}
-	if err := c.validate(); err != nil {
-		return nil, Start{}, fmt.Errorf("settings: %w", err)
+	for _, class := range module.Classes {
+		c.Classes = append(c.Classes, fromModule(class))
 	}
-	return c, Start{Seed: seed, Known: f.Known}, nil
+	return c
 }
 
 // fromModule is a class as the module has it, in the configuration's words.
 func fromModule(c balancer.Class) Class {
-	out := Class{Name: c.Name, LatencyObjective: Duration(c.LatencyObjective), Deadline: Duration(c.Deadline), LateShare: c.LateShare, PriorityWeight: c.PriorityWeight}
+	out := Class{
+		Name:             c.Name,
+		LatencyObjective: Duration(c.LatencyObjective),
+		Deadline:         Duration(c.Deadline),
+		LateShare:        c.LateShare,
+		PriorityWeight:   c.PriorityWeight,
+	}
 	for word, e := range effects {
 		if e == c.Effect {
 			out.Effect = word
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,64 @@
+package config
+
+import (
+	"time"
+
+	"damsontrestle/internal/balancer"
+)
+
+var effects = map[Effect]balancer.Effect{
+	Unsafe: balancer.Unsafe,
+	Keyed:  balancer.Keyed,
+	Safe:   balancer.Safe,
+}
+
+var scopes = map[Scope]balancer.Scope{
+	CellScope: balancer.ScopeCell,
+	ZoneScope: balancer.ScopeZone,
+	AllScope:  balancer.ScopeAll,
+}
+
+// ForModule is the class as the decision module has it.
+func (c Class) ForModule() balancer.Class {
+	return balancer.Class{
+		Name:             c.Name,
+		Effect:           effects[c.Effect],
+		Scope:            scopes[c.KeyScope],
+		Window:           time.Duration(c.Window),
+		LatencyObjective: time.Duration(c.LatencyObjective),
+		Deadline:         time.Duration(c.Deadline),
+		LateShare:        c.LateShare,
+		PriorityWeight:   c.PriorityWeight,
+	}
+}
+
+// Settings are what the Balancer of a pool is told.
+func (c *Config) Settings(p Pool) balancer.Settings {
+	s := balancer.Settings{
+		Balancers:        p.Copies.Count,
+		Index:            p.Copies.Index,
+		Tier:             p.Tier,
+		TotalWeight:      p.Shedding.Total,
+		ClassWeight:      p.Shedding.WorstClass,
+		PollChoices:      p.LoadReports.Poll,
+		MaxAttempts:      p.Attempts,
+		MayCancel:        p.Cancel,
+		Tick:             time.Duration(p.Tick),
+		MaxRetryAfter:    time.Duration(p.RetryAfter),
+		SlowStartMinimum: p.SlowStart.From,
+		SlowStartWindow:  time.Duration(p.SlowStart.Over),
+	}
+	for _, class := range c.Classes {
+		m := class.ForModule()
+		if _, partners := PartnerOf(p.Name); partners && m.Effect == balancer.Keyed {
+			// Which servers of a partner discard duplicates isn't known here: the partner is asked for the outcome.
+			m.Effect = balancer.Unsafe
+		}
+		s.Classes = append(s.Classes, m)
+	}
+	if p.Registry != nil {
+		s.PollDiscovery = p.Registry.Mode == Polled
+		s.PollInterval = time.Duration(p.Registry.PollInterval)
+	}
+	return s
+}
