--- /dev/null
+++ b/internal/daemon/change.go
@@ -0,0 +1,200 @@
+package daemon
+
+import (
+	"errors"
+	"time"
+
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/state"
+)
+
+// Apply implements admin.Control.
+func (d *Daemon) Apply(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+	p, err := plan.Decode(text)
+	if err != nil {
+		return d.reject("apply", err)
+	}
+	return d.change(plan.Proposal{By: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
+}
+
+// Rollback implements admin.Control.
+func (d *Daemon) Rollback(base plan.Running, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+	d.mu.Lock()
+	previous := d.record.Previous
+	d.mu.Unlock()
+	if previous == nil {
+		return d.reject("rollback", &admin.Error{Code: admin.CodeNothing, Message: "there is no configuration before this one"})
+	}
+	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
+}
+
+// Reload reads the file again and puts it in place, as a plan made and applied at once would.
+func (d *Daemon) Reload() {
+	cfg, problems := config.Reload(d.options.File)
+	if err := problems.Err(); err != nil {
+		d.log.Error("the file is not taken over; what runs stays", "error", err)
+		return
+	}
+	d.mu.Lock()
+	base := d.running()
+	d.mu.Unlock()
+	if base.Fingerprint == cfg.Fingerprint() {
+		d.log.Info("the file is read again and says what runs")
+		return
+	}
+	if _, err := d.change(plan.Proposal{By: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
+		d.log.Error("the file is not taken over; what runs stays", "error", err)
+	}
+}
+
+// reject logs and words a refusal.
+func (d *Daemon) reject(by string, err error) (plan.Running, error) {
+	d.log.Warn("a change is refused", "by", by, "error", err)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.running(), withCode(err)
+}
+
+// codes are those of errors that a caller may act on, in the order in which they are looked for.
+var codes = []struct {
+	err  error
+	code string
+}{
+	{plan.ErrUnreadable, admin.CodeUnreadable},
+	{plan.ErrNewer, admin.CodeNewer},
+	{plan.ErrOtherNode, admin.CodeOtherNode},
+	{plan.ErrInvalid, admin.CodeInvalid},
+	{plan.ErrStale, admin.CodeStale},
+	{plan.ErrBusy, admin.CodeBusy},
+	{plan.ErrShuttingDown, admin.CodeEnding},
+	{node.ErrShuttingDown, admin.CodeEnding},
+}
+
+// withCode gives an error the code that clients know it by.
+func withCode(err error) error {
+	var coded *admin.Error
+	if errors.As(err, &coded) {
+		return err
+	}
+	for _, c := range codes {
+		if errors.Is(err, c.err) {
+			return &admin.Error{Code: c.code, Message: err.Error()}
+		}
+	}
+	return &admin.Error{Code: admin.CodeFailed, Message: err.Error()}
+}
+
+// change carries a proposal out, one step after another, to its end. report is called after each step.
+func (d *Daemon) change(p plan.Proposal, wait time.Duration, report func(string, time.Duration)) (plan.Running, error) {
+	d.mu.Lock()
+	step, err := d.machine.Propose(p)
+	if err == nil {
+		d.changes.Add(1)
+	}
+	d.mu.Unlock()
+	if err != nil {
+		return d.reject(p.By, err)
+	}
+	defer d.changes.Done()
+	c := change{daemon: d, proposal: p, wait: wait}
+	for step != plan.Nothing {
+		begin := time.Now()
+		err := c.carryOut(step)
+		report(step.String(), time.Since(begin))
+		d.mu.Lock()
+		step = d.machine.Done(err)
+		d.mu.Unlock()
+	}
+	return d.finish(p)
+}
+
+// finish notes the outcome of a change that is over.
+func (d *Daemon) finish(p plan.Proposal) (plan.Running, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	err := d.machine.Err()
+	d.last = &admin.Outcome{By: p.By, At: now()}
+	if err != nil {
+		d.last.Error = err.Error()
+		if d.machine.Diverged() {
+			d.reportDivergence(err)
+		}
+		d.log.Error("a change failed; what ran before runs on", "by", p.By, "serial", d.record.Running.Serial, "error", err)
+		return d.running(), withCode(err)
+	}
+	running := d.record.Running
+	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", "put in place by "+p.By)
+	return d.running(), nil
+}
+
+// change is a proposal that is being carried out.
+type change struct {
+	daemon   *Daemon
+	proposal plan.Proposal
+	wait     time.Duration
+	prepared *node.Change  // once Prepare is done
+	next     *state.Record // once Persist has begun
+}
+
+// carryOut does one step of the change.
+func (c *change) carryOut(step plan.Step) (err error) {
+	d := c.daemon
+	switch step {
+	case plan.Repair, plan.Restore:
+		return d.save(d.record)
+	case plan.Prepare:
+		c.prepared, err = d.node.Prepare(d.incarnation, c.proposal.Config, c.wait)
+		return err
+	case plan.Persist:
+		c.next = d.nextRecord(c.proposal)
+		return d.save(c.next)
+	case plan.Commit:
+		if err := c.prepared.Commit(); err != nil {
+			return err
+		}
+		d.mu.Lock()
+		d.record = c.next
+		d.mu.Unlock()
+		return nil
+	case plan.Undo:
+		c.prepared.Undo()
+	case plan.Retire: // the node does so in the background
+	}
+	return nil
+}
+
+// save writes a record to the state folder, if there is one. An error that left the folder as it was is a
+// plan.UntouchedError.
+func (d *Daemon) save(r *state.Record) error {
+	if d.folder == nil {
+		return nil
+	}
+	d.writing.Lock()
+	defer d.writing.Unlock()
+	err := d.folder.Save(r)
+	var write *state.WriteError
+	if errors.As(err, &write) && write.Untouched {
+		return &plan.UntouchedError{Err: err}
+	}
+	return err
+}
+
+// nextRecord is what the state folder holds once the proposal is in place.
+func (d *Daemon) nextRecord(p plan.Proposal) *state.Record {
+	before := d.record.Running
+	return &state.Record{
+		Node:     d.record.Node,
+		Lineage:  d.record.Lineage,
+		Previous: &before,
+		Running: state.Entry{
+			Serial:      before.Serial + 1,
+			Fingerprint: p.Config.Fingerprint(),
+			By:          p.By,
+			At:          now(),
+			Config:      p.Config,
+		},
+	}
+}
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -10,7 +10,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 
 	"damsontrestle/internal/config"
 	"damsontrestle/internal/route"
@@ -26,19 +25,6 @@
 	Remove Action = "remove"
 )
 
-// Effect is what a change does to a running node.
-type Effect string
-
-// Effects, from the mildest.
-const (
-	Live           Effect = "taken over live"
-	NewConnections Effect = "new connections only"
-	Drains         Effect = "drains"
-	NeedsRestart   Effect = "needs a restart"
-)
-
-var effects = []Effect{Live, NewConnections, Drains, NeedsRestart}
-
 // Change is what becomes of one resource.
 type Change struct {
 	Kind   string  `json:"kind"` // node, class, listener, pool, route, federation, partner, export, quota
@@ -61,7 +47,8 @@
 // have the same fingerprint.
 func Diff(old, next *config.Config) []Change {
 	var out []Change
-	before, after := resources(old), resources(next)
+	before := resources(old)
+	after := resources(next)
 	keys := slices.Collect(maps.Keys(before))
 	for k := range after {
 		if before[k] == nil {
@@ -75,28 +62,33 @@
 		if bytes.Equal(before[k], after[k]) {
 			continue
 		}
-		was, is := flat(k.kind, before[k]), flat(k.kind, after[k])
-		c := Change{Kind: k.kind, Name: k.name, Action: Modify, Effect: Live}
-		switch {
-		case was == nil:
-			c.Action, c.Effect = Add, addition(k.kind)
-		case is == nil:
-			c.Action = Remove
-			c.Effect = removal(k.kind)
-		}
-		c.Fields = fields(k.kind, was, is)
-		for _, f := range c.Fields {
-			if slices.Index(effects, f.Effect) > slices.Index(effects, c.Effect) && c.Action == Modify {
-				c.Effect = f.Effect
-			}
-		}
-		if len(c.Fields) > 0 {
+		if c := diffResource(k, before[k], after[k]); len(c.Fields) > 0 {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
+// diffResource tells what changes of one resource; nil: it is not there.
+func diffResource(r resource, before, after json.RawMessage) Change {
+	old := flat(r.kind, before)
+	next := flat(r.kind, after)
+	c := Change{Kind: r.kind, Name: r.name, Action: Modify, Effect: Live, Fields: fields(r.kind, old, next)}
+	switch {
+	case old == nil:
+		c.Action = Add
+		c.Effect = addition(r.kind)
+	case next == nil:
+		c.Action = Remove
+		c.Effect = removal(r.kind)
+	default:
+		for _, f := range c.Fields {
+			c.Effect = harder(c.Effect, f.Effect)
+		}
+	}
+	return c
+}
+
 // resource names a resource. A node has no name here: its name is a field of it.
 type resource struct{ kind, name string }
 
@@ -188,165 +180,35 @@
 	to[path] = text
 }
 
-func fields(kind string, was, is map[string]json.RawMessage) []Field {
-	paths := slices.Collect(maps.Keys(was))
-	for p := range is {
-		if _, both := was[p]; !both {
+// fields tells what changes of a resource's fields, in the order of their paths; nil: the resource is not there.
+func fields(kind string, old, next map[string]json.RawMessage) []Field {
+	paths := slices.Collect(maps.Keys(old))
+	for p := range next {
+		if _, both := old[p]; !both {
 			paths = append(paths, p)
 		}
 	}
 	slices.Sort(paths)
 	var out []Field
-	for _, p := range paths {
-		o, had := was[p]
-		n, has := is[p]
-		f := Field{Path: p, Action: Modify, Old: o, New: n, Effect: effectOf(kind, p)}
+	for _, path := range paths {
+		before, had := old[path]
+		after, has := next[path]
+		f := Field{Path: path, Action: Modify, Old: before, New: after, Effect: effectOf(kind, path)}
 		switch {
 		case !had:
 			f.Action = Add
 		case !has:
 			f.Action = Remove
-		case string(o) == string(n):
+		case bytes.Equal(before, after):
 			continue
 		}
 		switch {
-		case was == nil:
+		case old == nil:
 			f.Effect = addition(kind)
-		case is == nil:
+		case next == nil:
 			f.Effect = removal(kind)
 		}
 		out = append(out, f)
 	}
 	return out
 }
-
-// addition is what it does to add a resource.
-func addition(kind string) Effect {
-	if kind == "federation" {
-		return NeedsRestart
-	}
-	return Live
-}
-
-// removal is what it does to take a resource away.
-func removal(kind string) Effect {
-	switch kind {
-	case "listener", "pool":
-		return Drains
-	case "federation":
-		return NeedsRestart
-	}
-	return Live
-}
-
-// effectOf is what the change of a field does.
-func effectOf(kind, path string) Effect {
-	if kind == "federation" {
-		return NeedsRestart
-	}
-	switch kind + "." + path {
-	case "partner.key_file":
-		return NeedsRestart
-	case "node.peers.listen", "node.peers.advertise", "node.peers.key_file", "node.peers.seeds", "node.peers.region", "node.peers.period", "node.peers.listen_only",
-		"node.peers.fresh", "node.peers.delay":
-		return NeedsRestart
-	case "node.name", "node.zone", "node.state_folder", "node.admin_socket", "node.management":
-		return NeedsRestart
-	case "listener.address", "listener.protocol", "pool.protocol":
-		return Drains
-	case "pool.connections.connect_timeout":
-		return NewConnections
-	}
-	return Live
-}
-
-// Description is what a change does, for people.
-func (c Change) Description() string {
-	switch {
-	case c.Kind == "listener" && c.Action == Add:
-		return "begins to listen"
-	case c.Kind == "listener" && c.Action == Remove:
-		return "accepts no more; its callers are answered and let go"
-	case c.Kind == "listener" && c.Effect == Drains:
-		return "the old address or protocol accepts no more; its callers are answered"
-	case c.Kind == "pool" && c.Action == Add:
-		return "waits for its list before any call goes there"
-	case c.Kind == "pool" && c.Action == Remove:
-		return "gets no more calls; what it has is answered, then it closes"
-	case c.Kind == "pool" && c.Effect == Drains:
-		return "is made anew; the old one answers what it has, then it closes"
-	case c.Kind == "node" && c.Effect == NeedsRestart:
-		return "part of it needs a restart"
-	}
-	return string(c.Effect)
-}
-
-// Summary counts the resources that change.
-type Summary struct {
-	Add    int `json:"add"`
-	Change int `json:"change"`
-	Remove int `json:"remove"`
-}
-
-// Summarize counts changes.
-func Summarize(changes []Change) (s Summary) {
-	for _, c := range changes {
-		switch c.Action {
-		case Add:
-			s.Add++
-		case Modify:
-			s.Change++
-		case Remove:
-			s.Remove++
-		}
-	}
-	return s
-}
-
-// Restarts are the fields that take effect at the next start only, as "node.zone".
-func Restarts(changes []Change) (paths []string) {
-	for _, c := range changes {
-		for _, f := range c.Fields {
-			if f.Effect == NeedsRestart {
-				paths = append(paths, c.Kind+"."+f.Path)
-			}
-		}
-	}
-	return paths
-}
-
-// Text writes changes for people.
-func Text(changes []Change) string {
-	signs := map[Action]string{Add: "+", Modify: "~", Remove: "-"}
-	var b strings.Builder
-	for _, c := range changes {
-		title := c.Kind
-		if c.Name != "" {
-			title = fmt.Sprintf("%s %q", c.Kind, c.Name)
-		}
-		fmt.Fprintf(&b, "  %s %s: %s\n", signs[c.Action], title, c.Description())
-		width := 0
-		for _, f := range c.Fields {
-			width = max(width, len(f.Path))
-		}
-		for _, f := range c.Fields {
-			fmt.Fprintf(&b, "      %s %-*s = ", signs[f.Action], width, f.Path)
-			switch f.Action {
-			case Add:
-				fmt.Fprintf(&b, "%s", f.New)
-			case Remove:
-				fmt.Fprintf(&b, "%s", f.Old)
-			case Modify:
-				fmt.Fprintf(&b, "%s -> %s", f.Old, f.New)
-			}
-			if c.Action == Modify {
-				fmt.Fprintf(&b, "  (%s)", f.Effect)
-			}
-			b.WriteByte('\n')
-		}
-		b.WriteByte('\n')
-	}
-	s := Summarize(changes)
-	fmt.Fprintf(&b, "Plan: %d to add, %d to change, %d to remove.\n", s.Add, s.Change, s.Remove)
-	return b.String()
-}
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -40,7 +40,19 @@
 	retiring
 )
 
-var phaseNames = [...]string{"idle", "repairing the state", "preparing", "persisting", "committing", "restoring the state", "undoing", "retiring"}
+var phaseNames = [...]string{
+	idle:       "idle",
+	repairing:  "repairing the state",
+	preparing:  "preparing",
+	persisting: "persisting",
+	committing: "committing",
+	restoring:  "restoring the state",
+	undoing:    "undoing",
+	retiring:   "retiring",
+}
+
+// String names the phase for people.
+func (p phase) String() string { return phaseNames[p] }
 
 // Proposal is a change that is asked for.
 type Proposal struct {
@@ -65,6 +77,20 @@
 	Retire       // what went is being closed; nothing can fail any more
 )
 
+var stepNames = [...]string{
+	Nothing: "nothing",
+	Repair:  "repair",
+	Prepare: "prepare",
+	Persist: "persist",
+	Commit:  "commit",
+	Restore: "restore",
+	Undo:    "undo",
+	Retire:  "retire",
+}
+
+// String names the step as the admin socket does.
+func (s Step) String() string { return stepNames[s] }
+
 // Errors of Propose.
 var (
 	// ErrBusy says that another change is under way.
@@ -91,7 +117,7 @@
 func (m *Machine) Running() Running { return m.running }
 
 // Phase is where the change under way is, for people.
-func (m *Machine) Phase() string { return phaseNames[m.phase] }
+func (m *Machine) Phase() string { return m.phase.String() }
 
 // Diverged says that the state folder may hold another record than that of what runs.
 func (m *Machine) Diverged() bool { return m.diverged }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -49,8 +49,16 @@
 
 // Make plans the change from what runs to another configuration.
 func Make(base Running, old, next *config.Config, source Source, socket string, now time.Time) *Plan {
-	p := &Plan{Format: Format, Made: now.UTC().Truncate(time.Second), Base: base, Source: source, Socket: socket, Result: next.Fingerprint(),
-		Config: next, Changes: Diff(old, next)}
+	p := &Plan{
+		Format:  Format,
+		Made:    now.UTC().Truncate(time.Second),
+		Base:    base,
+		Source:  source,
+		Socket:  socket,
+		Result:  next.Fingerprint(),
+		Config:  next,
+		Changes: Diff(old, next),
+	}
 	p.Digest = p.digest()
 	return p
 }
@@ -144,7 +152,7 @@
 	case p.Base.Node != now.Node:
 		return fmt.Errorf("%w: it is for %q, this is %q", ErrOtherNode, p.Base.Node, now.Node)
 	case p.Config.Node.Name != now.Node:
-		return fmt.Errorf("%w: it would make %q of %q: a node keeps its name for life", ErrOtherNode, p.Config.Node.Name, now.Node)
+		return fmt.Errorf("%w: it would make %q of %q: a node never changes its name", ErrOtherNode, p.Config.Node.Name, now.Node)
 	case p.Base.Lineage != now.Lineage:
 		return fmt.Errorf("%w: the node has begun a new state since: plan again", ErrStale)
 	case p.Base.Incarnation != now.Incarnation:
