--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -30,8 +30,8 @@
 // platform serves until SIGTERM or SIGINT and the end of what was taken. SIGHUP, which ends a program that
 // does not catch it, is caught before anything else: it has the configuration read again.
 func platform() error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, start, err := config.LoadPlatform()
 	if err != nil {
 		return err
@@ -39,7 +39,12 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
-	n, err := node.NewPlatform(cfg, start, log, node.Options{Limit: node.Limit, Listen: hotrestart.Listen, Processes: enter(cfg, log), Start: ctx})
+	n, err := node.NewPlatform(cfg, start, log, node.Options{
+		Limit:     node.Limit,
+		Listen:    hotrestart.Listen,
+		Processes: enter(log),
+		Start:     ctx,
+	})
 	if err != nil {
 		if ctx.Err() != nil {
 			log.Info("told to end before it listened", "error", err)
@@ -49,28 +54,29 @@
 	}
 	log.Info("serving", "address", n.Addr(config.PlatformListener))
 	go func() {
-		for range again {
-			if cfg, _, err := config.ReloadPlatform(); err != nil {
+		for range hangups {
+			cfg, _, err := config.ReloadPlatform()
+			if err != nil {
 				log.Error("the new configuration is bad; the old one stays", "error", err)
-			} else {
-				n.Reload(cfg)
+				continue
 			}
+			n.Reload(cfg)
 		}
 	}()
 	return n.Run(ctx)
 }
 
 // enter joins the processes of the node that the platform has in its folder while one takes over from another.
-func enter(cfg *config.Config, log *slog.Logger) *hotrestart.Processes {
+func enter(log *slog.Logger) *hotrestart.Processes {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
 		return nil // what is not the node's own could hold another's files
 	}
-	line, err := hotrestart.Enter(folder, "node")
+	processes, err := hotrestart.Enter(folder, "node")
 	if err != nil {
 		log.Warn("this process knows of no other of its node", "error", err)
 	}
-	return line
+	return processes
 }
 
 // exit is an error with the code that the program ends with.
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -21,71 +22,93 @@
 	exitChanges  = 2
 )
 
+// planOptions are the flags of plan.
+type planOptions struct {
+	out      string
+	socket   string
+	json     bool
+	detailed bool // changes have an exit code of their own
+}
+
 func newPlan() *cobra.Command {
-	var (
-		path, socket     string
-		asJSON, detailed bool
-	)
+	var o planOptions
 	cmd := &cobra.Command{
 		Use:   "plan FILE",
 		Short: "Show what a file would change in the running node",
 		Long: "plan reads a file and shows what it would change in the node that runs, down to the field, and what each\n" +
 			"change does. It changes nothing. With -out the plan is written to a file that apply carries out exactly.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			text, err := os.ReadFile(args[0])
-			if err != nil {
-				return err
-			}
-			cfg, problems := config.Parse(text, args[0])
-			if err := problems.Err(); err != nil {
-				return err
-			}
-			if socket == "" {
-				socket = cfg.Node.AdminSocket
-			}
-			if socket, err = socketOf(socket, nil); err != nil {
-				return err
-			}
-			_, show, err := running(cmd.Context(), socket)
-			if err != nil {
-				return err
-			}
-			source := plan.Source{Path: args[0], Digest: plan.Digest(text)}
-			if source.Path, err = filepath.Abs(args[0]); err != nil {
-				return err
-			}
-			p := plan.Make(show.Running, show.Config, cfg, source, socket, time.Now())
-			if err := p.Fits(show.Running); err != nil {
-				return err
-			}
-			if path != "" {
-				enc, err := p.Encode()
-				if err != nil {
-					return err
-				}
-				if err := renameio.WriteFile(path, enc, 0o600); err != nil {
-					return fmt.Errorf("plan: %w", err)
-				}
-			}
-			if asJSON {
-				err = writePlanJSON(cmd.OutOrStdout(), p, cfg, problems.Warnings())
-			} else {
-				writePlanText(cmd.OutOrStdout(), p, cfg, problems.Warnings(), path)
-			}
-			if err == nil && detailed && len(p.Changes) > 0 {
-				return exit{code: exitChanges}
-			}
-			return err
-		},
+		RunE: func(cmd *cobra.Command, args []string) error { return runPlan(cmd, args[0], o) },
 	}
-	cmd.Flags().StringVar(&path, "out", "", "write the plan to this file, for apply")
-	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the file's)")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "write the plan as JSON, for programs")
-	cmd.Flags().BoolVar(&detailed, "detailed-exitcode", false, "end with 0 for no change, 2 for changes, 1 for an error")
+	cmd.Flags().StringVar(&o.out, "out", "", "write the plan to this file, for apply")
+	cmd.Flags().StringVar(&o.socket, "socket", "", "the node's admin socket (default: the file's)")
+	cmd.Flags().BoolVar(&o.json, "json", false, "write the plan as JSON, for programs")
+	cmd.Flags().BoolVar(&o.detailed, "detailed-exitcode", false, "end with 0 for no change, 2 for changes, 1 for an error")
 	return cmd
 }
 
+// runPlan plans the change from what runs to the file at a path, and writes it out.
+func runPlan(cmd *cobra.Command, path string, o planOptions) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	cfg, problems := config.Parse(text, path)
+	if err := problems.Err(); err != nil {
+		return err
+	}
+	p, err := makePlan(cmd.Context(), cfg, path, text, o.socket)
+	if err != nil {
+		return err
+	}
+	if o.out != "" {
+		encoded, err := p.Encode()
+		if err != nil {
+			return err
+		}
+		if err := renameio.WriteFile(o.out, encoded, 0o600); err != nil {
+			return fmt.Errorf("plan: %w", err)
+		}
+	}
+	if o.json {
+		if err := writePlanJSON(cmd.OutOrStdout(), p, cfg, problems.Warnings()); err != nil {
+			return err
+		}
+	} else {
+		writePlanText(cmd.OutOrStdout(), p, cfg, problems.Warnings(), o.out)
+	}
+	if o.detailed && len(p.Changes) > 0 {
+		return exit{code: exitChanges}
+	}
+	return nil
+}
+
+// makePlan plans the change from what the daemon at a socket runs to a configuration, which was read from a file. An
+// empty socket is the configuration's own.
+func makePlan(ctx context.Context, cfg *config.Config, path string, text []byte, socket string) (*plan.Plan, error) {
+	if socket == "" {
+		socket = cfg.Node.AdminSocket
+	}
+	socket, err := socketOf(socket, nil)
+	if err != nil {
+		return nil, err
+	}
+	_, show, err := running(ctx, socket)
+	if err != nil {
+		return nil, err
+	}
+	absolute, err := filepath.Abs(path)
+	if err != nil {
+		return nil, err
+	}
+	source := plan.Source{Path: absolute, Digest: plan.Digest(text)}
+	p := plan.Make(show.Running, show.Config, cfg, source, socket, time.Now())
+	if err := p.Fits(show.Running); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
 // planJSON is a plan for programs.
 type planJSON struct {
 	Format   int             `json:"format_version"`
@@ -100,8 +123,17 @@
 }
 
 func writePlanJSON(to io.Writer, p *plan.Plan, cfg *config.Config, warnings config.Problems) error {
-	out := planJSON{Format: plan.Format, Base: p.Base, Result: p.Result, Changes: p.Changes, Summary: plan.Summarize(p.Changes),
-		Restart: plan.Restarts(p.Changes), Needs: cfg.Needs(), Limits: cfg.Node.Limits, Warnings: warnings}
+	out := planJSON{
+		Format:   plan.Format,
+		Base:     p.Base,
+		Result:   p.Result,
+		Changes:  p.Changes,
+		Summary:  plan.Summarize(p.Changes),
+		Restart:  plan.Restarts(p.Changes),
+		Needs:    cfg.Needs(),
+		Limits:   cfg.Node.Limits,
+		Warnings: warnings,
+	}
 	if out.Changes == nil {
 		out.Changes = []plan.Change{}
 	}
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -11,6 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"damsontrestle/internal/admin"
+	"damsontrestle/internal/gateway"
 	"damsontrestle/internal/plan"
 )
 
@@ -96,16 +97,21 @@
 		p("pool         %s: %d servers ready, %d draining, %d connections; calls: %d open, %d taken, %d served, %d refused, %d failed, %d left by their callers",
 			name, c.Ready, c.Draining, pool.Connections, c.Open, c.Requests, c.Served, c.Rejected, c.Failed, c.Disconnected)
 	}
-	if g := s.Status.Gateway; g != nil {
-		p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.InHand, g.Replication.Replica.Held)
-		c := g.Replication
-		p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.Alone, c.Fenced, c.Claimed, c.Asked, c.Found)
-		for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
-			q := g.Quotas[name]
-			p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Held, q.Cut)
-		}
+	if s.Status.Gateway != nil {
+		writeGateway(p, *s.Status.Gateway)
 	}
 	for _, name := range s.Status.Draining {
 		p("draining     %s of an earlier configuration", name)
 	}
 }
+
+// writeGateway writes what a gateway does, by p.
+func writeGateway(p func(format string, args ...any), g gateway.Status) {
+	p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.InHand, g.Replication.Replica.Held)
+	c := g.Replication
+	p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.Alone, c.Fenced, c.Claimed, c.Asked, c.Found)
+	for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
+		q := g.Quotas[name]
+		p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Held, q.Cut)
+	}
+}
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -1,5 +1,6 @@
-// Package admin is the daemon's Unix socket and its client: HTTP with JSON bodies, for whoever may open the
-// socket. It carries requests and tells what came of them; what is decided on them is the daemon's.
+// Package admin is the daemon's Unix socket and its client: HTTP with JSON bodies, for whoever may open the socket
+// (mode 0600). It carries operators' requests and streams the steps and the outcome of a change; decisions are the
+// daemon's, and a change goes on to its end when its client disconnects.
 //
 //	GET  /v1/show                what runs, and what it does
 //	POST /v1/apply?wait=10s      a plan; answered with a line of JSON for each step, the last with "done"
@@ -73,8 +74,9 @@
 
 // Control is what the socket's requests are carried out by.
 type Control interface {
+	// Show is what runs and what it does.
 	Show() Show
-	// Apply carries a plan out. It goes on to its end whether or not anybody waits; step is told of each step.
+	// Apply carries a plan out. It goes on to its end whether or not anybody waits; step is called after each step.
 	Apply(text []byte, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
 	// Rollback goes back to the configuration before the one that must run now.
 	Rollback(now plan.Running, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -21,7 +21,8 @@
 // Bounds of what a client may make the daemon hold or wait for.
 const (
 	readTimeout = 30 * time.Second
-	maxRollback = 4 << 10 // a request that is no plan
+	maxHeader   = 8 << 10
+	maxRollback = 4 << 10 // the body of a rollback
 	DefaultWait = 10 * time.Second
 	MaxWait     = 10 * time.Minute
 	dialTimeout = time.Second
@@ -64,8 +65,13 @@
 
 // NewServer serves on a listener, which Listen opened, until Close.
 func NewServer(ln net.Listener, control Control, log *slog.Logger) *Server {
-	s := &Server{http: &http.Server{Handler: Handler(control), ReadTimeout: readTimeout, IdleTimeout: readTimeout, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}}
+	s := &Server{http: &http.Server{
+		Handler:        Handler(control),
+		ReadTimeout:    readTimeout,
+		IdleTimeout:    readTimeout,
+		MaxHeaderBytes: maxHeader,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}}
 	go s.http.Serve(listener.New(ln, log))
 	return s
 }
@@ -83,12 +89,10 @@
 		answer(w, http.StatusOK, control.Show())
 	})
 	mux.HandleFunc("POST /v1/apply", func(w http.ResponseWriter, r *http.Request) {
-		change(w, r, plan.MaxPlan, func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
-			return control.Apply(text, wait, step)
-		})
+		change(w, r, plan.MaxPlan, control.Apply)
 	})
 	mux.HandleFunc("POST /v1/rollback", func(w http.ResponseWriter, r *http.Request) {
-		change(w, r, maxRollback, func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+		change(w, r, maxRollback, func(text []byte, wait time.Duration, step stepFunc) (plan.Running, error) {
 			var now plan.Running
 			if err := json.Unmarshal(text, &now); err != nil {
 				return plan.Running{}, &Error{CodeRequest, "the request: " + err.Error()}
@@ -106,47 +110,57 @@
 }
 
 // change reads a complete request, has it carried out and tells of each step as it comes.
-func change(w http.ResponseWriter, r *http.Request, most int64, do func([]byte, time.Duration, func(string, time.Duration)) (plan.Running, error)) {
+func change(w http.ResponseWriter, r *http.Request, maxBody int64, do func([]byte, time.Duration, stepFunc) (plan.Running, error)) {
 	wait, err := waitOf(r)
 	if err != nil {
 		answer(w, http.StatusBadRequest, &Error{CodeRequest, err.Error()})
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
-		var long *http.MaxBytesError
-		if errors.As(err, &long) {
-			answer(w, http.StatusRequestEntityTooLarge, &Error{CodeRequest, fmt.Sprintf("the request is longer than %d bytes", most)})
+		var tooLong *http.MaxBytesError
+		if errors.As(err, &tooLong) {
+			answer(w, http.StatusRequestEntityTooLarge, &Error{CodeRequest, fmt.Sprintf("the request is longer than %d bytes", maxBody)})
 			return
 		}
 		answer(w, http.StatusBadRequest, &Error{CodeRequest, "the request is incomplete: " + err.Error()})
 		return
 	}
-	begun := false
-	line := func(l Line) {
-		if !begun {
-			begun = true
-			w.Header().Set("Content-Type", "application/jsonl")
-		}
-		json.NewEncoder(w).Encode(l)
-		http.NewResponseController(w).Flush()
-	}
+	lines := lineWriter{w: w}
 	running, err := do(text, wait, func(name string, took time.Duration) {
-		line(Line{Step: name, Took: took.Round(time.Microsecond).String()})
+		lines.write(Line{Step: name, Took: took.Round(time.Microsecond).String()})
 	})
 	if err == nil {
-		line(Line{Done: true, Running: &running})
+		lines.write(Line{Done: true, Running: &running})
 		return
 	}
 	var e *Error
 	if !errors.As(err, &e) {
 		e = &Error{CodeFailed, err.Error()}
 	}
-	if !begun {
+	if !lines.begun {
 		answer(w, statusOf(e.Code), e)
 		return
 	}
-	line(Line{Done: true, Error: e.Message, Code: e.Code, Running: &running})
+	lines.write(Line{Done: true, Error: e.Message, Code: e.Code, Running: &running})
+}
+
+// stepFunc is called after each step of a change.
+type stepFunc = func(name string, took time.Duration)
+
+// lineWriter streams the lines of an answer.
+type lineWriter struct {
+	w     http.ResponseWriter
+	begun bool // the status has been sent
+}
+
+func (l *lineWriter) write(line Line) {
+	if !l.begun {
+		l.begun = true
+		l.w.Header().Set("Content-Type", "application/jsonl")
+	}
+	json.NewEncoder(l.w).Encode(line)
+	http.NewResponseController(l.w).Flush()
 }
 
 func waitOf(r *http.Request) (time.Duration, error) {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,6 +1,7 @@
-// Package hotrestart is for two processes of one node that overlap while the one takes over from the other: they
-// listen at the same address, they know of one another, and connections go to the one that stays. What the kernel
-// holds for a process ends with it, so nothing has to be mended after a kill.
+// Package hotrestart lets two processes of one node overlap while the younger takes over from the older: they listen at
+// the same address (SO_REUSEPORT), detect one another by file locks, and new connections go to the younger one. The
+// kernel releases sockets and locks with the process that holds them, so a kill leaves nothing to repair. Draining the
+// older process is its node's.
 package hotrestart
 
 import (
@@ -95,47 +96,56 @@
 
 // Enter joins the processes of a name in a folder. It fails if one waits there already, or the folder can't be used.
 func Enter(folder, name string) (*Processes, error) {
-	l := &Processes{}
-	for _, f := range []struct {
-		to   **os.File
-		file string
-	}{{&l.seat, name + ".seat"}, {&l.next, name + ".next"}} {
-		file, err := os.OpenFile(filepath.Join(folder, f.file), os.O_CREATE|os.O_RDWR, 0o600)
-		if err != nil {
-			l.Leave()
-			return nil, fmt.Errorf("hotrestart: %w", err)
-		}
-		*f.to = file
+	p := &Processes{}
+	var err error
+	if p.seat, err = openLock(folder, name+".seat"); err != nil {
+		return nil, err
 	}
-	if l.Seated() {
-		return l, nil
+	if p.next, err = openLock(folder, name+".next"); err != nil {
+		p.Leave()
+		return nil, err
 	}
-	// The one that has the seat takes this lock for a moment when it looks whether it is followed.
-	for range 20 {
-		if lock(l.next) {
-			return l, nil
+	if p.Seated() {
+		return p, nil
+	}
+	// The process that has the seat takes this lock for a moment when it polls whether it is followed.
+	for range lockAttempts {
+		if lock(p.next) {
+			return p, nil
 		}
-		time.Sleep(pollInterval / 20)
+		time.Sleep(pollInterval / lockAttempts)
 	}
-	l.Leave()
+	p.Leave()
 	return nil, fmt.Errorf("hotrestart: another process waits for the seat of %s already", name)
 }
 
+// lockAttempts are made for the lock of the process that waits, within one poll interval.
+const lockAttempts = 20
+
+// openLock opens a lock's file, which is made if it is not there.
+func openLock(folder, name string) (*os.File, error) {
+	file, err := os.OpenFile(filepath.Join(folder, name), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("hotrestart: %w", err)
+	}
+	return file, nil
+}
+
 // Seated says that this process has the seat, and takes it if it is free.
-func (l *Processes) Seated() bool { return lock(l.seat) }
+func (p *Processes) Seated() bool { return lock(p.seat) }
 
 // Followed says, of the process that has the seat, that another waits for it.
-func (l *Processes) Followed() bool {
-	if !lock(l.next) {
+func (p *Processes) Followed() bool {
+	if !lock(p.next) {
 		return true
 	}
-	unix.Flock(int(l.next.Fd()), unix.LOCK_UN)
+	unix.Flock(int(p.next.Fd()), unix.LOCK_UN)
 	return false
 }
 
 // Leave gives up what is held, as the process's end would.
-func (l *Processes) Leave() {
-	for _, f := range []*os.File{l.seat, l.next} {
+func (p *Processes) Leave() {
+	for _, f := range []*os.File{p.seat, p.next} {
 		if f != nil {
 			f.Close()
 		}
@@ -150,17 +160,23 @@
 // pollInterval is how often a process looks whether it is alone.
 const pollInterval = 100 * time.Millisecond
 
-// Watch tells whenever this process begins or ceases to be one of two, until ctx ends. The first word comes before
-// it waits.
-func (l *Processes) Watch(ctx context.Context, tell func(two bool)) {
-	for known, was, seated := false, false, false; ctx.Err() == nil; clock.Sleep(ctx, pollInterval) {
-		if !seated && l.Seated() {
+// Watch calls notify whenever this process begins or ceases to be one of two, until ctx ends. The first call comes
+// before it waits.
+func (p *Processes) Watch(ctx context.Context, notify func(two bool)) {
+	notified := false
+	last := false // what was notified
+	seated := false
+	for ; ctx.Err() == nil; clock.Sleep(ctx, pollInterval) {
+		if !seated && p.Seated() {
 			seated = true
-			unix.Flock(int(l.next.Fd()), unix.LOCK_UN)
+			unix.Flock(int(p.next.Fd()), unix.LOCK_UN)
 		}
-		if two := !seated || l.Followed(); !known || two != was {
-			known, was = true, two
-			tell(two)
+		two := !seated || p.Followed()
+		if notified && two == last {
+			continue
 		}
+		notified = true
+		last = two
+		notify(two)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,6 @@
 // Package metrics counts what became of requests since the process began, as clients and servers saw it, for the
-// management endpoint. What is counted is told by the front ends and the back ends; the package knows nothing of either.
+// management endpoint. Front ends and back ends report to it; it knows nothing of either. Counters only grow, and are
+// lost with the process.
 package metrics
 
 import "sync"
@@ -14,8 +15,13 @@
 	Faulted                 // anything else
 )
 
-// Counts are of one class.
-type Counts [3]int64
+// String names the result as the metrics do.
+func (r Result) String() string { return resultNames[r] }
+
+var resultNames = [...]string{Fulfilled: "fulfilled", Throttled: "throttled", Faulted: "faulted"}
+
+// Counts are the requests of one class by their Result.
+type Counts [len(resultNames)]int64
 
 // Set counts. The zero value is ready, and its methods are safe for any number of goroutines.
 type Set struct {
@@ -99,10 +105,17 @@
 func (s *Set) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := Report{Fulfilled: map[string]int64{}, Throttled: map[string]int64{}, Faulted: map[string]int64{},
-		Relayed: s.relayed, Open: s.open}
+	r := Report{
+		Fulfilled: map[string]int64{},
+		Throttled: map[string]int64{},
+		Faulted:   map[string]int64{},
+		Relayed:   s.relayed,
+		Open:      s.open,
+	}
 	for class, c := range s.classes {
-		r.Fulfilled[class], r.Throttled[class], r.Faulted[class] = c[Fulfilled], c[Throttled], c[Faulted]
+		r.Fulfilled[class] = c[Fulfilled]
+		r.Throttled[class] = c[Throttled]
+		r.Faulted[class] = c[Faulted]
 	}
 	return r
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,7 @@
-// Package mgmt is the management endpoint: a second address where each connection carries one line and gets one
-// answer, "+OK" or "-ERR" and a reason, or the metrics as JSON and a line with a full stop, and is closed. It must answer whatever else the node is busy with, so it
-// holds a bounded number of connections and lets go of the one that has been silent for longest when another comes.
+// Package mgmt is the management endpoint: a second address where each connection carries one line and gets one answer,
+// "+OK" or "-ERR" and a reason, or the metrics as JSON and a line with a full stop, and is closed. It has to answer
+// whatever else the node is busy with: it holds a bounded number of connections, and when another comes it closes the
+// one that has been silent for longest. What the lines do is the Control's.
 package mgmt
 
 import (
@@ -10,6 +11,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -26,13 +28,15 @@
 	writeTimeout = 2 * time.Second
 )
 
-// Control is what the management endpoint opens to. Its methods return soon.
+// Control carries the endpoint's lines out. Its methods return soon.
 type Control interface {
 	// Health is nil if this process is ready to serve.
 	Health() error
+	// Metrics reports what was counted since the process began.
 	Metrics() metrics.Report
-	// Quiesce sends clients away; Resume takes them again.
+	// Quiesce makes the node not ready, so that clients are sent elsewhere; an error is answered as it is.
 	Quiesce() error
+	// Resume takes Quiesce back.
 	Resume() error
 }
 
@@ -109,11 +113,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.Close()
-	for i, o := range s.open {
-		if o == c {
-			s.open = append(s.open[:i], s.open[i+1:]...)
-			return
-		}
+	if i := slices.Index(s.open, c); i >= 0 {
+		s.open = slices.Delete(s.open, i, i+1)
 	}
 }
 
@@ -125,7 +126,7 @@
 	case errors.Is(err, bufio.ErrBufferFull):
 		answer = fmt.Sprintf("-ERR a line holds %d bytes at most\n", maxLine)
 	case err != nil:
-		return // gone, or silent for too long
+		return // disconnected, or silent for too long
 	default:
 		answer = s.answer(strings.TrimSpace(string(line)))
 	}
@@ -133,27 +134,29 @@
 	c.Write([]byte(answer))
 }
 
+// reply is the answer to a line that was carried out, or failed.
+func reply(ok string, err error) string {
+	if err != nil {
+		return "-ERR " + err.Error() + "\n"
+	}
+	return "+OK " + ok + "\n"
+}
+
 // answer does what a line asks for.
 func (s *Server) answer(request string) string {
-	said := func(ok string, err error) string {
-		if err != nil {
-			return "-ERR " + err.Error() + "\n"
-		}
-		return "+OK " + ok + "\n"
-	}
 	switch request {
 	case "health":
-		return said("ready", s.control.Health())
+		return reply("ready", s.control.Health())
 	case "counters":
 		text, err := json.Marshal(s.control.Metrics())
 		if err != nil {
-			return said("", err)
+			return reply("", err)
 		}
 		return string(text) + "\n.\n"
 	case "quiesce":
-		return said("clients are sent away", s.control.Quiesce())
+		return reply("clients are sent away", s.control.Quiesce())
 	case "resume":
-		return said("clients are taken", s.control.Resume())
+		return reply("clients are taken", s.control.Resume())
 	}
 	return fmt.Sprintf("-ERR %.40q is no call; there are health, counters, quiesce and resume\n", request)
 }
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,5 +1,6 @@
-// Package readiness decides whether a node asks the front end for clients and whether it closes those that it has: an
-// operator sends them away and takes them again, and the node's end is for good. It does no I/O and has no clock.
+// Package readiness decides whether a node is ready and whether it closes its clients' connections. An operator makes it
+// not ready (Quiesce) and ready again (Resume); a shutdown makes it not ready for good. It does no I/O and has no clock:
+// its owner passes monotonic times. Carrying the decision out is the node's.
 package readiness
 
 import (
@@ -16,8 +17,9 @@
 
 // Tracker holds whether a node is ready; the zero value is. It belongs to one goroutine, or its owner locks it.
 type Tracker struct {
-	shuttingDown, quiesced bool
-	since                  time.Duration
+	shuttingDown bool
+	quiesced     bool
+	since        time.Duration // of quiesced
 }
 
 // State is what follows for the node now.
@@ -29,7 +31,8 @@
 // Quiesce sends clients away from a clock time on. Once that is so, a further call changes nothing.
 func (t *Tracker) Quiesce(now time.Duration) {
 	if !t.quiesced {
-		t.quiesced, t.since = true, now
+		t.quiesced = true
+		t.since = now
 	}
 }
 
@@ -47,5 +50,8 @@
 
 // At is the state at a clock time. When a node that shuts down closes connections is its shutdown's schedule.
 func (t *Tracker) At(now time.Duration) State {
-	return State{Ready: !t.quiesced && !t.shuttingDown, CloseConnections: t.quiesced && now-t.since >= CloseIdleAfter}
+	return State{
+		Ready:            !t.quiesced && !t.shuttingDown,
+		CloseConnections: t.quiesced && now-t.since >= CloseIdleAfter,
+	}
 }
