--- /dev/null
+++ b/internal/daemon/fixture_test.go
@@ -0,0 +1,208 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	_ "damsontrestle/internal/testpeer/seeded"
+
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/node"
+	"damsontrestle/internal/plan"
+	"damsontrestle/internal/testpeer"
+)
+
+// named starts a server that answers with its name.
+func named(t *testing.T, name string) *testpeer.Server {
+	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
+}
+
+// fixture is a folder for a daemon, its file and its socket.
+type fixture struct {
+	dir, file, socket string
+	listen            string
+	options           Options
+	log               *logged
+}
+
+// logged keeps what was logged.
+type logged struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *logged) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+func (l *logged) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "d") // a Unix socket's path is short
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { os.RemoveAll(dir) })
+	return &fixture{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &logged{}}
+}
+
+// text is a file with one pool of one server and what is added.
+func (r *fixture) text(pool, server, more string) string {
+	return fmt.Sprintf(`
+node "n1" {
+  state_folder = %q
+  admin_socket = %q
+  limits {
+    memory = "128MiB"
+    descriptors = 512
+  }
+}
+class "view" {
+  effect = "safe"
+  aim = "10s"
+  deadline = "20s"
+}
+class "note" {
+  effect = "unsafe"
+  aim = "10s"
+  deadline = "20s"
+}
+listener "main" {
+  address = %q
+}
+pool %q {
+  server "s1" {
+    address = %q
+  }
+}
+route "all" {
+  default = true
+  pool = %q
+}
+%s`, filepath.Join(r.dir, "state"), r.socket, r.listen, pool, server, pool, more)
+}
+
+func (r *fixture) write(t *testing.T, text string) {
+	t.Helper()
+	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// start runs a daemon until stop, or the test's end.
+func (r *fixture) start(t *testing.T) (d *Daemon, stop func()) {
+	t.Helper()
+	o := r.options
+	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
+	d, err := Start(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	end := make(chan error, 1)
+	go func() { end <- d.Run(ctx) }()
+	var once sync.Once
+	stop = func() {
+		once.Do(func() {
+			cancel()
+			if err := testpeer.Receive(t, end, "the daemon's end"); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	t.Cleanup(stop)
+	return d, stop
+}
+
+func (r *fixture) client() *admin.Client { return admin.NewClient(r.socket) }
+
+func (r *fixture) show(t *testing.T) admin.Show {
+	t.Helper()
+	s, err := r.client().Show(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// plan makes a plan of a text for what runs now.
+func (r *fixture) plan(t *testing.T, text string) []byte {
+	t.Helper()
+	cfg, problems := config.Parse([]byte(text), "planned.hcl")
+	if err := problems.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return r.planOf(t, cfg)
+}
+
+func (r *fixture) planOf(t *testing.T, cfg *config.Config) []byte {
+	t.Helper()
+	s := r.show(t)
+	enc, err := plan.Make(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return enc
+}
+
+func (r *fixture) apply(t *testing.T, p []byte) (plan.Running, error) {
+	t.Helper()
+	return r.client().Apply(t.Context(), p, testpeer.Limit, nil)
+}
+
+func wantCode(t *testing.T, err error, code, say string) {
+	t.Helper()
+	var e *admin.Error
+	if !errors.As(err, &e) || e.Code != code || !strings.Contains(e.Message, say) {
+		t.Errorf("got %v, want %s: %s", err, code, say)
+	}
+}
+
+// ask sends a view on a connection of its own and returns who served it.
+func ask(t *testing.T, address, host, path string) string {
+	t.Helper()
+	nc, err := net.Dial("tcp", address)
+	if err != nil {
+		return err.Error()
+	}
+	nc.Close()
+	c := testpeer.Dial(t, address)
+	defer c.Close()
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %d\r\nX-Deadline: 4\r\n\r\n", path, host, time.Now().UnixNano())
+	resp, body := c.Answer(t)
+	if resp.StatusCode != 200 {
+		return resp.Status
+	}
+	return body
+}
+
+func (r *fixture) wantServed(t *testing.T, by string) {
+	t.Helper()
+	if got := ask(t, r.listen, "h", "/view/k"); got != by {
+		t.Errorf("served by %q, want %q", got, by)
+	}
+}
+
+// lastEnding has daemons of these tests end at once.
+func (r *fixture) with(o node.Options) *fixture {
+	r.options.Node = o
+	return r
+}
--- /dev/null
+++ b/internal/node/rollback_test.go
@@ -0,0 +1,148 @@
+package node
+
+import (
+	"errors"
+	"net"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+
+	"go.uber.org/goleak"
+
+	"damsontrestle/internal/config"
+	"damsontrestle/internal/route"
+	"damsontrestle/internal/testpeer"
+)
+
+// openFiles counts the process's open files.
+func openFiles(t *testing.T) int {
+	t.Helper()
+	list, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(list)
+}
+
+// Whatever fails before the commit undoes all of it: the node goes on as before, asked by requests; no descriptor
+// and no goroutine is left; and the same change goes through afterwards.
+func TestChangeRollsBackOnEveryFault(t *testing.T) {
+	a, b := newTestServer(t, "a"), newTestServer(t, "b")
+	agent, other := testpeer.NewAgent(t), testpeer.NewAgent(t)
+	agent.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "in_service")))
+	other.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
+	registered := func(name string, at *testpeer.Agent) config.Pool {
+		p := pooled(name)
+		p.Registry = &config.Registry{Address: at.Address(), Mode: config.Pushed}
+		return p
+	}
+	first := func() *config.Config { return ownConfig(pooled("p1", a), registered("p2", agent)) }
+	second := func() *config.Config {
+		c := ownConfig(pooled("p1", b), registered("p2", other), pooled("p3", b), registered("p4", other))
+		c.Listeners = append(c.Listeners, config.Listener{Name: "l2", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.StrictPaths},
+			config.Listener{Name: "l3", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.StrictPaths})
+		c.Routes = append(c.Routes, route.Route{Name: "r2", Paths: []string{"/view/2/*"}, To: []route.Target{{Pool: "p2", Weight: 1}}},
+			route.Route{Name: "r3", Paths: []string{"/view/3/*"}, To: []route.Target{{Pool: "p3", Weight: 1}}},
+			route.Route{Name: "r4", Paths: []string{"/view/4/*"}, To: []route.Target{{Pool: "p4", Weight: 1}}})
+		for i := range c.Listeners {
+			c.Listeners[i].Paths = config.StrictPaths
+		}
+		return c
+	}
+	var (
+		mu     sync.Mutex
+		points []string
+		failAt int
+	)
+	injected := errors.New("injected")
+	fault := func(point string) error {
+		mu.Lock()
+		defer mu.Unlock()
+		points = append(points, point)
+		if failAt > 0 && len(points) == failAt {
+			return injected
+		}
+		return nil
+	}
+	reset := func(at int) {
+		mu.Lock()
+		defer mu.Unlock()
+		points, failAt = nil, at
+	}
+	n := startOwn(t, func() *config.Config {
+		c := first()
+		c.Routes = append(c.Routes, route.Route{Name: "r2", Classes: []string{"view"}, Hosts: []string{"two"}, To: []route.Target{{Pool: "p2", Weight: 1}}})
+		return c
+	}(), Options{Fault: fault})
+	if err := second().Check().Err(); err != nil {
+		t.Fatal(err)
+	}
+	same := func(what string) {
+		t.Helper()
+		wantServed(t, n, "main", "/view/k", "a")
+		wantServed(t, n, "main", "/view/4/k", "a")
+		wantServed(t, n, "main", "/note/k", "a")
+		if n.Addr("l2") != "" || len(n.pools) != 2 || n.Config().Fingerprint() == second().Fingerprint() {
+			t.Errorf("%s: half of the change is there", what)
+		}
+	}
+	same("before")
+	// Once through to the end without a commit, to count the points.
+	reset(0)
+	c, err := n.Prepare(t.Context(), second(), testpeer.Limit)
+	if err != nil {
+		t.Fatal(err)
+	}
+	same("prepared")
+	if _, err := n.Prepare(t.Context(), second(), testpeer.Limit); !errors.Is(err, ErrBusy) {
+		t.Errorf("a second change at once: %v", err)
+	}
+	c.Undo()
+	all := points
+	if len(all) < 14 {
+		t.Fatalf("only %d points: %v", len(all), all)
+	}
+	same("undone")
+	known, files := goleak.IgnoreCurrent(), openFiles(t)
+	for i, point := range all {
+		reset(i + 1)
+		_, err := n.Prepare(t.Context(), second(), testpeer.Limit)
+		if !errors.Is(err, injected) {
+			t.Fatalf("failing %q: %v", point, err)
+		}
+		reset(0)
+		same(point)
+		testpeer.Until(t, "what "+point+" left to go", func() bool {
+			return openFiles(t) <= files && goleak.Find(known) == nil
+		})
+	}
+	t.Logf("%d points failed in turn: %s", len(all), strings.Join(all, ", "))
+	change(t, n, second())
+	wantServed(t, n, "main", "/view/k", "b")
+	wantServed(t, n, "l3", "/view/2/k", "b")
+	wantServed(t, n, "l2", "/view/4/k", "b")
+}
+
+func TestPortInUseIsReportedAndRolledBack(t *testing.T) {
+	a := newTestServer(t, "a")
+	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	free := testpeer.ClosedPort(t)
+	next := ownConfig(pooled("p", a))
+	next.Listeners = append(next.Listeners,
+		config.Listener{Name: "l2", Address: free, Protocol: config.HTTP1, Paths: config.StrictPaths},
+		config.Listener{Name: "l3", Address: taken.Addr().String(), Protocol: config.HTTP1, Paths: config.StrictPaths})
+	_, err = n.Prepare(t.Context(), next, testpeer.Limit)
+	if err == nil || !strings.Contains(err.Error(), `listener "l3": `+taken.Addr().String()+": address already in use") {
+		t.Errorf("%v", err)
+	}
+	if status, _ := ask(t, free, "GET", "/view/k"); status != 0 {
+		t.Error("the listener before it listens")
+	}
+	wantServed(t, n, "main", "/view/k", "a")
+}
