--- a/cmd/damsontrestle/apply.go
+++ b/cmd/damsontrestle/apply.go
@@ -46,8 +46,8 @@
 				socket = p.Socket
 			}
 			client := admin.NewClient(socket)
-			running, err := client.Apply(cmd.Context(), text, wait, steps(cmd.OutOrStdout(), asJSON))
-			return ended(cmd.OutOrStdout(), running, err, asJSON, "Apply complete")
+			running, err := client.Apply(cmd.Context(), text, wait, stepPrinter(cmd.OutOrStdout(), asJSON))
+			return printOutcome(cmd.OutOrStdout(), running, err, asJSON, "Apply complete")
 		},
 	}
 	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the one that the plan was made through)")
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// steps tells of each step as it ends.
-func steps(out io.Writer, asJSON bool) func(admin.Line) {
+// stepPrinter writes a line for each step of a change as it ends.
+func stepPrinter(out io.Writer, asJSON bool) func(admin.Line) {
 	return func(l admin.Line) {
 		if asJSON {
 			json.NewEncoder(out).Encode(l)
@@ -80,8 +80,8 @@
 	}
 }
 
-// ended tells what came of a change.
-func ended(out io.Writer, running plan.Running, err error, asJSON bool, done string) error {
+// printOutcome writes the outcome of a change, or returns its error.
+func printOutcome(out io.Writer, running plan.Running, err error, asJSON bool, done string) error {
 	if errors.Is(err, admin.ErrCut) {
 		return fmt.Errorf("%w; see what came of it with show", err)
 	}
--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -13,7 +13,7 @@
 )
 
 func newMembers() *cobra.Command {
-	return newLook("members", "Show what a node knows of other nodes",
+	return newShowCommand("members", "Show what a node knows of other nodes",
 		"members tells of each node that this one knows: whether it lives, since when, when it was heard last, and what\nwas dropped of the datagrams that came and why.",
 		"write everything as JSON",
 		func(s admin.Show) (gossip.Status, error) {
@@ -48,7 +48,7 @@
 }
 
 func newZoneState() *cobra.Command {
-	return newLook("facts", "Show what a node knows of each zone, and how old that is",
+	return newShowCommand("facts", "Show what a node knows of each zone, and how old that is",
 		"facts tells of each zone whether what is known of it is fresh, since when, from how many of its nodes, and how old it\nis at most; then what is known, and what was dropped and why.",
 		"write everything as JSON",
 		func(s admin.Show) (gossip.ZoneStateStatus, error) {
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, show, err := running(ctx, socket)
+	_, show, err := askRunning(ctx, socket)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/damsontrestle/rollback.go
+++ b/cmd/damsontrestle/rollback.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			client, show, err := running(cmd.Context(), path)
+			client, show, err := askRunning(cmd.Context(), path)
 			if err != nil {
 				return err
 			}
@@ -46,8 +46,8 @@
 			if !yes && !confirmed(cmd.InOrStdin(), out) {
 				return fmt.Errorf("not confirmed; nothing was changed (-auto-approve skips the question)")
 			}
-			running, err := client.Rollback(cmd.Context(), show.Running, wait, steps(out, asJSON))
-			return ended(out, running, err, asJSON, "Rollback complete")
+			running, err := client.Rollback(cmd.Context(), show.Running, wait, stepPrinter(out, asJSON))
+			return printOutcome(out, running, err, asJSON, "Rollback complete")
 		},
 	}
 	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the file's)")
@@ -57,7 +57,7 @@
 	return cmd
 }
 
-// confirmed asks; only yes will do.
+// confirmed asks for a confirmation, which is "yes" alone.
 func confirmed(in io.Reader, out io.Writer) bool {
 	fmt.Fprint(out, "\nOnly \"yes\" will be taken for a yes: ")
 	line, _ := bufio.NewReader(in).ReadString('\n')
--- a/cmd/damsontrestle/root.go
+++ b/cmd/damsontrestle/root.go
@@ -73,8 +73,8 @@
 	return "", fmt.Errorf("no admin socket is named: give -socket, a file whose node block has admin_socket, or %s", socketVariable)
 }
 
-// running asks a daemon what it runs.
-func running(ctx context.Context, socket string) (*admin.Client, admin.Show, error) {
+// askRunning asks a daemon what it runs.
+func askRunning(ctx context.Context, socket string) (*admin.Client, admin.Show, error) {
 	client := admin.NewClient(socket)
 	show, err := client.Show(ctx)
 	if errors.Is(err, admin.ErrNoDaemon) {
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -1,14 +1,15 @@
 package main
 
 import (
+	"context"
 	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
-	"time"
 
 	"github.com/spf13/cobra"
 
+	"damsontrestle/internal/admin"
 	"damsontrestle/internal/daemon"
 	"damsontrestle/internal/node"
 )
@@ -24,31 +25,37 @@
 			"all that it has taken is answered.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			// SIGHUP ends a program that does not catch it: it is caught before anything else.
-			again := make(chan os.Signal, 1)
-			signal.Notify(again, syscall.SIGHUP)
-			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
 			o.File = args[0]
 			o.Log = slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			o.Node.Limit, o.Node.Start = node.Limit, ctx
-			d, err := daemon.Start(o)
-			if err != nil {
-				if ctx.Err() != nil {
-					o.Log.Info("told to end before it listened", "error", err)
-					return nil // nothing was taken
-				}
-				return err
-			}
-			go func() {
-				for range again {
-					d.Reload()
-				}
-			}()
-			return d.Run(ctx)
+			return serve(cmd.Context(), o)
 		},
 	}
 	cmd.Flags().BoolVar(&o.FromFile, "from-file", false, "run the file, whatever the state folder holds")
-	cmd.Flags().DurationVar(&o.Wait, "wait", 10*time.Second, "how long a reload waits for new lists of servers")
+	cmd.Flags().DurationVar(&o.Wait, "wait", admin.DefaultWait, "how long a reload waits for new lists of servers")
 	return cmd
 }
+
+// serve runs a daemon until SIGTERM or SIGINT; SIGHUP has it reload its file.
+func serve(ctx context.Context, o daemon.Options) error {
+	// SIGHUP ends a program that does not catch it: it is caught before anything else.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	o.Node.Limit = node.Limit
+	o.Node.Start = ctx
+	d, err := daemon.Start(o)
+	if err != nil {
+		if ctx.Err() != nil {
+			o.Log.Info("told to end before it listened", "error", err)
+			return nil // nothing was admitted
+		}
+		return err
+	}
+	go func() {
+		for range hangups {
+			d.Reload()
+		}
+	}()
+	return d.Run(ctx)
+}
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -16,14 +16,14 @@
 )
 
 func newShow() *cobra.Command {
-	return newLook("show", "Show what a node runs and does",
+	return newShowCommand("show", "Show what a node runs and does",
 		"show tells what runs (serial and fingerprint, since when, put in place by what), its listeners and pools, and what\nof earlier configurations still drains.",
 		"write everything as JSON, the configuration among it",
 		func(s admin.Show) (admin.Show, error) { return s, nil }, writeShow)
 }
 
-// newLook makes a command that asks a node what it runs and writes a part of that, in words or as JSON.
-func newLook[T any](use, short, long, jsonHelp string, part func(admin.Show) (T, error), write func(io.Writer, T)) *cobra.Command {
+// newShowCommand makes a command that asks a node what it runs and writes a part of that, in words or as JSON.
+func newShowCommand[T any](use, short, long, jsonHelp string, part func(admin.Show) (T, error), write func(io.Writer, T)) *cobra.Command {
 	var (
 		socket string
 		asJSON bool
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			_, show, err := running(cmd.Context(), path)
+			_, show, err := askRunning(cmd.Context(), path)
 			if err != nil {
 				return err
 			}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -31,15 +31,15 @@
 	maxPolls       = 16
 )
 
-// Reserved descriptors are for the log, the runtime, the admin socket and its clients, a snapshot being
-// written, and clients whose requests are read only to be refused.
+// Reserved descriptors are for the log, the runtime, the admin socket and its clients, a record being written, and
+// clients whose requests are read only to be rejected.
 const Reserved = 48
 
 // managementDescriptors are for the management endpoint, beside those of the reserved ones that it may use.
 const managementDescriptors = 8
 
-// Check tells all that is wrong with a configuration that was read from our own file or that a plan holds.
-// Warnings are among it.
+// Check returns all problems of a configuration that was read from our own file or that a plan holds, warnings among
+// them.
 func (c *Config) Check() Problems {
 	k := &checker{Config: c}
 	k.node()
@@ -284,7 +284,7 @@
 	return err == nil && host != "" && net.ParseIP(host) == nil
 }
 
-// validate has the module look at the settings that it is to be given.
+// validate has the balancer check the settings that it would get.
 func (c *Config) validate() error {
 	for _, p := range c.Pools {
 		if _, err := balancer.New(c.Settings(p), 0); err != nil {
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -11,33 +11,33 @@
 	"damsontrestle/internal/budget"
 )
 
-// Federation makes a node a gateway of a partner: it has links to others of its group and to partners' gateways.
+// Federation makes a node a gateway of a partner, with links to the partner's own gateways and to those of others.
 type Federation struct {
 	Partner  string   `json:"partner"`            // what this partner is called among all
 	Listener string   `json:"listener,omitempty"` // name of the one by which partners' requests come in; empty: none come
 	Requests string   `json:"calls,omitempty"`    // address at which partners reach it; empty: the listener's own
-	Replicas int      `json:"holders"`            // of a request replicated
+	Replicas int      `json:"holders"`            // of each replicated request
 	Memory   Size     `json:"memory"`             // for requests that are held for others
 	Keep     Duration `json:"keep"`               // that answers are kept after they were settled
 	Stale    Duration `json:"stale"`              // that the offers of a partner are used whose links have all ended
 	Silence  Duration `json:"silence"`            // without a sign that it is alive, after which a link ends
 }
 
-// Replication says what becomes of requests of a class that has it when too few replicas can be reached.
+// Replication says what becomes of a class's requests when too few replicas can be reached.
 type Replication struct {
 	WhenAlone Alone `json:"when_alone"`
 }
 
-// Alone says what a gateway does alone.
+// Alone says what a gateway does that reaches too few replicas.
 type Alone string
 
-// What it does.
+// Values of Alone.
 const (
 	ServeAlone  Alone = "serve"
 	RejectAlone Alone = "refuse"
 )
 
-// Partner is another partner, and what this one goes by with it.
+// Partner is another partner with the rules for its routes.
 type Partner struct {
 	Name        string   `json:"name"`
 	KeyFile     string   `json:"key_file"`
@@ -52,7 +52,7 @@
 	Connections int      `json:"connections"`          // for requests, at most
 }
 
-// Export is something that this partner serves and lets others have.
+// Export is a route that this partner advertises to others, under an export rule.
 type Export struct {
 	Name     string   `json:"name"`
 	Class    string   `json:"class"`
@@ -69,7 +69,7 @@
 	Capacity int      `json:"room,omitempty"` // requests at once that one neighbour may have; 0: not said
 }
 
-// Quota is a budget of requests that all partners draw from.
+// Quota is a rate of requests that the gateways of all partners share.
 type Quota struct {
 	Name       string           `json:"name"`
 	Rate       float64          `json:"rate"` // requests a second
@@ -85,13 +85,13 @@
 	Partners   []QuotaPartner   `json:"partners"`
 }
 
-// QuotaCandidate is a gateway that may keep a budget.
+// QuotaCandidate is a gateway that may become quota leader.
 type QuotaCandidate struct {
 	Name    string `json:"name"` // partner/gateway
 	Address string `json:"address"`
 }
 
-// QuotaPartner is a partner's part in a budget.
+// QuotaPartner is a partner's part of a quota.
 type QuotaPartner struct {
 	Name     string  `json:"name"`
 	Floor    float64 `json:"floor,omitempty"`
@@ -105,7 +105,7 @@
 func (k QuotaCandidate) name() string { return k.Name }
 func (p QuotaPartner) name() string   { return p.Name }
 
-// Terms are the quota's, as they are kept.
+// Terms are the quota's terms as internal/budget has them.
 func (q Quota) Terms() budget.Terms {
 	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Over: q.Over, Lease: time.Duration(q.Lease), Term: time.Duration(q.Term),
 		Wait: time.Duration(q.Wait), WhenCut: q.WhenCut}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -15,14 +15,14 @@
 // process's.
 const maxNesting = 32
 
-// Load reads and checks a file of our own. All that is wrong is told at once, as Problems; warnings come with
-// a good configuration too.
+// Load reads and checks a file of our own. All problems are returned at once, with their lines; the Config is nil if one
+// of them is an error, and comes with warnings otherwise.
 func Load(path string) (*Config, Problems) {
 	text, err := opener(openFile).read(path, MaxFile+1)
 	return parseRead(text, err, path)
 }
 
-// Reload is Load where a configuration runs: a file that can't be read is tried again for two seconds.
+// Reload is Load where a configuration runs: a read that fails is retried for two seconds.
 func Reload(path string) (*Config, Problems) {
 	text, err := opener(openFile).readAgain(path, MaxFile+1)
 	return parseRead(text, err, path)
@@ -71,11 +71,11 @@
 	return c, r.problems
 }
 
-// reader turns a file into a Config and notes where each part stands.
+// reader turns a file into a Config and remembers the line of each part.
 type reader struct {
 	file     string
 	ranges   map[string]hcl.Range // of blocks and fields, by their paths
-	unread   map[string]bool      // paths of what could not be read: what Check says of them is no news
+	unread   map[string]bool      // paths of what could not be read: what Check says of them is dropped
 	problems Problems
 }
 
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -1,3 +1,9 @@
+// Package config holds a node's configuration: its model, the two forms that it is read from (a file of our own in HCL,
+// the platform's JSON), the check of all its values and of what it needs against its limits, and the fingerprint by which
+// configurations are compared.
+//
+// It reads files and nothing else: what runs is the node's, what differs between two configurations is internal/plan's.
+// The keys of files and records are mapped here once; names in Go are those of the glossary.
 package config
 
 import "damsontrestle/internal/route"
@@ -18,7 +24,7 @@
 	Quotas     []Quota     `json:"quotas,omitempty"`
 }
 
-// Node is what concerns the process.
+// Node is the part of a configuration that concerns the process.
 type Node struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone,omitempty"`
@@ -26,40 +32,40 @@
 	AdminSocket string `json:"admin_socket,omitempty"` // path of a Unix socket; empty: none
 	Management  string `json:"management,omitempty"`   // address of the management endpoint; empty: none
 	Limits      Limits `json:"limits"`
-	Peers       Peers  `json:"peers,omitzero"` // zero: the node knows of no other
+	Peers       Peers  `json:"peers,omitzero"` // zero: the node has no peers
 }
 
-// Peers tells how nodes come to know one another, by datagrams.
+// Peers configures membership and zone state, which nodes gossip by datagrams.
 type Peers struct {
 	Listen     string   `json:"listen"`              // address of the UDP socket
 	Advertise  string   `json:"advertise,omitempty"` // at which others reach it; empty: Listen
-	KeyFile    string   `json:"key_file"`            // of the cluster: who does not have it is not heard
+	KeyFile    string   `json:"key_file"`            // of the cluster: datagrams without its seal are dropped
 	Seeds      []string `json:"seeds,omitempty"`     // addresses of some others, or of all
 	Region     string   `json:"region,omitempty"`
 	Period     Duration `json:"period"`                // between two probes of others
-	ListenOnly bool     `json:"listen_only,omitempty"` // it is asked to probe for nobody
-	Fresh      Duration `json:"fresh,omitempty"`       // what is known of zones is fresh until it is as old; 0: nothing is told or taken
-	Delay      Duration `json:"delay,omitempty"`       // that a datagram takes at most where all is well
+	ListenOnly bool     `json:"listen_only,omitempty"` // others don't ask it for indirect probes
+	Fresh      Duration `json:"fresh,omitempty"`       // max age of zone state that counts as fresh; 0: none is published or used
+	Delay      Duration `json:"delay,omitempty"`       // max time of a datagram under way without faults
 }
 
-// Limits bound the process.
+// Limits bound the resources of the process.
 type Limits struct {
 	Memory      Size `json:"memory"`      // three quarters of it are the Go runtime's soft limit
 	Descriptors int  `json:"descriptors"` // open files and sockets
 	Cores       int  `json:"cores"`       // threads that run Go code at once
 }
 
-// Class is a class of requests.
+// Class is a class of requests of one effect, deadline and priority.
 type Class struct {
 	Name             string       `json:"name"`
 	Effect           Effect       `json:"effect"`
 	KeyScope         Scope        `json:"key_scope,omitempty"`  // for keyed
-	Window           Duration     `json:"window,omitempty"`     // for keyed: how long servers discard repeats
-	LatencyObjective Duration     `json:"aim"`                  // answers within it earn full priority weight
-	Deadline         Duration     `json:"deadline"`             // how long a client waits over all its tries
-	LateShare        float64      `json:"late_share,omitempty"` // share of the priority weight that a later answer earns
+	Window           Duration     `json:"window,omitempty"`     // for keyed: how long servers discard duplicates
+	LatencyObjective Duration     `json:"aim"`                  // responses within it earn the full priority weight
+	Deadline         Duration     `json:"deadline"`             // how long a client waits, over all attempts
+	LateShare        float64      `json:"late_share,omitempty"` // share of the priority weight that a later response earns
 	PriorityWeight   float64      `json:"worth"`
-	Replication      *Replication `json:"custody,omitempty"` // another gateway takes its requests over; nil: none does
+	Replication      *Replication `json:"custody,omitempty"` // its requests are replicated; nil: they are not
 }
 
 // Listener is an address where clients connect.
@@ -70,25 +76,25 @@
 	Paths    Paths    `json:"paths"`
 }
 
-// Pool is a set of servers that one Balancer sends to.
+// Pool is a set of servers that requests are routed to together, by one Balancer.
 type Pool struct {
 	Name        string      `json:"name"`
 	Protocol    Protocol    `json:"protocol"`
-	Tier        int         `json:"tier"`                  // 0: clients come from outside
-	Attempts    int         `json:"attempts"`              // of one request, the first among them
-	Cancel      bool        `json:"cancel"`                // what is not needed any more is called off
-	Tick        Duration    `json:"tick"`                  // what the module takes for no time at all
-	RetryAfter  Duration    `json:"retry_after,omitempty"` // the longest advice to clients; 0: none is given
+	Tier        int         `json:"tier"`                  // 0: requests come from outside
+	Attempts    int         `json:"attempts"`              // max of one request, the first among them
+	Cancel      bool        `json:"cancel"`                // attempts that are not needed any more are cancelled
+	Tick        Duration    `json:"tick"`                  // differences below it are no time to the balancer
+	RetryAfter  Duration    `json:"retry_after,omitempty"` // max Retry-After of a rejection; 0: none is given
 	Copies      Copies      `json:"copies"`
 	Shedding    Shedding    `json:"shedding"`
 	Connections Connections `json:"connections"`
 	SlowStart   SlowStart   `json:"slow_start"`
-	LoadReports LoadReports `json:"load_reports,omitzero"` // in answers; zero: none are read
+	LoadReports LoadReports `json:"load_reports,omitzero"` // in replies; zero: none are read
 	Registry    *Registry   `json:"registry,omitempty"`    // where the list comes from, or
 	Servers     []Server    `json:"servers,omitempty"`     // the list itself
 }
 
-// Copies tells of the nodes that send to the same servers.
+// Copies counts the nodes that send to the same servers.
 type Copies struct {
 	Count int `json:"count"`
 	Index int `json:"index"` // this node's number among them, from 0
@@ -96,61 +102,67 @@
 
 // Shedding weighs what is shed first when not all can be served.
 type Shedding struct {
-	Total      float64 `json:"whole"`       // the priority weight of all answers
-	WorstClass float64 `json:"worst_class"` // the worst-served class
+	Total      float64 `json:"whole"`       // weight of all responses' priority weights
+	WorstClass float64 `json:"worst_class"` // weight of the class that is served worst
 }
 
-// Connections bound those to a pool's servers.
+// Connections bounds the connections to a pool's servers.
 type Connections struct {
 	Most           int      `json:"most"`
-	Idle           Duration `json:"idle"` // servers close what has been idle for so long
+	Idle           Duration `json:"idle"` // servers close a connection that has been idle for so long
 	ConnectTimeout Duration `json:"connect_timeout"`
 }
 
-// SlowStart tells what a server that has just started can do.
+// SlowStart is the share of its capacity that a server gets after its start.
 type SlowStart struct {
-	From float64  `json:"from"` // share of its capacity at first
-	Over Duration `json:"over"` // after that long it has all of it
+	From float64  `json:"from"` // share at first, 0 to 1
+	Over Duration `json:"over"` // until it gets its full capacity
 }
 
-// LoadReports tells what answers say of their server's load: the names of metrics in X-Load.
+// LoadReports names the metrics by which servers report their load in the header X-Load.
 type LoadReports struct {
-	Busy     string `json:"busy"`               // requests that the server holds, in work and waiting
-	Poll     int    `json:"ask,omitempty"`      // servers that are asked before a request goes to one of them; 0: none
-	PollPath string `json:"ask_path,omitempty"` // where
+	Busy     string `json:"busy"`               // requests that the server has in flight and queued
+	Poll     int    `json:"ask,omitempty"`      // servers that are polled before one of them is selected; 0: none
+	PollPath string `json:"ask_path,omitempty"` // path of the poll
 }
 
-// Registry is where a list of servers is watched.
+// Registry is where an endpoint list is watched.
 type Registry struct {
 	Address      string       `json:"address"`
 	Mode         RegistryMode `json:"mode"`
-	PollInterval Duration     `json:"ask_within,omitempty"` // for asked: a node must ask at least this often
+	PollInterval Duration     `json:"ask_within,omitempty"` // for asked: max time between two polls
 }
 
-// Server is a listed server.
+// Server is an entry of an endpoint list that the configuration holds.
 type Server struct {
 	Name    string      `json:"name"`
 	Address string      `json:"address"`
 	Zone    string      `json:"zone,omitempty"`
 	Cell    int         `json:"cell,omitempty"`
-	Size    float64     `json:"size"` // what it can carry against others
+	Size    float64     `json:"size"` // its capacity relative to others
 	State   ServerState `json:"state"`
 }
 
-// Kinds of words that a field may hold; the first is the default where there is one.
+// Enumerations, by the words of the file; the first is the default where there is one.
 type (
-	Effect       string
-	Scope        string
-	Protocol     string
-	Paths        string
+	// Effect says what happens when a request of a class runs twice.
+	Effect string
+	// Scope says which servers discard duplicates of one another's keyed requests.
+	Scope string
+	// Protocol is what a listener or a pool speaks.
+	Protocol string
+	// Paths says what a listener does with paths that servers could read in different ways.
+	Paths string
+	// RegistryMode says how an endpoint list is watched.
 	RegistryMode string
-	ServerState  string
+	// ServerState is the state of a listed server.
+	ServerState string
 )
 
-// Words.
+// Values of the enumerations.
 const (
 	Unsafe Effect = "unsafe" // must never run twice
-	Keyed  Effect = "keyed"  // servers discard repeats for a while
+	Keyed  Effect = "keyed"  // servers discard duplicates for a while
 	Safe   Effect = "safe"   // may run any number of times
 
 	CellScope Scope = "cell"
@@ -160,15 +172,15 @@
 	HTTP1   Protocol = "http1"
 	FastCGI Protocol = "fastcgi" // of listeners
 
-	StrictPaths    Paths = "strict"    // what servers could read in another way is rejected
-	NormalizePaths Paths = "normalize" // or made plain, where there is one plain form
-	PathsAsSent    Paths = "as_sent"   // sent on as they came; only the class must be the same to all
+	StrictPaths    Paths = "strict"    // ambiguous paths are rejected
+	NormalizePaths Paths = "normalize" // or normalized, where there is one normal form
+	PathsAsSent    Paths = "as_sent"   // left as they came; only the class must be unambiguous
 
-	Pushed RegistryMode = "pushed" // an agent that answers at once
-	Polled RegistryMode = "asked"  // one service for all nodes, asked when the module says so
+	Pushed RegistryMode = "pushed" // a local agent pushes watch events
+	Polled RegistryMode = "asked"  // one service for all nodes, polled when the balancer says so
 
 	Ready    ServerState = "ready"
-	Draining ServerState = "draining" // finishes what it has, gets nothing new
+	Draining ServerState = "draining" // finishes its requests, gets no new ones
 )
 
 // Class is the class of a name.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,10 +15,10 @@
 	"damsontrestle/internal/wire"
 )
 
-// Start is what the platform tells a node at its start beside the configuration.
+// Start is what the platform gives a node at its start beside the configuration.
 type Start struct {
 	Seed  uint64
-	Known json.RawMessage // the list as the node last had it, perhaps old, in the registry's form
+	Known json.RawMessage // the endpoint list as the node last had it, perhaps old, in the registry's form
 }
 
 // Names of the parts that the platform's file describes without naming them.
@@ -54,7 +54,7 @@
 // LoadPlatform reads and checks the file that BALANCER_CONFIG names.
 func LoadPlatform() (*Config, Start, error) { return loadPlatform(opener(openFile).read) }
 
-// ReloadPlatform is LoadPlatform where a configuration runs: a file that can't be read is tried again for two seconds.
+// ReloadPlatform is LoadPlatform where a configuration runs: a read that fails is retried for two seconds.
 func ReloadPlatform() (*Config, Start, error) { return loadPlatform(opener(openFile).readAgain) }
 
 func loadPlatform(read func(path string, most int64) ([]byte, error)) (*Config, Start, error) {
@@ -208,7 +208,7 @@
 	return c
 }
 
-// fromModule is a class as the module has it, in the configuration's words.
+// fromModule is the configuration's form of a balancer's class.
 func fromModule(c balancer.Class) Class {
 	out := Class{
 		Name:             c.Name,
--- a/internal/daemon/change.go
+++ b/internal/daemon/change.go
@@ -31,7 +31,8 @@
 	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
 }
 
-// Reload reads the file again and puts it in place, as a plan made and applied at once would.
+// Reload reads the file again and puts it in place, like a plan that is made and applied at once. A file that can't be
+// taken over is logged; what runs stays.
 func (d *Daemon) Reload() {
 	cfg, problems := config.Reload(d.options.File)
 	if err := problems.Err(); err != nil {
@@ -50,7 +51,7 @@
 	}
 }
 
-// reject logs and words a refusal.
+// reject logs why a change was not begun, and gives the error its code.
 func (d *Daemon) reject(by string, err error) (plan.Running, error) {
 	d.log.Warn("a change is refused", "by", by, "error", err)
 	d.mu.Lock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,7 +24,7 @@
 type Options struct {
 	File     string        // of our own
 	FromFile bool          // the file runs, whatever the state folder holds
-	Wait     time.Duration // for a reload's new lists; 0: admin.DefaultWait
+	Wait     time.Duration // of a reload for new endpoint lists; 0: admin.DefaultWait
 	Log      *slog.Logger
 	Node     node.Options
 
@@ -32,26 +32,27 @@
 	repairDelay time.Duration // for tests: before the first attempt to repair the state folder; 0: firstRepairDelay
 }
 
-// Daemon is a node with its state and its admin socket.
+// Daemon is a node with its state folder and its admin socket. Changes are carried out one at a time, by the goroutine that
+// asked for them; mu guards what they and Show share.
 type Daemon struct {
 	options     Options
 	log         *slog.Logger
 	node        *node.Node
-	folder      *state.Folder // nil: nothing is kept
+	folder      *state.Folder // nil: nothing is recorded
 	server      *admin.Server
-	startConfig *config.Config // that the process began with: what takes a restart is as it says
-	name        string         // of this incarnation of the process
-	startReason string         // which configuration the start found, and why that one
-	incarnation context.Context
+	startConfig *config.Config  // that the process began with; fields that need a restart are still as it says
+	name        string          // of this incarnation of the process
+	startReason string          // which configuration the start found, and why that one
+	incarnation context.Context // ends when the shutdown begins
 	cancel      context.CancelFunc
 	changes     sync.WaitGroup
-	divergence  chan struct{} // the state folder may have come to hold another record than that of what runs
-	writing     sync.Mutex    // over each write to the state folder
+	divergence  chan struct{} // signals that the state folder may hold another record than that of what runs
+	writing     sync.Mutex    // held over each write to the state folder; taken before mu
 
 	mu      sync.Mutex
 	machine *plan.Machine
-	record  *state.Record // of what runs
-	last    *admin.Outcome
+	record  *state.Record  // of what runs
+	last    *admin.Outcome // of the last change; nil: there was none
 }
 
 // Start reads the file and the state folder, and begins to listen. Nothing is served before Run. The error has
@@ -132,12 +133,12 @@
 
 func now() time.Time { return time.Now().UTC().Truncate(time.Millisecond) }
 
-// running names what runs. The caller holds mu, or is alone.
+// running identifies what runs. The caller holds mu, or is alone.
 func (d *Daemon) running() plan.Running {
 	return d.named(d.record.Running)
 }
 
-// named names an entry of the record.
+// named identifies an entry of the record.
 func (d *Daemon) named(e state.Entry) plan.Running {
 	return plan.Running{
 		Node:        d.record.Node,
@@ -148,11 +149,11 @@
 	}
 }
 
-// finalResponseTime is how long clients may take to read what came of a change when the daemon ends.
+// finalResponseTime is how long clients of the admin socket may take to read the outcome of a change at shutdown.
 const finalResponseTime = time.Second
 
-// Run serves until ctx ends, and then until all that was taken is answered. No change is begun any more then,
-// and one under way is undone or, once it is in the state folder, finished.
+// Run serves until ctx ends, and then shuts down gracefully: all requests are answered, no change is begun any more, one
+// under way is undone or, once it is in the state folder, finished, and a diverged record is repaired if that succeeds.
 func (d *Daemon) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, d.endChanges)
 	defer stop()
@@ -177,7 +178,7 @@
 	return err
 }
 
-// endChanges has no change begin any more, and those under way not wait.
+// endChanges lets no change begin any more; one under way no longer waits for endpoint lists.
 func (d *Daemon) endChanges() {
 	d.mu.Lock()
 	d.machine.Shutdown()
@@ -185,10 +186,10 @@
 	d.cancel()
 }
 
-// Addr is where a listener listens.
+// Addr is the address of a listener; empty: there is none of the name.
 func (d *Daemon) Addr(listener string) string { return d.node.Addr(listener) }
 
-// Show tells what runs and what it does.
+// Show implements admin.Control.
 func (d *Daemon) Show() admin.Show {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/daemon/repair.go
+++ b/internal/daemon/repair.go
@@ -11,7 +11,7 @@
 	maxRepairDelay   = 10 * time.Second
 )
 
-// repairOnDivergence writes the record of what runs whenever the state folder may hold another, again and again until that
+// repairOnDivergence writes the record of what runs whenever the state folder may hold another, with backoff until that
 // succeeds. It returns when ctx ends, after one last attempt.
 func (d *Daemon) repairOnDivergence(ctx context.Context) {
 	for {
@@ -27,12 +27,12 @@
 	}
 }
 
-// repairUntilDone tries until the state folder holds what runs, or ctx ends.
+// repairUntilDone retries until the state folder holds what runs, or ctx ends.
 func (d *Daemon) repairUntilDone(ctx context.Context) {
 	for wait := d.options.repairDelay; d.diverged(); wait = min(2*wait, maxRepairDelay) {
 		select {
 		case <-time.After(wait):
-			d.repair() // the first failure is in the log; it is tried again
+			d.repair() // the first failure is in the log; it is retried
 		case <-ctx.Done():
 			return
 		}
@@ -46,8 +46,8 @@
 	return d.machine.Diverged()
 }
 
-// repair writes the record of what runs, if the state folder may hold another. A change that is under way writes what
-// is due itself.
+// repair writes the record of what runs, if the state folder may hold another. A change that is under way does so by
+// itself.
 func (d *Daemon) repair() error {
 	d.writing.Lock()
 	defer d.writing.Unlock()
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -10,13 +10,13 @@
 	"damsontrestle/internal/state"
 )
 
-// How long a start tries to read the state folder's record, and the first wait between two tries.
+// Retries of a start's read of the state folder's record.
 const (
 	maxReadTime    = 2 * time.Second
-	firstReadDelay = 20 * time.Millisecond
+	firstReadDelay = 20 * time.Millisecond // doubled with each attempt
 )
 
-// load reads the state folder's record, again for a while where that fails in a way that may pass.
+// load reads the state folder's record. Temporary errors are retried with backoff.
 func (d *Daemon) load(node string) (*state.Record, error) {
 	begun := time.Now()
 	for wait := firstReadDelay; ; wait *= 2 {
@@ -28,8 +28,8 @@
 	}
 }
 
-// keepFirst has the state folder hold the record of a start. An error that may pass is reported and left to the mending:
-// a node that can serve is not kept from it by a full disk.
+// keepFirst has the state folder hold the record of a start. A temporary error is logged and left to the repair: a full
+// disk doesn't keep a node from serving. kept: the folder holds the record.
 func (d *Daemon) keepFirst(fresh bool) (kept bool, err error) {
 	if d.folder == nil || !fresh && d.folder.Confirm() == nil {
 		return true, nil
@@ -45,8 +45,8 @@
 	return false, nil
 }
 
-// choose settles which configuration runs, the file's or the state folder's, and why. fresh: it is the file's,
-// and the state folder does not hold it yet.
+// choose decides which configuration runs, the file's or the recorded one, and sets record and startReason. fresh: it is
+// the file's, and the state folder does not hold it yet.
 func (d *Daemon) choose(cfg *config.Config) (fresh bool, err error) {
 	entry := state.Entry{Serial: 1, Fingerprint: cfg.Fingerprint(), By: "start", At: now(), Config: cfg}
 	d.record = &state.Record{Node: cfg.Node.Name, Lineage: state.NewName(), Running: entry}
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -7,8 +7,8 @@
 	"damsontrestle/internal/config"
 )
 
-// Machine is the order in which an apply's steps come. It is fed what happened and says what to do next, one
-// step at a time; nothing of what runs changes before Commit, and whatever fails before it is undone.
+// Machine is the state machine of a configuration change. It is told how each step ended and returns the next one; nothing
+// of what runs changes before Commit, and whatever fails before it is undone. It does no I/O and has no locks.
 //
 //	Propose -> Prepare -> Persist -> Commit -> Retire
 //	              |          |          |
@@ -54,18 +54,18 @@
 // String names the phase for people.
 func (p phase) String() string { return phaseNames[p] }
 
-// Proposal is a change that is asked for.
+// Proposal is a requested change.
 type Proposal struct {
-	By     string // who asks, for the log: apply, rollback, reload
+	By     string // its origin, for the log: apply, rollback, reload
 	Plan   *Plan  // nil for a rollback or a reload
 	Config *config.Config
-	Base   Running // what it was made for
+	Base   Running // the configuration that it was made for
 }
 
 // Step is what to do next.
 type Step int
 
-// Steps. After each of them but Nothing the machine is told how it ended.
+// Steps. The caller carries each of them but Nothing out and reports its error by Done.
 const (
 	Nothing Step = iota
 	Repair       // write the record of what runs again
@@ -99,7 +99,7 @@
 	ErrShuttingDown = errors.New("the node is ending")
 )
 
-// UntouchedError is how a Persist ends that has failed and left the old record where it was.
+// UntouchedError is the error of a Persist that has left the old record as it was.
 type UntouchedError struct {
 	Err error
 }
@@ -138,9 +138,10 @@
 	return r
 }
 
-// Propose asks for a change. It is refused, with nothing done, while another is under way, while the node ends,
-// and if it was made for something else than what runs. For one to what runs already nothing is done, or the record
-// of that is written again where the disk may hold another: whoever is told that it runs may count on the next start.
+// Propose begins a change and returns its first step. ErrBusy says that another is under way, ErrShuttingDown that the
+// node shuts down, ErrStale and ErrOtherNode that the proposal was made for something else than what runs. A proposal of
+// what runs already is Nothing, or Repair where the disk may hold another record: a client that is told that a
+// configuration runs may count on it at the next start.
 func (m *Machine) Propose(o Proposal) (Step, error) {
 	switch {
 	case m.shuttingDown:
@@ -164,7 +165,7 @@
 	return Prepare, nil
 }
 
-// runs says whether it asks for what runs already.
+// runs says whether the proposal is what runs already.
 func (o Proposal) runs(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
 
 func (o Proposal) fits(now Running) error {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// Done tells how the last step ended, and returns the next.
+// Done reports the error of the last step, nil if it succeeded, and returns the next step.
 func (m *Machine) Done(err error) Step {
 	switch m.phase {
 	case repairing:
@@ -239,7 +240,7 @@
 	return Nothing
 }
 
-// notPersisted goes back to the old record, if that is not known to be there still.
+// notPersisted restores the old record, unless the failed write is known to have left it untouched.
 func (m *Machine) notPersisted(cause error) Step {
 	var untouched *UntouchedError
 	if errors.As(cause, &untouched) {
