--- a/internal/daemon/change_test.go
+++ b/internal/daemon/change_test.go
@@ -228,7 +228,7 @@
 		check(point)
 	}
 	// A write whose rename succeeds but that fails behind it, and then the write of the old record fails too:
-	// the daemon knows, says so, and the next apply begins by mending it.
+	// the daemon knows, says so, and the next apply begins by repairing it.
 	last := len(all)
 	reset(last, last+1)
 	_, err := r.apply(t, r.plan(t, second))
--- a/internal/daemon/faultydisk_test.go
+++ b/internal/daemon/faultydisk_test.go
@@ -9,8 +9,8 @@
 	"damsontrestle/internal/state/statetest"
 )
 
-// sickDisk is a file system whose requests fail as they are asked to.
-type sickDisk struct {
+// faultyDisk is a file system whose requests fail as they are asked to.
+type faultyDisk struct {
 	mu    sync.Mutex
 	fails func(n int, request string) error // nil: all is well
 	n     int                               // requests since then
@@ -18,14 +18,14 @@
 }
 
 // fail has the requests from now on fail as told.
-func (s *sickDisk) fail(fails func(n int, request string) error) {
+func (s *faultyDisk) fail(fails func(n int, request string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fails, s.n, s.calls = fails, 0, nil
 }
 
 // failAll has every request of that name fail ("": every request).
-func (s *sickDisk) failAll(named string, errno error) {
+func (s *faultyDisk) failAll(named string, errno error) {
 	s.fail(func(_ int, request string) error {
 		if named == "" || request == named {
 			return errno
@@ -35,7 +35,7 @@
 }
 
 // failAt has those requests fail, by their number from now on.
-func (s *sickDisk) failAt(requests ...int) {
+func (s *faultyDisk) failAt(requests ...int) {
 	s.fail(func(n int, _ string) error {
 		if slices.Contains(requests, n) {
 			return syscall.EIO
@@ -45,16 +45,16 @@
 }
 
 // made are the requests since the last of the above.
-func (s *sickDisk) made() []string {
+func (s *faultyDisk) made() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// mend has all go well again.
-func (s *sickDisk) mend() { s.fail(nil) }
+// succeed has all go well again.
+func (s *faultyDisk) succeed() { s.fail(nil) }
 
-func (s *sickDisk) ask(request, path string) error {
+func (s *faultyDisk) ask(request, path string) error {
 	if request == "close" && filepath.Base(path) == "state" {
 		return nil // the folder's, behind all that a write needs
 	}
@@ -68,9 +68,9 @@
 	return s.fails(s.n, request)
 }
 
-// sick has the fault bench's state folder on a disk that can fail.
-func sick(r *fixture) *sickDisk {
-	s := &sickDisk{}
+// withFaultyDisk has the fault bench's state folder on a disk that can fail.
+func withFaultyDisk(r *fixture) *faultyDisk {
+	s := &faultyDisk{}
 	r.options.StateFiles = &statetest.Files{Ask: s.ask}
 	return s
 }
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -101,7 +101,7 @@
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
 	second := r.plan(t, r.text("p2", b.Address(), ""))
@@ -116,7 +116,7 @@
 		r.wantServed(t, "a")
 		r.wantKept(t, 1)
 	}
-	disk.mend()
+	disk.succeed()
 	if running, err := r.apply(t, second); err != nil || running.Serial != 2 {
 		t.Errorf("%+v, %v", running, err)
 	}
@@ -125,17 +125,17 @@
 }
 
 // Two or three requests in a row fail, in the write of an apply, in the write of the old record after it, and in those
-// that mend it: each apply is refused with its errno and the path; what ran runs on; the folder holds its record, or the
-// difference is shown and logged, and mended once writes succeed, with no apply.
+// that repair it: each apply is refused with its errno and the path; what ran runs on; the folder holds its record, or the
+// difference is shown and logged, and repaired once writes succeed, with no apply.
 func TestDivergedFolderIsRepaired(t *testing.T) {
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
 	r.options.repairDelay = time.Millisecond
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
-	disk.mend()
+	disk.succeed()
 	second := r.plan(t, r.text("p2", b.Address(), ""))
 	if _, err := r.apply(t, second); err != nil {
 		t.Fatal(err)
@@ -151,11 +151,11 @@
 	differences, rename := 0, 1+slices.Index(requests, "rename")
 	for first := 1; first <= len(requests); first++ {
 		for restore := 1; restore <= len(requests); restore++ {
-			for _, mend := range []int{0, 1, 3, 7} {
-				if first < rename && restore+mend > 1 {
+			for _, repair := range []int{0, 1, 3, 7} {
+				if first < rename && restore+repair > 1 {
 					continue // nothing is written after it
 				}
-				disk.failAt(first, first+restore, first+restore+mend)
+				disk.failAt(first, first+restore, first+restore+repair)
 				_, err := r.apply(t, second)
 				wantCode(t, err, admin.CodeFailed, syscall.EIO.Error())
 				wantCode(t, err, admin.CodeFailed, filepath.Join(r.dir, "state"))
@@ -164,8 +164,8 @@
 				} else if s.Diverged {
 					differences++
 				}
-				testpeer.Until(t, "the folder to be mended", func() bool { return !r.show(t).Diverged })
-				disk.mend()
+				testpeer.Until(t, "the folder to be repaired", func() bool { return !r.show(t).Diverged })
+				disk.succeed()
 				r.wantKept(t, 3)
 			}
 		}
@@ -181,7 +181,7 @@
 	_, err := r.client().Rollback(t.Context(), now, testpeer.Limit, nil)
 	wantCode(t, err, admin.CodeFailed, syscall.ENOSPC.Error())
 	r.wantServed(t, "a")
-	disk.mend()
+	disk.succeed()
 	if running, err := r.client().Rollback(t.Context(), now, testpeer.Limit, nil); err != nil || running.Serial != 4 {
 		t.Errorf("%+v, %v", running, err)
 	}
@@ -197,7 +197,7 @@
 	r := newFixture(t)
 	r.options.repairDelay = time.Millisecond
 	r.options.FromFile = true
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	for i, by := range []string{"a", "b"} {
 		address := map[string]string{"a": a.Address(), "b": b.Address()}[by]
 		r.write(t, r.text("p"+by, address, ""))
@@ -216,7 +216,7 @@
 		if log := r.log.String(); !strings.Contains(log, "may hold another configuration than what runs") || !strings.Contains(log, syscall.ENOSPC.Error()) {
 			t.Errorf("not logged: %s", log)
 		}
-		disk.mend()
+		disk.succeed()
 		testpeer.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
 		r.wantKept(t, int64(i+1))
 		stop()
@@ -228,7 +228,7 @@
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	d, end := r.begin(t)
 	if _, err := d.Apply(r.planFor(t, d, r.text("p2", b.Address(), "")), 0, silently); err != nil {
@@ -256,7 +256,7 @@
 // place. The error says what and where, and asks for no other folder.
 func TestStartFailsOnUnreadableFolder(t *testing.T) {
 	r := newFixture(t)
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
 	_, end := r.begin(t)
 	end()
@@ -281,7 +281,7 @@
 	a, b := named(t, "a"), named(t, "b")
 	for _, kill := range [][]int{{0, 1}, {0, 2}, {0, 3}, {0, 5}, {0, 6}, {0, 7}, {7, 8}, {7, 12}, {7, 13}, {7, 14}} {
 		r := newFixture(t)
-		disk := sick(r)
+		disk := withFaultyDisk(r)
 		files := r.options.StateFiles.(*statetest.Files)
 		r.write(t, r.text("p1", a.Address(), ""))
 		d, end := r.begin(t)
@@ -299,7 +299,7 @@
 			t.Errorf("%v: no error", kill)
 		}
 		end()
-		disk.mend()
+		disk.succeed()
 		files.Restart()
 		d, end = r.begin(t)
 		s := d.Show()
@@ -323,7 +323,7 @@
 	t.Parallel()
 	r := newFixture(t)
 	r.options.repairDelay = time.Millisecond
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", named(t, "a").Address(), ""))
 	_, end := r.begin(t)
 	end()
@@ -332,7 +332,7 @@
 	if s := r.show(t); !s.Diverged || s.Serial != 1 {
 		t.Errorf("%+v", s)
 	}
-	disk.mend()
+	disk.succeed()
 	testpeer.Until(t, "the record to be written", func() bool { return !r.show(t).Diverged })
 	if !slices.Contains(disk.made(), "rename") {
 		t.Errorf("not written: %v", disk.made())
@@ -345,7 +345,7 @@
 	t.Parallel()
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	_, end := r.begin(t)
 	end()
@@ -358,7 +358,7 @@
 	if !strings.Contains(r.log.String(), left) {
 		t.Errorf("not logged: %s", r.log)
 	}
-	disk.mend()
+	disk.succeed()
 	if _, err := r.apply(t, r.plan(t, r.text("p2", b.Address(), ""))); err != nil {
 		t.Fatal(err)
 	}
@@ -373,7 +373,7 @@
 	a, b := named(t, "a"), named(t, "b")
 	r := newFixture(t)
 	r.options.repairDelay = time.Hour
-	disk := sick(r)
+	disk := withFaultyDisk(r)
 	r.write(t, r.text("p1", a.Address(), ""))
 	r.start(t)
 	same, second := r.plan(t, r.text("p1", a.Address(), "")), r.plan(t, r.text("p2", b.Address(), ""))
@@ -385,7 +385,7 @@
 	disk.failAll("", syscall.EDQUOT)
 	_, err := r.apply(t, same)
 	wantCode(t, err, admin.CodeFailed, syscall.EDQUOT.Error())
-	disk.mend()
+	disk.succeed()
 	if running, err := r.apply(t, same); err != nil || running.Serial != 1 {
 		t.Errorf("%+v, %v", running, err)
 	}
@@ -408,7 +408,7 @@
 			t.Parallel()
 			r := newFixture(t)
 			r.options.repairDelay = time.Hour
-			disk := sick(r)
+			disk := withFaultyDisk(r)
 			r.write(t, r.text("p1", a.Address(), ""))
 			d, stop := r.start(t)
 			second := r.plan(t, r.text("p2", b.Address(), ""))
@@ -449,11 +449,11 @@
 // A daemon that ends while its folder differs tries once more, and says so if that fails too.
 func TestShutdownRetriesRepair(t *testing.T) {
 	t.Parallel()
-	for _, mended := range []bool{true, false} {
+	for _, repaired := range []bool{true, false} {
 		a, b := named(t, "a"), named(t, "b")
 		r := newFixture(t)
 		r.options.repairDelay = time.Hour
-		disk := sick(r)
+		disk := withFaultyDisk(r)
 		r.write(t, r.text("p1", a.Address(), ""))
 		_, stop := r.start(t)
 		second := r.plan(t, r.text("p2", b.Address(), ""))
@@ -465,11 +465,11 @@
 		if s := r.show(t); !s.Diverged || s.Serial != 1 {
 			t.Errorf("%+v", s)
 		}
-		if !mended {
+		if !repaired {
 			disk.failAll("", syscall.EROFS)
 		}
 		stop()
-		if mended {
+		if repaired {
 			r.wantKept(t, 1)
 		} else if !strings.Contains(r.log.String(), "was not brought up to what ran") {
 			t.Error("not said")
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -88,35 +88,43 @@
 	return errors.Join(err, failed)
 }
 
-// Processes is a node's processes, the oldest first: the one that holds the seat, and the one that waits for it. Each
-// holds a lock on a file of its own in a folder that they share.
+// Processes are the processes of one node: the primary, which is the older one, and the successor that waits to take over.
+// Each holds a lock on a file of its own in a folder that they share.
 type Processes struct {
-	seat, next *os.File
+	primary   *os.File
+	successor *os.File
 }
 
-// Enter joins the processes of a name in a folder. It fails if one waits there already, or the folder can't be used.
+// Suffixes of the lock files' names. Processes of different versions share the files: the names stay.
+const (
+	primarySuffix   = ".seat"
+	successorSuffix = ".next"
+)
+
+// Enter joins the processes of a name in a folder. It fails if a successor waits there already, or the folder can't be
+// used.
 func Enter(folder, name string) (*Processes, error) {
 	p := &Processes{}
 	var err error
-	if p.seat, err = openLock(folder, name+".seat"); err != nil {
+	if p.primary, err = openLock(folder, name+primarySuffix); err != nil {
 		return nil, err
 	}
-	if p.next, err = openLock(folder, name+".next"); err != nil {
-		p.Leave()
+	if p.successor, err = openLock(folder, name+successorSuffix); err != nil {
+		p.Close()
 		return nil, err
 	}
-	if p.Seated() {
+	if p.TakePrimary() {
 		return p, nil
 	}
-	// The process that has the seat takes this lock for a moment when it polls whether it is followed.
+	// The primary takes this lock for a moment when it polls whether it has a successor.
 	for range lockAttempts {
-		if lock(p.next) {
+		if lock(p.successor) {
 			return p, nil
 		}
 		time.Sleep(pollInterval / lockAttempts)
 	}
-	p.Leave()
-	return nil, fmt.Errorf("hotrestart: another process waits for the seat of %s already", name)
+	p.Close()
+	return nil, fmt.Errorf("hotrestart: another process waits to take over %s already", name)
 }
 
 // lockAttempts are made for the lock of the process that waits, within one poll interval.
@@ -131,21 +139,21 @@
 	return file, nil
 }
 
-// Seated says that this process has the seat, and takes it if it is free.
-func (p *Processes) Seated() bool { return lock(p.seat) }
+// TakePrimary says whether this process is the primary, which it becomes if there is none.
+func (p *Processes) TakePrimary() bool { return lock(p.primary) }
 
-// Followed says, of the process that has the seat, that another waits for it.
-func (p *Processes) Followed() bool {
-	if !lock(p.next) {
+// HasSuccessor says, to the primary, whether another process waits to take over.
+func (p *Processes) HasSuccessor() bool {
+	if !lock(p.successor) {
 		return true
 	}
-	unix.Flock(int(p.next.Fd()), unix.LOCK_UN)
+	unix.Flock(int(p.successor.Fd()), unix.LOCK_UN)
 	return false
 }
 
-// Leave gives up what is held, as the process's end would.
-func (p *Processes) Leave() {
-	for _, f := range []*os.File{p.seat, p.next} {
+// Close releases the process's locks, as its end would.
+func (p *Processes) Close() {
+	for _, f := range []*os.File{p.primary, p.successor} {
 		if f != nil {
 			f.Close()
 		}
@@ -165,13 +173,13 @@
 func (p *Processes) Watch(ctx context.Context, notify func(two bool)) {
 	notified := false
 	last := false // what was notified
-	seated := false
+	primary := false
 	for ; ctx.Err() == nil; clock.Sleep(ctx, pollInterval) {
-		if !seated && p.Seated() {
-			seated = true
-			unix.Flock(int(p.next.Fd()), unix.LOCK_UN)
+		if !primary && p.TakePrimary() {
+			primary = true
+			unix.Flock(int(p.successor.Fd()), unix.LOCK_UN)
 		}
-		two := !seated || p.Followed()
+		two := !primary || p.HasSuccessor()
 		if notified && two == last {
 			continue
 		}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -124,28 +124,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Leave)
+	t.Cleanup(l.Close)
 	return l
 }
 
 func TestProcessesDetectOneAnother(t *testing.T) {
 	folder := t.TempDir()
 	old := enter(t, folder)
-	if !old.Seated() || old.Followed() {
-		t.Fatalf("alone: seated %v, followed %v", old.Seated(), old.Followed())
+	if !old.TakePrimary() || old.HasSuccessor() {
+		t.Fatalf("alone: primary %v, has a successor %v", old.TakePrimary(), old.HasSuccessor())
 	}
 	next := enter(t, folder)
-	if next.Seated() || !old.Followed() {
-		t.Errorf("two: the second seated %v, the first followed %v", next.Seated(), old.Followed())
+	if next.TakePrimary() || !old.HasSuccessor() {
+		t.Errorf("two: the second is primary %v, the first has a successor %v", next.TakePrimary(), old.HasSuccessor())
 	}
 	if third, err := Enter(folder, "n"); err == nil {
-		third.Leave()
+		third.Close()
 		t.Error("a third one waits too")
 	}
 	enter(t, t.TempDir()) // another node's
-	old.Leave()
-	if !next.Seated() {
-		t.Error("the seat is free, and the second does not get it")
+	old.Close()
+	if !next.TakePrimary() {
+		t.Error("there is no primary, and the second process does not become it")
 	}
 	if _, err := Enter(folder+"/none", "n"); err == nil {
 		t.Error("a folder that is not there will do")
@@ -174,11 +174,11 @@
 	want(first, false, "the first")
 	killed := enter(t, folder)
 	want(first, true, "the first")
-	killed.Leave()
+	killed.Close()
 	want(first, false, "the first")
 	second := watch(enter(t, folder))
 	want(second, true, "the second")
 	want(first, true, "the first")
-	old.seat.Close() // as a kill would
+	old.primary.Close() // as a kill would
 	want(second, false, "the second")
 }
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(line.Leave)
+		t.Cleanup(line.Close)
 		cfg.Options.Listen, cfg.Options.Processes = hotrestart.Listen, line
 		return startNode(t, cfg, func(n *Node) {
 			n.options.schedule = &shutdownSchedule{stopAccepting: 200 * time.Millisecond, closeConnections: 400 * time.Millisecond, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
@@ -230,7 +230,7 @@
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
-	old.options.Processes.Leave() // as the end of its process does
+	old.options.Processes.Close() // as the end of its process does
 	testpeer.Until(t, "the limits to be whole again", func() bool { return !halved(next) })
 	progress("calls with the next alone")
 	close(over)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 	n.incarnation, n.stop = context.WithCancel(context.Background())
 	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
 	if o.Processes != nil {
-		n.hasSuccessor = !o.Processes.Seated()
+		n.hasSuccessor = !o.Processes.TakePrimary()
 	}
 	n.resize(cfg)
 	starting, cancel := o.Starting()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -102,12 +102,12 @@
 // its addresses they stay ready: new connections go to that process, and each response sends its client there.
 func (s *shutdown) announce() {
 	processes := s.node.options.Processes
-	followed := processes != nil && processes.Followed()
+	hasSuccessor := processes != nil && processes.HasSuccessor()
 	for _, f := range s.fronts {
-		f.SetReady(followed)
-		f.SetClosing(followed)
+		f.SetReady(hasSuccessor)
+		f.SetClosing(hasSuccessor)
 	}
-	if !followed {
+	if !hasSuccessor {
 		return
 	}
 	s.node.log.Info("another process of this node goes on")
