--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -25,9 +25,9 @@
 	"damsontrestle/internal/dispatch"
 	"damsontrestle/internal/downstream"
 	"damsontrestle/internal/engine"
-	"damsontrestle/internal/http1"
 	"damsontrestle/internal/metrics"
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 )
 
 // rig is a FastCGI front over one pool of HTTP/1.1 servers.
@@ -35,7 +35,7 @@
 	front   *Front
 	callers *downstream.Set
 	engine  *engine.Engine
-	back    *http1.Back
+	back    *upstream.Pool
 	ln      net.Listener
 }
 
@@ -56,7 +56,7 @@
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, count := clock.New(), &metrics.Set{}
-	n := &rig{back: http1.NewBack(c, descriptors.NewShare(488), count, http1.Limits{Most: 488, ConnectTimeout: testpeer.Limit, Idle: time.Minute})}
+	n := &rig{back: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{Most: 488, ConnectTimeout: testpeer.Limit, Idle: time.Minute})}
 	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"damsontrestle/internal/netio"
 	"damsontrestle/internal/validation"
 )
 
@@ -86,7 +87,7 @@
 	defer close(done)
 	buf := make([]byte, aheadStep)
 	for {
-		n, err := readAgain(c.Conn, buf)
+		n, err := netio.Read(c.Conn, buf)
 		c.note(buf[:n], err)
 		c.keepAhead(buf[:n])
 		if err != nil {
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -286,10 +286,6 @@
 		round(50 + i)
 	}
 	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
-		b := n.back
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return n.callers.Open() == 0 && len(b.seen) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
-			runtime.NumGoroutine() <= before+5
+		return n.callers.Open() == 0 && n.listed.count() == 1 && n.back.Connections() <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"damsontrestle/internal/downstream"
+	"damsontrestle/internal/netio"
 )
 
 // clientConn is a client's connection that can be closed while it waits for a request, and only then.
@@ -59,7 +60,7 @@
 	c.stopAhead()
 	n, err := c.takeAhead(p)
 	if n == 0 && err == nil {
-		n, err = readAgain(c.Conn, p)
+		n, err = netio.Read(c.Conn, p)
 		c.note(p[:n], err)
 	}
 	if n == 1 && len(p) == 1 { // net/http has its byte behind a request, and watches no more
@@ -137,7 +138,7 @@
 		}
 	}
 	c.mu.Unlock()
-	return writeAgain(c.Conn, p)
+	return netio.Write(c.Conn, p)
 }
 
 // Quiet implements downstream.Conn.
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -1,5 +1,6 @@
-// Package http1 is the HTTP/1.1 side of the node (RFC 9110, RFC 9112): Front serves clients, Back carries
-// attempts to servers. Which server gets what, and what is answered, is the engine's.
+// Package http1 is the server side of HTTP/1.1 (RFC 9110, RFC 9112): it reads clients' requests, bounds what a client may
+// make the node wait for or hold, and gives exactly one response to each request that it takes. What is in a request is
+// checked by package validation; what becomes of it is the engine's; servers are package upstream's.
 package http1
 
 import (
@@ -28,7 +29,6 @@
 	idleTimeout  = 4 * time.Second         // a client that asks no more is closed
 	writeTimeout = 5 * time.Second
 	maxHeader    = 16 << 10
-	maxBody      = validation.MaxBody // the longest body that is kept complete
 )
 
 // Front serves clients of one listener: exactly one answer for each request taken.
@@ -274,7 +274,7 @@
 		h.Set("Connection", "close")
 	}
 	if a.Settled {
-		h.Set(settledHeader, "1")
+		h.Set(validation.HeaderSettled, "1")
 	}
 	if a.Kind == engine.Served {
 		if a.Reply.ContentType == "" {
@@ -294,8 +294,8 @@
 	}
 	status, words := validation.Text(a)
 	if a.Kind == engine.Rejected && a.NotRun && a.Why != "" { // to a partner's gateway, which must know that nothing ran
-		h.Set("X-Not-Run", "1")
-		h.Set(RefusedBy, a.Why)
+		h.Set(validation.HeaderNotRun, "1")
+		h.Set(validation.HeaderRejectedBy, a.Why)
 	}
 	if retry := validation.RetryAfter(a); retry != "" {
 		h.Set("Retry-After", retry)
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -31,7 +31,7 @@
 	})
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
-	long := strings.Repeat("b\r\n\x00", maxBody/4)
+	long := strings.Repeat("b\r\n\x00", validation.MaxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
 		id := fmt.Sprint("id-", i)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
@@ -189,9 +189,8 @@
 		n.engine.UpdateList(l)
 		before := s.Opened()
 		testpeer.Until(t, "the list to be taken", func() bool {
-			n.back.mu.Lock()
-			defer n.back.mu.Unlock()
-			got, want := n.back.seen["s2"], l.Targets[0]
+			got, _ := n.listed.server("s2")
+			want := l.Targets[0]
 			starts := (got.Boot != 0) == (want.Boot != 0) // by the node's clock, so that only whether it has a start compares
 			got.Boot = want.Boot
 			return got == want && starts
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -166,7 +166,7 @@
 		}
 		if early {
 			io.WriteString(theirs, "GET /behind")
-			testpeer.Until(t, "the bytes to arrive", func() bool { return spoken(ours.Conn) })
+			testpeer.Until(t, "the bytes to arrive", func() bool { return downstream.StateOf(ours.Conn) == downstream.Unread })
 		}
 		closed := make(chan struct{})
 		go func() {
--- a/internal/http1/health_test.go
+++ b/internal/http1/health_test.go
@@ -143,9 +143,7 @@
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
 					n.tell(t, testpeer.Whole(list...))
 					testpeer.Until(t, "the new list", func() bool {
-						n.back.mu.Lock()
-						defer n.back.mu.Unlock()
-						_, listed := n.back.seen["s6"]
+						_, listed := n.listed.server("s6")
 						return listed
 					})
 				}
--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/validation"
 )
 
 // long is more than the node keeps of a body, and more than the kernel does on the way.
@@ -214,7 +215,7 @@
 		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
-	for _, size := range []int{1, maxBody, maxBody + 1, long} {
+	for _, size := range []int{1, validation.MaxBody, validation.MaxBody + 1, long} {
 		for _, chunked := range []bool{false, true} {
 			c := testpeer.Dial(t, n.Addr())
 			for i := range 2 {
--- a/internal/http1/request_bench_test.go
+++ b/internal/http1/request_bench_test.go
@@ -9,18 +9,21 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 )
 
 // requestAnswer is what the benchmarks' servers answer: 1 KB.
 var requestAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024))
 
-// plainServer answers each GET after a time, with little work of its own, and returns where it listens.
-func plainServer(b *testing.B, service time.Duration) string {
+// plainServer answers each GET after a time, with little work of its own, counts the connections that it accepts, and
+// returns where it listens.
+func plainServer(b *testing.B, service time.Duration, accepted *atomic.Int64) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -29,6 +32,7 @@
 	b.Cleanup(func() { ln.Close(); all.Wait() })
 	all.Go(func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
+			accepted.Add(1)
 			all.Go(func() { answerAll(c, service) })
 		}
 	})
@@ -74,13 +78,15 @@
 	return nil
 }
 
-// benchRequests has clients ask a node with these servers, and returns how long each answer took.
-func benchRequests(b *testing.B, clients, servers int, service, pause time.Duration) (n *rig, took []time.Duration) {
+// benchRequests has clients ask a node with these servers, and returns how many connections the servers accepted and how long
+// each answer took.
+func benchRequests(b *testing.B, clients, servers int, service, pause time.Duration) (connections int64, took []time.Duration) {
 	var entries []string
+	var accepted atomic.Int64
 	for i := range servers {
-		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), plainServer(b, service), "in_service"))
+		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), plainServer(b, service, &accepted), "in_service"))
 	}
-	n = start(b, testConfig(testpeer.Whole(entries...)), func(n *rig) { n.back.limits.Settle = DefaultSettle })
+	n := start(b, testConfig(testpeer.Whole(entries...)), func(n *rig) { n.setSettle(upstream.DefaultSettle) })
 	var (
 		mu  sync.Mutex
 		all sync.WaitGroup
@@ -115,7 +121,7 @@
 	all.Wait()
 	b.StopTimer()
 	slices.Sort(took)
-	return n, took
+	return accepted.Load(), took
 }
 
 // spent is the time on processors that this process has had.
@@ -137,9 +143,9 @@
 // connections are opened for that.
 func BenchmarkRequests(b *testing.B) {
 	before := spent()
-	n, took := benchRequests(b, 64, 8, 2*time.Millisecond, 10*time.Millisecond)
+	connections, took := benchRequests(b, 64, 8, 2*time.Millisecond, 10*time.Millisecond)
 	b.ReportMetric(float64((spent()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
 	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "median-us")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-	b.ReportMetric(float64(n.back.made), "connections")
+	b.ReportMetric(float64(connections), "connections")
 }
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -6,9 +6,11 @@
 	"log/slog"
 	"net"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
+	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/clock"
 	"damsontrestle/internal/config"
 	"damsontrestle/internal/descriptors"
@@ -18,6 +20,7 @@
 	"damsontrestle/internal/engine"
 	"damsontrestle/internal/metrics"
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 )
 
 // rig is a front end, an engine and a back, as a node joins them.
@@ -26,7 +29,9 @@
 	callers *downstream.Set
 	calls   *dispatch.Dispatcher
 	engine  *engine.Engine
-	back    *Back
+	back    *upstream.Pool
+	limits  upstream.Limits // of back
+	listed  *listedBackend
 	ln      net.Listener
 }
 
@@ -41,9 +46,36 @@
 	return rigConfig{Config: testpeer.Config(), Room: 976, Known: strings.Replace(known, "%d", "1", 1)}
 }
 
-// newBack is a Back with so many connections at most.
-func newBack(c clock.Clock, most int) *Back {
-	return NewBack(c, descriptors.NewShare(most), &metrics.Set{}, Limits{Most: most, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
+// listedBackend is a pool that remembers the servers of the list as it was told of them.
+type listedBackend struct {
+	*upstream.Pool
+
+	mu      sync.Mutex
+	servers map[string]discovery.Target
+}
+
+// Servers implements engine.Backend.
+func (l *listedBackend) Servers(targets []discovery.Target, full bool) {
+	l.Pool.Servers(targets, full)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if full {
+		clear(l.servers)
+	}
+	for _, target := range targets {
+		l.servers[target.ID] = target
+		if target.State == balancer.Removed {
+			delete(l.servers, target.ID)
+		}
+	}
+}
+
+// server returns what the pool was told of a server last.
+func (l *listedBackend) server(id string) (target discovery.Target, listed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	target, listed = l.servers[id]
+	return target, listed
 }
 
 // start runs a fault bench until the test ends.
@@ -51,10 +83,13 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := clock.New()
-	n := &rig{back: newBack(c, cfg.Room/2)}
+	connections := cfg.Room / 2
+	n := &rig{limits: upstream.Limits{Most: connections, ConnectTimeout: testpeer.Limit, Idle: time.Minute}}
+	n.back = upstream.NewPool(c, descriptors.NewShare(connections), &metrics.Set{}, n.limits)
+	n.listed = &listedBackend{Pool: n.back, servers: map[string]discovery.Target{}}
 	n.callers = downstream.New(c, downstream.Share{Capacity: cfg.Room, Minimum: cfg.Room / 4, Spare: 24}, n.back.Connections)
 	var err error
-	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
+	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.listed,
 		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
@@ -104,3 +139,16 @@
 	}
 	n.engine.UpdateList(list)
 }
+
+// count returns how many servers the pool was told of last.
+func (l *listedBackend) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.servers)
+}
+
+// setSettle changes how long a connection to a server settles.
+func (n *rig) setSettle(settle time.Duration) {
+	n.limits.Settle = settle
+	n.back.SetLimits(n.limits)
+}
--- /dev/null
+++ b/internal/http1/shortage_test.go
@@ -0,0 +1,32 @@
+package http1
+
+import (
+	"context"
+	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+)
+
+// An unsafe request goes on though the node was short for longer than one attempt waits: nothing of it ran.
+func TestAnUnsafeRequestOutlastsAShortage(t *testing.T) {
+	s, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *rig) {
+		var dials atomic.Int32
+		n.back.DialBy(func(ctx context.Context, network, address string) (net.Conn, error) {
+			if dials.Add(1) <= upstream.MaxDials+1 {
+				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", syscall.ENOMEM)}
+			}
+			return new(net.Dialer).DialContext(ctx, network, address)
+		})
+	})
+	c := testpeer.Dial(t, n.Addr())
+	c.Send("POST", "/note/k", "once", "x", "60")
+	c.Want(t, 200, "for once")
+	if seen := s.Seen() + other.Seen(); seen != 1 {
+		t.Errorf("the servers got %d requests", seen)
+	}
+}
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -34,7 +34,7 @@
 	n, err := b.body.Read(p)
 	b.waited += time.Since(begin)
 	if b.got += int64(n); b.got > validation.MaxLength {
-		return n, errTooLong
+		return n, errBodyTooLong
 	}
 	if err == io.EOF {
 		b.rc.SetReadDeadline(time.Time{}) // else net/http would wait without end for what it wants to throw away
@@ -55,6 +55,9 @@
 
 var errOver = errors.New("the request is over")
 
+// errBodyTooLong ends a body that is longer than one that passes through may be.
+var errBodyTooLong = errors.New("the body is too long")
+
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"damsontrestle/internal/discovery"
-	"damsontrestle/internal/http1"
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 	"damsontrestle/internal/validation"
 )
 
@@ -126,7 +126,7 @@
 		return faults.Listener(ln), nil
 	}
 	cfg.Options.watch = func(w *discovery.Watch) { w.DialBy(faults.Dial) }
-	cfg.Options.back = func(b *http1.Back) { b.DialBy(faults.Dial) }
+	cfg.Options.back = func(b *upstream.Pool) { b.DialBy(faults.Dial) }
 	n, stop := startNode(t, cfg, nil)
 
 	results := make(chan asked, clients*requests)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,11 +29,11 @@
 	"damsontrestle/internal/gateway"
 	"damsontrestle/internal/gossip"
 	"damsontrestle/internal/hotrestart"
-	"damsontrestle/internal/http1"
 	netlistener "damsontrestle/internal/listener"
 	"damsontrestle/internal/metrics"
 	"damsontrestle/internal/mgmt"
 	"damsontrestle/internal/readiness"
+	"damsontrestle/internal/upstream"
 )
 
 // Node is one load balancer on sockets.
@@ -87,9 +87,9 @@
 	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
 	Fault     func(point string) error                            // for tests: an error has a step of a change fail
 	schedule  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
-	settle    *time.Duration                                      // for tests: instead of http1.DefaultSettle
+	settle    *time.Duration                                      // for tests: instead of upstream.DefaultSettle
 	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
-	back      func(*http1.Back)                                   // for tests: the same of a pool's connections
+	back      func(*upstream.Pool)                                   // for tests: the same of a pool's connections
 	adopt     func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,8 +14,8 @@
 
 	"damsontrestle/internal/config"
 	"damsontrestle/internal/discovery"
-	"damsontrestle/internal/http1"
 	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 )
 
 // testNode is what a node of these tests is started with.
@@ -82,7 +82,7 @@
 	cfg := testConfig(list)
 	*cfg.registry() = ag.Address()
 	n, _ := startNode(t, cfg, nil)
-	if got := n.limitsOf(cfg.Config, cfg.Pools[0]).Settle; got != http1.DefaultSettle {
+	if got := n.limitsOf(cfg.Config, cfg.Pools[0]).Settle; got != upstream.DefaultSettle {
 		t.Errorf("connections to servers settle for %v", got)
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/config"
 	"damsontrestle/internal/discovery"
 	"damsontrestle/internal/engine"
-	"damsontrestle/internal/http1"
+	"damsontrestle/internal/upstream"
 )
 
 // pool is one Balancer with its engine, its back end and the source of its endpoint list. It runs for as long as
@@ -19,7 +19,7 @@
 type pool struct {
 	name   string
 	engine *engine.Engine
-	back   *http1.Back
+	back   *upstream.Pool
 	source atomic.Pointer[source] // nil: the configuration holds the list
 	cancel context.CancelFunc     // ends the engine and the back end
 
@@ -30,12 +30,12 @@
 }
 
 // limitsOf are the limits on a pool's connections to servers.
-func (n *Node) limitsOf(c *config.Config, p config.Pool) http1.Limits {
-	settle := http1.DefaultSettle
+func (n *Node) limitsOf(c *config.Config, p config.Pool) upstream.Limits {
+	settle := upstream.DefaultSettle
 	if n.options.settle != nil {
 		settle = *n.options.settle
 	}
-	return http1.Limits{
+	return upstream.Limits{
 		Most:           p.Connections.Most,
 		ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
 		Idle:           time.Duration(p.Connections.Idle),
@@ -49,7 +49,7 @@
 // newPool makes a pool that begins with the known list, or the one that its configuration holds. Nothing runs before
 // start.
 func (n *Node) newPool(cfg *config.Config, p config.Pool, seed uint64, known discovery.List) (*pool, error) {
-	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: http1.NewBack(n.clock, n.servers, &n.metrics, n.limitsOf(cfg, p))}
+	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: upstream.NewPool(n.clock, n.servers, &n.metrics, n.limitsOf(cfg, p))}
 	if n.options.back != nil {
 		n.options.back(out.back)
 	}
--- /dev/null
+++ b/internal/testpeer/faultyconn.go
@@ -0,0 +1,71 @@
+package testpeer
+
+import (
+	"net"
+	"os"
+	"sync"
+	"syscall"
+)
+
+// FaultyConn is a connection on which single reads and writes fail. A read that fails keeps what came for the next one.
+type FaultyConn struct {
+	net.Conn
+
+	mu        sync.Mutex
+	failRead  syscall.Errno // of the next read that brings anything; 0: none
+	failWrite syscall.Errno // of the next write, in its middle; 0: none
+	kept      []byte
+}
+
+func (c *FaultyConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+func (c *FaultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
+
+// Fail has the next read that brings anything fail with one errno, and the next write with the other; 0: it does not.
+func (c *FaultyConn) Fail(read, write syscall.Errno) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failRead, c.failWrite = read, write
+}
+
+func (c *FaultyConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	n := copy(p, c.kept)
+	c.kept = c.kept[n:]
+	c.mu.Unlock()
+	if n > 0 {
+		return n, nil
+	}
+	n, err := c.Conn.Read(p)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if errno := c.failRead; n > 0 && errno != 0 {
+		c.failRead, c.kept = 0, append([]byte(nil), p[:n]...)
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
+	}
+	return n, err
+}
+
+func (c *FaultyConn) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	errno := c.failWrite
+	c.failWrite = 0
+	c.mu.Unlock()
+	if errno == 0 {
+		return c.Conn.Write(p)
+	}
+	n, err := c.Conn.Write(p[:len(p)/3])
+	if err == nil {
+		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", errno)}
+	}
+	return n, err
+}
+
+// ReadPending reports whether the read that is to fail has not yet.
+func (c *FaultyConn) ReadPending() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.failRead != 0
+}
--- a/internal/http1/answer.go
+++ b/internal/upstream/answer.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"bytes"
@@ -9,6 +9,7 @@
 
 	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/engine"
+	"damsontrestle/internal/validation"
 )
 
 // maxAnswer bounds all of an answer but its body: heads, 1xx before them, chunks' sizes.
@@ -42,7 +43,7 @@
 // read watches a connection: it hands each answer to the attempt that waits for it, and drops the
 // connection when it ends or says something that no request asked for. Until a request is being
 // written it leaves what comes to the kernel, where begin sees it.
-func (b *Back) read(c *conn) {
+func (b *Pool) read(c *conn) {
 	for keep := true; keep; {
 		awaitBytes(c.Conn, b.recv)
 		b.mu.Lock()
@@ -83,7 +84,7 @@
 // readAnswer reads one answer, and tells whether the connection is of further use. Only a whole 200 is a
 // success. What can't be read may have run. An answer is good even if more follows that belongs to none,
 // but then the next answer could not be told from that.
-func (b *Back) readAnswer(c *conn) (reply, bool) {
+func (b *Pool) readAnswer(c *conn) (reply, bool) {
 	c.in.left = maxAnswer
 	resp, err := http.ReadResponse(c.br, nil)
 	for err == nil && resp.StatusCode < 200 {
@@ -104,13 +105,13 @@
 		r.Result = balancer.Success
 		r.Reply = engine.Reply{ContentType: resp.Header.Get("Content-Type"), Length: resp.ContentLength}
 	}
-	if ok && resp.ContentLength > maxBody {
+	if ok && resp.ContentLength > validation.MaxBody {
 		r.Reply.Rest = b.rests(c, resp.Body, reusable)
 		return r, false
 	}
 	var body []byte
-	if ok || framed && resp.ContentLength <= maxBody {
-		c.in.left += chunkOverhead * maxBody
+	if ok || framed && resp.ContentLength <= validation.MaxBody {
+		c.in.left += chunkOverhead * validation.MaxBody
 		body, err = answerBody(resp)
 		if ok && err != nil {
 			return reply{err: errors.Join(errCut, err)}, false
@@ -119,7 +120,7 @@
 	}
 	if ok {
 		r.Reply.Body = body
-		if len(body) > maxBody {
+		if len(body) > validation.MaxBody {
 			r.Reply.Length, r.Reply.Rest = -1, b.rests(c, resp.Body, reusable)
 			return r, false
 		}
@@ -127,11 +128,11 @@
 	}
 	r.Result = balancer.Failure
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Not-Run") == "1" {
-		r.Result, r.Why = balancer.Overloaded, resp.Header.Get(RefusedBy)
-		r.Settled = resp.Header.Get(settledHeader) == "1"
+		resp.Header.Get(validation.HeaderNotRun) == "1" {
+		r.Result, r.Why = balancer.Overloaded, resp.Header.Get(validation.HeaderRejectedBy)
+		r.Settled = resp.Header.Get(validation.HeaderSettled) == "1"
 	}
-	return r, err == nil && reusable && resp.ContentLength <= maxBody && len(body) <= maxBody && c.br.Buffered() == 0
+	return r, err == nil && reusable && resp.ContentLength <= validation.MaxBody && len(body) <= validation.MaxBody && c.br.Buffered() == 0
 }
 
 // expected bounds what is allocated for a body because its head says so, before it has come.
@@ -141,12 +142,12 @@
 func answerBody(resp *http.Response) ([]byte, error) {
 	var body bytes.Buffer
 	body.Grow(int(max(0, min(resp.ContentLength, expected))) + bytes.MinRead) // it reads on until it meets the end
-	_, err := body.ReadFrom(io.LimitReader(resp.Body, maxBody+1))
+	_, err := body.ReadFrom(io.LimitReader(resp.Body, validation.MaxBody+1))
 	return body.Bytes(), err
 }
 
 // rests is what follows of an answer that passes through.
-func (b *Back) rests(c *conn, body io.Reader, keep bool) io.ReadCloser {
+func (b *Pool) rests(c *conn, body io.Reader, keep bool) io.ReadCloser {
 	c.in.left = chunkOverhead * maxPassed
 	return &stream{back: b, conn: c, body: body, left: maxPassed, keep: keep}
 }
--- a/internal/http1/back.go
+++ b/internal/upstream/attempt.go
@@ -1,4 +1,8 @@
-package http1
+// Package upstream owns the connections to servers: it opens them within a share of descriptors, keeps idle ones, carries
+// attempts over them and reads servers' replies and load reports (RFC 9110, RFC 9112). Of each attempt it promises an outcome
+// with proof of whether the request may have run: what was not written whole has not. It sends nothing twice; which server
+// gets what, and whether an attempt is made again, is the engine's.
+package upstream
 
 import (
 	"context"
@@ -19,15 +23,9 @@
 	"damsontrestle/internal/metrics"
 )
 
-// Headers of answers that gateways give to one another.
-const (
-	RefusedBy     = "X-Refused-By" // the rule that a request was refused by
-	settledHeader = "X-Settled"    // "1": all who ask about the request hear this answer
-)
-
-// Back runs attempts over pools of kept connections, the last used first. http.Transport would
+// Pool runs attempts over pools of kept connections, the last used first. http.Transport would
 // send some requests again by itself, and does not tell whether the last byte was written.
-type Back struct {
+type Pool struct {
 	clock clock.Clock
 	share *descriptors.Share // of all connections to servers, over all pools
 	count *metrics.Set
@@ -44,19 +42,19 @@
 	closed    bool
 }
 
-// NewBack returns a Back that knows no servers yet.
-func NewBack(c clock.Clock, share *descriptors.Share, count *metrics.Set, l Limits) *Back {
-	return &Back{clock: c, recv: syscall.Recvfrom, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
+// NewPool returns a Pool that knows no servers yet.
+func NewPool(c clock.Clock, share *descriptors.Share, count *metrics.Set, l Limits) *Pool {
+	return &Pool{clock: c, recv: syscall.Recvfrom, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
 		borrowers: map[discovery.Host][]*borrower{}, seen: map[string]discovery.Target{}}
 }
 
 // DialBy has connections be opened by something else than a net.Dialer, as tests do. It comes before the first attempt.
-func (b *Back) DialBy(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+func (b *Pool) DialBy(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	b.dial = dial
 }
 
 // Run makes an attempt and tells how it ended. Its connection is closed by then, or idle again.
-func (b *Back) Run(a *engine.Attempt) engine.Outcome {
+func (b *Pool) Run(a *engine.Attempt) engine.Outcome {
 	ctx, cancel := b.during(a)
 	defer cancel()
 	r := b.try(ctx, a)
@@ -67,14 +65,14 @@
 }
 
 // during ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
-func (b *Back) during(a *engine.Attempt) (context.Context, context.CancelFunc) {
+func (b *Pool) during(a *engine.Attempt) (context.Context, context.CancelFunc) {
 	if a.Request.Message.Rest != nil {
 		return context.WithCancel(a.Context())
 	}
 	return context.WithTimeout(a.Context(), b.clock.Until(a.Deadline))
 }
 
-func (b *Back) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (b *Pool) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	var (
 		c      *conn
 		waiter chan reply
@@ -157,7 +155,7 @@
 const freshFor = 10 * time.Millisecond
 
 // text is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
-func (b *Back) text(a *engine.Attempt) (text []byte, why balancer.Result) {
+func (b *Pool) text(a *engine.Attempt) (text []byte, why balancer.Result) {
 	for {
 		left := b.clock.Until(a.Deadline)
 		if left <= 0 {
@@ -206,7 +204,7 @@
 // begin has a request written next, unless the server has closed the connection or said something
 // meanwhile, which can be no answer to it: then the connection is closed, and another will do. The error says which it was;
 // errNoRoom: it could not be told.
-func (b *Back) begin(c *conn, waiter chan reply) error {
+func (b *Pool) begin(c *conn, waiter chan reply) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.waiter != waiter {
@@ -227,7 +225,7 @@
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
 // long: its client may have gone by then, its time may be over, and its server may have been told to drain.
-func (b *Back) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
+func (b *Pool) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
 	b.mu.Lock()
 	serves := b.serves(c.to)
 	b.mu.Unlock()
--- a/internal/http1/opening.go
+++ b/internal/upstream/dial.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"context"
@@ -15,11 +15,12 @@
 // at once takes, and as short as a wait for one to settle.
 const lateAfter = 10 * time.Millisecond
 
-// How a connect is tried again that failed for want of something on this machine.
-const (
-	mostDials = 4
-	dialPause = 5 * time.Millisecond // before the second one; it doubles
-)
+// MaxDials is how many connects one attempt makes at most, the further ones after failures for want of something on this
+// machine.
+const MaxDials = 4
+
+// dialPause is the backoff before the second connect; it doubles with each.
+const dialPause = 5 * time.Millisecond
 
 // dialed is how the opening of a connection ended.
 type dialed struct {
@@ -38,7 +39,7 @@
 // openOrBorrow opens a connection to a server. Where that is late to come up, one to the same server that is free sooner is
 // taken instead, and the late one is kept for another attempt: on a network that loses a handshake it comes up a second later
 // than the answers of others take.
-func (b *Back) openOrBorrow(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
+func (b *Pool) openOrBorrow(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
 	opening, cancel := context.WithCancel(context.Background())
 	detach := context.AfterFunc(ctx, cancel) // it ends with the attempt, unless another connection has taken its place
 	up := make(chan dialed, 1)
@@ -71,10 +72,10 @@
 
 // dialOne opens a connection in a place that reserve has taken. What the node itself is short of for a moment is waited for: other
 // servers would be dialed in vain as well.
-func (b *Back) dialOne(ctx context.Context, to discovery.Host) dialed {
+func (b *Pool) dialOne(ctx context.Context, to discovery.Host) dialed {
 	d := b.dialOnce(ctx, to)
 	pause := dialPause
-	for try := 1; try < mostDials && isOwnShortage(d.err); try++ {
+	for try := 1; try < MaxDials && isOwnShortage(d.err); try++ {
 		if clock.Sleep(ctx, pause); ctx.Err() != nil {
 			break
 		}
@@ -90,7 +91,7 @@
 }
 
 // dialOnce makes one connect.
-func (b *Back) dialOnce(ctx context.Context, to discovery.Host) dialed {
+func (b *Pool) dialOnce(ctx context.Context, to discovery.Host) dialed {
 	b.mu.Lock()
 	dialer := net.Dialer{Timeout: b.limits.ConnectTimeout, KeepAlive: -1}
 	if b.limits.From != nil {
@@ -107,7 +108,7 @@
 }
 
 // opened is a connection that has come up for an attempt, or why there is none.
-func (b *Back) opened(d dialed, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
+func (b *Pool) opened(d dialed, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
 	if d.err == nil {
 		c = b.watch(d.nc, to, waiter)
 		c.way = d.way
@@ -120,7 +121,7 @@
 }
 
 // keepLate keeps a connection that comes up when its attempt has gone on by another.
-func (b *Back) keepLate(up <-chan dialed, to discovery.Host) {
+func (b *Pool) keepLate(up <-chan dialed, to discovery.Host) {
 	d := <-up
 	if d.err != nil {
 		return
@@ -136,7 +137,7 @@
 }
 
 // borrow has an attempt take a connection to a server as soon as one is of use.
-func (b *Back) borrow(to discovery.Host, w *borrower) {
+func (b *Pool) borrow(to discovery.Host, w *borrower) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.borrowers[to] = append(b.borrowers[to], w)
@@ -147,7 +148,7 @@
 }
 
 // lend gives a free connection to the attempt that has waited for longest, if one does. The caller holds mu.
-func (b *Back) lend(c *conn) bool {
+func (b *Pool) lend(c *conn) bool {
 	if len(b.borrowers[c.to]) == 0 {
 		return false
 	}
@@ -159,7 +160,7 @@
 }
 
 // giveBack says that an attempt needs no other connection any more. One that it was lent meanwhile is free again.
-func (b *Back) giveBack(to discovery.Host, w *borrower) {
+func (b *Pool) giveBack(to discovery.Host, w *borrower) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forgetBorrower(to, w)
@@ -174,7 +175,7 @@
 }
 
 // forgetBorrower takes an attempt from those that wait. The caller holds mu.
-func (b *Back) forgetBorrower(to discovery.Host, w *borrower) {
+func (b *Pool) forgetBorrower(to discovery.Host, w *borrower) {
 	b.borrowers[to] = slices.DeleteFunc(b.borrowers[to], func(other *borrower) bool { return other == w })
 	if len(b.borrowers[to]) == 0 {
 		delete(b.borrowers, to)
@@ -182,7 +183,7 @@
 }
 
 // settles is how long a connection has yet to settle.
-func (b *Back) settles(c *conn) time.Duration {
+func (b *Pool) settles(c *conn) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return c.since + b.limits.Settle - b.clock.Now()
--- a/internal/http1/opening_test.go
+++ b/internal/upstream/dial_test.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // lateAfterFirst has all connections but the first come up only when the test lets them, or when their attempt ends.
-func lateAfterFirst(b *Back) (dialing <-chan struct{}, let func()) {
+func lateAfterFirst(b *Pool) (dialing <-chan struct{}, let func()) {
 	begun, up := make(chan struct{}, 10), make(chan struct{})
 	first := true
 	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -50,14 +50,14 @@
 }
 
 // borrowing counts the attempts that would take another connection than their own.
-func (b *Back) borrowing() int {
+func (b *Pool) borrowing() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return total(b.borrowers)
 }
 
 // resting counts the idle connections.
-func (b *Back) resting() int {
+func (b *Pool) resting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return total(b.idle)
--- a/internal/http1/report.go
+++ b/internal/upstream/loadreport.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 )
 
 // load is what an answer says of its server's load, or nil.
-func (b *Back) load(h http.Header) *balancer.Load {
+func (b *Pool) load(h http.Header) *balancer.Load {
 	b.mu.Lock()
 	name := b.limits.Busy
 	b.mu.Unlock()
@@ -39,7 +39,7 @@
 
 // Poll implements engine.Backend: a GET without an id, on a connection that requests use too. Like any answer, one that comes
 // too late frees its connection; one that does not come closes it.
-func (b *Back) Poll(to discovery.Host, within time.Duration) (busy float64, ok bool) {
+func (b *Pool) Poll(to discovery.Host, within time.Duration) (busy float64, ok bool) {
 	b.mu.Lock()
 	path, name := b.limits.AskPath, b.limits.Busy
 	b.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // poll asks for a report on a connection.
-func (b *Back) poll(ctx context.Context, to discovery.Host, path string) reply {
+func (b *Pool) poll(ctx context.Context, to discovery.Host, path string) reply {
 	for {
 		waiter := make(chan reply, 1)
 		c, fresh, err := b.connect(ctx, to, waiter)
--- a/internal/http1/report_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"fmt"
@@ -73,7 +73,7 @@
 }
 
 // asks has a backend read reports and ask for them.
-func asks(b *Back) *Back {
+func asks(b *Pool) *Pool {
 	l := b.limits
 	l.Busy, l.AskPath = "inflight", "/stats"
 	b.SetLimits(l)
--- a/internal/http1/connections.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"bufio"
@@ -11,6 +11,7 @@
 	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/clock"
 	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/netio"
 )
 
 // conn is a connection to a server. Its reader watches it for as long as it is open, so that one
@@ -20,21 +21,21 @@
 	to     discovery.Host
 	in     *bounded
 	br     *bufio.Reader // over in; empty between answers
-	waiter chan reply    // the attempt on it takes one reply here; nil while idle. Guarded by Back.mu
+	waiter chan reply    // the attempt on it takes one reply here; nil while idle. Guarded by Pool.mu
 	since  time.Duration
 	way    time.Duration // that it took to come up: what is written takes less to arrive
 	begun  time.Duration // when the request on it was begun
 	took   time.Duration // from then to the end of its answer, the last time
-	stage  stage         // guarded by Back.mu
-	dead   bool          // guarded by Back.mu
-	passed bool          // the rest of an answer is read by somebody else. Guarded by Back.mu
+	stage  stage         // guarded by Pool.mu
+	dead   bool          // guarded by Pool.mu
+	passed bool          // the rest of an answer is read by somebody else. Guarded by Pool.mu
 }
 
 // Read goes on through failures that pass.
-func (c *conn) Read(p []byte) (int, error) { return readAgain(c.Conn, p) }
+func (c *conn) Read(p []byte) (int, error) { return netio.Read(c.Conn, p) }
 
 // Write goes on through failures that pass. How much was written proves how far the request came.
-func (c *conn) Write(p []byte) (int, error) { return writeAgain(c.Conn, p) }
+func (c *conn) Write(p []byte) (int, error) { return netio.Write(c.Conn, p) }
 
 // stage is how far the request on a connection is.
 type stage int
@@ -70,7 +71,7 @@
 
 // SetLimits changes the limits. Connections that are being opened go by the old ones; idle ones beyond the new
 // ones are closed, the oldest first.
-func (b *Back) SetLimits(l Limits) {
+func (b *Pool) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = l
@@ -79,7 +80,7 @@
 }
 
 // Close closes the idle connections, and from now on every other once its attempt has ended.
-func (b *Back) Close() {
+func (b *Pool) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
@@ -91,7 +92,7 @@
 var errNoRoom = errors.New("no descriptor left for a connection")
 
 // connect takes the idle connection used last, or opens a fresh one.
-func (b *Back) connect(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
+func (b *Pool) connect(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
 	c, settles, err := b.take(to, waiter)
 	if c == nil && err == nil {
 		return b.openOrBorrow(ctx, to, waiter)
@@ -103,7 +104,7 @@
 }
 
 // watch starts the reader of a connection that an attempt is about to use.
-func (b *Back) watch(nc net.Conn, to discovery.Host, waiter chan reply) *conn {
+func (b *Pool) watch(nc net.Conn, to discovery.Host, waiter chan reply) *conn {
 	c := &conn{Conn: nc, to: to, waiter: waiter}
 	c.in = &bounded{Reader: c}
 	c.br = bufio.NewReader(c.in)
@@ -112,14 +113,14 @@
 }
 
 // serves says that a server is the one that a host names, and takes requests. The caller holds mu.
-func (b *Back) serves(h discovery.Host) bool {
+func (b *Pool) serves(h discovery.Host) bool {
 	t, listed := b.seen[h.Server]
 	return listed && t.State == balancer.Ready && t.Host() == h
 }
 
 // take returns an idle connection and how long it has yet to settle, or nil once there is room to open one: one that soon
 // will have settled, or any where no other can be opened. When short, idle connections to other servers are closed.
-func (b *Back) take(to discovery.Host, waiter chan reply) (c *conn, settles time.Duration, err error) {
+func (b *Pool) take(to discovery.Host, waiter chan reply) (c *conn, settles time.Duration, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c, settles = b.soonest(to)
@@ -140,7 +141,7 @@
 }
 
 // reserve takes a place for one more connection, if there is one. The caller holds mu.
-func (b *Back) reserve() bool {
+func (b *Pool) reserve() bool {
 	if b.open >= b.limits.Most || !b.share.Take() {
 		return false
 	}
@@ -152,7 +153,7 @@
 // soonest is the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none. Of
 // those that have settled it is the one used last: one that has been idle for longer is likelier to be closed by its server
 // just then. Only where none has settled one is waited for, and rather one that may be. The caller holds mu.
-func (b *Back) soonest(to discovery.Host) (c *conn, settles time.Duration) {
+func (b *Pool) soonest(to discovery.Host) (c *conn, settles time.Duration) {
 	now := b.clock.Now()
 	waits := false // c is one that may be waited for
 	for _, free := range slices.Backward(b.idle[to]) {
@@ -174,7 +175,7 @@
 }
 
 // unlist takes a connection from the idle ones, if it is among them. The caller holds mu.
-func (b *Back) unlist(c *conn) {
+func (b *Pool) unlist(c *conn) {
 	free := b.idle[c.to]
 	if i := slices.Index(free, c); i >= 0 {
 		b.idle[c.to] = slices.Delete(free, i, i+1)
@@ -185,13 +186,13 @@
 }
 
 // release gives a connection's place back. The caller holds mu.
-func (b *Back) release() {
+func (b *Pool) release() {
 	b.open--
 	b.share.Give()
 }
 
 // dropOldest closes the connection that has been idle for longest, if there is one. The caller holds mu.
-func (b *Back) dropOldest() bool {
+func (b *Pool) dropOldest() bool {
 	var oldest *conn
 	for _, free := range b.idle {
 		if len(free) > 0 && (oldest == nil || free[0].since < oldest.since) {
@@ -205,7 +206,7 @@
 }
 
 // drop closes a connection and forgets it. The caller holds mu.
-func (b *Back) drop(c *conn) {
+func (b *Pool) drop(c *conn) {
 	if c.dead {
 		return
 	}
@@ -217,7 +218,7 @@
 
 // giveUp closes a connection under the attempt that waits on it, unless its reply has come: then the
 // connection may serve another attempt already.
-func (b *Back) giveUp(c *conn, waiter chan reply) {
+func (b *Pool) giveUp(c *conn, waiter chan reply) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.waiter == waiter {
@@ -228,14 +229,14 @@
 }
 
 // Connections is how many are open or being opened.
-func (b *Back) Connections() int {
+func (b *Pool) Connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.open
 }
 
 // wrote notes that a request is written whole, and frees the connection if it is answered already.
-func (b *Back) wrote(c *conn) {
+func (b *Pool) wrote(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.stage = written
@@ -246,7 +247,7 @@
 
 // rest keeps a connection for the next attempt, if its server is still the one that it was made to. The
 // client holds mu.
-func (b *Back) rest(c *conn) {
+func (b *Pool) rest(c *conn) {
 	if b.closed || !b.serves(c.to) {
 		b.drop(c)
 		return
@@ -258,7 +259,7 @@
 }
 
 // Servers follows the list: idle connections to a server that left, drains or started anew are closed.
-func (b *Back) Servers(targets []discovery.Target, full bool) {
+func (b *Pool) Servers(targets []discovery.Target, full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	named := map[string]bool{}
@@ -285,21 +286,21 @@
 }
 
 // CloseIdle implements engine.Backend.
-func (b *Back) CloseIdle(h discovery.Host) {
+func (b *Pool) CloseIdle(h discovery.Host) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dropIdle(h)
 }
 
 // dropIdle closes the idle connections to a host. The caller holds mu.
-func (b *Back) dropIdle(h discovery.Host) {
+func (b *Pool) dropIdle(h discovery.Host) {
 	for free := b.idle[h]; len(free) > 0; free = b.idle[h] {
 		b.drop(free[len(free)-1])
 	}
 }
 
 // Sweep closes connections that have been idle for too long, until ctx ends.
-func (b *Back) Sweep(ctx context.Context) {
+func (b *Pool) Sweep(ctx context.Context) {
 	for {
 		b.mu.Lock()
 		keep := b.limits.keep()
--- a/internal/http1/back_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"runtime"
 	"strings"
 	"syscall"
 	"testing"
@@ -14,31 +15,33 @@
 
 	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/clock"
+	"damsontrestle/internal/descriptors"
 	"damsontrestle/internal/discovery"
 	"damsontrestle/internal/engine"
+	"damsontrestle/internal/metrics"
 	"damsontrestle/internal/testpeer"
 )
 
-func testBackend(most int) *Back {
-	return newBack(clock.New(), most)
+func testBackend(most int) *Pool {
+	return NewPool(clock.New(), descriptors.NewShare(most), &metrics.Set{}, Limits{Most: most, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 }
 
 // testHost has the backend know a server that is named by its endpoint.
-func testHost(b *Back, endpoint string) discovery.Host {
+func testHost(b *Pool, endpoint string) discovery.Host {
 	t := discovery.Target{Server: balancer.Server{ID: endpoint, State: balancer.Ready}, Endpoint: endpoint}
 	b.Servers([]discovery.Target{t}, false)
 	return t.Host()
 }
 
 // testAttempt is an attempt at an endpoint with all the time in the world.
-func testAttempt(b *Back, endpoint string) *engine.Attempt {
+func testAttempt(b *Pool, endpoint string) *engine.Attempt {
 	now := b.clock.Now()
 	c := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
 	return engine.NewAttempt(c, 0, testHost(b, endpoint), now, now+testpeer.Limit)
 }
 
 // run makes an attempt that must end within the testpeer.Limit.
-func run(t *testing.T, b *Back, a *engine.Attempt) engine.Outcome {
+func run(t *testing.T, b *Pool, a *engine.Attempt) engine.Outcome {
 	t.Helper()
 	end := make(chan engine.Outcome, 1)
 	go func() { end <- b.Run(a) }()
@@ -186,7 +189,7 @@
 }
 
 // adopt puts a connection among the idle ones.
-func (b *Back) adopt(nc net.Conn, to discovery.Host) {
+func (b *Pool) adopt(nc net.Conn, to discovery.Host) {
 	waiter := make(chan reply, 1)
 	b.open++
 	b.share.Take()
@@ -366,7 +369,7 @@
 	if r := run(t, b, testAttempt(b, two.Address())); r.Result != balancer.Success || two.Opened() != 1 {
 		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Result, two.Opened())
 	}
-	other := NewBack(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
+	other := NewPool(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
 	b.share.Resize(1)
 	if r := run(t, other, testAttempt(other, one.Address())); r.Result != balancer.NotStarted {
 		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Result)
@@ -392,3 +395,30 @@
 	is, _ := spokenOrClosed(nc, syscall.Recvfrom)
 	return is
 }
+
+// Servers and attempts that are ever new leave nothing behind in the pool.
+func TestPoolForgetsServersThatAreNoLongerListed(t *testing.T) {
+	s := testpeer.NewServer(t, testpeer.Echo)
+	b := testBackend(10)
+	round := func(i int) {
+		target := discovery.Target{Server: balancer.Server{ID: fmt.Sprint("s", i), State: balancer.Ready}, Endpoint: s.Address()}
+		b.Servers([]discovery.Target{target}, true)
+		request := engine.NewRequest(fmt.Sprint("r-", i), engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
+		now := b.clock.Now()
+		if r := run(t, b, engine.NewAttempt(request, 0, target.Host(), now, now+testpeer.Limit)); r.Result != balancer.Success {
+			t.Fatalf("round %d: ending %d", i, r.Result)
+		}
+	}
+	for i := range 50 {
+		round(i)
+	}
+	before := runtime.NumGoroutine()
+	for i := range 300 {
+		round(50 + i)
+	}
+	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return len(b.seen) == 1 && len(b.idle) <= 1 && len(b.borrowers) == 0 && b.open <= 1 && runtime.NumGoroutine() <= before+5
+	})
+}
--- a/internal/http1/request_test.go
+++ b/internal/upstream/request_test.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"bytes"
--- a/internal/http1/socket.go
+++ b/internal/upstream/socket.go
@@ -1,6 +1,7 @@
-package http1
+package upstream
 
 import (
+	"damsontrestle/internal/netio"
 	"net"
 	"syscall"
 	"time"
@@ -53,7 +54,7 @@
 		if err != nil || !short { // an error shows at the next read
 			return
 		}
-		time.Sleep(shortPause)
+		time.Sleep(netio.RetryPause)
 	}
 }
 
--- a/internal/http1/stream.go
+++ b/internal/upstream/stream.go
@@ -1,23 +1,20 @@
-package http1
+package upstream
 
 import (
 	"errors"
 	"io"
-	"net/http"
 	"time"
 
-	"damsontrestle/internal/engine"
 	"damsontrestle/internal/validation"
 )
 
-// stall is how long a server may say nothing in the midst of an answer that passes through, and a client may take
-// nothing of it.
+// stall is how long a server may say nothing in the midst of a reply that passes through.
 const stall = 10 * time.Second
 
 // stream is the rest of an answer that passes through, read from its server's connection as its client takes it.
 // The connection is of use to others once all has been read.
 type stream struct {
-	back *Back
+	back *Pool
 	conn *conn
 	body io.Reader
 	left int64 // bytes that it may still have
@@ -69,42 +66,6 @@
 	go b.read(s.conn)
 }
 
-// pass gives the client an answer as it comes from the server. With an error it is not complete, and the client can
-// tell if its connection is cut.
-func pass(w http.ResponseWriter, rc *http.ResponseController, r engine.Reply) error {
-	defer r.Rest.Close()
-	put := func(p []byte) error {
-		rc.SetWriteDeadline(time.Now().Add(stall))
-		if _, err := w.Write(p); err != nil {
-			return err
-		}
-		return rc.Flush()
-	}
-	if len(r.Body) > 0 {
-		if err := put(r.Body); err != nil {
-			return err
-		}
-	}
-	buf := make([]byte, passSize)
-	for {
-		n, err := r.Rest.Read(buf)
-		if n > 0 {
-			if err := put(buf[:n]); err != nil {
-				return err
-			}
-		}
-		switch {
-		case err == io.EOF:
-			return nil
-		case err != nil:
-			return err
-		}
-	}
-}
-
-// passSize is how much of an answer that passes through is held at once.
-const passSize = 16 << 10
-
 // maxPassed bounds the answers that pass through, and what they may take on the wire in chunks of any size.
 const (
 	maxPassed     = validation.MaxLength
--- a/internal/http1/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -1,4 +1,4 @@
-package http1
+package upstream
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 // failingDial has the first connects fail with an errno, and counts all.
-func failingDial(b *Back, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
+func failingDial(b *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
 	dials = new(atomic.Int32)
 	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dials.Add(1) <= failures {
@@ -53,7 +53,7 @@
 		for failures, want := range map[int32]struct {
 			ending balancer.Result
 			dials  int32
-		}{1: {balancer.Success, 2}, 1 << 30: {balancer.NotStarted, mostDials}} {
+		}{1: {balancer.Success, 2}, 1 << 30: {balancer.NotStarted, MaxDials}} {
 			if !c.own {
 				want.ending, want.dials = balancer.Unreachable, 1
 			}
@@ -82,20 +82,6 @@
 	}
 }
 
-// An unsafe request goes on though the node was short for longer than one attempt waits: nothing of it ran.
-func TestAnUnsafeRequestOutlastsAShortage(t *testing.T) {
-	s, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *rig) {
-		failingDial(n.back, syscall.ENOMEM, mostDials+1)
-	})
-	c := testpeer.Dial(t, n.Addr())
-	c.Send("POST", "/note/k", "once", "x", "60")
-	c.Want(t, 200, "for once")
-	if seen := s.Seen() + other.Seen(); seen != 1 {
-		t.Errorf("the servers got %d requests", seen)
-	}
-}
-
 // receiving has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
 func receiving(errnos ...syscall.Errno) (receive receiver, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
--- a/internal/http1/send.go
+++ b/internal/upstream/upload.go
@@ -1,8 +1,9 @@
-package http1
+package upstream
 
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"sync"
 	"sync/atomic"
@@ -18,6 +19,9 @@
 	lastBytes = 200 * time.Millisecond // that an answer may be ahead of the note that its request is written whole
 )
 
+// errAttemptOver ends reads of a request for an attempt that has ended.
+var errAttemptOver = errors.New("the attempt is over")
+
 // watched reads the rest of a request for one attempt, and notes what became of it.
 type watched struct {
 	io.Reader
@@ -35,7 +39,7 @@
 	w.used = w.used || !over
 	w.mu.Unlock()
 	if over {
-		return 0, errOver
+		return 0, errAttemptOver
 	}
 	n, err := w.Reader.Read(p)
 	w.mu.Lock()
@@ -71,7 +75,7 @@
 
 // upload sends a request whose body still comes, as it comes. Its time runs from the last byte on. An answer that
 // comes before that ends it: whatever it says, it is no answer to the whole.
-func (b *Back) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
+func (b *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	rest := &watched{Reader: a.Request.Message.Rest, left: a.Request.Message.Length - int64(len(a.Request.Message.Body))}
 	body := io.MultiReader(bytes.NewReader(a.Request.Message.Body), rest)
 	if a.Request.IsLeft(b.clock.Now) {
