--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -56,7 +56,7 @@
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, count := clock.New(), &metrics.Set{}
-	n := &rig{back: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{Most: 488, ConnectTimeout: testpeer.Limit, Idle: time.Minute})}
+	n := &rig{back: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
 	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -30,7 +30,7 @@
 	}
 	n := start(t, cfg, func(n *rig) {
 		dials := 0
-		n.back.DialBy(func(ctx context.Context, network, address string) (net.Conn, error) {
+		n.back.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials++; dials > 1 {
 				time.Sleep(200 * time.Millisecond) // what was decided before is late by then, however fast the machine
 			}
@@ -60,7 +60,7 @@
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Pools[0].Cancel = cancels
 		dial := testpeer.NewLateDial()
-		n := start(t, cfg, func(n *rig) { n.back.DialBy(dial.Dial) })
+		n := start(t, cfg, func(n *rig) { n.back.SetDial(dial.Dial) })
 		c := testpeer.Dial(t, n.Addr())
 		c.Get("leaving")
 		testpeer.Receive(t, dial.Dialing, "the attempt to dial")
@@ -107,7 +107,7 @@
 	dial := testpeer.NewLateDial()
 	accepted := make(chan net.Conn, 1)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *rig) {
-		n.back.DialBy(dial.Dial)
+		n.back.SetDial(dial.Dial)
 		n.ln = keptListener{n.ln, accepted}
 	})
 	c := testpeer.Dial(t, n.Addr())
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -84,7 +84,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := clock.New()
 	connections := cfg.Room / 2
-	n := &rig{limits: upstream.Limits{Most: connections, ConnectTimeout: testpeer.Limit, Idle: time.Minute}}
+	n := &rig{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
 	n.back = upstream.NewPool(c, descriptors.NewShare(connections), &metrics.Set{}, n.limits)
 	n.listed = &listedBackend{Pool: n.back, servers: map[string]discovery.Target{}}
 	n.callers = downstream.New(c, downstream.Share{Capacity: cfg.Room, Minimum: cfg.Room / 4, Spare: 24}, n.back.Connections)
--- a/internal/http1/shortage_test.go
+++ b/internal/http1/shortage_test.go
@@ -16,7 +16,7 @@
 	s, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *rig) {
 		var dials atomic.Int32
-		n.back.DialBy(func(ctx context.Context, network, address string) (net.Conn, error) {
+		n.back.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials.Add(1) <= upstream.MaxDials+1 {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", syscall.ENOMEM)}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,7 +89,7 @@
 	schedule  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
 	settle    *time.Duration                                      // for tests: instead of upstream.DefaultSettle
 	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
-	back      func(*upstream.Pool)                                   // for tests: the same of a pool's connections
+	back      func(*upstream.Pool)                                // for tests: the same of a pool's connections
 	adopt     func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -36,13 +36,13 @@
 		settle = *n.options.settle
 	}
 	return upstream.Limits{
-		Most:           p.Connections.Most,
+		MaxConnections: p.Connections.Most,
 		ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
-		Idle:           time.Duration(p.Connections.Idle),
+		IdleTimeout:    time.Duration(p.Connections.Idle),
 		Settle:         settle,
-		Busy:           p.LoadReports.Busy,
-		AskPath:        p.LoadReports.PollPath,
-		From:           c.LeavesFrom(p),
+		LoadField:      p.LoadReports.Busy,
+		PollPath:       p.LoadReports.PollPath,
+		LocalIP:        c.LeavesFrom(p),
 	}
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -26,53 +26,53 @@
 // Pool runs attempts over pools of kept connections, the last used first. http.Transport would
 // send some requests again by itself, and does not tell whether the last byte was written.
 type Pool struct {
-	clock clock.Clock
-	share *descriptors.Share // of all connections to servers, over all pools
-	count *metrics.Set
-	dial  func(ctx context.Context, network, address string) (net.Conn, error) // for tests: instead of net.Dialer's
-	recv  receiver                                                             // for tests: instead of syscall.Recvfrom
+	clock    clock.Clock
+	share    *descriptors.Share // of all connections to servers, over all pools
+	counters *metrics.Set
+	dial     func(ctx context.Context, network, address string) (net.Conn, error) // for tests: instead of net.Dialer's
+	receive  receiver                                                             // for tests: instead of syscall.Recvfrom
 
-	mu        sync.Mutex
-	limits    Limits
-	idle      map[discovery.Host][]*conn     // the oldest first
-	borrowers map[discovery.Host][]*borrower // attempts whose own connections are late, the longest waiting first
-	open      int
-	made      int
-	seen      map[string]discovery.Target // the listed servers by uid
-	closed    bool
+	mu      sync.Mutex
+	limits  Limits
+	idle    map[discovery.Host][]*conn     // the oldest first
+	wanting map[discovery.Host][]*wantConn // attempts whose own connections are late, the longest waiting first
+	open    int
+	dialed  int
+	listed  map[string]discovery.Target // the listed servers by uid
+	closed  bool
 }
 
 // NewPool returns a Pool that knows no servers yet.
 func NewPool(c clock.Clock, share *descriptors.Share, count *metrics.Set, l Limits) *Pool {
-	return &Pool{clock: c, recv: syscall.Recvfrom, share: share, count: count, limits: l, idle: map[discovery.Host][]*conn{},
-		borrowers: map[discovery.Host][]*borrower{}, seen: map[string]discovery.Target{}}
+	return &Pool{clock: c, receive: syscall.Recvfrom, share: share, counters: count, limits: l, idle: map[discovery.Host][]*conn{},
+		wanting: map[discovery.Host][]*wantConn{}, listed: map[string]discovery.Target{}}
 }
 
-// DialBy has connections be opened by something else than a net.Dialer, as tests do. It comes before the first attempt.
-func (b *Pool) DialBy(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
-	b.dial = dial
+// SetDial has connections be opened by something else than a net.Dialer, as tests do. It comes before the first attempt.
+func (p *Pool) SetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+	p.dial = dial
 }
 
 // Run makes an attempt and tells how it ended. Its connection is closed by then, or idle again.
-func (b *Pool) Run(a *engine.Attempt) engine.Outcome {
-	ctx, cancel := b.during(a)
+func (p *Pool) Run(a *engine.Attempt) engine.Outcome {
+	ctx, cancel := p.attemptContext(a)
 	defer cancel()
-	r := b.try(ctx, a)
+	r := p.try(ctx, a)
 	if r.At == 0 {
-		r.At = b.clock.Now()
+		r.At = p.clock.Now()
 	}
 	return r
 }
 
-// during ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
-func (b *Pool) during(a *engine.Attempt) (context.Context, context.CancelFunc) {
+// attemptContext ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
+func (p *Pool) attemptContext(a *engine.Attempt) (context.Context, context.CancelFunc) {
 	if a.Request.Message.Rest != nil {
 		return context.WithCancel(a.Context())
 	}
-	return context.WithTimeout(a.Context(), b.clock.Until(a.Deadline))
+	return context.WithTimeout(a.Context(), p.clock.Until(a.Deadline))
 }
 
-func (b *Pool) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
+func (p *Pool) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	var (
 		c      *conn
 		waiter chan reply
@@ -83,9 +83,9 @@
 			fresh bool
 			err   error
 		)
-		c, fresh, err = b.connect(ctx, a.To, waiter)
+		c, fresh, err = p.connect(ctx, a.To, waiter)
 		switch {
-		case errors.Is(err, errNoRoom):
+		case errors.Is(err, errNoCapacity):
 			return engine.Outcome{Result: balancer.NotStarted}
 		case err != nil && a.Withdrawn():
 			return engine.Outcome{Result: balancer.Cancelled}
@@ -93,42 +93,42 @@
 			return engine.Outcome{Result: balancer.Unreachable}
 		}
 		if !a.Allowed() {
-			b.giveUp(c, waiter)
+			p.abandon(c, waiter)
 			return engine.Outcome{Result: balancer.NotStarted}
 		}
-		err = b.begin(c, waiter)
+		err = p.begin(c, waiter)
 		if err == nil {
 			break
 		}
-		if fresh && errors.Is(err, errNoRoom) {
+		if fresh && errors.Is(err, errNoCapacity) {
 			return engine.Outcome{Result: balancer.NotStarted}
 		}
 		if fresh {
 			return engine.Outcome{Result: balancer.Unreachable}
 		}
 	}
-	if why, begins := b.mayBegin(ctx, a, c); !begins {
-		b.giveUp(c, waiter)
+	if why, begins := p.mayBegin(ctx, a, c); !begins {
+		p.abandon(c, waiter)
 		return engine.Outcome{Result: why}
 	}
 	// A timed-out or cancelled attempt closes its connection, which ends the wait below.
-	stop := context.AfterFunc(ctx, func() { b.giveUp(c, waiter) })
+	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
 	defer stop()
 	if a.Request.Message.Rest != nil {
-		return b.upload(a, c, waiter)
+		return p.upload(a, c, waiter)
 	}
 	// The complete request in one write: what Write returns tells whether its last byte left.
-	text, why := b.text(a)
+	text, why := p.requestText(a)
 	if text == nil {
-		b.giveUp(c, waiter)
+		p.abandon(c, waiter)
 		return engine.Outcome{Result: why}
 	}
 	sent, err := c.Write(text)
 	if err != nil {
-		b.giveUp(c, waiter)
+		p.abandon(c, waiter)
 	} else {
-		b.wrote(c)
-		b.count.Relay()
+		p.markWritten(c)
+		p.counters.Relay()
 	}
 	got := <-waiter
 	switch {
@@ -136,7 +136,7 @@
 		return got.Outcome
 	case a.Withdrawn():
 		return engine.Outcome{Result: balancer.Cancelled}
-	case sent < len(text) && isOwnShortage(err):
+	case sent < len(text) && isLocalShortage(err):
 		return engine.Outcome{Result: balancer.NotStarted}
 	case sent < len(text):
 		// The server never got the last byte, so it has not begun: sending again is harmless.
@@ -150,14 +150,14 @@
 // backendHost is the name that every server is asked by.
 const backendHost = "backend.local"
 
-// freshFor is how long a text may be older than the look at its client that goes before its writing: a process may be held up
+// maxTextAge is how long a text may be older than the look at its client that goes before its writing: a process may be held up
 // between the two.
-const freshFor = 10 * time.Millisecond
+const maxTextAge = 10 * time.Millisecond
 
-// text is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
-func (b *Pool) text(a *engine.Attempt) (text []byte, why balancer.Result) {
+// requestText is the request of an attempt as it is to be written now, or why nothing is: its time is over, or its client has left.
+func (p *Pool) requestText(a *engine.Attempt) (text []byte, why balancer.Result) {
 	for {
-		left := b.clock.Until(a.Deadline)
+		left := p.clock.Until(a.Deadline)
 		if left <= 0 {
 			return nil, balancer.NotStarted
 		}
@@ -165,17 +165,17 @@
 		if err != nil {
 			return nil, balancer.NotStarted
 		}
-		if a.Request.IsLeft(b.clock.Now) {
+		if a.Request.IsLeft(p.clock.Now) {
 			return nil, balancer.Cancelled
 		}
-		if left-b.clock.Until(a.Deadline) <= freshFor {
+		if left-p.clock.Until(a.Deadline) <= maxTextAge {
 			return text, 0
 		}
 	}
 }
 
-// request is what goes to a server. Method, target, body, id and idempotency key go on as they came.
-func request(a *engine.Attempt, left time.Duration, body io.Reader) *http.Request {
+// newRequest is what goes to a server. Method, target, body, id and idempotency key go on as they came.
+func newRequest(a *engine.Attempt, left time.Duration, body io.Reader) *http.Request {
 	h := http.Header{
 		"User-Agent":   {""}, // none
 		"X-Request-Id": {a.Request.ID},
@@ -203,34 +203,34 @@
 
 // begin has a request written next, unless the server has closed the connection or said something
 // meanwhile, which can be no answer to it: then the connection is closed, and another will do. The error says which it was;
-// errNoRoom: it could not be told.
-func (b *Pool) begin(c *conn, waiter chan reply) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// errNoCapacity: it could not be told.
+func (p *Pool) begin(c *conn, waiter chan reply) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if c.waiter != waiter {
-		return errUnasked
+		return errUnsolicited
 	}
-	spoken, short := spokenOrClosed(c.Conn, b.recv)
+	spoken, short := inputOf(c.Conn, p.receive)
 	if !spoken && !short {
-		c.stage, c.begun = writing, b.clock.Now()
+		c.stage, c.begunAt = stageWriting, p.clock.Now()
 		return nil
 	}
 	c.waiter = nil
-	b.drop(c)
+	p.discard(c)
 	if short {
-		return errNoRoom
+		return errNoCapacity
 	}
-	return errUnasked
+	return errUnsolicited
 }
 
 // mayBegin says whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
 // long: its client may have gone by then, its time may be over, and its server may have been told to drain.
-func (b *Pool) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
-	b.mu.Lock()
-	serves := b.serves(c.to)
-	b.mu.Unlock()
+func (p *Pool) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (why balancer.Result, begins bool) {
+	p.mu.Lock()
+	serves := p.isReady(c.host)
+	p.mu.Unlock()
 	switch {
-	case serves && ctx.Err() == nil && a.Begin(b.clock.Now(), c.way):
+	case serves && ctx.Err() == nil && a.Begin(p.clock.Now(), c.dialTime):
 		return 0, true
 	case a.Withdrawn():
 		return balancer.Cancelled, false
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -15,7 +15,7 @@
 
 // An attempt whose connection comes up late does not begin if it may not by then: no byte of it is written, and its end
 // says that it never ran.
-func TestAnAttemptThatMayNoLongerBeginWritesNothing(t *testing.T) {
+func TestAttemptThatMayNoLongerBeginWritesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cross func(*Pool, *engine.Attempt)
@@ -23,23 +23,23 @@
 	}{
 		{"called off", func(_ *Pool, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
 		{"its caller gone, where what has begun is not called off", func(_ *Pool, a *engine.Attempt) { a.CancelUnbegun() }, balancer.Cancelled},
-		{"its client gone, which its engine has not heard yet", func(b *Pool, a *engine.Attempt) { a.Request.Disconnect(b.clock.Now()) }, balancer.Cancelled},
+		{"its client gone, which its engine has not heard yet", func(pool *Pool, a *engine.Attempt) { a.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
 		{"its client gone, as the system alone knows", func(_ *Pool, a *engine.Attempt) {
 			a.Request.Message.Gone = func() bool { return true }
 		}, balancer.Cancelled},
 		{"its client gone, as the system alone knows, and its body still to come", func(_ *Pool, a *engine.Attempt) {
 			a.Request.Message.Gone, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
 		}, balancer.Cancelled},
-		{"its time over", func(b *Pool, a *engine.Attempt) {
+		{"its time over", func(pool *Pool, a *engine.Attempt) {
 			a.Deadline = a.Sent + 1 // as it was decided on; Run has its own clock
 		}, balancer.NotStarted},
-		{"its keys' window over", func(b *Pool, a *engine.Attempt) { a.NotAfter = b.clock.Now() }, balancer.NotStarted},
-		{"its server drained", func(b *Pool, a *engine.Attempt) {
-			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Draining}, Endpoint: a.To.Endpoint}}, false)
+		{"its keys' window over", func(pool *Pool, a *engine.Attempt) { a.NotAfter = pool.clock.Now() }, balancer.NotStarted},
+		{"its server drained", func(pool *Pool, a *engine.Attempt) {
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Draining}, Endpoint: a.To.Endpoint}}, false)
 		}, balancer.NotStarted},
-		{"its server gone from the whole list", func(b *Pool, a *engine.Attempt) { b.Servers(nil, true) }, balancer.NotStarted},
-		{"its server started anew", func(b *Pool, a *engine.Attempt) {
-			b.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
+		{"its server gone from the whole list", func(pool *Pool, a *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
+		{"its server started anew", func(pool *Pool, a *engine.Attempt) {
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
 		}, balancer.NotStarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,17 +56,17 @@
 					conn.Close()
 				}
 			}()
-			b := testBackend(10)
+			pool := newTestPool(10)
 			dial := testpeer.NewLateDial()
-			b.dial = dial.Dial
-			a := testAttempt(b, ln.Addr().String())
+			pool.dial = dial.Dial
+			a := newTestAttempt(pool, ln.Addr().String())
 			end := make(chan engine.Outcome, 1)
-			go func() { end <- b.Run(a) }()
+			go func() { end <- pool.Run(a) }()
 			testpeer.Receive(t, dial.Dialing, "the attempt to dial")
-			c.cross(b, a)
+			c.cross(pool, a)
 			close(dial.Up)
-			if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != c.want || b.Connections() != 0 {
-				t.Errorf("ending %d, %d open; want %d", r.Result, b.Connections(), c.want)
+			if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != c.want || pool.Connections() != 0 {
+				t.Errorf("ending %d, %d open; want %d", r.Result, pool.Connections(), c.want)
 			}
 			if n := testpeer.Receive(t, closed, "the close"); n != 0 {
 				t.Error("a byte of it was written")
@@ -76,35 +76,35 @@
 }
 
 // A connection that has settled is used again; one that soon will have is waited for rather than another opened.
-func TestAConnectionThatSettlesIsUsedAgain(t *testing.T) {
+func TestSettledConnectionIsReused(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
-	h := testHost(b, s.Address())
+	pool := newTestPool(10)
+	h := listServer(pool, s.Address())
 	idle := func() *conn {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return b.idle[h][0]
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.idle[h][0]
 	}
-	run(t, b, testAttempt(b, s.Address()))
-	b.limits.Settle = 20 * time.Millisecond
-	testpeer.Until(t, "the connection to settle", func() bool { return b.clock.Now()-idle().since >= b.limits.Settle })
-	run(t, b, testAttempt(b, s.Address()))
-	if b.made != 1 {
-		t.Fatalf("%d connections made, want 1", b.made)
+	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	pool.limits.Settle = 20 * time.Millisecond
+	testpeer.Until(t, "the connection to settle", func() bool { return pool.clock.Now()-idle().idleSince >= pool.limits.Settle })
+	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	if pool.dialed != 1 {
+		t.Fatalf("%d connections made, want 1", pool.dialed)
 	}
-	b.limits.Settle = 100 * time.Millisecond
-	b.mu.Lock()
-	b.idle[h][0].took = testpeer.Limit // as if the exchange had been long against that
-	rested := b.idle[h][0].since
-	b.mu.Unlock()
-	run(t, b, testAttempt(b, s.Address()))
-	if c := idle(); b.made != 1 || c.begun-rested < b.limits.Settle {
-		t.Errorf("%d connections made, begun %v behind the answer before; want 1, %v", b.made, c.begun-rested, b.limits.Settle)
+	pool.limits.Settle = 100 * time.Millisecond
+	pool.mu.Lock()
+	pool.idle[h][0].exchangeTime = testpeer.Limit // as if the exchange had been long against that
+	rested := pool.idle[h][0].idleSince
+	pool.mu.Unlock()
+	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	if c := idle(); pool.dialed != 1 || c.begunAt-rested < pool.limits.Settle {
+		t.Errorf("%d connections made, begun %v behind the answer before; want 1, %v", pool.dialed, c.begunAt-rested, pool.limits.Settle)
 	}
 }
 
 // A process that is held up between reading its clock and writing tells its server what is left by then.
-func TestAnAttemptThatIsHeldUpTellsWhatIsLeft(t *testing.T) {
+func TestDelayedAttemptSendsRemainingDeadline(t *testing.T) {
 	const held = 100 * time.Millisecond
 	told := make(chan time.Duration, 1)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -112,24 +112,24 @@
 		told <- time.Duration(left * float64(time.Second))
 		return testpeer.Echo(c, r, body)
 	})
-	b := testBackend(10)
-	a := testAttempt(b, s.Address())
+	pool := newTestPool(10)
+	a := newTestAttempt(pool, s.Address())
 	looks, left := 0, time.Duration(0)
 	a.Request.Message.Gone = func() bool {
 		if looks++; looks == 1 {
 			time.Sleep(held)
-			left = b.clock.Until(a.Deadline)
+			left = pool.clock.Until(a.Deadline)
 		}
 		return false
 	}
-	run(t, b, a)
-	if got := testpeer.Receive(t, told, "the request"); got <= 0 || got > left+freshFor || looks < 2 {
+	runAttempt(t, pool, a)
+	if got := testpeer.Receive(t, told, "the request"); got <= 0 || got > left+maxTextAge || looks < 2 {
 		t.Errorf("told %v after %d looks, %v were left", got, looks, left)
 	}
 }
 
 // What is told of the time that is left is never more than that.
-func TestTheTimeToldIsNotRoundedUp(t *testing.T) {
+func TestDeadlineHeaderIsNotRoundedUp(t *testing.T) {
 	for left, want := range map[time.Duration]string{
 		480 * time.Millisecond: "0.480000", time.Second - 1: "0.999999", 1999: "0.000001", time.Microsecond: "0.000001",
 		3*time.Second + 1500: "3.000001", 90 * time.Second: "90.000000",
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -17,7 +17,7 @@
 
 // A write that ends within the request proves that nothing ran, whatever ended it, and is the node's own fault or the server's. Once
 // the request is written whole any end of the connection is the same as a reset: it may have run. What passes is gone on with.
-func TestEndsOfAConnectionToAServer(t *testing.T) {
+func TestOutcomeOfConnectionFailures(t *testing.T) {
 	for _, c := range []struct {
 		read, write syscall.Errno
 		want        balancer.Result
@@ -44,23 +44,23 @@
 		{read: syscall.EINTR, want: balancer.Success, seen: 1},
 	} {
 		s := testpeer.NewServer(t, testpeer.Echo)
-		b := testBackend(10)
-		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		pool := newTestPool(10)
+		pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, network, address)
 			faulty := &testpeer.FaultyConn{Conn: nc}
 			faulty.Fail(c.read, c.write)
 			return faulty, err
 		}
-		r := run(t, b, testAttempt(b, s.Address()))
+		r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 		kept := 0
 		if c.want == balancer.Success {
 			kept = 1
 		}
-		if r.Result != c.want || s.Seen() != c.seen || b.Connections() != kept {
+		if r.Result != c.want || s.Seen() != c.seen || pool.Connections() != kept {
 			t.Errorf("read %d, write %d: ending %d, %d requests at the server, %d connections; want %d, %d, %d",
-				c.read, c.write, r.Result, s.Seen(), b.Connections(), c.want, c.seen, kept)
+				c.read, c.write, r.Result, s.Seen(), pool.Connections(), c.want, c.seen, kept)
 		}
-		b.Close()
+		pool.Close()
 	}
 }
 
@@ -85,29 +85,29 @@
 
 // A connection that breaks behind the last byte of an upload proves nothing, also where this process was held up for so long that it
 // hears of the break before it hears that the byte has left.
-func TestABreakBehindAnUploadThatIsWholeProvesNothing(t *testing.T) {
+func TestBreakAfterCompleteUploadIsConnectionLost(t *testing.T) {
 	for length, last := range map[int64]string{-1: "0\r\n\r\n", 7 + 5000: "the end"} {
 		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return false })
 		released := make(chan struct{})
-		b := testBackend(10)
-		b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		pool := newTestPool(10)
+		pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, network, address)
 			return &slowConn{Conn: nc, last: last, released: released}, err
 		}
 		rest := io.MultiReader(strings.NewReader(strings.Repeat("x", 5000)), strings.NewReader("the end"))
 		call := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
-		now := b.clock.Now()
-		a := engine.NewAttempt(call, 0, testHost(b, s.Address()), now, now+testpeer.Limit)
+		now := pool.clock.Now()
+		a := engine.NewAttempt(call, 0, listServer(pool, s.Address()), now, now+testpeer.Limit)
 		end := make(chan engine.Outcome, 1)
-		go func() { end <- b.Run(a) }()
+		go func() { end <- pool.Run(a) }()
 		testpeer.Until(t, "the request at the server", func() bool { return s.Seen() == 1 })
-		testpeer.Until(t, "the connection's end", func() bool { return b.Connections() == 0 })
+		testpeer.Until(t, "the connection's end", func() bool { return pool.Connections() == 0 })
 		select {
 		case r := <-end:
 			t.Errorf("length %d: ending %d before the writer has told", length, r.Result)
 			close(released)
 			continue
-		case <-time.After(lastBytes + lastBytes/4):
+		case <-time.After(writeResultGrace + writeResultGrace/4):
 		}
 		close(released)
 		if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != balancer.ConnectionLost || !r.Spent {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -13,11 +13,11 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// lateAfterFirst has all connections but the first come up only when the test lets them, or when their attempt ends.
-func lateAfterFirst(b *Pool) (dialing <-chan struct{}, let func()) {
+// delayLaterDials has all connections but the first come up only when the test lets them, or when their attempt ends.
+func delayLaterDials(pool *Pool) (dialing <-chan struct{}, let func()) {
 	begun, up := make(chan struct{}, 10), make(chan struct{})
 	first := true
-	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if first {
 			first = false
 			return net.Dial(network, address)
@@ -33,8 +33,8 @@
 	return begun, func() { close(up) }
 }
 
-// held is a server that keeps its first request until it is released. behind is run once its answer is written.
-func held(t *testing.T, behind func(net.Conn) bool) (s *testpeer.Server, got <-chan struct{}, release func()) {
+// holdFirstRequest is a server that keeps its first request until it is released. behind is run once its answer is written.
+func holdFirstRequest(t *testing.T, behind func(net.Conn) bool) (s *testpeer.Server, got <-chan struct{}, release func()) {
 	came, let := make(chan struct{}, 1), make(chan struct{})
 	first := true
 	s = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -49,18 +49,18 @@
 	return s, came, func() { close(let) }
 }
 
-// borrowing counts the attempts that would take another connection than their own.
-func (b *Pool) borrowing() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return total(b.borrowers)
+// wantCount counts the attempts that would take another connection than their own.
+func (pool *Pool) wantCount() int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return total(pool.wanting)
 }
 
-// resting counts the idle connections.
-func (b *Pool) resting() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return total(b.idle)
+// idleCount counts the idle connections.
+func (pool *Pool) idleCount() int {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return total(pool.idle)
 }
 
 // total counts the entries of all hosts.
@@ -72,17 +72,17 @@
 }
 
 // An attempt whose connection is late goes over another to the same server once that is free. The late one serves the next.
-func TestALateConnectionIsNotWaitedFor(t *testing.T) {
-	s, got, release := held(t, func(net.Conn) bool { return true })
-	b := testBackend(10)
-	dialing, let := lateAfterFirst(b)
+func TestIdleConnectionIsTakenWhileDialIsLate(t *testing.T) {
+	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return true })
+	pool := newTestPool(10)
+	dialing, let := delayLaterDials(pool)
 	ends := make(chan engine.Outcome, 2)
-	attempt := func() { ends <- b.Run(testAttempt(b, s.Address())) }
+	attempt := func() { ends <- pool.Run(newTestAttempt(pool, s.Address())) }
 	go attempt()
 	testpeer.Receive(t, got, "the first request at its server")
 	go attempt()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return pool.wantCount() == 1 })
 	release()
 	for range 2 {
 		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Result != balancer.Success {
@@ -93,30 +93,30 @@
 		t.Errorf("%d connections were opened, want 1", s.Opened())
 	}
 	let()
-	testpeer.Until(t, "the late connection to be kept", func() bool { return b.resting() == 2 })
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.Connections() != 2 || b.made != 2 {
-		t.Errorf("ending %d over %d connections, %d made; want two", r.Result, b.Connections(), b.made)
+	testpeer.Until(t, "the late connection to be kept", func() bool { return pool.idleCount() == 2 })
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.Connections() != 2 || pool.dialed != 2 {
+		t.Errorf("ending %d over %d connections, %d made; want two", r.Result, pool.Connections(), pool.dialed)
 	}
 }
 
 // An attempt that ends while its connection is on its way gives the connection's place back, and takes no other one.
-func TestAnAttemptThatEndsOpensNothing(t *testing.T) {
-	s, got, release := held(t, func(net.Conn) bool { return true })
-	b := testBackend(10)
-	dialing, _ := lateAfterFirst(b)
+func TestDialEndsWithItsAttempt(t *testing.T) {
+	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return true })
+	pool := newTestPool(10)
+	dialing, _ := delayLaterDials(pool)
 	first, second := make(chan engine.Outcome, 1), make(chan engine.Outcome, 1)
-	go func() { first <- b.Run(testAttempt(b, s.Address())) }()
+	go func() { first <- pool.Run(newTestAttempt(pool, s.Address())) }()
 	testpeer.Receive(t, got, "the first request at its server")
-	a := testAttempt(b, s.Address())
-	go func() { second <- b.Run(a) }()
+	a := newTestAttempt(pool, s.Address())
+	go func() { second <- pool.Run(a) }()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantCount() == 1 })
 	a.Cancel()
 	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
 		t.Errorf("ending %d", r.Result)
 	}
-	if b.borrowing() != 0 || b.Connections() != 1 {
-		t.Errorf("%d would borrow, %d connections; want none, 1", b.borrowing(), b.Connections())
+	if pool.wantCount() != 0 || pool.Connections() != 1 {
+		t.Errorf("%d would borrow, %d connections; want none, 1", pool.wantCount(), pool.Connections())
 	}
 	release()
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success || s.Seen() != 1 {
@@ -125,52 +125,52 @@
 }
 
 // A connection that is lent in the moment in which the attempt's own comes up goes back, and serves another.
-func TestALentConnectionThatIsNotNeededIsFreeAgain(t *testing.T) {
+func TestUnneededDeliveredConnectionIsIdleAgain(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
-	run(t, b, testAttempt(b, s.Address()))
-	testpeer.Until(t, "the connection to rest", func() bool { return b.resting() == 1 })
-	to := testHost(b, s.Address())
-	w := &borrower{waiter: make(chan reply, 1), lent: make(chan *conn, 1)}
-	b.borrow(to, w)
-	if b.resting() != 0 || len(w.lent) != 1 {
+	pool := newTestPool(10)
+	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	testpeer.Until(t, "the connection to rest", func() bool { return pool.idleCount() == 1 })
+	to := listServer(pool, s.Address())
+	w := &wantConn{waiter: make(chan reply, 1), delivered: make(chan *conn, 1)}
+	pool.queueWant(to, w)
+	if pool.idleCount() != 0 || len(w.delivered) != 1 {
 		t.Fatal("the idle connection was not lent")
 	}
-	b.giveBack(to, w)
-	if b.resting() != 1 || b.borrowing() != 0 {
-		t.Errorf("%d rest, %d borrow; want 1, 0", b.resting(), b.borrowing())
+	pool.cancelWant(to, w)
+	if pool.idleCount() != 1 || pool.wantCount() != 0 {
+		t.Errorf("%d rest, %d borrow; want 1, 0", pool.idleCount(), pool.wantCount())
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != 1 {
-		t.Errorf("ending %d, %d connections made", r.Result, b.made)
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 {
+		t.Errorf("ending %d, %d connections made", r.Result, pool.dialed)
 	}
 }
 
 // A connection that its server closes right behind the answer, when it is lent already, carries no other request.
-func TestALentConnectionThatBreaksIsNotUsed(t *testing.T) {
-	s, got, release := held(t, func(net.Conn) bool { return false })
-	b := testBackend(10)
-	dialing, _ := lateAfterFirst(b)
+func TestBrokenDeliveredConnectionIsNotUsed(t *testing.T) {
+	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return false })
+	pool := newTestPool(10)
+	dialing, _ := delayLaterDials(pool)
 	first := make(chan engine.Outcome, 1)
-	go func() { first <- b.Run(testAttempt(b, s.Address())) }()
+	go func() { first <- pool.Run(newTestAttempt(pool, s.Address())) }()
 	testpeer.Receive(t, got, "the first request at its server")
 	waiter, lent := make(chan reply, 1), make(chan *conn, 1)
-	if c, _, err := b.take(testHost(b, s.Address()), waiter); c != nil || err != nil {
+	if c, _, err := pool.take(listServer(pool, s.Address()), waiter); c != nil || err != nil {
 		t.Fatalf("%v, %v; want room for another connection", c, err)
 	}
 	go func() {
-		c, _, _ := b.openOrBorrow(t.Context(), testHost(b, s.Address()), waiter)
+		c, _, _ := pool.dialOrReuse(t.Context(), listServer(pool, s.Address()), waiter)
 		lent <- c
 	}()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return b.borrowing() == 1 })
+	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantCount() == 1 })
 	release()
 	c := testpeer.Receive(t, lent, "the first attempt's connection")
 	testpeer.Until(t, "the connection's end to be seen", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return c.dead
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return c.discarded
 	})
-	if b.begin(c, waiter) == nil {
+	if pool.begin(c, waiter) == nil {
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success {
@@ -179,14 +179,14 @@
 }
 
 // A gateway's refusal that is the one answer to a request is told apart from one that says nothing of it.
-func TestASettledRefusalIsTold(t *testing.T) {
+func TestSettledRejectionIsReported(t *testing.T) {
 	for header, settled := range map[string]bool{"": false, "X-Settled: 1\r\n": true, "X-Settled: 0\r\n": false} {
 		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"+header+"Content-Length: 0\r\n\r\n")
 			return true
 		})
-		b := testBackend(10)
-		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
+		pool := newTestPool(10)
+		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
 			t.Errorf("%q: ending %d, settled %v", header, r.Result, r.Settled)
 		}
 	}
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-func TestFigure(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	for report, want := range map[string]float64{
 		"TEXT inflight=7, queue=2, util=0.61": 7,
 		"TEXT queue=2,inflight=7.5":           7.5,
@@ -24,7 +24,7 @@
 		"JSON {\"inflight\":7}":               -1,
 		"":                                    -1,
 	} {
-		got, ok := figure(report, "inflight")
+		got, ok := parseLoad(report, "inflight")
 		if !ok {
 			got = -1
 		}
@@ -34,19 +34,19 @@
 	}
 }
 
-func FuzzFigure(f *testing.F) {
+func FuzzParseLoad(f *testing.F) {
 	for _, s := range []string{"TEXT inflight=7, queue=2, util=0.61", "TEXT inflight=1e400", "TEXT ,,=,inflight", "TEXT inflight=0x1p3"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		if v, ok := figure(s, "inflight"); ok && !(v >= 0 && v <= mostLoaded) {
+		if v, ok := parseLoad(s, "inflight"); ok && !(v >= 0 && v <= maxLoad) {
 			t.Errorf("%q: %v", s, v)
 		}
 	})
 }
 
 // An answer's report reaches the module only where the pool says what it is called; an error may bring one too.
-func TestReportsComeWithAnswers(t *testing.T) {
+func TestLoadReportComesWithReply(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		status := "200 OK"
 		if r.URL.Path == "/note/bad" {
@@ -55,33 +55,33 @@
 		_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nX-Load: TEXT inflight=3, queue=1\r\nContent-Length: 2\r\n\r\nok", status)
 		return err == nil
 	})
-	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Load != nil {
+	pool := newTestPool(10)
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Load != nil {
 		t.Errorf("a report was read that nobody asked for: %+v", r.Load)
 	}
-	l := b.limits
-	l.Busy = "inflight"
-	b.SetLimits(l)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Load == nil || r.Load.Busy != 3 || r.Load.Service >= 0 {
+	l := pool.limits
+	l.LoadField = "inflight"
+	pool.SetLimits(l)
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Load == nil || r.Load.Busy != 3 || r.Load.Service >= 0 {
 		t.Errorf("the report is %+v, want 3 calls held", r.Load)
 	}
-	a := testAttempt(b, s.Address())
+	a := newTestAttempt(pool, s.Address())
 	a.Request.Message.Target = "/note/bad"
-	if r := run(t, b, a); r.Load == nil || r.Load.Busy != 3 {
+	if r := runAttempt(t, pool, a); r.Load == nil || r.Load.Busy != 3 {
 		t.Errorf("an error's report is %+v, want 3 calls held", r.Load)
 	}
 }
 
-// asks has a backend read reports and ask for them.
-func asks(b *Pool) *Pool {
-	l := b.limits
-	l.Busy, l.AskPath = "inflight", "/stats"
-	b.SetLimits(l)
-	return b
+// withPolls has a backend read reports and ask for them.
+func withPolls(pool *Pool) *Pool {
+	l := pool.limits
+	l.LoadField, l.PollPath = "inflight", "/stats"
+	pool.SetLimits(l)
+	return pool
 }
 
 // A server that is asked says what it holds; nothing of a request goes there, and its connection serves requests afterwards.
-func TestServersAreAsked(t *testing.T) {
+func TestPollReadsLoadReport(t *testing.T) {
 	ids := make(chan string, 10)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		ids <- r.URL.Path + " " + r.Header.Get("X-Request-Id")
@@ -92,19 +92,19 @@
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return err == nil
 	})
-	b := testBackend(10)
-	to := testHost(b, s.Address())
-	if _, ok := b.Poll(to, testpeer.Limit); ok {
+	pool := newTestPool(10)
+	to := listServer(pool, s.Address())
+	if _, ok := pool.Poll(to, testpeer.Limit); ok {
 		t.Error("a server was asked though the pool says nothing of it")
 	}
-	asks(b)
+	withPolls(pool)
 	for range 3 {
-		if busy, ok := b.Poll(to, testpeer.Limit); !ok || busy != 5 {
+		if busy, ok := pool.Poll(to, testpeer.Limit); !ok || busy != 5 {
 			t.Errorf("it says %v, %v; want 5", busy, ok)
 		}
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != 1 || b.open != 1 {
-		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Result, b.made, b.open)
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 || pool.open != 1 {
+		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Result, pool.dialed, pool.open)
 	}
 	for _, want := range []string{"/stats ", "/stats ", "/stats ", "/note/k id"} {
 		if got := <-ids; got != want {
@@ -114,37 +114,37 @@
 }
 
 // Nobody waits longer than said for a server that does not answer, and an answer that comes late frees its connection.
-func TestAskingDoesNotWaitForTheSilent(t *testing.T) {
+func TestPollOfSilentServerTimesOut(t *testing.T) {
 	let := make(chan bool)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		<-let
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
-	b := asks(testBackend(10))
-	if busy, ok := b.Poll(testHost(b, s.Address()), time.Millisecond); ok {
+	pool := withPolls(newTestPool(10))
+	if busy, ok := pool.Poll(listServer(pool, s.Address()), time.Millisecond); ok {
 		t.Errorf("it says %v before it has answered", busy)
 	}
 	close(let)
 	testpeer.Until(t, "that the connection is idle again", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return len(b.idle) == 1 && b.open == 1 || b.open == 0 // or it took longer than it may
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return len(pool.idle) == 1 && pool.open == 1 || pool.open == 0 // or it took longer than it may
 	})
-	b.Close()
-	dead := asks(testBackend(10))
-	if _, ok := dead.Poll(testHost(dead, "127.0.0.1:1"), testpeer.Limit); ok {
+	pool.Close()
+	dead := withPolls(newTestPool(10))
+	if _, ok := dead.Poll(listServer(dead, "127.0.0.1:1"), testpeer.Limit); ok {
 		t.Error("nobody listens there, and it answered")
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkPoll(b *testing.B) {
 	s := testpeer.NewServer(b, func(c net.Conn, r *http.Request, _ string) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
-	back := asks(testBackend(10))
-	to := testHost(back, s.Address())
+	back := withPolls(newTestPool(10))
+	to := listServer(back, s.Address())
 	for b.Loop() {
 		if _, ok := back.Poll(to, testpeer.Limit); !ok {
 			b.Fatal("no answer")
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,33 +22,33 @@
 	"damsontrestle/internal/testpeer"
 )
 
-func testBackend(most int) *Pool {
-	return NewPool(clock.New(), descriptors.NewShare(most), &metrics.Set{}, Limits{Most: most, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
+func newTestPool(most int) *Pool {
+	return NewPool(clock.New(), descriptors.NewShare(most), &metrics.Set{}, Limits{MaxConnections: most, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
 }
 
-// testHost has the backend know a server that is named by its endpoint.
-func testHost(b *Pool, endpoint string) discovery.Host {
+// listServer has the backend know a server that is named by its endpoint.
+func listServer(pool *Pool, endpoint string) discovery.Host {
 	t := discovery.Target{Server: balancer.Server{ID: endpoint, State: balancer.Ready}, Endpoint: endpoint}
-	b.Servers([]discovery.Target{t}, false)
+	pool.Servers([]discovery.Target{t}, false)
 	return t.Host()
 }
 
-// testAttempt is an attempt at an endpoint with all the time in the world.
-func testAttempt(b *Pool, endpoint string) *engine.Attempt {
-	now := b.clock.Now()
+// newTestAttempt is an attempt at an endpoint with all the time in the world.
+func newTestAttempt(pool *Pool, endpoint string) *engine.Attempt {
+	now := pool.clock.Now()
 	c := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
-	return engine.NewAttempt(c, 0, testHost(b, endpoint), now, now+testpeer.Limit)
+	return engine.NewAttempt(c, 0, listServer(pool, endpoint), now, now+testpeer.Limit)
 }
 
-// run makes an attempt that must end within the testpeer.Limit.
-func run(t *testing.T, b *Pool, a *engine.Attempt) engine.Outcome {
+// runAttempt makes an attempt that must end within the testpeer.Limit.
+func runAttempt(t *testing.T, pool *Pool, a *engine.Attempt) engine.Outcome {
 	t.Helper()
 	end := make(chan engine.Outcome, 1)
-	go func() { end <- b.Run(a) }()
+	go func() { end <- pool.Run(a) }()
 	return testpeer.Receive(t, end, "the attempt's end")
 }
 
-func TestEndings(t *testing.T) {
+func TestOutcomeOfReplies(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
 		want         balancer.Result
@@ -74,9 +74,9 @@
 		{"a 1xx, and an end", "102 Processing\r\n\r\n", balancer.ConnectionLost, false},
 		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
 		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
-		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.ConnectionLost, false},
-		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.ConnectionLost, false},
-		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.ConnectionLost, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxReplyOverhead/10), balancer.ConnectionLost, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxReplyOverhead), balancer.ConnectionLost, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxReplyOverhead/20), balancer.ConnectionLost, false},
 		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost, false},
 		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
 		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
@@ -107,25 +107,25 @@
 				}
 				return c.keeps
 			})
-			b := testBackend(10)
-			h := testHost(b, s.Address())
-			r := run(t, b, testAttempt(b, s.Address()))
+			pool := newTestPool(10)
+			h := listServer(pool, s.Address())
+			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 			if r.Result != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
 				t.Errorf("ending %d, body %q; want %d", r.Result, r.Reply.Body, c.want)
 			}
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			if kept := len(b.idle[h]) == 1; kept != c.keeps || b.open != len(b.idle[h]) {
-				t.Errorf("kept %v, %d open; want kept %v", kept, b.open, c.keeps)
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			if kept := len(pool.idle[h]) == 1; kept != c.keeps || pool.open != len(pool.idle[h]) {
+				t.Errorf("kept %v, %d open; want kept %v", kept, pool.open, c.keeps)
 			}
 		})
 	}
 }
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
-	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, testpeer.ClosedPort(t))); r.Result != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, b.open)
+	pool := newTestPool(10)
+	if r := runAttempt(t, pool, newTestAttempt(pool, testpeer.ClosedPort(t))); r.Result != balancer.Unreachable || pool.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, pool.open)
 	}
 }
 
@@ -154,10 +154,10 @@
 		}
 		defer c.Close()
 	}
-	b := testBackend(10)
-	b.limits.ConnectTimeout = 50 * time.Millisecond
-	if r := run(t, b, testAttempt(b, addr)); r.Result != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, b.open)
+	pool := newTestPool(10)
+	pool.limits.ConnectTimeout = 50 * time.Millisecond
+	if r := runAttempt(t, pool, newTestAttempt(pool, addr)); r.Result != balancer.Unreachable || pool.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, pool.open)
 	}
 }
 
@@ -178,31 +178,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := testBackend(10)
-	b.adopt(halfConn{nc}, testHost(b, s.Address()))
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Unreachable || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, b.open)
+	pool := newTestPool(10)
+	pool.addIdle(halfConn{nc}, listServer(pool, s.Address()))
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Unreachable || pool.open != 0 {
+		t.Errorf("ending %d, %d open", r.Result, pool.open)
 	}
 	if s.Seen() != 0 {
 		t.Error("the server got the request")
 	}
 }
 
-// adopt puts a connection among the idle ones.
-func (b *Pool) adopt(nc net.Conn, to discovery.Host) {
+// addIdle puts a connection among the idle ones.
+func (pool *Pool) addIdle(nc net.Conn, to discovery.Host) {
 	waiter := make(chan reply, 1)
-	b.open++
-	b.share.Take()
-	c := b.watch(nc, to, waiter)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	pool.open++
+	pool.share.Take()
+	c := pool.newConn(nc, to, waiter)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	c.waiter = nil
-	b.idle[to] = append(b.idle[to], c)
+	pool.idle[to] = append(pool.idle[to], c)
 }
 
 // What came in before a request was written is no answer to it, and a close that the connection's reader
 // has not seen yet, as on a busy core, is found all the same: another connection is used.
-func TestBytesOrACloseBeforeTheRequestAreSeen(t *testing.T) {
+func TestInputOrCloseBeforeRequestIsDetected(t *testing.T) {
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
 			s := testpeer.NewServer(t, testpeer.Echo)
@@ -216,7 +216,7 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			if spoken(nc) {
+			if hasInput(nc) {
 				t.Fatal("a silent open connection is said to have spoken or closed")
 			}
 			other, err := early.Accept()
@@ -224,19 +224,19 @@
 				t.Fatal(err)
 			}
 			defer other.Close()
-			b := testBackend(10)
-			h := testHost(b, s.Address())
-			b.open = 1
-			b.share.Take()
-			b.idle[h] = []*conn{{Conn: nc, to: h}} // with no reader
+			pool := newTestPool(10)
+			h := listServer(pool, s.Address())
+			pool.open = 1
+			pool.share.Take()
+			pool.idle[h] = []*conn{{Conn: nc, host: h}} // with no reader
 			if say == "" {
 				other.Close()
 			} else {
 				io.WriteString(other, say)
 			}
-			testpeer.Until(t, "it to arrive", func() bool { return spoken(nc) })
-			if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || b.open != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.Result, r.Reply.Body, b.open)
+			testpeer.Until(t, "it to arrive", func() bool { return hasInput(nc) })
+			if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || pool.open != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.Result, r.Reply.Body, pool.open)
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 
 // A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
 // ends, and does not dial without end.
-func TestServerThatClosesAtOnceIsUnreachable(t *testing.T) {
+func TestServerThatClosesOnAcceptIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -259,14 +259,14 @@
 		t.Fatal(err)
 	}
 	other.Close()
-	testpeer.Until(t, "the close to arrive", func() bool { return spoken(nc) })
-	b := testBackend(10)
+	testpeer.Until(t, "the close to arrive", func() bool { return hasInput(nc) })
+	pool := newTestPool(10)
 	waiter := make(chan reply, 1)
-	b.open = 1
-	b.share.Take()
-	c := b.watch(nc, testHost(b, "127.0.0.1:1"), waiter)
-	if b.begin(c, waiter) == nil || b.open != 0 {
-		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
+	pool.open = 1
+	pool.share.Take()
+	c := pool.newConn(nc, listServer(pool, "127.0.0.1:1"), waiter)
+	if pool.begin(c, waiter) == nil || pool.open != 0 {
+		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", pool.open)
 	}
 }
 
@@ -279,133 +279,133 @@
 			close(gone)
 			return false
 		})
-		b := testBackend(10)
-		a := testAttempt(b, s.Address())
+		pool := newTestPool(10)
+		a := newTestAttempt(pool, s.Address())
 		if want == balancer.TimedOut {
 			a.Deadline = a.Sent + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.Cancel() }()
 		}
-		if r := run(t, b, a); r.Result != want || b.open != 0 {
-			t.Errorf("ending %d, %d open; want %d", r.Result, b.open, want)
+		if r := runAttempt(t, pool, a); r.Result != want || pool.open != 0 {
+			t.Errorf("ending %d, %d open; want %d", r.Result, pool.open, want)
 		}
 		testpeer.Receive(t, gone, "the close")
 	}
 }
 
 // A node short of descriptors closes idle connections first; its own lack is no server's fault.
-func TestConnectionsBeyondTheBudget(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	one, two := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		<-hold
 		return testpeer.Echo(c, r, body)
 	})
-	b := testBackend(1)
-	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.Success {
+	pool := newTestPool(1)
+	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.Success {
 		t.Fatalf("ending %d", r.Result)
 	}
 	end := make(chan engine.Outcome, 1)
-	go func() { end <- b.Run(testAttempt(b, two.Address())) }()
+	go func() { end <- pool.Run(newTestAttempt(pool, two.Address())) }()
 	testpeer.Receive(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.NotStarted {
+	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.NotStarted {
 		t.Errorf("with no descriptor left: ending %d, want Void", r.Result)
 	}
 	close(hold)
 	if r := testpeer.Receive(t, end, "the attempt"); r.Result != balancer.Success {
 		t.Errorf("ending %d", r.Result)
 	}
-	if one.Seen() != 1 || b.open != 1 {
-		t.Errorf("%d requests at the first server, %d connections open", one.Seen(), b.open)
+	if one.Seen() != 1 || pool.open != 1 {
+		t.Errorf("%d requests at the first server, %d connections open", one.Seen(), pool.open)
 	}
 }
 
 // What was closed takes no attempt any more: the next one opens a connection.
-func TestAConnectionThatWasLetGoTakesNoAttempt(t *testing.T) {
+func TestCloseIdleConnectionTakesNoAttempt(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
+	pool := newTestPool(10)
 	for _, made := range []int{1, 1, 2} {
 		if made == 2 {
-			b.CloseIdle(testHost(b, s.Address()))
+			pool.CloseIdle(listServer(pool, s.Address()))
 		}
-		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success || b.made != made || b.open != 1 {
-			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Result, b.made, b.open, made)
+		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != made || pool.open != 1 {
+			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Result, pool.dialed, pool.open, made)
 		}
 	}
 }
 
-func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
+func TestIdleConnectionsCloseBeforeServerTimeout(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
-	b.limits.Idle = 20 * time.Millisecond
-	run(t, b, testAttempt(b, s.Address()))
+	pool := newTestPool(10)
+	pool.limits.IdleTimeout = 20 * time.Millisecond
+	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go b.Sweep(ctx)
+	go pool.Sweep(ctx)
 	testpeer.Until(t, "the close", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return b.open == 0 && len(b.idle) == 0
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return pool.open == 0 && len(pool.idle) == 0
 	})
-	if l := (Limits{Idle: time.Minute}); l.keep() >= time.Minute {
-		t.Errorf("kept for %v", l.keep())
+	if l := (Limits{IdleTimeout: time.Minute}); l.maxIdle() >= time.Minute {
+		t.Errorf("kept for %v", l.maxIdle())
 	}
 }
 
 // Limits change while the back runs: idle connections beyond the new bound are closed, and the share of all
 // pools bounds each of them too.
-func TestLimitsChange(t *testing.T) {
+func TestSetLimits(t *testing.T) {
 	one, two := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(2)
+	pool := newTestPool(2)
 	for _, s := range []*testpeer.Server{one, two} {
-		if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
 			t.Fatalf("ending %d", r.Result)
 		}
 	}
-	b.SetLimits(Limits{Most: 1, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
-	if b.Connections() != 1 || b.share.Used() != 1 {
-		t.Errorf("%d connections, %d descriptors", b.Connections(), b.share.Used())
+	pool.SetLimits(Limits{MaxConnections: 1, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
+	if pool.Connections() != 1 || pool.share.Used() != 1 {
+		t.Errorf("%d connections, %d descriptors", pool.Connections(), pool.share.Used())
 	}
-	if r := run(t, b, testAttempt(b, two.Address())); r.Result != balancer.Success || two.Opened() != 1 {
+	if r := runAttempt(t, pool, newTestAttempt(pool, two.Address())); r.Result != balancer.Success || two.Opened() != 1 {
 		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Result, two.Opened())
 	}
-	other := NewPool(clock.New(), b.share, b.count, Limits{Most: 10, ConnectTimeout: testpeer.Limit, Idle: time.Minute})
-	b.share.Resize(1)
-	if r := run(t, other, testAttempt(other, one.Address())); r.Result != balancer.NotStarted {
+	other := NewPool(clock.New(), pool.share, pool.counters, Limits{MaxConnections: 10, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
+	pool.share.Resize(1)
+	if r := runAttempt(t, other, newTestAttempt(other, one.Address())); r.Result != balancer.NotStarted {
 		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Result)
 	}
-	b.Close()
-	if b.Connections() != 0 || b.share.Used() != 0 {
-		t.Errorf("%d connections, %d descriptors after Close", b.Connections(), b.share.Used())
+	pool.Close()
+	if pool.Connections() != 0 || pool.share.Used() != 0 {
+		t.Errorf("%d connections, %d descriptors after Close", pool.Connections(), pool.share.Used())
 	}
-	if r := run(t, other, testAttempt(other, one.Address())); r.Result != balancer.Success {
+	if r := runAttempt(t, other, newTestAttempt(other, one.Address())); r.Result != balancer.Success {
 		t.Errorf("ending %d", r.Result)
 	}
-	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.NotStarted { // the other has the only one
+	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.NotStarted { // the other has the only one
 		t.Errorf("ending %d", r.Result)
 	}
 	other.Close()
-	if r := run(t, b, testAttempt(b, one.Address())); r.Result != balancer.Success || b.Connections() != 0 {
-		t.Errorf("after Close: ending %d, %d connections kept", r.Result, b.Connections())
+	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.Success || pool.Connections() != 0 {
+		t.Errorf("after Close: ending %d, %d connections kept", r.Result, pool.Connections())
 	}
 }
 
-// spoken asks the system what spokenOrClosed does.
-func spoken(nc net.Conn) bool {
-	is, _ := spokenOrClosed(nc, syscall.Recvfrom)
+// hasInput asks the system what inputOf does.
+func hasInput(nc net.Conn) bool {
+	is, _ := inputOf(nc, syscall.Recvfrom)
 	return is
 }
 
 // Servers and attempts that are ever new leave nothing behind in the pool.
 func TestPoolForgetsServersThatAreNoLongerListed(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
+	pool := newTestPool(10)
 	round := func(i int) {
 		target := discovery.Target{Server: balancer.Server{ID: fmt.Sprint("s", i), State: balancer.Ready}, Endpoint: s.Address()}
-		b.Servers([]discovery.Target{target}, true)
+		pool.Servers([]discovery.Target{target}, true)
 		request := engine.NewRequest(fmt.Sprint("r-", i), engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
-		now := b.clock.Now()
-		if r := run(t, b, engine.NewAttempt(request, 0, target.Host(), now, now+testpeer.Limit)); r.Result != balancer.Success {
+		now := pool.clock.Now()
+		if r := runAttempt(t, pool, engine.NewAttempt(request, 0, target.Host(), now, now+testpeer.Limit)); r.Result != balancer.Success {
 			t.Fatalf("round %d: ending %d", i, r.Result)
 		}
 	}
@@ -417,8 +417,8 @@
 		round(50 + i)
 	}
 	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return len(b.seen) == 1 && len(b.idle) <= 1 && len(b.borrowers) == 0 && b.open <= 1 && runtime.NumGoroutine() <= before+5
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		return len(pool.listed) == 1 && len(pool.idle) <= 1 && len(pool.wanting) == 0 && pool.open <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -11,8 +11,8 @@
 	"damsontrestle/internal/engine"
 )
 
-// headRoom is more than the head of a request takes that has nothing long in it.
-const headRoom = 512
+// headCapacity is more than the head of a request takes that has nothing long in it.
+const headCapacity = 512
 
 // wholeRequest is the text of a request whose body is kept complete. The usual ones are put together here, byte for byte as
 // net/http would, which takes a header, a URL and readers to do so.
@@ -20,10 +20,10 @@
 	r := &a.Request.Message
 	if !isPlain(r) {
 		var out bytes.Buffer
-		err := request(a, left, bytes.NewReader(r.Body)).Write(&out)
+		err := newRequest(a, left, bytes.NewReader(r.Body)).Write(&out)
 		return out.Bytes(), err
 	}
-	text := make([]byte, 0, headRoom+len(r.Body))
+	text := make([]byte, 0, headCapacity+len(r.Body))
 	text = append(text, r.Method...)
 	text = append(text, ' ')
 	text = append(text, r.Target...)
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -12,7 +12,7 @@
 )
 
 // What a server gets is byte for byte what net/http would write, whatever is in the request.
-func TestARequestIsWrittenAsNetHTTPWould(t *testing.T) {
+func TestRequestTextMatchesNetHTTP(t *testing.T) {
 	draw := rand.New(rand.NewPCG(46, 6))
 	pick := func(of ...string) string { return of[draw.IntN(len(of))] }
 	value := func() string {
@@ -31,7 +31,7 @@
 		left := time.Duration(draw.Int64N(int64(10*time.Second))) - time.Second
 		a := engine.NewAttempt(engine.NewRequest(value(), r), 0, discovery.Host{}, 0, 0)
 		var want bytes.Buffer
-		wantErr := request(a, left, bytes.NewReader(r.Body)).Write(&want)
+		wantErr := newRequest(a, left, bytes.NewReader(r.Body)).Write(&want)
 		got, err := wholeRequest(a, left)
 		if (err != nil) != (wantErr != nil) || err == nil && !bytes.Equal(got, want.Bytes()) {
 			t.Fatalf("request %d, %+v:\n%q, %v\nwant\n%q, %v", i, r, got, err, want.Bytes(), wantErr)
--- a/internal/upstream/settled_test.go
+++ b/internal/upstream/settled_test.go
@@ -7,7 +7,7 @@
 
 // Of a server's idle connections one that has settled is taken at once, and of these the one used last. One that has not is
 // waited for only where none has, and rather one whose wait is short against its exchanges than have another opened.
-func TestASettledConnectionIsTakenBeforeOneThatMustBeWaitedFor(t *testing.T) {
+func TestSettledConnectionIsPreferred(t *testing.T) {
 	const settle = time.Hour // however slow the machine
 	for _, c := range []struct {
 		name  string
@@ -21,17 +21,17 @@
 		{"the one that has settled first of two that may be waited for", [][2]time.Duration{{settle / 2, 4 * settle}, {settle / 4, 4 * settle}}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := testBackend(10)
-			b.limits.Settle = settle
-			h := testHost(b, "127.0.0.1:1")
+			pool := newTestPool(10)
+			pool.limits.Settle = settle
+			h := listServer(pool, "127.0.0.1:1")
 			var idle []*conn
 			for _, i := range c.idle {
-				idle = append(idle, &conn{to: h, since: b.clock.Now() - i[0], took: i[1]})
+				idle = append(idle, &conn{host: h, idleSince: pool.clock.Now() - i[0], exchangeTime: i[1]})
 			}
-			b.idle[h] = append(b.idle[h], idle...)
-			got, settles, err := b.take(h, nil)
-			if err != nil || got != idle[c.takes] || settles > 0 != c.waits || b.made != 0 {
-				t.Errorf("took %v to wait for %v, %v; %d opened", got, settles, err, b.made)
+			pool.idle[h] = append(pool.idle[h], idle...)
+			got, settles, err := pool.take(h, nil)
+			if err != nil || got != idle[c.takes] || settles > 0 != c.waits || pool.dialed != 0 {
+				t.Errorf("took %v to wait for %v, %v; %d opened", got, settles, err, pool.dialed)
 			}
 		})
 	}
--- a/internal/upstream/shortage.go
+++ b/internal/upstream/shortage.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// isOwnShortage says that a system call failed for want of something on this machine, or was interrupted: no server is at fault,
+// isLocalShortage says that a system call failed for want of something on this machine, or was interrupted: no server is at fault,
 // and the same request may pass a moment later. Of a connect or a write it proves that nothing beyond what was counted has left.
-func isOwnShortage(err error) bool {
+func isLocalShortage(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -20,9 +20,9 @@
 // receiver is syscall.Recvfrom, or what a test has instead.
 type receiver func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
-// peek looks into the kernel's buffer of a connection: whether its other side has said something that was not read yet, or has
+// peekInput looks into the kernel's buffer of a connection: whether its other side has said something that was not read yet, or has
 // closed. short: it could not be told, for the system was out of memory.
-func peek(fd uintptr, receive receiver) (spoken, short bool) {
+func peekInput(fd uintptr, receive receiver) (spoken, short bool) {
 	var one [1]byte
 	for {
 		_, _, err := receive(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -38,8 +38,8 @@
 	}
 }
 
-// awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
-func awaitBytes(nc net.Conn, receive receiver) {
+// awaitInput waits until a connection has bytes to read, has been closed by either side, or has failed.
+func awaitInput(nc net.Conn, receive receiver) {
 	raw := rawConn(nc)
 	if raw == nil {
 		return
@@ -48,7 +48,7 @@
 		var short bool
 		err := raw.Read(func(fd uintptr) bool {
 			var spoken bool
-			spoken, short = peek(fd, receive)
+			spoken, short = peekInput(fd, receive)
 			return spoken || short // what was short is not waited for: its bytes may have come already, and wake nobody
 		})
 		if err != nil || !short { // an error shows at the next read
@@ -58,13 +58,13 @@
 	}
 }
 
-// spokenOrClosed asks the same without waiting.
-func spokenOrClosed(nc net.Conn, receive receiver) (is, short bool) {
+// inputOf asks the same without waiting.
+func inputOf(nc net.Conn, receive receiver) (is, short bool) {
 	raw := rawConn(nc)
 	if raw == nil {
 		return false, false
 	}
 	// Control and not Read: the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { is, short = peek(fd, receive) })
+	err := raw.Control(func(fd uintptr) { is, short = peekInput(fd, receive) })
 	return is || err != nil, short
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -8,32 +8,32 @@
 	"damsontrestle/internal/validation"
 )
 
-// stall is how long a server may say nothing in the midst of a reply that passes through.
-const stall = 10 * time.Second
+// maxReadStall is how long a server may say nothing in the midst of a reply that passes through.
+const maxReadStall = 10 * time.Second
 
-// stream is the rest of an answer that passes through, read from its server's connection as its client takes it.
+// replyStream is the rest of an answer that passes through, read from its server's connection as its client takes it.
 // The connection is of use to others once all has been read.
-type stream struct {
-	back *Pool
-	conn *conn
-	body io.Reader
-	left int64 // bytes that it may still have
-	keep bool  // its end leaves the connection fit for another request
-	over bool
+type replyStream struct {
+	pool      *Pool
+	conn      *conn
+	body      io.Reader
+	remaining int64 // bytes that it may still have
+	reusable  bool  // its end leaves the connection fit for another request
+	ended     bool
 }
 
-func (s *stream) Read(p []byte) (int, error) {
-	if s.over {
-		return 0, errCut
+func (s *replyStream) Read(p []byte) (int, error) {
+	if s.ended {
+		return 0, errIncomplete
 	}
-	s.conn.SetReadDeadline(time.Now().Add(stall))
+	s.conn.SetReadDeadline(time.Now().Add(maxReadStall))
 	n, err := s.body.Read(p)
-	s.left -= int64(n)
+	s.remaining -= int64(n)
 	switch {
-	case s.left < 0:
-		err = errors.Join(errCut, errTooLong)
+	case s.remaining < 0:
+		err = errors.Join(errIncomplete, errReplyTooLong)
 	case err != nil && err != io.EOF:
-		err = errors.Join(errCut, err)
+		err = errors.Join(errIncomplete, err)
 	}
 	if err != nil {
 		s.end(err == io.EOF)
@@ -42,32 +42,32 @@
 }
 
 // Close closes the connection unless all was read.
-func (s *stream) Close() error {
+func (s *replyStream) Close() error {
 	s.end(false)
 	return nil
 }
 
-func (s *stream) end(complete bool) {
-	if s.over {
+func (s *replyStream) end(complete bool) {
+	if s.ended {
 		return
 	}
-	s.over = true
-	b := s.back
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s.conn.passed = false
-	if !complete || !s.keep || s.conn.br.Buffered() > 0 || s.conn.dead {
-		b.drop(s.conn)
+	s.ended = true
+	p := s.pool
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s.conn.streaming = false
+	if !complete || !s.reusable || s.conn.reader.Buffered() > 0 || s.conn.discarded {
+		p.discard(s.conn)
 		return
 	}
 	s.conn.SetReadDeadline(time.Time{})
-	s.conn.since = b.clock.Now()
-	b.rest(s.conn)
-	go b.read(s.conn)
+	s.conn.idleSince = p.clock.Now()
+	p.putIdle(s.conn)
+	go p.watchReplies(s.conn)
 }
 
-// maxPassed bounds the answers that pass through, and what they may take on the wire in chunks of any size.
+// maxStreamed bounds the answers that pass through, and what they may take on the wire in chunks of any size.
 const (
-	maxPassed     = validation.MaxLength
+	maxStreamed   = validation.MaxLength
 	chunkOverhead = 8
 )
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -14,9 +14,9 @@
 )
 
 // failingDial has the first connects fail with an errno, and counts all.
-func failingDial(b *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
+func failingDial(pool *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
 	dials = new(atomic.Int32)
-	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dials.Add(1) <= failures {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
@@ -27,7 +27,7 @@
 
 // What the node itself is short of is waited for a moment, and is no evidence against a server. What the network or the server says
 // is told at once.
-func TestAFailedConnectIsTheServersFaultOrTheNodes(t *testing.T) {
+func TestOutcomeOfFailedConnect(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	for _, c := range []struct {
 		errno syscall.Errno
@@ -57,33 +57,33 @@
 			if !c.own {
 				want.ending, want.dials = balancer.Unreachable, 1
 			}
-			b := testBackend(10)
-			dials := failingDial(b, c.errno, failures)
-			r := run(t, b, testAttempt(b, s.Address()))
+			pool := newTestPool(10)
+			dials := failingDial(pool, c.errno, failures)
+			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 			if r.Result != want.ending || dials.Load() != want.dials {
 				t.Errorf("%v %d times: ending %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.ending, want.dials)
 			}
-			b.Close()
-			if b.Connections() != 0 || b.share.Used() != 0 {
-				t.Errorf("%v %d times: %d connections, %d descriptors", c.errno, failures, b.Connections(), b.share.Used())
+			pool.Close()
+			if pool.Connections() != 0 || pool.share.Used() != 0 {
+				t.Errorf("%v %d times: %d connections, %d descriptors", c.errno, failures, pool.Connections(), pool.share.Used())
 			}
 		}
 	}
 }
 
 // An attempt whose time ends while the node is short has not met its server: nothing is said of that.
-func TestAnAttemptThatEndsShortIsVoid(t *testing.T) {
-	b := testBackend(10)
-	dials := failingDial(b, syscall.ENOMEM, 1<<30)
-	a := testAttempt(b, "127.0.0.1:1")
-	a.Deadline = a.Sent + dialPause/2
-	if r := run(t, b, a); r.Result != balancer.NotStarted || dials.Load() != 1 || b.Connections() != 0 {
-		t.Errorf("ending %d after %d dials, %d connections", r.Result, dials.Load(), b.Connections())
+func TestAttemptThatEndsDuringShortageIsNotStarted(t *testing.T) {
+	pool := newTestPool(10)
+	dials := failingDial(pool, syscall.ENOMEM, 1<<30)
+	a := newTestAttempt(pool, "127.0.0.1:1")
+	a.Deadline = a.Sent + dialBackoff/2
+	if r := runAttempt(t, pool, a); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
+		t.Errorf("ending %d after %d dials, %d connections", r.Result, dials.Load(), pool.Connections())
 	}
 }
 
-// receiving has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
-func receiving(errnos ...syscall.Errno) (receive receiver, requests *atomic.Int32) {
+// failingReceiver has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
+func failingReceiver(errnos ...syscall.Errno) (receive receiver, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
 	return func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
 		if n := int(requests.Add(1)); n <= len(errnos) {
@@ -113,17 +113,17 @@
 
 // A look into a connection that is interrupted is made again; one that the system has no memory for says neither that the other side
 // is silent nor that it has spoken or closed.
-func TestALookThatFailsIsNoAnswer(t *testing.T) {
+func TestFailedPeekIsNoInput(t *testing.T) {
 	ours, theirs := tcpPair(t)
 	look := func(errnos ...syscall.Errno) (is, short bool) {
-		receive, _ := receiving(errnos...)
-		return spokenOrClosed(ours, receive)
+		receive, _ := failingReceiver(errnos...)
+		return inputOf(ours, receive)
 	}
 	if is, short := look(syscall.EINTR); is || short {
 		t.Errorf("silent, interrupted: spoken %v, short %v", is, short)
 	}
 	io.WriteString(theirs, "x")
-	testpeer.Until(t, "the byte to arrive", func() bool { return spoken(ours) })
+	testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
 	if is, short := look(syscall.EINTR, syscall.EINTR); !is || short {
 		t.Errorf("a byte, interrupted twice: spoken %v, short %v", is, short)
 	}
@@ -140,16 +140,16 @@
 }
 
 // Who waits for bytes waits on through interruptions and want of memory, also where the bytes came before.
-func TestWaitingForBytesOutlastsFailedLooks(t *testing.T) {
+func TestAwaitInputOutlastsFailedPeeks(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		ours, theirs := tcpPair(t)
 		if before {
 			io.WriteString(theirs, "x")
-			testpeer.Until(t, "the byte to arrive", func() bool { return spoken(ours) })
+			testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
 		}
-		receive, requests := receiving(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
+		receive, requests := failingReceiver(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
 		ready := make(chan struct{})
-		go func() { awaitBytes(ours, receive); close(ready) }()
+		go func() { awaitInput(ours, receive); close(ready) }()
 		if !before {
 			testpeer.Until(t, "the looks that fail, and one that does not", func() bool { return requests.Load() == 4 })
 			select {
@@ -168,25 +168,25 @@
 
 // A fresh connection of which the system can't tell whether its server has spoken carries no request, which is no fault of the
 // server's. One that was idle is replaced.
-func TestAConnectionThatCannotBeLookedIntoIsNotUsed(t *testing.T) {
+func TestConnectionThatCannotBePeekedIsNotUsed(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	b := testBackend(10)
+	pool := newTestPool(10)
 	var short atomic.Bool
-	b.recv = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
+	pool.receive = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
 		if short.Load() {
 			return -1, nil, syscall.ENOMEM
 		}
 		return syscall.Recvfrom(fd, p, flags)
 	}
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
 		t.Fatalf("ending %d", r.Result)
 	}
 	short.Store(true)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.NotStarted || b.Connections() != 0 || s.Seen() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Result, b.Connections(), s.Seen())
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || s.Seen() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Result, pool.Connections(), s.Seen())
 	}
 	short.Store(false)
-	if r := run(t, b, testAttempt(b, s.Address())); r.Result != balancer.Success {
+	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
 		t.Errorf("after the shortage: ending %d", r.Result)
 	}
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -15,28 +15,28 @@
 
 // Times of an upload.
 const (
-	sendStall = 5 * time.Second        // that a server may take nothing of it
-	lastBytes = 200 * time.Millisecond // that an answer may be ahead of the note that its request is written whole
+	maxWriteStall    = 5 * time.Second        // that a server may take nothing of it
+	writeResultGrace = 200 * time.Millisecond // that an answer may be ahead of the note that its request is written whole
 )
 
 // errAttemptOver ends reads of a request for an attempt that has ended.
 var errAttemptOver = errors.New("the attempt is over")
 
-// watched reads the rest of a request for one attempt, and notes what became of it.
-type watched struct {
+// attemptBody reads the rest of a request for one attempt, and notes what became of it.
+type attemptBody struct {
 	io.Reader
-	mu   sync.Mutex
-	used bool  // some of it may be gone
-	over bool  // the attempt has ended
-	cut  bool  // its client has cut it
-	left int64 // that is still to be read; negative: not known
-	last bool  // its end was read
+	mu        sync.Mutex
+	consumed  bool  // some of it may be gone
+	ended     bool  // the attempt has ended
+	failed    bool  // its client has cut it
+	remaining int64 // that is still to be read; negative: not known
+	sawEnd    bool  // its end was read
 }
 
-func (w *watched) Read(p []byte) (int, error) {
+func (w *attemptBody) Read(p []byte) (int, error) {
 	w.mu.Lock()
-	over := w.over
-	w.used = w.used || !over
+	over := w.ended
+	w.consumed = w.consumed || !over
 	w.mu.Unlock()
 	if over {
 		return 0, errAttemptOver
@@ -44,46 +44,46 @@
 	n, err := w.Reader.Read(p)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.left -= int64(n)
-	w.last = w.last || err == io.EOF || n > 0 && w.left == 0
-	w.cut = w.cut || err != nil && err != io.EOF
+	w.remaining -= int64(n)
+	w.sawEnd = w.sawEnd || err == io.EOF || n > 0 && w.remaining == 0
+	w.failed = w.failed || err != nil && err != io.EOF
 	return n, err
 }
 
-// all says that all of it was read, so that its last byte may be on its way.
-func (w *watched) all() bool {
+// isReadWhole says that all of it was read, so that its last byte may be on its way.
+func (w *attemptBody) isReadWhole() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.last
+	return w.sawEnd
 }
 
 // end keeps the attempt from reading more, which may be another one's by then, and tells whether it has.
-func (w *watched) end() (used, cut bool) {
+func (w *attemptBody) end() (used, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
-	return w.used, w.cut
+	w.ended = true
+	return w.consumed, w.failed
 }
 
-// paced writes to a server that takes what it is given.
-type paced struct{ *conn }
+// stallLimited writes to a server that takes what it is given.
+type stallLimited struct{ *conn }
 
-func (p paced) Write(text []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(sendStall))
+func (p stallLimited) Write(text []byte) (int, error) {
+	p.SetWriteDeadline(time.Now().Add(maxWriteStall))
 	return p.conn.Write(text)
 }
 
 // upload sends a request whose body still comes, as it comes. Its time runs from the last byte on. An answer that
 // comes before that ends it: whatever it says, it is no answer to the whole.
-func (b *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
-	rest := &watched{Reader: a.Request.Message.Rest, left: a.Request.Message.Length - int64(len(a.Request.Message.Body))}
+func (p *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
+	rest := &attemptBody{Reader: a.Request.Message.Rest, remaining: a.Request.Message.Length - int64(len(a.Request.Message.Body))}
 	body := io.MultiReader(bytes.NewReader(a.Request.Message.Body), rest)
-	if a.Request.IsLeft(b.clock.Now) {
-		b.giveUp(c, waiter)
+	if a.Request.IsLeft(p.clock.Now) {
+		p.abandon(c, waiter)
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
 	done := make(chan error, 1)
-	go func() { done <- request(a, a.Deadline-a.Sent, body).Write(paced{c}) }()
+	go func() { done <- newRequest(a, a.Deadline-a.Sent, body).Write(stallLimited{c}) }()
 	var (
 		got     reply
 		written bool
@@ -92,16 +92,16 @@
 	complete := func() {
 		written = true
 		c.SetWriteDeadline(time.Time{})
-		b.wrote(c)
-		b.count.Relay()
-		until := a.Uploaded(b.clock.Now())
-		timer := time.AfterFunc(b.clock.Until(until), func() { late.Store(true); b.giveUp(c, waiter) })
+		p.markWritten(c)
+		p.counters.Relay()
+		until := a.Uploaded(p.clock.Now())
+		timer := time.AfterFunc(p.clock.Until(until), func() { late.Store(true); p.abandon(c, waiter) })
 		context.AfterFunc(a.Context(), func() { timer.Stop() })
 	}
 	select {
 	case err := <-done:
 		if err != nil {
-			b.giveUp(c, waiter)
+			p.abandon(c, waiter)
 		} else {
 			complete()
 		}
@@ -112,9 +112,9 @@
 			if err == nil {
 				complete()
 			}
-		case <-time.After(lastBytes):
+		case <-time.After(writeResultGrace):
 			// Only the writer can tell whether the last byte left. The connection is closed by now, which ends its write.
-			if got.err != nil && rest.all() && <-done == nil {
+			if got.err != nil && rest.isReadWhole() && <-done == nil {
 				complete()
 			}
 		}
@@ -124,9 +124,9 @@
 	switch {
 	case got.err == nil && written:
 	case got.err == nil:
-		b.mu.Lock()
-		b.drop(c)
-		b.mu.Unlock()
+		p.mu.Lock()
+		p.discard(c)
+		p.mu.Unlock()
 		if got.Reply.Rest != nil {
 			got.Reply.Rest.Close()
 		}
