--- a/internal/http1/pass.go
+++ b/internal/http1/pass.go
@@ -1,10 +1,11 @@
 package http1
 
 import (
-	"damsontrestle/internal/engine"
 	"io"
 	"net/http"
 	"time"
+
+	"damsontrestle/internal/engine"
 )
 
 // stall is how long a client may take nothing of a response that passes through.
--- a/internal/http1/shortage_test.go
+++ b/internal/http1/shortage_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"damsontrestle/internal/testpeer"
-	"damsontrestle/internal/upstream"
 	"net"
 	"os"
 	"sync/atomic"
 	"syscall"
 	"testing"
+
+	"damsontrestle/internal/testpeer"
+	"damsontrestle/internal/upstream"
 )
 
 // An unsafe request goes on though the node was short for longer than one attempt waits: nothing of it ran.
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -1,16 +1,17 @@
 package upstream
 
 import (
-	"damsontrestle/internal/balancer"
-	"damsontrestle/internal/discovery"
-	"damsontrestle/internal/engine"
-	"damsontrestle/internal/testpeer"
 	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/discovery"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 // An attempt whose connection comes up late does not begin if it may not by then: no byte of it is written, and its end
@@ -66,7 +67,7 @@
 			c.cross(pool, a)
 			close(dial.Up)
 			if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != c.want || pool.Connections() != 0 {
-				t.Errorf("ending %d, %d open; want %d", r.Result, pool.Connections(), c.want)
+				t.Errorf("result %d, %d open; want %d", r.Result, pool.Connections(), c.want)
 			}
 			if n := testpeer.Receive(t, closed, "the close"); n != 0 {
 				t.Error("a byte of it was written")
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -3,9 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"damsontrestle/internal/balancer"
-	"damsontrestle/internal/engine"
-	"damsontrestle/internal/testpeer"
 	"io"
 	"net"
 	"net/http"
@@ -13,6 +10,10 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"damsontrestle/internal/balancer"
+	"damsontrestle/internal/engine"
+	"damsontrestle/internal/testpeer"
 )
 
 // A write that ends within the request proves that nothing ran, whatever ended it, and is the node's own fault or the server's. Once
@@ -57,7 +58,7 @@
 			kept = 1
 		}
 		if r.Result != c.want || s.Seen() != c.seen || pool.Connections() != kept {
-			t.Errorf("read %d, write %d: ending %d, %d requests at the server, %d connections; want %d, %d, %d",
+			t.Errorf("read %d, write %d: result %d, %d requests at the server, %d connections; want %d, %d, %d",
 				c.read, c.write, r.Result, s.Seen(), pool.Connections(), c.want, c.seen, kept)
 		}
 		pool.Close()
@@ -104,14 +105,14 @@
 		testpeer.Until(t, "the connection's end", func() bool { return pool.Connections() == 0 })
 		select {
 		case r := <-end:
-			t.Errorf("length %d: ending %d before the writer has told", length, r.Result)
+			t.Errorf("length %d: result %d before the writer has told", length, r.Result)
 			close(released)
 			continue
 		case <-time.After(writeResultGrace + writeResultGrace/4):
 		}
 		close(released)
 		if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != balancer.ConnectionLost || !r.Spent {
-			t.Errorf("length %d: ending %d, spent %v", length, r.Result, r.Spent)
+			t.Errorf("length %d: result %d, spent %v", length, r.Result, r.Spent)
 		}
 	}
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -86,7 +86,7 @@
 	release()
 	for range 2 {
 		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Result != balancer.Success {
-			t.Errorf("ending %d", r.Result)
+			t.Errorf("result %d", r.Result)
 		}
 	}
 	if s.Opened() != 1 {
@@ -95,7 +95,7 @@
 	let()
 	testpeer.Until(t, "the late connection to be kept", func() bool { return pool.idleCount() == 2 })
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.Connections() != 2 || pool.dialed != 2 {
-		t.Errorf("ending %d over %d connections, %d made; want two", r.Result, pool.Connections(), pool.dialed)
+		t.Errorf("result %d over %d connections, %d made; want two", r.Result, pool.Connections(), pool.dialed)
 	}
 }
 
@@ -113,14 +113,14 @@
 	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantCount() == 1 })
 	a.Cancel()
 	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
-		t.Errorf("ending %d", r.Result)
+		t.Errorf("result %d", r.Result)
 	}
 	if pool.wantCount() != 0 || pool.Connections() != 1 {
 		t.Errorf("%d would borrow, %d connections; want none, 1", pool.wantCount(), pool.Connections())
 	}
 	release()
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success || s.Seen() != 1 {
-		t.Errorf("ending %d, %d requests at the server", r.Result, s.Seen())
+		t.Errorf("result %d, %d requests at the server", r.Result, s.Seen())
 	}
 }
 
@@ -141,7 +141,7 @@
 		t.Errorf("%d rest, %d borrow; want 1, 0", pool.idleCount(), pool.wantCount())
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 {
-		t.Errorf("ending %d, %d connections made", r.Result, pool.dialed)
+		t.Errorf("result %d, %d connections made", r.Result, pool.dialed)
 	}
 }
 
@@ -158,7 +158,7 @@
 		t.Fatalf("%v, %v; want room for another connection", c, err)
 	}
 	go func() {
-		c, _, _ := pool.dialOrReuse(t.Context(), listServer(pool, s.Address()), waiter)
+		c, _, _, _ := pool.dialOrReuse(t.Context(), listServer(pool, s.Address()), waiter)
 		lent <- c
 	}()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
@@ -174,7 +174,7 @@
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success {
-		t.Errorf("ending %d", r.Result)
+		t.Errorf("result %d", r.Result)
 	}
 }
 
@@ -187,7 +187,7 @@
 		})
 		pool := newTestPool(10)
 		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
-			t.Errorf("%q: ending %d, settled %v", header, r.Result, r.Settled)
+			t.Errorf("%q: result %d, settled %v", header, r.Result, r.Settled)
 		}
 	}
 }
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -104,7 +104,7 @@
 		}
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 || pool.open != 1 {
-		t.Errorf("ending %d, %d connections made, %d open; want one that serves all", r.Result, pool.dialed, pool.open)
+		t.Errorf("result %d, %d connections made, %d open; want one that serves all", r.Result, pool.dialed, pool.open)
 	}
 	for _, want := range []string{"/stats ", "/stats ", "/stats ", "/note/k id"} {
 		if got := <-ids; got != want {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -111,7 +111,7 @@
 			h := listServer(pool, s.Address())
 			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 			if r.Result != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
-				t.Errorf("ending %d, body %q; want %d", r.Result, r.Reply.Body, c.want)
+				t.Errorf("result %d, body %q; want %d", r.Result, r.Reply.Body, c.want)
 			}
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
@@ -125,7 +125,7 @@
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	pool := newTestPool(10)
 	if r := runAttempt(t, pool, newTestAttempt(pool, testpeer.ClosedPort(t))); r.Result != balancer.Unreachable || pool.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, pool.open)
+		t.Errorf("result %d, %d open", r.Result, pool.open)
 	}
 }
 
@@ -157,7 +157,7 @@
 	pool := newTestPool(10)
 	pool.limits.ConnectTimeout = 50 * time.Millisecond
 	if r := runAttempt(t, pool, newTestAttempt(pool, addr)); r.Result != balancer.Unreachable || pool.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, pool.open)
+		t.Errorf("result %d, %d open", r.Result, pool.open)
 	}
 }
 
@@ -181,7 +181,7 @@
 	pool := newTestPool(10)
 	pool.addIdle(halfConn{nc}, listServer(pool, s.Address()))
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Unreachable || pool.open != 0 {
-		t.Errorf("ending %d, %d open", r.Result, pool.open)
+		t.Errorf("result %d, %d open", r.Result, pool.open)
 	}
 	if s.Seen() != 0 {
 		t.Error("the server got the request")
@@ -236,7 +236,7 @@
 			}
 			testpeer.Until(t, "it to arrive", func() bool { return hasInput(nc) })
 			if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || pool.open != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.Result, r.Reply.Body, pool.open)
+				t.Errorf("result %d, body %q, %d open", r.Result, r.Reply.Body, pool.open)
 			}
 		})
 	}
@@ -287,7 +287,7 @@
 			go func() { <-got; a.Cancel() }()
 		}
 		if r := runAttempt(t, pool, a); r.Result != want || pool.open != 0 {
-			t.Errorf("ending %d, %d open; want %d", r.Result, pool.open, want)
+			t.Errorf("result %d, %d open; want %d", r.Result, pool.open, want)
 		}
 		testpeer.Receive(t, gone, "the close")
 	}
@@ -303,17 +303,17 @@
 	})
 	pool := newTestPool(1)
 	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.Success {
-		t.Fatalf("ending %d", r.Result)
+		t.Fatalf("result %d", r.Result)
 	}
 	end := make(chan engine.Outcome, 1)
 	go func() { end <- pool.Run(newTestAttempt(pool, two.Address())) }()
 	testpeer.Receive(t, got, "the attempt that took the idle one's place")
 	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.NotStarted {
-		t.Errorf("with no descriptor left: ending %d, want Void", r.Result)
+		t.Errorf("with no descriptor left: result %d, want NotStarted", r.Result)
 	}
 	close(hold)
 	if r := testpeer.Receive(t, end, "the attempt"); r.Result != balancer.Success {
-		t.Errorf("ending %d", r.Result)
+		t.Errorf("result %d", r.Result)
 	}
 	if one.Seen() != 1 || pool.open != 1 {
 		t.Errorf("%d requests at the first server, %d connections open", one.Seen(), pool.open)
@@ -329,7 +329,7 @@
 			pool.CloseIdle(listServer(pool, s.Address()))
 		}
 		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != made || pool.open != 1 {
-			t.Errorf("ending %d, %d connections made, %d open; want %d and 1", r.Result, pool.dialed, pool.open, made)
+			t.Errorf("result %d, %d connections made, %d open; want %d and 1", r.Result, pool.dialed, pool.open, made)
 		}
 	}
 }
@@ -359,7 +359,7 @@
 	pool := newTestPool(2)
 	for _, s := range []*testpeer.Server{one, two} {
 		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
-			t.Fatalf("ending %d", r.Result)
+			t.Fatalf("result %d", r.Result)
 		}
 	}
 	pool.SetLimits(Limits{MaxConnections: 1, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
@@ -367,33 +367,32 @@
 		t.Errorf("%d connections, %d descriptors", pool.Connections(), pool.share.Used())
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, two.Address())); r.Result != balancer.Success || two.Opened() != 1 {
-		t.Errorf("ending %d on connection %d: the one idle for longest should have gone", r.Result, two.Opened())
+		t.Errorf("result %d on connection %d: the one idle for longest should have gone", r.Result, two.Opened())
 	}
 	other := NewPool(clock.New(), pool.share, pool.counters, Limits{MaxConnections: 10, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
 	pool.share.Resize(1)
 	if r := runAttempt(t, other, newTestAttempt(other, one.Address())); r.Result != balancer.NotStarted {
-		t.Errorf("with no descriptor left for servers: ending %d, want Void", r.Result)
+		t.Errorf("with no descriptor left for servers: result %d, want NotStarted", r.Result)
 	}
 	pool.Close()
 	if pool.Connections() != 0 || pool.share.Used() != 0 {
 		t.Errorf("%d connections, %d descriptors after Close", pool.Connections(), pool.share.Used())
 	}
 	if r := runAttempt(t, other, newTestAttempt(other, one.Address())); r.Result != balancer.Success {
-		t.Errorf("ending %d", r.Result)
+		t.Errorf("result %d", r.Result)
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.NotStarted { // the other has the only one
-		t.Errorf("ending %d", r.Result)
+		t.Errorf("result %d", r.Result)
 	}
 	other.Close()
 	if r := runAttempt(t, pool, newTestAttempt(pool, one.Address())); r.Result != balancer.Success || pool.Connections() != 0 {
-		t.Errorf("after Close: ending %d, %d connections kept", r.Result, pool.Connections())
+		t.Errorf("after Close: result %d, %d connections kept", r.Result, pool.Connections())
 	}
 }
 
-// hasInput asks the system what inputOf does.
+// hasInput reports whether a connection has something to read, or has ended.
 func hasInput(nc net.Conn) bool {
-	is, _ := inputOf(nc, syscall.Recvfrom)
-	return is
+	return inputOf(nc, syscall.Recvfrom) == inputPending
 }
 
 // Servers and attempts that are ever new leave nothing behind in the pool.
@@ -406,7 +405,7 @@
 		request := engine.NewRequest(fmt.Sprint("r-", i), engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
 		now := pool.clock.Now()
 		if r := runAttempt(t, pool, engine.NewAttempt(request, 0, target.Host(), now, now+testpeer.Limit)); r.Result != balancer.Success {
-			t.Fatalf("round %d: ending %d", i, r.Result)
+			t.Fatalf("round %d: result %d", i, r.Result)
 		}
 	}
 	for i := range 50 {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -2,25 +2,90 @@
 
 import (
 	"bytes"
+	"io"
 	"net/http"
 	"net/textproto"
+	"net/url"
 	"strconv"
 	"strings"
 	"time"
 
+	"damsontrestle/internal/balancer"
 	"damsontrestle/internal/engine"
 )
 
+// backendHost is the Host field of every request to a server.
+const backendHost = "backend.local"
+
+// maxTextAge is how much older a request's text may be than the look at its client that goes before its writing: a process may
+// be held up between the two.
+const maxTextAge = 10 * time.Millisecond
+
+// requestText returns the request of an attempt as it is to be written now; or, with nil, how the attempt ends because its time
+// is over or its client has disconnected.
+func (p *Pool) requestText(a *engine.Attempt) (text []byte, result balancer.Result) {
+	for {
+		remaining := p.clock.Until(a.Deadline)
+		if remaining <= 0 {
+			return nil, balancer.NotStarted
+		}
+		text, err := wholeRequest(a, remaining)
+		if err != nil {
+			return nil, balancer.NotStarted
+		}
+		if a.Request.IsLeft(p.clock.Now) {
+			return nil, balancer.Cancelled
+		}
+		if remaining-p.clock.Until(a.Deadline) <= maxTextAge {
+			return text, 0
+		}
+	}
+}
+
+// newRequest returns what goes to a server, to be answered within the remaining time. Method, target, body, id and idempotency
+// key go on as they came.
+func newRequest(a *engine.Attempt, remaining time.Duration, body io.Reader) *http.Request {
+	message := &a.Request.Message
+	header := http.Header{
+		"User-Agent":   {""}, // none
+		"X-Request-Id": {a.Request.ID},
+		"X-Deadline":   {string(appendDeadline(nil, remaining))},
+	}
+	if message.Key != "" {
+		header["Idempotency-Key"] = []string{message.Key}
+	}
+	for _, f := range message.Beside {
+		header[f.Name] = []string{f.Value}
+	}
+	if message.ContentType != "" {
+		header["Content-Type"] = []string{message.ContentType}
+	}
+	r := &http.Request{
+		Method:        message.Method,
+		URL:           &url.URL{Opaque: message.Target},
+		Host:          backendHost,
+		Header:        header,
+		ContentLength: int64(len(message.Body)),
+	}
+	if message.Rest != nil {
+		r.ContentLength = message.Length
+	}
+	if r.ContentLength != 0 {
+		r.Body = io.NopCloser(body)
+	}
+	return r
+}
+
 // headCapacity is more than the head of a request takes that has nothing long in it.
 const headCapacity = 512
 
-// wholeRequest is the text of a request whose body is kept complete. The usual ones are put together here, byte for byte as
+// wholeRequest returns the text of a request whose body is complete. The usual ones are put together here, byte for byte as
 // net/http would, which takes a header, a URL and readers to do so.
-func wholeRequest(a *engine.Attempt, left time.Duration) ([]byte, error) {
+func wholeRequest(a *engine.Attempt, remaining time.Duration) ([]byte, error) {
 	r := &a.Request.Message
 	if !isPlain(r) {
 		var out bytes.Buffer
-		err := newRequest(a, left, bytes.NewReader(r.Body)).Write(&out)
+		err := newRequest(a, remaining, bytes.NewReader(r.Body)).Write(&out)
 		return out.Bytes(), err
 	}
 	text := make([]byte, 0, headCapacity+len(r.Body))
@@ -40,17 +105,22 @@
 		text = appendField(text, "Idempotency-Key", r.Key)
 	}
 	text = append(text, "X-Deadline: "...)
-	text = appendDeadline(text, left)
+	text = appendDeadline(text, remaining)
 	text = append(text, "\r\n"...)
 	text = appendField(text, "X-Request-Id", a.Request.ID)
 	text = append(text, "\r\n"...)
 	return append(text, r.Body...), nil
 }
 
-// isPlain says that a request has nothing that net/http would look at closely.
+// isPlain reports whether a request has nothing that net/http would check or rewrite.
 func isPlain(r *engine.Message) bool {
-	return (r.Method == http.MethodGet || r.Method == http.MethodPost) && len(r.Beside) == 0 &&
-		strings.HasPrefix(r.Target, "/") && !strings.HasPrefix(r.Target, "//") && !strings.ContainsFunc(r.Target, isControl)
+	if r.Method != http.MethodGet && r.Method != http.MethodPost {
+		return false
+	}
+	if len(r.Beside) > 0 {
+		return false
+	}
+	return strings.HasPrefix(r.Target, "/") && !strings.HasPrefix(r.Target, "//") && !strings.ContainsFunc(r.Target, isControl)
 }
 
 func isControl(c rune) bool { return c < ' ' || c == 0x7f }
@@ -66,8 +136,8 @@
 	return append(text, "\r\n"...)
 }
 
-// appendDeadline adds how many seconds are left, to the microsecond below: no server is told more than is left.
-func appendDeadline(text []byte, left time.Duration) []byte {
-	left = max(left, time.Microsecond).Truncate(time.Microsecond)
-	return strconv.AppendFloat(text, left.Seconds(), 'f', 6, 64)
+// appendDeadline adds the remaining seconds, rounded down to the microsecond: no server is told more than is left.
+func appendDeadline(text []byte, remaining time.Duration) []byte {
+	remaining = max(remaining, time.Microsecond).Truncate(time.Microsecond)
+	return strconv.AppendFloat(text, remaining.Seconds(), 'f', 6, 64)
 }
--- a/internal/upstream/shortage.go
+++ b/internal/upstream/shortage.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// isLocalShortage says that a system call failed for want of something on this machine, or was interrupted: no server is at fault,
+// isLocalShortage reports whether a system call failed for want of something on this machine, or was interrupted: no server is at fault,
 // and the same request may pass a moment later. Of a connect or a write it proves that nothing beyond what was counted has left.
 func isLocalShortage(err error) bool {
 	var errno syscall.Errno
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -1,39 +1,65 @@
 package upstream
 
 import (
-	"damsontrestle/internal/netio"
 	"net"
+	"strconv"
 	"syscall"
 	"time"
+
+	"damsontrestle/internal/netio"
 )
 
-// rawConn is the connection below the runtime's, or nil if there is none.
-func rawConn(nc net.Conn) syscall.RawConn {
-	if sc, ok := nc.(syscall.Conn); ok {
-		if raw, err := sc.SyscallConn(); err == nil {
-			return raw
-		}
+// inputState says what the kernel's buffer of a connection holds.
+type inputState int
+
+const (
+	inputNone    inputState = iota // open, and everything that came was read
+	inputPending                   // unread bytes, an error, or the other side's close
+	inputUnknown                   // the system was out of memory and could not tell
+)
+
+// String names the state.
+func (s inputState) String() string {
+	switch s {
+	case inputNone:
+		return "none"
+	case inputPending:
+		return "pending"
+	case inputUnknown:
+		return "unknown"
 	}
-	return nil
+	return "input state " + strconv.Itoa(int(s))
 }
 
 // receiver is syscall.Recvfrom, or what a test has instead.
 type receiver func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
-// peekInput looks into the kernel's buffer of a connection: whether its other side has said something that was not read yet, or has
-// closed. short: it could not be told, for the system was out of memory.
-func peekInput(fd uintptr, receive receiver) (spoken, short bool) {
+// rawConn returns the connection below the runtime's, or nil if there is none.
+func rawConn(nc net.Conn) syscall.RawConn {
+	sc, ok := nc.(syscall.Conn)
+	if !ok {
+		return nil
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return nil
+	}
+	return raw
+}
+
+// peekInput looks into the kernel's buffer of a connection without reading it.
+func peekInput(fd uintptr, receive receiver) inputState {
 	var one [1]byte
 	for {
 		_, _, err := receive(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch err {
 		case syscall.EINTR:
 		case syscall.EAGAIN:
-			return false, false
+			return inputNone
 		case syscall.ENOMEM, syscall.ENOBUFS:
-			return false, true
+			return inputUnknown
 		default:
-			return true, false
+			return inputPending
 		}
 	}
 }
@@ -45,26 +71,29 @@
 		return
 	}
 	for {
-		var short bool
+		state := inputNone
 		err := raw.Read(func(fd uintptr) bool {
-			var spoken bool
-			spoken, short = peekInput(fd, receive)
-			return spoken || short // what was short is not waited for: its bytes may have come already, and wake nobody
+			state = peekInput(fd, receive)
+			return state != inputNone // inputUnknown isn't waited on: the bytes may have come already, and wake nobody
 		})
-		if err != nil || !short { // an error shows at the next read
+		if err != nil || state != inputUnknown { // an error shows at the next read
 			return
 		}
 		time.Sleep(netio.RetryPause)
 	}
 }
 
-// inputOf asks the same without waiting.
-func inputOf(nc net.Conn, receive receiver) (is, short bool) {
+// inputOf returns the state of a connection's input now. A connection that can't be looked into counts as pending, one
+// without a socket as none.
+func inputOf(nc net.Conn, receive receiver) inputState {
 	raw := rawConn(nc)
 	if raw == nil {
-		return false, false
+		return inputNone
 	}
+	state := inputNone
 	// Control and not Read: the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { is, short = peekInput(fd, receive) })
-	return is || err != nil, short
+	if err := raw.Control(func(fd uintptr) { state = peekInput(fd, receive) }); err != nil {
+		return inputPending
+	}
+	return state
 }
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -1,17 +1,15 @@
 package upstream
 
 import (
-	"errors"
+	"fmt"
 	"io"
 	"time"
-
-	"damsontrestle/internal/validation"
 )
 
-// maxReadStall is how long a server may say nothing in the midst of a reply that passes through.
+// maxReadStall is how long a server may send nothing in the midst of a reply that passes through.
 const maxReadStall = 10 * time.Second
 
-// replyStream is the rest of an answer that passes through, read from its server's connection as its client takes it.
+// replyStream is the rest of a reply that passes through, read from its server's connection as its client takes it.
 // The connection is of use to others once all has been read.
 type replyStream struct {
 	pool      *Pool
@@ -22,6 +20,7 @@
 	ended     bool
 }
 
+// Read implements io.Reader. Every error but io.EOF is errIncomplete.
 func (s *replyStream) Read(p []byte) (int, error) {
 	if s.ended {
 		return 0, errIncomplete
@@ -31,9 +30,9 @@
 	s.remaining -= int64(n)
 	switch {
 	case s.remaining < 0:
-		err = errors.Join(errIncomplete, errReplyTooLong)
+		err = fmt.Errorf("%w: %w", errIncomplete, errReplyTooLong)
 	case err != nil && err != io.EOF:
-		err = errors.Join(errIncomplete, err)
+		err = fmt.Errorf("%w: %w", errIncomplete, err)
 	}
 	if err != nil {
 		s.end(err == io.EOF)
@@ -41,12 +40,13 @@
 	return n, err
 }
 
-// Close closes the connection unless all was read.
+// Close implements io.Closer: it closes the connection unless all was read.
 func (s *replyStream) Close() error {
 	s.end(false)
 	return nil
 }
 
+// end gives the connection back, or closes it if the reply was not read completely.
 func (s *replyStream) end(complete bool) {
 	if s.ended {
 		return
@@ -65,9 +65,3 @@
 	p.putIdle(s.conn)
 	go p.watchReplies(s.conn)
 }
-
-// maxStreamed bounds the answers that pass through, and what they may take on the wire in chunks of any size.
-const (
-	maxStreamed   = validation.MaxLength
-	chunkOverhead = 8
-)
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -61,7 +61,7 @@
 			dials := failingDial(pool, c.errno, failures)
 			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 			if r.Result != want.ending || dials.Load() != want.dials {
-				t.Errorf("%v %d times: ending %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.ending, want.dials)
+				t.Errorf("%v %d times: result %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.ending, want.dials)
 			}
 			pool.Close()
 			if pool.Connections() != 0 || pool.share.Used() != 0 {
@@ -78,7 +78,7 @@
 	a := newTestAttempt(pool, "127.0.0.1:1")
 	a.Deadline = a.Sent + dialBackoff/2
 	if r := runAttempt(t, pool, a); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
-		t.Errorf("ending %d after %d dials, %d connections", r.Result, dials.Load(), pool.Connections())
+		t.Errorf("result %d after %d dials, %d connections", r.Result, dials.Load(), pool.Connections())
 	}
 }
 
@@ -115,26 +115,26 @@
 // is silent nor that it has spoken or closed.
 func TestFailedPeekIsNoInput(t *testing.T) {
 	ours, theirs := tcpPair(t)
-	look := func(errnos ...syscall.Errno) (is, short bool) {
+	peek := func(errnos ...syscall.Errno) inputState {
 		receive, _ := failingReceiver(errnos...)
 		return inputOf(ours, receive)
 	}
-	if is, short := look(syscall.EINTR); is || short {
-		t.Errorf("silent, interrupted: spoken %v, short %v", is, short)
+	if got := peek(syscall.EINTR); got != inputNone {
+		t.Errorf("silent, interrupted: input %v, want none", got)
 	}
 	io.WriteString(theirs, "x")
 	testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
-	if is, short := look(syscall.EINTR, syscall.EINTR); !is || short {
-		t.Errorf("a byte, interrupted twice: spoken %v, short %v", is, short)
+	if got := peek(syscall.EINTR, syscall.EINTR); got != inputPending {
+		t.Errorf("a byte, interrupted twice: input %v, want pending", got)
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
-		if is, short := look(errno); is || !short {
-			t.Errorf("%v: spoken %v, short %v", errno, is, short)
+		if got := peek(errno); got != inputUnknown {
+			t.Errorf("%v: input %v, want unknown", errno, got)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
-		if is, short := look(errno); !is || short {
-			t.Errorf("%v: spoken %v, short %v", errno, is, short)
+		if got := peek(errno); got != inputPending {
+			t.Errorf("%v: input %v, want pending", errno, got)
 		}
 	}
 }
@@ -179,14 +179,14 @@
 		return syscall.Recvfrom(fd, p, flags)
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
-		t.Fatalf("ending %d", r.Result)
+		t.Fatalf("result %d", r.Result)
 	}
 	short.Store(true)
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || s.Seen() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests at the server; want Void, none, 1", r.Result, pool.Connections(), s.Seen())
+		t.Errorf("result %d, %d connections, %d requests at the server; want NotStarted, none, 1", r.Result, pool.Connections(), s.Seen())
 	}
 	short.Store(false)
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
-		t.Errorf("after the shortage: ending %d", r.Result)
+		t.Errorf("after the shortage: result %d", r.Result)
 	}
 }
