--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -9,9 +9,9 @@
 
 // Bounds of what is read ahead, in bytes. What comes beyond is thrown away, and the answer under way is the last.
 const (
-	aheadMost  = validation.MaxBody + maxHeader // of one connection: room for one complete request
-	aheadTotal = 4 << 20                        // of all connections of a front end
-	aheadStep  = 4 << 10
+	maxConnAhead  = validation.MaxBody + maxHeaderBytes // of one connection: room for one complete request
+	maxTotalAhead = 4 << 20                             // of all connections of a front end
+	aheadBuffer   = 4 << 10
 )
 
 // takeAhead hands out what was read ahead, and then how reading ended, if it has.
@@ -19,10 +19,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ahead) == 0 {
-		return 0, c.end
+		return 0, c.readErr
 	}
 	n := copy(p, c.ahead)
-	c.aheadOfAll.Add(int64(-n))
+	c.totalAhead.Add(int64(-n))
 	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
 		c.ahead = nil
 	}
@@ -33,12 +33,12 @@
 func (c *clientConn) keepAhead(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ahead)+len(p) > aheadMost || c.aheadOfAll.Load()+int64(len(p)) > aheadTotal {
-		c.flooded = true
+	if len(c.ahead)+len(p) > maxConnAhead || c.totalAhead.Load()+int64(len(p)) > maxTotalAhead {
+		c.aheadOverflow = true
 	}
-	if !c.flooded {
+	if !c.aheadOverflow {
 		c.ahead = append(c.ahead, p...)
-		c.aheadOfAll.Add(int64(len(p)))
+		c.totalAhead.Add(int64(len(p)))
 	}
 }
 
@@ -46,7 +46,7 @@
 func (c *clientConn) dropAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aheadOfAll.Add(int64(-len(c.ahead)))
+	c.totalAhead.Add(int64(-len(c.ahead)))
 	c.ahead = nil
 }
 
@@ -54,19 +54,19 @@
 func (c *clientConn) startAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end == nil {
-		c.reader = make(chan struct{})
-		go c.readAhead(c.reader)
+	if c.readErr == nil {
+		c.aheadDone = make(chan struct{})
+		go c.readAhead(c.aheadDone)
 	}
 }
 
 // stopAhead returns once nobody reads ahead any more.
 func (c *clientConn) stopAhead() {
 	c.mu.Lock()
-	reader := c.reader
-	c.reader = nil
+	reader := c.aheadDone
+	c.aheadDone = nil
 	if reader != nil {
-		c.stopping = true
+		c.stoppingAhead = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 	c.mu.Unlock()
@@ -76,8 +76,8 @@
 	<-reader
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopping = false
-	if !c.leaving {
+	c.stoppingAhead = false
+	if !c.closing {
 		c.Conn.SetReadDeadline(c.deadline)
 	}
 }
@@ -85,10 +85,10 @@
 // readAhead reads until the connection's end, or until it is stopped.
 func (c *clientConn) readAhead(done chan struct{}) {
 	defer close(done)
-	buf := make([]byte, aheadStep)
+	buf := make([]byte, aheadBuffer)
 	for {
 		n, err := netio.Read(c.Conn, buf)
-		c.note(buf[:n], err)
+		c.noteRead(buf[:n], err)
 		c.keepAhead(buf[:n])
 		if err != nil {
 			return
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -19,7 +19,7 @@
 
 // A repeat of a keyed request is decided on inside its window, and its connection takes until after it: the request fails
 // rather than repeats.
-func TestAKeyedRepeatWhoseConnectionComesUpLateIsNotSent(t *testing.T) {
+func TestIdempotentRetryAfterItsWindowIsNotSent(t *testing.T) {
 	breaks := func(c net.Conn, _ *http.Request, _ string) bool { return false } // it may have run
 	one, two := testpeer.NewServer(t, breaks), testpeer.NewServer(t, breaks)
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service")))
@@ -28,9 +28,9 @@
 			cfg.Classes[i].Window = config.Duration(200 * time.Millisecond)
 		}
 	}
-	n := start(t, cfg, func(n *rig) {
+	n := start(t, cfg, func(n *testNode) {
 		dials := 0
-		n.back.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
+		n.upstream.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials++; dials > 1 {
 				time.Sleep(200 * time.Millisecond) // what was decided before is late by then, however fast the machine
 			}
@@ -54,20 +54,20 @@
 
 // Whose client leaves while a connection is on its way up is sent nowhere, also where the settings forbid to call off what
 // has begun.
-func TestNothingBeginsForAClientThatLeftWhileItsConnectionCameUp(t *testing.T) {
+func TestDisconnectDuringDialBeginsNothing(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		s := testpeer.NewServer(t, testpeer.Echo)
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Pools[0].Cancel = cancels
 		dial := testpeer.NewLateDial()
-		n := start(t, cfg, func(n *rig) { n.back.SetDial(dial.Dial) })
+		n := start(t, cfg, func(n *testNode) { n.upstream.SetDial(dial.Dial) })
 		c := testpeer.Dial(t, n.Addr())
 		c.Get("leaving")
 		testpeer.Receive(t, dial.Dialing, "the attempt to dial")
 		c.Close()
 		testpeer.Until(t, "the engine to hear of it", func() bool { return n.engine.Status().Disconnected == 1 })
 		close(dial.Up)
-		testpeer.Until(t, "the attempt to end", func() bool { return n.back.Connections() == 0 && n.engine.Status().Open == 0 })
+		testpeer.Until(t, "the attempt to end", func() bool { return n.upstream.Connections() == 0 && n.engine.Status().Open == 0 })
 		if s.Seen() != 0 {
 			t.Errorf("cancels %v: the server got the request", cancels)
 		}
@@ -90,7 +90,7 @@
 
 // Whose client leaves in the middle of its body, which nobody reads while a connection is on its way up, is sent nowhere, and
 // its request ends.
-func TestNothingBeginsForAnUploadWhoseClientLeft(t *testing.T) {
+func TestDisconnectDuringUploadBeginsNothing(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 	}()
 	dial := testpeer.NewLateDial()
 	accepted := make(chan net.Conn, 1)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *rig) {
-		n.back.SetDial(dial.Dial)
-		n.ln = keptListener{n.ln, accepted}
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *testNode) {
+		n.upstream.SetDial(dial.Dial)
+		n.listener = keptListener{n.listener, accepted}
 	})
 	c := testpeer.Dial(t, n.Addr())
 	io.WriteString(c, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: u\r\nX-Deadline: 60\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
@@ -120,14 +120,14 @@
 	if text := testpeer.Receive(t, written, "the close"); text != "" {
 		t.Errorf("%d bytes were written, %.40q", len(text), text)
 	}
-	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.callers.Open() == 0 })
+	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.clients.Open() == 0 })
 	if got := n.engine.Status(); got.Disconnected != 1 {
 		t.Errorf("%d have gone, want 1", got.Disconnected)
 	}
 }
 
 // A second answer that comes late, when the next request is out, is nobody's: that request went over another connection.
-func TestASecondAnswerThatComesLateIsNobodys(t *testing.T) {
+func TestLateSecondReplyIsDiscarded(t *testing.T) {
 	next := make(chan struct{})
 	var late sync.WaitGroup
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -143,7 +143,7 @@
 		}
 		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.setSettle(testpeer.Limit) // however slow the machine
 	})
 	c := testpeer.Dial(t, n.Addr())
@@ -157,7 +157,7 @@
 }
 
 // A further attempt tells its server what is left to the client, not what was at first.
-func TestAFurtherAttemptTellsWhatIsLeft(t *testing.T) {
+func TestRetrySendsRemainingDeadline(t *testing.T) {
 	const wait = 20 * time.Second
 	var attempts atomic.Int64
 	var spent atomic.Int64
--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -27,7 +27,7 @@
 }
 
 // heldRequest has a request at a server that holds it, from a client on a connection that can be made to fail.
-func heldRequest(t *testing.T) (n *rig, c *testpeer.Caller, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
+func heldRequest(t *testing.T) (n *testNode, c *testpeer.Caller, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
 	hold, got, gone := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	s := testpeer.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
@@ -42,8 +42,8 @@
 		return false
 	})
 	accepted := make(chan *testpeer.FaultyConn, 10)
-	n = start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.ln = faultyListener{n.ln, accepted}
+	n = start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.listener = faultyListener{n.listener, accepted}
 	})
 	c = testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "held", "x", "60")
@@ -53,13 +53,13 @@
 }
 
 // A client whose connection ends in any way has gone: its attempt is called off, and its connection leaves nothing behind.
-func TestAnyEndOfAClientsConnectionIsItsEnd(t *testing.T) {
+func TestAnyConnectionErrorDisconnectsClient(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
 		n, c, conn, _, ended := heldRequest(t)
 		conn.Fail(errno, 0)
 		io.WriteString(c, "G")
 		testpeer.Receive(t, ended, "the attempt's end")
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Open() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Open() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Disconnected != 1 || st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
@@ -68,7 +68,7 @@
 }
 
 // An answer that can't be written ends its connection, and nothing else.
-func TestAnAnswerThatCannotBeWrittenEndsItsConnection(t *testing.T) {
+func TestFailedResponseWriteClosesConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
 		n, c, conn, release, _ := heldRequest(t)
 		conn.Fail(0, errno)
@@ -77,7 +77,7 @@
 		if len(text) == 0 || len(text) > 60 {
 			t.Errorf("%v: the client got %q", errno, text)
 		}
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.callers.Open() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Open() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
@@ -86,7 +86,7 @@
 }
 
 // A client's connection on which a request fails in passing is no end: it gets its answer whole.
-func TestAClientsConnectionOutlastsWhatPasses(t *testing.T) {
+func TestClientConnectionOutlastsTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
 		_, c, conn, release, _ := heldRequest(t)
 		conn.Fail(errno, errno)
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -29,12 +29,12 @@
 }
 
 // untilIdle waits for a connection to be idle: a request is over a little after its answer.
-func untilIdle(t *testing.T, n *rig) {
+func untilIdle(t *testing.T, n *testNode) {
 	t.Helper()
-	testpeer.Until(t, "a connection to be idle", func() bool { return n.callers.In(downstream.Idle) > 0 })
+	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.In(downstream.Idle) > 0 })
 }
 
-func TestCallersBeyondTheBudget(t *testing.T) {
+func TestClientConnectionsBeyondTheirShare(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 100)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
@@ -44,9 +44,9 @@
 		return testpeer.Echo(c, r, body)
 	})
 	const most = 4
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
-		n.callers.SetGrace(idleFor(0))
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.clients.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
+		n.clients.SetGrace(idleFor(0))
 	})
 	idle := testpeer.Dial(t, n.Addr())
 	idle.Get("idle")
@@ -74,14 +74,14 @@
 
 // A connection is closed only while it waits: not with a request read that net/http has not told of
 // yet, nor with the first byte of the next one, read early behind an answer.
-func TestLettingGoSparesARequestBegun(t *testing.T) {
+func TestCloseIdleSparesBegunRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	set := downstream.New(clock.New(), downstream.Share{Capacity: 2, Spare: 10}, func() int { return 1 })
-	f := &Front{callers: set}
+	f := &Front{clients: set}
 	pair := func() (ours *clientConn, theirs net.Conn) {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -116,7 +116,7 @@
 	say(client, a, request[:1]) // the next request's first byte
 	f.track(a, http.StateIdle)
 	f.track(b, http.StateNew) // one too many
-	if a.leaving || !set.NearLimit() {
+	if a.closing || !set.NearLimit() {
 		t.Fatal("a connection with a request on it was let go")
 	}
 	say(client, a, request[1:])
@@ -124,12 +124,12 @@
 	say(a, client, "its answer")
 	set.SetGrace(idleFor(testpeer.Limit))
 	f.track(a, http.StateIdle)
-	if a.leaving || !set.NearLimit() {
+	if a.closing || !set.NearLimit() {
 		t.Fatal("a connection idle for a moment only was let go")
 	}
 	set.SetGrace(idleFor(0))
 	f.track(b, http.StateActive)
-	if !a.leaving || set.NearLimit() {
+	if !a.closing || set.NearLimit() {
 		t.Fatal("the idle connection was not let go")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
@@ -144,11 +144,11 @@
 
 // Whatever reaches a server has been read, so its client must get the answer, however often idle
 // connections are closed meanwhile.
-func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
+func TestCloseIdleLosesNoReadRequest(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
-		n.callers.SetGrace(idleFor(0))
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.clients.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
+		n.clients.SetGrace(idleFor(0))
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -214,16 +214,16 @@
 
 // Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
 // good client needs: they are closed first, before they would time out, and the good one is served.
-func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
+func TestClientIsServedBesideHundredsOfSilentOnes(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
-	cfg.Room = 256 - 48
+	cfg.Capacity = 256 - 48
 	var accepting countedListener
-	n := start(t, cfg, func(n *rig) {
+	n := start(t, cfg, func(n *testNode) {
 		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is closed is closed for want of room
-		n.callers.SetGrace(downstream.Graces{Idle: testpeer.Limit})
-		accepting.Listener = n.ln
-		n.ln = &accepting
+		n.clients.SetGrace(downstream.Graces{Idle: testpeer.Limit})
+		accepting.Listener = n.listener
+		n.listener = &accepting
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	good := testpeer.Dial(t, n.Addr())
@@ -241,13 +241,13 @@
 			fresh.Close()
 		}
 	}
-	testpeer.Until(t, "the rest to be let go", func() bool { return !n.callers.NearLimit() })
+	testpeer.Until(t, "the rest to be let go", func() bool { return !n.clients.NearLimit() })
 }
 
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
-func TestConnectionsWithoutARequestEnd(t *testing.T) {
+func TestConnectionsWithoutRequestTimeOut(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.front.server.ReadTimeout = 300 * time.Millisecond
 		n.front.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -286,6 +286,6 @@
 		round(50 + i)
 	}
 	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
-		return n.callers.Open() == 0 && n.listed.count() == 1 && n.back.Connections() <= 1 && runtime.NumGoroutine() <= before+5
+		return n.clients.Open() == 0 && n.backend.count() == 1 && n.upstream.Connections() <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -28,31 +28,31 @@
 type clientConn struct {
 	net.Conn
 	set        *downstream.Set
-	aheadOfAll *atomic.Int64 // bytes that all connections of the front end have read ahead
-
-	mu       sync.Mutex
-	scan     requestScan
-	served   int       // requests that net/http has brought to the front end
-	answered int       // of them
-	at       time.Time // when the first bytes of the request that is read were, or could have been
-	heard    time.Time // when any were last
-	told     time.Time // when bytes of an answer were written last
-	leaving  bool
-	cut      bool      // leaving, whatever still comes
-	refused  bool      // an answer was written once it was cut
-	deadline time.Time // as net/http wants it
-
-	ahead    []byte        // read ahead and not handed out yet
-	reader   chan struct{} // closed once the goroutine that reads ahead has ended; nil: none was started
-	stopping bool          // it is told to end
-	flooded  bool          // more came than is read ahead
-	end      error         // why nothing more can be read
-	gone     chan struct{} // closed once end is known
-	left     chan struct{} // closed once hasLeft has said yes
+	totalAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
+
+	mu            sync.Mutex
+	scanner       requestScan
+	served        int       // requests that net/http has brought to the front end
+	answered      int       // of them
+	begunAt       time.Time // when the first bytes of the request that is read were, or could have been
+	lastRead      time.Time // when any were last
+	lastWrite     time.Time // when bytes of an answer were written last
+	closing       bool
+	cutOff        bool      // leaving, whatever still comes
+	wroteAfterCut bool      // an answer was written once it was cut
+	deadline      time.Time // as net/http wants it
+
+	ahead         []byte        // read ahead and not handed out yet
+	aheadDone     chan struct{} // closed once the goroutine that reads ahead has ended; nil: none was started
+	stoppingAhead bool          // it is told to end
+	aheadOverflow bool          // more came than is read ahead
+	readErr       error         // why nothing more can be read
+	ended         chan struct{} // closed once end is known
+	disconnected  chan struct{} // closed once hasDisconnected has said yes
 }
 
 func newClientConn(c net.Conn, set *downstream.Set, total *atomic.Int64) *clientConn {
-	return &clientConn{Conn: c, set: set, aheadOfAll: total, gone: make(chan struct{}), left: make(chan struct{})}
+	return &clientConn{Conn: c, set: set, totalAhead: total, ended: make(chan struct{}), disconnected: make(chan struct{})}
 }
 
 // Read hands out what was read ahead, or reads.
@@ -61,7 +61,7 @@
 	n, err := c.takeAhead(p)
 	if n == 0 && err == nil {
 		n, err = netio.Read(c.Conn, p)
-		c.note(p[:n], err)
+		c.noteRead(p[:n], err)
 	}
 	if n == 1 && len(p) == 1 { // net/http has its byte behind a request, and watches no more
 		c.startAhead()
@@ -69,18 +69,18 @@
 	return n, err
 }
 
-// note keeps what a read brought.
-func (c *clientConn) note(p []byte, err error) {
+// noteRead keeps what a read brought.
+func (c *clientConn) noteRead(p []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p) > 0 {
-		c.heard = time.Now()
+		c.lastRead = time.Now()
 		if !c.pending() {
-			c.at = c.heard
+			c.begunAt = c.lastRead
 		}
-		c.scan.feed(p)
-		if c.leaving && !c.cut {
-			c.leaving = false
+		c.scanner.feed(p)
+		if c.closing && !c.cutOff {
+			c.closing = false
 			c.Conn.SetReadDeadline(c.deadline)
 		}
 	}
@@ -91,37 +91,37 @@
 
 // finish notes that nothing more can be read. The caller holds mu.
 func (c *clientConn) finish(err error) {
-	if c.end == nil {
-		c.end = err
-		close(c.gone)
+	if c.readErr == nil {
+		c.readErr = err
+		close(c.ended)
 	}
 }
 
 // pending says that bytes of a request were read that is not answered. The caller holds mu.
-func (c *clientConn) pending() bool { return c.scan.begun > c.answered }
+func (c *clientConn) pending() bool { return c.scanner.begun > c.answered }
 
-// isGone says that the other side has ended the connection, or its sending.
-func (c *clientConn) isGone() bool {
+// hasEnded says that the other side has ended the connection, or its sending.
+func (c *clientConn) hasEnded() bool {
 	select {
-	case <-c.gone:
+	case <-c.ended:
 		return true
 	default:
 		return false
 	}
 }
 
-// hasLeft says that the other side has ended the connection, or its sending, by what the system knows: an end that nobody
+// hasDisconnected says that the other side has ended the connection, or its sending, by what the system knows: an end that nobody
 // has read yet, or that stands behind bytes which nobody has, is one all the same.
-func (c *clientConn) hasLeft() bool {
-	if !c.isGone() && downstream.StateOf(c.Conn) != downstream.Ended {
+func (c *clientConn) hasDisconnected() bool {
+	if !c.hasEnded() && downstream.StateOf(c.Conn) != downstream.Ended {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.left:
+	case <-c.disconnected:
 	default:
-		close(c.left)
+		close(c.disconnected)
 	}
 	return true
 }
@@ -129,12 +129,12 @@
 // Write begins before the client can have seen its answer.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.told = time.Now()
-	c.refused = c.cut
+	c.lastWrite = time.Now()
+	c.wroteAfterCut = c.cutOff
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 100 ")) { // the body that this asks for is still the request's
 		c.answered = c.served
 		if c.pending() {
-			c.at = c.told // the next one was not waited for before
+			c.begunAt = c.lastWrite // the next one was not waited for before
 		}
 	}
 	c.mu.Unlock()
@@ -145,14 +145,14 @@
 func (c *clientConn) Quiet() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.heard)
+	return time.Since(c.lastRead)
 }
 
 // Begun is when the first bytes of the request that is read were.
 func (c *clientConn) Begun() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at
+	return c.begunAt
 }
 
 // takeHead tells of the head of the request that net/http has just read; see headScan.take.
@@ -160,14 +160,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.served++
-	return c.scan.take(coded)
+	return c.scanner.take(coded)
 }
 
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.leaving || c.stopping {
+	if c.closing || c.stoppingAhead {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -180,14 +180,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = time.Time{}
+	c.lastWrite = time.Time{}
 }
 
 // isLast says that the answer under way is the last on the connection, if it may be: behind it no other request was read.
 func (c *clientConn) isLast() (may, must bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.scan.begun <= c.served, c.flooded
+	return c.scanner.begun <= c.served, c.aheadOverflow
 }
 
 // Bounds of what is read and thrown away behind the last answer, before the connection is closed.
@@ -206,7 +206,7 @@
 	c.stopAhead()
 	c.dropAhead()
 	c.mu.Lock()
-	linger := time.Since(c.told) < lingerAfter && c.end == nil && (!c.leaving || c.refused && downstream.StateOf(c.Conn) == downstream.Unread)
+	linger := time.Since(c.lastWrite) < lingerAfter && c.readErr == nil && (!c.closing || c.wroteAfterCut && downstream.StateOf(c.Conn) == downstream.Unread)
 	c.mu.Unlock()
 	if linger && c.CloseWrite() == nil {
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
@@ -233,17 +233,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.pending() {
-		c.leaving = true
+		c.closing = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
-	return c.leaving
+	return c.closing
 }
 
 // CutOff implements downstream.Conn.
 func (c *clientConn) CutOff() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving, c.cut = true, true
+	c.closing, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
@@ -251,7 +251,7 @@
 func (c *clientConn) IsCut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.cutOff
 }
 
 // HasBegun implements downstream.Conn.
@@ -304,12 +304,12 @@
 	c := nc.(*clientConn)
 	switch state {
 	case http.StateNew:
-		f.callers.Add(c, f)
+		f.clients.Add(c, f)
 	case http.StateActive:
-		f.callers.Move(c, downstream.Reading)
+		f.clients.Move(c, downstream.Reading)
 	case http.StateIdle:
-		f.callers.Move(c, downstream.Idle)
+		f.clients.Move(c, downstream.Idle)
 	default:
-		f.callers.Remove(c)
+		f.clients.Remove(c)
 	}
 }
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -25,34 +25,34 @@
 
 // Limits on what a client may make the node wait for.
 const (
-	headTimeout  = 2800 * time.Millisecond // for a request's head, from its connection's start or its first bytes
-	idleTimeout  = 4 * time.Second         // a client that asks no more is closed
-	writeTimeout = 5 * time.Second
-	maxHeader    = 16 << 10
+	headTimeout    = 2800 * time.Millisecond // for a request's head, from its connection's start or its first bytes
+	idleTimeout    = 4 * time.Second         // a client that asks no more is closed
+	writeTimeout   = 5 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
 // Front serves clients of one listener: exactly one answer for each request taken.
 type Front struct {
-	listener string // its name in the configuration
-	clock    clock.Clock
-	calls    *dispatch.Dispatcher
-	callers  *downstream.Set
-	figures  *metrics.Set
-	draining atomic.Bool   // unready
-	closing  atomic.Bool   // each answer closes its connection
-	grace    time.Duration // by which a body may be behind the least rate
-	ahead    atomic.Int64  // bytes that were read ahead of requests that are served
-	server   *http.Server
+	listener   string // its name in the configuration
+	clock      clock.Clock
+	dispatcher *dispatch.Dispatcher
+	clients    *downstream.Set
+	counters   *metrics.Set
+	draining   atomic.Bool   // unready
+	closing    atomic.Bool   // each answer closes its connection
+	grace      time.Duration // by which a body may be behind the least rate
+	totalAhead atomic.Int64  // bytes that were read ahead of requests that are served
+	server     *http.Server
 }
 
 // NewFront returns a Front that serves nobody before Serve.
 func NewFront(listener string, c clock.Clock, set *downstream.Set, requests *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
-	f := &Front{listener: listener, clock: c, calls: requests, callers: set, figures: count, grace: bodyGrace}
+	f := &Front{listener: listener, clock: c, dispatcher: requests, clients: set, counters: count, grace: bodyGrace}
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadHeaderTimeout:            headTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxHeader,
+		MaxHeaderBytes:               maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    f.track,
 		ConnContext:                  withConn,
@@ -64,7 +64,7 @@
 // Serve accepts clients until the listener fails, is closed or has a deadline in the past, and returns its
 // error. What failures pass is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
-	return f.server.Serve(clientListener{ln, f.callers, &f.ahead})
+	return f.server.Serve(clientListener{ln, f.clients, &f.totalAhead})
 }
 
 // SetReady has the health answer say from now on whether clients should be sent here.
@@ -74,7 +74,7 @@
 func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
 
 // CloseQuiet closes the connections of clients that ask nothing. It returns how many are left.
-func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
+func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
 
 // health tells the front end whether to send clients here.
 func (f *Front) health(w http.ResponseWriter, r *http.Request, conn *clientConn) {
@@ -83,17 +83,17 @@
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
 		return
 	case f.draining.Load():
-	case !f.calls.Snapshot().Ready():
-		f.keep(w, conn)
+	case !f.dispatcher.Snapshot().Ready():
+		f.keepAlive(w, conn)
 	default:
-		f.keep(w, conn)
+		f.keepAlive(w, conn)
 		return
 	}
 	http.Error(w, "not ready", http.StatusServiceUnavailable)
 }
 
-// keep leaves a connection open behind an answer on health, unless it was to be closed.
-func (f *Front) keep(w http.ResponseWriter, conn *clientConn) {
+// keepAlive leaves a connection open behind an answer on health, unless it was to be closed.
+func (f *Front) keepAlive(w http.ResponseWriter, conn *clientConn) {
 	if may, _ := conn.isLast(); !may || !f.closing.Load() {
 		w.Header().Del("Connection")
 	}
@@ -107,7 +107,7 @@
 	conn := connOf(r.Context())
 	coded := len(r.TransferEncoding) > 0
 	unframed := conn.takeHead(coded)
-	if conn.isGone() { // what a client had sent behind a request that it did not wait for
+	if conn.hasEnded() { // what a client had sent behind a request that it did not wait for
 		panic(http.ErrAbortHandler)
 	}
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path == "/health/ready" {
@@ -118,7 +118,7 @@
 	if r.ContentLength != 0 {
 		rc.SetReadDeadline(time.Now().Add(f.grace))
 	}
-	view := f.calls.Snapshot()
+	view := f.dispatcher.Snapshot()
 	head := f.head(r, unframed)
 	in, err := validation.Check(view, &head)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	body, rest, err := f.readBody(rc, r)
 	if err != nil {
-		f.reject(w, conn, view, errNotWhole)
+		f.reject(w, conn, view, errBodyIncomplete)
 		return
 	}
 	at := f.clock.Now()
@@ -135,27 +135,27 @@
 	if !coded {                     // what is behind such a body is read by nobody, whoever put it there
 		w.Header().Del("Connection") // write tells whether the answer is the last
 	}
-	in.Request.Gone = conn.hasLeft
-	f.figures.Begin()
+	in.Request.Gone = conn.hasDisconnected
+	f.counters.Begin()
 	var (
 		more io.Reader
 		cut  chan struct{}
 	)
-	gone := conn.gone
+	gone := conn.ended
 	if rest != nil {
-		rc.EnableFullDuplex()                 // the answer may come while the body still does
-		more, cut, gone = rest, rest.cut, nil // whose reader meets the connection's end
+		rc.EnableFullDuplex()                    // the answer may come while the body still does
+		more, cut, gone = rest, rest.failed, nil // whose reader meets the connection's end
 		defer rest.end()
 	}
-	if !f.callers.Begin(conn) {
-		f.finish(w, r, in.Class, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()}, rest)
+	if !f.clients.Begin(conn) {
+		f.respond(w, r, in.Class, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()}, rest)
 		return
 	}
-	c, err := validation.Take(f.calls, view, &head, in, body, more, at)
+	c, err := validation.Take(f.dispatcher, view, &head, in, body, more, at)
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		f.reject(w, conn, view, err)
-		f.figures.End(in.Class, metrics.Faulted)
+		f.counters.End(in.Class, metrics.Faulted)
 		if rest != nil && !rest.end() {
 			rc.Flush()
 			rest.discard()
@@ -164,20 +164,20 @@
 	}
 	select {
 	case a := <-c.Response():
-		f.finish(w, r, in.Class, a, rest)
+		f.respond(w, r, in.Class, a, rest)
 	case <-cut:
-		f.leave(c)
+		f.disconnect(c)
 		w.Header().Set("Connection", "close")
-		f.reject(w, conn, view, errNotWhole)
+		f.reject(w, conn, view, errBodyIncomplete)
 	case <-gone:
 		f.abandon(w, conn, c)
-	case <-conn.left:
+	case <-conn.disconnected:
 		f.abandon(w, conn, c)
 	case <-r.Context().Done():
 		if rest != nil && !rest.end() { // net/http takes a body that comes too slowly for its client's end
-			f.leave(c)
+			f.disconnect(c)
 			w.Header().Set("Connection", "close")
-			f.reject(w, conn, view, errNotWhole)
+			f.reject(w, conn, view, errBodyIncomplete)
 			return
 		}
 		f.abandon(w, conn, c)
@@ -187,35 +187,35 @@
 // abandon ends a request whose client has closed its connection, or its sending: nothing more is begun for it. One that
 // still reads is told that it failed; net/http would tell it of an empty success.
 func (f *Front) abandon(w http.ResponseWriter, conn *clientConn, c *engine.Request) {
-	f.leave(c)
+	f.disconnect(c)
 	w.Header().Set("Connection", "close")
 	f.write(w, conn, engine.Response{Kind: engine.Failed})
 }
 
-// leave has a request end for a client that has gone.
-func (f *Front) leave(c *engine.Request) {
+// disconnect has a request end for a client that has gone.
+func (f *Front) disconnect(c *engine.Request) {
 	c.Disconnect(f.clock.Now())
-	f.figures.Left()
+	f.counters.Left()
 }
 
-// errNotWhole answers a client that has not sent its body whole, or not within its time.
-var errNotWhole = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
+// errBodyIncomplete answers a client that has not sent its body whole, or not within its time.
+var errBodyIncomplete = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
 
-// finish gives a request its answer, also where the rest of its body has not come yet.
-func (f *Front) finish(w http.ResponseWriter, r *http.Request, class string, a engine.Response, rest *upload) {
+// respond gives a request its answer, also where the rest of its body has not come yet.
+func (f *Front) respond(w http.ResponseWriter, r *http.Request, class string, a engine.Response, rest *bodyRest) {
 	early := rest != nil && !rest.end()
 	if early {
 		w.Header().Set("Connection", "close")
 	}
 	conn := connOf(r.Context())
 	if err := f.write(w, conn, a); err != nil {
-		f.figures.End(class, metrics.Faulted)
+		f.counters.End(class, metrics.Faulted)
 		if !r.ProtoAtLeast(1, 1) {
 			conn.reset() // its end alone would look like the answer's
 		}
 		panic(http.ErrAbortHandler) // so that the client can tell that the answer is not complete
 	}
-	f.figures.End(class, validation.Result(a))
+	f.counters.End(class, validation.Result(a))
 	if early {
 		http.NewResponseController(w).Flush()
 		rest.discard()
@@ -262,7 +262,7 @@
 // lost, unless that is too much.
 func (f *Front) isLast(conn *clientConn, a engine.Response) bool {
 	may, must := conn.isLast()
-	return must || may && (f.callers.NearLimit() || f.closing.Load() || a.Elsewhere)
+	return must || may && (f.clients.NearLimit() || f.closing.Load() || a.Elsewhere)
 }
 
 // write gives the answer to the client. With an error it was begun and is not complete.
@@ -286,7 +286,7 @@
 			if a.Reply.Length >= 0 {
 				h.Set("Content-Length", strconv.FormatInt(a.Reply.Length, 10))
 			}
-			return pass(w, rc, a.Reply)
+			return streamReply(w, rc, a.Reply)
 		}
 		h.Set("Content-Length", strconv.Itoa(len(a.Reply.Body)))
 		w.Write(a.Reply.Body)
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -60,7 +60,7 @@
 
 // A kept connection that breaks under a request may have carried it: neither the node nor a library
 // below it may send it again, whatever its method or headers.
-func TestNothingUnsafeIsSentAgainAfterAReset(t *testing.T) {
+func TestUnsafeRequestIsNotRetriedAfterReset(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
 			c.(*net.TCPConn).SetLinger(0)
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestCallerGoneCancelsTheAttempt(t *testing.T) {
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestSilentServerIsGivenUpInTime(t *testing.T) {
+func TestSilentServerTimesOut(t *testing.T) {
 	closedAt := make(chan struct{}, 2)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		c.Read(make([]byte, 1)) // says nothing until the node closes
@@ -157,7 +157,7 @@
 }
 
 // A request that the module gives up is refused at once, with advice, though its deadline is far off.
-func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
+func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service")))
 	n := start(t, cfg, nil)
 	c := testpeer.Dial(t, n.Addr())
@@ -171,7 +171,7 @@
 
 // A new server at the address of one that has gone does not get its predecessor's connections, nor does
 // one that started anew: whatever is still to come on them belongs to the old one.
-func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
+func TestConnectionsBelongToOneServerIncarnation(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
@@ -189,7 +189,7 @@
 		n.engine.UpdateList(l)
 		before := s.Opened()
 		testpeer.Until(t, "the list to be taken", func() bool {
-			got, _ := n.listed.server("s2")
+			got, _ := n.backend.server("s2")
 			want := l.Targets[0]
 			starts := (got.Boot != 0) == (want.Boot != 0) // by the node's clock, so that only whether it has a start compares
 			got.Boot = want.Boot
@@ -217,7 +217,7 @@
 		<-hold
 		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.front.server.ReadHeaderTimeout, n.front.grace = 300*time.Millisecond, 300*time.Millisecond
 	})
 	first := testpeer.Dial(t, n.Addr())
@@ -292,7 +292,7 @@
 
 // A client gives its last attempt all the time that it has left, more than tries are usually given. That must
 // not make every other client's first attempt look like a repeat whose latency objective is over, to be refused at once.
-func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
+func TestLongLastAttemptLeavesFirstAttemptsAsTheyAre(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 100)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
@@ -379,7 +379,7 @@
 
 // A request whose head was read under one configuration and whose body came under another is taken under the
 // new one: as what it is there, or not at all.
-func TestRequestIsTakenUnderTheConfigurationOfNow(t *testing.T) {
+func TestRequestIsReadUnderCurrentConfiguration(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	for _, c := range []struct {
 		name   string
@@ -402,11 +402,11 @@
 			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, n.Addr())
 			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
-			testpeer.Until(t, "its head to be read", func() bool { return n.callers.In(downstream.Reading) > 0 })
+			testpeer.Until(t, "its head to be read", func() bool { return n.clients.In(downstream.Reading) > 0 })
 			before := s.Seen()
 			next := testpeer.Config()
 			c.change(next)
-			n.calls.Swap(n.view(t, next), func() {})
+			n.dispatcher.Swap(n.snapshot(t, next), func() {})
 			io.WriteString(client, "k")
 			r, body := client.Answer(t)
 			if r.StatusCode != c.status || (s.Seen() > before) != (c.status == 200) {
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -15,14 +15,14 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// heldServer holds every request until the test ends, and tells of each one's arrival and of the end of its connection.
-type heldServer struct {
+// holdingServer holds every request until the test ends, and tells of each one's arrival and of the end of its connection.
+type holdingServer struct {
 	*testpeer.Server
 	got, gone chan string
 }
 
-func newHeldServer(t *testing.T) *heldServer {
-	s := &heldServer{got: make(chan string, 100), gone: make(chan string, 100)}
+func newHoldingServer(t *testing.T) *holdingServer {
+	s := &holdingServer{got: make(chan string, 100), gone: make(chan string, 100)}
 	s.Server = testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		id := r.Header.Get("X-Request-Id")
 		s.got <- id
@@ -39,7 +39,7 @@
 
 // A client is gone once its connection has ended, whatever it had sent behind its request: the attempt is called off, and
 // neither a further one nor what it had asked behind is begun.
-func TestAClientThatSentMoreAndWentIsGone(t *testing.T) {
+func TestDisconnectBehindReadAheadBytesIsNoticed(t *testing.T) {
 	much := strings.Repeat(getText("behind"), 300)
 	for _, c := range []struct {
 		name, with, behind string // with: in the same write as the request
@@ -55,11 +55,11 @@
 		{"more than is read ahead", "", strings.Repeat(much, 40), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one, two := newHeldServer(t), newHeldServer(t)
+			one, two := newHoldingServer(t), newHoldingServer(t)
 			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, n.Addr())
 			io.WriteString(client, getText("first")+c.with)
-			var at *heldServer
+			var at *holdingServer
 			select {
 			case <-one.got:
 				at = one
@@ -80,7 +80,7 @@
 			}
 			client.Close()
 			testpeer.Receive(t, at.gone, "the attempt to be called off")
-			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Open() == 0 })
+			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Open() == 0 })
 			testpeer.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
 				t.Errorf("servers got %q", all)
@@ -94,8 +94,8 @@
 
 // Who has ended its own sending is gone like one that has closed. Should it still read, it hears no answer that no
 // server made.
-func TestAHalfClosedClientHearsNoMadeUpAnswer(t *testing.T) {
-	s := newHeldServer(t)
+func TestHalfClosedClientGetsNoInventedResponse(t *testing.T) {
+	s := newHoldingServer(t)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, n.Addr())
 	client.Get("half")
@@ -110,10 +110,10 @@
 
 // A client that sends its requests in one go hears all the answers in their order, and none of them is lost where idle
 // connections are closed between two of them: what was read is no idle connection.
-func TestRequestsSentInOneGoAreAllAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *rig) {
-		n.callers.SetGrace(idleFor(0))
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.clients.SetGrace(idleFor(0))
 	})
 	stop := make(chan struct{})
 	defer close(stop)
@@ -155,7 +155,7 @@
 
 // A connection whose other side sends on is not reset under an answer that has not arrived, whether those bytes come
 // before the close or after it has begun.
-func TestAnAnswerOutlivesACloseOverUnreadBytes(t *testing.T) {
+func TestResponseOutlivesCloseOverUnreadBytes(t *testing.T) {
 	answer := strings.Repeat("x", 1<<20) // more than the client's buffer takes
 	for _, c := range []struct{ early, cut bool }{{true, false}, {false, false}, {true, true}} {
 		early := c.early
@@ -209,7 +209,7 @@
 }
 
 // Requests that were read together are all answered, also where each answer would end its connection by then.
-func TestWhatWasReadTogetherIsAnsweredBeforeTheLastAnswer(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredBeforeClose(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	n.front.SetClosing(true)
@@ -225,7 +225,7 @@
 }
 
 // What a client sends while its request is served is answered as well, though each answer ends its connection by then.
-func TestWhatComesWhileARequestIsServedIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestRequestReadAheadIsAnsweredBeforeClose(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
@@ -234,7 +234,7 @@
 	c.Get("held")
 	testpeer.Receive(t, got, "the attempt")
 	c.Get("behind")
-	testpeer.Until(t, "the next request to be read", func() bool { return behind(n) })
+	testpeer.Until(t, "the next request to be read", func() bool { return hasReadAhead(n) })
 	close(hold)
 	for i, id := range []string{"held", "behind"} {
 		r, body := c.Answer(t)
@@ -244,7 +244,7 @@
 	}
 }
 
-// behind says that a request was read behind the one that is served on the fault bench's only connection.
-func behind(n *rig) bool {
-	return n.front.ahead.Load() > 0
+// hasReadAhead says that a request was read behind the one that is served on the fault bench's only connection.
+func hasReadAhead(n *testNode) bool {
+	return n.front.totalAhead.Load() > 0
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -21,24 +21,24 @@
 type scanState int
 
 const (
-	awaiting scanState = iota // the head's first byte
-	within
-	seen  // whole, and nobody has asked yet
-	taken // by the request that it belongs to
+	scanAwaiting scanState = iota // the head's first byte
+	scanWithin
+	scanComplete // whole, and nobody has asked yet
+	scanTaken    // by the request that it belongs to
 )
 
-// nameMost is longer than the names that are looked for.
-const nameMost = 32
+// maxScannedLine is longer than the names that are looked for.
+const maxScannedLine = 32
 
 // feed takes what was read next, and tells how much of it is the head's.
 func (s *headScan) feed(p []byte) (taken int) {
 	all := len(p)
-	if s.state == awaiting && len(p) > 0 {
-		*s = headScan{state: within, line: s.line[:0]}
+	if s.state == scanAwaiting && len(p) > 0 {
+		*s = headScan{state: scanWithin, line: s.line[:0]}
 	}
-	for s.state == within && len(p) > 0 {
+	for s.state == scanWithin && len(p) > 0 {
 		line, after, ended := bytes.Cut(p, []byte{'\n'})
-		s.line = append(s.line, line[:min(len(line), nameMost-len(s.line))]...)
+		s.line = append(s.line, line[:min(len(line), maxScannedLine-len(s.line))]...)
 		if p = after; ended {
 			s.end()
 		}
@@ -51,10 +51,10 @@
 	line := bytes.TrimSuffix(s.line, []byte{'\r'})
 	switch name, value, _ := bytes.Cut(line, []byte{':'}); {
 	case len(line) == 0:
-		s.state = seen
+		s.state = scanComplete
 	case s.lines > 0 && bytes.EqualFold(name, []byte("Content-Length")):
 		s.length = true
-		s.body = bodyLength(value, len(s.line) == nameMost)
+		s.body = bodyLength(value, len(s.line) == maxScannedLine)
 	case s.lines > 0 && bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		s.coding = true
 	}
@@ -74,36 +74,36 @@
 // take tells, once, of the head that was seen whole: whether the end of its body could be read in two ways. One
 // that came right behind another was not seen.
 func (s *headScan) take(coded bool) (unframed bool) {
-	unframed = coded && (s.state != seen || s.length || !s.coding)
-	s.state = taken
+	unframed = coded && (s.state != scanComplete || s.length || !s.coding)
+	s.state = scanTaken
 	return unframed
 }
 
 // requestScan follows the requests that a connection brings, by their heads and lengths. net/http reads ahead of the
 // request that it serves and does not tell.
 type requestScan struct {
-	head  headScan   // under way
-	body  int64      // bytes that are still to come of the last whole head's body
-	begun int        // requests of which a byte was read
-	heads []headScan // whole, and not taken yet
-	lost  bool       // where the last body ends is not known: the connection ends behind it
+	head       headScan   // under way
+	body       int64      // bytes that are still to come of the last whole head's body
+	begun      int        // requests of which a byte was read
+	heads      []headScan // whole, and not taken yet
+	endUnknown bool       // where the last body ends is not known: the connection ends behind it
 }
 
 // feed takes what was read next.
 func (s *requestScan) feed(p []byte) {
-	for len(p) > 0 && !s.lost {
+	for len(p) > 0 && !s.endUnknown {
 		if s.body > 0 {
 			n := min(s.body, int64(len(p)))
 			s.body -= n
 			p = p[n:]
 			continue
 		}
-		if s.head.state == awaiting {
+		if s.head.state == scanAwaiting {
 			s.begun++
 		}
 		n := s.head.feed(p)
 		p = p[n:]
-		if s.head.state == seen {
+		if s.head.state == scanComplete {
 			s.end()
 		}
 	}
@@ -112,8 +112,8 @@
 // end notes a head that is complete.
 func (s *requestScan) end() {
 	s.body = max(s.head.body, 0)
-	s.lost = s.head.coding || s.head.body < 0
-	s.heads = append(s.heads, headScan{state: seen, length: s.head.length, coding: s.head.coding})
+	s.endUnknown = s.head.coding || s.head.body < 0
+	s.heads = append(s.heads, headScan{state: scanComplete, length: s.head.length, coding: s.head.coding})
 	s.head = headScan{line: s.head.line[:0]}
 }
 
--- a/internal/http1/health_test.go
+++ b/internal/http1/health_test.go
@@ -98,7 +98,7 @@
 }
 
 // load has clients send both classes, each waiting for its answer, and returns the share served.
-func load(t *testing.T, n *rig, most, each int) float64 {
+func load(t *testing.T, n *testNode, most, each int) float64 {
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	for i := range most {
@@ -132,7 +132,7 @@
 // Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
 // lasts, and having few requests they win the draw. Their share of failures keeps that class away from them,
 // also when they are replaced by others that do the same, and the rest of the work stays with them.
-func TestServersThatFailAClassAtOnceGetLittleOfIt(t *testing.T) {
+func TestServersThatFailOneClassGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
 			f := newFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
@@ -141,9 +141,9 @@
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
-					n.tell(t, testpeer.Whole(list...))
+					n.updateList(t, testpeer.Whole(list...))
 					testpeer.Until(t, "the new list", func() bool {
-						_, listed := n.listed.server("s6")
+						_, listed := n.backend.server("s6")
 						return listed
 					})
 				}
@@ -162,7 +162,7 @@
 
 // A server that lets most time out holds its part of the node's requests for nothing, and in a small fleet none
 // may be ruled out. Its share of failures keeps requests away from it.
-func TestServerThatLetsMostTimeOutGetsFew(t *testing.T) {
+func TestServerWithTimeoutsGetsFewRequests(t *testing.T) {
 	f := newFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
 	var list []string
@@ -184,7 +184,7 @@
 
 // Where servers alike let requests hang now and then, nobody can be avoided: those that may run again are cut
 // short while there is time for another, below the first tier. A request that may not run again is never cut.
-func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
+func TestHangingRequestsAreRetriedInTime(t *testing.T) {
 	f := newFleet(0, 0)
 	f.hangs = 5
 	cfg := testConfig(testpeer.Whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
@@ -247,7 +247,7 @@
 
 // In overload every server turns requests away, and where the tier behind them is in trouble all fail alike:
 // nobody is left out for that.
-func TestAFleetAlikeInTroubleStaysInUse(t *testing.T) {
+func TestPanicThresholdKeepsFailingServersInUse(t *testing.T) {
 	for name, f := range map[string]*fleet{"all fail": newFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
 		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFleet(0, 1), "all fail and are full": newFleet(2, 1,
 		"s1 view", "s2 view", "s3 view", "s4 view")} {
--- a/internal/http1/pass.go
+++ b/internal/http1/pass.go
@@ -8,15 +8,15 @@
 	"damsontrestle/internal/engine"
 )
 
-// stall is how long a client may take nothing of a response that passes through.
-const stall = 10 * time.Second
+// maxWriteStall is how long a client may take nothing of a response that passes through.
+const maxWriteStall = 10 * time.Second
 
-// pass gives the client an answer as it comes from the server. With an error it is not complete, and the client can
+// streamReply gives the client an answer as it comes from the server. With an error it is not complete, and the client can
 // tell if its connection is cut.
-func pass(w http.ResponseWriter, rc *http.ResponseController, r engine.Reply) error {
+func streamReply(w http.ResponseWriter, rc *http.ResponseController, r engine.Reply) error {
 	defer r.Rest.Close()
 	put := func(p []byte) error {
-		rc.SetWriteDeadline(time.Now().Add(stall))
+		rc.SetWriteDeadline(time.Now().Add(maxWriteStall))
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
@@ -27,7 +27,7 @@
 			return err
 		}
 	}
-	buf := make([]byte, passSize)
+	buf := make([]byte, streamBuffer)
 	for {
 		n, err := r.Rest.Read(buf)
 		if n > 0 {
@@ -44,5 +44,5 @@
 	}
 }
 
-// passSize is how much of an answer that passes through is held at once.
-const passSize = 16 << 10
+// streamBuffer is how much of an answer that passes through is held at once.
+const streamBuffer = 16 << 10
--- a/internal/http1/passing_bench_test.go
+++ b/internal/http1/passing_bench_test.go
@@ -13,9 +13,9 @@
 // benchSize is the length of a body or an answer that passes through.
 const benchSize = 8 << 20
 
-// BenchmarkLongAnswer passes answers of 8 MiB through a node on loopback, one after another.
-func BenchmarkLongAnswer(b *testing.B) {
-	text := noise(benchSize)
+// BenchmarkLongResponse passes answers of 8 MiB through a node on loopback, one after another.
+func BenchmarkLongResponse(b *testing.B) {
+	text := randomBytes(benchSize)
 	s := testpeer.NewServer(b, func(c net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 		_, err := c.Write(text)
@@ -39,8 +39,8 @@
 
 // BenchmarkLongBody passes bodies of 8 MiB through a node on loopback, one after another.
 func BenchmarkLongBody(b *testing.B) {
-	text := noise(benchSize)
-	ln := raw(b, func(c net.Conn, r *http.Request) {
+	text := randomBytes(benchSize)
+	ln := rawServer(b, func(c net.Conn, r *http.Request) {
 		for in := testpeer.On(c); ; {
 			if got, err := io.Copy(io.Discard, r.Body); got != benchSize || err != nil || !testpeer.Reply200(c, "") {
 				return
--- a/internal/http1/passing_test.go
+++ b/internal/http1/passing_test.go
@@ -22,8 +22,8 @@
 // long is more than the node keeps of a body, and more than the kernel does on the way.
 const long = 5 << 20
 
-// noise is a body that tells if anything of it is missing, twice or out of order.
-func noise(size int) []byte {
+// randomBytes is a body that tells if anything of it is missing, twice or out of order.
+func randomBytes(size int) []byte {
 	text := make([]byte, size)
 	rng := rand.New(rand.NewPCG(uint64(size), 1))
 	for i := range text {
@@ -32,8 +32,8 @@
 	return text
 }
 
-// raw is a server that gets each connection with the head of its first request read.
-func raw(t testing.TB, serve func(c net.Conn, r *http.Request)) net.Listener {
+// rawServer is a server that gets each connection with the head of its first request read.
+func rawServer(t testing.TB, serve func(c net.Conn, r *http.Request)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return testpeer.Entry(id, ln.Addr().String(), "in_service")
 }
 
-func TestLongAnswersPassThroughWhole(t *testing.T) {
-	want := noise(long)
+func TestLongResponsesAreStreamedWhole(t *testing.T) {
+	want := randomBytes(long)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		switch r.URL.RawQuery {
 		case "length":
@@ -109,14 +109,14 @@
 }
 
 // A client that takes nothing must hold its server up rather than fill the node.
-func TestASlowReaderHoldsItsServerUp(t *testing.T) {
+func TestSlowReaderPushesBackOnServer(t *testing.T) {
 	const size = 32 << 20
 	var sent atomic.Int64
 	over := make(chan struct{})
-	ln := raw(t, func(c net.Conn, r *http.Request) {
+	ln := rawServer(t, func(c net.Conn, r *http.Request) {
 		defer close(over)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		for part := noise(64 << 10); sent.Load() < size; {
+		for part := randomBytes(64 << 10); sent.Load() < size; {
 			n, err := c.Write(part)
 			if sent.Add(int64(n)); err != nil {
 				return
@@ -143,16 +143,16 @@
 }
 
 // A server that ends halfway has its client see that the answer is not complete, whatever its form; nothing is sent again.
-func TestALongAnswerThatIsCut(t *testing.T) {
+func TestTruncatedLongReply(t *testing.T) {
 	for _, form := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		var asked atomic.Int64
-		ln := raw(t, func(c net.Conn, r *http.Request) {
+		ln := rawServer(t, func(c net.Conn, r *http.Request) {
 			asked.Add(1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", form)
 			if strings.HasPrefix(form, "Transfer") {
 				io.WriteString(c, "20000\r\n") // more than follows
 			}
-			c.Write(noise(100000))
+			c.Write(randomBytes(100000))
 		})
 		n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 		c := testpeer.Dial(t, n.Addr())
@@ -164,8 +164,8 @@
 		if got, err := io.ReadAll(r.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%s: %d bytes, %v; want an end that can be told from the whole", form, len(got), err)
 		}
-		testpeer.Until(t, "the connections to be closed", func() bool { return n.back.Connections() == 0 })
-		testpeer.Until(t, "it to be counted", func() bool { return n.front.figures.Report().Faulted["view"] == 1 })
+		testpeer.Until(t, "the connections to be closed", func() bool { return n.upstream.Connections() == 0 })
+		testpeer.Until(t, "it to be counted", func() bool { return n.front.counters.Report().Faulted["view"] == 1 })
 		if asked.Load() != 1 {
 			t.Errorf("%s: asked %d times", form, asked.Load())
 		}
@@ -173,12 +173,12 @@
 }
 
 // A client that leaves halfway through an answer frees the server's connection.
-func TestACallerThatLeavesALongAnswer(t *testing.T) {
+func TestDisconnectDuringLongResponse(t *testing.T) {
 	over := make(chan struct{})
-	ln := raw(t, func(c net.Conn, r *http.Request) {
+	ln := rawServer(t, func(c net.Conn, r *http.Request) {
 		defer close(over)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
-		for part := noise(64 << 10); ; {
+		for part := randomBytes(64 << 10); ; {
 			if _, err := c.Write(part); err != nil {
 				return
 			}
@@ -192,7 +192,7 @@
 	}
 	c.Close()
 	testpeer.Receive(t, over, "the server's end")
-	testpeer.Until(t, "the connection to be closed", func() bool { return n.back.Connections() == 0 })
+	testpeer.Until(t, "the connection to be closed", func() bool { return n.upstream.Connections() == 0 })
 }
 
 // upload sends a request's head and returns a function that sends its body in pieces.
@@ -209,8 +209,8 @@
 		func() { io.WriteString(c, "0\r\n\r\n") }
 }
 
-func TestLongBodiesPassThroughWhole(t *testing.T) {
-	want := noise(long)
+func TestLongBodiesAreStreamedWhole(t *testing.T) {
+	want := randomBytes(long)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
@@ -243,7 +243,7 @@
 
 // An upload goes to another server as long as nothing of it is gone, and is refused, not tried again, once some is:
 // the server that broke never had it whole.
-func TestAnUploadThatAServerBreaks(t *testing.T) {
+func TestUploadBrokenByServer(t *testing.T) {
 	good := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
 		testpeer.Entry("s2", good.Address(), "in_service"))), nil)
@@ -251,12 +251,12 @@
 		c := testpeer.Dial(t, n.Addr())
 		id := fmt.Sprint("other-", i)
 		write, _ := sendUpload(c, id, 1<<20, false)
-		go write(noise(1 << 20))
+		go write(randomBytes(1 << 20))
 		c.Want(t, 200, "for "+id)
 	}
 
 	var tries atomic.Int64
-	ln := raw(t, func(c net.Conn, r *http.Request) {
+	ln := rawServer(t, func(c net.Conn, r *http.Request) {
 		tries.Add(1)
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		c.(*net.TCPConn).SetLinger(0)
@@ -264,7 +264,7 @@
 	m := start(t, testConfig(testpeer.Whole(entry("s1", ln), entry("s2", ln))), nil)
 	c := testpeer.Dial(t, m.Addr())
 	write, _ := sendUpload(c, "broken", long, false)
-	go write(noise(long))
+	go write(randomBytes(long))
 	r, _ := c.Answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
@@ -275,8 +275,8 @@
 }
 
 // A server that turns an upload away before it is complete: its client hears so at once, though it has not sent all.
-func TestAnUploadThatIsTurnedAwayEarly(t *testing.T) {
-	ln := raw(t, func(c net.Conn, r *http.Request) {
+func TestUploadRejectedEarly(t *testing.T) {
+	ln := rawServer(t, func(c net.Conn, r *http.Request) {
 		io.CopyN(io.Discard, r.Body, 100<<10)
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
@@ -284,19 +284,19 @@
 	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	write, _ := sendUpload(c, "early", 10<<20, false)
-	if err := write(noise(200 << 10)); err != nil { // and no more
+	if err := write(randomBytes(200 << 10)); err != nil { // and no more
 		t.Fatal(err)
 	}
 	c.Want(t, http.StatusServiceUnavailable, "")
-	testpeer.Until(t, "the connection to the server to be closed", func() bool { return n.back.Connections() == 0 })
+	testpeer.Until(t, "the connection to the server to be closed", func() bool { return n.upstream.Connections() == 0 })
 }
 
 // A server that turns an upload away before it has read any of it, and another that takes it: what the first attempt
 // had begun to read is not missing in the second, or there is no second.
-func TestAnUploadThatGoesOnToAnotherServerIsWhole(t *testing.T) {
+func TestUploadRetriedAtAnotherServerIsWhole(t *testing.T) {
 	const size = 300 << 10
-	text := noise(size)
-	full := raw(t, func(c net.Conn, r *http.Request) {
+	text := randomBytes(size)
+	full := rawServer(t, func(c net.Conn, r *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
@@ -328,18 +328,18 @@
 
 // A client that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
 // blamed for it.
-func TestAnUploadThatItsCallerCuts(t *testing.T) {
+func TestUploadCutByClient(t *testing.T) {
 	begun, complete := make(chan struct{}, 10), make(chan error, 10)
-	ln := raw(t, func(c net.Conn, r *http.Request) {
+	ln := rawServer(t, func(c net.Conn, r *http.Request) {
 		begun <- struct{}{}
 		_, err := io.Copy(io.Discard, r.Body)
 		complete <- err
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *rig) { n.front.grace = 300 * time.Millisecond })
+	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *testNode) { n.front.grace = 300 * time.Millisecond })
 	for _, leaves := range []bool{true, false} {
 		c := testpeer.Dial(t, n.Addr())
 		write, _ := sendUpload(c, fmt.Sprint("cut", leaves), long, false)
-		if err := write(noise(100 << 10)); err != nil {
+		if err := write(randomBytes(100 << 10)); err != nil {
 			t.Fatal(err)
 		}
 		testpeer.Receive(t, begun, "the attempt") // for a client that has left by then none begins
@@ -354,7 +354,7 @@
 		}
 	}
 	testpeer.Until(t, "nothing to be open", func() bool {
-		return n.back.Connections() == 0 && n.front.figures.Report().Open == 0 && n.engine.Status().Open == 0
+		return n.upstream.Connections() == 0 && n.front.counters.Report().Open == 0 && n.engine.Status().Open == 0
 	})
 	if a := n.engine.Status().Avoided; a != 0 {
 		t.Errorf("%d servers are avoided for what their callers did", a)
@@ -362,7 +362,7 @@
 }
 
 // A body may come in pieces at any point, no slower than the least rate and its grace.
-func TestABodyInPieces(t *testing.T) {
+func TestBodyInPieces(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, body) })
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
@@ -409,7 +409,7 @@
 			if got := s.take(c.coded); got != c.unframed {
 				t.Errorf("%s, in pieces of %d: unframed %v", c.name, size, got)
 			}
-			if s.feed([]byte("5\r\nbody")); s.state != taken {
+			if s.feed([]byte("5\r\nbody")); s.state != scanTaken {
 				t.Errorf("%s: the body is read as a head", c.name)
 			}
 		}
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -23,27 +23,27 @@
 	"damsontrestle/internal/upstream"
 )
 
-// rig is a front end, an engine and a back, as a node joins them.
-type rig struct {
-	front   *Front
-	callers *downstream.Set
-	calls   *dispatch.Dispatcher
-	engine  *engine.Engine
-	back    *upstream.Pool
-	limits  upstream.Limits // of back
-	listed  *listedBackend
-	ln      net.Listener
+// testNode is a front end, an engine and a back, as a node joins them.
+type testNode struct {
+	front      *Front
+	clients    *downstream.Set
+	dispatcher *dispatch.Dispatcher
+	engine     *engine.Engine
+	upstream   *upstream.Pool
+	limits     upstream.Limits // of back
+	backend    *listedBackend
+	listener   net.Listener
 }
 
-// rigConfig is what a fault bench is made of.
-type rigConfig struct {
+// testNodeConfig is what a fault bench is made of.
+type testNodeConfig struct {
 	*config.Config
-	Room  int    // descriptors for clients and servers
-	Known string // the list
+	Capacity int    // descriptors for clients and servers
+	List     string // the list
 }
 
-func testConfig(known string) rigConfig {
-	return rigConfig{Config: testpeer.Config(), Room: 976, Known: strings.Replace(known, "%d", "1", 1)}
+func testConfig(known string) testNodeConfig {
+	return testNodeConfig{Config: testpeer.Config(), Capacity: 976, List: strings.Replace(known, "%d", "1", 1)}
 }
 
 // listedBackend is a pool that remembers the servers of the list as it was told of them.
@@ -79,28 +79,28 @@
 }
 
 // start runs a fault bench until the test ends.
-func start(t testing.TB, cfg rigConfig, change func(*rig)) *rig {
+func start(t testing.TB, cfg testNodeConfig, change func(*testNode)) *testNode {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := clock.New()
-	connections := cfg.Room / 2
-	n := &rig{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
-	n.back = upstream.NewPool(c, descriptors.NewShare(connections), &metrics.Set{}, n.limits)
-	n.listed = &listedBackend{Pool: n.back, servers: map[string]discovery.Target{}}
-	n.callers = downstream.New(c, downstream.Share{Capacity: cfg.Room, Minimum: cfg.Room / 4, Spare: 24}, n.back.Connections)
+	connections := cfg.Capacity / 2
+	n := &testNode{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
+	n.upstream = upstream.NewPool(c, descriptors.NewShare(connections), &metrics.Set{}, n.limits)
+	n.backend = &listedBackend{Pool: n.upstream, servers: map[string]discovery.Target{}}
+	n.clients = downstream.New(c, downstream.Share{Capacity: cfg.Capacity, Minimum: cfg.Capacity / 4, Spare: 24}, n.upstream.Connections)
 	var err error
-	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.listed,
+	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.backend,
 		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
-	n.calls = dispatch.New(n.view(t, cfg.Config))
-	n.front = NewFront("main", c, n.callers, n.calls, &metrics.Set{}, log)
-	list, err := discovery.Parse([]byte(cfg.Known))
+	n.dispatcher = dispatch.New(n.snapshot(t, cfg.Config))
+	n.front = NewFront("main", c, n.clients, n.dispatcher, &metrics.Set{}, log)
+	list, err := discovery.Parse([]byte(cfg.List))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.engine.RestoreList(list)
-	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if n.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
@@ -108,14 +108,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.engine.Run(ctx)
-	go n.back.Sweep(ctx)
-	go n.front.Serve(n.ln)
-	t.Cleanup(func() { n.ln.Close(); n.front.server.Close(); n.back.Close(); cancel() })
+	go n.upstream.Sweep(ctx)
+	go n.front.Serve(n.listener)
+	t.Cleanup(func() { n.listener.Close(); n.front.server.Close(); n.upstream.Close(); cancel() })
 	return n
 }
 
-// view is a configuration over the fault bench's one engine.
-func (n *rig) view(t testing.TB, cfg *config.Config) *dispatch.Snapshot {
+// snapshot is a configuration over the fault bench's one engine.
+func (n *testNode) snapshot(t testing.TB, cfg *config.Config) *dispatch.Snapshot {
 	t.Helper()
 	engines := map[string]*engine.Engine{}
 	for _, p := range cfg.Pools {
@@ -128,10 +128,10 @@
 	return v
 }
 
-func (n *rig) Addr() string { return n.ln.Addr().String() }
+func (n *testNode) Addr() string { return n.listener.Addr().String() }
 
-// tell gives the fault bench another list.
-func (n *rig) tell(t testing.TB, text string) {
+// updateList gives the fault bench another list.
+func (n *testNode) updateList(t testing.TB, text string) {
 	t.Helper()
 	list, err := discovery.Parse([]byte(strings.Replace(text, "%d", "9", 1)))
 	if err != nil {
@@ -148,7 +148,7 @@
 }
 
 // setSettle changes how long a connection to a server settles.
-func (n *rig) setSettle(settle time.Duration) {
+func (n *testNode) setSettle(settle time.Duration) {
 	n.limits.Settle = settle
-	n.back.SetLimits(n.limits)
+	n.upstream.SetLimits(n.limits)
 }
--- a/internal/http1/shortage_test.go
+++ b/internal/http1/shortage_test.go
@@ -13,11 +13,11 @@
 )
 
 // An unsafe request goes on though the node was short for longer than one attempt waits: nothing of it ran.
-func TestAnUnsafeRequestOutlastsAShortage(t *testing.T) {
+func TestUnsafeRequestOutlastsShortage(t *testing.T) {
 	s, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *rig) {
+	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *testNode) {
 		var dials atomic.Int32
-		n.back.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
+		n.upstream.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials.Add(1) <= upstream.MaxDials+1 {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", syscall.ENOMEM)}
 			}
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -13,27 +13,27 @@
 // How slowly a client may send a body: it may be behind the least rate by the grace, counted from its request's
 // first byte, as far as it was waited for.
 const (
-	bodyGrace = headTimeout
-	bodyRate  = 32 << 10 // bytes a second
-	firstPart = 16 << 10 // of a body that passes through, read before its request goes on
-	lateBytes = 3 * time.Second
+	bodyGrace     = headTimeout
+	minBodyRate   = 32 << 10 // bytes a second
+	firstBodyPart = 16 << 10 // of a body that passes through, read before its request goes on
+	discardTime   = 3 * time.Second
 )
 
 // pacedBody reads a request's body, no slower than at the least rate.
 type pacedBody struct {
-	body   io.Reader
-	rc     *http.ResponseController
-	grace  time.Duration
-	waited time.Duration
-	got    int64
+	body     io.Reader
+	rc       *http.ResponseController
+	grace    time.Duration
+	waited   time.Duration
+	received int64
 }
 
 func (b *pacedBody) Read(p []byte) (int, error) {
 	begin := time.Now()
-	b.rc.SetReadDeadline(begin.Add(b.grace + time.Duration(b.got)*time.Second/bodyRate - b.waited))
+	b.rc.SetReadDeadline(begin.Add(b.grace + time.Duration(b.received)*time.Second/minBodyRate - b.waited))
 	n, err := b.body.Read(p)
 	b.waited += time.Since(begin)
-	if b.got += int64(n); b.got > validation.MaxLength {
+	if b.received += int64(n); b.received > validation.MaxLength {
 		return n, errBodyTooLong
 	}
 	if err == io.EOF {
@@ -42,40 +42,40 @@
 	return n, err
 }
 
-// upload is the rest of a body that passes through: the back end reads it while its client sends.
-type upload struct {
-	body *pacedBody
-	cut  chan struct{} // closed when the caller has ended or left it before its end
+// bodyRest is the rest of a body that passes through: the back end reads it while its client sends.
+type bodyRest struct {
+	body   *pacedBody
+	failed chan struct{} // closed when the caller has ended or left it before its end
 
-	mu    sync.Mutex // held while reading
-	whole bool
-	over  bool // nobody reads any more
-	err   error
+	mu       sync.Mutex // held while reading
+	complete bool
+	ended    bool // nobody reads any more
+	err      error
 }
 
-var errOver = errors.New("the request is over")
+var errRequestOver = errors.New("the request is over")
 
 // errBodyTooLong ends a body that is longer than one that passes through may be.
 var errBodyTooLong = errors.New("the body is too long")
 
-func (u *upload) Read(p []byte) (int, error) {
+func (u *bodyRest) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
-		return 0, errOver
+	if u.ended {
+		return 0, errRequestOver
 	}
 	return u.read(p)
 }
 
-func (u *upload) read(p []byte) (int, error) {
+func (u *bodyRest) read(p []byte) (int, error) {
 	if u.err != nil {
 		return 0, u.err
 	}
 	n, err := u.body.Read(p)
 	if err != nil {
-		u.err, u.whole = err, err == io.EOF
-		if !u.whole {
-			close(u.cut)
+		u.err, u.complete = err, err == io.EOF
+		if !u.complete {
+			close(u.failed)
 		}
 	}
 	return n, err
@@ -83,29 +83,29 @@
 
 // end has nobody read any more, and tells whether all had come. Who waits for bytes now does no longer, and the
 // connection is of no further use then.
-func (u *upload) end() (complete bool) {
+func (u *bodyRest) end() (complete bool) {
 	free := u.mu.TryLock()
 	if !free {
 		u.body.rc.SetReadDeadline(time.Unix(1, 0))
 		u.mu.Lock()
 	}
 	defer u.mu.Unlock()
-	u.over = true
-	return u.whole && free
+	u.ended = true
+	return u.complete && free
 }
 
 // discard reads on for a while and throws away what comes: a connection that closed at once would be reset, and its
 // client, which still sends, could miss the answer.
-func (u *upload) discard() {
+func (u *bodyRest) discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.body.rc.SetReadDeadline(time.Now().Add(lateBytes))
-	io.CopyN(io.Discard, u.body.body, bodyRate*8)
+	u.body.rc.SetReadDeadline(time.Now().Add(discardTime))
+	io.CopyN(io.Discard, u.body.body, minBodyRate*8)
 }
 
 // readBody reads a body that is kept complete, or the first part of one that passes through, with the rest. The
 // error says that it was not complete, or too slow.
-func (f *Front) readBody(rc *http.ResponseController, r *http.Request) (part []byte, rest *upload, err error) {
+func (f *Front) readBody(rc *http.ResponseController, r *http.Request) (part []byte, rest *bodyRest, err error) {
 	if r.ContentLength == 0 {
 		return nil, nil, nil
 	}
@@ -113,11 +113,11 @@
 	body := &pacedBody{body: r.Body, rc: rc, grace: f.grace, waited: time.Since(begun)}
 	most := int64(validation.MaxBody)
 	if r.ContentLength > most {
-		most = firstPart
+		most = firstBodyPart
 	}
 	part, err = io.ReadAll(io.LimitReader(body, most+1))
 	if err != nil || int64(len(part)) <= most {
 		return part, nil, err
 	}
-	return part, &upload{body: body, cut: make(chan struct{})}, nil
+	return part, &bodyRest{body: body, failed: make(chan struct{})}, nil
 }
