--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -58,6 +58,15 @@
 // errBodyTooLong ends a body that is longer than one that passes through may be.
 var errBodyTooLong = errors.New("the body is too long")
 
+// reader returns the rest as a reader, or nil if there is none.
+func (u *bodyRest) reader() io.Reader {
+	if u == nil {
+		return nil
+	}
+	return u
+}
+
+// Read implements io.Reader.
 func (u *bodyRest) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
