--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -2,11 +2,8 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
-	"io"
 	"net"
-	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -190,44 +187,6 @@
 	return c.scanner.begun <= c.served, c.aheadOverflow
 }
 
-// Bounds of what is read and thrown away behind the last answer, before the connection is closed.
-const (
-	lingerAfter = time.Second // an answer that was written longer ago has arrived
-	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 1 << 20
-)
-
-// Close ends the connection. A close over bytes that nobody has read resets it, and takes along an answer that is still
-// on its way. So behind the last answer only the sending ends, and what still comes is read and thrown away until the
-// other side has closed as well. One that is closed while it waits has no answer on its way: what crosses its close
-// stays unread, so that its client may send it again. One that is cut off may have been told so, but its place
-// is wanted: it lingers only over bytes that would reset it now.
-func (c *clientConn) Close() error {
-	c.stopAhead()
-	c.dropAhead()
-	c.mu.Lock()
-	linger := time.Since(c.lastWrite) < lingerAfter && c.readErr == nil && (!c.closing || c.wroteAfterCut && downstream.StateOf(c.Conn) == downstream.Unread)
-	c.mu.Unlock()
-	if linger && c.CloseWrite() == nil {
-		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
-		io.CopyN(io.Discard, c.Conn, lingerBytes)
-	}
-	return c.Conn.Close()
-}
-
-// Abort implements downstream.Conn.
-func (c *clientConn) Abort() error { return c.Conn.Close() }
-
-// CloseWrite lets net/http linger after an answer to a request that it did not read completely: at once
-// closed, the connection would be reset, and the answer could be lost.
-func (c *clientConn) CloseWrite() error {
-	c.set.Move(c, downstream.Lingering)
-	if half, ok := c.Conn.(*net.TCPConn); ok {
-		return half.CloseWrite()
-	}
-	return errors.ErrUnsupported
-}
-
 // CloseIdle implements downstream.Conn.
 func (c *clientConn) CloseIdle() bool {
 	c.mu.Lock()
@@ -267,49 +226,3 @@
 	defer c.mu.Unlock()
 	return c.served > c.answered
 }
-
-// clientListener makes clientConns.
-type clientListener struct {
-	net.Listener
-	set   *downstream.Set
-	ahead *atomic.Int64
-}
-
-// Accept implements net.Listener.
-func (l clientListener) Accept() (net.Conn, error) {
-	c, err := l.set.Accept(l.Listener)
-	if err != nil {
-		return nil, err
-	}
-	return newClientConn(c, l.set, l.ahead), nil
-}
-
-// Close leaves the listener to whoever opened it: net/http closes what it has accepted from.
-func (clientListener) Close() error { return nil }
-
-type connKey struct{}
-
-// withConn has a request's context tell its connection.
-func withConn(ctx context.Context, nc net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, nc)
-}
-
-func connOf(ctx context.Context) *clientConn {
-	c, _ := ctx.Value(connKey{}).(*clientConn)
-	return c
-}
-
-// track follows what net/http tells of a connection.
-func (f *Front) track(nc net.Conn, state http.ConnState) {
-	c := nc.(*clientConn)
-	switch state {
-	case http.StateNew:
-		f.clients.Add(c, f)
-	case http.StateActive:
-		f.clients.Move(c, downstream.Reading)
-	case http.StateIdle:
-		f.clients.Move(c, downstream.Idle)
-	default:
-		f.clients.Remove(c)
-	}
-}
