--- a/internal/descriptors/share.go
+++ b/internal/descriptors/share.go
@@ -1,4 +1,5 @@
-// Package descriptors counts the sockets that several parts of the process take from one share.
+// Package descriptors counts the sockets that several parts of the process open within one limit, so that none of them
+// meets EMFILE. It opens and closes nothing itself: whoever does, acquires before and releases after.
 package descriptors
 
 import "sync/atomic"
@@ -6,33 +7,34 @@
 // Share is a number of descriptors that may be in use at once. Its methods are safe for any number of
 // goroutines.
 type Share struct {
-	most, used atomic.Int64
+	limit atomic.Int64
+	used  atomic.Int64
 }
 
-// NewShare returns a Share of so many.
-func NewShare(most int) *Share {
+// NewShare returns a Share of limit descriptors, none of them in use.
+func NewShare(limit int) *Share {
 	s := &Share{}
-	s.most.Store(int64(most))
+	s.limit.Store(int64(limit))
 	return s
 }
 
-// Take takes one; false if all are in use.
-func (s *Share) Take() bool {
-	if s.used.Add(1) > s.most.Load() {
+// TryAcquire takes one descriptor into use. It reports false, and takes none, if all are.
+func (s *Share) TryAcquire() bool {
+	if s.used.Add(1) > s.limit.Load() {
 		s.used.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Give gives one back that was taken.
-func (s *Share) Give() { s.used.Add(-1) }
+// Release gives back one descriptor that was acquired.
+func (s *Share) Release() { s.used.Add(-1) }
 
-// Used is how many are in use.
+// Used returns how many descriptors are in use. While acquires that fail are under way it may count them too.
 func (s *Share) Used() int { return int(s.used.Load()) }
 
-// Most is how many may be.
-func (s *Share) Most() int { return int(s.most.Load()) }
+// Limit returns how many descriptors may be in use.
+func (s *Share) Limit() int { return int(s.limit.Load()) }
 
-// Resize changes how many may be in use. Those beyond stay until they are given back.
-func (s *Share) Resize(most int) { s.most.Store(int64(most)) }
+// Resize changes the limit. Descriptors in use beyond it stay so until they are released.
+func (s *Share) Resize(limit int) { s.limit.Store(int64(limit)) }
--- a/internal/descriptors/share_test.go
+++ b/internal/descriptors/share_test.go
@@ -6,50 +6,48 @@
 	"testing"
 )
 
-// However many take and give at once, no more are in use than there are, and none is lost.
+// However many acquire and release at once, no more are in use than the limit, and none is lost.
 func TestShareIsNeverExceeded(t *testing.T) {
-	const most = 7
-	s := NewShare(most)
+	const limit = 7
+	s := NewShare(limit)
 	var inUse, worst atomic.Int64
 	var all sync.WaitGroup
 	for range 20 {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		all.Go(func() {
 			for range 2000 {
-				if !s.Take() {
+				if !s.TryAcquire() {
 					continue
 				}
 				if n := inUse.Add(1); n > worst.Load() {
 					worst.Store(n)
 				}
 				inUse.Add(-1)
-				s.Give()
+				s.Release()
 			}
-		}()
+		})
 	}
 	all.Wait()
-	if worst.Load() > most || s.Used() != 0 {
-		t.Errorf("%d in use at once of %d, %d left", worst.Load(), most, s.Used())
+	if worst.Load() > limit || s.Used() != 0 {
+		t.Errorf("%d in use at once of %d, %d left", worst.Load(), limit, s.Used())
 	}
 }
 
-// A share that shrinks gives nothing out until enough have come back.
-func TestResize(t *testing.T) {
+// A share that shrinks grants nothing until enough descriptors are released.
+func TestShrunkShareGrantsNothingUntilReleased(t *testing.T) {
 	s := NewShare(3)
 	for range 3 {
-		if !s.Take() {
+		if !s.TryAcquire() {
 			t.Fatal("none left")
 		}
 	}
 	s.Resize(1)
 	for i := range 3 {
-		if s.Take() {
-			t.Errorf("taken with %d in use of %d", s.Used()-1, s.Most())
+		if s.TryAcquire() {
+			t.Errorf("acquired with %d in use of %d", s.Used()-1, s.Limit())
 		}
-		s.Give()
-		if i == 2 && !s.Take() {
-			t.Error("none left once all were given back")
+		s.Release()
+		if i == 2 && !s.TryAcquire() {
+			t.Error("none left once all were released")
 		}
 	}
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -65,7 +65,7 @@
 			pool := newTestPool(10)
 			h := listServer(pool, s.Address())
 			pool.open = 1
-			pool.share.Take()
+			pool.share.TryAcquire()
 			pool.idle[h] = []*conn{{Conn: nc, host: h}} // with no reader
 			if say == "" {
 				other.Close()
@@ -101,7 +101,7 @@
 	pool := newTestPool(10)
 	waiter := make(chan reply, 1)
 	pool.open = 1
-	pool.share.Take()
+	pool.share.TryAcquire()
 	c := pool.newConn(nc, listServer(pool, "127.0.0.1:1"), waiter)
 	if pool.begin(c, waiter) == nil || pool.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", pool.open)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -45,7 +45,7 @@
 func (pool *Pool) addIdle(nc net.Conn, to discovery.Host) {
 	waiter := make(chan reply, 1)
 	pool.open++
-	pool.share.Take()
+	pool.share.TryAcquire()
 	c := pool.newConn(nc, to, waiter)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -72,7 +72,7 @@
 
 // reserve takes a place for one more connection, if there is one. The caller holds mu.
 func (p *Pool) reserve() bool {
-	if p.open >= p.limits.MaxConnections || !p.share.Take() {
+	if p.open >= p.limits.MaxConnections || !p.share.TryAcquire() {
 		return false
 	}
 	p.open++
@@ -83,7 +83,7 @@
 // release gives a connection's place back. The caller holds mu.
 func (p *Pool) release() {
 	p.open--
-	p.share.Give()
+	p.share.Release()
 }
 
 // putIdle keeps a connection for the next attempt, if its server is still the incarnation that it was opened to. The caller
