--- a/internal/http1/ahead.go
+++ b/internal/http1/ahead.go
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/validation"
 )
 
-// Bounds of what is read ahead, in bytes. What comes beyond is thrown away, and the answer under way is the last.
+// Bounds of what is read ahead, in bytes. What comes beyond is thrown away, and the response under way is the last.
 const (
 	maxConnAhead  = validation.MaxBody + maxHeaderBytes // of one connection: room for one complete request
 	maxTotalAhead = 4 << 20                             // of all connections of a front end
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -33,10 +33,10 @@
 	answered      int       // of them
 	begunAt       time.Time // when the first bytes of the request that is read were, or could have been
 	lastRead      time.Time // when any were last
-	lastWrite     time.Time // when bytes of an answer were written last
+	lastWrite     time.Time // when bytes of a response were written last
 	closing       bool
 	cutOff        bool      // leaving, whatever still comes
-	wroteAfterCut bool      // an answer was written once it was cut
+	wroteAfterCut bool      // a response was written once it was cut
 	deadline      time.Time // as net/http wants it
 
 	ahead         []byte        // read ahead and not handed out yet
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-// noteRead keeps what a read brought.
+// noteRead notes what a read brought, for the scan of requests and the connection's times.
 func (c *clientConn) noteRead(p []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,10 +94,10 @@
 	}
 }
 
-// pending says that bytes of a request were read that is not answered. The caller holds mu.
+// pending reports whether bytes of a request were read that is not answered. The caller holds mu.
 func (c *clientConn) pending() bool { return c.scanner.begun > c.answered }
 
-// hasEnded says that the other side has ended the connection, or its sending.
+// hasEnded reports whether the other side has ended the connection, or its sending.
 func (c *clientConn) hasEnded() bool {
 	select {
 	case <-c.ended:
@@ -107,8 +107,8 @@
 	}
 }
 
-// hasDisconnected says that the other side has ended the connection, or its sending, by what the system knows: an end that nobody
-// has read yet, or that stands behind bytes which nobody has, is one all the same.
+// hasDisconnected reports whether the other side has ended the connection, or its sending, by what the system knows: an end that
+// nobody has read yet, or that stands behind bytes which nobody has, is one all the same.
 func (c *clientConn) hasDisconnected() bool {
 	if !c.hasEnded() && downstream.StateOf(c.Conn) != downstream.Ended {
 		return false
@@ -123,7 +123,7 @@
 	return true
 }
 
-// Write begins before the client can have seen its answer.
+// Write begins before the client can have seen its response.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.lastWrite = time.Now()
@@ -145,14 +145,15 @@
 	return time.Since(c.lastRead)
 }
 
-// Begun is when the first bytes of the request that is read were.
+// Begun returns when the first bytes of the request that is read were.
 func (c *clientConn) Begun() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.begunAt
 }
 
-// takeHead tells of the head of the request that net/http has just read; see headScan.take.
+// takeHead reports whether the end of the body can be read in two ways, of the request that net/http has just read; see
+// headScan.take.
 func (c *clientConn) takeHead(coded bool) (unframed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,6 +161,8 @@
 	return c.scanner.take(coded)
 }
 
+// SetReadDeadline implements net.Conn. While the connection is being
+// closed, or reading ahead stopped, the deadline is kept for when it goes on.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +183,8 @@
 	c.lastWrite = time.Time{}
 }
 
-// isLast says that the answer under way is the last on the connection, if it may be: behind it no other request was read.
+// isLast reports whether the response under way may be the last on the connection, since no other request was read behind its
+// own, and whether it must be, since more came than is read ahead.
 func (c *clientConn) isLast() (may, must bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -104,7 +104,7 @@
 }
 
 // discard reads on for a while and throws away what comes: a connection that closed at once would be reset, and its
-// client, which still sends, could miss the answer.
+// client, which still sends, could miss the response.
 func (u *bodyRest) discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
