--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -16,14 +16,14 @@
 func Longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + Drift)) }
 func Shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - Drift)) }
 
-// Cut says what a gateway does that reaches no quota leader.
-type Cut string
+// Fallback says what a gateway does that reaches no quota leader.
+type Fallback string
 
 // Cuts.
 const (
-	Floor  Cut = "floor"  // it goes on with its part of its partner's floor
-	Closed Cut = "closed" // it refuses
-	Open   Cut = "open"   // it takes all: there is no bound then
+	Floor  Fallback = "floor"  // it goes on with its part of its partner's floor
+	Closed Fallback = "closed" // it refuses
+	Open   Fallback = "open"   // it takes all: there is no bound then
 )
 
 // Partner is a partner's part in a budget.
@@ -43,19 +43,19 @@
 	Lease    time.Duration
 	Term     time.Duration // of a quota leader
 	Wait     time.Duration // that a request may wait for a token
-	WhenCut  Cut
+	Fallback Fallback
 	Partners []Partner
 }
 
 // Depth is how many tokens the quota leader's bucket holds. Tokens that are out may be used together with what the bucket holds,
 // and so may each gateway's one of its own floor: the burst has to be enough for all of it.
 func (t Terms) Depth() float64 {
-	return max(1, t.Burst-t.Rate*Longer(t.Lease).Seconds()-t.own())
+	return max(1, t.Burst-t.Rate*Longer(t.Lease).Seconds()-t.ownFloorDraws())
 }
 
-// own is how many requests gateways may draw at once of floors, when they are cut off.
-func (t Terms) own() (n float64) {
-	if t.WhenCut != Floor {
+// ownFloorDraws is how many requests gateways may draw at once of floors, when they are cut off.
+func (t Terms) ownFloorDraws() (n float64) {
+	if t.Fallback != Floor {
 		return 0
 	}
 	for _, p := range t.Partners {
@@ -66,8 +66,8 @@
 	return n
 }
 
-// floors are all floors together.
-func (t Terms) floors() (sum float64) {
+// sumOfFloors are all floors together.
+func (t Terms) sumOfFloors() (sum float64) {
 	for _, p := range t.Partners {
 		sum += p.Floor
 	}
@@ -80,10 +80,10 @@
 // Bound is how many requests draw in a window at most: what the bucket held and what came into it from Lease before the window
 // on, for tokens of then may still be used in it, and a request of its own floor for each gateway that may be cut off.
 func (t Terms) Bound(window time.Duration) float64 {
-	if t.WhenCut == Open {
+	if t.Fallback == Open {
 		return math.Inf(1)
 	}
-	return t.Depth() + t.Rate*(window.Seconds()+Longer(t.Lease).Seconds()) + t.own()
+	return t.Depth() + t.Rate*(window.Seconds()+Longer(t.Lease).Seconds()) + t.ownFloorDraws()
 }
 
 // Windows are those for which bounds are told and held.
@@ -98,12 +98,12 @@
 		return "burst", fmt.Sprintf("found %v; allowed: 1 to 1e6 calls", t.Burst)
 	case !(t.Over >= 0 && t.Over <= 1):
 		return "over", fmt.Sprintf("found %v; allowed: 0 to 1, a share of what a window allows", t.Over)
-	case t.floors() > t.Rate:
-		return "rate", fmt.Sprintf("found %v, but the partners' floors add up to %v", t.Rate, t.floors())
+	case t.sumOfFloors() > t.Rate:
+		return "rate", fmt.Sprintf("found %v, but the partners' floors add up to %v", t.Rate, t.sumOfFloors())
 	}
 	for _, w := range windows {
-		if most, allowed := t.Bound(w), t.Allowed(w); t.WhenCut != Open && most > allowed*(1+t.Over)+1e-9 {
-			if own := t.own(); own > 0 && t.Depth() == 1 {
+		if most, allowed := t.Bound(w), t.Allowed(w); t.Fallback != Open && most > allowed*(1+t.Over)+1e-9 {
+			if own := t.ownFloorDraws(); own > 0 && t.Depth() == 1 {
 				return "when_cut", fmt.Sprintf(`found "floor": cut off, %v gateways could each draw a call of their own at once, so that %v calls could be drawn in %v where %v and %v %% more are allowed; allowed: when_cut = "closed", a greater burst, or floors for partners of fewer gateways`,
 					own, round(most), w, round(allowed), 100*t.Over)
 			}
@@ -116,17 +116,17 @@
 
 func round(v float64) float64 { return math.Round(v*10) / 10 }
 
-// Words tell what is promised, for a plan.
-func (t Terms) Words() string {
-	if t.WhenCut == Open {
+// Summary tell what is promised, for a plan.
+func (t Terms) Summary() string {
+	if t.Fallback == Open {
 		return fmt.Sprintf("quota %q: %v calls a second and %v at once while its keeper is reached; without it every call is taken, and there is no bound", t.Name, t.Rate, t.Burst)
 	}
 	s := fmt.Sprintf("quota %q: at most %v calls in any second (%v allowed) and %v in any 10 s (%v allowed), over all gateways, whatever fails",
 		t.Name, round(t.Bound(windows[0])), round(t.Allowed(windows[0])), round(t.Bound(windows[1])), round(t.Allowed(windows[1])))
-	if t.WhenCut == Closed {
+	if t.Fallback == Closed {
 		return s + "; a gateway that reaches no keeper refuses"
 	}
-	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(Waiver))
+	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(FloorLoan))
 }
 
 // Vote is what one that could be quota leader has promised.
@@ -151,14 +151,14 @@
 
 // Claim is what a partner wants of a bucket, and what it has had.
 type Claim struct {
-	Want   int     // tokens that its gateways wait for
-	Credit float64 // of its floor: what it could have had and has not
-	Had    float64 // beyond its floor, for its weight
+	Want        int     // tokens that its gateways wait for
+	Credit      float64 // of its floor: what it could have had and has not
+	BeyondFloor float64 // beyond its floor, for its weight
 }
 
-// Turn is whose turn it is for the next token: first those whose floor is owed, the one that is owed most; then the one that
+// NextPartner is whose turn it is for the next token: first those whose floor is owed, the one that is owed most; then the one that
 // has had least for its weight. -1: nobody wants any.
-func Turn(claims []Claim) int {
+func NextPartner(claims []Claim) int {
 	best := -1
 	for i, c := range claims {
 		switch {
@@ -177,15 +177,15 @@
 	case owedA:
 		return a.Credit > b.Credit
 	}
-	return a.Had < b.Had
+	return a.BeyondFloor < b.BeyondFloor
 }
 
-// Waiver is how long a floor is lent that its gateway does not need.
-const Waiver = time.Second
+// FloorLoan is how long a floor is lent that its gateway does not need.
+const FloorLoan = time.Second
 
-// Lent says until when a quota leader may lend a floor whose gateway waived it in an answer to a message of the quota leader's of a
+// FloorLoanEnds says until when a quota leader may lend a floor whose gateway waived it in an answer to a message of the quota leader's of a
 // time, and until when, by its own clock, the gateway draws nothing of it then. The quota leader's message came before the answer
 // went out, so that the first is over before the second.
-func Lent(asked, answered time.Duration) (leader, gateway time.Duration) {
-	return asked + Waiver, answered + Longer(Waiver)
+func FloorLoanEnds(asked, answered time.Duration) (leader, gateway time.Duration) {
+	return asked + FloorLoan, answered + Longer(FloorLoan)
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -18,7 +18,7 @@
 
 const page = "../../docs/design/quota.md"
 
-func length(t *testing.T, r spectest.Row, text string) time.Duration {
+func parseDuration(t *testing.T, r spectest.Row, text string) time.Duration {
 	t.Helper()
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -34,10 +34,10 @@
 		switch f := strings.Fields(r.At("given")); {
 		case len(f) == 1 && f[0] == "nothing":
 		case len(f) == 3 && f[0] == "started":
-			began = length(t, r, f[2])
+			began = parseDuration(t, r, f[2])
 		case len(f) == 5 && f[1] == "to":
 			fmt.Sscan(f[0], &v.Term)
-			v.Leader, v.Until = f[2], length(t, r, f[4])
+			v.Leader, v.Until = f[2], parseDuration(t, r, f[4])
 		default:
 			t.Errorf("%s:%d: nobody plays %q", page, r.Line, r.At("given"))
 			continue
@@ -48,7 +48,7 @@
 			t.Errorf("%s:%d: nobody plays %q", page, r.Line, r.At("event"))
 			continue
 		}
-		next, ok := MayVote(v, began, length(t, r, at), time.Second, number, who)
+		next, ok := MayVote(v, began, parseDuration(t, r, at), time.Second, number, who)
 		got := "no"
 		if ok {
 			got = fmt.Sprintf("yes, until %v", next.Until)
@@ -69,12 +69,12 @@
 		var claims []Claim
 		for _, p := range strings.Split(r.At("partners"), ", ") {
 			var c Claim
-			if _, err := fmt.Sscanf(strings.ReplaceAll(p, "/", " "), "%d %g %g", &c.Want, &c.Credit, &c.Had); err != nil {
+			if _, err := fmt.Sscanf(strings.ReplaceAll(p, "/", " "), "%d %g %g", &c.Want, &c.Credit, &c.BeyondFloor); err != nil {
 				t.Fatalf("%s:%d: %v", page, r.Line, err)
 			}
 			claims = append(claims, c)
 		}
-		if got := map[int]string{-1: "nobody", 0: "first", 1: "second"}[Turn(claims)]; got != r.At("outcome") {
+		if got := map[int]string{-1: "nobody", 0: "first", 1: "second"}[NextPartner(claims)]; got != r.At("outcome") {
 			t.Errorf("%s:%d: %s", page, r.Line, got)
 		}
 	}
@@ -89,7 +89,7 @@
 		}
 		fmt.Sscanf(over, "%g%%", &b.Over)
 		b.Over /= 100
-		b.Lease, b.WhenCut = length(t, r, lease), Cut(cut)
+		b.Lease, b.Fallback = parseDuration(t, r, lease), Fallback(cut)
 		for _, p := range strings.Split(r.At("partners"), ", ") {
 			var k Partner
 			if _, err := fmt.Sscanf(p, "%g x %d", &k.Floor, &k.Gateways); err != nil {
@@ -216,7 +216,7 @@
 		sent := stamp + time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "later"))
 		byKeeper := func(real time.Duration) time.Duration { return time.Duration(float64(real) * leader) }
 		byGateway := func(real time.Duration) time.Duration { return time.Duration(float64(real) * gateway) }
-		lent, drawn := Lent(byKeeper(stamp), byGateway(sent))
+		lent, drawn := FloorLoanEnds(byKeeper(stamp), byGateway(sent))
 		if until, from := float64(lent)/leader, float64(drawn)/gateway; until > from {
 			t.Fatalf("lent until %v, drawn from %v", time.Duration(until), time.Duration(from))
 		}
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -78,7 +78,7 @@
 	Lease      Duration         `json:"lease"`
 	Term       Duration         `json:"term"`
 	Wait       Duration         `json:"wait,omitempty"`
-	WhenCut    budget.Cut       `json:"when_cut"`
+	WhenCut    budget.Fallback  `json:"when_cut"`
 	Classes    []string         `json:"classes,omitempty"`
 	Tenants    []string         `json:"tenants,omitempty"`
 	Candidates []QuotaCandidate `json:"keepers"`
@@ -108,7 +108,7 @@
 // Terms are the quota's terms as internal/budget has them.
 func (q Quota) Terms() budget.Terms {
 	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Over: q.Over, Lease: time.Duration(q.Lease), Term: time.Duration(q.Term),
-		Wait: time.Duration(q.Wait), WhenCut: q.WhenCut}
+		Wait: time.Duration(q.Wait), Fallback: q.WhenCut}
 	for _, p := range q.Partners {
 		t.Partners = append(t.Partners, budget.Partner{Name: p.Name, Floor: p.Floor, Weight: p.Weight, Gateways: p.Gateways})
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, q := range c.Quotas {
-		out = append(out, q.Terms().Words())
+		out = append(out, q.Terms().Summary())
 	}
 	return out
 }
--- a/internal/faultbench/federation/day.go
+++ b/internal/faultbench/federation/day.go
@@ -221,7 +221,7 @@
 	}
 	for _, g := range l.Gateways {
 		c := g.Notes(ctx).Counts
-		f.Purses.Drawn, f.Purses.Rejected, f.Purses.Own = f.Purses.Drawn+c.Drawn, f.Purses.Rejected+c.Rejected, f.Purses.Own+c.Own
+		f.Purses.Drawn, f.Purses.Rejected, f.Purses.OwnFloor = f.Purses.Drawn+c.Drawn, f.Purses.Rejected+c.Rejected, f.Purses.OwnFloor+c.OwnFloor
 		f.Purses.Wasted, f.Purses.Granted, f.Purses.Returning = f.Purses.Wasted+c.Wasted, f.Purses.Granted+c.Granted, f.Purses.Returning+c.Returning
 	}
 	f.Notes = float64(l.Audit.Count("note", begin.Sub(l.began), begin.Sub(l.began)+d.Length)) / d.Length.Seconds()
@@ -299,7 +299,7 @@
 			g := pick()
 			if d.Fault == "keeper" {
 				for _, k := range l.Gateways {
-					if k.Notes(ctx).Mine {
+					if k.Notes(ctx).IsLeader {
 						up(g)
 						g = k
 					}
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -82,7 +82,7 @@
 			if g.Log() == "" {
 				continue
 			}
-			if g.Notes(t.Context()).Mine {
+			if g.Notes(t.Context()).IsLeader {
 				k = g
 				return true
 			}
@@ -92,8 +92,8 @@
 	return k
 }
 
-func notes(rate, burst float64, cut budget.Cut, floor float64) (budget.Terms, string) {
-	t := budget.Terms{Name: "notes", Rate: rate, Burst: burst, Over: 0.05, Lease: 300 * time.Millisecond, Term: time.Second, WhenCut: cut}
+func notes(rate, burst float64, cut budget.Fallback, floor float64) (budget.Terms, string) {
+	t := budget.Terms{Name: "notes", Rate: rate, Burst: burst, Over: 0.05, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: cut}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n lease = \"300ms\"\n term = \"1s\"\n wait = \"50ms\"\n when_cut = %q\n classes = [\"note\"]\n", rate, burst, string(cut))
 	for p := range 3 {
 		t.Partners = append(t.Partners, budget.Partner{Name: Name(p), Floor: floor, Weight: 1, Gateways: 3})
@@ -122,14 +122,14 @@
 	mend := l.Cut(l.Of(second.Partner), l.But(l.Of(second.Partner)...), true)
 	testpeer.Until(t, "another keeper on the other side", func() bool {
 		for _, g := range l.But(l.Of(second.Partner)...) {
-			if g.Notes(t.Context()).Mine {
+			if g.Notes(t.Context()).IsLeader {
 				return true
 			}
 		}
 		return false
 	})
 	testpeer.Until(t, "the part that is cut off to draw of its floor", func() bool {
-		return second.Notes(t.Context()).Own > 0
+		return second.Notes(t.Context()).OwnFloor > 0
 	})
 	mend()
 	c.more(t, 100)
@@ -234,7 +234,7 @@
 	var second *Gateway
 	testpeer.Until(t, "another keeper", func() bool {
 		for _, g := range l.But(first) {
-			if g.Notes(t.Context()).Mine {
+			if g.Notes(t.Context()).IsLeader {
 				second = g
 			}
 		}
@@ -247,7 +247,7 @@
 	}
 	testpeer.Until(t, "the one that was stopped to draw under a later keeper", func() bool {
 		s := first.Notes(t.Context())
-		return !s.Mine && s.Term >= term && s.Drawn > 0 || s.Mine && s.Term > term
+		return !s.IsLeader && s.Term >= term && s.Drawn > 0 || s.IsLeader && s.Term > term
 	})
 	c.more(t, 60)
 	c.stop()
--- a/internal/gateway/take.go
+++ b/internal/gateway/take.go
@@ -146,7 +146,7 @@
 	var names []string
 	for i := range p.quotas {
 		budget := &p.quotas[i]
-		if budget.Match(class, record.Tenant) && !slices.Contains(record.Draws, budget.Name) {
+		if budget.Matches(class, record.Tenant) && !slices.Contains(record.Draws, budget.Name) {
 			names = append(names, budget.Name)
 		}
 	}
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -29,27 +29,27 @@
 
 // leader is the bucket of one who may be the quota leader of a budget, and its part in electing one. The owner locks it.
 type leader struct {
-	terms budget.Terms
-	self  string // partner/name
-	all   []string
-	began time.Duration
+	terms      budget.Terms
+	self       string // partner/name
+	candidates []string
+	startedAt  time.Duration
 
-	vote  budget.Vote
-	seen  uint64        // the highest term heard of
-	term  uint64        // own, while
-	until time.Duration // it lasts; 0: it is not the quota leader
+	vote        budget.Vote
+	highestTerm uint64        // the highest term heard of
+	term        uint64        // own, while
+	until       time.Duration // it lasts; 0: it is not the quota leader
 
 	tokens   float64
-	filled   time.Duration
+	filledAt time.Duration
 	claims   map[string]*budget.Claim              // by partner
-	lent     map[string]*lease                     // by gateway
-	requests map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
+	waivers  map[string]*floorWaiver               // by gateway
+	pending  map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
 	order    []peering.GatewayID                   // of gateways, in turn
 	granted  int64
 }
 
-// lease is a gateway's floor that it has waived.
-type lease struct {
+// floorWaiver is a gateway's floor that it has waived.
+type floorWaiver struct {
 	partner string
 	floor   float64
 	until   time.Duration
@@ -57,36 +57,36 @@
 
 // pendingRequest is a gateway's question that is not answered yet.
 type pendingRequest struct {
-	want, due int
-	got       int
-	reply     func(given int, hint time.Duration)
+	wanted, returning int
+	granted           int
+	reply             func(given int, hint time.Duration)
 }
 
 func newLeader(t budget.Terms, self string, all []string, now time.Duration) *leader {
-	return &leader{terms: t, self: self, all: all, began: now, claims: map[string]*budget.Claim{}, lent: map[string]*lease{}, requests: map[peering.GatewayID]*pendingRequest{}}
+	return &leader{terms: t, self: self, candidates: all, startedAt: now, claims: map[string]*budget.Claim{}, waivers: map[string]*floorWaiver{}, pending: map[peering.GatewayID]*pendingRequest{}}
 }
 
 // isLeader says whether this one is the quota leader now.
-func (k *leader) isLeader(now time.Duration) bool { return k.until > 0 && now < k.until }
+func (l *leader) isLeader(now time.Duration) bool { return l.until > 0 && now < l.until }
 
 // begin takes the office for a term. The bucket begins empty, whatever the one before had given out.
-func (k *leader) begin(now time.Duration, number uint64) {
-	k.term, k.tokens, k.filled = number, 0, now
-	k.claims, k.lent = map[string]*budget.Claim{}, map[string]*lease{}
+func (l *leader) begin(now time.Duration, number uint64) {
+	l.term, l.tokens, l.filledAt = number, 0, now
+	l.claims, l.waivers = map[string]*budget.Claim{}, map[string]*floorWaiver{}
 }
 
 // rate is how fast the bucket fills now: floors that nobody has waived are others' own.
-func (k *leader) rate(now time.Duration) float64 {
-	if k.terms.WhenCut != budget.Floor {
-		return k.terms.Rate
+func (l *leader) rate(now time.Duration) float64 {
+	if l.terms.Fallback != budget.Floor {
+		return l.terms.Rate
 	}
-	rate := k.terms.Rate
-	for _, p := range k.terms.Partners {
+	rate := l.terms.Rate
+	for _, p := range l.terms.Partners {
 		left := p.Floor
 		n := 0
-		for _, l := range k.lent {
-			if l.partner == p.Name && now < l.until && n < p.Gateways {
-				left -= l.floor
+		for _, waiver := range l.waivers {
+			if waiver.partner == p.Name && now < waiver.until && n < p.Gateways {
+				left -= waiver.floor
 				n++
 			}
 		}
@@ -96,54 +96,54 @@
 }
 
 // fill lets the bucket run until now.
-func (k *leader) fill(now time.Duration) {
-	if d := (now - k.filled).Seconds(); d > 0 {
-		k.tokens = min(k.terms.Depth(), k.tokens+d*k.rate(now))
-		for _, p := range k.terms.Partners {
-			if c := k.claims[p.Name]; c != nil && p.Floor > 0 {
+func (l *leader) fill(now time.Duration) {
+	if d := (now - l.filledAt).Seconds(); d > 0 {
+		l.tokens = min(l.terms.Depth(), l.tokens+d*l.rate(now))
+		for _, p := range l.terms.Partners {
+			if c := l.claims[p.Name]; c != nil && p.Floor > 0 {
 				c.Credit = min(max(1, p.Floor), c.Credit+d*p.Floor)
 			}
 		}
 	}
-	k.filled = now
+	l.filledAt = now
 }
 
-// partner is what a partner has had and is owed.
-func (k *leader) partner(name string) *budget.Claim {
-	c := k.claims[name]
+// claim is what a partner has had and is owed.
+func (l *leader) claim(name string) *budget.Claim {
+	c := l.claims[name]
 	if c == nil {
 		c = &budget.Claim{}
-		k.claims[name] = c
+		l.claims[name] = c
 	}
 	return c
 }
 
 // request takes a gateway's question; a newer one takes the place of one that waits.
-func (k *leader) request(who peering.GatewayID, a *pendingRequest, back int) {
-	k.tokens = min(k.terms.Depth(), k.tokens+float64(back))
-	if was := k.requests[who]; was != nil {
-		was.reply(was.got, 0)
-	} else if !slices.Contains(k.order, who) {
-		k.order = append(k.order, who)
+func (l *leader) request(who peering.GatewayID, a *pendingRequest, back int) {
+	l.tokens = min(l.terms.Depth(), l.tokens+float64(back))
+	if was := l.pending[who]; was != nil {
+		was.reply(was.granted, 0)
+	} else if !slices.Contains(l.order, who) {
+		l.order = append(l.order, who)
 	}
-	k.requests[who] = a
+	l.pending[who] = a
 }
 
 // distribute gives out what the bucket holds, by turns, and answers who has got what it wanted. over: whoever still waits is
 // answered too, with what there is and when to come back.
-func (k *leader) distribute(now time.Duration, over bool) {
-	k.fill(now)
-	names := make([]string, 0, len(k.terms.Partners))
-	for _, p := range k.terms.Partners {
+func (l *leader) distribute(now time.Duration, over bool) {
+	l.fill(now)
+	names := make([]string, 0, len(l.terms.Partners))
+	for _, p := range l.terms.Partners {
 		names = append(names, p.Name)
 	}
 	wants := make([]budget.Claim, len(names))
 	for i, n := range names {
-		c := k.partner(n)
+		c := l.claim(n)
 		c.Want = 0
-		for who, a := range k.requests {
+		for who, a := range l.pending {
 			if who.Partner == n {
-				c.Want += max(0, a.want-a.got)
+				c.Want += max(0, a.wanted-a.granted)
 			}
 		}
 		wants[i] = *c
@@ -151,54 +151,54 @@
 	// Who wants again after a while counts as if it had had as little as the one who has had least of those who go on.
 	least, any := 0.0, false
 	for i := range wants {
-		if wants[i].Want > 0 && (!any || wants[i].Had < least) {
-			least, any = wants[i].Had, true
+		if wants[i].Want > 0 && (!any || wants[i].BeyondFloor < least) {
+			least, any = wants[i].BeyondFloor, true
 		}
 	}
-	once := max(1, int(k.tokens)/mostTurns) // tokens that go in one turn
-	for k.tokens >= 1 {
-		i := budget.Turn(wants)
+	once := max(1, int(l.tokens)/turnsPerDistribution) // tokens that go in one turn
+	for l.tokens >= 1 {
+		i := budget.NextPartner(wants)
 		if i < 0 {
 			break
 		}
-		n := k.grant(names[i], min(once, wants[i].Want, int(k.tokens)))
+		n := l.grant(names[i], min(once, wants[i].Want, int(l.tokens)))
 		if n == 0 {
 			wants[i].Want = 0
 			continue
 		}
-		k.tokens -= float64(n)
-		k.granted += int64(n)
+		l.tokens -= float64(n)
+		l.granted += int64(n)
 		wants[i].Want -= n
 		if wants[i].Credit >= 1 {
 			wants[i].Credit -= float64(n)
 		} else {
-			wants[i].Had = max(wants[i].Had, least) + float64(n)/k.weight(names[i])
+			wants[i].BeyondFloor = max(wants[i].BeyondFloor, least) + float64(n)/l.weight(names[i])
 		}
 	}
 	waiting := 0
 	for i, n := range names {
-		c := k.claims[n]
-		c.Credit, c.Had = wants[i].Credit, wants[i].Had
+		c := l.claims[n]
+		c.Credit, c.BeyondFloor = wants[i].Credit, wants[i].BeyondFloor
 		waiting += max(0, wants[i].Want)
 	}
-	for who, a := range k.requests {
-		if a.got < a.want && !over {
+	for who, a := range l.pending {
+		if a.granted < a.wanted && !over {
 			continue
 		}
 		hint := time.Duration(0)
-		if a.got < a.want {
-			hint = time.Duration(float64(waiting+1) / max(k.rate(now), 1e-3) * float64(time.Second))
+		if a.granted < a.wanted {
+			hint = time.Duration(float64(waiting+1) / max(l.rate(now), 1e-3) * float64(time.Second))
 		}
-		delete(k.requests, who)
-		a.reply(a.got, hint)
+		delete(l.pending, who)
+		a.reply(a.granted, hint)
 	}
 }
 
-// mostTurns is about how many turns a deal takes.
-const mostTurns = 512
+// turnsPerDistribution is about how many turns a deal takes.
+const turnsPerDistribution = 512
 
-func (k *leader) weight(partner string) float64 {
-	for _, p := range k.terms.Partners {
+func (l *leader) weight(partner string) float64 {
+	for _, p := range l.terms.Partners {
 		if p.Name == partner && p.Weight > 0 {
 			return p.Weight
 		}
@@ -208,23 +208,23 @@
 
 // grant gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose clients
 // come back at a time that they were told.
-func (k *leader) grant(partner string, n int) int {
+func (l *leader) grant(partner string, n int) int {
 	for _, due := range []bool{true, false} {
-		for i, who := range k.order {
-			a := k.requests[who]
+		for i, who := range l.order {
+			a := l.pending[who]
 			if who.Partner != partner || a == nil {
 				continue
 			}
-			most := a.want
+			most := a.wanted
 			if due {
-				most = min(a.want, a.due)
+				most = min(a.wanted, a.returning)
 			}
-			if a.got >= most {
+			if a.granted >= most {
 				continue
 			}
-			n = min(n, most-a.got)
-			a.got += n
-			k.order = append(slices.Delete(k.order, i, i+1), who)
+			n = min(n, most-a.granted)
+			a.granted += n
+			l.order = append(slices.Delete(l.order, i, i+1), who)
 			return n
 		}
 	}
@@ -232,6 +232,6 @@
 }
 
 // waive notes that a gateway's floor may be lent until a time.
-func (k *leader) waive(who peering.GatewayID, floor float64, until time.Duration) {
-	k.lent[who.String()] = &lease{who.Partner, floor, until}
+func (l *leader) waive(who peering.GatewayID, floor float64, until time.Duration) {
+	l.waivers[who.String()] = &floorWaiver{who.Partner, floor, until}
 }
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -17,27 +17,27 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// dealt plays a quota leader for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
+// distributeFor plays a quota leader for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
 // each partner got, and the most in any window.
-func dealt(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
-	k := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
-	k.begin(0, 1)
-	k.until = time.Hour
+func distributeFor(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
+	l := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
+	l.begin(0, 1)
+	l.until = time.Hour
 	got = map[string]int{}
 	var times []time.Duration
-	for now := time.Duration(0); now < length; now += dealEvery {
+	for now := time.Duration(0); now < length; now += leaderInterval {
 		for _, p := range t.Partners {
 			for i := range p.Gateways {
 				who := peering.GatewayID{Partner: p.Name, Name: fmt.Sprint("g", i)}
 				if waives {
-					k.waive(who, p.Floor/float64(p.Gateways), now+budget.Waiver)
+					l.waive(who, p.Floor/float64(p.Gateways), now+budget.FloorLoan)
 				}
 				n := wants(p.Name, now) / p.Gateways
 				if n == 0 && wants(p.Name, now) > i {
 					n = 1
 				}
 				if n > 0 {
-					k.request(who, &pendingRequest{want: n, reply: func(given int, _ time.Duration) {
+					l.request(who, &pendingRequest{wanted: n, reply: func(given int, _ time.Duration) {
 						got[p.Name] += given
 						for range given {
 							times = append(times, now)
@@ -46,7 +46,7 @@
 				}
 			}
 		}
-		k.distribute(now, true)
+		l.distribute(now, true)
 	}
 	from := 0
 	for i, at := range times {
@@ -59,7 +59,7 @@
 }
 
 func terms(rate, burst float64, partners ...budget.Partner) budget.Terms {
-	return budget.Terms{Name: "notes", Rate: rate, Burst: burst, Lease: 300 * time.Millisecond, Term: time.Second, WhenCut: budget.Floor, Partners: partners}
+	return budget.Terms{Name: "notes", Rate: rate, Burst: burst, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: budget.Floor, Partners: partners}
 }
 
 // Tokens are shared by weight beyond floors; what one leaves others have, and it has it back at once.
@@ -97,7 +97,7 @@
 		{"few calls, many gateways", terms(5, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 150}, budget.Partner{Name: "b", Weight: 1, Gateways: 150}),
 			all, map[string]float64{"a": 2.5, "b": 2.5}},
 	} {
-		got, most := dealt(c.terms, c.wants, length, time.Second, true)
+		got, most := distributeFor(c.terms, c.wants, length, time.Second, true)
 		for n, want := range c.want {
 			if g := float64(got[n]) / length.Seconds(); !near(g, want) {
 				t.Errorf("%s: %s got %.1f a second, want %.1f", c.name, n, g, want)
@@ -108,7 +108,7 @@
 		}
 	}
 	// A floor that nobody has waived is dealt out to nobody.
-	got, _ := dealt(terms(100, 200, p("a", 0, 1), p("b", 60, 1)), all, length, time.Second, false)
+	got, _ := distributeFor(terms(100, 200, p("a", 0, 1), p("b", 60, 1)), all, length, time.Second, false)
 	if sum := float64(got["a"]+got["b"]) / length.Seconds(); !near(sum, 40) {
 		t.Errorf("%.1f tokens a second were dealt out beside a floor of 60 that is its own", sum)
 	}
@@ -116,37 +116,37 @@
 
 // newTestLimiter is one that is alone, its own quota leader, with a clock that the test sets.
 func newTestLimiter(t testing.TB, terms budget.Terms, now func() time.Duration) *Limiter {
-	p := New(Options{Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}}, Self: peering.GatewayID{Partner: "a", Name: "g"},
+	l := New(Options{Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}}, Self: peering.GatewayID{Partner: "a", Name: "g"},
 		To: func(peering.GatewayID) *peering.Link { return nil }, Now: now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	t.Cleanup(p.Close)
-	return p
+	t.Cleanup(l.Close)
+	return l
 }
 
 // A limiter that is its own quota leader draws what the budget allows; a refusal says when to come back, and who comes then is taken.
 func TestRetryAtAdvisedTimeIsAdmitted(t *testing.T) {
 	begin := time.Now()
 	b := terms(20, 3, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
-	b.WhenCut = budget.Closed
-	p := newTestLimiter(t, b, func() time.Duration { return time.Since(begin) })
-	testpeer.Until(t, "the keeper", func() bool { return p.Status().Mine })
+	b.Fallback = budget.Closed
+	limiter := newTestLimiter(t, b, func() time.Duration { return time.Since(begin) })
+	testpeer.Until(t, "the keeper", func() bool { return limiter.Status().IsLeader })
 	taken := 0
 	for i := 0; taken < 20; i++ {
 		id := fmt.Sprint("c", i)
-		token, retry := p.Draw(t.Context(), id, "")
+		token, retry := limiter.Draw(t.Context(), id, "")
 		if token != 0 {
 			continue
 		}
-		if retry <= 0 || retry > mostHint {
+		if retry <= 0 || retry > maxRetryAfter {
 			t.Fatalf("come back after %v", retry)
 		}
-		if retry < mostHint {
+		if retry < maxRetryAfter {
 			time.Sleep(retry)
-			if token, _ = p.Draw(t.Context(), "again", id); token != 0 {
+			if token, _ = limiter.Draw(t.Context(), "again", id); token != 0 {
 				taken++
 			}
 		}
 	}
-	if s := p.Status(); s.Returning == 0 {
+	if s := limiter.Status(); s.Returning == 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -154,16 +154,16 @@
 // A draw that is taken back is another request's, for as long as its token is good and no longer, and never twice.
 func TestUndoReturnsToken(t *testing.T) {
 	now := time.Second
-	p := &Limiter{options: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, wake: make(chan struct{}, 1)}
-	p.ctx, p.options.Budget.WhenCut, p.waived = t.Context(), budget.Closed, time.Hour
-	p.leases, p.held = []tokenLease{{1, 2 * time.Second}, {1, 3 * time.Second}}, 2
-	draw := func() Token { token, _ := p.Draw(t.Context(), "x", ""); return token }
+	limiter := &Limiter{options: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, wake: make(chan struct{}, 1)}
+	limiter.ctx, limiter.options.Budget.Fallback, limiter.waivedUntil = t.Context(), budget.Closed, time.Hour
+	limiter.leases, limiter.available = []tokenLease{{1, 2 * time.Second}, {1, 3 * time.Second}}, 2
+	draw := func() Token { token, _ := limiter.Draw(t.Context(), "x", ""); return token }
 	first, second := draw(), draw()
 	if first == 0 || second == 0 || draw() != 0 {
 		t.Fatal("two tokens are not two draws")
 	}
-	p.Undo(second)
-	p.Undo(first)
+	limiter.Undo(second)
+	limiter.Undo(first)
 	if again := draw(); again != first {
 		t.Errorf("the token that ends first is not used first: %v", again)
 	}
@@ -171,10 +171,10 @@
 	if draw() != 0 {
 		t.Error("a token was used after its time")
 	}
-	p.Undo(first)
-	p.Undo(0)
-	if draw() != 0 || p.counts.Undone != 3 {
-		t.Errorf("a draw was taken back after its time: %+v", p.counts)
+	limiter.Undo(first)
+	limiter.Undo(0)
+	if draw() != 0 || limiter.counts.Undone != 3 {
+		t.Errorf("a draw was taken back after its time: %+v", limiter.counts)
 	}
 }
 
@@ -182,13 +182,13 @@
 func BenchmarkDraw(b *testing.B) {
 	t := terms(1e6, 1e6, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	begin := time.Now()
-	p := &Limiter{options: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(begin) }}, wake: make(chan struct{}, 1)}
-	p.leases, p.held = []tokenLease{{1 << 60, time.Hour}}, 1<<60
+	limiter := &Limiter{options: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(begin) }}, wake: make(chan struct{}, 1)}
+	limiter.leases, limiter.available = []tokenLease{{1 << 60, time.Hour}}, 1<<60
 	ctx := b.Context()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if t, _ := p.Draw(ctx, "x", ""); t == 0 {
+		if t, _ := limiter.Draw(ctx, "x", ""); t == 0 {
 			b.Fatal("refused")
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -53,7 +53,7 @@
 // Candidate is one who may keep a budget.
 type Candidate struct{ Partner, Name string }
 
-func (k Candidate) id() peering.GatewayID { return peering.GatewayID{Partner: k.Partner, Name: k.Name} }
+func (c Candidate) id() peering.GatewayID { return peering.GatewayID{Partner: c.Partner, Name: c.Name} }
 
 // ParseCandidate reads partner/gateway.
 func ParseCandidate(name string) Candidate {
@@ -69,8 +69,8 @@
 	Tenants    []string    // likewise
 }
 
-// Match says that a request draws from the budget.
-func (b *Budget) Match(class, tenant string) bool {
+// Matches says that a request draws from the budget.
+func (b *Budget) Matches(class, tenant string) bool {
 	return (len(b.Classes) == 0 || slices.Contains(b.Classes, class)) && (len(b.Tenants) == 0 || slices.Contains(b.Tenants, tenant))
 }
 
@@ -87,31 +87,31 @@
 type Limiter struct {
 	options Options
 	ctx     context.Context
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 	wake    chan struct{}
 
-	mu       sync.Mutex
-	leases   []tokenLease
-	held     int
-	demand   float64       // requests a second, lately
-	granted  float64       // tokens a second, lately
-	counted  time.Duration // until when both were counted
-	requests int           // since then
-	tokens   int           // likewise
-	waiting  []*waiter
-	booked   []booking
-	back     int
-
-	term       uint64        // the highest quota leader's heard of
-	leaderName string        // who that is
-	stamp      time.Duration // of its last answer
-	grantedAt  time.Duration // when that came; 0: never
-	waived     time.Duration // until when the own floor is not drawn
-	floor      float64       // of it, what may be drawn
-	flowed     time.Duration
-	hint       time.Duration
-	counts     Counts
+	mu            sync.Mutex
+	leases        []tokenLease
+	available     int
+	requestRate   float64       // requests a second, lately
+	grantRate     float64       // tokens a second, lately
+	ratesAt       time.Duration // until when both were counted
+	requestsSince int           // since then
+	tokensSince   int           // likewise
+	waiting       []*waiter
+	bookings      []booking
+	back          int
+
+	term        uint64        // the highest quota leader's heard of
+	leaderName  string        // who that is
+	leaderStamp time.Duration // of its last answer
+	grantedAt   time.Duration // when that came; 0: never
+	waivedUntil time.Duration // until when the own floor is not drawn
+	ownTokens   float64       // of it, what may be drawn
+	ownFilledAt time.Duration
+	hint        time.Duration
+	counts      Counts
 
 	leader *leader // nil: this gateway may not be it
 }
@@ -120,10 +120,10 @@
 type Counts struct {
 	Drawn     int64 `json:"drawn"`
 	Rejected  int64 `json:"refused"`
-	Own       int64 `json:"own_floor"`     // drawn of the own floor, cut off
+	OwnFloor  int64 `json:"own_floor"`     // drawn of the own floor, cut off
 	Wasted    int64 `json:"wasted"`        // tokens whose time was over
 	Granted   int64 `json:"given"`         // tokens that came
-	Open      int64 `json:"uncounted"`     // taken without a bound, cut off
+	Unbounded int64 `json:"uncounted"`     // taken without a bound, cut off
 	Elected   int64 `json:"elected"`       // terms that this gateway was quota leader for
 	Returning int64 `json:"taken_at_time"` // requests that came back at the time that they were told
 	Undone    int64 `json:"undone"`        // draws that were taken back, for nothing of the request was begun
@@ -132,32 +132,32 @@
 // Status is a limiter's now.
 type Status struct {
 	Counts
-	Leader   string        `json:"keeper,omitempty"`
-	Term     uint64        `json:"term,omitempty"`
-	Mine     bool          `json:"mine,omitempty"` // this gateway is the quota leader
-	Cut      bool          `json:"cut,omitempty"`  // no quota leader is reached
-	Held     int           `json:"held"`
-	Age      time.Duration `json:"age,omitempty"` // of the quota leader's last answer
-	KeptGave int64         `json:"gave,omitempty"`
+	Leader          string        `json:"keeper,omitempty"`
+	Term            uint64        `json:"term,omitempty"`
+	IsLeader        bool          `json:"mine,omitempty"` // this gateway is the quota leader
+	Partitioned     bool          `json:"cut,omitempty"`  // no quota leader is reached
+	Held            int           `json:"held"`
+	Age             time.Duration `json:"age,omitempty"` // of the quota leader's last answer
+	GrantedAsLeader int64         `json:"gave,omitempty"`
 }
 
 // tokenLease are tokens that came together.
 type tokenLease struct {
-	n     int
-	until time.Duration
+	tokens int
+	until  time.Duration
 }
 
 // waiter is a request that waits for a token.
 type waiter struct {
-	got chan Token
-	due bool
+	token     chan Token
+	returning bool
 }
 
 // Token is a draw: until when it may be used for another request, where nothing of its own was begun. 0: there is none.
 type Token time.Duration
 
-// spent is the Token of a draw that is of no use to another request: of the own floor, which flows on by itself.
-const spent Token = 1
+// tokenWithoutLease is the Token of a draw that is of no use to another request: of the own floor, which flows on by itself.
+const tokenWithoutLease Token = 1
 
 // booking is a request that was refused and told when to come back.
 type booking struct {
@@ -167,128 +167,128 @@
 
 // Times of a limiter.
 const (
-	dealEvery   = 10 * time.Millisecond // of a quota leader
-	requestSoon = 20 * time.Millisecond
-	forget      = 2 * time.Second        // in which demand fades
-	comeGrace   = 500 * time.Millisecond // in which who comes late still goes before others
-	comeSoon    = 100 * time.Millisecond // in which a token is kept for it
-	mostHint    = 2 * time.Second
-	mostBatch   = 100_000 // tokens that may be asked for at once
+	leaderInterval      = 10 * time.Millisecond // of a quota leader
+	shortInterval       = 20 * time.Millisecond
+	rateDecay           = 2 * time.Second        // in which demand fades
+	returnGrace         = 500 * time.Millisecond // in which who comes late still goes before others
+	returnReserve       = 100 * time.Millisecond // in which a token is kept for it
+	maxRetryAfter       = 2 * time.Second
+	maxTokensPerRequest = 100_000 // tokens that may be asked for at once
 )
 
 // New returns a Purse that asks for tokens and, where it may, keeps the budget, until Close.
 func New(o Options) *Limiter {
-	p := &Limiter{options: o, wake: make(chan struct{}, 1)}
-	p.ctx, p.end = context.WithCancel(context.Background())
+	l := &Limiter{options: o, wake: make(chan struct{}, 1)}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	now := o.Now()
-	p.counted, p.flowed = now, now
-	p.becomeCandidate(now)
-	p.tasks.Go(p.requestTokens)
-	return p
+	l.ratesAt, l.ownFilledAt = now, now
+	l.becomeCandidate(now)
+	l.tasks.Go(l.requestTokens)
+	return l
 }
 
 // becomeCandidate makes the gateway's part as quota leader, if it may be that.
-func (p *Limiter) becomeCandidate(now time.Duration) {
+func (l *Limiter) becomeCandidate(now time.Duration) {
 	var all []string
 	mine := false
-	for _, k := range p.options.Budget.Candidates {
-		all = append(all, k.id().String())
-		mine = mine || k.id() == p.options.Self
+	for _, candidate := range l.options.Budget.Candidates {
+		all = append(all, candidate.id().String())
+		mine = mine || candidate.id() == l.options.Self
 	}
 	if mine {
-		p.leader = newLeader(p.options.Budget.Terms, p.options.Self.String(), all, now)
-		p.tasks.Go(p.runCandidate)
+		l.leader = newLeader(l.options.Budget.Terms, l.options.Self.String(), all, now)
+		l.tasks.Go(l.runCandidate)
 	}
 }
 
 // Close ends all tasks and returns once they have ended.
-func (p *Limiter) Close() {
-	p.end()
-	p.tasks.Wait()
+func (l *Limiter) Close() {
+	l.cancel()
+	l.tasks.Wait()
 }
 
 // Change has other terms hold from now on; quota candidates stay as they are. Tokens that are out are used or end in a lease's time.
-func (p *Limiter) Change(b Budget) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.options.Budget = b
-	if p.leader != nil {
-		p.leader.fill(p.options.Now())
-		p.leader.terms = b.Terms
-		p.leader.tokens = min(p.leader.tokens, b.Depth())
+func (l *Limiter) Change(b Budget) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.options.Budget = b
+	if l.leader != nil {
+		l.leader.fill(l.options.Now())
+		l.leader.terms = b.Terms
+		l.leader.tokens = min(l.leader.tokens, b.Depth())
 	}
 }
 
 // SameCandidates says that a budget is kept by the same as this one.
-func (p *Limiter) SameCandidates(b Budget) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Equal(p.options.Budget.Candidates, b.Candidates)
+func (l *Limiter) SameCandidates(b Budget) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Equal(l.options.Budget.Candidates, b.Candidates)
 }
 
 // Status is what the limiter does now.
-func (p *Limiter) Status() Status {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
-	s := Status{Counts: p.counts, Leader: p.leaderName, Term: p.term, Cut: p.isDisconnected(now), Held: p.held}
-	if p.grantedAt > 0 {
-		s.Age = now - p.grantedAt
+func (l *Limiter) Status() Status {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Now()
+	s := Status{Counts: l.counts, Leader: l.leaderName, Term: l.term, Partitioned: l.isPartitioned(now), Held: l.available}
+	if l.grantedAt > 0 {
+		s.Age = now - l.grantedAt
 	}
-	if p.leader != nil {
-		s.Mine, s.KeptGave = p.leader.isLeader(now), p.leader.granted
+	if l.leader != nil {
+		s.IsLeader, s.GrantedAsLeader = l.leader.isLeader(now), l.leader.granted
 	}
 	return s
 }
 
-// isDisconnected says that no quota leader has answered for so long that the floor is not waived any more. The caller holds mu.
-func (p *Limiter) isDisconnected(now time.Duration) bool { return now >= p.waived }
+// isPartitioned says that no quota leader has answered for so long that the floor is not waived any more. The caller holds mu.
+func (l *Limiter) isPartitioned(now time.Duration) bool { return now >= l.waivedUntil }
 
-// own is the gateway's part of its partner's floor, in requests a second. The caller holds mu.
-func (p *Limiter) own() float64 {
-	if p.options.Budget.WhenCut != budget.Floor {
+// ownFloor is the gateway's part of its partner's floor, in requests a second. The caller holds mu.
+func (l *Limiter) ownFloor() float64 {
+	if l.options.Budget.Fallback != budget.Floor {
 		return 0
 	}
-	for _, k := range p.options.Budget.Partners {
-		if k.Name == p.options.Self.Partner && k.Gateways > 0 {
-			return k.Floor / float64(k.Gateways)
+	for _, partner := range l.options.Budget.Partners {
+		if partner.Name == l.options.Self.Partner && partner.Gateways > 0 {
+			return partner.Floor / float64(partner.Gateways)
 		}
 	}
 	return 0
 }
 
 // take takes a token, if there is one. The caller holds mu.
-func (p *Limiter) take(now time.Duration) Token {
-	for len(p.leases) > 0 {
-		b := &p.leases[0]
+func (l *Limiter) take(now time.Duration) Token {
+	for len(l.leases) > 0 {
+		b := &l.leases[0]
 		if now >= b.until {
-			p.counts.Wasted += int64(b.n)
-			p.held -= b.n
-			p.leases = p.leases[1:]
+			l.counts.Wasted += int64(b.tokens)
+			l.available -= b.tokens
+			l.leases = l.leases[1:]
 			continue
 		}
 		t := Token(b.until)
-		b.n--
-		p.held--
-		if b.n == 0 {
-			p.leases = p.leases[1:]
+		b.tokens--
+		l.available--
+		if b.tokens == 0 {
+			l.leases = l.leases[1:]
 		}
 		return t
 	}
-	if !p.isDisconnected(now) {
-		p.flowed, p.floor = now, 0
+	if !l.isPartitioned(now) {
+		l.ownFilledAt, l.ownTokens = now, 0
 		return 0
 	}
-	switch p.options.Budget.WhenCut {
+	switch l.options.Budget.Fallback {
 	case budget.Open:
-		p.counts.Open++
-		return spent
+		l.counts.Unbounded++
+		return tokenWithoutLease
 	case budget.Floor:
-		p.flow(now)
-		if p.floor >= 1 {
-			p.floor--
-			p.counts.Own++
-			return spent
+		l.fillOwnFloor(now)
+		if l.ownTokens >= 1 {
+			l.ownTokens--
+			l.counts.OwnFloor++
+			return tokenWithoutLease
 		}
 	}
 	return 0
@@ -296,89 +296,89 @@
 
 // Undo takes a draw back of a request of which nothing was begun: its token is another request's, for as long as it would have been
 // good. It is for whoever drew it.
-func (p *Limiter) Undo(t Token) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
+func (l *Limiter) Undo(t Token) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Now()
 	if t == 0 {
 		return
 	}
-	p.counts.Undone++
+	l.counts.Undone++
 	if now >= time.Duration(t) {
 		return
 	}
-	p.leases = append(p.leases, tokenLease{1, time.Duration(t)})
-	slices.SortStableFunc(p.leases, func(a, b tokenLease) int { return cmp.Compare(a.until, b.until) })
-	p.held++
-	p.serveWaiting(now)
+	l.leases = append(l.leases, tokenLease{1, time.Duration(t)})
+	slices.SortStableFunc(l.leases, func(a, b tokenLease) int { return cmp.Compare(a.until, b.until) })
+	l.available++
+	l.serveWaiting(now)
 }
 
-// flow lets the own floor fill up to one request since the gateway was cut off. The caller holds mu.
-func (p *Limiter) flow(now time.Duration) {
-	from := max(p.flowed, p.waived)
+// fillOwnFloor lets the own floor fill up to one request since the gateway was cut off. The caller holds mu.
+func (l *Limiter) fillOwnFloor(now time.Duration) {
+	from := max(l.ownFilledAt, l.waivedUntil)
 	if now > from {
-		p.floor = min(1, p.floor+(now-from).Seconds()*p.own())
+		l.ownTokens = min(1, l.ownTokens+(now-from).Seconds()*l.ownFloor())
 	}
-	p.flowed = now
+	l.ownFilledAt = now
 }
 
 // Draw draws one request from the budget, and waits for that no longer than the file says. Where it may not, retry says when
 // it may: a request that comes back then by the same id goes before others. Its id is its client's key, or what it was refused by.
-func (p *Limiter) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
-	now := p.options.Now()
-	p.mu.Lock()
-	p.requests++
-	due := p.noteReturn(id, again, now)
-	if t := p.take(now); t != 0 {
-		p.counts.Drawn++
+func (l *Limiter) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
+	now := l.options.Now()
+	l.mu.Lock()
+	l.requestsSince++
+	due := l.noteReturn(id, again, now)
+	if t := l.take(now); t != 0 {
+		l.counts.Drawn++
 		if due {
-			p.counts.Returning++
+			l.counts.Returning++
 		}
-		want := p.wanted(now)
-		p.mu.Unlock()
+		want := l.wanted(now)
+		l.mu.Unlock()
 		if want > 0 {
-			p.requestNow()
+			l.requestNow()
 		}
 		return t, 0
 	}
-	wait := p.options.Budget.Wait
+	wait := l.options.Budget.Wait
 	if wait <= 0 && !due {
-		retry = p.reject(id, now)
-		p.mu.Unlock()
-		p.requestNow()
+		retry = l.reject(id, now)
+		l.mu.Unlock()
+		l.requestNow()
 		return 0, retry
 	}
-	w := &waiter{got: make(chan Token, 1), due: due}
-	p.waiting = append(p.waiting, w)
-	p.mu.Unlock()
-	p.requestNow()
-	limit := time.NewTimer(max(wait, requestSoon))
+	w := &waiter{token: make(chan Token, 1), returning: due}
+	l.waiting = append(l.waiting, w)
+	l.mu.Unlock()
+	l.requestNow()
+	limit := time.NewTimer(max(wait, shortInterval))
 	defer limit.Stop()
 	select {
-	case t = <-w.got:
+	case t = <-w.token:
 		return t, 0
 	case <-limit.C:
 	case <-ctx.Done():
-	case <-p.ctx.Done():
+	case <-l.ctx.Done():
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	select {
-	case t = <-w.got: // it came just now
+	case t = <-w.token: // it came just now
 		return t, 0
 	default:
 	}
-	p.waiting = slices.DeleteFunc(p.waiting, func(o *waiter) bool { return o == w })
-	return 0, p.reject(id, p.options.Now())
+	l.waiting = slices.DeleteFunc(l.waiting, func(o *waiter) bool { return o == w })
+	return 0, l.reject(id, l.options.Now())
 }
 
 // noteReturn notes that a request comes that may have been told to. The caller holds mu.
-func (p *Limiter) noteReturn(id, again string, now time.Duration) bool {
-	p.booked = slices.DeleteFunc(p.booked, func(b booking) bool { return now > b.at+comeGrace })
-	for i, b := range p.booked {
+func (l *Limiter) noteReturn(id, again string, now time.Duration) bool {
+	l.bookings = slices.DeleteFunc(l.bookings, func(b booking) bool { return now > b.at+returnGrace })
+	for i, b := range l.bookings {
 		if b.id == id || b.id == again {
-			p.booked = slices.Delete(p.booked, i, i+1)
-			return now >= b.at-requestSoon
+			l.bookings = slices.Delete(l.bookings, i, i+1)
+			return now >= b.at-shortInterval
 		}
 	}
 	return false
@@ -386,52 +386,52 @@
 
 // reject says when a request may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
 // The caller holds mu.
-func (p *Limiter) reject(id string, now time.Duration) time.Duration {
-	p.counts.Rejected++
-	share := p.granted
+func (l *Limiter) reject(id string, now time.Duration) time.Duration {
+	l.counts.Rejected++
+	share := l.grantRate
 	if share <= 0 {
-		share = 1 / max(p.hint, requestSoon).Seconds()
+		share = 1 / max(l.hint, shortInterval).Seconds()
 	}
-	at := time.Duration(float64(len(p.booked)+1) / share * float64(time.Second))
-	if at > mostHint {
-		return mostHint
+	at := time.Duration(float64(len(l.bookings)+1) / share * float64(time.Second))
+	if at > maxRetryAfter {
+		return maxRetryAfter
 	}
-	p.booked = append(p.booked, booking{id: id, at: now + at})
-	return max(at, dealEvery)
+	l.bookings = append(l.bookings, booking{id: id, at: now + at})
+	return max(at, leaderInterval)
 }
 
 // requestNow has the quota leader asked at once.
-func (p *Limiter) requestNow() {
+func (l *Limiter) requestNow() {
 	select {
-	case p.wake <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
 // wanted is how many tokens to ask for now: for requests that wait, for those that come back soon, and for what is likely to come
 // before the next answer. The caller holds mu.
-func (p *Limiter) wanted(now time.Duration) int {
-	if d := now - p.counted; d > 100*time.Millisecond {
-		share := 1 - math.Exp(-d.Seconds()/forget.Seconds())
-		p.demand += share * (float64(p.requests)/d.Seconds() - p.demand)
-		p.granted += share * (float64(p.tokens)/d.Seconds() - p.granted)
-		p.requests, p.tokens, p.counted = 0, 0, now
-	}
-	ahead := p.demand * p.options.Budget.Lease.Seconds() / 2
-	n := len(p.waiting) + p.due(now)
+func (l *Limiter) wanted(now time.Duration) int {
+	if d := now - l.ratesAt; d > 100*time.Millisecond {
+		share := 1 - math.Exp(-d.Seconds()/rateDecay.Seconds())
+		l.requestRate += share * (float64(l.requestsSince)/d.Seconds() - l.requestRate)
+		l.grantRate += share * (float64(l.tokensSince)/d.Seconds() - l.grantRate)
+		l.requestsSince, l.tokensSince, l.ratesAt = 0, 0, now
+	}
+	ahead := l.requestRate * l.options.Budget.Lease.Seconds() / 2
+	n := len(l.waiting) + l.expectedReturns(now)
 	switch {
 	case ahead >= 1:
 		n += int(math.Round(ahead))
-	case p.options.Budget.Wait <= 0 && p.demand > 0.05:
+	case l.options.Budget.Wait <= 0 && l.requestRate > 0.05:
 		n++ // a request that can't wait needs one that is there
 	}
-	return min(mostBatch, n-p.held)
+	return min(maxTokensPerRequest, n-l.available)
 }
 
-// due are the requests that come back before the next answer. The caller holds mu.
-func (p *Limiter) due(now time.Duration) (n int) {
-	for _, b := range p.booked {
-		if b.at <= now+p.options.Budget.Lease/4 && now <= b.at+comeSoon {
+// expectedReturns are the requests that come back before the next answer. The caller holds mu.
+func (l *Limiter) expectedReturns(now time.Duration) (n int) {
+	for _, b := range l.bookings {
+		if b.at <= now+l.options.Budget.Lease/4 && now <= b.at+returnReserve {
 			n++
 		}
 	}
@@ -440,52 +440,52 @@
 
 // requestTokens asks the quota leader for tokens: at once when requests wait or tokens run low, else now and then, so that it knows that this
 // gateway's floor is not needed.
-func (p *Limiter) requestTokens() {
+func (l *Limiter) requestTokens() {
 	next := 0 // of the quota candidates, where none is known
-	for p.ctx.Err() == nil {
-		p.mu.Lock()
-		now := p.options.Now()
-		lease := p.options.Budget.Lease
-		want := p.wanted(now)
-		m := leaseRequest{Quota: p.options.Budget.Name, Wanted: max(0, want), Returning: p.due(now), Term: p.term, Stamp: p.stamp, Floor: p.own(), Wait: lease / 4}
-		for _, w := range p.waiting {
-			if w.due {
+	for l.ctx.Err() == nil {
+		l.mu.Lock()
+		now := l.options.Now()
+		lease := l.options.Budget.Lease
+		want := l.wanted(now)
+		m := leaseRequest{Quota: l.options.Budget.Name, Wanted: max(0, want), Returning: l.expectedReturns(now), Term: l.term, Stamp: l.leaderStamp, Floor: l.ownFloor(), Wait: lease / 4}
+		for _, w := range l.waiting {
+			if w.returning {
 				m.Returning++
 			}
 		}
-		if want < 0 && len(p.waiting) == 0 {
-			m.Returned = p.returnUnused(-want, now)
+		if want < 0 && len(l.waiting) == 0 {
+			m.Returned = l.returnUnused(-want, now)
 		}
 		if m.Stamp > 0 {
 			// Whoever hears this lends the floor from its stamp on, which came here before this goes out; whether it answers
 			// or not.
-			_, until := budget.Lent(m.Stamp, now)
-			p.waived = max(p.waived, until)
+			_, until := budget.FloorLoanEnds(m.Stamp, now)
+			l.waivedUntil = max(l.waivedUntil, until)
 		}
-		to := p.leaderName
-		candidates := p.options.Budget.Candidates
-		p.mu.Unlock()
+		to := l.leaderName
+		candidates := l.options.Budget.Candidates
+		l.mu.Unlock()
 		if to == "" && len(candidates) > 0 {
 			to = candidates[next%len(candidates)].id().String()
 			next++
 		}
-		answer, ok := p.requestFrom(to, m, lease)
-		p.mu.Lock()
-		p.applyGrant(now, m, answer, ok, to)
-		want = p.wanted(p.options.Now())
-		hungry, rich := len(p.waiting) > 0 || want > 0, want < 0
-		p.mu.Unlock()
-		pause := budget.Waiver / 4
+		answer, ok := l.requestFrom(to, m, lease)
+		l.mu.Lock()
+		l.applyGrant(now, m, answer, ok, to)
+		want = l.wanted(l.options.Now())
+		hungry, rich := len(l.waiting) > 0 || want > 0, want < 0
+		l.mu.Unlock()
+		pause := budget.FloorLoan / 4
 		switch {
 		case !ok || !answer.IsLeader:
-			pause = requestSoon
+			pause = shortInterval
 		case hungry:
-			pause = requestSoon
+			pause = shortInterval
 			if answer.Granted > 0 {
 				pause = 0
 			}
 		case rich:
-			pause = requestSoon // what came too late for whoever waited is of use to others, as long as its lease lasts
+			pause = shortInterval // what came too late for whoever waited is of use to others, as long as its lease lasts
 		}
 		if pause == 0 {
 			continue
@@ -493,10 +493,10 @@
 		t := time.NewTimer(pause)
 		select {
 		case <-t.C:
-		case <-p.ctx.Done():
-		case <-p.wake:
+		case <-l.ctx.Done():
+		case <-l.wake:
 			if !ok || !answer.IsLeader { // nobody to hurry
-				clock.Sleep(p.ctx, requestSoon/2)
+				clock.Sleep(l.ctx, shortInterval/2)
 			}
 		}
 		t.Stop()
@@ -504,30 +504,30 @@
 }
 
 // returnUnused takes tokens out of the limiter that nobody is likely to need, those last that came last. The caller holds mu.
-func (p *Limiter) returnUnused(n int, now time.Duration) (back int) {
-	for n > 0 && len(p.leases) > 0 {
-		b := &p.leases[len(p.leases)-1]
+func (l *Limiter) returnUnused(n int, now time.Duration) (back int) {
+	for n > 0 && len(l.leases) > 0 {
+		b := &l.leases[len(l.leases)-1]
 		if now >= b.until {
 			break
 		}
-		k := min(n, b.n)
-		b.n -= k
-		p.held -= k
+		k := min(n, b.tokens)
+		b.tokens -= k
+		l.available -= k
 		back, n = back+k, n-k
-		if b.n == 0 {
-			p.leases = p.leases[:len(p.leases)-1]
+		if b.tokens == 0 {
+			l.leases = l.leases[:len(l.leases)-1]
 		}
 	}
 	return back
 }
 
 // requestFrom asks a gateway, perhaps this one itself.
-func (p *Limiter) requestFrom(to string, m leaseRequest, lease time.Duration) (answer leaseGrant, ok bool) {
-	ctx, cancel := context.WithTimeout(p.ctx, lease)
+func (l *Limiter) requestFrom(to string, m leaseRequest, lease time.Duration) (answer leaseGrant, ok bool) {
+	ctx, cancel := context.WithTimeout(l.ctx, lease)
 	defer cancel()
-	if to == p.options.Self.String() {
+	if to == l.options.Self.String() {
 		got := make(chan leaseGrant, 1)
-		p.handleRequest(p.options.Self, m, func(g leaseGrant) { got <- g })
+		l.handleRequest(l.options.Self, m, func(g leaseGrant) { got <- g })
 		select {
 		case answer = <-got:
 			return answer, true
@@ -535,12 +535,12 @@
 			return answer, false
 		}
 	}
-	for _, k := range p.options.Budget.Candidates {
-		if k.id().String() != to {
+	for _, candidate := range l.options.Budget.Candidates {
+		if candidate.id().String() != to {
 			continue
 		}
-		if l := p.options.To(k.id()); l != nil {
-			return answer, l.Do(ctx, topicLease, m, &answer) == nil
+		if link := l.options.To(candidate.id()); link != nil {
+			return answer, link.Do(ctx, topicLease, m, &answer) == nil
 		}
 	}
 	return answer, false
@@ -548,180 +548,180 @@
 
 // applyGrant takes an answer to what was asked at a time. Tokens of a quota leader whom a later one has followed are none, and theirs is a
 // lease's time from when they were asked for. The caller holds mu.
-func (p *Limiter) applyGrant(asked time.Duration, m leaseRequest, g leaseGrant, ok bool, from string) {
-	now := p.options.Now()
+func (l *Limiter) applyGrant(asked time.Duration, m leaseRequest, g leaseGrant, ok bool, from string) {
+	now := l.options.Now()
 	if !ok || !g.IsLeader {
-		if p.leaderName == from {
-			p.leaderName = ""
+		if l.leaderName == from {
+			l.leaderName = ""
 		}
 		if ok && g.Leader != from {
-			p.leaderName = g.Leader
+			l.leaderName = g.Leader
 		}
-		p.serveWaiting(now) // perhaps of the own floor
+		l.serveWaiting(now) // perhaps of the own floor
 		return
 	}
-	if g.Term < p.term {
-		p.leaderName = ""
+	if g.Term < l.term {
+		l.leaderName = ""
 		return
 	}
-	p.term, p.leaderName, p.stamp, p.grantedAt = g.Term, from, g.Stamp, now
-	p.hint = g.Hint
+	l.term, l.leaderName, l.leaderStamp, l.grantedAt = g.Term, from, g.Stamp, now
+	l.hint = g.Hint
 	if g.Granted > 0 {
-		p.counts.Granted += int64(g.Granted)
-		p.tokens += g.Granted
-		until := asked + budget.Shorter(p.options.Budget.Lease)
+		l.counts.Granted += int64(g.Granted)
+		l.tokensSince += g.Granted
+		until := asked + budget.Shorter(l.options.Budget.Lease)
 		if now < until {
-			p.leases = append(p.leases, tokenLease{g.Granted, until})
-			p.held += g.Granted
+			l.leases = append(l.leases, tokenLease{g.Granted, until})
+			l.available += g.Granted
 		} else {
-			p.counts.Wasted += int64(g.Granted)
+			l.counts.Wasted += int64(g.Granted)
 		}
 	}
-	p.serveWaiting(now)
+	l.serveWaiting(now)
 }
 
 // serveWaiting gives tokens to requests that wait. The caller holds mu.
-func (p *Limiter) serveWaiting(now time.Duration) {
-	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
+func (l *Limiter) serveWaiting(now time.Duration) {
+	slices.SortStableFunc(l.waiting, func(a, b *waiter) int {
 		switch {
-		case a.due == b.due:
+		case a.returning == b.returning:
 			return 0
-		case a.due:
+		case a.returning:
 			return -1
 		}
 		return 1
 	})
-	for len(p.waiting) > 0 {
-		t := p.take(now)
+	for len(l.waiting) > 0 {
+		t := l.take(now)
 		if t == 0 {
 			return
 		}
-		w := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		p.counts.Drawn++
-		if w.due {
-			p.counts.Returning++
+		w := l.waiting[0]
+		l.waiting = l.waiting[1:]
+		l.counts.Drawn++
+		if w.returning {
+			l.counts.Returning++
 		}
-		w.got <- t
+		w.token <- t
 	}
 }
 
 // handleRequest takes a question of another gateway's, or of this one's own, and answers it when there are tokens, or soon.
-func (p *Limiter) handleRequest(who peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.options.Now()
-	k := p.leader
-	if k == nil || !k.isLeader(now) {
+func (l *Limiter) handleRequest(who peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Now()
+	leader := l.leader
+	if leader == nil || !leader.isLeader(now) {
 		g := leaseGrant{}
-		if k != nil && now < k.vote.Until {
-			g.Leader = k.vote.Leader
+		if leader != nil && now < leader.vote.Until {
+			g.Leader = leader.vote.Leader
 		}
 		go reply(g) // never under the lock: it may be this gateway's own
 		return
 	}
-	k.fill(now)
-	if m.Term == k.term && m.Stamp > 0 && m.Stamp <= now {
-		until, _ := budget.Lent(m.Stamp, 0)
-		k.waive(who, m.Floor, until)
+	leader.fill(now)
+	if m.Term == leader.term && m.Stamp > 0 && m.Stamp <= now {
+		until, _ := budget.FloorLoanEnds(m.Stamp, 0)
+		leader.waive(who, m.Floor, until)
 	}
 	answer := func(given int, hint time.Duration) {
-		go reply(leaseGrant{Leader: k.self, IsLeader: true, Term: k.term, Stamp: now, Granted: given, Hint: hint})
+		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, Stamp: now, Granted: given, Hint: hint})
 	}
 	if m.Wanted <= 0 {
-		k.tokens = min(k.terms.Depth(), k.tokens+float64(max(0, m.Returned)))
+		leader.tokens = min(leader.terms.Depth(), leader.tokens+float64(max(0, m.Returned)))
 		answer(0, 0)
 		return
 	}
-	a := &pendingRequest{want: min(m.Wanted, mostBatch), due: m.Returning, reply: answer}
-	k.request(who, a, max(0, m.Returned))
-	p.tasks.Go(func() { // it is answered in time, whatever there is
-		clock.Sleep(p.ctx, min(m.Wait, time.Second))
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if k.requests[who] == a {
-			k.distribute(p.options.Now(), false)
-			if k.requests[who] == a {
-				delete(k.requests, who)
-				a.reply(a.got, time.Duration(float64(len(k.requests)+1)/max(k.rate(p.options.Now()), 1e-3)*float64(time.Second)))
+	a := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), returning: m.Returning, reply: answer}
+	leader.request(who, a, max(0, m.Returned))
+	l.tasks.Go(func() { // it is answered in time, whatever there is
+		clock.Sleep(l.ctx, min(m.Wait, time.Second))
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if leader.pending[who] == a {
+			leader.distribute(l.options.Now(), false)
+			if leader.pending[who] == a {
+				delete(leader.pending, who)
+				a.reply(a.granted, time.Duration(float64(len(leader.pending)+1)/max(leader.rate(l.options.Now()), 1e-3)*float64(time.Second)))
 			}
 		}
 	})
-	if k.tokens >= 1 {
-		k.distribute(now, false)
+	if leader.tokens >= 1 {
+		leader.distribute(now, false)
 	}
 }
 
 // runCandidate is a gateway's part as one of the quota candidates: it asks the others for a term when there is no quota leader, renews its own, and
 // deals out what the bucket holds.
-func (p *Limiter) runCandidate() {
-	tick := time.NewTicker(dealEvery)
+func (l *Limiter) runCandidate() {
+	tick := time.NewTicker(leaderInterval)
 	defer tick.Stop()
-	rank := slices.Index(p.leader.all, p.options.Self.String())
+	rank := slices.Index(l.leader.candidates, l.options.Self.String())
 	var vacant, renewed time.Duration
 	for {
 		select {
-		case <-p.ctx.Done():
+		case <-l.ctx.Done():
 			return
 		case <-tick.C:
 		}
-		p.mu.Lock()
-		now, term := p.options.Now(), p.options.Budget.Term
-		k := p.leader
-		is := k.isLeader(now)
+		l.mu.Lock()
+		now, term := l.options.Now(), l.options.Budget.Term
+		leader := l.leader
+		is := leader.isLeader(now)
 		if is {
-			k.distribute(now, false)
-		} else if k.until > 0 {
-			p.options.Log.Info("this gateway is no longer the quota leader", "quota", p.options.Budget.Name, "term", k.term)
-			k.until = 0
-			for who, a := range k.requests {
-				delete(k.requests, who)
+			leader.distribute(now, false)
+		} else if leader.until > 0 {
+			l.options.Log.Info("this gateway is no longer the quota leader", "quota", l.options.Budget.Name, "term", leader.term)
+			leader.until = 0
+			for who, a := range leader.pending {
+				delete(leader.pending, who)
 				a.reply(0, 0)
 			}
 		}
-		taken := !is && now < k.vote.Until && k.vote.Leader != k.self
+		taken := !is && now < leader.vote.Until && leader.vote.Leader != leader.self
 		if is || taken {
 			vacant = now
 		}
 		due := is && now-renewed >= term/4 || !is && !taken && now-vacant >= time.Duration(rank)*term/4
-		p.mu.Unlock()
+		l.mu.Unlock()
 		if !due {
 			continue
 		}
 		renewed = now
-		if !p.campaign(now, is) {
-			vacant = p.options.Now() + time.Duration(rank+1)*term/8
+		if !l.campaign(now, is) {
+			vacant = l.options.Now() + time.Duration(rank+1)*term/8
 		}
 	}
 }
 
 // campaign asks all who could be quota leader for a term, from the time when it asks on: a new one, or the same once more.
-func (p *Limiter) campaign(now time.Duration, renew bool) bool {
-	p.mu.Lock()
-	k := p.leader
-	number := k.term
+func (l *Limiter) campaign(now time.Duration, renew bool) bool {
+	l.mu.Lock()
+	leader := l.leader
+	number := leader.term
 	if !renew {
-		k.seen = max(k.seen, k.vote.Term) + 1
-		number = k.seen
+		leader.highestTerm = max(leader.highestTerm, leader.vote.Term) + 1
+		number = leader.highestTerm
 	}
-	term, candidates := p.options.Budget.Term, p.options.Budget.Candidates
-	p.mu.Unlock()
-	ctx, cancel := context.WithTimeout(p.ctx, term/4)
+	term, candidates := l.options.Budget.Term, l.options.Budget.Candidates
+	l.mu.Unlock()
+	ctx, cancel := context.WithTimeout(l.ctx, term/4)
 	defer cancel()
 	votes := make(chan voteReply, len(candidates))
 	for _, who := range candidates {
-		if who.id() == p.options.Self {
-			votes <- p.handleVote(p.options.Self, voteRequest{p.options.Budget.Name, number})
+		if who.id() == l.options.Self {
+			votes <- l.handleVote(l.options.Self, voteRequest{l.options.Budget.Name, number})
 			continue
 		}
-		l := p.options.To(who.id())
-		if l == nil {
+		link := l.options.To(who.id())
+		if link == nil {
 			votes <- voteReply{}
 			continue
 		}
-		p.tasks.Go(func() {
+		l.tasks.Go(func() {
 			var v voteReply
-			if l.Do(ctx, topicVote, voteRequest{p.options.Budget.Name, number}, &v) != nil {
+			if link.Do(ctx, topicVote, voteRequest{l.options.Budget.Name, number}, &v) != nil {
 				v = voteReply{}
 			}
 			votes <- v
@@ -733,57 +733,57 @@
 		if v.Yes {
 			yes++
 		}
-		p.mu.Lock()
-		k.seen = max(k.seen, v.Term)
-		p.mu.Unlock()
+		l.mu.Lock()
+		leader.highestTerm = max(leader.highestTerm, v.Term)
+		l.mu.Unlock()
 		if yes > len(candidates)/2 {
 			break
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if yes <= len(candidates)/2 || renew && !k.isLeader(p.options.Now()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if yes <= len(candidates)/2 || renew && !leader.isLeader(l.options.Now()) {
 		return false
 	}
-	if until := now + budget.Shorter(term); until > p.options.Now() {
+	if until := now + budget.Shorter(term); until > l.options.Now() {
 		if !renew {
-			k.begin(p.options.Now(), number)
-			p.counts.Elected++
-			p.options.Log.Info("this gateway is the quota leader", "quota", p.options.Budget.Name, "term", number)
+			leader.begin(l.options.Now(), number)
+			l.counts.Elected++
+			l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", number)
 		}
-		k.until = until
+		leader.until = until
 	}
 	return true
 }
 
 // handleVote is this gateway's answer to one who would be quota leader.
-func (p *Limiter) handleVote(who peering.GatewayID, m voteRequest) voteReply {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	k := p.leader
-	if k == nil || !slices.Contains(k.all, who.String()) {
+func (l *Limiter) handleVote(who peering.GatewayID, m voteRequest) voteReply {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	leader := l.leader
+	if leader == nil || !slices.Contains(leader.candidates, who.String()) {
 		return voteReply{}
 	}
-	now := p.options.Now()
-	v, ok := budget.MayVote(k.vote, k.began, now, p.options.Budget.Term, m.Term, who.String())
-	k.vote = v
-	k.seen = max(k.seen, m.Term)
-	return voteReply{Yes: ok, Term: max(v.Term, k.seen)}
+	now := l.options.Now()
+	v, ok := budget.MayVote(leader.vote, leader.startedAt, now, l.options.Budget.Term, m.Term, who.String())
+	leader.vote = v
+	leader.highestTerm = max(leader.highestTerm, m.Term)
+	return voteReply{Yes: ok, Term: max(v.Term, leader.highestTerm)}
 }
 
 // Topics are how others reach the limiter of a gateway, by their budgets' names. One that is not there answers nothing of use.
 func Topics(of func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
 		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, answer func(leaseGrant)) {
-			if p := of(m.Quota); p != nil {
-				p.handleRequest(from.Peer.ID(), m, answer)
+			if l := of(m.Quota); l != nil {
+				l.handleRequest(from.Peer.ID(), m, answer)
 			} else {
 				answer(leaseGrant{})
 			}
 		}),
 		topicVote: peering.Answer(func(from *peering.Link, m voteRequest, answer func(voteReply)) {
-			if p := of(m.Quota); p != nil {
-				answer(p.handleVote(from.Peer.ID(), m))
+			if l := of(m.Quota); l != nil {
+				answer(l.handleVote(from.Peer.ID(), m))
 			} else {
 				answer(voteReply{})
 			}
