--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -228,7 +228,7 @@
 		case <-g.ctx.Done():
 			return
 		}
-		if !g.exchange.Incarnations(partner, a.To.Server) {
+		if !g.exchange.IsAlive(partner, a.To.Server) {
 			a.ConnectionLost()
 			return
 		}
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -74,7 +74,7 @@
 	g := c.gateway
 	want := map[string]string{}
 	living := g.options.Living()
-	g.routes.SetShare(1 + len(living))
+	g.routes.SetGroupSize(1 + len(living))
 	for _, member := range living {
 		if member.Name > g.self.Name {
 			want[member.Addr.String()] = g.self.Partner
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,7 +69,7 @@
 	p := newPolicy(options.Config)
 	g.policy.Store(p)
 	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
-	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, Heard: g.checkLinks})
+	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, GatewaysChanged: g.checkLinks})
 	g.replicator = replication.New(g.replicationOptions(federation))
 	hub, err := peering.Open(g.peeringOptions(federation))
 	if err != nil {
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -60,7 +60,7 @@
 		Self:       cfg.Federation.Partner,
 		Neighbours: map[string]routeexchange.Neighbour{},
 		Stale:      time.Duration(cfg.Federation.Stale),
-		Share:      1 + len(g.options.Living()),
+		GroupSize:  1 + len(g.options.Living()),
 	}
 	replicated := isReplicated(cfg)
 	for _, partner := range cfg.Partners {
@@ -146,6 +146,6 @@
 // Announce advertises to partners what the configuration that was adopted has changed.
 func (g *Gateway) Announce() {
 	g.exchange.Advertise()
-	g.exchange.Ask()
+	g.exchange.RequestRefresh()
 	g.checkLinks()
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -78,6 +78,6 @@
 		return selection, ok, ""
 	}
 	id := routeexchange.ID{Origin: e.record.Offer[0], Name: e.record.Offer[1]}
-	selection, reason = e.gateway.routes.Come(id, request)
+	selection, reason = e.gateway.routes.AdmitForwarded(id, request)
 	return selection, reason == "", reason
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -83,7 +83,7 @@
 		if !last.rejectedByRule {
 			return last.outcome
 		}
-		e.gateway.routes.Drop(to.selection.Route) // its owner's rule has changed: the next request takes another route at once
+		e.gateway.routes.Suppress(to.selection.Route) // its owner's rule has changed: the next request takes another route at once
 	}
 	return last.outcome
 }
--- a/internal/routeexchange/page_test.go
+++ b/internal/routeexchange/page_test.go
@@ -15,8 +15,8 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// way reads an advertisement, with what this partner thinks of it.
-func way(words string) (w Route, held bool, err error) {
+// parseRoute reads an advertisement, with what this partner thinks of it.
+func parseRoute(words string) (w Route, held bool, err error) {
 	w.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: Of(balancer.Safe)}}
 	w.Preference = 100
 	for _, part := range strings.Split(words, ", ") {
@@ -69,11 +69,11 @@
 	return w, held, nil
 }
 
-// two are the advertisements of a row that compares.
-func two(t *testing.T, r spectest.Row) (one, other Route, held bool) {
+// parseRoutes are the advertisements of a row that compares.
+func parseRoutes(t *testing.T, r spectest.Row) (one, other Route, held bool) {
 	t.Helper()
-	one, _, errOne := way(r.At("one"))
-	other, held, err := way(r.At("other"))
+	one, _, errOne := parseRoute(r.At("one"))
+	other, held, err := parseRoute(r.At("other"))
 	if errOne != nil || err != nil {
 		t.Fatalf("%s:%d: %v, %v", page, r.Line, errOne, err)
 	}
@@ -82,7 +82,7 @@
 
 func TestExportRules(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "May an offer be told to a partner") {
-		w, _, err := way(r.At("offer"))
+		w, _, err := parseRoute(r.At("offer"))
 		if err != nil {
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
@@ -107,7 +107,7 @@
 func TestImportRules(t *testing.T) {
 	rules := Import{Accept: []string{"/view/"}, Deny: []string{"/view/secret/"}, MaxRoutes: 2}
 	for _, r := range spectest.Rows(t, page, "Is an offer of a neighbour taken") {
-		w, _, err := way(r.At("offer"))
+		w, _, err := parseRoute(r.At("offer"))
 		held := 0
 		if _, bad := fmt.Sscan(r.At("others held"), &held); err != nil || bad != nil {
 			t.Errorf("%s:%d: %v, %v", page, r.Line, err, bad)
@@ -125,7 +125,7 @@
 
 func TestRoutePreference(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Which of two is better") {
-		a, b, held := two(t, r)
+		a, b, held := parseRoutes(t, r)
 		want := map[string]int{"one": -1, "other": 1}[r.At("outcome")]
 		if got, back := Better(&a, &b, held), Better(&b, &a, held); got != want || back != -want {
 			t.Errorf("%s:%d: %d, and %d the other way round", page, r.Line, got, back)
@@ -135,7 +135,7 @@
 
 func TestOwnerEnforcesRules(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Is a call taken by its owner") {
-		w, _, err := way(r.At("rules"))
+		w, _, err := parseRoute(r.At("rules"))
 		if err != nil {
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
@@ -162,7 +162,7 @@
 				t.Errorf("%s:%d: nobody plays %q", page, r.Line, part)
 			}
 		}
-		got := MayCome(&w.Advertisement, &c, "p0", noon)
+		got := MayServe(&w.Advertisement, &c, "p0", noon)
 		if got == "" {
 			got = "taken"
 		}
@@ -172,8 +172,8 @@
 	}
 }
 
-// words are rules as the page has them.
-func words(r Rules) string {
+// formatRules are rules as the page has them.
+func formatRules(r Rules) string {
 	to := "to " + strings.Join(r.To, " ")
 	if r.All {
 		to = "to all"
@@ -198,11 +198,11 @@
 
 func TestNarrowing(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "What narrowing makes of two rules") {
-		a, b, _ := two(t, r)
+		a, b, _ := parseRoutes(t, r)
 		for _, got := range []Rules{Narrow(a.Rules, b.Rules), Narrow(b.Rules, a.Rules)} {
 			slices.Sort(got.To)
-			if words(got) != r.At("outcome") {
-				t.Errorf("%s:%d: %s", page, r.Line, words(got))
+			if formatRules(got) != r.At("outcome") {
+				t.Errorf("%s:%d: %s", page, r.Line, formatRules(got))
 			}
 		}
 	}
--- a/internal/routeexchange/rules.go
+++ b/internal/routeexchange/rules.go
@@ -8,10 +8,10 @@
 //
 //   - Rules only narrow on the way: an advertisement that is passed on has rules at least as strict as those that it came with, and a
 //     path that is longer by the one who passes it on (Narrow, MayExport).
-//   - No path has a partner twice, so that no request goes round in a circle (MayImport, MayCome).
+//   - No path has a partner twice, so that no request goes round in a circle (MayImport, MayServe).
 //   - Where two gateways hold the same offers by the same file, they choose alike (Better is a total order), whatever order
 //     the advertisements came in.
-//   - The owner's rule of now is asked once more when a request arrives (MayCome): one that was tightened holds at that gateway
+//   - The owner's rule of now is asked once more when a request arrives (MayServe): one that was tightened holds at that gateway
 //     from the instant of the apply, whatever others believe. Such a refusal proves that the request has not run.
 //   - What one partner sends beyond its bound, or what is malformed, is refused and counted, and harms no other offer.
 //   - Preferences that have no stable outcome end in a hold: an advertisement whose best path changed more than maxFlaps times in
@@ -123,7 +123,7 @@
 	case b.All:
 		out.To = slices.Clone(a.To)
 	default:
-		out.To = both(a.To, b.To)
+		out.To = intersection(a.To, b.To)
 	}
 	switch {
 	case len(a.Tenants) == 0:
@@ -131,7 +131,7 @@
 	case len(b.Tenants) == 0:
 		out.Tenants = slices.Clone(a.Tenants)
 	default:
-		if out.Tenants = both(a.Tenants, b.Tenants); len(out.Tenants) == 0 {
+		if out.Tenants = intersection(a.Tenants, b.Tenants); len(out.Tenants) == 0 {
 			out.Effects = 0 // for nobody: an empty list would mean all
 		}
 	}
@@ -139,7 +139,7 @@
 	return out
 }
 
-func both(a, b []string) (out []string) {
+func intersection(a, b []string) (out []string) {
 	for _, s := range a {
 		if slices.Contains(b, s) {
 			out = append(out, s)
@@ -148,8 +148,8 @@
 	return out
 }
 
-// mayHave says that a partner may have an advertisement at a time.
-func (r *Rules) mayHave(partner string, now time.Time) bool {
+// permits says that a partner may have an advertisement at a time.
+func (r *Rules) permits(partner string, now time.Time) bool {
 	return (r.All || slices.Contains(r.To, partner)) && (r.Until == 0 || now.Unix() < r.Until)
 }
 
@@ -166,7 +166,7 @@
 	switch {
 	case to == self || slices.Contains(o.Path, to):
 		return Advertisement{}, "it goes through there already"
-	case !o.Rules.mayHave(to, now):
+	case !o.Rules.permits(to, now):
 		return Advertisement{}, "its rules do not name that partner, or have ended"
 	case own:
 		o.Path = []string{self}
@@ -200,7 +200,7 @@
 	switch {
 	case o.ID.Origin == self || slices.Contains(o.Path, self):
 		return "it goes through here"
-	case !o.Rules.mayHave(self, now):
+	case !o.Rules.permits(self, now):
 		return "its rules do not name this partner, or have ended"
 	case len(o.Path) > o.Rules.MaxHops:
 		return "a call would come through too many hands"
@@ -275,9 +275,9 @@
 	return len(c.Via)+len(w.Path) <= w.Rules.MaxHops && w.Rules.allows(c, now) == ""
 }
 
-// MayCome says why a request that came through partners is not taken by this partner's own export; empty: it is. The rules are
+// MayServe says why a request that came through partners is not taken by this partner's own export; empty: it is. The rules are
 // those of now, whatever whoever sent it had heard.
-func MayCome(o *Advertisement, c *Request, self string, now time.Time) string {
+func MayServe(o *Advertisement, c *Request, self string, now time.Time) string {
 	switch {
 	case c.Class != o.Class || !strings.HasPrefix(c.Path, o.Prefix):
 		return "the call is not of what is offered"
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -20,9 +20,9 @@
 
 // Flaps of an advertisement: that many changes of its best route in that time have it held for that long.
 const (
-	maxFlaps   = 6
-	flapWindow = 10 * time.Second
-	flapHold   = time.Minute
+	maxFlaps    = 6
+	flapWindow  = 10 * time.Second
+	dampingTime = time.Minute
 )
 
 // Neighbour is what this partner goes by with one of its neighbours.
@@ -37,27 +37,27 @@
 	Own        []Advertisement // its exports
 	Neighbours map[string]Neighbour
 	Stale      time.Duration // that the advertisements of a partner are used whose links have all ended
-	Share      int           // gateways of this partner, over which an advertisement's room is dealt out
+	GroupSize  int           // gateways of this partner, over which an advertisement's room is dealt out
 }
 
 // Table holds what was received, and what is chosen of it. Its zero value is of no use; see NewTable.
 type Table struct {
 	now func() time.Time
 
-	mu       sync.RWMutex
-	policy   Policy
-	in       map[Source]map[ID]*Advertisement // as received, what was imported only
-	stale    map[string]time.Time             // partners whose links have all ended, since when
-	routes   map[ID]*route
-	byClass  map[string]map[string][]*route // by prefix, the best first
-	changed  chan struct{}                  // closed at the next change of what is chosen
-	rejected map[string]map[string]int      // by neighbour, by why
-	counts   Counts
+	mu         sync.RWMutex
+	policy     Policy
+	adjRIBsIn  map[Source]map[ID]*Advertisement // as received, what was imported only
+	staleSince map[string]time.Time             // partners whose links have all ended, since when
+	locRIB     map[ID]*destination
+	byClass    map[string]map[string][]*destination // by prefix, the best first
+	changed    chan struct{}                        // closed at the next change of what is chosen
+	rejected   map[string]map[string]int            // by neighbour, by why
+	counts     Counts
 
-	latest uint64 // version that an own export had
+	latestVersion uint64 // version that an own export had
 
-	ended map[[2]string]incarnationEnd // by partner and gateway
-	lift  map[Source]uint64            // added to the versions of a partner's own advertisements that a gateway of its tells
+	incarnationEnds map[[2]string]incarnationEnd // by partner and gateway
+	versionOffsets  map[Source]uint64            // added to the versions of a partner's own advertisements that a gateway of its tells
 }
 
 // incarnationEnd is what was known when a gateway's last link ended.
@@ -71,36 +71,36 @@
 
 // Counts are of a table since its start.
 type Counts struct {
-	Changes int `json:"changes"` // of best routes
-	Held    int `json:"held"`    // offers whose preferences had no stable outcome
-	Dropped int `json:"dropped"` // routes that a refusal of their owner's ended
-}
-
-// route is one advertisement, with all routes to it.
-type route struct {
-	id         ID
-	candidates map[string]*Route // by neighbour; own: ""
-	best       *Route
-	flaps      []time.Time
-	held       time.Time // until when; zero: it is not
-	open       atomic.Int64
+	Changes    int `json:"changes"` // of best routes
+	Damped     int `json:"held"`    // offers whose preferences had no stable outcome
+	Suppressed int `json:"dropped"` // routes that a refusal of their owner's ended
+}
+
+// destination is one advertisement, with all routes to it.
+type destination struct {
+	id          ID
+	candidates  map[string]*Route // by neighbour; own: ""
+	best        *Route
+	flaps       []time.Time
+	dampedUntil time.Time // until when; zero: it is not
+	open        atomic.Int64
 	// A refusal by the owner ends a version's routes until another version comes, or until a while has passed.
-	dropped map[string]drop
+	suppressed map[string]suppression
 }
 
-type drop struct {
+type suppression struct {
 	version uint64
 	until   time.Time
 }
 
-// dropFor is how long a route is not used whose owner refused a request by its rule.
-const dropFor = 5 * time.Second
+// suppressionTime is how long a route is not used whose owner refused a request by its rule.
+const suppressionTime = 5 * time.Second
 
 // NewTable returns an empty one.
 func NewTable(p Policy, now func() time.Time) *Table {
-	t := &Table{now: now, in: map[Source]map[ID]*Advertisement{}, stale: map[string]time.Time{}, routes: map[ID]*route{},
-		byClass: map[string]map[string][]*route{}, changed: make(chan struct{}), rejected: map[string]map[string]int{},
-		ended: map[[2]string]incarnationEnd{}, lift: map[Source]uint64{}}
+	t := &Table{now: now, adjRIBsIn: map[Source]map[ID]*Advertisement{}, staleSince: map[string]time.Time{}, locRIB: map[ID]*destination{},
+		byClass: map[string]map[string][]*destination{}, changed: make(chan struct{}), rejected: map[string]map[string]int{},
+		incarnationEnds: map[[2]string]incarnationEnd{}, versionOffsets: map[Source]uint64{}}
 	t.SetPolicy(p)
 	return t
 }
@@ -112,14 +112,14 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	old := map[ID]*Route{}
-	for id, r := range t.routes {
+	for id, r := range t.locRIB {
 		if w := r.candidates[""]; w != nil {
 			old[id] = w
 			delete(r.candidates, "")
 		}
 	}
 	t.policy = p
-	version := max(uint64(now.UnixMilli()), t.latest+1) // whatever became of the wall clock
+	version := max(uint64(now.UnixMilli()), t.latestVersion+1) // whatever became of the wall clock
 	touched := map[ID]bool{}
 	for id := range old {
 		touched[id] = true
@@ -134,11 +134,11 @@
 				o.Version = was.Version
 			}
 		}
-		t.latest = max(t.latest, o.Version)
-		t.route(o.ID).candidates[""] = &Route{Advertisement: o, Own: true}
+		t.latestVersion = max(t.latestVersion, o.Version)
+		t.destination(o.ID).candidates[""] = &Route{Advertisement: o, Own: true}
 		touched[o.ID] = true
 	}
-	for s, table := range t.in {
+	for s, table := range t.adjRIBsIn {
 		n, known := p.Neighbours[s.Partner]
 		for id, o := range table {
 			touched[id] = true
@@ -147,19 +147,19 @@
 			}
 		}
 		if !known {
-			delete(t.in, s)
-			delete(t.lift, s)
-			delete(t.stale, s.Partner)
+			delete(t.adjRIBsIn, s)
+			delete(t.versionOffsets, s)
+			delete(t.staleSince, s.Partner)
 		}
 	}
-	t.choose(touched)
+	t.reselect(touched)
 }
 
-// SetShare says over how many gateways of this partner an advertisement's room is dealt out from now on.
-func (t *Table) SetShare(gateways int) {
+// SetGroupSize says over how many gateways of this partner an advertisement's room is dealt out from now on.
+func (t *Table) SetGroupSize(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.Share = gateways
+	t.policy.GroupSize = gateways
 }
 
 // equal says that two offers differ in nothing.
@@ -174,12 +174,12 @@
 	return a.Own == b.Own && a.Preference == b.Preference && equal(&a.Advertisement, &b.Advertisement)
 }
 
-// route is the one of an ID, made if it is not there. The caller holds mu.
-func (t *Table) route(id ID) *route {
-	r := t.routes[id]
+// destination is the one of an ID, made if it is not there. The caller holds mu.
+func (t *Table) destination(id ID) *destination {
+	r := t.locRIB[id]
 	if r == nil {
-		r = &route{id: id, candidates: map[string]*Route{}, dropped: map[string]drop{}}
-		t.routes[id] = r
+		r = &destination{id: id, candidates: map[string]*Route{}, suppressed: map[string]suppression{}}
+		t.locRIB[id] = r
 	}
 	return r
 }
@@ -189,8 +189,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	touched := map[ID]bool{}
-	for other, table := range t.in { // an older incarnation's, and what was kept as stale
-		if other.Partner == s.Partner && (other.Gateway == s.Gateway || !t.stale[s.Partner].IsZero()) {
+	for other, table := range t.adjRIBsIn { // an older incarnation's, and what was kept as stale
+		if other.Partner == s.Partner && (other.Gateway == s.Gateway || !t.staleSince[s.Partner].IsZero()) {
 			for id := range table {
 				touched[id] = true
 			}
@@ -198,45 +198,45 @@
 				continue // it tells its table once more
 			}
 			if other.Gateway == s.Gateway {
-				t.noteEnd(other)
+				t.recordIncarnationEnd(other)
 			}
-			t.forget(other)
+			t.removeSource(other)
 		}
 	}
-	delete(t.stale, s.Partner)
-	t.goOnAbove(s, all)
-	t.in[s] = map[ID]*Advertisement{}
-	t.put(s, all, touched)
-	t.choose(touched)
+	delete(t.staleSince, s.Partner)
+	t.raiseVersions(s, all)
+	t.adjRIBsIn[s] = map[ID]*Advertisement{}
+	t.importAll(s, all, touched)
+	t.reselect(touched)
 }
 
-// forget drops the table of a source. The caller holds mu.
-func (t *Table) forget(s Source) {
-	delete(t.in, s)
-	delete(t.lift, s)
+// removeSource drops the table of a source. The caller holds mu.
+func (t *Table) removeSource(s Source) {
+	delete(t.adjRIBsIn, s)
+	delete(t.versionOffsets, s)
 }
 
-// noteEnd notes what was known when a gateway's life ended. The caller holds mu.
-func (t *Table) noteEnd(s Source) {
+// recordIncarnationEnd notes what was known when a gateway's life ended. The caller holds mu.
+func (t *Table) recordIncarnationEnd(s Source) {
 	end := incarnationEnd{at: t.now()}
-	for other, table := range t.in {
+	for other, table := range t.adjRIBsIn {
 		for id, o := range table {
 			if other.Partner == s.Partner && id.Origin == s.Partner {
 				end.latest = max(end.latest, o.Version)
 			}
 		}
 	}
-	t.ended[[2]string{s.Partner, s.Gateway}] = end
+	t.incarnationEnds[[2]string{s.Partner, s.Gateway}] = end
 }
 
-// goOnAbove has a gateway's new incarnation tell higher versions than its partner had told before. A version is the wall time at
+// raiseVersions has a gateway's new incarnation tell higher versions than its partner had told before. A version is the wall time at
 // which a gateway began to go by a rule: where its clock was set back between two of its lives, its newest rule would look
 // older than what the others of its group still go by. A life that began after a version was told has none so low. The client
 // holds mu.
-func (t *Table) goOnAbove(s Source, all []Advertisement) {
+func (t *Table) raiseVersions(s Source, all []Advertisement) {
 	key := [2]string{s.Partner, s.Gateway}
-	end, known := t.ended[key]
-	delete(t.ended, key)
+	end, known := t.incarnationEnds[key]
+	delete(t.incarnationEnds, key)
 	if !known {
 		return
 	}
@@ -247,15 +247,15 @@
 		}
 	}
 	if least <= end.latest && end.latest < math.MaxUint64 {
-		t.lift[s] = end.latest + 1 - least
+		t.versionOffsets[s] = end.latest + 1 - least
 	}
 }
 
-// change takes what a source tells beyond its table.
-func (t *Table) change(s Source, put []Advertisement, gone []ID) {
+// update takes what a source tells beyond its table.
+func (t *Table) update(s Source, put []Advertisement, gone []ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	table := t.in[s]
+	table := t.adjRIBsIn[s]
 	if table == nil {
 		return // its complete table has not come
 	}
@@ -264,18 +264,18 @@
 		delete(table, id)
 		touched[id] = true
 	}
-	t.put(s, put, touched)
-	t.choose(touched)
+	t.importAll(s, put, touched)
+	t.reselect(touched)
 }
 
-// put takes offers of a source as far as they may be imported. The caller holds mu.
-func (t *Table) put(s Source, list []Advertisement, touched map[ID]bool) {
+// importAll takes offers of a source as far as they may be imported. The caller holds mu.
+func (t *Table) importAll(s Source, list []Advertisement, touched map[ID]bool) {
 	n, known := t.policy.Neighbours[s.Partner]
-	now, table := t.now(), t.in[s]
+	now, table := t.now(), t.adjRIBsIn[s]
 	for i := range list {
 		o := &list[i]
 		if o.ID.Origin == s.Partner {
-			o.Version += t.lift[s]
+			o.Version += t.versionOffsets[s]
 		}
 		why := ""
 		switch err := o.Check(s.Partner); {
@@ -308,22 +308,22 @@
 func (t *Table) PeerDown(s Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.in[s] == nil {
+	if t.adjRIBsIn[s] == nil {
 		return
 	}
-	t.noteEnd(s)
-	for other := range t.in {
-		if other.Partner == s.Partner && other != s && t.stale[s.Partner].IsZero() {
+	t.recordIncarnationEnd(s)
+	for other := range t.adjRIBsIn {
+		if other.Partner == s.Partner && other != s && t.staleSince[s.Partner].IsZero() {
 			touched := map[ID]bool{}
-			for id := range t.in[s] {
+			for id := range t.adjRIBsIn[s] {
 				touched[id] = true
 			}
-			t.forget(s)
-			t.choose(touched)
+			t.removeSource(s)
+			t.reselect(touched)
 			return
 		}
 	}
-	t.stale[s.Partner] = t.now()
+	t.staleSince[s.Partner] = t.now()
 }
 
 // Sweep lets go of what has been stale for too long, and of advertisements that have ended.
@@ -332,8 +332,8 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	touched := map[ID]bool{}
-	for s, table := range t.in {
-		since, stale := t.stale[s.Partner]
+	for s, table := range t.adjRIBsIn {
+		since, stale := t.staleSince[s.Partner]
 		gone := stale && now.Sub(since) >= t.policy.Stale
 		for id, o := range table {
 			if gone || o.Rules.Until != 0 && now.Unix() >= o.Rules.Until {
@@ -342,51 +342,51 @@
 			}
 		}
 		if gone {
-			t.forget(s)
+			t.removeSource(s)
 		}
 	}
-	maps.DeleteFunc(t.ended, func(_ [2]string, e incarnationEnd) bool { return now.Sub(e.at) >= incarnationEndRetention })
-	for p, since := range t.stale {
+	maps.DeleteFunc(t.incarnationEnds, func(_ [2]string, e incarnationEnd) bool { return now.Sub(e.at) >= incarnationEndRetention })
+	for p, since := range t.staleSince {
 		if now.Sub(since) >= t.policy.Stale {
-			delete(t.stale, p)
+			delete(t.staleSince, p)
 		}
 	}
-	for id, r := range t.routes {
-		if !r.held.IsZero() && !now.Before(r.held) {
-			r.held, r.flaps = time.Time{}, nil
+	for id, r := range t.locRIB {
+		if !r.dampedUntil.IsZero() && !now.Before(r.dampedUntil) {
+			r.dampedUntil, r.flaps = time.Time{}, nil
 			touched[id] = true
 		}
-		for n, d := range r.dropped {
+		for n, d := range r.suppressed {
 			if !now.Before(d.until) {
-				delete(r.dropped, n)
+				delete(r.suppressed, n)
 				touched[id] = true
 			}
 		}
 	}
-	t.choose(touched)
+	t.reselect(touched)
 }
 
-// Drop ends a route whose owner refused a request by its rule, as long as no other version comes and for a while.
-func (t *Table) Drop(w *Route) {
+// Suppress ends a route whose owner refused a request by its rule, as long as no other version comes and for a while.
+func (t *Table) Suppress(w *Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.routes[w.ID]
+	r := t.locRIB[w.ID]
 	if r == nil || len(w.Path) == 0 {
 		return
 	}
-	r.dropped[w.Path[0]] = drop{w.Version, t.now().Add(dropFor)}
-	t.counts.Dropped++
-	t.choose(map[ID]bool{w.ID: true})
+	r.suppressed[w.Path[0]] = suppression{w.Version, t.now().Add(suppressionTime)}
+	t.counts.Suppressed++
+	t.reselect(map[ID]bool{w.ID: true})
 }
 
-// choose finds the best route of each advertisement that was touched, and its place among the advertisements of its prefix. The caller holds mu.
-func (t *Table) choose(touched map[ID]bool) {
+// reselect finds the best route of each advertisement that was touched, and its place among the advertisements of its prefix. The caller holds mu.
+func (t *Table) reselect(touched map[ID]bool) {
 	if len(touched) == 0 {
 		return
 	}
 	now := t.now()
 	newest := map[string]map[ID]*Advertisement{} // by neighbour
-	for s, table := range t.in {
+	for s, table := range t.adjRIBsIn {
 		for id := range touched {
 			o := table[id]
 			if o == nil {
@@ -395,7 +395,7 @@
 			if newest[s.Partner] == nil {
 				newest[s.Partner] = map[ID]*Advertisement{}
 			}
-			if was := newest[s.Partner][id]; was == nil || o.Version > was.Version || o.Version == was.Version && shorter(o, was) {
+			if was := newest[s.Partner][id]; was == nil || o.Version > was.Version || o.Version == was.Version && preferredVariant(o, was) {
 				newest[s.Partner][id] = o
 			}
 		}
@@ -403,9 +403,9 @@
 	told := false
 	lists := map[[2]string]bool{} // to be put in order anew
 	for id := range touched {
-		r := t.routes[id]
+		r := t.locRIB[id]
 		if r == nil {
-			r = t.route(id)
+			r = t.destination(id)
 		}
 		for n := range r.candidates {
 			if n != "" && newest[n][id] == nil {
@@ -419,10 +419,10 @@
 		}
 		var best *Route
 		for n, w := range r.candidates {
-			if d, is := r.dropped[n]; is && d.version == w.Version && now.Before(d.until) {
+			if d, is := r.suppressed[n]; is && d.version == w.Version && now.Before(d.until) {
 				continue
 			}
-			if best == nil || Better(w, best, !r.held.IsZero()) < 0 {
+			if best == nil || Better(w, best, !r.dampedUntil.IsZero()) < 0 {
 				best = w
 			}
 		}
@@ -432,11 +432,11 @@
 		if best != nil {
 			lists[[2]string{best.Class, best.Prefix}] = true
 		}
-		if best != nil && r.best != nil && !slices.Equal(best.Path, r.best.Path) && r.held.IsZero() {
+		if best != nil && r.best != nil && !slices.Equal(best.Path, r.best.Path) && r.dampedUntil.IsZero() {
 			r.flaps = slices.DeleteFunc(append(r.flaps, now), func(at time.Time) bool { return now.Sub(at) > flapWindow })
 			if len(r.flaps) > maxFlaps {
-				r.held = now.Add(flapHold)
-				t.counts.Held++
+				r.dampedUntil = now.Add(dampingTime)
+				t.counts.Damped++
 				for _, w := range r.candidates {
 					if Better(w, best, true) < 0 {
 						best = w
@@ -449,17 +449,17 @@
 				t.counts.Changes++
 				told = true
 			}
-			t.unlist(r)
+			t.removeFromIndex(r)
 			if r.best = best; best != nil {
-				t.list(r)
+				t.addToIndex(r)
 			}
 		}
 		if best == nil && len(r.candidates) == 0 {
-			delete(t.routes, id)
+			delete(t.locRIB, id)
 		}
 	}
 	for k := range lists {
-		slices.SortFunc(t.byClass[k[0]][k[1]], func(a, b *route) int { return Better(a.best, b.best, false) })
+		slices.SortFunc(t.byClass[k[0]][k[1]], func(a, b *destination) int { return Better(a.best, b.best, false) })
 	}
 	if told {
 		close(t.changed)
@@ -467,43 +467,43 @@
 	}
 }
 
-// unlist and list keep the advertisements by class and prefix. The caller holds mu.
-func (t *Table) unlist(r *route) {
+// removeFromIndex and list keep the advertisements by class and prefix. The caller holds mu.
+func (t *Table) removeFromIndex(r *destination) {
 	if r.best == nil {
 		return
 	}
 	in := t.byClass[r.best.Class]
-	in[r.best.Prefix] = slices.DeleteFunc(in[r.best.Prefix], func(o *route) bool { return o == r })
+	in[r.best.Prefix] = slices.DeleteFunc(in[r.best.Prefix], func(o *destination) bool { return o == r })
 	if len(in[r.best.Prefix]) == 0 {
 		delete(in, r.best.Prefix)
 	}
 }
 
-func (t *Table) list(r *route) {
+func (t *Table) addToIndex(r *destination) {
 	in := t.byClass[r.best.Class]
 	if in == nil {
-		in = map[string][]*route{}
+		in = map[string][]*destination{}
 		t.byClass[r.best.Class] = in
 	}
 	in[r.best.Prefix] = append(in[r.best.Prefix], r)
 }
 
-// shorter orders two words of one neighbour's on one version of an advertisement, as its gateways may tell while it changes its way.
-func shorter(a, b *Advertisement) bool {
+// preferredVariant orders two words of one neighbour's on one version of an advertisement, as its gateways may tell while it changes its way.
+func preferredVariant(a, b *Advertisement) bool {
 	return cmp.Or(cmp.Compare(len(a.Path), len(b.Path)), cmp.Compare(a.Cost, b.Cost), slices.Compare(a.Path, b.Path)) < 0
 }
 
 // Selection is the way that a request takes.
 type Selection struct {
 	*Route
-	route *route
+	destination *destination
 }
 
 // Take counts the request as one of those that the way has, until Done. It has no effect on routes of one's own.
-func (c Selection) Take() { c.route.open.Add(1) }
+func (c Selection) Take() { c.destination.open.Add(1) }
 
 // Done ends a Take.
-func (c Selection) Done() { c.route.open.Add(-1) }
+func (c Selection) Done() { c.destination.open.Add(-1) }
 
 // Choose is the way of a request: of the advertisements below whose paths it lies, those of the longest path that take it, the best one.
 // false: it is nobody's offer, and the own routes say what becomes of it.
@@ -523,7 +523,7 @@
 		}
 		for _, r := range in[c.Path[:end]] {
 			room := r.best.Capacity
-			if room > 0 && !r.best.Own && r.open.Load() >= int64(max(1, room/max(1, t.policy.Share))) {
+			if room > 0 && !r.best.Own && r.open.Load() >= int64(max(1, room/max(1, t.policy.GroupSize))) {
 				continue
 			}
 			if r.best.Allows(c, now) {
@@ -534,17 +534,17 @@
 	return Selection{}, false
 }
 
-// Come says why a request from a neighbour, by an advertisement that it names, is not taken here; empty: it is, and w is its way on.
-func (t *Table) Come(id ID, c *Request) (w Selection, why string) {
+// AdmitForwarded says why a request from a neighbour, by an advertisement that it names, is not taken here; empty: it is, and w is its way on.
+func (t *Table) AdmitForwarded(id ID, c *Request) (w Selection, why string) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	now := t.now()
-	r := t.routes[id]
+	r := t.locRIB[id]
 	if r == nil || r.best == nil {
 		return Selection{}, "there is no such offer"
 	}
 	if r.best.Own {
-		return Selection{r.best, r}, MayCome(&r.best.Advertisement, c, t.policy.Self, now)
+		return Selection{r.best, r}, MayServe(&r.best.Advertisement, c, t.policy.Self, now)
 	}
 	if len(c.Via) == 0 {
 		return Selection{}, "it goes round"
@@ -560,7 +560,7 @@
 }
 
 // export is the best route of an advertisement as it is told to a neighbour. The caller holds mu.
-func (t *Table) export(r *route, to string, now time.Time) (Advertisement, string) {
+func (t *Table) export(r *destination, to string, now time.Time) (Advertisement, string) {
 	if r.best == nil {
 		return Advertisement{}, "there is no way"
 	}
@@ -571,13 +571,13 @@
 	return MayExport(r.best.Advertisement, t.policy.Self, to, r.best.Own, p, now)
 }
 
-// Sent is the table that a neighbour is told now, and what tells of its next change.
-func (t *Table) Sent(to string) (map[ID]Advertisement, <-chan struct{}) {
+// AdjRIBOut is the table that a neighbour is told now, and what tells of its next change.
+func (t *Table) AdjRIBOut(to string) (map[ID]Advertisement, <-chan struct{}) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	now := t.now()
 	out := map[ID]Advertisement{}
-	for id, r := range t.routes {
+	for id, r := range t.locRIB {
 		if o, why := t.export(r, to, now); why == "" {
 			out[id] = o
 		}
@@ -593,7 +593,7 @@
 	Path   []string `json:"path,omitempty"` // empty: this partner's own
 	Best   bool     `json:"best"`
 	Stale  bool     `json:"stale,omitempty"`
-	Held   bool     `json:"held,omitempty"`
+	Damped bool     `json:"held,omitempty"`
 }
 
 // Status is what a table holds.
@@ -613,14 +613,14 @@
 func (t *Table) Status() Status {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	s := Status{Counts: t.counts, Advertisements: len(t.routes), Rejected: map[string]map[string]int{}, Stale: slices.Sorted(maps.Keys(t.stale))}
+	s := Status{Counts: t.counts, Advertisements: len(t.locRIB), Rejected: map[string]map[string]int{}, Stale: slices.Sorted(maps.Keys(t.staleSince))}
 	for n, m := range t.rejected {
 		s.Rejected[n] = maps.Clone(m)
 	}
-	ids := slices.SortedFunc(maps.Keys(t.routes), func(a, b ID) int { return strings.Compare(a.String(), b.String()) })
+	ids := slices.SortedFunc(maps.Keys(t.locRIB), func(a, b ID) int { return strings.Compare(a.String(), b.String()) })
 	h := fnv.New64a()
 	for _, id := range ids {
-		r := t.routes[id]
+		r := t.locRIB[id]
 		if r.best != nil {
 			h.Write([]byte(id.String()))
 			h.Write([]byte{0})
@@ -630,7 +630,7 @@
 		for _, n := range slices.Sorted(maps.Keys(r.candidates)) {
 			w := r.candidates[n]
 			if len(s.Routes) < maxStatusRoutes {
-				s.Routes = append(s.Routes, RouteStatus{id.String(), w.Class, w.Prefix, w.Path, w == r.best, !t.stale[n].IsZero(), !r.held.IsZero()})
+				s.Routes = append(s.Routes, RouteStatus{id.String(), w.Class, w.Prefix, w.Path, w == r.best, !t.staleSince[n].IsZero(), !r.dampedUntil.IsZero()})
 			}
 		}
 	}
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -13,11 +13,11 @@
 	"damsontrestle/internal/balancer"
 )
 
-func hops(string) bool { return false }
+func neverReplicated(string) bool { return false }
 
 // policyOf is a partner's that takes all of its neighbours and passes all on.
 func policyOf(self string, preference map[string]int, neighbours ...string) Policy {
-	p := Policy{Self: self, Neighbours: map[string]Neighbour{}, Stale: time.Minute, Share: 1}
+	p := Policy{Self: self, Neighbours: map[string]Neighbour{}, Stale: time.Minute, GroupSize: 1}
 	for _, n := range neighbours {
 		var to []string
 		for _, o := range neighbours {
@@ -29,12 +29,12 @@
 		if v, ok := preference[n]; ok {
 			pref = v
 		}
-		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, MaxRoutes: 1 << 20}, Transit{To: to, Replicated: hops}}
+		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, MaxRoutes: 1 << 20}, Transit{To: to, Replicated: neverReplicated}}
 	}
 	return p
 }
 
-func offer(origin, name, prefix string, path ...string) Advertisement {
+func newAdvertisement(origin, name, prefix string, path ...string) Advertisement {
 	return Advertisement{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{All: true, MaxHops: 8, Effects: AllEffects}}
 }
 
@@ -47,13 +47,13 @@
 func TestLongestMatchingPathWins(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
-	own := offer("p0", "own", "/view/wells/")
+	own := newAdvertisement("p0", "own", "/view/wells/")
 	p.Own = []Advertisement{own}
 	tb := NewTable(p, c.now)
-	deep := offer("p1", "deep", "/view/wells/north/", "p1")
+	deep := newAdvertisement("p1", "deep", "/view/wells/north/", "p1")
 	deep.Rules.Tenants = []string{"acme"}
-	tb.replace(Source{"p1", "g", 1}, []Advertisement{deep, offer("p1", "all", "/view/", "p1"), offer("p1", "well", "/view/wells/", "p1")})
-	tb.replace(Source{"p2", "g", 1}, []Advertisement{offer("p2", "all", "/view/", "p2")})
+	tb.replace(Source{"p1", "g", 1}, []Advertisement{deep, newAdvertisement("p1", "all", "/view/", "p1"), newAdvertisement("p1", "well", "/view/wells/", "p1")})
+	tb.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/", "p2")})
 	for _, k := range []struct {
 		path, tenant, want string
 		came               []string
@@ -89,13 +89,13 @@
 	n.Import.MaxRoutes = 100
 	p.Neighbours["p1"] = n
 	tb := NewTable(p, c.now)
-	tb.replace(Source{"p2", "g", 1}, []Advertisement{offer("p2", "all", "/view/two/", "p2")})
+	tb.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/two/", "p2")})
 	var all []Advertisement
 	for i := range 5000 {
-		all = append(all, offer("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/%d/", i), "p1"))
+		all = append(all, newAdvertisement("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/%d/", i), "p1"))
 	}
-	bad := offer("p1", "bad", "/view/bad", "p1")
-	stolen := offer("p2", "all", "/view/two/", "p1", "p2")
+	bad := newAdvertisement("p1", "bad", "/view/bad", "p1")
+	stolen := newAdvertisement("p2", "all", "/view/two/", "p1", "p2")
 	tb.replace(Source{"p1", "g", 1}, append([]Advertisement{bad, stolen}, all...))
 	s := tb.Status()
 	if s.Advertisements != 100+1-1+0 && s.Advertisements != 101 {
@@ -114,8 +114,8 @@
 	c := &clock{noon}
 	tb := NewTable(policyOf("p0", nil, "p1"), c.now)
 	first, second := Source{"p1", "a", 1}, Source{"p1", "b", 1}
-	tb.replace(first, []Advertisement{offer("p1", "x", "/view/x/", "p1")})
-	tb.replace(second, []Advertisement{offer("p1", "x", "/view/x/", "p1"), offer("p1", "y", "/view/y/", "p1")})
+	tb.replace(first, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1")})
+	tb.replace(second, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1"), newAdvertisement("p1", "y", "/view/y/", "p1")})
 	has := func(path string) bool {
 		_, ok := tb.Choose(&Request{Class: "view", Path: path, Effect: balancer.Safe})
 		return ok
@@ -130,7 +130,7 @@
 	if !has("/view/x/1") || len(tb.Status().Stale) != 1 {
 		t.Error("stale offers went too soon")
 	}
-	tb.replace(Source{"p1", "a", 2}, []Advertisement{offer("p1", "z", "/view/z/", "p1")})
+	tb.replace(Source{"p1", "a", 2}, []Advertisement{newAdvertisement("p1", "z", "/view/z/", "p1")})
 	if has("/view/x/1") || !has("/view/z/1") || len(tb.Status().Stale) != 0 {
 		t.Error("a new life's table does not take the place of the stale one")
 	}
@@ -146,43 +146,43 @@
 func TestTightenedExportRule(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
-	p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
+	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 	tb := NewTable(p, c.now)
 	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	id := ID{"p0", "x"}
-	if _, why := tb.Come(id, request); why != "" {
+	if _, why := tb.AdmitForwarded(id, request); why != "" {
 		t.Fatal(why)
 	}
-	sent, _ := tb.Sent("p1")
+	sent, _ := tb.AdjRIBOut("p1")
 	before := sent[id].Version
 	tb.SetPolicy(p)
-	if sent, _ = tb.Sent("p1"); sent[id].Version != before {
+	if sent, _ = tb.AdjRIBOut("p1"); sent[id].Version != before {
 		t.Error("a rule that says the same has another version")
 	}
-	p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
+	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 	p.Own[0].Rules.All = false
 	tb.SetPolicy(p)
-	if _, why := tb.Come(id, request); why != "partner p1 may not have the offer" {
+	if _, why := tb.AdmitForwarded(id, request); why != "partner p1 may not have the offer" {
 		t.Errorf("%q", why)
 	}
-	if sent, _ = tb.Sent("p1"); len(sent) != 0 {
+	if sent, _ = tb.AdjRIBOut("p1"); len(sent) != 0 {
 		t.Error("it is still told")
 	}
 	there := NewTable(policyOf("p1", nil, "p0"), c.now)
 	src := Source{"p0", "g", 1}
-	there.replace(src, []Advertisement{offer("p0", "x", "/view/x/", "p0")})
+	there.replace(src, []Advertisement{newAdvertisement("p0", "x", "/view/x/", "p0")})
 	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
 	w, ok := there.Choose(ask)
 	if !ok {
 		t.Fatal("no way")
 	}
-	there.Drop(w.Route)
+	there.Suppress(w.Route)
 	if _, ok := there.Choose(ask); ok {
 		t.Error("the way is still used")
 	}
-	next := offer("p0", "x", "/view/x/", "p0")
+	next := newAdvertisement("p0", "x", "/view/x/", "p0")
 	next.Version = 2
-	there.change(src, []Advertisement{next}, nil)
+	there.update(src, []Advertisement{next}, nil)
 	if _, ok := there.Choose(ask); !ok {
 		t.Error("another version is not used")
 	}
@@ -190,17 +190,17 @@
 
 // Versions of own exports rise for as long as a gateway runs, also where one is taken back and given again while the wall
 // clock was set back.
-func TestVersionsRiseWhateverTheWallClockDoes(t *testing.T) {
+func TestVersionsRiseWhenWallClockStepsBack(t *testing.T) {
 	for _, step := range []time.Duration{0, -5 * time.Second, -time.Hour, time.Hour} {
 		c := &clock{noon}
 		p := policyOf("p0", nil, "p1")
 		tb := NewTable(p, c.now)
 		var last uint64
 		for cost := range 3 {
-			p.Own = []Advertisement{offer("p0", "x", "/view/x/")}
+			p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 			p.Own[0].Cost = cost
 			tb.SetPolicy(p)
-			sent, _ := tb.Sent("p1")
+			sent, _ := tb.AdjRIBOut("p1")
 			if v := sent[ID{"p0", "x"}].Version; v <= last {
 				t.Errorf("steps of %v: version %d comes after %d", step, v, last)
 			} else {
@@ -215,10 +215,10 @@
 
 // An export ends at a date, by the wall clock of the gateway that looks: stepped over it the export has ended, at the owner
 // too, and stepped back it has not.
-func TestAnExportEndsByTheWallClock(t *testing.T) {
+func TestExportExpiresByWallClock(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
-	own := offer("p0", "x", "/view/x/")
+	own := newAdvertisement("p0", "x", "/view/x/")
 	own.Rules.Until = noon.Add(30 * time.Minute).Unix()
 	p.Own = []Advertisement{own}
 	tb := NewTable(p, c.now)
@@ -229,8 +229,8 @@
 	}{{0, false}, {time.Hour, true}, {-time.Hour, false}, {30*time.Minute - time.Second, false}, {5 * time.Second, true}, {-5 * time.Second, false}} {
 		c.at = c.at.Add(s.step)
 		tb.Sweep()
-		sent, _ := tb.Sent("p1")
-		if _, why := tb.Come(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
+		sent, _ := tb.AdjRIBOut("p1")
+		if _, why := tb.AdmitForwarded(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
 			t.Errorf("after a step of %v to %v: %q, %d told; ended: %v", s.step, c.at, why, len(sent), s.ends)
 		}
 	}
@@ -240,9 +240,9 @@
 func TestCapacityIsShared(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
-	p.Share = 2
+	p.GroupSize = 2
 	tb := NewTable(p, c.now)
-	o := offer("p1", "x", "/view/x/", "p1")
+	o := newAdvertisement("p1", "x", "/view/x/", "p1")
 	o.Capacity = 4
 	tb.replace(Source{"p1", "g", 1}, []Advertisement{o})
 	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
@@ -259,23 +259,23 @@
 	if _, ok := tb.Choose(ask); !ok {
 		t.Error("a place is free again")
 	}
-	tb.SetShare(4)
+	tb.SetGroupSize(4)
 	if _, ok := tb.Choose(ask); ok {
 		t.Error("with four gateways each has one place, and that is taken")
 	}
 }
 
-// world is some partners that tell one another, message by message.
-type world struct {
+// partnerNetwork is some partners that tell one another, message by message.
+type partnerNetwork struct {
 	c      *clock
 	tables map[string]*Table
 	names  []string
 }
 
 // step has one partner tell another, and says whether that changed anything there.
-func (w *world) step(from, to string) bool {
+func (w *partnerNetwork) step(from, to string) bool {
 	a, b := w.tables[from], w.tables[to]
-	all, _ := a.Sent(to)
+	all, _ := a.AdjRIBOut(to)
 	var list []Advertisement
 	for _, o := range all {
 		list = append(list, o)
@@ -288,9 +288,9 @@
 // The dispute that has no stable outcome ends in a hold, and then nothing changes any more, whatever the order of messages.
 func TestOscillatingRouteIsDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{c: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
+		w := &partnerNetwork{c: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
 		origin := policyOf("p0", nil, "p1", "p2", "p3")
-		origin.Own = []Advertisement{offer("p0", "x", "/view/x/")}
+		origin.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 		origin.Own[0].Rules.MaxHops = 2 // by way of one other, and no further
 		w.tables["p0"] = NewTable(origin, w.c.now)
 		for i := 1; i <= 3; i++ { // each prefers the way through the next one
@@ -327,7 +327,7 @@
 func TestRulesOnlyNarrowAlongPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"p0", "p1", "p2", "p3", "p4"}
-		w := &world{c: &clock{noon}, tables: map[string]*Table{}, names: names}
+		w := &partnerNetwork{c: &clock{noon}, tables: map[string]*Table{}, names: names}
 		rules := map[ID]Rules{}
 		for _, self := range names {
 			var others []string
@@ -338,7 +338,7 @@
 			}
 			p := policyOf(self, nil, others...)
 			for i := range rapid.IntRange(0, 2).Draw(t, "exports") {
-				o := offer(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
+				o := newAdvertisement(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
 				o.Rules = Rules{All: rapid.Bool().Draw(t, "all"), To: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
 					NoTransit: rapid.Bool().Draw(t, "no transit"), MaxHops: rapid.IntRange(1, 4).Draw(t, "hands"), Effects: AllEffects}
 				rules[ID{self, o.ID.Name}] = o.Rules
@@ -351,7 +351,7 @@
 			w.step(names[from], names[(from+1+rapid.IntRange(0, 3).Draw(t, "to"))%5])
 		}
 		for _, self := range names {
-			for id, r := range w.tables[self].routes {
+			for id, r := range w.tables[self].locRIB {
 				if r.best == nil || r.best.Own {
 					continue
 				}
@@ -369,7 +369,7 @@
 					if len(request.Via) > 8 {
 						t.Fatalf("the call goes round: %v", request.Via)
 					}
-					next, why := w.tables[at].Come(id, request)
+					next, why := w.tables[at].AdmitForwarded(id, request)
 					if why != "" {
 						if next.Route != nil && next.Own {
 							t.Fatalf("the owner refuses %v: %s, rules %+v", request.Via, why, own)
@@ -383,11 +383,11 @@
 	})
 }
 
-func bigTable(n int) (*Table, []Advertisement) {
+func newLargeTable(n int) (*Table, []Advertisement) {
 	tb := NewTable(policyOf("p0", nil, "p1", "p2", "p3"), time.Now)
 	var all []Advertisement
 	for i := range n {
-		all = append(all, offer("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/a%d/b%d/", i%100, i), "p1"))
+		all = append(all, newAdvertisement("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/a%d/b%d/", i%100, i), "p1"))
 	}
 	tb.replace(Source{"p1", "g", 1}, all)
 	return tb, all
@@ -395,7 +395,7 @@
 
 // BenchmarkChoose chooses among 10,000 offers.
 func BenchmarkChoose(b *testing.B) {
-	tb, _ := bigTable(10_000)
+	tb, _ := newLargeTable(10_000)
 	requests := make([]*Request, 1000)
 	for i := range requests {
 		requests[i] = &Request{Class: "view", Path: fmt.Sprintf("/view/a%d/b%d/leaf/17", i%100, i), Effect: balancer.Safe}
@@ -410,32 +410,32 @@
 
 // BenchmarkChange takes 1,000 changed offers among 10,000.
 func BenchmarkChange(b *testing.B) {
-	tb, all := bigTable(10_000)
+	tb, all := newLargeTable(10_000)
 	s := Source{"p1", "g", 1}
 	for i := range b.N {
 		some := slices.Clone(all[:1000])
 		for k := range some {
 			some[k].Version, some[k].Cost = uint64(i+2), i%7
 		}
-		tb.change(s, some, nil)
+		tb.update(s, some, nil)
 	}
 }
 
 // A gateway that begins anew goes by the newest rule of its partner, and partners go by that too, whatever its clock shows:
 // set back by an hour, by 5 s, right, or ahead. What another gateway of its group goes by since it ended is newer, as ever.
-func TestTheRuleOfAGatewayThatBeganAnewIsTheNewest(t *testing.T) {
+func TestRestartedGatewayHasNewestRule(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, time.Hour} {
 		for _, overlap := range []bool{false, true} {
 			c := &clock{noon}
 			rule := func(cost int) Policy {
 				p := policyOf("p1", nil, "p0")
-				o := offer("p1", "x", "/view/x/")
+				o := newAdvertisement("p1", "x", "/view/x/")
 				o.Cost = cost
 				p.Own = []Advertisement{o}
 				return p
 			}
 			told := func(by *Table) (all []Advertisement) {
-				sent, _ := by.Sent("p0")
+				sent, _ := by.AdjRIBOut("p0")
 				for _, o := range sent {
 					all = append(all, o)
 				}
@@ -465,7 +465,7 @@
 			}
 			stepped.at = stepped.at.Add(time.Second)
 			a.SetPolicy(rule(3))
-			there.change(a2, told(a), nil)
+			there.update(a2, told(a), nil)
 			if got := cost(); got != 3 {
 				t.Errorf("clock stepped by %v: the cost is %d, want that of its next rule", step, got)
 			}
@@ -482,7 +482,7 @@
 			a = NewTable(rule(3), c.now)
 			c.at = c.at.Add(time.Second)
 			b.SetPolicy(rule(4))
-			there.change(b1, told(b), nil)
+			there.update(b1, told(b), nil)
 			there.replace(Source{"p1", "a", 3}, told(a))
 			if got := cost(); got != 4 {
 				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that the other gateway took on since", step, got)
