--- /dev/null
+++ b/internal/routeexchange/exchange.go
@@ -0,0 +1,116 @@
+package routeexchange
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"damsontrestle/internal/peering"
+)
+
+// Options are what an Exchange is made of.
+type Options struct {
+	Table           *Table
+	Group           func() []Gateway // of this partner's gateways, those that live
+	GatewaysChanged func()           // the gateways of some partner have changed; must not block
+}
+
+// Exchange tells neighbours of this gateway's table and takes theirs, by a task for each link.
+type Exchange struct {
+	options Options
+	ctx     context.Context
+	cancel  context.CancelFunc
+	tasks   sync.WaitGroup
+
+	mu            sync.Mutex
+	inbound       map[*peering.Link]*inboundState
+	lastGateways  map[string][]Gateway // by partner, what Gateways told last
+	gatewaysValid map[string]bool      // of them, those that still hold
+	ownGroup      []Gateway            // this partner's, as neighbours are told of them
+	changed       chan struct{}        // closed when the own group has changed
+}
+
+// NewExchange returns one that tells nobody yet.
+func NewExchange(o Options) *Exchange {
+	x := &Exchange{options: o, inbound: map[*peering.Link]*inboundState{}, lastGateways: map[string][]Gateway{}, gatewaysValid: map[string]bool{}, ownGroup: o.Group(), changed: make(chan struct{})}
+	x.ctx, x.cancel = context.WithCancel(context.Background())
+	x.tasks.Go(x.maintain)
+	return x
+}
+
+// Close ends all tasks and returns once they have ended.
+func (x *Exchange) Close() {
+	x.cancel()
+	x.tasks.Wait()
+}
+
+// Topics are how neighbours reach it.
+func (x *Exchange) Topics() map[string]peering.Handler {
+	return map[string]peering.Handler{topicUpdate: x.handleUpdate, topicRefresh: x.handleRefresh}
+}
+
+// sweepInterval is how often what is stale is looked at, and whether the own group has changed. Of changes of the group that come
+// one upon another only the first is told at once: each is told to every neighbour's gateway here, by every gateway of the group,
+// and a group whose links flap would have all partners busy with hearing of it.
+const (
+	sweepInterval = 100 * time.Millisecond
+	groupInterval = 500 * time.Millisecond
+)
+
+func (x *Exchange) maintain() {
+	tick := time.NewTicker(sweepInterval)
+	defer tick.Stop()
+	group := x.options.Group()
+	var told time.Time
+	for {
+		select {
+		case <-x.ctx.Done():
+			return
+		case <-tick.C:
+		}
+		x.options.Table.Sweep()
+		if now := x.options.Group(); !slices.Equal(now, group) && time.Since(told) >= groupInterval {
+			group, told = now, time.Now()
+			x.mu.Lock()
+			x.ownGroup = now
+			x.mu.Unlock()
+			x.Advertise()
+		}
+	}
+}
+
+// Advertise has neighbours told anew: this partner's gateways, or its rules, have changed.
+func (x *Exchange) Advertise() {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	close(x.changed)
+	x.changed = make(chan struct{})
+}
+
+// Up begins to tell a neighbour's gateway, over a link that has come up, until the link ends.
+func (x *Exchange) Up(l *peering.Link) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if x.inbound[l] != nil || x.ctx.Err() != nil {
+		return
+	}
+	r := &inboundState{source: Source{l.Peer.Partner, l.Peer.Name, l.Peer.Incarnation}, digests: map[ID]uint64{}}
+	x.inbound[l] = r
+	x.tasks.Go(func() {
+		x.sendUpdates(l)
+		x.mu.Lock()
+		delete(x.inbound, l)
+		delete(x.gatewaysValid, r.source.Partner)
+		// Another link to the same incarnation may go on telling the same table.
+		left := false
+		for _, o := range x.inbound {
+			left = left || o.source == r.source
+		}
+		x.mu.Unlock()
+		if !left {
+			x.options.Table.PeerDown(r.source)
+			x.options.GatewaysChanged()
+		}
+	})
+}
