--- a/internal/quota/draw.go
+++ b/internal/quota/draw.go
@@ -8,59 +8,62 @@
 
 // waiter is a request that waits for a token.
 type waiter struct {
-	token     chan Token
-	returning bool
+	token     chan Token // holds one
+	returning bool       // its client returns at the time that it was advised
 }
 
-// booking is a request that was refused and told when to come back.
+// booking is a rejected request whose client was advised when to return.
 type booking struct {
 	id string
 	at time.Duration
 }
 
-// Draw draws one request from the budget, and waits for that no longer than the file says. Where it may not, retry says when
-// it may: a request that comes back then by the same id goes before others. Its id is its client's key, or what it was refused by.
-func (l *Limiter) Draw(ctx context.Context, id, again string) (t Token, retry time.Duration) {
+// Draw draws one token for a request, and waits for it no longer than the quota's terms allow. Where it returns none, retry is
+// the time after which the client may return: one that then comes by the same id goes before others. id is the request's own;
+// previous, if there is one, is the id of the request that was rejected.
+func (l *Limiter) Draw(ctx context.Context, id, previous string) (t Token, retry time.Duration) {
 	now := l.options.Now()
 	l.mu.Lock()
-	l.requestsSince++
-	due := l.noteReturn(id, again, now)
+	l.rates.requestsSince++
+	returning := l.takeBooking(id, previous, now)
 	if t := l.take(now); t != 0 {
-		l.counts.Drawn++
-		if due {
-			l.counts.Returning++
-		}
-		want := l.wanted(now)
+		l.countDraw(returning)
+		wanted := l.wanted(now)
 		l.mu.Unlock()
-		if want > 0 {
+		if wanted > 0 {
 			l.requestNow()
 		}
 		return t, 0
 	}
 	wait := l.options.Budget.Wait
-	if wait <= 0 && !due {
+	if wait <= 0 && !returning {
 		retry = l.reject(id, now)
 		l.mu.Unlock()
 		l.requestNow()
 		return 0, retry
 	}
-	w := &waiter{token: make(chan Token, 1), returning: due}
+	w := &waiter{token: make(chan Token, 1), returning: returning}
 	l.waiting = append(l.waiting, w)
 	l.mu.Unlock()
 	l.requestNow()
-	limit := time.NewTimer(max(wait, shortInterval))
-	defer limit.Stop()
+	return l.awaitToken(ctx, w, id, max(wait, shortInterval))
+}
+
+// awaitToken waits for a waiter's token for at most a time, and rejects the request if none came.
+func (l *Limiter) awaitToken(ctx context.Context, w *waiter, id string, wait time.Duration) (Token, time.Duration) {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	select {
-	case t = <-w.token:
+	case t := <-w.token:
 		return t, 0
-	case <-limit.C:
+	case <-timeout.C:
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case t = <-w.token: // it came just now
+	case t := <-w.token: // it came between the timeout and the lock, and has been taken from the lease
 		return t, 0
 	default:
 	}
@@ -68,11 +71,20 @@
 	return 0, l.reject(id, l.options.Now())
 }
 
-// noteReturn notes that a request comes that may have been told to. The caller holds mu.
-func (l *Limiter) noteReturn(id, again string, now time.Duration) bool {
+// countDraw counts a request that drew a token. The caller holds mu.
+func (l *Limiter) countDraw(returning bool) {
+	l.counts.Drawn++
+	if returning {
+		l.counts.Returning++
+	}
+}
+
+// takeBooking removes the booking of a request, if there is one, and says whether its client returns at its time. The caller
+// holds mu.
+func (l *Limiter) takeBooking(id, previous string, now time.Duration) bool {
 	l.bookings = slices.DeleteFunc(l.bookings, func(b booking) bool { return now > b.at+returnGrace })
 	for i, b := range l.bookings {
-		if b.id == id || b.id == again {
+		if b.id == id || b.id == previous {
 			l.bookings = slices.Delete(l.bookings, i, i+1)
 			return now >= b.at-shortInterval
 		}
@@ -80,23 +92,23 @@
 	return false
 }
 
-// reject says when a request may come back. As many are booked as tokens came lately for; beyond that the time is only a guess.
-// The caller holds mu.
+// reject says after which time a request may return. As many are booked as tokens are granted in that time, by the rate of
+// late; beyond maxRetryAfter the time is a guess and nothing is booked. The caller holds mu.
 func (l *Limiter) reject(id string, now time.Duration) time.Duration {
 	l.counts.Rejected++
-	share := l.grantRate
-	if share <= 0 {
-		share = 1 / max(l.hint, shortInterval).Seconds()
+	rate := l.rates.tokens
+	if rate <= 0 {
+		rate = 1 / max(l.hint, shortInterval).Seconds()
 	}
-	at := time.Duration(float64(len(l.bookings)+1) / share * float64(time.Second))
-	if at > maxRetryAfter {
+	after := time.Duration(float64(len(l.bookings)+1) / rate * float64(time.Second))
+	if after > maxRetryAfter {
 		return maxRetryAfter
 	}
-	l.bookings = append(l.bookings, booking{id: id, at: now + at})
-	return max(at, leaderInterval)
+	l.bookings = append(l.bookings, booking{id: id, at: now + after})
+	return max(after, leaderInterval)
 }
 
-// serveWaiting gives tokens to requests that wait. The caller holds mu.
+// serveWaiting gives tokens to requests that wait, to those of returning clients first. The caller holds mu.
 func (l *Limiter) serveWaiting(now time.Duration) {
 	slices.SortStableFunc(l.waiting, func(a, b *waiter) int {
 		switch {
@@ -114,10 +126,7 @@
 		}
 		w := l.waiting[0]
 		l.waiting = l.waiting[1:]
-		l.counts.Drawn++
-		if w.returning {
-			l.counts.Returning++
-		}
+		l.countDraw(w.returning)
 		w.token <- t
 	}
 }
--- a/internal/quota/election.go
+++ b/internal/quota/election.go
@@ -9,27 +9,48 @@
 	"damsontrestle/internal/peering"
 )
 
-// becomeCandidate makes the gateway's part as quota leader, if it may be that.
+// becomeCandidate starts the gateway's part in the election, if it is one of the candidates.
 func (l *Limiter) becomeCandidate(now time.Duration) {
-	var all []string
-	mine := false
+	var names []string
+	isCandidate := false
 	for _, candidate := range l.options.Budget.Candidates {
-		all = append(all, candidate.id().String())
-		mine = mine || candidate.id() == l.options.Self
+		names = append(names, candidate.id().String())
+		if candidate.id() == l.options.Self {
+			isCandidate = true
+		}
+	}
+	if !isCandidate {
+		return
 	}
-	if mine {
-		l.leader = newLeader(l.options.Budget.Terms, l.options.Self.String(), all, now)
-		l.tasks.Go(l.runCandidate)
+	l.leader = newLeader(l.options.Budget.Terms, l.options.Self.String(), names, now)
+	l.tasks.Go(l.runCandidate)
+}
+
+// candidacy is when a candidate campaigns.
+type candidacy struct {
+	rank      int           // in the order of candidates
+	vacantAt  time.Duration // until when there was a leader, or when the last campaign may be followed by another
+	renewedAt time.Duration // when the last campaign began
+}
+
+// isDue says whether to campaign now: as leader each quarter of a term; else once the office has been vacant for a time that
+// grows with the rank, so that candidates don't all campaign at once.
+func (c *candidacy) isDue(now, term time.Duration, isLeader, isVacant bool) bool {
+	switch {
+	case isLeader:
+		return now-c.renewedAt >= term/4
+	case isVacant:
+		return now-c.vacantAt >= time.Duration(c.rank)*term/4
 	}
+	return false
 }
 
-// runCandidate is a gateway's part as one of the quota candidates: it asks the others for a term when there is no quota leader, renews its own, and
-// deals out what the bucket holds.
+// runCandidate is the gateway's part as a candidate, until Close: it campaigns when there is no leader, renews its own term, and
+// distributes tokens while it is the leader.
 func (l *Limiter) runCandidate() {
 	tick := time.NewTicker(leaderInterval)
 	defer tick.Stop()
-	rank := slices.Index(l.leader.candidates, l.options.Self.String())
-	var vacant, renewed time.Duration
+	c := candidacy{rank: slices.Index(l.leader.candidates, l.options.Self.String())}
 	for {
 		select {
 		case <-l.ctx.Done():
@@ -37,107 +58,126 @@
 		case <-tick.C:
 		}
 		l.mu.Lock()
-		now, term := l.options.Now(), l.options.Budget.Term
-		leader := l.leader
-		is := leader.isLeader(now)
-		if is {
-			leader.distribute(now, false)
-		} else if leader.until > 0 {
-			l.options.Log.Info("this gateway is no longer the quota leader", "quota", l.options.Budget.Name, "term", leader.term)
-			leader.until = 0
-			for who, a := range leader.pending {
-				delete(leader.pending, who)
-				a.reply(0, 0)
-			}
-		}
-		taken := !is && now < leader.vote.Until && leader.vote.Leader != leader.self
-		if is || taken {
-			vacant = now
-		}
-		due := is && now-renewed >= term/4 || !is && !taken && now-vacant >= time.Duration(rank)*term/4
+		now := l.options.Now()
+		term := l.options.Budget.Term
+		isLeader := l.actAsLeader(now)
+		votedFor := l.votedFor(now)
+		isVacant := !isLeader && (votedFor == "" || votedFor == l.leader.self)
 		l.mu.Unlock()
-		if !due {
+		if !isVacant {
+			c.vacantAt = now
+		}
+		if !c.isDue(now, term, isLeader, isVacant) {
 			continue
 		}
-		renewed = now
-		if !l.campaign(now, is) {
-			vacant = l.options.Now() + time.Duration(rank+1)*term/8
+		c.renewedAt = now
+		if !l.campaign(now, isLeader) {
+			c.vacantAt = l.options.Now() + time.Duration(c.rank+1)*term/8
 		}
 	}
 }
 
-// campaign asks all who could be quota leader for a term, from the time when it asks on: a new one, or the same once more.
+// actAsLeader distributes tokens if this gateway is the leader, steps down if its term is over, and says whether it is the
+// leader. The caller holds mu.
+func (l *Limiter) actAsLeader(now time.Duration) bool {
+	if l.leader.isLeader(now) {
+		l.leader.distribute(now, false)
+		return true
+	}
+	if l.leader.until > 0 {
+		l.options.Log.Info("this gateway is no longer the quota leader", "quota", l.options.Budget.Name, "term", l.leader.term)
+		l.leader.stepDown()
+	}
+	return false
+}
+
+// campaign asks all candidates for their votes for a term that begins now: a new one, or the present one once more. It says
+// whether a majority voted for it.
 func (l *Limiter) campaign(now time.Duration, renew bool) bool {
 	l.mu.Lock()
 	leader := l.leader
 	number := leader.term
 	if !renew {
-		leader.highestTerm = max(leader.highestTerm, leader.vote.Term) + 1
-		number = leader.highestTerm
+		number = leader.nextTerm()
 	}
-	term, candidates := l.options.Budget.Term, l.options.Budget.Candidates
+	term := l.options.Budget.Term
+	candidates := l.options.Budget.Candidates
 	l.mu.Unlock()
-	ctx, cancel := context.WithTimeout(l.ctx, term/4)
+	if !l.collectVotes(candidates, number, term/4) {
+		return false
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if renew && !leader.isLeader(l.options.Now()) {
+		return false
+	}
+	until := now + budget.Shorter(term)
+	if until <= l.options.Now() {
+		return true // the votes came too late to be of use
+	}
+	if !renew {
+		leader.begin(l.options.Now(), number)
+		l.counts.Elected++
+		l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", number)
+	}
+	leader.until = until
+	return true
+}
+
+// collectVotes asks candidates for their votes for a term and says whether a majority gave theirs. It waits for a time at most.
+func (l *Limiter) collectVotes(candidates []Candidate, number uint64, wait time.Duration) bool {
+	ctx, cancel := context.WithTimeout(l.ctx, wait)
 	defer cancel()
-	votes := make(chan voteReply, len(candidates))
-	for _, who := range candidates {
-		if who.id() == l.options.Self {
-			votes <- l.handleVote(l.options.Self, voteRequest{l.options.Budget.Name, number})
-			continue
-		}
-		link := l.options.To(who.id())
-		if link == nil {
-			votes <- voteReply{}
-			continue
-		}
-		l.tasks.Go(func() {
-			var v voteReply
-			if link.Do(ctx, topicVote, voteRequest{l.options.Budget.Name, number}, &v) != nil {
-				v = voteReply{}
-			}
-			votes <- v
-		})
-	}
-	yes := 0
+	votes := make(chan voteReply, len(candidates)) // each sends one without waiting
+	for _, candidate := range candidates {
+		l.requestVote(ctx, candidate.id(), voteRequest{l.options.Budget.Name, number}, votes)
+	}
+	given := 0
 	for range candidates {
 		v := <-votes
 		if v.Yes {
-			yes++
+			given++
 		}
 		l.mu.Lock()
-		leader.highestTerm = max(leader.highestTerm, v.Term)
+		l.leader.highestTerm = max(l.leader.highestTerm, v.Term)
 		l.mu.Unlock()
-		if yes > len(candidates)/2 {
-			break
+		if given > len(candidates)/2 {
+			return true
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if yes <= len(candidates)/2 || renew && !leader.isLeader(l.options.Now()) {
-		return false
+	return false
+}
+
+// requestVote has the vote of one candidate sent to votes; one that is not reached counts as no.
+func (l *Limiter) requestVote(ctx context.Context, candidate peering.GatewayID, m voteRequest, votes chan<- voteReply) {
+	if candidate == l.options.Self {
+		votes <- l.handleVote(l.options.Self, m)
+		return
 	}
-	if until := now + budget.Shorter(term); until > l.options.Now() {
-		if !renew {
-			leader.begin(l.options.Now(), number)
-			l.counts.Elected++
-			l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", number)
-		}
-		leader.until = until
+	link := l.options.To(candidate)
+	if link == nil {
+		votes <- voteReply{}
+		return
 	}
-	return true
+	l.tasks.Go(func() {
+		var v voteReply
+		if err := link.Do(ctx, topicVote, m, &v); err != nil {
+			v = voteReply{}
+		}
+		votes <- v
+	})
 }
 
-// handleVote is this gateway's answer to one who would be quota leader.
-func (l *Limiter) handleVote(who peering.GatewayID, m voteRequest) voteReply {
+// handleVote is this gateway's reply to a candidate that campaigns.
+func (l *Limiter) handleVote(candidate peering.GatewayID, m voteRequest) voteReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	leader := l.leader
-	if leader == nil || !slices.Contains(leader.candidates, who.String()) {
+	if leader == nil || !slices.Contains(leader.candidates, candidate.String()) {
 		return voteReply{}
 	}
-	now := l.options.Now()
-	v, ok := budget.MayVote(leader.vote, leader.startedAt, now, l.options.Budget.Term, m.Term, who.String())
-	leader.vote = v
+	vote, ok := budget.MayVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.Term, m.Term, candidate.String())
+	leader.vote = vote
 	leader.highestTerm = max(leader.highestTerm, m.Term)
-	return voteReply{Yes: ok, Term: max(v.Term, leader.highestTerm)}
+	return voteReply{Yes: ok, Term: max(vote.Term, leader.highestTerm)}
 }
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -8,48 +8,50 @@
 	"damsontrestle/internal/peering"
 )
 
-// handleRequest takes a question of another gateway's, or of this one's own, and answers it when there are tokens, or soon.
-func (l *Limiter) handleRequest(who peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
+// maxGrantWait is the longest time that a leader lets a lease request wait for tokens.
+const maxGrantWait = time.Second
+
+// handleLeaseRequest takes the request of a gateway, perhaps of this one, and replies when there are tokens or its wait is
+// over. reply is called once, from another goroutine: it may take mu.
+func (l *Limiter) handleLeaseRequest(from peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
 	leader := l.leader
 	if leader == nil || !leader.isLeader(now) {
-		g := leaseGrant{}
-		if leader != nil && now < leader.vote.Until {
-			g.Leader = leader.vote.Leader
-		}
-		go reply(g) // never under the lock: it may be this gateway's own
+		go reply(leaseGrant{Leader: l.votedFor(now)})
 		return
 	}
 	leader.fill(now)
 	if m.Term == leader.term && m.Stamp > 0 && m.Stamp <= now {
 		until, _ := budget.FloorLoanEnds(m.Stamp, 0)
-		leader.waive(who, m.Floor, until)
+		leader.waive(from, m.Floor, until)
 	}
-	answer := func(given int, hint time.Duration) {
-		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, Stamp: now, Granted: given, Hint: hint})
+	leader.putBack(max(0, m.Returned))
+	grant := func(tokens int, hint time.Duration) {
+		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, Stamp: now, Granted: tokens, Hint: hint})
 	}
 	if m.Wanted <= 0 {
-		leader.tokens = min(leader.terms.Depth(), leader.tokens+float64(max(0, m.Returned)))
-		answer(0, 0)
+		grant(0, 0)
 		return
 	}
-	a := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), returning: m.Returning, reply: answer}
-	leader.request(who, a, max(0, m.Returned))
-	l.tasks.Go(func() { // it is answered in time, whatever there is
-		clock.Sleep(l.ctx, min(m.Wait, time.Second))
+	p := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), returning: m.Returning, reply: grant}
+	leader.addPending(from, p)
+	l.tasks.Go(func() {
+		clock.Sleep(l.ctx, min(m.Wait, maxGrantWait))
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if leader.pending[who] == a {
-			leader.distribute(l.options.Now(), false)
-			if leader.pending[who] == a {
-				delete(leader.pending, who)
-				a.reply(a.granted, time.Duration(float64(len(leader.pending)+1)/max(leader.rate(l.options.Now()), 1e-3)*float64(time.Second)))
-			}
-		}
+		leader.expire(from, p, l.options.Now())
 	})
 	if leader.tokens >= 1 {
 		leader.distribute(now, false)
 	}
 }
+
+// votedFor is the candidate that this gateway has promised a term that is not over; empty: there is none. The caller holds mu.
+func (l *Limiter) votedFor(now time.Duration) string {
+	if l.leader == nil || now >= l.leader.vote.Until {
+		return ""
+	}
+	return l.leader.vote.Leader
+}
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -1,218 +1,233 @@
 package quota
 
 import (
-	"slices"
+	"math"
 	"time"
 
 	"damsontrestle/internal/budget"
 	"damsontrestle/internal/peering"
 )
 
-// leader is the bucket of one who may be the quota leader of a budget, and its part in electing one. The owner locks it.
+// leader is a candidate's part of a quota: its vote, its own term, and the token bucket that counts while it is the leader. It
+// has no lock and no clock of its own; the Limiter that owns it locks it.
 type leader struct {
 	terms      budget.Terms
-	self       string // partner/name
+	self       string // partner/gateway
 	candidates []string
 	startedAt  time.Duration
 
 	vote        budget.Vote
-	highestTerm uint64        // the highest term heard of
-	term        uint64        // own, while
-	until       time.Duration // it lasts; 0: it is not the quota leader
-
-	tokens   float64
-	filledAt time.Duration
-	claims   map[string]*budget.Claim              // by partner
-	waivers  map[string]*floorWaiver               // by gateway
+	highestTerm uint64        // that was heard of
+	term        uint64        // the own one
+	until       time.Duration // when the own term ends; 0: this candidate is not the leader
+
+	tokens   float64       // in the bucket
+	filledAt time.Duration // until when the bucket was filled
+	claims   map[string]*budget.Claim
+	waivers  map[string]*floorWaiver               // by partner/gateway
 	pending  map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
-	order    []peering.GatewayID                   // of gateways, in turn
-	granted  int64
+	order    []peering.GatewayID                   // in which gateways are served: the last served last
+	granted  int64                                 // tokens since the start
 }
 
-// floorWaiver is a gateway's floor that it has waived.
+// floorWaiver is a gateway's part of its partner's floor that it has waived.
 type floorWaiver struct {
 	partner string
-	floor   float64
+	floor   float64 // requests a second
 	until   time.Duration
 }
 
-// pendingRequest is a gateway's question that is not answered yet.
+// pendingRequest is a gateway's request for tokens that has no reply yet.
 type pendingRequest struct {
-	wanted, returning int
-	granted           int
-	reply             func(given int, hint time.Duration)
+	wanted    int
+	returning int // of those wanted, for clients that return at the time that they were advised
+	granted   int // that go with the reply
+	reply     func(tokens int, hint time.Duration)
 }
 
-func newLeader(t budget.Terms, self string, all []string, now time.Duration) *leader {
-	return &leader{terms: t, self: self, candidates: all, startedAt: now, claims: map[string]*budget.Claim{}, waivers: map[string]*floorWaiver{}, pending: map[peering.GatewayID]*pendingRequest{}}
+// missing is how many tokens the request still waits for.
+func (p *pendingRequest) missing() int { return max(0, p.wanted-p.granted) }
+
+func newLeader(t budget.Terms, self string, candidates []string, now time.Duration) *leader {
+	return &leader{
+		terms:      t,
+		self:       self,
+		candidates: candidates,
+		startedAt:  now,
+		claims:     map[string]*budget.Claim{},
+		waivers:    map[string]*floorWaiver{},
+		pending:    map[peering.GatewayID]*pendingRequest{},
+	}
 }
 
-// isLeader says whether this one is the quota leader now.
+// isLeader says whether this candidate is the leader now.
 func (l *leader) isLeader(now time.Duration) bool { return l.until > 0 && now < l.until }
 
-// begin takes the office for a term. The bucket begins empty, whatever the one before had given out.
+// nextTerm is a term higher than all that were heard of, to campaign for.
+func (l *leader) nextTerm() uint64 {
+	l.highestTerm = max(l.highestTerm, l.vote.Term) + 1
+	return l.highestTerm
+}
+
+// begin starts a term. The bucket starts empty, as if the leader before had granted all of it.
 func (l *leader) begin(now time.Duration, number uint64) {
-	l.term, l.tokens, l.filledAt = number, 0, now
-	l.claims, l.waivers = map[string]*budget.Claim{}, map[string]*floorWaiver{}
+	l.term = number
+	l.tokens = 0
+	l.filledAt = now
+	l.claims = map[string]*budget.Claim{}
+	l.waivers = map[string]*floorWaiver{}
 }
 
-// rate is how fast the bucket fills now: floors that nobody has waived are others' own.
-func (l *leader) rate(now time.Duration) float64 {
-	if l.terms.Fallback != budget.Floor {
-		return l.terms.Rate
+// stepDown ends the own term and replies to all that wait with nothing.
+func (l *leader) stepDown() {
+	l.until = 0
+	for from, p := range l.pending {
+		delete(l.pending, from)
+		p.reply(0, 0)
 	}
-	rate := l.terms.Rate
-	for _, p := range l.terms.Partners {
-		left := p.Floor
-		n := 0
-		for _, waiver := range l.waivers {
-			if waiver.partner == p.Name && now < waiver.until && n < p.Gateways {
-				left -= waiver.floor
-				n++
-			}
-		}
-		rate -= max(0, left)
-	}
-	return max(0, rate)
 }
 
-// fill lets the bucket run until now.
-func (l *leader) fill(now time.Duration) {
-	if d := (now - l.filledAt).Seconds(); d > 0 {
-		l.tokens = min(l.terms.Depth(), l.tokens+d*l.rate(now))
-		for _, p := range l.terms.Partners {
-			if c := l.claims[p.Name]; c != nil && p.Floor > 0 {
-				c.Credit = min(max(1, p.Floor), c.Credit+d*p.Floor)
-			}
-		}
+// addPending takes a gateway's request. An earlier one of it gets what it has by now.
+func (l *leader) addPending(from peering.GatewayID, p *pendingRequest) {
+	if earlier := l.pending[from]; earlier != nil {
+		earlier.reply(earlier.granted, 0)
+	} else {
+		l.addToOrder(from)
 	}
-	l.filledAt = now
+	l.pending[from] = p
 }
 
-// claim is what a partner has had and is owed.
-func (l *leader) claim(name string) *budget.Claim {
-	c := l.claims[name]
-	if c == nil {
-		c = &budget.Claim{}
-		l.claims[name] = c
+// expire replies to a request whose wait is over with what it has, unless it has had its reply.
+func (l *leader) expire(from peering.GatewayID, p *pendingRequest, now time.Duration) {
+	if l.pending[from] != p {
+		return
+	}
+	l.distribute(now, false)
+	if l.pending[from] != p {
+		return
 	}
-	return c
+	delete(l.pending, from)
+	p.reply(p.granted, l.timeFor(len(l.pending)+1, now))
 }
 
-// request takes a gateway's question; a newer one takes the place of one that waits.
-func (l *leader) request(who peering.GatewayID, a *pendingRequest, back int) {
-	l.tokens = min(l.terms.Depth(), l.tokens+float64(back))
-	if was := l.pending[who]; was != nil {
-		was.reply(was.granted, 0)
-	} else if !slices.Contains(l.order, who) {
-		l.order = append(l.order, who)
-	}
-	l.pending[who] = a
+// minHintRate is the rate, in tokens a second, that a hint counts with at least.
+const minHintRate = 1e-3
+
+// timeFor is how long the bucket takes to fill by some tokens.
+func (l *leader) timeFor(tokens int, now time.Duration) time.Duration {
+	return time.Duration(float64(tokens) / max(l.rate(now), minHintRate) * float64(time.Second))
 }
 
-// distribute gives out what the bucket holds, by turns, and answers who has got what it wanted. over: whoever still waits is
-// answered too, with what there is and when to come back.
-func (l *leader) distribute(now time.Duration, over bool) {
+// turnsPerDistribution is about how many turns a full bucket is distributed in.
+const turnsPerDistribution = 512
+
+// distribute grants what the bucket holds, turn by turn (budget.NextPartner), and replies to those that have got all that they
+// wanted. Each token leaves the bucket before it is granted. final: the others get their reply too, with what they have and when
+// to come back.
+func (l *leader) distribute(now time.Duration, final bool) {
 	l.fill(now)
-	names := make([]string, 0, len(l.terms.Partners))
-	for _, p := range l.terms.Partners {
-		names = append(names, p.Name)
-	}
-	wants := make([]budget.Claim, len(names))
-	for i, n := range names {
-		c := l.claim(n)
-		c.Want = 0
-		for who, a := range l.pending {
-			if who.Partner == n {
-				c.Want += max(0, a.wanted-a.granted)
-			}
-		}
-		wants[i] = *c
-	}
-	// Who wants again after a while counts as if it had had as little as the one who has had least of those who go on.
-	least, any := 0.0, false
-	for i := range wants {
-		if wants[i].Want > 0 && (!any || wants[i].BeyondFloor < least) {
-			least, any = wants[i].BeyondFloor, true
-		}
-	}
-	once := max(1, int(l.tokens)/turnsPerDistribution) // tokens that go in one turn
+	claims := l.currentClaims()
+	least := leastBeyondFloor(claims)
+	perTurn := max(1, int(l.tokens)/turnsPerDistribution)
 	for l.tokens >= 1 {
-		i := budget.NextPartner(wants)
+		i := budget.NextPartner(claims)
 		if i < 0 {
 			break
 		}
-		n := l.grant(names[i], min(once, wants[i].Want, int(l.tokens)))
+		claim := &claims[i]
+		partner := l.terms.Partners[i]
+		n := l.grant(partner.Name, min(perTurn, claim.Want, int(l.tokens)))
 		if n == 0 {
-			wants[i].Want = 0
+			claim.Want = 0
 			continue
 		}
 		l.tokens -= float64(n)
 		l.granted += int64(n)
-		wants[i].Want -= n
-		if wants[i].Credit >= 1 {
-			wants[i].Credit -= float64(n)
+		claim.Want -= n
+		if claim.Credit >= 1 {
+			claim.Credit -= float64(n)
 		} else {
-			wants[i].BeyondFloor = max(wants[i].BeyondFloor, least) + float64(n)/l.weight(names[i])
+			claim.BeyondFloor = max(claim.BeyondFloor, least) + float64(n)/l.weight(partner.Name)
 		}
 	}
-	waiting := 0
-	for i, n := range names {
-		c := l.claims[n]
-		c.Credit, c.BeyondFloor = wants[i].Credit, wants[i].BeyondFloor
-		waiting += max(0, wants[i].Want)
-	}
-	for who, a := range l.pending {
-		if a.granted < a.wanted && !over {
+	waiting := l.storeClaims(claims)
+	for from, p := range l.pending {
+		missing := p.missing()
+		if missing > 0 && !final {
 			continue
 		}
 		hint := time.Duration(0)
-		if a.granted < a.wanted {
-			hint = time.Duration(float64(waiting+1) / max(l.rate(now), 1e-3) * float64(time.Second))
+		if missing > 0 {
+			hint = l.timeFor(waiting+1, now)
 		}
-		delete(l.pending, who)
-		a.reply(a.granted, hint)
+		delete(l.pending, from)
+		p.reply(p.granted, hint)
 	}
 }
 
-// turnsPerDistribution is about how many turns a deal takes.
-const turnsPerDistribution = 512
+// currentClaims are the claims of all partners, in the order of the terms, with what their gateways wait for now.
+func (l *leader) currentClaims() []budget.Claim {
+	claims := make([]budget.Claim, len(l.terms.Partners))
+	for i, partner := range l.terms.Partners {
+		claim := l.claim(partner.Name)
+		claim.Want = 0
+		for from, p := range l.pending {
+			if from.Partner == partner.Name {
+				claim.Want += p.missing()
+			}
+		}
+		claims[i] = *claim
+	}
+	return claims
+}
+
+// storeClaims keeps what partners have had and are owed after a distribution, and returns how many tokens are still waited for.
+func (l *leader) storeClaims(claims []budget.Claim) (waiting int) {
+	for i, partner := range l.terms.Partners {
+		claim := l.claims[partner.Name]
+		claim.Credit = claims[i].Credit
+		claim.BeyondFloor = claims[i].BeyondFloor
+		waiting += max(0, claims[i].Want)
+	}
+	return waiting
+}
 
-func (l *leader) weight(partner string) float64 {
-	for _, p := range l.terms.Partners {
-		if p.Name == partner && p.Weight > 0 {
-			return p.Weight
+// leastBeyondFloor is what the partner that has had least beyond its floor, of those that want tokens, has had. Who wants again
+// after a while counts as if it had had as little, and not less.
+func leastBeyondFloor(claims []budget.Claim) float64 {
+	least := math.Inf(1)
+	for _, claim := range claims {
+		if claim.Want > 0 {
+			least = min(least, claim.BeyondFloor)
 		}
 	}
-	return 1
+	if math.IsInf(least, 1) {
+		return 0 // nobody wants any
+	}
+	return least
 }
 
-// grant gives up to n tokens to the next of a partner's gateways that wants any, and tells how many: those first whose clients
-// come back at a time that they were told.
+// grant adds up to n tokens to the request of the partner's gateway whose turn it is, and says how many: requests for returning
+// clients go first.
 func (l *leader) grant(partner string, n int) int {
-	for _, due := range []bool{true, false} {
-		for i, who := range l.order {
-			a := l.pending[who]
-			if who.Partner != partner || a == nil {
+	for _, returningOnly := range []bool{true, false} {
+		for i, gateway := range l.order {
+			p := l.pending[gateway]
+			if gateway.Partner != partner || p == nil {
 				continue
 			}
-			most := a.wanted
-			if due {
-				most = min(a.wanted, a.returning)
+			limit := p.wanted
+			if returningOnly {
+				limit = min(p.wanted, p.returning)
 			}
-			if a.granted >= most {
+			if p.granted >= limit {
 				continue
 			}
-			n = min(n, most-a.granted)
-			a.granted += n
-			l.order = append(slices.Delete(l.order, i, i+1), who)
+			n = min(n, limit-p.granted)
+			p.granted += n
+			l.moveToEnd(i)
 			return n
 		}
 	}
 	return 0
 }
-
-// waive notes that a gateway's floor may be lent until a time.
-func (l *leader) waive(who peering.GatewayID, floor float64, until time.Duration) {
-	l.waivers[who.String()] = &floorWaiver{who.Partner, floor, until}
-}
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -30,12 +30,12 @@
 					n = 1
 				}
 				if n > 0 {
-					l.request(who, &pendingRequest{wanted: n, reply: func(given int, _ time.Duration) {
+					l.addPending(who, &pendingRequest{wanted: n, reply: func(given int, _ time.Duration) {
 						got[p.Name] += given
 						for range given {
 							times = append(times, now)
 						}
-					}}, 0)
+					}})
 				}
 			}
 		}
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -10,90 +10,103 @@
 	"damsontrestle/internal/peering"
 )
 
-// Options are what a Purse is made of.
+// Times and bounds of a limiter.
+const (
+	// leaderInterval is how often a candidate looks at its term, and a leader distributes tokens.
+	leaderInterval = 10 * time.Millisecond
+	// shortInterval is the pause between two requests to the leader while one more may be of use, and the shortest time that a
+	// waiting request waits for a token.
+	shortInterval = 20 * time.Millisecond
+	// rateInterval is the shortest time over which rates are measured.
+	rateInterval = 100 * time.Millisecond
+	// rateDecay is the time constant in which measured rates fade.
+	rateDecay = 2 * time.Second
+	// returnGrace is how late a client may return after its advised time and still go before others.
+	returnGrace = 500 * time.Millisecond
+	// returnReserve is how long after that time a token is kept for it.
+	returnReserve = 100 * time.Millisecond
+	// maxRetryAfter is the longest time that a rejected client is asked to wait.
+	maxRetryAfter = 2 * time.Second
+	// maxTokensPerRequest bounds what one request to the leader may ask for.
+	maxTokensPerRequest = 100_000
+)
+
+// Options are what a Limiter is made of; all but To's result are required.
 type Options struct {
 	Budget Budget
 	Self   peering.GatewayID
-	To     func(peering.GatewayID) *peering.Link // nil: there is none
-	Now    func() time.Duration                  // a clock that only goes on
+	To     func(peering.GatewayID) *peering.Link // the link to a gateway; nil: there is none
+	Now    func() time.Duration                  // monotonic time
 	Log    *slog.Logger
 }
 
-// Limiter is a gateway's part in one budget: the tokens that it has, and its part as quota leader, if it may be that.
+// Limiter is a gateway's part in one quota: the token leases that it holds and, where it is a candidate, its part in the
+// election and the token bucket. Its methods may be called by several goroutines at once.
 type Limiter struct {
 	options Options
-	ctx     context.Context
+	ctx     context.Context // of the tasks; ended by Close
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
-	wake    chan struct{}
-
-	mu            sync.Mutex
-	leases        []tokenLease
-	available     int
-	requestRate   float64       // requests a second, lately
-	grantRate     float64       // tokens a second, lately
-	ratesAt       time.Duration // until when both were counted
-	requestsSince int           // since then
-	tokensSince   int           // likewise
-	waiting       []*waiter
-	bookings      []booking
-	back          int
-
-	term        uint64        // the highest quota leader's heard of
-	leaderName  string        // who that is
-	leaderStamp time.Duration // of its last answer
+	wake    chan struct{} // has requestTokens go on at once
+
+	mu        sync.Mutex
+	leases    []tokenLease // by their end, the first first
+	available int          // tokens of all leases
+	waiting   []*waiter
+	bookings  []booking
+	rates     rates
+	counts    Counts
+
+	// What the last grants said.
+	term        uint64        // the highest of a leader
+	leaderName  string        // partner/gateway; empty: not known
+	leaderStamp time.Duration // the leader's clock, as its last grant had it
 	grantedAt   time.Duration // when that came; 0: never
-	waivedUntil time.Duration // until when the own floor is not drawn
-	ownTokens   float64       // of it, what may be drawn
-	ownFilledAt time.Duration
-	hint        time.Duration
-	counts      Counts
+	hint        time.Duration // the leader's, until there may be a token
+
+	// The own part of the partner's floor, which is drawn while no leader is reached.
+	waivedUntil time.Duration // before that the leader may have lent it to others
+	ownTokens   float64       // that may be drawn of it, at most one
+	ownFilledAt time.Duration // until when they were counted
 
-	leader *leader // nil: this gateway may not be it
+	leader *leader // nil: this gateway is no candidate
 }
 
-// Counts are a limiter's since its start.
+// Counts are those of a limiter since it was made.
 type Counts struct {
-	Drawn     int64 `json:"drawn"`
-	Rejected  int64 `json:"refused"`
-	OwnFloor  int64 `json:"own_floor"`     // drawn of the own floor, cut off
-	Wasted    int64 `json:"wasted"`        // tokens whose time was over
-	Granted   int64 `json:"given"`         // tokens that came
-	Unbounded int64 `json:"uncounted"`     // taken without a bound, cut off
-	Elected   int64 `json:"elected"`       // terms that this gateway was quota leader for
-	Returning int64 `json:"taken_at_time"` // requests that came back at the time that they were told
-	Undone    int64 `json:"undone"`        // draws that were taken back, for nothing of the request was begun
+	Drawn     int64 `json:"drawn"`         // requests that drew a token
+	Rejected  int64 `json:"refused"`       // requests that did not
+	OwnFloor  int64 `json:"own_floor"`     // draws of the own floor, while no leader was reached
+	Wasted    int64 `json:"wasted"`        // tokens whose lease ended unused
+	Granted   int64 `json:"given"`         // tokens that the leader granted
+	Unbounded int64 `json:"uncounted"`     // draws without a bound, while no leader was reached
+	Elected   int64 `json:"elected"`       // terms that this gateway was elected leader for
+	Returning int64 `json:"taken_at_time"` // draws of clients that returned at the time that they were advised
+	Undone    int64 `json:"undone"`        // draws that were undone, for nothing of the request was begun
 }
 
-// Status is a limiter's now.
+// Status is what a limiter does at one moment.
 type Status struct {
 	Counts
-	Leader          string        `json:"keeper,omitempty"`
+	Leader          string        `json:"keeper,omitempty"` // partner/gateway; empty: not known
 	Term            uint64        `json:"term,omitempty"`
-	IsLeader        bool          `json:"mine,omitempty"` // this gateway is the quota leader
-	Partitioned     bool          `json:"cut,omitempty"`  // no quota leader is reached
-	Held            int           `json:"held"`
-	Age             time.Duration `json:"age,omitempty"` // of the quota leader's last answer
-	GrantedAsLeader int64         `json:"gave,omitempty"`
+	IsLeader        bool          `json:"mine,omitempty"` // this gateway is the leader
+	Partitioned     bool          `json:"cut,omitempty"`  // no leader is reached
+	Held            int           `json:"held"`           // tokens that may be drawn
+	Age             time.Duration `json:"age,omitempty"`  // of the leader's last grant
+	GrantedAsLeader int64         `json:"gave,omitempty"` // tokens that this gateway granted as leader
 }
 
-// Times of a limiter.
-const (
-	leaderInterval      = 10 * time.Millisecond // of a quota leader
-	shortInterval       = 20 * time.Millisecond
-	rateDecay           = 2 * time.Second        // in which demand fades
-	returnGrace         = 500 * time.Millisecond // in which who comes late still goes before others
-	returnReserve       = 100 * time.Millisecond // in which a token is kept for it
-	maxRetryAfter       = 2 * time.Second
-	maxTokensPerRequest = 100_000 // tokens that may be asked for at once
-)
-
-// New returns a Purse that asks for tokens and, where it may, keeps the budget, until Close.
+// New returns a limiter that requests tokens and, where it may, campaigns for the quota's leadership, until Close.
 func New(o Options) *Limiter {
-	l := &Limiter{options: o, wake: make(chan struct{}, 1)}
-	l.ctx, l.cancel = context.WithCancel(context.Background())
 	now := o.Now()
-	l.ratesAt, l.ownFilledAt = now, now
+	l := &Limiter{
+		options:     o,
+		wake:        make(chan struct{}, 1),
+		rates:       rates{measuredAt: now},
+		ownFilledAt: now,
+	}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.becomeCandidate(now)
 	l.tasks.Go(l.requestTokens)
 	return l
@@ -105,36 +118,42 @@
 	l.tasks.Wait()
 }
 
-// Change has other terms hold from now on; quota candidates stay as they are. Tokens that are out are used or end in a lease's time.
+// Change has other terms hold from now on; the candidates must be the same (SameCandidates). Tokens that are out are used or
+// end with their leases.
 func (l *Limiter) Change(b Budget) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.options.Budget = b
 	if l.leader != nil {
-		l.leader.fill(l.options.Now())
-		l.leader.terms = b.Terms
-		l.leader.tokens = min(l.leader.tokens, b.Depth())
+		l.leader.setTerms(b.Terms, l.options.Now())
 	}
 }
 
-// SameCandidates says that a budget is kept by the same as this one.
+// SameCandidates says whether a budget has the same candidates as the limiter's.
 func (l *Limiter) SameCandidates(b Budget) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Equal(l.options.Budget.Candidates, b.Candidates)
 }
 
-// Status is what the limiter does now.
+// Status returns what the limiter does now.
 func (l *Limiter) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	s := Status{Counts: l.counts, Leader: l.leaderName, Term: l.term, Partitioned: l.isPartitioned(now), Held: l.available}
+	s := Status{
+		Counts:      l.counts,
+		Leader:      l.leaderName,
+		Term:        l.term,
+		Partitioned: l.isPartitioned(now),
+		Held:        l.available,
+	}
 	if l.grantedAt > 0 {
 		s.Age = now - l.grantedAt
 	}
 	if l.leader != nil {
-		s.IsLeader, s.GrantedAsLeader = l.leader.isLeader(now), l.leader.granted
+		s.IsLeader = l.leader.isLeader(now)
+		s.GrantedAsLeader = l.leader.granted
 	}
 	return s
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,57 +6,65 @@
 	"damsontrestle/internal/peering"
 )
 
-// Topics of what gateways ask one another.
+// Topics of the messages between gateways; their names are part of the wire.
 const (
 	topicLease = "quota.ask"
 	topicVote  = "quota.vote"
 )
 
-type (
-	leaseRequest struct {
-		Quota     string        `cbor:"1,keyasint"`
-		Wanted    int           `cbor:"2,keyasint"`
-		Returning int           `cbor:"3,keyasint,omitempty"` // of them, for clients who come back when they were told to
-		Returned  int           `cbor:"4,keyasint,omitempty"` // tokens that are not needed after all
-		Term      uint64        `cbor:"5,keyasint"`           // of the answer that Stamp is of
-		Stamp     time.Duration `cbor:"6,keyasint"`           // the quota leader's clock, as its last answer told it
-		Floor     float64       `cbor:"7,keyasint,omitempty"` // the own part of a floor, that is waived with this
-		Wait      time.Duration `cbor:"8,keyasint"`           // for tokens, at most
-	}
-	leaseGrant struct {
-		Leader   string        `cbor:"1,keyasint"` // who it is; only of the quota leader's own answers the rest counts
-		IsLeader bool          `cbor:"2,keyasint"`
-		Term     uint64        `cbor:"3,keyasint"`
-		Stamp    time.Duration `cbor:"4,keyasint"`
-		Granted  int           `cbor:"5,keyasint"`
-		Hint     time.Duration `cbor:"6,keyasint"` // when there may be one, where there were too few
-	}
-	voteRequest struct {
-		Quota string `cbor:"1,keyasint"`
-		Term  uint64 `cbor:"2,keyasint"`
-	}
-	voteReply struct {
-		Yes  bool   `cbor:"1,keyasint"`
-		Term uint64 `cbor:"2,keyasint"` // the highest that the replica has heard of
-	}
-)
+// leaseRequest asks the leader of a quota for tokens, and waives the sender's floor.
+type leaseRequest struct {
+	Quota     string        `cbor:"1,keyasint"`
+	Wanted    int           `cbor:"2,keyasint"`           // tokens
+	Returning int           `cbor:"3,keyasint,omitempty"` // of them, for clients that return at the time that they were advised
+	Returned  int           `cbor:"4,keyasint,omitempty"` // tokens that are given back unused
+	Term      uint64        `cbor:"5,keyasint"`           // of the grant that Stamp is of
+	Stamp     time.Duration `cbor:"6,keyasint"`           // the leader's clock, as its last grant had it; 0: there was none
+	Floor     float64       `cbor:"7,keyasint,omitempty"` // requests a second: the sender's own part, which this message waives
+	Wait      time.Duration `cbor:"8,keyasint"`           // the longest time to the reply, whether there are tokens or not
+}
+
+// leaseGrant is the reply to a leaseRequest. Unless IsLeader is set only Leader counts.
+type leaseGrant struct {
+	Leader   string        `cbor:"1,keyasint"` // partner/gateway, as far as the sender knows
+	IsLeader bool          `cbor:"2,keyasint"` // the sender is the leader
+	Term     uint64        `cbor:"3,keyasint"`
+	Stamp    time.Duration `cbor:"4,keyasint"` // the leader's clock when the request arrived
+	Granted  int           `cbor:"5,keyasint"` // tokens
+	Hint     time.Duration `cbor:"6,keyasint"` // until there may be a token, where fewer than wanted were granted
+}
+
+// voteRequest asks a candidate for its vote for a term.
+type voteRequest struct {
+	Quota string `cbor:"1,keyasint"`
+	Term  uint64 `cbor:"2,keyasint"`
+}
+
+// voteReply is the reply to a voteRequest.
+type voteReply struct {
+	Yes  bool   `cbor:"1,keyasint"`
+	Term uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
+}
 
-// Topics are how others reach the limiter of a gateway, by their budgets' names. One that is not there answers nothing of use.
-func Topics(of func(name string) *Limiter) map[string]peering.Handler {
+// Topics returns the handlers by which other gateways reach the limiters of this one. limiterOf finds a limiter by the name of
+// its quota; a request for a quota without one gets an empty reply.
+func Topics(limiterOf func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
-		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, answer func(leaseGrant)) {
-			if l := of(m.Quota); l != nil {
-				l.handleRequest(from.Peer.ID(), m, answer)
-			} else {
-				answer(leaseGrant{})
+		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, reply func(leaseGrant)) {
+			limiter := limiterOf(m.Quota)
+			if limiter == nil {
+				reply(leaseGrant{})
+				return
 			}
+			limiter.handleLeaseRequest(from.Peer.ID(), m, reply)
 		}),
-		topicVote: peering.Answer(func(from *peering.Link, m voteRequest, answer func(voteReply)) {
-			if l := of(m.Quota); l != nil {
-				answer(l.handleVote(from.Peer.ID(), m))
-			} else {
-				answer(voteReply{})
+		topicVote: peering.Answer(func(from *peering.Link, m voteRequest, reply func(voteReply)) {
+			limiter := limiterOf(m.Quota)
+			if limiter == nil {
+				reply(voteReply{})
+				return
 			}
+			reply(limiter.handleVote(from.Peer.ID(), m))
 		}),
 	}
 }
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -8,38 +8,28 @@
 	"damsontrestle/internal/budget"
 )
 
-// tokenLease are tokens that came together.
+// tokenLease are tokens that were granted together.
 type tokenLease struct {
 	tokens int
 	until  time.Duration
 }
 
-// Token is a draw: until when it may be used for another request, where nothing of its own was begun. 0: there is none.
+// Token is one draw: the monotonic time until which it may be used for another request, where nothing of its own was begun. 0
+// stands for none.
 type Token time.Duration
 
-// tokenWithoutLease is the Token of a draw that is of no use to another request: of the own floor, which flows on by itself.
+// tokenWithoutLease is the Token of a draw that is of no use to another request: the own floor refills by itself.
 const tokenWithoutLease Token = 1
 
-// take takes a token, if there is one. The caller holds mu.
+// take takes a token, if there is one: of a lease or, while no leader is reached, as the quota's fallback has it. The caller
+// holds mu.
 func (l *Limiter) take(now time.Duration) Token {
-	for len(l.leases) > 0 {
-		b := &l.leases[0]
-		if now >= b.until {
-			l.counts.Wasted += int64(b.tokens)
-			l.available -= b.tokens
-			l.leases = l.leases[1:]
-			continue
-		}
-		t := Token(b.until)
-		b.tokens--
-		l.available--
-		if b.tokens == 0 {
-			l.leases = l.leases[1:]
-		}
+	if t := l.takeLeased(now); t != 0 {
 		return t
 	}
 	if !l.isPartitioned(now) {
-		l.ownFilledAt, l.ownTokens = now, 0
+		l.ownFilledAt = now
+		l.ownTokens = 0
 		return 0
 	}
 	switch l.options.Budget.Fallback {
@@ -47,20 +37,36 @@
 		l.counts.Unbounded++
 		return tokenWithoutLease
 	case budget.Floor:
-		l.fillOwnFloor(now)
-		if l.ownTokens >= 1 {
-			l.ownTokens--
-			l.counts.OwnFloor++
-			return tokenWithoutLease
+		return l.takeOwnFloor(now)
+	}
+	return 0
+}
+
+// takeLeased takes a token of the lease that ends first, and drops leases that have ended. The caller holds mu.
+func (l *Limiter) takeLeased(now time.Duration) Token {
+	for len(l.leases) > 0 {
+		lease := &l.leases[0]
+		if now >= lease.until {
+			l.counts.Wasted += int64(lease.tokens)
+			l.available -= lease.tokens
+			l.leases = l.leases[1:]
+			continue
+		}
+		t := Token(lease.until)
+		lease.tokens--
+		l.available--
+		if lease.tokens == 0 {
+			l.leases = l.leases[1:]
 		}
+		return t
 	}
 	return 0
 }
 
-// isPartitioned says that no quota leader has answered for so long that the floor is not waived any more. The caller holds mu.
+// isPartitioned says that no leader has granted for so long that the own floor is no longer waived. The caller holds mu.
 func (l *Limiter) isPartitioned(now time.Duration) bool { return now >= l.waivedUntil }
 
-// ownFloor is the gateway's part of its partner's floor, in requests a second. The caller holds mu.
+// ownFloor is this gateway's part of its partner's floor, in requests a second. The caller holds mu.
 func (l *Limiter) ownFloor() float64 {
 	if l.options.Budget.Fallback != budget.Floor {
 		return 0
@@ -73,48 +79,58 @@
 	return 0
 }
 
-// fillOwnFloor lets the own floor fill up to one request since the gateway was cut off. The caller holds mu.
-func (l *Limiter) fillOwnFloor(now time.Duration) {
+// takeOwnFloor takes a token of the own floor, which has refilled to one request at most since the floor was last waived. The
+// caller holds mu.
+func (l *Limiter) takeOwnFloor(now time.Duration) Token {
 	from := max(l.ownFilledAt, l.waivedUntil)
 	if now > from {
 		l.ownTokens = min(1, l.ownTokens+(now-from).Seconds()*l.ownFloor())
 	}
 	l.ownFilledAt = now
+	if l.ownTokens < 1 {
+		return 0
+	}
+	l.ownTokens--
+	l.counts.OwnFloor++
+	return tokenWithoutLease
 }
 
-// Undo takes a draw back of a request of which nothing was begun: its token is another request's, for as long as it would have been
-// good. It is for whoever drew it.
+// Undo returns the draw of a request of which nothing was begun: another request may use its token until its lease ends. Who
+// drew it calls this once at most.
 func (l *Limiter) Undo(t Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.options.Now()
 	if t == 0 {
 		return
 	}
 	l.counts.Undone++
-	if now >= time.Duration(t) {
+	now := l.options.Now()
+	until := time.Duration(t)
+	if now >= until {
 		return
 	}
-	l.leases = append(l.leases, tokenLease{1, time.Duration(t)})
+	l.leases = append(l.leases, tokenLease{1, until})
 	slices.SortStableFunc(l.leases, func(a, b tokenLease) int { return cmp.Compare(a.until, b.until) })
 	l.available++
 	l.serveWaiting(now)
 }
 
-// returnUnused takes tokens out of the limiter that nobody is likely to need, those last that came last. The caller holds mu.
-func (l *Limiter) returnUnused(n int, now time.Duration) (back int) {
-	for n > 0 && len(l.leases) > 0 {
-		b := &l.leases[len(l.leases)-1]
-		if now >= b.until {
+// returnUnused takes up to n tokens out of the leases, of those that end last first, and says how many: they go back to the
+// leader. The caller holds mu.
+func (l *Limiter) returnUnused(n int, now time.Duration) int {
+	returned := 0
+	for returned < n && len(l.leases) > 0 {
+		last := &l.leases[len(l.leases)-1]
+		if now >= last.until {
 			break
 		}
-		k := min(n, b.tokens)
-		b.tokens -= k
-		l.available -= k
-		back, n = back+k, n-k
-		if b.tokens == 0 {
+		some := min(n-returned, last.tokens)
+		last.tokens -= some
+		l.available -= some
+		returned += some
+		if last.tokens == 0 {
 			l.leases = l.leases[:len(l.leases)-1]
 		}
 	}
-	return back
+	return returned
 }
