--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,7 @@
-// Package budget has the rules of a common budget of requests (internal/quota keeps one): what its terms allow, who may be its
-// quota leader, whose turn it is, and for how long a floor is lent. They are plain functions with no clock of their own;
+// Package budget has the rules of a quota, which internal/quota enforces: what its terms allow (Terms), who may become its
+// leader (MayVote), which partner the next token goes to (NextPartner), and for how long a floor is lent (FloorLoanEnds).
+//
+// They are plain functions without clock, task or link, so that the configuration checks terms by them too.
 // docs/design/quota.md has them as tables, and a test plays each row.
 package budget
 
@@ -9,24 +11,26 @@
 	"time"
 )
 
-// Drift is by how much clocks may differ in rate.
+// Drift is the share by which clocks may differ in rate.
 const Drift = 0.02
 
-// Longer and Shorter are a length of time by a clock that may be slow, or fast.
-func Longer(d time.Duration) time.Duration  { return time.Duration(float64(d) * (1 + Drift)) }
+// Longer is a time that lasts at least d by any other clock.
+func Longer(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + Drift)) }
+
+// Shorter is a time that lasts at most d by any other clock.
 func Shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - Drift)) }
 
-// Fallback says what a gateway does that reaches no quota leader.
+// Fallback says what a gateway does that reaches no quota leader. Its values are those of the setting when_cut.
 type Fallback string
 
-// Cuts.
+// The fallbacks.
 const (
 	Floor  Fallback = "floor"  // it goes on with its part of its partner's floor
-	Closed Fallback = "closed" // it refuses
-	Open   Fallback = "open"   // it takes all: there is no bound then
+	Closed Fallback = "closed" // it rejects
+	Open   Fallback = "open"   // it admits all: there is no bound then
 )
 
-// Partner is a partner's part in a budget.
+// Partner is a partner's part in a quota.
 type Partner struct {
 	Name     string
 	Floor    float64 // requests a second that are its own
@@ -34,7 +38,7 @@
 	Gateways int     // that draw for it
 }
 
-// Terms are those of a budget.
+// Terms are those of a quota.
 type Terms struct {
 	Name     string
 	Rate     float64 // requests a second
@@ -86,10 +90,10 @@
 	return t.Depth() + t.Rate*(window.Seconds()+Longer(t.Lease).Seconds()) + t.ownFloorDraws()
 }
 
-// Windows are those for which bounds are told and held.
+// windows are those that bounds are checked and promised for.
 var windows = [...]time.Duration{time.Second, 10 * time.Second}
 
-// Check says why terms cannot be held, and which one of them to change.
+// Check says which setting of the terms is wrong, and why; both are empty if the terms can be held.
 func (t Terms) Check() (field, why string) {
 	switch {
 	case !(t.Rate > 0 && t.Rate <= 1e6):
@@ -116,7 +120,7 @@
 
 func round(v float64) float64 { return math.Round(v*10) / 10 }
 
-// Summary tell what is promised, for a plan.
+// Summary says what the terms promise, for a plan.
 func (t Terms) Summary() string {
 	if t.Fallback == Open {
 		return fmt.Sprintf("quota %q: %v calls a second and %v at once while its keeper is reached; without it every call is taken, and there is no bound", t.Name, t.Rate, t.Burst)
@@ -129,14 +133,16 @@
 	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(FloorLoan))
 }
 
-// Vote is what one that could be quota leader has promised.
+// Vote is what a candidate has promised.
 type Vote struct {
 	Term   uint64
 	Leader string
 	Until  time.Duration // by its own clock: before that it promises nobody else anything
 }
 
-// MayVote says whether a replica that began at a time promises a term to one who asks, and what its vote is then.
+// MayVote says whether a candidate that started at a time votes for another's term, number, and what its vote is then. A vote
+// outlasts the term that it is given for by the drift of clocks, and after a start there is none for as long: so that terms of
+// two leaders never overlap.
 func MayVote(v Vote, began, now time.Duration, term time.Duration, number uint64, who string) (Vote, bool) {
 	switch {
 	case now-began < Longer(term):
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// distributeFor plays a quota leader for a while: each partner's gateways want as many tokens in each round as wants says. It returns what
-// each partner got, and the most in any window.
+// distributeFor has a leader distribute tokens for a time: each partner's gateways want as many in each round as wants says. It
+// returns what each partner got, and the most that were granted in any window.
 func distributeFor(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
 	l := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
 	l.begin(0, 1)
@@ -55,7 +55,7 @@
 	return budget.Terms{Name: "notes", Rate: rate, Burst: burst, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: budget.Floor, Partners: partners}
 }
 
-// Tokens are shared by weight beyond floors; what one leaves others have, and it has it back at once.
+// Tokens are shared by weight beyond floors. What one partner leaves the others get, and it has it back at once.
 func TestTokensAreSharedByWeightBeyondFloors(t *testing.T) {
 	all := func(string, time.Duration) int { return 50 }
 	near := func(got, want float64) bool { return math.Abs(got-want) < 0.06*want+2 }
@@ -87,7 +87,7 @@
 			}
 			return 50
 		}, map[string]float64{"a": 50, "b": 50}},
-		{"few calls, many gateways", terms(5, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 150}, budget.Partner{Name: "b", Weight: 1, Gateways: 150}),
+		{"few requests, many gateways", terms(5, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 150}, budget.Partner{Name: "b", Weight: 1, Gateways: 150}),
 			all, map[string]float64{"a": 2.5, "b": 2.5}},
 	} {
 		got, most := distributeFor(c.terms, c.wants, length, time.Second, true)
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"log/slog"
 	"testing"
 	"time"
@@ -12,50 +11,67 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// newTestLimiter is one that is alone, its own quota leader, with a clock that the test sets.
+// newTestLimiter returns a limiter that is the only candidate, with a clock that the test sets. It is closed with the test.
 func newTestLimiter(t testing.TB, terms budget.Terms, now func() time.Duration) *Limiter {
-	l := New(Options{Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}}, Self: peering.GatewayID{Partner: "a", Name: "g"},
-		To: func(peering.GatewayID) *peering.Link { return nil }, Now: now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	t.Helper()
+	l := New(Options{
+		Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}},
+		Self:   peering.GatewayID{Partner: "a", Name: "g"},
+		To:     func(peering.GatewayID) *peering.Link { return nil },
+		Now:    now,
+		Log:    slog.New(slog.DiscardHandler),
+	})
 	t.Cleanup(l.Close)
 	return l
 }
 
-// A limiter that is its own quota leader draws what the budget allows; a refusal says when to come back, and who comes then is taken.
+// A limiter that is its own leader draws what the quota allows. A rejected client is advised when to return, and one that
+// returns then is admitted.
 func TestRetryAtAdvisedTimeIsAdmitted(t *testing.T) {
 	begin := time.Now()
 	b := terms(20, 3, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	b.Fallback = budget.Closed
 	limiter := newTestLimiter(t, b, func() time.Duration { return time.Since(begin) })
-	testpeer.Until(t, "the keeper", func() bool { return limiter.Status().IsLeader })
-	taken := 0
-	for i := 0; taken < 20; i++ {
+	testpeer.Until(t, "the leader", func() bool { return limiter.Status().IsLeader })
+	admitted := 0
+	for i := 0; admitted < 20; i++ {
 		id := fmt.Sprint("c", i)
 		token, retry := limiter.Draw(t.Context(), id, "")
 		if token != 0 {
 			continue
 		}
 		if retry <= 0 || retry > maxRetryAfter {
-			t.Fatalf("come back after %v", retry)
+			t.Fatalf("advised to return after %v, want more than 0 and at most %v", retry, maxRetryAfter)
 		}
 		if retry < maxRetryAfter {
 			time.Sleep(retry)
 			if token, _ = limiter.Draw(t.Context(), "again", id); token != 0 {
-				taken++
+				admitted++
 			}
 		}
 	}
 	if s := limiter.Status(); s.Returning == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("no draw of a returning client was counted: %+v", s)
 	}
 }
 
-// A draw that is taken back is another request's, for as long as its token is good and no longer, and never twice.
+// The token of a draw that is undone may be drawn again until its lease ends, and once only.
 func TestUndoReturnsToken(t *testing.T) {
 	now := time.Second
-	limiter := &Limiter{options: Options{Budget: Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}, Now: func() time.Duration { return now }}, wake: make(chan struct{}, 1)}
-	limiter.ctx, limiter.options.Budget.Fallback, limiter.waivedUntil = t.Context(), budget.Closed, time.Hour
-	limiter.leases, limiter.available = []tokenLease{{1, 2 * time.Second}, {1, 3 * time.Second}}, 2
-	draw := func() Token { token, _ := limiter.Draw(t.Context(), "x", ""); return token }
+	b := Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}
+	b.Fallback = budget.Closed
+	limiter := &Limiter{
+		options:     Options{Budget: b, Now: func() time.Duration { return now }},
+		ctx:         t.Context(),
+		wake:        make(chan struct{}, 1),
+		waivedUntil: time.Hour,
+		leases:      []tokenLease{{1, 2 * time.Second}, {1, 3 * time.Second}},
+		available:   2,
+	}
+	draw := func() Token {
+		token, _ := limiter.Draw(t.Context(), "x", "")
+		return token
+	}
 	first, second := draw(), draw()
 	if first == 0 || second == 0 || draw() != 0 {
 		t.Fatal("two tokens are not two draws")
@@ -72,7 +88,7 @@
 	limiter.Undo(first)
 	limiter.Undo(0)
 	if draw() != 0 || limiter.counts.Undone != 3 {
-		t.Errorf("a draw was taken back after its time: %+v", limiter.counts)
+		t.Errorf("a draw was undone after its time: %+v", limiter.counts)
 	}
 }
 
