--- a/internal/routeexchange/decision.go
+++ b/internal/routeexchange/decision.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// Flaps of an advertisement: that many changes of its best route in that time have it held for that long.
+// Damping (RFC 2439): more than maxFlaps changes of the best path within flapWindow have a destination damped for dampingTime.
 const (
 	maxFlaps    = 6
 	flapWindow  = 10 * time.Second
 	dampingTime = time.Minute
 )
 
-// destination is one advertisement, with all routes to it.
+// destination is one advertised ID with all routes to it: an entry of the Loc-RIB.
 type destination struct {
 	id          ID
 	candidates  map[string]*Route // by neighbour; own: ""
 	best        *Route
 	flaps       []time.Time
-	dampedUntil time.Time // until when; zero: it is not
+	dampedUntil time.Time // zero: it is not damped
 	open        atomic.Int64
 	// A refusal by the owner ends a version's routes until another version comes, or until a while has passed.
 	suppressed map[string]suppression
 }
 
+// suppression ends the use of one version of a route.
 type suppression struct {
 	version uint64
 	until   time.Time
@@ -57,92 +58,136 @@
 	t.reselect(map[ID]bool{w.ID: true})
 }
 
-// reselect finds the best route of each advertisement that was touched, and its place among the advertisements of its prefix. The caller holds mu.
+// indexKey is where a destination stands in the index.
+type indexKey struct{ class, prefix string }
+
+// reselect is the decision process (RFC 4271 section 9.1): it finds the best route of each destination that was touched, and its
+// place among the destinations of its prefix. The caller holds mu.
 func (t *Table) reselect(touched map[ID]bool) {
 	if len(touched) == 0 {
 		return
 	}
 	now := t.now()
-	newest := map[string]map[ID]*Advertisement{} // by neighbour
-	for s, table := range t.adjRIBsIn {
-		for id := range touched {
-			o := table[id]
-			if o == nil {
-				continue
-			}
-			if newest[s.Partner] == nil {
-				newest[s.Partner] = map[ID]*Advertisement{}
-			}
-			if was := newest[s.Partner][id]; was == nil || o.Version > was.Version || o.Version == was.Version && preferredVariant(o, was) {
-				newest[s.Partner][id] = o
+	newest := t.newestAdvertisements(touched)
+	changed := false
+	unsorted := map[indexKey]bool{}
+	for id := range touched {
+		d := t.destination(id)
+		t.setCandidates(d, newest)
+		best := d.bestCandidate(now)
+		for _, r := range []*Route{d.best, best} {
+			if r != nil {
+				unsorted[indexKey{r.Class, r.Prefix}] = true
 			}
 		}
-	}
-	told := false
-	lists := map[[2]string]bool{} // to be put in order anew
-	for id := range touched {
-		r := t.locRIB[id]
-		if r == nil {
-			r = t.destination(id)
+		if d.flapped(best, now) {
+			t.counts.Damped++
+			best = d.dampedBest(best)
 		}
-		for n := range r.candidates {
-			if n != "" && newest[n][id] == nil {
-				delete(r.candidates, n)
-			}
+		if t.setBest(d, best) {
+			changed = true
 		}
-		for n, table := range newest {
-			if o := table[id]; o != nil {
-				r.candidates[n] = &Route{Advertisement: *o, Preference: t.policy.Neighbours[n].Import.Preference}
-			}
+		if best == nil && len(d.candidates) == 0 {
+			delete(t.locRIB, id)
 		}
-		var best *Route
-		for n, w := range r.candidates {
-			if d, is := r.suppressed[n]; is && d.version == w.Version && now.Before(d.until) {
+	}
+	for k := range unsorted {
+		slices.SortFunc(t.byClass[k.class][k.prefix], func(a, b *destination) int { return Better(a.best, b.best, false) })
+	}
+	if changed {
+		close(t.changed)
+		t.changed = make(chan struct{})
+	}
+}
+
+// newestAdvertisements are, by neighbour, what its gateways advertise of some destinations: the highest version of each. The
+// caller holds mu.
+func (t *Table) newestAdvertisements(touched map[ID]bool) map[string]map[ID]*Advertisement {
+	newest := map[string]map[ID]*Advertisement{}
+	for source, table := range t.adjRIBsIn {
+		for id := range touched {
+			o := table[id]
+			if o == nil {
 				continue
 			}
-			if best == nil || Better(w, best, !r.dampedUntil.IsZero()) < 0 {
-				best = w
+			if newest[source.Partner] == nil {
+				newest[source.Partner] = map[ID]*Advertisement{}
+			}
+			earlier := newest[source.Partner][id]
+			if earlier == nil || o.Version > earlier.Version || o.Version == earlier.Version && preferredVariant(o, earlier) {
+				newest[source.Partner][id] = o
 			}
 		}
-		if r.best != nil {
-			lists[[2]string{r.best.Class, r.best.Prefix}] = true
+	}
+	return newest
+}
+
+// setCandidates has a destination's candidates be the own one and the newest of each neighbour. The caller holds mu.
+func (t *Table) setCandidates(d *destination, newest map[string]map[ID]*Advertisement) {
+	for neighbour := range d.candidates {
+		if neighbour != "" && newest[neighbour][d.id] == nil {
+			delete(d.candidates, neighbour)
 		}
-		if best != nil {
-			lists[[2]string{best.Class, best.Prefix}] = true
+	}
+	for neighbour, table := range newest {
+		if o := table[d.id]; o != nil {
+			d.candidates[neighbour] = &Route{Advertisement: *o, Preference: t.policy.Neighbours[neighbour].Import.Preference}
 		}
-		if best != nil && r.best != nil && !slices.Equal(best.Path, r.best.Path) && r.dampedUntil.IsZero() {
-			r.flaps = slices.DeleteFunc(append(r.flaps, now), func(at time.Time) bool { return now.Sub(at) > flapWindow })
-			if len(r.flaps) > maxFlaps {
-				r.dampedUntil = now.Add(dampingTime)
-				t.counts.Damped++
-				for _, w := range r.candidates {
-					if Better(w, best, true) < 0 {
-						best = w
-					}
-				}
-			}
+	}
+}
+
+// bestCandidate is the best route that is not suppressed; nil: there is none.
+func (d *destination) bestCandidate(now time.Time) *Route {
+	var best *Route
+	for neighbour, r := range d.candidates {
+		if s, ok := d.suppressed[neighbour]; ok && s.version == r.Version && now.Before(s.until) {
+			continue
 		}
-		if best != r.best {
-			if best == nil || r.best == nil || !sameRoute(best, r.best) {
-				t.counts.Changes++
-				told = true
-			}
-			t.removeFromIndex(r)
-			if r.best = best; best != nil {
-				t.addToIndex(r)
-			}
+		if best == nil || Better(r, best, !d.dampedUntil.IsZero()) < 0 {
+			best = r
 		}
-		if best == nil && len(r.candidates) == 0 {
-			delete(t.locRIB, id)
+	}
+	return best
+}
+
+// flapped notes a change of the path to best, and says whether the destination is damped from now on.
+func (d *destination) flapped(best *Route, now time.Time) bool {
+	if best == nil || d.best == nil || slices.Equal(best.Path, d.best.Path) || !d.dampedUntil.IsZero() {
+		return false
+	}
+	d.flaps = slices.DeleteFunc(append(d.flaps, now), func(at time.Time) bool { return now.Sub(at) > flapWindow })
+	if len(d.flaps) <= maxFlaps {
+		return false
+	}
+	d.dampedUntil = now.Add(dampingTime)
+	return true
+}
+
+// dampedBest is the best of all candidates without preferences.
+func (d *destination) dampedBest(best *Route) *Route {
+	for _, r := range d.candidates {
+		if Better(r, best, true) < 0 {
+			best = r
 		}
 	}
-	for k := range lists {
-		slices.SortFunc(t.byClass[k[0]][k[1]], func(a, b *destination) int { return Better(a.best, b.best, false) })
+	return best
+}
+
+// setBest takes the chosen route into the Loc-RIB and the index, and says whether neighbours are to be told. The caller holds mu.
+func (t *Table) setBest(d *destination, best *Route) bool {
+	if best == d.best {
+		return false
 	}
-	if told {
-		close(t.changed)
-		t.changed = make(chan struct{})
+	changed := best == nil || d.best == nil || !sameRoute(best, d.best)
+	if changed {
+		t.counts.Changes++
+	}
+	t.removeFromIndex(d)
+	d.best = best
+	if best != nil {
+		t.addToIndex(d)
 	}
+	return changed
 }
 
 func sameRoute(a, b *Route) bool {
