--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -7,79 +7,95 @@
 	"damsontrestle/internal/peering"
 )
 
-// inboundState is how far a neighbour's table has come over a link.
+// inboundState is what has come of a neighbour's table over one link. Exchange.mu guards it.
 type inboundState struct {
 	source           Source
 	nextSerial       uint64
-	complete         []Advertisement // of a table that has not come to its end
-	put              []Advertisement // of a change that has not
-	withdrawn        []ID
-	digests          map[ID]uint64 // digests of what the neighbour has told
-	group            []Gateway     // the neighbour's gateways, as this one of them told last
-	refreshRequested bool          // the complete table was asked for
+	parts            receivedParts // of a table or a change whose last part has not come
+	digests          map[ID]uint64 // of the neighbour's advertisements
+	group            []Gateway     // the neighbour's gateways, as the last update had them
+	refreshRequested bool          // the neighbour asked for this partner's complete table
 }
 
-// handleUpdate takes a part of a neighbour's table. What does not follow what came before, or comes to another whole than the
-// neighbour says, has the complete table asked for.
+// receivedParts are the parts of a complete table, or of a change of one.
+type receivedParts struct {
+	complete  []Advertisement // nil: it is a change
+	put       []Advertisement
+	withdrawn []ID
+}
+
+// handleUpdate takes a part of a neighbour's table. A part that does not follow the one before, or a table whose digest is not
+// the neighbour's, has the complete table requested.
 func (x *Exchange) handleUpdate(l *peering.Link, body []byte, _ func(any, error)) {
+	x.Up(l) // its first message may come before this gateway was notified of the link
 	var m update
-	x.Up(l) // its first word may come before this gateway was told of the link
 	x.mu.Lock()
-	r := x.inbound[l]
-	if r == nil {
+	in := x.inbound[l]
+	if in == nil {
 		x.mu.Unlock()
 		return
 	}
-	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != r.nextSerial {
+	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != in.nextSerial {
 		x.mu.Unlock()
 		l.Tell(topicRefresh, struct{}{})
 		return
 	}
-	complete := m.Serial == 0 || r.complete != nil
-	if m.Serial == 0 {
-		r.complete, r.put, r.withdrawn = []Advertisement{}, nil, nil
-		clear(r.digests)
-	}
-	r.nextSerial = m.Serial + 1
-	for i := range m.Put {
-		if d, err := digestOf(&m.Put[i]); err == nil {
-			r.digests[m.Put[i].ID] = d
-		}
-	}
-	for _, id := range m.Withdrawn {
-		delete(r.digests, id)
-	}
-	if complete {
-		r.complete = append(r.complete, m.Put...)
-	} else {
-		r.put, r.withdrawn = append(r.put, m.Put...), append(r.withdrawn, m.Withdrawn...)
-	}
+	in.add(&m)
 	if m.More {
 		x.mu.Unlock()
 		return
 	}
-	all, put, gone := r.complete, r.put, r.withdrawn
-	r.complete, r.put, r.withdrawn = nil, nil, nil
-	fits := tableDigest(r.digests) == m.Digest
-	groupChanged := !slices.Equal(r.group, m.Group)
-	r.group = m.Group
+	received := in.finish()
+	matches := tableDigest(in.digests) == m.Digest
+	groupChanged := !slices.Equal(in.group, m.Group)
+	in.group = m.Group
 	if groupChanged {
-		delete(x.gatewaysValid, r.source.Partner)
+		delete(x.gatewaysValid, in.source.Partner)
 	}
 	x.mu.Unlock()
 	switch {
-	case !fits:
+	case !matches:
 		l.Tell(topicRefresh, struct{}{})
-	case complete:
-		x.options.Table.replace(r.source, all)
+	case received.complete != nil:
+		x.options.Table.replace(in.source, received.complete)
 	default:
-		x.options.Table.update(r.source, put, gone)
+		x.options.Table.update(in.source, received.put, received.withdrawn)
 	}
 	if groupChanged {
 		x.options.GatewaysChanged()
 	}
 }
 
+// add takes one part of a table or of a change.
+func (in *inboundState) add(m *update) {
+	if m.Serial == 0 {
+		in.parts = receivedParts{complete: []Advertisement{}}
+		clear(in.digests)
+	}
+	in.nextSerial = m.Serial + 1
+	for i := range m.Put {
+		if d, err := digestOf(&m.Put[i]); err == nil {
+			in.digests[m.Put[i].ID] = d
+		}
+	}
+	for _, id := range m.Withdrawn {
+		delete(in.digests, id)
+	}
+	if in.parts.complete != nil {
+		in.parts.complete = append(in.parts.complete, m.Put...)
+		return
+	}
+	in.parts.put = append(in.parts.put, m.Put...)
+	in.parts.withdrawn = append(in.parts.withdrawn, m.Withdrawn...)
+}
+
+// finish returns what came with all parts, and begins anew.
+func (in *inboundState) finish() receivedParts {
+	all := in.parts
+	in.parts = receivedParts{}
+	return all
+}
+
 // handleRefresh has the complete table told once more.
 func (x *Exchange) handleRefresh(l *peering.Link, _ []byte, _ func(any, error)) {
 	x.mu.Lock()
