--- a/internal/routeexchange/exchange.go
+++ b/internal/routeexchange/exchange.go
@@ -9,14 +9,14 @@
 	"damsontrestle/internal/peering"
 )
 
-// Options are what an Exchange is made of.
+// Options are what an Exchange is made of; all are required.
 type Options struct {
 	Table           *Table
-	Group           func() []Gateway // of this partner's gateways, those that live
+	Group           func() []Gateway // this partner's gateways that are alive
 	GatewaysChanged func()           // the gateways of some partner have changed; must not block
 }
 
-// Exchange tells neighbours of this gateway's table and takes theirs, by a task for each link.
+// Exchange sends neighbours this gateway's Adj-RIB-Out and takes their updates, with a task for each link.
 type Exchange struct {
 	options Options
 	ctx     context.Context
@@ -25,15 +25,22 @@
 
 	mu            sync.Mutex
 	inbound       map[*peering.Link]*inboundState
-	lastGateways  map[string][]Gateway // by partner, what Gateways told last
-	gatewaysValid map[string]bool      // of them, those that still hold
-	ownGroup      []Gateway            // this partner's, as neighbours are told of them
+	lastGateways  map[string][]Gateway // by partner, what Gateways returned last
+	gatewaysValid map[string]bool      // partners whose lastGateways still hold
+	ownGroup      []Gateway            // this partner's, as it is sent to neighbours
 	changed       chan struct{}        // closed when the own group has changed
 }
 
-// NewExchange returns one that tells nobody yet.
+// NewExchange returns an exchange without links. It sweeps its table until Close.
 func NewExchange(o Options) *Exchange {
-	x := &Exchange{options: o, inbound: map[*peering.Link]*inboundState{}, lastGateways: map[string][]Gateway{}, gatewaysValid: map[string]bool{}, ownGroup: o.Group(), changed: make(chan struct{})}
+	x := &Exchange{
+		options:       o,
+		inbound:       map[*peering.Link]*inboundState{},
+		lastGateways:  map[string][]Gateway{},
+		gatewaysValid: map[string]bool{},
+		ownGroup:      o.Group(),
+		changed:       make(chan struct{}),
+	}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	x.tasks.Go(x.maintain)
 	return x
@@ -45,7 +52,7 @@
 	x.tasks.Wait()
 }
 
-// Topics are how neighbours reach it.
+// Topics returns the handlers by which neighbours reach the exchange.
 func (x *Exchange) Topics() map[string]peering.Handler {
 	return map[string]peering.Handler{topicUpdate: x.handleUpdate, topicRefresh: x.handleRefresh}
 }
@@ -58,6 +65,7 @@
 	groupInterval = 500 * time.Millisecond
 )
 
+// maintain sweeps the table and notes changes of the own group, until Close.
 func (x *Exchange) maintain() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -80,7 +88,7 @@
 	}
 }
 
-// Advertise has neighbours told anew: this partner's gateways, or its rules, have changed.
+// Advertise has updates sent to neighbours: this partner's gateways, or its rules, have changed.
 func (x *Exchange) Advertise() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -88,7 +96,7 @@
 	x.changed = make(chan struct{})
 }
 
-// Up begins to tell a neighbour's gateway, over a link that has come up, until the link ends.
+// Up starts to send updates over a link that has come up, until the link ends. More calls for one link do nothing.
 func (x *Exchange) Up(l *peering.Link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -102,10 +110,12 @@
 		x.mu.Lock()
 		delete(x.inbound, l)
 		delete(x.gatewaysValid, r.source.Partner)
-		// Another link to the same incarnation may go on telling the same table.
+		// Another link to the same incarnation may go on with the same table.
 		left := false
-		for _, o := range x.inbound {
-			left = left || o.source == r.source
+		for _, other := range x.inbound {
+			if other.source == r.source {
+				left = true
+			}
 		}
 		x.mu.Unlock()
 		if !left {
--- a/internal/routeexchange/messages.go
+++ b/internal/routeexchange/messages.go
@@ -6,10 +6,10 @@
 	"damsontrestle/internal/peering"
 )
 
-// topicUpdate tells a neighbour's gateway of a table, or of what has changed in it.
+// Topics of the messages between gateways; their names are part of the wire.
 const (
-	topicUpdate  = "offers.table"
-	topicRefresh = "offers.again" // asks for the complete table
+	topicUpdate  = "offers.table" // a table, or what has changed in it
+	topicRefresh = "offers.again" // asks for the complete table (a route refresh, RFC 2918)
 )
 
 // update is what goes over a link. A table begins with its first part, of serial 0; what follows has the next serial each time.
@@ -22,14 +22,14 @@
 	Group     []Gateway       `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
 }
 
-// Gateway is one of a partner's that takes requests.
+// Gateway is a gateway of a partner that takes requests.
 type Gateway struct {
 	Name  string `cbor:"1,keyasint"`
 	Calls string `cbor:"2,keyasint"` // address
 	Zone  string `cbor:"3,keyasint,omitempty"`
 }
 
-// maxAdvertisementsPerMessage is how many offers go in one message.
+// maxAdvertisementsPerMessage is how many advertisements and withdrawals go in one message at most.
 const maxAdvertisementsPerMessage = 400
 
 // tableDigest is a digest of a complete table, whatever its order.
--- a/internal/routeexchange/selection.go
+++ b/internal/routeexchange/selection.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// Selection is the way that a request takes.
+// Selection is the route that was chosen for a request.
 type Selection struct {
 	*Route
 	destination *destination
 }
 
-// Take counts the request as one of those that the way has, until Done. It has no effect on routes of one's own.
+// Take counts the request against the capacity of its destination, until Done.
 func (c Selection) Take() { c.destination.open.Add(1) }
 
 // Done ends a Take.
 func (c Selection) Done() { c.destination.open.Add(-1) }
 
-// Choose is the way of a request: of the advertisements below whose paths it lies, those of the longest path that take it, the best one.
+// Choose returns the route of a request: of the advertisements below whose paths it lies, those of the longest path that take it, the best one.
 // false: it is nobody's offer, and the own routes say what becomes of it.
 func (t *Table) Choose(c *Request) (Selection, bool) {
 	t.mu.RLock()
--- a/internal/routeexchange/send.go
+++ b/internal/routeexchange/send.go
@@ -10,10 +10,10 @@
 	"damsontrestle/internal/peering"
 )
 
-// coalesceInterval is how long changes are gathered before a neighbour is told.
+// coalesceInterval is how long changes are gathered before an update is sent.
 const coalesceInterval = 5 * time.Millisecond
 
-// sendUpdates tells a neighbour's gateway one table and then each change, until the link ends.
+// sendUpdates sends a neighbour's gateway the complete table and then each change, until the link ends.
 func (x *Exchange) sendUpdates(l *peering.Link) {
 	var (
 		serial  uint64
@@ -59,6 +59,7 @@
 // checkInterval is how often a neighbour's table is looked at though nothing says that it has changed.
 const checkInterval = 10 * time.Second
 
+// isClosed says whether a channel is closed that nothing is sent on.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -69,8 +70,8 @@
 }
 
 // waitForChange waits until one of these is closed, the link ends, or a while has passed.
-func waitForChange(ctx context.Context, l *peering.Link, a, b <-chan struct{}, most time.Duration) {
-	t := time.NewTimer(most)
+func waitForChange(ctx context.Context, l *peering.Link, a, b <-chan struct{}, limit time.Duration) {
+	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
 	case <-a:
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -42,7 +42,7 @@
 	versionOffsets  map[Source]uint64            // added to the versions of a partner's own advertisements that a gateway of its tells
 }
 
-// NewTable returns an empty one.
+// NewTable returns a table with the own exports of a policy. now is the wall time, with its monotonic part.
 func NewTable(p Policy, now func() time.Time) *Table {
 	t := &Table{now: now, adjRIBsIn: map[Source]map[ID]*Advertisement{}, staleSince: map[string]time.Time{}, locRIB: map[ID]*destination{},
 		byClass: map[string]map[string][]*destination{}, changed: make(chan struct{}), rejected: map[string]map[string]int{},
@@ -51,8 +51,8 @@
 	return t
 }
 
-// SetPolicy goes by another file from now on. What was received is looked at anew; versions of own exports that did not
-// change stay.
+// SetPolicy goes by another policy from now on. What was received goes through import rules again; versions of own exports that
+// did not change stay.
 func (t *Table) SetPolicy(p Policy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +108,7 @@
 	t.policy.GroupSize = gateways
 }
 
-// equal says that two offers differ in nothing.
+// equal says whether two advertisements differ in nothing.
 func equal(a, b *Advertisement) bool {
 	r, o := &a.Rules, &b.Rules
 	return a.ID == b.ID && a.Version == b.Version && a.Class == b.Class && a.Prefix == b.Prefix && a.Cost == b.Cost && a.Capacity == b.Capacity && a.Replicated == b.Replicated &&
