--- a/internal/budget/budget.go
+++ b/internal/budget/terms.go
@@ -1,8 +1,3 @@
-// Package budget has the rules of a quota, which internal/quota enforces: what its terms allow (Terms), who may become its
-// leader (MayVote), which partner the next token goes to (NextPartner), and for how long a floor is lent (FloorLoanEnds).
-//
-// They are plain functions without clock, task or link, so that the configuration checks terms by them too.
-// docs/design/quota.md has them as tables, and a test plays each row.
 package budget
 
 import (
@@ -11,15 +6,6 @@
 	"time"
 )
 
-// Drift is the share by which clocks may differ in rate.
-const Drift = 0.02
-
-// Longer is a time that lasts at least d by any other clock.
-func Longer(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + Drift)) }
-
-// Shorter is a time that lasts at most d by any other clock.
-func Shorter(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - Drift)) }
-
 // Fallback says what a gateway does that reaches no quota leader. Its values are those of the setting when_cut.
 type Fallback string
 
@@ -132,66 +118,3 @@
 	}
 	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(FloorLoan))
 }
-
-// Vote is what a candidate has promised.
-type Vote struct {
-	Term   uint64
-	Leader string
-	Until  time.Duration // by its own clock: before that it promises nobody else anything
-}
-
-// MayVote says whether a candidate that started at a time votes for another's term, number, and what its vote is then. A vote
-// outlasts the term that it is given for by the drift of clocks, and after a start there is none for as long: so that terms of
-// two leaders never overlap.
-func MayVote(v Vote, began, now time.Duration, term time.Duration, number uint64, who string) (Vote, bool) {
-	switch {
-	case now-began < Longer(term):
-		return v, false // it may have promised before it was started
-	case number < v.Term, number == v.Term && v.Leader != who:
-		return v, false
-	case v.Leader != who && now < v.Until:
-		return v, false
-	}
-	return Vote{number, who, now + Longer(term)}, true
-}
-
-// Claim is what a partner wants of a bucket, and what it has had.
-type Claim struct {
-	Want        int     // tokens that its gateways wait for
-	Credit      float64 // of its floor: what it could have had and has not
-	BeyondFloor float64 // beyond its floor, for its weight
-}
-
-// NextPartner is whose turn it is for the next token: first those whose floor is owed, the one that is owed most; then the one that
-// has had least for its weight. -1: nobody wants any.
-func NextPartner(claims []Claim) int {
-	best := -1
-	for i, c := range claims {
-		switch {
-		case c.Want <= 0:
-		case best < 0, ahead(c, claims[best]):
-			best = i
-		}
-	}
-	return best
-}
-
-func ahead(a, b Claim) bool {
-	switch owedA, owedB := a.Credit >= 1, b.Credit >= 1; {
-	case owedA != owedB:
-		return owedA
-	case owedA:
-		return a.Credit > b.Credit
-	}
-	return a.BeyondFloor < b.BeyondFloor
-}
-
-// FloorLoan is how long a floor is lent that its gateway does not need.
-const FloorLoan = time.Second
-
-// FloorLoanEnds says until when a quota leader may lend a floor whose gateway waived it in an answer to a message of the quota leader's of a
-// time, and until when, by its own clock, the gateway draws nothing of it then. The quota leader's message came before the answer
-// went out, so that the first is over before the second.
-func FloorLoanEnds(asked, answered time.Duration) (leader, gateway time.Duration) {
-	return asked + FloorLoan, answered + Longer(FloorLoan)
-}
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -44,9 +44,17 @@
 
 // NewTable returns a table with the own exports of a policy. now is the wall time, with its monotonic part.
 func NewTable(p Policy, now func() time.Time) *Table {
-	t := &Table{now: now, adjRIBsIn: map[Source]map[ID]*Advertisement{}, staleSince: map[string]time.Time{}, locRIB: map[ID]*destination{},
-		byClass: map[string]map[string][]*destination{}, changed: make(chan struct{}), rejected: map[string]map[string]int{},
-		incarnationEnds: map[[2]string]incarnationEnd{}, versionOffsets: map[Source]uint64{}}
+	t := &Table{
+		now:             now,
+		adjRIBsIn:       map[Source]map[ID]*Advertisement{},
+		staleSince:      map[string]time.Time{},
+		locRIB:          map[ID]*destination{},
+		byClass:         map[string]map[string][]*destination{},
+		changed:         make(chan struct{}),
+		rejected:        map[string]map[string]int{},
+		incarnationEnds: map[[2]string]incarnationEnd{},
+		versionOffsets:  map[Source]uint64{},
+	}
 	t.SetPolicy(p)
 	return t
 }
--- /dev/null
+++ b/internal/routeexchange/versions_test.go
@@ -0,0 +1,126 @@
+package routeexchange
+
+import (
+	"testing"
+	"time"
+
+	"damsontrestle/internal/balancer"
+)
+
+// Versions of own exports rise for as long as a gateway runs, also where one is taken back and given again while the wall
+// clock was set back.
+func TestVersionsRiseWhenWallClockStepsBack(t *testing.T) {
+	for _, step := range []time.Duration{0, -5 * time.Second, -time.Hour, time.Hour} {
+		c := &clock{noon}
+		p := policyOf("p0", nil, "p1")
+		tb := NewTable(p, c.now)
+		var last uint64
+		for cost := range 3 {
+			p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
+			p.Own[0].Cost = cost
+			tb.SetPolicy(p)
+			sent, _ := tb.AdjRIBOut("p1")
+			if v := sent[ID{"p0", "x"}].Version; v <= last {
+				t.Errorf("steps of %v: version %d comes after %d", step, v, last)
+			} else {
+				last = v
+			}
+			p.Own = nil
+			tb.SetPolicy(p)
+			c.at = c.at.Add(step)
+		}
+	}
+}
+
+// An export ends at a date, by the wall clock of the gateway that looks: stepped over it the export has ended, at the owner
+// too, and stepped back it has not.
+func TestExportExpiresByWallClock(t *testing.T) {
+	c := &clock{noon}
+	p := policyOf("p0", nil, "p1")
+	own := newAdvertisement("p0", "x", "/view/x/")
+	own.Rules.Until = noon.Add(30 * time.Minute).Unix()
+	p.Own = []Advertisement{own}
+	tb := NewTable(p, c.now)
+	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
+	for _, s := range []struct {
+		step time.Duration
+		ends bool
+	}{{0, false}, {time.Hour, true}, {-time.Hour, false}, {30*time.Minute - time.Second, false}, {5 * time.Second, true}, {-5 * time.Second, false}} {
+		c.at = c.at.Add(s.step)
+		tb.Sweep()
+		sent, _ := tb.AdjRIBOut("p1")
+		if _, why := tb.AdmitForwarded(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
+			t.Errorf("after a step of %v to %v: %q, %d told; ended: %v", s.step, c.at, why, len(sent), s.ends)
+		}
+	}
+}
+
+// A gateway that begins anew goes by the newest rule of its partner, and partners go by that too, whatever its clock shows:
+// set back by an hour, by 5 s, right, or ahead. What another gateway of its group goes by since it ended is newer, as ever.
+func TestRestartedGatewayHasNewestRule(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, time.Hour} {
+		for _, overlap := range []bool{false, true} {
+			c := &clock{noon}
+			rule := func(cost int) Policy {
+				p := policyOf("p1", nil, "p0")
+				o := newAdvertisement("p1", "x", "/view/x/")
+				o.Cost = cost
+				p.Own = []Advertisement{o}
+				return p
+			}
+			told := func(by *Table) (all []Advertisement) {
+				sent, _ := by.AdjRIBOut("p0")
+				for _, o := range sent {
+					all = append(all, o)
+				}
+				return all
+			}
+			there := NewTable(policyOf("p0", nil, "p1"), c.now)
+			cost := func() int {
+				w, ok := there.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+				if !ok {
+					t.Fatal("no way")
+				}
+				return w.Cost
+			}
+			a1, a2, b1 := Source{"p1", "a", 1}, Source{"p1", "a", 2}, Source{"p1", "b", 1}
+			a, b := NewTable(rule(1), c.now), NewTable(rule(1), c.now)
+			there.replace(a1, told(a))
+			there.replace(b1, told(b))
+			c.at = c.at.Add(time.Second)
+			if !overlap {
+				there.PeerDown(a1)
+			}
+			stepped := &clock{c.at.Add(step)}
+			a = NewTable(rule(2), stepped.now)
+			there.replace(a2, told(a))
+			if got := cost(); got != 2 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that a gateway began anew with", step, got)
+			}
+			stepped.at = stepped.at.Add(time.Second)
+			a.SetPolicy(rule(3))
+			there.update(a2, told(a), nil)
+			if got := cost(); got != 3 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of its next rule", step, got)
+			}
+			there.replace(a2, told(a))
+			if got := cost(); got != 3 {
+				t.Errorf("clock stepped by %v: the cost is %d once its whole table was told again", step, got)
+			}
+			if step > 0 {
+				continue // its rules stay the newest until the others' clocks come up to its own
+			}
+			c.at = c.at.Add(5 * time.Second)
+			there.PeerDown(a2)
+			c.at = c.at.Add(time.Second)
+			a = NewTable(rule(3), c.now)
+			c.at = c.at.Add(time.Second)
+			b.SetPolicy(rule(4))
+			there.update(b1, told(b), nil)
+			there.replace(Source{"p1", "a", 3}, told(a))
+			if got := cost(); got != 4 {
+				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that the other gateway took on since", step, got)
+			}
+		}
+	}
+}
