--- a/internal/routeexchange/adjribin.go
+++ b/internal/routeexchange/adjribin.go
@@ -63,41 +63,51 @@
 	t.reselect(touched)
 }
 
-// importAll takes offers of a source as far as they may be imported. The caller holds mu.
+// importAll takes advertisements of a source into its Adj-RIB-In, as far as they are well formed and import rules let them in; the
+// others are counted and take nothing else's place. The caller holds mu.
 func (t *Table) importAll(s Source, list []Advertisement, touched map[ID]bool) {
-	n, known := t.policy.Neighbours[s.Partner]
-	now, table := t.now(), t.adjRIBsIn[s]
+	now := t.now()
+	table := t.adjRIBsIn[s]
 	for i := range list {
 		o := &list[i]
 		if o.ID.Origin == s.Partner {
 			o.Version += t.versionOffsets[s]
 		}
-		why := ""
-		switch err := o.Check(s.Partner); {
-		case !known:
-			why = "the partner is not in the file"
-		case err != nil:
-			why = "malformed"
-		default:
-			held := len(table)
-			if table[o.ID] != nil {
-				held--
-			}
-			why = MayImport(o, t.policy.Self, n.Import, held, now)
-		}
 		touched[o.ID] = true
-		if why != "" {
+		if why := t.whyNotImported(s, o, now); why != "" {
 			delete(table, o.ID)
-			if t.rejected[s.Partner] == nil {
-				t.rejected[s.Partner] = map[string]int{}
-			}
-			t.rejected[s.Partner][why]++
+			t.countRejected(s.Partner, why)
 			continue
 		}
 		table[o.ID] = o
 	}
 }
 
+// whyNotImported says why an advertisement of a source is not taken; empty: it is. The caller holds mu.
+func (t *Table) whyNotImported(s Source, o *Advertisement, now time.Time) string {
+	neighbour, known := t.policy.Neighbours[s.Partner]
+	if !known {
+		return "the partner is not in the file"
+	}
+	if err := o.Check(s.Partner); err != nil {
+		return "malformed"
+	}
+	table := t.adjRIBsIn[s]
+	others := len(table)
+	if table[o.ID] != nil {
+		others--
+	}
+	return MayImport(o, t.policy.Self, neighbour.Import, others, now)
+}
+
+// countRejected counts an advertisement of a partner that was not taken. The caller holds mu.
+func (t *Table) countRejected(partner, why string) {
+	if t.rejected[partner] == nil {
+		t.rejected[partner] = map[string]int{}
+	}
+	t.rejected[partner][why]++
+}
+
 // PeerDown says that a link has ended. The table that came over it goes, unless it was the last one of its partner: then it stays
 // as stale for a while.
 func (t *Table) PeerDown(s Source) {
