--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -31,7 +31,7 @@
 				return fmt.Errorf("found the fault %q; allowed: %v", d.Fault, federation.Faults)
 			}
 			if _, err := os.Stat(binary); err != nil {
-				return fmt.Errorf("the program: %w; build it first: go build -o bin/ ./cmd/...", err)
+				return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
 			}
 			o.Binary = binary
 			o.Log = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
--- a/cmd/faultbench/run.go
+++ b/cmd/faultbench/run.go
@@ -44,7 +44,7 @@
 						name, path = "", program
 					}
 					if _, err := os.Stat(path); err != nil {
-						return fmt.Errorf("the program: %w; build it first: go build -o bin/ ./cmd/...", err)
+						return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
 					}
 					runs = append(runs, faultbench.Options{Policy: experiment.Program, Binary: path, Name: name})
 				}
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -99,11 +99,10 @@
 	Gateways int     `json:"gateways"`
 }
 
-func (p Partner) name() string        { return p.Name }
-func (e Export) name() string         { return e.Name }
-func (q Quota) name() string          { return q.Name }
-func (k QuotaCandidate) name() string { return k.Name }
-func (p QuotaPartner) name() string   { return p.Name }
+func (p Partner) name() string      { return p.Name }
+func (e Export) name() string       { return e.Name }
+func (q Quota) name() string        { return q.Name }
+func (p QuotaPartner) name() string { return p.Name }
 
 // Terms are the quota's terms as internal/budget has them.
 func (q Quota) Terms() budget.Terms {
