--- a/deploy/damsontrestle.hcl
+++ b/deploy/damsontrestle.hcl
@@ -43,7 +43,7 @@
   paths   = "normalize"
 }
 
-# The log boxes of this site, as the registry lists them.
+# The log servers of this site, as the registry lists them.
 pool "boxes" {
   attempts = 4
 
@@ -63,7 +63,7 @@
     over = "20s"
   }
 
-  # What boxes say they hold in X-Load, and four of them are asked before a call goes to one.
+  # Load reports of servers in X-Load; four servers are polled before a request goes to one.
   load_reports {
     busy = "inflight"
     ask  = 4
@@ -75,7 +75,7 @@
   }
 }
 
-# A build of the log box that is tried with a tenth of the views.
+# A build of the log server that is tried with a tenth of the views.
 pool "candidate" {
   attempts = 2
 
--- a/deploy/fastcgi.hcl
+++ b/deploy/fastcgi.hcl
@@ -1,5 +1,5 @@
 # A node for logging stations that post through a FastCGI bridge, beside others that speak HTTP/1.1: both go to the
-# same boxes, by the same rules. docs/operate/fastcgi.md tells what a bridge has to send.
+# same servers, by the same rules. docs/operate/fastcgi.md tells what a bridge has to send.
 
 node "bridge-1" {
   limits {
--- a/deploy/federation.hcl
+++ b/deploy/federation.hcl
@@ -1,4 +1,4 @@
-# A gateway of chavara, one of three partners: its own boxes, what it lets others have, what it takes of theirs, and a budget
+# A gateway of chavara, one of three partners: its own servers, what it exports to others, what it accepts of theirs, and a quota
 # that all draw from. docs/operate/federation.md explains it.
 node "annot-1" {
   zone         = "east"
--- a/deploy/first-federation.sh
+++ b/deploy/first-federation.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The first federation: starts two partners, chavara with three gateways and karunagappally with two, and two boxes of each
-# from a fresh clone; shows a call that goes to the other partner, and one whose gateway is killed while the box has it, which the
-# caller then asks for at another gateway. Everything stays on 127.0.0.0/8 and in one folder, and ends with the script.
+# The first federation: starts two partners, chavara with three gateways and karunagappally with two, and two test
+# servers of each from a fresh clone; shows a request that is forwarded to the other partner, and one whose gateway is killed while a
+# server has it, which the client then asks for at another gateway. Everything stays on 127.0.0.0/8 and in one folder, and ends with the script.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,8 +13,8 @@
 
 say() { printf '\n\033[1m$ %s\033[0m\n' "$*"; "$@"; }
 
-# call HOST PATH ID [HEADER...]: a caller's request, and what it hears.
-call() {
+# request HOST PATH ID [HEADER...]: a client's request, and its response.
+request() {
 	local host=$1 path=$2 id=$3 fields='' h
 	for h in "${@:4}"; do fields+="$h"$'\r\n'; done
 	exec 3<>"/dev/tcp/$host/7070"
@@ -58,18 +58,18 @@
 say bin/damsontrestle show "$dir/chavara-1.hcl"
 
 echo
-echo "# A call that karunagappally serves, asked for at chavara's first gateway:"
-say call "$net.1" /view/karunagappally/wells a-1
+echo "# A request that karunagappally serves, sent to chavara's first gateway:"
+say request "$net.1" /view/karunagappally/wells a-1
 
 echo
 echo
-echo "# A call that takes a second; its gateway is killed meanwhile, and the caller asks for it at the next one:"
-call "$net.1" /view/chavara/wells a-2 >"$dir/broken" 2>/dev/null & asked=$!
+echo "# A request that takes a second; its gateway is killed meanwhile, and the client asks for it at the next one:"
+request "$net.1" /view/chavara/wells a-2 >"$dir/broken" 2>/dev/null & asked=$!
 for _ in $(seq 300); do
 	bin/damsontrestle show -json "$dir/chavara-1.hcl" | tr -d ' \n' | grep -q '"in_hand":1' && break
 	sleep 0.01
 done
 kill -9 "$first"
 wait "$asked" 2>/dev/null || true
-say call "$net.2" /view/chavara/wells a-3 'X-Retry-Of: a-2'
+say request "$net.2" /view/chavara/wells a-3 'X-Retry-Of: a-2'
 echo
--- a/deploy/first-minute.hcl
+++ b/deploy/first-minute.hcl
@@ -1,4 +1,4 @@
-# The node of the first minute: two stand-in boxes behind one listener. deploy/first-minute.sh runs it.
+# The node of the first minute: two test servers behind one listener. deploy/first-minute.sh runs it.
 
 node "first" {
   state_folder = "/tmp/damsontrestle-first-minute/state"
