--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
 // Package dispatch stands between the front ends and the engines. It owns the routing snapshot (Snapshot) under which
 // requests are read, and hands each request to the engine of the pool that its route names.
 //
-// There is one Snapshot at a time, and it is swapped as a whole. The package promises that each request is submitted under
+// There is one Snapshot at a time, and it is swapped atomically. The package promises that each request is submitted under
 // the Snapshot that it was read under, or not at all (ErrStale), and that an engine that a swap retires gets no request
 // after it. What a request needs beyond an engine is left to a Guard; routes are decided on by package route.
 package dispatch
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -17,7 +17,7 @@
 )
 
 // A write that ends within the request proves that nothing ran, whatever ended it, and is the node's own fault or the server's. Once
-// the request is written whole any end of the connection is the same as a reset: it may have run. What passes is gone on with.
+// the request is written completely any end of the connection is the same as a reset: it may have run. What passes is gone on with.
 func TestOutcomeOfConnectionFailures(t *testing.T) {
 	for _, c := range []struct {
 		read, write syscall.Errno
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -49,17 +49,17 @@
 }
 
 // wantCount counts the attempts that would take another connection than their own.
-func (pool *Pool) wantCount() int {
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
-	return total(pool.wanting)
+func (p *Pool) wantCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return total(p.wanting)
 }
 
 // idleCount counts the idle connections.
-func (pool *Pool) idleCount() int {
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
-	return total(pool.idle)
+func (p *Pool) idleCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return total(p.idle)
 }
 
 // total counts the entries of all hosts.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -42,15 +42,15 @@
 }
 
 // addIdle puts a connection among the idle ones.
-func (pool *Pool) addIdle(nc net.Conn, to discovery.Host) {
+func (p *Pool) addIdle(nc net.Conn, to discovery.Host) {
 	waiter := make(chan reply, 1)
-	pool.open++
-	pool.share.TryAcquire()
-	c := pool.newConn(nc, to, waiter)
-	pool.mu.Lock()
-	defer pool.mu.Unlock()
+	p.open++
+	p.share.TryAcquire()
+	c := p.newConn(nc, to, waiter)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	c.waiter = nil
-	pool.idle[to] = append(pool.idle[to], c)
+	p.idle[to] = append(p.idle[to], c)
 }
 
 // hasInput reports whether a connection has something to read, or has ended.
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -29,7 +29,7 @@
 		if remaining <= 0 {
 			return nil, balancer.NotStarted
 		}
-		text, err := wholeRequest(a, remaining)
+		text, err := completeRequest(a, remaining)
 		if err != nil {
 			return nil, balancer.NotStarted
 		}
@@ -79,9 +79,9 @@
 // headCapacity is more than the head of a request takes that has nothing long in it.
 const headCapacity = 512
 
-// wholeRequest returns the text of a request whose body is complete. The usual ones are put together here, byte for byte as
+// completeRequest returns the text of a request whose body is complete. The usual ones are put together here, byte for byte as
 // net/http would, which takes a header, a URL and readers to do so.
-func wholeRequest(a *engine.Attempt, remaining time.Duration) ([]byte, error) {
+func completeRequest(a *engine.Attempt, remaining time.Duration) ([]byte, error) {
 	r := &a.Request.Message
 	if !isPlain(r) {
 		var out bytes.Buffer
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -32,7 +32,7 @@
 		a := engine.NewAttempt(engine.NewRequest(value(), r), 0, discovery.Host{}, 0, 0)
 		var want bytes.Buffer
 		wantErr := newRequest(a, left, bytes.NewReader(r.Body)).Write(&want)
-		got, err := wholeRequest(a, left)
+		got, err := completeRequest(a, left)
 		if (err != nil) != (wantErr != nil) || err == nil && !bytes.Equal(got, want.Bytes()) {
 			t.Fatalf("request %d, %+v:\n%q, %v\nwant\n%q, %v", i, r, got, err, want.Bytes(), wantErr)
 		}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -63,8 +63,8 @@
 	return true
 }
 
-// isReadWhole reports whether all of it was read, so that its last byte may be on its way.
-func (b *attemptBody) isReadWhole() bool {
+// isFullyRead reports whether all of it was read, so that its last byte may be on its way.
+func (b *attemptBody) isFullyRead() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.sawEnd
@@ -149,7 +149,7 @@
 		}
 	case <-time.After(writeResultGrace):
 		// Only the writer can tell whether the last byte left. The connection is closed by now, which ends its write.
-		if got.err != nil && u.rest.isReadWhole() && <-u.written == nil {
+		if got.err != nil && u.rest.isFullyRead() && <-u.written == nil {
 			u.markComplete()
 		}
 	}
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -46,16 +46,16 @@
 	return s
 }
 
-// num reads a whole number.
+// num reads an integer.
 func (f *fields) num(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is no integer")
 	}
 	return v
 }
 
-// optNum reads a whole number; 0 where it is absent.
+// optNum reads an integer; 0 where it is absent.
 func (f *fields) optNum(i int) int {
 	if f.opt(i) == "" {
 		return 0
@@ -75,7 +75,7 @@
 	return v
 }
 
-// seed reads a whole number of 64 bits, signed or not.
+// seed reads an integer of 64 bits, signed or not.
 func (f *fields) seed(i int) uint64 {
 	s := f.text(i)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -83,7 +83,7 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(i, "is no whole number")
+		f.fail(i, "is no integer")
 	}
 	return uint64(v)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,7 +12,7 @@
 	Balancers int `json:"balancers"`
 	Index     int `json:"me"`
 	Blend     struct {
-		Whole      float64 `json:"whole"`
+		Total      float64 `json:"whole"`
 		WorstClass float64 `json:"worst-class"`
 	} `json:"blend"`
 	Lanes []struct {
@@ -23,7 +23,7 @@
 		Name      string  `json:"name"`
 		Target    float64 `json:"target-ms"`
 		Window    float64 `json:"window-ms"`
-		Worth     float64 `json:"worth"`
+		Weight    float64 `json:"worth"`
 	} `json:"lanes"`
 	Limits struct {
 		Cancelling    bool    `json:"cancelling"`
@@ -34,7 +34,7 @@
 	Registry string `json:"registry-mode"`
 	Rules    struct {
 		AskWithin float64 `json:"ask-within-ms"`
-		ColdFrom  float64 `json:"cold-from"`
+		SlowStart float64 `json:"cold-from"`
 		WarmAfter float64 `json:"warm-after-ms"`
 	} `json:"rules"`
 	Tick float64 `json:"tick-ms"`
@@ -62,14 +62,14 @@
 		Balancers:        p.Balancers,
 		Index:            p.Index,
 		Tier:             p.Tier,
-		TotalWeight:      p.Blend.Whole,
+		TotalWeight:      p.Blend.Total,
 		ClassWeight:      p.Blend.WorstClass,
 		MaxAttempts:      p.Limits.MaxAttempts,
 		MayCancel:        p.Limits.Cancelling,
 		PollDiscovery:    p.Registry == "on_request",
 		PollInterval:     fromMS(p.Rules.AskWithin),
 		Tick:             fromMS(p.Tick),
-		SlowStartMinimum: p.Rules.ColdFrom,
+		SlowStartMinimum: p.Rules.SlowStart,
 		SlowStartWindow:  fromMS(p.Rules.WarmAfter),
 	}
 	if p.Limits.RetryAfter {
@@ -84,7 +84,7 @@
 			LatencyObjective: fromMS(l.Target),
 			Deadline:         fromMS(l.Deadline),
 			LateShare:        l.LateShare,
-			PriorityWeight:   l.Worth,
+			PriorityWeight:   l.Weight,
 		})
 	}
 	return s, nil
