--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -59,6 +59,8 @@
 	fronts   []front
 	sockets  map[string]*socket
 	pools    []*pool
+	now      func() time.Duration // the node's clock
+	answer   func()               // has the engines answer all open requests now
 }
 
 // drain shuts the node down gracefully: all that was accepted is answered. For a while clients are served as ever on
@@ -80,7 +82,8 @@
 	n.shuttingDown = true
 	n.readiness.End()
 	close(n.draining)
-	s := &shutdown{node: n, schedule: newShutdownSchedule(n.cfg), sockets: n.sockets, pools: n.allPools()}
+	s := &shutdown{node: n, schedule: newShutdownSchedule(n.cfg), sockets: n.sockets, pools: n.allPools(), now: n.clock.Now}
+	s.answer = s.answerAll
 	if n.options.schedule != nil {
 		s.schedule = *n.options.schedule
 	}
@@ -88,7 +91,7 @@
 		s.fronts = append(s.fronts, l.front)
 	}
 	n.mu.Unlock()
-	s.begin = n.clock.Now()
+	s.begin = s.now()
 	for _, p := range s.pools {
 		p.engine.ShutdownAt(s.begin + s.schedule.answerAll)
 	}
@@ -96,7 +99,7 @@
 }
 
 // elapsed is the time since the shutdown began.
-func (s *shutdown) elapsed() time.Duration { return s.node.clock.Now() - s.begin }
+func (s *shutdown) elapsed() time.Duration { return s.now() - s.begin }
 
 // announce has the front ends tell clients that the node is not ready. Where another process of this node takes over
 // its addresses they stay ready: new connections go to that process, and each response sends its client there.
@@ -144,22 +147,25 @@
 	clients := s.node.clients
 	answered := false // at an earlier step, so that the responses have had time to be written
 	for ; s.closeIdle() > 0; clock.Sleep(s.node.incarnation, drainStep) {
-		if s.node.gateway != nil && s.elapsed() >= s.schedule.answerAll-handOverTime {
+		elapsed := s.elapsed() // read once: a step that answers is a step that counts as having answered
+		if s.node.gateway != nil && elapsed >= s.schedule.answerAll-handOverTime {
 			s.node.gateway.HandOver()
 		}
-		if s.elapsed() >= s.schedule.answerAll {
-			if !answered {
-				s.answerAll()
-			}
+		isDue := elapsed >= s.schedule.answerAll
+		if isDue && !answered {
+			s.answer()
+		}
+		if isDue {
 			clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
 		}
-		switch owed := clients.Owed(); {
-		case answered && s.elapsed() >= s.schedule.finish && owed == 0:
+		owed := clients.Owed()
+		if answered && owed == 0 && elapsed >= s.schedule.finish {
 			return nil // who is left has not closed, or doesn't take its response
-		case answered && s.elapsed() >= max(s.schedule.finish, s.schedule.deadline):
+		}
+		if answered && elapsed >= max(s.schedule.finish, s.schedule.deadline) {
 			return fmt.Errorf("%d requests are not answered", owed)
 		}
-		answered = answered || s.elapsed() >= s.schedule.answerAll
+		answered = isDue
 	}
 	return nil
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -12,7 +12,9 @@
 	"testing"
 	"time"
 
+	"damsontrestle/internal/clock"
 	"damsontrestle/internal/config"
+	"damsontrestle/internal/downstream"
 	"damsontrestle/internal/testpeer"
 )
 
@@ -147,3 +149,42 @@
 		t.Errorf("%d requests are open", report.Open)
 	}
 }
+
+// A step of a shutdown that is stalled between two looks at the clock still answers what is open: the clock moves on by more
+// than the time to the last responses with each reading.
+func TestStalledShutdownStepAnswersOpenRequests(t *testing.T) {
+	clients := downstream.New(clock.New(), downstream.Share{Capacity: 10, Minimum: 1}, func() int { return 0 })
+	open := &openConn{}
+	clients.Add(open, nil)
+	if !clients.Begin(open) {
+		t.Fatal("the request was not taken")
+	}
+	reading := time.Duration(0)
+	answered := 0
+	s := &shutdown{
+		node:     &Node{clients: clients, incarnation: t.Context()},
+		schedule: shutdownSchedule{answerAll: 10 * time.Millisecond, finish: 100 * time.Millisecond, deadline: 200 * time.Millisecond},
+		now: func() time.Duration {
+			reading += 9 * time.Millisecond
+			return reading
+		},
+		answer: func() {
+			answered++
+			clients.End(open)
+			clients.Remove(open)
+		},
+	}
+	if err := s.closeConnections(); err != nil || answered != 1 {
+		t.Errorf("answered %d times, %v", answered, err)
+	}
+}
+
+// openConn is a client connection with an open request.
+type openConn struct{ downstream.Conn }
+
+func (c *openConn) CloseIdle() bool      { return false }
+func (c *openConn) IsCut() bool          { return false }
+func (c *openConn) CutOff()              {}
+func (c *openConn) HasBegun() bool       { return false }
+func (c *openConn) Owes() bool           { return true }
+func (c *openConn) Quiet() time.Duration { return 0 }
