--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -37,7 +37,7 @@
 	up := make(chan dialResult, 1)
 	go func() {
 		defer cancel()
-		up <- p.dialWithRetries(dialCtx, to)
+		up <- p.dialWithRetries(dialCtx, ctx, to)
 	}()
 	late := time.NewTimer(lateDialAfter)
 	defer late.Stop()
@@ -67,12 +67,12 @@
 
 // dialWithRetries opens a connection in a place that reserve has taken, and gives the place back if it can't. What the node
 // itself is short of for a moment is waited for: other servers would be dialed in vain as well.
-func (p *Pool) dialWithRetries(ctx context.Context, to discovery.Host) dialResult {
+func (p *Pool) dialWithRetries(ctx, attempt context.Context, to discovery.Host) dialResult {
 	d := p.dialOnce(ctx, to)
 	backoff := dialBackoff
 	for dials := 1; dials < MaxDials && isLocalShortage(d.err); dials++ {
 		clock.Sleep(ctx, backoff)
-		if ctx.Err() != nil {
+		if ctx.Err() != nil || attempt.Err() != nil { // an attempt's end takes a moment to reach its dial
 			break
 		}
 		backoff *= 2
