--- a/internal/quota/election.go
+++ b/internal/quota/election.go
@@ -102,8 +102,9 @@
 	}
 	term := l.options.Budget.Term
 	candidates := l.options.Budget.Candidates
+	request := voteRequest{l.options.Budget.Name, number}
 	l.mu.Unlock()
-	if !l.collectVotes(candidates, number, term/4) {
+	if !l.collectVotes(candidates, request, term/4) {
 		return false
 	}
 	l.mu.Lock()
@@ -125,12 +126,12 @@
 }
 
 // collectVotes asks candidates for their votes for a term and says whether a majority gave theirs. It waits for a time at most.
-func (l *Limiter) collectVotes(candidates []Candidate, number uint64, wait time.Duration) bool {
+func (l *Limiter) collectVotes(candidates []Candidate, request voteRequest, wait time.Duration) bool {
 	ctx, cancel := context.WithTimeout(l.ctx, wait)
 	defer cancel()
 	votes := make(chan voteReply, len(candidates)) // each sends one without waiting
 	for _, candidate := range candidates {
-		l.requestVote(ctx, candidate.id(), voteRequest{l.options.Budget.Name, number}, votes)
+		l.requestVote(ctx, candidate.id(), request, votes)
 	}
 	given := 0
 	for range candidates {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -107,3 +107,26 @@
 		}
 	}
 }
+
+// A budget may change while the limiter campaigns and asks for tokens: each of them goes on by the budget that it began with.
+func TestBudgetChangesWhileTokensAreRequested(t *testing.T) {
+	begin := time.Now()
+	b := Budget{
+		Terms:      terms(1000, 100, budget.Partner{Name: "a", Weight: 1, Gateways: 1}),
+		Candidates: []Candidate{{"a", "unreachable"}, {"a", "g"}, {"a", "unreachable too"}},
+	}
+	limiter := New(Options{
+		Budget: b,
+		Self:   peering.GatewayID{Partner: "a", Name: "g"},
+		To:     func(peering.GatewayID) *peering.Link { return nil },
+		Now:    func() time.Duration { return time.Since(begin) },
+		Log:    slog.New(slog.DiscardHandler),
+	})
+	defer limiter.Close()
+	for n := range 200 {
+		b.Candidates = append([]Candidate(nil), b.Candidates...)
+		limiter.Change(b)
+		limiter.Draw(t.Context(), fmt.Sprint("c", n), "")
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/quota/requests.go
+++ b/internal/quota/requests.go
@@ -62,7 +62,7 @@
 			to = candidates[next%len(candidates)].id().String()
 			next++
 		}
-		grant, ok := l.requestFrom(to, m, lease)
+		grant, ok := l.requestFrom(to, candidates, m, lease)
 		byLeader := ok && grant.IsLeader
 		l.mu.Lock()
 		l.applyGrant(now, grant, ok, to)
@@ -139,13 +139,13 @@
 
 // requestFrom sends a request to a candidate, perhaps to this gateway itself, and waits for its reply for a lease's time at
 // most.
-func (l *Limiter) requestFrom(to string, m leaseRequest, lease time.Duration) (grant leaseGrant, ok bool) {
+func (l *Limiter) requestFrom(to string, candidates []Candidate, m leaseRequest, lease time.Duration) (grant leaseGrant, ok bool) {
 	ctx, cancel := context.WithTimeout(l.ctx, lease)
 	defer cancel()
 	if to == l.options.Self.String() {
 		return l.requestFromSelf(ctx, m)
 	}
-	for _, candidate := range l.options.Budget.Candidates {
+	for _, candidate := range candidates {
 		if candidate.id().String() != to {
 			continue
 		}
