--- /dev/null
+++ b/internal/faultbench/federation/gateway.go
@@ -0,0 +1,286 @@
+package federation
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"damsontrestle/internal/admin"
+	"damsontrestle/internal/faultbench/child"
+	"damsontrestle/internal/faultbench/link"
+)
+
+// Gateway is one gateway.
+type Gateway struct {
+	league  *League
+	Partner int
+	Index   int // among its partner's
+	Name    string
+	IP      string
+	Zone    string
+
+	seen  string      // where others reach its links and datagrams
+	links *link.Relay // in front of its links
+	calls *link.Relay // in front of partners' requests
+	file  string
+
+	mu      sync.Mutex
+	process *child.Process
+	edit    func(string) string
+	env     []string
+}
+
+// newGateway opens what stands before a gateway.
+func (l *League) newGateway(p, i int) (*Gateway, error) {
+	g := &Gateway{league: l, Partner: p, Index: i, Name: fmt.Sprintf("%s-g%d", Name(p), i), Zone: fmt.Sprintf("z%d", i%l.o.Zones),
+		IP: l.part.IP(1+p, 1+i)}
+	own := netip.MustParseAddrPort(g.IP + ":7946")
+	for range 50 { // the same port has to be free for datagrams and for links
+		seen, err := l.mesh.Join(g.Name, g.IP, own)
+		if err != nil {
+			return nil, err
+		}
+		if g.links, err = link.Forward(seen, own.String(), l.dice); err == nil {
+			g.seen = seen
+			break
+		}
+	}
+	if g.links == nil {
+		return nil, errors.New("league: no port is free for a gateway's links")
+	}
+	var err error
+	if g.calls, err = link.Forward("127.0.0.1:0", g.IP+":7071", l.dice); err != nil {
+		return nil, err
+	}
+	g.file = filepath.Join(l.dir, g.Name+".hcl")
+	return g, nil
+}
+
+func (g *Gateway) keeper() string {
+	return fmt.Sprintf(" keeper \"%s/%s\" {\n address = %q\n }\n", Name(g.Partner), g.Name, g.seen)
+}
+
+// text is a gateway's file.
+func (g *Gateway) text() string {
+	l, o := g.league, g.league.o
+	var b strings.Builder
+	w := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	w("node %q {\n zone = %q\n admin_socket = %q\n limits {\n memory = \"128MiB\"\n descriptors = 2048\n }", g.Name, g.Zone, g.socket())
+	var seeds []string
+	for _, s := range l.Of(g.Partner) {
+		if len(seeds) < 3 {
+			seeds = append(seeds, fmt.Sprintf("%q", s.seen))
+		}
+	}
+	w(" peers {\n listen = \"%s:7946\"\n advertise = %q\n key_file = %q\n period = %q\n seeds = [%s]\n }\n}", g.IP, g.seen, l.groupKey(g.Partner), o.Period, strings.Join(seeds, ", "))
+	for _, c := range [][2]string{{"view", "safe"}, {"note", "unsafe"}, {"log", "keyed"}} {
+		w("class %q {\n effect = %q\n aim = %q\n deadline = %q", c[0], c[1], o.Deadline, o.Deadline)
+		if c[1] == "keyed" {
+			w(" key_scope = \"cell\"\n window = \"30s\"")
+		}
+		if o.Custody != "" {
+			w(" custody {\n when_alone = %q\n }", o.Custody)
+		}
+		w("}")
+	}
+	w("listener \"callers\" {\n address = \"%s:7070\"\n}\nlistener \"partners\" {\n address = \"%s:7071\"\n}", g.IP, g.IP)
+	w("pool \"boxes\" {\n attempts = 3\n copies {\n count = %d\n index = %d\n }\n connections {\n most = 100\n idle = \"60s\"\n connect_timeout = \"1s\"\n }", o.Gateways, g.Index)
+	for _, x := range l.Boxes {
+		if x.Partner == g.Partner {
+			w(" server %q {\n address = %q\n cell = %d\n }", x.Name, x.address, x.Cell)
+		}
+	}
+	n := Name(g.Partner)
+	w("}\nroute \"own\" {\n paths = [\"/view/%s/*\", \"/note/%s/*\", \"/log/%s/*\"]\n pool = \"boxes\"\n}", n, n, n)
+	w("federation %q {\n listener = \"partners\"\n calls = %q\n silence = %q\n stale = %q\n memory = %q\n}", n, g.calls.Addr(), o.Silence, o.Stale, o.Memory)
+	for q := range o.Partners {
+		if q == g.Partner {
+			continue
+		}
+		var at []string
+		for _, x := range l.Of(q) {
+			at = append(at, fmt.Sprintf("%q", x.seen))
+		}
+		w("partner %q {\n key_file = %q\n gateways = [%s]\n links = %d\n accept = [\"/view/%s/\", \"/note/%s/\", \"/log/%s/\"]\n}", Name(q), l.pairKey(g.Partner, q), strings.Join(at, ", "), max(1, o.Links), Name(q), Name(q), Name(q))
+	}
+	exports := o.Exports
+	if exports == nil {
+		exports = DefaultExports
+	}
+	w("%s", exports(l, g.Partner))
+	if o.Quota != "" {
+		candidates := l.Keepers(min(3, o.Partners))
+		if o.Apart {
+			candidates = l.keepersOf(g.Partner)
+		}
+		w("quota \"notes\" {\n%s\n%s}", o.Quota, candidates)
+	}
+	text := b.String()
+	if o.Edit != nil {
+		text = o.Edit(g, text)
+	}
+	g.mu.Lock()
+	edit := g.edit
+	g.mu.Unlock()
+	if edit != nil {
+		text = edit(text)
+	}
+	return text
+}
+
+func (g *Gateway) socket() string { return filepath.Join(g.league.dir, g.Name+".sock") }
+
+// Calls is where its clients come.
+func (g *Gateway) Calls() string { return g.IP + ":7070" }
+
+// Start starts its process and returns once that answers.
+func (g *Gateway) Start(ctx context.Context) error {
+	if err := os.WriteFile(g.file, []byte(g.text()), 0o600); err != nil {
+		return fmt.Errorf("league: %w", err)
+	}
+	p, err := g.league.spawner.Run(exec.Command(g.league.o.Binary, "serve", g.file), nil, 64<<10, g.env, nil)
+	if err != nil {
+		return fmt.Errorf("league: %w", err)
+	}
+	g.mu.Lock()
+	g.process = p
+	g.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, time.Minute)
+	defer cancel()
+	for {
+		if _, err := g.Show(ctx); err == nil {
+			return nil
+		}
+		select {
+		case <-p.Done:
+			return fmt.Errorf("league: %s: %s", g.Name, p.Died())
+		case <-ctx.Done():
+			return fmt.Errorf("league: %s does not answer: %w\n%s", g.Name, ctx.Err(), p.Log)
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+}
+
+// With has the next Start find something in the environment.
+func (g *Gateway) With(env ...string) { g.env = env }
+
+// Show is what the gateway tells of itself.
+func (g *Gateway) Show(ctx context.Context) (admin.Show, error) {
+	return admin.NewClient(g.socket()).Show(ctx)
+}
+
+// Change has the gateway go by an edited file, by plan and apply at once, and returns when it does.
+func (g *Gateway) Change(ctx context.Context, edit func(string) string) error {
+	before, err := g.Show(ctx)
+	if err != nil {
+		return err
+	}
+	g.mu.Lock()
+	g.edit = edit
+	p := g.process
+	g.mu.Unlock()
+	if err := os.WriteFile(g.file, []byte(g.text()), 0o600); err != nil {
+		return fmt.Errorf("league: %w", err)
+	}
+	if err := p.Signal(syscall.SIGHUP); err != nil {
+		return err
+	}
+	for ctx.Err() == nil {
+		if now, err := g.Show(ctx); err == nil && now.Serial > before.Serial {
+			return nil
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	return fmt.Errorf("league: %s does not take its file over: %w\n%s", g.Name, ctx.Err(), g.Log())
+}
+
+// Log is the end of its log.
+func (g *Gateway) Log() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.process == nil {
+		return ""
+	}
+	return g.process.Log.String()
+}
+
+// Signal sends its process a signal.
+func (g *Gateway) Signal(sig syscall.Signal) error {
+	g.mu.Lock()
+	p := g.process
+	g.mu.Unlock()
+	if p == nil {
+		return nil
+	}
+	return p.Signal(sig)
+}
+
+// Kill ends its process at once.
+func (g *Gateway) Kill() { g.End(syscall.SIGKILL, 0) }
+
+// End ends its process by a signal, and at once if that has no effect in time.
+func (g *Gateway) End(sig syscall.Signal, within time.Duration) {
+	g.mu.Lock()
+	p := g.process
+	g.process = nil
+	g.mu.Unlock()
+	if p != nil {
+		p.End(sig, within)
+	}
+}
+
+// Ended is closed once its process has ended by itself.
+func (g *Gateway) Ended() <-chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.process == nil {
+		c := make(chan struct{})
+		close(c)
+		return c
+	}
+	return g.process.Done
+}
+
+// unsettled is what a gateway still lacks.
+func (g *Gateway) unsettled(ctx context.Context, advertisements int) string {
+	s, err := g.Show(ctx)
+	if err != nil || s.Status.Gateway == nil {
+		return fmt.Sprint(err)
+	}
+	to := map[string]int{}
+	for _, k := range s.Status.Gateway.Links {
+		p, _, _ := strings.Cut(k.Gateway, "/")
+		to[p]++
+	}
+	living := 0
+	for _, o := range g.league.Of(g.Partner, g) {
+		if o.Log() != "" {
+			living++
+		}
+	}
+	if to[Name(g.Partner)] < living {
+		return fmt.Sprintf("%d links to its group, want %d", to[Name(g.Partner)], living)
+	}
+	for p := range g.league.o.Partners {
+		if p != g.Partner && to[Name(p)] == 0 {
+			return "no link to " + Name(p)
+		}
+	}
+	if n := s.Status.Gateway.Routes.Advertisements; n != advertisements {
+		return fmt.Sprintf("%d offers, want %d", n, advertisements)
+	}
+	for p := range g.league.o.Partners {
+		if p != g.Partner && s.Status.Pools["partner:"+Name(p)].Requests.Ready == 0 {
+			return "no gateway of " + Name(p) + " is known"
+		}
+	}
+	return ""
+}
