--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
@@ -33,25 +34,7 @@
 	dir, file, socket string
 	listen            string
 	options           Options
-	log               *logged
-}
-
-// logged keeps what was logged.
-type logged struct {
-	mu   sync.Mutex
-	text strings.Builder
-}
-
-func (l *logged) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logged) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
+	log               *testpeer.LogBuffer
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -61,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	return &fixture{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &logged{}}
+	return &fixture{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &testpeer.LogBuffer{}}
 }
 
 // text is a file with one pool of one server and what is added.
@@ -107,8 +90,8 @@
 	}
 }
 
-// start runs a daemon until stop, or the test's end.
-func (r *fixture) start(t *testing.T) (d *Daemon, stop func()) {
+// open returns a daemon of the fixture's file and log that does not run yet.
+func (r *fixture) open(t *testing.T) *Daemon {
 	t.Helper()
 	o := r.options
 	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
@@ -116,6 +99,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return d
+}
+
+// start runs a daemon until stop, or the test's end.
+func (r *fixture) start(t *testing.T) (d *Daemon, stop func()) {
+	t.Helper()
+	d = r.open(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	go func() { end <- d.Run(ctx) }()
@@ -186,7 +176,7 @@
 	nc.Close()
 	c := testpeer.Dial(t, address)
 	defer c.Close()
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %d\r\nX-Deadline: 4\r\n\r\n", path, host, time.Now().UnixNano())
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %d\r\nX-Deadline: 4\r\n\r\n", path, host, rand.Uint64())
 	resp, body := c.Answer(t)
 	if resp.StatusCode != 200 {
 		return resp.Status
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -47,12 +47,7 @@
 // begin starts a daemon that serves nothing, and returns what ends it at once.
 func (r *fixture) begin(t *testing.T) (d *Daemon, end func()) {
 	t.Helper()
-	o := r.options
-	o.File, o.Log = r.file, slog.New(slog.NewTextHandler(r.log, nil))
-	d, err := Start(o)
-	if err != nil {
-		t.Fatal(err)
-	}
+	d = r.open(t)
 	end = sync.OnceFunc(func() {
 		d.endChanges()
 		d.server.Close()
--- a/internal/fastcgi/left_test.go
+++ b/internal/fastcgi/left_test.go
@@ -16,19 +16,7 @@
 // clientPair is a web server's connection and what the front end has of it; nobody reads it.
 func clientPair(t *testing.T) (ours *client, theirs net.Conn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	nc, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { theirs.Close(); nc.Close() })
+	theirs, nc := testpeer.Pair(t)
 	return &client{Conn: nc, front: &Front{unread: testpeer.Limit}}, theirs
 }
 
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -1,13 +1,10 @@
 package gossip
 
 import (
-	"bytes"
 	"log/slog"
 	"net"
 	"net/netip"
 	"os"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -43,31 +40,13 @@
 	return f.packetConn.WriteToUDPAddrPort(p, to)
 }
 
-// logBuffer keeps a log's text.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logBuffer) count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
-}
-
 // A datagram that can't be sent counts as lost: the transport goes on, logs one line a second, and its node is alive for others
 // once sends succeed.
 func TestSendFailuresCountAsLoss(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
 	b := open(t, "b", key, a.Addr())
-	text := &logBuffer{}
+	text := &testpeer.LogBuffer{}
 	b.options.Log = slog.New(slog.NewTextHandler(text, nil))
 	socket := &faultySocket{packetConn: b.conn}
 	socket.writes.Store(true)
@@ -76,7 +55,7 @@
 	run(t, b)
 	begin := b.options.Clock.Now()
 	testpeer.Until(t, "a send with each error", func() bool { return socket.writeCalls.Load() > int64(2*len(errnos)) })
-	lines := text.count("can't be sent")
+	lines := text.Count("can't be sent")
 	maxLines := 1 + int((b.options.Clock.Now()-begin)/failureLogInterval)
 	if lines < 1 || lines > maxLines || b.Status().Counts.Sent != 0 {
 		t.Errorf("%d lines in %v, %+v", lines, b.options.Clock.Now()-begin, b.Status().Counts)
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -34,15 +34,23 @@
 	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.In(downstream.Idle) > 0 })
 }
 
-func TestClientConnectionsBeyondTheirShare(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+// serverThatHolds returns a server that tells got of each request whose id begins with "held", and answers it once hold is
+// closed. It answers all others at once.
+func serverThatHolds(t *testing.T) (s *testpeer.Server, hold, got chan struct{}) {
+	t.Helper()
+	hold, got = make(chan struct{}), make(chan struct{}, 100)
+	s = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
 			got <- struct{}{}
 			<-hold
 		}
 		return testpeer.Echo(c, r, body)
 	})
+	return s, hold, got
+}
+
+func TestClientConnectionsBeyondTheirShare(t *testing.T) {
+	s, hold, got := serverThatHolds(t)
 	const most = 4
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.clients.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -293,14 +293,7 @@
 // A client gives its last attempt all the time that it has left, more than tries are usually given. That must
 // not make every other client's first attempt look like a repeat whose latency objective is over, to be refused at once.
 func TestLongLastAttemptLeavesFirstAttemptsAsTheyAre(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
-			got <- struct{}{}
-			<-hold
-		}
-		return testpeer.Echo(c, r, body)
-	})
+	s, hold, got := serverThatHolds(t)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	view := func(id, deadline string) {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"io"
-	"net"
 	"os"
 	"syscall"
 	"testing"
@@ -11,25 +10,6 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// tcpPair returns both ends of a connection on loopback.
-func tcpPair(t *testing.T) (near, far net.Conn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	if near, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { near.Close() })
-	if far, err = ln.Accept(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { far.Close() })
-	return near, far
-}
-
 // A read or write that fails in passing is repeated and loses no byte; every other failure is returned at once, a write's
 // with the number of bytes that have left.
 func TestReadAndWriteRepeatTransientFailuresAlone(t *testing.T) {
@@ -47,7 +27,7 @@
 		{syscall.ENETDOWN, false},
 	} {
 		t.Run(os.NewSyscallError("call", c.errno).Error(), func(t *testing.T) {
-			near, far := tcpPair(t)
+			near, far := testpeer.Pair(t)
 			faulty := &testpeer.FaultyConn{Conn: near}
 			faulty.Fail(c.errno, c.errno)
 			n, err := Write(faulty, []byte(text))
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -135,7 +135,7 @@
 	for _, kind := range acceptingKinds(server) {
 		t.Run(kind.name, func(t *testing.T) {
 			known := goleak.IgnoreCurrent()
-			log := &node.LogBuffer{}
+			log := &testpeer.LogBuffer{}
 			ln := testpeer.NewFailingListener(t)
 			begin := time.Now()
 			stop := kind.serve(t, ln, slog.New(slog.NewTextHandler(log, nil)))
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -16,9 +16,6 @@
 	DiscardLog    = quiet
 )
 
-// LogBuffer is what a log has written.
-type LogBuffer = text
-
 // WithShortShutdown has a node close its listeners as soon as its shutdown begins.
 func WithShortShutdown(o Options) Options {
 	o.schedule = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"strings"
@@ -57,6 +58,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	runUntilEnd(t, n)
+	return n
+}
+
+// runUntilEnd runs a node until the test ends.
+func runUntilEnd(t testing.TB, n *Node) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	go func() { end <- n.Run(ctx) }()
@@ -66,7 +74,6 @@
 			t.Error(err)
 		}
 	})
-	return n
 }
 
 // change puts another configuration in place.
@@ -94,7 +101,7 @@
 	nc.Close()
 	c := testpeer.Dial(t, address)
 	defer c.Close()
-	c.Send(method, target, fmt.Sprint("ask-", time.Now().UnixNano()), "x", "60")
+	c.Send(method, target, fmt.Sprint("ask-", rand.Uint64()), "x", "60")
 	r, body := c.Answer(t)
 	return r.StatusCode, body
 }
--- a/internal/node/growth_test.go
+++ b/internal/node/growth_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -153,15 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	end := make(chan error, 1)
-	go func() { end <- n.Run(ctx) }()
-	t.Cleanup(func() {
-		cancel()
-		if err := testpeer.Receive(t, end, "the node's end"); err != nil {
-			t.Error(err)
-		}
-	})
+	runUntilEnd(t, n)
 	testpeer.Until(t, "the list", n.pools[config.PlatformPool].engine.Ready)
 	agent.awaitHeard()
 	return n
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -34,24 +34,6 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// text is what a log has written.
-type text struct {
-	mu sync.Mutex
-	b  strings.Builder
-}
-
-func (l *text) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *text) Count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.b.String(), what)
-}
-
 // startNode runs a node until the test ends, or until the returned function is called.
 func startNode(t *testing.T, cfg testNode, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -58,7 +58,7 @@
 	management, unused := takenPort(t)
 	unused.Close()
 	links, room := takenPort(t)
-	log := &text{}
+	log := &testpeer.LogBuffer{}
 	cfg := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr())
 	type started struct {
 		node *Node
@@ -91,7 +91,7 @@
 	management, room := takenPort(t)
 	management.Close()
 	room.Close()
-	cfg, known, log := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &text{}
+	cfg, known, log := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &testpeer.LogBuffer{}
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -93,28 +93,10 @@
 	}, requests
 }
 
-// tcpPair is a connection's two ends.
-func tcpPair(t *testing.T) (ours, theirs net.Conn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	if ours, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	if theirs, err = ln.Accept(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ours.Close(); theirs.Close() })
-	return ours, theirs
-}
-
 // A look into a connection that is interrupted is made again; one that the system has no memory for says neither that the other side
 // is silent nor that it has spoken or closed.
 func TestFailedPeekIsNoInput(t *testing.T) {
-	ours, theirs := tcpPair(t)
+	ours, theirs := testpeer.Pair(t)
 	peek := func(errnos ...syscall.Errno) inputState {
 		receive, _ := failingReceiver(errnos...)
 		return inputOf(ours, receive)
@@ -142,7 +124,7 @@
 // Who waits for bytes waits on through interruptions and want of memory, also where the bytes came before.
 func TestAwaitInputOutlastsFailedPeeks(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		ours, theirs := tcpPair(t)
+		ours, theirs := testpeer.Pair(t)
 		if before {
 			io.WriteString(theirs, "x")
 			testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
