--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -107,9 +107,9 @@
 
 // writeGateway writes what a gateway does, by p.
 func writeGateway(p func(format string, args ...any), g gateway.Status) {
-	p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.InHand, g.Replication.Replica.Held)
+	p("gateway      of %s: %d links, %d offers (%d of stale partners), %d calls in hand, %d held for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.Active, g.Replication.Replica.Entries)
 	c := g.Replication
-	p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.Alone, c.Fenced, c.Claimed, c.Asked, c.Found)
+	p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.NoQuorum, c.Fenced, c.Claimed, c.Queries, c.QueriesAnswered)
 	for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
 		q := g.Quotas[name]
 		p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Held, q.Partitioned)
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -243,7 +243,7 @@
 		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
 		// Whoever asks before anybody else holds the request is told that nobody knows it, and comes to the stopped gateway in the end.
 		testpeer.Until(t, "the call to be held by another", func() bool {
-			return l.Gateway(0, 1).Custody(t.Context()).Replica.Open+l.Gateway(0, 2).Custody(t.Context()).Replica.Open > 0
+			return l.Gateway(0, 1).Custody(t.Context()).Replica.Undecided+l.Gateway(0, 2).Custody(t.Context()).Replica.Undecided > 0
 		})
 		again := request
 		again.ID, again.Of = request.ID+"-again", request.ID
@@ -501,7 +501,7 @@
 		}))
 	}
 	testpeer.Until(t, "a refusal", func() bool {
-		return l.Gateway(0, 0).Custody(t.Context()).Replica.Full > 0
+		return l.Gateway(0, 0).Custody(t.Context()).Replica.NoCapacity > 0
 	})
 	for _, r := range releases {
 		r()
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -86,11 +86,11 @@
 	if _, after := l.Gateway(0, 0).Links(t.Context()); after[who] == 0 || after[who] == before[who] {
 		t.Errorf("the life at the other end was %d and is %d", before[who], after[who])
 	}
-	held := gone.Custody(t.Context()).Replica.Held
+	held := gone.Custody(t.Context()).Replica.Entries
 	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Held > held })
+	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Entries > held })
 }
 
 // p2 knows p0 only through p1, which passes p0's offers on: a request goes through p1's hands, and draws and is held on the way as
--- a/internal/faultbench/federation/silent_test.go
+++ b/internal/faultbench/federation/silent_test.go
@@ -14,7 +14,7 @@
 func (l *League) owner(t *testing.T, partner int) (has *Gateway) {
 	t.Helper()
 	for _, g := range l.Of(partner) {
-		if g.Custody(t.Context()).InHand > 0 {
+		if g.Custody(t.Context()).Active > 0 {
 			has = g
 		}
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -114,9 +114,9 @@
 	e := envelope{
 		ID:        t.record.ID,
 		Target:    t.record.Target,
-		Path:      append(slices.Clone(t.record.Path), self),
+		Path:      append(slices.Clone(t.record.PartnerPath), self),
 		Tenant:    t.record.Tenant,
-		Draws:     t.record.Draws,
+		Draws:     t.record.QuotaDraws,
 		QueryOnly: t.queryOnly,
 		From:      self,
 	}
@@ -183,7 +183,7 @@
 	}
 	t.mu.Unlock()
 	if t.replicates() && outcome.Result.NeverRan() {
-		t.work.AttemptNotRun(t.attemptNumber(a))
+		t.work.NotifyNotRun(t.attemptNumber(a))
 	}
 }
 
--- a/internal/gateway/flow.go
+++ b/internal/gateway/flow.go
@@ -41,7 +41,7 @@
 		})
 	}
 	response := f.respond(ctx)
-	fromPartner := len(f.record.Path) > 0
+	fromPartner := len(f.record.PartnerPath) > 0
 	if fromPartner && response.Kind == engine.Rejected && response.NotRun && response.Why == "" {
 		response.Why = reasonBusy
 	}
@@ -59,7 +59,7 @@
 	if f.awaitOnly {
 		return f.awaitEarlier(ctx)
 	}
-	if f.replicated && f.record.IdempotencyKey != "" && len(f.draws) > 0 && f.gateway.replicator.Holds(ctx, f.record.Key) {
+	if f.replicated && f.record.IdempotencyKey != "" && len(f.draws) > 0 && f.gateway.replicator.MayHold(ctx, f.record.Key) {
 		if response, ok := f.awaitDuplicate(ctx); ok {
 			return response // a repeat draws nothing
 		}
@@ -91,12 +91,12 @@
 		token, retryAfter := limiter.Draw(ctx, id, f.rejectedID)
 		if token == 0 {
 			rejected = rejection(retryAfter)
-			if len(f.record.Path) > 0 {
+			if len(f.record.PartnerPath) > 0 {
 				rejected.Why = "quota " + name
 			}
 			return undo, rejected, false
 		}
-		f.record.Draws = append(f.record.Draws, name)
+		f.record.QuotaDraws = append(f.record.QuotaDraws, name)
 		undo = append(undo, func() { limiter.Undo(token) })
 	}
 	return undo, engine.Response{}, true
@@ -110,15 +110,15 @@
 	f.record.TimeLeft = f.gateway.options.Clock.Until(f.request.Deadline)
 	serveAlone := f.class.Replication.WhenAlone == config.ServeAlone
 	for {
-		outcome, err := f.gateway.replicator.Take(ctx, f.record, serveAlone, time.Duration(f.class.Window))
+		outcome, err := f.gateway.replicator.Execute(ctx, f.record, serveAlone, time.Duration(f.class.Window))
 		switch {
 		case err == nil:
 			return settledResponse(outcome)
-		case errors.Is(err, replication.ErrAlone) && serveAlone:
+		case errors.Is(err, replication.ErrNoQuorum) && serveAlone:
 			message := f.request.Message
 			message.Gone = nil // it goes on without its client
 			return f.runUnreplicated(ctx, message)
-		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrNoAnswer):
+		case errors.Is(err, replication.ErrNoQuorum), errors.Is(err, replication.ErrNoCapacity), errors.Is(err, replication.ErrKeyUnchecked):
 			return rejection(defaultRetryAfter)
 		}
 		// Another request of the key is carried out, or a successor carries out this one: what is settled there is the response.
@@ -148,7 +148,7 @@
 	switch {
 	case err == nil:
 		return settledResponse(outcome)
-	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrForgotten):
+	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrOutcomeLost):
 		return engine.Response{Kind: engine.Failed} // it may have run, or never have come
 	}
 	return rejection(defaultRetryAfter) // to ask again is harmless
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,7 +96,7 @@
 		Links:          groupLinks{g},
 		Group:          g.groupMembers,
 		Run:            g.resume,
-		Step:           g.successorStep,
+		NextStep:       g.successorStep,
 		Heartbeat:      heartbeat(federation),
 		Silence:        silence,
 		Replicas:       federation.Replicas,
@@ -171,7 +171,7 @@
 // linkUp notifies replication of links to the group, and sends routes to partners' gateways.
 func (g *Gateway) linkUp(link *peering.Link) {
 	if link.Peer.Partner == g.self.Partner {
-		g.replicator.Linked(link)
+		g.replicator.LinkUp(link)
 		return
 	}
 	g.exchange.Up(link)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -9,12 +9,12 @@
 
 // responseOf is an outcome as a client gets it.
 func responseOf(outcome replication.Outcome) engine.Response {
-	if response, ok := outcome.Live.(engine.Response); ok {
+	if response, ok := outcome.Response.(engine.Response); ok {
 		return response
 	}
 	switch outcome.Kind {
 	case replication.Served:
-		if outcome.TooLong {
+		if outcome.BodyOmitted {
 			return engine.Response{Kind: engine.Failed} // it was served, and its body was too long to be kept
 		}
 		reply := engine.Reply{Body: outcome.Body, ContentType: outcome.ContentType, Length: int64(len(outcome.Body))}
@@ -39,13 +39,13 @@
 
 // outcomeOf is a response as it is settled.
 func outcomeOf(response engine.Response) replication.Outcome {
-	outcome := replication.Outcome{Live: response}
+	outcome := replication.Outcome{Response: response}
 	switch response.Kind {
 	case engine.Served:
 		outcome.Kind = replication.Served
 		outcome.ContentType = response.Reply.ContentType
-		outcome.TooLong = response.Reply.Rest != nil
-		if !outcome.TooLong {
+		outcome.BodyOmitted = response.Reply.Rest != nil
+		if !outcome.BodyOmitted {
 			outcome.Body = response.Reply.Body
 		}
 	case engine.Rejected:
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -26,7 +26,7 @@
 		Path:   record.Route.Path,
 		Tenant: record.Tenant,
 		Effect: class.ForModule().Effect,
-		Via:    record.Path,
+		Via:    record.PartnerPath,
 	}
 }
 
@@ -73,7 +73,7 @@
 // best one for it; false: there is none.
 func (e *execution) chooseAdvertisement() (selection routeexchange.Selection, ok bool, reason string) {
 	request := routedRequest(e.record, e.class)
-	if len(e.record.Path) == 0 {
+	if len(e.record.PartnerPath) == 0 {
 		selection, ok = e.gateway.routes.Choose(request)
 		return selection, ok, ""
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -25,7 +25,7 @@
 	work         *replication.Work    // allows its attempts; nil: it is not replicated
 }
 
-// resume implements replication.Run, for requests that have just come and for those that are taken over.
+// resume implements replication.RunFunc, for requests that have just come and for those that are taken over.
 func (g *Gateway) resume(ctx context.Context, record *replication.Record, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
 	class, known := g.policy.Load().classes[record.Key.Class]
 	if !known {
@@ -49,14 +49,14 @@
 	if !known {
 		return replication.GiveUp
 	}
-	return replication.Next(class.ForModule().Effect, intents, timeLeft, isPartnerPool)
+	return replication.NextStep(class.ForModule().Effect, intents, timeLeft, isPartnerPool)
 }
 
 // run carries the request out: by the engine of this partner's pool that routes name, or at a partner by whose advertisement it
 // goes. What may have run goes back to where it may have: servers and partners elsewhere know nothing of it. An outcome of kind 0
 // says that ctx has ended.
 func (e *execution) run(ctx context.Context) replication.Outcome {
-	switch replication.Next(e.class.ForModule().Effect, e.priorIntents, e.timeLeft(ctx), isPartnerPool) {
+	switch replication.NextStep(e.class.ForModule().Effect, e.priorIntents, e.timeLeft(ctx), isPartnerPool) {
 	case replication.GiveUp:
 		return replication.Outcome{Kind: replication.Failed}
 	case replication.Resend:
--- a/internal/gateway/take.go
+++ b/internal/gateway/take.go
@@ -63,7 +63,7 @@
 		in.retryOf = ""
 	}
 	draws := p.draws(request.Class, &in.record)
-	needsGateway := replicated || len(draws) > 0 || len(in.record.Path) > 0
+	needsGateway := replicated || len(draws) > 0 || len(in.record.PartnerPath) > 0
 	if !needsGateway && !g.goesToPartner(&in.record, class) {
 		return false
 	}
@@ -117,8 +117,8 @@
 		return nil, err
 	}
 	in.record.Tenant = e.Tenant
-	in.record.Path = e.Path
-	in.record.Draws = e.Draws
+	in.record.PartnerPath = e.Path
+	in.record.QuotaDraws = e.Draws
 	in.record.Offer = [2]string{e.Advertisement.Origin, e.Advertisement.Name}
 	in.from = e.From
 	in.queryOnly = e.QueryOnly
@@ -146,7 +146,7 @@
 	var names []string
 	for i := range p.quotas {
 		budget := &p.quotas[i]
-		if budget.Matches(class, record.Tenant) && !slices.Contains(record.Draws, budget.Name) {
+		if budget.Matches(class, record.Tenant) && !slices.Contains(record.QuotaDraws, budget.Name) {
 			names = append(names, budget.Name)
 		}
 	}
--- a/internal/replication/acceptor.go
+++ b/internal/replication/acceptor.go
@@ -13,12 +13,12 @@
 
 // Verdicts.
 const (
-	Yes              Verdict = iota + 1 // accepted or, to a claim, promised
-	Higher                              // a higher ballot was promised
+	Accepted         Verdict = iota + 1 // accepted or, to a claim, promised
+	HigherBallot                        // a higher ballot was promised
 	Duplicate                           // another request has this key, or the request's outcome is decided
 	OwnerAlive                          // the request's owner is heard here
-	Unknown                             // this replica has accepted no such record
-	Full                                // there is no capacity
+	UnknownRequest                      // this replica has accepted no such record
+	NoCapacity                          // there is no capacity
 	OtherIncarnation                    // the replica is of another incarnation: it may have forgotten what it had accepted
 )
 
@@ -31,33 +31,33 @@
 func MayRecord(entry *Entry, record *Record, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
-		return Yes
+		return Accepted
 	case record.Generation > entry.Record.Generation && entry.Outcome != nil && entry.Outcome.Kind == Rejected:
-		return Yes // a key whose request was rejected may be used anew
+		return Accepted // a key whose request was rejected may be used anew
 	case record.Generation != entry.Record.Generation || record.Owner != entry.Record.Owner || record.ID != entry.Record.ID:
 		return Duplicate
 	case ballot.Compare(entry.Promised) < 0:
-		return Higher
+		return HigherBallot
 	}
-	return Yes
+	return Accepted
 }
 
 // ballotVerdict says whether a replica accepts by a ballot now.
 func ballotVerdict(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case ballot.Compare(entry.Promised) < 0:
-		return Higher
+		return HigherBallot
 	case ballot.Number == 1 && ballot != entry.Promised:
 		return Duplicate // another owner's: a first ballot is promised only by accepting its record
 	}
-	return Yes
+	return Accepted
 }
 
 // MayIntend says whether a replica accepts an intent by a ballot.
 func MayIntend(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
-		return Unknown
+		return UnknownRequest
 	case entry.Decided:
 		return Duplicate
 	}
@@ -68,7 +68,7 @@
 func MaySettle(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
-		return Unknown
+		return UnknownRequest
 	case entry.Decided && ballot != entry.AcceptedBy:
 		return Duplicate
 	}
@@ -80,15 +80,15 @@
 func MayClaim(entry *Entry, ballot Ballot, ownerHeard bool) Verdict {
 	switch {
 	case entry == nil:
-		return Yes // it surely has accepted nothing of this request
+		return Accepted // it surely has accepted nothing of this request
 	case entry.Decided:
 		return Duplicate
 	case ballot.Compare(entry.Promised) <= 0:
-		return Higher
+		return HigherBallot
 	case ownerHeard:
 		return OwnerAlive
 	}
-	return Yes
+	return Accepted
 }
 
 // MayWithdraw says whether a replica drops a request whose owner, by its first ballot, says that no attempt of it was begun. An
@@ -103,8 +103,8 @@
 	return len(entry.Intents) == 0 && entry.Outcome == nil
 }
 
-// TakeIntent accepts an intent that MayIntend allows. One that is sent again replaces itself.
-func (e *Entry) TakeIntent(intent Intent) {
+// AcceptIntent accepts an intent that MayIntend allows. One that is sent again replaces itself.
+func (e *Entry) AcceptIntent(intent Intent) {
 	e.Promised = intent.Ballot
 	i := slices.IndexFunc(e.Intents, intent.sameAttempt)
 	if i < 0 {
@@ -114,8 +114,8 @@
 	e.Intents[i] = intent
 }
 
-// TakeOutcome accepts an outcome that MaySettle allows.
-func (e *Entry) TakeOutcome(outcome Outcome, ballot Ballot) {
+// AcceptOutcome accepts an outcome that MaySettle allows.
+func (e *Entry) AcceptOutcome(outcome Outcome, ballot Ballot) {
 	e.Promised = ballot
 	e.AcceptedBy = ballot
 	e.Outcome = &outcome
--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -9,16 +9,16 @@
 )
 
 // Await returns the outcome of a request that was taken before, at whichever gateway, and waits for it until ctx ends.
-// generation says which request of its key it was (Record.Generation). Errors: ErrUnknown, ErrForgotten, ErrUndecided.
+// generation says which request of its key it was (Record.Generation). Errors: ErrUnknown, ErrOutcomeLost, ErrUndecided.
 func (r *Replicator) Await(ctx context.Context, key Key) (outcome Outcome, generation uint32, err error) {
-	r.count(func(n *Counts) { n.Asked++ })
+	r.count(func(n *Counts) { n.Queries++ })
 	for {
 		outcome, generation, err = r.queryGroup(ctx, key, findTimeout)
 		switch {
 		case err == nil:
-			r.count(func(n *Counts) { n.Found++ })
+			r.count(func(n *Counts) { n.QueriesAnswered++ })
 			return outcome, generation, nil
-		case errors.Is(err, ErrUnknown), errors.Is(err, ErrForgotten):
+		case errors.Is(err, ErrUnknown), errors.Is(err, ErrOutcomeLost):
 			return Outcome{}, generation, err
 		case ctx.Err() != nil || r.ctx.Err() != nil:
 			return Outcome{}, generation, ErrUndecided
@@ -36,20 +36,20 @@
 	defer cancel()
 	replies, asked := r.pollGroup(quorumCtx, key, timeout)
 	votes := newTally(ChooseReplicas(key, r.options.Self.Name, r.options.Group(), r.options.Replicas))
-	var late <-chan time.Time
+	var stragglerTimer <-chan time.Time
 	for range asked {
 		select {
 		case reply := <-replies:
 			if entry := votes.add(reply); entry != nil {
 				return *entry.Outcome, entry.Record.Generation, nil
 			}
-		case <-late:
+		case <-stragglerTimer:
 			return Outcome{}, votes.generation, votes.err()
 		}
-		if late == nil && timeout == 0 && votes.isUnknown() {
+		if stragglerTimer == nil && timeout == 0 && votes.isUnknown() {
 			timer := time.NewTimer(stragglerTimeout)
 			defer timer.Stop()
-			late = timer.C
+			stragglerTimer = timer.C
 		}
 	}
 	return Outcome{}, votes.generation, votes.err()
@@ -78,8 +78,8 @@
 	return replies, len(links) + 1
 }
 
-// Holds says that a gateway holds a request of the key, or that none could tell.
-func (r *Replicator) Holds(ctx context.Context, key Key) bool {
+// MayHold says that a gateway holds a request of the key, or that none could tell.
+func (r *Replicator) MayHold(ctx context.Context, key Key) bool {
 	_, _, err := r.queryGroup(ctx, key, 0)
 	return !errors.Is(err, ErrUnknown)
 }
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -30,7 +30,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				record := Record{Key: Key{"note", fmt.Sprint(i)}, ID: fmt.Sprint(i), Method: "POST", Target: "/note/x", Body: body, TimeLeft: time.Minute}
-				if outcome, err := owner.Take(context.Background(), record, false, 0); err != nil || outcome.Kind != Served {
+				if outcome, err := owner.Execute(context.Background(), record, false, 0); err != nil || outcome.Kind != Served {
 					b.Fatalf("%+v, %v", outcome, err)
 				}
 			}
--- a/internal/replication/conformance_test.go
+++ b/internal/replication/conformance_test.go
@@ -29,8 +29,8 @@
 	return ballot, nil
 }
 
-// recordOf is the record that came with an owner's first ballot.
-func recordOf(ballot Ballot) Record {
+// recordForBallot is the record that came with an owner's first ballot.
+func recordForBallot(ballot Ballot) Record {
 	return Record{
 		Key:   Key{"note", "k"},
 		ID:    fmt.Sprint("request ", ballot.Sequence, " of ", ballot.Owner),
@@ -57,7 +57,7 @@
 			if err != nil {
 				return nil, err
 			}
-			entry = &Entry{Record: recordOf(ballot), Promised: ballot}
+			entry = &Entry{Record: recordForBallot(ballot), Promised: ballot}
 		case "promised":
 			ballot, err := parseBallot(rest)
 			if err != nil {
@@ -70,7 +70,7 @@
 			if err != nil {
 				return nil, err
 			}
-			entry.TakeIntent(Intent{Ballot: ballot, ID: entry.Record.ID, NotRun: notRun})
+			entry.AcceptIntent(Intent{Ballot: ballot, ID: entry.Record.ID, NotRun: notRun})
 		case "outcome":
 			kind, by, later := strings.Cut(rest, " ")
 			ballot := entry.Promised
@@ -83,7 +83,7 @@
 			if kindNames[kind] == 0 {
 				return nil, fmt.Errorf("%q is no outcome", kind)
 			}
-			entry.TakeOutcome(Outcome{Kind: kindNames[kind]}, ballot)
+			entry.AcceptOutcome(Outcome{Kind: kindNames[kind]}, ballot)
 		case "decided":
 			entry.Decided = true
 		default:
@@ -93,7 +93,7 @@
 	return entry, nil
 }
 
-func TestReplicaAccepts(t *testing.T) {
+func TestAcceptorVerdicts(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "What a replica accepts") {
 		entry, err := parseEntry(row.At("given"))
 		if err != nil {
@@ -101,8 +101,8 @@
 			continue
 		}
 		event := row.At("event")
-		event, heard := strings.CutSuffix(event, " while A is heard")
-		event, later := strings.CutSuffix(event, ", generation 1")
+		event, ownerHeard := strings.CutSuffix(event, " while A is heard")
+		event, nextGeneration := strings.CutSuffix(event, ", generation 1")
 		verb, rest, _ := strings.Cut(event, " ")
 		ballot, err := parseBallot(rest)
 		if err != nil {
@@ -112,8 +112,8 @@
 		var got Verdict
 		switch verb {
 		case "record":
-			record := recordOf(ballot)
-			if later {
+			record := recordForBallot(ballot)
+			if nextGeneration {
 				record.Generation = 1
 			}
 			got = MayRecord(entry, &record, ballot)
@@ -122,11 +122,11 @@
 		case "outcome":
 			got = MaySettle(entry, ballot)
 		case "claim":
-			got = MayClaim(entry, ballot, heard)
+			got = MayClaim(entry, ballot, ownerHeard)
 		case "withdrawal":
 			got = Duplicate
 			if MayWithdraw(entry, ballot) {
-				got = Yes
+				got = Accepted
 			}
 		default:
 			t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, event)
@@ -140,8 +140,8 @@
 
 var effectNames = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-// stepOf is what a successor does by a row's effect, intents and time left.
-func stepOf(t *testing.T, row spectest.Row) (Step, time.Duration) {
+// nextStepForRow is what a successor does by a row's effect, intents and time left.
+func nextStepForRow(t *testing.T, row spectest.Row) (Step, time.Duration) {
 	t.Helper()
 	effect, ok := effectNames[row.At("effect")]
 	left, err := time.ParseDuration(row.At("time left"))
@@ -157,20 +157,20 @@
 			t.Errorf("%s:%d: nobody plays the intent %q", designPage, row.Line, part)
 		}
 	}
-	return Next(effect, intents, left, func(pool string) bool { return pool == "partner" }), left
+	return NextStep(effect, intents, left, func(pool string) bool { return pool == "partner" }), left
 }
 
-func TestSuccessorNextStep(t *testing.T) {
+func TestNextStep(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "What a successor does") {
-		if got, _ := stepOf(t, row); got.String() != row.At("outcome") {
+		if got, _ := nextStepForRow(t, row); got.String() != row.At("outcome") {
 			t.Errorf("%s:%d: %v", designPage, row.Line, got)
 		}
 	}
 }
 
-func TestSilentOwnerIsSuspected(t *testing.T) {
+func TestSuspectAfter(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "When a silent owner is suspected") {
-		step, left := stepOf(t, row)
+		step, left := nextStepForRow(t, row)
 		rtt, err := time.ParseDuration(row.At("round trip"))
 		if err != nil {
 			t.Fatalf("%s:%d: %v", designPage, row.Line, err)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestClaimLearnsAcceptedOutcome(t *testing.T) {
+func TestMerge(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "Which entries a claim learns from") {
 		var entries []Entry
 		for _, words := range strings.Split(row.At("replicas"), "; ") {
@@ -192,13 +192,13 @@
 			entries = append(entries, *entry)
 		}
 		_, intents, outcome := Merge(entries)
-		var said []string
+		var gotIntents []string
 		for _, intent := range intents {
 			s := fmt.Sprintf("%d by %d %s", intent.Attempt, intent.Ballot.Number, intent.Ballot.Owner)
 			if intent.NotRun {
 				s += " not run"
 			}
-			said = append(said, s)
+			gotIntents = append(gotIntents, s)
 		}
 		kind := ""
 		for name, k := range kindNames {
@@ -206,28 +206,28 @@
 				kind = name
 			}
 		}
-		if got := strings.Join(said, ", "); got != row.At("intents") || kind != row.At("outcome") {
+		if got := strings.Join(gotIntents, ", "); got != row.At("intents") || kind != row.At("outcome") {
 			t.Errorf("%s:%d: %q, %q", designPage, row.Line, got, kind)
 		}
 	}
 }
 
-func TestReplicaRecovers(t *testing.T) {
+func TestRecoveryComplete(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "When a gateway that restarted votes again") {
 		recoveries := map[string]Recovery{}
 		for _, part := range strings.Split(row.At("answers"), "; ") {
 			if part == "none" {
 				continue
 			}
-			by, seen, ok := strings.Cut(part, " saw ")
+			name, recent, ok := strings.Cut(part, " saw ")
 			if !ok {
 				t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, part)
 			}
-			by, young := strings.CutSuffix(by, " forgot and")
-			recoveries[strings.TrimSpace(by)] = Recovery{young, strings.Split(seen, " ")}
+			name, recovering := strings.CutSuffix(name, " forgot and")
+			recoveries[strings.TrimSpace(name)] = Recovery{recovering, strings.Split(recent, " ")}
 		}
 		got := "no"
-		if HasRecovered("A", recoveries) {
+		if RecoveryComplete("A", recoveries) {
 			got = "yes"
 		}
 		if got != row.At("outcome") {
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -21,7 +21,7 @@
 //     a successor that finds one accepted goes on with it. Kept in Work.settle, MaySettle and Merge.
 //   - A successor sends a request again only where that is harmless: none of its attempts may have run, or its effect is safe, or it
 //     is idempotent by a key, and then only to the group that discards repeats and while that remembers, which the decision module
-//     sees to. What is unsafe and may have run ends as failed. Kept in Next.
+//     sees to. What is unsafe and may have run ends as failed. Kept in NextStep.
 //   - A gateway that restarted is no replica of what its earlier incarnation had accepted. Kept by the incarnation that each message
 //     names, and by recovery for keys.
 //   - Memory is bounded (Options.Memory): past it new requests are not replicated, and what that means the class says
--- a/internal/replication/group_test.go
+++ b/internal/replication/group_test.go
@@ -19,24 +19,24 @@
 // testGroup are replicators with links to one another over loopback.
 type testGroup map[string]*testNode
 
-type linksOf struct{ hub *peering.Hub }
+type hubLinks struct{ hub *peering.Hub }
 
-func (l linksOf) To(name string) *peering.Link {
+func (l hubLinks) To(name string) *peering.Link {
 	return l.hub.To(peering.GatewayID{Partner: "p", Name: name})
 }
-func (l linksOf) All() []*peering.Link { return l.hub.Links("p") }
+func (l hubLinks) All() []*peering.Link { return l.hub.Links("p") }
 
 // newTestNode starts a replicator without links of a group that began at a time.
-func newTestNode(tb testing.TB, self Gateway, members func() []Gateway, run Run, begin time.Time) *testNode {
+func newTestNode(tb testing.TB, self Gateway, members func() []Gateway, run RunFunc, begin time.Time) *testNode {
 	tb.Helper()
-	links := &linksOf{}
+	links := &hubLinks{}
 	log := slog.New(slog.DiscardHandler)
 	replicator := New(Options{
 		Self:           self,
 		Links:          links,
 		Group:          members,
 		Run:            run,
-		Step:           func(*Record, []Intent, time.Duration) Step { return GiveUp },
+		NextStep:       func(*Record, []Intent, time.Duration) Step { return GiveUp },
 		Heartbeat:      250 * time.Millisecond,
 		Silence:        time.Minute,
 		Replicas:       3,
@@ -63,7 +63,7 @@
 }
 
 // newTestGroup starts n replicators with links to one another. run stands for their engines.
-func newTestGroup(tb testing.TB, n int, run Run) testGroup {
+func newTestGroup(tb testing.TB, n int, run RunFunc) testGroup {
 	tb.Helper()
 	group := testGroup{}
 	var names []string
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -17,24 +17,24 @@
 
 // actor carries the request, or thinks so: its owner, or a successor.
 type actor struct {
-	ballot       Ballot
-	record       Record
-	priorIntents []Intent
-	allowed      int // attempts
-	settled      bool
-	outcome      *Outcome // that it proposes; nil: an attempt comes first
+	ballot          Ballot
+	record          Record
+	priorIntents    []Intent
+	allowedAttempts int // attempts
+	settled         bool
+	outcome         *Outcome // that it proposes; nil: an attempt comes first
 }
 
 // model is one request at three replicas, by the acceptor's and the successor's rules alone. Draws of rapid stand for the order of
 // messages, their losses, restarts and claims.
 type model struct {
-	t         *rapid.T
-	effect    balancer.Effect
-	entries   []*Entry // of the replicas
-	restarted []bool   // replicas that have forgotten theirs
-	actors    []*actor
-	begun     int      // attempts
-	decided   *Outcome // that a client got
+	t               *rapid.T
+	effect          balancer.Effect
+	entries         []*Entry // of the replicas
+	restarted       []bool   // replicas that have forgotten theirs
+	actors          []*actor
+	startedAttempts int      // attempts
+	clientOutcome   *Outcome // that a client got
 }
 
 func newModel(t *rapid.T) *model {
@@ -46,13 +46,13 @@
 		if i > 0 && rapid.Bool().Draw(t, "its next request") {
 			ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 		}
-		m.actors = append(m.actors, &actor{ballot: ballot, record: recordOf(ballot)})
+		m.actors = append(m.actors, &actor{ballot: ballot, record: recordForBallot(ballot)})
 	}
 	return m
 }
 
-// reached are the replicas that a message comes to.
-func (m *model) reached(label string) []int {
+// deliver are the replicas that a message comes to.
+func (m *model) deliver(label string) []int {
 	var out []int
 	for i := range modelReplicas {
 		if !m.restarted[i] && rapid.IntRange(0, 3).Draw(m.t, label) > 0 {
@@ -65,12 +65,12 @@
 // poll sends a message to the replicas, and returns those whose acceptance comes back.
 func (m *model) poll(accept func(i int) Verdict) []int {
 	var accepted []int
-	for _, i := range m.reached("heard") {
+	for _, i := range m.deliver("heard") {
 		verdict := accept(i)
 		if rapid.IntRange(0, 4).Draw(m.t, "back") == 0 {
 			continue
 		}
-		if verdict == Yes {
+		if verdict == Accepted {
 			accepted = append(accepted, i)
 		}
 	}
@@ -80,7 +80,7 @@
 func (m *model) record(a *actor) {
 	m.poll(func(i int) Verdict {
 		verdict := MayRecord(m.entries[i], &a.record, a.ballot)
-		if verdict == Yes {
+		if verdict == Accepted {
 			m.entries[i] = &Entry{Record: a.record, Promised: a.ballot}
 		}
 		return verdict
@@ -105,7 +105,7 @@
 	record := m.entries[from].Record
 	promised := m.poll(func(i int) Verdict {
 		verdict := MayClaim(m.entries[i], ballot, false)
-		if verdict == Yes {
+		if verdict == Accepted {
 			if m.entries[i] == nil {
 				m.entries[i] = &Entry{Record: record}
 			}
@@ -136,9 +136,9 @@
 		m.settle(a)
 		return
 	}
-	next := Next(m.effect, a.priorIntents, time.Second, func(string) bool { return false })
+	next := NextStep(m.effect, a.priorIntents, time.Second, func(string) bool { return false })
 	switch {
-	case a.allowed > 0:
+	case a.allowedAttempts > 0:
 		a.outcome = &Outcome{Kind: Served, Body: []byte(fmt.Sprint("by ", a.ballot))}
 	case next == GiveUp:
 		a.outcome = &Outcome{Kind: Failed}
@@ -152,8 +152,8 @@
 	intent := Intent{Ballot: a.ballot, Attempt: len(a.priorIntents), ID: a.record.ID}
 	accepted := m.poll(func(i int) Verdict {
 		verdict := MayIntend(m.entries[i], a.ballot)
-		if verdict == Yes {
-			m.entries[i].TakeIntent(intent)
+		if verdict == Accepted {
+			m.entries[i].AcceptIntent(intent)
 		}
 		return verdict
 	})
@@ -169,16 +169,16 @@
 	if higher >= Majority(modelReplicas) {
 		m.t.Fatalf("%v begins an attempt though a majority has promised more", a.ballot)
 	}
-	a.allowed++
-	m.begun++
+	a.allowedAttempts++
+	m.startedAttempts++
 }
 
 // settle has an actor's outcome accepted. Whoever is told one is told the same one.
 func (m *model) settle(a *actor) {
 	accepted := m.poll(func(i int) Verdict {
 		verdict := MaySettle(m.entries[i], a.ballot)
-		if verdict == Yes {
-			m.entries[i].TakeOutcome(*a.outcome, a.ballot)
+		if verdict == Accepted {
+			m.entries[i].AcceptOutcome(*a.outcome, a.ballot)
 		}
 		return verdict
 	})
@@ -186,13 +186,13 @@
 		return
 	}
 	a.settled = true
-	if m.decided != nil && (m.decided.Kind != a.outcome.Kind || string(m.decided.Body) != string(a.outcome.Body)) {
-		m.t.Fatalf("one was told %+v, another %+v", m.decided, a.outcome)
+	if m.clientOutcome != nil && (m.clientOutcome.Kind != a.outcome.Kind || string(m.clientOutcome.Body) != string(a.outcome.Body)) {
+		m.t.Fatalf("one was told %+v, another %+v", m.clientOutcome, a.outcome)
 	}
-	m.decided = a.outcome
-	for _, i := range m.reached("decided") {
+	m.clientOutcome = a.outcome
+	for _, i := range m.deliver("decided") {
 		if m.entries[i] != nil {
-			m.entries[i].TakeOutcome(*a.outcome, a.ballot)
+			m.entries[i].AcceptOutcome(*a.outcome, a.ballot)
 			m.entries[i].Decided = true
 		}
 	}
@@ -200,7 +200,7 @@
 
 // Whatever order and loss of messages, whoever claims when, and whichever replica forgets: all who are told an outcome are told
 // the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
-func TestOneOutcomeAndOneRunUnderFaults(t *testing.T) {
+func TestSingleOutcomeAndExecutionUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for _, a := range m.actors {
@@ -216,8 +216,8 @@
 				m.advance()
 			}
 		}
-		if m.effect == balancer.Unsafe && m.begun > 1 {
-			t.Fatalf("%d attempts of an unsafe request began", m.begun)
+		if m.effect == balancer.Unsafe && m.startedAttempts > 1 {
+			t.Fatalf("%d attempts of an unsafe request began", m.startedAttempts)
 		}
 	})
 }
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -22,9 +22,9 @@
 	Links Links
 	// Group returns all gateways of the group that are alive, this one among them, with the incarnations that links know.
 	Group func() []Gateway
-	Run   Run
+	Run   RunFunc
 	// Step returns what a successor would do with a request. It must not block.
-	Step func(record *Record, intents []Intent, timeLeft time.Duration) Step
+	NextStep func(record *Record, intents []Intent, timeLeft time.Duration) Step
 	// Heartbeat is the time between two heartbeats of a link, and Silence how long a link stands without an answer to them.
 	Heartbeat time.Duration
 	Silence   time.Duration
@@ -43,10 +43,10 @@
 	Log *slog.Logger
 }
 
-// Run carries a request out, by the engine of its pool; w.Intend allows each attempt before its first byte. It returns when the
+// RunFunc carries a request out, by the engine of its pool; w.Intend allows each attempt before its first byte. It returns when the
 // request has a response, or when ctx ends: then the outcome's kind is 0. priorIntents are the attempts that earlier owners
 // were allowed.
-type Run func(ctx context.Context, record *Record, priorIntents []Intent, w *Work) Outcome
+type RunFunc func(ctx context.Context, record *Record, priorIntents []Intent, w *Work) Outcome
 
 // Times of a replicator. Each is how soon something is tried; nothing that the package promises depends on them.
 const (
--- a/internal/replication/quorum.go
+++ b/internal/replication/quorum.go
@@ -21,7 +21,7 @@
 // of the message is over.
 func (q *quorumReplies) superseded() bool {
 	for _, reply := range q.rejected {
-		if reply.Verdict == Higher || reply.Verdict == Duplicate {
+		if reply.Verdict == HigherBallot || reply.Verdict == Duplicate {
 			return true
 		}
 	}
@@ -32,7 +32,7 @@
 func (q *quorumReplies) add(reply *replicaReply) {
 	switch {
 	case reply == nil:
-	case reply.Verdict == Yes:
+	case reply.Verdict == Accepted:
 		q.accepted = append(q.accepted, *reply)
 	default:
 		q.rejected = append(q.rejected, *reply)
@@ -83,12 +83,12 @@
 
 // request sends a message to a replica. onReply hears its reply once, on the link's reader, or nil where none comes; it must not
 // block. nil: the replica can't be reached in the incarnation that the record names, and onReply hears nothing.
-func (r *Replicator) request(replica Gateway, topic string, message any, onReply func(*replicaReply)) (forget func()) {
+func (r *Replicator) request(replica Gateway, topic string, message any, onReply func(*replicaReply)) (cancel func()) {
 	link := r.linkTo(replica)
 	if link == nil {
 		return nil
 	}
-	forget, err := link.RequestAsync(topic, message, func(read func(any) error) {
+	cancel, err := link.RequestAsync(topic, message, func(read func(any) error) {
 		var reply replicaReply
 		if read(&reply) != nil {
 			onReply(nil)
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil
 	}
-	return forget
+	return cancel
 }
 
 // collectQuorum sends a message to all replicas at once. It returns once a majority has accepted, or none can any more and one
@@ -112,15 +112,15 @@
 			replies <- &reply
 			continue
 		}
-		forget := r.request(replica, topic, message(replica), func(reply *replicaReply) { replies <- reply })
-		if forget == nil {
+		cancel := r.request(replica, topic, message(replica), func(reply *replicaReply) { replies <- reply })
+		if cancel == nil {
 			replies <- nil
 			continue
 		}
-		defer forget()
+		defer cancel()
 	}
 	collected := quorumReplies{quorum: Majority(len(replicas))}
-	for missing := len(replicas) - 1; missing >= 0; missing-- {
+	for remaining := len(replicas) - 1; remaining >= 0; remaining-- {
 		select {
 		case reply := <-replies:
 			collected.add(reply)
@@ -130,7 +130,7 @@
 		if collected.reached() {
 			return collected
 		}
-		impossible := len(collected.accepted)+missing < collected.quorum
+		impossible := len(collected.accepted)+remaining < collected.quorum
 		if impossible && len(collected.rejected) > 0 {
 			return collected
 		}
--- a/internal/replication/record.go
+++ b/internal/replication/record.go
@@ -54,8 +54,8 @@
 	Owner          Gateway             `cbor:"10,keyasint"`
 	Replicas       []Gateway           `cbor:"11,keyasint"`
 	Tenant         string              `cbor:"12,keyasint,omitempty"`
-	Draws          []string            `cbor:"13,keyasint,omitempty"` // quotas that it has drawn a token from
-	Path           []string            `cbor:"14,keyasint,omitempty"` // partners that forwarded it, the first one first
+	QuotaDraws     []string            `cbor:"13,keyasint,omitempty"` // quotas that it has drawn a token from
+	PartnerPath    []string            `cbor:"14,keyasint,omitempty"` // partners that forwarded it, the first one first
 	Route          Route               `cbor:"16,keyasint"`
 	Headers        map[string][]string `cbor:"18,keyasint,omitempty"` // that routes match
 	Offer          [2]string           `cbor:"19,keyasint"`           // origin and name of the advertisement by which a partner forwarded it
@@ -107,12 +107,12 @@
 	Kind        Kind          `cbor:"1,keyasint"`
 	Body        []byte        `cbor:"2,keyasint,omitempty"`
 	ContentType string        `cbor:"3,keyasint,omitempty"`
-	TooLong     bool          `cbor:"4,keyasint,omitempty"` // the body was too long to be kept: only the first client has it
+	BodyOmitted bool          `cbor:"4,keyasint,omitempty"` // the body was too long to be kept: only the first client has it
 	RetryAfter  time.Duration `cbor:"5,keyasint,omitempty"` // of Rejected: the Retry-After
 	Reason      string        `cbor:"6,keyasint,omitempty"` // of Rejected by a rule: which one
 	NotRun      bool          `cbor:"7,keyasint,omitempty"` // of Rejected: no attempt of it may have run
 
-	Live interface{ Discard() } `cbor:"-"` // the response as it came, for the gateway that ran the request
+	Response interface{ Discard() } `cbor:"-"` // the response as it came, for the gateway that ran the request
 }
 
 // Entry is the state of a replica for one request.
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -21,9 +21,9 @@
 	recoverRetryDelay = 250 * time.Millisecond
 )
 
-// HasRecovered says whether a gateway that restarted knows all that it may have voted for, by the recoveries of others by name:
+// RecoveryComplete says whether a gateway that restarted knows all that it may have voted for, by the recoveries of others by name:
 // each gateway of its group that was alive lately, as any of them tells, has replied and is not recovering itself.
-func HasRecovered(self string, recoveries map[string]Recovery) bool {
+func RecoveryComplete(self string, recoveries map[string]Recovery) bool {
 	if len(recoveries) == 0 {
 		return false
 	}
@@ -32,7 +32,7 @@
 			return false
 		}
 		for _, name := range recovery.RecentGateways {
-			if _, told := recoveries[name]; name != self && !told {
+			if _, replied := recoveries[name]; name != self && !replied {
 				return false
 			}
 		}
@@ -69,12 +69,12 @@
 	return reply
 }
 
-// noteIncarnationEnd notes that an earlier incarnation of this gateway ended a while ago, as a peer says that knew it, and
+// handleIncarnationNotice notes that an earlier incarnation of this gateway ended a while ago, as a peer says that knew it, and
 // begins a recovery.
-func (r *Replicator) noteIncarnationEnd(by string, ago time.Duration) {
+func (r *Replicator) handleIncarnationNotice(peer string, ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.recoveredFrom[by] {
+	if r.recoveredFrom[peer] {
 		return // that was asked what the earlier incarnation may have voted for
 	}
 	r.recoverUntil = max(r.recoverUntil, r.options.Now()+r.options.RecoveryWindow()-ago)
@@ -117,7 +117,7 @@
 		entries = append(entries, recovered...)
 	}
 	// Nothing of it is stored unless it is complete: a key that some of its replicas know and others don't is taken by nobody.
-	if !complete || !HasRecovered(r.options.Self.Name, recoveries) {
+	if !complete || !RecoveryComplete(r.options.Self.Name, recoveries) {
 		return false
 	}
 	for _, entry := range entries {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -21,7 +21,7 @@
 			r.CheckOrphans()
 		}),
 		topicWithdraw:     peering.Hear(func(_ *peering.Link, m ownerNotice) { r.store.withdraw(m.Key, m.Ballot) }),
-		topicIncarnations: peering.Hear(func(from *peering.Link, m incarnationNotice) { r.noteIncarnationEnd(from.Peer.Name, m.Ago) }),
+		topicIncarnations: peering.Hear(func(from *peering.Link, m incarnationNotice) { r.handleIncarnationNotice(from.Peer.Name, m.Ago) }),
 		topicRecover: peering.Answer(func(_ *peering.Link, request recoverRequest, reply func(recoverReply)) {
 			reply(r.serveRecovery(request))
 		}),
@@ -76,10 +76,10 @@
 func (r *Replicator) applyDecision(request settleRequest) {
 	r.store.decide(request.Key, request.Generation, request.Outcome, request.Ballot)
 	r.mu.Lock()
-	w := r.active[request.Key]
+	work := r.active[request.Key]
 	r.mu.Unlock()
-	if w != nil && w.record.Generation == request.Generation && w.ballot.Compare(request.Ballot) < 0 {
-		w.fence(ErrDuplicate)
+	if work != nil && work.record.Generation == request.Generation && work.ballot.Compare(request.Ballot) < 0 {
+		work.fence(ErrDuplicate)
 	}
 }
 
@@ -95,19 +95,19 @@
 	entry, changed := r.store.lookup(query.Key)
 	switch {
 	case entry == nil:
-		reply(replicaReply{Verdict: Unknown})
+		reply(replicaReply{Verdict: UnknownRequest})
 		return
 	case entry.Decided || query.Timeout <= 0:
-		reply(replicaReply{Yes, entry})
+		reply(replicaReply{Accepted, entry})
 		return
 	}
 	r.tasks.Go(func() {
 		entry := r.waitDecided(query.Key, entry, changed, min(query.Timeout, findTimeout))
 		if entry == nil {
-			reply(replicaReply{Verdict: Unknown})
+			reply(replicaReply{Verdict: UnknownRequest})
 			return
 		}
-		reply(replicaReply{Yes, entry})
+		reply(replicaReply{Accepted, entry})
 	})
 }
 
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -13,14 +13,14 @@
 // Replicator is a gateway's part in replication: its own requests, those that it stores as a replica, and those that it takes
 // over. Its methods may be called by any goroutine; mu guards what follows it.
 type Replicator struct {
-	options  Options
-	store    *store
-	ctx      context.Context // ends with Close; tasks go on past the requests that began them
-	cancel   context.CancelFunc
-	tasks    sync.WaitGroup
-	checkNow chan struct{} // has watchOrphans look at once
-	sequence atomic.Uint64 // of the ballots that it has made
-	started  time.Duration // when this incarnation began
+	options     Options
+	store       *store
+	ctx         context.Context // ends with Close; tasks go on past the requests that began them
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
+	orphanCheck chan struct{} // has watchOrphans look at once
+	sequence    atomic.Uint64 // of the ballots that it has made
+	started     time.Duration // when this incarnation began
 
 	mu        sync.Mutex
 	active    map[Key]*Work              // that this gateway carries
@@ -32,8 +32,8 @@
 	recoveredFrom   map[string]bool // gateways that told what this one may have voted for
 	recoveryRunning bool            // recoverVotes runs
 
-	lastGroup    []Gateway     // the group as it was last seen
-	groupChanged time.Duration // when it was first seen so
+	lastGroup       []Gateway     // the group as it was last seen
+	groupChangeTime time.Duration // when it was first seen so
 }
 
 // lostIncarnation is an incarnation of a gateway to which the last link has ended.
@@ -51,7 +51,7 @@
 		lostPeers:     map[string]lostIncarnation{},
 		recoveredFrom: map[string]bool{},
 		started:       options.Now(),
-		checkNow:      make(chan struct{}, 1),
+		orphanCheck:   make(chan struct{}, 1),
 	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.tasks.Go(r.watchOrphans)
@@ -64,15 +64,15 @@
 	r.tasks.Wait()
 }
 
-// Linked notes that a link to a gateway of the group has come up. If this gateway knew an earlier incarnation of the peer it
+// LinkUp notes that a link to a gateway of the group has come up. If this gateway knew an earlier incarnation of the peer it
 // says so, before anything else goes over the link: the peer may have forgotten votes.
-func (r *Replicator) Linked(link *peering.Link) {
+func (r *Replicator) LinkUp(link *peering.Link) {
 	r.mu.Lock()
-	was, known := r.lostPeers[link.Peer.Name]
+	lost, known := r.lostPeers[link.Peer.Name]
 	now := r.options.Now()
 	r.mu.Unlock()
-	if known && was.incarnation != link.Peer.Incarnation && now-was.lostAt < r.options.RecoveryWindow() {
-		link.Tell(topicIncarnations, incarnationNotice{now - was.lostAt})
+	if known && lost.incarnation != link.Peer.Incarnation && now-lost.lostAt < r.options.RecoveryWindow() {
+		link.Tell(topicIncarnations, incarnationNotice{now - lost.lostAt})
 	}
 }
 
@@ -91,16 +91,16 @@
 	defer r.mu.Unlock()
 	if !slices.EqualFunc(group, r.lastGroup, Gateway.sameName) {
 		r.lastGroup = group
-		r.groupChanged = r.options.Now()
+		r.groupChangeTime = r.options.Now()
 	}
 	return group
 }
 
-// groupChangedAt is when the group was seen to change last.
-func (r *Replicator) groupChangedAt() time.Duration {
+// lastGroupChange is when the group was seen to change last.
+func (r *Replicator) lastGroupChange() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.groupChanged
+	return r.groupChangeTime
 }
 
 // newBallot returns a ballot of that number that this gateway has not used before.
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -2,20 +2,20 @@
 
 // Counts are of replicated requests since the gateway's start.
 type Counts struct {
-	Taken     int `json:"taken"`    // own requests
-	Alone     int `json:"alone"`    // own requests for which no quorum was reachable
-	Fenced    int `json:"fenced"`   // that another gateway took over while this one carried them
-	Claimed   int `json:"claimed"`  // that this gateway claimed
-	Resumed   int `json:"resumed"`  // of those claimed, carried on
-	Asked     int `json:"asked"`    // queries of clients for an earlier request
-	Found     int `json:"found"`    // of those, that got its outcome
-	Recovered int `json:"recalled"` // recoveries of the votes of an earlier incarnation
+	Taken           int `json:"taken"`    // own requests
+	NoQuorum        int `json:"alone"`    // own requests for which no quorum was reachable
+	Fenced          int `json:"fenced"`   // that another gateway took over while this one carried them
+	Claimed         int `json:"claimed"`  // that this gateway claimed
+	Resumed         int `json:"resumed"`  // of those claimed, carried on
+	Queries         int `json:"asked"`    // queries of clients for an earlier request
+	QueriesAnswered int `json:"found"`    // of those, that got its outcome
+	Recovered       int `json:"recalled"` // recoveries of the votes of an earlier incarnation
 }
 
 // Status is what a replicator does now.
 type Status struct {
 	Counts
-	InHand  int         `json:"in_hand"` // requests that this gateway carries
+	Active  int         `json:"in_hand"` // requests that this gateway carries
 	Replica StoreCounts `json:"voter"`
 }
 
@@ -33,13 +33,13 @@
 	f(&r.counts)
 }
 
-// StoreCounts are of a gateway as a replica. Full and Forgot count since its start.
+// StoreCounts are of a gateway as a replica. NoCapacity and Evicted count since its start.
 type StoreCounts struct {
-	Held   int `json:"held"`   // requests that are stored
-	Open   int `json:"open"`   // of those, undecided
-	Bytes  int `json:"bytes"`  // that they take, about
-	Full   int `json:"full"`   // records for which there was no capacity
-	Forgot int `json:"forgot"` // outcomes that were dropped before their retention, for want of capacity
+	Entries    int `json:"held"`   // requests that are stored
+	Undecided  int `json:"open"`   // of those, undecided
+	Bytes      int `json:"bytes"`  // that they take, about
+	NoCapacity int `json:"full"`   // records for which there was no capacity
+	Evicted    int `json:"forgot"` // outcomes that were dropped before their retention, for want of capacity
 }
 
 // status returns the counts of the store.
@@ -47,11 +47,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts
-	counts.Held = len(s.entries)
+	counts.Entries = len(s.entries)
 	counts.Bytes = s.bytes
-	for _, held := range s.entries {
-		if !held.Decided {
-			counts.Open++
+	for _, entry := range s.entries {
+		if !entry.Decided {
+			counts.Undecided++
 		}
 	}
 	return counts
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -61,44 +61,44 @@
 	return n
 }
 
-// makeSpace makes room for n bytes, by dropping decided entries before their retention is over, the oldest first; what is
+// reserveSpace makes room for n bytes, by dropping decided entries before their retention is over, the oldest first; what is
 // undecided is never dropped. false: there is no capacity. The caller holds mu.
-func (s *store) makeSpace(n int) bool {
+func (s *store) reserveSpace(n int) bool {
 	for s.bytes+n > s.maxBytes {
 		var oldest *replicaEntry
-		for _, held := range s.entries {
-			if held.decidedAt > 0 && (oldest == nil || held.decidedAt < oldest.decidedAt) {
-				oldest = held
+		for _, entry := range s.entries {
+			if entry.decidedAt > 0 && (oldest == nil || entry.decidedAt < oldest.decidedAt) {
+				oldest = entry
 			}
 		}
 		if oldest == nil {
-			s.counts.Full++
+			s.counts.NoCapacity++
 			return false
 		}
 		s.drop(oldest)
-		s.counts.Forgot++
+		s.counts.Evicted++
 	}
 	return true
 }
 
 // drop forgets an entry. The caller holds mu.
-func (s *store) drop(held *replicaEntry) {
-	delete(s.entries, held.Record.Key)
-	s.bytes -= held.size
-	held.notifyChange()
+func (s *store) drop(entry *replicaEntry) {
+	delete(s.entries, entry.Record.Key)
+	s.bytes -= entry.size
+	entry.notifyChange()
 }
 
 // add stores a new entry. The caller holds mu and has made space.
 func (s *store) add(record Record, ballot Ballot) *replicaEntry {
-	held := &replicaEntry{
+	entry := &replicaEntry{
 		Entry:    Entry{Record: record, Promised: ballot},
 		deadline: s.now() + record.TimeLeft,
 		size:     sizeOf(&record),
 		changed:  make(chan struct{}),
 	}
-	s.entries[record.Key] = held
-	s.bytes += held.size
-	return held
+	s.entries[record.Key] = entry
+	s.bytes += entry.size
+	return entry
 }
 
 // notifyChange wakes those who wait for a change of the entry. The caller holds mu.
@@ -111,26 +111,26 @@
 func (s *store) record(record Record, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[record.Key]
-	verdict := MayRecord(held.acceptorState(), &record, ballot)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	entry := s.entries[record.Key]
+	verdict := MayRecord(entry.acceptorState(), &record, ballot)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	if held != nil && held.Record.Generation == record.Generation {
-		return Yes, nil // once more
+	if entry != nil && entry.Record.Generation == record.Generation {
+		return Accepted, nil // once more
 	}
-	if held != nil {
-		s.drop(held)
+	if entry != nil {
+		s.drop(entry)
 	}
-	if !s.makeSpace(sizeOf(&record)) {
-		return Full, nil
+	if !s.reserveSpace(sizeOf(&record)) {
+		return NoCapacity, nil
 	}
 	s.add(record, ballot)
-	return Yes, nil
+	return Accepted, nil
 }
 
-// heardOwner notes that whoever goes by the promised ballot was heard: the request is no orphan.
-func (e *replicaEntry) heardOwner() {
+// markOwnerHeard notes that whoever goes by the promised ballot was heard: the request is no orphan.
+func (e *replicaEntry) markOwnerHeard() {
 	e.ownerLostAt = 0
 	e.relinquished = false
 }
@@ -166,28 +166,28 @@
 func (s *store) intend(key Key, intent Intent) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	verdict := MayIntend(held.acceptorState(), intent.Ballot)
-	if verdict != Yes {
+	entry := s.entries[key]
+	verdict := MayIntend(entry.acceptorState(), intent.Ballot)
+	if verdict != Accepted {
 		return verdict
 	}
-	before := len(held.Intents)
-	held.TakeIntent(intent)
-	if len(held.Intents) > before {
-		held.intendedAt = append(held.intendedAt, s.now()-intent.Age)
+	before := len(entry.Intents)
+	entry.AcceptIntent(intent)
+	if len(entry.Intents) > before {
+		entry.intendedAt = append(entry.intendedAt, s.now()-intent.Age)
 	}
-	held.heardOwner()
-	return Yes
+	entry.markOwnerHeard()
+	return Accepted
 }
 
 // markNotRun notes that an attempt has ended and has not run.
-func (s *store) markNotRun(key Key, ballot Ballot, n int) {
+func (s *store) markNotRun(key Key, ballot Ballot, attempt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil {
-		for i := range held.Intents {
-			if held.Intents[i].Ballot == ballot && held.Intents[i].Attempt == n {
-				held.Intents[i].NotRun = true
+	if entry := s.entries[key]; entry != nil {
+		for i := range entry.Intents {
+			if entry.Intents[i].Ballot == ballot && entry.Intents[i].Attempt == attempt {
+				entry.Intents[i].NotRun = true
 			}
 		}
 	}
@@ -197,26 +197,26 @@
 func (s *store) settle(key Key, outcome Outcome, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	verdict := MaySettle(held.acceptorState(), ballot)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	entry := s.entries[key]
+	verdict := MaySettle(entry.acceptorState(), ballot)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	held.TakeOutcome(outcome, ballot)
-	s.resize(held)
-	held.heardOwner()
-	held.notifyChange()
-	return Yes, nil
+	entry.AcceptOutcome(outcome, ballot)
+	s.resize(entry)
+	entry.markOwnerHeard()
+	entry.notifyChange()
+	return Accepted, nil
 }
 
 // resize counts an entry's bytes anew. The caller holds mu.
-func (s *store) resize(held *replicaEntry) {
-	s.bytes -= held.size
-	held.size = sizeOf(&held.Record)
-	if held.Outcome != nil {
-		held.size += len(held.Outcome.Body)
+func (s *store) resize(entry *replicaEntry) {
+	s.bytes -= entry.size
+	entry.size = sizeOf(&entry.Record)
+	if entry.Outcome != nil {
+		entry.size += len(entry.Outcome.Body)
 	}
-	s.bytes += held.size
+	s.bytes += entry.size
 }
 
 // decide notes that a majority has accepted an outcome of the request of a key and generation, and drops the request's body,
@@ -224,17 +224,17 @@
 func (s *store) decide(key Key, generation uint32, outcome Outcome, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	if held == nil || held.Decided || held.Record.Generation != generation {
+	entry := s.entries[key]
+	if entry == nil || entry.Decided || entry.Record.Generation != generation {
 		return
 	}
-	held.TakeOutcome(outcome, ballot)
-	held.Decided = true
-	held.decidedAt = s.now()
-	held.Record.Body = nil
-	held.Record.Headers = nil
-	s.resize(held)
-	held.notifyChange()
+	entry.AcceptOutcome(outcome, ballot)
+	entry.Decided = true
+	entry.decidedAt = s.now()
+	entry.Record.Body = nil
+	entry.Record.Headers = nil
+	s.resize(entry)
+	entry.notifyChange()
 }
 
 // claim promises a ballot and returns the entry with all that was accepted before, or the entry that stands against it. A
@@ -242,33 +242,33 @@
 func (s *store) claim(record Record, ballot Ballot, alive ownerAlive) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[record.Key]
-	if held != nil && held.Record.Generation < record.Generation {
-		s.drop(held)
-		held = nil
+	entry := s.entries[record.Key]
+	if entry != nil && entry.Record.Generation < record.Generation {
+		s.drop(entry)
+		entry = nil
 	}
-	ownerHeard := held != nil && held.ownerHeard(s.now(), alive)
-	verdict := MayClaim(held.acceptorState(), ballot, ownerHeard)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	ownerHeard := entry != nil && entry.ownerHeard(s.now(), alive)
+	verdict := MayClaim(entry.acceptorState(), ballot, ownerHeard)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	if held == nil {
-		if !s.makeSpace(sizeOf(&record)) {
-			return Full, nil
+	if entry == nil {
+		if !s.reserveSpace(sizeOf(&record)) {
+			return NoCapacity, nil
 		}
-		held = s.add(record, ballot)
+		entry = s.add(record, ballot)
 	}
-	held.Promised = ballot
-	held.heardOwner()
-	return Yes, held.snapshot(s.now())
+	entry.Promised = ballot
+	entry.markOwnerHeard()
+	return Accepted, entry.snapshot(s.now())
 }
 
 // withdraw drops a request whose owner says that no attempt of it was begun, if MayWithdraw allows it.
 func (s *store) withdraw(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil && MayWithdraw(&held.Entry, ballot) {
-		s.drop(held)
+	if entry := s.entries[key]; entry != nil && MayWithdraw(&entry.Entry, ballot) {
+		s.drop(entry)
 	}
 }
 
@@ -276,9 +276,9 @@
 func (s *store) lookup(key Key) (*Entry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	if held == nil {
+	entry := s.entries[key]
+	if entry == nil {
 		return nil, nil
 	}
-	return held.snapshot(s.now()), held.changed
+	return entry.snapshot(s.now()), entry.changed
 }
--- a/internal/replication/store_orphans.go
+++ b/internal/replication/store_orphans.go
@@ -6,36 +6,36 @@
 func (s *store) relinquish(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil && held.Promised == ballot && !held.Decided {
-		held.relinquished = true
+	if entry := s.entries[key]; entry != nil && entry.Promised == ballot && !entry.Decided {
+		entry.relinquished = true
 	}
 }
 
 // orphans returns the keys of the undecided requests that this gateway should claim now, each once until endClaim: their owners
 // have not been heard for as long as ClaimDelay says. open: undecided requests are held. Entries past their retention are dropped.
-func (s *store) orphans(self string, alive ownerAlive) (keys []Key, open bool) {
+func (s *store) orphans(self string, alive ownerAlive) (keys []Key, undecided bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	for key, held := range s.entries {
-		if held.isExpired(now, s.retention) {
-			s.drop(held)
+	for key, entry := range s.entries {
+		if entry.isExpired(now, s.retention) {
+			s.drop(entry)
 			continue
 		}
-		if held.Decided || held.claiming || held.Recovered {
+		if entry.Decided || entry.claiming || entry.Recovered {
 			continue
 		}
-		open = true
-		if held.ownerHeard(now, alive) {
-			held.ownerLostAt = 0
+		undecided = true
+		if entry.ownerHeard(now, alive) {
+			entry.ownerLostAt = 0
 			continue
 		}
-		if held.claimDue(now, self) {
-			held.claiming = true
+		if entry.isClaimDue(now, self) {
+			entry.claiming = true
 			keys = append(keys, key)
 		}
 	}
-	return keys, open
+	return keys, undecided
 }
 
 // isExpired says that nobody asks for the entry any more: retention has passed since it was decided or, undecided, since its
@@ -47,8 +47,8 @@
 	return now-e.deadline > retention
 }
 
-// claimDue says that the owner, which is not heard now, has not been for long enough that this gateway claims the request.
-func (e *replicaEntry) claimDue(now time.Duration, self string) bool {
+// isClaimDue says that the owner, which is not heard now, has not been for long enough that this gateway claims the request.
+func (e *replicaEntry) isClaimDue(now time.Duration, self string) bool {
 	if e.ownerLostAt == 0 {
 		e.ownerLostAt = now
 	}
@@ -63,8 +63,8 @@
 func (s *store) endClaim(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil {
-		held.claiming = false
-		held.ownerLostAt = 0
+	if entry := s.entries[key]; entry != nil {
+		entry.claiming = false
+		entry.ownerLostAt = 0
 	}
 }
--- a/internal/replication/store_recovery.go
+++ b/internal/replication/store_recovery.go
@@ -9,8 +9,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []Key
-	for key, held := range s.entries {
-		if compareKeys(key, after) > 0 && held.mayHaveVote(name) {
+	for key, stored := range s.entries {
+		if compareKeys(key, after) > 0 && stored.mayHaveVote(name) {
 			keys = append(keys, key)
 		}
 	}
@@ -49,26 +49,26 @@
 
 // addRecovered stores a request that an earlier incarnation may have voted for; false: there is no capacity. The entry makes its
 // key known and is no vote: this incarnation is not among the record's replicas.
-func (s *store) addRecovered(entry Entry) bool {
+func (s *store) addRecovered(recovered Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[entry.Record.Key]
-	if held != nil && (!held.Recovered || held.Record.Generation >= entry.Record.Generation) {
+	existing := s.entries[recovered.Record.Key]
+	if existing != nil && (!existing.Recovered || existing.Record.Generation >= recovered.Record.Generation) {
 		return true // what this incarnation has voted for stays
 	}
-	if !s.makeSpace(sizeOf(&entry.Record)) {
+	if !s.reserveSpace(sizeOf(&recovered.Record)) {
 		return false
 	}
 	// To make space may have dropped the entry that was held.
-	if held := s.entries[entry.Record.Key]; held != nil {
-		s.drop(held)
+	if existing := s.entries[recovered.Record.Key]; existing != nil {
+		s.drop(existing)
 	}
-	held = s.add(entry.Record, entry.Promised)
-	held.Entry = entry
-	held.Recovered = true
-	if entry.Decided {
-		held.decidedAt = s.now()
+	existing = s.add(recovered.Record, recovered.Promised)
+	existing.Entry = recovered
+	existing.Recovered = true
+	if recovered.Decided {
+		existing.decidedAt = s.now()
 	}
-	s.resize(held)
+	s.resize(existing)
 	return true
 }
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -26,19 +26,19 @@
 		now += time.Second
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if verdict := take(id, 2000); verdict != Yes {
+		if verdict := take(id, 2000); verdict != Accepted {
 			t.Fatalf("%s: %v", id, verdict)
 		}
 	}
-	if verdict := take("too much", 5000); verdict != Full {
+	if verdict := take("too much", 5000); verdict != NoCapacity {
 		t.Errorf("a fourth, with nothing to forget: %v", verdict)
 	}
 	settle("b")
 	settle("a")
-	if verdict := take("d", 4000); verdict != Yes {
+	if verdict := take("d", 4000); verdict != Accepted {
 		t.Errorf("with bodies of two that are decided dropped: %v", verdict)
 	}
-	if verdict := take("e", 1500); verdict != Yes {
+	if verdict := take("e", 1500); verdict != Accepted {
 		t.Errorf("with an outcome to drop: %v", verdict)
 	}
 	held := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
@@ -52,7 +52,7 @@
 	}
 	now += 2 * time.Minute
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
-	if c := s.status(); c.Held != 0 || c.Bytes != 0 {
+	if c := s.status(); c.Entries != 0 || c.Bytes != 0 {
 		t.Errorf("long after all deadlines: %+v", c)
 	}
 }
@@ -96,17 +96,17 @@
 
 // A gateway that restarted, and is told so by a peer that knew its earlier incarnation, takes no key while repeats of before may come; what
 // has no key it takes.
-func TestReplicaWithoutStateVotesOnNoKey(t *testing.T) {
-	var at atomic.Int64
-	at.Store(int64(time.Hour))
-	r := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: linksOf{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
-		RecoveryWindow: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(at.Load()) }})
+func TestRestartedReplicaRejectsKeyedRecords(t *testing.T) {
+	var now atomic.Int64
+	now.Store(int64(time.Hour))
+	r := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: hubLinks{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
+		RecoveryWindow: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(now.Load()) }})
 	defer r.Close()
-	ask := func(key string) Verdict {
-		record := Record{Key: Key{"log", fmt.Sprint(at.Load(), key)}, ID: "x", IdempotencyKey: key, TimeLeft: time.Second}
+	recordKey := func(key string) Verdict {
+		record := Record{Key: Key{"log", fmt.Sprint(now.Load(), key)}, ID: "x", IdempotencyKey: key, TimeLeft: time.Second}
 		return r.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
 	}
-	if verdict := ask("k"); verdict != Yes {
+	if verdict := recordKey("k"); verdict != Accepted {
 		t.Errorf("before any peer said so: %v", verdict)
 	}
 	body, err := peering.Encode(incarnationNotice{Ago: 2 * time.Second})
@@ -114,14 +114,14 @@
 		t.Fatal(err)
 	}
 	r.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
-	if verdict := ask("k"); verdict != OtherIncarnation {
+	if verdict := recordKey("k"); verdict != OtherIncarnation {
 		t.Errorf("2 s after its earlier incarnation: %v", verdict)
 	}
-	if verdict := ask(""); verdict != Yes {
+	if verdict := recordKey(""); verdict != Accepted {
 		t.Errorf("a request without a key: %v", verdict)
 	}
-	at.Add(int64(3*time.Second + 1))
-	if verdict := ask("k"); verdict != Yes {
+	now.Add(int64(3*time.Second + 1))
+	if verdict := recordKey("k"); verdict != Accepted {
 		t.Errorf("once no repeat can come: %v", verdict)
 	}
 }
@@ -145,7 +145,7 @@
 	for i := range 5 {
 		id := fmt.Sprint("k", i)
 		verdict, _ := s.record(keyedRecord(id, id), ballot)
-		if verdict != Yes || s.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Yes {
+		if verdict != Accepted || s.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Accepted {
 			t.Fatal(verdict)
 		}
 	}
@@ -212,10 +212,10 @@
 		{"k0", 0, Duplicate},
 		{"k1", 0, Duplicate},
 		{"k2", 0, Duplicate},
-		{"k0", 1, Yes},
+		{"k0", 1, Accepted},
 		{"k1", 1, Duplicate},
 		{"k4", 1, Duplicate},
-		{"elsewhere", 0, Yes},
+		{"elsewhere", 0, Accepted},
 	} {
 		record := keyedRecord(c.id, c.id)
 		record.ID = "another request"
@@ -255,11 +255,11 @@
 	rejected := Outcome{Kind: Rejected, NotRun: true}
 	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
 	s.settle(key, rejected, first)
-	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Yes {
+	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Accepted {
 		t.Fatalf("a key whose request was rejected is used anew: %v", verdict)
 	}
 	s.decide(key, 0, rejected, successor)
-	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Yes {
+	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Accepted {
 		t.Errorf("an attempt of the next request, once the first is decided to be rejected: %v", verdict)
 	}
 	s.decide(key, 1, Outcome{Kind: Served}, next)
--- a/internal/replication/successor.go
+++ b/internal/replication/successor.go
@@ -13,11 +13,11 @@
 // accepted before is missing.
 func Merge(entries []Entry) (record Record, intents []Intent, outcome *Outcome) {
 	intents = mergeIntents(entries)
-	lastIntended := ""
+	lastIntentID := ""
 	if len(intents) > 0 {
-		lastIntended = intents[len(intents)-1].ID
+		lastIntentID = intents[len(intents)-1].ID
 	}
-	return mergeRecords(entries, lastIntended), intents, highestOutcome(entries)
+	return mergeRecords(entries, lastIntentID), intents, highestOutcome(entries)
 }
 
 // mergeIntents are all intents of the entries by ballot and attempt. An attempt that one of them knows not to have run has not.
@@ -58,7 +58,7 @@
 
 // mergeRecords is the record that a successor goes on with. Where two gateways were given one key at once, replicas may hold two
 // records: the one that the last intent was for is the request's.
-func mergeRecords(entries []Entry, lastIntended string) Record {
+func mergeRecords(entries []Entry, lastIntentID string) Record {
 	var merged Record
 	for i, entry := range entries {
 		if i == 0 {
@@ -66,7 +66,7 @@
 			continue
 		}
 		timeLeft := merged.TimeLeft
-		if replaces(&entry.Record, &merged, lastIntended) {
+		if precedes(&entry.Record, &merged, lastIntentID) {
 			merged = entry.Record
 		}
 		if entry.Record.Generation == merged.Generation {
@@ -76,15 +76,15 @@
 	return merged
 }
 
-// replaces says whether one record of a key goes before another: by its generation, else by the last intent, else by its id, so
+// precedes says whether one record of a key goes before another: by its generation, else by the last intent, else by its id, so
 // that all successors choose alike.
-func replaces(record, other *Record, lastIntended string) bool {
+func precedes(record, other *Record, lastIntentID string) bool {
 	switch {
 	case record.Generation != other.Generation:
 		return record.Generation > other.Generation
-	case other.ID == lastIntended:
+	case other.ID == lastIntentID:
 		return false
-	case record.ID == lastIntended:
+	case record.ID == lastIntentID:
 		return true
 	}
 	return record.ID < other.ID
@@ -106,10 +106,10 @@
 // String is the step in the words of the design page.
 func (s Step) String() string { return steps[min(int(s), len(steps)-1)] }
 
-// Next is what a successor does first, by the effect of the request's class, the intents that a majority knows of and the time
+// NextStep is what a successor does first, by the effect of the request's class, the intents that a majority knows of and the time
 // left until its client's deadline. It sends a request again only where that is harmless: what is unsafe and may have run fails,
 // or is asked for at the partner that may run it. partner says whether a pool is a partner's.
-func Next(effect balancer.Effect, intents []Intent, timeLeft time.Duration, partner func(pool string) bool) Step {
+func NextStep(effect balancer.Effect, intents []Intent, timeLeft time.Duration, partner func(pool string) bool) Step {
 	mayHaveRun := slices.DeleteFunc(slices.Clone(intents), func(intent Intent) bool { return intent.NotRun })
 	switch {
 	case timeLeft <= 0:
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -11,7 +11,7 @@
 // CheckOrphans has watchOrphans look at once, for a link has ended.
 func (r *Replicator) CheckOrphans() {
 	select {
-	case r.checkNow <- struct{}{}:
+	case r.orphanCheck <- struct{}{}:
 	default:
 	}
 }
@@ -25,16 +25,16 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.checkNow:
+		case <-r.orphanCheck:
 		case <-timer.C:
 		}
 		r.observeGroup()
-		orphans, open := r.store.orphans(r.options.Self.Name, r.ownerAlive)
+		orphans, undecided := r.store.orphans(r.options.Self.Name, r.ownerAlive)
 		for _, key := range orphans {
 			r.tasks.Go(func() { r.takeOver(key) })
 		}
 		interval := idleCheckInterval
-		if open {
+		if undecided {
 			interval = orphanCheckInterval
 		}
 		timer.Reset(interval)
@@ -60,22 +60,22 @@
 	fault.Point("custody.claimed")
 	merged, intents, outcome := Merge(promises)
 	merged.Replicas = record.Replicas
-	w, err := r.register(ctx, merged, ballot, intents)
+	work, err := r.register(ctx, merged, ballot, intents)
 	if err != nil {
 		return
 	}
 	r.options.Log.Info("request is taken over", "class", merged.Key.Class, "id", merged.ID, "from", entry.Promised.Owner,
 		"intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
-		err := w.settle(ctx, *outcome)
-		w.unregister()
+		err := work.settle(ctx, *outcome)
+		work.unregister()
 		if err != nil {
 			clock.Sleep(ctx, claimRetryDelay)
 		}
 		return
 	}
 	r.count(func(n *Counts) { n.Resumed++ })
-	w.run(ctx)
+	work.run(ctx)
 }
 
 // prepare is the first phase of Paxos: it has the replicas of a request promise a ballot, and returns the entries of a majority
@@ -107,17 +107,17 @@
 	if ballot.Owner == r.options.Self.Name {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		w := r.active[entry.Record.Key]
-		return ballot.Incarnation == r.options.Self.Incarnation && w != nil && w.ballot == ballot && !w.isFenced()
+		work := r.active[entry.Record.Key]
+		return ballot.Incarnation == r.options.Self.Incarnation && work != nil && work.ballot == ballot && !work.isFenced()
 	}
 	link := r.linkTo(Gateway{Name: ballot.Owner, Incarnation: ballot.Incarnation})
 	if link == nil {
 		return false
 	}
-	quiet := link.Quiet()
-	if quiet < 2*r.options.Heartbeat {
+	silence := link.Quiet()
+	if silence < 2*r.options.Heartbeat {
 		return true // whatever the request, it is soon enough
 	}
-	step := r.options.Step(&entry.Record, entry.Intents, timeLeft)
-	return quiet < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
+	step := r.options.NextStep(&entry.Record, entry.Intents, timeLeft)
+	return silence < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
 }
--- a/internal/replication/tally.go
+++ b/internal/replication/tally.go
@@ -10,13 +10,13 @@
 
 // tally counts what gateways have replied to a query for one request.
 type tally struct {
-	replicas   []Gateway    // that the request would have now
-	unknown    int          // of those replicas, that hold nothing of it
-	votes      map[vote]int // replicas that have accepted an outcome
-	undecided  bool         // a gateway holds it, undecided
-	forgotten  bool         // a gateway restarted since, and has only recovered its key
-	silent     bool         // a gateway has not replied
-	generation uint32       // of the latest request of its key
+	replicas      []Gateway    // that the request would have now
+	unknown       int          // of those replicas, that hold nothing of it
+	votes         map[vote]int // replicas that have accepted an outcome
+	undecided     bool         // a gateway holds it, undecided
+	recoveredOnly bool         // a gateway restarted since, and has only recovered its key
+	missingReply  bool         // a gateway has not replied
+	generation    uint32       // of the latest request of its key
 }
 
 // vote is for the outcome that was proposed by a ballot.
@@ -33,7 +33,7 @@
 // add counts one reply. It returns the entry whose outcome is decided by that, if one is.
 func (t *tally) add(reply groupReply) *Entry {
 	if reply.reply == nil {
-		t.silent = true
+		t.missingReply = true
 		return nil
 	}
 	entry := reply.reply.Entry
@@ -48,7 +48,7 @@
 	}
 	t.generation = max(t.generation, entry.Record.Generation)
 	if entry.Recovered {
-		t.forgotten = true
+		t.recoveredOnly = true
 		return nil
 	}
 	t.undecided = true
@@ -71,12 +71,12 @@
 	switch {
 	case t.undecided:
 		return ErrUndecided
-	case t.forgotten && !t.silent:
-		return ErrForgotten
-	case !t.forgotten && (len(t.replicas) == 0 || t.isUnknown()):
+	case t.recoveredOnly && !t.missingReply:
+		return ErrOutcomeLost
+	case !t.recoveredOnly && (len(t.replicas) == 0 || t.isUnknown()):
 		return ErrUnknown
-	case !t.forgotten:
-		return ErrNoAnswer
+	case !t.recoveredOnly:
+		return ErrKeyUnchecked
 	}
 	return ErrUndecided
 }
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -12,13 +12,13 @@
 // Work is a request that this gateway carries, by one ballot. It is fenced once the ballot is superseded: from then on it begins
 // no attempt and settles nothing.
 type Work struct {
-	replicator   *Replicator
-	record       Record
-	ballot       Ballot
-	priorIntents []Intent      // of earlier owners
-	deadline     time.Duration // of the client, by Options.Now
-	serveAlone   bool          // the outcome counts though no quorum accepted it
-	fenced       chan struct{} // closed with fenceErr
+	replicator         *Replicator
+	record             Record
+	ballot             Ballot
+	priorIntents       []Intent      // of earlier owners
+	deadline           time.Duration // of the client, by Options.Now
+	serveWithoutQuorum bool          // the outcome counts though no quorum accepted it
+	fenced             chan struct{} // closed with fenceErr
 
 	mu         sync.Mutex
 	fenceErr   error // why it is fenced; nil: it is not
@@ -27,9 +27,9 @@
 	rejected   int   // and that have no capacity or have restarted
 }
 
-// register makes a request the work of this gateway. ErrDuplicate: it carries one of that key already. ErrAlone: it shuts down.
+// register makes a request the work of this gateway. ErrDuplicate: it carries one of that key already. ErrNoQuorum: it shuts down.
 func (r *Replicator) register(ctx context.Context, record Record, ballot Ballot, priorIntents []Intent) (*Work, error) {
-	w := &Work{
+	work := &Work{
 		replicator:   r,
 		record:       record,
 		ballot:       ballot,
@@ -43,10 +43,10 @@
 		return nil, ErrDuplicate
 	}
 	if r.ctx.Err() != nil || r.draining && ballot.Number == 1 {
-		return nil, ErrAlone
+		return nil, ErrNoQuorum
 	}
-	r.active[record.Key] = w
-	return w, nil
+	r.active[record.Key] = work
+	return work, nil
 }
 
 // unregister ends the work: the gateway carries the request no more.
@@ -59,11 +59,11 @@
 }
 
 // fence ends the right of this gateway to begin attempts of the request. The first reason stands.
-func (w *Work) fence(why error) {
+func (w *Work) fence(reason error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fenceErr == nil {
-		w.fenceErr = why
+		w.fenceErr = reason
 		close(w.fenced)
 	}
 }
@@ -73,24 +73,24 @@
 	quorum := Majority(len(w.record.Replicas))
 	w.mu.Lock()
 	switch reply.Verdict {
-	case Yes:
+	case Accepted:
 		w.accepted++
 		if w.accepted == quorum {
 			defer fault.Point("custody.recorded")
 		}
-	case Duplicate, Higher:
+	case Duplicate, HigherBallot:
 		w.duplicates++
-	case Full, OtherIncarnation, Unknown:
+	case NoCapacity, OtherIncarnation, UnknownRequest:
 		w.rejected++
 	}
 	impossible := w.duplicates+w.rejected > len(w.record.Replicas)-quorum
-	why := ErrFull
+	reason := ErrNoCapacity
 	if w.duplicates > 0 {
-		why = ErrDuplicate
+		reason = ErrDuplicate
 	}
 	w.mu.Unlock()
 	if impossible {
-		w.fence(why)
+		w.fence(reason)
 	}
 }
 
@@ -101,7 +101,7 @@
 	return w.fenceErr
 }
 
-// run carries the request out and settles its outcome, the same for an owner and a successor. The first error of Take stands
+// run carries the request out and settles its outcome, the same for an owner and a successor. The first error of Execute stands
 // for what it returns.
 func (w *Work) run(ctx context.Context) (Outcome, error) {
 	defer w.unregister()
@@ -122,12 +122,12 @@
 	if err == nil {
 		return outcome, nil
 	}
-	if errors.Is(err, ErrFull) || errors.Is(err, ErrDuplicate) && w.ballot.Number == 1 {
+	if errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrDuplicate) && w.ballot.Number == 1 {
 		w.withdraw()
 	}
 	w.relinquish()
-	if outcome.Live != nil {
-		outcome.Live.Discard()
+	if outcome.Response != nil {
+		outcome.Response.Discard()
 	}
 	return Outcome{}, err
 }
@@ -146,14 +146,14 @@
 
 // notifyAll sends a notice on the request to all its replicas without waiting; own applies it to this gateway's store, if it is
 // a replica.
-func (w *Work) notifyAll(topic string, n int, own func(*store)) {
+func (w *Work) notifyAll(topic string, attempt int, applyLocal func(*store)) {
 	for _, replica := range w.record.Replicas {
 		if replica.Name == w.replicator.options.Self.Name {
-			own(w.replicator.store)
+			applyLocal(w.replicator.store)
 			continue
 		}
 		if link := w.replicator.linkTo(replica); link != nil {
-			link.Tell(topic, ownerNotice{w.record.Key, w.ballot, n})
+			link.Tell(topic, ownerNotice{w.record.Key, w.ballot, attempt})
 		}
 	}
 }
@@ -223,16 +223,16 @@
 	}
 }
 
-// AttemptNotRun notifies replicas that an attempt has ended and has not run. Nothing depends on whether they hear it; a
+// NotifyNotRun notifies replicas that an attempt has ended and has not run. Nothing depends on whether they hear it; a
 // successor that knows it may send the request again.
-func (w *Work) AttemptNotRun(n int) {
-	w.notifyAll(topicEnded, n, func(s *store) { s.markNotRun(w.record.Key, w.ballot, n) })
+func (w *Work) NotifyNotRun(attempt int) {
+	w.notifyAll(topicEnded, attempt, func(s *store) { s.markNotRun(w.record.Key, w.ballot, attempt) })
 }
 
 // settle has a majority of the replicas accept the outcome, and then notifies all of them that it is decided. ErrDuplicate: the
 // ballot is superseded. ErrUndecided: no quorum has replied.
 func (w *Work) settle(ctx context.Context, outcome Outcome) error {
-	outcome.Live = nil
+	outcome.Response = nil
 	quorumCtx, cancel := context.WithTimeout(ctx, max(min(quorumTimeout, w.TimeLeft()), claimRetryDelay))
 	defer cancel()
 	decision := settleRequest{Key: w.record.Key, Generation: w.record.Generation, Outcome: outcome, Ballot: w.ballot}
@@ -250,7 +250,7 @@
 		w.fence(ErrDuplicate)
 		w.replicator.count(func(n *Counts) { n.Fenced++ })
 		return ErrDuplicate
-	case w.serveAlone:
+	case w.serveWithoutQuorum:
 		return nil // what this gives up is said with when_alone
 	}
 	return ErrUndecided
