--- a/internal/replication/acceptor.go
+++ b/internal/replication/acceptor.go
@@ -2,38 +2,40 @@
 
 import "slices"
 
-// The rules of a replica as an acceptor (Lamport 2001, phases 1b and 2b), with an Entry for its state. Two invariants hold at each
-// replica, and with the majorities that Work and Replicator ask for they make up what the package promises:
+// This file holds the rules of a replica as an acceptor (Lamport 2001, phases 1b and 2b). An Entry is the acceptor's state. Two
+// invariants hold at each replica; together with the majorities that Work and Replicator require they imply the guarantees of the
+// package:
 //
-//   - Promised only rises: nothing is accepted by a ballot below it.
-//   - A first ballot, for which nobody asked a majority, is accepted only where the record came with that ballot.
+//   - Promised only increases: a replica accepts nothing with a ballot below it.
+//   - A first ballot, which had no prepare phase, is accepted only by replicas that accepted the record with that ballot.
 
 // Verdict is a replica's reply to a record, an intent, an outcome or a claim.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Accepted         Verdict = iota + 1 // accepted or, to a claim, promised
-	HigherBallot                        // a higher ballot was promised
-	Duplicate                           // another request has this key, or the request's outcome is decided
-	OwnerAlive                          // the request's owner is heard here
-	UnknownRequest                      // this replica has accepted no such record
-	NoCapacity                          // there is no capacity
-	OtherIncarnation                    // the replica is of another incarnation: it may have forgotten what it had accepted
+	Accepted         Verdict = iota + 1 // accepted; for a claim: promised
+	HigherBallot                        // the replica has promised a higher ballot
+	Duplicate                           // another request has the key, or the outcome of the request is decided
+	OwnerAlive                          // the replica considers the owner of the request alive
+	UnknownRequest                      // the replica has accepted no such record
+	NoCapacity                          // the replica has no capacity
+	OtherIncarnation                    // the replica has restarted and may have forgotten what it had accepted
 )
 
 var verdicts = [...]string{"", "yes", "higher", "duplicate", "owner alive", "unknown", "full", "other incarnation"}
 
-// String is the verdict in the words of the design page.
+// String returns the verdict as the tables of the design page spell it.
 func (v Verdict) String() string { return verdicts[min(int(v), len(verdicts)-1)] }
 
-// MayRecord says whether a replica with this entry of the key (nil: none) accepts a record by its owner's ballot.
+// MayRecord returns the verdict on a record that its owner sends with its first ballot. entry is what the replica holds for the
+// key; nil: nothing.
 func MayRecord(entry *Entry, record *Record, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
 		return Accepted
 	case record.Generation > entry.Record.Generation && entry.Outcome != nil && entry.Outcome.Kind == Rejected:
-		return Accepted // a key whose request was rejected may be used anew
+		return Accepted // a key can be reused after its request was rejected
 	case record.Generation != entry.Record.Generation || record.Owner != entry.Record.Owner || record.ID != entry.Record.ID:
 		return Duplicate
 	case ballot.Compare(entry.Promised) < 0:
@@ -42,18 +44,18 @@
 	return Accepted
 }
 
-// ballotVerdict says whether a replica accepts by a ballot now.
+// ballotVerdict returns the verdict on an intent or outcome by its ballot alone.
 func ballotVerdict(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case ballot.Compare(entry.Promised) < 0:
 		return HigherBallot
 	case ballot.Number == 1 && ballot != entry.Promised:
-		return Duplicate // another owner's: a first ballot is promised only by accepting its record
+		return Duplicate // another owner's ballot: a first ballot is promised only by accepting its record
 	}
 	return Accepted
 }
 
-// MayIntend says whether a replica accepts an intent by a ballot.
+// MayIntend returns the verdict on an intent with the given ballot.
 func MayIntend(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
@@ -64,7 +66,7 @@
 	return ballotVerdict(entry, ballot)
 }
 
-// MaySettle says whether a replica accepts an outcome by a ballot. One that is decided stays.
+// MaySettle returns the verdict on an outcome with the given ballot. A decided outcome is never replaced.
 func MaySettle(entry *Entry, ballot Ballot) Verdict {
 	switch {
 	case entry == nil:
@@ -75,12 +77,12 @@
 	return ballotVerdict(entry, ballot)
 }
 
-// MayClaim says whether a replica promises a ballot. ownerHeard: the owner has a link to this replica, and has not given the
-// request up.
+// MayClaim returns the verdict on a claim: whether the replica promises the ballot. ownerHeard reports that the owner has a live
+// link to this replica and has not relinquished the request.
 func MayClaim(entry *Entry, ballot Ballot, ownerHeard bool) Verdict {
 	switch {
 	case entry == nil:
-		return Accepted // it surely has accepted nothing of this request
+		return Accepted // the replica has accepted nothing for this request
 	case entry.Decided:
 		return Duplicate
 	case ballot.Compare(entry.Promised) <= 0:
@@ -91,8 +93,8 @@
 	return Accepted
 }
 
-// MayWithdraw says whether a replica drops a request whose owner, by its first ballot, says that no attempt of it was begun. An
-// intent that was accepted comes before that notice, for both go over one link.
+// MayWithdraw reports whether a replica drops a request whose owner withdraws it by its first ballot, having begun no attempt. An
+// accepted intent always arrives before the withdrawal, because both use the same link.
 func MayWithdraw(entry *Entry, ballot Ballot) bool {
 	if entry == nil || entry.Recovered {
 		return false
@@ -103,7 +105,7 @@
 	return len(entry.Intents) == 0 && entry.Outcome == nil
 }
 
-// AcceptIntent accepts an intent that MayIntend allows. One that is sent again replaces itself.
+// AcceptIntent stores an intent that MayIntend has accepted. A retransmitted intent replaces the earlier copy.
 func (e *Entry) AcceptIntent(intent Intent) {
 	e.Promised = intent.Ballot
 	i := slices.IndexFunc(e.Intents, intent.sameAttempt)
@@ -114,7 +116,7 @@
 	e.Intents[i] = intent
 }
 
-// AcceptOutcome accepts an outcome that MaySettle allows.
+// AcceptOutcome stores an outcome that MaySettle has accepted.
 func (e *Entry) AcceptOutcome(outcome Outcome, ballot Ballot) {
 	e.Promised = ballot
 	e.AcceptedBy = ballot
--- a/internal/replication/await.go
+++ b/internal/replication/await.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/clock"
 )
 
-// Await returns the outcome of a request that was taken before, at whichever gateway, and waits for it until ctx ends.
-// generation says which request of its key it was (Record.Generation). Errors: ErrUnknown, ErrOutcomeLost, ErrUndecided.
+// Await waits until ctx ends for the outcome of a request that was submitted before, at any gateway, and returns it. generation
+// identifies the request among those of its key (Record.Generation). The error is ErrUnknown, ErrOutcomeLost or ErrUndecided.
 func (r *Replicator) Await(ctx context.Context, key Key) (outcome Outcome, generation uint32, err error) {
 	r.count(func(n *Counts) { n.Queries++ })
 	for {
@@ -27,10 +27,10 @@
 	}
 }
 
-// queryGroup asks all gateways of the group once for the outcome of a request. An outcome is returned that one of them knows to
-// be decided, or that a majority of the request's replicas has accepted by one ballot. ErrUnknown is returned once a majority
-// of those who would be its replicas now hold nothing of it, and the others have replied too or stragglerTimeout is over: a
-// slow gateway must not cost each request of a key its time.
+// queryGroup queries all gateways of the group once for the outcome of a request. It returns an outcome that one of them knows to
+// be decided or that a majority of the replicas of the request has accepted with one ballot. It returns ErrUnknown once a
+// majority of the current replicas of the key hold nothing for it and either all other gateways have replied or, with a zero
+// timeout, stragglerTimeout has passed: a slow gateway must not delay every request of a key.
 func (r *Replicator) queryGroup(ctx context.Context, key Key, timeout time.Duration) (outcome Outcome, generation uint32, err error) {
 	quorumCtx, cancel := context.WithTimeout(ctx, timeout+quorumTimeout)
 	defer cancel()
@@ -55,7 +55,8 @@
 	return Outcome{}, votes.generation, votes.err()
 }
 
-// pollGroup sends a query to all gateways of the group, this one among them. As many replies come as were asked for.
+// pollGroup sends a query to all gateways of the group, including this one. incoming receives exactly asked replies; one from an
+// unreachable gateway is nil.
 func (r *Replicator) pollGroup(ctx context.Context, key Key, timeout time.Duration) (incoming <-chan groupReply, asked int) {
 	links := r.options.Links.All()
 	replies := make(chan groupReply, len(links)+1)
@@ -78,7 +79,7 @@
 	return replies, len(links) + 1
 }
 
-// MayHold says that a gateway holds a request of the key, or that none could tell.
+// MayHold reports whether a gateway holds a request of the key, or whether that could not be determined.
 func (r *Replicator) MayHold(ctx context.Context, key Key) bool {
 	_, _, err := r.queryGroup(ctx, key, 0)
 	return !errors.Is(err, ErrUnknown)
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkTake is a request replicated from its taking to its answer, whose one attempt takes no time, by groups over loopback;
-// "without" is the same attempt without replicas.
+// BenchmarkTake measures the execution of a replicated request, from Execute to its outcome, in groups connected over loopback.
+// The attempt itself takes no time. "without" is the same attempt without replicas.
 func BenchmarkTake(b *testing.B) {
 	served := Outcome{Kind: Served, Body: make([]byte, 200)}
 	run := func(ctx context.Context, _ *Record, _ []Intent, w *Work) Outcome {
@@ -31,7 +31,7 @@
 			for i := range b.N {
 				record := Record{Key: Key{"note", fmt.Sprint(i)}, ID: fmt.Sprint(i), Method: "POST", Target: "/note/x", Body: body, TimeLeft: time.Minute}
 				if outcome, err := owner.Execute(context.Background(), record, false, 0); err != nil || outcome.Kind != Served {
-					b.Fatalf("%+v, %v", outcome, err)
+					b.Fatalf("Execute returned %+v, %v", outcome, err)
 				}
 			}
 		})
--- a/internal/replication/conformance_test.go
+++ b/internal/replication/conformance_test.go
@@ -12,24 +12,24 @@
 
 const designPage = "../../docs/design/custody.md"
 
-// parseBallot reads "of A" or "2 by B"; A' is A's next request of the key.
+// parseBallot parses "of A" (the first ballot of A) or "2 by B"; A' is the next request of A for the key.
 func parseBallot(words string) (Ballot, error) {
 	var ballot Ballot
 	if by, ok := strings.CutPrefix(words, "of "); ok {
 		ballot = Ballot{Number: 1, Owner: by}
 	} else if _, err := fmt.Sscanf(words, "%d by %s", &ballot.Number, &ballot.Owner); err != nil {
-		return ballot, fmt.Errorf("%q is no ballot", words)
+		return ballot, fmt.Errorf("invalid ballot %q", words)
 	}
 	ballot.Sequence = uint64(strings.Count(ballot.Owner, "'"))
 	ballot.Owner = strings.TrimSuffix(ballot.Owner, "'")
 	if len(ballot.Owner) != 1 {
-		return ballot, fmt.Errorf("%q names nobody", words)
+		return ballot, fmt.Errorf("invalid ballot %q: owner is not a single letter", words)
 	}
 	ballot.Incarnation = uint64(ballot.Owner[0])
 	return ballot, nil
 }
 
-// recordForBallot is the record that came with an owner's first ballot.
+// recordForBallot returns the record that an owner sends with its first ballot.
 func recordForBallot(ballot Ballot) Record {
 	return Record{
 		Key:   Key{"note", "k"},
@@ -40,7 +40,7 @@
 
 var kindNames = map[string]Kind{"served": Served, "rejected": Rejected, "failed": Failed}
 
-// parseEntry reads the state of a replica.
+// parseEntry parses the state of a replica.
 func parseEntry(words string) (*Entry, error) {
 	if words == "nothing" {
 		return nil, nil
@@ -49,7 +49,7 @@
 	for _, part := range strings.Split(words, ", ") {
 		verb, rest, _ := strings.Cut(part, " ")
 		if entry == nil && verb != "record" {
-			return nil, fmt.Errorf("%q comes before a record", part)
+			return nil, fmt.Errorf("%q precedes the record of the entry", part)
 		}
 		switch verb {
 		case "record":
@@ -81,13 +81,13 @@
 				}
 			}
 			if kindNames[kind] == 0 {
-				return nil, fmt.Errorf("%q is no outcome", kind)
+				return nil, fmt.Errorf("unknown outcome %q", kind)
 			}
 			entry.AcceptOutcome(Outcome{Kind: kindNames[kind]}, ballot)
 		case "decided":
 			entry.Decided = true
 		default:
-			return nil, fmt.Errorf("%q is nothing that a replica holds", part)
+			return nil, fmt.Errorf("unknown part of a replica's state %q", part)
 		}
 	}
 	return entry, nil
@@ -129,24 +129,24 @@
 				got = Accepted
 			}
 		default:
-			t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, event)
+			t.Errorf("%s:%d: unknown event %q", designPage, row.Line, event)
 			continue
 		}
 		if got.String() != row.At("outcome") {
-			t.Errorf("%s:%d: given %s, %s: %v", designPage, row.Line, row.At("given"), row.At("event"), got)
+			t.Errorf("%s:%d: given %s, %s: got %v, which is not the outcome of the row", designPage, row.Line, row.At("given"), row.At("event"), got)
 		}
 	}
 }
 
 var effectNames = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 
-// nextStepForRow is what a successor does by a row's effect, intents and time left.
+// nextStepForRow returns the step of a successor for the effect, intents and time left of a row, and that time.
 func nextStepForRow(t *testing.T, row spectest.Row) (Step, time.Duration) {
 	t.Helper()
 	effect, ok := effectNames[row.At("effect")]
 	left, err := time.ParseDuration(row.At("time left"))
 	if !ok || err != nil {
-		t.Fatalf("%s:%d: effect or time: %v", designPage, row.Line, err)
+		t.Fatalf("%s:%d: unknown effect or invalid time left: %v", designPage, row.Line, err)
 	}
 	var intents []Intent
 	for i, part := range strings.Split(row.At("intents"), ", ") {
@@ -154,7 +154,7 @@
 		if pool == "own" || pool == "partner" {
 			intents = append(intents, Intent{Attempt: i, Pool: pool, NotRun: notRun})
 		} else if part != "none" {
-			t.Errorf("%s:%d: nobody plays the intent %q", designPage, row.Line, part)
+			t.Errorf("%s:%d: unknown intent %q", designPage, row.Line, part)
 		}
 	}
 	return NextStep(effect, intents, left, func(pool string) bool { return pool == "partner" }), left
@@ -163,7 +163,7 @@
 func TestNextStep(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "What a successor does") {
 		if got, _ := nextStepForRow(t, row); got.String() != row.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, row.Line, got)
+			t.Errorf("%s:%d: got %v, which is not the outcome of the row", designPage, row.Line, got)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 			t.Fatalf("%s:%d: %v", designPage, row.Line, err)
 		}
 		if got := SuspectAfter(250*time.Millisecond, rtt, time.Second, left, Servable(step)); got.String() != row.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, row.Line, got)
+			t.Errorf("%s:%d: got %v, which is not the outcome of the row", designPage, row.Line, got)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		for _, words := range strings.Split(row.At("replicas"), "; ") {
 			entry, err := parseEntry(words)
 			if err != nil || entry == nil {
-				t.Fatalf("%s:%d: %v", designPage, row.Line, err)
+				t.Fatalf("%s:%d: invalid replica state: %v", designPage, row.Line, err)
 			}
 			entries = append(entries, *entry)
 		}
@@ -207,7 +207,7 @@
 			}
 		}
 		if got := strings.Join(gotIntents, ", "); got != row.At("intents") || kind != row.At("outcome") {
-			t.Errorf("%s:%d: %q, %q", designPage, row.Line, got, kind)
+			t.Errorf("%s:%d: got intents %q and outcome %q, which are not those of the row", designPage, row.Line, got, kind)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 			}
 			name, recent, ok := strings.Cut(part, " saw ")
 			if !ok {
-				t.Errorf("%s:%d: nobody plays %q", designPage, row.Line, part)
+				t.Errorf("%s:%d: unknown reply %q", designPage, row.Line, part)
 			}
 			name, recovering := strings.CutSuffix(name, " forgot and")
 			recoveries[strings.TrimSpace(name)] = Recovery{recovering, strings.Split(recent, " ")}
@@ -231,7 +231,7 @@
 			got = "yes"
 		}
 		if got != row.At("outcome") {
-			t.Errorf("%s:%d: %s", designPage, row.Line, got)
+			t.Errorf("%s:%d: got %s, which is not the outcome of the row", designPage, row.Line, got)
 		}
 	}
 }
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -1,35 +1,37 @@
-// Package replication keeps a request alive past the gateway that carries it: a successor takes it over, once.
+// Package replication preserves a request when the gateway that executes it fails: a successor takes the request over, and resends
+// it only where that is harmless.
 //
-// A replicated request is recorded at a few gateways of its owner's group, its replicas, and whoever carries it goes by ballots, as
-// in Paxos (Lamport, "Paxos Made Simple", 2001) and the views of Viewstamped Replication (Liskov, Cowling, "Viewstamped
-// Replication Revisited", 2012). Each request is a register of its own, a single decree, whose value is its outcome. The owner
-// needs no first phase: its ballot is the lowest one, and holds only at replicas that accepted its record; a majority has promised
-// every later one. A majority of the replicas must accept an attempt's intent before the attempt begins, and the outcome before
-// the response is sent. A successor claims the request with a higher ballot at a majority, and learns there each intent and outcome
-// that any majority has accepted before, for two majorities have a replica in common.
+// A replicated request is recorded at a few gateways of its owner's group, its replicas. Executing it requires a ballot, as in Paxos
+// (Lamport, "Paxos Made Simple", 2001) and the views of Viewstamped Replication (Liskov, Cowling, "Viewstamped Replication
+// Revisited", 2012). Each request is a separate single-decree register whose value is the outcome of the request. The owner skips
+// the first phase: it has the lowest ballot, which is valid only at replicas that accepted its record; every later ballot has been
+// promised by a majority. A majority of the replicas must accept the intent of an attempt before the attempt begins, and the
+// outcome before the response is sent. A successor claims the request with a higher ballot at a majority. There it learns every
+// intent and outcome that any majority has accepted before, because two majorities have a replica in common.
 //
-// It owns the replicated records of a gateway: its own requests (Work), those that it stores as a replica (store), and the watch
-// for requests whose owner is gone.
+// The package owns the replicated records of a gateway: its own requests (Work), those that it stores as a replica (store), and the
+// detection of requests whose owner has failed.
 //
-// It promises:
+// It guarantees:
 //
-//   - No attempt begins by a ballot once a majority has promised a higher one: a superseded owner, however long it was stopped or
-//     cut off, begins nothing. No clock and no failure detector is part of this. (An intent is asked for again where it is older
-//     than Options.MaxIntentAge when the first byte is to be written. What is left is a stop that is shorter or falls between that
-//     look and the write, against which only the server could help.) Kept in Work.Intend, MayIntend and MayClaim.
-//   - At most one outcome is sent, to the client and to all who ask, at any gateway: it is sent once a majority has accepted it, and
-//     a successor that finds one accepted goes on with it. Kept in Work.settle, MaySettle and Merge.
-//   - A successor sends a request again only where that is harmless: none of its attempts may have run, or its effect is safe, or it
-//     is idempotent by a key, and then only to the group that discards repeats and while that remembers, which the decision module
-//     sees to. What is unsafe and may have run ends as failed. Kept in NextStep.
-//   - A gateway that restarted is no replica of what its earlier incarnation had accepted. Kept by the incarnation that each message
-//     names, and by recovery for keys.
-//   - Memory is bounded (Options.Memory): past it new requests are not replicated, and what that means the class says
-//     (when_alone). A response is kept for Options.Retention after it was decided, or until capacity is needed.
+//   - No attempt begins with a ballot once a majority has promised a higher one: a superseded owner begins no attempt, however long
+//     it was suspended or partitioned. This depends neither on a clock nor on a failure detector. (Work.Intend repeats an intent
+//     that is older than Options.MaxIntentAge when the first byte is about to be written. What remains is a pause that is shorter
+//     or falls between that check and the write; only the server could protect against it.) Enforced by Work.Intend, MayIntend and
+//     MayClaim.
+//   - At most one outcome is sent to the client and to all who query it, at any gateway: it is sent once a majority has accepted it,
+//     and a successor that finds an accepted outcome settles that one. Enforced by Work.settle, MaySettle and Merge.
+//   - A successor resends a request only where that is harmless: no attempt may have run, or its effect is safe, or the request is
+//     idempotent by a key. With a key it is resent only to the group of servers that discards repeats of the key, and while that
+//     group remembers the key; the decision module ensures this. An unsafe request that may have run fails. Enforced by NextStep.
+//   - A restarted gateway is no replica for what its earlier incarnation had accepted. Enforced by the incarnation in each message,
+//     and for keys by the recovery.
+//   - Memory is bounded (Options.Memory): beyond the limit new requests are not replicated, and the class determines what happens to
+//     them (when_alone). A response is kept for Options.Retention after it was decided, or until its memory is needed.
 //
-// It leaves to others: who is alive (internal/membership), the links (internal/peering), how an attempt is carried out and which
-// server it goes to (Options.Run), and what a class's effect is.
+// Not part of this package: which gateways are alive (internal/membership), the links (internal/peering), how an attempt is executed
+// and at which server (Options.Run), and the effect of a class.
 //
-// The rules are plain functions without state: acceptor.go, successor.go and replicas.go. docs/design/custody.md has them as tables,
-// and a test plays each row.
+// The rules are pure functions in acceptor.go, successor.go and replicas.go. docs/design/custody.md lists them as tables, and tests
+// play each row.
 package replication
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -7,18 +7,19 @@
 
 // Errors of Execute and Await.
 var (
-	// ErrNoQuorum says that no quorum of the request's replicas is reachable: nothing was recorded anywhere.
+	// ErrNoQuorum reports that no quorum of the request's replicas is reachable. Nothing was recorded.
 	ErrNoQuorum = errors.New("replication: no quorum of replicas is reachable")
-	// ErrDuplicate says that the request was taken before, or was taken over: Await returns its outcome.
+	// ErrDuplicate reports that the request was submitted before or was taken over. Await returns its outcome.
 	ErrDuplicate = errors.New("replication: the request was taken before")
-	// ErrNoCapacity says that the replicas have no capacity for the request: no attempt of it was begun.
+	// ErrNoCapacity reports that the replicas have no capacity for the request. No attempt was begun.
 	ErrNoCapacity = errors.New("replication: the replicas have no capacity")
-	// ErrUnknown says that no replica holds such a request.
+	// ErrUnknown reports that no replica holds the request.
 	ErrUnknown = errors.New("replication: no replica knows the request")
-	// ErrOutcomeLost says that the replicas of the request have restarted since: its outcome is lost.
+	// ErrOutcomeLost reports that the replicas of the request have restarted since and its outcome is lost.
 	ErrOutcomeLost = errors.New("replication: the replicas no longer have the request's outcome")
-	// ErrUndecided says that the request is under way, or that no quorum of its replicas is reachable to tell its outcome.
+	// ErrUndecided reports that the request is in progress, or that no quorum of its replicas is reachable to determine its
+	// outcome.
 	ErrUndecided = errors.New("replication: the request is not decided")
-	// ErrKeyUnchecked says that no quorum could be asked whether the request's key was taken before: nothing was recorded anywhere.
+	// ErrKeyUnchecked reports that no quorum replied on whether the key was used before. Nothing was recorded.
 	ErrKeyUnchecked = fmt.Errorf("replication: no quorum on whether the key was taken before: %w", ErrUndecided)
 )
--- a/internal/replication/execute.go
+++ b/internal/replication/execute.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Execute has a request recorded and carried out, and returns its outcome once a majority of its replicas has accepted that. serve
-// says that the outcome is returned also where replicas are lost on the way. window is for how long after a change of the group
-// a key may have been taken by others than its replicas of now.
+// Execute records a request at its replicas, executes it, and returns its outcome once a majority of the replicas has accepted
+// it. With serveWithoutQuorum it also returns an outcome that no majority accepted because replicas were lost meanwhile. For
+// window after a change of the group, a key may have been used at other gateways than its current replicas, and all gateways are
+// queried first.
 //
-// With ErrNoQuorum, ErrNoCapacity and ErrKeyUnchecked no attempt was begun. With ErrDuplicate, Await returns the outcome.
+// On ErrNoQuorum, ErrNoCapacity and ErrKeyUnchecked no attempt was begun. On ErrDuplicate, Await returns the outcome.
 func (r *Replicator) Execute(ctx context.Context, record Record, serveWithoutQuorum bool, window time.Duration) (Outcome, error) {
 	group := r.observeGroup()
 	record.Owner = r.options.Self
 	record.Replicas = ChooseReplicas(record.Key, r.options.Self.Name, group, r.options.Replicas)
 	if record.IdempotencyKey != "" && r.options.Now()-r.lastGroupChange() < window {
-		// The replicas of a key may be others than those that took it: all are asked once.
+		// The key may have been recorded at other replicas than the current ones: query all gateways once.
 		if err := r.checkKeyUnused(ctx, &record); err != nil {
 			return Outcome{}, err
 		}
@@ -26,7 +27,7 @@
 		return Outcome{}, ErrNoQuorum
 	}
 	if entry, _ := r.store.lookup(record.Key); entry != nil && entry.Record.Generation >= record.Generation {
-		return Outcome{}, ErrDuplicate // whether or not it is a replica of the key now
+		return Outcome{}, ErrDuplicate // even if this gateway is no longer a replica of the key
 	}
 	work, err := r.register(ctx, record, r.newBallot(1), nil)
 	if err != nil {
@@ -34,13 +35,14 @@
 	}
 	work.serveWithoutQuorum = serveWithoutQuorum
 	r.count(func(n *Counts) { n.Taken++ })
-	// The record is on its way; the first intent follows it over the same links, and is not taken where the record was not.
+	// Don't wait for the replies: the first intent follows the record over the same links, and replicas without the record reject it.
 	message := func(replica Gateway) any { return recordRequest{record, work.ballot, replica.Incarnation} }
 	work.requestAll(topicRecord, message, work.countRecordReply)
 	return work.run(ctx)
 }
 
-// checkKeyUnused asks all gateways of the group whether the key was taken before in the record's generation or a later one.
+// checkKeyUnused queries all gateways of the group for whether the key was used before in the generation of the record or a later
+// one.
 func (r *Replicator) checkKeyUnused(ctx context.Context, record *Record) error {
 	_, generation, err := r.queryGroup(ctx, record.Key, 0)
 	if errors.Is(err, ErrKeyUnchecked) {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// quorumReachable says that a majority of replicas is linked, this gateway among them if it is one.
+// quorumReachable reports whether a majority of the replicas is reachable, counting this gateway if it is one of them.
 func (r *Replicator) quorumReachable(replicas []Gateway) bool {
 	reachable := 0
 	for _, replica := range replicas {
--- a/internal/replication/group_test.go
+++ b/internal/replication/group_test.go
@@ -10,13 +10,13 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// testNode is one replicator with its links.
+// testNode is a replicator with its links.
 type testNode struct {
 	hub        *peering.Hub
 	replicator *Replicator
 }
 
-// testGroup are replicators with links to one another over loopback.
+// testGroup holds replicators by name, connected to one another over loopback.
 type testGroup map[string]*testNode
 
 type hubLinks struct{ hub *peering.Hub }
@@ -26,7 +26,7 @@
 }
 func (l hubLinks) All() []*peering.Link { return l.hub.Links("p") }
 
-// newTestNode starts a replicator without links of a group that began at a time.
+// newTestNode starts a replicator without links. Its clock starts at begin.
 func newTestNode(tb testing.TB, self Gateway, members func() []Gateway, run RunFunc, begin time.Time) *testNode {
 	tb.Helper()
 	links := &hubLinks{}
@@ -62,7 +62,7 @@
 	return &testNode{hub, replicator}
 }
 
-// newTestGroup starts n replicators with links to one another. run stands for their engines.
+// newTestGroup starts n replicators that are connected to one another and execute requests with run.
 func newTestGroup(tb testing.TB, n int, run RunFunc) testGroup {
 	tb.Helper()
 	group := testGroup{}
@@ -92,7 +92,7 @@
 		}
 	}
 	for name, node := range group {
-		testpeer.Until(tb, name+" to have its links", func() bool { return len(node.hub.Links("p")) >= n-1 })
+		testpeer.Until(tb, name+" to be connected to all other nodes", func() bool { return len(node.hub.Links("p")) >= n-1 })
 	}
 	return group
 }
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Topics of messages between replicas. They keep the words of the wire.
+// Topics of the messages between gateways. Their values are part of the wire protocol.
 const (
 	topicRecord       = "custody.record"
 	topicIntend       = "custody.intend"
@@ -17,9 +17,9 @@
 	topicRecover      = "custody.recall"
 )
 
-// recordRequest asks a replica to accept a record by its owner's ballot (topicRecord), or to promise a successor's ballot
-// (topicClaim). Like all that count as votes it names the incarnation of the replica that the record knows: a later one has forgotten
-// what that had accepted, and rejects it.
+// recordRequest asks a replica to accept a record with its owner's ballot (topicRecord), or to promise a successor's ballot
+// (topicClaim). Like every message whose reply counts as a vote it names the incarnation of the replica according to the record:
+// a later incarnation has forgotten what the earlier one accepted, and rejects the message.
 type recordRequest struct {
 	Record             Record `cbor:"1,keyasint"`
 	Ballot             Ballot `cbor:"2,keyasint"`
@@ -33,51 +33,52 @@
 	ReplicaIncarnation uint64 `cbor:"3,keyasint"`
 }
 
-// settleRequest asks a replica to accept an outcome (topicSettle), or notifies it that a majority has (topicDecide; without an
-// incarnation, for it is no vote).
+// settleRequest asks a replica to accept an outcome (topicSettle), or notifies it that a majority has accepted one (topicDecide;
+// without an incarnation, because it is not a vote).
 type settleRequest struct {
 	Key                Key     `cbor:"1,keyasint"`
 	Outcome            Outcome `cbor:"2,keyasint"`
 	Ballot             Ballot  `cbor:"3,keyasint"`
 	ReplicaIncarnation uint64  `cbor:"4,keyasint"`
-	Generation         uint32  `cbor:"5,keyasint,omitempty"` // of the record that it is the outcome of
+	Generation         uint32  `cbor:"5,keyasint,omitempty"` // of the record that the outcome belongs to
 }
 
-// replicaReply is a replica's reply to these, and to a findRequest. Entry is what stands against the request, or was found.
+// replicaReply is the reply of a replica to these requests and to a findRequest. Entry is the entry that caused the rejection, or
+// that was promised or found.
 type replicaReply struct {
 	Verdict Verdict `cbor:"1,keyasint"`
 	Entry   *Entry  `cbor:"2,keyasint,omitempty"`
 }
 
-// ownerNotice notifies a replica that an attempt has not run (topicEnded), or that the owner gives the request up
-// (topicRelinquish) or withdraws it (topicWithdraw).
+// ownerNotice notifies a replica that an attempt has not run (topicEnded), or that the owner relinquishes (topicRelinquish) or
+// withdraws (topicWithdraw) the request.
 type ownerNotice struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Ballot  Ballot `cbor:"2,keyasint"`
-	Attempt int    `cbor:"3,keyasint"` // of topicEnded
+	Attempt int    `cbor:"3,keyasint"` // only for topicEnded
 }
 
-// findRequest asks any gateway for the entry of a key (topicFind).
+// findRequest queries any gateway for the entry of a key (topicFind).
 type findRequest struct {
 	Key     Key           `cbor:"1,keyasint"`
-	Timeout time.Duration `cbor:"2,keyasint"` // that the reply may wait for a decision
+	Timeout time.Duration `cbor:"2,keyasint"` // how long the reply may wait for a decision
 }
 
-// incarnationNotice notifies a gateway that an earlier incarnation of it was known (topicIncarnations).
+// incarnationNotice notifies a gateway that the sender had a link to an earlier incarnation of it (topicIncarnations).
 type incarnationNotice struct {
-	Ago time.Duration `cbor:"1,keyasint"` // since the last link to that incarnation ended
+	Ago time.Duration `cbor:"1,keyasint"` // time since the last link to that incarnation ended
 }
 
-// recoverRequest asks for a page of the entries on whose keys a gateway may have voted (topicRecover).
+// recoverRequest requests a page of the entries for whose keys a gateway may have voted (topicRecover).
 type recoverRequest struct {
 	Name  string `cbor:"1,keyasint"`
-	After Key    `cbor:"2,keyasint"` // the last key of the page before
+	After Key    `cbor:"2,keyasint"` // the last key of the previous page
 }
 
-// recoverReply is a page of such entries, without bodies and intents, and with outcomes that are decided.
+// recoverReply is a page of such entries, without bodies and intents; only decided entries have an outcome.
 type recoverReply struct {
 	Entries        []Entry  `cbor:"1,keyasint,omitempty"`
 	More           bool     `cbor:"2,keyasint,omitempty"`
-	RecentGateways []string `cbor:"3,keyasint,omitempty"` // of the group, that were alive within the recovery window
-	Recovering     bool     `cbor:"4,keyasint,omitempty"` // the gateway that replies has forgotten votes itself
+	RecentGateways []string `cbor:"3,keyasint,omitempty"` // gateways of the group that were alive within the recovery window
+	Recovering     bool     `cbor:"4,keyasint,omitempty"` // the replying gateway has itself forgotten votes
 }
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -15,35 +15,35 @@
 
 const modelReplicas = 3
 
-// actor carries the request, or thinks so: its owner, or a successor.
+// actor is a gateway that executes the request or still believes that it does: its owner or a successor.
 type actor struct {
 	ballot          Ballot
 	record          Record
 	priorIntents    []Intent
-	allowedAttempts int // attempts
+	allowedAttempts int // number of permitted attempts
 	settled         bool
-	outcome         *Outcome // that it proposes; nil: an attempt comes first
+	outcome         *Outcome // the outcome that it proposes; nil: it has to make an attempt first
 }
 
-// model is one request at three replicas, by the acceptor's and the successor's rules alone. Draws of rapid stand for the order of
-// messages, their losses, restarts and claims.
+// model simulates one request at three replicas with the rules of the acceptor and the successor alone. rapid draws the order and
+// loss of messages, the restarts and the claims.
 type model struct {
 	t               *rapid.T
 	effect          balancer.Effect
-	entries         []*Entry // of the replicas
-	restarted       []bool   // replicas that have forgotten theirs
+	entries         []*Entry // of the replicas, by index
+	restarted       []bool   // replicas that have lost their entry
 	actors          []*actor
-	startedAttempts int      // attempts
-	clientOutcome   *Outcome // that a client got
+	startedAttempts int
+	clientOutcome   *Outcome // returned to a client
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, entries: make([]*Entry, modelReplicas), restarted: make([]bool, modelReplicas)}
 	m.effect = rapid.SampledFrom([]balancer.Effect{balancer.Safe, balancer.Unsafe}).Draw(t, "effect")
-	owners := rapid.IntRange(1, 2).Draw(t, "owners") // of one key
+	owners := rapid.IntRange(1, 2).Draw(t, "owners") // number of owners that use the key
 	for i := range owners {
 		ballot := Ballot{Number: 1, Owner: string(rune('A' + i)), Incarnation: uint64(i + 1)}
-		if i > 0 && rapid.Bool().Draw(t, "its next request") {
+		if i > 0 && rapid.Bool().Draw(t, "next request of A") {
 			ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 		}
 		m.actors = append(m.actors, &actor{ballot: ballot, record: recordForBallot(ballot)})
@@ -51,7 +51,7 @@
 	return m
 }
 
-// deliver are the replicas that a message comes to.
+// deliver draws the replicas that receive a message.
 func (m *model) deliver(label string) []int {
 	var out []int
 	for i := range modelReplicas {
@@ -62,12 +62,12 @@
 	return out
 }
 
-// poll sends a message to the replicas, and returns those whose acceptance comes back.
+// poll sends a message to the replicas, and returns those whose acceptance reaches the sender.
 func (m *model) poll(accept func(i int) Verdict) []int {
 	var accepted []int
-	for _, i := range m.deliver("heard") {
+	for _, i := range m.deliver("request") {
 		verdict := accept(i)
-		if rapid.IntRange(0, 4).Draw(m.t, "back") == 0 {
+		if rapid.IntRange(0, 4).Draw(m.t, "reply lost") == 0 {
 			continue
 		}
 		if verdict == Accepted {
@@ -87,15 +87,15 @@
 	})
 }
 
-// restart has a replica forget its entry, and be none of the request any more; one at most.
+// restart makes a replica lose its entry and no longer count as a replica of the request. At most one replica restarts.
 func (m *model) restart() {
-	i := rapid.IntRange(0, modelReplicas-1).Draw(m.t, "who")
+	i := rapid.IntRange(0, modelReplicas-1).Draw(m.t, "replica")
 	if !slices.Contains(m.restarted, true) {
 		m.restarted[i] = true
 	}
 }
 
-// claim has a replica claim the request.
+// claim makes a replica claim the request.
 func (m *model) claim(step int) {
 	from := rapid.IntRange(0, modelReplicas-1).Draw(m.t, "from")
 	if m.entries[from] == nil || m.restarted[from] || m.entries[from].Decided {
@@ -126,7 +126,7 @@
 	m.actors = append(m.actors, &actor{ballot: ballot, record: merged, priorIntents: intents, outcome: outcome})
 }
 
-// advance has an actor take its next step.
+// advance makes an actor take its next step.
 func (m *model) advance() {
 	a := m.actors[rapid.IntRange(0, len(m.actors)-1).Draw(m.t, "actor")]
 	if a.settled {
@@ -147,7 +147,8 @@
 	}
 }
 
-// intend has an attempt allowed. None is by a ballot once a majority has promised a higher one.
+// intend requests an attempt. It fails the test if an attempt is permitted with a ballot after a majority has promised a higher
+// one.
 func (m *model) intend(a *actor) {
 	intent := Intent{Ballot: a.ballot, Attempt: len(a.priorIntents), ID: a.record.ID}
 	accepted := m.poll(func(i int) Verdict {
@@ -167,13 +168,13 @@
 		}
 	}
 	if higher >= Majority(modelReplicas) {
-		m.t.Fatalf("%v begins an attempt though a majority has promised more", a.ballot)
+		m.t.Fatalf("an attempt began with ballot %v after a majority had promised a higher one", a.ballot)
 	}
 	a.allowedAttempts++
 	m.startedAttempts++
 }
 
-// settle has an actor's outcome accepted. Whoever is told one is told the same one.
+// settle proposes an actor's outcome. It fails the test if clients receive different outcomes.
 func (m *model) settle(a *actor) {
 	accepted := m.poll(func(i int) Verdict {
 		verdict := MaySettle(m.entries[i], a.ballot)
@@ -187,7 +188,7 @@
 	}
 	a.settled = true
 	if m.clientOutcome != nil && (m.clientOutcome.Kind != a.outcome.Kind || string(m.clientOutcome.Body) != string(a.outcome.Body)) {
-		m.t.Fatalf("one was told %+v, another %+v", m.clientOutcome, a.outcome)
+		m.t.Fatalf("clients received different outcomes: %+v and %+v", m.clientOutcome, a.outcome)
 	}
 	m.clientOutcome = a.outcome
 	for _, i := range m.deliver("decided") {
@@ -198,8 +199,8 @@
 	}
 }
 
-// Whatever order and loss of messages, whoever claims when, and whichever replica forgets: all who are told an outcome are told
-// the same one, what is unsafe begins once at most, and nothing begins by a ballot once a majority has promised a higher one.
+// For any order and loss of messages, any claims and the restart of any one replica: all clients receive the same outcome, an
+// unsafe request is attempted at most once, and no attempt begins with a ballot after a majority has promised a higher one.
 func TestSingleOutcomeAndExecutionUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -207,7 +208,7 @@
 			m.record(a)
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				m.restart()
 			case 1, 2:
@@ -217,7 +218,7 @@
 			}
 		}
 		if m.effect == balancer.Unsafe && m.startedAttempts > 1 {
-			t.Fatalf("%d attempts of an unsafe request began", m.startedAttempts)
+			t.Fatalf("%d attempts of an unsafe request began, want at most 1", m.startedAttempts)
 		}
 	})
 }
--- a/internal/replication/quorum.go
+++ b/internal/replication/quorum.go
@@ -7,18 +7,18 @@
 	"damsontrestle/internal/peering"
 )
 
-// quorumReplies are what the replicas of one request have replied to one message.
+// quorumReplies collects the replies of the replicas of a request to one message.
 type quorumReplies struct {
-	quorum   int // how many have to accept
+	quorum   int // number of acceptances required
 	accepted []replicaReply
 	rejected []replicaReply
 }
 
-// reached says that a majority of the replicas has accepted.
+// reached reports whether a majority of the replicas has accepted.
 func (q *quorumReplies) reached() bool { return len(q.accepted) >= q.quorum }
 
-// superseded says that a replica goes by a higher ballot, or holds another request of the key or a decided outcome: the ballot
-// of the message is over.
+// superseded reports whether a replica has promised a higher ballot, or holds another request of the key or a decided outcome, so
+// that the ballot of the message is no longer valid.
 func (q *quorumReplies) superseded() bool {
 	for _, reply := range q.rejected {
 		if reply.Verdict == HigherBallot || reply.Verdict == Duplicate {
@@ -28,7 +28,7 @@
 	return false
 }
 
-// add counts one reply; nil stands for a replica that can't be reached.
+// add counts one reply; nil stands for a replica that is unreachable.
 func (q *quorumReplies) add(reply *replicaReply) {
 	switch {
 	case reply == nil:
@@ -39,8 +39,8 @@
 	}
 }
 
-// linkTo is the link to a replica in the incarnation that a record names; nil: there is none. A later incarnation is no replica
-// of the record, for it has forgotten what it had accepted.
+// linkTo returns the link to a replica in the incarnation that a record names, or nil. A later incarnation is no replica of the
+// record, because it has forgotten what the earlier one accepted.
 func (r *Replicator) linkTo(replica Gateway) *peering.Link {
 	link := r.options.Links.To(replica.Name)
 	if link == nil || link.Peer.Incarnation != replica.Incarnation {
@@ -49,7 +49,7 @@
 	return link
 }
 
-// requestAll sends a message to all replicas without waiting; onReply hears each reply as it comes, and must not block.
+// requestAll sends a message to all replicas without waiting. onReply is called for each reply as it arrives, and must not block.
 func (w *Work) requestAll(topic string, message func(Gateway) any, onReply func(replicaReply)) {
 	r := w.replicator
 	for _, replica := range w.record.Replicas {
@@ -65,7 +65,7 @@
 	}
 }
 
-// localReply is this gateway's own reply as a replica.
+// localReply returns this gateway's own reply as a replica.
 func (r *Replicator) localReply(topic string, message any) replicaReply {
 	switch m := message.(type) {
 	case recordRequest:
@@ -78,11 +78,12 @@
 	case settleRequest:
 		return r.settle(m)
 	}
-	panic(fmt.Sprintf("replication: no replica answers %s", topic)) // a defect of this package
+	panic(fmt.Sprintf("replication: local replica has no handler for topic %s", topic)) // a bug in this package
 }
 
-// request sends a message to a replica. onReply hears its reply once, on the link's reader, or nil where none comes; it must not
-// block. nil: the replica can't be reached in the incarnation that the record names, and onReply hears nothing.
+// request sends a message to a replica. onReply is called once with the reply, or with nil if none arrives, on the reader of the
+// link or on the goroutine that ends the link; it must not block. cancel prevents the call. If the replica is unreachable in the
+// incarnation that the record names, request returns nil and never calls onReply.
 func (r *Replicator) request(replica Gateway, topic string, message any, onReply func(*replicaReply)) (cancel func()) {
 	link := r.linkTo(replica)
 	if link == nil {
@@ -102,8 +103,8 @@
 	return cancel
 }
 
-// collectQuorum sends a message to all replicas at once. It returns once a majority has accepted, or none can any more and one
-// has said why, or all have replied, or ctx ends.
+// collectQuorum sends a message to all replicas at once. It returns once a majority has accepted, once a majority has become
+// impossible and a rejection gives the cause, once all have replied, or when ctx ends.
 func (r *Replicator) collectQuorum(ctx context.Context, replicas []Gateway, topic string, message func(Gateway) any) quorumReplies {
 	replies := make(chan *replicaReply, len(replicas))
 	for _, replica := range replicas {
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -10,19 +10,20 @@
 	"damsontrestle/internal/peering"
 )
 
-// A gateway that restarts may have voted in its earlier incarnation for requests whose keys still come, and has forgotten it. Voting
-// on such a key again could let two requests of one key begin, so it votes on no key until none of them can come any more. It need
-// not wait that long where the others of its group tell it what it may have voted for: a request that was taken has a majority
-// of replicas, so that each of them that has not forgotten it holds it too. (The recovery protocol of Viewstamped Replication
-// Revisited, section 4.3, for the keys alone.)
+// A restarted gateway may have voted, in its earlier incarnation, for requests whose keys can still arrive, and has forgotten those
+// votes. If it voted on such a key again, two requests of one key could begin. Therefore it votes on no key until none of these keys
+// can arrive any more. It can vote earlier if the other gateways of its group report what it may have voted for: a request that was
+// accepted has a majority of replicas, so every replica that has not lost its state holds it too. (This is the recovery protocol of
+// Viewstamped Replication Revisited, section 4.3, restricted to keys.)
 
 const (
-	maxRecoveryBytes  = 512 << 10 // of entries in one reply, about, beyond the first
+	maxRecoveryBytes  = 512 << 10 // approximate size of the entries in one reply; the first entry may exceed it
 	recoverRetryDelay = 250 * time.Millisecond
 )
 
-// RecoveryComplete says whether a gateway that restarted knows all that it may have voted for, by the recoveries of others by name:
-// each gateway of its group that was alive lately, as any of them tells, has replied and is not recovering itself.
+// RecoveryComplete reports whether a restarted gateway knows everything that it may have voted for. recoveries holds the replies
+// by gateway name. It is complete if every gateway of the group that was recently alive according to any reply has itself replied
+// and is not recovering.
 func RecoveryComplete(self string, recoveries map[string]Recovery) bool {
 	if len(recoveries) == 0 {
 		return false
@@ -40,18 +41,18 @@
 	return true
 }
 
-// Recovery is what a gateway replied on who was alive lately.
+// Recovery is the part of a recovery reply that decides whether the recovery is complete.
 type Recovery struct {
-	Recovering     bool     // it has forgotten votes itself
-	RecentGateways []string // that were alive within the recovery window
+	Recovering     bool     // the replying gateway has itself forgotten votes
+	RecentGateways []string // gateways that were alive within the recovery window
 }
 
-// compareKeys orders keys, for the pages of a recovery.
+// compareKeys orders keys for the pages of a recovery.
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.ID, b.ID))
 }
 
-// serveRecovery replies to a gateway that restarted.
+// serveRecovery returns a page of entries for a restarted gateway.
 func (r *Replicator) serveRecovery(request recoverRequest) recoverReply {
 	entries, more := r.store.recoverable(request.Name, request.After, maxRecoveryBytes)
 	reply := recoverReply{Entries: entries, More: more, Recovering: r.isRecovering()}
@@ -69,13 +70,13 @@
 	return reply
 }
 
-// handleIncarnationNotice notes that an earlier incarnation of this gateway ended a while ago, as a peer says that knew it, and
-// begins a recovery.
+// handleIncarnationNotice starts a recovery: peer had a link to an earlier incarnation of this gateway, which ended the given
+// time ago.
 func (r *Replicator) handleIncarnationNotice(peer string, ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.recoveredFrom[peer] {
-		return // that was asked what the earlier incarnation may have voted for
+		return // a completed recovery already includes the reply of this peer
 	}
 	r.recoverUntil = max(r.recoverUntil, r.options.Now()+r.options.RecoveryWindow()-ago)
 	if !r.recoveryRunning && r.ctx.Err() == nil {
@@ -84,9 +85,9 @@
 	}
 }
 
-// recoverVotes asks the others what an earlier incarnation may have voted for, until it knows, or no key of then can come any
-// more. It begins when no attempt can begin any more by an intent of then: an intent older than Options.MaxIntentAge is asked
-// for again, and a link is silent for no longer than Options.Silence.
+// recoverVotes requests the votes of the earlier incarnation from the other gateways until it knows them all or no key of that
+// incarnation can arrive any more. First it waits until no attempt can begin with an intent of the earlier incarnation: an intent
+// older than Options.MaxIntentAge is requested again, and a link ends after Options.Silence without a heartbeat.
 func (r *Replicator) recoverVotes() {
 	defer func() {
 		r.mu.Lock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// tryRecovery asks each gateway of the group once. It reports whether this one knows all of its earlier votes now.
+// tryRecovery queries each linked gateway of the group once and reports whether this gateway now knows all of its earlier votes.
 func (r *Replicator) tryRecovery() bool {
 	recoveries := map[string]Recovery{}
 	var entries []Entry
@@ -116,7 +117,7 @@
 		recoveries[link.Peer.Name] = recovery
 		entries = append(entries, recovered...)
 	}
-	// Nothing of it is stored unless it is complete: a key that some of its replicas know and others don't is taken by nobody.
+	// An incomplete recovery is discarded: no gateway could use a key that only some of its replicas know.
 	if !complete || !RecoveryComplete(r.options.Self.Name, recoveries) {
 		return false
 	}
@@ -136,7 +137,7 @@
 	return true
 }
 
-// recoverFrom asks one gateway, page by page. false: not all of it came.
+// recoverFrom requests all pages from one gateway. ok is false if not all of them arrived.
 func (r *Replicator) recoverFrom(link *peering.Link) (recovery Recovery, entries []Entry, ok bool) {
 	request := recoverRequest{Name: r.options.Self.Name}
 	for {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -6,7 +6,7 @@
 	"damsontrestle/internal/peering"
 )
 
-// Topics returns the handlers by which other gateways of the group reach this one.
+// Topics returns the handlers for the messages of other gateways of the group.
 func (r *Replicator) Topics() map[string]peering.Handler {
 	return map[string]peering.Handler{
 		topicRecord: replyHandler(r.record),
@@ -28,24 +28,24 @@
 	}
 }
 
-// replyHandler handles a message to which a replica replies at once.
+// replyHandler returns the handler of a message to which a replica replies immediately.
 func replyHandler[Q any](f func(Q) replicaReply) peering.Handler {
 	return peering.Answer(func(_ *peering.Link, message Q, reply func(replicaReply)) { reply(f(message)) })
 }
 
-// record is the replica's reply to the record of an owner.
+// record returns this replica's reply to a record from its owner.
 func (r *Replicator) record(request recordRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
 	}
 	if request.Record.IdempotencyKey != "" && r.isRecovering() {
-		return replicaReply{Verdict: OtherIncarnation} // it may have voted on the key, and forgotten
+		return replicaReply{Verdict: OtherIncarnation} // it may have voted on the key before its restart
 	}
 	verdict, entry := r.store.record(request.Record, request.Ballot)
 	return replicaReply{verdict, entry}
 }
 
-// intend is the replica's reply to an intent.
+// intend returns this replica's reply to an intent.
 func (r *Replicator) intend(request intentRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -53,7 +53,7 @@
 	return replicaReply{Verdict: r.store.intend(request.Key, request.Intent)}
 }
 
-// settle is the replica's reply to a proposed outcome.
+// settle returns this replica's reply to a proposed outcome.
 func (r *Replicator) settle(request settleRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -62,7 +62,8 @@
 	return replicaReply{verdict, entry}
 }
 
-// claim is the replica's reply to a successor's ballot: phase 1b of Paxos, but for an owner that is heard here.
+// claim returns this replica's reply to a successor's ballot: phase 1b of Paxos, except that it refuses while it considers the
+// owner alive.
 func (r *Replicator) claim(request recordRequest) replicaReply {
 	if request.ReplicaIncarnation != r.options.Self.Incarnation {
 		return replicaReply{Verdict: OtherIncarnation}
@@ -71,8 +72,8 @@
 	return replicaReply{verdict, entry}
 }
 
-// applyDecision notes an outcome that a majority has accepted. Work that is still under way here for the same request is
-// fenced: its client gets that outcome, and need not wait for an attempt that may take until the deadline.
+// applyDecision stores an outcome that a majority has accepted. It fences work with a lower ballot that is in progress here for
+// the same request: its client receives that outcome, and does not wait for an attempt that may last until the deadline.
 func (r *Replicator) applyDecision(request settleRequest) {
 	r.store.decide(request.Key, request.Generation, request.Outcome, request.Ballot)
 	r.mu.Lock()
@@ -83,14 +84,14 @@
 	}
 }
 
-// isRecovering says that this gateway may have voted in an earlier incarnation on keys whose repeats may still come.
+// isRecovering reports whether an earlier incarnation of this gateway may have voted on keys that can still be repeated.
 func (r *Replicator) isRecovering() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.options.Now() < r.recoverUntil
 }
 
-// find replies with the entry of a key, as soon as it is decided or the query's time is over.
+// find replies with the entry of a key as soon as it is decided or the timeout of the query expires.
 func (r *Replicator) find(query findRequest, reply func(replicaReply)) {
 	entry, changed := r.store.lookup(query.Key)
 	switch {
@@ -111,7 +112,7 @@
 	})
 }
 
-// waitDecided waits until the entry of a key is decided or dropped (nil), or the time is over.
+// waitDecided waits until the entry of a key is decided or dropped (nil), or the timeout expires.
 func (r *Replicator) waitDecided(key Key, entry *Entry, changed <-chan struct{}, timeout time.Duration) *Entry {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -7,12 +7,13 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Majority is how many of n replicas make a quorum: any two majorities have a replica in common.
+// Majority returns the size of a quorum of n replicas. Any two majorities have a replica in common.
 func Majority(n int) int { return n/2 + 1 }
 
-// ChooseReplicas returns the replicas of a key's requests: the first of the group by a hash of key and name, of as many zones as
-// there are, at most so many and an odd number of them, the owner perhaps among them. Whoever sees the same group chooses the same
-// replicas. In a group of two the gateway other than self is the only replica; alone there is none.
+// ChooseReplicas returns the replicas of the requests of a key: the gateways of the group that rank first by a hash of key and
+// name, spread over as many zones as possible. Their number is odd and at most replicas; the owner may be among them. Gateways
+// with the same view of the group choose the same replicas. In a group of two the gateway other than self is the only replica; in
+// a group of one there is none.
 func ChooseReplicas(key Key, self string, group []Gateway, replicas int) []Gateway {
 	switch len(group) {
 	case 0, 1:
@@ -27,7 +28,7 @@
 	order := rankByHash(key, group)
 	var chosen []Gateway
 	inZone := map[string]int{}
-	for perZone := 1; len(chosen) < replicas; perZone++ { // one of each zone first, then two
+	for perZone := 1; len(chosen) < replicas; perZone++ { // first one per zone, then two
 		for _, g := range order {
 			if len(chosen) == replicas {
 				break
@@ -42,7 +43,7 @@
 	return chosen
 }
 
-// rankByHash orders a group for a key (rendezvous hashing): a gateway that comes or goes moves only the keys that it has.
+// rankByHash orders a group for a key by rendezvous hashing: a gateway that joins or leaves moves only its own keys.
 func rankByHash(key Key, group []Gateway) []Gateway {
 	order := slices.Clone(group)
 	slices.SortFunc(order, func(a, b Gateway) int {
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -10,39 +10,40 @@
 	"damsontrestle/internal/peering"
 )
 
-// Replicator is a gateway's part in replication: its own requests, those that it stores as a replica, and those that it takes
-// over. Its methods may be called by any goroutine; mu guards what follows it.
+// Replicator is the replication component of a gateway: it executes the requests of the gateway, stores those of others as a
+// replica, and takes over orphans. Its methods are safe for concurrent use. mu guards the fields below it.
 type Replicator struct {
 	options     Options
 	store       *store
-	ctx         context.Context // ends with Close; tasks go on past the requests that began them
+	ctx         context.Context // ends with Close; tasks may outlive the requests that started them
 	cancel      context.CancelFunc
 	tasks       sync.WaitGroup
-	orphanCheck chan struct{} // has watchOrphans look at once
-	sequence    atomic.Uint64 // of the ballots that it has made
-	started     time.Duration // when this incarnation began
+	orphanCheck chan struct{} // triggers an immediate check by watchOrphans
+	sequence    atomic.Uint64 // of the last ballot created
+	started     time.Duration // start of this incarnation
 
 	mu        sync.Mutex
-	active    map[Key]*Work              // that this gateway carries
-	draining  bool                       // no request of its own is taken any more
-	lostPeers map[string]lostIncarnation // by gateway, the incarnation to which a link ended last
+	active    map[Key]*Work              // requests that this gateway executes
+	draining  bool                       // new requests are refused
+	lostPeers map[string]lostIncarnation // by gateway name, the incarnation whose last link ended most recently
 	counts    Counts
 
-	recoverUntil    time.Duration   // when no key of an earlier incarnation can come any more; before, it votes on none
-	recoveredFrom   map[string]bool // gateways that told what this one may have voted for
-	recoveryRunning bool            // recoverVotes runs
+	recoverUntil    time.Duration   // after this time no key of an earlier incarnation can arrive; until then no key is voted on
+	recoveredFrom   map[string]bool // gateways whose replies are part of a completed recovery
+	recoveryRunning bool            // recoverVotes is running
 
-	lastGroup       []Gateway     // the group as it was last seen
-	groupChangeTime time.Duration // when it was first seen so
+	lastGroup       []Gateway     // the most recently observed group
+	groupChangeTime time.Duration // when lastGroup was first observed
 }
 
-// lostIncarnation is an incarnation of a gateway to which the last link has ended.
+// lostIncarnation is an incarnation of a gateway whose last link has ended.
 type lostIncarnation struct {
 	incarnation uint64
 	lostAt      time.Duration
 }
 
-// New returns a replicator that watches for orphans. Others reach it by its Topics. Close ends it.
+// New returns a replicator and starts its watch for orphans. The caller registers its Topics with the links, and calls Close to
+// stop it.
 func New(options Options) *Replicator {
 	r := &Replicator{
 		options:       options,
@@ -58,14 +59,14 @@
 	return r
 }
 
-// Close ends all that is under way, and returns once it has ended.
+// Close cancels all work in progress and waits for it to end.
 func (r *Replicator) Close() {
 	r.cancel()
 	r.tasks.Wait()
 }
 
-// LinkUp notes that a link to a gateway of the group has come up. If this gateway knew an earlier incarnation of the peer it
-// says so, before anything else goes over the link: the peer may have forgotten votes.
+// LinkUp handles a new link to a gateway of the group. If this gateway had a link to an earlier incarnation of the peer, it
+// notifies the peer before anything else is sent over the link, because the peer may have forgotten votes.
 func (r *Replicator) LinkUp(link *peering.Link) {
 	r.mu.Lock()
 	lost, known := r.lostPeers[link.Peer.Name]
@@ -76,7 +77,7 @@
 	}
 }
 
-// PeerLost notes that the last link to an incarnation of a gateway of the group has ended.
+// PeerLost records that the last link to an incarnation of a gateway of the group has ended, and triggers a check for orphans.
 func (r *Replicator) PeerLost(p peering.Peer) {
 	r.mu.Lock()
 	r.lostPeers[p.Name] = lostIncarnation{p.Incarnation, r.options.Now()}
@@ -84,7 +85,7 @@
 	r.CheckOrphans()
 }
 
-// observeGroup returns the group, and notes whether it has changed.
+// observeGroup returns the group, and records the time if it has changed.
 func (r *Replicator) observeGroup() []Gateway {
 	group := r.options.Group()
 	r.mu.Lock()
@@ -96,19 +97,20 @@
 	return group
 }
 
-// lastGroupChange is when the group was seen to change last.
+// lastGroupChange returns when a change of the group was last observed.
 func (r *Replicator) lastGroupChange() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.groupChangeTime
 }
 
-// newBallot returns a ballot of that number that this gateway has not used before.
+// newBallot returns a ballot with the given number that this gateway has not used before.
 func (r *Replicator) newBallot(number uint32) Ballot {
 	return Ballot{Number: number, Owner: r.options.Self.Name, Incarnation: r.options.Self.Incarnation, Sequence: r.sequence.Add(1)}
 }
 
-// HandOver gives all requests that this gateway carries to successors: it shuts down. Attempts in flight end by themselves.
+// HandOver relinquishes all requests that this gateway executes to successors, for a shutdown, and refuses new ones. It does not
+// wait for attempts in flight, which end on their own.
 func (r *Replicator) HandOver() {
 	r.mu.Lock()
 	r.draining = true
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -1,45 +1,45 @@
 package replication
 
-// Counts are of replicated requests since the gateway's start.
+// Counts counts replicated requests since the start of the gateway.
 type Counts struct {
-	Taken           int `json:"taken"`    // own requests
-	NoQuorum        int `json:"alone"`    // own requests for which no quorum was reachable
-	Fenced          int `json:"fenced"`   // that another gateway took over while this one carried them
-	Claimed         int `json:"claimed"`  // that this gateway claimed
-	Resumed         int `json:"resumed"`  // of those claimed, carried on
-	Queries         int `json:"asked"`    // queries of clients for an earlier request
-	QueriesAnswered int `json:"found"`    // of those, that got its outcome
-	Recovered       int `json:"recalled"` // recoveries of the votes of an earlier incarnation
+	Taken           int `json:"taken"`    // requests that this gateway owned
+	NoQuorum        int `json:"alone"`    // own requests that had no reachable quorum
+	Fenced          int `json:"fenced"`   // requests that another gateway took over while this one executed them
+	Claimed         int `json:"claimed"`  // requests that this gateway claimed
+	Resumed         int `json:"resumed"`  // claimed requests whose execution this gateway continued
+	Queries         int `json:"asked"`    // queries by clients for an earlier request
+	QueriesAnswered int `json:"found"`    // queries that returned its outcome
+	Recovered       int `json:"recalled"` // completed recoveries of the votes of an earlier incarnation
 }
 
-// Status is what a replicator does now.
+// Status is the current state of a replicator.
 type Status struct {
 	Counts
-	Active  int         `json:"in_hand"` // requests that this gateway carries
+	Active  int         `json:"in_hand"` // requests that this gateway executes
 	Replica StoreCounts `json:"voter"`
 }
 
-// Status returns what the replicator does now.
+// Status returns the current state of the replicator.
 func (r *Replicator) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Status{r.counts, len(r.active), r.store.status()}
 }
 
-// count changes the counts.
+// count updates the counts.
 func (r *Replicator) count(f func(*Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.counts)
 }
 
-// StoreCounts are of a gateway as a replica. NoCapacity and Evicted count since its start.
+// StoreCounts describes the requests that a gateway stores as a replica. NoCapacity and Evicted count since its start.
 type StoreCounts struct {
 	Entries    int `json:"held"`   // requests that are stored
-	Undecided  int `json:"open"`   // of those, undecided
-	Bytes      int `json:"bytes"`  // that they take, about
-	NoCapacity int `json:"full"`   // records for which there was no capacity
-	Evicted    int `json:"forgot"` // outcomes that were dropped before their retention, for want of capacity
+	Undecided  int `json:"open"`   // stored requests that are undecided
+	Bytes      int `json:"bytes"`  // approximate size of the stored requests
+	NoCapacity int `json:"full"`   // records rejected for lack of capacity
+	Evicted    int `json:"forgot"` // outcomes dropped before the end of their retention, for lack of capacity
 }
 
 // status returns the counts of the store.
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// store is what this gateway has accepted as a replica, in memory. Each method is one step of the replica: the acceptor's rules
-// are looked up and applied under mu.
+// store holds in memory what this gateway has accepted as a replica. Each method is one atomic step of the replica: it evaluates
+// and applies the acceptor's rules while holding mu.
 type store struct {
 	now       func() time.Duration
 	retention time.Duration
@@ -19,28 +19,29 @@
 	counts  StoreCounts
 }
 
-// ownerAlive says whether the owner of an entry, whose request has that much time left, is heard at this gateway.
+// ownerAlive reports whether this gateway considers the owner of an entry alive, given the time left until the deadline of the
+// request.
 type ownerAlive func(entry *Entry, timeLeft time.Duration) bool
 
-// replicaEntry is an entry, with what only this replica knows. Times are by Options.Now.
+// replicaEntry is an entry with the state that only this replica has. Points in time are readings of Options.Now.
 type replicaEntry struct {
 	Entry
-	deadline     time.Duration   // of its client, by this gateway's clock
-	decidedAt    time.Duration   // 0: it is not decided
-	ownerLostAt  time.Duration   // since when its owner is not heard; 0: it is heard
-	relinquished bool            // its owner has given it up
-	claiming     bool            // this gateway is claiming it
-	intendedAt   []time.Duration // of each intent
-	size         int             // in bytes, about
-	changed      chan struct{}   // closed at the next change
+	deadline     time.Duration   // deadline of the client by this gateway's clock
+	decidedAt    time.Duration   // 0: undecided
+	ownerLostAt  time.Duration   // when its owner was first found not alive; 0: it is alive
+	relinquished bool            // its owner has relinquished it
+	claiming     bool            // this gateway is claiming it or executing it after a claim
+	intendedAt   []time.Duration // when each of Intents was accepted
+	size         int             // approximate size in bytes
+	changed      chan struct{}   // closed on the next change
 }
 
-// newStore returns an empty store of at most so many bytes, about, that drops decided entries after their retention.
+// newStore returns an empty store of approximately maxBytes that drops decided entries after the retention.
 func newStore(now func() time.Duration, retention time.Duration, maxBytes int) *store {
 	return &store{now: now, retention: retention, maxBytes: maxBytes, entries: map[Key]*replicaEntry{}}
 }
 
-// Bytes that parts of an entry take beside their texts, about.
+// Approximate memory overhead of the parts of an entry besides their contents, in bytes.
 const (
 	entryOverhead   = 600
 	replicaOverhead = 64
@@ -48,7 +49,7 @@
 	valueOverhead   = 16
 )
 
-// sizeOf is about what an entry takes, in bytes.
+// sizeOf returns the approximate size of an entry with the record, in bytes.
 func sizeOf(record *Record) int {
 	n := entryOverhead + len(record.Body) + len(record.Target) + len(record.ID) + 2*len(record.Key.ID)
 	n += replicaOverhead * len(record.Replicas)
@@ -61,8 +62,8 @@
 	return n
 }
 
-// reserveSpace makes room for n bytes, by dropping decided entries before their retention is over, the oldest first; what is
-// undecided is never dropped. false: there is no capacity. The caller holds mu.
+// reserveSpace ensures that n bytes are free. If necessary it drops decided entries before the end of their retention, the oldest
+// first; undecided entries are never dropped. It returns false if there is not enough capacity. The caller holds mu.
 func (s *store) reserveSpace(n int) bool {
 	for s.bytes+n > s.maxBytes {
 		var oldest *replicaEntry
@@ -81,14 +82,14 @@
 	return true
 }
 
-// drop forgets an entry. The caller holds mu.
+// drop removes an entry. The caller holds mu.
 func (s *store) drop(entry *replicaEntry) {
 	delete(s.entries, entry.Record.Key)
 	s.bytes -= entry.size
 	entry.notifyChange()
 }
 
-// add stores a new entry. The caller holds mu and has made space.
+// add stores a new entry. The caller holds mu and has reserved the space.
 func (s *store) add(record Record, ballot Ballot) *replicaEntry {
 	entry := &replicaEntry{
 		Entry:    Entry{Record: record, Promised: ballot},
@@ -101,13 +102,13 @@
 	return entry
 }
 
-// notifyChange wakes those who wait for a change of the entry. The caller holds mu.
+// notifyChange wakes the goroutines that wait for a change of the entry. The caller holds mu.
 func (e *replicaEntry) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// record accepts a record, or returns the entry that stands against it.
+// record accepts a record, or returns the entry that conflicts with it.
 func (s *store) record(record Record, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,7 @@
 		return verdict, entry.snapshot(s.now())
 	}
 	if entry != nil && entry.Record.Generation == record.Generation {
-		return Accepted, nil // once more
+		return Accepted, nil // retransmitted
 	}
 	if entry != nil {
 		s.drop(entry)
@@ -129,18 +130,18 @@
 	return Accepted, nil
 }
 
-// markOwnerHeard notes that whoever goes by the promised ballot was heard: the request is no orphan.
+// markOwnerHeard records a message with the promised ballot: the request has a live owner.
 func (e *replicaEntry) markOwnerHeard() {
 	e.ownerLostAt = 0
 	e.relinquished = false
 }
 
-// ownerHeard says that the owner has not given the request up and is alive, as alive tells.
+// ownerHeard reports whether the owner is alive according to alive and has not relinquished the request.
 func (e *replicaEntry) ownerHeard(now time.Duration, alive ownerAlive) bool {
 	return !e.relinquished && alive(&e.Entry, e.deadline-now)
 }
 
-// acceptorState is what the acceptor's rules go by; nil: the replica holds nothing.
+// acceptorState returns the state that the rules of the acceptor use; nil: the replica holds nothing.
 func (e *replicaEntry) acceptorState() *Entry {
 	if e == nil {
 		return nil
@@ -148,7 +149,8 @@
 	return &e.Entry
 }
 
-// snapshot is the entry as it is sent: times become ages, for clocks of gateways differ.
+// snapshot returns a copy of the entry to be sent. Points in time are converted to durations, because the clocks of gateways
+// differ.
 func (e *replicaEntry) snapshot(now time.Duration) *Entry {
 	if e == nil {
 		return nil
@@ -162,7 +164,7 @@
 	return &snapshot
 }
 
-// intend accepts an intent, if the acceptor's rules allow it.
+// intend accepts an intent if the rules of the acceptor permit it.
 func (s *store) intend(key Key, intent Intent) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +182,7 @@
 	return Accepted
 }
 
-// markNotRun notes that an attempt has ended and has not run.
+// markNotRun marks an attempt that has ended and has not run.
 func (s *store) markNotRun(key Key, ballot Ballot, attempt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +195,7 @@
 	}
 }
 
-// settle accepts an outcome, or returns the entry that stands against it.
+// settle accepts an outcome, or returns the entry that conflicts with it.
 func (s *store) settle(key Key, outcome Outcome, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +211,7 @@
 	return Accepted, nil
 }
 
-// resize counts an entry's bytes anew. The caller holds mu.
+// resize recomputes the size of an entry. The caller holds mu.
 func (s *store) resize(entry *replicaEntry) {
 	s.bytes -= entry.size
 	entry.size = sizeOf(&entry.Record)
@@ -219,8 +221,8 @@
 	s.bytes += entry.size
 }
 
-// decide notes that a majority has accepted an outcome of the request of a key and generation, and drops the request's body,
-// which nobody needs any more. A decision that comes late, when the next request of the key is held, says nothing of that one.
+// decide stores the outcome that a majority has accepted for a request, and drops the body and headers of the request, which are
+// no longer needed. The generation must match: a late decision does not apply to the next request of the same key.
 func (s *store) decide(key Key, generation uint32, outcome Outcome, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,8 +239,8 @@
 	entry.notifyChange()
 }
 
-// claim promises a ballot and returns the entry with all that was accepted before, or the entry that stands against it. A
-// replica that never had the request stores its record with the claim.
+// claim promises a ballot and returns the entry with everything accepted before, or the entry that conflicts with the claim. A
+// replica that never received the request stores the record from the claim.
 func (s *store) claim(record Record, ballot Ballot, alive ownerAlive) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +265,7 @@
 	return Accepted, entry.snapshot(s.now())
 }
 
-// withdraw drops a request whose owner says that no attempt of it was begun, if MayWithdraw allows it.
+// withdraw drops a request that its owner withdraws because it has begun no attempt, if MayWithdraw permits it.
 func (s *store) withdraw(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,7 +274,7 @@
 	}
 }
 
-// lookup returns the entry of a key and a channel that is closed at its next change; nil: none is held.
+// lookup returns the entry of a key and a channel that is closed on its next change, or nil if there is no entry.
 func (s *store) lookup(key Key) (*Entry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replication/store_orphans.go
+++ b/internal/replication/store_orphans.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// relinquish notes that the owner by a ballot has given the request up, so that it may be claimed at once.
+// relinquish records that the owner with the given ballot has relinquished the request, so that it can be claimed without waiting
+// for the link.
 func (s *store) relinquish(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -11,8 +12,9 @@
 	}
 }
 
-// orphans returns the keys of the undecided requests that this gateway should claim now, each once until endClaim: their owners
-// have not been heard for as long as ClaimDelay says. open: undecided requests are held. Entries past their retention are dropped.
+// orphans returns the keys of the undecided requests that this gateway should claim now because their owners have not been alive
+// for ClaimDelay. It returns each key once until endClaim. undecided reports whether the store holds other undecided requests
+// than those being claimed or recovered. orphans also drops the entries whose retention has expired.
 func (s *store) orphans(self string, alive ownerAlive) (keys []Key, undecided bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,8 +40,8 @@
 	return keys, undecided
 }
 
-// isExpired says that nobody asks for the entry any more: retention has passed since it was decided or, undecided, since its
-// client's deadline.
+// isExpired reports whether no query for the entry is expected any more: retention has passed since its decision or, if it is
+// undecided, since its client's deadline.
 func (e *replicaEntry) isExpired(now, retention time.Duration) bool {
 	if e.decidedAt > 0 {
 		return now-e.decidedAt > retention
@@ -47,19 +49,20 @@
 	return now-e.deadline > retention
 }
 
-// isClaimDue says that the owner, which is not heard now, has not been for long enough that this gateway claims the request.
+// isClaimDue reports whether this gateway should claim the request now. It is called only while the owner is not alive, and
+// records when that was first observed.
 func (e *replicaEntry) isClaimDue(now time.Duration, self string) bool {
 	if e.ownerLostAt == 0 {
 		e.ownerLostAt = now
 	}
 	wait := ClaimDelay(e.Record.Replicas, e.Promised.Owner, self)
 	if e.relinquished {
-		wait -= claimGrace // its link can't come back: the owner itself has given it up
+		wait -= claimGrace // no need to wait for the link to reconnect: the owner itself relinquished the request
 	}
 	return now-e.ownerLostAt >= wait
 }
 
-// endClaim has a request be claimed again when it is due.
+// endClaim ends a claim, so that orphans can return the request again.
 func (s *store) endClaim(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replication/store_recovery.go
+++ b/internal/replication/store_recovery.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// recoverable returns the entries on whose keys a gateway may have voted in any incarnation, behind a key in their order, of
-// about maxBytes; more: others follow. A request without an intent here was allowed none with this replica's vote; where two other
-// replicas allowed one, those tell of it.
+// recoverable returns a page of approximately maxBytes with the entries, ordered by key and after the given key, for which any
+// incarnation of the named gateway may have voted. more reports whether further entries follow. A request without an intent here
+// had no attempt permitted with the vote of this replica; if two other replicas permitted one, they report it.
 func (s *store) recoverable(name string, after Key, maxBytes int) (entries []Entry, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,7 @@
 		entry.Intents = nil
 		size += sizeOf(&entry.Record)
 		if !entry.Decided {
-			entry.Outcome = nil // this replica accepted it, which is no other's vote
+			entry.Outcome = nil // accepted by this replica, which proves no vote of another one
 		} else {
 			size += len(entry.Outcome.Body)
 		}
@@ -36,7 +36,7 @@
 	return entries, false
 }
 
-// mayHaveVote says that a gateway, in any incarnation, may have voted for an attempt or an outcome of the request.
+// mayHaveVote reports whether any incarnation of the named gateway may have voted for an attempt or an outcome of the request.
 func (e *replicaEntry) mayHaveVote(name string) bool {
 	if e.Record.IdempotencyKey == "" {
 		return false
@@ -47,19 +47,19 @@
 	return slices.ContainsFunc(e.Record.Replicas, func(g Gateway) bool { return g.Name == name })
 }
 
-// addRecovered stores a request that an earlier incarnation may have voted for; false: there is no capacity. The entry makes its
-// key known and is no vote: this incarnation is not among the record's replicas.
+// addRecovered stores a request for which an earlier incarnation may have voted; it returns false if there is no capacity. The
+// entry only reserves the key and is not a vote, because this incarnation is not among the replicas of the record.
 func (s *store) addRecovered(recovered Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	existing := s.entries[recovered.Record.Key]
 	if existing != nil && (!existing.Recovered || existing.Record.Generation >= recovered.Record.Generation) {
-		return true // what this incarnation has voted for stays
+		return true // keep what this incarnation has voted for
 	}
 	if !s.reserveSpace(sizeOf(&recovered.Record)) {
 		return false
 	}
-	// To make space may have dropped the entry that was held.
+	// reserveSpace may have dropped the existing entry.
 	if existing := s.entries[recovered.Record.Key]; existing != nil {
 		s.drop(existing)
 	}
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -10,13 +10,13 @@
 	"damsontrestle/internal/peering"
 )
 
-// Outcomes are kept for their retention, or until capacity is needed, the oldest dropped first; what is undecided is never
-// dropped for capacity.
+// Outcomes are kept until the end of their retention or until their memory is needed; then the oldest is dropped first. Undecided
+// requests are never dropped to free memory.
 func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
 	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
 	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
-	take := func(id string, body int) Verdict {
+	record := func(id string, body int) Verdict {
 		verdict, _ := s.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), TimeLeft: time.Minute}, ballot)
 		return verdict
 	}
@@ -26,39 +26,40 @@
 		now += time.Second
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if verdict := take(id, 2000); verdict != Accepted {
-			t.Fatalf("%s: %v", id, verdict)
+		if verdict := record(id, 2000); verdict != Accepted {
+			t.Fatalf("record of %s: verdict %v, want yes", id, verdict)
 		}
 	}
-	if verdict := take("too much", 5000); verdict != NoCapacity {
-		t.Errorf("a fourth, with nothing to forget: %v", verdict)
+	if verdict := record("too much", 5000); verdict != NoCapacity {
+		t.Errorf("a fourth record without a decided entry to evict: verdict %v, want full", verdict)
 	}
 	settle("b")
 	settle("a")
-	if verdict := take("d", 4000); verdict != Accepted {
-		t.Errorf("with bodies of two that are decided dropped: %v", verdict)
+	if verdict := record("d", 4000); verdict != Accepted {
+		t.Errorf("after the bodies of two decided requests were dropped: verdict %v, want yes", verdict)
 	}
-	if verdict := take("e", 1500); verdict != Accepted {
-		t.Errorf("with an outcome to drop: %v", verdict)
+	if verdict := record("e", 1500); verdict != Accepted {
+		t.Errorf("with a decided entry to evict: verdict %v, want yes", verdict)
 	}
-	held := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
-	if held("b") || !held("a") || !held("c") || !held("d") {
-		t.Errorf("held: a %v, b %v, c %v, d %v; the oldest outcome goes first, the undecided stay", held("a"), held("b"), held("c"), held("d"))
+	stored := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
+	if stored("b") || !stored("a") || !stored("c") || !stored("d") {
+		t.Errorf("stored: a %v, b %v, c %v, d %v; want the oldest outcome (b) evicted and undecided requests kept", stored("a"), stored("b"), stored("c"), stored("d"))
 	}
 	now += 30 * time.Second
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
-	if held("a") || !held("c") {
-		t.Error("an outcome is kept for longer than its retention, or an undecided request was dropped")
+	if stored("a") || !stored("c") {
+		t.Error("an outcome was kept beyond its retention, or an undecided request was dropped")
 	}
 	now += 2 * time.Minute
 	s.orphans("X", func(*Entry, time.Duration) bool { return true })
-	if c := s.status(); c.Entries != 0 || c.Bytes != 0 {
-		t.Errorf("long after all deadlines: %+v", c)
+	if counts := s.status(); counts.Entries != 0 || counts.Bytes != 0 {
+		t.Errorf("after all deadlines and the retention: %+v, want no entries", counts)
 	}
 }
 
-// Whoever sees the same group sees the same replicas of a key: an odd number, of as many zones as there are, and over many keys
-// all gateways alike. In a group of two the other one is the only replica, alone there is none.
+// All gateways with the same view of the group choose the same replicas of a key: an odd number, from as many zones as possible,
+// with keys spread evenly over the gateways. In a group of two the other gateway is the only replica; in a group of one there is
+// none.
 func TestChooseReplicas(t *testing.T) {
 	var group []Gateway
 	for i := range 9 {
@@ -68,34 +69,34 @@
 	const keys = 3000
 	for i := range keys {
 		key := Key{"note", fmt.Sprint(i)}
-		v := ChooseReplicas(key, "g0", group, 3)
+		replicas := ChooseReplicas(key, "g0", group, 3)
 		shuffled := slices.Clone(group)
 		slices.Reverse(shuffled)
-		if again := ChooseReplicas(key, "g5", shuffled, 4); !slices.Equal(v, again) {
-			t.Fatalf("%v, and by another gateway %v", v, again)
+		if again := ChooseReplicas(key, "g5", shuffled, 4); !slices.Equal(replicas, again) {
+			t.Fatalf("gateways chose different replicas: %v and %v", replicas, again)
 		}
-		if len(v) != 3 || v[0].Zone == v[1].Zone || v[1].Zone == v[2].Zone || v[0].Zone == v[2].Zone {
-			t.Fatalf("%v", v)
+		if len(replicas) != 3 || replicas[0].Zone == replicas[1].Zone || replicas[1].Zone == replicas[2].Zone || replicas[0].Zone == replicas[2].Zone {
+			t.Fatalf("chose %v, want 3 replicas in different zones", replicas)
 		}
-		for _, g := range v {
+		for _, g := range replicas {
 			counts[g.Name]++
 		}
 	}
 	for name, n := range counts {
 		if n < keys/3*8/10 || n > keys/3*12/10 {
-			t.Errorf("%s votes on %d of %d keys", name, n, keys)
+			t.Errorf("%s is a replica of %d of %d keys, want about a third", name, n, keys)
 		}
 	}
 	for _, c := range []struct{ group, replicas, want int }{{1, 3, 0}, {2, 3, 1}, {3, 3, 3}, {4, 3, 3}, {5, 5, 5}, {4, 5, 3}, {9, 1, 1}} {
-		v := ChooseReplicas(Key{"note", "k"}, "g0", group[:c.group], c.replicas)
-		if len(v) != c.want || c.group == 2 && v[0].Name != "g1" {
-			t.Errorf("a group of %d, %d replicas: %v", c.group, c.replicas, v)
+		chosen := ChooseReplicas(Key{"note", "k"}, "g0", group[:c.group], c.replicas)
+		if len(chosen) != c.want || c.group == 2 && chosen[0].Name != "g1" {
+			t.Errorf("group of %d, %d replicas: chose %v", c.group, c.replicas, chosen)
 		}
 	}
 }
 
-// A gateway that restarted, and is told so by a peer that knew its earlier incarnation, takes no key while repeats of before may come; what
-// has no key it takes.
+// A restarted gateway, notified by a peer that had a link to its earlier incarnation, rejects records with a key while keys of
+// that incarnation may be repeated. It accepts records without a key.
 func TestRestartedReplicaRejectsKeyedRecords(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
@@ -107,7 +108,7 @@
 		return r.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
 	}
 	if verdict := recordKey("k"); verdict != Accepted {
-		t.Errorf("before any peer said so: %v", verdict)
+		t.Errorf("before the notice of a peer: verdict %v, want yes", verdict)
 	}
 	body, err := peering.Encode(incarnationNotice{Ago: 2 * time.Second})
 	if err != nil {
@@ -115,18 +116,18 @@
 	}
 	r.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
 	if verdict := recordKey("k"); verdict != OtherIncarnation {
-		t.Errorf("2 s after its earlier incarnation: %v", verdict)
+		t.Errorf("2 s after the end of the earlier incarnation: verdict %v, want other incarnation", verdict)
 	}
 	if verdict := recordKey(""); verdict != Accepted {
-		t.Errorf("a request without a key: %v", verdict)
+		t.Errorf("request without a key: verdict %v, want yes", verdict)
 	}
 	now.Add(int64(3*time.Second + 1))
 	if verdict := recordKey("k"); verdict != Accepted {
-		t.Errorf("once no repeat can come: %v", verdict)
+		t.Errorf("after the recovery window: verdict %v, want yes", verdict)
 	}
 }
 
-// keyedRecord is a request with an idempotency key that may be none.
+// keyedRecord returns a record with an idempotency key, which may be empty.
 func keyedRecord(id, idempotencyKey string) Record {
 	return Record{
 		Key:            Key{"log", id},
@@ -138,7 +139,8 @@
 	}
 }
 
-// votedStore has five keys k0 to k4 for which B may have voted, k0 rejected and k1 served, and others that are none of B's votes.
+// votedStore returns a store with five keys k0 to k4 for which B may have voted, k0 rejected and k1 served, and with others for
+// which B cannot have voted.
 func votedStore(t *testing.T, now func() time.Duration, ballot Ballot) *store {
 	t.Helper()
 	s := newStore(now, time.Minute, 1<<20)
@@ -149,7 +151,7 @@
 			t.Fatal(verdict)
 		}
 	}
-	s.record(keyedRecord("nothing allowed", "nothing allowed"), ballot)
+	s.record(keyedRecord("no intent", "no intent"), ballot)
 	s.record(keyedRecord("no key", ""), ballot)
 	elsewhere := keyedRecord("elsewhere", "elsewhere")
 	elsewhere.Replicas = elsewhere.Replicas[:1]
@@ -164,7 +166,7 @@
 	return s
 }
 
-// recoverPages has one store recover B's votes from another, and returns how many came.
+// recoverPages recovers B's votes from one store into another, and returns the number of entries.
 func recoverPages(t *testing.T, from, to *store) int {
 	t.Helper()
 	var after Key
@@ -174,11 +176,11 @@
 		page, more = from.recoverable("B", after, 1700)
 		for _, entry := range page {
 			if len(entry.Record.Body) > 0 || entry.Record.TimeLeft != 900*time.Millisecond {
-				t.Errorf("recovered %+v", entry)
+				t.Errorf("recovered entry has a body or a wrong time left: %+v", entry)
 			}
-			for range 2 { // the same entry comes from several gateways
+			for range 2 { // several gateways send the same entry
 				if !to.addRecovered(entry) {
-					t.Fatal("no capacity")
+					t.Fatal("no capacity for a recovered entry")
 				}
 			}
 			after = entry.Record.Key
@@ -188,9 +190,9 @@
 	return count
 }
 
-// A gateway that restarted is told of keys that it may have voted for, page by page, with outcomes that are decided, and knows
-// them: it takes no other request of theirs, and none that it voted for in this incarnation is changed. It is no replica of what
-// it was told.
+// A restarted gateway recovers, page by page, the keys that it may have voted for, with the outcomes of decided ones. It then
+// rejects other requests of these keys, keeps what it voted for in this incarnation, and claims none of the recovered requests,
+// because it is no replica of them.
 func TestVotesOfEarlierIncarnationAreRecovered(t *testing.T) {
 	now := time.Hour
 	clock := func() time.Duration { return now }
@@ -225,27 +227,28 @@
 		}
 	}
 	if entry, _ := self.lookup(Key{"log", "k4"}); entry == nil || entry.Record.ID != "voted in this incarnation" {
-		t.Errorf("what this incarnation voted for is now %+v", entry)
+		t.Errorf("the vote of this incarnation was replaced: %+v", entry)
 	}
 	if entry, _ := self.lookup(Key{"log", "k1"}); entry == nil || !entry.Decided || string(entry.Outcome.Body) != "answer" {
-		t.Errorf("the outcome is not known: %+v", entry)
+		t.Errorf("the outcome of a decided request was not recovered: %+v", entry)
 	}
 	if entry, _ := self.lookup(Key{"log", "k2"}); entry == nil || entry.Decided || !entry.Recovered {
-		t.Errorf("what is undecided is %+v", entry)
+		t.Errorf("an undecided request is not stored as recovered: %+v", entry)
 	}
 	now += time.Second
-	dead := func(*Entry, time.Duration) bool { return false }
-	if orphans, _ := self.orphans("B", dead); len(orphans) > 2 { // k4, and k0's next one
-		t.Errorf("it would claim what it is no replica of: %v", orphans)
+	notAlive := func(*Entry, time.Duration) bool { return false }
+	if orphans, _ := self.orphans("B", notAlive); len(orphans) > 2 { // k4 and the next request of k0
+		t.Errorf("it would claim requests of which it is no replica: %v", orphans)
 	}
 	small := newStore(clock, time.Minute, 700)
 	page, _ := other.recoverable("B", Key{}, 1<<20)
 	if small.addRecovered(page[0]) && small.addRecovered(page[1]) && small.addRecovered(page[2]) {
-		t.Error("more was recovered than there is capacity for")
+		t.Error("recovered entries exceed the capacity of the store")
 	}
 }
 
-// The decision on a key's first request may come late, when the next request of the key is held: it decides nothing of that one.
+// A late decision on the first request of a key, received when the next request of the key is stored, does not apply to that next
+// request.
 func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
 	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
@@ -256,14 +259,14 @@
 	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
 	s.settle(key, rejected, first)
 	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Accepted {
-		t.Fatalf("a key whose request was rejected is used anew: %v", verdict)
+		t.Fatalf("next request of a key whose request was rejected: verdict %v, want yes", verdict)
 	}
 	s.decide(key, 0, rejected, successor)
 	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Accepted {
-		t.Errorf("an attempt of the next request, once the first is decided to be rejected: %v", verdict)
+		t.Errorf("intent of the next request after the late decision on the first: verdict %v, want yes", verdict)
 	}
 	s.decide(key, 1, Outcome{Kind: Served}, next)
 	if entry, _ := s.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
-		t.Errorf("the next request's own decision: %+v", entry)
+		t.Errorf("the decision on the next request was not applied: %+v", entry)
 	}
 }
--- a/internal/replication/successor.go
+++ b/internal/replication/successor.go
@@ -8,9 +8,9 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Merge is what a successor goes by, from the entries that a majority sent with its promises: every intent that any of them has
-// accepted, the outcome of the highest ballot, if there is one, and the record. Two majorities meet, so that nothing that one has
-// accepted before is missing.
+// Merge combines the entries that a majority sent with its promises into the state from which a successor continues: the record,
+// every intent that any of them has accepted, and the outcome with the highest ballot, if any. Because two majorities have a
+// replica in common, it includes everything that a majority has accepted before.
 func Merge(entries []Entry) (record Record, intents []Intent, outcome *Outcome) {
 	intents = mergeIntents(entries)
 	lastIntentID := ""
@@ -20,7 +20,8 @@
 	return mergeRecords(entries, lastIntentID), intents, highestOutcome(entries)
 }
 
-// mergeIntents are all intents of the entries by ballot and attempt. An attempt that one of them knows not to have run has not.
+// mergeIntents returns all intents of the entries, ordered by ballot and attempt. An attempt has not run if any entry records
+// that.
 func mergeIntents(entries []Entry) []Intent {
 	var intents []Intent
 	for _, entry := range entries {
@@ -40,7 +41,7 @@
 	return intents
 }
 
-// highestOutcome is the outcome that was accepted by the highest ballot; nil: none was accepted.
+// highestOutcome returns the outcome that was accepted with the highest ballot, or nil.
 func highestOutcome(entries []Entry) *Outcome {
 	var outcome *Outcome
 	var acceptedBy Ballot
@@ -56,8 +57,8 @@
 	return outcome
 }
 
-// mergeRecords is the record that a successor goes on with. Where two gateways were given one key at once, replicas may hold two
-// records: the one that the last intent was for is the request's.
+// mergeRecords returns the record that a successor continues with. If two gateways received the same key concurrently, replicas
+// may hold two records; the one that the last intent refers to belongs to the request.
 func mergeRecords(entries []Entry, lastIntentID string) Record {
 	var merged Record
 	for i, entry := range entries {
@@ -70,14 +71,14 @@
 			merged = entry.Record
 		}
 		if entry.Record.Generation == merged.Generation {
-			merged.TimeLeft = max(timeLeft, entry.Record.TimeLeft) // whoever heard of it soonest knows best
+			merged.TimeLeft = max(timeLeft, entry.Record.TimeLeft) // each replica counts down from its own receipt of the record; use the largest
 		}
 	}
 	return merged
 }
 
-// precedes says whether one record of a key goes before another: by its generation, else by the last intent, else by its id, so
-// that all successors choose alike.
+// precedes reports whether a record of a key takes precedence over another: first by generation, then by the last intent, then by
+// ID, so that all successors choose the same one.
 func precedes(record, other *Record, lastIntentID string) bool {
 	switch {
 	case record.Generation != other.Generation:
@@ -90,25 +91,26 @@
 	return record.ID < other.ID
 }
 
-// Step is what a successor does with a request that it has claimed.
+// Step is the action of a successor for a request that it has claimed.
 type Step uint8
 
 // Steps.
 const (
-	Send         Step = iota + 1 // as its owner would have: no attempt may have run
-	Resend                       // an attempt may have run, and the class's effect makes another one harmless
-	QueryPartner                 // an attempt may run at a partner, which is asked for its outcome and begins nothing for that
-	GiveUp                       // it has failed: an attempt may have run, or its time is over
+	Send         Step = iota + 1 // send it as its owner would have: no attempt may have run
+	Resend                       // send it again: an attempt may have run, and the effect of the class makes another one harmless
+	QueryPartner                 // query the partner at which an attempt may run for the outcome, which starts no attempt
+	GiveUp                       // fail it: an attempt may have run, or the deadline has passed
 )
 
 var steps = [...]string{"", "send", "send again", "ask the partner", "fail"}
 
-// String is the step in the words of the design page.
+// String returns the step as the tables of the design page spell it.
 func (s Step) String() string { return steps[min(int(s), len(steps)-1)] }
 
-// NextStep is what a successor does first, by the effect of the request's class, the intents that a majority knows of and the time
-// left until its client's deadline. It sends a request again only where that is harmless: what is unsafe and may have run fails,
-// or is asked for at the partner that may run it. partner says whether a pool is a partner's.
+// NextStep returns the first step of a successor, given the effect of the class of the request, the intents that a majority
+// knows, and the time left until the client's deadline. A request is sent again only where that is harmless: an unsafe one that
+// may have run fails, or its outcome is queried at the partner that may run it. partner reports whether a pool belongs to a
+// partner.
 func NextStep(effect balancer.Effect, intents []Intent, timeLeft time.Duration, partner func(pool string) bool) Step {
 	mayHaveRun := slices.DeleteFunc(slices.Clone(intents), func(intent Intent) bool { return intent.NotRun })
 	switch {
@@ -124,12 +126,12 @@
 	return GiveUp
 }
 
-// SuspectAfter is how long the owner of a request may be silent, since the last heartbeat that it answered, until a replica takes
-// it for lost although its link stands. A link ends after silence. A request whose time is over soon, and that a successor could
-// still have served, doesn't wait for that: a third of its time goes to the suspicion, the rest is for the claim and the attempt,
-// but two heartbeats and four round trips are waited for at least. A suspicion that was wrong costs the owner the request, and a
-// safe request one more attempt, so what a successor could only fail waits for the link. Nothing that the package promises depends
-// on it.
+// SuspectAfter returns how long the owner of a request may be silent, since the last heartbeat that it answered, before a replica
+// suspects it although its link is still up. A link ends after silence. A request whose deadline is near and that a successor
+// could still serve cannot wait for that: a third of its time left is spent on the suspicion and the rest is for the claim and
+// the attempt, but the replica waits for at least two heartbeats and four round trips. A false suspicion costs the owner the
+// request and a safe request one more attempt; therefore a request that a successor could only fail waits for the end of the
+// link. No guarantee of the package depends on this time.
 func SuspectAfter(heartbeat, rtt, silence, timeLeft time.Duration, servable bool) time.Duration {
 	if !servable {
 		return silence
@@ -137,11 +139,11 @@
 	return min(silence, max(2*heartbeat+4*rtt, timeLeft/3))
 }
 
-// Servable says that a successor could still have a request served.
+// Servable reports whether a successor can still have the request served.
 func Servable(step Step) bool { return step == Send || step == Resend }
 
-// ClaimDelay is how long a replica waits, from when it lost the owner of a request, until it claims the request: by its rank among
-// the replicas, the owner left out, so that they don't claim against one another.
+// ClaimDelay returns how long a replica waits after losing the owner of a request before it claims the request. The delay depends
+// on its rank among the replicas other than the owner, so that their claims do not compete.
 func ClaimDelay(replicas []Gateway, owner, self string) time.Duration {
 	rank := 0
 	for _, replica := range replicas {
@@ -155,14 +157,15 @@
 	return claimGrace + time.Duration(rank)*claimRankDelay
 }
 
-// ClaimRetryDelay is how long a replica waits after a claim that others rejected because they hear the owner: heartbeats come to
-// each of them at another time, and a request whose time is short has none to lose.
+// ClaimRetryDelay returns how long a replica waits after its claim was rejected by replicas that still consider the owner alive.
+// Heartbeats reach each replica at a different time, so a retry can succeed soon, and a request with little time left cannot
+// afford a long wait.
 func ClaimRetryDelay(timeLeft time.Duration) time.Duration {
 	return min(claimRetryDelay, max(claimGrace, timeLeft/8))
 }
 
-// Times of a claim.
+// Delays of a claim.
 const (
-	claimGrace     = 60 * time.Millisecond  // a link that broke may come back at once
-	claimRankDelay = 150 * time.Millisecond // between replicas of neighbouring ranks
+	claimGrace     = 60 * time.Millisecond  // for a broken link to reconnect
+	claimRankDelay = 150 * time.Millisecond // between replicas of adjacent ranks
 )
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/fault"
 )
 
-// CheckOrphans has watchOrphans look at once, for a link has ended.
+// CheckOrphans triggers an immediate check by watchOrphans, for example after a link has ended.
 func (r *Replicator) CheckOrphans() {
 	select {
 	case r.orphanCheck <- struct{}{}:
@@ -16,7 +16,7 @@
 	}
 }
 
-// watchOrphans looks for undecided requests whose owners are not heard, and claims them, each in a task of its own, until
+// watchOrphans periodically looks for undecided requests whose owners are not alive and claims each in a separate task, until
 // Close.
 func (r *Replicator) watchOrphans() {
 	timer := time.NewTimer(idleCheckInterval)
@@ -41,7 +41,7 @@
 	}
 }
 
-// takeOver claims an orphan by a higher ballot and, once a majority has promised it, goes on with the request as its successor.
+// takeOver claims an orphan with a higher ballot and, once a majority has promised it, continues the request as its successor.
 func (r *Replicator) takeOver(key Key) {
 	defer r.store.endClaim(key)
 	entry, _ := r.store.lookup(key)
@@ -78,15 +78,15 @@
 	work.run(ctx)
 }
 
-// prepare is the first phase of Paxos: it has the replicas of a request promise a ballot, and returns the entries of a majority
-// that has. Without a majority it waits until the next claim is due.
+// prepare is the first phase of Paxos: it asks the replicas of a request to promise a ballot, and returns the entries of the
+// promising majority. Without a majority it returns after a delay, which spaces the retries of the claim.
 func (r *Replicator) prepare(ctx context.Context, record Record, ballot Ballot) (entries []Entry, ok bool) {
 	replies := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any {
 		return recordRequest{record, ballot, replica.Incarnation}
 	})
 	for _, reply := range replies.rejected {
 		if reply.Entry != nil && reply.Entry.Decided {
-			// A later request of the key says what became of it, too.
+			// The entry may belong to a later request of the key; its outcome also ends this request.
 			r.store.decide(record.Key, record.Generation, *reply.Entry.Outcome, reply.Entry.AcceptedBy)
 			return nil, false
 		}
@@ -101,7 +101,7 @@
 	return entries, true
 }
 
-// ownerAlive says that the owner of a request is heard here, lately enough for the time that the request has left.
+// ownerAlive reports whether the owner of a request was heard from recently enough, given the time left until its deadline.
 func (r *Replicator) ownerAlive(entry *Entry, timeLeft time.Duration) bool {
 	ballot := entry.Promised
 	if ballot.Owner == r.options.Self.Name {
@@ -116,7 +116,7 @@
 	}
 	silence := link.Quiet()
 	if silence < 2*r.options.Heartbeat {
-		return true // whatever the request, it is soon enough
+		return true // recent enough for any request
 	}
 	step := r.options.NextStep(&entry.Record, entry.Intents, timeLeft)
 	return silence < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
--- a/internal/replication/tally.go
+++ b/internal/replication/tally.go
@@ -5,32 +5,32 @@
 // groupReply is the reply of one gateway of the group to a query for a request.
 type groupReply struct {
 	from  string
-	reply *replicaReply // nil: it has not answered
+	reply *replicaReply // nil: it did not reply
 }
 
-// tally counts what gateways have replied to a query for one request.
+// tally evaluates the replies of the gateways to a query for one request.
 type tally struct {
-	replicas      []Gateway    // that the request would have now
-	unknown       int          // of those replicas, that hold nothing of it
-	votes         map[vote]int // replicas that have accepted an outcome
-	undecided     bool         // a gateway holds it, undecided
-	recoveredOnly bool         // a gateway restarted since, and has only recovered its key
-	missingReply  bool         // a gateway has not replied
-	generation    uint32       // of the latest request of its key
+	replicas      []Gateway    // current replicas of the key
+	unknown       int          // number of those replicas that hold nothing for the key
+	votes         map[vote]int // number of replicas that have accepted each outcome
+	undecided     bool         // a gateway holds the request, undecided
+	recoveredOnly bool         // a gateway has restarted since, and has recovered only the key
+	missingReply  bool         // a gateway did not reply
+	generation    uint32       // of the latest request of the key
 }
 
-// vote is for the outcome that was proposed by a ballot.
+// vote identifies an accepted outcome by the ballot that proposed it and the generation of its request.
 type vote struct {
 	ballot     Ballot
 	generation uint32
 }
 
-// newTally counts replies to a query for a request that would have these replicas now.
+// newTally returns an empty tally for a request with the given current replicas.
 func newTally(replicas []Gateway) *tally {
 	return &tally{replicas: replicas, votes: map[vote]int{}}
 }
 
-// add counts one reply. It returns the entry whose outcome is decided by that, if one is.
+// add counts one reply. It returns the entry whose outcome is decided by this reply, or nil.
 func (t *tally) add(reply groupReply) *Entry {
 	if reply.reply == nil {
 		t.missingReply = true
@@ -63,10 +63,10 @@
 	return entry
 }
 
-// isUnknown says that a majority of the replicas holds nothing of the request.
+// isUnknown reports whether a majority of the replicas hold nothing for the request.
 func (t *tally) isUnknown() bool { return t.unknown >= Majority(len(t.replicas)) }
 
-// err is what the replies come to where none of them decided an outcome.
+// err returns the error for the replies if they decide no outcome.
 func (t *tally) err() error {
 	switch {
 	case t.undecided:
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -9,25 +9,26 @@
 	"damsontrestle/internal/fault"
 )
 
-// Work is a request that this gateway carries, by one ballot. It is fenced once the ballot is superseded: from then on it begins
-// no attempt and settles nothing.
+// Work is the execution of a request by this gateway with one ballot. It is fenced once the ballot is superseded, once no
+// majority can accept its record, or at shutdown; after that it begins no attempt and settles no outcome.
 type Work struct {
 	replicator         *Replicator
 	record             Record
 	ballot             Ballot
-	priorIntents       []Intent      // of earlier owners
-	deadline           time.Duration // of the client, by Options.Now
-	serveWithoutQuorum bool          // the outcome counts though no quorum accepted it
-	fenced             chan struct{} // closed with fenceErr
+	priorIntents       []Intent      // attempts that earlier owners were permitted
+	deadline           time.Duration // deadline of the client by Options.Now
+	serveWithoutQuorum bool          // return the outcome even if no quorum accepted it
+	fenced             chan struct{} // closed when fenceErr is set
 
 	mu         sync.Mutex
-	fenceErr   error // why it is fenced; nil: it is not
-	accepted   int   // replicas that have accepted its record,
-	duplicates int   // that go by another request of its key or a higher ballot,
-	rejected   int   // and that have no capacity or have restarted
+	fenceErr   error // why the work is fenced; nil: it is not
+	accepted   int   // replicas that have accepted the record
+	duplicates int   // replicas that hold another request of the key or a higher ballot
+	rejected   int   // replicas that have no capacity or have restarted
 }
 
-// register makes a request the work of this gateway. ErrDuplicate: it carries one of that key already. ErrNoQuorum: it shuts down.
+// register adds a request to the active work of this gateway. It returns ErrDuplicate if there is active work for the key, and
+// ErrNoQuorum if the gateway is shutting down.
 func (r *Replicator) register(ctx context.Context, record Record, ballot Ballot, priorIntents []Intent) (*Work, error) {
 	work := &Work{
 		replicator:   r,
@@ -49,7 +50,7 @@
 	return work, nil
 }
 
-// unregister ends the work: the gateway carries the request no more.
+// unregister removes the work from the active work of the gateway.
 func (w *Work) unregister() {
 	w.replicator.mu.Lock()
 	defer w.replicator.mu.Unlock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// fence ends the right of this gateway to begin attempts of the request. The first reason stands.
+// fence ends the right of this gateway to begin attempts of the request. Only the first reason is kept.
 func (w *Work) fence(reason error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// countRecordReply counts a replica's reply to the record. Once no majority can accept it the work is fenced.
+// countRecordReply counts the reply of a replica to the record, and fences the work once no majority can accept the record.
 func (w *Work) countRecordReply(reply replicaReply) {
 	quorum := Majority(len(w.record.Replicas))
 	w.mu.Lock()
@@ -94,15 +95,15 @@
 	}
 }
 
-// fenceReason is why the work is fenced; nil: it is not.
+// fenceReason returns why the work is fenced, or nil.
 func (w *Work) fenceReason() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fenceErr
 }
 
-// run carries the request out and settles its outcome, the same for an owner and a successor. The first error of Execute stands
-// for what it returns.
+// run executes the request and settles its outcome, for an owner or a successor. It returns the reason of the fence if the work
+// was fenced.
 func (w *Work) run(ctx context.Context) (Outcome, error) {
 	defer w.unregister()
 	ctx, cancel := context.WithCancel(ctx)
@@ -132,20 +133,20 @@
 	return Outcome{}, err
 }
 
-// conclude has an outcome settled, unless there is none or the work is fenced.
+// conclude settles an outcome, unless there is none or the work is fenced.
 func (w *Work) conclude(ctx context.Context, outcome Outcome) error {
 	switch {
 	case w.isFenced():
 		w.replicator.count(func(n *Counts) { n.Fenced++ })
 		return w.fenceReason()
 	case outcome.Kind == 0:
-		return ErrUndecided // nobody waits for it any more, or this gateway ends
+		return ErrUndecided // ctx ended: the client no longer waits, or this gateway is shutting down
 	}
 	return w.settle(ctx, outcome)
 }
 
-// notifyAll sends a notice on the request to all its replicas without waiting; own applies it to this gateway's store, if it is
-// a replica.
+// notifyAll sends a notice about the request to all its replicas without waiting. If this gateway is a replica, applyLocal
+// applies the notice to its store.
 func (w *Work) notifyAll(topic string, attempt int, applyLocal func(*store)) {
 	for _, replica := range w.record.Replicas {
 		if replica.Name == w.replicator.options.Self.Name {
@@ -158,24 +159,23 @@
 	}
 }
 
-// withdraw notifies replicas that no attempt of the request was begun and none will be: other replicas of its key had no
-// capacity for it or hold another request. Those that accepted its record, and no intent behind it, drop it, so that the key is
-// free.
+// withdraw notifies the replicas that no attempt of the request was or will be begun, because other replicas have no capacity for
+// it or hold another request of the key. Replicas that accepted the record but no intent drop it, which frees the key.
 func (w *Work) withdraw() {
 	w.notifyAll(topicWithdraw, 0, func(s *store) { s.withdraw(w.record.Key, w.ballot) })
 }
 
-// relinquish notifies replicas that this gateway carries the request no more, so that a successor claims it at once.
+// relinquish notifies the replicas that this gateway no longer executes the request, so that a successor claims it without delay.
 func (w *Work) relinquish() {
 	w.notifyAll(topicRelinquish, 0, func(s *store) { s.relinquish(w.record.Key, w.ballot) })
 }
 
-// TimeLeft is the time until the request's deadline; negative past it.
+// TimeLeft returns the time until the deadline of the request; it is negative after the deadline.
 func (w *Work) TimeLeft() time.Duration { return w.deadline - w.replicator.options.Now() }
 
-// Intend has a majority of the replicas accept an attempt's intent; false: the attempt must not begin. It is called when the
-// connection is up and the first byte is written next: an intent that has grown old by then is asked for again, for a successor
-// may have claimed the request meanwhile.
+// Intend reports whether an attempt may begin: a majority of the replicas has accepted its intent. The caller calls it when the
+// connection is established and the first byte is about to be written. An intent that is too old by the time of its acceptance is
+// requested again, because a successor may have claimed the request meanwhile.
 func (w *Work) Intend(ctx context.Context, intent Intent) bool {
 	intent.Ballot = w.ballot
 	intent.ID = w.record.ID
@@ -183,7 +183,7 @@
 		if w.isFenced() {
 			return false
 		}
-		asked := time.Now()
+		requestedAt := time.Now()
 		quorumCtx, cancel := context.WithTimeout(ctx, min(quorumTimeout, max(w.TimeLeft(), 0)))
 		replies := w.replicator.collectQuorum(quorumCtx, w.record.Replicas, topicIntend, func(replica Gateway) any {
 			return intentRequest{w.record.Key, intent, replica.Incarnation}
@@ -196,13 +196,14 @@
 			return false
 		}
 		fault.Point("custody.intended")
-		if time.Since(asked) < w.maxIntentAge() {
+		if time.Since(requestedAt) < w.maxIntentAge() {
 			return !w.isFenced()
 		}
 	}
 }
 
-// maxIntentAge is how old an intent may be when the first byte is written. Where replicas are far the round trip counts.
+// maxIntentAge returns the maximum age of an intent when the first byte is written: Options.MaxIntentAge, or four round trips to
+// the most distant replica if that is longer.
 func (w *Work) maxIntentAge() time.Duration {
 	age := w.replicator.options.MaxIntentAge
 	for _, replica := range w.record.Replicas {
@@ -213,7 +214,7 @@
 	return age
 }
 
-// isFenced says that the work is fenced.
+// isFenced reports whether the work is fenced.
 func (w *Work) isFenced() bool {
 	select {
 	case <-w.fenced:
@@ -223,14 +224,14 @@
 	}
 }
 
-// NotifyNotRun notifies replicas that an attempt has ended and has not run. Nothing depends on whether they hear it; a
-// successor that knows it may send the request again.
+// NotifyNotRun notifies the replicas that an attempt has ended and has not run. Safety does not depend on the notice, but a
+// successor that has received it can resend the request.
 func (w *Work) NotifyNotRun(attempt int) {
 	w.notifyAll(topicEnded, attempt, func(s *store) { s.markNotRun(w.record.Key, w.ballot, attempt) })
 }
 
-// settle has a majority of the replicas accept the outcome, and then notifies all of them that it is decided. ErrDuplicate: the
-// ballot is superseded. ErrUndecided: no quorum has replied.
+// settle proposes the outcome to the replicas and, once a majority has accepted it, notifies all of them that it is decided. It
+// returns ErrDuplicate if the ballot is superseded, and ErrUndecided if no quorum replied.
 func (w *Work) settle(ctx context.Context, outcome Outcome) error {
 	outcome.Response = nil
 	quorumCtx, cancel := context.WithTimeout(ctx, max(min(quorumTimeout, w.TimeLeft()), claimRetryDelay))
@@ -251,7 +252,7 @@
 		w.replicator.count(func(n *Counts) { n.Fenced++ })
 		return ErrDuplicate
 	case w.serveWithoutQuorum:
-		return nil // what this gives up is said with when_alone
+		return nil // the setting when_alone documents what is lost here
 	}
 	return ErrUndecided
 }
