--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -21,7 +21,7 @@
 //     MayClaim.
 //   - At most one outcome is sent to the client and to all who query it, at any gateway: it is sent once a majority has accepted it,
 //     and a successor that finds an accepted outcome settles that one. Enforced by Work.settle, MaySettle and Merge.
-//   - A successor resends a request only where that is harmless: no attempt may have run, or its effect is safe, or the request is
+//   - A successor resends a request only where that is harmless: no attempt can have run, or its effect is safe, or the request is
 //     idempotent by a key. With a key it is resent only to the group of servers that discards repeats of the key, and while that
 //     group remembers the key; the decision module ensures this. An unsafe request that may have run fails. Enforced by NextStep.
 //   - A restarted gateway is no replica for what its earlier incarnation had accepted. Enforced by the incarnation in each message,
@@ -33,5 +33,5 @@
 // and at which server (Options.Run), and the effect of a class.
 //
 // The rules are pure functions in acceptor.go, successor.go and replicas.go. docs/design/custody.md lists them as tables, and tests
-// play each row.
+// check each row.
 package replication
--- a/internal/replication/execute.go
+++ b/internal/replication/execute.go
@@ -7,9 +7,9 @@
 )
 
 // Execute records a request at its replicas, executes it, and returns its outcome once a majority of the replicas has accepted
-// it. With serveWithoutQuorum it also returns an outcome that no majority accepted because replicas were lost meanwhile. For
-// window after a change of the group, a key may have been used at other gateways than its current replicas, and all gateways are
-// queried first.
+// it. With serveWithoutQuorum it also returns an outcome that no majority accepted because replicas were lost meanwhile. For the
+// duration window after a change of the group, an idempotency key may have been used at other replicas than its current ones;
+// during that time Execute first queries all gateways.
 //
 // On ErrNoQuorum, ErrNoCapacity and ErrKeyUnchecked no attempt was begun. On ErrDuplicate, Await returns the outcome.
 func (r *Replicator) Execute(ctx context.Context, record Record, serveWithoutQuorum bool, window time.Duration) (Outcome, error) {
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -93,14 +93,14 @@
 		t.Error("the request was executed")
 		return Outcome{Kind: Served}
 	}
-	r := New(Options{Self: group[0], Links: hubLinks{&peering.Hub{}}, Group: func() []Gateway { return group }, Run: run, Replicas: 3,
+	replicator := New(Options{Self: group[0], Links: hubLinks{&peering.Hub{}}, Group: func() []Gateway { return group }, Run: run, Replicas: 3,
 		Memory: 1 << 20, Retention: time.Second, RecoveryWindow: func() time.Duration { return time.Minute }, Now: func() time.Duration { return time.Hour }})
-	defer r.Close()
+	defer replicator.Close()
 	request := Record{Key: Key{"log", "k:key"}, ID: "request", IdempotencyKey: "key", TimeLeft: time.Minute}
-	if _, err := r.Execute(t.Context(), request, true, 2*time.Hour); !errors.Is(err, ErrKeyUnchecked) {
+	if _, err := replicator.Execute(t.Context(), request, true, 2*time.Hour); !errors.Is(err, ErrKeyUnchecked) {
 		t.Errorf("Execute returned %v, want %v", err, ErrKeyUnchecked)
 	}
-	if entries := r.Status().Replica.Entries; entries != 0 {
+	if entries := replicator.Status().Replica.Entries; entries != 0 {
 		t.Errorf("the replica stores %d requests, want none", entries)
 	}
 }
--- a/internal/replication/model_test.go
+++ b/internal/replication/model_test.go
@@ -15,12 +15,12 @@
 
 const modelReplicas = 3
 
-// actor is a gateway that executes the request or still believes that it does: its owner or a successor.
-type actor struct {
+// proposer is a gateway that executes the request or still believes that it does: its owner or a successor.
+type proposer struct {
 	ballot          Ballot
 	record          Record
 	priorIntents    []Intent
-	allowedAttempts int // number of permitted attempts
+	allowedAttempts int
 	settled         bool
 	outcome         *Outcome // the outcome that it proposes; nil: it has to make an attempt first
 }
@@ -32,7 +32,7 @@
 	effect          balancer.Effect
 	entries         []*Entry // of the replicas, by index
 	restarted       []bool   // replicas that have lost their entry
-	actors          []*actor
+	proposers       []*proposer
 	startedAttempts int
 	clientOutcome   *Outcome // returned to a client
 }
@@ -46,7 +46,7 @@
 		if i > 0 && rapid.Bool().Draw(t, "next request of A") {
 			ballot = Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 		}
-		m.actors = append(m.actors, &actor{ballot: ballot, record: recordForBallot(ballot)})
+		m.proposers = append(m.proposers, &proposer{ballot: ballot, record: recordForBallot(ballot)})
 	}
 	return m
 }
@@ -77,11 +77,11 @@
 	return accepted
 }
 
-func (m *model) record(a *actor) {
+func (m *model) record(sender *proposer) {
 	m.poll(func(i int) Verdict {
-		verdict := MayRecord(m.entries[i], &a.record, a.ballot)
+		verdict := MayRecord(m.entries[i], &sender.record, sender.ballot)
 		if verdict == Accepted {
-			m.entries[i] = &Entry{Record: a.record, Promised: a.ballot}
+			m.entries[i] = &Entry{Record: sender.record, Promised: sender.ballot}
 		}
 		return verdict
 	})
@@ -123,36 +123,36 @@
 		entries = append(entries, entry)
 	}
 	merged, intents, outcome := Merge(entries)
-	m.actors = append(m.actors, &actor{ballot: ballot, record: merged, priorIntents: intents, outcome: outcome})
+	m.proposers = append(m.proposers, &proposer{ballot: ballot, record: merged, priorIntents: intents, outcome: outcome})
 }
 
-// advance makes an actor take its next step.
+// advance makes a proposer take its next step.
 func (m *model) advance() {
-	a := m.actors[rapid.IntRange(0, len(m.actors)-1).Draw(m.t, "actor")]
-	if a.settled {
+	next := m.proposers[rapid.IntRange(0, len(m.proposers)-1).Draw(m.t, "proposer")]
+	if next.settled {
 		return
 	}
-	if a.outcome != nil {
-		m.settle(a)
+	if next.outcome != nil {
+		m.settle(next)
 		return
 	}
-	next := NextStep(m.effect, a.priorIntents, time.Second, func(string) bool { return false })
+	step := NextStep(m.effect, next.priorIntents, time.Second, func(string) bool { return false })
 	switch {
-	case a.allowedAttempts > 0:
-		a.outcome = &Outcome{Kind: Served, Body: []byte(fmt.Sprint("by ", a.ballot))}
-	case next == GiveUp:
-		a.outcome = &Outcome{Kind: Failed}
+	case next.allowedAttempts > 0:
+		next.outcome = &Outcome{Kind: Served, Body: []byte(fmt.Sprint("by ", next.ballot))}
+	case step == GiveUp:
+		next.outcome = &Outcome{Kind: Failed}
 	default:
-		m.intend(a)
+		m.intend(next)
 	}
 }
 
 // intend requests an attempt. It fails the test if an attempt is permitted with a ballot after a majority has promised a higher
 // one.
-func (m *model) intend(a *actor) {
-	intent := Intent{Ballot: a.ballot, Attempt: len(a.priorIntents), ID: a.record.ID}
+func (m *model) intend(sender *proposer) {
+	intent := Intent{Ballot: sender.ballot, Attempt: len(sender.priorIntents), ID: sender.record.ID}
 	accepted := m.poll(func(i int) Verdict {
-		verdict := MayIntend(m.entries[i], a.ballot)
+		verdict := MayIntend(m.entries[i], sender.ballot)
 		if verdict == Accepted {
 			m.entries[i].AcceptIntent(intent)
 		}
@@ -163,37 +163,37 @@
 	}
 	higher := 0
 	for i, entry := range m.entries {
-		if entry != nil && !m.restarted[i] && entry.Promised.Compare(a.ballot) > 0 {
+		if entry != nil && !m.restarted[i] && entry.Promised.Compare(sender.ballot) > 0 {
 			higher++
 		}
 	}
 	if higher >= Majority(modelReplicas) {
-		m.t.Fatalf("an attempt began with ballot %v after a majority had promised a higher one", a.ballot)
+		m.t.Fatalf("an attempt began with ballot %v after a majority had promised a higher one", sender.ballot)
 	}
-	a.allowedAttempts++
+	sender.allowedAttempts++
 	m.startedAttempts++
 }
 
-// settle proposes an actor's outcome. It fails the test if clients receive different outcomes.
-func (m *model) settle(a *actor) {
+// settle proposes an outcome. It fails the test if clients receive different outcomes.
+func (m *model) settle(sender *proposer) {
 	accepted := m.poll(func(i int) Verdict {
-		verdict := MaySettle(m.entries[i], a.ballot)
+		verdict := MaySettle(m.entries[i], sender.ballot)
 		if verdict == Accepted {
-			m.entries[i].AcceptOutcome(*a.outcome, a.ballot)
+			m.entries[i].AcceptOutcome(*sender.outcome, sender.ballot)
 		}
 		return verdict
 	})
 	if len(accepted) < Majority(modelReplicas) {
 		return
 	}
-	a.settled = true
-	if m.clientOutcome != nil && (m.clientOutcome.Kind != a.outcome.Kind || string(m.clientOutcome.Body) != string(a.outcome.Body)) {
-		m.t.Fatalf("clients received different outcomes: %+v and %+v", m.clientOutcome, a.outcome)
+	sender.settled = true
+	if m.clientOutcome != nil && (m.clientOutcome.Kind != sender.outcome.Kind || string(m.clientOutcome.Body) != string(sender.outcome.Body)) {
+		m.t.Fatalf("clients received different outcomes: %+v and %+v", m.clientOutcome, sender.outcome)
 	}
-	m.clientOutcome = a.outcome
+	m.clientOutcome = sender.outcome
 	for _, i := range m.deliver("decided") {
 		if m.entries[i] != nil {
-			m.entries[i].AcceptOutcome(*a.outcome, a.ballot)
+			m.entries[i].AcceptOutcome(*sender.outcome, sender.ballot)
 			m.entries[i].Decided = true
 		}
 	}
@@ -204,7 +204,7 @@
 func TestSingleOutcomeAndExecutionUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
-		for _, a := range m.actors {
+		for _, a := range m.proposers {
 			m.record(a)
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -28,7 +28,7 @@
 	// Heartbeat is the interval between heartbeats of a link. Silence is how long a link stays up without a reply to them.
 	Heartbeat time.Duration
 	Silence   time.Duration
-	// Replicas is the number of replicas of a request, if the group has as many gateways.
+	// Replicas is the number of replicas of a request in a group of at least that many gateways.
 	Replicas int
 	// Memory limits the approximate number of bytes stored as a replica.
 	Memory int
--- a/internal/replication/quorum.go
+++ b/internal/replication/quorum.go
@@ -51,13 +51,13 @@
 
 // requestAll sends a message to all replicas without waiting. onReply is called for each reply as it arrives, and must not block.
 func (w *Work) requestAll(topic string, message func(Gateway) any, onReply func(replicaReply)) {
-	r := w.replicator
+	replicator := w.replicator
 	for _, replica := range w.record.Replicas {
-		if replica.Name == r.options.Self.Name {
-			onReply(r.localReply(topic, message(replica)))
+		if replica.Name == replicator.options.Self.Name {
+			onReply(replicator.localReply(topic, message(replica)))
 			continue
 		}
-		r.request(replica, topic, message(replica), func(reply *replicaReply) {
+		replicator.request(replica, topic, message(replica), func(reply *replicaReply) {
 			if reply != nil {
 				onReply(*reply)
 			}
--- a/internal/replication/record.go
+++ b/internal/replication/record.go
@@ -111,7 +111,7 @@
 	BodyOmitted bool          `cbor:"4,keyasint,omitempty"` // the body was too long to store: only the first client receives it
 	RetryAfter  time.Duration `cbor:"5,keyasint,omitempty"` // for Rejected: the Retry-After
 	Reason      string        `cbor:"6,keyasint,omitempty"` // for Rejected by a rule: the name of the rule
-	NotRun      bool          `cbor:"7,keyasint,omitempty"` // for Rejected: no attempt may have run
+	NotRun      bool          `cbor:"7,keyasint,omitempty"` // for Rejected: every attempt is known not to have run
 
 	Response interface{ Discard() } `cbor:"-"` // the original response, only at the gateway that executed the request
 }
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -12,9 +12,9 @@
 
 // A restarted gateway may have voted, in its earlier incarnation, for requests whose keys can still arrive, and has forgotten those
 // votes. If it voted on such a key again, two requests of one key could begin. Therefore it votes on no key until none of these keys
-// can arrive any more. It can vote earlier if the other gateways of its group report what it may have voted for: a request that was
-// accepted has a majority of replicas, so every replica that has not lost its state holds it too. (This is the recovery protocol of
-// Viewstamped Replication Revisited, section 4.3, restricted to keys.)
+// can arrive any more. It can vote earlier if the other gateways of its group report what it may have voted for: a request that
+// was accepted is held by a majority of its replicas, and those that have not lost their state report it. (This is the recovery
+// protocol of Viewstamped Replication Revisited, section 4.3, restricted to keys.)
 
 const (
 	maxRecoveryBytes  = 512 << 10 // approximate size of the entries in one reply; the first entry may exceed it
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -11,7 +11,8 @@
 )
 
 // Replicator is the replication component of a gateway: it executes the requests of the gateway, stores those of others as a
-// replica, and takes over orphans. Its methods are safe for concurrent use. mu guards the fields below it.
+// replica, and takes over orphans, which are undecided requests whose owner is not alive. Its methods are safe for concurrent
+// use. mu guards the fields below it.
 type Replicator struct {
 	options     Options
 	store       *store
@@ -24,7 +25,7 @@
 
 	mu        sync.Mutex
 	active    map[Key]*Work              // requests that this gateway executes
-	draining  bool                       // new requests are refused
+	draining  bool                       // no new request is accepted
 	lostPeers map[string]lostIncarnation // by gateway name, the incarnation whose last link ended most recently
 	counts    Counts
 
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -14,15 +14,15 @@
 // requests are never dropped to free memory.
 func TestReplicaEviction(t *testing.T) {
 	now := time.Hour
-	s := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
+	replicaStore := newStore(func() time.Duration { return now }, 30*time.Second, 10_000)
 	ballot := Ballot{Number: 1, Owner: "A", Incarnation: 1}
 	record := func(id string, body int) Verdict {
-		verdict, _ := s.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), TimeLeft: time.Minute}, ballot)
+		verdict, _ := replicaStore.record(Record{Key: Key{"note", id}, ID: id, Body: make([]byte, body), TimeLeft: time.Minute}, ballot)
 		return verdict
 	}
 	settle := func(id string) {
-		s.settle(Key{"note", id}, Outcome{Kind: Served}, ballot)
-		s.decide(Key{"note", id}, 0, Outcome{Kind: Served}, ballot)
+		replicaStore.settle(Key{"note", id}, Outcome{Kind: Served}, ballot)
+		replicaStore.decide(Key{"note", id}, 0, Outcome{Kind: Served}, ballot)
 		now += time.Second
 	}
 	for _, id := range []string{"a", "b", "c"} {
@@ -41,18 +41,18 @@
 	if verdict := record("e", 1500); verdict != Accepted {
 		t.Errorf("with a decided entry to evict: verdict %v, want yes", verdict)
 	}
-	stored := func(id string) bool { entry, _ := s.lookup(Key{"note", id}); return entry != nil }
+	stored := func(id string) bool { entry, _ := replicaStore.lookup(Key{"note", id}); return entry != nil }
 	if stored("b") || !stored("a") || !stored("c") || !stored("d") {
 		t.Errorf("stored: a %v, b %v, c %v, d %v; want the oldest outcome (b) evicted and undecided requests kept", stored("a"), stored("b"), stored("c"), stored("d"))
 	}
 	now += 30 * time.Second
-	s.orphans("X", func(*Entry, time.Duration) bool { return true })
+	replicaStore.orphans("X", func(*Entry, time.Duration) bool { return true })
 	if stored("a") || !stored("c") {
 		t.Error("an outcome was kept beyond its retention, or an undecided request was dropped")
 	}
 	now += 2 * time.Minute
-	s.orphans("X", func(*Entry, time.Duration) bool { return true })
-	if counts := s.status(); counts.Entries != 0 || counts.Bytes != 0 {
+	replicaStore.orphans("X", func(*Entry, time.Duration) bool { return true })
+	if counts := replicaStore.status(); counts.Entries != 0 || counts.Bytes != 0 {
 		t.Errorf("after all deadlines and the retention: %+v, want no entries", counts)
 	}
 }
@@ -100,12 +100,12 @@
 func TestRestartedReplicaRejectsKeyedRecords(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
-	r := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: hubLinks{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
+	replicator := New(Options{Self: Gateway{Name: "A", Incarnation: 7}, Links: hubLinks{&peering.Hub{}}, Group: func() []Gateway { return nil }, Memory: 1 << 20, Retention: time.Second,
 		RecoveryWindow: func() time.Duration { return 5 * time.Second }, Now: func() time.Duration { return time.Duration(now.Load()) }})
-	defer r.Close()
+	defer replicator.Close()
 	recordKey := func(key string) Verdict {
 		record := Record{Key: Key{"log", fmt.Sprint(now.Load(), key)}, ID: "x", IdempotencyKey: key, TimeLeft: time.Second}
-		return r.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
+		return replicator.record(recordRequest{Record: record, Ballot: Ballot{Number: 1, Owner: "B", Incarnation: 1}, ReplicaIncarnation: 7}).Verdict
 	}
 	if verdict := recordKey("k"); verdict != Accepted {
 		t.Errorf("before the notice of a peer: verdict %v, want yes", verdict)
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
+	replicator.Topics()[topicIncarnations](&peering.Link{Peer: peering.Peer{Name: "B"}}, body, nil)
 	if verdict := recordKey("k"); verdict != OtherIncarnation {
 		t.Errorf("2 s after the end of the earlier incarnation: verdict %v, want other incarnation", verdict)
 	}
@@ -143,27 +143,27 @@
 // which B cannot have voted.
 func votedStore(t *testing.T, now func() time.Duration, ballot Ballot) *store {
 	t.Helper()
-	s := newStore(now, time.Minute, 1<<20)
+	voted := newStore(now, time.Minute, 1<<20)
 	for i := range 5 {
 		id := fmt.Sprint("k", i)
-		verdict, _ := s.record(keyedRecord(id, id), ballot)
-		if verdict != Accepted || s.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Accepted {
+		verdict, _ := voted.record(keyedRecord(id, id), ballot)
+		if verdict != Accepted || voted.intend(Key{"log", id}, Intent{Ballot: ballot, ID: id}) != Accepted {
 			t.Fatal(verdict)
 		}
 	}
-	s.record(keyedRecord("no intent", "no intent"), ballot)
-	s.record(keyedRecord("no key", ""), ballot)
+	voted.record(keyedRecord("no intent", "no intent"), ballot)
+	voted.record(keyedRecord("no key", ""), ballot)
 	elsewhere := keyedRecord("elsewhere", "elsewhere")
 	elsewhere.Replicas = elsewhere.Replicas[:1]
-	s.record(elsewhere, ballot)
+	voted.record(elsewhere, ballot)
 	for id, outcome := range map[string]Outcome{
 		"k0": {Kind: Rejected, NotRun: true},
 		"k1": {Kind: Served, Body: []byte("answer")},
 	} {
-		s.settle(Key{"log", id}, outcome, ballot)
-		s.decide(Key{"log", id}, 0, outcome, ballot)
+		voted.settle(Key{"log", id}, outcome, ballot)
+		voted.decide(Key{"log", id}, 0, outcome, ballot)
 	}
-	return s
+	return voted
 }
 
 // recoverPages recovers B's votes from one store into another, and returns the number of entries.
@@ -250,23 +250,23 @@
 // A late decision on the first request of a key, received when the next request of the key is stored, does not apply to that next
 // request.
 func TestLateDecisionDoesNotApplyToNextRequest(t *testing.T) {
-	s := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
+	replicaStore := newStore(func() time.Duration { return time.Hour }, time.Minute, 1<<20)
 	key := Key{"log", "k"}
 	first := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 1}
 	successor := Ballot{Number: 2, Owner: "B", Incarnation: 2, Sequence: 1}
 	next := Ballot{Number: 1, Owner: "A", Incarnation: 1, Sequence: 2}
 	rejected := Outcome{Kind: Rejected, NotRun: true}
-	s.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
-	s.settle(key, rejected, first)
-	if verdict, _ := s.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Accepted {
+	replicaStore.record(Record{Key: key, ID: "first", IdempotencyKey: "k", TimeLeft: time.Minute}, first)
+	replicaStore.settle(key, rejected, first)
+	if verdict, _ := replicaStore.record(Record{Key: key, Generation: 1, ID: "next", IdempotencyKey: "k", TimeLeft: time.Minute}, next); verdict != Accepted {
 		t.Fatalf("next request of a key whose request was rejected: verdict %v, want yes", verdict)
 	}
-	s.decide(key, 0, rejected, successor)
-	if verdict := s.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Accepted {
+	replicaStore.decide(key, 0, rejected, successor)
+	if verdict := replicaStore.intend(key, Intent{Ballot: next, ID: "next"}); verdict != Accepted {
 		t.Errorf("intent of the next request after the late decision on the first: verdict %v, want yes", verdict)
 	}
-	s.decide(key, 1, Outcome{Kind: Served}, next)
-	if entry, _ := s.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
+	replicaStore.decide(key, 1, Outcome{Kind: Served}, next)
+	if entry, _ := replicaStore.lookup(key); !entry.Decided || entry.Outcome.Kind != Served {
 		t.Errorf("the decision on the next request was not applied: %+v", entry)
 	}
 }
--- a/internal/replication/successor.go
+++ b/internal/replication/successor.go
@@ -96,9 +96,9 @@
 
 // Steps.
 const (
-	Send         Step = iota + 1 // send it as its owner would have: no attempt may have run
+	Send         Step = iota + 1 // send it as its owner would have: no attempt can have run
 	Resend                       // send it again: an attempt may have run, and the effect of the class makes another one harmless
-	QueryPartner                 // query the partner at which an attempt may run for the outcome, which starts no attempt
+	QueryPartner                 // ask the partner that may be running an attempt for the outcome; this starts no attempt
 	GiveUp                       // fail it: an attempt may have run, or the deadline has passed
 )
 
@@ -109,8 +109,8 @@
 
 // NextStep returns the first step of a successor, given the effect of the class of the request, the intents that a majority
 // knows, and the time left until the client's deadline. A request is sent again only where that is harmless: an unsafe one that
-// may have run fails, or its outcome is queried at the partner that may run it. partner reports whether a pool belongs to a
-// partner.
+// may have run fails or, if it may have run at a partner, its outcome is queried there. partner reports whether a pool belongs to
+// a partner.
 func NextStep(effect balancer.Effect, intents []Intent, timeLeft time.Duration, partner func(pool string) bool) Step {
 	mayHaveRun := slices.DeleteFunc(slices.Clone(intents), func(intent Intent) bool { return intent.NotRun })
 	switch {
