--- a/internal/replication/group_test.go
+++ b/internal/replication/group_test.go
@@ -10,33 +10,33 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// testNode is one replicator with its links.
+// testNode is a replicator with its links.
 type testNode struct {
 	hub        *peering.Hub
 	replicator *Replicator
 }
 
-// testGroup are replicators with links to one another over loopback.
+// testGroup holds replicators by name, connected to one another over loopback.
 type testGroup map[string]*testNode
 
-type linksOf struct{ hub *peering.Hub }
+type hubLinks struct{ hub *peering.Hub }
 
-func (l linksOf) To(name string) *peering.Link {
+func (l hubLinks) To(name string) *peering.Link {
 	return l.hub.To(peering.GatewayID{Partner: "p", Name: name})
 }
-func (l linksOf) All() []*peering.Link { return l.hub.Links("p") }
+func (l hubLinks) All() []*peering.Link { return l.hub.Links("p") }
 
-// newTestNode starts a replicator without links of a group that began at a time.
-func newTestNode(tb testing.TB, self Gateway, members func() []Gateway, run Run, begin time.Time) *testNode {
+// newTestNode starts a replicator without links. Its clock starts at begin.
+func newTestNode(tb testing.TB, self Gateway, members func() []Gateway, run RunFunc, begin time.Time) *testNode {
 	tb.Helper()
-	links := &linksOf{}
+	links := &hubLinks{}
 	log := slog.New(slog.DiscardHandler)
 	replicator := New(Options{
 		Self:           self,
 		Links:          links,
 		Group:          members,
 		Run:            run,
-		Step:           func(*Record, []Intent, time.Duration) Step { return GiveUp },
+		NextStep:       func(*Record, []Intent, time.Duration) Step { return GiveUp },
 		Heartbeat:      250 * time.Millisecond,
 		Silence:        time.Minute,
 		Replicas:       3,
@@ -62,8 +62,8 @@
 	return &testNode{hub, replicator}
 }
 
-// newTestGroup starts n replicators with links to one another. run stands for their engines.
-func newTestGroup(tb testing.TB, n int, run Run) testGroup {
+// newTestGroup starts n replicators that are connected to one another and execute requests with run.
+func newTestGroup(tb testing.TB, n int, run RunFunc) testGroup {
 	tb.Helper()
 	group := testGroup{}
 	var names []string
@@ -92,7 +92,7 @@
 		}
 	}
 	for name, node := range group {
-		testpeer.Until(tb, name+" to have its links", func() bool { return len(node.hub.Links("p")) >= n-1 })
+		testpeer.Until(tb, name+" to be connected to all other nodes", func() bool { return len(node.hub.Links("p")) >= n-1 })
 	}
 	return group
 }
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// store is what this gateway has accepted as a replica, in memory. Each method is one step of the replica: the acceptor's rules
-// are looked up and applied under mu.
+// store holds in memory what this gateway has accepted as a replica. Each method is one atomic step of the replica: it evaluates
+// and applies the acceptor's rules while holding mu.
 type store struct {
 	now       func() time.Duration
 	retention time.Duration
@@ -19,28 +19,29 @@
 	counts  StoreCounts
 }
 
-// ownerAlive says whether the owner of an entry, whose request has that much time left, is heard at this gateway.
+// ownerAlive reports whether this gateway considers the owner of an entry alive, given the time left until the deadline of the
+// request.
 type ownerAlive func(entry *Entry, timeLeft time.Duration) bool
 
-// replicaEntry is an entry, with what only this replica knows. Times are by Options.Now.
+// replicaEntry is an entry with the state that only this replica has. Points in time are readings of Options.Now.
 type replicaEntry struct {
 	Entry
-	deadline     time.Duration   // of its client, by this gateway's clock
-	decidedAt    time.Duration   // 0: it is not decided
-	ownerLostAt  time.Duration   // since when its owner is not heard; 0: it is heard
-	relinquished bool            // its owner has given it up
-	claiming     bool            // this gateway is claiming it
-	intendedAt   []time.Duration // of each intent
-	size         int             // in bytes, about
-	changed      chan struct{}   // closed at the next change
+	deadline     time.Duration   // deadline of the client by this gateway's clock
+	decidedAt    time.Duration   // 0: undecided
+	ownerLostAt  time.Duration   // when its owner was first found not alive; 0: it is alive
+	relinquished bool            // its owner has relinquished it
+	claiming     bool            // this gateway is claiming it or executing it after a claim
+	intendedAt   []time.Duration // when each of Intents was accepted
+	size         int             // approximate size in bytes
+	changed      chan struct{}   // closed on the next change
 }
 
-// newStore returns an empty store of at most so many bytes, about, that drops decided entries after their retention.
+// newStore returns an empty store of approximately maxBytes that drops decided entries after the retention.
 func newStore(now func() time.Duration, retention time.Duration, maxBytes int) *store {
 	return &store{now: now, retention: retention, maxBytes: maxBytes, entries: map[Key]*replicaEntry{}}
 }
 
-// Bytes that parts of an entry take beside their texts, about.
+// Approximate memory overhead of the parts of an entry besides their contents, in bytes.
 const (
 	entryOverhead   = 600
 	replicaOverhead = 64
@@ -48,7 +49,7 @@
 	valueOverhead   = 16
 )
 
-// sizeOf is about what an entry takes, in bytes.
+// sizeOf returns the approximate size of an entry with the record, in bytes.
 func sizeOf(record *Record) int {
 	n := entryOverhead + len(record.Body) + len(record.Target) + len(record.ID) + 2*len(record.Key.ID)
 	n += replicaOverhead * len(record.Replicas)
@@ -61,86 +62,86 @@
 	return n
 }
 
-// makeSpace makes room for n bytes, by dropping decided entries before their retention is over, the oldest first; what is
-// undecided is never dropped. false: there is no capacity. The caller holds mu.
-func (s *store) makeSpace(n int) bool {
+// reserveSpace ensures that n bytes are free. If necessary it drops decided entries before the end of their retention, the oldest
+// first; undecided entries are never dropped. It returns false if there is not enough capacity. The caller holds mu.
+func (s *store) reserveSpace(n int) bool {
 	for s.bytes+n > s.maxBytes {
 		var oldest *replicaEntry
-		for _, held := range s.entries {
-			if held.decidedAt > 0 && (oldest == nil || held.decidedAt < oldest.decidedAt) {
-				oldest = held
+		for _, entry := range s.entries {
+			if entry.decidedAt > 0 && (oldest == nil || entry.decidedAt < oldest.decidedAt) {
+				oldest = entry
 			}
 		}
 		if oldest == nil {
-			s.counts.Full++
+			s.counts.NoCapacity++
 			return false
 		}
 		s.drop(oldest)
-		s.counts.Forgot++
+		s.counts.Evicted++
 	}
 	return true
 }
 
-// drop forgets an entry. The caller holds mu.
-func (s *store) drop(held *replicaEntry) {
-	delete(s.entries, held.Record.Key)
-	s.bytes -= held.size
-	held.notifyChange()
+// drop removes an entry. The caller holds mu.
+func (s *store) drop(entry *replicaEntry) {
+	delete(s.entries, entry.Record.Key)
+	s.bytes -= entry.size
+	entry.notifyChange()
 }
 
-// add stores a new entry. The caller holds mu and has made space.
+// add stores a new entry. The caller holds mu and has reserved the space.
 func (s *store) add(record Record, ballot Ballot) *replicaEntry {
-	held := &replicaEntry{
+	entry := &replicaEntry{
 		Entry:    Entry{Record: record, Promised: ballot},
 		deadline: s.now() + record.TimeLeft,
 		size:     sizeOf(&record),
 		changed:  make(chan struct{}),
 	}
-	s.entries[record.Key] = held
-	s.bytes += held.size
-	return held
+	s.entries[record.Key] = entry
+	s.bytes += entry.size
+	return entry
 }
 
-// notifyChange wakes those who wait for a change of the entry. The caller holds mu.
+// notifyChange wakes the goroutines that wait for a change of the entry. The caller holds mu.
 func (e *replicaEntry) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// record accepts a record, or returns the entry that stands against it.
+// record accepts a record, or returns the entry that conflicts with it.
 func (s *store) record(record Record, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[record.Key]
-	verdict := MayRecord(held.acceptorState(), &record, ballot)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	entry := s.entries[record.Key]
+	verdict := MayRecord(entry.acceptorState(), &record, ballot)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	if held != nil && held.Record.Generation == record.Generation {
-		return Yes, nil // once more
+	if entry != nil && entry.Record.Generation == record.Generation {
+		return Accepted, nil // retransmitted
 	}
-	if held != nil {
-		s.drop(held)
+	if entry != nil {
+		s.drop(entry)
 	}
-	if !s.makeSpace(sizeOf(&record)) {
-		return Full, nil
+	if !s.reserveSpace(sizeOf(&record)) {
+		return NoCapacity, nil
 	}
 	s.add(record, ballot)
-	return Yes, nil
+	return Accepted, nil
 }
 
-// heardOwner notes that whoever goes by the promised ballot was heard: the request is no orphan.
-func (e *replicaEntry) heardOwner() {
+// markOwnerHeard records a message with the promised ballot: the request has a live owner.
+func (e *replicaEntry) markOwnerHeard() {
 	e.ownerLostAt = 0
 	e.relinquished = false
 }
 
-// ownerHeard says that the owner has not given the request up and is alive, as alive tells.
+// ownerHeard reports whether the owner is alive according to alive and has not relinquished the request.
 func (e *replicaEntry) ownerHeard(now time.Duration, alive ownerAlive) bool {
 	return !e.relinquished && alive(&e.Entry, e.deadline-now)
 }
 
-// acceptorState is what the acceptor's rules go by; nil: the replica holds nothing.
+// acceptorState returns the state that the rules of the acceptor use; nil: the replica holds nothing.
 func (e *replicaEntry) acceptorState() *Entry {
 	if e == nil {
 		return nil
@@ -148,7 +149,8 @@
 	return &e.Entry
 }
 
-// snapshot is the entry as it is sent: times become ages, for clocks of gateways differ.
+// snapshot returns a copy of the entry to be sent. Points in time are converted to durations, because the clocks of gateways
+// differ.
 func (e *replicaEntry) snapshot(now time.Duration) *Entry {
 	if e == nil {
 		return nil
@@ -162,123 +164,123 @@
 	return &snapshot
 }
 
-// intend accepts an intent, if the acceptor's rules allow it.
+// intend accepts an intent if the rules of the acceptor permit it.
 func (s *store) intend(key Key, intent Intent) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	verdict := MayIntend(held.acceptorState(), intent.Ballot)
-	if verdict != Yes {
+	entry := s.entries[key]
+	verdict := MayIntend(entry.acceptorState(), intent.Ballot)
+	if verdict != Accepted {
 		return verdict
 	}
-	before := len(held.Intents)
-	held.TakeIntent(intent)
-	if len(held.Intents) > before {
-		held.intendedAt = append(held.intendedAt, s.now()-intent.Age)
+	before := len(entry.Intents)
+	entry.AcceptIntent(intent)
+	if len(entry.Intents) > before {
+		entry.intendedAt = append(entry.intendedAt, s.now()-intent.Age)
 	}
-	held.heardOwner()
-	return Yes
+	entry.markOwnerHeard()
+	return Accepted
 }
 
-// markNotRun notes that an attempt has ended and has not run.
-func (s *store) markNotRun(key Key, ballot Ballot, n int) {
+// markNotRun marks an attempt that has ended and has not run.
+func (s *store) markNotRun(key Key, ballot Ballot, attempt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil {
-		for i := range held.Intents {
-			if held.Intents[i].Ballot == ballot && held.Intents[i].Attempt == n {
-				held.Intents[i].NotRun = true
+	if entry := s.entries[key]; entry != nil {
+		for i := range entry.Intents {
+			if entry.Intents[i].Ballot == ballot && entry.Intents[i].Attempt == attempt {
+				entry.Intents[i].NotRun = true
 			}
 		}
 	}
 }
 
-// settle accepts an outcome, or returns the entry that stands against it.
+// settle accepts an outcome, or returns the entry that conflicts with it.
 func (s *store) settle(key Key, outcome Outcome, ballot Ballot) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	verdict := MaySettle(held.acceptorState(), ballot)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	entry := s.entries[key]
+	verdict := MaySettle(entry.acceptorState(), ballot)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	held.TakeOutcome(outcome, ballot)
-	s.resize(held)
-	held.heardOwner()
-	held.notifyChange()
-	return Yes, nil
+	entry.AcceptOutcome(outcome, ballot)
+	s.resize(entry)
+	entry.markOwnerHeard()
+	entry.notifyChange()
+	return Accepted, nil
 }
 
-// resize counts an entry's bytes anew. The caller holds mu.
-func (s *store) resize(held *replicaEntry) {
-	s.bytes -= held.size
-	held.size = sizeOf(&held.Record)
-	if held.Outcome != nil {
-		held.size += len(held.Outcome.Body)
+// resize recomputes the size of an entry. The caller holds mu.
+func (s *store) resize(entry *replicaEntry) {
+	s.bytes -= entry.size
+	entry.size = sizeOf(&entry.Record)
+	if entry.Outcome != nil {
+		entry.size += len(entry.Outcome.Body)
 	}
-	s.bytes += held.size
+	s.bytes += entry.size
 }
 
-// decide notes that a majority has accepted an outcome of the request of a key and generation, and drops the request's body,
-// which nobody needs any more. A decision that comes late, when the next request of the key is held, says nothing of that one.
+// decide stores the outcome that a majority has accepted for a request, and drops the body and headers of the request, which are
+// no longer needed. The generation must match: a late decision does not apply to the next request of the same key.
 func (s *store) decide(key Key, generation uint32, outcome Outcome, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	if held == nil || held.Decided || held.Record.Generation != generation {
+	entry := s.entries[key]
+	if entry == nil || entry.Decided || entry.Record.Generation != generation {
 		return
 	}
-	held.TakeOutcome(outcome, ballot)
-	held.Decided = true
-	held.decidedAt = s.now()
-	held.Record.Body = nil
-	held.Record.Headers = nil
-	s.resize(held)
-	held.notifyChange()
+	entry.AcceptOutcome(outcome, ballot)
+	entry.Decided = true
+	entry.decidedAt = s.now()
+	entry.Record.Body = nil
+	entry.Record.Headers = nil
+	s.resize(entry)
+	entry.notifyChange()
 }
 
-// claim promises a ballot and returns the entry with all that was accepted before, or the entry that stands against it. A
-// replica that never had the request stores its record with the claim.
+// claim promises a ballot and returns the entry with everything accepted before, or the entry that conflicts with the claim. A
+// replica that never received the request stores the record from the claim.
 func (s *store) claim(record Record, ballot Ballot, alive ownerAlive) (Verdict, *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[record.Key]
-	if held != nil && held.Record.Generation < record.Generation {
-		s.drop(held)
-		held = nil
+	entry := s.entries[record.Key]
+	if entry != nil && entry.Record.Generation < record.Generation {
+		s.drop(entry)
+		entry = nil
 	}
-	ownerHeard := held != nil && held.ownerHeard(s.now(), alive)
-	verdict := MayClaim(held.acceptorState(), ballot, ownerHeard)
-	if verdict != Yes {
-		return verdict, held.snapshot(s.now())
+	ownerHeard := entry != nil && entry.ownerHeard(s.now(), alive)
+	verdict := MayClaim(entry.acceptorState(), ballot, ownerHeard)
+	if verdict != Accepted {
+		return verdict, entry.snapshot(s.now())
 	}
-	if held == nil {
-		if !s.makeSpace(sizeOf(&record)) {
-			return Full, nil
+	if entry == nil {
+		if !s.reserveSpace(sizeOf(&record)) {
+			return NoCapacity, nil
 		}
-		held = s.add(record, ballot)
+		entry = s.add(record, ballot)
 	}
-	held.Promised = ballot
-	held.heardOwner()
-	return Yes, held.snapshot(s.now())
+	entry.Promised = ballot
+	entry.markOwnerHeard()
+	return Accepted, entry.snapshot(s.now())
 }
 
-// withdraw drops a request whose owner says that no attempt of it was begun, if MayWithdraw allows it.
+// withdraw drops a request that its owner withdraws because it has begun no attempt, if MayWithdraw permits it.
 func (s *store) withdraw(key Key, ballot Ballot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held := s.entries[key]; held != nil && MayWithdraw(&held.Entry, ballot) {
-		s.drop(held)
+	if entry := s.entries[key]; entry != nil && MayWithdraw(&entry.Entry, ballot) {
+		s.drop(entry)
 	}
 }
 
-// lookup returns the entry of a key and a channel that is closed at its next change; nil: none is held.
+// lookup returns the entry of a key and a channel that is closed on its next change, or nil if there is no entry.
 func (s *store) lookup(key Key) (*Entry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.entries[key]
-	if held == nil {
+	entry := s.entries[key]
+	if entry == nil {
 		return nil, nil
 	}
-	return held.snapshot(s.now()), held.changed
+	return entry.snapshot(s.now()), entry.changed
 }
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -8,15 +8,15 @@
 	"damsontrestle/internal/fault"
 )
 
-// CheckOrphans has watchOrphans look at once, for a link has ended.
+// CheckOrphans triggers an immediate check by watchOrphans, for example after a link has ended.
 func (r *Replicator) CheckOrphans() {
 	select {
-	case r.checkNow <- struct{}{}:
+	case r.orphanCheck <- struct{}{}:
 	default:
 	}
 }
 
-// watchOrphans looks for undecided requests whose owners are not heard, and claims them, each in a task of its own, until
+// watchOrphans periodically looks for undecided requests whose owners are not alive and claims each in a separate task, until
 // Close.
 func (r *Replicator) watchOrphans() {
 	timer := time.NewTimer(idleCheckInterval)
@@ -25,23 +25,23 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.checkNow:
+		case <-r.orphanCheck:
 		case <-timer.C:
 		}
 		r.observeGroup()
-		orphans, open := r.store.orphans(r.options.Self.Name, r.ownerAlive)
+		orphans, undecided := r.store.orphans(r.options.Self.Name, r.ownerAlive)
 		for _, key := range orphans {
 			r.tasks.Go(func() { r.takeOver(key) })
 		}
 		interval := idleCheckInterval
-		if open {
+		if undecided {
 			interval = orphanCheckInterval
 		}
 		timer.Reset(interval)
 	}
 }
 
-// takeOver claims an orphan by a higher ballot and, once a majority has promised it, goes on with the request as its successor.
+// takeOver claims an orphan with a higher ballot and, once a majority has promised it, continues the request as its successor.
 func (r *Replicator) takeOver(key Key) {
 	defer r.store.endClaim(key)
 	entry, _ := r.store.lookup(key)
@@ -60,33 +60,33 @@
 	fault.Point("custody.claimed")
 	merged, intents, outcome := Merge(promises)
 	merged.Replicas = record.Replicas
-	w, err := r.register(ctx, merged, ballot, intents)
+	work, err := r.register(ctx, merged, ballot, intents)
 	if err != nil {
 		return
 	}
 	r.options.Log.Info("request is taken over", "class", merged.Key.Class, "id", merged.ID, "from", entry.Promised.Owner,
 		"intents", len(intents), "answered", outcome != nil)
 	if outcome != nil {
-		err := w.settle(ctx, *outcome)
-		w.unregister()
+		err := work.settle(ctx, *outcome)
+		work.unregister()
 		if err != nil {
 			clock.Sleep(ctx, claimRetryDelay)
 		}
 		return
 	}
 	r.count(func(n *Counts) { n.Resumed++ })
-	w.run(ctx)
+	work.run(ctx)
 }
 
-// prepare is the first phase of Paxos: it has the replicas of a request promise a ballot, and returns the entries of a majority
-// that has. Without a majority it waits until the next claim is due.
+// prepare is the first phase of Paxos: it asks the replicas of a request to promise a ballot, and returns the entries of the
+// promising majority. Without a majority it returns after a delay, which spaces the retries of the claim.
 func (r *Replicator) prepare(ctx context.Context, record Record, ballot Ballot) (entries []Entry, ok bool) {
 	replies := r.collectQuorum(ctx, record.Replicas, topicClaim, func(replica Gateway) any {
 		return recordRequest{record, ballot, replica.Incarnation}
 	})
 	for _, reply := range replies.rejected {
 		if reply.Entry != nil && reply.Entry.Decided {
-			// A later request of the key says what became of it, too.
+			// The entry may belong to a later request of the key; its outcome also ends this request.
 			r.store.decide(record.Key, record.Generation, *reply.Entry.Outcome, reply.Entry.AcceptedBy)
 			return nil, false
 		}
@@ -101,23 +101,23 @@
 	return entries, true
 }
 
-// ownerAlive says that the owner of a request is heard here, lately enough for the time that the request has left.
+// ownerAlive reports whether the owner of a request was heard from recently enough, given the time left until its deadline.
 func (r *Replicator) ownerAlive(entry *Entry, timeLeft time.Duration) bool {
 	ballot := entry.Promised
 	if ballot.Owner == r.options.Self.Name {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		w := r.active[entry.Record.Key]
-		return ballot.Incarnation == r.options.Self.Incarnation && w != nil && w.ballot == ballot && !w.isFenced()
+		work := r.active[entry.Record.Key]
+		return ballot.Incarnation == r.options.Self.Incarnation && work != nil && work.ballot == ballot && !work.isFenced()
 	}
 	link := r.linkTo(Gateway{Name: ballot.Owner, Incarnation: ballot.Incarnation})
 	if link == nil {
 		return false
 	}
-	quiet := link.Quiet()
-	if quiet < 2*r.options.Heartbeat {
-		return true // whatever the request, it is soon enough
+	silence := link.Quiet()
+	if silence < 2*r.options.Heartbeat {
+		return true // recent enough for any request
 	}
-	step := r.options.Step(&entry.Record, entry.Intents, timeLeft)
-	return quiet < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
+	step := r.options.NextStep(&entry.Record, entry.Intents, timeLeft)
+	return silence < SuspectAfter(r.options.Heartbeat, link.RTT(), r.options.Silence, timeLeft, Servable(step))
 }
