--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -23,38 +23,38 @@
 
 // run serves batches until the input ends. A reply is written as a whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	decoder := wire.NewDecoder(in)
 	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*balancer.Balancer{}
+	encoder := wire.NewEncoder(&reply)
+	balancers := map[int]*balancer.Balancer{}
 	var now time.Duration
 	for {
-		m, err := dec.Next()
+		message, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
-		case wire.Sync:
-			now = m.Now
-		case wire.Hello:
-			b, err := balancer.New(m.Settings, m.Seed)
+		switch message.Kind {
+		case wire.BatchStart:
+			now = message.Now
+		case wire.InstanceStart:
+			lb, err := balancer.New(message.Settings, message.Seed)
 			if err != nil {
-				return fmt.Errorf("instance %d: %w", m.Instance, err)
+				return fmt.Errorf("instance %d: %w", message.Instance, err)
 			}
-			hosted[m.Instance] = b
-		case wire.Stop:
-			delete(hosted, m.Instance)
+			balancers[message.Instance] = lb
+		case wire.InstanceKilled:
+			delete(balancers, message.Instance)
 		case wire.Event:
-			if b := hosted[m.Instance]; b != nil {
-				for _, a := range b.Handle(now, m.Event) {
-					enc.Action(m.Instance, a)
+			if lb := balancers[message.Instance]; lb != nil {
+				for _, action := range lb.Handle(now, message.Event) {
+					encoder.Action(message.Instance, action)
 				}
 			}
-		case wire.End:
-			if err := enc.Flush(); err != nil {
+		case wire.BatchEnd:
+			if err := encoder.Flush(); err != nil {
 				return err
 			}
 			if _, err := reply.WriteTo(out); err != nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,17 +24,17 @@
 )
 
 // Guard stands before the engines where gateways are federated: it takes requests that need more than an engine.
-type Guard interface {
+type Interceptor interface {
 	// Take says whether it takes a request that was read under a Snapshot. If so, exactly one response comes on the
 	// request's channel. It must not block, and passes requests on by Dispatcher.Submit later.
-	Take(s *Snapshot, request *engine.Request, routing *route.Request) bool
+	Intercept(s *Snapshot, request *engine.Request, routing *route.Request) bool
 }
 
 // Dispatcher holds the Snapshot of now. Its methods may be called by any goroutine.
 type Dispatcher struct {
-	snapshot atomic.Pointer[Snapshot]
-	guard    Guard        // nil: none
-	mu       sync.RWMutex // held for reading while a request is submitted, for writing while the Snapshot is swapped
+	snapshot    atomic.Pointer[Snapshot]
+	interceptor Interceptor  // nil: none
+	mu          sync.RWMutex // held for reading while a request is submitted, for writing while the Snapshot is swapped
 }
 
 // New returns a Dispatcher with its first Snapshot.
@@ -49,13 +49,13 @@
 
 // Take submits a request that was read under a Snapshot to the engine that this names for it, or gives it to the Guard.
 // With no error, exactly one response comes on the request's channel. The error is ErrStale or ErrNoRoute.
-func (d *Dispatcher) Take(s *Snapshot, request *engine.Request, routing *route.Request) error {
+func (d *Dispatcher) Dispatch(s *Snapshot, request *engine.Request, routing *route.Request) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if d.snapshot.Load() != s {
 		return ErrStale
 	}
-	if d.guard != nil && d.guard.Take(s, request, routing) {
+	if d.interceptor != nil && d.interceptor.Intercept(s, request, routing) {
 		return nil
 	}
 	choice, ok := s.table.Choose(routing)
@@ -67,10 +67,10 @@
 }
 
 // SetGuard has a Guard see all requests from now on, before any engine.
-func (d *Dispatcher) SetGuard(guard Guard) {
+func (d *Dispatcher) SetInterceptor(interceptor Interceptor) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.guard = guard
+	d.interceptor = interceptor
 }
 
 // Pool returns the pool that the routes of now name for a request.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -19,42 +19,42 @@
 )
 
 // named is a Backend that serves every attempt with a name.
-type named string
+type namedBackend string
 
-func (n named) Run(a *engine.Attempt) engine.Outcome {
-	return engine.Outcome{Result: balancer.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
+func (n namedBackend) Run(a *engine.Attempt) engine.Outcome {
+	return engine.Outcome{Result: balancer.Success, At: a.SentAt, Reply: engine.Reply{Body: []byte(n)}}
 }
 
-func (named) Servers([]discovery.Target, bool) {}
+func (namedBackend) Servers([]discovery.Target, bool) {}
 
-func (named) Poll(discovery.Host, time.Duration) (float64, bool) { return 0, false }
+func (namedBackend) Poll(discovery.Host, time.Duration) (float64, bool) { return 0, false }
 
-func (named) CloseIdle(discovery.Host) {}
+func (namedBackend) CloseIdle(discovery.Host) {}
 
 // options are of an engine whose lists are pushed and whose log goes nowhere.
 func options(settings balancer.Settings, name string) engine.Options {
 	return engine.Options{
-		Settings:  settings,
-		Clock:     clock.New(),
-		Backend:   named(name),
-		Subscribe: func() {},
-		Pushed:    true,
-		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Settings:    settings,
+		Clock:       clock.New(),
+		Backend:     namedBackend(name),
+		Subscribe:   func() {},
+		ListsPushed: true,
+		Log:         slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 }
 
 // newEngine returns an engine that runs until the test or benchmark ends.
 func newEngine(tb testing.TB, settings balancer.Settings, name string, servers ...discovery.Target) *engine.Engine {
 	tb.Helper()
-	e, err := engine.New(options(settings, name))
+	eng, err := engine.New(options(settings, name))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	if len(servers) > 0 {
-		e.RestoreList(discovery.List{Full: true, Targets: servers})
+		eng.RestoreList(discovery.List{Full: true, Targets: servers})
 	}
-	go e.Run(tb.Context())
-	return e
+	go eng.Run(tb.Context())
+	return eng
 }
 
 // server is the one server of a pool.
@@ -79,33 +79,33 @@
 }
 
 func newRequest(id, class string) (*engine.Request, *route.Request) {
-	c := engine.NewRequest(id, engine.Message{})
-	c.Class, c.At = class, clock.New().Now()
-	c.Deadline = c.At + time.Hour
-	return c, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
+	request := engine.NewRequest(id, engine.Message{})
+	request.Class, request.At = class, clock.New().Now()
+	request.Deadline = request.At + time.Hour
+	return request, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
 }
 
 func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
 	cfg := twoPools("a", "b")
-	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newPoolEngine(t, cfg, "a"), "b": newPoolEngine(t, cfg, "b")})
+	snapshot, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newPoolEngine(t, cfg, "a"), "b": newPoolEngine(t, cfg, "b")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(v)
-	if !v.Ready() {
+	dispatcher := New(snapshot)
+	if !snapshot.Ready() {
 		t.Error("not ready")
 	}
 	for class, want := range map[string]string{"view": "a", "note": "b"} {
-		c, r := newRequest("id", class)
-		if err := d.Take(v, c, r); err != nil {
+		request, routing := newRequest("id", class)
+		if err := dispatcher.Dispatch(snapshot, request, routing); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, c.Response(), "the response"); string(got.Reply.Body) != want {
+		if got := testpeer.Receive(t, request.Response(), "the response"); string(got.Reply.Body) != want {
 			t.Errorf("%s went to %q", class, got.Reply.Body)
 		}
 	}
-	c, r := newRequest("id", "none")
-	if err := d.Take(v, c, r); !errors.Is(err, ErrNoRoute) {
+	request, routing := newRequest("id", "none")
+	if err := dispatcher.Dispatch(snapshot, request, routing); !errors.Is(err, ErrNoRoute) {
 		t.Errorf("%v", err)
 	}
 	if _, err := NewSnapshot(cfg, nil); err == nil {
@@ -120,16 +120,16 @@
 	newSnapshot := func(i int) (*Snapshot, []*engine.Engine) {
 		views := fmt.Sprint("a", i)
 		rest := fmt.Sprint("b", i)
-		a := newPoolEngine(t, cfg[i], views)
-		b := newPoolEngine(t, cfg[i], rest)
-		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{views: a, rest: b})
+		viewEngine := newPoolEngine(t, cfg[i], views)
+		restEngine := newPoolEngine(t, cfg[i], rest)
+		snapshot, err := NewSnapshot(cfg[i], map[string]*engine.Engine{views: viewEngine, rest: restEngine})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return v, []*engine.Engine{a, b}
+		return snapshot, []*engine.Engine{viewEngine, restEngine}
 	}
 	first, old := newSnapshot(0)
-	d := New(first)
+	dispatcher := New(first)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 4 {
@@ -140,9 +140,9 @@
 					return
 				default:
 				}
-				v := d.Snapshot()
-				c, r := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
-				err := d.Take(v, c, r)
+				snapshot := dispatcher.Snapshot()
+				request, routing := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
+				err := dispatcher.Dispatch(snapshot, request, routing)
 				if errors.Is(err, ErrStale) {
 					continue
 				}
@@ -151,7 +151,7 @@
 					return
 				}
 				select {
-				case got := <-c.Response():
+				case got := <-request.Response():
 					if got.Kind != engine.Served {
 						t.Errorf("%+v", got)
 						return
@@ -164,8 +164,8 @@
 		})
 	}
 	for k := range 200 {
-		v, engines := newSnapshot((k + 1) % 2)
-		d.Swap(v, func() {})
+		snapshot, engines := newSnapshot((k + 1) % 2)
+		dispatcher.Swap(snapshot, func() {})
 		for _, e := range old {
 			e.Retire()
 			testpeer.Receive(t, e.Done(), "the end of a retired engine's Run")
@@ -177,21 +177,21 @@
 }
 
 // BenchmarkTake takes a request from a front end to its engine, and waits for its response.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkDispatch(b *testing.B) {
 	cfg := testpeer.Config()
-	e := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
-	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": e})
+	eng := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
+	snapshot, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": eng})
 	if err != nil {
 		b.Fatal(err)
 	}
-	d := New(v)
+	dispatcher := New(snapshot)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c, r := newRequest(fmt.Sprint(i), "view")
-		if err := d.Take(v, c, r); err != nil {
+		request, routing := newRequest(fmt.Sprint(i), "view")
+		if err := dispatcher.Dispatch(snapshot, request, routing); err != nil {
 			b.Fatal(err)
 		}
-		<-c.Response()
+		<-request.Response()
 	}
 }
 
@@ -200,28 +200,28 @@
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
 			cfg := testpeer.Config()
-			p := cfg.Pools[0]
+			pool := cfg.Pools[0]
 			cfg.Pools, cfg.Routes[0].To = nil, nil
 			engines := map[string]*engine.Engine{}
 			var all []*engine.Engine
 			for i := range pools {
-				p.Name = fmt.Sprint("p", i)
-				cfg.Pools = append(cfg.Pools, p)
-				cfg.Routes[0].To = append(cfg.Routes[0].To, route.Target{Pool: p.Name, Weight: 1})
-				e := newEngine(b, cfg.Settings(p), "x")
-				engines[p.Name] = e
-				all = append(all, e)
+				pool.Name = fmt.Sprint("p", i)
+				cfg.Pools = append(cfg.Pools, pool)
+				cfg.Routes[0].To = append(cfg.Routes[0].To, route.Target{Pool: pool.Name, Weight: 1})
+				eng := newEngine(b, cfg.Settings(pool), "x")
+				engines[pool.Name] = eng
+				all = append(all, eng)
 			}
-			v, err := NewSnapshot(cfg, engines)
+			snapshot, err := NewSnapshot(cfg, engines)
 			if err != nil {
 				b.Fatal(err)
 			}
-			d := New(v)
-			set := cfg.Settings(p)
+			dispatcher := New(snapshot)
+			settings := cfg.Settings(pool)
 			for b.Loop() {
-				d.Swap(v, func() {
-					for _, e := range all {
-						e.Reconfigure(set, true)
+				dispatcher.Swap(snapshot, func() {
+					for _, eng := range all {
+						eng.Reconfigure(settings, true)
 					}
 				})
 			}
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -8,17 +8,17 @@
 	"damsontrestle/internal/discovery"
 )
 
-// decide passes an event to the balancer and carries out the actions that it decides on. The balancer's time never goes
-// back: an event that happened before the last one is passed on as of that one's time.
-func (eng *Engine) decide(at time.Duration, e balancer.Event) {
+// handleBalancerEvent passes an event to the balancer and executes the actions that it returns. The balancer's time is
+// monotonic: an event that happened before the previous one is passed with the time of the previous one.
+func (eng *Engine) handleBalancerEvent(at time.Duration, event balancer.Event) {
 	eng.balancerTime = max(eng.balancerTime, at)
-	for _, action := range eng.balancer.Handle(eng.balancerTime, e) {
-		eng.carryOut(action)
+	for _, action := range eng.balancer.Handle(eng.balancerTime, event) {
+		eng.execute(action)
 	}
 }
 
-// carryOut does what the balancer has decided.
-func (eng *Engine) carryOut(action balancer.Action) {
+// execute performs one action of the balancer.
+func (eng *Engine) execute(action balancer.Action) {
 	switch action := action.(type) {
 	case balancer.Send:
 		eng.send(action)
@@ -37,49 +37,49 @@
 	case balancer.SetTimer:
 		heap.Push(&eng.timers, timer{at: action.At, token: action.Token})
 	case balancer.Subscribe:
-		eng.subscribe()
+		eng.requestSubscription()
 	}
 }
 
-// send begins an attempt in a goroutine of its own, which ends with the attempt's outcome.
+// send starts an attempt in a new goroutine, which ends with the attempt's outcome.
 func (eng *Engine) send(action balancer.Send) {
-	p := eng.pending[action.ID]
+	pending := eng.pending[action.ID]
 	target := eng.servers[action.Server]
-	attempt := NewAttempt(p.request, len(p.attempts), target.Host(), eng.balancerTime, eng.balancerTime+action.Timeout)
+	attempt := NewAttempt(pending.request, len(pending.attempts), target.Host(), eng.balancerTime, eng.balancerTime+action.Timeout)
 	attempt.NotAfter = action.NotAfter
 	attempt.Zone = target.Zone
 	attempt.Cell = target.Cell
-	p.attempts = append(p.attempts, attempt)
-	p.inFlight++
-	eng.collector.attemptStarted(attempt.To.Server)
-	eng.sinceLog.Sends++
+	pending.attempts = append(pending.attempts, attempt)
+	pending.inFlight++
+	eng.collector.attemptStarted(attempt.Host.Server)
+	eng.unloggedTraffic.Sends++
 	go eng.runAttempt(attempt)
 }
 
-// runAttempt carries an attempt out and posts its outcome.
+// runAttempt runs an attempt on the backend and posts its outcome.
 func (eng *Engine) runAttempt(attempt *Attempt) {
 	outcome := eng.backend.Run(attempt)
-	attempt.Cancel() // frees what its context holds
+	attempt.Cancel() // releases its context
 	if attempt.Request.AttemptEnded != nil {
 		attempt.Request.AttemptEnded(attempt, &outcome)
 	}
 	eng.post(attemptEnded{attempt: attempt, outcome: outcome})
 }
 
-// cancel cancels an attempt if this engine made it and its request is not finished.
+// cancel cancels an attempt if this engine sent it and its request is not finished.
 func (eng *Engine) cancel(action balancer.Cancel) {
-	p := eng.pending[action.ID]
-	if p == nil {
+	pending := eng.pending[action.ID]
+	if pending == nil {
 		return
 	}
-	if attempt := p.attempt(action.Attempt); attempt != nil {
+	if attempt := pending.attempt(action.Attempt); attempt != nil {
 		attempt.Cancel()
 	}
 }
 
-// poll polls a server for its load, in a goroutine of its own.
+// poll asks a server for its load in a new goroutine.
 func (eng *Engine) poll(requestID string, to discovery.Host, timeout time.Duration) {
-	eng.sinceLog.Polls++
+	eng.unloggedTraffic.Polls++
 	polledAt := eng.clock.Now()
 	go func() {
 		busy, ok := eng.backend.Poll(to, timeout)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -14,101 +14,101 @@
 // Attempt is one send of a request to a server.
 type Attempt struct {
 	Request  *Request
-	N        int // its number: 0 for the first of its request
-	To       discovery.Host
+	Number   int // 0 for the first attempt of a request
+	Host     discovery.Host
 	Zone     string
 	Cell     int
-	Sent     time.Duration // clock time when the balancer decided on it
-	Deadline time.Duration // clock time at which it times out. With a Rest, it lasts Deadline-Sent from Uploaded on
-	NotAfter time.Duration // clock time from which it may not begin any more
+	SentAt   time.Duration // clock time at which the balancer decided to send it
+	Deadline time.Duration // clock time at which it times out; with a Rest, the timeout is Deadline-SentAt, counted from Uploaded
+	NotAfter time.Duration // clock time from which it must not start
 
-	ctx    context.Context // ends when it is cancelled; an attempt lives from NewAttempt to its outcome
+	ctx    context.Context // done once the attempt is cancelled
 	cancel context.CancelCauseFunc
 	stage  atomic.Int32 // an attemptStage
 }
 
-// attemptStage is how far an attempt is.
+// attemptStage is the state of an attempt before and after its first byte.
 type attemptStage = int32
 
 const (
-	attemptNotBegun  attemptStage = iota // it waits for its connection: no byte of it was written
-	attemptBegun                         // its first byte may be written
-	attemptCancelled                     // it was cancelled before it had begun: it never will
+	attemptNotStarted attemptStage = iota // waits for its connection; no byte was written
+	attemptRunning                        // its first byte may be written
+	attemptCancelled                      // was cancelled before it started, and never starts
 )
 
-// errServerGone is the cause of the cancellation of an attempt whose server is known to be gone.
-var errServerGone = errors.New("engine: the server is gone")
+// errServerGone is the cancellation cause of an attempt whose server is known to be gone.
+var errServerGone = errors.New("engine: attempt cancelled: server is gone")
 
-// NewAttempt returns the n-th attempt of a request. sent and deadline are clock times.
+// NewAttempt returns the n-th attempt of a request, counted from 0. sent and deadline are clock times.
 func NewAttempt(request *Request, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
-	a := &Attempt{Request: request, N: n, To: to, Sent: sent, Deadline: deadline, NotAfter: math.MaxInt64}
-	a.ctx, a.cancel = context.WithCancelCause(context.Background())
-	return a
+	attempt := &Attempt{Request: request, Number: n, Host: to, SentAt: sent, Deadline: deadline, NotAfter: math.MaxInt64}
+	attempt.ctx, attempt.cancel = context.WithCancelCause(context.Background())
+	return attempt
 }
 
-// Context ends when the attempt is cancelled.
+// Context is done once the attempt is cancelled.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// Uploaded tells the engine that the last byte of a request with a Rest was written to the server at a clock time.
+// Uploaded reports to the engine that the last byte of a request with a Rest was written to the server at a clock time.
 // It returns the clock time at which the attempt times out.
 func (a *Attempt) Uploaded(at time.Duration) (deadline time.Duration) {
 	if a.Request.owner != nil {
 		a.Request.owner.post(uploadCompleted{attempt: a, at: at})
 	}
-	return at + a.Deadline - a.Sent
+	return at + a.Deadline - a.SentAt
 }
 
-// Allowed says whether the attempt may begin now that its connection is up (Request.AllowAttempt). It may block.
+// Allowed reports whether Request.AllowAttempt permits the attempt, once its connection is established. It may block.
 func (a *Attempt) Allowed() bool { return a.Request.AllowAttempt == nil || a.Request.AllowAttempt(a) }
 
-// Begin says whether the first byte of the attempt may be written at a clock time, to reach the server after latency. Once
-// it has returned false it never returns true: an attempt that was cancelled while it waited for its connection does not
-// begin when that comes up.
-func (a *Attempt) Begin(at, latency time.Duration) bool {
+// TryStart starts the attempt and reports whether its first byte may be written at a clock time, to reach the server after
+// latency. Once it has returned false it never returns true: an attempt that was cancelled while it waited for its
+// connection does not start when the connection is established.
+func (a *Attempt) TryStart(at, latency time.Duration) bool {
 	tooLate := at+latency >= a.NotAfter
 	timedOut := a.Request.Message.Rest == nil && at >= a.Deadline
 	if tooLate || timedOut {
-		a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
+		a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled)
 	}
-	return a.stage.CompareAndSwap(attemptNotBegun, attemptBegun)
+	return a.stage.CompareAndSwap(attemptNotStarted, attemptRunning)
 }
 
-// Cancel cancels the attempt. Its Outcome still comes.
+// Cancel cancels the attempt. Its Outcome is still delivered.
 func (a *Attempt) Cancel() {
-	a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
+	a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled)
 	a.cancel(nil)
 }
 
-// CancelUnbegun cancels the attempt unless it has begun: for its server it then never was.
-func (a *Attempt) CancelUnbegun() {
-	if a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled) {
+// CancelIfNotStarted cancels the attempt unless it has started. A server never sees an attempt that has not started.
+func (a *Attempt) CancelIfNotStarted() {
+	if a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled) {
 		a.cancel(nil)
 	}
 }
 
-// ConnectionLost ends the attempt as if its connection had broken: its server is known to be gone, whatever the connection
-// shows.
-func (a *Attempt) ConnectionLost() {
-	a.stage.CompareAndSwap(attemptNotBegun, attemptCancelled)
+// CancelServerGone cancels the attempt as if its connection had been lost: its server is known to be gone, even if the
+// connection still looks healthy.
+func (a *Attempt) CancelServerGone() {
+	a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled)
 	a.cancel(errServerGone)
 }
 
-// Withdrawn says that the attempt was cancelled because nobody waits for it any more.
-func (a *Attempt) Withdrawn() bool {
+// Cancelled reports whether the attempt was cancelled because its result is no longer needed, not by CancelServerGone.
+func (a *Attempt) Cancelled() bool {
 	return errors.Is(a.ctx.Err(), context.Canceled) && !errors.Is(context.Cause(a.ctx), errServerGone)
 }
 
-// Outcome is how an attempt ended. Its Result is the proof of whether it may have run: after Overloaded, Unreachable and
-// NotStarted it has not, whatever else happens.
+// Outcome is the result of an attempt. Its Result decides whether the attempt may have run: after Overloaded, Unreachable
+// and NotStarted it has not run.
 type Outcome struct {
-	Result balancer.Result
-	At     time.Duration  // clock time: for a reply, when its last byte was read
-	Reply  Reply          // of Success
-	Load   *balancer.Load // load report that came with a reply; nil: none
-	Spent  bool           // some of the request's Rest was read: it can't be sent again
-	Why    string         // which rule the server says that it rejected the request by
-
-	// Settled says of Overloaded that it is the one outcome that all hear who ask about the request: it never ran, and
-	// never will.
+	Result        balancer.Result
+	At            time.Duration  // clock time of the end; for a reply, of its last byte
+	Reply         Reply          // set for Success
+	Load          *balancer.Load // load report of the reply; nil: none
+	NotReplayable bool           // part of the request's Rest was read, so it cannot be sent again
+	Reason        string         // rule by which the server rejected the request, as the server reports it
+
+	// Settled is set for an Overloaded that is the request's final outcome, returned to every query about the request: it
+	// never ran and never will.
 	Settled bool
 }
--- a/internal/engine/backend.go
+++ b/internal/engine/backend.go
@@ -6,14 +6,14 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Backend carries attempts out, by a protocol of its own.
+// Backend runs attempts over a protocol.
 type Backend interface {
-	// Run makes an attempt and returns its outcome. By then its connection is closed, or of use to another
-	// attempt: nothing more of it can reach the server. It is called in a goroutine of the attempt's own.
+	// Run runs an attempt and returns its outcome. When it returns, the connection is closed or reusable for another
+	// attempt, and nothing more of this one can reach the server. Each call has its own goroutine.
 	Run(*Attempt) Outcome
-	// Servers tells of an update of the endpoint list, before any attempt that follows from it. It must not block.
+	// Servers receives an update of the endpoint list, before any attempt that results from it. It must not block.
 	Servers(targets []discovery.Target, full bool)
-	// Poll polls a server for how much it holds, and waits for that no longer than timeout. false: the server did not say.
+	// Poll asks a server for its load, for at most timeout. ok is false if the server did not report one.
 	Poll(to discovery.Host, timeout time.Duration) (busy float64, ok bool)
 	// CloseIdle closes the idle connections to a server. It must not block.
 	CloseIdle(discovery.Host)
--- a/internal/engine/eventloop.go
+++ b/internal/engine/eventloop.go
@@ -7,14 +7,14 @@
 	"damsontrestle/internal/balancer"
 )
 
-// eventQueueSize is how many events may wait for the loop before whoever posts one has to wait.
+// eventQueueSize is the number of events that are queued for the loop before post blocks.
 const eventQueueSize = 1024
 
-// trafficLogInterval is how often the traffic since the last log line is logged, if there was any.
+// trafficLogInterval is the interval of the traffic log; an interval without traffic is not logged.
 const trafficLogInterval = 10 * time.Second
 
-// Run handles events until ctx ends, or until every request is finished after Retire. Attempts in flight by then are
-// cancelled. It must be called once, in a goroutine of its own.
+// Run handles events until ctx is done or, after Retire, until every request is finished. It then cancels the attempts in
+// flight. It must be called once, in its own goroutine.
 func (eng *Engine) Run(ctx context.Context) {
 	defer close(eng.done)
 	defer eng.cancelAttempts()
@@ -40,10 +40,10 @@
 	}
 }
 
-// cancelAttempts cancels every attempt that the engine still knows.
+// cancelAttempts cancels every attempt of the pending requests.
 func (eng *Engine) cancelAttempts() {
-	for _, p := range eng.pending {
-		for _, attempt := range p.attempts {
+	for _, pending := range eng.pending {
+		for _, attempt := range pending.attempts {
 			if attempt != nil {
 				attempt.Cancel()
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-// post passes an event to the loop. It returns false, and the event is dropped, once Run has returned.
+// post queues an event for the loop. Once Run has returned it drops the event and returns false.
 func (eng *Engine) post(e event) bool {
 	select {
 	case eng.events <- e:
@@ -61,75 +61,75 @@
 	}
 }
 
-// query has the loop answer a question. The answer is the zero value once Run has returned.
-func query[T any](eng *Engine, question func(to chan T) event) (answer T) {
-	to := make(chan T, 1)
-	eng.post(question(to))
+// query posts an event that the loop answers on a channel. It returns the zero value once Run has returned.
+func query[T any](eng *Engine, question func(reply chan T) event) (answer T) {
+	reply := make(chan T, 1)
+	eng.post(question(reply))
 	select {
-	case answer = <-to:
+	case answer = <-reply:
 	case <-eng.done:
 	}
 	return answer
 }
 
-// handleEvent handles one event, at the time when it happened rather than when the loop came to it.
-func (eng *Engine) handleEvent(e event) {
-	switch e := e.(type) {
+// handleEvent handles one event, with the time at which it happened, not the time of its handling.
+func (eng *Engine) handleEvent(event event) {
+	switch event := event.(type) {
 	case requestArrived:
-		eng.handleRequest(e.request)
+		eng.handleRequest(event.request)
 	case clientDisconnected:
-		eng.handleDisconnect(e)
+		eng.handleDisconnect(event)
 	case uploadCompleted:
-		eng.handleUpload(e)
+		eng.handleUpload(event)
 	case attemptEnded:
-		eng.handleOutcome(e)
+		eng.handleOutcome(event)
 	case loadReport:
-		eng.handleLoadReport(e)
+		eng.handleLoadReport(event)
 	case listUpdated:
-		eng.updateList(e.list, false)
+		eng.updateList(event.list, false)
 	case listFailed:
-		eng.decide(eng.clock.Now(), balancer.ListFailed{})
+		eng.handleBalancerEvent(eng.clock.Now(), balancer.ListFailed{})
 	case reconfigure:
-		eng.handleReconfigure(e)
+		eng.handleReconfigure(event)
 	case shutdownScheduled:
-		eng.shutdownAt = e.at
-		eng.rejectLate()
-	case answerAll:
-		eng.handleAnswerAll()
+		eng.shutdownAt = event.at
+		eng.rejectQueuedBeforeShutdown()
+	case shutdown:
+		eng.handleShutdown()
 	case retire:
 		eng.retiring = true
 	case statusQuery:
-		e.to <- eng.collectStatus()
+		event.reply <- eng.collectStatus()
 	case statsQuery:
-		e.to <- eng.collectStats()
+		event.reply <- eng.collectStats()
 	}
 }
 
-// handleRequest passes a new request to the balancer, or rejects it at once where it can't be finished or its id is in
-// use.
+// handleRequest passes a new request to the balancer. It rejects the request at once if it cannot be finished or if its id
+// is in use.
 func (eng *Engine) handleRequest(request *Request) {
 	eng.recordLag(request.At)
-	eng.sinceLog.Requests++
-	eng.rejectLate()
-	if eng.shuttingDown || eng.retiring || eng.tooLate(request.Class) {
-		eng.sinceLog.Rejected++
+	eng.unloggedTraffic.Requests++
+	eng.rejectQueuedBeforeShutdown()
+	if eng.shuttingDown || eng.retiring || eng.cannotFinishBeforeShutdown(request.Class) {
+		eng.unloggedTraffic.Rejected++
 		request.response <- Response{
-			Kind:       Rejected,
-			RetryAfter: shutdownRetryAfter,
-			Elsewhere:  eng.shutdownAt > 0,
-			NotRun:     request.notRun(),
+			Kind:         Rejected,
+			RetryAfter:   shutdownRetryAfter,
+			TryOtherNode: eng.shutdownAt > 0,
+			NotRun:       request.notRun(),
 		}
 		return
 	}
 	if eng.pending[request.ID] != nil {
-		// The balancer ignores a second request with an id that it knows, so nobody would respond.
-		eng.sinceLog.Requests--
+		// The balancer ignores a second request with a known id, so the request would get no response.
+		eng.unloggedTraffic.Requests--
 		request.response <- Response{Kind: Duplicate}
 		return
 	}
 	eng.pending[request.ID] = newPendingRequest(request)
 	eng.collector.requestArrived(request.Class)
-	eng.decide(request.At, balancer.Request{
+	eng.handleBalancerEvent(request.At, balancer.Request{
 		ID:            request.ID,
 		Class:         request.Class,
 		Deadline:      request.Deadline,
@@ -138,73 +138,73 @@
 	})
 }
 
-// handleDisconnect ends a request whose client no longer waits for its response.
+// handleDisconnect ends a request whose client has disconnected.
 func (eng *Engine) handleDisconnect(e clientDisconnected) {
 	eng.recordLag(e.at)
-	p := eng.pendingOf(e.request)
-	if p != nil && !p.responded {
-		eng.sinceLog.Disconnected++
-		p.markResponded()
-		eng.decide(e.at, balancer.ClientDisconnected{ID: e.request.ID})
-		eng.removeIfFinished(p)
+	pending := eng.pendingOf(e.request)
+	if pending != nil && !pending.responded {
+		eng.unloggedTraffic.Disconnected++
+		pending.markResponded()
+		eng.handleBalancerEvent(e.at, balancer.ClientDisconnected{ID: e.request.ID})
+		eng.removeIfFinished(pending)
 	}
 	e.request.discard()
 }
 
-// handleUpload moves the deadline of a request whose body was streamed: the client waits from the last byte of its upload.
+// handleUpload extends the deadline of a streamed request: its client's wait starts with the last byte of the upload.
 func (eng *Engine) handleUpload(e uploadCompleted) {
 	eng.recordLag(e.at)
-	p := eng.pendingOf(e.attempt.Request)
-	if p == nil {
+	pending := eng.pendingOf(e.attempt.Request)
+	if pending == nil {
 		return
 	}
-	p.request.Deadline += e.at - p.request.At
-	p.request.At = e.at
-	eng.decide(e.at, balancer.Uploaded{ID: p.request.ID, Attempt: e.attempt.N, Deadline: p.request.Deadline})
+	pending.request.Deadline += e.at - pending.request.At
+	pending.request.At = e.at
+	eng.handleBalancerEvent(e.at, balancer.Uploaded{ID: pending.request.ID, Attempt: e.attempt.Number, Deadline: pending.request.Deadline})
 }
 
-// handleOutcome passes the outcome of an attempt to the balancer. The first success is the response to the client.
+// handleOutcome passes the outcome of an attempt to the balancer. The reply of the first success becomes the response.
 func (eng *Engine) handleOutcome(e attemptEnded) {
 	attempt := e.attempt
 	outcome := e.outcome
 	eng.recordLag(outcome.At)
-	eng.rejectLate()
-	p := eng.pending[attempt.Request.ID]
-	latency := outcome.At - attempt.Sent
-	eng.sinceLog.Results[outcome.Result]++
-	p.inFlight--
-	p.mayHaveRun = p.mayHaveRun || !outcome.Result.NeverRan()
-	target, listed := eng.servers[attempt.To.Server]
-	eng.collector.attemptEnded(target, attempt.To.Server, listed, outcome.Result, latency)
-	if outcome.Result == balancer.Success && !p.responded {
-		eng.sinceLog.Served++
-		p.respond(Response{Kind: Served, Reply: outcome.Reply})
+	eng.rejectQueuedBeforeShutdown()
+	pending := eng.pending[attempt.Request.ID]
+	latency := outcome.At - attempt.SentAt
+	eng.unloggedTraffic.Results[outcome.Result]++
+	pending.inFlight--
+	pending.mayHaveRun = pending.mayHaveRun || !outcome.Result.NeverRan()
+	target, listed := eng.servers[attempt.Host.Server]
+	eng.collector.attemptEnded(target, attempt.Host.Server, listed, outcome.Result, latency)
+	if outcome.Result == balancer.Success && !pending.responded {
+		eng.unloggedTraffic.Served++
+		pending.respond(Response{Kind: Served, Reply: outcome.Reply})
 	} else {
 		outcome.Reply.Discard()
 	}
-	eng.decide(outcome.At, balancer.Outcome{
+	eng.handleBalancerEvent(outcome.At, balancer.Outcome{
 		ID:            attempt.Request.ID,
-		Attempt:       attempt.N,
-		Server:        attempt.To.Server,
+		Attempt:       attempt.Number,
+		Server:        attempt.Host.Server,
 		Result:        outcome.Result,
 		Latency:       latency,
-		Ended:         p.responded,
-		NotReplayable: outcome.Spent,
+		Ended:         pending.responded,
+		NotReplayable: outcome.NotReplayable,
 		Load:          outcome.Load,
 	})
-	eng.removeIfFinished(p)
+	eng.removeIfFinished(pending)
 }
 
-// handleLoadReport passes on how much a server that was polled holds.
+// handleLoadReport passes the load of a polled server to the balancer.
 func (eng *Engine) handleLoadReport(e loadReport) {
 	now := eng.clock.Now()
 	load := balancer.ServerLoad{Server: e.server, Busy: e.busy, Age: now - e.polledAt}
-	eng.decide(now, balancer.LoadUpdate{ID: e.requestID, Loads: []balancer.ServerLoad{load}})
+	eng.handleBalancerEvent(now, balancer.LoadUpdate{ID: e.requestID, Loads: []balancer.ServerLoad{load}})
 }
 
-// handleReconfigure has the balancer decide by other settings.
+// handleReconfigure replaces the balancer's settings.
 func (eng *Engine) handleReconfigure(e reconfigure) {
-	eng.pushed = e.pushed
+	eng.listsPushed = e.listsPushed
 	eng.slowStartWindow = e.settings.SlowStartWindow
-	eng.decide(eng.clock.Now(), balancer.Reconfigure{Settings: e.settings})
+	eng.handleBalancerEvent(eng.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/discovery"
 )
 
-// event is what other goroutines tell the loop: one of the types below. Times are clock times.
+// event is posted to the loop by other goroutines: one of the types below. Times are clock times.
 type event any
 
 type (
@@ -18,7 +18,7 @@
 		at      time.Duration
 	}
 
-	// uploadCompleted says that the last byte of a streamed request was written to the server of an attempt.
+	// uploadCompleted reports that the last byte of a streamed request was written to the server of an attempt.
 	uploadCompleted struct {
 		attempt *Attempt
 		at      time.Duration
@@ -29,7 +29,7 @@
 		outcome Outcome
 	}
 
-	// loadReport is what a server said when it was polled for its load.
+	// loadReport is the reply of a server to a load poll.
 	loadReport struct {
 		requestID string // the request that the poll was for
 		server    string
@@ -41,20 +41,20 @@
 
 	listFailed struct{}
 
-	// shutdownScheduled says when answerAll will come.
+	// shutdownScheduled announces when the shutdown event will be posted.
 	shutdownScheduled struct{ at time.Duration }
 
-	// answerAll has every request that has no response yet be answered now.
-	answerAll struct{}
+	// shutdown ends every pending request now.
+	shutdown struct{}
 
 	reconfigure struct {
-		settings balancer.Settings
-		pushed   bool
+		settings    balancer.Settings
+		listsPushed bool
 	}
 
 	retire struct{}
 
-	statusQuery struct{ to chan Status }
+	statusQuery struct{ reply chan Status }
 
-	statsQuery struct{ to chan Stats }
+	statsQuery struct{ reply chan Stats }
 )
--- a/internal/engine/pending.go
+++ b/internal/engine/pending.go
@@ -1,16 +1,15 @@
 package engine
 
-// pendingRequest is a request that the balancer still knows: one without a response, or with attempts in flight.
+// pendingRequest is a request that the balancer still tracks: it has no response yet, or attempts in flight.
 type pendingRequest struct {
 	request    *Request
-	attempts   []*Attempt // by number; nil: made by another node
+	attempts   []*Attempt // by number; nil: sent by another node
 	inFlight   int        // attempts without an outcome
-	mayHaveRun bool       // an attempt of it may have run at a server
-	responded  bool       // it has its response, or nobody waits for one
+	mayHaveRun bool       // an attempt may have run on a server
+	responded  bool       // the response was sent, or the client has disconnected
 }
 
-// newPendingRequest returns the record of a new request. Attempts that another node made have their numbers here and
-// nothing else.
+// newPendingRequest returns the record of a new request. Prior attempts, sent by another node, only occupy their numbers.
 func newPendingRequest(request *Request) *pendingRequest {
 	return &pendingRequest{
 		request:    request,
@@ -19,7 +18,7 @@
 	}
 }
 
-// attempt returns the attempt of a number, or nil where this engine made none of that number.
+// attempt returns attempt n, or nil if this engine did not send it.
 func (p *pendingRequest) attempt(n int) *Attempt {
 	if n >= len(p.attempts) {
 		return nil
@@ -27,52 +26,52 @@
 	return p.attempts[n]
 }
 
-// respond gives the request its response. It must be called once.
+// respond sends the response of the request. It must be called once.
 func (p *pendingRequest) respond(response Response) {
 	p.markResponded()
 	p.request.response <- response
 }
 
-// markResponded notes that nobody waits for a response any more. Attempts that have not begun by then never do, whatever
-// the settings say of those that have.
+// markResponded records that no response is awaited any more. Attempts that have not started are cancelled, whether or not
+// the settings allow cancelling started ones.
 func (p *pendingRequest) markResponded() {
 	p.responded = true
 	for _, attempt := range p.attempts {
 		if attempt != nil {
-			attempt.CancelUnbegun()
+			attempt.CancelIfNotStarted()
 		}
 	}
 }
 
-// pendingOf returns the record of a request, or nil if that is finished. Its id may be in use by another one by then.
+// pendingOf returns the record of a request, or nil if the request is finished, even if another request now has its id.
 func (eng *Engine) pendingOf(request *Request) *pendingRequest {
-	p := eng.pending[request.ID]
-	if p == nil || p.request != request {
+	pending := eng.pending[request.ID]
+	if pending == nil || pending.request != request {
 		return nil
 	}
-	return p
+	return pending
 }
 
-// respondUnserved ends a request without a reply, unless it has its response already.
+// respondUnserved sends a response without a server's reply, unless the request already has its response.
 func (eng *Engine) respondUnserved(id string, response Response) {
-	p := eng.pending[id]
-	if p == nil || p.responded {
+	pending := eng.pending[id]
+	if pending == nil || pending.responded {
 		return
 	}
 	if response.Kind == Rejected {
-		response.NotRun = !p.mayHaveRun && p.inFlight == 0
-		eng.sinceLog.Rejected++
-		eng.collector.requestRejected(p.request.Class)
+		response.NotRun = !pending.mayHaveRun && pending.inFlight == 0
+		eng.unloggedTraffic.Rejected++
+		eng.collector.requestRejected(pending.request.Class)
 	} else {
-		eng.sinceLog.Failed++
+		eng.unloggedTraffic.Failed++
 	}
-	p.respond(response)
-	eng.removeIfFinished(p)
+	pending.respond(response)
+	eng.removeIfFinished(pending)
 }
 
-// removeIfFinished drops a request once it has its response and no attempt in flight, as the balancer does.
-func (eng *Engine) removeIfFinished(p *pendingRequest) {
-	if p.responded && p.inFlight == 0 {
-		delete(eng.pending, p.request.ID)
+// removeIfFinished removes a request that has its response and no attempt in flight, as the balancer does.
+func (eng *Engine) removeIfFinished(pending *pendingRequest) {
+	if pending.responded && pending.inFlight == 0 {
+		delete(eng.pending, pending.request.ID)
 	}
 }
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Response is the one final answer to a request.
+// Response is the final response to a request.
 type Response struct {
-	Kind       Kind
-	Reply      Reply         // of Served
-	RetryAfter time.Duration // of Rejected: when the client may try again; 0: not said
-	Elsewhere  bool          // this node shuts down: the client had better go to another
-	NotRun     bool          // of Rejected: no attempt of it may have run
-	Why        string        // of Rejected by a rule: which one
-	Settled    bool          // it is the one outcome that all hear who ask about the request
+	Kind         Kind
+	Reply        Reply         // set for Served
+	RetryAfter   time.Duration // set for Rejected: after which the client may retry; 0: not specified
+	TryOtherNode bool          // this node is shutting down: the client should use another node
+	NotRun       bool          // set for Rejected: no attempt can have run
+	Reason       string        // the rule that caused a Rejected; empty: none
+	Settled      bool          // the request's final outcome, returned to every query about the request
 }
 
-// Discard closes what is left of the reply.
+// Discard closes the unread rest of the reply.
 func (r Response) Discard() { r.Reply.Discard() }
 
-// Kind says what a response promises.
+// Kind is the kind of a response, which states what the client can rely on.
 type Kind int
 
 // Kinds of responses.
 const (
 	Served    Kind = iota
-	Rejected       // trying again is harmless
-	Failed         // promises nothing
+	Rejected       // a retry is safe
+	Failed         // the request may or may not have run
 	Duplicate      // the id is in use by another request
 )
 
@@ -46,15 +46,15 @@
 	return "Kind(" + strconv.Itoa(int(k)) + ")"
 }
 
-// Reply is what a server sent back for a request.
+// Reply is a server's reply to a request.
 type Reply struct {
 	Body        []byte
-	ContentType string        // empty: none was given
-	Rest        io.ReadCloser // what follows Body, as it comes from the server; nil: nothing. Whoever gets it closes it
-	Length      int64         // of Body and Rest; negative: not known before its end
+	ContentType string        // empty: not given
+	Rest        io.ReadCloser // remaining body after Body, streamed from the server; nil: none. The receiver must close it
+	Length      int64         // of Body and Rest; negative: unknown until the end
 }
 
-// Discard closes what is left of the reply.
+// Discard closes the unread rest of the reply.
 func (r Reply) Discard() {
 	if r.Rest != nil {
 		r.Rest.Close()
--- a/internal/engine/serverlist.go
+++ b/internal/engine/serverlist.go
@@ -5,21 +5,21 @@
 	"damsontrestle/internal/discovery"
 )
 
-// UpdateList brings an update of the endpoint list.
+// UpdateList applies an update of the endpoint list.
 func (eng *Engine) UpdateList(update discovery.List) { eng.post(listUpdated{list: update}) }
 
-// ListFailed says that a watch of the endpoint list failed.
+// ListFailed reports that a watch of the endpoint list failed.
 func (eng *Engine) ListFailed() { eng.post(listFailed{}) }
 
-// RestoreList gives the list as it was last held, perhaps long ago. It must not be called after Run.
+// RestoreList loads the last known list, which may be outdated. It must not be called after Run.
 func (eng *Engine) RestoreList(last discovery.List) { eng.updateList(last, true) }
 
-// updateList keeps where the servers listen and passes the list to the back end and to the balancer. Where lists are
-// pushed, one that changes nothing, as after discovery has moved, is not passed on: the balancer takes each list for a
-// change and draws its subset anew, which would migrate requests and open connections for nothing.
+// updateList stores the listed servers and passes the list to the backend and to the balancer. A pushed list without
+// changes, as received after discovery has moved, is not passed on: the balancer treats each list as a change and selects
+// its subset again, which would migrate requests and open connections unnecessarily.
 func (eng *Engine) updateList(update discovery.List, cached bool) {
 	update = eng.starts.Local(update, cached, eng.clock.Now(), eng.slowStartWindow)
-	if !cached && eng.pushed && eng.isCurrent(update) {
+	if !cached && eng.listsPushed && eng.isCurrent(update) {
 		return
 	}
 	if update.Full {
@@ -37,12 +37,12 @@
 	}
 	eng.collector.retainListed(eng.servers)
 	eng.backend.Servers(update.Targets, update.Full)
-	eng.decide(eng.clock.Now(), list)
+	eng.handleBalancerEvent(eng.clock.Now(), list)
 	eng.ready.Store(eng.anyServerReady())
 }
 
-// anyServerReady says that a listed server is in service. The first one that is looked at mostly is, so that an update of
-// one server among thousands costs little.
+// anyServerReady reports whether a listed server is ready. The first one checked usually is, so an update of one server
+// among thousands is cheap.
 func (eng *Engine) anyServerReady() bool {
 	for _, target := range eng.servers {
 		if target.State == balancer.Ready {
@@ -52,7 +52,7 @@
 	return false
 }
 
-// isCurrent says that an update changes nothing.
+// isCurrent reports whether an update changes nothing.
 func (eng *Engine) isCurrent(update discovery.List) bool {
 	known := 0
 	for _, target := range update.Targets {
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -6,53 +6,54 @@
 	"damsontrestle/internal/balancer"
 )
 
-// shutdownRetryAfter is the Retry-After of requests that are rejected because the node shuts down.
+// shutdownRetryAfter is the Retry-After of requests that are rejected because of a shutdown.
 const shutdownRetryAfter = time.Second
 
-// ShutdownAt says at which clock time AnswerAll will come. A request that could not be served by then, as latencies of
-// its class are now, is rejected as soon as that is known: begun later, it would be cut off in the middle.
-func (eng *Engine) ShutdownAt(at time.Duration) { eng.post(shutdownScheduled{at: at}) }
+// ScheduleShutdown announces the clock time of the call of Shutdown. A request that could not be served by then, at the
+// current latencies of its class, is rejected as soon as this is known: if sent later, it would be aborted halfway.
+func (eng *Engine) ScheduleShutdown(at time.Duration) { eng.post(shutdownScheduled{at: at}) }
 
-// AnswerAll has every request without a response be answered now, and rejects those that still come.
-func (eng *Engine) AnswerAll() { eng.post(answerAll{}) }
+// Shutdown ends every pending request at once, with Rejected if it was not sent and Failed otherwise, and rejects new ones.
+func (eng *Engine) Shutdown() { eng.post(shutdown{}) }
 
-// handleAnswerAll answers every request that is still open.
-func (eng *Engine) handleAnswerAll() {
+// handleShutdown ends every pending request.
+func (eng *Engine) handleShutdown() {
 	eng.shuttingDown = true
-	for _, p := range eng.pending {
-		eng.abandon(p)
+	for _, pending := range eng.pending {
+		eng.abandon(pending)
 	}
 }
 
-// tooLate says that a request of a class would not be served before the shutdown, as latencies are now.
-func (eng *Engine) tooLate(class string) bool {
+// cannotFinishBeforeShutdown reports whether a request of a class would be served too late for the scheduled shutdown, at
+// current latencies.
+func (eng *Engine) cannotFinishBeforeShutdown(class string) bool {
 	if eng.shutdownAt == 0 {
 		return false
 	}
 	return eng.clock.Now()+eng.balancer.ExpectedLatency(class) > eng.shutdownAt
 }
 
-// rejectLate rejects queued requests that it is too late for, before the balancer sends them.
-func (eng *Engine) rejectLate() {
+// rejectQueuedBeforeShutdown rejects queued requests that cannot finish before the shutdown, so that they are not sent.
+func (eng *Engine) rejectQueuedBeforeShutdown() {
 	if eng.shutdownAt == 0 {
 		return
 	}
 	for _, p := range eng.pending {
-		if len(p.attempts) == 0 && eng.tooLate(p.request.Class) {
+		if len(p.attempts) == 0 && eng.cannotFinishBeforeShutdown(p.request.Class) {
 			eng.abandon(p)
 		}
 	}
 }
 
-// abandon answers a request that this node won't finish. For the balancer it ends as if its client had disconnected.
-func (eng *Engine) abandon(p *pendingRequest) {
-	if p.responded {
+// abandon ends a request that this node will not finish. For the balancer it ends as if its client had disconnected.
+func (eng *Engine) abandon(pending *pendingRequest) {
+	if pending.responded {
 		return
 	}
 	response := Response{Kind: Failed}
-	if len(p.attempts) == 0 {
-		response = Response{Kind: Rejected, RetryAfter: shutdownRetryAfter, Elsewhere: eng.shutdownAt > 0}
+	if len(pending.attempts) == 0 {
+		response = Response{Kind: Rejected, RetryAfter: shutdownRetryAfter, TryOtherNode: eng.shutdownAt > 0}
 	}
-	eng.respondUnserved(p.request.ID, response)
-	eng.decide(eng.clock.Now(), balancer.ClientDisconnected{ID: p.request.ID})
+	eng.respondUnserved(pending.request.ID, response)
+	eng.handleBalancerEvent(eng.clock.Now(), balancer.ClientDisconnected{ID: pending.request.ID})
 }
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -9,41 +9,41 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Buckets is how many buckets Stats.LatencyHistogram has: the last is of 35 minutes and more.
-const Buckets = 32
+// LatencyBuckets is the number of buckets of Stats.LatencyHistogram. The last one counts 35 minutes and more.
+const LatencyBuckets = 32
 
-// Stats are counts and latencies of an engine since it began.
+// Stats are counts and latencies of an engine since its start.
 type Stats struct {
-	Classes map[string]ClassStats  // by name
-	Zones   map[string]ZoneStats   // by name
-	Servers map[string]ServerStats // by id: listed ones, and others with attempts in flight
-	Rev     int64                  // revision of the endpoint list; negative: it has none
+	Classes      map[string]ClassStats  // by name
+	Zones        map[string]ZoneStats   // by name
+	Servers      map[string]ServerStats // by id: listed servers, and others with attempts in flight
+	ListRevision int64                  // revision of the endpoint list; negative: none
 
-	// LatencyHistogram counts attempts that succeeded, by the number of bits of their latency in microseconds.
-	LatencyHistogram [Buckets]int64
+	// LatencyHistogram counts successful attempts by the bit length of their latency in microseconds.
+	LatencyHistogram [LatencyBuckets]int64
 }
 
-// ClassStats are of the requests of a class.
+// ClassStats are the counts of a class of requests.
 type ClassStats struct {
 	Requests, Rejected int64
 	InFlight           int // without a response
 }
 
-// ZoneStats are of the servers of a zone, as the endpoint list names it.
+// ZoneStats are the counts of a zone of the endpoint list.
 type ZoneStats struct {
-	Ended, Failures int64         // attempts; of them, those that did not succeed
-	TotalLatency    time.Duration // of all of them together
-	Ready, WarmedUp int           // servers listed as ready; of them, those that are past their slow start
+	Ended, Failures int64         // attempts, and those of them that did not succeed
+	TotalLatency    time.Duration // sum over the ended attempts
+	Ready, WarmedUp int           // servers listed as ready, and those of them that have completed slow start
 }
 
-// ServerStats are of a server.
+// ServerStats are the counts of a server.
 type ServerStats struct {
 	Failures int64 // attempts that did not succeed
 	InFlight int   // attempts
 }
 
-// statsCollector counts what Stats returns. Its methods do nothing where it is nil. Servers that are not listed are
-// forgotten with their last attempt.
+// statsCollector collects Stats. Its methods are no-ops on nil. Servers that are not listed are removed with their last
+// attempt.
 type statsCollector struct{ Stats }
 
 func newStatsCollector() *statsCollector {
@@ -64,7 +64,7 @@
 	c.Classes[class] = stats
 }
 
-// requestRejected counts a request among these that was rejected.
+// requestRejected counts a request that was passed to the balancer and then rejected.
 func (c *statsCollector) requestRejected(class string) {
 	if c == nil {
 		return
@@ -74,7 +74,7 @@
 	c.Classes[class] = stats
 }
 
-// attemptStarted counts an attempt at a server.
+// attemptStarted counts an attempt that is sent to a server.
 func (c *statsCollector) attemptStarted(server string) {
 	if c == nil {
 		return
@@ -84,8 +84,8 @@
 	c.Servers[server] = stats
 }
 
-// attemptEnded counts the result of an attempt. target is the entry of its server where that is still listed; the zone of
-// others is not known.
+// attemptEnded counts the result of an attempt. target is the list entry of its server if that is still listed; the zone of
+// an unlisted server is unknown.
 func (c *statsCollector) attemptEnded(
 	target discovery.Target, server string, listed bool, result balancer.Result, latency time.Duration,
 ) {
@@ -112,13 +112,13 @@
 	}
 }
 
-// latencyBucket is the bucket of the histogram that a latency belongs to.
+// latencyBucket returns the histogram bucket of a latency.
 func latencyBucket(latency time.Duration) int {
 	microseconds := uint64(max(0, latency.Microseconds()))
-	return min(bits.Len64(microseconds), Buckets-1)
+	return min(bits.Len64(microseconds), LatencyBuckets-1)
 }
 
-// retainListed forgets servers that are not listed and have no attempt in flight, and zones without a listed server.
+// retainListed removes unlisted servers without an attempt in flight, and zones without a listed server.
 func (c *statsCollector) retainListed(listed map[string]discovery.Target) {
 	if c == nil {
 		return
@@ -134,12 +134,12 @@
 	maps.DeleteFunc(c.Zones, func(zone string, _ ZoneStats) bool { return !zones[zone] })
 }
 
-// Stats returns the counts of now. They are the zero value where Options.Count is not set, and once Run has returned.
+// Stats returns the current counts: the zero value if Options.CollectStats is not set, and once Run has returned.
 func (eng *Engine) Stats() Stats {
-	return query(eng, func(to chan Stats) event { return statsQuery{to: to} })
+	return query(eng, func(to chan Stats) event { return statsQuery{reply: to} })
 }
 
-// collectStats makes the answer to a statsQuery: a copy.
+// collectStats returns a copy of the collected stats, completed with the current pending requests and listed servers.
 func (eng *Engine) collectStats() Stats {
 	if eng.collector == nil {
 		return Stats{}
@@ -148,14 +148,14 @@
 		Classes:          maps.Clone(eng.collector.Classes),
 		Zones:            maps.Clone(eng.collector.Zones),
 		Servers:          maps.Clone(eng.collector.Servers),
-		Rev:              eng.listRevision,
+		ListRevision:     eng.listRevision,
 		LatencyHistogram: eng.collector.LatencyHistogram,
 	}
-	for _, p := range eng.pending {
-		if !p.responded {
-			class := stats.Classes[p.request.Class]
+	for _, pending := range eng.pending {
+		if !pending.responded {
+			class := stats.Classes[pending.request.Class]
 			class.InFlight++
-			stats.Classes[p.request.Class] = class
+			stats.Classes[pending.request.Class] = class
 		}
 	}
 	now := eng.clock.Now()
--- a/internal/engine/stats_test.go
+++ b/internal/engine/stats_test.go
@@ -12,41 +12,41 @@
 
 // Stats returns what was counted, without servers that are no longer listed.
 func TestStatsCountEvents(t *testing.T) {
-	s := newScript()
-	l := servers("a")
-	l.Rev, l.Targets[0].Zone = 7, "z"
-	o := options(s, settings())
-	o.Count = true
-	e := newEngineWith(t, o)
-	e.RestoreList(l)
+	backend := newFakeBackend()
+	list := servers("a")
+	list.Rev, list.Targets[0].Zone = 7, "z"
+	opts := options(backend, settings())
+	opts.CollectStats = true
+	eng := newEngineWith(t, opts)
+	eng.RestoreList(list)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go e.Run(ctx)
-	c := NewRequest("1", Message{})
-	c.Class, c.At = "view", e.clock.Now()
-	c.Deadline = c.At + testpeer.Limit
-	e.Submit(c)
-	a, end := s.expect(t)
-	is := e.Stats()
-	if is.Rev != 7 || is.Classes["view"] != (ClassStats{Requests: 1, InFlight: 1}) || is.Servers["a"].InFlight != 1 ||
-		is.Zones["z"].Ready != 1 || is.Zones["z"].WarmedUp != 1 {
-		t.Errorf("with an attempt in flight: %+v", is)
+	go eng.Run(ctx)
+	request := NewRequest("1", Message{})
+	request.Class, request.At = "view", eng.clock.Now()
+	request.Deadline = request.At + testpeer.Limit
+	eng.Submit(request)
+	attempt, outcome := backend.expectAttempt(t)
+	stats := eng.Stats()
+	if stats.ListRevision != 7 || stats.Classes["view"] != (ClassStats{Requests: 1, InFlight: 1}) || stats.Servers["a"].InFlight != 1 ||
+		stats.Zones["z"].Ready != 1 || stats.Zones["z"].WarmedUp != 1 {
+		t.Errorf("with an attempt in flight: %+v", stats)
 	}
-	end <- Outcome{Result: balancer.Success, At: a.Sent + 3*time.Millisecond}
-	testpeer.Receive(t, c.Response(), "the response")
-	is = e.Stats()
-	zone := is.Zones["z"]
-	if zone.Ended != 1 || zone.Failures != 0 || zone.TotalLatency != 3*time.Millisecond || is.LatencyHistogram[12] != 1 ||
-		is.Classes["view"].InFlight != 0 || is.Servers["a"].InFlight != 0 {
-		t.Errorf("after its response: %+v", is)
+	outcome <- Outcome{Result: balancer.Success, At: attempt.SentAt + 3*time.Millisecond}
+	testpeer.Receive(t, request.Response(), "the response")
+	stats = eng.Stats()
+	zone := stats.Zones["z"]
+	if zone.Ended != 1 || zone.Failures != 0 || zone.TotalLatency != 3*time.Millisecond || stats.LatencyHistogram[12] != 1 ||
+		stats.Classes["view"].InFlight != 0 || stats.Servers["a"].InFlight != 0 {
+		t.Errorf("after its response: %+v", stats)
 	}
-	e.UpdateList(discovery.List{Full: true, Rev: 8})
-	if is = e.Stats(); len(is.Servers) != 0 || len(is.Zones) != 0 || is.Rev != 8 {
-		t.Errorf("with no server listed: %+v", is)
+	eng.UpdateList(discovery.List{Full: true, Rev: 8})
+	if stats = eng.Stats(); len(stats.Servers) != 0 || len(stats.Zones) != 0 || stats.ListRevision != 8 {
+		t.Errorf("with no server listed: %+v", stats)
 	}
 	cancel()
-	<-e.Done()
-	if is = e.Stats(); is.Classes != nil {
-		t.Errorf("after Run has returned: %+v", is)
+	<-eng.Done()
+	if stats = eng.Stats(); stats.Classes != nil {
+		t.Errorf("after Run has returned: %+v", stats)
 	}
 }
--- a/internal/engine/status.go
+++ b/internal/engine/status.go
@@ -2,18 +2,18 @@
 
 import "damsontrestle/internal/balancer"
 
-// Totals count what became of requests since the engine began. The tags are the management endpoint's terms.
+// Totals count requests by their result since the engine's start. The tags are the terms of the management endpoint.
 type Totals struct {
 	Requests     int64 `json:"calls"`
 	Served       int64 `json:"served"`
 	Rejected     int64 `json:"refused"`
 	Failed       int64 `json:"failed"`
-	Disconnected int64 `json:"gone"` // the client left before its response
+	Disconnected int64 `json:"gone"` // the client disconnected before its response
 	Sends        int64 `json:"sends"`
-	Polls        int64 `json:"asks,omitempty"` // of servers, for their load
+	Polls        int64 `json:"asks,omitempty"` // load polls of servers
 }
 
-// add adds what happened since the last line of the log.
+// add adds the traffic of one log interval.
 func (t *Totals) add(counts trafficCounts) {
 	t.Requests += int64(counts.Requests)
 	t.Served += int64(counts.Served)
@@ -24,31 +24,31 @@
 	t.Polls += int64(counts.Polls)
 }
 
-// Status is what an engine holds at one moment.
+// Status is a snapshot of an engine.
 type Status struct {
 	Totals
 	Open     int `json:"open"`     // requests without a response, or with an attempt in flight
-	Ready    int `json:"ready"`    // listed servers in service
-	Draining int `json:"draining"` // listed servers that drain
+	Ready    int `json:"ready"`    // listed servers that are ready
+	Draining int `json:"draining"` // listed servers that are draining
 	Avoided  int `json:"avoided"`  // listed servers that get no new request
 }
 
-// Status returns what the engine holds now; the zero value once Run has returned.
+// Status returns the current status: the zero value once Run has returned.
 func (eng *Engine) Status() Status {
-	return query(eng, func(to chan Status) event { return statusQuery{to: to} })
+	return query(eng, func(to chan Status) event { return statusQuery{reply: to} })
 }
 
-// collectStatus makes the answer to a statusQuery.
+// collectStatus returns the current status.
 func (eng *Engine) collectStatus() Status {
-	s := Status{Totals: eng.totals, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
-	s.add(eng.sinceLog)
+	status := Status{Totals: eng.totals, Open: len(eng.pending), Avoided: eng.balancer.Unavailable()}
+	status.add(eng.unloggedTraffic)
 	for _, target := range eng.servers {
 		switch target.State {
 		case balancer.Ready:
-			s.Ready++
+			status.Ready++
 		case balancer.Draining:
-			s.Draining++
+			status.Draining++
 		}
 	}
-	return s
+	return status
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -7,13 +7,13 @@
 	"damsontrestle/internal/balancer"
 )
 
-// timer is a balancer.Timer to come.
+// timer is a pending balancer.Timer.
 type timer struct {
 	at    time.Duration // clock time
 	token string
 }
 
-// timerHeap has the earliest timer first (container/heap).
+// timerHeap implements heap.Interface, earliest timer first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -28,7 +28,7 @@
 	return last
 }
 
-// fireTimers passes the timers that are due to the balancer.
+// fireTimers passes the expired timers to the balancer.
 func (eng *Engine) fireTimers() {
 	for len(eng.timers) > 0 {
 		now := eng.clock.Now()
@@ -36,6 +36,6 @@
 			return
 		}
 		due := heap.Pop(&eng.timers).(timer)
-		eng.decide(now, balancer.Timer{Token: due.token})
+		eng.handleBalancerEvent(now, balancer.Timer{Token: due.token})
 	}
 }
--- a/internal/engine/trafficlog.go
+++ b/internal/engine/trafficlog.go
@@ -6,42 +6,42 @@
 	"damsontrestle/internal/balancer"
 )
 
-// resultKinds is how many results of attempts there are (balancer.Result).
-const resultKinds = 8
+// attemptResults is the number of values of balancer.Result.
+const attemptResults = 8
 
-// trafficCounts count what happened since the last line of the log on traffic.
+// trafficCounts are the counts since the last line of the traffic log.
 type trafficCounts struct {
 	Requests     int
 	Served       int
 	Rejected     int
 	Failed       int
-	Disconnected int // clients that left before their response
+	Disconnected int // clients that disconnected before their response
 	Sends        int // attempts
 	Polls        int
-	Results      [resultKinds]int
-	LagMax       time.Duration // from an event to its handling by the loop
+	Results      [attemptResults]int
+	LagMax       time.Duration // delay from an event to its handling by the loop
 	LagSum       time.Duration
-	Events       int // that LagSum is the sum over
+	Events       int // number of summands of LagSum
 }
 
-// recordLag notes how long after an event the loop came to it.
+// recordLag records the delay from an event to its handling by the loop.
 func (eng *Engine) recordLag(at time.Duration) {
 	lag := -eng.clock.Until(at)
-	eng.sinceLog.LagMax = max(eng.sinceLog.LagMax, lag)
-	eng.sinceLog.LagSum += lag
-	eng.sinceLog.Events++
+	eng.unloggedTraffic.LagMax = max(eng.unloggedTraffic.LagMax, lag)
+	eng.unloggedTraffic.LagSum += lag
+	eng.unloggedTraffic.Events++
 }
 
-// logTraffic logs what happened since the last such line, and adds it to the totals.
+// logTraffic logs the counts since the last line of the traffic log, and adds them to the totals.
 func (eng *Engine) logTraffic() {
-	counts := eng.sinceLog
+	counts := eng.unloggedTraffic
 	eng.totals.add(counts)
-	eng.sinceLog = trafficCounts{}
+	eng.unloggedTraffic = trafficCounts{}
 	if counts.Events == 0 {
 		return
 	}
 	results := counts.Results
-	eng.log.With(eng.logFields()...).Info("traffic",
+	eng.log.With(eng.logAttrs()...).Info("traffic",
 		"requests", counts.Requests,
 		"served", counts.Served,
 		"rejected", counts.Rejected,
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -10,21 +10,21 @@
 
 // Queue holds events that have not happened yet. The zero value is empty.
 type Queue[T any] struct {
-	events eventHeap[T]
-	added  uint64 // number of events so far
+	events       eventHeap[T]
+	lastSequence uint64 // number of events so far
 }
 
 type event[T any] struct {
-	at      time.Duration
-	seq     uint64 // of its addition
-	payload T
+	at       time.Duration
+	sequence uint64 // of its addition
+	payload  T
 }
 
 func (e event[T]) before(other event[T]) bool {
 	if e.at != other.at {
 		return e.at < other.at
 	}
-	return e.seq < other.seq
+	return e.sequence < other.sequence
 }
 
 // eventHeap implements heap.Interface.
@@ -54,8 +54,8 @@
 
 // Add adds an event that happens at a time.
 func (q *Queue[T]) Add(at time.Duration, payload T) {
-	q.added++
-	heap.Push(&q.events, event[T]{at: at, seq: q.added, payload: payload})
+	q.lastSequence++
+	heap.Push(&q.events, event[T]{at: at, sequence: q.lastSequence, payload: payload})
 }
 
 // Next removes and returns the earliest event; false: the queue is empty.
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -92,7 +92,7 @@
 		f.callers.End(c)
 		return
 	}
-	r.in.Request.Gone = func() bool { return c.hasLeft(r) }
+	r.in.Request.ClientDisconnected = func() bool { return c.hasLeft(r) }
 	with, err := validation.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
 	if err != nil {
 		f.figures.End(r.in.Class, metrics.Faulted)
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -60,7 +60,7 @@
 	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
-		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
+		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
 	view, err := dispatch.NewSnapshot(cfg, map[string]*engine.Engine{"servers": n.engine})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	t.request.Message.Beside = []engine.Field{{Name: envelopeHeader, Value: text}}
+	t.request.Message.ExtraHeaders = []engine.Field{{Name: envelopeHeader, Value: text}}
 	return nil
 }
 
@@ -150,15 +150,15 @@
 // attemptNumber is an attempt's number among all of its request's. They go on over pools.
 func (t *routedAttempt) attemptNumber(a *engine.Attempt) int {
 	if len(t.request.PriorAttempts) != len(t.priorIntents) {
-		return a.N + len(t.priorIntents)
+		return a.Number + len(t.priorIntents)
 	}
-	return a.N
+	return a.Number
 }
 
 // allow implements engine.Request's AllowAttempt: a replicated request's attempt needs its intent accepted.
 func (t *routedAttempt) allow(a *engine.Attempt) bool {
 	if t.replicates() {
-		intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.To.Server, Zone: a.Zone, Cell: a.Cell}
+		intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.Host.Server, Zone: a.Zone, Cell: a.Cell}
 		if !t.work.Intend(a.Context(), intent) {
 			return false
 		}
@@ -178,8 +178,8 @@
 	case balancer.Overloaded:
 		t.settled = t.settled || outcome.Settled
 	}
-	if outcome.Why != "" && outcome.Why != reasonBusy {
-		t.rejectedBy = outcome.Why
+	if outcome.Reason != "" && outcome.Reason != reasonBusy {
+		t.rejectedBy = outcome.Reason
 	}
 	t.mu.Unlock()
 	if t.replicates() && outcome.Result.NeverRan() {
@@ -203,7 +203,7 @@
 	}
 	rejected := response.Kind == engine.Rejected
 	if rejected {
-		response.Why = ""
+		response.Reason = ""
 	}
 	return attemptResult{
 		outcome:          outcomeOf(response),
@@ -228,8 +228,8 @@
 		case <-g.ctx.Done():
 			return
 		}
-		if !g.exchange.IsAlive(partner, a.To.Server) {
-			a.ConnectionLost()
+		if !g.exchange.IsAlive(partner, a.Host.Server) {
+			a.CancelServerGone()
 			return
 		}
 	}
--- a/internal/gateway/flow.go
+++ b/internal/gateway/flow.go
@@ -42,8 +42,8 @@
 	}
 	response := f.respond(ctx)
 	fromPartner := len(f.record.Path) > 0
-	if fromPartner && response.Kind == engine.Rejected && response.NotRun && response.Why == "" {
-		response.Why = reasonBusy
+	if fromPartner && response.Kind == engine.Rejected && response.NotRun && response.Reason == "" {
+		response.Reason = reasonBusy
 	}
 	select {
 	case <-f.disconnected:
@@ -92,7 +92,7 @@
 		if token == 0 {
 			rejected = rejection(retryAfter)
 			if len(f.record.Path) > 0 {
-				rejected.Why = "quota " + name
+				rejected.Reason = "quota " + name
 			}
 			return undo, rejected, false
 		}
@@ -116,7 +116,7 @@
 			return settledResponse(outcome)
 		case errors.Is(err, replication.ErrAlone) && serveAlone:
 			message := f.request.Message
-			message.Gone = nil // it goes on without its client
+			message.ClientDisconnected = nil // it goes on without its client
 			return f.runUnreplicated(ctx, message)
 		case errors.Is(err, replication.ErrAlone), errors.Is(err, replication.ErrFull), errors.Is(err, replication.ErrNoAnswer):
 			return rejection(defaultRetryAfter)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	limiters map[string]*quota.Limiter // by quota
 }
 
-// Open opens the links. Requests come once the dispatcher has the gateway as its Guard. Close ends it.
+// Open opens the links. Requests come once the dispatcher has the gateway as its Interceptor. Close ends it.
 func Open(options Options) (*Gateway, error) {
 	federation := options.Config.Federation
 	g := &Gateway{
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -24,7 +24,7 @@
 			Kind:       engine.Rejected,
 			RetryAfter: max(outcome.RetryAfter, time.Millisecond),
 			NotRun:     outcome.NotRun,
-			Why:        outcome.Reason,
+			Reason:     outcome.Reason,
 		}
 	}
 	return engine.Response{Kind: engine.Failed}
@@ -51,7 +51,7 @@
 	case engine.Rejected:
 		outcome.Kind = replication.Rejected
 		outcome.RetryAfter = response.RetryAfter
-		outcome.Reason = response.Why
+		outcome.Reason = response.Reason
 		outcome.NotRun = response.NotRun
 	default:
 		outcome.Kind = replication.Failed
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -32,12 +32,12 @@
 		return replication.Outcome{Kind: replication.Failed}
 	}
 	message := engine.Message{
-		Method:      record.Method,
-		Target:      record.Target,
-		Key:         record.IdempotencyKey,
-		ContentType: record.ContentType,
-		Body:        record.Body,
-		Length:      int64(len(record.Body)),
+		Method:         record.Method,
+		Target:         record.Target,
+		IdempotencyKey: record.IdempotencyKey,
+		ContentType:    record.ContentType,
+		Body:           record.Body,
+		Length:         int64(len(record.Body)),
 	}
 	e := &execution{g, record, message, class, priorIntents, work}
 	return e.run(ctx)
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -59,12 +59,12 @@
 	settings.Classes[0].PriorityWeight = 1
 	settings.Classes[0].LatencyObjective = testpeer.Limit
 	eng, err := engine.New(engine.Options{
-		Settings:  settings,
-		Clock:     c,
-		Backend:   b,
-		Subscribe: func() {},
-		Pushed:    true,
-		Log:       slog.New(slog.DiscardHandler),
+		Settings:    settings,
+		Clock:       c,
+		Backend:     b,
+		Subscribe:   func() {},
+		ListsPushed: true,
+		Log:         slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -175,8 +175,8 @@
 	if outcome := resumeRequest(t, b, "own", config.Safe, 2, testpeer.Limit); outcome.Kind != replication.Served {
 		t.Fatalf("it came to %+v", outcome)
 	}
-	if a := b.attempts[0]; len(b.attempts) != 1 || a.N != 1 || a.To.Server != "s1" || len(a.Request.Message.Beside) != 0 {
-		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.N, a.To.Server, a.Request.Message.Beside)
+	if a := b.attempts[0]; len(b.attempts) != 1 || a.Number != 1 || a.Host.Server != "s1" || len(a.Request.Message.ExtraHeaders) != 0 {
+		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.Number, a.Host.Server, a.Request.Message.ExtraHeaders)
 	}
 }
 
@@ -184,7 +184,7 @@
 // at first.
 func TestNextRouteHasTimeThatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
-	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Why: "a rule"}}, duration: takes}
+	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Reason: "a rule"}}, duration: takes}
 	carryOut(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != maxRoutes {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
--- a/internal/gateway/take.go
+++ b/internal/gateway/take.go
@@ -40,9 +40,9 @@
 	queryOnly bool   // a partner asks for the outcome: the request must not be begun
 }
 
-// Take implements dispatch.Guard: it takes requests of partners, and those of this partner's clients that draw from a quota, are
+// Intercept implements dispatch.Interceptor: it takes requests of partners, and those of this partner's clients that draw from a quota, are
 // replicated or go to another partner.
-func (g *Gateway) Take(_ *dispatch.Snapshot, request *engine.Request, routing *route.Request) bool {
+func (g *Gateway) Intercept(_ *dispatch.Snapshot, request *engine.Request, routing *route.Request) bool {
 	p := g.policy.Load()
 	class, known := p.classes[request.Class]
 	if !known { // nobody would check a partner's envelope, or draw for it
@@ -86,7 +86,7 @@
 
 // reject answers a request that was not taken.
 func reject(request *engine.Request, reason string) {
-	request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Why: reason, RetryAfter: defaultRetryAfter})
+	request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Reason: reason, RetryAfter: defaultRetryAfter})
 }
 
 // readIncoming reads a request and, on the listener of partners, its envelope. An error says why it is no partner's.
@@ -97,7 +97,7 @@
 		ID:             request.ID,
 		Method:         message.Method,
 		Target:         message.Target,
-		IdempotencyKey: message.Key,
+		IdempotencyKey: message.IdempotencyKey,
 		ContentType:    message.ContentType,
 		Body:           message.Body,
 		Tenant:         firstValue(routing.Headers, tenantHeader),
--- a/internal/gateway/take_test.go
+++ b/internal/gateway/take_test.go
@@ -20,7 +20,7 @@
 	g.policy.Store(&policy{partnerListener: "partners"})
 	request := engine.NewRequest("request", engine.Message{})
 	request.Class = "new"
-	if !g.Take(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
+	if !g.Intercept(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
 		t.Fatal("the request was left to an engine, and nobody has asked for its envelope")
 	}
 	if response := testpeer.Receive(t, request.Response(), "the rejection"); response.Kind != engine.Rejected || !response.NotRun || response.RetryAfter <= 0 {
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -89,7 +89,7 @@
 	if !x.isCoded() {                      // what is behind a coded body is read by nobody, whoever put it there
 		x.writer.Header().Del("Connection") // write says whether the response is the last
 	}
-	checked.Request.Gone = x.conn.hasDisconnected
+	checked.Request.ClientDisconnected = x.conn.hasDisconnected
 	x.class = checked.Class
 	f.counters.Begin()
 	if rest != nil {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -70,7 +70,7 @@
 	if must || !may {
 		return must
 	}
-	return x.front.clients.NearLimit() || x.front.closing.Load() || response.Elsewhere
+	return x.front.clients.NearLimit() || x.front.closing.Load() || response.TryOtherNode
 }
 
 // write gives the response to the client. With an error it was begun and is not complete.
@@ -87,9 +87,9 @@
 		return x.writeReply(response.Reply)
 	}
 	status, text := validation.Text(response)
-	if response.Kind == engine.Rejected && response.NotRun && response.Why != "" { // for a partner's gateway, which must know that nothing ran
+	if response.Kind == engine.Rejected && response.NotRun && response.Reason != "" { // for a partner's gateway, which must know that nothing ran
 		header.Set(validation.HeaderNotRun, "1")
-		header.Set(validation.HeaderRejectedBy, response.Why)
+		header.Set(validation.HeaderRejectedBy, response.Reason)
 	}
 	if retryAfter := validation.RetryAfter(response); retryAfter != "" {
 		header.Set("Retry-After", retryAfter)
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -90,7 +90,7 @@
 	n.clients = downstream.New(c, downstream.Share{Capacity: cfg.Capacity, Minimum: cfg.Capacity / 4, Spare: 24}, n.upstream.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.backend,
-		Subscribe: func() {}, Pushed: true, Log: log}); err != nil {
+		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
 	n.dispatcher = dispatch.New(n.snapshot(t, cfg.Config))
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -114,7 +114,7 @@
 		}
 	}
 	n.sockets, n.listeners = sockets, listeners
-	n.applyReadiness(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.StateAt(n.clock.Now()))
 	if !n.serving {
 		return
 	}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	n.requests.SetGuard(n.gateway)
+	n.requests.SetInterceptor(n.gateway)
 	return nil
 }
 
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -40,7 +40,7 @@
 	switch {
 	case n.shuttingDown:
 		return ErrShuttingDown
-	case !n.readiness.At(n.clock.Now()).Ready:
+	case !n.readiness.StateAt(n.clock.Now()).Ready:
 		return errNotAccepting
 	case !n.serving || !n.requests.Snapshot().Ready():
 		return errNoServer
@@ -75,7 +75,7 @@
 		return nil // a shutdown closes all connections anyway
 	}
 	n.readiness.Quiesce(n.clock.Now())
-	n.applyReadiness(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.StateAt(n.clock.Now()))
 	if n.closingConnections != nil {
 		return nil
 	}
@@ -91,7 +91,7 @@
 	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleStep) {
 		n.mu.Lock()
 		if ctx.Err() == nil && !n.shuttingDown {
-			s := n.readiness.At(n.clock.Now())
+			s := n.readiness.StateAt(n.clock.Now())
 			n.applyReadiness(s)
 			for _, l := range n.listeners {
 				if s.CloseConnections {
@@ -115,7 +115,7 @@
 		n.closingConnections = nil
 		n.log.Info("clients are accepted again")
 	}
-	n.applyReadiness(n.readiness.At(n.clock.Now()))
+	n.applyReadiness(n.readiness.StateAt(n.clock.Now()))
 	return nil
 }
 
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -59,15 +59,15 @@
 	}
 	var err error
 	out.engine, err = engine.New(engine.Options{
-		Settings:  out.settings,
-		Seed:      seed,
-		Clock:     n.clock,
-		Backend:   out.back,
-		Subscribe: out.subscribe,
-		Pushed:    !out.settings.PollDiscovery,
-		Log:       log,
-		Count:     cfg.Node.Peers.Fresh > 0,
-		Report:    func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) },
+		Settings:     out.settings,
+		Seed:         seed,
+		Clock:        n.clock,
+		Backend:      out.back,
+		Subscribe:    out.subscribe,
+		ListsPushed:  !out.settings.PollDiscovery,
+		Log:          log,
+		CollectStats: cfg.Node.Peers.Fresh > 0,
+		LogAttrs:     func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -74,8 +74,8 @@
 	version("configuration", int64(is.shared))
 	for pool, s := range is.stats {
 		p := was.stats[pool]
-		if s.Rev > 0 {
-			version("list of "+pool, s.Rev)
+		if s.ListRevision > 0 {
+			version("list of "+pool, s.ListRevision)
 		}
 		for name, c := range s.Classes {
 			rate(zonestate.Demand, name, float64(p.Classes[name].Requests), float64(c.Requests))
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -80,7 +80,7 @@
 func (n *Node) beginShutdown() *shutdown {
 	n.mu.Lock()
 	n.shuttingDown = true
-	n.readiness.End()
+	n.readiness.Shutdown()
 	close(n.draining)
 	s := &shutdown{node: n, schedule: newShutdownSchedule(n.cfg), sockets: n.sockets, pools: n.allPools(), now: n.clock.Now}
 	s.answer = s.answerAll
@@ -93,7 +93,7 @@
 	n.mu.Unlock()
 	s.begin = s.now()
 	for _, p := range s.pools {
-		p.engine.ShutdownAt(s.begin + s.schedule.answerAll)
+		p.engine.ScheduleShutdown(s.begin + s.schedule.answerAll)
 	}
 	return s
 }
@@ -173,7 +173,7 @@
 // answerAll has the engines answer all open requests now.
 func (s *shutdown) answerAll() {
 	for _, p := range s.pools {
-		p.engine.AnswerAll()
+		p.engine.Shutdown()
 	}
 }
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -35,7 +35,7 @@
 		Listeners: map[string]ListenerStatus{},
 		Pools:     map[string]PoolStatus{},
 		Clients:   n.clients.Open(),
-		Ready:     n.requests.Snapshot().Ready() && n.readiness.At(n.clock.Now()).Ready,
+		Ready:     n.requests.Snapshot().Ready() && n.readiness.StateAt(n.clock.Now()).Ready,
 	}
 	for name, l := range n.listeners {
 		s.Listeners[name] = ListenerStatus{l.socket.Addr().String()}
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -19,7 +19,7 @@
 type Tracker struct {
 	shuttingDown bool
 	quiesced     bool
-	since        time.Duration // of quiesced
+	quiescedAt   time.Duration // of quiesced
 }
 
 // State is what follows for the node now.
@@ -32,7 +32,7 @@
 func (t *Tracker) Quiesce(now time.Duration) {
 	if !t.quiesced {
 		t.quiesced = true
-		t.since = now
+		t.quiescedAt = now
 	}
 }
 
@@ -46,12 +46,12 @@
 }
 
 // End sends clients away for good.
-func (t *Tracker) End() { t.shuttingDown = true }
+func (t *Tracker) Shutdown() { t.shuttingDown = true }
 
 // At is the state at a clock time. When a node that shuts down closes connections is its shutdown's schedule.
-func (t *Tracker) At(now time.Duration) State {
+func (t *Tracker) StateAt(now time.Duration) State {
 	return State{
 		Ready:            !t.quiesced && !t.shuttingDown,
-		CloseConnections: t.quiesced && now-t.since >= CloseIdleAfter,
+		CloseConnections: t.quiesced && now-t.quiescedAt >= CloseIdleAfter,
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -51,11 +51,11 @@
 func (p *Pool) acquire(ctx context.Context, a *engine.Attempt) (c *conn, waiter chan reply, result balancer.Result) {
 	for {
 		waiter = make(chan reply, 1)
-		c, fresh, err := p.connect(ctx, a.To, waiter)
+		c, fresh, err := p.connect(ctx, a.Host, waiter)
 		switch {
 		case errors.Is(err, errNoCapacity):
 			return nil, nil, balancer.NotStarted
-		case err != nil && a.Withdrawn():
+		case err != nil && a.Cancelled():
 			return nil, nil, balancer.Cancelled
 		case err != nil:
 			return nil, nil, balancer.Unreachable
@@ -83,9 +83,9 @@
 	ready := p.isReady(c.host)
 	p.mu.Unlock()
 	switch {
-	case ready && ctx.Err() == nil && a.Begin(p.clock.Now(), c.dialTime):
+	case ready && ctx.Err() == nil && a.TryStart(p.clock.Now(), c.dialTime):
 		return 0, true
-	case a.Withdrawn():
+	case a.Cancelled():
 		return balancer.Cancelled, false
 	case ctx.Err() != nil:
 		return balancer.Unreachable, false
@@ -112,7 +112,7 @@
 	switch {
 	case got.err == nil:
 		return got.Outcome
-	case a.Withdrawn():
+	case a.Cancelled():
 		return engine.Outcome{Result: balancer.Cancelled}
 	case sent < len(text) && isLocalShortage(err):
 		return engine.Outcome{Result: balancer.NotStarted}
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -23,24 +23,24 @@
 		want  balancer.Result
 	}{
 		{"called off", func(_ *Pool, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
-		{"its caller gone, where what has begun is not called off", func(_ *Pool, a *engine.Attempt) { a.CancelUnbegun() }, balancer.Cancelled},
+		{"its caller gone, where what has begun is not called off", func(_ *Pool, a *engine.Attempt) { a.CancelIfNotStarted() }, balancer.Cancelled},
 		{"its client gone, which its engine has not heard yet", func(pool *Pool, a *engine.Attempt) { a.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
 		{"its client gone, as the system alone knows", func(_ *Pool, a *engine.Attempt) {
-			a.Request.Message.Gone = func() bool { return true }
+			a.Request.Message.ClientDisconnected = func() bool { return true }
 		}, balancer.Cancelled},
 		{"its client gone, as the system alone knows, and its body still to come", func(_ *Pool, a *engine.Attempt) {
-			a.Request.Message.Gone, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
+			a.Request.Message.ClientDisconnected, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
 		}, balancer.Cancelled},
 		{"its time over", func(pool *Pool, a *engine.Attempt) {
-			a.Deadline = a.Sent + 1 // as it was decided on; Run has its own clock
+			a.Deadline = a.SentAt + 1 // as it was decided on; Run has its own clock
 		}, balancer.NotStarted},
 		{"its keys' window over", func(pool *Pool, a *engine.Attempt) { a.NotAfter = pool.clock.Now() }, balancer.NotStarted},
 		{"its server drained", func(pool *Pool, a *engine.Attempt) {
-			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Draining}, Endpoint: a.To.Endpoint}}, false)
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Draining}, Endpoint: a.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
 		{"its server gone from the whole list", func(pool *Pool, a *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
 		{"its server started anew", func(pool *Pool, a *engine.Attempt) {
-			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.To.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.To.Endpoint}}, false)
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 	pool := newTestPool(10)
 	a := newTestAttempt(pool, s.Address())
 	looks, left := 0, time.Duration(0)
-	a.Request.Message.Gone = func() bool {
+	a.Request.Message.ClientDisconnected = func() bool {
 		if looks++; looks == 1 {
 			time.Sleep(held)
 			left = pool.clock.Until(a.Deadline)
--- a/internal/upstream/broken_test.go
+++ b/internal/upstream/broken_test.go
@@ -111,8 +111,8 @@
 		case <-time.After(writeResultGrace + writeResultGrace/4):
 		}
 		close(released)
-		if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != balancer.ConnectionLost || !r.Spent {
-			t.Errorf("length %d: result %d, spent %v", length, r.Result, r.Spent)
+		if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != balancer.ConnectionLost || !r.NotReplayable {
+			t.Errorf("length %d: result %d, spent %v", length, r.Result, r.NotReplayable)
 		}
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -68,7 +68,7 @@
 		pool := newTestPool(10)
 		a := newTestAttempt(pool, s.Address())
 		if want == balancer.TimedOut {
-			a.Deadline = a.Sent + 100*time.Millisecond
+			a.Deadline = a.SentAt + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.Cancel() }()
 		}
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -165,7 +165,7 @@
 	r.Result = balancer.Failure
 	if isRejection(resp) {
 		r.Result = balancer.Overloaded
-		r.Why = resp.Header.Get(validation.HeaderRejectedBy)
+		r.Reason = resp.Header.Get(validation.HeaderRejectedBy)
 		r.Settled = resp.Header.Get(validation.HeaderSettled) == "1"
 	}
 	if !isFramed(resp) || resp.ContentLength > validation.MaxBody {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, balancer.NotStarted
 		}
-		if a.Request.IsLeft(p.clock.Now) {
+		if a.Request.IsDisconnected(p.clock.Now) {
 			return nil, balancer.Cancelled
 		}
 		if remaining-p.clock.Until(a.Deadline) <= maxTextAge {
@@ -51,10 +51,10 @@
 		"X-Request-Id": {a.Request.ID},
 		"X-Deadline":   {string(appendDeadline(nil, remaining))},
 	}
-	if message.Key != "" {
-		header["Idempotency-Key"] = []string{message.Key}
+	if message.IdempotencyKey != "" {
+		header["Idempotency-Key"] = []string{message.IdempotencyKey}
 	}
-	for _, f := range message.Beside {
+	for _, f := range message.ExtraHeaders {
 		header[f.Name] = []string{f.Value}
 	}
 	if message.ContentType != "" {
@@ -101,8 +101,8 @@
 	if r.ContentType != "" {
 		text = appendField(text, "Content-Type", r.ContentType)
 	}
-	if r.Key != "" {
-		text = appendField(text, "Idempotency-Key", r.Key)
+	if r.IdempotencyKey != "" {
+		text = appendField(text, "Idempotency-Key", r.IdempotencyKey)
 	}
 	text = append(text, "X-Deadline: "...)
 	text = appendDeadline(text, remaining)
@@ -117,7 +117,7 @@
 	if r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return false
 	}
-	if len(r.Beside) > 0 {
+	if len(r.ExtraHeaders) > 0 {
 		return false
 	}
 	return strings.HasPrefix(r.Target, "/") && !strings.HasPrefix(r.Target, "//") && !strings.ContainsFunc(r.Target, isControl)
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -21,9 +21,9 @@
 	plain := 0
 	for i := range 5000 {
 		r := engine.Message{Method: pick("GET", "GET", "POST", "POST", "PUT", ""), Target: pick("/view", "/note/k?a=b%20c", "/view?\u00e4", "//view", "", "view", "/a b", "/a\x7f", "/\r\nX: y"),
-			Key: value(), ContentType: value(), Body: []byte(pick("", "body", strings.Repeat("b", 3000)))}
+			IdempotencyKey: value(), ContentType: value(), Body: []byte(pick("", "body", strings.Repeat("b", 3000)))}
 		if draw.IntN(4) == 0 {
-			r.Beside = []engine.Field{{Name: "X-Beside", Value: value()}, {Name: "A-Beside", Value: "a"}}
+			r.ExtraHeaders = []engine.Field{{Name: "X-Beside", Value: value()}, {Name: "A-Beside", Value: "a"}}
 		}
 		if isPlain(&r) {
 			plain++
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -76,7 +76,7 @@
 	pool := newTestPool(10)
 	dials := failingDial(pool, syscall.ENOMEM, 1<<30)
 	a := newTestAttempt(pool, "127.0.0.1:1")
-	a.Deadline = a.Sent + dialBackoff/2
+	a.Deadline = a.SentAt + dialBackoff/2
 	if r := runAttempt(t, pool, a); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
 		t.Errorf("result %d after %d dials, %d connections", r.Result, dials.Load(), pool.Connections())
 	}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -111,16 +111,16 @@
 		rest:    &attemptBody{Reader: message.Rest, remaining: message.Length - int64(len(message.Body))},
 		written: make(chan error, 1),
 	}
-	if a.Request.IsLeft(p.clock.Now) {
+	if a.Request.IsDisconnected(p.clock.Now) {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
 	body := io.MultiReader(bytes.NewReader(message.Body), u.rest)
-	go func() { u.written <- newRequest(a, a.Deadline-a.Sent, body).Write(stallLimited{c}) }()
+	go func() { u.written <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
 	got := u.await()
 	consumed, failed := u.rest.end()
 	outcome := u.outcome(got, failed)
-	outcome.Spent = consumed
+	outcome.NotReplayable = consumed
 	return outcome
 }
 
@@ -177,7 +177,7 @@
 	case got.err == nil && u.complete:
 	case got.err == nil:
 		return u.earlyReply(got)
-	case u.Withdrawn():
+	case u.Cancelled():
 		outcome.Result = balancer.Cancelled
 	case failed:
 		outcome.Result = balancer.NotStarted
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -116,7 +116,7 @@
 	case h.Length != 0 && h.Method == http.MethodGet:
 		return no(http.StatusBadRequest, "GET has no body")
 	}
-	r := Request{ID: id, Class: name, Wait: wait, Request: engine.Message{Method: h.Method, Target: target, Key: key, ContentType: h.Type},
+	r := Request{ID: id, Class: name, Wait: wait, Request: engine.Message{Method: h.Method, Target: target, IdempotencyKey: key, ContentType: h.Type},
 		route: route.Request{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, Draw: id}}
 	if class.Effect == balancer.Keyed {
 		r.route.Draw = key // a repeat must meet the servers that know its key
@@ -135,15 +135,15 @@
 // that is not that of now is looked at again: what it may do can have changed meanwhile. With no error, exactly
 // one answer comes on the request's channel.
 func Take(requests *dispatch.Dispatcher, view *dispatch.Snapshot, h *Head, r Request, body []byte, rest io.Reader, at time.Duration) (*engine.Request, error) {
-	gone := r.Request.Gone
+	gone := r.Request.ClientDisconnected
 	for {
-		r.Request.Body, r.Request.Rest, r.Request.Length, r.Request.Gone = body, rest, int64(len(body)), gone
+		r.Request.Body, r.Request.Rest, r.Request.Length, r.Request.ClientDisconnected = body, rest, int64(len(body)), gone
 		if rest != nil {
 			r.Request.Length = h.Length
 		}
 		c := engine.NewRequest(r.ID, r.Request)
 		c.Class, c.At, c.Deadline = r.Class, at, at+r.Wait
-		err := requests.Take(view, c, &r.route)
+		err := requests.Dispatch(view, c, &r.route)
 		switch {
 		case err == nil:
 			return c, nil
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxLists   = 16      // lists that are kept by number
-	readBuffer = 1 << 20 // bytes
-	noInstance = -1
-	flagRetry  = 2 // bit of a job_in line: the client marked the request as a retry
+	listSlots      = 16      // lists that are kept by number
+	readBufferSize = 1 << 20 // bytes
+	noInstance     = -1
+	flagRetry      = 2 // bit of a job_in line: the client marked the request as a retry
 )
 
 // Decoder reads messages one at a time.
@@ -23,12 +23,12 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [maxLists][]balancer.Server
+	lists    [listSlots][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, readBuffer), instance: noInstance}
+	return &Decoder{r: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
 }
 
 // readLine returns the next line without its end. It returns io.ErrUnexpectedEOF for one that has none.
@@ -81,26 +81,26 @@
 	m.Instance = d.instance
 	switch name {
 	case "sync":
-		m.Kind = Sync
-		m.Now = f.ms(0)
+		m.Kind = BatchStart
+		m.Now = f.duration(0)
 		d.inBatch = true
 		d.instance = noInstance
 	case "eob":
-		m.Kind = End
+		m.Kind = BatchEnd
 		d.inBatch = false
 	case "about":
 		d.decodeAbout(f)
 		return m, true, f.err
 	case "list":
-		return m, true, d.readList(f)
+		return m, true, d.decodeList(f)
 	case "hello":
-		m.Kind = Hello
+		m.Kind = InstanceStart
 		m.Seed, m.Settings, err = decodeHello(f, rest)
 		return m, false, err
 	case "crash_now":
-		m.Kind = Stop
+		m.Kind = InstanceKilled
 	case "checked", "mail":
-		m.Kind = Other
+		m.Kind = Ignored
 	default:
 		m.Kind = Event
 		m.Event, err = d.decodeEvent(f)
@@ -132,7 +132,7 @@
 
 // decodeAbout takes the instance that the lines after this one are for.
 func (d *Decoder) decodeAbout(f *fields) {
-	d.instance = f.num(0)
+	d.instance = f.integer(0)
 	if f.err == nil && d.instance < 0 {
 		f.fail(0, "is negative")
 	}
@@ -162,9 +162,9 @@
 	case "job_in":
 		e = balancer.Request{
 			ID:       f.text(0),
-			Deadline: f.ms(1),
+			Deadline: f.duration(1),
 			Class:    f.text(3),
-			Retry:    f.optNum(4)&flagRetry != 0,
+			Retry:    f.optInteger(4)&flagRetry != 0,
 		}
 	case "ring":
 		e = balancer.Timer{Token: f.text(0)}
@@ -172,16 +172,16 @@
 		e = balancer.Outcome{
 			ID:      f.text(0),
 			Server:  f.text(1),
-			Latency: f.ms(2),
+			Latency: f.duration(2),
 			Ended:   f.text(3) == "1",
-			Attempt: f.num(4),
+			Attempt: f.integer(4),
 			Result:  f.result(5),
 			Load:    f.load(6),
 		}
 	case "timed_out_client":
 		e = balancer.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
-		e = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
+		e = balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
 	default:
 		return nil, fmt.Errorf("unknown message %s", quote(f.name))
 	}
@@ -198,10 +198,10 @@
 
 // decodeAnnounce reads which list is announced, and how; nil if a value is wrong.
 func (d *Decoder) decodeAnnounce(f *fields) balancer.Event {
-	mode := f.num(0)
+	mode := f.integer(0)
 	switch mode {
 	case announceChanges, announceFull, announceCached:
-		n := f.num(1)
+		n := f.integer(1)
 		if f.err != nil {
 			return nil
 		}
@@ -222,13 +222,13 @@
 }
 
 // readList reads a list and its items, and keeps it under its number.
-func (d *Decoder) readList(f *fields) error {
-	table := f.num(0)
-	count := f.num(1)
+func (d *Decoder) decodeList(f *fields) error {
+	number := f.integer(0)
+	count := f.integer(1)
 	if f.err != nil {
 		return f.err
 	}
-	if table < 0 || table >= len(d.lists) || count < 0 {
+	if number < 0 || number >= len(d.lists) || count < 0 {
 		return errors.New("list number or length out of range")
 	}
 	var servers []balancer.Server
@@ -241,13 +241,13 @@
 		if name != "item" {
 			return fmt.Errorf("want item %d of %d, got %s", i+1, count, quote(name))
 		}
-		s, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
+		server, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
 		if err != nil {
 			return err
 		}
-		servers = append(servers, s)
+		servers = append(servers, server)
 	}
-	d.lists[table] = servers
+	d.lists[number] = servers
 	return nil
 }
 
@@ -260,22 +260,22 @@
 
 // decodeItem reads one server of a list.
 func decodeItem(f *fields) (balancer.Server, error) {
-	s := balancer.Server{
+	server := balancer.Server{
 		ID:   f.text(0),
 		Zone: f.text(1),
-		Cell: f.num(3),
+		Cell: f.integer(3),
 		Size: f.size(5),
-		Boot: f.optMS(6),
+		Boot: f.optDuration(6),
 	}
-	switch f.num(4) {
+	switch f.integer(4) {
 	case stateReady:
-		s.State = balancer.Ready
+		server.State = balancer.Ready
 	case stateDraining:
-		s.State = balancer.Draining
+		server.State = balancer.Draining
 	case stateRemoved:
-		s.State = balancer.Removed
+		server.State = balancer.Removed
 	default:
 		f.fail(4, "is no state")
 	}
-	return s, f.err
+	return server, f.err
 }
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -11,7 +11,7 @@
 )
 
 // writeBuffer is the size of an Encoder's buffer in bytes.
-const writeBuffer = 1 << 16
+const writeBufferSize = 1 << 16
 
 // Encoder writes replies.
 type Encoder struct {
@@ -21,11 +21,11 @@
 
 // NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder {
-	return &Encoder{w: bufio.NewWriterSize(w, writeBuffer), instance: noInstance}
+	return &Encoder{w: bufio.NewWriterSize(w, writeBufferSize), instance: noInstance}
 }
 
 // ms writes a time in milliseconds.
-func ms(d time.Duration) string {
+func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
 
@@ -37,17 +37,17 @@
 	}
 	switch a := a.(type) {
 	case balancer.Send:
-		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
+		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, formatMilliseconds(a.Timeout))
 	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
 	case balancer.CloseIdle:
 		fmt.Fprintf(e.w, "let_go\t%s\n", a.Server)
 	case balancer.Reject:
-		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
+		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, formatMilliseconds(a.RetryAfter))
 	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
 	case balancer.SetTimer:
-		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
+		fmt.Fprintf(e.w, "remind\t%s\t%s\n", formatMilliseconds(a.At), a.Token)
 	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -30,7 +30,7 @@
 }
 
 // opt returns a value, or "" where it is absent.
-func (f *fields) opt(i int) string {
+func (f *fields) optText(i int) string {
 	if i >= len(f.parts) || f.parts[i] == "-" {
 		return ""
 	}
@@ -39,7 +39,7 @@
 
 // text returns a value that must be there.
 func (f *fields) text(i int) string {
-	s := f.opt(i)
+	s := f.optText(i)
 	if s == "" {
 		f.fail(i, "is missing")
 	}
@@ -47,7 +47,7 @@
 }
 
 // num reads an integer.
-func (f *fields) num(i int) int {
+func (f *fields) integer(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
 		f.fail(i, "is no integer")
@@ -56,19 +56,19 @@
 }
 
 // optNum reads an integer; 0 where it is absent.
-func (f *fields) optNum(i int) int {
-	if f.opt(i) == "" {
+func (f *fields) optInteger(i int) int {
+	if f.optText(i) == "" {
 		return 0
 	}
-	return f.num(i)
+	return f.integer(i)
 }
 
 // size reads how much a server can carry; absent means not told.
 func (f *fields) size(i int) float64 {
-	if f.opt(i) == "" {
+	if f.optText(i) == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(f.opt(i), 64)
+	v, err := strconv.ParseFloat(f.optText(i), 64)
 	if err != nil || !(v >= 0 && v <= maxValue) {
 		f.fail(i, "is no size")
 	}
@@ -89,21 +89,21 @@
 }
 
 // ms reads a time in milliseconds.
-func (f *fields) ms(i int) time.Duration {
+func (f *fields) duration(i int) time.Duration {
 	v, err := strconv.ParseFloat(f.text(i), 64)
 	if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
 		f.fail(i, "is no time in milliseconds")
 		return 0
 	}
-	return fromMS(v)
+	return milliseconds(v)
 }
 
 // optMS reads a time in milliseconds; 0 where it is absent.
-func (f *fields) optMS(i int) time.Duration {
-	if f.opt(i) == "" {
+func (f *fields) optDuration(i int) time.Duration {
+	if f.optText(i) == "" {
 		return 0
 	}
-	return f.ms(i)
+	return f.duration(i)
 }
 
 // results by their names on the wire.
@@ -116,20 +116,20 @@
 
 // result reads how an attempt ended.
 func (f *fields) result(i int) balancer.Result {
-	e, ok := results[f.text(i)]
+	result, ok := results[f.text(i)]
 	if !ok {
 		f.fail(i, "is no result")
 	}
-	return e
+	return result
 }
 
 // load reads name:value pairs; names it does not know are ignored.
 func (f *fields) load(i int) *balancer.Load {
-	s := f.opt(i)
+	s := f.optText(i)
 	if s == "" {
 		return nil
 	}
-	l := &balancer.Load{Busy: -1, Service: -1}
+	load := &balancer.Load{Busy: -1, Service: -1}
 	for _, pair := range strings.Split(s, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
@@ -139,12 +139,12 @@
 		}
 		switch name {
 		case "busy_reqs":
-			l.Busy = v
+			load.Busy = v
 		case "svc_ms":
-			l.Service = fromMS(v)
+			load.Service = milliseconds(v)
 		}
 	}
-	return l
+	return load
 }
 
 // quote quotes a text for an error, shortened to maxQuoted bytes.
@@ -156,4 +156,6 @@
 }
 
 // fromMS returns a time that the wire gives in milliseconds.
-func fromMS(v float64) time.Duration { return time.Duration(math.Round(v * float64(time.Millisecond))) }
+func milliseconds(v float64) time.Duration {
+	return time.Duration(math.Round(v * float64(time.Millisecond)))
+}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 )
 
 // profile mirrors the settings object on the wire.
-type profile struct {
+type settingsObject struct {
 	Balancers int `json:"balancers"`
 	Index     int `json:"me"`
 	Blend     struct {
@@ -54,38 +54,38 @@
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
 // not know is Unsafe and a scope it does not know is the narrowest.
 func ParseSettings(text []byte) (balancer.Settings, error) {
-	var p profile
-	if err := json.Unmarshal(text, &p); err != nil {
+	var object settingsObject
+	if err := json.Unmarshal(text, &object); err != nil {
 		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := balancer.Settings{
-		Balancers:        p.Balancers,
-		Index:            p.Index,
-		Tier:             p.Tier,
-		TotalWeight:      p.Blend.Total,
-		ClassWeight:      p.Blend.WorstClass,
-		MaxAttempts:      p.Limits.MaxAttempts,
-		MayCancel:        p.Limits.Cancelling,
-		PollDiscovery:    p.Registry == "on_request",
-		PollInterval:     fromMS(p.Rules.AskWithin),
-		Tick:             fromMS(p.Tick),
-		SlowStartMinimum: p.Rules.SlowStart,
-		SlowStartWindow:  fromMS(p.Rules.WarmAfter),
+	settings := balancer.Settings{
+		Balancers:        object.Balancers,
+		Index:            object.Index,
+		Tier:             object.Tier,
+		TotalWeight:      object.Blend.Total,
+		ClassWeight:      object.Blend.WorstClass,
+		MaxAttempts:      object.Limits.MaxAttempts,
+		MayCancel:        object.Limits.Cancelling,
+		PollDiscovery:    object.Registry == "on_request",
+		PollInterval:     milliseconds(object.Rules.AskWithin),
+		Tick:             milliseconds(object.Tick),
+		SlowStartMinimum: object.Rules.SlowStart,
+		SlowStartWindow:  milliseconds(object.Rules.WarmAfter),
 	}
-	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
+	if object.Limits.RetryAfter {
+		settings.MaxRetryAfter = milliseconds(object.Limits.MaxRetryAfter)
 	}
-	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, balancer.Class{
-			Name:             l.Name,
-			Effect:           effects[l.Effect],
-			Scope:            scopes[l.Scope],
-			Window:           fromMS(l.Window),
-			LatencyObjective: fromMS(l.Target),
-			Deadline:         fromMS(l.Deadline),
-			LateShare:        l.LateShare,
-			PriorityWeight:   l.Weight,
+	for _, class := range object.Lanes {
+		settings.Classes = append(settings.Classes, balancer.Class{
+			Name:             class.Name,
+			Effect:           effects[class.Effect],
+			Scope:            scopes[class.Scope],
+			Window:           milliseconds(class.Window),
+			LatencyObjective: milliseconds(class.Target),
+			Deadline:         milliseconds(class.Deadline),
+			LateShare:        class.LateShare,
+			PriorityWeight:   class.Weight,
 		})
 	}
-	return s, nil
+	return settings, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,12 +13,12 @@
 
 // Message kinds.
 const (
-	Sync  Kind = iota // a batch begins; Now is set
-	Hello             // a new instance; Seed and Settings are set
-	Event             // Event is set
-	Stop              // the instance was killed
-	Other             // known, but of no use to the module
-	End               // the batch is over; a reply is due
+	BatchStart     Kind = iota // a batch begins; Now is set
+	InstanceStart              // a new instance; Seed and Settings are set
+	Event                      // Event is set
+	InstanceKilled             // the instance was killed
+	Ignored                    // known, but of no use to the module
+	BatchEnd                   // the batch is over; a reply is due
 )
 
 // Message is one line of a batch, resolved.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,41 +16,41 @@
 
 func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
-	d := NewDecoder(strings.NewReader(text))
-	var l []Message
+	decoder := NewDecoder(strings.NewReader(text))
+	var messages []Message
 	for {
-		m, err := d.Next()
+		m, err := decoder.Next()
 		if err == io.EOF {
-			return l, nil
+			return messages, nil
 		}
 		if err != nil {
-			return l, err
+			return messages, err
 		}
-		l = append(l, m)
+		messages = append(messages, m)
 	}
 }
 
 func TestDecodeResolvesBatch(t *testing.T) {
-	l, err := decodeAll(t, sample)
+	got, err := decodeAll(t, sample)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Message{
-		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
 			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
 		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Retry: true,
 			Deadline: 8652250 * time.Microsecond}},
 		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
 			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
-		{Kind: End, Instance: 3},
+		{Kind: BatchEnd, Instance: 3},
 	}
-	if !reflect.DeepEqual(l, want) {
-		t.Fatalf("got %+v\nwant %+v", l, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v\nwant %+v", got, want)
 	}
 }
 
-func TestErrorsNameLineAndValue(t *testing.T) {
+func TestDecodeErrorsNameLineAndValue(t *testing.T) {
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
 		"sync\tx\n":                            "line 1: sync: value 1 is no time",
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestEncodeWritesActionsByInstance(t *testing.T) {
+func TestEncoderGroupsActionsByInstance(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
