--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard input, one reply for each on
-// standard output. It decides nothing itself.
+// Command simadapter runs Balancers for the simulator: it reads batches of events from standard input and writes one reply
+// for each batch to standard output. It makes no decisions itself.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written as a whole or not at all.
+// run handles batches until the input ends. A reply is written completely or not at all.
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(in)
 	var reply bytes.Buffer
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,9 @@
-// Package dispatch stands between the front ends and the engines. It owns the routing snapshot (Snapshot) under which
-// requests are read, and hands each request to the engine of the pool that its route names.
+// Package dispatch connects the front ends with the engines. It owns the routing snapshot (Snapshot) under which requests
+// are read, and submits each request to the engine of its route's pool.
 //
-// There is one Snapshot at a time, and it is swapped atomically. The package promises that each request is submitted under
-// the Snapshot that it was read under, or not at all (ErrStale), and that an engine that a swap retires gets no request
-// after it. What a request needs beyond an engine is left to a Guard; routes are decided on by package route.
+// There is one current Snapshot, which is swapped atomically. The package guarantees that each request is submitted under
+// the Snapshot that it was read under, or not at all (ErrStale), and that an engine gets no request after a Swap that
+// removes it. Requests that need more than an engine are left to an Interceptor; package route chooses the route.
 package dispatch
 
 import (
@@ -16,39 +16,39 @@
 )
 
 var (
-	// ErrStale says that the Snapshot has been swapped meanwhile: the request must be read again under the new one.
+	// ErrStale is returned if the Snapshot has been swapped: the request must be read again under the new one.
 	ErrStale = errors.New("the configuration has changed")
-	// ErrNoRoute says that no route takes the request, or that the pool asked for does not exist. Clients get its text, as
+	// ErrNoRoute is returned if no route matches the request, or if the pool does not exist. Its text is sent to clients as
 	// the body of a 404.
 	ErrNoRoute = errors.New("no route takes this call")
 )
 
-// Guard stands before the engines where gateways are federated: it takes requests that need more than an engine.
+// Interceptor handles requests that need more than an engine, in front of the engines. Federated gateways use it.
 type Interceptor interface {
-	// Take says whether it takes a request that was read under a Snapshot. If so, exactly one response comes on the
-	// request's channel. It must not block, and passes requests on by Dispatcher.Submit later.
+	// Intercept reports whether it takes over a request that was read under a Snapshot. If so, exactly one response is sent
+	// on the request's channel. It must not block; it may submit the request later with Dispatcher.Submit.
 	Intercept(s *Snapshot, request *engine.Request, routing *route.Request) bool
 }
 
-// Dispatcher holds the Snapshot of now. Its methods may be called by any goroutine.
+// Dispatcher holds the current Snapshot. Its methods are safe for concurrent use.
 type Dispatcher struct {
 	snapshot    atomic.Pointer[Snapshot]
 	interceptor Interceptor  // nil: none
-	mu          sync.RWMutex // held for reading while a request is submitted, for writing while the Snapshot is swapped
+	mu          sync.RWMutex // read-locked while a request is submitted, write-locked while the Snapshot is swapped
 }
 
-// New returns a Dispatcher with its first Snapshot.
+// New returns a Dispatcher with an initial Snapshot.
 func New(s *Snapshot) *Dispatcher {
 	d := &Dispatcher{}
 	d.snapshot.Store(s)
 	return d
 }
 
-// Snapshot returns the one of now.
+// Snapshot returns the current Snapshot.
 func (d *Dispatcher) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// Take submits a request that was read under a Snapshot to the engine that this names for it, or gives it to the Guard.
-// With no error, exactly one response comes on the request's channel. The error is ErrStale or ErrNoRoute.
+// Dispatch passes a request that was read under a Snapshot to the Interceptor or submits it to the engine of its route.
+// Without an error, exactly one response is sent on the request's channel. The error is ErrStale or ErrNoRoute.
 func (d *Dispatcher) Dispatch(s *Snapshot, request *engine.Request, routing *route.Request) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -66,21 +66,21 @@
 	return nil
 }
 
-// SetGuard has a Guard see all requests from now on, before any engine.
+// SetInterceptor sets the Interceptor of all further requests.
 func (d *Dispatcher) SetInterceptor(interceptor Interceptor) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.interceptor = interceptor
 }
 
-// Pool returns the pool that the routes of now name for a request.
+// Pool returns the pool of a request by the current routes; false if no route matches.
 func (d *Dispatcher) Pool(routing *route.Request) (string, bool) {
 	choice, ok := d.snapshot.Load().table.Choose(routing)
 	return choice.Pool, ok
 }
 
-// Submit submits a request to the engine of a pool, past the Guard. With no error, exactly one response comes on its
-// channel. The error is ErrNoRoute where there is no such pool.
+// Submit submits a request to the engine of a pool, bypassing the Interceptor. Without an error, exactly one response is
+// sent on its channel. The error is ErrNoRoute if there is no such pool.
 func (d *Dispatcher) Submit(request *engine.Request, pool string) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Swap puts another Snapshot in place and calls reconfigure while no request is submitted: what that posts to engines comes
-// after all requests under the old Snapshot and before any under the new one.
+// Swap replaces the Snapshot and calls reconfigure while no request is submitted: engines receive the events that
+// reconfigure posts after all requests under the old Snapshot and before any under the new one.
 func (d *Dispatcher) Swap(next *Snapshot, reconfigure func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/snapshot.go
+++ b/internal/dispatch/snapshot.go
@@ -10,11 +10,11 @@
 	"damsontrestle/internal/route"
 )
 
-// minRetryAfter is the least Retry-After of a rejection that no pool worded.
+// minRetryAfter is the minimum Retry-After of a rejection that no pool produced.
 const minRetryAfter = time.Millisecond
 
-// Snapshot is one configuration as the front ends see it: which classes there are, how a listener takes paths, which pool
-// a request goes to. It never changes.
+// Snapshot is the front ends' view of one configuration: its classes, its listeners, and the routes from requests to
+// pools. It is immutable.
 type Snapshot struct {
 	classes    map[string]balancer.Class
 	listeners  map[string]config.Listener
@@ -23,8 +23,8 @@
 	retryAfter time.Duration
 }
 
-// NewSnapshot returns the Snapshot of a checked configuration whose pools are served by these engines, by name. The error
-// names what is wrong with its routes, or the pool that has no engine.
+// NewSnapshot returns the Snapshot of a validated configuration. engines holds the engine of each pool, by pool name. The
+// error describes the invalid route or names the pool without an engine.
 func NewSnapshot(cfg *config.Config, engines map[string]*engine.Engine) (*Snapshot, error) {
 	table, err := cfg.Table()
 	if err != nil {
@@ -52,22 +52,22 @@
 	return s, nil
 }
 
-// Class returns the class of requests of a name, if there is one.
+// Class returns the request class of a name, if it exists.
 func (s *Snapshot) Class(name string) (balancer.Class, bool) {
 	class, ok := s.classes[name]
 	return class, ok
 }
 
-// Listener returns the listener of a name, if there is one.
+// Listener returns the listener of a name, if it exists.
 func (s *Snapshot) Listener(name string) (config.Listener, bool) {
 	listener, ok := s.listeners[name]
 	return listener, ok
 }
 
-// RetryAfter is the Retry-After of a rejection that no pool worded.
+// RetryAfter returns the Retry-After of a rejection that no pool produced.
 func (s *Snapshot) RetryAfter() time.Duration { return s.retryAfter }
 
-// Ready says that a listed server is in service in some pool.
+// Ready reports whether any pool has a listed server that is ready.
 func (s *Snapshot) Ready() bool {
 	for _, eng := range s.engines {
 		if eng.Ready() {
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the event queue of simulations on virtual time. It keeps events in the order of their times, and those
-// of one time in the order in which they were added, so that a run can be repeated. Advancing the time is left to the
-// caller. A queue is not safe for use by several goroutines.
+// Package eventqueue implements the event queue of simulations on virtual time. It orders events by time, and events of the
+// same time by insertion, so that runs are reproducible. The caller advances the time. A queue is not safe for concurrent
+// use.
 package eventqueue
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Queue holds events that have not happened yet. The zero value is empty.
+// Queue holds pending events. The zero value is empty.
 type Queue[T any] struct {
 	events       eventHeap[T]
-	lastSequence uint64 // number of events so far
+	lastSequence uint64 // sequence number of the last event added
 }
 
 type event[T any] struct {
 	at       time.Duration
-	sequence uint64 // of its addition
+	sequence uint64 // insertion order
 	payload  T
 }
 
@@ -33,7 +33,7 @@
 // Len returns the number of events.
 func (h eventHeap[T]) Len() int { return len(h) }
 
-// Less says that the i-th event is due before the j-th.
+// Less reports whether event i is due before event j.
 func (h eventHeap[T]) Less(i, j int) bool { return h[i].before(h[j]) }
 
 // Swap exchanges two events.
@@ -47,18 +47,18 @@
 	old := *h
 	end := len(old) - 1
 	last := old[end]
-	old[end] = event[T]{} // drops the reference to the payload
+	old[end] = event[T]{} // releases the payload
 	*h = old[:end]
 	return last
 }
 
-// Add adds an event that happens at a time.
+// Add adds an event that is due at a time.
 func (q *Queue[T]) Add(at time.Duration, payload T) {
 	q.lastSequence++
 	heap.Push(&q.events, event[T]{at: at, sequence: q.lastSequence, payload: payload})
 }
 
-// Next removes and returns the earliest event; false: the queue is empty.
+// Next removes and returns the earliest event. ok is false if the queue is empty.
 func (q *Queue[T]) Next() (at time.Duration, payload T, ok bool) {
 	if len(q.events) == 0 {
 		return 0, payload, false
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,6 +1,6 @@
-// Package readiness decides whether a node is ready and whether it closes its clients' connections. An operator makes it
-// not ready (Quiesce) and ready again (Resume); a shutdown makes it not ready for good. It does no I/O and has no clock:
-// its owner passes monotonic times. Carrying the decision out is the node's.
+// Package readiness decides whether a node is ready and whether it closes its clients' connections. An operator makes the
+// node not ready (Quiesce) and ready again (Resume); a shutdown makes it not ready permanently. The package does no I/O and
+// has no clock: the caller passes monotonic times. The node applies the decision.
 package readiness
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// CloseIdleAfter is how long after Quiesce the clients' connections are still served as ever: the front end has asked for
-// readiness and sends nobody new by then, so that who is closed finds another node.
+// CloseIdleAfter is the delay from Quiesce to the closing of clients' connections. By then the front end has polled the
+// readiness and routes no new clients here, so that clients whose connections are closed reconnect to another node.
 const CloseIdleAfter = 600 * time.Millisecond
 
-// ErrShuttingDown says that the node ends, which nothing takes back.
+// ErrShuttingDown is returned by Resume once the node is shutting down, which cannot be reverted.
 var ErrShuttingDown = errors.New("the node is ending")
 
-// Tracker holds whether a node is ready; the zero value is. It belongs to one goroutine, or its owner locks it.
+// Tracker tracks the readiness of a node. The zero value is ready. It is not safe for concurrent use.
 type Tracker struct {
 	shuttingDown bool
 	quiesced     bool
-	quiescedAt   time.Duration // of quiesced
+	quiescedAt   time.Duration // clock time of Quiesce
 }
 
-// State is what follows for the node now.
+// State is the resulting state of the node.
 type State struct {
-	Ready            bool // clients may be sent here, as far as this goes
-	CloseConnections bool // each answer closes its connection, and quiet ones are closed
+	Ready            bool // clients may be routed here, as far as this package decides
+	CloseConnections bool // each response closes its connection, and idle connections are closed
 }
 
-// Quiesce sends clients away from a clock time on. Once that is so, a further call changes nothing.
+// Quiesce makes the node not ready from a clock time on. Further calls have no effect until Resume.
 func (t *Tracker) Quiesce(now time.Duration) {
 	if !t.quiesced {
 		t.quiesced = true
@@ -36,7 +36,7 @@
 	}
 }
 
-// Resume takes clients again.
+// Resume makes the node ready again, unless it is shutting down.
 func (t *Tracker) Resume() error {
 	if t.shuttingDown {
 		return ErrShuttingDown
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// End sends clients away for good.
+// Shutdown makes the node not ready permanently.
 func (t *Tracker) Shutdown() { t.shuttingDown = true }
 
-// At is the state at a clock time. When a node that shuts down closes connections is its shutdown's schedule.
+// StateAt returns the state at a clock time. In a shutdown, the shutdown schedule decides when connections are closed.
 func (t *Tracker) StateAt(now time.Duration) State {
 	return State{
 		Ready:            !t.quiesced && !t.shuttingDown,
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	listSlots      = 16      // lists that are kept by number
+	listSlots      = 16      // number of lists that are stored
 	readBufferSize = 1 << 20 // bytes
 	noInstance     = -1
 	flagRetry      = 2 // bit of a job_in line: the client marked the request as a retry
 )
 
-// Decoder reads messages one at a time.
+// Decoder decodes messages one at a time.
 type Decoder struct {
 	r        *bufio.Reader
 	line     int
@@ -26,12 +26,12 @@
 	lists    [listSlots][]balancer.Server
 }
 
-// NewDecoder returns a Decoder that reads r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{r: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
 }
 
-// readLine returns the next line without its end. It returns io.ErrUnexpectedEOF for one that has none.
+// readLine returns the next line without its line ending. It returns io.ErrUnexpectedEOF if the ending is missing.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err == io.EOF {
@@ -44,8 +44,8 @@
 	return strings.TrimRight(s, "\r\n"), err
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and
-// an error that names the line for anything else that ends or spoils the input.
+// Next returns the next message. It returns io.EOF if the input ends between two batches, and an error that names the line
+// if the input ends inside a batch or is invalid.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		s, err := d.readLine()
@@ -71,7 +71,7 @@
 	}
 }
 
-// decode handles one line; skip is true for lines that only change the decoder's state.
+// decode decodes one line. skip is true for lines that only change the decoder's state.
 func (d *Decoder) decode(line string) (m Message, skip bool, err error) {
 	name, rest, _ := strings.Cut(line, "\t")
 	if err := d.checkOrder(name); err != nil {
@@ -109,7 +109,7 @@
 	return m, false, f.err
 }
 
-// checkOrder refuses a line that may not come here: outside a batch, or before the instance that it is for is named.
+// checkOrder returns an error for a line outside a batch, or before the line that names its instance.
 func (d *Decoder) checkOrder(name string) error {
 	if name == "sync" {
 		if d.inBatch {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// decodeAbout takes the instance that the lines after this one are for.
+// decodeAbout sets the instance of the lines that follow.
 func (d *Decoder) decodeAbout(f *fields) {
 	d.instance = f.integer(0)
 	if f.err == nil && d.instance < 0 {
@@ -138,11 +138,11 @@
 	}
 }
 
-// decodeHello reads the seed and the settings of a new instance. The settings are the rest of the line, tabs and all.
+// decodeHello decodes the seed and the settings of a new instance. The settings are the rest of the line, including tabs.
 func decodeHello(f *fields, rest string) (seed uint64, settings balancer.Settings, err error) {
 	seedText, settingsText, found := strings.Cut(rest, "\t")
 	if !found {
-		return 0, settings, errors.New("hello lacks its settings")
+		return 0, settings, errors.New("hello: settings are missing")
 	}
 	f.parts[0] = seedText
 	seed = f.seed(0)
@@ -153,7 +153,7 @@
 	return seed, settings, err
 }
 
-// decodeEvent reads an event of an instance.
+// decodeEvent decodes an event of an instance.
 func (d *Decoder) decodeEvent(f *fields) (balancer.Event, error) {
 	var e balancer.Event
 	switch f.name {
@@ -196,7 +196,7 @@
 	announceFailed
 )
 
-// decodeAnnounce reads which list is announced, and how; nil if a value is wrong.
+// decodeAnnounce decodes the announcement of a stored list or of a failed watch. It returns nil if a value is invalid.
 func (d *Decoder) decodeAnnounce(f *fields) balancer.Event {
 	mode := f.integer(0)
 	switch mode {
@@ -206,7 +206,7 @@
 			return nil
 		}
 		if n < 0 || n >= len(d.lists) {
-			f.fail(1, "is no list number")
+			f.fail(1, "is not a list number")
 			return nil
 		}
 		return balancer.ServerList{
@@ -217,11 +217,11 @@
 	case announceFailed:
 		return balancer.ListFailed{}
 	}
-	f.fail(0, "is no mode")
+	f.fail(0, "is not a mode")
 	return nil
 }
 
-// readList reads a list and its items, and keeps it under its number.
+// decodeList reads the items of a list and stores the list under its number.
 func (d *Decoder) decodeList(f *fields) error {
 	number := f.integer(0)
 	count := f.integer(1)
@@ -229,17 +229,17 @@
 		return f.err
 	}
 	if number < 0 || number >= len(d.lists) || count < 0 {
-		return errors.New("list number or length out of range")
+		return errors.New("list: number or length out of range")
 	}
 	var servers []balancer.Server
 	for i := range count {
 		line, err := d.readLine()
 		if err != nil {
-			return fmt.Errorf("list ends after %d of %d items", i, count)
+			return fmt.Errorf("list: input ends after %d of %d items", i, count)
 		}
 		name, rest, _ := strings.Cut(line, "\t")
 		if name != "item" {
-			return fmt.Errorf("want item %d of %d, got %s", i+1, count, quote(name))
+			return fmt.Errorf("list: got %s, want item %d of %d", quote(name), i+1, count)
 		}
 		server, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
 		if err != nil {
@@ -258,7 +258,7 @@
 	stateReady
 )
 
-// decodeItem reads one server of a list.
+// decodeItem decodes one server of a list.
 func decodeItem(f *fields) (balancer.Server, error) {
 	server := balancer.Server{
 		ID:   f.text(0),
@@ -275,7 +275,7 @@
 	case stateRemoved:
 		server.State = balancer.Removed
 	default:
-		f.fail(4, "is no state")
+		f.fail(4, "is not a state")
 	}
 	return server, f.err
 }
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -10,10 +10,10 @@
 	"damsontrestle/internal/balancer"
 )
 
-// writeBuffer is the size of an Encoder's buffer in bytes.
+// writeBufferSize is the size of an Encoder's buffer in bytes.
 const writeBufferSize = 1 << 16
 
-// Encoder writes replies.
+// Encoder encodes replies.
 type Encoder struct {
 	w        *bufio.Writer
 	instance int
@@ -24,12 +24,12 @@
 	return &Encoder{w: bufio.NewWriterSize(w, writeBufferSize), instance: noInstance}
 }
 
-// ms writes a time in milliseconds.
+// formatMilliseconds formats a duration as a number of milliseconds.
 func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
 
-// Action adds one action of an instance to the reply.
+// Action appends one action of an instance to the reply.
 func (e *Encoder) Action(instance int, a balancer.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.w, "instance\t%d\n", instance)
@@ -53,7 +53,7 @@
 	}
 }
 
-// Flush ends the reply and sends it.
+// Flush ends the reply and writes it out.
 func (e *Encoder) Flush() error {
 	e.instance = noInstance
 	e.w.WriteString("yield\n")
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	maxValue  = 1e12 // of times in milliseconds, sizes and loads
-	maxQuoted = 40   // bytes of a text that an error shows
+	maxValue  = 1e12 // largest time in milliseconds, size and load
+	maxQuoted = 40   // bytes of a quoted text in an error
 )
 
-// fields reads the parts of one line and keeps the first error.
+// fields parses the fields of one line and keeps the first error.
 type fields struct {
 	name  string
 	parts []string
 	err   error
 }
 
-// fail notes that value i is wrong, unless an error stands already.
+// fail records an error of value i, unless there is one already.
 func (f *fields) fail(i int, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: value %d %s", f.name, i+1, why)
 	}
 }
 
-// opt returns a value, or "" where it is absent.
+// optText returns a value, or "" if it is absent.
 func (f *fields) optText(i int) string {
 	if i >= len(f.parts) || f.parts[i] == "-" {
 		return ""
@@ -37,7 +37,7 @@
 	return f.parts[i]
 }
 
-// text returns a value that must be there.
+// text returns a required value.
 func (f *fields) text(i int) string {
 	s := f.optText(i)
 	if s == "" {
@@ -46,16 +46,16 @@
 	return s
 }
 
-// num reads an integer.
+// integer parses an integer.
 func (f *fields) integer(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
-		f.fail(i, "is no integer")
+		f.fail(i, "is not an integer")
 	}
 	return v
 }
 
-// optNum reads an integer; 0 where it is absent.
+// optInteger parses an integer; 0 if it is absent.
 func (f *fields) optInteger(i int) int {
 	if f.optText(i) == "" {
 		return 0
@@ -63,19 +63,19 @@
 	return f.integer(i)
 }
 
-// size reads how much a server can carry; absent means not told.
+// size parses the capacity of a server; 0 if it is absent.
 func (f *fields) size(i int) float64 {
 	if f.optText(i) == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(f.optText(i), 64)
 	if err != nil || !(v >= 0 && v <= maxValue) {
-		f.fail(i, "is no size")
+		f.fail(i, "is not a size")
 	}
 	return v
 }
 
-// seed reads an integer of 64 bits, signed or not.
+// seed parses a signed or unsigned 64-bit integer.
 func (f *fields) seed(i int) uint64 {
 	s := f.text(i)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -83,22 +83,22 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(i, "is no integer")
+		f.fail(i, "is not an integer")
 	}
 	return uint64(v)
 }
 
-// ms reads a time in milliseconds.
+// duration parses a time in milliseconds.
 func (f *fields) duration(i int) time.Duration {
 	v, err := strconv.ParseFloat(f.text(i), 64)
 	if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
-		f.fail(i, "is no time in milliseconds")
+		f.fail(i, "is not a time in milliseconds")
 		return 0
 	}
 	return milliseconds(v)
 }
 
-// optMS reads a time in milliseconds; 0 where it is absent.
+// optDuration parses a time in milliseconds; 0 if it is absent.
 func (f *fields) optDuration(i int) time.Duration {
 	if f.optText(i) == "" {
 		return 0
@@ -106,7 +106,7 @@
 	return f.duration(i)
 }
 
-// results by their names on the wire.
+// results maps the protocol's names to results.
 var results = map[string]balancer.Result{
 	"success": balancer.Success, "failure": balancer.Failure,
 	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
@@ -114,16 +114,16 @@
 	"withdrawn": balancer.Cancelled, "void": balancer.NotStarted,
 }
 
-// result reads how an attempt ended.
+// result parses the result of an attempt.
 func (f *fields) result(i int) balancer.Result {
 	result, ok := results[f.text(i)]
 	if !ok {
-		f.fail(i, "is no result")
+		f.fail(i, "is not a result")
 	}
 	return result
 }
 
-// load reads name:value pairs; names it does not know are ignored.
+// load parses name:value pairs. Unknown names are ignored.
 func (f *fields) load(i int) *balancer.Load {
 	s := f.optText(i)
 	if s == "" {
@@ -134,7 +134,7 @@
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
-			f.fail(i, "is no load report")
+			f.fail(i, "is not a load report")
 			return nil
 		}
 		switch name {
@@ -147,7 +147,7 @@
 	return load
 }
 
-// quote quotes a text for an error, shortened to maxQuoted bytes.
+// quote quotes a text for an error, truncated to maxQuoted bytes.
 func quote(s string) string {
 	if len(s) > maxQuoted {
 		s = s[:maxQuoted] + "..."
@@ -155,7 +155,7 @@
 	return strconv.Quote(s)
 }
 
-// fromMS returns a time that the wire gives in milliseconds.
+// milliseconds converts a number of milliseconds, rounded to nanoseconds.
 func milliseconds(v float64) time.Duration {
 	return time.Duration(math.Round(v * float64(time.Millisecond)))
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads batches of events from the simulator's text protocol and writes replies. It maps the protocol's names
-// to those of the balancer, and makes no decisions. Each error of its input names the line and the value.
+// Package wire decodes batches of events of the simulator's text protocol and encodes the replies. It maps the protocol's
+// names to those of the balancer and makes no decisions. Decoding errors name the line and the value.
 package wire
 
 import (
@@ -8,20 +8,20 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Kind tells what a Message carries.
+// Kind is the kind of a Message.
 type Kind int
 
 // Message kinds.
 const (
-	BatchStart     Kind = iota // a batch begins; Now is set
-	InstanceStart              // a new instance; Seed and Settings are set
+	BatchStart     Kind = iota // a batch starts; Now is set
+	InstanceStart              // an instance starts; Seed and Settings are set
 	Event                      // Event is set
 	InstanceKilled             // the instance was killed
-	Ignored                    // known, but of no use to the module
-	BatchEnd                   // the batch is over; a reply is due
+	Ignored                    // known to the protocol, but not used by the balancer
+	BatchEnd                   // the batch ends; a reply is expected
 )
 
-// Message is one line of a batch, resolved.
+// Message is one decoded line of a batch; an announce line includes its list.
 type Message struct {
 	Kind     Kind
 	Instance int
