--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -27,16 +27,16 @@
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
 		if err == nil {
-			t.Errorf("%q: no error", bad)
+			t.Errorf("%q: got no error", bad)
 		}
 		if out.String() != "yield\n" {
-			t.Errorf("%q: wrote %q", bad, out.String())
+			t.Errorf("%q: got output %q, want only the reply to the first batch", bad, out.String())
 		}
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is held.
+// A killed instance loses its state: after its restart, events of an old request are ignored. With an empty list a new
+// request is queued until it is rejected.
 func TestKilledInstanceForgetsItsRequests(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
@@ -53,9 +53,9 @@
 	}
 	if strings.Contains(replies[1], "old") || !strings.Contains(replies[1], "remind") ||
 		strings.Contains(replies[1], "forward") {
-		t.Errorf("after the restart: %q", replies[1])
+		t.Errorf("after the restart: unexpected reply %q", replies[1])
 	}
 	if replies[2] != "" || !strings.Contains(replies[3], "turn_away\tnew") {
-		t.Errorf("at the end: %q, %q", replies[2], replies[3])
+		t.Errorf("after the timers: unexpected replies %q and %q", replies[2], replies[3])
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,7 +18,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// named is a Backend that serves every attempt with a name.
+// namedBackend is a Backend whose replies contain its name.
 type namedBackend string
 
 func (n namedBackend) Run(a *engine.Attempt) engine.Outcome {
@@ -31,7 +31,7 @@
 
 func (namedBackend) CloseIdle(discovery.Host) {}
 
-// options are of an engine whose lists are pushed and whose log goes nowhere.
+// options returns Options with pushed lists and a discarded log.
 func options(settings balancer.Settings, name string) engine.Options {
 	return engine.Options{
 		Settings:    settings,
@@ -43,7 +43,7 @@
 	}
 }
 
-// newEngine returns an engine that runs until the test or benchmark ends.
+// newEngine returns an engine that runs until the end of the test or benchmark.
 func newEngine(tb testing.TB, settings balancer.Settings, name string, servers ...discovery.Target) *engine.Engine {
 	tb.Helper()
 	eng, err := engine.New(options(settings, name))
@@ -57,16 +57,16 @@
 	return eng
 }
 
-// server is the one server of a pool.
+// server is the only server of each pool.
 var server = discovery.Target{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}
 
-// newPoolEngine returns an engine with one server for a pool of twoPools.
+// newPoolEngine returns an engine with one server, for a pool of twoPools.
 func newPoolEngine(t *testing.T, cfg *config.Config, name string) *engine.Engine {
 	t.Helper()
 	return newEngine(t, cfg.Settings(cfg.Pools[0]), name, server)
 }
 
-// twoPools sends views to one pool and all else to another.
+// twoPools returns a configuration that routes the class view to one pool and all others to another.
 func twoPools(views, rest string) *config.Config {
 	cfg := testpeer.Config()
 	other := cfg.Pools[0]
@@ -93,7 +93,7 @@
 	}
 	dispatcher := New(snapshot)
 	if !snapshot.Ready() {
-		t.Error("not ready")
+		t.Error("snapshot is not ready, want ready")
 	}
 	for class, want := range map[string]string{"view": "a", "note": "b"} {
 		request, routing := newRequest("id", class)
@@ -101,20 +101,20 @@
 			t.Fatal(err)
 		}
 		if got := testpeer.Receive(t, request.Response(), "the response"); string(got.Reply.Body) != want {
-			t.Errorf("%s went to %q", class, got.Reply.Body)
+			t.Errorf("class %s: got a reply of pool %q", class, got.Reply.Body)
 		}
 	}
 	request, routing := newRequest("id", "none")
 	if err := dispatcher.Dispatch(snapshot, request, routing); !errors.Is(err, ErrNoRoute) {
-		t.Errorf("%v", err)
+		t.Errorf("class without a route: got error %v, want ErrNoRoute", err)
 	}
 	if _, err := NewSnapshot(cfg, nil); err == nil {
-		t.Error("a snapshot without engines")
+		t.Error("NewSnapshot without engines returned no error")
 	}
 }
 
-// While snapshots are swapped, every request is submitted under the snapshot that it was read under, or gets ErrStale; no
-// request reaches a pool that its snapshot does not name, and a retired engine gets none.
+// While snapshots are swapped, every request is submitted under the snapshot that it was read under, or gets ErrStale. No
+// request reaches a pool that its snapshot does not contain, and a retired engine gets none.
 func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
 	newSnapshot := func(i int) (*Snapshot, []*engine.Engine) {
@@ -153,7 +153,7 @@
 				select {
 				case got := <-request.Response():
 					if got.Kind != engine.Served {
-						t.Errorf("%+v", got)
+						t.Errorf("got response %+v, want kind served", got)
 						return
 					}
 				case <-time.After(testpeer.Limit):
@@ -168,7 +168,7 @@
 		dispatcher.Swap(snapshot, func() {})
 		for _, e := range old {
 			e.Retire()
-			testpeer.Receive(t, e.Done(), "the end of a retired engine's Run")
+			testpeer.Receive(t, e.Done(), "the return of a retired engine's Run")
 		}
 		old = engines
 	}
@@ -176,7 +176,7 @@
 	clients.Wait()
 }
 
-// BenchmarkTake takes a request from a front end to its engine, and waits for its response.
+// BenchmarkDispatch measures a request from its dispatch to its response.
 func BenchmarkDispatch(b *testing.B) {
 	cfg := testpeer.Config()
 	eng := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
@@ -195,7 +195,7 @@
 	}
 }
 
-// BenchmarkSwap is how long no request is submitted while a configuration with so many pools is put in place.
+// BenchmarkSwap measures how long a swap of a configuration blocks submissions, by its number of pools.
 func BenchmarkSwap(b *testing.B) {
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
--- a/internal/engine/clock_offset_test.go
+++ b/internal/engine/clock_offset_test.go
@@ -13,7 +13,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// timeline is an engine under a wall clock that is off against the one that writes boot_ms, and what happened when in it.
+// clockScenario runs an engine whose wall clock has an offset from the clock that writes boot_ms, and records events and
+// their times.
 type clockScenario struct {
 	t          *testing.T
 	offset     time.Duration
@@ -40,108 +41,108 @@
 	return &clockScenario{t: t, offset: offset, backend: backend, engine: eng, startWall: start, startClock: eng.clock.Now()}
 }
 
-// note notes an event at the time of now, counted from the beginning.
-func (l *clockScenario) record(format string, args ...any) {
-	at := fmt.Sprintf("%v ", time.Since(l.startWall))
-	l.events = append(l.events, at+fmt.Sprintf(format, args...))
+// record records an event with the time since the start.
+func (s *clockScenario) record(format string, args ...any) {
+	at := fmt.Sprintf("%v ", time.Since(s.startWall))
+	s.events = append(s.events, at+fmt.Sprintf(format, args...))
 }
 
-// submit submits a request with an id.
-func (l *clockScenario) submit(id, class string) *Request {
-	request := newRequest(l.engine, id, class)
-	l.engine.Submit(request)
+// submit submits a request.
+func (s *clockScenario) submit(id, class string) *Request {
+	request := newRequest(s.engine, id, class)
+	s.engine.Submit(request)
 	return request
 }
 
-// expectAttempt waits for an attempt and notes it. It returns its server and the channel for its outcome.
-func (l *clockScenario) expectAttempt() (serverID string, outcome chan<- Outcome) {
-	l.t.Helper()
-	attempt, outcome := l.backend.expectAttempt(l.t)
-	l.record("attempt %d of %s at %s, sent at %v, waits until %v, not after %v", attempt.Number, attempt.Request.ID, attempt.Host.Server,
-		attempt.SentAt-l.startClock, attempt.Deadline-l.startClock, min(attempt.NotAfter-l.startClock, time.Hour))
+// expectAttempt waits for an attempt and records it. It returns its server and the channel for its outcome.
+func (s *clockScenario) expectAttempt() (serverID string, outcome chan<- Outcome) {
+	s.t.Helper()
+	attempt, outcome := s.backend.expectAttempt(s.t)
+	s.record("attempt %d of %s to %s, sent at %v, deadline %v, not after %v", attempt.Number, attempt.Request.ID, attempt.Host.Server,
+		attempt.SentAt-s.startClock, attempt.Deadline-s.startClock, min(attempt.NotAfter-s.startClock, time.Hour))
 	return attempt.Host.Server, outcome
 }
 
-// finish ends an attempt now.
-func (l *clockScenario) finish(outcome chan<- Outcome, result balancer.Result) {
-	outcome <- Outcome{Result: result, At: l.engine.clock.Now()}
+// finish ends an attempt with a result, at the current time.
+func (s *clockScenario) finish(outcome chan<- Outcome, result balancer.Result) {
+	outcome <- Outcome{Result: result, At: s.engine.clock.Now()}
 }
 
-// expectResponse waits for a response and notes it.
-func (l *clockScenario) expectResponse(request *Request) {
-	l.t.Helper()
-	response := testpeer.Receive(l.t, request.Response(), "the response")
-	l.record("%s: kind %d", request.ID, response.Kind)
+// expectResponse waits for a response and records it.
+func (s *clockScenario) expectResponse(request *Request) {
+	s.t.Helper()
+	response := testpeer.Receive(s.t, request.Response(), "the response")
+	s.record("%s: kind %d", request.ID, response.Kind)
 }
 
-// playQueue plays a request that waits for the endpoint list, and an attempt that takes a while.
-func (l *clockScenario) playQueue() {
-	queued := l.submit("queued", "view")
+// playQueue runs a request that is queued until the endpoint list arrives, and whose attempt takes 300 ms.
+func (s *clockScenario) playQueue() {
+	queued := s.submit("queued", "view")
 	time.Sleep(50 * time.Millisecond)
-	l.engine.UpdateList(servers("s1", "s2"))
-	_, outcome := l.expectAttempt()
+	s.engine.UpdateList(servers("s1", "s2"))
+	_, outcome := s.expectAttempt()
 	time.Sleep(300 * time.Millisecond) // while it is in flight
-	l.finish(outcome, balancer.Success)
-	l.expectResponse(queued)
+	s.finish(outcome, balancer.Success)
+	s.expectResponse(queued)
 }
 
-// playRetryWindow plays a keyed request that fails in its retry window, and one that fails after it.
-func (l *clockScenario) playRetryWindow() {
-	for _, wait := range []time.Duration{time.Second, 2 * time.Second} { // half of the window is over, and all of it
-		put := l.submit(fmt.Sprint("put after ", wait), "put")
-		_, outcome := l.expectAttempt()
+// playRetryWindow runs a keyed request whose attempt fails within its retry window, and one whose attempt fails at its end.
+func (s *clockScenario) playRetryWindow() {
+	for _, wait := range []time.Duration{time.Second, 2 * time.Second} { // half of the window, and all of it
+		put := s.submit(fmt.Sprint("put after ", wait), "put")
+		_, outcome := s.expectAttempt()
 		time.Sleep(wait)
-		l.finish(outcome, balancer.ConnectionLost)
+		s.finish(outcome, balancer.ConnectionLost)
 		if wait < 2*time.Second {
-			_, outcome = l.expectAttempt()
-			l.finish(outcome, balancer.Success)
+			_, outcome = s.expectAttempt()
+			s.finish(outcome, balancer.Success)
 		}
-		l.expectResponse(put)
+		s.expectResponse(put)
 	}
 }
 
-// playDrainAndSlowStart plays five seconds of requests with one server that drains and another in slow start.
-func (l *clockScenario) playDrainAndSlowStart() {
+// playDrainAndSlowStart runs five seconds of requests with one draining server and one in slow start.
+func (s *clockScenario) playDrainAndSlowStart() {
 	draining := servers("s1").Targets
 	draining[0].State = balancer.Draining
-	l.engine.UpdateList(discovery.List{Targets: draining})
+	s.engine.UpdateList(discovery.List{Targets: draining})
 	newServer := servers("s3").Targets
-	newServer[0].Boot = time.Duration(time.Now().UnixNano()) // by the other clock, which is right
-	l.engine.UpdateList(discovery.List{Targets: newServer})
+	newServer[0].Boot = time.Duration(time.Now().UnixNano()) // by the clock without the offset
+	s.engine.UpdateList(discovery.List{Targets: newServer})
 	slowStartRequests := [5]int{}
 	for n := range 250 {
-		request := l.submit(fmt.Sprint("request ", n), "view")
-		to, outcome := l.expectAttempt()
+		request := s.submit(fmt.Sprint("request ", n), "view")
+		to, outcome := s.expectAttempt()
 		if to == "s1" {
-			l.t.Errorf("off by %v: a request to a server that drains", l.offset)
+			s.t.Errorf("clock offset %v: request was sent to the draining server", s.offset)
 		}
 		if to == "s3" {
 			slowStartRequests[n/50]++
 		}
 		time.Sleep(5 * time.Millisecond)
-		l.finish(outcome, balancer.Success)
-		l.expectResponse(request)
+		s.finish(outcome, balancer.Success)
+		s.expectResponse(request)
 		time.Sleep(15 * time.Millisecond)
 	}
-	l.t.Logf("off by %v: requests to the server in slow start, each second: %v of 50", l.offset, slowStartRequests)
+	s.t.Logf("clock offset %v: requests to the server in slow start, of 50 each second: %v", s.offset, slowStartRequests)
 	if slowStartRequests[0] > 15 || slowStartRequests[4] < 15 {
-		l.t.Errorf("off by %v: %v of 50 requests to the server in slow start each second", l.offset, slowStartRequests)
+		s.t.Errorf("clock offset %v: requests to the server in slow start, of 50 each second: %v; want at most 15 in the first second and at least 15 in the last", s.offset, slowStartRequests)
 	}
 }
 
-// playDeadline plays a request whose attempt times out at its deadline.
-func (l *clockScenario) playDeadline() {
-	late := newRequest(l.engine, "late", "note")
+// playDeadline runs a request whose attempt times out at its deadline.
+func (s *clockScenario) playDeadline() {
+	late := newRequest(s.engine, "late", "note")
 	late.Deadline = late.At + time.Second
-	l.engine.Submit(late)
-	_, outcome := l.expectAttempt()
-	time.Sleep(l.engine.clock.Until(late.Deadline))
-	l.finish(outcome, balancer.TimedOut)
-	l.expectResponse(late)
+	s.engine.Submit(late)
+	_, outcome := s.expectAttempt()
+	time.Sleep(s.engine.clock.Until(late.Deadline))
+	s.finish(outcome, balancer.TimedOut)
+	s.expectResponse(late)
 }
 
-// playStages plays a request in each stage, and a server's drain and slow start, with a wall clock that is off against the
-// one that writes boot_ms. It returns what happened when, counted from its beginning.
+// playScenario runs requests in each stage, and the draining and slow start of servers, with an offset of the wall clock from
+// the clock that writes boot_ms. It returns the events with the time since the start.
 func playScenario(t *testing.T, offset time.Duration) []string {
 	t.Helper()
 	scenario := newClockScenario(t, offset)
@@ -153,10 +154,9 @@
 	return scenario.events
 }
 
-// Whatever the wall clock shows as a process starts, and however far boot_ms lies from it, everything happens at the same
-// time: a request is queued, an attempt is in flight, half of a retry window and all of it are over, a server drains and
-// another is in slow start, a deadline ends. Steps of the wall clock while a process runs are never seen
-// (clock.TestWallClockStepsAreIgnored).
+// The wall clock at the start of a process, and its offset from boot_ms, do not affect any timing: queueing, an attempt in
+// flight, a retry window at half its length and at its end, draining and slow start of servers, a deadline. Steps of the wall
+// clock while a process runs are not visible to it (clock.TestWallClockStepsAreIgnored).
 func TestWallClockOffsetChangesNoTiming(t *testing.T) {
 	var want []string
 	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
@@ -168,11 +168,11 @@
 		if !slices.Equal(got, want) {
 			for i := range min(len(got), len(want)) {
 				if got[i] != want[i] {
-					t.Errorf("off by %v: %q, with a right clock %q", offset, got[i], want[i])
+					t.Errorf("clock offset %v: got %q, want %q as without an offset", offset, got[i], want[i])
 					break
 				}
 			}
-			t.Errorf("off by %v: %d events, with a right clock %d", offset, len(got), len(want))
+			t.Errorf("clock offset %v: got %d events, want %d as without an offset", offset, len(got), len(want))
 		}
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Given two servers, the first attempt of a safe request breaks and the next is served: one response, and no two
-// attempts in flight at once. An unsafe request whose attempt may have run fails, and one whose attempt never ran is retried.
+// With two servers, a safe request whose first attempt loses its connection is retried and served: one response, and never
+// two attempts in flight. An unsafe request fails if an attempt may have run, and is retried if the attempt never ran.
 func TestOneResponseAndNoConcurrentAttempts(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1", "s2"))
@@ -29,19 +29,19 @@
 		for i, result := range test.ends {
 			attempt, outcome := backend.expectAttempt(t)
 			if attempt.Number != i || len(backend.attempts) > 0 {
-				t.Fatalf("%s: attempt %d with %d more in flight, want attempt %d alone", test.class, attempt.Number, len(backend.attempts), i)
+				t.Fatalf("%s: got attempt %d with %d more in flight, want only attempt %d", test.class, attempt.Number, len(backend.attempts), i)
 			}
 			outcome <- Outcome{Result: result, At: eng.clock.Now(), Reply: Reply{Body: []byte("body")}}
 		}
 		got := testpeer.Receive(t, request.Response(), "the response")
 		if got.Kind != test.want || got.Kind == Served && string(got.Reply.Body) != "body" || len(backend.attempts) > 0 {
-			t.Errorf("%s after %v: kind %v, body %q, %d more attempts; want kind %v", test.class, test.ends, got.Kind,
+			t.Errorf("%s after %v: got kind %v, body %q and %d more attempts, want kind %v", test.class, test.ends, got.Kind,
 				got.Reply.Body, len(backend.attempts), test.want)
 		}
 	}
 }
 
-// Where the pool polls servers, a request goes to the one that holds least, and its reply is the client's as ever.
+// If the pool polls servers, a request is sent to the least loaded one and served as without polling.
 func TestRequestGoesToPolledServerWithLeastLoad(t *testing.T) {
 	for seed := range uint64(5) {
 		backend := newFakeBackend()
@@ -57,20 +57,20 @@
 		eng.Submit(request)
 		attempt, outcome := backend.expectAttempt(t)
 		if attempt.Host.Server != "s2" {
-			t.Errorf("the request goes to %s; s2 holds least", attempt.Host.Server)
+			t.Errorf("request was sent to %s, want s2 with the least load", attempt.Host.Server)
 		}
 		outcome <- Outcome{Result: balancer.Success, At: eng.clock.Now(), Load: &balancer.Load{Busy: 1}}
 		if got := testpeer.Receive(t, request.Response(), "the response"); got.Kind != Served {
-			t.Errorf("the response is %v", got.Kind)
+			t.Errorf("got response kind %v, want served", got.Kind)
 		}
 		if got := eng.Status().Polls; got != 4 {
-			t.Errorf("%d servers were polled; want 4", got)
+			t.Errorf("got %d polls, want 4", got)
 		}
 	}
 }
 
-// While the servers of one zone are silent and those of another reply, a probe of the silent ones goes over a connection of
-// its own: the back end closes the idle ones before the attempt begins.
+// While the servers of one zone do not reply and those of another do, a probe of a silent server uses a new connection: the
+// backend closes the idle ones before the attempt starts.
 func TestProbeOfSilentZoneUsesItsOwnConnection(t *testing.T) {
 	backend := newFakeBackend()
 	list := servers("s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8")
@@ -81,14 +81,14 @@
 	go eng.Run(t.Context())
 	for i := 0; len(backend.closed) == 0; i++ {
 		if i == 10000 {
-			t.Fatal("no probe is made")
+			t.Fatal("no probe of a silent server in 10000 requests")
 		}
 		request := newRequest(eng, fmt.Sprint(i), "note")
 		eng.Submit(request)
 		attempt, outcome := backend.expectAttempt(t)
 		if len(backend.closed) > 0 {
 			if closedHost := <-backend.closed; closedHost != attempt.Host || attempt.Host.Server > "s" && (attempt.Host.Server[1]-'1')%2 != 1 {
-				t.Errorf("idle connections to %v were closed, the attempt goes to %v", closedHost, attempt.Host)
+				t.Errorf("idle connections to %v were closed, but the attempt was sent to %v; want the same server, of the silent zone", closedHost, attempt.Host)
 			}
 			return
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-// A request with an id that is in use gets a response of its own, and the first request with it goes on.
+// A request whose id is in use gets the response Duplicate, and the first request with the id is still served.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1"))
@@ -109,15 +109,15 @@
 	_, outcome := backend.expectAttempt(t)
 	eng.Submit(second)
 	if response := testpeer.Receive(t, second.Response(), "the second's response"); response.Kind != Duplicate {
-		t.Errorf("kind %v", response.Kind)
+		t.Errorf("second request: got response kind %v, want duplicate", response.Kind)
 	}
 	outcome <- Outcome{Result: balancer.Success, At: eng.clock.Now()}
 	if response := testpeer.Receive(t, first.Response(), "the first's response"); response.Kind != Served {
-		t.Errorf("kind %v", response.Kind)
+		t.Errorf("first request: got response kind %v, want served", response.Kind)
 	}
 }
 
-// The attempt of a client that disconnects is cancelled; the id is free again once that has ended.
+// If a client disconnects, its attempt is cancelled, and its request id can be used again once the attempt has ended.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1"))
@@ -126,8 +126,8 @@
 	eng.Submit(request)
 	attempt, _ := backend.expectAttempt(t)
 	request.Disconnect(eng.clock.Now())
-	testpeer.Receive(t, attempt.Context().Done(), "the cancel")
-	testpeer.Until(t, "the id to be free", func() bool {
+	testpeer.Receive(t, attempt.Context().Done(), "the cancellation")
+	testpeer.Until(t, "the request id to be free", func() bool {
 		again := newRequest(eng, "id", "note")
 		eng.Submit(again)
 		select {
@@ -139,7 +139,7 @@
 	})
 }
 
-// Requests that are in flight when their class becomes unsafe are not retried.
+// A request that is in flight when a new configuration makes its class unsafe is not retried.
 func TestReconfigureAppliesToInFlightRequests(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1", "s2"))
@@ -150,21 +150,21 @@
 	next := settings()
 	next.Classes[0].Effect = balancer.Unsafe
 	eng.Reconfigure(next, true)
-	eng.Status() // the loop has handled the new settings
+	eng.Status() // returns after the loop has handled the new settings
 	outcome <- Outcome{Result: balancer.ConnectionLost, At: eng.clock.Now()}
 	if response := testpeer.Receive(t, request.Response(), "the response"); response.Kind != Failed || len(backend.attempts) > 0 {
-		t.Errorf("kind %v, %d more attempts", response.Kind, len(backend.attempts))
+		t.Errorf("got kind %v and %d more attempts, want failed and none", response.Kind, len(backend.attempts))
 	}
 }
 
-// The client of a request that never came to an engine may disconnect all the same.
+// If the client of a request disconnects that was finished without an engine, its response is discarded.
 func TestDisconnectWithoutEngineDiscardsResponse(t *testing.T) {
 	request := NewRequest("id", Message{})
 	request.Finish(Response{Kind: Rejected})
 	request.Disconnect(0)
 	select {
 	case response := <-request.Response():
-		t.Errorf("%+v is still there for a client that has disconnected", response)
+		t.Errorf("response %+v was not discarded after the disconnect", response)
 	default:
 	}
 }
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -13,12 +13,12 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// script is a Backend whose attempts end as a test says.
+// fakeBackend is a Backend whose attempts end with the outcomes that a test sends.
 type fakeBackend struct {
-	loads    map[string]float64  // what servers say they hold when they are polled; others say nothing
-	updates  int                 // of the endpoint list
-	closed   chan discovery.Host // servers whose idle connections were closed
-	attempts chan *Attempt       // as they begin
+	loads    map[string]float64  // load by server that polls return; other servers report none
+	updates  int                 // number of updates of the endpoint list
+	closed   chan discovery.Host // arguments of CloseIdle
+	attempts chan *Attempt       // in the order of their start
 	outcomes chan chan Outcome
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// expect waits for an attempt and returns it with the channel for its outcome.
+// expectAttempt waits for an attempt and returns it with the channel for its outcome.
 func (s *fakeBackend) expectAttempt(t *testing.T) (*Attempt, chan<- Outcome) {
 	t.Helper()
 	return testpeer.Receive(t, s.attempts, "an attempt"), testpeer.Receive(t, s.outcomes, "its outcome channel")
@@ -62,7 +62,7 @@
 		Classes: []balancer.Class{class("view", balancer.Safe), class("note", balancer.Unsafe)}}
 }
 
-// servers is a full snapshot of ready servers.
+// servers returns a full list of ready servers.
 func servers(ids ...string) discovery.List {
 	list := discovery.List{Full: true}
 	for _, id := range ids {
@@ -71,7 +71,7 @@
 	return list
 }
 
-// options are of an engine with the given settings, whose lists are pushed and whose log goes nowhere.
+// options returns Options with the given settings, pushed lists and a discarded log.
 func options(backend *fakeBackend, balancerSettings balancer.Settings) Options {
 	return Options{
 		Settings:    balancerSettings,
@@ -84,7 +84,7 @@
 	}
 }
 
-// newEngineWith returns an engine that does not run yet.
+// newEngineWith returns an engine that is not running yet.
 func newEngineWith(t *testing.T, opts Options) *Engine {
 	t.Helper()
 	eng, err := New(opts)
@@ -94,7 +94,7 @@
 	return eng
 }
 
-// newEngine returns an engine with a restored list that does not run yet.
+// newEngine returns an engine with a restored list that is not running yet.
 func newEngine(t *testing.T, backend *fakeBackend, list discovery.List) *Engine {
 	t.Helper()
 	eng := newEngineWith(t, options(backend, settings()))
@@ -102,7 +102,7 @@
 	return eng
 }
 
-// newRequest is a request with a deadline beyond any test.
+// newRequest returns a request with a deadline that no test reaches.
 func newRequest(eng *Engine, id, class string) *Request {
 	request := NewRequest(id, Message{})
 	request.Class, request.At = class, eng.clock.Now()
@@ -110,7 +110,7 @@
 	return request
 }
 
-// newEngineWithLatencies is an engine that runs, and whose ten requests so far took 20 ms each by its clock.
+// newEngineWithLatencies returns a running engine that has served ten requests, with a latency of 20 ms each.
 func newEngineWithLatencies(t *testing.T, backend *fakeBackend) *Engine {
 	t.Helper()
 	eng := newEngine(t, backend, servers("s1", "s2"))
--- a/internal/engine/serverlist_test.go
+++ b/internal/engine/serverlist_test.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/discovery"
 )
 
-// A full snapshot that names what is known already is not passed to the balancer: it would draw its subset anew and
-// open connections for nothing.
+// A full list without changes is not passed to the balancer, which would select its subset again and open connections
+// unnecessarily.
 func TestUnchangedFullListIsNotPassedOn(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1"))
@@ -22,13 +22,13 @@
 		want int
 	}{{servers("s1"), 0}, {terminating, 1}, {moved, 2}, {servers(), 3}} {
 		if eng.handleEvent(listUpdated{test.list}); backend.updates != test.want {
-			t.Errorf("list %d: %d updates, want %d", i, backend.updates, test.want)
+			t.Errorf("list %d: got %d updates, want %d", i, backend.updates, test.want)
 		}
 	}
 }
 
-// A full snapshot that names one server less is an update, also where it names as many entries as are known because one of
-// them was removed long ago.
+// A full list without one of the known servers is passed on, even if it has as many entries as servers are known because
+// one of its entries is a removed server.
 func TestFullListWithFewerServersIsPassedOn(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1", "s2"))
@@ -40,15 +40,15 @@
 		name  string
 		list  discovery.List
 		ready int
-	}{{"the same", same, 2}, {"one less, and one that was removed", fewer, 1}} {
+	}{{"the same", same, 2}, {"one server missing, one entry removed", fewer, 1}} {
 		if eng.UpdateList(test.list); eng.Status().Ready != test.ready {
-			t.Errorf("%s: %d ready, want %d", test.name, eng.Status().Ready, test.ready)
+			t.Errorf("%s: got %d ready servers, want %d", test.name, eng.Status().Ready, test.ready)
 		}
 	}
 }
 
-// A server that is listed anew is in slow start whatever the clock that wrote its start shows, and its start stays the same
-// while it is listed with the same boot_ms: the same list again is no update, and connections stay open.
+// A newly listed server is in slow start whatever the offset of the clock that wrote its boot_ms, and its start time stays
+// the same while its boot_ms does: receiving the same list again is not an update, and connections stay open.
 func TestNewlyListedServerIsInSlowStartUnderAnyClock(t *testing.T) {
 	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		backend := newFakeBackend()
@@ -60,17 +60,17 @@
 		go eng.Run(t.Context())
 		list := servers("old")
 		eng.UpdateList(list)
-		eng.Stats() // the first list has been taken
+		eng.Stats() // returns after the loop has handled the first list
 		list.Targets = append(list.Targets, servers("new").Targets...)
 		list.Targets[1].Boot = eng.clock.Now() + offset
 		eng.UpdateList(list)
 		if zone := eng.Stats().Zones[""]; zone.Ready != 2 || zone.WarmedUp != 1 {
-			t.Errorf("listed as started %v from now: %d servers, %d warmed up, want 2 and 1", offset, zone.Ready, zone.WarmedUp)
+			t.Errorf("boot time %v from now: got %d ready and %d warmed-up servers, want 2 and 1", offset, zone.Ready, zone.WarmedUp)
 		}
 		listed := eng.servers["new"]
 		eng.UpdateList(list)
 		if eng.Stats(); eng.servers["new"] != listed {
-			t.Errorf("listed once more: %v, was %v", eng.servers["new"], listed)
+			t.Errorf("same list again: got entry %v, want %v", eng.servers["new"], listed)
 		}
 	}
 }
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// At the end of the shutdown a request with an attempt in flight fails, and new ones are rejected with a Retry-After.
+// Shutdown fails a request with an attempt in flight, and new requests are rejected with a Retry-After.
 func TestShutdownFailsInFlightAndRejectsNewRequests(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1"))
@@ -19,27 +19,27 @@
 	backend.expectAttempt(t)
 	eng.Shutdown()
 	if response := testpeer.Receive(t, inFlight.Response(), "the response"); response.Kind != Failed {
-		t.Errorf("kind %v", response.Kind)
+		t.Errorf("got response kind %v, want failed", response.Kind)
 	}
 	late := newRequest(eng, "late", "view")
 	eng.Submit(late)
 	if response := testpeer.Receive(t, late.Response(), "the rejection"); response.Kind != Rejected || response.RetryAfter <= 0 {
-		t.Errorf("%+v", response)
+		t.Errorf("got response %+v, want a rejection with a Retry-After", response)
 	}
 }
 
-// Shortly before the end of the shutdown a request that would not be served by then is rejected at once. One with enough
-// time is sent as ever, and so is one of a class whose latency is not known.
+// A request that cannot be served before the scheduled shutdown is rejected at once. A request with enough time is sent as
+// usual, and so is one of a class with unknown latency.
 func TestRequestThatCannotFinishBeforeShutdownIsNeverSent(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		left  time.Duration // until the end of the shutdown
+		left  time.Duration // until the shutdown
 		class string
 		want  Kind
 	}{
-		{"time enough", time.Hour, "note", Served},
-		{"too little", 10 * time.Millisecond, "note", Rejected},
-		{"nothing known of its class", time.Minute, "view", Served},
+		{"enough time", time.Hour, "note", Served},
+		{"too little time", 10 * time.Millisecond, "note", Rejected},
+		{"latency of the class is unknown", time.Minute, "view", Served},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			backend := newFakeBackend()
@@ -53,32 +53,32 @@
 			}
 			got := testpeer.Receive(t, request.Response(), "the response")
 			if got.Kind != test.want {
-				t.Errorf("response %+v, want kind %v", got, test.want)
+				t.Errorf("got response %+v, want kind %v", got, test.want)
 			}
 			if got.Kind == Rejected && (got.RetryAfter <= 0 || !got.TryOtherNode) {
-				t.Errorf("response %+v, want a Retry-After and another node", got)
+				t.Errorf("got response %+v, want a Retry-After and TryOtherNode", got)
 			}
 		})
 	}
 }
 
-// A request that is queued when the shutdown is announced is rejected too where it is too late for it.
+// A request that is already queued when the shutdown is scheduled is also rejected if it cannot be served before.
 func TestQueuedRequestIsRejectedBeforeShutdown(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngineWithLatencies(t, backend)
 	eng.UpdateList(discovery.List{Full: true})
-	queued := newRequest(eng, "waiting", "note")
+	queued := newRequest(eng, "queued", "note")
 	eng.Submit(queued)
 	if got := eng.Status(); got.Open != 1 {
-		t.Fatalf("%+v, want one queued request", got)
+		t.Fatalf("got status %+v, want one queued request", got)
 	}
 	eng.ScheduleShutdown(eng.clock.Now() + 10*time.Millisecond)
 	if got := testpeer.Receive(t, queued.Response(), "the response"); got.Kind != Rejected || len(backend.attempts) > 0 {
-		t.Errorf("response %+v after %d attempts, want a rejection after none", got, len(backend.attempts))
+		t.Errorf("got response %+v after %d attempts, want a rejection without attempts", got, len(backend.attempts))
 	}
 }
 
-// A retired engine finishes the requests that it has, with retries, and its Run returns. Its status is empty from then on.
+// A retired engine finishes its pending requests, including retries, and then Run returns. Its status is empty from then on.
 func TestRunReturnsAfterRetireOnceAllRequestsAreFinished(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1", "s2"))
@@ -88,17 +88,17 @@
 	_, outcome := backend.expectAttempt(t)
 	eng.Retire()
 	if got := eng.Status(); got.Open != 1 || got.Ready != 2 || got.Requests != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("got status %+v, want one pending request and two ready servers", got)
 	}
 	outcome <- Outcome{Result: balancer.ConnectionLost, At: eng.clock.Now()}
 	_, outcome = backend.expectAttempt(t) // still retried
 	outcome <- Outcome{Result: balancer.Success, At: eng.clock.Now()}
 	if response := testpeer.Receive(t, request.Response(), "the response"); response.Kind != Served {
-		t.Errorf("kind %v", response.Kind)
+		t.Errorf("got response kind %v, want served", response.Kind)
 	}
 	testpeer.Receive(t, eng.Done(), "the end of Run")
 	request.Disconnect(eng.clock.Now()) // does not block
 	if got := eng.Status(); got != (Status{}) {
-		t.Errorf("%+v after Run has returned", got)
+		t.Errorf("got status %+v after Run has returned, want the zero value", got)
 	}
 }
--- a/internal/engine/soak_test.go
+++ b/internal/engine/soak_test.go
@@ -11,8 +11,8 @@
 	reach "damsontrestle/internal/testpeer/heap"
 )
 
-// A hundred thousand requests under ids that are never seen again, and five thousand servers that come and go: the engine
-// keeps nothing of finished requests and removed servers, timers included.
+// The engine keeps no state of finished requests and removed servers, timers included: after a hundred thousand requests with
+// distinct ids, and two thousand servers that are listed and removed, the heap must not have grown by more than 1 MiB.
 func TestFinishedRequestsLeaveNoState(t *testing.T) {
 	backend := newFakeBackend()
 	eng := newEngine(t, backend, servers("s1", "s2", "s3", "s4"))
@@ -50,13 +50,13 @@
 			baseline = reach.Reachable()
 		}
 	}
-	// What the loop holds is looked at from within: it answers a Status once all before it is handled.
+	// Status returns after the loop has handled all earlier events.
 	eng.Status()
 	grown := reach.Reachable() - baseline
 	if status := eng.Status(); status.Open != 0 || status.Ready > 12 || status.Requests < requests {
-		t.Errorf("%d requests are open and %d servers ready after %d requests", status.Open, status.Ready, status.Requests)
+		t.Errorf("got %d open requests and %d ready servers after %d requests, want 0 and at most 12", status.Open, status.Ready, status.Requests)
 	}
 	if grown > 1<<20 {
-		t.Errorf("the heap grew by %d KiB from the tenth part of the day to its end", grown>>10)
+		t.Errorf("heap grew by %d KiB over the last nine tenths of the run, want at most 1024", grown>>10)
 	}
 }
--- a/internal/engine/stats_test.go
+++ b/internal/engine/stats_test.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Stats returns what was counted, without servers that are no longer listed.
+// Stats returns the counts of requests and attempts, without servers that are no longer listed.
 func TestStatsCountEvents(t *testing.T) {
 	backend := newFakeBackend()
 	list := servers("a")
@@ -30,7 +30,7 @@
 	stats := eng.Stats()
 	if stats.ListRevision != 7 || stats.Classes["view"] != (ClassStats{Requests: 1, InFlight: 1}) || stats.Servers["a"].InFlight != 1 ||
 		stats.Zones["z"].Ready != 1 || stats.Zones["z"].WarmedUp != 1 {
-		t.Errorf("with an attempt in flight: %+v", stats)
+		t.Errorf("with an attempt in flight: unexpected stats %+v", stats)
 	}
 	outcome <- Outcome{Result: balancer.Success, At: attempt.SentAt + 3*time.Millisecond}
 	testpeer.Receive(t, request.Response(), "the response")
@@ -38,15 +38,15 @@
 	zone := stats.Zones["z"]
 	if zone.Ended != 1 || zone.Failures != 0 || zone.TotalLatency != 3*time.Millisecond || stats.LatencyHistogram[12] != 1 ||
 		stats.Classes["view"].InFlight != 0 || stats.Servers["a"].InFlight != 0 {
-		t.Errorf("after its response: %+v", stats)
+		t.Errorf("after the response: unexpected stats %+v", stats)
 	}
 	eng.UpdateList(discovery.List{Full: true, Rev: 8})
 	if stats = eng.Stats(); len(stats.Servers) != 0 || len(stats.Zones) != 0 || stats.ListRevision != 8 {
-		t.Errorf("with no server listed: %+v", stats)
+		t.Errorf("with no server listed: unexpected stats %+v", stats)
 	}
 	cancel()
 	<-eng.Done()
 	if stats = eng.Stats(); stats.Classes != nil {
-		t.Errorf("after Run has returned: %+v", stats)
+		t.Errorf("after Run has returned: got stats %+v, want the zero value", stats)
 	}
 }
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -10,7 +10,7 @@
 	_ "damsontrestle/internal/testpeer/seeded"
 )
 
-// Given an operator's requests and the node's end in this order, the node says and does this.
+// Each sequence of operator commands and shutdown results in the given state.
 func TestTrackerTransitions(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
@@ -19,14 +19,14 @@
 		at   time.Duration
 		want State
 	}{
-		{"nothing asked", func(*Tracker) {}, time.Hour, State{Ready: true}},
-		{"just sent away", func(tracker *Tracker) { tracker.Quiesce(0) }, CloseIdleAfter - 1, State{}},
-		{"parting", func(tracker *Tracker) { tracker.Quiesce(0) }, CloseIdleAfter, State{CloseConnections: true}},
-		{"sent away twice counts from the first", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Quiesce(CloseIdleAfter - ms) }, CloseIdleAfter, State{CloseConnections: true}},
-		{"taken again", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Resume() }, CloseIdleAfter, State{Ready: true}},
-		{"and sent away anew", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Resume(); tracker.Quiesce(CloseIdleAfter) }, CloseIdleAfter + ms, State{}},
-		{"ended while sent away", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Shutdown() }, CloseIdleAfter, State{CloseConnections: true}},
-		{"sent away while ending", func(tracker *Tracker) { tracker.Shutdown(); tracker.Quiesce(0) }, ms, State{}},
+		{"no command", func(*Tracker) {}, time.Hour, State{Ready: true}},
+		{"before CloseIdleAfter", func(tracker *Tracker) { tracker.Quiesce(0) }, CloseIdleAfter - 1, State{}},
+		{"after CloseIdleAfter", func(tracker *Tracker) { tracker.Quiesce(0) }, CloseIdleAfter, State{CloseConnections: true}},
+		{"second Quiesce does not restart the delay", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Quiesce(CloseIdleAfter - ms) }, CloseIdleAfter, State{CloseConnections: true}},
+		{"resumed", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Resume() }, CloseIdleAfter, State{Ready: true}},
+		{"Quiesce after Resume restarts the delay", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Resume(); tracker.Quiesce(CloseIdleAfter) }, CloseIdleAfter + ms, State{}},
+		{"Shutdown after Quiesce", func(tracker *Tracker) { tracker.Quiesce(0); tracker.Shutdown() }, CloseIdleAfter, State{CloseConnections: true}},
+		{"Quiesce after Shutdown", func(tracker *Tracker) { tracker.Shutdown(); tracker.Quiesce(0) }, ms, State{}},
 	} {
 		tracker := &Tracker{}
 		if test.run(tracker); tracker.StateAt(test.at) != test.want {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Whatever is called in whatever order: an ending node is never ready again, and one that parts with its clients
-// is not ready.
+// For any sequence of calls, a node that is shutting down never becomes ready again, and a node that closes connections is
+// not ready.
 func TestTrackerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, ended, now := &Tracker{}, false, time.Duration(0)
@@ -47,14 +47,14 @@
 				tracker.Quiesce(now)
 			case 1:
 				if err := tracker.Resume(); errors.Is(err, ErrShuttingDown) != ended {
-					t.Fatalf("resume: %v, ended %v", err, ended)
+					t.Fatalf("Resume returned %v with shutdown %v", err, ended)
 				}
 			case 2:
 				tracker.Shutdown()
 				ended = true
 			}
 			if state := tracker.StateAt(now); state.Ready && (ended || state.CloseConnections) {
-				t.Fatalf("%+v, ended %v", state, ended)
+				t.Fatalf("got state %+v with shutdown %v", state, ended)
 			}
 		}
 	})
