--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -78,14 +78,14 @@
 }
 
 // poll asks a server for its load in a new goroutine.
-func (eng *Engine) poll(requestID string, to discovery.Host, timeout time.Duration) {
+func (eng *Engine) poll(requestID string, host discovery.Host, timeout time.Duration) {
 	eng.unloggedTraffic.Polls++
 	polledAt := eng.clock.Now()
 	go func() {
-		busy, ok := eng.backend.Poll(to, timeout)
+		busy, ok := eng.backend.Poll(host, timeout)
 		if !ok {
 			return
 		}
-		eng.post(loadReport{requestID: requestID, server: to.Server, busy: busy, polledAt: polledAt})
+		eng.post(loadReport{requestID: requestID, server: host.Server, busy: busy, polledAt: polledAt})
 	}()
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -39,9 +39,9 @@
 // errServerGone is the cancellation cause of an attempt whose server is known to be gone.
 var errServerGone = errors.New("engine: attempt cancelled: server is gone")
 
-// NewAttempt returns the n-th attempt of a request, counted from 0. sent and deadline are clock times.
-func NewAttempt(request *Request, n int, to discovery.Host, sent, deadline time.Duration) *Attempt {
-	attempt := &Attempt{Request: request, Number: n, Host: to, SentAt: sent, Deadline: deadline, NotAfter: math.MaxInt64}
+// NewAttempt returns an attempt of a request. number is counted from 0; sent and deadline are clock times.
+func NewAttempt(request *Request, number int, host discovery.Host, sent, deadline time.Duration) *Attempt {
+	attempt := &Attempt{Request: request, Number: number, Host: host, SentAt: sent, Deadline: deadline, NotAfter: math.MaxInt64}
 	attempt.ctx, attempt.cancel = context.WithCancelCause(context.Background())
 	return attempt
 }
@@ -65,9 +65,9 @@
 // latency. Once it has returned false it never returns true: an attempt that was cancelled while it waited for its
 // connection does not start when the connection is established.
 func (a *Attempt) TryStart(at, latency time.Duration) bool {
-	tooLate := at+latency >= a.NotAfter
+	pastNotAfter := at+latency >= a.NotAfter
 	timedOut := a.Request.Message.Rest == nil && at >= a.Deadline
-	if tooLate || timedOut {
+	if pastNotAfter || timedOut {
 		a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled)
 	}
 	return a.stage.CompareAndSwap(attemptNotStarted, attemptRunning)
@@ -79,7 +79,8 @@
 	a.cancel(nil)
 }
 
-// CancelIfNotStarted cancels the attempt unless it has started. A server never sees an attempt that has not started.
+// CancelIfNotStarted cancels the attempt unless it has started. Its server never sees an
+// attempt that was cancelled this way.
 func (a *Attempt) CancelIfNotStarted() {
 	if a.stage.CompareAndSwap(attemptNotStarted, attemptCancelled) {
 		a.cancel(nil)
@@ -98,7 +99,7 @@
 	return errors.Is(a.ctx.Err(), context.Canceled) && !errors.Is(context.Cause(a.ctx), errServerGone)
 }
 
-// Outcome is the result of an attempt. Its Result decides whether the attempt may have run: after Overloaded, Unreachable
+// Outcome is the result of an attempt. Its Result determines whether the attempt may have run: after Overloaded, Unreachable
 // and NotStarted it has not run.
 type Outcome struct {
 	Result        balancer.Result
--- a/internal/engine/eventloop.go
+++ b/internal/engine/eventloop.go
@@ -62,9 +62,9 @@
 }
 
 // query posts an event that the loop answers on a channel. It returns the zero value once Run has returned.
-func query[T any](eng *Engine, question func(reply chan T) event) (answer T) {
+func query[T any](eng *Engine, newEvent func(reply chan T) event) (answer T) {
 	reply := make(chan T, 1)
-	eng.post(question(reply))
+	eng.post(newEvent(reply))
 	select {
 	case answer = <-reply:
 	case <-eng.done:
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -9,8 +9,8 @@
 // shutdownRetryAfter is the Retry-After of requests that are rejected because of a shutdown.
 const shutdownRetryAfter = time.Second
 
-// ScheduleShutdown announces the clock time of the call of Shutdown. A request that could not be served by then, at the
-// current latencies of its class, is rejected as soon as this is known: if sent later, it would be aborted halfway.
+// ScheduleShutdown announces the clock time at which Shutdown will be called. A request that could not be served by then,
+// at the current latencies of its class, is rejected as soon as this is known: if sent later, it would be aborted halfway.
 func (eng *Engine) ScheduleShutdown(at time.Duration) { eng.post(shutdownScheduled{at: at}) }
 
 // Shutdown ends every pending request at once, with Rejected if it was not sent and Failed otherwise, and rejects new ones.
@@ -24,7 +24,7 @@
 	}
 }
 
-// cannotFinishBeforeShutdown reports whether a request of a class would be served too late for the scheduled shutdown, at
+// cannotFinishBeforeShutdown reports whether a request of a class would not be served before the scheduled shutdown, at the
 // current latencies.
 func (eng *Engine) cannotFinishBeforeShutdown(class string) bool {
 	if eng.shutdownAt == 0 {
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -139,7 +139,7 @@
 	return query(eng, func(to chan Stats) event { return statsQuery{reply: to} })
 }
 
-// collectStats returns a copy of the collected stats, completed with the current pending requests and listed servers.
+// collectStats returns a copy of the collected stats and adds the pending requests and the listed servers.
 func (eng *Engine) collectStats() Stats {
 	if eng.collector == nil {
 		return Stats{}
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -33,22 +33,22 @@
 
 // readLine returns the next line without its line ending. It returns io.ErrUnexpectedEOF if the ending is missing.
 func (d *Decoder) readLine() (string, error) {
-	s, err := d.r.ReadString('\n')
+	line, err := d.r.ReadString('\n')
 	if err == io.EOF {
-		if s == "" {
+		if line == "" {
 			return "", io.EOF
 		}
 		return "", io.ErrUnexpectedEOF
 	}
 	d.line++
-	return strings.TrimRight(s, "\r\n"), err
+	return strings.TrimRight(line, "\r\n"), err
 }
 
 // Next returns the next message. It returns io.EOF if the input ends between two batches, and an error that names the line
 // if the input ends inside a batch or is invalid.
 func (d *Decoder) Next() (Message, error) {
 	for {
-		s, err := d.readLine()
+		line, err := d.readLine()
 		if err == io.EOF && !d.inBatch {
 			return Message{}, io.EOF
 		}
@@ -58,55 +58,55 @@
 		if err != nil {
 			return Message{}, fmt.Errorf("line %d: %w", d.line+1, err)
 		}
-		if s == "" {
+		if line == "" {
 			continue
 		}
-		m, skip, err := d.decode(s)
+		message, skip, err := d.decode(line)
 		if err != nil {
 			return Message{}, fmt.Errorf("line %d: %w", d.line, err)
 		}
 		if !skip {
-			return m, nil
+			return message, nil
 		}
 	}
 }
 
 // decode decodes one line. skip is true for lines that only change the decoder's state.
-func (d *Decoder) decode(line string) (m Message, skip bool, err error) {
+func (d *Decoder) decode(line string) (message Message, skip bool, err error) {
 	name, rest, _ := strings.Cut(line, "\t")
 	if err := d.checkOrder(name); err != nil {
-		return m, false, err
+		return message, false, err
 	}
 	f := &fields{name: name, parts: strings.Split(rest, "\t")}
-	m.Instance = d.instance
+	message.Instance = d.instance
 	switch name {
 	case "sync":
-		m.Kind = BatchStart
-		m.Now = f.duration(0)
+		message.Kind = BatchStart
+		message.Now = f.duration(0)
 		d.inBatch = true
 		d.instance = noInstance
 	case "eob":
-		m.Kind = BatchEnd
+		message.Kind = BatchEnd
 		d.inBatch = false
 	case "about":
 		d.decodeAbout(f)
-		return m, true, f.err
+		return message, true, f.err
 	case "list":
-		return m, true, d.decodeList(f)
+		return message, true, d.decodeList(f)
 	case "hello":
-		m.Kind = InstanceStart
-		m.Seed, m.Settings, err = decodeHello(f, rest)
-		return m, false, err
+		message.Kind = InstanceStart
+		message.Seed, message.Settings, err = decodeHello(f, rest)
+		return message, false, err
 	case "crash_now":
-		m.Kind = InstanceKilled
+		message.Kind = InstanceKilled
 	case "checked", "mail":
-		m.Kind = Ignored
+		message.Kind = Ignored
 	default:
-		m.Kind = Event
-		m.Event, err = d.decodeEvent(f)
-		return m, false, err
+		message.Kind = Event
+		message.Event, err = d.decodeEvent(f)
+		return message, false, err
 	}
-	return m, false, f.err
+	return message, false, f.err
 }
 
 // checkOrder returns an error for a line outside a batch, or before the line that names its instance.
@@ -125,7 +125,7 @@
 		return nil
 	}
 	if d.instance < 0 {
-		return fmt.Errorf("%s before any about", quote(name))
+		return fmt.Errorf("%s before an about line", quote(name))
 	}
 	return nil
 }
@@ -155,21 +155,21 @@
 
 // decodeEvent decodes an event of an instance.
 func (d *Decoder) decodeEvent(f *fields) (balancer.Event, error) {
-	var e balancer.Event
+	var event balancer.Event
 	switch f.name {
 	case "announce":
-		e = d.decodeAnnounce(f)
+		event = d.decodeAnnounce(f)
 	case "job_in":
-		e = balancer.Request{
+		event = balancer.Request{
 			ID:       f.text(0),
 			Deadline: f.duration(1),
 			Class:    f.text(3),
 			Retry:    f.optInteger(4)&flagRetry != 0,
 		}
 	case "ring":
-		e = balancer.Timer{Token: f.text(0)}
+		event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		e = balancer.Outcome{
+		event = balancer.Outcome{
 			ID:      f.text(0),
 			Server:  f.text(1),
 			Latency: f.duration(2),
@@ -179,13 +179,13 @@
 			Load:    f.load(6),
 		}
 	case "timed_out_client":
-		e = balancer.ClientDisconnected{ID: f.text(0)}
+		event = balancer.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
-		e = balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
+		event = balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
 	default:
 		return nil, fmt.Errorf("unknown message %s", quote(f.name))
 	}
-	return e, f.err
+	return event, f.err
 }
 
 // Modes of an announce line.
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -68,11 +68,11 @@
 	if f.optText(i) == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(f.optText(i), 64)
-	if err != nil || !(v >= 0 && v <= maxValue) {
+	value, err := strconv.ParseFloat(f.optText(i), 64)
+	if err != nil || !(value >= 0 && value <= maxValue) {
 		f.fail(i, "is not a size")
 	}
-	return v
+	return value
 }
 
 // seed parses a signed or unsigned 64-bit integer.
@@ -90,12 +90,12 @@
 
 // duration parses a time in milliseconds.
 func (f *fields) duration(i int) time.Duration {
-	v, err := strconv.ParseFloat(f.text(i), 64)
-	if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
+	value, err := strconv.ParseFloat(f.text(i), 64)
+	if err != nil || math.IsNaN(value) || math.Abs(value) > maxValue {
 		f.fail(i, "is not a time in milliseconds")
 		return 0
 	}
-	return milliseconds(v)
+	return milliseconds(value)
 }
 
 // optDuration parses a time in milliseconds; 0 if it is absent.
@@ -125,23 +125,23 @@
 
 // load parses name:value pairs. Unknown names are ignored.
 func (f *fields) load(i int) *balancer.Load {
-	s := f.optText(i)
-	if s == "" {
+	report := f.optText(i)
+	if report == "" {
 		return nil
 	}
 	load := &balancer.Load{Busy: -1, Service: -1}
-	for _, pair := range strings.Split(s, ",") {
+	for _, pair := range strings.Split(report, ",") {
 		name, text, _ := strings.Cut(pair, ":")
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) || math.Abs(value) > maxValue {
 			f.fail(i, "is not a load report")
 			return nil
 		}
 		switch name {
 		case "busy_reqs":
-			load.Busy = v
+			load.Busy = value
 		case "svc_ms":
-			load.Service = milliseconds(v)
+			load.Service = milliseconds(value)
 		}
 	}
 	return load
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,7 +54,7 @@
 	for text, want := range map[string]string{
 		"eob\n":                                "line 1: \"eob\" outside a batch",
 		"sync\tx\n":                            "line 1: sync: value 1 is not a time",
-		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before any about",
+		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before an about line",
 		"sync\t1\nabout\t1\nhuh\t1\n":          "line 3: unknown message \"huh\"",
 		"sync\t1\nabout\t1\njob_in\ta\n":       "line 3: job_in: value 2",
 		"sync\t1\nlist\t0\t2\nitem\ta\tb\n":    "value 4 is missing",
