--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -18,55 +18,55 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// named is a Backend that serves every attempt with a name.
-type named string
+// namedBackend is a Backend whose replies contain its name.
+type namedBackend string
 
-func (n named) Run(a *engine.Attempt) engine.Outcome {
-	return engine.Outcome{Result: balancer.Success, At: a.Sent, Reply: engine.Reply{Body: []byte(n)}}
+func (n namedBackend) Run(a *engine.Attempt) engine.Outcome {
+	return engine.Outcome{Result: balancer.Success, At: a.SentAt, Reply: engine.Reply{Body: []byte(n)}}
 }
 
-func (named) Servers([]discovery.Target, bool) {}
+func (namedBackend) Servers([]discovery.Target, bool) {}
 
-func (named) Poll(discovery.Host, time.Duration) (float64, bool) { return 0, false }
+func (namedBackend) Poll(discovery.Host, time.Duration) (float64, bool) { return 0, false }
 
-func (named) CloseIdle(discovery.Host) {}
+func (namedBackend) CloseIdle(discovery.Host) {}
 
-// options are of an engine whose lists are pushed and whose log goes nowhere.
+// options returns Options with pushed lists and a discarded log.
 func options(settings balancer.Settings, name string) engine.Options {
 	return engine.Options{
-		Settings:  settings,
-		Clock:     clock.New(),
-		Backend:   named(name),
-		Subscribe: func() {},
-		Pushed:    true,
-		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Settings:    settings,
+		Clock:       clock.New(),
+		Backend:     namedBackend(name),
+		Subscribe:   func() {},
+		ListsPushed: true,
+		Log:         slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 }
 
-// newEngine returns an engine that runs until the test or benchmark ends.
+// newEngine returns an engine that runs until the end of the test or benchmark.
 func newEngine(tb testing.TB, settings balancer.Settings, name string, servers ...discovery.Target) *engine.Engine {
 	tb.Helper()
-	e, err := engine.New(options(settings, name))
+	eng, err := engine.New(options(settings, name))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	if len(servers) > 0 {
-		e.RestoreList(discovery.List{Full: true, Targets: servers})
+		eng.RestoreList(discovery.List{Full: true, Targets: servers})
 	}
-	go e.Run(tb.Context())
-	return e
+	go eng.Run(tb.Context())
+	return eng
 }
 
-// server is the one server of a pool.
+// server is the only server of each pool.
 var server = discovery.Target{Server: balancer.Server{ID: "s"}, Endpoint: "127.0.0.1:1"}
 
-// newPoolEngine returns an engine with one server for a pool of twoPools.
+// newPoolEngine returns an engine with one server, for a pool of twoPools.
 func newPoolEngine(t *testing.T, cfg *config.Config, name string) *engine.Engine {
 	t.Helper()
 	return newEngine(t, cfg.Settings(cfg.Pools[0]), name, server)
 }
 
-// twoPools sends views to one pool and all else to another.
+// twoPools returns a configuration that routes the class view to one pool and all others to another.
 func twoPools(views, rest string) *config.Config {
 	cfg := testpeer.Config()
 	other := cfg.Pools[0]
@@ -79,57 +79,57 @@
 }
 
 func newRequest(id, class string) (*engine.Request, *route.Request) {
-	c := engine.NewRequest(id, engine.Message{})
-	c.Class, c.At = class, clock.New().Now()
-	c.Deadline = c.At + time.Hour
-	return c, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
+	request := engine.NewRequest(id, engine.Message{})
+	request.Class, request.At = class, clock.New().Now()
+	request.Deadline = request.At + time.Hour
+	return request, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
 }
 
 func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
 	cfg := twoPools("a", "b")
-	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newPoolEngine(t, cfg, "a"), "b": newPoolEngine(t, cfg, "b")})
+	snapshot, err := NewSnapshot(cfg, map[string]*engine.Engine{"a": newPoolEngine(t, cfg, "a"), "b": newPoolEngine(t, cfg, "b")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(v)
-	if !v.Ready() {
-		t.Error("not ready")
+	dispatcher := New(snapshot)
+	if !snapshot.Ready() {
+		t.Error("snapshot is not ready, want ready")
 	}
 	for class, want := range map[string]string{"view": "a", "note": "b"} {
-		c, r := newRequest("id", class)
-		if err := d.Take(v, c, r); err != nil {
+		request, routing := newRequest("id", class)
+		if err := dispatcher.Dispatch(snapshot, request, routing); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, c.Response(), "the response"); string(got.Reply.Body) != want {
-			t.Errorf("%s went to %q", class, got.Reply.Body)
+		if got := testpeer.Receive(t, request.Response(), "the response"); string(got.Reply.Body) != want {
+			t.Errorf("class %s: got a reply of pool %q", class, got.Reply.Body)
 		}
 	}
-	c, r := newRequest("id", "none")
-	if err := d.Take(v, c, r); !errors.Is(err, ErrNoRoute) {
-		t.Errorf("%v", err)
+	request, routing := newRequest("id", "none")
+	if err := dispatcher.Dispatch(snapshot, request, routing); !errors.Is(err, ErrNoRoute) {
+		t.Errorf("class without a route: got error %v, want ErrNoRoute", err)
 	}
 	if _, err := NewSnapshot(cfg, nil); err == nil {
-		t.Error("a snapshot without engines")
+		t.Error("NewSnapshot without engines returned no error")
 	}
 }
 
-// While snapshots are swapped, every request is submitted under the snapshot that it was read under, or gets ErrStale; no
-// request reaches a pool that its snapshot does not name, and a retired engine gets none.
+// While snapshots are swapped, every request is submitted under the snapshot that it was read under, or gets ErrStale. No
+// request reaches a pool that its snapshot does not contain, and a retired engine gets none.
 func TestSwapIsAtomic(t *testing.T) {
 	cfg := [2]*config.Config{twoPools("a0", "b0"), twoPools("a1", "b1")}
 	newSnapshot := func(i int) (*Snapshot, []*engine.Engine) {
 		views := fmt.Sprint("a", i)
 		rest := fmt.Sprint("b", i)
-		a := newPoolEngine(t, cfg[i], views)
-		b := newPoolEngine(t, cfg[i], rest)
-		v, err := NewSnapshot(cfg[i], map[string]*engine.Engine{views: a, rest: b})
+		viewEngine := newPoolEngine(t, cfg[i], views)
+		restEngine := newPoolEngine(t, cfg[i], rest)
+		snapshot, err := NewSnapshot(cfg[i], map[string]*engine.Engine{views: viewEngine, rest: restEngine})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return v, []*engine.Engine{a, b}
+		return snapshot, []*engine.Engine{viewEngine, restEngine}
 	}
 	first, old := newSnapshot(0)
-	d := New(first)
+	dispatcher := New(first)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 4 {
@@ -140,9 +140,9 @@
 					return
 				default:
 				}
-				v := d.Snapshot()
-				c, r := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
-				err := d.Take(v, c, r)
+				snapshot := dispatcher.Snapshot()
+				request, routing := newRequest(fmt.Sprint(i, "-", k), []string{"view", "note"}[k%2])
+				err := dispatcher.Dispatch(snapshot, request, routing)
 				if errors.Is(err, ErrStale) {
 					continue
 				}
@@ -151,9 +151,9 @@
 					return
 				}
 				select {
-				case got := <-c.Response():
+				case got := <-request.Response():
 					if got.Kind != engine.Served {
-						t.Errorf("%+v", got)
+						t.Errorf("got response %+v, want kind served", got)
 						return
 					}
 				case <-time.After(testpeer.Limit):
@@ -164,11 +164,11 @@
 		})
 	}
 	for k := range 200 {
-		v, engines := newSnapshot((k + 1) % 2)
-		d.Swap(v, func() {})
+		snapshot, engines := newSnapshot((k + 1) % 2)
+		dispatcher.Swap(snapshot, func() {})
 		for _, e := range old {
 			e.Retire()
-			testpeer.Receive(t, e.Done(), "the end of a retired engine's Run")
+			testpeer.Receive(t, e.Done(), "the return of a retired engine's Run")
 		}
 		old = engines
 	}
@@ -176,52 +176,52 @@
 	clients.Wait()
 }
 
-// BenchmarkTake takes a request from a front end to its engine, and waits for its response.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkDispatch measures a request from its dispatch to its response.
+func BenchmarkDispatch(b *testing.B) {
 	cfg := testpeer.Config()
-	e := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
-	v, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": e})
+	eng := newEngine(b, cfg.Settings(cfg.Pools[0]), "x", server)
+	snapshot, err := NewSnapshot(cfg, map[string]*engine.Engine{"servers": eng})
 	if err != nil {
 		b.Fatal(err)
 	}
-	d := New(v)
+	dispatcher := New(snapshot)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c, r := newRequest(fmt.Sprint(i), "view")
-		if err := d.Take(v, c, r); err != nil {
+		request, routing := newRequest(fmt.Sprint(i), "view")
+		if err := dispatcher.Dispatch(snapshot, request, routing); err != nil {
 			b.Fatal(err)
 		}
-		<-c.Response()
+		<-request.Response()
 	}
 }
 
-// BenchmarkSwap is how long no request is submitted while a configuration with so many pools is put in place.
+// BenchmarkSwap measures how long a swap of a configuration blocks submissions, by its number of pools.
 func BenchmarkSwap(b *testing.B) {
 	for _, pools := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(pools, " pools"), func(b *testing.B) {
 			cfg := testpeer.Config()
-			p := cfg.Pools[0]
+			pool := cfg.Pools[0]
 			cfg.Pools, cfg.Routes[0].To = nil, nil
 			engines := map[string]*engine.Engine{}
 			var all []*engine.Engine
 			for i := range pools {
-				p.Name = fmt.Sprint("p", i)
-				cfg.Pools = append(cfg.Pools, p)
-				cfg.Routes[0].To = append(cfg.Routes[0].To, route.Target{Pool: p.Name, Weight: 1})
-				e := newEngine(b, cfg.Settings(p), "x")
-				engines[p.Name] = e
-				all = append(all, e)
+				pool.Name = fmt.Sprint("p", i)
+				cfg.Pools = append(cfg.Pools, pool)
+				cfg.Routes[0].To = append(cfg.Routes[0].To, route.Target{Pool: pool.Name, Weight: 1})
+				eng := newEngine(b, cfg.Settings(pool), "x")
+				engines[pool.Name] = eng
+				all = append(all, eng)
 			}
-			v, err := NewSnapshot(cfg, engines)
+			snapshot, err := NewSnapshot(cfg, engines)
 			if err != nil {
 				b.Fatal(err)
 			}
-			d := New(v)
-			set := cfg.Settings(p)
+			dispatcher := New(snapshot)
+			settings := cfg.Settings(pool)
 			for b.Loop() {
-				d.Swap(v, func() {
-					for _, e := range all {
-						e.Reconfigure(set, true)
+				dispatcher.Swap(snapshot, func() {
+					for _, eng := range all {
+						eng.Reconfigure(settings, true)
 					}
 				})
 			}
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	maxLists   = 16      // lists that are kept by number
-	readBuffer = 1 << 20 // bytes
-	noInstance = -1
-	flagRetry  = 2 // bit of a job_in line: the client marked the request as a retry
+	listSlots      = 16      // number of lists that are stored
+	readBufferSize = 1 << 20 // bytes
+	noInstance     = -1
+	flagRetry      = 2 // bit of a job_in line: the client marked the request as a retry
 )
 
-// Decoder reads messages one at a time.
+// Decoder decodes messages one at a time.
 type Decoder struct {
 	r        *bufio.Reader
 	line     int
 	inBatch  bool
 	instance int
-	lists    [maxLists][]balancer.Server
+	lists    [listSlots][]balancer.Server
 }
 
-// NewDecoder returns a Decoder that reads r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, readBuffer), instance: noInstance}
+	return &Decoder{r: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
 }
 
-// readLine returns the next line without its end. It returns io.ErrUnexpectedEOF for one that has none.
+// readLine returns the next line without its line ending. It returns io.ErrUnexpectedEOF if the ending is missing.
 func (d *Decoder) readLine() (string, error) {
-	s, err := d.r.ReadString('\n')
+	line, err := d.r.ReadString('\n')
 	if err == io.EOF {
-		if s == "" {
+		if line == "" {
 			return "", io.EOF
 		}
 		return "", io.ErrUnexpectedEOF
 	}
 	d.line++
-	return strings.TrimRight(s, "\r\n"), err
+	return strings.TrimRight(line, "\r\n"), err
 }
 
-// Next returns the next message. It returns io.EOF when the input ends between two batches, and
-// an error that names the line for anything else that ends or spoils the input.
+// Next returns the next message. It returns io.EOF if the input ends between two batches, and an error that names the line
+// if the input ends inside a batch or is invalid.
 func (d *Decoder) Next() (Message, error) {
 	for {
-		s, err := d.readLine()
+		line, err := d.readLine()
 		if err == io.EOF && !d.inBatch {
 			return Message{}, io.EOF
 		}
@@ -58,58 +58,58 @@
 		if err != nil {
 			return Message{}, fmt.Errorf("line %d: %w", d.line+1, err)
 		}
-		if s == "" {
+		if line == "" {
 			continue
 		}
-		m, skip, err := d.decode(s)
+		message, skip, err := d.decode(line)
 		if err != nil {
 			return Message{}, fmt.Errorf("line %d: %w", d.line, err)
 		}
 		if !skip {
-			return m, nil
+			return message, nil
 		}
 	}
 }
 
-// decode handles one line; skip is true for lines that only change the decoder's state.
-func (d *Decoder) decode(line string) (m Message, skip bool, err error) {
+// decode decodes one line. skip is true for lines that only change the decoder's state.
+func (d *Decoder) decode(line string) (message Message, skip bool, err error) {
 	name, rest, _ := strings.Cut(line, "\t")
 	if err := d.checkOrder(name); err != nil {
-		return m, false, err
+		return message, false, err
 	}
 	f := &fields{name: name, parts: strings.Split(rest, "\t")}
-	m.Instance = d.instance
+	message.Instance = d.instance
 	switch name {
 	case "sync":
-		m.Kind = Sync
-		m.Now = f.ms(0)
+		message.Kind = BatchStart
+		message.Now = f.duration(0)
 		d.inBatch = true
 		d.instance = noInstance
 	case "eob":
-		m.Kind = End
+		message.Kind = BatchEnd
 		d.inBatch = false
 	case "about":
 		d.decodeAbout(f)
-		return m, true, f.err
+		return message, true, f.err
 	case "list":
-		return m, true, d.readList(f)
+		return message, true, d.decodeList(f)
 	case "hello":
-		m.Kind = Hello
-		m.Seed, m.Settings, err = decodeHello(f, rest)
-		return m, false, err
+		message.Kind = InstanceStart
+		message.Seed, message.Settings, err = decodeHello(f, rest)
+		return message, false, err
 	case "crash_now":
-		m.Kind = Stop
+		message.Kind = InstanceKilled
 	case "checked", "mail":
-		m.Kind = Other
+		message.Kind = Ignored
 	default:
-		m.Kind = Event
-		m.Event, err = d.decodeEvent(f)
-		return m, false, err
+		message.Kind = Event
+		message.Event, err = d.decodeEvent(f)
+		return message, false, err
 	}
-	return m, false, f.err
+	return message, false, f.err
 }
 
-// checkOrder refuses a line that may not come here: outside a batch, or before the instance that it is for is named.
+// checkOrder returns an error for a line outside a batch, or before the line that names its instance.
 func (d *Decoder) checkOrder(name string) error {
 	if name == "sync" {
 		if d.inBatch {
@@ -125,24 +125,24 @@
 		return nil
 	}
 	if d.instance < 0 {
-		return fmt.Errorf("%s before any about", quote(name))
+		return fmt.Errorf("%s before an about line", quote(name))
 	}
 	return nil
 }
 
-// decodeAbout takes the instance that the lines after this one are for.
+// decodeAbout sets the instance of the lines that follow.
 func (d *Decoder) decodeAbout(f *fields) {
-	d.instance = f.num(0)
+	d.instance = f.integer(0)
 	if f.err == nil && d.instance < 0 {
 		f.fail(0, "is negative")
 	}
 }
 
-// decodeHello reads the seed and the settings of a new instance. The settings are the rest of the line, tabs and all.
+// decodeHello decodes the seed and the settings of a new instance. The settings are the rest of the line, including tabs.
 func decodeHello(f *fields, rest string) (seed uint64, settings balancer.Settings, err error) {
 	seedText, settingsText, found := strings.Cut(rest, "\t")
 	if !found {
-		return 0, settings, errors.New("hello lacks its settings")
+		return 0, settings, errors.New("hello: settings are missing")
 	}
 	f.parts[0] = seedText
 	seed = f.seed(0)
@@ -153,39 +153,39 @@
 	return seed, settings, err
 }
 
-// decodeEvent reads an event of an instance.
+// decodeEvent decodes an event of an instance.
 func (d *Decoder) decodeEvent(f *fields) (balancer.Event, error) {
-	var e balancer.Event
+	var event balancer.Event
 	switch f.name {
 	case "announce":
-		e = d.decodeAnnounce(f)
+		event = d.decodeAnnounce(f)
 	case "job_in":
-		e = balancer.Request{
+		event = balancer.Request{
 			ID:       f.text(0),
-			Deadline: f.ms(1),
+			Deadline: f.duration(1),
 			Class:    f.text(3),
-			Retry:    f.optNum(4)&flagRetry != 0,
+			Retry:    f.optInteger(4)&flagRetry != 0,
 		}
 	case "ring":
-		e = balancer.Timer{Token: f.text(0)}
+		event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		e = balancer.Outcome{
+		event = balancer.Outcome{
 			ID:      f.text(0),
 			Server:  f.text(1),
-			Latency: f.ms(2),
+			Latency: f.duration(2),
 			Ended:   f.text(3) == "1",
-			Attempt: f.num(4),
+			Attempt: f.integer(4),
 			Result:  f.result(5),
 			Load:    f.load(6),
 		}
 	case "timed_out_client":
-		e = balancer.ClientDisconnected{ID: f.text(0)}
+		event = balancer.ClientDisconnected{ID: f.text(0)}
 	case "flowing":
-		e = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
+		event = balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
 	default:
 		return nil, fmt.Errorf("unknown message %s", quote(f.name))
 	}
-	return e, f.err
+	return event, f.err
 }
 
 // Modes of an announce line.
@@ -196,17 +196,17 @@
 	announceFailed
 )
 
-// decodeAnnounce reads which list is announced, and how; nil if a value is wrong.
+// decodeAnnounce decodes the announcement of a stored list or of a failed watch. It returns nil if a value is invalid.
 func (d *Decoder) decodeAnnounce(f *fields) balancer.Event {
-	mode := f.num(0)
+	mode := f.integer(0)
 	switch mode {
 	case announceChanges, announceFull, announceCached:
-		n := f.num(1)
+		n := f.integer(1)
 		if f.err != nil {
 			return nil
 		}
 		if n < 0 || n >= len(d.lists) {
-			f.fail(1, "is no list number")
+			f.fail(1, "is not a list number")
 			return nil
 		}
 		return balancer.ServerList{
@@ -217,37 +217,37 @@
 	case announceFailed:
 		return balancer.ListFailed{}
 	}
-	f.fail(0, "is no mode")
+	f.fail(0, "is not a mode")
 	return nil
 }
 
-// readList reads a list and its items, and keeps it under its number.
-func (d *Decoder) readList(f *fields) error {
-	table := f.num(0)
-	count := f.num(1)
+// decodeList reads the items of a list and stores the list under its number.
+func (d *Decoder) decodeList(f *fields) error {
+	number := f.integer(0)
+	count := f.integer(1)
 	if f.err != nil {
 		return f.err
 	}
-	if table < 0 || table >= len(d.lists) || count < 0 {
-		return errors.New("list number or length out of range")
+	if number < 0 || number >= len(d.lists) || count < 0 {
+		return errors.New("list: number or length out of range")
 	}
 	var servers []balancer.Server
 	for i := range count {
 		line, err := d.readLine()
 		if err != nil {
-			return fmt.Errorf("list ends after %d of %d items", i, count)
+			return fmt.Errorf("list: input ends after %d of %d items", i, count)
 		}
 		name, rest, _ := strings.Cut(line, "\t")
 		if name != "item" {
-			return fmt.Errorf("want item %d of %d, got %s", i+1, count, quote(name))
+			return fmt.Errorf("list: got %s, want item %d of %d", quote(name), i+1, count)
 		}
-		s, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
+		server, err := decodeItem(&fields{name: name, parts: strings.Split(rest, "\t")})
 		if err != nil {
 			return err
 		}
-		servers = append(servers, s)
+		servers = append(servers, server)
 	}
-	d.lists[table] = servers
+	d.lists[number] = servers
 	return nil
 }
 
@@ -258,24 +258,24 @@
 	stateReady
 )
 
-// decodeItem reads one server of a list.
+// decodeItem decodes one server of a list.
 func decodeItem(f *fields) (balancer.Server, error) {
-	s := balancer.Server{
+	server := balancer.Server{
 		ID:   f.text(0),
 		Zone: f.text(1),
-		Cell: f.num(3),
+		Cell: f.integer(3),
 		Size: f.size(5),
-		Boot: f.optMS(6),
+		Boot: f.optDuration(6),
 	}
-	switch f.num(4) {
+	switch f.integer(4) {
 	case stateReady:
-		s.State = balancer.Ready
+		server.State = balancer.Ready
 	case stateDraining:
-		s.State = balancer.Draining
+		server.State = balancer.Draining
 	case stateRemoved:
-		s.State = balancer.Removed
+		server.State = balancer.Removed
 	default:
-		f.fail(4, "is no state")
+		f.fail(4, "is not a state")
 	}
-	return s, f.err
+	return server, f.err
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,71 +11,71 @@
 )
 
 const (
-	maxValue  = 1e12 // of times in milliseconds, sizes and loads
-	maxQuoted = 40   // bytes of a text that an error shows
+	maxValue  = 1e12 // largest time in milliseconds, size and load
+	maxQuoted = 40   // bytes of a quoted text in an error
 )
 
-// fields reads the parts of one line and keeps the first error.
+// fields parses the fields of one line and keeps the first error.
 type fields struct {
 	name  string
 	parts []string
 	err   error
 }
 
-// fail notes that value i is wrong, unless an error stands already.
+// fail records an error of value i, unless there is one already.
 func (f *fields) fail(i int, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: value %d %s", f.name, i+1, why)
 	}
 }
 
-// opt returns a value, or "" where it is absent.
-func (f *fields) opt(i int) string {
+// optText returns a value, or "" if it is absent.
+func (f *fields) optText(i int) string {
 	if i >= len(f.parts) || f.parts[i] == "-" {
 		return ""
 	}
 	return f.parts[i]
 }
 
-// text returns a value that must be there.
+// text returns a required value.
 func (f *fields) text(i int) string {
-	s := f.opt(i)
+	s := f.optText(i)
 	if s == "" {
 		f.fail(i, "is missing")
 	}
 	return s
 }
 
-// num reads an integer.
-func (f *fields) num(i int) int {
+// integer parses an integer.
+func (f *fields) integer(i int) int {
 	v, err := strconv.Atoi(f.text(i))
 	if err != nil {
-		f.fail(i, "is no integer")
+		f.fail(i, "is not an integer")
 	}
 	return v
 }
 
-// optNum reads an integer; 0 where it is absent.
-func (f *fields) optNum(i int) int {
-	if f.opt(i) == "" {
+// optInteger parses an integer; 0 if it is absent.
+func (f *fields) optInteger(i int) int {
+	if f.optText(i) == "" {
 		return 0
 	}
-	return f.num(i)
+	return f.integer(i)
 }
 
-// size reads how much a server can carry; absent means not told.
+// size parses the capacity of a server; 0 if it is absent.
 func (f *fields) size(i int) float64 {
-	if f.opt(i) == "" {
+	if f.optText(i) == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(f.opt(i), 64)
-	if err != nil || !(v >= 0 && v <= maxValue) {
-		f.fail(i, "is no size")
+	value, err := strconv.ParseFloat(f.optText(i), 64)
+	if err != nil || !(value >= 0 && value <= maxValue) {
+		f.fail(i, "is not a size")
 	}
-	return v
+	return value
 }
 
-// seed reads an integer of 64 bits, signed or not.
+// seed parses a signed or unsigned 64-bit integer.
 func (f *fields) seed(i int) uint64 {
 	s := f.text(i)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -83,30 +83,30 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(i, "is no integer")
+		f.fail(i, "is not an integer")
 	}
 	return uint64(v)
 }
 
-// ms reads a time in milliseconds.
-func (f *fields) ms(i int) time.Duration {
-	v, err := strconv.ParseFloat(f.text(i), 64)
-	if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
-		f.fail(i, "is no time in milliseconds")
+// duration parses a time in milliseconds.
+func (f *fields) duration(i int) time.Duration {
+	value, err := strconv.ParseFloat(f.text(i), 64)
+	if err != nil || math.IsNaN(value) || math.Abs(value) > maxValue {
+		f.fail(i, "is not a time in milliseconds")
 		return 0
 	}
-	return fromMS(v)
+	return milliseconds(value)
 }
 
-// optMS reads a time in milliseconds; 0 where it is absent.
-func (f *fields) optMS(i int) time.Duration {
-	if f.opt(i) == "" {
+// optDuration parses a time in milliseconds; 0 if it is absent.
+func (f *fields) optDuration(i int) time.Duration {
+	if f.optText(i) == "" {
 		return 0
 	}
-	return f.ms(i)
+	return f.duration(i)
 }
 
-// results by their names on the wire.
+// results maps the protocol's names to results.
 var results = map[string]balancer.Result{
 	"success": balancer.Success, "failure": balancer.Failure,
 	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
@@ -114,40 +114,40 @@
 	"withdrawn": balancer.Cancelled, "void": balancer.NotStarted,
 }
 
-// result reads how an attempt ended.
+// result parses the result of an attempt.
 func (f *fields) result(i int) balancer.Result {
-	e, ok := results[f.text(i)]
+	result, ok := results[f.text(i)]
 	if !ok {
-		f.fail(i, "is no result")
+		f.fail(i, "is not a result")
 	}
-	return e
+	return result
 }
 
-// load reads name:value pairs; names it does not know are ignored.
+// load parses name:value pairs. Unknown names are ignored.
 func (f *fields) load(i int) *balancer.Load {
-	s := f.opt(i)
-	if s == "" {
+	report := f.optText(i)
+	if report == "" {
 		return nil
 	}
-	l := &balancer.Load{Busy: -1, Service: -1}
-	for _, pair := range strings.Split(s, ",") {
+	load := &balancer.Load{Busy: -1, Service: -1}
+	for _, pair := range strings.Split(report, ",") {
 		name, text, _ := strings.Cut(pair, ":")
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || math.IsNaN(v) || math.Abs(v) > maxValue {
-			f.fail(i, "is no load report")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) || math.Abs(value) > maxValue {
+			f.fail(i, "is not a load report")
 			return nil
 		}
 		switch name {
 		case "busy_reqs":
-			l.Busy = v
+			load.Busy = value
 		case "svc_ms":
-			l.Service = fromMS(v)
+			load.Service = milliseconds(value)
 		}
 	}
-	return l
+	return load
 }
 
-// quote quotes a text for an error, shortened to maxQuoted bytes.
+// quote quotes a text for an error, truncated to maxQuoted bytes.
 func quote(s string) string {
 	if len(s) > maxQuoted {
 		s = s[:maxQuoted] + "..."
@@ -155,5 +155,7 @@
 	return strconv.Quote(s)
 }
 
-// fromMS returns a time that the wire gives in milliseconds.
-func fromMS(v float64) time.Duration { return time.Duration(math.Round(v * float64(time.Millisecond))) }
+// milliseconds converts a number of milliseconds, rounded to nanoseconds.
+func milliseconds(v float64) time.Duration {
+	return time.Duration(math.Round(v * float64(time.Millisecond)))
+}
