--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -94,8 +94,8 @@
 // valueRate returns the value that a reply in the request's class adds per unit of server time, so that shedding
 // rejects the least valuable requests first. The class with the lowest share of served requests gets an extra weight,
 // so that none starves.
-func (b *Balancer) valueRate(r *request) float64 {
-	own := r.class
+func (b *Balancer) valueRate(req *request) float64 {
+	own := req.class
 	var total float64
 	worst := own // class with the lowest share of requests served
 	for _, c := range b.classOrder {
@@ -109,7 +109,7 @@
 	if worst == own {
 		value += b.settings.ClassWeight / max(own.arrivals, 1e-9)
 	}
-	if r.retry { // its latency objective started at the client's first attempt and has mostly passed
+	if req.retry { // its latency objective started at the client's first attempt and has mostly passed
 		value *= own.LateShare
 	}
 	return value / own.meanLatency
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -50,44 +50,44 @@
 }
 
 // send starts the next attempt of a request.
-func (b *Balancer) send(r *request, s *server) {
+func (b *Balancer) send(req *request, srv *server) {
 	a := &attempt{
-		request:  r,
-		server:   s,
-		number:   len(r.attempts),
-		zone:     s.zone,
+		request:  req,
+		server:   srv,
+		number:   len(req.attempts),
+		zone:     srv.zone,
 		sent:     b.now,
-		zoneName: s.Zone,
-		cell:     s.Cell,
+		zoneName: srv.Zone,
+		cell:     srv.Cell,
 	}
-	if b.zoneExcluded(s) {
-		s.zone.probe = a
+	if b.zoneExcluded(srv) {
+		srv.zone.probe = a
 		// A connection opened before the zone became unreachable would accept the request and never reply.
-		b.emit(CloseIdle{Server: s.ID})
+		b.emit(CloseIdle{Server: srv.ID})
 	}
 	if a.number == 0 {
 		b.shedShare -= shedWeight * b.shedShare
 	}
-	notAfter := b.latestRetryStart(r) // of the attempts before this one
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	b.removeDelayed(r)
-	s.uploading++
-	if !r.partial {
+	notAfter := b.latestRetryStart(req) // of the attempts before this one
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	b.removeDelayed(req)
+	srv.uploading++
+	if !req.partial {
 		b.countAttempt(a)
 	}
-	b.emit(Send{ID: r.id, Server: s.ID, Timeout: b.attemptTimeout(a), NotAfter: notAfter})
+	b.emit(Send{ID: req.id, Server: srv.ID, Timeout: b.attemptTimeout(a), NotAfter: notAfter})
 }
 
 // attemptTimeout returns how long an attempt may take. A server that hangs uses up all of the request's time. Where
 // that happens below the first tier, an attempt that may be retried gets half of the time, if nearly all replies
 // arrive within that.
 func (b *Balancer) attemptTimeout(a *attempt) time.Duration {
-	r := a.request
-	remaining := b.replyDeadline(r) - b.now
-	mayRetry := r.effect == Safe && a.number+1 < b.settings.MaxAttempts && b.retryTokens >= 1
-	hangs := b.settings.Tier > 0 && r.class.failureShare > hangFailureShare
-	if mayRetry && hangs && remaining/2 > b.overlongLatency(r.class) {
+	req := a.request
+	remaining := b.replyDeadline(req) - b.now
+	mayRetry := req.effect == Safe && a.number+1 < b.settings.MaxAttempts && b.retryTokens >= 1
+	hangs := b.settings.Tier > 0 && req.class.failureShare > hangFailureShare
+	if mayRetry && hangs && remaining/2 > b.overlongLatency(req.class) {
 		remaining /= 2
 	}
 	return max(remaining, b.settings.Tick)
@@ -120,53 +120,53 @@
 }
 
 // handleOutcome ends an attempt, updates the statistics and retries or responds if needed.
-func (b *Balancer) handleOutcome(e Outcome) {
-	a := b.openAttempt(e.ID, e.Attempt)
+func (b *Balancer) handleOutcome(outcome Outcome) {
+	a := b.openAttempt(outcome.ID, outcome.Attempt)
 	if a == nil {
 		return
 	}
-	r := a.request
+	req := a.request
 	a.ended = true
-	a.neverRan = e.Result.NeverRan()
-	r.inFlight--
-	if e.NotReplayable {
-		r.notReplayable = true
+	a.neverRan = outcome.Result.NeverRan()
+	req.inFlight--
+	if outcome.NotReplayable {
+		req.notReplayable = true
 	}
-	b.recordOutcome(a, e)
+	b.recordOutcome(a, outcome)
 	b.removeUnlistedServer(a.server)
-	if e.Ended {
-		b.countServed(r, e.Result)
-		b.finish(r)
-	} else if !r.answered && r.inFlight == 0 {
-		b.retryOrRespond(r)
+	if outcome.Ended {
+		b.countServed(req, outcome.Result)
+		b.finish(req)
+	} else if !req.answered && req.inFlight == 0 {
+		b.retryOrRespond(req)
 	}
-	b.removeFinishedRequest(r)
+	b.removeFinishedRequest(req)
 	b.releaseDelayed()
 }
 
 // recordOutcome updates the statistics of the server, its zone and the load from an outcome.
-func (b *Balancer) recordOutcome(a *attempt, e Outcome) {
-	if e.Load != nil {
-		b.recordLoad(a.server, e.Load.Busy, b.now)
+func (b *Balancer) recordOutcome(a *attempt, outcome Outcome) {
+	if outcome.Load != nil {
+		b.recordLoad(a.server, outcome.Load.Busy, b.now)
 	}
-	serverReachable := b.recordZoneResult(a, e.Result)
+	serverReachable := b.recordZoneResult(a, outcome.Result)
 	if a.counted {
-		b.uncountAttempt(a, e, serverReachable)
+		b.uncountAttempt(a, outcome, serverReachable)
 	} else {
 		b.endUpload(a)
 	}
-	if serverReachable && (a.counted || e.Result != Success) {
-		b.recordResult(a, e)
+	if serverReachable && (a.counted || outcome.Result != Success) {
+		b.recordResult(a, outcome)
 	}
 }
 
 // uncountAttempt removes an attempt from the in-flight counts. Its latency adjusts the window, unless its server is
 // unresponsive: that says nothing about the load of the others.
-func (b *Balancer) uncountAttempt(a *attempt, e Outcome, serverReachable bool) {
+func (b *Balancer) uncountAttempt(a *attempt, outcome Outcome, serverReachable bool) {
 	b.inFlight--
 	a.server.inFlight--
 	if serverReachable && !b.unresponsive(a.server) {
-		b.adjustWindow(a.request, e)
+		b.adjustWindow(a.request, outcome)
 	}
 	a.server.open = slices.DeleteFunc(a.server.open, func(o *attempt) bool { return o == a })
 }
--- a/internal/balancer/classes.go
+++ b/internal/balancer/classes.go
@@ -41,16 +41,16 @@
 	b.classes = map[string]*class{}
 	b.classOrder = nil
 	for _, c := range append(slices.Clone(list), unknownClass(list)) {
-		k := old[c.Name]
-		if k == nil {
-			k = &class{}
+		known := old[c.Name]
+		if known == nil {
+			known = &class{}
 		}
-		k.Class = c
-		if k.samples == 0 {
-			k.initLatencyEstimates()
+		known.Class = c
+		if known.samples == 0 {
+			known.initLatencyEstimates()
 		}
-		b.classes[c.Name] = k
-		b.classOrder = append(b.classOrder, k)
+		b.classes[c.Name] = known
+		b.classOrder = append(b.classOrder, known)
 	}
 }
 
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -10,20 +10,20 @@
 
 func TestNodesShareServerOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
-	l := servers(7)
-	a.Handle(0, ServerList{Full: true, Servers: l})
-	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, ServerList{Servers: l[i : i+1]})
+	list := servers(7)
+	a.Handle(0, ServerList{Full: true, Servers: list})
+	for i := len(list) - 1; i >= 0; i-- {
+		b.Handle(0, ServerList{Servers: list[i : i+1]})
 	}
-	for i := range l {
+	for i := range list {
 		if a.ready[i].ID != b.ready[i].ID {
 			t.Fatalf("order differs at %d: %s, %s", i, a.ready[i].ID, b.ready[i].ID)
 		}
 	}
 }
 
-// However seldom a node must ask, it asks again within a second of a failure: what it misses counts as known soon after
-// discovery can be reached.
+// A node polls discovery again within a second of a failure, however long its poll interval is, so that a missed
+// change becomes known soon after discovery is reachable.
 func TestFailedDiscoveryIsRetriedWithinASecond(t *testing.T) {
 	for _, within := range []time.Duration{100 * msec, 10 * time.Second, time.Hour} {
 		b := newBalancer(t, func(s *Settings) { s.PollDiscovery, s.PollInterval = true, within })
@@ -31,14 +31,14 @@
 			now := time.Duration(i) * time.Minute
 			for _, a := range b.Handle(now, ListFailed{}) {
 				if w, ok := a.(SetTimer); ok && w.At-now > min(time.Second, within/4)+1 {
-					t.Errorf("to ask within %v: asked again %v after failure %d", within, w.At-now, i+1)
+					t.Errorf("poll interval %v: next poll %v after failure %d", within, w.At-now, i+1)
 				}
 			}
 		}
 	}
 }
 
-// Whatever lists come, the shared order holds the listed servers in service by id, the module knows no server that is
+// After any sequence of lists, the shared order holds the ready servers sorted by ID, and no server is kept that is
 // neither listed nor busy, and no zone without servers.
 func TestServerOrderFollowsEndpointList(t *testing.T) {
 	b := newBalancer(t, nil)
@@ -69,7 +69,7 @@
 			got = append(got, s.ID)
 		}
 		if !slices.Equal(got, want) || len(b.servers) != len(listed) || len(b.zones) != len(zones) {
-			t.Fatalf("step %d: order %v, want %v; %d servers of %d; %d zones of %d", step, got, want, len(b.servers), len(listed), len(b.zones), len(zones))
+			t.Fatalf("step %d: order %v, want %v; %d servers, want %d; %d zones, want %d", step, got, want, len(b.servers), len(listed), len(b.zones), len(zones))
 		}
 	}
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -8,7 +8,8 @@
 	"damsontrestle/internal/balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// This example drives one Balancer: a list, a request, an attempt that never ran, and the reply to the second
+// attempt.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
@@ -49,7 +50,7 @@
 	}
 }
 
-// benchmarkHandle plays a request and its answer at one of 100 copies.
+// benchmarkHandle measures a request and its reply at one of 100 nodes with n servers.
 func benchmarkHandle(bench *testing.B, n int) {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, LatencyObjective: time.Second,
--- a/internal/balancer/helpers_test.go
+++ b/internal/balancer/helpers_test.go
@@ -8,7 +8,7 @@
 
 const msec = time.Millisecond
 
-// testSettings has one class of each effect.
+// testSettings returns settings with one class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -38,32 +38,32 @@
 }
 
 func servers(n int) []Server {
-	var l []Server
+	var list []Server
 	for i := range n {
-		l = append(l, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		list = append(list, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
-	return l
+	return list
 }
 
 // sends returns the Send actions among acts.
 func sends(acts []Action) []Send {
-	var l []Send
+	var list []Send
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			l = append(l, s)
+			list = append(list, s)
 		}
 	}
-	return l
+	return list
 }
 
-// endOnlyAttempt answers the single attempt of a request.
+// endOnlyAttempt ends the only attempt of a request.
 func endOnlyAttempt(b *Balancer, now time.Duration, id string, s Send, e Result) []Action {
 	return b.Handle(now, Outcome{ID: id, Server: s.Server, Result: e, Ended: e == Success})
 }
 
-// sendTraffic sends n requests one after another; fate decides how attempts at a server end. It
-// returns how many first attempts each server got in the second half.
-func sendTraffic(b *Balancer, n int, class string, fate func(server string) Result) map[string]int {
+// sendTraffic sends n requests one after another; resultOf returns the result of attempts at a server. It returns the
+// number of first attempts per server in the second half.
+func sendTraffic(b *Balancer, n int, class string, resultOf func(server string) Result) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
@@ -72,9 +72,9 @@
 				got[s.Server]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				result := resultOf(s.Server)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Result: e, Ended: e == Success}))
+				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Result: result, Ended: result == Success}))
 				if len(again) == 0 {
 					break
 				}
--- a/internal/balancer/load_reports.go
+++ b/internal/balancer/load_reports.go
@@ -54,31 +54,31 @@
 // poll asks some servers of the subset for their load (power of d choices) and makes the request wait for the
 // reports: even a slightly older report is much less accurate, because other nodes' requests have arrived since. It
 // reports whether the request waits.
-func (b *Balancer) poll(r *request) bool {
-	if b.settings.PollChoices < 2 || len(r.attempts) > 0 || r.polled != nil {
+func (b *Balancer) poll(req *request) bool {
+	if b.settings.PollChoices < 2 || len(req.attempts) > 0 || req.polled != nil {
 		return false
 	}
 	b.updateSubset()
-	b.excludeOutliers(b.subset, r, true)
+	b.excludeOutliers(b.subset, req, true)
 	leftChoices := (b.settings.PollChoices + 1) / 2
 	rightChoices := b.settings.PollChoices / 2
 	polled := b.samplePolled(b.subset.left, leftChoices)
 	polled = append(polled, b.samplePolled(b.subset.right, rightChoices)...)
-	maxWait := time.Duration(pollTimeoutLatencies * r.class.meanLatency)
-	available := r.deadline - b.now - 4*b.settings.Tick
+	maxWait := time.Duration(pollTimeoutLatencies * req.class.meanLatency)
+	available := req.deadline - b.now - 4*b.settings.Tick
 	timeout := min(maxWait, available)
 	if len(polled) < 2 || timeout < b.settings.Tick {
-		r.polled = []*server{} // non-nil prevents a second poll
+		req.polled = []*server{} // non-nil prevents a second poll
 		return false
 	}
-	r.polled = polled
-	r.polling = len(polled)
+	req.polled = polled
+	req.polling = len(polled)
 	ids := make([]string, 0, len(polled))
-	for _, s := range polled {
-		ids = append(ids, s.ID)
+	for _, srv := range polled {
+		ids = append(ids, srv.ID)
 	}
-	b.emit(Poll{ID: r.id, Servers: ids, Timeout: timeout})
-	b.scheduleTimer(r, b.now+timeout)
+	b.emit(Poll{ID: req.id, Servers: ids, Timeout: timeout})
+	b.scheduleTimer(req, b.now+timeout)
 	return true
 }
 
--- a/internal/balancer/outlier_detection.go
+++ b/internal/balancer/outlier_detection.go
@@ -46,13 +46,13 @@
 // excludeOutliers marks the servers of the groups that the request must not use. If many servers look like outliers
 // to one node, the fault is more likely its own or in the tier below, and the remaining servers would get the whole
 // load. So only the worst are excluded, up to maxEjected.
-func (b *Balancer) excludeOutliers(g groups, r *request, avoid bool) {
+func (b *Balancer) excludeOutliers(g groups, req *request, avoid bool) {
 	var outliers []*server
-	for _, s := range slices.Concat(g.left, g.right) {
-		s.excluded = avoid && b.shouldAvoid(s, r)
-		if !s.excluded && b.isOutlier(s, r) {
-			s.excluded = true
-			outliers = append(outliers, s)
+	for _, srv := range slices.Concat(g.left, g.right) {
+		srv.excluded = avoid && b.shouldAvoid(srv, req)
+		if !srv.excluded && b.isOutlier(srv, req) {
+			srv.excluded = true
+			outliers = append(outliers, srv)
 		}
 	}
 	limit := b.maxEjected()
@@ -61,8 +61,8 @@
 	}
 	worstFirst := func(a, o *server) int { return cmp.Compare(o.badStreak, a.badStreak) }
 	slices.SortStableFunc(outliers, worstFirst)
-	for _, s := range outliers[limit:] {
-		s.excluded = false
+	for _, srv := range outliers[limit:] {
+		srv.excluded = false
 	}
 }
 
--- a/internal/balancer/random_host_test.go
+++ b/internal/balancer/random_host_test.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// runRandomEvents drives a Balancer with random legal events and odd ones, and returns all its actions.
-func runRandomEvents(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
+// runRandomEvents drives a Balancer with random valid events and some invalid ones, and returns all its actions.
+func runRandomEvents(t testing.TB, set Settings, seed uint64, steps int, checker *ruleChecker) (log []string, b *Balancer) {
 	t.Helper()
-	h := &randomHost{
+	host := &randomHost{
 		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		set:       set,
 		current:   set,
-		checker:   c,
+		checker:   checker,
 		fleet:     servers(8),
 		responded: map[string]bool{},
 	}
-	h.start(seed)
-	h.deliver(ServerList{Full: true, Cached: true, Servers: h.fleet})
+	host.start(seed)
+	host.deliver(ServerList{Full: true, Cached: true, Servers: host.fleet})
 	for i := range steps {
-		h.now += set.Tick
-		if h.rng.IntN(700) == 0 {
-			h.restart(seed + uint64(i))
+		host.now += set.Tick
+		if host.rng.IntN(700) == 0 {
+			host.restart(seed + uint64(i))
 		}
-		h.fireTimers()
-		h.endAttempts()
-		if i < steps*3/4 && h.rng.IntN(3) == 0 {
-			h.request(fmt.Sprint("r", i))
+		host.fireTimers()
+		host.endAttempts()
+		if i < steps*3/4 && host.rng.IntN(3) == 0 {
+			host.request(fmt.Sprint("r", i))
 		}
-		if h.rng.IntN(60) == 0 {
-			h.changeServer()
+		if host.rng.IntN(60) == 0 {
+			host.changeServer()
 		}
-		h.answerPolls()
-		if h.rng.IntN(150) == 0 {
-			h.deliver(Reconfigure{changedSettings(h.rng, set)})
+		host.answerPolls()
+		if host.rng.IntN(150) == 0 {
+			host.deliver(Reconfigure{changedSettings(host.rng, set)})
 		}
-		if h.rng.IntN(40) == 0 {
-			h.deliverUnknownIDs()
+		if host.rng.IntN(40) == 0 {
+			host.deliverUnknownIDs()
 		}
-		if h.rng.IntN(50) == 0 && len(h.ids) > 0 {
-			h.disconnect(h.ids[h.rng.IntN(len(h.ids))])
+		if host.rng.IntN(50) == 0 && len(host.ids) > 0 {
+			host.disconnect(host.ids[host.rng.IntN(len(host.ids))])
 		}
 	}
-	return h.log, h.b
+	return host.log, host.b
 }
 
-// randomHost carries out the actions of one Balancer with drawn delays and results.
+// randomHost carries out the actions of one Balancer with random delays and results.
 type randomHost struct {
 	t         testing.TB
 	rng       *rand.Rand
@@ -60,13 +60,13 @@
 	fleet     []Server
 	open      []openAttempt
 	timers    []SetTimer
-	polled    []Poll // one for each server
+	polled    []Poll // one per server
 	ids       []string
 	responded map[string]bool
 	log       []string
 }
 
-// openAttempt is an attempt that the host carries out.
+// openAttempt is an attempt in progress at the host.
 type openAttempt struct {
 	id       string
 	number   int
@@ -75,7 +75,7 @@
 	timesOut bool
 }
 
-// start begins a Balancer with the settings that hold now.
+// start creates a Balancer with the current settings.
 func (h *randomHost) start(seed uint64) {
 	h.t.Helper()
 	b, err := New(h.current, seed)
@@ -85,7 +85,7 @@
 	h.b = b
 }
 
-// restart kills the Balancer, with all that is open, and starts another one.
+// restart discards the Balancer and all open attempts, and starts another one.
 func (h *randomHost) restart(seed uint64) {
 	h.t.Helper()
 	h.open = nil
@@ -98,7 +98,7 @@
 	h.deliver(ServerList{Full: true, Cached: true, Servers: h.listed()})
 }
 
-// listed are the servers that are not removed.
+// listed returns the servers that are not removed.
 func (h *randomHost) listed() (list []Server) {
 	for _, s := range h.fleet {
 		if s.State != Removed {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// deliver hands an event to the Balancer and the checker, and takes the actions.
+// deliver passes an event to the Balancer and the checker and carries out the actions.
 func (h *randomHost) deliver(e Event) {
 	if r, ok := e.(Reconfigure); ok && validate(r.Settings) == nil {
 		h.current = r.Settings
@@ -135,7 +135,7 @@
 	}
 }
 
-// send begins an attempt and draws how long it takes.
+// send starts an attempt with a random duration.
 func (h *randomHost) send(a Send) {
 	number := 0
 	for _, o := range h.open {
@@ -155,7 +155,7 @@
 	h.open = append(h.open, o)
 }
 
-// fireTimers gives the timers that are due, now and then twice.
+// fireTimers delivers the timers that are due, some of them twice.
 func (h *randomHost) fireTimers() {
 	for k := 0; k < len(h.timers); k++ {
 		w := h.timers[k]
@@ -171,7 +171,7 @@
 	}
 }
 
-// endAttempts gives the outcomes that are due, now and then twice; some clients disconnect then.
+// endAttempts delivers the outcomes that are due, some of them twice; some clients disconnect afterwards.
 func (h *randomHost) endAttempts() {
 	for k := 0; k < len(h.open); k++ {
 		o := h.open[k]
@@ -196,7 +196,7 @@
 	}
 }
 
-// drawResult draws how an attempt ends.
+// drawResult returns a random result for an attempt.
 func (h *randomHost) drawResult(o openAttempt) Result {
 	if o.timesOut {
 		return TimedOut
@@ -207,20 +207,21 @@
 	return Success
 }
 
-// disconnect has the client of a request leave.
+// disconnect reports that the client of a request has disconnected.
 func (h *randomHost) disconnect(id string) {
 	h.deliver(ClientDisconnected{ID: id})
 	h.responded[id] = true
 }
 
-// request begins a request of a drawn class, one of which is unknown.
+// request delivers a request of a random class, one of which is unknown.
 func (h *randomHost) request(id string) {
 	class := []string{"get", "post", "pay", "odd"}[h.rng.IntN(4)]
 	h.ids = append(h.ids, id)
 	h.deliver(Request{ID: id, Class: class, Deadline: h.now + time.Duration(1+h.rng.IntN(1500))*msec})
 }
 
-// changeServer changes a server and tells of it by a full list or a change, or after a failure.
+// changeServer changes a random server and reports it with a full list, with a change, or with a change after a
+// failure.
 func (h *randomHost) changeServer() {
 	s := &h.fleet[h.rng.IntN(len(h.fleet))]
 	s.State = ServerState(h.rng.IntN(3))
@@ -239,7 +240,7 @@
 	}
 }
 
-// answerPolls gives load reports in any order, late, twice or not at all.
+// answerPolls delivers load reports in any order, late, twice or not at all.
 func (h *randomHost) answerPolls() {
 	for k := 0; k < len(h.polled); k++ {
 		if h.rng.IntN(4) > 0 {
@@ -263,7 +264,7 @@
 	}
 }
 
-// deliverUnknownIDs gives events of what nobody knows.
+// deliverUnknownIDs delivers events with unknown IDs.
 func (h *randomHost) deliverUnknownIDs() {
 	h.deliver(LoadUpdate{ID: "nobody", Loads: []ServerLoad{{Server: "nobody", Busy: 1}}})
 	h.deliver(Outcome{ID: "nobody", Attempt: 3, Result: Success})
@@ -272,8 +273,8 @@
 	h.deliver(ClientDisconnected{ID: "nobody"})
 }
 
-// changedSettings are other settings for the same place: classes of other effects, one more or one fewer, other bounds.
-// Now and then they are none that a Balancer could have.
+// changedSettings returns variations of the settings: classes with other effects, one class more or fewer, other
+// limits. Some of them are invalid.
 func changedSettings(rng *rand.Rand, set Settings) Settings {
 	next := set
 	next.Classes = append([]Class(nil), set.Classes...)
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A request under way is held to its class's terms as taken or as now, whichever are stricter: one whose class
-// turns unsafe while an attempt is out fails when that may have run, and one that was taken as unsafe stays so.
+// An open request follows the terms of its class as accepted or as they are now, whichever are stricter: one whose
+// class becomes unsafe during an attempt fails if the attempt may have run, and one accepted as unsafe stays unsafe.
 func TestReconfigureAppliesStricterTermsToRequests(t *testing.T) {
-	change := func(name string, with func(*Class)) Settings {
+	change := func(name string, edit func(*Class)) Settings {
 		set := testSettings()
 		for i := range set.Classes {
 			if set.Classes[i].Name == name {
-				with(&set.Classes[i])
+				edit(&set.Classes[i])
 			}
 		}
 		return set
@@ -23,25 +23,25 @@
 		ending      Result
 		want        string
 	}{
-		{"as it was", "get", testSettings(), ConnectionLost, "send"},
-		{"safe turns unsafe", "get", change("get", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
-		{"safe turns unsafe, and the attempt never ran", "get", change("get", func(c *Class) { c.Effect = Unsafe }), Unreachable, "send"},
-		{"safe turns keyed", "get", change("get", func(c *Class) { c.Effect, c.Scope, c.Window = Keyed, ScopeAll, time.Second }), ConnectionLost, "fail"},
-		{"unsafe turns safe", "pay", change("pay", func(c *Class) { c.Effect = Safe }), ConnectionLost, "fail"},
-		{"keyed turns safe", "post", change("post", func(c *Class) { c.Effect, c.Scope = Safe, ScopeAll }), ConnectionLost, "send"},
-		{"keyed turns unsafe", "post", change("post", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
-		{"the window gets shorter", "post", change("post", func(c *Class) { c.Window = msec }), ConnectionLost, "fail"},
-		{"the window gets longer", "post", change("post", func(c *Class) { c.Window = time.Hour }), ConnectionLost, "send"},
-		{"the class goes", "get", change("get", func(c *Class) { c.Name = "other" }), ConnectionLost, "fail"},
+		{"unchanged", "get", testSettings(), ConnectionLost, "send"},
+		{"safe becomes unsafe", "get", change("get", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
+		{"safe becomes unsafe, and the attempt never ran", "get", change("get", func(c *Class) { c.Effect = Unsafe }), Unreachable, "send"},
+		{"safe becomes keyed", "get", change("get", func(c *Class) { c.Effect, c.Scope, c.Window = Keyed, ScopeAll, time.Second }), ConnectionLost, "fail"},
+		{"unsafe becomes safe", "pay", change("pay", func(c *Class) { c.Effect = Safe }), ConnectionLost, "fail"},
+		{"keyed becomes safe", "post", change("post", func(c *Class) { c.Effect, c.Scope = Safe, ScopeAll }), ConnectionLost, "send"},
+		{"keyed becomes unsafe", "post", change("post", func(c *Class) { c.Effect = Unsafe }), ConnectionLost, "fail"},
+		{"shorter window", "post", change("post", func(c *Class) { c.Window = msec }), ConnectionLost, "fail"},
+		{"longer window", "post", change("post", func(c *Class) { c.Window = time.Hour }), ConnectionLost, "send"},
+		{"class removed", "get", change("get", func(c *Class) { c.Name = "other" }), ConnectionLost, "fail"},
 		{"fewer attempts", "get", func() Settings { s := testSettings(); s.MaxAttempts = 1; return s }(), ConnectionLost, "reject"},
-		{"no settings at all", "get", Settings{}, ConnectionLost, "send"},
+		{"invalid settings", "get", Settings{}, ConnectionLost, "send"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(0, ServerList{Full: true, Servers: servers(8)})
 			first := sends(b.Handle(msec, Request{ID: "r", Class: c.class, Deadline: 1400 * msec}))
 			if len(first) != 1 {
-				t.Fatalf("%d sends", len(first))
+				t.Fatalf("%d sends, want 1", len(first))
 			}
 			b.Handle(2*msec, Reconfigure{c.next})
 			acts := b.Handle(20*msec, Outcome{ID: "r", Server: first[0].Server, Result: c.ending})
@@ -63,7 +63,7 @@
 	}
 }
 
-// What was learned of servers and of classes that stay is kept, and what is new of a class holds at once.
+// The statistics of servers and of remaining classes are kept, and changed class settings apply at once.
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(8)})
@@ -83,7 +83,7 @@
 	bad, get := b.servers["s03"], b.classes["get"]
 	mean, samples, share := get.meanLatency, get.samples, b.failureShare(bad, get, get)
 	if share < 0.1 || samples < 100 {
-		t.Fatalf("a share of failures of %v after %d samples", share, samples)
+		t.Fatalf("share of failures %v after %d samples, want at least 0.1 after 100", share, samples)
 	}
 	next := testSettings()
 	next.Classes[0].LatencyObjective, next.Classes[0].PriorityWeight = 300*msec, 9
@@ -91,7 +91,7 @@
 	b.Handle(now, Reconfigure{next})
 	get = b.classes["get"]
 	if get.meanLatency != mean || get.samples != samples || b.failureShare(bad, get, get) != share {
-		t.Errorf("mean %v, %d samples, failing %v; want %v, %d, %v", get.meanLatency, get.samples, b.failureShare(bad, get, get), mean, samples, share)
+		t.Errorf("mean latency %v, %d samples, share of failures %v; want %v, %d, %v", get.meanLatency, get.samples, b.failureShare(bad, get, get), mean, samples, share)
 	}
 	if get.LatencyObjective != 300*msec || get.PriorityWeight != 9 || b.classes["pay"] != nil || b.classes["new"].meanLatency != float64(25*msec) || len(b.classOrder) != 3 {
 		t.Errorf("latency objective %v, priority weight %v, %d classes", get.LatencyObjective, get.PriorityWeight, len(b.classOrder))
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -66,7 +66,7 @@
 	if c == nil {
 		c = b.classes[""]
 	}
-	r := &request{
+	req := &request{
 		terms:    terms{effect: c.Effect, scope: c.Scope, window: c.Window},
 		id:       e.ID,
 		class:    c,
@@ -75,17 +75,17 @@
 		retry:    e.Retry,
 		partial:  e.Partial,
 	}
-	b.requests[e.ID] = r
-	b.estimateArrival(r)
+	b.requests[e.ID] = req
+	b.estimateArrival(req)
 	b.countArrival(c)
 	for _, p := range e.PriorAttempts {
-		b.addPriorAttempt(r, p)
+		b.addPriorAttempt(req, p)
 	}
-	if len(r.attempts) > 0 {
-		b.retryOrRespond(r)
+	if len(req.attempts) > 0 {
+		b.retryOrRespond(req)
 		return
 	}
-	b.place(r)
+	b.place(req)
 }
 
 // countArrival adds a request to its class's count. The counts of all classes decay.
@@ -100,12 +100,12 @@
 // estimateArrival estimates when the client first sent the request. Most client attempts of a class have the same
 // timeout, which is found by a majority vote. One with a different timeout has what its earlier attempts left of the
 // deadline, or more if it is the last.
-func (b *Balancer) estimateArrival(r *request) {
+func (b *Balancer) estimateArrival(req *request) {
 	if b.settings.Tier > 0 {
 		return
 	}
-	c := r.class
-	remaining := float64(r.deadline - b.now)
+	c := req.class
+	remaining := float64(req.deadline - b.now)
 	if math.Abs(remaining-c.commonTimeout) <= timeoutTolerance*c.commonTimeout {
 		c.commonTimeoutVotes = min(c.commonTimeoutVotes+1, maxTimeoutVotes)
 		return
@@ -116,9 +116,9 @@
 		return
 	}
 	c.commonTimeoutVotes--
-	r.arrived = min(b.now, r.deadline-c.Deadline)
-	if b.now-r.arrived > c.LatencyObjective/2 {
-		r.retry = true
+	req.arrived = min(b.now, req.deadline-c.Deadline)
+	if b.now-req.arrived > c.LatencyObjective/2 {
+		req.retry = true
 	}
 }
 
@@ -160,21 +160,21 @@
 
 // respond sends the response: a rejection if it can guarantee that a retry is harmless, otherwise a failure. It does
 // nothing once a server's reply is being streamed to the client.
-func (b *Balancer) respond(r *request) {
-	if r.answered || r.streaming {
+func (b *Balancer) respond(req *request) {
+	if req.answered || req.streaming {
 		return
 	}
-	if len(r.attempts) == 0 {
+	if len(req.attempts) == 0 {
 		b.shedShare += shedWeight * (1 - b.shedShare)
 	}
-	if r.clientMayRetry() {
+	if req.clientMayRetry() {
 		// A client that is told to wait long returns after most of its latency objective has passed, and its late
 		// reply takes the capacity of one in time. The window limits the load, not the absence of clients.
-		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
+		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
-		b.emit(Fail{ID: r.id})
+		b.emit(Fail{ID: req.id})
 	}
-	b.finish(r)
+	b.finish(req)
 }
 
 // clientMayRetry reports whether a retry by the client is harmless: every server that it can reach discards
--- a/internal/balancer/requests_test.go
+++ b/internal/balancer/requests_test.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// An unmarked retry shows by a deadline shorter than other attempts have.
+// An unmarked retry is detected by a deadline shorter than that of other attempts.
 func TestShortDeadlineMarksRetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
 	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
-		t.Errorf("a first attempt was taken for a retry: %+v", r)
+		t.Errorf("a first attempt was classified as a retry: %+v", r)
 	}
-	// The retry's objective of 500 ms ended 100 ms before it came: without a server it is still held.
+	// The retry's latency objective of 500 ms passed 100 ms before it arrived; without a server it is delayed
+	// nevertheless.
 	r := b.requests["again"]
 	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
-		t.Errorf("the retry was not seen: %+v", r)
+		t.Errorf("the retry was not detected: %+v", r)
 	}
 }
 
-// A rejected client is not made to wait for long: it would come back when its objective is mostly over.
+// A rejected client is not asked to wait long, because most of its latency objective would have passed on its return.
 func TestRejectionsCarryShortRetryAfter(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
@@ -35,10 +36,10 @@
 			return
 		}
 	}
-	t.Error("not rejected")
+	t.Error("the request was not rejected")
 }
 
-// Work on an answer that comes too late to be worth anything takes the room of answers in time.
+// Work on a reply that is too late to have any value takes the capacity of replies in time.
 func TestAttemptTimesOutWhenReplyHasNoValue(t *testing.T) {
 	for _, c := range []struct {
 		tier int
@@ -49,16 +50,17 @@
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
 		if s.Timeout != c.want {
-			t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
+			t.Errorf("tier %d, late share %v: timeout %v, want %v", c.tier, c.late, s.Timeout, c.want)
 		}
 		acts := b.Handle(c.want, Outcome{ID: "a", Result: TimedOut})
 		if _, rejected := acts[0].(Reject); len(acts) != 1 || !rejected {
-			t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
+			t.Errorf("tier %d, late share %v: actions after the timeout are %v, want one Reject", c.tier, c.late, acts)
 		}
 	}
 }
 
-// A request is cut short only where requests hang, where it may run again, and where another has time and budget.
+// An attempt's timeout is shortened only if requests hang, the request may run again, and time and budget for a retry
+// remain.
 func TestAttemptTimeoutIsShortenedOnlyIfRetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -68,18 +70,18 @@
 		left, want      time.Duration
 	}{
 		{"requests hang", 1, "get", 0.2, 5, 800 * msec, 400 * msec},
-		{"in the first tier", 0, "get", 0.2, 5, 400 * msec, 400 * msec},
-		{"must not run twice", 1, "pay", 0.2, 5, 800 * msec, 800 * msec},
-		{"none fails", 1, "get", 0, 5, 800 * msec, 800 * msec},
-		{"the budget is spent", 1, "get", 0.2, 0, 800 * msec, 800 * msec},
-		{"answers may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
+		{"first tier", 0, "get", 0.2, 5, 400 * msec, 400 * msec},
+		{"unsafe", 1, "pay", 0.2, 5, 800 * msec, 800 * msec},
+		{"no failures", 1, "get", 0, 5, 800 * msec, 800 * msec},
+		{"no retry budget", 1, "get", 0.2, 0, 800 * msec, 800 * msec},
+		{"replies may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		b.classes[c.class].failureShare, b.retryTokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
-			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
+			t.Errorf("%s: timeout %v, want %v", c.name, s.Timeout, c.want)
 		}
 	}
 }
--- a/internal/balancer/results.go
+++ b/internal/balancer/results.go
@@ -19,31 +19,31 @@
 )
 
 // recordResult updates the class's latency and the server's health, relative to the others, from an attempt's result.
-func (b *Balancer) recordResult(a *attempt, e Outcome) {
-	s := a.server
+func (b *Balancer) recordResult(a *attempt, outcome Outcome) {
+	srv := a.server
 	c := a.request.class
 	latency := max(1, float64(b.now-a.sent)) // a coarse clock may measure zero, whose logarithm would break the weight
 	overlong := latency > c.meanLatency+overlongDeviations*c.latencyDeviation
-	b.recordFailureShares(s, c, e.Result)
-	switch e.Result {
+	b.recordFailureShares(srv, c, outcome.Result)
+	switch outcome.Result {
 	case Success:
-		b.recordSuccess(s, c, latency)
+		b.recordSuccess(srv, c, latency)
 		if c.samples < minLatencySamples {
 			overlong = false
 		}
-		s.recordLatency(latency, c)
-		b.recordHealth(s, c, !overlong)
+		srv.recordLatency(latency, c)
+		b.recordHealth(srv, c, !overlong)
 	case Overloaded, Unreachable:
-		b.recordRejection(s, c)
+		b.recordRejection(srv, c)
 	case Failure, ConnectionLost, TimedOut:
 		if overlong {
-			s.recordLatency(latency, c)
+			srv.recordLatency(latency, c)
 		}
-		b.recordHealth(s, c, false)
+		b.recordHealth(srv, c, false)
 	case Cancelled:
 		if overlong {
-			s.recordLatency(latency, c)
-			b.recordHealth(s, c, false)
+			srv.recordLatency(latency, c)
+			b.recordHealth(srv, c, false)
 		}
 	}
 }
--- a/internal/balancer/retries.go
+++ b/internal/balancer/retries.go
@@ -38,20 +38,20 @@
 
 // retryOrRespond handles a request with no attempt in flight: it retries within the budget and with time left for a
 // reply, or responds. Without the retry budget, the retries of all tiers would multiply.
-func (b *Balancer) retryOrRespond(r *request) {
+func (b *Balancer) retryOrRespond(req *request) {
 	cost := 1.0
-	last := r.attempts[len(r.attempts)-1]
+	last := req.attempts[len(req.attempts)-1]
 	if last.neverRan {
 		cost = neverRanRetryCost
 	}
-	remaining := float64(b.replyDeadline(r) - b.now)
-	enoughTime := remaining >= r.class.meanLatency/2
-	if b.mayRetry(r) && b.retryTokens >= cost && enoughTime {
-		if s := b.selectServer(r); s != nil {
+	remaining := float64(b.replyDeadline(req) - b.now)
+	enoughTime := remaining >= req.class.meanLatency/2
+	if b.mayRetry(req) && b.retryTokens >= cost && enoughTime {
+		if srv := b.selectServer(req); srv != nil {
 			b.retryTokens -= cost
-			b.send(r, s)
+			b.send(req, srv)
 			return
 		}
 	}
-	b.respond(r)
+	b.respond(req)
 }
--- a/internal/balancer/rule_checker_test.go
+++ b/internal/balancer/rule_checker_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ruleChecker follows the events given to one Balancer and its actions, and notes every broken rule.
-// It shares no code with the module.
+// ruleChecker checks the events and actions of one Balancer against the protocol rules and collects violations. It
+// shares no code with the package.
 type ruleChecker struct {
 	set        Settings
 	slack      time.Duration
@@ -21,7 +21,7 @@
 
 type requestTrace struct {
 	name     string
-	terms    []Class // its class as taken, and as it was reconfigured since
+	terms    []Class // its class when accepted and after each Reconfigure
 	deadline time.Duration
 	ended    bool
 	attempts []*attemptTrace
@@ -39,7 +39,7 @@
 		zones: map[string]string{}, requests: map[string]*requestTrace{}}
 }
 
-// restart forgets what a killed node held: it is the clients' to ask again.
+// restart drops all state, as a killed node does; clients have to retry.
 func (c *ruleChecker) restart() {
 	c.requests, c.state = map[string]*requestTrace{}, map[string]ServerState{}
 }
@@ -48,8 +48,8 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// class is what a class is now; one that is not known is unsafe.
-func (c *ruleChecker) class(name string) Class {
+// currentClass returns the current class of a name; an unknown one is unsafe.
+func (c *ruleChecker) currentClass(name string) Class {
 	for _, k := range c.set.Classes {
 		if k.Name == name {
 			return k
@@ -58,7 +58,8 @@
 	return Class{Effect: Unsafe}
 }
 
-// takenWithoutKey says that a request was taken with no key: it is no keyed one, whatever its class is by now.
+// takenWithoutKey reports whether the request was accepted without a key, so that it can't be treated as keyed
+// whatever its class is now.
 func (t *requestTrace) takenWithoutKey() bool { return t.terms[0].Effect != Keyed }
 
 func (t *attemptTrace) mayHaveRun() bool {
@@ -78,13 +79,13 @@
 		}
 	case Request:
 		if c.requests[e.ID] == nil {
-			c.requests[e.ID] = &requestTrace{name: e.Class, terms: []Class{c.class(e.Class)}, deadline: e.Deadline}
+			c.requests[e.ID] = &requestTrace{name: e.Class, terms: []Class{c.currentClass(e.Class)}, deadline: e.Deadline}
 		}
 	case Reconfigure:
 		if validate(e.Settings) == nil {
 			c.set = e.Settings
 			for _, r := range c.requests {
-				r.terms = append(r.terms, c.class(r.name))
+				r.terms = append(r.terms, c.currentClass(r.name))
 			}
 		}
 	case Outcome:
@@ -102,7 +103,7 @@
 	}
 	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+c.slack {
-			c.reportf("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			c.reportf("rule 1: %s has no response %v after its deadline", id, now-r.deadline)
 			r.ended = true
 		}
 	}
@@ -114,11 +115,11 @@
 		case Send:
 			c.checkSend(now, a)
 		case Reject:
-			if r := c.checkResponse(a.ID); r != nil {
-				for _, t := range r.attempts {
-					for _, class := range r.terms {
-						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !r.takenWithoutKey()
-						if t.mayHaveRun() && !loose {
+			if req := c.checkResponse(a.ID); req != nil {
+				for _, attempt := range req.attempts {
+					for _, class := range req.terms {
+						loose := class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll && !req.takenWithoutKey()
+						if attempt.mayHaveRun() && !loose {
 							c.reportf("rule 2: %s rejected though it may have run", a.ID)
 						}
 					}
@@ -127,11 +128,11 @@
 		case Fail:
 			c.checkResponse(a.ID)
 		case Cancel:
-			if r := c.requests[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-				c.reportf("cancel of an attempt never made")
+			if req := c.requests[a.ID]; req == nil || a.Attempt < 0 || a.Attempt >= len(req.attempts) {
+				c.reportf("canceled an attempt that was never made")
 			}
 			if !c.set.MayCancel {
-				c.reportf("cancel is not allowed")
+				c.reportf("canceled an attempt although MayCancel is false")
 			}
 		}
 	}
@@ -140,7 +141,7 @@
 func (c *ruleChecker) checkResponse(id string) *requestTrace {
 	r := c.requests[id]
 	if r == nil || r.ended {
-		c.reportf("rule 1: final answer for %s, which is over or unknown", id)
+		c.reportf("rule 1: response to %s, which has one or is unknown", id)
 		return nil
 	}
 	r.ended = true
@@ -148,64 +149,64 @@
 }
 
 func (c *ruleChecker) checkSend(now time.Duration, a Send) {
-	r := c.requests[a.ID]
-	if r == nil || r.ended {
-		c.reportf("rule 1: sent %s, which is over or unknown", a.ID)
+	req := c.requests[a.ID]
+	if req == nil || req.ended {
+		c.reportf("rule 1: sent %s, which has a response or is unknown", a.ID)
 		return
 	}
 	state, known := c.state[a.Server]
 	if !known || state != Ready {
-		c.reportf("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.reportf("rule 3: sent to %s, which is draining, removed or unknown", a.Server)
 	}
-	if len(r.attempts) >= c.set.MaxAttempts {
+	if len(req.attempts) >= c.set.MaxAttempts {
 		c.reportf("more than %d attempts", c.set.MaxAttempts)
 	}
-	for _, t := range r.attempts {
-		if !t.ended {
-			c.reportf("second attempt in flight of %s", a.ID)
+	for _, prior := range req.attempts {
+		if !prior.ended {
+			c.reportf("second attempt of %s in flight", a.ID)
 		}
-		if !t.mayHaveRun() {
+		if !prior.mayHaveRun() {
 			continue
 		}
-		for _, class := range r.terms {
+		for _, class := range req.terms {
 			switch class.Effect {
 			case Unsafe:
 				c.reportf("rule 2: unsafe %s sent again", a.ID)
 			case Keyed:
-				if now > t.at+class.Window {
+				if now > prior.at+class.Window {
 					c.reportf("rule 2: %s sent again outside its window", a.ID)
 				}
-				if a.NotAfter > t.at+class.Window {
-					c.reportf("rule 2: %s may begin again outside its window", a.ID)
+				if a.NotAfter > prior.at+class.Window {
+					c.reportf("rule 2: %s may start again outside its window", a.ID)
 				}
-				if class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
-					class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+				if class.Scope != ScopeAll && c.zones[prior.server] != c.zones[a.Server] ||
+					class.Scope == ScopeCell && c.cells[prior.server] != c.cells[a.Server] {
 					c.reportf("rule 2: %s sent again outside its scope", a.ID)
 				}
-				if r.takenWithoutKey() {
-					c.reportf("rule 2: %s sent again, with no key that its servers could know it by", a.ID)
+				if req.takenWithoutKey() {
+					c.reportf("rule 2: %s sent again with no key for its servers to detect the duplicate", a.ID)
 				}
 			}
 		}
 	}
-	r.attempts = append(r.attempts, &attemptTrace{server: a.Server, at: now})
+	req.attempts = append(req.attempts, &attemptTrace{server: a.Server, at: now})
 }
 
-// unsafeSettings are the test's settings with the safe class unsafe.
+// unsafeSettings returns the test settings with the safe class made unsafe.
 func unsafeSettings() Settings {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
 	return set
 }
 
-// keyedSettings are the test's settings with the safe class keyed.
+// keyedSettings returns the test settings with the safe class made keyed.
 func keyedSettings() Settings {
 	set := testSettings()
 	set.Classes[0].Effect, set.Classes[0].Window = Keyed, time.Hour
 	return set
 }
 
-// TestRuleCheckerReportsEachViolation gives the checker a trace that breaks each rule.
+// TestRuleCheckerReportsEachViolation checks that a trace that breaks a rule is reported.
 func TestRuleCheckerReportsEachViolation(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
@@ -214,37 +215,37 @@
 		want  string
 		steps []any
 	}{
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
+		{"rule 1: r has no response", []any{list, req("get"), 2 * time.Second, Timer{}}},
+		{"rule 1: response to r", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which has a response", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
 		{"rule 2: r rejected", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
 			Send{ID: "r", Server: "a"}}},
-		{"begin again outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 100 * msec, timedOut,
+		{"may start again outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 100 * msec, timedOut,
 			Send{ID: "r", Server: "a", NotAfter: 950 * msec}}},
 		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
 		{"rule 2: unsafe", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{unsafeSettings()}, timedOut,
 			Send{ID: "r", Server: "a"}}},
-		{"no key", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{keyedSettings()}, timedOut,
+		{"with no key", []any{list, req("get"), Send{ID: "r", Server: "a"}, Reconfigure{keyedSettings()}, timedOut,
 			Send{ID: "r", Server: "a"}}},
-		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
+		{"that was never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
-		c := newRuleChecker(testSettings())
+		checker := newRuleChecker(testSettings())
 		var now time.Duration
 		for _, s := range tc.steps {
 			switch s := s.(type) {
 			case time.Duration:
 				now = s
 			case Event:
-				c.checkEvent(now, s)
+				checker.checkEvent(now, s)
 			case Action:
-				c.checkActions(now, []Action{s})
+				checker.checkActions(now, []Action{s})
 			}
 		}
-		if !strings.Contains(strings.Join(c.violations, "\n"), tc.want) {
-			t.Errorf("want %q among %q", tc.want, c.violations)
+		if !strings.Contains(strings.Join(checker.violations, "\n"), tc.want) {
+			t.Errorf("violations %q, want one with %q", checker.violations, tc.want)
 		}
 	}
 }
--- a/internal/balancer/selection.go
+++ b/internal/balancer/selection.go
@@ -111,16 +111,16 @@
 // rules allow it, at least one candidate must be warmed up, and a first attempt may not go to an idle server in slow
 // start that slow start did not admit. Otherwise a subset that is entirely in slow start would get the requests of a
 // warmed-up one, although other servers are warmed up.
-func (b *Balancer) selectFrom(g groups, r *request, rules selectionRules) *server {
-	b.excludeOutliers(g, r, rules.avoidOutliers)
+func (b *Balancer) selectFrom(g groups, req *request, rules selectionRules) *server {
+	b.excludeOutliers(g, req, rules.avoidOutliers)
 	usualLimit := 1 + b.inFlight/max(1, b.subsetSize)
 	for _, load := range []loadRule{
 		{maxInFlight: usualLimit, skipFull: true},
 		{maxInFlight: math.MaxInt, skipFull: true},
 		{maxInFlight: math.MaxInt, skipFull: false},
 	} {
-		left, idleLeft := b.eligible(g.left, r, load)
-		right, idleRight := b.eligible(g.right, r, load)
+		left, idleLeft := b.eligible(g.left, req, load)
+		right, idleRight := b.eligible(g.right, req, load)
 		if b.anyWarmedUp(left) || b.anyWarmedUp(right) {
 			return b.pick(left, right)
 		}
@@ -161,20 +161,20 @@
 
 // eligible returns the servers of a group that a request may use, and the idle ones in slow start that a first
 // attempt could use but that slow start did not admit.
-func (b *Balancer) eligible(group []*server, r *request, load loadRule) (passed, idle []*server) {
-	for _, s := range group {
-		if s.excluded || !load.allows(s, b.now) {
+func (b *Balancer) eligible(group []*server, req *request, load loadRule) (passed, idle []*server) {
+	for _, srv := range group {
+		if srv.excluded || !load.allows(srv, b.now) {
 			continue
 		}
-		if !b.inScope(r, s) || alreadyTried(r, s) {
+		if !b.inScope(req, srv) || alreadyTried(req, srv) {
 			continue
 		}
-		if b.passesSlowStart(s) {
-			passed = append(passed, s)
+		if b.passesSlowStart(srv) {
+			passed = append(passed, srv)
 			continue
 		}
-		if s.idle() && len(r.attempts) == 0 {
-			idle = append(idle, s)
+		if srv.idle() && len(req.attempts) == 0 {
+			idle = append(idle, srv)
 		}
 	}
 	return passed, idle
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -47,7 +47,7 @@
 // with little traffic opens few connections. The draw from the subset alone decides how many requests go to servers
 // in slow start in total. If their share of the full list decided it, the warmed-up servers of a subset with many
 // servers in slow start would get too much.
-func (b *Balancer) spreadSlowStart(r *request) *server {
+func (b *Balancer) spreadSlowStart(req *request) *server {
 	nodes := b.nodes()
 	wanted := max(float64(b.subsetSize), slowStartServersPerRequest*b.meanInFlight)
 	coverage := min(nodes, math.Ceil(wanted/max(b.serversPerNode(), 1e-9)))
@@ -60,17 +60,17 @@
 			start = b.subsetOffsets.right
 		}
 		position := (float64(start) + b.rng.Float64()*coverage) / nodes * float64(len(group))
-		s := group[int(position)%len(group)]
-		if !b.mayReceive(s, r) {
+		srv := group[int(position)%len(group)]
+		if !b.mayReceive(srv, req) {
 			continue
 		}
-		if b.slowStartShare(s) == 1 {
-			warmedUp = s
+		if b.slowStartShare(srv) == 1 {
+			warmedUp = srv
 			continue
 		}
-		accepted := b.rng.Float64() < b.capacityWeight(s)/b.meanSize
-		if accepted && b.passesSlowStart(s) {
-			return s
+		accepted := b.rng.Float64() < b.capacityWeight(srv)/b.meanSize
+		if accepted && b.passesSlowStart(srv) {
+			return srv
 		}
 	}
 	return warmedUp
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -163,7 +163,7 @@
 	sent = map[string][]time.Duration{}
 	starts = []time.Duration{slowStartBegin}
 	var out pendingOutcomes
-	do := func(node int, now time.Duration, acts []Action) {
+	execute := func(node int, now time.Duration, acts []Action) {
 		for _, s := range sends(acts) {
 			sent[s.Server] = append(sent[s.Server], now)
 			heap.Push(&out, pendingOutcome{now + slowStartLatency, node, Outcome{ID: s.ID, Server: s.Server, Result: Success, Latency: slowStartLatency, Ended: true}})
@@ -177,7 +177,7 @@
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		for len(out) > 0 && out[0].at <= now {
 			a := heap.Pop(&out).(pendingOutcome)
-			do(a.node, a.at, fleet[a.node].Handle(a.at, a.out))
+			execute(a.node, a.at, fleet[a.node].Handle(a.at, a.out))
 		}
 		if f.restartAfter > 0 && len(starts) == 1 && now >= slowStartBegin+f.restartAfter {
 			starts = append(starts, now)
@@ -185,16 +185,16 @@
 				list[3*i].Boot = now
 			}
 			for i, b := range fleet {
-				do(i, now, b.Handle(now, ServerList{Full: true, Servers: list}))
+				execute(i, now, b.Handle(now, ServerList{Full: true, Servers: list}))
 			}
 		}
-		k := rng.IntN(f.nodes)
-		if busy := max(1, f.nodes/10); f.uneven && rng.IntN(2) == 0 {
-			if k = rng.IntN(busy); !f.adjacent {
-				k *= f.nodes / busy
+		sender := rng.IntN(f.nodes)
+		if busyNodes := max(1, f.nodes/10); f.uneven && rng.IntN(2) == 0 {
+			if sender = rng.IntN(busyNodes); !f.adjacent {
+				sender *= f.nodes / busyNodes
 			}
 		}
-		do(k, now, fleet[k].Handle(now, Request{ID: fmt.Sprint("r", n), Class: "get", Deadline: now + time.Minute}))
+		execute(sender, now, fleet[sender].Handle(now, Request{ID: fmt.Sprint("r", n), Class: "get", Deadline: now + time.Minute}))
 	}
 	return sent, starts
 }
--- a/internal/balancer/soak_test.go
+++ b/internal/balancer/soak_test.go
@@ -14,21 +14,21 @@
 func TestRemovedServersAndRequestsLeaveNoState(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.PollChoices = 2 })
 	now := time.Second
-	place := make([]Server, 20)
-	for i := range place {
-		place[i] = Server{ID: fmt.Sprintf("first-%d", i), Zone: "z"}
+	slots := make([]Server, 20)
+	for i := range slots {
+		slots[i] = Server{ID: fmt.Sprintf("first-%d", i), Zone: "z"}
 	}
-	b.Handle(now, ServerList{Full: true, Servers: place})
+	b.Handle(now, ServerList{Full: true, Servers: slots})
 	var base int64
-	const requests, each = 100_000, 10 // each: requests between two replacements
+	const requests, requestsPerReplacement = 100_000, 10 // each: requests between two replacements
 	for i := range requests {
 		now += msec
-		if i%each == 0 {
-			k := i / each % len(place)
-			gone := place[k]
-			gone.State = Removed
-			place[k] = Server{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprint("zone-", i/500)}
-			b.Handle(now, ServerList{Servers: []Server{gone, place[k]}})
+		if i%requestsPerReplacement == 0 {
+			k := i / requestsPerReplacement % len(slots)
+			removed := slots[k]
+			removed.State = Removed
+			slots[k] = Server{ID: fmt.Sprintf("server-%d", i), Zone: fmt.Sprint("zone-", i/500)}
+			b.Handle(now, ServerList{Servers: []Server{removed, slots[k]}})
 		}
 		id := fmt.Sprint("request-", i)
 		acts := b.Handle(now, Request{ID: id, Class: []string{"get", "post", "pay"}[i%3], Deadline: now + time.Second})
@@ -59,8 +59,8 @@
 	if len(b.requests) > 0 || len(b.delayed) > 0 {
 		t.Errorf("%d requests are kept, %d delayed", len(b.requests), len(b.delayed))
 	}
-	if len(b.servers) != len(place) || len(b.ready) != len(place) || len(b.zones) > 3 {
-		t.Errorf("%d servers and %d zones are kept; %d are listed", len(b.servers), len(b.zones), len(place))
+	if len(b.servers) != len(slots) || len(b.ready) != len(slots) || len(b.zones) > 3 {
+		t.Errorf("%d servers and %d zones are kept; %d are listed", len(b.servers), len(b.zones), len(slots))
 	}
 	for _, s := range b.servers {
 		if len(s.open) > 0 || len(s.failures) > len(b.classes) {
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -37,16 +37,16 @@
 }
 
 // subsetShares are how much of each server lies in the subsets of all nodes together.
-func subsetShares(t *testing.T, copies, servers int) (sum map[string]float64, subsets [][]string) {
+func subsetShares(t *testing.T, nodes, servers int) (sum map[string]float64, subsets [][]string) {
 	t.Helper()
 	sum = map[string]float64{}
-	for i := range copies {
-		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, i })
-		l := ServerList{Full: true}
+	for i := range nodes {
+		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = nodes, i })
+		list := ServerList{Full: true}
 		for k := range servers {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
+			list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 		}
-		b.Handle(time.Second, l)
+		b.Handle(time.Second, list)
 		b.updateSubset()
 		var subset []string
 		for _, s := range slices.Concat(b.subset.left, b.subset.right) {
@@ -123,16 +123,16 @@
 		after, _ := subsetShares(t, c.is, c.servers)
 		sum := map[string]float64{}
 		for i := range c.was { // every second node has heard; those that are gone by the new number still send by the old
-			copies := c.was
+			nodes := c.was
 			if i%2 == 0 && i < c.is {
-				copies = c.is
+				nodes = c.is
 			}
-			b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, i })
-			l := ServerList{Full: true}
+			b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = nodes, i })
+			list := ServerList{Full: true}
 			for k := range c.servers {
-				l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
+				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 			}
-			b.Handle(time.Second, l)
+			b.Handle(time.Second, list)
 			b.updateSubset()
 			var all float64
 			for _, s := range b.ready {
@@ -156,7 +156,7 @@
 // After a release all nodes are new at once and know nothing: the first requests of three hundred go to sixty servers as
 // evenly as chance has it, and to no few that come first in the order.
 func TestNewNodesSpreadFirstRequests(t *testing.T) {
-	const nodes, n = 300, 60
+	const nodes, serverCount = 300, 60
 	for _, reported := range []bool{false, true} {
 		first := map[string]int{}
 		for i := range nodes {
@@ -166,37 +166,37 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := ServerList{Full: true}
-			for k := range n {
-				l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
+			list := ServerList{Full: true}
+			for k := range serverCount {
+				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 			}
-			b.Handle(time.Second, l)
+			b.Handle(time.Second, list)
 			if reported { // every node has heard the same of all, and one looks idle
-				for k := range n {
+				for k := range serverCount {
 					busy := 3.0
 					if k == 7 {
 						busy = 0
 					}
-					b.Handle(time.Second, LoadUpdate{Loads: []ServerLoad{{Server: l.Servers[k].ID, Busy: busy}}})
+					b.Handle(time.Second, LoadUpdate{Loads: []ServerLoad{{Server: list.Servers[k].ID, Busy: busy}}})
 				}
 			}
 			for _, s := range sends(b.Handle(time.Second+msec, Request{ID: "x", Class: "get", Deadline: 2 * time.Second})) {
 				first[s.Server]++
 			}
 		}
-		most, met := 0, 0
+		most, reached := 0, 0
 		for id, c := range first {
-			if met++; !reported || id != "s0007" {
+			if reached++; !reported || id != "s0007" {
 				most = max(most, c)
 			}
 		}
 		// Five each on average; fifteen at one of sixty comes by chance in one of a thousand such releases.
-		if most > 15 || met < n*9/10 {
-			t.Errorf("first requests met %d servers, %d of them one", met, most)
+		if most > 15 || reached < serverCount*9/10 {
+			t.Errorf("first requests met %d servers, %d of them one", reached, most)
 		}
 		// Who looks idle to all gets the first request of those whose subset it lies in, and of nobody else.
 		if in := 0; reported {
-			sum, _ := subsetShares(t, nodes, n)
+			sum, _ := subsetShares(t, nodes, serverCount)
 			in = int(sum["s0007"]) + 3
 			if first["s0007"] > 2*in {
 				t.Errorf("%d of %d first requests go to the server that looks idle to all; it lies in about %d subsets", first["s0007"], nodes, in)
@@ -213,18 +213,18 @@
 		busy            float64
 	}{{1, 8, 0}, {1, 8, 64}, {3, 8, 64}, {20, 8, 9}, {300, 60, 5}, {300, 60, 1000}} {
 		b := newBalancer(t, func(s *Settings) { s.Balancers = c.copies })
-		l := ServerList{Full: true}
+		list := ServerList{Full: true}
 		for k := range c.servers {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
+			list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 		}
-		b.Handle(time.Second, l)
+		b.Handle(time.Second, list)
 		b.meanInFlight = c.busy
 		b.updateSubset()
 		if n := testing.AllocsPerRun(10, b.updateSubset); n > 0 {
 			t.Errorf("%+v: %v allocations for the same subset", c, n)
 		}
-		l.Servers = l.Servers[1:]
-		b.Handle(2*time.Second, l)
+		list.Servers = list.Servers[1:]
+		b.Handle(2*time.Second, list)
 		b.updateSubset()
 		first := func(s *server) bool { return s.ID == "s0000" }
 		if slices.ContainsFunc(slices.Concat(b.subset.left, b.subset.right), first) || len(b.subset.left) == 0 {
--- a/internal/balancer/takeover_test.go
+++ b/internal/balancer/takeover_test.go
@@ -9,9 +9,9 @@
 // again, and whether it may be sent once more hangs on the class's effect and on what is known of them.
 func TestTakenOverRequestContinuesAfterPriorAttempts(t *testing.T) {
 	const now = 100 * time.Second
-	made := func(unsent bool, servers ...string) (list []PriorAttempt) {
+	priorAttempts := func(neverRan bool, servers ...string) (list []PriorAttempt) {
 		for _, s := range servers {
-			list = append(list, PriorAttempt{Server: s, Zone: "z", Cell: int(s[2]-'0') % 2, SentAt: now - 100*msec, NeverRan: unsent})
+			list = append(list, PriorAttempt{Server: s, Zone: "z", Cell: int(s[2]-'0') % 2, SentAt: now - 100*msec, NeverRan: neverRan})
 		}
 		return list
 	}
@@ -22,12 +22,12 @@
 		cells   string // of the servers that it may go to; empty: it is not sent
 		refused bool
 	}{
-		{"safe, may have run", "get", made(false, "s00"), "01", false},
-		{"safe, all attempts used", "get", made(false, "s00", "s01", "s02", "s03", "s04"), "", true},
-		{"unsafe, may have run", "pay", made(false, "s00"), "", false},
-		{"unsafe, never ran", "pay", made(true, "s00"), "01", false},
-		{"unsafe, never ran, all attempts used", "pay", made(true, "s00", "s01", "s02", "s03", "s04"), "", true},
-		{"keyed, may have run: its cell drops duplicates", "post", made(false, "s02"), "0", false},
+		{"safe, may have run", "get", priorAttempts(false, "s00"), "01", false},
+		{"safe, all attempts used", "get", priorAttempts(false, "s00", "s01", "s02", "s03", "s04"), "", true},
+		{"unsafe, may have run", "pay", priorAttempts(false, "s00"), "", false},
+		{"unsafe, never ran", "pay", priorAttempts(true, "s00"), "01", false},
+		{"unsafe, never ran, all attempts used", "pay", priorAttempts(true, "s00", "s01", "s02", "s03", "s04"), "", true},
+		{"keyed, may have run: its cell drops duplicates", "post", priorAttempts(false, "s02"), "0", false},
 		{"keyed, and its cell has forgotten", "post", []PriorAttempt{{Server: "s02", Zone: "z", SentAt: now - time.Second}}, "", false},
 		{"keyed, of a server that is no more", "post", []PriorAttempt{{Server: "gone", Zone: "z", Cell: 1, SentAt: now - 100*msec}}, "1", false},
 	} {
@@ -39,9 +39,9 @@
 			}
 			b.Handle(now-time.Second, ServerList{Full: true, Servers: servers(8)})
 			acts := b.Handle(now, Request{ID: "r", Class: c.class, Deadline: now + time.Second, PriorAttempts: c.earlier})
-			out := sends(acts)
+			sent := sends(acts)
 			if c.cells == "" {
-				if len(out) > 0 || len(acts) != 1 {
+				if len(sent) > 0 || len(acts) != 1 {
 					t.Fatalf("%s: %+v", c.name, acts)
 				}
 				if _, rejected := acts[0].(Reject); rejected != c.refused {
@@ -49,17 +49,17 @@
 				}
 				continue
 			}
-			if len(out) != 1 {
+			if len(sent) != 1 {
 				t.Fatalf("%s: %+v", c.name, acts)
 			}
-			seen[string(rune('0'+int(out[0].Server[2]-'0')%2))] = true
+			seen[string(rune('0'+int(sent[0].Server[2]-'0')%2))] = true
 			for _, e := range c.earlier {
-				if e.Server == out[0].Server {
+				if e.Server == sent[0].Server {
 					t.Fatalf("%s: sent to %s once more", c.name, e.Server)
 				}
 			}
 			// Its attempts are numbered on.
-			acts = b.Handle(now+msec, Outcome{ID: "r", Attempt: len(c.earlier), Server: out[0].Server, Result: Success, Ended: true})
+			acts = b.Handle(now+msec, Outcome{ID: "r", Attempt: len(c.earlier), Server: sent[0].Server, Result: Success, Ended: true})
 			if len(b.requests) != 0 || len(acts) != 0 {
 				t.Fatalf("%s: %d requests are left, %+v", c.name, len(b.requests), acts)
 			}
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -7,7 +7,7 @@
 )
 
 // upload asks for a request whose body still comes, and returns the server that it goes to.
-func upload(t *testing.T, b *Balancer, now time.Duration, id, class string) Send {
+func startUpload(t *testing.T, b *Balancer, now time.Duration, id, class string) Send {
 	t.Helper()
 	s := sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + 1500*msec, Partial: true}))
 	if len(s) != 1 {
@@ -28,7 +28,7 @@
 	b = newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	for i := range 10 * capacity {
-		upload(t, b, msec, fmt.Sprint("u", i), "pay")
+		startUpload(t, b, msec, fmt.Sprint("u", i), "pay")
 	}
 	for i := range capacity {
 		if len(sends(b.Handle(2*msec, Request{ID: fmt.Sprint("r", i), Class: "get", Deadline: 1500 * msec}))) != 1 {
@@ -50,7 +50,7 @@
 func TestUploadDeadlineStartsAtLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-	first := upload(t, b, 0, "u", "pay")
+	first := startUpload(t, b, 0, "u", "pay")
 	now := time.Minute
 	b.Handle(now, Uploaded{ID: "u", Deadline: now + 1500*msec})
 	again := sends(b.Handle(now+10*msec, Outcome{ID: "u", Server: first.Server, Result: Overloaded}))
@@ -60,7 +60,7 @@
 	for i := range 200 {
 		now += 100 * msec
 		id := fmt.Sprint("u", i)
-		s := upload(t, b, now, id, "pay")
+		s := startUpload(t, b, now, id, "pay")
 		now += 10 * time.Second
 		b.Handle(now, Uploaded{ID: id, Deadline: now + 1500*msec})
 		now += 20 * msec
@@ -93,7 +93,7 @@
 	} {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-		s := upload(t, b, 0, "u", c.class)
+		s := startUpload(t, b, 0, "u", c.class)
 		if c.uploaded {
 			b.Handle(time.Second, Uploaded{ID: "u", Deadline: 2500 * msec})
 		}
@@ -122,7 +122,7 @@
 	for i := range 100 {
 		now := time.Duration(i+1) * 10 * time.Second
 		id := fmt.Sprint("u", i)
-		s := upload(t, b, now, id, "pay")
+		s := startUpload(t, b, now, id, "pay")
 		b.Handle(now+5*time.Second, ClientDisconnected{ID: id})
 		b.Handle(now+5*time.Second, Outcome{ID: id, Server: s.Server, Result: Cancelled, Ended: true, NotReplayable: true})
 	}
@@ -139,7 +139,7 @@
 	inSlowStart := servers(1)
 	inSlowStart[0].Boot = now
 	b.Handle(now, ServerList{Full: true, Servers: inSlowStart})
-	first := upload(t, b, now+msec, "first", "pay")
+	first := startUpload(t, b, now+msec, "first", "pay")
 	for i := range 50 {
 		e := Request{ID: fmt.Sprint("u", i), Class: "pay", Deadline: now + 1500*msec, Partial: i%2 == 0}
 		if s := sends(b.Handle(now+2*msec, e)); len(s) > 0 {
@@ -151,21 +151,21 @@
 	}
 	b.Handle(now+3*msec, ClientDisconnected{ID: "first"})
 	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Result: Cancelled, Ended: true, NotReplayable: true})
-	out := 0
+	total := 0
 	for _, s := range b.servers {
-		out += s.inFlight + s.uploading
+		total += s.inFlight + s.uploading
 	}
-	if out != 1 {
-		t.Errorf("%d requests at the server or on their way once it was free, want 1", out)
+	if total != 1 {
+		t.Errorf("%d requests at the server or on their way once it was free, want 1", total)
 	}
 }
 
 // What health keeps out is counted up to the share of the list that it may keep out, and draining servers with it.
 func TestUnavailableCountsServersWithoutNewRequests(t *testing.T) {
 	b := newBalancer(t, nil)
-	l := servers(20)
-	l[19].State = Draining
-	b.Handle(0, ServerList{Full: true, Servers: l})
+	list := servers(20)
+	list[19].State = Draining
+	b.Handle(0, ServerList{Full: true, Servers: list})
 	if n := b.Unavailable(); n != 1 {
 		t.Errorf("%d avoided of a healthy list, want the draining one", n)
 	}
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -106,14 +106,14 @@
 
 // recordZoneResult updates the state of the attempt's zone and reports whether the result also counts for its server.
 // It does not while the zone is unreachable.
-func (b *Balancer) recordZoneResult(a *attempt, e Result) bool {
+func (b *Balancer) recordZoneResult(a *attempt, result Result) bool {
 	z := a.zone
 	z.open = slices.DeleteFunc(z.open, func(o *attempt) bool { return o == a })
 	if z.probe == a {
 		z.probe = nil
 		z.nextProbe = b.now + time.Duration((0.5+b.rng.Float64())*a.request.class.meanLatency)
 	}
-	switch e {
+	switch result {
 	case Success, Failure:
 		z.markReachable(b.now)
 		b.updateZoneEvidence(z)
@@ -149,8 +149,8 @@
 
 // selectProbe selects a server of a suspect or unreachable zone for an occasional probe, one at a time. Only first
 // attempts are used, so that retries can follow.
-func (b *Balancer) selectProbe(r *request) *server {
-	if len(r.attempts) > 0 || b.settings.MaxAttempts < 2 {
+func (b *Balancer) selectProbe(req *request) *server {
+	if len(req.attempts) > 0 || b.settings.MaxAttempts < 2 {
 		return nil
 	}
 	defer func() { b.probedZone = nil }()
@@ -160,8 +160,8 @@
 		}
 		b.probedZone = z
 		for _, g := range []groups{b.subset, b.allGroups} {
-			if s := b.selectFrom(g, r, selectionRules{avoidOutliers: true}); s != nil {
-				return s
+			if srv := b.selectFrom(g, req, selectionRules{avoidOutliers: true}); srv != nil {
+				return srv
 			}
 		}
 	}
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -32,7 +32,7 @@
 
 func newZonedFleet(t *testing.T, seed uint64, zones, each int, change func(*Settings)) *zonedFleet {
 	t.Helper()
-	z := &zonedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, latency: 100 * msec, silent: map[string]bool{}, hung: map[string]bool{},
+	fleet := &zonedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, latency: 100 * msec, silent: map[string]bool{}, hung: map[string]bool{},
 		sentToZone: map[string]int{}, idleClosed: map[string]bool{}}
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = time.Second, time.Second
@@ -45,19 +45,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	z.b = b
-	z.updateList(zones, each, nil)
-	return z
+	fleet.b = b
+	fleet.updateList(zones, each, nil)
+	return fleet
 }
 
 // list tells the node of the servers, those of a zone with the time of their start.
 func (z *zonedFleet) updateList(zones, each int, boot map[string]time.Duration) {
-	l := ServerList{Full: true}
+	list := ServerList{Full: true}
 	for i, n := range rand.New(rand.NewPCG(9, 9)).Perm(zones * each) { // ids tell nothing of zones
 		zone := fmt.Sprint("zone", i%zones)
-		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("s%04d", n), Zone: zone, Boot: boot[zone]})
+		list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", n), Zone: zone, Boot: boot[zone]})
 	}
-	z.execute(z.b.Handle(z.now, l))
+	z.execute(z.b.Handle(z.now, list))
 }
 
 func (z *zonedFleet) zone(server string) string { return z.b.servers[server].Zone }
@@ -94,8 +94,8 @@
 }
 
 // runRandomEvents has requests of a class come for a while, so many a second, and returns how many were served of them.
-func (z *zonedFleet) run(class string, rate float64, d time.Duration) (offered, served int) {
-	until, servedBefore := z.now+d, z.served
+func (z *zonedFleet) run(class string, rate float64, duration time.Duration) (offered, served int) {
+	until, servedBefore := z.now+duration, z.served
 	for arrival := z.now; z.now < until; {
 		i := -1
 		for k, e := range z.pending {
@@ -129,23 +129,23 @@
 	const nodes = 40
 	before, during, probes, offered, served, after := 0, 0, 0, 0, 0, 0
 	for seed := range uint64(nodes) {
-		z := newZonedFleet(t, seed, 3, 40, func(s *Settings) { s.Balancers, s.Index = nodes, int(seed) })
-		z.run("pay", 10, 5*time.Second)
-		clear(z.sentToZone)
-		z.run("pay", 10, 5*time.Second)
-		before += z.sentToZone["zone1"]
-		z.silent["zone1"] = true
-		z.run("pay", 10, 1500*msec)
-		clear(z.sentToZone)
-		z.probesSent = 0
-		o, s := z.run("pay", 10, 5*time.Second)
+		fleet := newZonedFleet(t, seed, 3, 40, func(s *Settings) { s.Balancers, s.Index = nodes, int(seed) })
+		fleet.run("pay", 10, 5*time.Second)
+		clear(fleet.sentToZone)
+		fleet.run("pay", 10, 5*time.Second)
+		before += fleet.sentToZone["zone1"]
+		fleet.silent["zone1"] = true
+		fleet.run("pay", 10, 1500*msec)
+		clear(fleet.sentToZone)
+		fleet.probesSent = 0
+		o, s := fleet.run("pay", 10, 5*time.Second)
 		offered, served = offered+o, served+s
-		during, probes = during+z.sentToZone["zone1"]-z.probesSent, probes+z.probesSent
-		delete(z.silent, "zone1")
-		z.run("pay", 10, 1500*msec)
-		clear(z.sentToZone)
-		z.run("pay", 10, 5*time.Second)
-		after += z.sentToZone["zone1"]
+		during, probes = during+fleet.sentToZone["zone1"]-fleet.probesSent, probes+fleet.probesSent
+		delete(fleet.silent, "zone1")
+		fleet.run("pay", 10, 1500*msec)
+		clear(fleet.sentToZone)
+		fleet.run("pay", 10, 5*time.Second)
+		after += fleet.sentToZone["zone1"]
 	}
 	if during*20 > before || served*100 < 96*offered {
 		t.Errorf("%d requests to the unreachable zone beside %d probes, %d before; %d of %d served", during, probes, before, served, offered)
@@ -160,42 +160,44 @@
 
 // Requests that may run again are taken back from a zone that is unreachable and run elsewhere in time.
 func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
-	rescued := func(class string) (offered, served int) {
+	runDuringCut := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
-			z := newZonedFleet(t, seed, 3, 40, nil)
-			z.run(class, 30, 5*time.Second)
-			z.silent["zone1"] = true
-			o, _ := z.run(class, 30, 500*msec)
-			z.run("post", 0.001, time.Second) // until the last of them has ended
+			fleet := newZonedFleet(t, seed, 3, 40, nil)
+			fleet.run(class, 30, 5*time.Second)
+			fleet.silent["zone1"] = true
+			o, _ := fleet.run(class, 30, 500*msec)
+			fleet.run("post", 0.001, time.Second) // until the last of them has ended
 			offered += o
-			served += z.served
+			served += fleet.served
 		}
 		return offered, served
 	}
-	z, safe := rescued("get")
-	_, unsafe := rescued("pay")
-	if lost := float64(unsafe-safe) / float64(z); lost > -0.1 {
-		t.Errorf("of %d requests in the half second of the cut %d more were served where they may run again", z, safe-unsafe)
+	offered, safe := runDuringCut("get")
+	_, unsafe := runDuringCut("pay")
+	if lost := float64(unsafe-safe) / float64(offered); lost > -0.1 {
+		t.Errorf("of %d requests in the half second of the cut %d more were served where they may run again", offered, safe-unsafe)
 	}
 }
 
 // What tells of one server, of everybody or of this node itself is held against no zone.
 func TestUnrelatedFaultsMarkNoZoneUnreachable(t *testing.T) {
-	for name, c := range map[string]func(*zonedFleet){
-		"one server hangs":                      func(z *zonedFleet) { z.hung["s0000"] = true },
-		"everybody is five times as slow":       func(z *zonedFleet) { z.latency *= 5 },
-		"this node is unreachable":              func(z *zonedFleet) { z.silent["zone0"], z.silent["zone1"], z.silent["zone2"] = true, true, true },
-		"nothing is wrong":                      func(z *zonedFleet) {},
-		"few requests, of which some take long": func(z *zonedFleet) { z.latency *= 2 },
+	for name, injectFault := range map[string]func(*zonedFleet){
+		"one server hangs":                func(fleet *zonedFleet) { fleet.hung["s0000"] = true },
+		"everybody is five times as slow": func(fleet *zonedFleet) { fleet.latency *= 5 },
+		"this node is unreachable": func(fleet *zonedFleet) {
+			fleet.silent["zone0"], fleet.silent["zone1"], fleet.silent["zone2"] = true, true, true
+		},
+		"nothing is wrong":                      func(fleet *zonedFleet) {},
+		"few requests, of which some take long": func(fleet *zonedFleet) { fleet.latency *= 2 },
 	} {
 		unreachable, all := 0, 0
 		for seed := range uint64(10) {
-			z := newZonedFleet(t, seed, 3, 40, nil)
-			z.run("pay", 20, 5*time.Second)
-			c(z)
+			fleet := newZonedFleet(t, seed, 3, 40, nil)
+			fleet.run("pay", 20, 5*time.Second)
+			injectFault(fleet)
 			for range 100 {
-				z.run("pay", 20, 100*msec)
-				for _, zone := range z.b.zones {
+				fleet.run("pay", 20, 100*msec)
+				for _, zone := range fleet.b.zones {
 					all++
 					if zone.unreachableSince > 0 {
 						unreachable++
@@ -211,45 +213,45 @@
 
 // A zone that was lost comes back as servers that have begun anew: they are no part of what was silent.
 func TestRestartedServersAreNotExcludedWithTheirZone(t *testing.T) {
-	z := newZonedFleet(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
-	z.run("pay", 20, 5*time.Second)
-	z.silent["zone1"] = true
-	z.run("pay", 20, 3*time.Second)
-	if s := z.b.zoneOf("zone1"); s.unreachableSince == 0 {
+	fleet := newZonedFleet(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
+	fleet.run("pay", 20, 5*time.Second)
+	fleet.silent["zone1"] = true
+	fleet.run("pay", 20, 3*time.Second)
+	if s := fleet.b.zoneOf("zone1"); s.unreachableSince == 0 {
 		t.Fatal("the zone is not held for cut off")
 	}
-	delete(z.silent, "zone1")
-	z.updateList(3, 10, map[string]time.Duration{"zone1": z.now})
-	for _, s := range z.b.ready {
-		if z.b.zoneExcluded(s) {
+	delete(fleet.silent, "zone1")
+	fleet.updateList(3, 10, map[string]time.Duration{"zone1": fleet.now})
+	for _, s := range fleet.b.ready {
+		if fleet.b.zoneExcluded(s) {
 			t.Errorf("%s of %s is kept out", s.ID, s.Zone)
 		}
 	}
-	z.updateList(2, 10, nil)
-	if len(z.b.zones) != 2 {
-		t.Errorf("%d zones are known of two that are listed", len(z.b.zones))
+	fleet.updateList(2, 10, nil)
+	if len(fleet.b.zones) != 2 {
+		t.Errorf("%d zones are known of two that are listed", len(fleet.b.zones))
 	}
 }
 
 // A node whose subset lies in the unreachable zone hears nobody: it asks beyond its subset, and learns that others answer.
 func TestNodeWithoutRepliesSelectsOutsideItsSubset(t *testing.T) {
-	z := newZonedFleet(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
-	l := ServerList{Full: true}
+	fleet := newZonedFleet(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
+	list := ServerList{Full: true}
 	for i := range 120 { // the subset is a run from the start of each group, which begin with 0 and 60
 		zone := fmt.Sprint("zone", 1+i%2)
 		if i%60 < 30 {
 			zone = "zone0"
 		}
-		l.Servers = append(l.Servers, Server{ID: fmt.Sprintf("t%04d", i), Zone: zone})
+		list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("t%04d", i), Zone: zone})
 	}
-	z.execute(z.b.Handle(z.now, l))
-	z.run("pay", 10, 5*time.Second)
-	if len(z.sentToZone) != 1 {
-		t.Fatalf("the subset lies in more than one zone: %v", z.sentToZone)
+	fleet.execute(fleet.b.Handle(fleet.now, list))
+	fleet.run("pay", 10, 5*time.Second)
+	if len(fleet.sentToZone) != 1 {
+		t.Fatalf("the subset lies in more than one zone: %v", fleet.sentToZone)
 	}
-	z.silent["zone0"] = true
-	z.run("pay", 10, 2*time.Second)
-	if offered, served := z.run("pay", 10, 5*time.Second); served*10 < offered*7 {
+	fleet.silent["zone0"] = true
+	fleet.run("pay", 10, 2*time.Second)
+	if offered, served := fleet.run("pay", 10, 5*time.Second); served*10 < offered*7 {
 		t.Errorf("%d of %d served", served, offered)
 	}
 }
@@ -258,27 +260,27 @@
 // after two seconds, less than a tenth of what they sent it before, and the servers of the others no more than
 // their share of that in turn.
 func TestFleetOfAnySizeAvoidsUnreachableZone(t *testing.T) {
-	for _, copies := range []int{10, 100, 1000} {
+	for _, nodes := range []int{10, 100, 1000} {
 		before, during, others := 0, 0, 0
-		for i := range copies {
-			z := newZonedFleet(t, uint64(i), 3, max(3, copies/5), func(s *Settings) { s.Balancers, s.Index = copies, i })
-			z.run("pay", 5, 2*time.Second)
-			clear(z.sentToZone)
-			z.run("pay", 5, 2*time.Second)
-			before += z.sentToZone["zone1"]
-			z.silent["zone1"] = true
-			z.run("pay", 5, 3*time.Second)
-			clear(z.sentToZone)
-			z.probesSent = 0
-			z.run("pay", 5, 2*time.Second)
-			during += z.sentToZone["zone1"] - z.probesSent
-			others += z.sentToZone["zone0"] + z.sentToZone["zone2"]
+		for i := range nodes {
+			fleet := newZonedFleet(t, uint64(i), 3, max(3, nodes/5), func(s *Settings) { s.Balancers, s.Index = nodes, i })
+			fleet.run("pay", 5, 2*time.Second)
+			clear(fleet.sentToZone)
+			fleet.run("pay", 5, 2*time.Second)
+			before += fleet.sentToZone["zone1"]
+			fleet.silent["zone1"] = true
+			fleet.run("pay", 5, 3*time.Second)
+			clear(fleet.sentToZone)
+			fleet.probesSent = 0
+			fleet.run("pay", 5, 2*time.Second)
+			during += fleet.sentToZone["zone1"] - fleet.probesSent
+			others += fleet.sentToZone["zone0"] + fleet.sentToZone["zone2"]
 		}
 		if during*10 > before {
-			t.Errorf("%d nodes: %d requests to the unreachable zone, beside probes, %d before", copies, during, before)
+			t.Errorf("%d nodes: %d requests to the unreachable zone, beside probes, %d before", nodes, during, before)
 		}
 		if most := 2*before + before*3/2; others > most {
-			t.Errorf("%d nodes: the other two zones got %d requests, one got %d before", copies, others, before)
+			t.Errorf("%d nodes: the other two zones got %d requests, one got %d before", nodes, others, before)
 		}
 	}
 }
