--- a/internal/balancer/size_test.go
+++ b/internal/balancer/size_test.go
@@ -10,8 +10,8 @@
 	"unicode/utf8"
 )
 
-// On-call engineers read the whole module at night: the deploy file names every file of it as its policy, and each stays
-// narrow and short.
+// The module is read by on-call engineers: the deploy file lists every one of its files as policy, and each file
+// stays short, with short lines.
 func TestModuleFilesAreListedAndReadable(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml has no policy list")
 	}
 	var policy []string
 	for _, quoted := range strings.Split(string(list[1]), ", ") {
@@ -37,7 +37,7 @@
 	}
 	slices.Sort(policy)
 	if !slices.Equal(policy, files) {
-		t.Errorf("the policy is %q, want every file of the module, %q", policy, files)
+		t.Errorf("the policy list is %q, want every file of the module, %q", policy, files)
 	}
 	for _, name := range policy {
 		text, err := os.ReadFile("../../" + name)
@@ -46,11 +46,11 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > 400 {
-			t.Errorf("%s has %d lines, at most 400 are wanted", name, len(lines))
+			t.Errorf("%s has %d lines, want at most 400", name, len(lines))
 		}
 		for i, l := range lines {
 			if n := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); n > 120 {
-				t.Errorf("%s:%d has %d columns, at most 120 are wanted", name, i+1, n)
+				t.Errorf("%s:%d has %d columns, want at most 120", name, i+1, n)
 			}
 		}
 	}
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// After a loss a node's whole subset may come back in slow start. That must not set the thinning aside while the
-// rest of the list is warmed up: many such nodes would push the servers in slow start over.
+// After an outage a node's whole subset may return in slow start. Slow start must still apply while the rest of the
+// list is warmed up; otherwise many such nodes would overload the servers in slow start.
 func TestSlowStartSubsetKeepsThinning(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
 	list := servers(40)
@@ -30,18 +30,19 @@
 			inSlowStart++
 		}
 	}
-	if got := float64(inSlowStart) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
-		t.Errorf("%.2f of the requests went to the subset in slow start", got)
+	if got := float64(inSlowStart) / 1000; got > 0.05 { // a few of 40 servers, drawn a fifth as often
+		t.Errorf("%.2f of the requests went to servers in slow start, want at most 0.05", got)
 	}
 }
 
-const overloadMultiple, overloadWindow = 3.0, 2 * time.Second // the budget of testSettings' site
+// A server in slow start must get at most overloadMultiple times its capacity in any overloadWindow.
+const overloadMultiple, overloadWindow = 3.0, 2 * time.Second
 
-// slowStartLoad has nodes send at three quarters of what 6 servers can do, one of them fresh from second 1
-// on. It tells how many requests the fresh one got, and the most that came in any fallFor against the
-// budget of fallMultiple times what it can do then.
+// slowStartLoad makes nodes send at three quarters of the capacity of 6 servers, one of which starts at second 1. It
+// returns how many requests that one got, and the highest number within any overloadWindow relative to
+// overloadMultiple times its capacity at that time.
 func slowStartLoad(set Settings, nodes int, send func(node int, now time.Duration, id string) string) (int, float64) {
-	const capacity = 50.0 // a warmed-up server's requests a second
+	const capacity = 50.0 // requests per second of a warmed-up server
 	rng := rand.New(rand.NewPCG(3, 3))
 	var inSlowStart []time.Duration
 	for i := range int(0.75 * 6 * capacity * 12) {
@@ -87,17 +88,17 @@
 			return s.Server
 		})
 		if requests < 20 || worst > 1 {
-			t.Errorf("%d nodes: %d requests to the server in slow start, %.2f of its budget", nodes, requests, worst)
+			t.Errorf("%d nodes: %d requests to the server in slow start, at most %.2f of its limit; want at least 20, at most 1", nodes, requests, worst)
 		}
 	}
-	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
+	// The check can fail: sending every request to the server in slow start exceeds its limit.
 	_, worst := slowStartLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
 	if worst <= 1 {
-		t.Errorf("all requests to the server in slow start are %.2f of its budget", worst)
+		t.Errorf("all requests to the server in slow start are %.2f of its limit, want more than 1", worst)
 	}
 }
 
-// pendingOutcomes are outcomes to come, the earliest first.
+// pendingOutcomes is a heap of future outcomes, earliest first.
 type pendingOutcomes []pendingOutcome
 
 type pendingOutcome struct {
@@ -116,21 +117,21 @@
 
 func (d *pendingOutcomes) Pop() any { o := *d; x := o[len(o)-1]; *d = o[:len(o)-1]; return x }
 
-// slowStartFleet is a fleet that deals a load out among servers of which some have just started.
+// slowStartFleet is a fleet of nodes that send to servers of which some have just started.
 type slowStartFleet struct {
 	nodes        int
-	assumedNodes int           // number of nodes that each of them is told of; 0: as many as there are
-	uneven       bool          // the load among the nodes: each tenth one has half of it together with its like
-	adjacent     bool          // uneven, and the tenth that has half of the load follow one another in the shared order
-	burst        bool          // from 3 s to 6 s there is half as much again, which is more than the warmed-up servers can do
-	restartAfter time.Duration // when those that had started start anew; 0: never
+	assumedNodes int           // number of nodes in the settings; 0: the actual number
+	uneven       bool          // every tenth node has a share of half of the load
+	adjacent     bool          // with uneven: the nodes with half of the load are adjacent
+	burst        bool          // 1.5 times the load from 3 s to 6 s, above the warmed-up servers' capacity
+	restartAfter time.Duration // time at which the started servers restart; 0: never
 }
 
-// Figures of the servers and their load.
+// Parameters of the servers and their load.
 const (
 	slowStartServers  = 40
 	restartedServers  = 10
-	slowStartCapacity = 40.0 // requests a second of a warmed-up server
+	slowStartCapacity = 40.0 // requests per second of a warmed-up server
 	slowStartLatency  = 100 * time.Millisecond
 	slowStartLength   = 12 * time.Second
 	slowStartWindow   = 10 * time.Second
@@ -138,7 +139,8 @@
 	slowStartBegin    = 100 * time.Second
 )
 
-// run deals the load out. It returns when requests were sent to each of the servers that had started, and their starts.
+// run sends the load. It returns the times of the requests by server, and the times at which the servers in slow
+// start started.
 func (f slowStartFleet) run(t *testing.T) (sent map[string][]time.Duration, starts []time.Duration) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(uint64(f.nodes), 1))
@@ -199,8 +201,9 @@
 	return sent, starts
 }
 
-// worstOverload is the greatest share that requests within a window had of what pushes a server over, and how many there were at all.
-// pushes tells what does by what the server can do in that time.
+// worstOverload returns the highest number of requests that a server in slow start got within a window, as a share of
+// overloadLimit, and the total number. overloadLimit returns the limit for the requests that the server can serve in
+// that time.
 func worstOverload(sent map[string][]time.Duration, starts []time.Duration, window time.Duration, overloadLimit func(capacity float64) float64) (share float64, total int) {
 	for i := range restartedServers {
 		times := sent[servers(slowStartServers)[3*i].ID]
@@ -212,7 +215,7 @@
 					start = s
 				}
 			}
-			for times[j]-times[from] > window || times[from] < start { // what came before a start went with it
+			for times[j]-times[from] > window || times[from] < start { // a restart drops all earlier requests
 				from++
 			}
 			capacityShare := min(1, slowStartMinimum+(1-slowStartMinimum)*(times[from]-start).Seconds()/slowStartWindow.Seconds())
@@ -222,7 +225,7 @@
 	return share, total
 }
 
-// maxWarmedUpRequests is the most requests that a warmed-up server had within a window.
+// maxWarmedUpRequests returns the highest number of requests that a warmed-up server got within a window.
 func maxWarmedUpRequests(sent map[string][]time.Duration, window time.Duration) (most int) {
 	for i, s := range servers(slowStartServers) {
 		if i%3 == 0 && i < 3*restartedServers {
@@ -239,41 +242,41 @@
 	return most
 }
 
-// A server in slow start falls when it gets more than N + 2 root of N + 2 requests in the time that the settings name, N being what the
-// settings allow it then, three times what it can do; the sum over all nodes counts. Whatever the number of nodes that deal
-// out the same load, however uneven their parts, in a burst and for servers that come back in slow start, no server in slow start gets nine
-// tenths of as many, though each node goes by its own few requests. Steadily none gets N + 3 root of N + 3 for an N of what it
-// can do, at one node and at many. The number of nodes comes from the settings, and may be wrong by two; those that have
-// half of the load may all share a subset.
+// A server in slow start is overloaded by more than N + 2√N + 2 requests in the time that the settings name, from all
+// nodes together; N is what the settings allow it then, three times its capacity. For any number of nodes that send
+// the same load, however uneven their parts, in a burst and for servers that return in slow start, no server in slow
+// start may get more than 0.9 of that, although each node knows only its own few requests. Under steady load, at one
+// node and at many, none may get more than C + 3√C + 3 requests for a capacity of C. The number of nodes comes from
+// the settings and may be wrong by a factor of two, and the nodes with half of the load may all share a subset.
 func TestFleetDoesNotOverloadServerInSlowStart(t *testing.T) {
 	const window = time.Second
-	overloadLimit := func(steadyLimit float64) float64 { return 3*steadyLimit + 2*math.Sqrt(3*steadyLimit) + 2 }
-	steadyLimit := func(steadyLimit float64) float64 { return steadyLimit + 3*math.Sqrt(steadyLimit) + 3 }
+	overloadLimit := func(capacity float64) float64 { return 3*capacity + 2*math.Sqrt(3*capacity) + 2 }
+	steadyLimit := func(capacity float64) float64 { return capacity + 3*math.Sqrt(capacity) + 3 }
 	for _, nodes := range []int{1, 5, 20, 30, 50, 300} {
 		for name, f := range map[string]slowStartFleet{
 			"steady":                        {nodes: nodes},
 			"burst":                         {nodes: nodes, burst: true},
 			"burst, uneven":                 {nodes: nodes, burst: true, uneven: true},
-			"back in slow start in a burst": {nodes: nodes, burst: true, uneven: true, restartAfter: 4 * time.Second},
-			"burst, neighbours":             {nodes: nodes, burst: true, uneven: true, adjacent: true},
-			"half are known of":             {nodes: nodes, assumedNodes: max(1, nodes/2), burst: true, uneven: true},
-			"twice are known of":            {nodes: nodes, assumedNodes: 2 * nodes, burst: true, uneven: true},
+			"burst, servers restart":        {nodes: nodes, burst: true, uneven: true, restartAfter: 4 * time.Second},
+			"burst, uneven, adjacent":       {nodes: nodes, burst: true, uneven: true, adjacent: true},
+			"half of the nodes in settings": {nodes: nodes, assumedNodes: max(1, nodes/2), burst: true, uneven: true},
+			"twice the nodes in settings":   {nodes: nodes, assumedNodes: 2 * nodes, burst: true, uneven: true},
 		} {
 			t.Run(fmt.Sprint(nodes, " ", name), func(t *testing.T) {
 				t.Parallel()
 				sent, starts := f.run(t)
 				share, total := worstOverload(sent, starts, window, overloadLimit)
 				steady, _ := worstOverload(sent, starts, window, steadyLimit)
-				t.Logf("%d nodes, %s: at most %.2f of what pushes a server in slow start over, %.2f of that for what it can do; %d requests; at most %d at a warmed-up one",
+				t.Logf("%d nodes, %s: servers in slow start got at most %.2f of the overload limit, %.2f of the steady limit, %d requests in total; a warmed-up server got at most %d",
 					nodes, name, share, steady, total, maxWarmedUpRequests(sent, window))
 				if share > 0.9 {
-					t.Errorf("a server in slow start got %.2f of what pushes it over, at most 0.9 is wanted", share)
+					t.Errorf("a server in slow start got %.2f of the overload limit, want at most 0.9", share)
 				}
 				if alone, many := nodes == 1, nodes >= 50; name == "steady" && (alone || many) && steady > 1 {
-					t.Errorf("a server in slow start got %.2f of what it can do and chance explains", steady)
+					t.Errorf("a server in slow start got %.2f of the steady limit, want at most 1", steady)
 				}
 				if total < 500 {
-					t.Errorf("the servers in slow start got %d requests: the ramp never rose", total)
+					t.Errorf("the servers in slow start got %d requests, want at least 500", total)
 				}
 			})
 		}
--- a/internal/balancer/soak_test.go
+++ b/internal/balancer/soak_test.go
@@ -9,8 +9,8 @@
 	"damsontrestle/internal/testpeer/heap"
 )
 
-// A hundred thousand requests under ids that are never seen again, and ten thousand servers that come and go under new
-// ids in twenty places, in two hundred zones of which two live at a time: nothing of what has gone is kept.
+// Plays 100,000 requests with IDs that are used once, and 10,000 servers that replace one another in 20 slots, in 200
+// zones of which two exist at a time. No state of removed servers, zones or requests may be kept.
 func TestRemovedServersAndRequestsLeaveNoState(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.PollChoices = 2 })
 	now := time.Second
@@ -20,7 +20,7 @@
 	}
 	b.Handle(now, ServerList{Full: true, Servers: slots})
 	var base int64
-	const requests, requestsPerReplacement = 100_000, 10 // each: requests between two replacements
+	const requests, requestsPerReplacement = 100_000, 10 // requests per replaced server
 	for i := range requests {
 		now += msec
 		if i%requestsPerReplacement == 0 {
@@ -57,18 +57,18 @@
 		}
 	}
 	if len(b.requests) > 0 || len(b.delayed) > 0 {
-		t.Errorf("%d requests are kept, %d delayed", len(b.requests), len(b.delayed))
+		t.Errorf("%d requests and %d delayed requests are kept, want none", len(b.requests), len(b.delayed))
 	}
 	if len(b.servers) != len(slots) || len(b.ready) != len(slots) || len(b.zones) > 3 {
-		t.Errorf("%d servers and %d zones are kept; %d are listed", len(b.servers), len(b.zones), len(slots))
+		t.Errorf("%d servers and %d zones are kept; %d servers are listed in at most 3 zones", len(b.servers), len(b.zones), len(slots))
 	}
 	for _, s := range b.servers {
 		if len(s.open) > 0 || len(s.failures) > len(b.classes) {
-			t.Errorf("%s keeps %d requests and %d classes", s.ID, len(s.open), len(s.failures))
+			t.Errorf("%s keeps %d open attempts and %d classes", s.ID, len(s.open), len(s.failures))
 		}
 	}
 	if grown := heap.Reachable() - base; grown > 256<<10 {
-		t.Errorf("the heap grew by %d KiB from the tenth part of the day to its end", grown>>10)
+		t.Errorf("the heap grew by %d KiB after the first tenth of the requests, want at most 256", grown>>10)
 	}
 	runtime.KeepAlive(b)
 }
--- a/internal/balancer/subset_test.go
+++ b/internal/balancer/subset_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The subsets of many nodes cover each group evenly, and a busy node takes a wider one.
+// The subsets of many nodes cover each group evenly, and a busy node takes a larger one.
 func TestSubsetsCoverGroupsEvenly(t *testing.T) {
 	count := map[string]int{}
 	const nodes = 60
@@ -20,11 +20,11 @@
 			count[s.ID]++
 		}
 		if idle := b.subsetSize; idle >= 20 {
-			t.Fatalf("an idle node's subset has %d servers", idle)
+			t.Fatalf("an idle node's subset has %d servers, want fewer than 20", idle)
 		}
 		b.meanInFlight = 8
 		if b.updateSubset(); b.subsetSize < 12 {
-			t.Fatalf("a busy node's subset has %d servers", b.subsetSize)
+			t.Fatalf("a busy node's subset has %d servers, want at least 12", b.subsetSize)
 		}
 	}
 	least, most := nodes, 0
@@ -32,11 +32,11 @@
 		least, most = min(least, count[s.ID]), max(most, count[s.ID])
 	}
 	if least < 4 || most-least > 3 {
-		t.Errorf("servers are in %d to %d subsets", least, most)
+		t.Errorf("servers are in %d to %d subsets, want at least 4 and a difference of at most 3", least, most)
 	}
 }
 
-// subsetShares are how much of each server lies in the subsets of all nodes together.
+// subsetShares returns the sum of each server's shares in the subsets of all nodes, and the subsets.
 func subsetShares(t *testing.T, nodes, servers int) (sum map[string]float64, subsets [][]string) {
 	t.Helper()
 	sum = map[string]float64{}
@@ -58,8 +58,8 @@
 	return sum, subsets
 }
 
-// Whatever the numbers of nodes and servers are, all subsets together take in the same part of each server, and
-// hardly two nodes have the same subset.
+// For any numbers of nodes and servers, all subsets together contain the same share of each server, and few adjacent
+// nodes have the same subset.
 func TestSubsetsTogetherCoverAllServersEvenly(t *testing.T) {
 	for _, c := range []struct{ copies, servers int }{{200, 60}, {300, 60}, {60, 400}, {300, 5}, {7, 13}, {97, 89}, {1, 40}, {2, 3}} {
 		sum, subsets := subsetShares(t, c.copies, c.servers)
@@ -69,7 +69,7 @@
 			least, most = min(least, v), max(most, v)
 		}
 		if least <= 0 || most/least > 1.0001 {
-			t.Errorf("%d nodes, %d servers: subsets take in %.3f to %.3f of a server", c.copies, c.servers, least, most)
+			t.Errorf("%d nodes, %d servers: the shares of a server add up to %.3f to %.3f, want them equal", c.copies, c.servers, least, most)
 		}
 		same := 0
 		for i := range subsets[1:] {
@@ -78,13 +78,13 @@
 			}
 		}
 		if same > len(subsets)/10 {
-			t.Errorf("%d nodes, %d servers: %d neighbours have one subset", c.copies, c.servers, same)
+			t.Errorf("%d nodes, %d servers: %d adjacent nodes have the same subset", c.copies, c.servers, same)
 		}
 	}
 }
 
-// A node more or a server more moves few of the connections that a node's subset stands for on the left, where the nodes
-// follow in their order.
+// One more node or server changes few of a node's connections in the left group, where the nodes are in their own
+// order.
 func TestSubsetsAreStableAsServersChange(t *testing.T) {
 	_, before := subsetShares(t, 100, 60)
 	_, after := subsetShares(t, 100, 61)
@@ -98,7 +98,7 @@
 		}
 	}
 	if kept*10 < all*6 {
-		t.Errorf("one server more: %d of %d places in subsets are kept", kept, all)
+		t.Errorf("with one more server %d of %d subset members are kept, want at least 60%%", kept, all)
 	}
 }
 
@@ -110,19 +110,19 @@
 			a, b = b, a%b
 		}
 		if a != 1 || m < 1 || n > 10 && (m < n/2 || m > n*9/10) {
-			t.Fatalf("stride(%d) is %d", n, m)
+			t.Fatalf("coprimeStride(%d) = %d", n, m)
 		}
 	}
 }
 
-// Nodes that hear of a change of their number at different times lay their subsets out in two ways for a while, each of
-// them even: together no server is left out, and none lies in much more than its part.
+// Nodes that learn of a new node count at different times use two layouts of subsets for a while, each of them even:
+// together they must contain every server, and none much more than its share.
 func TestSubsetsCoverAllServersWhileNodesDisagreeOnNodeCount(t *testing.T) {
 	for _, c := range []struct{ was, is, servers int }{{200, 190, 60}, {190, 200, 60}, {100, 200, 60}, {60, 61, 400}, {300, 150, 30}} {
 		before, _ := subsetShares(t, c.was, c.servers)
 		after, _ := subsetShares(t, c.is, c.servers)
 		sum := map[string]float64{}
-		for i := range c.was { // every second node has heard; those that are gone by the new number still send by the old
+		for i := range c.was { // half of the nodes know the new count; removed ones still use the old one
 			nodes := c.was
 			if i%2 == 0 && i < c.is {
 				nodes = c.is
@@ -146,15 +146,15 @@
 		for k := range c.servers {
 			id := fmt.Sprintf("s%04d", k)
 			if v := sum[id] / mean; v < 0.3 || v > 1.8 || before[id] == 0 || after[id] == 0 {
-				t.Errorf("%d nodes that become %d, %d servers: %s gets %.2f of its part", c.was, c.is, c.servers, id, v)
+				t.Errorf("from %d to %d nodes, %d servers: %s gets %.2f of its share", c.was, c.is, c.servers, id, v)
 				break
 			}
 		}
 	}
 }
 
-// After a release all nodes are new at once and know nothing: the first requests of three hundred go to sixty servers as
-// evenly as chance has it, and to no few that come first in the order.
+// After a release all nodes are new at once and have no statistics: the first requests of 300 nodes must reach 60
+// servers about evenly, not the few that are first in the order.
 func TestNewNodesSpreadFirstRequests(t *testing.T) {
 	const nodes, serverCount = 300, 60
 	for _, reported := range []bool{false, true} {
@@ -171,7 +171,7 @@
 				list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", k)})
 			}
 			b.Handle(time.Second, list)
-			if reported { // every node has heard the same of all, and one looks idle
+			if reported { // every node has the same load reports, and one server looks idle
 				for k := range serverCount {
 					busy := 3.0
 					if k == 7 {
@@ -190,23 +190,24 @@
 				most = max(most, c)
 			}
 		}
-		// Five each on average; fifteen at one of sixty comes by chance in one of a thousand such releases.
+		// The mean is five per server; by chance, one of 60 servers gets fifteen in one of 1000 such releases.
 		if most > 15 || reached < serverCount*9/10 {
-			t.Errorf("first requests met %d servers, %d of them one", reached, most)
+			t.Errorf("the first requests reached %d servers, one of which got %d; want at least 90%% of the servers and at most 15", reached, most)
 		}
-		// Who looks idle to all gets the first request of those whose subset it lies in, and of nobody else.
+		// A server that looks idle to all nodes gets the first requests of the nodes whose subsets contain it, and of
+		// no others.
 		if in := 0; reported {
 			sum, _ := subsetShares(t, nodes, serverCount)
 			in = int(sum["s0007"]) + 3
 			if first["s0007"] > 2*in {
-				t.Errorf("%d of %d first requests go to the server that looks idle to all; it lies in about %d subsets", first["s0007"], nodes, in)
+				t.Errorf("%d of %d first requests go to the server that looks idle; it is in about %d subsets", first["s0007"], nodes, in)
 			}
 		}
 	}
 }
 
-// A subset is cut anew only where that changes it: the same again costs no memory, also where more servers are wanted than there
-// are. Once the list has changed it is cut again, however much is wanted.
+// The subset is computed again only if it would change: an unchanged one allocates no memory, even if more servers
+// are wanted than exist. After a change of the list it is computed again, whatever size is wanted.
 func TestUnchangedSubsetIsNotRecomputed(t *testing.T) {
 	for _, c := range []struct {
 		copies, servers int
@@ -221,14 +222,14 @@
 		b.meanInFlight = c.busy
 		b.updateSubset()
 		if n := testing.AllocsPerRun(10, b.updateSubset); n > 0 {
-			t.Errorf("%+v: %v allocations for the same subset", c, n)
+			t.Errorf("%+v: %v allocations for an unchanged subset, want 0", c, n)
 		}
 		list.Servers = list.Servers[1:]
 		b.Handle(2*time.Second, list)
 		b.updateSubset()
 		first := func(s *server) bool { return s.ID == "s0000" }
 		if slices.ContainsFunc(slices.Concat(b.subset.left, b.subset.right), first) || len(b.subset.left) == 0 {
-			t.Errorf("%+v: the subset still has the server that has left, or has none", c)
+			t.Errorf("%+v: the subset contains the removed server or its left group is empty", c)
 		}
 	}
 }
--- a/internal/balancer/takeover_test.go
+++ b/internal/balancer/takeover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request that another host had in hand goes on where that one left it: its attempts count, its servers are not tried
-// again, and whether it may be sent once more hangs on the class's effect and on what is known of them.
+// A request taken over from another host continues where that one stopped: its attempts count, its servers are not
+// tried again, and whether it may be sent again depends on the class's effect and on what is known of the attempts.
 func TestTakenOverRequestContinuesAfterPriorAttempts(t *testing.T) {
 	const now = 100 * time.Second
 	priorAttempts := func(neverRan bool, servers ...string) (list []PriorAttempt) {
@@ -19,7 +19,7 @@
 		name    string
 		class   string
 		earlier []PriorAttempt
-		cells   string // of the servers that it may go to; empty: it is not sent
+		cells   string // cells of the servers that it may be sent to; empty: it is not sent
 		refused bool
 	}{
 		{"safe, may have run", "get", priorAttempts(false, "s00"), "01", false},
@@ -27,9 +27,9 @@
 		{"unsafe, may have run", "pay", priorAttempts(false, "s00"), "", false},
 		{"unsafe, never ran", "pay", priorAttempts(true, "s00"), "01", false},
 		{"unsafe, never ran, all attempts used", "pay", priorAttempts(true, "s00", "s01", "s02", "s03", "s04"), "", true},
-		{"keyed, may have run: its cell drops duplicates", "post", priorAttempts(false, "s02"), "0", false},
-		{"keyed, and its cell has forgotten", "post", []PriorAttempt{{Server: "s02", Zone: "z", SentAt: now - time.Second}}, "", false},
-		{"keyed, of a server that is no more", "post", []PriorAttempt{{Server: "gone", Zone: "z", Cell: 1, SentAt: now - 100*msec}}, "1", false},
+		{"keyed, may have run: its cell discards duplicates", "post", priorAttempts(false, "s02"), "0", false},
+		{"keyed, duplicate window over", "post", []PriorAttempt{{Server: "s02", Zone: "z", SentAt: now - time.Second}}, "", false},
+		{"keyed, attempt at a removed server", "post", []PriorAttempt{{Server: "gone", Zone: "z", Cell: 1, SentAt: now - 100*msec}}, "1", false},
 	} {
 		seen := map[string]bool{}
 		for seed := range uint64(40) {
@@ -42,26 +42,26 @@
 			sent := sends(acts)
 			if c.cells == "" {
 				if len(sent) > 0 || len(acts) != 1 {
-					t.Fatalf("%s: %+v", c.name, acts)
+					t.Fatalf("%s: actions %+v, want one response", c.name, acts)
 				}
 				if _, rejected := acts[0].(Reject); rejected != c.refused {
-					t.Fatalf("%s: %+v, want rejected %v", c.name, acts[0], c.refused)
+					t.Fatalf("%s: response %+v, want rejected %v", c.name, acts[0], c.refused)
 				}
 				continue
 			}
 			if len(sent) != 1 {
-				t.Fatalf("%s: %+v", c.name, acts)
+				t.Fatalf("%s: actions %+v, want one Send", c.name, acts)
 			}
 			seen[string(rune('0'+int(sent[0].Server[2]-'0')%2))] = true
 			for _, e := range c.earlier {
 				if e.Server == sent[0].Server {
-					t.Fatalf("%s: sent to %s once more", c.name, e.Server)
+					t.Fatalf("%s: sent to %s again", c.name, e.Server)
 				}
 			}
-			// Its attempts are numbered on.
+			// Attempt numbers continue after the prior attempts.
 			acts = b.Handle(now+msec, Outcome{ID: "r", Attempt: len(c.earlier), Server: sent[0].Server, Result: Success, Ended: true})
 			if len(b.requests) != 0 || len(acts) != 0 {
-				t.Fatalf("%s: %d requests are left, %+v", c.name, len(b.requests), acts)
+				t.Fatalf("%s: %d requests are left over, actions %+v", c.name, len(b.requests), acts)
 			}
 		}
 		if len(seen) != len(c.cells) || c.cells != "" && !seen[c.cells[:1]] {
--- a/internal/balancer/uploads_test.go
+++ b/internal/balancer/uploads_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// upload asks for a request whose body still comes, and returns the server that it goes to.
+// startUpload sends a request with an incomplete body and returns its Send.
 func startUpload(t *testing.T, b *Balancer, now time.Duration, id, class string) Send {
 	t.Helper()
 	s := sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + 1500*msec, Partial: true}))
@@ -16,8 +16,8 @@
 	return s[0]
 }
 
-// Uploads under way are no work for anybody: they fill no place in the window, and other requests are sent as if
-// they were not there. With their last byte they count like any other.
+// Uploads in progress are no work for a server: they take no capacity of the window, and other requests are sent as
+// if the uploads did not exist. From their last byte on they count like any other request.
 func TestUploadCountsAsInFlightFromLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -32,7 +32,7 @@
 	}
 	for i := range capacity {
 		if len(sends(b.Handle(2*msec, Request{ID: fmt.Sprint("r", i), Class: "get", Deadline: 1500 * msec}))) != 1 {
-			t.Fatalf("request %d of %d is not sent beside uploads", i, capacity)
+			t.Fatalf("request %d of %d is not sent during uploads", i, capacity)
 		}
 	}
 	if b.inFlight != capacity {
@@ -41,12 +41,12 @@
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Minute + 1500*msec})
 	b.Handle(time.Minute, Uploaded{ID: "u0", Deadline: time.Hour})
 	if b.inFlight != capacity+1 {
-		t.Errorf("%d in flight after a last byte that was reported twice, want %d", b.inFlight, capacity+1)
+		t.Errorf("%d in flight after Uploaded was delivered twice, want %d", b.inFlight, capacity+1)
 	}
 }
 
-// However long an upload takes, its time begins with its end: what fails before that long is over may be tried
-// again, and a server that answers soon after it is neither slow nor silent.
+// However long an upload takes, its time starts with its last byte: an attempt that fails soon after that may be
+// retried, and a server that replies soon after it is neither slow nor unresponsive.
 func TestUploadDeadlineStartsAtLastByte(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -55,7 +55,7 @@
 	b.Handle(now, Uploaded{ID: "u", Deadline: now + 1500*msec})
 	again := sends(b.Handle(now+10*msec, Outcome{ID: "u", Server: first.Server, Result: Overloaded}))
 	if len(again) != 1 || again[0].Server == first.Server || again[0].Timeout < 400*msec {
-		t.Fatalf("after %+v, which never ran: %+v", first, again)
+		t.Fatalf("retry after %+v, which never ran: %+v", first, again)
 	}
 	for i := range 200 {
 		now += 100 * msec
@@ -67,15 +67,15 @@
 		b.Handle(now, Outcome{ID: id, Server: s.Server, Result: Success, Ended: true})
 	}
 	if n := b.Unavailable(); n != 0 {
-		t.Errorf("%d servers are avoided that answered all in time", n)
+		t.Errorf("%d servers are unavailable although all replied in time", n)
 	}
 	if mean := time.Duration(b.classes["pay"].meanLatency); mean > 40*msec {
-		t.Errorf("answers took 20ms, and the mean is %v", mean)
+		t.Errorf("replies took 20ms, but the mean latency is %v", mean)
 	}
 }
 
-// A request of which a part is gone is not sent again: rejected if no server ever had it whole, failed if one may
-// have run it. One of which nothing is gone goes on to another server.
+// A request of which a part is no longer buffered is not sent again: it is rejected if no server got it completely,
+// and fails if one may have run it. A complete one is retried at another server.
 func TestNonReplayableRequestIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -85,10 +85,10 @@
 		want     string
 	}{
 		{"no connection", "pay", false, Outcome{Result: Unreachable}, "send"},
-		{"broken halfway", "pay", false, Outcome{Result: Unreachable, NotReplayable: true}, "reject"},
-		{"rejected at the end", "pay", true, Outcome{Result: Overloaded, NotReplayable: true}, "reject"},
-		{"broken at the end", "pay", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "fail"},
-		{"broken at the end, but safe", "get", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "reject"},
+		{"connection broken during the upload", "pay", false, Outcome{Result: Unreachable, NotReplayable: true}, "reject"},
+		{"rejected after the upload", "pay", true, Outcome{Result: Overloaded, NotReplayable: true}, "reject"},
+		{"connection broken after the upload", "pay", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "fail"},
+		{"connection broken after the upload, safe", "get", true, Outcome{Result: ConnectionLost, NotReplayable: true}, "reject"},
 		{"served", "pay", true, Outcome{Result: Success, NotReplayable: true, Ended: true}, ""},
 	} {
 		b := newBalancer(t, nil)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Clients that leave their uploads cost no server its good name, and leave nothing behind.
+// Clients that disconnect during uploads must not make a server an outlier and must leave no state.
 func TestAbandonedUploadsEjectNoServer(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -127,12 +127,13 @@
 		b.Handle(now+5*time.Second, Outcome{ID: id, Server: s.Server, Result: Cancelled, Ended: true, NotReplayable: true})
 	}
 	if b.Unavailable() != 0 || b.inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("%d servers avoided, %d in flight, %d requests", b.Unavailable(), b.inFlight, len(b.requests))
+		t.Errorf("%d servers unavailable, %d in flight, %d requests; want none", b.Unavailable(), b.inFlight, len(b.requests))
 	}
 }
 
-// Cold servers get one own request at a time, also of those whose bodies still come: slow uploads to several would end
-// together. Once it has ended, or its client has left, the next may go there.
+// Servers in slow start get one own request at a time, uploads included: slow uploads to one server could all
+// complete at the same time. After the request has ended, or its client has disconnected, the server may get the next
+// one.
 func TestUploadsDoNotOverloadServerInSlowStart(t *testing.T) {
 	b := newBalancer(t, nil)
 	now := time.Hour
@@ -143,11 +144,11 @@
 	for i := range 50 {
 		e := Request{ID: fmt.Sprint("u", i), Class: "pay", Deadline: now + 1500*msec, Partial: i%2 == 0}
 		if s := sends(b.Handle(now+2*msec, e)); len(s) > 0 {
-			t.Fatalf("request %d goes to a server in slow start that an upload is on its way to", i)
+			t.Fatalf("request %d is sent to a server in slow start during an upload to it", i)
 		}
 	}
 	if s := b.servers[first.Server]; s.uploading != 1 || s.inFlight != 0 {
-		t.Errorf("%d coming, %d requests", s.uploading, s.inFlight)
+		t.Errorf("%d uploading and %d in flight, want 1 and 0", s.uploading, s.inFlight)
 	}
 	b.Handle(now+3*msec, ClientDisconnected{ID: "first"})
 	b.Handle(now+3*msec, Outcome{ID: "first", Server: first.Server, Result: Cancelled, Ended: true, NotReplayable: true})
@@ -156,23 +157,23 @@
 		total += s.inFlight + s.uploading
 	}
 	if total != 1 {
-		t.Errorf("%d requests at the server or on their way once it was free, want 1", total)
+		t.Errorf("%d requests uploading or in flight once the server was free, want 1", total)
 	}
 }
 
-// What health keeps out is counted up to the share of the list that it may keep out, and draining servers with it.
+// Outliers count as unavailable up to the share of the list that may be excluded, and draining servers in addition.
 func TestUnavailableCountsServersWithoutNewRequests(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := servers(20)
 	list[19].State = Draining
 	b.Handle(0, ServerList{Full: true, Servers: list})
 	if n := b.Unavailable(); n != 1 {
-		t.Errorf("%d avoided of a healthy list, want the draining one", n)
+		t.Errorf("%d servers unavailable of a healthy list, want only the draining one", n)
 	}
 	for _, s := range b.servers {
 		s.ejectedUntil = time.Hour
 	}
 	if n, most := b.Unavailable(), b.maxEjected(); most != 3 || n != 1+most {
-		t.Errorf("%d avoided where all are outliers, want 1 and %d", n, most)
+		t.Errorf("%d servers unavailable with all of them outliers, want 1 and %d", n, most)
 	}
 }
--- a/internal/balancer/zones_test.go
+++ b/internal/balancer/zones_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// zonedFleet is a fleet of servers in zones, and one node that sends to them: each request of it is answered after a drawn
-// time, but for zones that say nothing.
+// zonedFleet is a fleet of servers in zones and one node that sends to them. Each request is answered after a random
+// time, except in silent zones.
 type zonedFleet struct {
 	b          *Balancer
 	rng        *rand.Rand
 	now        time.Duration
-	latency    time.Duration   // mean time of an answer
-	silent     map[string]bool // zones: requests there end with their time, or as unreachable where a connection is new
-	hung       map[string]bool // servers: the same of one
+	latency    time.Duration   // mean latency of replies
+	silent     map[string]bool // zones where attempts time out, or end as Unreachable on new connections
+	hung       map[string]bool // servers with the same behavior
 	pending    []pendingEnd
-	sentToZone map[string]int // to each zone, since it was cleared
+	sentToZone map[string]int // requests per zone since the last clear
 	served     int
-	idleClosed map[string]bool // servers whose idle connections were let go
-	probesSent int             // times that they were
+	idleClosed map[string]bool // servers whose idle connections were closed
+	probesSent int             // number of CloseIdle actions
 	lastID     int
 }
 
@@ -50,10 +50,10 @@
 	return fleet
 }
 
-// list tells the node of the servers, those of a zone with the time of their start.
+// updateList sends the node a full list of servers; boot holds start times by zone.
 func (z *zonedFleet) updateList(zones, each int, boot map[string]time.Duration) {
 	list := ServerList{Full: true}
-	for i, n := range rand.New(rand.NewPCG(9, 9)).Perm(zones * each) { // ids tell nothing of zones
+	for i, n := range rand.New(rand.NewPCG(9, 9)).Perm(zones * each) { // makes IDs independent of zones
 		zone := fmt.Sprint("zone", i%zones)
 		list.Servers = append(list.Servers, Server{ID: fmt.Sprintf("s%04d", n), Zone: zone, Boot: boot[zone]})
 	}
@@ -62,7 +62,7 @@
 
 func (z *zonedFleet) zone(server string) string { return z.b.servers[server].Zone }
 
-// carry does what the node has decided.
+// execute carries out the node's actions.
 func (z *zonedFleet) execute(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// runRandomEvents has requests of a class come for a while, so many a second, and returns how many were served of them.
+// run sends requests of a class at a rate per second for a while, and returns how many were sent and served.
 func (z *zonedFleet) run(class string, rate float64, duration time.Duration) (offered, served int) {
 	until, servedBefore := z.now+duration, z.served
 	for arrival := z.now; z.now < until; {
@@ -122,9 +122,9 @@
 	return offered, z.served - servedBefore
 }
 
-// Nodes of ten requests a second have a request out at one or two of a zone's forty servers when it is unreachable. From a second
-// and a half later on they send nothing there but a probe now and then, each on a connection of its own, so that it is
-// known at once not to have run; a second and a half after the cut has ended the zone has its share again.
+// Nodes with 10 requests per second have requests in flight at only one or two of a zone's 40 servers when the zone
+// becomes unreachable. From 1.5 s later on they send it only an occasional probe, on a new connection, so that the
+// attempt is known at once not to have run. 1.5 s after the partition ends the zone gets its share again.
 func TestUnreachableZoneGetsProbesOnly(t *testing.T) {
 	const nodes = 40
 	before, during, probes, offered, served, after := 0, 0, 0, 0, 0, 0
@@ -148,17 +148,17 @@
 		after += fleet.sentToZone["zone1"]
 	}
 	if during*20 > before || served*100 < 96*offered {
-		t.Errorf("%d requests to the unreachable zone beside %d probes, %d before; %d of %d served", during, probes, before, served, offered)
+		t.Errorf("%d requests to the unreachable zone in addition to %d probes, %d before; %d of %d served", during, probes, before, served, offered)
 	}
 	if probes < nodes*5 || probes > nodes*50 {
-		t.Errorf("%d nodes made %d probes in five seconds", nodes, probes)
+		t.Errorf("%d nodes sent %d probes in five seconds", nodes, probes)
 	}
 	if after*4 < before*3 {
-		t.Errorf("the zone gets %d requests once it is back, %d before", after, before)
+		t.Errorf("the zone gets %d requests after the partition, %d before", after, before)
 	}
 }
 
-// Requests that may run again are taken back from a zone that is unreachable and run elsewhere in time.
+// Repeatable requests to an unreachable zone are canceled and retried elsewhere in time.
 func TestSafeRequestsAreCancelledInUnreachableZone(t *testing.T) {
 	runDuringCut := func(class string) (offered, served int) {
 		for seed := range uint64(20) {
@@ -166,7 +166,7 @@
 			fleet.run(class, 30, 5*time.Second)
 			fleet.silent["zone1"] = true
 			o, _ := fleet.run(class, 30, 500*msec)
-			fleet.run("post", 0.001, time.Second) // until the last of them has ended
+			fleet.run("post", 0.001, time.Second) // until all of them have ended
 			offered += o
 			served += fleet.served
 		}
@@ -175,20 +175,20 @@
 	offered, safe := runDuringCut("get")
 	_, unsafe := runDuringCut("pay")
 	if lost := float64(unsafe-safe) / float64(offered); lost > -0.1 {
-		t.Errorf("of %d requests in the half second of the cut %d more were served where they may run again", offered, safe-unsafe)
+		t.Errorf("of %d requests during the half-second partition only %d more were served if repeatable", offered, safe-unsafe)
 	}
 }
 
-// What tells of one server, of everybody or of this node itself is held against no zone.
+// Faults of a single server, of all servers or of this node must not mark a zone as unreachable.
 func TestUnrelatedFaultsMarkNoZoneUnreachable(t *testing.T) {
 	for name, injectFault := range map[string]func(*zonedFleet){
-		"one server hangs":                func(fleet *zonedFleet) { fleet.hung["s0000"] = true },
-		"everybody is five times as slow": func(fleet *zonedFleet) { fleet.latency *= 5 },
+		"one server hangs":                   func(fleet *zonedFleet) { fleet.hung["s0000"] = true },
+		"all servers are five times as slow": func(fleet *zonedFleet) { fleet.latency *= 5 },
 		"this node is unreachable": func(fleet *zonedFleet) {
 			fleet.silent["zone0"], fleet.silent["zone1"], fleet.silent["zone2"] = true, true, true
 		},
-		"nothing is wrong":                      func(fleet *zonedFleet) {},
-		"few requests, of which some take long": func(fleet *zonedFleet) { fleet.latency *= 2 },
+		"nothing is wrong":              func(fleet *zonedFleet) {},
+		"all servers are twice as slow": func(fleet *zonedFleet) { fleet.latency *= 2 },
 	} {
 		unreachable, all := 0, 0
 		for seed := range uint64(10) {
@@ -206,38 +206,39 @@
 			}
 		}
 		if share := float64(unreachable) / float64(all); share > 0.01 {
-			t.Errorf("%s: zones are held for cut off for %.3f of the time", name, share)
+			t.Errorf("%s: zones are marked unreachable for %.3f of the time, want at most 0.01", name, share)
 		}
 	}
 }
 
-// A zone that was lost comes back as servers that have begun anew: they are no part of what was silent.
+// After its loss a zone returns with restarted servers, which are not the unresponsive ones.
 func TestRestartedServersAreNotExcludedWithTheirZone(t *testing.T) {
 	fleet := newZonedFleet(t, 1, 3, 10, func(s *Settings) { s.SlowStartWindow = 0 })
 	fleet.run("pay", 20, 5*time.Second)
 	fleet.silent["zone1"] = true
 	fleet.run("pay", 20, 3*time.Second)
 	if s := fleet.b.zoneOf("zone1"); s.unreachableSince == 0 {
-		t.Fatal("the zone is not held for cut off")
+		t.Fatal("the zone is not marked unreachable")
 	}
 	delete(fleet.silent, "zone1")
 	fleet.updateList(3, 10, map[string]time.Duration{"zone1": fleet.now})
 	for _, s := range fleet.b.ready {
 		if fleet.b.zoneExcluded(s) {
-			t.Errorf("%s of %s is kept out", s.ID, s.Zone)
+			t.Errorf("%s in %s is excluded", s.ID, s.Zone)
 		}
 	}
 	fleet.updateList(2, 10, nil)
 	if len(fleet.b.zones) != 2 {
-		t.Errorf("%d zones are known of two that are listed", len(fleet.b.zones))
+		t.Errorf("%d zones are known, want the two listed ones", len(fleet.b.zones))
 	}
 }
 
-// A node whose subset lies in the unreachable zone hears nobody: it asks beyond its subset, and learns that others answer.
+// A node whose subset lies in an unreachable zone gets no replies: it sends beyond its subset and detects that other
+// zones reply.
 func TestNodeWithoutRepliesSelectsOutsideItsSubset(t *testing.T) {
 	fleet := newZonedFleet(t, 1, 3, 40, func(s *Settings) { s.Index = 0 })
 	list := ServerList{Full: true}
-	for i := range 120 { // the subset is a run from the start of each group, which begin with 0 and 60
+	for i := range 120 { // the subset starts at the first server of each group, numbers 0 and 60
 		zone := fmt.Sprint("zone", 1+i%2)
 		if i%60 < 30 {
 			zone = "zone0"
@@ -247,7 +248,7 @@
 	fleet.execute(fleet.b.Handle(fleet.now, list))
 	fleet.run("pay", 10, 5*time.Second)
 	if len(fleet.sentToZone) != 1 {
-		t.Fatalf("the subset lies in more than one zone: %v", fleet.sentToZone)
+		t.Fatalf("the subset has servers in more than one zone: %v", fleet.sentToZone)
 	}
 	fleet.silent["zone0"] = true
 	fleet.run("pay", 10, 2*time.Second)
@@ -256,9 +257,8 @@
 	}
 }
 
-// Over a fleet of any size the nodes that see only a few requests each send a zone that is unreachable, all together and
-// after two seconds, less than a tenth of what they sent it before, and the servers of the others no more than
-// their share of that in turn.
+// In fleets of any size, two seconds after a zone becomes unreachable, nodes with few requests each send it, all
+// together, less than a tenth of the earlier requests, and the other zones get no more than their share of these.
 func TestFleetOfAnySizeAvoidsUnreachableZone(t *testing.T) {
 	for _, nodes := range []int{10, 100, 1000} {
 		before, during, others := 0, 0, 0
@@ -277,10 +277,10 @@
 			others += fleet.sentToZone["zone0"] + fleet.sentToZone["zone2"]
 		}
 		if during*10 > before {
-			t.Errorf("%d nodes: %d requests to the unreachable zone, beside probes, %d before", nodes, during, before)
+			t.Errorf("%d nodes: %d requests to the unreachable zone in addition to probes, %d before", nodes, during, before)
 		}
 		if most := 2*before + before*3/2; others > most {
-			t.Errorf("%d nodes: the other two zones got %d requests, one got %d before", nodes, others, before)
+			t.Errorf("%d nodes: the other two zones got %d requests; the unreachable one got %d before", nodes, others, before)
 		}
 	}
 }
