--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -13,7 +13,7 @@
 	Send struct {
 		ID, Server string
 		Timeout    time.Duration
-		NotAfter   time.Duration // clock time after which it may not start; then it ends as NotStarted or Unreachable
+		NotAfter   time.Duration // must start before this clock time, or it ends as NotStarted or Unreachable
 	}
 	// Poll asks servers for their load. A LoadUpdate with this ID may follow for each server, with any delay or not
 	// at all. No part of the request itself is sent.
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -13,7 +13,7 @@
 	windowGain             = 0.15 // window change per reply and relative error, at a single node
 	minWindowShare         = 0.5  // share of the window that every class may fill
 	maxWindowShare         = 2    // most that a class of high priority weight may fill while load is shed
-	initialWindowPerServer = 13.0 // own requests per server of a node's share that are admitted at the start
+	initialWindowPerServer = 13.0 // initial window, in own requests per server of a node's share
 )
 
 // windowFull reports whether the node has as many requests in flight as the tiers below answer in time. Only the
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -149,23 +149,23 @@
 	if outcome.Load != nil {
 		b.recordLoad(a.server, outcome.Load.Busy, b.now)
 	}
-	serverReachable := b.recordZoneResult(a, outcome.Result)
+	zoneReachable := b.recordZoneResult(a, outcome.Result)
 	if a.counted {
-		b.uncountAttempt(a, outcome, serverReachable)
+		b.uncountAttempt(a, outcome, zoneReachable)
 	} else {
 		b.endUpload(a)
 	}
-	if serverReachable && (a.counted || outcome.Result != Success) {
+	if zoneReachable && (a.counted || outcome.Result != Success) {
 		b.recordResult(a, outcome)
 	}
 }
 
 // uncountAttempt removes an attempt from the in-flight counts. Its latency adjusts the window, unless its server is
 // unresponsive: that says nothing about the load of the others.
-func (b *Balancer) uncountAttempt(a *attempt, outcome Outcome, serverReachable bool) {
+func (b *Balancer) uncountAttempt(a *attempt, outcome Outcome, zoneReachable bool) {
 	b.inFlight--
 	a.server.inFlight--
-	if serverReachable && !b.unresponsive(a.server) {
+	if zoneReachable && !b.unresponsive(a.server) {
 		b.adjustWindow(a.request, outcome)
 	}
 	a.server.open = slices.DeleteFunc(a.server.open, func(o *attempt) bool { return o == a })
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -89,9 +89,9 @@
 	}
 	b.removeEmptyZones()
 	b.meanSize = meanServerSize(b.ready)
-	cut := int(math.Ceil(leftGroupShare * float64(len(b.ready))))
-	b.allGroups.left = b.ready[:cut]
-	b.allGroups.right = b.ready[cut:]
+	middle := int(math.Ceil(leftGroupShare * float64(len(b.ready))))
+	b.allGroups.left = b.ready[:middle]
+	b.allGroups.right = b.ready[middle:]
 	b.subsetSize = 0
 	if b.window == 0 { // the first list
 		b.window = initialWindowPerServer * b.serversPerNode()
--- a/internal/balancer/outlier_detection.go
+++ b/internal/balancer/outlier_detection.go
@@ -128,6 +128,6 @@
 	wait := b.overlongLatency(oldest.request.class) * 3 / 2
 	since := oldest.sent + wait/2
 	overdue := b.now-oldest.sent > wait
-	othersReply := b.lastSuccess > since
-	return overdue && othersReply && s.lastSuccess < since
+	othersReplied := b.lastSuccess > since
+	return overdue && othersReplied && s.lastSuccess < since
 }
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -45,8 +45,8 @@
 	Balancers   int     // number of nodes that send requests to this tier
 	Index       int     // index of this node among them, from 0
 	Tier        int     // the tier that requests are sent to; 0 is the first, nearest to the clients
-	TotalWeight float64 // weight of the total priority weight when shedding
-	ClassWeight float64 // weight of the worst-served class when shedding
+	TotalWeight float64 // weight of a class's part of all priority weight in its requests' value
+	ClassWeight float64 // extra weight in the value of requests of the worst-served class
 
 	PollChoices   int           // servers polled for their load before a first attempt; 0: none
 	MaxAttempts   int           // attempts per request
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -76,7 +76,8 @@
 	return warmedUp
 }
 
-// mayReceive reports whether a server may get a request, by the same rules as excludeOutliers and eligible.
+// mayReceive reports whether a server may get a request. It applies to one server what excludeOutliers and eligible
+// check for groups.
 func (b *Balancer) mayReceive(s *server, r *request) bool {
 	if b.zoneExcluded(s) || b.avoidForFailures(s, r.class) || b.isOutlier(s, r) {
 		return false
--- a/internal/balancer/subset.go
+++ b/internal/balancer/subset.go
@@ -54,18 +54,18 @@
 
 // groupSubset returns the servers of this node's range of a group, which begins at start, and sets the share of each
 // one that lies in it.
-func (b *Balancer) groupSubset(group []*server, start int) (run []*server) {
+func (b *Balancer) groupSubset(group []*server, start int) (members []*server) {
 	perNode := float64(len(group)) / b.nodes()
 	from := float64(start) * perNode
 	to := from + b.subsetCoverage*perNode
 	for k := int(from); float64(k) < to-subsetEndTolerance; k++ {
 		s := group[k%len(group)]
 		if s.subsetShare == 0 { // otherwise the range wraps around to its first server
-			run = append(run, s)
+			members = append(members, s)
 		}
 		s.subsetShare += min(1, float64(k+1)-from, to-float64(k))
 	}
-	return run
+	return members
 }
 
 // coprimeStride returns a number near n divided by the golden ratio that is coprime to n: its multiples modulo n
--- a/internal/balancer/zones.go
+++ b/internal/balancer/zones.go
@@ -58,8 +58,8 @@
 			break
 		}
 		oldest := a == a.server.open[0]
-		lateSinceAnswer := a.sent > z.lastReply-b.overlongLatency(c)
-		if oldest && lateSinceAnswer {
+		lateSinceReply := a.sent > z.lastReply-b.overlongLatency(c)
+		if oldest && lateSinceReply {
 			count++
 		}
 	}
@@ -69,7 +69,7 @@
 // updateZoneEvidence updates the evidence of the other zones when one zone replies. If all servers were alike, any of
 // those with a waiting request could have replied, whatever the load. The more of them are in a zone, the less
 // probable it is that none of them did.
-func (b *Balancer) updateZoneEvidence(answered *zone) {
+func (b *Balancer) updateZoneEvidence(replied *zone) {
 	total := 1.0 // the server that replied
 	for _, z := range b.zones {
 		if z.unreachableSince == 0 {
@@ -77,7 +77,7 @@
 		}
 	}
 	for _, z := range b.zones {
-		if z == answered || z.unreachableSince > 0 {
+		if z == replied || z.unreachableSince > 0 {
 			continue
 		}
 		waiting := b.waitingServers(z)
@@ -96,8 +96,8 @@
 	for _, a := range z.open {
 		r := a.request
 		inTime := float64(b.replyDeadline(r)-b.now) >= r.class.meanLatency
-		mayMove := b.settings.MayCancel && r.safeAnywhere() && b.mayRetry(r)
-		if mayMove && inTime && budget >= 1 {
+		mayRetryElsewhere := b.settings.MayCancel && r.safeAnywhere() && b.mayRetry(r)
+		if mayRetryElsewhere && inTime && budget >= 1 {
 			budget--
 			b.emit(Cancel{ID: r.id, Attempt: a.number})
 		}
@@ -142,9 +142,9 @@
 		return s.zone != b.probedZone
 	}
 	suspect := s.zone.evidence > suspectEvidence
-	neverAnswered := s.zone.lastReply == 0
+	neverReplied := s.zone.lastReply == 0
 	startedBefore := s.Boot < s.zone.lastReply
-	return suspect && (neverAnswered || startedBefore)
+	return suspect && (neverReplied || startedBefore)
 }
 
 // selectProbe selects a server of a suspect or unreachable zone for an occasional probe, one at a time. Only first
@@ -174,8 +174,8 @@
 	if z.evidence <= suspectEvidence || z.probe != nil {
 		return false
 	}
-	waits := z.unreachableSince == 0 && len(z.open) > 0
-	return !waits && b.now >= z.nextProbe
+	awaitingReplies := z.unreachableSince == 0 && len(z.open) > 0
+	return !awaitingReplies && b.now >= z.nextProbe
 }
 
 // noServerResponding reports whether no server has replied recently. The node's subset may lie in one zone, and then
