--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -66,7 +66,7 @@
 	}
 	d := f.Dropped
 	fmt.Fprintf(out, "\nsent: %d parts, %d rows, %d questions, %d answers; dropped: %d rows that could have been under way for any time, %d too old, %d of strangers, %d of too many nodes, %d entries for want of room, %d questions too many\n",
-		f.Sent["parts"], f.Sent["rows"], f.Sent["questions"], f.Sent["answers"], d.Unbounded, d.Late, d.Foreign, d.Odd, d.Cut, d.Paced)
+		f.Sent["parts"], f.Sent["rows"], f.Sent["questions"], f.Sent["answers"], d.Unbounded, d.Expired, d.Foreign, d.TooManyParts, d.Truncated, d.RateLimited)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REGION\tZONE\tFACTS\tFOR\tAGE\tFROM\tNODES")
 	for _, z := range f.Zones {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -254,7 +254,7 @@
 	}
 	k.duration("node.peers.period", p.Period, 100*time.Millisecond, time.Minute)
 	k.duration("node.peers.delay", p.Delay, time.Millisecond, 10*time.Second)
-	if least := zonestate.MinFresh(time.Duration(p.Delay)); p.Fresh != 0 && (time.Duration(p.Fresh) < least || time.Duration(p.Fresh) > time.Hour) {
+	if least := zonestate.MinFreshAge(time.Duration(p.Delay)); p.Fresh != 0 && (time.Duration(p.Fresh) < least || time.Duration(p.Fresh) > time.Hour) {
 		k.fail("node.peers.fresh", "found %v; allowed: %v to 1h, as a datagram may take %v (delay): half of it is between two rows, parts wait for three levels of a tree, and seven hops count as the way there and back",
 			p.Fresh, least, p.Delay)
 	}
--- a/internal/faultbench/experiment/blocks.go
+++ b/internal/faultbench/experiment/blocks.go
@@ -18,7 +18,7 @@
 	b := block{r, f.Experiment.Body, "experiment." + f.Experiment.Name}
 	e.Name, e.Note, e.Seed = f.Experiment.Name, f.Experiment.Note, f.Experiment.Seed
 	e.Peers = b.duration("peers", f.Experiment.Peers, 100*time.Millisecond, time.Minute)
-	if e.Fresh = b.duration("fresh", f.Experiment.Fresh, zonestate.MinFresh(zonestate.DefaultDelay), time.Minute); e.Fresh > 0 && e.Peers == 0 {
+	if e.Fresh = b.duration("fresh", f.Experiment.Fresh, zonestate.MinFreshAge(zonestate.DefaultDelay), time.Minute); e.Fresh > 0 && e.Peers == 0 {
 		b.bad("fresh", "found %q; allowed: with peers", f.Experiment.Fresh)
 	}
 	e.WarmUp = b.duration("warm_up", f.Experiment.WarmUp, 0, maxLength)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -32,8 +32,8 @@
 func openWith(t *testing.T, name, key string, zoneState *zonestate.Options, seeds ...netip.AddrPort) *Transport {
 	t.Helper()
 	o := membership.Defaults()
-	o.Period = 50 * time.Millisecond
-	o.Timeout = 15 * time.Millisecond
+	o.ProbeInterval = 50 * time.Millisecond
+	o.ProbeTimeout = 15 * time.Millisecond
 	o.Seeds = seeds
 	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a free port, which Self has to name before Open
 	if err != nil {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -94,7 +94,7 @@
 	_, incarnation := t.machine.Self()
 	s := Status{
 		Incarnation:   incarnation,
-		Health:        t.machine.Health(),
+		Health:        t.machine.HealthScore(),
 		NameConflicts: t.machine.NameConflicts,
 		Counts:        t.counts,
 	}
@@ -110,11 +110,11 @@
 			Zone:        k.Zone,
 			Status:      k.Status.String(),
 			Incarnation: k.Incarnation,
-			For:         now - k.Since,
+			For:         now - k.StatusSince,
 			Heard:       -1,
 		}
-		if k.Heard > 0 {
-			m.Heard = now - k.Heard
+		if k.LastHeard > 0 {
+			m.Heard = now - k.LastHeard
 		}
 		s.Members = append(s.Members, m)
 	}
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -18,15 +18,15 @@
 type exchange struct {
 	machine *zonestate.Machine
 	options zonestate.Options
-	places  map[zonestate.Place]placeName
+	places  map[zonestate.ZoneID]placeName
 	names   map[zonestate.Subject]string
-	logged  map[zonestate.Place]zonestate.Freshness // as it was logged last
-	changes int                                     // Changes of the membership in the machine's view; -1: it has none
-	sent    [zonestate.Query + 1]int                // messages, by kind
+	logged  map[zonestate.ZoneID]zonestate.Freshness // as it was logged last
+	changes int                                      // Changes of the membership in the machine's view; -1: it has none
+	sent    [zonestate.Query + 1]int                 // messages, by kind
 }
 
 func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
-	self := zonestate.Peer{ID: uint64(id), Addr: o.Self.Addr, Place: zonestate.PlaceOf(o.Self.Region, o.Self.Zone)}
+	self := zonestate.Peer{ID: uint64(id), Addr: o.Self.Addr, ZoneID: zonestate.ZoneIDOf(o.Self.Region, o.Self.Zone)}
 	m, err := zonestate.New(o.Clock.Now(), self, *o.ZoneState, seed)
 	if err != nil {
 		return nil, err
@@ -34,7 +34,7 @@
 	return &exchange{
 		machine: m,
 		options: *o.ZoneState,
-		logged:  map[zonestate.Place]zonestate.Freshness{},
+		logged:  map[zonestate.ZoneID]zonestate.Freshness{},
 		changes: -1,
 	}, nil
 }
@@ -48,18 +48,18 @@
 	x.changes = t.machine.Changes()
 	id, incarnation := t.machine.Self()
 	self := t.options.Self
-	place := zonestate.PlaceOf(self.Region, self.Zone)
-	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, Place: place}}
-	x.places = map[zonestate.Place]placeName{place: {self.Region, self.Zone}}
+	place := zonestate.ZoneIDOf(self.Region, self.Zone)
+	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, ZoneID: place}}
+	x.places = map[zonestate.ZoneID]placeName{place: {self.Region, self.Zone}}
 	for _, k := range t.machine.Members() {
-		place := zonestate.PlaceOf(k.Region, k.Zone)
+		place := zonestate.ZoneIDOf(k.Region, k.Zone)
 		x.places[place] = placeName{k.Region, k.Zone}
 		all = append(all, zonestate.Peer{
-			ID:      uint64(k.ID),
-			Addr:    k.Addr,
-			Place:   place,
-			Suspect: k.Status == membership.Suspect,
-			Gone:    k.Status > membership.Suspect,
+			ID:       uint64(k.ID),
+			Addr:     k.Addr,
+			ZoneID:   place,
+			Suspect:  k.Status == membership.Suspect,
+			Inactive: k.Status > membership.Suspect,
 		})
 	}
 	x.machine.SetIncarnation(incarnation)
@@ -95,7 +95,7 @@
 	}
 	x.names = s.Names
 	entries := append(s.Entries, truthEntries()...)
-	x.machine.Set(t.options.Clock.Now(), zonestate.Sort(entries))
+	x.machine.SetOwnPart(t.options.Clock.Now(), zonestate.GroupByPage(entries))
 }
 
 // logZones logs each change of a zone's freshness.
@@ -104,12 +104,12 @@
 	truth := readTruth() // before the clock is read, so that no row ages between the two
 	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
-		name := x.places[z.Place]
-		if logged, known := x.logged[z.Place]; !known || logged != z.Freshness {
-			x.logged[z.Place] = z.Freshness
-			t.options.Log.Info("zone", "region", name.region, "zone", name.zone, "facts", z.Freshness, "from", z.From, "of", z.Of)
+		name := x.places[z.ID]
+		if logged, known := x.logged[z.ID]; !known || logged != z.Freshness {
+			x.logged[z.ID] = z.Freshness
+			t.options.Log.Info("zone", "region", name.region, "zone", name.zone, "facts", z.Freshness, "from", z.PartCount, "of", z.ActiveNodes)
 		}
-		if short := truth.underReported(x.machine.Read(now, z.Place, zonestate.Made, 0)); short > 0 {
+		if short := truth.underReported(x.machine.Read(now, z.ID, zonestate.MadeAt, 0)); short > 0 {
 			t.options.Log.Error("an age was under-reported", "zone", name.zone, "by", short)
 		}
 	}
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -40,32 +40,32 @@
 
 // kindNames are the names of kinds in a LoadReport.
 var kindNames = map[zonestate.Kind]string{
-	zonestate.Demand:   "demand",
-	zonestate.Rejected: "refused",
-	zonestate.Open:     "open",
-	zonestate.Ready:    "ready",
-	zonestate.Warm:     "warm",
-	zonestate.Newest:   "newest",
-	zonestate.Oldest:   "oldest",
-	zonestate.Made:     "made",
-	zonestate.Sent:     "sent",
-	zonestate.Bad:      "bad",
-	zonestate.Lag:      "lag",
-	zonestate.Failures: "trouble",
-	zonestate.InFlight: "held",
-	zonestate.Sketch:   "sketch",
+	zonestate.Demand:           "demand",
+	zonestate.Rejected:         "refused",
+	zonestate.OpenRequests:     "open",
+	zonestate.ReadyServers:     "ready",
+	zonestate.WarmServers:      "warm",
+	zonestate.NewestVersion:    "newest",
+	zonestate.OldestVersion:    "oldest",
+	zonestate.MadeAt:           "made",
+	zonestate.Attempts:         "sent",
+	zonestate.FailedAttempts:   "bad",
+	zonestate.AttemptTime:      "lag",
+	zonestate.ServerFailures:   "trouble",
+	zonestate.ServerInFlight:   "held",
+	zonestate.LatencyHistogram: "sketch",
 }
 
 // messageNames are the names of messages in ZoneStateStatus.Sent.
 var messageNames = map[zonestate.MessageKind]string{
-	zonestate.Up:    "parts",
-	zonestate.Down:  "rows",
-	zonestate.Reply: "answers",
-	zonestate.Query: "questions",
+	zonestate.PartUpdate: "parts",
+	zonestate.RowUpdate:  "rows",
+	zonestate.Reply:      "answers",
+	zonestate.Query:      "questions",
 }
 
 // firstKinds are a kind of each page.
-var firstKinds = []zonestate.Kind{zonestate.Demand, zonestate.Sent, zonestate.Failures, zonestate.Sketch}
+var firstKinds = []zonestate.Kind{zonestate.Demand, zonestate.Attempts, zonestate.ServerFailures, zonestate.LatencyHistogram}
 
 // maxSketchPower bounds the power of two in the name of a Sketch entry.
 const maxSketchPower = 40
@@ -73,8 +73,8 @@
 // status returns the state of all zones.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
 	s := &ZoneStateStatus{
-		Fresh:   x.options.Fresh,
-		Alone:   x.machine.Alone(now),
+		Fresh:   x.options.FreshAge,
+		Alone:   x.machine.Isolated(now),
 		Rows:    x.machine.Size(),
 		Dropped: x.machine.Dropped,
 		Sent:    map[string]int{},
@@ -83,23 +83,23 @@
 		s.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
-		name := x.places[z.Place]
+		name := x.places[z.ID]
 		s.Zones = append(s.Zones, Zone{
 			Region:    name.region,
 			Zone:      name.zone,
 			Freshness: z.Freshness.String(),
 			For:       now - z.Since,
 			Age:       z.Age,
-			From:      z.From,
-			Of:        z.Of,
-			Reports:   x.loadReports(now, z.Place),
+			From:      z.PartCount,
+			Of:        z.ActiveNodes,
+			Reports:   x.loadReports(now, z.ID),
 		})
 	}
 	return s
 }
 
 // loadReports returns the values of a zone's rows.
-func (x *exchange) loadReports(now time.Duration, of zonestate.Place) []LoadReport {
+func (x *exchange) loadReports(now time.Duration, of zonestate.ZoneID) []LoadReport {
 	var reports []LoadReport
 	for _, kind := range firstKinds {
 		row, found := x.machine.Row(now, of, kind)
@@ -112,7 +112,7 @@
 				Of:     x.subjectName(e),
 				Amount: e.Value,
 				Age:    row.Age,
-				From:   row.From,
+				From:   row.PartCount,
 			})
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 func (x *exchange) subjectName(e zonestate.Entry) string {
-	if e.Kind == zonestate.Sketch {
+	if e.Kind == zonestate.LatencyHistogram {
 		power := min(uint(e.Subject), maxSketchPower)
 		return fmt.Sprintf("under %v", time.Duration(1<<power)*time.Microsecond)
 	}
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -12,8 +12,8 @@
 // bucketShift leaves the bits of an ID that number its bucket.
 const bucketShift = 59
 
-// maxPages is how many pages answer one Pull.
-const maxPages = 4
+// maxPagesPerPull is how many pages answer one Pull.
+const maxPagesPerPull = 4
 
 // bucket returns the bucket of a member.
 func bucket(id ID) int { return int(id >> bucketShift) }
@@ -28,9 +28,9 @@
 // alive and suspect, because suspicions end by themselves.
 func (m *Machine) digest() uint64 {
 	sum := memberDigest(m.id, m.incarnation)
-	for _, k := range m.members {
-		if k.active() {
-			sum ^= memberDigest(k.ID, k.incarnation)
+	for _, member := range m.members {
+		if member.active() {
+			sum ^= memberDigest(member.ID, member.incarnation)
 		}
 	}
 	return max(1, sum)
@@ -38,49 +38,49 @@
 
 // bucketDigests returns the digests of the buckets.
 func (m *Machine) bucketDigests() []uint32 {
-	sums := make([]uint32, Buckets)
-	sums[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
-	for _, k := range m.members {
-		if k.active() {
-			sums[bucket(k.ID)] ^= uint32(memberDigest(k.ID, k.incarnation))
+	digests := make([]uint32, Buckets)
+	digests[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
+	for _, member := range m.members {
+		if member.active() {
+			digests[bucket(member.ID)] ^= uint32(memberDigest(member.ID, member.incarnation))
 		}
 	}
-	return sums
+	return digests
 }
 
 // requestPages asks for another node's list from an ID on, once a period at most.
-func (m *Machine) requestPages(from netip.AddrPort, at ID) {
+func (m *Machine) requestPages(from netip.AddrPort, firstID ID) {
 	if m.now < m.nextPull {
 		return
 	}
-	m.nextPull = m.now + m.options.Period
-	m.send(from, Message{Kind: Pull, About: at, Digests: m.bucketDigests()})
+	m.nextPull = m.now + m.options.ProbeInterval
+	m.send(from, Message{Kind: Pull, MemberID: firstID, BucketDigests: m.bucketDigests()})
 }
 
 // sendPages sends the members from an ID on whose buckets have another digest than the receiver's. What does not fit into
-// maxPages the receiver asks for again, from the ID that the last page names.
-func (m *Machine) sendPages(to netip.AddrPort, at ID, sums []uint32) {
-	own := m.bucketDigests()
-	page := &updateList{left: MaxBytes}
-	if at == 0 {
+// maxPagesPerPull the receiver asks for again, from the ID that the last page names.
+func (m *Machine) sendPages(to netip.AddrPort, firstID ID, receiverDigests []uint32) {
+	ownDigests := m.bucketDigests()
+	page := &updateList{bytesLeft: MaxUpdateBytes}
+	if firstID == 0 {
 		page.add(m.selfUpdate())
 	}
 	pages := 1
-	for _, k := range m.members {
-		if k.ID < at || len(sums) == Buckets && sums[bucket(k.ID)] == own[bucket(k.ID)] {
+	for _, member := range m.members {
+		if member.ID < firstID || len(receiverDigests) == Buckets && receiverDigests[bucket(member.ID)] == ownDigests[bucket(member.ID)] {
 			continue
 		}
-		u := k.update(true)
+		u := member.update(true)
 		if page.add(u) {
 			continue
 		}
-		if pages == maxPages {
-			m.send(to, Message{Kind: Page, About: k.ID, Updates: page.updates})
+		if pages == maxPagesPerPull {
+			m.send(to, Message{Kind: Page, MemberID: member.ID, Updates: page.updates})
 			return
 		}
 		m.send(to, Message{Kind: Page, Updates: page.updates})
 		pages++
-		page = &updateList{left: MaxBytes}
+		page = &updateList{bytesLeft: MaxUpdateBytes}
 		page.add(u)
 	}
 	m.send(to, Message{Kind: Page, Updates: page.updates})
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -48,22 +48,22 @@
 
 // Bits beside the status in an update's byte.
 const (
-	statusBits = 0x03
-	peerBit    = 0x04
-	listensBit = 0x08
+	statusBits    = 0x03
+	peerBit       = 0x04
+	listenOnlyBit = 0x08
 )
 
 // Encode returns a message as a datagram with the tag of a key. It is no longer than MaxDatagram if the updates are within
-// MaxBytes.
+// MaxUpdateBytes.
 func Encode(m Message, key []byte) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, version, byte(m.Kind))
 	b = binary.BigEndian.AppendUint64(b, uint64(m.From))
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
-	b = binary.BigEndian.AppendUint64(b, uint64(m.About))
+	b = binary.BigEndian.AppendUint64(b, uint64(m.MemberID))
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	for _, s := range m.Digests {
-		b = binary.BigEndian.AppendUint32(b, s)
+	for _, digest := range m.BucketDigests {
+		b = binary.BigEndian.AppendUint32(b, digest)
 	}
 	for _, u := range m.Updates {
 		b = appendUpdate(b, u)
@@ -77,13 +77,13 @@
 	flags := byte(u.Status)
 	if u.Peer != nil {
 		flags |= peerBit
-		if u.Peer.Listens {
-			flags |= listensBit
+		if u.Peer.ListenOnly {
+			flags |= listenOnlyBit
 		}
 	}
 	b = append(b, flags)
 	if u.Status == Suspect {
-		b = binary.BigEndian.AppendUint64(b, uint64(u.By))
+		b = binary.BigEndian.AppendUint64(b, uint64(u.Suspector))
 	}
 	if u.Peer != nil {
 		b = appendPeer(b, u.Peer)
@@ -146,29 +146,29 @@
 	if !ok {
 		return Message{}, ErrKey
 	}
-	r := &reader{left: body}
+	r := &reader{rest: body}
 	if v := r.byte(); v != version {
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, v)
 	}
 	m := Message{
-		Kind:   Kind(r.byte()),
-		From:   ID(r.uint64()),
-		Seq:    r.uint32(),
-		About:  ID(r.uint64()),
-		Digest: r.uint64(),
+		Kind:     Kind(r.byte()),
+		From:     ID(r.uint64()),
+		Seq:      r.uint32(),
+		MemberID: ID(r.uint64()),
+		Digest:   r.uint64(),
 	}
 	if m.Kind < Ping || m.Kind > Page {
 		return Message{}, fmt.Errorf("%w: kind %d", ErrMalformed, m.Kind)
 	}
 	if m.Kind == Pull {
 		for range Buckets {
-			m.Digests = append(m.Digests, r.uint32())
+			m.BucketDigests = append(m.BucketDigests, r.uint32())
 		}
 	}
-	for len(r.left) > 0 && !r.bad {
+	for len(r.rest) > 0 && !r.malformed {
 		m.Updates = append(m.Updates, r.update())
 	}
-	if r.bad || m.From == 0 {
+	if r.malformed || m.From == 0 {
 		return Message{}, fmt.Errorf("%w: an update is truncated, too long or without a valid ID", ErrMalformed)
 	}
 	return m, nil
@@ -176,18 +176,18 @@
 
 // reader reads the body of a datagram from its front.
 type reader struct {
-	left []byte
-	bad  bool // the body is malformed; what is read after that is zero or of no use
+	rest      []byte
+	malformed bool // the body is malformed; what is read after that is zero or of no use
 }
 
 // take returns the next n bytes, or zeros if there are fewer.
 func (r *reader) take(n int) []byte {
-	if r.bad || n > len(r.left) {
-		r.bad = true
+	if r.malformed || n > len(r.rest) {
+		r.malformed = true
 		return make([]byte, n)
 	}
-	out := r.left[:n]
-	r.left = r.left[n:]
+	out := r.rest[:n]
+	r.rest = r.rest[n:]
 	return out
 }
 
@@ -203,7 +203,7 @@
 func (r *reader) text(maxBytes int) string {
 	n := int(r.byte())
 	if n > maxBytes {
-		r.bad = true
+		r.malformed = true
 		return ""
 	}
 	return string(r.take(n))
@@ -214,35 +214,35 @@
 	flags := r.byte()
 	u.Status = Status(flags & statusBits)
 	if u.Status == Suspect {
-		u.By = ID(r.uint64())
+		u.Suspector = ID(r.uint64())
 	}
 	if u.Incarnation > MaxIncarnation {
-		r.bad = true
+		r.malformed = true
 	}
 	if flags&peerBit == 0 {
 		if u.ID == 0 || flags&^statusBits != 0 {
-			r.bad = true
+			r.malformed = true
 		}
 		return u
 	}
 	u.Peer = r.peer()
-	u.Peer.Listens = flags&listensBit != 0
+	u.Peer.ListenOnly = flags&listenOnlyBit != 0
 	u.PeerIncarnation = r.uint32()
-	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listensBit) != 0 {
-		r.bad = true
+	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listenOnlyBit) != 0 {
+		r.malformed = true
 	}
 	// The ID must be of the name, so that no peer can announce one member as another.
 	if u.Peer.Name == "" || IDOf(u.Peer.Name) != u.ID {
-		r.bad = true
+		r.malformed = true
 	}
 	return u
 }
 
 func (r *reader) peer() *Peer {
-	p := &Peer{Name: r.text(MaxName), Region: r.text(MaxPlace), Zone: r.text(MaxPlace)}
+	p := &Peer{Name: r.text(MaxName), Region: r.text(MaxZoneName), Zone: r.text(MaxZoneName)}
 	addr, ok := netip.AddrFromSlice([]byte(r.text(ip16Size)))
 	if !ok {
-		r.bad = true
+		r.malformed = true
 	}
 	p.Addr = netip.AddrPortFrom(addr, r.uint16())
 	return p
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -8,59 +8,59 @@
 	"testing"
 )
 
-var key = []byte("a key of the cluster")
+var testKey = []byte("a key of the cluster")
 
-// largest is a message that uses every field.
-func largest() Message {
-	long := Peer{Name: strings.Repeat("n", MaxName), Region: strings.Repeat("r", MaxPlace), Zone: strings.Repeat("z", MaxPlace),
-		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), Listens: true}
+// largestMessage is a message that uses every field.
+func largestMessage() Message {
+	long := Peer{Name: strings.Repeat("n", MaxName), Region: strings.Repeat("r", MaxZoneName), Zone: strings.Repeat("z", MaxZoneName),
+		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), ListenOnly: true}
 	short := Peer{Name: "a", Addr: netip.MustParseAddrPort("10.1.2.3:7946")}
-	m := Message{Kind: Ack, From: IDOf("me"), Seq: 1 << 31, About: 7, Digest: 1 << 63, Updates: []Update{
-		{ID: IDOf(long.Name), Incarnation: 1<<31 - 1, Status: Suspect, By: IDOf("a"), Peer: &long},
+	m := Message{Kind: Ack, From: IDOf("me"), Seq: 1 << 31, MemberID: 7, Digest: 1 << 63, Updates: []Update{
+		{ID: IDOf(long.Name), Incarnation: 1<<31 - 1, Status: Suspect, Suspector: IDOf("a"), Peer: &long},
 		{ID: IDOf("a"), Incarnation: 3, Status: Left, Peer: &short},
 		{ID: 5, Status: Dead}, {ID: 6, Incarnation: 1}}}
 	return m
 }
 
 func TestEncodeDecodeRoundTrip(t *testing.T) {
-	m := largest()
-	b := Encode(m, key)
-	got, err := Decode(b, key)
+	m := largestMessage()
+	b := Encode(m, testKey)
+	got, err := Decode(b, testKey)
 	if err != nil || !reflect.DeepEqual(got, m) {
 		t.Fatalf("%+v, %v; want %+v", got, err, m)
 	}
-	room := 0
+	updateBytes := 0
 	for _, u := range m.Updates {
-		room += updateSize(u)
+		updateBytes += updateSize(u)
 	}
-	if len(b) != headSize+room+tagSize || headSize+MaxBytes+tagSize > MaxDatagram {
-		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), room, headSize+MaxBytes+tagSize)
+	if len(b) != headSize+updateBytes+tagSize || headSize+MaxUpdateBytes+tagSize > MaxDatagram {
+		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), updateBytes, headSize+MaxUpdateBytes+tagSize)
 	}
 }
 
 // A datagram of another cluster or version, truncated, with a flipped bit or with an update of one member under another's
 // ID is rejected as a whole.
 func TestMalformedDatagramsAreRejected(t *testing.T) {
-	good := Encode(largest(), key)
+	good := Encode(largestMessage(), testKey)
 	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrKey) {
 		t.Errorf("another cluster's: %v", err)
 	}
 	for i := range good {
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 0x10
-		if m, err := Decode(bad, key); err == nil || m.Kind != 0 {
+		if m, err := Decode(bad, testKey); err == nil || m.Kind != 0 {
 			t.Errorf("a bit flipped in byte %d: %+v, %v", i, m, err)
 		}
-		if m, err := Decode(good[:i], key); err == nil || m.Kind != 0 {
+		if m, err := Decode(good[:i], testKey); err == nil || m.Kind != 0 {
 			t.Errorf("truncated to %d bytes: %+v, %v", i, m, err)
 		}
 	}
 	resign := func(change func([]byte)) []byte {
 		body := append([]byte(nil), good[:len(good)-tagSize]...)
 		change(body)
-		return append(body, tag(body, key)...)
+		return append(body, tag(body, testKey)...)
 	}
-	if _, err := Decode(resign(func(b []byte) { b[0] = version + 1 }), key); !errors.Is(err, ErrVersion) {
+	if _, err := Decode(resign(func(b []byte) { b[0] = version + 1 }), testKey); !errors.Is(err, ErrVersion) {
 		t.Errorf("another version: %v", err)
 	}
 	for name, change := range map[string]func([]byte){
@@ -71,23 +71,23 @@
 		"an incarnation too late": func(b []byte) { b[headSize+8] = 0xff },
 		"a name too long":         func(b []byte) { b[headSize+21] = 200 },
 	} {
-		if m, err := Decode(resign(change), key); !errors.Is(err, ErrMalformed) || m.Kind != 0 {
+		if m, err := Decode(resign(change), testKey); !errors.Is(err, ErrMalformed) || m.Kind != 0 {
 			t.Errorf("%s: %+v, %v", name, m, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	good := Encode(largest(), key)
+	good := Encode(largestMessage(), testKey)
 	f.Add(good[:len(good)-tagSize])
-	f.Add(Encode(Message{Kind: Ping, From: 1}, key)[:headSize])
+	f.Add(Encode(Message{Kind: Ping, From: 1}, testKey)[:headSize])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := append(append([]byte(nil), body...), tag(body, key)...) // what a peer that has the key may send
-		m, err := Decode(b, key)
+		b := append(append([]byte(nil), body...), tag(body, testKey)...) // what a peer that has the key may send
+		m, err := Decode(b, testKey)
 		if err != nil {
 			return
 		}
-		if again := Encode(m, key); string(again) != string(b) {
+		if again := Encode(m, testKey); string(again) != string(b) {
 			t.Errorf("%x is read as %+v and written as %x", b, m, again)
 		}
 	})
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -21,20 +21,20 @@
 type Peer struct {
 	Name         string         // up to MaxName bytes
 	Addr         netip.AddrPort // where it listens
-	Region, Zone string         // up to MaxPlace bytes each
-	Listens      bool           // it takes part as a listener alone, and is never asked for indirect probes
+	Region, Zone string         // up to MaxZoneName bytes each
+	ListenOnly   bool           // it takes part as a listener alone, and is never asked for indirect probes
 }
 
 // Bounds of a Peer's fields, in bytes.
 const (
-	MaxName  = 32
-	MaxPlace = 16
+	MaxName     = 32
+	MaxZoneName = 16
 )
 
 // check returns an error if a field is out of bounds.
 func (p Peer) check() error {
-	if p.Name == "" || len(p.Name) > MaxName || len(p.Region) > MaxPlace || len(p.Zone) > MaxPlace || !p.Addr.IsValid() {
-		return fmt.Errorf("membership: %+v; allowed: a name of 1 to %d bytes, places of up to %d, an address", p, MaxName, MaxPlace)
+	if p.Name == "" || len(p.Name) > MaxName || len(p.Region) > MaxZoneName || len(p.Zone) > MaxZoneName || !p.Addr.IsValid() {
+		return fmt.Errorf("membership: %+v; allowed: a name of 1 to %d bytes, places of up to %d, an address", p, MaxName, MaxZoneName)
 	}
 	return nil
 }
@@ -61,30 +61,30 @@
 	ID          ID
 	Incarnation uint32
 	Status      Status
-	Since       time.Duration // time of this node's clock at which the member came to this status here
-	Heard       time.Duration // time of this node's clock at which the last message from it came; 0: none has
+	StatusSince time.Duration // time of this node's clock at which the member came to this status here
+	LastHeard   time.Duration // time of this node's clock at which the last message from it came; 0: none has
 }
 
-// member is the state that is kept of another member.
-type member struct {
+// memberState is the state that is kept of another member.
+type memberState struct {
 	ID
 	Peer
 	incarnation     uint32
 	peerIncarnation uint32 // in which Peer was announced
 	peerPending     bool   // Peer is news and goes with the next updates
 	status          Status
-	since           time.Duration // when it came to this status here
-	heard           time.Duration // when the last message from it came
+	statusSince     time.Duration // when it came to this status here
+	lastHeard       time.Duration // when the last message from it came
 	suspectors      []ID          // members that suspect it, in order
 	transmits       int           // times that the update of it went out
 	finalPingUntil  time.Duration // until when it may answer its final ping; 0: none was sent
 }
 
 // active says that the member is neither dead nor left.
-func (k *member) active() bool { return k.status <= Suspect }
+func (k *memberState) active() bool { return k.status <= Suspect }
 
 // update returns what is held of the member as an update; withPeer: with its name and address.
-func (k *member) update(withPeer bool) Update {
+func (k *memberState) update(withPeer bool) Update {
 	u := Update{ID: k.ID, Incarnation: k.incarnation, Status: k.status}
 	if withPeer {
 		u.Peer = &k.Peer
@@ -92,7 +92,7 @@
 	}
 	if k.status == Suspect && len(k.suspectors) > 0 {
 		// All suspectors take turns, so that each confirmation spreads.
-		u.By = k.suspectors[k.transmits%len(k.suspectors)]
+		u.Suspector = k.suspectors[k.transmits%len(k.suspectors)]
 	}
 	return u
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -15,8 +15,8 @@
 //     are delivered, all others hold it for alive in the end.
 //   - A member that has stopped is suspected by the next member whose direct and indirect probes find no answer. All hold
 //     it for dead at most MaxSuspicion later, plus the time that an update takes to spread.
-//   - A node sends at most 1 + Indirect pings a period for its probes beside its answers, and maxGossip more while many
-//     updates wait, whatever the number of members. The updates of a message take MaxBytes at most.
+//   - A node sends at most 1 + IndirectProbes pings a period for its probes beside its answers, and maxGossipMessages more while many
+//     updates wait, whatever the number of members. The updates of a message take MaxUpdateBytes at most.
 package membership
 
 import (
@@ -35,15 +35,15 @@
 	self        Peer
 	id          ID
 	incarnation uint32
-	left        bool // Leave was called
+	hasLeft     bool // Leave was called
 	now         time.Duration
 
 	seed  uint64 // of the random draws
 	draws uint64 // made so far
 
-	members       []*member // all others, in the order of their IDs
-	selfTransmits int       // times that this node's own update went out
-	changes       int       // see Changes
+	members       []*memberState // all others, in the order of their IDs
+	selfTransmits int            // times that this node's own update went out
+	changes       int            // see Changes
 
 	nextPeriod     time.Duration
 	probeOrder     []ID // still to be probed in this round
@@ -81,11 +81,11 @@
 
 // find returns the index of a member, or the one at which it would be inserted.
 func (m *Machine) find(id ID) (int, bool) {
-	return slices.BinarySearchFunc(m.members, id, func(k *member, id ID) int { return cmp.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(m.members, id, func(k *memberState, id ID) int { return cmp.Compare(k.ID, id) })
 }
 
 // get returns the member with an ID; nil: it is not known.
-func (m *Machine) get(id ID) *member {
+func (m *Machine) get(id ID) *memberState {
 	if i, ok := m.find(id); ok {
 		return m.members[i]
 	}
@@ -95,8 +95,8 @@
 // activeCount counts the members that are alive or suspect, this node among them.
 func (m *Machine) activeCount() int {
 	n := 1
-	for _, k := range m.members {
-		if k.active() {
+	for _, member := range m.members {
+		if member.active() {
 			n++
 		}
 	}
@@ -105,25 +105,25 @@
 
 // Next returns the time at which Tick is due.
 func (m *Machine) Next() time.Duration {
-	at := m.nextPeriod
+	next := m.nextPeriod
 	if m.probe.awaitsIndirect() {
-		at = min(at, m.probe.indirectAt)
+		next = min(next, m.probe.indirectAt)
 	}
-	for _, r := range m.indirectProbes {
-		at = min(at, r.deadline)
+	for _, indirect := range m.indirectProbes {
+		next = min(next, indirect.deadline)
 	}
-	for _, k := range m.members {
-		if k.status == Suspect {
-			at = min(at, m.suspicionEnd(k))
+	for _, member := range m.members {
+		if member.status == Suspect {
+			next = min(next, m.suspicionEnd(member))
 		}
 	}
-	return at
+	return next
 }
 
 // Tick does what is due at a time of this node's clock and returns the messages to send.
 func (m *Machine) Tick(now time.Duration) []Packet {
 	m.begin(now)
-	if m.left {
+	if m.hasLeft {
 		return m.packets
 	}
 	m.expireSuspicions()
@@ -145,10 +145,10 @@
 	m.outdated = nil
 }
 
-// forgetMembers removes members that have been dead or left for Options.Forget.
+// forgetMembers removes members that have been dead or left for Options.ForgetAfter.
 func (m *Machine) forgetMembers() {
-	m.members = slices.DeleteFunc(m.members, func(k *member) bool {
-		forgotten := !k.active() && m.now-k.since >= m.options.Forget
+	m.members = slices.DeleteFunc(m.members, func(member *memberState) bool {
+		forgotten := !member.active() && m.now-member.statusSince >= m.options.ForgetAfter
 		if forgotten {
 			m.changes++
 		}
@@ -159,13 +159,13 @@
 // Receive handles a message that came from an address at a time of this node's clock, and returns the messages to send.
 func (m *Machine) Receive(now time.Duration, from netip.AddrPort, msg Message) []Packet {
 	m.begin(now)
-	if m.left || msg.From == m.id {
+	if m.hasLeft || msg.From == m.id {
 		return m.packets
 	}
 	m.mergeAll(msg)
 	sender := m.get(msg.From)
 	if sender != nil {
-		sender.heard = m.now
+		sender.lastHeard = m.now
 	}
 	switch msg.Kind {
 	case Ping:
@@ -182,10 +182,10 @@
 			m.probe.nacks++
 		}
 	case Pull:
-		m.sendPages(from, msg.About, msg.Digests)
+		m.sendPages(from, msg.MemberID, msg.BucketDigests)
 	case Page:
-		if msg.About != 0 {
-			m.send(from, Message{Kind: Pull, About: msg.About, Digests: m.bucketDigests()})
+		if msg.MemberID != 0 {
+			m.send(from, Message{Kind: Pull, MemberID: msg.MemberID, BucketDigests: m.bucketDigests()})
 		}
 	}
 	return m.packets
@@ -195,15 +195,15 @@
 // after it.
 func (m *Machine) Leave(now time.Duration) []Packet {
 	m.begin(now)
-	m.left = true
-	var active []*member
-	for _, k := range m.members {
-		if k.active() {
-			active = append(active, k)
+	m.hasLeft = true
+	var active []*memberState
+	for _, member := range m.members {
+		if member.active() {
+			active = append(active, member)
 		}
 	}
 	m.selfTransmits = 0
-	for range min(2*(1+m.options.Indirect), len(active)) {
+	for range min(2*(1+m.options.IndirectProbes), len(active)) {
 		i := m.draw(len(active))
 		m.selfTransmits = 0 // the update goes with each of these messages, whatever the limit
 		m.send(active[i].Addr, Message{Kind: Ping})
@@ -215,14 +215,14 @@
 // Members returns all members that are known but the node itself, in the order of their IDs.
 func (m *Machine) Members() []Member {
 	var out []Member
-	for _, k := range m.members {
+	for _, member := range m.members {
 		out = append(out, Member{
-			Peer:        k.Peer,
-			ID:          k.ID,
-			Incarnation: k.incarnation,
-			Status:      k.status,
-			Since:       k.since,
-			Heard:       k.heard,
+			Peer:        member.Peer,
+			ID:          member.ID,
+			Incarnation: member.incarnation,
+			Status:      member.status,
+			StatusSince: member.statusSince,
+			LastHeard:   member.lastHeard,
 		})
 	}
 	return out
@@ -235,5 +235,5 @@
 // Self returns the node's own ID and incarnation.
 func (m *Machine) Self() (ID, uint32) { return m.id, m.incarnation }
 
-// Health returns the local health score: 0 where the node finds no fault with itself, up to 8.
-func (m *Machine) Health() int { return m.healthScore }
+// HealthScore returns the local health score: 0 where the node finds no fault with itself, up to 8.
+func (m *Machine) HealthScore() int { return m.healthScore }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,31 +16,31 @@
 	net.machines[addrOf(7)] = nil
 	net.run(Defaults().MaxSuspicion(n) + 15*time.Second)
 	for i := range n {
-		h := net.statusCounts(i)
+		counts := net.statusCounts(i)
 		switch {
-		case i == 7 && h[Dead] != n-1:
-			t.Errorf("the crashed one has statuses %v", h)
-		case i != 7 && h[Alive] != n-2:
-			t.Errorf("%s runs and has statuses %v", nameOf(i), h)
+		case i == 7 && counts[Dead] != n-1:
+			t.Errorf("the crashed one has statuses %v", counts)
+		case i != 7 && counts[Alive] != n-2:
+			t.Errorf("%s runs and has statuses %v", nameOf(i), counts)
 		}
 	}
 }
 
 // A node that restarts under its name without any state comes back for all with a later incarnation.
-func TestIncarnationSurvivesRestart(t *testing.T) {
+func TestRestartedNodeAnnouncesLaterIncarnation(t *testing.T) {
 	const n = 12
 	net := newNetwork(t, n, 2)
 	net.run(20 * time.Second)
 	for range 3 {
 		net.machines[addrOf(5)] = nil
 		net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
-		if h := net.statusCounts(5); h[Dead] != n-1 {
-			t.Fatalf("stopped, it has statuses %v", h)
+		if counts := net.statusCounts(5); counts[Dead] != n-1 {
+			t.Fatalf("stopped, it has statuses %v", counts)
 		}
 		net.start(5)
 		net.run(20 * time.Second)
-		if h := net.statusCounts(5); h[Alive] != n-1 {
-			t.Fatalf("restarted, it has statuses %v", h)
+		if counts := net.statusCounts(5); counts[Alive] != n-1 {
+			t.Fatalf("restarted, it has statuses %v", counts)
 		}
 	}
 	if _, incarnation := net.machines[addrOf(5)].Self(); incarnation != 3 {
@@ -75,12 +75,12 @@
 	const n = 20
 	net := newNetwork(t, n, 4)
 	net.run(20 * time.Second)
-	half := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
-	net.blocked = func(from, to netip.AddrPort) bool { return half(from) != half(to) }
+	inEvenHalf := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
+	net.blocked = func(from, to netip.AddrPort) bool { return inEvenHalf(from) != inEvenHalf(to) }
 	net.run(Defaults().MaxSuspicion(n) + 30*time.Second)
 	for i := range n {
-		if h := net.statusCounts(i); h[Dead] != n/2 || h[Alive] != n/2-1 {
-			t.Fatalf("during the partition, %s has statuses %v", nameOf(i), h)
+		if counts := net.statusCounts(i); counts[Dead] != n/2 || counts[Alive] != n/2-1 {
+			t.Fatalf("during the partition, %s has statuses %v", nameOf(i), counts)
 		}
 	}
 	net.blocked = nil
@@ -89,14 +89,14 @@
 }
 
 // A node hears all others and is not heard by half of them. The other half answers for it by indirect probes.
-func TestOneWayPartitionIsBridgedByIndirectProbes(t *testing.T) {
+func TestIndirectProbesPreventDeathInOneWayPartition(t *testing.T) {
 	const n = 20
 	net := newNetwork(t, n, 5)
 	net.run(20 * time.Second)
 	net.blocked = func(from, to netip.AddrPort) bool { return from == addrOf(3) && to.Addr().As4()[3]%2 == 0 }
 	net.run(60 * time.Second)
-	if h := net.statusCounts(3); h[Dead] > 2 {
-		t.Errorf("heard by half of the others it has statuses %v", h)
+	if counts := net.statusCounts(3); counts[Dead] > 2 {
+		t.Errorf("heard by half of the others it has statuses %v", counts)
 	}
 }
 
@@ -108,8 +108,8 @@
 	net.run(20 * time.Second)
 	net.paused[addrOf(4)] = true
 	net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
-	if h := net.statusCounts(4); h[Dead] != n-1 {
-		t.Fatalf("suspended, it has statuses %v", h)
+	if counts := net.statusCounts(4); counts[Dead] != n-1 {
+		t.Fatalf("suspended, it has statuses %v", counts)
 	}
 	delete(net.paused, addrOf(4))
 	net.run(30 * time.Second)
@@ -121,27 +121,27 @@
 	const n = 16
 	net := newNetwork(t, n, 7)
 	net.run(20 * time.Second)
-	net.carry(addrOf(4), net.machines[addrOf(4)].Leave(net.now))
+	net.transmit(addrOf(4), net.machines[addrOf(4)].Leave(net.now))
 	net.run(time.Second)
 	net.machines[addrOf(4)] = nil
 	net.run(20 * time.Second)
-	if h := net.statusCounts(4); h[Left] != n-1 {
-		t.Errorf("it has statuses %v", h)
+	if counts := net.statusCounts(4); counts[Left] != n-1 {
+		t.Errorf("it has statuses %v", counts)
 	}
 }
 
 // What a node sends beside answers does not grow with the number of members.
-func TestNodeTrafficIsIndependentOfFleetSize(t *testing.T) {
+func TestNodeTrafficIsIndependentOfMemberCount(t *testing.T) {
 	rate := func(n int) float64 {
 		net := newNetwork(t, n, 8)
 		net.run(40 * time.Second)
 		clear(net.sent)
 		net.run(10 * time.Second)
-		most := 0
+		maxSent := 0
 		for _, s := range net.sent {
-			most = max(most, s)
+			maxSent = max(maxSent, s)
 		}
-		return float64(most) / 10
+		return float64(maxSent) / 10
 	}
 	if small, large := rate(10), rate(120); large > 2*small+3 {
 		t.Errorf("a node sends %.1f messages a second at most among 10, %.1f among 120", small, large)
@@ -154,12 +154,12 @@
 		"no name":            func(p *Peer, _ *Options) { p.Name = "" },
 		"a long zone":        func(p *Peer, _ *Options) { p.Zone = "a zone of too many bytes" },
 		"no address":         func(p *Peer, _ *Options) { p.Addr = netip.AddrPort{} },
-		"no timeout":         func(_ *Peer, o *Options) { o.Timeout = 0 },
-		"a short period":     func(_ *Peer, o *Options) { o.Period = o.Timeout },
-		"no suspicion":       func(_ *Peer, o *Options) { o.Suspicion = 0 },
-		"no transmissions":   func(_ *Peer, o *Options) { o.Retransmits = 0 },
-		"forgotten too soon": func(_ *Peer, o *Options) { o.Forget = time.Second },
-		"too many helpers":   func(_ *Peer, o *Options) { o.Indirect = 99 },
+		"no timeout":         func(_ *Peer, o *Options) { o.ProbeTimeout = 0 },
+		"a short period":     func(_ *Peer, o *Options) { o.ProbeInterval = o.ProbeTimeout },
+		"no suspicion":       func(_ *Peer, o *Options) { o.SuspicionFactor = 0 },
+		"no transmissions":   func(_ *Peer, o *Options) { o.RetransmitFactor = 0 },
+		"forgotten too soon": func(_ *Peer, o *Options) { o.ForgetAfter = time.Second },
+		"too many helpers":   func(_ *Peer, o *Options) { o.IndirectProbes = 99 },
 	} {
 		p, o := ok, Defaults()
 		change(&p, &o)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,7 +7,7 @@
 	for _, u := range msg.Updates {
 		m.merge(u, u.ID == msg.From)
 		// A sender that spreads what is superseded gets what this node holds with the answer, if there is one.
-		if k := m.get(u.ID); k != nil && u.Status != Alive && u.Incarnation < k.incarnation {
+		if member := m.get(u.ID); member != nil && u.Status != Alive && u.Incarnation < member.incarnation {
 			m.outdated = append(m.outdated, u.ID)
 		}
 	}
@@ -19,13 +19,13 @@
 		m.refute(u)
 		return
 	}
-	k := m.get(u.ID)
-	if k == nil {
+	member := m.get(u.ID)
+	if member == nil {
 		m.addMember(u)
 		return
 	}
-	m.mergePeer(k, u, fromSubject)
-	m.mergeStatus(k, u)
+	m.mergePeer(member, u, fromSubject)
+	m.mergeStatus(member, u)
 }
 
 // refute answers an update about this node itself: one that supersedes what it says of itself is followed by a later
@@ -51,77 +51,77 @@
 	if u.Peer == nil {
 		return
 	}
-	k := &member{
+	member := &memberState{
 		ID:              u.ID,
 		Peer:            *u.Peer,
 		peerIncarnation: u.PeerIncarnation,
 		peerPending:     true,
 		incarnation:     u.Incarnation,
 		status:          u.Status,
-		since:           m.now,
+		statusSince:     m.now,
 	}
 	if u.Status == Suspect {
-		k.suspectors = []ID{u.By}
+		member.suspectors = []ID{u.Suspector}
 	}
 	i, _ := m.find(u.ID)
-	m.members = slices.Insert(m.members, i, k)
+	m.members = slices.Insert(m.members, i, member)
 	m.changes++
 }
 
 // mergePeer takes name and address from an update if they are of a later incarnation than what is held, or from the
 // member itself.
-func (m *Machine) mergePeer(k *member, u Update, fromSubject bool) {
+func (m *Machine) mergePeer(member *memberState, u Update, fromSubject bool) {
 	if u.Peer == nil {
 		return
 	}
-	later := u.PeerIncarnation > k.peerIncarnation
-	if !later && !(fromSubject && u.PeerIncarnation == k.peerIncarnation) {
+	later := u.PeerIncarnation > member.peerIncarnation
+	if !later && !(fromSubject && u.PeerIncarnation == member.peerIncarnation) {
 		return
 	}
-	k.peerIncarnation = u.PeerIncarnation
-	if k.Peer == *u.Peer {
+	member.peerIncarnation = u.PeerIncarnation
+	if member.Peer == *u.Peer {
 		return
 	}
-	k.Peer = *u.Peer
-	k.peerPending = true
-	k.transmits = 0
+	member.Peer = *u.Peer
+	member.peerPending = true
+	member.transmits = 0
 	m.changes++
 }
 
 // mergeStatus takes incarnation and status from an update that supersedes what is held, and confirms a suspicion of the
 // same incarnation.
-func (m *Machine) mergeStatus(k *member, u Update) {
-	if u.Incarnation == k.incarnation && u.Status == Suspect && k.status == Suspect {
-		m.suspect(k, u.By)
+func (m *Machine) mergeStatus(member *memberState, u Update) {
+	if u.Incarnation == member.incarnation && u.Status == Suspect && member.status == Suspect {
+		m.suspect(member, u.Suspector)
 		return
 	}
-	if u.Incarnation < k.incarnation || u.Incarnation == k.incarnation && u.Status <= k.status {
+	if u.Incarnation < member.incarnation || u.Incarnation == member.incarnation && u.Status <= member.status {
 		return
 	}
 	switch {
 	case u.Status == Suspect:
-		m.setStatus(k, u.Incarnation, Alive)
-		m.suspect(k, u.By)
-	case u.Status == Dead && k.active():
-		if u.Incarnation > k.incarnation || k.status == Alive {
-			m.setStatus(k, u.Incarnation, Suspect)
+		m.setStatus(member, u.Incarnation, Alive)
+		m.suspect(member, u.Suspector)
+	case u.Status == Dead && member.active():
+		if u.Incarnation > member.incarnation || member.status == Alive {
+			m.setStatus(member, u.Incarnation, Suspect)
 		}
-		if k.finalPingUntil == 0 {
-			m.sendFinalPing(k)
+		if member.finalPingUntil == 0 {
+			m.sendFinalPing(member)
 		}
 	default:
-		m.setStatus(k, u.Incarnation, u.Status)
+		m.setStatus(member, u.Incarnation, u.Status)
 	}
 }
 
 // setStatus gives a member an incarnation and a status, which have not been sent to anybody yet.
-func (m *Machine) setStatus(k *member, incarnation uint32, s Status) {
-	k.incarnation = incarnation
-	k.status = s
-	k.since = m.now
-	k.transmits = 0
-	k.finalPingUntil = 0
-	k.peerPending = false
-	k.suspectors = nil
+func (m *Machine) setStatus(member *memberState, incarnation uint32, s Status) {
+	member.incarnation = incarnation
+	member.status = s
+	member.statusSince = m.now
+	member.transmits = 0
+	member.finalPingUntil = 0
+	member.peerPending = false
+	member.suspectors = nil
 	m.changes++
 }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -10,7 +10,7 @@
 
 // network carries the messages of machines on virtual time and loses some of them.
 type network struct {
-	t        testing.TB
+	tb       testing.TB
 	rng      *rand.Rand
 	now      time.Duration
 	machines map[netip.AddrPort]*Machine
@@ -36,7 +36,7 @@
 
 func newNetwork(t testing.TB, n int, seed uint64) *network {
 	net := &network{
-		t:        t,
+		tb:       t,
 		rng:      rand.New(rand.NewPCG(seed, 5)),
 		machines: map[netip.AddrPort]*Machine{},
 		sent:     map[netip.AddrPort]int{},
@@ -49,12 +49,12 @@
 }
 
 func (net *network) start(i int) *Machine {
-	net.t.Helper()
+	net.tb.Helper()
 	o := Defaults()
 	o.Seeds = []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}
 	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
 	if err != nil {
-		net.t.Fatal(err)
+		net.tb.Fatal(err)
 	}
 	m.now = net.now
 	m.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
@@ -65,12 +65,12 @@
 	return m
 }
 
-func (net *network) carry(from netip.AddrPort, packets []Packet) {
+func (net *network) transmit(from netip.AddrPort, packets []Packet) {
 	for _, p := range packets {
 		net.sent[from]++
-		data := Encode(p.Message, key)
+		data := Encode(p.Message, testKey)
 		if len(data) > MaxDatagram {
-			net.t.Fatalf("%d bytes", len(data))
+			net.tb.Fatalf("%d bytes", len(data))
 		}
 		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
 			continue
@@ -87,7 +87,7 @@
 		}
 		for _, a := range net.order {
 			if m := net.machines[a]; m != nil && !net.paused[a] && m.Next() <= net.now {
-				net.carry(a, m.Tick(net.now))
+				net.transmit(a, m.Tick(net.now))
 			}
 		}
 	}
@@ -110,11 +110,11 @@
 	if m == nil || net.paused[d.to] {
 		return true
 	}
-	msg, err := Decode(d.data, key)
+	msg, err := Decode(d.data, testKey)
 	if err != nil {
-		net.t.Fatal(err)
+		net.tb.Fatal(err)
 	}
-	net.carry(d.to, m.Receive(net.now, d.from, msg))
+	net.transmit(d.to, m.Receive(net.now, d.from, msg))
 	return true
 }
 
@@ -124,9 +124,9 @@
 		if m == nil || a == addrOf(i) {
 			continue
 		}
-		for _, k := range m.Members() {
-			if k.Name == nameOf(i) {
-				counts[k.Status]++
+		for _, member := range m.Members() {
+			if member.Name == nameOf(i) {
+				counts[member.Status]++
 			}
 		}
 	}
@@ -135,10 +135,10 @@
 
 // allAlive fails unless each of n is alive for all others.
 func (net *network) allAlive(n int, when string) {
-	net.t.Helper()
+	net.tb.Helper()
 	for i := range n {
-		if h := net.statusCounts(i); h != [4]int{n - 1} {
-			net.t.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), h)
+		if counts := net.statusCounts(i); counts != [4]int{n - 1} {
+			net.tb.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), counts)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxIndirectProbes bounds the pings on behalf of others that are under way at once.
-const maxIndirectProbes = 64
+// maxPendingIndirectProbes bounds the pings on behalf of others that are under way at once.
+const maxPendingIndirectProbes = 64
 
 // probe is the node's own probe of a member in the current period.
 type probe struct {
@@ -36,12 +36,12 @@
 		m.probeFailed()
 	}
 	stretch := time.Duration(1 + m.healthScore)
-	m.nextPeriod = m.now + stretch*m.options.Period
+	m.nextPeriod = m.now + stretch*m.options.ProbeInterval
 	m.probe = probe{}
-	if k := m.nextProbeTarget(); k != nil {
+	if target := m.nextProbeTarget(); target != nil {
 		m.seq++
-		m.probe = probe{target: k.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.Timeout, running: true}
-		m.send(k.Addr, Message{Kind: Ping, Seq: m.seq})
+		m.probe = probe{target: target.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.ProbeTimeout, running: true}
+		m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
 	}
 	m.pingUnreachable()
 	m.gossip()
@@ -53,27 +53,27 @@
 	if m.probe.nacks == 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
-	if k := m.get(m.probe.target); k != nil && k.active() {
-		m.suspect(k, m.id)
+	if target := m.get(m.probe.target); target != nil && target.active() {
+		m.suspect(target, m.id)
 	}
 }
 
 // probeIndirectly pings the target once more and asks other members to ping it.
 func (m *Machine) probeIndirectly() {
 	p := &m.probe
-	if k := m.get(p.target); k != nil {
-		m.send(k.Addr, Message{Kind: Ping, Seq: p.seq})
+	if member := m.get(p.target); member != nil {
+		m.send(member.Addr, Message{Kind: Ping, Seq: p.seq})
 	}
-	var helpers []*member
-	for _, k := range m.members {
-		if k.status == Alive && !k.Listens && k.ID != p.target {
-			helpers = append(helpers, k)
+	var helpers []*memberState
+	for _, member := range m.members {
+		if member.status == Alive && !member.ListenOnly && member.ID != p.target {
+			helpers = append(helpers, member)
 		}
 	}
 	p.indirectAt = 0
-	for range min(m.options.Indirect, len(helpers)) {
+	for range min(m.options.IndirectProbes, len(helpers)) {
 		i := m.draw(len(helpers))
-		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, About: p.target})
+		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, MemberID: p.target})
 		helpers = slices.Delete(helpers, i, i+1)
 		p.helpers++
 	}
@@ -81,25 +81,25 @@
 
 // nextProbeTarget returns the member to probe next; nil: there is none. Each member comes once in a round, those of the
 // own zone Options.OwnZoneProbes times, and the order of each round is random.
-func (m *Machine) nextProbeTarget() *member {
-	if k := m.takeProbeTarget(); k != nil {
-		return k
+func (m *Machine) nextProbeTarget() *memberState {
+	if member := m.takeProbeTarget(); member != nil {
+		return member
 	}
 	m.newProbeRound()
-	if k := m.takeProbeTarget(); k != nil {
-		return k
+	if member := m.takeProbeTarget(); member != nil {
+		return member
 	}
 	m.newProbeRound()
 	return nil
 }
 
 // takeProbeTarget takes members off the current round up to the first that is active; nil: the round is over.
-func (m *Machine) takeProbeTarget() *member {
+func (m *Machine) takeProbeTarget() *memberState {
 	for len(m.probeOrder) > 0 {
-		k := m.get(m.probeOrder[0])
+		member := m.get(m.probeOrder[0])
 		m.probeOrder = m.probeOrder[1:]
-		if k != nil && k.active() {
-			return k
+		if member != nil && member.active() {
+			return member
 		}
 	}
 	return nil
@@ -107,13 +107,13 @@
 
 // newProbeRound draws the order of a new round.
 func (m *Machine) newProbeRound() {
-	for _, k := range m.members {
+	for _, member := range m.members {
 		times := 1
-		if k.Zone == m.self.Zone {
+		if member.Zone == m.self.Zone {
 			times = m.options.OwnZoneProbes
 		}
 		for range times {
-			m.probeOrder = append(m.probeOrder, k.ID)
+			m.probeOrder = append(m.probeOrder, member.ID)
 		}
 	}
 	for i := len(m.probeOrder) - 1; i > 0; i-- {
@@ -126,9 +126,9 @@
 // other member would begin to speak.
 func (m *Machine) pingUnreachable() {
 	var addrs []netip.AddrPort
-	for _, k := range m.members {
-		if k.status == Dead {
-			addrs = append(addrs, k.Addr)
+	for _, member := range m.members {
+		if member.status == Dead {
+			addrs = append(addrs, member.Addr)
 		}
 	}
 	for _, seed := range m.options.Seeds {
@@ -146,7 +146,7 @@
 
 // knowsAddr says that a member has this address.
 func (m *Machine) knowsAddr(addr netip.AddrPort) bool {
-	return slices.ContainsFunc(m.members, func(k *member) bool { return k.Addr == addr })
+	return slices.ContainsFunc(m.members, func(member *memberState) bool { return member.Addr == addr })
 }
 
 // receiveAck ends the probe that the Ack answers, passes it on to the member that asked for the ping, and requests the
@@ -156,11 +156,11 @@
 		m.probe.running = false
 		m.healthScore = max(0, m.healthScore-1)
 	}
-	answered := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
-	if answered >= 0 {
-		r := m.indirectProbes[answered]
+	index := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
+	if index >= 0 {
+		r := m.indirectProbes[index]
 		m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Digest: m.digest()})
-		m.indirectProbes = slices.Delete(m.indirectProbes, answered, answered+1)
+		m.indirectProbes = slices.Delete(m.indirectProbes, index, index+1)
 	}
 	if msg.Digest != 0 && msg.Digest != m.digest() {
 		m.requestPages(from, 0)
@@ -169,8 +169,8 @@
 
 // receivePingReq pings the member that the message names, on behalf of its sender.
 func (m *Machine) receivePingReq(from netip.AddrPort, msg Message) {
-	target := m.get(msg.About)
-	if target == nil || len(m.indirectProbes) >= maxIndirectProbes {
+	target := m.get(msg.MemberID)
+	if target == nil || len(m.indirectProbes) >= maxPendingIndirectProbes {
 		return
 	}
 	m.seq++
@@ -178,7 +178,7 @@
 		seq:          m.seq,
 		requester:    from,
 		requesterSeq: msg.Seq,
-		deadline:     m.now + m.options.Timeout,
+		deadline:     m.now + m.options.ProbeTimeout,
 	})
 	m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -10,10 +10,10 @@
 // Clone returns a machine with the same state that shares none of it. Model checks play it on in several ways.
 func (m *Machine) Clone() *Machine {
 	c := *m
-	c.members = make([]*member, len(m.members))
-	for i, k := range m.members {
-		copied := *k
-		copied.suspectors = slices.Clone(k.suspectors)
+	c.members = make([]*memberState, len(m.members))
+	for i, member := range m.members {
+		copied := *member
+		copied.suspectors = slices.Clone(member.suspectors)
 		c.members[i] = &copied
 	}
 	c.probeOrder = slices.Clone(m.probeOrder)
@@ -28,7 +28,7 @@
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	relative := func(t time.Duration) time.Duration { return t - m.now }
-	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.incarnation, m.left, m.draws, m.seq, m.probeOrder,
+	fmt.Fprintf(&b, "%x/%d/%v/%d/%d/%v/%v/%d/%d/%v|", m.id, m.incarnation, m.hasLeft, m.draws, m.seq, m.probeOrder,
 		relative(m.nextPeriod), m.healthScore, m.selfTransmits, max(0, relative(m.nextPull)))
 	if m.probe.running {
 		p := m.probe
@@ -37,13 +37,13 @@
 	for _, r := range m.indirectProbes {
 		fmt.Fprintf(&b, "r%d,%v,%d,%v|", r.seq, r.requester, r.requesterSeq, relative(r.deadline))
 	}
-	for _, k := range m.members {
+	for _, member := range m.members {
 		finalPing := time.Duration(-1 << 62) // none was sent
-		if k.finalPingUntil != 0 {
-			finalPing = relative(k.finalPingUntil)
+		if member.finalPingUntil != 0 {
+			finalPing = relative(member.finalPingUntil)
 		}
-		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", k.ID, k.incarnation, k.status, relative(k.since), k.suspectors,
-			k.transmits, k.peerIncarnation, k.peerPending, finalPing)
+		fmt.Fprintf(&b, "m%x,%d,%d,%v,%v,%d,%d,%v,%v|", member.ID, member.incarnation, member.status, relative(member.statusSince), member.suspectors,
+			member.transmits, member.peerIncarnation, member.peerPending, finalPing)
 	}
 	return b.String()
 }
--- a/internal/modelcheck/exchange/sim.go
+++ b/internal/modelcheck/exchange/sim.go
@@ -81,7 +81,7 @@
 	o := zonestate.Defaults(w.Fresh)
 	o.Delay = max(o.Delay, w.Delay)
 	for i := range f.Nodes {
-		p.actors = append(p.actors, &actor{p: p, zone: w.ZoneOf(i), peer: zonestate.Peer{ID: f.Rand.Uint64() | 1, Place: place(w.ZoneOf(i)),
+		p.actors = append(p.actors, &actor{p: p, zone: w.ZoneOf(i), peer: zonestate.Peer{ID: f.Rand.Uint64() | 1, ZoneID: place(w.ZoneOf(i)),
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 1)}})
 	}
 	view := p.view(time.Hour)
@@ -110,7 +110,7 @@
 			continue
 		}
 		d, t := a.Dropped, &s.Dropped
-		t.Unbounded, t.Late, t.Foreign, t.Odd, t.Cut, t.Paced = t.Unbounded+d.Unbounded, t.Late+d.Late, t.Foreign+d.Foreign, t.Odd+d.Odd, t.Cut+d.Cut, t.Paced+d.Paced
+		t.Unbounded, t.Expired, t.Foreign, t.TooManyParts, t.Truncated, t.RateLimited = t.Unbounded+d.Unbounded, t.Expired+d.Expired, t.Foreign+d.Foreign, t.TooManyParts+d.TooManyParts, t.Truncated+d.Truncated, t.RateLimited+d.RateLimited
 	}
 	n := float64(max(1, p.sums.fresh))
 	s.Fresh = float64(p.sums.fresh) / float64(max(1, p.sums.all))
@@ -122,7 +122,7 @@
 func (a *actor) Tick(now time.Duration) []simulation.Datagram {
 	// When it was so, and one request a second of a class.
 	made := float64((a.p.Now + time.Millisecond - 1).Milliseconds())
-	a.Set(now, zonestate.Sort([]zonestate.Entry{{Kind: zonestate.Made, Subject: 1, Value: made}, {Kind: zonestate.Demand, Subject: 2, Value: 1}}))
+	a.SetOwnPart(now, zonestate.GroupByPage([]zonestate.Entry{{Kind: zonestate.MadeAt, Subject: 1, Value: made}, {Kind: zonestate.Demand, Subject: 2, Value: 1}}))
 	return a.p.written(a.Machine.Tick(now))
 }
 
@@ -164,13 +164,13 @@
 	var all []zonestate.Peer
 	for i, a := range p.actors {
 		q := a.peer
-		q.Suspect, q.Gone = p.Nodes[i].Dead && since >= suspected, p.Nodes[i].Dead && since >= known
+		q.Suspect, q.Inactive = p.Nodes[i].Dead && since >= suspected, p.Nodes[i].Dead && since >= known
 		all = append(all, q)
 	}
 	return zonestate.NewView(all)
 }
 
-func place(zone int) zonestate.Place { return zonestate.PlaceOf("r", fmt.Sprint("z", zone)) }
+func place(zone int) zonestate.ZoneID { return zonestate.ZoneIDOf("r", fmt.Sprint("z", zone)) }
 
 // look checks what nodes say against the truth, after a warm-up of twice fresh.
 func (p *play) look() error {
@@ -217,10 +217,10 @@
 
 // answer checks what a node says of a zone in which so many live.
 func (p *play) answer(a *actor, clock time.Duration, zone, n int) (fresh bool, err error) {
-	v := a.Read(clock, place(zone), zonestate.Made, 1)
+	v := a.Read(clock, place(zone), zonestate.MadeAt, 1)
 	d := a.Read(clock, place(zone), zonestate.Demand, 2)
 	p.sums.all++
-	if v.From > 0 && v.Freshness != zonestate.Unknown {
+	if v.PartCount > 0 && v.Freshness != zonestate.Unknown {
 		real := p.Now - time.Duration(v.Amount)*time.Millisecond
 		if p.seen.Short = max(p.seen.Short, real-v.Age); real > v.Age {
 			return false, fmt.Errorf("exchange: at %v a node of zone %d was given a fact of zone %d that is %v old, for %v at most", p.Now, a.zone, zone, real, v.Age)
@@ -228,9 +228,9 @@
 		if v.Freshness == zonestate.Fresh {
 			p.sums.slack += v.Age - real
 		}
-		p.seen.Over = max(p.seen.Over, float64(v.From-max(v.Of, n))/float64(max(v.Of, n)))
-		if d.Amount != float64(d.From) {
-			return false, fmt.Errorf("exchange: a row of %d nodes that tell 1 each has %v", d.From, d.Amount)
+		p.seen.Over = max(p.seen.Over, float64(v.PartCount-max(v.ActiveNodes, n))/float64(max(v.ActiveNodes, n)))
+		if d.Amount != float64(d.PartCount) {
+			return false, fmt.Errorf("exchange: a row of %d nodes that tell 1 each has %v", d.PartCount, d.Amount)
 		}
 	}
 	if v.Freshness != zonestate.Fresh {
@@ -238,9 +238,9 @@
 	}
 	p.sums.fresh++
 	p.sums.age += v.Age
-	p.sums.counted += min(1, float64(v.From)/float64(n))
+	p.sums.counted += min(1, float64(v.PartCount)/float64(n))
 	p.seen.AgeMost = max(p.seen.AgeMost, v.Age)
-	if v.From == n {
+	if v.PartCount == n {
 		p.sums.whole++
 	}
 	return true, nil
--- a/internal/modelcheck/exchange/small.go
+++ b/internal/modelcheck/exchange/small.go
@@ -58,7 +58,7 @@
 	var all []zonestate.Peer
 	for i, z := range b.Zones {
 		p := process{offset: time.Duration(i) * 7 * time.Hour, lives: 1,
-			peer: zonestate.Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), Place: place(z)}}
+			peer: zonestate.Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), ZoneID: place(z)}}
 		f.nodes = append(f.nodes, p)
 		all = append(all, p.peer)
 	}
@@ -163,7 +163,7 @@
 		due *= 2
 	}
 	f.now = max(f.now, due)
-	n.machine.Set(f.clock(i), zonestate.Sort([]zonestate.Entry{{Kind: zonestate.Made, Subject: 1, Value: float64((f.now + time.Millisecond - 1).Milliseconds())},
+	n.machine.SetOwnPart(f.clock(i), zonestate.GroupByPage([]zonestate.Entry{{Kind: zonestate.MadeAt, Subject: 1, Value: float64((f.now + time.Millisecond - 1).Milliseconds())},
 		{Kind: zonestate.Demand, Subject: 2, Value: 1}}))
 	f.send(i, n.machine.Tick(f.clock(i)))
 }
@@ -185,7 +185,7 @@
 	for _, p := range packets {
 		for k := range p.Rows {
 			f.spoil(&p.Message, k)
-			if r := p.Rows[k]; r.Author.ID == f.nodes[i].peer.ID && p.Kind != zonestate.Up {
+			if r := p.Rows[k]; r.Author.ID == f.nodes[i].peer.ID && p.Kind != zonestate.PartUpdate {
 				f.nodes[i].made = max(f.nodes[i].made, r.Seq)
 			}
 		}
@@ -206,8 +206,8 @@
 	case "age halved":
 		r.Age /= 2
 	case "hop hidden":
-		if m.Held += 300; k > 0 { // it pretends to have held the token for longer
-			m.Held -= 300
+		if m.HeldMillis += 300; k > 0 { // it pretends to have held the token for longer
+			m.HeldMillis -= 300
 		}
 	case "token mixed up":
 		m.Echo = m.Token
@@ -218,15 +218,15 @@
 	case "sequence not raised":
 		r.Seq = 1
 	case "part counted twice":
-		if m.Kind == zonestate.Up {
-			r.From *= 2
+		if m.Kind == zonestate.PartUpdate {
+			r.PartCount *= 2
 		}
 	case "part not added":
-		if m.Kind == zonestate.Up {
+		if m.Kind == zonestate.PartUpdate {
 			r.Entries = nil
 		}
 	case "zone mistaken":
-		r.Place = place(7)
+		r.ZoneID = place(7)
 	case "first page lost":
 		r.Page = max(r.Page, 1)
 		r.Entries = nil
@@ -258,15 +258,15 @@
 		}
 		now := f.clock(i)
 		for _, z := range f.b.Zones {
-			v := n.machine.Read(now, place(z), zonestate.Made, 1)
+			v := n.machine.Read(now, place(z), zonestate.MadeAt, 1)
 			d := n.machine.Read(now, place(z), zonestate.Demand, 2)
-			if real := f.now - time.Duration(v.Amount)*time.Millisecond; v.From > 0 && real > v.Age {
+			if real := f.now - time.Duration(v.Amount)*time.Millisecond; v.PartCount > 0 && real > v.Age {
 				return fmt.Errorf("node %d is given a fact of zone %d that is %v old, for %v at most", i, z, real, v.Age)
 			}
-			if d.Amount != float64(d.From) || d.From > len(f.nodes) {
-				return fmt.Errorf("node %d is told that %d nodes of zone %d, 1 each, have %v", i, d.From, z, d.Amount)
+			if d.Amount != float64(d.PartCount) || d.PartCount > len(f.nodes) {
+				return fmt.Errorf("node %d is told that %d nodes of zone %d, 1 each, have %v", i, d.PartCount, z, d.Amount)
 			}
-			row, found := n.machine.Row(now, place(z), zonestate.Made)
+			row, found := n.machine.Row(now, place(z), zonestate.MadeAt)
 			for k, a := range f.nodes {
 				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Incarnation == a.lives && row.Seq > a.made {
 					return fmt.Errorf("node %d holds row %d of author %d, who made %d", i, row.Seq, a.peer.ID, a.made)
@@ -283,12 +283,12 @@
 	c := f.clone()
 	c.air.Most = 1000
 	var all []zonestate.Peer
-	count := map[zonestate.Place]int{}
+	count := map[zonestate.ZoneID]int{}
 	for _, n := range c.nodes {
-		n.peer.Gone = n.machine == nil
+		n.peer.Inactive = n.machine == nil
 		all = append(all, n.peer)
-		if !n.peer.Gone {
-			count[n.peer.Place]++
+		if !n.peer.Inactive {
+			count[n.peer.ZoneID]++
 		}
 	}
 	c.view = zonestate.NewView(all)
@@ -317,8 +317,8 @@
 			if n.machine == nil || c.wrong != nil {
 				continue
 			}
-			if v := n.machine.Read(c.clock(i), at, zonestate.Made, 1); v.Freshness != zonestate.Fresh || v.From != of {
-				return fmt.Errorf("in the end node %d knows of a zone of %d, %v, from %d nodes", i, of, v.Freshness, v.From)
+			if v := n.machine.Read(c.clock(i), at, zonestate.MadeAt, 1); v.Freshness != zonestate.Fresh || v.PartCount != of {
+				return fmt.Errorf("in the end node %d knows of a zone of %d, %v, from %d nodes", i, of, v.Freshness, v.PartCount)
 			}
 		}
 	}
--- a/internal/modelcheck/swim/play.go
+++ b/internal/modelcheck/swim/play.go
@@ -178,7 +178,7 @@
 	}
 	a.changes = a.Changes()
 	suspects := 0
-	p.seen.Ill = max(p.seen.Ill, a.Health())
+	p.seen.Ill = max(p.seen.Ill, a.HealthScore())
 	for _, m := range a.Members() {
 		k := indexOf(m.Addr)
 		if m.Status == membership.Suspect {
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -28,7 +28,7 @@
 // Small are bounds whose states can all be tried.
 func Small() Bounds {
 	o := membership.Defaults()
-	o.Retransmits, o.OwnZoneProbes = 1, 1
+	o.RetransmitFactor, o.OwnZoneProbes = 1, 1
 	return Bounds{Nodes: 2, Ticks: 3, Drops: 1, Crashes: 1, Skew: 2 * time.Second, Options: o, MostFlying: 3}
 }
 
@@ -336,7 +336,7 @@
 		if c.wrong != nil {
 			return c.wrong
 		}
-		now += c.b.Options.Period / 4
+		now += c.b.Options.ProbeInterval / 4
 		for i := range c.nodes {
 			n := &c.nodes[i]
 			if n.machine == nil || n.gone {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -43,8 +43,8 @@
 		return gossip.Options{}, fmt.Errorf("peers: %w", err)
 	}
 	members := membership.Defaults()
-	members.Period = time.Duration(p.Period)
-	members.Timeout = members.Period * 3 / 10
+	members.ProbeInterval = time.Duration(p.Period)
+	members.ProbeTimeout = members.ProbeInterval * 3 / 10
 	for _, s := range p.Seeds {
 		seed, err := netip.ParseAddrPort(s)
 		if err != nil {
@@ -59,11 +59,11 @@
 		Clock:   n.clock,
 		Log:     n.log,
 		Self: membership.Peer{
-			Name:    c.Name,
-			Addr:    address,
-			Region:  p.Region,
-			Zone:    c.Zone,
-			Listens: p.ListenOnly,
+			Name:       c.Name,
+			Addr:       address,
+			Region:     p.Region,
+			Zone:       c.Zone,
+			ListenOnly: p.ListenOnly,
 		},
 	}
 	if p.Fresh > 0 {
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -68,8 +68,8 @@
 		}
 	}
 	version := func(name string, v int64) {
-		add(zonestate.Newest, name, float64(v))
-		add(zonestate.Oldest, name, float64(v))
+		add(zonestate.NewestVersion, name, float64(v))
+		add(zonestate.OldestVersion, name, float64(v))
 	}
 	version("configuration", int64(is.shared))
 	for pool, s := range is.stats {
@@ -80,28 +80,28 @@
 		for name, c := range s.Classes {
 			rate(zonestate.Demand, name, float64(p.Classes[name].Requests), float64(c.Requests))
 			rate(zonestate.Rejected, name, float64(p.Classes[name].Rejected), float64(c.Rejected))
-			add(zonestate.Open, name, float64(c.InFlight))
+			add(zonestate.OpenRequests, name, float64(c.InFlight))
 		}
 		for name, z := range s.Zones {
 			o := p.Zones[name]
-			rate(zonestate.Sent, name, float64(o.Ended), float64(z.Ended))
-			rate(zonestate.Bad, name, float64(o.Failures), float64(z.Failures))
-			rate(zonestate.Lag, name, o.TotalLatency.Seconds(), z.TotalLatency.Seconds())
+			rate(zonestate.Attempts, name, float64(o.Ended), float64(z.Ended))
+			rate(zonestate.FailedAttempts, name, float64(o.Failures), float64(z.Failures))
+			rate(zonestate.AttemptTime, name, o.TotalLatency.Seconds(), z.TotalLatency.Seconds())
 			if _, lists := s.Zones[is.zone]; name == is.zone || !lists { // the nodes of a zone publish its servers
-				add(zonestate.Ready, name, float64(z.Ready))
-				add(zonestate.Warm, name, float64(z.WarmedUp))
+				add(zonestate.ReadyServers, name, float64(z.Ready))
+				add(zonestate.WarmServers, name, float64(z.WarmedUp))
 			}
 		}
 		for name, x := range s.Servers {
 			// Only servers with failures are published: the others are many, and alike.
 			if bad := p.Servers[name].Failures; x.Failures > bad {
-				rate(zonestate.Failures, name, float64(bad), float64(x.Failures))
-				add(zonestate.InFlight, name, float64(x.InFlight))
+				rate(zonestate.ServerFailures, name, float64(bad), float64(x.Failures))
+				add(zonestate.ServerInFlight, name, float64(x.InFlight))
 			}
 		}
 		for i, took := range s.LatencyHistogram {
 			if d := took - p.LatencyHistogram[i]; d > 0 && seconds > 0 {
-				out.Entries = append(out.Entries, zonestate.Entry{Kind: zonestate.Sketch, Subject: zonestate.Subject(i), Value: float64(d) / seconds})
+				out.Entries = append(out.Entries, zonestate.Entry{Kind: zonestate.LatencyHistogram, Subject: zonestate.Subject(i), Value: float64(d) / seconds})
 			}
 		}
 	}
--- a/internal/node/sample_test.go
+++ b/internal/node/sample_test.go
@@ -25,12 +25,12 @@
 		got[e] = true
 	}
 	name := zonestate.SubjectOf
-	want := []zonestate.Entry{{Kind: zonestate.Demand, Subject: name("view"), Value: 3}, {Kind: zonestate.Open, Subject: name("view"), Value: 3},
-		{Kind: zonestate.Sent, Subject: name("a"), Value: 2}, {Kind: zonestate.Bad, Subject: name("a"), Value: 1}, {Kind: zonestate.Lag, Subject: name("a"), Value: 0.5},
-		{Kind: zonestate.Ready, Subject: name("a"), Value: 4}, {Kind: zonestate.Warm, Subject: name("a"), Value: 2},
-		{Kind: zonestate.Newest, Subject: name("list of p"), Value: 9}, {Kind: zonestate.Oldest, Subject: name("list of p"), Value: 9},
-		{Kind: zonestate.Newest, Subject: name("configuration"), Value: 77}, {Kind: zonestate.Oldest, Subject: name("configuration"), Value: 77},
-		{Kind: zonestate.Failures, Subject: name("s1"), Value: 1}, {Kind: zonestate.InFlight, Subject: name("s1"), Value: 6}, {Kind: zonestate.Sketch, Subject: 4, Value: 1}}
+	want := []zonestate.Entry{{Kind: zonestate.Demand, Subject: name("view"), Value: 3}, {Kind: zonestate.OpenRequests, Subject: name("view"), Value: 3},
+		{Kind: zonestate.Attempts, Subject: name("a"), Value: 2}, {Kind: zonestate.FailedAttempts, Subject: name("a"), Value: 1}, {Kind: zonestate.AttemptTime, Subject: name("a"), Value: 0.5},
+		{Kind: zonestate.ReadyServers, Subject: name("a"), Value: 4}, {Kind: zonestate.WarmServers, Subject: name("a"), Value: 2},
+		{Kind: zonestate.NewestVersion, Subject: name("list of p"), Value: 9}, {Kind: zonestate.OldestVersion, Subject: name("list of p"), Value: 9},
+		{Kind: zonestate.NewestVersion, Subject: name("configuration"), Value: 77}, {Kind: zonestate.OldestVersion, Subject: name("configuration"), Value: 77},
+		{Kind: zonestate.ServerFailures, Subject: name("s1"), Value: 1}, {Kind: zonestate.ServerInFlight, Subject: name("s1"), Value: 6}, {Kind: zonestate.LatencyHistogram, Subject: 4, Value: 1}}
 	for _, e := range want {
 		if !got[e] {
 			t.Errorf("%+v is not told", e)
--- a/internal/zonestate/aggregate.go
+++ b/internal/zonestate/aggregate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// lossPeriods is for how many periods this node sends its parts twice after a row was lost.
-const lossPeriods = 10
+// resendPeriods is for how many periods this node sends its parts twice after a row was lost.
+const resendPeriods = 10
 
 // part is what a child sends up a plane.
 type part struct {
@@ -16,50 +16,50 @@
 
 // plane is this node's role in one aggregation tree.
 type plane struct {
-	parts   map[uint64][pages]*part // by the children's IDs
-	seq     uint32                  // of the last row that this node made as the root
-	root    Author                  // of the row that came last from this zone's root
-	rootSeq uint32                  // sequence of that row
-	due     time.Duration           // when the next part goes up, or the root makes its next rows
-	resend  bool                    // the part goes up a second time, in case the first was lost
+	parts    map[uint64][pages]*part // by the children's IDs
+	seq      uint32                  // of the last row that this node made as the root
+	root     Author                  // of the row that came last from this zone's root
+	rootSeq  uint32                  // sequence of that row
+	nextSend time.Duration           // when the next part goes up, or the root makes its next rows
+	resend   bool                    // the part goes up a second time, in case the first was lost
 }
 
 // sendPlane sends this node's parts to its parent in a plane, or makes rows if it is the root.
-func (m *Machine) sendPlane(at uint8) {
-	t, i := m.position(at)
-	parent, hasParent := t.parent(i, m.options.Fan, m.bypassed)
-	children := t.children(i, m.options.Fan, m.bypassed)
-	rows := m.aggregate(at, children)
+func (m *Machine) sendPlane(plane uint8) {
+	tree, i := m.position(plane)
+	parent, hasParent := tree.parent(i, m.options.Fanout, m.bypassed)
+	children := tree.children(i, m.options.Fanout, m.bypassed)
+	rows := m.aggregate(plane, children)
 	if hasParent {
-		m.sendUp(at, t[parent], rows, len(children) > 0)
+		m.sendUp(plane, tree[parent], rows, len(children) > 0)
 		return
 	}
-	m.publish(at, rows)
+	m.publish(plane, rows)
 }
 
 // sendUp sends parts to the parent, and plans a second time if children depend on this node or messages get lost.
-func (m *Machine) sendUp(at uint8, parent Peer, rows []Row, hasChildren bool) {
-	p := &m.planes[at]
-	wait := m.options.period()
+func (m *Machine) sendUp(plane uint8, parent Peer, rows []Row, hasChildren bool) {
+	p := &m.planes[plane]
+	interval := m.options.period()
 	switch {
 	case p.resend:
 		p.resend = false
-		wait -= levelStep(m.options.Delay) / 2
+		interval -= levelInterval(m.options.Delay) / 2
 		rows = slices.DeleteFunc(rows, func(r Row) bool { return staysInZone(r.Page) })
-	case hasChildren || m.now < m.lossUntil:
+	case hasChildren || m.now < m.resendUntil:
 		p.resend = true
-		wait = levelStep(m.options.Delay) / 2
+		interval = levelInterval(m.options.Delay) / 2
 	}
-	m.sendRows(parent, Up, rows, pages)
-	p.due = m.now + wait
+	m.sendRows(parent, PartUpdate, rows, pages)
+	p.nextSend = m.now + interval
 }
 
 // publish makes rows as the root of a plane and sends them down the trees and to other zones.
-func (m *Machine) publish(at uint8, rows []Row) {
-	p := &m.planes[at]
-	p.due += m.options.period()
-	if p.due <= m.now {
-		p.due = m.now + m.options.period()
+func (m *Machine) publish(plane uint8, rows []Row) {
+	p := &m.planes[plane]
+	p.nextSend += m.options.period()
+	if p.nextSend <= m.now {
+		p.nextSend = m.now + m.options.period()
 	}
 	p.resend = false
 	p.seq++
@@ -68,12 +68,12 @@
 		m.store.put(rows[i], m.now-rows[i].Age)
 	}
 	m.forwardInZone(rows, 0)
-	m.forwardToZones(at, rows, maxZones)
+	m.forwardToZones(plane, rows, maxZonesPerPeriod)
 }
 
 // aggregate adds up this node's own part and its children's, page by page. A page without parts has no row.
-func (m *Machine) aggregate(at uint8, children []Peer) []Row {
-	parts := m.planes[at].parts
+func (m *Machine) aggregate(plane uint8, children []Peer) []Row {
+	parts := m.planes[plane].parts
 	for id := range parts {
 		if !containsPeer(children, id) {
 			delete(parts, id)
@@ -81,26 +81,26 @@
 	}
 	var rows []Row
 	for page := range uint8(pages) {
-		r := Row{Place: m.self.Place, Plane: at, Page: page, Author: Author{m.self.ID, m.incarnation}}
+		r := Row{ZoneID: m.self.ZoneID, Plane: plane, Page: page, Author: Author{m.self.ID, m.incarnation}}
 		var lists [][]Entry
 		if m.ownPartAt > 0 && m.now-m.ownPartAt <= m.options.maxPartAge() {
-			r.From = 1
+			r.PartCount = 1
 			r.Age = m.now - m.ownPartAt
 			lists = append(lists, m.ownPart[page])
 		}
-		for _, c := range children {
-			x := parts[c.ID][page]
-			if x == nil || m.now-x.madeAt > m.options.maxPartAge() {
+		for _, child := range children {
+			childPart := parts[child.ID][page]
+			if childPart == nil || m.now-childPart.madeAt > m.options.maxPartAge() {
 				continue
 			}
-			r.From += x.From
-			r.Age = max(r.Age, m.now-x.madeAt)
-			lists = append(lists, x.Entries)
+			r.PartCount += childPart.PartCount
+			r.Age = max(r.Age, m.now-childPart.madeAt)
+			lists = append(lists, childPart.Entries)
 		}
 		var dropped int
 		r.Entries, dropped = combine(lists...)
-		m.Dropped.Cut += dropped
-		if r.From > 0 {
+		m.Dropped.Truncated += dropped
+		if r.PartCount > 0 {
 			rows = append(rows, r)
 		}
 	}
@@ -111,13 +111,13 @@
 func (m *Machine) receiveParts(from Peer, rows []Row, delay time.Duration) {
 	for _, r := range rows {
 		t, i := m.position(r.Plane)
-		children := t.children(i, m.options.Fan, m.bypassed)
-		if r.Place != m.self.Place || r.Author.ID != from.ID || !containsPeer(children, from.ID) {
+		children := t.children(i, m.options.Fanout, m.bypassed)
+		if r.ZoneID != m.self.ZoneID || r.Author.ID != from.ID || !containsPeer(children, from.ID) {
 			m.Dropped.Foreign++
 			continue
 		}
-		if r.From > maxParts(t) {
-			m.Dropped.Odd++
+		if r.PartCount > maxParts(t) {
+			m.Dropped.TooManyParts++
 			continue
 		}
 		parts := m.planes[r.Plane].parts
@@ -139,11 +139,11 @@
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
 }
 
-// noteLoss notes if rows of the own zone's root were lost: then what this node sends up may be lost too.
-func (m *Machine) noteLoss(r Row) {
+// detectLoss notes if rows of the own zone's root were lost: then what this node sends up may be lost too.
+func (m *Machine) detectLoss(r Row) {
 	p := &m.planes[r.Plane]
 	if p.root == r.Author && int32(r.Seq-p.rootSeq) > 1 {
-		m.lossUntil = m.now + lossPeriods*m.options.period()
+		m.resendUntil = m.now + resendPeriods*m.options.period()
 	}
 	p.root = r.Author
 	p.rootSeq = r.Seq
@@ -151,15 +151,15 @@
 
 // alignToRoot times this node's sending by a row of the root. Parts go up so that those of each level have come when the
 // next one sends its own, and the root of the second plane makes its rows half a period after the first's.
-func (m *Machine) alignToRoot(at uint8) {
-	t, i := m.position(at)
+func (m *Machine) alignToRoot(plane uint8) {
+	t, i := m.position(plane)
 	if i != t.root(m.bypassed) {
-		step := levelStep(m.options.Delay)
-		p := &m.planes[at]
-		p.due = m.now + m.options.period() - time.Duration(level(i, m.options.Fan))*step - step/2
+		step := levelInterval(m.options.Delay)
+		p := &m.planes[plane]
+		p.nextSend = m.now + m.options.period() - time.Duration(level(i, m.options.Fanout))*step - step/2
 		p.resend = false
 	}
-	if at != 0 {
+	if plane != 0 {
 		return
 	}
 	const second = planes - 1
@@ -169,5 +169,5 @@
 	}
 	p := &m.planes[second]
 	quarter := m.options.period() / 4
-	p.due = max(p.due-quarter, min(m.now+m.options.period()/2, p.due+quarter))
+	p.nextSend = max(p.nextSend-quarter, min(m.now+m.options.period()/2, p.nextSend+quarter))
 }
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -17,12 +17,12 @@
 	rowSize   = 4 + 1 + 8 + 4 + 4 + 3 + 2 + 1
 	entrySize = 1 + 4 + 4
 	// Plane and page of a row share a byte.
-	planeShift = 4
-	pageBits   = 0x0f
-	wantSize   = 4 + 3
+	planeShift    = 4
+	pageBits      = 0x0f
+	zoneQuerySize = 4 + 3
 	// MaxMessage leaves room for a tag of 12 bytes in a datagram of 256.
-	MaxMessage = 256 - 12
-	maxWants   = (MaxMessage - headSize) / wantSize
+	MaxMessage     = 256 - 12
+	maxZoneQueries = (MaxMessage - headSize) / zoneQuerySize
 )
 
 // maxAge is the highest age that can be written, in 24 bits of milliseconds. Higher ages are written as that.
@@ -36,20 +36,20 @@
 	ErrMalformed = errors.New("zonestate: malformed")
 )
 
-// size returns how many bytes a row takes.
-func size(r Row) int { return rowSize + len(r.Entries)*entrySize }
+// rowBytes returns how many bytes a row takes.
+func rowBytes(r Row) int { return rowSize + len(r.Entries)*entrySize }
 
-func put24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
+func appendUint24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
 
-func get24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
+func uint24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
-// putAge writes an age, rounded up so that it stays an upper bound.
-func putAge(b []byte, age time.Duration) []byte {
+// appendAge writes an age, rounded up so that it stays an upper bound.
+func appendAge(b []byte, age time.Duration) []byte {
 	age = min(max(0, age), maxAge)
-	return put24(b, uint32((age+time.Millisecond-1)/time.Millisecond))
+	return appendUint24(b, uint32((age+time.Millisecond-1)/time.Millisecond))
 }
 
-func getAge(b []byte) time.Duration { return time.Duration(get24(b)) * time.Millisecond }
+func parseAge(b []byte) time.Duration { return time.Duration(uint24(b)) * time.Millisecond }
 
 // Append appends a message to b.
 func Append(b []byte, m Message) []byte {
@@ -57,10 +57,10 @@
 	b = binary.BigEndian.AppendUint64(b, m.From)
 	b = binary.BigEndian.AppendUint32(b, m.Token)
 	b = binary.BigEndian.AppendUint32(b, m.Echo)
-	b = binary.BigEndian.AppendUint16(b, m.Held)
-	for _, w := range m.Wants {
-		b = binary.BigEndian.AppendUint32(b, uint32(w.Place))
-		b = putAge(b, w.Age)
+	b = binary.BigEndian.AppendUint16(b, m.HeldMillis)
+	for _, query := range m.ZoneQueries {
+		b = binary.BigEndian.AppendUint32(b, uint32(query.ZoneID))
+		b = appendAge(b, query.Age)
 	}
 	for _, r := range m.Rows {
 		b = appendRow(b, r)
@@ -69,13 +69,13 @@
 }
 
 func appendRow(b []byte, r Row) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(r.Place))
+	b = binary.BigEndian.AppendUint32(b, uint32(r.ZoneID))
 	b = append(b, r.Plane<<planeShift|r.Page)
 	b = binary.BigEndian.AppendUint64(b, r.Author.ID)
 	b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, r.Seq)
-	b = putAge(b, r.Age)
-	b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.From), maxFrom)))
+	b = appendAge(b, r.Age)
+	b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.PartCount), maxPartCount)))
 	b = append(b, byte(len(r.Entries)))
 	for _, e := range r.Entries {
 		b = append(b, byte(e.Kind))
@@ -94,19 +94,19 @@
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, b[0])
 	}
 	m := Message{
-		Kind:  MessageKind(b[1]),
-		From:  binary.BigEndian.Uint64(b[2:]),
-		Token: binary.BigEndian.Uint32(b[10:]),
-		Echo:  binary.BigEndian.Uint32(b[14:]),
-		Held:  binary.BigEndian.Uint16(b[18:]),
+		Kind:       MessageKind(b[1]),
+		From:       binary.BigEndian.Uint64(b[2:]),
+		Token:      binary.BigEndian.Uint32(b[10:]),
+		Echo:       binary.BigEndian.Uint32(b[14:]),
+		HeldMillis: binary.BigEndian.Uint16(b[18:]),
 	}
-	if m.Kind < Up || m.Kind > Query || m.From == 0 {
+	if m.Kind < PartUpdate || m.Kind > Query || m.From == 0 {
 		return Message{}, fmt.Errorf("%w: kind %d from %d", ErrMalformed, m.Kind, m.From)
 	}
 	left := b[headSize:]
-	for m.Kind == Query && len(left) >= wantSize {
-		m.Wants = append(m.Wants, Want{Place(binary.BigEndian.Uint32(left)), getAge(left[4:])})
-		left = left[wantSize:]
+	for m.Kind == Query && len(left) >= zoneQuerySize {
+		m.ZoneQueries = append(m.ZoneQueries, ZoneQuery{ZoneID(binary.BigEndian.Uint32(left)), parseAge(left[4:])})
+		left = left[zoneQuerySize:]
 	}
 	for m.Kind != Query && len(left) >= rowSize {
 		var r Row
@@ -126,13 +126,13 @@
 // parseRow reads a row from the front of b, which has rowSize bytes at least, and returns what is left.
 func parseRow(b []byte) (r Row, left []byte, err error) {
 	r = Row{
-		Place:  Place(binary.BigEndian.Uint32(b)),
-		Plane:  b[4] >> planeShift,
-		Page:   b[4] & pageBits,
-		Author: Author{ID: binary.BigEndian.Uint64(b[5:]), Incarnation: binary.BigEndian.Uint32(b[13:])},
-		Seq:    binary.BigEndian.Uint32(b[17:]),
-		Age:    getAge(b[21:]),
-		From:   int(binary.BigEndian.Uint16(b[24:])),
+		ZoneID:    ZoneID(binary.BigEndian.Uint32(b)),
+		Plane:     b[4] >> planeShift,
+		Page:      b[4] & pageBits,
+		Author:    Author{ID: binary.BigEndian.Uint64(b[5:]), Incarnation: binary.BigEndian.Uint32(b[13:])},
+		Seq:       binary.BigEndian.Uint32(b[17:]),
+		Age:       parseAge(b[21:]),
+		PartCount: int(binary.BigEndian.Uint16(b[24:])),
 	}
 	n := int(b[26])
 	left = b[rowSize:]
--- a/internal/zonestate/codec_test.go
+++ b/internal/zonestate/codec_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// seeds returns a message of each kind as a datagram.
-func seeds() (out [][]byte) {
+// encodedMessages returns a message of each kind as a datagram.
+func encodedMessages() (out [][]byte) {
 	row := Row{
-		Place:   1 << 31,
-		Plane:   1,
-		Page:    1,
-		Author:  Author{1, 2},
-		Seq:     3,
-		Age:     4 * ms,
-		From:    5,
-		Entries: []Entry{{Sent, 6, 7.5}, {Lag, 8, 1e-9}},
+		ZoneID:    1 << 31,
+		Plane:     1,
+		Page:      1,
+		Author:    Author{1, 2},
+		Seq:       3,
+		Age:       4 * ms,
+		PartCount: 5,
+		Entries:   []Entry{{Attempts, 6, 7.5}, {AttemptTime, 8, 1e-9}},
 	}
-	outOfBounds := Row{Author: Author{ID: 9}, Age: maxAge + 1, From: 1 << 20}
+	outOfBounds := Row{Author: Author{ID: 9}, Age: maxAge + 1, PartCount: 1 << 20}
 	for _, m := range []Message{
-		{Kind: Up, From: 1, Rows: []Row{row}},
-		{Kind: Down, From: 2, Token: 1, Echo: 2, Held: 3, Rows: []Row{row, outOfBounds}},
+		{Kind: PartUpdate, From: 1, Rows: []Row{row}},
+		{Kind: RowUpdate, From: 2, Token: 1, Echo: 2, HeldMillis: 3, Rows: []Row{row, outOfBounds}},
 		{Kind: Reply, From: 3},
-		{Kind: Query, From: 4, Wants: []Want{{1, time.Second}, {2, time.Hour * 99}}},
+		{Kind: Query, From: 4, ZoneQueries: []ZoneQuery{{1, time.Second}, {2, time.Hour * 99}}},
 	} {
 		out = append(out, Append(nil, m))
 	}
@@ -32,7 +32,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, b := range seeds() {
+	for _, b := range encodedMessages() {
 		f.Add(b)
 		f.Add(b[:len(b)-1])
 	}
@@ -48,7 +48,7 @@
 		if got := Append(nil, m); string(got) != string(b) {
 			t.Errorf("%x is written as %x", b, got)
 		}
-		k := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
+		k := newTestMachine(t, 0, testPeer(0, 0), testPeer(1, 0), testPeer(2, 1))
 		k.Receive(time.Second, m)
 	})
 }
@@ -59,7 +59,7 @@
 	for i := range MaxEntries {
 		entries = append(entries, Entry{Demand, Subject(i), 1000.0 / 3})
 	}
-	m := Message{Kind: Down, From: 1, Rows: []Row{{Author: Author{ID: 1}, Age: 1500*time.Microsecond + 1, Entries: entries}}}
+	m := Message{Kind: RowUpdate, From: 1, Rows: []Row{{Author: Author{ID: 1}, Age: 1500*time.Microsecond + 1, Entries: entries}}}
 	b := Append(nil, m)
 	got, err := Parse(b)
 	if err != nil || len(b) > MaxMessage || got.Rows[0].Age != 2*ms || math.Abs(got.Rows[0].Entries[3].Value-1000.0/3) > 0.0001 {
--- a/internal/zonestate/hop.go
+++ b/internal/zonestate/hop.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	driftDivisor = 1000    // clocks may differ in rate by one part in so many
-	maxHeld      = 1 << 16 // ms; what Message.Held can carry is less
-	maxRoundTrip = 1 << 17 * time.Millisecond
-	tokenMargin  = 2 // ms that rounding of two tokens may lose
+	clockDriftDivisor = 1000    // clocks may differ in rate by one part in so many
+	maxHeldMillis     = 1 << 16 // ms; what Message.HeldMillis can carry is less
+	maxRoundTrip      = 1 << 17 * time.Millisecond
+	tokenMarginMillis = 2 // ms that rounding of two tokens may lose
 )
 
 // link is what is known of the path to another node.
 type link struct {
-	peerToken uint32        // the last one that came; 0: none
-	tokenAt   time.Duration // when it came
-	heard     time.Duration // when a message from it, or a row that it made, came last
+	peerToken       uint32        // the last one that came; 0: none
+	tokenReceivedAt time.Duration // when it came
+	lastHeard       time.Duration // when a message from it, or a row that it made, came last
 }
 
 // token returns a time of this node's clock as a token, which is never 0.
@@ -33,10 +33,10 @@
 		return
 	}
 	// Rounded down: then the receiver overestimates the delay.
-	held := (m.now - l.tokenAt) / time.Millisecond
-	if held < maxHeld {
+	held := (m.now - l.tokenReceivedAt) / time.Millisecond
+	if held < maxHeldMillis {
 		msg.Echo = l.peerToken
-		msg.Held = uint16(held)
+		msg.HeldMillis = uint16(held)
 	}
 }
 
@@ -46,13 +46,13 @@
 	if msg.Echo == 0 {
 		return 0, false
 	}
-	roundTrip := time.Duration(m.token(m.now)-msg.Echo+tokenMargin) * time.Millisecond
+	roundTrip := time.Duration(m.token(m.now)-msg.Echo+tokenMarginMillis) * time.Millisecond
 	if roundTrip > maxRoundTrip {
 		return 0, false // a token of an earlier incarnation, or too old
 	}
-	held := time.Duration(msg.Held) * time.Millisecond
-	if held > roundTrip+held/driftDivisor {
+	held := time.Duration(msg.HeldMillis) * time.Millisecond
+	if held > roundTrip+held/clockDriftDivisor {
 		return 0, false
 	}
-	return max(0, roundTrip-held) + (roundTrip+held)/driftDivisor, true
+	return max(0, roundTrip-held) + (roundTrip+held)/clockDriftDivisor, true
 }
--- a/internal/zonestate/machine.go
+++ b/internal/zonestate/machine.go
@@ -9,12 +9,12 @@
 
 // Dropped counts what was not used, by reason.
 type Dropped struct {
-	Unbounded int `json:"unbounded"` // rows whose delay on the hop has no bound
-	Late      int `json:"late"`      // rows that came or grew too old
-	Foreign   int `json:"foreign"`   // rows whose author is not known in their zone, and parts of nodes that are no children
-	Odd       int `json:"odd"`       // rows of more nodes than there can be
-	Cut       int `json:"cut"`       // entries for which a row had no space
-	Paced     int `json:"paced"`     // queries beyond maxReplies in a period
+	Unbounded    int `json:"unbounded"` // rows whose delay on the hop has no bound
+	Expired      int `json:"late"`      // rows that came or grew too old
+	Foreign      int `json:"foreign"`   // rows whose author is not known in their zone, and parts of nodes that are no children
+	TooManyParts int `json:"odd"`       // rows of more nodes than there can be
+	Truncated    int `json:"cut"`       // entries for which a row had no space
+	RateLimited  int `json:"paced"`     // queries beyond maxReplies in a period
 }
 
 // Machine is the state of one node's exchange. Its methods belong to one goroutine.
@@ -28,14 +28,14 @@
 	draws uint64 // made so far
 
 	view   *View
-	zones  map[Place]*zoneFreshness // of each zone of the view
-	links  map[uint64]*link         // by the IDs of nodes
+	zones  map[ZoneID]*zoneFreshness // of each zone of the view
+	links  map[uint64]*link          // by the IDs of nodes
 	planes [planes]plane
 	store  store
 
-	ownPart   Pages
-	ownPartAt time.Duration // when ownPart was set; 0: never
-	lossUntil time.Duration // until when messages are assumed to get lost
+	ownPart     Pages
+	ownPartAt   time.Duration // when ownPart was set; 0: never
+	resendUntil time.Duration // until when messages are assumed to get lost
 
 	queriedAt    time.Duration // when the last query went out
 	repliesSent  int           // queries that were answered since repliesSince
@@ -61,7 +61,7 @@
 		self:         self,
 		now:          now,
 		seed:         seed,
-		zones:        map[Place]*zoneFreshness{},
+		zones:        map[ZoneID]*zoneFreshness{},
 		links:        map[uint64]*link{},
 		store:        store{maxAge: o.maxRowAge(), rows: map[pageKey][]storedRow{}},
 		queriedAt:    now,
@@ -70,7 +70,7 @@
 	for i := range m.planes {
 		// The planes are due in turns.
 		due := now + o.period()*time.Duration(i+1)/planes
-		m.planes[i] = plane{parts: map[uint64][pages]*part{}, due: due}
+		m.planes[i] = plane{parts: map[uint64][pages]*part{}, nextSend: due}
 	}
 	m.SetView(now, NewView([]Peer{self}))
 	return m, nil
@@ -86,7 +86,7 @@
 func (m *Machine) SetIncarnation(incarnation uint32) { m.incarnation = max(m.incarnation, incarnation) }
 
 // Set sets this node's own part, as measured now.
-func (m *Machine) Set(now time.Duration, p Pages) {
+func (m *Machine) SetOwnPart(now time.Duration, p Pages) {
 	m.now = max(m.now, now)
 	m.ownPart = p
 	m.ownPartAt = m.now
@@ -94,7 +94,7 @@
 
 // Next returns the time at which Tick is due.
 func (m *Machine) Next() time.Duration {
-	return min(m.planes[0].due, m.planes[1].due, m.nextQuery())
+	return min(m.planes[0].nextSend, m.planes[1].nextSend, m.nextQuery())
 }
 
 // nextQuery returns when queries are due, which are sent only if something is missing.
@@ -103,9 +103,9 @@
 // Tick does what is due at a time of this node's clock and returns the messages to send.
 func (m *Machine) Tick(now time.Duration) []Packet {
 	m.begin(now)
-	m.Dropped.Late += m.store.advance(m.now)
+	m.Dropped.Expired += m.store.advance(m.now)
 	for i := range m.planes {
-		if m.now >= m.planes[i].due {
+		if m.now >= m.planes[i].nextSend {
 			m.sendPlane(uint8(i))
 		}
 	}
@@ -138,20 +138,20 @@
 		m.links[msg.From] = l
 	}
 	l.peerToken = msg.Token
-	l.tokenAt = m.now
-	l.heard = m.now
+	l.tokenReceivedAt = m.now
+	l.lastHeard = m.now
 	delay, bounded := m.hopDelay(msg)
 	if !bounded {
 		m.Dropped.Unbounded += len(msg.Rows)
 		msg.Rows = nil
 	}
 	switch msg.Kind {
-	case Up:
+	case PartUpdate:
 		m.receiveParts(from, msg.Rows, delay)
-	case Down, Reply:
-		m.receiveRows(from, msg.Rows, delay, msg.Kind == Down)
+	case RowUpdate, Reply:
+		m.receiveRows(from, msg.Rows, delay, msg.Kind == RowUpdate)
 	case Query:
-		m.reply(from, msg.Wants)
+		m.reply(from, msg.ZoneQueries)
 	}
 	return m.packets
 }
--- a/internal/zonestate/options.go
+++ b/internal/zonestate/options.go
@@ -7,9 +7,9 @@
 
 // Options are the parameters of the exchange. They are the same at all nodes.
 type Options struct {
-	Fresh time.Duration // up to which age a row is fresh
-	Delay time.Duration // of a datagram as a rule; nodes time their parts by it, and no age depends on it
-	Fan   int           // children of a node in a tree
+	FreshAge time.Duration // up to which age a row is fresh
+	Delay    time.Duration // of a datagram as a rule; nodes time their parts by it, and no age depends on it
+	Fanout   int           // children of a node in a tree
 }
 
 // DefaultDelay is the Delay of nodes on one network.
@@ -17,34 +17,34 @@
 
 // Defaults returns the options of nodes on one network.
 func Defaults(fresh time.Duration) Options {
-	return Options{Fresh: fresh, Delay: DefaultDelay, Fan: 8}
+	return Options{FreshAge: fresh, Delay: DefaultDelay, Fanout: 8}
 }
 
-// MinFresh returns the lowest Fresh that can be kept if nothing is lost and no datagram takes longer than a delay, in zones of up
+// MinFreshAge returns the lowest FreshAge that can be kept if nothing is lost and no datagram takes longer than a delay, in zones of up
 // to 4,000 nodes: half of it is the period, parts wait for three levels, and each of seven hops counts as its round trip.
-func MinFresh(delay time.Duration) time.Duration { return 2 * (7*levelStep(delay)/2 + 14*delay) }
+func MinFreshAge(delay time.Duration) time.Duration { return 2 * (7*levelInterval(delay)/2 + 14*delay) }
 
-// levelStep returns by how much earlier the nodes of each level further from the root send their parts.
-func levelStep(delay time.Duration) time.Duration { return 2*delay + 10*time.Millisecond }
+// levelInterval returns by how much earlier the nodes of each level further from the root send their parts.
+func levelInterval(delay time.Duration) time.Duration { return 2*delay + 10*time.Millisecond }
 
 // Check returns an error that names the first option out of range.
 func (o Options) Check() error {
 	switch {
-	case o.Delay <= 0 || o.Fresh < MinFresh(o.Delay):
-		minFresh := MinFresh(max(o.Delay, time.Millisecond))
-		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.Fresh, o.Delay, minFresh)
-	case o.Fan < 1 || o.Fan > 32:
-		return fmt.Errorf("zonestate: fan %d; allowed: 1 to 32", o.Fan)
+	case o.Delay <= 0 || o.FreshAge < MinFreshAge(o.Delay):
+		minFresh := MinFreshAge(max(o.Delay, time.Millisecond))
+		return fmt.Errorf("zonestate: fresh %v with a delay of %v; allowed: %v or more", o.FreshAge, o.Delay, minFresh)
+	case o.Fanout < 1 || o.Fanout > 32:
+		return fmt.Errorf("zonestate: fan %d; allowed: 1 to 32", o.Fanout)
 	}
 	return nil
 }
 
 // period returns the time between two rows of one plane.
-func (o Options) period() time.Duration { return o.Fresh / 2 }
+func (o Options) period() time.Duration { return o.FreshAge / 2 }
 
 // maxPartAge returns up to which age a child's part is added to a row. A part of the round before would make the whole row as
 // old, and a reader that wants more nodes than recent rows have still has the older row.
 func (o Options) maxPartAge() time.Duration { return o.period() / 2 }
 
 // maxRowAge returns up to which age a row is stored.
-func (o Options) maxRowAge() time.Duration { return 2 * o.Fresh }
+func (o Options) maxRowAge() time.Duration { return 2 * o.FreshAge }
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -12,7 +12,7 @@
 // Degrees of freshness.
 const (
 	Unknown Freshness = iota // no row is stored
-	Stale                    // the best row is older than Options.Fresh
+	Stale                    // the best row is older than Options.FreshAge
 	Fresh                    // the best row is not older
 )
 
@@ -29,25 +29,25 @@
 
 // updateFreshness brings the freshness of all zones up to date.
 func (m *Machine) updateFreshness() {
-	for at, z := range m.zones {
-		now := m.freshness(at)
-		if now == z.freshness {
+	for zone, z := range m.zones {
+		current := m.freshness(zone)
+		if current == z.freshness {
 			continue
 		}
-		if z.freshness != Stale || now != Unknown { // a zone that is unknown now has been without fresh rows since it was stale
+		if z.freshness != Stale || current != Unknown { // a zone that is unknown now has been without fresh rows since it was stale
 			z.since = m.now
 		}
-		z.freshness = now
+		z.freshness = current
 	}
 }
 
 // freshness returns the freshness of a zone's first page at the current time.
-func (m *Machine) freshness(at Place) Freshness {
-	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
+func (m *Machine) freshness(zone ZoneID) Freshness {
+	best, found := m.store.best(m.now, zone, 0, m.options.FreshAge)
 	switch {
 	case !found:
 		return Unknown
-	case m.now-best.madeAt <= m.options.Fresh:
+	case m.now-best.madeAt <= m.options.FreshAge:
 		return Fresh
 	default:
 		return Stale
@@ -56,12 +56,12 @@
 
 // Zone is the state of one zone's rows at a node.
 type Zone struct {
-	Place     Place
-	Freshness Freshness
-	Since     time.Duration // time of this node's clock since which Freshness holds; of Unknown after Stale, since which it was Stale
-	Age       time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
-	From      int           // number of nodes whose parts are in the best row
-	Of        int           // number of nodes of the zone that the membership holds for active
+	ID          ZoneID
+	Freshness   Freshness
+	Since       time.Duration // time of this node's clock since which Freshness holds; of Unknown after Stale, since which it was Stale
+	Age         time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
+	PartCount   int           // number of nodes whose parts are in the best row
+	ActiveNodes int           // number of nodes of the zone that the membership holds for active
 }
 
 // Zones returns all zones of the view, in the order of their places.
@@ -69,44 +69,44 @@
 	m.now = max(m.now, now)
 	m.updateFreshness()
 	var out []Zone
-	for at := range m.zones {
-		out = append(out, m.zone(at))
+	for zone := range m.zones {
+		out = append(out, m.zone(zone))
 	}
-	slices.SortFunc(out, func(a, b Zone) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortFunc(out, func(a, b Zone) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // zone returns the state of a zone, which is Unknown if it is not in the view.
-func (m *Machine) zone(at Place) Zone {
-	z := m.zones[at]
+func (m *Machine) zone(zone ZoneID) Zone {
+	z := m.zones[zone]
 	if z == nil {
-		return Zone{Place: at}
+		return Zone{ID: zone}
 	}
-	out := Zone{Place: at, Freshness: z.freshness, Since: z.since, Of: len(m.view.trees[at][0])}
-	best, found := m.store.best(m.now, at, 0, m.options.Fresh)
+	out := Zone{ID: zone, Freshness: z.freshness, Since: z.since, ActiveNodes: len(m.view.trees[zone][0])}
+	best, found := m.store.best(m.now, zone, 0, m.options.FreshAge)
 	if found && z.freshness != Unknown {
 		out.Age = m.now - best.madeAt
-		out.From = best.From
+		out.PartCount = best.PartCount
 	}
 	return out
 }
 
-// Alone says that this node has no fresh row with other nodes' parts, or that no other node is active.
-func (m *Machine) Alone(now time.Duration) bool {
+// Isolated says that this node has no fresh row with other nodes' parts, or that no other node is active.
+func (m *Machine) Isolated(now time.Duration) bool {
 	m.now = max(m.now, now)
-	for at, trees := range m.view.trees {
+	for zone, trees := range m.view.trees {
 		others := len(trees[0])
-		if at == m.self.Place {
+		if zone == m.self.ZoneID {
 			others--
 		}
 		if others == 0 {
 			continue
 		}
-		best, found := m.store.best(m.now, at, 0, m.options.Fresh)
-		if !found || m.now-best.madeAt > m.options.Fresh {
+		best, found := m.store.best(m.now, zone, 0, m.options.FreshAge)
+		if !found || m.now-best.madeAt > m.options.FreshAge {
 			continue
 		}
-		if at != m.self.Place || best.From > 1 {
+		if zone != m.self.ZoneID || best.PartCount > 1 {
 			return false
 		}
 	}
@@ -120,17 +120,17 @@
 }
 
 // Read returns the value of a kind and subject in a zone. A caller that ignores Freshness uses values of any age.
-func (m *Machine) Read(now time.Duration, of Place, k Kind, s Subject) Value {
+func (m *Machine) Read(now time.Duration, zone ZoneID, k Kind, s Subject) Value {
 	m.now = max(m.now, now)
 	m.updateFreshness()
-	v := Value{Zone: m.zone(of)}
-	best, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
+	v := Value{Zone: m.zone(zone)}
+	best, found := m.store.best(m.now, zone, k.page(), m.options.FreshAge)
 	if !found {
-		return Value{Zone: Zone{Place: of, Of: v.Of}}
+		return Value{Zone: Zone{ID: zone, ActiveNodes: v.ActiveNodes}}
 	}
 	v.Age = max(v.Age, m.now-best.madeAt)
-	v.From = best.From
-	if v.Age > m.options.Fresh {
+	v.PartCount = best.PartCount
+	if v.Age > m.options.FreshAge {
 		v.Freshness = min(v.Freshness, Stale)
 	}
 	for _, e := range best.Entries {
@@ -142,9 +142,9 @@
 }
 
 // Row returns the best row of the page of a kind in a zone; false: there is none.
-func (m *Machine) Row(now time.Duration, of Place, k Kind) (Row, bool) {
+func (m *Machine) Row(now time.Duration, zone ZoneID, k Kind) (Row, bool) {
 	m.now = max(m.now, now)
-	best, found := m.store.best(m.now, of, k.page(), m.options.Fresh)
+	best, found := m.store.best(m.now, zone, k.page(), m.options.FreshAge)
 	return best.row(m.now), found
 }
 
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -13,7 +13,7 @@
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.packets = nil
-	c.zones = map[Place]*zoneFreshness{}
+	c.zones = map[ZoneID]*zoneFreshness{}
 	c.links = map[uint64]*link{}
 	for k, z := range m.zones {
 		copied := *z
@@ -40,28 +40,28 @@
 	relative := func(t time.Duration) time.Duration { return t - m.now }
 	fmt.Fprintf(&b, "%d,%d,%v,%v,%d,%v,%v|",
 		m.incarnation, m.draws, relative(m.ownPartAt), relative(m.queriedAt), m.repliesSent,
-		max(-m.options.period(), relative(m.repliesSince)), max(0, relative(m.lossUntil)))
+		max(-m.options.period(), relative(m.repliesSince)), max(0, relative(m.resendUntil)))
 	for _, id := range slices.Sorted(maps.Keys(m.links)) {
 		l := m.links[id]
-		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, relative(l.tokenAt), max(-2*m.options.period()-1, relative(l.heard)))
+		fmt.Fprintf(&b, "l%x,%d,%v,%v|", id, l.peerToken, relative(l.tokenReceivedAt), max(-2*m.options.period()-1, relative(l.lastHeard)))
 	}
-	for _, at := range slices.Sorted(maps.Keys(m.zones)) {
-		fmt.Fprintf(&b, "w%x,%d|", at, m.zones[at].freshness)
+	for _, zone := range slices.Sorted(maps.Keys(m.zones)) {
+		fmt.Fprintf(&b, "w%x,%d|", zone, m.zones[zone].freshness)
 	}
 	keys := slices.SortedFunc(maps.Keys(m.store.rows), func(a, b pageKey) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.plane, b.plane), cmp.Compare(a.page, b.page))
+		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.plane, b.plane), cmp.Compare(a.page, b.page))
 	})
 	for _, k := range keys {
 		for _, h := range m.store.rows[k] {
-			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, relative(h.madeAt), h.From, h.Entries)
+			fmt.Fprintf(&b, "s%v,%x,%d,%d,%v,%d,%v|", k, h.Author.ID, h.Author.Incarnation, h.Seq, relative(h.madeAt), h.PartCount, h.Entries)
 		}
 	}
 	for i, p := range m.planes {
-		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, relative(p.due), p.resend, p.root, p.rootSeq)
+		fmt.Fprintf(&b, "p%d,%d,%v,%v,%v,%d|", i, p.seq, relative(p.nextSend), p.resend, p.root, p.rootSeq)
 		for _, id := range slices.Sorted(maps.Keys(p.parts)) {
-			for _, x := range p.parts[id] {
-				if x != nil {
-					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, x.Page, x.From, relative(x.madeAt), x.Entries)
+			for _, part := range p.parts[id] {
+				if part != nil {
+					fmt.Fprintf(&b, "c%x,%d,%d,%v,%v|", id, part.Page, part.PartCount, relative(part.madeAt), part.Entries)
 				}
 			}
 		}
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -8,7 +8,7 @@
 
 // pageKey identifies a page of a zone in a plane. Rows of different authors for one key are alternatives.
 type pageKey struct {
-	place       Place
+	zone        ZoneID
 	plane, page uint8
 }
 
@@ -35,7 +35,7 @@
 
 // put merges a row, and reports whether it supersedes an earlier one of its author or is the first.
 func (s *store) put(r Row, madeAt time.Duration) bool {
-	k := pageKey{r.Place, r.Plane, r.Page}
+	k := pageKey{r.ZoneID, r.Plane, r.Page}
 	list := s.rows[k]
 	i, known := slices.BinarySearchFunc(list, r.Author.ID, func(h storedRow, id uint64) int { return cmp.Compare(h.Author.ID, id) })
 	if known {
@@ -95,9 +95,9 @@
 
 // best returns the row of a page to be read: of fresh rows the one of most nodes' parts, and of these the youngest; if there
 // is no fresh row, the youngest.
-func (s *store) best(now time.Duration, of Place, page uint8, fresh time.Duration) (best storedRow, found bool) {
+func (s *store) best(now time.Duration, zone ZoneID, page uint8, fresh time.Duration) (best storedRow, found bool) {
 	for plane := range uint8(planes) {
-		for _, h := range s.rows[pageKey{of, plane, page}] {
+		for _, h := range s.rows[pageKey{zone, plane, page}] {
 			if !found || h.betterThan(best, now, fresh) {
 				best = h
 				found = true
@@ -114,8 +114,8 @@
 	switch {
 	case isFresh != otherFresh:
 		return isFresh
-	case isFresh && h.From != other.From:
-		return h.From > other.From
+	case isFresh && h.PartCount != other.PartCount:
+		return h.PartCount > other.PartCount
 	default:
 		return h.madeAt > other.madeAt
 	}
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -13,11 +13,11 @@
 
 // Peer is another node, as the membership has it.
 type Peer struct {
-	ID      uint64
-	Addr    netip.AddrPort
-	Place   Place
-	Suspect bool // the membership suspects it
-	Gone    bool // dead or left: it is in no tree, and its zone is known still
+	ID       uint64
+	Addr     netip.AddrPort
+	ZoneID   ZoneID
+	Suspect  bool // the membership suspects it
+	Inactive bool // dead or left: it is in no tree, and its zone is known still
 }
 
 // rank orders the nodes of a zone in a plane: by a hash of their IDs.
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// silentPeriods is after how many periods without a message a suspected node is bypassed.
-const silentPeriods = 2
+// bypassAfterPeriods is after how many periods without a message a suspected node is bypassed.
+const bypassAfterPeriods = 2
 
 // View is the set of nodes as the membership of one has it, with the trees of all zones. It does not change and may be shared.
 type View struct {
 	peers  map[uint64]Peer
 	active []Peer // neither dead nor left, in the order of their IDs
-	trees  map[Place]*[planes]tree
+	trees  map[ZoneID]*[planes]tree
 }
 
 // NewView returns the view of all nodes that the membership knows, the node itself among them.
 func NewView(all []Peer) *View {
-	v := &View{peers: make(map[uint64]Peer, len(all)), trees: map[Place]*[planes]tree{}}
-	byZone := map[Place][]Peer{}
+	v := &View{peers: make(map[uint64]Peer, len(all)), trees: map[ZoneID]*[planes]tree{}}
+	byZone := map[ZoneID][]Peer{}
 	for _, p := range all {
 		v.peers[p.ID] = p
-		nodes := byZone[p.Place]
-		if !p.Gone {
+		nodes := byZone[p.ZoneID]
+		if !p.Inactive {
 			nodes = append(nodes, p)
 			v.active = append(v.active, p)
 		}
-		byZone[p.Place] = nodes // a zone without active nodes stays one
+		byZone[p.ZoneID] = nodes // a zone without active nodes stays one
 	}
 	slices.SortFunc(v.active, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
-	for at, nodes := range byZone {
-		v.trees[at] = new([planes]tree)
+	for zone, nodes := range byZone {
+		v.trees[zone] = new([planes]tree)
 		for plane := range uint8(planes) {
-			v.trees[at][plane] = newTree(nodes, plane)
+			v.trees[zone][plane] = newTree(nodes, plane)
 		}
 	}
 	return v
@@ -43,14 +43,14 @@
 func (m *Machine) SetView(now time.Duration, v *View) {
 	m.now = max(m.now, now)
 	m.view = v
-	for at := range v.trees {
-		if m.zones[at] == nil {
-			m.zones[at] = &zoneFreshness{since: m.now}
+	for zone := range v.trees {
+		if m.zones[zone] == nil {
+			m.zones[zone] = &zoneFreshness{since: m.now}
 		}
 	}
-	for at := range m.zones {
-		if v.trees[at] == nil {
-			delete(m.zones, at)
+	for zone := range m.zones {
+		if v.trees[zone] == nil {
+			delete(m.zones, zone)
 		}
 	}
 	for id := range m.links {
@@ -62,7 +62,7 @@
 
 // position returns this node's tree of a plane and its index in it.
 func (m *Machine) position(plane uint8) (tree, int) {
-	t := m.view.trees[m.self.Place][plane]
+	t := m.view.trees[m.self.ZoneID][plane]
 	return t, t.index(m.self.ID)
 }
 
@@ -73,5 +73,5 @@
 		return false
 	}
 	l := m.links[p.ID]
-	return l == nil || m.now-l.heard > silentPeriods*m.options.period()
+	return l == nil || m.now-l.lastHeard > bypassAfterPeriods*m.options.period()
 }
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -15,7 +15,7 @@
 //     time since the receiver's own token that the sender returns, less the time for which the sender says that it held
 //     it. What carries no such token is dropped (Dropped.Unbounded).
 //   - A row says how many nodes' parts are in it. A part may be counted twice in a row of one plane for at most half a period
-//     after its node got another parent; then Row.From may exceed the number of active nodes, and readers get both.
+//     after its node got another parent; then Row.PartCount may exceed the number of active nodes, and readers get both.
 //   - Of one author, zone, plane and page the row of the latest incarnation and then of the latest sequence supersedes the
 //     others. Merging does not depend on order, repetition or grouping.
 //   - Each reading comes with the zone's freshness (Fresh, Stale, Unknown). What is missing is not estimated.
@@ -41,11 +41,11 @@
 	return Subject(max(1, uint32(splitmix.Mix(h.Sum64()))))
 }
 
-// Place identifies a zone of a region, by a hash of both names.
-type Place Subject
+// ZoneID identifies a zone of a region, by a hash of both names.
+type ZoneID Subject
 
-// PlaceOf returns the place of a zone.
-func PlaceOf(region, zone string) Place { return Place(SubjectOf(region + "/" + zone)) }
+// ZoneIDOf returns the ID of a zone.
+func ZoneIDOf(region, zone string) ZoneID { return ZoneID(SubjectOf(region + "/" + zone)) }
 
 // Entry is one value about a subject.
 type Entry struct {
@@ -62,27 +62,27 @@
 
 // Row is one page of the state of a zone: entries that its author added up at one time.
 type Row struct {
-	Place   Place
-	Plane   uint8
-	Page    uint8
-	Author  Author
-	Seq     uint32        // grows with each row of the author; it wraps
-	Age     time.Duration // upper bound on the age of the oldest part in it, when the row was passed in or returned
-	From    int           // number of nodes whose parts are in it
-	Entries []Entry       // by kind and subject, MaxEntries at most
+	ZoneID    ZoneID
+	Plane     uint8
+	Page      uint8
+	Author    Author
+	Seq       uint32        // grows with each row of the author; it wraps
+	Age       time.Duration // upper bound on the age of the oldest part in it, when the row was passed in or returned
+	PartCount int           // number of nodes whose parts are in it
+	Entries   []Entry       // by kind and subject, MaxEntries at most
 }
 
 const (
 	// MaxEntries is how many entries a row has at most, so that it fits into a datagram.
-	MaxEntries = 21
-	maxFrom    = 1<<16 - 1 // the highest Row.From that can be written
+	MaxEntries   = 21
+	maxPartCount = 1<<16 - 1 // the highest Row.PartCount that can be written
 )
 
 // Pages are a node's own entries by page.
 type Pages [pages][]Entry
 
-// Sort distributes entries to their pages.
-func Sort(entries []Entry) Pages {
+// GroupByPage distributes entries to their pages.
+func GroupByPage(entries []Entry) Pages {
 	var p Pages
 	for _, e := range entries {
 		p[e.Kind.page()] = append(p[e.Kind.page()], e)
--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -16,16 +16,16 @@
 
 const ms = time.Millisecond
 
-// peer is the i-th node, in a zone.
-func peer(i, zone int) Peer {
+// testPeer is the i-th node, in a zone.
+func testPeer(i, zone int) Peer {
 	addr := netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)})
-	return Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(addr, 1), Place: PlaceOf("r", fmt.Sprint(zone))}
+	return Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(addr, 1), ZoneID: ZoneIDOf("r", fmt.Sprint(zone))}
 }
 
-// machine is the i-th node's, of zone 0, with a view of all.
-func machine(t testing.TB, i int, all ...Peer) *Machine {
+// newTestMachine is the i-th node's, of zone 0, with a view of all.
+func newTestMachine(t testing.TB, i int, all ...Peer) *Machine {
 	t.Helper()
-	m, err := New(0, peer(i, 0), Defaults(2*time.Second), uint64(i))
+	m, err := New(0, testPeer(i, 0), Defaults(2*time.Second), uint64(i))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,16 +36,16 @@
 // drawRow draws a row from so few authors, zones and sequences that rows often have the same key.
 func drawRow(t *rapid.T) Row {
 	r := Row{
-		Place: Place(rapid.IntRange(1, 2).Draw(t, "place")),
-		Plane: uint8(rapid.IntRange(0, 1).Draw(t, "plane")),
-		Page:  uint8(rapid.IntRange(0, 1).Draw(t, "page")),
+		ZoneID: ZoneID(rapid.IntRange(1, 2).Draw(t, "place")),
+		Plane:  uint8(rapid.IntRange(0, 1).Draw(t, "plane")),
+		Page:   uint8(rapid.IntRange(0, 1).Draw(t, "page")),
 		Author: Author{
 			ID:          uint64(rapid.IntRange(1, maxAuthors).Draw(t, "author")),
 			Incarnation: uint32(rapid.IntRange(0, 2).Draw(t, "incarnation")),
 		},
 		Seq: uint32(rapid.IntRange(math.MaxUint32-2, math.MaxUint32+2).Draw(t, "seq")), // sequences that wrap
 	}
-	r.From = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // the content is a function of author and sequence
+	r.PartCount = int(r.Author.Incarnation)*10 + int(int32(r.Seq)) // the content is a function of author and sequence
 	r.Age = time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * ms
 	return r
 }
@@ -54,7 +54,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		rows := rapid.SliceOfN(rapid.Custom(drawRow), 1, 12).Draw(r, "rows")
 		order := rapid.Permutation(rows).Draw(r, "order")
-		again := rapid.SliceOfN(rapid.SampledFrom(rows), 0, 5).Draw(r, "again")
+		duplicates := rapid.SliceOfN(rapid.SampledFrom(rows), 0, 5).Draw(r, "again")
 		merge := func(rows []Row) store {
 			s := store{rows: map[pageKey][]storedRow{}}
 			for _, x := range rows {
@@ -65,7 +65,7 @@
 			return s
 		}
 		a := merge(rows)
-		b := merge(append(order, again...))
+		b := merge(append(order, duplicates...))
 		if !reflect.DeepEqual(a.rows, b.rows) {
 			r.Fatalf("%v\nand in another order, with duplicates,\n%v", a.rows, b.rows)
 		}
@@ -77,16 +77,16 @@
 	rapid.Check(t, func(r *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Entry {
 			return Entry{
-				Kind:    rapid.SampledFrom([]Kind{Demand, Open, Ready, Oldest}).Draw(t, "kind"),
+				Kind:    rapid.SampledFrom([]Kind{Demand, OpenRequests, ReadyServers, OldestVersion}).Draw(t, "kind"),
 				Subject: Subject(rapid.IntRange(1, 4).Draw(t, "subject")),
 				Value:   float64(rapid.IntRange(0, 9).Draw(t, "value")),
 			}
 		})
 		lists := rapid.SliceOfN(rapid.SliceOfN(entry, 0, 6), 1, 5).Draw(r, "lists")
-		at := rapid.IntRange(0, len(lists)).Draw(r, "at")
+		split := rapid.IntRange(0, len(lists)).Draw(r, "at")
 		complete, _ := combine(lists...)
-		left, _ := combine(lists[:at]...)
-		right, _ := combine(lists[at:]...)
+		left, _ := combine(lists[:split]...)
+		right, _ := combine(lists[split:]...)
 		if parts, _ := combine(right, left); !slices.Equal(parts, complete) {
 			r.Fatalf("%v, and by %v and %v: %v", complete, left, right, parts)
 		}
@@ -95,17 +95,17 @@
 	for i := range 2 * MaxEntries {
 		many = append(many, Entry{Demand, Subject(i + 1), float64(i)})
 	}
-	many = append(many, Entry{Ready, 7, 3})
-	out, cut := combine(many)
-	if len(out) != MaxEntries || cut != len(many)-1-MaxEntries || out[len(out)-1] != (Entry{Ready, 7, 3}) || out[0].Value != 22 {
-		t.Errorf("%d entries, %d cut: %v", len(out), cut, out)
+	many = append(many, Entry{ReadyServers, 7, 3})
+	out, dropped := combine(many)
+	if len(out) != MaxEntries || dropped != len(many)-1-MaxEntries || out[len(out)-1] != (Entry{ReadyServers, 7, 3}) || out[0].Value != 22 {
+		t.Errorf("%d entries, %d cut: %v", len(out), dropped, out)
 	}
 }
 
 // The delay of a hop is the time since the receiver's own token, less the time for which the sender held it. Without a token
 // and with one that cannot be right nothing is used.
 func TestHopDelayIsBoundedByOwnToken(t *testing.T) {
-	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
+	m := newTestMachine(t, 0, testPeer(0, 0), testPeer(1, 0), testPeer(2, 1))
 	m.now = 10 * time.Second
 	token := m.token(9 * time.Second)
 	for _, c := range []struct {
@@ -122,34 +122,34 @@
 		{"of another incarnation", token - 1<<20, 0, 0, false},
 		{"of the future", token + 5000, 0, 0, false},
 	} {
-		d, ok := m.hopDelay(Message{Echo: c.echo, Held: c.held})
+		d, ok := m.hopDelay(Message{Echo: c.echo, HeldMillis: c.held})
 		if ok != c.ok || d > c.delay || ok && d < c.delay-10*ms {
 			t.Errorf("%s: %v, %v; want about %v, %v", c.name, d, ok, c.delay, c.ok)
 		}
 	}
-	row := Row{Place: peer(2, 1).Place, Author: Author{ID: 3}, Seq: 1, From: 1, Age: 300 * ms}
-	m.Receive(m.now, Message{Kind: Down, From: 3, Token: 7, Rows: []Row{row}})
-	if v := m.Read(m.now, row.Place, Demand, 1); v.Freshness != Unknown || m.Dropped.Unbounded != 1 {
+	row := Row{ZoneID: testPeer(2, 1).ZoneID, Author: Author{ID: 3}, Seq: 1, PartCount: 1, Age: 300 * ms}
+	m.Receive(m.now, Message{Kind: RowUpdate, From: 3, Token: 7, Rows: []Row{row}})
+	if v := m.Read(m.now, row.ZoneID, Demand, 1); v.Freshness != Unknown || m.Dropped.Unbounded != 1 {
 		t.Errorf("%+v, %+v", v, m.Dropped)
 	}
-	m.Receive(m.now, Message{Kind: Down, From: 3, Token: 7, Echo: token, Held: 900, Rows: []Row{row}})
-	v := m.Read(m.now, row.Place, Demand, 1)
-	if v.Freshness != Fresh || v.Age < 400*ms || v.Age > 410*ms || v.From != 1 || v.Of != 1 || v.Amount != 0 {
+	m.Receive(m.now, Message{Kind: RowUpdate, From: 3, Token: 7, Echo: token, HeldMillis: 900, Rows: []Row{row}})
+	v := m.Read(m.now, row.ZoneID, Demand, 1)
+	if v.Freshness != Fresh || v.Age < 400*ms || v.Age > 410*ms || v.PartCount != 1 || v.ActiveNodes != 1 || v.Amount != 0 {
 		t.Errorf("%+v", v)
 	}
 	// Freshness follows the age; a page that never came is unknown.
 	m.Tick(m.now + 1700*ms)
-	if v = m.Read(m.now, row.Place, Demand, 1); v.Freshness != Stale || v.Since > m.now || v.Age < 2*time.Second {
+	if v = m.Read(m.now, row.ZoneID, Demand, 1); v.Freshness != Stale || v.Since > m.now || v.Age < 2*time.Second {
 		t.Errorf("%+v", v)
 	}
-	if v := m.Read(m.now, row.Place, Sent, 1); v.Freshness != Unknown || v.Of != 1 {
+	if v := m.Read(m.now, row.ZoneID, Attempts, 1); v.Freshness != Unknown || v.ActiveNodes != 1 {
 		t.Errorf("%+v", v)
 	}
-	if !m.Alone(m.now) {
+	if !m.Isolated(m.now) {
 		t.Error("without a fresh row of another node it is not alone")
 	}
 	m.Tick(m.now + 10*time.Second)
-	if v = m.Read(m.now, row.Place, Demand, 1); v.Freshness != Unknown || m.Size() != 0 {
+	if v = m.Read(m.now, row.ZoneID, Demand, 1); v.Freshness != Unknown || m.Size() != 0 {
 		t.Errorf("%+v, %d rows", v, m.Size())
 	}
 }
@@ -157,29 +157,29 @@
 // A faulty peer does limited damage: rows of an author that is not in their zone, of more nodes than there are, or of this
 // node itself are dropped, and so are parts of a node that is no child.
 func TestRowsOfFaultyPeersAreDropped(t *testing.T) {
-	m := machine(t, 0, peer(0, 0), peer(1, 0), peer(2, 1))
+	m := newTestMachine(t, 0, testPeer(0, 0), testPeer(1, 0), testPeer(2, 1))
 	m.now = time.Second
 	echo := m.token(m.now)
-	good := Row{Place: peer(2, 1).Place, Author: Author{ID: 3}, Seq: 1, From: 1}
+	good := Row{ZoneID: testPeer(2, 1).ZoneID, Author: Author{ID: 3}, Seq: 1, PartCount: 1}
 	for name, change := range map[string]func(*Row){
-		"foreign zone":   func(r *Row) { r.Place = peer(0, 0).Place },
+		"foreign zone":   func(r *Row) { r.ZoneID = testPeer(0, 0).ZoneID },
 		"unknown author": func(r *Row) { r.Author.ID = 99 },
-		"own ID":         func(r *Row) { r.Author.ID, r.Place = 1, peer(0, 0).Place },
-		"too many nodes": func(r *Row) { r.From = 50 },
+		"own ID":         func(r *Row) { r.Author.ID, r.ZoneID = 1, testPeer(0, 0).ZoneID },
+		"too many nodes": func(r *Row) { r.PartCount = 50 },
 		"too old":        func(r *Row) { r.Age = time.Minute },
 	} {
 		r := good
 		change(&r)
 		before := m.Dropped
-		if m.Receive(m.now, Message{Kind: Down, From: 2, Echo: echo, Rows: []Row{r}}); m.Dropped == before || m.Size() != 0 {
+		if m.Receive(m.now, Message{Kind: RowUpdate, From: 2, Echo: echo, Rows: []Row{r}}); m.Dropped == before || m.Size() != 0 {
 			t.Errorf("%s: %+v, %d rows", name, m.Dropped, m.Size())
 		}
 	}
 	before := m.Dropped.Foreign
-	if m.Receive(m.now, Message{Kind: Up, From: 3, Echo: echo, Rows: []Row{good}}); m.Dropped.Foreign != before+1 {
+	if m.Receive(m.now, Message{Kind: PartUpdate, From: 3, Echo: echo, Rows: []Row{good}}); m.Dropped.Foreign != before+1 {
 		t.Errorf("a part from another zone: %+v", m.Dropped)
 	}
-	if m.Receive(m.now, Message{Kind: Down, From: 77, Echo: echo, Rows: []Row{good}}); m.Size() != 0 {
+	if m.Receive(m.now, Message{Kind: RowUpdate, From: 77, Echo: echo, Rows: []Row{good}}); m.Size() != 0 {
 		t.Error("the row of an unknown sender was stored")
 	}
 }
@@ -189,32 +189,32 @@
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(r, "nodes")
 		fan := rapid.IntRange(1, 9).Draw(r, "fan")
-		down := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "bypassed")
+		bypassedNodes := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "bypassed")
 		var nodes []Peer
 		for i := range n {
-			nodes = append(nodes, peer(i, 0))
+			nodes = append(nodes, testPeer(i, 0))
 		}
-		tr := newTree(nodes, uint8(rapid.IntRange(0, 1).Draw(r, "plane")))
-		bypassed := func(p Peer) bool { return down[p.ID-1] }
+		nodeTree := newTree(nodes, uint8(rapid.IntRange(0, 1).Draw(r, "plane")))
+		bypassed := func(p Peer) bool { return bypassedNodes[p.ID-1] }
 		childOf := map[uint64]int{}
-		for i, p := range tr {
+		for i, p := range nodeTree {
 			if bypassed(p) {
 				continue
 			}
-			children := tr.children(i, fan, bypassed)
+			children := nodeTree.children(i, fan, bypassed)
 			if len(children) > maxChildren {
 				r.Fatalf("%d children", len(children))
 			}
 			for _, c := range children {
 				childOf[c.ID]++
-				up, has := tr.parent(tr.index(c.ID), fan, bypassed)
-				if !has || tr[up].ID != p.ID || bypassed(c) {
-					r.Fatalf("%d has the child %d, whose parent is %d, %v", p.ID, c.ID, tr[up].ID, has)
+				parent, hasParent := nodeTree.parent(nodeTree.index(c.ID), fan, bypassed)
+				if !hasParent || nodeTree[parent].ID != p.ID || bypassed(c) {
+					r.Fatalf("%d has the child %d, whose parent is %d, %v", p.ID, c.ID, nodeTree[parent].ID, hasParent)
 				}
 			}
 		}
-		for i, p := range tr {
-			if _, has := tr.parent(i, fan, bypassed); !bypassed(p) && has && childOf[p.ID] != 1 && n <= maxChildren {
+		for i, p := range nodeTree {
+			if _, hasParent := nodeTree.parent(i, fan, bypassed); !bypassed(p) && hasParent && childOf[p.ID] != 1 && n <= maxChildren {
 				r.Fatalf("%d is the child of %d nodes", p.ID, childOf[p.ID])
 			}
 		}
@@ -223,14 +223,14 @@
 
 func TestOptionsOutOfRangeAreRejected(t *testing.T) {
 	for _, change := range []func(*Options){
-		func(o *Options) { o.Fresh = MinFresh(o.Delay) - 1 },
+		func(o *Options) { o.FreshAge = MinFreshAge(o.Delay) - 1 },
 		func(o *Options) { o.Delay = 0 },
-		func(o *Options) { o.Fan = 0 },
-		func(o *Options) { o.Fan = 33 },
+		func(o *Options) { o.Fanout = 0 },
+		func(o *Options) { o.Fanout = 33 },
 	} {
 		o := Defaults(2 * time.Second)
 		change(&o)
-		if _, err := New(0, peer(0, 0), o, 1); err == nil {
+		if _, err := New(0, testPeer(0, 0), o, 1); err == nil {
 			t.Errorf("%+v was accepted", o)
 		}
 	}
