--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -6,26 +6,25 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Buckets is the number of groups of members, by the first bits of their IDs, for which a Pull carries a digest each.
+// Buckets is the number of groups into which members are divided by the first bits of their IDs. A Pull carries a digest of each.
 const Buckets = 32
 
-// bucketShift leaves the bits of an ID that number its bucket.
+// bucketShift is the right shift of an ID that yields its bucket.
 const bucketShift = 59
 
-// maxPagesPerPull is how many pages answer one Pull.
+// maxPagesPerPull is the maximum number of pages sent in reply to one Pull.
 const maxPagesPerPull = 4
 
 // bucket returns the bucket of a member.
 func bucket(id ID) int { return int(id >> bucketShift) }
 
-// memberDigest returns the digest of one member in an incarnation.
+// memberDigest returns the digest of one member and its incarnation.
 func memberDigest(id ID, incarnation uint32) uint64 {
 	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
 }
 
-// digest returns a number, never 0, that is equal at nodes which hold the same members for active at the same
-// incarnations. Dead members are left out, because they are forgotten at different times, and so is the difference between
-// alive and suspect, because suspicions end by themselves.
+// digest returns a digest of the active members and their incarnations, which is never 0. Dead members are excluded because
+// nodes remove them at different times. Alive and suspect members are not distinguished because suspicions expire on their own.
 func (m *Machine) digest() uint64 {
 	sum := memberDigest(m.id, m.incarnation)
 	for _, member := range m.members {
@@ -36,7 +35,7 @@
 	return max(1, sum)
 }
 
-// bucketDigests returns the digests of the buckets.
+// bucketDigests returns the digest of each bucket.
 func (m *Machine) bucketDigests() []uint32 {
 	digests := make([]uint32, Buckets)
 	digests[bucket(m.id)] = uint32(memberDigest(m.id, m.incarnation))
@@ -48,7 +47,7 @@
 	return digests
 }
 
-// requestPages asks for another node's list from an ID on, once a period at most.
+// requestPages requests another node's member list starting at an ID, at most once per probe interval.
 func (m *Machine) requestPages(from netip.AddrPort, firstID ID) {
 	if m.now < m.nextPull {
 		return
@@ -57,8 +56,8 @@
 	m.send(from, Message{Kind: Pull, MemberID: firstID, BucketDigests: m.bucketDigests()})
 }
 
-// sendPages sends the members from an ID on whose buckets have another digest than the receiver's. What does not fit into
-// maxPagesPerPull the receiver asks for again, from the ID that the last page names.
+// sendPages sends the members with an ID of firstID or higher whose bucket digest differs from the receiver's. If they take
+// more than maxPagesPerPull pages, the last page names the ID from which the receiver requests the remainder.
 func (m *Machine) sendPages(to netip.AddrPort, firstID ID, receiverDigests []uint32) {
 	ownDigests := m.bucketDigests()
 	page := &updateList{bytesLeft: MaxUpdateBytes}
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -9,21 +9,22 @@
 	"net/netip"
 )
 
-// MaxDatagram is how many bytes a datagram may have: the platform's channel between nodes carries no more (PROTOCOL, Between
-// nodes).
+// MaxDatagram is the maximum size of a datagram in bytes, which is the limit of the platform's channel between nodes
+// (PROTOCOL, Between nodes).
 const MaxDatagram = 256
 
-// A datagram is version, kind, from, seq, about, sum (big endian), for a Pull the sums, the updates, and the tag.
+// A datagram consists of version, kind, from, seq, member ID and digest (big endian), the bucket digests if it is a Pull, the
+// updates, and the authentication tag.
 const (
 	version    = 2
 	headSize   = 1 + 1 + 8 + 4 + 8 + 8
 	digestSize = 4
-	tagSize    = 12 // of HMAC-SHA-256, truncated
+	tagSize    = 12 // HMAC-SHA-256, truncated
 	ip4Size    = 4
 	ip16Size   = 16
 )
 
-// updateSize returns how many bytes an update takes: id, incarnation, status and flags, suspector, and the peer.
+// updateSize returns the encoded size of an update in bytes: ID, incarnation, status and flags, suspector, and peer.
 func updateSize(u Update) int {
 	n := 8 + 4 + 1
 	if u.Status == Suspect {
@@ -46,15 +47,15 @@
 	return ip16Size
 }
 
-// Bits beside the status in an update's byte.
+// Bits of the status byte of an update.
 const (
 	statusBits    = 0x03
 	peerBit       = 0x04
 	listenOnlyBit = 0x08
 )
 
-// Encode returns a message as a datagram with the tag of a key. It is no longer than MaxDatagram if the updates are within
-// MaxUpdateBytes.
+// Encode encodes a message as a datagram authenticated with key. The datagram does not exceed MaxDatagram if the updates do
+// not exceed MaxUpdateBytes.
 func Encode(m Message, key []byte) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, version, byte(m.Kind))
@@ -105,10 +106,10 @@
 	return append(b, s...)
 }
 
-// Seal appends the tag of a key to the body of a datagram.
+// Seal appends the authentication tag for key to the body of a datagram.
 func Seal(b, key []byte) []byte { return append(b, tag(b, key)...) }
 
-// Unseal returns the body of a datagram without its tag; false: the tag is of another key.
+// Unseal returns the body of a datagram without its tag and reports whether the tag is valid for key.
 func Unseal(b, key []byte) (body []byte, ok bool) {
 	if len(b) < tagSize {
 		return nil, false
@@ -123,21 +124,21 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// MaxIncarnation is the last incarnation of a member. An update with a later one is malformed, so that no update can make
-// a member unable to refute it.
+// MaxIncarnation is the highest incarnation of a member. Updates with a higher one are malformed: a member could not refute
+// an update with the highest value of the type.
 const MaxIncarnation = 1<<31 - 1
 
-// Errors of a datagram. Nothing of one that has an error is used.
+// Errors returned by Decode. A datagram with an error is discarded completely.
 var (
-	// ErrKey: the tag is of another key, so the datagram comes from another cluster or from none.
-	ErrKey = errors.New("membership: the tag is of another key")
-	// ErrVersion: the sender speaks another version of the protocol.
-	ErrVersion = errors.New("membership: another version")
-	// ErrMalformed: the datagram has the right tag and breaks the format.
-	ErrMalformed = errors.New("membership: malformed")
+	// ErrKey means that the tag is not valid for the key: the sender belongs to another cluster or to none.
+	ErrKey = errors.New("membership: datagram tag does not match the key")
+	// ErrVersion means that the sender uses another version of the protocol.
+	ErrVersion = errors.New("membership: unsupported protocol version")
+	// ErrMalformed means that the size or the format of the datagram is invalid.
+	ErrMalformed = errors.New("membership: malformed datagram")
 )
 
-// Decode reads a datagram and checks its tag with a key. Its errors are ErrKey, ErrVersion and ErrMalformed.
+// Decode decodes a datagram and verifies its tag with key. Its errors wrap ErrKey, ErrVersion or ErrMalformed.
 func Decode(b, key []byte) (Message, error) {
 	if len(b) < headSize+tagSize || len(b) > MaxDatagram {
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
@@ -169,18 +170,18 @@
 		m.Updates = append(m.Updates, r.update())
 	}
 	if r.malformed || m.From == 0 {
-		return Message{}, fmt.Errorf("%w: an update is truncated, too long or without a valid ID", ErrMalformed)
+		return Message{}, fmt.Errorf("%w: an update is truncated or has a field out of range, or the sender ID is zero", ErrMalformed)
 	}
 	return m, nil
 }
 
-// reader reads the body of a datagram from its front.
+// reader reads the fields of a datagram body in order.
 type reader struct {
 	rest      []byte
-	malformed bool // the body is malformed; what is read after that is zero or of no use
+	malformed bool // set on the first error; values read afterwards are meaningless
 }
 
-// take returns the next n bytes, or zeros if there are fewer.
+// take returns the next n bytes, or n zero bytes if fewer remain.
 func (r *reader) take(n int) []byte {
 	if r.malformed || n > len(r.rest) {
 		r.malformed = true
@@ -199,7 +200,7 @@
 
 func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// text reads a string with its length before it, of maxBytes at most.
+// text reads a length-prefixed string of at most maxBytes bytes.
 func (r *reader) text(maxBytes int) string {
 	n := int(r.byte())
 	if n > maxBytes {
@@ -231,7 +232,7 @@
 	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listenOnlyBit) != 0 {
 		r.malformed = true
 	}
-	// The ID must be of the name, so that no peer can announce one member as another.
+	// The ID must match the name, so that a peer cannot announce one member under the ID of another.
 	if u.Peer.Name == "" || IDOf(u.Peer.Name) != u.ID {
 		r.malformed = true
 	}
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -10,7 +10,7 @@
 
 var testKey = []byte("a key of the cluster")
 
-// largestMessage is a message that uses every field.
+// largestMessage returns a message that uses every field.
 func largestMessage() Message {
 	long := Peer{Name: strings.Repeat("n", MaxName), Region: strings.Repeat("r", MaxZoneName), Zone: strings.Repeat("z", MaxZoneName),
 		Addr: netip.MustParseAddrPort("[2001:db8::1]:65535"), ListenOnly: true}
@@ -27,32 +27,32 @@
 	b := Encode(m, testKey)
 	got, err := Decode(b, testKey)
 	if err != nil || !reflect.DeepEqual(got, m) {
-		t.Fatalf("%+v, %v; want %+v", got, err, m)
+		t.Fatalf("Decode(Encode(m)) = %+v, %v; want %+v", got, err, m)
 	}
 	updateBytes := 0
 	for _, u := range m.Updates {
 		updateBytes += updateSize(u)
 	}
 	if len(b) != headSize+updateBytes+tagSize || headSize+MaxUpdateBytes+tagSize > MaxDatagram {
-		t.Errorf("%d bytes; updates take %d, and all may take %d", len(b), updateBytes, headSize+MaxUpdateBytes+tagSize)
+		t.Errorf("datagram has %d bytes with %d bytes of updates; maximum datagram is %d", len(b), updateBytes, headSize+MaxUpdateBytes+tagSize)
 	}
 }
 
-// A datagram of another cluster or version, truncated, with a flipped bit or with an update of one member under another's
-// ID is rejected as a whole.
+// A datagram with the key of another cluster, of another version, truncated, with a flipped bit, or with an update of one
+// member under another member's ID is rejected completely.
 func TestMalformedDatagramsAreRejected(t *testing.T) {
 	good := Encode(largestMessage(), testKey)
 	if _, err := Decode(good, []byte("another key")); !errors.Is(err, ErrKey) {
-		t.Errorf("another cluster's: %v", err)
+		t.Errorf("Decode with another cluster's key: %v", err)
 	}
 	for i := range good {
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 0x10
 		if m, err := Decode(bad, testKey); err == nil || m.Kind != 0 {
-			t.Errorf("a bit flipped in byte %d: %+v, %v", i, m, err)
+			t.Errorf("Decode with a flipped bit in byte %d: %+v, %v", i, m, err)
 		}
 		if m, err := Decode(good[:i], testKey); err == nil || m.Kind != 0 {
-			t.Errorf("truncated to %d bytes: %+v, %v", i, m, err)
+			t.Errorf("Decode of %d bytes: %+v, %v", i, m, err)
 		}
 	}
 	resign := func(change func([]byte)) []byte {
@@ -61,18 +61,18 @@
 		return append(body, tag(body, testKey)...)
 	}
 	if _, err := Decode(resign(func(b []byte) { b[0] = version + 1 }), testKey); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("Decode of another version: %v", err)
 	}
 	for name, change := range map[string]func([]byte){
-		"no such kind":            func(b []byte) { b[1] = 9 },
-		"no sender":               func(b []byte) { copy(b[2:10], make([]byte, 8)) },
-		"another member's ID":     func(b []byte) { b[headSize] ^= 1 },
-		"an unknown flag":         func(b []byte) { b[headSize+12] |= 0x80 },
-		"an incarnation too late": func(b []byte) { b[headSize+8] = 0xff },
-		"a name too long":         func(b []byte) { b[headSize+21] = 200 },
+		"unknown kind":         func(b []byte) { b[1] = 9 },
+		"zero sender ID":       func(b []byte) { copy(b[2:10], make([]byte, 8)) },
+		"another member's ID":  func(b []byte) { b[headSize] ^= 1 },
+		"unknown flag":         func(b []byte) { b[headSize+12] |= 0x80 },
+		"incarnation too high": func(b []byte) { b[headSize+8] = 0xff },
+		"name too long":        func(b []byte) { b[headSize+21] = 200 },
 	} {
 		if m, err := Decode(resign(change), testKey); !errors.Is(err, ErrMalformed) || m.Kind != 0 {
-			t.Errorf("%s: %+v, %v", name, m, err)
+			t.Errorf("%s: Decode = %+v, %v; want ErrMalformed", name, m, err)
 		}
 	}
 }
@@ -82,13 +82,13 @@
 	f.Add(good[:len(good)-tagSize])
 	f.Add(Encode(Message{Kind: Ping, From: 1}, testKey)[:headSize])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		b := append(append([]byte(nil), body...), tag(body, testKey)...) // what a peer that has the key may send
+		b := append(append([]byte(nil), body...), tag(body, testKey)...) // a datagram that a peer with the key could send
 		m, err := Decode(b, testKey)
 		if err != nil {
 			return
 		}
-		if again := Encode(m, testKey); string(again) != string(b) {
-			t.Errorf("%x is read as %+v and written as %x", b, m, again)
+		if encoded := Encode(m, testKey); string(encoded) != string(b) {
+			t.Errorf("Decode(%x) = %+v, which is encoded as %x", b, m, encoded)
 		}
 	})
 }
--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -7,13 +7,13 @@
 	"slices"
 )
 
-// Bounds of gossip.
+// Limits of gossip.
 const (
-	maxGossipMessages = 6 // messages a period beside probes
-	updatesPerMessage = 9 // as a rule
+	maxGossipMessages = 6 // per probe interval, in addition to probes
+	updatesPerMessage = 9 // typical number
 )
 
-// send queues a message with the updates that it has room for.
+// send queues a message, with as many updates as fit unless it is a Page.
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From = m.id
 	if msg.Kind != Page {
@@ -22,13 +22,13 @@
 	m.packets = append(m.packets, Packet{To: to, Message: msg})
 }
 
-// updateList collects updates up to a number of bytes.
+// updateList collects updates within a size limit.
 type updateList struct {
 	updates   []Update
-	bytesLeft int // bytes
+	bytesLeft int // remaining bytes
 }
 
-// add appends an update; false: there is no room for it.
+// add appends an update if it fits, and reports whether it does.
 func (l *updateList) add(u Update) bool {
 	n := updateSize(u)
 	if n > l.bytesLeft {
@@ -39,8 +39,9 @@
 	return true
 }
 
-// piggyback chooses the updates that go with a message: first what accuses its receiver, so that it can refute that, then
-// what the receiver holds out of date, then the node's own update, then those that went out least often.
+// piggyback selects the updates to send with a message, in this order: an update that the receiver is not alive, so that it
+// can refute it; updates that the receiver has in an outdated version; the node's own update; and the pending updates, those
+// of changed members before new members and the least often sent first.
 func (m *Machine) piggyback(to netip.AddrPort, maxBytes int) []Update {
 	list := &updateList{bytesLeft: maxBytes}
 	limit := m.retransmitLimit()
@@ -70,9 +71,9 @@
 	return list.updates
 }
 
-// pendingUpdates returns the members whose updates have not gone out limit times, in the order in which they are to be
-// sent. A change of a member goes before the announcement of a newcomer: newcomers are found by anti-entropy as well, and
-// hundreds of them would delay the news of a death.
+// pendingUpdates returns the members whose updates were sent fewer than limit times, in sending order. Status changes precede
+// announcements of new or changed peers: anti-entropy distributes those as well, and hundreds of them would delay the update
+// about a dead member.
 func (m *Machine) pendingUpdates(to netip.AddrPort, limit int) []*memberState {
 	var pending []*memberState
 	for _, member := range m.members {
@@ -93,12 +94,12 @@
 	return pending
 }
 
-// retransmitLimit returns how often an update is sent (SWIM's λ log n).
+// retransmitLimit returns the number of times an update is sent (SWIM's λ log n).
 func (m *Machine) retransmitLimit() int {
 	return m.options.RetransmitFactor * int(math.Ceil(math.Log2(float64(m.activeCount()+1))))
 }
 
-// selfUpdate returns what this node announces of itself.
+// selfUpdate returns the update about this node itself.
 func (m *Machine) selfUpdate() Update {
 	u := Update{ID: m.id, Incarnation: m.incarnation, Peer: &m.self, PeerIncarnation: m.incarnation}
 	if m.hasLeft {
@@ -107,7 +108,7 @@
 	return u
 }
 
-// gossip sends pings beside the probes where more updates wait than those carry, as after many deaths at once.
+// gossip sends additional pings if probes cannot carry all pending updates, for example after many members died at once.
 func (m *Machine) gossip() {
 	pending := 0
 	limit := m.retransmitLimit()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,22 +1,23 @@
-// Package membership determines which other nodes are alive. It is SWIM (Das, Gupta, Motivala 2002) with suspicion and
-// incarnations, and with the refinements of Lifeguard (Dadgar, Phillips, Currey 2018): a node's local health score stretches
-// its timeouts, a suspicion that others confirm ends sooner, and a suspected member is the first to learn of it.
+// Package membership determines which other nodes are alive. It implements SWIM (Das, Gupta, Motivala 2002) with suspicion and
+// incarnations, and with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018): a node's local health score extends its
+// timeouts, confirmations by other members shorten a suspicion, and a suspected member is notified first.
 //
-// The package owns the state machine and its datagram format. It does no I/O and has no clock and no goroutine: time and
-// messages are passed in, messages are returned. Sockets, keys and pacing are left to internal/gossip.
+// The package implements the state machine and the datagram format. It does no I/O, reads no clock and starts no goroutine:
+// time and messages are passed in, and messages to send are returned. Package gossip handles sockets, keys and rate limits.
 //
-// It promises:
+// Guarantees:
 //
-//   - Only a member itself raises its incarnation. An update (incarnation, status) supersedes another of the same member
-//     only if its incarnation is later, or if it is the same and the status ranks higher (alive < suspect < dead < left).
-//     Merging therefore does not depend on order, repetition or grouping, and what a node holds never goes back.
-//   - A member refutes an update that calls it suspect, dead or left, or that names an incarnation which it does not
-//     remember, as after a restart under the same name: it announces a later incarnation. While it runs and its messages
-//     are delivered, all others hold it for alive in the end.
-//   - A member that has stopped is suspected by the next member whose direct and indirect probes find no answer. All hold
-//     it for dead at most MaxSuspicion later, plus the time that an update takes to spread.
-//   - A node sends at most 1 + IndirectProbes pings a period for its probes beside its answers, and maxGossipMessages more while many
-//     updates wait, whatever the number of members. The updates of a message take MaxUpdateBytes at most.
+//   - Only a member itself increments its incarnation. An update (incarnation, status) supersedes another one about the same
+//     member only if its incarnation is later, or if the incarnations are equal and its status is higher (alive < suspect <
+//     dead < left). Merging is therefore commutative, associative and idempotent, and the state of a member never regresses.
+//   - A member refutes an update that declares it suspect, dead or left, or that carries a later incarnation than its own, as
+//     after a restart under the same name, by announcing a later incarnation. While it runs and its messages are delivered,
+//     all other members eventually consider it alive.
+//   - A stopped member is suspected by the next member whose direct and indirect probes of it fail. All members consider it
+//     dead at most MaxSuspicion later, plus the time that an update takes to spread.
+//   - Apart from replies, a node sends at most 1 + IndirectProbes pings per probe interval for its probes, and at most
+//     maxGossipMessages more while many updates are pending, regardless of the number of members. The updates of a message
+//     take at most MaxUpdateBytes.
 package membership
 
 import (
@@ -28,8 +29,8 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Machine is the state of one node: its own incarnation and what it holds of the others. Its methods belong to one
-// goroutine.
+// Machine is the protocol state of one node: its own incarnation and the state of the other members. It is not safe for
+// concurrent use.
 type Machine struct {
 	options     Options
 	self        Peer
@@ -38,31 +39,31 @@
 	hasLeft     bool // Leave was called
 	now         time.Duration
 
-	seed  uint64 // of the random draws
-	draws uint64 // made so far
+	seed  uint64 // of the pseudo-random numbers
+	draws uint64 // number of pseudo-random numbers drawn
 
-	members       []*memberState // all others, in the order of their IDs
-	selfTransmits int            // times that this node's own update went out
+	members       []*memberState // all other members, ordered by ID
+	selfTransmits int            // number of times this node's own update was sent
 	changes       int            // see Changes
 
 	nextPeriod     time.Duration
-	probeOrder     []ID // still to be probed in this round
+	probeOrder     []ID // members left to probe in this round
 	probe          probe
-	indirectProbes []indirectProbe // on behalf of others
-	seq            uint32          // of the last ping
+	indirectProbes []indirectProbe // on behalf of other members
+	seq            uint32          // last sequence number used
 	healthScore    int             // local health score (Lifeguard); 0: healthy
-	nextPull       time.Duration   // no Pull goes out before
+	nextPull       time.Duration   // earliest time of the next Pull
 
-	packets  []Packet // to be sent after the call at hand
-	outdated []ID     // members of which the sender of the message at hand holds less than this node
+	packets  []Packet // returned by the current call
+	outdated []ID     // members about which the sender of the current message has outdated state
 
-	// NameConflicts counts the updates about this node's ID with a later incarnation than its own. Beyond the first, which follows
-	// a restart, each one tells of another process under the same name.
+	// NameConflicts counts updates about this node's ID with a later incarnation than its own. The first one may result from a
+	// restart; each further one indicates another process with the same name.
 	NameConflicts int
 }
 
-// New returns a Machine that knows only itself. Nothing goes out before Tick. The seed decides all random draws, so that a
-// run can be repeated. An option or a peer out of range is an error.
+// New returns a Machine that knows no other member. It sends no messages before the first Tick. The seed determines all
+// pseudo-random numbers, so that a run is reproducible. New returns an error if an option or a field of self is out of range.
 func New(self Peer, o Options, seed uint64) (*Machine, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -73,18 +74,18 @@
 	return &Machine{options: o, self: self, id: IDOf(self.Name), seed: seed}, nil
 }
 
-// draw returns a pseudo-random number below n.
+// draw returns a pseudo-random number in [0, n).
 func (m *Machine) draw(n int) int {
 	m.draws++
 	return splitmix.Draw(m.seed, m.draws, n)
 }
 
-// find returns the index of a member, or the one at which it would be inserted.
+// find returns the index of a member and true, or the index at which to insert it and false.
 func (m *Machine) find(id ID) (int, bool) {
 	return slices.BinarySearchFunc(m.members, id, func(k *memberState, id ID) int { return cmp.Compare(k.ID, id) })
 }
 
-// get returns the member with an ID; nil: it is not known.
+// get returns the member with an ID, or nil if it is unknown.
 func (m *Machine) get(id ID) *memberState {
 	if i, ok := m.find(id); ok {
 		return m.members[i]
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// activeCount counts the members that are alive or suspect, this node among them.
+// activeCount returns the number of alive and suspect members, including this node.
 func (m *Machine) activeCount() int {
 	n := 1
 	for _, member := range m.members {
@@ -103,7 +104,7 @@
 	return n
 }
 
-// Next returns the time at which Tick is due.
+// Next returns the time at which Tick must be called next.
 func (m *Machine) Next() time.Duration {
 	next := m.nextPeriod
 	if m.probe.awaitsIndirect() {
@@ -120,7 +121,7 @@
 	return next
 }
 
-// Tick does what is due at a time of this node's clock and returns the messages to send.
+// Tick performs the actions that are due at a time of this node's clock and returns the messages to send.
 func (m *Machine) Tick(now time.Duration) []Packet {
 	m.begin(now)
 	if m.hasLeft {
@@ -138,14 +139,14 @@
 	return m.packets
 }
 
-// begin advances the time, which never goes back, and clears what belonged to the call before.
+// begin advances the time, which never decreases, and clears the results of the previous call.
 func (m *Machine) begin(now time.Duration) {
 	m.now = max(m.now, now)
 	m.packets = nil
 	m.outdated = nil
 }
 
-// forgetMembers removes members that have been dead or left for Options.ForgetAfter.
+// forgetMembers removes members that have been dead or left for at least Options.ForgetAfter.
 func (m *Machine) forgetMembers() {
 	m.members = slices.DeleteFunc(m.members, func(member *memberState) bool {
 		forgotten := !member.active() && m.now-member.statusSince >= m.options.ForgetAfter
@@ -156,7 +157,7 @@
 	})
 }
 
-// Receive handles a message that came from an address at a time of this node's clock, and returns the messages to send.
+// Receive handles a message received from an address at a time of this node's clock, and returns the messages to send.
 func (m *Machine) Receive(now time.Duration, from netip.AddrPort, msg Message) []Packet {
 	m.begin(now)
 	if m.hasLeft || msg.From == m.id {
@@ -191,8 +192,7 @@
 	return m.packets
 }
 
-// Leave announces to some members that this node leaves, and returns the messages to send. The machine does nothing more
-// after it.
+// Leave returns messages that announce to some members that this node leaves. Afterwards the Machine sends nothing.
 func (m *Machine) Leave(now time.Duration) []Packet {
 	m.begin(now)
 	m.hasLeft = true
@@ -205,14 +205,14 @@
 	m.selfTransmits = 0
 	for range min(2*(1+m.options.IndirectProbes), len(active)) {
 		i := m.draw(len(active))
-		m.selfTransmits = 0 // the update goes with each of these messages, whatever the limit
+		m.selfTransmits = 0 // include the update in each of these messages regardless of the limit
 		m.send(active[i].Addr, Message{Kind: Ping})
 		active = slices.Delete(active, i, i+1)
 	}
 	return m.packets
 }
 
-// Members returns all members that are known but the node itself, in the order of their IDs.
+// Members returns all known members except the node itself, ordered by ID.
 func (m *Machine) Members() []Member {
 	var out []Member
 	for _, member := range m.members {
@@ -228,12 +228,12 @@
 	return out
 }
 
-// Changes returns a count that grows with each change of the members known, of their incarnations and statuses, and of
-// the node's own incarnation.
+// Changes returns a counter that increases with each change of a known member, its Peer, incarnation or status, or of the
+// node's own incarnation.
 func (m *Machine) Changes() int { return m.changes }
 
-// Self returns the node's own ID and incarnation.
+// Self returns the ID and incarnation of this node.
 func (m *Machine) Self() (ID, uint32) { return m.id, m.incarnation }
 
-// HealthScore returns the local health score: 0 where the node finds no fault with itself, up to 8.
+// HealthScore returns the local health score, from 0 (healthy) to 8.
 func (m *Machine) HealthScore() int { return m.healthScore }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sixty nodes that are given three seeds know one another within half a minute. One that crashes is dead for all within
-// MaxSuspicion and the time that an update takes to spread, and nobody else is suspected.
+// 60 nodes with three seeds discover one another within 30 seconds. All consider a crashed node dead within MaxSuspicion and the
+// time that an update takes to spread, and suspect no other node.
 func TestMembershipConvergesAndDetectsDeath(t *testing.T) {
 	const n = 60
 	net := newNetwork(t, n, 1)
@@ -19,14 +19,14 @@
 		counts := net.statusCounts(i)
 		switch {
 		case i == 7 && counts[Dead] != n-1:
-			t.Errorf("the crashed one has statuses %v", counts)
+			t.Errorf("crashed node: statuses %v", counts)
 		case i != 7 && counts[Alive] != n-2:
-			t.Errorf("%s runs and has statuses %v", nameOf(i), counts)
+			t.Errorf("running node %s: statuses %v", nameOf(i), counts)
 		}
 	}
 }
 
-// A node that restarts under its name without any state comes back for all with a later incarnation.
+// All members consider a node alive again, in a later incarnation, after it restarts under the same name without any state.
 func TestRestartedNodeAnnouncesLaterIncarnation(t *testing.T) {
 	const n = 12
 	net := newNetwork(t, n, 2)
@@ -35,21 +35,21 @@
 		net.machines[addrOf(5)] = nil
 		net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
 		if counts := net.statusCounts(5); counts[Dead] != n-1 {
-			t.Fatalf("stopped, it has statuses %v", counts)
+			t.Fatalf("stopped node: statuses %v", counts)
 		}
 		net.start(5)
 		net.run(20 * time.Second)
 		if counts := net.statusCounts(5); counts[Alive] != n-1 {
-			t.Fatalf("restarted, it has statuses %v", counts)
+			t.Fatalf("restarted node: statuses %v", counts)
 		}
 	}
 	if _, incarnation := net.machines[addrOf(5)].Self(); incarnation != 3 {
-		t.Errorf("after three restarts its incarnation is %d", incarnation)
+		t.Errorf("incarnation %d after three restarts, want 3", incarnation)
 	}
 }
 
-// With a fifth of all messages lost and nobody stopped, suspicions come up and are refuted, and hardly any member is held
-// for dead.
+// With 20% message loss and no stopped node, suspicions arise and are refuted, and running members are considered dead in at
+// most 0.1% of the samples.
 func TestPacketLossCausesNoFalseDeath(t *testing.T) {
 	const n = 30
 	net := newNetwork(t, n, 3)
@@ -63,14 +63,14 @@
 		}
 	}
 	if dead > n*n*120/1000 {
-		t.Errorf("running members are held for dead in %d of %d samples", dead, n*n*120)
+		t.Errorf("running members are considered dead in %d of %d samples", dead, n*n*120)
 	}
 	net.loss = 0
 	net.run(40 * time.Second)
-	net.allAlive(n, "in the end")
+	net.allAlive(n, "after the packet loss")
 }
 
-// Two halves of a partition hold each other for dead, and are one cluster again after it though nobody was restarted.
+// The two sides of a partition consider each other dead, and rejoin after it without a restart.
 func TestPartitionHeals(t *testing.T) {
 	const n = 20
 	net := newNetwork(t, n, 4)
@@ -80,7 +80,7 @@
 	net.run(Defaults().MaxSuspicion(n) + 30*time.Second)
 	for i := range n {
 		if counts := net.statusCounts(i); counts[Dead] != n/2 || counts[Alive] != n/2-1 {
-			t.Fatalf("during the partition, %s has statuses %v", nameOf(i), counts)
+			t.Fatalf("during the partition: %s has statuses %v", nameOf(i), counts)
 		}
 	}
 	net.blocked = nil
@@ -88,7 +88,8 @@
 	net.allAlive(n, "after the partition")
 }
 
-// A node hears all others and is not heard by half of them. The other half answers for it by indirect probes.
+// A node receives messages from all others, but half of them receive none from it. Indirect probes through the other half
+// prevent that it is considered dead.
 func TestIndirectProbesPreventDeathInOneWayPartition(t *testing.T) {
 	const n = 20
 	net := newNetwork(t, n, 5)
@@ -96,12 +97,12 @@
 	net.blocked = func(from, to netip.AddrPort) bool { return from == addrOf(3) && to.Addr().As4()[3]%2 == 0 }
 	net.run(60 * time.Second)
 	if counts := net.statusCounts(3); counts[Dead] > 2 {
-		t.Errorf("heard by half of the others it has statuses %v", counts)
+		t.Errorf("node that half of the others cannot receive from: statuses %v", counts)
 	}
 }
 
-// A node that was suspended until others held it for dead refutes that once it runs again, and does not hold the others
-// for dead because of its own pause: its health score stretches its timeouts.
+// A node that was suspended until others considered it dead refutes this once it resumes. It does not consider the others dead
+// because of its own pause, as its health score extends its timeouts.
 func TestSuspendedNodeRejoins(t *testing.T) {
 	const n = 16
 	net := newNetwork(t, n, 6)
@@ -109,14 +110,14 @@
 	net.paused[addrOf(4)] = true
 	net.run(Defaults().MaxSuspicion(n) + 10*time.Second)
 	if counts := net.statusCounts(4); counts[Dead] != n-1 {
-		t.Fatalf("suspended, it has statuses %v", counts)
+		t.Fatalf("suspended node: statuses %v", counts)
 	}
 	delete(net.paused, addrOf(4))
 	net.run(30 * time.Second)
 	net.allAlive(n, "after the suspension")
 }
 
-// A node that leaves announces it: it is soon left for all, and nobody suspects it.
+// A node that leaves announces it: all members record the status Left, and none suspects it.
 func TestGracefulLeave(t *testing.T) {
 	const n = 16
 	net := newNetwork(t, n, 7)
@@ -126,11 +127,11 @@
 	net.machines[addrOf(4)] = nil
 	net.run(20 * time.Second)
 	if counts := net.statusCounts(4); counts[Left] != n-1 {
-		t.Errorf("it has statuses %v", counts)
+		t.Errorf("node that left: statuses %v", counts)
 	}
 }
 
-// What a node sends beside answers does not grow with the number of members.
+// The number of messages that a node sends does not grow with the number of members.
 func TestNodeTrafficIsIndependentOfMemberCount(t *testing.T) {
 	rate := func(n int) float64 {
 		net := newNetwork(t, n, 8)
@@ -144,27 +145,27 @@
 		return float64(maxSent) / 10
 	}
 	if small, large := rate(10), rate(120); large > 2*small+3 {
-		t.Errorf("a node sends %.1f messages a second at most among 10, %.1f among 120", small, large)
+		t.Errorf("maximum messages per second and node: %.1f with 10 members, %.1f with 120", small, large)
 	}
 }
 
 func TestOptionsAndPeersOutOfRangeAreRejected(t *testing.T) {
 	ok := Peer{Name: "a", Addr: addrOf(1)}
 	for name, change := range map[string]func(*Peer, *Options){
-		"no name":            func(p *Peer, _ *Options) { p.Name = "" },
-		"a long zone":        func(p *Peer, _ *Options) { p.Zone = "a zone of too many bytes" },
+		"empty name":         func(p *Peer, _ *Options) { p.Name = "" },
+		"zone too long":      func(p *Peer, _ *Options) { p.Zone = "a zone of too many bytes" },
 		"no address":         func(p *Peer, _ *Options) { p.Addr = netip.AddrPort{} },
-		"no timeout":         func(_ *Peer, o *Options) { o.ProbeTimeout = 0 },
-		"a short period":     func(_ *Peer, o *Options) { o.ProbeInterval = o.ProbeTimeout },
-		"no suspicion":       func(_ *Peer, o *Options) { o.SuspicionFactor = 0 },
-		"no transmissions":   func(_ *Peer, o *Options) { o.RetransmitFactor = 0 },
-		"forgotten too soon": func(_ *Peer, o *Options) { o.ForgetAfter = time.Second },
+		"zero timeout":       func(_ *Peer, o *Options) { o.ProbeTimeout = 0 },
+		"interval too short": func(_ *Peer, o *Options) { o.ProbeInterval = o.ProbeTimeout },
+		"zero suspicion":     func(_ *Peer, o *Options) { o.SuspicionFactor = 0 },
+		"zero retransmits":   func(_ *Peer, o *Options) { o.RetransmitFactor = 0 },
+		"forget too short":   func(_ *Peer, o *Options) { o.ForgetAfter = time.Second },
 		"too many helpers":   func(_ *Peer, o *Options) { o.IndirectProbes = 99 },
 	} {
 		p, o := ok, Defaults()
 		change(&p, &o)
 		if _, err := New(p, o, 1); err == nil {
-			t.Errorf("%s was accepted", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,14 +6,15 @@
 func (m *Machine) mergeAll(msg Message) {
 	for _, u := range msg.Updates {
 		m.merge(u, u.ID == msg.From)
-		// A sender that spreads what is superseded gets what this node holds with the answer, if there is one.
+		// If the sender spreads a superseded update, the reply to it, if any, carries the current one.
 		if member := m.get(u.ID); member != nil && u.Status != Alive && u.Incarnation < member.incarnation {
 			m.outdated = append(m.outdated, u.ID)
 		}
 	}
 }
 
-// merge merges an update. fromSubject says that its sender is the member that it is about, which knows its own address best.
+// merge merges an update. fromSubject reports whether the sender is the member that the update is about, which is the
+// authority on its own address.
 func (m *Machine) merge(u Update, fromSubject bool) {
 	if u.ID == m.id {
 		m.refute(u)
@@ -28,7 +29,7 @@
 	m.mergeStatus(member, u)
 }
 
-// refute answers an update about this node itself: one that supersedes what it says of itself is followed by a later
+// refute handles an update about this node itself. If the update would supersede the node's own, refute advances the
 // incarnation.
 func (m *Machine) refute(u Update) {
 	accused := u.Status != Alive
@@ -41,12 +42,12 @@
 		m.selfTransmits = 0
 		m.changes++
 	case u.Incarnation < m.incarnation && accused:
-		// The node that accuses an earlier incarnation is to learn of this one.
+		// Send the node's own update at least once more, so that a node that accuses an earlier incarnation learns of this one.
 		m.selfTransmits = min(m.selfTransmits, m.retransmitLimit()-1)
 	}
 }
 
-// addMember adds a member that was not known. Without a Peer it has no address, and the update is dropped.
+// addMember adds a member that was unknown. An update without a Peer is dropped because it has no address.
 func (m *Machine) addMember(u Update) {
 	if u.Peer == nil {
 		return
@@ -68,8 +69,8 @@
 	m.changes++
 }
 
-// mergePeer takes name and address from an update if they are of a later incarnation than what is held, or from the
-// member itself.
+// mergePeer adopts the Peer of an update if it was announced in a later incarnation than the stored one, or in the same
+// incarnation and the update is from the member itself.
 func (m *Machine) mergePeer(member *memberState, u Update, fromSubject bool) {
 	if u.Peer == nil {
 		return
@@ -88,8 +89,8 @@
 	m.changes++
 }
 
-// mergeStatus takes incarnation and status from an update that supersedes what is held, and confirms a suspicion of the
-// same incarnation.
+// mergeStatus adopts incarnation and status from an update that supersedes the stored ones, or adds a confirmation to a
+// suspicion of the same incarnation. An active member that another node declares dead gets a final ping first.
 func (m *Machine) mergeStatus(member *memberState, u Update) {
 	if u.Incarnation == member.incarnation && u.Status == Suspect && member.status == Suspect {
 		m.suspect(member, u.Suspector)
@@ -114,7 +115,7 @@
 	}
 }
 
-// setStatus gives a member an incarnation and a status, which have not been sent to anybody yet.
+// setStatus sets the incarnation and status of a member, and resets the fields that depend on them.
 func (m *Machine) setStatus(member *memberState, incarnation uint32, s Status) {
 	member.incarnation = incarnation
 	member.status = s
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// network carries the messages of machines on virtual time and loses some of them.
+// network simulates a lossy network between machines in virtual time.
 type network struct {
 	tb       testing.TB
 	rng      *rand.Rand
@@ -70,7 +70,7 @@
 		net.sent[from]++
 		data := Encode(p.Message, testKey)
 		if len(data) > MaxDatagram {
-			net.tb.Fatalf("%d bytes", len(data))
+			net.tb.Fatalf("datagram has %d bytes, more than %d", len(data), MaxDatagram)
 		}
 		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
 			continue
@@ -79,7 +79,7 @@
 	}
 }
 
-// run plays on for a while, in steps of ten milliseconds.
+// run advances the simulation by d in steps of 10 ms.
 func (net *network) run(d time.Duration) {
 	for end := net.now + d; net.now < end; {
 		net.now += 10 * time.Millisecond
@@ -93,7 +93,7 @@
 	}
 }
 
-// deliverNext delivers the earliest datagram that has arrived; false: there is none.
+// deliverNext delivers the earliest datagram that is due, and reports whether there was one.
 func (net *network) deliverNext() bool {
 	next := -1
 	for i, d := range net.inFlight {
@@ -118,7 +118,7 @@
 	return true
 }
 
-// statusCounts counts the machines by the status that they hold of member i. Those that do not know it are not counted.
+// statusCounts returns the number of machines that have member i in each status. Machines that do not know it are not counted.
 func (net *network) statusCounts(i int) (counts [4]int) {
 	for a, m := range net.machines {
 		if m == nil || a == addrOf(i) {
@@ -133,12 +133,12 @@
 	return counts
 }
 
-// allAlive fails unless each of n is alive for all others.
+// allAlive fails the test unless all other machines consider each of n nodes alive.
 func (net *network) allAlive(n int, when string) {
 	net.tb.Helper()
 	for i := range n {
 		if counts := net.statusCounts(i); counts != [4]int{n - 1} {
-			net.tb.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), counts)
+			net.tb.Errorf("%s: %s is alive, suspect, dead and left at %v nodes", when, nameOf(i), counts)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// maxPendingIndirectProbes bounds the pings on behalf of others that are under way at once.
+// maxPendingIndirectProbes is the maximum number of concurrent pings on behalf of other members.
 const maxPendingIndirectProbes = 64
 
-// probe is the node's own probe of a member in the current period.
+// probe is the node's own probe in the current probe interval.
 type probe struct {
 	target     ID
 	seq        uint32
-	indirectAt time.Duration // when helpers are asked; 0: they have been
-	helpers    int           // members that were asked for an indirect probe
-	nacks      int           // helpers that got no answer either
-	running    bool          // there is no answer yet
+	indirectAt time.Duration // when to request indirect probes; 0: already requested
+	helpers    int           // number of members asked for an indirect probe
+	nacks      int           // number of Nacks from helpers
+	running    bool          // no Ack was received yet
 }
 
-// awaitsIndirect says that helpers will be asked if no answer comes before.
+// awaitsIndirect reports whether indirect probes are still to be requested unless an Ack arrives first.
 func (p *probe) awaitsIndirect() bool { return p.running && p.helpers == 0 && p.indirectAt > 0 }
 
-// indirectProbe is a ping that another member asked for (ping-req).
+// indirectProbe is a ping requested by another member (ping-req).
 type indirectProbe struct {
 	seq          uint32 // of this node's ping
 	requester    netip.AddrPort
@@ -30,7 +30,7 @@
 	deadline     time.Duration
 }
 
-// startPeriod ends the probe under way and begins the next one.
+// startPeriod ends the current probe and starts the next one.
 func (m *Machine) startPeriod() {
 	if m.probe.running {
 		m.probeFailed()
@@ -47,9 +47,9 @@
 	m.gossip()
 }
 
-// probeFailed suspects the target of the probe, to which neither it nor a helper has answered.
+// probeFailed suspects the target of the probe, which replied neither to this node nor through a helper.
 func (m *Machine) probeFailed() {
-	// Helpers that say that they have no answer either show that this node's own links work.
+	// A Nack from a helper shows that this node's own network connection works.
 	if m.probe.nacks == 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// probeIndirectly pings the target once more and asks other members to ping it.
+// probeIndirectly pings the target again and asks other members to ping it.
 func (m *Machine) probeIndirectly() {
 	p := &m.probe
 	if member := m.get(p.target); member != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// nextProbeTarget returns the member to probe next; nil: there is none. Each member comes once in a round, those of the
-// own zone Options.OwnZoneProbes times, and the order of each round is random.
+// nextProbeTarget returns the member to probe next, or nil if there is none. A round probes each member once, and those of the
+// own zone Options.OwnZoneProbes times, in random order.
 func (m *Machine) nextProbeTarget() *memberState {
 	if member := m.takeProbeTarget(); member != nil {
 		return member
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// takeProbeTarget takes members off the current round up to the first that is active; nil: the round is over.
+// takeProbeTarget removes members from the current round up to the first active one and returns that one, or nil if the round
+// has ended.
 func (m *Machine) takeProbeTarget() *memberState {
 	for len(m.probeOrder) > 0 {
 		member := m.get(m.probeOrder[0])
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// newProbeRound draws the order of a new round.
+// newProbeRound starts a round in random order.
 func (m *Machine) newProbeRound() {
 	for _, member := range m.members {
 		times := 1
@@ -122,8 +123,8 @@
 	}
 }
 
-// pingUnreachable pings a member that this node holds for dead, or a seed that it does not know. After a partition no
-// other member would begin to speak.
+// pingUnreachable pings a random dead member or unknown seed. Without it the sides of a healed partition would not
+// contact each other again.
 func (m *Machine) pingUnreachable() {
 	var addrs []netip.AddrPort
 	for _, member := range m.members {
@@ -140,17 +141,17 @@
 		return
 	}
 	m.seq++
-	m.selfTransmits = min(m.selfTransmits, 1) // the receiver may never have heard of this node
+	m.selfTransmits = min(m.selfTransmits, 1) // the receiver may not know this node
 	m.send(addrs[m.draw(len(addrs))], Message{Kind: Ping, Seq: m.seq})
 }
 
-// knowsAddr says that a member has this address.
+// knowsAddr reports whether a member has this address.
 func (m *Machine) knowsAddr(addr netip.AddrPort) bool {
 	return slices.ContainsFunc(m.members, func(member *memberState) bool { return member.Addr == addr })
 }
 
-// receiveAck ends the probe that the Ack answers, passes it on to the member that asked for the ping, and requests the
-// sender's list if its digest differs.
+// receiveAck completes the probe that the Ack belongs to, forwards the Ack to the member that requested an indirect probe, and
+// requests the sender's member list if its digest differs.
 func (m *Machine) receiveAck(from netip.AddrPort, msg Message) {
 	if m.probe.running && msg.Seq == m.probe.seq && (msg.From == m.probe.target || m.probe.helpers > 0) {
 		m.probe.running = false
@@ -167,7 +168,7 @@
 	}
 }
 
-// receivePingReq pings the member that the message names, on behalf of its sender.
+// receivePingReq pings the member named in the message on behalf of the sender.
 func (m *Machine) receivePingReq(from netip.AddrPort, msg Message) {
 	target := m.get(msg.MemberID)
 	if target == nil || len(m.indirectProbes) >= maxPendingIndirectProbes {
@@ -183,7 +184,7 @@
 	m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
 }
 
-// expireIndirectProbes sends a Nack for each ping on behalf of another that was not answered in time.
+// expireIndirectProbes sends a Nack for each ping on behalf of another member that timed out.
 func (m *Machine) expireIndirectProbes() {
 	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(r indirectProbe) bool {
 		if m.now < r.deadline {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Clone returns a machine with the same state that shares none of it. Model checks play it on in several ways.
+// Clone returns a deep copy of the state. Model checks continue a run from it in several ways.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.members = make([]*memberState, len(m.members))
@@ -23,8 +23,8 @@
 	return &c
 }
 
-// Fingerprint identifies the state: two machines of one fingerprint do the same from here on, at times that are shifted
-// alike.
+// Fingerprint returns a string that identifies the state: two machines with the same fingerprint behave identically from then
+// on if their times are shifted by the same offset.
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	relative := func(t time.Duration) time.Duration { return t - m.now }
@@ -38,7 +38,7 @@
 		fmt.Fprintf(&b, "r%d,%v,%d,%v|", r.seq, r.requester, r.requesterSeq, relative(r.deadline))
 	}
 	for _, member := range m.members {
-		finalPing := time.Duration(-1 << 62) // none was sent
+		finalPing := time.Duration(-1 << 62) // no final ping was sent
 		if member.finalPingUntil != 0 {
 			finalPing = relative(member.finalPingUntil)
 		}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// maxHealthScore bounds the local health score, by which periods and timeouts stretch (Lifeguard's local health multiplier).
+// maxHealthScore is the maximum of the local health score, which extends probe intervals and timeouts (Lifeguard's local health
+// multiplier).
 const maxHealthScore = 8
 
-// suspect adds a suspector of a member. Beyond 1 + Options.IndirectProbes they are not counted: more would end the suspicion no
-// sooner.
+// suspect adds a suspector of a member. At most 1 + Options.IndirectProbes suspectors are recorded, because further ones do not
+// shorten the suspicion.
 func (m *Machine) suspect(member *memberState, suspector ID) {
 	if member.status == Alive {
 		m.setStatus(member, member.incarnation, Suspect)
@@ -23,7 +24,8 @@
 	member.transmits = 0
 }
 
-// suspicionEnd returns when a suspicion ends: the more members confirm it, the sooner (Lifeguard).
+// suspicionEnd returns the time at which the suspicion of a member ends, or the deadline of its final ping if that was sent. Each
+// confirmation shortens the suspicion (Lifeguard).
 func (m *Machine) suspicionEnd(member *memberState) time.Duration {
 	if member.finalPingUntil > 0 {
 		return member.finalPingUntil
@@ -31,7 +33,7 @@
 	n := m.activeCount()
 	shortest := float64(m.options.MinSuspicion(n))
 	longest := float64(m.options.MaxSuspicion(n))
-	expected := float64(min(m.options.IndirectProbes, n-2)) // confirmations beside the first suspector
+	expected := float64(min(m.options.IndirectProbes, n-2)) // confirmations after the first suspector
 	if expected < 1 {
 		return member.statusSince + time.Duration(shortest)
 	}
@@ -39,8 +41,7 @@
 	return member.statusSince + time.Duration(max(shortest, length))
 }
 
-// expireSuspicions sends a final ping to members whose suspicion has ended, and holds those for dead that have not
-// answered theirs.
+// expireSuspicions sends a final ping to members whose suspicion has ended, and declares those dead that did not reply to it.
 func (m *Machine) expireSuspicions() {
 	for _, member := range m.members {
 		if member.status != Suspect || m.now < m.suspicionEnd(member) {
@@ -54,8 +55,8 @@
 	}
 }
 
-// sendFinalPing pings a member that this node is about to hold for dead. A member that runs answers with a later
-// incarnation, so that no member is held for dead on the updates of others alone.
+// sendFinalPing pings a member that this node is about to declare dead. A running member replies with a later incarnation, so
+// that updates of other members alone never cause a member to be declared dead.
 func (m *Machine) sendFinalPing(member *memberState) {
 	member.finalPingUntil = m.now + m.options.ProbeInterval
 	m.send(member.Addr, Message{Kind: Ping})
--- a/internal/zonestate/aggregate.go
+++ b/internal/zonestate/aggregate.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// resendPeriods is for how many periods this node sends its parts twice after a row was lost.
+// resendPeriods is the number of periods for which this node sends its parts twice after it detected a lost row.
 const resendPeriods = 10
 
-// part is what a child sends up a plane.
+// part is the sum of a subtree's entries on one page, as sent by a child to its parent in a plane.
 type part struct {
 	Row
-	madeAt time.Duration // time of this node's clock before which the oldest part in it was not made
+	madeAt time.Duration // lower bound on the creation time of the oldest part in it, by this node's clock
 }
 
-// plane is this node's role in one aggregation tree.
+// plane is this node's state in one aggregation tree.
 type plane struct {
-	parts    map[uint64][pages]*part // by the children's IDs
-	seq      uint32                  // of the last row that this node made as the root
-	root     Author                  // of the row that came last from this zone's root
-	rootSeq  uint32                  // sequence of that row
-	nextSend time.Duration           // when the next part goes up, or the root makes its next rows
-	resend   bool                    // the part goes up a second time, in case the first was lost
+	parts    map[uint64][pages]*part // by the IDs of the children
+	seq      uint32                  // of the last rows that this node published as the root
+	root     Author                  // of the last row received from the root of this zone
+	rootSeq  uint32                  // sequence number of that row
+	nextSend time.Duration           // time of the next part to the parent, or of the next rows if this node is the root
+	resend   bool                    // nextSend is the second transmission of the current parts, in case the first was lost
 }
 
-// sendPlane sends this node's parts to its parent in a plane, or makes rows if it is the root.
+// sendPlane sends this node's parts to its parent in a plane, or publishes rows if it is the root.
 func (m *Machine) sendPlane(plane uint8) {
 	tree, i := m.position(plane)
 	parent, hasParent := tree.parent(i, m.options.Fanout, m.bypassed)
@@ -37,7 +37,7 @@
 	m.publish(plane, rows)
 }
 
-// sendUp sends parts to the parent, and plans a second time if children depend on this node or messages get lost.
+// sendUp sends parts to the parent, and schedules a second transmission if this node has children or message loss was detected.
 func (m *Machine) sendUp(plane uint8, parent Peer, rows []Row, hasChildren bool) {
 	p := &m.planes[plane]
 	interval := m.options.period()
@@ -54,7 +54,7 @@
 	p.nextSend = m.now + interval
 }
 
-// publish makes rows as the root of a plane and sends them down the trees and to other zones.
+// publish publishes the rows of the root of a plane: it sends them down the tree and to other zones.
 func (m *Machine) publish(plane uint8, rows []Row) {
 	p := &m.planes[plane]
 	p.nextSend += m.options.period()
@@ -71,7 +71,7 @@
 	m.forwardToZones(plane, rows, maxZonesPerPeriod)
 }
 
-// aggregate adds up this node's own part and its children's, page by page. A page without parts has no row.
+// aggregate combines this node's own part and those of its children, page by page. It returns no row for a page without parts.
 func (m *Machine) aggregate(plane uint8, children []Peer) []Row {
 	parts := m.planes[plane].parts
 	for id := range parts {
@@ -107,7 +107,7 @@
 	return rows
 }
 
-// receiveParts stores the parts that a child sent.
+// receiveParts stores parts received from a child.
 func (m *Machine) receiveParts(from Peer, rows []Row, delay time.Duration) {
 	for _, r := range rows {
 		t, i := m.position(r.Plane)
@@ -124,22 +124,23 @@
 		byPage := parts[from.ID]
 		madeAt := m.now - r.Age - delay
 		if earlier := byPage[r.Page]; earlier != nil && earlier.madeAt >= madeAt {
-			continue // a duplicate, or overtaken by a later part
+			continue // a duplicate, or older than the stored part
 		}
 		byPage[r.Page] = &part{r, madeAt}
 		parts[from.ID] = byPage
 	}
 }
 
-// maxParts returns how many parts a row of a zone can be made of: each node twice, and some that this node does not know
-// yet.
+// maxParts returns the maximum plausible number of parts in a row of a zone: two of each node, and some of nodes that this node
+// does not know yet.
 func maxParts(nodes tree) int { return 2*len(nodes) + 8 }
 
 func containsPeer(peers []Peer, id uint64) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
 }
 
-// detectLoss notes if rows of the own zone's root were lost: then what this node sends up may be lost too.
+// detectLoss detects lost rows of the own zone's root by gaps in their sequence numbers. In that case the parts that this node
+// sends may be lost as well, and are sent twice for a while.
 func (m *Machine) detectLoss(r Row) {
 	p := &m.planes[r.Plane]
 	if p.root == r.Author && int32(r.Seq-p.rootSeq) > 1 {
@@ -149,8 +150,9 @@
 	p.rootSeq = r.Seq
 }
 
-// alignToRoot times this node's sending by a row of the root. Parts go up so that those of each level have come when the
-// next one sends its own, and the root of the second plane makes its rows half a period after the first's.
+// alignToRoot schedules this node's next transmission relative to a row of the root. Each level of the tree sends its parts
+// early enough that they arrive before the next level sends its own. The root of the second plane publishes its rows half a
+// period after that of the first.
 func (m *Machine) alignToRoot(plane uint8) {
 	t, i := m.position(plane)
 	if i != t.root(m.bypassed) {
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// A message is version, kind, from, token, echo, held (big endian), and then rows, or the wanted zones of a Query. The
-// transport adds the tag.
+// A message consists of version, kind, from, token, echo and hold time (big endian), followed by rows, or by the zone queries
+// of a Query. The transport adds the authentication tag.
 const (
-	// Version is the first byte. Messages of other versions are counted and not read.
+	// Version is the first byte of a message. Messages of other versions are counted and discarded.
 	Version   = 0x40
 	headSize  = 1 + 1 + 8 + 4 + 4 + 2
 	rowSize   = 4 + 1 + 8 + 4 + 4 + 3 + 2 + 1
 	entrySize = 1 + 4 + 4
-	// Plane and page of a row share a byte.
+	// The plane and page of a row share a byte.
 	planeShift    = 4
 	pageBits      = 0x0f
 	zoneQuerySize = 4 + 3
-	// MaxMessage leaves room for a tag of 12 bytes in a datagram of 256.
+	// MaxMessage is the maximum size of a message: a datagram of 256 bytes less a tag of 12.
 	MaxMessage     = 256 - 12
 	maxZoneQueries = (MaxMessage - headSize) / zoneQuerySize
 )
 
-// maxAge is the highest age that can be written, in 24 bits of milliseconds. Higher ages are written as that.
+// maxAge is the highest age that can be encoded, in 24 bits of milliseconds. Higher ages are encoded as maxAge.
 const maxAge = time.Duration(1<<24-1) * time.Millisecond
 
-// Errors of a message. Nothing of one that has an error is used.
+// Errors returned by Parse. A message with an error is discarded completely.
 var (
-	// ErrVersion: the sender speaks another version of the protocol.
-	ErrVersion = errors.New("zonestate: another version")
-	// ErrMalformed: the message breaks the format.
-	ErrMalformed = errors.New("zonestate: malformed")
+	// ErrVersion means that the sender uses another version of the protocol.
+	ErrVersion = errors.New("zonestate: unsupported protocol version")
+	// ErrMalformed means that the size or the format of the message is invalid.
+	ErrMalformed = errors.New("zonestate: malformed message")
 )
 
-// rowBytes returns how many bytes a row takes.
+// rowBytes returns the encoded size of a row in bytes.
 func rowBytes(r Row) int { return rowSize + len(r.Entries)*entrySize }
 
 func appendUint24(b []byte, v uint32) []byte { return append(b, byte(v>>16), byte(v>>8), byte(v)) }
 
 func uint24(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
-// appendAge writes an age, rounded up so that it stays an upper bound.
+// appendAge appends an age, rounded up so that it remains an upper bound.
 func appendAge(b []byte, age time.Duration) []byte {
 	age = min(max(0, age), maxAge)
 	return appendUint24(b, uint32((age+time.Millisecond-1)/time.Millisecond))
@@ -51,7 +51,7 @@
 
 func parseAge(b []byte) time.Duration { return time.Duration(uint24(b)) * time.Millisecond }
 
-// Append appends a message to b.
+// Append appends the encoding of a message to b.
 func Append(b []byte, m Message) []byte {
 	b = append(b, Version, byte(m.Kind))
 	b = binary.BigEndian.AppendUint64(b, m.From)
@@ -85,7 +85,7 @@
 	return b
 }
 
-// Parse reads a message. Its errors are ErrVersion and ErrMalformed.
+// Parse decodes a message. Its errors wrap ErrVersion or ErrMalformed.
 func Parse(b []byte) (Message, error) {
 	if len(b) < headSize || len(b) > MaxMessage {
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
@@ -101,7 +101,7 @@
 		HeldMillis: binary.BigEndian.Uint16(b[18:]),
 	}
 	if m.Kind < PartUpdate || m.Kind > Query || m.From == 0 {
-		return Message{}, fmt.Errorf("%w: kind %d from %d", ErrMalformed, m.Kind, m.From)
+		return Message{}, fmt.Errorf("%w: kind %d, sender ID %d", ErrMalformed, m.Kind, m.From)
 	}
 	left := b[headSize:]
 	for m.Kind == Query && len(left) >= zoneQuerySize {
@@ -118,12 +118,12 @@
 		m.Rows = append(m.Rows, r)
 	}
 	if len(left) > 0 {
-		return Message{}, fmt.Errorf("%w: %d bytes too many", ErrMalformed, len(left))
+		return Message{}, fmt.Errorf("%w: %d trailing bytes", ErrMalformed, len(left))
 	}
 	return m, nil
 }
 
-// parseRow reads a row from the front of b, which has rowSize bytes at least, and returns what is left.
+// parseRow decodes a row at the start of b, which must have at least rowSize bytes, and returns the remaining bytes.
 func parseRow(b []byte) (r Row, left []byte, err error) {
 	r = Row{
 		ZoneID:    ZoneID(binary.BigEndian.Uint32(b)),
@@ -137,12 +137,12 @@
 	n := int(b[26])
 	left = b[rowSize:]
 	if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MaxEntries || len(left) < n*entrySize {
-		return Row{}, nil, fmt.Errorf("%w: a row of plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
+		return Row{}, nil, fmt.Errorf("%w: row with plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
 	}
 	for range n {
 		e := parseEntry(left)
 		if math.IsNaN(e.Value) || math.IsInf(e.Value, 0) || e.Kind.page() != r.Page {
-			return Row{}, nil, fmt.Errorf("%w: an entry of kind %d, value %v on page %d", ErrMalformed, e.Kind, e.Value, r.Page)
+			return Row{}, nil, fmt.Errorf("%w: entry with kind %d and value %v on page %d", ErrMalformed, e.Kind, e.Value, r.Page)
 		}
 		r.Entries = append(r.Entries, e)
 		left = left[entrySize:]
--- a/internal/zonestate/codec_test.go
+++ b/internal/zonestate/codec_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// encodedMessages returns a message of each kind as a datagram.
+// encodedMessages returns an encoded message of each kind.
 func encodedMessages() (out [][]byte) {
 	row := Row{
 		ZoneID:    1 << 31,
@@ -41,19 +41,19 @@
 		m, err := Parse(b)
 		if err != nil {
 			if !reflect.DeepEqual(m, Message{}) {
-				t.Error("a malformed message is returned in part")
+				t.Errorf("Parse returned error %v and a non-zero message %+v", err, m)
 			}
 			return
 		}
 		if got := Append(nil, m); string(got) != string(b) {
-			t.Errorf("%x is written as %x", b, got)
+			t.Errorf("Append(Parse(%x)) = %x", b, got)
 		}
-		k := newTestMachine(t, 0, testPeer(0, 0), testPeer(1, 0), testPeer(2, 1))
-		k.Receive(time.Second, m)
+		machine := newTestMachine(t, 0, testPeer(0, 0), testPeer(1, 0), testPeer(2, 1))
+		machine.Receive(time.Second, m)
 	})
 }
 
-// Ages are rounded up, values keep seven digits, and the longest row fits into a message.
+// Ages are rounded up, values keep seven digits, and a row with MaxEntries entries fits into a message.
 func TestAgesRoundUpAndMessagesFit(t *testing.T) {
 	var entries []Entry
 	for i := range MaxEntries {
@@ -63,6 +63,6 @@
 	b := Append(nil, m)
 	got, err := Parse(b)
 	if err != nil || len(b) > MaxMessage || got.Rows[0].Age != 2*ms || math.Abs(got.Rows[0].Entries[3].Value-1000.0/3) > 0.0001 {
-		t.Errorf("%d bytes, %v: %+v", len(b), err, got)
+		t.Errorf("message of %d bytes: Parse = %+v, %v", len(b), got, err)
 	}
 }
--- a/internal/zonestate/combine.go
+++ b/internal/zonestate/combine.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// combine aggregates lists of entries, each kind by its own operation. It returns at most MaxEntries entries, by kind and
-// subject, and how many it dropped: rates of later kinds first, and of one kind the lowest values.
+// combine aggregates lists of entries, using the operation of each kind. It returns at most MaxEntries entries, ordered by kind
+// and subject, and the number of entries that it dropped: sums before maxima and maxima before minima, of
+// each operation the higher kinds first, and of each kind the lowest absolute values.
 func combine(lists ...[]Entry) (out []Entry, dropped int) {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, compareSubjects)
@@ -18,7 +19,7 @@
 		}
 		out = append(out, e)
 	}
-	// A sum of zero is what readers assume without an entry.
+	// Readers interpret a missing sum as zero.
 	out = slices.DeleteFunc(out, func(e Entry) bool { return e.Value == 0 && e.Kind&opBits == opSum })
 	if len(out) <= MaxEntries {
 		return out, 0
@@ -45,7 +46,7 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 }
 
-// compareImportance puts first what is kept if a row has no room for all.
+// compareImportance orders the entries to keep first if they exceed the size of a row.
 func compareImportance(a, b Entry) int {
 	return cmp.Or(
 		cmp.Compare(b.Kind&opBits, a.Kind&opBits),
--- a/internal/zonestate/forward.go
+++ b/internal/zonestate/forward.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Bounds on the zones that a root sends rows to. Where there are more zones, the receivers are drawn at random.
+// Maximum numbers of zones to which a root sends rows. If there are more zones, it selects the receivers at random.
 const (
-	maxZonesPerPeriod = 8 // in a period, with the rows of its own zone
-	zonesPerUpdate    = 2 // with rows of other zones that are new to it
+	maxZonesPerPeriod = 8 // per period, for the rows of its own zone
+	zonesPerUpdate    = 2 // per received message with new rows of other zones
 )
 
 // send queues a message.
@@ -19,7 +19,7 @@
 	m.packets = append(m.packets, Packet{To: to.Addr, Message: msg})
 }
 
-// sendRows sends rows in as many messages as they take, up to maxMessages. What is beyond is not sent.
+// sendRows sends rows in as many messages as required, but at most maxMessages. Remaining rows are not sent.
 func (m *Machine) sendRows(to Peer, kind MessageKind, rows []Row, maxMessages int) {
 	var batch []Row
 	left := MaxMessage - headSize
@@ -40,7 +40,7 @@
 	}
 }
 
-// forwardInZone sends rows to this node's neighbours in the trees of their planes, except the one that they came from.
+// forwardInZone sends rows to this node's neighbours in the trees of their planes, except to the sender of the rows.
 func (m *Machine) forwardInZone(rows []Row, from uint64) {
 	for plane := range uint8(planes) {
 		ofPlane := rowsOfPlane(rows, plane)
@@ -93,7 +93,7 @@
 	}
 }
 
-// receiveRows merges rows and forwards those that are new. fromTree says that they came down a tree and not as a reply.
+// receiveRows merges rows and forwards the new ones. fromTree reports whether they arrived as a RowUpdate rather than a Reply.
 func (m *Machine) receiveRows(from Peer, rows []Row, delay time.Duration, fromTree bool) {
 	var newRows []Row
 	for _, r := range rows {
@@ -112,7 +112,7 @@
 	}
 	m.forwardInZone(newRows, from.ID)
 	if len(m.view.trees) <= maxZonesPerPeriod+1 {
-		return // the author of a row has sent it to all roots
+		return // the author of a row already sent it to all roots
 	}
 	for plane := range uint8(planes) {
 		if t, i := m.position(plane); i == t.root(m.bypassed) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// mergeRow stores a row that was under way for a delay at most; false: it is dropped, or is not new.
+// mergeRow stores a row whose network delay was at most delay. It reports whether the row is new and was not dropped.
 func (m *Machine) mergeRow(r Row, delay time.Duration) bool {
 	author, known := m.view.peers[r.Author.ID]
 	if !known || author.ZoneID != r.ZoneID || r.Author.ID == m.self.ID {
--- a/internal/zonestate/hop.go
+++ b/internal/zonestate/hop.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	clockDriftDivisor = 1000    // clocks may differ in rate by one part in so many
-	maxHeldMillis     = 1 << 16 // ms; what Message.HeldMillis can carry is less
+	clockDriftDivisor = 1000    // clock rates may differ by one part in this number
+	maxHeldMillis     = 1 << 16 // Message.HeldMillis only holds lower values
 	maxRoundTrip      = 1 << 17 * time.Millisecond
-	tokenMarginMillis = 2 // ms that rounding of two tokens may lose
+	tokenMarginMillis = 2 // maximum rounding error of two tokens
 )
 
-// link is what is known of the path to another node.
+// link is the state of the path to another node.
 type link struct {
-	peerToken       uint32        // the last one that came; 0: none
-	tokenReceivedAt time.Duration // when it came
-	lastHeard       time.Duration // when a message from it, or a row that it made, came last
+	peerToken       uint32        // last token received from the peer; 0: none
+	tokenReceivedAt time.Duration // when peerToken was received
+	lastHeard       time.Duration // when a message or row of the peer was last received
 }
 
-// token returns a time of this node's clock as a token, which is never 0.
+// token encodes a time of this node's clock as a token, which is never 0.
 func (m *Machine) token(at time.Duration) uint32 {
 	return max(1, uint32(at/time.Millisecond)+uint32(splitmix.Mix(m.seed)))
 }
 
-// stampToken gives a message this node's token, and returns the receiver's last one to it.
+// stampToken sets the token of a message, and echoes the last token from the receiver.
 func (m *Machine) stampToken(to uint64, msg *Message) {
 	msg.Token = m.token(m.now)
 	l := m.links[to]
 	if l == nil || l.peerToken == 0 {
 		return
 	}
-	// Rounded down: then the receiver overestimates the delay.
+	// Rounding down makes the receiver overestimate the delay, which keeps it an upper bound.
 	held := (m.now - l.tokenReceivedAt) / time.Millisecond
 	if held < maxHeldMillis {
 		msg.Echo = l.peerToken
@@ -40,15 +40,16 @@
 	}
 }
 
-// hopDelay returns an upper bound on the time that a message was under way: the time since this node's own token left, less
-// the time for which the sender held it. Both clocks may drift, and times are in milliseconds. false: there is no bound.
+// hopDelay returns an upper bound on the network delay of a message: the time since this node sent the echoed token, less the
+// time for which the sender held it, plus allowances for the drift of both clocks and the millisecond resolution of times. It
+// reports false if there is no bound.
 func (m *Machine) hopDelay(msg Message) (time.Duration, bool) {
 	if msg.Echo == 0 {
 		return 0, false
 	}
 	roundTrip := time.Duration(m.token(m.now)-msg.Echo+tokenMarginMillis) * time.Millisecond
 	if roundTrip > maxRoundTrip {
-		return 0, false // a token of an earlier incarnation, or too old
+		return 0, false // the token is too old, or from an earlier incarnation
 	}
 	held := time.Duration(msg.HeldMillis) * time.Millisecond
 	if held > roundTrip+held/clockDriftDivisor {
--- a/internal/zonestate/kind.go
+++ b/internal/zonestate/kind.go
@@ -1,42 +1,42 @@
 package zonestate
 
-// Kind says what the value of an entry measures. Its highest bits say how the values of several parts are combined, so that a
-// node can aggregate kinds that it does not know.
+// Kind identifies the quantity that an entry measures. The two highest bits select the operation that combines the values of
+// several parts, so that a node can aggregate kinds that it does not know.
 type Kind uint8
 
-// How the values of parts are combined, and the number of pages.
+// Bits of a Kind: operations that combine values, and the page.
 const (
 	opSum    Kind = 0x00
 	opMax    Kind = 0x40
 	opMin    Kind = 0x80
 	opBits   Kind = 0xc0
-	pageUnit Kind = 0x10 // the bits between tell the page
+	pageUnit Kind = 0x10 // the bits between operation and number select the page
 	pages         = 4
 )
 
-// Kinds. Rates are per second, over the last period or so.
+// Kinds. Rates are per second, averaged over about the last period.
 const (
-	Demand        = opSum + 0 // of a class: requests that came, a second
-	Rejected      = opSum + 1 // of a class: requests that were rejected, a second
-	OpenRequests  = opSum + 2 // of a class: requests that are unanswered
+	Demand        = opSum + 0 // of a class: requests received per second
+	Rejected      = opSum + 1 // of a class: requests rejected per second
+	OpenRequests  = opSum + 2 // of a class: requests without a response
 	ReadyServers  = opMax + 0 // of a zone: servers listed as ready
-	WarmServers   = opMax + 1 // of a zone: of these, such as are past their slow start
-	NewestVersion = opMax + 2 // of a list or configuration: the latest version that a node holds
-	OldestVersion = opMin + 0 // and the earliest
-	MadeAt        = opMin + 1 // of nothing: when the part was made; only builds for the fault bench tell it
+	WarmServers   = opMax + 1 // of a zone: ready servers that have completed slow start
+	NewestVersion = opMax + 2 // of an endpoint list or configuration: highest version at any node
+	OldestVersion = opMin + 0 // of an endpoint list or configuration: lowest version at any node
+	MadeAt        = opMin + 1 // without a subject: creation time of the part; only set by builds for the fault bench
 
-	Attempts       = opSum + pageUnit + 0 // of a zone: attempts that ended there, a second
-	FailedAttempts = opSum + pageUnit + 1 // of a zone: of them, such as did not succeed, a second
-	AttemptTime    = opSum + pageUnit + 2 // of a zone: what they took in all, seconds a second
+	Attempts       = opSum + pageUnit + 0 // to a zone: attempts completed per second
+	FailedAttempts = opSum + pageUnit + 1 // to a zone: attempts failed per second
+	AttemptTime    = opSum + pageUnit + 2 // to a zone: total duration of the completed attempts, in seconds per second
 
-	ServerFailures = opSum + 2*pageUnit + 0 // of a server: attempts that did not succeed, a second
+	ServerFailures = opSum + 2*pageUnit + 0 // of a server: attempts failed per second
 	ServerInFlight = opSum + 2*pageUnit + 1 // of a server: attempts in flight
 
-	LatencyHistogram = opSum + 3*pageUnit + 0 // of a power of two of microseconds: attempts that took less, and not less than half, a second
+	LatencyHistogram = opSum + 3*pageUnit + 0 // of a power of two of microseconds: attempts per second that took less than it and at least half of it
 )
 
-// page returns the page of a kind: an author makes a row for each page, which fits into a datagram.
+// page returns the page of a kind. An author publishes one row per page, each of which fits into a datagram.
 func (k Kind) page() uint8 { return uint8(k&^opBits) / uint8(pageUnit) % pages }
 
-// staysInZone says that rows of a page are not sent to other zones.
+// staysInZone reports whether rows of a page are not sent to other zones.
 func staysInZone(page uint8) bool { return page >= 2 }
--- a/internal/zonestate/query.go
+++ b/internal/zonestate/query.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxReplies          = 8 // to queries in a period
-	maxReplyMessages    = 4 // to one query
-	anyZoneQueryDivisor = 4 // one query in so many may go to any zone; the others go to the own zone
+	maxReplies          = 8 // to queries, per period
+	maxReplyMessages    = 4 // per query
+	anyZoneQueryDivisor = 4 // one query in this number goes to a node of any zone, the others to the own zone
 )
 
-// sendQuery asks another node for zones whose best row is close to being stale, or missing.
+// sendQuery sends another node a query for zones whose best row is missing or about to become stale.
 func (m *Machine) sendQuery() {
 	queries := m.queries()
 	receivers := m.view.active
@@ -28,7 +28,8 @@
 	m.send(receivers[i], Message{Kind: Query, ZoneQueries: queries[:min(len(queries), maxZoneQueries)]})
 }
 
-// staleZoneQueries returns the zones with active nodes whose best row is older than three quarters of Options.FreshAge, oldest first.
+// staleZoneQueries returns queries for the zones with active nodes whose best row is missing or older than three quarters of
+// Options.FreshAge, oldest first.
 func (m *Machine) queries() []ZoneQuery {
 	var queries []ZoneQuery
 	for zone, trees := range m.view.trees {
@@ -49,7 +50,7 @@
 	return queries
 }
 
-// reply answers a query with rows that are younger than those that its sender holds.
+// reply replies to a query with rows that are younger than those of its sender.
 func (m *Machine) reply(to Peer, queries []ZoneQuery) {
 	if m.now-m.repliesSince >= m.options.period() {
 		m.repliesSince = m.now
@@ -67,7 +68,7 @@
 	m.sendRows(to, Reply, rows, maxReplyMessages)
 }
 
-// youngerRows returns the best rows of wanted zones that are younger than wanted and not the receiver's own.
+// youngerRows returns the best rows of the queried zones that are younger than those of the querying node and not its own.
 func (m *Machine) youngerRows(to Peer, queries []ZoneQuery) []Row {
 	var rows []Row
 	for _, query := range queries {
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Freshness says whether the best row of a zone is recent enough.
+// Freshness reports whether the best row of a zone is recent.
 type Freshness uint8
 
 // Degrees of freshness.
 const (
 	Unknown Freshness = iota // no row is stored
 	Stale                    // the best row is older than Options.FreshAge
-	Fresh                    // the best row is not older
+	Fresh                    // the age of the best row is at most Options.FreshAge
 )
 
 var freshnessNames = [...]string{"unknown", "stale", "fresh"}
@@ -21,27 +21,27 @@
 // String returns the freshness in lower case.
 func (f Freshness) String() string { return freshnessNames[min(int(f), len(freshnessNames)-1)] }
 
-// zoneFreshness is the freshness of a zone, and since when it is so.
+// zoneFreshness is the freshness of a zone and the time of its last change.
 type zoneFreshness struct {
 	freshness Freshness
 	since     time.Duration
 }
 
-// updateFreshness brings the freshness of all zones up to date.
+// updateFreshness updates the freshness of all zones.
 func (m *Machine) updateFreshness() {
 	for zone, z := range m.zones {
 		current := m.freshness(zone)
 		if current == z.freshness {
 			continue
 		}
-		if z.freshness != Stale || current != Unknown { // a zone that is unknown now has been without fresh rows since it was stale
+		if z.freshness != Stale || current != Unknown { // after Stale, Unknown keeps the time since which there is no fresh row
 			z.since = m.now
 		}
 		z.freshness = current
 	}
 }
 
-// freshness returns the freshness of a zone's first page at the current time.
+// freshness returns the current freshness of a zone's first page.
 func (m *Machine) freshness(zone ZoneID) Freshness {
 	best, found := m.store.best(m.now, zone, 0, m.options.FreshAge)
 	switch {
@@ -54,17 +54,17 @@
 	}
 }
 
-// Zone is the state of one zone's rows at a node.
+// Zone is the state of a zone's rows at a node.
 type Zone struct {
 	ID          ZoneID
 	Freshness   Freshness
-	Since       time.Duration // time of this node's clock since which Freshness holds; of Unknown after Stale, since which it was Stale
+	Since       time.Duration // time of this node's clock at which Freshness changed; for Unknown after Stale, at which it became Stale
 	Age         time.Duration // upper bound on the age of the oldest part in the best row; 0: there is no row
-	PartCount   int           // number of nodes whose parts are in the best row
-	ActiveNodes int           // number of nodes of the zone that the membership holds for active
+	PartCount   int           // number of parts in the best row, normally one per node
+	ActiveNodes int           // number of nodes of the zone that the membership considers active
 }
 
-// Zones returns all zones of the view, in the order of their places.
+// Zones returns all zones of the view, ordered by ID.
 func (m *Machine) Zones(now time.Duration) []Zone {
 	m.now = max(m.now, now)
 	m.updateFreshness()
@@ -76,7 +76,7 @@
 	return out
 }
 
-// zone returns the state of a zone, which is Unknown if it is not in the view.
+// zone returns the state of a zone, whose freshness is Unknown if it is not in the view.
 func (m *Machine) zone(zone ZoneID) Zone {
 	z := m.zones[zone]
 	if z == nil {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// Isolated says that this node has no fresh row with other nodes' parts, or that no other node is active.
+// Isolated reports whether this node has no fresh row with parts of other active nodes, or no other node is active.
 func (m *Machine) Isolated(now time.Duration) bool {
 	m.now = max(m.now, now)
 	for zone, trees := range m.view.trees {
@@ -115,11 +115,11 @@
 
 // Value is the value of a kind and subject in a zone.
 type Value struct {
-	Zone           // with the age of the row that the value is from
+	Zone           // with age and part count of the row that contains the value
 	Amount float64 // 0 if the row has no entry of the kind and subject
 }
 
-// Read returns the value of a kind and subject in a zone. A caller that ignores Freshness uses values of any age.
+// Read returns the value of a kind and subject in a zone. The value can be of any age; callers must check Freshness.
 func (m *Machine) Read(now time.Duration, zone ZoneID, k Kind, s Subject) Value {
 	m.now = max(m.now, now)
 	m.updateFreshness()
@@ -141,14 +141,14 @@
 	return v
 }
 
-// Row returns the best row of the page of a kind in a zone; false: there is none.
+// Row returns the best row of a zone on the page of a kind, and reports whether there is one.
 func (m *Machine) Row(now time.Duration, zone ZoneID, k Kind) (Row, bool) {
 	m.now = max(m.now, now)
 	best, found := m.store.best(m.now, zone, k.page(), m.options.FreshAge)
 	return best.row(m.now), found
 }
 
-// Size returns how many rows and children's parts are stored.
+// Size returns the number of stored rows plus the number of children whose parts are stored.
 func (m *Machine) Size() int {
 	n := m.store.size()
 	for _, p := range m.planes {
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Clone returns a machine with the same state that shares nothing that changes. Model checks play it on in several ways.
+// Clone returns a copy that shares only immutable data with m. Model checks continue a run from it in several ways.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.packets = nil
@@ -25,7 +25,7 @@
 	}
 	c.store.rows = map[pageKey][]storedRow{}
 	for k, list := range m.store.rows {
-		c.store.rows[k] = slices.Clone(list) // rows and parts are never written to
+		c.store.rows[k] = slices.Clone(list) // entries of rows and parts are immutable
 	}
 	for i := range c.planes {
 		c.planes[i].parts = maps.Clone(m.planes[i].parts)
@@ -33,8 +33,8 @@
 	return &c
 }
 
-// Fingerprint identifies the state: two machines of one fingerprint and one view do the same from here on, at times that are
-// shifted alike.
+// Fingerprint returns a string that identifies the state: two machines with the same fingerprint and view behave identically
+// from then on if their times are shifted by the same offset.
 func (m *Machine) Fingerprint() string {
 	var b strings.Builder
 	relative := func(t time.Duration) time.Duration { return t - m.now }
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// pageKey identifies a page of a zone in a plane. Rows of different authors for one key are alternatives.
+// pageKey identifies a page of a zone in a plane. Rows of different authors with the same key are alternatives.
 type pageKey struct {
 	zone        ZoneID
 	plane, page uint8
 }
 
-// storedRow is a row with the time of this node's clock before which its oldest part was not made.
+// storedRow is a row with a lower bound, by this node's clock, on the creation time of its oldest part.
 type storedRow struct {
 	Row
 	madeAt time.Duration
 }
 
-// maxAuthors bounds the rows of one key. There are several while nodes disagree on which of them is the root.
+// maxAuthors is the maximum number of rows per key. There are several while nodes disagree on which node is the root.
 const maxAuthors = 3
 
-// store holds rows. Its memory grows with the number of zones.
+// store holds rows. Its memory use is proportional to the number of zones.
 type store struct {
 	maxAge time.Duration
-	rows   map[pageKey][]storedRow // in the order of the authors' IDs
+	rows   map[pageKey][]storedRow // ordered by author ID
 }
 
-// compareVersions orders the rows of one author by incarnation and sequence. Sequences wrap. They differ by less than half of
-// their range, because no row is stored for longer, so the one that is ahead is later (RFC 1982).
+// compareVersions compares two rows of one author by incarnation and sequence number. Sequence numbers wrap around and are
+// compared by serial number arithmetic (RFC 1982): stored rows are never so old that they differ by half of the range.
 func compareVersions(a, b Row) int {
 	return cmp.Or(cmp.Compare(a.Author.Incarnation, b.Author.Incarnation), cmp.Compare(int32(a.Seq-b.Seq), 0))
 }
 
-// put merges a row, and reports whether it supersedes an earlier one of its author or is the first.
+// put merges a row, and reports whether it is stored as the first one of its author or supersedes an earlier one.
 func (s *store) put(r Row, madeAt time.Duration) bool {
 	k := pageKey{r.ZoneID, r.Plane, r.Page}
 	list := s.rows[k]
@@ -55,11 +55,11 @@
 	return true
 }
 
-// merge replaces the row by a later one of its author, and reports whether it did.
+// merge replaces the row if r is a later one of the same author, and reports whether it did.
 func (h *storedRow) merge(r Row, madeAt time.Duration) bool {
 	order := compareVersions(r, h.Row)
 	if order == 0 {
-		h.madeAt = max(h.madeAt, madeAt) // the same row on a faster path: its age has a tighter bound
+		h.madeAt = max(h.madeAt, madeAt) // the same row received on a faster path has a tighter bound on its age
 	}
 	if order <= 0 {
 		return false
@@ -80,7 +80,7 @@
 	return oldest
 }
 
-// advance drops rows that have grown too old, and returns how many.
+// advance removes rows that are older than maxAge, and returns their number.
 func (s *store) advance(now time.Duration) (dropped int) {
 	for k, list := range s.rows {
 		recent := slices.DeleteFunc(list, func(h storedRow) bool { return now-h.madeAt > s.maxAge })
@@ -93,8 +93,8 @@
 	return dropped
 }
 
-// best returns the row of a page to be read: of fresh rows the one of most nodes' parts, and of these the youngest; if there
-// is no fresh row, the youngest.
+// best returns the row of a page to read: the fresh row with the most parts, and of several such rows the youngest; or the
+// youngest row if none is fresh.
 func (s *store) best(now time.Duration, zone ZoneID, page uint8, fresh time.Duration) (best storedRow, found bool) {
 	for plane := range uint8(planes) {
 		for _, h := range s.rows[pageKey{zone, plane, page}] {
@@ -107,7 +107,7 @@
 	return best, found
 }
 
-// betterThan says that a row is to be read in place of another.
+// betterThan reports whether the row is preferred to another for reading.
 func (h storedRow) betterThan(other storedRow, now, fresh time.Duration) bool {
 	isFresh := now-h.madeAt <= fresh
 	otherFresh := now-other.madeAt <= fresh
@@ -121,7 +121,7 @@
 	}
 }
 
-// size returns how many rows are stored.
+// size returns the number of stored rows.
 func (s *store) size() (n int) {
 	for _, list := range s.rows {
 		n += len(list)
@@ -129,7 +129,7 @@
 	return n
 }
 
-// row returns the row with its age as of now.
+// row returns the row with its age at now.
 func (h storedRow) row(now time.Duration) Row {
 	r := h.Row
 	r.Age = now - h.madeAt
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -11,19 +11,19 @@
 // planes is the number of aggregation trees of each zone.
 const planes = 2
 
-// Peer is another node, as the membership has it.
+// Peer is a node as known to the membership.
 type Peer struct {
 	ID       uint64
 	Addr     netip.AddrPort
 	ZoneID   ZoneID
 	Suspect  bool // the membership suspects it
-	Inactive bool // dead or left: it is in no tree, and its zone is known still
+	Inactive bool // dead or left: it is in no tree, but its zone remains in the view
 }
 
-// rank orders the nodes of a zone in a plane: by a hash of their IDs.
+// rank returns the sort key of a node in the tree of a plane, a hash of its ID.
 func rank(id uint64, plane uint8) uint64 { return splitmix.Mix(id ^ uint64(plane+1)*splitmix.Golden) }
 
-// tree holds one zone's nodes in the order of a plane. As in a heap, the fan children of the i-th begin at i*fan+1.
+// tree holds the nodes of a zone ordered by their rank in a plane. As in a heap, the first child of node i is at index i*fan+1.
 type tree []Peer
 
 func newTree(nodes []Peer, plane uint8) tree {
@@ -34,12 +34,12 @@
 	return t
 }
 
-// index returns the position of a node; -1: it is not in the tree.
+// index returns the index of a node, or -1 if it is not in the tree.
 func (t tree) index(id uint64) int {
 	return slices.IndexFunc(t, func(p Peer) bool { return p.ID == id })
 }
 
-// level returns the distance of the i-th from the root.
+// level returns the distance of node i from the root.
 func level(i, fan int) int {
 	n := 0
 	for ; i > 0; i = (i - 1) / fan {
@@ -48,10 +48,10 @@
 	return n
 }
 
-// maxChildren bounds the children of a node, with those that it takes over from bypassed children.
+// maxChildren is the maximum number of children of a node, including those of bypassed nodes.
 const maxChildren = 32
 
-// root returns the first node that is not bypassed; if all are, the first.
+// root returns the index of the first node that is not bypassed, or 0 if all are.
 func (t tree) root(bypassed func(Peer) bool) int {
 	for i, p := range t {
 		if !bypassed(p) {
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// parent returns the node to which the i-th sends its parts; false: it is the root.
+// parent returns the index of the node to which node i sends its parts, or false if node i is the root.
 func (t tree) parent(i, fan int, bypassed func(Peer) bool) (int, bool) {
 	root := t.root(bypassed)
 	if i == root {
@@ -76,7 +76,7 @@
 	return root, true
 }
 
-// children returns the nodes whose parts the i-th adds up: its own children, and in place of bypassed ones theirs.
+// children returns the nodes whose parts node i aggregates: its children, with bypassed ones replaced by their own children.
 func (t tree) children(i, fan int, bypassed func(Peer) bool) []Peer {
 	var out []Peer
 	var addBelow func(int)
@@ -93,7 +93,7 @@
 		}
 	}
 	addBelow(i)
-	// A node that stands in for the root adopts the nodes that lie below the bypassed ones before it.
+	// A node that replaces the bypassed root also adopts the children of the bypassed nodes that precede it.
 	if i > 0 && t.root(bypassed) == i {
 		addBelow(0)
 	}
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// bypassAfterPeriods is after how many periods without a message a suspected node is bypassed.
+// bypassAfterPeriods is the number of periods without a message after which a suspected node is bypassed.
 const bypassAfterPeriods = 2
 
-// View is the set of nodes as the membership of one has it, with the trees of all zones. It does not change and may be shared.
+// View is the set of nodes known to the membership of one node, with the trees of all zones. It is immutable and can be shared.
 type View struct {
 	peers  map[uint64]Peer
-	active []Peer // neither dead nor left, in the order of their IDs
+	active []Peer // neither dead nor left, ordered by ID
 	trees  map[ZoneID]*[planes]tree
 }
 
-// NewView returns the view of all nodes that the membership knows, the node itself among them.
+// NewView returns the view of all nodes known to the membership, which must include the node itself.
 func NewView(all []Peer) *View {
 	v := &View{peers: make(map[uint64]Peer, len(all)), trees: map[ZoneID]*[planes]tree{}}
 	byZone := map[ZoneID][]Peer{}
@@ -27,7 +27,7 @@
 			nodes = append(nodes, p)
 			v.active = append(v.active, p)
 		}
-		byZone[p.ZoneID] = nodes // a zone without active nodes stays one
+		byZone[p.ZoneID] = nodes // keep zones without active nodes
 	}
 	slices.SortFunc(v.active, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	for zone, nodes := range byZone {
@@ -39,7 +39,8 @@
 	return v
 }
 
-// SetView sets the view, in which the node itself has to be active. State of zones and nodes that are not in it is dropped.
+// SetView sets the view, in which the node itself must be active. It drops the freshness of zones and the links to nodes that
+// are not in the view.
 func (m *Machine) SetView(now time.Duration, v *View) {
 	m.now = max(m.now, now)
 	m.view = v
@@ -60,14 +61,14 @@
 	}
 }
 
-// position returns this node's tree of a plane and its index in it.
+// position returns the tree of this node's zone in a plane, and the index of this node in it.
 func (m *Machine) position(plane uint8) (tree, int) {
 	t := m.view.trees[m.self.ZoneID][plane]
 	return t, t.index(m.self.ID)
 }
 
-// bypassed says that a node is left out of the trees: the membership suspects it, and this node has not heard from it either.
-// A suspicion alone is too often false where messages are lost, and silence alone may be the fault of the link.
+// bypassed reports whether a node is skipped in the trees: the membership suspects it, and this node has received no message
+// from it recently. With message loss, suspicions alone are too often false, and missing messages alone may be caused by the link.
 func (m *Machine) bypassed(p Peer) bool {
 	if !p.Suspect || p.ID == m.self.ID {
 		return false
--- a/internal/zonestate/zonestate.go
+++ b/internal/zonestate/zonestate.go
@@ -1,26 +1,26 @@
-// Package zonestate is the state of zones that nodes exchange: the load that each zone is asked for, where it is sent and how
-// that ends, and which servers are in service. It owns the protocol and its messages. It does no I/O and has no clock and no
-// goroutine: time, members and messages are passed in, messages and readings are returned. Membership is left to
-// internal/membership, sockets, keys and pacing to internal/gossip.
+// Package zonestate implements the protocol by which nodes exchange the state of zones: the demand in each zone, the zones to
+// which it is sent with what result, and the servers in service. It does no I/O, reads no clock and starts no goroutine: time,
+// members and messages are passed in, and messages and values are returned. Package membership determines the members; package
+// gossip handles sockets, keys and rate limits.
 //
-// What one node measures is a part. The nodes of a zone add their parts up along two aggregation trees, the planes. The root of
-// each plane makes rows of the sums, which go to the roots of the other zones and down all trees of their plane. So what a
-// node sends and stores grows with the number of zones and not of nodes, and a node that fails delays one plane's rows and,
-// but by chance, not the other's.
+// The measurements of one node are a part. The nodes of a zone aggregate their parts along two trees, the planes. The root of
+// each plane publishes the aggregates as rows, which are sent to the roots of the other zones and down all trees of the plane.
+// Traffic and memory of a node therefore grow with the number of zones rather than nodes, and a failed node delays the rows of
+// one plane but, except by chance, not those of the other.
 //
-// It promises:
+// Guarantees:
 //
-//   - The age of a row is an upper bound on the age of the oldest part in it, whatever becomes of messages, processes and
-//     wall clocks, as long as clocks run at the same rate to a thousandth. No delay is assumed: a hop took at most the
-//     time since the receiver's own token that the sender returns, less the time for which the sender says that it held
-//     it. What carries no such token is dropped (Dropped.Unbounded).
-//   - A row says how many nodes' parts are in it. A part may be counted twice in a row of one plane for at most half a period
-//     after its node got another parent; then Row.PartCount may exceed the number of active nodes, and readers get both.
-//   - Of one author, zone, plane and page the row of the latest incarnation and then of the latest sequence supersedes the
-//     others. Merging does not depend on order, repetition or grouping.
-//   - Each reading comes with the zone's freshness (Fresh, Stale, Unknown). What is missing is not estimated.
-//   - A node sends its part once in each plane a period, twice if other nodes depend on it or messages get lost; each row
-//     once to each neighbour in its tree; and one query a half period while something is missing.
+//   - The age of a row is an upper bound on the age of the oldest part in it, regardless of message loss and delay, restarts and
+//     changes of wall clocks, as long as clock rates differ by at most one part in a thousand. No delay is assumed: the delay
+//     of a hop is at most the time since the receiver sent the token that the message echoes, less the time for which the
+//     sender reports to have held it. Rows and parts without such a token are dropped (Dropped.Unbounded).
+//   - A row carries the number of parts in it. A part may be counted twice in a row of one plane for at most half a period
+//     after its node changes its parent. Row.PartCount may then exceed the number of active nodes; readers get both numbers.
+//   - Among rows of the same author, zone, plane and page, the one with the latest incarnation, and within it the latest
+//     sequence number, supersedes the others. Merging is commutative, associative and idempotent.
+//   - Each value is returned with the freshness of the zone (Fresh, Stale, Unknown). Missing values are not estimated.
+//   - A node sends its part once per plane and period, or twice if it has children or message loss was detected; each row once
+//     to each neighbour in its tree; and one query per half period while rows are missing or about to become stale.
 package zonestate
 
 import (
@@ -30,8 +30,8 @@
 	"damsontrestle/internal/splitmix"
 )
 
-// Subject identifies what an entry is about, by a hash of its name that all nodes compute alike. Among a thousand names two
-// collide with a chance of one in ten thousand; their entries are then added up.
+// Subject identifies the subject of an entry by a hash of its name, which is equal at all nodes. With a thousand names, the
+// probability that two collide is one in ten thousand; their entries are then combined.
 type Subject uint32
 
 // SubjectOf returns the subject of a name.
@@ -41,47 +41,47 @@
 	return Subject(max(1, uint32(splitmix.Mix(h.Sum64()))))
 }
 
-// ZoneID identifies a zone of a region, by a hash of both names.
+// ZoneID identifies a zone of a region by a hash of both names.
 type ZoneID Subject
 
 // ZoneIDOf returns the ID of a zone.
 func ZoneIDOf(region, zone string) ZoneID { return ZoneID(SubjectOf(region + "/" + zone)) }
 
-// Entry is one value about a subject.
+// Entry is one value of a subject.
 type Entry struct {
 	Kind    Kind
 	Subject Subject
 	Value   float64 // with the precision of a float32
 }
 
-// Author is the node that made a row, by its ID and incarnation.
+// Author identifies the node that published a row.
 type Author struct {
 	ID          uint64
 	Incarnation uint32
 }
 
-// Row is one page of the state of a zone: entries that its author added up at one time.
+// Row is one page of the state of a zone: entries that its author aggregated at one time.
 type Row struct {
 	ZoneID    ZoneID
 	Plane     uint8
 	Page      uint8
 	Author    Author
-	Seq       uint32        // grows with each row of the author; it wraps
-	Age       time.Duration // upper bound on the age of the oldest part in it, when the row was passed in or returned
-	PartCount int           // number of nodes whose parts are in it
-	Entries   []Entry       // by kind and subject, MaxEntries at most
+	Seq       uint32        // incremented with each publication of the author; wraps around
+	Age       time.Duration // upper bound on the age of the oldest part in it at the time the row was passed in or returned
+	PartCount int           // number of parts in it, normally one per node
+	Entries   []Entry       // at most MaxEntries, ordered by kind and subject
 }
 
 const (
-	// MaxEntries is how many entries a row has at most, so that it fits into a datagram.
+	// MaxEntries is the maximum number of entries of a row, so that it fits into a datagram.
 	MaxEntries   = 21
-	maxPartCount = 1<<16 - 1 // the highest Row.PartCount that can be written
+	maxPartCount = 1<<16 - 1 // highest Row.PartCount that can be encoded
 )
 
-// Pages are a node's own entries by page.
+// Pages holds a node's own entries by page.
 type Pages [pages][]Entry
 
-// GroupByPage distributes entries to their pages.
+// GroupByPage returns the entries grouped by page.
 func GroupByPage(entries []Entry) Pages {
 	var p Pages
 	for _, e := range entries {
