--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -69,8 +69,8 @@
 		if member.ID < firstID || len(receiverDigests) == Buckets && receiverDigests[bucket(member.ID)] == ownDigests[bucket(member.ID)] {
 			continue
 		}
-		u := member.update(true)
-		if page.add(u) {
+		update := member.update(true)
+		if page.add(update) {
 			continue
 		}
 		if pages == maxPagesPerPull {
@@ -80,7 +80,7 @@
 		m.send(to, Message{Kind: Page, Updates: page.updates})
 		pages++
 		page = &updateList{bytesLeft: MaxUpdateBytes}
-		page.add(u)
+		page.add(update)
 	}
 	m.send(to, Message{Kind: Page, Updates: page.updates})
 }
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -25,12 +25,12 @@
 )
 
 // updateSize returns the encoded size of an update in bytes: ID, incarnation, status and flags, suspector, and peer.
-func updateSize(u Update) int {
+func updateSize(update Update) int {
 	n := 8 + 4 + 1
-	if u.Status == Suspect {
+	if update.Status == Suspect {
 		n += 8
 	}
-	if p := u.Peer; p != nil {
+	if p := update.Peer; p != nil {
 		n += 1 + len(p.Name)
 		n += 1 + len(p.Region)
 		n += 1 + len(p.Zone)
@@ -72,23 +72,23 @@
 	return Seal(b, key)
 }
 
-func appendUpdate(b []byte, u Update) []byte {
-	b = binary.BigEndian.AppendUint64(b, uint64(u.ID))
-	b = binary.BigEndian.AppendUint32(b, u.Incarnation)
-	flags := byte(u.Status)
-	if u.Peer != nil {
+func appendUpdate(b []byte, update Update) []byte {
+	b = binary.BigEndian.AppendUint64(b, uint64(update.ID))
+	b = binary.BigEndian.AppendUint32(b, update.Incarnation)
+	flags := byte(update.Status)
+	if update.Peer != nil {
 		flags |= peerBit
-		if u.Peer.ListenOnly {
+		if update.Peer.ListenOnly {
 			flags |= listenOnlyBit
 		}
 	}
 	b = append(b, flags)
-	if u.Status == Suspect {
-		b = binary.BigEndian.AppendUint64(b, uint64(u.Suspector))
+	if update.Status == Suspect {
+		b = binary.BigEndian.AppendUint64(b, uint64(update.Suspector))
 	}
-	if u.Peer != nil {
-		b = appendPeer(b, u.Peer)
-		b = binary.BigEndian.AppendUint32(b, u.PeerIncarnation)
+	if update.Peer != nil {
+		b = appendPeer(b, update.Peer)
+		b = binary.BigEndian.AppendUint32(b, update.PeerIncarnation)
 	}
 	return b
 }
@@ -124,8 +124,8 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// MaxIncarnation is the highest incarnation of a member. Updates with a higher one are malformed: a member could not refute
-// an update with the highest value of the type.
+// MaxIncarnation is the highest incarnation of a member. Updates with a higher one are malformed: a member has to be able to
+// refute an update by a later incarnation, which must not overflow.
 const MaxIncarnation = 1<<31 - 1
 
 // Errors returned by Decode. A datagram with an error is discarded completely.
@@ -211,32 +211,32 @@
 }
 
 func (r *reader) update() Update {
-	u := Update{ID: ID(r.uint64()), Incarnation: r.uint32()}
+	update := Update{ID: ID(r.uint64()), Incarnation: r.uint32()}
 	flags := r.byte()
-	u.Status = Status(flags & statusBits)
-	if u.Status == Suspect {
-		u.Suspector = ID(r.uint64())
+	update.Status = Status(flags & statusBits)
+	if update.Status == Suspect {
+		update.Suspector = ID(r.uint64())
 	}
-	if u.Incarnation > MaxIncarnation {
+	if update.Incarnation > MaxIncarnation {
 		r.malformed = true
 	}
 	if flags&peerBit == 0 {
-		if u.ID == 0 || flags&^statusBits != 0 {
+		if update.ID == 0 || flags&^statusBits != 0 {
 			r.malformed = true
 		}
-		return u
+		return update
 	}
-	u.Peer = r.peer()
-	u.Peer.ListenOnly = flags&listenOnlyBit != 0
-	u.PeerIncarnation = r.uint32()
-	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listenOnlyBit) != 0 {
+	update.Peer = r.peer()
+	update.Peer.ListenOnly = flags&listenOnlyBit != 0
+	update.PeerIncarnation = r.uint32()
+	if update.PeerIncarnation > update.Incarnation || flags&^(statusBits|peerBit|listenOnlyBit) != 0 {
 		r.malformed = true
 	}
 	// The ID must match the name, so that a peer cannot announce one member under the ID of another.
-	if u.Peer.Name == "" || IDOf(u.Peer.Name) != u.ID {
+	if update.Peer.Name == "" || IDOf(update.Peer.Name) != update.ID {
 		r.malformed = true
 	}
-	return u
+	return update
 }
 
 func (r *reader) peer() *Peer {
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -52,17 +52,17 @@
 	net.tb.Helper()
 	o := Defaults()
 	o.Seeds = []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}
-	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
+	machine, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
 	if err != nil {
 		net.tb.Fatal(err)
 	}
-	m.now = net.now
-	m.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
+	machine.now = net.now
+	machine.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
 	if _, known := net.machines[addrOf(i)]; !known {
 		net.order = append(net.order, addrOf(i))
 	}
-	net.machines[addrOf(i)] = m
-	return m
+	net.machines[addrOf(i)] = machine
+	return machine
 }
 
 func (net *network) transmit(from netip.AddrPort, packets []Packet) {
@@ -70,7 +70,7 @@
 		net.sent[from]++
 		data := Encode(p.Message, testKey)
 		if len(data) > MaxDatagram {
-			net.tb.Fatalf("datagram has %d bytes, more than %d", len(data), MaxDatagram)
+			net.tb.Fatalf("datagram of %d bytes exceeds MaxDatagram", len(data))
 		}
 		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
 			continue
@@ -86,8 +86,8 @@
 		for net.deliverNext() {
 		}
 		for _, a := range net.order {
-			if m := net.machines[a]; m != nil && !net.paused[a] && m.Next() <= net.now {
-				net.transmit(a, m.Tick(net.now))
+			if machine := net.machines[a]; machine != nil && !net.paused[a] && machine.Next() <= net.now {
+				net.transmit(a, machine.Tick(net.now))
 			}
 		}
 	}
@@ -106,15 +106,15 @@
 	}
 	d := net.inFlight[next]
 	net.inFlight = append(net.inFlight[:next], net.inFlight[next+1:]...)
-	m := net.machines[d.to]
-	if m == nil || net.paused[d.to] {
+	machine := net.machines[d.to]
+	if machine == nil || net.paused[d.to] {
 		return true
 	}
 	msg, err := Decode(d.data, testKey)
 	if err != nil {
 		net.tb.Fatal(err)
 	}
-	net.transmit(d.to, m.Receive(net.now, d.from, msg))
+	net.transmit(d.to, machine.Receive(net.now, d.from, msg))
 	return true
 }
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -60,22 +60,22 @@
 
 // probeIndirectly pings the target again and asks other members to ping it.
 func (m *Machine) probeIndirectly() {
-	p := &m.probe
-	if member := m.get(p.target); member != nil {
-		m.send(member.Addr, Message{Kind: Ping, Seq: p.seq})
+	probe := &m.probe
+	if member := m.get(probe.target); member != nil {
+		m.send(member.Addr, Message{Kind: Ping, Seq: probe.seq})
 	}
 	var helpers []*memberState
 	for _, member := range m.members {
-		if member.status == Alive && !member.ListenOnly && member.ID != p.target {
+		if member.status == Alive && !member.ListenOnly && member.ID != probe.target {
 			helpers = append(helpers, member)
 		}
 	}
-	p.indirectAt = 0
+	probe.indirectAt = 0
 	for range min(m.options.IndirectProbes, len(helpers)) {
 		i := m.draw(len(helpers))
-		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, MemberID: p.target})
+		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: probe.seq, MemberID: probe.target})
 		helpers = slices.Delete(helpers, i, i+1)
-		p.helpers++
+		probe.helpers++
 	}
 }
 
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -9,18 +9,18 @@
 
 // Clone returns a deep copy of the state. Model checks continue a run from it in several ways.
 func (m *Machine) Clone() *Machine {
-	c := *m
-	c.members = make([]*memberState, len(m.members))
+	clone := *m
+	clone.members = make([]*memberState, len(m.members))
 	for i, member := range m.members {
 		copied := *member
 		copied.suspectors = slices.Clone(member.suspectors)
-		c.members[i] = &copied
+		clone.members[i] = &copied
 	}
-	c.probeOrder = slices.Clone(m.probeOrder)
-	c.indirectProbes = slices.Clone(m.indirectProbes)
-	c.packets = nil
-	c.outdated = nil
-	return &c
+	clone.probeOrder = slices.Clone(m.probeOrder)
+	clone.indirectProbes = slices.Clone(m.indirectProbes)
+	clone.packets = nil
+	clone.outdated = nil
+	return &clone
 }
 
 // Fingerprint returns a string that identifies the state: two machines with the same fingerprint behave identically from then
--- a/internal/zonestate/aggregate.go
+++ b/internal/zonestate/aggregate.go
@@ -39,32 +39,32 @@
 
 // sendUp sends parts to the parent, and schedules a second transmission if this node has children or message loss was detected.
 func (m *Machine) sendUp(plane uint8, parent Peer, rows []Row, hasChildren bool) {
-	p := &m.planes[plane]
+	planeState := &m.planes[plane]
 	interval := m.options.period()
 	switch {
-	case p.resend:
-		p.resend = false
+	case planeState.resend:
+		planeState.resend = false
 		interval -= levelInterval(m.options.Delay) / 2
 		rows = slices.DeleteFunc(rows, func(r Row) bool { return staysInZone(r.Page) })
 	case hasChildren || m.now < m.resendUntil:
-		p.resend = true
+		planeState.resend = true
 		interval = levelInterval(m.options.Delay) / 2
 	}
 	m.sendRows(parent, PartUpdate, rows, pages)
-	p.nextSend = m.now + interval
+	planeState.nextSend = m.now + interval
 }
 
 // publish publishes the rows of the root of a plane: it sends them down the tree and to other zones.
 func (m *Machine) publish(plane uint8, rows []Row) {
-	p := &m.planes[plane]
-	p.nextSend += m.options.period()
-	if p.nextSend <= m.now {
-		p.nextSend = m.now + m.options.period()
+	planeState := &m.planes[plane]
+	planeState.nextSend += m.options.period()
+	if planeState.nextSend <= m.now {
+		planeState.nextSend = m.now + m.options.period()
 	}
-	p.resend = false
-	p.seq++
+	planeState.resend = false
+	planeState.seq++
 	for i := range rows {
-		rows[i].Seq = p.seq
+		rows[i].Seq = planeState.seq
 		m.store.put(rows[i], m.now-rows[i].Age)
 	}
 	m.forwardInZone(rows, 0)
@@ -81,11 +81,11 @@
 	}
 	var rows []Row
 	for page := range uint8(pages) {
-		r := Row{ZoneID: m.self.ZoneID, Plane: plane, Page: page, Author: Author{m.self.ID, m.incarnation}}
+		row := Row{ZoneID: m.self.ZoneID, Plane: plane, Page: page, Author: Author{m.self.ID, m.incarnation}}
 		var lists [][]Entry
 		if m.ownPartAt > 0 && m.now-m.ownPartAt <= m.options.maxPartAge() {
-			r.PartCount = 1
-			r.Age = m.now - m.ownPartAt
+			row.PartCount = 1
+			row.Age = m.now - m.ownPartAt
 			lists = append(lists, m.ownPart[page])
 		}
 		for _, child := range children {
@@ -93,15 +93,15 @@
 			if childPart == nil || m.now-childPart.madeAt > m.options.maxPartAge() {
 				continue
 			}
-			r.PartCount += childPart.PartCount
-			r.Age = max(r.Age, m.now-childPart.madeAt)
+			row.PartCount += childPart.PartCount
+			row.Age = max(row.Age, m.now-childPart.madeAt)
 			lists = append(lists, childPart.Entries)
 		}
 		var dropped int
-		r.Entries, dropped = combine(lists...)
+		row.Entries, dropped = combine(lists...)
 		m.Dropped.Truncated += dropped
-		if r.PartCount > 0 {
-			rows = append(rows, r)
+		if row.PartCount > 0 {
+			rows = append(rows, row)
 		}
 	}
 	return rows
@@ -109,24 +109,24 @@
 
 // receiveParts stores parts received from a child.
 func (m *Machine) receiveParts(from Peer, rows []Row, delay time.Duration) {
-	for _, r := range rows {
-		t, i := m.position(r.Plane)
-		children := t.children(i, m.options.Fanout, m.bypassed)
-		if r.ZoneID != m.self.ZoneID || r.Author.ID != from.ID || !containsPeer(children, from.ID) {
+	for _, row := range rows {
+		tree, i := m.position(row.Plane)
+		children := tree.children(i, m.options.Fanout, m.bypassed)
+		if row.ZoneID != m.self.ZoneID || row.Author.ID != from.ID || !containsPeer(children, from.ID) {
 			m.Dropped.Foreign++
 			continue
 		}
-		if r.PartCount > maxParts(t) {
+		if row.PartCount > maxParts(tree) {
 			m.Dropped.TooManyParts++
 			continue
 		}
-		parts := m.planes[r.Plane].parts
+		parts := m.planes[row.Plane].parts
 		byPage := parts[from.ID]
-		madeAt := m.now - r.Age - delay
-		if earlier := byPage[r.Page]; earlier != nil && earlier.madeAt >= madeAt {
+		madeAt := m.now - row.Age - delay
+		if earlier := byPage[row.Page]; earlier != nil && earlier.madeAt >= madeAt {
 			continue // a duplicate, or older than the stored part
 		}
-		byPage[r.Page] = &part{r, madeAt}
+		byPage[row.Page] = &part{row, madeAt}
 		parts[from.ID] = byPage
 	}
 }
@@ -141,35 +141,35 @@
 
 // detectLoss detects lost rows of the own zone's root by gaps in their sequence numbers. In that case the parts that this node
 // sends may be lost as well, and are sent twice for a while.
-func (m *Machine) detectLoss(r Row) {
-	p := &m.planes[r.Plane]
-	if p.root == r.Author && int32(r.Seq-p.rootSeq) > 1 {
+func (m *Machine) detectLoss(row Row) {
+	planeState := &m.planes[row.Plane]
+	if planeState.root == row.Author && int32(row.Seq-planeState.rootSeq) > 1 {
 		m.resendUntil = m.now + resendPeriods*m.options.period()
 	}
-	p.root = r.Author
-	p.rootSeq = r.Seq
+	planeState.root = row.Author
+	planeState.rootSeq = row.Seq
 }
 
 // alignToRoot schedules this node's next transmission relative to a row of the root. Each level of the tree sends its parts
 // early enough that they arrive before the next level sends its own. The root of the second plane publishes its rows half a
 // period after that of the first.
 func (m *Machine) alignToRoot(plane uint8) {
-	t, i := m.position(plane)
-	if i != t.root(m.bypassed) {
+	tree, i := m.position(plane)
+	if i != tree.root(m.bypassed) {
 		step := levelInterval(m.options.Delay)
-		p := &m.planes[plane]
-		p.nextSend = m.now + m.options.period() - time.Duration(level(i, m.options.Fanout))*step - step/2
-		p.resend = false
+		planeState := &m.planes[plane]
+		planeState.nextSend = m.now + m.options.period() - time.Duration(level(i, m.options.Fanout))*step - step/2
+		planeState.resend = false
 	}
 	if plane != 0 {
 		return
 	}
 	const second = planes - 1
-	t, _ = m.position(second)
-	if t[t.root(m.bypassed)].ID != m.self.ID {
+	tree, _ = m.position(second)
+	if tree[tree.root(m.bypassed)].ID != m.self.ID {
 		return
 	}
-	p := &m.planes[second]
+	planeState := &m.planes[second]
 	quarter := m.options.period() / 4
-	p.nextSend = max(p.nextSend-quarter, min(m.now+m.options.period()/2, p.nextSend+quarter))
+	planeState.nextSend = max(planeState.nextSend-quarter, min(m.now+m.options.period()/2, planeState.nextSend+quarter))
 }
--- a/internal/zonestate/codec.go
+++ b/internal/zonestate/codec.go
@@ -68,16 +68,16 @@
 	return b
 }
 
-func appendRow(b []byte, r Row) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(r.ZoneID))
-	b = append(b, r.Plane<<planeShift|r.Page)
-	b = binary.BigEndian.AppendUint64(b, r.Author.ID)
-	b = binary.BigEndian.AppendUint32(b, r.Author.Incarnation)
-	b = binary.BigEndian.AppendUint32(b, r.Seq)
-	b = appendAge(b, r.Age)
-	b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, r.PartCount), maxPartCount)))
-	b = append(b, byte(len(r.Entries)))
-	for _, e := range r.Entries {
+func appendRow(b []byte, row Row) []byte {
+	b = binary.BigEndian.AppendUint32(b, uint32(row.ZoneID))
+	b = append(b, row.Plane<<planeShift|row.Page)
+	b = binary.BigEndian.AppendUint64(b, row.Author.ID)
+	b = binary.BigEndian.AppendUint32(b, row.Author.Incarnation)
+	b = binary.BigEndian.AppendUint32(b, row.Seq)
+	b = appendAge(b, row.Age)
+	b = binary.BigEndian.AppendUint16(b, uint16(min(max(0, row.PartCount), maxPartCount)))
+	b = append(b, byte(len(row.Entries)))
+	for _, e := range row.Entries {
 		b = append(b, byte(e.Kind))
 		b = binary.BigEndian.AppendUint32(b, uint32(e.Subject))
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(e.Value)))
@@ -124,8 +124,8 @@
 }
 
 // parseRow decodes a row at the start of b, which must have at least rowSize bytes, and returns the remaining bytes.
-func parseRow(b []byte) (r Row, left []byte, err error) {
-	r = Row{
+func parseRow(b []byte) (row Row, left []byte, err error) {
+	row = Row{
 		ZoneID:    ZoneID(binary.BigEndian.Uint32(b)),
 		Plane:     b[4] >> planeShift,
 		Page:      b[4] & pageBits,
@@ -136,18 +136,18 @@
 	}
 	n := int(b[26])
 	left = b[rowSize:]
-	if r.Plane >= planes || r.Page >= pages || r.Author.ID == 0 || n > MaxEntries || len(left) < n*entrySize {
-		return Row{}, nil, fmt.Errorf("%w: row with plane %d, page %d, author %d, %d entries", ErrMalformed, r.Plane, r.Page, r.Author.ID, n)
+	if row.Plane >= planes || row.Page >= pages || row.Author.ID == 0 || n > MaxEntries || len(left) < n*entrySize {
+		return Row{}, nil, fmt.Errorf("%w: row with plane %d, page %d, author %d, %d entries", ErrMalformed, row.Plane, row.Page, row.Author.ID, n)
 	}
 	for range n {
 		e := parseEntry(left)
-		if math.IsNaN(e.Value) || math.IsInf(e.Value, 0) || e.Kind.page() != r.Page {
-			return Row{}, nil, fmt.Errorf("%w: entry with kind %d and value %v on page %d", ErrMalformed, e.Kind, e.Value, r.Page)
+		if math.IsNaN(e.Value) || math.IsInf(e.Value, 0) || e.Kind.page() != row.Page {
+			return Row{}, nil, fmt.Errorf("%w: entry with kind %d and value %v on page %d", ErrMalformed, e.Kind, e.Value, row.Page)
 		}
-		r.Entries = append(r.Entries, e)
+		row.Entries = append(row.Entries, e)
 		left = left[entrySize:]
 	}
-	return r, left, nil
+	return row, left, nil
 }
 
 func parseEntry(b []byte) Entry {
--- a/internal/zonestate/codec_test.go
+++ b/internal/zonestate/codec_test.go
@@ -41,7 +41,7 @@
 		m, err := Parse(b)
 		if err != nil {
 			if !reflect.DeepEqual(m, Message{}) {
-				t.Errorf("Parse returned error %v and a non-zero message %+v", err, m)
+				t.Error("Parse returned an error together with a non-zero message")
 			}
 			return
 		}
@@ -63,6 +63,6 @@
 	b := Append(nil, m)
 	got, err := Parse(b)
 	if err != nil || len(b) > MaxMessage || got.Rows[0].Age != 2*ms || math.Abs(got.Rows[0].Entries[3].Value-1000.0/3) > 0.0001 {
-		t.Errorf("message of %d bytes: Parse = %+v, %v", len(b), got, err)
+		t.Errorf("message of %d bytes: Parse error %v, message %+v", len(b), err, got)
 	}
 }
--- a/internal/zonestate/combine.go
+++ b/internal/zonestate/combine.go
@@ -7,8 +7,8 @@
 )
 
 // combine aggregates lists of entries, using the operation of each kind. It returns at most MaxEntries entries, ordered by kind
-// and subject, and the number of entries that it dropped: sums before maxima and maxima before minima, of
-// each operation the higher kinds first, and of each kind the lowest absolute values.
+// and subject, and the number of entries that it dropped. It drops sums before maxima and maxima before minima, within an
+// operation the highest kinds first, and within a kind the lowest absolute values.
 func combine(lists ...[]Entry) (out []Entry, dropped int) {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, compareSubjects)
--- a/internal/zonestate/forward.go
+++ b/internal/zonestate/forward.go
@@ -47,10 +47,10 @@
 		if len(ofPlane) == 0 {
 			continue
 		}
-		t, i := m.position(plane)
-		neighbours := t.children(i, m.options.Fanout, m.bypassed)
-		if parent, ok := t.parent(i, m.options.Fanout, m.bypassed); ok {
-			neighbours = append(neighbours, t[parent])
+		tree, i := m.position(plane)
+		neighbours := tree.children(i, m.options.Fanout, m.bypassed)
+		if parent, ok := tree.parent(i, m.options.Fanout, m.bypassed); ok {
+			neighbours = append(neighbours, tree[parent])
 		}
 		for _, neighbour := range neighbours {
 			if neighbour.ID == from {
@@ -96,15 +96,15 @@
 // receiveRows merges rows and forwards the new ones. fromTree reports whether they arrived as a RowUpdate rather than a Reply.
 func (m *Machine) receiveRows(from Peer, rows []Row, delay time.Duration, fromTree bool) {
 	var newRows []Row
-	for _, r := range rows {
-		if !m.mergeRow(r, delay) {
+	for _, row := range rows {
+		if !m.mergeRow(row, delay) {
 			continue
 		}
-		r.Age += delay
-		newRows = append(newRows, r)
-		if fromTree && r.ZoneID == m.self.ZoneID && r.Page == 0 {
-			m.alignToRoot(r.Plane)
-			m.detectLoss(r)
+		row.Age += delay
+		newRows = append(newRows, row)
+		if fromTree && row.ZoneID == m.self.ZoneID && row.Page == 0 {
+			m.alignToRoot(row.Plane)
+			m.detectLoss(row)
 		}
 	}
 	if len(newRows) == 0 {
@@ -115,34 +115,34 @@
 		return // the author of a row already sent it to all roots
 	}
 	for plane := range uint8(planes) {
-		if t, i := m.position(plane); i == t.root(m.bypassed) {
+		if tree, i := m.position(plane); i == tree.root(m.bypassed) {
 			m.forwardToZones(plane, newRows, zonesPerUpdate)
 		}
 	}
 }
 
 // mergeRow stores a row whose network delay was at most delay. It reports whether the row is new and was not dropped.
-func (m *Machine) mergeRow(r Row, delay time.Duration) bool {
-	author, known := m.view.peers[r.Author.ID]
-	if !known || author.ZoneID != r.ZoneID || r.Author.ID == m.self.ID {
+func (m *Machine) mergeRow(row Row, delay time.Duration) bool {
+	author, known := m.view.peers[row.Author.ID]
+	if !known || author.ZoneID != row.ZoneID || row.Author.ID == m.self.ID {
 		m.Dropped.Foreign++
 		return false
 	}
-	if r.PartCount > maxParts(m.view.trees[r.ZoneID][0]) {
+	if row.PartCount > maxParts(m.view.trees[row.ZoneID][0]) {
 		m.Dropped.TooManyParts++
 		return false
 	}
-	if r.Age+delay > m.options.maxRowAge() {
+	if row.Age+delay > m.options.maxRowAge() {
 		m.Dropped.Expired++
 		return false
 	}
-	if !m.store.put(r, m.now-r.Age-delay) {
+	if !m.store.put(row, m.now-row.Age-delay) {
 		return false
 	}
-	if l := m.links[r.Author.ID]; l != nil {
-		l.lastHeard = m.now
-	} else if r.ZoneID == m.self.ZoneID {
-		m.links[r.Author.ID] = &link{lastHeard: m.now}
+	if authorLink := m.links[row.Author.ID]; authorLink != nil {
+		authorLink.lastHeard = m.now
+	} else if row.ZoneID == m.self.ZoneID {
+		m.links[row.Author.ID] = &link{lastHeard: m.now}
 	}
 	return true
 }
--- a/internal/zonestate/hop.go
+++ b/internal/zonestate/hop.go
@@ -28,14 +28,14 @@
 // stampToken sets the token of a message, and echoes the last token from the receiver.
 func (m *Machine) stampToken(to uint64, msg *Message) {
 	msg.Token = m.token(m.now)
-	l := m.links[to]
-	if l == nil || l.peerToken == 0 {
+	peerLink := m.links[to]
+	if peerLink == nil || peerLink.peerToken == 0 {
 		return
 	}
 	// Rounding down makes the receiver overestimate the delay, which keeps it an upper bound.
-	held := (m.now - l.tokenReceivedAt) / time.Millisecond
+	held := (m.now - peerLink.tokenReceivedAt) / time.Millisecond
 	if held < maxHeldMillis {
-		msg.Echo = l.peerToken
+		msg.Echo = peerLink.peerToken
 		msg.HeldMillis = uint16(held)
 	}
 }
--- a/internal/zonestate/machine.go
+++ b/internal/zonestate/machine.go
@@ -132,14 +132,14 @@
 		m.Dropped.Foreign += len(msg.Rows)
 		return nil
 	}
-	l := m.links[msg.From]
-	if l == nil {
-		l = &link{}
-		m.links[msg.From] = l
+	senderLink := m.links[msg.From]
+	if senderLink == nil {
+		senderLink = &link{}
+		m.links[msg.From] = senderLink
 	}
-	l.peerToken = msg.Token
-	l.tokenReceivedAt = m.now
-	l.lastHeard = m.now
+	senderLink.peerToken = msg.Token
+	senderLink.tokenReceivedAt = m.now
+	senderLink.lastHeard = m.now
 	delay, bounded := m.hopDelay(msg)
 	if !bounded {
 		m.Dropped.Unbounded += len(msg.Rows)
--- a/internal/zonestate/read.go
+++ b/internal/zonestate/read.go
@@ -120,31 +120,31 @@
 }
 
 // Read returns the value of a kind and subject in a zone. The value can be of any age; callers must check Freshness.
-func (m *Machine) Read(now time.Duration, zone ZoneID, k Kind, s Subject) Value {
+func (m *Machine) Read(now time.Duration, zone ZoneID, kind Kind, subject Subject) Value {
 	m.now = max(m.now, now)
 	m.updateFreshness()
-	v := Value{Zone: m.zone(zone)}
-	best, found := m.store.best(m.now, zone, k.page(), m.options.FreshAge)
+	value := Value{Zone: m.zone(zone)}
+	best, found := m.store.best(m.now, zone, kind.page(), m.options.FreshAge)
 	if !found {
-		return Value{Zone: Zone{ID: zone, ActiveNodes: v.ActiveNodes}}
+		return Value{Zone: Zone{ID: zone, ActiveNodes: value.ActiveNodes}}
 	}
-	v.Age = max(v.Age, m.now-best.madeAt)
-	v.PartCount = best.PartCount
-	if v.Age > m.options.FreshAge {
-		v.Freshness = min(v.Freshness, Stale)
+	value.Age = max(value.Age, m.now-best.madeAt)
+	value.PartCount = best.PartCount
+	if value.Age > m.options.FreshAge {
+		value.Freshness = min(value.Freshness, Stale)
 	}
 	for _, e := range best.Entries {
-		if e.Kind == k && e.Subject == s {
-			v.Amount = e.Value
+		if e.Kind == kind && e.Subject == subject {
+			value.Amount = e.Value
 		}
 	}
-	return v
+	return value
 }
 
 // Row returns the best row of a zone on the page of a kind, and reports whether there is one.
-func (m *Machine) Row(now time.Duration, zone ZoneID, k Kind) (Row, bool) {
+func (m *Machine) Row(now time.Duration, zone ZoneID, kind Kind) (Row, bool) {
 	m.now = max(m.now, now)
-	best, found := m.store.best(m.now, zone, k.page(), m.options.FreshAge)
+	best, found := m.store.best(m.now, zone, kind.page(), m.options.FreshAge)
 	return best.row(m.now), found
 }
 
--- a/internal/zonestate/state.go
+++ b/internal/zonestate/state.go
@@ -11,26 +11,26 @@
 
 // Clone returns a copy that shares only immutable data with m. Model checks continue a run from it in several ways.
 func (m *Machine) Clone() *Machine {
-	c := *m
-	c.packets = nil
-	c.zones = map[ZoneID]*zoneFreshness{}
-	c.links = map[uint64]*link{}
+	clone := *m
+	clone.packets = nil
+	clone.zones = map[ZoneID]*zoneFreshness{}
+	clone.links = map[uint64]*link{}
 	for k, z := range m.zones {
 		copied := *z
-		c.zones[k] = &copied
+		clone.zones[k] = &copied
 	}
 	for k, l := range m.links {
 		copied := *l
-		c.links[k] = &copied
+		clone.links[k] = &copied
 	}
-	c.store.rows = map[pageKey][]storedRow{}
+	clone.store.rows = map[pageKey][]storedRow{}
 	for k, list := range m.store.rows {
-		c.store.rows[k] = slices.Clone(list) // entries of rows and parts are immutable
+		clone.store.rows[k] = slices.Clone(list) // entries of rows and parts are immutable
 	}
-	for i := range c.planes {
-		c.planes[i].parts = maps.Clone(m.planes[i].parts)
+	for i := range clone.planes {
+		clone.planes[i].parts = maps.Clone(m.planes[i].parts)
 	}
-	return &c
+	return &clone
 }
 
 // Fingerprint returns a string that identifies the state: two machines with the same fingerprint and view behave identically
--- a/internal/zonestate/store.go
+++ b/internal/zonestate/store.go
@@ -34,12 +34,12 @@
 }
 
 // put merges a row, and reports whether it is stored as the first one of its author or supersedes an earlier one.
-func (s *store) put(r Row, madeAt time.Duration) bool {
-	k := pageKey{r.ZoneID, r.Plane, r.Page}
-	list := s.rows[k]
-	i, known := slices.BinarySearchFunc(list, r.Author.ID, func(h storedRow, id uint64) int { return cmp.Compare(h.Author.ID, id) })
+func (s *store) put(row Row, madeAt time.Duration) bool {
+	key := pageKey{row.ZoneID, row.Plane, row.Page}
+	list := s.rows[key]
+	i, known := slices.BinarySearchFunc(list, row.Author.ID, func(h storedRow, id uint64) int { return cmp.Compare(h.Author.ID, id) })
 	if known {
-		return list[i].merge(r, madeAt)
+		return list[i].merge(row, madeAt)
 	}
 	if len(list) >= maxAuthors {
 		oldest := oldestRow(list)
@@ -51,7 +51,7 @@
 			i--
 		}
 	}
-	s.rows[k] = slices.Insert(list, i, storedRow{r, madeAt})
+	s.rows[key] = slices.Insert(list, i, storedRow{row, madeAt})
 	return true
 }
 
@@ -97,9 +97,9 @@
 // youngest row if none is fresh.
 func (s *store) best(now time.Duration, zone ZoneID, page uint8, fresh time.Duration) (best storedRow, found bool) {
 	for plane := range uint8(planes) {
-		for _, h := range s.rows[pageKey{zone, plane, page}] {
-			if !found || h.betterThan(best, now, fresh) {
-				best = h
+		for _, candidate := range s.rows[pageKey{zone, plane, page}] {
+			if !found || candidate.betterThan(best, now, fresh) {
+				best = candidate
 				found = true
 			}
 		}
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -23,7 +23,7 @@
 // rank returns the sort key of a node in the tree of a plane, a hash of its ID.
 func rank(id uint64, plane uint8) uint64 { return splitmix.Mix(id ^ uint64(plane+1)*splitmix.Golden) }
 
-// tree holds the nodes of a zone ordered by their rank in a plane. As in a heap, the first child of node i is at index i*fan+1.
+// tree holds the nodes of a zone ordered by their rank in a plane. As in a heap, the first child of node i is at index i*fanout+1.
 type tree []Peer
 
 func newTree(nodes []Peer, plane uint8) tree {
@@ -40,9 +40,9 @@
 }
 
 // level returns the distance of node i from the root.
-func level(i, fan int) int {
+func level(i, fanout int) int {
 	n := 0
-	for ; i > 0; i = (i - 1) / fan {
+	for ; i > 0; i = (i - 1) / fanout {
 		n++
 	}
 	return n
@@ -62,13 +62,13 @@
 }
 
 // parent returns the index of the node to which node i sends its parts, or false if node i is the root.
-func (t tree) parent(i, fan int, bypassed func(Peer) bool) (int, bool) {
+func (t tree) parent(i, fanout int, bypassed func(Peer) bool) (int, bool) {
 	root := t.root(bypassed)
 	if i == root {
 		return 0, false
 	}
 	for i > 0 {
-		i = (i - 1) / fan
+		i = (i - 1) / fanout
 		if !bypassed(t[i]) {
 			return i, true
 		}
@@ -77,12 +77,12 @@
 }
 
 // children returns the nodes whose parts node i aggregates: its children, with bypassed ones replaced by their own children.
-func (t tree) children(i, fan int, bypassed func(Peer) bool) []Peer {
+func (t tree) children(i, fanout int, bypassed func(Peer) bool) []Peer {
 	var out []Peer
 	var addBelow func(int)
 	addBelow = func(at int) {
-		first := at*fan + 1
-		for c := first; c < first+fan && c < len(t) && len(out) < maxChildren; c++ {
+		first := at*fanout + 1
+		for c := first; c < first+fanout && c < len(t) && len(out) < maxChildren; c++ {
 			switch {
 			case c == i:
 			case bypassed(t[c]):
--- a/internal/zonestate/view.go
+++ b/internal/zonestate/view.go
@@ -18,44 +18,44 @@
 
 // NewView returns the view of all nodes known to the membership, which must include the node itself.
 func NewView(all []Peer) *View {
-	v := &View{peers: make(map[uint64]Peer, len(all)), trees: map[ZoneID]*[planes]tree{}}
+	view := &View{peers: make(map[uint64]Peer, len(all)), trees: map[ZoneID]*[planes]tree{}}
 	byZone := map[ZoneID][]Peer{}
-	for _, p := range all {
-		v.peers[p.ID] = p
-		nodes := byZone[p.ZoneID]
-		if !p.Inactive {
-			nodes = append(nodes, p)
-			v.active = append(v.active, p)
+	for _, peer := range all {
+		view.peers[peer.ID] = peer
+		nodes := byZone[peer.ZoneID]
+		if !peer.Inactive {
+			nodes = append(nodes, peer)
+			view.active = append(view.active, peer)
 		}
-		byZone[p.ZoneID] = nodes // keep zones without active nodes
+		byZone[peer.ZoneID] = nodes // keep zones without active nodes
 	}
-	slices.SortFunc(v.active, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(view.active, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	for zone, nodes := range byZone {
-		v.trees[zone] = new([planes]tree)
+		view.trees[zone] = new([planes]tree)
 		for plane := range uint8(planes) {
-			v.trees[zone][plane] = newTree(nodes, plane)
+			view.trees[zone][plane] = newTree(nodes, plane)
 		}
 	}
-	return v
+	return view
 }
 
 // SetView sets the view, in which the node itself must be active. It drops the freshness of zones and the links to nodes that
 // are not in the view.
-func (m *Machine) SetView(now time.Duration, v *View) {
+func (m *Machine) SetView(now time.Duration, view *View) {
 	m.now = max(m.now, now)
-	m.view = v
-	for zone := range v.trees {
+	m.view = view
+	for zone := range view.trees {
 		if m.zones[zone] == nil {
 			m.zones[zone] = &zoneFreshness{since: m.now}
 		}
 	}
 	for zone := range m.zones {
-		if v.trees[zone] == nil {
+		if view.trees[zone] == nil {
 			delete(m.zones, zone)
 		}
 	}
 	for id := range m.links {
-		if _, known := v.peers[id]; !known {
+		if _, known := view.peers[id]; !known {
 			delete(m.links, id)
 		}
 	}
@@ -63,8 +63,8 @@
 
 // position returns the tree of this node's zone in a plane, and the index of this node in it.
 func (m *Machine) position(plane uint8) (tree, int) {
-	t := m.view.trees[m.self.ZoneID][plane]
-	return t, t.index(m.self.ID)
+	tree := m.view.trees[m.self.ZoneID][plane]
+	return tree, tree.index(m.self.ID)
 }
 
 // bypassed reports whether a node is skipped in the trees: the membership suspects it, and this node has received no message
@@ -73,6 +73,6 @@
 	if !p.Suspect || p.ID == m.self.ID {
 		return false
 	}
-	l := m.links[p.ID]
-	return l == nil || m.now-l.lastHeard > bypassAfterPeriods*m.options.period()
+	peerLink := m.links[p.ID]
+	return peerLink == nil || m.now-peerLink.lastHeard > bypassAfterPeriods*m.options.period()
 }
--- a/internal/zonestate/zonestate_test.go
+++ b/internal/zonestate/zonestate_test.go
@@ -189,7 +189,7 @@
 func TestEachNodeHasOneParent(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(r, "nodes")
-		fan := rapid.IntRange(1, 9).Draw(r, "fan")
+		fanout := rapid.IntRange(1, 9).Draw(r, "fan")
 		bypassedNodes := rapid.SliceOfN(rapid.Bool(), n, n).Draw(r, "bypassed")
 		var nodes []Peer
 		for i := range n {
@@ -202,20 +202,20 @@
 			if bypassed(p) {
 				continue
 			}
-			children := nodeTree.children(i, fan, bypassed)
+			children := nodeTree.children(i, fanout, bypassed)
 			if len(children) > maxChildren {
-				r.Fatalf("node %d has %d children, more than %d", p.ID, len(children), maxChildren)
+				r.Fatalf("node has %d children, more than maxChildren", len(children))
 			}
 			for _, c := range children {
 				childOf[c.ID]++
-				parent, hasParent := nodeTree.parent(nodeTree.index(c.ID), fan, bypassed)
+				parent, hasParent := nodeTree.parent(nodeTree.index(c.ID), fanout, bypassed)
 				if !hasParent || nodeTree[parent].ID != p.ID || bypassed(c) {
 					r.Fatalf("node %d has the child %d, whose parent is %d, %v", p.ID, c.ID, nodeTree[parent].ID, hasParent)
 				}
 			}
 		}
 		for i, p := range nodeTree {
-			if _, hasParent := nodeTree.parent(i, fan, bypassed); !bypassed(p) && hasParent && childOf[p.ID] != 1 && n <= maxChildren {
+			if _, hasParent := nodeTree.parent(i, fanout, bypassed); !bypassed(p) && hasParent && childOf[p.ID] != 1 && n <= maxChildren {
 				r.Fatalf("node %d is a child of %d nodes", p.ID, childOf[p.ID])
 			}
 		}
