--- a/internal/membership/dissemination.go
+++ b/internal/membership/dissemination.go
@@ -25,7 +25,7 @@
 // updateList collects updates within a size limit.
 type updateList struct {
 	updates   []Update
-	bytesLeft int // remaining bytes
+	bytesLeft int
 }
 
 // add appends an update if it fits, and reports whether it does.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -15,9 +15,10 @@
 //     all other members eventually consider it alive.
 //   - A stopped member is suspected by the next member whose direct and indirect probes of it fail. All members consider it
 //     dead at most MaxSuspicion later, plus the time that an update takes to spread.
-//   - Apart from replies, a node sends at most 1 + IndirectProbes pings per probe interval for its probes, and at most
-//     maxGossipMessages more while many updates are pending, regardless of the number of members. The updates of a message
-//     take at most MaxUpdateBytes.
+//   - The number of messages that a node sends on its own does not depend on the number of members. Per probe interval it
+//     sends at most two pings and IndirectProbes ping requests for its probe, one ping to an unreachable member or seed, one
+//     Pull, and maxGossipMessages pings while many updates are pending. Replies, pings on behalf of other members and final
+//     pings are additional. The updates of a message take at most MaxUpdateBytes.
 package membership
 
 import (
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -53,7 +53,7 @@
 	case !inRange(float64(o.RetransmitFactor)) || !inRange(float64(o.OwnZoneProbes)):
 		return fmt.Errorf("membership: retransmit factor %d or own-zone probes %d out of range 1 to %d", o.RetransmitFactor, o.OwnZoneProbes, maxFactor)
 	case o.ForgetAfter < o.MaxSuspicion(2):
-		return fmt.Errorf("membership: forget interval %v is shorter than the longest suspicion %v", o.ForgetAfter, o.MaxSuspicion(2))
+		return fmt.Errorf("membership: forget interval %v is shorter than the maximum suspicion between two members, %v", o.ForgetAfter, o.MaxSuspicion(2))
 	}
 	return nil
 }
