--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -9,27 +9,28 @@
 	"net/netip"
 )
 
-// MaxDatagram is how many bytes a datagram may have: the platform's channel between nodes carries no more (PROTOCOL, Between
-// nodes).
+// MaxDatagram is the maximum size of a datagram in bytes, which is the limit of the platform's channel between nodes
+// (PROTOCOL, Between nodes).
 const MaxDatagram = 256
 
-// A datagram is version, kind, from, seq, about, sum (big endian), for a Pull the sums, the updates, and the tag.
+// A datagram consists of version, kind, from, seq, member ID and digest (big endian), the bucket digests if it is a Pull, the
+// updates, and the authentication tag.
 const (
 	version    = 2
 	headSize   = 1 + 1 + 8 + 4 + 8 + 8
 	digestSize = 4
-	tagSize    = 12 // of HMAC-SHA-256, truncated
+	tagSize    = 12 // HMAC-SHA-256, truncated
 	ip4Size    = 4
 	ip16Size   = 16
 )
 
-// updateSize returns how many bytes an update takes: id, incarnation, status and flags, suspector, and the peer.
-func updateSize(u Update) int {
+// updateSize returns the encoded size of an update in bytes: ID, incarnation, status and flags, suspector, and peer.
+func updateSize(update Update) int {
 	n := 8 + 4 + 1
-	if u.Status == Suspect {
+	if update.Status == Suspect {
 		n += 8
 	}
-	if p := u.Peer; p != nil {
+	if p := update.Peer; p != nil {
 		n += 1 + len(p.Name)
 		n += 1 + len(p.Region)
 		n += 1 + len(p.Zone)
@@ -46,24 +47,24 @@
 	return ip16Size
 }
 
-// Bits beside the status in an update's byte.
+// Bits of the status byte of an update.
 const (
-	statusBits = 0x03
-	peerBit    = 0x04
-	listensBit = 0x08
+	statusBits    = 0x03
+	peerBit       = 0x04
+	listenOnlyBit = 0x08
 )
 
-// Encode returns a message as a datagram with the tag of a key. It is no longer than MaxDatagram if the updates are within
-// MaxBytes.
+// Encode encodes a message as a datagram authenticated with key. The datagram does not exceed MaxDatagram if the updates do
+// not exceed MaxUpdateBytes.
 func Encode(m Message, key []byte) []byte {
 	b := make([]byte, 0, MaxDatagram)
 	b = append(b, version, byte(m.Kind))
 	b = binary.BigEndian.AppendUint64(b, uint64(m.From))
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
-	b = binary.BigEndian.AppendUint64(b, uint64(m.About))
+	b = binary.BigEndian.AppendUint64(b, uint64(m.MemberID))
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
-	for _, s := range m.Digests {
-		b = binary.BigEndian.AppendUint32(b, s)
+	for _, digest := range m.BucketDigests {
+		b = binary.BigEndian.AppendUint32(b, digest)
 	}
 	for _, u := range m.Updates {
 		b = appendUpdate(b, u)
@@ -71,23 +72,23 @@
 	return Seal(b, key)
 }
 
-func appendUpdate(b []byte, u Update) []byte {
-	b = binary.BigEndian.AppendUint64(b, uint64(u.ID))
-	b = binary.BigEndian.AppendUint32(b, u.Incarnation)
-	flags := byte(u.Status)
-	if u.Peer != nil {
+func appendUpdate(b []byte, update Update) []byte {
+	b = binary.BigEndian.AppendUint64(b, uint64(update.ID))
+	b = binary.BigEndian.AppendUint32(b, update.Incarnation)
+	flags := byte(update.Status)
+	if update.Peer != nil {
 		flags |= peerBit
-		if u.Peer.Listens {
-			flags |= listensBit
+		if update.Peer.ListenOnly {
+			flags |= listenOnlyBit
 		}
 	}
 	b = append(b, flags)
-	if u.Status == Suspect {
-		b = binary.BigEndian.AppendUint64(b, uint64(u.By))
+	if update.Status == Suspect {
+		b = binary.BigEndian.AppendUint64(b, uint64(update.Suspector))
 	}
-	if u.Peer != nil {
-		b = appendPeer(b, u.Peer)
-		b = binary.BigEndian.AppendUint32(b, u.PeerIncarnation)
+	if update.Peer != nil {
+		b = appendPeer(b, update.Peer)
+		b = binary.BigEndian.AppendUint32(b, update.PeerIncarnation)
 	}
 	return b
 }
@@ -105,10 +106,10 @@
 	return append(b, s...)
 }
 
-// Seal appends the tag of a key to the body of a datagram.
+// Seal appends the authentication tag for key to the body of a datagram.
 func Seal(b, key []byte) []byte { return append(b, tag(b, key)...) }
 
-// Unseal returns the body of a datagram without its tag; false: the tag is of another key.
+// Unseal returns the body of a datagram without its tag and reports whether the tag is valid for key.
 func Unseal(b, key []byte) (body []byte, ok bool) {
 	if len(b) < tagSize {
 		return nil, false
@@ -123,21 +124,21 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// MaxIncarnation is the last incarnation of a member. An update with a later one is malformed, so that no update can make
-// a member unable to refute it.
+// MaxIncarnation is the highest incarnation of a member. Updates with a higher one are malformed: a member has to be able to
+// refute an update by a later incarnation, which must not overflow.
 const MaxIncarnation = 1<<31 - 1
 
-// Errors of a datagram. Nothing of one that has an error is used.
+// Errors returned by Decode. A datagram with an error is discarded completely.
 var (
-	// ErrKey: the tag is of another key, so the datagram comes from another cluster or from none.
-	ErrKey = errors.New("membership: the tag is of another key")
-	// ErrVersion: the sender speaks another version of the protocol.
-	ErrVersion = errors.New("membership: another version")
-	// ErrMalformed: the datagram has the right tag and breaks the format.
-	ErrMalformed = errors.New("membership: malformed")
+	// ErrKey means that the tag is not valid for the key: the sender belongs to another cluster or to none.
+	ErrKey = errors.New("membership: datagram tag does not match the key")
+	// ErrVersion means that the sender uses another version of the protocol.
+	ErrVersion = errors.New("membership: unsupported protocol version")
+	// ErrMalformed means that the size or the format of the datagram is invalid.
+	ErrMalformed = errors.New("membership: malformed datagram")
 )
 
-// Decode reads a datagram and checks its tag with a key. Its errors are ErrKey, ErrVersion and ErrMalformed.
+// Decode decodes a datagram and verifies its tag with key. Its errors wrap ErrKey, ErrVersion or ErrMalformed.
 func Decode(b, key []byte) (Message, error) {
 	if len(b) < headSize+tagSize || len(b) > MaxDatagram {
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
@@ -146,48 +147,48 @@
 	if !ok {
 		return Message{}, ErrKey
 	}
-	r := &reader{left: body}
+	r := &reader{rest: body}
 	if v := r.byte(); v != version {
 		return Message{}, fmt.Errorf("%w: %d", ErrVersion, v)
 	}
 	m := Message{
-		Kind:   Kind(r.byte()),
-		From:   ID(r.uint64()),
-		Seq:    r.uint32(),
-		About:  ID(r.uint64()),
-		Digest: r.uint64(),
+		Kind:     Kind(r.byte()),
+		From:     ID(r.uint64()),
+		Seq:      r.uint32(),
+		MemberID: ID(r.uint64()),
+		Digest:   r.uint64(),
 	}
 	if m.Kind < Ping || m.Kind > Page {
 		return Message{}, fmt.Errorf("%w: kind %d", ErrMalformed, m.Kind)
 	}
 	if m.Kind == Pull {
 		for range Buckets {
-			m.Digests = append(m.Digests, r.uint32())
+			m.BucketDigests = append(m.BucketDigests, r.uint32())
 		}
 	}
-	for len(r.left) > 0 && !r.bad {
+	for len(r.rest) > 0 && !r.malformed {
 		m.Updates = append(m.Updates, r.update())
 	}
-	if r.bad || m.From == 0 {
-		return Message{}, fmt.Errorf("%w: an update is truncated, too long or without a valid ID", ErrMalformed)
+	if r.malformed || m.From == 0 {
+		return Message{}, fmt.Errorf("%w: an update is truncated or has a field out of range, or the sender ID is zero", ErrMalformed)
 	}
 	return m, nil
 }
 
-// reader reads the body of a datagram from its front.
+// reader reads the fields of a datagram body in order.
 type reader struct {
-	left []byte
-	bad  bool // the body is malformed; what is read after that is zero or of no use
+	rest      []byte
+	malformed bool // set on the first error; values read afterwards are meaningless
 }
 
-// take returns the next n bytes, or zeros if there are fewer.
+// take returns the next n bytes, or n zero bytes if fewer remain.
 func (r *reader) take(n int) []byte {
-	if r.bad || n > len(r.left) {
-		r.bad = true
+	if r.malformed || n > len(r.rest) {
+		r.malformed = true
 		return make([]byte, n)
 	}
-	out := r.left[:n]
-	r.left = r.left[n:]
+	out := r.rest[:n]
+	r.rest = r.rest[n:]
 	return out
 }
 
@@ -199,50 +200,50 @@
 
 func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
-// text reads a string with its length before it, of maxBytes at most.
+// text reads a length-prefixed string of at most maxBytes bytes.
 func (r *reader) text(maxBytes int) string {
 	n := int(r.byte())
 	if n > maxBytes {
-		r.bad = true
+		r.malformed = true
 		return ""
 	}
 	return string(r.take(n))
 }
 
 func (r *reader) update() Update {
-	u := Update{ID: ID(r.uint64()), Incarnation: r.uint32()}
+	update := Update{ID: ID(r.uint64()), Incarnation: r.uint32()}
 	flags := r.byte()
-	u.Status = Status(flags & statusBits)
-	if u.Status == Suspect {
-		u.By = ID(r.uint64())
+	update.Status = Status(flags & statusBits)
+	if update.Status == Suspect {
+		update.Suspector = ID(r.uint64())
 	}
-	if u.Incarnation > MaxIncarnation {
-		r.bad = true
+	if update.Incarnation > MaxIncarnation {
+		r.malformed = true
 	}
 	if flags&peerBit == 0 {
-		if u.ID == 0 || flags&^statusBits != 0 {
-			r.bad = true
+		if update.ID == 0 || flags&^statusBits != 0 {
+			r.malformed = true
 		}
-		return u
+		return update
 	}
-	u.Peer = r.peer()
-	u.Peer.Listens = flags&listensBit != 0
-	u.PeerIncarnation = r.uint32()
-	if u.PeerIncarnation > u.Incarnation || flags&^(statusBits|peerBit|listensBit) != 0 {
-		r.bad = true
+	update.Peer = r.peer()
+	update.Peer.ListenOnly = flags&listenOnlyBit != 0
+	update.PeerIncarnation = r.uint32()
+	if update.PeerIncarnation > update.Incarnation || flags&^(statusBits|peerBit|listenOnlyBit) != 0 {
+		r.malformed = true
 	}
-	// The ID must be of the name, so that no peer can announce one member as another.
-	if u.Peer.Name == "" || IDOf(u.Peer.Name) != u.ID {
-		r.bad = true
+	// The ID must match the name, so that a peer cannot announce one member under the ID of another.
+	if update.Peer.Name == "" || IDOf(update.Peer.Name) != update.ID {
+		r.malformed = true
 	}
-	return u
+	return update
 }
 
 func (r *reader) peer() *Peer {
-	p := &Peer{Name: r.text(MaxName), Region: r.text(MaxPlace), Zone: r.text(MaxPlace)}
+	p := &Peer{Name: r.text(MaxName), Region: r.text(MaxZoneName), Zone: r.text(MaxZoneName)}
 	addr, ok := netip.AddrFromSlice([]byte(r.text(ip16Size)))
 	if !ok {
-		r.bad = true
+		r.malformed = true
 	}
 	p.Addr = netip.AddrPortFrom(addr, r.uint16())
 	return p
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -4,124 +4,126 @@
 
 // mergeAll merges the updates of a message.
 func (m *Machine) mergeAll(msg Message) {
-	for _, u := range msg.Updates {
-		m.merge(u, u.ID == msg.From)
-		// A sender that spreads what is superseded gets what this node holds with the answer, if there is one.
-		if k := m.get(u.ID); k != nil && u.Status != Alive && u.Incarnation < k.incarnation {
-			m.outdated = append(m.outdated, u.ID)
+	for _, update := range msg.Updates {
+		m.merge(update, update.ID == msg.From)
+		// If the sender spreads a superseded update, the reply to it, if any, carries the current one.
+		if member := m.get(update.ID); member != nil && update.Status != Alive && update.Incarnation < member.incarnation {
+			m.outdated = append(m.outdated, update.ID)
 		}
 	}
 }
 
-// merge merges an update. fromSubject says that its sender is the member that it is about, which knows its own address best.
-func (m *Machine) merge(u Update, fromSubject bool) {
-	if u.ID == m.id {
-		m.refute(u)
+// merge merges an update. fromSubject reports whether the sender is the member that the update is about, which is the
+// authority on its own address.
+func (m *Machine) merge(update Update, fromSubject bool) {
+	if update.ID == m.id {
+		m.refute(update)
 		return
 	}
-	k := m.get(u.ID)
-	if k == nil {
-		m.addMember(u)
+	member := m.get(update.ID)
+	if member == nil {
+		m.addMember(update)
 		return
 	}
-	m.mergePeer(k, u, fromSubject)
-	m.mergeStatus(k, u)
+	m.mergePeer(member, update, fromSubject)
+	m.mergeStatus(member, update)
 }
 
-// refute answers an update about this node itself: one that supersedes what it says of itself is followed by a later
+// refute handles an update about this node itself. If the update would supersede the node's own, refute advances the
 // incarnation.
-func (m *Machine) refute(u Update) {
-	accused := u.Status != Alive
+func (m *Machine) refute(update Update) {
+	notAlive := update.Status != Alive
 	switch {
-	case u.Incarnation < MaxIncarnation && (u.Incarnation > m.incarnation || u.Incarnation == m.incarnation && accused):
-		if u.Incarnation > m.incarnation {
+	case update.Incarnation < MaxIncarnation && (update.Incarnation > m.incarnation || update.Incarnation == m.incarnation && notAlive):
+		if update.Incarnation > m.incarnation {
 			m.NameConflicts++
 		}
-		m.incarnation = u.Incarnation + 1
+		m.incarnation = update.Incarnation + 1
 		m.selfTransmits = 0
 		m.changes++
-	case u.Incarnation < m.incarnation && accused:
-		// The node that accuses an earlier incarnation is to learn of this one.
+	case update.Incarnation < m.incarnation && notAlive:
+		// Send the node's own update at least once more, so that nodes which consider an earlier
+		// incarnation not alive receive this one.
 		m.selfTransmits = min(m.selfTransmits, m.retransmitLimit()-1)
 	}
 }
 
-// addMember adds a member that was not known. Without a Peer it has no address, and the update is dropped.
-func (m *Machine) addMember(u Update) {
-	if u.Peer == nil {
+// addMember adds a member that was unknown. An update without a Peer is dropped because it has no address.
+func (m *Machine) addMember(update Update) {
+	if update.Peer == nil {
 		return
 	}
-	k := &member{
-		ID:              u.ID,
-		Peer:            *u.Peer,
-		peerIncarnation: u.PeerIncarnation,
+	member := &memberState{
+		ID:              update.ID,
+		Peer:            *update.Peer,
+		peerIncarnation: update.PeerIncarnation,
 		peerPending:     true,
-		incarnation:     u.Incarnation,
-		status:          u.Status,
-		since:           m.now,
+		incarnation:     update.Incarnation,
+		status:          update.Status,
+		statusSince:     m.now,
 	}
-	if u.Status == Suspect {
-		k.suspectors = []ID{u.By}
+	if update.Status == Suspect {
+		member.suspectors = []ID{update.Suspector}
 	}
-	i, _ := m.find(u.ID)
-	m.members = slices.Insert(m.members, i, k)
+	i, _ := m.find(update.ID)
+	m.members = slices.Insert(m.members, i, member)
 	m.changes++
 }
 
-// mergePeer takes name and address from an update if they are of a later incarnation than what is held, or from the
-// member itself.
-func (m *Machine) mergePeer(k *member, u Update, fromSubject bool) {
-	if u.Peer == nil {
+// mergePeer adopts the Peer of an update if it was announced in a later incarnation than the stored one, or in the same
+// incarnation and the update is from the member itself.
+func (m *Machine) mergePeer(member *memberState, update Update, fromSubject bool) {
+	if update.Peer == nil {
 		return
 	}
-	later := u.PeerIncarnation > k.peerIncarnation
-	if !later && !(fromSubject && u.PeerIncarnation == k.peerIncarnation) {
+	later := update.PeerIncarnation > member.peerIncarnation
+	if !later && !(fromSubject && update.PeerIncarnation == member.peerIncarnation) {
 		return
 	}
-	k.peerIncarnation = u.PeerIncarnation
-	if k.Peer == *u.Peer {
+	member.peerIncarnation = update.PeerIncarnation
+	if member.Peer == *update.Peer {
 		return
 	}
-	k.Peer = *u.Peer
-	k.peerPending = true
-	k.transmits = 0
+	member.Peer = *update.Peer
+	member.peerPending = true
+	member.transmits = 0
 	m.changes++
 }
 
-// mergeStatus takes incarnation and status from an update that supersedes what is held, and confirms a suspicion of the
-// same incarnation.
-func (m *Machine) mergeStatus(k *member, u Update) {
-	if u.Incarnation == k.incarnation && u.Status == Suspect && k.status == Suspect {
-		m.suspect(k, u.By)
+// mergeStatus adopts incarnation and status from an update that supersedes the stored ones, or adds a confirmation to a
+// suspicion of the same incarnation. An active member that another node declares dead gets a final ping first.
+func (m *Machine) mergeStatus(member *memberState, update Update) {
+	if update.Incarnation == member.incarnation && update.Status == Suspect && member.status == Suspect {
+		m.suspect(member, update.Suspector)
 		return
 	}
-	if u.Incarnation < k.incarnation || u.Incarnation == k.incarnation && u.Status <= k.status {
+	if update.Incarnation < member.incarnation || update.Incarnation == member.incarnation && update.Status <= member.status {
 		return
 	}
 	switch {
-	case u.Status == Suspect:
-		m.setStatus(k, u.Incarnation, Alive)
-		m.suspect(k, u.By)
-	case u.Status == Dead && k.active():
-		if u.Incarnation > k.incarnation || k.status == Alive {
-			m.setStatus(k, u.Incarnation, Suspect)
+	case update.Status == Suspect:
+		m.setStatus(member, update.Incarnation, Alive)
+		m.suspect(member, update.Suspector)
+	case update.Status == Dead && member.active():
+		if update.Incarnation > member.incarnation || member.status == Alive {
+			m.setStatus(member, update.Incarnation, Suspect)
 		}
-		if k.finalPingUntil == 0 {
-			m.sendFinalPing(k)
+		if member.finalPingUntil == 0 {
+			m.sendFinalPing(member)
 		}
 	default:
-		m.setStatus(k, u.Incarnation, u.Status)
+		m.setStatus(member, update.Incarnation, update.Status)
 	}
 }
 
-// setStatus gives a member an incarnation and a status, which have not been sent to anybody yet.
-func (m *Machine) setStatus(k *member, incarnation uint32, s Status) {
-	k.incarnation = incarnation
-	k.status = s
-	k.since = m.now
-	k.transmits = 0
-	k.finalPingUntil = 0
-	k.peerPending = false
-	k.suspectors = nil
+// setStatus sets the incarnation and status of a member, and resets the fields that depend on them.
+func (m *Machine) setStatus(member *memberState, incarnation uint32, s Status) {
+	member.incarnation = incarnation
+	member.status = s
+	member.statusSince = m.now
+	member.transmits = 0
+	member.finalPingUntil = 0
+	member.peerPending = false
+	member.suspectors = nil
 	m.changes++
 }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// network carries the messages of machines on virtual time and loses some of them.
+// network simulates a lossy network between machines in virtual time.
 type network struct {
-	t        testing.TB
+	tb       testing.TB
 	rng      *rand.Rand
 	now      time.Duration
 	machines map[netip.AddrPort]*Machine
@@ -36,7 +36,7 @@
 
 func newNetwork(t testing.TB, n int, seed uint64) *network {
 	net := &network{
-		t:        t,
+		tb:       t,
 		rng:      rand.New(rand.NewPCG(seed, 5)),
 		machines: map[netip.AddrPort]*Machine{},
 		sent:     map[netip.AddrPort]int{},
@@ -49,28 +49,28 @@
 }
 
 func (net *network) start(i int) *Machine {
-	net.t.Helper()
+	net.tb.Helper()
 	o := Defaults()
 	o.Seeds = []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}
-	m, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
+	machine, err := New(Peer{Name: nameOf(i), Addr: addrOf(i), Zone: fmt.Sprint("zone-", i%3)}, o, net.rng.Uint64())
 	if err != nil {
-		net.t.Fatal(err)
+		net.tb.Fatal(err)
 	}
-	m.now = net.now
-	m.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
+	machine.now = net.now
+	machine.nextPeriod = net.now + time.Duration(net.rng.Int64N(int64(time.Second)))
 	if _, known := net.machines[addrOf(i)]; !known {
 		net.order = append(net.order, addrOf(i))
 	}
-	net.machines[addrOf(i)] = m
-	return m
+	net.machines[addrOf(i)] = machine
+	return machine
 }
 
-func (net *network) carry(from netip.AddrPort, packets []Packet) {
+func (net *network) transmit(from netip.AddrPort, packets []Packet) {
 	for _, p := range packets {
 		net.sent[from]++
-		data := Encode(p.Message, key)
+		data := Encode(p.Message, testKey)
 		if len(data) > MaxDatagram {
-			net.t.Fatalf("%d bytes", len(data))
+			net.tb.Fatalf("datagram of %d bytes exceeds MaxDatagram", len(data))
 		}
 		if net.blocked != nil && net.blocked(from, p.To) || net.rng.Float64() < net.loss {
 			continue
@@ -79,21 +79,21 @@
 	}
 }
 
-// run plays on for a while, in steps of ten milliseconds.
+// run advances the simulation by d in steps of 10 ms.
 func (net *network) run(d time.Duration) {
 	for end := net.now + d; net.now < end; {
 		net.now += 10 * time.Millisecond
 		for net.deliverNext() {
 		}
 		for _, a := range net.order {
-			if m := net.machines[a]; m != nil && !net.paused[a] && m.Next() <= net.now {
-				net.carry(a, m.Tick(net.now))
+			if machine := net.machines[a]; machine != nil && !net.paused[a] && machine.Next() <= net.now {
+				net.transmit(a, machine.Tick(net.now))
 			}
 		}
 	}
 }
 
-// deliverNext delivers the earliest datagram that has arrived; false: there is none.
+// deliverNext delivers the earliest datagram that is due, and reports whether there was one.
 func (net *network) deliverNext() bool {
 	next := -1
 	for i, d := range net.inFlight {
@@ -106,39 +106,39 @@
 	}
 	d := net.inFlight[next]
 	net.inFlight = append(net.inFlight[:next], net.inFlight[next+1:]...)
-	m := net.machines[d.to]
-	if m == nil || net.paused[d.to] {
+	machine := net.machines[d.to]
+	if machine == nil || net.paused[d.to] {
 		return true
 	}
-	msg, err := Decode(d.data, key)
+	msg, err := Decode(d.data, testKey)
 	if err != nil {
-		net.t.Fatal(err)
+		net.tb.Fatal(err)
 	}
-	net.carry(d.to, m.Receive(net.now, d.from, msg))
+	net.transmit(d.to, machine.Receive(net.now, d.from, msg))
 	return true
 }
 
-// statusCounts counts the machines by the status that they hold of member i. Those that do not know it are not counted.
+// statusCounts returns the number of machines that have member i in each status. Machines that do not know it are not counted.
 func (net *network) statusCounts(i int) (counts [4]int) {
 	for a, m := range net.machines {
 		if m == nil || a == addrOf(i) {
 			continue
 		}
-		for _, k := range m.Members() {
-			if k.Name == nameOf(i) {
-				counts[k.Status]++
+		for _, member := range m.Members() {
+			if member.Name == nameOf(i) {
+				counts[member.Status]++
 			}
 		}
 	}
 	return counts
 }
 
-// allAlive fails unless each of n is alive for all others.
+// allAlive fails the test unless all other machines consider each of n nodes alive.
 func (net *network) allAlive(n int, when string) {
-	net.t.Helper()
+	net.tb.Helper()
 	for i := range n {
-		if h := net.statusCounts(i); h != [4]int{n - 1} {
-			net.t.Errorf("%s %s is alive, suspect, dead, left for %v", when, nameOf(i), h)
+		if counts := net.statusCounts(i); counts != [4]int{n - 1} {
+			net.tb.Errorf("%s: %s is alive, suspect, dead and left at %v nodes", when, nameOf(i), counts)
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// maxIndirectProbes bounds the pings on behalf of others that are under way at once.
-const maxIndirectProbes = 64
+// maxPendingIndirectProbes is the maximum number of concurrent pings on behalf of other members.
+const maxPendingIndirectProbes = 64
 
-// probe is the node's own probe of a member in the current period.
+// probe is the node's own probe in the current probe interval.
 type probe struct {
 	target     ID
 	seq        uint32
-	indirectAt time.Duration // when helpers are asked; 0: they have been
-	helpers    int           // members that were asked for an indirect probe
-	nacks      int           // helpers that got no answer either
-	running    bool          // there is no answer yet
+	indirectAt time.Duration // when to request indirect probes; 0: already requested
+	helpers    int           // number of members asked for an indirect probe
+	nacks      int           // number of Nacks from helpers
+	running    bool          // no Ack was received yet
 }
 
-// awaitsIndirect says that helpers will be asked if no answer comes before.
+// awaitsIndirect reports whether indirect probes are still to be requested unless an Ack arrives first.
 func (p *probe) awaitsIndirect() bool { return p.running && p.helpers == 0 && p.indirectAt > 0 }
 
-// indirectProbe is a ping that another member asked for (ping-req).
+// indirectProbe is a ping requested by another member (ping-req).
 type indirectProbe struct {
 	seq          uint32 // of this node's ping
 	requester    netip.AddrPort
@@ -30,90 +30,91 @@
 	deadline     time.Duration
 }
 
-// startPeriod ends the probe under way and begins the next one.
+// startPeriod ends the current probe and starts the next one.
 func (m *Machine) startPeriod() {
 	if m.probe.running {
 		m.probeFailed()
 	}
 	stretch := time.Duration(1 + m.healthScore)
-	m.nextPeriod = m.now + stretch*m.options.Period
+	m.nextPeriod = m.now + stretch*m.options.ProbeInterval
 	m.probe = probe{}
-	if k := m.nextProbeTarget(); k != nil {
+	if target := m.nextProbeTarget(); target != nil {
 		m.seq++
-		m.probe = probe{target: k.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.Timeout, running: true}
-		m.send(k.Addr, Message{Kind: Ping, Seq: m.seq})
+		m.probe = probe{target: target.ID, seq: m.seq, indirectAt: m.now + stretch*m.options.ProbeTimeout, running: true}
+		m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
 	}
 	m.pingUnreachable()
 	m.gossip()
 }
 
-// probeFailed suspects the target of the probe, to which neither it nor a helper has answered.
+// probeFailed suspects the target of the probe, which replied neither to this node nor through a helper.
 func (m *Machine) probeFailed() {
-	// Helpers that say that they have no answer either show that this node's own links work.
+	// A Nack from a helper shows that this node's own network connection works.
 	if m.probe.nacks == 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
-	if k := m.get(m.probe.target); k != nil && k.active() {
-		m.suspect(k, m.id)
+	if target := m.get(m.probe.target); target != nil && target.active() {
+		m.suspect(target, m.id)
 	}
 }
 
-// probeIndirectly pings the target once more and asks other members to ping it.
+// probeIndirectly pings the target again and asks other members to ping it.
 func (m *Machine) probeIndirectly() {
-	p := &m.probe
-	if k := m.get(p.target); k != nil {
-		m.send(k.Addr, Message{Kind: Ping, Seq: p.seq})
-	}
-	var helpers []*member
-	for _, k := range m.members {
-		if k.status == Alive && !k.Listens && k.ID != p.target {
-			helpers = append(helpers, k)
+	probe := &m.probe
+	if member := m.get(probe.target); member != nil {
+		m.send(member.Addr, Message{Kind: Ping, Seq: probe.seq})
+	}
+	var helpers []*memberState
+	for _, member := range m.members {
+		if member.status == Alive && !member.ListenOnly && member.ID != probe.target {
+			helpers = append(helpers, member)
 		}
 	}
-	p.indirectAt = 0
-	for range min(m.options.Indirect, len(helpers)) {
+	probe.indirectAt = 0
+	for range min(m.options.IndirectProbes, len(helpers)) {
 		i := m.draw(len(helpers))
-		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: p.seq, About: p.target})
+		m.send(helpers[i].Addr, Message{Kind: PingReq, Seq: probe.seq, MemberID: probe.target})
 		helpers = slices.Delete(helpers, i, i+1)
-		p.helpers++
+		probe.helpers++
 	}
 }
 
-// nextProbeTarget returns the member to probe next; nil: there is none. Each member comes once in a round, those of the
-// own zone Options.OwnZoneProbes times, and the order of each round is random.
-func (m *Machine) nextProbeTarget() *member {
-	if k := m.takeProbeTarget(); k != nil {
-		return k
+// nextProbeTarget returns the member to probe next, or nil if there is none. A round probes each member once, and those of the
+// own zone Options.OwnZoneProbes times, in random order.
+func (m *Machine) nextProbeTarget() *memberState {
+	if member := m.takeProbeTarget(); member != nil {
+		return member
 	}
 	m.newProbeRound()
-	if k := m.takeProbeTarget(); k != nil {
-		return k
+	if member := m.takeProbeTarget(); member != nil {
+		return member
 	}
 	m.newProbeRound()
 	return nil
 }
 
-// takeProbeTarget takes members off the current round up to the first that is active; nil: the round is over.
-func (m *Machine) takeProbeTarget() *member {
+// takeProbeTarget removes members from the current round up to the first active one and returns that one, or nil if the round
+// has ended.
+func (m *Machine) takeProbeTarget() *memberState {
 	for len(m.probeOrder) > 0 {
-		k := m.get(m.probeOrder[0])
+		member := m.get(m.probeOrder[0])
 		m.probeOrder = m.probeOrder[1:]
-		if k != nil && k.active() {
-			return k
+		if member != nil && member.active() {
+			return member
 		}
 	}
 	return nil
 }
 
-// newProbeRound draws the order of a new round.
+// newProbeRound starts a round in random order.
 func (m *Machine) newProbeRound() {
-	for _, k := range m.members {
+	for _, member := range m.members {
 		times := 1
-		if k.Zone == m.self.Zone {
+		if member.Zone == m.self.Zone {
 			times = m.options.OwnZoneProbes
 		}
 		for range times {
-			m.probeOrder = append(m.probeOrder, k.ID)
+			m.probeOrder = append(m.probeOrder, member.ID)
 		}
 	}
 	for i := len(m.probeOrder) - 1; i > 0; i-- {
@@ -122,13 +123,13 @@
 	}
 }
 
-// pingUnreachable pings a member that this node holds for dead, or a seed that it does not know. After a partition no
-// other member would begin to speak.
+// pingUnreachable pings a random dead member or unknown seed. Without it the sides of a healed partition would not
+// contact each other again.
 func (m *Machine) pingUnreachable() {
 	var addrs []netip.AddrPort
-	for _, k := range m.members {
-		if k.status == Dead {
-			addrs = append(addrs, k.Addr)
+	for _, member := range m.members {
+		if member.status == Dead {
+			addrs = append(addrs, member.Addr)
 		}
 	}
 	for _, seed := range m.options.Seeds {
@@ -140,37 +141,37 @@
 		return
 	}
 	m.seq++
-	m.selfTransmits = min(m.selfTransmits, 1) // the receiver may never have heard of this node
+	m.selfTransmits = min(m.selfTransmits, 1) // the receiver may not know this node
 	m.send(addrs[m.draw(len(addrs))], Message{Kind: Ping, Seq: m.seq})
 }
 
-// knowsAddr says that a member has this address.
+// knowsAddr reports whether a member has this address.
 func (m *Machine) knowsAddr(addr netip.AddrPort) bool {
-	return slices.ContainsFunc(m.members, func(k *member) bool { return k.Addr == addr })
+	return slices.ContainsFunc(m.members, func(member *memberState) bool { return member.Addr == addr })
 }
 
-// receiveAck ends the probe that the Ack answers, passes it on to the member that asked for the ping, and requests the
-// sender's list if its digest differs.
+// receiveAck completes the probe that the Ack belongs to, forwards the Ack to the member that requested an indirect probe, and
+// requests the sender's member list if its digest differs.
 func (m *Machine) receiveAck(from netip.AddrPort, msg Message) {
 	if m.probe.running && msg.Seq == m.probe.seq && (msg.From == m.probe.target || m.probe.helpers > 0) {
 		m.probe.running = false
 		m.healthScore = max(0, m.healthScore-1)
 	}
-	answered := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
-	if answered >= 0 {
-		r := m.indirectProbes[answered]
+	index := slices.IndexFunc(m.indirectProbes, func(r indirectProbe) bool { return r.seq == msg.Seq })
+	if index >= 0 {
+		r := m.indirectProbes[index]
 		m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq, Digest: m.digest()})
-		m.indirectProbes = slices.Delete(m.indirectProbes, answered, answered+1)
+		m.indirectProbes = slices.Delete(m.indirectProbes, index, index+1)
 	}
 	if msg.Digest != 0 && msg.Digest != m.digest() {
 		m.requestPages(from, 0)
 	}
 }
 
-// receivePingReq pings the member that the message names, on behalf of its sender.
+// receivePingReq pings the member named in the message on behalf of the sender.
 func (m *Machine) receivePingReq(from netip.AddrPort, msg Message) {
-	target := m.get(msg.About)
-	if target == nil || len(m.indirectProbes) >= maxIndirectProbes {
+	target := m.get(msg.MemberID)
+	if target == nil || len(m.indirectProbes) >= maxPendingIndirectProbes {
 		return
 	}
 	m.seq++
@@ -178,12 +179,12 @@
 		seq:          m.seq,
 		requester:    from,
 		requesterSeq: msg.Seq,
-		deadline:     m.now + m.options.Timeout,
+		deadline:     m.now + m.options.ProbeTimeout,
 	})
 	m.send(target.Addr, Message{Kind: Ping, Seq: m.seq})
 }
 
-// expireIndirectProbes sends a Nack for each ping on behalf of another that was not answered in time.
+// expireIndirectProbes sends a Nack for each ping on behalf of another member that timed out.
 func (m *Machine) expireIndirectProbes() {
 	m.indirectProbes = slices.DeleteFunc(m.indirectProbes, func(r indirectProbe) bool {
 		if m.now < r.deadline {
