--- a/cmd/damsontrestle/apply.go
+++ b/cmd/damsontrestle/apply.go
@@ -91,6 +91,6 @@
 	if asJSON {
 		return json.NewEncoder(out).Encode(admin.Line{Done: true, Running: &running})
 	}
-	fmt.Fprintf(out, "%s: node %q runs serial %d (%s).\n", done, running.Node, running.Serial, plan.Short(running.Fingerprint))
+	fmt.Fprintf(out, "%s: node %q runs serial %d (%s).\n", done, running.Node, running.Serial, plan.ShortFingerprint(running.Fingerprint))
 	return nil
 }
--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -265,7 +265,7 @@
 			}
 			cfg.Pools[0].Attempts = 1 + (base.Config.Pools[0].Attempts+rng.IntN(7))%8 // another than before
 			may, configs[cfg.Fingerprint()] = []string{base.Fingerprint, cfg.Fingerprint()}, cfg
-			text, _ := plan.Make(base.Running, base.Config, cfg, plan.Source{}, "", time.Now()).Encode()
+			text, _ := plan.New(base.Running, base.Config, cfg, plan.Source{}, "", time.Now()).Encode()
 			if step == nil { // killed before anything is asked of it
 				cmd.Process.Kill()
 			}
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -102,8 +102,8 @@
 		return nil, err
 	}
 	source := plan.Source{Path: absolute, Digest: plan.Digest(text)}
-	p := plan.Make(show.Running, show.Config, cfg, source, socket, time.Now())
-	if err := p.Fits(show.Running); err != nil {
+	p := plan.New(show.Running, show.Config, cfg, source, socket, time.Now())
+	if err := p.CheckBase(show.Running); err != nil {
 		return nil, err
 	}
 	return p, nil
@@ -129,7 +129,7 @@
 		Result:   p.Result,
 		Changes:  p.Changes,
 		Summary:  plan.Summarize(p.Changes),
-		Restart:  plan.Restarts(p.Changes),
+		Restart:  plan.RestartFields(p.Changes),
 		Needs:    cfg.Needs(),
 		Limits:   cfg.Node.Limits,
 		Warnings: warnings,
@@ -151,17 +151,17 @@
 		fmt.Fprintln(to, w.Error())
 	}
 	if len(p.Changes) == 0 {
-		fmt.Fprintf(to, "No changes. Node %q runs what the file says (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.Short(p.Base.Fingerprint))
+		fmt.Fprintf(to, "No changes. Node %q runs what the file says (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
 		return
 	}
-	fmt.Fprintf(to, "Node %q runs serial %d (%s). The file would change:\n\n", p.Base.Node, p.Base.Serial, plan.Short(p.Base.Fingerprint))
-	io.WriteString(to, plan.Text(p.Changes))
+	fmt.Fprintf(to, "Node %q runs serial %d (%s). The file would change:\n\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
+	io.WriteString(to, plan.FormatChanges(p.Changes))
 	n := cfg.Needs()
 	fmt.Fprintf(to, "Needs %d of %d descriptors and about %v of %v memory.\n", n.Descriptors, cfg.Node.Limits.Descriptors, n.Memory.Rounded(), cfg.Node.Limits.Memory)
 	for _, w := range cfg.FederationWords() {
 		fmt.Fprintf(to, "%s.\n", w)
 	}
-	if r := plan.Restarts(p.Changes); len(r) > 0 {
+	if r := plan.RestartFields(p.Changes); len(r) > 0 {
 		fmt.Fprintf(to, "Takes effect at the next start only: %s.\n", join(r))
 	}
 	if path != "" {
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -62,10 +62,10 @@
 		ready = "not ready"
 	}
 	p("node         %s, %s", s.Node, ready)
-	p("running      serial %d, %s, by %s at %s", s.Serial, plan.Short(s.Fingerprint), s.By, s.Since.Format(time.RFC3339))
+	p("running      serial %d, %s, by %s at %s", s.Serial, plan.ShortFingerprint(s.Fingerprint), s.By, s.Since.Format(time.RFC3339))
 	p("found        %s", s.Start)
 	if s.Previous != nil {
-		p("before       serial %d, %s", s.Previous.Serial, plan.Short(s.Previous.Fingerprint))
+		p("before       serial %d, %s", s.Previous.Serial, plan.ShortFingerprint(s.Previous.Fingerprint))
 	}
 	if s.Memory {
 		p("state        in memory only: a restart forgets what is applied")
--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -119,7 +119,7 @@
 
 // leagueQuota is a budget of all partners alike, without floors, and its bound.
 func leagueQuota(rate float64, partners, gateways int) (func(time.Duration) float64, string) {
-	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Over: 0.05, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: budget.Closed}
+	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
 	for p := range partners {
 		t.Partners = append(t.Partners, budget.Partner{Name: federation.Name(p), Weight: 1, Gateways: gateways})
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -89,7 +89,7 @@
 		answer(w, http.StatusOK, control.Show())
 	})
 	mux.HandleFunc("POST /v1/apply", func(w http.ResponseWriter, r *http.Request) {
-		change(w, r, plan.MaxPlan, control.Apply)
+		change(w, r, plan.MaxSize, control.Apply)
 	})
 	mux.HandleFunc("POST /v1/rollback", func(w http.ResponseWriter, r *http.Request) {
 		change(w, r, maxRollback, func(text []byte, wait time.Duration, step stepFunc) (plan.Running, error) {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -27,7 +27,7 @@
 	return d
 }
 
-func TestVotes(t *testing.T) {
+func TestGrantVote(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Who may be promised a term") {
 		var v Vote
 		var began time.Duration
@@ -48,7 +48,7 @@
 			t.Errorf("%s:%d: nobody plays %q", page, r.Line, r.At("event"))
 			continue
 		}
-		next, ok := MayVote(v, began, parseDuration(t, r, at), time.Second, number, who)
+		next, ok := GrantVote(v, began, parseDuration(t, r, at), time.Second, number, who)
 		got := "no"
 		if ok {
 			got = fmt.Sprintf("yes, until %v", next.Until)
@@ -64,12 +64,12 @@
 	}
 }
 
-func TestTurns(t *testing.T) {
+func TestNextPartner(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Whose turn it is") {
 		var claims []Claim
 		for _, p := range strings.Split(r.At("partners"), ", ") {
 			var c Claim
-			if _, err := fmt.Sscanf(strings.ReplaceAll(p, "/", " "), "%d %g %g", &c.Want, &c.Credit, &c.BeyondFloor); err != nil {
+			if _, err := fmt.Sscanf(strings.ReplaceAll(p, "/", " "), "%d %g %g", &c.Waiting, &c.FloorCredit, &c.BeyondFloor); err != nil {
 				t.Fatalf("%s:%d: %v", page, r.Line, err)
 			}
 			claims = append(claims, c)
@@ -80,15 +80,15 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestTermsBounds(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "What terms bound") {
 		var b Terms
 		var over, lease, cut string
 		if _, err := fmt.Sscan(r.At("terms"), &b.Rate, &b.Burst, &over, &lease, &cut); err != nil {
 			t.Fatalf("%s:%d: %v", page, r.Line, err)
 		}
-		fmt.Sscanf(over, "%g%%", &b.Over)
-		b.Over /= 100
+		fmt.Sscanf(over, "%g%%", &b.Overdraw)
+		b.Overdraw /= 100
 		b.Lease, b.Fallback = parseDuration(t, r, lease), Fallback(cut)
 		for _, p := range strings.Split(r.At("partners"), ", ") {
 			var k Partner
@@ -111,7 +111,7 @@
 // Whatever clocks show and however late messages come, as long as clocks' rates differ by the drift at most, two terms never
 // overlap, and a replica that is started anew makes no two of them. What happens is drawn first and then played in the order of
 // real time: a replica hears questions in the order in which they reach it, which is not the one in which they were asked.
-func TestNeverTwoLeaders(t *testing.T) {
+func TestLeaderTermsNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const term = time.Second
 		type voter struct {
@@ -123,7 +123,7 @@
 		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "voters")
 		replicas := make([]*voter, n)
 		for i := range replicas {
-			replicas[i] = &voter{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*Drift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "off")) * time.Second}
+			replicas[i] = &voter{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*MaxDrift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "off")) * time.Second}
 			replicas[i].began = replicas[i].off
 		}
 		clock := func(v *voter, now time.Duration) time.Duration { return v.off + time.Duration(v.rate*float64(now)) }
@@ -156,7 +156,7 @@
 			who := rapid.IntRange(0, n-1).Draw(t, "candidate")
 			me := replicas[who]
 			// By its own clock, and the real time at which the term is over by it.
-			till := time.Duration(float64(clock(me, now)+Shorter(term)-me.off) / me.rate)
+			till := time.Duration(float64(clock(me, now)+AtMost(term)-me.off) / me.rate)
 			high = max(1, high+rapid.IntRange(-1, 2).Draw(t, "number"))
 			number := uint64(high)
 			yes := 0
@@ -170,7 +170,7 @@
 					continue
 				}
 				on(now+there, func(at time.Duration) {
-					next, ok := MayVote(v.vote, v.began, clock(v, at), term, number, fmt.Sprint(who))
+					next, ok := GrantVote(v.vote, v.began, clock(v, at), term, number, fmt.Sprint(who))
 					v.vote = next
 					if ok {
 						on(at+back, func(at time.Duration) {
@@ -199,11 +199,11 @@
 }
 
 // A promise by the fastest clock outlasts the term that it was given for by the slowest one.
-func TestVoteOutlastsItsTerm(t *testing.T) {
-	const fast, slow = 1 + Drift/2, 1 - Drift/2
+func TestVoteOutlastsLeaderTerm(t *testing.T) {
+	const fast, slow = 1 + MaxDrift/2, 1 - MaxDrift/2
 	began := time.Duration(0)
-	v, ok := MayVote(Vote{}, began, 10*time.Second, time.Second, 1, "a")
-	if promised, term := float64(v.Until-10*time.Second)/fast, float64(Shorter(time.Second))/slow; !ok || promised < term {
+	v, ok := GrantVote(Vote{}, began, 10*time.Second, time.Second, 1, "a")
+	if promised, term := float64(v.Until-10*time.Second)/fast, float64(AtMost(time.Second))/slow; !ok || promised < term {
 		t.Errorf("promised for %v, the term may last %v", time.Duration(promised), time.Duration(term))
 	}
 }
@@ -211,7 +211,7 @@
 // A floor that is lent is drawn by nobody else, however late the waiver comes to the quota leader, or whether it does.
 func TestLentFloorIsDrawnOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*Drift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*Drift
+		leader, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*MaxDrift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*MaxDrift
 		stamp := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "stamp")) // real
 		sent := stamp + time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "later"))
 		byKeeper := func(real time.Duration) time.Duration { return time.Duration(float64(real) * leader) }
--- a/internal/budget/turn.go
+++ b/internal/budget/claim.go
@@ -2,8 +2,8 @@
 
 // Claim is what a partner wants of a bucket, and what it has had.
 type Claim struct {
-	Want        int     // tokens that its gateways wait for
-	Credit      float64 // of its floor: what it could have had and has not
+	Waiting     int     // tokens that its gateways wait for
+	FloorCredit float64 // of its floor: what it could have had and has not
 	BeyondFloor float64 // beyond its floor, for its weight
 }
 
@@ -13,20 +13,20 @@
 	best := -1
 	for i, c := range claims {
 		switch {
-		case c.Want <= 0:
-		case best < 0, ahead(c, claims[best]):
+		case c.Waiting <= 0:
+		case best < 0, hasPriority(c, claims[best]):
 			best = i
 		}
 	}
 	return best
 }
 
-func ahead(a, b Claim) bool {
-	switch owedA, owedB := a.Credit >= 1, b.Credit >= 1; {
+func hasPriority(a, b Claim) bool {
+	switch owedA, owedB := a.FloorCredit >= 1, b.FloorCredit >= 1; {
 	case owedA != owedB:
 		return owedA
 	case owedA:
-		return a.Credit > b.Credit
+		return a.FloorCredit > b.FloorCredit
 	}
 	return a.BeyondFloor < b.BeyondFloor
 }
--- a/internal/budget/floor.go
+++ b/internal/budget/floor.go
@@ -9,5 +9,5 @@
 // time, and until when, by its own clock, the gateway draws nothing of it then. The quota leader's message came before the answer
 // went out, so that the first is over before the second.
 func FloorLoanEnds(asked, answered time.Duration) (leader, gateway time.Duration) {
-	return asked + FloorLoan, answered + Longer(FloorLoan)
+	return asked + FloorLoan, answered + AtLeast(FloorLoan)
 }
--- a/internal/budget/terms.go
+++ b/internal/budget/terms.go
@@ -26,21 +26,21 @@
 
 // Terms are those of a quota.
 type Terms struct {
-	Name     string
-	Rate     float64 // requests a second
-	Burst    float64 // requests that may come at once
-	Over     float64 // share of what is allowed in a window that may be drawn beyond it
-	Lease    time.Duration
-	Term     time.Duration // of a quota leader
-	Wait     time.Duration // that a request may wait for a token
-	Fallback Fallback
-	Partners []Partner
+	Name       string
+	Rate       float64 // requests a second
+	Burst      float64 // requests that may come at once
+	Overdraw   float64 // share of what is allowed in a window that may be drawn beyond it
+	Lease      time.Duration
+	LeaderTerm time.Duration // of a quota leader
+	MaxWait    time.Duration // that a request may wait for a token
+	Fallback   Fallback
+	Partners   []Partner
 }
 
 // Depth is how many tokens the quota leader's bucket holds. Tokens that are out may be used together with what the bucket holds,
 // and so may each gateway's one of its own floor: the burst has to be enough for all of it.
 func (t Terms) Depth() float64 {
-	return max(1, t.Burst-t.Rate*Longer(t.Lease).Seconds()-t.ownFloorDraws())
+	return max(1, t.Burst-t.Rate*AtLeast(t.Lease).Seconds()-t.ownFloorDraws())
 }
 
 // ownFloorDraws is how many requests gateways may draw at once of floors, when they are cut off.
@@ -73,11 +73,11 @@
 	if t.Fallback == Open {
 		return math.Inf(1)
 	}
-	return t.Depth() + t.Rate*(window.Seconds()+Longer(t.Lease).Seconds()) + t.ownFloorDraws()
+	return t.Depth() + t.Rate*(window.Seconds()+AtLeast(t.Lease).Seconds()) + t.ownFloorDraws()
 }
 
-// windows are those that bounds are checked and promised for.
-var windows = [...]time.Duration{time.Second, 10 * time.Second}
+// checkedWindows are those that bounds are checked and promised for.
+var checkedWindows = [...]time.Duration{time.Second, 10 * time.Second}
 
 // Check says which setting of the terms is wrong, and why; both are empty if the terms can be held.
 func (t Terms) Check() (field, why string) {
@@ -86,25 +86,25 @@
 		return "rate", fmt.Sprintf("found %v; allowed: above 0, up to 1e6 calls a second", t.Rate)
 	case !(t.Burst >= 1 && t.Burst <= 1e6):
 		return "burst", fmt.Sprintf("found %v; allowed: 1 to 1e6 calls", t.Burst)
-	case !(t.Over >= 0 && t.Over <= 1):
-		return "over", fmt.Sprintf("found %v; allowed: 0 to 1, a share of what a window allows", t.Over)
+	case !(t.Overdraw >= 0 && t.Overdraw <= 1):
+		return "over", fmt.Sprintf("found %v; allowed: 0 to 1, a share of what a window allows", t.Overdraw)
 	case t.sumOfFloors() > t.Rate:
 		return "rate", fmt.Sprintf("found %v, but the partners' floors add up to %v", t.Rate, t.sumOfFloors())
 	}
-	for _, w := range windows {
-		if most, allowed := t.Bound(w), t.Allowed(w); t.Fallback != Open && most > allowed*(1+t.Over)+1e-9 {
+	for _, w := range checkedWindows {
+		if most, allowed := t.Bound(w), t.Allowed(w); t.Fallback != Open && most > allowed*(1+t.Overdraw)+1e-9 {
 			if own := t.ownFloorDraws(); own > 0 && t.Depth() == 1 {
 				return "when_cut", fmt.Sprintf(`found "floor": cut off, %v gateways could each draw a call of their own at once, so that %v calls could be drawn in %v where %v and %v %% more are allowed; allowed: when_cut = "closed", a greater burst, or floors for partners of fewer gateways`,
-					own, round(most), w, round(allowed), 100*t.Over)
+					own, roundToTenth(most), w, roundToTenth(allowed), 100*t.Overdraw)
 			}
 			return "lease", fmt.Sprintf("found %v: tokens that are out for so long make it %v calls in %v, where %v and %v %% more are allowed; allowed: a shorter lease, or a burst of %v or more",
-				t.Lease, round(most), w, round(allowed), 100*t.Over, math.Ceil(t.Burst+most-allowed*(1+t.Over)))
+				t.Lease, roundToTenth(most), w, roundToTenth(allowed), 100*t.Overdraw, math.Ceil(t.Burst+most-allowed*(1+t.Overdraw)))
 		}
 	}
 	return "", ""
 }
 
-func round(v float64) float64 { return math.Round(v*10) / 10 }
+func roundToTenth(v float64) float64 { return math.Round(v*10) / 10 }
 
 // Summary says what the terms promise, for a plan.
 func (t Terms) Summary() string {
@@ -112,9 +112,9 @@
 		return fmt.Sprintf("quota %q: %v calls a second and %v at once while its keeper is reached; without it every call is taken, and there is no bound", t.Name, t.Rate, t.Burst)
 	}
 	s := fmt.Sprintf("quota %q: at most %v calls in any second (%v allowed) and %v in any 10 s (%v allowed), over all gateways, whatever fails",
-		t.Name, round(t.Bound(windows[0])), round(t.Allowed(windows[0])), round(t.Bound(windows[1])), round(t.Allowed(windows[1])))
+		t.Name, roundToTenth(t.Bound(checkedWindows[0])), roundToTenth(t.Allowed(checkedWindows[0])), roundToTenth(t.Bound(checkedWindows[1])), roundToTenth(t.Allowed(checkedWindows[1])))
 	if t.Fallback == Closed {
 		return s + "; a gateway that reaches no keeper refuses"
 	}
-	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", Longer(FloorLoan))
+	return s + fmt.Sprintf("; a gateway that reaches no keeper goes on with its part of its partner's floor, after %v", AtLeast(FloorLoan))
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,10 +18,10 @@
 }
 
 // New returns a Clock that goes on from the wall clock's time of now.
-func New() Clock { return From(time.Now()) }
+func New() Clock { return NewAt(time.Now()) }
 
 // From returns a Clock that goes on from another time as if that were the wall clock's of now.
-func From(wall time.Time) Clock {
+func NewAt(wall time.Time) Clock {
 	return Clock{start: time.Now(), base: time.Duration(wall.UnixNano()) + offset()}
 }
 
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -24,7 +24,7 @@
 func TestWallClockStepsAreIgnored(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		began := time.Now()
-		c := From(began)
+		c := NewAt(began)
 		stepped := Clock{start: stepWall(t, c.start, by), base: c.base}
 		before, now, after := c.Now(), stepped.Now(), c.Now()
 		if now < before || now > after {
@@ -33,7 +33,7 @@
 		if left := stepped.Until(before + time.Hour); left > time.Hour || left < time.Hour-time.Minute {
 			t.Errorf("wall clock stepped by %v while it runs: an hour is %v", -by, left)
 		}
-		moved := From(began.Add(by))
+		moved := NewAt(began.Add(by))
 		if got := moved.Now() - c.Now(); got < by-time.Minute || got > by+time.Minute {
 			t.Errorf("wall clock stepped by %v before the start: the clock has moved by %v", by, got)
 		}
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -12,13 +12,13 @@
 )
 
 // wallReads are the functions and methods that make or take a time without its monotonic part.
-var wallReads = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
+var wallClockCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
 	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
 
 // readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
-func readsWall(call *ast.CallExpr) bool {
+func readsWallClock(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !wallReads[method.Sel.Name] {
+	if !ok || !wallClockCalls[method.Sel.Name] {
 		return false
 	}
 	receiver := ""
@@ -37,7 +37,7 @@
 }
 
 // Wherever the program reads a wall time, or makes a time of which only that is left, the page on clocks says why.
-func TestWallClockIsReadWhereThePageSays(t *testing.T) {
+func TestWallClockReadsAreDocumented(t *testing.T) {
 	const root = "../.."
 	page, err := os.ReadFile(filepath.Join(root, "docs/design/clocks.md"))
 	if err != nil {
@@ -60,7 +60,7 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if call, ok := n.(*ast.CallExpr); ok && readsWall(call) {
+			if call, ok := n.(*ast.CallExpr); ok && readsWallClock(call) {
 				found++
 				if !strings.Contains(string(page), "`"+name+"`") {
 					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(call.Pos()))
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -106,8 +106,8 @@
 
 // Terms are the quota's terms as internal/budget has them.
 func (q Quota) Terms() budget.Terms {
-	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Over: q.Over, Lease: time.Duration(q.Lease), Term: time.Duration(q.Term),
-		Wait: time.Duration(q.Wait), Fallback: q.WhenCut}
+	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Overdraw: q.Over, Lease: time.Duration(q.Lease), LeaderTerm: time.Duration(q.Term),
+		MaxWait: time.Duration(q.Wait), Fallback: q.WhenCut}
 	for _, p := range q.Partners {
 		t.Partners = append(t.Partners, budget.Partner{Name: p.Name, Floor: p.Floor, Weight: p.Weight, Gateways: p.Gateways})
 	}
--- a/internal/daemon/change.go
+++ b/internal/daemon/change.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return d.reject("apply", err)
 	}
-	return d.change(plan.Proposal{By: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
+	return d.change(plan.Proposal{Origin: "apply", Plan: p, Config: p.Config, Base: p.Base}, wait, step)
 }
 
 // Rollback implements admin.Control.
@@ -28,7 +28,7 @@
 	if previous == nil {
 		return d.reject("rollback", &admin.Error{Code: admin.CodeNothing, Message: "there is no configuration before this one"})
 	}
-	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
+	return d.change(plan.Proposal{Origin: "rollback", Config: previous.Config, Base: base}, wait, step)
 }
 
 // Reload reads the file again and puts it in place, like a plan that is made and applied at once. A file that can't be
@@ -46,7 +46,7 @@
 		d.log.Info("the file is read again and says what runs")
 		return
 	}
-	if _, err := d.change(plan.Proposal{By: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
+	if _, err := d.change(plan.Proposal{Origin: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
 		d.log.Error("the file is not taken over; what runs stays", "error", err)
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	d.mu.Unlock()
 	if err != nil {
-		return d.reject(p.By, err)
+		return d.reject(p.Origin, err)
 	}
 	defer d.changes.Done()
 	c := change{daemon: d, proposal: p, wait: wait}
@@ -117,17 +117,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	err := d.machine.Err()
-	d.last = &admin.Outcome{By: p.By, At: now()}
+	d.last = &admin.Outcome{By: p.Origin, At: now()}
 	if err != nil {
 		d.last.Error = err.Error()
 		if d.machine.Diverged() {
 			d.reportDivergence(err)
 		}
-		d.log.Error("a change failed; what ran before runs on", "by", p.By, "serial", d.record.Running.Serial, "error", err)
+		d.log.Error("a change failed; what ran before runs on", "by", p.Origin, "serial", d.record.Running.Serial, "error", err)
 		return d.running(), withCode(err)
 	}
 	running := d.record.Running
-	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", "put in place by "+p.By)
+	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.ShortFingerprint(running.Fingerprint), "why", "put in place by "+p.Origin)
 	return d.running(), nil
 }
 
@@ -193,7 +193,7 @@
 		Running: state.Entry{
 			Serial:      before.Serial + 1,
 			Fingerprint: p.Config.Fingerprint(),
-			By:          p.By,
+			By:          p.Origin,
 			At:          now(),
 			Config:      p.Config,
 		},
--- a/internal/daemon/change_test.go
+++ b/internal/daemon/change_test.go
@@ -340,7 +340,7 @@
 		for _, host := range []string{"a.example", "c.example", "other"} {
 			want := map[string]bool{}
 			for i := range 50 { // a request's own draw is its id: any pool that the route leads to will do
-				to, _ := table.Choose(&route.Request{Listener: l.Name, Class: "view", Host: host, Path: "/view/k", Headers: http.Header{}, Draw: fmt.Sprint(i)})
+				to, _ := table.Choose(&route.Request{Listener: l.Name, Class: "view", Host: host, Path: "/view/k", Headers: http.Header{}, HashKey: fmt.Sprint(i)})
 				p, _ := cfg.Pool(to.Pool)
 				for _, s := range p.Servers {
 					want[names[s.Address]] = true
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 	}
 	running := d.record.Running
 	d.startConfig = running.Config
-	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", d.startReason)
+	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.ShortFingerprint(running.Fingerprint), "why", d.startReason)
 	if d.node, err = node.New(running.Config, d.log, o.Node); err != nil {
 		if !fresh {
 			err = fmt.Errorf("%w; this is the configuration that was applied last: a start with -from-file takes the file instead", err)
@@ -202,7 +202,7 @@
 		Config:   r.Config,
 		Status:   d.node.Status(),
 		Needs:    r.Config.Needs(),
-		Restart:  plan.Restarts(plan.Diff(d.startConfig, r.Config)),
+		Restart:  plan.RestartFields(plan.Diff(d.startConfig, r.Config)),
 		Diverged: d.machine.Diverged(),
 		Last:     d.last,
 		Memory:   d.folder == nil,
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -146,7 +146,7 @@
 func (r *fixture) planOf(t *testing.T, cfg *config.Config) []byte {
 	t.Helper()
 	s := r.show(t)
-	enc, err := plan.Make(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
+	enc, err := plan.New(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	s := d.Show()
-	enc, err := plan.Make(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
+	enc, err := plan.New(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -79,7 +79,7 @@
 		d.record = held
 		d.startReason = fmt.Sprintf("serial %d as it was put in place by %s; the file says something else, which plan and apply can bring, or a start with -from-file",
 			held.Running.Serial, held.Running.By)
-		d.log.Warn("the file differs from what was applied last, and is not taken", "file", d.options.File, "running", plan.Short(held.Running.Fingerprint))
+		d.log.Warn("the file differs from what was applied last, and is not taken", "file", d.options.File, "running", plan.ShortFingerprint(held.Running.Fingerprint))
 		return false, nil
 	default:
 		entry.Serial = held.Running.Serial + 1
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -82,7 +82,7 @@
 	c := engine.NewRequest(id, engine.Message{})
 	c.Class, c.At = class, clock.New().Now()
 	c.Deadline = c.At + time.Hour
-	return c, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
+	return c, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", HashKey: id}
 }
 
 func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
--- a/internal/engine/clocks_test.go
+++ b/internal/engine/clocks_test.go
@@ -34,7 +34,7 @@
 	set.Classes = append(set.Classes, balancer.Class{Name: "put", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 2 * time.Second,
 		LatencyObjective: testpeer.Limit, Deadline: 2 * testpeer.Limit, PriorityWeight: 1})
 	o := options(s, set)
-	o.Clock = clock.From(begun.Add(off))
+	o.Clock = clock.NewAt(begun.Add(off))
 	e := newEngineWith(t, o)
 	go e.Run(t.Context())
 	return &timeline{t: t, off: off, script: s, engine: e, begun: begun, started: e.clock.Now()}
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -93,7 +93,7 @@
 }
 
 func notes(rate, burst float64, cut budget.Fallback, floor float64) (budget.Terms, string) {
-	t := budget.Terms{Name: "notes", Rate: rate, Burst: burst, Over: 0.05, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: cut}
+	t := budget.Terms{Name: "notes", Rate: rate, Burst: burst, Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: cut}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n lease = \"300ms\"\n term = \"1s\"\n wait = \"50ms\"\n when_cut = %q\n classes = [\"note\"]\n", rate, burst, string(cut))
 	for p := range 3 {
 		t.Partners = append(t.Partners, budget.Partner{Name: Name(p), Floor: floor, Weight: 1, Gateways: 3})
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -150,7 +150,7 @@
 	out := slices.Clone(addresses)
 	self := g.self.String()
 	slices.SortFunc(out, func(a, b string) int {
-		return cmp.Or(cmp.Compare(splitmix.Of(self, a), splitmix.Of(self, b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(splitmix.Hash(self, a), splitmix.Hash(self, b)), cmp.Compare(a, b))
 	})
 	return out
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -61,7 +61,7 @@
 		Host:     e.record.Route.Host,
 		Path:     e.record.Route.Path,
 		Headers:  recordedHeaders(e.record.Headers),
-		Draw:     e.record.Route.Draw,
+		HashKey:  e.record.Route.Draw,
 	})
 	if !routed {
 		return destination{}, "no route takes this request"
--- a/internal/gateway/take.go
+++ b/internal/gateway/take.go
@@ -105,7 +105,7 @@
 			Listener: routing.Listener,
 			Host:     routing.Host,
 			Path:     routing.Path,
-			Draw:     routing.Draw,
+			Draw:     routing.HashKey,
 		},
 		Headers: routedHeaders(p, routing),
 	}
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -20,7 +20,7 @@
 
 // memberDigest returns the digest of one member in an incarnation.
 func memberDigest(id ID, incarnation uint32) uint64 {
-	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
+	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.GoldenGamma)
 }
 
 // digest returns a number, never 0, that is equal at nodes which hold the same members for active at the same
--- a/internal/node/adopt_test.go
+++ b/internal/node/adopt_test.go
@@ -69,7 +69,7 @@
 		go func() {
 			c := engine.NewRequest(id, engine.Message{Method: "GET", Target: "/" + class + "/k"})
 			c.Class, c.At, c.Deadline = class, n.clock.Now(), n.clock.Now()+testpeer.Limit
-			result <- taken{c, n.requests.Take(view, c, &route.Request{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, Draw: c.ID})}
+			result <- taken{c, n.requests.Take(view, c, &route.Request{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, HashKey: c.ID})}
 		}()
 		results = append(results, result)
 		select {
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -56,7 +56,7 @@
 		}
 	}
 	slices.SortFunc(keys, func(a, b resource) int {
-		return cmp.Or(cmp.Compare(slices.Index(kinds, a.kind), slices.Index(kinds, b.kind)), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(slices.Index(resourceKinds, a.kind), slices.Index(resourceKinds, b.kind)), cmp.Compare(a.name, b.name))
 	})
 	for _, k := range keys {
 		if bytes.Equal(before[k], after[k]) {
@@ -71,19 +71,19 @@
 
 // diffResource tells what changes of one resource; nil: it is not there.
 func diffResource(r resource, before, after json.RawMessage) Change {
-	old := flat(r.kind, before)
-	next := flat(r.kind, after)
-	c := Change{Kind: r.kind, Name: r.name, Action: Modify, Effect: Live, Fields: fields(r.kind, old, next)}
+	old := flattenResource(r.kind, before)
+	next := flattenResource(r.kind, after)
+	c := Change{Kind: r.kind, Name: r.name, Action: Modify, Effect: Live, Fields: diffFields(r.kind, old, next)}
 	switch {
 	case old == nil:
 		c.Action = Add
-		c.Effect = addition(r.kind)
+		c.Effect = additionEffect(r.kind)
 	case next == nil:
 		c.Action = Remove
-		c.Effect = removal(r.kind)
+		c.Effect = removalEffect(r.kind)
 	default:
 		for _, f := range c.Fields {
-			c.Effect = harder(c.Effect, f.Effect)
+			c.Effect = moreDisruptive(c.Effect, f.Effect)
 		}
 	}
 	return c
@@ -92,7 +92,7 @@
 // resource names a resource. A node has no name here: its name is a field of it.
 type resource struct{ kind, name string }
 
-var kinds = []string{"node", "class", "listener", "pool", "route", "federation", "partner", "export", "quota"}
+var resourceKinds = []string{"node", "class", "listener", "pool", "route", "federation", "partner", "export", "quota"}
 
 // resources are all resources of a configuration.
 func resources(c *config.Config) map[resource]json.RawMessage {
@@ -129,7 +129,7 @@
 }
 
 // flat are a resource's fields by their paths; nil for one that is not there.
-func flat(kind string, text json.RawMessage) map[string]json.RawMessage {
+func flattenResource(kind string, text json.RawMessage) map[string]json.RawMessage {
 	if text == nil {
 		return nil
 	}
@@ -181,7 +181,7 @@
 }
 
 // fields tells what changes of a resource's fields, in the order of their paths; nil: the resource is not there.
-func fields(kind string, old, next map[string]json.RawMessage) []Field {
+func diffFields(kind string, old, next map[string]json.RawMessage) []Field {
 	paths := slices.Collect(maps.Keys(old))
 	for p := range next {
 		if _, both := old[p]; !both {
@@ -193,7 +193,7 @@
 	for _, path := range paths {
 		before, had := old[path]
 		after, has := next[path]
-		f := Field{Path: path, Action: Modify, Old: before, New: after, Effect: effectOf(kind, path)}
+		f := Field{Path: path, Action: Modify, Old: before, New: after, Effect: fieldEffect(kind, path)}
 		switch {
 		case !had:
 			f.Action = Add
@@ -204,9 +204,9 @@
 		}
 		switch {
 		case old == nil:
-			f.Effect = addition(kind)
+			f.Effect = additionEffect(kind)
 		case next == nil:
-			f.Effect = removal(kind)
+			f.Effect = removalEffect(kind)
 		}
 		out = append(out, f)
 	}
--- a/internal/plan/effect.go
+++ b/internal/plan/effect.go
@@ -17,7 +17,7 @@
 var effects = []Effect{Live, NewConnections, Drains, NeedsRestart}
 
 // harder is the effect that does more.
-func harder(a, b Effect) Effect {
+func moreDisruptive(a, b Effect) Effect {
 	if slices.Index(effects, b) > slices.Index(effects, a) {
 		return b
 	}
@@ -25,7 +25,7 @@
 }
 
 // addition is what it does to add a resource.
-func addition(kind string) Effect {
+func additionEffect(kind string) Effect {
 	if kind == "federation" {
 		return NeedsRestart
 	}
@@ -33,7 +33,7 @@
 }
 
 // removal is what it does to take a resource away.
-func removal(kind string) Effect {
+func removalEffect(kind string) Effect {
 	switch kind {
 	case "listener", "pool":
 		return Drains
@@ -44,7 +44,7 @@
 }
 
 // effectOf is what the change of a field does.
-func effectOf(kind, path string) Effect {
+func fieldEffect(kind, path string) Effect {
 	if kind == "federation" {
 		return NeedsRestart
 	}
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -56,7 +56,7 @@
 
 // Proposal is a requested change.
 type Proposal struct {
-	By     string // its origin, for the log: apply, rollback, reload
+	Origin string // its origin, for the log: apply, rollback, reload
 	Plan   *Plan  // nil for a rollback or a reload
 	Config *config.Config
 	Base   Running // the configuration that it was made for
@@ -142,21 +142,21 @@
 // node shuts down, ErrStale and ErrOtherNode that the proposal was made for something else than what runs. A proposal of
 // what runs already is Nothing, or Repair where the disk may hold another record: a client that is told that a
 // configuration runs may count on it at the next start.
-func (m *Machine) Propose(o Proposal) (Step, error) {
+func (m *Machine) Propose(proposal Proposal) (Step, error) {
 	switch {
 	case m.shuttingDown:
 		return Nothing, ErrShuttingDown
 	case m.phase != idle:
-		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.proposal.By, m.Phase())
+		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.proposal.Origin, m.Phase())
 	}
-	if err := o.fits(m.running); err != nil {
+	if err := proposal.checkBase(m.running); err != nil {
 		return Nothing, err
 	}
-	if o.runs(m.running) && !m.diverged {
+	if proposal.isRunning(m.running) && !m.diverged {
 		m.cause = nil
 		return Nothing, nil
 	}
-	m.proposal, m.cause = &o, nil
+	m.proposal, m.cause = &proposal, nil
 	if m.diverged {
 		m.phase = repairing
 		return Repair, nil
@@ -166,15 +166,15 @@
 }
 
 // runs says whether the proposal is what runs already.
-func (o Proposal) runs(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
+func (o Proposal) isRunning(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
 
-func (o Proposal) fits(now Running) error {
+func (o Proposal) checkBase(now Running) error {
 	if o.Plan != nil {
-		return o.Plan.Fits(now)
+		return o.Plan.CheckBase(now)
 	}
 	if o.Base != now {
-		return fmt.Errorf("%w: serial %d (%s) runs, not serial %d (%s)", ErrStale, now.Serial, Short(now.Fingerprint),
-			o.Base.Serial, Short(o.Base.Fingerprint))
+		return fmt.Errorf("%w: serial %d (%s) runs, not serial %d (%s)", ErrStale, now.Serial, ShortFingerprint(now.Fingerprint),
+			o.Base.Serial, ShortFingerprint(o.Base.Fingerprint))
 	}
 	if o.Config.Node.Name != now.Node {
 		return fmt.Errorf("%w: the configuration is for %q, this is %q", ErrOtherNode, o.Config.Node.Name, now.Node)
@@ -187,14 +187,14 @@
 	switch m.phase {
 	case repairing:
 		if err != nil {
-			return m.stop(fmt.Errorf("the state folder could not be brought up to what runs: %w", err))
+			return m.finish(fmt.Errorf("the state folder could not be brought up to what runs: %w", err))
 		}
 		m.diverged = false
 		if m.shuttingDown {
-			return m.stop(ErrShuttingDown)
+			return m.finish(ErrShuttingDown)
 		}
-		if m.proposal.runs(m.running) {
-			return m.stop(nil)
+		if m.proposal.isRunning(m.running) {
+			return m.finish(nil)
 		}
 		m.phase = preparing
 		return Prepare
@@ -203,7 +203,7 @@
 			if m.shuttingDown {
 				err = fmt.Errorf("%w: %w", ErrShuttingDown, err)
 			}
-			return m.stop(err)
+			return m.finish(err)
 		}
 		if m.shuttingDown {
 			return m.undo(ErrShuttingDown)
@@ -212,7 +212,7 @@
 		return Persist
 	case persisting:
 		if err != nil {
-			return m.notPersisted(fmt.Errorf("the state folder: %w", err))
+			return m.persistFailed(fmt.Errorf("the state folder: %w", err))
 		}
 		m.phase = committing
 		return Commit
@@ -233,15 +233,15 @@
 		}
 		return m.undo(m.cause)
 	case undoing:
-		return m.stop(m.cause)
+		return m.finish(m.cause)
 	case retiring:
-		return m.stop(nil)
+		return m.finish(nil)
 	}
 	return Nothing
 }
 
 // notPersisted restores the old record, unless the failed write is known to have left it untouched.
-func (m *Machine) notPersisted(cause error) Step {
+func (m *Machine) persistFailed(cause error) Step {
 	var untouched *UntouchedError
 	if errors.As(cause, &untouched) {
 		return m.undo(cause)
@@ -256,7 +256,7 @@
 }
 
 // stop ends the change under way.
-func (m *Machine) stop(err error) Step {
+func (m *Machine) finish(err error) Step {
 	m.cause, m.phase, m.proposal = err, idle, nil
 	return Nothing
 }
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -14,10 +14,10 @@
 )
 
 // scripted is a change to a configuration that differs in one figure.
-func scripted(t testing.TB, base Running, attempts int) Proposal {
+func attemptsProposal(t testing.TB, base Running, attempts int) Proposal {
 	next := example(t)
 	next.Pools[0].Attempts = attempts
-	return Proposal{By: "apply", Config: next, Base: base}
+	return Proposal{Origin: "apply", Config: next, Base: base}
 }
 
 var errStep = errors.New("step failed")
@@ -58,13 +58,13 @@
 				var err error
 				switch word {
 				case "offer", "offer!":
-					step, err = m.Propose(scripted(t, m.Running(), 5+i))
+					step, err = m.Propose(attemptsProposal(t, m.Running(), 5+i))
 				case "stale!", "same":
-					step, err = m.Propose(scripted(t, first, 3))
+					step, err = m.Propose(attemptsProposal(t, first, 3))
 				case "running":
-					step, err = m.Propose(scripted(t, m.Running(), 4))
+					step, err = m.Propose(attemptsProposal(t, m.Running(), 4))
 				case "nothing!":
-					o := scripted(t, first, 4) // as the example has it
+					o := attemptsProposal(t, first, 4) // as the example has it
 					if step, err = m.Propose(o); err != nil {
 						t.Fatal(err)
 					}
@@ -101,10 +101,10 @@
 // A refusal names what is under way, or what runs.
 func TestRejectedProposals(t *testing.T) {
 	m := NewMachine(runningOf(example(t), 1), false)
-	if _, err := m.Propose(scripted(t, m.Running(), 2)); err != nil {
+	if _, err := m.Propose(attemptsProposal(t, m.Running(), 2)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := m.Propose(scripted(t, m.Running(), 3)); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply is preparing") {
+	if _, err := m.Propose(attemptsProposal(t, m.Running(), 3)); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply is preparing") {
 		t.Errorf("%v", err)
 	}
 	m.Done(errStep)
@@ -113,27 +113,27 @@
 	}
 	stale := m.Running()
 	stale.Serial = 9
-	if _, err := m.Propose(scripted(t, stale, 2)); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "serial 1") {
+	if _, err := m.Propose(attemptsProposal(t, stale, 2)); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "serial 1") {
 		t.Errorf("%v", err)
 	}
-	other := scripted(t, m.Running(), 2)
+	other := attemptsProposal(t, m.Running(), 2)
 	other.Config.Node.Name = "n2"
 	if _, err := m.Propose(other); !errors.Is(err, ErrOtherNode) {
 		t.Errorf("%v", err)
 	}
 	m.Shutdown()
-	if _, err := m.Propose(scripted(t, m.Running(), 2)); !errors.Is(err, ErrShuttingDown) {
+	if _, err := m.Propose(attemptsProposal(t, m.Running(), 2)); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
 }
 
 // disk is what a record on it may be.
-type disk int
+type diskRecord int
 
 const (
-	holdsOld disk = iota
-	holdsNew
-	unsure // a write failed halfway: one of the two
+	oldRecord diskRecord = iota
+	newRecord
+	unknownRecord // a write failed halfway: one of the two
 )
 
 // For any order of offers, ends and outcomes: nothing is committed that was not prepared and persisted; what is
@@ -149,14 +149,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine(Running{Node: "annot-1", Lineage: "l", Serial: 1, Fingerprint: configs["0"].Fingerprint()}, false)
 		prepared, persisted, ended := false, false, false
-		onDisk := holdsOld
+		onDisk := oldRecord
 		step := Nothing
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			fails := rapid.IntRange(0, 3).Draw(t, "fails") == 0
 			switch event := rapid.SampledFrom([]string{"offer", "done", "done", "done", "end"}).Draw(t, "event"); event {
 			case "offer":
 				before := m.Running()
-				next, err := m.Propose(Proposal{By: "apply", Config: configs[fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "to"))], Base: before})
+				next, err := m.Propose(Proposal{Origin: "apply", Config: configs[fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "to"))], Base: before})
 				if (step != Nothing || ended) && err == nil {
 					t.Fatal("a second change at once, or one at the end")
 				}
@@ -180,23 +180,23 @@
 				switch step {
 				case Repair, Restore:
 					if err == nil {
-						onDisk = holdsOld
+						onDisk = oldRecord
 					}
 				case Prepare:
 					prepared = err == nil
 				case Persist:
-					onDisk, persisted = unsure, err == nil
+					onDisk, persisted = unknownRecord, err == nil
 					if err == nil {
-						onDisk = holdsNew
+						onDisk = newRecord
 					} else if rapid.Bool().Draw(t, "untouched") {
-						onDisk, err = holdsOld, &UntouchedError{Err: err}
+						onDisk, err = oldRecord, &UntouchedError{Err: err}
 					}
 				case Commit:
 					if !prepared || !persisted {
 						t.Fatal("committed what was not ready")
 					}
 					if err == nil {
-						prepared, onDisk = false, holdsOld // the new one is the old one from here on
+						prepared, onDisk = false, oldRecord // the new one is the old one from here on
 					}
 				case Undo:
 					prepared = false
@@ -210,7 +210,7 @@
 					if prepared {
 						t.Fatal("what was prepared was neither committed nor undone")
 					}
-					if onDisk != holdsOld && !m.Diverged() {
+					if onDisk != oldRecord && !m.Diverged() {
 						t.Fatal("the disk holds something else than what runs, and the machine does not know")
 					}
 				}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -17,7 +17,7 @@
 const Format = 1
 
 // MaxPlan is how long a plan may be.
-const MaxPlan = 64 << 20
+const MaxSize = 64 << 20
 
 // Running names a configuration that runs.
 type Running struct {
@@ -36,28 +36,28 @@
 
 // Plan is a change that can be applied as it is, and only to what it was made for.
 type Plan struct {
-	Format  int            `json:"format"`
-	Made    time.Time      `json:"made"`
-	Base    Running        `json:"base"`   // what ran when it was made
-	Source  Source         `json:"source"` // what it was made from
-	Socket  string         `json:"socket"` // the admin socket that it was made through
-	Result  string         `json:"result"` // fingerprint of the configuration
-	Config  *config.Config `json:"config"` // complete
-	Changes []Change       `json:"changes"`
-	Digest  string         `json:"digest"` // of all the above
+	Format    int            `json:"format"`
+	CreatedAt time.Time      `json:"made"`
+	Base      Running        `json:"base"`   // what ran when it was made
+	Source    Source         `json:"source"` // what it was made from
+	Socket    string         `json:"socket"` // the admin socket that it was made through
+	Result    string         `json:"result"` // fingerprint of the configuration
+	Config    *config.Config `json:"config"` // complete
+	Changes   []Change       `json:"changes"`
+	Digest    string         `json:"digest"` // of all the above
 }
 
 // Make plans the change from what runs to another configuration.
-func Make(base Running, old, next *config.Config, source Source, socket string, now time.Time) *Plan {
+func New(base Running, old, next *config.Config, source Source, socket string, now time.Time) *Plan {
 	p := &Plan{
-		Format:  Format,
-		Made:    now.UTC().Truncate(time.Second),
-		Base:    base,
-		Source:  source,
-		Socket:  socket,
-		Result:  next.Fingerprint(),
-		Config:  next,
-		Changes: Diff(old, next),
+		Format:    Format,
+		CreatedAt: now.UTC().Truncate(time.Second),
+		Base:      base,
+		Source:    source,
+		Socket:    socket,
+		Result:    next.Fingerprint(),
+		Config:    next,
+		Changes:   Diff(old, next),
 	}
 	p.Digest = p.digest()
 	return p
@@ -104,8 +104,8 @@
 
 // Decode reads a plan and holds it against its own digests.
 func Decode(text []byte) (*Plan, error) {
-	if len(text) > MaxPlan {
-		return nil, fmt.Errorf("%w: it is longer than %v", ErrUnreadable, config.Size(MaxPlan))
+	if len(text) > MaxSize {
+		return nil, fmt.Errorf("%w: it is longer than %v", ErrUnreadable, config.Size(MaxSize))
 	}
 	var head struct {
 		Format int `json:"format"`
@@ -147,7 +147,7 @@
 }
 
 // Fits says whether a plan may be applied to what runs now.
-func (p *Plan) Fits(now Running) error {
+func (p *Plan) CheckBase(now Running) error {
 	switch {
 	case p.Base.Node != now.Node:
 		return fmt.Errorf("%w: it is for %q, this is %q", ErrOtherNode, p.Base.Node, now.Node)
@@ -159,13 +159,13 @@
 		return fmt.Errorf("%w: the node has been started again since: plan again", ErrStale)
 	case p.Base.Serial != now.Serial || p.Base.Fingerprint != now.Fingerprint:
 		return fmt.Errorf("%w: it was made for serial %d (%s), and serial %d (%s) runs: plan again", ErrStale,
-			p.Base.Serial, Short(p.Base.Fingerprint), now.Serial, Short(now.Fingerprint))
+			p.Base.Serial, ShortFingerprint(p.Base.Fingerprint), now.Serial, ShortFingerprint(now.Fingerprint))
 	}
 	return nil
 }
 
 // Short is a fingerprint for people.
-func Short(fingerprint string) string {
+func ShortFingerprint(fingerprint string) string {
 	const n = len("sha256:") + 12
 	if len(fingerprint) > n {
 		return fingerprint[:n]
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -19,10 +19,10 @@
 	"damsontrestle/internal/route"
 )
 
-var world = configtest.World{Servers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"},
+var testWorld = configtest.World{Servers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"},
 	Listeners: []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"}}
 
-var made = time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 
 func example(t testing.TB) *config.Config {
 	t.Helper()
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestText(t *testing.T) {
+func TestFormatChanges(t *testing.T) {
 	next := example(t)
 	next.Pools[0].Attempts = 2
 	next.Listeners = next.Listeners[:1]
 	next.Node.Zone = "karunagappally"
-	got := Text(Diff(example(t), next))
+	got := FormatChanges(Diff(example(t), next))
 	want := `  ~ node: part of it needs a restart
       ~ zone = "chavara" -> "karunagappally"  (needs a restart)
 
@@ -111,7 +111,7 @@
 	if got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
-	if r := Restarts(Diff(example(t), next)); !reflect.DeepEqual(r, []string{"node.zone"}) {
+	if r := RestartFields(Diff(example(t), next)); !reflect.DeepEqual(r, []string{"node.zone"}) {
 		t.Errorf("%v", r)
 	}
 }
@@ -120,7 +120,7 @@
 func TestPlanRoundTrip(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
-	p := Make(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", made)
+	p := New(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", testTime)
 	text, err := p.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 	if !reflect.DeepEqual(back.Config.Canonical(), next.Canonical()) || back.Base != p.Base || back.Source != p.Source || len(back.Changes) != 1 {
 		t.Errorf("%+v", back)
 	}
-	if err := back.Fits(runningOf(old, 3)); err != nil {
+	if err := back.CheckBase(runningOf(old, 3)); err != nil {
 		t.Error(err)
 	}
 }
@@ -142,11 +142,11 @@
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		p := Make(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", made.Add(step))
-		if err := p.Fits(runningOf(old, 3)); err != nil {
+		p := New(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", testTime.Add(step))
+		if err := p.CheckBase(runningOf(old, 3)); err != nil {
 			t.Errorf("made %v from now: %v", step, err)
 		}
-		if err := p.Fits(runningOf(old, 4)); !errors.Is(err, ErrStale) {
+		if err := p.CheckBase(runningOf(old, 4)); !errors.Is(err, ErrStale) {
 			t.Errorf("made %v from now, for what no longer runs: %v", step, err)
 		}
 	}
@@ -155,7 +155,7 @@
 func TestRejectedPlans(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
-	p := Make(runningOf(old, 3), old, next, Source{"f.hcl", "d"}, "/run/admin", made)
+	p := New(runningOf(old, 3), old, next, Source{"f.hcl", "d"}, "/run/admin", testTime)
 	text, _ := p.Encode()
 	edit := func(old, new string) []byte {
 		out := bytes.Replace(text, []byte(old), []byte(new), 1)
@@ -166,7 +166,7 @@
 	}
 	invalid := example(t)
 	invalid.Pools[0].Attempts = 99
-	invalidText, _ := Make(runningOf(old, 3), old, invalid, Source{}, "/run/admin", made).Encode()
+	invalidText, _ := New(runningOf(old, 3), old, invalid, Source{}, "/run/admin", testTime).Encode()
 	for name, c := range map[string]struct {
 		text []byte
 		is   error
@@ -184,7 +184,7 @@
 		"something behind":     {append(bytes.Clone(text), "{}"...), ErrUnreadable, ""},
 		"no JSON":              {[]byte("plan"), ErrUnreadable, ""},
 		"what no check passes": {invalidText, ErrInvalid, "pool.boxes.attempts: found 99; allowed: 1 to 16"},
-		"too long":             {make([]byte, MaxPlan+1), ErrUnreadable, "longer"},
+		"too long":             {make([]byte, MaxSize+1), ErrUnreadable, "longer"},
 	} {
 		if _, err := Decode(c.text); !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.say) {
 			t.Errorf("%s: %v", name, err)
@@ -207,13 +207,13 @@
 		"a restart":                  {restarted, ErrStale, "started again"},
 		"another node":               {other, ErrOtherNode, `"annot-1", this is "n2"`},
 	} {
-		if err := p.Fits(c.now); !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.say) {
+		if err := p.CheckBase(c.now); !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.say) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	renamed := example(t)
 	renamed.Node.Name = "n2"
-	if err := Make(runningOf(old, 3), old, renamed, Source{}, "/run/admin", made).Fits(runningOf(old, 3)); !errors.Is(err, ErrOtherNode) {
+	if err := New(runningOf(old, 3), old, renamed, Source{}, "/run/admin", testTime).CheckBase(runningOf(old, 3)); !errors.Is(err, ErrOtherNode) {
 		t.Errorf("another name: %v", err)
 	}
 }
@@ -222,7 +222,7 @@
 // second one completely.
 func TestDiffIsEmptyOnlyForEqualConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := configtest.Draw(t, world), configtest.Draw(t, world)
+		a, b := configtest.Draw(t, testWorld), configtest.Draw(t, testWorld)
 		if rapid.IntRange(0, 3).Draw(t, "same") == 0 {
 			text, _ := json.Marshal(a)
 			b = new(config.Config)
@@ -230,7 +230,7 @@
 				t.Fatal(err)
 			}
 		}
-		p := Make(runningOf(a, 1), a, b, Source{}, "/run/admin", made)
+		p := New(runningOf(a, 1), a, b, Source{}, "/run/admin", testTime)
 		if (len(p.Changes) == 0) != (a.Fingerprint() == b.Fingerprint()) {
 			t.Fatalf("%d changes, fingerprints %s and %s", len(p.Changes), a.Fingerprint(), b.Fingerprint())
 		}
@@ -259,7 +259,7 @@
 func FuzzDecode(f *testing.F) {
 	old, next := example(f), example(f)
 	next.Pools[0].Attempts = 2
-	text, _ := Make(runningOf(old, 3), old, next, Source{"f.hcl", "d"}, "/run/admin", made).Encode()
+	text, _ := New(runningOf(old, 3), old, next, Source{"f.hcl", "d"}, "/run/admin", testTime).Encode()
 	f.Add(text)
 	f.Add(text[:len(text)/2])
 	for _, s := range []string{"", "{}", `{"format":2}`, `{"format":1,"config":null}`, `[]`, `{"format":1}{}`, `{"format":1e9}`} {
@@ -277,7 +277,7 @@
 }
 
 // bigPair are two configurations of 1,000 pools and 10,000 routes that differ in a tenth of both.
-func bigPair() (old, next *config.Config) {
+func largeConfigs() (old, next *config.Config) {
 	make := func(changed int) *config.Config {
 		c := &config.Config{Node: config.Node{Name: "n", Limits: config.Limits{Memory: 8 << 30, Descriptors: 1 << 20, Cores: 1}},
 			Classes:   []config.Class{{Name: "view", Effect: config.Safe, LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second), PriorityWeight: 1}},
@@ -309,13 +309,13 @@
 
 // BenchmarkPlan1000Pools10000Routes is all steps of a plan: check, difference, writing, reading again.
 func BenchmarkPlan1000Pools10000Routes(b *testing.B) {
-	old, next := bigPair()
+	old, next := largeConfigs()
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := next.Check().Err(); err != nil {
 			b.Fatal(err)
 		}
-		p := Make(runningOf(old, 1), old, next, Source{}, "/run/admin", made)
+		p := New(runningOf(old, 1), old, next, Source{}, "/run/admin", testTime)
 		text, err := p.Encode()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/plan/text.go
+++ b/internal/plan/text.go
@@ -49,7 +49,7 @@
 }
 
 // Restarts are the fields that take effect at the next start only, as "node.zone".
-func Restarts(changes []Change) (paths []string) {
+func RestartFields(changes []Change) (paths []string) {
 	for _, c := range changes {
 		for _, f := range c.Fields {
 			if f.Effect == NeedsRestart {
@@ -64,7 +64,7 @@
 var actionSigns = map[Action]string{Add: "+", Modify: "~", Remove: "-"}
 
 // Text writes changes for people.
-func Text(changes []Change) string {
+func FormatChanges(changes []Change) string {
 	var b strings.Builder
 	for _, c := range changes {
 		c.writeTo(&b)
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -47,7 +47,7 @@
 		l.tokens = min(l.terms.Depth(), l.tokens+elapsed*l.rate(now))
 		for _, partner := range l.terms.Partners {
 			if claim := l.claims[partner.Name]; claim != nil && partner.Floor > 0 {
-				claim.Credit = min(max(1, partner.Floor), claim.Credit+elapsed*partner.Floor)
+				claim.FloorCredit = min(max(1, partner.Floor), claim.FloorCredit+elapsed*partner.Floor)
 			}
 		}
 	}
--- a/internal/quota/draw.go
+++ b/internal/quota/draw.go
@@ -35,7 +35,7 @@
 		}
 		return t, 0
 	}
-	wait := l.options.Budget.Wait
+	wait := l.options.Budget.MaxWait
 	if wait <= 0 && !returning {
 		retry = l.reject(id, now)
 		l.mu.Unlock()
--- a/internal/quota/election.go
+++ b/internal/quota/election.go
@@ -59,7 +59,7 @@
 		}
 		l.mu.Lock()
 		now := l.options.Now()
-		term := l.options.Budget.Term
+		term := l.options.Budget.LeaderTerm
 		isLeader := l.actAsLeader(now)
 		votedFor := l.votedFor(now)
 		isVacant := !isLeader && (votedFor == "" || votedFor == l.leader.self)
@@ -100,7 +100,7 @@
 	if !renew {
 		number = leader.nextTerm()
 	}
-	term := l.options.Budget.Term
+	term := l.options.Budget.LeaderTerm
 	candidates := l.options.Budget.Candidates
 	request := voteRequest{l.options.Budget.Name, number}
 	l.mu.Unlock()
@@ -112,7 +112,7 @@
 	if renew && !leader.isLeader(l.options.Now()) {
 		return false
 	}
-	until := now + budget.Shorter(term)
+	until := now + budget.AtMost(term)
 	if until <= l.options.Now() {
 		return true // the votes came too late to be of use
 	}
@@ -177,7 +177,7 @@
 	if leader == nil || !slices.Contains(leader.candidates, candidate.String()) {
 		return voteReply{}
 	}
-	vote, ok := budget.MayVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.Term, m.Term, candidate.String())
+	vote, ok := budget.GrantVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.LeaderTerm, m.Term, candidate.String())
 	leader.vote = vote
 	leader.highestTerm = max(leader.highestTerm, m.Term)
 	return voteReply{Yes: ok, Term: max(vote.Term, leader.highestTerm)}
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -136,16 +136,16 @@
 		}
 		claim := &claims[i]
 		partner := l.terms.Partners[i]
-		n := l.grant(partner.Name, min(perTurn, claim.Want, int(l.tokens)))
+		n := l.grant(partner.Name, min(perTurn, claim.Waiting, int(l.tokens)))
 		if n == 0 {
-			claim.Want = 0
+			claim.Waiting = 0
 			continue
 		}
 		l.tokens -= float64(n)
 		l.granted += int64(n)
-		claim.Want -= n
-		if claim.Credit >= 1 {
-			claim.Credit -= float64(n)
+		claim.Waiting -= n
+		if claim.FloorCredit >= 1 {
+			claim.FloorCredit -= float64(n)
 		} else {
 			claim.BeyondFloor = max(claim.BeyondFloor, least) + float64(n)/l.weight(partner.Name)
 		}
@@ -170,10 +170,10 @@
 	claims := make([]budget.Claim, len(l.terms.Partners))
 	for i, partner := range l.terms.Partners {
 		claim := l.claim(partner.Name)
-		claim.Want = 0
+		claim.Waiting = 0
 		for from, p := range l.pending {
 			if from.Partner == partner.Name {
-				claim.Want += p.missing()
+				claim.Waiting += p.missing()
 			}
 		}
 		claims[i] = *claim
@@ -185,9 +185,9 @@
 func (l *leader) storeClaims(claims []budget.Claim) (waiting int) {
 	for i, partner := range l.terms.Partners {
 		claim := l.claims[partner.Name]
-		claim.Credit = claims[i].Credit
+		claim.FloorCredit = claims[i].FloorCredit
 		claim.BeyondFloor = claims[i].BeyondFloor
-		waiting += max(0, claims[i].Want)
+		waiting += max(0, claims[i].Waiting)
 	}
 	return waiting
 }
@@ -197,7 +197,7 @@
 func leastBeyondFloor(claims []budget.Claim) float64 {
 	least := math.Inf(1)
 	for _, claim := range claims {
-		if claim.Want > 0 {
+		if claim.Waiting > 0 {
 			least = min(least, claim.BeyondFloor)
 		}
 	}
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -52,7 +52,7 @@
 }
 
 func terms(rate, burst float64, partners ...budget.Partner) budget.Terms {
-	return budget.Terms{Name: "notes", Rate: rate, Burst: burst, Lease: 300 * time.Millisecond, Term: time.Second, Fallback: budget.Floor, Partners: partners}
+	return budget.Terms{Name: "notes", Rate: rate, Burst: burst, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Floor, Partners: partners}
 }
 
 // Tokens are shared by weight beyond floors. What one partner leaves the others get, and it has it back at once.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -5,13 +5,13 @@
 // ends. The leader is elected by a majority of the candidates for a term that it renews, and grants nothing once its term is
 // over by its own clock.
 //
-// What the package promises, where clocks differ in rate by at most budget.Drift, whatever they show:
+// What the package promises, where clocks differ in rate by at most budget.MaxDrift, whatever they show:
 //
 //   - In any window of w no more than Terms.Bound(w) requests draw, over all gateways, whoever is killed, stopped, partitioned
 //     or restarted: a token is taken out of the one bucket before it is granted (leader.distribute), is used within a lease of
 //     the time when it was requested (Limiter.applyGrant), and the bucket of a new leader starts empty (leader.begin).
 //   - There are never two leaders: a vote outlasts the term that it was given for, and a candidate that has just started votes
-//     for nobody until what it may have promised before is over (budget.MayVote).
+//     for nobody until what it may have promised before is over (budget.GrantVote).
 //   - A partner's floor is its own: it is served first, and where no leader is reached and the file says so, each gateway goes
 //     on with its part of it (Limiter.takeOwnFloor). The leader lends a floor to others only as long as its owner has waived
 //     it (budget.FloorLoanEnds).
--- a/internal/quota/requests.go
+++ b/internal/quota/requests.go
@@ -29,7 +29,7 @@
 	switch {
 	case ahead >= 1:
 		n += int(math.Round(ahead))
-	case l.options.Budget.Wait <= 0 && l.rates.requests > minDemand:
+	case l.options.Budget.MaxWait <= 0 && l.rates.requests > minDemand:
 		n++ // a request that can't wait needs a token that is there
 	}
 	return min(maxTokensPerRequest, n-l.available)
@@ -193,7 +193,7 @@
 	l.grantedAt = now
 	l.hint = grant.Hint
 	if grant.Granted > 0 {
-		l.addLease(tokenLease{grant.Granted, requestedAt + budget.Shorter(l.options.Budget.Lease)}, now)
+		l.addLease(tokenLease{grant.Granted, requestedAt + budget.AtMost(l.options.Budget.Lease)}, now)
 	}
 	l.serveWaiting(now)
 }
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -46,8 +46,8 @@
 func rankByHash(key Key, group []Gateway) []Gateway {
 	order := slices.Clone(group)
 	slices.SortFunc(order, func(a, b Gateway) int {
-		hashA := splitmix.Of(key.Class, key.ID, a.Name)
-		hashB := splitmix.Of(key.Class, key.ID, b.Name)
+		hashA := splitmix.Hash(key.Class, key.ID, a.Name)
+		hashB := splitmix.Hash(key.Class, key.ID, b.Name)
 		return cmp.Or(cmp.Compare(hashB, hashA), cmp.Compare(a.Name, b.Name))
 	})
 	return order
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -14,18 +14,18 @@
 		if i < 1000 {
 			names.Pools = append(names.Pools, pool)
 		}
-		r := Route{Name: fmt.Sprint("r", i), Hosts: []string{fmt.Sprintf("h%d.example", i/4)}, To: to(pool)}
+		r := Route{Name: fmt.Sprint("r", i), Hosts: []string{fmt.Sprintf("h%d.example", i/4)}, To: singleTarget(pool)}
 		switch i % 4 {
 		case 0:
 			r.Paths = []string{fmt.Sprintf("/view/core-%d/*", i)}
 		case 1:
 			r.Paths = []string{fmt.Sprintf("/note/core-%d", i)}
 		case 2:
-			r.Headers = []Header{{Name: "X-Team", Equals: text("a")}}
+			r.Headers = []Header{{Name: "X-Team", Equals: stringPtr("a")}}
 		}
 		routes = append(routes, r)
 	}
-	return append(routes, Route{Name: "rest", Default: true, To: to("pool-0")}), names
+	return append(routes, Route{Name: "rest", Default: true, To: singleTarget("pool-0")}), names
 }
 
 func BenchmarkChooseAmong10000(b *testing.B) {
@@ -36,10 +36,10 @@
 	}
 	h := http.Header{"X-Team": {"a"}, "Accept": {"*/*"}}
 	requests := []*Request{
-		{Listener: "main", Class: "view", Host: "h1000.example", Path: "/view/core-4000/interval/7", Headers: h, Draw: "id"},
-		{Listener: "side", Class: "note", Host: "h2000.example:80", Path: "/note/core-8001", Headers: h, Draw: "id"},
-		{Listener: "main", Class: "log", Host: "h10.example", Path: "/log/core-1/2/3", Headers: h, Draw: "id"},
-		{Listener: "main", Class: "log", Host: "nowhere.example", Path: "/log/core-1/2/3", Headers: h, Draw: "id"},
+		{Listener: "main", Class: "view", Host: "h1000.example", Path: "/view/core-4000/interval/7", Headers: h, HashKey: "id"},
+		{Listener: "side", Class: "note", Host: "h2000.example:80", Path: "/note/core-8001", Headers: h, HashKey: "id"},
+		{Listener: "main", Class: "log", Host: "h10.example", Path: "/log/core-1/2/3", Headers: h, HashKey: "id"},
+		{Listener: "main", Class: "log", Host: "nowhere.example", Path: "/log/core-1/2/3", Headers: h, HashKey: "id"},
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -10,32 +10,32 @@
 
 // cell holds the rules for one listener and class.
 type cell struct {
-	exact    map[string]*pathRules // by host
-	below    map[string]*pathRules // by the name below which all match, with its dot in front
-	anyHost  *pathRules
-	fallback *rule // the default
+	exact       map[string]*pathRules // by host
+	subdomains  map[string]*pathRules // by the name below which all match, with its dot in front
+	anyHost     *pathRules
+	defaultRule *rule // the default
 }
 
 // pathRules holds the rules for one pattern of hosts.
 type pathRules struct {
 	exact    map[string][]*rule
-	below    map[string][]*rule // by the path below which all match
+	prefixes map[string][]*rule // by the path below which all match
 	anyPath  []*rule
 	maxDepth int // segments of the longest in below
 }
 
 func newPathRules() *pathRules {
-	return &pathRules{exact: map[string][]*rule{}, below: map[string][]*rule{}}
+	return &pathRules{exact: map[string][]*rule{}, prefixes: map[string][]*rule{}}
 }
 
 func newCell() *cell {
-	return &cell{exact: map[string]*pathRules{}, below: map[string]*pathRules{}, anyHost: newPathRules()}
+	return &cell{exact: map[string]*pathRules{}, subdomains: map[string]*pathRules{}, anyHost: newPathRules()}
 }
 
 // add puts a rule among those of its host and path.
 func (c *cell) add(r *rule) {
 	if r.rank == defaultRank {
-		c.fallback = r
+		c.defaultRule = r
 		return
 	}
 	c.hostRules(r.host).add(r)
@@ -49,7 +49,7 @@
 	byName := c.exact
 	name, isBelow := strings.CutPrefix(pattern, "*")
 	if isBelow {
-		byName = c.below
+		byName = c.subdomains
 	}
 	rules := byName[name]
 	if rules == nil {
@@ -66,7 +66,7 @@
 	case r.path == "":
 		b.anyPath = append(b.anyPath, r)
 	case isBelow:
-		b.below[prefix] = append(b.below[prefix], r)
+		b.prefixes[prefix] = append(b.prefixes[prefix], r)
 		b.maxDepth = max(b.maxDepth, strings.Count(prefix, "/"))
 	default:
 		b.exact[r.path] = append(b.exact[r.path], r)
@@ -75,11 +75,11 @@
 
 // eachRuleList goes over the lists of rules that share host and path.
 func (c *cell) eachRuleList(f func([]*rule)) {
-	c.eachHost(func(b *pathRules) {
+	c.eachHostRules(func(b *pathRules) {
 		for _, rules := range b.exact {
 			f(rules)
 		}
-		for _, rules := range b.below {
+		for _, rules := range b.prefixes {
 			f(rules)
 		}
 		f(b.anyPath)
@@ -87,11 +87,11 @@
 }
 
 // eachHost goes over the rules of each pattern of hosts.
-func (c *cell) eachHost(f func(*pathRules)) {
+func (c *cell) eachHostRules(f func(*pathRules)) {
 	for _, b := range c.exact {
 		f(b)
 	}
-	for _, b := range c.below {
+	for _, b := range c.subdomains {
 		f(b)
 	}
 	f(c.anyHost)
@@ -106,7 +106,7 @@
 
 // choose tries the hosts' patterns from the narrowest to the widest, within each the paths'.
 func (c *cell) choose(request *Request) *rule {
-	if len(c.exact)+len(c.below) > 0 {
+	if len(c.exact)+len(c.subdomains) > 0 {
 		if r := c.chooseByHost(hostName(request.Host), request); r != nil {
 			return r
 		}
@@ -114,7 +114,7 @@
 	if r := c.anyHost.choose(request); r != nil {
 		return r
 	}
-	return c.fallback
+	return c.defaultRule
 }
 
 // chooseByHost tries the patterns that a host matches, but for the one of any host.
@@ -125,14 +125,14 @@
 		}
 	}
 	// A longer name than the DNS has is below none, and would take long to try.
-	if len(c.below) == 0 || len(host) > maxHostLength {
+	if len(c.subdomains) == 0 || len(host) > maxHostLength {
 		return nil
 	}
 	for i := 1; i < len(host); i++ { // from 1: "*.example" takes all below, not the name itself
 		if host[i] != '.' {
 			continue
 		}
-		if rules := c.below[host[i:]]; rules != nil {
+		if rules := c.subdomains[host[i:]]; rules != nil {
 			if r := rules.choose(request); r != nil {
 				return r
 			}
@@ -148,14 +148,14 @@
 			return r
 		}
 	}
-	if len(b.below) > 0 {
+	if len(b.prefixes) > 0 {
 		// The path itself is the longest prefix of its own, then what is left before each slash.
 		path := request.Path
 		for n := strings.Count(path, "/"); n > b.maxDepth; n-- {
 			path = path[:strings.LastIndexByte(path, '/')]
 		}
 		for ; path != ""; path = path[:strings.LastIndexByte(path, '/')] {
-			if r := firstMatch(b.below[path], request); r != nil {
+			if r := firstMatch(b.prefixes[path], request); r != nil {
 				return r
 			}
 		}
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -143,7 +143,7 @@
 	case strings.ContainsAny(p, "?#"):
 		return "a path has no query and no fragment here"
 	}
-	plain, err := Plain(path)
+	plain, err := NormalForm(path)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/route/overlap.go
+++ b/internal/route/overlap.go
@@ -32,7 +32,7 @@
 func (c *compiler) checkOverlaps() bool {
 	overlaps := map[[2]int]bool{} // pairs of routes
 	for _, key := range c.sortedCells() {
-		c.table.cells[key].compare(func(a, b *rule) {
+		c.table.cells[key].compareRules(func(a, b *rule) {
 			first := min(a.route, b.route)
 			second := max(a.route, b.route)
 			pair := [2]int{first, second}
@@ -110,7 +110,7 @@
 // compare finds the rules of the same rank that one request could match, and for each rule one that takes all
 // that it would. Only rules that share host and path can do either: of patterns that differ, the narrower
 // one leaves the wider requests that it does not match, and has the greater rank.
-func (c *cell) compare(overlap func(a, b *rule)) {
+func (c *cell) compareRules(overlap func(a, b *rule)) {
 	c.eachRuleList(func(rules []*rule) {
 		for i, r := range rules {
 			for _, better := range rules[:i] {
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -9,31 +9,31 @@
 )
 
 // Reading says how a path was brought to its plain form.
-type Reading int
+type PathChange int
 
 // Readings, the harmless ones first.
 const (
-	Same    Reading = iota // it was plain
-	Spelled                // other percent-encodings of the same characters (RFC 3986 section 6.2.2.2)
-	Moved                  // dot segments resolved or empty segments dropped: a server may read it otherwise
+	PathUnchanged       PathChange = iota // it was plain
+	PathReencoded                         // other percent-encodings of the same characters (RFC 3986 section 6.2.2.2)
+	PathSegmentsRemoved                   // dot segments resolved or empty segments dropped: a server may read it otherwise
 )
 
 // String returns the name of the reading, for logs and tests.
-func (r Reading) String() string {
+func (r PathChange) String() string {
 	switch r {
-	case Same:
+	case PathUnchanged:
 		return "same"
-	case Spelled:
+	case PathReencoded:
 		return "spelled"
-	case Moved:
+	case PathSegmentsRemoved:
 		return "moved"
 	}
-	return "Reading(" + strconv.Itoa(int(r)) + ")"
+	return "PathChange(" + strconv.Itoa(int(r)) + ")"
 }
 
 // Plain returns the plain form of a path; see Read.
-func Plain(raw string) (string, error) {
-	plain, _, err := Read(raw)
+func NormalForm(raw string) (string, error) {
+	plain, _, err := NormalizePath(raw)
 	return plain, err
 }
 
@@ -42,32 +42,32 @@
 // segments but a last one. A path that servers are known to read in more than one way whatever is made of it is
 // an error: encoded separators, backslashes, control characters, dots behind a semicolon, what is encoded
 // twice, and what is no UTF-8.
-func Read(raw string) (plain string, how Reading, err error) {
+func NormalizePath(raw string) (plain string, how PathChange, err error) {
 	if !strings.HasPrefix(raw, "/") {
-		return "", Same, errors.New(`a path begins with "/"`)
+		return "", PathUnchanged, errors.New(`a path begins with "/"`)
 	}
-	if isPlain(raw) {
-		return raw, Same, nil
+	if isNormalized(raw) {
+		return raw, PathUnchanged, nil
 	}
 	spelled, err := normalizeEncoding(raw)
 	if err != nil {
-		return "", Same, err
+		return "", PathUnchanged, err
 	}
 	if spelled != raw {
-		how = Spelled
+		how = PathReencoded
 	}
 	plain, err = resolveDotSegments(spelled)
 	if err != nil {
-		return "", Same, err
+		return "", PathUnchanged, err
 	}
 	if plain != spelled {
-		how = Moved
+		how = PathSegmentsRemoved
 	}
 	return plain, how, nil
 }
 
 // isPlain is a quick check that most paths pass: a path that does is its own plain form.
-func isPlain(raw string) bool {
+func isNormalized(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		switch c := raw[i]; {
 		case c <= ' ' || c >= 0x7f || c == '%' || c == '\\' || c == ';':
@@ -171,11 +171,11 @@
 // Agrees says that a path that is forwarded as it came is of its class for the most liberal server too: one
 // that decodes twice, takes backslashes for slashes and cuts parameters off. The class is the path's first
 // part.
-func Agrees(raw, class string) bool {
+func PathHasClass(raw, class string) bool {
 	if !strings.HasPrefix(raw, "/") {
 		return false
 	}
-	if isPlain(raw) {
+	if isNormalized(raw) {
 		first, _, _ := strings.Cut(raw[1:], "/")
 		return first == class
 	}
--- a/internal/route/path_test.go
+++ b/internal/route/path_test.go
@@ -8,7 +8,7 @@
 func TestPathNormalization(t *testing.T) {
 	for _, c := range []struct {
 		raw, plain string
-		how        Reading
+		how        PathChange
 		err        string
 	}{
 		{raw: "/view/k", plain: "/view/k"},
@@ -16,18 +16,18 @@
 		{raw: "/", plain: "/"},
 		{raw: "/view/a;v=1/b;c", plain: "/view/a;v=1/b;c"},
 		{raw: "/view/%C3%A9", plain: "/view/%C3%A9"},
-		{raw: "/view/%c3%a9", plain: "/view/%C3%A9", how: Spelled},
-		{raw: "/%76iew/%41%2D", plain: "/view/A-", how: Spelled},
+		{raw: "/view/%c3%a9", plain: "/view/%C3%A9", how: PathReencoded},
+		{raw: "/%76iew/%41%2D", plain: "/view/A-", how: PathReencoded},
 		{raw: "/view/a%20b%3F%25", plain: "/view/a%20b%3F%25"},
 		{raw: "/view/.hidden/..x", plain: "/view/.hidden/..x"},
-		{raw: "/view/../note/k", plain: "/note/k", how: Moved},
-		{raw: "/view/./k", plain: "/view/k", how: Moved},
-		{raw: "/view/%2e%2E/note/k", plain: "/note/k", how: Moved},
-		{raw: "/view//k", plain: "/view/k", how: Moved},
-		{raw: "//view/k", plain: "/view/k", how: Moved},
-		{raw: "/view/k/..", plain: "/view/", how: Moved},
-		{raw: "/view/k/.", plain: "/view/k/", how: Moved},
-		{raw: "/view//", plain: "/view/", how: Moved},
+		{raw: "/view/../note/k", plain: "/note/k", how: PathSegmentsRemoved},
+		{raw: "/view/./k", plain: "/view/k", how: PathSegmentsRemoved},
+		{raw: "/view/%2e%2E/note/k", plain: "/note/k", how: PathSegmentsRemoved},
+		{raw: "/view//k", plain: "/view/k", how: PathSegmentsRemoved},
+		{raw: "//view/k", plain: "/view/k", how: PathSegmentsRemoved},
+		{raw: "/view/k/..", plain: "/view/", how: PathSegmentsRemoved},
+		{raw: "/view/k/.", plain: "/view/k/", how: PathSegmentsRemoved},
+		{raw: "/view//", plain: "/view/", how: PathSegmentsRemoved},
 		{raw: "/..", err: "climbs"},
 		{raw: "/view/../../note", err: "climbs"},
 		{raw: "/view/..;/note", err: "semicolon"},
@@ -48,7 +48,7 @@
 		{raw: "view/k", err: "begins with"},
 		{raw: "", err: "begins with"},
 	} {
-		plain, how, err := Read(c.raw)
+		plain, how, err := NormalizePath(c.raw)
 		switch {
 		case c.err != "":
 			why := ""
@@ -65,7 +65,7 @@
 }
 
 // A path that is forwarded as it came must be of its class for every server.
-func TestPathAgreesWithItsClass(t *testing.T) {
+func TestPathHasClass(t *testing.T) {
 	for raw, agrees := range map[string]bool{
 		"/view/k": true, "/view": true, "/view/": true, "/view//x/../y": true, `/view/"odd"|{};,`: true, "/view/a%2fB": true,
 		"/view/a/../b": true, "/view/%zz": true,
@@ -73,7 +73,7 @@
 		`/view/..\note`: false, `/view\..\note`: false, "/view/..;a/note": false, "/view/%252e%252e/note": false, "/./note/x": false,
 		"//note/view": false, "/note/../view": false, "/..": false, "/": false, "view": false,
 	} {
-		if got := Agrees(raw, "view"); got != agrees {
+		if got := PathHasClass(raw, "view"); got != agrees {
 			t.Errorf("%q: %v", raw, got)
 		}
 	}
@@ -86,15 +86,15 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, raw string) {
-		plain, how, err := Read(raw)
+		plain, how, err := NormalizePath(raw)
 		if err != nil {
 			return
 		}
-		again, same, err := Read(plain)
-		if err != nil || again != plain || same != Same {
+		again, same, err := NormalizePath(plain)
+		if err != nil || again != plain || same != PathUnchanged {
 			t.Fatalf("%q is read as %q, and that as %q (%v, %v)", raw, plain, again, same, err)
 		}
-		if (how == Same) != (plain == raw) {
+		if (how == PathUnchanged) != (plain == raw) {
 			t.Fatalf("%q is read as %q: %v", raw, plain, how)
 		}
 		for _, s := range strings.Split(plain[1:], "/") {
@@ -102,7 +102,7 @@
 				t.Fatalf("%q is read as %q", raw, plain)
 			}
 		}
-		if first, _, _ := strings.Cut(plain[1:], "/"); first != "" && !strings.ContainsAny(first, ";%") && !Agrees(plain, first) {
+		if first, _, _ := strings.Cut(plain[1:], "/"); first != "" && !strings.ContainsAny(first, ";%") && !PathHasClass(plain, first) {
 			t.Fatalf("%q is of another class to a liberal server", plain)
 		}
 	})
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -12,7 +12,7 @@
 )
 
 // linearSearch finds a request's route by looking at all of them: what Table must do faster.
-func linearSearch(routes []Route, c *Request) (best int) {
+func chooseLinearly(routes []Route, c *Request) (best int) {
 	best = -1
 	var top rank
 	for i, r := range routes {
@@ -62,7 +62,7 @@
 	for i := range rapid.IntRange(1, 6).Draw(t, "routes") {
 		r := Route{Name: fmt.Sprint("r", i), Listeners: some("listeners", "main", "side"), Classes: some("classes", "view", "note"),
 			Hosts: some("hosts", "a.x", "b.x", "*.x", "*.a.x", "x"), Paths: some("paths", "/view/*", "/view/k", "/view/k/*", "/note/*", "/note/k/l"),
-			To: to("a")}
+			To: singleTarget("a")}
 		for _, h := range some("headers", "X-A", "X-B") {
 			eq := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "value")
 			w := Header{Name: h}
@@ -73,7 +73,7 @@
 		}
 		out = append(out, r)
 	}
-	return append(out, Route{Name: "rest", Default: true, To: to("b")})
+	return append(out, Route{Name: "rest", Default: true, To: singleTarget("b")})
 }
 
 func drawRequest(t *rapid.T) *Request {
@@ -104,7 +104,7 @@
 		for range 20 {
 			c := drawRequest(t)
 			got, ok := table.Choose(c)
-			if want := linearSearch(routes, c); !ok || got.Route != want {
+			if want := chooseLinearly(routes, c); !ok || got.Route != want {
 				t.Fatalf("%+v: route %d, want %d", c, got.Route, want)
 			}
 			requests++
@@ -143,13 +143,13 @@
 		taken := map[int]bool{len(routes) - 1: true}
 		ambiguous := false
 		for _, c := range all {
-			first := linearSearch(routes, c)
+			first := chooseLinearly(routes, c)
 			taken[first] = true
 			reversed := make([]Route, 0, len(routes))
 			for i := range routes {
 				reversed = append(reversed, routes[len(routes)-1-i])
 			}
-			ambiguous = ambiguous || first != len(routes)-1-linearSearch(reversed, c)
+			ambiguous = ambiguous || first != len(routes)-1-chooseLinearly(reversed, c)
 		}
 		if bad := ambiguous || len(taken) < len(routes); bad != (len(problems) > 0) {
 			t.Fatalf("an overlap: %v; %d of %d routes take requests; problems: %v", ambiguous, len(taken), len(routes), problems)
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -31,12 +31,12 @@
 
 // choose returns the pool for a draw. Each pool has one range of the sum of weights, so that a weight that
 // changes a little migrates few requests.
-func (s split) choose(draw string) int {
+func (s split) choose(hashKey string) int {
 	if len(s.pools) == 1 {
 		return s.pools[0]
 	}
 	sum := s.upperBounds[len(s.upperBounds)-1]
-	point := uint64(unitInterval(hash(draw)) * float64(sum))
+	point := uint64(unitInterval(hash(hashKey)) * float64(sum))
 	i := 0
 	for s.upperBounds[i] <= point {
 		i++
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -17,7 +17,7 @@
 	Headers  Headers
 	// Draw settles which of several pools takes the request: it is the same for requests that must reach the same servers,
 	// as those with one idempotency key.
-	Draw string
+	HashKey string
 }
 
 // Headers are the headers of a request. http.Header is an implementation.
@@ -45,7 +45,7 @@
 	if chosen == nil {
 		return Choice{}, false
 	}
-	pool := t.pools[chosen.split.choose(request.Draw)]
+	pool := t.pools[chosen.split.choose(request.HashKey)]
 	return Choice{Pool: pool, Route: chosen.route}, true
 }
 
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -3,8 +3,8 @@
 // numbers on which all nodes agree. It has no state, and is not for secrets.
 package splitmix
 
-// Golden is the increment between two states: 2^64 divided by the golden ratio.
-const Golden = 0x9e3779b97f4a7c15
+// GoldenGamma is the increment between two states: 2^64 divided by the golden ratio.
+const GoldenGamma = 0x9e3779b97f4a7c15
 
 // Parameters of FNV-1a with 64 bits.
 const (
@@ -26,12 +26,12 @@
 
 // Draw returns the n-th number from a seed, from 0 up to but not including limit, which must be positive.
 func Draw(seed, n uint64, limit int) int {
-	return int(Mix(seed+n*Golden) % uint64(limit))
+	return int(Mix(seed+n*GoldenGamma) % uint64(limit))
 }
 
 // Of returns a hash of words: FNV-1a over them, each with a separator, mixed. All nodes that rank by it for a key get the same
 // order (rendezvous hashing).
-func Of(words ...string) uint64 {
+func Hash(words ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, w := range words {
 		for i := range len(w) {
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -99,7 +99,7 @@
 		return no(http.StatusBadRequest, "the path: "+misread.Error())
 	case !strings.HasPrefix(path, "/") || !known:
 		return no(http.StatusNotFound, "the path names no class")
-	case l.Paths == config.PathsAsSent && !route.Agrees(path, name):
+	case l.Paths == config.PathsAsSent && !route.PathHasClass(path, name):
 		return no(http.StatusBadRequest, "the path can be read as one of another class")
 	case (class.Effect == balancer.Safe) != (h.Method == http.MethodGet):
 		return no(http.StatusMethodNotAllowed, "the class is not asked for by this method")
@@ -117,9 +117,9 @@
 		return no(http.StatusBadRequest, "GET has no body")
 	}
 	r := Request{ID: id, Class: name, Wait: wait, Request: engine.Message{Method: h.Method, Target: target, Key: key, ContentType: h.Type},
-		route: route.Request{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, Draw: id}}
+		route: route.Request{Listener: h.Listener, Class: name, Host: h.Host, Path: path, Headers: h.Headers, HashKey: id}}
 	if class.Effect == balancer.Keyed {
-		r.route.Draw = key // a repeat must meet the servers that know its key
+		r.route.HashKey = key // a repeat must meet the servers that know its key
 	}
 	return r, nil
 }
@@ -162,8 +162,8 @@
 	if how == config.PathsAsSent || !strings.HasPrefix(raw, "/") {
 		return raw, nil
 	}
-	plain, reading, err := route.Read(raw)
-	if err == nil && reading == route.Moved && how != config.NormalizePaths {
+	plain, reading, err := route.NormalizePath(raw)
+	if err == nil && reading == route.PathSegmentsRemoved && how != config.NormalizePaths {
 		err = fmt.Errorf("servers could read it otherwise; its plain form is %s", plain)
 	}
 	return plain, err
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -21,7 +21,9 @@
 }
 
 // rank orders the nodes of a zone in a plane: by a hash of their IDs.
-func rank(id uint64, plane uint8) uint64 { return splitmix.Mix(id ^ uint64(plane+1)*splitmix.Golden) }
+func rank(id uint64, plane uint8) uint64 {
+	return splitmix.Mix(id ^ uint64(plane+1)*splitmix.GoldenGamma)
+}
 
 // tree holds one zone's nodes in the order of a plane. As in a heap, the fan children of the i-th begin at i*fan+1.
 type tree []Peer
