--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -1,14 +1,14 @@
 package budget
 
-// Claim is what a partner wants of a bucket, and what it has had.
+// Claim is a partner's demand for tokens of a bucket, and its share so far.
 type Claim struct {
-	Waiting     int     // tokens that its gateways wait for
-	FloorCredit float64 // of its floor: what it could have had and has not
-	BeyondFloor float64 // beyond its floor, for its weight
+	Waiting     int     // tokens that its gateways are waiting for
+	FloorCredit float64 // tokens of its floor that it was entitled to and has not received
+	BeyondFloor float64 // tokens received beyond its floor, divided by its weight
 }
 
-// NextPartner is whose turn it is for the next token: first those whose floor is owed, the one that is owed most; then the one that
-// has had least for its weight. -1: nobody wants any.
+// NextPartner returns the index of the partner that gets the next token, or -1 if none is waiting. Partners with at least one token
+// of floor credit come first, the greatest credit before the others; then the partner that has received least for its weight.
 func NextPartner(claims []Claim) int {
 	best := -1
 	for i, c := range claims {
@@ -21,6 +21,7 @@
 	return best
 }
 
+// hasPriority reports whether a gets the next token before b.
 func hasPriority(a, b Claim) bool {
 	switch owedA, owedB := a.FloorCredit >= 1, b.FloorCredit >= 1; {
 	case owedA != owedB:
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -1,6 +1,6 @@
-// Package budget has the rules of a quota, which internal/quota enforces: what its terms allow (Terms), who may become its
-// leader (GrantVote), which partner the next token goes to (NextPartner), and for how long a floor is lent (FloorLoanEnds).
+// Package budget implements the rules of a quota, which internal/quota enforces: what its terms allow (Terms), which candidate may
+// become its leader (GrantVote), which partner gets the next token (NextPartner), and how long a floor is lent (FloorLoanEnds).
 //
-// They are plain functions without clock, task or link, so that the configuration checks terms by them too.
-// docs/design/quota.md has them as tables, and a test plays each row.
+// They are pure functions without a clock, goroutines or connections, so that the configuration can also use them to check terms.
+// docs/design/quota.md lists the rules as tables; a test runs each row.
 package budget
--- a/internal/budget/drift.go
+++ b/internal/budget/drift.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// MaxDrift is the share by which clocks may differ in rate.
+// MaxDrift is the maximum relative difference between the rates of two clocks.
 const MaxDrift = 0.02
 
-// AtLeast is a time that lasts at least d by any other clock.
+// AtLeast returns a duration that lasts at least d as measured by any other clock.
 func AtLeast(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 + MaxDrift)) }
 
-// AtMost is a time that lasts at most d by any other clock.
+// AtMost returns a duration that lasts at most d as measured by any other clock.
 func AtMost(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - MaxDrift)) }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells the time that decisions go by: monotonic time, counted from what the wall clock showed once.
+// Package clock provides the time on which decisions are based: monotonic time, counted from one reading of the wall clock.
 //
-// It promises that a Clock never jumps, whatever happens to the wall clock while the process runs. Wall time for people,
-// files and other machines is left to package time, and where it is read is listed in docs/design/clocks.md.
+// A Clock never jumps, whatever happens to the wall clock while the process runs. Wall time for people, files and other
+// machines comes from package time; docs/design/clocks.md lists where it is read.
 package clock
 
 import (
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Clock tells clock time: the Unix time that the wall clock showed when the Clock was made, moved on by monotonic time. It
-// is off by as much as the wall clock was then, so that it does not compare with times of other machines' clocks. A Clock
-// may be copied and used by any goroutine.
+// Clock provides clock time: the Unix time of the wall clock when the Clock was created, advanced by monotonic time. It keeps
+// the error that the wall clock had then, so that its times cannot be compared with those of other machines. A Clock may be
+// copied and is safe for concurrent use.
 type Clock struct {
-	start time.Time     // read with a monotonic part
+	start time.Time     // with a monotonic reading
 	base  time.Duration // clock time at start
 }
 
-// New returns a Clock that goes on from the wall clock's time of now.
+// New returns a Clock that starts at the wall clock's current time.
 func New() Clock { return NewAt(time.Now()) }
 
-// From returns a Clock that goes on from another time as if that were the wall clock's of now.
+// NewAt returns a Clock that starts at wall, as if that were the wall clock's current time.
 func NewAt(wall time.Time) Clock {
 	return Clock{start: time.Now(), base: time.Duration(wall.UnixNano()) + offset()}
 }
 
-// Now returns clock time: the time since the beginning of 1970.
+// Now returns the clock time: the time since the start of 1970.
 func (c Clock) Now() time.Duration { return c.base + time.Since(c.start) }
 
-// Until returns how long it is until a clock time; negative: it has passed.
+// Until returns the duration until the clock time at; it is negative if at has passed.
 func (c Clock) Until(at time.Duration) time.Duration { return at - c.Now() }
 
-// Sleep returns after d or once ctx ends, whichever is first.
+// Sleep returns after d or when ctx is done, whichever happens first.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/clock/offset.go
+++ b/internal/clock/offset.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// offset is added to clock time: in this build always 0.
+// offset returns the duration that is added to clock time, which is always 0 in this build.
 func offset() time.Duration { return 0 }
--- a/internal/clock/offset_rig.go
+++ b/internal/clock/offset_rig.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// offsetVariable is the environment variable that holds the offset, as a duration of package time.
+// offsetEnv is the environment variable that holds the offset, in the format of time.ParseDuration.
 const offsetEnv = "DAMSONTRESTLE_CLOCK_OFF"
 
-// offset is added to clock time, as the environment says. Only a build for the fault bench has it.
+// offset returns the duration that is added to clock time, read from the environment. Only builds for the fault bench read it.
 func offset() time.Duration {
 	text := os.Getenv(offsetEnv)
 	if text == "" {
@@ -22,6 +22,6 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", offsetEnv, err)
 		os.Exit(1)
 	}
-	fmt.Fprintf(os.Stderr, "the clock is off by %v, as a test has asked\n", d)
+	fmt.Fprintf(os.Stderr, "the clock is off by %v, as requested by a test\n", d)
 	return d
 }
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -11,11 +11,12 @@
 	"testing"
 )
 
-// wallReads are the functions and methods that make or take a time without its monotonic part.
+// wallClockCalls are the functions and methods that create or use a time without its monotonic reading.
 var wallClockCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "UTC": true, "Local": true,
 	"Truncate": true, "Round": true, "Date": true, "Parse": true, "ParseInLocation": true}
 
-// readsWall says that a call may make or take a time without its monotonic part: by its name, as the types are not known here.
+// readsWallClock reports whether a call may create or use a time without its monotonic reading. It decides by the name, as no type
+// information is available.
 func readsWallClock(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !wallClockCalls[method.Sel.Name] {
@@ -36,7 +37,7 @@
 	return true
 }
 
-// Wherever the program reads a wall time, or makes a time of which only that is left, the page on clocks says why.
+// docs/design/clocks.md names each file of the program that reads wall time or creates a time without a monotonic reading.
 func TestWallClockReadsAreDocumented(t *testing.T) {
 	const root = "../.."
 	page, err := os.ReadFile(filepath.Join(root, "docs/design/clocks.md"))
@@ -49,7 +50,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (name == "internal/faultbench" || name == "internal/testpeer"): // no part of the program
+		case d.IsDir() && (name == "internal/faultbench" || name == "internal/testpeer"): // not part of the program
 			return fs.SkipDir
 		case d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
@@ -63,7 +64,7 @@
 			if call, ok := n.(*ast.CallExpr); ok && readsWallClock(call) {
 				found++
 				if !strings.Contains(string(page), "`"+name+"`") {
-					t.Errorf("%v: a wall time that docs/design/clocks.md does not name", files.Position(call.Pos()))
+					t.Errorf("%v: uses wall time, but docs/design/clocks.md does not name this file", files.Position(call.Pos()))
 				}
 			}
 			return true
@@ -76,6 +77,6 @@
 		}
 	}
 	if found < 10 {
-		t.Errorf("%d wall times were found: the check looks at too little", found)
+		t.Errorf("found %d uses of wall time, want at least 10: the check misses some", found)
 	}
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -388,7 +388,7 @@
 	}
 	words := strings.Join(c.FederationWords(), "\n")
 	for _, want := range []string{`class "view": where too few holders are reached its calls are served all the same`, `class "note": where too few holders are reached its calls are refused`,
-		`quota "notes": at most 120 calls in any second (120 allowed) and 660 in any 10 s`} {
+		`quota "notes": at most 120 requests in any second (120 allowed) and 660 in any 10 s`} {
 		if !strings.Contains(words, want) {
 			t.Errorf("%q is not in\n%s", want, words)
 		}
@@ -413,7 +413,7 @@
 		{`path     = "/note/chavara/"`, `path     = "/view/chavara/"`, `export.notes.path: found "/view/chavara/"; allowed: a path of the class with a slash at its end, from "/note/" on`},
 		{`effects  = ["unsafe"]`, `effects  = ["safe"]`, `export.notes.effects: the class "note" is unsafe, which is not among them`},
 		{`hands   = 2`, `hands   = 9`, `export.views.hands: found 9; allowed: 1 to 8`},
-		{`burst    = 60`, `burst    = 2`, `quota.notes.when_cut: found "floor": cut off, 5 gateways could each draw a call of their own at once`},
+		{`burst    = 60`, `burst    = 2`, `quota.notes.when_cut: found "floor": when cut off from the quota leader, 5 gateways could each draw a request of their own floor at once`},
 		{`rate     = 60`, `rate     = 15`, `quota.notes.rate: found 15, but the partners' floors add up to 20`},
 		{`keeper "drilling/gw" {
     address = "127.0.2.1:7946"
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,9 +1,9 @@
-// Package splitmix is the generator splitmix64 (Steele, Lea, Flood 2014): pseudo-random numbers as a function of a seed and a
-// count. A state machine that draws from it can be copied with all its state and played again. It also hashes names to
-// numbers on which all nodes agree. It has no state, and is not for secrets.
+// Package splitmix implements the generator splitmix64 (Steele, Lea, Flood 2014): pseudo-random numbers as a function of a seed and
+// a counter, so that a state machine that uses it can be copied with all its state and replayed. It also hashes names to numbers
+// on which all nodes agree. The package has no state and is not suitable for cryptography.
 package splitmix
 
-// GoldenGamma is the increment between two states: 2^64 divided by the golden ratio.
+// GoldenGamma is the increment between successive states: 2^64 divided by the golden ratio.
 const GoldenGamma = 0x9e3779b97f4a7c15
 
 // Parameters of FNV-1a with 64 bits.
@@ -12,10 +12,10 @@
 	fnvPrime  = 1099511628211
 )
 
-// separator ends each word in Of. It is in no UTF-8 text, so that "ab", "c" and "a", "bc" differ.
+// separator follows each word in Hash. It never occurs in UTF-8 text, so that "ab", "c" and "a", "bc" differ.
 const separator = 0xff
 
-// Mix returns the output for a state: a bijection that spreads each bit over all others.
+// Mix returns the output for a state. It is a bijection in which each input bit affects all output bits.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -24,13 +24,13 @@
 	return x ^ x>>31
 }
 
-// Draw returns the n-th number from a seed, from 0 up to but not including limit, which must be positive.
+// Draw returns the n-th number of a seed's sequence in [0, limit). limit must be positive.
 func Draw(seed, n uint64, limit int) int {
 	return int(Mix(seed+n*GoldenGamma) % uint64(limit))
 }
 
-// Of returns a hash of words: FNV-1a over them, each with a separator, mixed. All nodes that rank by it for a key get the same
-// order (rendezvous hashing).
+// Hash returns the mixed FNV-1a hash of words, each followed by a separator. All nodes that rank names by their hash with a key get
+// the same order (rendezvous hashing).
 func Hash(words ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, w := range words {
