--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -149,7 +149,7 @@
 	os.WriteFile(p, text[:len(text)-10], 0o600)
 	s.want(t, 1, "the plan can't be read: it is cut short", "apply", p)
 	os.WriteFile(p, []byte(strings.Replace(string(text), b.Address(), a.Address(), 1)), 0o600)
-	s.want(t, 1, "its digest does not fit", "apply", p)
+	s.want(t, 1, "its digest does not match", "apply", p)
 	os.WriteFile(p, text, 0o600)
 	os.Remove(s.file)
 	s.want(t, 1, "the file that the plan was made from can't be read", "apply", p)
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -1,6 +1,6 @@
-// Package plan decides about changes of a running configuration: what differs, what each difference does to
-// what runs, whether a plan may still be applied, and in which order the steps of an apply come, whatever
-// happens meanwhile. It does no I/O.
+// Package plan plans changes of a running configuration: what differs, which effect each difference has on the
+// running node, whether a plan may still be applied, and the order of the steps of an apply, whatever fails in
+// between. It does no I/O.
 package plan
 
 import (
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/route"
 )
 
-// Action is what becomes of a resource or a field.
+// Action is the kind of a change to a resource or a field.
 type Action string
 
 // Actions.
@@ -25,26 +25,26 @@
 	Remove Action = "remove"
 )
 
-// Change is what becomes of one resource.
+// Change is a change of one resource.
 type Change struct {
 	Kind   string  `json:"kind"` // node, class, listener, pool, route, federation, partner, export, quota
 	Name   string  `json:"name"`
 	Action Action  `json:"action"`
-	Effect Effect  `json:"effect"` // the hardest among its fields'
+	Effect Effect  `json:"effect"` // the most disruptive of its fields' effects
 	Fields []Field `json:"fields"`
 }
 
-// Field is what becomes of one field.
+// Field is a change of one field.
 type Field struct {
-	Path   string          `json:"path"` // within the resource, as in "connections.most"
+	Path   string          `json:"path"` // within the resource, such as "connections.most"
 	Action Action          `json:"action"`
 	Old    json.RawMessage `json:"old,omitempty"`
 	New    json.RawMessage `json:"new,omitempty"`
 	Effect Effect          `json:"effect"`
 }
 
-// Diff tells what changes from one configuration to another, by kind and name. It is empty exactly if both
-// have the same fingerprint.
+// Diff returns the changes from one configuration to another, sorted by kind and name. It returns none if and
+// only if both have the same fingerprint.
 func Diff(old, next *config.Config) []Change {
 	var out []Change
 	before := resources(old)
@@ -69,7 +69,7 @@
 	return out
 }
 
-// diffResource tells what changes of one resource; nil: it is not there.
+// diffResource returns the change of one resource; before or after is nil if the resource does not exist there.
 func diffResource(r resource, before, after json.RawMessage) Change {
 	old := flattenResource(r.kind, before)
 	next := flattenResource(r.kind, after)
@@ -89,12 +89,13 @@
 	return c
 }
 
-// resource names a resource. A node has no name here: its name is a field of it.
+// resource identifies a resource. The node has no name here, as its name is one of its fields.
 type resource struct{ kind, name string }
 
+// resourceKinds lists the kinds in the order in which Diff returns their changes.
 var resourceKinds = []string{"node", "class", "listener", "pool", "route", "federation", "partner", "export", "quota"}
 
-// resources are all resources of a configuration.
+// resources returns all resources of a configuration in JSON.
 func resources(c *config.Config) map[resource]json.RawMessage {
 	out := map[resource]json.RawMessage{}
 	if c == nil {
@@ -103,7 +104,7 @@
 	c = c.Canonical()
 	put := func(kind, name string, v any) {
 		text, err := json.Marshal(v)
-		if err != nil { // a NaN, which no check lets pass
+		if err != nil { // a NaN, which the checks of a configuration reject
 			text = json.RawMessage(fmt.Sprintf("%q", err))
 		}
 		out[resource{kind, name}] = text
@@ -128,7 +129,7 @@
 	}
 }
 
-// flat are a resource's fields by their paths; nil for one that is not there.
+// flattenResource returns a resource's fields by their paths, or nil if the resource does not exist.
 func flattenResource(kind string, text json.RawMessage) map[string]json.RawMessage {
 	if text == nil {
 		return nil
@@ -141,8 +142,8 @@
 	return out
 }
 
-// flatten notes the fields of a JSON object by their paths. Lists of objects are taken by their names, lists of
-// plain values stay one field.
+// flatten adds the fields of a JSON object to a map by their paths. The objects of a list are identified by their
+// names; a list of plain values is one field.
 func flatten(to map[string]json.RawMessage, path string, text json.RawMessage) {
 	join := func(name string) string {
 		if path == "" {
@@ -180,7 +181,8 @@
 	to[path] = text
 }
 
-// fields tells what changes of a resource's fields, in the order of their paths; nil: the resource is not there.
+// diffFields returns the changes of a resource's fields, sorted by path; old or next is nil if the resource does
+// not exist there.
 func diffFields(kind string, old, next map[string]json.RawMessage) []Field {
 	paths := slices.Collect(maps.Keys(old))
 	for p := range next {
--- a/internal/plan/effect.go
+++ b/internal/plan/effect.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Effect is what a change does to a running node.
+// Effect is the effect of a change on a running node.
 type Effect string
 
-// Effects, from the mildest.
+// Effects, from the least to the most disruptive.
 const (
 	Live           Effect = "taken over live"
 	NewConnections Effect = "new connections only"
@@ -13,10 +13,10 @@
 	NeedsRestart   Effect = "needs a restart"
 )
 
-// effects are all effects, from the mildest.
+// effects lists all effects, from the least to the most disruptive.
 var effects = []Effect{Live, NewConnections, Drains, NeedsRestart}
 
-// harder is the effect that does more.
+// moreDisruptive returns the more disruptive of two effects.
 func moreDisruptive(a, b Effect) Effect {
 	if slices.Index(effects, b) > slices.Index(effects, a) {
 		return b
@@ -24,7 +24,7 @@
 	return a
 }
 
-// addition is what it does to add a resource.
+// additionEffect returns the effect of adding a resource of a kind.
 func additionEffect(kind string) Effect {
 	if kind == "federation" {
 		return NeedsRestart
@@ -32,7 +32,7 @@
 	return Live
 }
 
-// removal is what it does to take a resource away.
+// removalEffect returns the effect of removing a resource of a kind.
 func removalEffect(kind string) Effect {
 	switch kind {
 	case "listener", "pool":
@@ -43,7 +43,7 @@
 	return Live
 }
 
-// effectOf is what the change of a field does.
+// fieldEffect returns the effect of changing a field of a resource.
 func fieldEffect(kind, path string) Effect {
 	if kind == "federation" {
 		return NeedsRestart
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -7,23 +7,23 @@
 	"damsontrestle/internal/config"
 )
 
-// Machine is the state machine of a configuration change. It is told how each step ended and returns the next one; nothing
-// of what runs changes before Commit, and whatever fails before it is undone. It does no I/O and has no locks.
+// Machine is the state machine of a configuration change. Its caller reports the outcome of each step and gets the next one.
+// The running configuration does not change before Commit, and a failure before it is undone. Machine does no I/O and has no locks.
 //
 //	Propose -> Prepare -> Persist -> Commit -> Retire
 //	              |          |          |
 //	             Undo      Restore -> Undo
 //
-// Restore is for a record that may have reached the disk: the old one is written again, so that the next start
-// finds what runs now. If that fails too, the machine remembers it until it is told that the record has been repaired,
-// and an apply that comes before begins with another attempt.
-// A write that has left the disk as it was, as on a full one, needs no Restore and leaves nothing undecided.
+// Restore handles a record that may have reached the disk: the old record is written again, so that the next start uses the
+// configuration that is running now. If that fails too, the machine remains diverged until the record is reported as repaired,
+// and an apply before that begins with another attempt (Repair).
+// A write that left the disk unchanged, as on a full disk, needs no Restore, as the disk is known to hold the old record.
 type Machine struct {
 	running      Running
 	phase        phase
 	proposal     *Proposal
-	cause        error // why the one under way fails
-	diverged     bool  // the disk may hold another record than what runs
+	cause        error // why the current or last change failed
+	diverged     bool  // the disk may hold a record other than that of the running configuration
 	shuttingDown bool
 }
 
@@ -51,30 +51,30 @@
 	retiring:   "retiring",
 }
 
-// String names the phase for people.
+// String returns the name of the phase, for messages.
 func (p phase) String() string { return phaseNames[p] }
 
 // Proposal is a requested change.
 type Proposal struct {
-	Origin string // its origin, for the log: apply, rollback, reload
+	Origin string // for the log: apply, rollback or reload
 	Plan   *Plan  // nil for a rollback or a reload
 	Config *config.Config
-	Base   Running // the configuration that it was made for
+	Base   Running // the running configuration for which it was created
 }
 
-// Step is what to do next.
+// Step is the next step of a change.
 type Step int
 
-// Steps. The caller carries each of them but Nothing out and reports its error by Done.
+// Steps. The caller executes each of them except Nothing and reports its result to Done.
 const (
 	Nothing Step = iota
-	Repair       // write the record of what runs again
-	Prepare      // make the new configuration ready beside the old
-	Persist      // write the record of the new one
-	Commit       // put it in place
-	Restore      // write the record of the old one again
-	Undo         // take down what was prepared
-	Retire       // what went is being closed; nothing can fail any more
+	Repair       // write the record of the running configuration again
+	Prepare      // prepare the new configuration while the old one runs
+	Persist      // write the record of the new configuration
+	Commit       // make the new configuration the running one
+	Restore      // write the record of the old configuration again
+	Undo         // release what Prepare created
+	Retire       // close what was removed; the change can no longer fail
 )
 
 var stepNames = [...]string{
@@ -88,18 +88,18 @@
 	Retire:  "retire",
 }
 
-// String names the step as the admin socket does.
+// String returns the name of the step as used by the admin socket.
 func (s Step) String() string { return stepNames[s] }
 
 // Errors of Propose.
 var (
-	// ErrBusy says that another change is under way.
+	// ErrBusy is returned while another change is in progress.
 	ErrBusy = errors.New("another change is under way")
-	// ErrShuttingDown says that the node is ending.
+	// ErrShuttingDown is returned while the node is shutting down.
 	ErrShuttingDown = errors.New("the node is ending")
 )
 
-// UntouchedError is the error of a Persist that has left the old record as it was.
+// UntouchedError is the error of a Persist that left the old record unchanged.
 type UntouchedError struct {
 	Err error
 }
@@ -108,27 +108,27 @@
 
 func (e *UntouchedError) Unwrap() error { return e.Err }
 
-// NewMachine returns a Machine for what runs. diverged: the state folder may hold something else.
+// NewMachine returns a Machine for a running configuration. diverged reports whether the state folder may hold another one.
 func NewMachine(running Running, diverged bool) *Machine {
 	return &Machine{running: running, diverged: diverged}
 }
 
-// Running is what runs now.
+// Running returns the running configuration.
 func (m *Machine) Running() Running { return m.running }
 
-// Phase is where the change under way is, for people.
+// Phase returns the phase of the current change, for messages.
 func (m *Machine) Phase() string { return m.phase.String() }
 
-// Diverged says that the state folder may hold another record than that of what runs.
+// Diverged reports whether the state folder may hold a record other than that of the running configuration.
 func (m *Machine) Diverged() bool { return m.diverged }
 
-// Busy says that a change is under way.
+// Busy reports whether a change is in progress.
 func (m *Machine) Busy() bool { return m.phase != idle }
 
-// Repaired says that the record of what runs has been written again, outside of a change.
+// Repaired tells the machine that the record of the running configuration was written again outside of a change.
 func (m *Machine) Repaired() { m.diverged = false }
 
-// Next is the serial and fingerprint that the change under way leads to.
+// Next returns the identity of the configuration that runs once the current change is committed.
 func (m *Machine) Next() Running {
 	r := m.running
 	if m.proposal != nil {
@@ -138,16 +138,16 @@
 	return r
 }
 
-// Propose begins a change and returns its first step. ErrBusy says that another is under way, ErrShuttingDown that the
-// node shuts down, ErrStale and ErrOtherNode that the proposal was made for something else than what runs. A proposal of
-// what runs already is Nothing, or Repair where the disk may hold another record: a client that is told that a
-// configuration runs may count on it at the next start.
+// Propose begins a change and returns its first step. It returns ErrBusy while another change is in progress, ErrShuttingDown
+// while the node shuts down, and ErrStale or ErrOtherNode if the proposal was created for another running configuration or
+// node. For the configuration that is already running the step is Nothing, or Repair if the disk may hold another record, so
+// that a client that is told that a configuration runs can rely on it at the next start.
 func (m *Machine) Propose(proposal Proposal) (Step, error) {
 	switch {
 	case m.shuttingDown:
 		return Nothing, ErrShuttingDown
 	case m.phase != idle:
-		return Nothing, fmt.Errorf("%w: %s is %s; try again when it is over", ErrBusy, m.proposal.Origin, m.Phase())
+		return Nothing, fmt.Errorf("%w: %s is %s; retry when it has finished", ErrBusy, m.proposal.Origin, m.Phase())
 	}
 	if err := proposal.checkBase(m.running); err != nil {
 		return Nothing, err
@@ -165,24 +165,26 @@
 	return Prepare, nil
 }
 
-// runs says whether the proposal is what runs already.
-func (o Proposal) isRunning(now Running) bool { return o.Config.Fingerprint() == now.Fingerprint }
+// isRunning reports whether the proposed configuration is already running.
+func (p Proposal) isRunning(now Running) bool { return p.Config.Fingerprint() == now.Fingerprint }
 
-func (o Proposal) checkBase(now Running) error {
-	if o.Plan != nil {
-		return o.Plan.CheckBase(now)
+// checkBase returns nil if the proposal may be applied to the running configuration, otherwise ErrOtherNode or ErrStale with
+// details.
+func (p Proposal) checkBase(now Running) error {
+	if p.Plan != nil {
+		return p.Plan.CheckBase(now)
 	}
-	if o.Base != now {
-		return fmt.Errorf("%w: serial %d (%s) runs, not serial %d (%s)", ErrStale, now.Serial, ShortFingerprint(now.Fingerprint),
-			o.Base.Serial, ShortFingerprint(o.Base.Fingerprint))
+	if p.Base != now {
+		return fmt.Errorf("%w: serial %d (%s) is running, not serial %d (%s)", ErrStale, now.Serial, ShortFingerprint(now.Fingerprint),
+			p.Base.Serial, ShortFingerprint(p.Base.Fingerprint))
 	}
-	if o.Config.Node.Name != now.Node {
-		return fmt.Errorf("%w: the configuration is for %q, this is %q", ErrOtherNode, o.Config.Node.Name, now.Node)
+	if p.Config.Node.Name != now.Node {
+		return fmt.Errorf("%w: the configuration is for %q, this node is %q", ErrOtherNode, p.Config.Node.Name, now.Node)
 	}
 	return nil
 }
 
-// Done reports the error of the last step, nil if it succeeded, and returns the next step.
+// Done takes the result of the last step, nil if it succeeded, and returns the next step.
 func (m *Machine) Done(err error) Step {
 	switch m.phase {
 	case repairing:
@@ -199,7 +201,7 @@
 		m.phase = preparing
 		return Prepare
 	case preparing:
-		if err != nil { // it has been undone where it failed
+		if err != nil { // a failed Prepare has undone its own work
 			if m.shuttingDown {
 				err = fmt.Errorf("%w: %w", ErrShuttingDown, err)
 			}
@@ -240,7 +242,8 @@
 	return Nothing
 }
 
-// notPersisted restores the old record, unless the failed write is known to have left it untouched.
+// persistFailed returns the step after a failed Persist: Restore, or Undo if the write is known to have left the old record
+// unchanged.
 func (m *Machine) persistFailed(cause error) Step {
 	var untouched *UntouchedError
 	if errors.As(cause, &untouched) {
@@ -255,14 +258,15 @@
 	return Undo
 }
 
-// stop ends the change under way.
+// finish ends the current change with its result.
 func (m *Machine) finish(err error) Step {
 	m.cause, m.phase, m.proposal = err, idle, nil
 	return Nothing
 }
 
-// Err is why the last change failed; nil if it did not.
+// Err returns why the last change failed, or nil if it succeeded.
 func (m *Machine) Err() error { return m.cause }
 
-// Shutdown says that the node is ending: nothing new is begun, and what has not been persisted yet will be undone.
+// Shutdown tells the machine that the node is shutting down: no change begins after it, and a change that has not been
+// persisted yet will be undone.
 func (m *Machine) Shutdown() { m.shuttingDown = true }
--- a/internal/plan/machine_test.go
+++ b/internal/plan/machine_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/config"
 )
 
-// scripted is a change to a configuration that differs in one figure.
+// attemptsProposal returns a proposal that changes only the attempts of the first pool.
 func attemptsProposal(t testing.TB, base Running, attempts int) Proposal {
 	next := example(t)
 	next.Pools[0].Attempts = attempts
@@ -22,31 +22,31 @@
 
 var errStep = errors.New("step failed")
 
-// Each script: what happens (an offer, the end of the node, the outcome of the last step) and the step that
-// must follow.
+// Each script lists events (a proposal, a shutdown, the result of the last step), each followed by the expected
+// next step.
 func TestApplySteps(t *testing.T) {
 	for name, script := range map[string]string{
-		"all goes well":                "offer prepare ok persist ok commit ok retire ok nothing",
-		"preparing fails":              "offer prepare fail nothing",
-		"persisting fails":             "offer prepare ok persist fail restore ok undo ok nothing",
-		"nothing was written":          "offer prepare ok persist untouched undo ok nothing offer prepare",
-		"restoring fails too":          "offer prepare ok persist fail restore fail undo ok nothing offer repair ok prepare ok persist ok commit ok retire ok nothing",
-		"to what runs while in doubt":  "offer prepare ok persist fail restore fail undo ok nothing running repair ok nothing running nothing",
-		"and that can't be written":    "offer prepare ok persist fail restore fail undo ok nothing running repair fail nothing running repair",
-		"mended before the next":       "offer prepare ok persist fail restore fail undo ok nothing mended offer prepare ok persist",
-		"mended within a repair":       "offer prepare ok persist fail restore fail undo ok nothing offer repair mended ok prepare ok persist",
-		"the repair fails":             "offer prepare ok persist fail restore fail undo ok nothing offer repair fail nothing offer repair ok prepare fail nothing",
-		"commit is too late":           "offer prepare ok persist ok commit fail restore ok undo ok nothing",
-		"the node ends before":         "end offer! ",
-		"the node ends in preparing":   "offer prepare end ok undo ok nothing offer!",
-		"and preparing fails":          "offer prepare end fail nothing offer!",
-		"the node ends in persisting":  "offer prepare ok persist end ok commit ok retire ok nothing",
-		"the node ends in a repair":    "offer prepare ok persist fail restore fail undo ok nothing offer repair end ok nothing",
-		"two at once":                  "offer prepare offer! ok persist offer! ok commit offer! ok retire offer! ok nothing offer prepare",
-		"another after a failed one":   "offer prepare fail nothing offer prepare ok persist ok commit ok retire ok nothing",
-		"stale once one has come":      "offer prepare ok persist ok commit ok retire ok nothing stale!",
-		"and not after one that fails": "offer prepare fail nothing same prepare",
-		"to what runs already":         "nothing! nothing offer prepare",
+		"all steps succeed": "propose prepare ok persist ok commit ok retire ok nothing",
+		"prepare fails":     "propose prepare fail nothing",
+		"persist fails":     "propose prepare ok persist fail restore ok undo ok nothing",
+		"persist fails and leaves the record unchanged":                  "propose prepare ok persist untouched undo ok nothing propose prepare",
+		"persist and restore fail":                                       "propose prepare ok persist fail restore fail undo ok nothing propose repair ok prepare ok persist ok commit ok retire ok nothing",
+		"running configuration proposed while diverged":                  "propose prepare ok persist fail restore fail undo ok nothing running repair ok nothing running nothing",
+		"running configuration proposed while diverged and repair fails": "propose prepare ok persist fail restore fail undo ok nothing running repair fail nothing running repair",
+		"repaired before the next change":                                "propose prepare ok persist fail restore fail undo ok nothing repaired propose prepare ok persist",
+		"repaired during a repair":                                       "propose prepare ok persist fail restore fail undo ok nothing propose repair repaired ok prepare ok persist",
+		"repair fails":                                                   "propose prepare ok persist fail restore fail undo ok nothing propose repair fail nothing propose repair ok prepare fail nothing",
+		"commit fails":                                                   "propose prepare ok persist ok commit fail restore ok undo ok nothing",
+		"shutdown before a change":                                       "shutdown propose! ",
+		"shutdown during prepare":                                        "propose prepare shutdown ok undo ok nothing propose!",
+		"shutdown during a prepare that fails":                           "propose prepare shutdown fail nothing propose!",
+		"shutdown during persist":                                        "propose prepare ok persist shutdown ok commit ok retire ok nothing",
+		"shutdown during a repair":                                       "propose prepare ok persist fail restore fail undo ok nothing propose repair shutdown ok nothing",
+		"proposals during a change":                                      "propose prepare propose! ok persist propose! ok commit propose! ok retire propose! ok nothing propose prepare",
+		"change after a failed one":                                      "propose prepare fail nothing propose prepare ok persist ok commit ok retire ok nothing",
+		"stale after a change":                                           "propose prepare ok persist ok commit ok retire ok nothing stale!",
+		"not stale after a failed change":                                "propose prepare fail nothing same prepare",
+		"running configuration proposed":                                 "nothing! nothing propose prepare",
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := NewMachine(runningOf(example(t), 1), false)
@@ -57,14 +57,14 @@
 			for i, word := range strings.Fields(script) {
 				var err error
 				switch word {
-				case "offer", "offer!":
+				case "propose", "propose!":
 					step, err = m.Propose(attemptsProposal(t, m.Running(), 5+i))
 				case "stale!", "same":
 					step, err = m.Propose(attemptsProposal(t, first, 3))
 				case "running":
 					step, err = m.Propose(attemptsProposal(t, m.Running(), 4))
 				case "nothing!":
-					o := attemptsProposal(t, first, 4) // as the example has it
+					o := attemptsProposal(t, first, 4) // the value of the example
 					if step, err = m.Propose(o); err != nil {
 						t.Fatal(err)
 					}
@@ -75,70 +75,70 @@
 					step = m.Done(fmt.Errorf("wrapped: %w", &UntouchedError{Err: errStep}))
 				case "fail":
 					step = m.Done(errStep)
-				case "end":
+				case "shutdown":
 					m.Shutdown()
 					continue
-				case "mended":
+				case "repaired":
 					m.Repaired()
 					if m.Diverged() {
-						t.Error("still diverged")
+						t.Error("still diverged after Repaired")
 					}
 					continue
 				default:
 					if want, known := steps[word]; !known || step != want {
-						t.Fatalf("word %d: step %d, want %s", i, step, word)
+						t.Fatalf("word %d: step %v, want %s", i, step, word)
 					}
 					continue
 				}
 				if refused := strings.HasSuffix(word, "!"); refused != (err != nil) {
-					t.Fatalf("word %d, %s: %v", i, word, err)
+					t.Fatalf("word %d, %s: unexpected result: %v", i, word, err)
 				}
 			}
 		})
 	}
 }
 
-// A refusal names what is under way, or what runs.
+// The error of a rejected proposal names the change in progress or the running configuration.
 func TestRejectedProposals(t *testing.T) {
 	m := NewMachine(runningOf(example(t), 1), false)
 	if _, err := m.Propose(attemptsProposal(t, m.Running(), 2)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.Propose(attemptsProposal(t, m.Running(), 3)); !errors.Is(err, ErrBusy) || !strings.Contains(err.Error(), "apply is preparing") {
-		t.Errorf("%v", err)
+		t.Errorf("proposal during a change: got error %v, want %v", err, ErrBusy)
 	}
 	m.Done(errStep)
 	if !errors.Is(m.Err(), errStep) {
-		t.Errorf("%v", m.Err())
+		t.Errorf("after a failed step: Err returned %v, want %v", m.Err(), errStep)
 	}
 	stale := m.Running()
 	stale.Serial = 9
 	if _, err := m.Propose(attemptsProposal(t, stale, 2)); !errors.Is(err, ErrStale) || !strings.Contains(err.Error(), "serial 1") {
-		t.Errorf("%v", err)
+		t.Errorf("stale proposal: got error %v, want %v", err, ErrStale)
 	}
 	other := attemptsProposal(t, m.Running(), 2)
 	other.Config.Node.Name = "n2"
 	if _, err := m.Propose(other); !errors.Is(err, ErrOtherNode) {
-		t.Errorf("%v", err)
+		t.Errorf("proposal for another node: got error %v, want %v", err, ErrOtherNode)
 	}
 	m.Shutdown()
 	if _, err := m.Propose(attemptsProposal(t, m.Running(), 2)); !errors.Is(err, ErrShuttingDown) {
-		t.Errorf("%v", err)
+		t.Errorf("proposal after a shutdown: got error %v, want %v", err, ErrShuttingDown)
 	}
 }
 
-// disk is what a record on it may be.
+// diskRecord is the record that the disk holds.
 type diskRecord int
 
 const (
 	oldRecord diskRecord = iota
 	newRecord
-	unknownRecord // a write failed halfway: one of the two
+	unknownRecord // a write failed: either of the two
 )
 
-// For any order of offers, ends and outcomes: nothing is committed that was not prepared and persisted; what is
-// prepared is committed or undone; what the disk holds is what runs, or the machine knows that it may not be;
-// one change at a time, and none begins once the node ends.
+// For any order of proposals, shutdowns and step results: only a change that was prepared and persisted is
+// committed; what was prepared is committed or undone; the disk holds the running configuration, or the machine
+// reports that they may differ; only one change is in progress at a time, and none begins after a shutdown.
 func TestChangesAreAtomicInEveryOrder(t *testing.T) {
 	configs := map[string]*config.Config{}
 	for i := range 3 {
@@ -148,25 +148,25 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine(Running{Node: "annot-1", Lineage: "l", Serial: 1, Fingerprint: configs["0"].Fingerprint()}, false)
-		prepared, persisted, ended := false, false, false
+		prepared, persisted, shutDown := false, false, false
 		onDisk := oldRecord
 		step := Nothing
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			fails := rapid.IntRange(0, 3).Draw(t, "fails") == 0
-			switch event := rapid.SampledFrom([]string{"offer", "done", "done", "done", "end"}).Draw(t, "event"); event {
-			case "offer":
+			switch event := rapid.SampledFrom([]string{"propose", "done", "done", "done", "shutdown"}).Draw(t, "event"); event {
+			case "propose":
 				before := m.Running()
 				next, err := m.Propose(Proposal{Origin: "apply", Config: configs[fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "to"))], Base: before})
-				if (step != Nothing || ended) && err == nil {
-					t.Fatal("a second change at once, or one at the end")
+				if (step != Nothing || shutDown) && err == nil {
+					t.Fatal("a proposal was accepted during another change or after a shutdown")
 				}
 				if err == nil {
 					step, prepared, persisted = next, false, false
 				}
-			case "end":
+			case "shutdown":
 				if rapid.IntRange(0, 4).Draw(t, "really") == 0 {
 					m.Shutdown()
-					ended = true
+					shutDown = true
 				}
 			case "done":
 				if step == Nothing {
@@ -193,10 +193,10 @@
 					}
 				case Commit:
 					if !prepared || !persisted {
-						t.Fatal("committed what was not ready")
+						t.Fatal("a change was committed that was not prepared and persisted")
 					}
 					if err == nil {
-						prepared, onDisk = false, oldRecord // the new one is the old one from here on
+						prepared, onDisk = false, oldRecord // the new record is the old one from now on
 					}
 				case Undo:
 					prepared = false
@@ -204,14 +204,14 @@
 				did := step
 				step = m.Done(err)
 				if (m.Running() != before) != (did == Commit && err == nil) {
-					t.Fatal("what runs changed with another step than a commit")
+					t.Fatal("the running configuration changed in a step other than a successful commit, or did not change in one")
 				}
 				if step == Nothing {
 					if prepared {
-						t.Fatal("what was prepared was neither committed nor undone")
+						t.Fatal("a prepared configuration was neither committed nor undone")
 					}
 					if onDisk != oldRecord && !m.Diverged() {
-						t.Fatal("the disk holds something else than what runs, and the machine does not know")
+						t.Fatal("the disk may hold another record than the running configuration's, but Diverged returns false")
 					}
 				}
 			}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -13,41 +13,41 @@
 	"damsontrestle/internal/config"
 )
 
-// Format is the version of a plan's form that this program writes and reads.
+// Format is the version of the plan format that this program writes and reads.
 const Format = 1
 
-// MaxPlan is how long a plan may be.
+// MaxSize is the maximum size of an encoded plan, in bytes.
 const MaxSize = 64 << 20
 
-// Running names a configuration that runs.
+// Running identifies a running configuration.
 type Running struct {
 	Node        string `json:"node"`
-	Lineage     string `json:"lineage"`     // drawn when the node first took a configuration for this state folder
-	Incarnation string `json:"life"`        // drawn at each start of the process
-	Serial      int64  `json:"serial"`      // one more with each apply and rollback
+	Lineage     string `json:"lineage"`     // random; drawn when the node first stored a configuration in this state folder
+	Incarnation string `json:"life"`        // random; drawn at each start of the process
+	Serial      int64  `json:"serial"`      // incremented by each apply and rollback
 	Fingerprint string `json:"fingerprint"` // of the configuration
 }
 
-// Source is the file that a plan was made from.
+// Source is the file that a plan was created from.
 type Source struct {
 	Path   string `json:"path"`
-	Digest string `json:"digest"` // of its text
+	Digest string `json:"digest"` // of its content
 }
 
-// Plan is a change that can be applied as it is, and only to what it was made for.
+// Plan is a complete change, which can be applied only to the running configuration for which it was created.
 type Plan struct {
 	Format    int            `json:"format"`
 	CreatedAt time.Time      `json:"made"`
-	Base      Running        `json:"base"`   // what ran when it was made
-	Source    Source         `json:"source"` // what it was made from
-	Socket    string         `json:"socket"` // the admin socket that it was made through
-	Result    string         `json:"result"` // fingerprint of the configuration
-	Config    *config.Config `json:"config"` // complete
+	Base      Running        `json:"base"`   // the running configuration when it was created
+	Source    Source         `json:"source"` // the file it was created from
+	Socket    string         `json:"socket"` // the admin socket through which it was created
+	Result    string         `json:"result"` // fingerprint of Config
+	Config    *config.Config `json:"config"` // the complete new configuration
 	Changes   []Change       `json:"changes"`
-	Digest    string         `json:"digest"` // of all the above
+	Digest    string         `json:"digest"` // of all fields above
 }
 
-// Make plans the change from what runs to another configuration.
+// New returns a plan for the change from the running configuration old, identified by base, to next.
 func New(base Running, old, next *config.Config, source Source, socket string, now time.Time) *Plan {
 	p := &Plan{
 		Format:    Format,
@@ -63,7 +63,7 @@
 	return p
 }
 
-// Digest of a text, as a Source holds it.
+// Digest returns the digest of a text in the format of Source.Digest.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return "sha256:" + hex.EncodeToString(sum[:])
@@ -73,39 +73,39 @@
 	q := *p
 	q.Digest = ""
 	text, err := json.Marshal(q)
-	if err != nil { // nothing that can be planned
+	if err != nil { // only for a configuration that fails its checks
 		return "sha256:invalid"
 	}
 	return Digest(text)
 }
 
-// Encode writes a plan.
+// Encode returns the JSON encoding of the plan.
 func (p *Plan) Encode() ([]byte, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
-		return nil, fmt.Errorf("plan: %w", err)
+		return nil, fmt.Errorf("plan: encode: %w", err)
 	}
 	return append(text, '\n'), nil
 }
 
-// Errors of a plan that can't be applied. Each comes with words about what is wrong in particular.
+// Errors of a plan that cannot be applied. They are wrapped in an error with the details.
 var (
-	// ErrUnreadable says that a plan is cut short, edited, or none.
+	// ErrUnreadable is returned for input that is truncated, edited or not a plan.
 	ErrUnreadable = errors.New("the plan can't be read")
-	// ErrNewer says that a plan was made by a newer program.
+	// ErrNewer is returned for a plan that was created by a newer program.
 	ErrNewer = errors.New("the plan is of a newer format")
-	// ErrOtherNode says that a plan is for another node.
+	// ErrOtherNode is returned for a plan for another node.
 	ErrOtherNode = errors.New("the plan is for another node")
-	// ErrStale says that something else runs than what the plan was made for.
+	// ErrStale is returned if the running configuration is not the one for which the plan was created.
 	ErrStale = errors.New("the plan is stale")
-	// ErrInvalid says that a plan's configuration does not pass the checks.
+	// ErrInvalid is returned if a plan's configuration fails its checks.
 	ErrInvalid = errors.New("the plan's configuration is not valid")
 )
 
-// Decode reads a plan and holds it against its own digests.
+// Decode parses a plan and verifies its digest, the fingerprint of its configuration and the configuration itself.
 func Decode(text []byte) (*Plan, error) {
 	if len(text) > MaxSize {
-		return nil, fmt.Errorf("%w: it is longer than %v", ErrUnreadable, config.Size(MaxSize))
+		return nil, fmt.Errorf("%w: it is longer than the maximum of %v", ErrUnreadable, config.Size(MaxSize))
 	}
 	var head struct {
 		Format int `json:"format"`
@@ -119,9 +119,9 @@
 	}
 	switch {
 	case head.Format > Format:
-		return nil, fmt.Errorf("%w: %d; this program reads %d: plan again with the program that runs", ErrNewer, head.Format, Format)
+		return nil, fmt.Errorf("%w: format %d; this program reads %d: plan again with the node's program", ErrNewer, head.Format, Format)
 	case head.Format < 1:
-		return nil, fmt.Errorf("%w: it holds no format", ErrUnreadable)
+		return nil, fmt.Errorf("%w: it has no format version", ErrUnreadable)
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -130,15 +130,15 @@
 		return nil, fmt.Errorf("%w: %v", ErrUnreadable, err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return nil, fmt.Errorf("%w: something follows it", ErrUnreadable)
+		return nil, fmt.Errorf("%w: unexpected data after the plan", ErrUnreadable)
 	}
 	switch {
 	case p.Config == nil:
-		return nil, fmt.Errorf("%w: it holds no configuration", ErrUnreadable)
+		return nil, fmt.Errorf("%w: it has no configuration", ErrUnreadable)
 	case p.Digest != p.digest():
-		return nil, fmt.Errorf("%w: it has been changed since it was made: its digest does not fit", ErrUnreadable)
+		return nil, fmt.Errorf("%w: it has been changed since it was created: its digest does not match", ErrUnreadable)
 	case p.Result != p.Config.Fingerprint():
-		return nil, fmt.Errorf("%w: its configuration has another fingerprint than it says", ErrUnreadable)
+		return nil, fmt.Errorf("%w: the fingerprint of its configuration does not match", ErrUnreadable)
 	}
 	if err := p.Config.Check().Err(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -146,25 +146,25 @@
 	return &p, nil
 }
 
-// Fits says whether a plan may be applied to what runs now.
+// CheckBase returns nil if the plan may be applied to the running configuration, otherwise ErrOtherNode or ErrStale with details.
 func (p *Plan) CheckBase(now Running) error {
 	switch {
 	case p.Base.Node != now.Node:
-		return fmt.Errorf("%w: it is for %q, this is %q", ErrOtherNode, p.Base.Node, now.Node)
+		return fmt.Errorf("%w: it is for %q, this node is %q", ErrOtherNode, p.Base.Node, now.Node)
 	case p.Config.Node.Name != now.Node:
-		return fmt.Errorf("%w: it would make %q of %q: a node never changes its name", ErrOtherNode, p.Config.Node.Name, now.Node)
+		return fmt.Errorf("%w: its configuration is for %q, this node is %q; a node's name cannot change", ErrOtherNode, p.Config.Node.Name, now.Node)
 	case p.Base.Lineage != now.Lineage:
-		return fmt.Errorf("%w: the node has begun a new state since: plan again", ErrStale)
+		return fmt.Errorf("%w: the node has initialized a new state folder since: plan again", ErrStale)
 	case p.Base.Incarnation != now.Incarnation:
 		return fmt.Errorf("%w: the node has been started again since: plan again", ErrStale)
 	case p.Base.Serial != now.Serial || p.Base.Fingerprint != now.Fingerprint:
-		return fmt.Errorf("%w: it was made for serial %d (%s), and serial %d (%s) runs: plan again", ErrStale,
+		return fmt.Errorf("%w: it was made for serial %d (%s), but serial %d (%s) is running: plan again", ErrStale,
 			p.Base.Serial, ShortFingerprint(p.Base.Fingerprint), now.Serial, ShortFingerprint(now.Fingerprint))
 	}
 	return nil
 }
 
-// Short is a fingerprint for people.
+// ShortFingerprint returns a fingerprint shortened for display.
 func ShortFingerprint(fingerprint string) string {
 	const n = len("sha256:") + 12
 	if len(fingerprint) > n {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -37,39 +37,39 @@
 	return Running{Node: c.Node.Name, Lineage: "l", Serial: serial, Fingerprint: c.Fingerprint()}
 }
 
-// Each change tells, down to the field, what becomes of it and what it does.
+// Each change lists its action and effect, and those of each field.
 func TestDiffEffects(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*config.Config)
 		want   string // kind name action effect: path action effect; ...
 	}{
-		{"nothing", func(c *config.Config) {}, ""},
+		{"no change", func(c *config.Config) {}, ""},
 		{"the order of blocks", func(c *config.Config) { c.Pools[0], c.Pools[1] = c.Pools[1], c.Pools[0] }, ""},
 		{"a weight", func(c *config.Config) { c.Routes[0].To[0].Weight = 8 }, "route views change taken over live: to.boxes.weight change taken over live"},
 		{"a class", func(c *config.Config) { c.Classes[0].Effect = config.Unsafe }, "class view-interval change taken over live: effect change taken over live"},
 		{"the connect timeout", func(c *config.Config) { c.Pools[0].Connections.ConnectTimeout *= 2; c.Pools[0].Attempts = 2 },
 			"pool boxes change new connections only: attempts change taken over live; connections.connect_timeout change new connections only"},
 		{"an address", func(c *config.Config) { c.Listeners[1].Address = "127.0.0.1:7072" }, "listener bridge change drains: address change drains"},
-		{"how paths are taken", func(c *config.Config) { c.Listeners[1].Paths = config.StrictPaths }, "listener bridge change taken over live: paths change taken over live"},
+		{"the path normalization", func(c *config.Config) { c.Listeners[1].Paths = config.StrictPaths }, "listener bridge change taken over live: paths change taken over live"},
 		{"the admin socket", func(c *config.Config) { c.Node.AdminSocket = "/x"; c.Node.Limits.Memory *= 2 },
 			"node  change needs a restart: admin_socket change needs a restart; limits.memory change taken over live"},
 		{"a server's address", func(c *config.Config) { c.Pools[1].Servers[0].Address = "127.0.0.1:9109" },
 			"pool candidate change taken over live: servers.c1.address change taken over live"},
-		{"a server more", func(c *config.Config) {
+		{"an added server", func(c *config.Config) {
 			c.Pools[1].Servers = append(c.Pools[1].Servers, config.Server{Name: "c3", Address: "127.0.0.1:9103", Size: 1, State: config.Ready})
 		}, "pool candidate change taken over live: servers.c3.address add taken over live; servers.c3.size add taken over live; servers.c3.state add taken over live"},
-		{"a registry for a list", func(c *config.Config) {
+		{"a registry instead of a list", func(c *config.Config) {
 			c.Pools[1].Servers = nil
 			c.Pools[1].Registry = &config.Registry{Address: "127.0.0.1:8501", Mode: config.Pushed}
 		}, "pool candidate change taken over live: registry.address add taken over live; registry.mode add taken over live; servers.c1.address remove taken over live; " +
 			"servers.c1.size remove taken over live; servers.c1.state remove taken over live; servers.c1.zone remove taken over live; servers.c2.address remove taken over live; " +
 			"servers.c2.size remove taken over live; servers.c2.state remove taken over live; servers.c2.zone remove taken over live"},
-		{"a header without a value", func(c *config.Config) { c.Routes[1].Headers[0].Equals = nil },
+		{"a header condition without its value", func(c *config.Config) { c.Routes[1].Headers[0].Equals = nil },
 			"route candidate-by-hand change taken over live: headers.X-Candidate add taken over live; headers.X-Candidate.equals remove taken over live"},
-		{"a listener less", func(c *config.Config) { c.Listeners = c.Listeners[:1] },
+		{"a removed listener", func(c *config.Config) { c.Listeners = c.Listeners[:1] },
 			"listener bridge remove drains: address remove drains; paths remove drains; protocol remove drains"},
-		{"a route more", func(c *config.Config) {
+		{"an added route", func(c *config.Config) {
 			c.Routes = append(c.Routes, route.Route{Name: "new", Hosts: []string{"b", "a"}, To: []route.Target{{Pool: "boxes", Weight: 1}}})
 		}, "route new add taken over live: hosts add taken over live; to.boxes.weight add taken over live"},
 	} {
@@ -111,12 +111,12 @@
 	if got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
-	if r := RestartFields(Diff(example(t), next)); !reflect.DeepEqual(r, []string{"node.zone"}) {
-		t.Errorf("%v", r)
+	if fields := RestartFields(Diff(example(t), next)); !reflect.DeepEqual(fields, []string{"node.zone"}) {
+		t.Errorf("got restart fields %v, want node.zone", fields)
 	}
 }
 
-// A plan holds exactly the new configuration, and nothing of it can be changed unseen.
+// A decoded plan holds exactly the new configuration and fits its base. Changes to an encoded plan are tested in TestRejectedPlans.
 func TestPlanRoundTrip(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
@@ -130,24 +130,24 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(back.Config.Canonical(), next.Canonical()) || back.Base != p.Base || back.Source != p.Source || len(back.Changes) != 1 {
-		t.Errorf("%+v", back)
+		t.Errorf("the decoded plan differs: %+v", back)
 	}
 	if err := back.CheckBase(runningOf(old, 3)); err != nil {
 		t.Error(err)
 	}
 }
 
-// When a plan was made is for people to read: it fits or does not under any clock.
+// The creation time of a plan is informative: whether the plan may be applied does not depend on the clock.
 func TestPlanTimeHasNoEffect(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		p := New(runningOf(old, 3), old, next, Source{"f.hcl", Digest([]byte("text"))}, "/run/admin", testTime.Add(step))
 		if err := p.CheckBase(runningOf(old, 3)); err != nil {
-			t.Errorf("made %v from now: %v", step, err)
+			t.Errorf("created %v from now: %v", step, err)
 		}
 		if err := p.CheckBase(runningOf(old, 4)); !errors.Is(err, ErrStale) {
-			t.Errorf("made %v from now, for what no longer runs: %v", step, err)
+			t.Errorf("created %v from now, for a configuration that no longer runs: got %v, want %v", step, err, ErrStale)
 		}
 	}
 }
@@ -168,58 +168,58 @@
 	invalid.Pools[0].Attempts = 99
 	invalidText, _ := New(runningOf(old, 3), old, invalid, Source{}, "/run/admin", testTime).Encode()
 	for name, c := range map[string]struct {
-		text []byte
-		is   error
-		say  string
+		text    []byte
+		want    error
+		message string
 	}{
-		"nothing":              {nil, ErrUnreadable, ""},
-		"cut short":            {text[:len(text)/2], ErrUnreadable, "cut short after"},
-		"cut by a byte":        {text[:len(text)-2], ErrUnreadable, "cut short after"},
-		"an edited field":      {edit(`"attempts":2`, `"attempts":5`), ErrUnreadable, "digest"},
-		"an edited base":       {edit(`"serial":3`, `"serial":4`), ErrUnreadable, "digest"},
-		"an unknown field":     {edit(`"attempts":2`, `"attempts":2,"more":1`), ErrUnreadable, "more"},
-		"no configuration":     {[]byte(`{"format":1}`), ErrUnreadable, "no configuration"},
-		"a newer format":       {edit(`"format":1`, `"format":2`), ErrNewer, "2; this program reads 1"},
-		"no format":            {[]byte(`{}`), ErrUnreadable, "no format"},
-		"something behind":     {append(bytes.Clone(text), "{}"...), ErrUnreadable, ""},
-		"no JSON":              {[]byte("plan"), ErrUnreadable, ""},
-		"what no check passes": {invalidText, ErrInvalid, "pool.boxes.attempts: found 99; allowed: 1 to 16"},
-		"too long":             {make([]byte, MaxSize+1), ErrUnreadable, "longer"},
+		"empty":                 {nil, ErrUnreadable, ""},
+		"cut short":             {text[:len(text)/2], ErrUnreadable, "cut short after"},
+		"cut short by a byte":   {text[:len(text)-2], ErrUnreadable, "cut short after"},
+		"an edited field":       {edit(`"attempts":2`, `"attempts":5`), ErrUnreadable, "digest"},
+		"an edited base":        {edit(`"serial":3`, `"serial":4`), ErrUnreadable, "digest"},
+		"an unknown field":      {edit(`"attempts":2`, `"attempts":2,"more":1`), ErrUnreadable, "more"},
+		"no configuration":      {[]byte(`{"format":1}`), ErrUnreadable, "no configuration"},
+		"a newer format":        {edit(`"format":1`, `"format":2`), ErrNewer, "2; this program reads 1"},
+		"no format":             {[]byte(`{}`), ErrUnreadable, "no format"},
+		"trailing data":         {append(bytes.Clone(text), "{}"...), ErrUnreadable, ""},
+		"not JSON":              {[]byte("plan"), ErrUnreadable, ""},
+		"invalid configuration": {invalidText, ErrInvalid, "pool.boxes.attempts: found 99; allowed: 1 to 16"},
+		"too long":              {make([]byte, MaxSize+1), ErrUnreadable, "longer"},
 	} {
-		if _, err := Decode(c.text); !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.say) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := Decode(c.text); !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: got error %v, want %v with %q", name, err, c.want, c.message)
 		}
 	}
 	other := runningOf(old, 3)
 	other.Node = "n2"
-	begun := runningOf(old, 3)
-	begun.Lineage = "m"
+	newLineage := runningOf(old, 3)
+	newLineage.Lineage = "m"
 	restarted := runningOf(old, 3)
 	restarted.Incarnation = "2"
 	for name, c := range map[string]struct {
-		now Running
-		is  error
-		say string
+		now     Running
+		want    error
+		message string
 	}{
-		"another apply came between": {runningOf(next, 4), ErrStale, "serial 4"},
-		"and a rollback":             {runningOf(old, 5), ErrStale, "serial 5"},
-		"another state":              {begun, ErrStale, "new state"},
-		"a restart":                  {restarted, ErrStale, "started again"},
-		"another node":               {other, ErrOtherNode, `"annot-1", this is "n2"`},
+		"after another apply":           {runningOf(next, 4), ErrStale, "serial 4"},
+		"after an apply and a rollback": {runningOf(old, 5), ErrStale, "serial 5"},
+		"another state folder":          {newLineage, ErrStale, "new state"},
+		"a restart":                     {restarted, ErrStale, "started again"},
+		"another node":                  {other, ErrOtherNode, `"annot-1", this node is "n2"`},
 	} {
-		if err := p.CheckBase(c.now); !errors.Is(err, c.is) || !strings.Contains(err.Error(), c.say) {
-			t.Errorf("%s: %v", name, err)
+		if err := p.CheckBase(c.now); !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: got error %v, want %v with %q", name, err, c.want, c.message)
 		}
 	}
 	renamed := example(t)
 	renamed.Node.Name = "n2"
 	if err := New(runningOf(old, 3), old, renamed, Source{}, "/run/admin", testTime).CheckBase(runningOf(old, 3)); !errors.Is(err, ErrOtherNode) {
-		t.Errorf("another name: %v", err)
+		t.Errorf("renamed node: got %v, want %v", err, ErrOtherNode)
 	}
 }
 
-// For any two configurations a plan says no change exactly if they mean the same, and what it holds is the
-// second one completely.
+// For any two configurations a plan has no changes if and only if their fingerprints are equal, and it holds the
+// complete second configuration.
 func TestDiffIsEmptyOnlyForEqualConfigurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := configtest.Draw(t, testWorld), configtest.Draw(t, testWorld)
@@ -243,19 +243,19 @@
 			t.Fatal(err)
 		}
 		if back.Config.Fingerprint() != b.Fingerprint() || len(Diff(b, back.Config)) != 0 {
-			t.Fatal("the plan holds something else")
+			t.Fatal("the decoded plan holds another configuration")
 		}
 		for _, c := range p.Changes {
 			for _, f := range c.Fields {
 				if string(f.Old) == string(f.New) {
-					t.Fatalf("%s %s %s changes from %s to %s", c.Kind, c.Name, f.Path, f.Old, f.New)
+					t.Fatalf("%s %s %s: listed as a change from %s to %s", c.Kind, c.Name, f.Path, f.Old, f.New)
 				}
 			}
 		}
 	})
 }
 
-// No text has Decode crash, and one that it takes is a plan whose every part fits.
+// Decode does not crash on any input, and a plan that it accepts is valid and matches its digest and fingerprint.
 func FuzzDecode(f *testing.F) {
 	old, next := example(f), example(f)
 	next.Pools[0].Attempts = 2
@@ -271,12 +271,12 @@
 			return
 		}
 		if p.Config.Check().Err() != nil || p.Digest != p.digest() || p.Result != p.Config.Fingerprint() {
-			t.Fatal("a plan that does not hold together was taken")
+			t.Fatal("Decode accepted an inconsistent plan")
 		}
 	})
 }
 
-// bigPair are two configurations of 1,000 pools and 10,000 routes that differ in a tenth of both.
+// largeConfigs returns two configurations of 1,000 pools and 10,000 routes that differ in a tenth of both.
 func largeConfigs() (old, next *config.Config) {
 	make := func(changed int) *config.Config {
 		c := &config.Config{Node: config.Node{Name: "n", Limits: config.Limits{Memory: 8 << 30, Descriptors: 1 << 20, Cores: 1}},
@@ -307,7 +307,7 @@
 	return make(0), make(1)
 }
 
-// BenchmarkPlan1000Pools10000Routes is all steps of a plan: check, difference, writing, reading again.
+// BenchmarkPlan1000Pools10000Routes measures all steps of a plan: check, diff, encode and decode.
 func BenchmarkPlan1000Pools10000Routes(b *testing.B) {
 	old, next := largeConfigs()
 	b.ReportAllocs()
--- a/internal/plan/text.go
+++ b/internal/plan/text.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Description is what a change does, for people.
+// Description describes the effect of the change for an operator.
 func (c Change) Description() string {
 	switch {
 	case c.Kind == "listener" && c.Action == Add:
@@ -26,14 +26,14 @@
 	return string(c.Effect)
 }
 
-// Summary counts the resources that change.
+// Summary is the number of resources that a plan adds, changes and removes.
 type Summary struct {
 	Add    int `json:"add"`
 	Change int `json:"change"`
 	Remove int `json:"remove"`
 }
 
-// Summarize counts changes.
+// Summarize counts changes by their actions.
 func Summarize(changes []Change) (s Summary) {
 	for _, c := range changes {
 		switch c.Action {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// Restarts are the fields that take effect at the next start only, as "node.zone".
+// RestartFields returns the changed fields that take effect only at the next start, such as "node.zone".
 func RestartFields(changes []Change) (paths []string) {
 	for _, c := range changes {
 		for _, f := range c.Fields {
@@ -60,10 +60,10 @@
 	return paths
 }
 
-// actionSigns begin the lines of a Text.
+// actionSigns are the signs that lines of FormatChanges begin with.
 var actionSigns = map[Action]string{Add: "+", Modify: "~", Remove: "-"}
 
-// Text writes changes for people.
+// FormatChanges returns the changes in the form shown to an operator.
 func FormatChanges(changes []Change) string {
 	var b strings.Builder
 	for _, c := range changes {
