--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -106,7 +106,7 @@
 		{`address = "127.0.0.1:7070"`, `address = "localhost:7070"`, `f.hcl:14:3: listener.main.address: found "localhost:7070"; allowed: an IP address with a port`},
 		{`address = "127.0.0.1:9001"`, `address = "box1:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "box1:9001"; allowed: an IP address with a port: names are not looked up`},
 		{`address = "127.0.0.1:9001"`, `address = "0.0.0.0:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "0.0.0.0:9001", which nobody can connect to`},
-		{`pool = "p"`, `pool = "q"`, `f.hcl:23:3: route.all.to: found pool "q": there is none of that name; allowed: "p"`},
+		{`pool = "p"`, `pool = "q"`, `f.hcl:23:3: route.all.to: found pool "q": no such pool; allowed: "p"`},
 		{`pool = "p"`, `pool = ["p"]`, `f.hcl:23:10: route.all.pool: found a list; allowed: text in quotes`},
 		{`pool = "p"`, `weight = 1`, `f.hcl:21:1: route.all: it leads to no pool`},
 		{`default = true`, `default = "yes"`, `f.hcl:22:13: route.all.default: found the text "yes"; allowed: true, false`},
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// manyRoutes returns n routes to 1,000 pools and a default route.
 func manyRoutes(n int) ([]Route, Names) {
 	names := Names{Listeners: []string{"main", "side"}, Classes: []string{"view", "note", "log"}}
 	var routes []Route
@@ -44,7 +45,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, ok := table.Choose(requests[i%len(requests)]); !ok {
-			b.Fatal("no route")
+			b.Fatal("no route matched")
 		}
 	}
 }
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// cellKey names a cell: a listener and a class.
+// cellKey identifies a cell by its listener and class.
 type cellKey struct{ listener, class string }
 
 // cell holds the rules for one listener and class.
 type cell struct {
-	exact       map[string]*pathRules // by host
-	subdomains  map[string]*pathRules // by the name below which all match, with its dot in front
+	exact       map[string]*pathRules // by host name
+	subdomains  map[string]*pathRules // by the parent name with a leading dot; for patterns "*.name"
 	anyHost     *pathRules
-	defaultRule *rule // the default
+	defaultRule *rule // of the default route; nil if there is none
 }
 
-// pathRules holds the rules for one pattern of hosts.
+// pathRules holds the rules for one host pattern.
 type pathRules struct {
 	exact    map[string][]*rule
-	prefixes map[string][]*rule // by the path below which all match
+	prefixes map[string][]*rule // by the path prefix without "/*"; matches the prefix itself too
 	anyPath  []*rule
-	maxDepth int // segments of the longest in below
+	maxDepth int // number of segments of the longest key in prefixes
 }
 
 func newPathRules() *pathRules {
@@ -32,7 +32,7 @@
 	return &cell{exact: map[string]*pathRules{}, subdomains: map[string]*pathRules{}, anyHost: newPathRules()}
 }
 
-// add puts a rule among those of its host and path.
+// add adds a rule to those of its host and path.
 func (c *cell) add(r *rule) {
 	if r.rank == defaultRank {
 		c.defaultRule = r
@@ -41,7 +41,7 @@
 	c.hostRules(r.host).add(r)
 }
 
-// hostRules returns the rules of a pattern of hosts, made if it is the first of it.
+// hostRules returns the rules of a host pattern, which it creates if there are none.
 func (c *cell) hostRules(pattern string) *pathRules {
 	if pattern == "" {
 		return c.anyHost
@@ -59,7 +59,7 @@
 	return rules
 }
 
-// add puts a rule among those of its path.
+// add adds a rule to those of its path.
 func (b *pathRules) add(r *rule) {
 	prefix, isBelow := strings.CutSuffix(r.path, "/*")
 	switch {
@@ -73,7 +73,7 @@
 	}
 }
 
-// eachRuleList goes over the lists of rules that share host and path.
+// eachRuleList calls f for each list of rules with the same host and path.
 func (c *cell) eachRuleList(f func([]*rule)) {
 	c.eachHostRules(func(b *pathRules) {
 		for _, rules := range b.exact {
@@ -86,7 +86,7 @@
 	})
 }
 
-// eachHost goes over the rules of each pattern of hosts.
+// eachHostRules calls f with the rules of each host pattern.
 func (c *cell) eachHostRules(f func(*pathRules)) {
 	for _, b := range c.exact {
 		f(b)
@@ -97,14 +97,15 @@
 	f(c.anyHost)
 }
 
-// sort puts the best rule of each list first.
+// sort orders each list of rules by decreasing rank.
 func (c *cell) sort() {
 	c.eachRuleList(func(rules []*rule) {
 		slices.SortStableFunc(rules, func(a, b *rule) int { return b.rank.compare(a.rank) })
 	})
 }
 
-// choose tries the hosts' patterns from the narrowest to the widest, within each the paths'.
+// choose returns the rule for a request, or nil. It tries host patterns from the most to the least specific, and the path
+// patterns of each in the same order.
 func (c *cell) choose(request *Request) *rule {
 	if len(c.exact)+len(c.subdomains) > 0 {
 		if r := c.chooseByHost(hostName(request.Host), request); r != nil {
@@ -117,18 +118,18 @@
 	return c.defaultRule
 }
 
-// chooseByHost tries the patterns that a host matches, but for the one of any host.
+// chooseByHost tries the host patterns that a host matches, except the one for any host.
 func (c *cell) chooseByHost(host string, request *Request) *rule {
 	if rules := c.exact[host]; rules != nil {
 		if r := rules.choose(request); r != nil {
 			return r
 		}
 	}
-	// A longer name than the DNS has is below none, and would take long to try.
+	// A name longer than the DNS allows matches no subdomain pattern, and trying each of its suffixes would take long.
 	if len(c.subdomains) == 0 || len(host) > maxHostLength {
 		return nil
 	}
-	for i := 1; i < len(host); i++ { // from 1: "*.example" takes all below, not the name itself
+	for i := 1; i < len(host); i++ { // from 1: "*.example" matches subdomains, not the name itself
 		if host[i] != '.' {
 			continue
 		}
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// choose tries the patterns of paths from the narrowest to the widest.
+// choose returns the rule for a request, or nil. It tries path patterns from the most to the least specific.
 func (b *pathRules) choose(request *Request) *rule {
 	if len(b.exact) > 0 {
 		if r := firstMatch(b.exact[request.Path], request); r != nil {
@@ -149,7 +150,8 @@
 		}
 	}
 	if len(b.prefixes) > 0 {
-		// The path itself is the longest prefix of its own, then what is left before each slash.
+		// The first candidate is the path itself, followed by its prefixes up to each slash, longest first. Paths with more segments
+		// than any key cannot match and are skipped.
 		path := request.Path
 		for n := strings.Count(path, "/"); n > b.maxDepth; n-- {
 			path = path[:strings.LastIndexByte(path, '/')]
@@ -163,7 +165,7 @@
 	return firstMatch(b.anyPath, request)
 }
 
-// firstMatch is the best of rules that share host and path whose headers a request carries.
+// firstMatch returns the first of rules with the same host and path whose header conditions a request meets, or nil.
 func firstMatch(rules []*rule, request *Request) *rule {
 	for _, r := range rules {
 		if matchesHeaders(request.Headers, r.headers) {
@@ -173,7 +175,8 @@
 	return nil
 }
 
-// matchesHeaders says that a request has all headers that are asked for. One that comes twice has no one value.
+// matchesHeaders reports whether a request meets all header conditions. A header that occurs twice meets no condition with
+// a value.
 func matchesHeaders(has Headers, wanted []Header) bool {
 	for _, w := range wanted {
 		if has == nil {
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// checkRoutes checks each route by itself, and that names and the default stand once.
+// checkRoutes checks each route by itself, and that names and the default route are unique.
 func (c *compiler) checkRoutes() {
 	byName := map[string]int{}
 	defaultRoute := noRoute
@@ -31,19 +31,20 @@
 	}
 }
 
-// checkDefault rejects a second default route, and conditions of one. earlier is the default before it, or noRoute.
+// checkDefault rejects a second default route and a default route with conditions. earlier is the index of the default route
+// before it, or noRoute.
 func (c *compiler) checkDefault(i, earlier int) {
 	if earlier != noRoute {
-		c.report(i, "default", "%q is the default already: one route may be it", c.routes[earlier].Name)
+		c.report(i, "default", "%q is the default already: only one route may be the default", c.routes[earlier].Name)
 	}
 	r := c.routes[i]
 	conditions := len(r.Listeners) + len(r.Classes) + len(r.Hosts) + len(r.Paths) + len(r.Headers)
 	if conditions > 0 {
-		c.report(i, "default", "the default route takes what no other does and has no conditions of its own")
+		c.report(i, "default", "the default route takes all requests that match no other route: no conditions are allowed")
 	}
 }
 
-// checkPatterns rejects patterns that can't be used. problem says why one can't; empty: it can.
+// checkPatterns rejects invalid patterns. problem returns why a pattern is invalid, or "" if it is valid.
 func (c *compiler) checkPatterns(i int, field string, patterns []string, problem func(string) string) {
 	for _, pattern := range patterns {
 		if why := problem(pattern); why != "" {
@@ -52,17 +53,17 @@
 	}
 }
 
-// checkNames rejects names that do not exist, and those that come twice.
+// checkNames rejects names that are unknown or listed twice.
 func (c *compiler) checkNames(i int, field string, found, known []string) {
 	for _, n := range found {
 		if !slices.Contains(known, n) {
-			c.report(i, field, "found %q: there is none of that name; allowed: %s", n, quotedList(known))
+			c.report(i, field, "found %q: no such name; allowed: %s", n, quotedList(known))
 		}
 	}
 	c.checkDuplicates(i, field, found)
 }
 
-// checkDuplicates rejects what a field lists twice.
+// checkDuplicates rejects values that a field lists twice.
 func (c *compiler) checkDuplicates(i int, field string, found []string) {
 	for k, n := range found {
 		if slices.Contains(found[:k], n) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// checkTargets rejects pools that do not exist or come twice, and weights out of range.
+// checkTargets rejects pools that are unknown or listed twice, and weights out of range.
 func (c *compiler) checkTargets(i int) {
 	r := c.routes[i]
 	if len(r.To) == 0 {
@@ -80,7 +81,7 @@
 	sum := 0
 	for k, t := range r.To {
 		if !slices.Contains(c.names.Pools, t.Pool) {
-			c.report(i, "to", "found pool %q: there is none of that name; allowed: %s", t.Pool, quotedList(c.names.Pools))
+			c.report(i, "to", "found pool %q: no such pool; allowed: %s", t.Pool, quotedList(c.names.Pools))
 		}
 		if t.Weight < 0 || t.Weight > MaxWeight {
 			c.report(i, "to", "pool %q: found weight %d; allowed: 0 to %d", t.Pool, t.Weight, MaxWeight)
@@ -91,75 +92,75 @@
 		sum += t.Weight
 	}
 	if len(r.To) > 0 && sum == 0 {
-		c.report(i, "to", "all weights are 0: one must be above")
+		c.report(i, "to", "all weights are 0: at least one must be greater than 0")
 	}
 }
 
-// checkHeaders rejects names and values that no header can have (RFC 9110 section 5), and names that come twice.
+// checkHeaders rejects names and values that no header can have (RFC 9110 section 5), and names that are listed twice.
 func (c *compiler) checkHeaders(i int) {
 	r := c.routes[i]
 	for k, h := range r.Headers {
 		if h.Name == "" || strings.Trim(strings.ToLower(h.Name), tokenChars) != "" {
-			c.report(i, "headers", "found %q: that is no header's name (RFC 9110 section 5.1)", h.Name)
+			c.report(i, "headers", "found %q: not a valid header name (RFC 9110 section 5.1)", h.Name)
 		}
 		if slices.ContainsFunc(r.Headers[:k], func(o Header) bool { return strings.EqualFold(o.Name, h.Name) }) {
 			c.report(i, "headers", "%q is listed twice", h.Name)
 		}
 		if h.Equals != nil && strings.ContainsAny(*h.Equals, "\r\n\x00") {
-			c.report(i, "headers", "%q: its value may hold no line ends and no NUL", h.Name)
+			c.report(i, "headers", "%q: the value must not contain line breaks or NUL", h.Name)
 		}
 	}
 }
 
-// tokenChars may stand in a header's name (RFC 9110 section 5.6.2), letters in lower case.
+// tokenChars are the characters allowed in a header name (RFC 9110 section 5.6.2), with letters in lower case only.
 const tokenChars = "abcdefghijklmnopqrstuvwxyz0123456789!#$%&'*+-.^_`|~"
 
-// hostProblem says why a pattern of hosts can't be used; empty: it can.
+// hostProblem returns why a host pattern is invalid, or "" if it is valid.
 func hostProblem(h string) string {
 	name := strings.TrimPrefix(h, "*.")
 	switch {
 	case h == "*":
-		return "leave hosts out to take all"
+		return "omit hosts to match all hosts"
 	case name == "" || strings.ContainsAny(name, "*/:@ \t\r\n\x00"):
-		return `want a name such as "a.example", without a port, or "*.example" for all below it`
+		return `want a name such as "a.example", without a port, or "*.example" for all its subdomains`
 	case h != strings.ToLower(h):
-		return "want lower case: names of hosts have no case"
+		return "want lower case: host names are case-insensitive"
 	case strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".") || strings.Contains(name, ".."):
-		return "an empty label"
+		return "the host name has an empty label"
 	}
 	return ""
 }
 
-// pathProblem says why a pattern of paths can't be used; empty: it can.
+// pathProblem returns why a path pattern is invalid, or "" if it is valid.
 func pathProblem(p string) string {
 	path := strings.TrimSuffix(p, "/*")
 	switch {
 	case p == "/*":
-		return "leave paths out to take all"
+		return "omit paths to match all paths"
 	case !strings.HasPrefix(p, "/"):
 		return `want a path that begins with "/"`
 	case strings.Contains(path, "*"):
-		return `"*" may stand only as the last part, as in "/view/*"`
+		return `"*" is allowed only as the last segment, as in "/view/*"`
 	case strings.ContainsAny(p, "?#"):
-		return "a path has no query and no fragment here"
+		return "a path pattern must not contain a query or a fragment"
 	}
-	plain, err := NormalForm(path)
+	normalized, err := NormalForm(path)
 	if err != nil {
 		return err.Error()
 	}
-	if plain != path {
-		return fmt.Sprintf("no call's path looks so: its plain form is %q", plain)
+	if normalized != path {
+		return fmt.Sprintf("no request has such a path after normalization: the normalized form is %q", normalized)
 	}
 	return ""
 }
 
-// maxListed is how many names a message lists.
+// maxListed is the maximum number of names that a message lists.
 const maxListed = 8
 
-// quotedList is for messages: the first names in order, and how many more there are.
+// quotedList returns up to maxListed names in sorted order and the number of further names, for use in messages.
 func quotedList(names []string) string {
 	if len(names) == 0 {
-		return "none, for none is defined"
+		return "none, as none is defined"
 	}
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Compile makes a Table of routes, or returns all that is wrong with them.
+// Compile compiles routes into a Table, or returns all problems that it finds in them.
 func Compile(routes []Route, names Names) (*Table, []Problem) {
 	c := &compiler{routes: routes, names: names, table: &Table{cells: map[cellKey]*cell{}}}
 	c.checkRoutes()
@@ -33,8 +33,8 @@
 	problems []Problem
 }
 
-// report notes what is wrong with a route, or with the routes as a whole (noRoute). The Problem that it returns may be added
-// to until the next report.
+// report adds a problem of a route, or of the routes as a whole (noRoute), and returns it. The caller may set further fields of the
+// returned Problem until the next report.
 func (c *compiler) report(route int, field, format string, args ...any) *Problem {
 	c.problems = append(c.problems, Problem{
 		Route:   route,
@@ -45,8 +45,8 @@
 	return &c.problems[len(c.problems)-1]
 }
 
-// placeRules makes the rules of every route and puts each into the cell that it belongs to: with listeners and
-// classes named one by one, whether a rule can match at all can be seen within its cell.
+// placeRules creates the rules of every route and adds each to its cell. As there is one cell for each listener and
+// class, whether a rule can match at all can be determined within its cell.
 func (c *compiler) placeRules() {
 	c.rules = make([][]*rule, len(c.routes))
 	for i, r := range c.routes {
@@ -62,8 +62,8 @@
 	}
 }
 
-// addRules puts a rule into a cell for each host and path of a route that requests of the cell's class can have. common is
-// what the rules of the route share.
+// addRules adds a rule to a cell for each host and path of a route that requests of the cell's class can have. common holds the
+// fields that all rules of the route share.
 func (c *compiler) addRules(key cellKey, common rule) {
 	r := c.routes[common.route]
 	for _, host := range patternsOrAny(r.Hosts) {
@@ -91,7 +91,7 @@
 	return canonical
 }
 
-// namedOrAll returns the names that a route lists, or all where it lists none.
+// namedOrAll returns the names that a route lists, or all names if it lists none.
 func namedOrAll(named, all []string) []string {
 	if len(named) == 0 {
 		return all
@@ -99,7 +99,7 @@
 	return named
 }
 
-// patternsOrAny returns the patterns that a route lists, or the one for any where it lists none.
+// patternsOrAny returns the patterns that a route lists, or the pattern "", which matches any value, if it lists none.
 func patternsOrAny(patterns []string) []string {
 	if len(patterns) == 0 {
 		return []string{""}
@@ -107,8 +107,8 @@
 	return patterns
 }
 
-// patternForClass returns a pattern of paths as it is to be matched against requests of a class; false if none of them can
-// match, for a path's first part is its class. A pattern that takes the whole class is the same as none, but for its rank.
+// patternForClass returns the path pattern to match against requests of a class, and false if none of them can match: the
+// first segment of a path is its class. A pattern that matches all paths of the class differs from no pattern only in rank.
 func patternForClass(pattern, class string) (string, bool) {
 	if pattern == "" {
 		return "", true
--- a/internal/route/overlap.go
+++ b/internal/route/overlap.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// checkRulesTogether rejects what only the routes together show.
+// checkRulesTogether rejects conflicts between routes, and routes and classes that can never be used.
 func (c *compiler) checkRulesTogether() {
 	c.checkReachable()
 	if !c.checkOverlaps() {
@@ -17,18 +17,17 @@
 	c.checkClassesServed()
 }
 
-// checkReachable rejects a route whose paths no request of its classes can have.
+// checkReachable rejects a route if no request of its classes can have one of its paths.
 func (c *compiler) checkReachable() {
 	for i, r := range c.routes {
 		if len(c.rules[i]) == 0 {
-			c.report(i, "paths", "it can never match: a path's first part is the class, and %s has none of its classes there; classes: %s",
+			c.report(i, "paths", "it can never match: the first segment of a path is the class, and %s begins with none of its classes; classes: %s",
 				strings.Join(r.Paths, ", "), quotedList(namedOrAll(r.Classes, c.names.Classes)))
 		}
 	}
 }
 
-// checkOverlaps rejects two routes that one request could go by, with none of them before the other. It returns whether
-// there are any.
+// checkOverlaps rejects two routes of the same rank that can match the same request. It reports whether there are any.
 func (c *compiler) checkOverlaps() bool {
 	overlaps := map[[2]int]bool{} // pairs of routes
 	for _, key := range c.sortedCells() {
@@ -40,7 +39,7 @@
 				return
 			}
 			overlaps[pair] = true
-			problem := c.report(second, "", "it overlaps route %q with the same rank: a call of class %q at listener %q%s could go either way",
+			problem := c.report(second, "", "it overlaps route %q with the same rank: a request of class %q at listener %q%s could match both",
 				c.routes[first].Name, key.class, key.listener, describeConditions(a))
 			problem.Other = first
 		})
@@ -48,7 +47,7 @@
 	return len(overlaps) > 0
 }
 
-// sortedCells returns the keys of the table's cells in order, so that problems always come in the same one.
+// sortedCells returns the keys of the table's cells in sorted order, so that the order of problems is deterministic.
 func (c *compiler) sortedCells() []cellKey {
 	keys := slices.Collect(maps.Keys(c.table.cells))
 	slices.SortFunc(keys, func(a, b cellKey) int {
@@ -57,7 +56,7 @@
 	return keys
 }
 
-// describeConditions says which host and path a rule asks for.
+// describeConditions describes the host and path conditions of a rule.
 func describeConditions(r *rule) string {
 	var b strings.Builder
 	if r.host != "" {
@@ -69,8 +68,8 @@
 	return b.String()
 }
 
-// checkShadowed rejects a route whose every rule loses to another that takes all that it would. The default is
-// there for what may be left, be it nothing.
+// checkShadowed rejects a route if each of its rules is shadowed by a rule of higher rank. The default route is
+// exempt, as it may have no requests left to match.
 func (c *compiler) checkShadowed() {
 	for i, rules := range c.rules {
 		if len(rules) == 0 || c.routes[i].Default || slices.ContainsFunc(rules, isReachable) {
@@ -83,15 +82,15 @@
 				others = append(others, name)
 			}
 		}
-		problem := c.report(i, "", "it can never match: all that it would take goes to %s", quotedList(others))
+		problem := c.report(i, "", "it can never match: all requests that it matches go to %s", quotedList(others))
 		problem.Other = rules[0].shadowedBy.route
 	}
 }
 
-// isReachable says that no other rule takes all that a rule would.
+// isReachable reports whether no other rule takes all requests that a rule matches.
 func isReachable(r *rule) bool { return r.shadowedBy == nil }
 
-// checkClassesServed rejects a class that leads nowhere from any listener.
+// checkClassesServed rejects a class that has no route at any listener.
 func (c *compiler) checkClassesServed() {
 	if len(c.names.Listeners) == 0 {
 		return
@@ -107,9 +106,9 @@
 	}
 }
 
-// compare finds the rules of the same rank that one request could match, and for each rule one that takes all
-// that it would. Only rules that share host and path can do either: of patterns that differ, the narrower
-// one leaves the wider requests that it does not match, and has the greater rank.
+// compareRules calls overlap for each pair of rules of the same rank that can match the same request, and sets
+// shadowedBy of each rule that is shadowed. It compares only rules with the same host and path: of two different
+// patterns, the more specific one has the higher rank and leaves requests that it does not match to the other.
 func (c *cell) compareRules(overlap func(a, b *rule)) {
 	c.eachRuleList(func(rules []*rule) {
 		for i, r := range rules {
@@ -125,7 +124,7 @@
 	})
 }
 
-// compatible says that one request may carry what both ask for.
+// compatible reports whether one request can meet the header conditions of both a and b.
 func compatible(a, b []Header) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -139,7 +138,7 @@
 	return true
 }
 
-// impliedBy says that whatever carries the headers of b carries those of a.
+// impliedBy reports whether every request that meets the header conditions b also meets a.
 func impliedBy(a, b []Header) bool {
 	for _, wanted := range a {
 		implies := func(given Header) bool { return headerImplies(given, wanted) }
@@ -150,7 +149,7 @@
 	return true
 }
 
-// headerImplies says that whatever carries one header carries another.
+// headerImplies reports whether every request that meets the condition given also meets wanted.
 func headerImplies(given, wanted Header) bool {
 	if given.Name != wanted.Name {
 		return false
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -8,19 +8,19 @@
 	"unicode/utf8"
 )
 
-// Reading says how a path was brought to its plain form.
+// PathChange is the kind of change that normalization made to a path.
 type PathChange int
 
-// Readings, the harmless ones first.
+// Path changes, from the least to the most significant.
 const (
-	PathUnchanged       PathChange = iota // it was plain
-	PathReencoded                         // other percent-encodings of the same characters (RFC 3986 section 6.2.2.2)
-	PathSegmentsRemoved                   // dot segments resolved or empty segments dropped: a server may read it otherwise
+	PathUnchanged       PathChange = iota // the path was already normalized
+	PathReencoded                         // percent-encodings were changed, not the characters (RFC 3986 section 6.2.2.2)
+	PathSegmentsRemoved                   // dot segments were resolved or empty segments removed; a server may interpret the original differently
 )
 
-// String returns the name of the reading, for logs and tests.
-func (r PathChange) String() string {
-	switch r {
+// String returns the name of the change, for logs and tests.
+func (c PathChange) String() string {
+	switch c {
 	case PathUnchanged:
 		return "same"
 	case PathReencoded:
@@ -28,45 +28,45 @@
 	case PathSegmentsRemoved:
 		return "moved"
 	}
-	return "PathChange(" + strconv.Itoa(int(r)) + ")"
+	return "PathChange(" + strconv.Itoa(int(c)) + ")"
 }
 
-// Plain returns the plain form of a path; see Read.
+// NormalForm returns the normalized form of a path; see NormalizePath.
 func NormalForm(raw string) (string, error) {
-	plain, _, err := NormalizePath(raw)
-	return plain, err
+	normalized, _, err := NormalizePath(raw)
+	return normalized, err
 }
 
-// Read returns the plain form of a path (without its query): percent-encodings only where they are needed, with
-// upper-case digits (RFC 3986 sections 6.2.2.1 and 6.2.2.2), no dot segments (section 5.2.4) and no empty
-// segments but a last one. A path that servers are known to read in more than one way whatever is made of it is
-// an error: encoded separators, backslashes, control characters, dots behind a semicolon, what is encoded
-// twice, and what is no UTF-8.
-func NormalizePath(raw string) (plain string, how PathChange, err error) {
+// NormalizePath returns the normalized form of a path (without its query): percent-encodings only where they are
+// needed, with upper-case digits (RFC 3986 sections 6.2.2.1 and 6.2.2.2), no dot segments (section 5.2.4) and no
+// empty segments except a last one. It returns an error for paths that servers are known to interpret in different
+// ways even in normalized form: those with encoded separators, backslashes, control characters, a dot segment with
+// parameters (";"), double percent-encoding or invalid UTF-8.
+func NormalizePath(raw string) (normalized string, change PathChange, err error) {
 	if !strings.HasPrefix(raw, "/") {
 		return "", PathUnchanged, errors.New(`a path begins with "/"`)
 	}
 	if isNormalized(raw) {
 		return raw, PathUnchanged, nil
 	}
-	spelled, err := normalizeEncoding(raw)
+	reencoded, err := normalizeEncoding(raw)
 	if err != nil {
 		return "", PathUnchanged, err
 	}
-	if spelled != raw {
-		how = PathReencoded
+	if reencoded != raw {
+		change = PathReencoded
 	}
-	plain, err = resolveDotSegments(spelled)
+	normalized, err = resolveDotSegments(reencoded)
 	if err != nil {
 		return "", PathUnchanged, err
 	}
-	if plain != spelled {
-		how = PathSegmentsRemoved
+	if normalized != reencoded {
+		change = PathSegmentsRemoved
 	}
-	return plain, how, nil
+	return normalized, change, nil
 }
 
-// isPlain is a quick check that most paths pass: a path that does is its own plain form.
+// isNormalized is a fast check for most paths: it reports true only for paths that are already normalized.
 func isNormalized(raw string) bool {
 	for i := 0; i < len(raw); i++ {
 		switch c := raw[i]; {
@@ -79,11 +79,11 @@
 	return true
 }
 
-// normalizeEncoding writes each character in one way: percent-encoded only where it has to be, with upper-case digits.
+// normalizeEncoding percent-encodes only the characters that need it, with upper-case digits.
 func normalizeEncoding(raw string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(raw))
-	var octets []byte // the path as a server would decode it
+	var octets []byte // the decoded path
 	for i := 0; i < len(raw); i++ {
 		c := raw[i]
 		switch {
@@ -124,7 +124,7 @@
 	return b.String(), nil
 }
 
-// writePercentEncoded writes an octet in its percent-encoding (RFC 3986 section 2.1).
+// writePercentEncoded writes an octet percent-encoded (RFC 3986 section 2.1).
 func writePercentEncoded(b *strings.Builder, octet byte) {
 	const digits = "0123456789ABCDEF"
 	b.WriteByte('%')
@@ -132,7 +132,7 @@
 	b.WriteByte(digits[octet&15])
 }
 
-// hasPercentEncoding says that octets hold a percent-encoding.
+// hasPercentEncoding reports whether octets contain a percent-encoding.
 func hasPercentEncoding(octets []byte) bool {
 	for i := range octets {
 		if octets[i] == '%' && i+2 < len(octets) && isHex(octets[i+1]) && isHex(octets[i+2]) {
@@ -142,7 +142,7 @@
 	return false
 }
 
-// resolveDotSegments takes dot segments and empty segments out (RFC 3986 section 5.2.4).
+// resolveDotSegments resolves dot segments (RFC 3986 section 5.2.4) and removes empty segments except a last one.
 func resolveDotSegments(path string) (string, error) {
 	segments := strings.Split(path[1:], "/")
 	kept := segments[:0:0]
@@ -161,16 +161,16 @@
 			kept = append(kept, s)
 			continue
 		}
-		if last { // what ends with a dot segment names a folder
+		if last { // a path that ends with a dot segment names a folder
 			kept = append(kept, "")
 		}
 	}
 	return "/" + strings.Join(kept, "/"), nil
 }
 
-// Agrees says that a path that is forwarded as it came is of its class for the most liberal server too: one
-// that decodes twice, takes backslashes for slashes and cuts parameters off. The class is the path's first
-// part.
+// PathHasClass reports whether a path that is forwarded unchanged belongs to class even for the most liberal server:
+// one that decodes twice, treats backslashes as slashes and removes parameters. The class is the path's first
+// segment.
 func PathHasClass(raw, class string) bool {
 	if !strings.HasPrefix(raw, "/") {
 		return false
@@ -203,7 +203,7 @@
 	return len(kept) > 0 && kept[0] == class
 }
 
-// decodeOnce takes one layer of percent-encoding off, as far as there is one.
+// decodeOnce removes one layer of percent-encoding. Invalid encodings are kept.
 func decodeOnce(s string) string {
 	if !strings.Contains(s, "%") {
 		return s
@@ -220,7 +220,7 @@
 	return string(b)
 }
 
-// isHex says that a character is a hexadecimal digit.
+// isHex reports whether a character is a hexadecimal digit.
 func isHex(c byte) bool {
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
@@ -236,7 +236,7 @@
 	return c - 'a' + 10
 }
 
-// isUnreserved says that a character means the same percent-encoded or not (RFC 3986 section 2.3).
+// isUnreserved reports whether a character means the same whether percent-encoded or not (RFC 3986 section 2.3).
 func isUnreserved(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' ||
 		c == '-' || c == '.' || c == '_' || c == '~'
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -11,20 +11,20 @@
 	_ "damsontrestle/internal/testpeer/seeded"
 )
 
-// linearSearch finds a request's route by looking at all of them: what Table must do faster.
-func chooseLinearly(routes []Route, c *Request) (best int) {
+// chooseLinearly returns the index of a request's route by comparing all routes. Table must give the same result.
+func chooseLinearly(routes []Route, request *Request) (best int) {
 	best = -1
-	var top rank
+	var bestRank rank
 	for i, r := range routes {
 		for _, h := range patternsOrAny(r.Hosts) {
 			for _, p := range patternsOrAny(r.Paths) {
-				host := strings.ToLower(c.Host)
-				matches := r.Default || (len(r.Listeners) == 0 || contains(r.Listeners, c.Listener)) &&
-					(len(r.Classes) == 0 || contains(r.Classes, c.Class)) &&
+				host := strings.ToLower(request.Host)
+				matches := r.Default || (len(r.Listeners) == 0 || contains(r.Listeners, request.Listener)) &&
+					(len(r.Classes) == 0 || contains(r.Classes, request.Class)) &&
 					(h == "" || h == host || strings.HasPrefix(h, "*") && strings.HasSuffix(host, h[1:])) &&
-					(p == "" || p == c.Path || strings.HasSuffix(p, "/*") && (c.Path == p[:len(p)-2] || strings.HasPrefix(c.Path, p[:len(p)-1])))
+					(p == "" || p == request.Path || strings.HasSuffix(p, "/*") && (request.Path == p[:len(p)-2] || strings.HasPrefix(request.Path, p[:len(p)-1])))
 				for _, w := range r.Headers {
-					v := c.Headers.Values(w.Name)
+					v := request.Headers.Values(w.Name)
 					matches = matches && len(v) == 1 && (w.Equals == nil || v[0] == *w.Equals)
 				}
 				if !matches {
@@ -35,8 +35,8 @@
 				if r.Default {
 					k = rank{host: -1}
 				}
-				if best < 0 || k.compare(top) > 0 {
-					best, top = i, k
+				if best < 0 || k.compare(bestRank) > 0 {
+					best, bestRank = i, k
 				}
 			}
 		}
@@ -53,7 +53,7 @@
 	return false
 }
 
-// drawRoutes makes routes that often overlap, so that many sets are rejected and many are not.
+// drawRoutes draws routes that often overlap, so that many sets of them are rejected and many are accepted.
 func drawRoutes(t *rapid.T) []Route {
 	some := func(label string, from ...string) []string {
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(from), 0, 2, rapid.ID[string]).Draw(t, label)
@@ -77,21 +77,20 @@
 }
 
 func drawRequest(t *rapid.T) *Request {
-	c := &Request{Listener: rapid.SampledFrom(testNames.Listeners).Draw(t, "listener"), Class: rapid.SampledFrom(testNames.Classes).Draw(t, "class"),
+	request := &Request{Listener: rapid.SampledFrom(testNames.Listeners).Draw(t, "listener"), Class: rapid.SampledFrom(testNames.Classes).Draw(t, "class"),
 		Host: rapid.SampledFrom([]string{"a.x", "b.x", "c.a.x", "x", "y", "A.X"}).Draw(t, "host")}
-	c.Path = "/" + c.Class + rapid.SampledFrom([]string{"", "/", "/k", "/k/", "/k/l", "/k/l/m", "/kk"}).Draw(t, "path")
+	request.Path = "/" + request.Class + rapid.SampledFrom([]string{"", "/", "/k", "/k/", "/k/l", "/k/l/m", "/kk"}).Draw(t, "path")
 	h := http.Header{}
 	for _, n := range []string{"X-A", "X-B"} {
 		if v := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, n); v != "" {
 			h.Set(n, v)
 		}
 	}
-	c.Headers = h
-	return c
+	request.Headers = h
+	return request
 }
 
-// For any routes that compile, the table chooses as a linear search does, and every route but the
-// default takes some request.
+// For any routes that compile, the table selects the same route as a linear search.
 func TestTableChoosesRuleOfHighestRank(t *testing.T) {
 	compiled, requests := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -102,10 +101,10 @@
 		}
 		compiled++
 		for range 20 {
-			c := drawRequest(t)
-			got, ok := table.Choose(c)
-			if want := chooseLinearly(routes, c); !ok || got.Route != want {
-				t.Fatalf("%+v: route %d, want %d", c, got.Route, want)
+			request := drawRequest(t)
+			got, ok := table.Choose(request)
+			if want := chooseLinearly(routes, request); !ok || got.Route != want {
+				t.Fatalf("%+v: got route %d, want %d", request, got.Route, want)
 			}
 			requests++
 		}
@@ -113,8 +112,7 @@
 	t.Logf("%d sets of routes compiled, %d requests", compiled, requests)
 }
 
-// What compiles has no two routes of the same rank for one request, and each route takes some request; what does
-// not compile for that reason has such a request or a route that takes none.
+// Routes compile if and only if no request matches two routes of the same rank and each route takes some request.
 func TestRejectedRoutesAreAmbiguousOrUnreachable(t *testing.T) {
 	var all []*Request
 	for _, l := range testNames.Listeners {
@@ -142,17 +140,17 @@
 		_, problems := Compile(routes, testNames)
 		taken := map[int]bool{len(routes) - 1: true}
 		ambiguous := false
-		for _, c := range all {
-			first := chooseLinearly(routes, c)
+		for _, request := range all {
+			first := chooseLinearly(routes, request)
 			taken[first] = true
 			reversed := make([]Route, 0, len(routes))
 			for i := range routes {
 				reversed = append(reversed, routes[len(routes)-1-i])
 			}
-			ambiguous = ambiguous || first != len(routes)-1-chooseLinearly(reversed, c)
+			ambiguous = ambiguous || first != len(routes)-1-chooseLinearly(reversed, request)
 		}
-		if bad := ambiguous || len(taken) < len(routes); bad != (len(problems) > 0) {
-			t.Fatalf("an overlap: %v; %d of %d routes take requests; problems: %v", ambiguous, len(taken), len(routes), problems)
+		if invalid := ambiguous || len(taken) < len(routes); invalid != (len(problems) > 0) {
+			t.Fatalf("ambiguous: %v; %d of %d routes take requests; problems: %v", ambiguous, len(taken), len(routes), problems)
 		}
 	})
 }
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// rule is one route for one listener, class, host and path.
+// rule is a route's rule for one listener, class, host and path.
 type rule struct {
-	route      int // index among those given to Compile
+	route      int // index in the routes given to Compile
 	rank       rank
-	host       string // exact, "*.below", or "" for any
-	path       string // exact, "/below/*", or "" for any
+	host       string // exact, "*.parent", or "" for any
+	path       string // exact, "/prefix/*", or "" for any
 	headers    []Header
 	split      split
-	shadowedBy *rule // a rule that takes all that this one would, if there is one
+	shadowedBy *rule // a rule that takes all requests that this one matches; nil if there is none
 }
 
-// rank orders the rules that match one request: the greatest wins. It goes by the host first, then by the
-// path, then by the headers, then by whether class and listener are named.
+// rank orders the rules that match a request: the rule with the greatest rank is used. It compares the host first,
+// then the path, the headers, and whether the route names classes and listeners.
 type rank struct {
 	host     int // see hostRank
 	path     int // see pathRank
-	headers  int // conditions
-	values   int // conditions with a value
-	class    int // 1: classes are named
-	listener int // 1: listeners are named
+	headers  int // number of header conditions
+	values   int // number of header conditions with a value
+	class    int // 1 if the route names classes
+	listener int // 1 if the route names listeners
 }
 
-// defaultRank is the rank of the default route: below all others.
+// defaultRank is the rank of the default route, lower than all others.
 var defaultRank = rank{host: -1}
 
 func (r rank) compare(other rank) int {
@@ -41,7 +41,7 @@
 	)
 }
 
-// rankOf returns the rank of a route's rule for a host and a path.
+// rankOf returns the rank of a route's rule for a host and a path pattern.
 func rankOf(r Route, host, path string) rank {
 	if r.Default {
 		return defaultRank
@@ -56,8 +56,8 @@
 	}
 }
 
-// hostRank ranks patterns of hosts by their labels: an exact name is above the names below which all match, the more labels
-// the higher. Any host has 0.
+// hostRank returns the rank of a host pattern: the more labels, the higher, and an exact name is above the "*." patterns that
+// match it. The pattern for any host has rank 0.
 func hostRank(pattern string) int {
 	switch {
 	case pattern == "":
@@ -68,7 +68,7 @@
 	return 2*(strings.Count(pattern, ".")+1) + 1
 }
 
-// pathRank ranks patterns of paths by their segments, likewise.
+// pathRank returns the rank of a path pattern, likewise by the number of its segments.
 func pathRank(pattern string) int {
 	switch {
 	case pattern == "":
@@ -79,7 +79,7 @@
 	return 2*strings.Count(pattern, "/") + 1
 }
 
-// countWithValue counts the conditions that ask for a value.
+// countWithValue returns the number of header conditions with a value.
 func countWithValue(headers []Header) (n int) {
 	for _, h := range headers {
 		if h.Equals != nil {
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// split shares a route's requests among its pools by their weights.
+// split distributes a route's requests among its pools by weight.
 type split struct {
-	pools       []int    // indexes into the table's pools, in the order of their names
-	upperBounds []uint64 // sums of the weights up to and with each pool
+	pools       []int    // indexes into the table's pools, sorted by pool name
+	upperBounds []uint64 // cumulative weights, including each pool's own
 }
 
-// newSplit returns the split of targets among pools, which are sorted. Targets without weight get nothing.
+// newSplit returns a split over targets; pools are the table's pools in sorted order. Targets of weight 0 get no requests.
 func newSplit(targets []Target, pools []string) split {
 	targets = slices.Clone(targets)
 	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.Pool, b.Pool) })
@@ -29,8 +29,8 @@
 	return s
 }
 
-// choose returns the pool for a draw. Each pool has one range of the sum of weights, so that a weight that
-// changes a little migrates few requests.
+// choose returns the pool for a hash key. Each pool has one contiguous range of the sum of weights, so that a small
+// change of a weight moves few requests.
 func (s split) choose(hashKey string) int {
 	if len(s.pools) == 1 {
 		return s.pools[0]
@@ -44,10 +44,10 @@
 	return s.pools[i]
 }
 
-// unitInterval maps a hash to [0, 1) by its highest 53 bits, as many as a float64 holds.
+// unitInterval maps a hash to [0, 1) by its highest 53 bits, the precision of a float64.
 func unitInterval(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
-// FNV-1a with 64 bits, and the multipliers of MurmurHash3's finalizer.
+// Parameters of 64-bit FNV-1a, and the multipliers of MurmurHash3's finalizer.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
@@ -55,8 +55,8 @@
 	mix2      = 0xc4ceb9fe1a85ec53
 )
 
-// hash is FNV-1a, its low bits mixed into the high ones that choose goes by: the same on every
-// node and after every start, as a drawn seed would not be.
+// hash returns the FNV-1a hash of s with its low bits mixed into the high bits, which choose uses. It has no random
+// seed, so that it is the same on every node and after every start.
 func hash(s string) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(s) {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -2,40 +2,40 @@
 
 import "strings"
 
-// Table chooses pools. It is made by Compile and never changes.
+// Table selects the pools of requests. It is created by Compile and is immutable.
 type Table struct {
 	cells map[cellKey]*cell
 	pools []string // sorted
 }
 
-// Request is what a route may look at.
+// Request holds the properties of a request that routes can match.
 type Request struct {
 	Listener string // name
 	Class    string // name
-	Host     string // as the client named it, with or without a port
-	Path     string // in its plain form, without the query
+	Host     string // as sent by the client, with or without a port
+	Path     string // normalized, without the query
 	Headers  Headers
-	// Draw settles which of several pools takes the request: it is the same for requests that must reach the same servers,
-	// as those with one idempotency key.
+	// HashKey selects one of several pools. It is the same for requests that must reach the same servers, such as those with the
+	// same idempotency key.
 	HashKey string
 }
 
-// Headers are the headers of a request. http.Header is an implementation.
+// Headers are the headers of a request. http.Header implements it.
 type Headers interface {
 	// Values returns the values of a header by its canonical name (textproto.CanonicalMIMEHeaderKey).
 	Values(name string) []string
 }
 
-// Choice is where a request goes.
+// Choice is the result of routing a request.
 type Choice struct {
 	Pool  string
-	Route int // index of the route that took the request, among those given to Compile
+	Route int // index of the matched route in the routes given to Compile
 }
 
-// maxHostLength is the length of the longest name that the DNS has, in octets (RFC 1035 section 2.3.4).
+// maxHostLength is the maximum length of a DNS name, in octets (RFC 1035 section 2.3.4).
 const maxHostLength = 255
 
-// Choose returns where a request goes; false if no route takes it.
+// Choose returns the pool and route for a request, and false if no route matches it.
 func (t *Table) Choose(request *Request) (Choice, bool) {
 	cell := t.cells[cellKey{listener: request.Listener, class: request.Class}]
 	if cell == nil {
@@ -49,7 +49,7 @@
 	return Choice{Pool: pool, Route: chosen.route}, true
 }
 
-// cell returns the cell of a key, made if it is the first of it.
+// cell returns the cell of a key, which it creates if there is none.
 func (t *Table) cell(key cellKey) *cell {
 	c := t.cells[key]
 	if c == nil {
@@ -59,7 +59,7 @@
 	return c
 }
 
-// hostName is a host in lower case and without its port.
+// hostName returns a host in lower case, without its port and without a trailing dot.
 func hostName(h string) string {
 	if i := strings.LastIndexByte(h, ':'); i >= 0 && !strings.Contains(h[i:], "]") {
 		h = h[:i]
