--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -29,33 +29,33 @@
 
 func TestGrantVote(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Who may be promised a term") {
-		var v Vote
-		var began time.Duration
+		var vote Vote
+		var startedAt time.Duration
 		switch f := strings.Fields(r.At("given")); {
 		case len(f) == 1 && f[0] == "nothing":
 		case len(f) == 3 && f[0] == "started":
-			began = parseDuration(t, r, f[2])
+			startedAt = parseDuration(t, r, f[2])
 		case len(f) == 5 && f[1] == "to":
-			fmt.Sscan(f[0], &v.Term)
-			v.Leader, v.Until = f[2], parseDuration(t, r, f[4])
+			fmt.Sscan(f[0], &vote.Term)
+			vote.Leader, vote.Until = f[2], parseDuration(t, r, f[4])
 		default:
 			t.Errorf("%s:%d: cannot parse given %q", page, r.Line, r.At("given"))
 			continue
 		}
-		var at, who string
-		var number uint64
-		if _, err := fmt.Sscanf(r.At("event"), "at %s %s asks for %d", &at, &who, &number); err != nil {
+		var at, candidate string
+		var term uint64
+		if _, err := fmt.Sscanf(r.At("event"), "at %s %s asks for %d", &at, &candidate, &term); err != nil {
 			t.Errorf("%s:%d: cannot parse event %q", page, r.Line, r.At("event"))
 			continue
 		}
-		next, ok := GrantVote(v, began, parseDuration(t, r, at), time.Second, number, who)
+		next, ok := GrantVote(vote, startedAt, parseDuration(t, r, at), time.Second, term, candidate)
 		got := "no"
 		if ok {
 			got = fmt.Sprintf("yes, until %v", next.Until)
-			if next.Term != number || next.Leader != who {
-				t.Errorf("%s:%d: got vote %+v, want term %d, leader %s", page, r.Line, next, number, who)
+			if next.Term != term || next.Leader != candidate {
+				t.Errorf("%s:%d: got vote %+v, want term %d, leader %s", page, r.Line, next, term, candidate)
 			}
-		} else if next != v {
+		} else if next != vote {
 			t.Errorf("%s:%d: a rejected request changed the vote to %+v", page, r.Line, next)
 		}
 		if got != r.At("outcome") {
@@ -82,27 +82,27 @@
 
 func TestTermsBounds(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "What terms bound") {
-		var b Terms
-		var over, lease, cut string
-		if _, err := fmt.Sscan(r.At("terms"), &b.Rate, &b.Burst, &over, &lease, &cut); err != nil {
+		var terms Terms
+		var overdraw, lease, fallback string
+		if _, err := fmt.Sscan(r.At("terms"), &terms.Rate, &terms.Burst, &overdraw, &lease, &fallback); err != nil {
 			t.Fatalf("%s:%d: %v", page, r.Line, err)
 		}
-		fmt.Sscanf(over, "%g%%", &b.Overdraw)
-		b.Overdraw /= 100
-		b.Lease, b.Fallback = parseDuration(t, r, lease), Fallback(cut)
+		fmt.Sscanf(overdraw, "%g%%", &terms.Overdraw)
+		terms.Overdraw /= 100
+		terms.Lease, terms.Fallback = parseDuration(t, r, lease), Fallback(fallback)
 		for _, p := range strings.Split(r.At("partners"), ", ") {
-			var k Partner
-			if _, err := fmt.Sscanf(p, "%g x %d", &k.Floor, &k.Gateways); err != nil {
+			var partner Partner
+			if _, err := fmt.Sscanf(p, "%g x %d", &partner.Floor, &partner.Gateways); err != nil {
 				t.Fatalf("%s:%d: %v", page, r.Line, err)
 			}
-			b.Partners = append(b.Partners, k)
+			terms.Partners = append(terms.Partners, partner)
 		}
-		if field, why := b.Check(); field != r.At("outcome") {
+		if field, why := terms.Check(); field != r.At("outcome") {
 			t.Errorf("%s:%d: Check found %q (%s), want %q", page, r.Line, field, why, r.At("outcome"))
 		}
-		for column, w := range map[string]time.Duration{"in 1s": time.Second, "in 10s": 10 * time.Second} {
-			if want := r.At(column); want != "" && fmt.Sprint(math.Round(b.Bound(w)*10)/10) != want {
-				t.Errorf("%s:%d: bound %v in %v, want %s", page, r.Line, math.Round(b.Bound(w)*10)/10, w, want)
+		for column, window := range map[string]time.Duration{"in 1s": time.Second, "in 10s": 10 * time.Second} {
+			if want := r.At(column); want != "" && fmt.Sprint(math.Round(terms.Bound(window)*10)/10) != want {
+				t.Errorf("%s:%d: bound %v in %v, want %s", page, r.Line, math.Round(terms.Bound(window)*10)/10, window, want)
 			}
 		}
 	}
@@ -115,18 +115,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const term = time.Second
 		type replica struct {
-			rate      float64 // of its clock
-			off       time.Duration
+			rate      float64       // of its clock
+			off       time.Duration // of its clock at real time 0
 			vote      Vote
 			startedAt time.Duration // by its clock
 		}
-		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "voters")
+		n := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 		replicas := make([]*replica, n)
 		for i := range replicas {
-			replicas[i] = &replica{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*MaxDrift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "off")) * time.Second}
+			replicas[i] = &replica{rate: 1 + rapid.SampledFrom([]float64{-0.5, 0, 0.2, 0.5}).Draw(t, "rate")*MaxDrift, off: time.Duration(rapid.IntRange(-100, 100).Draw(t, "offset")) * time.Second}
 			replicas[i].startedAt = replicas[i].off
 		}
-		clock := func(v *replica, now time.Duration) time.Duration { return v.off + time.Duration(v.rate*float64(now)) }
+		clock := func(r *replica, now time.Duration) time.Duration { return r.off + time.Duration(r.rate*float64(now)) }
 		type leadership struct {
 			leader      int
 			from, until time.Duration // real time
@@ -139,39 +139,39 @@
 		var events []event
 		on := func(at time.Duration, do func(now time.Duration)) { events = append(events, event{at, do}) }
 		// drawDuration draws a duration; one in three is close to the length of a term.
-		drawDuration := func(most int, label string) time.Duration {
+		drawDuration := func(maxMillis int, label string) time.Duration {
 			if rapid.IntRange(0, 2).Draw(t, "about a term") == 0 {
 				return time.Duration(rapid.IntRange(960, 1040).Draw(t, label)) * time.Millisecond
 			}
-			return time.Duration(rapid.IntRange(0, most).Draw(t, label)) * time.Millisecond
+			return time.Duration(rapid.IntRange(0, maxMillis).Draw(t, label)) * time.Millisecond
 		}
 		now := 10 * time.Second
-		high := 1
+		highestTerm := 1
 		for range rapid.IntRange(5, 60).Draw(t, "asks") {
 			now += drawDuration(600, "later")
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				v := replicas[rapid.IntRange(0, n-1).Draw(t, "who")]
-				on(now-drawDuration(300, "before"), func(now time.Duration) { v.vote, v.startedAt = Vote{}, clock(v, now) })
+				restarted := replicas[rapid.IntRange(0, n-1).Draw(t, "who")]
+				on(now-drawDuration(300, "before"), func(now time.Duration) { restarted.vote, restarted.startedAt = Vote{}, clock(restarted, now) })
 			}
 			who := rapid.IntRange(0, n-1).Draw(t, "candidate")
 			candidate := replicas[who]
 			// The real time at which the term ends by the candidate's clock.
 			until := time.Duration(float64(clock(candidate, now)+AtMost(term)-candidate.off) / candidate.rate)
-			high = max(1, high+rapid.IntRange(-1, 2).Draw(t, "number"))
-			number := uint64(high)
+			highestTerm = max(1, highestTerm+rapid.IntRange(-1, 2).Draw(t, "number"))
+			requestedTerm := uint64(highestTerm)
 			votes := 0
-			for _, v := range replicas {
-				requestDelay := time.Duration(rapid.IntRange(0, 60).Draw(t, "there")) * time.Millisecond
+			for _, peer := range replicas {
+				requestDelay := time.Duration(rapid.IntRange(0, 60).Draw(t, "request delay")) * time.Millisecond
 				if rapid.IntRange(0, 9).Draw(t, "late") == 0 {
-					requestDelay = drawDuration(1200, "there")
+					requestDelay = drawDuration(1200, "request delay")
 				}
-				replyDelay := time.Duration(rapid.IntRange(0, 60).Draw(t, "back")) * time.Millisecond
+				replyDelay := time.Duration(rapid.IntRange(0, 60).Draw(t, "reply delay")) * time.Millisecond
 				if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
 					continue
 				}
 				on(now+requestDelay, func(at time.Duration) {
-					next, ok := GrantVote(v.vote, v.startedAt, clock(v, at), term, number, fmt.Sprint(who))
-					v.vote = next
+					next, ok := GrantVote(peer.vote, peer.startedAt, clock(peer, at), term, requestedTerm, fmt.Sprint(who))
+					peer.vote = next
 					if ok {
 						on(at+replyDelay, func(at time.Duration) {
 							if votes++; votes == n/2+1 && at < until {
@@ -211,13 +211,13 @@
 // A gateway draws nothing from a floor while the quota leader may lend it, however late the waiver reaches the leader, or if it is lost.
 func TestLentFloorIsDrawnOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader, gateway := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "keeper")*MaxDrift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*MaxDrift
-		stamp := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "stamp")) // real
-		sent := stamp + time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "later"))
-		byLeader := func(real time.Duration) time.Duration { return time.Duration(float64(real) * leader) }
-		byGateway := func(real time.Duration) time.Duration { return time.Duration(float64(real) * gateway) }
-		lent, drawn := FloorLoanEnds(byLeader(stamp), byGateway(sent))
-		if until, from := float64(lent)/leader, float64(drawn)/gateway; until > from {
+		leaderRate, gatewayRate := 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "leader")*MaxDrift, 1+rapid.Float64Range(-0.5, 0.5).Draw(t, "gateway")*MaxDrift
+		asked := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "asked")) // real
+		answered := asked + time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "later"))
+		byLeader := func(real time.Duration) time.Duration { return time.Duration(float64(real) * leaderRate) }
+		byGateway := func(real time.Duration) time.Duration { return time.Duration(float64(real) * gatewayRate) }
+		lent, drawn := FloorLoanEnds(byLeader(asked), byGateway(answered))
+		if until, from := float64(lent)/leaderRate, float64(drawn)/gatewayRate; until > from {
 			t.Fatalf("the leader lends until %v, the gateway draws from %v", time.Duration(until), time.Duration(from))
 		}
 	})
--- a/internal/budget/terms.go
+++ b/internal/budget/terms.go
@@ -20,7 +20,7 @@
 type Partner struct {
 	Name     string
 	Floor    float64 // requests per second that are reserved for it
-	Weight   float64 // of its share of what remains beyond the floors
+	Weight   float64 // relative share of the tokens beyond the floors
 	Gateways int     // that draw tokens for it
 }
 
@@ -92,14 +92,14 @@
 	case t.sumOfFloors() > t.Rate:
 		return "rate", fmt.Sprintf("found %v, but the partners' floors add up to %v", t.Rate, t.sumOfFloors())
 	}
-	for _, w := range checkedWindows {
-		if most, allowed := t.Bound(w), t.Allowed(w); t.Fallback != Open && most > allowed*(1+t.Overdraw)+1e-9 {
-			if own := t.ownFloorDraws(); own > 0 && t.Depth() == 1 {
+	for _, window := range checkedWindows {
+		if maxRequests, allowed := t.Bound(window), t.Allowed(window); t.Fallback != Open && maxRequests > allowed*(1+t.Overdraw)+1e-9 {
+			if ownFloors := t.ownFloorDraws(); ownFloors > 0 && t.Depth() == 1 {
 				return "when_cut", fmt.Sprintf(`found "floor": when cut off from the quota leader, %v gateways could each draw a request of their own floor at once, up to %v requests in %v where %v and %v %% more are allowed; allowed: when_cut = "closed", a greater burst, or floors for partners with fewer gateways`,
-					own, roundToTenth(most), w, roundToTenth(allowed), 100*t.Overdraw)
+					ownFloors, roundToTenth(maxRequests), window, roundToTenth(allowed), 100*t.Overdraw)
 			}
 			return "lease", fmt.Sprintf("found %v: tokens leased for so long permit %v requests in %v, where %v and %v %% more are allowed; allowed: a shorter lease, or a burst of %v or more",
-				t.Lease, roundToTenth(most), w, roundToTenth(allowed), 100*t.Overdraw, math.Ceil(t.Burst+most-allowed*(1+t.Overdraw)))
+				t.Lease, roundToTenth(maxRequests), window, roundToTenth(allowed), 100*t.Overdraw, math.Ceil(t.Burst+maxRequests-allowed*(1+t.Overdraw)))
 		}
 	}
 	return "", ""
--- a/internal/plan/machine.go
+++ b/internal/plan/machine.go
@@ -125,23 +125,23 @@
 // Busy reports whether a change is in progress.
 func (m *Machine) Busy() bool { return m.phase != idle }
 
-// Repaired tells the machine that the record of the running configuration was written again outside of a change.
+// Repaired notes that the record of the running configuration was written again outside of a change.
 func (m *Machine) Repaired() { m.diverged = false }
 
 // Next returns the identity of the configuration that runs once the current change is committed.
 func (m *Machine) Next() Running {
-	r := m.running
+	next := m.running
 	if m.proposal != nil {
-		r.Serial++
-		r.Fingerprint = m.proposal.Config.Fingerprint()
+		next.Serial++
+		next.Fingerprint = m.proposal.Config.Fingerprint()
 	}
-	return r
+	return next
 }
 
 // Propose begins a change and returns its first step. It returns ErrBusy while another change is in progress, ErrShuttingDown
 // while the node shuts down, and ErrStale or ErrOtherNode if the proposal was created for another running configuration or
-// node. For the configuration that is already running the step is Nothing, or Repair if the disk may hold another record, so
-// that a client that is told that a configuration runs can rely on it at the next start.
+// node. For the configuration that is already running the step is Nothing, or Repair if the disk may hold another record: once
+// a client has been informed that a configuration runs, the next start must use it too.
 func (m *Machine) Propose(proposal Proposal) (Step, error) {
 	switch {
 	case m.shuttingDown:
@@ -267,6 +267,6 @@
 // Err returns why the last change failed, or nil if it succeeded.
 func (m *Machine) Err() error { return m.cause }
 
-// Shutdown tells the machine that the node is shutting down: no change begins after it, and a change that has not been
-// persisted yet will be undone.
+// Shutdown marks the node as shutting down: no change begins after it, and a change that has not been persisted yet
+// will be undone.
 func (m *Machine) Shutdown() { m.shuttingDown = true }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// A decoded plan holds exactly the new configuration and fits its base. Changes to an encoded plan are tested in TestRejectedPlans.
+// A decoded plan holds exactly the new configuration and may be applied to its base. TestRejectedPlans covers changes to an encoded
+// plan.
 func TestPlanRoundTrip(t *testing.T) {
 	old, next := example(t), example(t)
 	next.Pools[0].Attempts = 2
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -177,16 +177,16 @@
 
 // matchesHeaders reports whether a request meets all header conditions. A header that occurs twice meets no condition with
 // a value.
-func matchesHeaders(has Headers, wanted []Header) bool {
-	for _, w := range wanted {
-		if has == nil {
+func matchesHeaders(headers Headers, conditions []Header) bool {
+	for _, condition := range conditions {
+		if headers == nil {
 			return false
 		}
-		values := has.Values(w.Name)
+		values := headers.Values(condition.Name)
 		if len(values) == 0 {
 			return false
 		}
-		if w.Equals != nil && (len(values) > 1 || values[0] != *w.Equals) {
+		if condition.Equals != nil && (len(values) > 1 || values[0] != *condition.Equals) {
 			return false
 		}
 	}
--- a/internal/route/check.go
+++ b/internal/route/check.go
@@ -10,23 +10,23 @@
 func (c *compiler) checkRoutes() {
 	byName := map[string]int{}
 	defaultRoute := noRoute
-	for i, r := range c.routes {
-		if first, twice := byName[r.Name]; twice {
-			problem := c.report(i, "", "the name %q is used twice", r.Name)
+	for i, route := range c.routes {
+		if first, twice := byName[route.Name]; twice {
+			problem := c.report(i, "", "the name %q is used twice", route.Name)
 			problem.Other = first
 		}
-		byName[r.Name] = i
-		c.checkNames(i, "listeners", r.Listeners, c.names.Listeners)
-		c.checkNames(i, "classes", r.Classes, c.names.Classes)
+		byName[route.Name] = i
+		c.checkNames(i, "listeners", route.Listeners, c.names.Listeners)
+		c.checkNames(i, "classes", route.Classes, c.names.Classes)
 		c.checkTargets(i)
-		if r.Default {
+		if route.Default {
 			c.checkDefault(i, defaultRoute)
 			defaultRoute = i
 		}
-		c.checkPatterns(i, "hosts", r.Hosts, hostProblem)
-		c.checkPatterns(i, "paths", r.Paths, pathProblem)
-		c.checkDuplicates(i, "hosts", r.Hosts)
-		c.checkDuplicates(i, "paths", r.Paths)
+		c.checkPatterns(i, "hosts", route.Hosts, hostProblem)
+		c.checkPatterns(i, "paths", route.Paths, pathProblem)
+		c.checkDuplicates(i, "hosts", route.Hosts)
+		c.checkDuplicates(i, "paths", route.Paths)
 		c.checkHeaders(i)
 	}
 }
@@ -37,8 +37,8 @@
 	if earlier != noRoute {
 		c.report(i, "default", "%q is the default already: only one route may be the default", c.routes[earlier].Name)
 	}
-	r := c.routes[i]
-	conditions := len(r.Listeners) + len(r.Classes) + len(r.Hosts) + len(r.Paths) + len(r.Headers)
+	route := c.routes[i]
+	conditions := len(route.Listeners) + len(route.Classes) + len(route.Hosts) + len(route.Paths) + len(route.Headers)
 	if conditions > 0 {
 		c.report(i, "default", "the default route takes all requests that match no other route: no conditions are allowed")
 	}
@@ -74,40 +74,40 @@
 
 // checkTargets rejects pools that are unknown or listed twice, and weights out of range.
 func (c *compiler) checkTargets(i int) {
-	r := c.routes[i]
-	if len(r.To) == 0 {
+	route := c.routes[i]
+	if len(route.To) == 0 {
 		c.report(i, "to", "it leads to no pool; allowed: %s", quotedList(c.names.Pools))
 	}
 	sum := 0
-	for k, t := range r.To {
-		if !slices.Contains(c.names.Pools, t.Pool) {
-			c.report(i, "to", "found pool %q: no such pool; allowed: %s", t.Pool, quotedList(c.names.Pools))
+	for k, target := range route.To {
+		if !slices.Contains(c.names.Pools, target.Pool) {
+			c.report(i, "to", "found pool %q: no such pool; allowed: %s", target.Pool, quotedList(c.names.Pools))
 		}
-		if t.Weight < 0 || t.Weight > MaxWeight {
-			c.report(i, "to", "pool %q: found weight %d; allowed: 0 to %d", t.Pool, t.Weight, MaxWeight)
+		if target.Weight < 0 || target.Weight > MaxWeight {
+			c.report(i, "to", "pool %q: found weight %d; allowed: 0 to %d", target.Pool, target.Weight, MaxWeight)
 		}
-		if slices.ContainsFunc(r.To[:k], func(o Target) bool { return o.Pool == t.Pool }) {
-			c.report(i, "to", "pool %q is listed twice", t.Pool)
+		if slices.ContainsFunc(route.To[:k], func(o Target) bool { return o.Pool == target.Pool }) {
+			c.report(i, "to", "pool %q is listed twice", target.Pool)
 		}
-		sum += t.Weight
+		sum += target.Weight
 	}
-	if len(r.To) > 0 && sum == 0 {
+	if len(route.To) > 0 && sum == 0 {
 		c.report(i, "to", "all weights are 0: at least one must be greater than 0")
 	}
 }
 
 // checkHeaders rejects names and values that no header can have (RFC 9110 section 5), and names that are listed twice.
 func (c *compiler) checkHeaders(i int) {
-	r := c.routes[i]
-	for k, h := range r.Headers {
-		if h.Name == "" || strings.Trim(strings.ToLower(h.Name), tokenChars) != "" {
-			c.report(i, "headers", "found %q: not a valid header name (RFC 9110 section 5.1)", h.Name)
+	route := c.routes[i]
+	for k, header := range route.Headers {
+		if header.Name == "" || strings.Trim(strings.ToLower(header.Name), tokenChars) != "" {
+			c.report(i, "headers", "found %q: not a valid header name (RFC 9110 section 5.1)", header.Name)
 		}
-		if slices.ContainsFunc(r.Headers[:k], func(o Header) bool { return strings.EqualFold(o.Name, h.Name) }) {
-			c.report(i, "headers", "%q is listed twice", h.Name)
+		if slices.ContainsFunc(route.Headers[:k], func(o Header) bool { return strings.EqualFold(o.Name, header.Name) }) {
+			c.report(i, "headers", "%q is listed twice", header.Name)
 		}
-		if h.Equals != nil && strings.ContainsAny(*h.Equals, "\r\n\x00") {
-			c.report(i, "headers", "%q: the value must not contain line breaks or NUL", h.Name)
+		if header.Equals != nil && strings.ContainsAny(*header.Equals, "\r\n\x00") {
+			c.report(i, "headers", "%q: the value must not contain line breaks or NUL", header.Name)
 		}
 	}
 }
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -33,7 +33,7 @@
 	problems []Problem
 }
 
-// report adds a problem of a route, or of the routes as a whole (noRoute), and returns it. The caller may set further fields of the
+// report adds a problem of a route, or of no single route (noRoute), and returns it. The caller may set further fields of the
 // returned Problem until the next report.
 func (c *compiler) report(route int, field, format string, args ...any) *Problem {
 	c.problems = append(c.problems, Problem{
@@ -65,9 +65,9 @@
 // addRules adds a rule to a cell for each host and path of a route that requests of the cell's class can have. common holds the
 // fields that all rules of the route share.
 func (c *compiler) addRules(key cellKey, common rule) {
-	r := c.routes[common.route]
-	for _, host := range patternsOrAny(r.Hosts) {
-		for _, path := range patternsOrAny(r.Paths) {
+	route := c.routes[common.route]
+	for _, host := range patternsOrAny(route.Hosts) {
+		for _, path := range patternsOrAny(route.Paths) {
 			pattern, fits := patternForClass(path, key.class)
 			if !fits {
 				continue
@@ -75,7 +75,7 @@
 			added := common
 			added.host = host
 			added.path = pattern
-			added.rank = rankOf(r, host, path)
+			added.rank = rankOf(route, host, path)
 			c.rules[common.route] = append(c.rules[common.route], &added)
 			c.table.cell(key).add(&added)
 		}
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -15,28 +15,28 @@
 func chooseLinearly(routes []Route, request *Request) (best int) {
 	best = -1
 	var bestRank rank
-	for i, r := range routes {
-		for _, h := range patternsOrAny(r.Hosts) {
-			for _, p := range patternsOrAny(r.Paths) {
+	for i, route := range routes {
+		for _, hostPattern := range patternsOrAny(route.Hosts) {
+			for _, pathPattern := range patternsOrAny(route.Paths) {
 				host := strings.ToLower(request.Host)
-				matches := r.Default || (len(r.Listeners) == 0 || contains(r.Listeners, request.Listener)) &&
-					(len(r.Classes) == 0 || contains(r.Classes, request.Class)) &&
-					(h == "" || h == host || strings.HasPrefix(h, "*") && strings.HasSuffix(host, h[1:])) &&
-					(p == "" || p == request.Path || strings.HasSuffix(p, "/*") && (request.Path == p[:len(p)-2] || strings.HasPrefix(request.Path, p[:len(p)-1])))
-				for _, w := range r.Headers {
-					v := request.Headers.Values(w.Name)
-					matches = matches && len(v) == 1 && (w.Equals == nil || v[0] == *w.Equals)
+				matches := route.Default || (len(route.Listeners) == 0 || contains(route.Listeners, request.Listener)) &&
+					(len(route.Classes) == 0 || contains(route.Classes, request.Class)) &&
+					(hostPattern == "" || hostPattern == host || strings.HasPrefix(hostPattern, "*") && strings.HasSuffix(host, hostPattern[1:])) &&
+					(pathPattern == "" || pathPattern == request.Path || strings.HasSuffix(pathPattern, "/*") && (request.Path == pathPattern[:len(pathPattern)-2] || strings.HasPrefix(request.Path, pathPattern[:len(pathPattern)-1])))
+				for _, condition := range route.Headers {
+					values := request.Headers.Values(condition.Name)
+					matches = matches && len(values) == 1 && (condition.Equals == nil || values[0] == *condition.Equals)
 				}
 				if !matches {
 					continue
 				}
-				k := rank{host: hostRank(h), path: pathRank(p), headers: len(r.Headers), values: countWithValue(r.Headers),
-					class: min(1, len(r.Classes)), listener: min(1, len(r.Listeners))}
-				if r.Default {
-					k = rank{host: -1}
+				ruleRank := rank{host: hostRank(hostPattern), path: pathRank(pathPattern), headers: len(route.Headers), values: countWithValue(route.Headers),
+					class: min(1, len(route.Classes)), listener: min(1, len(route.Listeners))}
+				if route.Default {
+					ruleRank = rank{host: -1}
 				}
-				if best < 0 || k.compare(bestRank) > 0 {
-					best, bestRank = i, k
+				if best < 0 || ruleRank.compare(bestRank) > 0 {
+					best, bestRank = i, ruleRank
 				}
 			}
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -39,8 +39,8 @@
 
 // Problem is an error in the routes of a configuration. Its message names the other route if two are involved.
 type Problem struct {
-	Route   int    // index of the invalid route, or -1 for the routes as a whole
-	Field   string // of the route, or "" for the route as a whole
+	Route   int    // index of the invalid route, or -1 if no single route is
+	Field   string // of the route, or "" if no single field is invalid
 	Class   string // set for a class that no route serves
 	Message string
 	Other   int // index of the other route involved, or -1
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -54,7 +54,7 @@
 		"main view h /view/k":               "a", // the default route
 		"main view h /view/x":               "c", // "/*" also matches the path itself
 		"main view h /view/x/":              "c",
-		"main view h /view/xy":              "a", // "/*" matches whole segments only
+		"main view h /view/xy":              "a", // "/*" does not match within a segment
 		"main view h /view/x/y":             "b", // an exact path before a prefix
 		"main view h /view/x/y/z":           "c",
 		"main view a.example /view/x/y":     "a", // host rank before path rank
