--- a/internal/budget/vote.go
+++ b/internal/budget/vote.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Vote is what a candidate has promised.
+// Vote is the last vote of a replica.
 type Vote struct {
 	Term   uint64
 	Leader string
-	Until  time.Duration // by its own clock: before that it promises nobody else anything
+	Until  time.Duration // by the replica's own clock; it votes for no other leader before that
 }
 
-// MayVote says whether a candidate that started at a time votes for another's term, number, and what its vote is then. A vote
-// outlasts the term that it is given for by the drift of clocks, and after a start there is none for as long: so that terms of
-// two leaders never overlap.
-func MayVote(v Vote, began, now time.Duration, term time.Duration, number uint64, who string) (Vote, bool) {
+// GrantVote reports whether a replica that started at startedAt votes for candidate in requestedTerm, and returns the replica's vote
+// after that. A vote outlasts the term that it is granted for by the clock drift, and a replica grants none for the same time after
+// its start, so that the terms of two leaders never overlap.
+func GrantVote(v Vote, startedAt, now time.Duration, termLength time.Duration, requestedTerm uint64, candidate string) (Vote, bool) {
 	switch {
-	case now-began < Longer(term):
-		return v, false // it may have promised before it was started
-	case number < v.Term, number == v.Term && v.Leader != who:
+	case now-startedAt < AtLeast(termLength):
+		return v, false // it may have voted before it restarted
+	case requestedTerm < v.Term, requestedTerm == v.Term && v.Leader != candidate:
 		return v, false
-	case v.Leader != who && now < v.Until:
+	case v.Leader != candidate && now < v.Until:
 		return v, false
 	}
-	return Vote{number, who, now + Longer(term)}, true
+	return Vote{requestedTerm, candidate, now + AtLeast(termLength)}, true
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -82,7 +82,7 @@
 	request := engine.NewRequest(id, engine.Message{})
 	request.Class, request.At = class, clock.New().Now()
 	request.Deadline = request.At + time.Hour
-	return request, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", Draw: id}
+	return request, &route.Request{Listener: "main", Class: class, Path: "/" + class + "/k", HashKey: id}
 }
 
 func TestRequestGoesToPoolOfItsRoute(t *testing.T) {
--- a/internal/engine/clock_offset_test.go
+++ b/internal/engine/clock_offset_test.go
@@ -35,7 +35,7 @@
 	balancerSettings.Classes = append(balancerSettings.Classes, balancer.Class{Name: "put", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 2 * time.Second,
 		LatencyObjective: testpeer.Limit, Deadline: 2 * testpeer.Limit, PriorityWeight: 1})
 	opts := options(backend, balancerSettings)
-	opts.Clock = clock.From(start.Add(offset))
+	opts.Clock = clock.NewAt(start.Add(offset))
 	eng := newEngineWith(t, opts)
 	go eng.Run(t.Context())
 	return &clockScenario{t: t, offset: offset, backend: backend, engine: eng, startWall: start, startClock: eng.clock.Now()}
--- a/internal/membership/antientropy.go
+++ b/internal/membership/antientropy.go
@@ -20,7 +20,7 @@
 
 // memberDigest returns the digest of one member and its incarnation.
 func memberDigest(id ID, incarnation uint32) uint64 {
-	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.Golden)
+	return splitmix.Mix(uint64(id) ^ uint64(incarnation)*splitmix.GoldenGamma)
 }
 
 // digest returns a digest of the active members and their incarnations, which is never 0. Dead members are excluded because
--- a/internal/zonestate/tree.go
+++ b/internal/zonestate/tree.go
@@ -21,7 +21,9 @@
 }
 
 // rank returns the sort key of a node in the tree of a plane, a hash of its ID.
-func rank(id uint64, plane uint8) uint64 { return splitmix.Mix(id ^ uint64(plane+1)*splitmix.Golden) }
+func rank(id uint64, plane uint8) uint64 {
+	return splitmix.Mix(id ^ uint64(plane+1)*splitmix.GoldenGamma)
+}
 
 // tree holds the nodes of a zone ordered by their rank in a plane. As in a heap, the first child of node i is at index i*fanout+1.
 type tree []Peer
