--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -112,6 +112,6 @@
 	p("custody      %d taken, %d alone, %d taken over by others, %d taken over here; asked for %d, found %d", c.Taken, c.NoQuorum, c.Fenced, c.Claimed, c.Queries, c.QueriesAnswered)
 	for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
 		q := g.Quotas[name]
-		p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Held, q.Partitioned)
+		p("quota        %s: kept by %s (term %d), %d drawn, %d refused, %d tokens held; cut off: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Available, q.Partitioned)
 	}
 }
--- a/internal/faultbench/federation/day.go
+++ b/internal/faultbench/federation/day.go
@@ -222,7 +222,7 @@
 	for _, g := range l.Gateways {
 		c := g.Notes(ctx).Counts
 		f.Purses.Drawn, f.Purses.Rejected, f.Purses.OwnFloor = f.Purses.Drawn+c.Drawn, f.Purses.Rejected+c.Rejected, f.Purses.OwnFloor+c.OwnFloor
-		f.Purses.Wasted, f.Purses.Granted, f.Purses.Returning = f.Purses.Wasted+c.Wasted, f.Purses.Granted+c.Granted, f.Purses.Returning+c.Returning
+		f.Purses.Wasted, f.Purses.Granted, f.Purses.OnTimeRetries = f.Purses.Wasted+c.Wasted, f.Purses.Granted+c.Granted, f.Purses.OnTimeRetries+c.OnTimeRetries
 	}
 	f.Notes = float64(l.Audit.Count("note", begin.Sub(l.began), begin.Sub(l.began)+d.Length)) / d.Length.Seconds()
 	f.MostIn1s, _ = l.Audit.Most("note", time.Second)
@@ -451,5 +451,5 @@
 	return fmt.Sprintf("served %s of %d (refused %d, failed %d %v, unanswered %d); %d faults; in hand %d, served %s, of those that may be sent again %s; takeover %v; p50 %v, p99 %v, apart from what was stalled %v; tables agree after %v (%d times not in 2 s); notes %.1f a second, %d in 1 s, %d in 10 s, %.2f of the bound, tokens drawn %d of %d given, %d wasted, %d of %d refused came when they were told; late %v; %d breaches",
 		share(f.Served, f.Calls), f.Calls, f.Refused, f.Failed, f.FailedBy, f.Unanswered, f.Struck, f.InHand, share(f.InHandServed, f.InHand), share(f.MayServed, f.MayRepeat),
 		f.Takeover.Round(time.Millisecond), f.P50.Round(100*time.Microsecond), f.P99.Round(time.Millisecond), f.P99Apart.Round(time.Millisecond), f.Agree.Round(10*time.Millisecond), f.Disagreed,
-		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Granted, f.Purses.Wasted, f.Purses.Returning, f.Purses.Rejected, f.Late.Round(time.Millisecond), len(f.Breaches))
+		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Granted, f.Purses.Wasted, f.Purses.OnTimeRetries, f.Purses.Rejected, f.Late.Round(time.Millisecond), len(f.Breaches))
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -77,8 +77,8 @@
 		return attemptResult{outcome: replication.Outcome{Kind: replication.Failed}}
 	}
 	if selection.Route != nil {
-		selection.Take()
-		defer selection.Done()
+		selection.Acquire()
+		defer selection.Release()
 	}
 	if err := t.gateway.options.Calls.Submit(t.request, t.pool); err != nil {
 		return attemptResult{outcome: replication.Outcome{
@@ -228,7 +228,7 @@
 		case <-g.ctx.Done():
 			return
 		}
-		if !g.exchange.IsAlive(partner, a.To.Server) {
+		if !g.exchange.IsGatewayAlive(partner, a.To.Server) {
 			a.ConnectionLost()
 			return
 		}
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -74,7 +74,7 @@
 	g := c.gateway
 	want := map[string]string{}
 	living := g.options.Living()
-	g.routes.SetGroupSize(1 + len(living))
+	g.routes.SetGatewayCount(1 + len(living))
 	for _, member := range living {
 		if member.Name > g.self.Name {
 			want[member.Addr.String()] = g.self.Partner
@@ -160,7 +160,7 @@
 	list := discovery.List{Full: true}
 	for _, gateway := range gateways {
 		list.Targets = append(list.Targets, discovery.Target{
-			Endpoint: gateway.Calls,
+			Endpoint: gateway.Address,
 			Server:   balancer.Server{ID: gateway.Name, Zone: gateway.Zone},
 		})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -69,7 +69,7 @@
 	p := newPolicy(options.Config)
 	g.policy.Store(p)
 	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
-	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, GatewaysChanged: g.checkLinks})
+	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, OwnGateways: g.ownGateways, GatewaysChanged: g.checkLinks})
 	g.replicator = replication.New(g.replicationOptions(federation))
 	hub, err := peering.Open(g.peeringOptions(federation))
 	if err != nil {
@@ -174,7 +174,7 @@
 		g.replicator.LinkUp(link)
 		return
 	}
-	g.exchange.Up(link)
+	g.exchange.LinkUp(link)
 }
 
 // linkChanged notifies replication of links to the group that have ended.
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -48,11 +48,11 @@
 // requests, in the order of their names.
 func (g *Gateway) ownGateways() (out []routeexchange.Gateway) {
 	if address := requestAddress(g.options.Config); address != "" {
-		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: address, Zone: g.options.Config.Node.Zone})
+		out = append(out, routeexchange.Gateway{Name: g.self.Name, Address: address, Zone: g.options.Config.Node.Zone})
 	}
 	for _, link := range (groupLinks{g}).All() {
 		if link.Peer.Calls != "" {
-			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Calls: link.Peer.Calls, Zone: link.Peer.Zone})
+			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Address: link.Peer.Calls, Zone: link.Peer.Zone})
 		}
 	}
 	slices.SortFunc(out, func(a, b routeexchange.Gateway) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -10,14 +10,14 @@
 	next := map[string]*quota.Limiter{}
 	for _, budget := range budgets {
 		if old := g.limiters[budget.Name]; old != nil && old.SameCandidates(budget) {
-			old.Change(budget)
+			old.SetBudget(budget)
 			next[budget.Name] = old
 			continue
 		}
 		next[budget.Name] = quota.New(quota.Options{
 			Budget: budget,
 			Self:   g.self,
-			To:     g.hub.Load().To,
+			LinkTo: g.hub.Load().To,
 			Now:    g.options.Clock.Now,
 			Log:    g.options.Log,
 		})
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -57,10 +57,10 @@
 // own exports.
 func (g *Gateway) routePolicy(cfg *config.Config) routeexchange.Policy {
 	p := routeexchange.Policy{
-		Self:       cfg.Federation.Partner,
-		Neighbours: map[string]routeexchange.Neighbour{},
-		Stale:      time.Duration(cfg.Federation.Stale),
-		GroupSize:  1 + len(g.options.Living()),
+		Self:         cfg.Federation.Partner,
+		Neighbours:   map[string]routeexchange.Neighbour{},
+		StaleTime:    time.Duration(cfg.Federation.Stale),
+		GatewayCount: 1 + len(g.options.Living()),
 	}
 	replicated := isReplicated(cfg)
 	for _, partner := range cfg.Partners {
@@ -90,12 +90,12 @@
 		Cost:     export.Cost,
 		Capacity: export.Capacity,
 		Rules: routeexchange.Rules{
-			All:       export.All,
-			To:        export.To,
-			NoTransit: !export.Transit,
-			MaxHops:   export.MaxHops,
-			Tenants:   export.Tenants,
-			Excluded:  export.Excluded,
+			AnyPartner:      export.All,
+			Partners:        export.To,
+			NoTransit:       !export.Transit,
+			MaxHops:         export.MaxHops,
+			Tenants:         export.Tenants,
+			ExcludedTenants: export.Excluded,
 		},
 	}
 	a.Replicated = replicated
@@ -105,7 +105,7 @@
 		config.Unsafe: balancer.Unsafe,
 	}
 	for _, effect := range export.Effects {
-		a.Rules.Effects |= routeexchange.Of(effects[effect])
+		a.Rules.Effects |= routeexchange.EffectsOf(effects[effect])
 	}
 	if until, err := time.Parse(time.RFC3339, export.Until); err == nil {
 		a.Rules.Until = until.Unix()
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -10,13 +10,13 @@
 
 // setTerms has other terms hold from now on. What was filled by the old ones stays, as far as the new depth allows.
 func (l *leader) setTerms(t budget.Terms, now time.Duration) {
-	l.fill(now)
+	l.refill(now)
 	l.terms = t
 	l.tokens = min(l.tokens, t.Depth())
 }
 
 // rate is how fast the bucket fills now, in tokens a second: floors that nobody has waived are left to their owners.
-func (l *leader) rate(now time.Duration) float64 {
+func (l *leader) fillRate(now time.Duration) float64 {
 	if l.terms.Fallback != budget.Floor {
 		return l.terms.Rate
 	}
@@ -42,9 +42,9 @@
 }
 
 // fill fills the bucket up to now, and the credit of floors.
-func (l *leader) fill(now time.Duration) {
+func (l *leader) refill(now time.Duration) {
 	if elapsed := (now - l.filledAt).Seconds(); elapsed > 0 {
-		l.tokens = min(l.terms.Depth(), l.tokens+elapsed*l.rate(now))
+		l.tokens = min(l.terms.Depth(), l.tokens+elapsed*l.fillRate(now))
 		for _, partner := range l.terms.Partners {
 			if claim := l.claims[partner.Name]; claim != nil && partner.Floor > 0 {
 				claim.Credit = min(max(1, partner.Floor), claim.Credit+elapsed*partner.Floor)
@@ -55,7 +55,7 @@
 }
 
 // putBack takes tokens that a gateway returns unused.
-func (l *leader) putBack(tokens int) {
+func (l *leader) returnTokens(tokens int) {
 	l.tokens = min(l.terms.Depth(), l.tokens+float64(tokens))
 }
 
@@ -86,13 +86,13 @@
 
 // addToOrder has a gateway served after all others, unless it has its place.
 func (l *leader) addToOrder(gateway peering.GatewayID) {
-	if !slices.Contains(l.order, gateway) {
-		l.order = append(l.order, gateway)
+	if !slices.Contains(l.serviceOrder, gateway) {
+		l.serviceOrder = append(l.serviceOrder, gateway)
 	}
 }
 
 // moveToEnd has the gateway at a place of the order served after all others.
 func (l *leader) moveToEnd(place int) {
-	gateway := l.order[place]
-	l.order = append(slices.Delete(l.order, place, place+1), gateway)
+	gateway := l.serviceOrder[place]
+	l.serviceOrder = append(slices.Delete(l.serviceOrder, place, place+1), gateway)
 }
--- a/internal/quota/draw.go
+++ b/internal/quota/draw.go
@@ -8,14 +8,14 @@
 
 // waiter is a request that waits for a token.
 type waiter struct {
-	token     chan Token // holds one
-	returning bool       // its client returns at the time that it was advised
+	token   chan Token // holds one
+	isRetry bool       // its client returns at the time that it was advised
 }
 
 // booking is a rejected request whose client was advised when to return.
-type booking struct {
-	id string
-	at time.Duration
+type scheduledRetry struct {
+	requestID string
+	at        time.Duration
 }
 
 // Draw draws one token for a request, and waits for it no longer than the quota's terms allow. Where it returns none, retry is
@@ -25,13 +25,13 @@
 	now := l.options.Now()
 	l.mu.Lock()
 	l.rates.requestsSince++
-	returning := l.takeBooking(id, previous, now)
-	if t := l.take(now); t != 0 {
+	returning := l.takeScheduledRetry(id, previous, now)
+	if t := l.takeToken(now); t != 0 {
 		l.countDraw(returning)
-		wanted := l.wanted(now)
+		wanted := l.tokensNeeded(now)
 		l.mu.Unlock()
 		if wanted > 0 {
-			l.requestNow()
+			l.wakeRequester()
 		}
 		return t, 0
 	}
@@ -39,14 +39,14 @@
 	if wait <= 0 && !returning {
 		retry = l.reject(id, now)
 		l.mu.Unlock()
-		l.requestNow()
+		l.wakeRequester()
 		return 0, retry
 	}
-	w := &waiter{token: make(chan Token, 1), returning: returning}
-	l.waiting = append(l.waiting, w)
+	w := &waiter{token: make(chan Token, 1), isRetry: returning}
+	l.waiters = append(l.waiters, w)
 	l.mu.Unlock()
-	l.requestNow()
-	return l.awaitToken(ctx, w, id, max(wait, shortInterval))
+	l.wakeRequester()
+	return l.awaitToken(ctx, w, id, max(wait, leaseRequestInterval))
 }
 
 // awaitToken waits for a waiter's token for at most a time, and rejects the request if none came.
@@ -67,7 +67,7 @@
 		return t, 0
 	default:
 	}
-	l.waiting = slices.DeleteFunc(l.waiting, func(o *waiter) bool { return o == w })
+	l.waiters = slices.DeleteFunc(l.waiters, func(o *waiter) bool { return o == w })
 	return 0, l.reject(id, l.options.Now())
 }
 
@@ -75,18 +75,18 @@
 func (l *Limiter) countDraw(returning bool) {
 	l.counts.Drawn++
 	if returning {
-		l.counts.Returning++
+		l.counts.OnTimeRetries++
 	}
 }
 
-// takeBooking removes the booking of a request, if there is one, and says whether its client returns at its time. The caller
+// takeScheduledRetry removes the booking of a request, if there is one, and says whether its client returns at its time. The caller
 // holds mu.
-func (l *Limiter) takeBooking(id, previous string, now time.Duration) bool {
-	l.bookings = slices.DeleteFunc(l.bookings, func(b booking) bool { return now > b.at+returnGrace })
-	for i, b := range l.bookings {
-		if b.id == id || b.id == previous {
-			l.bookings = slices.Delete(l.bookings, i, i+1)
-			return now >= b.at-shortInterval
+func (l *Limiter) takeScheduledRetry(id, previous string, now time.Duration) bool {
+	l.scheduledRetries = slices.DeleteFunc(l.scheduledRetries, func(b scheduledRetry) bool { return now > b.at+retryGrace })
+	for i, b := range l.scheduledRetries {
+		if b.requestID == id || b.requestID == previous {
+			l.scheduledRetries = slices.Delete(l.scheduledRetries, i, i+1)
+			return now >= b.at-leaseRequestInterval
 		}
 	}
 	return false
@@ -98,35 +98,35 @@
 	l.counts.Rejected++
 	rate := l.rates.tokens
 	if rate <= 0 {
-		rate = 1 / max(l.hint, shortInterval).Seconds()
+		rate = 1 / max(l.nextTokenIn, leaseRequestInterval).Seconds()
 	}
-	after := time.Duration(float64(len(l.bookings)+1) / rate * float64(time.Second))
+	after := time.Duration(float64(len(l.scheduledRetries)+1) / rate * float64(time.Second))
 	if after > maxRetryAfter {
 		return maxRetryAfter
 	}
-	l.bookings = append(l.bookings, booking{id: id, at: now + after})
+	l.scheduledRetries = append(l.scheduledRetries, scheduledRetry{requestID: id, at: now + after})
 	return max(after, leaderInterval)
 }
 
-// serveWaiting gives tokens to requests that wait, to those of returning clients first. The caller holds mu.
-func (l *Limiter) serveWaiting(now time.Duration) {
-	slices.SortStableFunc(l.waiting, func(a, b *waiter) int {
+// serveWaiters gives tokens to requests that wait, to those of returning clients first. The caller holds mu.
+func (l *Limiter) serveWaiters(now time.Duration) {
+	slices.SortStableFunc(l.waiters, func(a, b *waiter) int {
 		switch {
-		case a.returning == b.returning:
+		case a.isRetry == b.isRetry:
 			return 0
-		case a.returning:
+		case a.isRetry:
 			return -1
 		}
 		return 1
 	})
-	for len(l.waiting) > 0 {
-		t := l.take(now)
+	for len(l.waiters) > 0 {
+		t := l.takeToken(now)
 		if t == 0 {
 			return
 		}
-		w := l.waiting[0]
-		l.waiting = l.waiting[1:]
-		l.countDraw(w.returning)
+		w := l.waiters[0]
+		l.waiters = l.waiters[1:]
+		l.countDraw(w.isRetry)
 		w.token <- t
 	}
 }
--- a/internal/quota/election.go
+++ b/internal/quota/election.go
@@ -9,8 +9,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// becomeCandidate starts the gateway's part in the election, if it is one of the candidates.
-func (l *Limiter) becomeCandidate(now time.Duration) {
+// startCandidacy starts the gateway's part in the election, if it is one of the candidates.
+func (l *Limiter) startCandidacy(now time.Duration) {
 	var names []string
 	isCandidate := false
 	for _, candidate := range l.options.Budget.Candidates {
@@ -28,9 +28,9 @@
 
 // candidacy is when a candidate campaigns.
 type candidacy struct {
-	rank      int           // in the order of candidates
-	vacantAt  time.Duration // until when there was a leader, or when the last campaign may be followed by another
-	renewedAt time.Duration // when the last campaign began
+	rank         int           // in the order of candidates
+	vacantSince  time.Duration // until when there was a leader, or when the last campaign may be followed by another
+	campaignedAt time.Duration // when the last campaign began
 }
 
 // isDue says whether to campaign now: as leader each quarter of a term; else once the office has been vacant for a time that
@@ -38,9 +38,9 @@
 func (c *candidacy) isDue(now, term time.Duration, isLeader, isVacant bool) bool {
 	switch {
 	case isLeader:
-		return now-c.renewedAt >= term/4
+		return now-c.campaignedAt >= term/4
 	case isVacant:
-		return now-c.vacantAt >= time.Duration(c.rank)*term/4
+		return now-c.vacantSince >= time.Duration(c.rank)*term/4
 	}
 	return false
 }
@@ -65,14 +65,14 @@
 		isVacant := !isLeader && (votedFor == "" || votedFor == l.leader.self)
 		l.mu.Unlock()
 		if !isVacant {
-			c.vacantAt = now
+			c.vacantSince = now
 		}
 		if !c.isDue(now, term, isLeader, isVacant) {
 			continue
 		}
-		c.renewedAt = now
+		c.campaignedAt = now
 		if !l.campaign(now, isLeader) {
-			c.vacantAt = l.options.Now() + time.Duration(c.rank+1)*term/8
+			c.vacantSince = l.options.Now() + time.Duration(c.rank+1)*term/8
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		l.leader.distribute(now, false)
 		return true
 	}
-	if l.leader.until > 0 {
+	if l.leader.termEnd > 0 {
 		l.options.Log.Info("this gateway is no longer the quota leader", "quota", l.options.Budget.Name, "term", l.leader.term)
 		l.leader.stepDown()
 	}
@@ -117,11 +117,11 @@
 		return true // the votes came too late to be of use
 	}
 	if !renew {
-		leader.begin(l.options.Now(), number)
+		leader.startTerm(l.options.Now(), number)
 		l.counts.Elected++
 		l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", number)
 	}
-	leader.until = until
+	leader.termEnd = until
 	return true
 }
 
@@ -136,7 +136,7 @@
 	given := 0
 	for range candidates {
 		v := <-votes
-		if v.Yes {
+		if v.Granted {
 			given++
 		}
 		l.mu.Lock()
@@ -155,7 +155,7 @@
 		votes <- l.handleVote(l.options.Self, m)
 		return
 	}
-	link := l.options.To(candidate)
+	link := l.options.LinkTo(candidate)
 	if link == nil {
 		votes <- voteReply{}
 		return
@@ -180,5 +180,5 @@
 	vote, ok := budget.MayVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.Term, m.Term, candidate.String())
 	leader.vote = vote
 	leader.highestTerm = max(leader.highestTerm, m.Term)
-	return voteReply{Yes: ok, Term: max(vote.Term, leader.highestTerm)}
+	return voteReply{Granted: ok, Term: max(vote.Term, leader.highestTerm)}
 }
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -22,20 +22,20 @@
 		go reply(leaseGrant{Leader: l.votedFor(now)})
 		return
 	}
-	leader.fill(now)
-	if m.Term == leader.term && m.Stamp > 0 && m.Stamp <= now {
-		until, _ := budget.FloorLoanEnds(m.Stamp, 0)
-		leader.waive(from, m.Floor, until)
+	leader.refill(now)
+	if m.Term == leader.term && m.LeaderTime > 0 && m.LeaderTime <= now {
+		until, _ := budget.FloorLoanEnds(m.LeaderTime, 0)
+		leader.waive(from, m.WaivedFloor, until)
 	}
-	leader.putBack(max(0, m.Returned))
+	leader.returnTokens(max(0, m.Returned))
 	grant := func(tokens int, hint time.Duration) {
-		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, Stamp: now, Granted: tokens, Hint: hint})
+		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, LeaderTime: now, Granted: tokens, NextTokenIn: hint})
 	}
 	if m.Wanted <= 0 {
 		grant(0, 0)
 		return
 	}
-	p := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), returning: m.Returning, reply: grant}
+	p := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), retries: m.Retries, reply: grant}
 	leader.addPending(from, p)
 	l.tasks.Go(func() {
 		clock.Sleep(l.ctx, min(m.Wait, maxGrantWait))
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -19,15 +19,15 @@
 	vote        budget.Vote
 	highestTerm uint64        // that was heard of
 	term        uint64        // the own one
-	until       time.Duration // when the own term ends; 0: this candidate is not the leader
-
-	tokens   float64       // in the bucket
-	filledAt time.Duration // until when the bucket was filled
-	claims   map[string]*budget.Claim
-	waivers  map[string]*floorWaiver               // by partner/gateway
-	pending  map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
-	order    []peering.GatewayID                   // in which gateways are served: the last served last
-	granted  int64                                 // tokens since the start
+	termEnd     time.Duration // when the own term ends; 0: this candidate is not the leader
+
+	tokens       float64       // in the bucket
+	filledAt     time.Duration // until when the bucket was filled
+	claims       map[string]*budget.Claim
+	waivers      map[string]*floorWaiver               // by partner/gateway
+	pending      map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
+	serviceOrder []peering.GatewayID                   // in which gateways are served: the last served last
+	granted      int64                                 // tokens since the start
 }
 
 // floorWaiver is a gateway's part of its partner's floor that it has waived.
@@ -39,10 +39,10 @@
 
 // pendingRequest is a gateway's request for tokens that has no reply yet.
 type pendingRequest struct {
-	wanted    int
-	returning int // of those wanted, for clients that return at the time that they were advised
-	granted   int // that go with the reply
-	reply     func(tokens int, hint time.Duration)
+	wanted  int
+	retries int // of those wanted, for clients that return at the time that they were advised
+	granted int // that go with the reply
+	reply   func(tokens int, hint time.Duration)
 }
 
 // missing is how many tokens the request still waits for.
@@ -61,7 +61,7 @@
 }
 
 // isLeader says whether this candidate is the leader now.
-func (l *leader) isLeader(now time.Duration) bool { return l.until > 0 && now < l.until }
+func (l *leader) isLeader(now time.Duration) bool { return l.termEnd > 0 && now < l.termEnd }
 
 // nextTerm is a term higher than all that were heard of, to campaign for.
 func (l *leader) nextTerm() uint64 {
@@ -70,7 +70,7 @@
 }
 
 // begin starts a term. The bucket starts empty, as if the leader before had granted all of it.
-func (l *leader) begin(now time.Duration, number uint64) {
+func (l *leader) startTerm(now time.Duration, number uint64) {
 	l.term = number
 	l.tokens = 0
 	l.filledAt = now
@@ -80,7 +80,7 @@
 
 // stepDown ends the own term and replies to all that wait with nothing.
 func (l *leader) stepDown() {
-	l.until = 0
+	l.termEnd = 0
 	for from, p := range l.pending {
 		delete(l.pending, from)
 		p.reply(0, 0)
@@ -107,15 +107,15 @@
 		return
 	}
 	delete(l.pending, from)
-	p.reply(p.granted, l.timeFor(len(l.pending)+1, now))
+	p.reply(p.granted, l.fillTime(len(l.pending)+1, now))
 }
 
 // minHintRate is the rate, in tokens a second, that a hint counts with at least.
 const minHintRate = 1e-3
 
 // timeFor is how long the bucket takes to fill by some tokens.
-func (l *leader) timeFor(tokens int, now time.Duration) time.Duration {
-	return time.Duration(float64(tokens) / max(l.rate(now), minHintRate) * float64(time.Second))
+func (l *leader) fillTime(tokens int, now time.Duration) time.Duration {
+	return time.Duration(float64(tokens) / max(l.fillRate(now), minHintRate) * float64(time.Second))
 }
 
 // turnsPerDistribution is about how many turns a full bucket is distributed in.
@@ -125,7 +125,7 @@
 // wanted. Each token leaves the bucket before it is granted. final: the others get their reply too, with what they have and when
 // to come back.
 func (l *leader) distribute(now time.Duration, final bool) {
-	l.fill(now)
+	l.refill(now)
 	claims := l.currentClaims()
 	least := leastBeyondFloor(claims)
 	perTurn := max(1, int(l.tokens)/turnsPerDistribution)
@@ -158,7 +158,7 @@
 		}
 		hint := time.Duration(0)
 		if missing > 0 {
-			hint = l.timeFor(waiting+1, now)
+			hint = l.fillTime(waiting+1, now)
 		}
 		delete(l.pending, from)
 		p.reply(p.granted, hint)
@@ -211,14 +211,14 @@
 // clients go first.
 func (l *leader) grant(partner string, n int) int {
 	for _, returningOnly := range []bool{true, false} {
-		for i, gateway := range l.order {
+		for i, gateway := range l.serviceOrder {
 			p := l.pending[gateway]
 			if gateway.Partner != partner || p == nil {
 				continue
 			}
 			limit := p.wanted
 			if returningOnly {
-				limit = min(p.wanted, p.returning)
+				limit = min(p.wanted, p.retries)
 			}
 			if p.granted >= limit {
 				continue
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -12,26 +12,26 @@
 
 // distributeFor has a leader distribute tokens for a time: each partner's gateways want as many in each round as wants says. It
 // returns what each partner got, and the most that were granted in any window.
-func distributeFor(t budget.Terms, wants func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (got map[string]int, most int) {
+func distributeFor(t budget.Terms, demand func(partner string, at time.Duration) int, length, window time.Duration, waives bool) (granted map[string]int, peak int) {
 	l := newLeader(t, "p0/g0", []string{"p0/g0"}, 0)
-	l.begin(0, 1)
-	l.until = time.Hour
-	got = map[string]int{}
+	l.startTerm(0, 1)
+	l.termEnd = time.Hour
+	granted = map[string]int{}
 	var times []time.Duration
 	for now := time.Duration(0); now < length; now += leaderInterval {
 		for _, p := range t.Partners {
 			for i := range p.Gateways {
-				who := peering.GatewayID{Partner: p.Name, Name: fmt.Sprint("g", i)}
+				gateway := peering.GatewayID{Partner: p.Name, Name: fmt.Sprint("g", i)}
 				if waives {
-					l.waive(who, p.Floor/float64(p.Gateways), now+budget.FloorLoan)
+					l.waive(gateway, p.Floor/float64(p.Gateways), now+budget.FloorLoan)
 				}
-				n := wants(p.Name, now) / p.Gateways
-				if n == 0 && wants(p.Name, now) > i {
+				n := demand(p.Name, now) / p.Gateways
+				if n == 0 && demand(p.Name, now) > i {
 					n = 1
 				}
 				if n > 0 {
-					l.addPending(who, &pendingRequest{wanted: n, reply: func(given int, _ time.Duration) {
-						got[p.Name] += given
+					l.addPending(gateway, &pendingRequest{wanted: n, reply: func(given int, _ time.Duration) {
+						granted[p.Name] += given
 						for range given {
 							times = append(times, now)
 						}
@@ -46,9 +46,9 @@
 		for at-times[from] > window {
 			from++
 		}
-		most = max(most, i-from+1)
+		peak = max(peak, i-from+1)
 	}
-	return got, most
+	return granted, peak
 }
 
 func terms(rate, burst float64, partners ...budget.Partner) budget.Terms {
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -17,7 +17,7 @@
 	l := New(Options{
 		Budget: Budget{Terms: terms, Candidates: []Candidate{{"a", "g"}}},
 		Self:   peering.GatewayID{Partner: "a", Name: "g"},
-		To:     func(peering.GatewayID) *peering.Link { return nil },
+		LinkTo: func(peering.GatewayID) *peering.Link { return nil },
 		Now:    now,
 		Log:    slog.New(slog.DiscardHandler),
 	})
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	if s := limiter.Status(); s.Returning == 0 {
+	if s := limiter.Status(); s.OnTimeRetries == 0 {
 		t.Errorf("no draw of a returning client was counted: %+v", s)
 	}
 }
@@ -118,14 +118,14 @@
 	limiter := New(Options{
 		Budget: b,
 		Self:   peering.GatewayID{Partner: "a", Name: "g"},
-		To:     func(peering.GatewayID) *peering.Link { return nil },
+		LinkTo: func(peering.GatewayID) *peering.Link { return nil },
 		Now:    func() time.Duration { return time.Since(begin) },
 		Log:    slog.New(slog.DiscardHandler),
 	})
 	defer limiter.Close()
 	for n := range 200 {
 		b.Candidates = append([]Candidate(nil), b.Candidates...)
-		limiter.Change(b)
+		limiter.SetBudget(b)
 		limiter.Draw(t.Context(), fmt.Sprint("c", n), "")
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -14,24 +14,24 @@
 
 // leaseRequest asks the leader of a quota for tokens, and waives the sender's floor.
 type leaseRequest struct {
-	Quota     string        `cbor:"1,keyasint"`
-	Wanted    int           `cbor:"2,keyasint"`           // tokens
-	Returning int           `cbor:"3,keyasint,omitempty"` // of them, for clients that return at the time that they were advised
-	Returned  int           `cbor:"4,keyasint,omitempty"` // tokens that are given back unused
-	Term      uint64        `cbor:"5,keyasint"`           // of the grant that Stamp is of
-	Stamp     time.Duration `cbor:"6,keyasint"`           // the leader's clock, as its last grant had it; 0: there was none
-	Floor     float64       `cbor:"7,keyasint,omitempty"` // requests a second: the sender's own part, which this message waives
-	Wait      time.Duration `cbor:"8,keyasint"`           // the longest time to the reply, whether there are tokens or not
+	Quota       string        `cbor:"1,keyasint"`
+	Wanted      int           `cbor:"2,keyasint"`           // tokens
+	Retries     int           `cbor:"3,keyasint,omitempty"` // of them, for clients that return at the time that they were advised
+	Returned    int           `cbor:"4,keyasint,omitempty"` // tokens that are given back unused
+	Term        uint64        `cbor:"5,keyasint"`           // of the grant that LeaderTime is of
+	LeaderTime  time.Duration `cbor:"6,keyasint"`           // the leader's clock, as its last grant had it; 0: there was none
+	WaivedFloor float64       `cbor:"7,keyasint,omitempty"` // requests a second: the sender's own part, which this message waives
+	Wait        time.Duration `cbor:"8,keyasint"`           // the longest time to the reply, whether there are tokens or not
 }
 
 // leaseGrant is the reply to a leaseRequest. Unless IsLeader is set only Leader counts.
 type leaseGrant struct {
-	Leader   string        `cbor:"1,keyasint"` // partner/gateway, as far as the sender knows
-	IsLeader bool          `cbor:"2,keyasint"` // the sender is the leader
-	Term     uint64        `cbor:"3,keyasint"`
-	Stamp    time.Duration `cbor:"4,keyasint"` // the leader's clock when the request arrived
-	Granted  int           `cbor:"5,keyasint"` // tokens
-	Hint     time.Duration `cbor:"6,keyasint"` // until there may be a token, where fewer than wanted were granted
+	Leader      string        `cbor:"1,keyasint"` // partner/gateway, as far as the sender knows
+	IsLeader    bool          `cbor:"2,keyasint"` // the sender is the leader
+	Term        uint64        `cbor:"3,keyasint"`
+	LeaderTime  time.Duration `cbor:"4,keyasint"` // the leader's clock when the request arrived
+	Granted     int           `cbor:"5,keyasint"` // tokens
+	NextTokenIn time.Duration `cbor:"6,keyasint"` // until there may be a token, where fewer than wanted were granted
 }
 
 // voteRequest asks a candidate for its vote for a term.
@@ -42,8 +42,8 @@
 
 // voteReply is the reply to a voteRequest.
 type voteReply struct {
-	Yes  bool   `cbor:"1,keyasint"`
-	Term uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
+	Granted bool   `cbor:"1,keyasint"`
+	Term    uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
 }
 
 // Topics returns the handlers by which other gateways reach the limiters of this one. limiterOf finds a limiter by the name of
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -13,7 +13,7 @@
 //   - There are never two leaders: a vote outlasts the term that it was given for, and a candidate that has just started votes
 //     for nobody until what it may have promised before is over (budget.MayVote).
 //   - A partner's floor is its own: it is served first, and where no leader is reached and the file says so, each gateway goes
-//     on with its part of it (Limiter.takeOwnFloor). The leader lends a floor to others only as long as its owner has waived
+//     on with its part of it (Limiter.takeFloorToken). The leader lends a floor to others only as long as its owner has waived
 //     it (budget.FloorLoanEnds).
 //   - What is beyond floors is shared by weight: nobody gets more while another who wants more has less for its weight
 //     (budget.NextPartner).
--- a/internal/quota/requests.go
+++ b/internal/quota/requests.go
@@ -12,23 +12,23 @@
 // minDemand is the rate of requests, a second, below which no token is leased in advance.
 const minDemand = 0.05
 
-// requestNow has requestTokens go on without the rest of its pause.
-func (l *Limiter) requestNow() {
+// wakeRequester has runRequester go on without the rest of its pause.
+func (l *Limiter) wakeRequester() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// wanted is how many tokens to request now: for requests that wait, for clients that return soon, and for requests that are
+// tokensNeeded is how many tokens to request now: for requests that wait, for clients that return soon, and for requests that are
 // likely to come before the next grant. Negative: so many of the leased ones are not needed. The caller holds mu.
-func (l *Limiter) wanted(now time.Duration) int {
+func (l *Limiter) tokensNeeded(now time.Duration) int {
 	l.rates.measure(now)
-	n := len(l.waiting) + l.expectedReturns(now)
-	ahead := l.rates.requests * l.options.Budget.Lease.Seconds() / 2
+	n := len(l.waiters) + l.expectedRetries(now)
+	forecast := l.rates.requests * l.options.Budget.Lease.Seconds() / 2
 	switch {
-	case ahead >= 1:
-		n += int(math.Round(ahead))
+	case forecast >= 1:
+		n += int(math.Round(forecast))
 	case l.options.Budget.Wait <= 0 && l.rates.requests > minDemand:
 		n++ // a request that can't wait needs a token that is there
 	}
@@ -36,19 +36,19 @@
 }
 
 // expectedReturns is how many advised clients return before the next grant. The caller holds mu.
-func (l *Limiter) expectedReturns(now time.Duration) int {
+func (l *Limiter) expectedRetries(now time.Duration) int {
 	n := 0
-	for _, b := range l.bookings {
-		if b.at <= now+l.options.Budget.Lease/4 && now <= b.at+returnReserve {
+	for _, b := range l.scheduledRetries {
+		if b.at <= now+l.options.Budget.Lease/4 && now <= b.at+retryReserve {
 			n++
 		}
 	}
 	return n
 }
 
-// requestTokens requests tokens of the leader until Close: at once when requests wait or tokens run low, else from time to
+// runRequester requests tokens of the leader until Close: at once when requests wait or tokens run low, else from time to
 // time, so that the leader knows that this gateway's floor is not needed.
-func (l *Limiter) requestTokens() {
+func (l *Limiter) runRequester() {
 	next := 0 // of the candidates, while no leader is known
 	for l.ctx.Err() == nil {
 		l.mu.Lock()
@@ -77,53 +77,53 @@
 // newLeaseRequest is the request to send now. It takes unused tokens out of the leases and waives the own floor, so that it has
 // to be sent. The caller holds mu.
 func (l *Limiter) newLeaseRequest(now time.Duration) leaseRequest {
-	wanted := l.wanted(now)
+	wanted := l.tokensNeeded(now)
 	m := leaseRequest{
-		Quota:     l.options.Budget.Name,
-		Wanted:    max(0, wanted),
-		Returning: l.expectedReturns(now),
-		Term:      l.term,
-		Stamp:     l.leaderStamp,
-		Floor:     l.ownFloor(),
-		Wait:      l.options.Budget.Lease / 4,
-	}
-	for _, w := range l.waiting {
-		if w.returning {
-			m.Returning++
+		Quota:       l.options.Budget.Name,
+		Wanted:      max(0, wanted),
+		Retries:     l.expectedRetries(now),
+		Term:        l.term,
+		LeaderTime:  l.leaderTime,
+		WaivedFloor: l.ownFloor(),
+		Wait:        l.options.Budget.Lease / 4,
+	}
+	for _, w := range l.waiters {
+		if w.isRetry {
+			m.Retries++
 		}
 	}
-	if wanted < 0 && len(l.waiting) == 0 {
+	if wanted < 0 && len(l.waiters) == 0 {
 		m.Returned = l.returnUnused(-wanted, now)
 	}
-	if m.Stamp > 0 {
+	if m.LeaderTime > 0 {
 		// Whoever gets this as leader lends the floor from its stamp on, which came here before this goes out. It may do so
 		// whether its reply arrives or not.
-		_, until := budget.FloorLoanEnds(m.Stamp, now)
+		_, until := budget.FloorLoanEnds(m.LeaderTime, now)
 		l.waivedUntil = max(l.waivedUntil, until)
 	}
 	return m
 }
 
-// pauseAfter is how long to wait after a reply before the next request, unless requestNow is called. The caller holds mu.
+// pauseAfter is how long to wait after a reply before the next request, unless wakeRequester is called. The caller holds mu.
 func (l *Limiter) pauseAfter(grant leaseGrant, byLeader bool) time.Duration {
-	wanted := l.wanted(l.options.Now())
+	wanted := l.tokensNeeded(l.options.Now())
 	switch {
 	case !byLeader:
-		return shortInterval
-	case len(l.waiting) > 0 || wanted > 0:
+		return leaseRequestInterval
+	case len(l.waiters) > 0 || wanted > 0:
 		if grant.Granted > 0 {
 			return 0
 		}
-		return shortInterval
+		return leaseRequestInterval
 	case wanted < 0:
 		// Tokens that came too late for whoever waited are of use to others as long as their lease lasts.
-		return shortInterval
+		return leaseRequestInterval
 	}
 	return budget.FloorLoan / 4
 }
 
-// waitForDemand waits for a time, or until requestNow is called. Without a leader a call shortens the wait to half of
-// shortInterval at least: there is nobody to hurry.
+// waitForDemand waits for a time, or until wakeRequester is called. Without a leader a call shortens the wait to half of
+// leaseRequestInterval at least: there is nobody to hurry.
 func (l *Limiter) waitForDemand(pause time.Duration, byLeader bool) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -132,7 +132,7 @@
 	case <-l.ctx.Done():
 	case <-l.wake:
 		if !byLeader {
-			clock.Sleep(l.ctx, shortInterval/2)
+			clock.Sleep(l.ctx, leaseRequestInterval/2)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		if candidate.id().String() != to {
 			continue
 		}
-		if link := l.options.To(candidate.id()); link != nil {
+		if link := l.options.LinkTo(candidate.id()); link != nil {
 			return grant, link.Do(ctx, topicLease, m, &grant) == nil
 		}
 	}
@@ -180,7 +180,7 @@
 		if ok && grant.Leader != from {
 			l.leaderName = grant.Leader
 		}
-		l.serveWaiting(now) // perhaps of the own floor
+		l.serveWaiters(now) // perhaps of the own floor
 		return
 	}
 	if grant.Term < l.term {
@@ -189,13 +189,13 @@
 	}
 	l.term = grant.Term
 	l.leaderName = from
-	l.leaderStamp = grant.Stamp
-	l.grantedAt = now
-	l.hint = grant.Hint
+	l.leaderTime = grant.LeaderTime
+	l.lastGrantAt = now
+	l.nextTokenIn = grant.NextTokenIn
 	if grant.Granted > 0 {
 		l.addLease(tokenLease{grant.Granted, requestedAt + budget.Shorter(l.options.Budget.Lease)}, now)
 	}
-	l.serveWaiting(now)
+	l.serveWaiters(now)
 }
 
 // addLease takes granted tokens, unless their lease is over already. The caller holds mu.
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -21,15 +21,15 @@
 // tokenWithoutLease is the Token of a draw that is of no use to another request: the own floor refills by itself.
 const tokenWithoutLease Token = 1
 
-// take takes a token, if there is one: of a lease or, while no leader is reached, as the quota's fallback has it. The caller
+// takeToken takes a token, if there is one: of a lease or, while no leader is reached, as the quota's fallback has it. The caller
 // holds mu.
-func (l *Limiter) take(now time.Duration) Token {
+func (l *Limiter) takeToken(now time.Duration) Token {
 	if t := l.takeLeased(now); t != 0 {
 		return t
 	}
 	if !l.isPartitioned(now) {
-		l.ownFilledAt = now
-		l.ownTokens = 0
+		l.floorFilledAt = now
+		l.floorTokens = 0
 		return 0
 	}
 	switch l.options.Budget.Fallback {
@@ -37,7 +37,7 @@
 		l.counts.Unbounded++
 		return tokenWithoutLease
 	case budget.Floor:
-		return l.takeOwnFloor(now)
+		return l.takeFloorToken(now)
 	}
 	return 0
 }
@@ -79,18 +79,18 @@
 	return 0
 }
 
-// takeOwnFloor takes a token of the own floor, which has refilled to one request at most since the floor was last waived. The
+// takeFloorToken takes a token of the own floor, which has refilled to one request at most since the floor was last waived. The
 // caller holds mu.
-func (l *Limiter) takeOwnFloor(now time.Duration) Token {
-	from := max(l.ownFilledAt, l.waivedUntil)
+func (l *Limiter) takeFloorToken(now time.Duration) Token {
+	from := max(l.floorFilledAt, l.waivedUntil)
 	if now > from {
-		l.ownTokens = min(1, l.ownTokens+(now-from).Seconds()*l.ownFloor())
+		l.floorTokens = min(1, l.floorTokens+(now-from).Seconds()*l.ownFloor())
 	}
-	l.ownFilledAt = now
-	if l.ownTokens < 1 {
+	l.floorFilledAt = now
+	if l.floorTokens < 1 {
 		return 0
 	}
-	l.ownTokens--
+	l.floorTokens--
 	l.counts.OwnFloor++
 	return tokenWithoutLease
 }
@@ -112,7 +112,7 @@
 	l.leases = append(l.leases, tokenLease{1, until})
 	slices.SortStableFunc(l.leases, func(a, b tokenLease) int { return cmp.Compare(a.until, b.until) })
 	l.available++
-	l.serveWaiting(now)
+	l.serveWaiters(now)
 }
 
 // returnUnused takes up to n tokens out of the leases, of those that end last first, and says how many: they go back to the
--- a/internal/routeexchange/advertisement.go
+++ b/internal/routeexchange/advertisement.go
@@ -31,26 +31,26 @@
 
 // Bounds of an advertisement.
 const (
-	MaxHops   = 8
-	maxText   = 256
-	maxListed = 256
+	MaxHops       = 8
+	maxTextBytes  = 256
+	maxListLength = 256
 )
 
 // Check says what is malformed in an advertisement as it came from a neighbour.
-func (o *Advertisement) Check(from string) error {
+func (o *Advertisement) Check(neighbour string) error {
 	switch {
-	case len(o.Path) == 0 || o.Path[0] != from:
-		return fmt.Errorf("offer %v: its path does not begin with %q, who tells of it", o.ID, from)
+	case len(o.Path) == 0 || o.Path[0] != neighbour:
+		return fmt.Errorf("offer %v: its path does not begin with %q, who tells of it", o.ID, neighbour)
 	case o.Path[len(o.Path)-1] != o.ID.Origin:
 		return fmt.Errorf("offer %v: its path does not end with its origin", o.ID)
-	case o.ID.Name == "" || len(o.ID.Name)+len(o.ID.Origin)+len(o.Class) > maxText || len(o.Prefix) > maxText:
+	case o.ID.Name == "" || len(o.ID.Name)+len(o.ID.Origin)+len(o.Class) > maxTextBytes || len(o.Prefix) > maxTextBytes:
 		return fmt.Errorf("offer %v: a name or path is empty or too long", o.ID)
 	case o.Class == "" || !strings.HasPrefix(o.Prefix, "/"+o.Class+"/") || !strings.HasSuffix(o.Prefix, "/"):
 		return fmt.Errorf("offer %v: the prefix %q is no path of the class %q with a slash at its end", o.ID, o.Prefix, o.Class)
 	case o.Rules.MaxHops < 1 || o.Rules.MaxHops > MaxHops || len(o.Path) > MaxHops:
 		return fmt.Errorf("offer %v: %d hands on a path of %d; allowed: 1 to %d", o.ID, o.Rules.MaxHops, len(o.Path), MaxHops)
-	case len(o.Rules.To) > maxListed || len(o.Rules.Tenants) > maxListed || len(o.Rules.Excluded) > maxListed:
-		return fmt.Errorf("offer %v: a list of more than %d", o.ID, maxListed)
+	case len(o.Rules.Partners) > maxListLength || len(o.Rules.Tenants) > maxListLength || len(o.Rules.ExcludedTenants) > maxListLength:
+		return fmt.Errorf("offer %v: a list of more than %d", o.ID, maxListLength)
 	case o.Cost < 0 || o.Capacity < 0 || o.Rules.Effects&^AllEffects != 0:
 		return fmt.Errorf("offer %v: cost, room or effects are out of range", o.ID)
 	}
@@ -65,8 +65,8 @@
 // Effects are a set of effects.
 type Effects uint8
 
-// Of is the set of some effects.
-func Of(list ...balancer.Effect) (e Effects) {
+// EffectsOf is the set of some effects.
+func EffectsOf(list ...balancer.Effect) (e Effects) {
 	for _, v := range list {
 		e |= 1 << uint(v)
 	}
@@ -74,7 +74,7 @@
 }
 
 // AllEffects are all.
-var AllEffects = Of(balancer.Safe, balancer.Keyed, balancer.Unsafe)
+var AllEffects = EffectsOf(balancer.Safe, balancer.Keyed, balancer.Unsafe)
 
 // Has says that an effect is in the set.
 func (e Effects) Has(v balancer.Effect) bool { return e&(1<<uint(v)) != 0 }
--- a/internal/routeexchange/network_test.go
+++ b/internal/routeexchange/convergence_test.go
@@ -13,7 +13,7 @@
 
 // partnerNetwork is some partners that tell one another, message by message.
 type partnerNetwork struct {
-	c      *clock
+	clock  *clock
 	tables map[string]*Table
 	names  []string
 }
@@ -34,35 +34,35 @@
 // The dispute that has no stable outcome ends in a hold, and then nothing changes any more, whatever the order of messages.
 func TestOscillatingRouteIsDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &partnerNetwork{c: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
+		network := &partnerNetwork{clock: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
 		origin := policyOf("p0", nil, "p1", "p2", "p3")
 		origin.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 		origin.Own[0].Rules.MaxHops = 2 // by way of one other, and no further
-		w.tables["p0"] = NewTable(origin, w.c.now)
+		network.tables["p0"] = NewTable(origin, network.clock.now)
 		for i := 1; i <= 3; i++ { // each prefers the way through the next one
 			next := fmt.Sprint("p", i%3+1)
 			others := []string{"p0", "p1", "p2", "p3"}
 			others = slices.DeleteFunc(others, func(n string) bool { return n == fmt.Sprint("p", i) })
-			w.tables[fmt.Sprint("p", i)] = NewTable(policyOf(fmt.Sprint("p", i), map[string]int{next: 900}, others...), w.c.now)
+			network.tables[fmt.Sprint("p", i)] = NewTable(policyOf(fmt.Sprint("p", i), map[string]int{next: 900}, others...), network.clock.now)
 		}
-		quiet := 0
-		for n := 0; quiet < 200; n++ { // of twelve pairs one may be all that could change something
+		unchangedSteps := 0
+		for n := 0; unchangedSteps < 200; n++ { // of twelve pairs one may be all that could change something
 			if n > 8000 {
 				t.Fatal("it does not settle")
 			}
-			w.c.at = w.c.at.Add(time.Millisecond)
+			network.clock.at = network.clock.at.Add(time.Millisecond)
 			from := rapid.IntRange(0, 3).Draw(t, "from")
 			to := (from + 1 + rapid.IntRange(0, 2).Draw(t, "to")) % 4
-			if w.step(w.names[from], w.names[to]) {
-				quiet = 0
+			if network.step(network.names[from], network.names[to]) {
+				unchangedSteps = 0
 			} else {
-				quiet++
+				unchangedSteps++
 			}
 		}
-		for _, name := range w.names[1:] {
-			way, ok := w.tables[name].Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
-			if !ok || way.Path[len(way.Path)-1] != "p0" || slices.Contains(way.Path, name) {
-				t.Fatalf("%s goes by %+v", name, way.Route)
+		for _, name := range network.names[1:] {
+			route, ok := network.tables[name].Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+			if !ok || route.Path[len(route.Path)-1] != "p0" || slices.Contains(route.Path, name) {
+				t.Fatalf("%s goes by %+v", name, route.Route)
 			}
 		}
 	})
@@ -73,7 +73,7 @@
 func TestRulesOnlyNarrowAlongPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"p0", "p1", "p2", "p3", "p4"}
-		w := &partnerNetwork{c: &clock{noon}, tables: map[string]*Table{}, names: names}
+		network := &partnerNetwork{clock: &clock{noon}, tables: map[string]*Table{}, names: names}
 		rules := map[ID]Rules{}
 		for _, self := range names {
 			var others []string
@@ -85,44 +85,44 @@
 			p := policyOf(self, nil, others...)
 			for i := range rapid.IntRange(0, 2).Draw(t, "exports") {
 				o := newAdvertisement(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
-				o.Rules = Rules{All: rapid.Bool().Draw(t, "all"), To: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
+				o.Rules = Rules{AnyPartner: rapid.Bool().Draw(t, "all"), Partners: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
 					NoTransit: rapid.Bool().Draw(t, "no transit"), MaxHops: rapid.IntRange(1, 4).Draw(t, "hands"), Effects: AllEffects}
 				rules[ID{self, o.ID.Name}] = o.Rules
 				p.Own = append(p.Own, o)
 			}
-			w.tables[self] = NewTable(p, w.c.now)
+			network.tables[self] = NewTable(p, network.clock.now)
 		}
 		for range 120 {
 			from := rapid.IntRange(0, 4).Draw(t, "from")
-			w.step(names[from], names[(from+1+rapid.IntRange(0, 3).Draw(t, "to"))%5])
+			network.step(names[from], names[(from+1+rapid.IntRange(0, 3).Draw(t, "to"))%5])
 		}
 		for _, self := range names {
-			for id, r := range w.tables[self].locRIB {
+			for id, r := range network.tables[self].locRIB {
 				if r.best == nil || r.best.Own {
 					continue
 				}
 				b := r.best
 				own := rules[id]
-				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.All && !slices.Contains(own.To, self) || slices.Contains(b.Path, self) {
+				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.AnyPartner && !slices.Contains(own.Partners, self) || slices.Contains(b.Path, self) {
 					t.Fatalf("%s has %+v by rules %+v", self, b.Advertisement, own)
 				}
 				// A request goes from table to table, as long as each still has the way that it told of.
 				request := &Request{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
-				at, way := self, Selection{b, r}
-				for !way.Own {
+				at, route := self, Selection{b, r}
+				for !route.Own {
 					request.Via = append(request.Via, at)
-					at = way.Path[0]
+					at = route.Path[0]
 					if len(request.Via) > 8 {
 						t.Fatalf("the call goes round: %v", request.Via)
 					}
-					next, why := w.tables[at].AdmitForwarded(id, request)
+					next, why := network.tables[at].AdmitForwarded(id, request)
 					if why != "" {
 						if next.Route != nil && next.Own {
 							t.Fatalf("the owner refuses %v: %s, rules %+v", request.Via, why, own)
 						}
 						break // the tables have not settled
 					}
-					way = next
+					route = next
 				}
 			}
 		}
--- a/internal/routeexchange/decision.go
+++ b/internal/routeexchange/decision.go
@@ -16,12 +16,12 @@
 
 // destination is one advertised ID with all routes to it: an entry of the Loc-RIB.
 type destination struct {
-	id          ID
-	candidates  map[string]*Route // by neighbour; own: ""
-	best        *Route
-	flaps       []time.Time
-	dampedUntil time.Time // zero: it is not damped
-	open        atomic.Int64
+	id           ID
+	candidates   map[string]*Route // by neighbour; own: ""
+	best         *Route
+	flaps        []time.Time
+	dampedUntil  time.Time // zero: it is not damped
+	openRequests atomic.Int64
 	// A refusal by the owner ends a version's routes until another version comes, or until a while has passed.
 	suppressed map[string]suppression
 }
@@ -37,25 +37,25 @@
 
 // destination is the one of an ID, made if it is not there. The caller holds mu.
 func (t *Table) destination(id ID) *destination {
-	r := t.locRIB[id]
-	if r == nil {
-		r = &destination{id: id, candidates: map[string]*Route{}, suppressed: map[string]suppression{}}
-		t.locRIB[id] = r
+	d := t.locRIB[id]
+	if d == nil {
+		d = &destination{id: id, candidates: map[string]*Route{}, suppressed: map[string]suppression{}}
+		t.locRIB[id] = d
 	}
-	return r
+	return d
 }
 
 // Suppress ends a route whose owner refused a request by its rule, as long as no other version comes and for a while.
-func (t *Table) Suppress(w *Route) {
+func (t *Table) Suppress(route *Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.locRIB[w.ID]
-	if r == nil || len(w.Path) == 0 {
+	d := t.locRIB[route.ID]
+	if d == nil || len(route.Path) == 0 {
 		return
 	}
-	r.suppressed[w.Path[0]] = suppression{w.Version, t.now().Add(suppressionTime)}
+	d.suppressed[route.Path[0]] = suppression{route.Version, t.now().Add(suppressionTime)}
 	t.counts.Suppressed++
-	t.reselect(map[ID]bool{w.ID: true})
+	t.reselect(map[ID]bool{route.ID: true})
 }
 
 // indexKey is where a destination stands in the index.
@@ -63,15 +63,15 @@
 
 // reselect is the decision process (RFC 4271 section 9.1): it finds the best route of each destination that was touched, and its
 // place among the destinations of its prefix. The caller holds mu.
-func (t *Table) reselect(touched map[ID]bool) {
-	if len(touched) == 0 {
+func (t *Table) reselect(affected map[ID]bool) {
+	if len(affected) == 0 {
 		return
 	}
 	now := t.now()
-	newest := t.newestAdvertisements(touched)
+	newest := t.newestAdvertisements(affected)
 	changed := false
 	unsorted := map[indexKey]bool{}
-	for id := range touched {
+	for id := range affected {
 		d := t.destination(id)
 		t.setCandidates(d, newest)
 		best := d.bestCandidate(now)
@@ -92,7 +92,7 @@
 		}
 	}
 	for k := range unsorted {
-		slices.SortFunc(t.byClass[k.class][k.prefix], func(a, b *destination) int { return Better(a.best, b.best, false) })
+		slices.SortFunc(t.byClass[k.class][k.prefix], func(a, b *destination) int { return Compare(a.best, b.best, false) })
 	}
 	if changed {
 		close(t.changed)
@@ -102,20 +102,20 @@
 
 // newestAdvertisements are, by neighbour, what its gateways advertise of some destinations: the highest version of each. The
 // caller holds mu.
-func (t *Table) newestAdvertisements(touched map[ID]bool) map[string]map[ID]*Advertisement {
+func (t *Table) newestAdvertisements(affected map[ID]bool) map[string]map[ID]*Advertisement {
 	newest := map[string]map[ID]*Advertisement{}
 	for source, table := range t.adjRIBsIn {
-		for id := range touched {
-			o := table[id]
-			if o == nil {
+		for id := range affected {
+			adv := table[id]
+			if adv == nil {
 				continue
 			}
 			if newest[source.Partner] == nil {
 				newest[source.Partner] = map[ID]*Advertisement{}
 			}
 			earlier := newest[source.Partner][id]
-			if earlier == nil || o.Version > earlier.Version || o.Version == earlier.Version && preferredVariant(o, earlier) {
-				newest[source.Partner][id] = o
+			if earlier == nil || adv.Version > earlier.Version || adv.Version == earlier.Version && preferredVariant(adv, earlier) {
+				newest[source.Partner][id] = adv
 			}
 		}
 	}
@@ -130,8 +130,8 @@
 		}
 	}
 	for neighbour, table := range newest {
-		if o := table[d.id]; o != nil {
-			d.candidates[neighbour] = &Route{Advertisement: *o, Preference: t.policy.Neighbours[neighbour].Import.Preference}
+		if adv := table[d.id]; adv != nil {
+			d.candidates[neighbour] = &Route{Advertisement: *adv, Preference: t.policy.Neighbours[neighbour].Import.Preference}
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		if s, ok := d.suppressed[neighbour]; ok && s.version == r.Version && now.Before(s.until) {
 			continue
 		}
-		if best == nil || Better(r, best, !d.dampedUntil.IsZero()) < 0 {
+		if best == nil || Compare(r, best, !d.dampedUntil.IsZero()) < 0 {
 			best = r
 		}
 	}
@@ -166,7 +166,7 @@
 // dampedBest is the best of all candidates without preferences.
 func (d *destination) dampedBest(best *Route) *Route {
 	for _, r := range d.candidates {
-		if Better(r, best, true) < 0 {
+		if Compare(r, best, true) < 0 {
 			best = r
 		}
 	}
@@ -200,22 +200,22 @@
 }
 
 // removeFromIndex and list keep the advertisements by class and prefix. The caller holds mu.
-func (t *Table) removeFromIndex(r *destination) {
-	if r.best == nil {
+func (t *Table) removeFromIndex(d *destination) {
+	if d.best == nil {
 		return
 	}
-	in := t.byClass[r.best.Class]
-	in[r.best.Prefix] = slices.DeleteFunc(in[r.best.Prefix], func(o *destination) bool { return o == r })
-	if len(in[r.best.Prefix]) == 0 {
-		delete(in, r.best.Prefix)
+	byPrefix := t.byClass[d.best.Class]
+	byPrefix[d.best.Prefix] = slices.DeleteFunc(byPrefix[d.best.Prefix], func(o *destination) bool { return o == d })
+	if len(byPrefix[d.best.Prefix]) == 0 {
+		delete(byPrefix, d.best.Prefix)
 	}
 }
 
-func (t *Table) addToIndex(r *destination) {
-	in := t.byClass[r.best.Class]
-	if in == nil {
-		in = map[string][]*destination{}
-		t.byClass[r.best.Class] = in
+func (t *Table) addToIndex(d *destination) {
+	byPrefix := t.byClass[d.best.Class]
+	if byPrefix == nil {
+		byPrefix = map[string][]*destination{}
+		t.byClass[d.best.Class] = byPrefix
 	}
-	in[r.best.Prefix] = append(in[r.best.Prefix], r)
+	byPrefix[d.best.Prefix] = append(byPrefix[d.best.Prefix], d)
 }
--- a/internal/routeexchange/doc.go
+++ b/internal/routeexchange/doc.go
@@ -9,11 +9,11 @@
 // What the package promises:
 //
 //   - Rules only narrow on the way: an advertisement that is sent on has rules at least as strict as those that it came with, and
-//     a path that is longer by the one who sends it on (Narrow, MayExport).
-//   - No path has a partner twice, so that no request goes round in a circle (MayImport, MayServe).
+//     a path that is longer by the one who sends it on (Narrow, CheckExport).
+//   - No path has a partner twice, so that no request goes round in a circle (CheckImport, CheckServe).
 //   - Where two gateways hold the same advertisements by the same file, they choose alike, whatever order the advertisements came
-//     in (Better is a total order).
-//   - The owner's rule of now is checked once more when a request arrives (MayServe): one that was tightened holds at that gateway
+//     in (Compare is a total order).
+//   - The owner's rule of now is checked once more when a request arrives (CheckServe): one that was tightened holds at that gateway
 //     from the instant of the apply, whatever others believe. Such a rejection proves that the request has not run.
 //   - What one partner sends beyond its bound, or what is malformed, is rejected and counted, and harms no other advertisement
 //     (Table.importAll).
--- a/internal/routeexchange/exchange.go
+++ b/internal/routeexchange/exchange.go
@@ -12,7 +12,7 @@
 // Options are what an Exchange is made of; all are required.
 type Options struct {
 	Table           *Table
-	Group           func() []Gateway // this partner's gateways that are alive
+	OwnGateways     func() []Gateway // this partner's gateways that are alive
 	GatewaysChanged func()           // the gateways of some partner have changed; must not block
 }
 
@@ -23,23 +23,23 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	mu            sync.Mutex
-	inbound       map[*peering.Link]*inboundState
-	lastGateways  map[string][]Gateway // by partner, what Gateways returned last
-	gatewaysValid map[string]bool      // partners whose lastGateways still hold
-	ownGroup      []Gateway            // this partner's, as it is sent to neighbours
-	changed       chan struct{}        // closed when the own group has changed
+	mu             sync.Mutex
+	inbound        map[*peering.Link]*inboundState
+	cachedGateways map[string][]Gateway // by partner, what Gateways returned last
+	gatewaysValid  map[string]bool      // partners whose cachedGateways still hold
+	ownGateways    []Gateway            // this partner's, as it is sent to neighbours
+	changed        chan struct{}        // closed when the own group has changed
 }
 
 // NewExchange returns an exchange without links. It sweeps its table until Close.
 func NewExchange(o Options) *Exchange {
 	x := &Exchange{
-		options:       o,
-		inbound:       map[*peering.Link]*inboundState{},
-		lastGateways:  map[string][]Gateway{},
-		gatewaysValid: map[string]bool{},
-		ownGroup:      o.Group(),
-		changed:       make(chan struct{}),
+		options:        o,
+		inbound:        map[*peering.Link]*inboundState{},
+		cachedGateways: map[string][]Gateway{},
+		gatewaysValid:  map[string]bool{},
+		ownGateways:    o.OwnGateways(),
+		changed:        make(chan struct{}),
 	}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	x.tasks.Go(x.maintain)
@@ -61,16 +61,16 @@
 // one upon another only the first is told at once: each is told to every neighbour's gateway here, by every gateway of the group,
 // and a group whose links flap would have all partners busy with hearing of it.
 const (
-	sweepInterval = 100 * time.Millisecond
-	groupInterval = 500 * time.Millisecond
+	sweepInterval    = 100 * time.Millisecond
+	gatewaysInterval = 500 * time.Millisecond
 )
 
 // maintain sweeps the table and notes changes of the own group, until Close.
 func (x *Exchange) maintain() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	group := x.options.Group()
-	var told time.Time
+	gateways := x.options.OwnGateways()
+	var advertisedAt time.Time
 	for {
 		select {
 		case <-x.ctx.Done():
@@ -78,10 +78,10 @@
 		case <-tick.C:
 		}
 		x.options.Table.Sweep()
-		if now := x.options.Group(); !slices.Equal(now, group) && time.Since(told) >= groupInterval {
-			group, told = now, time.Now()
+		if current := x.options.OwnGateways(); !slices.Equal(current, gateways) && time.Since(advertisedAt) >= gatewaysInterval {
+			gateways, advertisedAt = current, time.Now()
 			x.mu.Lock()
-			x.ownGroup = now
+			x.ownGateways = current
 			x.mu.Unlock()
 			x.Advertise()
 		}
@@ -96,30 +96,30 @@
 	x.changed = make(chan struct{})
 }
 
-// Up starts to send updates over a link that has come up, until the link ends. More calls for one link do nothing.
-func (x *Exchange) Up(l *peering.Link) {
+// LinkUp starts to send updates over a link that has come up, until the link ends. More calls for one link do nothing.
+func (x *Exchange) LinkUp(link *peering.Link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.inbound[l] != nil || x.ctx.Err() != nil {
+	if x.inbound[link] != nil || x.ctx.Err() != nil {
 		return
 	}
-	r := &inboundState{source: Source{l.Peer.Partner, l.Peer.Name, l.Peer.Incarnation}, digests: map[ID]uint64{}}
-	x.inbound[l] = r
+	in := &inboundState{source: Source{link.Peer.Partner, link.Peer.Name, link.Peer.Incarnation}, digests: map[ID]uint64{}}
+	x.inbound[link] = in
 	x.tasks.Go(func() {
-		x.sendUpdates(l)
+		x.sendUpdates(link)
 		x.mu.Lock()
-		delete(x.inbound, l)
-		delete(x.gatewaysValid, r.source.Partner)
+		delete(x.inbound, link)
+		delete(x.gatewaysValid, in.source.Partner)
 		// Another link to the same incarnation may go on with the same table.
-		left := false
+		sameSource := false
 		for _, other := range x.inbound {
-			if other.source == r.source {
-				left = true
+			if other.source == in.source {
+				sameSource = true
 			}
 		}
 		x.mu.Unlock()
-		if !left {
-			x.options.Table.PeerDown(r.source)
+		if !sameSource {
+			x.options.Table.PeerDown(in.source)
 			x.options.GatewaysChanged()
 		}
 	})
--- a/internal/routeexchange/import.go
+++ b/internal/routeexchange/import.go
@@ -14,23 +14,23 @@
 	MaxRoutes  int      // offers
 }
 
-// MayImport says why an advertisement of a neighbour is not taken; empty: it is. held is how many others of its are.
-func MayImport(o *Advertisement, self string, i Import, held int, now time.Time) string {
+// CheckImport says why an advertisement of a neighbour is not taken; empty: it is. held is how many others of its are.
+func CheckImport(adv *Advertisement, self string, rules Import, held int, now time.Time) string {
 	below := func(list []string) bool {
-		return slices.ContainsFunc(list, func(p string) bool { return strings.HasPrefix(o.Prefix, p) })
+		return slices.ContainsFunc(list, func(p string) bool { return strings.HasPrefix(adv.Prefix, p) })
 	}
 	switch {
-	case o.ID.Origin == self || slices.Contains(o.Path, self):
+	case adv.ID.Origin == self || slices.Contains(adv.Path, self):
 		return "it goes through here"
-	case !o.Rules.permits(self, now):
+	case !adv.Rules.permits(self, now):
 		return "its rules do not name this partner, or have ended"
-	case len(o.Path) > o.Rules.MaxHops:
+	case len(adv.Path) > adv.Rules.MaxHops:
 		return "a call would come through too many hands"
-	case !below(i.Accept):
+	case !below(rules.Accept):
 		return "nothing below that path is accepted from there"
-	case below(i.Deny):
+	case below(rules.Deny):
 		return "it is denied here"
-	case held >= i.MaxRoutes:
+	case held >= rules.MaxRoutes:
 		return "there are too many from there"
 	}
 	return ""
--- a/internal/routeexchange/messages.go
+++ b/internal/routeexchange/messages.go
@@ -19,14 +19,14 @@
 	Withdrawn []ID            `cbor:"3,keyasint,omitempty"`
 	More      bool            `cbor:"4,keyasint,omitempty"` // the table or the change goes on with the next message
 	Digest    uint64          `cbor:"5,keyasint"`           // of the complete table after the last part
-	Group     []Gateway       `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
+	Gateways  []Gateway       `cbor:"6,keyasint,omitempty"` // of the first and last parts: the partner's gateways that live
 }
 
 // Gateway is a gateway of a partner that takes requests.
 type Gateway struct {
-	Name  string `cbor:"1,keyasint"`
-	Calls string `cbor:"2,keyasint"` // address
-	Zone  string `cbor:"3,keyasint,omitempty"`
+	Name    string `cbor:"1,keyasint"`
+	Address string `cbor:"2,keyasint"` // address
+	Zone    string `cbor:"3,keyasint,omitempty"`
 }
 
 // maxAdvertisementsPerMessage is how many advertisements and withdrawals go in one message at most.
--- a/internal/routeexchange/preference.go
+++ b/internal/routeexchange/preference.go
@@ -12,16 +12,16 @@
 	Own        bool // this partner serves it
 }
 
-// Better orders two routes of serving requests below one prefix: negative if a is the better one. It is a total order. held:
+// Compare orders two routes of serving requests below one prefix: negative if a is the better one. It is a total order. held:
 // preferences do not count, for they have no stable outcome.
-func Better(a, b *Route, held bool) int {
+func Compare(a, b *Route, ignorePreference bool) int {
 	if a.Own != b.Own {
 		if a.Own {
 			return -1
 		}
 		return 1
 	}
-	if !held && a.Preference != b.Preference {
+	if !ignorePreference && a.Preference != b.Preference {
 		return cmp.Compare(b.Preference, a.Preference)
 	}
 	return cmp.Or(cmp.Compare(len(a.Path), len(b.Path)), cmp.Compare(a.Cost, b.Cost), slices.Compare(a.Path, b.Path),
--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -13,7 +13,7 @@
 	nextSerial       uint64
 	parts            receivedParts // of a table or a change whose last part has not come
 	digests          map[ID]uint64 // of the neighbour's advertisements
-	group            []Gateway     // the neighbour's gateways, as the last update had them
+	gateways         []Gateway     // the neighbour's gateways, as the last update had them
 	refreshRequested bool          // the neighbour asked for this partner's complete table
 }
 
@@ -26,18 +26,18 @@
 
 // handleUpdate takes a part of a neighbour's table. A part that does not follow the one before, or a table whose digest is not
 // the neighbour's, has the complete table requested.
-func (x *Exchange) handleUpdate(l *peering.Link, body []byte, _ func(any, error)) {
-	x.Up(l) // its first message may come before this gateway was notified of the link
+func (x *Exchange) handleUpdate(link *peering.Link, body []byte, _ func(any, error)) {
+	x.LinkUp(link) // its first message may come before this gateway was notified of the link
 	var m update
 	x.mu.Lock()
-	in := x.inbound[l]
+	in := x.inbound[link]
 	if in == nil {
 		x.mu.Unlock()
 		return
 	}
 	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != in.nextSerial {
 		x.mu.Unlock()
-		l.Tell(topicRefresh, struct{}{})
+		link.Tell(topicRefresh, struct{}{})
 		return
 	}
 	in.add(&m)
@@ -47,15 +47,15 @@
 	}
 	received := in.finish()
 	matches := tableDigest(in.digests) == m.Digest
-	groupChanged := !slices.Equal(in.group, m.Group)
-	in.group = m.Group
+	groupChanged := !slices.Equal(in.gateways, m.Gateways)
+	in.gateways = m.Gateways
 	if groupChanged {
 		delete(x.gatewaysValid, in.source.Partner)
 	}
 	x.mu.Unlock()
 	switch {
 	case !matches:
-		l.Tell(topicRefresh, struct{}{})
+		link.Tell(topicRefresh, struct{}{})
 	case received.complete != nil:
 		x.options.Table.replace(in.source, received.complete)
 	default:
@@ -97,10 +97,10 @@
 }
 
 // handleRefresh has the complete table told once more.
-func (x *Exchange) handleRefresh(l *peering.Link, _ []byte, _ func(any, error)) {
+func (x *Exchange) handleRefresh(link *peering.Link, _ []byte, _ func(any, error)) {
 	x.mu.Lock()
-	if r := x.inbound[l]; r != nil {
-		r.refreshRequested = true
+	if in := x.inbound[link]; in != nil {
+		in.refreshRequested = true
 	}
 	x.mu.Unlock()
 	x.Advertise()
--- a/internal/routeexchange/page_test.go
+++ b/internal/routeexchange/rules_test.go
@@ -16,85 +16,85 @@
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 // parseRoute reads an advertisement, with what this partner thinks of it.
-func parseRoute(words string) (w Route, held bool, err error) {
-	w.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: Of(balancer.Safe)}}
-	w.Preference = 100
-	for _, part := range strings.Split(words, ", ") {
-		verb, rest, _ := strings.Cut(part, " ")
-		switch verb {
+func parseRoute(spec string) (route Route, ignorePreference bool, err error) {
+	route.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: EffectsOf(balancer.Safe)}}
+	route.Preference = 100
+	for _, part := range strings.Split(spec, ", ") {
+		keyword, rest, _ := strings.Cut(part, " ")
+		switch keyword {
 		case "own":
-			w.Own = true
+			route.Own = true
 		case "by":
-			w.Path = strings.Fields(rest)
-			w.ID.Origin = w.Path[len(w.Path)-1]
-			if w.Rules.MaxHops < len(w.Path) && !strings.Contains(words, "hands") {
-				w.Rules.MaxHops = len(w.Path)
+			route.Path = strings.Fields(rest)
+			route.ID.Origin = route.Path[len(route.Path)-1]
+			if route.Rules.MaxHops < len(route.Path) && !strings.Contains(spec, "hands") {
+				route.Rules.MaxHops = len(route.Path)
 			}
 		case "to":
 			switch rest {
 			case "all":
-				w.Rules.All = true
+				route.Rules.AnyPartner = true
 			case "nobody":
 			default:
-				w.Rules.To = strings.Fields(rest)
+				route.Rules.Partners = strings.Fields(rest)
 			}
 		case "hands":
-			_, err = fmt.Sscan(rest, &w.Rules.MaxHops)
+			_, err = fmt.Sscan(rest, &route.Rules.MaxHops)
 		case "cost":
-			_, err = fmt.Sscan(rest, &w.Cost)
+			_, err = fmt.Sscan(rest, &route.Cost)
 		case "preference":
-			_, err = fmt.Sscan(rest, &w.Preference)
+			_, err = fmt.Sscan(rest, &route.Preference)
 		case "called":
-			w.ID.Name = rest
+			route.ID.Name = rest
 		case "below":
-			w.Prefix = rest
-			w.Class, _, _ = strings.Cut(strings.TrimPrefix(rest, "/"), "/")
+			route.Prefix = rest
+			route.Class, _, _ = strings.Cut(strings.TrimPrefix(rest, "/"), "/")
 		case "ended":
-			w.Rules.Until = noon.Unix()
+			route.Rules.Until = noon.Unix()
 		case "no":
-			w.Rules.NoTransit = true
+			route.Rules.NoTransit = true
 		case "for":
-			w.Rules.Tenants = strings.Fields(rest)
+			route.Rules.Tenants = strings.Fields(rest)
 		case "but":
-			w.Rules.Excluded = strings.Fields(strings.TrimPrefix(rest, "not "))
+			route.Rules.ExcludedTenants = strings.Fields(strings.TrimPrefix(rest, "not "))
 		case "held":
-			held = true
+			ignorePreference = true
 		default:
 			err = fmt.Errorf("nobody plays %q", part)
 		}
 		if err != nil {
-			return w, held, err
+			return route, ignorePreference, err
 		}
 	}
-	return w, held, nil
+	return route, ignorePreference, nil
 }
 
 // parseRoutes are the advertisements of a row that compares.
-func parseRoutes(t *testing.T, r spectest.Row) (one, other Route, held bool) {
+func parseRoutes(t *testing.T, r spectest.Row) (one, other Route, ignorePreference bool) {
 	t.Helper()
 	one, _, errOne := parseRoute(r.At("one"))
-	other, held, err := parseRoute(r.At("other"))
+	other, ignorePreference, err := parseRoute(r.At("other"))
 	if errOne != nil || err != nil {
 		t.Fatalf("%s:%d: %v, %v", page, r.Line, errOne, err)
 	}
-	return one, other, held
+	return one, other, ignorePreference
 }
 
 func TestExportRules(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "May an offer be told to a partner") {
-		w, _, err := parseRoute(r.At("offer"))
+		route, _, err := parseRoute(r.At("offer"))
 		if err != nil {
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
 		}
-		p := Transit{Cost: 1, Replicated: func(string) bool { return false }}
+		transit := Transit{Cost: 1, Replicated: func(string) bool { return false }}
 		if to, ok := strings.CutPrefix(r.At("passing on"), "to "); ok {
-			p.To = strings.Fields(to)
+			transit.To = strings.Fields(to)
 		}
-		o, got := MayExport(w.Advertisement, "p0", r.At("to"), w.Own, p, noon)
+		exported, got := CheckExport(route.Advertisement, "p0", r.At("to"), route.Own, transit, noon)
 		if got == "" {
-			got = "told by " + strings.Join(o.Path, " ")
-			if err := o.Check("p0"); err != nil {
+			got = "told by " + strings.Join(exported.Path, " ")
+			if err := exported.Check("p0"); err != nil {
 				t.Errorf("%s:%d: what is told: %v", page, r.Line, err)
 			}
 		}
@@ -107,13 +107,13 @@
 func TestImportRules(t *testing.T) {
 	rules := Import{Accept: []string{"/view/"}, Deny: []string{"/view/secret/"}, MaxRoutes: 2}
 	for _, r := range spectest.Rows(t, page, "Is an offer of a neighbour taken") {
-		w, _, err := parseRoute(r.At("offer"))
+		route, _, err := parseRoute(r.At("offer"))
 		held := 0
 		if _, bad := fmt.Sscan(r.At("others held"), &held); err != nil || bad != nil {
 			t.Errorf("%s:%d: %v, %v", page, r.Line, err, bad)
 			continue
 		}
-		got := MayImport(&w.Advertisement, "p0", rules, held, noon)
+		got := CheckImport(&route.Advertisement, "p0", rules, held, noon)
 		if got == "" {
 			got = "taken"
 		}
@@ -125,44 +125,44 @@
 
 func TestRoutePreference(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Which of two is better") {
-		a, b, held := parseRoutes(t, r)
+		a, b, ignorePreference := parseRoutes(t, r)
 		want := map[string]int{"one": -1, "other": 1}[r.At("outcome")]
-		if got, back := Better(&a, &b, held), Better(&b, &a, held); got != want || back != -want {
-			t.Errorf("%s:%d: %d, and %d the other way round", page, r.Line, got, back)
+		if got, reversed := Compare(&a, &b, ignorePreference), Compare(&b, &a, ignorePreference); got != want || reversed != -want {
+			t.Errorf("%s:%d: %d, and %d the other way round", page, r.Line, got, reversed)
 		}
 	}
 }
 
 func TestOwnerEnforcesRules(t *testing.T) {
 	for _, r := range spectest.Rows(t, page, "Is a call taken by its owner") {
-		w, _, err := parseRoute(r.At("rules"))
+		route, _, err := parseRoute(r.At("rules"))
 		if err != nil {
 			t.Errorf("%s:%d: %v", page, r.Line, err)
 			continue
 		}
-		c := Request{Class: "view", Path: "/view/wells/12", Effect: balancer.Safe}
+		req := Request{Class: "view", Path: "/view/wells/12", Effect: balancer.Safe}
 		for _, part := range strings.Split(r.At("call"), ", ") {
-			verb, rest, _ := strings.Cut(part, " ")
-			switch verb {
+			keyword, rest, _ := strings.Cut(part, " ")
+			switch keyword {
 			case "from":
 				first, last, passed := strings.Cut(rest, " by ")
 				if first != "nobody" {
-					c.Via = append(c.Via, first)
+					req.Via = append(req.Via, first)
 				}
 				if passed {
-					c.Via = append(c.Via, last)
+					req.Via = append(req.Via, last)
 				}
 			case "of":
-				c.Tenant = rest
+				req.Tenant = rest
 			case "to":
-				c.Path = rest
+				req.Path = rest
 			case "unsafe":
-				c.Effect = balancer.Unsafe
+				req.Effect = balancer.Unsafe
 			default:
 				t.Errorf("%s:%d: nobody plays %q", page, r.Line, part)
 			}
 		}
-		got := MayServe(&w.Advertisement, &c, "p0", noon)
+		got := CheckServe(&route.Advertisement, &req, "p0", noon)
 		if got == "" {
 			got = "taken"
 		}
@@ -174,10 +174,10 @@
 
 // formatRules are rules as the page has them.
 func formatRules(r Rules) string {
-	to := "to " + strings.Join(r.To, " ")
-	if r.All {
+	to := "to " + strings.Join(r.Partners, " ")
+	if r.AnyPartner {
 		to = "to all"
-	} else if len(r.To) == 0 {
+	} else if len(r.Partners) == 0 {
 		to = "to nobody"
 	}
 	out := []string{to}
@@ -190,8 +190,8 @@
 	if len(r.Tenants) > 0 {
 		out = append(out, "for "+strings.Join(r.Tenants, " "))
 	}
-	if len(r.Excluded) > 0 {
-		out = append(out, "but not "+strings.Join(r.Excluded, " "))
+	if len(r.ExcludedTenants) > 0 {
+		out = append(out, "but not "+strings.Join(r.ExcludedTenants, " "))
 	}
 	return strings.Join(out, ", ")
 }
@@ -200,7 +200,7 @@
 	for _, r := range spectest.Rows(t, page, "What narrowing makes of two rules") {
 		a, b, _ := parseRoutes(t, r)
 		for _, got := range []Rules{Narrow(a.Rules, b.Rules), Narrow(b.Rules, a.Rules)} {
-			slices.Sort(got.To)
+			slices.Sort(got.Partners)
 			if formatRules(got) != r.At("outcome") {
 				t.Errorf("%s:%d: %s", page, r.Line, formatRules(got))
 			}
--- a/internal/routeexchange/send.go
+++ b/internal/routeexchange/send.go
@@ -14,40 +14,40 @@
 const coalesceInterval = 5 * time.Millisecond
 
 // sendUpdates sends a neighbour's gateway the complete table and then each change, until the link ends.
-func (x *Exchange) sendUpdates(l *peering.Link) {
+func (x *Exchange) sendUpdates(link *peering.Link) {
 	var (
-		serial  uint64
-		sent    map[ID]uint64 // digests of what it has been told; nil: nothing yet
-		now     map[ID]Advertisement
-		changed <-chan struct{}
-		looked  time.Time
-		group   []Gateway
+		serial       uint64
+		sent         map[ID]uint64 // digests of what it has been told; nil: nothing yet
+		table        map[ID]Advertisement
+		tableChanged <-chan struct{}
+		checkedAt    time.Time
+		sentGateways []Gateway
 	)
 	for {
 		x.mu.Lock()
-		kick, r, live := x.changed, x.inbound[l], x.ownGroup
-		complete := sent == nil || r.refreshRequested
-		r.refreshRequested = false
+		gatewaysChanged, in, gateways := x.changed, x.inbound[link], x.ownGateways
+		complete := sent == nil || in.refreshRequested
+		in.refreshRequested = false
 		x.mu.Unlock()
 		// A table that has not changed need not be looked at for a change of the group: offers that end by the clock change it
 		// too (Table.Sweep).
-		if complete || isClosed(changed) || time.Since(looked) >= checkInterval {
-			now, changed = x.options.Table.AdjRIBOut(l.Peer.Partner)
-			looked = time.Now()
+		if complete || isClosed(tableChanged) || time.Since(checkedAt) >= checkInterval {
+			table, tableChanged = x.options.Table.AdjRIBOut(link.Peer.Partner)
+			checkedAt = time.Now()
 		}
 		if complete {
 			serial, sent = 0, map[ID]uint64{}
 		}
-		if !x.sendUpdate(l, now, sent, &serial, live, complete || !slices.Equal(group, live)) {
+		if !x.sendUpdate(link, table, sent, &serial, gateways, complete || !slices.Equal(sentGateways, gateways)) {
 			sent = nil // not all of it has gone out: the complete table will, when there is room
-			waitForChange(x.ctx, l, nil, nil, 20*coalesceInterval)
+			waitForChange(x.ctx, link, nil, nil, 20*coalesceInterval)
 		} else {
-			group = live
-			waitForChange(x.ctx, l, changed, kick, checkInterval)
+			sentGateways = gateways
+			waitForChange(x.ctx, link, tableChanged, gatewaysChanged, checkInterval)
 		}
-		waitForChange(x.ctx, l, nil, nil, coalesceInterval)
+		waitForChange(x.ctx, link, nil, nil, coalesceInterval)
 		select {
-		case <-l.Done():
+		case <-link.Done():
 			return
 		case <-x.ctx.Done():
 			return
@@ -83,39 +83,39 @@
 }
 
 // sendUpdate sends what differs between what was sent and the table of now, in parts. false: not all of it could be queued.
-func (x *Exchange) sendUpdate(l *peering.Link, now map[ID]Advertisement, sent map[ID]uint64, serial *uint64, group []Gateway, must bool) bool {
+func (x *Exchange) sendUpdate(link *peering.Link, table map[ID]Advertisement, sent map[ID]uint64, serial *uint64, gateways []Gateway, force bool) bool {
 	var put []Advertisement
-	var gone []ID
-	digests := make(map[ID]uint64, len(now))
-	for id, o := range now {
-		d, err := digestOf(&o)
+	var withdrawn []ID
+	digests := make(map[ID]uint64, len(table))
+	for id, adv := range table {
+		d, err := digestOf(&adv)
 		if err != nil {
 			continue
 		}
 		digests[id] = d
-		if was, had := sent[id]; !had || was != d {
-			put = append(put, o)
+		if previous, known := sent[id]; !known || previous != d {
+			put = append(put, adv)
 		}
 	}
 	for id := range sent {
 		if _, still := digests[id]; !still {
-			gone = append(gone, id)
+			withdrawn = append(withdrawn, id)
 		}
 	}
-	if len(put)+len(gone) == 0 && !must {
+	if len(put)+len(withdrawn) == 0 && !force {
 		return true
 	}
 	slices.SortFunc(put, func(a, b Advertisement) int { return strings.Compare(a.ID.String(), b.ID.String()) })
-	for first := true; first || len(put)+len(gone) > 0; first = false {
+	for first := true; first || len(put)+len(withdrawn) > 0; first = false {
 		m := update{Serial: *serial}
 		n := min(maxAdvertisementsPerMessage, len(put))
 		m.Put, put = put[:n], put[n:]
-		k := min(maxAdvertisementsPerMessage-n, len(gone))
-		m.Withdrawn, gone = gone[:k], gone[k:]
-		if m.More = len(put)+len(gone) > 0; !m.More {
-			m.Digest, m.Group = tableDigest(digests), group // all of it each time: it is short
+		k := min(maxAdvertisementsPerMessage-n, len(withdrawn))
+		m.Withdrawn, withdrawn = withdrawn[:k], withdrawn[k:]
+		if m.More = len(put)+len(withdrawn) > 0; !m.More {
+			m.Digest, m.Gateways = tableDigest(digests), gateways // all of it each time: it is short
 		}
-		if l.Tell(topicUpdate, m) != nil {
+		if link.Tell(topicUpdate, m) != nil {
 			return false
 		}
 		*serial++
--- a/internal/routeexchange/status.go
+++ b/internal/routeexchange/status.go
@@ -43,23 +43,23 @@
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	s := Status{Counts: t.counts, Advertisements: len(t.locRIB), Rejected: map[string]map[string]int{}, Stale: slices.Sorted(maps.Keys(t.staleSince))}
-	for n, m := range t.rejected {
-		s.Rejected[n] = maps.Clone(m)
+	for neighbour, reasons := range t.rejected {
+		s.Rejected[neighbour] = maps.Clone(reasons)
 	}
 	ids := slices.SortedFunc(maps.Keys(t.locRIB), func(a, b ID) int { return strings.Compare(a.String(), b.String()) })
 	h := fnv.New64a()
 	for _, id := range ids {
-		r := t.locRIB[id]
-		if r.best != nil {
+		d := t.locRIB[id]
+		if d.best != nil {
 			h.Write([]byte(id.String()))
 			h.Write([]byte{0})
-			h.Write([]byte(strings.Join(r.best.Path, "/")))
+			h.Write([]byte(strings.Join(d.best.Path, "/")))
 			h.Write([]byte{0})
 		}
-		for _, n := range slices.Sorted(maps.Keys(r.candidates)) {
-			w := r.candidates[n]
+		for _, neighbour := range slices.Sorted(maps.Keys(d.candidates)) {
+			route := d.candidates[neighbour]
 			if len(s.Routes) < maxStatusRoutes {
-				s.Routes = append(s.Routes, RouteStatus{id.String(), w.Class, w.Prefix, w.Path, w == r.best, !t.staleSince[n].IsZero(), !r.dampedUntil.IsZero()})
+				s.Routes = append(s.Routes, RouteStatus{id.String(), route.Class, route.Prefix, route.Path, route == d.best, !t.staleSince[neighbour].IsZero(), !d.dampedUntil.IsZero()})
 			}
 		}
 	}
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -15,11 +15,11 @@
 
 // Policy is what this partner goes by: its file's part of all this.
 type Policy struct {
-	Self       string
-	Own        []Advertisement // its exports
-	Neighbours map[string]Neighbour
-	Stale      time.Duration // that the advertisements of a partner are used whose links have all ended
-	GroupSize  int           // gateways of this partner, over which an advertisement's room is dealt out
+	Self         string
+	Own          []Advertisement // its exports
+	Neighbours   map[string]Neighbour
+	StaleTime    time.Duration // that the advertisements of a partner are used whose links have all ended
+	GatewayCount int           // gateways of this partner, over which an advertisement's room is dealt out
 }
 
 // Table holds what was received, and what is chosen of it. Its zero value is of no use; see NewTable.
@@ -66,62 +66,62 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	old := map[ID]*Route{}
-	for id, r := range t.locRIB {
-		if w := r.candidates[""]; w != nil {
-			old[id] = w
-			delete(r.candidates, "")
+	for id, d := range t.locRIB {
+		if own := d.candidates[""]; own != nil {
+			old[id] = own
+			delete(d.candidates, "")
 		}
 	}
 	t.policy = p
 	version := max(uint64(now.UnixMilli()), t.latestVersion+1) // whatever became of the wall clock
-	touched := map[ID]bool{}
+	affected := map[ID]bool{}
 	for id := range old {
-		touched[id] = true
+		affected[id] = true
 	}
-	for _, o := range p.Own {
-		o.ID.Origin, o.Path = p.Self, nil
-		o.Version = version
-		if was := old[o.ID]; was != nil {
-			same := was.Advertisement
-			same.Version = o.Version
-			if equal(&same, &o) {
-				o.Version = was.Version
+	for _, adv := range p.Own {
+		adv.ID.Origin, adv.Path = p.Self, nil
+		adv.Version = version
+		if previous := old[adv.ID]; previous != nil {
+			previousAdv := previous.Advertisement
+			previousAdv.Version = adv.Version
+			if equal(&previousAdv, &adv) {
+				adv.Version = previous.Version
 			}
 		}
-		t.latestVersion = max(t.latestVersion, o.Version)
-		t.destination(o.ID).candidates[""] = &Route{Advertisement: o, Own: true}
-		touched[o.ID] = true
+		t.latestVersion = max(t.latestVersion, adv.Version)
+		t.destination(adv.ID).candidates[""] = &Route{Advertisement: adv, Own: true}
+		affected[adv.ID] = true
 	}
-	for s, table := range t.adjRIBsIn {
-		n, known := p.Neighbours[s.Partner]
-		for id, o := range table {
-			touched[id] = true
-			if !known || MayImport(o, p.Self, n.Import, 0, now) != "" {
+	for source, table := range t.adjRIBsIn {
+		neighbour, known := p.Neighbours[source.Partner]
+		for id, adv := range table {
+			affected[id] = true
+			if !known || CheckImport(adv, p.Self, neighbour.Import, 0, now) != "" {
 				delete(table, id)
 			}
 		}
 		if !known {
-			delete(t.adjRIBsIn, s)
-			delete(t.versionOffsets, s)
-			delete(t.staleSince, s.Partner)
+			delete(t.adjRIBsIn, source)
+			delete(t.versionOffsets, source)
+			delete(t.staleSince, source.Partner)
 		}
 	}
-	t.reselect(touched)
+	t.reselect(affected)
 }
 
-// SetGroupSize says over how many gateways of this partner an advertisement's room is dealt out from now on.
-func (t *Table) SetGroupSize(gateways int) {
+// SetGatewayCount says over how many gateways of this partner an advertisement's room is dealt out from now on.
+func (t *Table) SetGatewayCount(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.policy.GroupSize = gateways
+	t.policy.GatewayCount = gateways
 }
 
 // equal says whether two advertisements differ in nothing.
 func equal(a, b *Advertisement) bool {
 	r, o := &a.Rules, &b.Rules
 	return a.ID == b.ID && a.Version == b.Version && a.Class == b.Class && a.Prefix == b.Prefix && a.Cost == b.Cost && a.Capacity == b.Capacity && a.Replicated == b.Replicated &&
-		slices.Equal(a.Path, b.Path) && r.All == o.All && r.NoTransit == o.NoTransit && r.MaxHops == o.MaxHops && r.Effects == o.Effects && r.Until == o.Until &&
-		slices.Equal(r.To, o.To) && slices.Equal(r.Tenants, o.Tenants) && slices.Equal(r.Excluded, o.Excluded)
+		slices.Equal(a.Path, b.Path) && r.AnyPartner == o.AnyPartner && r.NoTransit == o.NoTransit && r.MaxHops == o.MaxHops && r.Effects == o.Effects && r.Until == o.Until &&
+		slices.Equal(r.Partners, o.Partners) && slices.Equal(r.Tenants, o.Tenants) && slices.Equal(r.ExcludedTenants, o.ExcludedTenants)
 }
 
 // Sweep lets go of what has been stale for too long, and of advertisements that have ended.
@@ -129,37 +129,37 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	touched := map[ID]bool{}
-	for s, table := range t.adjRIBsIn {
-		since, stale := t.staleSince[s.Partner]
-		gone := stale && now.Sub(since) >= t.policy.Stale
-		for id, o := range table {
-			if gone || o.Rules.Until != 0 && now.Unix() >= o.Rules.Until {
-				touched[id] = true
+	affected := map[ID]bool{}
+	for source, table := range t.adjRIBsIn {
+		since, stale := t.staleSince[source.Partner]
+		expired := stale && now.Sub(since) >= t.policy.StaleTime
+		for id, adv := range table {
+			if expired || adv.Rules.Until != 0 && now.Unix() >= adv.Rules.Until {
+				affected[id] = true
 				delete(table, id)
 			}
 		}
-		if gone {
-			t.removeSource(s)
+		if expired {
+			t.removeSource(source)
 		}
 	}
 	maps.DeleteFunc(t.incarnationEnds, func(_ [2]string, e incarnationEnd) bool { return now.Sub(e.at) >= incarnationEndRetention })
 	for p, since := range t.staleSince {
-		if now.Sub(since) >= t.policy.Stale {
+		if now.Sub(since) >= t.policy.StaleTime {
 			delete(t.staleSince, p)
 		}
 	}
 	for id, r := range t.locRIB {
 		if !r.dampedUntil.IsZero() && !now.Before(r.dampedUntil) {
 			r.dampedUntil, r.flaps = time.Time{}, nil
-			touched[id] = true
+			affected[id] = true
 		}
 		for n, d := range r.suppressed {
 			if !now.Before(d.until) {
 				delete(r.suppressed, n)
-				touched[id] = true
+				affected[id] = true
 			}
 		}
 	}
-	t.reselect(touched)
+	t.reselect(affected)
 }
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -8,11 +8,11 @@
 	"damsontrestle/internal/balancer"
 )
 
-func neverReplicated(string) bool { return false }
+func notReplicated(string) bool { return false }
 
 // policyOf is a partner's that takes all of its neighbours and passes all on.
 func policyOf(self string, preference map[string]int, neighbours ...string) Policy {
-	p := Policy{Self: self, Neighbours: map[string]Neighbour{}, Stale: time.Minute, GroupSize: 1}
+	p := Policy{Self: self, Neighbours: map[string]Neighbour{}, StaleTime: time.Minute, GatewayCount: 1}
 	for _, n := range neighbours {
 		var to []string
 		for _, o := range neighbours {
@@ -24,13 +24,13 @@
 		if v, ok := preference[n]; ok {
 			pref = v
 		}
-		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, MaxRoutes: 1 << 20}, Transit{To: to, Replicated: neverReplicated}}
+		p.Neighbours[n] = Neighbour{Import{Accept: []string{"/"}, Preference: pref, MaxRoutes: 1 << 20}, Transit{To: to, Replicated: notReplicated}}
 	}
 	return p
 }
 
 func newAdvertisement(origin, name, prefix string, path ...string) Advertisement {
-	return Advertisement{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{All: true, MaxHops: 8, Effects: AllEffects}}
+	return Advertisement{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{AnyPartner: true, MaxHops: 8, Effects: AllEffects}}
 }
 
 // clock is a time that tests set.
@@ -62,10 +62,10 @@
 		{"/view", "", "", nil},
 		{"/", "", "", nil},
 	} {
-		w, ok := tb.Choose(&Request{Class: "view", Path: k.path, Tenant: k.tenant, Effect: balancer.Safe, Via: k.came})
+		sel, ok := tb.Choose(&Request{Class: "view", Path: k.path, Tenant: k.tenant, Effect: balancer.Safe, Via: k.came})
 		got := ""
 		if ok {
-			got = w.ID.String()
+			got = sel.ID.String()
 		}
 		if got != k.want {
 			t.Errorf("%s of %q: %q, want %q", k.path, k.tenant, got, k.want)
@@ -143,9 +143,9 @@
 	p := policyOf("p0", nil, "p1")
 	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 	tb := NewTable(p, c.now)
-	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
+	forwarded := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	id := ID{"p0", "x"}
-	if _, why := tb.AdmitForwarded(id, request); why != "" {
+	if _, why := tb.AdmitForwarded(id, forwarded); why != "" {
 		t.Fatal(why)
 	}
 	sent, _ := tb.AdjRIBOut("p1")
@@ -155,30 +155,30 @@
 		t.Error("a rule that says the same has another version")
 	}
 	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
-	p.Own[0].Rules.All = false
+	p.Own[0].Rules.AnyPartner = false
 	tb.SetPolicy(p)
-	if _, why := tb.AdmitForwarded(id, request); why != "partner p1 may not have the offer" {
+	if _, why := tb.AdmitForwarded(id, forwarded); why != "partner p1 may not have the offer" {
 		t.Errorf("%q", why)
 	}
 	if sent, _ = tb.AdjRIBOut("p1"); len(sent) != 0 {
 		t.Error("it is still told")
 	}
-	there := NewTable(policyOf("p1", nil, "p0"), c.now)
+	neighbour := NewTable(policyOf("p1", nil, "p0"), c.now)
 	src := Source{"p0", "g", 1}
-	there.replace(src, []Advertisement{newAdvertisement("p0", "x", "/view/x/", "p0")})
-	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
-	w, ok := there.Choose(ask)
+	neighbour.replace(src, []Advertisement{newAdvertisement("p0", "x", "/view/x/", "p0")})
+	req := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
+	sel, ok := neighbour.Choose(req)
 	if !ok {
 		t.Fatal("no way")
 	}
-	there.Suppress(w.Route)
-	if _, ok := there.Choose(ask); ok {
+	neighbour.Suppress(sel.Route)
+	if _, ok := neighbour.Choose(req); ok {
 		t.Error("the way is still used")
 	}
 	next := newAdvertisement("p0", "x", "/view/x/", "p0")
 	next.Version = 2
-	there.update(src, []Advertisement{next}, nil)
-	if _, ok := there.Choose(ask); !ok {
+	neighbour.update(src, []Advertisement{next}, nil)
+	if _, ok := neighbour.Choose(req); !ok {
 		t.Error("another version is not used")
 	}
 }
@@ -187,27 +187,27 @@
 func TestCapacityIsShared(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
-	p.GroupSize = 2
+	p.GatewayCount = 2
 	tb := NewTable(p, c.now)
 	o := newAdvertisement("p1", "x", "/view/x/", "p1")
 	o.Capacity = 4
 	tb.replace(Source{"p1", "g", 1}, []Advertisement{o})
-	ask := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
-	w, _ := tb.Choose(ask)
-	w.Take()
-	if _, ok := tb.Choose(ask); !ok {
+	req := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
+	sel, _ := tb.Choose(req)
+	sel.Acquire()
+	if _, ok := tb.Choose(req); !ok {
 		t.Error("one of two places is taken, and there is no way")
 	}
-	w.Take()
-	if _, ok := tb.Choose(ask); ok {
+	sel.Acquire()
+	if _, ok := tb.Choose(req); ok {
 		t.Error("both places are taken")
 	}
-	w.Done()
-	if _, ok := tb.Choose(ask); !ok {
+	sel.Release()
+	if _, ok := tb.Choose(req); !ok {
 		t.Error("a place is free again")
 	}
-	tb.SetGroupSize(4)
-	if _, ok := tb.Choose(ask); ok {
+	tb.SetGatewayCount(4)
+	if _, ok := tb.Choose(req); ok {
 		t.Error("with four gateways each has one place, and that is taken")
 	}
 }
--- a/internal/routeexchange/versions_test.go
+++ b/internal/routeexchange/versions_test.go
@@ -68,16 +68,16 @@
 				p.Own = []Advertisement{o}
 				return p
 			}
-			told := func(by *Table) (all []Advertisement) {
+			advertised := func(by *Table) (all []Advertisement) {
 				sent, _ := by.AdjRIBOut("p0")
 				for _, o := range sent {
 					all = append(all, o)
 				}
 				return all
 			}
-			there := NewTable(policyOf("p0", nil, "p1"), c.now)
+			neighbour := NewTable(policyOf("p0", nil, "p1"), c.now)
 			cost := func() int {
-				w, ok := there.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+				w, ok := neighbour.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 				if !ok {
 					t.Fatal("no way")
 				}
@@ -85,25 +85,25 @@
 			}
 			a1, a2, b1 := Source{"p1", "a", 1}, Source{"p1", "a", 2}, Source{"p1", "b", 1}
 			a, b := NewTable(rule(1), c.now), NewTable(rule(1), c.now)
-			there.replace(a1, told(a))
-			there.replace(b1, told(b))
+			neighbour.replace(a1, advertised(a))
+			neighbour.replace(b1, advertised(b))
 			c.at = c.at.Add(time.Second)
 			if !overlap {
-				there.PeerDown(a1)
+				neighbour.PeerDown(a1)
 			}
 			stepped := &clock{c.at.Add(step)}
 			a = NewTable(rule(2), stepped.now)
-			there.replace(a2, told(a))
+			neighbour.replace(a2, advertised(a))
 			if got := cost(); got != 2 {
 				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that a gateway began anew with", step, got)
 			}
 			stepped.at = stepped.at.Add(time.Second)
 			a.SetPolicy(rule(3))
-			there.update(a2, told(a), nil)
+			neighbour.update(a2, advertised(a), nil)
 			if got := cost(); got != 3 {
 				t.Errorf("clock stepped by %v: the cost is %d, want that of its next rule", step, got)
 			}
-			there.replace(a2, told(a))
+			neighbour.replace(a2, advertised(a))
 			if got := cost(); got != 3 {
 				t.Errorf("clock stepped by %v: the cost is %d once its whole table was told again", step, got)
 			}
@@ -111,13 +111,13 @@
 				continue // its rules stay the newest until the others' clocks come up to its own
 			}
 			c.at = c.at.Add(5 * time.Second)
-			there.PeerDown(a2)
+			neighbour.PeerDown(a2)
 			c.at = c.at.Add(time.Second)
 			a = NewTable(rule(3), c.now)
 			c.at = c.at.Add(time.Second)
 			b.SetPolicy(rule(4))
-			there.update(b1, told(b), nil)
-			there.replace(Source{"p1", "a", 3}, told(a))
+			neighbour.update(b1, advertised(b), nil)
+			neighbour.replace(Source{"p1", "a", 3}, advertised(a))
 			if got := cost(); got != 4 {
 				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that the other gateway took on since", step, got)
 			}
