--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -8,14 +8,15 @@
 	"damsontrestle/internal/peering"
 )
 
-// setTerms has other terms hold from now on. What was filled by the old ones stays, as far as the new depth allows.
+// setTerms replaces the terms. Tokens already in the bucket stay, up to the new depth.
 func (l *leader) setTerms(t budget.Terms, now time.Duration) {
 	l.refill(now)
 	l.terms = t
 	l.tokens = min(l.tokens, t.Depth())
 }
 
-// rate is how fast the bucket fills now, in tokens a second: floors that nobody has waived are left to their owners.
+// fillRate returns the bucket's current fill rate in tokens per second. Under the floor fallback it leaves out floors that have
+// not been waived, since their owners may draw them on their own.
 func (l *leader) fillRate(now time.Duration) float64 {
 	if l.terms.Fallback != budget.Floor {
 		return l.terms.Rate
@@ -27,8 +28,8 @@
 	return max(0, rate)
 }
 
-// unwaivedFloor is the part of a partner's floor that its gateways may draw by themselves. No more waivers count than the
-// partner has gateways by the terms.
+// unwaivedFloor returns the part of a partner's floor that its gateways may draw on their own. At most as many waivers count as
+// the partner has gateways in the terms.
 func (l *leader) unwaivedFloor(partner budget.Partner, now time.Duration) float64 {
 	left := partner.Floor
 	waived := 0
@@ -41,7 +42,7 @@
 	return left
 }
 
-// fill fills the bucket up to now, and the credit of floors.
+// refill adds the tokens accrued since the last refill to the bucket and to the partners' floor credits.
 func (l *leader) refill(now time.Duration) {
 	if elapsed := (now - l.filledAt).Seconds(); elapsed > 0 {
 		l.tokens = min(l.terms.Depth(), l.tokens+elapsed*l.fillRate(now))
@@ -54,12 +55,12 @@
 	l.filledAt = now
 }
 
-// putBack takes tokens that a gateway returns unused.
+// returnTokens puts unused tokens of a gateway back into the bucket.
 func (l *leader) returnTokens(tokens int) {
 	l.tokens = min(l.terms.Depth(), l.tokens+float64(tokens))
 }
 
-// claim is what a partner has had and is owed, made if it is not there.
+// claim returns the account of what a partner has received and is owed, creating it if needed.
 func (l *leader) claim(partner string) *budget.Claim {
 	c := l.claims[partner]
 	if c == nil {
@@ -69,7 +70,7 @@
 	return c
 }
 
-// weight is a partner's, 1 where the terms have none.
+// weight returns a partner's weight, 1 if the terms set none.
 func (l *leader) weight(partner string) float64 {
 	for _, p := range l.terms.Partners {
 		if p.Name == partner && p.Weight > 0 {
@@ -79,20 +80,21 @@
 	return 1
 }
 
-// waive notes that a gateway's part of its partner's floor, in requests a second, may be lent until a time.
+// waive records that a gateway's share of its partner's floor, in requests per second, may be lent to others until the given
+// time.
 func (l *leader) waive(gateway peering.GatewayID, floor float64, until time.Duration) {
 	l.waivers[gateway.String()] = &floorWaiver{gateway.Partner, floor, until}
 }
 
-// addToOrder has a gateway served after all others, unless it has its place.
+// addToOrder appends a gateway to the service order unless it is already in it.
 func (l *leader) addToOrder(gateway peering.GatewayID) {
 	if !slices.Contains(l.serviceOrder, gateway) {
 		l.serviceOrder = append(l.serviceOrder, gateway)
 	}
 }
 
-// moveToEnd has the gateway at a place of the order served after all others.
-func (l *leader) moveToEnd(place int) {
-	gateway := l.serviceOrder[place]
-	l.serviceOrder = append(slices.Delete(l.serviceOrder, place, place+1), gateway)
+// moveToEnd moves the gateway at an index of the service order to its end.
+func (l *leader) moveToEnd(index int) {
+	gateway := l.serviceOrder[index]
+	l.serviceOrder = append(slices.Delete(l.serviceOrder, index, index+1), gateway)
 }
--- a/internal/quota/election.go
+++ b/internal/quota/election.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/peering"
 )
 
-// startCandidacy starts the gateway's part in the election, if it is one of the candidates.
+// startCandidacy starts the election task if this gateway is a candidate.
 func (l *Limiter) startCandidacy(now time.Duration) {
 	var names []string
 	isCandidate := false
@@ -26,15 +26,15 @@
 	l.tasks.Go(l.runCandidate)
 }
 
-// candidacy is when a candidate campaigns.
+// candidacy decides when a candidate campaigns.
 type candidacy struct {
-	rank         int           // in the order of candidates
-	vacantSince  time.Duration // until when there was a leader, or when the last campaign may be followed by another
-	campaignedAt time.Duration // when the last campaign began
+	rank         int           // index in the list of candidates
+	vacantSince  time.Duration // since when there has been no leader; after a lost campaign, the end of the back-off
+	campaignedAt time.Duration // start of the last campaign
 }
 
-// isDue says whether to campaign now: as leader each quarter of a term; else once the office has been vacant for a time that
-// grows with the rank, so that candidates don't all campaign at once.
+// isDue reports whether to campaign now. A leader renews its term every quarter of a term. Other candidates campaign once there
+// has been no leader for a time that grows with their rank, so that they don't all campaign at once.
 func (c *candidacy) isDue(now, term time.Duration, isLeader, isVacant bool) bool {
 	switch {
 	case isLeader:
@@ -45,8 +45,7 @@
 	return false
 }
 
-// runCandidate is the gateway's part as a candidate, until Close: it campaigns when there is no leader, renews its own term, and
-// distributes tokens while it is the leader.
+// runCandidate runs until Close. It campaigns while there is no leader; as leader it renews its term and distributes tokens.
 func (l *Limiter) runCandidate() {
 	tick := time.NewTicker(leaderInterval)
 	defer tick.Stop()
@@ -77,8 +76,8 @@
 	}
 }
 
-// actAsLeader distributes tokens if this gateway is the leader, steps down if its term is over, and says whether it is the
-// leader. The caller holds mu.
+// actAsLeader distributes tokens if this gateway is the leader, steps down if its term has expired, and reports whether it is
+// the leader. The caller must hold mu.
 func (l *Limiter) actAsLeader(now time.Duration) bool {
 	if l.leader.isLeader(now) {
 		l.leader.distribute(now, false)
@@ -91,20 +90,20 @@
 	return false
 }
 
-// campaign asks all candidates for their votes for a term that begins now: a new one, or the present one once more. It says
-// whether a majority voted for it.
+// campaign requests votes from all candidates for a term that begins now: a new term or, with renew, an extension of the
+// current one. It reports whether a majority granted them and, for a renewal, whether the term had not expired meanwhile.
 func (l *Limiter) campaign(now time.Duration, renew bool) bool {
 	l.mu.Lock()
 	leader := l.leader
-	number := leader.term
+	newTerm := leader.term
 	if !renew {
-		number = leader.nextTerm()
+		newTerm = leader.nextTerm()
 	}
-	term := l.options.Budget.Term
+	termLength := l.options.Budget.Term
 	candidates := l.options.Budget.Candidates
-	request := voteRequest{l.options.Budget.Name, number}
+	request := voteRequest{l.options.Budget.Name, newTerm}
 	l.mu.Unlock()
-	if !l.collectVotes(candidates, request, term/4) {
+	if !l.collectVotes(candidates, request, termLength/4) {
 		return false
 	}
 	l.mu.Lock()
@@ -112,47 +111,47 @@
 	if renew && !leader.isLeader(l.options.Now()) {
 		return false
 	}
-	until := now + budget.Shorter(term)
+	until := now + budget.Shorter(termLength)
 	if until <= l.options.Now() {
-		return true // the votes came too late to be of use
+		return true // the votes arrived after the end of the term
 	}
 	if !renew {
-		leader.startTerm(l.options.Now(), number)
+		leader.startTerm(l.options.Now(), newTerm)
 		l.counts.Elected++
-		l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", number)
+		l.options.Log.Info("this gateway is the quota leader", "quota", l.options.Budget.Name, "term", newTerm)
 	}
 	leader.termEnd = until
 	return true
 }
 
-// collectVotes asks candidates for their votes for a term and says whether a majority gave theirs. It waits for a time at most.
+// collectVotes requests votes from the candidates and reports whether a majority granted them within the given time.
 func (l *Limiter) collectVotes(candidates []Candidate, request voteRequest, wait time.Duration) bool {
 	ctx, cancel := context.WithTimeout(l.ctx, wait)
 	defer cancel()
-	votes := make(chan voteReply, len(candidates)) // each sends one without waiting
+	votes := make(chan voteReply, len(candidates)) // buffered so that no sender blocks
 	for _, candidate := range candidates {
 		l.requestVote(ctx, candidate.id(), request, votes)
 	}
-	given := 0
+	granted := 0
 	for range candidates {
-		v := <-votes
-		if v.Granted {
-			given++
+		reply := <-votes
+		if reply.Granted {
+			granted++
 		}
 		l.mu.Lock()
-		l.leader.highestTerm = max(l.leader.highestTerm, v.Term)
+		l.leader.highestTerm = max(l.leader.highestTerm, reply.Term)
 		l.mu.Unlock()
-		if given > len(candidates)/2 {
+		if granted > len(candidates)/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// requestVote has the vote of one candidate sent to votes; one that is not reached counts as no.
-func (l *Limiter) requestVote(ctx context.Context, candidate peering.GatewayID, m voteRequest, votes chan<- voteReply) {
+// requestVote sends the reply of one candidate to votes; an unreachable candidate counts as a refusal.
+func (l *Limiter) requestVote(ctx context.Context, candidate peering.GatewayID, request voteRequest, votes chan<- voteReply) {
 	if candidate == l.options.Self {
-		votes <- l.handleVote(l.options.Self, m)
+		votes <- l.handleVote(l.options.Self, request)
 		return
 	}
 	link := l.options.LinkTo(candidate)
@@ -161,24 +160,24 @@
 		return
 	}
 	l.tasks.Go(func() {
-		var v voteReply
-		if err := link.Do(ctx, topicVote, m, &v); err != nil {
-			v = voteReply{}
+		var reply voteReply
+		if err := link.Do(ctx, topicVote, request, &reply); err != nil {
+			reply = voteReply{}
 		}
-		votes <- v
+		votes <- reply
 	})
 }
 
-// handleVote is this gateway's reply to a candidate that campaigns.
-func (l *Limiter) handleVote(candidate peering.GatewayID, m voteRequest) voteReply {
+// handleVote returns this gateway's vote on another candidate's campaign, or on its own.
+func (l *Limiter) handleVote(candidate peering.GatewayID, request voteRequest) voteReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	leader := l.leader
 	if leader == nil || !slices.Contains(leader.candidates, candidate.String()) {
 		return voteReply{}
 	}
-	vote, ok := budget.MayVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.Term, m.Term, candidate.String())
+	vote, granted := budget.MayVote(leader.vote, leader.startedAt, l.options.Now(), l.options.Budget.Term, request.Term, candidate.String())
 	leader.vote = vote
-	leader.highestTerm = max(leader.highestTerm, m.Term)
-	return voteReply{Granted: ok, Term: max(vote.Term, leader.highestTerm)}
+	leader.highestTerm = max(leader.highestTerm, request.Term)
+	return voteReply{Granted: granted, Term: max(vote.Term, leader.highestTerm)}
 }
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -8,12 +8,12 @@
 	"damsontrestle/internal/peering"
 )
 
-// maxGrantWait is the longest time that a leader lets a lease request wait for tokens.
+// maxGrantWait is the longest time that a leader keeps a lease request waiting for tokens.
 const maxGrantWait = time.Second
 
-// handleLeaseRequest takes the request of a gateway, perhaps of this one, and replies when there are tokens or its wait is
-// over. reply is called once, from another goroutine: it may take mu.
-func (l *Limiter) handleLeaseRequest(from peering.GatewayID, m leaseRequest, reply func(leaseGrant)) {
+// handleLeaseRequest handles the request of a gateway, which may be this one. It replies once all wanted tokens are granted or
+// the request's wait is over. reply is called once and in its own goroutine, so it may lock mu.
+func (l *Limiter) handleLeaseRequest(from peering.GatewayID, request leaseRequest, reply func(leaseGrant)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
@@ -23,32 +23,32 @@
 		return
 	}
 	leader.refill(now)
-	if m.Term == leader.term && m.LeaderTime > 0 && m.LeaderTime <= now {
-		until, _ := budget.FloorLoanEnds(m.LeaderTime, 0)
-		leader.waive(from, m.WaivedFloor, until)
+	if request.Term == leader.term && request.LeaderTime > 0 && request.LeaderTime <= now {
+		until, _ := budget.FloorLoanEnds(request.LeaderTime, 0)
+		leader.waive(from, request.WaivedFloor, until)
 	}
-	leader.returnTokens(max(0, m.Returned))
-	grant := func(tokens int, hint time.Duration) {
-		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, LeaderTime: now, Granted: tokens, NextTokenIn: hint})
+	leader.returnTokens(max(0, request.Returned))
+	grant := func(tokens int, nextTokenIn time.Duration) {
+		go reply(leaseGrant{Leader: leader.self, IsLeader: true, Term: leader.term, LeaderTime: now, Granted: tokens, NextTokenIn: nextTokenIn})
 	}
-	if m.Wanted <= 0 {
+	if request.Wanted <= 0 {
 		grant(0, 0)
 		return
 	}
-	p := &pendingRequest{wanted: min(m.Wanted, maxTokensPerRequest), retries: m.Retries, reply: grant}
-	leader.addPending(from, p)
+	pending := &pendingRequest{wanted: min(request.Wanted, maxTokensPerRequest), retries: request.Retries, reply: grant}
+	leader.addPending(from, pending)
 	l.tasks.Go(func() {
-		clock.Sleep(l.ctx, min(m.Wait, maxGrantWait))
+		clock.Sleep(l.ctx, min(request.Wait, maxGrantWait))
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		leader.expire(from, p, l.options.Now())
+		leader.expire(from, pending, l.options.Now())
 	})
 	if leader.tokens >= 1 {
 		leader.distribute(now, false)
 	}
 }
 
-// votedFor is the candidate that this gateway has promised a term that is not over; empty: there is none. The caller holds mu.
+// votedFor returns the candidate that has this gateway's unexpired vote, or "" if there is none. The caller must hold mu.
 func (l *Limiter) votedFor(now time.Duration) string {
 	if l.leader == nil || now >= l.leader.vote.Until {
 		return ""
--- a/internal/quota/leader.go
+++ b/internal/quota/leader.go
@@ -8,8 +8,8 @@
 	"damsontrestle/internal/peering"
 )
 
-// leader is a candidate's part of a quota: its vote, its own term, and the token bucket that counts while it is the leader. It
-// has no lock and no clock of its own; the Limiter that owns it locks it.
+// leader is a candidate's election state (its vote and its own term) and the token bucket that it distributes from while it is
+// the leader. It has no lock or clock of its own; its Limiter's mu guards it.
 type leader struct {
 	terms      budget.Terms
 	self       string // partner/gateway
@@ -17,35 +17,35 @@
 	startedAt  time.Duration
 
 	vote        budget.Vote
-	highestTerm uint64        // that was heard of
-	term        uint64        // the own one
-	termEnd     time.Duration // when the own term ends; 0: this candidate is not the leader
+	highestTerm uint64        // highest term seen
+	term        uint64        // this candidate's own term
+	termEnd     time.Duration // expiry of the own term; 0 if not the leader
 
-	tokens       float64       // in the bucket
-	filledAt     time.Duration // until when the bucket was filled
+	tokens       float64       // tokens in the bucket
+	filledAt     time.Duration // time of the last refill
 	claims       map[string]*budget.Claim
 	waivers      map[string]*floorWaiver               // by partner/gateway
-	pending      map[peering.GatewayID]*pendingRequest // that wait for tokens, the last of each gateway
-	serviceOrder []peering.GatewayID                   // in which gateways are served: the last served last
-	granted      int64                                 // tokens since the start
+	pending      map[peering.GatewayID]*pendingRequest // the latest waiting request of each gateway
+	serviceOrder []peering.GatewayID                   // least recently served gateway first
+	granted      int64                                 // tokens granted since the start
 }
 
-// floorWaiver is a gateway's part of its partner's floor that it has waived.
+// floorWaiver is a gateway's waived share of its partner's floor.
 type floorWaiver struct {
 	partner string
-	floor   float64 // requests a second
+	floor   float64 // requests per second
 	until   time.Duration
 }
 
-// pendingRequest is a gateway's request for tokens that has no reply yet.
+// pendingRequest is a gateway's lease request that has not been replied to.
 type pendingRequest struct {
 	wanted  int
-	retries int // of those wanted, for clients that return at the time that they were advised
-	granted int // that go with the reply
+	retries int // of wanted, for clients that retry at the advised time
+	granted int // tokens to be sent with the reply
 	reply   func(tokens int, hint time.Duration)
 }
 
-// missing is how many tokens the request still waits for.
+// missing returns how many tokens the request still waits for.
 func (p *pendingRequest) missing() int { return max(0, p.wanted-p.granted) }
 
 func newLeader(t budget.Terms, self string, candidates []string, now time.Duration) *leader {
@@ -60,75 +60,75 @@
 	}
 }
 
-// isLeader says whether this candidate is the leader now.
+// isLeader reports whether this candidate is the leader now.
 func (l *leader) isLeader(now time.Duration) bool { return l.termEnd > 0 && now < l.termEnd }
 
-// nextTerm is a term higher than all that were heard of, to campaign for.
+// nextTerm returns a term number higher than any seen so far.
 func (l *leader) nextTerm() uint64 {
 	l.highestTerm = max(l.highestTerm, l.vote.Term) + 1
 	return l.highestTerm
 }
 
-// begin starts a term. The bucket starts empty, as if the leader before had granted all of it.
-func (l *leader) startTerm(now time.Duration, number uint64) {
-	l.term = number
+// startTerm starts a term with an empty bucket, as if the previous leader had granted all of its tokens.
+func (l *leader) startTerm(now time.Duration, term uint64) {
+	l.term = term
 	l.tokens = 0
 	l.filledAt = now
 	l.claims = map[string]*budget.Claim{}
 	l.waivers = map[string]*floorWaiver{}
 }
 
-// stepDown ends the own term and replies to all that wait with nothing.
+// stepDown ends the own term and replies to all pending requests without tokens.
 func (l *leader) stepDown() {
 	l.termEnd = 0
-	for from, p := range l.pending {
+	for from, request := range l.pending {
 		delete(l.pending, from)
-		p.reply(0, 0)
+		request.reply(0, 0)
 	}
 }
 
-// addPending takes a gateway's request. An earlier one of it gets what it has by now.
-func (l *leader) addPending(from peering.GatewayID, p *pendingRequest) {
+// addPending queues a gateway's request. An earlier one of the same gateway is replied to with the tokens it has so far.
+func (l *leader) addPending(from peering.GatewayID, request *pendingRequest) {
 	if earlier := l.pending[from]; earlier != nil {
 		earlier.reply(earlier.granted, 0)
 	} else {
 		l.addToOrder(from)
 	}
-	l.pending[from] = p
+	l.pending[from] = request
 }
 
-// expire replies to a request whose wait is over with what it has, unless it has had its reply.
-func (l *leader) expire(from peering.GatewayID, p *pendingRequest, now time.Duration) {
-	if l.pending[from] != p {
+// expire replies to a request whose wait is over with the tokens it has, unless it has already been replied to.
+func (l *leader) expire(from peering.GatewayID, request *pendingRequest, now time.Duration) {
+	if l.pending[from] != request {
 		return
 	}
 	l.distribute(now, false)
-	if l.pending[from] != p {
+	if l.pending[from] != request {
 		return
 	}
 	delete(l.pending, from)
-	p.reply(p.granted, l.fillTime(len(l.pending)+1, now))
+	request.reply(request.granted, l.fillTime(len(l.pending)+1, now))
 }
 
-// minHintRate is the rate, in tokens a second, that a hint counts with at least.
-const minHintRate = 1e-3
+// minFillRate is the lowest fill rate, in tokens per second, that fillTime assumes.
+const minFillRate = 1e-3
 
-// timeFor is how long the bucket takes to fill by some tokens.
+// fillTime returns how long the bucket takes to gain the given number of tokens.
 func (l *leader) fillTime(tokens int, now time.Duration) time.Duration {
-	return time.Duration(float64(tokens) / max(l.fillRate(now), minHintRate) * float64(time.Second))
+	return time.Duration(float64(tokens) / max(l.fillRate(now), minFillRate) * float64(time.Second))
 }
 
-// turnsPerDistribution is about how many turns a full bucket is distributed in.
-const turnsPerDistribution = 512
+// batchesPerDistribution is about how many batches the bucket's tokens are distributed in.
+const batchesPerDistribution = 512
 
-// distribute grants what the bucket holds, turn by turn (budget.NextPartner), and replies to those that have got all that they
-// wanted. Each token leaves the bucket before it is granted. final: the others get their reply too, with what they have and when
-// to come back.
-func (l *leader) distribute(now time.Duration, final bool) {
+// distribute grants the bucket's tokens in batches, to the partner that budget.NextPartner selects for each, and replies to
+// requests that have all wanted tokens. Each token leaves the bucket before its grant is sent. With replyAll, the other
+// requests are replied to as well, with the tokens that they have and the time until the next one.
+func (l *leader) distribute(now time.Duration, replyAll bool) {
 	l.refill(now)
 	claims := l.currentClaims()
 	least := leastBeyondFloor(claims)
-	perTurn := max(1, int(l.tokens)/turnsPerDistribution)
+	batch := max(1, int(l.tokens)/batchesPerDistribution)
 	for l.tokens >= 1 {
 		i := budget.NextPartner(claims)
 		if i < 0 {
@@ -136,7 +136,7 @@
 		}
 		claim := &claims[i]
 		partner := l.terms.Partners[i]
-		n := l.grant(partner.Name, min(perTurn, claim.Want, int(l.tokens)))
+		n := l.grant(partner.Name, min(batch, claim.Want, int(l.tokens)))
 		if n == 0 {
 			claim.Want = 0
 			continue
@@ -151,29 +151,29 @@
 		}
 	}
 	waiting := l.storeClaims(claims)
-	for from, p := range l.pending {
-		missing := p.missing()
-		if missing > 0 && !final {
+	for from, request := range l.pending {
+		missing := request.missing()
+		if missing > 0 && !replyAll {
 			continue
 		}
-		hint := time.Duration(0)
+		nextTokenIn := time.Duration(0)
 		if missing > 0 {
-			hint = l.fillTime(waiting+1, now)
+			nextTokenIn = l.fillTime(waiting+1, now)
 		}
 		delete(l.pending, from)
-		p.reply(p.granted, hint)
+		request.reply(request.granted, nextTokenIn)
 	}
 }
 
-// currentClaims are the claims of all partners, in the order of the terms, with what their gateways wait for now.
+// currentClaims returns the claims of all partners in the order of the terms, with the tokens that their gateways wait for now.
 func (l *leader) currentClaims() []budget.Claim {
 	claims := make([]budget.Claim, len(l.terms.Partners))
 	for i, partner := range l.terms.Partners {
 		claim := l.claim(partner.Name)
 		claim.Want = 0
-		for from, p := range l.pending {
+		for from, request := range l.pending {
 			if from.Partner == partner.Name {
-				claim.Want += p.missing()
+				claim.Want += request.missing()
 			}
 		}
 		claims[i] = *claim
@@ -181,7 +181,7 @@
 	return claims
 }
 
-// storeClaims keeps what partners have had and are owed after a distribution, and returns how many tokens are still waited for.
+// storeClaims saves the partners' claims after a distribution and returns how many tokens are still waited for.
 func (l *leader) storeClaims(claims []budget.Claim) (waiting int) {
 	for i, partner := range l.terms.Partners {
 		claim := l.claims[partner.Name]
@@ -192,8 +192,8 @@
 	return waiting
 }
 
-// leastBeyondFloor is what the partner that has had least beyond its floor, of those that want tokens, has had. Who wants again
-// after a while counts as if it had had as little, and not less.
+// leastBeyondFloor returns the lowest BeyondFloor of the partners that want tokens. A partner that wants tokens again after a
+// pause is raised to this value, so that it cannot make up for tokens it did not want.
 func leastBeyondFloor(claims []budget.Claim) float64 {
 	least := math.Inf(1)
 	for _, claim := range claims {
@@ -202,29 +202,29 @@
 		}
 	}
 	if math.IsInf(least, 1) {
-		return 0 // nobody wants any
+		return 0 // no partner wants tokens
 	}
 	return least
 }
 
-// grant adds up to n tokens to the request of the partner's gateway whose turn it is, and says how many: requests for returning
-// clients go first.
+// grant adds up to n tokens to one request of the partner, of the least recently served gateway first, and returns how many.
+// Tokens for retries go first.
 func (l *leader) grant(partner string, n int) int {
-	for _, returningOnly := range []bool{true, false} {
+	for _, retriesOnly := range []bool{true, false} {
 		for i, gateway := range l.serviceOrder {
-			p := l.pending[gateway]
-			if gateway.Partner != partner || p == nil {
+			request := l.pending[gateway]
+			if gateway.Partner != partner || request == nil {
 				continue
 			}
-			limit := p.wanted
-			if returningOnly {
-				limit = min(p.wanted, p.retries)
+			limit := request.wanted
+			if retriesOnly {
+				limit = min(request.wanted, request.retries)
 			}
-			if p.granted >= limit {
+			if request.granted >= limit {
 				continue
 			}
-			n = min(n, limit-p.granted)
-			p.granted += n
+			n = min(n, limit-request.granted)
+			request.granted += n
 			l.moveToEnd(i)
 			return n
 		}
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -12,92 +12,92 @@
 
 // Times and bounds of a limiter.
 const (
-	// leaderInterval is how often a candidate looks at its term, and a leader distributes tokens.
+	// leaderInterval is how often a candidate checks its term and a leader distributes tokens.
 	leaderInterval = 10 * time.Millisecond
-	// leaseRequestInterval is the pause between two requests to the leader while one more may be of use, and the shortest time that a
-	// waiting request waits for a token.
+	// leaseRequestInterval is the pause between lease requests while tokens are short or surplus or no leader is known. It is
+	// also the shortest time that a queued request waits for a token.
 	leaseRequestInterval = 20 * time.Millisecond
 	// rateInterval is the shortest time over which rates are measured.
 	rateInterval = 100 * time.Millisecond
-	// rateDecay is the time constant in which measured rates fade.
+	// rateDecay is the time constant of the moving averages.
 	rateDecay = 2 * time.Second
-	// returnGrace is how late a client may return after its advised time and still go before others.
+	// retryGrace is how long after its advised time a retry still has priority.
 	retryGrace = 500 * time.Millisecond
-	// returnReserve is how long after that time a token is kept for it.
+	// retryReserve is how long after its advised time a token is reserved for a retry.
 	retryReserve = 100 * time.Millisecond
-	// maxRetryAfter is the longest time that a rejected client is asked to wait.
+	// maxRetryAfter is the longest delay that a rejected client is advised.
 	maxRetryAfter = 2 * time.Second
-	// maxTokensPerRequest bounds what one request to the leader may ask for.
+	// maxTokensPerRequest is the most tokens that one lease request asks for or is granted.
 	maxTokensPerRequest = 100_000
 )
 
-// Options are what a Limiter is made of; all but To's result are required.
+// Options configure a Limiter; all fields are required.
 type Options struct {
 	Budget Budget
 	Self   peering.GatewayID
-	LinkTo func(peering.GatewayID) *peering.Link // the link to a gateway; nil: there is none
+	LinkTo func(peering.GatewayID) *peering.Link // the link to a gateway; nil if there is none
 	Now    func() time.Duration                  // monotonic time
 	Log    *slog.Logger
 }
 
-// Limiter is a gateway's part in one quota: the token leases that it holds and, where it is a candidate, its part in the
-// election and the token bucket. Its methods may be called by several goroutines at once.
+// Limiter enforces one quota at a gateway. It keeps the gateway's token leases and, at a candidate, takes part in the election
+// and keeps the token bucket. Its methods are safe for concurrent use.
 type Limiter struct {
 	options Options
-	ctx     context.Context // of the tasks; ended by Close
+	ctx     context.Context // for the tasks; canceled by Close
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
-	wake    chan struct{} // has runRequester go on at once
+	wake    chan struct{} // ends runRequester's pause
 
 	mu               sync.Mutex
-	leases           []tokenLease // by their end, the first first
-	available        int          // tokens of all leases
+	leases           []tokenLease // sorted by expiry, earliest first
+	available        int          // tokens in all leases
 	waiters          []*waiter
 	scheduledRetries []scheduledRetry
 	rates            rates
 	counts           Counts
 
-	// What the last grants said.
-	term        uint64        // the highest of a leader
-	leaderName  string        // partner/gateway; empty: not known
-	leaderTime  time.Duration // the leader's clock, as its last grant had it
-	lastGrantAt time.Duration // when that came; 0: never
-	nextTokenIn time.Duration // the leader's, until there may be a token
+	// State from the latest grants.
+	term        uint64        // highest term of a leader
+	leaderName  string        // partner/gateway; empty if unknown
+	leaderTime  time.Duration // the leader's clock at its last grant
+	lastGrantAt time.Duration // when that grant arrived; 0 if none has
+	nextTokenIn time.Duration // the leader's estimate of when a token may be available
 
-	// The own part of the partner's floor, which is drawn while no leader is reached.
-	waivedUntil   time.Duration // before that the leader may have lent it to others
-	floorTokens   float64       // that may be drawn of it, at most one
-	floorFilledAt time.Duration // until when they were counted
+	// This gateway's share of its partner's floor, drawn from while no leader is reachable.
+	waivedUntil   time.Duration // until then the leader may lend the share to others
+	floorTokens   float64       // available from the share, at most 1
+	floorFilledAt time.Duration // when floorTokens was last refilled
 
-	leader *leader // nil: this gateway is no candidate
+	leader *leader // nil if this gateway is not a candidate
 }
 
-// Counts are those of a limiter since it was made.
+// Counts are a limiter's counters since it was created.
 type Counts struct {
 	Drawn         int64 `json:"drawn"`         // requests that drew a token
-	Rejected      int64 `json:"refused"`       // requests that did not
-	OwnFloor      int64 `json:"own_floor"`     // draws of the own floor, while no leader was reached
-	Wasted        int64 `json:"wasted"`        // tokens whose lease ended unused
+	Rejected      int64 `json:"refused"`       // requests that drew none
+	OwnFloor      int64 `json:"own_floor"`     // draws from the gateway's share of the floor, while no leader was reachable
+	Wasted        int64 `json:"wasted"`        // tokens unused when their lease expired
 	Granted       int64 `json:"given"`         // tokens that the leader granted
-	Unbounded     int64 `json:"uncounted"`     // draws without a bound, while no leader was reached
-	Elected       int64 `json:"elected"`       // terms that this gateway was elected leader for
-	OnTimeRetries int64 `json:"taken_at_time"` // draws of clients that returned at the time that they were advised
-	Undone        int64 `json:"undone"`        // draws that were undone, for nothing of the request was begun
+	Unbounded     int64 `json:"uncounted"`     // draws without a bound, while no leader was reachable
+	Elected       int64 `json:"elected"`       // terms for which this gateway was elected leader
+	OnTimeRetries int64 `json:"taken_at_time"` // draws by clients that retried at the advised time
+	Undone        int64 `json:"undone"`        // draws undone because the request was not started
 }
 
-// Status is what a limiter does at one moment.
+// Status is a snapshot of a limiter.
 type Status struct {
 	Counts
-	Leader          string        `json:"keeper,omitempty"` // partner/gateway; empty: not known
+	Leader          string        `json:"keeper,omitempty"` // partner/gateway; empty if unknown
 	Term            uint64        `json:"term,omitempty"`
-	IsLeader        bool          `json:"mine,omitempty"` // this gateway is the leader
-	Partitioned     bool          `json:"cut,omitempty"`  // no leader is reached
-	Available       int           `json:"held"`           // tokens that may be drawn
-	GrantAge        time.Duration `json:"age,omitempty"`  // of the leader's last grant
-	GrantedAsLeader int64         `json:"gave,omitempty"` // tokens that this gateway granted as leader
+	IsLeader        bool          `json:"mine,omitempty"` // whether this gateway is the leader
+	Partitioned     bool          `json:"cut,omitempty"`  // whether no leader is reachable
+	Available       int           `json:"held"`           // tokens available to draw
+	GrantAge        time.Duration `json:"age,omitempty"`  // time since the leader's last grant
+	GrantedAsLeader int64         `json:"gave,omitempty"` // tokens granted by this gateway as leader
 }
 
-// New returns a limiter that requests tokens and, where it may, campaigns for the quota's leadership, until Close.
+// New starts a limiter. Until Close it requests tokens and, if this gateway is a candidate, campaigns for leadership.
 func New(o Options) *Limiter {
 	now := o.Now()
 	l := &Limiter{
@@ -112,14 +112,14 @@
 	return l
 }
 
-// Close ends all tasks and returns once they have ended.
+// Close stops all tasks and waits for them to end.
 func (l *Limiter) Close() {
 	l.cancel()
 	l.tasks.Wait()
 }
 
-// Change has other terms hold from now on; the candidates must be the same (SameCandidates). Tokens that are out are used or
-// end with their leases.
+// SetBudget replaces the budget. The candidates must stay the same (SameCandidates). Tokens already leased stay valid until
+// their leases expire.
 func (l *Limiter) SetBudget(b Budget) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,14 +129,14 @@
 	}
 }
 
-// SameCandidates says whether a budget has the same candidates as the limiter's.
+// SameCandidates reports whether b has the same candidates, in the same order, as the limiter's budget.
 func (l *Limiter) SameCandidates(b Budget) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Equal(l.options.Budget.Candidates, b.Candidates)
 }
 
-// Status returns what the limiter does now.
+// Status returns a snapshot of the limiter.
 func (l *Limiter) Status() Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// newTestLimiter returns a limiter that is the only candidate, with a clock that the test sets. It is closed with the test.
+// newTestLimiter returns a limiter that is the only candidate and takes its time from now. It is closed at the end of the test.
 func newTestLimiter(t testing.TB, terms budget.Terms, now func() time.Duration) *Limiter {
 	t.Helper()
 	l := New(Options{
@@ -25,14 +25,13 @@
 	return l
 }
 
-// A limiter that is its own leader draws what the quota allows. A rejected client is advised when to return, and one that
-// returns then is admitted.
+// A rejected client is advised when to retry, and a retry at that time is admitted.
 func TestRetryAtAdvisedTimeIsAdmitted(t *testing.T) {
-	begin := time.Now()
+	start := time.Now()
 	b := terms(20, 3, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
 	b.Fallback = budget.Closed
-	limiter := newTestLimiter(t, b, func() time.Duration { return time.Since(begin) })
-	testpeer.Until(t, "the leader", func() bool { return limiter.Status().IsLeader })
+	limiter := newTestLimiter(t, b, func() time.Duration { return time.Since(start) })
+	testpeer.Until(t, "the limiter is the leader", func() bool { return limiter.Status().IsLeader })
 	admitted := 0
 	for i := 0; admitted < 20; i++ {
 		id := fmt.Sprint("c", i)
@@ -41,7 +40,7 @@
 			continue
 		}
 		if retry <= 0 || retry > maxRetryAfter {
-			t.Fatalf("advised to return after %v, want more than 0 and at most %v", retry, maxRetryAfter)
+			t.Fatalf("advised to retry after %v, want more than 0 and at most %v", retry, maxRetryAfter)
 		}
 		if retry < maxRetryAfter {
 			time.Sleep(retry)
@@ -51,11 +50,11 @@
 		}
 	}
 	if s := limiter.Status(); s.OnTimeRetries == 0 {
-		t.Errorf("no draw of a returning client was counted: %+v", s)
+		t.Errorf("no draw of a retry at the advised time was counted: %+v", s)
 	}
 }
 
-// The token of a draw that is undone may be drawn again until its lease ends, and once only.
+// The token of an undone draw can be drawn once more, until its lease expires.
 func TestUndoReturnsToken(t *testing.T) {
 	now := time.Second
 	b := Budget{Terms: terms(10, 10, budget.Partner{Name: "a", Weight: 1, Gateways: 1})}
@@ -74,52 +73,53 @@
 	}
 	first, second := draw(), draw()
 	if first == 0 || second == 0 || draw() != 0 {
-		t.Fatal("two tokens are not two draws")
+		t.Fatal("two leased tokens did not allow exactly two draws")
 	}
 	limiter.Undo(second)
 	limiter.Undo(first)
 	if again := draw(); again != first {
-		t.Errorf("the token that ends first is not used first: %v", again)
+		t.Errorf("drew the token that expires at %v, want the one that expires first", again)
 	}
 	now = 3 * time.Second
 	if draw() != 0 {
-		t.Error("a token was used after its time")
+		t.Error("a token was drawn after its lease expired")
 	}
 	limiter.Undo(first)
 	limiter.Undo(0)
 	if draw() != 0 || limiter.counts.Undone != 3 {
-		t.Errorf("a draw was undone after its time: %+v", limiter.counts)
+		t.Errorf("Undo after the lease expired made a token available or was not counted: %+v", limiter.counts)
 	}
 }
 
 // BenchmarkDraw draws from a limiter that has tokens.
 func BenchmarkDraw(b *testing.B) {
 	t := terms(1e6, 1e6, budget.Partner{Name: "a", Weight: 1, Gateways: 1})
-	begin := time.Now()
-	limiter := &Limiter{options: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(begin) }}, wake: make(chan struct{}, 1)}
+	start := time.Now()
+	limiter := &Limiter{options: Options{Budget: Budget{Terms: t}, Now: func() time.Duration { return time.Since(start) }}, wake: make(chan struct{}, 1)}
 	limiter.leases, limiter.available = []tokenLease{{1 << 60, time.Hour}}, 1<<60
 	ctx := b.Context()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		if t, _ := limiter.Draw(ctx, "x", ""); t == 0 {
-			b.Fatal("refused")
+			b.Fatal("draw rejected although tokens are available")
 		}
 	}
 }
 
-// A budget may change while the limiter campaigns and asks for tokens: each of them goes on by the budget that it began with.
+// A budget may change while the limiter campaigns and requests tokens: each campaign and lease request continues with the
+// budget that it started with.
 func TestBudgetChangesWhileTokensAreRequested(t *testing.T) {
-	begin := time.Now()
+	start := time.Now()
 	b := Budget{
 		Terms:      terms(1000, 100, budget.Partner{Name: "a", Weight: 1, Gateways: 1}),
-		Candidates: []Candidate{{"a", "unreachable"}, {"a", "g"}, {"a", "unreachable too"}},
+		Candidates: []Candidate{{"a", "unreachable"}, {"a", "g"}, {"a", "also unreachable"}},
 	}
 	limiter := New(Options{
 		Budget: b,
 		Self:   peering.GatewayID{Partner: "a", Name: "g"},
 		LinkTo: func(peering.GatewayID) *peering.Link { return nil },
-		Now:    func() time.Duration { return time.Since(begin) },
+		Now:    func() time.Duration { return time.Since(start) },
 		Log:    slog.New(slog.DiscardHandler),
 	})
 	defer limiter.Close()
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,35 +6,35 @@
 	"damsontrestle/internal/peering"
 )
 
-// Topics of the messages between gateways; their names are part of the wire.
+// Topics of the messages between gateways. Their names are part of the wire protocol.
 const (
 	topicLease = "quota.ask"
 	topicVote  = "quota.vote"
 )
 
-// leaseRequest asks the leader of a quota for tokens, and waives the sender's floor.
+// leaseRequest requests tokens from the leader of a quota and waives the sender's share of its partner's floor.
 type leaseRequest struct {
 	Quota       string        `cbor:"1,keyasint"`
 	Wanted      int           `cbor:"2,keyasint"`           // tokens
-	Retries     int           `cbor:"3,keyasint,omitempty"` // of them, for clients that return at the time that they were advised
-	Returned    int           `cbor:"4,keyasint,omitempty"` // tokens that are given back unused
-	Term        uint64        `cbor:"5,keyasint"`           // of the grant that LeaderTime is of
-	LeaderTime  time.Duration `cbor:"6,keyasint"`           // the leader's clock, as its last grant had it; 0: there was none
-	WaivedFloor float64       `cbor:"7,keyasint,omitempty"` // requests a second: the sender's own part, which this message waives
-	Wait        time.Duration `cbor:"8,keyasint"`           // the longest time to the reply, whether there are tokens or not
+	Retries     int           `cbor:"3,keyasint,omitempty"` // of Wanted, for clients that retry at the advised time
+	Returned    int           `cbor:"4,keyasint,omitempty"` // unused tokens that are returned
+	Term        uint64        `cbor:"5,keyasint"`           // of the grant that LeaderTime comes from
+	LeaderTime  time.Duration `cbor:"6,keyasint"`           // the leader's clock at its last grant; 0 if there was none
+	WaivedFloor float64       `cbor:"7,keyasint,omitempty"` // requests per second: the sender's share, waived by this message
+	Wait        time.Duration `cbor:"8,keyasint"`           // longest time until the reply, whether there are tokens or not
 }
 
-// leaseGrant is the reply to a leaseRequest. Unless IsLeader is set only Leader counts.
+// leaseGrant is the reply to a leaseRequest. Unless IsLeader is set, only Leader is valid.
 type leaseGrant struct {
-	Leader      string        `cbor:"1,keyasint"` // partner/gateway, as far as the sender knows
-	IsLeader    bool          `cbor:"2,keyasint"` // the sender is the leader
+	Leader      string        `cbor:"1,keyasint"` // partner/gateway, if known to the sender
+	IsLeader    bool          `cbor:"2,keyasint"` // whether the sender is the leader
 	Term        uint64        `cbor:"3,keyasint"`
 	LeaderTime  time.Duration `cbor:"4,keyasint"` // the leader's clock when the request arrived
 	Granted     int           `cbor:"5,keyasint"` // tokens
-	NextTokenIn time.Duration `cbor:"6,keyasint"` // until there may be a token, where fewer than wanted were granted
+	NextTokenIn time.Duration `cbor:"6,keyasint"` // until a token may be available, if fewer than wanted were granted
 }
 
-// voteRequest asks a candidate for its vote for a term.
+// voteRequest requests a candidate's vote for a term.
 type voteRequest struct {
 	Quota string `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
@@ -43,11 +43,11 @@
 // voteReply is the reply to a voteRequest.
 type voteReply struct {
 	Granted bool   `cbor:"1,keyasint"`
-	Term    uint64 `cbor:"2,keyasint"` // the highest that the voter has heard of
+	Term    uint64 `cbor:"2,keyasint"` // highest term seen by the sender
 }
 
-// Topics returns the handlers by which other gateways reach the limiters of this one. limiterOf finds a limiter by the name of
-// its quota; a request for a quota without one gets an empty reply.
+// Topics returns the handlers of requests from other gateways. limiterOf returns the limiter of a quota by the quota's name; if
+// it returns nil, the reply is empty.
 func Topics(limiterOf func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
 		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, reply func(leaseGrant)) {
--- a/internal/quota/rates.go
+++ b/internal/quota/rates.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// rates measure how many requests come and how many tokens are granted, each a second, as moving averages.
+// rates keeps moving averages of the rates of incoming requests and of granted tokens.
 type rates struct {
-	requests float64 // a second
-	tokens   float64 // a second
+	requests float64 // per second
+	tokens   float64 // per second
 
-	measuredAt    time.Duration // until when both were measured
-	requestsSince int           // then
-	tokensSince   int           // then
+	measuredAt    time.Duration // time of the last measurement
+	requestsSince int           // requests since measuredAt
+	tokensSince   int           // tokens since measuredAt
 }
 
-// measure takes what was counted since the last measure into the averages.
+// measure adds the counts since the last measurement to the averages.
 func (r *rates) measure(now time.Duration) {
 	elapsed := now - r.measuredAt
 	if elapsed <= rateInterval {
--- a/internal/quota/requests.go
+++ b/internal/quota/requests.go
@@ -9,10 +9,10 @@
 	"damsontrestle/internal/clock"
 )
 
-// minDemand is the rate of requests, a second, below which no token is leased in advance.
+// minDemand is the request rate, per second, up to which no token is leased in advance.
 const minDemand = 0.05
 
-// wakeRequester has runRequester go on without the rest of its pause.
+// wakeRequester ends the pause of runRequester early.
 func (l *Limiter) wakeRequester() {
 	select {
 	case l.wake <- struct{}{}:
@@ -20,8 +20,9 @@
 	}
 }
 
-// tokensNeeded is how many tokens to request now: for requests that wait, for clients that return soon, and for requests that are
-// likely to come before the next grant. Negative: so many of the leased ones are not needed. The caller holds mu.
+// tokensNeeded returns how many tokens to request now: for queued requests, for retries that are due soon, and for requests
+// expected before the next grant. A negative result is the number of leased tokens that are not needed. The caller must hold
+// mu.
 func (l *Limiter) tokensNeeded(now time.Duration) int {
 	l.rates.measure(now)
 	n := len(l.waiters) + l.expectedRetries(now)
@@ -30,12 +31,12 @@
 	case forecast >= 1:
 		n += int(math.Round(forecast))
 	case l.options.Budget.Wait <= 0 && l.rates.requests > minDemand:
-		n++ // a request that can't wait needs a token that is there
+		n++ // requests may not wait, so one token is kept available
 	}
 	return min(maxTokensPerRequest, n-l.available)
 }
 
-// expectedReturns is how many advised clients return before the next grant. The caller holds mu.
+// expectedRetries returns how many scheduled retries are due before the next grant. The caller must hold mu.
 func (l *Limiter) expectedRetries(now time.Duration) int {
 	n := 0
 	for _, b := range l.scheduledRetries {
@@ -46,41 +47,41 @@
 	return n
 }
 
-// runRequester requests tokens of the leader until Close: at once when requests wait or tokens run low, else from time to
-// time, so that the leader knows that this gateway's floor is not needed.
+// runRequester requests tokens from the leader until Close: immediately when requests are queued or tokens run low, otherwise
+// periodically, to keep this gateway's floor waived.
 func (l *Limiter) runRequester() {
-	next := 0 // of the candidates, while no leader is known
+	nextCandidate := 0 // index of the candidate to try while no leader is known
 	for l.ctx.Err() == nil {
 		l.mu.Lock()
 		now := l.options.Now()
 		lease := l.options.Budget.Lease
-		m := l.newLeaseRequest(now)
-		to := l.leaderName
+		request := l.newLeaseRequest(now)
+		leader := l.leaderName
 		candidates := l.options.Budget.Candidates
 		l.mu.Unlock()
-		if to == "" && len(candidates) > 0 {
-			to = candidates[next%len(candidates)].id().String()
-			next++
+		if leader == "" && len(candidates) > 0 {
+			leader = candidates[nextCandidate%len(candidates)].id().String()
+			nextCandidate++
 		}
-		grant, ok := l.requestFrom(to, candidates, m, lease)
-		byLeader := ok && grant.IsLeader
+		grant, ok := l.requestFrom(leader, candidates, request, lease)
+		fromLeader := ok && grant.IsLeader
 		l.mu.Lock()
-		l.applyGrant(now, grant, ok, to)
-		pause := l.pauseAfter(grant, byLeader)
+		l.applyGrant(now, grant, ok, leader)
+		pause := l.pauseAfter(grant, fromLeader)
 		l.mu.Unlock()
 		if pause > 0 {
-			l.waitForDemand(pause, byLeader)
+			l.waitForDemand(pause, fromLeader)
 		}
 	}
 }
 
-// newLeaseRequest is the request to send now. It takes unused tokens out of the leases and waives the own floor, so that it has
-// to be sent. The caller holds mu.
+// newLeaseRequest returns the request to send now. It removes unused tokens from the leases and waives the own floor, so the
+// request must be sent. The caller must hold mu.
 func (l *Limiter) newLeaseRequest(now time.Duration) leaseRequest {
-	wanted := l.tokensNeeded(now)
-	m := leaseRequest{
+	needed := l.tokensNeeded(now)
+	request := leaseRequest{
 		Quota:       l.options.Budget.Name,
-		Wanted:      max(0, wanted),
+		Wanted:      max(0, needed),
 		Retries:     l.expectedRetries(now),
 		Term:        l.term,
 		LeaderTime:  l.leaderTime,
@@ -89,77 +90,78 @@
 	}
 	for _, w := range l.waiters {
 		if w.isRetry {
-			m.Retries++
+			request.Retries++
 		}
 	}
-	if wanted < 0 && len(l.waiters) == 0 {
-		m.Returned = l.returnUnused(-wanted, now)
+	if needed < 0 && len(l.waiters) == 0 {
+		request.Returned = l.returnUnused(-needed, now)
 	}
-	if m.LeaderTime > 0 {
-		// Whoever gets this as leader lends the floor from its stamp on, which came here before this goes out. It may do so
-		// whether its reply arrives or not.
-		_, until := budget.FloorLoanEnds(m.LeaderTime, now)
+	if request.LeaderTime > 0 {
+		// The leader that receives this may lend the floor, counted from LeaderTime, which arrived here before this request is
+		// sent. It may do so even if its reply is lost.
+		_, until := budget.FloorLoanEnds(request.LeaderTime, now)
 		l.waivedUntil = max(l.waivedUntil, until)
 	}
-	return m
+	return request
 }
 
-// pauseAfter is how long to wait after a reply before the next request, unless wakeRequester is called. The caller holds mu.
-func (l *Limiter) pauseAfter(grant leaseGrant, byLeader bool) time.Duration {
-	wanted := l.tokensNeeded(l.options.Now())
+// pauseAfter returns how long to wait after a reply before the next request; wakeRequester ends the wait early. The caller must
+// hold mu.
+func (l *Limiter) pauseAfter(grant leaseGrant, fromLeader bool) time.Duration {
+	needed := l.tokensNeeded(l.options.Now())
 	switch {
-	case !byLeader:
+	case !fromLeader:
 		return leaseRequestInterval
-	case len(l.waiters) > 0 || wanted > 0:
+	case len(l.waiters) > 0 || needed > 0:
 		if grant.Granted > 0 {
 			return 0
 		}
 		return leaseRequestInterval
-	case wanted < 0:
-		// Tokens that came too late for whoever waited are of use to others as long as their lease lasts.
+	case needed < 0:
+		// Tokens that arrived too late for the queued requests can be returned for others while their lease lasts.
 		return leaseRequestInterval
 	}
 	return budget.FloorLoan / 4
 }
 
-// waitForDemand waits for a time, or until wakeRequester is called. Without a leader a call shortens the wait to half of
-// leaseRequestInterval at least: there is nobody to hurry.
-func (l *Limiter) waitForDemand(pause time.Duration, byLeader bool) {
+// waitForDemand waits for the given time or until wakeRequester is called. Without a leader it waits another half of
+// leaseRequestInterval after such a call, since no leader could grant tokens sooner.
+func (l *Limiter) waitForDemand(pause time.Duration, fromLeader bool) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-l.ctx.Done():
 	case <-l.wake:
-		if !byLeader {
+		if !fromLeader {
 			clock.Sleep(l.ctx, leaseRequestInterval/2)
 		}
 	}
 }
 
-// requestFrom sends a request to a candidate, perhaps to this gateway itself, and waits for its reply for a lease's time at
-// most.
-func (l *Limiter) requestFrom(to string, candidates []Candidate, m leaseRequest, lease time.Duration) (grant leaseGrant, ok bool) {
+// requestFrom sends a request to a candidate, which may be this gateway itself, and waits for its reply for at most the length
+// of a lease.
+func (l *Limiter) requestFrom(to string, candidates []Candidate, request leaseRequest, lease time.Duration) (grant leaseGrant, ok bool) {
 	ctx, cancel := context.WithTimeout(l.ctx, lease)
 	defer cancel()
 	if to == l.options.Self.String() {
-		return l.requestFromSelf(ctx, m)
+		return l.requestFromSelf(ctx, request)
 	}
 	for _, candidate := range candidates {
 		if candidate.id().String() != to {
 			continue
 		}
 		if link := l.options.LinkTo(candidate.id()); link != nil {
-			return grant, link.Do(ctx, topicLease, m, &grant) == nil
+			return grant, link.Do(ctx, topicLease, request, &grant) == nil
 		}
 	}
 	return grant, false
 }
 
-// requestFromSelf has a request handled by this gateway's own leader.
-func (l *Limiter) requestFromSelf(ctx context.Context, m leaseRequest) (grant leaseGrant, ok bool) {
+// requestFromSelf passes a request to this gateway's own handler.
+func (l *Limiter) requestFromSelf(ctx context.Context, request leaseRequest) (grant leaseGrant, ok bool) {
 	reply := make(chan leaseGrant, 1)
-	l.handleLeaseRequest(l.options.Self, m, func(g leaseGrant) { reply <- g })
+	l.handleLeaseRequest(l.options.Self, request, func(g leaseGrant) { reply <- g })
 	select {
 	case grant = <-reply:
 		return grant, true
@@ -168,9 +170,9 @@
 	}
 }
 
-// applyGrant takes the reply to a request that was sent at a time. The tokens of a leader that a later one has followed are
-// void; those of the present one are leased from when they were requested, so that the lease ends here before the bucket's
-// bound counts it as over. The caller holds mu.
+// applyGrant applies the reply to a request sent at requestedAt. Tokens from a leader of an earlier term are discarded. Leases
+// start when the tokens were requested, so that a lease ends here before the bound on the bucket assumes that it has. The
+// caller must hold mu.
 func (l *Limiter) applyGrant(requestedAt time.Duration, grant leaseGrant, ok bool, from string) {
 	now := l.options.Now()
 	if !ok || !grant.IsLeader {
@@ -180,7 +182,7 @@
 		if ok && grant.Leader != from {
 			l.leaderName = grant.Leader
 		}
-		l.serveWaiters(now) // perhaps of the own floor
+		l.serveWaiters(now) // perhaps from the own floor
 		return
 	}
 	if grant.Term < l.term {
@@ -198,7 +200,7 @@
 	l.serveWaiters(now)
 }
 
-// addLease takes granted tokens, unless their lease is over already. The caller holds mu.
+// addLease adds granted tokens, unless their lease has already expired. The caller must hold mu.
 func (l *Limiter) addLease(lease tokenLease, now time.Duration) {
 	l.counts.Granted += int64(lease.tokens)
 	l.rates.tokensSince += lease.tokens
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -8,21 +8,22 @@
 	"damsontrestle/internal/budget"
 )
 
-// tokenLease are tokens that were granted together.
+// tokenLease is a number of tokens that were granted together and expire together.
 type tokenLease struct {
 	tokens int
 	until  time.Duration
 }
 
-// Token is one draw: the monotonic time until which it may be used for another request, where nothing of its own was begun. 0
-// stands for none.
+// Token identifies one draw by the monotonic time until which it may be reused for another request if its own was not started
+// (Limiter.Undo). 0 means that no token was drawn.
 type Token time.Duration
 
-// tokenWithoutLease is the Token of a draw that is of no use to another request: the own floor refills by itself.
+// tokenWithoutLease is the Token of a draw without a lease, which Undo does not return: the own floor refills over time, and
+// draws under the open fallback are unbounded.
 const tokenWithoutLease Token = 1
 
-// takeToken takes a token, if there is one: of a lease or, while no leader is reached, as the quota's fallback has it. The caller
-// holds mu.
+// takeToken takes a token from a lease or, while no leader is reachable, by the quota's fallback. It returns 0 if there is
+// none. The caller must hold mu.
 func (l *Limiter) takeToken(now time.Duration) Token {
 	if t := l.takeLeased(now); t != 0 {
 		return t
@@ -42,7 +43,7 @@
 	return 0
 }
 
-// takeLeased takes a token of the lease that ends first, and drops leases that have ended. The caller holds mu.
+// takeLeased takes a token from the lease that expires first and drops expired leases. The caller must hold mu.
 func (l *Limiter) takeLeased(now time.Duration) Token {
 	for len(l.leases) > 0 {
 		lease := &l.leases[0]
@@ -63,10 +64,12 @@
 	return 0
 }
 
-// isPartitioned says that no leader has granted for so long that the own floor is no longer waived. The caller holds mu.
+// isPartitioned reports whether no leader has replied to a lease request for so long that the own floor is no longer waived.
+// The caller must hold mu.
 func (l *Limiter) isPartitioned(now time.Duration) bool { return now >= l.waivedUntil }
 
-// ownFloor is this gateway's part of its partner's floor, in requests a second. The caller holds mu.
+// ownFloor returns this gateway's share of its partner's floor in requests per second, or 0 unless the fallback is the floor.
+// The caller must hold mu.
 func (l *Limiter) ownFloor() float64 {
 	if l.options.Budget.Fallback != budget.Floor {
 		return 0
@@ -79,8 +82,8 @@
 	return 0
 }
 
-// takeFloorToken takes a token of the own floor, which has refilled to one request at most since the floor was last waived. The
-// caller holds mu.
+// takeFloorToken takes a token from the own floor, which refills up to one token since the floor was last waived. The caller
+// must hold mu.
 func (l *Limiter) takeFloorToken(now time.Duration) Token {
 	from := max(l.floorFilledAt, l.waivedUntil)
 	if now > from {
@@ -95,8 +98,8 @@
 	return tokenWithoutLease
 }
 
-// Undo returns the draw of a request of which nothing was begun: another request may use its token until its lease ends. Who
-// drew it calls this once at most.
+// Undo returns the token of a request that was not started; another request may use it until its lease expires. The caller must
+// undo a draw at most once.
 func (l *Limiter) Undo(t Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +118,8 @@
 	l.serveWaiters(now)
 }
 
-// returnUnused takes up to n tokens out of the leases, of those that end last first, and says how many: they go back to the
-// leader. The caller holds mu.
+// returnUnused removes up to n tokens from the leases to return them to the leader, latest expiry first, and reports how many.
+// The caller must hold mu.
 func (l *Limiter) returnUnused(n int, now time.Duration) int {
 	returned := 0
 	for returned < n && len(l.leases) > 0 {
@@ -124,10 +127,10 @@
 		if now >= last.until {
 			break
 		}
-		some := min(n-returned, last.tokens)
-		last.tokens -= some
-		l.available -= some
-		returned += some
+		take := min(n-returned, last.tokens)
+		last.tokens -= take
+		l.available -= take
+		returned += take
 		if last.tokens == 0 {
 			l.leases = l.leases[:len(l.leases)-1]
 		}
--- a/internal/routeexchange/adjribin.go
+++ b/internal/routeexchange/adjribin.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Source is where a table as received came from: one link, to one incarnation of a partner's gateway.
+// Source identifies the sender of a received table: one incarnation of a partner's gateway.
 type Source struct {
 	Partner, Gateway string
 	Incarnation      uint64
 }
 
-// incarnationEnd is what was known when a gateway's last link ended.
+// incarnationEnd records the state of a partner's advertisements when the last link to an incarnation of a gateway ended.
 type incarnationEnd struct {
-	maxVersion uint64 // version of the partner's own advertisements, from any gateway of its
+	maxVersion uint64 // highest version of the partner's own advertisements, from any of its gateways
 	at         time.Time
 }
 
-// incarnationEndRetention is how long a gateway that comes back is known to have begun anew since.
+// incarnationEndRetention is how long an incarnationEnd is kept, for raiseVersions to recognize a gateway that has restarted.
 const incarnationEndRetention = 10 * time.Minute
 
-// replace takes the complete table of a source in place of what it told before.
+// replace sets the complete table of a source. It replaces the source's previous table, those of other incarnations of its
+// gateway, and any stale tables of its partner.
 func (t *Table) replace(source Source, advertisements []Advertisement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	affected := map[ID]bool{}
-	for other, table := range t.adjRIBsIn { // an older incarnation's, and what was kept as stale
+	for other, table := range t.adjRIBsIn { // the previous table, other incarnations', and stale ones
 		if other.Partner == source.Partner && (other.Gateway == source.Gateway || !t.staleSince[source.Partner].IsZero()) {
 			for id := range table {
 				affected[id] = true
 			}
 			if other == source {
-				continue // it tells its table once more
+				continue // the source resends its table; not a new incarnation
 			}
 			if other.Gateway == source.Gateway {
 				t.recordIncarnationEnd(other)
@@ -46,13 +47,13 @@
 	t.reselect(affected)
 }
 
-// update takes what a source tells beyond its table.
+// update applies an incremental change to the table of a source.
 func (t *Table) update(source Source, put []Advertisement, withdrawn []ID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	table := t.adjRIBsIn[source]
 	if table == nil {
-		return // its complete table has not come
+		return // the complete table has not arrived yet
 	}
 	affected := map[ID]bool{}
 	for _, id := range withdrawn {
@@ -63,8 +64,8 @@
 	t.reselect(affected)
 }
 
-// importAll takes advertisements of a source into its Adj-RIB-In, as far as they are well formed and import rules let them in; the
-// others are counted and take nothing else's place. The caller holds mu.
+// importAll adds a source's advertisements to its Adj-RIB-In if they are well formed and the import rules accept them. The
+// others are counted as rejected and displace no other advertisement. The caller must hold mu.
 func (t *Table) importAll(source Source, list []Advertisement, affected map[ID]bool) {
 	now := t.now()
 	table := t.adjRIBsIn[source]
@@ -83,7 +84,7 @@
 	}
 }
 
-// checkImport says why an advertisement of a source is not taken; empty: it is. The caller holds mu.
+// checkImport returns why an advertisement of a source is rejected, or "" if it is accepted. The caller must hold mu.
 func (t *Table) checkImport(source Source, adv *Advertisement, now time.Time) string {
 	neighbour, known := t.policy.Neighbours[source.Partner]
 	if !known {
@@ -100,7 +101,7 @@
 	return CheckImport(adv, t.policy.Self, neighbour.Import, others, now)
 }
 
-// countRejected counts an advertisement of a partner that was not taken. The caller holds mu.
+// countRejected counts a rejected advertisement of a partner. The caller must hold mu.
 func (t *Table) countRejected(partner, reason string) {
 	if t.rejected[partner] == nil {
 		t.rejected[partner] = map[string]int{}
@@ -108,8 +109,8 @@
 	t.rejected[partner][reason]++
 }
 
-// PeerDown says that a link has ended. The table that came over it goes, unless it was the last one of its partner: then it stays
-// as stale for a while.
+// PeerDown handles the end of the last link to a source. The source's table is removed, unless it is the last table of its
+// partner: then it is marked stale and kept for Policy.StaleTime.
 func (t *Table) PeerDown(source Source) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,13 +132,13 @@
 	t.staleSince[source.Partner] = t.now()
 }
 
-// removeSource drops the table of a source. The caller holds mu.
+// removeSource removes the table of a source. The caller must hold mu.
 func (t *Table) removeSource(s Source) {
 	delete(t.adjRIBsIn, s)
 	delete(t.versionOffsets, s)
 }
 
-// recordIncarnationEnd notes what was known when a gateway's life ended. The caller holds mu.
+// recordIncarnationEnd records the end of a gateway's incarnation. The caller must hold mu.
 func (t *Table) recordIncarnationEnd(source Source) {
 	end := incarnationEnd{at: t.now()}
 	for other, table := range t.adjRIBsIn {
@@ -150,10 +151,11 @@
 	t.incarnationEnds[[2]string{source.Partner, source.Gateway}] = end
 }
 
-// raiseVersions has a gateway's new incarnation tell higher versions than its partner had told before. A version is the wall time at
-// which a gateway began to go by a rule: where its clock was set back between two of its lives, its newest rule would look
-// older than what the others of its group still go by. A life that began after a version was told has none so low. The client
-// holds mu.
+// raiseVersions offsets the versions that a restarted gateway advertises, so that they are higher than those its partner had
+// advertised when the gateway's last incarnation ended. A version is the wall time at which a gateway began to apply a rule. If
+// its clock was set back between two incarnations, its newest rule would look older than those that the partner's other
+// gateways still apply. Without a clock step, an incarnation that started after a version was advertised has no version as low.
+// The caller must hold mu.
 func (t *Table) raiseVersions(source Source, all []Advertisement) {
 	key := [2]string{source.Partner, source.Gateway}
 	end, known := t.incarnationEnds[key]
--- a/internal/routeexchange/adjribout.go
+++ b/internal/routeexchange/adjribout.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// export is the best route of an advertisement as it is told to a neighbour. The caller holds mu.
+// export returns the best route to a destination as it is advertised to a neighbour, or why it is not advertised. The caller
+// must hold mu.
 func (t *Table) export(d *destination, to string, now time.Time) (Advertisement, string) {
 	if d.best == nil {
 		return Advertisement{}, "there is no way"
@@ -14,7 +15,8 @@
 	return CheckExport(d.best.Advertisement, t.policy.Self, to, d.best.Own, transit, now)
 }
 
-// AdjRIBOut is the table that a neighbour is told now, and what tells of its next change.
+// AdjRIBOut returns the table that is advertised to a neighbour now, and a channel that is closed at the next change of the
+// chosen routes.
 func (t *Table) AdjRIBOut(to string) (map[ID]Advertisement, <-chan struct{}) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/routeexchange/bench_test.go
+++ b/internal/routeexchange/bench_test.go
@@ -19,7 +19,7 @@
 	return tb, all
 }
 
-// BenchmarkChoose chooses among 10,000 offers.
+// BenchmarkChoose selects a route among 10,000 advertisements.
 func BenchmarkChoose(b *testing.B) {
 	tb, _ := newLargeTable(10_000)
 	requests := make([]*Request, 1000)
@@ -29,12 +29,12 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		if _, ok := tb.Choose(requests[i%len(requests)]); !ok {
-			b.Fatal("no way")
+			b.Fatal("no route")
 		}
 	}
 }
 
-// BenchmarkChange takes 1,000 changed offers among 10,000.
+// BenchmarkChange updates 1,000 of 10,000 advertisements.
 func BenchmarkChange(b *testing.B) {
 	tb, all := newLargeTable(10_000)
 	s := Source{"p1", "g", 1}
--- a/internal/routeexchange/convergence_test.go
+++ b/internal/routeexchange/convergence_test.go
@@ -11,14 +11,14 @@
 	"damsontrestle/internal/balancer"
 )
 
-// partnerNetwork is some partners that tell one another, message by message.
+// partnerNetwork is a network of partners that exchange tables one message at a time.
 type partnerNetwork struct {
 	clock  *clock
 	tables map[string]*Table
 	names  []string
 }
 
-// step has one partner tell another, and says whether that changed anything there.
+// step sends the table of one partner to another and reports whether it changed a route there.
 func (w *partnerNetwork) step(from, to string) bool {
 	a, b := w.tables[from], w.tables[to]
 	all, _ := a.AdjRIBOut(to)
@@ -31,24 +31,24 @@
 	return b.Status().Changes != before
 }
 
-// The dispute that has no stable outcome ends in a hold, and then nothing changes any more, whatever the order of messages.
+// Cyclic preferences without a stable outcome are damped, and the routes then converge in any order of messages.
 func TestOscillatingRouteIsDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := &partnerNetwork{clock: &clock{noon}, tables: map[string]*Table{}, names: []string{"p0", "p1", "p2", "p3"}}
 		origin := policyOf("p0", nil, "p1", "p2", "p3")
 		origin.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
-		origin.Own[0].Rules.MaxHops = 2 // by way of one other, and no further
+		origin.Own[0].Rules.MaxHops = 2 // through one other partner at most
 		network.tables["p0"] = NewTable(origin, network.clock.now)
-		for i := 1; i <= 3; i++ { // each prefers the way through the next one
+		for i := 1; i <= 3; i++ { // each prefers the route through the next partner
 			next := fmt.Sprint("p", i%3+1)
 			others := []string{"p0", "p1", "p2", "p3"}
 			others = slices.DeleteFunc(others, func(n string) bool { return n == fmt.Sprint("p", i) })
 			network.tables[fmt.Sprint("p", i)] = NewTable(policyOf(fmt.Sprint("p", i), map[string]int{next: 900}, others...), network.clock.now)
 		}
 		unchangedSteps := 0
-		for n := 0; unchangedSteps < 200; n++ { // of twelve pairs one may be all that could change something
+		for n := 0; unchangedSteps < 200; n++ { // only one of the twelve pairs may still be able to change a route
 			if n > 8000 {
-				t.Fatal("it does not settle")
+				t.Fatal("routes do not converge within 8000 steps")
 			}
 			network.clock.at = network.clock.at.Add(time.Millisecond)
 			from := rapid.IntRange(0, 3).Draw(t, "from")
@@ -62,14 +62,14 @@
 		for _, name := range network.names[1:] {
 			route, ok := network.tables[name].Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 			if !ok || route.Path[len(route.Path)-1] != "p0" || slices.Contains(route.Path, name) {
-				t.Fatalf("%s goes by %+v", name, route.Route)
+				t.Fatalf("%s uses the route %+v, want a loop-free one to p0", name, route.Route)
 			}
 		}
 	})
 }
 
-// Whatever partners hear in whatever order, rules only narrow on the way, no path has a partner twice, and no request that one
-// sends by its table is refused by an owner whose rules have not changed.
+// For any order of messages, rules only narrow along a path, no path contains a partner twice, and an owner whose rules have
+// not changed rejects no request that a partner sends by its table.
 func TestRulesOnlyNarrowAlongPath(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"p0", "p1", "p2", "p3", "p4"}
@@ -104,23 +104,23 @@
 				b := r.best
 				own := rules[id]
 				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.AnyPartner && !slices.Contains(own.Partners, self) || slices.Contains(b.Path, self) {
-					t.Fatalf("%s has %+v by rules %+v", self, b.Advertisement, own)
+					t.Fatalf("%s has route %+v, which the owner's rules %+v do not allow", self, b.Advertisement, own)
 				}
-				// A request goes from table to table, as long as each still has the way that it told of.
+				// Forward a request from table to table while each still has the route that it advertised.
 				request := &Request{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
 				at, route := self, Selection{b, r}
 				for !route.Own {
 					request.Via = append(request.Via, at)
 					at = route.Path[0]
 					if len(request.Via) > 8 {
-						t.Fatalf("the call goes round: %v", request.Via)
+						t.Fatalf("the request loops: %v", request.Via)
 					}
 					next, why := network.tables[at].AdmitForwarded(id, request)
 					if why != "" {
 						if next.Route != nil && next.Own {
-							t.Fatalf("the owner refuses %v: %s, rules %+v", request.Via, why, own)
+							t.Fatalf("the owner rejects a request by way of %v: %s, rules %+v", request.Via, why, own)
 						}
-						break // the tables have not settled
+						break // the tables have not converged
 					}
 					route = next
 				}
--- a/internal/routeexchange/decision.go
+++ b/internal/routeexchange/decision.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// Damping (RFC 2439): more than maxFlaps changes of the best path within flapWindow have a destination damped for dampingTime.
+// Route damping (RFC 2439): a destination with more than maxFlaps changes of its best path within flapWindow is damped for
+// dampingTime.
 const (
 	maxFlaps    = 6
 	flapWindow  = 10 * time.Second
 	dampingTime = time.Minute
 )
 
-// destination is one advertised ID with all routes to it: an entry of the Loc-RIB.
+// destination is an entry of the Loc-RIB: an advertised ID with all routes to it.
 type destination struct {
 	id           ID
-	candidates   map[string]*Route // by neighbour; own: ""
+	candidates   map[string]*Route // by neighbour; "" is the own export
 	best         *Route
 	flaps        []time.Time
-	dampedUntil  time.Time // zero: it is not damped
+	dampedUntil  time.Time // zero if not damped
 	openRequests atomic.Int64
-	// A refusal by the owner ends a version's routes until another version comes, or until a while has passed.
+	// By neighbour: a rejection by the owner suppresses a version of the route until another version arrives or a time has
+	// passed.
 	suppressed map[string]suppression
 }
 
-// suppression ends the use of one version of a route.
+// suppression excludes one version of a route from selection.
 type suppression struct {
 	version uint64
 	until   time.Time
 }
 
-// suppressionTime is how long a route is not used whose owner refused a request by its rule.
+// suppressionTime is how long a route is not used after its owner has rejected a request by its rule.
 const suppressionTime = 5 * time.Second
 
-// destination is the one of an ID, made if it is not there. The caller holds mu.
+// destination returns the destination of an ID, creating it if needed. The caller must hold mu.
 func (t *Table) destination(id ID) *destination {
 	d := t.locRIB[id]
 	if d == nil {
@@ -45,7 +47,8 @@
 	return d
 }
 
-// Suppress ends a route whose owner refused a request by its rule, as long as no other version comes and for a while.
+// Suppress excludes a route whose owner rejected a request by its rule, until another version arrives or suppressionTime has
+// passed.
 func (t *Table) Suppress(route *Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,11 +61,11 @@
 	t.reselect(map[ID]bool{route.ID: true})
 }
 
-// indexKey is where a destination stands in the index.
+// indexKey locates a destination in the index.
 type indexKey struct{ class, prefix string }
 
-// reselect is the decision process (RFC 4271 section 9.1): it finds the best route of each destination that was touched, and its
-// place among the destinations of its prefix. The caller holds mu.
+// reselect is the decision process (RFC 4271 section 9.1). It selects the best route of each affected destination and sorts the
+// destinations that share its prefix. The caller must hold mu.
 func (t *Table) reselect(affected map[ID]bool) {
 	if len(affected) == 0 {
 		return
@@ -100,8 +103,8 @@
 	}
 }
 
-// newestAdvertisements are, by neighbour, what its gateways advertise of some destinations: the highest version of each. The
-// caller holds mu.
+// newestAdvertisements returns, by neighbour, the highest version of each affected destination that any of its gateways
+// advertises. The caller must hold mu.
 func (t *Table) newestAdvertisements(affected map[ID]bool) map[string]map[ID]*Advertisement {
 	newest := map[string]map[ID]*Advertisement{}
 	for source, table := range t.adjRIBsIn {
@@ -122,7 +125,8 @@
 	return newest
 }
 
-// setCandidates has a destination's candidates be the own one and the newest of each neighbour. The caller holds mu.
+// setCandidates sets a destination's candidates to the own export, if any, and the newest route of each neighbour. The caller
+// must hold mu.
 func (t *Table) setCandidates(d *destination, newest map[string]map[ID]*Advertisement) {
 	for neighbour := range d.candidates {
 		if neighbour != "" && newest[neighbour][d.id] == nil {
@@ -136,7 +140,7 @@
 	}
 }
 
-// bestCandidate is the best route that is not suppressed; nil: there is none.
+// bestCandidate returns the best route that is not suppressed, or nil if there is none.
 func (d *destination) bestCandidate(now time.Time) *Route {
 	var best *Route
 	for neighbour, r := range d.candidates {
@@ -150,7 +154,7 @@
 	return best
 }
 
-// flapped notes a change of the path to best, and says whether the destination is damped from now on.
+// flapped records a change of the best path and reports whether the destination is damped from now on.
 func (d *destination) flapped(best *Route, now time.Time) bool {
 	if best == nil || d.best == nil || slices.Equal(best.Path, d.best.Path) || !d.dampedUntil.IsZero() {
 		return false
@@ -163,7 +167,7 @@
 	return true
 }
 
-// dampedBest is the best of all candidates without preferences.
+// dampedBest returns the best of best and all candidates when preferences are ignored.
 func (d *destination) dampedBest(best *Route) *Route {
 	for _, r := range d.candidates {
 		if Compare(r, best, true) < 0 {
@@ -173,7 +177,8 @@
 	return best
 }
 
-// setBest takes the chosen route into the Loc-RIB and the index, and says whether neighbours are to be told. The caller holds mu.
+// setBest puts the selected route into the Loc-RIB and the index, and reports whether neighbours need an update. The caller
+// must hold mu.
 func (t *Table) setBest(d *destination, best *Route) bool {
 	if best == d.best {
 		return false
@@ -194,12 +199,13 @@
 	return a.Own == b.Own && a.Preference == b.Preference && equal(&a.Advertisement, &b.Advertisement)
 }
 
-// preferredVariant orders two words of one neighbour's on one version of an advertisement, as its gateways may tell while it changes its way.
+// preferredVariant reports whether a is preferred to b. Both are the same version of an advertisement from one neighbour, whose
+// gateways may advertise different paths while its route changes.
 func preferredVariant(a, b *Advertisement) bool {
 	return cmp.Or(cmp.Compare(len(a.Path), len(b.Path)), cmp.Compare(a.Cost, b.Cost), slices.Compare(a.Path, b.Path)) < 0
 }
 
-// removeFromIndex and list keep the advertisements by class and prefix. The caller holds mu.
+// removeFromIndex and addToIndex maintain the index of destinations by class and prefix. The caller must hold mu.
 func (t *Table) removeFromIndex(d *destination) {
 	if d.best == nil {
 		return
--- a/internal/routeexchange/doc.go
+++ b/internal/routeexchange/doc.go
@@ -1,26 +1,28 @@
-// Package routeexchange exchanges routes between partners, each under the rules of its owner, as BGP does (RFC 4271). It carries no
-// BGP.
+// Package routeexchange exchanges routes between partners, each under the rules of its owner. Its model and terms are those of
+// BGP (RFC 4271), but it does not speak the BGP protocol.
 //
-// A partner advertises what it serves: a class and a path prefix below which its servers answer, with rules on who may have the
-// advertisement, who may advertise it on, and which requests it is for. What each source has sent, as far as import rules let it
-// in, is its Adj-RIB-In; the best route of each advertisement is in the Loc-RIB; what a neighbour is sent by export rules is its
-// Adj-RIB-Out.
+// A partner advertises what it serves: a class and a path prefix, with rules on which partners may receive the advertisement,
+// whether they may advertise it further, and which requests may use it. The advertisements of each source that pass the import
+// rules are its Adj-RIB-In; the best route to each destination is in the Loc-RIB; what the export rules allow to be sent to a
+// neighbour is its Adj-RIB-Out.
 //
-// What the package promises:
+// The package guarantees:
 //
-//   - Rules only narrow on the way: an advertisement that is sent on has rules at least as strict as those that it came with, and
-//     a path that is longer by the one who sends it on (Narrow, CheckExport).
-//   - No path has a partner twice, so that no request goes round in a circle (CheckImport, CheckServe).
-//   - Where two gateways hold the same advertisements by the same file, they choose alike, whatever order the advertisements came
-//     in (Compare is a total order).
-//   - The owner's rule of now is checked once more when a request arrives (CheckServe): one that was tightened holds at that gateway
-//     from the instant of the apply, whatever others believe. Such a rejection proves that the request has not run.
-//   - What one partner sends beyond its bound, or what is malformed, is rejected and counted, and harms no other advertisement
+//   - Rules only narrow along a path. A re-advertised route has rules at least as strict as those it was received with, and its
+//     path is longer by the partner that re-advertises it (Narrow, CheckExport).
+//   - No path contains a partner twice, so requests do not loop (CheckImport, CheckServe).
+//   - Two gateways with the same advertisements and the same configuration select the same routes, in whatever order the
+//     advertisements arrived (Compare is a total order).
+//   - The owner checks its current rules again when a request arrives (CheckServe). A tightened rule is effective at that
+//     gateway as soon as it is applied, whatever other partners have received. Such a rejection proves that the request was not
+//     run.
+//   - Advertisements that are malformed or exceed a partner's limit are rejected and counted, and do not affect others
 //     (Table.importAll).
-//   - Preferences that have no stable outcome are damped: a destination whose best path changed more than maxFlaps times in
-//     flapWindow is chosen without preferences for dampingTime, which always settles (Table.reselect, docs/design/offers.md).
+//   - Preferences without a stable outcome are damped. A destination whose best path changed more than maxFlaps times in
+//     flapWindow is selected without preferences for dampingTime, which always converges (Table.reselect,
+//     docs/design/offers.md).
 //
-// Rules are plain functions, each in a file of its own; the page has them as tables, and a test plays each row. A Table holds
-// the three kinds of RIB and has no goroutine; an Exchange carries them over links. Links, and what a request does on its route,
-// are left to internal/peering and internal/gateway.
+// Rules are pure functions, each in a file of its own; the design page lists them as tables, and tests check each row. A Table
+// contains the three kinds of RIB and has no goroutine; an Exchange sends and receives them over links. Links are the concern
+// of internal/peering, the forwarding of requests that of internal/gateway.
 package routeexchange
--- a/internal/routeexchange/exchange.go
+++ b/internal/routeexchange/exchange.go
@@ -9,14 +9,14 @@
 	"damsontrestle/internal/peering"
 )
 
-// Options are what an Exchange is made of; all are required.
+// Options configure an Exchange; all fields are required.
 type Options struct {
 	Table           *Table
-	OwnGateways     func() []Gateway // this partner's gateways that are alive
-	GatewaysChanged func()           // the gateways of some partner have changed; must not block
+	OwnGateways     func() []Gateway // returns this partner's live gateways
+	GatewaysChanged func()           // called when the gateways of any partner have changed; must not block
 }
 
-// Exchange sends neighbours this gateway's Adj-RIB-Out and takes their updates, with a task for each link.
+// Exchange sends this gateway's Adj-RIB-Out to neighbours, with one goroutine per link, and applies their updates.
 type Exchange struct {
 	options Options
 	ctx     context.Context
@@ -25,13 +25,13 @@
 
 	mu             sync.Mutex
 	inbound        map[*peering.Link]*inboundState
-	cachedGateways map[string][]Gateway // by partner, what Gateways returned last
-	gatewaysValid  map[string]bool      // partners whose cachedGateways still hold
-	ownGateways    []Gateway            // this partner's, as it is sent to neighbours
-	changed        chan struct{}        // closed when the own group has changed
+	cachedGateways map[string][]Gateway // by partner, the last result of Gateways
+	gatewaysValid  map[string]bool      // partners whose cachedGateways are up to date
+	ownGateways    []Gateway            // this partner's gateways as sent to neighbours
+	changed        chan struct{}        // closed and replaced by Advertise
 }
 
-// NewExchange returns an exchange without links. It sweeps its table until Close.
+// NewExchange returns an exchange without links and sweeps its table until Close.
 func NewExchange(o Options) *Exchange {
 	x := &Exchange{
 		options:        o,
@@ -46,26 +46,26 @@
 	return x
 }
 
-// Close ends all tasks and returns once they have ended.
+// Close stops all goroutines and waits for them to end.
 func (x *Exchange) Close() {
 	x.cancel()
 	x.tasks.Wait()
 }
 
-// Topics returns the handlers by which neighbours reach the exchange.
+// Topics returns the handlers of neighbours' messages.
 func (x *Exchange) Topics() map[string]peering.Handler {
 	return map[string]peering.Handler{topicUpdate: x.handleUpdate, topicRefresh: x.handleRefresh}
 }
 
-// sweepInterval is how often what is stale is looked at, and whether the own group has changed. Of changes of the group that come
-// one upon another only the first is told at once: each is told to every neighbour's gateway here, by every gateway of the group,
-// and a group whose links flap would have all partners busy with hearing of it.
+// sweepInterval is how often the table is swept and the own gateways are checked for changes. After a change is sent, later
+// ones are held back for gatewaysInterval: every own gateway sends each change to every linked gateway of the neighbours, so
+// flapping links between own gateways would otherwise flood all partners with updates.
 const (
 	sweepInterval    = 100 * time.Millisecond
 	gatewaysInterval = 500 * time.Millisecond
 )
 
-// maintain sweeps the table and notes changes of the own group, until Close.
+// maintain sweeps the table and advertises changes of the own gateways until Close.
 func (x *Exchange) maintain() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Advertise has updates sent to neighbours: this partner's gateways, or its rules, have changed.
+// Advertise triggers updates to all neighbours after this partner's gateways or rules have changed.
 func (x *Exchange) Advertise() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -96,7 +96,7 @@
 	x.changed = make(chan struct{})
 }
 
-// LinkUp starts to send updates over a link that has come up, until the link ends. More calls for one link do nothing.
+// LinkUp starts sending updates over a new link until the link ends. Repeated calls for a link have no effect.
 func (x *Exchange) LinkUp(link *peering.Link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -110,7 +110,7 @@
 		x.mu.Lock()
 		delete(x.inbound, link)
 		delete(x.gatewaysValid, in.source.Partner)
-		// Another link to the same incarnation may go on with the same table.
+		// Another link to the same incarnation may still use the same table.
 		sameSource := false
 		for _, other := range x.inbound {
 			if other.source == in.source {
--- a/internal/routeexchange/export.go
+++ b/internal/routeexchange/export.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Transit is what this partner allows of the advertisements that it has from a neighbour, beyond their own rules.
+// Transit restricts how this partner re-advertises a neighbour's routes, in addition to their own rules.
 type Transit struct {
-	To         []string                // neighbours that it passes them on to; empty: nobody
-	Cost       int                     // that it adds
-	Replicated func(class string) bool // whether it keeps requests of a class replicated itself
+	To         []string                // neighbours to advertise them to; empty for none
+	Cost       int                     // added to their cost
+	Replicated func(class string) bool // whether this partner replicates requests of a class
 }
 
-// CheckExport is an advertisement as it is told to a neighbour, or why it is not. own: it is this partner's; else p is what this
-// partner allows of its neighbour's offers.
+// CheckExport returns an advertisement as it is advertised to the neighbour to, or why it is not. own is set for this partner's
+// own exports; transit applies to all others.
 func CheckExport(adv Advertisement, self, to string, own bool, transit Transit, now time.Time) (Advertisement, string) {
 	switch {
 	case to == self || slices.Contains(adv.Path, to):
--- a/internal/routeexchange/gateways.go
+++ b/internal/routeexchange/gateways.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// IsGatewayAlive says whether one of a partner's gateways lives, as far as the others of them that are linked here tell. Where none
-// tells any more it is not known, and counts as yes.
+// IsGatewayAlive reports whether a partner's gateway is alive according to the partner's other gateways that are linked to this
+// one. If none of them reports, the state is unknown and the gateway counts as alive.
 func (x *Exchange) IsGatewayAlive(partner, name string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -23,7 +23,8 @@
 	return !reported
 }
 
-// Gateways are a partner's that live, as those of them tell to whom there are links. The list is not to be changed.
+// Gateways returns a partner's live gateways, as reported by those that are linked to this one. The caller must not modify the
+// result.
 func (x *Exchange) Gateways(partner string) []Gateway {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -42,7 +43,7 @@
 		}
 	}
 	x.gatewaysValid[partner] = true
-	if len(gateways) == 0 { // nobody tells any more: those of before may still be there
+	if len(gateways) == 0 { // no gateway reports any longer; the earlier ones may still be alive
 		return x.cachedGateways[partner]
 	}
 	slices.SortFunc(gateways, func(a, b Gateway) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/routeexchange/import.go
+++ b/internal/routeexchange/import.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Import is what this partner takes of a neighbour's offers.
+// Import is the import policy for a neighbour's advertisements.
 type Import struct {
-	Accept     []string // prefixes below which offers must lie; empty: none is taken
-	Deny       []string // and below which they must not
+	Accept     []string // prefixes of accepted routes; empty accepts none
+	Deny       []string // prefixes of denied routes; these override Accept
 	Preference int      // higher is better
-	MaxRoutes  int      // offers
+	MaxRoutes  int      // limit of imported routes per source
 }
 
-// CheckImport says why an advertisement of a neighbour is not taken; empty: it is. held is how many others of its are.
+// CheckImport returns why an advertisement of a neighbour is rejected, or "" if it is accepted. held is the number of other
+// advertisements already imported from the same source.
 func CheckImport(adv *Advertisement, self string, rules Import, held int, now time.Time) string {
 	below := func(list []string) bool {
 		return slices.ContainsFunc(list, func(p string) bool { return strings.HasPrefix(adv.Prefix, p) })
--- a/internal/routeexchange/preference.go
+++ b/internal/routeexchange/preference.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Route is an advertisement as a neighbour tells it, with what this partner thinks of that neighbour.
+// Route is an advertisement together with this partner's preference for the neighbour that sent it.
 type Route struct {
 	Advertisement
 	Preference int
-	Own        bool // this partner serves it
+	Own        bool // whether this partner serves it
 }
 
-// Compare orders two routes of serving requests below one prefix: negative if a is the better one. It is a total order. held:
-// preferences do not count, for they have no stable outcome.
+// Compare returns a negative number if a is better than b as a route for the same prefix. It is a total order. With
+// ignorePreference, preferences do not count, because they have no stable outcome for this destination.
 func Compare(a, b *Route, ignorePreference bool) int {
 	if a.Own != b.Own {
 		if a.Own {
--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -7,27 +7,27 @@
 	"damsontrestle/internal/peering"
 )
 
-// inboundState is what has come of a neighbour's table over one link. Exchange.mu guards it.
+// inboundState is the state of receiving a neighbour's table over one link. Exchange.mu guards it.
 type inboundState struct {
 	source           Source
 	nextSerial       uint64
-	parts            receivedParts // of a table or a change whose last part has not come
+	parts            receivedParts // of a table or change whose last part has not arrived
 	digests          map[ID]uint64 // of the neighbour's advertisements
-	gateways         []Gateway     // the neighbour's gateways, as the last update had them
-	refreshRequested bool          // the neighbour asked for this partner's complete table
+	gateways         []Gateway     // the neighbour's gateways as of its last update
+	refreshRequested bool          // whether the neighbour has requested this partner's complete table
 }
 
-// receivedParts are the parts of a complete table, or of a change of one.
+// receivedParts collects the parts of a complete table or of a change to one.
 type receivedParts struct {
-	complete  []Advertisement // nil: it is a change
+	complete  []Advertisement // nil for a change
 	put       []Advertisement
 	withdrawn []ID
 }
 
-// handleUpdate takes a part of a neighbour's table. A part that does not follow the one before, or a table whose digest is not
-// the neighbour's, has the complete table requested.
+// handleUpdate handles one part of a neighbour's table. If a serial is missing or the resulting table does not match the
+// neighbour's digest, it requests the complete table.
 func (x *Exchange) handleUpdate(link *peering.Link, body []byte, _ func(any, error)) {
-	x.LinkUp(link) // its first message may come before this gateway was notified of the link
+	x.LinkUp(link) // the first message may arrive before the notification of the link
 	var m update
 	x.mu.Lock()
 	in := x.inbound[link]
@@ -47,9 +47,9 @@
 	}
 	received := in.finish()
 	matches := tableDigest(in.digests) == m.Digest
-	groupChanged := !slices.Equal(in.gateways, m.Gateways)
+	gatewaysChanged := !slices.Equal(in.gateways, m.Gateways)
 	in.gateways = m.Gateways
-	if groupChanged {
+	if gatewaysChanged {
 		delete(x.gatewaysValid, in.source.Partner)
 	}
 	x.mu.Unlock()
@@ -61,12 +61,12 @@
 	default:
 		x.options.Table.update(in.source, received.put, received.withdrawn)
 	}
-	if groupChanged {
+	if gatewaysChanged {
 		x.options.GatewaysChanged()
 	}
 }
 
-// add takes one part of a table or of a change.
+// add adds one part of a table or of a change.
 func (in *inboundState) add(m *update) {
 	if m.Serial == 0 {
 		in.parts = receivedParts{complete: []Advertisement{}}
@@ -89,14 +89,14 @@
 	in.parts.withdrawn = append(in.parts.withdrawn, m.Withdrawn...)
 }
 
-// finish returns what came with all parts, and begins anew.
+// finish returns the collected parts and resets them.
 func (in *inboundState) finish() receivedParts {
 	all := in.parts
 	in.parts = receivedParts{}
 	return all
 }
 
-// handleRefresh has the complete table told once more.
+// handleRefresh handles a neighbour's request for the complete table.
 func (x *Exchange) handleRefresh(link *peering.Link, _ []byte, _ func(any, error)) {
 	x.mu.Lock()
 	if in := x.inbound[link]; in != nil {
@@ -106,12 +106,12 @@
 	x.Advertise()
 }
 
-// RequestRefresh has every neighbour tell its complete table once more: more of it may be taken by the rules of now.
+// RequestRefresh requests the complete table from every neighbour, as changed import rules may accept more of it.
 func (x *Exchange) RequestRefresh() {
 	x.mu.Lock()
 	links := slices.Collect(maps.Keys(x.inbound))
 	x.mu.Unlock()
-	for _, l := range links {
-		l.Tell(topicRefresh, struct{}{})
+	for _, link := range links {
+		link.Tell(topicRefresh, struct{}{})
 	}
 }
--- a/internal/routeexchange/rules.go
+++ b/internal/routeexchange/rules.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Rules are what the owner of an advertisement allows, narrowed by whoever passed it on.
+// Rules are the restrictions set by the owner of an advertisement and narrowed by each partner that re-advertised it.
 type Rules struct {
-	AnyPartner      bool     `cbor:"1,keyasint,omitempty"` // any partner may have it; else
-	Partners        []string `cbor:"2,keyasint,omitempty"` // these
-	NoTransit       bool     `cbor:"3,keyasint,omitempty"` // who gets it may not pass it on
-	MaxHops         int      `cbor:"4,keyasint"`           // partners that a request may come through at most, the first client's among them
-	Effects         Effects  `cbor:"5,keyasint"`           // of the requests that may come
-	Tenants         []string `cbor:"6,keyasint,omitempty"` // only these; empty: all
-	ExcludedTenants []string `cbor:"7,keyasint,omitempty"` // but not these
-	Until           int64    `cbor:"8,keyasint,omitempty"` // Unix seconds; 0: for good
+	AnyPartner      bool     `cbor:"1,keyasint,omitempty"` // any partner may receive it
+	Partners        []string `cbor:"2,keyasint,omitempty"` // partners that may receive it, unless AnyPartner is set
+	NoTransit       bool     `cbor:"3,keyasint,omitempty"` // receivers may not re-advertise it
+	MaxHops         int      `cbor:"4,keyasint"`           // most partners that a request may pass before the origin, including its client's
+	Effects         Effects  `cbor:"5,keyasint"`           // effects of the allowed requests
+	Tenants         []string `cbor:"6,keyasint,omitempty"` // allowed tenants; empty for all
+	ExcludedTenants []string `cbor:"7,keyasint,omitempty"` // tenants that are not allowed
+	Until           int64    `cbor:"8,keyasint,omitempty"` // expiry in Unix seconds; 0 for none
 }
 
-// Narrow are rules at least as strict as both.
+// Narrow returns rules at least as strict as both a and b.
 func Narrow(a, b Rules) Rules {
 	out := Rules{AnyPartner: a.AnyPartner && b.AnyPartner, NoTransit: a.NoTransit || b.NoTransit, MaxHops: min(a.MaxHops, b.MaxHops), Effects: a.Effects & b.Effects,
 		Until: cmp.Or(min(a.Until, b.Until), max(a.Until, b.Until))}
@@ -37,7 +37,7 @@
 		out.Tenants = slices.Clone(a.Tenants)
 	default:
 		if out.Tenants = intersection(a.Tenants, b.Tenants); len(out.Tenants) == 0 {
-			out.Effects = 0 // for nobody: an empty list would mean all
+			out.Effects = 0 // allows no request: an empty list of tenants would allow all
 		}
 	}
 	out.ExcludedTenants = slices.Compact(slices.Sorted(slices.Values(slices.Concat(a.ExcludedTenants, b.ExcludedTenants))))
@@ -53,7 +53,7 @@
 	return out
 }
 
-// permits says that a partner may have an advertisement at a time.
+// permits reports whether a partner may receive an advertisement at the given time.
 func (r *Rules) permits(partner string, now time.Time) bool {
 	return (r.AnyPartner || slices.Contains(r.Partners, partner)) && (r.Until == 0 || now.Unix() < r.Until)
 }
--- a/internal/routeexchange/rules_test.go
+++ b/internal/routeexchange/rules_test.go
@@ -15,7 +15,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// parseRoute reads an advertisement, with what this partner thinks of it.
+// parseRoute parses a cell of the design page that describes a route.
 func parseRoute(spec string) (route Route, ignorePreference bool, err error) {
 	route.Advertisement = Advertisement{ID: ID{"p0", "wells"}, Version: 1, Class: "view", Prefix: "/view/wells/", Rules: Rules{MaxHops: 1, Effects: EffectsOf(balancer.Safe)}}
 	route.Preference = 100
@@ -60,7 +60,7 @@
 		case "held":
 			ignorePreference = true
 		default:
-			err = fmt.Errorf("nobody plays %q", part)
+			err = fmt.Errorf("unknown keyword in %q", part)
 		}
 		if err != nil {
 			return route, ignorePreference, err
@@ -69,7 +69,7 @@
 	return route, ignorePreference, nil
 }
 
-// parseRoutes are the advertisements of a row that compares.
+// parseRoutes parses both routes of a table row.
 func parseRoutes(t *testing.T, r spectest.Row) (one, other Route, ignorePreference bool) {
 	t.Helper()
 	one, _, errOne := parseRoute(r.At("one"))
@@ -95,11 +95,11 @@
 		if got == "" {
 			got = "told by " + strings.Join(exported.Path, " ")
 			if err := exported.Check("p0"); err != nil {
-				t.Errorf("%s:%d: what is told: %v", page, r.Line, err)
+				t.Errorf("%s:%d: exported advertisement: %v", page, r.Line, err)
 			}
 		}
 		if got != r.At("outcome") {
-			t.Errorf("%s:%d: %s", page, r.Line, got)
+			t.Errorf("%s:%d: outcome %q", page, r.Line, got)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 			got = "taken"
 		}
 		if got != r.At("outcome") {
-			t.Errorf("%s:%d: %s", page, r.Line, got)
+			t.Errorf("%s:%d: outcome %q", page, r.Line, got)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		a, b, ignorePreference := parseRoutes(t, r)
 		want := map[string]int{"one": -1, "other": 1}[r.At("outcome")]
 		if got, reversed := Compare(&a, &b, ignorePreference), Compare(&b, &a, ignorePreference); got != want || reversed != -want {
-			t.Errorf("%s:%d: %d, and %d the other way round", page, r.Line, got, reversed)
+			t.Errorf("%s:%d: Compare returned %d, and %d with swapped arguments", page, r.Line, got, reversed)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			case "unsafe":
 				req.Effect = balancer.Unsafe
 			default:
-				t.Errorf("%s:%d: nobody plays %q", page, r.Line, part)
+				t.Errorf("%s:%d: unknown keyword in %q", page, r.Line, part)
 			}
 		}
 		got := CheckServe(&route.Advertisement, &req, "p0", noon)
@@ -167,12 +167,12 @@
 			got = "taken"
 		}
 		if got != r.At("outcome") {
-			t.Errorf("%s:%d: %s", page, r.Line, got)
+			t.Errorf("%s:%d: outcome %q", page, r.Line, got)
 		}
 	}
 }
 
-// formatRules are rules as the page has them.
+// formatRules formats rules as in the design page.
 func formatRules(r Rules) string {
 	to := "to " + strings.Join(r.Partners, " ")
 	if r.AnyPartner {
@@ -202,7 +202,7 @@
 		for _, got := range []Rules{Narrow(a.Rules, b.Rules), Narrow(b.Rules, a.Rules)} {
 			slices.Sort(got.Partners)
 			if formatRules(got) != r.At("outcome") {
-				t.Errorf("%s:%d: %s", page, r.Line, formatRules(got))
+				t.Errorf("%s:%d: outcome %q", page, r.Line, formatRules(got))
 			}
 		}
 	}
--- a/internal/routeexchange/selection.go
+++ b/internal/routeexchange/selection.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Selection is the route that was chosen for a request.
+// Selection is the route selected for a request.
 type Selection struct {
 	*Route
 	destination *destination
@@ -11,11 +11,11 @@
 // Acquire counts the request against the capacity of its destination, until Release.
 func (c Selection) Acquire() { c.destination.openRequests.Add(1) }
 
-// Release ends an Acquire.
+// Release undoes an Acquire.
 func (c Selection) Release() { c.destination.openRequests.Add(-1) }
 
-// Choose returns the route of a request: of the advertisements below whose paths it lies, those of the longest path that take it, the best one.
-// false: it is nobody's offer, and the own routes say what becomes of it.
+// Choose selects the route of a request: the best of those with the longest matching prefix that allow the request and have
+// capacity. If there is none it returns false, and the request is subject to the local routes.
 func (t *Table) Choose(req *Request) (Selection, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -43,7 +43,8 @@
 	return Selection{}, false
 }
 
-// AdmitForwarded says why a request from a neighbour, by an advertisement that it names, is not taken here; empty: it is, and w is its way on.
+// AdmitForwarded checks a request that a neighbour forwarded by the advertisement id. It returns the route to use and an empty
+// reason, or the reason why the request is rejected.
 func (t *Table) AdmitForwarded(id ID, req *Request) (sel Selection, reason string) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/routeexchange/send.go
+++ b/internal/routeexchange/send.go
@@ -10,14 +10,14 @@
 	"damsontrestle/internal/peering"
 )
 
-// coalesceInterval is how long changes are gathered before an update is sent.
+// coalesceInterval is how long changes are collected before an update is sent.
 const coalesceInterval = 5 * time.Millisecond
 
-// sendUpdates sends a neighbour's gateway the complete table and then each change, until the link ends.
+// sendUpdates sends the complete table and then each change over a link until the link ends.
 func (x *Exchange) sendUpdates(link *peering.Link) {
 	var (
 		serial       uint64
-		sent         map[ID]uint64 // digests of what it has been told; nil: nothing yet
+		sent         map[ID]uint64 // digests of the advertisements sent; nil before the first table
 		table        map[ID]Advertisement
 		tableChanged <-chan struct{}
 		checkedAt    time.Time
@@ -25,12 +25,12 @@
 	)
 	for {
 		x.mu.Lock()
-		gatewaysChanged, in, gateways := x.changed, x.inbound[link], x.ownGateways
+		triggered, in, gateways := x.changed, x.inbound[link], x.ownGateways
 		complete := sent == nil || in.refreshRequested
 		in.refreshRequested = false
 		x.mu.Unlock()
-		// A table that has not changed need not be looked at for a change of the group: offers that end by the clock change it
-		// too (Table.Sweep).
+		// If only the own gateways have changed, the table need not be read again: expiring advertisements also signal a table
+		// change (Table.Sweep).
 		if complete || isClosed(tableChanged) || time.Since(checkedAt) >= checkInterval {
 			table, tableChanged = x.options.Table.AdjRIBOut(link.Peer.Partner)
 			checkedAt = time.Now()
@@ -39,11 +39,11 @@
 			serial, sent = 0, map[ID]uint64{}
 		}
 		if !x.sendUpdate(link, table, sent, &serial, gateways, complete || !slices.Equal(sentGateways, gateways)) {
-			sent = nil // not all of it has gone out: the complete table will, when there is room
+			sent = nil // the update was not sent completely; send the complete table after a pause
 			waitForChange(x.ctx, link, nil, nil, 20*coalesceInterval)
 		} else {
 			sentGateways = gateways
-			waitForChange(x.ctx, link, tableChanged, gatewaysChanged, checkInterval)
+			waitForChange(x.ctx, link, tableChanged, triggered, checkInterval)
 		}
 		waitForChange(x.ctx, link, nil, nil, coalesceInterval)
 		select {
@@ -56,10 +56,10 @@
 	}
 }
 
-// checkInterval is how often a neighbour's table is looked at though nothing says that it has changed.
+// checkInterval is how often a neighbour's table is compared without a signal that it has changed.
 const checkInterval = 10 * time.Second
 
-// isClosed says whether a channel is closed that nothing is sent on.
+// isClosed reports whether c is closed; nothing may be sent on c.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -69,7 +69,7 @@
 	}
 }
 
-// waitForChange waits until one of these is closed, the link ends, or a while has passed.
+// waitForChange waits until a or b is closed, the link or the context ends, or limit has passed.
 func waitForChange(ctx context.Context, l *peering.Link, a, b <-chan struct{}, limit time.Duration) {
 	t := time.NewTimer(limit)
 	defer t.Stop()
@@ -82,7 +82,8 @@
 	}
 }
 
-// sendUpdate sends what differs between what was sent and the table of now, in parts. false: not all of it could be queued.
+// sendUpdate sends the differences between the sent and the current table, in parts; with force it sends an update even if
+// there are none. It reports whether all parts could be queued.
 func (x *Exchange) sendUpdate(link *peering.Link, table map[ID]Advertisement, sent map[ID]uint64, serial *uint64, gateways []Gateway, force bool) bool {
 	var put []Advertisement
 	var withdrawn []ID
@@ -113,7 +114,7 @@
 		k := min(maxAdvertisementsPerMessage-n, len(withdrawn))
 		m.Withdrawn, withdrawn = withdrawn[:k], withdrawn[k:]
 		if m.More = len(put)+len(withdrawn) > 0; !m.More {
-			m.Digest, m.Gateways = tableDigest(digests), gateways // all of it each time: it is short
+			m.Digest, m.Gateways = tableDigest(digests), gateways // always the full list, as it is short
 		}
 		if link.Tell(topicUpdate, m) != nil {
 			return false
--- a/internal/routeexchange/serve.go
+++ b/internal/routeexchange/serve.go
@@ -8,16 +8,16 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Request is what rules look at.
+// Request describes a request as far as rules depend on it.
 type Request struct {
 	Class  string
-	Path   string // of the target, in its plain form
+	Path   string // target path in normalized form
 	Tenant string
 	Effect balancer.Effect
-	Via    []string // partners that it came through, the first client's first; empty: from a client of this partner's
+	Via    []string // partners that forwarded it, the client's own first; empty for a client of this partner
 }
 
-// check says why a request is not one of those that the rules are for; empty: it is.
+// check returns why the rules do not allow a request, or "" if they do.
 func (r *Rules) check(req *Request, now time.Time) string {
 	switch {
 	case r.Until != 0 && now.Unix() >= r.Until:
@@ -32,22 +32,23 @@
 	return ""
 }
 
-// Allows says whether a request may be sent by an advertisement, before it is.
+// Allows reports whether a request may be forwarded on the route.
 func (r *Route) Allows(req *Request, now time.Time) bool {
 	if r.Own {
 		return true
 	}
 	for _, p := range req.Via {
 		if slices.Contains(r.Path, p) {
-			return false // it would go round
+			return false // it would loop
 		}
 	}
-	// It came through len(Via) partners' hands, this one's are next, and all on the path but the last pass it on.
+	// The request has passed len(Via) partners, this one is next, and all partners on the path but the last forward it:
+	// len(Via) + 1 + len(Path) - 1 hops.
 	return len(req.Via)+len(r.Path) <= r.Rules.MaxHops && r.Rules.check(req, now) == ""
 }
 
-// CheckServe says why a request that came through partners is not taken by this partner's own export; empty: it is. The rules are
-// those of now, whatever whoever sent it had heard.
+// CheckServe returns why a request forwarded by partners is rejected by this partner's own export, or "" if it is accepted. adv
+// holds the current rules, whichever version the sender had received.
 func CheckServe(adv *Advertisement, req *Request, self string, now time.Time) string {
 	switch {
 	case req.Class != adv.Class || !strings.HasPrefix(req.Path, adv.Prefix):
--- a/internal/routeexchange/status.go
+++ b/internal/routeexchange/status.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// Counts are of a table since its start.
+// Counts are a table's counters since its creation.
 type Counts struct {
-	Changes    int `json:"changes"` // of best routes
-	Damped     int `json:"held"`    // offers whose preferences had no stable outcome
-	Suppressed int `json:"dropped"` // routes that a refusal of their owner's ended
+	Changes    int `json:"changes"` // changes of best routes
+	Damped     int `json:"held"`    // times that a destination was damped, as its preferences had no stable outcome
+	Suppressed int `json:"dropped"` // routes suppressed after a rejection by their owner
 }
 
-// RouteStatus is one route, for people.
+// RouteStatus describes one route for display.
 type RouteStatus struct {
 	ID     string   `json:"offer"`
 	Class  string   `json:"class"`
 	Prefix string   `json:"prefix"`
-	Path   []string `json:"path,omitempty"` // empty: this partner's own
+	Path   []string `json:"path,omitempty"` // empty for this partner's own exports
 	Best   bool     `json:"best"`
 	Stale  bool     `json:"stale,omitempty"`
 	Damped bool     `json:"held,omitempty"`
 }
 
-// Status is what a table holds.
+// Status is a snapshot of a table.
 type Status struct {
 	Counts
 	Advertisements int                       `json:"offers"`
-	Digest         uint64                    `json:"digest"` // of what is chosen: the same at all gateways that act alike
+	Digest         uint64                    `json:"digest"` // of the selected routes: equal at gateways with the same selection
 	Rejected       map[string]map[string]int `json:"refused,omitempty"`
 	Stale          []string                  `json:"stale,omitempty"`
 	Routes         []RouteStatus             `json:"lines,omitempty"`
 }
 
-// maxStatusRoutes of a Status.
+// maxStatusRoutes limits the routes in a Status.
 const maxStatusRoutes = 200
 
-// Status is what the table holds now.
+// Status returns a snapshot of the table.
 func (t *Table) Status() Status {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/routeexchange/table.go
+++ b/internal/routeexchange/table.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// Neighbour is what this partner goes by with one of its neighbours.
+// Neighbour is the policy for one neighbour.
 type Neighbour struct {
 	Import  Import
 	Transit Transit
 }
 
-// Policy is what this partner goes by: its file's part of all this.
+// Policy is this partner's configuration of the route exchange.
 type Policy struct {
 	Self         string
-	Own          []Advertisement // its exports
+	Own          []Advertisement // own exports
 	Neighbours   map[string]Neighbour
-	StaleTime    time.Duration // that the advertisements of a partner are used whose links have all ended
-	GatewayCount int           // gateways of this partner, over which an advertisement's room is dealt out
+	StaleTime    time.Duration // how long a partner's advertisements are used after all its links have ended
+	GatewayCount int           // gateways of this partner, among which an advertisement's capacity is divided
 }
 
-// Table holds what was received, and what is chosen of it. Its zero value is of no use; see NewTable.
+// Table holds the received advertisements and the routes selected from them. Create it with NewTable.
 type Table struct {
 	now func() time.Time
 
 	mu         sync.RWMutex
 	policy     Policy
-	adjRIBsIn  map[Source]map[ID]*Advertisement // as received, what was imported only
-	staleSince map[string]time.Time             // partners whose links have all ended, since when
+	adjRIBsIn  map[Source]map[ID]*Advertisement // imported advertisements only
+	staleSince map[string]time.Time             // by partner, when its last link ended
 	locRIB     map[ID]*destination
-	byClass    map[string]map[string][]*destination // by prefix, the best first
-	changed    chan struct{}                        // closed at the next change of what is chosen
-	rejected   map[string]map[string]int            // by neighbour, by why
+	byClass    map[string]map[string][]*destination // by class and prefix, best first
+	changed    chan struct{}                        // closed at the next change of the selected routes
+	rejected   map[string]map[string]int            // by neighbour and reason
 	counts     Counts
 
-	latestVersion uint64 // version that an own export had
+	latestVersion uint64 // highest version of an own export so far
 
 	incarnationEnds map[[2]string]incarnationEnd // by partner and gateway
-	versionOffsets  map[Source]uint64            // added to the versions of a partner's own advertisements that a gateway of its tells
+	versionOffsets  map[Source]uint64            // added to the versions of the partner's own advertisements from a source
 }
 
-// NewTable returns a table with the own exports of a policy. now is the wall time, with its monotonic part.
+// NewTable returns a table with a policy and its exports. now returns the wall time with its monotonic reading.
 func NewTable(p Policy, now func() time.Time) *Table {
 	t := &Table{
 		now:             now,
@@ -59,8 +59,8 @@
 	return t
 }
 
-// SetPolicy goes by another policy from now on. What was received goes through import rules again; versions of own exports that
-// did not change stay.
+// SetPolicy replaces the policy. Import rules are applied again to received advertisements; unchanged own exports keep their
+// versions.
 func (t *Table) SetPolicy(p Policy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +73,7 @@
 		}
 	}
 	t.policy = p
-	version := max(uint64(now.UnixMilli()), t.latestVersion+1) // whatever became of the wall clock
+	version := max(uint64(now.UnixMilli()), t.latestVersion+1) // rises even if the wall clock was set back
 	affected := map[ID]bool{}
 	for id := range old {
 		affected[id] = true
@@ -109,14 +109,14 @@
 	t.reselect(affected)
 }
 
-// SetGatewayCount says over how many gateways of this partner an advertisement's room is dealt out from now on.
+// SetGatewayCount sets the number of this partner's gateways among which an advertisement's capacity is divided.
 func (t *Table) SetGatewayCount(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.policy.GatewayCount = gateways
 }
 
-// equal says whether two advertisements differ in nothing.
+// equal reports whether two advertisements are equal in all fields.
 func equal(a, b *Advertisement) bool {
 	r, o := &a.Rules, &b.Rules
 	return a.ID == b.ID && a.Version == b.Version && a.Class == b.Class && a.Prefix == b.Prefix && a.Cost == b.Cost && a.Capacity == b.Capacity && a.Replicated == b.Replicated &&
@@ -124,7 +124,7 @@
 		slices.Equal(r.Partners, o.Partners) && slices.Equal(r.Tenants, o.Tenants) && slices.Equal(r.ExcludedTenants, o.ExcludedTenants)
 }
 
-// Sweep lets go of what has been stale for too long, and of advertisements that have ended.
+// Sweep removes tables that have been stale for too long, expired advertisements, and expired damping and suppression.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,14 +149,14 @@
 			delete(t.staleSince, p)
 		}
 	}
-	for id, r := range t.locRIB {
-		if !r.dampedUntil.IsZero() && !now.Before(r.dampedUntil) {
-			r.dampedUntil, r.flaps = time.Time{}, nil
+	for id, d := range t.locRIB {
+		if !d.dampedUntil.IsZero() && !now.Before(d.dampedUntil) {
+			d.dampedUntil, d.flaps = time.Time{}, nil
 			affected[id] = true
 		}
-		for n, d := range r.suppressed {
-			if !now.Before(d.until) {
-				delete(r.suppressed, n)
+		for neighbour, s := range d.suppressed {
+			if !now.Before(s.until) {
+				delete(d.suppressed, neighbour)
 				affected[id] = true
 			}
 		}
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -10,7 +10,7 @@
 
 func notReplicated(string) bool { return false }
 
-// policyOf is a partner's that takes all of its neighbours and passes all on.
+// policyOf returns a policy that imports all routes of all neighbours and re-advertises them to all others.
 func policyOf(self string, preference map[string]int, neighbours ...string) Policy {
 	p := Policy{Self: self, Neighbours: map[string]Neighbour{}, StaleTime: time.Minute, GatewayCount: 1}
 	for _, n := range neighbours {
@@ -33,12 +33,12 @@
 	return Advertisement{ID: ID{origin, name}, Version: 1, Class: "view", Prefix: prefix, Path: path, Rules: Rules{AnyPartner: true, MaxHops: 8, Effects: AllEffects}}
 }
 
-// clock is a time that tests set.
+// clock is a manual clock.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time { return c.at }
 
-// The way of a request is that of the longest path that takes it, and of these the best.
+// A request takes the best of the routes with the longest matching prefix that allow it.
 func TestLongestMatchingPathWins(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
@@ -58,7 +58,7 @@
 		{"/view/wells/7", "", "p0/own", nil},
 		{"/view/wells", "", "p2/all", nil},
 		{"/view/x/y/z", "", "p2/all", nil},
-		{"/view/x", "", "p1/all", []string{"p2"}}, // not back to where it came through
+		{"/view/x", "", "p1/all", []string{"p2"}}, // not back to a partner that it came through
 		{"/view", "", "", nil},
 		{"/", "", "", nil},
 	} {
@@ -68,15 +68,15 @@
 			got = sel.ID.String()
 		}
 		if got != k.want {
-			t.Errorf("%s of %q: %q, want %q", k.path, k.tenant, got, k.want)
+			t.Errorf("path %s, tenant %q: route %q, want %q", k.path, k.tenant, got, k.want)
 		}
 	}
 	if _, ok := tb.Choose(&Request{Class: "note", Path: "/note/x"}); ok {
-		t.Error("a way for a class that nobody offers")
+		t.Error("found a route for a class without advertisements")
 	}
 }
 
-// What one partner sends beyond its bound or malformed harms nothing else.
+// Excess or malformed advertisements of one partner affect no other advertisement.
 func TestExcessAdvertisementsAffectOnlyTheirPartner(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1", "p2")
@@ -94,17 +94,18 @@
 	tb.replace(Source{"p1", "g", 1}, append([]Advertisement{bad, stolen}, all...))
 	s := tb.Status()
 	if s.Advertisements != 100+1-1+0 && s.Advertisements != 101 {
-		t.Errorf("%d offers", s.Advertisements)
+		t.Errorf("%d advertisements, want 100 or 101", s.Advertisements)
 	}
 	if s.Rejected["p1"]["malformed"] != 1 || s.Rejected["p1"]["there are too many from there"] < 4900 {
-		t.Errorf("%v", s.Rejected)
+		t.Errorf("rejected %v, want 1 malformed and at least 4900 beyond the limit", s.Rejected)
 	}
 	if w, ok := tb.Choose(&Request{Class: "view", Path: "/view/two/x", Effect: balancer.Safe}); !ok || w.Path[0] != "p2" {
-		t.Errorf("%+v", w.Route)
+		t.Errorf("route %+v, want one by p2", w.Route)
 	}
 }
 
-// A partner whose links have all ended is used for a while, and then not; a new incarnation's table takes the old one's place.
+// Routes of a partner whose links have all ended stay in use for the stale time and are then removed; the table of a new
+// incarnation replaces the old one.
 func TestStaleRoutesAreRemoved(t *testing.T) {
 	c := &clock{noon}
 	tb := NewTable(policyOf("p0", nil, "p1"), c.now)
@@ -117,27 +118,28 @@
 	}
 	tb.PeerDown(second)
 	if !has("/view/x/1") || has("/view/y/1") || len(tb.Status().Stale) > 0 {
-		t.Error("what only one link told outlives that link while another is up")
+		t.Error("routes of an ended link are still used while another link is up, or shared routes were removed")
 	}
 	tb.PeerDown(first)
 	c.at = c.at.Add(59 * time.Second)
 	tb.Sweep()
 	if !has("/view/x/1") || len(tb.Status().Stale) != 1 {
-		t.Error("stale offers went too soon")
+		t.Error("stale routes were removed before the stale time")
 	}
 	tb.replace(Source{"p1", "a", 2}, []Advertisement{newAdvertisement("p1", "z", "/view/z/", "p1")})
 	if has("/view/x/1") || !has("/view/z/1") || len(tb.Status().Stale) != 0 {
-		t.Error("a new life's table does not take the place of the stale one")
+		t.Error("the table of a new incarnation did not replace the stale one")
 	}
 	tb.PeerDown(Source{"p1", "a", 2})
 	c.at = c.at.Add(time.Minute)
 	tb.Sweep()
 	if has("/view/z/1") || tb.Status().Advertisements != 0 {
-		t.Error("stale offers stay")
+		t.Error("stale routes are still used after the stale time")
 	}
 }
 
-// A rule that is tightened holds for requests that come at once, and who was refused by it drops the way until another version.
+// A tightened export rule is effective for requests immediately, and a rejected sender does not use the route until another
+// version arrives.
 func TestTightenedExportRule(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
@@ -152,16 +154,16 @@
 	before := sent[id].Version
 	tb.SetPolicy(p)
 	if sent, _ = tb.AdjRIBOut("p1"); sent[id].Version != before {
-		t.Error("a rule that says the same has another version")
+		t.Error("an unchanged rule got another version")
 	}
 	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
 	p.Own[0].Rules.AnyPartner = false
 	tb.SetPolicy(p)
 	if _, why := tb.AdmitForwarded(id, forwarded); why != "partner p1 may not have the offer" {
-		t.Errorf("%q", why)
+		t.Errorf("request rejected for %q, want that p1 may not have the offer", why)
 	}
 	if sent, _ = tb.AdjRIBOut("p1"); len(sent) != 0 {
-		t.Error("it is still told")
+		t.Error("the route is still advertised")
 	}
 	neighbour := NewTable(policyOf("p1", nil, "p0"), c.now)
 	src := Source{"p0", "g", 1}
@@ -169,21 +171,21 @@
 	req := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
 	sel, ok := neighbour.Choose(req)
 	if !ok {
-		t.Fatal("no way")
+		t.Fatal("no route")
 	}
 	neighbour.Suppress(sel.Route)
 	if _, ok := neighbour.Choose(req); ok {
-		t.Error("the way is still used")
+		t.Error("the suppressed route is still used")
 	}
 	next := newAdvertisement("p0", "x", "/view/x/", "p0")
 	next.Version = 2
 	neighbour.update(src, []Advertisement{next}, nil)
 	if _, ok := neighbour.Choose(req); !ok {
-		t.Error("another version is not used")
+		t.Error("a new version of a suppressed route is not used")
 	}
 }
 
-// Room is dealt out over the gateways of a partner.
+// The capacity of a route is divided among the gateways of a partner.
 func TestCapacityIsShared(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
@@ -196,18 +198,18 @@
 	sel, _ := tb.Choose(req)
 	sel.Acquire()
 	if _, ok := tb.Choose(req); !ok {
-		t.Error("one of two places is taken, and there is no way")
+		t.Error("no route, want one: 1 of 2 requests is in use")
 	}
 	sel.Acquire()
 	if _, ok := tb.Choose(req); ok {
-		t.Error("both places are taken")
+		t.Error("found a route although both requests are in use")
 	}
 	sel.Release()
 	if _, ok := tb.Choose(req); !ok {
-		t.Error("a place is free again")
+		t.Error("no route after Release")
 	}
 	tb.SetGatewayCount(4)
 	if _, ok := tb.Choose(req); ok {
-		t.Error("with four gateways each has one place, and that is taken")
+		t.Error("found a route, want none: with 4 gateways each may have 1 request, which is in use")
 	}
 }
--- a/internal/routeexchange/versions_test.go
+++ b/internal/routeexchange/versions_test.go
@@ -7,8 +7,8 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Versions of own exports rise for as long as a gateway runs, also where one is taken back and given again while the wall
-// clock was set back.
+// Versions of own exports rise while a gateway runs, even if an export is removed and added again while the wall clock steps
+// back.
 func TestVersionsRiseWhenWallClockStepsBack(t *testing.T) {
 	for _, step := range []time.Duration{0, -5 * time.Second, -time.Hour, time.Hour} {
 		c := &clock{noon}
@@ -21,7 +21,7 @@
 			tb.SetPolicy(p)
 			sent, _ := tb.AdjRIBOut("p1")
 			if v := sent[ID{"p0", "x"}].Version; v <= last {
-				t.Errorf("steps of %v: version %d comes after %d", step, v, last)
+				t.Errorf("steps of %v: version %d follows %d, want a higher one", step, v, last)
 			} else {
 				last = v
 			}
@@ -32,8 +32,8 @@
 	}
 }
 
-// An export ends at a date, by the wall clock of the gateway that looks: stepped over it the export has ended, at the owner
-// too, and stepped back it has not.
+// An export expires at a date by the wall clock of the gateway that checks it, also at its owner: a clock step past the date
+// ends the export, and a step back restores it.
 func TestExportExpiresByWallClock(t *testing.T) {
 	c := &clock{noon}
 	p := policyOf("p0", nil, "p1")
@@ -50,13 +50,13 @@
 		tb.Sweep()
 		sent, _ := tb.AdjRIBOut("p1")
 		if _, why := tb.AdmitForwarded(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
-			t.Errorf("after a step of %v to %v: %q, %d told; ended: %v", s.step, c.at, why, len(sent), s.ends)
+			t.Errorf("after a step of %v to %v: rejected for %q, %d advertised; want expired: %v", s.step, c.at, why, len(sent), s.ends)
 		}
 	}
 }
 
-// A gateway that begins anew goes by the newest rule of its partner, and partners go by that too, whatever its clock shows:
-// set back by an hour, by 5 s, right, or ahead. What another gateway of its group goes by since it ended is newer, as ever.
+// The rule of a restarted gateway is the newest of its partner, whether its clock is right, ahead, or was set back by 5 s or an
+// hour. A rule that another gateway of the partner has applied since the restarted one ended is newer.
 func TestRestartedGatewayHasNewestRule(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, time.Hour} {
 		for _, overlap := range []bool{false, true} {
@@ -79,7 +79,7 @@
 			cost := func() int {
 				w, ok := neighbour.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 				if !ok {
-					t.Fatal("no way")
+					t.Fatal("no route")
 				}
 				return w.Cost
 			}
@@ -95,20 +95,20 @@
 			a = NewTable(rule(2), stepped.now)
 			neighbour.replace(a2, advertised(a))
 			if got := cost(); got != 2 {
-				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that a gateway began anew with", step, got)
+				t.Errorf("clock stepped by %v: the cost is %d, want 2, that of the restarted gateway's rule", step, got)
 			}
 			stepped.at = stepped.at.Add(time.Second)
 			a.SetPolicy(rule(3))
 			neighbour.update(a2, advertised(a), nil)
 			if got := cost(); got != 3 {
-				t.Errorf("clock stepped by %v: the cost is %d, want that of its next rule", step, got)
+				t.Errorf("clock stepped by %v: the cost is %d, want 3, that of its next rule", step, got)
 			}
 			neighbour.replace(a2, advertised(a))
 			if got := cost(); got != 3 {
-				t.Errorf("clock stepped by %v: the cost is %d once its whole table was told again", step, got)
+				t.Errorf("clock stepped by %v: the cost is %d after its complete table was resent, want 3", step, got)
 			}
 			if step > 0 {
-				continue // its rules stay the newest until the others' clocks come up to its own
+				continue // its rules stay the newest until the other clocks reach its own
 			}
 			c.at = c.at.Add(5 * time.Second)
 			neighbour.PeerDown(a2)
@@ -119,7 +119,7 @@
 			neighbour.update(b1, advertised(b), nil)
 			neighbour.replace(Source{"p1", "a", 3}, advertised(a))
 			if got := cost(); got != 4 {
-				t.Errorf("clock stepped by %v: the cost is %d, want that of the rule that the other gateway took on since", step, got)
+				t.Errorf("clock stepped by %v: the cost is %d, want 4, that of the rule that the other gateway has applied since", step, got)
 			}
 		}
 	}
