--- a/internal/routeexchange/convergence_test.go
+++ b/internal/routeexchange/convergence_test.go
@@ -20,15 +20,15 @@
 
 // step sends the table of one partner to another and reports whether it changed a route there.
 func (w *partnerNetwork) step(from, to string) bool {
-	a, b := w.tables[from], w.tables[to]
-	all, _ := a.AdjRIBOut(to)
+	sender, receiver := w.tables[from], w.tables[to]
+	all, _ := sender.AdjRIBOut(to)
 	var list []Advertisement
 	for _, o := range all {
 		list = append(list, o)
 	}
-	before := b.Status().Changes
-	b.replace(Source{from, "g", 1}, list)
-	return b.Status().Changes != before
+	before := receiver.Status().Changes
+	receiver.replace(Source{from, "g", 1}, list)
+	return receiver.Status().Changes != before
 }
 
 // Cyclic preferences without a stable outcome are damped, and the routes then converge in any order of messages.
@@ -82,43 +82,43 @@
 					others = append(others, n)
 				}
 			}
-			p := policyOf(self, nil, others...)
+			policy := policyOf(self, nil, others...)
 			for i := range rapid.IntRange(0, 2).Draw(t, "exports") {
-				o := newAdvertisement(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
-				o.Rules = Rules{AnyPartner: rapid.Bool().Draw(t, "all"), Partners: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
+				adv := newAdvertisement(self, fmt.Sprint("x", i), fmt.Sprintf("/view/%s%d/", self, i))
+				adv.Rules = Rules{AnyPartner: rapid.Bool().Draw(t, "all"), Partners: rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 3, rapid.ID).Draw(t, "to"),
 					NoTransit: rapid.Bool().Draw(t, "no transit"), MaxHops: rapid.IntRange(1, 4).Draw(t, "hands"), Effects: AllEffects}
-				rules[ID{self, o.ID.Name}] = o.Rules
-				p.Own = append(p.Own, o)
+				rules[ID{self, adv.ID.Name}] = adv.Rules
+				policy.Own = append(policy.Own, adv)
 			}
-			network.tables[self] = NewTable(p, network.clock.now)
+			network.tables[self] = NewTable(policy, network.clock.now)
 		}
 		for range 120 {
 			from := rapid.IntRange(0, 4).Draw(t, "from")
 			network.step(names[from], names[(from+1+rapid.IntRange(0, 3).Draw(t, "to"))%5])
 		}
 		for _, self := range names {
-			for id, r := range network.tables[self].locRIB {
-				if r.best == nil || r.best.Own {
+			for id, d := range network.tables[self].locRIB {
+				if d.best == nil || d.best.Own {
 					continue
 				}
-				b := r.best
-				own := rules[id]
-				if len(b.Path) > own.MaxHops || len(b.Path) > 1 && own.NoTransit || !own.AnyPartner && !slices.Contains(own.Partners, self) || slices.Contains(b.Path, self) {
-					t.Fatalf("%s has route %+v, which the owner's rules %+v do not allow", self, b.Advertisement, own)
+				best := d.best
+				ownerRules := rules[id]
+				if len(best.Path) > ownerRules.MaxHops || len(best.Path) > 1 && ownerRules.NoTransit || !ownerRules.AnyPartner && !slices.Contains(ownerRules.Partners, self) || slices.Contains(best.Path, self) {
+					t.Fatalf("%s has route %+v, which the owner's rules %+v do not allow", self, best.Advertisement, ownerRules)
 				}
 				// Forward a request from table to table while each still has the route that it advertised.
-				request := &Request{Class: "view", Path: b.Prefix + "1", Effect: balancer.Safe}
-				at, route := self, Selection{b, r}
+				request := &Request{Class: "view", Path: best.Prefix + "1", Effect: balancer.Safe}
+				at, route := self, Selection{best, d}
 				for !route.Own {
 					request.Via = append(request.Via, at)
 					at = route.Path[0]
 					if len(request.Via) > 8 {
 						t.Fatalf("the request loops: %v", request.Via)
 					}
-					next, why := network.tables[at].AdmitForwarded(id, request)
-					if why != "" {
+					next, reason := network.tables[at].AdmitForwarded(id, request)
+					if reason != "" {
 						if next.Route != nil && next.Own {
-							t.Fatalf("the owner rejects a request by way of %v: %s, rules %+v", request.Via, why, own)
+							t.Fatalf("the owner rejects a request by way of %v: %s, rules %+v", request.Via, reason, ownerRules)
 						}
 						break // the tables have not converged
 					}
--- a/internal/routeexchange/table_test.go
+++ b/internal/routeexchange/table_test.go
@@ -41,17 +41,17 @@
 // A request takes the best of the routes with the longest matching prefix that allow it.
 func TestLongestMatchingPathWins(t *testing.T) {
 	c := &clock{noon}
-	p := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
+	policy := policyOf("p0", map[string]int{"p2": 200}, "p1", "p2")
 	own := newAdvertisement("p0", "own", "/view/wells/")
-	p.Own = []Advertisement{own}
-	tb := NewTable(p, c.now)
+	policy.Own = []Advertisement{own}
+	table := NewTable(policy, c.now)
 	deep := newAdvertisement("p1", "deep", "/view/wells/north/", "p1")
 	deep.Rules.Tenants = []string{"acme"}
-	tb.replace(Source{"p1", "g", 1}, []Advertisement{deep, newAdvertisement("p1", "all", "/view/", "p1"), newAdvertisement("p1", "well", "/view/wells/", "p1")})
-	tb.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/", "p2")})
-	for _, k := range []struct {
+	table.replace(Source{"p1", "g", 1}, []Advertisement{deep, newAdvertisement("p1", "all", "/view/", "p1"), newAdvertisement("p1", "well", "/view/wells/", "p1")})
+	table.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/", "p2")})
+	for _, tc := range []struct {
 		path, tenant, want string
-		came               []string
+		via                []string
 	}{
 		{"/view/wells/north/7", "acme", "p1/deep", nil},
 		{"/view/wells/north/7", "other", "p0/own", nil},
@@ -62,16 +62,16 @@
 		{"/view", "", "", nil},
 		{"/", "", "", nil},
 	} {
-		sel, ok := tb.Choose(&Request{Class: "view", Path: k.path, Tenant: k.tenant, Effect: balancer.Safe, Via: k.came})
+		sel, ok := table.Choose(&Request{Class: "view", Path: tc.path, Tenant: tc.tenant, Effect: balancer.Safe, Via: tc.via})
 		got := ""
 		if ok {
 			got = sel.ID.String()
 		}
-		if got != k.want {
-			t.Errorf("path %s, tenant %q: route %q, want %q", k.path, k.tenant, got, k.want)
+		if got != tc.want {
+			t.Errorf("path %s, tenant %q: route %q, want %q", tc.path, tc.tenant, got, tc.want)
 		}
 	}
-	if _, ok := tb.Choose(&Request{Class: "note", Path: "/note/x"}); ok {
+	if _, ok := table.Choose(&Request{Class: "note", Path: "/note/x"}); ok {
 		t.Error("found a route for a class without advertisements")
 	}
 }
@@ -79,28 +79,28 @@
 // Excess or malformed advertisements of one partner affect no other advertisement.
 func TestExcessAdvertisementsAffectOnlyTheirPartner(t *testing.T) {
 	c := &clock{noon}
-	p := policyOf("p0", nil, "p1", "p2")
-	n := p.Neighbours["p1"]
-	n.Import.MaxRoutes = 100
-	p.Neighbours["p1"] = n
-	tb := NewTable(p, c.now)
-	tb.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/two/", "p2")})
+	policy := policyOf("p0", nil, "p1", "p2")
+	neighbour := policy.Neighbours["p1"]
+	neighbour.Import.MaxRoutes = 100
+	policy.Neighbours["p1"] = neighbour
+	table := NewTable(policy, c.now)
+	table.replace(Source{"p2", "g", 1}, []Advertisement{newAdvertisement("p2", "all", "/view/two/", "p2")})
 	var all []Advertisement
 	for i := range 5000 {
 		all = append(all, newAdvertisement("p1", fmt.Sprint("o", i), fmt.Sprintf("/view/%d/", i), "p1"))
 	}
-	bad := newAdvertisement("p1", "bad", "/view/bad", "p1")
+	malformed := newAdvertisement("p1", "bad", "/view/bad", "p1")
 	stolen := newAdvertisement("p2", "all", "/view/two/", "p1", "p2")
-	tb.replace(Source{"p1", "g", 1}, append([]Advertisement{bad, stolen}, all...))
-	s := tb.Status()
-	if s.Advertisements != 100+1-1+0 && s.Advertisements != 101 {
-		t.Errorf("%d advertisements, want 100 or 101", s.Advertisements)
+	table.replace(Source{"p1", "g", 1}, append([]Advertisement{malformed, stolen}, all...))
+	status := table.Status()
+	if status.Advertisements != 100+1-1+0 && status.Advertisements != 101 {
+		t.Errorf("%d advertisements, want 100 or 101", status.Advertisements)
 	}
-	if s.Rejected["p1"]["malformed"] != 1 || s.Rejected["p1"]["there are too many from there"] < 4900 {
-		t.Errorf("rejected %v, want 1 malformed and at least 4900 beyond the limit", s.Rejected)
+	if status.Rejected["p1"]["malformed"] != 1 || status.Rejected["p1"]["there are too many from there"] < 4900 {
+		t.Errorf("rejected %v, want 1 malformed and at least 4900 beyond the limit", status.Rejected)
 	}
-	if w, ok := tb.Choose(&Request{Class: "view", Path: "/view/two/x", Effect: balancer.Safe}); !ok || w.Path[0] != "p2" {
-		t.Errorf("route %+v, want one by p2", w.Route)
+	if sel, ok := table.Choose(&Request{Class: "view", Path: "/view/two/x", Effect: balancer.Safe}); !ok || sel.Path[0] != "p2" {
+		t.Errorf("route %+v, want one by p2", sel.Route)
 	}
 }
 
@@ -108,32 +108,32 @@
 // incarnation replaces the old one.
 func TestStaleRoutesAreRemoved(t *testing.T) {
 	c := &clock{noon}
-	tb := NewTable(policyOf("p0", nil, "p1"), c.now)
+	table := NewTable(policyOf("p0", nil, "p1"), c.now)
 	first, second := Source{"p1", "a", 1}, Source{"p1", "b", 1}
-	tb.replace(first, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1")})
-	tb.replace(second, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1"), newAdvertisement("p1", "y", "/view/y/", "p1")})
+	table.replace(first, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1")})
+	table.replace(second, []Advertisement{newAdvertisement("p1", "x", "/view/x/", "p1"), newAdvertisement("p1", "y", "/view/y/", "p1")})
 	has := func(path string) bool {
-		_, ok := tb.Choose(&Request{Class: "view", Path: path, Effect: balancer.Safe})
+		_, ok := table.Choose(&Request{Class: "view", Path: path, Effect: balancer.Safe})
 		return ok
 	}
-	tb.PeerDown(second)
-	if !has("/view/x/1") || has("/view/y/1") || len(tb.Status().Stale) > 0 {
+	table.PeerDown(second)
+	if !has("/view/x/1") || has("/view/y/1") || len(table.Status().Stale) > 0 {
 		t.Error("routes of an ended link are still used while another link is up, or shared routes were removed")
 	}
-	tb.PeerDown(first)
+	table.PeerDown(first)
 	c.at = c.at.Add(59 * time.Second)
-	tb.Sweep()
-	if !has("/view/x/1") || len(tb.Status().Stale) != 1 {
+	table.Sweep()
+	if !has("/view/x/1") || len(table.Status().Stale) != 1 {
 		t.Error("stale routes were removed before the stale time")
 	}
-	tb.replace(Source{"p1", "a", 2}, []Advertisement{newAdvertisement("p1", "z", "/view/z/", "p1")})
-	if has("/view/x/1") || !has("/view/z/1") || len(tb.Status().Stale) != 0 {
+	table.replace(Source{"p1", "a", 2}, []Advertisement{newAdvertisement("p1", "z", "/view/z/", "p1")})
+	if has("/view/x/1") || !has("/view/z/1") || len(table.Status().Stale) != 0 {
 		t.Error("the table of a new incarnation did not replace the stale one")
 	}
-	tb.PeerDown(Source{"p1", "a", 2})
+	table.PeerDown(Source{"p1", "a", 2})
 	c.at = c.at.Add(time.Minute)
-	tb.Sweep()
-	if has("/view/z/1") || tb.Status().Advertisements != 0 {
+	table.Sweep()
+	if has("/view/z/1") || table.Status().Advertisements != 0 {
 		t.Error("stale routes are still used after the stale time")
 	}
 }
@@ -142,27 +142,27 @@
 // version arrives.
 func TestTightenedExportRule(t *testing.T) {
 	c := &clock{noon}
-	p := policyOf("p0", nil, "p1")
-	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
-	tb := NewTable(p, c.now)
+	policy := policyOf("p0", nil, "p1")
+	policy.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
+	table := NewTable(policy, c.now)
 	forwarded := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	id := ID{"p0", "x"}
-	if _, why := tb.AdmitForwarded(id, forwarded); why != "" {
-		t.Fatal(why)
+	if _, reason := table.AdmitForwarded(id, forwarded); reason != "" {
+		t.Fatal(reason)
 	}
-	sent, _ := tb.AdjRIBOut("p1")
+	sent, _ := table.AdjRIBOut("p1")
 	before := sent[id].Version
-	tb.SetPolicy(p)
-	if sent, _ = tb.AdjRIBOut("p1"); sent[id].Version != before {
+	table.SetPolicy(policy)
+	if sent, _ = table.AdjRIBOut("p1"); sent[id].Version != before {
 		t.Error("an unchanged rule got another version")
 	}
-	p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
-	p.Own[0].Rules.AnyPartner = false
-	tb.SetPolicy(p)
-	if _, why := tb.AdmitForwarded(id, forwarded); why != "partner p1 may not have the offer" {
-		t.Errorf("request rejected for %q, want that p1 may not have the offer", why)
+	policy.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
+	policy.Own[0].Rules.AnyPartner = false
+	table.SetPolicy(policy)
+	if _, reason := table.AdmitForwarded(id, forwarded); reason != "partner p1 may not have the offer" {
+		t.Errorf("request rejected for %q, want that p1 may not have the offer", reason)
 	}
-	if sent, _ = tb.AdjRIBOut("p1"); len(sent) != 0 {
+	if sent, _ = table.AdjRIBOut("p1"); len(sent) != 0 {
 		t.Error("the route is still advertised")
 	}
 	neighbour := NewTable(policyOf("p1", nil, "p0"), c.now)
@@ -188,28 +188,28 @@
 // The capacity of a route is divided among the gateways of a partner.
 func TestCapacityIsShared(t *testing.T) {
 	c := &clock{noon}
-	p := policyOf("p0", nil, "p1")
-	p.GatewayCount = 2
-	tb := NewTable(p, c.now)
-	o := newAdvertisement("p1", "x", "/view/x/", "p1")
-	o.Capacity = 4
-	tb.replace(Source{"p1", "g", 1}, []Advertisement{o})
+	policy := policyOf("p0", nil, "p1")
+	policy.GatewayCount = 2
+	table := NewTable(policy, c.now)
+	adv := newAdvertisement("p1", "x", "/view/x/", "p1")
+	adv.Capacity = 4
+	table.replace(Source{"p1", "g", 1}, []Advertisement{adv})
 	req := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe}
-	sel, _ := tb.Choose(req)
+	sel, _ := table.Choose(req)
 	sel.Acquire()
-	if _, ok := tb.Choose(req); !ok {
+	if _, ok := table.Choose(req); !ok {
 		t.Error("no route, want one: 1 of 2 requests is in use")
 	}
 	sel.Acquire()
-	if _, ok := tb.Choose(req); ok {
+	if _, ok := table.Choose(req); ok {
 		t.Error("found a route although both requests are in use")
 	}
 	sel.Release()
-	if _, ok := tb.Choose(req); !ok {
+	if _, ok := table.Choose(req); !ok {
 		t.Error("no route after Release")
 	}
-	tb.SetGatewayCount(4)
-	if _, ok := tb.Choose(req); ok {
+	table.SetGatewayCount(4)
+	if _, ok := table.Choose(req); ok {
 		t.Error("found a route, want none: with 4 gateways each may have 1 request, which is in use")
 	}
 }
--- a/internal/routeexchange/versions_test.go
+++ b/internal/routeexchange/versions_test.go
@@ -12,21 +12,21 @@
 func TestVersionsRiseWhenWallClockStepsBack(t *testing.T) {
 	for _, step := range []time.Duration{0, -5 * time.Second, -time.Hour, time.Hour} {
 		c := &clock{noon}
-		p := policyOf("p0", nil, "p1")
-		tb := NewTable(p, c.now)
+		policy := policyOf("p0", nil, "p1")
+		table := NewTable(policy, c.now)
 		var last uint64
 		for cost := range 3 {
-			p.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
-			p.Own[0].Cost = cost
-			tb.SetPolicy(p)
-			sent, _ := tb.AdjRIBOut("p1")
+			policy.Own = []Advertisement{newAdvertisement("p0", "x", "/view/x/")}
+			policy.Own[0].Cost = cost
+			table.SetPolicy(policy)
+			sent, _ := table.AdjRIBOut("p1")
 			if v := sent[ID{"p0", "x"}].Version; v <= last {
 				t.Errorf("steps of %v: version %d follows %d, want a higher one", step, v, last)
 			} else {
 				last = v
 			}
-			p.Own = nil
-			tb.SetPolicy(p)
+			policy.Own = nil
+			table.SetPolicy(policy)
 			c.at = c.at.Add(step)
 		}
 	}
@@ -36,21 +36,21 @@
 // ends the export, and a step back restores it.
 func TestExportExpiresByWallClock(t *testing.T) {
 	c := &clock{noon}
-	p := policyOf("p0", nil, "p1")
+	policy := policyOf("p0", nil, "p1")
 	own := newAdvertisement("p0", "x", "/view/x/")
 	own.Rules.Until = noon.Add(30 * time.Minute).Unix()
-	p.Own = []Advertisement{own}
-	tb := NewTable(p, c.now)
+	policy.Own = []Advertisement{own}
+	table := NewTable(policy, c.now)
 	request := &Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe, Via: []string{"p1"}}
 	for _, s := range []struct {
 		step time.Duration
 		ends bool
 	}{{0, false}, {time.Hour, true}, {-time.Hour, false}, {30*time.Minute - time.Second, false}, {5 * time.Second, true}, {-5 * time.Second, false}} {
 		c.at = c.at.Add(s.step)
-		tb.Sweep()
-		sent, _ := tb.AdjRIBOut("p1")
-		if _, why := tb.AdmitForwarded(ID{"p0", "x"}, request); (why != "") != s.ends || (len(sent) == 0) != s.ends {
-			t.Errorf("after a step of %v to %v: rejected for %q, %d advertised; want expired: %v", s.step, c.at, why, len(sent), s.ends)
+		table.Sweep()
+		sent, _ := table.AdjRIBOut("p1")
+		if _, reason := table.AdmitForwarded(ID{"p0", "x"}, request); (reason != "") != s.ends || (len(sent) == 0) != s.ends {
+			t.Errorf("after a step of %v to %v: rejected for %q, %d advertised; want expired: %v", s.step, c.at, reason, len(sent), s.ends)
 		}
 	}
 }
@@ -61,15 +61,15 @@
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, time.Hour} {
 		for _, overlap := range []bool{false, true} {
 			c := &clock{noon}
-			rule := func(cost int) Policy {
+			policyWithCost := func(cost int) Policy {
 				p := policyOf("p1", nil, "p0")
 				o := newAdvertisement("p1", "x", "/view/x/")
 				o.Cost = cost
 				p.Own = []Advertisement{o}
 				return p
 			}
-			advertised := func(by *Table) (all []Advertisement) {
-				sent, _ := by.AdjRIBOut("p0")
+			advertised := func(sender *Table) (all []Advertisement) {
+				sent, _ := sender.AdjRIBOut("p0")
 				for _, o := range sent {
 					all = append(all, o)
 				}
@@ -77,14 +77,14 @@
 			}
 			neighbour := NewTable(policyOf("p0", nil, "p1"), c.now)
 			cost := func() int {
-				w, ok := neighbour.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
+				sel, ok := neighbour.Choose(&Request{Class: "view", Path: "/view/x/1", Effect: balancer.Safe})
 				if !ok {
 					t.Fatal("no route")
 				}
-				return w.Cost
+				return sel.Cost
 			}
 			a1, a2, b1 := Source{"p1", "a", 1}, Source{"p1", "a", 2}, Source{"p1", "b", 1}
-			a, b := NewTable(rule(1), c.now), NewTable(rule(1), c.now)
+			a, b := NewTable(policyWithCost(1), c.now), NewTable(policyWithCost(1), c.now)
 			neighbour.replace(a1, advertised(a))
 			neighbour.replace(b1, advertised(b))
 			c.at = c.at.Add(time.Second)
@@ -92,13 +92,13 @@
 				neighbour.PeerDown(a1)
 			}
 			stepped := &clock{c.at.Add(step)}
-			a = NewTable(rule(2), stepped.now)
+			a = NewTable(policyWithCost(2), stepped.now)
 			neighbour.replace(a2, advertised(a))
 			if got := cost(); got != 2 {
 				t.Errorf("clock stepped by %v: the cost is %d, want 2, that of the restarted gateway's rule", step, got)
 			}
 			stepped.at = stepped.at.Add(time.Second)
-			a.SetPolicy(rule(3))
+			a.SetPolicy(policyWithCost(3))
 			neighbour.update(a2, advertised(a), nil)
 			if got := cost(); got != 3 {
 				t.Errorf("clock stepped by %v: the cost is %d, want 3, that of its next rule", step, got)
@@ -113,9 +113,9 @@
 			c.at = c.at.Add(5 * time.Second)
 			neighbour.PeerDown(a2)
 			c.at = c.at.Add(time.Second)
-			a = NewTable(rule(3), c.now)
+			a = NewTable(policyWithCost(3), c.now)
 			c.at = c.at.Add(time.Second)
-			b.SetPolicy(rule(4))
+			b.SetPolicy(policyWithCost(4))
 			neighbour.update(b1, advertised(b), nil)
 			neighbour.replace(Source{"p1", "a", 3}, advertised(a))
 			if got := cost(); got != 4 {
