--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -7,37 +7,37 @@
 	"damsontrestle/internal/peering"
 )
 
-// inboundState is what has come of a neighbour's table over one link. Exchange.mu guards it.
+// inboundState is the state of receiving a neighbour's table over one link. Exchange.mu guards it.
 type inboundState struct {
 	source           Source
 	nextSerial       uint64
-	parts            receivedParts // of a table or a change whose last part has not come
+	parts            receivedParts // of a table or change whose last part has not arrived
 	digests          map[ID]uint64 // of the neighbour's advertisements
-	group            []Gateway     // the neighbour's gateways, as the last update had them
-	refreshRequested bool          // the neighbour asked for this partner's complete table
+	gateways         []Gateway     // the neighbour's gateways as of its last update
+	refreshRequested bool          // whether the neighbour has requested this partner's complete table
 }
 
-// receivedParts are the parts of a complete table, or of a change of one.
+// receivedParts collects the parts of a complete table or of a change to one.
 type receivedParts struct {
-	complete  []Advertisement // nil: it is a change
+	complete  []Advertisement // nil for a change
 	put       []Advertisement
 	withdrawn []ID
 }
 
-// handleUpdate takes a part of a neighbour's table. A part that does not follow the one before, or a table whose digest is not
-// the neighbour's, has the complete table requested.
-func (x *Exchange) handleUpdate(l *peering.Link, body []byte, _ func(any, error)) {
-	x.Up(l) // its first message may come before this gateway was notified of the link
+// handleUpdate handles one part of a neighbour's table. If a serial is missing or the resulting table does not match the
+// neighbour's digest, it requests the complete table.
+func (x *Exchange) handleUpdate(link *peering.Link, body []byte, _ func(any, error)) {
+	x.LinkUp(link) // the first message may arrive before the notification of the link
 	var m update
 	x.mu.Lock()
-	in := x.inbound[l]
+	in := x.inbound[link]
 	if in == nil {
 		x.mu.Unlock()
 		return
 	}
 	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != in.nextSerial {
 		x.mu.Unlock()
-		l.Tell(topicRefresh, struct{}{})
+		link.Tell(topicRefresh, struct{}{})
 		return
 	}
 	in.add(&m)
@@ -47,26 +47,26 @@
 	}
 	received := in.finish()
 	matches := tableDigest(in.digests) == m.Digest
-	groupChanged := !slices.Equal(in.group, m.Group)
-	in.group = m.Group
-	if groupChanged {
+	gatewaysChanged := !slices.Equal(in.gateways, m.Gateways)
+	in.gateways = m.Gateways
+	if gatewaysChanged {
 		delete(x.gatewaysValid, in.source.Partner)
 	}
 	x.mu.Unlock()
 	switch {
 	case !matches:
-		l.Tell(topicRefresh, struct{}{})
+		link.Tell(topicRefresh, struct{}{})
 	case received.complete != nil:
 		x.options.Table.replace(in.source, received.complete)
 	default:
 		x.options.Table.update(in.source, received.put, received.withdrawn)
 	}
-	if groupChanged {
+	if gatewaysChanged {
 		x.options.GatewaysChanged()
 	}
 }
 
-// add takes one part of a table or of a change.
+// add adds one part of a table or of a change.
 func (in *inboundState) add(m *update) {
 	if m.Serial == 0 {
 		in.parts = receivedParts{complete: []Advertisement{}}
@@ -89,29 +89,29 @@
 	in.parts.withdrawn = append(in.parts.withdrawn, m.Withdrawn...)
 }
 
-// finish returns what came with all parts, and begins anew.
+// finish returns the collected parts and resets them.
 func (in *inboundState) finish() receivedParts {
 	all := in.parts
 	in.parts = receivedParts{}
 	return all
 }
 
-// handleRefresh has the complete table told once more.
-func (x *Exchange) handleRefresh(l *peering.Link, _ []byte, _ func(any, error)) {
+// handleRefresh handles a neighbour's request for the complete table.
+func (x *Exchange) handleRefresh(link *peering.Link, _ []byte, _ func(any, error)) {
 	x.mu.Lock()
-	if r := x.inbound[l]; r != nil {
-		r.refreshRequested = true
+	if in := x.inbound[link]; in != nil {
+		in.refreshRequested = true
 	}
 	x.mu.Unlock()
 	x.Advertise()
 }
 
-// RequestRefresh has every neighbour tell its complete table once more: more of it may be taken by the rules of now.
+// RequestRefresh requests the complete table from every neighbour, as changed import rules may accept more of it.
 func (x *Exchange) RequestRefresh() {
 	x.mu.Lock()
 	links := slices.Collect(maps.Keys(x.inbound))
 	x.mu.Unlock()
-	for _, l := range links {
-		l.Tell(topicRefresh, struct{}{})
+	for _, link := range links {
+		link.Tell(topicRefresh, struct{}{})
 	}
 }
