--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -34,15 +34,15 @@
 		fmt.Fprintf(out, "; %d words of lives under its name that were not its own: is there another process of this name?", s.NameConflicts)
 	}
 	c := s.Counts
-	fmt.Fprintf(out, "\ndatagrams: %d sent, %d received; dropped: %d of another key, %d malformed, %d of another version, %d that came too fast, %d beyond the pace\n", c.Sent, c.Received, c.Strange, c.Malformed, c.Other, c.Lost, c.Paced)
+	fmt.Fprintf(out, "\ndatagrams: %d sent, %d received; dropped: %d of another key, %d malformed, %d of another version, %d that came too fast, %d beyond the pace\n", c.Sent, c.Received, c.WrongKey, c.Malformed, c.Unsupported, c.QueueFull, c.RateLimited)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATUS\tFOR\tHEARD\tLIFE\tREGION\tZONE\tADDRESS")
 	for _, m := range s.Members {
 		heard := "never"
-		if m.Heard >= 0 {
-			heard = m.Heard.Round(100*time.Millisecond).String() + " ago"
+		if m.SinceHeard >= 0 {
+			heard = m.SinceHeard.Round(100*time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Status, m.For.Round(100*time.Millisecond), heard, m.Incarnation, m.Region, m.Zone, m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Status, m.SinceChange.Round(100*time.Millisecond), heard, m.Incarnation, m.Region, m.Zone, m.Addr)
 	}
 	w.Flush()
 }
@@ -60,8 +60,8 @@
 }
 
 func writeZoneState(out io.Writer, f gossip.ZoneStateStatus) {
-	fmt.Fprintf(out, "fresh: up to %v; %d rows held", f.Fresh, f.Rows)
-	if f.Alone {
+	fmt.Fprintf(out, "fresh: up to %v; %d rows held", f.FreshAge, f.StoredRows)
+	if f.Isolated {
 		fmt.Fprint(out, "; ALONE: nothing fresh is known of anybody else")
 	}
 	d := f.Dropped
@@ -71,15 +71,15 @@
 	fmt.Fprintln(w, "REGION\tZONE\tFACTS\tFOR\tAGE\tFROM\tNODES")
 	for _, z := range f.Zones {
 		age := "-"
-		if z.From > 0 {
+		if z.PartCount > 0 {
 			age = z.Age.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\n", z.Region, z.Zone, z.Freshness, z.For.Round(100*time.Millisecond), age, z.From, z.Of)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%d\n", z.Region, z.Zone, z.Freshness, z.SinceChange.Round(100*time.Millisecond), age, z.PartCount, z.ActiveNodes)
 	}
 	fmt.Fprintln(w, "\nZONE\tWHAT\tOF\tAMOUNT\tAGE\tFROM")
 	for _, z := range f.Zones {
 		for _, t := range z.Reports {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%v\t%d\n", z.Zone, t.What, t.Of, t.Amount, t.Age.Round(time.Millisecond), t.From)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%v\t%d\n", z.Zone, t.Kind, t.Subject, t.Value, t.Age.Round(time.Millisecond), t.PartCount)
 		}
 	}
 	w.Flush()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -51,14 +51,14 @@
 // send gives the request to the engine of a pool, and waits for its response.
 func (e *execution) send(ctx context.Context, to destination) attemptResult {
 	t := e.newAttempt(to.pool)
-	return t.perform(ctx, to.selection, e.timeLeft(ctx))
+	return t.submit(ctx, to.selection, e.timeLeft(ctx))
 }
 
 // query asks a partner for the outcome of the request once.
 func (e *execution) query(ctx context.Context, pool string, timeLeft time.Duration) attemptResult {
 	t := e.newAttempt(pool)
 	t.queryOnly = true
-	return t.perform(ctx, routeexchange.Selection{}, timeLeft)
+	return t.submit(ctx, routeexchange.Selection{}, timeLeft)
 }
 
 // newAttempt is the request on its way to a pool.
@@ -70,8 +70,8 @@
 	return t
 }
 
-// perform hands the request to the engine and waits for its response. The zero result says that ctx has ended.
-func (t *routedAttempt) perform(ctx context.Context, selection routeexchange.Selection, timeLeft time.Duration) attemptResult {
+// submit hands the request to the engine and waits for its response. The zero result says that ctx has ended.
+func (t *routedAttempt) submit(ctx context.Context, selection routeexchange.Selection, timeLeft time.Duration) attemptResult {
 	defer close(t.done)
 	if err := t.prepare(selection, timeLeft); err != nil {
 		return attemptResult{outcome: replication.Outcome{Kind: replication.Failed}}
@@ -80,7 +80,7 @@
 		selection.Take()
 		defer selection.Done()
 	}
-	if err := t.gateway.options.Calls.Submit(t.request, t.pool); err != nil {
+	if err := t.gateway.options.Dispatcher.Submit(t.request, t.pool); err != nil {
 		return attemptResult{outcome: replication.Outcome{
 			Kind:       replication.Rejected,
 			NotRun:     true,
@@ -104,7 +104,7 @@
 	t.request.Class = t.record.Key.Class
 	t.request.At = now
 	t.request.Deadline = now + timeLeft
-	t.request.AllowAttempt = t.allow
+	t.request.AllowAttempt = t.allowAttempt
 	t.request.AttemptEnded = t.attemptEnded
 	if t.partner == "" {
 		t.request.PriorAttempts = t.priorAttempts(now)
@@ -112,13 +112,13 @@
 	}
 	self := t.gateway.self.Partner
 	e := envelope{
-		ID:        t.record.ID,
-		Target:    t.record.Target,
-		Path:      append(slices.Clone(t.record.PartnerPath), self),
-		Tenant:    t.record.Tenant,
-		Draws:     t.record.QuotaDraws,
-		QueryOnly: t.queryOnly,
-		From:      self,
+		ID:         t.record.ID,
+		Target:     t.record.Target,
+		Path:       append(slices.Clone(t.record.PartnerPath), self),
+		Tenant:     t.record.Tenant,
+		QuotaDraws: t.record.QuotaDraws,
+		QueryOnly:  t.queryOnly,
+		From:       self,
 	}
 	if selection.Route != nil {
 		e.Advertisement = selection.ID
@@ -155,8 +155,8 @@
 	return a.Number
 }
 
-// allow implements engine.Request's AllowAttempt: a replicated request's attempt needs its intent accepted.
-func (t *routedAttempt) allow(a *engine.Attempt) bool {
+// allowAttempt implements engine.Request's AllowAttempt: a replicated request's attempt needs its intent accepted.
+func (t *routedAttempt) allowAttempt(a *engine.Attempt) bool {
 	if t.replicates() {
 		intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.Host.Server, Zone: a.Zone, Cell: a.Cell}
 		if !t.work.Intend(a.Context(), intent) {
@@ -215,7 +215,7 @@
 
 // watchPartner ends an attempt at a partner's gateway once the others of that gateway's group have lost it: a connection to a
 // gateway that is stopped or cut off stands for as long as nobody writes, and another of the group knows the request's outcome.
-func (g *Gateway) watchPartner(partner string, a *engine.Attempt, done <-chan struct{}) {
+func (g *Gateway) watchPartner(partner string, attempt *engine.Attempt, done <-chan struct{}) {
 	tick := time.NewTicker(linkCheckInterval)
 	defer tick.Stop()
 	for {
@@ -223,13 +223,13 @@
 		case <-tick.C:
 		case <-done:
 			return
-		case <-a.Context().Done():
+		case <-attempt.Context().Done():
 			return
 		case <-g.ctx.Done():
 			return
 		}
-		if !g.exchange.IsAlive(partner, a.Host.Server) {
-			a.CancelServerGone()
+		if !g.exchange.IsAlive(partner, attempt.Host.Server) {
+			attempt.CancelServerGone()
 			return
 		}
 	}
--- a/internal/gateway/envelope.go
+++ b/internal/gateway/envelope.go
@@ -24,13 +24,13 @@
 	Path          []string         `cbor:"3,keyasint"` // partners that forwarded the request; the last one sends it
 	Advertisement routeexchange.ID `cbor:"4,keyasint"`
 	Tenant        string           `cbor:"5,keyasint,omitempty"`
-	Draws         []string         `cbor:"6,keyasint,omitempty"`
+	QuotaDraws    []string         `cbor:"6,keyasint,omitempty"`
 	QueryOnly     bool             `cbor:"7,keyasint,omitempty"` // only its outcome is asked for: it must not be begun
 	From          string           `cbor:"8,keyasint"`           // the sender: its ids are its own, and the same at all its gateways
 }
 
-// maxEnvelope is how long the header may be, in bytes.
-const maxEnvelope = 8 << 10
+// maxEnvelopeSize is how long the header may be, in bytes.
+const maxEnvelopeSize = 8 << 10
 
 // A tag's text begins so, for the key has other uses; the words are the wire's.
 const (
@@ -60,7 +60,7 @@
 
 // openEnvelope reads the header of a request. The error says why the request is no partner's.
 func openEnvelope(header []string, key func(partner string) []byte, id, target string) (*envelope, error) {
-	if len(header) != 1 || len(header[0]) > maxEnvelope {
+	if len(header) != 1 || len(header[0]) > maxEnvelopeSize {
 		return nil, fmt.Errorf("%w is missing, comes twice or is too long", errEnvelope)
 	}
 	encodedText, encodedTag, _ := strings.Cut(header[0], ".")
--- a/internal/gateway/envelope_test.go
+++ b/internal/gateway/envelope_test.go
@@ -16,13 +16,13 @@
 		}
 		return nil
 	}
-	p := envelope{ID: "c1", Target: "/note/p0/x?y", Path: []string{"p2", "p1"}, Advertisement: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", Draws: []string{"notes"}, From: "p1"}
+	p := envelope{ID: "c1", Target: "/note/p0/x?y", Path: []string{"p2", "p1"}, Advertisement: routeexchange.ID{Origin: "p0", Name: "note"}, Tenant: "acme", QuotaDraws: []string{"notes"}, From: "p1"}
 	text, err := p.seal(keys("p1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := openEnvelope([]string{text}, keys, "c1", "/note/p0/x?y")
-	if err != nil || got.Tenant != "acme" || !slices.Equal(got.Path, p.Path) || got.Advertisement != p.Advertisement || !slices.Equal(got.Draws, p.Draws) || got.QueryOnly {
+	if err != nil || got.Tenant != "acme" || !slices.Equal(got.Path, p.Path) || got.Advertisement != p.Advertisement || !slices.Equal(got.QuotaDraws, p.QuotaDraws) || got.QueryOnly {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	forged, _ := p.seal(keys("p2"))
@@ -40,7 +40,7 @@
 		"missing":            {nil, "c1", p.Target},
 		"no text of base64":  {[]string{"%." + tag}, "c1", p.Target},
 		"of nobody we know":  {[]string{strings.Repeat("a", 20) + "." + tag}, "c1", p.Target},
-		"longer than it may": {[]string{strings.Repeat("a", maxEnvelope+1)}, "c1", p.Target},
+		"longer than it may": {[]string{strings.Repeat("a", maxEnvelopeSize+1)}, "c1", p.Target},
 	} {
 		if got, err := openEnvelope(c.header, keys, c.id, c.target); err == nil {
 			t.Errorf("%s: %+v", name, got)
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/execution_test.go
@@ -41,7 +41,7 @@
 // resumeRequest has a request taken over whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
 func resumeRequest(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
-	return carryOut(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "request"}})
+	return runExecution(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "request"}})
 }
 
 // newEngine is the engine of a pool with two servers, whose attempts end as a backend says.
@@ -93,9 +93,9 @@
 	return snapshot
 }
 
-// carryOut has a request carried out of which there have been earlier attempts. Routes name the pool, by an advertisement of this
+// runExecution has a request carried out of which there have been earlier attempts. Routes name the pool, by an advertisement of this
 // partner's own.
-func carryOut(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
+func runExecution(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
 	t.Helper()
 	const partner = "p1"
 	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
@@ -104,10 +104,10 @@
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
 	g := &Gateway{options: Options{
-		Calls: dispatch.New(newSnapshot(t, class, pool, eng)),
-		Clock: c,
-		Log:   slog.New(slog.DiscardHandler),
-		Keys:  map[string][]byte{partner: []byte("the partners' key")},
+		Dispatcher:  dispatch.New(newSnapshot(t, class, pool, eng)),
+		Clock:       c,
+		Log:         slog.New(slog.DiscardHandler),
+		PartnerKeys: map[string][]byte{partner: []byte("the partners' key")},
 	}}
 	g.exchange = &routeexchange.Exchange{} // that knows of nobody
 	g.self.Partner = "p0"
@@ -185,7 +185,7 @@
 func TestNextRouteHasTimeThatIsLeft(t *testing.T) {
 	const takes = 100 * time.Millisecond
 	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Reason: "a rule"}}, duration: takes}
-	carryOut(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
+	runExecution(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != maxRoutes {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,17 +23,17 @@
 
 // Options are what a Gateway is made of.
 type Options struct {
-	Config *config.Config    // with a federation block
-	Key    []byte            // of this partner's own group
-	Keys   map[string][]byte // by partner
+	Config      *config.Config    // with a federation block
+	GroupKey    []byte            // of this partner's own group
+	PartnerKeys map[string][]byte // by partner
 	// Living returns the other gateways of the group that are alive.
-	Living func() []membership.Peer
+	ActiveMembers func() []membership.Peer
 	// Calls takes the requests that go on to a pool.
-	Calls *dispatch.Dispatcher
+	Dispatcher *dispatch.Dispatcher
 	// List notifies the pool of a partner of that partner's gateways.
-	List  func(partner string, list discovery.List)
-	Clock clock.Clock
-	Log   *slog.Logger
+	UpdateEndpoints func(partner string, list discovery.List)
+	Clock           clock.Clock
+	Log             *slog.Logger
 }
 
 // Gateway is a node's part in a federation. Its methods may be called by any goroutine.
@@ -69,7 +69,7 @@
 	p := newPolicy(options.Config)
 	g.policy.Store(p)
 	g.routes = routeexchange.NewTable(g.routePolicy(options.Config), time.Now)
-	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, GatewaysChanged: g.checkLinks})
+	g.exchange = routeexchange.NewExchange(routeexchange.Options{Table: g.routes, Group: g.ownGateways, GatewaysChanged: g.triggerLinkCheck})
 	g.replicator = replication.New(g.replicationOptions(federation))
 	hub, err := peering.Open(g.peeringOptions(federation))
 	if err != nil {
@@ -120,16 +120,16 @@
 			Name:        g.self.Name,
 			Zone:        g.options.Config.Node.Zone,
 			Incarnation: g.incarnation,
-			Calls:       requestAddress(g.options.Config),
+			RequestAddr: requestAddress(g.options.Config),
 		},
-		Listen:  g.options.Config.Node.Peers.Listen,
-		Key:     g.key,
-		Topics:  topics,
-		Up:      g.linkUp,
-		Changed: g.linkChanged,
-		Beat:    heartbeat(federation),
-		Silence: time.Duration(federation.Silence),
-		Log:     g.options.Log,
+		Listen:            g.options.Config.Node.Peers.Listen,
+		Key:               g.key,
+		Topics:            topics,
+		OnLinkUp:          g.linkUp,
+		OnPeerChange:      g.linkChanged,
+		HeartbeatInterval: heartbeat(federation),
+		HeartbeatTimeout:  time.Duration(federation.Silence),
+		Log:               g.options.Log,
 	}
 }
 
@@ -160,12 +160,12 @@
 // key is what links and envelopes of a partner are keyed by; nil: it is no partner.
 func (g *Gateway) key(partner string) []byte {
 	if partner == g.self.Partner {
-		return g.options.Key
+		return g.options.GroupKey
 	}
 	if !g.policy.Load().partners[partner] {
 		return nil
 	}
-	return g.options.Keys[partner]
+	return g.options.PartnerKeys[partner]
 }
 
 // linkUp notifies replication of links to the group, and sends routes to partners' gateways.
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -18,7 +18,7 @@
 	if hub == nil {
 		return nil
 	}
-	return hub.To(peering.GatewayID{Partner: l.self.Partner, Name: name})
+	return hub.Link(peering.GatewayID{Partner: l.self.Partner, Name: name})
 }
 
 // All implements replication.Links.
@@ -33,7 +33,7 @@
 // groupMembers are the gateways of the own group that are alive, this one among them, in the order of their names.
 func (g *Gateway) groupMembers() []replication.Gateway {
 	out := []replication.Gateway{{Name: g.self.Name, Zone: g.options.Config.Node.Zone, Incarnation: g.incarnation}}
-	for _, m := range g.options.Living() {
+	for _, m := range g.options.ActiveMembers() {
 		member := replication.Gateway{Name: m.Name, Zone: m.Zone}
 		if link := (groupLinks{g}).To(m.Name); link != nil {
 			member.Incarnation = link.Peer.Incarnation
@@ -51,8 +51,8 @@
 		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: address, Zone: g.options.Config.Node.Zone})
 	}
 	for _, link := range (groupLinks{g}).All() {
-		if link.Peer.Calls != "" {
-			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Calls: link.Peer.Calls, Zone: link.Peer.Zone})
+		if link.Peer.RequestAddr != "" {
+			out = append(out, routeexchange.Gateway{Name: link.Peer.Name, Calls: link.Peer.RequestAddr, Zone: link.Peer.Zone})
 		}
 	}
 	slices.SortFunc(out, func(a, b routeexchange.Gateway) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/gateway/take.go
+++ b/internal/gateway/intercept.go
@@ -14,9 +14,9 @@
 
 // Headers of clients.
 const (
-	retryHeader    = "X-Retry-Of"  // the id of the client's earlier request, whose response has not come
-	comeBackHeader = "X-Come-Back" // the id of the client's earlier request that was rejected, once its Retry-After is over
-	tenantHeader   = "X-Tenant"
+	retryOfHeader    = "X-Retry-Of"  // the id of the client's earlier request, whose response has not come
+	rejectedIDHeader = "X-Come-Back" // the id of the client's earlier request that was rejected, once its Retry-After is over
+	tenantHeader     = "X-Tenant"
 )
 
 // Prefixes of a replicated request's key: by an idempotency key, whoever sends it, or by the sender and its id.
@@ -32,10 +32,10 @@
 	settleReserve     = 20 * time.Millisecond  // of a replicated request's time, for its outcome to be settled
 )
 
-// incoming is what a request says of itself, and what its envelope does if a partner forwarded it.
-type incoming struct {
+// inboundRequest is what a request says of itself, and what its envelope does if a partner forwarded it.
+type inboundRequest struct {
 	record    replication.Record
-	from      string // the partner that forwarded it; empty: a client sent it
+	sender    string // the partner that forwarded it; empty: a client sent it
 	retryOf   string // the id of the sender's earlier request whose response it asks for
 	queryOnly bool   // a partner asks for the outcome: the request must not be begun
 }
@@ -49,7 +49,7 @@
 		reject(request, "this class is not known here")
 		return true
 	}
-	in, err := g.readIncoming(p, request, routing)
+	in, err := g.parseRequest(p, request, routing)
 	if err != nil {
 		reject(request, err.Error())
 		return true
@@ -62,7 +62,7 @@
 		}
 		in.retryOf = ""
 	}
-	draws := p.draws(request.Class, &in.record)
+	draws := p.quotasToDraw(request.Class, &in.record)
 	needsGateway := replicated || len(draws) > 0 || len(in.record.PartnerPath) > 0
 	if !needsGateway && !g.goesToPartner(&in.record, class) {
 		return false
@@ -73,9 +73,9 @@
 		request:      request,
 		record:       in.record,
 		class:        class,
-		draws:        draws,
+		quotas:       draws,
 		awaitOnly:    in.queryOnly || in.retryOf != "" && in.record.IdempotencyKey == "",
-		rejectedID:   firstValue(routing.Headers, comeBackHeader),
+		rejectedID:   firstValue(routing.Headers, rejectedIDHeader),
 		replicated:   replicated,
 		disconnected: make(chan struct{}),
 	}
@@ -89,10 +89,10 @@
 	request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Reason: reason, RetryAfter: defaultRetryAfter})
 }
 
-// readIncoming reads a request and, on the listener of partners, its envelope. An error says why it is no partner's.
-func (g *Gateway) readIncoming(p *policy, request *engine.Request, routing *route.Request) (*incoming, error) {
+// parseRequest reads a request and, on the listener of partners, its envelope. An error says why it is no partner's.
+func (g *Gateway) parseRequest(p *policy, request *engine.Request, routing *route.Request) (*inboundRequest, error) {
 	message := &request.Message
-	in := &incoming{retryOf: firstValue(routing.Headers, retryHeader)}
+	in := &inboundRequest{retryOf: firstValue(routing.Headers, retryOfHeader)}
 	in.record = replication.Record{
 		ID:             request.ID,
 		Method:         message.Method,
@@ -118,9 +118,9 @@
 	}
 	in.record.Tenant = e.Tenant
 	in.record.PartnerPath = e.Path
-	in.record.QuotaDraws = e.Draws
+	in.record.QuotaDraws = e.QuotaDraws
 	in.record.Offer = [2]string{e.Advertisement.Origin, e.Advertisement.Name}
-	in.from = e.From
+	in.sender = e.From
 	in.queryOnly = e.QueryOnly
 	in.retryOf = ""
 	if e.QueryOnly {
@@ -130,19 +130,19 @@
 }
 
 // key is what the request is replicated under.
-func (in *incoming) key(request *engine.Request) replication.Key {
-	id := requestIDPrefix + in.from + ":" + request.ID
+func (in *inboundRequest) key(request *engine.Request) replication.Key {
+	id := requestIDPrefix + in.sender + ":" + request.ID
 	switch {
 	case in.record.IdempotencyKey != "":
 		id = idempotencyKeyPrefix + in.record.IdempotencyKey
 	case in.retryOf != "":
-		id = requestIDPrefix + in.from + ":" + in.retryOf
+		id = requestIDPrefix + in.sender + ":" + in.retryOf
 	}
 	return replication.Key{Class: request.Class, ID: id}
 }
 
-// draws are the names of the quotas that a request has to draw from here: those that it matches and has not drawn from before.
-func (p *policy) draws(class string, record *replication.Record) []string {
+// quotas are the names of the quotas that a request has to draw from here: those that it matches and has not drawn from before.
+func (p *policy) quotasToDraw(class string, record *replication.Record) []string {
 	var names []string
 	for i := range p.quotas {
 		budget := &p.quotas[i]
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -17,7 +17,7 @@
 		next[budget.Name] = quota.New(quota.Options{
 			Budget: budget,
 			Self:   g.self,
-			To:     g.hub.Load().To,
+			To:     g.hub.Load().Link,
 			Now:    g.options.Clock.Now,
 			Log:    g.options.Log,
 		})
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -60,9 +60,9 @@
 		Self:       cfg.Federation.Partner,
 		Neighbours: map[string]routeexchange.Neighbour{},
 		Stale:      time.Duration(cfg.Federation.Stale),
-		GroupSize:  1 + len(g.options.Living()),
+		GroupSize:  1 + len(g.options.ActiveMembers()),
 	}
-	replicated := isReplicated(cfg)
+	replicated := replicatedClasses(cfg)
 	for _, partner := range cfg.Partners {
 		p.Neighbours[partner.Name] = routeexchange.Neighbour{
 			Import: routeexchange.Import{
@@ -113,8 +113,8 @@
 	return a
 }
 
-// isReplicated says which classes a configuration has replicated.
-func isReplicated(cfg *config.Config) func(class string) bool {
+// replicatedClasses says which classes a configuration has replicated.
+func replicatedClasses(cfg *config.Config) func(class string) bool {
 	return func(name string) bool {
 		class, ok := cfg.Class(name)
 		return ok && class.Replication != nil
@@ -130,10 +130,10 @@
 	return listener.Address
 }
 
-// Adopt has requests go by another configuration from now on. It does not block: it is called while no request is dispatched,
+// SetConfig has requests go by another configuration from now on. It does not block: it is called while no request is dispatched,
 // so that no request of a class, a quota or a partner of the one configuration goes by the rules of the other. A configuration
 // without a federation block takes a restart, and changes nothing here.
-func (g *Gateway) Adopt(cfg *config.Config) {
+func (g *Gateway) SetConfig(cfg *config.Config) {
 	if cfg.Federation == nil {
 		return // that takes a restart
 	}
@@ -143,9 +143,9 @@
 	g.routes.SetPolicy(g.routePolicy(cfg))
 }
 
-// Announce advertises to partners what the configuration that was adopted has changed.
-func (g *Gateway) Announce() {
+// AdvertiseChanges advertises to partners what the configuration that was adopted has changed.
+func (g *Gateway) AdvertiseChanges() {
 	g.exchange.Advertise()
 	g.exchange.RequestRefresh()
-	g.checkLinks()
+	g.triggerLinkCheck()
 }
--- a/internal/gateway/flow.go
+++ b/internal/gateway/requestflow.go
@@ -17,7 +17,7 @@
 	request        *engine.Request
 	record         replication.Record
 	class          config.Class
-	draws          []string // quotas that it has to draw from
+	quotas         []string // quotas that it has to draw from
 	awaitOnly      bool     // its sender asks only for the outcome of an earlier request
 	rejectedID     string   // the id of the client's earlier request that was rejected, as it says
 	replicated     bool
@@ -59,14 +59,14 @@
 	if f.awaitOnly {
 		return f.awaitEarlier(ctx)
 	}
-	if f.replicated && f.record.IdempotencyKey != "" && len(f.draws) > 0 && f.gateway.replicator.MayHold(ctx, f.record.Key) {
+	if f.replicated && f.record.IdempotencyKey != "" && len(f.quotas) > 0 && f.gateway.replicator.MayHold(ctx, f.record.Key) {
 		if response, ok := f.awaitDuplicate(ctx); ok {
 			return response // a repeat draws nothing
 		}
 	}
 	undo, response, ok := f.drawTokens(ctx)
 	if ok {
-		response = f.carryOut(ctx)
+		response = f.execute(ctx)
 	}
 	if response.Kind == engine.Rejected && response.NotRun {
 		for _, giveBack := range undo {
@@ -83,7 +83,7 @@
 	if id == "" {
 		id = f.record.ID
 	}
-	for _, name := range f.draws {
+	for _, name := range f.quotas {
 		limiter := f.gateway.limiter(name)
 		if limiter == nil {
 			continue
@@ -102,8 +102,8 @@
 	return undo, engine.Response{}, true
 }
 
-// carryOut has the request carried out once, replicated if its class is.
-func (f *requestFlow) carryOut(ctx context.Context) engine.Response {
+// runExecution has the request carried out once, replicated if its class is.
+func (f *requestFlow) execute(ctx context.Context) engine.Response {
 	if !f.replicated {
 		return f.runUnreplicated(ctx, f.request.Message)
 	}
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -55,7 +55,7 @@
 		}
 		return destination{pool: forced}, ""
 	}
-	pool, routed := e.gateway.options.Calls.Pool(&route.Request{
+	pool, routed := e.gateway.options.Dispatcher.Pool(&route.Request{
 		Listener: e.record.Route.Listener,
 		Class:    e.class.Name,
 		Host:     e.record.Route.Host,
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -15,7 +15,7 @@
 // faultySocket fails with the errors of a table in turn, while reads or writes are set.
 type faultySocket struct {
 	packetConn
-	reads, writes         atomic.Bool  // they fail
+	failReads, failWrites atomic.Bool  // they fail
 	readCalls, writeCalls atomic.Int64 // numbers of calls
 }
 
@@ -27,14 +27,14 @@
 }
 
 func (f *faultySocket) ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error) {
-	if n := f.readCalls.Add(1); f.reads.Load() {
+	if n := f.readCalls.Add(1); f.failReads.Load() {
 		return 0, netip.AddrPort{}, socketError("recvfrom", n)
 	}
 	return f.packetConn.ReadFromUDPAddrPort(p)
 }
 
 func (f *faultySocket) WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error) {
-	if n := f.writeCalls.Add(1); f.writes.Load() {
+	if n := f.writeCalls.Add(1); f.failWrites.Load() {
 		return 0, socketError("sendto", n)
 	}
 	return f.packetConn.WriteToUDPAddrPort(p, to)
@@ -49,7 +49,7 @@
 	text := &testpeer.LogBuffer{}
 	b.options.Log = slog.New(slog.NewTextHandler(text, nil))
 	socket := &faultySocket{packetConn: b.conn}
-	socket.writes.Store(true)
+	socket.failWrites.Store(true)
 	b.conn = socket
 	run(t, a)
 	run(t, b)
@@ -60,8 +60,8 @@
 	if lines < 1 || lines > maxLines || b.Status().Counts.Sent != 0 {
 		t.Errorf("%d lines in %v, %+v", lines, b.options.Clock.Now()-begin, b.Status().Counts)
 	}
-	socket.writes.Store(false)
-	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
+	socket.failWrites.Store(false)
+	testpeer.Until(t, "each to know the other", func() bool { return memberStatus(a, "b") == "alive" && memberStatus(b, "a") == "alive" })
 }
 
 // Reads that fail one after the other back off, and the first one that succeeds resets that.
@@ -70,7 +70,7 @@
 	a := open(t, "a", key)
 	b := open(t, "b", key, a.Addr())
 	socket := &faultySocket{packetConn: b.conn}
-	socket.reads.Store(true)
+	socket.failReads.Store(true)
 	b.conn = socket
 	run(t, a)
 	stop := run(t, b)
@@ -80,8 +80,8 @@
 	if most := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readCalls.Load() > most {
 		t.Errorf("%d reads in %v, at most %d", socket.readCalls.Load(), b.options.Clock.Now()-begin, most)
 	}
-	socket.reads.Store(false)
-	testpeer.Until(t, "each to know the other", func() bool { return status(a, "b") == "alive" && status(b, "a") == "alive" })
-	socket.reads.Store(true)
+	socket.failReads.Store(false)
+	testpeer.Until(t, "each to know the other", func() bool { return memberStatus(a, "b") == "alive" && memberStatus(b, "a") == "alive" })
+	socket.failReads.Store(true)
 	stop()
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -42,13 +42,13 @@
 	addr := free.LocalAddr().String()
 	free.Close()
 	r, err := Open(Options{
-		Self:      membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
-		Listen:    addr,
-		Key:       []byte(key),
-		Members:   o,
-		ZoneState: zoneState,
-		Clock:     clock.New(),
-		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Self:       membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
+		Listen:     addr,
+		Key:        []byte(key),
+		Membership: o,
+		ZoneState:  zoneState,
+		Clock:      clock.New(),
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	return stop
 }
 
-// status returns the status that a transport holds of a node; empty: it does not know it.
-func status(r *Transport, name string) string {
+// memberStatus returns the status that a transport holds of a node; empty: it does not know it.
+func memberStatus(r *Transport, name string) string {
 	for _, m := range r.Status().Members {
 		if m.Name == name {
 			return m.Status
@@ -98,10 +98,10 @@
 		r    *Transport
 		name string
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
-		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
+		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return memberStatus(pair.r, pair.name) == "alive" })
 	}
-	testpeer.Until(t, "datagrams of another key are counted", func() bool { return a.Status().Counts.Strange > 0 })
-	if got := status(a, "other"); got != "" || len(other.Status().Members) > 0 {
+	testpeer.Until(t, "datagrams of another key are counted", func() bool { return a.Status().Counts.WrongKey > 0 })
+	if got := memberStatus(a, "other"); got != "" || len(other.Status().Members) > 0 {
 		t.Errorf("a node of another cluster has status %q, and knows %+v", got, other.Status().Members)
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
@@ -112,7 +112,7 @@
 	fmt.Fprint(nc, strings.Repeat("x", 400))
 	testpeer.Until(t, "the malformed datagram is counted", func() bool { return a.Status().Counts.Malformed > 0 })
 	stop()
-	testpeer.Until(t, "the one that left has left for the others", func() bool { return status(a, "c") == "left" && status(b, "c") == "left" })
+	testpeer.Until(t, "the one that left has left for the others", func() bool { return memberStatus(a, "c") == "left" && memberStatus(b, "c") == "left" })
 	if s := c.Status(); len(s.Members) != 0 {
 		t.Errorf("a transport that has ended returns %+v", s)
 	}
@@ -127,11 +127,11 @@
 		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
 	r.budgetAt = r.options.Clock.Now()
-	r.sendBudget = maxOutgoing
+	r.sendBudget = maxSendRate
 	r.send(packets)
 	size := int64(len(membership.Encode(packets[0].Message, r.options.Key)))
-	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < maxOutgoing/2 || r.counts.Sent+r.counts.Paced != 3000 {
-		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxOutgoing, r.counts.Paced)
+	if sent := r.counts.Sent * size; r.counts.RateLimited == 0 || sent < maxSendRate/2 || r.counts.Sent+r.counts.RateLimited != 3000 {
+		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxSendRate, r.counts.RateLimited)
 	}
 }
 
@@ -182,13 +182,13 @@
 	sum := func(r *Transport) (amount float64, from int) {
 		r.PublishLoad(load)
 		f := r.Status().ZoneState
-		if f == nil || f.Alone {
+		if f == nil || f.Isolated {
 			return 0, 0
 		}
 		for _, z := range f.Zones {
 			for _, x := range z.Reports {
-				if x.What == "demand" && x.Of == "view" && z.Freshness == "fresh" {
-					return x.Amount, x.From
+				if x.Kind == "demand" && x.Subject == "view" && z.Freshness == "fresh" {
+					return x.Value, x.PartCount
 				}
 			}
 		}
@@ -203,9 +203,9 @@
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to count messages", func() bool { return old.Status().Counts.Other > 0 && old.Status().ZoneState == nil })
+	testpeer.Until(t, "the older one to count messages", func() bool { return old.Status().Counts.Unsupported > 0 && old.Status().ZoneState == nil })
 	for _, r := range []*Transport{a, b, c} {
-		if got := status(r, "old"); got != "alive" {
+		if got := memberStatus(r, "old"); got != "alive" {
 			t.Errorf("the older one has status %s", got)
 		}
 	}
@@ -219,6 +219,6 @@
 	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
 	testpeer.Until(t, "the malformed one and the one of another key to be counted", func() bool {
 		is := a.Status().Counts
-		return is.Malformed > before.Malformed && is.Strange > before.Strange
+		return is.Malformed > before.Malformed && is.WrongKey > before.WrongKey
 	})
 }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -24,13 +24,13 @@
 	err       error
 }
 
-// receiver is what read needs of a UDP socket.
-type receiver interface {
+// packetReader is what read needs of a UDP socket.
+type packetReader interface {
 	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
 }
 
 // read passes incoming datagrams to the loop of Run until the socket is closed. It drops those for which the queue is full.
-func (t *Transport) read(conn receiver) {
+func (t *Transport) read(conn packetReader) {
 	buf := make([]byte, membership.MaxDatagram+1)
 	pause := minReadPause
 	for {
@@ -103,9 +103,9 @@
 	otherVersion := errors.Is(d.err, membership.ErrVersion) || errors.Is(d.err, zonestate.ErrVersion)
 	switch {
 	case otherVersion || d.zoneState != nil && t.exchange == nil:
-		t.counts.Other++
+		t.counts.Unsupported++
 	case errors.Is(d.err, membership.ErrKey):
-		t.counts.Strange++
+		t.counts.WrongKey++
 	case d.err != nil:
 		t.counts.Malformed++
 	case d.zoneState != nil:
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -7,9 +7,9 @@
 	"damsontrestle/internal/membership"
 )
 
-// maxOutgoing is the rate of the send budget in bytes a second, and its burst in bytes. A healthy cluster takes a few hundred bytes
+// maxSendRate is the rate of the send budget in bytes a second, and its burst in bytes. A healthy cluster takes a few hundred bytes
 // a second for membership.
-const maxOutgoing = 64 << 10
+const maxSendRate = 64 << 10
 
 // failureLogInterval is the least time between two log lines about failures to send.
 const failureLogInterval = time.Second
@@ -30,15 +30,15 @@
 // write sends a datagram if the send budget allows it, and reports whether it did.
 func (t *Transport) write(data []byte, to netip.AddrPort) bool {
 	now := t.options.Clock.Now()
-	t.sendBudget = min(maxOutgoing, t.sendBudget+(now-t.budgetAt).Seconds()*maxOutgoing)
+	t.sendBudget = min(maxSendRate, t.sendBudget+(now-t.budgetAt).Seconds()*maxSendRate)
 	t.budgetAt = now
 	if t.sendBudget < float64(len(data)) {
-		t.counts.Paced++
+		t.counts.RateLimited++
 		return false
 	}
 	t.sendBudget -= float64(len(data))
 	if _, err := t.conn.WriteToUDPAddrPort(data, to); err != nil {
-		t.noteFailure(now, to, err)
+		t.recordSendFailure(now, to, err)
 		return false
 	}
 	t.counts.Sent++
@@ -46,8 +46,8 @@
 	return true
 }
 
-// noteFailure counts a datagram that could not be sent, and logs the count at times.
-func (t *Transport) noteFailure(now time.Duration, to netip.AddrPort, err error) {
+// recordSendFailure counts a datagram that could not be sent, and logs the count at times.
+func (t *Transport) recordSendFailure(now time.Duration, to netip.AddrPort, err error) {
 	t.failures.count++
 	if t.failures.logged != 0 && now-t.failures.logged < failureLogInterval {
 		return
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -8,14 +8,14 @@
 
 // Counts are numbers of datagrams since the start.
 type Counts struct {
-	Sent      int64 `json:"sent"`
-	Bytes     int64 `json:"bytes"` // in the datagrams sent, without headers of UDP and IP
-	Received  int64 `json:"received"`
-	Strange   int64 `json:"strange"` // of another key
-	Malformed int64 `json:"malformed"`
-	Other     int64 `json:"other"` // of another version, or zone state at a node without it
-	Lost      int64 `json:"lost"`  // received and dropped, for the queue was full
-	Paced     int64 `json:"paced"` // not sent, for the send budget was spent
+	Sent        int64 `json:"sent"`
+	Bytes       int64 `json:"bytes"` // in the datagrams sent, without headers of UDP and IP
+	Received    int64 `json:"received"`
+	WrongKey    int64 `json:"strange"` // of another key
+	Malformed   int64 `json:"malformed"`
+	Unsupported int64 `json:"other"` // of another version, or zone state at a node without it
+	QueueFull   int64 `json:"lost"`  // received and dropped, for the queue was full
+	RateLimited int64 `json:"paced"` // not sent, for the send budget was spent
 }
 
 // Status is what a node knows of the others.
@@ -36,8 +36,8 @@
 	Zone        string        `json:"zone,omitempty"`
 	Status      string        `json:"status"` // alive, suspect, dead, left
 	Incarnation uint32        `json:"life"`
-	For         time.Duration `json:"for"`             // for how long it has had this status here
-	Heard       time.Duration `json:"heard,omitempty"` // time since its last message; negative: there was none
+	SinceChange time.Duration `json:"for"`             // for how long it has had this status here
+	SinceHeard  time.Duration `json:"heard,omitempty"` // time since its last message; negative: there was none
 }
 
 // publishMembers makes changes of the membership visible: to Living, and in the log.
@@ -64,8 +64,8 @@
 	}
 }
 
-// Living returns the other members that are alive or suspect; none before Run. The caller must not change the slice.
-func (t *Transport) Living() []membership.Peer {
+// ActiveMembers returns the other members that are alive or suspect; none before Run. The caller must not change the slice.
+func (t *Transport) ActiveMembers() []membership.Peer {
 	if active := t.active.Load(); active != nil {
 		return *active
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// status returns the Status; it runs in the loop of Run.
+// memberStatus returns the Status; it runs in the loop of Run.
 func (t *Transport) status() Status {
 	now := t.options.Clock.Now()
 	_, incarnation := t.machine.Self()
@@ -98,7 +98,7 @@
 		NameConflicts: t.machine.NameConflicts,
 		Counts:        t.counts,
 	}
-	s.Counts.Lost = t.overruns.Load()
+	s.Counts.QueueFull = t.overruns.Load()
 	if t.exchange != nil {
 		s.ZoneState = t.exchange.status(now)
 	}
@@ -110,11 +110,11 @@
 			Zone:        k.Zone,
 			Status:      k.Status.String(),
 			Incarnation: k.Incarnation,
-			For:         now - k.StatusSince,
-			Heard:       -1,
+			SinceChange: now - k.StatusSince,
+			SinceHeard:  -1,
 		}
 		if k.LastHeard > 0 {
-			m.Heard = now - k.LastHeard
+			m.SinceHeard = now - k.LastHeard
 		}
 		s.Members = append(s.Members, m)
 	}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -23,18 +23,18 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// queuedDatagrams is how many datagrams may wait for the loop of Run. What comes beyond is dropped.
-const queuedDatagrams = 256
+// maxQueuedDatagrams is how many datagrams may wait for the loop of Run. What comes beyond is dropped.
+const maxQueuedDatagrams = 256
 
 // Options are the parameters of a Transport.
 type Options struct {
-	Self      membership.Peer
-	Listen    string             // address of the UDP socket
-	Key       []byte             // of the cluster, as LoadKey returns it
-	Members   membership.Options // of the membership protocol
-	ZoneState *zonestate.Options // nil: zone state is neither sent nor received
-	Clock     clock.Clock
-	Log       *slog.Logger
+	Self       membership.Peer
+	Listen     string             // address of the UDP socket
+	Key        []byte             // of the cluster, as LoadKey returns it
+	Membership membership.Options // of the membership protocol
+	ZoneState  *zonestate.Options // nil: zone state is neither sent nor received
+	Clock      clock.Clock
+	Log        *slog.Logger
 }
 
 // Transport carries the gossip of one node. Its state belongs to the goroutine of Run, but for the channels, the atomics and
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("gossip: seed: %w", err)
 	}
 	seed := binary.LittleEndian.Uint64(random[:])
-	m, err := membership.New(o.Self, o.Members, seed)
+	m, err := membership.New(o.Self, o.Membership, seed)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
@@ -103,7 +103,7 @@
 		machine:        m,
 		exchange:       x,
 		loads:          make(chan Load, 1),
-		incoming:       make(chan datagram, queuedDatagrams),
+		incoming:       make(chan datagram, maxQueuedDatagrams),
 		statusRequests: make(chan chan Status),
 		started:        make(chan struct{}),
 		done:           make(chan struct{}),
@@ -139,12 +139,12 @@
 		}
 		t.publishMembers()
 		t.updateView()
-		timer.Reset(max(0, t.options.Clock.Until(t.next())))
+		timer.Reset(max(0, t.options.Clock.Until(t.nextTick())))
 	}
 }
 
-// next returns the time at which tick is due.
-func (t *Transport) next() time.Duration {
+// nextTick returns the time at which tick is due.
+func (t *Transport) nextTick() time.Duration {
 	if t.exchange == nil {
 		return t.machine.Next()
 	}
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -11,18 +11,18 @@
 	Names   map[zonestate.Subject]string // of the subjects of all entries, for Status
 }
 
-// placeName is the name of a place.
-type placeName struct{ region, zone string }
+// zoneName is the name of a place.
+type zoneName struct{ region, zone string }
 
 // exchange is a Transport's part in the exchange of zone state. It belongs to the goroutine of Run.
 type exchange struct {
-	machine *zonestate.Machine
-	options zonestate.Options
-	places  map[zonestate.ZoneID]placeName
-	names   map[zonestate.Subject]string
-	logged  map[zonestate.ZoneID]zonestate.Freshness // as it was logged last
-	changes int                                      // Changes of the membership in the machine's view; -1: it has none
-	sent    [zonestate.Query + 1]int                 // messages, by kind
+	machine         *zonestate.Machine
+	options         zonestate.Options
+	zoneNames       map[zonestate.ZoneID]zoneName
+	names           map[zonestate.Subject]string
+	loggedFreshness map[zonestate.ZoneID]zonestate.Freshness // as it was logged last
+	viewChanges     int                                      // Changes of the membership in the machine's view; -1: it has none
+	sent            [zonestate.Query + 1]int                 // messages, by kind
 }
 
 func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
@@ -32,28 +32,28 @@
 		return nil, err
 	}
 	return &exchange{
-		machine: m,
-		options: *o.ZoneState,
-		logged:  map[zonestate.ZoneID]zonestate.Freshness{},
-		changes: -1,
+		machine:         m,
+		options:         *o.ZoneState,
+		loggedFreshness: map[zonestate.ZoneID]zonestate.Freshness{},
+		viewChanges:     -1,
 	}, nil
 }
 
 // updateView gives the machine the membership as it is now, if that has changed.
 func (t *Transport) updateView() {
 	x := t.exchange
-	if x == nil || x.changes == t.machine.Changes() {
+	if x == nil || x.viewChanges == t.machine.Changes() {
 		return
 	}
-	x.changes = t.machine.Changes()
+	x.viewChanges = t.machine.Changes()
 	id, incarnation := t.machine.Self()
 	self := t.options.Self
 	place := zonestate.ZoneIDOf(self.Region, self.Zone)
 	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, ZoneID: place}}
-	x.places = map[zonestate.ZoneID]placeName{place: {self.Region, self.Zone}}
+	x.zoneNames = map[zonestate.ZoneID]zoneName{place: {self.Region, self.Zone}}
 	for _, k := range t.machine.Members() {
 		place := zonestate.ZoneIDOf(k.Region, k.Zone)
-		x.places[place] = placeName{k.Region, k.Zone}
+		x.zoneNames[place] = zoneName{k.Region, k.Zone}
 		all = append(all, zonestate.Peer{
 			ID:       uint64(k.ID),
 			Addr:     k.Addr,
@@ -94,19 +94,19 @@
 		return
 	}
 	x.names = s.Names
-	entries := append(s.Entries, truthEntries()...)
+	entries := append(s.Entries, auditEntries()...)
 	x.machine.SetOwnPart(t.options.Clock.Now(), zonestate.GroupByPage(entries))
 }
 
 // logZones logs each change of a zone's freshness.
 func (t *Transport) logZones() {
 	x := t.exchange
-	truth := readTruth() // before the clock is read, so that no row ages between the two
+	truth := readAuditClock() // before the clock is read, so that no row ages between the two
 	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
-		name := x.places[z.ID]
-		if logged, known := x.logged[z.ID]; !known || logged != z.Freshness {
-			x.logged[z.ID] = z.Freshness
+		name := x.zoneNames[z.ID]
+		if logged, known := x.loggedFreshness[z.ID]; !known || logged != z.Freshness {
+			x.loggedFreshness[z.ID] = z.Freshness
 			t.options.Log.Info("zone", "region", name.region, "zone", name.zone, "facts", z.Freshness, "from", z.PartCount, "of", z.ActiveNodes)
 		}
 		if short := truth.underReported(x.machine.Read(now, z.ID, zonestate.MadeAt, 0)); short > 0 {
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -9,33 +9,33 @@
 
 // ZoneStateStatus is what a node knows of zones.
 type ZoneStateStatus struct {
-	Fresh   time.Duration     `json:"fresh"` // as configured
-	Alone   bool              `json:"alone"` // nothing fresh is known of other nodes
-	Zones   []Zone            `json:"zones"`
-	Rows    int               `json:"rows"` // rows and children's parts that are stored
-	Dropped zonestate.Dropped `json:"dropped"`
-	Sent    map[string]int    `json:"sent"` // messages by kind
+	FreshAge   time.Duration     `json:"fresh"` // as configured
+	Isolated   bool              `json:"alone"` // nothing fresh is known of other nodes
+	Zones      []Zone            `json:"zones"`
+	StoredRows int               `json:"rows"` // rows and children's parts that are stored
+	Dropped    zonestate.Dropped `json:"dropped"`
+	Sent       map[string]int    `json:"sent"` // messages by kind
 }
 
 // Zone is the state of one zone.
 type Zone struct {
-	Region    string        `json:"region,omitempty"`
-	Zone      string        `json:"zone"`
-	Freshness string        `json:"word"`          // fresh, stale, unknown
-	For       time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
-	Age       time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
-	From      int           `json:"from"`          // number of nodes whose parts are in it
-	Of        int           `json:"of"`            // number of active nodes
-	Reports   []LoadReport  `json:"told,omitempty"`
+	Region      string        `json:"region,omitempty"`
+	Zone        string        `json:"zone"`
+	Freshness   string        `json:"word"`          // fresh, stale, unknown
+	SinceChange time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
+	Age         time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
+	PartCount   int           `json:"from"`          // number of nodes whose parts are in it
+	ActiveNodes int           `json:"of"`            // number of active nodes
+	Reports     []LoadReport  `json:"told,omitempty"`
 }
 
 // LoadReport is one value of a zone.
 type LoadReport struct {
-	What   string        `json:"what"`
-	Of     string        `json:"of"` // name of the subject, or its number if the node does not know the name
-	Amount float64       `json:"amount"`
-	Age    time.Duration `json:"age"`  // upper bound on the age of the oldest part
-	From   int           `json:"from"` // number of nodes whose parts are in it
+	Kind      string        `json:"what"`
+	Subject   string        `json:"of"` // name of the subject, or its number if the node does not know the name
+	Value     float64       `json:"amount"`
+	Age       time.Duration `json:"age"`  // upper bound on the age of the oldest part
+	PartCount int           `json:"from"` // number of nodes whose parts are in it
 }
 
 // kindNames are the names of kinds in a LoadReport.
@@ -64,35 +64,35 @@
 	zonestate.Query:      "questions",
 }
 
-// firstKinds are a kind of each page.
-var firstKinds = []zonestate.Kind{zonestate.Demand, zonestate.Attempts, zonestate.ServerFailures, zonestate.LatencyHistogram}
+// pageKinds are a kind of each page.
+var pageKinds = []zonestate.Kind{zonestate.Demand, zonestate.Attempts, zonestate.ServerFailures, zonestate.LatencyHistogram}
 
-// maxSketchPower bounds the power of two in the name of a Sketch entry.
-const maxSketchPower = 40
+// maxHistogramExponent bounds the power of two in the name of a Sketch entry.
+const maxHistogramExponent = 40
 
-// status returns the state of all zones.
+// memberStatus returns the state of all zones.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
 	s := &ZoneStateStatus{
-		Fresh:   x.options.FreshAge,
-		Alone:   x.machine.Isolated(now),
-		Rows:    x.machine.Size(),
-		Dropped: x.machine.Dropped,
-		Sent:    map[string]int{},
+		FreshAge:   x.options.FreshAge,
+		Isolated:   x.machine.Isolated(now),
+		StoredRows: x.machine.Size(),
+		Dropped:    x.machine.Dropped,
+		Sent:       map[string]int{},
 	}
 	for kind, name := range messageNames {
 		s.Sent[name] = x.sent[kind]
 	}
 	for _, z := range x.machine.Zones(now) {
-		name := x.places[z.ID]
+		name := x.zoneNames[z.ID]
 		s.Zones = append(s.Zones, Zone{
-			Region:    name.region,
-			Zone:      name.zone,
-			Freshness: z.Freshness.String(),
-			For:       now - z.Since,
-			Age:       z.Age,
-			From:      z.PartCount,
-			Of:        z.ActiveNodes,
-			Reports:   x.loadReports(now, z.ID),
+			Region:      name.region,
+			Zone:        name.zone,
+			Freshness:   z.Freshness.String(),
+			SinceChange: now - z.Since,
+			Age:         z.Age,
+			PartCount:   z.PartCount,
+			ActiveNodes: z.ActiveNodes,
+			Reports:     x.loadReports(now, z.ID),
 		})
 	}
 	return s
@@ -101,18 +101,18 @@
 // loadReports returns the values of a zone's rows.
 func (x *exchange) loadReports(now time.Duration, of zonestate.ZoneID) []LoadReport {
 	var reports []LoadReport
-	for _, kind := range firstKinds {
+	for _, kind := range pageKinds {
 		row, found := x.machine.Row(now, of, kind)
 		if !found {
 			continue
 		}
 		for _, e := range row.Entries {
 			reports = append(reports, LoadReport{
-				What:   kindName(e.Kind),
-				Of:     x.subjectName(e),
-				Amount: e.Value,
-				Age:    row.Age,
-				From:   row.PartCount,
+				Kind:      kindName(e.Kind),
+				Subject:   x.subjectName(e),
+				Value:     e.Value,
+				Age:       row.Age,
+				PartCount: row.PartCount,
 			})
 		}
 	}
@@ -128,7 +128,7 @@
 
 func (x *exchange) subjectName(e zonestate.Entry) string {
 	if e.Kind == zonestate.LatencyHistogram {
-		power := min(uint(e.Subject), maxSketchPower)
+		power := min(uint(e.Subject), maxHistogramExponent)
 		return fmt.Sprintf("under %v", time.Duration(1<<power)*time.Microsecond)
 	}
 	if name, known := x.names[e.Subject]; known {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -94,7 +94,7 @@
 
 func gatewayOptions(name string, log *slog.Logger) peering.Options {
 	return peering.Options{Self: peering.Peer{Partner: "p", Name: name, Incarnation: 1}, Log: log, Listen: "127.0.0.1:0",
-		Key: func(string) []byte { return []byte("key") }, Silence: testpeer.Limit}
+		Key: func(string) []byte { return []byte("key") }, HeartbeatTimeout: testpeer.Limit}
 }
 
 func askShow(t *testing.T, address string, _ int) {
@@ -116,14 +116,14 @@
 	t.Helper()
 	up := make(chan *peering.Link, 1)
 	o := gatewayOptions(fmt.Sprint("a", i), node.DiscardLog())
-	o.Up = func(l *peering.Link) { up <- l }
+	o.OnLinkUp = func(l *peering.Link) { up <- l }
 	other, err := peering.Open(o)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	defer other.Close()
-	other.Keep(address, "p")
+	other.Connect(address, "p")
 	testpeer.Receive(t, up, "a link")
 }
 
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -31,7 +31,7 @@
 	c.switchListeners(&gone)
 	n.cfg = c.cfg
 	if n.gateway != nil {
-		n.gateway.Announce()
+		n.gateway.AdvertiseChanges()
 	}
 	n.retire(gone)
 	return nil
@@ -80,7 +80,7 @@
 		n.options.adopt()
 		defer n.options.adopt()
 	}
-	n.gateway.Adopt(c)
+	n.gateway.SetConfig(c)
 }
 
 // switchListeners has every listener of the new configuration accept, and no other.
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -21,17 +21,17 @@
 		return err
 	}
 	o := gateway.Options{
-		Config: c,
-		Key:    key,
-		Keys:   map[string][]byte{},
-		Living: n.peers.Living,
-		Calls:  n.requests,
-		List:   n.updateGateways,
-		Clock:  n.clock,
-		Log:    n.log,
+		Config:          c,
+		GroupKey:        key,
+		PartnerKeys:     map[string][]byte{},
+		ActiveMembers:   n.peers.ActiveMembers,
+		Dispatcher:      n.requests,
+		UpdateEndpoints: n.updateGateways,
+		Clock:           n.clock,
+		Log:             n.log,
 	}
 	for _, p := range c.Partners {
-		if o.Keys[p.Name], err = gossip.LoadKey(p.KeyFile); err != nil {
+		if o.PartnerKeys[p.Name], err = gossip.LoadKey(p.KeyFile); err != nil {
 			return fmt.Errorf("partner %q: %w", p.Name, err)
 		}
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -53,11 +53,11 @@
 		members.Seeds = append(members.Seeds, seed)
 	}
 	options := gossip.Options{
-		Listen:  p.Listen,
-		Key:     key,
-		Members: members,
-		Clock:   n.clock,
-		Log:     n.log,
+		Listen:     p.Listen,
+		Key:        key,
+		Membership: members,
+		Clock:      n.clock,
+		Log:        n.log,
 		Self: membership.Peer{
 			Name:       c.Name,
 			Addr:       address,
@@ -83,13 +83,13 @@
 	out := &metrics.Peers{
 		Members: map[string]int{},
 		Zones:   map[string]int{},
-		Dropped: s.Counts.Strange + s.Counts.Malformed + s.Counts.Other + s.Counts.Lost,
+		Dropped: s.Counts.WrongKey + s.Counts.Malformed + s.Counts.Unsupported + s.Counts.QueueFull,
 	}
 	for _, m := range s.Members {
 		out.Members[m.Status]++
 	}
 	if s.ZoneState != nil {
-		out.Alone = s.ZoneState.Alone
+		out.Alone = s.ZoneState.Isolated
 		for _, z := range s.ZoneState.Zones {
 			out.Zones[z.Freshness]++
 		}
--- a/internal/peering/bench_test.go
+++ b/internal/peering/bench_test.go
@@ -25,9 +25,9 @@
 		b.Fatal(err)
 	}
 	defer from.Close()
-	from.Keep(to.Addr(), "b")
+	from.Connect(to.Addr(), "b")
 	var l *Link
-	for ; l == nil; l = from.To(to.Self().ID()) {
+	for ; l == nil; l = from.Link(to.Self().ID()) {
 		time.Sleep(time.Millisecond)
 	}
 	body := make([]byte, 400)
@@ -55,8 +55,8 @@
 	for b.Loop() {
 		hub := func(name string) *Hub {
 			o := options("a", name, 1)
-			o.Beat = 20 * time.Millisecond
-			o.Silence = testpeer.Limit
+			o.HeartbeatInterval = 20 * time.Millisecond
+			o.HeartbeatTimeout = testpeer.Limit
 			h, err := Open(o)
 			if err != nil {
 				b.Fatal(err)
@@ -70,7 +70,7 @@
 		}
 		before := used()
 		for _, h := range all {
-			h.Keep(center.Addr(), "a")
+			h.Connect(center.Addr(), "a")
 		}
 		for len(center.Links("")) < links || slices.ContainsFunc(center.Links(""), func(l *Link) bool { return l.RTT() == 0 }) {
 			time.Sleep(time.Millisecond)
--- a/internal/peering/encoding.go
+++ b/internal/peering/encoding.go
@@ -34,7 +34,7 @@
 // Decode reads the body of a message into what v points to. Its error is ErrFrame.
 func Decode(body []byte, v any) error {
 	if err := decoding.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrFrame, err)
+		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
 	return nil
 }
--- a/internal/peering/errors.go
+++ b/internal/peering/errors.go
@@ -4,15 +4,15 @@
 
 // Errors of links and of messages.
 var (
-	ErrFull     = errors.New("peering: the queue to this gateway is full")
-	ErrOverflow = errors.New("peering: no room for an answer or a heartbeat")
-	ErrSilent   = errors.New("peering: heartbeats are not answered")
-	ErrStuck    = errors.New("peering: bytes could not be written in time")
-	ErrKey      = errors.New("peering: the other side has another key")
-	ErrPeer     = errors.New("peering: the other side is none of ours")
-	ErrFrame    = errors.New("peering: a frame is malformed")
-	ErrReplaced = errors.New("peering: a newer link took its place")
-	ErrClosed   = errors.New("peering: closed")
+	ErrQueueFull        = errors.New("peering: the queue to this gateway is full")
+	ErrOverflow         = errors.New("peering: no room for an answer or a heartbeat")
+	ErrHeartbeatTimeout = errors.New("peering: heartbeats are not answered")
+	ErrWriteTimeout     = errors.New("peering: bytes could not be written in time")
+	ErrKeyMismatch      = errors.New("peering: the other side has another key")
+	ErrPeerRejected     = errors.New("peering: the other side is none of ours")
+	ErrMalformedFrame   = errors.New("peering: a frame is malformed")
+	ErrReplaced         = errors.New("peering: a newer link took its place")
+	ErrClosed           = errors.New("peering: closed")
 )
 
 // endReasons are the names in Stats.Ended of the errors with which links end.
@@ -20,10 +20,10 @@
 	err  error
 	name string
 }{
-	{ErrSilent, "silent"},
-	{ErrStuck, "stuck"},
+	{ErrHeartbeatTimeout, "silent"},
+	{ErrWriteTimeout, "stuck"},
 	{ErrOverflow, "overflow"},
-	{ErrFrame, "malformed"},
+	{ErrMalformedFrame, "malformed"},
 	{ErrReplaced, "replaced"},
 	{ErrClosed, "closed here"},
 }
@@ -42,7 +42,7 @@
 }
 
 // RemoteError is an error of the other side's handler, sent in place of a reply.
-type RemoteError struct{ Words string }
+type RemoteError struct{ Message string }
 
 // Error returns the text as the other side sent it.
-func (e *RemoteError) Error() string { return e.Words }
+func (e *RemoteError) Error() string { return e.Message }
--- a/internal/peering/frame.go
+++ b/internal/peering/frame.go
@@ -10,12 +10,12 @@
 
 // Kinds of frames.
 const (
-	frameBeat    frameKind = iota + 1 // a heartbeat of the side that dialed, with a pulse
-	frameEcho                         // the other side's answer to a heartbeat, with a pulse
-	frameNotify                       // a message without a reply
-	frameRequest                      // a message with a reply of the same number
-	frameReply                        // the reply
-	frameReject                       // an error in place of the reply
+	frameHeartbeat      frameKind = iota + 1 // a heartbeat of the side that dialed, with a pulse
+	frameHeartbeatReply                      // the other side's answer to a heartbeat, with a pulse
+	frameNotify                              // a message without a reply
+	frameRequest                             // a message with a reply of the same number
+	frameReply                               // the reply
+	frameReject                              // an error in place of the reply
 )
 
 // frame is the body of a frame. Its fields are encoded as an array, in this order.
@@ -27,11 +27,11 @@
 	Body   cbor.RawMessage
 }
 
-// pulse is the body of a heartbeat and of its echo. Each returns the last stamp of the other side, so that a heartbeat, its echo
+// heartbeat is the body of a heartbeat and of its echo. Each returns the last stamp of the other side, so that a heartbeat, its echo
 // and the next heartbeat prove to both sides that both directions work.
-type pulse struct {
-	_    struct{} `cbor:",toarray"`
-	At   int64    // the sender's hub time, in ns
-	Echo int64    // the last At of the other side; 0: none has come
-	RTT  int64    // ns, as the side that dialed measures it
+type heartbeat struct {
+	_      struct{} `cbor:",toarray"`
+	SentAt int64    // the sender's hub time, in ns
+	Echo   int64    // the last At of the other side; 0: none has come
+	RTT    int64    // ns, as the side that dialed measures it
 }
--- a/internal/peering/seal.go
+++ b/internal/peering/frameio.go
@@ -72,7 +72,7 @@
 	length := r.head[:lengthSize]
 	n := int(binary.BigEndian.Uint32(length))
 	if n > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, MaxFrame)
+		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, n, MaxFrame)
 	}
 	tooSmall := cap(r.buf) < n
 	tooLarge := cap(r.buf) > maxKeptBuffer && n <= maxKeptBuffer
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("peering: %w", err)
 	}
 	if !hmac.Equal(r.head[lengthSize:], r.mac.tag(length, body)) {
-		return nil, fmt.Errorf("%w: its tag does not fit", ErrFrame)
+		return nil, fmt.Errorf("%w: its tag does not fit", ErrMalformedFrame)
 	}
 	return body, nil
 }
--- a/internal/peering/handler.go
+++ b/internal/peering/handler.go
@@ -4,8 +4,8 @@
 // what takes time goes on elsewhere and replies later. reply is nil for a notification; for a request it is called once.
 type Handler func(from *Link, body []byte, reply func(answer any, err error))
 
-// Answer returns a Handler of requests of one type, which f answers at once or later. Notifications are ignored.
-func Answer[Q, A any](f func(from *Link, q Q, answer func(A))) Handler {
+// RequestHandler returns a Handler of requests of one type, which f answers at once or later. Notifications are ignored.
+func RequestHandler[Q, A any](f func(from *Link, q Q, answer func(A))) Handler {
 	return func(from *Link, body []byte, reply func(any, error)) {
 		if reply == nil {
 			return
@@ -19,8 +19,8 @@
 	}
 }
 
-// Hear returns a Handler of notifications of one type. Malformed ones are ignored.
-func Hear[M any](f func(from *Link, m M)) Handler {
+// NotificationHandler returns a Handler of notifications of one type. Malformed ones are ignored.
+func NotificationHandler[M any](f func(from *Link, m M)) Handler {
 	return func(from *Link, body []byte, _ func(any, error)) {
 		var m M
 		if Decode(body, &m) == nil {
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// version of hellos and frames. Fields are numbered, and a reader skips those that it does not know. So a new field needs no
+// protocolVersion of hellos and frames. Fields are numbered, and a reader skips those that it does not know. So a new field needs no
 // new version, and a change of meaning does.
-const version = 1
+const protocolVersion = 1
 
 const (
 	nonceSize        = 16
@@ -71,14 +71,14 @@
 	}
 	var other hello
 	if err := decoding.Unmarshal(received, &other); err != nil {
-		return nil, fmt.Errorf("%w: the hello: %w", ErrFrame, err)
+		return nil, fmt.Errorf("%w: the hello: %w", ErrMalformedFrame, err)
 	}
 	if err := other.check(o.Self, partner); err != nil {
 		return nil, err
 	}
 	key := o.Key(other.Peer.Partner)
 	if key == nil {
-		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrPeer, other.Peer.Partner)
+		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrPeerRejected, other.Peer.Partner)
 	}
 	var keys linkKeys
 	var ownSide, otherSide string
@@ -102,7 +102,7 @@
 
 // newHello returns the encoded hello of this side.
 func newHello(self Peer, partner string) ([]byte, error) {
-	h := hello{Version: version, Peer: self, To: partner, Nonce: make([]byte, nonceSize)}
+	h := hello{Version: protocolVersion, Peer: self, To: partner, Nonce: make([]byte, nonceSize)}
 	if _, err := rand.Read(h.Nonce); err != nil {
 		return nil, fmt.Errorf("peering: nonce: %w", err)
 	}
@@ -118,16 +118,16 @@
 func (h hello) check(self Peer, partner string) error {
 	p := h.Peer
 	switch {
-	case h.Version != version:
-		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrPeer, h.Version, version)
+	case h.Version != protocolVersion:
+		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrPeerRejected, h.Version, protocolVersion)
 	case !h.wellFormed():
-		return fmt.Errorf("%w: the hello of %q, %q", ErrFrame, p.Partner, p.Name)
+		return fmt.Errorf("%w: the hello of %q, %q", ErrMalformedFrame, p.Partner, p.Name)
 	case partner != "" && p.Partner != partner:
-		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeer, p.Partner, partner)
+		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeerRejected, p.Partner, partner)
 	case h.To != "" && h.To != self.Partner:
-		return fmt.Errorf("%w: it dialed a gateway of %q", ErrPeer, h.To)
+		return fmt.Errorf("%w: it dialed a gateway of %q", ErrPeerRejected, h.To)
 	case p.ID() == self.ID():
-		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeer, p.ID())
+		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeerRejected, p.ID())
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	if p.Partner == "" || p.Name == "" || len(h.Nonce) != nonceSize {
 		return false
 	}
-	for _, text := range []string{p.Partner, p.Name, p.Zone, p.Calls} {
+	for _, text := range []string{p.Partner, p.Name, p.Zone, p.RequestAddr} {
 		if len(text) > maxName {
 			return false
 		}
@@ -172,12 +172,12 @@
 	}
 	var netErr net.Error
 	switch {
-	case errors.As(err, &netErr) && netErr.Timeout(), errors.Is(err, ErrFrame):
+	case errors.As(err, &netErr) && netErr.Timeout(), errors.Is(err, ErrMalformedFrame):
 		return err
 	case err != nil: // the other side has closed the connection, which may come as a reset
-		return fmt.Errorf("%w, or does not want this one: it hung up at the proof", ErrKey)
+		return fmt.Errorf("%w, or does not want this one: it hung up at the proof", ErrKeyMismatch)
 	case !hmac.Equal(proof, want):
-		return ErrKey
+		return ErrKeyMismatch
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(maxBytes) {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, maxBytes)
+		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, n, maxBytes)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
--- a/internal/peering/handshake_test.go
+++ b/internal/peering/handshake_test.go
@@ -16,10 +16,10 @@
 		change func(*Options)
 		want   error
 	}{
-		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKey},
-		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKey},
-		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeer},
-		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKey},
+		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKeyMismatch},
+		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKeyMismatch},
+		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeerRejected},
+		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKeyMismatch},
 	} {
 		ob := options("b", "b1", 1)
 		ob.Key = func(partner string) []byte {
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrPeer) {
+	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrPeerRejected) {
 		t.Errorf("a gateway of another partner than the dialed one: %v", err)
 	}
 }
@@ -58,11 +58,11 @@
 // tamperingConn changes one bit of the next write after now is set.
 type tamperingConn struct {
 	net.Conn
-	now atomic.Bool
+	tamperNext atomic.Bool
 }
 
 func (c *tamperingConn) Write(p []byte) (int, error) {
-	if c.now.CompareAndSwap(true, false) {
+	if c.tamperNext.CompareAndSwap(true, false) {
 		p = append([]byte(nil), p...)
 		p[len(p)-1] ^= 1
 	}
@@ -80,7 +80,7 @@
 			handled <- n
 		}}
 		ended := make(chan error, 1)
-		ob.Changed = func(_ Peer, up bool, why error) {
+		ob.OnPeerChange = func(_ Peer, up bool, why error) {
 			if !up {
 				ended <- why
 			}
@@ -107,12 +107,12 @@
 			t.Errorf("got %d", got)
 		}
 		if how == "changed" {
-			c.now.Store(true)
+			c.tamperNext.Store(true)
 			s.writer.write(frameOf(2))
 		} else {
 			conn.Write(s.writer.buf) // the bytes of the first frame again
 		}
-		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrFrame) {
+		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrMalformedFrame) {
 			t.Errorf("%s: %v", how, why)
 		}
 		if len(handled) > 0 {
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -7,12 +7,12 @@
 //   - A link comes up only between two sides that have the same key (Options.Key). Each frame carries a tag over the link's
 //     key and the frame's position: one that was changed, dropped, replayed or reordered ends the link.
 //   - Messages on one link arrive in the order in which they were sent, or the link ends and both sides learn of it.
-//   - Nothing is dropped silently. A message for which the queue has no room is rejected (ErrFull); a reply or a heartbeat
+//   - Nothing is dropped silently. A message for which the queue has no room is rejected (ErrQueueFull); a reply or a heartbeat
 //     without room ends the link (ErrOverflow).
-//   - A link ends if the other side has not answered a heartbeat for Options.Silence (ErrSilent), and one Options.Beat later on
+//   - A link ends if the other side has not answered a heartbeat for Options.HeartbeatTimeout (ErrHeartbeatTimeout), and one Options.HeartbeatInterval later on
 //     the side that was dialed: after a crash, a partition in one or both directions, or if its reader stalls. It ends if
-//     bytes could not be written for Options.Stuck (ErrStuck). No other link is affected.
-//   - At most Options.Queue bytes wait on a link, and it takes two goroutines, a reader and a writer. Handlers must not block
+//     bytes could not be written for Options.WriteTimeout (ErrWriteTimeout). No other link is affected.
+//   - At most Options.MaxQueueBytes bytes wait on a link, and it takes two goroutines, a reader and a writer. Handlers must not block
 //     the reader.
 //   - Wall-clock time is not used: clocks may be set while links are up.
 //
@@ -46,18 +46,18 @@
 	handshakes chan struct{} // a value for each handshake that this side has begun
 
 	mu        sync.Mutex
-	links     map[GatewayID][]*Link // the newest last
-	targets   map[string]*target    // by address
+	links     map[GatewayID][]*Link  // the newest last
+	targets   map[string]*dialTarget // by address
 	stats     Stats
 	queueFull atomic.Int64
 }
 
 // Stats are numbers of events on links since the start.
 type Stats struct {
-	Up       int            `json:"up"`               // links that came up
-	Ended    map[string]int `json:"ended,omitempty"`  // links that ended, by reason
-	Rejected int            `json:"turned,omitempty"` // connections whose handshake failed
-	Full     int64          `json:"full,omitempty"`   // messages that were rejected with ErrFull
+	Up        int            `json:"up"`               // links that came up
+	Ended     map[string]int `json:"ended,omitempty"`  // links that ended, by reason
+	Rejected  int            `json:"turned,omitempty"` // connections whose handshake failed
+	QueueFull int64          `json:"full,omitempty"`   // messages that were rejected with ErrQueueFull
 }
 
 // Open listens at Options.Listen and accepts links until Close.
@@ -81,14 +81,14 @@
 		start:      time.Now(),
 		handshakes: make(chan struct{}, maxHandshakes),
 		links:      map[GatewayID][]*Link{},
-		targets:    map[string]*target{},
+		targets:    map[string]*dialTarget{},
 		stats:      Stats{Ended: map[string]int{}},
 	}
 	h.tasks.Go(h.accept)
 	return h
 }
 
-// now returns the hub time: the time since the hub was opened.
+// tamperNext returns the hub time: the time since the hub was opened.
 func (h *Hub) now() time.Duration { return time.Since(h.start) }
 
 // Addr returns the address on which the hub listens.
@@ -116,7 +116,7 @@
 		}
 		h.tasks.Go(func() {
 			err := h.serve(c, false, "", func() {})
-			if errors.Is(err, ErrKey) || errors.Is(err, ErrPeer) || errors.Is(err, ErrFrame) {
+			if errors.Is(err, ErrKeyMismatch) || errors.Is(err, ErrPeerRejected) || errors.Is(err, ErrMalformedFrame) {
 				h.options.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
 			}
 		})
@@ -174,10 +174,10 @@
 	for _, o := range replaced {
 		o.fail(ErrReplaced)
 	}
-	h.options.Up(l)
+	h.options.OnLinkUp(l)
 	if first {
 		h.options.Log.Info("link", "gateway", id, "life", l.Peer.Incarnation, "up", true)
-		h.options.Changed(l.Peer, true, nil)
+		h.options.OnPeerChange(l.Peer, true, nil)
 	}
 	return true
 }
@@ -201,11 +201,11 @@
 	if h.ctx.Err() == nil {
 		h.options.Log.Info("link", "gateway", id, "life", l.Peer.Incarnation, "up", false, "why", err)
 	}
-	h.options.Changed(l.Peer, false, err)
+	h.options.OnPeerChange(l.Peer, false, err)
 }
 
-// To returns the newest link to a gateway; nil: there is none.
-func (h *Hub) To(id GatewayID) *Link {
+// Link returns the newest link to a gateway; nil: there is none.
+func (h *Hub) Link(id GatewayID) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	links := h.links[id]
@@ -236,7 +236,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.stats
-	s.Full = h.queueFull.Load()
+	s.QueueFull = h.queueFull.Load()
 	s.Ended = maps.Clone(h.stats.Ended)
 	return s
 }
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -22,14 +22,14 @@
 	done   chan struct{}
 
 	// Times are hub times in ns.
-	answeredPulse atomic.Int64 // when the last pulse was sent that the other side has answered
-	lastPulse     atomic.Int64 // when the other side's last pulse came
-	peerStamp     atomic.Int64 // At of that pulse
-	rtt           atomic.Int64 // smoothed, in ns; 0: not measured yet
+	answeredHeartbeat atomic.Int64 // when the last pulse was sent that the other side has answered
+	lastHeartbeat     atomic.Int64 // when the other side's last pulse came
+	peerStamp         atomic.Int64 // At of that pulse
+	rtt               atomic.Int64 // smoothed, in ns; 0: not measured yet
 
 	// Of the writer's goroutine.
-	lastBeat    time.Duration // hub time of the last heartbeat that was due
-	pausedUntil time.Duration // hub time of the last one that was late by more than another interval
+	lastHeartbeatDue time.Duration // hub time of the last heartbeat that was due
+	pausedUntil      time.Duration // hub time of the last one that was late by more than another interval
 
 	queued chan struct{} // has a value if the queue may not be empty
 
@@ -54,8 +54,8 @@
 		pending: map[uint64]func(frame){},
 	}
 	now := int64(h.now())
-	l.answeredPulse.Store(now)
-	l.lastPulse.Store(now)
+	l.answeredHeartbeat.Store(now)
+	l.lastHeartbeat.Store(now)
 	return l
 }
 
@@ -72,8 +72,10 @@
 // RTT returns the smoothed round trip time of heartbeats; 0: it has not been measured yet.
 func (l *Link) RTT() time.Duration { return time.Duration(l.rtt.Load()) }
 
-// Quiet returns the time since the other side's last heartbeat. More than Options.Beat says that it is late, stopped or cut off.
-func (l *Link) Quiet() time.Duration { return l.hub.now() - time.Duration(l.lastPulse.Load()) }
+// SinceHeartbeat returns the time since the other side's last heartbeat. More than Options.HeartbeatInterval says that it is late, stopped or cut off.
+func (l *Link) SinceHeartbeat() time.Duration {
+	return l.hub.now() - time.Duration(l.lastHeartbeat.Load())
+}
 
 // fail ends the link with an error. Only the first call has an effect beside closing the connection.
 func (l *Link) fail(err error) {
@@ -112,27 +114,27 @@
 // handle handles a frame. An error ends the link.
 func (l *Link) handle(f frame) error {
 	switch f.Kind {
-	case frameBeat, frameEcho:
-		return l.handlePulse(f)
+	case frameHeartbeat, frameHeartbeatReply:
+		return l.handleHeartbeat(f)
 	case frameNotify, frameRequest:
 		return l.handleMessage(f)
 	case frameReply, frameReject:
 		l.handleReply(f)
 		return nil
 	default:
-		return fmt.Errorf("%w: kind %d", ErrFrame, f.Kind)
+		return fmt.Errorf("%w: kind %d", ErrMalformedFrame, f.Kind)
 	}
 }
 
-func (l *Link) handlePulse(f frame) error {
-	var p pulse
+func (l *Link) handleHeartbeat(f frame) error {
+	var p heartbeat
 	if err := decoding.Unmarshal(f.Body, &p); err != nil {
-		return fmt.Errorf("%w: a heartbeat: %w", ErrFrame, err)
+		return fmt.Errorf("%w: a heartbeat: %w", ErrMalformedFrame, err)
 	}
-	if isEcho := f.Kind == frameEcho; isEcho != l.dialed {
-		return fmt.Errorf("%w: a heartbeat of the wrong side", ErrFrame)
+	if isEcho := f.Kind == frameHeartbeatReply; isEcho != l.dialed {
+		return fmt.Errorf("%w: a heartbeat of the wrong side", ErrMalformedFrame)
 	}
-	return l.receivePulse(p)
+	return l.receiveHeartbeat(p)
 }
 
 // handleMessage calls the handler of a topic. Notifications of an unknown topic come from a later version and are ignored.
@@ -167,9 +169,9 @@
 
 // writeLoop writes queued frames and heartbeats until the link ends.
 func (l *Link) writeLoop() {
-	ticker := time.NewTicker(l.hub.options.Beat)
+	ticker := time.NewTicker(l.hub.options.HeartbeatInterval)
 	defer ticker.Stop()
-	l.lastBeat = l.hub.now()
+	l.lastHeartbeatDue = l.hub.now()
 	for {
 		var err error
 		if body := l.dequeue(); body != nil {
@@ -180,7 +182,7 @@
 				return
 			case <-l.queued:
 			case <-ticker.C:
-				err = l.sendBeat()
+				err = l.sendHeartbeat()
 			}
 		}
 		if err != nil {
@@ -194,7 +196,7 @@
 func (l *Link) writeQueued(ticker *time.Ticker, body []byte) error {
 	select {
 	case <-ticker.C:
-		if err := l.sendBeat(); err != nil {
+		if err := l.sendHeartbeat(); err != nil {
 			return err
 		}
 	default:
@@ -202,13 +204,13 @@
 	return l.writeFrame(body)
 }
 
-// writeFrame writes a frame. It returns ErrStuck if that takes longer than Options.Stuck.
+// writeFrame writes a frame. It returns ErrWriteTimeout if that takes longer than Options.WriteTimeout.
 func (l *Link) writeFrame(body []byte) error {
-	l.conn.SetWriteDeadline(time.Now().Add(l.hub.options.Stuck))
+	l.conn.SetWriteDeadline(time.Now().Add(l.hub.options.WriteTimeout))
 	err := l.writer.write(body)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return fmt.Errorf("%w (%v)", ErrStuck, l.hub.options.Stuck)
+		return fmt.Errorf("%w (%v)", ErrWriteTimeout, l.hub.options.WriteTimeout)
 	}
 	return err
 }
--- a/internal/peering/peer.go
+++ b/internal/peering/peer.go
@@ -6,7 +6,7 @@
 	Name        string `cbor:"2,keyasint"` // among the partner's gateways
 	Zone        string `cbor:"3,keyasint,omitempty"`
 	Incarnation uint64 `cbor:"4,keyasint"`           // drawn at its start: a new one has no state of an earlier one
-	Calls       string `cbor:"5,keyasint,omitempty"` // address for partners' requests; empty: it takes none
+	RequestAddr string `cbor:"5,keyasint,omitempty"` // address for partners' requests; empty: it takes none
 }
 
 // GatewayID identifies a gateway across its incarnations.
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -20,18 +20,18 @@
 
 var testKey = []byte("the key of two partners")
 
-// quiet returns a log that nobody reads.
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLogger returns a log that nobody reads.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // options returns those of a gateway whose links do not end because the host is slow.
 func options(partner, name string, incarnation uint64) Options {
 	return Options{
-		Self:    Peer{Partner: partner, Name: name, Incarnation: incarnation},
-		Listen:  "127.0.0.1:0",
-		Log:     quiet(),
-		Key:     func(string) []byte { return testKey },
-		Beat:    10 * time.Millisecond,
-		Silence: testpeer.Limit,
+		Self:              Peer{Partner: partner, Name: name, Incarnation: incarnation},
+		Listen:            "127.0.0.1:0",
+		Log:               discardLogger(),
+		Key:               func(string) []byte { return testKey },
+		HeartbeatInterval: 10 * time.Millisecond,
+		HeartbeatTimeout:  testpeer.Limit,
 	}
 }
 
@@ -50,14 +50,14 @@
 	t.Helper()
 	var l *Link
 	testpeer.Until(t, "a link", func() bool {
-		l = from.To(to.Self().ID())
+		l = from.Link(to.Self().ID())
 		return l != nil
 	})
 	return l
 }
 
-// ctx returns a context that ends with the test, or after the limit of waits in tests.
-func ctx(t *testing.T) context.Context {
+// testContext returns a context that ends with the test, or after the limit of waits in tests.
+func testContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(t.Context(), testpeer.Limit)
 	t.Cleanup(cancel)
 	return c
@@ -95,7 +95,7 @@
 	}
 	a := open(t, options("a", "a1", 1))
 	b := open(t, o)
-	a.Keep(b.Addr(), "b")
+	a.Connect(b.Addr(), "b")
 	l := waitForLink(t, a, b)
 	var all []*PendingRequest
 	for i := range 300 {
@@ -105,15 +105,15 @@
 		}
 		all = append(all, q)
 	}
-	if err := l.Tell("note", "x"); err != nil {
+	if err := l.Notify("note", "x"); err != nil {
 		t.Fatal(err)
 	}
 	for i, q := range all {
 		var got int
-		err := q.Wait(ctx(t), &got)
+		err := q.Wait(testContext(t), &got)
 		var remote *RemoteError
 		if i%7 == 0 {
-			if !errors.As(err, &remote) || remote.Words != fmt.Sprintf("no %d from a/a1", i) {
+			if !errors.As(err, &remote) || remote.Message != fmt.Sprintf("no %d from a/a1", i) {
 				t.Errorf("%d: %v", i, err)
 			}
 		} else if err != nil || got != 2*i {
@@ -130,7 +130,7 @@
 			t.Fatalf("request %d arrived in place %d", n, i)
 		}
 	}
-	if err := l.Do(ctx(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
+	if err := l.Do(testContext(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
 		t.Errorf("%v", err)
 	}
 	testpeer.Until(t, "a round trip", func() bool { return l.RTT() > 0 })
@@ -153,8 +153,8 @@
 	go func() {
 		defer all.Done()
 		for n := int64(1); ; n++ {
-			body, _ := Encode(pulse{At: int64(n)})
-			text, _ := Encode(frame{Kind: frameBeat, Body: body})
+			body, _ := Encode(heartbeat{SentAt: int64(n)})
+			text, _ := Encode(frame{Kind: frameHeartbeat, Body: body})
 			if s.writer.write(text) != nil {
 				return
 			}
@@ -178,9 +178,9 @@
 	for _, flood := range []bool{false, true} {
 		ended := make(chan error, 1)
 		o := options("b", "b1", 1)
-		o.Silence = 300 * time.Millisecond
-		o.Queue = 1 << 20
-		o.Changed = func(p Peer, up bool, why error) {
+		o.HeartbeatTimeout = 300 * time.Millisecond
+		o.MaxQueueBytes = 1 << 20
+		o.OnPeerChange = func(p Peer, up bool, why error) {
 			if !up && p.Name == "slow" {
 				ended <- why
 			}
@@ -189,31 +189,31 @@
 		good := options("a", "good", 1)
 		good.Topics = map[string]Handler{"echo": func(_ *Link, _ []byte, reply func(any, error)) { reply(1, nil) }}
 		g := open(t, good)
-		g.Keep(b.Addr(), "b")
+		g.Connect(b.Addr(), "b")
 		toGood := waitForLink(t, b, g)
 		openStalledLink(t, b, "slow")
 		var toSlow *Link
 		testpeer.Until(t, "the link", func() bool {
-			toSlow = b.To(GatewayID{"a", "slow"})
+			toSlow = b.Link(GatewayID{"a", "slow"})
 			return toSlow != nil
 		})
 		full := false
 		for flood && !full {
-			err := toSlow.Tell("x", make([]byte, 64<<10))
-			full = errors.Is(err, ErrFull)
+			err := toSlow.Notify("x", make([]byte, 64<<10))
+			full = errors.Is(err, ErrQueueFull)
 			if err != nil && !full {
 				break // it has ended already
 			}
 		}
 		why := testpeer.Receive(t, ended, "its end")
-		if !errors.Is(why, ErrSilent) && !errors.Is(why, ErrStuck) {
+		if !errors.Is(why, ErrHeartbeatTimeout) && !errors.Is(why, ErrWriteTimeout) {
 			t.Errorf("flooded %v: it ended with %v", flood, why)
 		}
 		var one int
-		if err := toGood.Do(ctx(t), "echo", 0, &one); err != nil || toGood.Err() != nil {
+		if err := toGood.Do(testContext(t), "echo", 0, &one); err != nil || toGood.Err() != nil {
 			t.Errorf("the other link: %v, %v", err, toGood.Err())
 		}
-		if flood && full && b.Stats().Full == 0 {
+		if flood && full && b.Stats().QueueFull == 0 {
 			t.Error("a message rejected by a full queue is not counted")
 		}
 		b.Close()
@@ -230,10 +230,10 @@
 	}
 	changes := make(chan change, 20)
 	o := options("b", "b1", 1)
-	o.Changed = func(p Peer, up bool, _ error) { changes <- change{p.Incarnation, up} }
+	o.OnPeerChange = func(p Peer, up bool, _ error) { changes <- change{p.Incarnation, up} }
 	b := open(t, o)
 	first := open(t, options("a", "a1", 7))
-	first.Keep(b.Addr(), "b")
+	first.Connect(b.Addr(), "b")
 	if got := testpeer.Receive(t, changes, "the first incarnation"); got != (change{7, true}) {
 		t.Errorf("%+v", got)
 	}
@@ -249,13 +249,13 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	first.Drop(b.Addr())
-	second.Keep(b.Addr(), "b")
+	first.Disconnect(b.Addr())
+	second.Connect(b.Addr(), "b")
 	seen := map[change]bool{}
 	for !seen[change{8, true}] || !seen[change{7, false}] {
 		seen[testpeer.Receive(t, changes, "the second incarnation")] = true
 	}
-	if l := b.To(GatewayID{"a", "a1"}); l == nil || l.Peer.Incarnation != 8 {
+	if l := b.Link(GatewayID{"a", "a1"}); l == nil || l.Peer.Incarnation != 8 {
 		t.Errorf("the link is to %+v", l)
 	}
 }
@@ -267,7 +267,7 @@
 	o.Topics = map[string]Handler{"never": func(*Link, []byte, func(any, error)) { got <- struct{}{} }}
 	a := open(t, options("a", "a1", 1))
 	b := open(t, o)
-	a.Keep(b.Addr(), "b")
+	a.Connect(b.Addr(), "b")
 	l := waitForLink(t, a, b)
 	q, err := l.Request("never", 1)
 	if err != nil {
@@ -275,10 +275,10 @@
 	}
 	testpeer.Receive(t, got, "the request")
 	b.Close()
-	if err := q.Wait(ctx(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
+	if err := q.Wait(testContext(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	if err := l.Tell("x", 1); err == nil {
+	if err := l.Notify("x", 1); err == nil {
 		t.Error("a message was queued on a link that has ended")
 	}
 }
@@ -290,7 +290,7 @@
 	f.Add(good)
 	f.Add([]byte{0x85, 1, 0, 0x60, 0xf6})
 	f.Add([]byte{0x9f})
-	h := &Hub{options: Options{Queue: 1 << 20}, start: time.Now()}
+	h := &Hub{options: Options{MaxQueueBytes: 1 << 20}, start: time.Now()}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var fr frame
 		if decoding.Unmarshal(b, &fr) != nil {
--- a/internal/peering/queue.go
+++ b/internal/peering/queue.go
@@ -5,7 +5,7 @@
 // frameOverhead is how many bytes a frame counts in a queue beside its own.
 const frameOverhead = 64
 
-// enqueue queues a frame for the link's writer. It returns ErrFull if there is no room for it, ErrFrame if it is too long, and
+// enqueue queues a frame for the link's writer. It returns ErrQueueFull if there is no room for it, ErrFrame if it is too long, and
 // the error of the link if that has ended.
 func (l *Link) enqueue(f frame) error {
 	body, err := encoding.Marshal(f)
@@ -13,7 +13,7 @@
 		return fmt.Errorf("peering: %w", err)
 	}
 	if len(body) > MaxFrame {
-		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, len(body), MaxFrame)
+		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, len(body), MaxFrame)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,9 +21,9 @@
 		return l.err
 	}
 	size := len(body) + frameOverhead
-	if l.queuedBytes+size > l.hub.options.Queue {
+	if l.queuedBytes+size > l.hub.options.MaxQueueBytes {
 		l.hub.queueFull.Add(1)
-		return ErrFull
+		return ErrQueueFull
 	}
 	l.queuedBytes += size
 	l.queue = append(l.queue, body)
--- a/internal/peering/request.go
+++ b/internal/peering/request.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Tell sends a notification. A nil error says that it was queued, and no more.
-func (l *Link) Tell(topic string, message any) error {
+// Notify sends a notification. A nil error says that it was queued, and no more.
+func (l *Link) Notify(topic string, message any) error {
 	body, err := encoding.Marshal(message)
 	if err != nil {
 		return fmt.Errorf("peering: %s: %w", topic, err)
@@ -125,7 +125,7 @@
 		return fmt.Errorf("peering: a reply: %w", err)
 	}
 	f.Body = body
-	if err := l.enqueue(f); errors.Is(err, ErrFull) {
+	if err := l.enqueue(f); errors.Is(err, ErrQueueFull) {
 		return ErrOverflow
 	}
 	return nil // any other error means that the link has ended
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -50,7 +50,7 @@
 // its quota; a request for a quota without one gets an empty reply.
 func Topics(limiterOf func(name string) *Limiter) map[string]peering.Handler {
 	return map[string]peering.Handler{
-		topicLease: peering.Answer(func(from *peering.Link, m leaseRequest, reply func(leaseGrant)) {
+		topicLease: peering.RequestHandler(func(from *peering.Link, m leaseRequest, reply func(leaseGrant)) {
 			limiter := limiterOf(m.Quota)
 			if limiter == nil {
 				reply(leaseGrant{})
@@ -58,7 +58,7 @@
 			}
 			limiter.handleLeaseRequest(from.Peer.ID(), m, reply)
 		}),
-		topicVote: peering.Answer(func(from *peering.Link, m voteRequest, reply func(voteReply)) {
+		topicVote: peering.RequestHandler(func(from *peering.Link, m voteRequest, reply func(voteReply)) {
 			limiter := limiterOf(m.Quota)
 			if limiter == nil {
 				reply(voteReply{})
--- a/internal/replication/fence_test.go
+++ b/internal/replication/fence_test.go
@@ -77,7 +77,7 @@
 	ballot := promiseHigherBallot(t, replicas, work, "g1", "g2")
 	served := Outcome{Kind: Served, Body: []byte("answer")}
 	link := hubLinks{replicas["g1"].hub}.To("g0")
-	if err := link.Tell(topicDecide, settleRequest{Key: request.Key, Outcome: served, Ballot: ballot}); err != nil {
+	if err := link.Notify(topicDecide, settleRequest{Key: request.Key, Outcome: served, Ballot: ballot}); err != nil {
 		t.Fatal(err)
 	}
 	if err := testpeer.Receive(t, executed, "the end of the work"); err != ErrDuplicate {
--- a/internal/replication/group_test.go
+++ b/internal/replication/group_test.go
@@ -22,7 +22,7 @@
 type hubLinks struct{ hub *peering.Hub }
 
 func (l hubLinks) To(name string) *peering.Link {
-	return l.hub.To(peering.GatewayID{Partner: "p", Name: name})
+	return l.hub.Link(peering.GatewayID{Partner: "p", Name: name})
 }
 func (l hubLinks) All() []*peering.Link { return l.hub.Links("p") }
 
@@ -48,12 +48,12 @@
 		Log:            log,
 	})
 	hub, err := peering.Open(peering.Options{
-		Self:    peering.Peer{Partner: "p", Name: self.Name, Incarnation: self.Incarnation},
-		Listen:  "127.0.0.1:0",
-		Key:     func(string) []byte { return []byte("key") },
-		Topics:  replicator.Topics(),
-		Silence: time.Minute,
-		Log:     log,
+		Self:             peering.Peer{Partner: "p", Name: self.Name, Incarnation: self.Incarnation},
+		Listen:           "127.0.0.1:0",
+		Key:              func(string) []byte { return []byte("key") },
+		Topics:           replicator.Topics(),
+		HeartbeatTimeout: time.Minute,
+		Log:              log,
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -88,7 +88,7 @@
 	})
 	for i, a := range names {
 		for _, b := range names[i+1:] {
-			group[a].hub.Keep(group[b].hub.Addr(), "p")
+			group[a].hub.Connect(group[b].hub.Addr(), "p")
 		}
 	}
 	for name, node := range group {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -13,16 +13,16 @@
 		topicIntend: replyHandler(r.intend),
 		topicSettle: replyHandler(r.settle),
 		topicClaim:  replyHandler(r.claim),
-		topicFind:   peering.Answer(func(_ *peering.Link, query findRequest, reply func(replicaReply)) { r.find(query, reply) }),
-		topicEnded:  peering.Hear(func(_ *peering.Link, m ownerNotice) { r.store.markNotRun(m.Key, m.Ballot, m.Attempt) }),
-		topicDecide: peering.Hear(func(_ *peering.Link, request settleRequest) { r.applyDecision(request) }),
-		topicRelinquish: peering.Hear(func(_ *peering.Link, m ownerNotice) {
+		topicFind:   peering.RequestHandler(func(_ *peering.Link, query findRequest, reply func(replicaReply)) { r.find(query, reply) }),
+		topicEnded:  peering.NotificationHandler(func(_ *peering.Link, m ownerNotice) { r.store.markNotRun(m.Key, m.Ballot, m.Attempt) }),
+		topicDecide: peering.NotificationHandler(func(_ *peering.Link, request settleRequest) { r.applyDecision(request) }),
+		topicRelinquish: peering.NotificationHandler(func(_ *peering.Link, m ownerNotice) {
 			r.store.relinquish(m.Key, m.Ballot)
 			r.CheckOrphans()
 		}),
-		topicWithdraw:     peering.Hear(func(_ *peering.Link, m ownerNotice) { r.store.withdraw(m.Key, m.Ballot) }),
-		topicIncarnations: peering.Hear(func(from *peering.Link, m incarnationNotice) { r.handleIncarnationNotice(from.Peer.Name, m.Ago) }),
-		topicRecover: peering.Answer(func(_ *peering.Link, request recoverRequest, reply func(recoverReply)) {
+		topicWithdraw:     peering.NotificationHandler(func(_ *peering.Link, m ownerNotice) { r.store.withdraw(m.Key, m.Ballot) }),
+		topicIncarnations: peering.NotificationHandler(func(from *peering.Link, m incarnationNotice) { r.handleIncarnationNotice(from.Peer.Name, m.Ago) }),
+		topicRecover: peering.RequestHandler(func(_ *peering.Link, request recoverRequest, reply func(recoverReply)) {
 			reply(r.serveRecovery(request))
 		}),
 	}
@@ -30,7 +30,7 @@
 
 // replyHandler returns the handler of a message to which a replica replies immediately.
 func replyHandler[Q any](f func(Q) replicaReply) peering.Handler {
-	return peering.Answer(func(_ *peering.Link, message Q, reply func(replicaReply)) { reply(f(message)) })
+	return peering.RequestHandler(func(_ *peering.Link, message Q, reply func(replicaReply)) { reply(f(message)) })
 }
 
 // record returns this replica's reply to a record from its owner.
--- a/internal/replication/replicator.go
+++ b/internal/replication/replicator.go
@@ -74,7 +74,7 @@
 	now := r.options.Now()
 	r.mu.Unlock()
 	if known && lost.incarnation != link.Peer.Incarnation && now-lost.lostAt < r.options.RecoveryWindow() {
-		link.Tell(topicIncarnations, incarnationNotice{now - lost.lostAt})
+		link.Notify(topicIncarnations, incarnationNotice{now - lost.lostAt})
 	}
 }
 
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -114,7 +114,7 @@
 	if link == nil {
 		return false
 	}
-	silence := link.Quiet()
+	silence := link.SinceHeartbeat()
 	if silence < 2*r.options.Heartbeat {
 		return true // recent enough for any request
 	}
--- a/internal/replication/work.go
+++ b/internal/replication/work.go
@@ -154,7 +154,7 @@
 			continue
 		}
 		if link := w.replicator.linkTo(replica); link != nil {
-			link.Tell(topic, ownerNotice{w.record.Key, w.ballot, attempt})
+			link.Notify(topic, ownerNotice{w.record.Key, w.ballot, attempt})
 		}
 	}
 }
@@ -262,7 +262,7 @@
 	w.replicator.store.decide(decision.Key, decision.Generation, decision.Outcome, decision.Ballot)
 	for _, replica := range w.record.Replicas {
 		if link := w.replicator.linkTo(replica); link != nil {
-			link.Tell(topicDecide, decision)
+			link.Notify(topicDecide, decision)
 		}
 	}
 }
--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -37,7 +37,7 @@
 	}
 	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != in.nextSerial {
 		x.mu.Unlock()
-		l.Tell(topicRefresh, struct{}{})
+		l.Notify(topicRefresh, struct{}{})
 		return
 	}
 	in.add(&m)
@@ -55,7 +55,7 @@
 	x.mu.Unlock()
 	switch {
 	case !matches:
-		l.Tell(topicRefresh, struct{}{})
+		l.Notify(topicRefresh, struct{}{})
 	case received.complete != nil:
 		x.options.Table.replace(in.source, received.complete)
 	default:
@@ -112,6 +112,6 @@
 	links := slices.Collect(maps.Keys(x.inbound))
 	x.mu.Unlock()
 	for _, l := range links {
-		l.Tell(topicRefresh, struct{}{})
+		l.Notify(topicRefresh, struct{}{})
 	}
 }
--- a/internal/routeexchange/send.go
+++ b/internal/routeexchange/send.go
@@ -115,7 +115,7 @@
 		if m.More = len(put)+len(gone) > 0; !m.More {
 			m.Digest, m.Group = tableDigest(digests), group // all of it each time: it is short
 		}
-		if l.Tell(topicUpdate, m) != nil {
+		if l.Notify(topicUpdate, m) != nil {
 			return false
 		}
 		*serial++
