--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,12 +16,12 @@
 // attemptResult is how an attempt at a pool ended.
 type attemptResult struct {
 	outcome          replication.Outcome
-	rejectedByRule   bool // a partner's rule rejected it, and nothing ran
-	mayRun           bool // it may run at a partner, which has not said its outcome
-	rejectionSettled bool // the partner's rejection is the one outcome of the request there: it never ran, and never will
+	rejectedByRule   bool // rejected by a partner's rule before anything ran
+	mayRun           bool // may run at a partner that has not reported the outcome
+	rejectionSettled bool // the partner settled the rejection as the request's outcome there: it never ran and never will
 }
 
-// isFinal says that the result of a query is the outcome of the request that it is about.
+// isFinal reports whether the result of a query is the outcome of the queried request.
 func (r *attemptResult) isFinal() bool {
 	switch r.outcome.Kind {
 	case replication.Served:
@@ -32,23 +32,23 @@
 	return r.rejectionSettled
 }
 
-// routedAttempt is a request, or a query for its outcome, on its way through the engine of a pool. The engine may make several
-// attempts of it.
+// routedAttempt is a request, or a query for its outcome, that is submitted to the engine of a pool. The engine may make several
+// attempts for it.
 type routedAttempt struct {
 	*execution
 	pool      string
-	partner   string          // whose gateways the pool has; empty: it has this partner's servers
-	queryOnly bool            // only the outcome of the request is asked for
-	request   *engine.Request // as the engine has it
-	done      chan struct{}   // closed once its response has come
+	partner   string          // the partner whose gateways are in the pool; empty: the pool has this partner's own servers
+	queryOnly bool            // a query for the outcome, which must not start the request
+	request   *engine.Request // as submitted to the engine
+	done      chan struct{}   // closed when submit returns
 
 	mu         sync.Mutex
 	rejectedBy string // the partner's rule that rejected it
-	mayRun     bool   // an attempt of it may run still
-	settled    bool   // the partner has settled its rejection
+	mayRun     bool   // an attempt may still be running
+	settled    bool   // the partner has settled the rejection
 }
 
-// send gives the request to the engine of a pool, and waits for its response.
+// send submits the request to the engine of a pool and waits for the response.
 func (e *execution) send(ctx context.Context, to destination) attemptResult {
 	t := e.newAttempt(to.pool)
 	return t.submit(ctx, to.selection, e.timeLeft(ctx))
@@ -61,7 +61,7 @@
 	return t.submit(ctx, routeexchange.Selection{}, timeLeft)
 }
 
-// newAttempt is the request on its way to a pool.
+// newAttempt returns a routedAttempt of the request at a pool.
 func (e *execution) newAttempt(pool string) *routedAttempt {
 	t := &routedAttempt{execution: e, pool: pool, done: make(chan struct{})}
 	if partner, ok := config.PartnerOf(pool); ok {
@@ -70,7 +70,7 @@
 	return t
 }
 
-// submit hands the request to the engine and waits for its response. The zero result says that ctx has ended.
+// submit submits the request to the engine and waits for the response. It returns the zero result if ctx ends first.
 func (t *routedAttempt) submit(ctx context.Context, selection routeexchange.Selection, timeLeft time.Duration) attemptResult {
 	defer close(t.done)
 	if err := t.prepare(selection, timeLeft); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// prepare makes the request as the engine has it, with an envelope if it goes to a partner.
+// prepare builds the engine's request, with an envelope if it goes to a partner.
 func (t *routedAttempt) prepare(selection routeexchange.Selection, timeLeft time.Duration) error {
 	now := t.gateway.options.Clock.Now()
 	t.request = engine.NewRequest(t.record.ID, t.message)
@@ -108,7 +108,7 @@
 	t.request.AttemptEnded = t.attemptEnded
 	if t.partner == "" {
 		t.request.PriorAttempts = t.priorAttempts(now)
-		return nil // a partner's gateways know one another's requests: what one has begun another tells of
+		return nil // only own servers need prior attempts: the gateways of a partner know the outcomes of each other's requests
 	}
 	self := t.gateway.self.Partner
 	e := envelope{
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// priorAttempts are the attempts that earlier owners made at the servers of the pool.
+// priorAttempts returns the attempts that earlier owners made at the servers of the pool.
 func (t *routedAttempt) priorAttempts(now time.Duration) (list []balancer.PriorAttempt) {
 	for _, intent := range t.priorIntents {
 		if intent.Pool == t.pool {
@@ -147,7 +147,7 @@
 	return list
 }
 
-// attemptNumber is an attempt's number among all of its request's. They go on over pools.
+// attemptNumber returns an attempt's number among all attempts of the request. Numbering continues across pools.
 func (t *routedAttempt) attemptNumber(a *engine.Attempt) int {
 	if len(t.request.PriorAttempts) != len(t.priorIntents) {
 		return a.Number + len(t.priorIntents)
@@ -155,7 +155,7 @@
 	return a.Number
 }
 
-// allowAttempt implements engine.Request's AllowAttempt: a replicated request's attempt needs its intent accepted.
+// allowAttempt implements engine.Request.AllowAttempt. An attempt of a replicated request may start once its intent is accepted.
 func (t *routedAttempt) allowAttempt(a *engine.Attempt) bool {
 	if t.replicates() {
 		intent := replication.Intent{Attempt: t.attemptNumber(a), Pool: t.pool, Server: a.Host.Server, Zone: a.Zone, Cell: a.Cell}
@@ -169,7 +169,7 @@
 	return true
 }
 
-// attemptEnded implements engine.Request's AttemptEnded.
+// attemptEnded implements engine.Request.AttemptEnded.
 func (t *routedAttempt) attemptEnded(a *engine.Attempt, outcome *engine.Outcome) {
 	t.mu.Lock()
 	switch outcome.Result {
@@ -187,11 +187,11 @@
 	}
 }
 
-// replicates says that replicas are to know of attempts. They know none of a query: that it did not arrive says nothing of the
-// attempt that it is about.
+// replicates reports whether attempts are recorded at replicas. Queries are not: a query that never ran does not show that the
+// queried attempt never ran.
 func (t *routedAttempt) replicates() bool { return t.work != nil && !t.queryOnly }
 
-// result is what the engine's response comes to.
+// result converts the engine's response.
 func (t *routedAttempt) result(response engine.Response) attemptResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -213,8 +213,9 @@
 	}
 }
 
-// watchPartner ends an attempt at a partner's gateway once the others of that gateway's group have lost it: a connection to a
-// gateway that is stopped or cut off stands for as long as nobody writes, and another of the group knows the request's outcome.
+// watchPartner cancels an attempt at a partner's gateway once the other gateways of its group have lost that gateway. A TCP
+// connection to a stopped or partitioned gateway stays open as long as nothing is written, and another gateway of the group knows
+// the request's outcome.
 func (g *Gateway) watchPartner(partner string, attempt *engine.Attempt, done <-chan struct{}) {
 	tick := time.NewTicker(linkCheckInterval)
 	defer tick.Stop()
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -16,24 +16,25 @@
 
 const (
 	linkCheckInterval = 100 * time.Millisecond
-	coalesceDelay     = 5 * time.Millisecond // of many gateways that change at once, as when a fleet starts, one look is enough
-	// failoverSilences is after how many times the silence that ends a link other gateways of a partner are tried.
+	coalesceDelay     = 5 * time.Millisecond // combines changes of many gateways, such as when all of them start, into one check
+	// failoverTimeouts is the downtime of a link, in heartbeat timeouts, after which other gateways of the partner are tried.
 	failoverTimeouts = 2
 )
 
-// connector keeps the links that this gateway opens, and the pools of partners' gateways. Its task alone uses it.
+// connector maintains the links that this gateway dials and the endpoint lists of partner pools. Only the goroutine of
+// maintainLinks uses it.
 type connector struct {
 	gateway    *Gateway
-	connected  map[string]string                  // by address, the partner that the link goes to
-	firstIndex map[string]int                     // by partner, the place in its order of the first gateway that is tried
-	announced  map[string][]routeexchange.Gateway // by partner, its gateways as its pool has them
+	connected  map[string]string                  // partner that the link goes to, by address
+	firstIndex map[string]int                     // index in dialOrders of the first gateway to connect to, by partner
+	announced  map[string][]routeexchange.Gateway // gateways last sent to the partner's pool, by partner
 
 	policy     *policy
-	dialOrders map[string][]string // by partner, its gateways in the order in which policy has this one try them
+	dialOrders map[string][]string // addresses of gateways in the order in which this gateway tries them, by partner
 }
 
-// maintainLinks keeps links to those of the group whose names come later, to as many gateways of each partner as the configuration
-// says, and to quota candidates; and notifies pools of partners' gateways. It goes on until Close.
+// maintainLinks maintains links to the gateways of the group whose names sort after this one's, to the configured number of gateways
+// of each partner, and to quota candidates. It updates the pools of partners when their gateways change. It returns after Close.
 func (g *Gateway) maintainLinks() {
 	c := &connector{
 		gateway:    g,
@@ -58,7 +59,7 @@
 	}
 }
 
-// setPolicy has the connector go by a policy.
+// setPolicy sets the policy and computes the dial orders if it is a new one.
 func (c *connector) setPolicy(p *policy) {
 	if p == c.policy {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// desiredLinks are the links that this gateway should have, by address the partner that each goes to.
+// desiredLinks returns the links that this gateway should have: the partner that each goes to, by address.
 func (c *connector) desiredLinks() map[string]string {
 	g := c.gateway
 	links := map[string]string{}
@@ -93,7 +94,8 @@
 	return links
 }
 
-// addPartnerLinks adds links to a partner's gateways. Where one of them has been down for long, others are tried from the next look on.
+// addPartnerLinks adds links to a partner's gateways. If one of them has been down for too long, it adds no more, and other gateways
+// are tried from the next check on.
 func (c *connector) addPartnerLinks(partner *config.Partner, links map[string]string) {
 	order := c.dialOrders[partner.Name]
 	failoverAfter := failoverTimeouts * time.Duration(c.policy.config.Federation.Silence)
@@ -107,7 +109,7 @@
 	}
 }
 
-// connect has the hub keep the wanted links and no others.
+// connect makes the hub maintain the given links and no others.
 func (c *connector) connect(links map[string]string) {
 	hub := c.gateway.hub.Load()
 	for address, partner := range links {
@@ -137,7 +139,7 @@
 	}
 }
 
-// triggerLinkCheck has maintainLinks look at once.
+// triggerLinkCheck makes maintainLinks check the links without waiting for its next tick.
 func (g *Gateway) triggerLinkCheck() {
 	select {
 	case g.gatewaysChanged <- struct{}{}:
@@ -145,7 +147,7 @@
 	}
 }
 
-// dialOrder is the order in which this gateway tries a partner's addresses, another one at each gateway.
+// dialOrder returns a partner's addresses in the order in which this gateway tries them. The order differs between gateways.
 func (g *Gateway) dialOrder(addresses []string) []string {
 	out := slices.Clone(addresses)
 	self := g.self.String()
@@ -155,7 +157,7 @@
 	return out
 }
 
-// endpointList is the endpoint list of a pool whose servers are a partner's gateways.
+// endpointList returns the endpoint list of a pool whose servers are a partner's gateways.
 func endpointList(gateways []routeexchange.Gateway) discovery.List {
 	list := discovery.List{Full: true}
 	for _, gateway := range gateways {
--- a/internal/gateway/envelope.go
+++ b/internal/gateway/envelope.go
@@ -12,35 +12,34 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// envelopeHeader goes with a request to a partner's gateway: an envelope and its tag by the partners' key, both in base64, with
-// a dot between.
+// envelopeHeader is the header of a forwarded request that carries its envelope and the tag computed with the partners' key, both in
+// base64, separated by a dot.
 const envelopeHeader = "X-Federation"
 
-// envelope says of a forwarded request what its headers do not: by which partners and which advertisement it comes, and which
-// quotas it has drawn from. The tag is over all of it, the request's id and its target among that.
+// envelope holds the metadata of a forwarded request that its other headers do not carry: the partners that forwarded it, the
+// advertisement it was routed by, and the quotas it has drawn from. The tag covers all of it, including the request's ID and target.
 type envelope struct {
 	ID            string           `cbor:"1,keyasint"`
 	Target        string           `cbor:"2,keyasint"`
-	Path          []string         `cbor:"3,keyasint"` // partners that forwarded the request; the last one sends it
+	Path          []string         `cbor:"3,keyasint"` // partners that forwarded the request; the last one is the sender
 	Advertisement routeexchange.ID `cbor:"4,keyasint"`
 	Tenant        string           `cbor:"5,keyasint,omitempty"`
 	QuotaDraws    []string         `cbor:"6,keyasint,omitempty"`
-	QueryOnly     bool             `cbor:"7,keyasint,omitempty"` // only its outcome is asked for: it must not be begun
-	From          string           `cbor:"8,keyasint"`           // the sender: its ids are its own, and the same at all its gateways
+	QueryOnly     bool             `cbor:"7,keyasint,omitempty"` // a query for the outcome, which must not start the request
+	From          string           `cbor:"8,keyasint"`           // the sender, which scopes request IDs: they are the same at all its gateways
 }
 
-// maxEnvelopeSize is how long the header may be, in bytes.
+// maxEnvelopeSize is the maximum length of the header's value, in bytes.
 const maxEnvelopeSize = 8 << 10
 
-// A tag's text begins so, for the key has other uses; the words are the wire's.
 const (
-	tagPrefix = "damsontrestle pass"
-	tagSize   = 16 // bytes
+	tagPrefix = "damsontrestle pass" // input prefix of tags, as the key has other uses; part of the protocol
+	tagSize   = 16                   // bytes
 )
 
 var errEnvelope = errors.New("the envelope")
 
-// envelopeTag is the first half of an HMAC-SHA-256 of an envelope's text.
+// envelopeTag returns the HMAC-SHA-256 of an encoded envelope, truncated to tagSize.
 func envelopeTag(key, text []byte) []byte {
 	m := hmac.New(sha256.New, key)
 	m.Write([]byte(tagPrefix))
@@ -48,7 +47,7 @@
 	return m.Sum(nil)[:tagSize]
 }
 
-// seal is the envelope as a header's value, tagged by the key of the partner that it goes to.
+// seal returns the header's value for the envelope, with a tag computed with the key of the receiving partner.
 func (e *envelope) seal(key []byte) (string, error) {
 	text, err := peering.Encode(e)
 	if err != nil {
@@ -58,7 +57,8 @@
 	return encoding.EncodeToString(text) + "." + encoding.EncodeToString(envelopeTag(key, text)), nil
 }
 
-// openEnvelope reads the header of a request. The error says why the request is no partner's.
+// openEnvelope verifies and decodes the envelope of a request with an ID and a target. It returns an error if there is not exactly
+// one valid envelope for this request.
 func openEnvelope(header []string, key func(partner string) []byte, id, target string) (*envelope, error) {
 	if len(header) != 1 || len(header[0]) > maxEnvelopeSize {
 		return nil, fmt.Errorf("%w is missing, comes twice or is too long", errEnvelope)
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	maxRoutes       = 4                     // that a request tries, of which the rules of all but the last rejected it
-	queryRetryDelay = 20 * time.Millisecond // after a query for an outcome that a partner did not answer
+	maxRoutes       = 4                     // limit of routes tried for a request; each next one needs a rejection by rule
+	queryRetryDelay = 20 * time.Millisecond // after a query that did not return the outcome
 )
 
-// execution is a request that is carried out at this gateway, by its owner or a successor, or without replication.
+// execution runs a request at this gateway: as its owner, as a successor, or without replication.
 type execution struct {
 	gateway      *Gateway
 	record       *replication.Record
 	message      engine.Message
 	class        config.Class
 	priorIntents []replication.Intent // of earlier owners
-	work         *replication.Work    // allows its attempts; nil: it is not replicated
+	work         *replication.Work    // accepts intents of attempts; nil: the request is not replicated
 }
 
-// resume implements replication.RunFunc, for requests that have just come and for those that are taken over.
+// resume implements replication.RunFunc for new requests and for those that are taken over.
 func (g *Gateway) resume(ctx context.Context, record *replication.Record, priorIntents []replication.Intent, work *replication.Work) replication.Outcome {
 	class, known := g.policy.Load().classes[record.Key.Class]
 	if !known {
@@ -43,7 +43,7 @@
 	return e.run(ctx)
 }
 
-// successorStep is what a successor would do with a request, by the classes of now.
+// successorStep returns the step that a successor would take with a request, by the current classes.
 func (g *Gateway) successorStep(record *replication.Record, intents []replication.Intent, timeLeft time.Duration) replication.Step {
 	class, known := g.policy.Load().classes[record.Key.Class]
 	if !known {
@@ -52,9 +52,9 @@
 	return replication.NextStep(class.ForModule().Effect, intents, timeLeft, isPartnerPool)
 }
 
-// run carries the request out: by the engine of this partner's pool that routes name, or at a partner by whose advertisement it
-// goes. What may have run goes back to where it may have: servers and partners elsewhere know nothing of it. An outcome of kind 0
-// says that ctx has ended.
+// run sends the request to the engine of this partner's pool that its route names, or to a partner whose advertisement matches it. A
+// request that may have run is sent only to the pool where it may have: other servers and partners know nothing of it. The outcome's
+// kind is 0 if ctx ended first.
 func (e *execution) run(ctx context.Context) replication.Outcome {
 	switch replication.NextStep(e.class.ForModule().Effect, e.priorIntents, e.timeLeft(ctx), isPartnerPool) {
 	case replication.GiveUp:
@@ -67,8 +67,8 @@
 	return e.tryRoutes(ctx, "")
 }
 
-// tryRoutes sends the request by one route after the other, until one does not reject it by its rule. forced is the pool that it
-// has to go to; empty: any.
+// tryRoutes sends the request by one route after another until one does not reject it by rule, maxRoutes at most. forced is the only
+// pool allowed; empty: any.
 func (e *execution) tryRoutes(ctx context.Context, forced string) replication.Outcome {
 	var last attemptResult
 	for range maxRoutes {
@@ -78,17 +78,17 @@
 		}
 		last = e.send(ctx, to)
 		if last.mayRun && to.selection.Route != nil && to.selection.Replicated {
-			return e.queryPartner(ctx, to.pool) // whoever carries it there now knows its outcome
+			return e.queryPartner(ctx, to.pool) // the request's current owner there knows the outcome
 		}
 		if !last.rejectedByRule {
 			return last.outcome
 		}
-		e.gateway.routes.Suppress(to.selection.Route) // its owner's rule has changed: the next request takes another route at once
+		e.gateway.routes.Suppress(to.selection.Route) // the partner's rule has changed: later requests take another route at once
 	}
 	return last.outcome
 }
 
-// unroutable is the outcome where no route, or no further one, takes the request.
+// unroutable returns the outcome of a request without a route, or without a further one after the outcome last.
 func unroutable(last replication.Outcome, reason, forced string) replication.Outcome {
 	switch {
 	case forced != "":
@@ -99,7 +99,7 @@
 	return replication.Outcome{Kind: replication.Rejected, NotRun: true, Reason: reason, RetryAfter: defaultRetryAfter}
 }
 
-// timeLeft is the time that is left now to whoever waits for the request: each route that it tries takes some.
+// timeLeft returns the time left until the request's deadline. It decreases with each route that is tried.
 func (e *execution) timeLeft(ctx context.Context) time.Duration {
 	if e.work != nil {
 		return e.work.TimeLeft() - settleReserve
@@ -110,7 +110,7 @@
 	return e.record.TimeLeft
 }
 
-// lastPool is the pool of the last attempt that may have run.
+// lastPool returns the pool of the last attempt that may have run.
 func lastPool(priorIntents []replication.Intent) (pool string) {
 	for _, intent := range priorIntents {
 		if !intent.NotRun {
@@ -120,9 +120,9 @@
 	return pool
 }
 
-// queryPartner asks a partner for the outcome of a request that may run there, until it is known or the request's time is over. It
-// needs no advertisement. That a query was rejected, or reached nobody, says nothing of the request: only a rejection that is
-// settled there is its outcome.
+// queryPartner queries a partner for the outcome of a request that may run there, until it is known or the request's deadline has
+// passed. It needs no advertisement. A query that was rejected or not delivered does not settle the request: only a rejection that
+// the partner has settled is its outcome.
 func (e *execution) queryPartner(ctx context.Context, pool string) replication.Outcome {
 	for ctx.Err() == nil {
 		timeLeft := e.timeLeft(ctx)
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -19,11 +19,11 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// backend stands in for the servers of a pool: attempts end as a test says, the last outcome again and again.
+// backend is a fake of a pool's servers. Attempts get the outcomes in turn, and the last one from then on.
 type backend struct {
 	outcomes []engine.Outcome
 	attempts []*engine.Attempt
-	duration time.Duration // each attempt
+	duration time.Duration // of each attempt
 }
 
 func (b *backend) Run(a *engine.Attempt) engine.Outcome {
@@ -38,14 +38,14 @@
 func (*backend) Poll(discovery.Host, time.Duration) (busy float64, ok bool) { return 0, false }
 func (*backend) CloseIdle(discovery.Host)                                   {}
 
-// resumeRequest has a request taken over whose first attempt, at server s0 of a pool, may have run, with so many attempts at most.
+// resumeRequest runs a request that was taken over, whose first attempt may have run at server s0 of a pool. attempts is the limit.
 func resumeRequest(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration) replication.Outcome {
 	t.Helper()
 	return runExecution(t, b, pool, effect, attempts, within, []replication.Intent{{Pool: pool, Server: "s0", ID: "request"}})
 }
 
-// newEngine is the engine of a pool with two servers, whose attempts end as a backend says.
-func newEngine(t *testing.T, b *backend, class config.Class, attempts int, c clock.Clock) *engine.Engine {
+// newEngine returns the engine of a pool with two servers and a fake backend.
+func newEngine(t *testing.T, b *backend, class config.Class, attempts int, clk clock.Clock) *engine.Engine {
 	t.Helper()
 	settings := balancer.Settings{
 		Balancers:        1,
@@ -60,7 +60,7 @@
 	settings.Classes[0].LatencyObjective = testpeer.Limit
 	eng, err := engine.New(engine.Options{
 		Settings:    settings,
-		Clock:       c,
+		Clock:       clk,
 		Backend:     b,
 		Subscribe:   func() {},
 		ListsPushed: true,
@@ -77,7 +77,7 @@
 	return eng
 }
 
-// newSnapshot routes all requests to a pool.
+// newSnapshot returns a snapshot that routes all requests to a pool.
 func newSnapshot(t *testing.T, class config.Class, pool string, eng *engine.Engine) *dispatch.Snapshot {
 	t.Helper()
 	cfg := &config.Config{
@@ -93,23 +93,22 @@
 	return snapshot
 }
 
-// runExecution has a request carried out of which there have been earlier attempts. Routes name the pool, by an advertisement of this
-// partner's own.
-func runExecution(t *testing.T, b *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
+// runExecution runs a request with the given intents of earlier attempts. Routes lead to the pool, by an advertisement of this partner.
+func runExecution(t *testing.T, servers *backend, pool string, effect config.Effect, attempts int, within time.Duration, priorIntents []replication.Intent) replication.Outcome {
 	t.Helper()
 	const partner = "p1"
 	class := config.Class{Name: "note", Effect: effect, Deadline: config.Duration(testpeer.Limit)}
-	c := clock.New()
-	eng := newEngine(t, b, class, attempts, c)
+	clk := clock.New()
+	eng := newEngine(t, servers, class, attempts, clk)
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
 	g := &Gateway{options: Options{
 		Dispatcher:  dispatch.New(newSnapshot(t, class, pool, eng)),
-		Clock:       c,
+		Clock:       clk,
 		Log:         slog.New(slog.DiscardHandler),
 		PartnerKeys: map[string][]byte{partner: []byte("the partners' key")},
 	}}
-	g.exchange = &routeexchange.Exchange{} // that knows of nobody
+	g.exchange = &routeexchange.Exchange{} // without any gateways
 	g.self.Partner = "p0"
 	own := routeexchange.Advertisement{ID: routeexchange.ID{Origin: "p0", Name: "own"}, Class: "note", Prefix: "/note/"}
 	g.routes = routeexchange.NewTable(routeexchange.Policy{Self: "p0", Own: []routeexchange.Advertisement{own}}, time.Now)
@@ -136,13 +135,13 @@
 	return e.run(ctx)
 }
 
-// queryUnsafe has a partner asked for the outcome of an unsafe request that may run there.
+// queryUnsafe queries a partner for the outcome of an unsafe request that may run there.
 func queryUnsafe(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
 	return resumeRequest(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
 }
 
-// That a query for a request was rejected, or reached nobody, says nothing of the request: it may run, and is asked for again.
+// A query that was rejected or not delivered does not settle the request, which may run: the query is repeated.
 func TestRejectedQueryDoesNotRejectRequest(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
@@ -151,7 +150,7 @@
 	}
 }
 
-// Once the partner has settled that it rejected the request, that is the request's outcome, and no time is waited for another.
+// A rejection that the partner has settled is the request's outcome and is returned without further queries.
 func TestSettledRejectionIsFinalResponse(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
 	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Rejected || !outcome.NotRun || len(p.attempts) != 1 {
@@ -159,38 +158,37 @@
 	}
 }
 
-// A partner that never says what became of a request leaves it failed: it may have run.
-func TestRequestWithoutAnswerHasFailed(t *testing.T) {
+// A request whose outcome the partner never reports fails, as it may have run.
+func TestRequestWithUnknownOutcomeFails(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
 	if outcome := queryUnsafe(t, p, 200*time.Millisecond); outcome.Kind != replication.Failed {
 		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
 	}
 }
 
-// A request that goes on at this partner's own servers keeps its attempts: their numbers go on, and no server is tried twice. No
-// partner's envelope goes with it.
+// A request that is taken over at this partner's own servers continues the numbering of its attempts, is not sent to the same server
+// twice, and carries no envelope.
 func TestTakenOverRequestContinuesAtOwnServers(t *testing.T) {
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	b := &backend{outcomes: []engine.Outcome{served}}
 	if outcome := resumeRequest(t, b, "own", config.Safe, 2, testpeer.Limit); outcome.Kind != replication.Served {
-		t.Fatalf("it came to %+v", outcome)
+		t.Fatalf("outcome %+v, want it to be served", outcome)
 	}
 	if a := b.attempts[0]; len(b.attempts) != 1 || a.Number != 1 || a.Host.Server != "s1" || len(a.Request.Message.ExtraHeaders) != 0 {
-		t.Errorf("%d attempts, the first is number %d at %s with headers %v", len(b.attempts), a.Number, a.Host.Server, a.Request.Message.ExtraHeaders)
+		t.Errorf("%d attempts, the first is number %d at %s with headers %v; want one attempt, number 1 at s1 without headers", len(b.attempts), a.Number, a.Host.Server, a.Request.Message.ExtraHeaders)
 	}
 }
 
-// A request that a partner's rule rejects after a while takes another route with the time that is left by then, not with what it had
-// at first.
-func TestNextRouteHasTimeThatIsLeft(t *testing.T) {
-	const takes = 100 * time.Millisecond
-	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Reason: "a rule"}}, duration: takes}
+// A request that a partner's rule rejects after a delay is sent by another route with the remaining time, not with the initial time.
+func TestNextRouteGetsRemainingTime(t *testing.T) {
+	const attemptDuration = 100 * time.Millisecond
+	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Reason: "a rule"}}, duration: attemptDuration}
 	runExecution(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != maxRoutes {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
 	}
 	first, last := b.attempts[0].Request.Deadline, b.attempts[maxRoutes-1].Request.Deadline
-	if later := last - first; later > takes {
-		t.Errorf("the last attempt may take until %v after the first one's time", later)
+	if later := last - first; later > attemptDuration {
+		t.Errorf("the last attempt's deadline is %v after the first one's, want at most %v", later, attemptDuration)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,41 +21,41 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// Options are what a Gateway is made of.
+// Options are the parameters of a Gateway.
 type Options struct {
-	Config      *config.Config    // with a federation block
-	GroupKey    []byte            // of this partner's own group
+	Config      *config.Config    // must have a federation block
+	GroupKey    []byte            // key of this partner's own group
 	PartnerKeys map[string][]byte // by partner
-	// Living returns the other gateways of the group that are alive.
+	// ActiveMembers returns the other gateways of the group that are alive or suspect.
 	ActiveMembers func() []membership.Peer
-	// Calls takes the requests that go on to a pool.
+	// Dispatcher receives the requests that go to a pool.
 	Dispatcher *dispatch.Dispatcher
-	// List notifies the pool of a partner of that partner's gateways.
+	// UpdateEndpoints sets the endpoint list of the pool of a partner.
 	UpdateEndpoints func(partner string, list discovery.List)
 	Clock           clock.Clock
 	Log             *slog.Logger
 }
 
-// Gateway is a node's part in a federation. Its methods may be called by any goroutine.
+// Gateway is a node's gateway in a federation. Its methods are safe for concurrent use.
 type Gateway struct {
 	options         Options
 	self            peering.GatewayID
 	incarnation     uint64
-	hub             atomic.Pointer[peering.Hub] // nil until it is open: tasks of routes and replication begin before it
+	hub             atomic.Pointer[peering.Hub] // nil until Open has opened it: goroutines of route exchange and replication start earlier
 	replicator      *replication.Replicator
 	routes          *routeexchange.Table
 	exchange        *routeexchange.Exchange
-	ctx             context.Context // ends with Close; tasks go on past the requests that began them
+	ctx             context.Context // cancelled by Close; tasks may outlive the requests that started them
 	cancel          context.CancelFunc
 	tasks           sync.WaitGroup
-	gatewaysChanged chan struct{} // has maintainLinks look at once
+	gatewaysChanged chan struct{} // triggers a check in maintainLinks
 	policy          atomic.Pointer[policy]
 
 	mu       sync.Mutex
 	limiters map[string]*quota.Limiter // by quota
 }
 
-// Open opens the links. Requests come once the dispatcher has the gateway as its Interceptor. Close ends it.
+// Open starts the gateway and its links. It receives requests once it is the dispatcher's Interceptor. The caller must call Close.
 func Open(options Options) (*Gateway, error) {
 	federation := options.Config.Federation
 	g := &Gateway{
@@ -84,7 +84,7 @@
 	return g, nil
 }
 
-// replicationOptions are those of the replicator of this gateway.
+// replicationOptions returns the options of the gateway's replicator.
 func (g *Gateway) replicationOptions(federation *config.Federation) replication.Options {
 	silence := time.Duration(federation.Silence)
 	return replication.Options{
@@ -97,7 +97,7 @@
 		Group:          g.groupMembers,
 		Run:            g.resume,
 		NextStep:       g.successorStep,
-		Heartbeat:      heartbeat(federation),
+		Heartbeat:      heartbeatInterval(federation),
 		Silence:        silence,
 		Replicas:       federation.Replicas,
 		Memory:         int(federation.Memory),
@@ -109,7 +109,7 @@
 	}
 }
 
-// peeringOptions are those of the hub of this gateway, with the topics of all who use its links.
+// peeringOptions returns the options of the gateway's hub, with the topics of all packages that use its links.
 func (g *Gateway) peeringOptions(federation *config.Federation) peering.Options {
 	topics := maps.Clone(g.replicator.Topics())
 	maps.Copy(topics, g.exchange.Topics())
@@ -127,18 +127,18 @@
 		Topics:            topics,
 		OnLinkUp:          g.linkUp,
 		OnPeerChange:      g.linkChanged,
-		HeartbeatInterval: heartbeat(federation),
+		HeartbeatInterval: heartbeatInterval(federation),
 		HeartbeatTimeout:  time.Duration(federation.Silence),
 		Log:               g.options.Log,
 	}
 }
 
-// heartbeat is the time between two heartbeats of a link.
-func heartbeat(federation *config.Federation) time.Duration {
+// heartbeat returns the interval between heartbeats of a link.
+func heartbeatInterval(federation *config.Federation) time.Duration {
 	return time.Duration(federation.Silence) / 4
 }
 
-// Close ends all links and tasks, and returns once they have ended.
+// Close closes all links and returns once all tasks have ended.
 func (g *Gateway) Close() {
 	g.cancel()
 	g.replicator.Close()
@@ -154,10 +154,10 @@
 	g.hub.Load().Close()
 }
 
-// HandOver gives the replicated requests that have no response yet to successors of the group: the gateway shuts down.
+// HandOver hands over the replicated requests without a response to successors in the group, before a shutdown.
 func (g *Gateway) HandOver() { g.replicator.HandOver() }
 
-// key is what links and envelopes of a partner are keyed by; nil: it is no partner.
+// key returns the key for links and envelopes of a partner, or nil if there is no such partner.
 func (g *Gateway) key(partner string) []byte {
 	if partner == g.self.Partner {
 		return g.options.GroupKey
@@ -168,7 +168,7 @@
 	return g.options.PartnerKeys[partner]
 }
 
-// linkUp notifies replication of links to the group, and sends routes to partners' gateways.
+// linkUp notifies replication of a link to the group, or route exchange of a link to a partner.
 func (g *Gateway) linkUp(link *peering.Link) {
 	if link.Peer.Partner == g.self.Partner {
 		g.replicator.LinkUp(link)
@@ -177,7 +177,7 @@
 	g.exchange.Up(link)
 }
 
-// linkChanged notifies replication of links to the group that have ended.
+// linkChanged notifies replication when the last link to a gateway of the group has ended.
 func (g *Gateway) linkChanged(peer peering.Peer, up bool, _ error) {
 	if !up && peer.Partner == g.self.Partner {
 		g.replicator.PeerLost(peer)
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// groupLinks are the links to the own group, as replication has them.
+// groupLinks implements replication.Links for the gateway's own group.
 type groupLinks struct{ *Gateway }
 
 // To implements replication.Links.
@@ -30,7 +30,7 @@
 	return hub.Links(l.self.Partner)
 }
 
-// groupMembers are the gateways of the own group that are alive, this one among them, in the order of their names.
+// groupMembers returns the active gateways of the own group, including this one, sorted by name.
 func (g *Gateway) groupMembers() []replication.Gateway {
 	out := []replication.Gateway{{Name: g.self.Name, Zone: g.options.Config.Node.Zone, Incarnation: g.incarnation}}
 	for _, m := range g.options.ActiveMembers() {
@@ -44,8 +44,8 @@
 	return out
 }
 
-// ownGateways are what partners are told of: this gateway and those of its group that it has links to, as far as they take
-// requests, in the order of their names.
+// ownGateways returns the gateways that are advertised to partners: this one and the linked ones of its group, if they accept
+// partners' requests, sorted by name.
 func (g *Gateway) ownGateways() (out []routeexchange.Gateway) {
 	if address := requestAddress(g.options.Config); address != "" {
 		out = append(out, routeexchange.Gateway{Name: g.self.Name, Calls: address, Zone: g.options.Config.Node.Zone})
--- a/internal/gateway/intercept.go
+++ b/internal/gateway/intercept.go
@@ -12,40 +12,39 @@
 	"damsontrestle/internal/route"
 )
 
-// Headers of clients.
+// Request headers of clients.
 const (
-	retryOfHeader    = "X-Retry-Of"  // the id of the client's earlier request, whose response has not come
-	rejectedIDHeader = "X-Come-Back" // the id of the client's earlier request that was rejected, once its Retry-After is over
+	retryOfHeader    = "X-Retry-Of"  // ID of the client's earlier request whose response was not received
+	rejectedIDHeader = "X-Come-Back" // ID of the client's earlier, rejected request; sent after its Retry-After
 	tenantHeader     = "X-Tenant"
 )
 
-// Prefixes of a replicated request's key: by an idempotency key, whoever sends it, or by the sender and its id.
+// Prefixes of a replicated request's key, which is the idempotency key from any sender, or the sender and the request ID.
 const (
 	idempotencyKeyPrefix = "k:"
 	requestIDPrefix      = "i:"
 )
 
-// Times of a request.
 const (
-	defaultRetryAfter = 250 * time.Millisecond // where no better one is known
-	responseReserve   = 10 * time.Millisecond  // of a request's time, for its response
-	settleReserve     = 20 * time.Millisecond  // of a replicated request's time, for its outcome to be settled
+	defaultRetryAfter = 250 * time.Millisecond // if no better value is known
+	responseReserve   = 10 * time.Millisecond  // part of a request's time that is reserved for sending the response
+	settleReserve     = 20 * time.Millisecond  // part of a replicated request's time that is reserved for settling the outcome
 )
 
-// inboundRequest is what a request says of itself, and what its envelope does if a partner forwarded it.
+// inboundRequest is a request as its headers describe it, and its envelope if a partner forwarded it.
 type inboundRequest struct {
 	record    replication.Record
 	sender    string // the partner that forwarded it; empty: a client sent it
-	retryOf   string // the id of the sender's earlier request whose response it asks for
-	queryOnly bool   // a partner asks for the outcome: the request must not be begun
+	retryOf   string // ID of the sender's earlier request whose response is wanted
+	queryOnly bool   // a partner's query for the outcome, which must not start the request
 }
 
-// Intercept implements dispatch.Interceptor: it takes requests of partners, and those of this partner's clients that draw from a quota, are
-// replicated or go to another partner.
+// Intercept implements dispatch.Interceptor. It takes the requests of partners, and those of this partner's clients that draw from a
+// quota, are replicated or go to another partner.
 func (g *Gateway) Intercept(_ *dispatch.Snapshot, request *engine.Request, routing *route.Request) bool {
 	p := g.policy.Load()
 	class, known := p.classes[request.Class]
-	if !known { // nobody would check a partner's envelope, or draw for it
+	if !known { // without the gateway, neither a partner's envelope nor quotas would be checked
 		reject(request, "this class is not known here")
 		return true
 	}
@@ -57,7 +56,7 @@
 	replicated := class.Replication != nil && request.Message.Rest == nil
 	if !replicated {
 		if in.queryOnly {
-			request.Finish(engine.Response{Kind: engine.Failed}) // no replica remembers it, and it must not be begun
+			request.Finish(engine.Response{Kind: engine.Failed}) // no replica has the outcome, and a query must not start the request
 			return true
 		}
 		in.retryOf = ""
@@ -84,12 +83,13 @@
 	return true
 }
 
-// reject answers a request that was not taken.
+// reject rejects a request without having run it.
 func reject(request *engine.Request, reason string) {
 	request.Finish(engine.Response{Kind: engine.Rejected, NotRun: true, Reason: reason, RetryAfter: defaultRetryAfter})
 }
 
-// parseRequest reads a request and, on the listener of partners, its envelope. An error says why it is no partner's.
+// parseRequest reads the headers of a request and, on the partners' listener, its envelope. It returns an error if the envelope is
+// not valid.
 func (g *Gateway) parseRequest(p *policy, request *engine.Request, routing *route.Request) (*inboundRequest, error) {
 	message := &request.Message
 	in := &inboundRequest{retryOf: firstValue(routing.Headers, retryOfHeader)}
@@ -129,7 +129,7 @@
 	return in, nil
 }
 
-// key is what the request is replicated under.
+// key returns the key under which the request is replicated.
 func (in *inboundRequest) key(request *engine.Request) replication.Key {
 	id := requestIDPrefix + in.sender + ":" + request.ID
 	switch {
@@ -141,7 +141,7 @@
 	return replication.Key{Class: request.Class, ID: id}
 }
 
-// quotas are the names of the quotas that a request has to draw from here: those that it matches and has not drawn from before.
+// quotasToDraw returns the names of the quotas that the request matches and has not drawn from at an earlier gateway.
 func (p *policy) quotasToDraw(class string, record *replication.Record) []string {
 	var names []string
 	for i := range p.quotas {
@@ -153,13 +153,13 @@
 	return names
 }
 
-// goesToPartner says that the best route of a request is another partner's advertisement.
+// goesToPartner reports whether the best route of a request is another partner's advertisement.
 func (g *Gateway) goesToPartner(record *replication.Record, class config.Class) bool {
 	selection, ok := g.routes.Choose(routedRequest(record, class))
 	return ok && !selection.Own
 }
 
-// firstValue is the first value of a header; empty: there is none.
+// firstValue returns the first value of a header, or an empty string if there is none.
 func firstValue(headers route.Headers, name string) string {
 	values := headers.Values(name)
 	if len(values) == 0 {
@@ -168,7 +168,7 @@
 	return values[0]
 }
 
-// routedHeaders are the headers of a request that routes match, by their canonical names; nil: it has none of them.
+// routedHeaders returns the headers of a request that routes match, by canonical name, or nil if it has none of them.
 func routedHeaders(p *policy, routing *route.Request) map[string][]string {
 	var out map[string][]string
 	for _, name := range p.routedHeaders {
--- a/internal/gateway/intercept_test.go
+++ b/internal/gateway/intercept_test.go
@@ -8,22 +8,22 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// noHeaders are a request's that has none, so that it comes without a partner's envelope.
+// noHeaders is a request without headers, and therefore without an envelope.
 type noHeaders struct{}
 
 func (noHeaders) Values(string) []string { return nil }
 
-// A request of a class that the gateway's rules do not have goes no way around them: a class may be new in a configuration whose
-// rules are not in place yet.
+// A request of a class that is unknown to the gateway's policy is rejected rather than passed on unchecked. This happens when a
+// configuration adds a class and the gateway does not have its policy yet.
 func TestRequestOfUnknownClassIsRejected(t *testing.T) {
 	g := &Gateway{}
 	g.policy.Store(&policy{partnerListener: "partners"})
 	request := engine.NewRequest("request", engine.Message{})
 	request.Class = "new"
 	if !g.Intercept(nil, request, &route.Request{Listener: "partners", Class: "new", Headers: noHeaders{}}) {
-		t.Fatal("the request was left to an engine, and nobody has asked for its envelope")
+		t.Fatal("the request was passed on to an engine without a check of its envelope")
 	}
 	if response := testpeer.Receive(t, request.Response(), "the rejection"); response.Kind != engine.Rejected || !response.NotRun || response.RetryAfter <= 0 {
-		t.Errorf("%+v", response)
+		t.Errorf("response is %+v, want a rejection with NotRun and RetryAfter", response)
 	}
 }
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -2,8 +2,8 @@
 
 import "damsontrestle/internal/quota"
 
-// setQuotas has a limiter for each quota. One whose candidates stay goes on; those of no quota any more are closed without
-// waiting.
+// setQuotas creates a limiter for each quota. A limiter whose candidates have not changed is kept and updated; the others are closed
+// in the background.
 func (g *Gateway) setQuotas(budgets []quota.Budget) {
 	g.mu.Lock()
 	var removed []*quota.Limiter
@@ -34,7 +34,7 @@
 	}
 }
 
-// limiter is the limiter of a quota; nil: there is none.
+// limiter returns the limiter of a quota, or nil if there is none.
 func (g *Gateway) limiter(name string) *quota.Limiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/main_test.go
+++ b/internal/gateway/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Every goroutine is ended by whoever started it.
+// TestMain fails if a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -10,18 +10,18 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// policy is what a configuration says of requests. It is not changed any more once it is made.
+// policy holds the parts of a configuration that apply to requests. It is immutable.
 type policy struct {
 	config          *config.Config
 	classes         map[string]config.Class
-	routedHeaders   []string // that routes match
-	partnerListener string   // of partners' requests; empty: there is none
+	routedHeaders   []string // names of the headers that routes match
+	partnerListener string   // listener of partners' requests; empty: there is none
 	quotas          []quota.Budget
 	partners        map[string]bool
-	longestDeadline time.Duration // of all classes: no repeat of a key comes later
+	longestDeadline time.Duration // of all classes; no duplicate of a key arrives after it
 }
 
-// newPolicy is the policy of a configuration with a federation block.
+// newPolicy returns the policy of a configuration, which must have a federation block.
 func newPolicy(cfg *config.Config) *policy {
 	p := &policy{
 		config:          cfg,
@@ -53,7 +53,7 @@
 	return p
 }
 
-// routePolicy is what a configuration says of routes: from whom they are imported, to whom they go in transit, and this partner's
+// routePolicy returns the route exchange policy of a configuration: import and transit rules for each partner, and this partner's
 // own exports.
 func (g *Gateway) routePolicy(cfg *config.Config) routeexchange.Policy {
 	p := routeexchange.Policy{
@@ -81,7 +81,7 @@
 	return p
 }
 
-// advertisement is what partners are told of an export.
+// advertisement returns the advertisement of an export.
 func advertisement(self string, export *config.Export, replicated bool) routeexchange.Advertisement {
 	a := routeexchange.Advertisement{
 		ID:       routeexchange.ID{Origin: self, Name: export.Name},
@@ -113,7 +113,7 @@
 	return a
 }
 
-// replicatedClasses says which classes a configuration has replicated.
+// replicatedClasses returns a function that reports whether a class is replicated in a configuration.
 func replicatedClasses(cfg *config.Config) func(class string) bool {
 	return func(name string) bool {
 		class, ok := cfg.Class(name)
@@ -121,7 +121,7 @@
 	}
 }
 
-// requestAddress is where partners' requests come in; empty: nowhere.
+// requestAddress returns the address for partners' requests, or an empty string if there is none.
 func requestAddress(cfg *config.Config) string {
 	if cfg.Federation.Requests != "" {
 		return cfg.Federation.Requests
@@ -130,12 +130,12 @@
 	return listener.Address
 }
 
-// SetConfig has requests go by another configuration from now on. It does not block: it is called while no request is dispatched,
-// so that no request of a class, a quota or a partner of the one configuration goes by the rules of the other. A configuration
-// without a federation block takes a restart, and changes nothing here.
+// SetConfig applies another configuration to later requests. It must be called while no request is dispatched, so that no request of
+// a class, quota or partner of one configuration is handled by the rules of the other, and therefore does not block. It ignores a
+// configuration without a federation block: that change takes effect at a restart.
 func (g *Gateway) SetConfig(cfg *config.Config) {
 	if cfg.Federation == nil {
-		return // that takes a restart
+		return // needs a restart
 	}
 	p := newPolicy(cfg)
 	g.setQuotas(p.quotas)
@@ -143,7 +143,7 @@
 	g.routes.SetPolicy(g.routePolicy(cfg))
 }
 
-// AdvertiseChanges advertises to partners what the configuration that was adopted has changed.
+// AdvertiseChanges sends partners the changes of the configuration that SetConfig applied.
 func (g *Gateway) AdvertiseChanges() {
 	g.exchange.Advertise()
 	g.exchange.RequestRefresh()
--- a/internal/gateway/requestflow.go
+++ b/internal/gateway/requestflow.go
@@ -11,27 +11,27 @@
 	"damsontrestle/internal/replication"
 )
 
-// requestFlow is a request that the gateway has taken, from there to its response: quota, replication, then the engine of a pool.
+// requestFlow takes an intercepted request to its response: through quota, replication and the engine of a pool.
 type requestFlow struct {
 	gateway        *Gateway
 	request        *engine.Request
 	record         replication.Record
 	class          config.Class
-	quotas         []string // quotas that it has to draw from
-	awaitOnly      bool     // its sender asks only for the outcome of an earlier request
-	rejectedID     string   // the id of the client's earlier request that was rejected, as it says
+	quotas         []string // names of the quotas to draw from
+	awaitOnly      bool     // the sender only wants the outcome of an earlier request
+	rejectedID     string   // ID of the client's earlier, rejected request, from rejectedIDHeader
 	replicated     bool
 	disconnectOnce sync.Once
-	disconnected   chan struct{} // closed once its client has disconnected
+	disconnected   chan struct{} // closed when the client disconnects
 }
 
-// serve sends the response, within the client's time.
+// serve processes the request and sends the response before the client's deadline.
 func (f *requestFlow) serve() {
 	g := f.gateway
 	left := g.options.Clock.Until(f.request.Deadline) - responseReserve
 	ctx, cancel := context.WithTimeout(g.ctx, max(0, left))
 	defer cancel()
-	if !f.replicated { // a replicated request goes on without its client, who may come back for the response
+	if !f.replicated { // a replicated request continues without its client, which may reconnect for the response
 		g.tasks.Go(func() {
 			select {
 			case <-f.disconnected:
@@ -53,15 +53,15 @@
 	}
 }
 
-// respond is the request's way: quota, replication, engine. Tokens are given back where nothing was begun, here or at a partner:
-// others may have them.
+// respond passes the request through quota, replication and engine, and returns the response. It returns the drawn tokens for use
+// by other requests if no attempt was started, here or at a partner.
 func (f *requestFlow) respond(ctx context.Context) engine.Response {
 	if f.awaitOnly {
 		return f.awaitEarlier(ctx)
 	}
 	if f.replicated && f.record.IdempotencyKey != "" && len(f.quotas) > 0 && f.gateway.replicator.MayHold(ctx, f.record.Key) {
 		if response, ok := f.awaitDuplicate(ctx); ok {
-			return response // a repeat draws nothing
+			return response // a duplicate draws no tokens
 		}
 	}
 	undo, response, ok := f.drawTokens(ctx)
@@ -69,15 +69,15 @@
 		response = f.execute(ctx)
 	}
 	if response.Kind == engine.Rejected && response.NotRun {
-		for _, giveBack := range undo {
-			giveBack()
+		for _, returnToken := range undo {
+			returnToken()
 		}
 	}
 	return response
 }
 
-// drawTokens draws a token from each quota that the request matches. undo gives those back that were drawn. false: a quota has
-// none for it now, and rejected says so.
+// drawTokens draws a token from each of the quotas. The functions in undo return the drawn tokens. If a quota has no token left, ok
+// is false and rejected is the response.
 func (f *requestFlow) drawTokens(ctx context.Context) (undo []func(), rejected engine.Response, ok bool) {
 	id := f.record.IdempotencyKey
 	if id == "" {
@@ -102,7 +102,7 @@
 	return undo, engine.Response{}, true
 }
 
-// runExecution has the request carried out once, replicated if its class is.
+// execute runs the request once, replicated if its class is.
 func (f *requestFlow) execute(ctx context.Context) engine.Response {
 	if !f.replicated {
 		return f.runUnreplicated(ctx, f.request.Message)
@@ -116,20 +116,20 @@
 			return settledResponse(outcome)
 		case errors.Is(err, replication.ErrNoQuorum) && serveAlone:
 			message := f.request.Message
-			message.ClientDisconnected = nil // it goes on without its client
+			message.ClientDisconnected = nil // it continues without its client
 			return f.runUnreplicated(ctx, message)
 		case errors.Is(err, replication.ErrNoQuorum), errors.Is(err, replication.ErrNoCapacity), errors.Is(err, replication.ErrKeyUnchecked):
 			return rejection(defaultRetryAfter)
 		}
-		// Another request of the key is carried out, or a successor carries out this one: what is settled there is the response.
+		// Another request of the key is running, or a successor runs this one: the response is the outcome settled there.
 		if response, ok := f.awaitDuplicate(ctx); ok {
 			return response
 		}
 	}
 }
 
-// awaitDuplicate waits for the response to a request whose key is taken. false: that one was rejected, and the key may be used
-// anew.
+// awaitDuplicate waits for the response to the request that holds the key. ok is false if that request was rejected and the key may
+// be reused.
 func (f *requestFlow) awaitDuplicate(ctx context.Context) (response engine.Response, ok bool) {
 	outcome, generation, err := f.gateway.replicator.Await(ctx, f.record.Key)
 	if err != nil {
@@ -149,12 +149,12 @@
 	case err == nil:
 		return settledResponse(outcome)
 	case errors.Is(err, replication.ErrUnknown), errors.Is(err, replication.ErrOutcomeLost):
-		return engine.Response{Kind: engine.Failed} // it may have run, or never have come
+		return engine.Response{Kind: engine.Failed} // it may have run, or never have arrived
 	}
-	return rejection(defaultRetryAfter) // to ask again is harmless
+	return rejection(defaultRetryAfter) // repeating the query is harmless
 }
 
-// runUnreplicated has a request carried out that no replica knows.
+// runUnreplicated runs the request without replication.
 func (f *requestFlow) runUnreplicated(ctx context.Context, message engine.Message) engine.Response {
 	e := &execution{gateway: f.gateway, record: &f.record, message: message, class: f.class}
 	outcome := e.run(ctx)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/replication"
 )
 
-// responseOf is an outcome as a client gets it.
+// responseOf converts an outcome to the response for the client.
 func responseOf(outcome replication.Outcome) engine.Response {
 	if response, ok := outcome.Response.(engine.Response); ok {
 		return response
@@ -15,7 +15,7 @@
 	switch outcome.Kind {
 	case replication.Served:
 		if outcome.BodyOmitted {
-			return engine.Response{Kind: engine.Failed} // it was served, and its body was too long to be kept
+			return engine.Response{Kind: engine.Failed} // it was served, but its body was too long to keep
 		}
 		reply := engine.Reply{Body: outcome.Body, ContentType: outcome.ContentType, Length: int64(len(outcome.Body))}
 		return engine.Response{Kind: engine.Served, Reply: reply}
@@ -30,14 +30,14 @@
 	return engine.Response{Kind: engine.Failed}
 }
 
-// settledResponse is an outcome that holds for all who ask.
+// settledResponse converts an outcome that is final for all duplicates of the request.
 func settledResponse(outcome replication.Outcome) engine.Response {
 	response := responseOf(outcome)
 	response.Settled = true
 	return response
 }
 
-// outcomeOf is a response as it is settled.
+// outcomeOf converts a response to the outcome to settle.
 func outcomeOf(response engine.Response) replication.Outcome {
 	outcome := replication.Outcome{Response: response}
 	switch response.Kind {
@@ -59,10 +59,10 @@
 	return outcome
 }
 
-// reasonBusy is the reason of a rejection to a partner's gateway that no rule was the cause of.
+// reasonBusy is the reason sent to a partner's gateway for a rejection that no rule caused.
 const reasonBusy = "busy"
 
-// rejection rejects a request of which nothing was begun.
+// rejection returns the response that rejects a request without any started attempt.
 func rejection(retry time.Duration) engine.Response {
 	return engine.Response{Kind: engine.Rejected, NotRun: true, RetryAfter: max(retry, time.Millisecond)}
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -7,19 +7,19 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// destination is where a request goes.
+// destination is the pool to which a request is sent.
 type destination struct {
 	pool      string
-	selection routeexchange.Selection // the advertisement that it goes by; none for this partner's own pools
+	selection routeexchange.Selection // the advertisement it is routed by; zero if there is none
 }
 
-// recordedHeaders are the headers of a request that were recorded, as routes match them.
+// recordedHeaders are the headers in a replication record, by canonical name.
 type recordedHeaders map[string][]string
 
 // Values implements route.Headers.
 func (h recordedHeaders) Values(name string) []string { return h[name] }
 
-// routedRequest is a request as advertisements are chosen for it.
+// routedRequest returns the properties of a request by which an advertisement is chosen.
 func routedRequest(record *replication.Record, class config.Class) *routeexchange.Request {
 	return &routeexchange.Request{
 		Class:  class.Name,
@@ -30,14 +30,14 @@
 	}
 }
 
-// isPartnerPool says that a pool is a partner's gateways.
+// isPartnerPool reports whether a pool consists of a partner's gateways.
 func isPartnerPool(pool string) bool {
 	_, ok := config.PartnerOf(pool)
 	return ok
 }
 
-// chooseRoute is where the request goes now, by the rules of now, or the reason why it goes nowhere. forced is the pool that it has
-// to go to; empty: any.
+// chooseRoute returns the destination of the request by the current rules, or the reason why there is none. forced is the only pool
+// allowed; empty: any.
 func (e *execution) chooseRoute(forced string) (to destination, reason string) {
 	selection, ok, reason := e.chooseAdvertisement()
 	if reason != "" {
@@ -69,8 +69,9 @@
 	return destination{pool, selection}, ""
 }
 
-// chooseAdvertisement is the advertisement by which a partner forwarded the request, if its rules still let it in, or else the
-// best one for it; false: there is none.
+// chooseAdvertisement returns the advertisement for the request. For a partner's request it is the one that the partner forwarded it
+// by; if its rules no longer admit the request, reason tells why. For any other request it is the best one; ok is false if there is
+// none.
 func (e *execution) chooseAdvertisement() (selection routeexchange.Selection, ok bool, reason string) {
 	request := routedRequest(e.record, e.class)
 	if len(e.record.PartnerPath) == 0 {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// Status is what a gateway does now, as operators see it.
+// Status is the state of a gateway, as operators see it.
 type Status struct {
 	Partner     string                  `json:"partner"`
 	Incarnation uint64                  `json:"life"`
@@ -20,7 +20,7 @@
 	Quotas      map[string]quota.Status `json:"quotas,omitempty"`
 }
 
-// LinkStatus is one link to another gateway.
+// LinkStatus is the state of a link to another gateway.
 type LinkStatus struct {
 	Gateway     string        `json:"gateway"`
 	Zone        string        `json:"zone,omitempty"`
@@ -28,7 +28,7 @@
 	RTT         time.Duration `json:"rtt"`
 }
 
-// Status returns what the gateway does now.
+// Status returns the state of the gateway.
 func (g *Gateway) Status() Status {
 	hub := g.hub.Load()
 	s := Status{
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -31,21 +31,21 @@
 // openWith opens a transport on loopback with seeds, and with zone state if its options are not nil.
 func openWith(t *testing.T, name, key string, zoneState *zonestate.Options, seeds ...netip.AddrPort) *Transport {
 	t.Helper()
-	o := membership.Defaults()
-	o.ProbeInterval = 50 * time.Millisecond
-	o.ProbeTimeout = 15 * time.Millisecond
-	o.Seeds = seeds
+	members := membership.Defaults()
+	members.ProbeInterval = 50 * time.Millisecond
+	members.ProbeTimeout = 15 * time.Millisecond
+	members.Seeds = seeds
 	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a free port, which Self has to name before Open
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := free.LocalAddr().String()
 	free.Close()
-	r, err := Open(Options{
+	transport, err := Open(Options{
 		Self:       membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
 		Listen:     addr,
 		Key:        []byte(key),
-		Membership: o,
+		Membership: members,
 		ZoneState:  zoneState,
 		Clock:      clock.New(),
 		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -53,25 +53,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return transport
 }
 
 // run runs a transport until the test's end, or until stop.
-func run(t *testing.T, r *Transport) (stop func()) {
+func run(t *testing.T, transport *Transport) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	go r.Run(ctx)
-	testpeer.Receive(t, r.started, "its start")
+	go transport.Run(ctx)
+	testpeer.Receive(t, transport.started, "its start")
 	stop = func() {
 		cancel()
-		testpeer.Receive(t, r.done, "its end")
+		testpeer.Receive(t, transport.done, "its end")
 	}
 	t.Cleanup(stop)
 	return stop
 }
 
 // memberStatus returns the status that a transport holds of a node; empty: it does not know it.
-func memberStatus(r *Transport, name string) string {
-	for _, m := range r.Status().Members {
+func memberStatus(transport *Transport, name string) string {
+	for _, m := range transport.Status().Members {
 		if m.Name == name {
 			return m.Status
 		}
@@ -88,9 +88,9 @@
 	c := open(t, "c", key, a.Addr())
 	other := open(t, "other", "a key of another cluster", a.Addr())
 	var stop func()
-	for _, r := range []*Transport{a, b, c, other} {
-		stopped := run(t, r)
-		if r == c {
+	for _, transport := range []*Transport{a, b, c, other} {
+		stopped := run(t, transport)
+		if transport == c {
 			stop = stopped
 		}
 	}
@@ -120,22 +120,22 @@
 
 // A transport never exceeds its send budget, whatever its machine asks for.
 func TestSendRateIsBounded(t *testing.T) {
-	r := open(t, "a", "a key of sixteen bytes or more")
-	defer r.Close()
+	transport := open(t, "a", "a key of sixteen bytes or more")
+	defer transport.Close()
 	var packets []membership.Packet
 	for range 3000 {
-		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
+		packets = append(packets, membership.Packet{To: transport.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
-	r.budgetAt = r.options.Clock.Now()
-	r.sendBudget = maxSendRate
-	r.send(packets)
-	size := int64(len(membership.Encode(packets[0].Message, r.options.Key)))
-	if sent := r.counts.Sent * size; r.counts.RateLimited == 0 || sent < maxSendRate/2 || r.counts.Sent+r.counts.RateLimited != 3000 {
-		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxSendRate, r.counts.RateLimited)
+	transport.budgetAt = transport.options.Clock.Now()
+	transport.sendBudget = maxSendRate
+	transport.send(packets)
+	size := int64(len(membership.Encode(packets[0].Message, transport.options.Key)))
+	if sent := transport.counts.Sent * size; transport.counts.RateLimited == 0 || sent < maxSendRate/2 || transport.counts.Sent+transport.counts.RateLimited != 3000 {
+		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxSendRate, transport.counts.RateLimited)
 	}
 }
 
-func TestInvalidKeysAndAddresses(t *testing.T) {
+func TestInvalidKeysAndAddressInUseAreErrors(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"short": "  short \n",
@@ -168,44 +168,46 @@
 
 // Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does
 // not understand, all are alive for all, and the others have one another's parts.
-func TestZoneStateBesidePeerWithout(t *testing.T) {
+func TestZoneStateExchangeBesidePeerWithoutIt(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
-	o := zonestate.Defaults(2 * time.Second)
-	a := openWith(t, "a", key, &o)
-	b := openWith(t, "b", key, &o, a.Addr())
-	c := openWith(t, "c", key, &o, a.Addr())
-	old := open(t, "old", key, a.Addr())
+	options := zonestate.Defaults(2 * time.Second)
+	a := openWith(t, "a", key, &options)
+	b := openWith(t, "b", key, &options, a.Addr())
+	c := openWith(t, "c", key, &options, a.Addr())
+	withoutZoneState := open(t, "old", key, a.Addr())
 	load := Load{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
-	for _, r := range []*Transport{a, b, c, old} {
-		run(t, r)
+	for _, transport := range []*Transport{a, b, c, withoutZoneState} {
+		run(t, transport)
 	}
-	sum := func(r *Transport) (amount float64, from int) {
-		r.PublishLoad(load)
-		f := r.Status().ZoneState
-		if f == nil || f.Isolated {
+	demandSum := func(transport *Transport) (amount float64, from int) {
+		transport.PublishLoad(load)
+		zoneState := transport.Status().ZoneState
+		if zoneState == nil || zoneState.Isolated {
 			return 0, 0
 		}
-		for _, z := range f.Zones {
-			for _, x := range z.Reports {
-				if x.Kind == "demand" && x.Subject == "view" && z.Freshness == "fresh" {
-					return x.Value, x.PartCount
+		for _, z := range zoneState.Zones {
+			for _, report := range z.Reports {
+				if report.Kind == "demand" && report.Subject == "view" && z.Freshness == "fresh" {
+					return report.Value, report.PartCount
 				}
 			}
 		}
 		return 0, 0
 	}
-	for _, r := range []*Transport{a, b, c} {
+	for _, transport := range []*Transport{a, b, c} {
 		testpeer.Until(t, "the sum of three parts", func() bool {
 			for _, other := range []*Transport{a, b, c} {
 				other.PublishLoad(load)
 			}
-			amount, from := sum(r)
+			amount, from := demandSum(transport)
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to count messages", func() bool { return old.Status().Counts.Unsupported > 0 && old.Status().ZoneState == nil })
-	for _, r := range []*Transport{a, b, c} {
-		if got := memberStatus(r, "old"); got != "alive" {
+	testpeer.Until(t, "the older one to count messages", func() bool {
+		return withoutZoneState.Status().Counts.Unsupported > 0 && withoutZoneState.Status().ZoneState == nil
+	})
+	for _, transport := range []*Transport{a, b, c} {
+		if got := memberStatus(transport, "old"); got != "alive" {
 			t.Errorf("the older one has status %s", got)
 		}
 	}
@@ -218,7 +220,7 @@
 	nc.Write(membership.Seal([]byte{zonestate.Version, 1, 2, 3}, []byte(key)))
 	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
 	testpeer.Until(t, "the malformed one and the one of another key to be counted", func() bool {
-		is := a.Status().Counts
-		return is.Malformed > before.Malformed && is.WrongKey > before.WrongKey
+		counts := a.Status().Counts
+		return counts.Malformed > before.Malformed && counts.WrongKey > before.WrongKey
 	})
 }
--- a/internal/gossip/read_test.go
+++ b/internal/gossip/read_test.go
@@ -31,11 +31,11 @@
 // Reads that fail for a while are retried with pauses, and the datagram after them is received.
 func TestReadResumesAfterFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Transport{incoming: make(chan datagram, 1)}
+		transport := &Transport{incoming: make(chan datagram, 1)}
 		conn := &failingReceiver{end: time.Now().Add(time.Second)}
-		r.read(conn)
-		if most := int(time.Second/minReadPause) + 2; conn.reads > most || len(r.incoming) != 1 {
-			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(r.incoming))
+		transport.read(conn)
+		if most := int(time.Second/minReadPause) + 2; conn.reads > most || len(transport.incoming) != 1 {
+			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(transport.incoming))
 		}
 	})
 }
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -48,19 +48,19 @@
 	t.loggedChanges = t.machine.Changes()
 	members := t.machine.Members()
 	var active []membership.Peer
-	for _, k := range members {
-		if k.Status <= membership.Suspect {
-			active = append(active, k.Peer)
+	for _, member := range members {
+		if member.Status <= membership.Suspect {
+			active = append(active, member.Peer)
 		}
 	}
 	t.active.Store(&active)
-	for _, k := range members {
-		logged, known := t.loggedStatus[k.Name]
-		if known && logged == k.Status {
+	for _, member := range members {
+		logged, known := t.loggedStatus[member.Name]
+		if known && logged == member.Status {
 			continue
 		}
-		t.loggedStatus[k.Name] = k.Status
-		t.options.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
+		t.loggedStatus[member.Name] = member.Status
+		t.options.Log.Info("member", "name", member.Name, "status", member.Status, "life", member.Incarnation)
 	}
 }
 
@@ -102,19 +102,19 @@
 	if t.exchange != nil {
 		s.ZoneState = t.exchange.status(now)
 	}
-	for _, k := range t.machine.Members() {
+	for _, member := range t.machine.Members() {
 		m := Member{
-			Name:        k.Name,
-			Addr:        k.Addr.String(),
-			Region:      k.Region,
-			Zone:        k.Zone,
-			Status:      k.Status.String(),
-			Incarnation: k.Incarnation,
-			SinceChange: now - k.StatusSince,
+			Name:        member.Name,
+			Addr:        member.Addr.String(),
+			Region:      member.Region,
+			Zone:        member.Zone,
+			Status:      member.Status.String(),
+			Incarnation: member.Incarnation,
+			SinceChange: now - member.StatusSince,
 			SinceHeard:  -1,
 		}
-		if k.LastHeard > 0 {
-			m.SinceHeard = now - k.LastHeard
+		if member.LastHeard > 0 {
+			m.SinceHeard = now - member.LastHeard
 		}
 		s.Members = append(s.Members, m)
 	}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -71,25 +71,25 @@
 }
 
 // Open opens the socket. Nothing is sent before Run.
-func Open(o Options) (*Transport, error) {
+func Open(options Options) (*Transport, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("gossip: seed: %w", err)
 	}
 	seed := binary.LittleEndian.Uint64(random[:])
-	m, err := membership.New(o.Self, o.Membership, seed)
+	machine, err := membership.New(options.Self, options.Membership, seed)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	var x *exchange
-	if o.ZoneState != nil {
-		id, _ := m.Self()
-		x, err = newExchange(o, id, seed+1)
+	if options.ZoneState != nil {
+		id, _ := machine.Self()
+		x, err = newExchange(options, id, seed+1)
 		if err != nil {
 			return nil, fmt.Errorf("gossip: %w", err)
 		}
 	}
-	addr, err := net.ResolveUDPAddr("udp", o.Listen)
+	addr, err := net.ResolveUDPAddr("udp", options.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: address: %w", err)
 	}
@@ -98,9 +98,9 @@
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	return &Transport{
-		options:        o,
+		options:        options,
 		conn:           conn,
-		machine:        m,
+		machine:        machine,
 		exchange:       x,
 		loads:          make(chan Load, 1),
 		incoming:       make(chan datagram, maxQueuedDatagrams),
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -25,15 +25,15 @@
 	sent            [zonestate.Query + 1]int                 // messages, by kind
 }
 
-func newExchange(o Options, id membership.ID, seed uint64) (*exchange, error) {
-	self := zonestate.Peer{ID: uint64(id), Addr: o.Self.Addr, ZoneID: zonestate.ZoneIDOf(o.Self.Region, o.Self.Zone)}
-	m, err := zonestate.New(o.Clock.Now(), self, *o.ZoneState, seed)
+func newExchange(options Options, id membership.ID, seed uint64) (*exchange, error) {
+	self := zonestate.Peer{ID: uint64(id), Addr: options.Self.Addr, ZoneID: zonestate.ZoneIDOf(options.Self.Region, options.Self.Zone)}
+	machine, err := zonestate.New(options.Clock.Now(), self, *options.ZoneState, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &exchange{
-		machine:         m,
-		options:         *o.ZoneState,
+		machine:         machine,
+		options:         *options.ZoneState,
 		loggedFreshness: map[zonestate.ZoneID]zonestate.Freshness{},
 		viewChanges:     -1,
 	}, nil
@@ -48,22 +48,22 @@
 	x.viewChanges = t.machine.Changes()
 	id, incarnation := t.machine.Self()
 	self := t.options.Self
-	place := zonestate.ZoneIDOf(self.Region, self.Zone)
-	all := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, ZoneID: place}}
-	x.zoneNames = map[zonestate.ZoneID]zoneName{place: {self.Region, self.Zone}}
-	for _, k := range t.machine.Members() {
-		place := zonestate.ZoneIDOf(k.Region, k.Zone)
-		x.zoneNames[place] = zoneName{k.Region, k.Zone}
-		all = append(all, zonestate.Peer{
-			ID:       uint64(k.ID),
-			Addr:     k.Addr,
-			ZoneID:   place,
-			Suspect:  k.Status == membership.Suspect,
-			Inactive: k.Status > membership.Suspect,
+	zoneID := zonestate.ZoneIDOf(self.Region, self.Zone)
+	peers := []zonestate.Peer{{ID: uint64(id), Addr: self.Addr, ZoneID: zoneID}}
+	x.zoneNames = map[zonestate.ZoneID]zoneName{zoneID: {self.Region, self.Zone}}
+	for _, member := range t.machine.Members() {
+		zoneID := zonestate.ZoneIDOf(member.Region, member.Zone)
+		x.zoneNames[zoneID] = zoneName{member.Region, member.Zone}
+		peers = append(peers, zonestate.Peer{
+			ID:       uint64(member.ID),
+			Addr:     member.Addr,
+			ZoneID:   zoneID,
+			Suspect:  member.Status == membership.Suspect,
+			Inactive: member.Status > membership.Suspect,
 		})
 	}
 	x.machine.SetIncarnation(incarnation)
-	x.machine.SetView(t.options.Clock.Now(), zonestate.NewView(all))
+	x.machine.SetView(t.options.Clock.Now(), zonestate.NewView(peers))
 }
 
 // sendZoneState sends messages of the zone state's protocol, as far as the send budget allows.
@@ -76,32 +76,32 @@
 }
 
 // PublishLoad sets what the node has measured now. It never blocks: a later call replaces one that Run has not taken yet.
-func (t *Transport) PublishLoad(s Load) {
+func (t *Transport) PublishLoad(load Load) {
 	select {
 	case <-t.loads:
 	default:
 	}
 	select {
-	case t.loads <- s:
+	case t.loads <- load:
 	default:
 	}
 }
 
 // setLoad passes what the node has measured to the machine.
-func (t *Transport) setLoad(s Load) {
+func (t *Transport) setLoad(load Load) {
 	x := t.exchange
 	if x == nil {
 		return
 	}
-	x.names = s.Names
-	entries := append(s.Entries, auditEntries()...)
+	x.names = load.Names
+	entries := append(load.Entries, auditEntries()...)
 	x.machine.SetOwnPart(t.options.Clock.Now(), zonestate.GroupByPage(entries))
 }
 
 // logZones logs each change of a zone's freshness.
 func (t *Transport) logZones() {
 	x := t.exchange
-	truth := readAuditClock() // before the clock is read, so that no row ages between the two
+	clock := readAuditClock() // before the clock is read, so that no row ages between the two
 	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
 		name := x.zoneNames[z.ID]
@@ -109,8 +109,8 @@
 			x.loggedFreshness[z.ID] = z.Freshness
 			t.options.Log.Info("zone", "region", name.region, "zone", name.zone, "facts", z.Freshness, "from", z.PartCount, "of", z.ActiveNodes)
 		}
-		if short := truth.underReported(x.machine.Read(now, z.ID, zonestate.MadeAt, 0)); short > 0 {
-			t.options.Log.Error("an age was under-reported", "zone", name.zone, "by", short)
+		if excess := clock.underReported(x.machine.Read(now, z.ID, zonestate.MadeAt, 0)); excess > 0 {
+			t.options.Log.Error("an age was under-reported", "zone", name.zone, "by", excess)
 		}
 	}
 }
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -99,10 +99,10 @@
 }
 
 // loadReports returns the values of a zone's rows.
-func (x *exchange) loadReports(now time.Duration, of zonestate.ZoneID) []LoadReport {
+func (x *exchange) loadReports(now time.Duration, zone zonestate.ZoneID) []LoadReport {
 	var reports []LoadReport
 	for _, kind := range pageKinds {
-		row, found := x.machine.Row(now, of, kind)
+		row, found := x.machine.Row(now, zone, kind)
 		if !found {
 			continue
 		}
--- a/internal/peering/bench_test.go
+++ b/internal/peering/bench_test.go
@@ -45,7 +45,7 @@
 // link each to one more, less those of the same hubs without links.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 200
-	used := func() float64 {
+	memoryInUse := func() float64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
@@ -53,7 +53,7 @@
 		return float64(m.HeapInuse + m.StackInuse)
 	}
 	for b.Loop() {
-		hub := func(name string) *Hub {
+		openHub := func(name string) *Hub {
 			o := options("a", name, 1)
 			o.HeartbeatInterval = 20 * time.Millisecond
 			o.HeartbeatTimeout = testpeer.Limit
@@ -63,20 +63,20 @@
 			}
 			return h
 		}
-		center := hub("center")
-		var all []*Hub
+		center := openHub("center")
+		var hubs []*Hub
 		for i := range links {
-			all = append(all, hub(fmt.Sprint("h", i)))
+			hubs = append(hubs, openHub(fmt.Sprint("h", i)))
 		}
-		before := used()
-		for _, h := range all {
+		before := memoryInUse()
+		for _, h := range hubs {
 			h.Connect(center.Addr(), "a")
 		}
 		for len(center.Links("")) < links || slices.ContainsFunc(center.Links(""), func(l *Link) bool { return l.RTT() == 0 }) {
 			time.Sleep(time.Millisecond)
 		}
-		b.ReportMetric((used()-before)/(2*links), "B/end")
-		for _, h := range append(all, center) {
+		b.ReportMetric((memoryInUse()-before)/(2*links), "B/end")
+		for _, h := range append(hubs, center) {
 			h.Close()
 		}
 	}
--- a/internal/peering/dial.go
+++ b/internal/peering/dial.go
@@ -87,15 +87,15 @@
 // maintain dials an address again and again until ctx ends.
 func (h *Hub) maintain(ctx context.Context, address, partner string) {
 	dialer := h.dialer()
-	wait := minRedialDelay
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		a := h.dial(ctx, dialer, address, partner)
-		if errors.Is(a.err, ErrKeyMismatch) || errors.Is(a.err, ErrPeerRejected) {
-			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", a.err)
-			wait = maxRedialDelay
+		result := h.dial(ctx, dialer, address, partner)
+		if errors.Is(result.err, ErrKeyMismatch) || errors.Is(result.err, ErrPeerRejected) {
+			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", result.err)
+			delay = maxRedialDelay
 		}
-		clock.Sleep(ctx, wait/2+rand.N(wait))
-		wait = RedialDelay(wait, a.up, a.timedOut(), a.lifetime, h.options.HeartbeatTimeout)
+		clock.Sleep(ctx, delay/2+rand.N(delay))
+		delay = RedialDelay(delay, result.up, result.timedOut(), result.lifetime, h.options.HeartbeatTimeout)
 	}
 }
 
@@ -110,24 +110,24 @@
 
 // dial dials an address once and serves the link until it ends.
 func (h *Hub) dial(ctx context.Context, dialer net.Dialer, address, partner string) dialResult {
-	c, err := dialer.DialContext(ctx, "tcp", address)
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return dialResult{err: err}
 	}
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	release := h.acquireHandshake(ctx)
 	defer release()
 	defer h.setLinkUp(address, false)
-	var a dialResult
-	begin := time.Now()
-	a.err = h.serve(c, true, partner, func() {
-		a.up = true
+	var result dialResult
+	start := time.Now()
+	result.err = h.serve(conn, true, partner, func() {
+		result.up = true
 		release()
 		h.setLinkUp(address, true)
 	})
-	a.lifetime = time.Since(begin)
-	return a
+	result.lifetime = time.Since(start)
+	return result
 }
 
 // acquireHandshake waits until fewer than maxHandshakes are under way, and returns what ends this one. A gateway that starts
@@ -146,13 +146,13 @@
 // begin anew. A link that came up and soon fell silent had a peer that is there and too slow: handshakes and full tables
 // take much processor time, which an overloaded group must not spend on links that it loses again, so there the pauses grow
 // further.
-func RedialDelay(wait time.Duration, up, silent bool, lifetime, silence time.Duration) time.Duration {
+func RedialDelay(lastDelay time.Duration, up, timedOut bool, lifetime, heartbeatTimeout time.Duration) time.Duration {
 	switch {
-	case up && silent && lifetime < stableLinkTimeouts*silence:
-		return min(max(2*wait, silence), maxTimeoutRedialDelay)
+	case up && timedOut && lifetime < stableLinkTimeouts*heartbeatTimeout:
+		return min(max(2*lastDelay, heartbeatTimeout), maxTimeoutRedialDelay)
 	case up && lifetime > maxRedialDelay:
 		return minRedialDelay
 	default:
-		return max(wait, min(2*wait, maxRedialDelay))
+		return max(lastDelay, min(2*lastDelay, maxRedialDelay))
 	}
 }
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -55,17 +55,17 @@
 
 // handshake exchanges hellos and proofs of the key. Each side proves by a tag over both hellos that it has the key, and the
 // keys of the frames' tags, one for each direction, are derived from the key and both hellos.
-func handshake(c net.Conn, o Options, dialed bool, partner string) (*session, error) {
-	c.SetDeadline(time.Now().Add(handshakeTimeout))
-	own, err := newHello(o.Self, partner)
+func handshake(conn net.Conn, options Options, dialed bool, partner string) (*session, error) {
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	own, err := newHello(options.Self, partner)
 	if err != nil {
 		return nil, err
 	}
-	if err := writeBlock(c, own); err != nil {
+	if err := writeBlock(conn, own); err != nil {
 		return nil, err
 	}
-	br := bufio.NewReaderSize(c, helloBuffer)
-	received, err := readBlock(br, maxHello)
+	reader := bufio.NewReaderSize(conn, helloBuffer)
+	received, err := readBlock(reader, maxHello)
 	if err != nil {
 		return nil, err
 	}
@@ -73,10 +73,10 @@
 	if err := decoding.Unmarshal(received, &other); err != nil {
 		return nil, fmt.Errorf("%w: the hello: %w", ErrMalformedFrame, err)
 	}
-	if err := other.check(o.Self, partner); err != nil {
+	if err := other.check(options.Self, partner); err != nil {
 		return nil, err
 	}
-	key := o.Key(other.Peer.Partner)
+	key := options.Key(other.Peer.Partner)
 	if key == nil {
 		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrPeerRejected, other.Peer.Partner)
 	}
@@ -89,14 +89,14 @@
 		keys = linkKeys{key: key, dialerHello: received, listenerHello: own}
 		ownSide, otherSide = listenerSide, dialerSide
 	}
-	if err := exchangeProofs(c, br, keys.derive(proofLabel+ownSide), keys.derive(proofLabel+otherSide)); err != nil {
+	if err := exchangeProofs(conn, reader, keys.derive(proofLabel+ownSide), keys.derive(proofLabel+otherSide)); err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	return &session{
 		peer:   other.Peer,
-		reader: &frameReader{br: br, mac: newFrameMAC(keys.derive(framesLabel + otherSide))},
-		writer: &frameWriter{w: c, mac: newFrameMAC(keys.derive(framesLabel + ownSide))},
+		reader: &frameReader{br: reader, mac: newFrameMAC(keys.derive(framesLabel + otherSide))},
+		writer: &frameWriter{w: conn, mac: newFrameMAC(keys.derive(framesLabel + ownSide))},
 	}, nil
 }
 
@@ -116,29 +116,29 @@
 // check returns an error if the hello is malformed or of a gateway with which there can be no link. partner is the one that
 // was dialed; empty: any.
 func (h hello) check(self Peer, partner string) error {
-	p := h.Peer
+	peer := h.Peer
 	switch {
 	case h.Version != protocolVersion:
 		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrPeerRejected, h.Version, protocolVersion)
 	case !h.wellFormed():
-		return fmt.Errorf("%w: the hello of %q, %q", ErrMalformedFrame, p.Partner, p.Name)
-	case partner != "" && p.Partner != partner:
-		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeerRejected, p.Partner, partner)
+		return fmt.Errorf("%w: the hello of %q, %q", ErrMalformedFrame, peer.Partner, peer.Name)
+	case partner != "" && peer.Partner != partner:
+		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeerRejected, peer.Partner, partner)
 	case h.To != "" && h.To != self.Partner:
 		return fmt.Errorf("%w: it dialed a gateway of %q", ErrPeerRejected, h.To)
-	case p.ID() == self.ID():
-		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeerRejected, p.ID())
+	case peer.ID() == self.ID():
+		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeerRejected, peer.ID())
 	}
 	return nil
 }
 
 // wellFormed says that the hello names a gateway and that its fields are within their bounds.
 func (h hello) wellFormed() bool {
-	p := h.Peer
-	if p.Partner == "" || p.Name == "" || len(h.Nonce) != nonceSize {
+	peer := h.Peer
+	if peer.Partner == "" || peer.Name == "" || len(h.Nonce) != nonceSize {
 		return false
 	}
-	for _, text := range []string{p.Partner, p.Name, p.Zone, p.RequestAddr} {
+	for _, text := range []string{peer.Partner, peer.Name, peer.Zone, peer.RequestAddr} {
 		if len(text) > maxName {
 			return false
 		}
--- a/internal/peering/handshake_test.go
+++ b/internal/peering/handshake_test.go
@@ -71,7 +71,7 @@
 
 // A frame that was changed in transit or replayed ends the link, and is not handled.
 func TestTamperedOrReplayedFrameEndsLink(t *testing.T) {
-	for _, how := range []string{"changed", "replayed"} {
+	for _, tampering := range []string{"changed", "replayed"} {
 		handled := make(chan int, 10)
 		ob := options("b", "b1", 1)
 		ob.Topics = map[string]Handler{"n": func(_ *Link, body []byte, _ func(any, error)) {
@@ -90,33 +90,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &tamperingConn{Conn: conn}
-		s, err := handshake(c, options("a", "a1", 1), true, "b")
+		tampered := &tamperingConn{Conn: conn}
+		session, err := handshake(tampered, options("a", "a1", 1), true, "b")
 		if err != nil {
 			t.Fatal(err)
 		}
-		frameOf := func(n int) []byte {
+		encodeNotification := func(n int) []byte {
 			body, _ := Encode(n)
 			text, _ := Encode(frame{Kind: frameNotify, Topic: "n", Body: body})
 			return text
 		}
-		if err := s.writer.write(frameOf(1)); err != nil {
+		if err := session.writer.write(encodeNotification(1)); err != nil {
 			t.Fatal(err)
 		}
 		if got := testpeer.Receive(t, handled, "the first"); got != 1 {
 			t.Errorf("got %d", got)
 		}
-		if how == "changed" {
-			c.tamperNext.Store(true)
-			s.writer.write(frameOf(2))
+		if tampering == "changed" {
+			tampered.tamperNext.Store(true)
+			session.writer.write(encodeNotification(2))
 		} else {
-			conn.Write(s.writer.buf) // the bytes of the first frame again
+			conn.Write(session.writer.buf) // the bytes of the first frame again
 		}
 		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrMalformedFrame) {
-			t.Errorf("%s: %v", how, why)
+			t.Errorf("%s: %v", tampering, why)
 		}
 		if len(handled) > 0 {
-			t.Errorf("%s: frame %d was handled", how, <-handled)
+			t.Errorf("%s: frame %d was handled", tampering, <-handled)
 		}
 		conn.Close()
 	}
--- a/internal/peering/heartbeat.go
+++ b/internal/peering/heartbeat.go
@@ -9,18 +9,18 @@
 const rttSmoothing = 8
 
 // receiveHeartbeat handles the heartbeat or echo of the other side. The side that was dialed answers a heartbeat with an echo.
-func (l *Link) receiveHeartbeat(p heartbeat) error {
+func (l *Link) receiveHeartbeat(hb heartbeat) error {
 	now := int64(l.hub.now())
 	l.lastHeartbeat.Store(now)
-	l.peerStamp.Store(p.SentAt)
-	if p.Echo > l.answeredHeartbeat.Load() && p.Echo <= now {
-		l.answeredHeartbeat.Store(p.Echo)
-		l.updateRTT(p, now)
+	l.peerStamp.Store(hb.SentAt)
+	if hb.Echo > l.answeredHeartbeat.Load() && hb.Echo <= now {
+		l.answeredHeartbeat.Store(hb.Echo)
+		l.updateRTT(hb, now)
 	}
 	if l.dialed {
 		return nil
 	}
-	body, err := encoding.Marshal(heartbeat{SentAt: now, Echo: p.SentAt})
+	body, err := encoding.Marshal(heartbeat{SentAt: now, Echo: hb.SentAt})
 	if err != nil {
 		return fmt.Errorf("peering: a heartbeat: %w", err)
 	}
@@ -32,11 +32,11 @@
 
 // updateRTT measures the round trip time by a pulse that answers one of this side. The side that was dialed takes over the
 // other's measurement: the answer to its own pulse has waited for the next heartbeat.
-func (l *Link) updateRTT(p heartbeat, now int64) {
-	rtt := now - p.Echo
+func (l *Link) updateRTT(hb heartbeat, now int64) {
+	rtt := now - hb.Echo
 	smoothed := l.rtt.Load()
 	if !l.dialed {
-		rtt = p.RTT
+		rtt = hb.RTT
 	} else if smoothed > 0 {
 		rtt = smoothed + (rtt-smoothed)/rttSmoothing
 	}
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -61,21 +61,21 @@
 }
 
 // Open listens at Options.Listen and accepts links until Close.
-func Open(o Options) (*Hub, error) {
-	ln, err := net.Listen("tcp", o.Listen)
+func Open(options Options) (*Hub, error) {
+	ln, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peering: %w", err)
 	}
-	return Serve(ln, o), nil
+	return Serve(ln, options), nil
 }
 
 // Serve accepts links from a listener until Close, which closes the listener.
-func Serve(ln net.Listener, o Options) *Hub {
-	o = o.withDefaults()
+func Serve(ln net.Listener, options Options) *Hub {
+	options = options.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &Hub{
-		options:    o,
-		listener:   listener.New(ln, o.Log),
+		options:    options,
+		listener:   listener.New(ln, options.Log),
 		ctx:        ctx,
 		cancel:     cancel,
 		start:      time.Now(),
@@ -110,14 +110,14 @@
 // accept serves links that others dial.
 func (h *Hub) accept() {
 	for {
-		c, err := h.listener.Accept()
+		conn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
 		h.tasks.Go(func() {
-			err := h.serve(c, false, "", func() {})
+			err := h.serve(conn, false, "", func() {})
 			if errors.Is(err, ErrKeyMismatch) || errors.Is(err, ErrPeerRejected) || errors.Is(err, ErrMalformedFrame) {
-				h.options.Log.Warn("connection rejected", "from", c.RemoteAddr(), "error", err)
+				h.options.Log.Warn("connection rejected", "from", conn.RemoteAddr(), "error", err)
 			}
 		})
 	}
@@ -125,29 +125,29 @@
 
 // serve shakes hands on a connection and serves the link until it ends. onUp is called once the link is up. It returns why there
 // was no link, or why it ended.
-func (h *Hub) serve(c net.Conn, dialed bool, partner string, onUp func()) error {
-	defer c.Close()
-	stop := context.AfterFunc(h.ctx, func() { c.Close() })
+func (h *Hub) serve(conn net.Conn, dialed bool, partner string, onUp func()) error {
+	defer conn.Close()
+	stop := context.AfterFunc(h.ctx, func() { conn.Close() })
 	defer stop()
-	s, err := handshake(c, h.options, dialed, partner)
+	s, err := handshake(conn, h.options, dialed, partner)
 	if err != nil {
 		h.mu.Lock()
 		h.stats.Rejected++
 		h.mu.Unlock()
 		return err
 	}
-	l := newLink(h, c, dialed, s)
+	l := newLink(h, conn, dialed, s)
 	if !h.add(l) {
 		return ErrClosed
 	}
 	onUp()
-	written := make(chan struct{})
+	writerDone := make(chan struct{})
 	h.tasks.Go(func() {
-		defer close(written)
+		defer close(writerDone)
 		l.writeLoop()
 	})
 	l.fail(l.readLoop())
-	<-written
+	<-writerDone
 	h.remove(l)
 	return l.Err()
 }
@@ -160,19 +160,19 @@
 		h.mu.Unlock()
 		return false
 	}
-	old := h.links[id]
+	existing := h.links[id]
 	var replaced []*Link
-	for _, o := range old {
-		if o.Peer.Incarnation != l.Peer.Incarnation {
-			replaced = append(replaced, o)
+	for _, other := range existing {
+		if other.Peer.Incarnation != l.Peer.Incarnation {
+			replaced = append(replaced, other)
 		}
 	}
-	first := len(old) == len(replaced)
-	h.links[id] = append(old, l)
+	first := len(existing) == len(replaced)
+	h.links[id] = append(existing, l)
 	h.stats.Up++
 	h.mu.Unlock()
-	for _, o := range replaced {
-		o.fail(ErrReplaced)
+	for _, other := range replaced {
+		other.fail(ErrReplaced)
 	}
 	h.options.OnLinkUp(l)
 	if first {
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -41,11 +41,11 @@
 	err         error                  // why the link ended; nil: it has not
 }
 
-func newLink(h *Hub, c net.Conn, dialed bool, s *session) *Link {
+func newLink(hub *Hub, conn net.Conn, dialed bool, s *session) *Link {
 	l := &Link{
 		Peer:    s.peer,
-		hub:     h,
-		conn:    c,
+		hub:     hub,
+		conn:    conn,
 		dialed:  dialed,
 		reader:  s.reader,
 		writer:  s.writer,
@@ -53,7 +53,7 @@
 		queued:  make(chan struct{}, 1),
 		pending: map[uint64]func(frame){},
 	}
-	now := int64(h.now())
+	now := int64(hub.now())
 	l.answeredHeartbeat.Store(now)
 	l.lastHeartbeat.Store(now)
 	return l
@@ -127,14 +127,14 @@
 }
 
 func (l *Link) handleHeartbeat(f frame) error {
-	var p heartbeat
-	if err := decoding.Unmarshal(f.Body, &p); err != nil {
+	var hb heartbeat
+	if err := decoding.Unmarshal(f.Body, &hb); err != nil {
 		return fmt.Errorf("%w: a heartbeat: %w", ErrMalformedFrame, err)
 	}
 	if isEcho := f.Kind == frameHeartbeatReply; isEcho != l.dialed {
 		return fmt.Errorf("%w: a heartbeat of the wrong side", ErrMalformedFrame)
 	}
-	return l.receiveHeartbeat(p)
+	return l.receiveHeartbeat(hb)
 }
 
 // handleMessage calls the handler of a topic. Notifications of an unknown topic come from a later version and are ignored.
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -67,8 +67,8 @@
 func TestRequestsArriveInOrderAndGetTheirReplies(t *testing.T) {
 	var mu sync.Mutex
 	var arrived []int
-	o := options("b", "b1", 1)
-	o.Topics = map[string]Handler{
+	serverOptions := options("b", "b1", 1)
+	serverOptions.Topics = map[string]Handler{
 		"double": func(from *Link, body []byte, reply func(any, error)) {
 			var n int
 			if err := Decode(body, &n); err != nil {
@@ -94,23 +94,23 @@
 		},
 	}
 	a := open(t, options("a", "a1", 1))
-	b := open(t, o)
+	b := open(t, serverOptions)
 	a.Connect(b.Addr(), "b")
-	l := waitForLink(t, a, b)
+	link := waitForLink(t, a, b)
 	var all []*PendingRequest
 	for i := range 300 {
-		q, err := l.Request("double", i)
+		request, err := link.Request("double", i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, q)
+		all = append(all, request)
 	}
-	if err := l.Notify("note", "x"); err != nil {
+	if err := link.Notify("note", "x"); err != nil {
 		t.Fatal(err)
 	}
-	for i, q := range all {
+	for i, request := range all {
 		var got int
-		err := q.Wait(testContext(t), &got)
+		err := request.Wait(testContext(t), &got)
 		var remote *RemoteError
 		if i%7 == 0 {
 			if !errors.As(err, &remote) || remote.Message != fmt.Sprintf("no %d from a/a1", i) {
@@ -130,10 +130,10 @@
 			t.Fatalf("request %d arrived in place %d", n, i)
 		}
 	}
-	if err := l.Do(testContext(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
+	if err := link.Do(testContext(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
 		t.Errorf("%v", err)
 	}
-	testpeer.Until(t, "a round trip", func() bool { return l.RTT() > 0 })
+	testpeer.Until(t, "a round trip", func() bool { return link.RTT() > 0 })
 }
 
 // openStalledLink opens a link that sends heartbeats and never reads.
@@ -147,11 +147,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	all.Add(1)
+	var writer sync.WaitGroup
+	writer.Add(1)
 	stop := make(chan struct{})
 	go func() {
-		defer all.Done()
+		defer writer.Done()
 		for n := int64(1); ; n++ {
 			body, _ := Encode(heartbeat{SentAt: int64(n)})
 			text, _ := Encode(frame{Kind: frameHeartbeat, Body: body})
@@ -168,7 +168,7 @@
 	t.Cleanup(func() {
 		close(stop)
 		conn.Close()
-		all.Wait()
+		writer.Wait()
 	})
 }
 
@@ -188,9 +188,9 @@
 		b := open(t, o)
 		good := options("a", "good", 1)
 		good.Topics = map[string]Handler{"echo": func(_ *Link, _ []byte, reply func(any, error)) { reply(1, nil) }}
-		g := open(t, good)
-		g.Connect(b.Addr(), "b")
-		toGood := waitForLink(t, b, g)
+		goodHub := open(t, good)
+		goodHub.Connect(b.Addr(), "b")
+		toGood := waitForLink(t, b, goodHub)
 		openStalledLink(t, b, "slow")
 		var toSlow *Link
 		testpeer.Until(t, "the link", func() bool {
@@ -217,7 +217,7 @@
 			t.Error("a message rejected by a full queue is not counted")
 		}
 		b.Close()
-		g.Close()
+		goodHub.Close()
 	}
 }
 
@@ -263,22 +263,22 @@
 // A request without a reply fails when the link ends, and what is sent afterwards is rejected.
 func TestPendingRequestsFailWhenLinkEnds(t *testing.T) {
 	o := options("b", "b1", 1)
-	got := make(chan struct{}, 1)
-	o.Topics = map[string]Handler{"never": func(*Link, []byte, func(any, error)) { got <- struct{}{} }}
+	received := make(chan struct{}, 1)
+	o.Topics = map[string]Handler{"never": func(*Link, []byte, func(any, error)) { received <- struct{}{} }}
 	a := open(t, options("a", "a1", 1))
 	b := open(t, o)
 	a.Connect(b.Addr(), "b")
-	l := waitForLink(t, a, b)
-	q, err := l.Request("never", 1)
+	link := waitForLink(t, a, b)
+	request, err := link.Request("never", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Receive(t, got, "the request")
+	testpeer.Receive(t, received, "the request")
 	b.Close()
-	if err := q.Wait(testContext(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
+	if err := request.Wait(testContext(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	if err := l.Notify("x", 1); err == nil {
+	if err := link.Notify("x", 1); err == nil {
 		t.Error("a message was queued on a link that has ended")
 	}
 }
--- a/internal/peering/redial_test.go
+++ b/internal/peering/redial_test.go
@@ -11,27 +11,27 @@
 const designPage = "../../docs/design/peering.md"
 
 // TestRedialPauses plays the table of pauses in the design page.
-func TestRedialPauses(t *testing.T) {
-	for _, r := range spectest.Rows(t, designPage, "When a link is opened again") {
-		wait, err := time.ParseDuration(r.At("last pause"))
+func TestRedialDelayMatchesDesignTable(t *testing.T) {
+	for _, row := range spectest.Rows(t, designPage, "When a link is opened again") {
+		lastDelay, err := time.ParseDuration(row.At("last pause"))
 		if err != nil {
-			t.Fatalf("%s:%d: %v", designPage, r.Line, err)
+			t.Fatalf("%s:%d: %v", designPage, row.Line, err)
 		}
-		how, after, _ := strings.Cut(r.At("link"), " after ")
+		linkResult, after, _ := strings.Cut(row.At("link"), " after ")
 		var lifetime time.Duration
 		if after != "" {
 			if lifetime, err = time.ParseDuration(after); err != nil {
-				t.Fatalf("%s:%d: %v", designPage, r.Line, err)
+				t.Fatalf("%s:%d: %v", designPage, row.Line, err)
 			}
 		}
-		switch how {
+		switch linkResult {
 		case "did not come up", "broke", "silent":
 		default:
-			t.Errorf("%s:%d: no case for %q", designPage, r.Line, how)
+			t.Errorf("%s:%d: no case for %q", designPage, row.Line, linkResult)
 			continue
 		}
-		if got := RedialDelay(wait, how != "did not come up", how == "silent", lifetime, time.Second); got.String() != r.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, r.Line, got)
+		if got := RedialDelay(lastDelay, linkResult != "did not come up", linkResult == "silent", lifetime, time.Second); got.String() != row.At("outcome") {
+			t.Errorf("%s:%d: %v", designPage, row.Line, got)
 		}
 	}
 }
