--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -42,32 +42,32 @@
 	request   *engine.Request // as submitted to the engine
 	done      chan struct{}   // closed when submit returns
 
-	mu         sync.Mutex
-	rejectedBy string // the partner's rule that rejected it
-	mayRun     bool   // an attempt may still be running
-	settled    bool   // the partner has settled the rejection
+	mu               sync.Mutex
+	rejectedBy       string // the partner's rule that rejected it
+	mayRun           bool   // an attempt may still be running
+	rejectionSettled bool   // the partner has settled the rejection
 }
 
 // send submits the request to the engine of a pool and waits for the response.
-func (e *execution) send(ctx context.Context, to destination) attemptResult {
-	t := e.newAttempt(to.pool)
-	return t.submit(ctx, to.selection, e.timeLeft(ctx))
+func (e *execution) send(ctx context.Context, dest destination) attemptResult {
+	attempt := e.newAttempt(dest.pool)
+	return attempt.submit(ctx, dest.selection, e.timeLeft(ctx))
 }
 
 // query asks a partner for the outcome of the request once.
 func (e *execution) query(ctx context.Context, pool string, timeLeft time.Duration) attemptResult {
-	t := e.newAttempt(pool)
-	t.queryOnly = true
-	return t.submit(ctx, routeexchange.Selection{}, timeLeft)
+	attempt := e.newAttempt(pool)
+	attempt.queryOnly = true
+	return attempt.submit(ctx, routeexchange.Selection{}, timeLeft)
 }
 
 // newAttempt returns a routedAttempt of the request at a pool.
 func (e *execution) newAttempt(pool string) *routedAttempt {
-	t := &routedAttempt{execution: e, pool: pool, done: make(chan struct{})}
+	attempt := &routedAttempt{execution: e, pool: pool, done: make(chan struct{})}
 	if partner, ok := config.PartnerOf(pool); ok {
-		t.partner = partner
+		attempt.partner = partner
 	}
-	return t
+	return attempt
 }
 
 // submit submits the request to the engine and waits for the response. It returns the zero result if ctx ends first.
@@ -111,7 +111,7 @@
 		return nil // only own servers need prior attempts: the gateways of a partner know the outcomes of each other's requests
 	}
 	self := t.gateway.self.Partner
-	e := envelope{
+	env := envelope{
 		ID:         t.record.ID,
 		Target:     t.record.Target,
 		Path:       append(slices.Clone(t.record.PartnerPath), self),
@@ -121,9 +121,9 @@
 		From:       self,
 	}
 	if selection.Route != nil {
-		e.Advertisement = selection.ID
+		env.Advertisement = selection.ID
 	}
-	text, err := e.seal(t.gateway.key(t.partner))
+	text, err := env.seal(t.gateway.key(t.partner))
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 	case balancer.ConnectionLost, balancer.TimedOut, balancer.Cancelled:
 		t.mayRun = true
 	case balancer.Overloaded:
-		t.settled = t.settled || outcome.Settled
+		t.rejectionSettled = t.rejectionSettled || outcome.Settled
 	}
 	if outcome.Reason != "" && outcome.Reason != reasonBusy {
 		t.rejectedBy = outcome.Reason
@@ -209,7 +209,7 @@
 		outcome:          outcomeOf(response),
 		rejectedByRule:   rejected && t.rejectedBy != "",
 		mayRun:           response.Kind == engine.Failed && t.mayRun,
-		rejectionSettled: rejected && t.settled,
+		rejectionSettled: rejected && t.rejectionSettled,
 	}
 }
 
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -72,18 +72,18 @@
 func (e *execution) tryRoutes(ctx context.Context, forced string) replication.Outcome {
 	var last attemptResult
 	for range maxRoutes {
-		to, reason := e.chooseRoute(forced)
+		dest, reason := e.chooseRoute(forced)
 		if reason != "" {
 			return unroutable(last.outcome, reason, forced)
 		}
-		last = e.send(ctx, to)
-		if last.mayRun && to.selection.Route != nil && to.selection.Replicated {
-			return e.queryPartner(ctx, to.pool) // the request's current owner there knows the outcome
+		last = e.send(ctx, dest)
+		if last.mayRun && dest.selection.Route != nil && dest.selection.Replicated {
+			return e.queryPartner(ctx, dest.pool) // the request's current owner there knows the outcome
 		}
 		if !last.rejectedByRule {
 			return last.outcome
 		}
-		e.gateway.routes.Suppress(to.selection.Route) // the partner's rule has changed: later requests take another route at once
+		e.gateway.routes.Suppress(dest.selection.Route) // the partner's rule has changed: later requests take another route at once
 	}
 	return last.outcome
 }
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -146,7 +146,7 @@
 	served := engine.Outcome{Result: balancer.Success, Reply: engine.Reply{Body: []byte("answer"), Length: 6}}
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}, {Result: balancer.Unreachable}, {Result: balancer.Overloaded}, served}}
 	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Served || string(outcome.Body) != "answer" {
-		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the outcome is %+v", len(p.attempts), outcome)
 	}
 }
 
@@ -154,7 +154,7 @@
 func TestSettledRejectionIsFinalResponse(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Settled: true}}}
 	if outcome := queryUnsafe(t, p, testpeer.Limit); outcome.Kind != replication.Rejected || !outcome.NotRun || len(p.attempts) != 1 {
-		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the outcome is %+v", len(p.attempts), outcome)
 	}
 }
 
@@ -162,7 +162,7 @@
 func TestRequestWithUnknownOutcomeFails(t *testing.T) {
 	p := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded}}}
 	if outcome := queryUnsafe(t, p, 200*time.Millisecond); outcome.Kind != replication.Failed {
-		t.Errorf("after %d queries the request came to %+v", len(p.attempts), outcome)
+		t.Errorf("after %d queries the outcome is %+v", len(p.attempts), outcome)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -113,7 +113,7 @@
 func (g *Gateway) peeringOptions(federation *config.Federation) peering.Options {
 	topics := maps.Clone(g.replicator.Topics())
 	maps.Copy(topics, g.exchange.Topics())
-	maps.Copy(topics, quota.Topics(g.limiter))
+	maps.Copy(topics, quota.Topics(g.quotaLimiter))
 	return peering.Options{
 		Self: peering.Peer{
 			Partner:     g.self.Partner,
@@ -133,7 +133,7 @@
 	}
 }
 
-// heartbeat returns the interval between heartbeats of a link.
+// heartbeatInterval returns the interval between heartbeats of a link.
 func heartbeatInterval(federation *config.Federation) time.Duration {
 	return time.Duration(federation.Silence) / 4
 }
--- a/internal/gateway/intercept.go
+++ b/internal/gateway/intercept.go
@@ -67,19 +67,19 @@
 		return false
 	}
 	in.record.Key = in.key(request)
-	f := &requestFlow{
+	flow := &requestFlow{
 		gateway:      g,
 		request:      request,
 		record:       in.record,
 		class:        class,
 		quotas:       draws,
-		awaitOnly:    in.queryOnly || in.retryOf != "" && in.record.IdempotencyKey == "",
+		queryOnly:    in.queryOnly || in.retryOf != "" && in.record.IdempotencyKey == "",
 		rejectedID:   firstValue(routing.Headers, rejectedIDHeader),
 		replicated:   replicated,
 		disconnected: make(chan struct{}),
 	}
-	request.Intercept(func(time.Duration) { f.disconnectOnce.Do(func() { close(f.disconnected) }) })
-	g.tasks.Go(f.serve)
+	request.Intercept(func(time.Duration) { flow.disconnectOnce.Do(func() { close(flow.disconnected) }) })
+	g.tasks.Go(flow.serve)
 	return true
 }
 
@@ -112,18 +112,18 @@
 	if p.partnerListener == "" || routing.Listener != p.partnerListener {
 		return in, nil
 	}
-	e, err := openEnvelope(routing.Headers.Values(envelopeHeader), g.key, request.ID, message.Target)
+	env, err := openEnvelope(routing.Headers.Values(envelopeHeader), g.key, request.ID, message.Target)
 	if err != nil {
 		return nil, err
 	}
-	in.record.Tenant = e.Tenant
-	in.record.PartnerPath = e.Path
-	in.record.QuotaDraws = e.QuotaDraws
-	in.record.Offer = [2]string{e.Advertisement.Origin, e.Advertisement.Name}
-	in.sender = e.From
-	in.queryOnly = e.QueryOnly
+	in.record.Tenant = env.Tenant
+	in.record.PartnerPath = env.Path
+	in.record.QuotaDraws = env.QuotaDraws
+	in.record.Offer = [2]string{env.Advertisement.Origin, env.Advertisement.Name}
+	in.sender = env.From
+	in.queryOnly = env.QueryOnly
 	in.retryOf = ""
-	if e.QueryOnly {
+	if env.QueryOnly {
 		in.retryOf = request.ID
 	}
 	return in, nil
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// limiter returns the limiter of a quota, or nil if there is none.
-func (g *Gateway) limiter(name string) *quota.Limiter {
+// quotaLimiter returns the limiter of a quota, or nil if there is none.
+func (g *Gateway) quotaLimiter(name string) *quota.Limiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limiters[name]
--- a/internal/gateway/requestflow.go
+++ b/internal/gateway/requestflow.go
@@ -18,7 +18,7 @@
 	record         replication.Record
 	class          config.Class
 	quotas         []string // names of the quotas to draw from
-	awaitOnly      bool     // the sender only wants the outcome of an earlier request
+	queryOnly      bool     // the sender only wants the outcome of an earlier request
 	rejectedID     string   // ID of the client's earlier, rejected request, from rejectedIDHeader
 	replicated     bool
 	disconnectOnce sync.Once
@@ -56,7 +56,7 @@
 // respond passes the request through quota, replication and engine, and returns the response. It returns the drawn tokens for use
 // by other requests if no attempt was started, here or at a partner.
 func (f *requestFlow) respond(ctx context.Context) engine.Response {
-	if f.awaitOnly {
+	if f.queryOnly {
 		return f.awaitEarlier(ctx)
 	}
 	if f.replicated && f.record.IdempotencyKey != "" && len(f.quotas) > 0 && f.gateway.replicator.MayHold(ctx, f.record.Key) {
@@ -84,7 +84,7 @@
 		id = f.record.ID
 	}
 	for _, name := range f.quotas {
-		limiter := f.gateway.limiter(name)
+		limiter := f.gateway.quotaLimiter(name)
 		if limiter == nil {
 			continue
 		}
--- a/internal/gossip/auditclock.go
+++ b/internal/gossip/auditclock.go
@@ -8,13 +8,13 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// auditEntries returns when a part was made, for the auditor of the fault bench. Other builds do not send it.
+// auditEntries returns no entries. Builds for the fault bench send the creation time of a part for its auditor.
 func auditEntries() []zonestate.Entry { return nil }
 
-// auditClock is a time that all nodes of one host share. This build does not use it.
+// auditClock is a clock reading shared by all nodes of a host. This build does not use it.
 type auditClock struct{}
 
 func readAuditClock() auditClock { return auditClock{} }
 
-// underReported returns by how much the age of a value exceeds the bound that comes with it.
+// underReported returns 0, as this build does not audit ages.
 func (auditClock) underReported(zonestate.Value) time.Duration { return 0 }
--- a/internal/gossip/faulty_test.go
+++ b/internal/gossip/faulty_test.go
@@ -12,10 +12,10 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// faultySocket fails with the errors of a table in turn, while reads or writes are set.
+// faultySocket fails with each of errnos in turn while failReads or failWrites is set.
 type faultySocket struct {
 	packetConn
-	failReads, failWrites atomic.Bool  // they fail
+	failReads, failWrites atomic.Bool  // whether they fail
 	readCalls, writeCalls atomic.Int64 // numbers of calls
 }
 
@@ -40,8 +40,8 @@
 	return f.packetConn.WriteToUDPAddrPort(p, to)
 }
 
-// A datagram that can't be sent counts as lost: the transport goes on, logs one line a second, and its node is alive for others
-// once sends succeed.
+// A datagram that can't be sent counts as lost. The transport continues, logs one message per second, and its node is alive for the
+// others once sends succeed.
 func TestSendFailuresCountAsLoss(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -58,13 +58,13 @@
 	lines := text.Count("can't be sent")
 	maxLines := 1 + int((b.options.Clock.Now()-begin)/failureLogInterval)
 	if lines < 1 || lines > maxLines || b.Status().Counts.Sent != 0 {
-		t.Errorf("%d lines in %v, %+v", lines, b.options.Clock.Now()-begin, b.Status().Counts)
+		t.Errorf("%d log messages in %v, want 1 to %d; counts %+v, want none sent", lines, b.options.Clock.Now()-begin, maxLines, b.Status().Counts)
 	}
 	socket.failWrites.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return memberStatus(a, "b") == "alive" && memberStatus(b, "a") == "alive" })
 }
 
-// Reads that fail one after the other back off, and the first one that succeeds resets that.
+// Consecutive failed reads back off, and the first successful one resets the backoff.
 func TestReadFailuresBackOff(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -77,8 +77,8 @@
 	begin := b.options.Clock.Now()
 	testpeer.Until(t, "failing reads", func() bool { return b.options.Clock.Now()-begin > 4*maxReadPause })
 	// 1, 2, 4 ... 64 ms and then 100 ms each: seven within the first 127 ms, and no more than one each 100 ms from then on.
-	if most := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readCalls.Load() > most {
-		t.Errorf("%d reads in %v, at most %d", socket.readCalls.Load(), b.options.Clock.Now()-begin, most)
+	if maxReads := 8 + int64((b.options.Clock.Now()-begin)/maxReadPause); socket.readCalls.Load() > maxReads {
+		t.Errorf("%d reads in %v, want at most %d", socket.readCalls.Load(), b.options.Clock.Now()-begin, maxReads)
 	}
 	socket.failReads.Store(false)
 	testpeer.Until(t, "each to know the other", func() bool { return memberStatus(a, "b") == "alive" && memberStatus(b, "a") == "alive" })
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -35,7 +35,7 @@
 	members.ProbeInterval = 50 * time.Millisecond
 	members.ProbeTimeout = 15 * time.Millisecond
 	members.Seeds = seeds
-	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a free port, which Self has to name before Open
+	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // find a free port, as Options.Self must contain it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,20 +56,20 @@
 	return transport
 }
 
-// run runs a transport until the test's end, or until stop.
+// run runs a transport until stop is called or the test ends.
 func run(t *testing.T, transport *Transport) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go transport.Run(ctx)
-	testpeer.Receive(t, transport.started, "its start")
+	testpeer.Receive(t, transport.started, "the start of Run")
 	stop = func() {
 		cancel()
-		testpeer.Receive(t, transport.done, "its end")
+		testpeer.Receive(t, transport.done, "the end of Run")
 	}
 	t.Cleanup(stop)
 	return stop
 }
 
-// memberStatus returns the status that a transport holds of a node; empty: it does not know it.
+// memberStatus returns the status of a node at a transport, or an empty string if the node is unknown there.
 func memberStatus(transport *Transport, name string) string {
 	for _, m := range transport.Status().Members {
 		if m.Name == name {
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// Three transports with one seed discover one another, and one that leaves announces it. Datagrams of another key and malformed
-// ones are counted and change nothing.
+// Three transports with one seed discover each other, and one that leaves announces it. Datagrams of another key and malformed ones
+// are counted and have no effect.
 func TestTransportsDiscoverEachOther(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -98,11 +98,11 @@
 		r    *Transport
 		name string
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
-		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return memberStatus(pair.r, pair.name) == "alive" })
+		testpeer.Until(t, pair.name+" to be alive for the others", func() bool { return memberStatus(pair.r, pair.name) == "alive" })
 	}
-	testpeer.Until(t, "datagrams of another key are counted", func() bool { return a.Status().Counts.WrongKey > 0 })
+	testpeer.Until(t, "datagrams of another key to be counted", func() bool { return a.Status().Counts.WrongKey > 0 })
 	if got := memberStatus(a, "other"); got != "" || len(other.Status().Members) > 0 {
-		t.Errorf("a node of another cluster has status %q, and knows %+v", got, other.Status().Members)
+		t.Errorf("a node of another cluster has status %q and members %+v, want none", got, other.Status().Members)
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
@@ -110,15 +110,15 @@
 	}
 	defer nc.Close()
 	fmt.Fprint(nc, strings.Repeat("x", 400))
-	testpeer.Until(t, "the malformed datagram is counted", func() bool { return a.Status().Counts.Malformed > 0 })
+	testpeer.Until(t, "the malformed datagram to be counted", func() bool { return a.Status().Counts.Malformed > 0 })
 	stop()
-	testpeer.Until(t, "the one that left has left for the others", func() bool { return memberStatus(a, "c") == "left" && memberStatus(b, "c") == "left" })
+	testpeer.Until(t, "node c to have left for the others", func() bool { return memberStatus(a, "c") == "left" && memberStatus(b, "c") == "left" })
 	if s := c.Status(); len(s.Members) != 0 {
-		t.Errorf("a transport that has ended returns %+v", s)
+		t.Errorf("the status after the end of Run is %+v, want no members", s)
 	}
 }
 
-// A transport never exceeds its send budget, whatever its machine asks for.
+// A transport never exceeds its send budget, however much its state machine sends.
 func TestSendRateIsBounded(t *testing.T) {
 	transport := open(t, "a", "a key of sixteen bytes or more")
 	defer transport.Close()
@@ -126,12 +126,12 @@
 	for range 3000 {
 		packets = append(packets, membership.Packet{To: transport.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
-	transport.budgetAt = transport.options.Clock.Now()
+	transport.budgetUpdatedAt = transport.options.Clock.Now()
 	transport.sendBudget = maxSendRate
 	transport.send(packets)
 	size := int64(len(membership.Encode(packets[0].Message, transport.options.Key)))
 	if sent := transport.counts.Sent * size; transport.counts.RateLimited == 0 || sent < maxSendRate/2 || transport.counts.Sent+transport.counts.RateLimited != 3000 {
-		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxSendRate, transport.counts.RateLimited)
+		t.Errorf("%d bytes were sent with a burst of %d, and %d of 3000 datagrams were dropped", sent, maxSendRate, transport.counts.RateLimited)
 	}
 }
 
@@ -148,26 +148,26 @@
 		}
 		key, err := LoadKey(path)
 		if (err == nil) != (name == "good") || err == nil && string(key) != "sixteen bytes at least" {
-			t.Errorf("%s: %q, %v", name, key, err)
+			t.Errorf("%s: LoadKey returned %q, %v", name, key, err)
 		}
 		if err != nil && !strings.Contains(err.Error(), path) {
-			t.Errorf("%v does not name the file", err)
+			t.Errorf("error %q does not name the file", err)
 		}
 	}
 	if _, err := LoadKey(filepath.Join(dir, "none")); err == nil {
-		t.Error("a key was read from no file")
+		t.Error("LoadKey of a missing file returned no error")
 	}
 	taken := open(t, "a", "a key of sixteen bytes or more")
 	defer taken.Close()
 	again := taken.options
 	again.Listen = taken.Addr().String()
 	if _, err := Open(again); err == nil {
-		t.Error("an address in use was opened again")
+		t.Error("Open with an address in use returned no error")
 	}
 }
 
-// Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does
-// not understand, all are alive for all, and the others have one another's parts.
+// Transports that exchange zone state run beside one that does not support it, such as an older build. That one counts the messages
+// as unsupported, all nodes are alive for each other, and the other transports have each other's parts.
 func TestZoneStateExchangeBesidePeerWithoutIt(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	options := zonestate.Defaults(2 * time.Second)
@@ -203,12 +203,12 @@
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to count messages", func() bool {
+	testpeer.Until(t, "the node without zone state to count unsupported messages", func() bool {
 		return withoutZoneState.Status().Counts.Unsupported > 0 && withoutZoneState.Status().ZoneState == nil
 	})
 	for _, transport := range []*Transport{a, b, c} {
 		if got := memberStatus(transport, "old"); got != "alive" {
-			t.Errorf("the older one has status %s", got)
+			t.Errorf("the node without zone state has status %s, want alive", got)
 		}
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
@@ -219,7 +219,7 @@
 	before := a.Status().Counts
 	nc.Write(membership.Seal([]byte{zonestate.Version, 1, 2, 3}, []byte(key)))
 	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
-	testpeer.Until(t, "the malformed one and the one of another key to be counted", func() bool {
+	testpeer.Until(t, "the malformed datagram and the one of another key to be counted", func() bool {
 		counts := a.Status().Counts
 		return counts.Malformed > before.Malformed && counts.WrongKey > before.WrongKey
 	})
--- a/internal/gossip/key.go
+++ b/internal/gossip/key.go
@@ -7,13 +7,13 @@
 	"os"
 )
 
-// Bounds of a key file, in bytes.
+// Size limits of a key, in bytes.
 const (
 	minKeySize = 16
 	maxKeySize = 4 << 10
 )
 
-// LoadKey reads the key of a cluster from a file. White space at its ends is not part of the key.
+// LoadKey reads the key of a cluster from a file. Leading and trailing white space is not part of the key.
 func LoadKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	key := bytes.TrimSpace(text)
 	if len(key) < minKeySize || len(text) > maxKeySize {
-		return nil, fmt.Errorf("gossip: the key in %s has %d bytes; allowed: %d to %d", path, len(key), minKeySize, maxKeySize)
+		return nil, fmt.Errorf("gossip: key in %s has %d bytes, must have %d to %d", path, len(key), minKeySize, maxKeySize)
 	}
 	return key, nil
 }
--- a/internal/gossip/read_test.go
+++ b/internal/gossip/read_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// failingReceiver fails for a second, then gives one datagram, and is closed.
+// failingReceiver fails until end, then returns one datagram, and is closed after that.
 type failingReceiver struct {
 	end       time.Time
 	reads     int
@@ -28,14 +28,14 @@
 	return 0, netip.AddrPort{}, net.ErrClosed
 }
 
-// Reads that fail for a while are retried with pauses, and the datagram after them is received.
+// Failing reads are retried with pauses, and the datagram that follows is received.
 func TestReadResumesAfterFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &Transport{incoming: make(chan datagram, 1)}
 		conn := &failingReceiver{end: time.Now().Add(time.Second)}
 		transport.read(conn)
-		if most := int(time.Second/minReadPause) + 2; conn.reads > most || len(transport.incoming) != 1 {
-			t.Errorf("%d reads, want at most %d; %d datagrams", conn.reads, most, len(transport.incoming))
+		if maxReads := int(time.Second/minReadPause) + 2; conn.reads > maxReads || len(transport.incoming) != 1 {
+			t.Errorf("%d reads, want at most %d; %d datagrams, want 1", conn.reads, maxReads, len(transport.incoming))
 		}
 	})
 }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Pauses after reads that fail one after the other.
+// Limits of the backoff after failed reads.
 const (
 	minReadPause = time.Millisecond
 	maxReadPause = 100 * time.Millisecond
@@ -19,17 +19,17 @@
 // datagram is a datagram that was received and decoded.
 type datagram struct {
 	from      netip.AddrPort
-	msg       membership.Message // if zoneState is nil
+	msg       membership.Message // valid if zoneState is nil
 	zoneState *zonestate.Message
 	err       error
 }
 
-// packetReader is what read needs of a UDP socket.
+// packetReader is the subset of a UDP socket that read uses.
 type packetReader interface {
 	ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error)
 }
 
-// read passes incoming datagrams to the loop of Run until the socket is closed. It drops those for which the queue is full.
+// read passes incoming datagrams to the loop of Run until the socket is closed. It drops datagrams while the queue is full.
 func (t *Transport) read(conn packetReader) {
 	buf := make([]byte, membership.MaxDatagram+1)
 	pause := minReadPause
@@ -38,7 +38,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an ICMP error for an earlier datagram, or a shortage on this host, which may last
+		if err != nil { // an ICMP error for an earlier datagram, or a resource shortage on this host, which may last
 			t.pause(pause)
 			if t.stopped() {
 				return
@@ -52,12 +52,12 @@
 		select {
 		case t.incoming <- d:
 		default:
-			t.overruns.Add(1)
+			t.queueFull.Add(1)
 		}
 	}
 }
 
-// pause waits for a while, or until Run ends.
+// pause waits for a duration, or until Run ends.
 func (t *Transport) pause(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -67,7 +67,7 @@
 	}
 }
 
-// stopped says that Run has ended.
+// stopped reports whether Run has ended.
 func (t *Transport) stopped() bool {
 	select {
 	case <-t.done:
@@ -77,7 +77,7 @@
 	}
 }
 
-// decode reads a datagram of either protocol: the first byte is the version of each.
+// decode decodes a datagram of either protocol. The first byte holds the version, which identifies the protocol.
 func (t *Transport) decode(b []byte) datagram {
 	var d datagram
 	if len(b) > 0 && b[0] == zonestate.Version {
@@ -88,7 +88,7 @@
 	return d
 }
 
-// decodeZoneState checks the tag of a datagram of the zone state's protocol and reads it.
+// decodeZoneState verifies the tag of a zone state datagram and decodes it.
 func (t *Transport) decodeZoneState(b []byte) (*zonestate.Message, error) {
 	body, ok := membership.Unseal(b, t.options.Key)
 	if !ok {
@@ -98,7 +98,7 @@
 	return &m, err
 }
 
-// receive counts a datagram and passes it to its machine.
+// receive counts a datagram and passes it to the state machine of its protocol.
 func (t *Transport) receive(d datagram) {
 	otherVersion := errors.Is(d.err, membership.ErrVersion) || errors.Is(d.err, zonestate.ErrVersion)
 	switch {
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -7,20 +7,20 @@
 	"damsontrestle/internal/membership"
 )
 
-// maxSendRate is the rate of the send budget in bytes a second, and its burst in bytes. A healthy cluster takes a few hundred bytes
-// a second for membership.
+// maxSendRate is the rate of the send budget in bytes per second, and its burst in bytes. A healthy cluster uses a few hundred bytes
+// per second for membership.
 const maxSendRate = 64 << 10
 
-// failureLogInterval is the least time between two log lines about failures to send.
+// failureLogInterval is the minimum time between two log messages about send failures.
 const failureLogInterval = time.Second
 
 // sendFailures counts datagrams that could not be sent. The protocols treat them as lost.
 type sendFailures struct {
-	count  int           // since the last log line
-	logged time.Duration // clock time of the last log line; 0: there was none
+	count    int           // since the last log message
+	loggedAt time.Duration // clock time of the last log message; 0: there was none
 }
 
-// send sends messages of the membership protocol, as far as the send budget allows.
+// send sends messages of the membership protocol. It drops those that exceed the send budget.
 func (t *Transport) send(packets []membership.Packet) {
 	for _, p := range packets {
 		t.write(membership.Encode(p.Message, t.options.Key), p.To)
@@ -30,8 +30,8 @@
 // write sends a datagram if the send budget allows it, and reports whether it did.
 func (t *Transport) write(data []byte, to netip.AddrPort) bool {
 	now := t.options.Clock.Now()
-	t.sendBudget = min(maxSendRate, t.sendBudget+(now-t.budgetAt).Seconds()*maxSendRate)
-	t.budgetAt = now
+	t.sendBudget = min(maxSendRate, t.sendBudget+(now-t.budgetUpdatedAt).Seconds()*maxSendRate)
+	t.budgetUpdatedAt = now
 	if t.sendBudget < float64(len(data)) {
 		t.counts.RateLimited++
 		return false
@@ -46,12 +46,12 @@
 	return true
 }
 
-// recordSendFailure counts a datagram that could not be sent, and logs the count at times.
+// recordSendFailure counts a datagram that could not be sent, and logs the count at most once per failureLogInterval.
 func (t *Transport) recordSendFailure(now time.Duration, to netip.AddrPort, err error) {
 	t.failures.count++
-	if t.failures.logged != 0 && now-t.failures.logged < failureLogInterval {
+	if t.failures.loggedAt != 0 && now-t.failures.loggedAt < failureLogInterval {
 		return
 	}
 	t.options.Log.Warn("datagrams can't be sent", "count", t.failures.count, "last_to", to, "error", err)
-	t.failures = sendFailures{logged: now}
+	t.failures = sendFailures{loggedAt: now}
 }
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -6,23 +6,23 @@
 	"damsontrestle/internal/membership"
 )
 
-// Counts are numbers of datagrams since the start.
+// Counts are datagram counts since the start.
 type Counts struct {
 	Sent        int64 `json:"sent"`
-	Bytes       int64 `json:"bytes"` // in the datagrams sent, without headers of UDP and IP
+	Bytes       int64 `json:"bytes"` // sent, without UDP and IP headers
 	Received    int64 `json:"received"`
-	WrongKey    int64 `json:"strange"` // of another key
+	WrongKey    int64 `json:"strange"` // received with a tag of another key
 	Malformed   int64 `json:"malformed"`
-	Unsupported int64 `json:"other"` // of another version, or zone state at a node without it
-	QueueFull   int64 `json:"lost"`  // received and dropped, for the queue was full
-	RateLimited int64 `json:"paced"` // not sent, for the send budget was spent
+	Unsupported int64 `json:"other"` // received with another version, or with zone state while that is disabled
+	QueueFull   int64 `json:"lost"`  // received and dropped because the queue was full
+	RateLimited int64 `json:"paced"` // not sent because the send budget was exhausted
 }
 
-// Status is what a node knows of the others.
+// Status is the state of the gossip at a node.
 type Status struct {
 	Incarnation   uint32           `json:"life"`
 	Health        int              `json:"ill_health"` // local health score; 0: healthy, up to 8
-	NameConflicts int              `json:"twins"`      // updates with later incarnations of this name than this process had
+	NameConflicts int              `json:"twins"`      // updates about this name with a later incarnation than this process had
 	Members       []Member         `json:"members"`
 	Counts        Counts           `json:"datagrams"`
 	ZoneState     *ZoneStateStatus `json:"facts,omitempty"`
@@ -36,16 +36,16 @@
 	Zone        string        `json:"zone,omitempty"`
 	Status      string        `json:"status"` // alive, suspect, dead, left
 	Incarnation uint32        `json:"life"`
-	SinceChange time.Duration `json:"for"`             // for how long it has had this status here
-	SinceHeard  time.Duration `json:"heard,omitempty"` // time since its last message; negative: there was none
+	SinceChange time.Duration `json:"for"`             // time since the status changed at this node
+	SinceHeard  time.Duration `json:"heard,omitempty"` // time since its last message; negative: none was received
 }
 
-// publishMembers makes changes of the membership visible: to Living, and in the log.
+// publishMembers publishes changes of the membership to ActiveMembers and logs them.
 func (t *Transport) publishMembers() {
-	if t.loggedChanges == t.machine.Changes() {
+	if t.publishedChanges == t.machine.Changes() {
 		return
 	}
-	t.loggedChanges = t.machine.Changes()
+	t.publishedChanges = t.machine.Changes()
 	members := t.machine.Members()
 	var active []membership.Peer
 	for _, member := range members {
@@ -64,7 +64,7 @@
 	}
 }
 
-// ActiveMembers returns the other members that are alive or suspect; none before Run. The caller must not change the slice.
+// ActiveMembers returns the other members that are alive or suspect. It returns none before Run. Callers must not modify the slice.
 func (t *Transport) ActiveMembers() []membership.Peer {
 	if active := t.active.Load(); active != nil {
 		return *active
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Status returns what the node knows of the others: nothing before Run and after its end. It waits for the loop of Run.
+// Status returns the status of the gossip. It is zero before Run has started and after it has ended. Status waits for the loop of Run.
 func (t *Transport) Status() Status {
 	reply := make(chan Status, 1)
 	select {
@@ -88,7 +88,7 @@
 	}
 }
 
-// memberStatus returns the Status; it runs in the loop of Run.
+// status returns the Status. It must be called in the loop of Run.
 func (t *Transport) status() Status {
 	now := t.options.Clock.Now()
 	_, incarnation := t.machine.Self()
@@ -98,7 +98,7 @@
 		NameConflicts: t.machine.NameConflicts,
 		Counts:        t.counts,
 	}
-	s.Counts.QueueFull = t.overruns.Load()
+	s.Counts.QueueFull = t.queueFull.Load()
 	if t.exchange != nil {
 		s.ZoneState = t.exchange.status(now)
 	}
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,10 +1,9 @@
-// Package gossip is the transport of datagrams between nodes: a UDP socket, the cluster's key, and a bound on the bytes sent. It
-// drives the state machines of internal/membership and internal/zonestate, which decide what is sent, and it publishes and
-// logs what they hold.
+// Package gossip transports datagrams between nodes. It owns the UDP socket, the cluster's key and a limit on the bytes sent. It
+// drives the state machines of internal/membership and internal/zonestate, which decide what is sent, and publishes and logs their
+// state.
 //
-// It promises that datagrams of another key change nothing, that at most maxOutgoing bytes a second are sent, and that no
-// method but Run blocks for longer than the loop of Run takes for one event. A datagram that can't be sent or read counts
-// as lost.
+// It guarantees that datagrams of another key have no effect, that at most maxSendRate bytes per second are sent, and that no method
+// except Run blocks for longer than the loop of Run takes for one event. A datagram that can't be sent or read counts as lost.
 package gossip
 
 import (
@@ -23,46 +22,46 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// maxQueuedDatagrams is how many datagrams may wait for the loop of Run. What comes beyond is dropped.
+// maxQueuedDatagrams is the maximum number of datagrams that wait for the loop of Run. Further ones are dropped.
 const maxQueuedDatagrams = 256
 
 // Options are the parameters of a Transport.
 type Options struct {
 	Self       membership.Peer
 	Listen     string             // address of the UDP socket
-	Key        []byte             // of the cluster, as LoadKey returns it
-	Membership membership.Options // of the membership protocol
-	ZoneState  *zonestate.Options // nil: zone state is neither sent nor received
+	Key        []byte             // key of the cluster, as returned by LoadKey
+	Membership membership.Options // options of the membership protocol
+	ZoneState  *zonestate.Options // nil disables zone state
 	Clock      clock.Clock
 	Log        *slog.Logger
 }
 
-// Transport carries the gossip of one node. Its state belongs to the goroutine of Run, but for the channels, the atomics and
-// what never changes.
+// Transport sends and receives the gossip of one node. Only the goroutine of Run accesses its state, except for channels, atomics and
+// fields that never change.
 type Transport struct {
 	options  Options
 	conn     packetConn
 	machine  *membership.Machine
-	exchange *exchange // nil: Options.ZoneState was
+	exchange *exchange // nil if Options.ZoneState is
 
 	loads          chan Load        // from PublishLoad
 	incoming       chan datagram    // from read
 	statusRequests chan chan Status // from Status
-	started        chan struct{}    // closed when Run begins
+	started        chan struct{}    // closed when Run starts
 	done           chan struct{}    // closed when Run ends
 	active         atomic.Pointer[[]membership.Peer]
-	overruns       atomic.Int64 // datagrams that the loop had no time for
+	queueFull      atomic.Int64 // datagrams dropped because the queue was full
 
-	loggedStatus  map[string]membership.Status // by name, as it was logged last
-	loggedChanges int                          // Changes of the membership when it was logged last
-	counts        Counts
-	failures      sendFailures
+	loggedStatus     map[string]membership.Status // last logged status, by name
+	publishedChanges int                          // value of machine.Changes when members were last published; -1: not yet
+	counts           Counts
+	failures         sendFailures
 
-	sendBudget float64       // bytes that may be sent
-	budgetAt   time.Duration // when sendBudget was computed
+	sendBudget      float64       // bytes that may be sent now
+	budgetUpdatedAt time.Duration // clock time when sendBudget was computed
 }
 
-// packetConn is what a Transport needs of a net.UDPConn.
+// packetConn is the subset of net.UDPConn that a Transport uses.
 type packetConn interface {
 	ReadFromUDPAddrPort(p []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(p []byte, to netip.AddrPort) (int, error)
@@ -74,7 +73,7 @@
 func Open(options Options) (*Transport, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fmt.Errorf("gossip: seed: %w", err)
+		return nil, fmt.Errorf("gossip: generating seed: %w", err)
 	}
 	seed := binary.LittleEndian.Uint64(random[:])
 	machine, err := membership.New(options.Self, options.Membership, seed)
@@ -91,31 +90,31 @@
 	}
 	addr, err := net.ResolveUDPAddr("udp", options.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: address: %w", err)
+		return nil, fmt.Errorf("gossip: resolving listen address: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	return &Transport{
-		options:        options,
-		conn:           conn,
-		machine:        machine,
-		exchange:       x,
-		loads:          make(chan Load, 1),
-		incoming:       make(chan datagram, maxQueuedDatagrams),
-		statusRequests: make(chan chan Status),
-		started:        make(chan struct{}),
-		done:           make(chan struct{}),
-		loggedStatus:   map[string]membership.Status{},
-		loggedChanges:  -1,
+		options:          options,
+		conn:             conn,
+		machine:          machine,
+		exchange:         x,
+		loads:            make(chan Load, 1),
+		incoming:         make(chan datagram, maxQueuedDatagrams),
+		statusRequests:   make(chan chan Status),
+		started:          make(chan struct{}),
+		done:             make(chan struct{}),
+		loggedStatus:     map[string]membership.Status{},
+		publishedChanges: -1,
 	}, nil
 }
 
 // Addr returns the address of the socket.
 func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Run takes part in the gossip until ctx ends, and then announces that the node leaves. It is called once.
+// Run takes part in the gossip until ctx ends, and then announces that the node leaves. It must be called at most once.
 func (t *Transport) Run(ctx context.Context) {
 	close(t.started)
 	defer close(t.done)
@@ -151,7 +150,7 @@
 	return min(t.machine.Next(), t.exchange.machine.Next())
 }
 
-// tick has the machines do what is due.
+// tick runs the timers of the state machines that are due.
 func (t *Transport) tick() {
 	now := t.options.Clock.Now()
 	if t.machine.Next() <= now {
@@ -164,7 +163,7 @@
 	}
 }
 
-// Close closes a transport that was not run. One that runs ends with its context; then Close waits for that.
+// Close closes a transport that was not run. For one that runs, it waits until Run has ended, after its context has been cancelled.
 func (t *Transport) Close() {
 	select {
 	case <-t.started:
--- a/internal/gossip/zonestate.go
+++ b/internal/gossip/zonestate.go
@@ -5,24 +5,24 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Load is what a node has measured itself.
+// Load holds a node's own measurements.
 type Load struct {
 	Entries []zonestate.Entry
-	Names   map[zonestate.Subject]string // of the subjects of all entries, for Status
+	Names   map[zonestate.Subject]string // names of the subjects of all entries, for Status
 }
 
-// zoneName is the name of a place.
+// zoneName is the name of a zone in its region.
 type zoneName struct{ region, zone string }
 
-// exchange is a Transport's part in the exchange of zone state. It belongs to the goroutine of Run.
+// exchange is the zone state exchange of a Transport. Only the goroutine of Run accesses it.
 type exchange struct {
 	machine         *zonestate.Machine
 	options         zonestate.Options
 	zoneNames       map[zonestate.ZoneID]zoneName
 	names           map[zonestate.Subject]string
-	loggedFreshness map[zonestate.ZoneID]zonestate.Freshness // as it was logged last
-	viewChanges     int                                      // Changes of the membership in the machine's view; -1: it has none
-	sent            [zonestate.Query + 1]int                 // messages, by kind
+	loggedFreshness map[zonestate.ZoneID]zonestate.Freshness // last logged freshness of each zone
+	viewChanges     int                                      // value of the membership's Changes in the machine's view; -1: it has no view
+	sent            [zonestate.Query + 1]int                 // number of messages, by kind
 }
 
 func newExchange(options Options, id membership.ID, seed uint64) (*exchange, error) {
@@ -39,7 +39,7 @@
 	}, nil
 }
 
-// updateView gives the machine the membership as it is now, if that has changed.
+// updateView updates the machine's view if the membership has changed.
 func (t *Transport) updateView() {
 	x := t.exchange
 	if x == nil || x.viewChanges == t.machine.Changes() {
@@ -66,7 +66,7 @@
 	x.machine.SetView(t.options.Clock.Now(), zonestate.NewView(peers))
 }
 
-// sendZoneState sends messages of the zone state's protocol, as far as the send budget allows.
+// sendZoneState sends messages of the zone state protocol. It drops those that exceed the send budget.
 func (t *Transport) sendZoneState(packets []zonestate.Packet) {
 	for _, p := range packets {
 		if t.write(membership.Seal(zonestate.Append(nil, p.Message), t.options.Key), p.To) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// PublishLoad sets what the node has measured now. It never blocks: a later call replaces one that Run has not taken yet.
+// PublishLoad sets the node's current measurements. It never blocks: a later call replaces measurements that Run has not read yet.
 func (t *Transport) PublishLoad(load Load) {
 	select {
 	case <-t.loads:
@@ -87,7 +87,7 @@
 	}
 }
 
-// setLoad passes what the node has measured to the machine.
+// setLoad passes the node's measurements to the machine.
 func (t *Transport) setLoad(load Load) {
 	x := t.exchange
 	if x == nil {
@@ -101,7 +101,7 @@
 // logZones logs each change of a zone's freshness.
 func (t *Transport) logZones() {
 	x := t.exchange
-	clock := readAuditClock() // before the clock is read, so that no row ages between the two
+	clock := readAuditClock() // read before options.Clock, so that no row ages between the two
 	now := t.options.Clock.Now()
 	for _, z := range x.machine.Zones(now) {
 		name := x.zoneNames[z.ID]
--- a/internal/gossip/zonestatus.go
+++ b/internal/gossip/zonestatus.go
@@ -7,14 +7,14 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// ZoneStateStatus is what a node knows of zones.
+// ZoneStateStatus is the zone state at a node.
 type ZoneStateStatus struct {
 	FreshAge   time.Duration     `json:"fresh"` // as configured
-	Isolated   bool              `json:"alone"` // nothing fresh is known of other nodes
+	Isolated   bool              `json:"alone"` // no fresh state of other nodes is available
 	Zones      []Zone            `json:"zones"`
-	StoredRows int               `json:"rows"` // rows and children's parts that are stored
+	StoredRows int               `json:"rows"` // number of stored rows and parts of children
 	Dropped    zonestate.Dropped `json:"dropped"`
-	Sent       map[string]int    `json:"sent"` // messages by kind
+	Sent       map[string]int    `json:"sent"` // number of messages, by kind
 }
 
 // Zone is the state of one zone.
@@ -22,20 +22,20 @@
 	Region      string        `json:"region,omitempty"`
 	Zone        string        `json:"zone"`
 	Freshness   string        `json:"word"`          // fresh, stale, unknown
-	SinceChange time.Duration `json:"for"`           // for how long that has been so; of unknown after stale, for how long it was not fresh
+	SinceChange time.Duration `json:"for"`           // time since Freshness changed; for unknown after stale, time since it was fresh
 	Age         time.Duration `json:"age,omitempty"` // upper bound on the age of the oldest part
-	PartCount   int           `json:"from"`          // number of nodes whose parts are in it
-	ActiveNodes int           `json:"of"`            // number of active nodes
+	PartCount   int           `json:"from"`          // number of nodes whose parts are included
+	ActiveNodes int           `json:"of"`            // number of active nodes in the zone
 	Reports     []LoadReport  `json:"told,omitempty"`
 }
 
-// LoadReport is one value of a zone.
+// LoadReport is one value of a zone's rows.
 type LoadReport struct {
 	Kind      string        `json:"what"`
-	Subject   string        `json:"of"` // name of the subject, or its number if the node does not know the name
+	Subject   string        `json:"of"` // name of the subject, or its number if this node does not know the name
 	Value     float64       `json:"amount"`
 	Age       time.Duration `json:"age"`  // upper bound on the age of the oldest part
-	PartCount int           `json:"from"` // number of nodes whose parts are in it
+	PartCount int           `json:"from"` // number of nodes whose parts are included
 }
 
 // kindNames are the names of kinds in a LoadReport.
@@ -64,13 +64,13 @@
 	zonestate.Query:      "questions",
 }
 
-// pageKinds are a kind of each page.
+// pageKinds holds one kind of each page.
 var pageKinds = []zonestate.Kind{zonestate.Demand, zonestate.Attempts, zonestate.ServerFailures, zonestate.LatencyHistogram}
 
-// maxHistogramExponent bounds the power of two in the name of a Sketch entry.
+// maxHistogramExponent is the maximum power of two in the name of a latency histogram entry.
 const maxHistogramExponent = 40
 
-// memberStatus returns the state of all zones.
+// status returns the state of all zones.
 func (x *exchange) status(now time.Duration) *ZoneStateStatus {
 	s := &ZoneStateStatus{
 		FreshAge:   x.options.FreshAge,
@@ -128,8 +128,8 @@
 
 func (x *exchange) subjectName(e zonestate.Entry) string {
 	if e.Kind == zonestate.LatencyHistogram {
-		power := min(uint(e.Subject), maxHistogramExponent)
-		return fmt.Sprintf("under %v", time.Duration(1<<power)*time.Microsecond)
+		exponent := min(uint(e.Subject), maxHistogramExponent)
+		return fmt.Sprintf("under %v", time.Duration(1<<exponent)*time.Microsecond)
 	}
 	if name, known := x.names[e.Subject]; known {
 		return name
--- a/internal/peering/bench_test.go
+++ b/internal/peering/bench_test.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// BenchmarkRequest measures a request and its reply over loopback.
+// BenchmarkRequest measures the time of a request and its reply over loopback.
 func BenchmarkRequest(b *testing.B) {
 	o := options("b", "b1", 1)
 	o.Topics = map[string]Handler{"x": func(_ *Link, body []byte, reply func(any, error)) { reply(len(body), nil) }}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkLinkMemory measures the memory of one end of a link after its first heartbeats: heap and stacks of 200 hubs with a
-// link each to one more, less those of the same hubs without links.
+// BenchmarkLinkMemory measures the memory of one end of a link after its first heartbeats: heap and stacks of 200 hubs with one link
+// each to a central hub, minus those of the same hubs without links.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 200
 	memoryInUse := func() float64 {
--- a/internal/peering/dial.go
+++ b/internal/peering/dial.go
@@ -11,26 +11,26 @@
 	"damsontrestle/internal/clock"
 )
 
-// Pauses before a link is dialed again.
+// Delays before a link is dialed again.
 const (
 	minRedialDelay        = 50 * time.Millisecond
 	maxRedialDelay        = time.Second
-	maxTimeoutRedialDelay = 8 * time.Second // after links that came up and soon fell silent
-	stableLinkTimeouts    = 5               // a link that lived for so many times Options.HeartbeatTimeout did not fall silent soon
+	maxTimeoutRedialDelay = 8 * time.Second // after links that came up and soon timed out
+	stableLinkTimeouts    = 5               // lifetime of a stable link, in multiples of Options.HeartbeatTimeout
 )
 
-// maxHandshakes bounds the handshakes that a hub begins at once.
+// maxHandshakes is the maximum number of concurrent handshakes of dialed links.
 const maxHandshakes = 8
 
-// dialTarget is an address to which a hub keeps a link.
+// dialTarget is an address to which a hub maintains a link.
 type dialTarget struct {
 	cancel context.CancelFunc
 	up     bool
-	since  time.Duration // hub time since which the link is up or down
+	since  time.Duration // hub time of the last change of up
 }
 
-// Connect dials the gateway of a partner at an address, and again whenever the link has ended, until Drop or Close. An address
-// that is kept already stays as it is.
+// Connect dials the gateway of a partner at an address, and redials it whenever the link has ended, until Disconnect or Close. It does
+// nothing if the hub already maintains a link to the address.
 func (h *Hub) Connect(address, partner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,7 +42,7 @@
 	h.tasks.Go(func() { h.maintain(ctx, address, partner) })
 }
 
-// Disconnect stops keeping a link to an address and ends the one that is up.
+// Disconnect stops maintaining a link to an address and ends the link.
 func (h *Hub) Disconnect(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// DownFor returns for how long the link to a kept address has been down; 0: it is up, or the address is not kept.
+// DownFor returns how long the link to an address has been down. It returns 0 if the link is up or Connect was not called.
 func (h *Hub) DownFor(address string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// setLinkUp notes that the link to a kept address came up or ended.
+// setLinkUp records that the link to an address came up or ended.
 func (h *Hub) setLinkUp(address string, up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,26 +72,26 @@
 	}
 }
 
-// dialResult is the result of dialing once and of the link that came of it.
+// dialResult is the result of dialing once and serving the link.
 type dialResult struct {
 	up       bool          // a link came up
 	lifetime time.Duration // from the handshake to the end of the link
-	err      error         // why there was no link, or why it ended
+	err      error         // why dialing failed or the link ended
 }
 
-// timedOut says that a link came up and its other side stopped answering.
+// timedOut reports whether a link came up and its peer stopped responding.
 func (a dialResult) timedOut() bool {
 	return a.up && (errors.Is(a.err, ErrHeartbeatTimeout) || errors.Is(a.err, ErrWriteTimeout))
 }
 
-// maintain dials an address again and again until ctx ends.
+// maintain dials an address and serves the link, repeatedly, until ctx ends.
 func (h *Hub) maintain(ctx context.Context, address, partner string) {
 	dialer := h.dialer()
 	delay := minRedialDelay
 	for ctx.Err() == nil {
 		result := h.dial(ctx, dialer, address, partner)
 		if errors.Is(result.err, ErrKeyMismatch) || errors.Is(result.err, ErrPeerRejected) {
-			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", result.err)
+			h.options.Log.Warn("handshake with gateway failed", "to", address, "partner", partner, "error", result.err)
 			delay = maxRedialDelay
 		}
 		clock.Sleep(ctx, delay/2+rand.N(delay))
@@ -99,7 +99,7 @@
 	}
 }
 
-// dialer returns a dialer that uses the address on which the hub listens, if it is a particular one.
+// dialer returns a dialer whose source address is the hub's listen address, unless that is a wildcard.
 func (h *Hub) dialer() net.Dialer {
 	d := net.Dialer{Timeout: h.options.HeartbeatTimeout, KeepAlive: -1}
 	if own, ok := h.listener.Addr().(*net.TCPAddr); ok && !own.IP.IsUnspecified() {
@@ -130,8 +130,8 @@
 	return result
 }
 
-// acquireHandshake waits until fewer than maxHandshakes are under way, and returns what ends this one. A gateway that starts
-// and has many links to dial would otherwise compute all handshakes at once.
+// acquireHandshake waits until fewer than maxHandshakes are in progress, and returns a function that releases the slot. A starting
+// gateway with many links to dial would otherwise compute all handshakes at once.
 func (h *Hub) acquireHandshake(ctx context.Context) (release func()) {
 	select {
 	case h.handshakes <- struct{}{}:
@@ -141,11 +141,11 @@
 	}
 }
 
-// RedialDelay returns the next pause before a link is dialed again, after a pause of wait. up says that a link came up, silent
-// that it fell silent, lifetime for how long it was up; silence is Options.HeartbeatTimeout. After a link that was stable the pauses
-// begin anew. A link that came up and soon fell silent had a peer that is there and too slow: handshakes and full tables
-// take much processor time, which an overloaded group must not spend on links that it loses again, so there the pauses grow
-// further.
+// RedialDelay returns the delay before a link is dialed again, given the last delay. up reports whether a link came up, timedOut
+// whether it ended because its peer stopped responding, and lifetime how long it was up. heartbeatTimeout is
+// Options.HeartbeatTimeout. The delay is reset after a stable link. It grows further after a link that soon timed out, as its peer is
+// reachable but too slow: handshakes and full route tables take much CPU time, which an overloaded group must not spend on links
+// that it loses again.
 func RedialDelay(lastDelay time.Duration, up, timedOut bool, lifetime, heartbeatTimeout time.Duration) time.Duration {
 	switch {
 	case up && timedOut && lifetime < stableLinkTimeouts*heartbeatTimeout:
--- a/internal/peering/encoding.go
+++ b/internal/peering/encoding.go
@@ -6,16 +6,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of what a decoder accepts. The size of a message is limited by its frame.
+// Limits of the decoder. The size of a message is limited by its frame.
 const (
 	maxNesting  = 16
 	maxElements = 1 << 17 // of an array or a map
 )
 
-// encoding and decoding are the CBOR modes of everything that links carry (RFC 8949, core deterministic encoding).
+// encoding and decoding are the CBOR modes of all data on links (RFC 8949, core deterministic encoding).
 var (
-	encoding = must(cbor.CoreDetEncOptions().EncMode())
-	decoding = must(cbor.DecOptions{
+	encoding = mustMode(cbor.CoreDetEncOptions().EncMode())
+	decoding = mustMode(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:  maxNesting,
 		MaxArrayElements: maxElements,
@@ -24,14 +24,14 @@
 	}.DecMode())
 )
 
-func must[T any](v T, err error) T {
+func mustMode[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are wrong, whatever the input
+		panic(err) // invalid options, which do not depend on input
 	}
 	return v
 }
 
-// Decode reads the body of a message into what v points to. Its error is ErrFrame.
+// Decode decodes the body of a message into the value that v points to. Its errors wrap ErrMalformedFrame.
 func Decode(body []byte, v any) error {
 	if err := decoding.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedFrame, err)
--- a/internal/peering/errors.go
+++ b/internal/peering/errors.go
@@ -4,18 +4,18 @@
 
 // Errors of links and of messages.
 var (
-	ErrQueueFull        = errors.New("peering: the queue to this gateway is full")
-	ErrOverflow         = errors.New("peering: no room for an answer or a heartbeat")
-	ErrHeartbeatTimeout = errors.New("peering: heartbeats are not answered")
-	ErrWriteTimeout     = errors.New("peering: bytes could not be written in time")
-	ErrKeyMismatch      = errors.New("peering: the other side has another key")
-	ErrPeerRejected     = errors.New("peering: the other side is none of ours")
-	ErrMalformedFrame   = errors.New("peering: a frame is malformed")
-	ErrReplaced         = errors.New("peering: a newer link took its place")
-	ErrClosed           = errors.New("peering: closed")
+	ErrQueueFull        = errors.New("peering: send queue is full")
+	ErrOverflow         = errors.New("peering: send queue has no room for a reply or heartbeat")
+	ErrHeartbeatTimeout = errors.New("peering: no heartbeat reply")
+	ErrWriteTimeout     = errors.New("peering: write timed out")
+	ErrKeyMismatch      = errors.New("peering: handshake: key mismatch")
+	ErrPeerRejected     = errors.New("peering: handshake: peer not accepted")
+	ErrMalformedFrame   = errors.New("peering: malformed frame")
+	ErrReplaced         = errors.New("peering: link replaced by a newer incarnation of the peer")
+	ErrClosed           = errors.New("peering: hub is closed")
 )
 
-// endReasons are the names in Stats.Ended of the errors with which links end.
+// endReasons maps the errors with which links end to their names in Stats.Ended.
 var endReasons = []struct {
 	err  error
 	name string
@@ -28,7 +28,7 @@
 	{ErrClosed, "closed here"},
 }
 
-// otherEndReason stands for all other errors.
+// otherEndReason is the name of all other errors.
 const otherEndReason = "broken"
 
 // endReason returns the name of the error with which a link ended.
@@ -41,8 +41,8 @@
 	return otherEndReason
 }
 
-// RemoteError is an error of the other side's handler, sent in place of a reply.
+// RemoteError is an error of the peer's handler, sent instead of a reply.
 type RemoteError struct{ Message string }
 
-// Error returns the text as the other side sent it.
+// Error returns the text that the peer sent.
 func (e *RemoteError) Error() string { return e.Message }
--- a/internal/peering/frameio.go
+++ b/internal/peering/frameio.go
@@ -12,12 +12,12 @@
 
 const (
 	lengthSize    = 4
-	tagSize       = 16       // of HMAC-SHA-256, truncated
+	tagSize       = 16       // bytes of a truncated HMAC-SHA-256
 	minReadBuffer = 1 << 10  // bytes
 	maxKeptBuffer = 16 << 10 // bytes; a larger buffer is released after its frame
 )
 
-// frameMAC computes the tags of one direction: over the number of frames before, the length and the body.
+// frameMAC computes the frame tags of one direction, each over the number of earlier frames, the length and the body.
 type frameMAC struct {
 	mac   hash.Hash
 	count uint64
@@ -56,7 +56,7 @@
 	return err
 }
 
-// frameReader reads frames and checks their tags.
+// frameReader reads frames and verifies their tags.
 type frameReader struct {
 	br   *bufio.Reader
 	mac  *frameMAC
@@ -72,7 +72,7 @@
 	length := r.head[:lengthSize]
 	n := int(binary.BigEndian.Uint32(length))
 	if n > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, n, MaxFrame)
+		return nil, fmt.Errorf("%w: %d bytes, limit is %d", ErrMalformedFrame, n, MaxFrame)
 	}
 	tooSmall := cap(r.buf) < n
 	tooLarge := cap(r.buf) > maxKeptBuffer && n <= maxKeptBuffer
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("peering: %w", err)
 	}
 	if !hmac.Equal(r.head[lengthSize:], r.mac.tag(length, body)) {
-		return nil, fmt.Errorf("%w: its tag does not fit", ErrMalformedFrame)
+		return nil, fmt.Errorf("%w: tag mismatch", ErrMalformedFrame)
 	}
 	return body, nil
 }
--- a/internal/peering/handler.go
+++ b/internal/peering/handler.go
@@ -1,30 +1,32 @@
 package peering
 
-// Handler handles the messages of a topic. It is called on the link's reader, one message after another, and must not block:
-// what takes time goes on elsewhere and replies later. reply is nil for a notification; for a request it is called once.
-type Handler func(from *Link, body []byte, reply func(answer any, err error))
+// Handler handles the messages of a topic. The link's reader goroutine calls it for one message after another, so it must not block:
+// a long-running handler continues in another goroutine and replies later. reply is nil for a notification; for a request it must be
+// called once.
+type Handler func(from *Link, body []byte, reply func(value any, err error))
 
-// RequestHandler returns a Handler of requests of one type, which f answers at once or later. Notifications are ignored.
-func RequestHandler[Q, A any](f func(from *Link, q Q, answer func(A))) Handler {
+// RequestHandler returns a Handler that decodes requests of one type for f, which replies before or after it returns. Notifications
+// are ignored.
+func RequestHandler[Q, R any](f func(from *Link, request Q, reply func(R))) Handler {
 	return func(from *Link, body []byte, reply func(any, error)) {
 		if reply == nil {
 			return
 		}
-		var q Q
-		if err := Decode(body, &q); err != nil {
+		var request Q
+		if err := Decode(body, &request); err != nil {
 			reply(nil, err)
 			return
 		}
-		f(from, q, func(a A) { reply(a, nil) })
+		f(from, request, func(r R) { reply(r, nil) })
 	}
 }
 
-// NotificationHandler returns a Handler of notifications of one type. Malformed ones are ignored.
-func NotificationHandler[M any](f func(from *Link, m M)) Handler {
+// NotificationHandler returns a Handler that decodes notifications of one type for f. Malformed ones are ignored.
+func NotificationHandler[M any](f func(from *Link, message M)) Handler {
 	return func(from *Link, body []byte, _ func(any, error)) {
-		var m M
-		if Decode(body, &m) == nil {
-			f(from, m)
+		var message M
+		if Decode(body, &message) == nil {
+			f(from, message)
 		}
 	}
 }
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-// protocolVersion of hellos and frames. Fields are numbered, and a reader skips those that it does not know. So a new field needs no
-// new version, and a change of meaning does.
+// protocolVersion is the version of hellos and frames. Fields are numbered and decoders skip unknown ones, so that a new field needs no
+// new version. A change of meaning does.
 const protocolVersion = 1
 
 const (
 	nonceSize        = 16
 	maxHello         = 4 << 10 // bytes
-	maxName          = 64      // bytes of each text in a hello
-	helloBuffer      = 8 << 10 // of the reader that the link goes on to use
+	maxName          = 64      // bytes of each string in a hello
+	helloBuffer      = 8 << 10 // bytes; buffer of the reader, which the link continues to use
 	handshakeTimeout = 2 * time.Second
 )
 
-// Labels of the keys that are derived for a link. They are part of the protocol.
+// Labels for the derivation of a link's keys. They are part of the protocol.
 const (
 	linkLabel   = "damsontrestle link"
 	proofLabel  = "proof of the "
 	framesLabel = "frames of the "
 )
 
-// Sides of a link, as labels name them.
+// Names of the sides of a link in labels.
 const (
 	dialerSide   = "caller"
 	listenerSide = "called"
@@ -42,7 +42,7 @@
 type hello struct {
 	Version int    `cbor:"1,keyasint"`
 	Peer    Peer   `cbor:"2,keyasint"`
-	To      string `cbor:"3,keyasint,omitempty"` // the partner that is dialed; empty: whoever listens
+	To      string `cbor:"3,keyasint,omitempty"` // partner that is dialed; empty: any
 	Nonce   []byte `cbor:"4,keyasint"`
 }
 
@@ -53,8 +53,8 @@
 	writer *frameWriter
 }
 
-// handshake exchanges hellos and proofs of the key. Each side proves by a tag over both hellos that it has the key, and the
-// keys of the frames' tags, one for each direction, are derived from the key and both hellos.
+// handshake exchanges hellos and proofs of the key. Each side proves that it has the key with a tag over both hellos. The keys for
+// frame tags, one for each direction, are derived from the key and both hellos.
 func handshake(conn net.Conn, options Options, dialed bool, partner string) (*session, error) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	own, err := newHello(options.Self, partner)
@@ -71,14 +71,14 @@
 	}
 	var other hello
 	if err := decoding.Unmarshal(received, &other); err != nil {
-		return nil, fmt.Errorf("%w: the hello: %w", ErrMalformedFrame, err)
+		return nil, fmt.Errorf("%w: decoding hello: %w", ErrMalformedFrame, err)
 	}
 	if err := other.check(options.Self, partner); err != nil {
 		return nil, err
 	}
 	key := options.Key(other.Peer.Partner)
 	if key == nil {
-		return nil, fmt.Errorf("%w: partner %q is not in the file", ErrPeerRejected, other.Peer.Partner)
+		return nil, fmt.Errorf("%w: partner %q is not configured", ErrPeerRejected, other.Peer.Partner)
 	}
 	var keys linkKeys
 	var ownSide, otherSide string
@@ -104,7 +104,7 @@
 func newHello(self Peer, partner string) ([]byte, error) {
 	h := hello{Version: protocolVersion, Peer: self, To: partner, Nonce: make([]byte, nonceSize)}
 	if _, err := rand.Read(h.Nonce); err != nil {
-		return nil, fmt.Errorf("peering: nonce: %w", err)
+		return nil, fmt.Errorf("peering: generating nonce: %w", err)
 	}
 	b, err := encoding.Marshal(h)
 	if err != nil {
@@ -113,26 +113,26 @@
 	return b, nil
 }
 
-// check returns an error if the hello is malformed or of a gateway with which there can be no link. partner is the one that
-// was dialed; empty: any.
+// check returns an error if the hello is malformed or from a gateway to which a link is not allowed. partner is the partner that was
+// dialed; empty: any.
 func (h hello) check(self Peer, partner string) error {
 	peer := h.Peer
 	switch {
 	case h.Version != protocolVersion:
-		return fmt.Errorf("%w: it speaks version %d, this one speaks %d", ErrPeerRejected, h.Version, protocolVersion)
+		return fmt.Errorf("%w: protocol version %d, want %d", ErrPeerRejected, h.Version, protocolVersion)
 	case !h.wellFormed():
-		return fmt.Errorf("%w: the hello of %q, %q", ErrMalformedFrame, peer.Partner, peer.Name)
+		return fmt.Errorf("%w: invalid hello of partner %q, gateway %q", ErrMalformedFrame, peer.Partner, peer.Name)
 	case partner != "" && peer.Partner != partner:
-		return fmt.Errorf("%w: it is a gateway of %q, not of %q", ErrPeerRejected, peer.Partner, partner)
+		return fmt.Errorf("%w: gateway belongs to partner %q, want %q", ErrPeerRejected, peer.Partner, partner)
 	case h.To != "" && h.To != self.Partner:
-		return fmt.Errorf("%w: it dialed a gateway of %q", ErrPeerRejected, h.To)
+		return fmt.Errorf("%w: it dialed partner %q", ErrPeerRejected, h.To)
 	case peer.ID() == self.ID():
-		return fmt.Errorf("%w: it has this gateway's own name, %v", ErrPeerRejected, peer.ID())
+		return fmt.Errorf("%w: it has the name of this gateway, %v", ErrPeerRejected, peer.ID())
 	}
 	return nil
 }
 
-// wellFormed says that the hello names a gateway and that its fields are within their bounds.
+// wellFormed reports whether the hello names a gateway and its fields are within their limits.
 func (h hello) wellFormed() bool {
 	peer := h.Peer
 	if peer.Partner == "" || peer.Name == "" || len(h.Nonce) != nonceSize {
@@ -146,14 +146,14 @@
 	return true
 }
 
-// linkKeys derives the keys of one link.
+// linkKeys derives the keys of a link.
 type linkKeys struct {
 	key           []byte
 	dialerHello   []byte
 	listenerHello []byte
 }
 
-// derive returns the key for a use.
+// derive returns the key for a label.
 func (k linkKeys) derive(use string) []byte {
 	m := hmac.New(sha256.New, k.key)
 	for _, part := range [][]byte{[]byte(linkLabel), []byte(use), k.dialerHello, k.listenerHello} {
@@ -163,7 +163,7 @@
 	return m.Sum(nil)
 }
 
-// exchangeProofs sends this side's proof and checks the other's.
+// exchangeProofs sends this side's proof and verifies the peer's.
 func exchangeProofs(w io.Writer, r io.Reader, own, want []byte) error {
 	err := writeBlock(w, own)
 	var proof []byte
@@ -174,15 +174,15 @@
 	switch {
 	case errors.As(err, &netErr) && netErr.Timeout(), errors.Is(err, ErrMalformedFrame):
 		return err
-	case err != nil: // the other side has closed the connection, which may come as a reset
-		return fmt.Errorf("%w, or does not want this one: it hung up at the proof", ErrKeyMismatch)
+	case err != nil: // the peer has closed the connection, possibly with a reset
+		return fmt.Errorf("%w, or peer did not accept this gateway: connection closed during exchange of proofs", ErrKeyMismatch)
 	case !hmac.Equal(proof, want):
 		return ErrKeyMismatch
 	}
 	return nil
 }
 
-// writeBlock writes a block of a handshake with its length before it.
+// writeBlock writes a length-prefixed block of a handshake.
 func writeBlock(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	if err != nil {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// readBlock reads a block of a handshake, of maxBytes at most.
+// readBlock reads a length-prefixed block of a handshake with at most maxBytes.
 func readBlock(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
--- a/internal/peering/handshake_test.go
+++ b/internal/peering/handshake_test.go
@@ -9,16 +9,16 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// A link needs the key, a partner that is known and a name that is not the hub's own.
+// A handshake fails without the right key, a configured partner and a name that differs from the hub's own.
 func TestLinkNeedsKeyAndKnownPartner(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Options)
 		want   error
 	}{
-		{"another key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKeyMismatch},
-		{"an unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKeyMismatch},
-		{"the same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeerRejected},
+		{"other key", func(o *Options) { o.Key = func(string) []byte { return []byte("another key") } }, ErrKeyMismatch},
+		{"unknown partner", func(o *Options) { o.Self.Partner = "x" }, ErrKeyMismatch},
+		{"same name", func(o *Options) { o.Self = Peer{Partner: "b", Name: "b1", Incarnation: 9} }, ErrPeerRejected},
 		{"no name", func(o *Options) { o.Self.Name = "" }, ErrKeyMismatch},
 	} {
 		ob := options("b", "b1", 1)
@@ -36,12 +36,12 @@
 			t.Fatal(err)
 		}
 		if _, err := handshake(conn, oa, true, ""); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: handshake error is %v, want %v", c.name, err, c.want)
 		}
 		conn.Close()
 		testpeer.Until(t, "the connection to be rejected", func() bool { return b.Stats().Rejected == 1 })
 		if len(b.Links("")) != 0 {
-			t.Errorf("%s: there is a link", c.name)
+			t.Errorf("%s: the hub has a link", c.name)
 		}
 	}
 	b := open(t, options("b", "b1", 1))
@@ -51,11 +51,11 @@
 	}
 	defer conn.Close()
 	if _, err := handshake(conn, options("a", "a1", 1), true, "c"); !errors.Is(err, ErrPeerRejected) {
-		t.Errorf("a gateway of another partner than the dialed one: %v", err)
+		t.Errorf("handshake with a gateway of another partner than the dialed one: error is %v, want %v", err, ErrPeerRejected)
 	}
 }
 
-// tamperingConn changes one bit of the next write after now is set.
+// tamperingConn flips one bit of the next write after tamperNext is set.
 type tamperingConn struct {
 	net.Conn
 	tamperNext atomic.Bool
@@ -69,7 +69,7 @@
 	return c.Conn.Write(p)
 }
 
-// A frame that was changed in transit or replayed ends the link, and is not handled.
+// A frame that was changed in transit or replayed ends the link and is not handled.
 func TestTamperedOrReplayedFrameEndsLink(t *testing.T) {
 	for _, tampering := range []string{"changed", "replayed"} {
 		handled := make(chan int, 10)
@@ -103,8 +103,8 @@
 		if err := session.writer.write(encodeNotification(1)); err != nil {
 			t.Fatal(err)
 		}
-		if got := testpeer.Receive(t, handled, "the first"); got != 1 {
-			t.Errorf("got %d", got)
+		if got := testpeer.Receive(t, handled, "the first notification"); got != 1 {
+			t.Errorf("the first notification is %d, want 1", got)
 		}
 		if tampering == "changed" {
 			tampered.tamperNext.Store(true)
@@ -113,10 +113,10 @@
 			conn.Write(session.writer.buf) // the bytes of the first frame again
 		}
 		if why := testpeer.Receive(t, ended, "the link's end"); !errors.Is(why, ErrMalformedFrame) {
-			t.Errorf("%s: %v", tampering, why)
+			t.Errorf("%s frame: the link ended with %v, want a malformed frame", tampering, why)
 		}
 		if len(handled) > 0 {
-			t.Errorf("%s: frame %d was handled", tampering, <-handled)
+			t.Errorf("%s frame: notification %d was handled", tampering, <-handled)
 		}
 		conn.Close()
 	}
--- a/internal/peering/heartbeat.go
+++ b/internal/peering/heartbeat.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rttSmoothing is the part of a new measurement in the smoothed round trip time: one in so many.
+// rttSmoothing is the divisor of a new sample's weight in the smoothed round-trip time: each sample counts 1/rttSmoothing.
 const rttSmoothing = 8
 
-// receiveHeartbeat handles the heartbeat or echo of the other side. The side that was dialed answers a heartbeat with an echo.
+// receiveHeartbeat handles a heartbeat or its reply. The side that was dialed replies to heartbeats.
 func (l *Link) receiveHeartbeat(hb heartbeat) error {
 	now := int64(l.hub.now())
 	l.lastHeartbeat.Store(now)
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// updateRTT measures the round trip time by a pulse that answers one of this side. The side that was dialed takes over the
-// other's measurement: the answer to its own pulse has waited for the next heartbeat.
+// updateRTT updates the round-trip time from a heartbeat that echoes one of this side. The side that was dialed adopts the peer's
+// measurement, because the echo of its own timestamp was delayed until the next heartbeat.
 func (l *Link) updateRTT(hb heartbeat, now int64) {
 	rtt := now - hb.Echo
 	smoothed := l.rtt.Load()
@@ -43,8 +43,8 @@
 	l.rtt.Store(max(1, rtt))
 }
 
-// sendHeartbeat sends a heartbeat if this side dialed, and returns ErrHeartbeatTimeout if the other side has given no proof for too long. The
-// side that was dialed gets its proof with the next heartbeat, so it allows for one more.
+// sendHeartbeat sends a heartbeat if this side dialed. It returns ErrHeartbeatTimeout if the peer has echoed no timestamp of this side
+// for heartbeatTimeout.
 func (l *Link) sendHeartbeat() error {
 	now := l.hub.now()
 	if l.unansweredFor(now) > l.heartbeatTimeout() {
@@ -64,8 +64,8 @@
 	return l.writeFrame(encoded)
 }
 
-// unansweredFor returns for how long the other side has given no proof, as of a heartbeat that is due now. If that is late by more
-// than another interval, this process was suspended or had no processor: that time is its own silence and not the other's.
+// unansweredFor returns how long the peer has echoed no timestamp of this side, as of a heartbeat that is due now. If that heartbeat is
+// late by more than another interval, this process was suspended or got no CPU time, and the peer is not blamed for the time until now.
 func (l *Link) unansweredFor(now time.Duration) time.Duration {
 	late := now - l.lastHeartbeatDue - l.hub.options.HeartbeatInterval
 	if late > l.hub.options.HeartbeatInterval {
@@ -75,7 +75,8 @@
 	return now - max(time.Duration(l.answeredHeartbeat.Load()), l.pausedUntil)
 }
 
-// heartbeatTimeout returns after which time without proof the link ends.
+// heartbeatTimeout returns the time without an echo after which the link ends. The side that was dialed gets its echo with the next
+// heartbeat, so it allows for one more.
 func (l *Link) heartbeatTimeout() time.Duration {
 	if l.dialed {
 		return l.hub.options.HeartbeatTimeout
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -1,22 +1,22 @@
-// Package peering carries messages between gateways, of one partner and of several, over TCP streams. It owns the links: the
-// handshake and the keys, heartbeats, bounded queues and dialing again. The meaning of messages is left to the handlers of
-// their topics.
+// Package peering carries messages between gateways, of the same and of different partners, over TCP connections. It owns the links:
+// the handshake and keys, heartbeats, bounded queues and redialing. The handlers of topics define the meaning of messages.
 //
-// It promises:
+// It guarantees:
 //
-//   - A link comes up only between two sides that have the same key (Options.Key). Each frame carries a tag over the link's
-//     key and the frame's position: one that was changed, dropped, replayed or reordered ends the link.
-//   - Messages on one link arrive in the order in which they were sent, or the link ends and both sides learn of it.
-//   - Nothing is dropped silently. A message for which the queue has no room is rejected (ErrQueueFull); a reply or a heartbeat
-//     without room ends the link (ErrOverflow).
-//   - A link ends if the other side has not answered a heartbeat for Options.HeartbeatTimeout (ErrHeartbeatTimeout), and one Options.HeartbeatInterval later on
-//     the side that was dialed: after a crash, a partition in one or both directions, or if its reader stalls. It ends if
-//     bytes could not be written for Options.WriteTimeout (ErrWriteTimeout). No other link is affected.
-//   - At most Options.MaxQueueBytes bytes wait on a link, and it takes two goroutines, a reader and a writer. Handlers must not block
+//   - A link comes up only between two sides with the same key (Options.Key). Each frame carries a tag that depends on the link's key
+//     and the frame's position: a frame that was changed, dropped, replayed or reordered ends the link.
+//   - Messages on one link arrive in the order in which they were sent, or the link ends and both sides detect it.
+//   - Nothing is dropped silently. A message that does not fit into the queue is rejected (ErrQueueFull); a reply or heartbeat that
+//     does not fit ends the link (ErrOverflow).
+//   - A link ends if the peer has not replied to a heartbeat for Options.HeartbeatTimeout (ErrHeartbeatTimeout), and one
+//     Options.HeartbeatInterval later on the side that was dialed. This covers a crash, a partition in one or both directions, and a
+//     stalled reader. A link also ends if a write makes no progress for Options.WriteTimeout (ErrWriteTimeout). No other link is
+//     affected.
+//   - At most Options.MaxQueueBytes are queued on a link. A link uses two goroutines, a reader and a writer. Handlers must not block
 //     the reader.
-//   - Wall-clock time is not used: clocks may be set while links are up.
+//   - Wall-clock time is not used: the system clock may be changed while links are up.
 //
-// A gateway that restarts under its name is another incarnation (Peer.Incarnation). Its links replace those of the earlier one.
+// A gateway that restarts under the same name is another incarnation (Peer.Incarnation). Its links replace those of the earlier one.
 package peering
 
 import (
@@ -34,16 +34,16 @@
 	"damsontrestle/internal/listener"
 )
 
-// Hub owns all links of a gateway. Its methods may be called by any goroutine.
+// Hub owns all links of a gateway. Its methods are safe for concurrent use.
 type Hub struct {
 	options  Options
 	listener *listener.Listener
-	ctx      context.Context // ends with Close; it bounds the goroutines that the hub owns
+	ctx      context.Context // cancelled by Close; bounds the lifetime of the hub's goroutines
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
-	start    time.Time // of the hub time
+	start    time.Time // origin of hub time
 
-	handshakes chan struct{} // a value for each handshake that this side has begun
+	handshakes chan struct{} // semaphore of the handshakes of dialed links
 
 	mu        sync.Mutex
 	links     map[GatewayID][]*Link  // the newest last
@@ -52,7 +52,7 @@
 	queueFull atomic.Int64
 }
 
-// Stats are numbers of events on links since the start.
+// Stats are counts of events on links since the start.
 type Stats struct {
 	Up        int            `json:"up"`               // links that came up
 	Ended     map[string]int `json:"ended,omitempty"`  // links that ended, by reason
@@ -69,7 +69,7 @@
 	return Serve(ln, options), nil
 }
 
-// Serve accepts links from a listener until Close, which closes the listener.
+// Serve accepts links from a listener until Close, which also closes the listener.
 func Serve(ln net.Listener, options Options) *Hub {
 	options = options.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,13 +88,13 @@
 	return h
 }
 
-// tamperNext returns the hub time: the time since the hub was opened.
+// now returns the hub time: the time since the hub was opened.
 func (h *Hub) now() time.Duration { return time.Since(h.start) }
 
 // Addr returns the address on which the hub listens.
 func (h *Hub) Addr() string { return h.listener.Addr().String() }
 
-// Self returns this gateway.
+// Self returns the Peer that this gateway presents to others.
 func (h *Hub) Self() Peer { return h.options.Self }
 
 // Close ends all links and returns once every goroutine of the hub has ended.
@@ -107,7 +107,7 @@
 	h.tasks.Wait()
 }
 
-// accept serves links that others dial.
+// accept serves the links that other gateways dial.
 func (h *Hub) accept() {
 	for {
 		conn, err := h.listener.Accept()
@@ -123,8 +123,8 @@
 	}
 }
 
-// serve shakes hands on a connection and serves the link until it ends. onUp is called once the link is up. It returns why there
-// was no link, or why it ended.
+// serve performs the handshake on a connection and serves the link until it ends. It calls onUp when the link is up. It returns why
+// the handshake failed or the link ended.
 func (h *Hub) serve(conn net.Conn, dialed bool, partner string, onUp func()) error {
 	defer conn.Close()
 	stop := context.AfterFunc(h.ctx, func() { conn.Close() })
@@ -152,7 +152,7 @@
 	return l.Err()
 }
 
-// add makes a link the newest one to its peer, and ends the links of other incarnations; false: the hub is closed.
+// add registers a link as the newest one to its peer, and ends the links of other incarnations. It returns false if the hub is closed.
 func (h *Hub) add(l *Link) bool {
 	id := l.Peer.ID()
 	h.mu.Lock()
@@ -182,7 +182,7 @@
 	return true
 }
 
-// remove removes a link that has ended.
+// remove unregisters a link that has ended.
 func (h *Hub) remove(l *Link) {
 	id := l.Peer.ID()
 	err := l.Err()
@@ -204,7 +204,7 @@
 	h.options.OnPeerChange(l.Peer, false, err)
 }
 
-// Link returns the newest link to a gateway; nil: there is none.
+// Link returns the newest link to a gateway, or nil if there is none.
 func (h *Hub) Link(id GatewayID) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -215,7 +215,7 @@
 	return links[len(links)-1]
 }
 
-// Links returns the newest link to each gateway of a partner, or of all partners if it is empty, in the order of their IDs.
+// Links returns the newest link to each gateway of a partner, or of all partners if partner is empty, sorted by gateway ID.
 func (h *Hub) Links(partner string) []*Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -231,7 +231,7 @@
 	return out
 }
 
-// Stats returns a copy of the numbers so far.
+// Stats returns a copy of the current counts.
 func (h *Hub) Stats() Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Link is a stream to one incarnation of a gateway. Its methods may be called by any goroutine.
+// Link is a connection to one incarnation of a gateway. Its methods are safe for concurrent use.
 type Link struct {
-	// Peer is the gateway at the other end, as it named itself in its hello.
+	// Peer is the gateway at the other end, as in its hello.
 	Peer Peer
 
 	hub    *Hub
 	conn   net.Conn
-	dialed bool         // this side dialed, and sends heartbeats
-	reader *frameReader // of the reader's goroutine
-	writer *frameWriter // of the writer's goroutine
+	dialed bool         // this side dialed and therefore sends heartbeats
+	reader *frameReader // used by the reader goroutine only
+	writer *frameWriter // used by the writer goroutine only
 	done   chan struct{}
 
-	// Times are hub times in ns.
-	answeredHeartbeat atomic.Int64 // when the last pulse was sent that the other side has answered
-	lastHeartbeat     atomic.Int64 // when the other side's last pulse came
-	peerStamp         atomic.Int64 // At of that pulse
+	// Hub times, in ns.
+	answeredHeartbeat atomic.Int64 // when the last heartbeat was sent that the peer has echoed
+	lastHeartbeat     atomic.Int64 // when the peer's last heartbeat was received
+	peerStamp         atomic.Int64 // SentAt of that heartbeat
 	rtt               atomic.Int64 // smoothed, in ns; 0: not measured yet
 
-	// Of the writer's goroutine.
+	// Used by the writer goroutine only.
 	lastHeartbeatDue time.Duration // hub time of the last heartbeat that was due
-	pausedUntil      time.Duration // hub time of the last one that was late by more than another interval
+	pausedUntil      time.Duration // hub time of the last heartbeat that was late by more than another interval
 
-	queued chan struct{} // has a value if the queue may not be empty
+	queued chan struct{} // holds a value if the queue may not be empty
 
 	mu          sync.Mutex
 	queue       [][]byte               // encoded frames
-	queuedBytes int                    // with frameOverhead for each
-	pending     map[uint64]func(frame) // onReply of requests, by their numbers
-	lastNumber  uint64                 // of a request
-	err         error                  // why the link ended; nil: it has not
+	queuedBytes int                    // size of queue, including frameOverhead for each frame
+	pending     map[uint64]func(frame) // onReply callbacks of requests, by number
+	lastNumber  uint64                 // number of the last request
+	err         error                  // why the link ended; nil: it is up
 }
 
 func newLink(hub *Hub, conn net.Conn, dialed bool, s *session) *Link {
@@ -62,22 +62,23 @@
 // Done returns a channel that is closed once the link has ended.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// Err returns why the link ended; nil: it has not.
+// Err returns why the link ended, or nil if it is up.
 func (l *Link) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.err
 }
 
-// RTT returns the smoothed round trip time of heartbeats; 0: it has not been measured yet.
+// RTT returns the smoothed round-trip time of heartbeats, or 0 if it has not been measured yet.
 func (l *Link) RTT() time.Duration { return time.Duration(l.rtt.Load()) }
 
-// SinceHeartbeat returns the time since the other side's last heartbeat. More than Options.HeartbeatInterval says that it is late, stopped or cut off.
+// SinceHeartbeat returns the time since the peer's last heartbeat. If it exceeds Options.HeartbeatInterval, the peer is late, stopped
+// or partitioned.
 func (l *Link) SinceHeartbeat() time.Duration {
 	return l.hub.now() - time.Duration(l.lastHeartbeat.Load())
 }
 
-// fail ends the link with an error. Only the first call has an effect beside closing the connection.
+// fail ends the link with an error. Later calls only close the connection again.
 func (l *Link) fail(err error) {
 	l.mu.Lock()
 	var unanswered map[uint64]func(frame)
@@ -94,7 +95,7 @@
 	}
 }
 
-// readLoop handles one frame after another until the link ends, and returns why.
+// readLoop reads and handles frames until the link ends, and returns why.
 func (l *Link) readLoop() error {
 	for {
 		body, err := l.reader.next()
@@ -122,22 +123,22 @@
 		l.handleReply(f)
 		return nil
 	default:
-		return fmt.Errorf("%w: kind %d", ErrMalformedFrame, f.Kind)
+		return fmt.Errorf("%w: unknown kind %d", ErrMalformedFrame, f.Kind)
 	}
 }
 
 func (l *Link) handleHeartbeat(f frame) error {
 	var hb heartbeat
 	if err := decoding.Unmarshal(f.Body, &hb); err != nil {
-		return fmt.Errorf("%w: a heartbeat: %w", ErrMalformedFrame, err)
+		return fmt.Errorf("%w: decoding heartbeat: %w", ErrMalformedFrame, err)
 	}
 	if isEcho := f.Kind == frameHeartbeatReply; isEcho != l.dialed {
-		return fmt.Errorf("%w: a heartbeat of the wrong side", ErrMalformedFrame)
+		return fmt.Errorf("%w: heartbeat kind does not match the side that dialed", ErrMalformedFrame)
 	}
 	return l.receiveHeartbeat(hb)
 }
 
-// handleMessage calls the handler of a topic. Notifications of an unknown topic come from a later version and are ignored.
+// handleMessage calls the handler of a topic. Notifications of an unknown topic are ignored, as a later version may send them.
 func (l *Link) handleMessage(f frame) error {
 	handler := l.hub.options.Topics[f.Topic]
 	switch {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// handleReply passes a reply to its request. One for a request that was cancelled is ignored.
+// handleReply passes a reply to its request. It ignores replies to cancelled requests.
 func (l *Link) handleReply(f frame) {
 	l.mu.Lock()
 	onReply := l.pending[f.Number]
@@ -192,7 +193,7 @@
 	}
 }
 
-// writeQueued writes a queued frame, after a heartbeat if one is due: that does not wait until the queue is empty.
+// writeQueued writes a queued frame. If a heartbeat is due, it is sent first, so that it does not wait for the queue to drain.
 func (l *Link) writeQueued(ticker *time.Ticker, body []byte) error {
 	select {
 	case <-ticker.C:
@@ -204,13 +205,13 @@
 	return l.writeFrame(body)
 }
 
-// writeFrame writes a frame. It returns ErrWriteTimeout if that takes longer than Options.WriteTimeout.
+// writeFrame writes a frame. It returns ErrWriteTimeout if the write takes longer than Options.WriteTimeout.
 func (l *Link) writeFrame(body []byte) error {
 	l.conn.SetWriteDeadline(time.Now().Add(l.hub.options.WriteTimeout))
 	err := l.writer.write(body)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return fmt.Errorf("%w (%v)", ErrWriteTimeout, l.hub.options.WriteTimeout)
+		return fmt.Errorf("%w after %v", ErrWriteTimeout, l.hub.options.WriteTimeout)
 	}
 	return err
 }
--- a/internal/peering/options.go
+++ b/internal/peering/options.go
@@ -16,19 +16,19 @@
 // Options are the parameters of a Hub.
 type Options struct {
 	Self              Peer
-	Listen            string                      // address; with port 0 the system chooses one
-	Key               func(partner string) []byte // the key of links to a partner's gateways; nil: there are none
+	Listen            string                      // TCP address; port 0 selects a free port
+	Key               func(partner string) []byte // returns the key for links to a partner's gateways; nil: no links
 	Topics            map[string]Handler
-	OnLinkUp          func(*Link)                      // a link came up. It must not block
-	OnPeerChange      func(p Peer, up bool, why error) // the first link of a peer came up, or the last one ended. It must not block
-	HeartbeatInterval time.Duration                    // between two heartbeats; 0: 250 ms
-	HeartbeatTimeout  time.Duration                    // without a proof of the other side, after which a link ends; 0: 1 s
-	WriteTimeout      time.Duration                    // after which a write that makes no progress ends the link; 0: Silence
-	MaxQueueBytes     int                              // bytes that wait on a link at most; 0: 2 MiB
+	OnLinkUp          func(*Link)                      // called when a link has come up; must not block
+	OnPeerChange      func(p Peer, up bool, why error) // called when the first link of a peer has come up or its last one has ended; must not block
+	HeartbeatInterval time.Duration                    // time between two heartbeats; 0: 250 ms
+	HeartbeatTimeout  time.Duration                    // time without a heartbeat reply after which a link ends; 0: 1 s
+	WriteTimeout      time.Duration                    // time after which a write without progress ends the link; 0: HeartbeatTimeout
+	MaxQueueBytes     int                              // limit of the bytes queued on a link; 0: 2 MiB
 	Log               *slog.Logger
 }
 
-// withDefaults returns the options with defaults in place of zero values.
+// withDefaults returns the options with zero values replaced by defaults.
 func (o Options) withDefaults() Options {
 	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultHeartbeatInterval)
 	o.HeartbeatTimeout = cmp.Or(o.HeartbeatTimeout, defaultHeartbeatTimeout)
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -20,10 +20,10 @@
 
 var testKey = []byte("the key of two partners")
 
-// discardLogger returns a log that nobody reads.
+// discardLogger returns a logger that discards its output.
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// options returns those of a gateway whose links do not end because the host is slow.
+// options returns the options of a gateway, with a heartbeat timeout that does not expire on a slow host.
 func options(partner, name string, incarnation uint64) Options {
 	return Options{
 		Self:              Peer{Partner: partner, Name: name, Incarnation: incarnation},
@@ -45,7 +45,7 @@
 	return h
 }
 
-// waitForLink waits until there is a link from one hub to another.
+// waitForLink waits for a link from one hub to another.
 func waitForLink(t *testing.T, from, to *Hub) *Link {
 	t.Helper()
 	var l *Link
@@ -56,14 +56,14 @@
 	return l
 }
 
-// testContext returns a context that ends with the test, or after the limit of waits in tests.
+// testContext returns a context that ends with the test or after testpeer.Limit.
 func testContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(t.Context(), testpeer.Limit)
 	t.Cleanup(cancel)
 	return c
 }
 
-// Requests on one link arrive in order and get their own replies, and one of an unknown topic is rejected.
+// Requests on one link arrive in order and get their own replies. A request of an unknown topic is rejected.
 func TestRequestsArriveInOrderAndGetTheirReplies(t *testing.T) {
 	var mu sync.Mutex
 	var arrived []int
@@ -114,10 +114,10 @@
 		var remote *RemoteError
 		if i%7 == 0 {
 			if !errors.As(err, &remote) || remote.Message != fmt.Sprintf("no %d from a/a1", i) {
-				t.Errorf("%d: %v", i, err)
+				t.Errorf("request %d: error is %v, want the handler's error", i, err)
 			}
 		} else if err != nil || got != 2*i {
-			t.Errorf("%d: %d, %v", i, got, err)
+			t.Errorf("request %d: reply is %d, error %v; want %d", i, got, err, 2*i)
 		}
 	}
 	testpeer.Until(t, "the notification", func() bool {
@@ -127,11 +127,11 @@
 	})
 	for i, n := range arrived[:300] {
 		if n != i {
-			t.Fatalf("request %d arrived in place %d", n, i)
+			t.Fatalf("request %d arrived at position %d", n, i)
 		}
 	}
 	if err := link.Do(testContext(t), "what", 1, nil); err == nil || err.Error() != `topic "what" is not known here` {
-		t.Errorf("%v", err)
+		t.Errorf("request of an unknown topic: error is %v", err)
 	}
 	testpeer.Until(t, "a round trip", func() bool { return link.RTT() > 0 })
 }
@@ -172,8 +172,7 @@
 	})
 }
 
-// The link to a gateway that sends and no longer reads ends, whether the queue to it is full or empty, and no other link is
-// affected.
+// The link to a gateway that sends but no longer reads ends, whether the queue to it is full or empty. No other link is affected.
 func TestStalledReaderEndsOnlyItsLink(t *testing.T) {
 	for _, flood := range []bool{false, true} {
 		ended := make(chan error, 1)
@@ -202,27 +201,27 @@
 			err := toSlow.Notify("x", make([]byte, 64<<10))
 			full = errors.Is(err, ErrQueueFull)
 			if err != nil && !full {
-				break // it has ended already
+				break // the link has ended already
 			}
 		}
-		why := testpeer.Receive(t, ended, "its end")
+		why := testpeer.Receive(t, ended, "the end of the stalled link")
 		if !errors.Is(why, ErrHeartbeatTimeout) && !errors.Is(why, ErrWriteTimeout) {
-			t.Errorf("flooded %v: it ended with %v", flood, why)
+			t.Errorf("flood %v: the stalled link ended with %v, want a heartbeat or write timeout", flood, why)
 		}
 		var one int
 		if err := toGood.Do(testContext(t), "echo", 0, &one); err != nil || toGood.Err() != nil {
-			t.Errorf("the other link: %v, %v", err, toGood.Err())
+			t.Errorf("request on the other link: error %v, link error %v", err, toGood.Err())
 		}
 		if flood && full && b.Stats().QueueFull == 0 {
-			t.Error("a message rejected by a full queue is not counted")
+			t.Error("Stats.QueueFull does not count a message that was rejected by a full queue")
 		}
 		b.Close()
 		goodHub.Close()
 	}
 }
 
-// A gateway that restarts is another incarnation: its link replaces the earlier one's, whose end is reported first. A link that
-// broke is dialed again.
+// A gateway that restarts is another incarnation, and its link replaces that of the earlier one. A link that breaks is redialed, and
+// its end is reported before the new link.
 func TestNewIncarnationReplacesOldOne(t *testing.T) {
 	type change struct {
 		incarnation uint64
@@ -235,12 +234,12 @@
 	first := open(t, options("a", "a1", 7))
 	first.Connect(b.Addr(), "b")
 	if got := testpeer.Receive(t, changes, "the first incarnation"); got != (change{7, true}) {
-		t.Errorf("%+v", got)
+		t.Errorf("first change is %+v, want incarnation 7 up", got)
 	}
 	waitForLink(t, first, b).fail(errors.New("broken for the test"))
 	for _, want := range []change{{7, false}, {7, true}} {
-		if got := testpeer.Receive(t, changes, "the link to break and to come back"); got != want {
-			t.Errorf("%+v, want %+v", got, want)
+		if got := testpeer.Receive(t, changes, "the link to break and to be redialed"); got != want {
+			t.Errorf("change is %+v, want %+v", got, want)
 		}
 	}
 	second := open(t, options("a", "a1", 8))
@@ -256,11 +255,11 @@
 		seen[testpeer.Receive(t, changes, "the second incarnation")] = true
 	}
 	if l := b.Link(GatewayID{"a", "a1"}); l == nil || l.Peer.Incarnation != 8 {
-		t.Errorf("the link is to %+v", l)
+		t.Errorf("the newest link is %+v, want one to incarnation 8", l)
 	}
 }
 
-// A request without a reply fails when the link ends, and what is sent afterwards is rejected.
+// A request without a reply fails when the link ends, and later messages are rejected.
 func TestPendingRequestsFailWhenLinkEnds(t *testing.T) {
 	o := options("b", "b1", 1)
 	received := make(chan struct{}, 1)
@@ -276,14 +275,14 @@
 	testpeer.Receive(t, received, "the request")
 	b.Close()
 	if err := request.Wait(testContext(t), nil); err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v", err)
+		t.Errorf("pending request after the link's end: error is %v, want the link's error", err)
 	}
 	if err := link.Notify("x", 1); err == nil {
-		t.Error("a message was queued on a link that has ended")
+		t.Error("Notify queued a message on a link that has ended")
 	}
 }
 
-// FuzzFrames handles arbitrary frames: each is handled or returns an error.
+// FuzzFrames checks that arbitrary frames are either handled or rejected with an error.
 func FuzzFrames(f *testing.F) {
 	body, _ := Encode(1)
 	good, _ := Encode(frame{Kind: frameRequest, Number: 1, Topic: "x", Body: body})
--- a/internal/peering/queue.go
+++ b/internal/peering/queue.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// frameOverhead is how many bytes a frame counts in a queue beside its own.
+// frameOverhead is added to the size of each queued frame, in bytes.
 const frameOverhead = 64
 
-// enqueue queues a frame for the link's writer. It returns ErrQueueFull if there is no room for it, ErrFrame if it is too long, and
-// the error of the link if that has ended.
+// enqueue queues a frame for the link's writer. It returns ErrQueueFull if the frame does not fit, ErrMalformedFrame if it exceeds
+// MaxFrame, and the link's error if the link has ended.
 func (l *Link) enqueue(f frame) error {
 	body, err := encoding.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("peering: %w", err)
 	}
 	if len(body) > MaxFrame {
-		return fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, len(body), MaxFrame)
+		return fmt.Errorf("%w: %d bytes, limit is %d", ErrMalformedFrame, len(body), MaxFrame)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// dequeue takes the first frame from the queue; nil: it is empty.
+// dequeue removes and returns the first frame of the queue, or nil if it is empty.
 func (l *Link) dequeue() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peering/redial_test.go
+++ b/internal/peering/redial_test.go
@@ -10,7 +10,7 @@
 
 const designPage = "../../docs/design/peering.md"
 
-// TestRedialPauses plays the table of pauses in the design page.
+// TestRedialDelayMatchesDesignTable compares RedialDelay with the table in the design page.
 func TestRedialDelayMatchesDesignTable(t *testing.T) {
 	for _, row := range spectest.Rows(t, designPage, "When a link is opened again") {
 		lastDelay, err := time.ParseDuration(row.At("last pause"))
@@ -31,7 +31,7 @@
 			continue
 		}
 		if got := RedialDelay(lastDelay, linkResult != "did not come up", linkResult == "silent", lifetime, time.Second); got.String() != row.At("outcome") {
-			t.Errorf("%s:%d: %v", designPage, row.Line, got)
+			t.Errorf("%s:%d: RedialDelay returned %v", designPage, row.Line, got)
 		}
 	}
 }
--- a/internal/peering/request.go
+++ b/internal/peering/request.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Notify sends a notification. A nil error says that it was queued, and no more.
+// Notify queues a notification. A nil error does not mean that it was delivered.
 func (l *Link) Notify(topic string, message any) error {
 	body, err := encoding.Marshal(message)
 	if err != nil {
@@ -15,15 +15,15 @@
 	return l.enqueue(frame{Kind: frameNotify, Topic: topic, Body: body})
 }
 
-// PendingRequest is a request whose reply has not been read yet.
+// PendingRequest is a request whose reply may not have arrived yet.
 type PendingRequest struct {
 	link   *Link
 	number uint64
 	reply  chan frame
 }
 
-// startRequest sends a request. onReply is called once: with the reply on the link's reader, or with the zero frame when the
-// link ends.
+// startRequest queues a request. onReply is called once: with the reply by the link's reader goroutine, or with the zero frame when
+// the link ends.
 func (l *Link) startRequest(topic string, request any, onReply func(frame)) (number uint64, err error) {
 	body, err := encoding.Marshal(request)
 	if err != nil {
@@ -42,10 +42,10 @@
 	if err != nil && l.cancelRequest(number) {
 		return 0, err
 	}
-	return number, nil // after an error the link has ended, and onReply was called
+	return number, nil // if err is not nil here, the link has ended and onReply was called
 }
 
-// cancelRequest has onReply of a request not be called any more; false: it was called, or is being called now.
+// cancelRequest prevents the call of a request's onReply. It returns false if onReply was called already or is being called.
 func (l *Link) cancelRequest(number uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +54,7 @@
 	return pending
 }
 
-// Request sends a request. Messages on one link arrive in the order in which they were sent. Wait returns the reply.
+// Request queues a request. Messages on one link arrive in the order in which they were queued. Wait waits for the reply.
 func (l *Link) Request(topic string, request any) (*PendingRequest, error) {
 	r := &PendingRequest{link: l, reply: make(chan frame, 1)}
 	var err error
@@ -65,8 +65,8 @@
 	return r, nil
 }
 
-// Wait waits for the reply until ctx or the link ends, and reads it into what answer points to. An error of the other side's
-// handler is a RemoteError.
+// Wait waits for the reply until ctx or the link ends, and decodes it into the value that reply points to. An error of the peer's
+// handler is returned as a RemoteError.
 func (r *PendingRequest) Wait(ctx context.Context, reply any) error {
 	select {
 	case f := <-r.reply:
@@ -77,9 +77,9 @@
 	}
 }
 
-// RequestAsync sends a request as Request does. onReply is called once, on the link's reader or on the goroutine that ends the
-// link, with a function that reads the reply into what its argument points to; it must not block. cancel has it not be
-// called any more.
+// RequestAsync queues a request as Request does. onReply is called once, by the link's reader goroutine or by the goroutine that ends
+// the link, and must not block. Its argument decodes the reply into the value that answer points to. cancel prevents the call of
+// onReply if it has not started.
 func (l *Link) RequestAsync(topic string, request any, onReply func(read func(answer any) error)) (cancel func(), err error) {
 	number, err := l.startRequest(topic, request, func(f frame) {
 		onReply(func(answer any) error { return l.readReply(f, answer) })
@@ -87,7 +87,7 @@
 	return func() { l.cancelRequest(number) }, err
 }
 
-// readReply reads a reply. It returns a RemoteError for a rejection, and the link's error for the zero frame.
+// readReply decodes a reply. It returns a RemoteError for a rejection, and the link's error for the zero frame.
 func (l *Link) readReply(f frame, reply any) error {
 	switch f.Kind {
 	case frameReply:
@@ -112,8 +112,8 @@
 	return r.Wait(ctx, reply)
 }
 
-// sendReply queues the reply to a request, or a rejection. If there is no room for it, it returns ErrOverflow, which ends the
-// link: the other side would wait for nothing.
+// sendReply queues the reply to a request, or a rejection. It returns ErrOverflow if the reply does not fit into the queue. That ends
+// the link, as the peer would otherwise wait for a reply that never comes.
 func (l *Link) sendReply(number uint64, reply any, rejection error) error {
 	f := frame{Kind: frameReply, Number: number}
 	if rejection != nil {
@@ -122,7 +122,7 @@
 	}
 	body, err := encoding.Marshal(reply)
 	if err != nil {
-		return fmt.Errorf("peering: a reply: %w", err)
+		return fmt.Errorf("peering: encoding reply: %w", err)
 	}
 	f.Body = body
 	if err := l.enqueue(f); errors.Is(err, ErrQueueFull) {
