--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -147,7 +147,8 @@
 	}
 }
 
-// dialOrder returns a partner's addresses in the order in which this gateway tries them. The order differs between gateways.
+// dialOrder returns a partner's addresses in the order in which this gateway tries them. It depends on the gateway's ID, so that the
+// links of different gateways are spread over the addresses.
 func (g *Gateway) dialOrder(addresses []string) []string {
 	out := slices.Clone(addresses)
 	self := g.self.String()
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxRoutes       = 4                     // limit of routes tried for a request; each next one needs a rejection by rule
+	maxRoutes       = 4                     // limit of routes tried for a request; another one is tried only after a rejection by rule
 	queryRetryDelay = 20 * time.Millisecond // after a query that did not return the outcome
 )
 
@@ -88,7 +88,8 @@
 	return last.outcome
 }
 
-// unroutable returns the outcome of a request without a route, or without a further one after the outcome last.
+// unroutable returns the outcome of a request for which no route, or no further one, is left. last is the outcome of the last attempt;
+// its kind is 0 if there was none.
 func unroutable(last replication.Outcome, reason, forced string) replication.Outcome {
 	switch {
 	case forced != "":
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,7 +168,7 @@
 	return g.options.PartnerKeys[partner]
 }
 
-// linkUp notifies replication of a link to the group, or route exchange of a link to a partner.
+// linkUp notifies replication of a link to the group, or route exchange, which sends routes, of a link to a partner.
 func (g *Gateway) linkUp(link *peering.Link) {
 	if link.Peer.Partner == g.self.Partner {
 		g.replicator.LinkUp(link)
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -70,8 +70,8 @@
 }
 
 // chooseAdvertisement returns the advertisement for the request. For a partner's request it is the one that the partner forwarded it
-// by; if its rules no longer admit the request, reason tells why. For any other request it is the best one; ok is false if there is
-// none.
+// by; if its rules no longer admit the request, ok is false and reason is not empty. For any other request it is the best one; ok is
+// false if there is none.
 func (e *execution) chooseAdvertisement() (selection routeexchange.Selection, ok bool, reason string) {
 	request := routedRequest(e.record, e.class)
 	if len(e.record.PartnerPath) == 0 {
--- a/internal/peering/dial.go
+++ b/internal/peering/dial.go
@@ -16,7 +16,7 @@
 	minRedialDelay        = 50 * time.Millisecond
 	maxRedialDelay        = time.Second
 	maxTimeoutRedialDelay = 8 * time.Second // after links that came up and soon timed out
-	stableLinkTimeouts    = 5               // lifetime of a stable link, in multiples of Options.HeartbeatTimeout
+	stableLinkTimeouts    = 5               // a link that was up for so many heartbeat timeouts did not time out soon
 )
 
 // maxHandshakes is the maximum number of concurrent handshakes of dialed links.
@@ -80,8 +80,8 @@
 }
 
 // timedOut reports whether a link came up and its peer stopped responding.
-func (a dialResult) timedOut() bool {
-	return a.up && (errors.Is(a.err, ErrHeartbeatTimeout) || errors.Is(a.err, ErrWriteTimeout))
+func (result dialResult) timedOut() bool {
+	return result.up && (errors.Is(result.err, ErrHeartbeatTimeout) || errors.Is(result.err, ErrWriteTimeout))
 }
 
 // maintain dials an address and serves the link, repeatedly, until ctx ends.
@@ -143,9 +143,9 @@
 
 // RedialDelay returns the delay before a link is dialed again, given the last delay. up reports whether a link came up, timedOut
 // whether it ended because its peer stopped responding, and lifetime how long it was up. heartbeatTimeout is
-// Options.HeartbeatTimeout. The delay is reset after a stable link. It grows further after a link that soon timed out, as its peer is
-// reachable but too slow: handshakes and full route tables take much CPU time, which an overloaded group must not spend on links
-// that it loses again.
+// Options.HeartbeatTimeout. The delay is reset after a stable link. It grows beyond maxRedialDelay after a link that soon timed out, as
+// its peer is reachable but too slow: handshakes and full route tables take much CPU time, which an overloaded group must not spend on
+// links that it loses again.
 func RedialDelay(lastDelay time.Duration, up, timedOut bool, lifetime, heartbeatTimeout time.Duration) time.Duration {
 	switch {
 	case up && timedOut && lifetime < stableLinkTimeouts*heartbeatTimeout:
--- a/internal/peering/frameio.go
+++ b/internal/peering/frameio.go
@@ -67,7 +67,7 @@
 // next returns the body of the next frame, which is valid until the next call.
 func (r *frameReader) next() ([]byte, error) {
 	if _, err := io.ReadFull(r.br, r.head[:]); err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
+		return nil, fmt.Errorf("peering: reading frame: %w", err)
 	}
 	length := r.head[:lengthSize]
 	n := int(binary.BigEndian.Uint32(length))
@@ -81,7 +81,7 @@
 	}
 	body := r.buf[:n]
 	if _, err := io.ReadFull(r.br, body); err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
+		return nil, fmt.Errorf("peering: reading frame: %w", err)
 	}
 	if !hmac.Equal(r.head[lengthSize:], r.mac.tag(length, body)) {
 		return nil, fmt.Errorf("%w: tag mismatch", ErrMalformedFrame)
--- a/internal/peering/handshake.go
+++ b/internal/peering/handshake.go
@@ -57,45 +57,45 @@
 // frame tags, one for each direction, are derived from the key and both hellos.
 func handshake(conn net.Conn, options Options, dialed bool, partner string) (*session, error) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	own, err := newHello(options.Self, partner)
+	ownHello, err := newHello(options.Self, partner)
 	if err != nil {
 		return nil, err
 	}
-	if err := writeBlock(conn, own); err != nil {
+	if err := writeBlock(conn, ownHello); err != nil {
 		return nil, err
 	}
 	reader := bufio.NewReaderSize(conn, helloBuffer)
-	received, err := readBlock(reader, maxHello)
+	receivedHello, err := readBlock(reader, maxHello)
 	if err != nil {
 		return nil, err
 	}
-	var other hello
-	if err := decoding.Unmarshal(received, &other); err != nil {
+	var peerHello hello
+	if err := decoding.Unmarshal(receivedHello, &peerHello); err != nil {
 		return nil, fmt.Errorf("%w: decoding hello: %w", ErrMalformedFrame, err)
 	}
-	if err := other.check(options.Self, partner); err != nil {
+	if err := peerHello.check(options.Self, partner); err != nil {
 		return nil, err
 	}
-	key := options.Key(other.Peer.Partner)
+	key := options.Key(peerHello.Peer.Partner)
 	if key == nil {
-		return nil, fmt.Errorf("%w: partner %q is not configured", ErrPeerRejected, other.Peer.Partner)
+		return nil, fmt.Errorf("%w: partner %q is not configured", ErrPeerRejected, peerHello.Peer.Partner)
 	}
 	var keys linkKeys
-	var ownSide, otherSide string
+	var ownSide, peerSide string
 	if dialed {
-		keys = linkKeys{key: key, dialerHello: own, listenerHello: received}
-		ownSide, otherSide = dialerSide, listenerSide
+		keys = linkKeys{key: key, dialerHello: ownHello, listenerHello: receivedHello}
+		ownSide, peerSide = dialerSide, listenerSide
 	} else {
-		keys = linkKeys{key: key, dialerHello: received, listenerHello: own}
-		ownSide, otherSide = listenerSide, dialerSide
+		keys = linkKeys{key: key, dialerHello: receivedHello, listenerHello: ownHello}
+		ownSide, peerSide = listenerSide, dialerSide
 	}
-	if err := exchangeProofs(conn, reader, keys.derive(proofLabel+ownSide), keys.derive(proofLabel+otherSide)); err != nil {
+	if err := exchangeProofs(conn, reader, keys.derive(proofLabel+ownSide), keys.derive(proofLabel+peerSide)); err != nil {
 		return nil, err
 	}
 	conn.SetDeadline(time.Time{})
 	return &session{
-		peer:   other.Peer,
-		reader: &frameReader{br: reader, mac: newFrameMAC(keys.derive(framesLabel + otherSide))},
+		peer:   peerHello.Peer,
+		reader: &frameReader{br: reader, mac: newFrameMAC(keys.derive(framesLabel + peerSide))},
 		writer: &frameWriter{w: conn, mac: newFrameMAC(keys.derive(framesLabel + ownSide))},
 	}, nil
 }
@@ -108,7 +108,7 @@
 	}
 	b, err := encoding.Marshal(h)
 	if err != nil {
-		return nil, fmt.Errorf("peering: hello: %w", err)
+		return nil, fmt.Errorf("peering: encoding hello: %w", err)
 	}
 	return b, nil
 }
@@ -186,7 +186,7 @@
 func writeBlock(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	if err != nil {
-		return fmt.Errorf("peering: hello: %w", err)
+		return fmt.Errorf("peering: writing handshake: %w", err)
 	}
 	return nil
 }
@@ -195,15 +195,15 @@
 func readBlock(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, fmt.Errorf("peering: hello: %w", err)
+		return nil, fmt.Errorf("peering: reading handshake: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > uint32(maxBytes) {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrMalformedFrame, n, maxBytes)
+		return nil, fmt.Errorf("%w: handshake block has %d bytes, limit is %d", ErrMalformedFrame, n, maxBytes)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
-		return nil, fmt.Errorf("peering: hello: %w", err)
+		return nil, fmt.Errorf("peering: reading handshake: %w", err)
 	}
 	return b, nil
 }
--- a/internal/peering/heartbeat.go
+++ b/internal/peering/heartbeat.go
@@ -22,7 +22,7 @@
 	}
 	body, err := encoding.Marshal(heartbeat{SentAt: now, Echo: hb.SentAt})
 	if err != nil {
-		return fmt.Errorf("peering: a heartbeat: %w", err)
+		return fmt.Errorf("peering: encoding heartbeat reply: %w", err)
 	}
 	if l.enqueue(frame{Kind: frameHeartbeatReply, Body: body}) != nil {
 		return ErrOverflow
@@ -55,11 +55,11 @@
 	}
 	body, err := encoding.Marshal(heartbeat{SentAt: int64(now), Echo: l.peerStamp.Load(), RTT: l.rtt.Load()})
 	if err != nil {
-		return fmt.Errorf("peering: a heartbeat: %w", err)
+		return fmt.Errorf("peering: encoding heartbeat: %w", err)
 	}
 	encoded, err := encoding.Marshal(frame{Kind: frameHeartbeat, Body: body})
 	if err != nil {
-		return fmt.Errorf("peering: a heartbeat: %w", err)
+		return fmt.Errorf("peering: encoding heartbeat: %w", err)
 	}
 	return l.writeFrame(encoded)
 }
--- a/internal/peering/queue.go
+++ b/internal/peering/queue.go
@@ -10,7 +10,7 @@
 func (l *Link) enqueue(f frame) error {
 	body, err := encoding.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("peering: %w", err)
+		return fmt.Errorf("peering: encoding frame: %w", err)
 	}
 	if len(body) > MaxFrame {
 		return fmt.Errorf("%w: %d bytes, limit is %d", ErrMalformedFrame, len(body), MaxFrame)
--- a/internal/peering/request.go
+++ b/internal/peering/request.go
@@ -10,7 +10,7 @@
 func (l *Link) Notify(topic string, message any) error {
 	body, err := encoding.Marshal(message)
 	if err != nil {
-		return fmt.Errorf("peering: %s: %w", topic, err)
+		return fmt.Errorf("peering: encoding notification of topic %s: %w", topic, err)
 	}
 	return l.enqueue(frame{Kind: frameNotify, Topic: topic, Body: body})
 }
@@ -27,7 +27,7 @@
 func (l *Link) startRequest(topic string, request any, onReply func(frame)) (number uint64, err error) {
 	body, err := encoding.Marshal(request)
 	if err != nil {
-		return 0, fmt.Errorf("peering: %s: %w", topic, err)
+		return 0, fmt.Errorf("peering: encoding request of topic %s: %w", topic, err)
 	}
 	l.mu.Lock()
 	if l.err != nil {
@@ -78,11 +78,11 @@
 }
 
 // RequestAsync queues a request as Request does. onReply is called once, by the link's reader goroutine or by the goroutine that ends
-// the link, and must not block. Its argument decodes the reply into the value that answer points to. cancel prevents the call of
+// the link, and must not block. Its argument decodes the reply into the value that reply points to. cancel prevents the call of
 // onReply if it has not started.
-func (l *Link) RequestAsync(topic string, request any, onReply func(read func(answer any) error)) (cancel func(), err error) {
+func (l *Link) RequestAsync(topic string, request any, onReply func(read func(reply any) error)) (cancel func(), err error) {
 	number, err := l.startRequest(topic, request, func(f frame) {
-		onReply(func(answer any) error { return l.readReply(f, answer) })
+		onReply(func(reply any) error { return l.readReply(f, reply) })
 	})
 	return func() { l.cancelRequest(number) }, err
 }
