--- a/internal/routeexchange/send.go
+++ b/internal/routeexchange/send.go
@@ -116,7 +116,7 @@
 		if m.More = len(put)+len(withdrawn) > 0; !m.More {
 			m.Digest, m.Gateways = tableDigest(digests), gateways // always the full list, as it is short
 		}
-		if link.Tell(topicUpdate, m) != nil {
+		if link.Notify(topicUpdate, m) != nil {
 			return false
 		}
 		*serial++
