--- a/internal/fastcgi/application.go
+++ b/internal/fastcgi/application.go
@@ -6,9 +6,9 @@
 )
 
 // Bounds are what an Application holds for one connection at most.
-type Bounds struct {
+type ConnLimits struct {
 	Requests int // open at once; more are OVERLOADED
-	Params   Limits
+	Params   PairLimits
 }
 
 // Application is the application's side of one connection: it takes what a web server sends and tells what that
@@ -18,18 +18,18 @@
 // passed over, as section 3.3 asks: the web server may have sent them before it heard of the end. Whatever else does
 // not fit ends the connection, with an *Error that names the record; requests that are open are not ended by it.
 type Application struct {
-	bounds Bounds
-	out    *Writer
-	open   map[uint16]*incoming
+	limits   ConnLimits
+	out      *Writer
+	requests map[uint16]*incomingRequest
 }
 
 // incoming is a request that was begun.
-type incoming struct {
-	pairs  *Pairs
-	params []Param
-	keep   bool
-	named  bool // its PARAMS have ended
-	read   bool // and its STDIN
+type incomingRequest struct {
+	pairs       *Pairs
+	params      []Param
+	keepConn    bool
+	paramsEnded bool // its PARAMS have ended
+	stdinEnded  bool // and its STDIN
 }
 
 // Param is a name and its value.
@@ -37,116 +37,116 @@
 
 // What does not fit.
 var (
-	ErrInUse     = errors.New("its id is that of a request that is open")
-	ErrEnded     = errors.New("its stream has ended")
-	ErrOrder     = errors.New("it comes before the end of PARAMS")
-	ErrDirection = errors.New("only the other side may send it")
+	ErrIDInUse        = errors.New("its id is that of a request that is open")
+	ErrStreamEnded    = errors.New("its stream has ended")
+	ErrParamsNotEnded = errors.New("it comes before the end of PARAMS")
+	ErrWrongDirection = errors.New("only the other side may send it")
 )
 
 // Kind is what a record comes to.
-type Kind int
+type EventKind int
 
 // Kinds of events.
 const (
-	Nothing Kind = iota
-	Called       // PARAMS are complete
-	Body         // a part of STDIN
+	NoEvent   EventKind = iota
+	ParamsEnd           // PARAMS are complete
+	Body                // a part of STDIN
 	BodyEnd
 	Aborted // the web server wants the request's end; End is still owed
 )
 
 // Event is what a record comes to.
 type Event struct {
-	Kind   Kind
+	Kind   EventKind
 	ID     uint16
 	Params []Param // for Called
 	Data   []byte  // for Body; the reader's, until the next record is read
 }
 
 // NewApplication answers with out what the protocol answers by itself.
-func NewApplication(b Bounds, out *Writer) *Application {
-	return &Application{bounds: b, out: out, open: map[uint16]*incoming{}}
+func NewApplication(b ConnLimits, out *Writer) *Application {
+	return &Application{limits: b, out: out, requests: map[uint16]*incomingRequest{}}
 }
 
 // Open is how many requests are open.
-func (a *Application) Open() int { return len(a.open) }
+func (a *Application) Open() int { return len(a.requests) }
 
 // Take takes the next record.
-func (a *Application) Take(r Record) (Event, error) {
-	switch r.Type {
+func (a *Application) HandleRecord(rec Record) (Event, error) {
+	switch rec.Type {
 	case BeginRequest:
-		return Event{}, a.begin(r)
+		return Event{}, a.beginRequest(rec)
 	case GetValues:
-		return Event{}, a.values(r)
+		return Event{}, a.answerValues(rec)
 	case EndRequest, Stdout, Stderr, GetValuesResult, UnknownType:
-		return Event{}, r.fail(ErrDirection)
+		return Event{}, rec.wrapError(ErrWrongDirection)
 	}
-	if !r.Type.Known() {
-		return Event{}, a.out.Unknown(r.Type)
+	if !rec.Type.Known() {
+		return Event{}, a.out.Unknown(rec.Type)
 	}
-	in := a.open[r.ID]
-	if in == nil {
+	req := a.requests[rec.ID]
+	if req == nil {
 		return Event{}, nil
 	}
-	switch r.Type {
+	switch rec.Type {
 	case AbortRequest:
-		return Event{Kind: Aborted, ID: r.ID}, nil
+		return Event{Kind: Aborted, ID: rec.ID}, nil
 	case Params:
-		return in.take(r)
+		return req.handleParams(rec)
 	case Stdin:
-		return in.body(r)
+		return req.handleStdin(rec)
 	}
 	return Event{}, nil // DATA is for filters, and a responder has no use for it
 }
 
-func (a *Application) begin(r Record) error {
-	b, err := r.Begin()
+func (a *Application) beginRequest(rec Record) error {
+	body, err := rec.Begin()
 	switch {
 	case err != nil:
 		return err
-	case a.open[r.ID] != nil:
-		return r.fail(ErrInUse)
-	case b.Role != Responder:
-		return a.out.End(r.ID, End{Status: UnknownRole})
-	case len(a.open) >= a.bounds.Requests:
-		return a.out.End(r.ID, End{Status: Overloaded})
+	case a.requests[rec.ID] != nil:
+		return rec.wrapError(ErrIDInUse)
+	case body.Role != Responder:
+		return a.out.End(rec.ID, End{Status: UnknownRole})
+	case len(a.requests) >= a.limits.Requests:
+		return a.out.End(rec.ID, End{Status: Overloaded})
 	}
-	a.open[r.ID] = &incoming{pairs: NewPairs(a.bounds.Params), keep: b.Keep}
+	a.requests[rec.ID] = &incomingRequest{pairs: NewPairs(a.limits.Params), keepConn: body.Keep}
 	return nil
 }
 
-func (in *incoming) take(r Record) (Event, error) {
-	if in.named {
-		return Event{}, r.fail(ErrEnded)
+func (req *incomingRequest) handleParams(rec Record) (Event, error) {
+	if req.paramsEnded {
+		return Event{}, rec.wrapError(ErrStreamEnded)
 	}
-	if len(r.Content) == 0 {
-		if err := in.pairs.End(); err != nil {
-			return Event{}, r.fail(err)
+	if len(rec.Content) == 0 {
+		if err := req.pairs.End(); err != nil {
+			return Event{}, rec.wrapError(err)
 		}
-		in.named = true
-		e := Event{Kind: Called, ID: r.ID, Params: in.params}
-		in.pairs, in.params = nil, nil
+		req.paramsEnded = true
+		e := Event{Kind: ParamsEnd, ID: rec.ID, Params: req.params}
+		req.pairs, req.params = nil, nil
 		return e, nil
 	}
-	if err := in.pairs.Feed(r.Content, func(name, value []byte) {
-		in.params = append(in.params, Param{string(name), string(value)})
+	if err := req.pairs.Feed(rec.Content, func(name, value []byte) {
+		req.params = append(req.params, Param{string(name), string(value)})
 	}); err != nil {
-		return Event{}, r.fail(err)
+		return Event{}, rec.wrapError(err)
 	}
 	return Event{}, nil
 }
 
-func (in *incoming) body(r Record) (Event, error) {
+func (req *incomingRequest) handleStdin(rec Record) (Event, error) {
 	switch {
-	case !in.named:
-		return Event{}, r.fail(ErrOrder)
-	case in.read:
-		return Event{}, r.fail(ErrEnded)
-	case len(r.Content) == 0:
-		in.read = true
-		return Event{Kind: BodyEnd, ID: r.ID}, nil
+	case !req.paramsEnded:
+		return Event{}, rec.wrapError(ErrParamsNotEnded)
+	case req.stdinEnded:
+		return Event{}, rec.wrapError(ErrStreamEnded)
+	case len(rec.Content) == 0:
+		req.stdinEnded = true
+		return Event{Kind: BodyEnd, ID: rec.ID}, nil
 	}
-	return Event{Kind: Body, ID: r.ID, Data: r.Content}, nil
+	return Event{Kind: Body, ID: rec.ID, Data: rec.Content}, nil
 }
 
 // Names that GET_VALUES may ask for (section 4.1).
@@ -156,23 +156,23 @@
 )
 
 // values answers what a connection can do; what an application holds in all is not known here.
-func (a *Application) values(r Record) error {
+func (a *Application) answerValues(rec Record) error {
 	var answer []byte
-	p := NewPairs(Limits{Bytes: maxContent, Count: maxContent})
-	asked := map[string]bool{}
-	err := p.Feed(r.Content, func(name, _ []byte) { asked[string(name)] = true })
+	pairs := NewPairs(PairLimits{Bytes: maxContent, Count: maxContent})
+	requested := map[string]bool{}
+	err := pairs.Feed(rec.Content, func(name, _ []byte) { requested[string(name)] = true })
 	if err == nil {
-		err = p.End()
+		err = pairs.End()
 	}
 	if err != nil {
-		return r.fail(err)
+		return rec.wrapError(err)
 	}
-	if asked[maxReqs] {
-		answer = AppendPair(answer, maxReqs, fmt.Sprint(a.bounds.Requests))
+	if requested[maxReqs] {
+		answer = AppendPair(answer, maxReqs, fmt.Sprint(a.limits.Requests))
 	}
-	if asked[mpxConns] {
+	if requested[mpxConns] {
 		multiplexes := "0"
-		if a.bounds.Requests > 1 {
+		if a.limits.Requests > 1 {
 			multiplexes = "1"
 		}
 		answer = AppendPair(answer, mpxConns, multiplexes)
@@ -182,16 +182,16 @@
 
 // Finish ends a request that is open and tells whether its connection stays: it does not where the web server has
 // left its close to the application (section 5.1, FCGI_KEEP_CONN).
-func (a *Application) Finish(id uint16, e End) (keep bool, err error) {
-	in := a.open[id]
-	if in == nil {
+func (a *Application) Finish(id uint16, end End) (keep bool, err error) {
+	req := a.requests[id]
+	if req == nil {
 		return false, fmt.Errorf("fastcgi: request %d is not open", id)
 	}
-	delete(a.open, id)
-	if e.Status == Complete {
+	delete(a.requests, id)
+	if end.Status == Complete {
 		if err := a.out.CloseStream(Stdout, id); err != nil {
 			return false, err
 		}
 	}
-	return in.keep, a.out.End(id, e)
+	return req.keepConn, a.out.End(id, end)
 }
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -12,209 +12,209 @@
 )
 
 // call is a request that is open.
-type call struct {
-	id   uint16
-	head validation.Head
-	in   validation.Request
-	body []byte
-	with *engine.Request // once the module has it
-	over bool            // its answer has been given, or nobody waits for it
-	left atomic.Bool     // aborted, or its connection has ended
-	gone chan struct{}
+type request struct {
+	id           uint16
+	head         validation.Head
+	checked      validation.Request
+	body         []byte
+	dispatched   *engine.Request // once the module has it
+	finished     bool            // its answer has been given, or nobody waits for it
+	disconnected atomic.Bool     // aborted, or its connection has ended
+	done         chan struct{}
 }
 
-func (c *client) event(r *call, e Event) {
+func (c *client) handleEvent(req *request, e Event) {
 	switch e.Kind {
-	case Called:
-		c.called(r, e.Params)
+	case ParamsEnd:
+		c.handleParams(req, e.Params)
 	case Body:
 		switch {
-		case len(r.body)+len(e.Data) > validation.MaxBody:
-			c.reject(r, errTooLong)
-		case r.head.Length >= 0 && int64(len(r.body)+len(e.Data)) > r.head.Length:
-			c.reject(r, errLength)
+		case len(req.body)+len(e.Data) > validation.MaxBody:
+			c.reject(req, errTooLong)
+		case req.head.Length >= 0 && int64(len(req.body)+len(e.Data)) > req.head.Length:
+			c.reject(req, errLengthMismatch)
 		default:
-			r.body = append(r.body, e.Data...)
+			req.body = append(req.body, e.Data...)
 		}
 	case BodyEnd:
-		if r.head.Length >= 0 && int64(len(r.body)) != r.head.Length {
-			c.reject(r, errLength)
+		if req.head.Length >= 0 && int64(len(req.body)) != req.head.Length {
+			c.reject(req, errLengthMismatch)
 			return
 		}
-		r.head.Length = int64(len(r.body))
-		c.whole()
-		c.ask(r)
+		req.head.Length = int64(len(req.body))
+		c.finishReading()
+		c.dispatch(req)
 	case Aborted:
-		r.left.Store(true)
-		if r.with == nil {
-			c.whole()
+		req.disconnected.Store(true)
+		if req.dispatched == nil {
+			c.finishReading()
 		} else {
-			r.with.Disconnect(c.front.clock.Now())
-			c.front.figures.Left()
+			req.dispatched.Disconnect(c.front.clock.Now())
+			c.front.counters.Left()
 		}
-		c.finish(r, End{App: 1})
+		c.finish(req, End{AppStatus: 1})
 	}
 }
 
 // called looks at a request's head.
-func (c *client) called(r *call, params []Param) {
-	head, no := headOf(c.front.listener, params)
-	if no != nil {
-		c.reject(r, no)
+func (c *client) handleParams(req *request, params []Param) {
+	head, rejected := parseHead(c.front.listener, params)
+	if rejected != nil {
+		c.reject(req, rejected)
 		return
 	}
-	r.head = head
+	req.head = head
 	if path, _, _ := strings.Cut(head.Target, "?"); path == "/health/ready" {
-		c.whole()
-		c.health(r)
+		c.finishReading()
+		c.respondHealth(req)
 		return
 	}
-	view := c.front.calls.Snapshot()
+	snapshot := c.front.dispatcher.Snapshot()
 	probe := head
 	probe.Length = max(0, head.Length)
-	in, err := validation.Check(view, &probe)
+	in, err := validation.Check(snapshot, &probe)
 	switch {
 	case err != nil:
-		c.reject(r, err)
+		c.reject(req, err)
 	case head.Length > validation.MaxBody:
-		c.reject(r, errTooLong)
+		c.reject(req, errTooLong)
 	}
-	r.in = in
+	req.checked = in
 }
 
 // ask has a request taken.
-func (c *client) ask(r *call) {
+func (c *client) dispatch(req *request) {
 	f := c.front
-	f.figures.Begin()
-	view := f.calls.Snapshot()
-	if !f.callers.Begin(c) {
-		c.answer(r, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()})
-		f.callers.End(c)
+	f.counters.Begin()
+	snapshot := f.dispatcher.Snapshot()
+	if !f.clients.Begin(c) {
+		c.respond(req, engine.Response{Kind: engine.Rejected, RetryAfter: snapshot.RetryAfter()})
+		f.clients.End(c)
 		return
 	}
-	r.in.Request.ClientDisconnected = func() bool { return c.hasLeft(r) }
-	with, err := validation.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
+	req.checked.Request.ClientDisconnected = func() bool { return c.isDisconnected(req) }
+	dispatched, err := validation.Take(f.dispatcher, snapshot, &req.head, req.checked, req.body, nil, f.clock.Now())
 	if err != nil {
-		f.figures.End(r.in.Class, metrics.Faulted)
-		c.say(r, wordsOf(err))
-		f.callers.End(c)
-		c.phase()
+		f.counters.End(req.checked.Class, metrics.Faulted)
+		c.respondText(req, errorResponse(err))
+		f.clients.End(c)
+		c.updatePhase()
 		return
 	}
-	r.with = with
-	c.owes(1)
-	go c.wait(r)
+	req.dispatched = dispatched
+	c.addUnanswered(1)
+	go c.awaitResponse(req)
 }
 
 // owes follows how many requests wait for an answer.
-func (c *client) owes(more int) {
-	c.state.Lock()
-	defer c.state.Unlock()
-	c.owed += more
+func (c *client) addUnanswered(delta int) {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	c.unanswered += delta
 }
 
 // wait gives a request its answer, unless nobody waits for it any more.
-func (c *client) wait(r *call) {
+func (c *client) awaitResponse(req *request) {
 	f := c.front
 	select {
-	case a := <-r.with.Response():
-		if a.Reply.Rest != nil {
-			c.owes(-1)
-			c.pass(r, a)
+	case resp := <-req.dispatched.Response():
+		if resp.Reply.Rest != nil {
+			c.addUnanswered(-1)
+			c.streamResponse(req, resp)
 			break
 		}
 		c.mu.Lock()
-		if !r.over {
-			c.answer(r, a)
+		if !req.finished {
+			c.respond(req, resp)
 			c.flush()
 		}
 		c.mu.Unlock()
-		c.owes(-1)
-	case <-r.gone:
-		c.owes(-1)
+		c.addUnanswered(-1)
+	case <-req.done:
+		c.addUnanswered(-1)
 	}
-	f.callers.End(c)
+	f.clients.End(c)
 	c.mu.Lock()
-	c.phase()
+	c.updatePhase()
 	c.mu.Unlock()
 }
 
 // answer gives a request an answer that is complete. The caller holds mu.
-func (c *client) answer(r *call, a engine.Response) {
-	c.front.figures.End(r.in.Class, validation.Result(a))
-	if a.Kind != engine.Served {
-		status, words := validation.Text(a)
-		c.say(r, said{status, words, validation.RetryAfter(a)})
+func (c *client) respond(req *request, resp engine.Response) {
+	c.front.counters.End(req.checked.Class, validation.Result(resp))
+	if resp.Kind != engine.Served {
+		status, text := validation.Text(resp)
+		c.respondText(req, textResponse{status, text, validation.RetryAfter(resp)})
 		return
 	}
-	c.out.Stream(Stdout, r.id, headText(200, a.Reply.ContentType, int64(len(a.Reply.Body)), ""))
-	c.out.Stream(Stdout, r.id, a.Reply.Body)
-	c.finish(r, End{})
+	c.out.Stream(Stdout, req.id, responseHeader(200, resp.Reply.ContentType, int64(len(resp.Reply.Body)), ""))
+	c.out.Stream(Stdout, req.id, resp.Reply.Body)
+	c.finish(req, End{})
 }
 
 // pass gives a request a long answer as it comes. One that breaks off ends with a status of the application that is
 // not 0, and short of its length if it had one, so that the web server can tell.
-func (c *client) pass(r *call, a engine.Response) {
-	defer a.Reply.Rest.Close()
-	put := func(p []byte) bool {
+func (c *client) streamResponse(req *request, resp engine.Response) {
+	defer resp.Reply.Rest.Close()
+	write := func(p []byte) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if r.over {
+		if req.finished {
 			return false
 		}
-		c.patience = stall
-		defer func() { c.patience = writeTimeout }()
-		return errors.Join(c.out.Stream(Stdout, r.id, p), c.out.Flush()) == nil
+		c.writeTimeout = streamWriteTimeout
+		defer func() { c.writeTimeout = writeTimeout }()
+		return errors.Join(c.out.Stream(Stdout, req.id, p), c.out.Flush()) == nil
 	}
-	on := put(headText(200, a.Reply.ContentType, a.Reply.Length, "")) && put(a.Reply.Body)
-	buf := make([]byte, passSize)
+	ok := write(responseHeader(200, resp.Reply.ContentType, resp.Reply.Length, "")) && write(resp.Reply.Body)
+	buf := make([]byte, streamBufferSize)
 	var err error
-	for on && err == nil {
+	for ok && err == nil {
 		var n int
-		n, err = a.Reply.Rest.Read(buf)
-		on = put(buf[:n])
+		n, err = resp.Reply.Rest.Read(buf)
+		ok = write(buf[:n])
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case r.over:
+	case req.finished:
 		return // an abort or the connection's end has counted it
-	case on && err == io.EOF:
-		c.front.figures.End(r.in.Class, metrics.Fulfilled)
-		c.finish(r, End{})
+	case ok && err == io.EOF:
+		c.front.counters.End(req.checked.Class, metrics.Fulfilled)
+		c.finish(req, End{})
 	default:
-		c.front.figures.End(r.in.Class, metrics.Faulted)
-		c.finish(r, End{App: 1})
+		c.front.counters.End(req.checked.Class, metrics.Faulted)
+		c.finish(req, End{AppStatus: 1})
 	}
 	c.flush()
 }
 
 // reject ends a request that can't be used; what still comes of it is passed over. The caller holds mu.
-func (c *client) reject(r *call, err error) {
-	c.whole()
-	c.say(r, wordsOf(err))
+func (c *client) reject(req *request, err error) {
+	c.finishReading()
+	c.respondText(req, errorResponse(err))
 }
 
 // say answers a request with a few words. The caller holds mu.
-func (c *client) say(r *call, s said) {
-	text := s.words + "\n"
-	c.out.Stream(Stdout, r.id, headText(s.status, "text/plain; charset=utf-8", int64(len(text)), s.retryAfter))
-	c.out.Stream(Stdout, r.id, []byte(text))
-	c.finish(r, End{})
+func (c *client) respondText(req *request, resp textResponse) {
+	text := resp.text + "\n"
+	c.out.Stream(Stdout, req.id, responseHeader(resp.status, "text/plain; charset=utf-8", int64(len(text)), resp.retryAfter))
+	c.out.Stream(Stdout, req.id, []byte(text))
+	c.finish(req, End{})
 }
 
 // finish ends a request, and the connection if it is not to be kept. The caller holds mu.
-func (c *client) finish(r *call, e End) {
-	r.over = true
-	close(r.gone)
-	delete(c.calls, r.id)
-	keep, err := c.app.Finish(r.id, e)
-	if !keep || c.front.closing.Load() || c.front.callers.NearLimit() {
-		c.ended = true
+func (c *client) finish(req *request, e End) {
+	req.finished = true
+	close(req.done)
+	delete(c.requests, req.id)
+	keep, err := c.app.Finish(req.id, e)
+	if !keep || c.front.closing.Load() || c.front.clients.NearLimit() {
+		c.closing = true
 	}
-	if err != nil || c.ended && len(c.calls) == 0 {
+	if err != nil || c.closing && len(c.requests) == 0 {
 		c.flush()
 		c.CutOff() // its reader ends, and closes it
 	}
-	c.phase()
+	c.updatePhase()
 }
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -7,44 +7,44 @@
 )
 
 // phase tells downstream.Set what the connection does. The caller holds mu.
-func (c *client) phase() {
-	for _, r := range c.calls {
-		if r.with != nil {
+func (c *client) updatePhase() {
+	for _, req := range c.requests {
+		if req.dispatched != nil {
 			return // Open, by Begin
 		}
 	}
-	if len(c.calls) > 0 {
-		c.front.callers.Move(c, downstream.Reading)
+	if len(c.requests) > 0 {
+		c.front.clients.Move(c, downstream.Reading)
 	} else {
-		c.front.callers.Move(c, downstream.Idle)
+		c.front.clients.Move(c, downstream.Idle)
 	}
 }
 
 // leave ends all that is open: the web server has gone, or can't be talked to any more.
-func (c *client) leave() {
+func (c *client) disconnectAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.calls {
-		if r.with != nil {
-			r.with.Disconnect(c.front.clock.Now())
-			c.front.figures.Left()
+	for _, req := range c.requests {
+		if req.dispatched != nil {
+			req.dispatched.Disconnect(c.front.clock.Now())
+			c.front.counters.Left()
 		}
-		r.over = true
-		r.left.Store(true)
-		close(r.gone)
+		req.finished = true
+		req.disconnected.Store(true)
+		close(req.done)
 	}
-	clear(c.calls)
+	clear(c.requests)
 }
 
 // CloseIdle implements downstream.Conn.
 func (c *client) CloseIdle() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if !c.midway && c.reading == 0 {
-		c.leaving = true
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if !c.midRecord && c.incomplete == 0 {
+		c.interrupted = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
-	return c.leaving
+	return c.interrupted
 }
 
 // Abort implements downstream.Conn.
@@ -52,36 +52,36 @@
 
 // CutOff implements downstream.Conn.
 func (c *client) CutOff() {
-	c.state.Lock()
-	defer c.state.Unlock()
-	c.leaving, c.cut = true, true
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	c.interrupted, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
 // IsCut implements downstream.Conn.
 func (c *client) IsCut() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.cut
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.cutOff
 }
 
 // HasBegun implements downstream.Conn.
 func (c *client) HasBegun() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.midway || c.reading > 0
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.midRecord || c.incomplete > 0
 }
 
 // Owes implements downstream.Conn.
 func (c *client) Owes() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.owed > 0
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.unanswered > 0
 }
 
 // Quiet implements downstream.Conn.
 func (c *client) Quiet() time.Duration {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return time.Since(c.heard)
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return time.Since(c.lastRead)
 }
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -17,35 +17,35 @@
 )
 
 // DefaultBounds are what a web server's connection may hold.
-func DefaultBounds() Bounds {
-	return Bounds{Requests: 64, Params: Limits{Bytes: 16 << 10, Count: 128}}
+func DefaultConnLimits() ConnLimits {
+	return ConnLimits{Requests: 64, Params: PairLimits{Bytes: 16 << 10, Count: 128}}
 }
 
 // Front serves web servers of one listener, as a responder: exactly one answer for each request taken.
 type Front struct {
-	listener string // its name in the configuration
-	clock    clock.Clock
-	calls    *dispatch.Dispatcher
-	callers  *downstream.Set
-	figures  *metrics.Set
-	log      *slog.Logger
-	bounds   Bounds
-	unread   time.Duration
-	part     time.Duration // for the next bytes of a request that has begun
-	unready  atomic.Bool
-	closing  atomic.Bool
+	listener        string // its name in the configuration
+	clock           clock.Clock
+	dispatcher      *dispatch.Dispatcher
+	clients         *downstream.Set
+	counters        *metrics.Set
+	log             *slog.Logger
+	limits          ConnLimits
+	unreadTimeout   time.Duration
+	progressTimeout time.Duration // for the next bytes of a request that has begun
+	draining        atomic.Bool
+	closing         atomic.Bool
 }
 
 // NewFront returns a Front that serves nobody before Serve.
-func NewFront(listener string, c clock.Clock, set *downstream.Set, requests *dispatch.Dispatcher, count *metrics.Set, log *slog.Logger) *Front {
-	return &Front{listener: listener, clock: c, calls: requests, callers: set, figures: count, log: log, bounds: DefaultBounds(), unread: unreadMost, part: partTimeout}
+func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Set, log *slog.Logger) *Front {
+	return &Front{listener: listener, clock: c, dispatcher: dispatcher, clients: clients, counters: counters, log: log, limits: DefaultConnLimits(), unreadTimeout: unreadTimeout, progressTimeout: progressTimeout}
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
 // error. What failures pass is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
 	for {
-		c, err := f.callers.Accept(ln)
+		c, err := f.clients.Accept(ln)
 		if err != nil {
 			return err
 		}
@@ -54,50 +54,50 @@
 }
 
 // SetReady has the health answer say from now on whether clients should be sent here.
-func (f *Front) SetReady(is bool) { f.unready.Store(!is) }
+func (f *Front) SetReady(ready bool) { f.draining.Store(!ready) }
 
 // SetClosing says whether each connection from now on ends with its last answer.
-func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
+func (f *Front) SetClosing(closing bool) { f.closing.Store(closing) }
 
 // CloseQuiet closes the connections on which nothing is asked. It returns how many are left.
-func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
+func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
 
 // health tells whoever asks whether to send clients here.
-func (c *client) health(r *call) {
+func (c *client) respondHealth(req *request) {
 	switch f := c.front; {
-	case r.head.Method != http.MethodGet && r.head.Method != http.MethodHead || r.head.Length > 0:
-		c.say(r, said{http.StatusMethodNotAllowed, "only GET is served", ""})
-	case f.unready.Load() || !f.calls.Snapshot().Ready():
-		c.say(r, said{http.StatusServiceUnavailable, "not ready", ""})
+	case req.head.Method != http.MethodGet && req.head.Method != http.MethodHead || req.head.Length > 0:
+		c.respondText(req, textResponse{http.StatusMethodNotAllowed, "only GET is served", ""})
+	case f.draining.Load() || !f.dispatcher.Snapshot().Ready():
+		c.respondText(req, textResponse{http.StatusServiceUnavailable, "not ready", ""})
 	default:
-		c.say(r, said{http.StatusOK, "ready", ""})
+		c.respondText(req, textResponse{http.StatusOK, "ready", ""})
 	}
 }
 
 // said is an answer that no server made.
-type said struct {
+type textResponse struct {
 	status     int
-	words      string
+	text       string
 	retryAfter string // empty: not said
 }
 
 // Reasons to turn a body away.
 var (
-	errTooLong = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
-	errLength  = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
+	errTooLong        = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errLengthMismatch = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
 )
 
 // wordsOf are for a request that can't be used, or whose listener has gone.
-func wordsOf(err error) said {
-	var no *validation.Rejected
-	if errors.As(err, &no) {
-		return said{no.Status, no.Reason, ""}
+func errorResponse(err error) textResponse {
+	var rejected *validation.Rejected
+	if errors.As(err, &rejected) {
+		return textResponse{rejected.Status, rejected.Reason, ""}
 	}
-	return said{http.StatusServiceUnavailable, err.Error(), "1"}
+	return textResponse{http.StatusServiceUnavailable, err.Error(), "1"}
 }
 
 // headText is an answer's head (RFC 3875 section 6.3). A negative length is not told.
-func headText(status int, contentType string, length int64, retryAfter string) []byte {
+func responseHeader(status int, contentType string, length int64, retryAfter string) []byte {
 	text := fmt.Appendf(nil, "Status: %d %s\r\n", status, http.StatusText(status))
 	if contentType != "" {
 		text = fmt.Appendf(text, "Content-Type: %s\r\n", contentType)
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -31,35 +31,35 @@
 )
 
 // rig is a FastCGI front over one pool of HTTP/1.1 servers.
-type rig struct {
+type testFront struct {
 	front   *Front
-	callers *downstream.Set
+	clients *downstream.Set
 	engine  *engine.Engine
-	back    *upstream.Pool
+	backend *upstream.Pool
 	ln      net.Listener
 }
 
-func startRig(t testing.TB, servers ...string) *rig {
+func startFront(t testing.TB, servers ...string) *testFront {
 	t.Helper()
-	return startBounded(t, DefaultBounds(), servers...)
+	return startFrontWithLimits(t, DefaultConnLimits(), servers...)
 }
 
-func startBounded(t testing.TB, bounds Bounds, servers ...string) *rig {
+func startFrontWithLimits(t testing.TB, bounds ConnLimits, servers ...string) *testFront {
 	t.Helper()
-	return startRigOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
+	return startFrontOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
 }
 
 // startRigOn has the front end listen on what wrap makes of its listener.
-func startRigOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds Bounds, servers ...string) *rig {
+func startFrontOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds ConnLimits, servers ...string) *testFront {
 	t.Helper()
 	cfg := testpeer.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, count := clock.New(), &metrics.Set{}
-	n := &rig{back: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
-	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
+	n := &testFront{backend: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
+	n.clients = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.backend.Connections)
 	var err error
-	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
+	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 		t.Fatal(err)
 	}
 	n.engine.RestoreList(list)
-	n.front = NewFront("main", c, n.callers, dispatch.New(view), count, log)
-	n.front.bounds = bounds
+	n.front = NewFront("main", c, n.clients, dispatch.New(view), count, log)
+	n.front.limits = bounds
 	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -82,19 +82,19 @@
 	over := make(chan struct{})
 	go func() { defer close(over); n.front.Serve(n.ln) }()
 	go n.engine.Run(ctx)
-	t.Cleanup(func() { n.ln.Close(); <-over; cancel(); n.back.Close() })
+	t.Cleanup(func() { n.ln.Close(); <-over; cancel(); n.backend.Close() })
 	return n
 }
 
 // webServer is a web server that a test drives.
-type webServer struct {
+type testWebServer struct {
 	net.Conn
 	*WebServer
 	out *Writer
 	in  *Reader
 }
 
-func connect(t testing.TB, n *rig) *webServer {
+func connect(t testing.TB, n *testFront) *testWebServer {
 	t.Helper()
 	c, err := net.Dial("tcp", n.ln.Addr().String())
 	if err != nil {
@@ -103,13 +103,13 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(2 * testpeer.Limit))
 	out := NewWriter(c)
-	w := &webServer{c, NewWebServer(out), out, NewReader(bufio.NewReader(c))}
-	w.most = 1000
+	w := &testWebServer{c, NewWebServer(out), out, NewReader(bufio.NewReader(c))}
+	w.maxRequests = 1000
 	return w
 }
 
 // variables are those of a request of one of the classes of testpeer.Config.
-func variables(method, target, id string, more ...string) []Param {
+func requestParams(method, target, id string, more ...string) []Param {
 	all := []Param{{"REQUEST_METHOD", method}, {"REQUEST_URI", target}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "h"},
 		{"HTTP_X_REQUEST_ID", id}, {"HTTP_X_DEADLINE", "60"}}
 	for i := 0; i < len(more); i += 2 {
@@ -119,7 +119,7 @@
 }
 
 // ask begins a request and sends its body whole.
-func (w *webServer) ask(t testing.TB, params []Param, body string) uint16 {
+func (w *testWebServer) sendRequest(t testing.TB, params []Param, body string) uint16 {
 	t.Helper()
 	id, err := w.Begin(params, true)
 	if err = errors.Join(err, w.Send(id, []byte(body)), w.CloseSend(id), w.out.Flush()); err != nil {
@@ -129,25 +129,25 @@
 }
 
 // answer is what a request came to.
-type answer struct {
+type testResponse struct {
 	text string // head and body
 	end  End
 }
 
-func (a answer) status() string {
+func (a testResponse) status() string {
 	return strings.TrimPrefix(strings.SplitN(a.text, "\r\n", 2)[0], "Status: ")
 }
-func (a answer) body() string { _, body, _ := strings.Cut(a.text, "\r\n\r\n"); return body }
+func (a testResponse) body() string { _, body, _ := strings.Cut(a.text, "\r\n\r\n"); return body }
 
 // hear reads until so many requests have ended.
-func (w *webServer) hear(t testing.TB, ends int) map[uint16]answer {
+func (w *testWebServer) receive(t testing.TB, ends int) map[uint16]testResponse {
 	t.Helper()
-	said, over := map[uint16]*bytes.Buffer{}, map[uint16]answer{}
+	said, over := map[uint16]*bytes.Buffer{}, map[uint16]testResponse{}
 	for len(over) < ends {
 		rec, err := w.in.Next()
 		var e Reply
 		if err == nil {
-			e, err = w.Take(rec)
+			e, err = w.HandleRecord(rec)
 		}
 		if err != nil {
 			t.Fatalf("after %d ends of %d: %v", len(over), ends, err)
@@ -159,13 +159,13 @@
 		case Output:
 			said[e.ID].Write(e.Data)
 		case Ended:
-			over[e.ID] = answer{said[e.ID].String(), e.End}
+			over[e.ID] = testResponse{said[e.ID].String(), e.End}
 		}
 	}
 	return over
 }
 
-func (w *webServer) wantClosed(t testing.TB, what string) {
+func (w *testWebServer) expectClosed(t testing.TB, what string) {
 	t.Helper()
 	if rec, err := w.in.Next(); err == nil {
 		t.Errorf("%s: %v of request %d", what, rec.Type, rec.ID)
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestVariablesBecomeARequest(t *testing.T) {
+func TestRequestFromVariables(t *testing.T) {
 	type seen struct {
 		r    *http.Request
 		body string
@@ -185,11 +185,11 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Other: x\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	})
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
-	id := w.ask(t, variables("POST", "/keyed/a%2fB?q=%20", "the-id", "HTTP_IDEMPOTENCY_KEY", "K+/=", "CONTENT_TYPE", "c/d", "CONTENT_LENGTH", "4",
+	id := w.sendRequest(t, requestParams("POST", "/keyed/a%2fB?q=%20", "the-id", "HTTP_IDEMPOTENCY_KEY", "K+/=", "CONTENT_TYPE", "c/d", "CONTENT_LENGTH", "4",
 		"HTTP_PROXY", "evil", "HTTP_CONTENT_LENGTH", "4"), "body")
-	a := w.hear(t, 1)[id]
+	a := w.receive(t, 1)[id]
 	if want := "Status: 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nok"; a.text != want || a.end != (End{}) {
 		t.Errorf("%q, %+v; want %q", a.text, a.end, want)
 	}
@@ -199,9 +199,9 @@
 		t.Errorf("%s %s %v %q", g.r.Method, g.r.RequestURI, g.r.Header, g.body)
 	}
 	// Without a REQUEST_URI, and without a length: what came is the body.
-	id = w.ask(t, []Param{{"REQUEST_METHOD", "POST"}, {"SCRIPT_NAME", "/note"}, {"PATH_INFO", "/a b"}, {"QUERY_STRING", "x=y"},
+	id = w.sendRequest(t, []Param{{"REQUEST_METHOD", "POST"}, {"SCRIPT_NAME", "/note"}, {"PATH_INFO", "/a b"}, {"QUERY_STRING", "x=y"},
 		{"HTTP_X_REQUEST_ID", "other"}, {"HTTP_X_DEADLINE", "60"}}, "no length")
-	if a := w.hear(t, 1)[id]; a.body() != "ok" {
+	if a := w.receive(t, 1)[id]; a.body() != "ok" {
 		t.Errorf("%q", a.text)
 	}
 	if g := testpeer.Receive(t, got, "the request"); g.r.RequestURI != "/note/a%20b?x=y" || g.body != "no length" {
@@ -209,9 +209,9 @@
 	}
 }
 
-func TestWhatCantBeUsedIsAnswered(t *testing.T) {
+func TestInvalidRequestsAreAnswered(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	for _, c := range []struct {
 		name   string
@@ -219,58 +219,58 @@
 		body   string
 		want   string
 	}{
-		{"a variable twice", variables("GET", "/view/k", "i", "REQUEST_METHOD", "GET"), "", "400 Bad Request"},
-		{"two lengths", variables("POST", "/note/k", "i", "CONTENT_LENGTH", "2", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
-		{"a header's length alone", variables("POST", "/note/k", "i", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
-		{"a coding", variables("POST", "/note/k", "i", "HTTP_TRANSFER_ENCODING", "chunked"), "ok", "400 Bad Request"},
-		{"names that fall together", variables("GET", "/view/k", "i", "HTTP_X-REQUEST-ID", "j"), "", "400 Bad Request"},
-		{"a small name", variables("GET", "/view/k", "i", "http_x_request_id", "j"), "", "400 Bad Request"},
-		{"a line's end", variables("GET", "/view/k", "i\r\nX-Evil: 1"), "", "400 Bad Request"},
-		{"no id", variables("GET", "/view/k", ""), "", "400 Bad Request"},
-		{"no class", variables("GET", "/none/k", "i"), "", "404 Not Found"},
-		{"another method", variables("PUT", "/note/k", "i"), "", "405 Method Not Allowed"},
-		{"a target with a space", variables("GET", "/view/k HTTP/1.1", "i"), "", "400 Bad Request"},
-		{"no target", variables("GET", "", "i"), "", "400 Bad Request"},
-		{"a body too long", variables("POST", "/note/k", "i", "CONTENT_LENGTH", "65537"), "", "413 Request Entity Too Large"},
-		{"a body too long without a length", variables("POST", "/note/k", "i"), strings.Repeat("x", 65537), "413 Request Entity Too Large"},
-		{"a length that is none", variables("POST", "/note/k", "i", "CONTENT_LENGTH", "-1"), "", "400 Bad Request"},
-		{"a body short of its length", variables("POST", "/note/k", "i", "CONTENT_LENGTH", "5"), "four", "400 Bad Request"},
-		{"a body beyond its length", variables("POST", "/note/k", "i", "CONTENT_LENGTH", "3"), "four", "400 Bad Request"},
-		{"GET with a body", variables("GET", "/view/k", "i", "CONTENT_LENGTH", "2"), "ok", "400 Bad Request"},
-		{"GET with a body that is not told", variables("GET", "/view/k", "i"), "ok", "400 Bad Request"},
+		{"a variable twice", requestParams("GET", "/view/k", "i", "REQUEST_METHOD", "GET"), "", "400 Bad Request"},
+		{"two lengths", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "2", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
+		{"a header's length alone", requestParams("POST", "/note/k", "i", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
+		{"a coding", requestParams("POST", "/note/k", "i", "HTTP_TRANSFER_ENCODING", "chunked"), "ok", "400 Bad Request"},
+		{"names that fall together", requestParams("GET", "/view/k", "i", "HTTP_X-REQUEST-ID", "j"), "", "400 Bad Request"},
+		{"a small name", requestParams("GET", "/view/k", "i", "http_x_request_id", "j"), "", "400 Bad Request"},
+		{"a line's end", requestParams("GET", "/view/k", "i\r\nX-Evil: 1"), "", "400 Bad Request"},
+		{"no id", requestParams("GET", "/view/k", ""), "", "400 Bad Request"},
+		{"no class", requestParams("GET", "/none/k", "i"), "", "404 Not Found"},
+		{"another method", requestParams("PUT", "/note/k", "i"), "", "405 Method Not Allowed"},
+		{"a target with a space", requestParams("GET", "/view/k HTTP/1.1", "i"), "", "400 Bad Request"},
+		{"no target", requestParams("GET", "", "i"), "", "400 Bad Request"},
+		{"a body too long", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "65537"), "", "413 Request Entity Too Large"},
+		{"a body too long without a length", requestParams("POST", "/note/k", "i"), strings.Repeat("x", 65537), "413 Request Entity Too Large"},
+		{"a length that is none", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "-1"), "", "400 Bad Request"},
+		{"a body short of its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "5"), "four", "400 Bad Request"},
+		{"a body beyond its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "3"), "four", "400 Bad Request"},
+		{"GET with a body", requestParams("GET", "/view/k", "i", "CONTENT_LENGTH", "2"), "ok", "400 Bad Request"},
+		{"GET with a body that is not told", requestParams("GET", "/view/k", "i"), "ok", "400 Bad Request"},
 	} {
-		id := w.ask(t, c.params, c.body)
-		if a := w.hear(t, 1)[id]; a.status() != c.want || a.end != (End{}) {
+		id := w.sendRequest(t, c.params, c.body)
+		if a := w.receive(t, 1)[id]; a.status() != c.want || a.end != (End{}) {
 			t.Errorf("%s: %q, %+v; want %s", c.name, a.text, a.end, c.want)
 		}
 	}
 	if s.Seen() != 0 {
 		t.Errorf("%d requests reached the server", s.Seen())
 	}
-	id := w.ask(t, variables("GET", "/view/k", "good"), "")
-	if a := w.hear(t, 1)[id]; a.body() != "for good" {
+	id := w.sendRequest(t, requestParams("GET", "/view/k", "good"), "")
+	if a := w.receive(t, 1)[id]; a.body() != "for good" {
 		t.Errorf("the connection after all that: %q", a.text)
 	}
-	for name, requests := range map[string][]step{
-		"an id in use":      {begin(5, Responder), begin(5, Responder)},
+	for name, requests := range map[string][]writeFunc{
+		"an id in use":      {beginRequest(5, Responder), beginRequest(5, Responder)},
 		"a broken record":   {func(w *Writer) error { w.buf = append(w.buf, "\x02what"...); return nil }},
-		"PARAMS of 2 GB":    {begin(5, Responder), stream(Params, 5, "\xff\xff\xff\xff\x01x")},
-		"too many PARAMS":   {begin(5, Responder), stream(Params, 5, strings.Repeat("\x00\x00", 200))},
-		"an answer to none": {ended(5, Complete)},
+		"PARAMS of 2 GB":    {beginRequest(5, Responder), streamData(Params, 5, "\xff\xff\xff\xff\x01x")},
+		"too many PARAMS":   {beginRequest(5, Responder), streamData(Params, 5, strings.Repeat("\x00\x00", 200))},
+		"an answer to none": {endRequest(5, Complete)},
 	} {
 		w := connect(t, n)
-		w.Write(written(t, requests...))
+		w.Write(encode(t, requests...))
 		if name == "a broken record" {
 			w.Conn.(*net.TCPConn).CloseWrite()
 		}
-		w.wantClosed(t, name)
+		w.expectClosed(t, name)
 	}
-	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Open() == 1 })
+	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.clients.Open() == 1 })
 }
 
 // Fifty requests on one connection, of which some are aborted while servers have them: each ends once, the others are
 // served, nothing unsafe runs twice, and the aborted ones' ids may be used again at once.
-func TestFiftyRequestsSomeAborted(t *testing.T) {
+func TestMultiplexedRequestsWithAborts(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan string, 100)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
@@ -284,18 +284,18 @@
 	for i := range 8 {
 		servers = append(servers, testpeer.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
 	}
-	n := startBounded(t, Bounds{Requests: 50, Params: DefaultBounds().Params}, servers...)
+	n := startFrontWithLimits(t, ConnLimits{Requests: 50, Params: DefaultConnLimits().Params}, servers...)
 	w := connect(t, n)
 	asked := map[uint16]string{}
 	for i := range 50 {
 		name := fmt.Sprint("held-", i)
-		asked[w.ask(t, variables("POST", "/note/k", name, "CONTENT_LENGTH", "2"), "ok")] = name
+		asked[w.sendRequest(t, requestParams("POST", "/note/k", name, "CONTENT_LENGTH", "2"), "ok")] = name
 	}
 	for range 50 {
 		testpeer.Receive(t, got, "an attempt")
 	}
-	late := w.ask(t, variables("GET", "/view/k", "late"), "")
-	if a := w.hear(t, 1)[late]; a.end.Status != Overloaded {
+	late := w.sendRequest(t, requestParams("GET", "/view/k", "late"), "")
+	if a := w.receive(t, 1)[late]; a.end.Status != Overloaded {
 		t.Errorf("one too many: %+v", a)
 	}
 	aborted := map[uint16]bool{}
@@ -307,20 +307,20 @@
 	}
 	w.out.Abort(999) // never begun
 	w.out.Flush()
-	for id, a := range w.hear(t, len(aborted)) {
-		if !aborted[id] || a.text != "" || a.end != (End{App: 1}) {
+	for id, a := range w.receive(t, len(aborted)) {
+		if !aborted[id] || a.text != "" || a.end != (End{AppStatus: 1}) {
 			t.Errorf("aborted %v: %+v", aborted[id], a)
 		}
 	}
-	again := w.ask(t, variables("GET", "/view/k", "again"), "")
+	again := w.sendRequest(t, requestParams("GET", "/view/k", "again"), "")
 	if !aborted[again] {
 		t.Errorf("id %d", again)
 	}
-	if a := w.hear(t, 1)[again]; a.body() != "for again" {
+	if a := w.receive(t, 1)[again]; a.body() != "for again" {
 		t.Errorf("an id used again: %q", a.text)
 	}
 	close(hold)
-	for id, a := range w.hear(t, 50-len(aborted)) {
+	for id, a := range w.receive(t, 50-len(aborted)) {
 		if a.body() != "for "+asked[id] || a.end != (End{}) {
 			t.Errorf("%s: %+v", asked[id], a)
 		}
@@ -331,11 +331,11 @@
 			t.Errorf("%s ran twice", id)
 		}
 	}
-	testpeer.Until(t, "nothing to be open", func() bool { return n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0 })
+	testpeer.Until(t, "nothing to be open", func() bool { return n.engine.Status().Open == 0 && n.front.counters.Report().Open == 0 })
 }
 
 // A web server that goes with requests out: their attempts end, and nothing is left.
-func TestAWebServerThatGoes(t *testing.T) {
+func TestWebServerDisconnectsWithOpenRequests(t *testing.T) {
 	got, gone := make(chan struct{}, 10), make(chan struct{}, 10)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
@@ -343,20 +343,20 @@
 		gone <- struct{}{}
 		return false
 	})
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	for i := range 5 {
-		w.ask(t, variables("POST", "/note/k", fmt.Sprint("out-", i)), "x")
+		w.sendRequest(t, requestParams("POST", "/note/k", fmt.Sprint("out-", i)), "x")
 		testpeer.Receive(t, got, "the attempt")
 	}
-	w.Begin(variables("POST", "/note/k", "half"), true)
+	w.Begin(requestParams("POST", "/note/k", "half"), true)
 	w.out.Flush()
 	w.Close()
 	for range 5 {
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
 	testpeer.Until(t, "nothing to be left", func() bool {
-		return n.callers.Open() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
+		return n.clients.Open() == 0 && n.engine.Status().Open == 0 && n.front.counters.Report().Open == 0
 	})
 	if s.Seen() != 5 {
 		t.Errorf("%d requests", s.Seen())
@@ -364,7 +364,7 @@
 }
 
 // Long answers pass through, whole or so that the web server can tell.
-func TestLongAnswersThroughFastCGI(t *testing.T) {
+func TestLongResponsesAreStreamed(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 1<<16)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
@@ -375,29 +375,29 @@
 		io.WriteString(c, text)
 		return true
 	})
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
-	complete, cut := w.ask(t, variables("GET", "/view/k", "whole"), ""), w.ask(t, variables("GET", "/view/k?cut", "cut"), "")
-	heard := w.hear(t, 2)
+	complete, cut := w.sendRequest(t, requestParams("GET", "/view/k", "whole"), ""), w.sendRequest(t, requestParams("GET", "/view/k?cut", "cut"), "")
+	heard := w.receive(t, 2)
 	if a := heard[complete]; a.body() != text || a.end != (End{}) {
 		t.Errorf("%d bytes, %+v", len(a.body()), a.end)
 	}
-	if a := heard[cut]; len(a.body()) >= len(text) || a.end.App == 0 {
+	if a := heard[cut]; len(a.body()) >= len(text) || a.end.AppStatus == 0 {
 		t.Errorf("cut: %d bytes, %+v", len(a.body()), a.end)
 	}
-	if r := n.front.figures.Report(); r.Fulfilled["view"] != 1 || r.Faulted["view"] != 1 {
+	if r := n.front.counters.Report(); r.Fulfilled["view"] != 1 || r.Faulted["view"] != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestReadyAndEnd(t *testing.T) {
+func TestReadinessAndConnectionClose(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
 	ready := func(want string) {
 		t.Helper()
-		id := w.ask(t, []Param{{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/health/ready"}}, "")
-		if a := w.hear(t, 1)[id]; a.status() != want {
+		id := w.sendRequest(t, []Param{{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/health/ready"}}, "")
+		if a := w.receive(t, 1)[id]; a.status() != want {
 			t.Errorf("%q, want %s", a.text, want)
 		}
 	}
@@ -407,29 +407,29 @@
 	n.front.SetReady(true)
 
 	once := connect(t, n)
-	id, _ := once.Begin(variables("GET", "/view/k", "once"), false)
+	id, _ := once.Begin(requestParams("GET", "/view/k", "once"), false)
 	once.CloseSend(id)
 	once.out.Flush()
-	if a := once.hear(t, 1)[id]; a.body() != "for once" {
+	if a := once.receive(t, 1)[id]; a.body() != "for once" {
 		t.Errorf("%q", a.text)
 	}
-	once.wantClosed(t, "a connection that was not to be kept")
+	once.expectClosed(t, "a connection that was not to be kept")
 
 	idle := connect(t, n)
-	idle.hear(t, 0)
-	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Open() == 2 })
+	idle.receive(t, 0)
+	testpeer.Until(t, "the idle one to be there", func() bool { return n.clients.Open() == 2 })
 	n.front.SetClosing(true)
-	id = w.ask(t, variables("GET", "/view/k", "last"), "")
-	if a := w.hear(t, 1)[id]; a.body() != "for last" {
+	id = w.sendRequest(t, requestParams("GET", "/view/k", "last"), "")
+	if a := w.receive(t, 1)[id]; a.body() != "for last" {
 		t.Errorf("%q", a.text)
 	}
-	w.wantClosed(t, "a connection behind its last answer")
+	w.expectClosed(t, "a connection behind its last answer")
 	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.CloseQuiet() == 0 })
-	idle.wantClosed(t, "a quiet connection")
+	idle.expectClosed(t, "a quiet connection")
 }
 
 // Refused, with a time to come back; failed where a server may have run it.
-func TestAnswersThatNoServerMade(t *testing.T) {
+func TestRejectedAndFailedResponses(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "full" {
 			_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
@@ -438,10 +438,10 @@
 		_, err := io.WriteString(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	n := startRig(t, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
-	full, fails := w.ask(t, variables("POST", "/note/k", "full"), ""), w.ask(t, variables("POST", "/note/k", "fails"), "")
-	heard := w.hear(t, 2)
+	full, fails := w.sendRequest(t, requestParams("POST", "/note/k", "full"), ""), w.sendRequest(t, requestParams("POST", "/note/k", "fails"), "")
+	heard := w.receive(t, 2)
 	if a := heard[full]; a.status() != "503 Service Unavailable" || !strings.Contains(a.text, "\r\nRetry-After: ") {
 		t.Errorf("%q", a.text)
 	}
@@ -454,7 +454,7 @@
 func BenchmarkIdleConnections(b *testing.B) {
 	const held = 500
 	s := testpeer.NewServer(b, testpeer.Echo)
-	n := startRig(b, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(b, testpeer.Entry("s1", s.Address(), "in_service"))
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -467,7 +467,7 @@
 			}
 			quiet = append(quiet, c)
 		}
-		testpeer.Until(b, "all to be there", func() bool { return n.callers.Open() == held })
+		testpeer.Until(b, "all to be there", func() bool { return n.clients.Open() == held })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// The test's own side of each connection is among it.
@@ -475,23 +475,23 @@
 		for _, c := range quiet {
 			c.Close()
 		}
-		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Open() == 0 })
+		testpeer.Until(b, "all to be gone", func() bool { return n.clients.Open() == 0 })
 	}
 }
 
 // BenchmarkCalls passes small requests from one FastCGI connection to an HTTP/1.1 server, one after another and 16 at once.
-func BenchmarkCalls(b *testing.B) {
+func BenchmarkRequests(b *testing.B) {
 	s := testpeer.NewServer(b, testpeer.Echo)
-	n := startRig(b, testpeer.Entry("s1", s.Address(), "in_service"))
+	n := startFront(b, testpeer.Entry("s1", s.Address(), "in_service"))
 	for _, at := range []int{1, 16} {
 		b.Run(fmt.Sprint(at, " at once"), func(b *testing.B) {
 			w := connect(b, n)
 			b.ReportAllocs()
 			for i := 0; i < b.N; i += at {
 				for k := range at {
-					w.ask(b, variables("GET", "/view/k", fmt.Sprint(i, "-", k)), "")
+					w.sendRequest(b, requestParams("GET", "/view/k", fmt.Sprint(i, "-", k)), "")
 				}
-				w.hear(b, at)
+				w.receive(b, at)
 			}
 		})
 	}
@@ -524,7 +524,7 @@
 
 // A write that ends within a record ends its connection, and the requests on it as their web server's going does: the answers that
 // would follow would be read as the rest of that record.
-func TestAWriteThatFailsEndsItsConnection(t *testing.T) {
+func TestFailedWriteClosesConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS, syscall.EPIPE} {
 		hold, got := make(chan struct{}), make(chan string, 2)
 		gone := make(chan struct{})
@@ -540,58 +540,58 @@
 			return false
 		})
 		var fails atomic.Uint32
-		n := startRigOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &fails} }, DefaultBounds(),
+		n := startFrontOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &fails} }, DefaultConnLimits(),
 			testpeer.Entry("s1", s.Address(), "in_service"))
 		w := connect(t, n)
-		w.ask(t, variables("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
+		w.sendRequest(t, requestParams("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
 		testpeer.Receive(t, got, "the first attempt")
-		w.ask(t, variables("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
+		w.sendRequest(t, requestParams("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
 		testpeer.Receive(t, got, "the second attempt")
 		fails.Store(uint32(errno))
 		close(hold)
 		testpeer.Receive(t, gone, "the other attempt's end")
-		w.wantClosed(t, errno.Error())
-		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Open() == 0 })
+		w.expectClosed(t, errno.Error())
+		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Open() == 0 })
 	}
 }
 
 // timedConn tells of each write whether a deadline was set since the one before.
-type timedConn struct {
+type deadlineConn struct {
 	net.Conn
-	timed  *atomic.Bool
-	writes chan bool
+	deadlineSet *atomic.Bool
+	writes      chan bool
 }
 
-func (c timedConn) SetWriteDeadline(t time.Time) error {
-	c.timed.Store(true)
+func (c deadlineConn) SetWriteDeadline(t time.Time) error {
+	c.deadlineSet.Store(true)
 	return c.Conn.SetWriteDeadline(t)
 }
 
-func (c timedConn) Write(p []byte) (int, error) {
-	c.writes <- c.timed.Swap(false)
+func (c deadlineConn) Write(p []byte) (int, error) {
+	c.writes <- c.deadlineSet.Swap(false)
 	return c.Conn.Write(p)
 }
 
-type timedListener struct {
+type deadlineListener struct {
 	net.Listener
 	writes chan bool
 }
 
-func (l timedListener) Accept() (net.Conn, error) {
+func (l deadlineListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return timedConn{c, new(atomic.Bool), l.writes}, err
+	return deadlineConn{c, new(atomic.Bool), l.writes}, err
 }
 
 // An answer that takes two writes has its time for each of them, however long ago the last one on its connection was.
-func TestEachWriteOfAnAnswerHasItsTime(t *testing.T) {
+func TestEachWriteGetsFullTimeout(t *testing.T) {
 	long := strings.Repeat("x", maxContent)
 	s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return testpeer.Reply200(c, long) })
 	writes := make(chan bool, 100)
-	n := startRigOn(t, func(ln net.Listener) net.Listener { return timedListener{ln, writes} }, DefaultBounds(),
+	n := startFrontOn(t, func(ln net.Listener) net.Listener { return deadlineListener{ln, writes} }, DefaultConnLimits(),
 		testpeer.Entry("s1", s.Address(), "in_service"))
 	w := connect(t, n)
-	id := w.ask(t, variables("GET", "/view/k", "long"), "")
-	if a := w.hear(t, 1)[id]; a.body() != long {
+	id := w.sendRequest(t, requestParams("GET", "/view/k", "long"), "")
+	if a := w.receive(t, 1)[id]; a.body() != long {
 		t.Errorf("%d bytes came", len(a.body()))
 	}
 	if len(writes) < 2 {
--- a/internal/fastcgi/pairs_test.go
+++ b/internal/fastcgi/pairs_test.go
@@ -20,7 +20,7 @@
 	return seen, err
 }
 
-func TestPairsInPiecesOfEverySize(t *testing.T) {
+func TestPairsInChunksOfEverySize(t *testing.T) {
 	var text []byte
 	var want []string
 	for _, p := range [][2]string{{"", ""}, {"A", ""}, {"", "b"}, {strings.Repeat("n", 127), strings.Repeat("v", 128)},
@@ -31,7 +31,7 @@
 	// A short length may be given in four bytes too.
 	text = append(text, "\x80\x00\x00\x01\x80\x00\x00\x02Zzz"...)
 	want = append(want, "Z=zz")
-	p := NewPairs(Limits{Bytes: 2000, Count: len(want)})
+	p := NewPairs(PairLimits{Bytes: 2000, Count: len(want)})
 	for size := 1; size <= len(text); size++ {
 		p.Reset()
 		if got, err := feed(p, text, size); err != nil || strings.Join(got, "|") != strings.Join(want, "|") {
@@ -40,23 +40,23 @@
 	}
 }
 
-func TestBadPairsAreNamed(t *testing.T) {
+func TestPairErrorsReportPosition(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		limits     Limits
+		limits     PairLimits
 		want       error
 		says       string
 	}{
-		{"a length that promises 2 GB", "\xff\xff\xff\xff\x01x", Limits{100, 10}, ErrPairLong, "pair 1 at byte 0 of its stream: a name of 2147483647 and a value of 1 bytes"},
-		{"lengths that only together are too long", "\x40\x40", Limits{100, 10}, ErrPairLong, "which is 100"},
-		{"pairs that only together are too long", "\x02\x02nameX", Limits{5, 10}, nil, ""},
-		{"one too long behind another", "\x01\x01ab\x02\x02name", Limits{5, 10}, ErrPairLong, "pair 2 at byte 4"},
-		{"too many", "\x00\x00\x00\x00\x00\x00", Limits{5, 2}, ErrPairCount, "pair 3 at byte 4"},
-		{"half a length", "\x01\x80\x00", Limits{5, 2}, ErrPairCut, "pair 1 at byte 0"},
-		{"half a value", "\x01\x02nv", Limits{5, 2}, ErrPairCut, "pair 1 at byte 0"},
+		{"a length that promises 2 GB", "\xff\xff\xff\xff\x01x", PairLimits{100, 10}, ErrPairsTooLong, "pair 1 at byte 0 of its stream: a name of 2147483647 and a value of 1 bytes"},
+		{"lengths that only together are too long", "\x40\x40", PairLimits{100, 10}, ErrPairsTooLong, "which is 100"},
+		{"pairs that only together are too long", "\x02\x02nameX", PairLimits{5, 10}, nil, ""},
+		{"one too long behind another", "\x01\x01ab\x02\x02name", PairLimits{5, 10}, ErrPairsTooLong, "pair 2 at byte 4"},
+		{"too many", "\x00\x00\x00\x00\x00\x00", PairLimits{5, 2}, ErrTooManyPairs, "pair 3 at byte 4"},
+		{"half a length", "\x01\x80\x00", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
+		{"half a value", "\x01\x02nv", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
 	} {
 		if c.want == nil {
-			c.want, c.says = ErrPairCut, "pair 2 at byte 6"
+			c.want, c.says = ErrTruncatedPair, "pair 2 at byte 6"
 		}
 		for size := 1; size <= len(c.text); size++ {
 			p := NewPairs(c.limits)
@@ -67,8 +67,8 @@
 			if again := p.Feed([]byte("\x00\x00"), nil); again != err {
 				t.Errorf("%s: then %v", c.name, again)
 			}
-			if len(p.part) > c.limits.Bytes+8 {
-				t.Errorf("%s: %d bytes are kept", c.name, len(p.part))
+			if len(p.partial) > c.limits.Bytes+8 {
+				t.Errorf("%s: %d bytes are kept", c.name, len(p.partial))
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	f.Add([]byte("\xff\xff\xff\xff\x01x"), uint8(3))
 	f.Add([]byte("\x80\x00\x00\x01\x80\x00\x00\x02Zzz\x00"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
-		limits := Limits{Bytes: 300, Count: 5}
+		limits := PairLimits{Bytes: 300, Count: 5}
 		complete, err1 := feed(NewPairs(limits), text, len(text)+1)
 		pieces, err2 := feed(NewPairs(limits), text, int(size)+1)
 		if strings.Join(complete, "\x00") != strings.Join(pieces, "\x00") || fmt.Sprint(err1) != fmt.Sprint(err2) {
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -44,7 +44,7 @@
 
 // management says that records of the type are of the connection, with id 0, and not of a request (section 3.3).
 // Types that are not known may be either.
-func (t Type) management() bool { return t >= GetValues && t <= UnknownType }
+func (t Type) isManagement() bool { return t >= GetValues && t <= UnknownType }
 
 // Role is what a request wants of its application (section 6.1).
 type Role uint16
@@ -92,12 +92,12 @@
 
 // What can be wrong with a record.
 var (
-	ErrVersion    = errors.New("its version is not 1")
-	ErrManagement = errors.New("a management record bears a request's id")
-	ErrNoRequest  = errors.New("a request's record bears the id 0")
-	ErrType       = errors.New("no record of a request has this type")
-	ErrBody       = errors.New("its content has not the 8 bytes that it must have")
-	ErrCut        = errors.New("the stream ends within it")
+	ErrVersion      = errors.New("its version is not 1")
+	ErrManagementID = errors.New("a management record bears a request's id")
+	ErrZeroID       = errors.New("a request's record bears the id 0")
+	ErrUnknownType  = errors.New("no record of a request has this type")
+	ErrInvalidBody  = errors.New("its content has not the 8 bytes that it must have")
+	ErrTruncated    = errors.New("the stream ends within it")
 )
 
 // Record is one record. Its Content is the reader's, until the next one is read.
@@ -109,7 +109,7 @@
 }
 
 // fail names the record in an error.
-func (r Record) fail(err error) error { return &Error{r.Offset, r.Type, r.ID, err} }
+func (r Record) wrapError(err error) error { return &Error{r.Offset, r.Type, r.ID, err} }
 
 // Begin is the body of BEGIN_REQUEST (section 5.1).
 type Begin struct {
@@ -120,21 +120,21 @@
 // Begin reads the record's body.
 func (r Record) Begin() (Begin, error) {
 	if r.Type != BeginRequest || len(r.Content) != bodySize {
-		return Begin{}, r.fail(ErrBody)
+		return Begin{}, r.wrapError(ErrInvalidBody)
 	}
 	return Begin{Role(binary.BigEndian.Uint16(r.Content)), r.Content[2]&keepConn != 0}, nil
 }
 
 // End is the body of END_REQUEST (section 5.5).
 type End struct {
-	App    uint32 // the application's status
-	Status Status
+	AppStatus uint32 // the application's status
+	Status    Status
 }
 
 // End reads the record's body.
 func (r Record) End() (End, error) {
 	if r.Type != EndRequest || len(r.Content) != bodySize {
-		return End{}, r.fail(ErrBody)
+		return End{}, r.wrapError(ErrInvalidBody)
 	}
 	return End{binary.BigEndian.Uint32(r.Content), Status(r.Content[4])}, nil
 }
@@ -143,9 +143,9 @@
 type Reader struct {
 	in     io.Reader
 	offset int64
-	head   [headerSize]byte
+	header [headerSize]byte
 	buf    []byte
-	failed error
+	err    error
 }
 
 // NewReader reads records from in, which had better be buffered.
@@ -155,65 +155,65 @@
 // names the record; every later request returns the same. Records of types that are not known come with id 0 only, for
 // these have an answer (section 4.2).
 func (r *Reader) Next() (Record, error) {
-	if r.failed != nil {
-		return Record{}, r.failed
+	if r.err != nil {
+		return Record{}, r.err
 	}
 	rec, err := r.next()
 	if err != nil {
-		r.failed = err
+		r.err = err
 	}
 	return rec, err
 }
 
 func (r *Reader) next() (Record, error) {
 	rec := Record{Offset: r.offset}
-	n, err := io.ReadFull(r.in, r.head[:])
+	n, err := io.ReadFull(r.in, r.header[:])
 	r.offset += int64(n)
 	switch {
 	case n == 0 && err == io.EOF:
 		return rec, io.EOF
 	case n > 1:
-		rec.Type = Type(r.head[1])
+		rec.Type = Type(r.header[1])
 	}
 	if err != nil {
-		return rec, rec.fail(cut(err))
+		return rec, rec.wrapError(truncated(err))
 	}
-	rec.ID = binary.BigEndian.Uint16(r.head[2:])
+	rec.ID = binary.BigEndian.Uint16(r.header[2:])
 	switch {
-	case r.head[0] != version:
-		return rec, rec.fail(fmt.Errorf("%w but %d", ErrVersion, r.head[0]))
-	case rec.Type.management() && rec.ID != 0:
-		return rec, rec.fail(ErrManagement)
-	case rec.Type.Known() && !rec.Type.management() && rec.ID == 0:
-		return rec, rec.fail(ErrNoRequest)
+	case r.header[0] != version:
+		return rec, rec.wrapError(fmt.Errorf("%w but %d", ErrVersion, r.header[0]))
+	case rec.Type.isManagement() && rec.ID != 0:
+		return rec, rec.wrapError(ErrManagementID)
+	case rec.Type.Known() && !rec.Type.isManagement() && rec.ID == 0:
+		return rec, rec.wrapError(ErrZeroID)
 	case !rec.Type.Known() && rec.ID != 0:
-		return rec, rec.fail(ErrType)
+		return rec, rec.wrapError(ErrUnknownType)
 	}
-	length := int(binary.BigEndian.Uint16(r.head[4:]))
-	size := length + int(r.head[6]) // the padding is read with it and thrown away
+	length := int(binary.BigEndian.Uint16(r.header[4:]))
+	size := length + int(r.header[6]) // the padding is read with it and thrown away
 	if cap(r.buf) < size {
-		r.buf = make([]byte, roundUp(size))
+		r.buf = make([]byte, bufferSize(size))
 	}
 	n, err = io.ReadFull(r.in, r.buf[:size])
 	if r.offset += int64(n); err != nil {
-		return rec, rec.fail(cut(err))
+		return rec, rec.wrapError(truncated(err))
 	}
 	rec.Content = r.buf[:length]
 	return rec, nil
 }
 
 // roundUp keeps buffers to a few sizes: most records are small, and some as long as they can be.
-func roundUp(size int) int {
-	for room := 512; ; room *= 4 {
-		if size <= room {
-			return room
+func bufferSize(size int) int {
+	for capacity := 512; ; capacity *= 4 {
+		if size <= capacity {
+			return capacity
 		}
 	}
 }
 
-func cut(err error) error {
+func truncated(err error) error {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
-		return ErrCut
+		return ErrTruncated
 	}
 	return err
 }
@@ -227,7 +227,7 @@
 }
 
 // flushAt is how much is kept at most before it is written.
-const flushAt = 64 << 10
+const maxBuffered = 64 << 10
 
 // NewWriter writes records to out. Nothing is written before Flush but what would be too much to keep.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
@@ -246,12 +246,12 @@
 }
 
 // record keeps one record, padded to a multiple of 8 bytes (section 3.3 recommends it).
-func (w *Writer) record(t Type, id uint16, content []byte) error {
+func (w *Writer) writeRecord(t Type, id uint16, content []byte) error {
 	if w.err != nil {
 		return w.err
 	}
 	padding := -len(content) & 7
-	if len(w.buf)+headerSize+len(content)+padding > flushAt {
+	if len(w.buf)+headerSize+len(content)+padding > maxBuffered {
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -272,26 +272,26 @@
 	if b.Keep {
 		body[2] = keepConn
 	}
-	return w.record(BeginRequest, id, body[:])
+	return w.writeRecord(BeginRequest, id, body[:])
 }
 
 // Abort asks for a request's end.
-func (w *Writer) Abort(id uint16) error { return w.record(AbortRequest, id, nil) }
+func (w *Writer) Abort(id uint16) error { return w.writeRecord(AbortRequest, id, nil) }
 
 // End ends a request.
 func (w *Writer) End(id uint16, e End) error {
 	var body [bodySize]byte
-	binary.BigEndian.PutUint32(body[:], e.App)
+	binary.BigEndian.PutUint32(body[:], e.AppStatus)
 	body[4] = byte(e.Status)
-	return w.record(EndRequest, id, body[:])
+	return w.writeRecord(EndRequest, id, body[:])
 }
 
 // Stream writes bytes of a stream, in as many records as they need; none for no bytes, which would end it.
 func (w *Writer) Stream(t Type, id uint16, p []byte) error {
-	const most = maxContent &^ 7 // needs no padding
+	const maxChunk = maxContent &^ 7 // needs no padding
 	for len(p) > 0 {
-		n := min(len(p), most)
-		if err := w.record(t, id, p[:n]); err != nil {
+		n := min(len(p), maxChunk)
+		if err := w.writeRecord(t, id, p[:n]); err != nil {
 			return err
 		}
 		p = p[n:]
@@ -300,17 +300,17 @@
 }
 
 // CloseStream ends a stream (section 3.3: a record without content).
-func (w *Writer) CloseStream(t Type, id uint16) error { return w.record(t, id, nil) }
+func (w *Writer) CloseStream(t Type, id uint16) error { return w.writeRecord(t, id, nil) }
 
 // Values asks for values, or answers with them, as pairs that AppendPair has made.
 func (w *Writer) Values(t Type, pairs []byte) error {
 	if len(pairs) > maxContent {
 		return fmt.Errorf("fastcgi: %v: %d bytes of pairs, at most %d fit in", t, len(pairs), maxContent)
 	}
-	return w.record(t, 0, pairs)
+	return w.writeRecord(t, 0, pairs)
 }
 
 // Unknown answers a management record of a type that is not known (section 4.2).
 func (w *Writer) Unknown(t Type) error {
-	return w.record(UnknownType, 0, []byte{byte(t), 0, 0, 0, 0, 0, 0, 0})
+	return w.writeRecord(UnknownType, 0, []byte{byte(t), 0, 0, 0, 0, 0, 0, 0})
 }
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -11,7 +11,7 @@
 )
 
 // written is what a writer makes of requests.
-func written(t testing.TB, requests ...func(*Writer) error) []byte {
+func encode(t testing.TB, requests ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
@@ -28,7 +28,7 @@
 
 // exchange is a request and its answer, with all that a connection may carry beside them.
 func exchange(t testing.TB, body int) []byte {
-	return written(t,
+	return encode(t,
 		func(w *Writer) error { return w.Values(GetValues, AppendPair(nil, "FCGI_MPXS_CONNS", "")) },
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
 		func(w *Writer) error { return w.Begin(0x1234, Begin{Role: Filter}) },
@@ -41,12 +41,12 @@
 		func(w *Writer) error { return w.CloseStream(Stdin, 1) },
 		func(w *Writer) error { return w.Stream(Stdout, 1, []byte("Status: 200 OK\r\n\r\nok")) },
 		func(w *Writer) error { return w.Stream(Stderr, 1, []byte("!")) },
-		func(w *Writer) error { return w.End(1, End{App: 0xfffffffe, Status: Overloaded}) },
+		func(w *Writer) error { return w.End(1, End{AppStatus: 0xfffffffe, Status: Overloaded}) },
 		func(w *Writer) error { return w.Unknown(77) })
 }
 
 // script tells records in words.
-func script(r *Reader) (lines []string, err error) {
+func recordLines(r *Reader) (lines []string, err error) {
 	for {
 		rec, err := r.Next()
 		if err != nil {
@@ -59,13 +59,13 @@
 			line += fmt.Sprintf(" role %d keep %v %v", b.Role, b.Keep, err)
 		case EndRequest:
 			e, err := rec.End()
-			line += fmt.Sprintf(" app %#x status %d %v", e.App, e.Status, err)
+			line += fmt.Sprintf(" app %#x status %d %v", e.AppStatus, e.Status, err)
 		}
 		lines = append(lines, line)
 	}
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestWriterOutputIsReadBack(t *testing.T) {
 	want := strings.Split(`GET_VALUES 0 17 bytes
 BEGIN_REQUEST 1 8 bytes role 1 keep true <nil>
 BEGIN_REQUEST 4660 8 bytes role 3 keep false <nil>
@@ -85,7 +85,7 @@
 		t.Errorf("%d bytes: records are padded to a multiple of 8", len(text))
 	}
 	for name, in := range map[string]io.Reader{"whole": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
-		got, err := script(NewReader(in))
+		got, err := recordLines(NewReader(in))
 		if err != io.EOF || strings.Join(got, "\n") != strings.Join(want, "\n") {
 			t.Errorf("%s: %v\n%s", name, err, strings.Join(got, "\n"))
 		}
@@ -93,20 +93,20 @@
 }
 
 // A record that can't be is named with its type, its request and its place, and nothing is read behind it.
-func TestBadRecordsAreNamed(t *testing.T) {
-	before := written(t, func(w *Writer) error { return w.Abort(9) })
+func TestRecordErrorsReportPosition(t *testing.T) {
+	before := encode(t, func(w *Writer) error { return w.Abort(9) })
 	for _, c := range []struct {
 		name, record string
 		want         error
 		says         string
 	}{
 		{"another version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: its version is not 1 but 2"},
-		{"a management record of a request", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagement, "GET_VALUES of request 1 at byte 8"},
-		{"a request's record of none", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrNoRequest, "PARAMS of request 0 at byte 8"},
-		{"an unknown type of a request", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrType, "type 99 of request 5 at byte 8"},
-		{"half a header", "\x01\x05\x00", ErrCut, "STDIN of request 0 at byte 8"},
-		{"half a content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrCut, "STDIN of request 2 at byte 8"},
-		{"half a padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrCut, "STDIN of request 2 at byte 8"},
+		{"a management record of a request", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagementID, "GET_VALUES of request 1 at byte 8"},
+		{"a request's record of none", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrZeroID, "PARAMS of request 0 at byte 8"},
+		{"an unknown type of a request", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrUnknownType, "type 99 of request 5 at byte 8"},
+		{"half a header", "\x01\x05\x00", ErrTruncated, "STDIN of request 0 at byte 8"},
+		{"half a content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
+		{"half a padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
 	} {
 		r := NewReader(strings.NewReader(string(before) + c.record))
 		if _, err := r.Next(); err != nil {
@@ -129,32 +129,32 @@
 		if rec.Type == EndRequest {
 			_, bad = rec.End()
 		}
-		if !errors.Is(bad, ErrBody) {
+		if !errors.Is(bad, ErrInvalidBody) {
 			t.Errorf("%v of %d bytes: %v", rec.Type, len(rec.Content), bad)
 		}
 	}
 }
 
 // An unknown management record, a thousand empty ones and padding of 255 are no reason to end.
-func TestOddRecordsAreRead(t *testing.T) {
+func TestReaderAcceptsUnusualRecords(t *testing.T) {
 	text := "\x01\x63\x00\x00\x00\x02\xff\x00ab" + strings.Repeat("p", 255) + strings.Repeat("\x01\x05\x00\x03\x00\x00\x00\x00", 1000)
-	got, err := script(NewReader(strings.NewReader(text)))
+	got, err := recordLines(NewReader(strings.NewReader(text)))
 	if err != io.EOF || len(got) != 1001 || got[0] != "type 99 0 2 bytes" || got[1000] != "STDIN 3 0 bytes" {
 		t.Errorf("%d records, %v, the first %q", len(got), err, got[:1])
 	}
 }
 
-func TestSteadyPathAllocatesNothing(t *testing.T) {
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	text := exchange(t, 150000)
 	in := bytes.NewReader(text)
 	r := NewReader(in)
 	w := NewWriter(io.Discard)
-	pairs := NewPairs(Limits{Bytes: 1 << 16, Count: 100})
+	pairs := NewPairs(PairLimits{Bytes: 1 << 16, Count: 100})
 	text = text[:len(text):len(text)]
 	round := func() {
 		in.Reset(text)
 		r.offset = 0
-		r.failed = nil
+		r.err = nil
 		pairs.Reset()
 		for {
 			rec, err := r.Next()
@@ -197,7 +197,7 @@
 				break
 			}
 			first = append(first, fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content))
-			if err := w.record(rec.Type, rec.ID, rec.Content); err != nil {
+			if err := w.writeRecord(rec.Type, rec.ID, rec.Content); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -217,7 +217,7 @@
 
 // BenchmarkExchange reads and writes a small request's records.
 func BenchmarkExchange(b *testing.B) {
-	text := written(b,
+	text := encode(b,
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
 		func(w *Writer) error {
 			var pairs []byte
@@ -233,12 +233,12 @@
 	in := bytes.NewReader(text)
 	r := NewReader(in)
 	w := NewWriter(io.Discard)
-	pairs := NewPairs(Limits{Bytes: 1 << 16, Count: 100})
+	pairs := NewPairs(PairLimits{Bytes: 1 << 16, Count: 100})
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
 		in.Reset(text)
-		r.failed = nil
+		r.err = nil
 		pairs.Reset()
 		for {
 			rec, err := r.Next()
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -12,67 +12,67 @@
 )
 
 // fromHeader begins the names of variables that were headers (RFC 3875 section 4.1.18).
-const fromHeader = "HTTP_"
+const headerPrefix = "HTTP_"
 
 // headOf reads a request's head from its CGI variables (RFC 3875 section 4.1). What could be read in two ways is
 // rejected: a variable that comes twice, headers whose names fall together once they are variables, a length
 // beside another one, line ends in a value.
-func headOf(listener string, params []Param) (validation.Head, *validation.Rejected) {
-	bad := func(reason string) (validation.Head, *validation.Rejected) {
+func parseHead(listener string, params []Param) (validation.Head, *validation.Rejected) {
+	badRequest := func(reason string) (validation.Head, *validation.Rejected) {
 		return validation.Head{}, &validation.Rejected{Status: http.StatusBadRequest, Reason: reason}
 	}
 	vars := make(map[string]string, len(params))
 	headers := http.Header{}
 	for _, p := range params {
-		if _, twice := vars[p.Name]; twice {
-			return bad("a variable comes twice")
+		if _, duplicate := vars[p.Name]; duplicate {
+			return badRequest("a variable comes twice")
 		}
 		if strings.ContainsAny(p.Value, "\r\n\x00") {
-			return bad("a variable's value has a line's end")
+			return badRequest("a variable's value has a line's end")
 		}
 		vars[p.Name] = p.Value
-		if len(p.Name) < len(fromHeader) || !strings.EqualFold(p.Name[:len(fromHeader)], fromHeader) {
+		if len(p.Name) < len(headerPrefix) || !strings.EqualFold(p.Name[:len(headerPrefix)], headerPrefix) {
 			continue
 		}
 		if strings.Trim(p.Name, "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_") != "" {
-			return bad("a header's variable has a name that is none")
+			return badRequest("a header's variable has a name that is none")
 		}
 		if p.Name != "HTTP_PROXY" { // no header, but what some programs take for a setting
-			name := strings.ReplaceAll(p.Name[len(fromHeader):], "_", "-")
+			name := strings.ReplaceAll(p.Name[len(headerPrefix):], "_", "-")
 			headers[textproto.CanonicalMIMEHeaderKey(name)] = []string{p.Value}
 		}
 	}
 	if headers.Get("Transfer-Encoding") != "" {
-		return bad("a body has no transfer coding here")
+		return badRequest("a body has no transfer coding here")
 	}
 	for _, name := range []string{"CONTENT_LENGTH", "CONTENT_TYPE"} {
-		if v, also := vars[fromHeader+name]; also && v != vars[name] {
-			return bad(name + " and its header differ")
+		if v, ok := vars[headerPrefix+name]; ok && v != vars[name] {
+			return badRequest(name + " and its header differ")
 		}
 	}
-	h := validation.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
+	head := validation.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
 		Type: vars["CONTENT_TYPE"], Length: -1, Headers: headers,
 		ID: headers.Values("X-Request-Id"), Wait: headers.Values("X-Deadline"), Key: headers.Values("Idempotency-Key")}
-	if h.Host == "" {
-		h.Host = vars["SERVER_NAME"]
+	if head.Host == "" {
+		head.Host = vars["SERVER_NAME"]
 	}
-	if text := vars["CONTENT_LENGTH"]; text != "" {
-		n, err := strconv.ParseUint(text, 10, 62)
+	if length := vars["CONTENT_LENGTH"]; length != "" {
+		n, err := strconv.ParseUint(length, 10, 62)
 		if err != nil {
-			return bad("CONTENT_LENGTH is no number")
+			return badRequest("CONTENT_LENGTH is no number")
 		}
-		h.Length = int64(n)
-	} else if h.Method == http.MethodGet {
-		h.Length = 0
+		head.Length = int64(n)
+	} else if head.Method == http.MethodGet {
+		head.Length = 0
 	}
-	if h.Target = vars["REQUEST_URI"]; h.Target == "" {
-		h.Target = (&url.URL{Path: vars["SCRIPT_NAME"] + vars["PATH_INFO"]}).EscapedPath()
-		if q := vars["QUERY_STRING"]; q != "" {
-			h.Target += "?" + q
+	if head.Target = vars["REQUEST_URI"]; head.Target == "" {
+		head.Target = (&url.URL{Path: vars["SCRIPT_NAME"] + vars["PATH_INFO"]}).EscapedPath()
+		if query := vars["QUERY_STRING"]; query != "" {
+			head.Target += "?" + query
 		}
 	}
-	if _, err := url.ParseRequestURI(h.Target); err != nil || strings.ContainsAny(h.Target, " #") {
-		return bad("the target is none")
+	if _, err := url.ParseRequestURI(head.Target); err != nil || strings.ContainsAny(head.Target, " #") {
+		return badRequest("the target is none")
 	}
-	return h, nil
+	return head, nil
 }
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -14,7 +14,7 @@
 )
 
 // heard gives a web server a stream of records and tells what it comes to, line by line.
-func heard(t testing.TB, s *WebServer, text []byte) (lines string, failed error) {
+func webServerLines(t testing.TB, s *WebServer, text []byte) (lines string, failed error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(text))
 	var all []string
@@ -25,7 +25,7 @@
 		}
 		var e Reply
 		if err == nil {
-			e, err = s.Take(rec)
+			e, err = s.HandleRecord(rec)
 		}
 		if failed = err; err != nil {
 			break
@@ -35,18 +35,18 @@
 			all = append(all, fmt.Sprintf("%d says %q", e.ID, e.Data))
 		case OutputEnd:
 			all = append(all, fmt.Sprintf("%d has said all", e.ID))
-		case Complaint:
+		case ErrorOutput:
 			all = append(all, fmt.Sprintf("%d complains %q", e.ID, e.Data))
 		case Ended:
-			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", e.ID, e.End.Status, e.Whole, e.Unrun()))
-		case Learned:
-			all = append(all, fmt.Sprintf("room for %d", s.Room()))
+			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", e.ID, e.End.Status, e.OutputComplete, e.NotStarted()))
+		case ValuesReceived:
+			all = append(all, fmt.Sprintf("room for %d", s.Available()))
 		}
 	}
 	return strings.Join(all, "\n"), failed
 }
 
-func values(pairs ...string) step {
+func valuesResult(pairs ...string) writeFunc {
 	var text []byte
 	for i := 0; i < len(pairs); i += 2 {
 		text = AppendPair(text, pairs[i], pairs[i+1])
@@ -54,15 +54,15 @@
 	return func(w *Writer) error { return w.Values(GetValuesResult, text) }
 }
 
-func ended(id uint16, status Status) step {
+func endRequest(id uint16, status Status) writeFunc {
 	return func(w *Writer) error { return w.End(id, End{Status: status}) }
 }
 
 // began is a web server with requests 1 to n begun, those whose bodies are to be complete closed.
-func began(t *testing.T, n int, complete bool) *WebServer {
+func startWebServer(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
 	s := NewWebServer(NewWriter(io.Discard))
-	s.most = n
+	s.maxRequests = n
 	for range n {
 		id, err := s.Begin(nil, true)
 		if err != nil {
@@ -81,42 +81,42 @@
 	for _, c := range []struct {
 		name  string
 		whole bool // bodies are sent complete
-		calls []step
+		calls []writeFunc
 		want  string
 	}{
-		{"two answers interleaved", true, []step{stream(Stdout, 1, "a"), stream(Stdout, 2, "b"), stream(Stderr, 2, "!"), closed(Stderr, 2),
-			stream(Stdout, 1, "c"), closed(Stdout, 1), ended(1, Complete), closed(Stdout, 2), ended(2, Complete)},
+		{"two answers interleaved", true, []writeFunc{streamData(Stdout, 1, "a"), streamData(Stdout, 2, "b"), streamData(Stderr, 2, "!"), closeStream(Stderr, 2),
+			streamData(Stdout, 1, "c"), closeStream(Stdout, 1), endRequest(1, Complete), closeStream(Stdout, 2), endRequest(2, Complete)},
 			"1 says \"a\"\n2 says \"b\"\n2 complains \"!\"\n1 says \"c\"\n1 has said all\n1 ended, status 0, whole true, unrun false\n" +
 				"2 has said all\n2 ended, status 0, whole true, unrun false"},
-		{"ended without the end of STDOUT", true, []step{stream(Stdout, 1, "a"), ended(1, Complete)}, "1 says \"a\"\n1 ended, status 0, whole false, unrun false"},
-		{"turned away", true, []step{ended(1, Overloaded), ended(2, CantMultiplex)},
+		{"ended without the end of STDOUT", true, []writeFunc{streamData(Stdout, 1, "a"), endRequest(1, Complete)}, "1 says \"a\"\n1 ended, status 0, whole false, unrun false"},
+		{"turned away", true, []writeFunc{endRequest(1, Overloaded), endRequest(2, CantMultiplex)},
 			"1 ended, status 2, whole false, unrun true\n2 ended, status 1, whole false, unrun true"},
-		{"another role", true, []step{ended(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
-		{"ended before the body was whole", false, []step{closed(Stdout, 1), ended(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
-		{"knows no values", true, []step{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
+		{"another role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
+		{"ended before the body was whole", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
+		{"knows no values", true, []writeFunc{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
 	} {
-		if got, err := heard(t, began(t, 2, c.whole), written(t, c.calls...)); err != nil || got != c.want {
+		if got, err := webServerLines(t, startWebServer(t, 2, c.whole), encode(t, c.calls...)); err != nil || got != c.want {
 			t.Errorf("%s: %v\n%s\nwant\n%s", c.name, err, got, c.want)
 		}
 	}
 }
 
-func TestWhatSpillsEndsTheConnection(t *testing.T) {
+func TestWebServerRejectsInvalidRecordSequences(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		calls []step
+		calls []writeFunc
 		want  error
 	}{
-		{"a record of no request", []step{stream(Stdout, 3, "x")}, ErrSpill},
-		{"a record behind the end", []step{ended(1, Complete), stream(Stdout, 1, "x")}, ErrSpill},
-		{"an end behind the end", []step{ended(1, Complete), ended(1, Complete)}, ErrSpill},
-		{"STDOUT behind its end", []step{closed(Stdout, 1), stream(Stdout, 1, "x")}, ErrEnded},
-		{"a request", []step{begin(5, Responder)}, ErrDirection},
-		{"a status that does not exist", []step{ended(1, 9)}, ErrBody},
-		{"half an END_REQUEST", []step{func(w *Writer) error { return w.record(EndRequest, 1, []byte("half")) }}, ErrBody},
-		{"values that are cut", []step{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrPairCut},
+		{"a record of no request", []writeFunc{streamData(Stdout, 3, "x")}, ErrUnknownRequest},
+		{"a record behind the end", []writeFunc{endRequest(1, Complete), streamData(Stdout, 1, "x")}, ErrUnknownRequest},
+		{"an end behind the end", []writeFunc{endRequest(1, Complete), endRequest(1, Complete)}, ErrUnknownRequest},
+		{"STDOUT behind its end", []writeFunc{closeStream(Stdout, 1), streamData(Stdout, 1, "x")}, ErrStreamEnded},
+		{"a request", []writeFunc{beginRequest(5, Responder)}, ErrWrongDirection},
+		{"a status that does not exist", []writeFunc{endRequest(1, 9)}, ErrInvalidBody},
+		{"half an END_REQUEST", []writeFunc{func(w *Writer) error { return w.writeRecord(EndRequest, 1, []byte("half")) }}, ErrInvalidBody},
+		{"values that are cut", []writeFunc{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrTruncatedPair},
 	} {
-		_, err := heard(t, began(t, 1, true), written(t, c.calls...))
+		_, err := webServerLines(t, startWebServer(t, 1, true), encode(t, c.calls...))
 		var e *Error
 		if !errors.Is(err, c.want) || !errors.As(err, &e) {
 			t.Errorf("%s: %v", c.name, err)
@@ -126,22 +126,22 @@
 
 // One request at a time until the application says otherwise, and as many as it says; ids that are free are used
 // again, that of an aborted request only once it has ended.
-func TestRoomOnAConnection(t *testing.T) {
+func TestWebServerCapacityAndIDReuse(t *testing.T) {
 	s := NewWebServer(NewWriter(io.Discard))
 	one, err := s.Begin(nil, true)
-	if err != nil || one != 1 || s.Room() != 0 {
-		t.Fatalf("id %d, %v, room %d", one, err, s.Room())
+	if err != nil || one != 1 || s.Available() != 0 {
+		t.Fatalf("id %d, %v, room %d", one, err, s.Available())
 	}
-	if _, err := s.Begin(nil, true); !errors.Is(err, ErrFull) {
+	if _, err := s.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("a second one: %v", err)
 	}
 	for _, c := range []struct{ said, want string }{
-		{written2(t, values(mpxConns, "1", maxReqs, "3")), "room for 2"},
-		{written2(t, values(mpxConns, "0", maxReqs, "3")), "room for 0"},
-		{written2(t, values(mpxConns, "1", maxReqs, "many")), "room for 0"},
-		{written2(t, values(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "3")), "room for 2"},
+		{encodeString(t, valuesResult(mpxConns, "0", maxReqs, "3")), "room for 0"},
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "many")), "room for 0"},
+		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
 	} {
-		if got, err := heard(t, s, []byte(c.said)); err != nil || got != c.want {
+		if got, err := webServerLines(t, s, []byte(c.said)); err != nil || got != c.want {
 			t.Errorf("%q, %v; want %q", got, err, c.want)
 		}
 	}
@@ -153,7 +153,7 @@
 	if three != 3 {
 		t.Errorf("id %d while an aborted one is open", three)
 	}
-	got, err := heard(t, s, written(t, stream(Stdout, one, "late"), ended(one, Complete)))
+	got, err := webServerLines(t, s, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
 	if err != nil || got != "1 ended, status 0, whole false, unrun false" {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-func written2(t testing.TB, requests ...step) string { return string(written(t, requests...)) }
+func encodeString(t testing.TB, requests ...writeFunc) string { return string(encode(t, requests...)) }
 
 // The standard library's responder as an application not written here: what goes out is understood, bodies of
 // several records among it, and what comes back is what it was told to answer.
@@ -189,7 +189,7 @@
 	w := NewWriter(c)
 	s, r := NewWebServer(w), NewReader(c)
 	for i := range 3 {
-		if err := s.Ask(); err != nil {
+		if err := s.RequestValues(); err != nil {
 			t.Fatal(err)
 		}
 		id, err := s.Begin([]Param{{"REQUEST_METHOD", "POST"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"REQUEST_URI", "/add-note/k?q"},
@@ -206,7 +206,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := s.Take(rec)
+			e, err := s.HandleRecord(rec)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -214,7 +214,7 @@
 			case Output:
 				answer.Write(e.Data)
 			case Ended:
-				if over = true; e.Unrun() || !e.Whole || e.End != (End{}) {
+				if over = true; e.NotStarted() || !e.OutputComplete || e.End != (End{}) {
 					t.Errorf("%+v", e)
 				}
 			}
@@ -228,12 +228,12 @@
 
 // Whatever an application sends, no reply is of a request that is not open, and each ends once.
 func FuzzWebServer(f *testing.F) {
-	f.Add(written(f, stream(Stdout, 1, "Status: 200\r\n\r\nok"), closed(Stdout, 1), ended(1, Complete)))
-	f.Add(written(f, values(mpxConns, "1", maxReqs, "50"), stream(Stderr, 2, "!"), ended(2, Overloaded), ended(1, 9)))
+	f.Add(encode(f, streamData(Stdout, 1, "Status: 200\r\n\r\nok"), closeStream(Stdout, 1), endRequest(1, Complete)))
+	f.Add(encode(f, valuesResult(mpxConns, "1", maxReqs, "50"), streamData(Stderr, 2, "!"), endRequest(2, Overloaded), endRequest(1, 9)))
 	f.Add([]byte("\x01\x0a\x00\x00\x00\x03\x00\x00\x80\xff\xff"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := NewWebServer(NewWriter(io.Discard))
-		s.most = 3
+		s.maxRequests = 3
 		open := map[uint16]bool{}
 		for range 3 {
 			id, err := s.Begin([]Param{{"A", "b"}}, true)
@@ -249,7 +249,7 @@
 			if err != nil {
 				return
 			}
-			e, err := s.Take(rec)
+			e, err := s.HandleRecord(rec)
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
@@ -258,7 +258,7 @@
 				return
 			}
 			switch {
-			case e.Kind != None && e.Kind != Learned && !open[e.ID]:
+			case e.Kind != NoReply && e.Kind != ValuesReceived && !open[e.ID]:
 				t.Fatalf("%+v of a request that is not open", e)
 			case e.Kind == Output && e.ID == 2:
 				t.Fatalf("%+v of a request that was aborted", e)
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -35,7 +35,7 @@
 		rec, err := in.Next()
 		var e fastcgi.Reply
 		if err == nil {
-			e, err = s.Take(rec)
+			e, err = s.HandleRecord(rec)
 		}
 		if err != nil {
 			t.Fatal(err)
