--- a/internal/fastcgi/application.go
+++ b/internal/fastcgi/application.go
@@ -5,45 +5,45 @@
 	"fmt"
 )
 
-// Bounds are what an Application holds for one connection at most.
+// ConnLimits bound what an Application holds for one connection.
 type ConnLimits struct {
-	Requests int // open at once; more are OVERLOADED
+	Requests int // open at once; others are answered with OVERLOADED
 	Params   PairLimits
 }
 
-// Application is the application's side of one connection: it takes what a web server sends and tells what that
-// comes to. It does no I/O: what the protocol itself has to answer it gives to its Writer, which its owner flushes.
+// Application is the application side of one connection: it turns the records of a web server into events. It does
+// no I/O: answers that the protocol itself requires go to its Writer, which the owner flushes.
 //
-// Ids are the web server's, and free again once their request has ended. Records for an id that is not open are
-// passed over, as section 3.3 asks: the web server may have sent them before it heard of the end. Whatever else does
-// not fit ends the connection, with an *Error that names the record; requests that are open are not ended by it.
+// The web server chooses the ids, and an id is free again once its request has ended. Records for an id that is not
+// open are ignored, as section 3.3 requires: the web server may have sent them before it received END_REQUEST. Any
+// other invalid record ends the connection with an *Error that names the record, but does not end open requests.
 type Application struct {
 	limits   ConnLimits
 	out      *Writer
 	requests map[uint16]*incomingRequest
 }
 
-// incoming is a request that was begun.
+// incomingRequest is the protocol state of an open request.
 type incomingRequest struct {
 	pairs       *Pairs
 	params      []Param
 	keepConn    bool
-	paramsEnded bool // its PARAMS have ended
-	stdinEnded  bool // and its STDIN
+	paramsEnded bool
+	stdinEnded  bool
 }
 
-// Param is a name and its value.
+// Param is a name-value pair of PARAMS.
 type Param struct{ Name, Value string }
 
-// What does not fit.
+// Errors of records that are not allowed in the state of their request.
 var (
-	ErrIDInUse        = errors.New("its id is that of a request that is open")
-	ErrStreamEnded    = errors.New("its stream has ended")
-	ErrParamsNotEnded = errors.New("it comes before the end of PARAMS")
-	ErrWrongDirection = errors.New("only the other side may send it")
+	ErrIDInUse        = errors.New("a request with this id is already open")
+	ErrStreamEnded    = errors.New("record after the end of its stream")
+	ErrParamsNotEnded = errors.New("record before the end of PARAMS")
+	ErrWrongDirection = errors.New("record type of the other side")
 )
 
-// Kind is what a record comes to.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // Kinds of events.
@@ -52,26 +52,26 @@
 	ParamsEnd           // PARAMS are complete
 	Body                // a part of STDIN
 	BodyEnd
-	Aborted // the web server wants the request's end; End is still owed
+	Aborted // the web server has asked to end the request; Finish must still be called
 )
 
-// Event is what a record comes to.
+// Event is the result of a record.
 type Event struct {
 	Kind   EventKind
 	ID     uint16
-	Params []Param // for Called
-	Data   []byte  // for Body; the reader's, until the next record is read
+	Params []Param // for ParamsEnd
+	Data   []byte  // for Body; valid until the next record is read
 }
 
-// NewApplication answers with out what the protocol answers by itself.
+// NewApplication returns an Application without open requests, which writes its answers to out.
 func NewApplication(b ConnLimits, out *Writer) *Application {
 	return &Application{limits: b, out: out, requests: map[uint16]*incomingRequest{}}
 }
 
-// Open is how many requests are open.
+// Open returns the number of open requests.
 func (a *Application) Open() int { return len(a.requests) }
 
-// Take takes the next record.
+// HandleRecord processes the next record. An error is an *Error, or one of the Writer.
 func (a *Application) HandleRecord(rec Record) (Event, error) {
 	switch rec.Type {
 	case BeginRequest:
@@ -96,7 +96,7 @@
 	case Stdin:
 		return req.handleStdin(rec)
 	}
-	return Event{}, nil // DATA is for filters, and a responder has no use for it
+	return Event{}, nil // DATA is sent to filters only, and a responder ignores it
 }
 
 func (a *Application) beginRequest(rec Record) error {
@@ -149,13 +149,14 @@
 	return Event{Kind: Body, ID: rec.ID, Data: rec.Content}, nil
 }
 
-// Names that GET_VALUES may ask for (section 4.1).
+// Names of GET_VALUES variables (section 4.1).
 const (
 	maxReqs  = "FCGI_MAX_REQS"
 	mpxConns = "FCGI_MPXS_CONNS"
 )
 
-// values answers what a connection can do; what an application holds in all is not known here.
+// answerValues answers GET_VALUES with the limits of one connection, as the limits of the whole application are not
+// known here.
 func (a *Application) answerValues(rec Record) error {
 	var answer []byte
 	pairs := NewPairs(PairLimits{Bytes: maxContent, Count: maxContent})
@@ -180,12 +181,12 @@
 	return a.out.Values(GetValuesResult, answer)
 }
 
-// Finish ends a request that is open and tells whether its connection stays: it does not where the web server has
-// left its close to the application (section 5.1, FCGI_KEEP_CONN).
+// Finish ends an open request and reports whether to keep the connection. Without FCGI_KEEP_CONN (section 5.1) the
+// application closes it.
 func (a *Application) Finish(id uint16, end End) (keep bool, err error) {
 	req := a.requests[id]
 	if req == nil {
-		return false, fmt.Errorf("fastcgi: request %d is not open", id)
+		return false, fmt.Errorf("fastcgi: finish request %d: the request is not open", id)
 	}
 	delete(a.requests, id)
 	if end.Status == Complete {
--- a/internal/fastcgi/application_test.go
+++ b/internal/fastcgi/application_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// play gives an application a stream of records and tells what it comes to, line by line, and what is answered.
+// runApplication passes a stream of records to an application. It returns its events and its answers, one per line.
 func runApplication(t testing.TB, b ConnLimits, text []byte) (events, answers string, app *Application, failed error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -63,8 +63,8 @@
 
 var testLimits = ConnLimits{Requests: 3, Params: PairLimits{Bytes: 1000, Count: 10}}
 
-// Requests on one connection, interleaved, with ids that come again, roles that nobody has, one too many, aborts of
-// what is open and of what is not, and records for what has ended.
+// Covers interleaved requests, unsupported roles, a request over the limit, aborts of open and unknown requests, and
+// records of requests that are not open.
 func TestApplicationScripts(t *testing.T) {
 	pair := string(AppendPair(nil, "A", "b"))
 	for _, c := range []struct {
@@ -78,15 +78,15 @@
 			"7 called [{A b}]\n7 body \"x\"\n1 called [{A b}]\n1 body's end\n7 body's end", "", 2},
 		{"roles", []writeFunc{beginRequest(1, Authorizer), beginRequest(2, Filter), beginRequest(3, 9), streamData(Params, 1, pair), closeStream(Params, 1), streamData(Data, 2, "d")},
 			"", "END_REQUEST 1 8 bytes app 0x0 status 3 <nil>\nEND_REQUEST 2 8 bytes app 0x0 status 3 <nil>\nEND_REQUEST 3 8 bytes app 0x0 status 3 <nil>", 0},
-		{"one too many", []writeFunc{beginRequest(1, Responder), beginRequest(2, Responder), beginRequest(3, Responder), beginRequest(4, Responder), closeStream(Params, 4), closeStream(Params, 3)},
+		{"request over the limit", []writeFunc{beginRequest(1, Responder), beginRequest(2, Responder), beginRequest(3, Responder), beginRequest(4, Responder), closeStream(Params, 4), closeStream(Params, 3)},
 			"3 called []", "END_REQUEST 4 8 bytes app 0x0 status 2 <nil>", 3},
 		{"aborts", []writeFunc{abortRequest(5), beginRequest(5, Responder), abortRequest(5), closeStream(Params, 5), abortRequest(5), closeStream(Stdin, 5)},
 			"5 aborted\n5 called []\n5 aborted\n5 body's end", "", 1},
-		{"data for a responder", []writeFunc{beginRequest(1, Responder), streamData(Data, 1, "d"), closeStream(Params, 1)}, "1 called []", "", 1},
+		{"DATA for a responder", []writeFunc{beginRequest(1, Responder), streamData(Data, 1, "d"), closeStream(Params, 1)}, "1 called []", "", 1},
 		{"values", []writeFunc{func(w *Writer) error {
 			return w.Values(GetValues, AppendPair(AppendPair(AppendPair(nil, mpxConns, ""), maxReqs, ""), "OTHER", ""))
 		}, func(w *Writer) error { return w.writeRecord(99, 0, nil) }}, "", "GET_VALUES_RESULT 0 34 bytes\nUNKNOWN_TYPE 0 8 bytes", 0},
-		{"a thousand empty records for what has ended", []writeFunc{func(w *Writer) error {
+		{"1000 empty records of a request that is not open", []writeFunc{func(w *Writer) error {
 			for range 1000 {
 				if err := w.CloseStream(Stdin, 9); err != nil {
 					return err
@@ -97,7 +97,7 @@
 	} {
 		events, answers, app, err := runApplication(t, testLimits, encode(t, c.calls...))
 		if err != nil || events != c.events || answers != c.answers || app.Open() != c.open {
-			t.Errorf("%s: %v, %d open\n%s\nanswers\n%s", c.name, err, app.Open(), events, answers)
+			t.Errorf("%s: error %v, %d open requests\nevents\n%s\nanswers\n%s", c.name, err, app.Open(), events, answers)
 		}
 	}
 }
@@ -109,14 +109,14 @@
 		want  error
 		says  string
 	}{
-		{"an id in use", []writeFunc{beginRequest(1, Responder), beginRequest(1, Responder)}, ErrIDInUse, "BEGIN_REQUEST of request 1 at byte 16"},
-		{"PARAMS behind their end", []writeFunc{beginRequest(1, Responder), closeStream(Params, 1), closeStream(Params, 1)}, ErrStreamEnded, "PARAMS of request 1 at byte 24"},
-		{"STDIN behind its end", []writeFunc{beginRequest(1, Responder), closeStream(Params, 1), closeStream(Stdin, 1), streamData(Stdin, 1, "x")}, ErrStreamEnded, "STDIN of request 1"},
+		{"id in use", []writeFunc{beginRequest(1, Responder), beginRequest(1, Responder)}, ErrIDInUse, "BEGIN_REQUEST of request 1 at byte 16"},
+		{"PARAMS after their end", []writeFunc{beginRequest(1, Responder), closeStream(Params, 1), closeStream(Params, 1)}, ErrStreamEnded, "PARAMS of request 1 at byte 24"},
+		{"STDIN after its end", []writeFunc{beginRequest(1, Responder), closeStream(Params, 1), closeStream(Stdin, 1), streamData(Stdin, 1, "x")}, ErrStreamEnded, "STDIN of request 1"},
 		{"STDIN before the end of PARAMS", []writeFunc{beginRequest(1, Responder), streamData(Stdin, 1, "x")}, ErrParamsNotEnded, "STDIN of request 1 at byte 16"},
-		{"half a pair", []writeFunc{beginRequest(1, Responder), streamData(Params, 1, "\x01"), closeStream(Params, 1)}, ErrTruncatedPair, "PARAMS of request 1"},
-		{"a pair of 2 GB", []writeFunc{beginRequest(1, Responder), streamData(Params, 1, "\xff\xff\xff\xff\x00")}, ErrPairsTooLong, "PARAMS of request 1"},
-		{"an answer", []writeFunc{beginRequest(1, Responder), streamData(Stdout, 1, "x")}, ErrWrongDirection, "STDOUT of request 1"},
-		{"an end", []writeFunc{func(w *Writer) error { return w.End(1, End{}) }}, ErrWrongDirection, "END_REQUEST of request 1"},
+		{"incomplete pair", []writeFunc{beginRequest(1, Responder), streamData(Params, 1, "\x01"), closeStream(Params, 1)}, ErrTruncatedPair, "PARAMS of request 1"},
+		{"pair of 2 GB", []writeFunc{beginRequest(1, Responder), streamData(Params, 1, "\xff\xff\xff\xff\x00")}, ErrPairsTooLong, "PARAMS of request 1"},
+		{"STDOUT from the web server", []writeFunc{beginRequest(1, Responder), streamData(Stdout, 1, "x")}, ErrWrongDirection, "STDOUT of request 1"},
+		{"END_REQUEST from the web server", []writeFunc{func(w *Writer) error { return w.End(1, End{}) }}, ErrWrongDirection, "END_REQUEST of request 1"},
 	} {
 		_, _, _, err := runApplication(t, testLimits, encode(t, c.calls...))
 		var e *Error
@@ -126,7 +126,7 @@
 	}
 }
 
-// An id is free again once its request has ended, and whether the connection stays is what its request asked for.
+// An id is free again once its request has ended, and Finish returns the FCGI_KEEP_CONN flag of the request.
 func TestFinishFreesIDAndReportsKeepConn(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
@@ -144,12 +144,12 @@
 	for _, keeps := range []bool{true, false} {
 		take(encode(t, func(w *Writer) error { return w.Begin(4, Begin{Responder, keeps}) }))
 		if keep, err := a.Finish(4, End{AppStatus: 1}); keep != keeps || err != nil {
-			t.Errorf("keep %v, %v", keep, err)
+			t.Errorf("Finish: keep %v, error %v; want keep %v", keep, err, keeps)
 		}
 		if _, err := a.Finish(4, End{}); err == nil {
-			t.Error("it ends twice")
+			t.Error("Finish succeeded twice for one request")
 		}
-		take(encode(t, closeStream(Params, 4))) // sent before it heard of the end
+		take(encode(t, closeStream(Params, 4))) // sent before the web server received END_REQUEST
 	}
 	take(encode(t, beginRequest(4, Responder)))
 	if _, err := a.Finish(4, End{Status: Overloaded}); err != nil {
@@ -162,8 +162,8 @@
 	}
 }
 
-// Whatever a web server sends, an application holds no more than its bounds, ends nothing twice, and requests each
-// request once.
+// For any input, an application stays within its limits, reports the end of PARAMS once for each request and STDIN
+// only after it, and fails only with an *Error.
 func FuzzApplication(f *testing.F) {
 	pair := string(AppendPair(nil, "A", "b"))
 	f.Add(exchange(f, 50))
@@ -185,15 +185,15 @@
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
-					t.Fatalf("%v names no record", err)
+					t.Fatalf("got %v, want an *Error", err)
 				}
 				break
 			}
 			switch {
 			case a.Open() > testLimits.Requests:
-				t.Fatalf("%d open", a.Open())
+				t.Fatalf("%d open requests exceed the limit", a.Open())
 			case e.Kind == ParamsEnd && called[e.ID], (e.Kind == Body || e.Kind == BodyEnd) && !called[e.ID]:
-				t.Fatalf("request %d: %v, called %v", e.ID, e.Kind, called[e.ID])
+				t.Fatalf("request %d: event %v with PARAMS ended: %v", e.ID, e.Kind, called[e.ID])
 			case e.Kind == ParamsEnd:
 				called[e.ID] = true
 			case e.Kind == BodyEnd && e.ID%2 == 0:
@@ -205,7 +205,7 @@
 		}
 		w.Flush()
 		if _, err := recordLines(NewReader(&out)); err != io.EOF {
-			t.Fatalf("its answers can't be read: %v", err)
+			t.Fatalf("read the answers: got %v, want io.EOF", err)
 		}
 	})
 }
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -13,17 +13,17 @@
 	"damsontrestle/internal/downstream"
 )
 
-// Limits on what a web server may make the node wait for.
+// Limits on how long the node waits for a web server.
 const (
-	progressTimeout    = 2800 * time.Millisecond // for the next bytes of a request that has begun
-	requestTimeout     = 30 * time.Second        // for all of it
-	idleTimeout        = time.Minute             // a connection on which nothing is asked is closed
-	writeTimeout       = 5 * time.Second         // for a part of an answer to be taken
-	streamWriteTimeout = 10 * time.Second        // the same of an answer that passes through
-	streamBufferSize   = 16 << 10                // of such an answer held at once
-	unreadTimeout      = 10 * time.Millisecond   // for what has come, which may hold an abort, to be read before an attempt begins
+	progressTimeout    = 2800 * time.Millisecond // for the next bytes of an incomplete request
+	requestTimeout     = 30 * time.Second        // for a complete request
+	idleTimeout        = time.Minute             // for the next request on a connection without one
+	writeTimeout       = 5 * time.Second         // for each write of a response
+	streamWriteTimeout = 10 * time.Second        // for each write of a streamed response
+	streamBufferSize   = 16 << 10                // bytes of a streamed response held at once
+	unreadTimeout      = 10 * time.Millisecond   // for received bytes, which may hold an abort, to be read before an attempt starts
 	unreadPollInterval = 100 * time.Microsecond
-	lingerTimeout      = 500 * time.Millisecond // behind the last answer, for the web server to close
+	lingerTimeout      = 500 * time.Millisecond // for the web server to close after the last response
 	lingerBytes        = 1 << 20
 )
 
@@ -33,29 +33,29 @@
 	front *Front
 	in    *bufio.Reader
 
-	// The protocol's state. Held while something is written; downstream.Set never waits for it.
+	// mu guards the protocol state. It is held during writes; downstream.Set never waits for it.
 	mu       sync.Mutex
 	app      *Application
 	out      *Writer
 	requests map[uint16]*request
-	closing  bool
+	closing  bool // the connection ends once the open requests are answered
 
-	writeTimeout  time.Duration // with which a write is waited for
-	blockedInRead atomic.Bool   // its reader waits for the next bytes
+	writeTimeout  time.Duration // of each write
+	blockedInRead atomic.Bool   // the reader is in Conn.Read
 
-	// unwritable is closed by the first write that fails: no answer can follow it.
+	// unwritable is closed by the first write that fails, after which no response can be sent.
 	unwritable     chan struct{}
 	markUnwritable func()
 
-	// What downstream.Set asks for. Never held while something is read or written.
+	// stateMu guards the state that downstream.Set queries. It is never held during reads or writes.
 	stateMu      sync.Mutex
-	midRecord    bool // within a record, as far as is known
-	incomplete   int  // requests that have begun and are not complete
-	unanswered   int  // requests that are complete and of whose answers no byte is written
-	readStart    time.Time
+	midRecord    bool      // bytes of an incomplete record may have been read
+	incomplete   int       // requests whose STDIN has not ended
+	unanswered   int       // dispatched requests whose response has no byte written
+	readStart    time.Time // start of the requestTimeout of incomplete requests
 	lastRead     time.Time
-	interrupted  bool
-	cutOff       bool
+	interrupted  bool // the read deadline is in the past so that the reader returns
+	cutOff       bool // interrupted for good: bytes that still arrive do not undo it
 	readDeadline time.Time
 }
 
@@ -81,7 +81,7 @@
 		}
 		var recordErr *Error
 		if errors.As(err, &recordErr) && !errors.Is(err, ErrTruncated) {
-			f.log.Debug("a FastCGI connection ends", "from", conn.RemoteAddr(), "error", err)
+			f.log.Debug("closing FastCGI connection after a protocol error", "from", conn.RemoteAddr(), "error", err)
 		}
 		if timedOut || isMalformed(err) {
 			c.awaitOpenRequests()
@@ -91,15 +91,16 @@
 	}
 }
 
-// isMalformed says that a web server has sent what can't be understood, and is still there.
+// isMalformed reports whether the web server has sent an invalid record and may still be connected.
 func isMalformed(err error) bool {
 	var recordErr *Error
 	var netErr net.Error
 	return errors.As(err, &recordErr) && !errors.Is(err, ErrTruncated) && !errors.As(err, &netErr)
 }
 
-// settle returns once all that the module has is answered, or no answer can be written any more. No record can be read any more, but the web server is still there:
-// a request that stopped in its middle, or a record that makes no sense, costs the others on its connection nothing.
+// awaitOpenRequests waits until all dispatched requests are answered or a write has failed. After a timeout or an
+// invalid record nothing more can be read, but the web server is still connected: an incomplete request or a bad
+// record must not cost the other requests on the connection their responses.
 func (c *client) awaitOpenRequests() {
 	c.mu.Lock()
 	var open []*request
@@ -119,8 +120,8 @@
 	}
 }
 
-// close ends the connection. Closed over bytes that nobody has read it would be reset, and an answer on its way with it: so
-// behind the last answer only the sending ends, and what still comes is thrown away for a while.
+// close closes the connection. Closing with unread bytes would reset it and lose a response in flight. After the last
+// response it therefore closes the sending side only, and discards input for up to lingerTimeout and lingerBytes.
 func (c *client) close() {
 	c.mu.Lock()
 	closing := c.closing
@@ -134,7 +135,7 @@
 	c.Conn.Close()
 }
 
-// reads notes what is read.
+// connReader reads from the connection and records when bytes arrive.
 type connReader struct{ c *client }
 
 func (r connReader) Read(p []byte) (int, error) {
@@ -154,7 +155,8 @@
 	return n, err
 }
 
-// writes gives each write its time: what does not fit in with the rest of an answer is written before the answer is flushed.
+// connWriter sets a new deadline before each write: a response that does not fit into the Writer's buffer is written
+// in part before it is flushed.
 type connWriter struct{ c *client }
 
 func (w connWriter) Write(p []byte) (int, error) {
@@ -162,7 +164,7 @@
 	return w.c.Conn.Write(p)
 }
 
-// await sets until when the next record may come.
+// setReadDeadline sets the deadline of the next record.
 func (c *client) setReadDeadline() {
 	c.mu.Lock()
 	open := len(c.requests)
@@ -180,7 +182,7 @@
 			c.readDeadline = last
 		}
 	case open > 0:
-		c.readDeadline = time.Time{} // its end tells that nobody waits any more
+		c.readDeadline = time.Time{} // no deadline: the end of the connection cancels the open requests
 	default:
 		c.readDeadline = now.Add(idleTimeout)
 	}
@@ -189,8 +191,8 @@
 	}
 }
 
-// hasLeft says that a request was aborted, or that its connection has ended. What the system holds unread may say so too:
-// it is waited for until that is read.
+// isDisconnected reports whether a request was aborted or its connection has ended. Received bytes that are still
+// unread may hold an abort, so it waits up to Front.unreadTimeout for them to be read.
 func (c *client) isDisconnected(req *request) bool {
 	for until := time.Now().Add(c.front.unreadTimeout); ; time.Sleep(unreadPollInterval) {
 		blocked := c.blockedInRead.Load()
@@ -204,7 +206,7 @@
 	}
 }
 
-// begins and whole follow how many requests are being read.
+// startReading counts another incomplete request.
 func (c *client) startReading() {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -213,6 +215,7 @@
 	}
 }
 
+// finishReading counts an incomplete request as complete, rejected or aborted.
 func (c *client) finishReading() {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -221,7 +224,7 @@
 	}
 }
 
-// take does what a record comes to. An error ends the connection.
+// handleRecord processes a record. An error ends the connection.
 func (c *client) handleRecord(rec Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,12 +244,13 @@
 	return c.flush()
 }
 
-// flush writes what is kept. A connection on which that fails carries no other answer, so that it ends. The caller holds mu.
+// flush writes buffered records. If that fails the connection ends, as it can carry no further response. The caller
+// holds mu.
 func (c *client) flush() error {
 	err := c.out.Flush()
 	if err != nil {
 		c.markUnwritable()
-		c.CutOff() // its reader ends, and closes it
+		c.CutOff() // the reader returns, and serve closes the connection
 	}
 	return err
 }
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -11,16 +11,16 @@
 	"damsontrestle/internal/validation"
 )
 
-// call is a request that is open.
+// request is an open request.
 type request struct {
 	id           uint16
 	head         validation.Head
 	checked      validation.Request
 	body         []byte
-	dispatched   *engine.Request // once the module has it
-	finished     bool            // its answer has been given, or nobody waits for it
+	dispatched   *engine.Request // nil before dispatch
+	finished     bool            // answered, aborted, or its connection has ended
 	disconnected atomic.Bool     // aborted, or its connection has ended
-	done         chan struct{}
+	done         chan struct{}   // closed when finished is set
 }
 
 func (c *client) handleEvent(req *request, e Event) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// called looks at a request's head.
+// handleParams checks a request's head once PARAMS has ended.
 func (c *client) handleParams(req *request, params []Param) {
 	head, rejected := parseHead(c.front.listener, params)
 	if rejected != nil {
@@ -82,7 +82,8 @@
 	req.checked = in
 }
 
-// ask has a request taken.
+// dispatch passes a complete request to the dispatcher, or answers it at once if downstream.Set or the dispatcher
+// refuses it.
 func (c *client) dispatch(req *request) {
 	f := c.front
 	f.counters.Begin()
@@ -106,14 +107,14 @@
 	go c.awaitResponse(req)
 }
 
-// owes follows how many requests wait for an answer.
+// addUnanswered adds delta to the number of requests without a response.
 func (c *client) addUnanswered(delta int) {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	c.unanswered += delta
 }
 
-// wait gives a request its answer, unless nobody waits for it any more.
+// awaitResponse waits for the response of a dispatched request and writes it, unless the request has finished.
 func (c *client) awaitResponse(req *request) {
 	f := c.front
 	select {
@@ -139,7 +140,7 @@
 	c.mu.Unlock()
 }
 
-// answer gives a request an answer that is complete. The caller holds mu.
+// respond writes a complete response. The caller holds mu.
 func (c *client) respond(req *request, resp engine.Response) {
 	c.front.counters.End(req.checked.Class, validation.Result(resp))
 	if resp.Kind != engine.Served {
@@ -152,8 +153,8 @@
 	c.finish(req, End{})
 }
 
-// pass gives a request a long answer as it comes. One that breaks off ends with a status of the application that is
-// not 0, and short of its length if it had one, so that the web server can tell.
+// streamResponse writes a response while it is received. One that breaks off ends with an application status other
+// than 0, and short of its Content-Length if it had one, so that the web server can detect it.
 func (c *client) streamResponse(req *request, resp engine.Response) {
 	defer resp.Reply.Rest.Close()
 	write := func(p []byte) bool {
@@ -178,7 +179,7 @@
 	defer c.mu.Unlock()
 	switch {
 	case req.finished:
-		return // an abort or the connection's end has counted it
+		return // already counted by the abort or the end of the connection
 	case ok && err == io.EOF:
 		c.front.counters.End(req.checked.Class, metrics.Fulfilled)
 		c.finish(req, End{})
@@ -189,13 +190,13 @@
 	c.flush()
 }
 
-// reject ends a request that can't be used; what still comes of it is passed over. The caller holds mu.
+// reject answers an invalid request with its error. Later records of the request are ignored. The caller holds mu.
 func (c *client) reject(req *request, err error) {
 	c.finishReading()
 	c.respondText(req, errorResponse(err))
 }
 
-// say answers a request with a few words. The caller holds mu.
+// respondText writes a plain text response. The caller holds mu.
 func (c *client) respondText(req *request, resp textResponse) {
 	text := resp.text + "\n"
 	c.out.Stream(Stdout, req.id, responseHeader(resp.status, "text/plain; charset=utf-8", int64(len(text)), resp.retryAfter))
@@ -203,7 +204,8 @@
 	c.finish(req, End{})
 }
 
-// finish ends a request, and the connection if it is not to be kept. The caller holds mu.
+// finish ends a request. If the connection is not to be kept, it closes after its last open request. The caller
+// holds mu.
 func (c *client) finish(req *request, e End) {
 	req.finished = true
 	close(req.done)
@@ -214,7 +216,7 @@
 	}
 	if err != nil || c.closing && len(c.requests) == 0 {
 		c.flush()
-		c.CutOff() // its reader ends, and closes it
+		c.CutOff() // the reader returns, and serve closes the connection
 	}
 	c.updatePhase()
 }
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -6,11 +6,11 @@
 	"damsontrestle/internal/downstream"
 )
 
-// phase tells downstream.Set what the connection does. The caller holds mu.
+// updatePhase sets the connection's phase in downstream.Set. The caller holds mu.
 func (c *client) updatePhase() {
 	for _, req := range c.requests {
 		if req.dispatched != nil {
-			return // Open, by Begin
+			return // Set.Begin has made the phase Open
 		}
 	}
 	if len(c.requests) > 0 {
@@ -20,7 +20,7 @@
 	}
 }
 
-// leave ends all that is open: the web server has gone, or can't be talked to any more.
+// disconnectAll ends all open requests: the web server has disconnected, or the connection is unusable.
 func (c *client) disconnectAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fastcgi/disconnect_test.go
+++ b/internal/fastcgi/disconnect_test.go
@@ -13,54 +13,54 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// clientPair is a web server's connection and what the front end has of it; nobody reads it.
+// clientPair returns the two ends of a connection, which no goroutine reads.
 func clientPair(t *testing.T) (ours *client, theirs net.Conn) {
 	t.Helper()
 	theirs, nc := testpeer.Pair(t)
 	return &client{Conn: nc, front: &Front{unreadTimeout: testpeer.Limit}}, theirs
 }
 
-// An abort that the system holds, and that nobody has read yet, is one: it is waited for, but not without end.
+// isDisconnected waits for received bytes to be read, as they may hold an abort, but only up to its timeout.
 func TestDisconnectDetectionWaitsForUnreadAbort(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		cross      func(*client, *request, net.Conn)
 		want, done bool
 	}{
-		{"nothing", func(c *client, _ *request, _ net.Conn) { c.blockedInRead.Store(true) }, false, false},
-		{"bytes that nobody reads", func(c *client, _ *request, theirs net.Conn) {
+		{"no bytes", func(c *client, _ *request, _ net.Conn) { c.blockedInRead.Store(true) }, false, false},
+		{"unread bytes", func(c *client, _ *request, theirs net.Conn) {
 			c.front.unreadTimeout = unreadTimeout
 			io.WriteString(theirs, "x")
 		}, false, false},
-		{"an abort that is read", func(c *client, r *request, theirs net.Conn) {
+		{"abort", func(c *client, r *request, theirs net.Conn) {
 			io.WriteString(theirs, "x")
 			go func() {
 				connReader{c}.Read(make([]byte, 1))
-				r.disconnected.Store(true) // as the record says
+				r.disconnected.Store(true) // as for an ABORT_REQUEST record
 				connReader{c}.Read(make([]byte, 1))
 			}()
 		}, true, false},
-		{"the connection's end", func(_ *client, _ *request, theirs net.Conn) { theirs.Close() }, true, true},
-		{"its end behind bytes", func(_ *client, _ *request, theirs net.Conn) { io.WriteString(theirs, "x"); theirs.Close() }, true, true},
+		{"connection closed", func(_ *client, _ *request, theirs net.Conn) { theirs.Close() }, true, true},
+		{"connection closed after bytes", func(_ *client, _ *request, theirs net.Conn) { io.WriteString(theirs, "x"); theirs.Close() }, true, true},
 	} {
 		ours, theirs := clientPair(t)
 		r := &request{}
 		c.cross(ours, r, theirs)
 		if c.done {
-			testpeer.Until(t, "the system to know", func() bool { return downstream.StateOf(ours.Conn) == downstream.Ended })
+			testpeer.Until(t, "the kernel to report the end of the connection", func() bool { return downstream.StateOf(ours.Conn) == downstream.Ended })
 		}
 		if got := ours.isDisconnected(r); got != c.want {
-			t.Errorf("%s: has left: %v", c.name, got)
+			t.Errorf("%s: isDisconnected returned %v", c.name, got)
 		}
 	}
 }
 
-// A request that stops in its middle, or a record that makes no sense, ends its connection, but no other request on it: that is
-// answered first, also over bytes that come behind.
+// An incomplete request that times out, or an invalid record, ends the connection only after the other requests on it
+// are answered, even if more bytes arrive.
 func TestOpenRequestsAreAnsweredAfterMalformedInput(t *testing.T) {
 	for name, trouble := range map[string]func(*testWebServer){
-		"half a request": func(w *testWebServer) { w.Begin(requestParams("POST", "/note/k", "half"), true); w.out.Flush() },
-		"no record":      func(w *testWebServer) { w.Write(bytes.Repeat([]byte{9}, 64)) },
+		"incomplete request": func(w *testWebServer) { w.Begin(requestParams("POST", "/note/k", "half"), true); w.out.Flush() },
+		"invalid record":     func(w *testWebServer) { w.Write(bytes.Repeat([]byte{9}, 64)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, got := make(chan struct{}), make(chan struct{}, 1)
@@ -72,7 +72,7 @@
 			id := w.sendRequest(t, requestParams("GET", "/view/k", "held"), "")
 			testpeer.Receive(t, got, "the attempt")
 			trouble(w)
-			testpeer.Receive(t, log.written, "the reading to end")
+			testpeer.Receive(t, log.written, "the reader to stop")
 			io.WriteString(w, "and more")
 			close(hold)
 			if a := w.receive(t, 1)[id]; a.status() != "200 OK" || a.body() != "for held" {
@@ -82,7 +82,7 @@
 	}
 }
 
-// toldOnce closes told once anything is written.
+// writeSignal closes written at the first write.
 type writeSignal struct {
 	written chan struct{}
 	once    sync.Once
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -16,12 +16,12 @@
 	"damsontrestle/internal/validation"
 )
 
-// DefaultBounds are what a web server's connection may hold.
+// DefaultConnLimits returns the limits of a web server's connection.
 func DefaultConnLimits() ConnLimits {
 	return ConnLimits{Requests: 64, Params: PairLimits{Bytes: 16 << 10, Count: 128}}
 }
 
-// Front serves web servers of one listener, as a responder: exactly one answer for each request taken.
+// Front serves the web servers of one listener in the Responder role. Each accepted request gets exactly one response.
 type Front struct {
 	listener        string // its name in the configuration
 	clock           clock.Clock
@@ -31,18 +31,18 @@
 	log             *slog.Logger
 	limits          ConnLimits
 	unreadTimeout   time.Duration
-	progressTimeout time.Duration // for the next bytes of a request that has begun
+	progressTimeout time.Duration // for the next bytes of an incomplete request
 	draining        atomic.Bool
 	closing         atomic.Bool
 }
 
-// NewFront returns a Front that serves nobody before Serve.
+// NewFront returns a Front for a listener. It accepts no connections before Serve is called.
 func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Set, log *slog.Logger) *Front {
 	return &Front{listener: listener, clock: c, dispatcher: dispatcher, clients: clients, counters: counters, log: log, limits: DefaultConnLimits(), unreadTimeout: unreadTimeout, progressTimeout: progressTimeout}
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
-// error. What failures pass is the listener's to know.
+// error. The listener itself retries temporary failures of accept.
 func (f *Front) Serve(ln net.Listener) error {
 	for {
 		c, err := f.clients.Accept(ln)
@@ -53,16 +53,16 @@
 	}
 }
 
-// SetReady has the health answer say from now on whether clients should be sent here.
+// SetReady sets whether /health/ready reports that clients should be sent here.
 func (f *Front) SetReady(ready bool) { f.draining.Store(!ready) }
 
-// SetClosing says whether each connection from now on ends with its last answer.
+// SetClosing sets whether connections close after the response to their last open request.
 func (f *Front) SetClosing(closing bool) { f.closing.Store(closing) }
 
-// CloseQuiet closes the connections on which nothing is asked. It returns how many are left.
+// CloseQuiet closes the connections without a request. It returns how many are left.
 func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
 
-// health tells whoever asks whether to send clients here.
+// respondHealth answers a readiness check.
 func (c *client) respondHealth(req *request) {
 	switch f := c.front; {
 	case req.head.Method != http.MethodGet && req.head.Method != http.MethodHead || req.head.Length > 0:
@@ -74,20 +74,20 @@
 	}
 }
 
-// said is an answer that no server made.
+// textResponse is a response that the node itself generates.
 type textResponse struct {
 	status     int
 	text       string
-	retryAfter string // empty: not said
+	retryAfter string // empty: no Retry-After header
 }
 
-// Reasons to turn a body away.
+// Errors of invalid bodies.
 var (
 	errTooLong        = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
 	errLengthMismatch = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
 )
 
-// wordsOf are for a request that can't be used, or whose listener has gone.
+// errorResponse returns the response to a request that is invalid, or whose listener was removed.
 func errorResponse(err error) textResponse {
 	var rejected *validation.Rejected
 	if errors.As(err, &rejected) {
@@ -96,7 +96,7 @@
 	return textResponse{http.StatusServiceUnavailable, err.Error(), "1"}
 }
 
-// headText is an answer's head (RFC 3875 section 6.3). A negative length is not told.
+// responseHeader returns the header of a response (RFC 3875 section 6.3). A negative length is omitted.
 func responseHeader(status int, contentType string, length int64, retryAfter string) []byte {
 	text := fmt.Appendf(nil, "Status: %d %s\r\n", status, http.StatusText(status))
 	if contentType != "" {
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -6,20 +6,20 @@
 	"fmt"
 )
 
-// Lengths of names and values take one byte up to 127, and else four whose first bit is set (section 3.4).
+// Lengths of names and values up to 127 are encoded in one byte, others in four with the high bit set (section 3.4).
 const (
 	maxShortLength = 127
 	longFlag       = 1 << 31
 )
 
-// What can be wrong with a stream of pairs.
+// Errors of a stream of name-value pairs.
 var (
-	ErrPairsTooLong  = errors.New("more than the bytes that all pairs may have")
-	ErrTooManyPairs  = errors.New("more pairs than there may be")
-	ErrTruncatedPair = errors.New("the stream ends within a pair")
+	ErrPairsTooLong  = errors.New("names and values exceed the byte limit")
+	ErrTooManyPairs  = errors.New("too many pairs")
+	ErrTruncatedPair = errors.New("unexpected end of stream within a pair")
 )
 
-// AppendPair appends a pair.
+// AppendPair appends an encoded name-value pair to dst.
 func AppendPair(dst []byte, name, value string) []byte {
 	dst = appendLength(dst, len(name))
 	dst = appendLength(dst, len(value))
@@ -34,34 +34,34 @@
 	return binary.BigEndian.AppendUint32(dst, longFlag|uint32(n))
 }
 
-// Limits bound the pairs of one stream.
+// PairLimits bound the pairs of one stream.
 type PairLimits struct {
-	Bytes int // of names and values together
+	Bytes int // of all names and values together
 	Count int
 }
 
-// Pairs reads a stream of pairs that comes in pieces cut anywhere. Memory: the pair under way, within the limits,
-// which hold before anything is kept.
+// Pairs decodes a stream of name-value pairs that arrives in chunks of any size. It buffers at most one incomplete
+// pair, and checks its lengths against the limits before it buffers the name and value.
 type Pairs struct {
 	limits  PairLimits
-	partial []byte // of the pair under way, with its lengths
-	bytes   int    // of the pairs that are complete, without their lengths
+	partial []byte // the incomplete pair, with its lengths
+	bytes   int    // of the names and values of complete pairs
 	count   int
-	offset  int64 // of the pair under way in the stream
+	offset  int64 // of the next pair in the stream
 	err     error
 }
 
-// NewPairs reads pairs within limits.
+// NewPairs returns a decoder of one stream.
 func NewPairs(l PairLimits) *Pairs { return &Pairs{limits: l} }
 
-// Reset begins with another stream.
+// Reset prepares for another stream, with the same limits and buffer.
 func (p *Pairs) Reset() { *p = Pairs{limits: p.limits, partial: p.partial[:0]} }
 
-// Feed takes the next bytes and has each pair that they make whole seen. What is seen is valid only meanwhile. After an
-// error, which names the place, each request returns the same.
+// Feed decodes the next bytes and calls fn for each pair that they complete. Name and value are valid only during
+// the call. An error holds the position of the pair; after it every call returns the same error.
 func (p *Pairs) Feed(data []byte, fn func(name, value []byte)) error {
 	for p.err == nil && len(data) > 0 {
-		if len(p.partial) == 0 { // most pairs come completely
+		if len(p.partial) == 0 { // most pairs arrive in one chunk and need no copy
 			used, err := p.parsePair(data, fn)
 			if p.err = err; used > 0 {
 				data = data[used:]
@@ -71,7 +71,7 @@
 		if p.err != nil {
 			break
 		}
-		// One that is not complete grows to what its lengths say, and not beyond.
+		// An incomplete pair grows up to the size that its lengths state, and no further.
 		n := min(p.missing(), len(data))
 		p.partial = append(p.partial, data[:n]...)
 		data = data[n:]
@@ -83,7 +83,7 @@
 	return p.err
 }
 
-// missing is how many bytes the pair under way is known to lack, at least one.
+// missing returns how many bytes the incomplete pair is known to lack, at least one.
 func (p *Pairs) missing() int {
 	name, value, size, ok := parseLengths(p.partial)
 	if !ok {
@@ -92,7 +92,7 @@
 	return size + name + value - len(p.partial)
 }
 
-// pair sees the pair that text begins with, and tells how many bytes it has; 0: it is not complete.
+// parsePair decodes the pair at the start of data and returns its size, or 0 if it is incomplete.
 func (p *Pairs) parsePair(data []byte, fn func(name, value []byte)) (used int, err error) {
 	name, value, size, ok := parseLengths(data)
 	if !ok {
@@ -100,9 +100,9 @@
 	}
 	switch {
 	case name > p.limits.Bytes-p.bytes || value > p.limits.Bytes-p.bytes-name:
-		return 0, p.wrapError(fmt.Errorf("a name of %d and a value of %d bytes: %w, which is %d", name, value, ErrPairsTooLong, p.limits.Bytes))
+		return 0, p.wrapError(fmt.Errorf("name of %d bytes and value of %d bytes: %w of %d", name, value, ErrPairsTooLong, p.limits.Bytes))
 	case p.count >= p.limits.Count:
-		return 0, p.wrapError(fmt.Errorf("%w, which is %d", ErrTooManyPairs, p.limits.Count))
+		return 0, p.wrapError(fmt.Errorf("%w: limit is %d", ErrTooManyPairs, p.limits.Count))
 	}
 	if used = size + name + value; len(data) < used {
 		return 0, nil
@@ -114,7 +114,7 @@
 	return used, nil
 }
 
-// End tells whether the stream may end here.
+// End returns an error if the stream may not end here.
 func (p *Pairs) End() error {
 	if p.err == nil && len(p.partial) > 0 {
 		p.err = p.wrapError(ErrTruncatedPair)
@@ -123,10 +123,11 @@
 }
 
 func (p *Pairs) wrapError(err error) error {
-	return fmt.Errorf("fastcgi: pair %d at byte %d of its stream: %w", p.count+1, p.offset, err)
+	return fmt.Errorf("fastcgi: decode pair %d at byte %d of the stream: %w", p.count+1, p.offset, err)
 }
 
-// lengths reads a pair's two lengths and tells how many bytes they take; not ok: they are not complete.
+// parseLengths decodes the two lengths of a pair and returns how many bytes they take. It is not ok if they are
+// incomplete.
 func parseLengths(data []byte) (name, value, size int, ok bool) {
 	var n, v uint32
 	if n, size, ok = parseLength(data, 0); ok {
--- a/internal/fastcgi/pairs_test.go
+++ b/internal/fastcgi/pairs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// feed gives pairs in pieces of a size and tells what is seen.
+// feed decodes text in chunks of a size and returns the pairs.
 func feed(p *Pairs, text []byte, size int) (seen []string, err error) {
 	for rest := text; len(rest) > 0 && err == nil; rest = rest[min(size, len(rest)):] {
 		err = p.Feed(rest[:min(size, len(rest))], func(name, value []byte) {
@@ -35,7 +35,7 @@
 	for size := 1; size <= len(text); size++ {
 		p.Reset()
 		if got, err := feed(p, text, size); err != nil || strings.Join(got, "|") != strings.Join(want, "|") {
-			t.Fatalf("in pieces of %d: %v, %q", size, err, got)
+			t.Fatalf("chunks of %d bytes: %v, %q", size, err, got)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 		want       error
 		says       string
 	}{
-		{"a length that promises 2 GB", "\xff\xff\xff\xff\x01x", PairLimits{100, 10}, ErrPairsTooLong, "pair 1 at byte 0 of its stream: a name of 2147483647 and a value of 1 bytes"},
-		{"lengths that only together are too long", "\x40\x40", PairLimits{100, 10}, ErrPairsTooLong, "which is 100"},
-		{"pairs that only together are too long", "\x02\x02nameX", PairLimits{5, 10}, nil, ""},
-		{"one too long behind another", "\x01\x01ab\x02\x02name", PairLimits{5, 10}, ErrPairsTooLong, "pair 2 at byte 4"},
-		{"too many", "\x00\x00\x00\x00\x00\x00", PairLimits{5, 2}, ErrTooManyPairs, "pair 3 at byte 4"},
-		{"half a length", "\x01\x80\x00", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
-		{"half a value", "\x01\x02nv", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
+		{"a length of 2 GB", "\xff\xff\xff\xff\x01x", PairLimits{100, 10}, ErrPairsTooLong, "pair 1 at byte 0 of the stream: name of 2147483647 bytes and value of 1 bytes"},
+		{"name and value too long only together", "\x40\x40", PairLimits{100, 10}, ErrPairsTooLong, "exceed the byte limit of 100"},
+		{"pairs within the limit, then an incomplete one", "\x02\x02nameX", PairLimits{5, 10}, nil, ""},
+		{"second pair too long", "\x01\x01ab\x02\x02name", PairLimits{5, 10}, ErrPairsTooLong, "pair 2 at byte 4"},
+		{"too many pairs", "\x00\x00\x00\x00\x00\x00", PairLimits{5, 2}, ErrTooManyPairs, "pair 3 at byte 4"},
+		{"incomplete length", "\x01\x80\x00", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
+		{"incomplete value", "\x01\x02nv", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
 	} {
 		if c.want == nil {
 			c.want, c.says = ErrTruncatedPair, "pair 2 at byte 6"
@@ -62,19 +62,19 @@
 			p := NewPairs(c.limits)
 			_, err := feed(p, []byte(c.text), size)
 			if !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s, in pieces of %d: %v", c.name, size, err)
+				t.Errorf("%s, chunks of %d bytes: %v", c.name, size, err)
 			}
 			if again := p.Feed([]byte("\x00\x00"), nil); again != err {
-				t.Errorf("%s: then %v", c.name, again)
+				t.Errorf("%s: next call returns %v", c.name, again)
 			}
 			if len(p.partial) > c.limits.Bytes+8 {
-				t.Errorf("%s: %d bytes are kept", c.name, len(p.partial))
+				t.Errorf("%s: %d bytes are buffered", c.name, len(p.partial))
 			}
 		}
 	}
 }
 
-// Whatever comes, pieces of any size see the same pairs and end alike, and what is seen is within the limits.
+// For any input, the chunk size changes neither the pairs nor the error, and decoded pairs are within the limits.
 func FuzzPairs(f *testing.F) {
 	f.Add(AppendPair(AppendPair(nil, "REQUEST_METHOD", "GET"), "LONG", strings.Repeat("x", 200)), uint8(1))
 	f.Add([]byte("\xff\xff\xff\xff\x01x"), uint8(3))
@@ -84,14 +84,14 @@
 		complete, err1 := feed(NewPairs(limits), text, len(text)+1)
 		pieces, err2 := feed(NewPairs(limits), text, int(size)+1)
 		if strings.Join(complete, "\x00") != strings.Join(pieces, "\x00") || fmt.Sprint(err1) != fmt.Sprint(err2) {
-			t.Fatalf("%q, %v whole; %q, %v in pieces of %d", complete, err1, pieces, err2, int(size)+1)
+			t.Fatalf("%q, %v in one chunk; %q, %v in chunks of %d bytes", complete, err1, pieces, err2, int(size)+1)
 		}
 		sum := 0
 		for _, s := range complete {
 			sum += len(s) - 1
 		}
 		if sum > limits.Bytes || len(complete) > limits.Count {
-			t.Fatalf("%d pairs of %d bytes", len(complete), sum)
+			t.Fatalf("%d pairs of %d bytes exceed the limits", len(complete), sum)
 		}
 	})
 }
--- a/internal/fastcgi/record.go
+++ b/internal/fastcgi/record.go
@@ -1,6 +1,7 @@
-// Package fastcgi is FastCGI 1.0 (the specification of 29 April 1996; sections are named by its numbers): records
-// and name-value pairs, read and written within bounds and without allocating for each; the two sides of a
-// connection as machines with no I/O (Application, WebServer); and Front, which serves web servers.
+// Package fastcgi implements FastCGI 1.0 (specification of 29 April 1996, whose section numbers the comments cite).
+// Reader, Writer and Pairs decode and encode records and name-value pairs within limits and without an allocation for
+// each; Application and WebServer are the two sides of a connection as state machines without I/O; and Front serves
+// web servers.
 package fastcgi
 
 import (
@@ -10,7 +11,7 @@
 	"io"
 )
 
-// Type is a record's type (section 8, FCGI_BEGIN_REQUEST and so on).
+// Type is the type of a record (section 8, FCGI_BEGIN_REQUEST and so on).
 type Type uint8
 
 // Types of records.
@@ -32,7 +33,7 @@
 	Params: "PARAMS", Stdin: "STDIN", Stdout: "STDOUT", Stderr: "STDERR", Data: "DATA", GetValues: "GET_VALUES",
 	GetValuesResult: "GET_VALUES_RESULT", UnknownType: "UNKNOWN_TYPE"}
 
-// Known says that the specification has the type.
+// Known reports whether the specification defines the type.
 func (t Type) Known() bool { return t >= BeginRequest && t <= UnknownType }
 
 func (t Type) String() string {
@@ -42,11 +43,11 @@
 	return typeNames[t]
 }
 
-// management says that records of the type are of the connection, with id 0, and not of a request (section 3.3).
-// Types that are not known may be either.
+// isManagement reports whether records of a known type belong to the connection, with id 0, and not to a request
+// (section 3.3). Unknown types may be either, and it returns false for them.
 func (t Type) isManagement() bool { return t >= GetValues && t <= UnknownType }
 
-// Role is what a request wants of its application (section 6.1).
+// Role is the role in which the application handles a request (section 6.1).
 type Role uint16
 
 // Roles.
@@ -56,7 +57,8 @@
 	Filter     Role = 3
 )
 
-// Status is how a request ended for the protocol (section 5.5). Overloaded and CantMultiplex prove that it has not run.
+// Status is the protocol status of an ended request (section 5.5). Overloaded and CantMultiplex guarantee that the
+// application did not run it.
 type Status uint8
 
 // Protocol statuses.
@@ -76,10 +78,10 @@
 	keepConn   = 1     // flag of BEGIN_REQUEST (section 5.1)
 )
 
-// Error says what is wrong with a stream of records, and where.
+// Error is an error of a stream of records, with the position of the record.
 type Error struct {
 	Offset int64 // of the record's first byte in the stream
-	Type   Type  // of the record, as far as it was read
+	Type   Type  // of the record; 0 if it was not read
 	ID     uint16
 	Err    error
 }
@@ -90,17 +92,17 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// What can be wrong with a record.
+// Errors of a record.
 var (
-	ErrVersion      = errors.New("its version is not 1")
-	ErrManagementID = errors.New("a management record bears a request's id")
-	ErrZeroID       = errors.New("a request's record bears the id 0")
-	ErrUnknownType  = errors.New("no record of a request has this type")
-	ErrInvalidBody  = errors.New("its content has not the 8 bytes that it must have")
-	ErrTruncated    = errors.New("the stream ends within it")
+	ErrVersion      = errors.New("unsupported protocol version")
+	ErrManagementID = errors.New("management record with a request id")
+	ErrZeroID       = errors.New("request record with id 0")
+	ErrUnknownType  = errors.New("unknown type of a request record")
+	ErrInvalidBody  = errors.New("invalid body: want 8 bytes with a known status")
+	ErrTruncated    = errors.New("unexpected end of stream within the record")
 )
 
-// Record is one record. Its Content is the reader's, until the next one is read.
+// Record is one record. Its Content is valid until the Reader reads the next record.
 type Record struct {
 	Type    Type
 	ID      uint16
@@ -108,16 +110,16 @@
 	Offset  int64 // of its first byte in the stream
 }
 
-// fail names the record in an error.
+// wrapError returns err as an *Error of the record.
 func (r Record) wrapError(err error) error { return &Error{r.Offset, r.Type, r.ID, err} }
 
 // Begin is the body of BEGIN_REQUEST (section 5.1).
 type Begin struct {
 	Role Role
-	Keep bool // the application is not to close the connection behind the request
+	Keep bool // the application must not close the connection after the request
 }
 
-// Begin reads the record's body.
+// Begin decodes the body of a BEGIN_REQUEST record.
 func (r Record) Begin() (Begin, error) {
 	if r.Type != BeginRequest || len(r.Content) != bodySize {
 		return Begin{}, r.wrapError(ErrInvalidBody)
@@ -131,7 +133,7 @@
 	Status    Status
 }
 
-// End reads the record's body.
+// End decodes the body of an END_REQUEST record.
 func (r Record) End() (End, error) {
 	if r.Type != EndRequest || len(r.Content) != bodySize {
 		return End{}, r.wrapError(ErrInvalidBody)
@@ -139,7 +141,7 @@
 	return End{binary.BigEndian.Uint32(r.Content), Status(r.Content[4])}, nil
 }
 
-// Reader reads records. It holds one record at a time, 64 KiB at most.
+// Reader reads records. It buffers one record at a time, of at most 64 KiB.
 type Reader struct {
 	in     io.Reader
 	offset int64
@@ -148,12 +150,12 @@
 	err    error
 }
 
-// NewReader reads records from in, which had better be buffered.
+// NewReader returns a Reader of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Next reads the next record. It returns io.EOF at the stream's end between two records, and else an *Error that
-// names the record; every later request returns the same. Records of types that are not known come with id 0 only, for
-// these have an answer (section 4.2).
+// Next reads the next record. At the end of the stream it returns io.EOF between two records and otherwise an *Error
+// that names the record, as for any other failure; every later call returns the same error. It returns records of
+// unknown types only with id 0, as only these can be answered (section 4.2).
 func (r *Reader) Next() (Record, error) {
 	if r.err != nil {
 		return Record{}, r.err
@@ -181,7 +183,7 @@
 	rec.ID = binary.BigEndian.Uint16(r.header[2:])
 	switch {
 	case r.header[0] != version:
-		return rec, rec.wrapError(fmt.Errorf("%w but %d", ErrVersion, r.header[0]))
+		return rec, rec.wrapError(fmt.Errorf("%w: got %d, want 1", ErrVersion, r.header[0]))
 	case rec.Type.isManagement() && rec.ID != 0:
 		return rec, rec.wrapError(ErrManagementID)
 	case rec.Type.Known() && !rec.Type.isManagement() && rec.ID == 0:
@@ -190,7 +192,7 @@
 		return rec, rec.wrapError(ErrUnknownType)
 	}
 	length := int(binary.BigEndian.Uint16(r.header[4:]))
-	size := length + int(r.header[6]) // the padding is read with it and thrown away
+	size := length + int(r.header[6]) // padding is read along with the content and discarded
 	if cap(r.buf) < size {
 		r.buf = make([]byte, bufferSize(size))
 	}
@@ -202,7 +204,7 @@
 	return rec, nil
 }
 
-// roundUp keeps buffers to a few sizes: most records are small, and some as long as they can be.
+// bufferSize rounds size up to one of a few buffer sizes: most records are small, and some have the maximum size.
 func bufferSize(size int) int {
 	for capacity := 512; ; capacity *= 4 {
 		if size <= capacity {
@@ -218,21 +220,21 @@
 	return err
 }
 
-// Writer writes records, several in one write. After a write that failed it writes nothing any more: what was written may end
-// within a record, and whatever follows would be read as the rest of that. It is not safe for several goroutines.
+// Writer writes records, several in one write. After a failed write it writes nothing more: the output may end within
+// a record, and anything that follows would be read as the rest of it. It is not safe for concurrent use.
 type Writer struct {
 	out io.Writer
 	buf []byte
-	err error // of the write that failed
+	err error // of the failed write
 }
 
-// flushAt is how much is kept at most before it is written.
+// maxBuffered is the number of bytes that a Writer buffers before it writes them.
 const maxBuffered = 64 << 10
 
-// NewWriter writes records to out. Nothing is written before Flush but what would be too much to keep.
+// NewWriter returns a Writer to out. It buffers records until Flush, or until the next record would exceed maxBuffered.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Flush writes what is kept.
+// Flush writes the buffered records.
 func (w *Writer) Flush() error {
 	if len(w.buf) == 0 || w.err != nil {
 		return w.err
@@ -245,7 +247,7 @@
 	return w.err
 }
 
-// record keeps one record, padded to a multiple of 8 bytes (section 3.3 recommends it).
+// writeRecord buffers one record, padded to a multiple of 8 bytes as section 3.3 recommends.
 func (w *Writer) writeRecord(t Type, id uint16, content []byte) error {
 	if w.err != nil {
 		return w.err
@@ -275,7 +277,7 @@
 	return w.writeRecord(BeginRequest, id, body[:])
 }
 
-// Abort asks for a request's end.
+// Abort asks the application to end a request.
 func (w *Writer) Abort(id uint16) error { return w.writeRecord(AbortRequest, id, nil) }
 
 // End ends a request.
@@ -286,9 +288,10 @@
 	return w.writeRecord(EndRequest, id, body[:])
 }
 
-// Stream writes bytes of a stream, in as many records as they need; none for no bytes, which would end it.
+// Stream writes bytes of a stream in as many records as needed. It writes no record for empty p, as that would end the
+// stream.
 func (w *Writer) Stream(t Type, id uint16, p []byte) error {
-	const maxChunk = maxContent &^ 7 // needs no padding
+	const maxChunk = maxContent &^ 7 // multiple of 8, so that full records need no padding
 	for len(p) > 0 {
 		n := min(len(p), maxChunk)
 		if err := w.writeRecord(t, id, p[:n]); err != nil {
@@ -299,18 +302,18 @@
 	return nil
 }
 
-// CloseStream ends a stream (section 3.3: a record without content).
+// CloseStream ends a stream with an empty record (section 3.3).
 func (w *Writer) CloseStream(t Type, id uint16) error { return w.writeRecord(t, id, nil) }
 
-// Values asks for values, or answers with them, as pairs that AppendPair has made.
+// Values writes a GET_VALUES or GET_VALUES_RESULT record with pairs encoded by AppendPair.
 func (w *Writer) Values(t Type, pairs []byte) error {
 	if len(pairs) > maxContent {
-		return fmt.Errorf("fastcgi: %v: %d bytes of pairs, at most %d fit in", t, len(pairs), maxContent)
+		return fmt.Errorf("fastcgi: write %v: %d bytes of pairs exceed the maximum content of %d", t, len(pairs), maxContent)
 	}
 	return w.writeRecord(t, 0, pairs)
 }
 
-// Unknown answers a management record of a type that is not known (section 4.2).
+// Unknown answers a management record of an unknown type (section 4.2).
 func (w *Writer) Unknown(t Type) error {
 	return w.writeRecord(UnknownType, 0, []byte{byte(t), 0, 0, 0, 0, 0, 0, 0})
 }
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-// written is what a writer makes of requests.
+// encode returns the records that the functions write.
 func encode(t testing.TB, requests ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -26,7 +26,7 @@
 	return out.Bytes()
 }
 
-// exchange is a request and its answer, with all that a connection may carry beside them.
+// exchange returns the records of a request and its response, among records of every other kind.
 func exchange(t testing.TB, body int) []byte {
 	return encode(t,
 		func(w *Writer) error { return w.Values(GetValues, AppendPair(nil, "FCGI_MPXS_CONNS", "")) },
@@ -45,7 +45,7 @@
 		func(w *Writer) error { return w.Unknown(77) })
 }
 
-// script tells records in words.
+// recordLines describes each record in a line.
 func recordLines(r *Reader) (lines []string, err error) {
 	for {
 		rec, err := r.Next()
@@ -82,7 +82,7 @@
 UNKNOWN_TYPE 0 8 bytes`, "\n")
 	text := exchange(t, 150000)
 	if len(text)%8 != 0 {
-		t.Errorf("%d bytes: records are padded to a multiple of 8", len(text))
+		t.Errorf("got %d bytes, want a multiple of 8", len(text))
 	}
 	for name, in := range map[string]io.Reader{"whole": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
 		got, err := recordLines(NewReader(in))
@@ -92,7 +92,7 @@
 	}
 }
 
-// A record that can't be is named with its type, its request and its place, and nothing is read behind it.
+// An invalid record is reported with its type, request and offset, and nothing is read after it.
 func TestRecordErrorsReportPosition(t *testing.T) {
 	before := encode(t, func(w *Writer) error { return w.Abort(9) })
 	for _, c := range []struct {
@@ -100,13 +100,13 @@
 		want         error
 		says         string
 	}{
-		{"another version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: its version is not 1 but 2"},
-		{"a management record of a request", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagementID, "GET_VALUES of request 1 at byte 8"},
-		{"a request's record of none", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrZeroID, "PARAMS of request 0 at byte 8"},
-		{"an unknown type of a request", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrUnknownType, "type 99 of request 5 at byte 8"},
-		{"half a header", "\x01\x05\x00", ErrTruncated, "STDIN of request 0 at byte 8"},
-		{"half a content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
-		{"half a padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
+		{"unsupported version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: unsupported protocol version: got 2, want 1"},
+		{"management record with a request id", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagementID, "GET_VALUES of request 1 at byte 8"},
+		{"request record with id 0", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrZeroID, "PARAMS of request 0 at byte 8"},
+		{"unknown type of a request record", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrUnknownType, "type 99 of request 5 at byte 8"},
+		{"incomplete header", "\x01\x05\x00", ErrTruncated, "STDIN of request 0 at byte 8"},
+		{"incomplete content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
+		{"incomplete padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
 	} {
 		r := NewReader(strings.NewReader(string(before) + c.record))
 		if _, err := r.Next(); err != nil {
@@ -130,17 +130,17 @@
 			_, bad = rec.End()
 		}
 		if !errors.Is(bad, ErrInvalidBody) {
-			t.Errorf("%v of %d bytes: %v", rec.Type, len(rec.Content), bad)
+			t.Errorf("%v body of %d bytes: got error %v, want ErrInvalidBody", rec.Type, len(rec.Content), bad)
 		}
 	}
 }
 
-// An unknown management record, a thousand empty ones and padding of 255 are no reason to end.
+// An unknown management record, 255 bytes of padding and 1000 empty records are valid.
 func TestReaderAcceptsUnusualRecords(t *testing.T) {
 	text := "\x01\x63\x00\x00\x00\x02\xff\x00ab" + strings.Repeat("p", 255) + strings.Repeat("\x01\x05\x00\x03\x00\x00\x00\x00", 1000)
 	got, err := recordLines(NewReader(strings.NewReader(text)))
 	if err != io.EOF || len(got) != 1001 || got[0] != "type 99 0 2 bytes" || got[1000] != "STDIN 3 0 bytes" {
-		t.Errorf("%d records, %v, the first %q", len(got), err, got[:1])
+		t.Errorf("got %d records, error %v, first record %q", len(got), err, got[:1])
 	}
 }
 
@@ -172,11 +172,11 @@
 	}
 	round()
 	if n := testing.AllocsPerRun(100, round); n > 0 {
-		t.Errorf("%v allocations for %d bytes", n, len(text))
+		t.Errorf("%v allocations per %d bytes", n, len(text))
 	}
 }
 
-// Whatever comes is read as records that are the same once written, or refused with its place.
+// Any input either decodes to records that are unchanged after writing and reading them, or fails with an *Error.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(exchange(f, 50))
@@ -192,7 +192,7 @@
 			var e *Error
 			if err != nil {
 				if err != io.EOF && !errors.As(err, &e) {
-					t.Fatalf("%v names no record", err)
+					t.Fatalf("got %v, want an *Error", err)
 				}
 				break
 			}
@@ -210,12 +210,12 @@
 			}
 		}
 		if _, err := r.Next(); err != io.EOF {
-			t.Fatalf("more is read than was written: %v", err)
+			t.Fatalf("after the last record: got %v, want io.EOF", err)
 		}
 	})
 }
 
-// BenchmarkExchange reads and writes a small request's records.
+// BenchmarkExchange reads the records of a small request and writes those of a response.
 func BenchmarkExchange(b *testing.B) {
 	text := encode(b,
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -11,12 +11,11 @@
 	"damsontrestle/internal/validation"
 )
 
-// fromHeader begins the names of variables that were headers (RFC 3875 section 4.1.18).
+// headerPrefix is the prefix of variables that hold request headers (RFC 3875 section 4.1.18).
 const headerPrefix = "HTTP_"
 
-// headOf reads a request's head from its CGI variables (RFC 3875 section 4.1). What could be read in two ways is
-// rejected: a variable that comes twice, headers whose names fall together once they are variables, a length
-// beside another one, line ends in a value.
+// parseHead reads a request's head from its CGI variables (RFC 3875 section 4.1). It rejects ambiguous input: duplicate
+// variables, headers whose names map to the same variable, conflicting lengths, and line breaks or NUL in values.
 func parseHead(listener string, params []Param) (validation.Head, *validation.Rejected) {
 	badRequest := func(reason string) (validation.Head, *validation.Rejected) {
 		return validation.Head{}, &validation.Rejected{Status: http.StatusBadRequest, Reason: reason}
@@ -37,7 +36,7 @@
 		if strings.Trim(p.Name, "ABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_") != "" {
 			return badRequest("a header's variable has a name that is none")
 		}
-		if p.Name != "HTTP_PROXY" { // no header, but what some programs take for a setting
+		if p.Name != "HTTP_PROXY" { // not a header: some programs read this variable as a proxy setting
 			name := strings.ReplaceAll(p.Name[len(headerPrefix):], "_", "-")
 			headers[textproto.CanonicalMIMEHeaderKey(name)] = []string{p.Value}
 		}
--- a/internal/fastcgi/webserver.go
+++ b/internal/fastcgi/webserver.go
@@ -6,52 +6,52 @@
 	"strconv"
 )
 
-// WebServer is the web server's side of one connection: it begins requests, and tells what the application sends
-// of them. It does no I/O: what goes out it gives to its Writer, which its owner flushes.
+// WebServer is the web server side of one connection: it begins requests and turns the records of the application
+// into replies. It does no I/O: its records go to its Writer, which the owner flushes.
 //
-// A connection carries one request at a time until the application has said that it takes several (GET_VALUES,
-// section 4.1). A record for an id that is not open is a spill: it may belong to any request, so that nothing on the
-// connection can be trusted any more, and the *Error ends it. A request that was aborted stays open, and its id in
-// use, until the application has ended it.
+// A connection carries one request at a time until the application has reported that it accepts several (GET_VALUES,
+// section 4.1). A record for an id that is not open may belong to any request: nothing on the connection can be
+// trusted after it, and an *Error ends the connection. An aborted request stays open, and its id in use, until the
+// application has ended it.
 type WebServer struct {
 	out         *Writer
-	maxRequests int // requests at once
+	maxRequests int // open at once
 	requests    map[uint16]*outgoingRequest
 }
 
-// outgoing is a request that was begun.
+// outgoingRequest is the protocol state of an open request.
 type outgoingRequest struct {
-	stdinEnded  bool // its STDIN has ended
-	stdoutEnded bool // its STDOUT has
+	stdinEnded  bool
+	stdoutEnded bool
 	aborted     bool
 }
 
-// ErrSpill says that a record belongs to no request that is open.
-var ErrUnknownRequest = errors.New("no request of this id is open")
+// ErrUnknownRequest reports a record of a request that is not open.
+var ErrUnknownRequest = errors.New("no open request with this id")
 
-// ErrFull says that a connection carries as many requests as it can.
-var ErrTooManyRequests = errors.New("fastcgi: the connection has no room for another request")
+// ErrTooManyRequests reports that a connection carries as many requests as the application accepts.
+var ErrTooManyRequests = errors.New("fastcgi: begin request: connection is at its request limit")
 
-// NewWebServer begins with a connection that carries one request at a time.
+// NewWebServer returns a WebServer whose connection carries one request at a time.
 func NewWebServer(out *Writer) *WebServer {
 	return &WebServer{out: out, maxRequests: 1, requests: map[uint16]*outgoingRequest{}}
 }
 
-// Ask asks the application what its connections can carry. An application that does not know the question answers
-// nothing, or that its type is not known; requests need not wait for the answer.
+// RequestValues asks the application for the limits of a connection. An application without support for GET_VALUES
+// sends no answer or UNKNOWN_TYPE; requests need not wait for the answer.
 func (s *WebServer) RequestValues() error {
 	return s.out.Values(GetValues, AppendPair(AppendPair(nil, mpxConns, ""), maxReqs, ""))
 }
 
-// Room is how many more requests may be begun now.
+// Available returns how many more requests may be begun now.
 func (s *WebServer) Available() int { return max(0, s.maxRequests-len(s.requests)) }
 
-// Begin begins a request for a responder, with its PARAMS whole, and returns its id.
+// Begin begins a request for a responder, sends all of its PARAMS, and returns its id.
 func (s *WebServer) Begin(params []Param, keep bool) (id uint16, err error) {
 	if s.Available() == 0 {
 		return 0, ErrTooManyRequests
 	}
-	for id = 1; s.requests[id] != nil; id++ { // small ids keep applications' tables small (section 3.3)
+	for id = 1; s.requests[id] != nil; id++ { // small ids keep the tables of applications small (section 3.3)
 	}
 	if err := s.out.Begin(id, Begin{Responder, keep}); err != nil {
 		return 0, err
@@ -70,7 +70,7 @@
 // Send sends a part of a request's body.
 func (s *WebServer) Send(id uint16, p []byte) error {
 	if req := s.requests[id]; req == nil || req.stdinEnded {
-		return fmt.Errorf("fastcgi: nothing may be sent for request %d", id)
+		return fmt.Errorf("fastcgi: send body of request %d: the request is not open or its body has ended", id)
 	}
 	return s.out.Stream(Stdin, id, p)
 }
@@ -79,13 +79,13 @@
 func (s *WebServer) CloseSend(id uint16) error {
 	req := s.requests[id]
 	if req == nil || req.stdinEnded {
-		return fmt.Errorf("fastcgi: the body of request %d has ended", id)
+		return fmt.Errorf("fastcgi: end body of request %d: the request is not open or its body has ended", id)
 	}
 	req.stdinEnded = true
 	return s.out.CloseStream(Stdin, id)
 }
 
-// Abort asks the application to end a request, once. Its Ended still comes.
+// Abort asks the application to end a request. It sends the record once; the Ended reply still follows.
 func (s *WebServer) Abort(id uint16) error {
 	req := s.requests[id]
 	if req == nil || req.aborted {
@@ -95,39 +95,39 @@
 	return s.out.Abort(id)
 }
 
-// ReplyKind is what a record of the application comes to.
+// ReplyKind is the kind of a Reply.
 type ReplyKind int
 
 // Kinds of replies.
 const (
 	NoReply        ReplyKind = iota
-	Output                   // a part of STDOUT; none comes of a request that was aborted
-	OutputEnd                // STDOUT has ended; Ended still comes
+	Output                   // a part of STDOUT; aborted requests have none
+	OutputEnd                // STDOUT has ended; Ended still follows
 	ErrorOutput              // a part of STDERR
-	Ended                    // the request has, and its id is free
-	ValuesReceived           // Room may have changed
+	Ended                    // the request has ended and its id is free
+	ValuesReceived           // Available may have changed
 )
 
-// Reply is what a record of the application comes to.
+// Reply is the result of a record of the application.
 type Reply struct {
 	Kind           ReplyKind
 	ID             uint16
-	Data           []byte // the reader's, until the next record is read
+	Data           []byte // valid until the next record is read
 	End            End    // for Ended
-	OutputComplete bool   // for Ended: STDOUT had ended before
+	OutputComplete bool   // for Ended: STDOUT had ended before the request
 }
 
-// Unrun says, of a Reply that is Ended, that the application has told that it did not take the request (section
-// 5.5). Any other end may have run it, also one that comes before its body was sent complete.
+// NotStarted reports, for an Ended reply, whether the application has refused the request (section 5.5). With any
+// other status the request may have run, even if it ended before its body was sent completely.
 func (r Reply) NotStarted() bool { return r.End.Status == Overloaded || r.End.Status == CantMultiplex }
 
-// Take takes the next record.
+// HandleRecord processes the next record. An error is an *Error.
 func (s *WebServer) HandleRecord(rec Record) (Reply, error) {
 	switch rec.Type {
 	case GetValuesResult:
 		return s.handleValues(rec)
 	case UnknownType:
-		return Reply{}, nil // an application that knows no GET_VALUES
+		return Reply{}, nil // the application does not support GET_VALUES
 	case BeginRequest, AbortRequest, Params, Stdin, Data, GetValues:
 		return Reply{}, rec.wrapError(ErrWrongDirection)
 	}
@@ -161,13 +161,14 @@
 		return Reply{}, err
 	}
 	if end.Status > UnknownRole {
-		return Reply{}, rec.wrapError(fmt.Errorf("%w: its protocol status is %d", ErrInvalidBody, end.Status))
+		return Reply{}, rec.wrapError(fmt.Errorf("%w: got status %d", ErrInvalidBody, end.Status))
 	}
 	delete(s.requests, rec.ID)
 	return Reply{Kind: Ended, ID: rec.ID, End: end, OutputComplete: req.stdoutEnded}, nil
 }
 
-// learn takes what a connection can carry. What makes no sense changes nothing.
+// handleValues sets the request limit of the connection. Values that are not numbers are ignored; without valid ones
+// the limit is one request.
 func (s *WebServer) handleValues(rec Record) (Reply, error) {
 	maxRequests, multiplexes := 1, false
 	p := NewPairs(PairLimits{Bytes: maxContent, Count: maxContent})
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// heard gives a web server a stream of records and tells what it comes to, line by line.
+// webServerLines passes a stream of records to a web server and returns its replies, one per line.
 func webServerLines(t testing.TB, s *WebServer, text []byte) (lines string, failed error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(text))
@@ -58,7 +58,7 @@
 	return func(w *Writer) error { return w.End(id, End{Status: status}) }
 }
 
-// began is a web server with requests 1 to n begun, those whose bodies are to be complete closed.
+// startWebServer returns a WebServer with open requests 1 to n, whose bodies have ended if complete is set.
 func startWebServer(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
 	s := NewWebServer(NewWriter(io.Discard))
@@ -80,20 +80,20 @@
 func TestWebServerScripts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		whole bool // bodies are sent complete
+		whole bool // bodies have ended
 		calls []writeFunc
 		want  string
 	}{
-		{"two answers interleaved", true, []writeFunc{streamData(Stdout, 1, "a"), streamData(Stdout, 2, "b"), streamData(Stderr, 2, "!"), closeStream(Stderr, 2),
+		{"two responses interleaved", true, []writeFunc{streamData(Stdout, 1, "a"), streamData(Stdout, 2, "b"), streamData(Stderr, 2, "!"), closeStream(Stderr, 2),
 			streamData(Stdout, 1, "c"), closeStream(Stdout, 1), endRequest(1, Complete), closeStream(Stdout, 2), endRequest(2, Complete)},
 			"1 says \"a\"\n2 says \"b\"\n2 complains \"!\"\n1 says \"c\"\n1 has said all\n1 ended, status 0, whole true, unrun false\n" +
 				"2 has said all\n2 ended, status 0, whole true, unrun false"},
 		{"ended without the end of STDOUT", true, []writeFunc{streamData(Stdout, 1, "a"), endRequest(1, Complete)}, "1 says \"a\"\n1 ended, status 0, whole false, unrun false"},
-		{"turned away", true, []writeFunc{endRequest(1, Overloaded), endRequest(2, CantMultiplex)},
+		{"refused", true, []writeFunc{endRequest(1, Overloaded), endRequest(2, CantMultiplex)},
 			"1 ended, status 2, whole false, unrun true\n2 ended, status 1, whole false, unrun true"},
-		{"another role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
-		{"ended before the body was whole", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
-		{"knows no values", true, []writeFunc{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
+		{"unsupported role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
+		{"ended before the end of the body", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
+		{"GET_VALUES not supported", true, []writeFunc{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
 	} {
 		if got, err := webServerLines(t, startWebServer(t, 2, c.whole), encode(t, c.calls...)); err != nil || got != c.want {
 			t.Errorf("%s: %v\n%s\nwant\n%s", c.name, err, got, c.want)
@@ -107,14 +107,14 @@
 		calls []writeFunc
 		want  error
 	}{
-		{"a record of no request", []writeFunc{streamData(Stdout, 3, "x")}, ErrUnknownRequest},
-		{"a record behind the end", []writeFunc{endRequest(1, Complete), streamData(Stdout, 1, "x")}, ErrUnknownRequest},
-		{"an end behind the end", []writeFunc{endRequest(1, Complete), endRequest(1, Complete)}, ErrUnknownRequest},
-		{"STDOUT behind its end", []writeFunc{closeStream(Stdout, 1), streamData(Stdout, 1, "x")}, ErrStreamEnded},
-		{"a request", []writeFunc{beginRequest(5, Responder)}, ErrWrongDirection},
-		{"a status that does not exist", []writeFunc{endRequest(1, 9)}, ErrInvalidBody},
-		{"half an END_REQUEST", []writeFunc{func(w *Writer) error { return w.writeRecord(EndRequest, 1, []byte("half")) }}, ErrInvalidBody},
-		{"values that are cut", []writeFunc{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrTruncatedPair},
+		{"record of an unknown request", []writeFunc{streamData(Stdout, 3, "x")}, ErrUnknownRequest},
+		{"record after the end of its request", []writeFunc{endRequest(1, Complete), streamData(Stdout, 1, "x")}, ErrUnknownRequest},
+		{"second END_REQUEST", []writeFunc{endRequest(1, Complete), endRequest(1, Complete)}, ErrUnknownRequest},
+		{"STDOUT after its end", []writeFunc{closeStream(Stdout, 1), streamData(Stdout, 1, "x")}, ErrStreamEnded},
+		{"BEGIN_REQUEST from the application", []writeFunc{beginRequest(5, Responder)}, ErrWrongDirection},
+		{"unknown status", []writeFunc{endRequest(1, 9)}, ErrInvalidBody},
+		{"incomplete END_REQUEST", []writeFunc{func(w *Writer) error { return w.writeRecord(EndRequest, 1, []byte("half")) }}, ErrInvalidBody},
+		{"incomplete values", []writeFunc{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrTruncatedPair},
 	} {
 		_, err := webServerLines(t, startWebServer(t, 1, true), encode(t, c.calls...))
 		var e *Error
@@ -124,16 +124,16 @@
 	}
 }
 
-// One request at a time until the application says otherwise, and as many as it says; ids that are free are used
-// again, that of an aborted request only once it has ended.
+// A connection carries one request until the application reports a higher limit. Free ids are reused, and that of an
+// aborted request only once it has ended.
 func TestWebServerCapacityAndIDReuse(t *testing.T) {
 	s := NewWebServer(NewWriter(io.Discard))
 	one, err := s.Begin(nil, true)
 	if err != nil || one != 1 || s.Available() != 0 {
-		t.Fatalf("id %d, %v, room %d", one, err, s.Available())
+		t.Fatalf("id %d, error %v, %d available", one, err, s.Available())
 	}
 	if _, err := s.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second request: got error %v, want ErrTooManyRequests", err)
 	}
 	for _, c := range []struct{ said, want string }{
 		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "3")), "room for 2"},
@@ -142,7 +142,7 @@
 		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
 	} {
 		if got, err := webServerLines(t, s, []byte(c.said)); err != nil || got != c.want {
-			t.Errorf("%q, %v; want %q", got, err, c.want)
+			t.Errorf("got %q, error %v; want %q", got, err, c.want)
 		}
 	}
 	two, _ := s.Begin(nil, true)
@@ -151,24 +151,23 @@
 	}
 	three, _ := s.Begin(nil, true)
 	if three != 3 {
-		t.Errorf("id %d while an aborted one is open", three)
+		t.Errorf("got id %d while an aborted request is open, want 3", three)
 	}
 	got, err := webServerLines(t, s, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
 	if err != nil || got != "1 ended, status 0, whole false, unrun false" {
 		t.Errorf("%q, %v", got, err)
 	}
 	if again, err := s.Begin(nil, true); again != one || err != nil {
-		t.Errorf("id %d, %v; want the one that is free", again, err)
+		t.Errorf("got id %d, error %v; want the free one", again, err)
 	}
 	if s.Send(9, nil) == nil || s.CloseSend(9) == nil || s.Abort(9) != nil {
-		t.Error("an id that was never begun")
+		t.Error("unknown id: Send or CloseSend succeeded, or Abort failed")
 	}
 }
 
 func encodeString(t testing.TB, requests ...writeFunc) string { return string(encode(t, requests...)) }
 
-// The standard library's responder as an application not written here: what goes out is understood, bodies of
-// several records among it, and what comes back is what it was told to answer.
+// WebServer interoperates with the responder of net/http/fcgi, with bodies of several records in both directions.
 func TestStandardLibraryAsApplication(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -226,7 +225,7 @@
 	}
 }
 
-// Whatever an application sends, no reply is of a request that is not open, and each ends once.
+// For any input, replies belong to open requests only, each request ends once, and errors are *Error.
 func FuzzWebServer(f *testing.F) {
 	f.Add(encode(f, streamData(Stdout, 1, "Status: 200\r\n\r\nok"), closeStream(Stdout, 1), endRequest(1, Complete)))
 	f.Add(encode(f, valuesResult(mpxConns, "1", maxReqs, "50"), streamData(Stderr, 2, "!"), endRequest(2, Overloaded), endRequest(1, 9)))
@@ -253,15 +252,15 @@
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
-					t.Fatalf("%v names no record", err)
+					t.Fatalf("got %v, want an *Error", err)
 				}
 				return
 			}
 			switch {
 			case e.Kind != NoReply && e.Kind != ValuesReceived && !open[e.ID]:
-				t.Fatalf("%+v of a request that is not open", e)
+				t.Fatalf("reply %+v of a request that is not open", e)
 			case e.Kind == Output && e.ID == 2:
-				t.Fatalf("%+v of a request that was aborted", e)
+				t.Fatalf("reply %+v of an aborted request", e)
 			case e.Kind == Ended:
 				delete(open, e.ID)
 			}
