--- a/internal/fastcgi/application_test.go
+++ b/internal/fastcgi/application_test.go
@@ -10,11 +10,11 @@
 )
 
 // runApplication passes a stream of records to an application. It returns its events and its answers, one per line.
-func runApplication(t testing.TB, b ConnLimits, text []byte) (events, answers string, app *Application, failed error) {
+func runApplication(t testing.TB, limits ConnLimits, text []byte) (events, answers string, app *Application, lastErr error) {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	app = NewApplication(b, w)
+	app = NewApplication(limits, w)
 	r := NewReader(bytes.NewReader(text))
 	var lines []string
 	for {
@@ -22,27 +22,27 @@
 		if err == io.EOF {
 			break
 		}
-		var e Event
+		var event Event
 		if err == nil {
-			e, err = app.HandleRecord(rec)
+			event, err = app.HandleRecord(rec)
 		}
-		if failed = err; err != nil {
+		if lastErr = err; err != nil {
 			break
 		}
-		switch e.Kind {
+		switch event.Kind {
 		case ParamsEnd:
-			lines = append(lines, fmt.Sprintf("%d called %v", e.ID, e.Params))
+			lines = append(lines, fmt.Sprintf("%d called %v", event.ID, event.Params))
 		case Body:
-			lines = append(lines, fmt.Sprintf("%d body %q", e.ID, e.Data))
+			lines = append(lines, fmt.Sprintf("%d body %q", event.ID, event.Data))
 		case BodyEnd:
-			lines = append(lines, fmt.Sprintf("%d body's end", e.ID))
+			lines = append(lines, fmt.Sprintf("%d body's end", event.ID))
 		case Aborted:
-			lines = append(lines, fmt.Sprintf("%d aborted", e.ID))
+			lines = append(lines, fmt.Sprintf("%d aborted", event.ID))
 		}
 	}
 	w.Flush()
 	answerLines, _ := recordLines(NewReader(&out))
-	return strings.Join(lines, "\n"), strings.Join(answerLines, "\n"), app, failed
+	return strings.Join(lines, "\n"), strings.Join(answerLines, "\n"), app, lastErr
 }
 
 type writeFunc = func(*Writer) error
@@ -130,12 +130,12 @@
 func TestFinishFreesIDAndReportsKeepConn(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	a := NewApplication(testLimits, w)
+	app := NewApplication(testLimits, w)
 	take := func(text []byte) {
 		t.Helper()
 		rec, err := NewReader(bytes.NewReader(text)).Next()
 		if err == nil {
-			_, err = a.HandleRecord(rec)
+			_, err = app.HandleRecord(rec)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -143,16 +143,16 @@
 	}
 	for _, keeps := range []bool{true, false} {
 		take(encode(t, func(w *Writer) error { return w.Begin(4, Begin{Responder, keeps}) }))
-		if keep, err := a.Finish(4, End{AppStatus: 1}); keep != keeps || err != nil {
+		if keep, err := app.Finish(4, End{AppStatus: 1}); keep != keeps || err != nil {
 			t.Errorf("Finish: keep %v, error %v; want keep %v", keep, err, keeps)
 		}
-		if _, err := a.Finish(4, End{}); err == nil {
+		if _, err := app.Finish(4, End{}); err == nil {
 			t.Error("Finish succeeded twice for one request")
 		}
 		take(encode(t, closeStream(Params, 4))) // sent before the web server received END_REQUEST
 	}
 	take(encode(t, beginRequest(4, Responder)))
-	if _, err := a.Finish(4, End{Status: Overloaded}); err != nil {
+	if _, err := app.Finish(4, End{Status: Overloaded}); err != nil {
 		t.Error(err)
 	}
 	w.Flush()
@@ -163,7 +163,7 @@
 }
 
 // For any input, an application stays within its limits, reports the end of PARAMS once for each request and STDIN
-// only after it, and fails only with an *Error.
+// only after it, can finish each complete request, and fails only with an *Error.
 func FuzzApplication(f *testing.F) {
 	pair := string(AppendPair(nil, "A", "b"))
 	f.Add(exchange(f, 50))
@@ -173,7 +173,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var out bytes.Buffer
 		w := NewWriter(&out)
-		a := NewApplication(testLimits, w)
+		app := NewApplication(testLimits, w)
 		r := NewReader(bytes.NewReader(text))
 		called := map[uint16]bool{}
 		for {
@@ -181,7 +181,7 @@
 			if err != nil {
 				break
 			}
-			e, err := a.HandleRecord(rec)
+			event, err := app.HandleRecord(rec)
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
@@ -190,17 +190,17 @@
 				break
 			}
 			switch {
-			case a.Open() > testLimits.Requests:
-				t.Fatalf("%d open requests exceed the limit", a.Open())
-			case e.Kind == ParamsEnd && called[e.ID], (e.Kind == Body || e.Kind == BodyEnd) && !called[e.ID]:
-				t.Fatalf("request %d: event %v with PARAMS ended: %v", e.ID, e.Kind, called[e.ID])
-			case e.Kind == ParamsEnd:
-				called[e.ID] = true
-			case e.Kind == BodyEnd && e.ID%2 == 0:
-				if _, err := a.Finish(e.ID, End{}); err != nil {
+			case app.Open() > testLimits.Requests:
+				t.Fatalf("%d open requests exceed the limit", app.Open())
+			case event.Kind == ParamsEnd && called[event.ID], (event.Kind == Body || event.Kind == BodyEnd) && !called[event.ID]:
+				t.Fatalf("request %d: event %v with PARAMS ended: %v", event.ID, event.Kind, called[event.ID])
+			case event.Kind == ParamsEnd:
+				called[event.ID] = true
+			case event.Kind == BodyEnd && event.ID%2 == 0:
+				if _, err := app.Finish(event.ID, End{}); err != nil {
 					t.Fatal(err)
 				}
-				delete(called, e.ID)
+				delete(called, event.ID)
 			}
 		}
 		w.Flush()
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -30,8 +30,8 @@
 	"damsontrestle/internal/upstream"
 )
 
-// rig is a FastCGI front over one pool of HTTP/1.1 servers.
-type testFront struct {
+// testEnv is a Front with one pool of HTTP/1.1 servers.
+type testEnv struct {
 	front   *Front
 	clients *downstream.Set
 	engine  *engine.Engine
@@ -39,31 +39,31 @@
 	ln      net.Listener
 }
 
-func startFront(t testing.TB, servers ...string) *testFront {
+func startFront(t testing.TB, servers ...string) *testEnv {
 	t.Helper()
 	return startFrontWithLimits(t, DefaultConnLimits(), servers...)
 }
 
-func startFrontWithLimits(t testing.TB, bounds ConnLimits, servers ...string) *testFront {
+func startFrontWithLimits(t testing.TB, bounds ConnLimits, servers ...string) *testEnv {
 	t.Helper()
 	return startFrontOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
 }
 
-// startRigOn has the front end listen on what wrap makes of its listener.
-func startFrontOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds ConnLimits, servers ...string) *testFront {
+// startFrontOn starts a front that accepts from its listener as wrapped by wrap.
+func startFrontOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds ConnLimits, servers ...string) *testEnv {
 	t.Helper()
 	cfg := testpeer.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c, count := clock.New(), &metrics.Set{}
-	n := &testFront{backend: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
-	n.clients = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.backend.Connections)
+	c, counters := clock.New(), &metrics.Set{}
+	env := &testEnv{backend: upstream.NewPool(c, descriptors.NewShare(488), counters, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
+	env.clients = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, env.backend.Connections)
 	var err error
-	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.backend,
+	if env.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: env.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
-	view, err := dispatch.NewSnapshot(cfg, map[string]*engine.Engine{"servers": n.engine})
+	snapshot, err := dispatch.NewSnapshot(cfg, map[string]*engine.Engine{"servers": env.engine})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,22 +71,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.engine.RestoreList(list)
-	n.front = NewFront("main", c, n.clients, dispatch.New(view), count, log)
-	n.front.limits = bounds
-	if n.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	env.engine.RestoreList(list)
+	env.front = NewFront("main", c, env.clients, dispatch.New(snapshot), counters, log)
+	env.front.limits = bounds
+	if env.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	n.ln = wrap(n.ln)
+	env.ln = wrap(env.ln)
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { defer close(over); n.front.Serve(n.ln) }()
-	go n.engine.Run(ctx)
-	t.Cleanup(func() { n.ln.Close(); <-over; cancel(); n.backend.Close() })
-	return n
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); env.front.Serve(env.ln) }()
+	go env.engine.Run(ctx)
+	t.Cleanup(func() { env.ln.Close(); <-stopped; cancel(); env.backend.Close() })
+	return env
 }
 
-// webServer is a web server that a test drives.
+// testWebServer is a web server's connection to a front.
 type testWebServer struct {
 	net.Conn
 	*WebServer
@@ -94,9 +94,9 @@
 	in  *Reader
 }
 
-func connect(t testing.TB, n *testFront) *testWebServer {
+func connect(t testing.TB, env *testEnv) *testWebServer {
 	t.Helper()
-	c, err := net.Dial("tcp", n.ln.Addr().String())
+	c, err := net.Dial("tcp", env.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	return w
 }
 
-// variables are those of a request of one of the classes of testpeer.Config.
+// requestParams returns the PARAMS of a request for a class of testpeer.Config.
 func requestParams(method, target, id string, more ...string) []Param {
 	all := []Param{{"REQUEST_METHOD", method}, {"REQUEST_URI", target}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"HTTP_HOST", "h"},
 		{"HTTP_X_REQUEST_ID", id}, {"HTTP_X_DEADLINE", "60"}}
@@ -118,7 +118,7 @@
 	return all
 }
 
-// ask begins a request and sends its body whole.
+// sendRequest sends a complete request and returns its id.
 func (w *testWebServer) sendRequest(t testing.TB, params []Param, body string) uint16 {
 	t.Helper()
 	id, err := w.Begin(params, true)
@@ -128,7 +128,7 @@
 	return id
 }
 
-// answer is what a request came to.
+// testResponse is the outcome of a request.
 type testResponse struct {
 	text string // head and body
 	end  End
@@ -139,38 +139,38 @@
 }
 func (a testResponse) body() string { _, body, _ := strings.Cut(a.text, "\r\n\r\n"); return body }
 
-// hear reads until so many requests have ended.
-func (w *testWebServer) receive(t testing.TB, ends int) map[uint16]testResponse {
+// receive reads until the given number of requests have ended.
+func (w *testWebServer) receive(t testing.TB, count int) map[uint16]testResponse {
 	t.Helper()
-	said, over := map[uint16]*bytes.Buffer{}, map[uint16]testResponse{}
-	for len(over) < ends {
+	output, responses := map[uint16]*bytes.Buffer{}, map[uint16]testResponse{}
+	for len(responses) < count {
 		rec, err := w.in.Next()
-		var e Reply
+		var reply Reply
 		if err == nil {
-			e, err = w.HandleRecord(rec)
+			reply, err = w.HandleRecord(rec)
 		}
 		if err != nil {
-			t.Fatalf("after %d ends of %d: %v", len(over), ends, err)
+			t.Fatalf("after %d of %d responses: %v", len(responses), count, err)
 		}
-		if said[e.ID] == nil {
-			said[e.ID] = &bytes.Buffer{}
+		if output[reply.ID] == nil {
+			output[reply.ID] = &bytes.Buffer{}
 		}
-		switch e.Kind {
+		switch reply.Kind {
 		case Output:
-			said[e.ID].Write(e.Data)
+			output[reply.ID].Write(reply.Data)
 		case Ended:
-			over[e.ID] = testResponse{said[e.ID].String(), e.End}
+			responses[reply.ID] = testResponse{output[reply.ID].String(), reply.End}
 		}
 	}
-	return over
+	return responses
 }
 
-func (w *testWebServer) expectClosed(t testing.TB, what string) {
+func (w *testWebServer) expectClosed(t testing.TB, name string) {
 	t.Helper()
 	if rec, err := w.in.Next(); err == nil {
-		t.Errorf("%s: %v of request %d", what, rec.Type, rec.ID)
-	} else if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-		t.Errorf("%s: still open", what)
+		t.Errorf("%s: got %v of request %d, want a closed connection", name, rec.Type, rec.ID)
+	} else if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
+		t.Errorf("%s: connection is still open", name)
 	}
 }
 
@@ -180,99 +180,99 @@
 		body string
 	}
 	got := make(chan seen, 10)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- seen{r, body}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Other: x\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	})
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
-	id := w.sendRequest(t, requestParams("POST", "/keyed/a%2fB?q=%20", "the-id", "HTTP_IDEMPOTENCY_KEY", "K+/=", "CONTENT_TYPE", "c/d", "CONTENT_LENGTH", "4",
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
+	id := webServer.sendRequest(t, requestParams("POST", "/keyed/a%2fB?q=%20", "the-id", "HTTP_IDEMPOTENCY_KEY", "K+/=", "CONTENT_TYPE", "c/d", "CONTENT_LENGTH", "4",
 		"HTTP_PROXY", "evil", "HTTP_CONTENT_LENGTH", "4"), "body")
-	a := w.receive(t, 1)[id]
-	if want := "Status: 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nok"; a.text != want || a.end != (End{}) {
-		t.Errorf("%q, %+v; want %q", a.text, a.end, want)
+	resp := webServer.receive(t, 1)[id]
+	if want := "Status: 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nok"; resp.text != want || resp.end != (End{}) {
+		t.Errorf("got %q, end %+v; want %q", resp.text, resp.end, want)
 	}
-	g := testpeer.Receive(t, got, "the request")
-	if g.r.Method != "POST" || g.r.RequestURI != "/keyed/a%2fB?q=%20" || g.body != "body" || g.r.Header.Get("X-Request-Id") != "the-id" ||
-		g.r.Header.Get("Idempotency-Key") != "K+/=" || g.r.Header.Get("Content-Type") != "c/d" || g.r.Header.Get("Proxy") != "" {
-		t.Errorf("%s %s %v %q", g.r.Method, g.r.RequestURI, g.r.Header, g.body)
+	received := testpeer.Receive(t, got, "the request")
+	if received.r.Method != "POST" || received.r.RequestURI != "/keyed/a%2fB?q=%20" || received.body != "body" || received.r.Header.Get("X-Request-Id") != "the-id" ||
+		received.r.Header.Get("Idempotency-Key") != "K+/=" || received.r.Header.Get("Content-Type") != "c/d" || received.r.Header.Get("Proxy") != "" {
+		t.Errorf("server got %s %s, header %v, body %q", received.r.Method, received.r.RequestURI, received.r.Header, received.body)
 	}
-	// Without a REQUEST_URI, and without a length: what came is the body.
-	id = w.sendRequest(t, []Param{{"REQUEST_METHOD", "POST"}, {"SCRIPT_NAME", "/note"}, {"PATH_INFO", "/a b"}, {"QUERY_STRING", "x=y"},
+	// Without REQUEST_URI the target is built from the other variables; without CONTENT_LENGTH the body is all of STDIN.
+	id = webServer.sendRequest(t, []Param{{"REQUEST_METHOD", "POST"}, {"SCRIPT_NAME", "/note"}, {"PATH_INFO", "/a b"}, {"QUERY_STRING", "x=y"},
 		{"HTTP_X_REQUEST_ID", "other"}, {"HTTP_X_DEADLINE", "60"}}, "no length")
-	if a := w.receive(t, 1)[id]; a.body() != "ok" {
-		t.Errorf("%q", a.text)
+	if resp := webServer.receive(t, 1)[id]; resp.body() != "ok" {
+		t.Errorf("%q", resp.text)
 	}
-	if g := testpeer.Receive(t, got, "the request"); g.r.RequestURI != "/note/a%20b?x=y" || g.body != "no length" {
-		t.Errorf("%s %q", g.r.RequestURI, g.body)
+	if received := testpeer.Receive(t, got, "the request"); received.r.RequestURI != "/note/a%20b?x=y" || received.body != "no length" {
+		t.Errorf("server got %s, body %q", received.r.RequestURI, received.body)
 	}
 }
 
 func TestInvalidRequestsAreAnswered(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
+	server := testpeer.NewServer(t, testpeer.Echo)
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
 	for _, c := range []struct {
 		name   string
 		params []Param
 		body   string
 		want   string
 	}{
-		{"a variable twice", requestParams("GET", "/view/k", "i", "REQUEST_METHOD", "GET"), "", "400 Bad Request"},
-		{"two lengths", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "2", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
-		{"a header's length alone", requestParams("POST", "/note/k", "i", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
-		{"a coding", requestParams("POST", "/note/k", "i", "HTTP_TRANSFER_ENCODING", "chunked"), "ok", "400 Bad Request"},
-		{"names that fall together", requestParams("GET", "/view/k", "i", "HTTP_X-REQUEST-ID", "j"), "", "400 Bad Request"},
-		{"a small name", requestParams("GET", "/view/k", "i", "http_x_request_id", "j"), "", "400 Bad Request"},
-		{"a line's end", requestParams("GET", "/view/k", "i\r\nX-Evil: 1"), "", "400 Bad Request"},
-		{"no id", requestParams("GET", "/view/k", ""), "", "400 Bad Request"},
-		{"no class", requestParams("GET", "/none/k", "i"), "", "404 Not Found"},
-		{"another method", requestParams("PUT", "/note/k", "i"), "", "405 Method Not Allowed"},
-		{"a target with a space", requestParams("GET", "/view/k HTTP/1.1", "i"), "", "400 Bad Request"},
-		{"no target", requestParams("GET", "", "i"), "", "400 Bad Request"},
-		{"a body too long", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "65537"), "", "413 Request Entity Too Large"},
-		{"a body too long without a length", requestParams("POST", "/note/k", "i"), strings.Repeat("x", 65537), "413 Request Entity Too Large"},
-		{"a length that is none", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "-1"), "", "400 Bad Request"},
-		{"a body short of its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "5"), "four", "400 Bad Request"},
-		{"a body beyond its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "3"), "four", "400 Bad Request"},
+		{"duplicate variable", requestParams("GET", "/view/k", "i", "REQUEST_METHOD", "GET"), "", "400 Bad Request"},
+		{"conflicting lengths", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "2", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
+		{"length in a header only", requestParams("POST", "/note/k", "i", "HTTP_CONTENT_LENGTH", "5"), "ok", "400 Bad Request"},
+		{"transfer coding", requestParams("POST", "/note/k", "i", "HTTP_TRANSFER_ENCODING", "chunked"), "ok", "400 Bad Request"},
+		{"header name with a hyphen", requestParams("GET", "/view/k", "i", "HTTP_X-REQUEST-ID", "j"), "", "400 Bad Request"},
+		{"header name in lower case", requestParams("GET", "/view/k", "i", "http_x_request_id", "j"), "", "400 Bad Request"},
+		{"line break in a value", requestParams("GET", "/view/k", "i\r\nX-Evil: 1"), "", "400 Bad Request"},
+		{"empty request id", requestParams("GET", "/view/k", ""), "", "400 Bad Request"},
+		{"path of no class", requestParams("GET", "/none/k", "i"), "", "404 Not Found"},
+		{"unsupported method", requestParams("PUT", "/note/k", "i"), "", "405 Method Not Allowed"},
+		{"target with a space", requestParams("GET", "/view/k HTTP/1.1", "i"), "", "400 Bad Request"},
+		{"empty target", requestParams("GET", "", "i"), "", "400 Bad Request"},
+		{"body over the limit", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "65537"), "", "413 Request Entity Too Large"},
+		{"body over the limit without a length", requestParams("POST", "/note/k", "i"), strings.Repeat("x", 65537), "413 Request Entity Too Large"},
+		{"negative length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "-1"), "", "400 Bad Request"},
+		{"body shorter than its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "5"), "four", "400 Bad Request"},
+		{"body longer than its length", requestParams("POST", "/note/k", "i", "CONTENT_LENGTH", "3"), "four", "400 Bad Request"},
 		{"GET with a body", requestParams("GET", "/view/k", "i", "CONTENT_LENGTH", "2"), "ok", "400 Bad Request"},
-		{"GET with a body that is not told", requestParams("GET", "/view/k", "i"), "ok", "400 Bad Request"},
+		{"GET with a body without a length", requestParams("GET", "/view/k", "i"), "ok", "400 Bad Request"},
 	} {
-		id := w.sendRequest(t, c.params, c.body)
-		if a := w.receive(t, 1)[id]; a.status() != c.want || a.end != (End{}) {
-			t.Errorf("%s: %q, %+v; want %s", c.name, a.text, a.end, c.want)
+		id := webServer.sendRequest(t, c.params, c.body)
+		if resp := webServer.receive(t, 1)[id]; resp.status() != c.want || resp.end != (End{}) {
+			t.Errorf("%s: got %q, end %+v; want %s", c.name, resp.text, resp.end, c.want)
 		}
 	}
-	if s.Seen() != 0 {
-		t.Errorf("%d requests reached the server", s.Seen())
+	if server.Seen() != 0 {
+		t.Errorf("%d invalid requests reached the server", server.Seen())
 	}
-	id := w.sendRequest(t, requestParams("GET", "/view/k", "good"), "")
-	if a := w.receive(t, 1)[id]; a.body() != "for good" {
-		t.Errorf("the connection after all that: %q", a.text)
+	id := webServer.sendRequest(t, requestParams("GET", "/view/k", "good"), "")
+	if resp := webServer.receive(t, 1)[id]; resp.body() != "for good" {
+		t.Errorf("valid request after the invalid ones: got %q", resp.text)
 	}
 	for name, requests := range map[string][]writeFunc{
-		"an id in use":      {beginRequest(5, Responder), beginRequest(5, Responder)},
-		"a broken record":   {func(w *Writer) error { w.buf = append(w.buf, "\x02what"...); return nil }},
-		"PARAMS of 2 GB":    {beginRequest(5, Responder), streamData(Params, 5, "\xff\xff\xff\xff\x01x")},
-		"too many PARAMS":   {beginRequest(5, Responder), streamData(Params, 5, strings.Repeat("\x00\x00", 200))},
-		"an answer to none": {endRequest(5, Complete)},
+		"id in use":                       {beginRequest(5, Responder), beginRequest(5, Responder)},
+		"invalid record":                  {func(webServer *Writer) error { webServer.buf = append(webServer.buf, "\x02what"...); return nil }},
+		"PARAMS of 2 GB":                  {beginRequest(5, Responder), streamData(Params, 5, "\xff\xff\xff\xff\x01x")},
+		"too many PARAMS":                 {beginRequest(5, Responder), streamData(Params, 5, strings.Repeat("\x00\x00", 200))},
+		"END_REQUEST from the web server": {endRequest(5, Complete)},
 	} {
-		w := connect(t, n)
-		w.Write(encode(t, requests...))
-		if name == "a broken record" {
-			w.Conn.(*net.TCPConn).CloseWrite()
+		webServer := connect(t, env)
+		webServer.Write(encode(t, requests...))
+		if name == "invalid record" {
+			webServer.Conn.(*net.TCPConn).CloseWrite()
 		}
-		w.expectClosed(t, name)
+		webServer.expectClosed(t, name)
 	}
-	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.clients.Open() == 1 })
+	testpeer.Until(t, "the connections to be closed", func() bool { return env.clients.Open() == 1 })
 }
 
-// Fifty requests on one connection, of which some are aborted while servers have them: each ends once, the others are
-// served, nothing unsafe runs twice, and the aborted ones' ids may be used again at once.
+// With 50 requests on one connection, some aborted while servers handle them, each request ends once, the others are
+// served, no unsafe request runs twice, and the ids of aborted requests can be reused at once.
 func TestMultiplexedRequestsWithAborts(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan string, 100)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		id := r.Header.Get("X-Request-Id")
 		got <- id
 		if strings.HasPrefix(id, "held") {
@@ -280,93 +280,93 @@
 		}
 		return testpeer.Echo(c, r, body)
 	})
-	var servers []string // enough of them for the module to admit fifty requests
+	var servers []string // enough for the engine to admit 50 requests
 	for i := range 8 {
-		servers = append(servers, testpeer.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
+		servers = append(servers, testpeer.Entry(fmt.Sprint("s", i), server.Address(), "in_service"))
 	}
-	n := startFrontWithLimits(t, ConnLimits{Requests: 50, Params: DefaultConnLimits().Params}, servers...)
-	w := connect(t, n)
-	asked := map[uint16]string{}
+	env := startFrontWithLimits(t, ConnLimits{Requests: 50, Params: DefaultConnLimits().Params}, servers...)
+	webServer := connect(t, env)
+	names := map[uint16]string{}
 	for i := range 50 {
 		name := fmt.Sprint("held-", i)
-		asked[w.sendRequest(t, requestParams("POST", "/note/k", name, "CONTENT_LENGTH", "2"), "ok")] = name
+		names[webServer.sendRequest(t, requestParams("POST", "/note/k", name, "CONTENT_LENGTH", "2"), "ok")] = name
 	}
 	for range 50 {
 		testpeer.Receive(t, got, "an attempt")
 	}
-	late := w.sendRequest(t, requestParams("GET", "/view/k", "late"), "")
-	if a := w.receive(t, 1)[late]; a.end.Status != Overloaded {
-		t.Errorf("one too many: %+v", a)
+	extra := webServer.sendRequest(t, requestParams("GET", "/view/k", "late"), "")
+	if resp := webServer.receive(t, 1)[extra]; resp.end.Status != Overloaded {
+		t.Errorf("request over the limit: got %+v, want OVERLOADED", resp)
 	}
 	aborted := map[uint16]bool{}
-	for id := range asked {
+	for id := range names {
 		if id%5 == 0 {
 			aborted[id] = true
-			w.Abort(id)
+			webServer.Abort(id)
 		}
 	}
-	w.out.Abort(999) // never begun
-	w.out.Flush()
-	for id, a := range w.receive(t, len(aborted)) {
-		if !aborted[id] || a.text != "" || a.end != (End{AppStatus: 1}) {
-			t.Errorf("aborted %v: %+v", aborted[id], a)
+	webServer.out.Abort(999) // unknown id
+	webServer.out.Flush()
+	for id, resp := range webServer.receive(t, len(aborted)) {
+		if !aborted[id] || resp.text != "" || resp.end != (End{AppStatus: 1}) {
+			t.Errorf("end while waiting for aborted requests (aborted: %v): got %+v", aborted[id], resp)
 		}
 	}
-	again := w.sendRequest(t, requestParams("GET", "/view/k", "again"), "")
+	again := webServer.sendRequest(t, requestParams("GET", "/view/k", "again"), "")
 	if !aborted[again] {
-		t.Errorf("id %d", again)
+		t.Errorf("got id %d, want that of an aborted request", again)
 	}
-	if a := w.receive(t, 1)[again]; a.body() != "for again" {
-		t.Errorf("an id used again: %q", a.text)
+	if resp := webServer.receive(t, 1)[again]; resp.body() != "for again" {
+		t.Errorf("request with a reused id: got %q", resp.text)
 	}
 	close(hold)
-	for id, a := range w.receive(t, 50-len(aborted)) {
-		if a.body() != "for "+asked[id] || a.end != (End{}) {
-			t.Errorf("%s: %+v", asked[id], a)
+	for id, resp := range webServer.receive(t, 50-len(aborted)) {
+		if resp.body() != "for "+names[id] || resp.end != (End{}) {
+			t.Errorf("%s: got %+v", names[id], resp)
 		}
 	}
 	runs := map[string]int{}
-	for _, id := range s.Requests() {
+	for _, id := range server.Requests() {
 		if runs[id]++; runs[id] > 1 {
 			t.Errorf("%s ran twice", id)
 		}
 	}
-	testpeer.Until(t, "nothing to be open", func() bool { return n.engine.Status().Open == 0 && n.front.counters.Report().Open == 0 })
+	testpeer.Until(t, "all requests to end", func() bool { return env.engine.Status().Open == 0 && env.front.counters.Report().Open == 0 })
 }
 
-// A web server that goes with requests out: their attempts end, and nothing is left.
+// When a web server disconnects with open requests, their attempts end and no connection or request is left.
 func TestWebServerDisconnectsWithOpenRequests(t *testing.T) {
 	got, gone := make(chan struct{}, 10), make(chan struct{}, 10)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
-		c.Read(make([]byte, 1)) // returns when the node closes
+		c.Read(make([]byte, 1)) // returns when the node closes the connection
 		gone <- struct{}{}
 		return false
 	})
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
 	for i := range 5 {
-		w.sendRequest(t, requestParams("POST", "/note/k", fmt.Sprint("out-", i)), "x")
+		webServer.sendRequest(t, requestParams("POST", "/note/k", fmt.Sprint("out-", i)), "x")
 		testpeer.Receive(t, got, "the attempt")
 	}
-	w.Begin(requestParams("POST", "/note/k", "half"), true)
-	w.out.Flush()
-	w.Close()
+	webServer.Begin(requestParams("POST", "/note/k", "half"), true)
+	webServer.out.Flush()
+	webServer.Close()
 	for range 5 {
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
-	testpeer.Until(t, "nothing to be left", func() bool {
-		return n.clients.Open() == 0 && n.engine.Status().Open == 0 && n.front.counters.Report().Open == 0
+	testpeer.Until(t, "all connections and requests to end", func() bool {
+		return env.clients.Open() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().Open == 0
 	})
-	if s.Seen() != 5 {
-		t.Errorf("%d requests", s.Seen())
+	if server.Seen() != 5 {
+		t.Errorf("server got %d requests, want 5", server.Seen())
 	}
 }
 
-// Long answers pass through, whole or so that the web server can tell.
+// Long responses are streamed; the web server can detect one that is cut off.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 1<<16)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text))
 		if r.URL.RawQuery == "cut" {
 			io.WriteString(c, text[:len(text)/2])
@@ -375,62 +375,62 @@
 		io.WriteString(c, text)
 		return true
 	})
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
-	complete, cut := w.sendRequest(t, requestParams("GET", "/view/k", "whole"), ""), w.sendRequest(t, requestParams("GET", "/view/k?cut", "cut"), "")
-	heard := w.receive(t, 2)
-	if a := heard[complete]; a.body() != text || a.end != (End{}) {
-		t.Errorf("%d bytes, %+v", len(a.body()), a.end)
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
+	complete, truncated := webServer.sendRequest(t, requestParams("GET", "/view/k", "whole"), ""), webServer.sendRequest(t, requestParams("GET", "/view/k?cut", "cut"), "")
+	responses := webServer.receive(t, 2)
+	if resp := responses[complete]; resp.body() != text || resp.end != (End{}) {
+		t.Errorf("complete response: got %d bytes, end %+v", len(resp.body()), resp.end)
 	}
-	if a := heard[cut]; len(a.body()) >= len(text) || a.end.AppStatus == 0 {
-		t.Errorf("cut: %d bytes, %+v", len(a.body()), a.end)
+	if resp := responses[truncated]; len(resp.body()) >= len(text) || resp.end.AppStatus == 0 {
+		t.Errorf("truncated response: got %d bytes, end %+v", len(resp.body()), resp.end)
 	}
-	if r := n.front.counters.Report(); r.Fulfilled["view"] != 1 || r.Faulted["view"] != 1 {
-		t.Errorf("%+v", r)
+	if r := env.front.counters.Report(); r.Fulfilled["view"] != 1 || r.Faulted["view"] != 1 {
+		t.Errorf("counters: %+v", r)
 	}
 }
 
 func TestReadinessAndConnectionClose(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
+	server := testpeer.NewServer(t, testpeer.Echo)
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
 	ready := func(want string) {
 		t.Helper()
-		id := w.sendRequest(t, []Param{{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/health/ready"}}, "")
-		if a := w.receive(t, 1)[id]; a.status() != want {
-			t.Errorf("%q, want %s", a.text, want)
+		id := webServer.sendRequest(t, []Param{{"REQUEST_METHOD", "GET"}, {"REQUEST_URI", "/health/ready"}}, "")
+		if resp := webServer.receive(t, 1)[id]; resp.status() != want {
+			t.Errorf("got %q, want %s", resp.text, want)
 		}
 	}
 	ready("200 OK")
-	n.front.SetReady(false)
+	env.front.SetReady(false)
 	ready("503 Service Unavailable")
-	n.front.SetReady(true)
+	env.front.SetReady(true)
 
-	once := connect(t, n)
+	once := connect(t, env)
 	id, _ := once.Begin(requestParams("GET", "/view/k", "once"), false)
 	once.CloseSend(id)
 	once.out.Flush()
-	if a := once.receive(t, 1)[id]; a.body() != "for once" {
-		t.Errorf("%q", a.text)
+	if resp := once.receive(t, 1)[id]; resp.body() != "for once" {
+		t.Errorf("%q", resp.text)
 	}
-	once.expectClosed(t, "a connection that was not to be kept")
+	once.expectClosed(t, "connection without FCGI_KEEP_CONN")
 
-	idle := connect(t, n)
+	idle := connect(t, env)
 	idle.receive(t, 0)
-	testpeer.Until(t, "the idle one to be there", func() bool { return n.clients.Open() == 2 })
-	n.front.SetClosing(true)
-	id = w.sendRequest(t, requestParams("GET", "/view/k", "last"), "")
-	if a := w.receive(t, 1)[id]; a.body() != "for last" {
-		t.Errorf("%q", a.text)
+	testpeer.Until(t, "the idle connection to be accepted", func() bool { return env.clients.Open() == 2 })
+	env.front.SetClosing(true)
+	id = webServer.sendRequest(t, requestParams("GET", "/view/k", "last"), "")
+	if resp := webServer.receive(t, 1)[id]; resp.body() != "for last" {
+		t.Errorf("%q", resp.text)
 	}
-	w.expectClosed(t, "a connection behind its last answer")
-	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.CloseQuiet() == 0 })
-	idle.expectClosed(t, "a quiet connection")
+	webServer.expectClosed(t, "connection after its last response")
+	testpeer.Until(t, "idle connections to be closed", func() bool { return env.front.CloseQuiet() == 0 })
+	idle.expectClosed(t, "idle connection")
 }
 
-// Refused, with a time to come back; failed where a server may have run it.
+// A rejected request gets 503 with Retry-After; one that a server may have run gets 502.
 func TestRejectedAndFailedResponses(t *testing.T) {
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "full" {
 			_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
@@ -438,66 +438,66 @@
 		_, err := io.WriteString(c, "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	n := startFront(t, testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
-	full, fails := w.sendRequest(t, requestParams("POST", "/note/k", "full"), ""), w.sendRequest(t, requestParams("POST", "/note/k", "fails"), "")
-	heard := w.receive(t, 2)
-	if a := heard[full]; a.status() != "503 Service Unavailable" || !strings.Contains(a.text, "\r\nRetry-After: ") {
-		t.Errorf("%q", a.text)
+	env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
+	rejected, failed := webServer.sendRequest(t, requestParams("POST", "/note/k", "full"), ""), webServer.sendRequest(t, requestParams("POST", "/note/k", "fails"), "")
+	responses := webServer.receive(t, 2)
+	if resp := responses[rejected]; resp.status() != "503 Service Unavailable" || !strings.Contains(resp.text, "\r\nRetry-After: ") {
+		t.Errorf("%q", resp.text)
 	}
-	if a := heard[fails]; a.status() != "502 Bad Gateway" {
-		t.Errorf("%q", a.text)
+	if resp := responses[failed]; resp.status() != "502 Bad Gateway" {
+		t.Errorf("%q", resp.text)
 	}
 }
 
-// BenchmarkIdleConnections tells what a quiet connection costs the process: heap, stacks and what the runtime keeps.
+// BenchmarkIdleConnections measures the heap and stack memory of the process for each idle connection.
 func BenchmarkIdleConnections(b *testing.B) {
-	const held = 500
-	s := testpeer.NewServer(b, testpeer.Echo)
-	n := startFront(b, testpeer.Entry("s1", s.Address(), "in_service"))
+	const count = 500
+	server := testpeer.NewServer(b, testpeer.Echo)
+	env := startFront(b, testpeer.Entry("s1", server.Address(), "in_service"))
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		var quiet []net.Conn
-		for range held {
-			c, err := net.Dial("tcp", n.ln.Addr().String())
+		var conns []net.Conn
+		for range count {
+			c, err := net.Dial("tcp", env.ln.Addr().String())
 			if err != nil {
 				b.Fatal(err)
 			}
-			quiet = append(quiet, c)
+			conns = append(conns, c)
 		}
-		testpeer.Until(b, "all to be there", func() bool { return n.clients.Open() == held })
+		testpeer.Until(b, "all connections to be accepted", func() bool { return env.clients.Open() == count })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		// The test's own side of each connection is among it.
-		b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/held/1024, "KiB/conn")
-		for _, c := range quiet {
+		// This includes the test's own end of each connection.
+		b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/count/1024, "KiB/conn")
+		for _, c := range conns {
 			c.Close()
 		}
-		testpeer.Until(b, "all to be gone", func() bool { return n.clients.Open() == 0 })
+		testpeer.Until(b, "all connections to be closed", func() bool { return env.clients.Open() == 0 })
 	}
 }
 
-// BenchmarkCalls passes small requests from one FastCGI connection to an HTTP/1.1 server, one after another and 16 at once.
+// BenchmarkRequests passes small requests from one FastCGI connection to an HTTP/1.1 server, 1 and 16 at a time.
 func BenchmarkRequests(b *testing.B) {
-	s := testpeer.NewServer(b, testpeer.Echo)
-	n := startFront(b, testpeer.Entry("s1", s.Address(), "in_service"))
-	for _, at := range []int{1, 16} {
-		b.Run(fmt.Sprint(at, " at once"), func(b *testing.B) {
-			w := connect(b, n)
+	server := testpeer.NewServer(b, testpeer.Echo)
+	env := startFront(b, testpeer.Entry("s1", server.Address(), "in_service"))
+	for _, concurrency := range []int{1, 16} {
+		b.Run(fmt.Sprint(concurrency, " at once"), func(b *testing.B) {
+			webServer := connect(b, env)
 			b.ReportAllocs()
-			for i := 0; i < b.N; i += at {
-				for k := range at {
-					w.sendRequest(b, requestParams("GET", "/view/k", fmt.Sprint(i, "-", k)), "")
+			for i := 0; i < b.N; i += concurrency {
+				for k := range concurrency {
+					webServer.sendRequest(b, requestParams("GET", "/view/k", fmt.Sprint(i, "-", k)), "")
 				}
-				w.receive(b, at)
+				webServer.receive(b, concurrency)
 			}
 		})
 	}
 }
 
-// faultyConn has its next write fail in its middle, with an errno.
+// faultyConn fails the next write with errno, if set, after a third of its bytes.
 type faultyConn struct {
 	net.Conn
 	errno *atomic.Uint32
@@ -522,40 +522,40 @@
 	return faultyConn{c, l.errno}, err
 }
 
-// A write that ends within a record ends its connection, and the requests on it as their web server's going does: the answers that
-// would follow would be read as the rest of that record.
+// A write that fails within a record closes the connection and cancels its requests, as if the web server had
+// disconnected: the web server would read later responses as the rest of that record.
 func TestFailedWriteClosesConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENOBUFS, syscall.EPIPE} {
 		hold, got := make(chan struct{}), make(chan string, 2)
 		gone := make(chan struct{})
-		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 			id := r.Header.Get("X-Request-Id")
 			got <- id
 			if id == "first" {
 				<-hold
 				return testpeer.Echo(c, r, body)
 			}
-			c.Read(make([]byte, 1)) // until its attempt is called off
+			c.Read(make([]byte, 1)) // until the attempt is cancelled
 			close(gone)
 			return false
 		})
-		var fails atomic.Uint32
-		n := startFrontOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &fails} }, DefaultConnLimits(),
-			testpeer.Entry("s1", s.Address(), "in_service"))
-		w := connect(t, n)
-		w.sendRequest(t, requestParams("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
+		var nextErrno atomic.Uint32
+		env := startFrontOn(t, func(ln net.Listener) net.Listener { return faultyListener{ln, &nextErrno} }, DefaultConnLimits(),
+			testpeer.Entry("s1", server.Address(), "in_service"))
+		webServer := connect(t, env)
+		webServer.sendRequest(t, requestParams("POST", "/note/k", "first", "CONTENT_LENGTH", "2"), "ok")
 		testpeer.Receive(t, got, "the first attempt")
-		w.sendRequest(t, requestParams("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
+		webServer.sendRequest(t, requestParams("POST", "/note/k", "second", "CONTENT_LENGTH", "2"), "ok")
 		testpeer.Receive(t, got, "the second attempt")
-		fails.Store(uint32(errno))
+		nextErrno.Store(uint32(errno))
 		close(hold)
-		testpeer.Receive(t, gone, "the other attempt's end")
-		w.expectClosed(t, errno.Error())
-		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Open() == 0 })
+		testpeer.Receive(t, gone, "the second attempt's end")
+		webServer.expectClosed(t, errno.Error())
+		testpeer.Until(t, "the connection to be closed", func() bool { return env.clients.Open() == 0 })
 	}
 }
 
-// timedConn tells of each write whether a deadline was set since the one before.
+// deadlineConn reports for each write whether a deadline was set since the previous one.
 type deadlineConn struct {
 	net.Conn
 	deadlineSet *atomic.Bool
@@ -582,24 +582,24 @@
 	return deadlineConn{c, new(atomic.Bool), l.writes}, err
 }
 
-// An answer that takes two writes has its time for each of them, however long ago the last one on its connection was.
+// Each write of a response has the full write timeout, however long ago the previous write on the connection was.
 func TestEachWriteGetsFullTimeout(t *testing.T) {
 	long := strings.Repeat("x", maxContent)
-	s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return testpeer.Reply200(c, long) })
+	server := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { return testpeer.Reply200(c, long) })
 	writes := make(chan bool, 100)
-	n := startFrontOn(t, func(ln net.Listener) net.Listener { return deadlineListener{ln, writes} }, DefaultConnLimits(),
-		testpeer.Entry("s1", s.Address(), "in_service"))
-	w := connect(t, n)
-	id := w.sendRequest(t, requestParams("GET", "/view/k", "long"), "")
-	if a := w.receive(t, 1)[id]; a.body() != long {
-		t.Errorf("%d bytes came", len(a.body()))
+	env := startFrontOn(t, func(ln net.Listener) net.Listener { return deadlineListener{ln, writes} }, DefaultConnLimits(),
+		testpeer.Entry("s1", server.Address(), "in_service"))
+	webServer := connect(t, env)
+	id := webServer.sendRequest(t, requestParams("GET", "/view/k", "long"), "")
+	if resp := webServer.receive(t, 1)[id]; resp.body() != long {
+		t.Errorf("got %d bytes", len(resp.body()))
 	}
 	if len(writes) < 2 {
-		t.Errorf("the answer took %d writes", len(writes))
+		t.Errorf("the response took %d writes, want several", len(writes))
 	}
 	for len(writes) > 0 {
 		if !<-writes {
-			t.Error("a write had the deadline of one before it")
+			t.Error("a write reused the deadline of the previous one")
 		}
 	}
 }
--- a/internal/fastcgi/pairs_test.go
+++ b/internal/fastcgi/pairs_test.go
@@ -8,16 +8,16 @@
 )
 
 // feed decodes text in chunks of a size and returns the pairs.
-func feed(p *Pairs, text []byte, size int) (seen []string, err error) {
+func feed(p *Pairs, text []byte, size int) (got []string, err error) {
 	for rest := text; len(rest) > 0 && err == nil; rest = rest[min(size, len(rest)):] {
 		err = p.Feed(rest[:min(size, len(rest))], func(name, value []byte) {
-			seen = append(seen, fmt.Sprintf("%s=%s", name, value))
+			got = append(got, fmt.Sprintf("%s=%s", name, value))
 		})
 	}
 	if err == nil {
 		err = p.End()
 	}
-	return seen, err
+	return got, err
 }
 
 func TestPairsInChunksOfEverySize(t *testing.T) {
@@ -81,10 +81,10 @@
 	f.Add([]byte("\x80\x00\x00\x01\x80\x00\x00\x02Zzz\x00"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
 		limits := PairLimits{Bytes: 300, Count: 5}
-		complete, err1 := feed(NewPairs(limits), text, len(text)+1)
-		pieces, err2 := feed(NewPairs(limits), text, int(size)+1)
-		if strings.Join(complete, "\x00") != strings.Join(pieces, "\x00") || fmt.Sprint(err1) != fmt.Sprint(err2) {
-			t.Fatalf("%q, %v in one chunk; %q, %v in chunks of %d bytes", complete, err1, pieces, err2, int(size)+1)
+		complete, completeErr := feed(NewPairs(limits), text, len(text)+1)
+		chunked, chunkedErr := feed(NewPairs(limits), text, int(size)+1)
+		if strings.Join(complete, "\x00") != strings.Join(chunked, "\x00") || fmt.Sprint(completeErr) != fmt.Sprint(chunkedErr) {
+			t.Fatalf("%q, %v in one chunk; %q, %v in chunks of %d bytes", complete, completeErr, chunked, chunkedErr, int(size)+1)
 		}
 		sum := 0
 		for _, s := range complete {
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -11,12 +11,12 @@
 )
 
 // encode returns the records that the functions write.
-func encode(t testing.TB, requests ...func(*Writer) error) []byte {
+func encode(t testing.TB, writes ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, request := range requests {
-		if err := request(w); err != nil {
+	for _, write := range writes {
+		if err := write(w); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -184,9 +184,9 @@
 	f.Add([]byte("\x01\x63\x00\x00\x00\x02\xff\x00ab"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := NewReader(bytes.NewReader(text))
-		var again bytes.Buffer
-		w := NewWriter(&again)
-		var first []string
+		var rewritten bytes.Buffer
+		w := NewWriter(&rewritten)
+		var records []string
 		for {
 			rec, err := r.Next()
 			var e *Error
@@ -196,14 +196,14 @@
 				}
 				break
 			}
-			first = append(first, fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content))
+			records = append(records, fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content))
 			if err := w.writeRecord(rec.Type, rec.ID, rec.Content); err != nil {
 				t.Fatal(err)
 			}
 		}
 		w.Flush()
-		r = NewReader(&again)
-		for i, want := range first {
+		r = NewReader(&rewritten)
+		for i, want := range records {
 			rec, err := r.Next()
 			if got := fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content); err != nil || got != want {
 				t.Fatalf("record %d: %s, %v; want %s", i, got, err, want)
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -14,7 +14,7 @@
 )
 
 // webServerLines passes a stream of records to a web server and returns its replies, one per line.
-func webServerLines(t testing.TB, s *WebServer, text []byte) (lines string, failed error) {
+func webServerLines(t testing.TB, webServer *WebServer, text []byte) (lines string, lastErr error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(text))
 	var all []string
@@ -23,27 +23,27 @@
 		if err == io.EOF {
 			break
 		}
-		var e Reply
+		var reply Reply
 		if err == nil {
-			e, err = s.HandleRecord(rec)
+			reply, err = webServer.HandleRecord(rec)
 		}
-		if failed = err; err != nil {
+		if lastErr = err; err != nil {
 			break
 		}
-		switch e.Kind {
+		switch reply.Kind {
 		case Output:
-			all = append(all, fmt.Sprintf("%d says %q", e.ID, e.Data))
+			all = append(all, fmt.Sprintf("%d says %q", reply.ID, reply.Data))
 		case OutputEnd:
-			all = append(all, fmt.Sprintf("%d has said all", e.ID))
+			all = append(all, fmt.Sprintf("%d has said all", reply.ID))
 		case ErrorOutput:
-			all = append(all, fmt.Sprintf("%d complains %q", e.ID, e.Data))
+			all = append(all, fmt.Sprintf("%d complains %q", reply.ID, reply.Data))
 		case Ended:
-			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", e.ID, e.End.Status, e.OutputComplete, e.NotStarted()))
+			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", reply.ID, reply.End.Status, reply.OutputComplete, reply.NotStarted()))
 		case ValuesReceived:
-			all = append(all, fmt.Sprintf("room for %d", s.Available()))
+			all = append(all, fmt.Sprintf("room for %d", webServer.Available()))
 		}
 	}
-	return strings.Join(all, "\n"), failed
+	return strings.Join(all, "\n"), lastErr
 }
 
 func valuesResult(pairs ...string) writeFunc {
@@ -61,20 +61,20 @@
 // startWebServer returns a WebServer with open requests 1 to n, whose bodies have ended if complete is set.
 func startWebServer(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
-	s := NewWebServer(NewWriter(io.Discard))
-	s.maxRequests = n
+	webServer := NewWebServer(NewWriter(io.Discard))
+	webServer.maxRequests = n
 	for range n {
-		id, err := s.Begin(nil, true)
+		id, err := webServer.Begin(nil, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if complete {
-			if err := s.CloseSend(id); err != nil {
+			if err := webServer.CloseSend(id); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	return s
+	return webServer
 }
 
 func TestWebServerScripts(t *testing.T) {
@@ -127,12 +127,12 @@
 // A connection carries one request until the application reports a higher limit. Free ids are reused, and that of an
 // aborted request only once it has ended.
 func TestWebServerCapacityAndIDReuse(t *testing.T) {
-	s := NewWebServer(NewWriter(io.Discard))
-	one, err := s.Begin(nil, true)
-	if err != nil || one != 1 || s.Available() != 0 {
-		t.Fatalf("id %d, error %v, %d available", one, err, s.Available())
+	webServer := NewWebServer(NewWriter(io.Discard))
+	one, err := webServer.Begin(nil, true)
+	if err != nil || one != 1 || webServer.Available() != 0 {
+		t.Fatalf("id %d, error %v, %d available", one, err, webServer.Available())
 	}
-	if _, err := s.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
+	if _, err := webServer.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("second request: got error %v, want ErrTooManyRequests", err)
 	}
 	for _, c := range []struct{ said, want string }{
@@ -141,31 +141,31 @@
 		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "many")), "room for 0"},
 		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
 	} {
-		if got, err := webServerLines(t, s, []byte(c.said)); err != nil || got != c.want {
+		if got, err := webServerLines(t, webServer, []byte(c.said)); err != nil || got != c.want {
 			t.Errorf("got %q, error %v; want %q", got, err, c.want)
 		}
 	}
-	two, _ := s.Begin(nil, true)
-	if s.Abort(one); two != 2 {
+	two, _ := webServer.Begin(nil, true)
+	if webServer.Abort(one); two != 2 {
 		t.Errorf("id %d", two)
 	}
-	three, _ := s.Begin(nil, true)
+	three, _ := webServer.Begin(nil, true)
 	if three != 3 {
 		t.Errorf("got id %d while an aborted request is open, want 3", three)
 	}
-	got, err := webServerLines(t, s, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
+	got, err := webServerLines(t, webServer, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
 	if err != nil || got != "1 ended, status 0, whole false, unrun false" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if again, err := s.Begin(nil, true); again != one || err != nil {
+	if again, err := webServer.Begin(nil, true); again != one || err != nil {
 		t.Errorf("got id %d, error %v; want the free one", again, err)
 	}
-	if s.Send(9, nil) == nil || s.CloseSend(9) == nil || s.Abort(9) != nil {
+	if webServer.Send(9, nil) == nil || webServer.CloseSend(9) == nil || webServer.Abort(9) != nil {
 		t.Error("unknown id: Send or CloseSend succeeded, or Abort failed")
 	}
 }
 
-func encodeString(t testing.TB, requests ...writeFunc) string { return string(encode(t, requests...)) }
+func encodeString(t testing.TB, writes ...writeFunc) string { return string(encode(t, writes...)) }
 
 // WebServer interoperates with the responder of net/http/fcgi, with bodies of several records in both directions.
 func TestStandardLibraryAsApplication(t *testing.T) {
@@ -186,17 +186,17 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(30 * time.Second))
 	w := NewWriter(c)
-	s, r := NewWebServer(w), NewReader(c)
+	webServer, r := NewWebServer(w), NewReader(c)
 	for i := range 3 {
-		if err := s.RequestValues(); err != nil {
+		if err := webServer.RequestValues(); err != nil {
 			t.Fatal(err)
 		}
-		id, err := s.Begin([]Param{{"REQUEST_METHOD", "POST"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"REQUEST_URI", "/add-note/k?q"},
+		id, err := webServer.Begin([]Param{{"REQUEST_METHOD", "POST"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"REQUEST_URI", "/add-note/k?q"},
 			{"HTTP_HOST", "h"}, {"CONTENT_LENGTH", "100000"}, {"HTTP_X_REQUEST_ID", fmt.Sprint("id", i)}}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(s.Send(id, make([]byte, 100000)), s.CloseSend(id), w.Flush()); err != nil {
+		if err := errors.Join(webServer.Send(id, make([]byte, 100000)), webServer.CloseSend(id), w.Flush()); err != nil {
 			t.Fatal(err)
 		}
 		var answer bytes.Buffer
@@ -205,16 +205,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := s.HandleRecord(rec)
+			reply, err := webServer.HandleRecord(rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			switch e.Kind {
+			switch reply.Kind {
 			case Output:
-				answer.Write(e.Data)
+				answer.Write(reply.Data)
 			case Ended:
-				if over = true; e.NotStarted() || !e.OutputComplete || e.End != (End{}) {
-					t.Errorf("%+v", e)
+				if over = true; reply.NotStarted() || !reply.OutputComplete || reply.End != (End{}) {
+					t.Errorf("%+v", reply)
 				}
 			}
 		}
@@ -231,24 +231,24 @@
 	f.Add(encode(f, valuesResult(mpxConns, "1", maxReqs, "50"), streamData(Stderr, 2, "!"), endRequest(2, Overloaded), endRequest(1, 9)))
 	f.Add([]byte("\x01\x0a\x00\x00\x00\x03\x00\x00\x80\xff\xff"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := NewWebServer(NewWriter(io.Discard))
-		s.maxRequests = 3
+		webServer := NewWebServer(NewWriter(io.Discard))
+		webServer.maxRequests = 3
 		open := map[uint16]bool{}
 		for range 3 {
-			id, err := s.Begin([]Param{{"A", "b"}}, true)
+			id, err := webServer.Begin([]Param{{"A", "b"}}, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			open[id] = true
 		}
-		s.Abort(2)
+		webServer.Abort(2)
 		r := NewReader(bytes.NewReader(text))
 		for {
 			rec, err := r.Next()
 			if err != nil {
 				return
 			}
-			e, err := s.HandleRecord(rec)
+			reply, err := webServer.HandleRecord(rec)
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
@@ -257,12 +257,12 @@
 				return
 			}
 			switch {
-			case e.Kind != NoReply && e.Kind != ValuesReceived && !open[e.ID]:
-				t.Fatalf("reply %+v of a request that is not open", e)
-			case e.Kind == Output && e.ID == 2:
-				t.Fatalf("reply %+v of an aborted request", e)
-			case e.Kind == Ended:
-				delete(open, e.ID)
+			case reply.Kind != NoReply && reply.Kind != ValuesReceived && !open[reply.ID]:
+				t.Fatalf("reply %+v of a request that is not open", reply)
+			case reply.Kind == Output && reply.ID == 2:
+				t.Fatalf("reply %+v of an aborted request", reply)
+			case reply.Kind == Ended:
+				delete(open, reply.ID)
 			}
 		}
 	})
