--- a/internal/fastcgi/application.go
+++ b/internal/fastcgi/application.go
@@ -35,12 +35,12 @@
 // Param is a name-value pair of PARAMS.
 type Param struct{ Name, Value string }
 
-// Errors of records that are not allowed in the state of their request.
+// Errors of records that the protocol does not allow where they were received.
 var (
 	ErrIDInUse        = errors.New("a request with this id is already open")
 	ErrStreamEnded    = errors.New("record after the end of its stream")
 	ErrParamsNotEnded = errors.New("record before the end of PARAMS")
-	ErrWrongDirection = errors.New("record type of the other side")
+	ErrWrongDirection = errors.New("record type is valid only in the other direction")
 )
 
 // EventKind is the kind of an Event.
--- a/internal/fastcgi/application_test.go
+++ b/internal/fastcgi/application_test.go
@@ -31,11 +31,11 @@
 		}
 		switch event.Kind {
 		case ParamsEnd:
-			lines = append(lines, fmt.Sprintf("%d called %v", event.ID, event.Params))
+			lines = append(lines, fmt.Sprintf("%d params %v", event.ID, event.Params))
 		case Body:
 			lines = append(lines, fmt.Sprintf("%d body %q", event.ID, event.Data))
 		case BodyEnd:
-			lines = append(lines, fmt.Sprintf("%d body's end", event.ID))
+			lines = append(lines, fmt.Sprintf("%d body end", event.ID))
 		case Aborted:
 			lines = append(lines, fmt.Sprintf("%d aborted", event.ID))
 		}
@@ -63,7 +63,7 @@
 
 var testLimits = ConnLimits{Requests: 3, Params: PairLimits{Bytes: 1000, Count: 10}}
 
-// Covers interleaved requests, unsupported roles, a request over the limit, aborts of open and unknown requests, and
+// The scripts cover interleaved requests, unsupported roles, a request over the limit, aborts of open and unknown requests, and
 // records of requests that are not open.
 func TestApplicationScripts(t *testing.T) {
 	pair := string(AppendPair(nil, "A", "b"))
@@ -75,14 +75,14 @@
 	}{
 		{"interleaved", []writeFunc{beginRequest(1, Responder), beginRequest(7, Responder), streamData(Params, 1, pair[:1]), streamData(Params, 7, pair),
 			closeStream(Params, 7), streamData(Params, 1, pair[1:]), streamData(Stdin, 7, "x"), closeStream(Params, 1), closeStream(Stdin, 1), closeStream(Stdin, 7)},
-			"7 called [{A b}]\n7 body \"x\"\n1 called [{A b}]\n1 body's end\n7 body's end", "", 2},
+			"7 params [{A b}]\n7 body \"x\"\n1 params [{A b}]\n1 body end\n7 body end", "", 2},
 		{"roles", []writeFunc{beginRequest(1, Authorizer), beginRequest(2, Filter), beginRequest(3, 9), streamData(Params, 1, pair), closeStream(Params, 1), streamData(Data, 2, "d")},
 			"", "END_REQUEST 1 8 bytes app 0x0 status 3 <nil>\nEND_REQUEST 2 8 bytes app 0x0 status 3 <nil>\nEND_REQUEST 3 8 bytes app 0x0 status 3 <nil>", 0},
 		{"request over the limit", []writeFunc{beginRequest(1, Responder), beginRequest(2, Responder), beginRequest(3, Responder), beginRequest(4, Responder), closeStream(Params, 4), closeStream(Params, 3)},
-			"3 called []", "END_REQUEST 4 8 bytes app 0x0 status 2 <nil>", 3},
+			"3 params []", "END_REQUEST 4 8 bytes app 0x0 status 2 <nil>", 3},
 		{"aborts", []writeFunc{abortRequest(5), beginRequest(5, Responder), abortRequest(5), closeStream(Params, 5), abortRequest(5), closeStream(Stdin, 5)},
-			"5 aborted\n5 called []\n5 aborted\n5 body's end", "", 1},
-		{"DATA for a responder", []writeFunc{beginRequest(1, Responder), streamData(Data, 1, "d"), closeStream(Params, 1)}, "1 called []", "", 1},
+			"5 aborted\n5 params []\n5 aborted\n5 body end", "", 1},
+		{"DATA for a responder", []writeFunc{beginRequest(1, Responder), streamData(Data, 1, "d"), closeStream(Params, 1)}, "1 params []", "", 1},
 		{"values", []writeFunc{func(w *Writer) error {
 			return w.Values(GetValues, AppendPair(AppendPair(AppendPair(nil, mpxConns, ""), maxReqs, ""), "OTHER", ""))
 		}, func(w *Writer) error { return w.writeRecord(99, 0, nil) }}, "", "GET_VALUES_RESULT 0 34 bytes\nUNKNOWN_TYPE 0 8 bytes", 0},
@@ -104,10 +104,10 @@
 
 func TestApplicationRejectsInvalidRecordSequences(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		calls []writeFunc
-		want  error
-		says  string
+		name    string
+		calls   []writeFunc
+		want    error
+		message string
 	}{
 		{"id in use", []writeFunc{beginRequest(1, Responder), beginRequest(1, Responder)}, ErrIDInUse, "BEGIN_REQUEST of request 1 at byte 16"},
 		{"PARAMS after their end", []writeFunc{beginRequest(1, Responder), closeStream(Params, 1), closeStream(Params, 1)}, ErrStreamEnded, "PARAMS of request 1 at byte 24"},
@@ -120,8 +120,8 @@
 	} {
 		_, _, _, err := runApplication(t, testLimits, encode(t, c.calls...))
 		var e *Error
-		if !errors.Is(err, c.want) || !errors.As(err, &e) || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v", c.name, err)
+		if !errors.Is(err, c.want) || !errors.As(err, &e) || !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: got error %v, want %v with %q", c.name, err, c.want, c.message)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 	w.Flush()
 	const served, end = "STDOUT 4 0 bytes\n", "END_REQUEST 4 8 bytes app "
 	if got, _ := recordLines(NewReader(&out)); strings.Join(got, "\n") != served+end+"0x1 status 0 <nil>\n"+served+end+"0x1 status 0 <nil>\n"+end+"0x0 status 2 <nil>" {
-		t.Errorf("%q", got)
+		t.Errorf("got answers %q", got)
 	}
 }
 
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -81,7 +81,7 @@
 		}
 		var recordErr *Error
 		if errors.As(err, &recordErr) && !errors.Is(err, ErrTruncated) {
-			f.log.Debug("closing FastCGI connection after a protocol error", "from", conn.RemoteAddr(), "error", err)
+			f.log.Debug("closing FastCGI connection after an error", "from", conn.RemoteAddr(), "error", err)
 		}
 		if timedOut || isMalformed(err) {
 			c.awaitOpenRequests()
@@ -206,7 +206,7 @@
 	}
 }
 
-// startReading counts another incomplete request.
+// startReading counts another incomplete request, and starts the requestTimeout for the first one.
 func (c *client) startReading() {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
@@ -215,7 +215,8 @@
 	}
 }
 
-// finishReading counts an incomplete request as complete, rejected or aborted.
+// finishReading counts an incomplete request as complete, rejected or aborted, and restarts the requestTimeout of the
+// others.
 func (c *client) finishReading() {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -42,7 +42,7 @@
 }
 
 // Serve accepts web servers until the listener fails, is closed or has a deadline in the past, and returns its
-// error. The listener itself retries temporary failures of accept.
+// error. The listener decides which failures of accept are temporary.
 func (f *Front) Serve(ln net.Listener) error {
 	for {
 		c, err := f.clients.Accept(ln)
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -44,13 +44,13 @@
 	return startFrontWithLimits(t, DefaultConnLimits(), servers...)
 }
 
-func startFrontWithLimits(t testing.TB, bounds ConnLimits, servers ...string) *testEnv {
+func startFrontWithLimits(t testing.TB, limits ConnLimits, servers ...string) *testEnv {
 	t.Helper()
-	return startFrontOn(t, func(ln net.Listener) net.Listener { return ln }, bounds, servers...)
+	return startFrontOn(t, func(ln net.Listener) net.Listener { return ln }, limits, servers...)
 }
 
 // startFrontOn starts a front that accepts from its listener as wrapped by wrap.
-func startFrontOn(t testing.TB, wrap func(net.Listener) net.Listener, bounds ConnLimits, servers ...string) *testEnv {
+func startFrontOn(t testing.TB, wrap func(net.Listener) net.Listener, limits ConnLimits, servers ...string) *testEnv {
 	t.Helper()
 	cfg := testpeer.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
@@ -73,7 +73,7 @@
 	}
 	env.engine.RestoreList(list)
 	env.front = NewFront("main", c, env.clients, dispatch.New(snapshot), counters, log)
-	env.front.limits = bounds
+	env.front.limits = limits
 	if env.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 	id = webServer.sendRequest(t, []Param{{"REQUEST_METHOD", "POST"}, {"SCRIPT_NAME", "/note"}, {"PATH_INFO", "/a b"}, {"QUERY_STRING", "x=y"},
 		{"HTTP_X_REQUEST_ID", "other"}, {"HTTP_X_DEADLINE", "60"}}, "no length")
 	if resp := webServer.receive(t, 1)[id]; resp.body() != "ok" {
-		t.Errorf("%q", resp.text)
+		t.Errorf("got %q", resp.text)
 	}
 	if received := testpeer.Receive(t, got, "the request"); received.r.RequestURI != "/note/a%20b?x=y" || received.body != "no length" {
 		t.Errorf("server got %s, body %q", received.r.RequestURI, received.body)
@@ -253,7 +253,7 @@
 	}
 	for name, requests := range map[string][]writeFunc{
 		"id in use":                       {beginRequest(5, Responder), beginRequest(5, Responder)},
-		"invalid record":                  {func(webServer *Writer) error { webServer.buf = append(webServer.buf, "\x02what"...); return nil }},
+		"invalid record":                  {func(w *Writer) error { w.buf = append(w.buf, "\x02what"...); return nil }},
 		"PARAMS of 2 GB":                  {beginRequest(5, Responder), streamData(Params, 5, "\xff\xff\xff\xff\x01x")},
 		"too many PARAMS":                 {beginRequest(5, Responder), streamData(Params, 5, strings.Repeat("\x00\x00", 200))},
 		"END_REQUEST from the web server": {endRequest(5, Complete)},
@@ -322,13 +322,13 @@
 	close(hold)
 	for id, resp := range webServer.receive(t, 50-len(aborted)) {
 		if resp.body() != "for "+names[id] || resp.end != (End{}) {
-			t.Errorf("%s: got %+v", names[id], resp)
+			t.Errorf("request %s: got %+v", names[id], resp)
 		}
 	}
 	runs := map[string]int{}
 	for _, id := range server.Requests() {
 		if runs[id]++; runs[id] > 1 {
-			t.Errorf("%s ran twice", id)
+			t.Errorf("request %s ran twice", id)
 		}
 	}
 	testpeer.Until(t, "all requests to end", func() bool { return env.engine.Status().Open == 0 && env.front.counters.Report().Open == 0 })
@@ -411,7 +411,7 @@
 	once.CloseSend(id)
 	once.out.Flush()
 	if resp := once.receive(t, 1)[id]; resp.body() != "for once" {
-		t.Errorf("%q", resp.text)
+		t.Errorf("got %q", resp.text)
 	}
 	once.expectClosed(t, "connection without FCGI_KEEP_CONN")
 
@@ -421,7 +421,7 @@
 	env.front.SetClosing(true)
 	id = webServer.sendRequest(t, requestParams("GET", "/view/k", "last"), "")
 	if resp := webServer.receive(t, 1)[id]; resp.body() != "for last" {
-		t.Errorf("%q", resp.text)
+		t.Errorf("got %q", resp.text)
 	}
 	webServer.expectClosed(t, "connection after its last response")
 	testpeer.Until(t, "idle connections to be closed", func() bool { return env.front.CloseQuiet() == 0 })
@@ -443,14 +443,14 @@
 	rejected, failed := webServer.sendRequest(t, requestParams("POST", "/note/k", "full"), ""), webServer.sendRequest(t, requestParams("POST", "/note/k", "fails"), "")
 	responses := webServer.receive(t, 2)
 	if resp := responses[rejected]; resp.status() != "503 Service Unavailable" || !strings.Contains(resp.text, "\r\nRetry-After: ") {
-		t.Errorf("%q", resp.text)
+		t.Errorf("got %q", resp.text)
 	}
 	if resp := responses[failed]; resp.status() != "502 Bad Gateway" {
-		t.Errorf("%q", resp.text)
+		t.Errorf("got %q", resp.text)
 	}
 }
 
-// BenchmarkIdleConnections measures the heap and stack memory of the process for each idle connection.
+// BenchmarkIdleConnections measures the heap and stack memory in use by the runtime for each idle connection.
 func BenchmarkIdleConnections(b *testing.B) {
 	const count = 500
 	server := testpeer.NewServer(b, testpeer.Echo)
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -61,7 +61,7 @@
 // the call. An error holds the position of the pair; after it every call returns the same error.
 func (p *Pairs) Feed(data []byte, fn func(name, value []byte)) error {
 	for p.err == nil && len(data) > 0 {
-		if len(p.partial) == 0 { // most pairs arrive in one chunk and need no copy
+		if len(p.partial) == 0 { // most pairs arrive complete and need no copy
 			used, err := p.parsePair(data, fn)
 			if p.err = err; used > 0 {
 				data = data[used:]
--- a/internal/fastcgi/pairs_test.go
+++ b/internal/fastcgi/pairs_test.go
@@ -28,7 +28,7 @@
 		text = AppendPair(text, p[0], p[1])
 		want = append(want, p[0]+"="+p[1])
 	}
-	// A short length may be given in four bytes too.
+	// Short lengths may be encoded in four bytes, too.
 	text = append(text, "\x80\x00\x00\x01\x80\x00\x00\x02Zzz"...)
 	want = append(want, "Z=zz")
 	p := NewPairs(PairLimits{Bytes: 2000, Count: len(want)})
@@ -45,7 +45,7 @@
 		name, text string
 		limits     PairLimits
 		want       error
-		says       string
+		message    string
 	}{
 		{"a length of 2 GB", "\xff\xff\xff\xff\x01x", PairLimits{100, 10}, ErrPairsTooLong, "pair 1 at byte 0 of the stream: name of 2147483647 bytes and value of 1 bytes"},
 		{"name and value too long only together", "\x40\x40", PairLimits{100, 10}, ErrPairsTooLong, "exceed the byte limit of 100"},
@@ -56,19 +56,19 @@
 		{"incomplete value", "\x01\x02nv", PairLimits{5, 2}, ErrTruncatedPair, "pair 1 at byte 0"},
 	} {
 		if c.want == nil {
-			c.want, c.says = ErrTruncatedPair, "pair 2 at byte 6"
+			c.want, c.message = ErrTruncatedPair, "pair 2 at byte 6"
 		}
 		for size := 1; size <= len(c.text); size++ {
 			p := NewPairs(c.limits)
 			_, err := feed(p, []byte(c.text), size)
-			if !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s, chunks of %d bytes: %v", c.name, size, err)
+			if !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%s, chunks of %d bytes: got error %v, want %v with %q", c.name, size, err, c.want, c.message)
 			}
 			if again := p.Feed([]byte("\x00\x00"), nil); again != err {
-				t.Errorf("%s: next call returns %v", c.name, again)
+				t.Errorf("%s: next call returned %v, want the same error", c.name, again)
 			}
 			if len(p.partial) > c.limits.Bytes+8 {
-				t.Errorf("%s: %d bytes are buffered", c.name, len(p.partial))
+				t.Errorf("%s: %d bytes are buffered, more than the limit and the lengths", c.name, len(p.partial))
 			}
 		}
 	}
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -26,7 +26,7 @@
 	return out.Bytes()
 }
 
-// exchange returns the records of a request and its response, among records of every other kind.
+// exchange returns the records of a request and its response, among other records that a connection may carry.
 func exchange(t testing.TB, body int) []byte {
 	return encode(t,
 		func(w *Writer) error { return w.Values(GetValues, AppendPair(nil, "FCGI_MPXS_CONNS", "")) },
@@ -84,10 +84,10 @@
 	if len(text)%8 != 0 {
 		t.Errorf("got %d bytes, want a multiple of 8", len(text))
 	}
-	for name, in := range map[string]io.Reader{"whole": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
+	for name, in := range map[string]io.Reader{"one read": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
 		got, err := recordLines(NewReader(in))
 		if err != io.EOF || strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Errorf("%s: %v\n%s", name, err, strings.Join(got, "\n"))
+			t.Errorf("%s: got error %v, want io.EOF; records\n%s", name, err, strings.Join(got, "\n"))
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	for _, c := range []struct {
 		name, record string
 		want         error
-		says         string
+		message      string
 	}{
 		{"unsupported version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: unsupported protocol version: got 2, want 1"},
 		{"management record with a request id", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagementID, "GET_VALUES of request 1 at byte 8"},
@@ -115,8 +115,8 @@
 		for range 2 {
 			_, err := r.Next()
 			var e *Error
-			if !errors.Is(err, c.want) || !errors.As(err, &e) || e.Offset != 8 || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s: %v", c.name, err)
+			if !errors.Is(err, c.want) || !errors.As(err, &e) || e.Offset != 8 || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%s: got error %v, want %v with %q", c.name, err, c.want, c.message)
 			}
 		}
 	}
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -32,15 +32,15 @@
 		}
 		switch reply.Kind {
 		case Output:
-			all = append(all, fmt.Sprintf("%d says %q", reply.ID, reply.Data))
+			all = append(all, fmt.Sprintf("%d output %q", reply.ID, reply.Data))
 		case OutputEnd:
-			all = append(all, fmt.Sprintf("%d has said all", reply.ID))
+			all = append(all, fmt.Sprintf("%d output end", reply.ID))
 		case ErrorOutput:
-			all = append(all, fmt.Sprintf("%d complains %q", reply.ID, reply.Data))
+			all = append(all, fmt.Sprintf("%d error output %q", reply.ID, reply.Data))
 		case Ended:
-			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", reply.ID, reply.End.Status, reply.OutputComplete, reply.NotStarted()))
+			all = append(all, fmt.Sprintf("%d ended, status %d, complete %v, not started %v", reply.ID, reply.End.Status, reply.OutputComplete, reply.NotStarted()))
 		case ValuesReceived:
-			all = append(all, fmt.Sprintf("room for %d", webServer.Available()))
+			all = append(all, fmt.Sprintf("available %d", webServer.Available()))
 		}
 	}
 	return strings.Join(all, "\n"), lastErr
@@ -79,24 +79,24 @@
 
 func TestWebServerScripts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		whole bool // bodies have ended
-		calls []writeFunc
-		want  string
+		name      string
+		bodyEnded bool
+		calls     []writeFunc
+		want      string
 	}{
 		{"two responses interleaved", true, []writeFunc{streamData(Stdout, 1, "a"), streamData(Stdout, 2, "b"), streamData(Stderr, 2, "!"), closeStream(Stderr, 2),
 			streamData(Stdout, 1, "c"), closeStream(Stdout, 1), endRequest(1, Complete), closeStream(Stdout, 2), endRequest(2, Complete)},
-			"1 says \"a\"\n2 says \"b\"\n2 complains \"!\"\n1 says \"c\"\n1 has said all\n1 ended, status 0, whole true, unrun false\n" +
-				"2 has said all\n2 ended, status 0, whole true, unrun false"},
-		{"ended without the end of STDOUT", true, []writeFunc{streamData(Stdout, 1, "a"), endRequest(1, Complete)}, "1 says \"a\"\n1 ended, status 0, whole false, unrun false"},
+			"1 output \"a\"\n2 output \"b\"\n2 error output \"!\"\n1 output \"c\"\n1 output end\n1 ended, status 0, complete true, not started false\n" +
+				"2 output end\n2 ended, status 0, complete true, not started false"},
+		{"ended without the end of STDOUT", true, []writeFunc{streamData(Stdout, 1, "a"), endRequest(1, Complete)}, "1 output \"a\"\n1 ended, status 0, complete false, not started false"},
 		{"refused", true, []writeFunc{endRequest(1, Overloaded), endRequest(2, CantMultiplex)},
-			"1 ended, status 2, whole false, unrun true\n2 ended, status 1, whole false, unrun true"},
-		{"unsupported role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
-		{"ended before the end of the body", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
+			"1 ended, status 2, complete false, not started true\n2 ended, status 1, complete false, not started true"},
+		{"unsupported role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, complete false, not started false"},
+		{"ended before the end of the body", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 output end\n1 ended, status 0, complete true, not started false"},
 		{"GET_VALUES not supported", true, []writeFunc{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
 	} {
-		if got, err := webServerLines(t, startWebServer(t, 2, c.whole), encode(t, c.calls...)); err != nil || got != c.want {
-			t.Errorf("%s: %v\n%s\nwant\n%s", c.name, err, got, c.want)
+		if got, err := webServerLines(t, startWebServer(t, 2, c.bodyEnded), encode(t, c.calls...)); err != nil || got != c.want {
+			t.Errorf("%s: error %v, got\n%s\nwant\n%s", c.name, err, got, c.want)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		_, err := webServerLines(t, startWebServer(t, 1, true), encode(t, c.calls...))
 		var e *Error
 		if !errors.Is(err, c.want) || !errors.As(err, &e) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
@@ -135,13 +135,13 @@
 	if _, err := webServer.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("second request: got error %v, want ErrTooManyRequests", err)
 	}
-	for _, c := range []struct{ said, want string }{
-		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "3")), "room for 2"},
-		{encodeString(t, valuesResult(mpxConns, "0", maxReqs, "3")), "room for 0"},
-		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "many")), "room for 0"},
-		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
+	for _, c := range []struct{ values, want string }{
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "3")), "available 2"},
+		{encodeString(t, valuesResult(mpxConns, "0", maxReqs, "3")), "available 0"},
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "many")), "available 0"},
+		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "available 2"},
 	} {
-		if got, err := webServerLines(t, webServer, []byte(c.said)); err != nil || got != c.want {
+		if got, err := webServerLines(t, webServer, []byte(c.values)); err != nil || got != c.want {
 			t.Errorf("got %q, error %v; want %q", got, err, c.want)
 		}
 	}
@@ -154,8 +154,8 @@
 		t.Errorf("got id %d while an aborted request is open, want 3", three)
 	}
 	got, err := webServerLines(t, webServer, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
-	if err != nil || got != "1 ended, status 0, whole false, unrun false" {
-		t.Errorf("%q, %v", got, err)
+	if err != nil || got != "1 ended, status 0, complete false, not started false" {
+		t.Errorf("end of the aborted request: got %q, error %v", got, err)
 	}
 	if again, err := webServer.Begin(nil, true); again != one || err != nil {
 		t.Errorf("got id %d, error %v; want the free one", again, err)
@@ -214,13 +214,13 @@
 				answer.Write(reply.Data)
 			case Ended:
 				if over = true; reply.NotStarted() || !reply.OutputComplete || reply.End != (End{}) {
-					t.Errorf("%+v", reply)
+					t.Errorf("got end %+v, want a complete response with status 0", reply)
 				}
 			}
 		}
 		head, body, _ := strings.Cut(answer.String(), "\r\n\r\n")
 		if want := fmt.Sprintf("X-Told: POST /add-note/k?q id%d 100000 <nil>", i); !strings.Contains(head, want) || body != strings.Repeat("answer", 20000) {
-			t.Errorf("%q and %d bytes; want %q", head, len(body), want)
+			t.Errorf("got header %q and %d bytes, want %q", head, len(body), want)
 		}
 	}
 }
