--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -29,19 +29,19 @@
 		c.called(r, e.Params)
 	case Body:
 		switch {
-		case len(r.body)+len(e.Data) > validation.MaxBody:
+		case len(r.body)+len(e.Data) > validation.MaxBufferedBody:
 			c.reject(r, errTooLong)
-		case r.head.Length >= 0 && int64(len(r.body)+len(e.Data)) > r.head.Length:
+		case r.head.ContentLength >= 0 && int64(len(r.body)+len(e.Data)) > r.head.ContentLength:
 			c.reject(r, errLength)
 		default:
 			r.body = append(r.body, e.Data...)
 		}
 	case BodyEnd:
-		if r.head.Length >= 0 && int64(len(r.body)) != r.head.Length {
+		if r.head.ContentLength >= 0 && int64(len(r.body)) != r.head.ContentLength {
 			c.reject(r, errLength)
 			return
 		}
-		r.head.Length = int64(len(r.body))
+		r.head.ContentLength = int64(len(r.body))
 		c.whole()
 		c.ask(r)
 	case Aborted:
@@ -71,12 +71,12 @@
 	}
 	view := c.front.calls.Snapshot()
 	probe := head
-	probe.Length = max(0, head.Length)
+	probe.ContentLength = max(0, head.ContentLength)
 	in, err := validation.Check(view, &probe)
 	switch {
 	case err != nil:
 		c.reject(r, err)
-	case head.Length > validation.MaxBody:
+	case head.ContentLength > validation.MaxBufferedBody:
 		c.reject(r, errTooLong)
 	}
 	r.in = in
@@ -92,8 +92,8 @@
 		f.callers.End(c)
 		return
 	}
-	r.in.Request.ClientDisconnected = func() bool { return c.hasLeft(r) }
-	with, err := validation.Take(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
+	r.in.Message.ClientDisconnected = func() bool { return c.hasLeft(r) }
+	with, err := validation.Submit(f.calls, view, &r.head, r.in, r.body, nil, f.clock.Now())
 	if err != nil {
 		f.figures.End(r.in.Class, metrics.Faulted)
 		c.say(r, wordsOf(err))
@@ -143,7 +143,7 @@
 func (c *client) answer(r *call, a engine.Response) {
 	c.front.figures.End(r.in.Class, validation.Result(a))
 	if a.Kind != engine.Served {
-		status, words := validation.Text(a)
+		status, words := validation.ErrorStatus(a)
 		c.say(r, said{status, words, validation.RetryAfter(a)})
 		return
 	}
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -65,7 +65,7 @@
 // health tells whoever asks whether to send clients here.
 func (c *client) health(r *call) {
 	switch f := c.front; {
-	case r.head.Method != http.MethodGet && r.head.Method != http.MethodHead || r.head.Length > 0:
+	case r.head.Method != http.MethodGet && r.head.Method != http.MethodHead || r.head.ContentLength > 0:
 		c.say(r, said{http.StatusMethodNotAllowed, "only GET is served", ""})
 	case f.unready.Load() || !f.calls.Snapshot().Ready():
 		c.say(r, said{http.StatusServiceUnavailable, "not ready", ""})
@@ -83,13 +83,13 @@
 
 // Reasons to turn a body away.
 var (
-	errTooLong = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
-	errLength  = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
+	errTooLong = &validation.Error{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errLength  = &validation.Error{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
 )
 
 // wordsOf are for a request that can't be used, or whose listener has gone.
 func wordsOf(err error) said {
-	var no *validation.Rejected
+	var no *validation.Error
 	if errors.As(err, &no) {
 		return said{no.Status, no.Reason, ""}
 	}
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -17,9 +17,9 @@
 // headOf reads a request's head from its CGI variables (RFC 3875 section 4.1). What could be read in two ways is
 // rejected: a variable that comes twice, headers whose names fall together once they are variables, a length
 // beside another one, line ends in a value.
-func headOf(listener string, params []Param) (validation.Head, *validation.Rejected) {
-	bad := func(reason string) (validation.Head, *validation.Rejected) {
-		return validation.Head{}, &validation.Rejected{Status: http.StatusBadRequest, Reason: reason}
+func headOf(listener string, params []Param) (validation.Head, *validation.Error) {
+	bad := func(reason string) (validation.Head, *validation.Error) {
+		return validation.Head{}, &validation.Error{Status: http.StatusBadRequest, Reason: reason}
 	}
 	vars := make(map[string]string, len(params))
 	headers := http.Header{}
@@ -51,8 +51,8 @@
 		}
 	}
 	h := validation.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
-		Type: vars["CONTENT_TYPE"], Length: -1, Headers: headers,
-		ID: headers.Values("X-Request-Id"), Wait: headers.Values("X-Deadline"), Key: headers.Values("Idempotency-Key")}
+		ContentType: vars["CONTENT_TYPE"], ContentLength: -1, Headers: headers,
+		RequestIDs: headers.Values("X-Request-Id"), Deadlines: headers.Values("X-Deadline"), IdempotencyKeys: headers.Values("Idempotency-Key")}
 	if h.Host == "" {
 		h.Host = vars["SERVER_NAME"]
 	}
@@ -61,9 +61,9 @@
 		if err != nil {
 			return bad("CONTENT_LENGTH is no number")
 		}
-		h.Length = int64(n)
+		h.ContentLength = int64(n)
 	} else if h.Method == http.MethodGet {
-		h.Length = 0
+		h.ContentLength = 0
 	}
 	if h.Target = vars["REQUEST_URI"]; h.Target == "" {
 		h.Target = (&url.URL{Path: vars["SCRIPT_NAME"] + vars["PATH_INFO"]}).EscapedPath()
--- a/internal/http1/begin_test.go
+++ b/internal/http1/attempts_test.go
@@ -28,7 +28,7 @@
 			cfg.Classes[i].Window = config.Duration(200 * time.Millisecond)
 		}
 	}
-	n := start(t, cfg, func(n *testNode) {
+	n := startNode(t, cfg, func(n *testNode) {
 		dials := 0
 		n.upstream.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials++; dials > 1 {
@@ -54,13 +54,13 @@
 
 // Whose client leaves while a connection is on its way up is sent nowhere, also where the settings forbid to call off what
 // has begun.
-func TestDisconnectDuringDialBeginsNothing(t *testing.T) {
+func TestDisconnectDuringDialSendsNothing(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		s := testpeer.NewServer(t, testpeer.Echo)
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Pools[0].Cancel = cancels
 		dial := testpeer.NewLateDial()
-		n := start(t, cfg, func(n *testNode) { n.upstream.SetDial(dial.Dial) })
+		n := startNode(t, cfg, func(n *testNode) { n.upstream.SetDial(dial.Dial) })
 		c := testpeer.Dial(t, n.Addr())
 		c.Get("leaving")
 		testpeer.Receive(t, dial.Dialing, "the attempt to dial")
@@ -74,13 +74,13 @@
 	}
 }
 
-// keptListener keeps what it accepts.
-type keptListener struct {
+// recordingListener keeps what it accepts.
+type recordingListener struct {
 	net.Listener
 	accepted chan net.Conn
 }
 
-func (l keptListener) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted <- c
@@ -90,7 +90,7 @@
 
 // Whose client leaves in the middle of its body, which nobody reads while a connection is on its way up, is sent nowhere, and
 // its request ends.
-func TestDisconnectDuringUploadBeginsNothing(t *testing.T) {
+func TestDisconnectDuringUploadSendsNothing(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 	}()
 	dial := testpeer.NewLateDial()
 	accepted := make(chan net.Conn, 1)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(n *testNode) {
 		n.upstream.SetDial(dial.Dial)
-		n.listener = keptListener{n.listener, accepted}
+		n.listener = recordingListener{n.listener, accepted}
 	})
 	c := testpeer.Dial(t, n.Addr())
 	io.WriteString(c, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: u\r\nX-Deadline: 60\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
@@ -143,7 +143,7 @@
 		}
 		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.setSettle(testpeer.Limit) // however slow the machine
 	})
 	c := testpeer.Dial(t, n.Addr())
@@ -174,7 +174,7 @@
 		return testpeer.Echo(c, r, body)
 	}
 	one, two := testpeer.NewServer(t, answer), testpeer.NewServer(t, answer)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	c.Send("GET", "/view/k", "again", "", "20")
 	c.Want(t, http.StatusOK, "for again")
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -21,22 +21,22 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// idleFor are the usual graces, but for idle connections.
-func idleFor(d time.Duration) downstream.Graces {
+// gracesWithIdle are the usual graces, but for idle connections.
+func gracesWithIdle(d time.Duration) downstream.Graces {
 	g := downstream.DefaultGraces()
 	g.Idle = d
 	return g
 }
 
-// untilIdle waits for a connection to be idle: a request is over a little after its answer.
-func untilIdle(t *testing.T, n *testNode) {
+// waitUntilIdle waits for a connection to be idle: a request is over a little after its answer.
+func waitUntilIdle(t *testing.T, n *testNode) {
 	t.Helper()
 	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.In(downstream.Idle) > 0 })
 }
 
-// serverThatHolds returns a server that tells got of each request whose id begins with "held", and answers it once hold is
+// startHoldingServer returns a server that tells got of each request whose id begins with "held", and answers it once hold is
 // closed. It answers all others at once.
-func serverThatHolds(t *testing.T) (s *testpeer.Server, hold, got chan struct{}) {
+func startHoldingServer(t *testing.T) (s *testpeer.Server, hold, got chan struct{}) {
 	t.Helper()
 	hold, got = make(chan struct{}), make(chan struct{}, 100)
 	s = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -49,17 +49,17 @@
 	return s, hold, got
 }
 
-func TestClientConnectionsBeyondTheirShare(t *testing.T) {
-	s, hold, got := serverThatHolds(t)
+func TestConnectionLimitClosesIdleAndRejectsNew(t *testing.T) {
+	s, hold, got := startHoldingServer(t)
 	const most = 4
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.clients.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
-		n.clients.SetGrace(idleFor(0))
+		n.clients.SetGrace(gracesWithIdle(0))
 	})
 	idle := testpeer.Dial(t, n.Addr())
 	idle.Get("idle")
 	idle.Want(t, 200, "for idle")
-	untilIdle(t, n)
+	waitUntilIdle(t, n)
 	var held []*testpeer.Caller
 	for i := range most {
 		c := testpeer.Dial(t, n.Addr())
@@ -82,7 +82,7 @@
 
 // A connection is closed only while it waits: not with a request read that net/http has not told of
 // yet, nor with the first byte of the next one, read early behind an answer.
-func TestCloseIdleSparesBegunRequest(t *testing.T) {
+func TestCloseIdleKeepsConnectionWithStartedRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,28 +115,28 @@
 	}
 	a, client := pair()
 	b, _ := pair()
-	request := getText("a")
+	request := getRequest("a")
 	say(client, a, request)
-	f.track(a, http.StateNew)
-	f.track(a, http.StateActive)
-	a.takeHead(false) // the front end has it
+	f.trackConnState(a, http.StateNew)
+	f.trackConnState(a, http.StateActive)
+	a.consumeHead(false) // the front end has it
 	say(a, client, "its answer")
 	say(client, a, request[:1]) // the next request's first byte
-	f.track(a, http.StateIdle)
-	f.track(b, http.StateNew) // one too many
+	f.trackConnState(a, http.StateIdle)
+	f.trackConnState(b, http.StateNew) // one too many
 	if a.closing || !set.NearLimit() {
 		t.Fatal("a connection with a request on it was let go")
 	}
 	say(client, a, request[1:])
-	a.takeHead(false)
+	a.consumeHead(false)
 	say(a, client, "its answer")
-	set.SetGrace(idleFor(testpeer.Limit))
-	f.track(a, http.StateIdle)
+	set.SetGrace(gracesWithIdle(testpeer.Limit))
+	f.trackConnState(a, http.StateIdle)
 	if a.closing || !set.NearLimit() {
 		t.Fatal("a connection idle for a moment only was let go")
 	}
-	set.SetGrace(idleFor(0))
-	f.track(b, http.StateActive)
+	set.SetGrace(gracesWithIdle(0))
+	f.trackConnState(b, http.StateActive)
 	if !a.closing || set.NearLimit() {
 		t.Fatal("the idle connection was not let go")
 	}
@@ -144,7 +144,7 @@
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the wait goes on: %v", err)
 	}
-	f.track(a, http.StateClosed)
+	f.trackConnState(a, http.StateClosed)
 	if set.Open() != 1 || set.NearLimit() {
 		t.Errorf("%d held, crowded %v", set.Open(), set.NearLimit())
 	}
@@ -154,9 +154,9 @@
 // connections are closed meanwhile.
 func TestCloseIdleLosesNoReadRequest(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.clients.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
-		n.clients.SetGrace(idleFor(0))
+		n.clients.SetGrace(gracesWithIdle(0))
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -209,26 +209,26 @@
 	}
 }
 
-// countedListener counts the requests of Accept: with the next, all that came before is known.
-type countedListener struct {
+// countingListener counts the requests of Accept: with the next, all that came before is known.
+type countingListener struct {
 	net.Listener
 	calls atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	l.calls.Add(1)
 	return l.Listener.Accept()
 }
 
 // Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
 // good client needs: they are closed first, before they would time out, and the good one is served.
-func TestClientIsServedBesideHundredsOfSilentOnes(t *testing.T) {
+func TestClientIsServedDespiteHundredsOfSilentConnections(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 	cfg.Capacity = 256 - 48
-	var accepting countedListener
-	n := start(t, cfg, func(n *testNode) {
-		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is closed is closed for want of room
+	var accepting countingListener
+	n := startNode(t, cfg, func(n *testNode) {
+		n.front.server.ReadHeaderTimeout, n.front.bodyGrace = 2*testpeer.Limit, 2*testpeer.Limit // what is closed is closed for want of room
 		n.clients.SetGrace(downstream.Graces{Idle: testpeer.Limit})
 		accepting.Listener = n.listener
 		n.listener = &accepting
@@ -255,7 +255,7 @@
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
 func TestConnectionsWithoutRequestTimeOut(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
 		n.front.server.ReadTimeout = 300 * time.Millisecond
 		n.front.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -276,7 +276,7 @@
 // Clients, requests and servers that are ever new leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s0", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s0", s.Address(), "in_service"))), nil)
 	round := func(i int) {
 		l := discovery.List{Full: true, Rev: int64(i), Targets: []discovery.Target{{Endpoint: s.Address()}}}
 		l.Targets[0].ID = fmt.Sprint("s", i)
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -24,56 +24,56 @@
 // sees no end any more, so that what follows is read ahead here.
 type clientConn struct {
 	net.Conn
-	set        *downstream.Set
-	totalAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
-
-	mu            sync.Mutex
-	scanner       requestScan
-	served        int       // requests that net/http has brought to the front end
-	answered      int       // of them
-	begunAt       time.Time // when the first bytes of the request that is read were, or could have been
-	lastRead      time.Time // when any were last
-	lastWrite     time.Time // when bytes of a response were written last
-	closing       bool
-	cutOff        bool      // leaving, whatever still comes
-	wroteAfterCut bool      // a response was written once it was cut
-	deadline      time.Time // as net/http wants it
-
-	ahead         []byte        // read ahead and not handed out yet
-	aheadDone     chan struct{} // closed once the goroutine that reads ahead has ended; nil: none was started
-	stoppingAhead bool          // it is told to end
-	aheadOverflow bool          // more came than is read ahead
-	readErr       error         // why nothing more can be read
-	ended         chan struct{} // closed once end is known
-	disconnected  chan struct{} // closed once hasDisconnected has said yes
+	set            *downstream.Set
+	totalReadAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
+
+	mu               sync.Mutex
+	scanner          requestScanner
+	requestsReceived int       // requests that net/http has brought to the front end
+	requestsAnswered int       // of them
+	requestStart     time.Time // when the first bytes of the request that is read were, or could have been
+	lastRead         time.Time // when any were last
+	lastWrite        time.Time // when bytes of a response were written last
+	closing          bool
+	cutOff           bool      // leaving, whatever still comes
+	wroteAfterCut    bool      // a response was written once it was cut
+	deadline         time.Time // as net/http wants it
+
+	readAheadBuffer   []byte        // read ahead and not handed out yet
+	readAheadDone     chan struct{} // closed once the goroutine that reads ahead has ended; nil: none was started
+	stoppingReadAhead bool          // it is told to end
+	readAheadOverflow bool          // more came than is read ahead
+	readErr           error         // why nothing more can be read
+	readEnded         chan struct{} // closed once end is known
+	disconnected      chan struct{} // closed once hasDisconnected has said yes
 }
 
 func newClientConn(c net.Conn, set *downstream.Set, total *atomic.Int64) *clientConn {
-	return &clientConn{Conn: c, set: set, totalAhead: total, ended: make(chan struct{}), disconnected: make(chan struct{})}
+	return &clientConn{Conn: c, set: set, totalReadAhead: total, readEnded: make(chan struct{}), disconnected: make(chan struct{})}
 }
 
 // Read hands out what was read ahead, or reads.
 func (c *clientConn) Read(p []byte) (int, error) {
-	c.stopAhead()
-	n, err := c.takeAhead(p)
+	c.stopReadAhead()
+	n, err := c.consumeReadAhead(p)
 	if n == 0 && err == nil {
 		n, err = netio.Read(c.Conn, p)
-		c.noteRead(p[:n], err)
+		c.recordRead(p[:n], err)
 	}
 	if n == 1 && len(p) == 1 { // net/http has its byte behind a request, and watches no more
-		c.startAhead()
+		c.startReadAhead()
 	}
 	return n, err
 }
 
-// noteRead notes what a read brought, for the scan of requests and the connection's times.
-func (c *clientConn) noteRead(p []byte, err error) {
+// recordRead notes what a read brought, for the scan of requests and the connection's times.
+func (c *clientConn) recordRead(p []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p) > 0 {
 		c.lastRead = time.Now()
-		if !c.pending() {
-			c.begunAt = c.lastRead
+		if !c.hasUnansweredRequest() {
+			c.requestStart = c.lastRead
 		}
 		c.scanner.feed(p)
 		if c.closing && !c.cutOff {
@@ -82,25 +82,27 @@
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.finish(err)
+		c.setReadErr(err)
 	}
 }
 
-// finish notes that nothing more can be read. The caller holds mu.
-func (c *clientConn) finish(err error) {
+// setReadErr notes that nothing more can be read. The caller holds mu.
+func (c *clientConn) setReadErr(err error) {
 	if c.readErr == nil {
 		c.readErr = err
-		close(c.ended)
+		close(c.readEnded)
 	}
 }
 
-// pending reports whether bytes of a request were read that is not answered. The caller holds mu.
-func (c *clientConn) pending() bool { return c.scanner.begun > c.answered }
+// hasUnansweredRequest reports whether bytes of a request were read that is not answered. The caller holds mu.
+func (c *clientConn) hasUnansweredRequest() bool {
+	return c.scanner.requestsStarted > c.requestsAnswered
+}
 
 // hasEnded reports whether the other side has ended the connection, or its sending.
 func (c *clientConn) hasEnded() bool {
 	select {
-	case <-c.ended:
+	case <-c.readEnded:
 		return true
 	default:
 		return false
@@ -129,9 +131,9 @@
 	c.lastWrite = time.Now()
 	c.wroteAfterCut = c.cutOff
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 100 ")) { // the body that this asks for is still the request's
-		c.answered = c.served
-		if c.pending() {
-			c.begunAt = c.lastWrite // the next one was not waited for before
+		c.requestsAnswered = c.requestsReceived
+		if c.hasUnansweredRequest() {
+			c.requestStart = c.lastWrite // the next one was not waited for before
 		}
 	}
 	c.mu.Unlock()
@@ -145,20 +147,20 @@
 	return time.Since(c.lastRead)
 }
 
-// Begun returns when the first bytes of the request that is read were.
-func (c *clientConn) Begun() time.Time {
+// requestStartTime returns when the first bytes of the request that is read were.
+func (c *clientConn) requestStartTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begunAt
+	return c.requestStart
 }
 
-// takeHead reports whether the end of the body can be read in two ways, of the request that net/http has just read; see
-// headScan.take.
-func (c *clientConn) takeHead(coded bool) (unframed bool) {
+// consumeHead reports whether the end of the body can be read in two ways, of the request that net/http has just read; see
+// headScanner.consume.
+func (c *clientConn) consumeHead(coded bool) (unframed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.served++
-	return c.scanner.take(coded)
+	c.requestsReceived++
+	return c.scanner.consumeHead(coded)
 }
 
 // SetReadDeadline implements net.Conn. While the connection is being
@@ -167,14 +169,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.closing || c.stoppingAhead {
+	if c.closing || c.stoppingReadAhead {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// reset has the connection's close tell that something was cut.
-func (c *clientConn) reset() {
+// resetOnClose has the connection's close tell that something was cut.
+func (c *clientConn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -183,19 +185,19 @@
 	c.lastWrite = time.Time{}
 }
 
-// isLast reports whether the response under way may be the last on the connection, since no other request was read behind its
+// isLastResponse reports whether the response under way may be the last on the connection, since no other request was read behind its
 // own, and whether it must be, since more came than is read ahead.
-func (c *clientConn) isLast() (may, must bool) {
+func (c *clientConn) isLastResponse() (may, must bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.scanner.begun <= c.served, c.aheadOverflow
+	return c.scanner.requestsStarted <= c.requestsReceived, c.readAheadOverflow
 }
 
 // CloseIdle implements downstream.Conn.
 func (c *clientConn) CloseIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.pending() {
+	if !c.hasUnansweredRequest() {
 		c.closing = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -221,12 +223,12 @@
 func (c *clientConn) HasBegun() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending()
+	return c.hasUnansweredRequest()
 }
 
 // Owes implements downstream.Conn.
 func (c *clientConn) Owes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.served > c.answered
+	return c.requestsReceived > c.requestsAnswered
 }
--- a/internal/http1/broken_test.go
+++ b/internal/http1/connerrors_test.go
@@ -10,13 +10,13 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// faultyListener accepts faultyConns, and hands them to the test too.
-type faultyListener struct {
+// faultyConnListener accepts faultyConns, and hands them to the test too.
+type faultyConnListener struct {
 	net.Listener
 	accepted chan *testpeer.FaultyConn
 }
 
-func (l faultyListener) Accept() (net.Conn, error) {
+func (l faultyConnListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -26,8 +26,8 @@
 	return c, nil
 }
 
-// heldRequest has a request at a server that holds it, from a client on a connection that can be made to fail.
-func heldRequest(t *testing.T) (n *testNode, c *testpeer.Caller, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
+// startHeldRequest has a request at a server that holds it, from a client on a connection that can be made to fail.
+func startHeldRequest(t *testing.T) (n *testNode, c *testpeer.Caller, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
 	hold, got, gone := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	s := testpeer.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
@@ -42,8 +42,8 @@
 		return false
 	})
 	accepted := make(chan *testpeer.FaultyConn, 10)
-	n = start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.listener = faultyListener{n.listener, accepted}
+	n = startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.listener = faultyConnListener{n.listener, accepted}
 	})
 	c = testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "held", "x", "60")
@@ -55,7 +55,7 @@
 // A client whose connection ends in any way has gone: its attempt is called off, and its connection leaves nothing behind.
 func TestAnyConnectionErrorDisconnectsClient(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
-		n, c, conn, _, ended := heldRequest(t)
+		n, c, conn, _, ended := startHeldRequest(t)
 		conn.Fail(errno, 0)
 		io.WriteString(c, "G")
 		testpeer.Receive(t, ended, "the attempt's end")
@@ -70,7 +70,7 @@
 // An answer that can't be written ends its connection, and nothing else.
 func TestFailedResponseWriteClosesConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETDOWN} {
-		n, c, conn, release, _ := heldRequest(t)
+		n, c, conn, release, _ := startHeldRequest(t)
 		conn.Fail(0, errno)
 		release()
 		text, _ := io.ReadAll(c)
@@ -88,7 +88,7 @@
 // A client's connection on which a request fails in passing is no end: it gets its answer whole.
 func TestClientConnectionOutlastsTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
-		_, c, conn, release, _ := heldRequest(t)
+		_, c, conn, release, _ := startHeldRequest(t)
 		conn.Fail(errno, errno)
 		io.WriteString(c, "G")
 		testpeer.Until(t, "the read to fail", func() bool {
--- a/internal/http1/shortage_test.go
+++ b/internal/http1/dialshortage_test.go
@@ -13,9 +13,9 @@
 )
 
 // An unsafe request goes on though the node was short for longer than one attempt waits: nothing of it ran.
-func TestUnsafeRequestOutlastsShortage(t *testing.T) {
+func TestUnsafeRequestSurvivesDialShortage(t *testing.T) {
 	s, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *testNode) {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(n *testNode) {
 		var dials atomic.Int32
 		n.upstream.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials.Add(1) <= upstream.MaxDials+1 {
--- a/internal/http1/gone_test.go
+++ b/internal/http1/disconnect_test.go
@@ -18,52 +18,52 @@
 // holdingServer holds every request until the test ends, and tells of each one's arrival and of the end of its connection.
 type holdingServer struct {
 	*testpeer.Server
-	got, gone chan string
+	received, closed chan string
 }
 
 func newHoldingServer(t *testing.T) *holdingServer {
-	s := &holdingServer{got: make(chan string, 100), gone: make(chan string, 100)}
+	s := &holdingServer{received: make(chan string, 100), closed: make(chan string, 100)}
 	s.Server = testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		id := r.Header.Get("X-Request-Id")
-		s.got <- id
+		s.received <- id
 		io.Copy(io.Discard, c)
-		s.gone <- id
+		s.closed <- id
 		return false
 	})
 	return s
 }
 
-func getText(id string) string {
+func getRequest(id string) string {
 	return "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
 }
 
 // A client is gone once its connection has ended, whatever it had sent behind its request: the attempt is called off, and
 // neither a further one nor what it had asked behind is begun.
-func TestDisconnectBehindReadAheadBytesIsNoticed(t *testing.T) {
-	much := strings.Repeat(getText("behind"), 300)
+func TestDisconnectAfterReadAheadBytesIsDetected(t *testing.T) {
+	much := strings.Repeat(getRequest("behind"), 300)
 	for _, c := range []struct {
 		name, with, behind string // with: in the same write as the request
 		reset              bool
 	}{
 		{"nothing more", "", "", false},
 		{"a byte", "", "G", false},
-		{"a request", "", getText("behind"), false},
-		{"a request in the same write", getText("behind"), "", false},
-		{"a request and a half, reset", getText("behind"), "GET /vi", true},
+		{"a request", "", getRequest("behind"), false},
+		{"a request in the same write", getRequest("behind"), "", false},
+		{"a request and a half, reset", getRequest("behind"), "GET /vi", true},
 		{"much", "", much, false},
 		{"much in the same write", much, "", false},
 		{"more than is read ahead", "", strings.Repeat(much, 40), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			one, two := newHoldingServer(t), newHoldingServer(t)
-			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+			n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, n.Addr())
-			io.WriteString(client, getText("first")+c.with)
+			io.WriteString(client, getRequest("first")+c.with)
 			var at *holdingServer
 			select {
-			case <-one.got:
+			case <-one.received:
 				at = one
-			case <-two.got:
+			case <-two.received:
 				at = two
 			case <-time.After(testpeer.Limit):
 				t.Fatal("no attempt")
@@ -79,7 +79,7 @@
 				client.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			client.Close()
-			testpeer.Receive(t, at.gone, "the attempt to be called off")
+			testpeer.Receive(t, at.closed, "the attempt to be called off")
 			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Open() == 0 })
 			testpeer.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
@@ -94,14 +94,14 @@
 
 // Who has ended its own sending is gone like one that has closed. Should it still read, it hears no answer that no
 // server made.
-func TestHalfClosedClientGetsNoInventedResponse(t *testing.T) {
+func TestHalfClosedClientGetsBadGateway(t *testing.T) {
 	s := newHoldingServer(t)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, n.Addr())
 	client.Get("half")
-	testpeer.Receive(t, s.got, "an attempt")
+	testpeer.Receive(t, s.received, "an attempt")
 	client.Conn.(*net.TCPConn).CloseWrite()
-	testpeer.Receive(t, s.gone, "the attempt to be called off")
+	testpeer.Receive(t, s.closed, "the attempt to be called off")
 	r, _ := client.Answer(t)
 	if r.StatusCode != http.StatusBadGateway || !r.Close {
 		t.Errorf("got %d, close %v", r.StatusCode, r.Close)
@@ -112,8 +112,8 @@
 // connections are closed between two of them: what was read is no idle connection.
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.clients.SetGrace(idleFor(0))
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.clients.SetGrace(gracesWithIdle(0))
 	})
 	stop := make(chan struct{})
 	defer close(stop)
@@ -134,7 +134,7 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(testpeer.Limit))
-		io.WriteString(c, getText("a")+post+getText("c"))
+		io.WriteString(c, getRequest("a")+post+getRequest("c"))
 		in := bufio.NewReader(c)
 		for i, want := range []string{"for a", "for b", "for c"} {
 			r, err := http.ReadResponse(in, nil)
@@ -155,7 +155,7 @@
 
 // A connection whose other side sends on is not reset under an answer that has not arrived, whether those bytes come
 // before the close or after it has begun.
-func TestResponseOutlivesCloseOverUnreadBytes(t *testing.T) {
+func TestCloseWithUnreadBytesDoesNotLoseResponse(t *testing.T) {
 	answer := strings.Repeat("x", 1<<20) // more than the client's buffer takes
 	for _, c := range []struct{ early, cut bool }{{true, false}, {false, false}, {true, true}} {
 		early := c.early
@@ -211,10 +211,10 @@
 // Requests that were read together are all answered, also where each answer would end its connection by then.
 func TestPipelinedRequestsAreAnsweredBeforeClose(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	n.front.SetClosing(true)
 	c := testpeer.Dial(t, n.Addr())
-	io.WriteString(c, getText("a")+getText("b")+getText("c"))
+	io.WriteString(c, getRequest("a")+getRequest("b")+getRequest("c"))
 	for i, id := range []string{"a", "b", "c"} {
 		r, body := c.Answer(t)
 		if r.StatusCode != http.StatusOK || body != "for "+id || r.Close != (i == 2) {
@@ -228,7 +228,7 @@
 func TestRequestReadAheadIsAnsweredBeforeClose(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	n.front.SetClosing(true)
 	c := testpeer.Dial(t, n.Addr())
 	c.Get("held")
@@ -246,5 +246,5 @@
 
 // hasReadAhead says that a request was read behind the one that is served on the fault bench's only connection.
 func hasReadAhead(n *testNode) bool {
-	return n.front.totalAhead.Load() > 0
+	return n.front.totalReadAhead.Load() > 0
 }
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -29,7 +29,7 @@
 	// net/http would otherwise wait for the rest of a body.
 	w.Header().Set("Connection", "close")
 	x := exchange{front: f, writer: w, control: http.NewResponseController(w), request: r, conn: connOf(r.Context())}
-	unframed := x.conn.takeHead(x.isCoded())
+	unframed := x.conn.consumeHead(x.hasTransferCoding())
 	if x.conn.hasEnded() { // the client had sent this behind a request whose response it did not wait for
 		panic(http.ErrAbortHandler)
 	}
@@ -40,8 +40,8 @@
 	x.serve(unframed)
 }
 
-// isCoded reports whether the request's body has a transfer coding.
-func (x *exchange) isCoded() bool { return len(x.request.TransferEncoding) > 0 }
+// hasTransferCoding reports whether the request's body has a transfer coding.
+func (x *exchange) hasTransferCoding() bool { return len(x.request.TransferEncoding) > 0 }
 
 // serveHealth answers whether clients should be sent here.
 func (x *exchange) serveHealth() {
@@ -50,7 +50,7 @@
 		http.Error(x.writer, "only GET is served", http.StatusMethodNotAllowed)
 		return
 	}
-	draining := x.front.draining.Load()
+	draining := x.front.notReady.Load()
 	if !draining {
 		x.keepAlive()
 	}
@@ -61,7 +61,7 @@
 
 // keepAlive leaves the connection open behind a response on health, unless it was to be closed.
 func (x *exchange) keepAlive() {
-	if may, _ := x.conn.isLast(); !may || !x.front.closing.Load() {
+	if may, _ := x.conn.isLastResponse(); !may || !x.front.closeAfterResponse.Load() {
 		x.writer.Header().Del("Connection")
 	}
 }
@@ -70,7 +70,7 @@
 func (x *exchange) serve(unframed bool) {
 	f := x.front
 	if x.request.ContentLength != 0 {
-		x.control.SetReadDeadline(time.Now().Add(f.grace))
+		x.control.SetReadDeadline(time.Now().Add(f.bodyGrace))
 	}
 	x.snapshot = f.dispatcher.Snapshot()
 	head := f.head(x.request, unframed)
@@ -86,32 +86,32 @@
 	}
 	at := f.clock.Now()
 	x.control.SetReadDeadline(time.Time{}) // it was for reading the request
-	if !x.isCoded() {                      // what is behind a coded body is read by nobody, whoever put it there
+	if !x.hasTransferCoding() {            // what is behind a coded body is read by nobody, whoever put it there
 		x.writer.Header().Del("Connection") // write says whether the response is the last
 	}
-	checked.Request.ClientDisconnected = x.conn.hasDisconnected
+	checked.Message.ClientDisconnected = x.conn.hasDisconnected
 	x.class = checked.Class
 	f.counters.Begin()
 	if rest != nil {
 		x.rest = rest
 		x.control.EnableFullDuplex() // the response may come while the body still does
-		defer rest.end()
+		defer rest.stop()
 	}
 	if !f.clients.Begin(x.conn) {
 		x.respond(engine.Response{Kind: engine.Rejected, RetryAfter: x.snapshot.RetryAfter()})
 		return
 	}
-	taken, err := validation.Take(f.dispatcher, x.snapshot, &head, checked, body, rest.reader(), at)
+	taken, err := validation.Submit(f.dispatcher, x.snapshot, &head, checked, body, rest.reader(), at)
 	if err != nil {
-		x.rejectTaken(err)
+		x.rejectCounted(err)
 		return
 	}
-	x.await(taken)
+	x.awaitResponse(taken)
 }
 
-// await waits for the response to a request that was taken, or for its client's end.
-func (x *exchange) await(taken *engine.Request) {
-	ended := x.conn.ended
+// awaitResponse waits for the response to a request that was taken, or for its client's end.
+func (x *exchange) awaitResponse(taken *engine.Request) {
+	ended := x.conn.readEnded
 	var bodyFailed <-chan struct{}
 	if x.rest != nil {
 		ended = nil // the reader of the rest meets the connection's end
@@ -121,14 +121,14 @@
 	case response := <-taken.Response():
 		x.respond(response)
 	case <-bodyFailed:
-		x.abandonBody(taken)
+		x.abandonIncompleteBody(taken)
 	case <-ended:
 		x.abandon(taken)
 	case <-x.conn.disconnected:
 		x.abandon(taken)
 	case <-x.request.Context().Done():
-		if x.rest != nil && !x.rest.end() { // net/http takes a body that comes too slowly for its client's end
-			x.abandonBody(taken)
+		if x.rest != nil && !x.rest.stop() { // net/http takes a body that comes too slowly for its client's end
+			x.abandonIncompleteBody(taken)
 			return
 		}
 		x.abandon(taken)
@@ -143,8 +143,8 @@
 	x.write(engine.Response{Kind: engine.Failed})
 }
 
-// abandonBody ends a request whose client has not sent its body completely, or not within its time.
-func (x *exchange) abandonBody(taken *engine.Request) {
+// abandonIncompleteBody ends a request whose client has not sent its body completely, or not within its time.
+func (x *exchange) abandonIncompleteBody(taken *engine.Request) {
 	x.disconnect(taken)
 	x.writer.Header().Set("Connection", "close")
 	x.reject(errBodyIncomplete)
@@ -160,18 +160,18 @@
 // from the connection.
 func (f *Front) head(r *http.Request, unframed bool) validation.Head {
 	return validation.Head{
-		Listener: f.listener,
-		Protocol: config.HTTP1,
-		Method:   r.Method,
-		Target:   originForm(r.RequestURI),
-		Host:     r.Host,
-		ID:       r.Header["X-Request-Id"],
-		Wait:     r.Header["X-Deadline"],
-		Key:      r.Header["Idempotency-Key"],
-		Type:     r.Header.Get("Content-Type"),
-		Unframed: unframed,
-		Length:   r.ContentLength,
-		Headers:  r.Header,
+		Listener:        f.listener,
+		Protocol:        config.HTTP1,
+		Method:          r.Method,
+		Target:          originForm(r.RequestURI),
+		Host:            r.Host,
+		RequestIDs:      r.Header["X-Request-Id"],
+		Deadlines:       r.Header["X-Deadline"],
+		IdempotencyKeys: r.Header["Idempotency-Key"],
+		ContentType:     r.Header.Get("Content-Type"),
+		AmbiguousLength: unframed,
+		ContentLength:   r.ContentLength,
+		Headers:         r.Header,
 	}
 }
 
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -26,16 +26,16 @@
 
 // Front serves clients of one listener: exactly one answer for each request taken.
 type Front struct {
-	listener   string // its name in the configuration
-	clock      clock.Clock
-	dispatcher *dispatch.Dispatcher
-	clients    *downstream.Set
-	counters   *metrics.Set
-	draining   atomic.Bool   // unready
-	closing    atomic.Bool   // each answer closes its connection
-	grace      time.Duration // by which a body may be behind the least rate
-	totalAhead atomic.Int64  // bytes that were read ahead of requests that are served
-	server     *http.Server
+	listener           string // its name in the configuration
+	clock              clock.Clock
+	dispatcher         *dispatch.Dispatcher
+	clients            *downstream.Set
+	counters           *metrics.Set
+	notReady           atomic.Bool   // unready
+	closeAfterResponse atomic.Bool   // each answer closes its connection
+	bodyGrace          time.Duration // by which a body may be behind the least rate
+	totalReadAhead     atomic.Int64  // bytes that were read ahead of requests that are served
+	server             *http.Server
 }
 
 // NewFront returns a Front that serves nobody before Serve. Its clients' connections are in the set; the dispatcher gives the
@@ -47,7 +47,7 @@
 		dispatcher: dispatcher,
 		clients:    clients,
 		counters:   counters,
-		grace:      bodyGrace,
+		bodyGrace:  bodyGrace,
 	}
 	f.server = &http.Server{
 		Handler:                      f,
@@ -55,7 +55,7 @@
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    f.track,
+		ConnState:                    f.trackConnState,
 		ConnContext:                  withConn,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
@@ -65,14 +65,14 @@
 // Serve accepts clients until the listener fails, is closed or has a deadline in the past, and returns its
 // error. Which failures of accept are temporary is the listener's to know.
 func (f *Front) Serve(ln net.Listener) error {
-	return f.server.Serve(clientListener{ln, f.clients, &f.totalAhead})
+	return f.server.Serve(clientListener{ln, f.clients, &f.totalReadAhead})
 }
 
 // SetReady says what GET /health/ready answers from now on: whether clients should be sent here.
-func (f *Front) SetReady(ready bool) { f.draining.Store(!ready) }
+func (f *Front) SetReady(ready bool) { f.notReady.Store(!ready) }
 
 // SetClosing says whether each response from now on closes its connection.
-func (f *Front) SetClosing(closing bool) { f.closing.Store(closing) }
+func (f *Front) SetClosing(closing bool) { f.closeAfterResponse.Store(closing) }
 
 // CloseQuiet closes the connections without a request. It returns how many are left.
 func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -18,7 +18,7 @@
 	"damsontrestle/internal/validation"
 )
 
-func TestPassesARequestThroughUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		r    *http.Request
 		body string
@@ -29,9 +29,9 @@
 		got <- seen{r, body}
 		return testpeer.Reply200(c, answerBody)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
-	long := strings.Repeat("b\r\n\x00", validation.MaxBody/4)
+	long := strings.Repeat("b\r\n\x00", validation.MaxBufferedBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
 		id := fmt.Sprint("id-", i)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
@@ -68,7 +68,7 @@
 		}
 		return testpeer.Reply200(c, "")
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	for i := range 2 {
 		c.Send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
@@ -90,7 +90,7 @@
 		closing <- struct{}{}
 		return false
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	for i := range 50 {
 		c.Send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
@@ -115,7 +115,7 @@
 		})
 		return answers && testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "leaving", "x", "60")
 	testpeer.Receive(t, got, "the attempt")
@@ -140,7 +140,7 @@
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = config.Duration(300 * time.Millisecond)
 	}
-	n := start(t, cfg, nil)
+	n := startNode(t, cfg, nil)
 	c := testpeer.Dial(t, n.Addr())
 	c.Send("POST", "/note/k", "unsafe", "x", "20")
 	c.Want(t, http.StatusBadGateway, "") // it may have run: no refusal
@@ -157,9 +157,9 @@
 }
 
 // A request that the module gives up is refused at once, with advice, though its deadline is far off.
-func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
+func TestUnreachableServerIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service")))
-	n := start(t, cfg, nil)
+	n := startNode(t, cfg, nil)
 	c := testpeer.Dial(t, n.Addr())
 	begin := time.Now()
 	c.Send("POST", "/note/k", "x", "x", "60")
@@ -174,7 +174,7 @@
 func TestConnectionsBelongToOneServerIncarnation(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, testpeer.Held(hold, got))
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	held, c := testpeer.Dial(t, n.Addr()), testpeer.Dial(t, n.Addr())
 	held.Get("held")
 	testpeer.Receive(t, got, "the attempt")
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		select {
@@ -217,8 +217,8 @@
 		<-hold
 		return testpeer.Echo(c, r, body)
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.front.server.ReadHeaderTimeout, n.front.grace = 300*time.Millisecond, 300*time.Millisecond
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
+		n.front.server.ReadHeaderTimeout, n.front.bodyGrace = 300*time.Millisecond, 300*time.Millisecond
 	})
 	first := testpeer.Dial(t, n.Addr())
 	first.Get("used")
@@ -254,7 +254,7 @@
 		{"half a body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 10\r\n\r\nhalf", 400},
 		{"another method", "DELETE /view/k HTTP/1.1\r\n" + ok + "\r\n", 405},
 		{"half a long body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 65537\r\n\r\nhalf", 400},
-		{"too long a body", "POST /note/k HTTP/1.1\r\n" + ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", validation.MaxLength+1), 413},
+		{"too long a body", "POST /note/k HTTP/1.1\r\n" + ok + fmt.Sprintf("Content-Length: %d\r\n\r\n", validation.MaxStreamedBody+1), 413},
 		{"chunks without end", "POST /note/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", 400},
 		{"spoilt chunks", "POST /note/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", 400},
 		{"GET with a body in chunks", "GET /view/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 400},
@@ -292,9 +292,9 @@
 
 // A client gives its last attempt all the time that it has left, more than tries are usually given. That must
 // not make every other client's first attempt look like a repeat whose latency objective is over, to be refused at once.
-func TestLongLastAttemptLeavesFirstAttemptsAsTheyAre(t *testing.T) {
-	s, hold, got := serverThatHolds(t)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+func TestLongLastAttemptDoesNotAffectFirstAttempts(t *testing.T) {
+	s, hold, got := startHoldingServer(t)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	view := func(id, deadline string) {
 		t.Helper()
@@ -326,7 +326,7 @@
 
 // How a path reaches servers follows from its listener's setting, and no path carries a request of one class to
 // where a server could take it for another's.
-func TestPaths(t *testing.T) {
+func TestPathHandlingByListenerSetting(t *testing.T) {
 	got := make(chan string, 1)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- r.RequestURI
@@ -356,7 +356,7 @@
 	} {
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
 		cfg.Listeners[0].Paths = c.paths
-		n := start(t, cfg, nil)
+		n := startNode(t, cfg, nil)
 		client := testpeer.Dial(t, n.Addr())
 		client.Send(c.method, c.target, "id", "", "60")
 		r, body := client.Answer(t)
@@ -372,7 +372,7 @@
 
 // A request whose head was read under one configuration and whose body came under another is taken under the
 // new one: as what it is there, or not at all.
-func TestRequestIsReadUnderCurrentConfiguration(t *testing.T) {
+func TestRequestIsCheckedAgainUnderNewConfiguration(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	for _, c := range []struct {
 		name   string
@@ -392,7 +392,7 @@
 		{"its path is not strict", func(c *config.Config) { c.Listeners[0].Paths = config.StrictPaths }, 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+			n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, n.Addr())
 			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
 			testpeer.Until(t, "its head to be read", func() bool { return n.clients.In(downstream.Reading) > 0 })
--- a/internal/http1/linger.go
+++ b/internal/http1/linger.go
@@ -11,9 +11,9 @@
 
 // Bounds of what is read and thrown away behind the last response, before the connection is closed.
 const (
-	lingerAfter = time.Second // a response that was written longer ago has arrived
-	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 1 << 20
+	responseDeliveryTime = time.Second // a response that was written longer ago has arrived
+	lingerTimeout        = 500 * time.Millisecond
+	maxLingerBytes       = 1 << 20
 )
 
 // Close ends the connection. A close over bytes that nobody has read resets it, and takes along a response that is still
@@ -22,21 +22,21 @@
 // stays unread, so that its client may send it again. One that is cut off may have been sent a rejection, but its place
 // is wanted: it lingers only over bytes that would reset it now.
 func (c *clientConn) Close() error {
-	c.stopAhead()
-	c.dropAhead()
+	c.stopReadAhead()
+	c.discardReadAhead()
 	c.mu.Lock()
-	lingers := c.mustLinger()
+	lingers := c.mayLoseResponse()
 	c.mu.Unlock()
 	if lingers && c.CloseWrite() == nil {
-		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
-		io.CopyN(io.Discard, c.Conn, lingerBytes)
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 	}
 	return c.Conn.Close()
 }
 
-// mustLinger reports whether a response may be on its way that a close at once would take along. The caller holds mu.
-func (c *clientConn) mustLinger() bool {
-	if time.Since(c.lastWrite) >= lingerAfter || c.readErr != nil {
+// mayLoseResponse reports whether a response may be on its way that a close at once would take along. The caller holds mu.
+func (c *clientConn) mayLoseResponse() bool {
+	if time.Since(c.lastWrite) >= responseDeliveryTime || c.readErr != nil {
 		return false
 	}
 	if !c.closing {
--- a/internal/http1/listener.go
+++ b/internal/http1/listener.go
@@ -12,8 +12,8 @@
 // clientListener accepts clients within their share of descriptors, each as a clientConn.
 type clientListener struct {
 	net.Listener
-	set        *downstream.Set
-	totalAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
+	set            *downstream.Set
+	totalReadAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
 }
 
 // Accept implements net.Listener.
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return newClientConn(c, l.set, l.totalAhead), nil
+	return newClientConn(c, l.set, l.totalReadAhead), nil
 }
 
 // Close leaves the listener to whoever opened it: net/http closes what it has accepted from.
@@ -42,8 +42,8 @@
 	return c
 }
 
-// track follows the states that net/http gives a connection.
-func (f *Front) track(nc net.Conn, state http.ConnState) {
+// trackConnState follows the states that net/http gives a connection.
+func (f *Front) trackConnState(nc net.Conn, state http.ConnState) {
 	c := nc.(*clientConn)
 	switch state {
 	case http.StateNew:
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -15,15 +15,15 @@
 // maxWriteStall is how long a client may take nothing of a response that passes through.
 const maxWriteStall = 10 * time.Second
 
-// streamBuffer is how much of a response that passes through is held at once, in bytes.
-const streamBuffer = 16 << 10
+// streamBufferSize is how much of a response that passes through is held at once, in bytes.
+const streamBufferSize = 16 << 10
 
 // errBodyIncomplete answers a client that has not sent its body completely, or not within its time.
-var errBodyIncomplete = &validation.Rejected{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
+var errBodyIncomplete = &validation.Error{Status: http.StatusBadRequest, Reason: "the body is not whole, or came too slowly"}
 
 // reject answers a request that can't be used, or whose listener has gone, with its connection's end.
 func (x *exchange) reject(err error) {
-	var rejected *validation.Rejected
+	var rejected *validation.Error
 	if !errors.As(err, &rejected) {
 		x.write(engine.Response{Kind: engine.Rejected, RetryAfter: x.snapshot.RetryAfter()})
 		return
@@ -31,12 +31,12 @@
 	http.Error(x.writer, rejected.Reason, rejected.Status)
 }
 
-// rejectTaken answers a request that was counted as begun and could not be taken.
-func (x *exchange) rejectTaken(err error) {
+// rejectCounted answers a request that was counted as begun and could not be taken.
+func (x *exchange) rejectCounted(err error) {
 	x.writer.Header().Set("Connection", "close")
 	x.reject(err)
 	x.front.counters.End(x.class, metrics.Faulted)
-	if x.rest != nil && !x.rest.end() {
+	if x.rest != nil && !x.rest.stop() {
 		x.control.Flush()
 		x.rest.discard()
 	}
@@ -44,7 +44,7 @@
 
 // respond gives the request its response, also where the rest of its body has not come yet.
 func (x *exchange) respond(response engine.Response) {
-	early := x.rest != nil && !x.rest.end()
+	early := x.rest != nil && !x.rest.stop()
 	if early {
 		x.writer.Header().Set("Connection", "close")
 	}
@@ -52,7 +52,7 @@
 	if err := x.write(response); err != nil {
 		counters.End(x.class, metrics.Faulted)
 		if !x.request.ProtoAtLeast(1, 1) {
-			x.conn.reset() // its end alone would look like the response's
+			x.conn.resetOnClose() // its end alone would look like the response's
 		}
 		panic(http.ErrAbortHandler) // so that the client can tell that the response is not complete
 	}
@@ -63,21 +63,21 @@
 	}
 }
 
-// isLast reports whether a response ends its connection. What was read behind its request is answered first, or it would be
+// isLastResponse reports whether a response ends its connection. What was read behind its request is answered first, or it would be
 // lost, unless that is too much.
-func (x *exchange) isLast(response engine.Response) bool {
-	may, must := x.conn.isLast()
+func (x *exchange) isLastResponse(response engine.Response) bool {
+	may, must := x.conn.isLastResponse()
 	if must || !may {
 		return must
 	}
-	return x.front.clients.NearLimit() || x.front.closing.Load() || response.TryOtherNode
+	return x.front.clients.NearLimit() || x.front.closeAfterResponse.Load() || response.TryOtherNode
 }
 
 // write gives the response to the client. With an error it was begun and is not complete.
 func (x *exchange) write(response engine.Response) error {
 	x.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	header := x.writer.Header()
-	if x.isLast(response) {
+	if x.isLastResponse(response) {
 		header.Set("Connection", "close")
 	}
 	if response.Settled {
@@ -86,7 +86,7 @@
 	if response.Kind == engine.Served {
 		return x.writeReply(response.Reply)
 	}
-	status, text := validation.Text(response)
+	status, text := validation.ErrorStatus(response)
 	if response.Kind == engine.Rejected && response.NotRun && response.Reason != "" { // for a partner's gateway, which must know that nothing ran
 		header.Set(validation.HeaderNotRun, "1")
 		header.Set(validation.HeaderRejectedBy, response.Reason)
@@ -126,7 +126,7 @@
 			return err
 		}
 	}
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := reply.Rest.Read(buf)
 		if n > 0 {
--- a/internal/http1/passing_bench_test.go
+++ b/internal/http1/streaming_bench_test.go
@@ -21,7 +21,7 @@
 		_, err := c.Write(text)
 		return err == nil
 	})
-	n := start(b, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(b, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(b, n.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
@@ -40,7 +40,7 @@
 // BenchmarkLongBody passes bodies of 8 MiB through a node on loopback, one after another.
 func BenchmarkLongBody(b *testing.B) {
 	text := randomBytes(benchSize)
-	ln := rawServer(b, func(c net.Conn, r *http.Request) {
+	ln := startRawServer(b, func(c net.Conn, r *http.Request) {
 		for in := testpeer.On(c); ; {
 			if got, err := io.Copy(io.Discard, r.Body); got != benchSize || err != nil || !testpeer.Reply200(c, "") {
 				return
@@ -51,7 +51,7 @@
 			}
 		}
 	})
-	n := start(b, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	n := startNode(b, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 	c := testpeer.Dial(b, n.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
--- a/internal/http1/passing_test.go
+++ b/internal/http1/streaming_test.go
@@ -19,8 +19,8 @@
 	"damsontrestle/internal/validation"
 )
 
-// long is more than the node keeps of a body, and more than the kernel does on the way.
-const long = 5 << 20
+// longBodySize is more than the node keeps of a body, and more than the kernel does on the way.
+const longBodySize = 5 << 20
 
 // randomBytes is a body that tells if anything of it is missing, twice or out of order.
 func randomBytes(size int) []byte {
@@ -32,8 +32,8 @@
 	return text
 }
 
-// rawServer is a server that gets each connection with the head of its first request read.
-func rawServer(t testing.TB, serve func(c net.Conn, r *http.Request)) net.Listener {
+// startRawServer is a server that gets each connection with the head of its first request read.
+func startRawServer(t testing.TB, serve func(c net.Conn, r *http.Request)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,8 +64,8 @@
 	return testpeer.Entry(id, ln.Addr().String(), "in_service")
 }
 
-func TestLongResponsesAreStreamedWhole(t *testing.T) {
-	want := randomBytes(long)
+func TestLongResponsesAreStreamedCompletely(t *testing.T) {
+	want := randomBytes(longBodySize)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		switch r.URL.RawQuery {
 		case "length":
@@ -88,7 +88,7 @@
 		}
 		return true
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	for i, form := range []string{"length", "chunks", "none", "end", "none"} {
 		c.Send("GET", "/view/k?"+form, fmt.Sprint("r", i), "", "60")
@@ -109,11 +109,11 @@
 }
 
 // A client that takes nothing must hold its server up rather than fill the node.
-func TestSlowReaderPushesBackOnServer(t *testing.T) {
+func TestSlowClientAppliesBackpressureToServer(t *testing.T) {
 	const size = 32 << 20
 	var sent atomic.Int64
 	over := make(chan struct{})
-	ln := rawServer(t, func(c net.Conn, r *http.Request) {
+	ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 		defer close(over)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 		for part := randomBytes(64 << 10); sent.Load() < size; {
@@ -123,7 +123,7 @@
 			}
 		}
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	c.Get("slow")
 	r, err := http.ReadResponse(c.Reader, nil)
@@ -143,10 +143,10 @@
 }
 
 // A server that ends halfway has its client see that the answer is not complete, whatever its form; nothing is sent again.
-func TestTruncatedLongReply(t *testing.T) {
+func TestTruncatedLongReplyIsDetectableByClient(t *testing.T) {
 	for _, form := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		var asked atomic.Int64
-		ln := rawServer(t, func(c net.Conn, r *http.Request) {
+		ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 			asked.Add(1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", form)
 			if strings.HasPrefix(form, "Transfer") {
@@ -154,7 +154,7 @@
 			}
 			c.Write(randomBytes(100000))
 		})
-		n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+		n := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 		c := testpeer.Dial(t, n.Addr())
 		c.Get("cut")
 		r, err := http.ReadResponse(c.Reader, nil)
@@ -173,9 +173,9 @@
 }
 
 // A client that leaves halfway through an answer frees the server's connection.
-func TestDisconnectDuringLongResponse(t *testing.T) {
+func TestDisconnectDuringLongResponseClosesServerConnection(t *testing.T) {
 	over := make(chan struct{})
-	ln := rawServer(t, func(c net.Conn, r *http.Request) {
+	ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 		defer close(over)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 32<<20)
 		for part := randomBytes(64 << 10); ; {
@@ -184,7 +184,7 @@
 			}
 		}
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	c.Get("leaving")
 	if _, err := http.ReadResponse(c.Reader, nil); err != nil {
@@ -209,13 +209,13 @@
 		func() { io.WriteString(c, "0\r\n\r\n") }
 }
 
-func TestLongBodiesAreStreamedWhole(t *testing.T) {
-	want := randomBytes(long)
+func TestLongBodiesAreStreamedCompletely(t *testing.T) {
+	want := randomBytes(longBodySize)
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
-	for _, size := range []int{1, validation.MaxBody, validation.MaxBody + 1, long} {
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	for _, size := range []int{1, validation.MaxBufferedBody, validation.MaxBufferedBody + 1, longBodySize} {
 		for _, chunked := range []bool{false, true} {
 			c := testpeer.Dial(t, n.Addr())
 			for i := range 2 {
@@ -245,7 +245,7 @@
 // the server that broke never had it whole.
 func TestUploadBrokenByServer(t *testing.T) {
 	good := testpeer.NewServer(t, testpeer.Echo)
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
 		testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	for i := range 10 { // the closed one is drawn first now and then
 		c := testpeer.Dial(t, n.Addr())
@@ -256,15 +256,15 @@
 	}
 
 	var tries atomic.Int64
-	ln := rawServer(t, func(c net.Conn, r *http.Request) {
+	ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 		tries.Add(1)
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	m := start(t, testConfig(testpeer.Whole(entry("s1", ln), entry("s2", ln))), nil)
+	m := startNode(t, testConfig(testpeer.Whole(entry("s1", ln), entry("s2", ln))), nil)
 	c := testpeer.Dial(t, m.Addr())
-	write, _ := sendUpload(c, "broken", long, false)
-	go write(randomBytes(long))
+	write, _ := sendUpload(c, "broken", longBodySize, false)
+	go write(randomBytes(longBodySize))
 	r, _ := c.Answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
@@ -275,13 +275,13 @@
 }
 
 // A server that turns an upload away before it is complete: its client hears so at once, though it has not sent all.
-func TestUploadRejectedEarly(t *testing.T) {
-	ln := rawServer(t, func(c net.Conn, r *http.Request) {
+func TestEarlyRejectionOfUploadReachesClient(t *testing.T) {
+	ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 		io.CopyN(io.Discard, r.Body, 100<<10)
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	write, _ := sendUpload(c, "early", 10<<20, false)
 	if err := write(randomBytes(200 << 10)); err != nil { // and no more
@@ -293,17 +293,17 @@
 
 // A server that turns an upload away before it has read any of it, and another that takes it: what the first attempt
 // had begun to read is not missing in the second, or there is no second.
-func TestUploadRetriedAtAnotherServerIsWhole(t *testing.T) {
+func TestUploadRetriedAtAnotherServerIsComplete(t *testing.T) {
 	const size = 300 << 10
 	text := randomBytes(size)
-	full := rawServer(t, func(c net.Conn, r *http.Request) {
+	full := startRawServer(t, func(c net.Conn, r *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
 	good := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		return testpeer.Reply200(c, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", full), testpeer.Entry("s2", good.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(entry("s1", full), testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	heard := map[int]int{}
 	for i := range 60 {
 		c := testpeer.Dial(t, n.Addr())
@@ -328,17 +328,17 @@
 
 // A client that leaves in the midst of its body, or stops sending: no server ever has it whole, and no server is
 // blamed for it.
-func TestUploadCutByClient(t *testing.T) {
+func TestIncompleteUploadIsNotBlamedOnServer(t *testing.T) {
 	begun, complete := make(chan struct{}, 10), make(chan error, 10)
-	ln := rawServer(t, func(c net.Conn, r *http.Request) {
+	ln := startRawServer(t, func(c net.Conn, r *http.Request) {
 		begun <- struct{}{}
 		_, err := io.Copy(io.Discard, r.Body)
 		complete <- err
 	})
-	n := start(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *testNode) { n.front.grace = 300 * time.Millisecond })
+	n := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), func(n *testNode) { n.front.bodyGrace = 300 * time.Millisecond })
 	for _, leaves := range []bool{true, false} {
 		c := testpeer.Dial(t, n.Addr())
-		write, _ := sendUpload(c, fmt.Sprint("cut", leaves), long, false)
+		write, _ := sendUpload(c, fmt.Sprint("cut", leaves), longBodySize, false)
 		if err := write(randomBytes(100 << 10)); err != nil {
 			t.Fatal(err)
 		}
@@ -362,9 +362,9 @@
 }
 
 // A body may come in pieces at any point, no slower than the least rate and its grace.
-func TestBodyInPieces(t *testing.T) {
+func TestBodyInSmallPiecesIsAccepted(t *testing.T) {
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, body) })
-	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	c := testpeer.Dial(t, n.Addr())
 	text := "POST http://backend.local/note/k HTTP/1.1\r\nhost:h\r\nX-Request-Id:  pieces \r\nx-deadline: 60\r\n" +
 		"TRANSFER-ENCODING: Chunked\r\n\r\n2\r\nok\r\n1;x=y\r\n!\r\n0\r\nTrailer: t\r\n\r\n"
@@ -402,21 +402,21 @@
 		{"a long line before", get + "X: " + strings.Repeat("x", 9999) + "\r\nContent-Length: 5\r\n" + coding + "\r\n", true, true},
 	} {
 		for size := 1; size <= len(c.text); size = size*3 + 1 {
-			var s headScan
+			var s headScanner
 			for rest := []byte(c.text); len(rest) > 0; rest = rest[min(size, len(rest)):] {
 				s.feed(rest[:min(size, len(rest))])
 			}
-			if got := s.take(c.coded); got != c.unframed {
+			if got := s.consume(c.coded); got != c.unframed {
 				t.Errorf("%s, in pieces of %d: unframed %v", c.name, size, got)
 			}
-			if s.feed([]byte("5\r\nbody")); s.state != scanTaken {
+			if s.feed([]byte("5\r\nbody")); s.state != scanConsumed {
 				t.Errorf("%s: the body is read as a head", c.name)
 			}
 		}
 	}
-	var s headScan
+	var s headScanner
 	s.feed([]byte(get + coding + "\r\n" + get))
-	if s.take(true); !s.take(true) {
+	if s.consume(true); !s.consume(true) {
 		t.Error("the head that came right behind another passes unseen")
 	}
 }
@@ -428,29 +428,29 @@
 	f.Add([]byte("POST / HTTP/1.1\nHost: h\nContent-Length:5\ntransfer-encoding:chunked\n\n0\r\n\r\n"), uint8(7))
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.1\r\n folded: x\r\n\r\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, size uint8) {
-		var complete, pieces headScan
+		var complete, pieces headScanner
 		complete.feed(text)
 		for rest, n := text, int(size)+1; len(rest) > 0; rest = rest[min(n, len(rest)):] {
 			pieces.feed(rest[:min(n, len(rest))])
 		}
-		if complete.state != pieces.state || complete.length != pieces.length || complete.coding != pieces.coding {
+		if complete.state != pieces.state || complete.hasContentLength != pieces.hasContentLength || complete.hasTransferCoding != pieces.hasTransferCoding {
 			t.Fatalf("%q: %+v whole, %+v in pieces of %d", text, complete, pieces, int(size)+1)
 		}
-		r, err := http.ReadRequest(testpeer.On(&readConn{Reader: bytes.NewReader(text)}).Reader)
+		r, err := http.ReadRequest(testpeer.On(&readOnlyConn{Reader: bytes.NewReader(text)}).Reader)
 		if err != nil || len(r.TransferEncoding) == 0 {
 			return
 		}
 		head, _, _ := bytes.Cut(bytes.ReplaceAll(text, []byte("\r\n"), []byte("\n")), []byte("\n\n"))
-		if !complete.take(true) && bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:")) {
+		if !complete.consume(true) && bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:")) {
 			t.Fatalf("%q: a length beside a coding passes", text)
 		}
 	})
 }
 
-// readConn is a connection that only reads.
-type readConn struct {
+// readOnlyConn is a connection that only reads.
+type readOnlyConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (r *readConn) Read(p []byte) (int, error) { return r.Reader.Read(p) }
+func (r *readOnlyConn) Read(p []byte) (int, error) { return r.Reader.Read(p) }
--- a/internal/http1/rig_test.go
+++ b/internal/http1/testnode_test.go
@@ -78,8 +78,8 @@
 	return target, listed
 }
 
-// start runs a fault bench until the test ends.
-func start(t testing.TB, cfg testNodeConfig, change func(*testNode)) *testNode {
+// startNode runs a fault bench until the test ends.
+func startNode(t testing.TB, cfg testNodeConfig, change func(*testNode)) *testNode {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := clock.New()
--- a/internal/http1/upload.go
+++ b/internal/http1/upload.go
@@ -13,47 +13,47 @@
 // How slowly a client may send a body: it may be behind the least rate by the grace, counted from its request's
 // first byte, as far as it was waited for.
 const (
-	bodyGrace     = headTimeout
-	minBodyRate   = 32 << 10 // bytes a second
-	firstBodyPart = 16 << 10 // of a body that passes through, read before its request goes on
-	discardTime   = 3 * time.Second
+	bodyGrace      = headTimeout
+	minBodyRate    = 32 << 10 // bytes a second
+	firstPartSize  = 16 << 10 // of a body that passes through, read before its request goes on
+	discardTimeout = 3 * time.Second
 )
 
-// pacedBody reads a request's body, no slower than at the least rate.
-type pacedBody struct {
+// minRateBody reads a request's body, no slower than at the least rate.
+type minRateBody struct {
 	body     io.Reader
-	rc       *http.ResponseController
+	control  *http.ResponseController
 	grace    time.Duration
-	waited   time.Duration
+	elapsed  time.Duration
 	received int64
 }
 
-func (b *pacedBody) Read(p []byte) (int, error) {
+func (b *minRateBody) Read(p []byte) (int, error) {
 	begin := time.Now()
-	b.rc.SetReadDeadline(begin.Add(b.grace + time.Duration(b.received)*time.Second/minBodyRate - b.waited))
+	b.control.SetReadDeadline(begin.Add(b.grace + time.Duration(b.received)*time.Second/minBodyRate - b.elapsed))
 	n, err := b.body.Read(p)
-	b.waited += time.Since(begin)
-	if b.received += int64(n); b.received > validation.MaxLength {
+	b.elapsed += time.Since(begin)
+	if b.received += int64(n); b.received > validation.MaxStreamedBody {
 		return n, errBodyTooLong
 	}
 	if err == io.EOF {
-		b.rc.SetReadDeadline(time.Time{}) // else net/http would wait without end for what it wants to throw away
+		b.control.SetReadDeadline(time.Time{}) // else net/http would wait without end for what it wants to throw away
 	}
 	return n, err
 }
 
 // bodyRest is the rest of a body that passes through: the back end reads it while its client sends.
 type bodyRest struct {
-	body   *pacedBody
+	body   *minRateBody
 	failed chan struct{} // closed when the caller has ended or left it before its end
 
 	mu       sync.Mutex // held while reading
 	complete bool
-	ended    bool // nobody reads any more
+	stopped  bool // nobody reads any more
 	err      error
 }
 
-var errRequestOver = errors.New("the request is over")
+var errRequestEnded = errors.New("the request is over")
 
 // errBodyTooLong ends a body that is longer than one that passes through may be.
 var errBodyTooLong = errors.New("the body is too long")
@@ -70,8 +70,8 @@
 func (u *bodyRest) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended {
-		return 0, errRequestOver
+	if u.stopped {
+		return 0, errRequestEnded
 	}
 	return u.read(p)
 }
@@ -92,14 +92,14 @@
 
 // end has nobody read any more, and tells whether all had come. Who waits for bytes now does no longer, and the
 // connection is of no further use then.
-func (u *bodyRest) end() (complete bool) {
+func (u *bodyRest) stop() (complete bool) {
 	free := u.mu.TryLock()
 	if !free {
-		u.body.rc.SetReadDeadline(time.Unix(1, 0))
+		u.body.control.SetReadDeadline(time.Unix(1, 0))
 		u.mu.Lock()
 	}
 	defer u.mu.Unlock()
-	u.ended = true
+	u.stopped = true
 	return u.complete && free
 }
 
@@ -108,7 +108,7 @@
 func (u *bodyRest) discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.body.rc.SetReadDeadline(time.Now().Add(discardTime))
+	u.body.control.SetReadDeadline(time.Now().Add(discardTimeout))
 	io.CopyN(io.Discard, u.body.body, minBodyRate*8)
 }
 
@@ -118,11 +118,11 @@
 	if r.ContentLength == 0 {
 		return nil, nil, nil
 	}
-	begun := connOf(r.Context()).Begun()
-	body := &pacedBody{body: r.Body, rc: rc, grace: f.grace, waited: time.Since(begun)}
-	most := int64(validation.MaxBody)
+	begun := connOf(r.Context()).requestStartTime()
+	body := &minRateBody{body: r.Body, control: rc, grace: f.bodyGrace, elapsed: time.Since(begun)}
+	most := int64(validation.MaxBufferedBody)
 	if r.ContentLength > most {
-		most = firstBodyPart
+		most = firstPartSize
 	}
 	part, err = io.ReadAll(io.LimitReader(body, most+1))
 	if err != nil || int64(len(part)) <= most {
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -75,7 +75,7 @@
 }
 
 // long is a body, of a request or of an answer, that passes through and is never buffered completely.
-var long = strings.Repeat("x", 2*validation.MaxBody)
+var long = strings.Repeat("x", 2*validation.MaxBufferedBody)
 
 // answerTo is what a server answers to a request: some answers pass through.
 func answerTo(id string) string {
@@ -232,7 +232,7 @@
 		}
 	}
 	switch {
-	case a.cut && ran > 0 && len(answerTo(a.id)) > validation.MaxBody: // its server's connection has ended in its middle
+	case a.cut && ran > 0 && len(answerTo(a.id)) > validation.MaxBufferedBody: // its server's connection has ended in its middle
 	case a.status == 0 && !faults.Ended(a.from):
 		t.Errorf("%s %s: no answer on a connection that no failure has ended: %v, ran %d times", a.class, a.id, a.err, ran)
 	case a.status == http.StatusOK && (a.answer != answerTo(a.id) || ran == 0):
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -14,10 +14,10 @@
 
 // Bounds of a reply, in bytes.
 const (
-	maxReplyOverhead = 16 << 10             // all but its body: heads, 1xx before them, chunks' sizes
-	maxPreallocated  = 16 << 10             // allocated for a body because its head says so, before it has come
-	maxStreamed      = validation.MaxLength // a body that passes through
-	chunkOverhead    = 8                    // on the wire for each byte of a body, in chunks of any size
+	maxReplyOverhead = 16 << 10                   // all but its body: heads, 1xx before them, chunks' sizes
+	maxPreallocated  = 16 << 10                   // allocated for a body because its head says so, before it has come
+	maxStreamed      = validation.MaxStreamedBody // a body that passes through
+	chunkOverhead    = 8                          // on the wire for each byte of a body, in chunks of any size
 )
 
 // Errors of replies.
@@ -140,7 +140,7 @@
 	r.Result = balancer.Success
 	r.Reply.ContentType = resp.Header.Get("Content-Type")
 	r.Reply.Length = resp.ContentLength
-	if resp.ContentLength > validation.MaxBody {
+	if resp.ContentLength > validation.MaxBufferedBody {
 		r.Reply.Rest = p.streamRest(c, resp.Body, reusable)
 		return r, false
 	}
@@ -150,7 +150,7 @@
 	}
 	r.At = p.clock.Now()
 	r.Reply.Body = body
-	if len(body) > validation.MaxBody {
+	if len(body) > validation.MaxBufferedBody {
 		r.Reply.Length = -1
 		r.Reply.Rest = p.streamRest(c, resp.Body, reusable)
 		return r, false
@@ -168,12 +168,12 @@
 		r.Reason = resp.Header.Get(validation.HeaderRejectedBy)
 		r.Settled = resp.Header.Get(validation.HeaderSettled) == "1"
 	}
-	if !isFramed(resp) || resp.ContentLength > validation.MaxBody {
+	if !isFramed(resp) || resp.ContentLength > validation.MaxBufferedBody {
 		return r, false
 	}
 	body, err := replyBody(c, resp)
 	r.At = p.clock.Now()
-	complete := err == nil && len(body) <= validation.MaxBody
+	complete := err == nil && len(body) <= validation.MaxBufferedBody
 	return r, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
@@ -188,11 +188,11 @@
 
 // replyBody reads a reply's body, but no more than one byte beyond the longest that is kept.
 func replyBody(c *conn, resp *http.Response) ([]byte, error) {
-	c.limited.remaining += chunkOverhead * validation.MaxBody
+	c.limited.remaining += chunkOverhead * validation.MaxBufferedBody
 	var body bytes.Buffer
 	announced := max(0, min(resp.ContentLength, maxPreallocated))
 	body.Grow(int(announced) + bytes.MinRead) // ReadFrom wants room to meet the end in
-	_, err := body.ReadFrom(io.LimitReader(resp.Body, validation.MaxBody+1))
+	_, err := body.ReadFrom(io.LimitReader(resp.Body, validation.MaxBufferedBody+1))
 	return body.Bytes(), err
 }
 
