--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -106,7 +106,7 @@
 		{`address = "127.0.0.1:7070"`, `address = "localhost:7070"`, `f.hcl:14:3: listener.main.address: found "localhost:7070"; allowed: an IP address with a port`},
 		{`address = "127.0.0.1:9001"`, `address = "box1:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "box1:9001"; allowed: an IP address with a port: names are not looked up`},
 		{`address = "127.0.0.1:9001"`, `address = "0.0.0.0:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "0.0.0.0:9001", which nobody can connect to`},
-		{`pool = "p"`, `pool = "q"`, `f.hcl:23:3: route.all.to: found pool "q": there is none of that name; allowed: "p"`},
+		{`pool = "p"`, `pool = "q"`, `f.hcl:23:3: route.all.to: found pool "q": no such pool; allowed: "p"`},
 		{`pool = "p"`, `pool = ["p"]`, `f.hcl:23:10: route.all.pool: found a list; allowed: text in quotes`},
 		{`pool = "p"`, `weight = 1`, `f.hcl:21:1: route.all: it leads to no pool`},
 		{`default = true`, `default = "yes"`, `f.hcl:22:13: route.all.default: found the text "yes"; allowed: true, false`},
@@ -388,7 +388,7 @@
 	}
 	words := strings.Join(c.FederationWords(), "\n")
 	for _, want := range []string{`class "view": where too few holders are reached its calls are served all the same`, `class "note": where too few holders are reached its calls are refused`,
-		`quota "notes": at most 120 calls in any second (120 allowed) and 660 in any 10 s`} {
+		`quota "notes": at most 120 requests in any second (120 allowed) and 660 in any 10 s`} {
 		if !strings.Contains(words, want) {
 			t.Errorf("%q is not in\n%s", want, words)
 		}
@@ -413,7 +413,7 @@
 		{`path     = "/note/chavara/"`, `path     = "/view/chavara/"`, `export.notes.path: found "/view/chavara/"; allowed: a path of the class with a slash at its end, from "/note/" on`},
 		{`effects  = ["unsafe"]`, `effects  = ["safe"]`, `export.notes.effects: the class "note" is unsafe, which is not among them`},
 		{`hands   = 2`, `hands   = 9`, `export.views.hands: found 9; allowed: 1 to 8`},
-		{`burst    = 60`, `burst    = 2`, `quota.notes.when_cut: found "floor": cut off, 5 gateways could each draw a call of their own at once`},
+		{`burst    = 60`, `burst    = 2`, `quota.notes.when_cut: found "floor": when cut off from the quota leader, 5 gateways could each draw a request of their own floor at once`},
 		{`rate     = 60`, `rate     = 15`, `quota.notes.rate: found 15, but the partners' floors add up to 20`},
 		{`keeper "drilling/gw" {
     address = "127.0.2.1:7946"
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -98,7 +98,7 @@
 		return reject(http.StatusBadRequest, "the path: "+pathErr.Error())
 	case !strings.HasPrefix(path, "/") || !classExists:
 		return reject(http.StatusNotFound, "the path names no class")
-	case listener.Paths == config.PathsAsSent && !route.Agrees(path, className):
+	case listener.Paths == config.PathsAsSent && !route.PathHasClass(path, className):
 		return reject(http.StatusBadRequest, "the path can be read as one of another class")
 	case (class.Effect == balancer.Safe) != (head.Method == http.MethodGet):
 		return reject(http.StatusMethodNotAllowed, "the class is not asked for by this method")
@@ -118,9 +118,9 @@
 	}
 	request := Request{ID: id, Class: className, Timeout: timeout,
 		Message: engine.Message{Method: head.Method, Target: target, IdempotencyKey: key, ContentType: head.ContentType},
-		route:   route.Request{Listener: head.Listener, Class: className, Host: head.Host, Path: path, Headers: head.Headers, Draw: id}}
+		route:   route.Request{Listener: head.Listener, Class: className, Host: head.Host, Path: path, Headers: head.Headers, HashKey: id}}
 	if class.Effect == balancer.Keyed {
-		request.route.Draw = key // a retry must reach the servers that know its key
+		request.route.HashKey = key // a retry must reach the servers that know its key
 	}
 	return request, nil
 }
@@ -165,8 +165,8 @@
 	if mode == config.PathsAsSent || !strings.HasPrefix(raw, "/") {
 		return raw, nil
 	}
-	normalized, change, err := route.Read(raw)
-	if err == nil && change == route.Moved && mode != config.NormalizePaths {
+	normalized, change, err := route.NormalizePath(raw)
+	if err == nil && change == route.PathSegmentsRemoved && mode != config.NormalizePaths {
 		err = fmt.Errorf("servers could read it otherwise; its plain form is %s", normalized)
 	}
 	return normalized, err
