--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -1,6 +1,6 @@
 // Package http1 implements the server side of HTTP/1.1 (RFC 9110, RFC 9112): it reads client requests, limits how long a
 // client can make the node wait and how much memory it can occupy, and sends exactly one response to each accepted request.
-// Package validation checks requests, package engine routes them to servers, and package upstream connects to the servers.
+// Package validation checks requests, package engine decides which servers get them, and package upstream connects to servers.
 package http1
 
 import (
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -40,18 +40,18 @@
 		forwarded := testpeer.Receive(t, got, "the request")
 		if forwarded.r.Method != "POST" || forwarded.r.RequestURI != target || forwarded.body != longBody ||
 			forwarded.r.Header.Get("X-Request-Id") != id || forwarded.r.Header.Get("Idempotency-Key") != fmt.Sprint("K+/=", i) {
-			t.Errorf("got %s %s %v", forwarded.r.Method, forwarded.r.RequestURI, forwarded.r.Header)
+			t.Errorf("forwarded as %s %s %v", forwarded.r.Method, forwarded.r.RequestURI, forwarded.r.Header)
 		}
 		var left float64
 		if fmt.Sscan(forwarded.r.Header.Get("X-Deadline"), &left); !(left > 0 && left <= 20.5) {
-			t.Errorf("X-Deadline %q", forwarded.r.Header.Get("X-Deadline"))
+			t.Errorf("forwarded with X-Deadline %q, want at most 20.5", forwarded.r.Header.Get("X-Deadline"))
 		}
 	}
 	client.Get("get")
 	client.Want(t, 200, responseBody)
 	if forwarded := testpeer.Receive(t, got, "the request"); forwarded.r.Method != "GET" || forwarded.body != "" || forwarded.r.Header["Idempotency-Key"] != nil ||
 		forwarded.r.ContentLength != 0 {
-		t.Errorf("got %s %v", forwarded.r.Method, forwarded.r.Header)
+		t.Errorf("forwarded as %s %v", forwarded.r.Method, forwarded.r.Header)
 	}
 	if server.Opened() != 1 {
 		t.Errorf("%d connections for sequential requests, want 1", server.Opened())
@@ -109,7 +109,7 @@
 		replies := true
 		first.Do(func() {
 			close(received)
-			conn.Read(make([]byte, 1)) // returns when the node closes
+			conn.Read(make([]byte, 1)) // returns when the node closes the connection
 			close(attemptClosed)
 			replies = false
 		})
@@ -271,7 +271,7 @@
 			if c.status == 0 { // an error response or none, and the connection closes
 				received, err := io.ReadAll(conn)
 				if err != nil || len(received) > 0 && !strings.HasPrefix(string(received), "HTTP/1.1 4") {
-					t.Errorf("%q, %v", received, err)
+					t.Errorf("received %q, %v; want an error response or none, and a close", received, err)
 				}
 				return
 			}
@@ -406,7 +406,7 @@
 				t.Errorf("status %d, body %q, %d requests reached the server; want status %d", r.StatusCode, body, server.Seen()-before, c.status)
 			}
 			if c.status == 503 && (r.Header.Get("Retry-After") == "" || !r.Close) {
-				t.Errorf("Retry-After %q, close %v", r.Header.Get("Retry-After"), r.Close)
+				t.Errorf("Retry-After %q, close %v; want a Retry-After and a close", r.Header.Get("Retry-After"), r.Close)
 			}
 		})
 	}
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -137,9 +137,9 @@
 		t.Fatal("the server could send the whole response though the client does not read")
 	}
 	if got, err := io.Copy(io.Discard, r.Body); got != size || err != nil {
-		t.Errorf("%d bytes, %v", got, err)
+		t.Errorf("received %d bytes, %v; want %d", got, err, size)
 	}
-	testpeer.Receive(t, serverDone, "the server's end")
+	testpeer.Receive(t, serverDone, "the server to send the whole response")
 }
 
 // If a server closes in the middle of its reply, the client can tell that the response is incomplete, whatever its framing, and
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	client.Close()
-	testpeer.Receive(t, serverDone, "the server's end")
+	testpeer.Receive(t, serverDone, "a write of the server to fail")
 	testpeer.Until(t, "the connection to be closed", func() bool { return node.upstream.Connections() == 0 })
 }
 
@@ -268,7 +268,7 @@
 	go write(randomBytes(longBodySize))
 	r, _ := client.Answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
-		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
+		t.Errorf("status %d, Retry-After %q, close %v; want 503 with Retry-After and close", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
 	if attempts.Load() != 1 {
 		t.Errorf("%d attempts, want 1", attempts.Load())
