--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -72,7 +72,7 @@
 	if folder == "" {
 		return nil // what is not the node's own could hold another's files
 	}
-	processes, err := hotrestart.Enter(folder, "node")
+	processes, err := hotrestart.Join(folder, "node")
 	if err != nil {
 		log.Warn("this process knows of no other of its node", "error", err)
 	}
--- a/internal/daemon/change.go
+++ b/internal/daemon/change.go
@@ -31,36 +31,36 @@
 	return d.change(plan.Proposal{By: "rollback", Config: previous.Config, Base: base}, wait, step)
 }
 
-// Reload reads the file again and puts it in place, like a plan that is made and applied at once. A file that can't be
-// taken over is logged; what runs stays.
+// Reload reads the configuration file again and applies it, like a plan that is made and applied at once. If that fails, the
+// error is logged and the running configuration stays in place.
 func (d *Daemon) Reload() {
 	cfg, problems := config.Reload(d.options.File)
 	if err := problems.Err(); err != nil {
-		d.log.Error("the file is not taken over; what runs stays", "error", err)
+		d.log.Error("configuration reload failed; the running configuration stays in place", "error", err)
 		return
 	}
 	d.mu.Lock()
 	base := d.running()
 	d.mu.Unlock()
 	if base.Fingerprint == cfg.Fingerprint() {
-		d.log.Info("the file is read again and says what runs")
+		d.log.Info("configuration reloaded; the file matches the running configuration")
 		return
 	}
 	if _, err := d.change(plan.Proposal{By: "reload", Config: cfg, Base: base}, d.options.Wait, func(string, time.Duration) {}); err != nil {
-		d.log.Error("the file is not taken over; what runs stays", "error", err)
+		d.log.Error("configuration reload failed; the running configuration stays in place", "error", err)
 	}
 }
 
-// reject logs why a change was not begun, and gives the error its code.
+// reject logs why a change was not started, and returns the error with its code.
 func (d *Daemon) reject(by string, err error) (plan.Running, error) {
-	d.log.Warn("a change is refused", "by", by, "error", err)
+	d.log.Warn("configuration change rejected", "by", by, "error", err)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.running(), withCode(err)
 }
 
-// codes are those of errors that a caller may act on, in the order in which they are looked for.
-var codes = []struct {
+// errorCodes are the codes of errors that clients distinguish, in the order in which they are checked.
+var errorCodes = []struct {
 	err  error
 	code string
 }{
@@ -74,13 +74,13 @@
 	{node.ErrShuttingDown, admin.CodeEnding},
 }
 
-// withCode gives an error the code that clients know it by.
+// withCode returns err as an *admin.Error with its code, CodeFailed if it has no other.
 func withCode(err error) error {
 	var coded *admin.Error
 	if errors.As(err, &coded) {
 		return err
 	}
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if errors.Is(err, c.err) {
 			return &admin.Error{Code: c.code, Message: err.Error()}
 		}
@@ -88,7 +88,7 @@
 	return &admin.Error{Code: admin.CodeFailed, Message: err.Error()}
 }
 
-// change carries a proposal out, one step after another, to its end. report is called after each step.
+// change executes a proposal step by step until it succeeds, or fails and is undone. report is called after each step.
 func (d *Daemon) change(p plan.Proposal, wait time.Duration, report func(string, time.Duration)) (plan.Running, error) {
 	d.mu.Lock()
 	step, err := d.machine.Propose(p)
@@ -103,7 +103,7 @@
 	c := change{daemon: d, proposal: p, wait: wait}
 	for step != plan.Nothing {
 		begin := time.Now()
-		err := c.carryOut(step)
+		err := c.runStep(step)
 		report(step.String(), time.Since(begin))
 		d.mu.Lock()
 		step = d.machine.Done(err)
@@ -112,18 +112,18 @@
 	return d.finish(p)
 }
 
-// finish notes the outcome of a change that is over.
+// finish records and logs the outcome of a change.
 func (d *Daemon) finish(p plan.Proposal) (plan.Running, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	err := d.machine.Err()
-	d.last = &admin.Outcome{By: p.By, At: now()}
+	d.lastOutcome = &admin.Outcome{By: p.By, At: now()}
 	if err != nil {
-		d.last.Error = err.Error()
+		d.lastOutcome.Error = err.Error()
 		if d.machine.Diverged() {
 			d.reportDivergence(err)
 		}
-		d.log.Error("a change failed; what ran before runs on", "by", p.By, "serial", d.record.Running.Serial, "error", err)
+		d.log.Error("configuration change failed; the previous configuration stays in place", "by", p.By, "serial", d.record.Running.Serial, "error", err)
 		return d.running(), withCode(err)
 	}
 	running := d.record.Running
@@ -131,23 +131,23 @@
 	return d.running(), nil
 }
 
-// change is a proposal that is being carried out.
+// change is a proposal that is being executed.
 type change struct {
 	daemon   *Daemon
 	proposal plan.Proposal
 	wait     time.Duration
-	prepared *node.Change  // once Prepare is done
-	next     *state.Record // once Persist has begun
+	prepared *node.Change  // nil before the step Prepare
+	next     *state.Record // nil before the step Persist
 }
 
-// carryOut does one step of the change.
-func (c *change) carryOut(step plan.Step) (err error) {
+// runStep executes one step of the change.
+func (c *change) runStep(step plan.Step) (err error) {
 	d := c.daemon
 	switch step {
 	case plan.Repair, plan.Restore:
 		return d.save(d.record)
 	case plan.Prepare:
-		c.prepared, err = d.node.Prepare(d.incarnation, c.proposal.Config, c.wait)
+		c.prepared, err = d.node.Prepare(d.changesCtx, c.proposal.Config, c.wait)
 		return err
 	case plan.Persist:
 		c.next = d.nextRecord(c.proposal)
@@ -162,19 +162,18 @@
 		return nil
 	case plan.Undo:
 		c.prepared.Undo()
-	case plan.Retire: // the node does so in the background
+	case plan.Retire: // the node drains what was removed in the background
 	}
 	return nil
 }
 
-// save writes a record to the state folder, if there is one. An error that left the folder as it was is a
-// plan.UntouchedError.
+// save writes a record to the state folder, if there is one. The error is a *plan.UntouchedError if the folder is unchanged.
 func (d *Daemon) save(r *state.Record) error {
 	if d.folder == nil {
 		return nil
 	}
-	d.writing.Lock()
-	defer d.writing.Unlock()
+	d.saveMu.Lock()
+	defer d.saveMu.Unlock()
 	err := d.folder.Save(r)
 	var write *state.WriteError
 	if errors.As(err, &write) && write.Untouched {
@@ -183,7 +182,7 @@
 	return err
 }
 
-// nextRecord is what the state folder holds once the proposal is in place.
+// nextRecord returns the record that the state folder will hold once the proposal is in place.
 func (d *Daemon) nextRecord(p plan.Proposal) *state.Record {
 	before := d.record.Running
 	return &state.Record{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon runs a node by a file of our own. It decides at a start which configuration runs, the file's or the
-// recorded one, carries plans, rollbacks and reloads out in the steps that plan.Machine orders, and keeps the state
-// folder's record in step with what runs: a record that diverged is written again until that succeeds. It serves the
-// admin socket; requests are the node's.
+// Package daemon runs a node from a configuration file in this program's own format. At a start it chooses between the file
+// and the recorded configuration. It executes plans, rollbacks and reloads in the steps that plan.Machine orders, and keeps
+// the state folder's record consistent with the running configuration: a record that diverged is rewritten until that
+// succeeds. It serves the admin socket; package node serves the requests.
 package daemon
 
 import (
@@ -20,43 +20,43 @@
 	"damsontrestle/internal/state"
 )
 
-// Options are what a daemon is started with.
+// Options configure a Daemon.
 type Options struct {
-	File     string        // of our own
-	FromFile bool          // the file runs, whatever the state folder holds
-	Wait     time.Duration // of a reload for new endpoint lists; 0: admin.DefaultWait
+	File     string        // path of the configuration file, in this program's own format
+	FromFile bool          // start with the file, whatever the state folder holds
+	Wait     time.Duration // how long a reload waits for new endpoint lists; 0: admin.DefaultWait
 	Log      *slog.Logger
 	Node     node.Options
 
-	StateFiles  state.Files   // for tests: the file system that the state folder is on; nil: the machine's
-	repairDelay time.Duration // for tests: before the first attempt to repair the state folder; 0: firstRepairDelay
+	StateFileSystem state.FileSystem // file system of the state folder, set by tests; nil: state.Disk
+	repairDelay     time.Duration    // delay before the first attempt to repair the state folder, set by tests; 0: firstRepairDelay
 }
 
-// Daemon is a node with its state folder and its admin socket. Changes are carried out one at a time, by the goroutine that
-// asked for them; mu guards what they and Show share.
+// Daemon is a node with its state folder and its admin socket. Changes are executed one at a time, by the goroutine that
+// requested them; mu guards the state that they share with Show.
 type Daemon struct {
-	options     Options
-	log         *slog.Logger
-	node        *node.Node
-	folder      *state.Folder // nil: nothing is recorded
-	server      *admin.Server
-	startConfig *config.Config  // that the process began with; fields that need a restart are still as it says
-	name        string          // of this incarnation of the process
-	startReason string          // which configuration the start found, and why that one
-	incarnation context.Context // ends when the shutdown begins
-	cancel      context.CancelFunc
-	changes     sync.WaitGroup
-	divergence  chan struct{} // signals that the state folder may hold another record than that of what runs
-	writing     sync.Mutex    // held over each write to the state folder; taken before mu
-
-	mu      sync.Mutex
-	machine *plan.Machine
-	record  *state.Record  // of what runs
-	last    *admin.Outcome // of the last change; nil: there was none
+	options       Options
+	log           *slog.Logger
+	node          *node.Node
+	folder        *state.Folder // nil: the configuration is not recorded
+	adminServer   *admin.Server
+	startConfig   *config.Config  // configuration at the start; still in effect for the fields that need a restart
+	incarnationID string          // random id of this process
+	startReason   string          // which configuration the start chose, and why
+	changesCtx    context.Context // cancelled when the shutdown begins
+	cancelChanges context.CancelFunc
+	changes       sync.WaitGroup
+	divergence    chan struct{} // signals that the state folder may hold another record than that of the running configuration
+	saveMu        sync.Mutex    // held during each write to the state folder; acquired before mu
+
+	mu          sync.Mutex
+	machine     *plan.Machine
+	record      *state.Record  // of the running configuration
+	lastOutcome *admin.Outcome // of the most recent change; nil: there was none
 }
 
-// Start reads the file and the state folder, and begins to listen. Nothing is served before Run. The error has
-// a line for each thing that is wrong.
+// Start reads the file and the state folder and opens the listeners. It serves no requests before Run. The error has a line
+// for each problem of the file.
 func Start(o Options) (*Daemon, error) {
 	o = o.withDefaults()
 	cfg, problems := config.Load(o.File)
@@ -68,14 +68,14 @@
 	}
 	starting, cancel := o.Node.Starting()
 	defer cancel()
-	o.Node.Start = starting // the node and the admin socket wait within one time
+	o.Node.Start = starting // one deadline for the sockets of the node and the admin socket
 	d := &Daemon{
-		options:    o,
-		divergence: make(chan struct{}, 1),
-		name:       state.NewName(),
-		log:        o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone),
+		options:       o,
+		divergence:    make(chan struct{}, 1),
+		incarnationID: state.NewID(),
+		log:           o.Log.With("node", cfg.Node.Name, "zone", cfg.Node.Zone),
 	}
-	fresh, err := d.choose(cfg)
+	unrecorded, err := d.chooseConfig(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -83,34 +83,35 @@
 	d.startConfig = running.Config
 	d.log.Info("configuration", "serial", running.Serial, "fingerprint", plan.Short(running.Fingerprint), "why", d.startReason)
 	if d.node, err = node.New(running.Config, d.log, o.Node); err != nil {
-		if !fresh {
-			err = fmt.Errorf("%w; this is the configuration that was applied last: a start with -from-file takes the file instead", err)
+		if !unrecorded {
+			err = fmt.Errorf("%w; the start used the configuration that was applied last: a start with -from-file uses the file instead", err)
 		}
 		return nil, err
 	}
-	// Only a configuration that could be started is recorded: a file that could not is corrected, and then read again.
-	kept, err := d.keepFirst(fresh)
+	// Only a configuration that could be started is recorded, so that a file that can't be started may be corrected and
+	// is read by the next start.
+	recorded, err := d.recordStart(unrecorded)
 	if err != nil {
 		d.node.Close()
 		return nil, err
 	}
-	d.machine = plan.NewMachine(d.running(), !kept)
-	d.incarnation, d.cancel = context.WithCancel(context.Background())
+	d.machine = plan.NewMachine(d.running(), !recorded)
+	d.changesCtx, d.cancelChanges = context.WithCancel(context.Background())
 	if err := d.openAdmin(starting, running.Config.Node.AdminSocket); err != nil {
-		d.cancel()
+		d.cancelChanges()
 		d.node.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-// withDefaults fills in what was not given.
+// withDefaults returns o with defaults for the fields that are not set.
 func (o Options) withDefaults() Options {
 	if o.Wait == 0 {
 		o.Wait = admin.DefaultWait
 	}
-	if o.StateFiles == nil {
-		o.StateFiles = state.Disk{}
+	if o.StateFileSystem == nil {
+		o.StateFileSystem = state.Disk{}
 	}
 	if o.repairDelay == 0 {
 		o.repairDelay = firstRepairDelay
@@ -118,7 +119,7 @@
 	return o
 }
 
-// openAdmin serves the admin socket at a path; empty: there is none.
+// openAdmin starts to serve the admin socket at path; empty: there is none.
 func (d *Daemon) openAdmin(starting context.Context, path string) error {
 	if path == "" {
 		return nil
@@ -127,66 +128,66 @@
 	if err != nil {
 		return err
 	}
-	d.server = admin.NewServer(ln, d, d.log)
+	d.adminServer = admin.NewServer(ln, d, d.log)
 	return nil
 }
 
 func now() time.Time { return time.Now().UTC().Truncate(time.Millisecond) }
 
-// running identifies what runs. The caller holds mu, or is alone.
+// running identifies the running configuration. The caller holds mu, unless no other goroutine uses d yet.
 func (d *Daemon) running() plan.Running {
-	return d.named(d.record.Running)
+	return d.identify(d.record.Running)
 }
 
-// named identifies an entry of the record.
-func (d *Daemon) named(e state.Entry) plan.Running {
+// identify returns the identification of an entry of the record.
+func (d *Daemon) identify(e state.Entry) plan.Running {
 	return plan.Running{
 		Node:        d.record.Node,
 		Lineage:     d.record.Lineage,
-		Incarnation: d.name,
+		Incarnation: d.incarnationID,
 		Serial:      e.Serial,
 		Fingerprint: e.Fingerprint,
 	}
 }
 
-// finalResponseTime is how long clients of the admin socket may take to read the outcome of a change at shutdown.
+// finalResponseTime is how long, at shutdown, clients of the admin socket may take to read the outcome of a change.
 const finalResponseTime = time.Second
 
-// Run serves until ctx ends, and then shuts down gracefully: all requests are answered, no change is begun any more, one
-// under way is undone or, once it is in the state folder, finished, and a diverged record is repaired if that succeeds.
+// Run serves until ctx ends and then shuts down gracefully: it completes all requests and starts no more changes. A change
+// under way is undone or, once it is recorded in the state folder, finished. A diverged record is repaired if possible.
 func (d *Daemon) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, d.endChanges)
+	stop := context.AfterFunc(ctx, d.stopChanges)
 	defer stop()
-	mending, endMending := context.WithCancel(context.Background())
-	mended := make(chan struct{})
+	repairCtx, stopRepair := context.WithCancel(context.Background())
+	repairDone := make(chan struct{})
 	go func() {
-		defer close(mended)
-		d.repairOnDivergence(mending)
+		defer close(repairDone)
+		d.repairOnDivergence(repairCtx)
 	}()
 	err := d.node.Run(ctx)
-	d.endChanges()
+	d.stopChanges()
 	d.changes.Wait()
-	endMending()
-	<-mended
-	if d.server != nil {
-		last, cancel := context.WithTimeout(context.Background(), finalResponseTime)
+	stopRepair()
+	<-repairDone
+	if d.adminServer != nil {
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), finalResponseTime)
 		defer cancel()
-		if d.server.Shutdown(last) != nil {
-			d.server.Close()
+		if d.adminServer.Shutdown(shutdownCtx) != nil {
+			d.adminServer.Close()
 		}
 	}
 	return err
 }
 
-// endChanges lets no change begin any more; one under way no longer waits for endpoint lists.
-func (d *Daemon) endChanges() {
+// stopChanges prevents new changes; a change under way stops waiting for endpoint lists.
+func (d *Daemon) stopChanges() {
 	d.mu.Lock()
 	d.machine.Shutdown()
 	d.mu.Unlock()
-	d.cancel()
+	d.cancelChanges()
 }
 
-// Addr is the address of a listener; empty: there is none of the name.
+// Addr returns the address of a listener, or "" if there is none of that name.
 func (d *Daemon) Addr(listener string) string { return d.node.Addr(listener) }
 
 // Show implements admin.Control.
@@ -204,11 +205,11 @@
 		Needs:    r.Config.Needs(),
 		Restart:  plan.Restarts(plan.Diff(d.startConfig, r.Config)),
 		Diverged: d.machine.Diverged(),
-		Last:     d.last,
+		Last:     d.lastOutcome,
 		Memory:   d.folder == nil,
 	}
 	if p := d.record.Previous; p != nil {
-		before := d.named(*p)
+		before := d.identify(*p)
 		s.Previous = &before
 		s.Before = p.Config
 	}
--- a/internal/daemon/faultydisk_test.go
+++ b/internal/daemon/faultydisk_test.go
@@ -9,34 +9,34 @@
 	"damsontrestle/internal/state/statetest"
 )
 
-// faultyDisk is a file system whose requests fail as they are asked to.
+// faultyDisk makes operations of a state folder's file system fail.
 type faultyDisk struct {
-	mu    sync.Mutex
-	fails func(n int, request string) error // nil: all is well
-	n     int                               // requests since then
-	calls []string
+	mu       sync.Mutex
+	fault    func(n int, request string) error // error of operation n of that name; nil: no operation fails
+	n        int                               // operations since fault was set
+	requests []string
 }
 
-// fail has the requests from now on fail as told.
-func (s *faultyDisk) fail(fails func(n int, request string) error) {
+// failWith sets the function that returns the errors of operations, and numbers them from 1 again.
+func (s *faultyDisk) failWith(fault func(n int, request string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails, s.n, s.calls = fails, 0, nil
+	s.fault, s.n, s.requests = fault, 0, nil
 }
 
-// failAll has every request of that name fail ("": every request).
-func (s *faultyDisk) failAll(named string, errno error) {
-	s.fail(func(_ int, request string) error {
-		if named == "" || request == named {
+// failAll makes every operation of that name fail ("": every operation).
+func (s *faultyDisk) failAll(operation string, errno error) {
+	s.failWith(func(_ int, request string) error {
+		if operation == "" || request == operation {
 			return errno
 		}
 		return nil
 	})
 }
 
-// failAt has those requests fail, by their number from now on.
+// failAt makes operations fail with EIO, by their number from now on.
 func (s *faultyDisk) failAt(requests ...int) {
-	s.fail(func(n int, _ string) error {
+	s.failWith(func(n int, _ string) error {
 		if slices.Contains(requests, n) {
 			return syscall.EIO
 		}
@@ -44,33 +44,33 @@
 	})
 }
 
-// made are the requests since the last of the above.
-func (s *faultyDisk) made() []string {
+// requestsMade returns the operations since the last call of one of the methods that set faults.
+func (s *faultyDisk) requestsMade() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.calls)
+	return slices.Clone(s.requests)
 }
 
-// succeed has all go well again.
-func (s *faultyDisk) succeed() { s.fail(nil) }
+// succeed makes all operations succeed again.
+func (s *faultyDisk) succeed() { s.failWith(nil) }
 
-func (s *faultyDisk) ask(request, path string) error {
+func (s *faultyDisk) intercept(request, path string) error {
 	if request == "close" && filepath.Base(path) == "state" {
-		return nil // the folder's, behind all that a write needs
+		return nil // the folder is closed at the end of a write, whose result the error would not change
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
-	s.calls = append(s.calls, request)
-	if s.fails == nil {
+	s.requests = append(s.requests, request)
+	if s.fault == nil {
 		return nil
 	}
-	return s.fails(s.n, request)
+	return s.fault(s.n, request)
 }
 
-// withFaultyDisk has the fault bench's state folder on a disk that can fail.
+// withFaultyDisk puts the state folder of a fixture on a faultyDisk.
 func withFaultyDisk(r *fixture) *faultyDisk {
 	s := &faultyDisk{}
-	r.options.StateFiles = &statetest.Files{Ask: s.ask}
+	r.options.StateFileSystem = &statetest.FileSystem{Intercept: s.intercept}
 	return s
 }
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -24,12 +24,12 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// named starts a server that answers with its name.
-func named(t *testing.T, name string) *testpeer.Server {
+// newNamedServer starts a server that answers every request with its name.
+func newNamedServer(t *testing.T, name string) *testpeer.Server {
 	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
 }
 
-// fixture is a folder for a daemon, its file and its socket.
+// fixture is the environment of a daemon: its folder, configuration file, admin socket and log.
 type fixture struct {
 	dir, file, socket string
 	listen            string
@@ -39,7 +39,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "d") // a Unix socket's path is short
+	dir, err := os.MkdirTemp("", "d") // t.TempDir may exceed the length limit of a Unix socket's path
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +47,8 @@
 	return &fixture{dir: dir, file: filepath.Join(dir, "node.hcl"), socket: filepath.Join(dir, "admin"), listen: testpeer.ClosedPort(t), log: &testpeer.LogBuffer{}}
 }
 
-// text is a file with one pool of one server and what is added.
-func (r *fixture) text(pool, server, more string) string {
+// configText returns a configuration with one pool of one server, followed by more.
+func (r *fixture) configText(pool, server, more string) string {
 	return fmt.Sprintf(`
 node "n1" {
   state_folder = %q
@@ -83,14 +83,14 @@
 %s`, filepath.Join(r.dir, "state"), r.socket, r.listen, pool, server, pool, more)
 }
 
-func (r *fixture) write(t *testing.T, text string) {
+func (r *fixture) writeFile(t *testing.T, text string) {
 	t.Helper()
 	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// open returns a daemon of the fixture's file and log that does not run yet.
+// open returns a daemon, started with the fixture's file and log, whose Run has not been called.
 func (r *fixture) open(t *testing.T) *Daemon {
 	t.Helper()
 	o := r.options
@@ -102,7 +102,7 @@
 	return d
 }
 
-// start runs a daemon until stop, or the test's end.
+// start runs a daemon until stop is called or the test ends.
 func (r *fixture) start(t *testing.T) (d *Daemon, stop func()) {
 	t.Helper()
 	d = r.open(t)
@@ -113,7 +113,7 @@
 	stop = func() {
 		once.Do(func() {
 			cancel()
-			if err := testpeer.Receive(t, end, "the daemon's end"); err != nil {
+			if err := testpeer.Receive(t, end, "the daemon to stop"); err != nil {
 				t.Error(err)
 			}
 		})
@@ -133,17 +133,17 @@
 	return s
 }
 
-// plan makes a plan of a text for what runs now.
-func (r *fixture) plan(t *testing.T, text string) []byte {
+// encodePlan returns an encoded plan from the running configuration to the one in text.
+func (r *fixture) encodePlan(t *testing.T, text string) []byte {
 	t.Helper()
 	cfg, problems := config.Parse([]byte(text), "planned.hcl")
 	if err := problems.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return r.planOf(t, cfg)
+	return r.encodePlanOf(t, cfg)
 }
 
-func (r *fixture) planOf(t *testing.T, cfg *config.Config) []byte {
+func (r *fixture) encodePlanOf(t *testing.T, cfg *config.Config) []byte {
 	t.Helper()
 	s := r.show(t)
 	enc, err := plan.Make(s.Running, s.Config, cfg, plan.Source{}, r.socket, time.Now()).Encode()
@@ -158,16 +158,16 @@
 	return r.client().Apply(t.Context(), p, testpeer.Limit, nil)
 }
 
-func wantCode(t *testing.T, err error, code, say string) {
+func wantCode(t *testing.T, err error, code, text string) {
 	t.Helper()
 	var e *admin.Error
-	if !errors.As(err, &e) || e.Code != code || !strings.Contains(e.Message, say) {
-		t.Errorf("got %v, want %s: %s", err, code, say)
+	if !errors.As(err, &e) || e.Code != code || !strings.Contains(e.Message, text) {
+		t.Errorf("got %v, want %s: %s", err, code, text)
 	}
 }
 
-// ask sends a view on a connection of its own and returns who served it.
-func ask(t *testing.T, address, host, path string) string {
+// requestView sends a request of class view on a new connection and returns the name of the server, or the error.
+func requestView(t *testing.T, address, host, path string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
@@ -186,12 +186,12 @@
 
 func (r *fixture) wantServed(t *testing.T, by string) {
 	t.Helper()
-	if got := ask(t, r.listen, "h", "/view/k"); got != by {
+	if got := requestView(t, r.listen, "h", "/view/k"); got != by {
 		t.Errorf("served by %q, want %q", got, by)
 	}
 }
 
-// lastEnding has daemons of these tests end at once.
+// with sets the node's options.
 func (r *fixture) with(o node.Options) *fixture {
 	r.options.Node = o
 	return r
--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// agent is an address of discovery, with all that holds there only.
+// agent is one address of the registry with its HTTP client and the revision of the list received from there.
 type agent struct {
-	ctx      context.Context // ends when the watch moves to another address; polls to this one end with it
-	abandon  context.CancelFunc
+	ctx      context.Context // cancelled when the watch moves to another address; ends the polls to this one
+	cancel   context.CancelFunc
 	addr     string
 	client   *http.Client
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	revision int64 // of the list that the node has; noRevision: none. It belongs to Push or Poll
+	revision int64 // of the list that the node holds, or noRevision; used only by the goroutine of Push or Poll
 }
 
 func newAgent(addr string, revision int64) *agent {
@@ -23,22 +23,23 @@
 		DisableCompression: true,
 		DialContext:        a.connect,
 	}}
-	a.ctx, a.abandon = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
-// pollKey is the key under which a poll's context holds itself, for connect.
-type pollKey struct{}
+// pollContextKey is the context key of a poll's own context, which connect looks up.
+type pollContextKey struct{}
 
-// withPollKey returns the context of a poll by which connect knows when the poll ends.
-func withPollKey(ctx context.Context) context.Context {
-	return context.WithValue(ctx, pollKey{}, ctx)
+// withPollContext returns a copy of ctx that carries ctx as a value, so that connect can tell when the poll ends.
+func withPollContext(ctx context.Context) context.Context {
+	return context.WithValue(ctx, pollContextKey{}, ctx)
 }
 
-// connect opens a connection for a poll, and gives up with it. Left to itself http.Transport goes on for as long as the
-// system does, minutes on a network that drops what is sent, and each such connection counts among the few that it opens.
+// connect opens a connection for a poll and stops dialing when the poll ends. By default http.Transport keeps dialing
+// until the system gives up, which takes minutes on a network that drops packets, and each pending dial counts towards
+// MaxConnsPerHost.
 func (a *agent) connect(ctx context.Context, network, addr string) (net.Conn, error) {
-	if poll, ok := ctx.Value(pollKey{}).(context.Context); ok {
+	if poll, ok := ctx.Value(pollContextKey{}).(context.Context); ok {
 		ctx = poll
 	}
 	return a.dial(ctx, network, addr)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -30,101 +30,101 @@
 	}
 }
 
-// A long poll that ends without a change notifies nobody: the balancer would take it for a change.
-func TestUnchangedWatchNotifiesNobody(t *testing.T) {
-	ag := testpeer.NewAgent(t)
+// A long poll that ends without a change does not call the Sink, because the balancer would treat it as a change.
+func TestUnchangedPollDoesNotNotifySink(t *testing.T) {
+	registry := testpeer.NewAgent(t)
 	events := make(sink, 10)
-	d := NewWatch(ag.Address(), 1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	watch := NewWatch(registry.Address(), 1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, c := range []struct {
 		text string
 		want int
 	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.Whole(), 1},
 		{`{"rev":%d,"all":false,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
-		ag.Tell(false, c.text)
-		if err := d.watchOnce(t.Context(), d.agent()); err != nil {
+		registry.Tell(false, c.text)
+		if err := watch.pollOnce(t.Context(), watch.agent()); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != c.want || d.agent().revision != int64(ag.Rev()) {
-			t.Errorf("poll %d: %d events at rev %d, want %d at %d", i, len(events), d.agent().revision, c.want, ag.Rev())
+		if len(events) != c.want || watch.agent().revision != int64(registry.Rev()) {
+			t.Errorf("poll %d: %d updates at rev %d, want %d at rev %d", i, len(events), watch.agent().revision, c.want, registry.Rev())
 		}
 	}
 }
 
-// Where discovery is polled, a watch follows only a Subscribe, and its failure is reported.
+// Poll polls only after a Subscribe and reports a failed subscription to the Sink.
 func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
-	ag := testpeer.NewAgent(t)
+	registry := testpeer.NewAgent(t)
 	events := make(sink, 10)
-	d := NewWatch(ag.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+	watch := NewWatch(registry.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.Poll(ctx)
-	d.Subscribe()
-	if q := testpeer.Receive(t, ag.Asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
-		t.Errorf("asked %q", q)
+	go watch.Poll(ctx)
+	watch.Subscribe()
+	if query := testpeer.Receive(t, registry.Asked, "a watch"); !strings.HasPrefix(query, "from=7&") {
+		t.Errorf("polled %q, want from=7", query)
 	}
 	if e := testpeer.Receive(t, events, "the list"); e.failed || len(e.list.Targets) != 1 {
 		t.Errorf("got %v", e)
 	}
-	testpeer.Receive(t, ag.Asked, "the watch to go on")
-	ag.Tell(false, "{bad %d")
+	testpeer.Receive(t, registry.Asked, "the next poll of the subscription")
+	registry.Tell(false, "{bad %d")
 	if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 		t.Errorf("got %v", e)
 	}
 	select {
-	case q := <-ag.Asked:
-		t.Errorf("asked %q without a Subscribe", q)
+	case query := <-registry.Asked:
+		t.Errorf("polled %q without a Subscribe", query)
 	default:
 	}
 }
 
-// An agent that is silent is polled again beside the poll that is open, by a bounded number of polls, and the first one
-// that is made once it is back is answered: nothing waits for a poll that it will never answer, and no backoff grows
-// meanwhile. Lists may come indented.
-func TestSilentAgentIsPolledInParallelAndHeardAtOnce(t *testing.T) {
-	a := newSilentAgent(t)
+// While an agent is silent, a bounded number of concurrent polls is open, and the first poll after it recovers is answered:
+// Push does not wait for a poll that will never be answered, and silence does not increase the backoff. Lists may be
+// indented.
+func TestSilentAgentIsPolledInParallelUntilItAnswers(t *testing.T) {
+	registry := newSilentAgent(t)
 	events := make(sink, 10)
-	w := NewWatch(a.Addr().String(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
+	watch := NewWatch(registry.Addr().String(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	watch.LongPollTimeout, watch.Grace = 5*time.Millisecond, 5*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { w.Push(ctx); close(done) }()
+	go func() { watch.Push(ctx); close(done) }()
 	defer func() { cancel(); <-done }()
 	for range 20 {
-		testpeer.Receive(t, a.polls, "another poll")
+		testpeer.Receive(t, registry.polls, "another poll")
 	}
-	a.mu.Lock()
-	a.silent = false
-	a.text = "{\n  \"rev\": 9,\n  \"all\": true,\n  \"targets\": [\n    " + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + "\n  ]\n}\n"
-	before := a.n
-	a.mu.Unlock()
+	registry.mu.Lock()
+	registry.silent = false
+	registry.text = "{\n  \"rev\": 9,\n  \"all\": true,\n  \"targets\": [\n    " + testpeer.Entry("s1", "127.0.0.1:1", "terminating") + "\n  ]\n}\n"
+	before := registry.n
+	registry.mu.Unlock()
 	if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 || e.list.Rev != 9 {
 		t.Errorf("got %+v", e)
 	}
 	first := 0
 	for first <= before {
-		first = testpeer.Receive(t, a.polls, "a poll after it is back")
+		first = testpeer.Receive(t, registry.polls, "a poll after the agent recovered")
 	}
 	if first != before+1 {
-		t.Errorf("poll %d, want %d", first, before+1)
+		t.Errorf("first poll after the recovery is %d, want %d", first, before+1)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.maxOpen > maxPolls+1 { // one whose end the agent has not seen yet
-		t.Errorf("%d polls were open at once, want up to %d", a.maxOpen, maxPolls)
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	if registry.maxOpen > maxPolls+1 { // the agent may not have noticed yet that one was cancelled
+		t.Errorf("%d polls were open at once, want at most %d", registry.maxOpen, maxPolls)
 	}
 }
 
-// Connections to an agent that never come up are abandoned with their polls: however many there were, the agent is heard
-// once one does.
-func TestPendingConnectionsDoNotBlockAgent(t *testing.T) {
-	ag := testpeer.NewAgent(t)
-	ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+// Connections that are never established are abandoned when their polls end, so that they do not use up the connection
+// limit: however many there were, the list arrives once a connection succeeds.
+func TestHangingConnectionsDoNotBlockPolling(t *testing.T) {
+	registry := testpeer.NewAgent(t)
+	registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(sink, 10)
-	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
+	watch := NewWatch(registry.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	watch.LongPollTimeout, watch.Grace = 5*time.Millisecond, 5*time.Millisecond
 	var dials atomic.Int64
-	current := w.agent()
+	current := watch.agent()
 	current.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if dials.Add(1) <= 2*maxPolls {
 			<-ctx.Done()
@@ -132,73 +132,73 @@
 		}
 		return new(net.Dialer).DialContext(ctx, network, addr)
 	}
-	startPush(t, w)
+	startPush(t, watch)
 	if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 {
 		t.Errorf("got %+v", e)
 	}
 }
 
-// A list that comes in chunks for longer than others are waited for is read to its end: of the polls open beside one
-// another those end that are silent.
-func TestChunkedListIsReadToItsEnd(t *testing.T) {
-	a := newChunkedAgent(t)
+// A list whose chunks arrive for longer than the silence timeout is read completely: when there are too many concurrent
+// polls, those without progress are cancelled.
+func TestChunkedListIsReadCompletely(t *testing.T) {
+	registry := newChunkedAgent(t)
 	events := make(sink, 10)
-	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.LongPollTimeout, w.Grace = 5*time.Millisecond, 5*time.Millisecond
-	r := newPollRound(w, w.agent(), 0)
+	watch := NewWatch(registry.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	watch.LongPollTimeout, watch.Grace = 5*time.Millisecond, 5*time.Millisecond
+	round := newPollRound(watch, watch.agent(), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r.startPoll(ctx)
-	testpeer.Receive(t, a.polls, "the first poll")
-	a.chunks <- `{"rev":9,"all":true,`
-	testpeer.Until(t, "it to begin to answer", func() bool { return r.polls[0].progressAt.Load() > 0 })
-	if heard := time.Duration(r.polls[0].progressAt.Load()); heard > time.Hour {
-		t.Errorf("it was heard %v after the watch was made: a step of the wall clock would put it before or behind other polls", heard)
+	round.startPoll(ctx)
+	testpeer.Receive(t, registry.polls, "the first poll")
+	registry.chunks <- `{"rev":9,"all":true,`
+	testpeer.Until(t, "the answer to begin", func() bool { return round.polls[0].progressAt.Load() > 0 })
+	if progress := time.Duration(round.polls[0].progressAt.Load()); progress > time.Hour {
+		t.Errorf("progress at %v after the watch was made, want a time by the monotonic clock: a step of the wall clock would change the order of polls", progress)
 	}
 	silences := 0
 	go func() {
-		for range 4 * maxPolls { // polls that are silent
+		for range 4 * maxPolls { // polls without an answer
 			select {
-			case <-a.polls:
+			case <-registry.polls:
 			case <-ctx.Done():
 				return
 			}
 		}
-		a.chunks <- `"targets":[]}`
-		close(a.chunks)
+		registry.chunks <- `"targets":[]}`
+		close(registry.chunks)
 	}()
 	limited, stop := context.WithTimeout(ctx, testpeer.Limit)
 	defer stop()
-	if e := r.await(limited, w.LongPollTimeout+w.Grace, func() { silences++ }); e.err != nil || e.list.Rev != 9 {
+	if e := round.await(limited, watch.LongPollTimeout+watch.Grace, func() { silences++ }); e.err != nil || e.list.Rev != 9 {
 		t.Errorf("after %d silences: %+v", silences, e)
 	}
 }
 
-// The list of a service that comes in chunks, for longer than another poll would wait, is read to its end.
-func TestChunkedServiceListIsReadToItsEnd(t *testing.T) {
-	a := newChunkedAgent(t)
+// A service's list whose chunks arrive for longer than the silence timeout is read completely.
+func TestChunkedServiceListIsReadCompletely(t *testing.T) {
+	registry := newChunkedAgent(t)
 	events := make(sink, 10)
-	w := NewWatch(a.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.LongPollTimeout, w.Grace = 50*time.Millisecond, 450*time.Millisecond
+	watch := NewWatch(registry.Addr().String(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	watch.LongPollTimeout, watch.Grace = 50*time.Millisecond, 450*time.Millisecond
 	go func() {
-		a.chunks <- `{"rev":9,"all":true,`
-		for begin := time.Now(); time.Since(begin) < w.LongPollTimeout+w.Grace; time.Sleep(20 * time.Millisecond) {
-			a.chunks <- "\n "
+		registry.chunks <- `{"rev":9,"all":true,`
+		for startedAt := time.Now(); time.Since(startedAt) < watch.LongPollTimeout+watch.Grace; time.Sleep(20 * time.Millisecond) {
+			registry.chunks <- "\n "
 		}
-		a.chunks <- `"targets":[]}`
-		close(a.chunks)
+		registry.chunks <- `"targets":[]}`
+		close(registry.chunks)
 	}()
-	if err := w.watchOnce(t.Context(), w.agent()); err != nil || len(events) != 1 {
-		t.Errorf("%v, %d events", err, len(events))
+	if err := watch.pollOnce(t.Context(), watch.agent()); err != nil || len(events) != 1 {
+		t.Errorf("%v, %d updates", err, len(events))
 	}
 }
 
-// After failures an answer without changes is passed on all the same: the balancer waits longer after each failure, and has
-// to know that they are over.
-func TestRecoveryFromFailuresIsLogged(t *testing.T) {
+// The first answer after a failure is passed to the Sink even if it has no changes: the balancer backs off further after
+// each failure and needs to know that polls succeed again.
+func TestRecoveryFromFailuresNotifiesSink(t *testing.T) {
 	requests := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch requests++; requests { // each poll comes after the answer to the one before
+		switch requests++; requests { // not synchronized: each poll follows the answer to the previous one
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
@@ -218,18 +218,18 @@
 		t.Fatalf("got %+v", e)
 	}
 	w.Subscribe()
-	if e := testpeer.Receive(t, events, "the end of the failures"); e.failed || e.list.hasChanges() {
+	if e := testpeer.Receive(t, events, "the update after the failure"); e.failed || e.list.hasChanges() {
 		t.Errorf("got %+v", e)
 	}
 }
 
-// Changes are of no use without the list that they change: the full one is asked for again.
+// Changes to a list that the node does not hold are rejected, and the full list is requested again.
 func TestDeltaWithoutSnapshotIsIgnored(t *testing.T) {
-	ag := testpeer.NewAgent(t)
+	registry := testpeer.NewAgent(t)
 	events := make(sink, 10)
-	w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	ag.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
-	if err := w.watchOnce(t.Context(), w.agent()); !errors.Is(err, errMalformed) || len(events) > 0 || w.agent().revision != -1 {
-		t.Errorf("%v, %d events, rev %d", err, len(events), w.agent().revision)
+	watch := NewWatch(registry.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	registry.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", "127.0.0.1:1", "in_service")+`]}`)
+	if err := watch.pollOnce(t.Context(), watch.agent()); !errors.Is(err, errMalformedAnswer) || len(events) > 0 || watch.agent().revision != -1 {
+		t.Errorf("%v, %d updates, rev %d", err, len(events), watch.agent().revision)
 	}
 }
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// brokenConn has its first read fail.
+// brokenConn is a connection whose reads fail with errno.
 type brokenConn struct {
 	net.Conn
 	errno syscall.Errno
@@ -23,20 +23,20 @@
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
 }
 
-// Whatever error ends a connect or a read, of the node's own resources or of the network, the poll has failed and another
-// follows at once, or the failure is reported where discovery is polled.
+// After any error of a connect or a read, whether of the node's own resources or of the network, Push polls again at once
+// and Poll reports the failure to the Sink.
 func TestPollIsRetriedAfterAnyErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EADDRNOTAVAIL,
 		syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNREFUSED, syscall.ECONNRESET,
 		syscall.ETIMEDOUT} {
 		for _, reads := range []bool{false, true} {
-			ag := testpeer.NewAgent(t)
-			ag.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+			registry := testpeer.NewAgent(t)
+			registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 			for _, pushed := range []bool{true, false} {
 				events := make(sink, 10)
-				w := NewWatch(ag.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				watch := NewWatch(registry.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				var dials atomic.Int32
-				w.DialBy(func(ctx context.Context, network, addr string) (net.Conn, error) {
+				watch.SetDialer(func(ctx context.Context, network, addr string) (net.Conn, error) {
 					first := dials.Add(1) == 1
 					if first && !reads {
 						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
@@ -52,23 +52,23 @@
 				go func() {
 					defer close(done)
 					if pushed {
-						w.Push(ctx)
+						watch.Push(ctx)
 					} else {
-						w.Poll(ctx)
+						watch.Poll(ctx)
 					}
 				}()
 				if !pushed {
-					w.Subscribe()
+					watch.Subscribe()
 					if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 						t.Errorf("%v, reads %v: %+v", errno, reads, e)
 					}
-					w.Subscribe()
+					watch.Subscribe()
 				}
 				if e := testpeer.Receive(t, events, "the list"); len(e.list.Targets) != 1 || dials.Load() < 2 {
 					t.Errorf("%v, reads %v, pushed %v: %+v after %d connects", errno, reads, pushed, e, dials.Load())
 				}
 				cancel()
-				testpeer.Receive(t, done, "the watch's end")
+				testpeer.Receive(t, done, "Push or Poll to return")
 			}
 		}
 	}
--- a/internal/discovery/doubles_test.go
+++ b/internal/discovery/fakes_test.go
@@ -9,21 +9,21 @@
 	"testing"
 )
 
-// notification is one call of a sink.
-type notification struct {
+// sinkCall is one call of a sink's methods.
+type sinkCall struct {
 	list   List
 	failed bool
 }
 
-// sink is a Sink that keeps its calls for the test.
-type sink chan notification
+// sink is a Sink that sends its calls to the test.
+type sink chan sinkCall
 
-func (s sink) UpdateList(l List) { s <- notification{list: l} }
+func (s sink) UpdateList(l List) { s <- sinkCall{list: l} }
 
-func (s sink) ListFailed() { s <- notification{failed: true} }
+func (s sink) ListFailed() { s <- sinkCall{failed: true} }
 
-// silentAgent is an agent that answers polls that come once it is no longer silent, and none of those before. It reports
-// the number of each poll.
+// silentAgent is an agent that answers the polls that arrive once it is no longer silent, and never the earlier ones. It
+// sends the number of each poll to polls.
 type silentAgent struct {
 	net.Listener
 	polls   chan int
@@ -31,8 +31,8 @@
 	n       int
 	silent  bool
 	text    string
-	open    int // polls
-	maxOpen int // that were open at once
+	open    int // number of open polls
+	maxOpen int // maximum of open
 }
 
 func newSilentAgent(t *testing.T) *silentAgent {
@@ -48,7 +48,7 @@
 	return a
 }
 
-// pollEnded notes that a poll is no longer open.
+// pollEnded records that a poll is no longer open.
 func (a *silentAgent) pollEnded() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,7 +73,7 @@
 	io.WriteString(w, text)
 }
 
-// chunkedAgent answers its first poll with a list in chunks, each when the test sends it, and no other poll.
+// chunkedAgent answers its first poll with the chunks that the test sends, and no other poll.
 type chunkedAgent struct {
 	net.Listener
 	polls  chan struct{}
@@ -114,7 +114,7 @@
 	return a
 }
 
-// startPush runs a watch that follows an agent until the test ends.
+// startPush runs w.Push until the test ends.
 func startPush(t *testing.T, w *Watch) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,9 +1,9 @@
-// Package discovery follows endpoint lists. It owns the form in which the registry writes them (Parse), the Watch that
-// keeps one up to date, by pushes of an agent or by polls of a service, and the start times of servers by the node's own
-// clock (Starts).
+// Package discovery follows endpoint lists. It parses the registry's format (Parse), keeps a list up to date with a Watch,
+// which follows a local agent or polls a shared service, and converts the start times of servers to the node's own clock
+// (StartTimes).
 //
-// It promises its Sink updates in the order in which the registry made them, a full list wherever changes may be missing,
-// and an answer soon after a silent registry is back. Which server gets a request is decided elsewhere.
+// The Sink receives updates in the order in which the registry made them, a full list whenever changes may have been
+// missed, and an update soon after a silent registry recovers. Package balancer decides which server gets a request.
 package discovery
 
 import (
@@ -19,39 +19,39 @@
 
 // List is an update of an endpoint list: a full snapshot, or the entries that changed.
 type List struct {
-	Rev     int64 // revision, counted by the registry
-	Full    bool  // servers that are not among Targets are removed
+	Rev     int64 // revision number assigned by the registry
+	Full    bool  // reports whether servers that are not in Targets are removed
 	Targets []Target
 }
 
-// hasChanges says that a list is an update, and not the end of a long poll without any.
+// hasChanges reports whether l is an update, rather than the empty answer to a long poll that timed out.
 func (l List) hasChanges() bool { return l.Full || len(l.Targets) > 0 }
 
-// Target is an entry of a list: a server as the balancer knows it, and where it listens.
+// Target is an entry of a list: a server and the address it listens at.
 type Target struct {
 	balancer.Server
 	Endpoint string // IP address with port
 }
 
-// Host is one incarnation of a server at one address. Connections belong to it: neither a server that has started anew nor
-// another one at the same address may get requests over its predecessor's connections.
+// Host is one incarnation of a server at one address. Connections are kept per Host, so that neither a restarted server nor
+// a different server at the same address gets requests over its predecessor's connections.
 type Host struct {
 	Server   string // id
 	Endpoint string
 	Boot     time.Duration
 }
 
-// Host returns the incarnation that the entry is of.
+// Host returns the incarnation that the entry describes.
 func (t Target) Host() Host { return Host{Server: t.ID, Endpoint: t.Endpoint, Boot: t.Boot} }
 
-// states are the states of servers by the registry's names.
-var states = map[string]balancer.ServerState{
+// serverStates maps the registry's names to server states.
+var serverStates = map[string]balancer.ServerState{
 	"in_service":  balancer.Ready,
 	"terminating": balancer.Draining,
 	"terminated":  balancer.Removed,
 }
 
-// Bounds of what an entry may say.
+// Upper bounds of an entry's numbers.
 const (
 	maxCapacityHint = 1e12
 	maxBootMS       = 1e13
@@ -68,8 +68,8 @@
 	BootMS       float64 `json:"boot_ms"`
 }
 
-// Parse reads a list as the registry writes it. A malformed one is dropped completely: half a list would look
-// like the rest had been removed.
+// Parse decodes a list in the registry's JSON format. A list with any malformed entry is rejected completely, because the
+// servers missing from a partial list would be treated as removed.
 func Parse(text []byte) (List, error) {
 	var listed struct {
 		Rev     *int64         `json:"rev"`
@@ -77,39 +77,39 @@
 		Targets []listedTarget `json:"targets"`
 	}
 	if err := json.Unmarshal(text, &listed); err != nil {
-		return List{}, fmt.Errorf("list: %w", err)
+		return List{}, fmt.Errorf("decode endpoint list: %w", err)
 	}
 	if listed.Rev == nil || listed.All == nil {
-		return List{}, errors.New("list: rev or all is missing")
+		return List{}, errors.New("decode endpoint list: rev or all is missing")
 	}
 	list := List{Rev: *listed.Rev, Full: *listed.All}
 	seen := map[string]bool{}
 	for i, entry := range listed.Targets {
 		if entry.UID == "" || seen[entry.UID] {
-			return List{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, entry.UID)
+			return List{}, fmt.Errorf("decode endpoint list: targets[%d]: uid %q is empty or duplicate", i, entry.UID)
 		}
 		seen[entry.UID] = true
 		target, err := entry.target()
 		if err != nil {
-			return List{}, fmt.Errorf("list: targets[%d]: %w", i, err)
+			return List{}, fmt.Errorf("decode endpoint list: targets[%d]: %w", i, err)
 		}
 		list.Targets = append(list.Targets, target)
 	}
 	return list, nil
 }
 
-// target checks an entry and returns it in the program's terms.
+// target validates an entry and converts it to a Target.
 func (e listedTarget) target() (Target, error) {
-	state, ok := states[e.State]
+	state, ok := serverStates[e.State]
 	if !ok {
 		return Target{}, fmt.Errorf("unknown state %q", e.State)
 	}
 	if _, err := netip.ParseAddrPort(e.Endpoint); err != nil && state != balancer.Removed {
 		return Target{}, err
 	}
-	sizeInRange := e.CapacityHint >= 0 && e.CapacityHint <= maxCapacityHint // false for NaN
+	capacityInRange := e.CapacityHint >= 0 && e.CapacityHint <= maxCapacityHint // false for NaN
 	bootInRange := e.BootMS >= 0 && e.BootMS <= maxBootMS
-	if !sizeInRange || !bootInRange {
+	if !capacityInRange || !bootInRange {
 		return Target{}, errors.New("capacity_hint or boot_ms is out of range")
 	}
 	boot := time.Duration(math.Round(e.BootMS * float64(time.Millisecond)))
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,39 +11,40 @@
 	"time"
 )
 
-// errMalformed is of an answer that came and can't be read.
-var errMalformed = errors.New("malformed")
+// errMalformedAnswer marks an answer whose list can't be decoded.
+var errMalformedAnswer = errors.New("malformed answer")
 
-// poll asks an agent for what is newer than a revision, and waits for that as long as ctx goes on. onProgress is called
-// whenever a part of the answer has come.
+// poll asks an agent for the changes since revision and waits for the answer until ctx ends. onProgress is called for the
+// response header and for each part of the body that is read.
 func (w *Watch) poll(ctx context.Context, a *agent, revision int64, longPoll time.Duration, onProgress func()) (List, error) {
 	address := pollURL(a.addr, revision, longPoll)
-	req, err := http.NewRequestWithContext(withPollKey(ctx), http.MethodGet, address, nil)
+	req, err := http.NewRequestWithContext(withPollContext(ctx), http.MethodGet, address, nil)
 	if err != nil {
-		return List{}, fmt.Errorf("watch: %w", err)
+		return List{}, fmt.Errorf("poll discovery: %w", err)
 	}
 	resp, err := a.client.Do(req)
 	if err != nil {
-		return List{}, fmt.Errorf("watch: %w", err)
+		return List{}, fmt.Errorf("poll discovery: %w", err)
 	}
 	defer resp.Body.Close()
 	onProgress()
 	if resp.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("watch: status %d", resp.StatusCode)
+		return List{}, fmt.Errorf("poll discovery: status %d", resp.StatusCode)
 	}
 	body := progressReader{Reader: resp.Body, onProgress: onProgress}
 	text, err := io.ReadAll(io.LimitReader(body, maxListBytes))
 	if err != nil {
-		return List{}, fmt.Errorf("watch: %w", err)
+		return List{}, fmt.Errorf("poll discovery: read answer: %w", err)
 	}
 	list, err := parseAnswer(text, revision)
 	if err != nil {
-		return List{}, fmt.Errorf("watch: %w: %w", errMalformed, err)
+		return List{}, fmt.Errorf("poll discovery: %w: %w", errMalformedAnswer, err)
 	}
 	return list, nil
 }
 
-// pollURL is the URL of a poll: a long poll for changes since a revision, or without one a request for the full list.
+// pollURL returns the URL of a poll: a long poll for the changes since revision, or, if that is negative, a request for the
+// full list.
 func pollURL(addr string, revision int64, longPoll time.Duration) string {
 	u := url.URL{Scheme: "http", Host: addr, Path: "/registry/instances"}
 	if revision >= 0 {
@@ -56,7 +57,7 @@
 	return u.String()
 }
 
-// parseAnswer reads the answer to a poll for what is newer than a revision.
+// parseAnswer decodes the answer to a poll for the changes since revision.
 func parseAnswer(text []byte, revision int64) (List, error) {
 	list, err := Parse(text)
 	switch {
@@ -65,14 +66,14 @@
 	case list.Full:
 		return list, nil
 	case revision < 0:
-		return List{}, errors.New("list: changes without the full list that was asked for")
+		return List{}, errors.New("answer holds changes only, but the full list was requested")
 	case list.Rev < revision:
-		return List{}, fmt.Errorf("list: rev %d comes after %d", list.Rev, revision)
+		return List{}, fmt.Errorf("rev %d is older than rev %d, which was received before", list.Rev, revision)
 	}
 	return list, nil
 }
 
-// progressReader calls onProgress for each part that it reads.
+// progressReader calls onProgress after each read that returns data.
 type progressReader struct {
 	io.Reader
 	onProgress func()
--- a/internal/discovery/round.go
+++ b/internal/discovery/pollround.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pollResult is how a poll ended.
+// pollResult is the outcome of a poll.
 type pollResult struct {
 	poll *openPoll
 	list List
@@ -19,10 +19,10 @@
 type openPoll struct {
 	cancel     context.CancelFunc
 	startedAt  time.Time
-	progressAt atomic.Int64 // ns from Watch.epoch until bytes of its answer were read last; 0: none were
+	progressAt atomic.Int64 // time of the last read of its answer, in ns since Watch.epoch; 0: nothing was read
 }
 
-// pollRound are the polls that are open beside one another, until one of them is answered.
+// pollRound is a set of concurrent polls of one agent; it ends when one of them is answered.
 type pollRound struct {
 	watch    *Watch
 	agent    *agent
@@ -35,22 +35,22 @@
 	return &pollRound{watch: w, agent: a, longPoll: longPoll, results: make(chan pollResult, maxPolls)}
 }
 
-// pollUntilAnswered polls an agent until it answers or fails. A poll that is silent for too long is not given up: that and
-// waiting in turn anew would take most of the time after which a change counts as heard. Another is made beside it, and
-// whichever answers first counts. The others end with it, so that changes never come out of order. onSilence is called each
-// time that a poll has been silent for too long.
-func (w *Watch) pollUntilAnswered(ctx context.Context, a *agent, times pollTimes, onSilence func()) pollResult {
+// pollUntilAnswered polls an agent until it answers or fails. When no answer arrives within the silence timeout, it calls
+// onSilence and starts another poll, but keeps the earlier ones open: giving one up would lose its place in the queue of a
+// slow service, and waiting in turn again would use most of the time within which a change has to arrive. The first answer
+// is returned and the other polls are cancelled, so that changes never arrive out of order.
+func (w *Watch) pollUntilAnswered(ctx context.Context, a *agent, times pollTimeouts, onSilence func()) pollResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := newPollRound(w, a, times.longPoll)
 	r.startPoll(ctx)
-	return r.await(ctx, times.patience(), onSilence)
+	return r.await(ctx, times.silenceTimeout(), onSilence)
 }
 
-// startPoll makes one more poll. Where too many are open already one of them ends.
+// startPoll starts another poll. If maxPolls are open already, it cancels one of them first.
 func (r *pollRound) startPoll(ctx context.Context) {
 	if len(r.polls) == maxPolls {
-		r.endLeastPromising()
+		r.cancelLeastPromising()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	p := &openPoll{cancel: cancel, startedAt: time.Now()}
@@ -58,7 +58,7 @@
 	go r.run(ctx, p, r.agent.revision)
 }
 
-// run makes a poll and reports its result, unless it was cancelled.
+// run executes a poll and sends its result, unless the poll was cancelled.
 func (r *pollRound) run(ctx context.Context, p *openPoll, revision int64) {
 	list, err := r.watch.poll(ctx, r.agent, revision, r.longPoll, func() { r.noteProgress(p) })
 	if err != nil && ctx.Err() != nil {
@@ -66,19 +66,19 @@
 	}
 	select {
 	case r.results <- pollResult{poll: p, list: list, err: err}:
-	default: // another one's answer counts
+	default: // another poll's answer is used
 	}
 }
 
-// noteProgress notes that bytes of a poll's answer were read.
+// noteProgress records that part of a poll's answer was read.
 func (r *pollRound) noteProgress(p *openPoll) {
 	elapsed := time.Since(r.watch.epoch)
 	p.progressAt.Store(int64(max(1, elapsed)))
 }
 
-// endLeastPromising ends the oldest of the polls whose answer has not begun to come, or else the one that was silent for
-// longest. A list that comes in pieces may take longer than others are waited for.
-func (r *pollRound) endLeastPromising() {
+// cancelLeastPromising cancels the oldest poll whose answer has not begun to arrive or, if all have, the one whose last
+// read is the longest ago. A list that arrives in chunks may take longer than the silence timeout.
+func (r *pollRound) cancelLeastPromising() {
 	least := slices.MinFunc(r.polls, func(a, b *openPoll) int {
 		return cmp.Or(
 			cmp.Compare(a.progressAt.Load(), b.progressAt.Load()),
@@ -89,23 +89,23 @@
 	r.remove(least)
 }
 
-// remove drops a poll that has ended.
+// remove removes a poll that has ended.
 func (r *pollRound) remove(ended *openPoll) {
 	r.polls = slices.DeleteFunc(r.polls, func(p *openPoll) bool { return p == ended })
 }
 
-// mayStillAnswer says that a poll is open that may be answered where another has failed: a later one, or one whose answer
-// is coming.
+// mayStillAnswer reports whether an open poll may succeed although another one failed: one that was started later, or one
+// whose answer has begun to arrive.
 func (r *pollRound) mayStillAnswer(failed *openPoll) bool {
 	return slices.ContainsFunc(r.polls, func(p *openPoll) bool {
 		return p != failed && (p.startedAt.After(failed.startedAt) || p.progressAt.Load() > 0)
 	})
 }
 
-// await returns the first answer, or the failure after which no open poll may still be answered. Each time that there is
-// none within patience, onSilence is called and another poll is made.
-func (r *pollRound) await(ctx context.Context, patience time.Duration, onSilence func()) pollResult {
-	silence := time.NewTicker(patience)
+// await returns the first answer, or a failure once no open poll may still answer. Every silenceTimeout without a result it
+// calls onSilence and starts another poll.
+func (r *pollRound) await(ctx context.Context, silenceTimeout time.Duration, onSilence func()) pollResult {
+	silence := time.NewTicker(silenceTimeout)
 	defer silence.Stop()
 	for {
 		select {
--- a/internal/discovery/push.go
+++ b/internal/discovery/push.go
@@ -6,8 +6,8 @@
 	"damsontrestle/internal/clock"
 )
 
-// Push watches an agent from the start until ctx ends. The next poll follows each answer at once: a change that is heard
-// late is lost time.
+// Push follows an agent until ctx ends. Each answer is followed by the next poll at once, so that changes arrive without
+// delay.
 func (w *Watch) Push(ctx context.Context) {
 	defer w.closeIdle()
 	for ctx.Err() == nil {
@@ -15,13 +15,13 @@
 	}
 }
 
-// followAgent watches an agent at one address until the watch moves or ctx ends. After a failure that came at once it backs
-// off.
+// followAgent polls an agent at one address until the watch moves to another or ctx ends. It backs off after each failed
+// poll.
 func (w *Watch) followAgent(ctx context.Context, a *agent) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.ctx, cancel)()
-	times := w.times(agentLongPoll, agentGrace)
+	times := w.pollTimes(agentLongPoll, agentGrace)
 	backoff := backoffInitial
 	silent := false
 	onSilence := func() {
@@ -41,12 +41,12 @@
 			continue
 		}
 		if backoff == backoffInitial {
-			w.log.Warn("discovery does not answer; polling again", "error", result.err)
+			w.log.Warn("discovery poll failed; polling again", "error", result.err)
 		}
 		clock.Sleep(ctx, backoff)
 		backoff = min(2*backoff, backoffMax)
 	}
 }
 
-// logSilence logs that a poll had no answer in time.
-func (w *Watch) logSilence() { w.log.Warn("discovery is silent; polling again") }
+// logSilence logs that a poll was not answered in time.
+func (w *Watch) logSilence() { w.log.Warn("discovery poll not answered in time; polling again") }
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Subscribe starts a watch where discovery is polled (Poll). It never blocks.
+// Subscribe starts a subscription, which Poll serves. It never blocks.
 func (w *Watch) Subscribe() {
 	select {
 	case w.subscriptions <- struct{}{}:
@@ -10,7 +10,8 @@
 	}
 }
 
-// Poll serves subscriptions until ctx ends. Each is a watch that goes on until it fails, which is reported to the Sink once.
+// Poll serves subscriptions until ctx ends. Each one polls the service until a poll fails, which is reported to the Sink
+// once.
 func (w *Watch) Poll(ctx context.Context) {
 	defer w.closeIdle()
 	for {
@@ -23,17 +24,17 @@
 	}
 }
 
-// serveSubscription watches a service until that fails or ctx ends. A poll that ends because the watch has moved is no
-// failure: the watch goes on at the new address.
+// serveSubscription polls a service until a poll fails or ctx ends. A poll that was cancelled by a change of address is not
+// a failure: polling continues at the new address.
 func (w *Watch) serveSubscription(ctx context.Context) {
 	for ctx.Err() == nil {
 		a := w.agent()
-		err := w.watchOnce(ctx, a)
+		err := w.pollOnce(ctx, a)
 		if err == nil || a.ctx.Err() != nil {
 			continue
 		}
 		if ctx.Err() == nil {
-			w.log.Warn("the subscription failed", "error", err)
+			w.log.Warn("discovery subscription failed", "error", err)
 			w.lastPollFailed = true
 			w.sink.ListFailed()
 		}
@@ -41,13 +42,13 @@
 	}
 }
 
-// watchOnce waits for one answer of a service and passes it on. After a failure an answer is passed on also where it has no
-// changes: the balancer waits longer after each failure and has to know that they are over.
-func (w *Watch) watchOnce(ctx context.Context, a *agent) error {
+// pollOnce waits for one answer of a service and passes it to the Sink. The first answer after a failure is passed on even
+// if it has no changes: the balancer backs off further after each failure and needs to know that polls succeed again.
+func (w *Watch) pollOnce(ctx context.Context, a *agent) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.ctx, cancel)()
-	result := w.pollUntilAnswered(ctx, a, w.times(serviceLongPoll, serviceGrace), w.logSilence)
+	result := w.pollUntilAnswered(ctx, a, w.pollTimes(serviceLongPoll, serviceGrace), w.logSilence)
 	if !w.deliver(a, result.list, result.err) {
 		return result.err
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,58 +9,59 @@
 	"time"
 )
 
-// Times of a watch. An agent that is silent answers nothing, not even once it is back, so another poll is made a little
-// after the long poll's time is over: the two together bound how long a change can go unheard once the agent is back.
+// Limits of a watch. An agent that was silent never answers the polls of that time, not even after it recovers, so another
+// poll is started a grace period after the long poll's timeout. The two together bound how long a change may go unnoticed
+// after the agent recovers.
 //
-// An agent is on the node's own machine, answers at once and at no cost, and a change counts as heard at once: it is polled
-// three times a second. A service that all nodes poll has a cost, and has more time (6 s after it fell silent, or 2 s after
-// a long poll). It may also be slow, for it works through polls in turn.
+// An agent runs on the node's own machine, answers at once at no cost, and has to deliver changes at once: it is polled
+// three times a second. A service is shared by all nodes, so polls have a cost, and its changes have more time to arrive
+// (6 s after it fell silent, or 2 s after a long poll). It may also be slow, since it handles polls one after another.
 const (
 	agentLongPoll   = 300 * time.Millisecond
 	agentGrace      = 100 * time.Millisecond
 	serviceLongPoll = 2 * time.Second
 	serviceGrace    = 500 * time.Millisecond
 	backoffInitial  = 50 * time.Millisecond
-	backoffMax      = 200 * time.Millisecond // of an agent that fails at once
+	backoffMax      = 200 * time.Millisecond // between polls of an agent that fails at once
 	maxListBytes    = 16 << 20
 
-	// maxPolls are open at once: while discovery is silent each late poll stays open beside the next ones, for a
-	// service may only be slow to answer, and a node that is short of processor time late to read it.
+	// maxPolls bounds the concurrent polls. While discovery is silent, overdue polls stay open beside the next ones,
+	// because the service may just be slow to answer, or a node short of processor time may be late to read the answer.
 	maxPolls = 3
 )
 
-// noRevision is the revision of a watch that holds no list: the full one is asked for.
+// noRevision is the revision of a watch that holds no list and therefore requests the full one.
 const noRevision = -1
 
-// Sink gets what a watch finds. Its methods may block for a moment only.
+// Sink receives the updates of a Watch. Its methods must not block for long.
 type Sink interface {
-	// UpdateList brings an update of the endpoint list.
+	// UpdateList is called with each update of the endpoint list.
 	UpdateList(List)
-	// ListFailed says that a subscription could not be made, or broke.
+	// ListFailed is called when a subscription could not be made or was interrupted.
 	ListFailed()
 }
 
-// Watch follows the endpoint list at the registry and tells its Sink of changes. Push or Poll is its one loop; the other
-// methods may be called by any goroutine.
+// Watch follows the endpoint list of the registry and notifies its Sink of changes. Exactly one of Push and Poll runs, in one
+// goroutine; the other methods may be called by any goroutine.
 type Watch struct {
-	// LongPollTimeout is how long a poll may wait for a change; 0: as fits the mode. It must not be set after Push or
-	// Poll, nor must Grace.
+	// LongPollTimeout is how long discovery may hold a poll to wait for a change; 0: the default of the mode. Neither it
+	// nor Grace may be set once Push or Poll was called.
 	LongPollTimeout time.Duration
-	// Grace is how long after that another poll is made beside one that is silent; 0: as fits the mode.
+	// Grace is how long after that timeout another poll is started beside an unanswered one; 0: the default of the mode.
 	Grace time.Duration
 
 	sink           Sink
 	log            *slog.Logger
-	subscriptions  chan struct{} // has capacity for one
-	lastPollFailed bool          // belongs to Poll
-	epoch          time.Time     // spans since then order what was heard: the wall clock may be stepped
+	subscriptions  chan struct{} // of capacity 1
+	lastPollFailed bool          // used only by the goroutine of Poll
+	epoch          time.Time     // the progress of polls is measured from here by the monotonic clock, since the wall clock may be stepped
 
 	mu      sync.Mutex
-	current *agent // where the list is watched now
+	current *agent // the agent that is followed now
 }
 
-// NewWatch returns a Watch of the registry at addr that goes on from the revision rev of its list; -1: from
-// none. It polls nothing before Push or Poll.
+// NewWatch returns a Watch of the registry at addr that continues from revision rev of its list; -1: the node holds no
+// list. It does not poll before Push or Poll is called.
 func NewWatch(addr string, rev int64, sink Sink, log *slog.Logger) *Watch {
 	return &Watch{
 		sink:          sink,
@@ -71,25 +72,25 @@
 	}
 }
 
-// agent returns where the list is watched now.
+// agent returns the agent that is followed now.
 func (w *Watch) agent() *agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.current
 }
 
-// SetAddress watches another address from now on. Revisions count anew there, so its full list is asked for; the list that
-// the node has stays in use until that has come. A poll to the old address ends.
+// SetAddress moves the watch to another address. Its revisions are unrelated to those of the old one, so the full list is
+// requested; the current list stays in use until that arrives. Polls to the old address are cancelled.
 func (w *Watch) SetAddress(addr string) {
 	old := w.replaceAgent(addr)
 	if old == nil {
 		return
 	}
-	old.abandon()
+	old.cancel()
 	old.client.CloseIdleConnections()
 }
 
-// replaceAgent makes another address the current one. It returns the agent of the old one, or nil if they are the same.
+// replaceAgent sets the current address. It returns the agent of the old address, or nil if the address is unchanged.
 func (w *Watch) replaceAgent(addr string) *agent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,36 +106,37 @@
 // closeIdle closes the idle connections to the current address.
 func (w *Watch) closeIdle() { w.agent().client.CloseIdleConnections() }
 
-// DialBy has connections be opened by something else than a net.Dialer, as tests do, also after SetAddress. It must be
+// SetDialer replaces the net.Dialer that opens connections, also for later addresses. It is meant for tests and must be
 // called before Push or Poll.
-func (w *Watch) DialBy(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+func (w *Watch) SetDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	w.agent().dial = dial
 }
 
-// pollTimes are the times of a poll.
-type pollTimes struct {
-	longPoll time.Duration // how long discovery may wait for a change
-	grace    time.Duration // how long after that another poll is made
+// pollTimeouts are the time limits of a poll.
+type pollTimeouts struct {
+	longPoll time.Duration // how long discovery may hold the poll to wait for a change
+	grace    time.Duration // how long after that another poll is started
 }
 
-// patience is how long a poll may be silent before another one is made beside it.
-func (t pollTimes) patience() time.Duration { return t.longPoll + t.grace }
+// silenceTimeout returns how long a poll may go unanswered before another one is started beside it.
+func (t pollTimeouts) silenceTimeout() time.Duration { return t.longPoll + t.grace }
 
-// times returns the times of polls: those that were set, or else the defaults of the mode.
-func (w *Watch) times(longPoll, grace time.Duration) pollTimes {
+// pollTimes returns the timeouts that were set on the Watch, or else the defaults of the mode.
+func (w *Watch) pollTimes(longPoll, grace time.Duration) pollTimeouts {
 	if w.LongPollTimeout > 0 {
 		longPoll = w.LongPollTimeout
 	}
 	if w.Grace > 0 {
 		grace = w.Grace
 	}
-	return pollTimes{longPoll: longPoll, grace: grace}
+	return pollTimeouts{longPoll: longPoll, grace: grace}
 }
 
-// deliver passes a list on and has the next poll ask for changes since. It returns false where the poll failed.
+// deliver passes the list of a poll to the Sink and sets the revision from which the next poll asks for changes. It reports
+// whether the poll succeeded.
 func (w *Watch) deliver(a *agent, list List, err error) bool {
-	if errors.Is(err, errMalformed) {
-		a.revision = noRevision // what the dropped answer said is missing: the full list mends that
+	if errors.Is(err, errMalformedAnswer) {
+		a.revision = noRevision // the changes in the rejected answer are missing, so the full list is requested
 	}
 	if err != nil {
 		return false
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -56,7 +56,7 @@
 
 	servers      map[string]discovery.Target // the endpoint list, by server id
 	listRevision int64
-	starts       discovery.Starts
+	starts       discovery.StartTimes
 
 	shutdownAt   time.Duration // clock time of the scheduled shutdown; 0: none
 	shuttingDown bool          // after the shutdown event
--- a/internal/engine/serverlist.go
+++ b/internal/engine/serverlist.go
@@ -18,7 +18,7 @@
 // changes, as received after discovery has moved, is not passed on: the balancer treats each list as a change and selects
 // its subset again, which would migrate requests and open connections unnecessarily.
 func (eng *Engine) updateList(update discovery.List, cached bool) {
-	update = eng.starts.Local(update, cached, eng.clock.Now(), eng.slowStartWindow)
+	update = eng.starts.Localize(update, cached, eng.clock.Now(), eng.slowStartWindow)
 	if !cached && eng.listsPushed && eng.isCurrent(update) {
 		return
 	}
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,7 +1,7 @@
-// Package hotrestart lets two processes of one node overlap while the younger takes over from the older: they listen at
-// the same address (SO_REUSEPORT), detect one another by file locks, and new connections go to the younger one. The
-// kernel releases sockets and locks with the process that holds them, so a kill leaves nothing to repair. Draining the
-// older process is its node's.
+// Package hotrestart lets two processes of one node overlap while the newer takes over from the older: they listen at the
+// same address (SO_REUSEPORT), detect each other by file locks, and new connections go to the newer one. The kernel
+// releases the sockets and locks of a process that ends, so a killed process leaves nothing to repair. Package node drains
+// the older process.
 package hotrestart
 
 import (
@@ -19,13 +19,13 @@
 	"damsontrestle/internal/clock"
 )
 
-// Listen opens a TCP socket that another process of the same user may share the address of (SO_REUSEPORT, socket(7)).
-// The kernel spreads new connections over all that listen there.
+// Listen opens a TCP socket whose address another process of the same user may share (SO_REUSEPORT, socket(7)). The
+// kernel spreads new connections over all sockets that listen there.
 func Listen(network, address string) (net.Listener, error) {
 	var lc net.ListenConfig
-	lc.SetMultipathTCP(false) // such a socket, the default since Go 1.24, takes no rule for its address
+	lc.SetMultipathTCP(false) // a multipath socket, the default since Go 1.24, does not support a reuseport program
 	lc.Control = func(_, _ string, raw syscall.RawConn) error {
-		return control(raw, func(fd int) error {
+		return controlSocket(raw, func(fd int) error {
 			return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 	}
@@ -33,17 +33,19 @@
 	if err != nil {
 		return nil, err
 	}
-	// An earlier process may have left a rule for all that listen here. Where the system knows no such rules nobody
-	// can have left one: then the end of the older process costs the connections that its queue holds, and no start.
-	if err := directTo(ln, anySocket); err != nil && !unsupported(err) {
+	// An earlier process may have left a program that selects the socket for this address, so it is reset. On a system
+	// without such programs there is none to reset and the start must not fail; there, when the older process ends, the
+	// connections in its accept queue are lost.
+	if err := directToSocket(ln, anySocket); err != nil && !isUnsupported(err) {
 		ln.Close()
-		return nil, fmt.Errorf("hotrestart: %s: %w", address, err)
+		return nil, fmt.Errorf("hotrestart: reset socket selection of %s: %w", address, err)
 	}
 	return ln, nil
 }
 
-// unsupported says that the system, or what it lets this process do, has no rules for shared addresses.
-func unsupported(err error) bool {
+// isUnsupported reports whether err means that the system does not have reuseport programs, or does not permit them to this
+// process.
+func isUnsupported(err error) bool {
 	for _, e := range []error{unix.ENOPROTOOPT, unix.EOPNOTSUPP, unix.EPERM, unix.ENOSYS} {
 		if errors.Is(err, e) {
 			return true
@@ -52,20 +54,20 @@
 	return false
 }
 
-// Sockets of one address are numbered in the order in which they began to listen, and one that is closed gives its
-// number to the last. A number that no socket has leaves the choice to the kernel.
+// The sockets of an address are numbered in the order in which they began to listen; the number of a closed socket passes
+// to the last one. If no socket has the selected number, the kernel chooses.
 const (
-	successor = 1 // of two
-	anySocket = 1 << 16
+	successorSocket = 1 // the second of two
+	anySocket       = 1 << 16
 )
 
-// Yield has new connections go to the process that began to listen after this one, if there is one. Those that
-// the kernel has completed already, or is about to, still come here and have to be accepted.
-func Yield(ln net.Listener) error { return directTo(ln, successor) }
+// DirectToSuccessor directs new connections to the process that began to listen after this one, if there is one.
+// Connections whose handshake is complete, or about to be, still arrive at ln and have to be accepted.
+func DirectToSuccessor(ln net.Listener) error { return directToSocket(ln, successorSocket) }
 
-// directTo has all new connections at an address go to the socket of a number (SO_ATTACH_REUSEPORT_CBPF, socket(7)):
-// the program is one instruction that returns it. It needs no privilege.
-func directTo(ln net.Listener, number uint32) error {
+// directToSocket directs all new connections at the address of ln to the socket with a number, by a program of one
+// instruction that returns the number (SO_ATTACH_REUSEPORT_CBPF, socket(7)). It needs no privilege.
+func directToSocket(ln net.Listener, number uint32) error {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -74,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	return control(raw, func(fd int) error {
+	return controlSocket(raw, func(fd int) error {
 		const returnConstant = unix.BPF_RET | unix.BPF_K
 		code := []unix.SockFilter{{Code: returnConstant, K: number}}
 		return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF,
@@ -82,28 +84,28 @@
 	})
 }
 
-func control(raw syscall.RawConn, do func(fd int) error) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) { failed = do(int(fd)) })
-	return errors.Join(err, failed)
+func controlSocket(raw syscall.RawConn, call func(fd int) error) error {
+	var callErr error
+	err := raw.Control(func(fd uintptr) { callErr = call(int(fd)) })
+	return errors.Join(err, callErr)
 }
 
-// Processes are the processes of one node: the primary, which is the older one, and the successor that waits to take over.
-// Each holds a lock on a file of its own in a folder that they share.
+// Processes coordinates the processes of one node: the primary, which is the older one, and the successor that waits to
+// take over. Each of the two roles is a lock on a file in a shared folder.
 type Processes struct {
 	primary   *os.File
 	successor *os.File
 }
 
-// Suffixes of the lock files' names. Processes of different versions share the files: the names stay.
+// Suffixes of the lock files' names. They must not change, because processes of different versions share the files.
 const (
 	primarySuffix   = ".seat"
 	successorSuffix = ".next"
 )
 
-// Enter joins the processes of a name in a folder. It fails if a successor waits there already, or the folder can't be
-// used.
-func Enter(folder, name string) (*Processes, error) {
+// Join adds this process to the processes of a node, whose lock files are named after name, in folder. It fails if a
+// successor is already waiting or the folder can't be used.
+func Join(folder, name string) (*Processes, error) {
 	p := &Processes{}
 	var err error
 	if p.primary, err = openLock(folder, name+primarySuffix); err != nil {
@@ -116,42 +118,42 @@
 	if p.TakePrimary() {
 		return p, nil
 	}
-	// The primary takes this lock for a moment when it polls whether it has a successor.
+	// The primary holds this lock briefly each time it polls for a successor.
 	for range lockAttempts {
-		if lock(p.successor) {
+		if tryLock(p.successor) {
 			return p, nil
 		}
 		time.Sleep(pollInterval / lockAttempts)
 	}
 	p.Close()
-	return nil, fmt.Errorf("hotrestart: another process waits to take over %s already", name)
+	return nil, fmt.Errorf("hotrestart: another process is already waiting to take over %s", name)
 }
 
-// lockAttempts are made for the lock of the process that waits, within one poll interval.
+// lockAttempts is the number of attempts to lock the successor's file, spread over one poll interval.
 const lockAttempts = 20
 
-// openLock opens a lock's file, which is made if it is not there.
+// openLock opens a lock file and creates it if it does not exist.
 func openLock(folder, name string) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(folder, name), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("hotrestart: %w", err)
+		return nil, fmt.Errorf("hotrestart: open lock file: %w", err)
 	}
 	return file, nil
 }
 
-// TakePrimary says whether this process is the primary, which it becomes if there is none.
-func (p *Processes) TakePrimary() bool { return lock(p.primary) }
+// TakePrimary makes this process the primary if there is none, and reports whether it is the primary.
+func (p *Processes) TakePrimary() bool { return tryLock(p.primary) }
 
-// HasSuccessor says, to the primary, whether another process waits to take over.
+// HasSuccessor reports whether another process is waiting to take over. Only the primary may call it.
 func (p *Processes) HasSuccessor() bool {
-	if !lock(p.successor) {
+	if !tryLock(p.successor) {
 		return true
 	}
 	unix.Flock(int(p.successor.Fd()), unix.LOCK_UN)
 	return false
 }
 
-// Close releases the process's locks, as its end would.
+// Close releases the locks, as the end of the process would.
 func (p *Processes) Close() {
 	for _, f := range []*os.File{p.primary, p.successor} {
 		if f != nil {
@@ -160,19 +162,18 @@
 	}
 }
 
-// lock takes a file's lock or finds that this process has it (flock(2)).
-func lock(f *os.File) bool {
+// tryLock locks a file without blocking (flock(2)) and reports whether this process holds the lock.
+func tryLock(f *os.File) bool {
 	return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil
 }
 
-// pollInterval is how often a process looks whether it is alone.
+// pollInterval is how often a process checks for the other one.
 const pollInterval = 100 * time.Millisecond
 
-// Watch calls notify whenever this process begins or ceases to be one of two, until ctx ends. The first call comes
-// before it waits.
+// Watch calls notify at once, and again whenever this process becomes or ceases to be one of two, until ctx ends.
 func (p *Processes) Watch(ctx context.Context, notify func(two bool)) {
 	notified := false
-	last := false // what was notified
+	last := false // argument of the last call of notify
 	primary := false
 	for ; ctx.Err() == nil; clock.Sleep(ctx, pollInterval) {
 		if !primary && p.TakePrimary() {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -9,87 +9,88 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// taker accepts at an address and counts.
-type taker struct {
+// countingListener accepts connections and counts them.
+type countingListener struct {
 	net.Listener
-	got atomic.Int64
+	accepted atomic.Int64
 }
 
-func take(t *testing.T, address string) *taker {
+func listenAndCount(t *testing.T, address string) *countingListener {
 	t.Helper()
 	ln, err := Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	k := &taker{Listener: ln}
+	counting := &countingListener{Listener: ln}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			k.got.Add(1)
+			counting.accepted.Add(1)
 			c.Close()
 		}
 	}()
-	return k
+	return counting
 }
 
-// call connects so often and waits until all connections are accepted by somebody.
-func call(t *testing.T, times int, takers ...*taker) {
+// dialAll opens count connections to the address that the listeners share and waits until all are accepted.
+func dialAll(t *testing.T, count int, listeners ...*countingListener) {
 	t.Helper()
 	sum := func() (n int64) {
-		for _, k := range takers {
-			n += k.got.Load()
+		for _, l := range listeners {
+			n += l.accepted.Load()
 		}
 		return n
 	}
 	before := sum()
-	for range times {
-		c, err := net.Dial("tcp", takers[0].Addr().String())
+	for range count {
+		c, err := net.Dial("tcp", listeners[0].Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 	}
-	testpeer.Until(t, "all to be accepted", func() bool { return sum() == before+int64(times) })
+	testpeer.Until(t, "all connections to be accepted", func() bool { return sum() == before+int64(count) })
 }
 
-// Given two that listen at one address, both are called; once the older yields, only the younger is; if that one
-// goes the older is called again; and a third one later does not inherit the rule.
+// Of two sockets at one address, both get connections until the older directs them to its successor; then only the newer
+// does. If that one is closed, the older gets connections again, and a third socket later does not inherit the program that
+// selects the successor.
 func TestNewConnectionsGoToSuccessor(t *testing.T) {
-	old := take(t, "127.0.0.1:0")
-	next := take(t, old.Addr().String())
-	call(t, 100, old, next)
-	if old.got.Load() == 0 || next.got.Load() == 0 {
-		t.Fatalf("%d and %d of 100 before, want some each", old.got.Load(), next.got.Load())
+	old := listenAndCount(t, "127.0.0.1:0")
+	next := listenAndCount(t, old.Addr().String())
+	dialAll(t, 100, old, next)
+	if old.accepted.Load() == 0 || next.accepted.Load() == 0 {
+		t.Fatalf("sockets got %d and %d of 100 connections, want some each", old.accepted.Load(), next.accepted.Load())
 	}
-	if err := Yield(old.Listener); err != nil {
+	if err := DirectToSuccessor(old.Listener); err != nil {
 		t.Fatal(err)
 	}
-	was := old.got.Load()
-	call(t, 100, old, next)
-	if old.got.Load() != was {
-		t.Errorf("%d came to the one that yielded", old.got.Load()-was)
+	oldBefore := old.accepted.Load()
+	dialAll(t, 100, old, next)
+	if old.accepted.Load() != oldBefore {
+		t.Errorf("%d connections went to the older socket, want 0", old.accepted.Load()-oldBefore)
 	}
 	next.Close()
-	call(t, 20, old)
-	third := take(t, old.Addr().String())
-	wasThird := third.got.Load()
-	call(t, 100, old, third)
-	if n := third.got.Load() - wasThird; n == 0 || n == 100 {
-		t.Errorf("%d of 100 came to a third that nobody yields to yet, want a part", n)
-	}
-	if err := Yield(old.Listener); err != nil {
+	dialAll(t, 20, old)
+	third := listenAndCount(t, old.Addr().String())
+	thirdBefore := third.accepted.Load()
+	dialAll(t, 100, old, third)
+	if n := third.accepted.Load() - thirdBefore; n == 0 || n == 100 {
+		t.Errorf("%d of 100 connections went to the third socket before any were directed to it, want some but not all", n)
+	}
+	if err := DirectToSuccessor(old.Listener); err != nil {
 		t.Fatal(err)
 	}
 	old.Close()
-	call(t, 20, third)
+	dialAll(t, 20, third)
 }
 
-// Where the system has no rules for shared addresses, a node starts all the same. Multipath TCP is such a place.
-func TestUnsupportedSystem(t *testing.T) {
+// A system without reuseport programs does not prevent a node from starting. Multipath TCP sockets do not support them.
+func TestUnsupportedSocketProgramDoesNotPreventListening(t *testing.T) {
 	lc := net.ListenConfig{}
 	lc.SetMultipathTCP(true)
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -97,16 +98,16 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if err := directTo(ln, anySocket); err != nil && !unsupported(err) {
-		t.Errorf("%v would keep a node from starting", err)
+	if err := directToSocket(ln, anySocket); err != nil && !isUnsupported(err) {
+		t.Errorf("%v is not recognized as unsupported, so a node would not start", err)
 	}
-	if unsupported(net.ErrClosed) {
-		t.Error("a closed socket passes for a system without rules")
+	if isUnsupported(net.ErrClosed) {
+		t.Error("a closed socket is taken for a system without reuseport programs")
 	}
 }
 
-// An address that somebody holds alone is not shared.
-func TestExclusiveAddressIsAnError(t *testing.T) {
+// Listen fails at an address whose socket was opened without SO_REUSEPORT.
+func TestListenFailsOnExclusiveAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,71 +115,71 @@
 	defer ln.Close()
 	if second, err := Listen("tcp", ln.Addr().String()); err == nil {
 		second.Close()
-		t.Error("it is shared")
+		t.Error("Listen shares the address")
 	}
 }
 
-func enter(t *testing.T, folder string) *Processes {
+func join(t *testing.T, folder string) *Processes {
 	t.Helper()
-	l, err := Enter(folder, "n")
+	processes, err := Join(folder, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
-	return l
+	t.Cleanup(processes.Close)
+	return processes
 }
 
 func TestProcessesDetectOneAnother(t *testing.T) {
 	folder := t.TempDir()
-	old := enter(t, folder)
+	old := join(t, folder)
 	if !old.TakePrimary() || old.HasSuccessor() {
-		t.Fatalf("alone: primary %v, has a successor %v", old.TakePrimary(), old.HasSuccessor())
+		t.Fatalf("one process: primary %v, has a successor %v", old.TakePrimary(), old.HasSuccessor())
 	}
-	next := enter(t, folder)
+	next := join(t, folder)
 	if next.TakePrimary() || !old.HasSuccessor() {
-		t.Errorf("two: the second is primary %v, the first has a successor %v", next.TakePrimary(), old.HasSuccessor())
+		t.Errorf("two processes: the second is primary %v, the first has a successor %v", next.TakePrimary(), old.HasSuccessor())
 	}
-	if third, err := Enter(folder, "n"); err == nil {
+	if third, err := Join(folder, "n"); err == nil {
 		third.Close()
-		t.Error("a third one waits too")
+		t.Error("a third process joined")
 	}
-	enter(t, t.TempDir()) // another node's
+	join(t, t.TempDir()) // of another node
 	old.Close()
 	if !next.TakePrimary() {
-		t.Error("there is no primary, and the second process does not become it")
+		t.Error("the second process did not become the primary after the first one closed")
 	}
-	if _, err := Enter(folder+"/none", "n"); err == nil {
-		t.Error("a folder that is not there will do")
+	if _, err := Join(folder+"/none", "n"); err == nil {
+		t.Error("joined in a folder that does not exist")
 	}
 }
 
-// The older hears that it is followed, and again when the younger was killed; the younger hears that it is alone.
+// Watch reports to the older process that a newer one joined or was killed, and to the newer one that the older ended.
 func TestWatchReportsOtherProcess(t *testing.T) {
 	folder := t.TempDir()
-	watch := func(l *Processes) <-chan bool {
-		told := make(chan bool, 100)
+	watch := func(processes *Processes) <-chan bool {
+		notifications := make(chan bool, 100)
 		ctx, cancel := context.WithCancel(t.Context())
-		over := make(chan struct{})
-		go func() { defer close(over); l.Watch(ctx, func(two bool) { told <- two }) }()
-		t.Cleanup(func() { cancel(); <-over })
-		return told
+		done := make(chan struct{})
+		go func() { defer close(done); processes.Watch(ctx, func(two bool) { notifications <- two }) }()
+		t.Cleanup(func() { cancel(); <-done })
+		return notifications
 	}
-	want := func(told <-chan bool, two bool, who string) {
+	wantTwo := func(notifications <-chan bool, two bool, who string) {
 		t.Helper()
-		if got := testpeer.Receive(t, told, who); got != two {
-			t.Errorf("%s hears two %v, want %v", who, got, two)
+		if got := testpeer.Receive(t, notifications, who); got != two {
+			t.Errorf("%s process: two is %v, want %v", who, got, two)
 		}
 	}
-	old := enter(t, folder)
+	old := join(t, folder)
 	first := watch(old)
-	want(first, false, "the first")
-	killed := enter(t, folder)
-	want(first, true, "the first")
+	wantTwo(first, false, "the first")
+	killed := join(t, folder)
+	wantTwo(first, true, "the first")
 	killed.Close()
-	want(first, false, "the first")
-	second := watch(enter(t, folder))
-	want(second, true, "the second")
-	want(first, true, "the first")
+	wantTwo(first, false, "the first")
+	second := watch(join(t, folder))
+	wantTwo(second, true, "the second")
+	wantTwo(first, true, "the first")
 	old.primary.Close() // as a kill would
-	want(second, false, "the second")
+	wantTwo(second, false, "the second")
 }
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -125,7 +125,7 @@
 		}
 		return faults.Listener(ln), nil
 	}
-	cfg.Options.watch = func(w *discovery.Watch) { w.DialBy(faults.Dial) }
+	cfg.Options.watch = func(w *discovery.Watch) { w.SetDialer(faults.Dial) }
 	cfg.Options.back = func(b *upstream.Pool) { b.SetDial(faults.Dial) }
 	n, stop := startNode(t, cfg, nil)
 
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -163,7 +163,7 @@
 			cfg.Listeners[0].Address = address
 		}
 		cfg.Node.Management = "127.0.0.1:0"
-		line, err := hotrestart.Enter(folder, "node")
+		line, err := hotrestart.Join(folder, "node")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -115,7 +115,7 @@
 	}
 	s.node.log.Info("another process of this node goes on")
 	for _, socket := range s.sockets {
-		if err := hotrestart.Yield(socket.Listener); err != nil {
+		if err := hotrestart.DirectToSuccessor(socket.Listener); err != nil {
 			s.node.log.Warn("clients may still connect here", "address", socket.Addr(), "error", err)
 		}
 	}
--- a/internal/state/export_test.go
+++ b/internal/state/export_test.go
@@ -1,7 +1,7 @@
 package state
 
-// For tests outside of the package.
+// TemporaryPrefix is exported for tests outside of the package.
 const TemporaryPrefix = temporaryPrefix
 
-// RecordOfSerial is for tests outside of the package.
-var RecordOfSerial = record
+// RecordOfSerial is exported for tests outside of the package.
+var NewRecord = newRecord
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -16,18 +16,18 @@
 	"damsontrestle/internal/state/statetest"
 )
 
-// errnos are what a file system answers for a while.
+// errnos are temporary errors of a file system.
 var errnos = []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EROFS, syscall.EMFILE}
 
-// known is a record, and its file's text, which Load takes.
-type known struct {
+// savedRecord is a record and the content of its file, which Load accepts.
+type savedRecord struct {
 	record *state.Record
 	text   string
 }
 
-// records are those of serials 1 to 4, made once: that reads a configuration's file.
+// records are indexed by serial, 1 to 4, and made only once, as that reads a configuration file.
 var (
-	records [5]known
+	records [5]savedRecord
 	once    sync.Once
 )
 
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	for serial := 1; serial < len(records); serial++ {
-		r := state.RecordOfSerial(t, int64(serial))
+		r := state.NewRecord(t, int64(serial))
 		if err := f.Save(r); err != nil {
 			t.Fatal(err)
 		}
@@ -48,40 +48,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		records[serial] = known{record: r, text: string(text)}
+		records[serial] = savedRecord{record: r, text: string(text)}
 	}
 }
 
-// script is what becomes of the requests of a folder, by their number.
-type script struct {
-	fails map[int]error
-	calls []string // those made, "sync /path"
+// faultScript makes file operations fail by their number and records all operations.
+type faultScript struct {
+	faults     map[int]error // by number of the operation, from 1
+	operations []string      // such as "sync /path"
 }
 
-func (s *script) ask(request, path string) error {
-	s.calls = append(s.calls, request+" "+path)
-	return s.fails[len(s.calls)]
+func (s *faultScript) intercept(request, path string) error {
+	s.operations = append(s.operations, request+" "+path)
+	return s.faults[len(s.operations)]
 }
 
-// failed says whether a request of that name has failed.
-func (s *script) failed(request string) bool {
-	for i := range s.fails {
-		if i <= len(s.calls) && strings.HasPrefix(s.calls[i-1], request+" ") {
+// failed reports whether an operation of that name has failed.
+func (s *faultScript) failed(request string) bool {
+	for i := range s.faults {
+		if i <= len(s.operations) && strings.HasPrefix(s.operations[i-1], request+" ") {
 			return true
 		}
 	}
 	return false
 }
 
-// begin starts the count anew.
-func (s *script) begin(fails map[int]error) { s.calls, s.fails = nil, fails }
+// restart sets the faults and numbers operations from 1 again.
+func (s *faultScript) restart(faults map[int]error) { s.operations, s.faults = nil, faults }
 
-// faulty is a folder on the disk that holds serial 1, on files that go by a script.
-func faulty(t *testing.T) (*state.Folder, *statetest.Files, *script) {
+// newFaultyFolder returns a folder that holds serial 1, with its file system and the script of its faults.
+func newFaultyFolder(t *testing.T) (*state.Folder, *statetest.FileSystem, *faultScript) {
 	t.Helper()
 	once.Do(func() { makeRecords(t) })
-	s := &script{}
-	files := &statetest.Files{Ask: s.ask}
+	s := &faultScript{}
+	files := &statetest.FileSystem{Intercept: s.intercept}
 	f, err := state.OpenOn(files, filepath.Join(t.TempDir(), "state"))
 	if err != nil {
 		t.Fatal(err)
@@ -92,21 +92,21 @@
 	return f, files, s
 }
 
-// callsOfASave counts the requests of a write with no fault.
-func callsOfASave(t *testing.T) int {
-	f, _, s := faulty(t)
-	s.begin(nil)
+// operationsPerSave returns the number of file operations of a Save without faults.
+func operationsPerSave(t *testing.T) int {
+	f, _, s := newFaultyFolder(t)
+	s.restart(nil)
 	if err := f.Save(records[2].record); err != nil {
 		t.Fatal(err)
 	}
-	if len(s.calls) < 8 {
-		t.Fatalf("calls: %v", s.calls)
+	if len(s.operations) < 8 {
+		t.Fatalf("a save makes %d operations, want at least 8: %v", len(s.operations), s.operations)
 	}
-	return len(s.calls)
+	return len(s.operations)
 }
 
-// held is the serial that a new process finds in a complete record.
-func held(t *testing.T, f *state.Folder) int {
+// recordedSerial returns the serial that a new process finds, and fails the test unless the record is complete.
+func recordedSerial(t *testing.T, f *state.Folder) int {
 	t.Helper()
 	next, err := state.Open(filepath.Dir(f.Path()))
 	if err != nil {
@@ -122,22 +122,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	serial := slices.IndexFunc(records[:], func(k known) bool { return k.text == string(text) })
+	serial := slices.IndexFunc(records[:], func(k savedRecord) bool { return k.text == string(text) })
 	if serial < 1 {
-		t.Fatalf("a record that is not complete: %s", text)
+		t.Fatalf("incomplete record: %s", text)
 	}
 	return serial
 }
 
-// isTelling checks that an error has the errno and a path of the folder.
-func isTelling(t *testing.T, f *state.Folder, err, errno error) {
+// wantErrnoAndPath checks that an error wraps the errno and names a path of the folder.
+func wantErrnoAndPath(t *testing.T, f *state.Folder, err, errno error) {
 	t.Helper()
 	if !errors.Is(err, errno) || !strings.Contains(err.Error(), filepath.Dir(f.Path())) {
-		t.Errorf("no errno or no path: %v", err)
+		t.Errorf("got %v, want %v with a path of the folder", err, errno)
 	}
 }
 
-// syncedTwice names a file whose sync was tried twice.
+// syncedTwice returns the first sync of a temporary file that was tried twice, or "".
 func syncedTwice(requests []string) string {
 	seen := map[string]bool{}
 	for _, request := range requests {
@@ -151,66 +151,68 @@
 	return ""
 }
 
-// Each request of a write fails in turn, with each errno, alone or with each of the requests behind it: after each of the
-// writes the folder holds the old record or the new one, complete, the error says which request failed and where, and
-// says "untouched" only if the old one is there; no other file is left unless its removal failed; the next write goes through, in another file.
+// Each file operation of a save fails in turn, with different errnos, alone or together with each later operation. After
+// each save the folder holds the old record or the new one, complete. The error names the errno and the path, and reports
+// Untouched only if the old record is in place. No other file remains unless its removal failed. A later save succeeds with
+// a new file.
 func TestWriteFaultsLeaveOneCompleteRecord(t *testing.T) {
-	n := callsOfASave(t)
+	n := operationsPerSave(t)
 	for first := 1; first <= n; first++ {
 		for second := first; second <= first+n; second++ {
 			errno, errno2 := errnos[first%len(errnos)], errnos[second%len(errnos)]
 			t.Run(fmt.Sprintf("%d and %d", first, second), func(t *testing.T) {
-				f, _, s := faulty(t)
-				s.begin(map[int]error{first: errno, second: errno2})
+				f, _, s := newFaultyFolder(t)
+				s.restart(map[int]error{first: errno, second: errno2})
 				serial := 1
 				for try := 2; try <= 4; try++ {
-					before := len(s.calls)
+					before := len(s.operations)
 					err := f.Save(records[try].record)
 					if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 1 && !s.failed("remove") {
-						t.Errorf("left behind: %v; calls: %v", left, s.calls)
+						t.Errorf("files left behind: %v; operations: %v", left, s.operations)
 					}
-					now := held(t, f)
+					now := recordedSerial(t, f)
 					var write *state.WriteError
 					switch {
 					case err == nil && now != try:
-						t.Fatalf("written without an error, and serial %d is there, not %d", now, try)
+						t.Fatalf("save succeeded, but the folder holds serial %d, want %d", now, try)
 					case err != nil && now != try && now != serial:
-						t.Fatalf("serial %d, neither %d nor %d", now, serial, try)
+						t.Fatalf("the folder holds serial %d, want %d or %d", now, serial, try)
 					case err != nil && !errors.As(err, &write):
-						t.Fatalf("%T", err)
+						t.Fatalf("error is a %T, want a *state.WriteError", err)
 					case err != nil && write.Untouched && now != serial:
-						t.Fatalf("serial %d is there, and the error says that nothing was written", now)
+						t.Fatalf("the error reports Untouched, but the folder holds serial %d, want %d", now, serial)
 					}
 					if err != nil {
 						at := first
 						if first <= before {
 							at = second
 						}
-						isTelling(t, f, err, s.fails[at])
+						wantErrnoAndPath(t, f, err, s.faults[at])
 					}
 					serial = now
 				}
 				if serial != 4 {
-					t.Errorf("serial %d after the faults are over; calls: %v", serial, s.calls)
+					t.Errorf("serial %d after the faults, want 4; operations: %v", serial, s.operations)
 				}
-				if again := syncedTwice(s.calls); again != "" {
-					t.Errorf("tried again: %s", again)
+				if again := syncedTwice(s.operations); again != "" {
+					t.Errorf("synced the same file twice: %s", again)
 				}
 			})
 		}
 	}
 }
 
-// The process is killed at each request of a write, or of the write after one that failed; a write in hand is half done.
-// Then, or with the power lost too, the next start finds a complete record, and the newest if its write was over.
+// The process is killed at each file operation of a save, or of the save after a failed one; a write that is interrupted
+// leaves half of the data. After that, and also if power is lost too, the next start finds a complete record, which is the
+// newest one if its save had succeeded.
 func TestKillsLeaveOneCompleteRecord(t *testing.T) {
-	n := callsOfASave(t)
+	n := operationsPerSave(t)
 	for _, power := range []string{"stays", "lost with the names", "lost without the names"} {
 		for fails := 0; fails <= n; fails++ {
 			for kill := fails + 1; kill <= fails+n; kill++ {
 				t.Run(fmt.Sprintf("power %s, fails %d, kill %d", power, fails, kill), func(t *testing.T) {
-					f, files, s := faulty(t)
-					s.begin(map[int]error{fails: syscall.EIO, kill: statetest.ErrEnded})
+					f, files, s := newFaultyFolder(t)
+					s.restart(map[int]error{fails: syscall.EIO, kill: statetest.ErrKilled})
 					possible := []int{1}
 					for try := 2; try <= 3; try++ {
 						if f.Save(records[try].record) == nil {
@@ -219,12 +221,12 @@
 						possible = append(possible, try)
 					}
 					if power != "stays" {
-						if err := files.LosePower(power == "lost without the names"); err != nil {
+						if err := files.SimulatePowerLoss(power == "lost without the names"); err != nil {
 							t.Fatal(err)
 						}
 					}
-					if now := held(t, f); !slices.Contains(possible, now) {
-						t.Errorf("serial %d, want one of %v", now, possible)
+					if now := recordedSerial(t, f); !slices.Contains(possible, now) {
+						t.Errorf("the folder holds serial %d, want one of %v", now, possible)
 					}
 				})
 			}
@@ -232,27 +234,27 @@
 	}
 }
 
-// A write that was over is there after a loss of power.
+// A record whose save succeeded is in place after a loss of power.
 func TestSavedRecordSurvivesPowerLoss(t *testing.T) {
 	for _, namesStay := range []bool{false, true} {
-		f, files, _ := faulty(t)
+		f, files, _ := newFaultyFolder(t)
 		if err := f.Save(records[2].record); err != nil {
 			t.Fatal(err)
 		}
-		if err := files.LosePower(namesStay); err != nil {
+		if err := files.SimulatePowerLoss(namesStay); err != nil {
 			t.Fatal(err)
 		}
-		if now := held(t, f); now != 2 {
-			t.Errorf("serial %d", now)
+		if now := recordedSerial(t, f); now != 2 {
+			t.Errorf("the folder holds serial %d, want 2", now)
 		}
 	}
 }
 
-// Files that writes left behind since they could not be removed either are removed by the next write that can; they
-// don't pile up.
+// Temporary files that failed saves could not remove are removed by the next successful save, so that they do not
+// accumulate.
 func TestLeftoverFilesAreSweptLater(t *testing.T) {
-	f, files, _ := faulty(t)
-	files.Ask = func(request, _ string) error {
+	f, files, _ := newFaultyFolder(t)
+	files.Intercept = func(request, _ string) error {
 		if request == "sync" || request == "remove" {
 			return syscall.EIO
 		}
@@ -263,19 +265,19 @@
 			t.Fatal(err)
 		}
 	}
-	files.Ask = nil
+	files.Intercept = nil
 	if err := f.Save(records[3].record); err != nil {
 		t.Fatal(err)
 	}
 	if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 1 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files left behind: %v", left)
 	}
 }
 
-// Sweep removes what it can: neither a path with a pattern's characters nor a file that stays keeps it from the rest.
+// Sweep removes all temporary files that it can, even if the path contains glob characters or a file can't be removed.
 func TestSweepContinuesAfterErrors(t *testing.T) {
 	stays := ""
-	files := &statetest.Files{Ask: func(request, path string) error {
+	files := &statetest.FileSystem{Intercept: func(request, path string) error {
 		if request == "remove" && path == stays {
 			return syscall.EIO
 		}
@@ -296,25 +298,25 @@
 		t.Errorf("%v", err)
 	}
 	if left, _ := os.ReadDir(folder); len(left) != 1 {
-		t.Errorf("left: %v", left)
+		t.Errorf("files left: %v, want only the one that can't be removed", left)
 	}
 	stays = ""
 	if err := f.Sweep(); err != nil {
 		t.Error(err)
 	}
 	if left, _ := os.ReadDir(folder); len(left) != 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("files left: %v, want none", left)
 	}
 }
 
-// A damaged record that can't be set aside is not written over: the next write sets it aside first, or fails.
+// A damaged record that can't be renamed is not overwritten: the next save renames it first, or fails.
 func TestDamagedRecordIsNeverOverwritten(t *testing.T) {
-	f, files, _ := faulty(t)
+	f, files, _ := newFaultyFolder(t)
 	if err := os.WriteFile(f.Path(), []byte("{half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, request := range []string{"lstat", "rename"} {
-		files.Ask = func(made, _ string) error {
+		files.Intercept = func(made, _ string) error {
 			if made == request {
 				return syscall.EIO
 			}
@@ -328,30 +330,30 @@
 			t.Errorf("%s: %v", request, err)
 		}
 		if text, _ := os.ReadFile(f.Path()); string(text) != "{half" {
-			t.Errorf("%s: written over: %s", request, text)
+			t.Errorf("%s: the damaged record was overwritten: %s", request, text)
 		}
 	}
-	files.Ask = nil
+	files.Intercept = nil
 	if err := f.Save(records[2].record); err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := os.ReadFile(f.Path() + ".damaged-0"); string(text) != "{half" {
-		t.Errorf("set aside: %q", text)
+		t.Errorf("the renamed file holds %q, want the damaged record", text)
 	}
 	if text, _ := os.ReadFile(f.Path()); string(text) != records[2].text {
-		t.Errorf("the record: %s", text)
+		t.Errorf("got record %s, want serial 2", text)
 	}
 }
 
-// A folder that was made is there after a loss of power: every name on the way to it was synced before a write was over,
-// also where that fails at first. One that can't be made for a while is made by the write.
+// A folder that was created exists after a loss of power: every ancestor is synced before a save succeeds, even if the
+// syncs fail at first. A folder that Open can't create because of a temporary error is created by Save.
 func TestCreatedFolderSurvivesPowerLoss(t *testing.T) {
 	once.Do(func() { makeRecords(t) })
 	root := t.TempDir()
 	path := filepath.Join(root, "a", "b", "state")
-	files := &statetest.Files{}
+	files := &statetest.FileSystem{}
 	failing, synced := 0, []string{}
-	files.Ask = func(request, path string) error {
+	files.Intercept = func(request, path string) error {
 		if (request == "mkdir" || request == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
 			failing++
 			return syscall.ENOSPC
@@ -365,20 +367,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrNone) {
+	if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrNoRecord) {
 		t.Errorf("%v", err)
 	}
 	for f.Save(records[1].record) != nil {
 		if failing > 4 {
-			t.Fatal("fails for ever")
+			t.Fatal("save still fails after the faults")
 		}
 	}
 	for at := path; at != root; at = filepath.Dir(at) {
 		if !slices.Contains(synced, filepath.Dir(at)) {
-			t.Errorf("%s may be lost: synced %v", at, synced)
+			t.Errorf("the name of %s was not synced, only %v", at, synced)
 		}
 	}
 	if failing != 4 {
-		t.Errorf("%d failures", failing)
+		t.Errorf("%d operations failed, want 4", failing)
 	}
 }
--- a/internal/state/files.go
+++ b/internal/state/filesystem.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// temporaryErrors are those errors of a file system, or of a process short of something, that may be over in a while.
+// temporaryErrors are the errors of a file system, or of exhausted resources, that may go away by themselves.
 var temporaryErrors = [...]syscall.Errno{
 	syscall.ENOSPC,
 	syscall.EDQUOT,
@@ -24,19 +24,20 @@
 	syscall.ESTALE,
 }
 
-// IsTemporary says that what failed may succeed when it is tried again later, with nobody changing the configuration or
-// the folder's rights.
+// IsTemporary reports whether an operation that failed with err may succeed on a later retry, without a change of the
+// configuration or of the folder's permissions.
 func IsTemporary(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(temporaryErrors[:], errno)
 }
 
-// Files is what a Folder asks of the file system. Tests have each request fail, or end the process there.
-type Files interface {
+// FileSystem has the file operations that a Folder needs. Tests use an implementation that makes operations fail or
+// simulates that the process is killed.
+type FileSystem interface {
 	MkdirAll(path string, mode fs.FileMode) error
-	// Create makes a file that is not there yet, for writing.
+	// Create creates a file for writing and fails if it exists.
 	Create(path string, mode fs.FileMode) (File, error)
-	// Open opens a file for reading, or a folder for its sync.
+	// Open opens a file for reading, or a folder for syncing.
 	Open(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
@@ -51,36 +52,36 @@
 	Sync() error
 }
 
-// Disk is the machine's file system.
+// Disk is the FileSystem of the operating system.
 type Disk struct{}
 
-// MkdirAll implements Files.
+// MkdirAll implements FileSystem.
 func (Disk) MkdirAll(path string, mode fs.FileMode) error { return os.MkdirAll(path, mode) }
 
-// Create implements Files.
+// Create implements FileSystem.
 func (Disk) Create(path string, mode fs.FileMode) (File, error) {
-	return opened(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode))
+	return asFile(os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode))
 }
 
-// Open implements Files.
-func (Disk) Open(path string) (File, error) { return opened(os.Open(path)) }
+// Open implements FileSystem.
+func (Disk) Open(path string) (File, error) { return asFile(os.Open(path)) }
 
-// opened gives no File where there is none: a nil *os.File in an interface is not nil.
-func opened(f *os.File, err error) (File, error) {
+// asFile returns a nil File after an error: an interface that holds a nil *os.File would not be nil.
+func asFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// Rename implements Files.
+// Rename implements FileSystem.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove implements Files.
+// Remove implements FileSystem.
 func (Disk) Remove(path string) error { return os.Remove(path) }
 
-// Lstat implements Files.
+// Lstat implements FileSystem.
 func (Disk) Lstat(path string) (fs.FileInfo, error) { return os.Lstat(path) }
 
-// ReadDir implements Files.
+// ReadDir implements FileSystem.
 func (Disk) ReadDir(path string) ([]fs.DirEntry, error) { return os.ReadDir(path) }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,10 +1,10 @@
-// Package state keeps what a node runs in its state folder, so that a start after any end finds the old
-// configuration or the new one, complete.
+// Package state records a node's running configuration in its state folder, so that a start finds either the old
+// configuration or the new one, complete, however the previous process ended.
 //
-// The folder holds one file, running.json: the configuration that runs, the one before it, and a digest over
-// both. It is written beside and renamed over the old one, the file synced before and the folder after, so that
-// a crash leaves the one or the other. What cannot be read is set aside under another name, never guessed at.
-// docs/design/plan.md says step by step what is left by a failure or an end.
+// The folder holds one file, running.json: the running configuration, the previous one, and a digest of both. A new
+// version is written to a temporary file, which is synced and renamed over the old one, and then the folder is synced, so
+// that a crash leaves one version or the other. A record that can't be decoded is renamed, never used in part.
+// docs/design/plan.md lists step by step what a failure or a crash leaves behind.
 package state
 
 import (
@@ -20,19 +20,19 @@
 	"damsontrestle/internal/config"
 )
 
-// Format is the version of the record's form that this program writes and reads.
-const Format = 1
+// FormatVersion is the version of the record format that this program writes and reads.
+const FormatVersion = 1
 
-// maxRecord bounds what is read of a record.
-const maxRecord = 256 << 20
+// maxRecordBytes is the size beyond which a record is not read.
+const maxRecordBytes = 256 << 20
 
 // recordName is the name of the file.
 const recordName = "running.json"
 
-// temporaryPrefix begins the name of a file that is to become the record.
+// temporaryPrefix is the prefix of the names of temporary files, which are renamed to become the record.
 const temporaryPrefix = "." + recordName
 
-// Entry is a configuration as it was put in place.
+// Entry is a configuration together with when and by which operation it was put in place.
 type Entry struct {
 	Serial      int64          `json:"serial"`
 	Fingerprint string         `json:"fingerprint"`
@@ -41,24 +41,24 @@
 	Config      *config.Config `json:"config"`
 }
 
-// Record is what the state folder holds.
+// Record is the content of the state folder.
 type Record struct {
 	Node     string `json:"node"`
 	Lineage  string `json:"lineage"`
 	Running  Entry  `json:"running"`
-	Previous *Entry `json:"previous,omitempty"` // for a rollback
+	Previous *Entry `json:"previous,omitempty"` // target of a rollback; nil: there is none
 }
 
-// envelope is the file. The digest is of the record's bytes, so that damage is told from a record that a newer
-// program wrote.
+// envelope is the content of the file. The digest covers the bytes of the record, which distinguishes a damaged record from
+// one that a newer program wrote.
 type envelope struct {
 	Format int             `json:"format"`
 	Digest string          `json:"digest"`
 	Record json.RawMessage `json:"record"`
 }
 
-// NewName draws the name of a new lineage of configurations, or of an incarnation of a process.
-func NewName() string {
+// NewID returns a random id for a new lineage of configurations or for an incarnation of a process.
+func NewID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -66,13 +66,13 @@
 
 // Errors of Load.
 var (
-	// ErrNone says that the folder holds no record.
-	ErrNone = errors.New("no state")
-	// ErrDamaged says that the record could not be read and was set aside.
+	// ErrNoRecord is returned if the folder holds no record.
+	ErrNoRecord = errors.New("the state folder holds no record")
+	// ErrDamaged is returned if the record can't be decoded; Load has renamed it, unless the error says otherwise.
 	ErrDamaged = errors.New("the state is damaged")
-	// ErrNewer says that a newer program wrote the record; it stays where it is.
+	// ErrNewer is returned if a newer program wrote the record, which is left in place.
 	ErrNewer = errors.New("the state was written by a newer program")
-	// ErrOtherNode says that the folder belongs to another node; its record stays where it is.
+	// ErrOtherNode is returned if the folder belongs to another node; its record is left in place.
 	ErrOtherNode = errors.New("the state belongs to another node")
 )
 
@@ -81,25 +81,25 @@
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// decode reads a node's record and checks its digest and its fingerprints.
+// decode decodes a node's record and verifies its digest and its fingerprints.
 func decode(text []byte, node string) (*Record, error) {
 	var e envelope
 	if err := json.Unmarshal(text, &e); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
 	switch {
-	case e.Format > Format:
-		return nil, fmt.Errorf("%w: format %d; this one reads %d", ErrNewer, e.Format, Format)
+	case e.Format > FormatVersion:
+		return nil, fmt.Errorf("%w: format %d, but this program reads %d", ErrNewer, e.Format, FormatVersion)
 	case e.Format < 1:
-		return nil, fmt.Errorf("%w: it tells no format", ErrDamaged)
+		return nil, fmt.Errorf("%w: format version is missing", ErrDamaged)
 	case e.Digest != digest(e.Record):
-		return nil, fmt.Errorf("%w: its digest does not fit", ErrDamaged)
+		return nil, fmt.Errorf("%w: digest mismatch", ErrDamaged)
 	}
 	d := json.NewDecoder(bytes.NewReader(e.Record))
 	d.DisallowUnknownFields()
 	var r Record
 	if err := d.Decode(&r); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrNewer, err) // as it was written: the program that wrote it can read it
+		return nil, fmt.Errorf("%w: %v", ErrNewer, err) // the digest matches, so the program that wrote it can read it
 	}
 	if err := r.check(node); err != nil {
 		return nil, err
@@ -107,23 +107,24 @@
 	return &r, nil
 }
 
-// check says whether a record is the node's and fits its own fingerprints.
+// check returns an error unless the record belongs to the node, its fingerprints match and its running configuration is
+// valid.
 func (r *Record) check(node string) error {
 	switch {
 	case r.Node != node:
-		return fmt.Errorf("%w: %q, this is %q", ErrOtherNode, r.Node, node)
+		return fmt.Errorf("%w: the record is of node %q, this is node %q", ErrOtherNode, r.Node, node)
 	case !r.Running.consistent():
-		return fmt.Errorf("%w: its configuration has another fingerprint than it says", ErrDamaged)
+		return fmt.Errorf("%w: fingerprint mismatch of the running configuration", ErrDamaged)
 	case r.Previous != nil && !r.Previous.consistent():
-		return fmt.Errorf("%w: the configuration before has another fingerprint than it says", ErrDamaged)
+		return fmt.Errorf("%w: fingerprint mismatch of the previous configuration", ErrDamaged)
 	}
 	if err := r.Running.Config.Check().Err(); err != nil {
-		return fmt.Errorf("%w: its configuration does not pass: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: invalid running configuration: %w", ErrDamaged, err)
 	}
 	return nil
 }
 
-// consistent says whether an entry's fingerprint is its configuration's.
+// consistent reports whether the entry's fingerprint matches its configuration.
 func (e *Entry) consistent() bool {
 	return e.Config != nil && e.Fingerprint == e.Config.Fingerprint()
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/config"
 )
 
-func example(t testing.TB) *config.Config {
+func loadExample(t testing.TB) *config.Config {
 	t.Helper()
 	c, problems := config.Load("../../deploy/damsontrestle.hcl")
 	if problems.Err() != nil {
@@ -22,18 +22,18 @@
 	return c
 }
 
-// record is of a configuration that differs from the example in one figure.
-func record(t testing.TB, serial int64) *Record {
-	entry := func(serial int64) Entry {
-		c := example(t)
+// newRecord returns a record of the example configuration with a number of attempts that depends on the serial.
+func newRecord(t testing.TB, serial int64) *Record {
+	newEntry := func(serial int64) Entry {
+		c := loadExample(t)
 		c.Pools[0].Attempts = 1 + int(serial)%10
 		return Entry{Serial: serial, Fingerprint: c.Fingerprint(), By: "apply", At: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Config: c}
 	}
-	before := entry(serial - 1)
-	return &Record{Node: "annot-1", Lineage: "l", Running: entry(serial), Previous: &before}
+	previous := newEntry(serial - 1)
+	return &Record{Node: "annot-1", Lineage: "l", Running: newEntry(serial), Previous: &previous}
 }
 
-func open(t testing.TB) *Folder {
+func newFolder(t testing.TB) *Folder {
 	t.Helper()
 	f, err := Open(filepath.Join(t.TempDir(), "a", "state"))
 	if err != nil {
@@ -43,19 +43,19 @@
 }
 
 func TestRecordRoundTrip(t *testing.T) {
-	f := open(t)
-	if _, err := f.Load("annot-1"); !errors.Is(err, ErrNone) {
+	f := newFolder(t)
+	if _, err := f.Load("annot-1"); !errors.Is(err, ErrNoRecord) {
 		t.Errorf("%v", err)
 	}
 	for serial := int64(2); serial < 5; serial++ {
-		if err := f.Save(record(t, serial)); err != nil {
+		if err := f.Save(newRecord(t, serial)); err != nil {
 			t.Fatal(err)
 		}
 		r, err := f.Load("annot-1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(r, record(t, serial)) {
+		if !reflect.DeepEqual(r, newRecord(t, serial)) {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -65,41 +65,42 @@
 	}
 }
 
-// A folder that can't be written, or a full disk, is an error, and the old record stays.
-func TestUnwritableFolder(t *testing.T) {
+// Save returns an error and leaves no temporary file if the record can't be replaced or the folder is gone. Open returns an
+// error if the folder can't be created.
+func TestSaveToUnwritableFolderFails(t *testing.T) {
 	if os.Getuid() == 0 {
-		t.Log("as root a read-only folder can be written: the rename fails on a folder in the record's place")
+		t.Log("root can write to a read-only folder, so a folder in place of the record makes the rename fail")
 	}
-	f := open(t)
-	if err := os.Mkdir(f.Path(), 0o700); err != nil { // nothing can be renamed over it
+	f := newFolder(t)
+	if err := os.Mkdir(f.Path(), 0o700); err != nil { // a file can't be renamed over a folder
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(f.Path(), "x"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Save(record(t, 1)); err == nil {
-		t.Error("no error")
+	if err := f.Save(newRecord(t, 1)); err == nil {
+		t.Error("Save over a folder: no error")
 	}
 	if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 1 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files left behind: %v", left)
 	}
 	if _, err := Open(filepath.Join(f.Path(), "x", "y")); err == nil {
-		t.Error("a folder below a file")
+		t.Error("Open below a file: no error")
 	}
-	gone := open(t)
+	gone := newFolder(t)
 	if err := os.RemoveAll(filepath.Dir(gone.Path())); err != nil {
 		t.Fatal(err)
 	}
-	if err := gone.Save(record(t, 1)); err == nil {
-		t.Error("no error")
+	if err := gone.Save(newRecord(t, 1)); err == nil {
+		t.Error("Save to a removed folder: no error")
 	}
 }
 
-// What is damaged is set aside under a name of its own and told; what a newer program wrote, or is another
-// node's, stays where it is.
-func TestUnusableRecords(t *testing.T) {
-	f := open(t)
-	if err := f.Save(record(t, 3)); err != nil {
+// Load renames a damaged record and reports the new name. It leaves a record in place that a newer program wrote or that
+// belongs to another node.
+func TestUnusableRecordsAreRejected(t *testing.T) {
+	f := newFolder(t)
+	if err := f.Save(newRecord(t, 3)); err != nil {
 		t.Fatal(err)
 	}
 	good, err := os.ReadFile(f.Path())
@@ -109,14 +110,14 @@
 	replace := func(old, new string) string {
 		out := strings.Replace(string(good), old, new, 1)
 		if out == string(good) {
-			t.Fatalf("no %s", old)
+			t.Fatalf("the record does not contain %s", old)
 		}
 		return out
 	}
-	resealed := func(change func(*Record)) string {
-		r := record(t, 3)
+	saved := func(change func(*Record)) string {
+		r := newRecord(t, 3)
 		change(r)
-		other := open(t)
+		other := newFolder(t)
 		if err := other.Save(r); err != nil {
 			t.Fatal(err)
 		}
@@ -128,20 +129,20 @@
 		is   error
 		node string
 	}{
-		"empty":                     {"", ErrDamaged, "annot-1"},
-		"cut":                       {string(good[:len(good)/2]), ErrDamaged, "annot-1"},
-		"zeros":                     {string(make([]byte, 4096)), ErrDamaged, "annot-1"},
-		"a bit":                     {replace(`"serial":3`, `"serial":2`), ErrDamaged, "annot-1"},
-		"no format":                 {replace(`"format":1`, `"format":0`), ErrDamaged, "annot-1"},
-		"a wrong fingerprint":       {resealed(func(r *Record) { r.Running.Fingerprint = "x" }), ErrDamaged, "annot-1"},
-		"one before without config": {resealed(func(r *Record) { r.Previous.Config = nil }), ErrDamaged, "annot-1"},
-		"a configuration that does not pass": {resealed(func(r *Record) {
+		"empty":                                  {"", ErrDamaged, "annot-1"},
+		"truncated":                              {string(good[:len(good)/2]), ErrDamaged, "annot-1"},
+		"zeros":                                  {string(make([]byte, 4096)), ErrDamaged, "annot-1"},
+		"a changed digit":                        {replace(`"serial":3`, `"serial":2`), ErrDamaged, "annot-1"},
+		"format 0":                               {replace(`"format":1`, `"format":0`), ErrDamaged, "annot-1"},
+		"a wrong fingerprint":                    {saved(func(r *Record) { r.Running.Fingerprint = "x" }), ErrDamaged, "annot-1"},
+		"a previous entry without configuration": {saved(func(r *Record) { r.Previous.Config = nil }), ErrDamaged, "annot-1"},
+		"an invalid configuration": {saved(func(r *Record) {
 			r.Running.Config.Pools[0].Attempts = 99
 			r.Running.Fingerprint = r.Running.Config.Fingerprint()
 		}), ErrDamaged, "annot-1"},
-		"a newer format":      {replace(`"format":1`, `"format":2`), ErrNewer, "annot-1"},
-		"another node's":      {string(good), ErrOtherNode, "n2"},
-		"another node's, new": {resealed(func(r *Record) { r.Node = "n3" }), ErrOtherNode, "annot-1"},
+		"a newer format":               {replace(`"format":1`, `"format":2`), ErrNewer, "annot-1"},
+		"a record of another node":     {string(good), ErrOtherNode, "n2"},
+		"a new record of another node": {saved(func(r *Record) { r.Node = "n3" }), ErrOtherNode, "annot-1"},
 	} {
 		if err := os.WriteFile(f.Path(), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -152,7 +153,7 @@
 		_, there := os.Stat(f.Path())
 		aside := c.is == ErrDamaged
 		if !errors.Is(err, c.is) || (there != nil) != aside || (len(after) > len(before)) != aside {
-			t.Errorf("%s: %v; the file is there: %v, %d set aside", name, err, there == nil, len(after)-len(before))
+			t.Errorf("%s: %v; the file is in place: %v, %d renamed", name, err, there == nil, len(after)-len(before))
 		}
 		if aside && !strings.Contains(err.Error(), "set aside as "+f.Path()+".damaged-") {
 			t.Errorf("%s: %v", name, err)
@@ -160,10 +161,10 @@
 	}
 }
 
-// What a write that was cut short left behind is removed, and nothing else.
+// Sweep removes the temporary files of interrupted writes, and no other files.
 func TestSweep(t *testing.T) {
-	f := open(t)
-	if err := f.Save(record(t, 1)); err != nil {
+	f := newFolder(t)
+	if err := f.Save(newRecord(t, 1)); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{".running.json123", "running.json.damaged-0", "other"} {
@@ -175,14 +176,14 @@
 		t.Fatal(err)
 	}
 	if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 3 {
-		t.Errorf("left: %v", left)
+		t.Errorf("files left: %v, want 3", left)
 	}
 }
 
-// No file has Load crash, and one that it takes is complete.
+// decode does not panic on any input, and a record that it accepts is consistent.
 func FuzzRecord(f *testing.F) {
-	folder := open(f)
-	if err := folder.Save(record(f, 3)); err != nil {
+	folder := newFolder(f)
+	if err := folder.Save(newRecord(f, 3)); err != nil {
 		f.Fatal(err)
 	}
 	good, _ := os.ReadFile(folder.Path())
@@ -194,19 +195,19 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := decode(text, "annot-1")
 		if err == nil && (r.Running.Config.Check().Err() != nil || r.Running.Fingerprint != r.Running.Config.Fingerprint()) {
-			t.Fatal("a record that does not hold together was taken")
+			t.Fatal("decode accepted an inconsistent record")
 		}
 	})
 }
 
-// A record that an earlier program wrote is read, and this program writes the same bytes for it, so that the earlier
-// one reads them. (A field that is added later changes the bytes: then show that the earlier program reads them.)
+// A record that an earlier program wrote is read and saved with the same bytes, so that the earlier program can read it
+// again. A change that adds a field changes the bytes; it has to show that the earlier program can read them.
 func TestRecordOfEarlierProgramRoundTrips(t *testing.T) {
 	earlier, err := os.ReadFile("testdata/running-format1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := open(t)
+	f := newFolder(t)
 	if err := os.WriteFile(f.Path(), earlier, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -218,6 +219,6 @@
 		t.Fatal(err)
 	}
 	if now, err := os.ReadFile(f.Path()); err != nil || !bytes.Equal(now, earlier) {
-		t.Errorf("written differently now: %s, %v", now, err)
+		t.Errorf("saved bytes differ: %s, %v", now, err)
 	}
 }
