--- a/internal/daemon/change_test.go
+++ b/internal/daemon/change_test.go
@@ -116,7 +116,7 @@
 func TestShutdownUndoesUnrecordedApply(t *testing.T) {
 	serverA := newNamedServer(t, "a")
 	release, received := make(chan struct{}), make(chan struct{}, 1)
-	slow := testpeer.NewServer(t, func(c net.Conn, fx *http.Request, body string) bool {
+	slow := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		received <- struct{}{}
 		<-release
 		return testpeer.Reply200(c, "slow")
@@ -183,11 +183,11 @@
 	fx := newFixture(t).with(node.Options{Fault: fault})
 	folder := filepath.Join(fx.dir, "state")
 	fx.options.repairDelay = time.Hour // only the repair by the apply itself is tested here
-	fx.options.StateFileSystem = &statetest.FileSystem{Intercept: func(request, path string) error {
-		if request == "close" && path == folder {
+	fx.options.StateFileSystem = &statetest.FileSystem{Intercept: func(operation, path string) error {
+		if operation == "close" && path == folder {
 			return nil // the folder is closed at the end of a write, whose result the error would not change
 		}
-		return fault("state: " + request)
+		return fault("state: " + operation)
 	}}
 	fx.writeFile(t, fx.configText("p1", serverA.Address(), ""))
 	d, _ := fx.start(t)
--- a/internal/daemon/statefolder_test.go
+++ b/internal/daemon/statefolder_test.go
@@ -100,13 +100,13 @@
 	fx.writeFile(t, fx.configText("p1", serverA.Address(), ""))
 	fx.start(t)
 	second := fx.encodePlan(t, fx.configText("p2", serverB.Address(), ""))
-	for _, request := range []string{"create", "write", "sync", "close"} {
-		disk.failAll(request, syscall.ENOSPC)
+	for _, operation := range []string{"create", "write", "sync", "close"} {
+		disk.failAll(operation, syscall.ENOSPC)
 		_, err := fx.apply(t, second)
 		wantCode(t, err, admin.CodeFailed, filepath.Join(fx.dir, "state"))
 		wantCode(t, err, admin.CodeFailed, syscall.ENOSPC.Error())
 		if s := fx.show(t); s.Diverged || s.Serial != 1 || s.Last == nil || s.Last.Error == "" {
-			t.Errorf("%s: %+v", request, s)
+			t.Errorf("%s: %+v", operation, s)
 		}
 		fx.wantServed(t, "a")
 		fx.wantRecorded(t, 1)
@@ -135,17 +135,17 @@
 	if _, err := fx.apply(t, second); err != nil {
 		t.Fatal(err)
 	}
-	requests := disk.requestsMade()
-	if n := len(requests); n != 7 {
-		t.Fatalf("a write makes %d operations, want 7: %v", n, requests)
+	operations := disk.operationsMade()
+	if n := len(operations); n != 7 {
+		t.Fatalf("a write makes %d operations, want 7: %v", n, operations)
 	}
 	if _, err := fx.client().Rollback(t.Context(), fx.show(t).Running, testpeer.Limit, nil); err != nil {
 		t.Fatal(err)
 	}
 	second = fx.encodePlan(t, fx.configText("p2", serverB.Address(), ""))
-	differences, rename := 0, 1+slices.Index(requests, "rename")
-	for first := 1; first <= len(requests); first++ {
-		for restore := 1; restore <= len(requests); restore++ {
+	divergences, rename := 0, 1+slices.Index(operations, "rename")
+	for first := 1; first <= len(operations); first++ {
+		for restore := 1; restore <= len(operations); restore++ {
 			for _, repair := range []int{0, 1, 3, 7} {
 				if first < rename && restore+repair > 1 {
 					continue // the record is unchanged, so it is not written again
@@ -157,7 +157,7 @@
 				if s := fx.show(t); s.Serial != 3 || s.Config.Pools[0].Name != "p1" {
 					t.Fatalf("%+v", s)
 				} else if s.Diverged {
-					differences++
+					divergences++
 				}
 				testpeer.Until(t, "the folder to be repaired", func() bool { return !fx.show(t).Diverged })
 				disk.succeed()
@@ -166,9 +166,9 @@
 		}
 	}
 	fx.wantServed(t, "a")
-	if differences == 0 || strings.Count(fx.log.String(), "state folder may differ from the running configuration") < differences ||
-		strings.Count(fx.log.String(), "state folder repaired; it holds the running configuration") < differences {
-		t.Errorf("%d divergences shown; log: %s", differences, fx.log)
+	if divergences == 0 || strings.Count(fx.log.String(), "state folder may differ from the running configuration") < divergences ||
+		strings.Count(fx.log.String(), "state folder repaired; it holds the running configuration") < divergences {
+		t.Errorf("%d divergences shown; log: %s", divergences, fx.log)
 	}
 	// The target of a rollback survives a rollback that can't be recorded, so that the next one succeeds.
 	disk.failAll("sync", syscall.ENOSPC)
@@ -197,10 +197,10 @@
 	for i, by := range []string{"a", "b"} {
 		address := map[string]string{"a": serverA.Address(), "b": serverB.Address()}[by]
 		fx.writeFile(t, fx.configText("p"+by, address, ""))
-		for _, request := range []string{"create", "sync", "rename"} {
-			disk.failAll(request, syscall.EACCES)
+		for _, operation := range []string{"create", "sync", "rename"} {
+			disk.failAll(operation, syscall.EACCES)
 			if err := fx.startError(); !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), filepath.Join(fx.dir, "state")) {
-				t.Errorf("%s: %v", request, err)
+				t.Errorf("%s: %v", operation, err)
 			}
 		}
 		disk.failAll([]string{"create", "rename"}[i], syscall.ENOSPC)
@@ -231,10 +231,10 @@
 		t.Fatal(err)
 	}
 	end()
-	for _, request := range []string{"open", "read"} {
+	for _, operation := range []string{"open", "read"} {
 		failures := 0
 		disk.failWith(func(_ int, made string) error {
-			if made == request && failures < 3 {
+			if made == operation && failures < 3 {
 				failures++
 				return syscall.EMFILE
 			}
@@ -242,7 +242,7 @@
 		})
 		d, end := fx.startIdle(t)
 		if s := d.Show(); s.Serial != 2 || s.Config.Pools[0].Name != "p2" || failures != 3 {
-			t.Errorf("%s: %d failures, %+v", request, failures, s)
+			t.Errorf("%s: %d failures, %+v", operation, failures, s)
 		}
 		end()
 	}
@@ -254,8 +254,8 @@
 	fx := newFixture(t)
 	disk := withFaultyDisk(fx)
 	fx.writeFile(t, fx.configText("p1", newNamedServer(t, "a").Address(), ""))
-	_, end := fx.startIdle(t)
-	end()
+	_, closeDaemon := fx.startIdle(t)
+	closeDaemon()
 	disk.failAll("read", syscall.EIO)
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
@@ -331,8 +331,8 @@
 	}
 	disk.succeed()
 	testpeer.Until(t, "the record to be written", func() bool { return !fx.show(t).Diverged })
-	if !slices.Contains(disk.requestsMade(), "rename") {
-		t.Errorf("the record was not written again: %v", disk.requestsMade())
+	if !slices.Contains(disk.operationsMade(), "rename") {
+		t.Errorf("the record was not written again: %v", disk.operationsMade())
 	}
 	fx.wantRecorded(t, 1)
 }
@@ -410,8 +410,8 @@
 			d, stop := fx.start(t)
 			second := fx.encodePlan(t, fx.configText("p2", serverB.Address(), ""))
 			creates, stopped := 0, make(chan struct{})
-			disk.failWith(func(n int, request string) error {
-				if request == "create" {
+			disk.failWith(func(n int, operation string) error {
+				if operation == "create" {
 					creates++
 				}
 				if n == 7 { // the last operation of the write
@@ -424,7 +424,7 @@
 						return errors.Is(err, node.ErrShuttingDown)
 					})
 				}
-				if request == "create" && creates > 1 && creates <= 1+c.failing {
+				if operation == "create" && creates > 1 && creates <= 1+c.failing {
 					return syscall.EDQUOT
 				}
 				return nil
--- a/internal/discovery/slowservice_test.go
+++ b/internal/discovery/slowservice_test.go
@@ -61,7 +61,7 @@
 
 // measureUpdateDelay runs a watch of services and returns the time from when they had the updated list until it arrived.
 // concurrently, if not nil, runs in a goroutine beside the watch.
-func measureUpdateDelay(t *testing.T, seed uint64, askWithin time.Duration, services map[string]*slowService, concurrently func(*Watch)) (delay time.Duration) {
+func measureUpdateDelay(t *testing.T, seed uint64, pollInterval time.Duration, services map[string]*slowService, concurrently func(*Watch)) (delay time.Duration) {
 	availableAfter := updateAvailableAfter + time.Duration(seed)*serviceLongPoll/5 // at different times within a long poll
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 			defer server.Close()
 		}
 		loadBalancer, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}},
-			Balancers: 300, MaxAttempts: 1, PollDiscovery: true, PollInterval: askWithin, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+			Balancers: 300, MaxAttempts: 1, PollDiscovery: true, PollInterval: pollInterval, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 			SlowStartMinimum: 1}, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -253,8 +253,8 @@
 			services := c.services()
 			longest := time.Duration(0)
 			for seed := range uint64(5) {
-				for _, askWithin := range []time.Duration{10 * time.Second, time.Hour} {
-					longest = max(longest, measureUpdateDelay(t, seed, askWithin, services, c.concurrently))
+				for _, pollInterval := range []time.Duration{10 * time.Second, time.Hour} {
+					longest = max(longest, measureUpdateDelay(t, seed, pollInterval, services, c.concurrently))
 				}
 			}
 			t.Logf("the update arrived after %v at most", longest)
--- a/internal/state/faults_test.go
+++ b/internal/state/faults_test.go
@@ -58,15 +58,15 @@
 	operations []string      // such as "sync /path"
 }
 
-func (s *faultScript) intercept(request, path string) error {
-	s.operations = append(s.operations, request+" "+path)
+func (s *faultScript) intercept(operation, path string) error {
+	s.operations = append(s.operations, operation+" "+path)
 	return s.faults[len(s.operations)]
 }
 
 // failed reports whether an operation of that name has failed.
-func (s *faultScript) failed(request string) bool {
+func (s *faultScript) failed(operation string) bool {
 	for i := range s.faults {
-		if i <= len(s.operations) && strings.HasPrefix(s.operations[i-1], request+" ") {
+		if i <= len(s.operations) && strings.HasPrefix(s.operations[i-1], operation+" ") {
 			return true
 		}
 	}
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	if left, _ := os.ReadDir(filepath.Dir(f.Path())); len(left) != 1 {
-		t.Fatalf("left behind: %v", left)
+		t.Fatalf("files left behind: %v", left)
 	}
 	text, err := os.ReadFile(f.Path())
 	if err != nil {
@@ -138,14 +138,14 @@
 }
 
 // syncedTwice returns the first sync of a temporary file that was tried twice, or "".
-func syncedTwice(requests []string) string {
+func syncedTwice(operations []string) string {
 	seen := map[string]bool{}
-	for _, request := range requests {
-		if strings.HasPrefix(request, "sync ") && strings.Contains(request, state.TemporaryPrefix) {
-			if seen[request] {
-				return request
+	for _, operation := range operations {
+		if strings.HasPrefix(operation, "sync ") && strings.Contains(operation, state.TemporaryPrefix) {
+			if seen[operation] {
+				return operation
 			}
-			seen[request] = true
+			seen[operation] = true
 		}
 	}
 	return ""
@@ -254,8 +254,8 @@
 // accumulate.
 func TestLeftoverFilesAreSweptLater(t *testing.T) {
 	f, files, _ := newFaultyFolder(t)
-	files.Intercept = func(request, _ string) error {
-		if request == "sync" || request == "remove" {
+	files.Intercept = func(operation, _ string) error {
+		if operation == "sync" || operation == "remove" {
 			return syscall.EIO
 		}
 		return nil
@@ -277,8 +277,8 @@
 // Sweep removes all temporary files that it can, even if the path contains glob characters or a file can't be removed.
 func TestSweepContinuesAfterErrors(t *testing.T) {
 	stays := ""
-	files := &statetest.FileSystem{Intercept: func(request, path string) error {
-		if request == "remove" && path == stays {
+	files := &statetest.FileSystem{Intercept: func(operation, path string) error {
+		if operation == "remove" && path == stays {
 			return syscall.EIO
 		}
 		return nil
@@ -315,22 +315,22 @@
 	if err := os.WriteFile(f.Path(), []byte("{half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, request := range []string{"lstat", "rename"} {
+	for _, operation := range []string{"lstat", "rename"} {
 		files.Intercept = func(made, _ string) error {
-			if made == request {
+			if made == operation {
 				return syscall.EIO
 			}
 			return nil
 		}
 		if _, err := f.Load("annot-1"); !errors.Is(err, state.ErrDamaged) || !errors.Is(err, syscall.EIO) {
-			t.Errorf("%s: %v", request, err)
+			t.Errorf("%s: %v", operation, err)
 		}
 		var write *state.WriteError
 		if err := f.Save(records[2].record); !errors.Is(err, syscall.EIO) || !errors.As(err, &write) || !write.Untouched {
-			t.Errorf("%s: %v", request, err)
+			t.Errorf("%s: %v", operation, err)
 		}
 		if text, _ := os.ReadFile(f.Path()); string(text) != "{half" {
-			t.Errorf("%s: the damaged record was overwritten: %s", request, text)
+			t.Errorf("%s: the damaged record was overwritten: %s", operation, text)
 		}
 	}
 	files.Intercept = nil
@@ -353,12 +353,12 @@
 	path := filepath.Join(root, "a", "b", "state")
 	files := &statetest.FileSystem{}
 	failing, synced := 0, []string{}
-	files.Intercept = func(request, path string) error {
-		if (request == "mkdir" || request == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
+	files.Intercept = func(operation, path string) error {
+		if (operation == "mkdir" || operation == "sync" && !strings.Contains(path, state.TemporaryPrefix)) && failing < 4 {
 			failing++
 			return syscall.ENOSPC
 		}
-		if request == "sync" {
+		if operation == "sync" {
 			synced = append(synced, path)
 		}
 		return nil
--- a/internal/state/statetest/filesystem.go
+++ b/internal/state/statetest/filesystem.go
@@ -21,7 +21,7 @@
 	// Intercept is called before each operation with its name ("write", "sync", "rename", ...) and path. The operation is
 	// performed if it returns nil, the process is killed in the middle of it if it returns ErrKilled, and the operation
 	// fails after any other error. A write that fails has written half of its data.
-	Intercept func(request, path string) error
+	Intercept func(operation, path string) error
 
 	mu       sync.Mutex
 	killed   bool
@@ -30,17 +30,17 @@
 }
 
 // intercept returns the error with which an operation fails, or nil.
-func (f *FileSystem) intercept(request, path string) error {
+func (f *FileSystem) intercept(operation, path string) error {
 	f.mu.Lock()
-	ended := f.killed
+	killed := f.killed
 	f.mu.Unlock()
-	if ended {
+	if killed {
 		return ErrKilled
 	}
 	if f.Intercept == nil {
 		return nil
 	}
-	err := f.Intercept(request, path)
+	err := f.Intercept(operation, path)
 	if errors.Is(err, ErrKilled) {
 		f.mu.Lock()
 		f.killed = true
@@ -48,7 +48,7 @@
 		return err
 	}
 	if err != nil {
-		return &fs.PathError{Op: request, Path: path, Err: err}
+		return &fs.PathError{Op: operation, Path: path, Err: err}
 	}
 	return nil
 }
