--- a/internal/daemon/faultydisk_test.go
+++ b/internal/daemon/faultydisk_test.go
@@ -9,68 +9,68 @@
 	"damsontrestle/internal/state/statetest"
 )
 
-// faultyDisk is a file system whose requests fail as they are asked to.
+// faultyDisk makes operations of a state folder's file system fail.
 type faultyDisk struct {
-	mu    sync.Mutex
-	fails func(n int, request string) error // nil: all is well
-	n     int                               // requests since then
-	calls []string
+	mu         sync.Mutex
+	fault      func(n int, operation string) error // error of operation n of that name; nil: no operation fails
+	n          int                                 // operations since fault was set
+	operations []string
 }
 
-// fail has the requests from now on fail as told.
-func (s *faultyDisk) fail(fails func(n int, request string) error) {
+// failWith sets the function that returns the errors of operations, and numbers them from 1 again.
+func (s *faultyDisk) failWith(fault func(n int, operation string) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails, s.n, s.calls = fails, 0, nil
+	s.fault, s.n, s.operations = fault, 0, nil
 }
 
-// failAll has every request of that name fail ("": every request).
-func (s *faultyDisk) failAll(named string, errno error) {
-	s.fail(func(_ int, request string) error {
-		if named == "" || request == named {
+// failAll makes every operation of that name fail ("": every one).
+func (s *faultyDisk) failAll(operation string, errno error) {
+	s.failWith(func(_ int, made string) error {
+		if operation == "" || made == operation {
 			return errno
 		}
 		return nil
 	})
 }
 
-// failAt has those requests fail, by their number from now on.
-func (s *faultyDisk) failAt(requests ...int) {
-	s.fail(func(n int, _ string) error {
-		if slices.Contains(requests, n) {
+// failAt makes operations fail with EIO, by their number from now on.
+func (s *faultyDisk) failAt(numbers ...int) {
+	s.failWith(func(n int, _ string) error {
+		if slices.Contains(numbers, n) {
 			return syscall.EIO
 		}
 		return nil
 	})
 }
 
-// made are the requests since the last of the above.
-func (s *faultyDisk) made() []string {
+// operationsMade returns the operations since the last call of one of the methods that set faults.
+func (s *faultyDisk) operationsMade() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.calls)
+	return slices.Clone(s.operations)
 }
 
-// succeed has all go well again.
-func (s *faultyDisk) succeed() { s.fail(nil) }
+// succeed makes all operations succeed again.
+func (s *faultyDisk) succeed() { s.failWith(nil) }
 
-func (s *faultyDisk) ask(request, path string) error {
-	if request == "close" && filepath.Base(path) == "state" {
-		return nil // the folder's, behind all that a write needs
+func (s *faultyDisk) intercept(operation, path string) error {
+	if operation == "close" && filepath.Base(path) == "state" {
+		return nil // the folder is closed at the end of a write, whose result the error would not change
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
-	s.calls = append(s.calls, request)
-	if s.fails == nil {
+	s.operations = append(s.operations, operation)
+	if s.fault == nil {
 		return nil
 	}
-	return s.fails(s.n, request)
+	return s.fault(s.n, operation)
 }
 
-// withFaultyDisk has the fault bench's state folder on a disk that can fail.
-func withFaultyDisk(r *fixture) *faultyDisk {
+// withFaultyDisk puts the state folder of a fixture on a faultyDisk.
+func withFaultyDisk(fx *fixture) *faultyDisk {
 	s := &faultyDisk{}
-	r.options.StateFiles = &statetest.Files{Ask: s.ask}
+	fx.options.StateFileSystem = &statetest.FileSystem{Intercept: s.intercept}
 	return s
 }
--- a/internal/gateway/limiters.go
+++ b/internal/gateway/limiters.go
@@ -2,22 +2,22 @@
 
 import "damsontrestle/internal/quota"
 
-// setQuotas has a limiter for each quota. One whose candidates stay goes on; those of no quota any more are closed without
-// waiting.
+// setQuotas creates a limiter for each quota. A limiter whose candidates have not changed is kept and updated; the others are closed
+// in the background.
 func (g *Gateway) setQuotas(budgets []quota.Budget) {
 	g.mu.Lock()
 	var removed []*quota.Limiter
 	next := map[string]*quota.Limiter{}
 	for _, budget := range budgets {
 		if old := g.limiters[budget.Name]; old != nil && old.SameCandidates(budget) {
-			old.Change(budget)
+			old.SetBudget(budget)
 			next[budget.Name] = old
 			continue
 		}
 		next[budget.Name] = quota.New(quota.Options{
 			Budget: budget,
 			Self:   g.self,
-			To:     g.hub.Load().To,
+			LinkTo: g.hub.Load().Link,
 			Now:    g.options.Clock.Now,
 			Log:    g.options.Log,
 		})
@@ -34,8 +34,8 @@
 	}
 }
 
-// limiter is the limiter of a quota; nil: there is none.
-func (g *Gateway) limiter(name string) *quota.Limiter {
+// quotaLimiter returns the limiter of a quota, or nil if there is none.
+func (g *Gateway) quotaLimiter(name string) *quota.Limiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limiters[name]
--- a/internal/peering/seal.go
+++ b/internal/peering/frameio.go
@@ -12,12 +12,12 @@
 
 const (
 	lengthSize    = 4
-	tagSize       = 16       // of HMAC-SHA-256, truncated
+	tagSize       = 16       // bytes of a truncated HMAC-SHA-256
 	minReadBuffer = 1 << 10  // bytes
 	maxKeptBuffer = 16 << 10 // bytes; a larger buffer is released after its frame
 )
 
-// frameMAC computes the tags of one direction: over the number of frames before, the length and the body.
+// frameMAC computes the frame tags of one direction, each over the number of earlier frames, the length and the body.
 type frameMAC struct {
 	mac   hash.Hash
 	count uint64
@@ -56,7 +56,7 @@
 	return err
 }
 
-// frameReader reads frames and checks their tags.
+// frameReader reads frames and verifies their tags.
 type frameReader struct {
 	br   *bufio.Reader
 	mac  *frameMAC
@@ -67,12 +67,12 @@
 // next returns the body of the next frame, which is valid until the next call.
 func (r *frameReader) next() ([]byte, error) {
 	if _, err := io.ReadFull(r.br, r.head[:]); err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
+		return nil, fmt.Errorf("peering: reading frame: %w", err)
 	}
 	length := r.head[:lengthSize]
 	n := int(binary.BigEndian.Uint32(length))
 	if n > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes; allowed: %d", ErrFrame, n, MaxFrame)
+		return nil, fmt.Errorf("%w: %d bytes, limit is %d", ErrMalformedFrame, n, MaxFrame)
 	}
 	tooSmall := cap(r.buf) < n
 	tooLarge := cap(r.buf) > maxKeptBuffer && n <= maxKeptBuffer
@@ -81,10 +81,10 @@
 	}
 	body := r.buf[:n]
 	if _, err := io.ReadFull(r.br, body); err != nil {
-		return nil, fmt.Errorf("peering: %w", err)
+		return nil, fmt.Errorf("peering: reading frame: %w", err)
 	}
 	if !hmac.Equal(r.head[lengthSize:], r.mac.tag(length, body)) {
-		return nil, fmt.Errorf("%w: its tag does not fit", ErrFrame)
+		return nil, fmt.Errorf("%w: tag mismatch", ErrMalformedFrame)
 	}
 	return body, nil
 }
--- a/internal/quota/draw.go
+++ b/internal/quota/draw.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// waiter is a request that waits for a token.
+// waiter is a request that is queued for a token.
 type waiter struct {
-	token     chan Token // holds one
-	returning bool       // its client returns at the time that it was advised
+	token   chan Token // capacity 1
+	isRetry bool       // whether its client retries at the advised time
 }
 
-// booking is a rejected request whose client was advised when to return.
-type booking struct {
-	id string
-	at time.Duration
+// scheduledRetry is a rejected request whose client was advised when to retry.
+type scheduledRetry struct {
+	requestID string
+	at        time.Duration
 }
 
-// Draw draws one token for a request, and waits for it no longer than the quota's terms allow. Where it returns none, retry is
-// the time after which the client may return: one that then comes by the same id goes before others. id is the request's own;
-// previous, if there is one, is the id of the request that was rejected.
-func (l *Limiter) Draw(ctx context.Context, id, previous string) (t Token, retry time.Duration) {
+// Draw draws one token for a request and waits for it at most as long as the quota's terms allow. If there is none, t is 0 and
+// retry is the delay after which the client should retry; a retry at that time has priority. A retry is recognized by its own
+// ID or by previousID, the ID of the request that was rejected; previousID may be empty.
+func (l *Limiter) Draw(ctx context.Context, requestID, previousID string) (t Token, retry time.Duration) {
 	now := l.options.Now()
 	l.mu.Lock()
 	l.rates.requestsSince++
-	returning := l.takeBooking(id, previous, now)
-	if t := l.take(now); t != 0 {
-		l.countDraw(returning)
-		wanted := l.wanted(now)
+	isRetry := l.takeScheduledRetry(requestID, previousID, now)
+	if t := l.takeToken(now); t != 0 {
+		l.countDraw(isRetry)
+		needed := l.tokensNeeded(now)
 		l.mu.Unlock()
-		if wanted > 0 {
-			l.requestNow()
+		if needed > 0 {
+			l.wakeRequester()
 		}
 		return t, 0
 	}
 	wait := l.options.Budget.MaxWait
-	if wait <= 0 && !returning {
-		retry = l.reject(id, now)
+	if wait <= 0 && !isRetry {
+		retry = l.reject(requestID, now)
 		l.mu.Unlock()
-		l.requestNow()
+		l.wakeRequester()
 		return 0, retry
 	}
-	w := &waiter{token: make(chan Token, 1), returning: returning}
-	l.waiting = append(l.waiting, w)
+	w := &waiter{token: make(chan Token, 1), isRetry: isRetry}
+	l.waiters = append(l.waiters, w)
 	l.mu.Unlock()
-	l.requestNow()
-	return l.awaitToken(ctx, w, id, max(wait, shortInterval))
+	l.wakeRequester()
+	return l.awaitToken(ctx, w, requestID, max(wait, leaseRequestInterval))
 }
 
-// awaitToken waits for a waiter's token for at most a time, and rejects the request if none came.
-func (l *Limiter) awaitToken(ctx context.Context, w *waiter, id string, wait time.Duration) (Token, time.Duration) {
+// awaitToken waits at most the given time for a waiter's token and rejects the request if it gets none.
+func (l *Limiter) awaitToken(ctx context.Context, w *waiter, requestID string, wait time.Duration) (Token, time.Duration) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	select {
@@ -63,70 +63,71 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case t := <-w.token: // it came between the timeout and the lock, and has been taken from the lease
+	case t := <-w.token: // granted between the timeout and the lock; already taken from its lease
 		return t, 0
 	default:
 	}
-	l.waiting = slices.DeleteFunc(l.waiting, func(o *waiter) bool { return o == w })
-	return 0, l.reject(id, l.options.Now())
+	l.waiters = slices.DeleteFunc(l.waiters, func(o *waiter) bool { return o == w })
+	return 0, l.reject(requestID, l.options.Now())
 }
 
-// countDraw counts a request that drew a token. The caller holds mu.
-func (l *Limiter) countDraw(returning bool) {
+// countDraw counts a request that drew a token. The caller must hold mu.
+func (l *Limiter) countDraw(isRetry bool) {
 	l.counts.Drawn++
-	if returning {
-		l.counts.Returning++
+	if isRetry {
+		l.counts.OnTimeRetries++
 	}
 }
 
-// takeBooking removes the booking of a request, if there is one, and says whether its client returns at its time. The caller
-// holds mu.
-func (l *Limiter) takeBooking(id, previous string, now time.Duration) bool {
-	l.bookings = slices.DeleteFunc(l.bookings, func(b booking) bool { return now > b.at+returnGrace })
-	for i, b := range l.bookings {
-		if b.id == id || b.id == previous {
-			l.bookings = slices.Delete(l.bookings, i, i+1)
-			return now >= b.at-shortInterval
+// takeScheduledRetry removes the scheduled retry of a request, if there is one, and reports whether its time has come. It also
+// drops those past their grace time. The caller must hold mu.
+func (l *Limiter) takeScheduledRetry(requestID, previousID string, now time.Duration) bool {
+	l.scheduledRetries = slices.DeleteFunc(l.scheduledRetries, func(b scheduledRetry) bool { return now > b.at+retryGrace })
+	for i, b := range l.scheduledRetries {
+		if b.requestID == requestID || b.requestID == previousID {
+			l.scheduledRetries = slices.Delete(l.scheduledRetries, i, i+1)
+			return now >= b.at-leaseRequestInterval
 		}
 	}
 	return false
 }
 
-// reject says after which time a request may return. As many are booked as tokens are granted in that time, by the rate of
-// late; beyond maxRetryAfter the time is a guess and nothing is booked. The caller holds mu.
-func (l *Limiter) reject(id string, now time.Duration) time.Duration {
+// reject returns the delay after which a rejected request should be retried. Retries are scheduled at the recently measured
+// rate of granted tokens; beyond maxRetryAfter the time is only a guess, so maxRetryAfter is returned and no retry is
+// scheduled. The caller must hold mu.
+func (l *Limiter) reject(requestID string, now time.Duration) time.Duration {
 	l.counts.Rejected++
 	rate := l.rates.tokens
 	if rate <= 0 {
-		rate = 1 / max(l.hint, shortInterval).Seconds()
+		rate = 1 / max(l.nextTokenIn, leaseRequestInterval).Seconds()
 	}
-	after := time.Duration(float64(len(l.bookings)+1) / rate * float64(time.Second))
-	if after > maxRetryAfter {
+	retryAfter := time.Duration(float64(len(l.scheduledRetries)+1) / rate * float64(time.Second))
+	if retryAfter > maxRetryAfter {
 		return maxRetryAfter
 	}
-	l.bookings = append(l.bookings, booking{id: id, at: now + after})
-	return max(after, leaderInterval)
+	l.scheduledRetries = append(l.scheduledRetries, scheduledRetry{requestID: requestID, at: now + retryAfter})
+	return max(retryAfter, leaderInterval)
 }
 
-// serveWaiting gives tokens to requests that wait, to those of returning clients first. The caller holds mu.
-func (l *Limiter) serveWaiting(now time.Duration) {
-	slices.SortStableFunc(l.waiting, func(a, b *waiter) int {
+// serveWaiters hands available tokens to queued requests, retries first. The caller must hold mu.
+func (l *Limiter) serveWaiters(now time.Duration) {
+	slices.SortStableFunc(l.waiters, func(a, b *waiter) int {
 		switch {
-		case a.returning == b.returning:
+		case a.isRetry == b.isRetry:
 			return 0
-		case a.returning:
+		case a.isRetry:
 			return -1
 		}
 		return 1
 	})
-	for len(l.waiting) > 0 {
-		t := l.take(now)
+	for len(l.waiters) > 0 {
+		t := l.takeToken(now)
 		if t == 0 {
 			return
 		}
-		w := l.waiting[0]
-		l.waiting = l.waiting[1:]
-		l.countDraw(w.returning)
+		w := l.waiters[0]
+		l.waiters = l.waiters[1:]
+		l.countDraw(w.isRetry)
 		w.token <- t
 	}
 }
