--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -21,7 +21,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// fakeControl is a Control that does what a test says.
+// fakeControl is a Control whose changes are executed by a function of the test.
 type fakeControl struct {
 	apply func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error)
 }
@@ -38,7 +38,7 @@
 	return f.apply([]byte(now.Node), wait, step)
 }
 
-// serve serves a Control until the test ends, and returns its socket.
+// serve serves a Control until the end of the test, and returns the path of its socket.
 func serve(t *testing.T, c Control) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "a")
@@ -59,7 +59,7 @@
 func TestStepsAndResultAreStreamed(t *testing.T) {
 	var got string
 	var waited time.Duration
-	c := NewClient(serve(t, fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+	client := NewClient(serve(t, fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 		got, waited = string(text), wait
 		step("prepare", time.Millisecond)
 		step("commit", time.Second)
@@ -68,28 +68,28 @@
 		}
 		return plan.Running{Node: "n", Serial: 8}, nil
 	}}))
-	if s, err := c.Show(t.Context()); err != nil || s.Serial != 7 {
-		t.Errorf("%+v, %v", s, err)
+	if s, err := client.Show(t.Context()); err != nil || s.Serial != 7 {
+		t.Errorf("got %+v, %v, want serial 7", s, err)
 	}
 	var steps []string
-	note := func(l ChangeEvent) { steps = append(steps, l.Step+" "+l.Took) }
-	if r, err := c.Apply(t.Context(), []byte("good"), 3*time.Second, note); err != nil || r.Serial != 8 || got != "good" || waited != 3*time.Second {
-		t.Errorf("%+v, %v, %q, %v", r, err, got, waited)
+	record := func(e ChangeEvent) { steps = append(steps, e.Step+" "+e.Took) }
+	if r, err := client.Apply(t.Context(), []byte("good"), 3*time.Second, record); err != nil || r.Serial != 8 || got != "good" || waited != 3*time.Second {
+		t.Errorf("got %+v, %v with plan %q and wait %v", r, err, got, waited)
 	}
 	if s := strings.Join(steps, ", "); s != "prepare 1ms, commit 1s" {
-		t.Error(s)
+		t.Errorf("got steps %q", s)
 	}
-	_, err := c.Apply(t.Context(), []byte("bad"), 0, nil)
+	_, err := client.Apply(t.Context(), []byte("bad"), 0, nil)
 	var e *Error
 	if !errors.As(err, &e) || e.Code != CodeFailed || e.Message != "it broke" {
 		t.Errorf("%v", err)
 	}
-	if _, err := c.Rollback(t.Context(), plan.Running{Node: "back"}, 0, nil); err != nil || got != "back" {
-		t.Errorf("%v, %q", err, got)
+	if _, err := client.Rollback(t.Context(), plan.Running{Node: "back"}, 0, nil); err != nil || got != "back" {
+		t.Errorf("got %v with node %q, want node back", err, got)
 	}
 }
 
-// A refusal before the first step is a status of its own, with a code.
+// An error before the first step has an HTTP status that corresponds to its code.
 func TestErrorCodesMapToHTTPStatus(t *testing.T) {
 	for code, status := range map[string]int{CodeStale: 409, CodeBusy: 409, CodeOtherNode: 409, CodeNoPrevious: 409, CodeShuttingDown: 503,
 		CodeUnreadable: 400, CodeNewer: 400, CodeInvalid: 400, CodeFailed: 500} {
@@ -100,69 +100,69 @@
 		h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/apply", strings.NewReader("x")))
 		var e Error
 		if err := json.Unmarshal(w.Body.Bytes(), &e); err != nil || w.Code != status || e.Code != code || e.Message != "why" {
-			t.Errorf("%s: %d %s", code, w.Code, w.Body)
+			t.Errorf("%s: got %d %s, want status %d", code, w.Code, w.Body, status)
 		}
 	}
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	path := serve(t, fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
-		t.Errorf("carried out: %.20q", text)
+		t.Errorf("malformed request was executed: %.20q", text)
 		return plan.Running{}, nil
 	}})
 	for name, c := range map[string]struct {
 		text   string
 		status string
 	}{
-		"no wait":               {"POST /v1/apply?wait=soon HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
-		"a negative wait":       {"POST /v1/apply?wait=-1s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
-		"too long a wait":       {"POST /v1/apply?wait=1h HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
-		"half a plan":           {"POST /v1/apply HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhalf", "400"},
-		"a long rollback":       {"POST /v1/rollback HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n" + strings.Repeat("x", 5000), "413"},
-		"a rollback of nothing": {"POST /v1/rollback HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{]", "400"},
-		"GET":                   {"GET /v1/apply HTTP/1.1\r\nHost: a\r\n\r\n", "405"},
-		"another path":          {"GET /v2/show HTTP/1.1\r\nHost: a\r\n\r\n", "404"},
+		"unparsable wait":    {"POST /v1/apply?wait=soon HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
+		"negative wait":      {"POST /v1/apply?wait=-1s HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
+		"excessive wait":     {"POST /v1/apply?wait=1h HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "400"},
+		"incomplete plan":    {"POST /v1/apply HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhalf", "400"},
+		"long rollback":      {"POST /v1/rollback HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n" + strings.Repeat("x", 5000), "413"},
+		"malformed rollback": {"POST /v1/rollback HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{]", "400"},
+		"GET":                {"GET /v1/apply HTTP/1.1\r\nHost: a\r\n\r\n", "405"},
+		"unknown path":       {"GET /v2/show HTTP/1.1\r\nHost: a\r\n\r\n", "404"},
 	} {
-		nc, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(nc, c.text)
-		nc.(*net.UnixConn).CloseWrite()
-		nc.SetDeadline(time.Now().Add(testpeer.Limit))
-		said, _ := io.ReadAll(nc)
-		if !strings.HasPrefix(string(said), "HTTP/1.1 "+c.status) {
-			t.Errorf("%s: %.60q", name, said)
+		io.WriteString(conn, c.text)
+		conn.(*net.UnixConn).CloseWrite()
+		conn.SetDeadline(time.Now().Add(testpeer.Limit))
+		response, _ := io.ReadAll(conn)
+		if !strings.HasPrefix(string(response), "HTTP/1.1 "+c.status) {
+			t.Errorf("%s: got %.60q, want status %s", name, response, c.status)
 		}
-		nc.Close()
+		conn.Close()
 	}
 }
 
-// What is carried out goes on though its client has left, and the client is told that it does.
+// A change continues after its client has disconnected, and the client gets an error that says so.
 func TestChangeOutlivesItsClient(t *testing.T) {
-	begun, on, over := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	c := NewClient(serve(t, fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
-		close(begun)
-		<-on
+	started, proceed, finished := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	client := NewClient(serve(t, fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+		close(started)
+		<-proceed
 		for range 100 {
-			step("a step nobody hears", 0)
+			step("step without a client", 0)
 		}
-		close(over)
+		close(finished)
 		return plan.Running{}, nil
 	}}))
 	ctx, cancel := context.WithCancel(t.Context())
-	left := make(chan error, 1)
+	clientDone := make(chan error, 1)
 	go func() {
-		_, err := c.Apply(ctx, nil, 0, nil)
-		left <- err
+		_, err := client.Apply(ctx, nil, 0, nil)
+		clientDone <- err
 	}()
-	testpeer.Receive(t, begun, "the change")
+	testpeer.Receive(t, started, "the start of the change")
 	cancel()
-	if err := testpeer.Receive(t, left, "the client's end"); !errors.Is(err, ErrTruncatedResponse) {
+	if err := testpeer.Receive(t, clientDone, "the end of the client"); !errors.Is(err, ErrTruncatedResponse) {
 		t.Errorf("%v", err)
 	}
-	close(on)
-	testpeer.Receive(t, over, "the change's end")
+	close(proceed)
+	testpeer.Receive(t, finished, "the end of the change")
 }
 
 func TestShowWithoutDaemon(t *testing.T) {
@@ -171,12 +171,12 @@
 	}
 }
 
-// An answer that ends before its last line is no success.
+// A response that ends before its last line is an error.
 func TestTruncatedResponseIsError(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, "s"))
 	if err != nil {
-		t.Skip("the folder's path is too long for a socket")
+		t.Skip("the path of the temporary directory is too long for a socket")
 	}
 	defer ln.Close()
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Whatever a client sends, the handler answers with a status and, unless it is carried out, an error in words.
+// The handler responds to any request with a valid status other than 500.
 func FuzzRequests(f *testing.F) {
 	f.Add("POST", "/v1/apply?wait=1s", []byte("{}"))
 	f.Add("POST", "/v1/rollback", []byte(`{"node":"n","serial":1}`))
@@ -196,7 +196,7 @@
 	f.Add("PUT", "/v1/../v1/apply?wait=%zz", []byte("x"))
 	h := Handler(fakeControl{func(text []byte, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
 		if wait < 0 || wait > MaxWait {
-			return plan.Running{}, errors.New("a wait beyond the bounds came through")
+			return plan.Running{}, errors.New("wait out of range")
 		}
 		_, err := plan.Decode(text)
 		if err != nil {
@@ -212,14 +212,14 @@
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		if w.Code < 200 || w.Code > 599 || w.Code == 500 {
-			t.Fatalf("%d %s", w.Code, w.Body)
+			t.Fatalf("got status %d with body %s", w.Code, w.Body)
 		}
 	})
 }
 
-// A daemon whose queue is full can't be asked whether it runs: its socket stays.
+// A daemon whose accept queue is full can't be asked whether it runs, so its socket must not be replaced.
 func TestSocketWithFullQueueIsNotTakenOver(t *testing.T) {
-	dir, err := os.MkdirTemp("", "a") // a Unix socket's path is short
+	dir, err := os.MkdirTemp("", "a") // t.TempDir may be too long for the path of a Unix socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,9 +248,9 @@
 		defer c.Close()
 	}
 	if ln, err := Listen(path); !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("%v, %v; want EAGAIN", ln, err)
+		t.Errorf("Listen returned %v, %v; want EAGAIN", ln, err)
 	}
 	if after, err := os.Lstat(path); err != nil || !os.SameFile(before, after) {
-		t.Errorf("the daemon's socket was taken: %v", err)
+		t.Errorf("the daemon's socket was replaced: %v", err)
 	}
 }
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -1,10 +1,10 @@
-// Package admin is the daemon's Unix socket and its client: HTTP with JSON bodies, for whoever may open the socket
-// (mode 0600). It carries operators' requests and streams the steps and the outcome of a change; decisions are the
-// daemon's, and a change goes on to its end when its client disconnects.
+// Package admin implements the daemon's Unix socket and its client: HTTP with JSON bodies, for users with access to the socket
+// (mode 0600). It passes operators' requests to the daemon and streams the steps and the outcome of a change. A change continues
+// to its end if its client disconnects.
 //
-//	GET  /v1/show                what runs, and what it does
-//	POST /v1/apply?wait=10s      a plan; answered with a line of JSON for each step, the last with "done"
-//	POST /v1/rollback?wait=10s   what must run now, as a Running; answered likewise
+//	GET  /v1/show                returns the running configuration and its status
+//	POST /v1/apply?wait=10s      takes a plan; responds with a line of JSON for each step, the last with "done"
+//	POST /v1/rollback?wait=10s   takes the expected plan.Running; responds likewise
 package admin
 
 import (
@@ -15,56 +15,56 @@
 	"damsontrestle/internal/plan"
 )
 
-// ShowResponse is what runs and what it does.
+// ShowResponse is the running configuration with its status.
 type ShowResponse struct {
 	plan.Running
 	By             string         `json:"by"`    // start, apply, rollback, reload
 	Since          time.Time      `json:"since"` // when it was put in place
-	StartSource    string         `json:"start"` // which configuration the last start found, and why that one
+	StartSource    string         `json:"start"` // configuration that the last start used, and why
 	Config         *config.Config `json:"config"`
 	Status         node.Status    `json:"status"`
 	Needs          config.Needs   `json:"needs"`
-	Previous       *plan.Running  `json:"previous,omitempty"`        // that a rollback leads back to,
-	PreviousConfig *config.Config `json:"previous_config,omitempty"` // with its configuration
+	Previous       *plan.Running  `json:"previous,omitempty"`        // target of a rollback,
+	PreviousConfig *config.Config `json:"previous_config,omitempty"` // and its configuration
 	NeedsRestart   []string       `json:"needs_restart,omitempty"`   // fields that take effect at the next start
 	Diverged       bool           `json:"state_diverged,omitempty"`  // the state folder may hold another record
-	CurrentStep    string         `json:"under_way,omitempty"`       // the step of a change under way
-	LastChange     *Outcome       `json:"last_change,omitempty"`     // of the last change that was begun
-	InMemoryOnly   bool           `json:"only_in_memory,omitempty"`  // no state folder: a restart forgets it
+	CurrentStep    string         `json:"under_way,omitempty"`       // current step of a change in progress
+	LastChange     *Outcome       `json:"last_change,omitempty"`     // of the last change that was started
+	InMemoryOnly   bool           `json:"only_in_memory,omitempty"`  // no state folder: a restart loses the configuration
 }
 
-// Outcome is what came of a change.
+// Outcome is the outcome of a change.
 type Outcome struct {
 	By    string    `json:"by"`
 	At    time.Time `json:"at"`
 	Error string    `json:"error,omitempty"`
 }
 
-// ChangeEvent is one line of the answer to a change.
+// ChangeEvent is one line of the response to a change.
 type ChangeEvent struct {
 	Step    string        `json:"step,omitempty"`
-	Took    string        `json:"took,omitempty"` // time that the step took
+	Took    string        `json:"took,omitempty"` // duration of the step
 	Done    bool          `json:"done,omitempty"`
 	Error   string        `json:"error,omitempty"`
 	Code    string        `json:"code,omitempty"`
-	Running *plan.Running `json:"running,omitempty"` // once done
+	Running *plan.Running `json:"running,omitempty"` // if the change succeeded
 }
 
-// Codes of refusals, for programs.
+// Machine-readable codes of an Error.
 const (
-	CodeUnreadable   = "unreadable" // the plan is cut, edited or none
-	CodeNewer        = "newer"      // of a newer format
-	CodeOtherNode    = "other_node" // for another node
-	CodeInvalid      = "invalid"    // its configuration does not pass the checks
-	CodeStale        = "stale"      // something else runs than what it was made for
-	CodeBusy         = "busy"       // another change is under way
-	CodeShuttingDown = "ending"     // the node is ending
+	CodeUnreadable   = "unreadable" // the plan is truncated or modified, or is not a plan
+	CodeNewer        = "newer"      // the plan has a newer format
+	CodeOtherNode    = "other_node" // the plan is for another node
+	CodeInvalid      = "invalid"    // the plan's configuration does not pass the checks
+	CodeStale        = "stale"      // the running configuration is not the one that the plan was made for
+	CodeBusy         = "busy"       // another change is in progress
+	CodeShuttingDown = "ending"     // the node is shutting down
 	CodeNoPrevious   = "nothing"    // there is nothing to roll back to
-	CodeFailed       = "failed"     // a step failed, and what was done is undone
+	CodeFailed       = "failed"     // a step failed and the change was undone
 	CodeRequest      = "request"    // the request itself is malformed
 )
 
-// Error is what a daemon answers instead of doing what it was asked.
+// Error is the daemon's response to a request that it rejected or that failed.
 type Error struct {
 	Code    string `json:"code"`
 	Message string `json:"error"`
@@ -72,12 +72,12 @@
 
 func (e *Error) Error() string { return e.Message }
 
-// Control is what the socket's requests are carried out by.
+// Control executes the requests of the socket.
 type Control interface {
-	// ShowResponse is what runs and what it does.
+	// Show returns the running configuration with its status.
 	Show() ShowResponse
-	// Apply carries a plan out. It goes on to its end whether or not anybody waits; step is called after each step.
+	// Apply applies a plan and calls step after each step. It continues to its end even if the client disconnects.
 	Apply(text []byte, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
-	// Rollback goes back to the configuration before the one that must run now.
+	// Rollback restores the configuration before now, which must be the one that runs.
 	Rollback(now plan.Running, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -15,13 +15,13 @@
 	"damsontrestle/internal/plan"
 )
 
-// Client asks a daemon on its socket.
+// Client sends requests to a daemon over its socket.
 type Client struct {
 	path string
 	http *http.Client
 }
 
-// NewClient returns a Client of the socket at path. Nothing is asked yet.
+// NewClient returns a Client of the socket at path. It does not connect yet.
 func NewClient(path string) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var d net.Dialer
@@ -30,32 +30,38 @@
 	return &Client{path: path, http: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
-// ErrNoDaemon says that nobody answers on the socket.
+// Bounds on the daemon's responses.
+const (
+	maxEventBytes     = 1 << 20
+	maxErrorBodyBytes = 1 << 20
+)
+
+// ErrNoDaemon is returned if no daemon listens on the socket.
 var ErrNoDaemon = errors.New("no daemon answers")
 
-// ErrTruncatedResponse says that the answer ended before its last line: what came of the change is told by Show.
-var ErrTruncatedResponse = errors.New("the answer was cut; the change goes on in the daemon")
+// ErrTruncatedResponse is returned if the response ended before its last line. Show returns the outcome of the change.
+var ErrTruncatedResponse = errors.New("the response was truncated; the change continues in the daemon")
 
-// ShowResponse asks what runs.
+// Show returns the running configuration with its status.
 func (c *Client) Show(ctx context.Context) (ShowResponse, error) {
-	var s ShowResponse
+	var running ShowResponse
 	resp, err := c.send(ctx, http.MethodGet, "/v1/show", nil)
 	if err != nil {
-		return s, err
+		return running, err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
-		return s, fmt.Errorf("%s: %w", c.path, err)
+	if err := json.NewDecoder(resp.Body).Decode(&running); err != nil {
+		return running, fmt.Errorf("%s: decoding the response: %w", c.path, err)
 	}
-	return s, nil
+	return running, nil
 }
 
-// Apply has a plan carried out. step, if any, is told of each step.
+// Apply applies a plan. If step is not nil, it is called after each step.
 func (c *Client) Apply(ctx context.Context, text []byte, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
 	return c.change(ctx, "/v1/apply?wait="+wait.String(), text, step)
 }
 
-// Rollback has the daemon go back to the configuration before the one that must run now.
+// Rollback restores the configuration before now, which must be the one that runs.
 func (c *Client) Rollback(ctx context.Context, now plan.Running, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
 	text, err := json.Marshal(now)
 	if err != nil {
@@ -71,24 +77,24 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		var l ChangeEvent
-		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			return plan.Running{}, fmt.Errorf("%s: %w", c.path, err)
+		var event ChangeEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
+			return plan.Running{}, fmt.Errorf("%s: decoding the response: %w", c.path, err)
 		}
 		switch {
-		case !l.Done:
+		case !event.Done:
 			if step != nil {
-				step(l)
+				step(event)
 			}
 			continue
-		case l.Error != "":
-			return plan.Running{}, &Error{l.Code, l.Error}
-		case l.Running == nil:
-			return plan.Running{}, fmt.Errorf("%s: the answer tells not what runs", c.path)
+		case event.Error != "":
+			return plan.Running{}, &Error{event.Code, event.Error}
+		case event.Running == nil:
+			return plan.Running{}, fmt.Errorf("%s: the response does not name the running configuration", c.path)
 		}
-		return *l.Running, nil
+		return *event.Running, nil
 	}
 	return plan.Running{}, ErrTruncatedResponse
 }
@@ -113,10 +119,10 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	responseBody, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	var e Error
-	if json.Unmarshal(text, &e) != nil || e.Message == "" {
-		return nil, fmt.Errorf("%s: %s: %.200s", c.path, resp.Status, text)
+	if json.Unmarshal(responseBody, &e) != nil || e.Message == "" {
+		return nil, fmt.Errorf("%s: %s: %.200s", c.path, resp.Status, responseBody)
 	}
 	return nil, &e
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -18,11 +18,11 @@
 	"damsontrestle/internal/plan"
 )
 
-// Bounds of what a client may make the daemon hold or wait for.
+// Bounds on a client's requests, and defaults.
 const (
 	readTimeout      = 30 * time.Second
 	maxHeaderBytes   = 8 << 10
-	maxRollbackBytes = 4 << 10 // the body of a rollback
+	maxRollbackBytes = 4 << 10 // body of a rollback
 	DefaultWait      = 10 * time.Second
 	MaxWait          = 10 * time.Minute
 	dialTimeout      = time.Second
@@ -33,8 +33,8 @@
 	http *http.Server
 }
 
-// Listen opens the socket, with mode 0600. One that a daemon left behind when it was killed is taken over; one
-// that is answered on is an error.
+// Listen opens the socket with mode 0600. It replaces the socket of a daemon that was killed, and returns an error if a daemon
+// answers on it.
 func Listen(path string) (net.Listener, error) {
 	c, err := net.DialTimeout("unix", path, dialTimeout)
 	switch {
@@ -42,28 +42,28 @@
 		c.Close()
 		return nil, fmt.Errorf("admin socket: %s: another daemon answers on it", path)
 	case listener.Passes(err) || errors.Is(err, os.ErrDeadlineExceeded):
-		// A shortage here, or a queue that is full there: a daemon that runs must not lose its socket for it.
-		return nil, fmt.Errorf("admin socket: whether another daemon answers on it: %w", err)
+		// A shortage of resources here, or a full accept queue there: a running daemon must not lose its socket for either.
+		return nil, fmt.Errorf("admin socket: checking whether another daemon answers on it: %w", err)
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&fs.ModeSocket == 0 {
-			return nil, fmt.Errorf("admin socket: %s is there and is no socket", path)
+			return nil, fmt.Errorf("admin socket: %s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("admin socket: %w", err)
 		}
 	}
-	// Nobody else may connect, not even between the making of the socket and a change of its mode.
-	old := syscall.Umask(0o177)
+	// Other users must not be able to connect even between the creation of the socket and a change of its mode.
+	oldMask := syscall.Umask(0o177)
 	ln, err := net.Listen("unix", path)
-	syscall.Umask(old)
+	syscall.Umask(oldMask)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	return ln, nil
 }
 
-// NewServer serves on a listener, which Listen opened, until Close.
+// NewServer starts a server on a listener from Listen. It runs until Close or Shutdown.
 func NewServer(ln net.Listener, control Control, log *slog.Logger) *Server {
 	s := &Server{http: &http.Server{
 		Handler:        Handler(control),
@@ -76,13 +76,13 @@
 	return s
 }
 
-// Close ends the server; an answer that is being written is cut, what it tells of goes on.
+// Close stops the server immediately. Responses in progress are truncated; their changes continue.
 func (s *Server) Close() { s.http.Close() }
 
-// Shutdown ends the server once what it has been asked is answered, or ctx ends.
+// Shutdown stops the server once all requests have been answered or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Handler serves the requests of the package's comment.
+// Handler serves the requests that the package comment lists.
 func Handler(control Control) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/show", func(w http.ResponseWriter, r *http.Request) {
@@ -95,7 +95,7 @@
 		serveChange(w, r, maxRollbackBytes, func(text []byte, wait time.Duration, step stepFunc) (plan.Running, error) {
 			var now plan.Running
 			if err := json.Unmarshal(text, &now); err != nil {
-				return plan.Running{}, &Error{CodeRequest, "the request: " + err.Error()}
+				return plan.Running{}, &Error{CodeRequest, "decoding the request: " + err.Error()}
 			}
 			return control.Rollback(now, wait, step)
 		})
@@ -109,14 +109,14 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// serveChange reads a complete request, has it carried out and tells of each step as it comes.
-func serveChange(w http.ResponseWriter, r *http.Request, maxBody int64, do func([]byte, time.Duration, stepFunc) (plan.Running, error)) {
+// serveChange reads a complete request, executes it and streams its steps.
+func serveChange(w http.ResponseWriter, r *http.Request, maxBody int64, execute func([]byte, time.Duration, stepFunc) (plan.Running, error)) {
 	wait, err := parseWait(r)
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, &Error{CodeRequest, err.Error()})
 		return
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		var tooLong *http.MaxBytesError
 		if errors.As(err, &tooLong) {
@@ -126,41 +126,41 @@
 		writeJSON(w, http.StatusBadRequest, &Error{CodeRequest, "the request is incomplete: " + err.Error()})
 		return
 	}
-	lines := eventWriter{w: w}
-	running, err := do(text, wait, func(name string, took time.Duration) {
-		lines.write(ChangeEvent{Step: name, Took: took.Round(time.Microsecond).String()})
+	events := eventWriter{w: w}
+	running, err := execute(body, wait, func(name string, took time.Duration) {
+		events.write(ChangeEvent{Step: name, Took: took.Round(time.Microsecond).String()})
 	})
 	if err == nil {
-		lines.write(ChangeEvent{Done: true, Running: &running})
+		events.write(ChangeEvent{Done: true, Running: &running})
 		return
 	}
 	var e *Error
 	if !errors.As(err, &e) {
 		e = &Error{CodeFailed, err.Error()}
 	}
-	if !lines.started {
+	if !events.started {
 		writeJSON(w, httpStatus(e.Code), e)
 		return
 	}
-	lines.write(ChangeEvent{Done: true, Error: e.Message, Code: e.Code, Running: &running})
+	events.write(ChangeEvent{Done: true, Error: e.Message, Code: e.Code, Running: &running})
 }
 
 // stepFunc is called after each step of a change.
 type stepFunc = func(name string, took time.Duration)
 
-// eventWriter streams the lines of an answer.
+// eventWriter streams the lines of a response.
 type eventWriter struct {
 	w       http.ResponseWriter
 	started bool // the status has been sent
 }
 
-func (l *eventWriter) write(line ChangeEvent) {
-	if !l.started {
-		l.started = true
-		l.w.Header().Set("Content-Type", "application/jsonl")
+func (e *eventWriter) write(event ChangeEvent) {
+	if !e.started {
+		e.started = true
+		e.w.Header().Set("Content-Type", "application/jsonl")
 	}
-	json.NewEncoder(l.w).Encode(line)
-	http.NewResponseController(l.w).Flush()
+	json.NewEncoder(e.w).Encode(event)
+	http.NewResponseController(e.w).Flush()
 }
 
 func parseWait(r *http.Request) (time.Duration, error) {
@@ -170,7 +170,7 @@
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 || wait > MaxWait {
-		return 0, fmt.Errorf("wait: found %q; allowed: a time with a unit up to %v", text, MaxWait)
+		return 0, fmt.Errorf("wait: found %q; allowed: a duration with a unit, from 0 to %v", text, MaxWait)
 	}
 	return wait, nil
 }
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// config reads the file.
+// config reads the top-level blocks of the file.
 func (r *reader) config(b *hclsyntax.Body) *Config {
 	c := &Config{}
 	r.body(b, "", nil, []block{
@@ -106,7 +106,7 @@
 	return l
 }
 
-// defaultPool is what a pool has where the file says nothing.
+// defaultPool returns a pool in which every optional setting has its default.
 func defaultPool(name string) Pool {
 	return Pool{
 		Name:          name,
@@ -228,20 +228,20 @@
 	r.setListRange(path+".to", b.Blocks, "to")
 	switch {
 	case pool != "" && len(out.To) > 0:
-		r.fail(r.ranges[path+".pool"], path, "it has both pool = %q and to blocks; allowed: one of them", pool)
+		r.fail(r.ranges[path+".pool"], path, "found both pool = %q and to blocks; allowed: one of them", pool)
 	case pool != "":
 		out.To = []route.Target{{Pool: pool, Weight: 1}}
 		r.ranges[path+".to"] = r.ranges[path+".pool"]
 	case len(out.To) == 0:
 		r.unread[path+".to"] = true
 		if b.Attributes["pool"] == nil {
-			r.fail(r.ranges[path], path, "it leads to no pool; allowed: pool = \"name\", or to \"name\" { weight = 1 } for each of several")
+			r.fail(r.ranges[path], path, "the route has no pool; allowed: pool = \"name\", or to \"name\" { weight = 1 } for each of several")
 		}
 	}
 	return out
 }
 
-// setListRange has a list of a Config stand where the first of its blocks does.
+// setListRange records the range of the first block of a kind as that of the list which the Config builds from these blocks.
 func (r *reader) setListRange(path string, blocks hclsyntax.Blocks, kind string) {
 	for _, b := range blocks {
 		if b.Type == kind {
--- a/internal/config/body.go
+++ b/internal/config/body.go
@@ -9,27 +9,27 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// field reads one attribute of a block.
+// field describes an attribute of a block and how its value is stored.
 type field struct {
 	name     string
 	required bool
 	set      func(cty.Value) error
 }
 
-// block reads one kind of blocks within another.
+// block describes a kind of nested blocks.
 type block struct {
 	kind     string
-	labelled bool // by a name
+	labelled bool // has a name
 	required bool
 	single   bool
 	read     func(b *hclsyntax.Body, path, label string)
 }
 
-// body reads a block's fields and blocks; what it does not know is an error.
+// body reads the fields and the nested blocks of a block, and reports unknown ones as errors.
 func (r *reader) body(b *hclsyntax.Body, path string, fields []field, blocks []block) {
 	at := b.MissingItemRange()
-	if own, ok := r.ranges[path]; ok {
-		at = own
+	if blockRange, ok := r.ranges[path]; ok {
+		at = blockRange
 	}
 	for _, f := range fields {
 		r.field(b.Attributes[f.name], at, path, f)
@@ -38,7 +38,7 @@
 	r.blocks(b, at, path, fields, blocks)
 }
 
-// joinPath is the path of what stands in a block.
+// joinPath returns the path of a field or block within the block at path.
 func joinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -46,7 +46,7 @@
 	return path + "." + name
 }
 
-// field reads an attribute; nil: the block, which stands at a place, has none of the name.
+// field reads the attribute a. A nil a means that the block, whose range is given, does not have the attribute.
 func (r *reader) field(a *hclsyntax.Attribute, block hcl.Range, path string, f field) {
 	fieldPath := joinPath(path, f.name)
 	if a == nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// allowedNames lists what may stand in a block, for messages.
+// allowedNames lists the fields and blocks that a block may contain, for messages.
 func allowedNames(fields []field, blocks []block) string {
 	names := make([]string, 0, len(fields)+len(blocks))
 	for _, f := range fields {
@@ -84,7 +84,7 @@
 	return slices.ContainsFunc(fields, func(f field) bool { return f.name == name })
 }
 
-// findBlock is the kind of blocks of a name; nil: there is none.
+// findBlock returns the block description of the given kind, or nil if there is none.
 func findBlock(blocks []block, kind string) *block {
 	i := slices.IndexFunc(blocks, func(k block) bool { return k.kind == kind })
 	if i < 0 {
@@ -93,7 +93,7 @@
 	return &blocks[i]
 }
 
-// unknownFields reports the attributes that a block can't have.
+// unknownFields reports the attributes that are not allowed in a block.
 func (r *reader) unknownFields(b *hclsyntax.Body, path string, fields []field, blocks []block) {
 	for name, a := range b.Attributes {
 		switch {
@@ -105,7 +105,7 @@
 	}
 }
 
-// blocks reads the blocks within a block, which stands at a place.
+// blocks reads the nested blocks of a block, and reports missing ones at the range at.
 func (r *reader) blocks(b *hclsyntax.Body, at hcl.Range, path string, fields []field, blocks []block) {
 	counts := map[string]int{}
 	for _, sub := range b.Blocks {
@@ -123,7 +123,7 @@
 			}
 			continue
 		}
-		if kind.labelled && sub.Type != "node" { // there is one node: its fields are known without its name
+		if kind.labelled && sub.Type != "node" { // there is only one node, so the paths of its fields omit its name
 			subPath += "." + label
 		}
 		counts[sub.Type]++
@@ -131,7 +131,7 @@
 			r.fail(sub.DefRange(), subPath, "found a second block; allowed: one")
 			continue
 		}
-		if _, twice := r.ranges[subPath]; !twice || kind.single {
+		if _, seen := r.ranges[subPath]; !seen || kind.single {
 			r.ranges[subPath] = sub.DefRange()
 		}
 		kind.read(sub.Body, subPath, label)
@@ -144,7 +144,7 @@
 	}
 }
 
-// unknownBlock reports a block that can't stand where it does.
+// unknownBlock reports a block that is not allowed where it appears.
 func (r *reader) unknownBlock(sub *hclsyntax.Block, path string, fields []field, blocks []block) {
 	if hasField(fields, sub.Type) {
 		r.fail(sub.TypeRange, joinPath(path, sub.Type), "found a block; allowed: a field, as in %s = ...", sub.Type)
@@ -153,7 +153,8 @@
 	r.fail(sub.TypeRange, joinPath(path, sub.Type), "found an unknown block; allowed here: %s", allowedNames(fields, blocks))
 }
 
-// label is a block's name, empty for a kind that has none; false: it has too few or too many, which is reported.
+// label returns a block's name, which is empty for a kind without names. If the number of names is wrong, it reports that and
+// returns false.
 func (r *reader) label(sub *hclsyntax.Block, kind *block, path string) (string, bool) {
 	switch {
 	case kind.labelled && len(sub.Labels) != 1:
--- a/internal/config/check_pools.go
+++ b/internal/config/check_pools.go
@@ -33,15 +33,15 @@
 		if p.LoadReports != (LoadReports{}) {
 			k.name(path+".load_reports.busy", p.LoadReports.BusyMetric)
 			k.number(path+".load_reports.ask", p.LoadReports.PollChoices, 0, maxPollChoices)
-			if at := p.LoadReports.PollPath; p.LoadReports.PollChoices == 1 {
-				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: there is nothing to choose from one", maxPollChoices)
-			} else if (at != "") != (p.LoadReports.PollChoices > 0) || at != "" && (at[0] != '/' || strings.ContainsFunc(at, func(c rune) bool { return c <= ' ' || c > '~' })) {
-				k.fail(path+".load_reports.ask_path", "found %q; allowed: a path from \"/\" on of visible ASCII, and only with ask", at)
+			if pollPath := p.LoadReports.PollPath; p.LoadReports.PollChoices == 1 {
+				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: polling one server leaves no choice", maxPollChoices)
+			} else if (pollPath != "") != (p.LoadReports.PollChoices > 0) || pollPath != "" && (pollPath[0] != '/' || strings.ContainsFunc(pollPath, func(c rune) bool { return c <= ' ' || c > '~' })) {
+				k.fail(path+".load_reports.ask_path", "found %q; allowed: a path of visible ASCII that begins with \"/\", and only with ask", pollPath)
 			}
 		}
 		k.servers(path, p)
 		if !k.hasRoute(p.Name) {
-			k.warn(path, "no route leads to it")
+			k.warn(path, "no route selects it")
 		}
 	}
 }
@@ -55,9 +55,9 @@
 func (k *checker) servers(path string, p Pool) {
 	switch {
 	case p.Registry != nil && len(p.Servers) > 0:
-		k.fail(path, "it has both a registry and servers of its own; allowed: one of them")
+		k.fail(path, "found both a registry block and server blocks; allowed: one of them")
 	case p.Registry == nil && len(p.Servers) == 0:
-		k.fail(path, "it has no servers; allowed: server blocks, or a registry block that tells where their list is")
+		k.fail(path, "found no servers; allowed: server blocks, or a registry block with the address of their list")
 	}
 	if r := p.Registry; r != nil {
 		k.dialAddress(path+".registry.address", r.Address)
@@ -65,23 +65,23 @@
 		if r.Mode == Polled {
 			k.duration(path+".registry.ask_within", r.PollInterval, 100*time.Millisecond, time.Hour)
 		} else if r.PollInterval != 0 {
-			k.fail(path+".registry.ask_within", "found %v; it belongs to mode = \"asked\"", r.PollInterval)
+			k.fail(path+".registry.ask_within", "found %v; allowed only with mode = \"asked\"", r.PollInterval)
 		}
 	}
 	checkNames(k, path+".server", p.Servers, Server.name)
 	for i, s := range p.Servers {
-		sp := path + ".server." + s.Name
-		k.dialAddress(sp+".address", s.Address)
-		for _, o := range p.Servers[:i] {
-			if o.Address == s.Address {
-				k.fail(sp+".address", "found %q, which server %q has", s.Address, o.Name)
+		serverPath := path + ".server." + s.Name
+		k.dialAddress(serverPath+".address", s.Address)
+		for _, other := range p.Servers[:i] {
+			if other.Address == s.Address {
+				k.fail(serverPath+".address", "found %q, which is the address of server %q", s.Address, other.Name)
 			}
 		}
 		if s.Zone != "" {
-			k.name(sp+".zone", s.Zone)
+			k.name(serverPath+".zone", s.Zone)
 		}
-		k.number(sp+".cell", s.Cell, 0, math.MaxInt32)
-		k.float(sp+".size", s.Size, 0.001, 1e6)
-		checkEnum(k, sp+".state", s.State, Ready, Draining)
+		k.number(serverPath+".cell", s.Cell, 0, math.MaxInt32)
+		k.float(serverPath+".size", s.Size, 0.001, 1e6)
+		checkEnum(k, serverPath+".state", s.State, Ready, Draining)
 	}
 }
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -34,7 +34,7 @@
 		if len(r.To) > 1 {
 			for _, c := range k.Classes {
 				if c.Effect == Keyed && (len(r.Classes) == 0 || slices.Contains(r.Classes, c.Name)) {
-					k.warn("route."+r.Name, "it shares the keyed class %q among pools: calls go by their key, so that a repeat meets the servers that know it, but a change of weights moves keys", c.Name)
+					k.warn("route."+r.Name, "it splits the keyed class %q between pools: requests are assigned by key, so that a retry reaches the same servers, but a change of weights moves keys to other pools", c.Name)
 				}
 			}
 		}
--- a/internal/config/configtest/draw.go
+++ b/internal/config/configtest/draw.go
@@ -1,4 +1,4 @@
-// Package configtest draws configurations for tests of properties.
+// Package configtest generates configurations for property-based tests.
 package configtest
 
 import (
@@ -11,15 +11,15 @@
 	"damsontrestle/internal/route"
 )
 
-// Addresses is what configurations are drawn from.
+// Addresses is the pool of addresses for drawn configurations.
 type Addresses struct {
-	Servers   []string // addresses
-	Listeners []string // addresses; no two of a configuration share one
+	Servers   []string
+	Listeners []string // each is used at most once in a configuration
 }
 
-// Draw makes a configuration that passes every check, of up to three listeners, pools and further routes, with
-// names that other draws use too.
-func Draw(t *rapid.T, w Addresses) *config.Config {
+// Draw returns a configuration that passes every check, with up to three listeners, pools and additional routes. Their names recur
+// in other draws.
+func Draw(t *rapid.T, available Addresses) *config.Config {
 	c := &config.Config{Node: config.Node{Name: "n", StateFolder: "/state", AdminSocket: "/run/admin",
 		Limits: config.Limits{Memory: config.Size(rapid.IntRange(128, 132).Draw(t, "memory")) << 20,
 			Descriptors: rapid.IntRange(600, 604).Draw(t, "descriptors"), Cores: rapid.IntRange(1, 2).Draw(t, "cores")}}}
@@ -28,16 +28,16 @@
 	}
 	classes := names("classes", 1, "view", "note", "keyed")
 	for _, name := range classes {
-		k := config.Class{Name: name, Effect: map[string]config.Effect{"view": config.Safe, "note": config.Unsafe, "keyed": config.Keyed}[name],
+		class := config.Class{Name: name, Effect: map[string]config.Effect{"view": config.Safe, "note": config.Unsafe, "keyed": config.Keyed}[name],
 			LatencyObjective: config.Duration(time.Duration(rapid.IntRange(900, 902).Draw(t, "aim")) * time.Millisecond), Deadline: config.Duration(4 * time.Second),
 			PriorityWeight: float64(rapid.IntRange(1, 3).Draw(t, "worth")), LateShare: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "late")}
 		if name == "keyed" {
-			k.KeyScope, k.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
+			class.KeyScope, class.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
 		}
-		c.Classes = append(c.Classes, k)
+		c.Classes = append(c.Classes, class)
 	}
 	listeners := names("listeners", 1, "l1", "l2", "l3")
-	addresses := rapid.Permutation(w.Listeners).Draw(t, "addresses")
+	addresses := rapid.Permutation(available.Listeners).Draw(t, "addresses")
 	for i, name := range listeners {
 		c.Listeners = append(c.Listeners, config.Listener{Name: name, Address: addresses[i], Protocol: config.HTTP1,
 			Paths: rapid.SampledFrom([]config.PathPolicy{config.StrictPaths, config.NormalizePaths}).Draw(t, "paths")})
@@ -50,9 +50,9 @@
 			Connections: config.Connections{Max: rapid.IntRange(20, 22).Draw(t, "most"), IdleTimeout: config.Duration(time.Minute),
 				ConnectTimeout: config.Duration(time.Duration(rapid.IntRange(1, 2).Draw(t, "connect")) * time.Second)}}
 		servers := names("servers", 1, "s1", "s2", "s3")
-		at := rapid.Permutation(w.Servers).Draw(t, "at")
+		serverAddresses := rapid.Permutation(available.Servers).Draw(t, "at")
 		for i, s := range servers {
-			p.Servers = append(p.Servers, config.Server{Name: s, Address: at[i], Size: 1, State: config.Ready, Cell: rapid.IntRange(0, 1).Draw(t, "cell")})
+			p.Servers = append(p.Servers, config.Server{Name: s, Address: serverAddresses[i], Size: 1, State: config.Ready, Cell: rapid.IntRange(0, 1).Draw(t, "cell")})
 		}
 		c.Pools = append(c.Pools, p)
 	}
@@ -75,7 +75,7 @@
 		c.Routes = append(c.Routes, r)
 	}
 	if p := c.Check().Errors(); len(p) > 0 {
-		t.Fatalf("a drawn configuration does not pass: %v", p)
+		t.Fatalf("drawn configuration has errors: %v", p)
 	}
 	return c
 }
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,7 +1,10 @@
-// Package config reads a node's configuration, from the platform's JSON file or from an HCL file, into one checked model (Config),
-// and derives from it what other packages take: fingerprints, settings of the balancer, quota terms, export rules.
+// Package config reads a node's configuration, from the platform's JSON file or from an HCL file, into one checked model
+// (Config), and derives from it what other packages use: fingerprints, balancer settings, quota terms and resource needs.
 //
-// It promises that a Config which Check lets pass can be put in place as far as a file can tell, and that every Problem names its
-// place, what was found and what is allowed. It opens no socket and keeps no state: putting a configuration in place is
-// internal/node's, and keeping it internal/daemon's and internal/state's.
+// A Config for which Check reports no error can be put in place, as far as this can be decided from the file alone. Every
+// Problem names its position, what was found and what is allowed.
+//
+// The package reads files; it opens no socket and keeps no state. Putting a configuration in place is left to internal/node,
+// comparing two of them to internal/plan, and storing them to internal/daemon and internal/state. The keys of files and
+// records are mapped to Go names only here.
 package config
--- a/internal/config/federation_blocks.go
+++ b/internal/config/federation_blocks.go
@@ -58,7 +58,7 @@
 		{"hands", false, integer(&e.MaxHops)},
 		{"effects", false, textList(&effects)},
 		{"tenants", false, textList(&e.Tenants)},
-		{"excluded", false, textList(&e.Excluded)},
+		{"excluded", false, textList(&e.ExcludedTenants)},
 		{"until", false, text(&e.Expiry)},
 		{"cost", false, integer(&e.Cost)},
 		{"room", false, integer(&e.Capacity)},
@@ -67,26 +67,26 @@
 		e.Effects = append(e.Effects, Effect(v))
 	}
 	if effects == nil {
-		e.Effects = []Effect{Safe} // what is not said stays at home
+		e.Effects = []Effect{Safe} // other effects are exported only if they are listed
 	}
 	return e
 }
 
 func (r *reader) quota(b *hclsyntax.Body, path, name string) Quota {
 	q := Quota{
-		Name:     name,
-		Over:     0.05,
-		Lease:    Duration(300 * time.Millisecond),
-		Term:     Duration(1500 * time.Millisecond),
-		Fallback: budget.Floor,
+		Name:       name,
+		Overshoot:  0.05,
+		TokenLease: Duration(300 * time.Millisecond),
+		LeaderTerm: Duration(1500 * time.Millisecond),
+		Fallback:   budget.Floor,
 	}
 	r.body(b, path, []field{
 		{"rate", true, decimal(&q.Rate)},
 		{"burst", true, decimal(&q.Burst)},
-		{"over", false, decimal(&q.Over)},
-		{"lease", false, duration(&q.Lease)},
-		{"term", false, duration(&q.Term)},
-		{"wait", false, duration(&q.Wait)},
+		{"over", false, decimal(&q.Overshoot)},
+		{"lease", false, duration(&q.TokenLease)},
+		{"term", false, duration(&q.LeaderTerm)},
+		{"wait", false, duration(&q.MaxWait)},
 		{"when_cut", false, enumeration(&q.Fallback)},
 		{"classes", false, textList(&q.Classes)},
 		{"tenants", false, textList(&q.Tenants)},
--- a/internal/config/federation_check.go
+++ b/internal/config/federation_check.go
@@ -10,47 +10,50 @@
 	"damsontrestle/internal/budget"
 )
 
-// Bounds of a federation.
+// Bounds of the values of a federation.
 const (
-	maxReplicas     = 7
-	maxHops         = 8
-	maxRoutes       = 100_000
-	maxGateways     = 10_000
-	maxLinks        = 16
-	maxListLength   = 256
-	linkMemoryBytes = 40 << 10 // of a link, measured and rounded up (docs/design/peering.md)
+	maxReplicas              = 7
+	maxHops                  = 8
+	maxMetric                = 1_000_000 // of preferences and costs
+	maxCapacity              = 1_000_000
+	minFederationMemoryBytes = 64 << 10
+	maxRoutes                = 100_000
+	maxGateways              = 10_000
+	maxLinks                 = 16
+	maxListLength            = 256
+	linkMemoryBytes          = 40 << 10 // of a link, rounded up (docs/design/peering.md)
 )
 
 func (k *checker) federation() {
-	f := k.Federation
-	if f == nil {
+	federation := k.Federation
+	if federation == nil {
 		k.rejectFederationBlocks()
 		return
 	}
-	path := "federation." + f.Partner
-	k.name(path, f.Partner)
+	path := "federation." + federation.Partner
+	k.name(path, federation.Partner)
 	if k.Node.Peers.Listen == "" {
-		k.fail(path, "the node has no peers block: gateways of a group find one another by it, and links come in at its address")
+		k.fail(path, "the node has no peers block: gateways of a group discover one another through it, and links are accepted at its address")
 	}
-	if f.Listener != "" {
-		l, ok := k.Listener(f.Listener)
+	if federation.Listener != "" {
+		l, ok := k.Listener(federation.Listener)
 		switch {
 		case !ok:
-			k.fail(path+".listener", "found %q: there is no listener of that name", f.Listener)
+			k.fail(path+".listener", "found %q: there is no listener of that name", federation.Listener)
 		case l.Protocol != HTTP1:
-			k.fail(path+".listener", "found %q, which speaks %s; allowed: one of protocol %q", f.Listener, l.Protocol, HTTP1)
+			k.fail(path+".listener", "found %q, which has protocol %s; allowed: a listener with protocol %q", federation.Listener, l.Protocol, HTTP1)
 		}
 	}
-	if f.RequestAddress != "" {
-		k.dialAddress(path+".calls", f.RequestAddress)
+	if federation.RequestAddress != "" {
+		k.dialAddress(path+".calls", federation.RequestAddress)
 	}
-	k.number(path+".holders", f.Replicas, 1, maxReplicas)
-	if f.Memory < 64<<10 || f.Memory > maxMemoryBytes {
-		k.fail(path+".memory", "found %v; allowed: %v to %v", f.Memory, Size(64<<10), Size(maxMemoryBytes))
+	k.number(path+".holders", federation.Replicas, 1, maxReplicas)
+	if federation.Memory < minFederationMemoryBytes || federation.Memory > maxMemoryBytes {
+		k.fail(path+".memory", "found %v; allowed: %v to %v", federation.Memory, Size(minFederationMemoryBytes), Size(maxMemoryBytes))
 	}
-	k.duration(path+".keep", f.ResponseRetention, time.Second, time.Hour)
-	k.duration(path+".stale", f.StaleOfferLifetime, 0, time.Hour)
-	k.duration(path+".silence", f.LinkTimeout, 50*time.Millisecond, time.Minute)
+	k.duration(path+".keep", federation.ResponseRetention, time.Second, time.Hour)
+	k.duration(path+".stale", federation.StaleOfferLifetime, 0, time.Hour)
+	k.duration(path+".silence", federation.LinkTimeout, 50*time.Millisecond, time.Minute)
 	for _, c := range k.Classes {
 		if c.Replication != nil {
 			checkEnum(k, "class."+c.Name+".custody.when_alone", c.Replication.Fallback, ServeUnreplicated, RejectUnreplicated)
@@ -61,27 +64,27 @@
 	k.quotas()
 }
 
-// rejectFederationBlocks reports what only a federation can have.
+// rejectFederationBlocks reports the blocks that require a federation block.
 func (k *checker) rejectFederationBlocks() {
 	for _, c := range k.Classes {
 		if c.Replication != nil {
-			k.fail("class."+c.Name+".custody", "it needs a federation block, and peers in the node's")
+			k.fail("class."+c.Name+".custody", "it requires a federation block, and a peers block in the node block")
 		}
 	}
 	for _, p := range k.Partners {
-		k.fail("partner."+p.Name, "it needs a federation block")
+		k.fail("partner."+p.Name, "it requires a federation block")
 	}
 	for _, e := range k.Exports {
-		k.fail("export."+e.Name, "it needs a federation block")
+		k.fail("export."+e.Name, "it requires a federation block")
 	}
 	for _, q := range k.Quotas {
-		k.fail("quota."+q.Name, "it needs a federation block")
+		k.fail("quota."+q.Name, "it requires a federation block")
 	}
 }
 
-// partnerExists checks that a name is that of a partner, or of this one where that may be.
-func (k *checker) partnerExists(path, name string, self bool) {
-	if self && name == k.Federation.Partner {
+// partnerExists checks that a name is that of another partner or, if allowSelf is set, of this one.
+func (k *checker) partnerExists(path, name string, allowSelf bool) {
+	if allowSelf && name == k.Federation.Partner {
 		return
 	}
 	if _, ok := find(k.Partners, name, Partner.name); !ok {
@@ -106,7 +109,7 @@
 	for _, p := range k.Partners {
 		path := "partner." + p.Name
 		if p.Name == k.Federation.Partner {
-			k.fail(path, "it is called as this partner itself is")
+			k.fail(path, "the name is used by this partner itself")
 		}
 		if !filepath.IsAbs(p.KeyFile) {
 			k.fail(path+".key_file", "found %q; allowed: an absolute path", p.KeyFile)
@@ -117,21 +120,21 @@
 		for _, g := range p.Gateways {
 			k.dialAddress(path+".gateways", g)
 			if other, twice := seen[g]; twice {
-				k.fail(path+".gateways", "found %q, which partner %q has", g, other)
+				k.fail(path+".gateways", "found %q, which is a gateway of partner %q", g, other)
 			}
 			seen[g] = p.Name
 		}
 		k.number(path+".links", p.Links, 1, maxLinks)
-		k.number(path+".preference", p.Preference, 0, 1_000_000)
+		k.number(path+".preference", p.Preference, 0, maxMetric)
 		k.number(path+".most_offers", p.MaxRoutes, 0, maxRoutes)
-		k.number(path+".cost", p.Cost, 0, 1_000_000)
+		k.number(path+".cost", p.Cost, 0, maxMetric)
 		k.number(path+".connections", p.MaxConnections, 1, maxDescriptors)
 		k.prefixes(path+".accept", p.Accept)
 		k.prefixes(path+".deny", p.Deny)
 		for _, to := range p.ReadvertiseTo {
 			k.partnerExists(path+".pass_on_to", to, false)
 			if to == p.Name {
-				k.fail(path+".pass_on_to", "found %q: that is whom the offers come from", to)
+				k.fail(path+".pass_on_to", "found %q, which is the partner that the offers come from", to)
 			}
 		}
 	}
@@ -140,7 +143,7 @@
 func (k *checker) exports() {
 	checkNames(k, "export", k.Exports, Export.name)
 	if len(k.Exports) > 0 && k.Federation.Listener == "" {
-		k.fail("federation."+k.Federation.Partner, "there are exports, but no listener by which partners' calls come in: listener is missing")
+		k.fail("federation."+k.Federation.Partner, "there are exports, but no listener for requests of partners: listener is missing")
 	}
 	for _, e := range k.Exports {
 		path := "export." + e.Name
@@ -149,36 +152,36 @@
 			k.fail(path+".class", "found %q: there is no class of that name", e.Class)
 		}
 		if !strings.HasPrefix(e.Path, "/"+e.Class+"/") || !strings.HasSuffix(e.Path, "/") {
-			k.fail(path+".path", `found %q; allowed: a path of the class with a slash at its end, from "/%s/" on`, e.Path, e.Class)
+			k.fail(path+".path", `found %q; allowed: a path of the class that begins with "/%s/" and ends with a slash`, e.Path, e.Class)
 		}
 		if e.All && len(e.To) > 0 {
-			k.fail(path+".to", "found names beside all = true; allowed: one of them")
+			k.fail(path+".to", "found both all = true and to; allowed: one of them")
 		}
 		if !e.All && len(e.To) == 0 {
-			k.warn(path, "nobody may have it: neither all nor to names anybody")
+			k.warn(path, "it is advertised to no partner: neither all nor to is set")
 		}
 		for _, to := range e.To {
 			if to == k.Federation.Partner {
-				k.fail(path+".to", "found %q: that is this partner itself", to)
+				k.fail(path+".to", "found %q, which is this partner itself", to)
 			}
 		}
 		k.number(path+".hands", e.MaxHops, 1, maxHops)
 		if e.MaxHops > 1 && !e.Transit {
-			k.fail(path+".hands", "found %d, but transit is not allowed: no call can come through more than one partner's hands", e.MaxHops)
+			k.fail(path+".hands", "found %d, but transit is not set: no request can come through more than one partner", e.MaxHops)
 		}
 		for _, v := range e.Effects {
 			checkEnum(k, path+".effects", v, Unsafe, Keyed, Safe)
 		}
 		if ok && !slices.Contains(e.Effects, class.Effect) {
-			k.fail(path+".effects", "the class %q is %s, which is not among them: no call could come; allowed: effects = [%q]", e.Class, class.Effect, class.Effect)
+			k.fail(path+".effects", "the class %q is %s, which is not among them: no request would match; allowed: effects = [%q]", e.Class, class.Effect, class.Effect)
 		}
 		if e.Expiry != "" {
 			if _, err := time.Parse(time.RFC3339, e.Expiry); err != nil {
 				k.fail(path+".until", `found %q; allowed: a time such as "2027-01-31T00:00:00Z"`, e.Expiry)
 			}
 		}
-		k.number(path+".cost", e.Cost, 0, 1_000_000)
-		k.number(path+".room", e.Capacity, 0, 1_000_000)
+		k.number(path+".cost", e.Cost, 0, maxMetric)
+		k.number(path+".room", e.Capacity, 0, maxCapacity)
 	}
 }
 
@@ -186,9 +189,9 @@
 	checkNames(k, "quota", k.Quotas, Quota.name)
 	for _, q := range k.Quotas {
 		path := "quota." + q.Name
-		k.duration(path+".lease", q.Lease, 20*time.Millisecond, time.Minute)
-		k.duration(path+".term", q.Term, 100*time.Millisecond, time.Minute)
-		k.duration(path+".wait", q.Wait, 0, 10*time.Second)
+		k.duration(path+".lease", q.TokenLease, 20*time.Millisecond, time.Minute)
+		k.duration(path+".term", q.LeaderTerm, 100*time.Millisecond, time.Minute)
+		k.duration(path+".wait", q.MaxWait, 0, 10*time.Second)
 		checkEnum(k, path+".when_cut", q.Fallback, budget.Floor, budget.Closed, budget.Open)
 		for _, c := range q.Classes {
 			if _, ok := k.Class(c); !ok {
@@ -203,7 +206,7 @@
 
 func (k *checker) quotaCandidates(path string, candidates []QuotaCandidate) {
 	if len(candidates)%2 == 0 || len(candidates) > maxReplicas {
-		k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, so that a majority of them is one", len(candidates))
+		k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, as a majority needs an odd number", len(candidates))
 	}
 	seen := map[string]bool{}
 	for _, c := range candidates {
@@ -216,7 +219,7 @@
 		}
 		k.dialAddress(candidatePath+".address", c.Address)
 		if seen[c.Name] {
-			k.fail(candidatePath, "it is named twice")
+			k.fail(candidatePath, "the name is used twice")
 		}
 		seen[c.Name] = true
 	}
@@ -231,17 +234,17 @@
 		k.float(partnerPath+".weight", p.Weight, 0.001, 1e6)
 		k.number(partnerPath+".gateways", p.Gateways, 1, maxGateways)
 		if seen[p.Name] {
-			k.fail(partnerPath, "it is named twice")
+			k.fail(partnerPath, "the name is used twice")
 		}
 		seen[p.Name] = true
 	}
 	if !seen[k.Federation.Partner] {
-		k.fail(path, "partner %q { } is missing: this partner's gateways could draw nothing", k.Federation.Partner)
+		k.fail(path, "partner %q { } is missing: this partner's gateways could draw no tokens", k.Federation.Partner)
 	}
 }
 
-// quotaTerms has the budget check its terms. Where a value that it computes with is out of range by itself, which is
-// reported already but for rate and burst, only what it says of those two counts.
+// quotaTerms checks a quota's terms with internal/budget. If a value that the budget computes with is out of its own range, only
+// a problem of rate or burst is reported: the other values have been checked already.
 func (k *checker) quotaTerms(path string, q Quota) {
 	field, why := q.Terms().Check()
 	if field == "" {
@@ -254,7 +257,7 @@
 	k.fail(path+"."+field, "%s", why)
 }
 
-// quotaInRange says that each value of a quota is in its own range.
+// quotaInRange reports whether each value that the budget computes with is in its own range.
 func quotaInRange(q Quota) bool {
 	switch {
 	case !(q.Rate > 0) || math.IsInf(q.Rate, 0):
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,39 +8,41 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// MaxFileSize is how long a file may be.
+// MaxFileSize is the maximum size of a configuration file in bytes.
 const MaxFileSize = 16 << 20
 
-// maxNesting bounds brackets within brackets. The parser recurses, and the stack that it may fill is the
-// process's.
+// maxNesting bounds the depth of nested brackets: the parser recurses, and a stack overflow would end the process.
 const maxNesting = 32
 
-// Load reads and checks a file of our own. All problems are returned at once, with their lines; the Config is nil if one
-// of them is an error, and comes with warnings otherwise.
+// maxTokenProblems bounds the problems that checkTokens reports.
+const maxTokenProblems = 100
+
+// Load reads and checks an HCL file. It returns all problems at once, with their lines. The Config is nil if one of them is an
+// error; otherwise they are all warnings.
 func Load(path string) (*Config, Problems) {
 	text, err := opener(openFile).read(path, MaxFileSize+1)
 	return parseReadResult(text, err, path)
 }
 
-// Reload is Load where a configuration runs: a read that fails is retried for two seconds.
+// Reload is Load for a process that already runs a configuration: it retries a failed read for two seconds.
 func Reload(path string) (*Config, Problems) {
 	text, err := opener(openFile).readWithRetry(path, MaxFileSize+1)
 	return parseReadResult(text, err, path)
 }
 
-// parseReadResult is Parse of a file that was read, or could not be.
+// parseReadResult parses the text of a file, or returns the error of its read as a problem.
 func parseReadResult(text []byte, err error, path string) (*Config, Problems) {
 	if err != nil {
 		message := err.Error()
-		for _, doing := range []string{"open ", "read "} {
-			message = strings.Replace(message, doing+path+": ", "", 1)
+		for _, operation := range []string{"open ", "read "} {
+			message = strings.Replace(message, operation+path+": ", "", 1)
 		}
 		return nil, Problems{{File: path, Message: message}}
 	}
 	return Parse(text, path)
 }
 
-// Parse reads and checks the text of a file of our own, in HCL. The name is for the messages.
+// Parse parses and checks the text of an HCL file. The name is used in messages.
 func Parse(text []byte, name string) (*Config, Problems) {
 	r := &reader{file: name, ranges: map[string]hcl.Range{}, unread: map[string]bool{}}
 	if len(text) > MaxFileSize {
@@ -71,15 +73,15 @@
 	return c, r.problems
 }
 
-// reader turns a file into a Config and remembers the line of each part.
+// reader converts a file into a Config and records the position of each field and block.
 type reader struct {
 	file     string
-	ranges   map[string]hcl.Range // of blocks and fields, by their paths
-	unread   map[string]bool      // paths of what could not be read: what Check says of them is dropped
+	ranges   map[string]hcl.Range // of blocks and fields, by path
+	unread   map[string]bool      // paths of blocks and fields that could not be read; problems that Check finds there are dropped
 	problems Problems
 }
 
-// isUnread says that a field could not be read, or the block round it.
+// isUnread reports whether a field or a block around it could not be read.
 func (r *reader) isUnread(path string) bool {
 	for path != "" {
 		if r.unread[path] {
@@ -90,21 +92,21 @@
 	return false
 }
 
-func (r *reader) fail(at hcl.Range, path, format string, args ...any) {
-	r.problems = append(r.problems, Problem{File: r.file, Line: at.Start.Line, Column: at.Start.Column, Path: path,
+func (r *reader) fail(pos hcl.Range, path, format string, args ...any) {
+	r.problems = append(r.problems, Problem{File: r.file, Line: pos.Start.Line, Column: pos.Start.Column, Path: path,
 		Message: fmt.Sprintf(format, args...)})
 }
 
 func (r *reader) diagnostic(d *hcl.Diagnostic) {
-	at := hcl.Range{Start: hcl.InitialPos}
+	pos := hcl.Range{Start: hcl.InitialPos}
 	if d.Subject != nil {
-		at = *d.Subject
+		pos = *d.Subject
 	}
 	detail := strings.Join(strings.Fields(d.Detail), " ")
-	r.fail(at, "", "%s: %s", strings.ToLower(d.Summary[:1])+d.Summary[1:], detail)
+	r.fail(pos, "", "%s: %s", strings.ToLower(d.Summary[:1])+d.Summary[1:], detail)
 }
 
-// locate gives a problem the place of its field, or of the nearest block round it that the file has.
+// locate sets the position of a problem to that of its field, or of the nearest enclosing block in the file.
 func (r *reader) locate(p *Problem) {
 	p.File = r.file
 	for path := p.Path; path != ""; {
@@ -121,8 +123,8 @@
 	p.Line, p.Column = 1, 1
 }
 
-// checkTokens looks at the file's tokens before the parser does: a configuration holds plain values, with nothing to
-// compute, and is not nested deeply.
+// checkTokens checks the file's tokens before they are parsed: a configuration holds literal values without expressions, and is
+// not nested deeply.
 func (r *reader) checkTokens(text []byte) {
 	tokens, diags := hclsyntax.LexConfig(text, r.file, hcl.InitialPos)
 	for _, d := range diags {
@@ -141,13 +143,13 @@
 		case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack:
 			depth--
 		case hclsyntax.TokenTemplateInterp, hclsyntax.TokenTemplateControl:
-			r.fail(t.Range, "", "found %q; allowed: plain text: nothing is filled in here; write \"$${\" or \"%%%%{\" for the characters themselves", string(t.Bytes))
+			r.fail(t.Range, "", "found %q; allowed: plain text: templates are not supported; write \"$${\" or \"%%%%{\" for the characters themselves", string(t.Bytes))
 		case hclsyntax.TokenIdent, hclsyntax.TokenNumberLit, hclsyntax.TokenOQuote, hclsyntax.TokenCQuote, hclsyntax.TokenQuotedLit,
 			hclsyntax.TokenOHeredoc, hclsyntax.TokenCHeredoc, hclsyntax.TokenStringLit, hclsyntax.TokenEqual, hclsyntax.TokenComma,
 			hclsyntax.TokenComment, hclsyntax.TokenNewline, hclsyntax.TokenEOF, hclsyntax.TokenTemplateSeqEnd:
 		default:
-			r.fail(t.Range, "", "found %q; allowed: blocks, and fields with plain values: text in quotes, numbers, true, false, lists", string(t.Bytes))
-			if len(r.problems) > 100 {
+			r.fail(t.Range, "", "found %q; allowed: blocks, and fields with literal values: quoted strings, numbers, true, false, lists", string(t.Bytes))
+			if len(r.problems) > maxTokenProblems {
 				return
 			}
 		}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -75,28 +75,28 @@
 }
 `
 
-// Each error tells the place, what was found and what is allowed.
+// Each error names the position, what was found and what is allowed.
 func TestErrorsNamePositionAndAllowedValues(t *testing.T) {
 	if _, problems := Parse([]byte(validConfig), "good.hcl"); len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	for _, c := range []struct{ old, text, want string }{
-		{`memory = "64MiB"`, `memory = "64"`, `f.hcl:4:14: node.limits.memory: found "64"; allowed: a whole number with a unit`},
-		{`memory = "64MiB"`, `memory = 64`, `f.hcl:4:14: node.limits.memory: found the number 64; allowed: a whole number with a unit in quotes`},
+		{`memory = "64MiB"`, `memory = "64"`, `f.hcl:4:14: node.limits.memory: found "64"; allowed: an integer with a unit`},
+		{`memory = "64MiB"`, `memory = 64`, `f.hcl:4:14: node.limits.memory: found the number 64; allowed: an integer with a unit in quotes`},
 		{`memory = "64MiB"`, `memory = "1MiB"`, `f.hcl:4:5: node.limits.memory: found 1MiB; allowed: 16MiB to 1024GiB`},
-		{`descriptors = 256`, `descriptors = 256.5`, `f.hcl:5:19: node.limits.descriptors: found the number 256.5; allowed: a whole number`},
+		{`descriptors = 256`, `descriptors = 256.5`, `f.hcl:5:19: node.limits.descriptors: found the number 256.5; allowed: an integer`},
 		{`descriptors = 256`, `descriptors = 64`, `f.hcl:5:5: node.limits.descriptors: found 64, but 176 are needed`},
 		{`memory = "64MiB"`, `memory = "16MiB"
     extra = 1`, `f.hcl:5:5: node.limits.extra: found an unknown field; allowed here: cores, descriptors, memory`},
 		{`effect = "safe"`, `effect = "save"`, `f.hcl:9:3: class.view.effect: found "save"; allowed: "unsafe", "keyed", "safe"`},
-		{`effect = "safe"`, `effect = safe`, `f.hcl:9:12: class.view.effect: found the bare name safe; allowed: a plain value: text stands in quotes`},
+		{`effect = "safe"`, `effect = safe`, `f.hcl:9:12: class.view.effect: found the bare name safe; allowed: a literal value, with strings in quotes`},
 		{`effect = "safe"`, `effect = null`, `f.hcl:9:12: class.view.effect: found null`},
 		{`effect = "safe"`, `effect = "keyed"`, `f.hcl:8:1: class.view.key_scope: found ""; allowed: "cell", "zone", "all"`},
 		{`effect = "safe"`, `effect = "safe"
-  window = "1s"`, `f.hcl:10:3: class.view.window: found 1s; it belongs to classes with effect = "keyed"`},
+  window = "1s"`, `f.hcl:10:3: class.view.window: found 1s; allowed only for classes with effect = "keyed"`},
 		{`aim = "1s"`, `aim = "1"`, `f.hcl:10:9: class.view.aim: found "1"; allowed: a number with a unit`},
 		{`aim = "1s"`, `aim = "3s"`, `f.hcl:10:3: class.view.aim: found 3s; allowed: 1ms to 2s`},
-		{`aim = "1s"`, `aim = -1`, `f.hcl:10:9: found "-"; allowed: blocks, and fields with plain values`},
+		{`aim = "1s"`, `aim = -1`, `f.hcl:10:9: found "-"; allowed: blocks, and fields with literal values`},
 		{`aim = "1s"`, `aim = "${x}"`, `f.hcl:10:10: found "${"; allowed: plain text`},
 		{`aim = "1s"`, `# none`, `f.hcl:8:1: class.view: aim is missing`},
 		{`aim = "1s"`, `aim = "1s" }`, `f.hcl:10:`},
@@ -104,21 +104,21 @@
 		{`"view" {`, `{`, `f.hcl:8:1: class: found 0 names; allowed: one`},
 		{`"view" {`, `"a/b" {`, `f.hcl:8:1: class.a/b: found the name "a/b"; allowed: 1 to 64 letters`},
 		{`address = "127.0.0.1:7070"`, `address = "localhost:7070"`, `f.hcl:14:3: listener.main.address: found "localhost:7070"; allowed: an IP address with a port`},
-		{`address = "127.0.0.1:9001"`, `address = "box1:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "box1:9001"; allowed: an IP address with a port: names are not looked up`},
-		{`address = "127.0.0.1:9001"`, `address = "0.0.0.0:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "0.0.0.0:9001", which nobody can connect to`},
+		{`address = "127.0.0.1:9001"`, `address = "box1:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "box1:9001"; allowed: an IP address with a port: host names are not resolved`},
+		{`address = "127.0.0.1:9001"`, `address = "0.0.0.0:9001"`, `f.hcl:18:5: pool.p.server.s1.address: found "0.0.0.0:9001", which is not an address to connect to`},
 		{`pool = "p"`, `pool = "q"`, `f.hcl:23:3: route.all.to: found pool "q": there is none of that name; allowed: "p"`},
-		{`pool = "p"`, `pool = ["p"]`, `f.hcl:23:10: route.all.pool: found a list; allowed: text in quotes`},
-		{`pool = "p"`, `weight = 1`, `f.hcl:21:1: route.all: it leads to no pool`},
-		{`default = true`, `default = "yes"`, `f.hcl:22:13: route.all.default: found the text "yes"; allowed: true, false`},
+		{`pool = "p"`, `pool = ["p"]`, `f.hcl:23:10: route.all.pool: found a list; allowed: a quoted string`},
+		{`pool = "p"`, `weight = 1`, `f.hcl:21:1: route.all: the route has no pool`},
+		{`default = true`, `default = "yes"`, `f.hcl:22:13: route.all.default: found the string "yes"; allowed: true, false`},
 		{`default = true`, `paths = ["/note/*"]`, `f.hcl:22:3: route.all.paths: it can never match`},
-		{`default = true`, `classes = "view"`, `f.hcl:22:13: route.all.classes: found the text "view"; allowed: a list`},
-		{`default = true`, `classes = [1]`, `f.hcl:22:13: route.all.classes: a list's entry is no text`},
+		{`default = true`, `classes = "view"`, `f.hcl:22:13: route.all.classes: found the string "view"; allowed: a list`},
+		{`default = true`, `classes = [1]`, `f.hcl:22:13: route.all.classes: found a list entry that is not a quoted string`},
 		{`route "all" {`, `rout "all" {`, `f.hcl:21:1: rout: found an unknown block; allowed here: class { }, export { }, federation { }, listener { }, node { }, partner { }, pool { }, quota { }, route { }`},
 		{`route "all" {`, "server = 1\nroute \"all\" {", `f.hcl:21:1: server: found an unknown field; allowed here: class { }`},
 		{`node "n1" {`, "node \"n2\" {\n limits {\n memory = \"64MiB\"\n descriptors = 256\n}\n}\nnode \"n1\" {", `f.hcl:8:1: node: found a second block; allowed: one`},
 		{`limits {`, `limits "x" {`, `f.hcl:3:3: node.limits: found the name "x"; allowed: none`},
-		{`listener "main" {`, "listener \"b\" {\n address = \"0.0.0.0:7070\"\n}\nlistener \"main\" {", `f.hcl:17:3: listener.main.address: found "127.0.0.1:7070", which listener "b" takes with "0.0.0.0:7070"`},
-		{`server "s1" {`, "server \"s0\" {\n address = \"127.0.0.1:9001\"\n}\nserver \"s1\" {", `f.hcl:21:5: pool.p.server.s1.address: found "127.0.0.1:9001", which server "s0" has`},
+		{`listener "main" {`, "listener \"b\" {\n address = \"0.0.0.0:7070\"\n}\nlistener \"main\" {", `f.hcl:17:3: listener.main.address: found "127.0.0.1:7070", which conflicts with listener "b" at "0.0.0.0:7070"`},
+		{`server "s1" {`, "server \"s0\" {\n address = \"127.0.0.1:9001\"\n}\nserver \"s1\" {", `f.hcl:21:5: pool.p.server.s1.address: found "127.0.0.1:9001", which is the address of server "s0"`},
 		{`limits {`, "peers {\n listen = \"127.0.0.1:7946\"\n}\nlimits {", `f.hcl:3:3: node.peers: key_file is missing`},
 		{`limits {`, "peers {\n listen = \"box:7946\"\n key_file = \"/k\"\n}\nlimits {", `f.hcl:4:2: node.peers.listen: found "box:7946"; allowed: an IP address with a port`},
 		{`limits {`, "peers {\n listen = \"127.0.0.1:1\"\n key_file = \"k\"\n}\nlimits {", `f.hcl:5:2: node.peers.key_file: found "k"; allowed: an absolute path`},
@@ -129,24 +129,24 @@
 		{`server "s1" {`, "load_reports {\n busy = \"a=b\"\n}\nserver \"s1\" {", `f.hcl:18:2: pool.p.load_reports.busy: found the name "a=b"; allowed: 1 to 64 letters`},
 		{`server "s1" {`, "load_reports {\n busy = \"x\"\n ask = 17\n}\nserver \"s1\" {", `f.hcl:19:2: pool.p.load_reports.ask: found 17; allowed: 0 to 16`},
 		{`server "s1" {`, "load_reports {\n busy = \"x\"\n ask = 1\n}\nserver \"s1\" {", `f.hcl:19:2: pool.p.load_reports.ask: found 1; allowed: 0, or 2 to 16`},
-		{`server "s1" {`, "load_reports {\n busy = \"x\"\n ask_path = \"/x\"\n}\nserver \"s1\" {", `f.hcl:19:2: pool.p.load_reports.ask_path: found "/x"; allowed: a path from "/" on`},
+		{`server "s1" {`, "load_reports {\n busy = \"x\"\n ask_path = \"/x\"\n}\nserver \"s1\" {", `f.hcl:19:2: pool.p.load_reports.ask_path: found "/x"; allowed: a path of visible ASCII that begins with "/"`},
 		{`server "s1" {`, "load_reports {\n busy = \"x\"\n ask = 2\n ask_path = \"x y\"\n}\nserver \"s1\" {", `f.hcl:20:2: pool.p.load_reports.ask_path: found "x y"; allowed: a path`},
-		{`server "s1" {`, "registry {\n address = \"127.0.0.1:1\"\n}\nserver \"s1\" {", `f.hcl:16:1: pool.p: it has both a registry and servers`},
+		{`server "s1" {`, "registry {\n address = \"127.0.0.1:1\"\n}\nserver \"s1\" {", `f.hcl:16:1: pool.p: found both a registry block and server blocks`},
 		{`"safe"`, `"safe`, `f.hcl:9:`},
 		{`class "view" {`, `class "view" = {`, `f.hcl:8:`},
 	} {
 		text := strings.Replace(validConfig, c.old, c.text, 1)
 		if text == validConfig {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the valid file", c.old)
 		}
 		_, problems := Parse([]byte(text), "f.hcl")
 		if problems.Err() == nil || !strings.Contains(problems.Error(), c.want) {
-			t.Errorf("%s\n  says %v\n  want %s", c.text, problems, c.want)
+			t.Errorf("%s\n  got  %v\n  want %s", c.text, problems, c.want)
 		}
 	}
 }
 
-// All errors come at once, in the order of the file, and one that cannot be read is told once.
+// All errors are reported at once, in the order of the file, and a field that cannot be read is reported once.
 func TestParseReportsAllErrors(t *testing.T) {
 	text := strings.NewReplacer(`memory = "64MiB"`, `memory = 64`, `effect = "safe"`, `effect = "save"`, `aim = "1s"`, `aim = 1`,
 		`pool = "p"`, `pool = "q"`, `"127.0.0.1:9001"`, `"box"`).Replace(validConfig)
@@ -156,27 +156,27 @@
 		lines = append(lines, p.Line)
 	}
 	if !reflect.DeepEqual(lines, []int{4, 9, 10, 18, 23}) {
-		t.Errorf("errors in lines %v\n%v", lines, problems)
+		t.Errorf("errors in lines %v, want [4 9 10 18 23]\n%v", lines, problems)
 	}
 }
 
 func TestParseReturnsWarnings(t *testing.T) {
 	c, problems := Parse([]byte(strings.Replace(validConfig, "256", "512", 1)+"pool \"idle\" {\n server \"s\" {\n address = \"127.0.0.1:9002\"\n }\n}\n"), "f.hcl")
-	if c == nil || problems.Err() != nil || len(problems) != 1 || !strings.Contains(problems.Error(), `f.hcl:25:1: warning: pool.idle: no route leads to it`) {
+	if c == nil || problems.Err() != nil || len(problems) != 1 || !strings.Contains(problems.Error(), `f.hcl:25:1: warning: pool.idle: no route selects it`) {
 		t.Errorf("%v, %v", c, problems)
 	}
 }
 
-// A file that would have the parser recurse without end is refused before it does.
+// A file whose nesting would overflow the stack of the parser is rejected before parsing.
 func TestDeepNestingIsRejected(t *testing.T) {
 	for _, text := range []string{strings.Repeat("[", 1<<20), "a = " + strings.Repeat("[", 1<<20), "a = " + strings.Repeat("!", 1<<20) + "true",
 		"a = " + strings.Repeat("(", 1<<20), strings.Repeat("a {", 1<<18), "a = " + strings.Repeat("-", 1<<18) + "1"} {
 		if _, problems := Parse([]byte(text), "f.hcl"); problems.Err() == nil || len(problems) > 200 {
-			t.Errorf("%.20q: %d problems", text, len(problems))
+			t.Errorf("%.20q: got %d problems, want 1 to 200 with an error", text, len(problems))
 		}
 	}
 	if _, problems := Parse(make([]byte, MaxFileSize+1), "f.hcl"); problems.Err() == nil {
-		t.Error("a file beyond the bound is read")
+		t.Error("a file longer than MaxFileSize is accepted")
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 }
 
-// The platform's file is the same model: what it says has a place there, and is told apart by the same
+// The platform's file is converted to the same model: all its values are represented there, and a different value changes the
 // fingerprint.
 func TestPlatformConfigRoundTrip(t *testing.T) {
 	c, start, err := ParsePlatform([]byte(validPlatformConfig))
@@ -204,23 +204,23 @@
 		t.Fatal(err)
 	}
 	if start.EndpointList == nil {
-		t.Error("the known list is lost")
+		t.Error("the endpoint list is missing")
 	}
 	if _, err := c.RouteTable(); err != nil {
 		t.Error(err)
 	}
 	other, _, err := ParsePlatform([]byte(strings.Replace(validPlatformConfig, `"conn-idle-ms":60000.0`, `"conn-idle-ms":50000.0`, 1)))
 	if err != nil || c.Fingerprint() == other.Fingerprint() {
-		t.Errorf("%v, fingerprint %s", err, other.Fingerprint())
+		t.Errorf("after a change of conn-idle-ms: %v, unchanged fingerprint %s", err, other.Fingerprint())
 	}
-	var back Config
+	var decoded Config
 	text, _ := json.Marshal(c)
-	if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(&back, c) {
-		t.Errorf("%v\ngot  %+v\nwant %+v", err, back, c)
+	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(&decoded, c) {
+		t.Errorf("%v\ngot  %+v\nwant %+v", err, decoded, c)
 	}
 }
 
-// The order of blocks means nothing; anything else does.
+// The fingerprint does not depend on the order of blocks, but on every value.
 func TestFingerprintIgnoresBlockOrder(t *testing.T) {
 	a, _ := Load("../../deploy/damsontrestle.hcl")
 	b, _ := Load("../../deploy/damsontrestle.hcl")
@@ -251,12 +251,12 @@
 	var s Size
 	for _, bad := range []string{"", "MiB", "1.5MiB", "-1B", "1 TB", "9223372036854775807GiB", "1MB"} {
 		if err := s.UnmarshalText([]byte(bad)); err == nil {
-			t.Errorf("%q is read as %v", bad, s)
+			t.Errorf("%q is accepted as %v", bad, s)
 		}
 	}
 }
 
-// The page for operators has every field of the model under the heading of its block.
+// The operators' page lists every field of the model under the heading of its block.
 func TestConfigurationPageNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/configuration.md")
 	if err != nil {
@@ -274,30 +274,30 @@
 		"load_reports": reflect.TypeFor[LoadReports](), "registry": reflect.TypeFor[Registry](), "server": reflect.TypeFor[Server](), "route": reflect.TypeFor[route.Route](),
 		"header": reflect.TypeFor[route.Header](), "to": reflect.TypeFor[route.Target](), "custody": reflect.TypeFor[Replication](),
 		"federation": reflect.TypeFor[Federation](), "partner": reflect.TypeFor[Partner](), "export": reflect.TypeFor[Export](), "quota": reflect.TypeFor[Quota]()}
-	seen := 0
+	fieldCount := 0
 	for kind, block := range blocks {
 		text, there := sections[kind]
 		if !there {
-			t.Errorf("no heading for %s", kind)
+			t.Errorf("the page has no heading for %s", kind)
 		}
 		for i := range block.NumField() {
 			field, _, _ := strings.Cut(block.Field(i).Tag.Get("json"), ",")
 			if field == "name" || field == "pool" || blocks[field] != nil || field == "servers" || field == "headers" {
 				continue // a block's own name, or a block within it
 			}
-			seen++
+			fieldCount++
 			if !strings.Contains(text, "`"+field+"`") {
-				t.Errorf("%s: nothing of %s", kind, field)
+				t.Errorf("%s: field %s is missing on the page", kind, field)
 			}
 		}
 	}
-	if seen < 40 {
-		t.Errorf("only %d fields", seen)
+	if fieldCount < 40 {
+		t.Errorf("got %d fields, want at least 40", fieldCount)
 	}
 }
 
-// Whatever a file holds, it is refused with a place within it, or it is a configuration that passes every
-// check again, is the same once written and read, and that the module takes.
+// Any file is either rejected with a position within it, or parsed into a configuration that passes all checks again, has the same
+// fingerprint after encoding and decoding, and is accepted by the balancer.
 func FuzzFile(f *testing.F) {
 	f.Add([]byte(validConfig))
 	text, err := os.ReadFile("../../deploy/damsontrestle.hcl")
@@ -311,37 +311,37 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, problems := Parse(text, "f.hcl")
 		if (c == nil) != (problems.Err() != nil) {
-			t.Fatalf("a configuration %v, and %v", c, problems)
+			t.Fatalf("got configuration %v with problems %v", c, problems)
 		}
 		lines := strings.Count(string(text), "\n") + 1
 		for _, p := range problems {
 			if p.Line < 1 || p.Line > lines || p.Column < 1 || p.Message == "" {
-				t.Fatalf("%+v in %d lines", p, lines)
+				t.Fatalf("problem %+v has no message or a position outside the %d lines", p, lines)
 			}
 		}
 		if c == nil {
 			return
 		}
-		if again := c.Check(); again.Err() != nil {
-			t.Fatalf("checked again: %v", again)
+		if secondCheck := c.Check(); secondCheck.Err() != nil {
+			t.Fatalf("second check: %v", secondCheck)
 		}
-		enc, err := json.Marshal(c)
+		encoded, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Config
-		if err := json.Unmarshal(enc, &back); err != nil || back.Fingerprint() != c.Fingerprint() {
-			t.Fatalf("%v: not the same once written and read", err)
+		var decoded Config
+		if err := json.Unmarshal(encoded, &decoded); err != nil || decoded.Fingerprint() != c.Fingerprint() {
+			t.Fatalf("%v: the fingerprint differs after encoding and decoding", err)
 		}
 		for _, p := range c.Pools {
 			if _, err := balancer.New(c.BalancerSettings(p), 1); err != nil {
-				t.Fatalf("the module refuses what Check let pass: %v", err)
+				t.Fatalf("the balancer rejects settings that Check accepted: %v", err)
 			}
 		}
 	})
 }
 
-// largeConfig has so many pools and routes.
+// largeConfig returns a configuration with the given numbers of pools and routes.
 func largeConfig(pools, routes int) *Config {
 	c, problems := Parse([]byte(validConfig), "good.hcl")
 	if problems.Err() != nil {
@@ -386,20 +386,20 @@
 		note.Replication == nil || note.Replication.Fallback != RejectUnreplicated || drilling.Preference != 200 || drilling.Links != 2 || c.Exports[1].MaxHops != 1 || len(c.Quotas[0].Candidates) != 3 {
 		t.Errorf("got %+v", c)
 	}
-	words := strings.Join(c.FederationSummary(), "\n")
-	for _, want := range []string{`class "view": where too few holders are reached its calls are served all the same`, `class "note": where too few holders are reached its calls are refused`,
+	summary := strings.Join(c.FederationSummary(), "\n")
+	for _, want := range []string{`class "view": requests are served even if too few holders can be reached`, `class "note": requests are rejected if too few holders can be reached`,
 		`quota "notes": at most 120 calls in any second (120 allowed) and 660 in any 10 s`} {
-		if !strings.Contains(words, want) {
-			t.Errorf("%q is not in\n%s", want, words)
+		if !strings.Contains(summary, want) {
+			t.Errorf("%q is missing in\n%s", want, summary)
 		}
 	}
-	again, problems := Parse([]byte(validConfig), "good.hcl")
-	if len(problems) > 0 || again.FederationSummary() != nil || len(again.AllPools()) != len(again.Pools) || len(c.AllPools()) != 3 {
+	standalone, problems := Parse([]byte(validConfig), "good.hcl")
+	if len(problems) > 0 || standalone.FederationSummary() != nil || len(standalone.AllPools()) != len(standalone.Pools) || len(c.AllPools()) != 3 {
 		t.Errorf("%v", problems)
 	}
 }
 
-// What is wrong with a federation is told by line, with what is allowed.
+// Each error in a federation names the field, what was found and what is allowed.
 func TestFederationErrorsNamePositionAndAllowedValues(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/federation.hcl")
 	if err != nil {
@@ -410,7 +410,7 @@
 		{`when_alone = "serve"`, `when_alone = "hope"`, `class.view.custody.when_alone: found "hope"; allowed: "serve", "refuse"`},
 		{`pass_on_to  = ["karunagappally"]`, `pass_on_to  = ["lab"]`, `partner.drilling.pass_on_to: found "lab": there is no partner of that name`},
 		{`accept      = ["/view/wells/"]`, `accept      = ["/view/wells"]`, `partner.drilling.accept: found "/view/wells"; allowed: a path with a slash at both ends`},
-		{`path     = "/note/chavara/"`, `path     = "/view/chavara/"`, `export.notes.path: found "/view/chavara/"; allowed: a path of the class with a slash at its end, from "/note/" on`},
+		{`path     = "/note/chavara/"`, `path     = "/view/chavara/"`, `export.notes.path: found "/view/chavara/"; allowed: a path of the class that begins with "/note/" and ends with a slash`},
 		{`effects  = ["unsafe"]`, `effects  = ["safe"]`, `export.notes.effects: the class "note" is unsafe, which is not among them`},
 		{`hands   = 2`, `hands   = 9`, `export.views.hands: found 9; allowed: 1 to 8`},
 		{`burst    = 60`, `burst    = 2`, `quota.notes.when_cut: found "floor": cut off, 5 gateways could each draw a call of their own at once`},
@@ -425,14 +425,14 @@
   memory   = "16MiB"
   keep     = "30s"
   stale    = "30s"
-}`, ``, `it needs a federation block`},
+}`, ``, `it requires a federation block`},
 	} {
 		if !strings.Contains(string(text), c.from) {
-			t.Fatalf("the example has no %q", c.from)
+			t.Fatalf("the example does not contain %q", c.from)
 		}
 		_, problems := Parse([]byte(strings.Replace(string(text), c.from, c.to, 1)), "f.hcl")
 		if err := problems.Err(); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %q", c.to, err, c.want)
+			t.Errorf("%q: got %v, want %q", c.to, err, c.want)
 		}
 	}
 }
--- a/internal/config/fingerprint.go
+++ b/internal/config/fingerprint.go
@@ -10,19 +10,19 @@
 	"damsontrestle/internal/route"
 )
 
-// Fingerprint tells configurations apart: it is the same for two that mean the same, whatever the order of
-// their blocks, and differs for all others.
+// Fingerprint returns a hash that identifies the configuration. Configurations that differ only in the order of their blocks have
+// the same one; all others have different ones.
 func (c *Config) Fingerprint() string {
 	text, err := json.Marshal(c.Canonical())
-	if err != nil { // a NaN, which no check lets pass
+	if err != nil { // a NaN, which Check reports
 		return "sha256:invalid"
 	}
 	sum := sha256.Sum256(text)
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// SharedDigest is a number of what the nodes of one fleet have alike: classes, routes and pools, but for which copy a node is and
-// where its registry is. Two that differ have the same one with a chance of one in sixteen million.
+// SharedDigest returns a 24-bit digest of what all nodes of a fleet have in common: classes, routes and pools, without the node's
+// index and the registry's settings. Two different configurations have the same digest with a probability of one in sixteen million.
 func (c *Config) SharedDigest() uint32 {
 	out := Config{Classes: c.Canonical().Classes, Routes: c.Routes, Pools: c.Canonical().Pools}
 	for i := range out.Pools {
@@ -35,7 +35,7 @@
 	return uint32(sum[0])<<16 | uint32(sum[1])<<8 | uint32(sum[2])
 }
 
-// Canonical is a copy of the configuration with all that is named in the order of its names.
+// Canonical returns a copy of the configuration with all named elements sorted by name.
 func (c *Config) Canonical() *Config {
 	out := *c
 	out.Classes = sorted(c.Classes, func(c Class) string { return c.Name })
@@ -57,7 +57,7 @@
 		e := &out.Exports[i]
 		e.To = sorted(e.To, identity)
 		e.Tenants = sorted(e.Tenants, identity)
-		e.Excluded = sorted(e.Excluded, identity)
+		e.ExcludedTenants = sorted(e.ExcludedTenants, identity)
 		e.Effects = sorted(e.Effects, func(v Effect) string { return string(v) })
 	}
 	out.Quotas = sorted(c.Quotas, Quota.name)
--- a/internal/config/needs.go
+++ b/internal/config/needs.go
@@ -1,6 +1,6 @@
 package config
 
-// Memory that parts of a node take, measured and rounded up (docs/design/plan.md).
+// Memory use of the parts of a node in bytes, rounded up (docs/design/plan.md).
 const (
 	baseMemoryBytes       = 12 << 20
 	clientMemoryBytes     = 40 << 10
@@ -10,31 +10,32 @@
 	routeMemoryBytes      = 2 << 10
 )
 
-// Needs are what a configuration asks of the process.
+// Needs is the resources that a configuration requires.
 type Needs struct {
-	Descriptors int  `json:"descriptors"` // with every pool's connections open, and as many clients
-	Memory      Size `json:"memory"`      // likewise, as estimated
+	Descriptors int  `json:"descriptors"` // with all connections of all pools open, and as many clients
+	Memory      Size `json:"memory"`      // estimate for the same load
 }
 
-// Needs adds up what the configuration may take. Clients may have as many descriptors as servers, and more
-// while servers need less.
+// Needs returns the resources that the configuration may use. Client connections may use as many descriptors as server
+// connections, and more while the latter use fewer.
 func (c *Config) Needs() Needs {
-	most, servers := 0, 0
+	connections, servers := 0, 0
 	for _, p := range c.AllPools() {
-		most += p.Connections.Max
+		connections += p.Connections.Max
 		servers += len(p.Servers)
 	}
-	own := c.InternalDescriptors()
-	memory := int64(baseMemoryBytes) + int64(most)*(clientMemoryBytes+connectionMemoryBytes) + int64(len(c.AllPools()))*poolMemoryBytes +
+	internalDescriptors := c.InternalDescriptors()
+	memory := int64(baseMemoryBytes) + int64(connections)*(clientMemoryBytes+connectionMemoryBytes) + int64(len(c.AllPools()))*poolMemoryBytes +
 		int64(servers)*serverMemoryBytes + int64(len(c.Routes))*routeMemoryBytes + int64(c.maxLinkDescriptors())*linkMemoryBytes
 	if c.Federation != nil {
 		memory += int64(c.Federation.Memory)
 	}
-	return Needs{Descriptors: own + 2*most, Memory: Size(memory)}
+	return Needs{Descriptors: internalDescriptors + 2*connections, Memory: Size(memory)}
 }
 
-// InternalDescriptors are those that neither clients nor servers have: the reserved ones, which serve for one
-// listener and one registry's watch, and what further ones need.
+// InternalDescriptors returns the number of descriptors for all but the connections of clients and servers: the reserved ones,
+// which include one listener and one registry watch, and those for the management endpoint, peers, links, and further listeners
+// and registries.
 func (c *Config) InternalDescriptors() int {
 	registries := 0
 	for _, p := range c.Pools {
@@ -42,21 +43,21 @@
 			registries++
 		}
 	}
-	management := 0
+	optional := 0
 	if c.Node.Management != "" {
-		management = managementDescriptors
+		optional = managementDescriptors
 	}
 	if c.Node.Peers.Listen != "" {
-		management++
+		optional++
 	}
-	return ReservedDescriptors + management + c.maxLinkDescriptors() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
+	return ReservedDescriptors + optional + c.maxLinkDescriptors() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
 }
 
-// needs compares what is asked for with the limits.
+// needs checks the required resources against the limits.
 func (k *checker) needs() {
 	n := k.Config.Needs()
 	if l := k.Node.Limits.Descriptors; n.Descriptors > l {
-		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d of the node's own and, with all pools' connections open, twice %d",
+		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d for the node itself and, with all connections of all pools open, twice %d",
 			l, n.Descriptors, k.InternalDescriptors(), (n.Descriptors-k.InternalDescriptors())/2)
 	}
 	if l := k.Node.Limits.Memory; n.Memory > l {
@@ -64,5 +65,5 @@
 	}
 }
 
-// RoundUpToMiB is the size rounded up to MiB, for people.
+// RoundUpToMiB rounds the size up to a multiple of 1 MiB, for display.
 func (s Size) RoundUpToMiB() Size { return (s + 1<<20 - 1) &^ (1<<20 - 1) }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,13 +15,13 @@
 	"damsontrestle/internal/wire"
 )
 
-// Start is what the platform gives a node at its start beside the configuration.
+// InitialState is what the platform passes to a node at its start in addition to the configuration.
 type InitialState struct {
 	Seed         uint64
-	EndpointList json.RawMessage // the endpoint list as the node last had it, perhaps old, in the registry's form
+	EndpointList json.RawMessage // last endpoint list of the node, possibly outdated, in the registry's format
 }
 
-// Names of the parts that the platform's file describes without naming them.
+// Names of the listener and the pool, which the platform's file does not name.
 const (
 	PlatformListener = "main"
 	PlatformPool     = "servers"
@@ -42,7 +42,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// platformSettings holds the settings that the node needs beside the module's.
+// platformSettings holds the settings that the node needs in addition to those of the balancer.
 type platformSettings struct {
 	Zone   string `json:"zone"`
 	Limits struct {
@@ -54,12 +54,12 @@
 // LoadPlatform reads and checks the file that BALANCER_CONFIG names.
 func LoadPlatform() (*Config, InitialState, error) { return loadPlatform(opener(openFile).read) }
 
-// ReloadPlatform is LoadPlatform where a configuration runs: a read that fails is retried for two seconds.
+// ReloadPlatform is LoadPlatform for a process that already runs a configuration: it retries a failed read for two seconds.
 func ReloadPlatform() (*Config, InitialState, error) {
 	return loadPlatform(opener(openFile).readWithRetry)
 }
 
-func loadPlatform(read func(path string, most int64) ([]byte, error)) (*Config, InitialState, error) {
+func loadPlatform(read func(path string, maxBytes int64) ([]byte, error)) (*Config, InitialState, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
 		return nil, InitialState{}, errors.New("config: BALANCER_CONFIG is not set")
@@ -69,18 +69,18 @@
 		return nil, InitialState{}, fmt.Errorf("config: %w", err)
 	}
 	cfg, start, err := ParsePlatform(text)
-	if own := os.Getenv("BALANCER_MGMT"); err == nil && own != "" {
-		// A second process of the same node has an address of its own, whatever a shared file says.
-		if _, bad := netip.ParseAddrPort(own); bad != nil {
-			return nil, InitialState{}, fmt.Errorf("config: BALANCER_MGMT: %w", bad)
+	if address := os.Getenv("BALANCER_MGMT"); err == nil && address != "" {
+		// A second process of the same node has its own address, which overrides that of the shared file.
+		if _, parseErr := netip.ParseAddrPort(address); parseErr != nil {
+			return nil, InitialState{}, fmt.Errorf("config: BALANCER_MGMT: %w", parseErr)
 		}
-		cfg.Node.Management = own
+		cfg.Node.Management = address
 	}
 	return cfg, start, err
 }
 
-// ParsePlatform reads the platform's JSON: one listener, one pool whose list a registry tells, and one route
-// from the one to the other. The error names the first field at fault.
+// ParsePlatform parses the platform's JSON: one listener, one pool with an endpoint list from a registry, and one route from the
+// listener to the pool. The error names the first invalid field.
 func ParsePlatform(text []byte) (*Config, InitialState, error) {
 	c, s, err := parsePlatform(text)
 	if err != nil {
@@ -90,42 +90,42 @@
 }
 
 func parsePlatform(text []byte) (*Config, InitialState, error) {
-	var f platformFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, InitialState{}, err
 	}
-	if len(f.Settings) == 0 {
-		return nil, InitialState{}, errors.New("settings are missing")
+	if len(file.Settings) == 0 {
+		return nil, InitialState{}, errors.New("settings: missing")
 	}
-	var s platformSettings
-	if err := json.Unmarshal(f.Settings, &s); err != nil {
+	var settings platformSettings
+	if err := json.Unmarshal(file.Settings, &settings); err != nil {
 		return nil, InitialState{}, fmt.Errorf("settings: %w", err)
 	}
-	module, err := wire.ParseSettings(f.Settings)
+	balancerSettings, err := wire.ParseSettings(file.Settings)
 	if err != nil {
 		return nil, InitialState{}, err
 	}
-	if err := f.checkAddresses(); err != nil {
+	if err := file.checkAddresses(); err != nil {
 		return nil, InitialState{}, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, InitialState{}, fmt.Errorf("seed: %w", err)
 	}
-	if err := f.checkLimits(); err != nil {
+	if err := file.checkLimits(); err != nil {
 		return nil, InitialState{}, err
 	}
-	if err := s.check(); err != nil {
+	if err := settings.check(); err != nil {
 		return nil, InitialState{}, err
 	}
-	c := platformConfig(f, s, module)
-	if err := c.validate(); err != nil {
+	cfg := platformConfig(file, settings, balancerSettings)
+	if err := cfg.validate(); err != nil {
 		return nil, InitialState{}, fmt.Errorf("settings: %w", err)
 	}
-	return c, InitialState{Seed: seed, EndpointList: f.Known}, nil
+	return cfg, InitialState{Seed: seed, EndpointList: file.Known}, nil
 }
 
-// checkAddresses names the first address that is none.
+// checkAddresses returns an error for the first invalid address.
 func (f *platformFile) checkAddresses() error {
 	addresses := []struct{ field, address string }{
 		{"listen", f.Listen},
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// checkLimits names the first limit that is out of range.
+// checkLimits returns an error for the first limit out of range.
 func (f *platformFile) checkLimits() error {
 	if !(f.Limits.MemoryMB >= 16 && f.Limits.MemoryMB <= 1<<20) {
 		return fmt.Errorf("limits.memory_mb is out of range: %v", f.Limits.MemoryMB)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// check names the first setting that is out of range.
+// check returns an error for the first setting out of range.
 func (s *platformSettings) check() error {
 	times := []struct {
 		name         string
@@ -170,47 +170,47 @@
 	return nil
 }
 
-// platformConfig is the Config that the platform's file stands for.
-func platformConfig(f platformFile, s platformSettings, module balancer.Settings) *Config {
+// platformConfig returns the Config that corresponds to the platform's file.
+func platformConfig(file platformFile, settings platformSettings, balancerSettings balancer.Settings) *Config {
 	pool := Pool{
 		Name:          PlatformPool,
 		Protocol:      HTTP1,
-		Tier:          module.Tier,
-		MaxAttempts:   module.MaxAttempts,
-		MayCancel:     module.MayCancel,
-		Tick:          Duration(module.Tick),
-		MaxRetryAfter: Duration(module.MaxRetryAfter),
-		Balancers:     Balancers{Count: module.Balancers, Index: module.Index},
-		Shedding:      Shedding{Total: module.TotalWeight, WorstClass: module.ClassWeight},
+		Tier:          balancerSettings.Tier,
+		MaxAttempts:   balancerSettings.MaxAttempts,
+		MayCancel:     balancerSettings.MayCancel,
+		Tick:          Duration(balancerSettings.Tick),
+		MaxRetryAfter: Duration(balancerSettings.MaxRetryAfter),
+		Balancers:     Balancers{Count: balancerSettings.Balancers, Index: balancerSettings.Index},
+		Shedding:      Shedding{Total: balancerSettings.TotalWeight, WorstClass: balancerSettings.ClassWeight},
 		Connections: Connections{
-			Max:            (f.Limits.Sockets - ReservedDescriptors) / 2,
-			IdleTimeout:    Duration(millis(s.Limits.ConnIdle)),
-			ConnectTimeout: Duration(millis(s.Limits.ConnectTimeout)),
+			Max:            (file.Limits.Sockets - ReservedDescriptors) / 2,
+			IdleTimeout:    Duration(millis(settings.Limits.ConnIdle)),
+			ConnectTimeout: Duration(millis(settings.Limits.ConnectTimeout)),
 		},
-		SlowStart: SlowStart{Minimum: module.SlowStartMinimum, Window: Duration(module.SlowStartWindow)},
-		Registry:  &Registry{Address: f.Discovery, Mode: Pushed, PollInterval: Duration(module.PollInterval)},
+		SlowStart: SlowStart{Minimum: balancerSettings.SlowStartMinimum, Window: Duration(balancerSettings.SlowStartWindow)},
+		Registry:  &Registry{Address: file.Discovery, Mode: Pushed, PollInterval: Duration(balancerSettings.PollInterval)},
 	}
-	if module.PollDiscovery {
+	if balancerSettings.PollDiscovery {
 		pool.Registry.Mode = Polled
 	}
-	c := &Config{
+	cfg := &Config{
 		Node: Node{
-			Name:       f.Name,
-			Zone:       s.Zone,
-			Management: f.Mgmt,
-			Limits:     Limits{Memory: Size(int64(f.Limits.MemoryMB) << 20), Descriptors: f.Limits.Sockets, Cores: 1},
+			Name:       file.Name,
+			Zone:       settings.Zone,
+			Management: file.Mgmt,
+			Limits:     Limits{Memory: Size(int64(file.Limits.MemoryMB) << 20), Descriptors: file.Limits.Sockets, Cores: 1},
 		},
-		Listeners: []Listener{{Name: PlatformListener, Address: f.Listen, Protocol: HTTP1, Paths: AsSentPaths}},
+		Listeners: []Listener{{Name: PlatformListener, Address: file.Listen, Protocol: HTTP1, Paths: AsSentPaths}},
 		Pools:     []Pool{pool},
 		Routes:    []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: PlatformPool, Weight: 1}}}},
 	}
-	for _, class := range module.Classes {
-		c.Classes = append(c.Classes, classFromBalancer(class))
+	for _, class := range balancerSettings.Classes {
+		cfg.Classes = append(cfg.Classes, classFromBalancer(class))
 	}
-	return c
+	return cfg
 }
 
-// classFromBalancer is the configuration's form of a balancer's class.
+// classFromBalancer converts a class of the balancer to one of the configuration.
 func classFromBalancer(c balancer.Class) Class {
 	out := Class{
 		Name:             c.Name,
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -43,7 +43,7 @@
 		text := strings.Replace(validPlatformConfig, c[0], c[1], 1)
 		if _, _, err := ParsePlatform([]byte(text)); text == validPlatformConfig || err == nil || !strings.Contains(err.Error(), c[2]) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c[1], err)
+			t.Errorf("%s: got error %v, want one line that names %s", c[1], err, c[2])
 		}
 	}
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a configuration, or, as a Warning, that is likely not meant.
+// Problem is an error in a configuration or, if Warning is set, a likely mistake.
 type Problem struct {
 	File    string `json:"file,omitempty"`
-	Line    int    `json:"line,omitempty"`   // from 1; 0: the configuration came from no file
+	Line    int    `json:"line,omitempty"`   // from 1; 0: the configuration does not come from a file
 	Column  int    `json:"column,omitempty"` // from 1, in characters
 	Path    string `json:"path,omitempty"`   // the field, as in "pool.a.connections.most"
 	Message string `json:"message"`          // what was found and what is allowed
 	Warning bool   `json:"warning,omitempty"`
 }
 
-// Error writes it as compilers do: file, line, column, field, message.
+// Error formats the problem like a compiler message: file, line, column, field, message.
 func (p Problem) Error() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -39,34 +39,34 @@
 	return b.String()
 }
 
-// Problems are all that is wrong with a configuration, in the order of its file.
+// Problems lists the problems of a configuration in the order of its file.
 type Problems []Problem
 
-// Error is a line for each.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.Error()
+	for i, problem := range p {
+		lines[i] = problem.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Errors are those that are no warnings.
+// Errors returns the problems that are not warnings.
 func (p Problems) Errors() Problems { return p.filter(false) }
 
-// Warnings are the others.
+// Warnings returns the problems that are warnings.
 func (p Problems) Warnings() Problems { return p.filter(true) }
 
 func (p Problems) filter(warnings bool) (out Problems) {
-	for _, one := range p {
-		if one.Warning == warnings {
-			out = append(out, one)
+	for _, problem := range p {
+		if problem.Warning == warnings {
+			out = append(out, problem)
 		}
 	}
 	return out
 }
 
-// Err is nil if nothing but warnings is there.
+// Err returns the errors, or nil if all problems are warnings.
 func (p Problems) Err() error {
 	if e := p.Errors(); len(e) > 0 {
 		return e
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// How long a file that can't be read is tried again where a configuration runs: another file may be taking its name, or the process be
-// out of descriptors for a moment.
+// Retries of a failed read while a configuration runs: the file may be about to be replaced by another, or the process may be out
+// of descriptors for a moment.
 const (
 	readRetryTimeout  = 2 * time.Second
 	readRetryInterval = 20 * time.Millisecond
@@ -19,30 +19,30 @@
 
 func openFile(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// read reads the bytes of a file, up to a number.
-func (open opener) read(path string, most int64) ([]byte, error) {
+// read reads up to maxBytes bytes of a file.
+func (open opener) read(path string, maxBytes int64) ([]byte, error) {
 	f, err := open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most))
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes))
 	if err != nil {
 		return nil, err
 	}
 	return text, nil
 }
 
-// readWithRetry reads a file as read does, and tries again for a while if that fails.
-func (open opener) readWithRetry(path string, most int64) ([]byte, error) {
-	begin := time.Now()
+// readWithRetry reads a file like read, and retries a failed read until readRetryTimeout has passed.
+func (open opener) readWithRetry(path string, maxBytes int64) ([]byte, error) {
+	start := time.Now()
 	for {
-		text, err := open.read(path, most)
+		text, err := open.read(path, maxBytes)
 		if err == nil {
 			return text, nil
 		}
-		if time.Since(begin) >= readRetryTimeout {
-			return nil, fmt.Errorf("for %v: %w", readRetryTimeout, err)
+		if time.Since(start) >= readRetryTimeout {
+			return nil, fmt.Errorf("retried for %v: %w", readRetryTimeout, err)
 		}
 		time.Sleep(readRetryInterval)
 	}
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 )
 
-// brokenReader fails to be read.
+// brokenReader fails every read.
 type brokenReader struct{ errno syscall.Errno }
 
 func (b brokenReader) Read([]byte) (int, error) {
@@ -19,7 +19,7 @@
 
 func (brokenReader) Close() error { return nil }
 
-// failingOpener opens a file that can't be read a number of times, first by its opening and then by its reads in turn.
+// failingOpener returns an opener whose first calls, given by times, fail alternately on opening the file and on reading it.
 func failingOpener(errno syscall.Errno, times int) (open opener, opened *int) {
 	opened = new(int)
 	return func(string) (io.ReadCloser, error) {
@@ -34,21 +34,21 @@
 	}, opened
 }
 
-// A file that can't be read for a moment is read a moment later; one that can't be read at all is given up after two seconds.
+// A transient read error is retried; a permanent one is returned after two seconds.
 func TestReadWithRetry(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOENT, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.ESTALE} {
 		synctest.Test(t, func(t *testing.T) {
 			open, opened := failingOpener(errno, 5)
 			if text, err := open.readWithRetry("f", 100); string(text) != "text" || err != nil || *opened != 6 {
-				t.Errorf("%v five times: %q, %v after %d", errno, text, err, *opened)
+				t.Errorf("%v on the first five opens: got %q, %v after %d opens", errno, text, err, *opened)
 			}
 			open, opened = failingOpener(errno, 1<<30)
 			if _, err := open.readWithRetry("f", 100); !errors.Is(err, errno) || *opened != 1+int(readRetryTimeout/readRetryInterval) {
-				t.Errorf("%v always: %v after %d", errno, err, *opened)
+				t.Errorf("%v on every open: got %v after %d opens", errno, err, *opened)
 			}
 			open, opened = failingOpener(errno, 1)
 			if _, err := open.read("f", 100); !errors.Is(err, errno) || *opened != 1 {
-				t.Errorf("%v at a start: %v after %d", errno, err, *opened)
+				t.Errorf("%v without retry: got %v after %d opens", errno, err, *opened)
 			}
 		})
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,7 +18,7 @@
 	AllScope:  balancer.ScopeAll,
 }
 
-// BalancerClass is the class as the decision module has it.
+// BalancerClass returns the class as the balancer represents it.
 func (c Class) BalancerClass() balancer.Class {
 	return balancer.Class{
 		Name:             c.Name,
@@ -32,7 +32,7 @@
 	}
 }
 
-// BalancerSettings are what the Balancer of a pool is told.
+// BalancerSettings returns the settings of the Balancer of a pool.
 func (c *Config) BalancerSettings(p Pool) balancer.Settings {
 	s := balancer.Settings{
 		Balancers:        p.Balancers.Count,
@@ -49,12 +49,13 @@
 		SlowStartWindow:  time.Duration(p.SlowStart.Window),
 	}
 	for _, class := range c.Classes {
-		m := class.BalancerClass()
-		if _, partners := PartnerOfPool(p.Name); partners && m.Effect == balancer.Keyed {
-			// Which servers of a partner discard duplicates isn't known here: the partner is asked for the outcome.
-			m.Effect = balancer.Unsafe
+		balancerClass := class.BalancerClass()
+		if _, isPartner := PartnerOfPool(p.Name); isPartner && balancerClass.Effect == balancer.Keyed {
+			// It isn't known here which servers of a partner discard duplicates, so the partner is asked for the outcome
+			// instead of repeating the request.
+			balancerClass.Effect = balancer.Unsafe
 		}
-		s.Classes = append(s.Classes, m)
+		s.Classes = append(s.Classes, balancerClass)
 	}
 	if p.Registry != nil {
 		s.PollDiscovery = p.Registry.Mode == Polled
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Duration is a length of time, written with its unit.
+// Duration is a time.Duration that is written with its unit.
 type Duration time.Duration
 
-// MarshalText writes it as in "1.5s".
+// MarshalText formats the duration like "1.5s".
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText parses a duration with a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -26,7 +26,7 @@
 
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Size is a number of bytes, written with its unit.
+// Size is a number of bytes that is written with a unit.
 type Size int64
 
 var sizeUnits = []struct {
@@ -34,7 +34,7 @@
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// String writes it as in "192MiB", in the greatest unit that needs no decimals.
+// String formats the size like "192MiB", in the largest unit that needs no decimals.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if int64(s)%u.bytes == 0 && (s != 0 || u.bytes == 1) {
@@ -44,10 +44,10 @@
 	return "0B"
 }
 
-// MarshalText writes it.
+// MarshalText formats the size like String.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText parses an integer with a unit.
 func (s *Size) UnmarshalText(text []byte) error {
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(string(text), u.name)
@@ -61,5 +61,5 @@
 		*s = Size(n * u.bytes)
 		return nil
 	}
-	return fmt.Errorf("found %q; allowed: a whole number with a unit, such as \"64KiB\", \"192MiB\" or \"1GiB\"", text)
+	return fmt.Errorf("found %q; allowed: an integer with a unit, such as \"64KiB\", \"192MiB\" or \"1GiB\"", text)
 }
--- a/internal/config/value.go
+++ b/internal/config/value.go
@@ -10,26 +10,26 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// literalValue takes an expression for the plain value that it must be.
+// literalValue returns the value of an expression, which must be a literal.
 func literalValue(e hclsyntax.Expression) (cty.Value, error) {
 	if t, ok := e.(*hclsyntax.ScopeTraversalExpr); ok {
-		return cty.NilVal, fmt.Errorf("found the bare name %s; allowed: a plain value: text stands in quotes", t.Traversal.RootName())
+		return cty.NilVal, fmt.Errorf("found the bare name %s; allowed: a literal value, with strings in quotes", t.Traversal.RootName())
 	}
 	v, diags := e.Value(nil)
 	if diags.HasErrors() {
 		return cty.NilVal, errors.New(strings.ToLower(diags[0].Summary) + ": " + diags[0].Detail)
 	}
 	if v.IsNull() || !v.IsWhollyKnown() {
-		return cty.NilVal, errors.New("found null; leave the field out instead")
+		return cty.NilVal, errors.New("found null; omit the field instead")
 	}
 	return v, nil
 }
 
-// describeValue describes a value of the wrong kind.
+// describeValue describes a value of the wrong type for messages.
 func describeValue(v cty.Value) string {
 	switch t := v.Type(); {
 	case t == cty.String:
-		return fmt.Sprintf("found the text %q", v.AsString())
+		return fmt.Sprintf("found the string %q", v.AsString())
 	case t == cty.Number:
 		return "found the number " + v.AsBigFloat().Text('g', 12)
 	case t == cty.Bool:
@@ -40,26 +40,26 @@
 	return "found " + v.Type().FriendlyName()
 }
 
-func text(to *string) func(cty.Value) error {
+func text(dst *string) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.String {
-			return fmt.Errorf("%s; allowed: text in quotes", describeValue(v))
+			return fmt.Errorf("%s; allowed: a quoted string", describeValue(v))
 		}
-		*to = v.AsString()
+		*dst = v.AsString()
 		return nil
 	}
 }
 
-func enumeration[T ~string](to *T) func(cty.Value) error {
+func enumeration[T ~string](dst *T) func(cty.Value) error {
 	return func(v cty.Value) error {
 		var word string
 		err := text(&word)(v)
-		*to = T(word)
+		*dst = T(word)
 		return err
 	}
 }
 
-func textList(to *[]string) func(cty.Value) error {
+func textList(dst *[]string) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if !v.Type().IsTupleType() {
 			return fmt.Errorf("%s; allowed: a list, as in [\"a\", \"b\"]", describeValue(v))
@@ -67,62 +67,62 @@
 		for it := v.ElementIterator(); it.Next(); {
 			_, e := it.Element()
 			if e.IsNull() || e.Type() != cty.String {
-				return errors.New("a list's entry is no text in quotes")
+				return errors.New("found a list entry that is not a quoted string")
 			}
-			*to = append(*to, e.AsString())
+			*dst = append(*dst, e.AsString())
 		}
 		return nil
 	}
 }
 
-func boolean(to *bool) func(cty.Value) error {
+func boolean(dst *bool) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Bool {
 			return fmt.Errorf("%s; allowed: true, false", describeValue(v))
 		}
-		*to = v.True()
+		*dst = v.True()
 		return nil
 	}
 }
 
-func integer(to *int) func(cty.Value) error {
+func integer(dst *int) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Number {
-			return fmt.Errorf("%s; allowed: a whole number", describeValue(v))
+			return fmt.Errorf("%s; allowed: an integer", describeValue(v))
 		}
 		n, acc := v.AsBigFloat().Int64()
 		if acc != big.Exact || int64(int(n)) != n {
-			return fmt.Errorf("%s; allowed: a whole number", describeValue(v))
+			return fmt.Errorf("%s; allowed: an integer", describeValue(v))
 		}
-		*to = int(n)
+		*dst = int(n)
 		return nil
 	}
 }
 
-func decimal(to *float64) func(cty.Value) error {
+func decimal(dst *float64) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.Number {
 			return fmt.Errorf("%s; allowed: a number", describeValue(v))
 		}
-		*to, _ = v.AsBigFloat().Float64()
+		*dst, _ = v.AsBigFloat().Float64()
 		return nil
 	}
 }
 
-func duration(to *Duration) func(cty.Value) error {
+func duration(dst *Duration) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.String {
 			return fmt.Errorf("%s; allowed: a number with a unit in quotes, such as \"250ms\", \"1.5s\" or \"2m\"", describeValue(v))
 		}
-		return to.UnmarshalText([]byte(v.AsString()))
+		return dst.UnmarshalText([]byte(v.AsString()))
 	}
 }
 
-func size(to *Size) func(cty.Value) error {
+func size(dst *Size) func(cty.Value) error {
 	return func(v cty.Value) error {
 		if v.Type() != cty.String {
-			return fmt.Errorf("%s; allowed: a whole number with a unit in quotes, such as \"64KiB\" or \"192MiB\"", describeValue(v))
+			return fmt.Errorf("%s; allowed: an integer with a unit in quotes, such as \"64KiB\" or \"192MiB\"", describeValue(v))
 		}
-		return to.UnmarshalText([]byte(v.AsString()))
+		return dst.UnmarshalText([]byte(v.AsString()))
 	}
 }
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -95,7 +95,7 @@
 			NoTransit: !export.Transit,
 			MaxHops:   export.MaxHops,
 			Tenants:   export.Tenants,
-			Excluded:  export.Excluded,
+			Excluded:  export.ExcludedTenants,
 		},
 	}
 	a.Replicated = replicated
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what became of requests since the process began, as clients and servers saw it, for the
-// management endpoint. Front ends and back ends report to it; it knows nothing of either. Counters only grow, and are
-// lost with the process.
+// Package metrics counts the results of requests since the start of the process, as clients and servers observed them, for the
+// management endpoint. Front ends and back ends report to it; it depends on neither. Counters only increase, and are lost when
+// the process ends.
 package metrics
 
 import "sync"
@@ -8,22 +8,22 @@
 // Result is how a request ended for its client.
 type Result int
 
-// Results.
+// Values of Result.
 const (
-	Fulfilled Result = iota // served, with a server's complete reply
+	Fulfilled Result = iota // served with a complete reply of a server
 	Throttled               // rejected
 	Faulted                 // anything else
 )
 
-// String names the result as the metrics do.
+// String returns the name of the result in the metrics.
 func (r Result) String() string { return resultNames[r] }
 
 var resultNames = [...]string{Fulfilled: "fulfilled", Throttled: "throttled", Faulted: "faulted"}
 
-// Counts are the requests of one class by their Result.
+// Counts holds the number of requests of one class for each Result.
 type Counts [len(resultNames)]int64
 
-// Recorder counts. The zero value is ready, and its methods are safe for any number of goroutines.
+// Recorder counts requests and attempts. Its zero value is ready to use, and its methods are safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	classes map[string]Counts
@@ -31,7 +31,7 @@
 	open    int64
 }
 
-// RegisterClasses has classes appear among the metrics before anything of them was counted.
+// RegisterClasses includes classes in the metrics, with counts of 0, before their first request ends.
 func (s *Recorder) RegisterClasses(classes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,14 +40,14 @@
 	}
 }
 
-// RequestStarted notes that a request was taken. RequestEnded or ClientDisconnected must follow.
+// RequestStarted records that a request was accepted. RequestEnded or ClientDisconnected must follow.
 func (s *Recorder) RequestStarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open++
 }
 
-// RequestEnded notes how a request ended.
+// RequestEnded records the result of a request.
 func (s *Recorder) RequestEnded(class string, r Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,14 +55,14 @@
 	s.add(class, r, 1)
 }
 
-// ClientDisconnected notes that the client of a request disconnected before its response.
+// ClientDisconnected records that the client of a request disconnected before its response.
 func (s *Recorder) ClientDisconnected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open--
 }
 
-// AttemptSent notes that an attempt was written completely to a server.
+// AttemptSent records that an attempt was written completely to a server.
 func (s *Recorder) AttemptSent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,34 +78,34 @@
 	s.classes[class] = c
 }
 
-// Report is all metrics at one moment, by the names that operators know.
+// Report is a snapshot of all metrics.
 type Report struct {
 	Fulfilled    map[string]int64 `json:"fulfilled"` // by class
 	Throttled    map[string]int64 `json:"throttled"`
 	Faulted      map[string]int64 `json:"faulted"`
 	Relayed      int64            `json:"relayed"`       // attempts written completely to servers
-	OpenRequests int64            `json:"open_requests"` // taken and not ended
+	OpenRequests int64            `json:"open_requests"` // accepted and not ended
 
-	// Of the servers' list; its owner fills them in.
+	// Of the endpoint list; filled in by its owner.
 	RegistryEntries int `json:"registry_entries"`
-	OutOfRotation   int `json:"out_of_rotation"` // listed servers that nothing new is sent to
+	OutOfRotation   int `json:"out_of_rotation"` // listed servers that get no new requests
 
-	Peers *Peers `json:"peers,omitempty"` // nil: the node knows of no others
+	Peers *Peers `json:"peers,omitempty"` // nil: the node has no peers
 }
 
-// Peers is what a node knows of others; its owner fills it in.
+// Peers is what a node knows of other nodes; filled in by the owner of membership and zone state.
 type Peers struct {
-	Members  map[string]int `json:"members"` // others by status: alive, suspect, dead, left
-	Zones    map[string]int `json:"zones"`   // by what is known of them: fresh, stale, unknown
-	Isolated bool           `json:"alone"`   // nothing fresh is known of anybody else
-	Dropped  int64          `json:"dropped"` // datagrams that came and were not used
+	Members  map[string]int `json:"members"` // other nodes by status: alive, suspect, dead, left
+	Zones    map[string]int `json:"zones"`   // by the freshness of their state: fresh, stale, unknown
+	Isolated bool           `json:"alone"`   // there is no fresh state of any other node
+	Dropped  int64          `json:"dropped"` // received datagrams that were discarded
 }
 
-// Report tells what was counted.
+// Report returns the current counts.
 func (s *Recorder) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := Report{
+	report := Report{
 		Fulfilled:    map[string]int64{},
 		Throttled:    map[string]int64{},
 		Faulted:      map[string]int64{},
@@ -113,9 +113,9 @@
 		OpenRequests: s.open,
 	}
 	for class, c := range s.classes {
-		r.Fulfilled[class] = c[Fulfilled]
-		r.Throttled[class] = c[Throttled]
-		r.Faulted[class] = c[Faulted]
+		report.Fulfilled[class] = c[Fulfilled]
+		report.Throttled[class] = c[Throttled]
+		report.Faulted[class] = c[Faulted]
 	}
-	return r
+	return report
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestRecorderCountsByClass(t *testing.T) {
-	var s Recorder
-	s.RegisterClasses("note", "view")
+	var recorder Recorder
+	recorder.RegisterClasses("note", "view")
 	var wg sync.WaitGroup
 	for range 50 {
 		wg.Go(func() {
 			for _, r := range []Result{Fulfilled, Fulfilled, Throttled, Faulted} {
-				s.RequestStarted()
-				s.AttemptSent()
-				s.RequestEnded("view", r)
+				recorder.RequestStarted()
+				recorder.AttemptSent()
+				recorder.RequestEnded("view", r)
 			}
-			s.RequestStarted()
-			s.ClientDisconnected()
+			recorder.RequestStarted()
+			recorder.ClientDisconnected()
 		})
 	}
 	wg.Wait()
-	s.RequestStarted()
-	got, err := json.Marshal(s.Report())
+	recorder.RequestStarted()
+	got, err := json.Marshal(recorder.Report())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,7 +1,7 @@
-// Package mgmt is the management endpoint: a second address where each connection carries one line and gets one answer,
-// "+OK" or "-ERR" and a reason, or the metrics as JSON and a line with a full stop, and is closed. It has to answer
-// whatever else the node is busy with: it holds a bounded number of connections, and when another comes it closes the
-// one that has been silent for longest. What the lines do is the Control's.
+// Package mgmt implements the management endpoint, on an address of its own. Each connection carries one command line and gets one
+// response, and is then closed: "+OK" or "-ERR" with a text, or the metrics as JSON followed by a line with a full stop. The
+// endpoint must respond even if the node is overloaded: it bounds the number of connections and closes the oldest one when
+// another arrives. A Control executes the commands.
 package mgmt
 
 import (
@@ -20,23 +20,23 @@
 	"damsontrestle/internal/metrics"
 )
 
-// Bounds of what operators may make the node hold.
+// Bounds on the resources of the endpoint.
 const (
-	MaxConnections = 12 // at once; beyond, the one that came first without a complete line goes
+	MaxConnections = 12 // concurrent; one more closes the oldest, which has not sent a complete line
 	maxLineBytes   = 256
-	lineTimeout    = 10 * time.Second // for a complete line
+	lineTimeout    = 10 * time.Second // to receive a complete line
 	writeTimeout   = 2 * time.Second
 )
 
-// Control carries the endpoint's lines out. Its methods return soon.
+// Control executes the endpoint's commands. Its methods must return quickly.
 type Control interface {
-	// Health is nil if this process is ready to serve.
+	// Health returns nil if this process is ready to serve.
 	Health() error
-	// Metrics reports what was counted since the process began.
+	// Metrics returns the metrics since the start of the process.
 	Metrics() metrics.Report
-	// Quiesce makes the node not ready, so that clients are sent elsewhere; an error is answered as it is.
+	// Quiesce makes the node not ready, so that clients are sent elsewhere. The text of an error is the response.
 	Quiesce() error
-	// Resume takes Quiesce back.
+	// Resume reverts Quiesce.
 	Resume() error
 }
 
@@ -44,47 +44,47 @@
 type Server struct {
 	listener net.Listener
 	control  Control
-	done     sync.WaitGroup
+	wg       sync.WaitGroup
 
 	mu     sync.Mutex
-	open   []net.Conn // in the order in which they came
+	conns  []net.Conn // in the order of their arrival
 	closed bool
 }
 
-// Serve opens the management endpoint on a listener until Close.
+// Serve starts the management endpoint on a listener. It runs until Close.
 func Serve(ln net.Listener, c Control, log *slog.Logger) *Server {
 	s := &Server{listener: listener.New(ln, log), control: c}
-	s.done.Add(1)
+	s.wg.Add(1)
 	go s.accept()
 	return s
 }
 
-// Addr is where the management endpoint is.
+// Addr returns the address of the management endpoint.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close closes the management endpoint and every connection.
+// Close closes the management endpoint with all its connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.listener.Close()
-	for _, c := range s.open {
+	for _, c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.wg.Wait()
 }
 
 func (s *Server) accept() {
-	defer s.done.Done()
+	defer s.wg.Done()
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		if s.add(c) {
-			s.done.Add(1)
+			s.wg.Add(1)
 			go func() {
-				defer s.done.Done()
+				defer s.wg.Done()
 				defer s.remove(c)
 				s.serve(c)
 			}()
@@ -92,8 +92,8 @@
 	}
 }
 
-// add makes room for a connection. That its predecessor is closed costs nobody: one that has sent its line is
-// answered at once, so who has been there for longest has not.
+// add registers a connection, and closes the oldest if there are too many. This does not abort a command: a connection that has
+// sent its line gets its response immediately, so the oldest one has not sent it. It returns false if the server is closed.
 func (s *Server) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,11 +101,11 @@
 		c.Close()
 		return false
 	}
-	if len(s.open) >= MaxConnections {
-		s.open[0].Close()
-		s.open = s.open[1:]
+	if len(s.conns) >= MaxConnections {
+		s.conns[0].Close()
+		s.conns = s.conns[1:]
 	}
-	s.open = append(s.open, c)
+	s.conns = append(s.conns, c)
 	return true
 }
 
@@ -113,28 +113,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.Close()
-	if i := slices.Index(s.open, c); i >= 0 {
-		s.open = slices.Delete(s.open, i, i+1)
+	if i := slices.Index(s.conns, c); i >= 0 {
+		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
 func (s *Server) serve(c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(lineTimeout))
 	line, err := bufio.NewReaderSize(c, maxLineBytes).ReadSlice('\n')
-	answer := ""
+	response := ""
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		answer = fmt.Sprintf("-ERR a line holds %d bytes at most\n", maxLineBytes)
+		response = fmt.Sprintf("-ERR a line holds %d bytes at most\n", maxLineBytes)
 	case err != nil:
-		return // disconnected, or silent for too long
+		return // disconnected or timed out
 	default:
-		answer = s.answer(strings.TrimSpace(string(line)))
+		response = s.execute(strings.TrimSpace(string(line)))
 	}
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.Write([]byte(answer))
+	c.Write([]byte(response))
 }
 
-// formatReply is the answer to a line that was carried out, or failed.
+// formatReply returns the response to a command that succeeded or failed.
 func formatReply(ok string, err error) string {
 	if err != nil {
 		return "-ERR " + err.Error() + "\n"
@@ -142,9 +142,9 @@
 	return "+OK " + ok + "\n"
 }
 
-// answer does what a line asks for.
-func (s *Server) answer(request string) string {
-	switch request {
+// execute runs a command and returns the response.
+func (s *Server) execute(command string) string {
+	switch command {
 	case "health":
 		return formatReply("ready", s.control.Health())
 	case "counters":
@@ -158,5 +158,5 @@
 	case "resume":
 		return formatReply("clients are taken", s.control.Resume())
 	}
-	return fmt.Sprintf("-ERR %.40q is no call; there are health, counters, quiesce and resume\n", request)
+	return fmt.Sprintf("-ERR %.40q is no call; there are health, counters, quiesce and resume\n", command)
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// fakeControl is a Control that notes what is asked of it.
+// fakeControl is a Control that records its calls.
 type fakeControl struct {
 	healthErr error
 	calls     []string
@@ -23,9 +23,9 @@
 
 func (d *fakeControl) Health() error { return d.healthErr }
 func (d *fakeControl) Metrics() metrics.Report {
-	var s metrics.Recorder
-	s.RegisterClasses("view")
-	return s.Report()
+	var recorder metrics.Recorder
+	recorder.RegisterClasses("view")
+	return recorder.Report()
 }
 func (d *fakeControl) Quiesce() error { d.calls = append(d.calls, "quiesce"); return nil }
 func (d *fakeControl) Resume() error {
@@ -33,13 +33,13 @@
 	return errors.New("the node is ending")
 }
 
-func startServer(t *testing.T, d *fakeControl) string {
+func startServer(t *testing.T, control *fakeControl) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(ln, d, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := Serve(ln, control, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { s.Close(); goleak.VerifyNone(t) })
 	return ln.Addr().String()
 }
@@ -55,7 +55,7 @@
 	return c
 }
 
-// roundTrip sends pieces of a line and returns all that comes back.
+// roundTrip sends a command line in pieces and returns the complete response.
 func roundTrip(t *testing.T, address string, pieces ...string) string {
 	t.Helper()
 	c := dial(t, address)
@@ -72,8 +72,8 @@
 }
 
 func TestCommands(t *testing.T) {
-	d := &fakeControl{}
-	at := startServer(t, d)
+	control := &fakeControl{}
+	address := startServer(t, control)
 	for _, c := range []struct{ line, want string }{
 		{"health\n", "+OK ready\n"},
 		{"health\r\n", "+OK ready\n"},
@@ -83,18 +83,18 @@
 		{"HEALTH\n", "-ERR \"HEALTH\" is no call; there are health, counters, quiesce and resume\n"},
 		{"\n", "-ERR \"\" is no call; there are health, counters, quiesce and resume\n"},
 	} {
-		if got := roundTrip(t, at, c.line); got != c.want {
+		if got := roundTrip(t, address, c.line); got != c.want {
 			t.Errorf("%q: got %q, want %q", c.line, got, c.want)
 		}
 	}
-	if got := roundTrip(t, at, "hea", "lth", "\nmore that nobody asked for"); got != "+OK ready\n" {
-		t.Errorf("in pieces: got %q", got)
+	if got := roundTrip(t, address, "hea", "lth", "\nignored"); got != "+OK ready\n" {
+		t.Errorf("command in pieces: got %q", got)
 	}
-	if got := roundTrip(t, at, strings.Repeat("x", maxLineBytes)); !strings.HasPrefix(got, "-ERR a line holds") {
-		t.Errorf("too long: got %q", got)
+	if got := roundTrip(t, address, strings.Repeat("x", maxLineBytes)); !strings.HasPrefix(got, "-ERR a line holds") {
+		t.Errorf("command that is too long: got %q", got)
 	}
-	if strings.Join(d.calls, " ") != "quiesce resume" {
-		t.Errorf("asked for %v", d.calls)
+	if strings.Join(control.calls, " ") != "quiesce resume" {
+		t.Errorf("got calls %v, want quiesce and resume", control.calls)
 	}
 }
 
@@ -104,19 +104,19 @@
 	}
 }
 
-// Clients that hold a connection and send half a line must not keep others from being answered, however many
-// they are; the ones that came first are let go.
+// Any number of clients that hold a connection with an incomplete command must not block others: the oldest connections are
+// closed.
 func TestSilentClientsDoNotBlockManagement(t *testing.T) {
-	at := startServer(t, &fakeControl{})
-	first := dial(t, at)
+	address := startServer(t, &fakeControl{})
+	first := dial(t, address)
 	io.WriteString(first, "heal")
 	for range 4 * MaxConnections {
-		io.WriteString(dial(t, at), "heal")
+		io.WriteString(dial(t, address), "heal")
 	}
-	if got := roundTrip(t, at, "health\n"); got != "+OK ready\n" {
+	if got := roundTrip(t, address, "health\n"); got != "+OK ready\n" {
 		t.Errorf("got %q", got)
 	}
 	if _, err := io.ReadAll(first); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the one that came first is still there: %v", err)
+		t.Errorf("the oldest connection is still open: %v", err)
 	}
 }
