--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -68,21 +68,21 @@
 		}
 		return plan.Running{Node: "n", Serial: 8}, nil
 	}}))
-	if s, err := client.Show(t.Context()); err != nil || s.Serial != 7 {
-		t.Errorf("got %+v, %v, want serial 7", s, err)
+	if shown, err := client.Show(t.Context()); err != nil || shown.Serial != 7 {
+		t.Errorf("got %+v, %v, want serial 7", shown, err)
 	}
 	var steps []string
 	record := func(e ChangeEvent) { steps = append(steps, e.Step+" "+e.Took) }
-	if r, err := client.Apply(t.Context(), []byte("good"), 3*time.Second, record); err != nil || r.Serial != 8 || got != "good" || waited != 3*time.Second {
-		t.Errorf("got %+v, %v with plan %q and wait %v", r, err, got, waited)
+	if running, err := client.Apply(t.Context(), []byte("good"), 3*time.Second, record); err != nil || running.Serial != 8 || got != "good" || waited != 3*time.Second {
+		t.Errorf("got %+v, %v with plan %q and wait %v", running, err, got, waited)
 	}
-	if s := strings.Join(steps, ", "); s != "prepare 1ms, commit 1s" {
-		t.Errorf("got steps %q", s)
+	if shown := strings.Join(steps, ", "); shown != "prepare 1ms, commit 1s" {
+		t.Errorf("got steps %q", shown)
 	}
 	_, err := client.Apply(t.Context(), []byte("bad"), 0, nil)
 	var e *Error
 	if !errors.As(err, &e) || e.Code != CodeFailed || e.Message != "it broke" {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want code %s and message \"it broke\"", err, CodeFailed)
 	}
 	if _, err := client.Rollback(t.Context(), plan.Running{Node: "back"}, 0, nil); err != nil || got != "back" {
 		t.Errorf("got %v with node %q, want node back", err, got)
@@ -93,14 +93,14 @@
 func TestErrorCodesMapToHTTPStatus(t *testing.T) {
 	for code, status := range map[string]int{CodeStale: 409, CodeBusy: 409, CodeOtherNode: 409, CodeNoPrevious: 409, CodeShuttingDown: 503,
 		CodeUnreadable: 400, CodeNewer: 400, CodeInvalid: 400, CodeFailed: 500} {
-		h := Handler(fakeControl{func([]byte, time.Duration, func(string, time.Duration)) (plan.Running, error) {
+		handler := Handler(fakeControl{func([]byte, time.Duration, func(string, time.Duration)) (plan.Running, error) {
 			return plan.Running{}, &Error{code, "why"}
 		}})
-		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("POST", "/v1/apply", strings.NewReader("x")))
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, httptest.NewRequest("POST", "/v1/apply", strings.NewReader("x")))
 		var e Error
-		if err := json.Unmarshal(w.Body.Bytes(), &e); err != nil || w.Code != status || e.Code != code || e.Message != "why" {
-			t.Errorf("%s: got %d %s, want status %d", code, w.Code, w.Body, status)
+		if err := json.Unmarshal(recorder.Body.Bytes(), &e); err != nil || recorder.Code != status || e.Code != code || e.Message != "why" {
+			t.Errorf("%s: got %d %s, want status %d", code, recorder.Code, recorder.Body, status)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	testpeer.Receive(t, started, "the start of the change")
 	cancel()
 	if err := testpeer.Receive(t, clientDone, "the end of the client"); !errors.Is(err, ErrTruncatedResponse) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrTruncatedResponse", err)
 	}
 	close(proceed)
 	testpeer.Receive(t, finished, "the end of the change")
@@ -167,7 +167,7 @@
 
 func TestShowWithoutDaemon(t *testing.T) {
 	if _, err := NewClient(filepath.Join(t.TempDir(), "none")).Show(t.Context()); !errors.Is(err, ErrNoDaemon) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrNoDaemon", err)
 	}
 }
 
@@ -183,7 +183,7 @@
 		io.WriteString(w, `{"step":"prepare"}`+"\n")
 	}))
 	if _, err := NewClient(filepath.Join(dir, "s")).Apply(t.Context(), nil, 0, nil); !errors.Is(err, ErrTruncatedResponse) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrTruncatedResponse", err)
 	}
 }
 
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -44,16 +44,16 @@
 
 // Show returns the running configuration with its status.
 func (c *Client) Show(ctx context.Context) (ShowResponse, error) {
-	var running ShowResponse
+	var response ShowResponse
 	resp, err := c.send(ctx, http.MethodGet, "/v1/show", nil)
 	if err != nil {
-		return running, err
+		return response, err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(&running); err != nil {
-		return running, fmt.Errorf("%s: decoding the response: %w", c.path, err)
+	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
+		return response, fmt.Errorf("%s: decoding the response: %w", c.path, err)
 	}
-	return running, nil
+	return response, nil
 }
 
 // Apply applies a plan. If step is not nil, it is called after each step.
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -11,99 +11,99 @@
 
 // config reads the top-level blocks of the file.
 func (r *reader) config(b *hclsyntax.Body) *Config {
-	c := &Config{}
+	cfg := &Config{}
 	r.body(b, "", nil, []block{
 		{kind: "node", labelled: true, required: true, single: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Node = r.node(b, path, label)
+			cfg.Node = r.node(b, path, label)
 		}},
 		{kind: "class", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Classes = append(c.Classes, r.class(b, path, label))
+			cfg.Classes = append(cfg.Classes, r.class(b, path, label))
 		}},
 		{kind: "listener", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Listeners = append(c.Listeners, r.listener(b, path, label))
+			cfg.Listeners = append(cfg.Listeners, r.listener(b, path, label))
 		}},
 		{kind: "pool", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Pools = append(c.Pools, r.pool(b, path, label))
+			cfg.Pools = append(cfg.Pools, r.pool(b, path, label))
 		}},
 		{kind: "route", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Routes = append(c.Routes, r.route(b, path, label))
+			cfg.Routes = append(cfg.Routes, r.route(b, path, label))
 		}},
 		{kind: "federation", labelled: true, single: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Federation = r.federation(b, path, label)
+			cfg.Federation = r.federation(b, path, label)
 		}},
 		{kind: "partner", labelled: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Partners = append(c.Partners, r.partner(b, path, label))
+			cfg.Partners = append(cfg.Partners, r.partner(b, path, label))
 		}},
 		{kind: "export", labelled: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Exports = append(c.Exports, r.export(b, path, label))
+			cfg.Exports = append(cfg.Exports, r.export(b, path, label))
 		}},
 		{kind: "quota", labelled: true, read: func(b *hclsyntax.Body, path, label string) {
-			c.Quotas = append(c.Quotas, r.quota(b, path, label))
+			cfg.Quotas = append(cfg.Quotas, r.quota(b, path, label))
 		}},
 	})
-	return c
+	return cfg
 }
 
 func (r *reader) node(b *hclsyntax.Body, path, name string) Node {
-	n := Node{Name: name, Limits: Limits{Cores: 1}}
+	node := Node{Name: name, Limits: Limits{Cores: 1}}
 	r.body(b, path, []field{
-		{"zone", false, text(&n.Zone)},
-		{"state_folder", false, text(&n.StateFolder)},
-		{"admin_socket", false, text(&n.AdminSocket)},
-		{"management", false, text(&n.Management)},
+		{"zone", false, text(&node.Zone)},
+		{"state_folder", false, text(&node.StateFolder)},
+		{"admin_socket", false, text(&node.AdminSocket)},
+		{"management", false, text(&node.Management)},
 	}, []block{
 		{kind: "limits", required: true, single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"memory", true, size(&n.Limits.Memory)},
-				{"descriptors", true, integer(&n.Limits.Descriptors)},
-				{"cores", false, integer(&n.Limits.Cores)},
+				{"memory", true, size(&node.Limits.Memory)},
+				{"descriptors", true, integer(&node.Limits.Descriptors)},
+				{"cores", false, integer(&node.Limits.Cores)},
 			}, nil)
 		}},
 		{kind: "peers", single: true, read: func(b *hclsyntax.Body, path, _ string) {
-			n.Peers.ProbeInterval, n.Peers.MaxDelay = Duration(time.Second), Duration(zonestate.DefaultDelay)
+			node.Peers.ProbeInterval, node.Peers.MaxDelay = Duration(time.Second), Duration(zonestate.DefaultDelay)
 			r.body(b, path, []field{
-				{"listen", true, text(&n.Peers.Listen)},
-				{"advertise", false, text(&n.Peers.Advertise)},
-				{"key_file", true, text(&n.Peers.KeyFile)},
-				{"seeds", false, textList(&n.Peers.Seeds)},
-				{"region", false, text(&n.Peers.Region)},
-				{"period", false, duration(&n.Peers.ProbeInterval)},
-				{"listen_only", false, boolean(&n.Peers.ListenOnly)},
-				{"fresh", false, duration(&n.Peers.MaxZoneStateAge)},
-				{"delay", false, duration(&n.Peers.MaxDelay)},
+				{"listen", true, text(&node.Peers.Listen)},
+				{"advertise", false, text(&node.Peers.Advertise)},
+				{"key_file", true, text(&node.Peers.KeyFile)},
+				{"seeds", false, textList(&node.Peers.Seeds)},
+				{"region", false, text(&node.Peers.Region)},
+				{"period", false, duration(&node.Peers.ProbeInterval)},
+				{"listen_only", false, boolean(&node.Peers.ListenOnly)},
+				{"fresh", false, duration(&node.Peers.MaxZoneStateAge)},
+				{"delay", false, duration(&node.Peers.MaxDelay)},
 			}, nil)
 		}},
 	})
-	return n
+	return node
 }
 
 func (r *reader) class(b *hclsyntax.Body, path, name string) Class {
-	c := Class{Name: name, PriorityWeight: 1}
+	class := Class{Name: name, PriorityWeight: 1}
 	r.body(b, path, []field{
-		{"effect", true, enumeration(&c.Effect)},
-		{"key_scope", false, enumeration(&c.KeyScope)},
-		{"window", false, duration(&c.Window)},
-		{"aim", true, duration(&c.LatencyObjective)},
-		{"deadline", true, duration(&c.Deadline)},
-		{"late_share", false, decimal(&c.LateShare)},
-		{"worth", false, decimal(&c.PriorityWeight)},
+		{"effect", true, enumeration(&class.Effect)},
+		{"key_scope", false, enumeration(&class.KeyScope)},
+		{"window", false, duration(&class.Window)},
+		{"aim", true, duration(&class.LatencyObjective)},
+		{"deadline", true, duration(&class.Deadline)},
+		{"late_share", false, decimal(&class.LateShare)},
+		{"worth", false, decimal(&class.PriorityWeight)},
 	}, []block{
 		{kind: "custody", single: true, read: func(b *hclsyntax.Body, path, _ string) {
-			c.Replication = &Replication{}
-			r.body(b, path, []field{{"when_alone", true, enumeration(&c.Replication.Fallback)}}, nil)
+			class.Replication = &Replication{}
+			r.body(b, path, []field{{"when_alone", true, enumeration(&class.Replication.Fallback)}}, nil)
 		}},
 	})
-	return c
+	return class
 }
 
 func (r *reader) listener(b *hclsyntax.Body, path, name string) Listener {
-	l := Listener{Name: name, Protocol: HTTP1, Paths: StrictPaths}
+	listener := Listener{Name: name, Protocol: HTTP1, Paths: StrictPaths}
 	r.body(b, path, []field{
-		{"address", true, text(&l.Address)},
-		{"protocol", false, enumeration(&l.Protocol)},
-		{"paths", false, enumeration(&l.Paths)},
+		{"address", true, text(&listener.Address)},
+		{"protocol", false, enumeration(&listener.Protocol)},
+		{"paths", false, enumeration(&listener.Paths)},
 	}, nil)
-	return l
+	return listener
 }
 
 // defaultPool returns a pool in which every optional setting has its default.
@@ -127,75 +127,75 @@
 }
 
 func (r *reader) pool(b *hclsyntax.Body, path, name string) Pool {
-	p := defaultPool(name)
+	pool := defaultPool(name)
 	r.body(b, path, []field{
-		{"protocol", false, enumeration(&p.Protocol)},
-		{"tier", false, integer(&p.Tier)},
-		{"attempts", false, integer(&p.MaxAttempts)},
-		{"cancel", false, boolean(&p.MayCancel)},
-		{"tick", false, duration(&p.Tick)},
-		{"retry_after", false, duration(&p.MaxRetryAfter)},
+		{"protocol", false, enumeration(&pool.Protocol)},
+		{"tier", false, integer(&pool.Tier)},
+		{"attempts", false, integer(&pool.MaxAttempts)},
+		{"cancel", false, boolean(&pool.MayCancel)},
+		{"tick", false, duration(&pool.Tick)},
+		{"retry_after", false, duration(&pool.MaxRetryAfter)},
 	}, []block{
 		{kind: "copies", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"count", true, integer(&p.Balancers.Count)},
-				{"index", true, integer(&p.Balancers.Index)},
+				{"count", true, integer(&pool.Balancers.Count)},
+				{"index", true, integer(&pool.Balancers.Index)},
 			}, nil)
 		}},
 		{kind: "shedding", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"whole", true, decimal(&p.Shedding.Total)},
-				{"worst_class", true, decimal(&p.Shedding.WorstClass)},
+				{"whole", true, decimal(&pool.Shedding.Total)},
+				{"worst_class", true, decimal(&pool.Shedding.WorstClass)},
 			}, nil)
 		}},
 		{kind: "connections", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"most", false, integer(&p.Connections.Max)},
-				{"idle", false, duration(&p.Connections.IdleTimeout)},
-				{"connect_timeout", false, duration(&p.Connections.ConnectTimeout)},
+				{"most", false, integer(&pool.Connections.Max)},
+				{"idle", false, duration(&pool.Connections.IdleTimeout)},
+				{"connect_timeout", false, duration(&pool.Connections.ConnectTimeout)},
 			}, nil)
 		}},
 		{kind: "slow_start", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"from", true, decimal(&p.SlowStart.Minimum)},
-				{"over", true, duration(&p.SlowStart.Window)},
+				{"from", true, decimal(&pool.SlowStart.Minimum)},
+				{"over", true, duration(&pool.SlowStart.Window)},
 			}, nil)
 		}},
 		{kind: "load_reports", single: true, read: func(b *hclsyntax.Body, path, _ string) {
 			r.body(b, path, []field{
-				{"busy", true, text(&p.LoadReports.BusyMetric)},
-				{"ask", false, integer(&p.LoadReports.PollChoices)},
-				{"ask_path", false, text(&p.LoadReports.PollPath)},
+				{"busy", true, text(&pool.LoadReports.BusyMetric)},
+				{"ask", false, integer(&pool.LoadReports.PollChoices)},
+				{"ask_path", false, text(&pool.LoadReports.PollPath)},
 			}, nil)
-			if p.LoadReports.PollChoices > 0 && p.LoadReports.PollPath == "" {
-				p.LoadReports.PollPath = "/stats"
+			if pool.LoadReports.PollChoices > 0 && pool.LoadReports.PollPath == "" {
+				pool.LoadReports.PollPath = "/stats"
 			}
 		}},
 		{kind: "registry", single: true, read: func(b *hclsyntax.Body, path, _ string) {
-			p.Registry = &Registry{Mode: Pushed}
+			pool.Registry = &Registry{Mode: Pushed}
 			r.body(b, path, []field{
-				{"address", true, text(&p.Registry.Address)},
-				{"mode", false, enumeration(&p.Registry.Mode)},
-				{"ask_within", false, duration(&p.Registry.PollInterval)},
+				{"address", true, text(&pool.Registry.Address)},
+				{"mode", false, enumeration(&pool.Registry.Mode)},
+				{"ask_within", false, duration(&pool.Registry.PollInterval)},
 			}, nil)
 		}},
 		{kind: "server", labelled: true, read: func(b *hclsyntax.Body, path, label string) {
-			p.Servers = append(p.Servers, r.server(b, path, label))
+			pool.Servers = append(pool.Servers, r.server(b, path, label))
 		}},
 	})
-	return p
+	return pool
 }
 
 func (r *reader) server(b *hclsyntax.Body, path, name string) Server {
-	s := Server{Name: name, Size: 1, State: Ready}
+	server := Server{Name: name, Size: 1, State: Ready}
 	r.body(b, path, []field{
-		{"address", true, text(&s.Address)},
-		{"zone", false, text(&s.Zone)},
-		{"cell", false, integer(&s.Cell)},
-		{"size", false, decimal(&s.Size)},
-		{"state", false, enumeration(&s.State)},
+		{"address", true, text(&server.Address)},
+		{"zone", false, text(&server.Zone)},
+		{"cell", false, integer(&server.Cell)},
+		{"size", false, decimal(&server.Size)},
+		{"state", false, enumeration(&server.State)},
 	}, nil)
-	return s
+	return server
 }
 
 func (r *reader) route(b *hclsyntax.Body, path, name string) route.Route {
--- a/internal/config/body.go
+++ b/internal/config/body.go
@@ -46,23 +46,23 @@
 	return path + "." + name
 }
 
-// field reads the attribute a. A nil a means that the block, whose range is given, does not have the attribute.
-func (r *reader) field(a *hclsyntax.Attribute, block hcl.Range, path string, f field) {
+// field reads an attribute. A nil attribute means that the block, whose range is given, does not have the attribute.
+func (r *reader) field(attribute *hclsyntax.Attribute, block hcl.Range, path string, f field) {
 	fieldPath := joinPath(path, f.name)
-	if a == nil {
+	if attribute == nil {
 		if f.required {
 			r.fail(block, path, "%s is missing", f.name)
 			r.unread[fieldPath] = true
 		}
 		return
 	}
-	r.ranges[fieldPath] = a.SrcRange
-	v, err := literalValue(a.Expr)
+	r.ranges[fieldPath] = attribute.SrcRange
+	v, err := literalValue(attribute.Expr)
 	if err == nil {
 		err = f.set(v)
 	}
 	if err != nil {
-		r.fail(a.Expr.Range(), fieldPath, "%v", err)
+		r.fail(attribute.Expr.Range(), fieldPath, "%v", err)
 		r.unread[fieldPath] = true
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -23,7 +23,7 @@
 	maxCores           = 1024
 	maxDeadline        = time.Hour
 	maxAttempts        = 16
-	maxTickLength      = time.Second
+	maxTick            = time.Second
 	maxBalancers       = 1 << 20
 	maxWeight          = 1e12
 	maxSocketPathBytes = 107 // length of a Unix socket's path on Linux, without the terminating zero
@@ -165,24 +165,24 @@
 		k.fail("class", "the block is missing; at least one is required")
 	}
 	checkNames(k, "class", k.Classes, Class.name)
-	for _, c := range k.Classes {
-		path := "class." + c.Name
-		checkEnum(k, path+".effect", c.Effect, Unsafe, Keyed, Safe)
-		if c.Effect == Keyed {
-			checkEnum(k, path+".key_scope", c.KeyScope, CellScope, ZoneScope, AllScope)
-			k.duration(path+".window", c.Window, time.Millisecond, 24*time.Hour)
+	for _, class := range k.Classes {
+		path := "class." + class.Name
+		checkEnum(k, path+".effect", class.Effect, Unsafe, Keyed, Safe)
+		if class.Effect == Keyed {
+			checkEnum(k, path+".key_scope", class.KeyScope, CellScope, ZoneScope, AllScope)
+			k.duration(path+".window", class.Window, time.Millisecond, 24*time.Hour)
 		} else {
-			if c.KeyScope != "" {
-				k.fail(path+".key_scope", "found %q; allowed only for classes with effect = \"keyed\"", string(c.KeyScope))
+			if class.KeyScope != "" {
+				k.fail(path+".key_scope", "found %q; allowed only for classes with effect = \"keyed\"", string(class.KeyScope))
 			}
-			if c.Window != 0 {
-				k.fail(path+".window", "found %v; allowed only for classes with effect = \"keyed\"", c.Window)
+			if class.Window != 0 {
+				k.fail(path+".window", "found %v; allowed only for classes with effect = \"keyed\"", class.Window)
 			}
 		}
-		k.duration(path+".deadline", c.Deadline, time.Millisecond, maxDeadline)
-		k.duration(path+".aim", c.LatencyObjective, time.Millisecond, max(time.Millisecond, time.Duration(c.Deadline)))
-		k.float(path+".worth", c.PriorityWeight, 0, maxWeight)
-		k.float(path+".late_share", c.LateShare, 0, 1)
+		k.duration(path+".deadline", class.Deadline, time.Millisecond, maxDeadline)
+		k.duration(path+".aim", class.LatencyObjective, time.Millisecond, max(time.Millisecond, time.Duration(class.Deadline)))
+		k.float(path+".worth", class.PriorityWeight, 0, maxWeight)
+		k.float(path+".late_share", class.LateShare, 0, 1)
 	}
 }
 
@@ -191,23 +191,23 @@
 		k.fail("listener", "the block is missing; at least one is required")
 	}
 	checkNames(k, "listener", k.Listeners, Listener.name)
-	for i, l := range k.Listeners {
-		path := "listener." + l.Name
-		checkEnum(k, path+".protocol", l.Protocol, HTTP1, FastCGI)
-		checkEnum(k, path+".paths", l.Paths, StrictPaths, NormalizePaths, AsSentPaths)
-		addr, err := netip.ParseAddrPort(l.Address)
+	for i, listener := range k.Listeners {
+		path := "listener." + listener.Name
+		checkEnum(k, path+".protocol", listener.Protocol, HTTP1, FastCGI)
+		checkEnum(k, path+".paths", listener.Paths, StrictPaths, NormalizePaths, AsSentPaths)
+		addr, err := netip.ParseAddrPort(listener.Address)
 		if err != nil {
-			k.fail(path+".address", "found %q; allowed: an IP address with a port, such as \"127.0.0.1:7070\"", l.Address)
+			k.fail(path+".address", "found %q; allowed: an IP address with a port, such as \"127.0.0.1:7070\"", listener.Address)
 			continue
 		}
 		for _, o := range k.Listeners[:i] {
 			if other, err := netip.ParseAddrPort(o.Address); err == nil && addressesConflict(addr, other) {
-				k.fail(path+".address", "found %q, which conflicts with listener %q at %q", l.Address, o.Name, o.Address)
+				k.fail(path+".address", "found %q, which conflicts with listener %q at %q", listener.Address, o.Name, o.Address)
 			}
 		}
-		if l.Paths == AsSentPaths {
+		if listener.Paths == AsSentPaths {
 			for _, r := range k.Routes {
-				if len(r.Paths) > 0 && (len(r.Listeners) == 0 || slices.Contains(r.Listeners, l.Name)) {
+				if len(r.Paths) > 0 && (len(r.Listeners) == 0 || slices.Contains(r.Listeners, listener.Name)) {
 					k.fail(path+".paths", "found \"as_sent\", but route %q matches by path: a server could interpret the path differently from the route", r.Name)
 				}
 			}
--- a/internal/config/check_pools.go
+++ b/internal/config/check_pools.go
@@ -14,33 +14,33 @@
 		k.fail("pool", "there is none; at least one must be defined")
 	}
 	checkNames(k, "pool", k.Pools, Pool.name)
-	for _, p := range k.Pools {
-		path := "pool." + p.Name
-		checkEnum(k, path+".protocol", p.Protocol, HTTP1)
-		k.number(path+".tier", p.Tier, 0, maxTier)
-		k.number(path+".attempts", p.MaxAttempts, 1, maxAttempts)
-		k.duration(path+".tick", p.Tick, time.Microsecond, maxTickLength)
-		k.duration(path+".retry_after", p.MaxRetryAfter, 0, maxDeadline)
-		k.number(path+".copies.count", p.Balancers.Count, 1, maxBalancers)
-		k.number(path+".copies.index", p.Balancers.Index, 0, max(1, p.Balancers.Count)-1)
-		k.float(path+".shedding.whole", p.Shedding.Total, 0, maxWeight)
-		k.float(path+".shedding.worst_class", p.Shedding.WorstClass, 0, maxWeight)
-		k.number(path+".connections.most", p.Connections.Max, 1, maxDescriptors)
-		k.duration(path+".connections.idle", p.Connections.IdleTimeout, 10*time.Millisecond, 24*time.Hour)
-		k.duration(path+".connections.connect_timeout", p.Connections.ConnectTimeout, time.Millisecond, time.Minute)
-		k.float(path+".slow_start.from", p.SlowStart.Minimum, 0.01, 1)
-		k.duration(path+".slow_start.over", p.SlowStart.Window, 0, time.Hour)
-		if p.LoadReports != (LoadReports{}) {
-			k.name(path+".load_reports.busy", p.LoadReports.BusyMetric)
-			k.number(path+".load_reports.ask", p.LoadReports.PollChoices, 0, maxPollChoices)
-			if pollPath := p.LoadReports.PollPath; p.LoadReports.PollChoices == 1 {
+	for _, pool := range k.Pools {
+		path := "pool." + pool.Name
+		checkEnum(k, path+".protocol", pool.Protocol, HTTP1)
+		k.number(path+".tier", pool.Tier, 0, maxTier)
+		k.number(path+".attempts", pool.MaxAttempts, 1, maxAttempts)
+		k.duration(path+".tick", pool.Tick, time.Microsecond, maxTick)
+		k.duration(path+".retry_after", pool.MaxRetryAfter, 0, maxDeadline)
+		k.number(path+".copies.count", pool.Balancers.Count, 1, maxBalancers)
+		k.number(path+".copies.index", pool.Balancers.Index, 0, max(1, pool.Balancers.Count)-1)
+		k.float(path+".shedding.whole", pool.Shedding.Total, 0, maxWeight)
+		k.float(path+".shedding.worst_class", pool.Shedding.WorstClass, 0, maxWeight)
+		k.number(path+".connections.most", pool.Connections.Max, 1, maxDescriptors)
+		k.duration(path+".connections.idle", pool.Connections.IdleTimeout, 10*time.Millisecond, 24*time.Hour)
+		k.duration(path+".connections.connect_timeout", pool.Connections.ConnectTimeout, time.Millisecond, time.Minute)
+		k.float(path+".slow_start.from", pool.SlowStart.Minimum, 0.01, 1)
+		k.duration(path+".slow_start.over", pool.SlowStart.Window, 0, time.Hour)
+		if pool.LoadReports != (LoadReports{}) {
+			k.name(path+".load_reports.busy", pool.LoadReports.BusyMetric)
+			k.number(path+".load_reports.ask", pool.LoadReports.PollChoices, 0, maxPollChoices)
+			if pollPath := pool.LoadReports.PollPath; pool.LoadReports.PollChoices == 1 {
 				k.fail(path+".load_reports.ask", "found 1; allowed: 0, or 2 to %d: polling one server leaves no choice", maxPollChoices)
-			} else if (pollPath != "") != (p.LoadReports.PollChoices > 0) || pollPath != "" && (pollPath[0] != '/' || strings.ContainsFunc(pollPath, func(c rune) bool { return c <= ' ' || c > '~' })) {
+			} else if (pollPath != "") != (pool.LoadReports.PollChoices > 0) || pollPath != "" && (pollPath[0] != '/' || strings.ContainsFunc(pollPath, func(c rune) bool { return c <= ' ' || c > '~' })) {
 				k.fail(path+".load_reports.ask_path", "found %q; allowed: a path of visible ASCII that begins with \"/\", and only with ask", pollPath)
 			}
 		}
-		k.servers(path, p)
-		if !k.hasRoute(p.Name) {
+		k.servers(path, pool)
+		if !k.hasRoute(pool.Name) {
 			k.warn(path, "no route selects it")
 		}
 	}
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -9,7 +9,7 @@
 
 func (k *checker) routes() {
 	if len(k.Routes) == 0 {
-		k.fail("route", "there is none; at least one must be defined")
+		k.fail("route", "the block is missing; at least one is required")
 		return
 	}
 	for _, r := range k.Routes {
--- a/internal/config/configtest/draw.go
+++ b/internal/config/configtest/draw.go
@@ -20,7 +20,7 @@
 // Draw returns a configuration that passes every check, with up to three listeners, pools and additional routes. Their names recur
 // in other draws.
 func Draw(t *rapid.T, available Addresses) *config.Config {
-	c := &config.Config{Node: config.Node{Name: "n", StateFolder: "/state", AdminSocket: "/run/admin",
+	cfg := &config.Config{Node: config.Node{Name: "n", StateFolder: "/state", AdminSocket: "/run/admin",
 		Limits: config.Limits{Memory: config.Size(rapid.IntRange(128, 132).Draw(t, "memory")) << 20,
 			Descriptors: rapid.IntRange(600, 604).Draw(t, "descriptors"), Cores: rapid.IntRange(1, 2).Draw(t, "cores")}}}
 	names := func(label string, least int, all ...string) []string {
@@ -34,12 +34,12 @@
 		if name == "keyed" {
 			class.KeyScope, class.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
 		}
-		c.Classes = append(c.Classes, class)
+		cfg.Classes = append(cfg.Classes, class)
 	}
 	listeners := names("listeners", 1, "l1", "l2", "l3")
 	addresses := rapid.Permutation(available.Listeners).Draw(t, "addresses")
 	for i, name := range listeners {
-		c.Listeners = append(c.Listeners, config.Listener{Name: name, Address: addresses[i], Protocol: config.HTTP1,
+		cfg.Listeners = append(cfg.Listeners, config.Listener{Name: name, Address: addresses[i], Protocol: config.HTTP1,
 			Paths: rapid.SampledFrom([]config.PathPolicy{config.StrictPaths, config.NormalizePaths}).Draw(t, "paths")})
 	}
 	pools := names("pools", 1, "p1", "p2", "p3")
@@ -54,7 +54,7 @@
 		for i, s := range servers {
 			p.Servers = append(p.Servers, config.Server{Name: s, Address: serverAddresses[i], Size: 1, State: config.Ready, Cell: rapid.IntRange(0, 1).Draw(t, "cell")})
 		}
-		c.Pools = append(c.Pools, p)
+		cfg.Pools = append(cfg.Pools, p)
 	}
 	to := func() []route.Target {
 		var out []route.Target
@@ -63,7 +63,7 @@
 		}
 		return out
 	}
-	c.Routes = append(c.Routes, route.Route{Name: "default", Default: true, To: to()})
+	cfg.Routes = append(cfg.Routes, route.Route{Name: "default", Default: true, To: to()})
 	for i, host := range names("hosts", 0, "a.example", "*.example", "b.example") {
 		r := route.Route{Name: fmt.Sprint("r", i), Hosts: []string{host}, To: to()}
 		if rapid.Bool().Draw(t, "by class") {
@@ -72,10 +72,10 @@
 		if rapid.Bool().Draw(t, "by header") {
 			r.Headers = []route.Header{{Name: "X-Team"}}
 		}
-		c.Routes = append(c.Routes, r)
+		cfg.Routes = append(cfg.Routes, r)
 	}
-	if p := c.Check().Errors(); len(p) > 0 {
+	if p := cfg.Check().Errors(); len(p) > 0 {
 		t.Fatalf("drawn configuration has errors: %v", p)
 	}
-	return c
+	return cfg
 }
--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -132,10 +132,10 @@
 	if c.Federation == nil {
 		return out
 	}
-	for _, p := range c.Partners {
-		pool := defaultPool(PartnerPoolName(p.Name))
+	for _, partner := range c.Partners {
+		pool := defaultPool(PartnerPoolName(partner.Name))
 		pool.Tier = 1 // admission is decided by the partner that serves the request
-		pool.Connections.Max = p.MaxConnections
+		pool.Connections.Max = partner.MaxConnections
 		pool.Connections.IdleTimeout = Duration(4 * time.Second) // gateways close idle client connections
 		out = append(out, pool)
 	}
--- a/internal/config/federation_blocks.go
+++ b/internal/config/federation_blocks.go
@@ -9,7 +9,7 @@
 )
 
 func (r *reader) federation(b *hclsyntax.Body, path, name string) *Federation {
-	f := &Federation{
+	federation := &Federation{
 		Partner:            name,
 		Replicas:           3,
 		Memory:             8 << 20,
@@ -18,62 +18,62 @@
 		LinkTimeout:        Duration(time.Second),
 	}
 	r.body(b, path, []field{
-		{"listener", false, text(&f.Listener)},
-		{"calls", false, text(&f.RequestAddress)},
-		{"holders", false, integer(&f.Replicas)},
-		{"memory", false, size(&f.Memory)},
-		{"keep", false, duration(&f.ResponseRetention)},
-		{"stale", false, duration(&f.StaleOfferLifetime)},
-		{"silence", false, duration(&f.LinkTimeout)},
+		{"listener", false, text(&federation.Listener)},
+		{"calls", false, text(&federation.RequestAddress)},
+		{"holders", false, integer(&federation.Replicas)},
+		{"memory", false, size(&federation.Memory)},
+		{"keep", false, duration(&federation.ResponseRetention)},
+		{"stale", false, duration(&federation.StaleOfferLifetime)},
+		{"silence", false, duration(&federation.LinkTimeout)},
 	}, nil)
-	return f
+	return federation
 }
 
 func (r *reader) partner(b *hclsyntax.Body, path, name string) Partner {
-	p := Partner{Name: name, Links: 2, Preference: 100, MaxRoutes: 1000, MaxConnections: 16}
+	partner := Partner{Name: name, Links: 2, Preference: 100, MaxRoutes: 1000, MaxConnections: 16}
 	r.body(b, path, []field{
-		{"key_file", true, text(&p.KeyFile)},
-		{"gateways", true, textList(&p.Gateways)},
-		{"links", false, integer(&p.Links)},
-		{"accept", false, textList(&p.Accept)},
-		{"deny", false, textList(&p.Deny)},
-		{"preference", false, integer(&p.Preference)},
-		{"most_offers", false, integer(&p.MaxRoutes)},
-		{"pass_on_to", false, textList(&p.ReadvertiseTo)},
-		{"cost", false, integer(&p.Cost)},
-		{"connections", false, integer(&p.MaxConnections)},
+		{"key_file", true, text(&partner.KeyFile)},
+		{"gateways", true, textList(&partner.Gateways)},
+		{"links", false, integer(&partner.Links)},
+		{"accept", false, textList(&partner.Accept)},
+		{"deny", false, textList(&partner.Deny)},
+		{"preference", false, integer(&partner.Preference)},
+		{"most_offers", false, integer(&partner.MaxRoutes)},
+		{"pass_on_to", false, textList(&partner.ReadvertiseTo)},
+		{"cost", false, integer(&partner.Cost)},
+		{"connections", false, integer(&partner.MaxConnections)},
 	}, nil)
-	return p
+	return partner
 }
 
 func (r *reader) export(b *hclsyntax.Body, path, name string) Export {
-	e := Export{Name: name, MaxHops: 1}
+	export := Export{Name: name, MaxHops: 1}
 	var effects []string
 	r.body(b, path, []field{
-		{"class", true, text(&e.Class)},
-		{"path", true, text(&e.Path)},
-		{"all", false, boolean(&e.All)},
-		{"to", false, textList(&e.To)},
-		{"transit", false, boolean(&e.Transit)},
-		{"hands", false, integer(&e.MaxHops)},
+		{"class", true, text(&export.Class)},
+		{"path", true, text(&export.Path)},
+		{"all", false, boolean(&export.All)},
+		{"to", false, textList(&export.To)},
+		{"transit", false, boolean(&export.Transit)},
+		{"hands", false, integer(&export.MaxHops)},
 		{"effects", false, textList(&effects)},
-		{"tenants", false, textList(&e.Tenants)},
-		{"excluded", false, textList(&e.ExcludedTenants)},
-		{"until", false, text(&e.Expiry)},
-		{"cost", false, integer(&e.Cost)},
-		{"room", false, integer(&e.Capacity)},
+		{"tenants", false, textList(&export.Tenants)},
+		{"excluded", false, textList(&export.ExcludedTenants)},
+		{"until", false, text(&export.Expiry)},
+		{"cost", false, integer(&export.Cost)},
+		{"room", false, integer(&export.Capacity)},
 	}, nil)
 	for _, v := range effects {
-		e.Effects = append(e.Effects, Effect(v))
+		export.Effects = append(export.Effects, Effect(v))
 	}
 	if effects == nil {
-		e.Effects = []Effect{Safe} // other effects are exported only if they are listed
+		export.Effects = []Effect{Safe} // other effects are exported only if they are listed
 	}
-	return e
+	return export
 }
 
 func (r *reader) quota(b *hclsyntax.Body, path, name string) Quota {
-	q := Quota{
+	quota := Quota{
 		Name:       name,
 		Overshoot:  0.05,
 		TokenLease: Duration(300 * time.Millisecond),
@@ -81,20 +81,20 @@
 		Fallback:   budget.Floor,
 	}
 	r.body(b, path, []field{
-		{"rate", true, decimal(&q.Rate)},
-		{"burst", true, decimal(&q.Burst)},
-		{"over", false, decimal(&q.Overshoot)},
-		{"lease", false, duration(&q.TokenLease)},
-		{"term", false, duration(&q.LeaderTerm)},
-		{"wait", false, duration(&q.MaxWait)},
-		{"when_cut", false, enumeration(&q.Fallback)},
-		{"classes", false, textList(&q.Classes)},
-		{"tenants", false, textList(&q.Tenants)},
+		{"rate", true, decimal(&quota.Rate)},
+		{"burst", true, decimal(&quota.Burst)},
+		{"over", false, decimal(&quota.Overshoot)},
+		{"lease", false, duration(&quota.TokenLease)},
+		{"term", false, duration(&quota.LeaderTerm)},
+		{"wait", false, duration(&quota.MaxWait)},
+		{"when_cut", false, enumeration(&quota.Fallback)},
+		{"classes", false, textList(&quota.Classes)},
+		{"tenants", false, textList(&quota.Tenants)},
 	}, []block{
 		{kind: "keeper", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
 			k := QuotaCandidate{Name: label}
 			r.body(b, path, []field{{"address", true, text(&k.Address)}}, nil)
-			q.Candidates = append(q.Candidates, k)
+			quota.Candidates = append(quota.Candidates, k)
 		}},
 		{kind: "partner", labelled: true, required: true, read: func(b *hclsyntax.Body, path, label string) {
 			p := QuotaPartner{Name: label, Weight: 1}
@@ -103,8 +103,8 @@
 				{"weight", false, decimal(&p.Weight)},
 				{"gateways", true, integer(&p.Gateways)},
 			}, nil)
-			q.Partners = append(q.Partners, p)
+			quota.Partners = append(quota.Partners, p)
 		}},
 	})
-	return q
+	return quota
 }
--- a/internal/config/federation_check.go
+++ b/internal/config/federation_check.go
@@ -106,34 +106,34 @@
 func (k *checker) partners() {
 	checkNames(k, "partner", k.Partners, Partner.name)
 	seen := map[string]string{}
-	for _, p := range k.Partners {
-		path := "partner." + p.Name
-		if p.Name == k.Federation.Partner {
+	for _, partner := range k.Partners {
+		path := "partner." + partner.Name
+		if partner.Name == k.Federation.Partner {
 			k.fail(path, "the name is used by this partner itself")
 		}
-		if !filepath.IsAbs(p.KeyFile) {
-			k.fail(path+".key_file", "found %q; allowed: an absolute path", p.KeyFile)
+		if !filepath.IsAbs(partner.KeyFile) {
+			k.fail(path+".key_file", "found %q; allowed: an absolute path", partner.KeyFile)
 		}
-		if len(p.Gateways) == 0 || len(p.Gateways) > maxListLength {
-			k.fail(path+".gateways", "found %d; allowed: 1 to %d", len(p.Gateways), maxListLength)
+		if len(partner.Gateways) == 0 || len(partner.Gateways) > maxListLength {
+			k.fail(path+".gateways", "found %d; allowed: 1 to %d", len(partner.Gateways), maxListLength)
 		}
-		for _, g := range p.Gateways {
+		for _, g := range partner.Gateways {
 			k.dialAddress(path+".gateways", g)
 			if other, twice := seen[g]; twice {
 				k.fail(path+".gateways", "found %q, which is a gateway of partner %q", g, other)
 			}
-			seen[g] = p.Name
+			seen[g] = partner.Name
 		}
-		k.number(path+".links", p.Links, 1, maxLinks)
-		k.number(path+".preference", p.Preference, 0, maxMetric)
-		k.number(path+".most_offers", p.MaxRoutes, 0, maxRoutes)
-		k.number(path+".cost", p.Cost, 0, maxMetric)
-		k.number(path+".connections", p.MaxConnections, 1, maxDescriptors)
-		k.prefixes(path+".accept", p.Accept)
-		k.prefixes(path+".deny", p.Deny)
-		for _, to := range p.ReadvertiseTo {
+		k.number(path+".links", partner.Links, 1, maxLinks)
+		k.number(path+".preference", partner.Preference, 0, maxMetric)
+		k.number(path+".most_offers", partner.MaxRoutes, 0, maxRoutes)
+		k.number(path+".cost", partner.Cost, 0, maxMetric)
+		k.number(path+".connections", partner.MaxConnections, 1, maxDescriptors)
+		k.prefixes(path+".accept", partner.Accept)
+		k.prefixes(path+".deny", partner.Deny)
+		for _, to := range partner.ReadvertiseTo {
 			k.partnerExists(path+".pass_on_to", to, false)
-			if to == p.Name {
+			if to == partner.Name {
 				k.fail(path+".pass_on_to", "found %q, which is the partner that the offers come from", to)
 			}
 		}
@@ -145,68 +145,68 @@
 	if len(k.Exports) > 0 && k.Federation.Listener == "" {
 		k.fail("federation."+k.Federation.Partner, "there are exports, but no listener for requests of partners: listener is missing")
 	}
-	for _, e := range k.Exports {
-		path := "export." + e.Name
-		class, ok := k.Class(e.Class)
+	for _, export := range k.Exports {
+		path := "export." + export.Name
+		class, ok := k.Class(export.Class)
 		if !ok {
-			k.fail(path+".class", "found %q: there is no class of that name", e.Class)
+			k.fail(path+".class", "found %q: there is no class of that name", export.Class)
 		}
-		if !strings.HasPrefix(e.Path, "/"+e.Class+"/") || !strings.HasSuffix(e.Path, "/") {
-			k.fail(path+".path", `found %q; allowed: a path of the class that begins with "/%s/" and ends with a slash`, e.Path, e.Class)
+		if !strings.HasPrefix(export.Path, "/"+export.Class+"/") || !strings.HasSuffix(export.Path, "/") {
+			k.fail(path+".path", `found %q; allowed: a path of the class that begins with "/%s/" and ends with a slash`, export.Path, export.Class)
 		}
-		if e.All && len(e.To) > 0 {
+		if export.All && len(export.To) > 0 {
 			k.fail(path+".to", "found both all = true and to; allowed: one of them")
 		}
-		if !e.All && len(e.To) == 0 {
+		if !export.All && len(export.To) == 0 {
 			k.warn(path, "it is advertised to no partner: neither all nor to is set")
 		}
-		for _, to := range e.To {
+		for _, to := range export.To {
 			if to == k.Federation.Partner {
 				k.fail(path+".to", "found %q, which is this partner itself", to)
 			}
 		}
-		k.number(path+".hands", e.MaxHops, 1, maxHops)
-		if e.MaxHops > 1 && !e.Transit {
-			k.fail(path+".hands", "found %d, but transit is not set: no request can come through more than one partner", e.MaxHops)
+		k.number(path+".hands", export.MaxHops, 1, maxHops)
+		if export.MaxHops > 1 && !export.Transit {
+			k.fail(path+".hands", "found %d, but transit is not set: no request can come through more than one partner", export.MaxHops)
 		}
-		for _, v := range e.Effects {
+		for _, v := range export.Effects {
 			checkEnum(k, path+".effects", v, Unsafe, Keyed, Safe)
 		}
-		if ok && !slices.Contains(e.Effects, class.Effect) {
-			k.fail(path+".effects", "the class %q is %s, which is not among them: no request would match; allowed: effects = [%q]", e.Class, class.Effect, class.Effect)
+		if ok && !slices.Contains(export.Effects, class.Effect) {
+			k.fail(path+".effects", "the class %q is %s, which is not among them: no request would match; allowed: effects = [%q]", export.Class, class.Effect, class.Effect)
 		}
-		if e.Expiry != "" {
-			if _, err := time.Parse(time.RFC3339, e.Expiry); err != nil {
-				k.fail(path+".until", `found %q; allowed: a time such as "2027-01-31T00:00:00Z"`, e.Expiry)
+		if export.Expiry != "" {
+			if _, err := time.Parse(time.RFC3339, export.Expiry); err != nil {
+				k.fail(path+".until", `found %q; allowed: a time such as "2027-01-31T00:00:00Z"`, export.Expiry)
 			}
 		}
-		k.number(path+".cost", e.Cost, 0, maxMetric)
-		k.number(path+".room", e.Capacity, 0, maxCapacity)
+		k.number(path+".cost", export.Cost, 0, maxMetric)
+		k.number(path+".room", export.Capacity, 0, maxCapacity)
 	}
 }
 
 func (k *checker) quotas() {
 	checkNames(k, "quota", k.Quotas, Quota.name)
-	for _, q := range k.Quotas {
-		path := "quota." + q.Name
-		k.duration(path+".lease", q.TokenLease, 20*time.Millisecond, time.Minute)
-		k.duration(path+".term", q.LeaderTerm, 100*time.Millisecond, time.Minute)
-		k.duration(path+".wait", q.MaxWait, 0, 10*time.Second)
-		checkEnum(k, path+".when_cut", q.Fallback, budget.Floor, budget.Closed, budget.Open)
-		for _, c := range q.Classes {
+	for _, quota := range k.Quotas {
+		path := "quota." + quota.Name
+		k.duration(path+".lease", quota.TokenLease, 20*time.Millisecond, time.Minute)
+		k.duration(path+".term", quota.LeaderTerm, 100*time.Millisecond, time.Minute)
+		k.duration(path+".wait", quota.MaxWait, 0, 10*time.Second)
+		checkEnum(k, path+".when_cut", quota.Fallback, budget.Floor, budget.Closed, budget.Open)
+		for _, c := range quota.Classes {
 			if _, ok := k.Class(c); !ok {
 				k.fail(path+".classes", "found %q: there is no class of that name", c)
 			}
 		}
-		k.quotaCandidates(path, q.Candidates)
-		k.quotaPartners(path, q.Partners)
-		k.quotaTerms(path, q)
+		k.quotaCandidates(path, quota.Candidates)
+		k.quotaPartners(path, quota.Partners)
+		k.quotaTerms(path, quota)
 	}
 }
 
 func (k *checker) quotaCandidates(path string, candidates []QuotaCandidate) {
 	if len(candidates)%2 == 0 || len(candidates) > maxReplicas {
-		k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, as a majority needs an odd number", len(candidates))
+		k.fail(path, "found %d keepers; allowed: 1, 3, 5 or 7, so that they can't split into equal halves", len(candidates))
 	}
 	seen := map[string]bool{}
 	for _, c := range candidates {
@@ -246,7 +246,7 @@
 // quotaTerms checks a quota's terms with internal/budget. If a value that the budget computes with is out of its own range, only
 // a problem of rate or burst is reported: the other values have been checked already.
 func (k *checker) quotaTerms(path string, q Quota) {
-	field, why := q.Terms().Check()
+	field, reason := q.Terms().Check()
 	if field == "" {
 		return
 	}
@@ -254,7 +254,7 @@
 	if !rateOrBurst && !quotaInRange(q) {
 		return
 	}
-	k.fail(path+"."+field, "%s", why)
+	k.fail(path+"."+field, "%s", reason)
 }
 
 // quotaInRange reports whether each value that the budget computes with is in its own range.
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -18,23 +18,23 @@
 )
 
 func TestDeployedExampleLoads(t *testing.T) {
-	c, problems := Load("../../deploy/damsontrestle.hcl")
+	cfg, problems := Load("../../deploy/damsontrestle.hcl")
 	if len(problems) > 0 {
 		t.Fatalf("%v", problems)
 	}
-	servers, _ := c.Pool("boxes")
-	candidate, _ := c.Pool("candidate")
-	view, _ := c.Class("view-interval")
-	bridge, _ := c.Listener("bridge")
-	if c.Node.Name != "annot-1" || c.Node.Limits.Memory != 192<<20 || servers.Connections.Max != 320 || servers.SlowStart.Minimum != 0.13 ||
-		servers.Registry.Address != "127.0.0.1:8500" || servers.LoadReports != (LoadReports{"inflight", 4, "/stats"}) || c.BalancerSettings(servers).PollChoices != 4 || len(candidate.Servers) != 2 || candidate.Servers[1].Size != 0.5 ||
-		time.Duration(view.LatencyObjective) != 1500*time.Millisecond || view.PriorityWeight != 12 || bridge.Paths != NormalizePaths || len(c.Routes) != 3 {
-		t.Errorf("got %+v", c)
+	servers, _ := cfg.Pool("boxes")
+	candidate, _ := cfg.Pool("candidate")
+	view, _ := cfg.Class("view-interval")
+	bridge, _ := cfg.Listener("bridge")
+	if cfg.Node.Name != "annot-1" || cfg.Node.Limits.Memory != 192<<20 || servers.Connections.Max != 320 || servers.SlowStart.Minimum != 0.13 ||
+		servers.Registry.Address != "127.0.0.1:8500" || servers.LoadReports != (LoadReports{"inflight", 4, "/stats"}) || cfg.BalancerSettings(servers).PollChoices != 4 || len(candidate.Servers) != 2 || candidate.Servers[1].Size != 0.5 ||
+		time.Duration(view.LatencyObjective) != 1500*time.Millisecond || view.PriorityWeight != 12 || bridge.Paths != NormalizePaths || len(cfg.Routes) != 3 {
+		t.Errorf("got %+v", cfg)
 	}
-	if _, err := c.RouteTable(); err != nil {
+	if _, err := cfg.RouteTable(); err != nil {
 		t.Error(err)
 	}
-	if _, err := balancer.New(c.BalancerSettings(servers), 1); err != nil {
+	if _, err := balancer.New(cfg.BalancerSettings(servers), 1); err != nil {
 		t.Error(err)
 	}
 }
@@ -161,9 +161,9 @@
 }
 
 func TestParseReturnsWarnings(t *testing.T) {
-	c, problems := Parse([]byte(strings.Replace(validConfig, "256", "512", 1)+"pool \"idle\" {\n server \"s\" {\n address = \"127.0.0.1:9002\"\n }\n}\n"), "f.hcl")
-	if c == nil || problems.Err() != nil || len(problems) != 1 || !strings.Contains(problems.Error(), `f.hcl:25:1: warning: pool.idle: no route selects it`) {
-		t.Errorf("%v, %v", c, problems)
+	cfg, problems := Parse([]byte(strings.Replace(validConfig, "256", "512", 1)+"pool \"idle\" {\n server \"s\" {\n address = \"127.0.0.1:9002\"\n }\n}\n"), "f.hcl")
+	if cfg == nil || problems.Err() != nil || len(problems) != 1 || !strings.Contains(problems.Error(), `f.hcl:25:1: warning: pool.idle: no route selects it`) {
+		t.Errorf("got configuration %v with problems %v, want one warning", cfg, problems)
 	}
 }
 
@@ -184,7 +184,7 @@
 	dir := t.TempDir()
 	for _, path := range []string{dir + "/none.hcl", dir} {
 		if _, problems := Load(path); problems.Err() == nil || !strings.HasPrefix(problems.Error(), path+": ") {
-			t.Errorf("%v", problems)
+			t.Errorf("got %v, want an error that begins with %s", problems, path)
 		}
 	}
 	path := dir + "/bad.hcl"
@@ -192,31 +192,31 @@
 		t.Fatal(err)
 	}
 	if _, problems := Load(path); problems.Err() == nil || !strings.HasPrefix(problems.Error(), path+":1:") {
-		t.Errorf("%v", problems)
+		t.Errorf("got %v, want an error in line 1 of %s", problems, path)
 	}
 }
 
 // The platform's file is converted to the same model: all its values are represented there, and a different value changes the
 // fingerprint.
 func TestPlatformConfigRoundTrip(t *testing.T) {
-	c, start, err := ParsePlatform([]byte(validPlatformConfig))
+	cfg, start, err := ParsePlatform([]byte(validPlatformConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if start.EndpointList == nil {
 		t.Error("the endpoint list is missing")
 	}
-	if _, err := c.RouteTable(); err != nil {
+	if _, err := cfg.RouteTable(); err != nil {
 		t.Error(err)
 	}
 	other, _, err := ParsePlatform([]byte(strings.Replace(validPlatformConfig, `"conn-idle-ms":60000.0`, `"conn-idle-ms":50000.0`, 1)))
-	if err != nil || c.Fingerprint() == other.Fingerprint() {
+	if err != nil || cfg.Fingerprint() == other.Fingerprint() {
 		t.Errorf("after a change of conn-idle-ms: %v, unchanged fingerprint %s", err, other.Fingerprint())
 	}
 	var decoded Config
-	text, _ := json.Marshal(c)
-	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(&decoded, c) {
-		t.Errorf("%v\ngot  %+v\nwant %+v", err, decoded, c)
+	text, _ := json.Marshal(cfg)
+	if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(&decoded, cfg) {
+		t.Errorf("%v\ngot  %+v\nwant %+v", err, decoded, cfg)
 	}
 }
 
@@ -242,10 +242,10 @@
 		var d2 Duration
 		var s2 Size
 		if err := d2.UnmarshalText([]byte(d.String())); err != nil || d2 != d {
-			t.Fatalf("%v: %v, %v", d, d2, err)
+			t.Fatalf("duration %v is parsed as %v, %v", d, d2, err)
 		}
 		if err := s2.UnmarshalText([]byte(s.String())); err != nil || s2 != s {
-			t.Fatalf("%v: %v, %v", s, s2, err)
+			t.Fatalf("size %v is parsed as %v, %v", s, s2, err)
 		}
 	})
 	var s Size
@@ -309,9 +309,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, problems := Parse(text, "f.hcl")
-		if (c == nil) != (problems.Err() != nil) {
-			t.Fatalf("got configuration %v with problems %v", c, problems)
+		cfg, problems := Parse(text, "f.hcl")
+		if (cfg == nil) != (problems.Err() != nil) {
+			t.Fatalf("got configuration %v with problems %v", cfg, problems)
 		}
 		lines := strings.Count(string(text), "\n") + 1
 		for _, p := range problems {
@@ -319,22 +319,22 @@
 				t.Fatalf("problem %+v has no message or a position outside the %d lines", p, lines)
 			}
 		}
-		if c == nil {
+		if cfg == nil {
 			return
 		}
-		if secondCheck := c.Check(); secondCheck.Err() != nil {
+		if secondCheck := cfg.Check(); secondCheck.Err() != nil {
 			t.Fatalf("second check: %v", secondCheck)
 		}
-		encoded, err := json.Marshal(c)
+		encoded, err := json.Marshal(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var decoded Config
-		if err := json.Unmarshal(encoded, &decoded); err != nil || decoded.Fingerprint() != c.Fingerprint() {
+		if err := json.Unmarshal(encoded, &decoded); err != nil || decoded.Fingerprint() != cfg.Fingerprint() {
 			t.Fatalf("%v: the fingerprint differs after encoding and decoding", err)
 		}
-		for _, p := range c.Pools {
-			if _, err := balancer.New(c.BalancerSettings(p), 1); err != nil {
+		for _, p := range cfg.Pools {
+			if _, err := balancer.New(cfg.BalancerSettings(p), 1); err != nil {
 				t.Fatalf("the balancer rejects settings that Check accepted: %v", err)
 			}
 		}
@@ -343,26 +343,26 @@
 
 // largeConfig returns a configuration with the given numbers of pools and routes.
 func largeConfig(pools, routes int) *Config {
-	c, problems := Parse([]byte(validConfig), "good.hcl")
+	cfg, problems := Parse([]byte(validConfig), "good.hcl")
 	if problems.Err() != nil {
 		panic(problems)
 	}
-	c.Node.Limits = Limits{Memory: 8 << 30, Descriptors: 1 << 20, Cores: 1}
-	c.Pools = nil
+	cfg.Node.Limits = Limits{Memory: 8 << 30, Descriptors: 1 << 20, Cores: 1}
+	cfg.Pools = nil
 	for i := range pools {
-		p := defaultPool(fmt.Sprint("pool-", i))
+		pool := defaultPool(fmt.Sprint("pool-", i))
 		for k := range 3 {
-			p.Servers = append(p.Servers, Server{Name: fmt.Sprint("s", k), Address: fmt.Sprintf("127.%d.%d.%d:9000", i/250+1, i%250, k+1), Size: 1, State: Ready})
+			pool.Servers = append(pool.Servers, Server{Name: fmt.Sprint("s", k), Address: fmt.Sprintf("127.%d.%d.%d:9000", i/250+1, i%250, k+1), Size: 1, State: Ready})
 		}
-		c.Pools = append(c.Pools, p)
+		cfg.Pools = append(cfg.Pools, pool)
 	}
-	c.Routes = c.Routes[:0]
+	cfg.Routes = cfg.Routes[:0]
 	for i := range routes {
-		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprint("r", i), Hosts: []string{fmt.Sprintf("h%d.example", i)},
+		cfg.Routes = append(cfg.Routes, route.Route{Name: fmt.Sprint("r", i), Hosts: []string{fmt.Sprintf("h%d.example", i)},
 			To: []route.Target{{Pool: fmt.Sprint("pool-", i%pools), Weight: 1}}})
 	}
-	c.Routes = append(c.Routes, route.Route{Name: "rest", Default: true, To: []route.Target{{Pool: "pool-0", Weight: 1}}})
-	return c
+	cfg.Routes = append(cfg.Routes, route.Route{Name: "rest", Default: true, To: []route.Target{{Pool: "pool-0", Weight: 1}}})
+	return cfg
 }
 
 func BenchmarkCheck1000Pools10000Routes(b *testing.B) {
@@ -376,17 +376,17 @@
 }
 
 func TestFederationExampleLoads(t *testing.T) {
-	c, problems := Load("../../deploy/federation.hcl")
+	cfg, problems := Load("../../deploy/federation.hcl")
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	note, _ := c.Class("note")
-	drilling, _ := find(c.Partners, "drilling", Partner.name)
-	if f := c.Federation; f == nil || f.Partner != "chavara" || f.Replicas != 3 || f.Memory != 16<<20 || len(c.Partners) != 2 || len(c.Exports) != 2 || len(c.Quotas) != 1 ||
-		note.Replication == nil || note.Replication.Fallback != RejectUnreplicated || drilling.Preference != 200 || drilling.Links != 2 || c.Exports[1].MaxHops != 1 || len(c.Quotas[0].Candidates) != 3 {
-		t.Errorf("got %+v", c)
+	note, _ := cfg.Class("note")
+	drilling, _ := find(cfg.Partners, "drilling", Partner.name)
+	if f := cfg.Federation; f == nil || f.Partner != "chavara" || f.Replicas != 3 || f.Memory != 16<<20 || len(cfg.Partners) != 2 || len(cfg.Exports) != 2 || len(cfg.Quotas) != 1 ||
+		note.Replication == nil || note.Replication.Fallback != RejectUnreplicated || drilling.Preference != 200 || drilling.Links != 2 || cfg.Exports[1].MaxHops != 1 || len(cfg.Quotas[0].Candidates) != 3 {
+		t.Errorf("got %+v", cfg)
 	}
-	summary := strings.Join(c.FederationSummary(), "\n")
+	summary := strings.Join(cfg.FederationSummary(), "\n")
 	for _, want := range []string{`class "view": requests are served even if too few holders can be reached`, `class "note": requests are rejected if too few holders can be reached`,
 		`quota "notes": at most 120 calls in any second (120 allowed) and 660 in any 10 s`} {
 		if !strings.Contains(summary, want) {
@@ -394,8 +394,8 @@
 		}
 	}
 	standalone, problems := Parse([]byte(validConfig), "good.hcl")
-	if len(problems) > 0 || standalone.FederationSummary() != nil || len(standalone.AllPools()) != len(standalone.Pools) || len(c.AllPools()) != 3 {
-		t.Errorf("%v", problems)
+	if len(problems) > 0 || standalone.FederationSummary() != nil || len(standalone.AllPools()) != len(standalone.Pools) || len(cfg.AllPools()) != 3 {
+		t.Errorf("got problems %v, %d pools with federation, want 3", problems, len(cfg.AllPools()))
 	}
 }
 
--- a/internal/config/needs.go
+++ b/internal/config/needs.go
@@ -55,13 +55,13 @@
 
 // needs checks the required resources against the limits.
 func (k *checker) needs() {
-	n := k.Config.Needs()
-	if l := k.Node.Limits.Descriptors; n.Descriptors > l {
+	needs := k.Config.Needs()
+	if l := k.Node.Limits.Descriptors; needs.Descriptors > l {
 		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d for the node itself and, with all connections of all pools open, twice %d",
-			l, n.Descriptors, k.InternalDescriptors(), (n.Descriptors-k.InternalDescriptors())/2)
+			l, needs.Descriptors, k.InternalDescriptors(), (needs.Descriptors-k.InternalDescriptors())/2)
 	}
-	if l := k.Node.Limits.Memory; n.Memory > l {
-		k.fail("node.limits.memory", "found %v, but about %v are needed with all connections open", l, n.Memory.RoundUpToMiB())
+	if l := k.Node.Limits.Memory; needs.Memory > l {
+		k.fail("node.limits.memory", "found %v, but about %v are needed with all connections open", l, needs.Memory.RoundUpToMiB())
 	}
 }
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -211,23 +211,23 @@
 }
 
 // classFromBalancer converts a class of the balancer to one of the configuration.
-func classFromBalancer(c balancer.Class) Class {
+func classFromBalancer(class balancer.Class) Class {
 	out := Class{
-		Name:             c.Name,
-		LatencyObjective: Duration(c.LatencyObjective),
-		Deadline:         Duration(c.Deadline),
-		LateShare:        c.LateShare,
-		PriorityWeight:   c.PriorityWeight,
+		Name:             class.Name,
+		LatencyObjective: Duration(class.LatencyObjective),
+		Deadline:         Duration(class.Deadline),
+		LateShare:        class.LateShare,
+		PriorityWeight:   class.PriorityWeight,
 	}
 	for word, e := range effects {
-		if e == c.Effect {
+		if e == class.Effect {
 			out.Effect = word
 		}
 	}
-	if c.Effect == balancer.Keyed {
-		out.Window = Duration(c.Window)
+	if class.Effect == balancer.Keyed {
+		out.Window = Duration(class.Window)
 		for word, s := range scopes {
-			if s == c.Scope {
+			if s == class.Scope {
 				out.KeyScope = word
 			}
 		}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -13,16 +13,16 @@
 	"limits":{"conn-idle-ms":60000.0,"connect-timeout-ms":250.0,"max-attempts":4},"zone":"chavara","tick-ms":5}}`
 
 func TestParsePlatform(t *testing.T) {
-	c, start, err := ParsePlatform([]byte(validPlatformConfig))
+	cfg, start, err := ParsePlatform([]byte(validPlatformConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := c.Pools[0]
-	if c.Node.Name != "n3" || c.Node.Zone != "chavara" || start.Seed != 0xfc1f30d27a5be964 || c.Node.Limits.Descriptors != 1024 ||
-		c.Node.Limits.Memory != 192<<20 || time.Duration(p.Connections.IdleTimeout) != time.Minute ||
-		time.Duration(p.Connections.ConnectTimeout) != 250*time.Millisecond || p.MaxAttempts != 4 ||
-		c.Listeners[0].Address != "127.0.0.1:7070" || p.Registry.Address != "127.0.0.1:8500" {
-		t.Errorf("got %+v", c)
+	pool := cfg.Pools[0]
+	if cfg.Node.Name != "n3" || cfg.Node.Zone != "chavara" || start.Seed != 0xfc1f30d27a5be964 || cfg.Node.Limits.Descriptors != 1024 ||
+		cfg.Node.Limits.Memory != 192<<20 || time.Duration(pool.Connections.IdleTimeout) != time.Minute ||
+		time.Duration(pool.Connections.ConnectTimeout) != 250*time.Millisecond || pool.MaxAttempts != 4 ||
+		cfg.Listeners[0].Address != "127.0.0.1:7070" || pool.Registry.Address != "127.0.0.1:8500" {
+		t.Errorf("got %+v", cfg)
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -33,33 +33,33 @@
 }
 
 // BalancerSettings returns the settings of the Balancer of a pool.
-func (c *Config) BalancerSettings(p Pool) balancer.Settings {
-	s := balancer.Settings{
-		Balancers:        p.Balancers.Count,
-		Index:            p.Balancers.Index,
-		Tier:             p.Tier,
-		TotalWeight:      p.Shedding.Total,
-		ClassWeight:      p.Shedding.WorstClass,
-		PollChoices:      p.LoadReports.PollChoices,
-		MaxAttempts:      p.MaxAttempts,
-		MayCancel:        p.MayCancel,
-		Tick:             time.Duration(p.Tick),
-		MaxRetryAfter:    time.Duration(p.MaxRetryAfter),
-		SlowStartMinimum: p.SlowStart.Minimum,
-		SlowStartWindow:  time.Duration(p.SlowStart.Window),
+func (c *Config) BalancerSettings(pool Pool) balancer.Settings {
+	settings := balancer.Settings{
+		Balancers:        pool.Balancers.Count,
+		Index:            pool.Balancers.Index,
+		Tier:             pool.Tier,
+		TotalWeight:      pool.Shedding.Total,
+		ClassWeight:      pool.Shedding.WorstClass,
+		PollChoices:      pool.LoadReports.PollChoices,
+		MaxAttempts:      pool.MaxAttempts,
+		MayCancel:        pool.MayCancel,
+		Tick:             time.Duration(pool.Tick),
+		MaxRetryAfter:    time.Duration(pool.MaxRetryAfter),
+		SlowStartMinimum: pool.SlowStart.Minimum,
+		SlowStartWindow:  time.Duration(pool.SlowStart.Window),
 	}
 	for _, class := range c.Classes {
 		balancerClass := class.BalancerClass()
-		if _, isPartner := PartnerOfPool(p.Name); isPartner && balancerClass.Effect == balancer.Keyed {
+		if _, isPartner := PartnerOfPool(pool.Name); isPartner && balancerClass.Effect == balancer.Keyed {
 			// It isn't known here which servers of a partner discard duplicates, so the partner is asked for the outcome
 			// instead of repeating the request.
 			balancerClass.Effect = balancer.Unsafe
 		}
-		s.Classes = append(s.Classes, balancerClass)
+		settings.Classes = append(settings.Classes, balancerClass)
 	}
-	if p.Registry != nil {
-		s.PollDiscovery = p.Registry.Mode == Polled
-		s.PollInterval = time.Duration(p.Registry.PollInterval)
+	if pool.Registry != nil {
+		settings.PollDiscovery = pool.Registry.Mode == Polled
+		settings.PollInterval = time.Duration(pool.Registry.PollInterval)
 	}
-	return s
+	return settings
 }
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -77,16 +77,16 @@
 func (s *Server) accept() {
 	defer s.wg.Done()
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if s.add(c) {
+		if s.add(conn) {
 			s.wg.Add(1)
 			go func() {
 				defer s.wg.Done()
-				defer s.remove(c)
-				s.serve(c)
+				defer s.remove(conn)
+				s.serve(conn)
 			}()
 		}
 	}
@@ -94,33 +94,33 @@
 
 // add registers a connection, and closes the oldest if there are too many. This does not abort a command: a connection that has
 // sent its line gets its response immediately, so the oldest one has not sent it. It returns false if the server is closed.
-func (s *Server) add(c net.Conn) bool {
+func (s *Server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		c.Close()
+		conn.Close()
 		return false
 	}
 	if len(s.conns) >= MaxConnections {
 		s.conns[0].Close()
 		s.conns = s.conns[1:]
 	}
-	s.conns = append(s.conns, c)
+	s.conns = append(s.conns, conn)
 	return true
 }
 
-func (s *Server) remove(c net.Conn) {
+func (s *Server) remove(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.Close()
-	if i := slices.Index(s.conns, c); i >= 0 {
+	conn.Close()
+	if i := slices.Index(s.conns, conn); i >= 0 {
 		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
-func (s *Server) serve(c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(lineTimeout))
-	line, err := bufio.NewReaderSize(c, maxLineBytes).ReadSlice('\n')
+func (s *Server) serve(conn net.Conn) {
+	conn.SetReadDeadline(time.Now().Add(lineTimeout))
+	line, err := bufio.NewReaderSize(conn, maxLineBytes).ReadSlice('\n')
 	response := ""
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -130,8 +130,8 @@
 	default:
 		response = s.execute(strings.TrimSpace(string(line)))
 	}
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	c.Write([]byte(response))
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	conn.Write([]byte(response))
 }
 
 // formatReply returns the response to a command that succeeded or failed.
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("%q: got %q, want %q", c.line, got, c.want)
 		}
 	}
-	if got := roundTrip(t, address, "hea", "lth", "\nignored"); got != "+OK ready\n" {
+	if got := roundTrip(t, address, "hea", "lth", "\ntrailing text that is ignored"); got != "+OK ready\n" {
 		t.Errorf("command in pieces: got %q", got)
 	}
 	if got := roundTrip(t, address, strings.Repeat("x", maxLineBytes)); !strings.HasPrefix(got, "-ERR a line holds") {
