--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -34,8 +34,8 @@
 	return f.apply(text, wait, step)
 }
 
-func (f fakeControl) Rollback(now plan.Running, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
-	return f.apply([]byte(now.Node), wait, step)
+func (f fakeControl) Rollback(current plan.Running, wait time.Duration, step func(string, time.Duration)) (plan.Running, error) {
+	return f.apply([]byte(current.Node), wait, step)
 }
 
 // serve serves a Control until the end of the test, and returns the path of its socket.
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -4,7 +4,7 @@
 //
 //	GET  /v1/show                returns the running configuration and its status
 //	POST /v1/apply?wait=10s      takes a plan; responds with a line of JSON for each step, the last with "done"
-//	POST /v1/rollback?wait=10s   takes the expected plan.Running; responds likewise
+//	POST /v1/rollback?wait=10s   takes the plan.Running that must be current; responds likewise
 package admin
 
 import (
@@ -78,6 +78,6 @@
 	Show() ShowResponse
 	// Apply applies a plan and calls step after each step. It continues to its end even if the client disconnects.
 	Apply(text []byte, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
-	// Rollback restores the configuration before now, which must be the one that runs.
-	Rollback(now plan.Running, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
+	// Rollback restores the configuration that preceded current. It fails if the running configuration is not current.
+	Rollback(current plan.Running, wait time.Duration, step func(name string, took time.Duration)) (plan.Running, error)
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -61,9 +61,9 @@
 	return c.change(ctx, "/v1/apply?wait="+wait.String(), text, step)
 }
 
-// Rollback restores the configuration before now, which must be the one that runs.
-func (c *Client) Rollback(ctx context.Context, now plan.Running, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
-	text, err := json.Marshal(now)
+// Rollback restores the configuration that preceded current. It fails if the running configuration is not current.
+func (c *Client) Rollback(ctx context.Context, current plan.Running, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
+	text, err := json.Marshal(current)
 	if err != nil {
 		return plan.Running{}, fmt.Errorf("rollback: %w", err)
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -93,11 +93,11 @@
 	})
 	mux.HandleFunc("POST /v1/rollback", func(w http.ResponseWriter, r *http.Request) {
 		serveChange(w, r, maxRollbackBytes, func(text []byte, wait time.Duration, step stepFunc) (plan.Running, error) {
-			var now plan.Running
-			if err := json.Unmarshal(text, &now); err != nil {
+			var current plan.Running
+			if err := json.Unmarshal(text, &current); err != nil {
 				return plan.Running{}, &Error{CodeRequest, "decoding the request: " + err.Error()}
 			}
-			return control.Rollback(now, wait, step)
+			return control.Rollback(current, wait, step)
 		})
 	})
 	return mux
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -21,15 +21,15 @@
 	calls     []string
 }
 
-func (d *fakeControl) Health() error { return d.healthErr }
-func (d *fakeControl) Metrics() metrics.Report {
+func (c *fakeControl) Health() error { return c.healthErr }
+func (c *fakeControl) Metrics() metrics.Report {
 	var recorder metrics.Recorder
 	recorder.RegisterClasses("view")
 	return recorder.Report()
 }
-func (d *fakeControl) Quiesce() error { d.calls = append(d.calls, "quiesce"); return nil }
-func (d *fakeControl) Resume() error {
-	d.calls = append(d.calls, "resume")
+func (c *fakeControl) Quiesce() error { c.calls = append(c.calls, "quiesce"); return nil }
+func (c *fakeControl) Resume() error {
+	c.calls = append(c.calls, "resume")
 	return errors.New("the node is ending")
 }
 
