--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -15,13 +15,13 @@
 	"damsontrestle/internal/plan"
 )
 
-// Client asks a daemon on its socket.
+// Client sends requests to a daemon over its socket.
 type Client struct {
 	path string
 	http *http.Client
 }
 
-// NewClient returns a Client of the socket at path. Nothing is asked yet.
+// NewClient returns a Client of the socket at path. It does not connect yet.
 func NewClient(path string) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var d net.Dialer
@@ -30,67 +30,73 @@
 	return &Client{path: path, http: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}}}
 }
 
-// ErrNoDaemon says that nobody answers on the socket.
+// Bounds on the daemon's responses.
+const (
+	maxEventBytes     = 1 << 20
+	maxErrorBodyBytes = 1 << 20
+)
+
+// ErrNoDaemon is returned if no daemon listens on the socket.
 var ErrNoDaemon = errors.New("no daemon answers")
 
-// ErrCut says that the answer ended before its last line: what came of the change is told by Show.
-var ErrCut = errors.New("the answer was cut; the change goes on in the daemon")
+// ErrTruncatedResponse is returned if the response ended before its last line. Show returns the outcome of the change.
+var ErrTruncatedResponse = errors.New("the response was truncated; the change continues in the daemon")
 
-// Show asks what runs.
-func (c *Client) Show(ctx context.Context) (Show, error) {
-	var s Show
+// Show returns the running configuration with its status.
+func (c *Client) Show(ctx context.Context) (ShowResponse, error) {
+	var response ShowResponse
 	resp, err := c.send(ctx, http.MethodGet, "/v1/show", nil)
 	if err != nil {
-		return s, err
+		return response, err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
-		return s, fmt.Errorf("%s: %w", c.path, err)
+	if err := json.NewDecoder(resp.Body).Decode(&response); err != nil {
+		return response, fmt.Errorf("%s: decoding the response: %w", c.path, err)
 	}
-	return s, nil
+	return response, nil
 }
 
-// Apply has a plan carried out. step, if any, is told of each step.
-func (c *Client) Apply(ctx context.Context, text []byte, wait time.Duration, step func(Line)) (plan.Running, error) {
+// Apply applies a plan. If step is not nil, it is called after each step.
+func (c *Client) Apply(ctx context.Context, text []byte, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
 	return c.change(ctx, "/v1/apply?wait="+wait.String(), text, step)
 }
 
-// Rollback has the daemon go back to the configuration before the one that must run now.
-func (c *Client) Rollback(ctx context.Context, now plan.Running, wait time.Duration, step func(Line)) (plan.Running, error) {
-	text, err := json.Marshal(now)
+// Rollback restores the configuration that preceded current. It fails if the running configuration is not current.
+func (c *Client) Rollback(ctx context.Context, current plan.Running, wait time.Duration, step func(ChangeEvent)) (plan.Running, error) {
+	text, err := json.Marshal(current)
 	if err != nil {
 		return plan.Running{}, fmt.Errorf("rollback: %w", err)
 	}
 	return c.change(ctx, "/v1/rollback?wait="+wait.String(), text, step)
 }
 
-func (c *Client) change(ctx context.Context, target string, text []byte, step func(Line)) (plan.Running, error) {
+func (c *Client) change(ctx context.Context, target string, text []byte, step func(ChangeEvent)) (plan.Running, error) {
 	resp, err := c.send(ctx, http.MethodPost, target, text)
 	if err != nil {
 		return plan.Running{}, err
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		var l Line
-		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			return plan.Running{}, fmt.Errorf("%s: %w", c.path, err)
+		var event ChangeEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
+			return plan.Running{}, fmt.Errorf("%s: decoding the response: %w", c.path, err)
 		}
 		switch {
-		case !l.Done:
+		case !event.Done:
 			if step != nil {
-				step(l)
+				step(event)
 			}
 			continue
-		case l.Error != "":
-			return plan.Running{}, &Error{l.Code, l.Error}
-		case l.Running == nil:
-			return plan.Running{}, fmt.Errorf("%s: the answer tells not what runs", c.path)
+		case event.Error != "":
+			return plan.Running{}, &Error{event.Code, event.Error}
+		case event.Running == nil:
+			return plan.Running{}, fmt.Errorf("%s: the response does not name the running configuration", c.path)
 		}
-		return *l.Running, nil
+		return *event.Running, nil
 	}
-	return plan.Running{}, ErrCut
+	return plan.Running{}, ErrTruncatedResponse
 }
 
 func (c *Client) send(ctx context.Context, method, target string, body []byte) (*http.Response, error) {
@@ -105,7 +111,7 @@
 			return nil, fmt.Errorf("%w at %s: %w", ErrNoDaemon, c.path, op.Err)
 		}
 		if method == http.MethodPost {
-			return nil, fmt.Errorf("%w (%s: %w)", ErrCut, c.path, err)
+			return nil, fmt.Errorf("%w (%s: %w)", ErrTruncatedResponse, c.path, err)
 		}
 		return nil, fmt.Errorf("%s: %w", c.path, err)
 	}
@@ -113,10 +119,10 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	responseBody, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	var e Error
-	if json.Unmarshal(text, &e) != nil || e.Message == "" {
-		return nil, fmt.Errorf("%s: %s: %.200s", c.path, resp.Status, text)
+	if json.Unmarshal(responseBody, &e) != nil || e.Message == "" {
+		return nil, fmt.Errorf("%s: %s: %.200s", c.path, resp.Status, responseBody)
 	}
 	return nil, &e
 }
--- a/internal/config/configtest/draw.go
+++ b/internal/config/configtest/draw.go
@@ -1,4 +1,4 @@
-// Package configtest draws configurations for tests of properties.
+// Package configtest generates configurations for property-based tests.
 package configtest
 
 import (
@@ -11,16 +11,16 @@
 	"damsontrestle/internal/route"
 )
 
-// World is what configurations are drawn from.
-type World struct {
-	Servers   []string // addresses
-	Listeners []string // addresses; no two of a configuration share one
+// Addresses is the pool of addresses for drawn configurations.
+type Addresses struct {
+	Servers   []string
+	Listeners []string // each is used at most once in a configuration
 }
 
-// Draw makes a configuration that passes every check, of up to three listeners, pools and further routes, with
-// names that other draws use too.
-func Draw(t *rapid.T, w World) *config.Config {
-	c := &config.Config{Node: config.Node{Name: "n", StateFolder: "/state", AdminSocket: "/run/admin",
+// Draw returns a configuration that passes every check, with up to three listeners, pools and additional routes. Their names recur
+// in other draws.
+func Draw(t *rapid.T, available Addresses) *config.Config {
+	cfg := &config.Config{Node: config.Node{Name: "n", StateFolder: "/state", AdminSocket: "/run/admin",
 		Limits: config.Limits{Memory: config.Size(rapid.IntRange(128, 132).Draw(t, "memory")) << 20,
 			Descriptors: rapid.IntRange(600, 604).Draw(t, "descriptors"), Cores: rapid.IntRange(1, 2).Draw(t, "cores")}}}
 	names := func(label string, least int, all ...string) []string {
@@ -28,33 +28,33 @@
 	}
 	classes := names("classes", 1, "view", "note", "keyed")
 	for _, name := range classes {
-		k := config.Class{Name: name, Effect: map[string]config.Effect{"view": config.Safe, "note": config.Unsafe, "keyed": config.Keyed}[name],
+		class := config.Class{Name: name, Effect: map[string]config.Effect{"view": config.Safe, "note": config.Unsafe, "keyed": config.Keyed}[name],
 			LatencyObjective: config.Duration(time.Duration(rapid.IntRange(900, 902).Draw(t, "aim")) * time.Millisecond), Deadline: config.Duration(4 * time.Second),
 			PriorityWeight: float64(rapid.IntRange(1, 3).Draw(t, "worth")), LateShare: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "late")}
 		if name == "keyed" {
-			k.KeyScope, k.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
+			class.KeyScope, class.Window = rapid.SampledFrom([]config.Scope{config.CellScope, config.AllScope}).Draw(t, "scope"), config.Duration(time.Second)
 		}
-		c.Classes = append(c.Classes, k)
+		cfg.Classes = append(cfg.Classes, class)
 	}
 	listeners := names("listeners", 1, "l1", "l2", "l3")
-	addresses := rapid.Permutation(w.Listeners).Draw(t, "addresses")
+	addresses := rapid.Permutation(available.Listeners).Draw(t, "addresses")
 	for i, name := range listeners {
-		c.Listeners = append(c.Listeners, config.Listener{Name: name, Address: addresses[i], Protocol: config.HTTP1,
-			Paths: rapid.SampledFrom([]config.Paths{config.StrictPaths, config.NormalizePaths}).Draw(t, "paths")})
+		cfg.Listeners = append(cfg.Listeners, config.Listener{Name: name, Address: addresses[i], Protocol: config.HTTP1,
+			Paths: rapid.SampledFrom([]config.PathPolicy{config.StrictPaths, config.NormalizePaths}).Draw(t, "paths")})
 	}
 	pools := names("pools", 1, "p1", "p2", "p3")
 	for _, name := range pools {
-		p := config.Pool{Name: name, Protocol: config.HTTP1, Attempts: rapid.IntRange(1, 3).Draw(t, "attempts"), Cancel: rapid.Bool().Draw(t, "cancel"),
-			Tick: config.Duration(time.Millisecond), RetryAfter: config.Duration(time.Second), Copies: config.Copies{Count: 1},
-			Shedding: config.Shedding{Total: 0.5, WorstClass: 0.5}, SlowStart: config.SlowStart{From: 1},
-			Connections: config.Connections{Most: rapid.IntRange(20, 22).Draw(t, "most"), Idle: config.Duration(time.Minute),
+		p := config.Pool{Name: name, Protocol: config.HTTP1, MaxAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"), MayCancel: rapid.Bool().Draw(t, "cancel"),
+			Tick: config.Duration(time.Millisecond), MaxRetryAfter: config.Duration(time.Second), Balancers: config.Balancers{Count: 1},
+			Shedding: config.Shedding{Total: 0.5, WorstClass: 0.5}, SlowStart: config.SlowStart{Minimum: 1},
+			Connections: config.Connections{Max: rapid.IntRange(20, 22).Draw(t, "most"), IdleTimeout: config.Duration(time.Minute),
 				ConnectTimeout: config.Duration(time.Duration(rapid.IntRange(1, 2).Draw(t, "connect")) * time.Second)}}
 		servers := names("servers", 1, "s1", "s2", "s3")
-		at := rapid.Permutation(w.Servers).Draw(t, "at")
+		serverAddresses := rapid.Permutation(available.Servers).Draw(t, "at")
 		for i, s := range servers {
-			p.Servers = append(p.Servers, config.Server{Name: s, Address: at[i], Size: 1, State: config.Ready, Cell: rapid.IntRange(0, 1).Draw(t, "cell")})
+			p.Servers = append(p.Servers, config.Server{Name: s, Address: serverAddresses[i], Size: 1, State: config.Ready, Cell: rapid.IntRange(0, 1).Draw(t, "cell")})
 		}
-		c.Pools = append(c.Pools, p)
+		cfg.Pools = append(cfg.Pools, p)
 	}
 	to := func() []route.Target {
 		var out []route.Target
@@ -63,7 +63,7 @@
 		}
 		return out
 	}
-	c.Routes = append(c.Routes, route.Route{Name: "default", Default: true, To: to()})
+	cfg.Routes = append(cfg.Routes, route.Route{Name: "default", Default: true, To: to()})
 	for i, host := range names("hosts", 0, "a.example", "*.example", "b.example") {
 		r := route.Route{Name: fmt.Sprint("r", i), Hosts: []string{host}, To: to()}
 		if rapid.Bool().Draw(t, "by class") {
@@ -72,10 +72,10 @@
 		if rapid.Bool().Draw(t, "by header") {
 			r.Headers = []route.Header{{Name: "X-Team"}}
 		}
-		c.Routes = append(c.Routes, r)
+		cfg.Routes = append(cfg.Routes, r)
 	}
-	if p := c.Check().Errors(); len(p) > 0 {
-		t.Fatalf("a drawn configuration does not pass: %v", p)
+	if p := cfg.Check().Errors(); len(p) > 0 {
+		t.Fatalf("drawn configuration has errors: %v", p)
 	}
-	return c
+	return cfg
 }
--- a/internal/daemon/change_test.go
+++ b/internal/daemon/change_test.go
@@ -53,7 +53,7 @@
 		_, err := fx.client().Apply(ctx, waitingPlan, testpeer.Limit, nil)
 		applyErr <- err
 	}()
-	testpeer.Until(t, "the apply to be under way", func() bool { return fx.show(t).UnderWay == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return fx.show(t).CurrentStep == "preparing" })
 	_, err := fx.apply(t, quickPlan)
 	wantCode(t, err, admin.CodeBusy, "apply is preparing")
 	_, err = fx.client().Rollback(t.Context(), before.Running, 0, nil)
@@ -65,7 +65,7 @@
 	}
 	fx.wantServed(t, "a")
 	disconnect()
-	if err := testpeer.Receive(t, applyErr, "the client to return"); !errors.Is(err, admin.ErrCut) {
+	if err := testpeer.Receive(t, applyErr, "the client to return"); !errors.Is(err, admin.ErrTruncatedResponse) {
 		t.Errorf("%v", err)
 	}
 	fx.wantServed(t, "a")
@@ -84,7 +84,7 @@
 	fx.start(t)
 	_, err := fx.client().Apply(t.Context(), fx.encodePlan(t, fx.configText("p2", serverA.Address(), silentPool(agent))), 200*time.Millisecond, nil)
 	wantCode(t, err, admin.CodeFailed, "has not answered with a list within 200ms")
-	if s := fx.show(t); s.Serial != 1 || s.Last == nil || !strings.Contains(s.Last.Error, `pool "silent"`) {
+	if s := fx.show(t); s.Serial != 1 || s.LastChange == nil || !strings.Contains(s.LastChange.Error, `pool "silent"`) {
 		t.Errorf("%+v", s)
 	}
 	fx.wantServed(t, "a")
@@ -135,12 +135,12 @@
 		_, err := fx.apply(t, waitingPlan)
 		undone <- err
 	}()
-	testpeer.Until(t, "the apply to be under way", func() bool { return fx.show(t).UnderWay == "preparing" })
+	testpeer.Until(t, "the apply to be under way", func() bool { return fx.show(t).CurrentStep == "preparing" })
 	stopped := make(chan struct{})
 	go func() { stop(); close(stopped) }()
-	wantCode(t, testpeer.Receive(t, undone, "the apply to return"), admin.CodeEnding, "ending")
+	wantCode(t, testpeer.Receive(t, undone, "the apply to return"), admin.CodeShuttingDown, "ending")
 	_, err := fx.apply(t, quickPlan)
-	wantCode(t, err, admin.CodeEnding, "ending")
+	wantCode(t, err, admin.CodeShuttingDown, "ending")
 	close(release)
 	conn.Want(t, 200, "slow")
 	testpeer.Receive(t, stopped, "the daemon to stop")
@@ -209,7 +209,7 @@
 		t.Helper()
 		fx.wantServed(t, "a")
 		s := fx.show(t)
-		if s.Serial != 3 || len(s.Config.Pools) != 1 || d.Addr("side") != "" || s.UnderWay != "" {
+		if s.Serial != 3 || len(s.Config.Pools) != 1 || d.Addr("side") != "" || s.CurrentStep != "" {
 			t.Errorf("%s: %+v", point, s)
 		}
 		recordedFolder, err := state.Open(folder)
@@ -242,7 +242,7 @@
 	wantCode(t, err, admin.CodeFailed, "could not be brought up to what runs")
 	reset()
 	var steps []string
-	if _, err := fx.client().Apply(t.Context(), fx.encodePlan(t, second), testpeer.Limit, func(l admin.Line) { steps = append(steps, l.Step) }); err != nil {
+	if _, err := fx.client().Apply(t.Context(), fx.encodePlan(t, second), testpeer.Limit, func(l admin.ChangeEvent) { steps = append(steps, l.Step) }); err != nil {
 		t.Fatal(err)
 	}
 	if s := fx.show(t); s.Diverged || s.Serial != 4 || steps[0] != "repair" {
@@ -263,21 +263,21 @@
 	if _, err := fx.apply(t, fx.encodePlan(t, zoned)); err != nil {
 		t.Fatal(err)
 	}
-	if s := fx.show(t); len(s.Restart) != 1 || s.Restart[0] != "node.zone" {
-		t.Errorf("%v", s.Restart)
+	if s := fx.show(t); len(s.NeedsRestart) != 1 || s.NeedsRestart[0] != "node.zone" {
+		t.Errorf("%v", s.NeedsRestart)
 	}
 	stop()
 	fx.writeFile(t, zoned)
 	fx.start(t)
-	if s := fx.show(t); len(s.Restart) != 0 || s.Config.Node.Zone != "z" {
-		t.Errorf("%v", s.Restart)
+	if s := fx.show(t); len(s.NeedsRestart) != 0 || s.Config.Node.Zone != "z" {
+		t.Errorf("%v", s.NeedsRestart)
 	}
 }
 
 // For random pairs of configurations, plan and apply put exactly the planned configuration in place, which is also checked
 // by requests to the node. Planning again finds no change, and a rollback restores the first configuration.
 func TestApplyMatchesPlan(t *testing.T) {
-	world := configtest.World{}
+	world := configtest.Addresses{}
 	names := map[string]string{}
 	for i := range 3 {
 		s := newNamedServer(t, fmt.Sprint("box", i))
@@ -332,7 +332,7 @@
 	if _, ok := cfg.Class("view"); !ok {
 		return
 	}
-	table, err := cfg.Table()
+	table, err := cfg.RouteTable()
 	if err != nil {
 		rt.Fatal(err)
 	}
--- a/internal/gateway/policy.go
+++ b/internal/gateway/policy.go
@@ -59,7 +59,7 @@
 	p := routeexchange.Policy{
 		Self:         cfg.Federation.Partner,
 		Neighbours:   map[string]routeexchange.Neighbour{},
-		StaleTime:    time.Duration(cfg.Federation.Stale),
+		StaleTime:    time.Duration(cfg.Federation.StaleOfferLifetime),
 		GatewayCount: 1 + len(g.options.ActiveMembers()),
 	}
 	replicated := replicatedClasses(cfg)
@@ -71,7 +71,7 @@
 				Preference: partner.Preference,
 				MaxRoutes:  partner.MaxRoutes,
 			},
-			Transit: routeexchange.Transit{To: partner.PassOnTo, Cost: partner.Cost, Replicated: replicated},
+			Transit: routeexchange.Transit{To: partner.ReadvertiseTo, Cost: partner.Cost, Replicated: replicated},
 		}
 	}
 	for i := range cfg.Exports {
@@ -95,7 +95,7 @@
 			NoTransit:       !export.Transit,
 			MaxHops:         export.MaxHops,
 			Tenants:         export.Tenants,
-			ExcludedTenants: export.Excluded,
+			ExcludedTenants: export.ExcludedTenants,
 		},
 	}
 	a.Replicated = replicated
@@ -107,7 +107,7 @@
 	for _, effect := range export.Effects {
 		a.Rules.Effects |= routeexchange.EffectsOf(effects[effect])
 	}
-	if until, err := time.Parse(time.RFC3339, export.Until); err == nil {
+	if until, err := time.Parse(time.RFC3339, export.Expiry); err == nil {
 		a.Rules.Until = until.Unix()
 	}
 	return a
@@ -123,8 +123,8 @@
 
 // requestAddress returns the address for partners' requests, or an empty string if there is none.
 func requestAddress(cfg *config.Config) string {
-	if cfg.Federation.Requests != "" {
-		return cfg.Federation.Requests
+	if cfg.Federation.RequestAddress != "" {
+		return cfg.Federation.RequestAddress
 	}
 	listener, _ := cfg.Listener(cfg.Federation.Listener)
 	return listener.Address
