--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -54,7 +54,7 @@
 		MaxRetryAfter:    time.Second,
 		SlowStartMinimum: 1,
 		TotalWeight:      1,
-		Classes:          []balancer.Class{class.ForModule()},
+		Classes:          []balancer.Class{class.BalancerClass()},
 	}
 	settings.Classes[0].PriorityWeight = 1
 	settings.Classes[0].LatencyObjective = testpeer.Limit
@@ -82,7 +82,7 @@
 	t.Helper()
 	cfg := &config.Config{
 		Classes:   []config.Class{class},
-		Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.PathsAsSent}},
+		Listeners: []config.Listener{{Name: "main", Protocol: config.HTTP1, Paths: config.AsSentPaths}},
 		Pools:     []config.Pool{{Name: pool}},
 		Routes:    []route.Route{{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}},
 	}
@@ -138,7 +138,7 @@
 // queryUnsafe queries a partner for the outcome of an unsafe request that may run there.
 func queryUnsafe(t *testing.T, b *backend, within time.Duration) replication.Outcome {
 	t.Helper()
-	return resumeRequest(t, b, config.PartnerPool("p1"), config.Unsafe, 1, within)
+	return resumeRequest(t, b, config.PartnerPoolName("p1"), config.Unsafe, 1, within)
 }
 
 // A query that was rejected or not delivered does not settle the request, which may run: the query is repeated.
@@ -183,7 +183,7 @@
 func TestNextRouteGetsRemainingTime(t *testing.T) {
 	const attemptDuration = 100 * time.Millisecond
 	b := &backend{outcomes: []engine.Outcome{{Result: balancer.Overloaded, Reason: "a rule"}}, duration: attemptDuration}
-	runExecution(t, b, config.PartnerPool("p1"), config.Safe, 1, testpeer.Limit, nil)
+	runExecution(t, b, config.PartnerPoolName("p1"), config.Safe, 1, testpeer.Limit, nil)
 	if len(b.attempts) != maxRoutes {
 		t.Fatalf("%d attempts, want %d", len(b.attempts), maxRoutes)
 	}
--- a/internal/http1/attempts_test.go
+++ b/internal/http1/attempts_test.go
@@ -58,7 +58,7 @@
 	for _, cancels := range []bool{true, false} {
 		server := testpeer.NewServer(t, testpeer.Echo)
 		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
-		cfg.Pools[0].Cancel = cancels
+		cfg.Pools[0].MayCancel = cancels
 		dial := testpeer.NewLateDial()
 		node := startNode(t, cfg, func(node *testNode) { node.upstream.SetDial(dial.Dial) })
 		client := testpeer.Dial(t, node.Addr())
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -93,7 +93,7 @@
 	}
 	checked.Message.ClientDisconnected = x.conn.hasDisconnected
 	x.class = checked.Class
-	front.counters.Begin()
+	front.counters.RequestStarted()
 	if rest != nil {
 		x.rest = rest
 		x.control.EnableFullDuplex() // the response may begin before the body has been received
@@ -156,7 +156,7 @@
 // disconnect.
 func (x *exchange) disconnect(submitted *engine.Request) {
 	submitted.Disconnect(x.front.clock.Now())
-	x.front.counters.Left()
+	x.front.counters.ClientDisconnected()
 }
 
 // head returns the head of a request for validation. net/http drops a Content-Length beside a transfer coding, so
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -30,7 +30,7 @@
 	clock              clock.Clock
 	dispatcher         *dispatch.Dispatcher
 	clients            *downstream.Set
-	counters           *metrics.Set
+	counters           *metrics.Recorder
 	notReady           atomic.Bool   // GET /health/ready reports that no clients should be sent here
 	closeAfterResponse atomic.Bool   // each response closes its connection
 	bodyGrace          time.Duration // how far a body may lag behind the minimum rate
@@ -40,7 +40,7 @@
 
 // NewFront returns a Front, which accepts no clients before Serve is called. It registers client connections in the set, and
 // handles each request under the dispatcher's current routing snapshot.
-func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Set, log *slog.Logger) *Front {
+func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Recorder, log *slog.Logger) *Front {
 	f := &Front{
 		listener:   listener,
 		clock:      c,
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -356,7 +356,7 @@
 		}
 	}
 	testpeer.Until(t, "all requests and connections to servers to end", func() bool {
-		return node.upstream.Connections() == 0 && node.front.counters.Report().Open == 0 && node.engine.Status().Open == 0
+		return node.upstream.Connections() == 0 && node.front.counters.Report().OpenRequests == 0 && node.engine.Status().Open == 0
 	})
 	if a := node.engine.Status().Avoided; a != 0 {
 		t.Errorf("%d servers are avoided because of client errors, want 0", a)
--- a/internal/http1/testnode_test.go
+++ b/internal/http1/testnode_test.go
@@ -85,16 +85,16 @@
 	clk := clock.New()
 	connections := cfg.Capacity / 2
 	node := &testNode{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
-	node.upstream = upstream.NewPool(clk, descriptors.NewShare(connections), &metrics.Set{}, node.limits)
+	node.upstream = upstream.NewPool(clk, descriptors.NewShare(connections), &metrics.Recorder{}, node.limits)
 	node.backend = &listedBackend{Pool: node.upstream, servers: map[string]discovery.Target{}}
 	node.clients = downstream.New(clk, downstream.Share{Capacity: cfg.Capacity, Minimum: cfg.Capacity / 4, Spare: 24}, node.upstream.Connections)
 	var err error
-	if node.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: clk, Backend: node.backend,
+	if node.engine, err = engine.New(engine.Options{Settings: cfg.BalancerSettings(cfg.Pools[0]), Seed: 1, Clock: clk, Backend: node.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
 	node.dispatcher = dispatch.New(node.snapshot(t, cfg.Config))
-	node.front = NewFront("main", clk, node.clients, node.dispatcher, &metrics.Set{}, log)
+	node.front = NewFront("main", clk, node.clients, node.dispatcher, &metrics.Recorder{}, log)
 	list, err := discovery.Parse([]byte(cfg.List))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-func TestMetricsAreCountedByClass(t *testing.T) {
-	var s Set
-	s.Know("note", "view")
+func TestRecorderCountsByClass(t *testing.T) {
+	var recorder Recorder
+	recorder.RegisterClasses("note", "view")
 	var wg sync.WaitGroup
 	for range 50 {
 		wg.Go(func() {
 			for _, r := range []Result{Fulfilled, Fulfilled, Throttled, Faulted} {
-				s.Begin()
-				s.Relay()
-				s.End("view", r)
+				recorder.RequestStarted()
+				recorder.AttemptSent()
+				recorder.RequestEnded("view", r)
 			}
-			s.Begin()
-			s.Left()
+			recorder.RequestStarted()
+			recorder.ClientDisconnected()
 		})
 	}
 	wg.Wait()
-	s.Begin()
-	got, err := json.Marshal(s.Report())
+	recorder.RequestStarted()
+	got, err := json.Marshal(recorder.Report())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -78,7 +78,7 @@
 	target := head.Target
 	path, query, hasQuery := strings.Cut(head.Target, "?")
 	path, pathErr := canonicalPath(path, listener.Paths)
-	if listener.Paths != config.PathsAsSent {
+	if listener.Paths != config.AsSentPaths {
 		target = path
 		if hasQuery {
 			target += "?" + query
@@ -98,7 +98,7 @@
 		return reject(http.StatusBadRequest, "the path: "+pathErr.Error())
 	case !strings.HasPrefix(path, "/") || !classExists:
 		return reject(http.StatusNotFound, "the path names no class")
-	case listener.Paths == config.PathsAsSent && !route.PathHasClass(path, className):
+	case listener.Paths == config.AsSentPaths && !route.PathHasClass(path, className):
 		return reject(http.StatusBadRequest, "the path can be read as one of another class")
 	case (class.Effect == balancer.Safe) != (head.Method == http.MethodGet):
 		return reject(http.StatusMethodNotAllowed, "the class is not asked for by this method")
@@ -161,8 +161,8 @@
 }
 
 // canonicalPath returns the path that determines class and route. Servers get it too, unless paths are forwarded as sent.
-func canonicalPath(raw string, mode config.Paths) (string, error) {
-	if mode == config.PathsAsSent || !strings.HasPrefix(raw, "/") {
+func canonicalPath(raw string, mode config.PathPolicy) (string, error) {
+	if mode == config.AsSentPaths || !strings.HasPrefix(raw, "/") {
 		return raw, nil
 	}
 	normalized, change, err := route.NormalizePath(raw)
