--- a/internal/config/body.go
+++ b/internal/config/body.go
@@ -9,27 +9,27 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// field reads one attribute of a block.
+// field describes an attribute of a block and how its value is stored.
 type field struct {
 	name     string
 	required bool
 	set      func(cty.Value) error
 }
 
-// block reads one kind of blocks within another.
+// block describes a kind of nested blocks.
 type block struct {
 	kind     string
-	labelled bool // by a name
+	labelled bool // has a name
 	required bool
 	single   bool
 	read     func(b *hclsyntax.Body, path, label string)
 }
 
-// body reads a block's fields and blocks; what it does not know is an error.
+// body reads the fields and the nested blocks of a block, and reports unknown ones as errors.
 func (r *reader) body(b *hclsyntax.Body, path string, fields []field, blocks []block) {
 	at := b.MissingItemRange()
-	if own, ok := r.ranges[path]; ok {
-		at = own
+	if blockRange, ok := r.ranges[path]; ok {
+		at = blockRange
 	}
 	for _, f := range fields {
 		r.field(b.Attributes[f.name], at, path, f)
@@ -38,36 +38,36 @@
 	r.blocks(b, at, path, fields, blocks)
 }
 
-// join is the path of what stands in a block.
-func join(path, name string) string {
+// joinPath returns the path of a field or block within the block at path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// field reads an attribute; nil: the block, which stands at a place, has none of the name.
-func (r *reader) field(a *hclsyntax.Attribute, block hcl.Range, path string, f field) {
-	fieldPath := join(path, f.name)
-	if a == nil {
+// field reads an attribute. A nil attribute means that the block, whose range is given, does not have the attribute.
+func (r *reader) field(attribute *hclsyntax.Attribute, block hcl.Range, path string, f field) {
+	fieldPath := joinPath(path, f.name)
+	if attribute == nil {
 		if f.required {
 			r.fail(block, path, "%s is missing", f.name)
 			r.unread[fieldPath] = true
 		}
 		return
 	}
-	r.ranges[fieldPath] = a.SrcRange
-	v, err := value(a.Expr)
+	r.ranges[fieldPath] = attribute.SrcRange
+	v, err := literalValue(attribute.Expr)
 	if err == nil {
 		err = f.set(v)
 	}
 	if err != nil {
-		r.fail(a.Expr.Range(), fieldPath, "%v", err)
+		r.fail(attribute.Expr.Range(), fieldPath, "%v", err)
 		r.unread[fieldPath] = true
 	}
 }
 
-// allowedNames lists what may stand in a block, for messages.
+// allowedNames lists the fields and blocks that a block may contain, for messages.
 func allowedNames(fields []field, blocks []block) string {
 	names := make([]string, 0, len(fields)+len(blocks))
 	for _, f := range fields {
@@ -84,7 +84,7 @@
 	return slices.ContainsFunc(fields, func(f field) bool { return f.name == name })
 }
 
-// findBlock is the kind of blocks of a name; nil: there is none.
+// findBlock returns the block description of the given kind, or nil if there is none.
 func findBlock(blocks []block, kind string) *block {
 	i := slices.IndexFunc(blocks, func(k block) bool { return k.kind == kind })
 	if i < 0 {
@@ -93,19 +93,19 @@
 	return &blocks[i]
 }
 
-// unknownFields reports the attributes that a block can't have.
+// unknownFields reports the attributes that are not allowed in a block.
 func (r *reader) unknownFields(b *hclsyntax.Body, path string, fields []field, blocks []block) {
 	for name, a := range b.Attributes {
 		switch {
 		case findBlock(blocks, name) != nil:
-			r.fail(a.NameRange, join(path, name), "found a field; allowed: a block, as in %s { }", name)
+			r.fail(a.NameRange, joinPath(path, name), "found a field; allowed: a block, as in %s { }", name)
 		case !hasField(fields, name):
-			r.fail(a.NameRange, join(path, name), "found an unknown field; allowed here: %s", allowedNames(fields, blocks))
+			r.fail(a.NameRange, joinPath(path, name), "found an unknown field; allowed here: %s", allowedNames(fields, blocks))
 		}
 	}
 }
 
-// blocks reads the blocks within a block, which stands at a place.
+// blocks reads the nested blocks of a block, and reports missing ones at the range at.
 func (r *reader) blocks(b *hclsyntax.Body, at hcl.Range, path string, fields []field, blocks []block) {
 	counts := map[string]int{}
 	for _, sub := range b.Blocks {
@@ -114,7 +114,7 @@
 			r.unknownBlock(sub, path, fields, blocks)
 			continue
 		}
-		subPath := join(path, sub.Type)
+		subPath := joinPath(path, sub.Type)
 		label, ok := r.label(sub, kind, subPath)
 		if !ok {
 			if kind.labelled {
@@ -123,7 +123,7 @@
 			}
 			continue
 		}
-		if kind.labelled && sub.Type != "node" { // there is one node: its fields are known without its name
+		if kind.labelled && sub.Type != "node" { // there is only one node, so the paths of its fields omit its name
 			subPath += "." + label
 		}
 		counts[sub.Type]++
@@ -131,7 +131,7 @@
 			r.fail(sub.DefRange(), subPath, "found a second block; allowed: one")
 			continue
 		}
-		if _, twice := r.ranges[subPath]; !twice || kind.single {
+		if _, seen := r.ranges[subPath]; !seen || kind.single {
 			r.ranges[subPath] = sub.DefRange()
 		}
 		kind.read(sub.Body, subPath, label)
@@ -139,21 +139,22 @@
 	for _, k := range blocks {
 		if k.required && counts[k.kind] == 0 {
 			r.fail(at, path, "the block %s { } is missing", k.kind)
-			r.unread[join(path, k.kind)] = true
+			r.unread[joinPath(path, k.kind)] = true
 		}
 	}
 }
 
-// unknownBlock reports a block that can't stand where it does.
+// unknownBlock reports a block that is not allowed where it appears.
 func (r *reader) unknownBlock(sub *hclsyntax.Block, path string, fields []field, blocks []block) {
 	if hasField(fields, sub.Type) {
-		r.fail(sub.TypeRange, join(path, sub.Type), "found a block; allowed: a field, as in %s = ...", sub.Type)
+		r.fail(sub.TypeRange, joinPath(path, sub.Type), "found a block; allowed: a field, as in %s = ...", sub.Type)
 		return
 	}
-	r.fail(sub.TypeRange, join(path, sub.Type), "found an unknown block; allowed here: %s", allowedNames(fields, blocks))
+	r.fail(sub.TypeRange, joinPath(path, sub.Type), "found an unknown block; allowed here: %s", allowedNames(fields, blocks))
 }
 
-// label is a block's name, empty for a kind that has none; false: it has too few or too many, which is reported.
+// label returns a block's name, which is empty for a kind without names. If the number of names is wrong, it reports that and
+// returns false.
 func (r *reader) label(sub *hclsyntax.Block, kind *block, path string) (string, bool) {
 	switch {
 	case kind.labelled && len(sub.Labels) != 1:
--- a/internal/config/needs.go
+++ b/internal/config/needs.go
@@ -1,68 +1,69 @@
 package config
 
-// Memory that parts of a node take, measured and rounded up (docs/design/plan.md).
+// Memory use of the parts of a node in bytes, rounded up (docs/design/plan.md).
 const (
-	baseMemory       = 12 << 20
-	clientMemory     = 40 << 10
-	connectionMemory = 12 << 10
-	poolMemory       = 96 << 10
-	serverMemory     = 4 << 10
-	routeMemory      = 2 << 10
+	baseMemoryBytes       = 12 << 20
+	clientMemoryBytes     = 40 << 10
+	connectionMemoryBytes = 12 << 10
+	poolMemoryBytes       = 96 << 10
+	serverMemoryBytes     = 4 << 10
+	routeMemoryBytes      = 2 << 10
 )
 
-// Needs are what a configuration asks of the process.
+// Needs is the resources that a configuration requires.
 type Needs struct {
-	Descriptors int  `json:"descriptors"` // with every pool's connections open, and as many clients
-	Memory      Size `json:"memory"`      // likewise, as estimated
+	Descriptors int  `json:"descriptors"` // with all connections of all pools open, and as many clients
+	Memory      Size `json:"memory"`      // estimate for the same load
 }
 
-// Needs adds up what the configuration may take. Clients may have as many descriptors as servers, and more
-// while servers need less.
+// Needs returns the resources that the configuration may use. Client connections may use as many descriptors as server
+// connections, and more while the latter use fewer.
 func (c *Config) Needs() Needs {
-	most, servers := 0, 0
+	connections, servers := 0, 0
 	for _, p := range c.AllPools() {
-		most += p.Connections.Most
+		connections += p.Connections.Max
 		servers += len(p.Servers)
 	}
-	own := c.OwnDescriptors()
-	memory := int64(baseMemory) + int64(most)*(clientMemory+connectionMemory) + int64(len(c.AllPools()))*poolMemory +
-		int64(servers)*serverMemory + int64(len(c.Routes))*routeMemory + int64(c.links())*linkMemory
+	internalDescriptors := c.InternalDescriptors()
+	memory := int64(baseMemoryBytes) + int64(connections)*(clientMemoryBytes+connectionMemoryBytes) + int64(len(c.AllPools()))*poolMemoryBytes +
+		int64(servers)*serverMemoryBytes + int64(len(c.Routes))*routeMemoryBytes + int64(c.maxLinkDescriptors())*linkMemoryBytes
 	if c.Federation != nil {
 		memory += int64(c.Federation.Memory)
 	}
-	return Needs{Descriptors: own + 2*most, Memory: Size(memory)}
+	return Needs{Descriptors: internalDescriptors + 2*connections, Memory: Size(memory)}
 }
 
-// OwnDescriptors are those that neither clients nor servers have: the reserved ones, which serve for one
-// listener and one registry's watch, and what further ones need.
-func (c *Config) OwnDescriptors() int {
+// InternalDescriptors returns the number of descriptors for all but the connections of clients and servers: the reserved ones,
+// which include one listener and one registry watch, and those for the management endpoint, peers, links, and further listeners
+// and registries.
+func (c *Config) InternalDescriptors() int {
 	registries := 0
 	for _, p := range c.Pools {
 		if p.Registry != nil {
 			registries++
 		}
 	}
-	management := 0
+	optional := 0
 	if c.Node.Management != "" {
-		management = managementDescriptors
+		optional = managementDescriptors
 	}
 	if c.Node.Peers.Listen != "" {
-		management++
+		optional++
 	}
-	return Reserved + management + c.links() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
+	return ReservedDescriptors + optional + c.maxLinkDescriptors() + max(0, len(c.Listeners)-1) + 2*max(0, registries-1)
 }
 
-// needs compares what is asked for with the limits.
+// needs checks the required resources against the limits.
 func (k *checker) needs() {
-	n := k.Config.Needs()
-	if l := k.Node.Limits.Descriptors; n.Descriptors > l {
-		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d of the node's own and, with all pools' connections open, twice %d",
-			l, n.Descriptors, k.OwnDescriptors(), (n.Descriptors-k.OwnDescriptors())/2)
+	needs := k.Config.Needs()
+	if l := k.Node.Limits.Descriptors; needs.Descriptors > l {
+		k.fail("node.limits.descriptors", "found %d, but %d are needed: %d for the node itself and, with all connections of all pools open, twice %d",
+			l, needs.Descriptors, k.InternalDescriptors(), (needs.Descriptors-k.InternalDescriptors())/2)
 	}
-	if l := k.Node.Limits.Memory; n.Memory > l {
-		k.fail("node.limits.memory", "found %v, but about %v are needed with all connections open", l, n.Memory.Rounded())
+	if l := k.Node.Limits.Memory; needs.Memory > l {
+		k.fail("node.limits.memory", "found %v, but about %v are needed with all connections open", l, needs.Memory.RoundUpToMiB())
 	}
 }
 
-// Rounded is the size rounded up to MiB, for people.
-func (s Size) Rounded() Size { return (s + 1<<20 - 1) &^ (1<<20 - 1) }
+// RoundUpToMiB rounds the size up to a multiple of 1 MiB, for display.
+func (s Size) RoundUpToMiB() Size { return (s + 1<<20 - 1) &^ (1<<20 - 1) }
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -29,19 +29,19 @@
 		c.handleParams(req, e.Params)
 	case Body:
 		switch {
-		case len(req.body)+len(e.Data) > validation.MaxBody:
+		case len(req.body)+len(e.Data) > validation.MaxBufferedBody:
 			c.reject(req, errTooLong)
-		case req.head.Length >= 0 && int64(len(req.body)+len(e.Data)) > req.head.Length:
+		case req.head.ContentLength >= 0 && int64(len(req.body)+len(e.Data)) > req.head.ContentLength:
 			c.reject(req, errLengthMismatch)
 		default:
 			req.body = append(req.body, e.Data...)
 		}
 	case BodyEnd:
-		if req.head.Length >= 0 && int64(len(req.body)) != req.head.Length {
+		if req.head.ContentLength >= 0 && int64(len(req.body)) != req.head.ContentLength {
 			c.reject(req, errLengthMismatch)
 			return
 		}
-		req.head.Length = int64(len(req.body))
+		req.head.ContentLength = int64(len(req.body))
 		c.finishReading()
 		c.dispatch(req)
 	case Aborted:
@@ -50,7 +50,7 @@
 			c.finishReading()
 		} else {
 			req.dispatched.Disconnect(c.front.clock.Now())
-			c.front.counters.Left()
+			c.front.counters.ClientDisconnected()
 		}
 		c.finish(req, End{AppStatus: 1})
 	}
@@ -71,12 +71,12 @@
 	}
 	snapshot := c.front.dispatcher.Snapshot()
 	probe := head
-	probe.Length = max(0, head.Length)
+	probe.ContentLength = max(0, head.ContentLength)
 	in, err := validation.Check(snapshot, &probe)
 	switch {
 	case err != nil:
 		c.reject(req, err)
-	case head.Length > validation.MaxBody:
+	case head.ContentLength > validation.MaxBufferedBody:
 		c.reject(req, errTooLong)
 	}
 	req.checked = in
@@ -86,17 +86,17 @@
 // refuses it.
 func (c *client) dispatch(req *request) {
 	f := c.front
-	f.counters.Begin()
+	f.counters.RequestStarted()
 	snapshot := f.dispatcher.Snapshot()
 	if !f.clients.Begin(c) {
 		c.respond(req, engine.Response{Kind: engine.Rejected, RetryAfter: snapshot.RetryAfter()})
 		f.clients.End(c)
 		return
 	}
-	req.checked.Request.ClientDisconnected = func() bool { return c.isDisconnected(req) }
-	dispatched, err := validation.Take(f.dispatcher, snapshot, &req.head, req.checked, req.body, nil, f.clock.Now())
+	req.checked.Message.ClientDisconnected = func() bool { return c.isDisconnected(req) }
+	dispatched, err := validation.Submit(f.dispatcher, snapshot, &req.head, req.checked, req.body, nil, f.clock.Now())
 	if err != nil {
-		f.counters.End(req.checked.Class, metrics.Faulted)
+		f.counters.RequestEnded(req.checked.Class, metrics.Faulted)
 		c.respondText(req, errorResponse(err))
 		f.clients.End(c)
 		c.updatePhase()
@@ -142,9 +142,9 @@
 
 // respond writes a complete response. The caller holds mu.
 func (c *client) respond(req *request, resp engine.Response) {
-	c.front.counters.End(req.checked.Class, validation.Result(resp))
+	c.front.counters.RequestEnded(req.checked.Class, validation.Result(resp))
 	if resp.Kind != engine.Served {
-		status, text := validation.Text(resp)
+		status, text := validation.ErrorStatus(resp)
 		c.respondText(req, textResponse{status, text, validation.RetryAfter(resp)})
 		return
 	}
@@ -181,10 +181,10 @@
 	case req.finished:
 		return // already counted by the abort or the end of the connection
 	case ok && err == io.EOF:
-		c.front.counters.End(req.checked.Class, metrics.Fulfilled)
+		c.front.counters.RequestEnded(req.checked.Class, metrics.Fulfilled)
 		c.finish(req, End{})
 	default:
-		c.front.counters.End(req.checked.Class, metrics.Faulted)
+		c.front.counters.RequestEnded(req.checked.Class, metrics.Faulted)
 		c.finish(req, End{AppStatus: 1})
 	}
 	c.flush()
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -27,7 +27,7 @@
 	for _, req := range c.requests {
 		if req.dispatched != nil {
 			req.dispatched.Disconnect(c.front.clock.Now())
-			c.front.counters.Left()
+			c.front.counters.ClientDisconnected()
 		}
 		req.finished = true
 		req.disconnected.Store(true)
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -27,7 +27,7 @@
 	clock           clock.Clock
 	dispatcher      *dispatch.Dispatcher
 	clients         *downstream.Set
-	counters        *metrics.Set
+	counters        *metrics.Recorder
 	log             *slog.Logger
 	limits          ConnLimits
 	unreadTimeout   time.Duration
@@ -37,7 +37,7 @@
 }
 
 // NewFront returns a Front for a listener. It accepts no connections before Serve is called.
-func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Set, log *slog.Logger) *Front {
+func NewFront(listener string, c clock.Clock, clients *downstream.Set, dispatcher *dispatch.Dispatcher, counters *metrics.Recorder, log *slog.Logger) *Front {
 	return &Front{listener: listener, clock: c, dispatcher: dispatcher, clients: clients, counters: counters, log: log, limits: DefaultConnLimits(), unreadTimeout: unreadTimeout, progressTimeout: progressTimeout}
 }
 
@@ -65,7 +65,7 @@
 // respondHealth answers a readiness check.
 func (c *client) respondHealth(req *request) {
 	switch f := c.front; {
-	case req.head.Method != http.MethodGet && req.head.Method != http.MethodHead || req.head.Length > 0:
+	case req.head.Method != http.MethodGet && req.head.Method != http.MethodHead || req.head.ContentLength > 0:
 		c.respondText(req, textResponse{http.StatusMethodNotAllowed, "only GET is served", ""})
 	case f.draining.Load() || !f.dispatcher.Snapshot().Ready():
 		c.respondText(req, textResponse{http.StatusServiceUnavailable, "not ready", ""})
@@ -83,13 +83,13 @@
 
 // Errors of invalid bodies.
 var (
-	errTooLong        = &validation.Rejected{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
-	errLengthMismatch = &validation.Rejected{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
+	errTooLong        = &validation.Error{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errLengthMismatch = &validation.Error{Status: http.StatusBadRequest, Reason: "STDIN does not have the bytes that CONTENT_LENGTH tells"}
 )
 
 // errorResponse returns the response to a request that is invalid, or whose listener was removed.
 func errorResponse(err error) textResponse {
-	var rejected *validation.Rejected
+	var rejected *validation.Error
 	if errors.As(err, &rejected) {
 		return textResponse{rejected.Status, rejected.Reason, ""}
 	}
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -55,11 +55,11 @@
 	cfg := testpeer.Config()
 	cfg.Listeners[0].Protocol = config.FastCGI
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c, counters := clock.New(), &metrics.Set{}
+	c, counters := clock.New(), &metrics.Recorder{}
 	env := &testEnv{backend: upstream.NewPool(c, descriptors.NewShare(488), counters, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
 	env.clients = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, env.backend.Connections)
 	var err error
-	if env.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: env.backend,
+	if env.engine, err = engine.New(engine.Options{Settings: cfg.BalancerSettings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: env.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
 		t.Fatal(err)
 	}
@@ -331,7 +331,7 @@
 			t.Errorf("request %s ran twice", id)
 		}
 	}
-	testpeer.Until(t, "all requests to end", func() bool { return env.engine.Status().Open == 0 && env.front.counters.Report().Open == 0 })
+	testpeer.Until(t, "all requests to end", func() bool { return env.engine.Status().Open == 0 && env.front.counters.Report().OpenRequests == 0 })
 }
 
 // When a web server disconnects with open requests, their attempts end and no connection or request is left.
@@ -356,7 +356,7 @@
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
 	testpeer.Until(t, "all connections and requests to end", func() bool {
-		return env.clients.Open() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().Open == 0
+		return env.clients.Open() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().OpenRequests == 0
 	})
 	if server.Seen() != 5 {
 		t.Errorf("server got %d requests, want 5", server.Seen())
--- a/internal/fastcgi/variables.go
+++ b/internal/fastcgi/variables.go
@@ -16,9 +16,9 @@
 
 // parseHead reads a request's head from its CGI variables (RFC 3875 section 4.1). It rejects ambiguous input: duplicate
 // variables, headers whose names map to the same variable, conflicting lengths, and line breaks or NUL in values.
-func parseHead(listener string, params []Param) (validation.Head, *validation.Rejected) {
-	badRequest := func(reason string) (validation.Head, *validation.Rejected) {
-		return validation.Head{}, &validation.Rejected{Status: http.StatusBadRequest, Reason: reason}
+func parseHead(listener string, params []Param) (validation.Head, *validation.Error) {
+	badRequest := func(reason string) (validation.Head, *validation.Error) {
+		return validation.Head{}, &validation.Error{Status: http.StatusBadRequest, Reason: reason}
 	}
 	vars := make(map[string]string, len(params))
 	headers := http.Header{}
@@ -50,8 +50,8 @@
 		}
 	}
 	head := validation.Head{Listener: listener, Protocol: config.FastCGI, Method: vars["REQUEST_METHOD"], Host: vars["HTTP_HOST"],
-		Type: vars["CONTENT_TYPE"], Length: -1, Headers: headers,
-		ID: headers.Values("X-Request-Id"), Wait: headers.Values("X-Deadline"), Key: headers.Values("Idempotency-Key")}
+		ContentType: vars["CONTENT_TYPE"], ContentLength: -1, Headers: headers,
+		RequestIDs: headers.Values("X-Request-Id"), Deadlines: headers.Values("X-Deadline"), IdempotencyKeys: headers.Values("Idempotency-Key")}
 	if head.Host == "" {
 		head.Host = vars["SERVER_NAME"]
 	}
@@ -60,9 +60,9 @@
 		if err != nil {
 			return badRequest("CONTENT_LENGTH is no number")
 		}
-		head.Length = int64(n)
+		head.ContentLength = int64(n)
 	} else if head.Method == http.MethodGet {
-		head.Length = 0
+		head.ContentLength = 0
 	}
 	if head.Target = vars["REQUEST_URI"]; head.Target == "" {
 		head.Target = (&url.URL{Path: vars["SCRIPT_NAME"] + vars["PATH_INFO"]}).EscapedPath()
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -64,7 +64,7 @@
 // newAttempt returns a routedAttempt of the request at a pool.
 func (e *execution) newAttempt(pool string) *routedAttempt {
 	attempt := &routedAttempt{execution: e, pool: pool, done: make(chan struct{})}
-	if partner, ok := config.PartnerOf(pool); ok {
+	if partner, ok := config.PartnerOfPool(pool); ok {
 		attempt.partner = partner
 	}
 	return attempt
--- a/internal/gateway/connect.go
+++ b/internal/gateway/connect.go
@@ -98,7 +98,7 @@
 // are tried from the next check on.
 func (c *connector) addPartnerLinks(partner *config.Partner, links map[string]string) {
 	order := c.dialOrders[partner.Name]
-	failoverAfter := failoverTimeouts * time.Duration(c.policy.config.Federation.Silence)
+	failoverAfter := failoverTimeouts * time.Duration(c.policy.config.Federation.LinkTimeout)
 	for i := range min(partner.Links, len(order)) {
 		address := order[(c.firstIndex[partner.Name]+i)%len(order)]
 		if len(order) > partner.Links && c.gateway.hub.Load().DownFor(address) > failoverAfter {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -86,7 +86,7 @@
 
 // replicationOptions returns the options of the gateway's replicator.
 func (g *Gateway) replicationOptions(federation *config.Federation) replication.Options {
-	silence := time.Duration(federation.Silence)
+	silence := time.Duration(federation.LinkTimeout)
 	return replication.Options{
 		Self: replication.Gateway{
 			Name:        g.self.Name,
@@ -101,7 +101,7 @@
 		Silence:        silence,
 		Replicas:       federation.Replicas,
 		Memory:         int(federation.Memory),
-		Retention:      time.Duration(federation.Keep),
+		Retention:      time.Duration(federation.ResponseRetention),
 		MaxIntentAge:   silence / 2,
 		RecoveryWindow: func() time.Duration { return g.policy.Load().longestDeadline },
 		Now:            g.options.Clock.Now,
@@ -128,14 +128,14 @@
 		OnLinkUp:          g.linkUp,
 		OnPeerChange:      g.linkChanged,
 		HeartbeatInterval: heartbeatInterval(federation),
-		HeartbeatTimeout:  time.Duration(federation.Silence),
+		HeartbeatTimeout:  time.Duration(federation.LinkTimeout),
 		Log:               g.options.Log,
 	}
 }
 
 // heartbeatInterval returns the interval between heartbeats of a link.
 func heartbeatInterval(federation *config.Federation) time.Duration {
-	return time.Duration(federation.Silence) / 4
+	return time.Duration(federation.LinkTimeout) / 4
 }
 
 // Close closes all links and returns once all tasks have ended.
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -75,7 +75,7 @@
 }
 
 // long is a body, of a request or of an answer, that passes through and is never buffered completely.
-var long = strings.Repeat("x", 2*validation.MaxBody)
+var long = strings.Repeat("x", 2*validation.MaxBufferedBody)
 
 // answerTo is what a server answers to a request: some answers pass through.
 func answerTo(id string) string {
@@ -125,7 +125,7 @@
 		}
 		return faults.Listener(ln), nil
 	}
-	cfg.Options.watch = func(w *discovery.Watch) { w.DialBy(faults.Dial) }
+	cfg.Options.watch = func(w *discovery.Watch) { w.SetDialer(faults.Dial) }
 	cfg.Options.back = func(b *upstream.Pool) { b.SetDial(faults.Dial) }
 	n, stop := startNode(t, cfg, nil)
 
@@ -232,7 +232,7 @@
 		}
 	}
 	switch {
-	case a.cut && ran > 0 && len(answerTo(a.id)) > validation.MaxBody: // its server's connection has ended in its middle
+	case a.cut && ran > 0 && len(answerTo(a.id)) > validation.MaxBufferedBody: // its server's connection has ended in its middle
 	case a.status == 0 && !faults.Ended(a.from):
 		t.Errorf("%s %s: no answer on a connection that no failure has ended: %v, ran %d times", a.class, a.id, a.err, ran)
 	case a.status == http.StatusOK && (a.answer != answerTo(a.id) || ran == 0):
