--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -40,10 +40,10 @@
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
 	n, err := node.NewPlatform(cfg, start, log, node.Options{
-		Limit:     node.Limit,
+		SetLimits:     node.SetProcessLimits,
 		Listen:    hotrestart.Listen,
 		Processes: enter(log),
-		Start:     ctx,
+		StartContext:     ctx,
 	})
 	if err != nil {
 		if ctx.Err() != nil {
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -42,8 +42,8 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	o.Node.Limit = node.Limit
-	o.Node.Start = ctx
+	o.Node.SetLimits = node.SetProcessLimits
+	o.Node.StartContext = ctx
 	d, err := daemon.Start(o)
 	if err != nil {
 		if ctx.Err() != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,7 @@
 	}
 	starting, cancel := o.Node.Starting()
 	defer cancel()
-	o.Node.Start = starting // the node and the admin socket wait within one time
+	o.Node.StartContext = starting // the node and the admin socket wait within one time
 	d := &Daemon{
 		options:    o,
 		divergence: make(chan struct{}, 1),
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -132,7 +132,7 @@
 	cancel()
 	begin := func() error {
 		o := r.options
-		o.Node.Start = ended // it tries no socket again
+		o.Node.StartContext = ended // it tries no socket again
 		o.File, o.Log = r.file, slog.New(slog.NewTextHandler(io.Discard, nil))
 		d, err := Start(o)
 		if err == nil {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -23,27 +23,27 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// operators is a control that is always ready.
-type operators struct{ mgmt.Control }
+// readyControl is a control that is always ready.
+type readyControl struct{ mgmt.Control }
 
-func (operators) Health() error           { return nil }
-func (operators) Metrics() metrics.Report { return metrics.Report{} }
+func (readyControl) Health() error           { return nil }
+func (readyControl) Metrics() metrics.Report { return metrics.Report{} }
 
-// daemon is a control that shows nothing.
-type daemon struct{ admin.Control }
+// emptyAdmin is a control that shows nothing.
+type emptyAdmin struct{ admin.Control }
 
-func (daemon) Show() admin.Show { return admin.Show{} }
+func (emptyAdmin) Show() admin.Show { return admin.Show{} }
 
-// accepting is one kind of listener of the process.
-type accepting struct {
-	name  string
-	serve func(t *testing.T, ln net.Listener, log *slog.Logger) (stop func())
-	ask   func(t *testing.T, address string, i int) // a request on a connection of its own; it must be answered
+// listenerKind is one kind of listener of the process.
+type listenerKind struct {
+	name    string
+	serve   func(t *testing.T, ln net.Listener, log *slog.Logger) (stop func())
+	request func(t *testing.T, address string, i int) // a request on a connection of its own; it must be answered
 }
 
-// acceptingKinds are all that there are.
-func acceptingKinds(server *testpeer.Server) []accepting {
-	return []accepting{
+// listenerKinds are all that there are.
+func listenerKinds(server *testpeer.Server) []listenerKind {
+	return []listenerKind{
 		{"HTTP", serveFront(server, config.HTTP1), func(t *testing.T, address string, i int) {
 			c := testpeer.Dial(t, address)
 			defer c.Close()
@@ -51,30 +51,30 @@
 			c.Want(t, 200, "a")
 		}},
 		{"FastCGI", serveFront(server, config.FastCGI), func(t *testing.T, address string, i int) {
-			if got := node.AskFastCGI(t, address, "GET", "/view/k", fmt.Sprint("fastcgi-", i)); !strings.HasPrefix(got, "Status: 200") {
+			if got := node.RequestFastCGI(t, address, "GET", "/view/k", fmt.Sprint("fastcgi-", i)); !strings.HasPrefix(got, "Status: 200") {
 				t.Errorf("FastCGI: %q", got)
 			}
 		}},
 		{"management", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
-			return mgmt.Serve(ln, operators{}, log).Close
+			return mgmt.Serve(ln, readyControl{}, log).Close
 		}, func(t *testing.T, address string, _ int) {
-			if got := node.AskLine(t, address, "health"); got != "+OK ready\n" {
+			if got := node.RequestManagement(t, address, "health"); got != "+OK ready\n" {
 				t.Errorf("management: %q", got)
 			}
 		}},
 		{"admin", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
-			return admin.NewServer(ln, daemon{}, log).Close
-		}, askShow},
+			return admin.NewServer(ln, emptyAdmin{}, log).Close
+		}, requestShow},
 		{"peering", func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
 			return peering.Serve(ln, gatewayOptions("b", log)).Close
-		}, askLink},
+		}, openLink},
 	}
 }
 
 // serveFront has a node serve a protocol at a listener.
 func serveFront(server *testpeer.Server, protocol config.Protocol) func(*testing.T, net.Listener, *slog.Logger) func() {
 	return func(t *testing.T, ln net.Listener, log *slog.Logger) func() {
-		cfg := node.OwnConfig(node.Pooled("p", server))
+		cfg := node.ConfigWithPools(node.StaticPool("p", server))
 		cfg.Listeners[0].Protocol = protocol
 		n, err := node.New(cfg, log, node.WithShortShutdown(node.Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }}))
 		if err != nil {
@@ -97,7 +97,7 @@
 		Key: func(string) []byte { return []byte("key") }, Silence: testpeer.Limit}
 }
 
-func askShow(t *testing.T, address string, _ int) {
+func requestShow(t *testing.T, address string, _ int) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testpeer.Limit}
 	answer, err := client.Get("http://" + address + "/v1/show")
@@ -111,8 +111,8 @@
 	}
 }
 
-// askLink has another gateway open a link.
-func askLink(t *testing.T, address string, i int) {
+// openLink has another gateway open a link.
+func openLink(t *testing.T, address string, i int) {
 	t.Helper()
 	up := make(chan *peering.Link, 1)
 	o := gatewayOptions(fmt.Sprint("a", i), node.DiscardLog())
@@ -132,7 +132,7 @@
 // on, leaves nothing behind.
 func TestListenersSurviveAcceptErrors(t *testing.T) {
 	server := node.NewTestServer(t, "a")
-	for _, kind := range acceptingKinds(server) {
+	for _, kind := range listenerKinds(server) {
 		t.Run(kind.name, func(t *testing.T) {
 			known := goleak.IgnoreCurrent()
 			log := &testpeer.LogBuffer{}
@@ -143,15 +143,15 @@
 			for i, failure := range failures {
 				ln.AwaitAccept(t)
 				ln.FailNext(failure, failure)
-				kind.ask(t, address, i)
+				kind.request(t, address, i)
 			}
-			kind.ask(t, address, len(failures))
+			kind.request(t, address, len(failures))
 			ln.AwaitAccept(t)
 			if got := ln.Failed(); got != 2*len(failures) {
 				t.Errorf("%d accepts failed, want %d", got, 2*len(failures))
 			}
 			ln.FailAlways(syscall.ENOBUFS)
-			kind.ask(t, address, len(failures)+1) // the accept that waits takes it
+			kind.request(t, address, len(failures)+1) // the accept that waits takes it
 			testpeer.Until(t, "failures", func() bool { return ln.Failed() > 2*len(failures)+3 })
 			stop()
 			lines, most := log.Count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
--- a/internal/node/adopt_test.go
+++ b/internal/node/atomic_change_test.go
@@ -16,16 +16,16 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// crossing is how long a request may try to get in between a change's rules and its view. Where it can't, it waits so long.
-const crossing = 20 * time.Millisecond
+// dispatchWait is how long a request may try to get in between a change's rules and its view. Where it can't, it waits so long.
+const dispatchWait = 20 * time.Millisecond
 
 // noHeaders are a request's that has none.
 type noHeaders struct{}
 
 func (noHeaders) Values(string) []string { return nil }
 
-// federated is a configuration of a gateway that is alone, with these classes.
-func federated(t *testing.T, peers, keyFile, server string, classes ...string) *config.Config {
+// federationConfig is a configuration of a gateway that is alone, with these classes.
+func federationConfig(t *testing.T, peers, keyFile, server string, classes ...string) *config.Config {
 	t.Helper()
 	var text strings.Builder
 	fmt.Fprintf(&text, "node \"n1\" {\n limits {\n memory = \"128MiB\"\n descriptors = 512\n }\n peers {\n listen = %q\n key_file = %q\n }\n}\n", peers, keyFile)
@@ -41,10 +41,10 @@
 	return cfg
 }
 
-// taken is what came of handing a request over.
-type taken struct {
-	call *engine.Request
-	err  error
+// dispatchResult is what came of handing a request over.
+type dispatchResult struct {
+	request *engine.Request
+	err     error
 }
 
 // A change's classes and the gateway's rules for them come at once: no request gets in between, whether it was read under the
@@ -57,37 +57,37 @@
 		t.Fatal(err)
 	}
 	peers := testpeer.ClosedPort(t)
-	old, next := federated(t, peers, keyFile, server, "view"), federated(t, peers, keyFile, server, "view", "new")
+	old, next := federationConfig(t, peers, keyFile, server, "view"), federationConfig(t, peers, keyFile, server, "view", "new")
 	var (
 		n       *Node
-		results []chan taken
+		results []chan dispatchResult
 		o       Options
 	)
 	// try begins a request that is read under the view of now, and waits a little whether it is handed over.
 	try := func(class string) {
-		view, result, id := n.requests.Snapshot(), make(chan taken, 1), fmt.Sprint("call", len(results))
+		view, result, id := n.dispatcher.Snapshot(), make(chan dispatchResult, 1), fmt.Sprint("call", len(results))
 		go func() {
 			c := engine.NewRequest(id, engine.Message{Method: "GET", Target: "/" + class + "/k"})
 			c.Class, c.At, c.Deadline = class, n.clock.Now(), n.clock.Now()+testpeer.Limit
-			result <- taken{c, n.requests.Dispatch(view, c, &route.Request{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, HashKey: c.ID})}
+			result <- dispatchResult{c, n.dispatcher.Dispatch(view, c, &route.Request{Listener: "main", Class: class, Path: "/k", Headers: noHeaders{}, HashKey: c.ID})}
 		}()
 		results = append(results, result)
 		select {
 		case r := <-result:
 			result <- r
-		case <-time.After(crossing):
+		case <-time.After(dispatchWait):
 		}
 	}
-	o.adopt = func() {
-		if _, known := n.requests.Snapshot().Class("new"); known {
+	o.aroundAdopt = func() {
+		if _, known := n.dispatcher.Snapshot().Class("new"); known {
 			t.Error("the new view is in place before the rules are, or while they are adopted")
 			try("new")
 			return
 		}
 		try("view")
 	}
-	n = startOwn(t, old, o)
-	change(t, n, next)
+	n = startWithConfig(t, old, o)
+	applyConfig(t, n, next)
 	if len(results) != 2 {
 		t.Fatalf("%d calls were begun while the rules were adopted", len(results))
 	}
@@ -101,7 +101,7 @@
 	if r.err != nil {
 		t.Fatal(r.err)
 	}
-	if a := testpeer.Receive(t, r.call.Response(), "its answer"); a.Kind != engine.Served {
+	if a := testpeer.Receive(t, r.request.Response(), "its answer"); a.Kind != engine.Served {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/bad_clients_test.go
@@ -18,14 +18,17 @@
 // badAnswerWithin is how long a client that stops in the middle of a request waits for its error or close at most, and how
 // long a good one's answer may be late. Both terms have room beyond for a test's machine.
 const (
-	badAnswerWithin = 3 * time.Second
-	lateAnswer      = 500 * time.Millisecond
+	stalledClientLimit = 3 * time.Second
+	maxResponseDelay   = 500 * time.Millisecond
 )
 
 // badClients are what clients may do to a node beside others. Each returns once its connection has ended, or at stop.
 var badClients = map[string]func(nc net.Conn, stop chan struct{}){
-	"half a head": func(nc net.Conn, _ chan struct{}) { io.WriteString(nc, "GET /view/k HTTP/1.1\r\nX-Req"); toEnd(nc) },
-	"half a body": func(nc net.Conn, _ chan struct{}) { io.WriteString(nc, badHead+"hal"); toEnd(nc) },
+	"half a head": func(nc net.Conn, _ chan struct{}) {
+		io.WriteString(nc, "GET /view/k HTTP/1.1\r\nX-Req")
+		readUntilClosed(nc)
+	},
+	"half a body": func(nc net.Conn, _ chan struct{}) { io.WriteString(nc, badHead+"hal"); readUntilClosed(nc) },
 	"a slow head": func(nc net.Conn, _ chan struct{}) { // slower than a head may be
 		for _, b := range []byte(badHead) {
 			if _, err := nc.Write([]byte{b}); err != nil {
@@ -33,7 +36,7 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		toEnd(nc)
+		readUntilClosed(nc)
 	},
 	"answers that it doesn't read": func(nc net.Conn, stop chan struct{}) {
 		io.WriteString(nc, "GET /view/long HTTP/1.1\r\nHost: h\r\nX-Request-Id: long"+nc.LocalAddr().String()+"\r\nX-Deadline: 1\r\n\r\n")
@@ -56,15 +59,17 @@
 
 const badHead = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 1\r\nContent-Length: 9\r\n\r\n"
 
-// toEnd reads until the other side has closed.
-func toEnd(nc net.Conn) { io.Copy(io.Discard, nc) }
+// readUntilClosed reads until the other side has closed.
+func readUntilClosed(nc net.Conn) { io.Copy(io.Discard, nc) }
 
-// stalls says that a client of badClients is owed its error or close: it has stopped in the middle of a request.
-func stalls(name string) bool { return strings.HasPrefix(name, "half") || name == "a slow head" }
+// stopsMidRequest says that a client of badClients is owed its error or close: it has stopped in the middle of a request.
+func stopsMidRequest(name string) bool {
+	return strings.HasPrefix(name, "half") || name == "a slow head"
+}
 
 // Whatever other clients do, and though one server hangs and another does on some requests, each good request gets its one
 // final answer in time; who stops in the middle of a request gets its error or close within 3 s. Nor do they hold the end up.
-func TestFaultsCostNoHealthyRequestItsResponse(t *testing.T) {
+func TestHealthyRequestsUnderBadClientsAndServers(t *testing.T) {
 	long := strings.Repeat("x", 4<<20)
 	var seen atomic.Int64
 	some := func(c net.Conn, r *http.Request, body string) bool {
@@ -95,14 +100,14 @@
 				begin := time.Now()
 				nc.SetDeadline(begin.Add(testpeer.Limit))
 				play(nc, over)
-				if took := time.Since(begin); stalls(name) && took > badAnswerWithin+lateAnswer {
+				if took := time.Since(begin); stopsMidRequest(name) && took > stalledClientLimit+maxResponseDelay {
 					t.Errorf("%s: its connection ended after %v", name, took)
 				}
 			})
 		}
 	}
 	for i := range 4 {
-		good.Go(func() { goodRequests(t, n.Addr("main"), fmt.Sprint("good", i), 100) })
+		good.Go(func() { sendHealthyRequests(t, n.Addr("main"), fmt.Sprint("good", i), 100) })
 	}
 	good.Wait()
 	begin := time.Now()
@@ -115,8 +120,8 @@
 	testpeer.Until(t, "no request to be open", func() bool { return n.metrics.Report().Open == 0 })
 }
 
-// goodRequests sends requests one after the other, on one connection for as long as it stays, and waits for each answer.
-func goodRequests(t *testing.T, address, name string, count int) {
+// sendHealthyRequests sends requests one after the other, on one connection for as long as it stays, and waits for each answer.
+func sendHealthyRequests(t *testing.T, address, name string, count int) {
 	var (
 		nc  net.Conn
 		in  *bufio.Reader
@@ -137,7 +142,7 @@
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
 		}
-		if took := time.Since(begin); err != nil || took > time.Second+lateAnswer {
+		if took := time.Since(begin); err != nil || took > time.Second+maxResponseDelay {
 			t.Errorf("%s-%d: %v after %v", name, i, err, took)
 			nc.Close()
 			return
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -87,8 +87,8 @@
 	c.node.change = nil
 }
 
-// fault is the error with which a test has a step fail; nil: it goes on.
-func (c *Change) fault(point string) error {
+// injectFault is the error with which a test has a step fail; nil: it goes on.
+func (c *Change) injectFault(point string) error {
 	if c.node.options.Fault == nil {
 		return nil
 	}
@@ -117,7 +117,7 @@
 
 // checkDescriptors compares the configuration's needs, with the connections of retiring pools, with its limits.
 func (c *Change) checkDescriptors() error {
-	if err := c.fault("check limits"); err != nil {
+	if err := c.injectFault("check limits"); err != nil {
 		return fmt.Errorf("limits: %w", err)
 	}
 	if c.node.cfg == nil {
@@ -142,7 +142,7 @@
 	if c.node.sockets[key] != nil {
 		return nil
 	}
-	if err := c.fault("bind " + l.Name); err != nil {
+	if err := c.injectFault("bind " + l.Name); err != nil {
 		return fmt.Errorf("listener %q: %w", l.Name, err)
 	}
 	// A socket of this address that an earlier change left behind is still being closed, a moment at most.
@@ -158,7 +158,7 @@
 	}
 	c.sockets[key] = s
 	c.rollbacks = append(c.rollbacks, func() { s.shutdown() })
-	return c.after("bind " + l.Name)
+	return c.injectFaultAfter("bind " + l.Name)
 }
 
 // listen opens a listener's socket. That of the first configuration is retried until ctx ends, for a process that can't
@@ -170,9 +170,9 @@
 	return netlistener.Open(ctx, c.node.log, func() (*socket, error) { return c.node.listen(l) })
 }
 
-// after is the fault point behind a step, where there is something to roll back.
-func (c *Change) after(point string) error {
-	if err := c.fault("after " + point); err != nil {
+// injectFaultAfter is the fault point behind a step, where there is something to roll back.
+func (c *Change) injectFaultAfter(point string) error {
+	if err := c.injectFault("after " + point); err != nil {
 		return fmt.Errorf("%s: %w", point, err)
 	}
 	return nil
@@ -182,20 +182,20 @@
 func (c *Change) preparePool(p config.Pool) error {
 	old := c.node.pools[p.Name]
 	if old == nil || old.cfg.Protocol != p.Protocol {
-		return c.makePool(p)
+		return c.createPool(p)
 	}
 	return c.prepareUpdate(old, p)
 }
 
-// makePool makes a pool, which runs from then on.
-func (c *Change) makePool(p config.Pool) error {
+// createPool makes a pool, which runs from then on.
+func (c *Change) createPool(p config.Pool) error {
 	n := c.node
-	if err := c.fault("make pool " + p.Name); err != nil {
+	if err := c.injectFault("make pool " + p.Name); err != nil {
 		return fmt.Errorf("pool %q: %w", p.Name, err)
 	}
 	first := initialState{seed: rand.Uint64(), known: discovery.List{Full: true, Rev: -1}}
-	if n.cfg == nil && n.start != nil {
-		first = *n.start
+	if n.cfg == nil && n.initial != nil {
+		first = *n.initial
 	}
 	made, err := n.newPool(c.cfg, p, first.seed, first.known)
 	if err != nil {
@@ -204,7 +204,7 @@
 	made.start()
 	c.pools[p.Name] = made
 	c.rollbacks = append(c.rollbacks, made.close)
-	return c.after("make pool " + p.Name)
+	return c.injectFaultAfter("make pool " + p.Name)
 }
 
 // prepareUpdate prepares what becomes of a pool that stays, with another watch where its list is to come from another
@@ -213,14 +213,14 @@
 	n := c.node
 	u := update{pool: old, cfg: p, settings: c.cfg.Settings(p)}
 	if u.registryChanged() && p.Registry != nil {
-		if err := c.fault("watch for pool " + p.Name); err != nil {
+		if err := c.injectFault("watch for pool " + p.Name); err != nil {
 			return fmt.Errorf("pool %q: %w", p.Name, err)
 		}
 		u.source = n.newSource(*p.Registry, -1, n.log.With("pool", p.Name))
 		u.source.start()
 		u.source.watch.Subscribe()
 		c.rollbacks = append(c.rollbacks, u.source.stop)
-		if err := c.after("watch for pool " + p.Name); err != nil {
+		if err := c.injectFaultAfter("watch for pool " + p.Name); err != nil {
 			return err
 		}
 	}
@@ -230,7 +230,7 @@
 
 // makeSnapshot makes the routing snapshot under which requests will be read.
 func (c *Change) makeSnapshot() error {
-	if err := c.fault("compile routes"); err != nil {
+	if err := c.injectFault("compile routes"); err != nil {
 		return fmt.Errorf("routes: %w", err)
 	}
 	engines := map[string]*engine.Engine{}
@@ -275,11 +275,11 @@
 
 // awaitList waits until the registry of a pool has listed a server in service, or ctx ends, which does so after wait.
 func (c *Change) awaitList(ctx context.Context, p config.Pool, r *relay, wait time.Duration) error {
-	if err := c.fault("warm pool " + p.Name); err != nil {
+	if err := c.injectFault("warm pool " + p.Name); err != nil {
 		return fmt.Errorf("pool %q: %w", p.Name, err)
 	}
 	select {
-	case <-r.hasList:
+	case <-r.serverReady:
 		return nil
 	case <-ctx.Done():
 	case <-c.node.draining:
@@ -288,7 +288,7 @@
 	switch {
 	case !errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return fmt.Errorf("pool %q: its list was not waited for: %w", p.Name, ctx.Err())
-	case isClosed(r.listed):
+	case isClosed(r.snapshotReceived):
 		return fmt.Errorf("pool %q: the registry at %s lists no server in service, after %v", p.Name, p.Registry.Address, wait)
 	}
 	return fmt.Errorf("pool %q: the registry at %s has not answered with a list within %v", p.Name, p.Registry.Address, wait)
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -19,24 +19,24 @@
 	for _, changing := range []bool{false, true} {
 		b.Run(fmt.Sprintf("changing=%v", changing), func(b *testing.B) {
 			for range b.N {
-				measure(b, changing)
+				measureLatency(b, changing)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, changing bool) {
+func measureLatency(b *testing.B, changing bool) {
 	var servers []*testpeer.Server
 	for i := range 4 {
 		server := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i)})
 		servers = append(servers, testpeer.NewServer(b, server.Serve))
 	}
 	configOf := func(i int) *config.Config {
-		c := ownConfig(pooled("stays", servers[0], servers[1], servers[2+i%2]), pooled(fmt.Sprint("p", i%3), servers[3]))
+		c := configWithPools(staticPool("stays", servers[0], servers[1], servers[2+i%2]), staticPool(fmt.Sprint("p", i%3), servers[3]))
 		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprint("r", i%3), Hosts: []string{"x"}, To: []route.Target{{Pool: c.Pools[1].Name, Weight: 1}}})
 		return c
 	}
-	n, err := New(configOf(0), quiet(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
+	n, err := New(configOf(0), discardLog(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/change_rollback_test.go
+++ b/internal/node/change_rollback_test.go
@@ -33,13 +33,13 @@
 	agent.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "in_service")))
 	other.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
 	registered := func(name string, at *testpeer.Agent) config.Pool {
-		p := pooled(name)
+		p := staticPool(name)
 		p.Registry = &config.Registry{Address: at.Address(), Mode: config.Pushed}
 		return p
 	}
-	first := func() *config.Config { return ownConfig(pooled("p1", a), registered("p2", agent)) }
+	first := func() *config.Config { return configWithPools(staticPool("p1", a), registered("p2", agent)) }
 	second := func() *config.Config {
-		c := ownConfig(pooled("p1", b), registered("p2", other), pooled("p3", b), registered("p4", other))
+		c := configWithPools(staticPool("p1", b), registered("p2", other), staticPool("p3", b), registered("p4", other))
 		c.Listeners = append(c.Listeners, config.Listener{Name: "l2", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.StrictPaths},
 			config.Listener{Name: "l3", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.StrictPaths})
 		c.Routes = append(c.Routes, route.Route{Name: "r2", Paths: []string{"/view/2/*"}, To: []route.Target{{Pool: "p2", Weight: 1}}},
@@ -70,7 +70,7 @@
 		defer mu.Unlock()
 		points, failAt = nil, at
 	}
-	n := startOwn(t, func() *config.Config {
+	n := startWithConfig(t, func() *config.Config {
 		c := first()
 		c.Routes = append(c.Routes, route.Route{Name: "r2", Classes: []string{"view"}, Hosts: []string{"two"}, To: []route.Target{{Pool: "p2", Weight: 1}}})
 		return c
@@ -118,7 +118,7 @@
 		})
 	}
 	t.Logf("%d points failed in turn: %s", len(all), strings.Join(all, ", "))
-	change(t, n, second())
+	applyConfig(t, n, second())
 	wantServed(t, n, "main", "/view/k", "b")
 	wantServed(t, n, "l3", "/view/2/k", "b")
 	wantServed(t, n, "l2", "/view/4/k", "b")
@@ -126,14 +126,14 @@
 
 func TestPortInUseIsReportedAndRolledBack(t *testing.T) {
 	a := newTestServer(t, "a")
-	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
+	n := startWithConfig(t, configWithPools(staticPool("p", a)), Options{})
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	free := testpeer.ClosedPort(t)
-	next := ownConfig(pooled("p", a))
+	next := configWithPools(staticPool("p", a))
 	next.Listeners = append(next.Listeners,
 		config.Listener{Name: "l2", Address: free, Protocol: config.HTTP1, Paths: config.StrictPaths},
 		config.Listener{Name: "l3", Address: taken.Addr().String(), Protocol: config.HTTP1, Paths: config.StrictPaths})
@@ -141,7 +141,7 @@
 	if err == nil || !strings.Contains(err.Error(), `listener "l3": `+taken.Addr().String()+": address already in use") {
 		t.Errorf("%v", err)
 	}
-	if status, _ := ask(t, free, "GET", "/view/k"); status != 0 {
+	if status, _ := sendRequest(t, free, "GET", "/view/k"); status != 0 {
 		t.Error("the listener before it listens")
 	}
 	wantServed(t, n, "main", "/view/k", "a")
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -20,11 +20,11 @@
 
 func TestChangeOfListenersPoolsAndRoutes(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
-	first := ownConfig(pooled("pa", a))
-	n := startOwn(t, first, Options{})
+	first := configWithPools(staticPool("pa", a))
+	n := startWithConfig(t, first, Options{})
 	wantServed(t, n, "main", "/view/k", "a")
 
-	second := ownConfig(pooled("pa", a), pooled("pb", b))
+	second := configWithPools(staticPool("pa", a), staticPool("pb", b))
 	second.Listeners = append(second.Listeners, config.Listener{Name: "side", Address: "127.0.0.1:0", Protocol: config.HTTP1, Paths: config.StrictPaths})
 	second.Listeners[0].Paths = config.StrictPaths
 	second.Routes = append(second.Routes, route.Route{Name: "side", Listeners: []string{"side"}, To: []route.Target{{Pool: "pb", Weight: 1}}},
@@ -34,7 +34,7 @@
 	kept.Get("kept")
 	kept.Want(t, 200, "a")
 	opened := a.Opened()
-	change(t, n, second)
+	applyConfig(t, n, second)
 	if n.Addr("main") != main {
 		t.Errorf("the listener moved from %s to %s", main, n.Addr("main"))
 	}
@@ -48,7 +48,7 @@
 	}
 
 	side := n.Addr("side")
-	change(t, n, ownConfig(pooled("pb", b)))
+	applyConfig(t, n, configWithPools(staticPool("pb", b)))
 	wantServed(t, n, "main", "/view/k", "b")
 	testpeer.Until(t, "the removed listener to close", func() bool {
 		nc, err := net.Dial("tcp", side)
@@ -57,19 +57,19 @@
 		}
 		return err != nil
 	})
-	testpeer.Until(t, "the removed pool to go", func() bool { return len(n.StillDraining()) == 0 })
+	testpeer.Until(t, "the removed pool to go", func() bool { return len(n.Retiring()) == 0 })
 }
 
 // A pool that stays keeps its Balancer, which goes on from what it learned; what is new in its list is taken
 // as fresh, what stays is not.
 func TestUnchangedPoolKeepsItsBalancer(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
-	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
+	n := startWithConfig(t, configWithPools(staticPool("p", a)), Options{})
 	wantServed(t, n, "main", "/view/k", "a")
 	was := n.pools["p"]
-	next := ownConfig(pooled("p", a, b))
+	next := configWithPools(staticPool("p", a, b))
 	next.Pools[0].Attempts, next.Pools[0].SlowStart = 2, config.SlowStart{From: 0.2, Over: config.Duration(time.Hour)}
-	change(t, n, next)
+	applyConfig(t, n, next)
 	if n.pools["p"] != was || was.engine.Status().Requests != 1 {
 		t.Error("the pool was made anew")
 	}
@@ -77,9 +77,9 @@
 		t.Errorf("started at %v and %v", s0.Boot, s1.Boot)
 	}
 	fresh := was.static["s1"].Boot
-	next = ownConfig(pooled("p", a, b))
+	next = configWithPools(staticPool("p", a, b))
 	next.Pools[0].Servers[0].Address, next.Pools[0].Servers[1].Address = b.Address(), a.Address()
-	change(t, n, next)
+	applyConfig(t, n, next)
 	if s0, s1 := was.static["s0"], was.static["s1"]; s0.Boot == 0 || s1.Boot <= fresh {
 		t.Errorf("after another address: started at %v and %v", s0.Boot, s1.Boot)
 	}
@@ -98,28 +98,28 @@
 		return testpeer.Reply200(c, "old")
 	})
 	next := newTestServer(t, "new")
-	n := startOwn(t, ownConfig(pooled("p1", old)), Options{})
+	n := startWithConfig(t, configWithPools(staticPool("p1", old)), Options{})
 	served, broken := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
 	served.Send("POST", "/note/k", "serve", "x", "60")
 	broken.Send("POST", "/note/k", "break", "x", "60")
 	testpeer.Receive(t, got, "an attempt")
 	testpeer.Receive(t, got, "an attempt")
-	change(t, n, ownConfig(pooled("p2", next)))
+	applyConfig(t, n, configWithPools(staticPool("p2", next)))
 	wantServed(t, n, "main", "/note/k", "new")
-	if d := n.StillDraining(); len(d) != 1 || d[0] != "pool p1" {
+	if d := n.Retiring(); len(d) != 1 || d[0] != "pool p1" {
 		t.Errorf("still draining: %v", d)
 	}
 	close(hold)
 	served.Want(t, 200, "old")
 	broken.Want(t, http.StatusBadGateway, "")
-	testpeer.Until(t, "the old pool to go", func() bool { return len(n.StillDraining()) == 0 })
+	testpeer.Until(t, "the old pool to go", func() bool { return len(n.Retiring()) == 0 })
 	if next.Seen() != 1 || old.Seen() != 2 {
 		t.Errorf("%d calls at the new server, %d at the old", next.Seen(), old.Seen())
 	}
 }
 
 // A class that turns unsafe while its requests are out: none is sent again, be its pool one that stays or goes.
-func TestClassBecomesUnsafe(t *testing.T) {
+func TestClassChangedToUnsafeIsNotRetried(t *testing.T) {
 	for _, pool := range []string{"p", "another"} {
 		hold, got := make(chan struct{}), make(chan struct{}, 10)
 		s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -128,13 +128,13 @@
 			return false
 		})
 		other := newTestServer(t, "other")
-		n := startOwn(t, ownConfig(pooled("p", s)), Options{})
+		n := startWithConfig(t, configWithPools(staticPool("p", s)), Options{})
 		c := testpeer.Dial(t, n.Addr("main"))
 		c.Get("view")
 		testpeer.Receive(t, got, "the attempt")
-		next := ownConfig(pooled(pool, s, other))
+		next := configWithPools(staticPool(pool, s, other))
 		next.Classes[0].Effect = config.Unsafe
-		change(t, n, next)
+		applyConfig(t, n, next)
 		close(hold)
 		c.Want(t, http.StatusBadGateway, "")
 		if s.Seen() != 1 || other.Seen() != 0 {
@@ -149,16 +149,16 @@
 	free := func() string { return testpeer.ClosedPort(t) }
 	one, two := free(), free()
 	cfg := func(first, second string) *config.Config {
-		c := ownConfig(pooled("pa", a), pooled("pb", b))
+		c := configWithPools(staticPool("pa", a), staticPool("pb", b))
 		c.Listeners = []config.Listener{{Name: first, Address: one, Protocol: config.HTTP1, Paths: config.StrictPaths},
 			{Name: second, Address: two, Protocol: config.HTTP1, Paths: config.StrictPaths}}
 		c.Routes = append(c.Routes, route.Route{Name: "y", Listeners: []string{"y"}, To: []route.Target{{Pool: "pb", Weight: 1}}})
 		return c
 	}
-	n := startOwn(t, cfg("x", "y"), Options{})
+	n := startWithConfig(t, cfg("x", "y"), Options{})
 	at := func(address, by string) {
 		t.Helper()
-		if status, body := ask(t, address, "GET", "/view/k"); status != 200 || body != by {
+		if status, body := sendRequest(t, address, "GET", "/view/k"); status != 200 || body != by {
 			t.Errorf("%s: %d %q, want it served by %s", address, status, body, by)
 		}
 	}
@@ -167,12 +167,12 @@
 	onX := testpeer.Dial(t, one)
 	onX.Get("before")
 	onX.Want(t, 200, "a")
-	change(t, n, cfg("y", "x"))
+	applyConfig(t, n, cfg("y", "x"))
 	at(one, "b")
 	at(two, "a")
 	onX.Get("after") // it is x's client still
 	onX.Want(t, 200, "a")
-	change(t, n, cfg("z", "y"))
+	applyConfig(t, n, cfg("z", "y"))
 	at(one, "a")
 	at(two, "b")
 	onX.WantClosed(t, "an idle connection of a listener that has gone")
@@ -182,15 +182,15 @@
 // waited for.
 func TestChangeWaitsForEndpointLists(t *testing.T) {
 	a := newTestServer(t, "a")
-	n := startOwn(t, ownConfig(pooled("p", a)), Options{})
+	n := startWithConfig(t, configWithPools(staticPool("p", a)), Options{})
 	silent, empty, late := testpeer.NewAgent(t), testpeer.NewAgent(t), testpeer.NewAgent(t)
 	silent.Tell(true, "")
 	empty.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "terminating")))
 	late.Tell(true, "")
 	with := func(name string, at *testpeer.Agent) *config.Config {
-		p := pooled(name)
+		p := staticPool(name)
 		p.Registry = &config.Registry{Address: at.Address(), Mode: config.Pushed}
-		return ownConfig(p)
+		return configWithPools(p)
 	}
 	for _, name := range []string{"p", "new"} {
 		for _, c := range []struct {
@@ -254,10 +254,10 @@
 			}
 		}))
 		t.Cleanup(registry.Close)
-		n := startOwn(t, ownConfig(pooled("p", a)), Options{})
-		p := pooled("p")
+		n := startWithConfig(t, configWithPools(staticPool("p", a)), Options{})
+		p := staticPool("p")
 		p.Registry = &config.Registry{Address: registry.Listener.Addr().String(), Mode: config.Polled, PollInterval: config.Duration(10 * time.Second)}
-		c, err := n.Prepare(t.Context(), ownConfig(p), wait)
+		c, err := n.Prepare(t.Context(), configWithPools(p), wait)
 		if err != nil {
 			t.Errorf("waiting for the list %v: %v", wait, err)
 			continue
@@ -267,9 +267,9 @@
 		if err := c.Commit(); err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Receive(t, watch.listed, "the list")
+		testpeer.Receive(t, watch.snapshotReceived, "the list")
 		testpeer.Until(t, "the new server to be used", func() bool {
-			_, body := ask(t, n.Addr("main"), "GET", "/view/k")
+			_, body := sendRequest(t, n.Addr("main"), "GET", "/view/k")
 			return body == "b"
 		})
 	}
@@ -285,23 +285,23 @@
 	})
 	b := newTestServer(t, "b")
 	tight := func(name string, s *testpeer.Server) *config.Config {
-		c := ownConfig(pooled(name, s))
+		c := configWithPools(staticPool(name, s))
 		c.Pools[0].Connections.Most = (512 - config.Reserved) / 2
 		return c
 	}
-	n := startOwn(t, tight("p1", s), Options{})
+	n := startWithConfig(t, tight("p1", s), Options{})
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Get("held")
 	testpeer.Receive(t, got, "the attempt")
-	change(t, n, tight("p2", b))
+	applyConfig(t, n, tight("p2", b))
 	_, err := n.Prepare(t.Context(), tight("p3", b), testpeer.Limit)
 	if err == nil || !strings.Contains(err.Error(), "513 descriptors are needed, 1 of them until pools that are being retired") {
 		t.Errorf("%v", err)
 	}
 	close(hold)
 	c.Want(t, 200, "held")
-	testpeer.Until(t, "the old pool to go", func() bool { return len(n.StillDraining()) == 0 })
-	change(t, n, tight("p3", b))
+	testpeer.Until(t, "the old pool to go", func() bool { return len(n.Retiring()) == 0 })
+	applyConfig(t, n, tight("p3", b))
 	wantServed(t, n, "main", "/view/k", "b")
 	over := tight("p4", b)
 	over.Pools[0].Connections.Most++
@@ -320,7 +320,7 @@
 	a := newTestServer(t, "a")
 	silent := testpeer.NewAgent(t)
 	silent.Tell(true, "")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{schedule: &shutdownSchedule{stopAccepting: 300 * time.Millisecond, answerAll: time.Second, finish: testpeer.Limit}})
+	n, err := New(configWithPools(staticPool("p", a)), discardLog(), Options{schedule: &shutdownSchedule{stopAccepting: 300 * time.Millisecond, answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -328,11 +328,11 @@
 	end := make(chan error, 1)
 	go func() { end <- n.Run(ctx) }()
 	wantServed(t, n, "main", "/view/k", "a")
-	waiting := pooled("p")
+	waiting := staticPool("p")
 	waiting.Registry = &config.Registry{Address: silent.Address(), Mode: config.Pushed}
 	prepared := make(chan error, 1)
 	go func() {
-		_, err := n.Prepare(t.Context(), ownConfig(waiting), testpeer.Limit)
+		_, err := n.Prepare(t.Context(), configWithPools(waiting), testpeer.Limit)
 		prepared <- err
 	}()
 	testpeer.Receive(t, silent.Asked, "the watch that is tried")
@@ -340,7 +340,7 @@
 	if err := testpeer.Receive(t, prepared, "the change"); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
-	if _, err := n.Prepare(t.Context(), ownConfig(pooled("q", a)), 0); !errors.Is(err, ErrShuttingDown) {
+	if _, err := n.Prepare(t.Context(), configWithPools(staticPool("q", a)), 0); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("%v", err)
 	}
 	if err := testpeer.Receive(t, end, "the node's end"); err != nil {
@@ -351,14 +351,14 @@
 // A change that was prepared before the end began is undone, not committed, after it.
 func TestCommitAfterShutdownChangesNothing(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
-	n, err := New(ownConfig(pooled("p", a)), quiet(), Options{schedule: &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}})
+	n, err := New(configWithPools(staticPool("p", a)), discardLog(), Options{schedule: &shutdownSchedule{answerAll: time.Second, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	go func() { end <- n.Run(ctx) }()
-	c, err := n.Prepare(t.Context(), ownConfig(pooled("q", b)), 0)
+	c, err := n.Prepare(t.Context(), configWithPools(staticPool("q", b)), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -396,9 +396,9 @@
 	}
 	one, two := testpeer.ClosedPort(t), testpeer.ClosedPort(t)
 	configOf := func(i int) *config.Config {
-		p := []config.Pool{pooled("stays", servers[0], servers[1+i%3]), pooled(fmt.Sprint("p", i/3), servers[2], servers[3])}
+		p := []config.Pool{staticPool("stays", servers[0], servers[1+i%3]), staticPool(fmt.Sprint("p", i/3), servers[2], servers[3])}
 		p[0].Attempts = 2 + i%3
-		c := ownConfig(p...)
+		c := configWithPools(p...)
 		c.Listeners = []config.Listener{{Name: "main", Address: one, Protocol: config.HTTP1, Paths: config.StrictPaths}}
 		if i%40 < 20 {
 			c.Listeners = append(c.Listeners, config.Listener{Name: fmt.Sprint("side", i%5), Address: two, Protocol: config.HTTP1, Paths: config.StrictPaths})
@@ -407,7 +407,7 @@
 			To: []route.Target{{Pool: p[1].Name, Weight: 1 + i%3}, {Pool: "stays", Weight: 1}}})
 		return c
 	}
-	n := startOwn(t, configOf(0), Options{})
+	n := startWithConfig(t, configOf(0), Options{})
 	audit := testpeer.NewAudit()
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -417,12 +417,12 @@
 		close(done)
 	}()
 	for i := 1; i <= changes; i++ {
-		change(t, n, configOf(i))
+		applyConfig(t, n, configOf(i))
 		time.Sleep(5 * time.Millisecond) // a moment of service between two changes
 	}
 	stop()
 	testpeer.Receive(t, done, "the clients' last responses")
-	testpeer.Until(t, "all retired pools to go", func() bool { return len(n.StillDraining()) == 0 })
+	testpeer.Until(t, "all retired pools to go", func() bool { return len(n.Retiring()) == 0 })
 	v := audit.Judge(boxes...)
 	for i, w := range v.Wrong {
 		if i < 10 {
@@ -440,20 +440,20 @@
 func TestListenerIsReleasedWhileAcceptsFail(t *testing.T) {
 	ln := testpeer.NewFailingListener(t)
 	cfg := func(protocol config.Protocol) *config.Config {
-		c := ownConfig(pooled("p", newTestServer(t, "a")))
+		c := configWithPools(staticPool("p", newTestServer(t, "a")))
 		c.Listeners[0].Protocol = protocol
 		return c
 	}
-	n := startOwn(t, cfg(config.HTTP1), Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }})
+	n := startWithConfig(t, cfg(config.HTTP1), Options{Listen: func(string, string) (net.Listener, error) { return ln, nil }})
 	ln.AwaitAccept(t)
 	ln.FailAlways(syscall.ENOMEM)
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Send("GET", "/view/k", "1", "", "60")
 	c.Want(t, 200, "a")
 	testpeer.Until(t, "failures", func() bool { return ln.Failed() > 3 })
-	change(t, n, cfg(config.FastCGI))
+	applyConfig(t, n, cfg(config.FastCGI))
 	ln.FailAlways(nil)
-	if got := askFastCGI(t, n.Addr("main"), "GET", "/view/k", "1"); !strings.HasPrefix(got, "Status: 200") {
+	if got := requestFastCGI(t, n.Addr("main"), "GET", "/view/k", "1"); !strings.HasPrefix(got, "Status: 200") {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -26,7 +26,7 @@
 		n.metrics.Know(class.Name)
 	}
 	for _, u := range c.updates {
-		u.pool.back.SetLimits(n.limitsOf(c.cfg, u.cfg))
+		u.pool.backend.SetLimits(n.limitsOf(c.cfg, u.cfg))
 	}
 	c.switchListeners(&gone)
 	n.cfg = c.cfg
@@ -38,7 +38,7 @@
 }
 
 // swap has every request from now on handled under the new routing snapshot, by pools that follow the new configuration.
-func (c *Change) swap() (gone replaced) {
+func (c *Change) swap() (gone replacedParts) {
 	n := c.node
 	pools := map[string]*pool{}
 	for name, p := range c.pools {
@@ -52,11 +52,11 @@
 			gone.pools = append(gone.pools, p)
 		}
 	}
-	if n.requests == nil {
-		n.requests = dispatch.New(c.snapshot)
+	if n.dispatcher == nil {
+		n.dispatcher = dispatch.New(c.snapshot)
 	}
 	now := n.clock.Now()
-	n.requests.Swap(c.snapshot, func() {
+	n.dispatcher.Swap(c.snapshot, func() {
 		if n.gateway != nil {
 			n.adopt(c.cfg)
 		}
@@ -76,15 +76,15 @@
 
 // adopt has the gateway follow another configuration's rules.
 func (n *Node) adopt(c *config.Config) {
-	if n.options.adopt != nil {
-		n.options.adopt()
-		defer n.options.adopt()
+	if n.options.aroundAdopt != nil {
+		n.options.aroundAdopt()
+		defer n.options.aroundAdopt()
 	}
 	n.gateway.Adopt(c)
 }
 
 // switchListeners has every listener of the new configuration accept, and no other.
-func (c *Change) switchListeners(gone *replaced) {
+func (c *Change) switchListeners(gone *replacedParts) {
 	n := c.node
 	sockets, listeners := map[string]*socket{}, map[string]*listener{}
 	for _, l := range c.cfg.Listeners {
@@ -97,15 +97,15 @@
 		old := n.listeners[l.Name]
 		next := &listener{cfg: l, socket: s}
 		if old != nil && old.cfg.Protocol == l.Protocol {
-			next.front = old.front // its clients stay connected
+			next.frontend = old.frontend // its clients stay connected
 		} else {
-			next.front = n.newFront(l)
+			next.frontend = n.newFrontend(l)
 		}
 		listeners[l.Name] = next
 	}
 	for name, old := range n.listeners {
-		if next := listeners[name]; next == nil || next.front != old.front {
-			gone.fronts = append(gone.fronts, old)
+		if next := listeners[name]; next == nil || next.frontend != old.frontend {
+			gone.listeners = append(gone.listeners, old)
 		}
 	}
 	for key, s := range n.sockets {
@@ -119,13 +119,13 @@
 		return
 	}
 	for _, l := range listeners {
-		if l.socket.front == l.front {
+		if l.socket.frontend == l.frontend {
 			continue
 		}
 		if err := l.socket.release(0); err != nil {
 			n.fail(fmt.Errorf("listener %q: %w", l.cfg.Name, err))
 			continue
 		}
-		l.socket.accept(l.front, n.fail)
+		l.socket.accept(l.frontend, n.fail)
 	}
 }
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -8,12 +8,12 @@
 
 // For the tests outside of the package, which use packages that use it.
 var (
-	AskFastCGI    = askFastCGI
-	AskLine       = askLine
-	NewTestServer = newTestServer
-	OwnConfig     = ownConfig
-	Pooled        = pooled
-	DiscardLog    = quiet
+	RequestFastCGI    = requestFastCGI
+	RequestManagement = requestManagement
+	NewTestServer     = newTestServer
+	ConfigWithPools   = configWithPools
+	StaticPool        = staticPool
+	DiscardLog        = discardLog
 )
 
 // WithShortShutdown has a node close its listeners as soon as its shutdown begins.
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -14,8 +14,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// askFastCGI sends a request on a connection of its own and returns all of its answer.
-func askFastCGI(t *testing.T, address, method, target, id string) string {
+// requestFastCGI sends a request on a connection of its own and returns all of its answer.
+func requestFastCGI(t *testing.T, address, method, target, id string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -61,10 +61,10 @@
 	for i := range cfg.Pools[0].Servers {
 		cfg.Pools[0].Servers[i].Address = testpeer.NewServer(t, testpeer.Echo).Address()
 	}
-	n := startOwn(t, cfg, Options{})
+	n := startWithConfig(t, cfg, Options{})
 	for i := range 20 {
 		id := fmt.Sprint("bridge-", i)
-		if got := askFastCGI(t, n.Addr("bridge"), "POST", "/add-note/k", id); !strings.HasSuffix(got, "\r\n\r\nfor "+id) {
+		if got := requestFastCGI(t, n.Addr("bridge"), "POST", "/add-note/k", id); !strings.HasSuffix(got, "\r\n\r\nfor "+id) {
 			t.Fatalf("%q", got)
 		}
 		station := testpeer.Dial(t, n.Addr("stations"))
@@ -83,8 +83,8 @@
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	a := testpeer.NewServer(t, testpeer.Echo)
 	a2 := testpeer.NewServer(t, testpeer.Held(hold, got))
-	cfg := ownConfig(pooled("boxes", a2))
-	n := startOwn(t, cfg, Options{})
+	cfg := configWithPools(staticPool("boxes", a2))
+	n := startWithConfig(t, cfg, Options{})
 	address := n.Addr("main")
 	old := testpeer.Dial(t, address)
 	old.Get("held")
@@ -92,16 +92,16 @@
 	next := *cfg
 	next.Listeners = append([]config.Listener(nil), cfg.Listeners...)
 	next.Listeners[0].Protocol = config.FastCGI
-	next.Pools = []config.Pool{pooled("boxes", a2, a)}
-	change(t, n, &next)
-	if got := askFastCGI(t, address, "GET", "/view/k", "next"); !strings.HasSuffix(got, "for next") {
+	next.Pools = []config.Pool{staticPool("boxes", a2, a)}
+	applyConfig(t, n, &next)
+	if got := requestFastCGI(t, address, "GET", "/view/k", "next"); !strings.HasSuffix(got, "for next") {
 		t.Errorf("%q", got)
 	}
 	close(hold)
 	if r, body := old.Answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
 	}
-	change(t, n, cfg)
+	applyConfig(t, n, cfg)
 	c := testpeer.Dial(t, address)
 	c.Get("back")
 	c.Want(t, 200, "for back")
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -20,8 +20,8 @@
 	return testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(c, name) })
 }
 
-// pooled is a pool whose list the configuration holds.
-func pooled(name string, servers ...*testpeer.Server) config.Pool {
+// staticPool is a pool whose list the configuration holds.
+func staticPool(name string, servers ...*testpeer.Server) config.Pool {
 	p := testpeer.Config().Pools[0]
 	p.Name, p.Registry, p.Connections.Most = name, nil, 40
 	for i, s := range servers {
@@ -30,8 +30,8 @@
 	return p
 }
 
-// ownConfig has one listener and these pools; all requests go to the first.
-func ownConfig(pools ...config.Pool) *config.Config {
+// configWithPools has one listener and these pools; all requests go to the first.
+func configWithPools(pools ...config.Pool) *config.Config {
 	cfg := testpeer.Config()
 	cfg.Node.Limits.Descriptors = 512
 	cfg.Pools = pools
@@ -43,8 +43,8 @@
 	return route.Route{Name: "default", Default: true, To: []route.Target{{Pool: pool, Weight: 1}}}
 }
 
-// startOwn runs a node with a configuration of our own until the test ends.
-func startOwn(t *testing.T, cfg *config.Config, o Options) *Node {
+// startWithConfig runs a node with a configuration of our own until the test ends.
+func startWithConfig(t *testing.T, cfg *config.Config, o Options) *Node {
 	var atOnce time.Duration // so that connections can be counted
 	o.settle = &atOnce
 	t.Helper()
@@ -54,7 +54,7 @@
 	if o.schedule == nil {
 		o.schedule = &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}
 	}
-	n, err := New(cfg, quiet(), o)
+	n, err := New(cfg, discardLog(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,8 +76,8 @@
 	})
 }
 
-// change puts another configuration in place.
-func change(t *testing.T, n *Node, cfg *config.Config) {
+// applyConfig puts another configuration in place.
+func applyConfig(t *testing.T, n *Node, cfg *config.Config) {
 	t.Helper()
 	if err := cfg.Check().Err(); err != nil {
 		t.Fatal(err)
@@ -91,8 +91,8 @@
 	}
 }
 
-// ask sends a request on a connection of its own and returns its answer, or "" if none comes up.
-func ask(t *testing.T, address, method, target string) (status int, body string) {
+// sendRequest sends a request on a connection of its own and returns its answer, or "" if none comes up.
+func sendRequest(t *testing.T, address, method, target string) (status int, body string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
@@ -112,7 +112,7 @@
 	if strings.HasPrefix(target, "/note") {
 		method = "POST"
 	}
-	if status, body := ask(t, n.Addr(listener), method, target); status != 200 || body != by {
+	if status, body := sendRequest(t, n.Addr(listener), method, target); status != 200 || body != by {
 		t.Errorf("%s at %s: %d %q, want it served by %s", target, listener, status, body, by)
 	}
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -25,7 +25,7 @@
 		Key:    key,
 		Keys:   map[string][]byte{},
 		Living: n.peers.Living,
-		Calls:  n.requests,
+		Calls:  n.dispatcher,
 		List:   n.updateGateways,
 		Clock:  n.clock,
 		Log:    n.log,
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	n.requests.SetInterceptor(n.gateway)
+	n.dispatcher.SetInterceptor(n.gateway)
 	return nil
 }
 
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -19,8 +19,8 @@
 type socket struct {
 	*netlistener.Listener
 	key      string        // of the address in configurations
-	front    front         // that accepts from it; nil: none yet
-	served   chan error    // takes the error of its Serve
+	frontend frontend      // that accepts from it; nil: none yet
+	serveErr chan error    // takes the error of its Serve
 	released chan struct{} // closed when Serve is to return without a failure
 }
 
@@ -34,11 +34,11 @@
 }
 
 // accept has a front end accept from the socket. failed is called if that fails before release or shutdown.
-func (s *socket) accept(f front, failed func(error)) {
+func (s *socket) accept(f frontend, failed func(error)) {
 	served := make(chan error, 1)
 	released := make(chan struct{})
-	s.front = f
-	s.served = served
+	s.frontend = f
+	s.serveErr = served
 	s.released = released
 	go func() {
 		err := f.Serve(s.Listener)
@@ -52,27 +52,27 @@
 // release has the front end accept no more after a while, and waits for it; clients that have connected by then stay
 // with it. The socket stays open for another front end.
 func (s *socket) release(after time.Duration) error {
-	if s.front == nil {
+	if s.frontend == nil {
 		return nil
 	}
 	close(s.released)
 	if err := s.SetDeadline(time.Now().Add(after)); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	<-s.served
-	s.front = nil
+	<-s.serveErr
+	s.frontend = nil
 	return s.SetDeadline(time.Time{})
 }
 
 // shutdown closes the socket and waits until its front end accepts no more.
 func (s *socket) shutdown() error {
-	if s.front != nil && !isClosed(s.released) {
+	if s.frontend != nil && !isClosed(s.released) {
 		close(s.released)
 	}
 	err := s.Close()
-	if s.front != nil {
-		<-s.served
-		s.front = nil
+	if s.frontend != nil {
+		<-s.serveErr
+		s.frontend = nil
 	}
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -82,13 +82,13 @@
 
 // listener is a front end and the socket that it accepts from, as a configuration names them.
 type listener struct {
-	cfg    config.Listener
-	socket *socket
-	front  front
+	cfg      config.Listener
+	socket   *socket
+	frontend frontend
 }
 
-// front serves the clients of a listener in its protocol.
-type front interface {
+// frontend serves the clients of a listener in its protocol.
+type frontend interface {
 	// Serve accepts clients until the listener fails, is closed or has a deadline in the past, and returns its error.
 	Serve(net.Listener) error
 	// SetReady sets what answers to health checks say from now on.
@@ -99,25 +99,25 @@
 	CloseQuiet() int
 }
 
-// newFront is a front end for a listener; nothing is accepted before Serve.
-func (n *Node) newFront(l config.Listener) front {
+// newFrontend is a front end for a listener; nothing is accepted before Serve.
+func (n *Node) newFrontend(l config.Listener) frontend {
 	if l.Protocol == config.FastCGI {
-		return fastcgi.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
+		return fastcgi.NewFront(l.Name, n.clock, n.clients, n.dispatcher, &n.metrics, n.log)
 	}
-	return http1.NewFront(l.Name, n.clock, n.clients, n.requests, &n.metrics, n.log)
+	return http1.NewFront(l.Name, n.clock, n.clients, n.dispatcher, &n.metrics, n.log)
 }
 
 // Times of a listener that is retired.
 const (
-	acceptGrace   = 50 * time.Millisecond // for clients that have connected but were not accepted yet
-	closeIdleStep = 20 * time.Millisecond // between two looks for idle connections
+	acceptGrace       = 50 * time.Millisecond // for clients that have connected but were not accepted yet
+	closeIdleInterval = 20 * time.Millisecond // between two looks for idle connections
 )
 
-// retireFront closes the connections of a front end after their responses, until none is left or the node ends.
-func (n *Node) retireFront(f front) {
+// retireFrontend closes the connections of a front end after their responses, until none is left or the node ends.
+func (n *Node) retireFrontend(f frontend) {
 	f.SetClosing(true)
 	for f.CloseQuiet() > 0 {
-		clock.Sleep(n.incarnation, closeIdleStep)
+		clock.Sleep(n.incarnation, closeIdleInterval)
 		if n.incarnation.Err() != nil {
 			return
 		}
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -42,7 +42,7 @@
 		return ErrShuttingDown
 	case !n.readiness.StateAt(n.clock.Now()).Ready:
 		return errNotAccepting
-	case !n.serving || !n.requests.Snapshot().Ready():
+	case !n.serving || !n.dispatcher.Snapshot().Ready():
 		return errNoServer
 	}
 	return nil
@@ -88,14 +88,14 @@
 
 // closeIdleConnections closes idle client connections until ctx or the node ends.
 func (n *Node) closeIdleConnections(ctx context.Context) {
-	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleStep) {
+	for ; ctx.Err() == nil; clock.Sleep(ctx, closeIdleInterval) {
 		n.mu.Lock()
 		if ctx.Err() == nil && !n.shuttingDown {
 			s := n.readiness.StateAt(n.clock.Now())
 			n.applyReadiness(s)
 			for _, l := range n.listeners {
 				if s.CloseConnections {
-					l.front.CloseQuiet()
+					l.frontend.CloseQuiet()
 				}
 			}
 		}
@@ -125,18 +125,18 @@
 		return // the shutdown sets them by its own schedule
 	}
 	for _, l := range n.listeners {
-		l.front.SetReady(s.Ready)
-		l.front.SetClosing(s.CloseConnections)
+		l.frontend.SetReady(s.Ready)
+		l.frontend.SetClosing(s.CloseConnections)
 	}
 }
 
-// shareLimits halves the limits while another process of this node uses the other half.
-func (n *Node) shareLimits(two bool) {
+// setLimitsShared halves the limits while another process of this node uses the other half.
+func (n *Node) setLimitsShared(two bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.hasSuccessor != two {
+	if n.sharesLimits != two {
 		n.log.Info("the node's limits are shared", "by_two", two)
 	}
-	n.hasSuccessor = two
+	n.sharesLimits = two
 	n.resize(n.cfg)
 }
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -19,11 +19,11 @@
 // management asks a node's management endpoint.
 func management(t *testing.T, n *Node, request string) string {
 	t.Helper()
-	return askLine(t, n.management.Addr().String(), request)
+	return requestManagement(t, n.management.Addr().String(), request)
 }
 
-// askLine sends a line on a connection of its own and returns all of the answer.
-func askLine(t *testing.T, address, request string) string {
+// requestManagement sends a line on a connection of its own and returns all of the answer.
+func requestManagement(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return string(got)
 }
 
-// askReady asks on a connection of its own whether clients may come, and whether that connection stays.
-func askReady(t *testing.T, address string) (status int, closes bool) {
+// requestReadiness asks on a connection of its own whether clients may come, and whether that connection stays.
+func requestReadiness(t *testing.T, address string) (status int, closes bool) {
 	t.Helper()
 	c := testpeer.Dial(t, address)
 	defer c.Close()
@@ -67,7 +67,7 @@
 	if said := management(t, n, "quiesce"); !strings.HasPrefix(said, "+OK") {
 		t.Fatalf("quiesce: %q", said)
 	}
-	if status, _ := askReady(t, n.Addr("main")); status != 503 {
+	if status, _ := requestReadiness(t, n.Addr("main")); status != 503 {
 		t.Errorf("health right after quiesce: %d, want 503", status)
 	}
 	if said := management(t, n, "health"); said != "-ERR clients are sent away\n" {
@@ -89,7 +89,7 @@
 	if said := management(t, n, "resume"); !strings.HasPrefix(said, "+OK") {
 		t.Fatalf("resume: %q", said)
 	}
-	if status, closes := askReady(t, n.Addr("main")); status != 200 || closes {
+	if status, closes := requestReadiness(t, n.Addr("main")); status != 200 || closes {
 		t.Errorf("health after resume: %d, close %v", status, closes)
 	}
 	back := testpeer.Dial(t, n.Addr("main"))
@@ -224,7 +224,7 @@
 	progress("calls with one")
 	next, _ := process(address)
 	testpeer.Until(t, "the next to be ready", func() bool { return management(t, next, "health") == "+OK ready\n" })
-	halved := func(n *Node) bool { n.mu.Lock(); defer n.mu.Unlock(); return n.hasSuccessor }
+	halved := func(n *Node) bool { n.mu.Lock(); defer n.mu.Unlock(); return n.sharesLimits }
 	testpeer.Until(t, "both to share the limits", func() bool { return halved(old) && halved(next) })
 	progress("calls with two")
 	if err := stop(); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,18 +38,18 @@
 
 // Node is one load balancer on sockets.
 type Node struct {
-	clock      clock.Clock
-	log        *slog.Logger
-	options    Options
-	named      bool // pools have their names in the log
-	start      *initialState
-	servers    *descriptors.Share // of the connections to servers
-	metrics    metrics.Set
-	management *mgmt.Server      // nil: none
-	peers      *gossip.Transport // nil: the node has no peers
-	gateway    *gateway.Gateway  // nil: the node is no gateway
-	clients    *downstream.Set
-	requests   *dispatch.Dispatcher
+	clock             clock.Clock
+	log               *slog.Logger
+	options           Options
+	logPoolNames      bool // pools have their names in the log
+	initial           *initialState
+	serverDescriptors *descriptors.Share // of the connections to servers
+	metrics           metrics.Set
+	management        *mgmt.Server      // nil: none
+	peers             *gossip.Transport // nil: the node has no peers
+	gateway           *gateway.Gateway  // nil: the node is no gateway
+	clients           *downstream.Set
+	dispatcher        *dispatch.Dispatcher
 
 	incarnation context.Context // ends with the node
 	stop        context.CancelFunc
@@ -70,7 +70,7 @@
 	shuttingDown       bool
 	readiness          readiness.Tracker
 	closingConnections context.CancelFunc // ends the closing of idle connections that Quiesce began; nil: none is under way
-	hasSuccessor       bool               // another process of this node shares its limits
+	sharesLimits       bool               // another process of this node shares its limits
 }
 
 // initialState is the seed and the endpoint list that the first configuration's pools begin with.
@@ -81,28 +81,28 @@
 
 // Options are what a node gets beside its configuration. The zero value is usable.
 type Options struct {
-	Listen    func(network, address string) (net.Listener, error) // nil: net.Listen
-	Limit     func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
-	Processes *hotrestart.Processes                               // of this node's processes; nil: this one is alone
-	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
-	Fault     func(point string) error                            // for tests: an error has a step of a change fail
-	schedule  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
-	settle    *time.Duration                                      // for tests: instead of upstream.DefaultSettle
-	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
-	back      func(*upstream.Pool)                                // for tests: the same of a pool's connections
-	adopt     func()                                              // for tests: called just before and after a change's rules are adopted
+	Listen           func(network, address string) (net.Listener, error) // nil: net.Listen
+	SetLimits        func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
+	Processes        *hotrestart.Processes                               // of this node's processes; nil: this one is alone
+	StartContext     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
+	Fault            func(point string) error                            // for tests: an error has a step of a change fail
+	schedule         *shutdownSchedule                                   // for tests: instead of what follows from the configuration
+	settle           *time.Duration                                      // for tests: instead of upstream.DefaultSettle
+	configureWatch   func(*discovery.Watch)                              // for tests: changes a watch before it begins
+	configureBackend func(*upstream.Pool)                                // for tests: the same of a pool's connections
+	aroundAdopt      func()                                              // for tests: called just before and after a change's rules are adopted
 }
 
 // Starting is a context that ends when the start may no longer wait for sockets.
 func (o Options) Starting() (context.Context, context.CancelFunc) {
-	if o.Start == nil {
-		o.Start = context.Background()
+	if o.StartContext == nil {
+		o.StartContext = context.Background()
 	}
-	return context.WithTimeout(o.Start, netlistener.Patience)
+	return context.WithTimeout(o.StartContext, netlistener.Patience)
 }
 
 // Limit keeps the process within its cores and its memory.
-func Limit(l config.Limits) {
+func SetProcessLimits(l config.Limits) {
 	runtime.GOMAXPROCS(l.Cores)
 	debug.SetMemoryLimit(int64(l.Memory) * 3 / 4)
 }
@@ -132,9 +132,9 @@
 		clock:             clock.New(),
 		log:               log,
 		options:           o,
-		named:             start == nil,
-		start:             start,
-		servers:           descriptors.NewShare(0),
+		logPoolNames:      start == nil,
+		initial:           start,
+		serverDescriptors: descriptors.NewShare(0),
 		failed:            make(chan error, 1),
 		draining:          make(chan struct{}),
 		sockets:           map[string]*socket{},
@@ -145,9 +145,9 @@
 		closingSockets:    map[string]chan struct{}{},
 	}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
-	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
+	n.clients = downstream.New(n.clock, downstream.Share{}, n.serverDescriptors.Used)
 	if o.Processes != nil {
-		n.hasSuccessor = !o.Processes.TakePrimary()
+		n.sharesLimits = !o.Processes.TakePrimary()
 	}
 	n.resize(cfg)
 	starting, cancel := o.Starting()
@@ -178,15 +178,15 @@
 	limits := cfg.Node.Limits
 	capacity := limits.Descriptors - cfg.OwnDescriptors()
 	spare := config.Reserved / 2
-	if n.hasSuccessor {
+	if n.sharesLimits {
 		limits.Memory /= 2
 		capacity /= 2
 		spare /= 2
 	}
-	n.servers.Resize(capacity / 2)
+	n.serverDescriptors.Resize(capacity / 2)
 	n.clients.Resize(downstream.Share{Capacity: capacity, Minimum: capacity / 4, Spare: spare})
-	if n.options.Limit != nil {
-		n.options.Limit(limits)
+	if n.options.SetLimits != nil {
+		n.options.SetLimits(limits)
 	}
 }
 
@@ -244,7 +244,7 @@
 	n.mu.Lock()
 	n.serving = true
 	for _, l := range n.listeners {
-		l.socket.accept(l.front, n.fail)
+		l.socket.accept(l.frontend, n.fail)
 	}
 	n.mu.Unlock()
 	defer n.close()
@@ -253,7 +253,7 @@
 		n.inBackground(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.Fresh)) })
 	}
 	if n.options.Processes != nil {
-		n.inBackground(func() { n.options.Processes.Watch(n.incarnation, n.shareLimits) })
+		n.inBackground(func() { n.options.Processes.Watch(n.incarnation, n.setLimitsShared) })
 	}
 	select {
 	case err := <-n.failed:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,26 +18,26 @@
 	"damsontrestle/internal/upstream"
 )
 
-// testNode is what a node of these tests is started with.
-type testNode struct {
+// testNodeConfig is what a node of these tests is started with.
+type testNodeConfig struct {
 	*config.Config
 	Known   string
 	Options Options
 }
 
 // registry is where the only pool's list comes from.
-func (n testNode) registry() *string { return &n.Pools[0].Registry.Address }
+func (n testNodeConfig) registry() *string { return &n.Pools[0].Registry.Address }
 
-func testConfig(known string) testNode {
-	return testNode{Known: strings.Replace(known, "%d", "1", 1), Config: testpeer.Config()}
+func testConfig(known string) testNodeConfig {
+	return testNodeConfig{Known: strings.Replace(known, "%d", "1", 1), Config: testpeer.Config()}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // startNode runs a node until the test ends, or until the returned function is called.
-func startNode(t *testing.T, cfg testNode, change func(*Node)) (n *Node, stop func() error) {
+func startNode(t *testing.T, cfg testNodeConfig, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
-	n, err := NewPlatform(cfg.Config, config.Start{Seed: 1, Known: []byte(cfg.Known)}, quiet(), cfg.Options)
+	n, err := NewPlatform(cfg.Config, config.Start{Seed: 1, Known: []byte(cfg.Known)}, discardLog(), cfg.Options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	ag.Tell(true, "")
 	cfg := testConfig(testpeer.Whole())
 	*cfg.registry() = ag.Address()
-	cfg.Options.watch = func(w *discovery.Watch) { w.LongPollTimeout, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
+	cfg.Options.configureWatch = func(w *discovery.Watch) { w.LongPollTimeout, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
 	n, _ := startNode(t, cfg, nil)
 	for range 3 {
 		if q := testpeer.Receive(t, ag.Asked, "a watch"); q != "" { // the full list, whatever is known
@@ -124,7 +124,7 @@
 }
 
 // The watch moves at once, though a request to the old address waits, and versions there count anew.
-func TestReloadMovesTheWatch(t *testing.T) {
+func TestReloadChangesRegistryAddress(t *testing.T) {
 	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	old, next := testpeer.NewAgent(t), testpeer.NewAgent(t)
 	old.Start(1000)
@@ -132,7 +132,7 @@
 	next.Tell(false, testpeer.Whole(testpeer.Entry("s2", b.Address(), "in_service")))
 	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service")))
 	*cfg.registry() = old.Address()
-	cfg.Options.watch = func(w *discovery.Watch) { w.LongPollTimeout = testpeer.Limit }
+	cfg.Options.configureWatch = func(w *discovery.Watch) { w.LongPollTimeout = testpeer.Limit }
 	n, _ := startNode(t, cfg, nil)
 	for !strings.Contains(testpeer.Receive(t, old.Asked, "the watch"), "from=1001&") {
 	}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -17,11 +17,11 @@
 // pool is one Balancer with its engine, its back end and the source of its endpoint list. It runs for as long as
 // configurations name it, and then until its open requests are answered.
 type pool struct {
-	name   string
-	engine *engine.Engine
-	back   *upstream.Pool
-	source atomic.Pointer[source] // nil: the configuration holds the list
-	cancel context.CancelFunc     // ends the engine and the back end
+	name    string
+	engine  *engine.Engine
+	backend *upstream.Pool
+	source  atomic.Pointer[source] // nil: the configuration holds the list
+	cancel  context.CancelFunc     // ends the engine and the back end
 
 	// Of the running configuration; guarded by Node.mu.
 	cfg      config.Pool
@@ -49,12 +49,12 @@
 // newPool makes a pool that begins with the known list, or the one that its configuration holds. Nothing runs before
 // start.
 func (n *Node) newPool(cfg *config.Config, p config.Pool, seed uint64, known discovery.List) (*pool, error) {
-	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), back: upstream.NewPool(n.clock, n.servers, &n.metrics, n.limitsOf(cfg, p))}
-	if n.options.back != nil {
-		n.options.back(out.back)
+	out := &pool{name: p.Name, cfg: p, settings: cfg.Settings(p), backend: upstream.NewPool(n.clock, n.serverDescriptors, &n.metrics, n.limitsOf(cfg, p))}
+	if n.options.configureBackend != nil {
+		n.options.configureBackend(out.backend)
 	}
 	log := n.log
-	if n.named {
+	if n.logPoolNames {
 		log = log.With("pool", p.Name)
 	}
 	var err error
@@ -62,12 +62,12 @@
 		Settings:     out.settings,
 		Seed:         seed,
 		Clock:        n.clock,
-		Backend:      out.back,
+		Backend:      out.backend,
 		Subscribe:    out.subscribe,
 		ListsPushed:  !out.settings.PollDiscovery,
 		Log:          log,
 		CollectStats: cfg.Node.Peers.Fresh > 0,
-		LogAttrs:     func() []any { return append(n.clients.Report(), "servers", out.back.Connections()) },
+		LogAttrs:     func() []any { return append(n.clients.Report(), "servers", out.backend.Connections()) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", p.Name, err)
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	go p.engine.Run(ctx)
-	go p.back.Sweep(ctx)
+	go p.backend.Sweep(ctx)
 	if s := p.source.Load(); s != nil {
 		s.start()
 	}
@@ -116,7 +116,7 @@
 	}
 	p.cancel()
 	<-p.engine.Done()
-	p.back.Close()
+	p.backend.Close()
 }
 
 // retire closes the pool once all its open requests are answered.
--- a/internal/node/growth_test.go
+++ b/internal/node/resource_use_test.go
@@ -23,37 +23,37 @@
 type fleetSize struct{ servers, nodes int }
 
 var (
-	usualSize = fleetSize{200, 56}
-	mostSize  = fleetSize{3200, 900}
+	usualSize   = fleetSize{200, 56}
+	largestSize = fleetSize{3200, 900}
 )
 
-// changesAgent is a registry's agent that tells its node what has changed since the version that it has.
-type changesAgent struct {
+// deltaAgent is a registry's agent that tells its node what has changed since the version that it has.
+type deltaAgent struct {
 	*httptest.Server
 	bytes atomic.Int64 // of lists
 
-	mu        sync.Mutex
-	told      *sync.Cond     // a request has come
-	log       []listChange   // the n-th has version n+1
-	last      map[string]int // version of a server's last change
-	news      chan struct{}  // closed at the next change
-	snapshots int            // full snapshots that were asked for
-	heard     int            // the version that was asked from last
+	mu           sync.Mutex
+	requested    *sync.Cond     // a request has come
+	log          []listChange   // the n-th has version n+1
+	last         map[string]int // version of a server's last change
+	changed      chan struct{}  // closed at the next change
+	snapshots    int            // full snapshots that were asked for
+	acknowledged int            // the version that was asked from last
 }
 
 // listChange is one change of an entry.
 type listChange struct{ uid, state, text string }
 
-func newChangesAgent(t testing.TB) *changesAgent {
-	a := &changesAgent{last: map[string]int{}, news: make(chan struct{})}
-	a.told = sync.NewCond(&a.mu)
+func newDeltaAgent(t testing.TB) *deltaAgent {
+	a := &deltaAgent{last: map[string]int{}, changed: make(chan struct{})}
+	a.requested = sync.NewCond(&a.mu)
 	a.Server = httptest.NewServer(a)
 	t.Cleanup(a.Close)
 	return a
 }
 
-// tell changes entries.
-func (a *changesAgent) tell(endpoint string, changes ...listChange) {
+// update changes entries.
+func (a *deltaAgent) update(endpoint string, changes ...listChange) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range changes {
@@ -61,21 +61,21 @@
 		a.log = append(a.log, c)
 		a.last[c.uid] = len(a.log)
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// awaitHeard waits until the node has all that was told.
-func (a *changesAgent) awaitHeard() {
+// awaitAcknowledged waits until the node has all that was told.
+func (a *deltaAgent) awaitAcknowledged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for a.heard < len(a.log) {
-		a.told.Wait()
+	for a.acknowledged < len(a.log) {
+		a.requested.Wait()
 	}
 }
 
 // since are the newest entries behind a version. The caller holds mu.
-func (a *changesAgent) since(version int) (texts []string) {
+func (a *deltaAgent) since(version int) (texts []string) {
 	for i, c := range a.log[version:] {
 		if a.last[c.uid] == version+i+1 && (version > 0 || c.state != "terminated") {
 			texts = append(texts, c.text)
@@ -84,13 +84,13 @@
 	return texts
 }
 
-func (a *changesAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *deltaAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	complete := err != nil
 	a.mu.Lock()
-	a.heard = max(a.heard, from)
-	a.told.Broadcast()
-	if news := a.news; !complete && from == len(a.log) {
+	a.acknowledged = max(a.acknowledged, from)
+	a.requested.Broadcast()
+	if news := a.changed; !complete && from == len(a.log) {
 		a.mu.Unlock()
 		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 		select {
@@ -110,8 +110,8 @@
 	w.Write([]byte(text))
 }
 
-// needs is what a node needed over a day.
-type needs struct {
+// resourceUse is what a node needed over a day.
+type resourceUse struct {
 	cpu         time.Duration
 	heap        uint64 // at most
 	descriptors int    // at most
@@ -144,22 +144,22 @@
 func uid(n int) string { return fmt.Sprintf("s-%08x", uint32(n)*2654435761) }
 
 // startFleetNode runs a node of a fleet that asks an agent.
-func startFleetNode(t testing.TB, size fleetSize, agent *changesAgent) *Node {
+func startFleetNode(t testing.TB, size fleetSize, agent *deltaAgent) *Node {
 	cfg := testpeer.Config()
 	cfg.Pools[0].Registry.Address = strings.TrimPrefix(agent.URL, "http://")
 	cfg.Pools[0].Copies = config.Copies{Count: size.nodes, Index: size.nodes / 3}
-	n, err := NewPlatform(cfg, config.Start{Seed: 1}, quiet(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
+	n, err := NewPlatform(cfg, config.Start{Seed: 1}, discardLog(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	runUntilEnd(t, n)
 	testpeer.Until(t, "the list", n.pools[config.PlatformPool].engine.Ready)
-	agent.awaitHeard()
+	agent.awaitAcknowledged()
 	return n
 }
 
 // replace tells in one message that servers drain, others join, and those of the message before are gone.
-func (a *changesAgent) replace(size fleetSize, endpoint string, before, from, to int) {
+func (a *deltaAgent) replace(size fleetSize, endpoint string, before, from, to int) {
 	var l []listChange
 	for i := before; i < from; i++ {
 		l = append(l, listChange{uid(i), "terminated", ""})
@@ -167,17 +167,17 @@
 	for i := from; i < to; i++ {
 		l = append(l, listChange{uid(i), "terminating", ""}, listChange{uid(size.servers + i), "in_service", ""})
 	}
-	a.tell(endpoint, l...)
-	a.awaitHeard()
+	a.update(endpoint, l...)
+	a.awaitAcknowledged()
 }
 
-// playDay has a node serve the same traffic while servers are replaced, as many in each message.
-func playDay(t testing.TB, size fleetSize, replaced, messages int) (n needs) {
+// runDay has a node serve the same traffic while servers are replaced, as many in each message.
+func runDay(t testing.TB, size fleetSize, replaced, messages int) (n resourceUse) {
 	const requests = 2 // to a message
 	endpoint, made := countingServer(t)
-	agent := newChangesAgent(t)
+	agent := newDeltaAgent(t)
 	for i := range size.servers {
-		agent.tell(endpoint, listChange{uid(i), "in_service", ""})
+		agent.update(endpoint, listChange{uid(i), "in_service", ""})
 	}
 	runtime.GC()
 	before := openDescriptors(t)
@@ -223,10 +223,10 @@
 	return n
 }
 
-// beyond tells where what a node needs in the largest fleet is more than STANDING allows against the usual one. Without
+// exceededLimits tells where what a node needs in the largest fleet is more than STANDING allows against the usual one. Without
 // processor time, which a test holds against itself.
-func beyond(usual, most needs) (found []string) {
-	thousands := float64(mostSize.servers) / 1000
+func exceededLimits(usual, most resourceUse) (found []string) {
+	thousands := float64(largestSize.servers) / 1000
 	for _, c := range []struct {
 		what             string
 		got, usual, most float64
@@ -247,9 +247,9 @@
 // allows, and a change of the list takes about the same processor time however long the list is.
 func TestResourceUseBarelyGrowsWithFleetSize(t *testing.T) {
 	const replaced = 300 // each in a message of its own
-	usual, most := playDay(t, usualSize, replaced, replaced), playDay(t, mostSize, replaced, replaced)
+	usual, most := runDay(t, usualSize, replaced, replaced), runDay(t, largestSize, replaced, replaced)
 	t.Logf("usual %+v, most %+v", usual, most)
-	for _, found := range beyond(usual, most) {
+	for _, found := range exceededLimits(usual, most) {
 		t.Error(found)
 	}
 	if most.cpu > 2*usual.cpu {
@@ -260,11 +260,11 @@
 // BenchmarkGrowth plays a day in which six in ten servers are replaced, at the usual size and at the largest. The
 // processor time is that of the node, its agent, servers and clients together.
 func BenchmarkGrowth(b *testing.B) {
-	for _, size := range []fleetSize{usualSize, mostSize} {
+	for _, size := range []fleetSize{usualSize, largestSize} {
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
-			var n needs
+			var n resourceUse
 			for b.Loop() {
-				n = playDay(b, size, size.servers*6/10, 120)
+				n = runDay(b, size, size.servers*6/10, 120)
 			}
 			b.ReportMetric(n.cpu.Seconds(), "cpu-s")
 			b.ReportMetric(float64(n.heap)/(1<<20), "heap-MB")
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// replaced is what a change has replaced and what has to be retired.
-type replaced struct {
-	pools   []*pool
-	sources []*source
-	fronts  []*listener
-	sockets []*socket
+// replacedParts is what a change has replaced and what has to be retired.
+type replacedParts struct {
+	pools     []*pool
+	sources   []*source
+	listeners []*listener
+	sockets   []*socket
 }
 
 // retire closes what a change has replaced, in the background, once its open requests are answered. The caller holds mu.
-func (n *Node) retire(gone replaced) {
+func (n *Node) retire(gone replacedParts) {
 	for _, s := range gone.sources {
 		n.inBackground(func() { s.stop() })
 	}
@@ -31,11 +31,11 @@
 			s.shutdown()
 		})
 	}
-	for _, l := range gone.fronts {
-		l.front.SetReady(false)
+	for _, l := range gone.listeners {
+		l.frontend.SetReady(false)
 		n.retiringListeners[l] = true
 		n.inBackground(func() {
-			n.retireFront(l.front)
+			n.retireFrontend(l.frontend)
 			n.mu.Lock()
 			delete(n.retiringListeners, l)
 			n.mu.Unlock()
@@ -66,13 +66,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.retiringPools {
-		sum += p.back.Connections()
+		sum += p.backend.Connections()
 	}
 	return sum
 }
 
-// StillDraining names what earlier changes have replaced and is not closed yet: "pool a", "listener b".
-func (n *Node) StillDraining() (names []string) {
+// Retiring names what earlier changes have replaced and is not closed yet: "pool a", "listener b".
+func (n *Node) Retiring() (names []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.retiringNames()
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -15,10 +15,10 @@
 
 // sample holds the stats of the pools at one time.
 type sample struct {
-	at     time.Duration
-	stats  map[string]engine.Stats // by pool
-	zone   string                  // the node's
-	shared uint32                  // the number of the part of the configuration that nodes share
+	at           time.Duration
+	stats        map[string]engine.Stats // by pool
+	zone         string                  // the node's
+	sharedConfig uint32                  // the number of the part of the configuration that nodes share
 }
 
 // publishToPeers publishes the load of this node to its peers until ctx ends.
@@ -40,7 +40,7 @@
 func (n *Node) takeSample() sample {
 	g := sample{at: n.clock.Now(), stats: map[string]engine.Stats{}}
 	n.mu.Lock()
-	g.shared, g.zone = n.cfg.Shared(), n.cfg.Node.Zone
+	g.sharedConfig, g.zone = n.cfg.Shared(), n.cfg.Node.Zone
 	pools := n.pools
 	n.mu.Unlock()
 	for name, p := range pools {
@@ -71,7 +71,7 @@
 		add(zonestate.NewestVersion, name, float64(v))
 		add(zonestate.OldestVersion, name, float64(v))
 	}
-	version("configuration", int64(is.shared))
+	version("configuration", int64(is.sharedConfig))
 	for pool, s := range is.stats {
 		p := was.stats[pool]
 		if s.ListRevision > 0 {
--- a/internal/node/sample_test.go
+++ b/internal/node/sample_test.go
@@ -16,7 +16,7 @@
 func TestPublishedLoad(t *testing.T) {
 	was := sample{at: time.Second, stats: map[string]engine.Stats{"p": {Classes: map[string]engine.ClassStats{"view": {Requests: 10, Rejected: 5}},
 		Zones: map[string]engine.ZoneStats{"a": {Ended: 8, Failures: 1, TotalLatency: time.Second}}, Servers: map[string]engine.ServerStats{"s1": {Failures: 1}, "s2": {Failures: 1}}}}}
-	is := sample{at: 3 * time.Second, zone: "a", shared: 77, stats: map[string]engine.Stats{"p": {ListRevision: 9, Classes: map[string]engine.ClassStats{"view": {Requests: 16, Rejected: 2, InFlight: 3}},
+	is := sample{at: 3 * time.Second, zone: "a", sharedConfig: 77, stats: map[string]engine.Stats{"p": {ListRevision: 9, Classes: map[string]engine.ClassStats{"view": {Requests: 16, Rejected: 2, InFlight: 3}},
 		Zones:   map[string]engine.ZoneStats{"a": {Ended: 12, Failures: 3, TotalLatency: 2 * time.Second, Ready: 4, WarmedUp: 2}, "b": {Ready: 9}},
 		Servers: map[string]engine.ServerStats{"s1": {Failures: 3, InFlight: 6}, "s2": {Failures: 1, InFlight: 2}}, LatencyHistogram: [engine.LatencyBuckets]int64{4: 2}}}}
 	got := map[zonestate.Entry]bool{}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,16 +13,16 @@
 // be killed: killAfter after the longest deadline of its classes, of which maxKillAfter at most counts. The process may
 // be stalled for stallAllowance at any moment, so that nothing is left to the last of its time.
 const (
-	acceptTime     = 600 * time.Millisecond
-	maxKillAfter   = 3 * time.Second
-	killAfter      = 700 * time.Millisecond
-	stallAllowance = 150 * time.Millisecond
-	exitMargin     = 50 * time.Millisecond  // from the end of the drain to the exit
-	answerMargin   = 100 * time.Millisecond // from the last responses to the end
-	closeMargin    = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last responses
-	quietGrace     = 300 * time.Millisecond // after the last connection was accepted
-	drainStep      = 20 * time.Millisecond
-	handOverTime   = 100 * time.Millisecond // before the last responses, replicated requests are handed over to successors
+	maxAcceptTime     = 600 * time.Millisecond
+	maxKillAfter      = 3 * time.Second
+	killAfter         = 700 * time.Millisecond
+	stallAllowance    = 150 * time.Millisecond
+	exitMargin        = 50 * time.Millisecond  // from the end of the drain to the exit
+	answerMargin      = 100 * time.Millisecond // from the last responses to the end
+	closeMargin       = 100 * time.Millisecond // from the last accepts, and from the first closes, to the last responses
+	lastAcceptGrace   = 300 * time.Millisecond // after the last connection was accepted
+	drainPollInterval = 20 * time.Millisecond
+	handOverMargin    = 100 * time.Millisecond // before the last responses, replicated requests are handed over to successors
 )
 
 // shutdownSchedule holds the times of a shutdown's steps, from its begin.
@@ -46,21 +46,21 @@
 	s.deadline = min(longest, maxKillAfter) + killAfter - exitMargin
 	s.finish = s.deadline - stallAllowance
 	s.answerAll = s.finish - answerMargin
-	s.stopAccepting = min(acceptTime, s.answerAll-closeMargin)
-	s.closeConnections = min(max(s.answerAll-objective/2, s.stopAccepting+quietGrace), s.answerAll-closeMargin)
+	s.stopAccepting = min(maxAcceptTime, s.answerAll-closeMargin)
+	s.closeConnections = min(max(s.answerAll-objective/2, s.stopAccepting+lastAcceptGrace), s.answerAll-closeMargin)
 	return s
 }
 
 // shutdown is a graceful shutdown under way.
 type shutdown struct {
-	node     *Node
-	schedule shutdownSchedule
-	begin    time.Duration // on the node's clock
-	fronts   []front
-	sockets  map[string]*socket
-	pools    []*pool
-	now      func() time.Duration // the node's clock
-	answer   func()               // has the engines answer all open requests now
+	node               *Node
+	schedule           shutdownSchedule
+	beganAt            time.Duration // on the node's clock
+	frontends          []frontend
+	sockets            map[string]*socket
+	pools              []*pool
+	now                func() time.Duration // the node's clock
+	answerOpenRequests func()               // has the engines answer all open requests now
 }
 
 // drain shuts the node down gracefully: all that was accepted is answered. For a while clients are served as ever on
@@ -83,30 +83,30 @@
 	n.readiness.Shutdown()
 	close(n.draining)
 	s := &shutdown{node: n, schedule: newShutdownSchedule(n.cfg), sockets: n.sockets, pools: n.allPools(), now: n.clock.Now}
-	s.answer = s.answerAll
+	s.answerOpenRequests = s.answerAll
 	if n.options.schedule != nil {
 		s.schedule = *n.options.schedule
 	}
 	for _, l := range n.listeners {
-		s.fronts = append(s.fronts, l.front)
+		s.frontends = append(s.frontends, l.frontend)
 	}
 	n.mu.Unlock()
-	s.begin = s.now()
+	s.beganAt = s.now()
 	for _, p := range s.pools {
-		p.engine.ScheduleShutdown(s.begin + s.schedule.answerAll)
+		p.engine.ScheduleShutdown(s.beganAt + s.schedule.answerAll)
 	}
 	return s
 }
 
 // elapsed is the time since the shutdown began.
-func (s *shutdown) elapsed() time.Duration { return s.now() - s.begin }
+func (s *shutdown) elapsed() time.Duration { return s.now() - s.beganAt }
 
 // announce has the front ends tell clients that the node is not ready. Where another process of this node takes over
 // its addresses they stay ready: new connections go to that process, and each response sends its client there.
 func (s *shutdown) announce() {
 	processes := s.node.options.Processes
 	hasSuccessor := processes != nil && processes.HasSuccessor()
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.SetReady(hasSuccessor)
 		f.SetClosing(hasSuccessor)
 	}
@@ -134,26 +134,26 @@
 // serveConnections has open connections serve for as long as the schedule says, and while there are any.
 func (s *shutdown) serveConnections() {
 	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Open() > 0 {
-		clock.Sleep(s.node.incarnation, drainStep)
+		clock.Sleep(s.node.incarnation, drainPollInterval)
 	}
 }
 
 // closeConnections has each response close its connection and closes idle ones, until none is open. At the schedule's
 // time all open requests are answered; what is unanswered at its deadline is an error.
 func (s *shutdown) closeConnections() error {
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.SetClosing(true)
 	}
 	clients := s.node.clients
 	answered := false // at an earlier step, so that the responses have had time to be written
-	for ; s.closeIdle() > 0; clock.Sleep(s.node.incarnation, drainStep) {
+	for ; s.closeIdle() > 0; clock.Sleep(s.node.incarnation, drainPollInterval) {
 		elapsed := s.elapsed() // read once: a step that answers is a step that counts as having answered
-		if s.node.gateway != nil && elapsed >= s.schedule.answerAll-handOverTime {
+		if s.node.gateway != nil && elapsed >= s.schedule.answerAll-handOverMargin {
 			s.node.gateway.HandOver()
 		}
 		isDue := elapsed >= s.schedule.answerAll
 		if isDue && !answered {
-			s.answer()
+			s.answerOpenRequests()
 		}
 		if isDue {
 			clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
@@ -179,7 +179,7 @@
 
 // closeIdle closes idle client connections and returns how many connections are left of all.
 func (s *shutdown) closeIdle() int {
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.CloseQuiet()
 	}
 	return s.node.clients.Open()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -19,10 +19,10 @@
 )
 
 // Deadlines that nodes of these tests end under.
-var endDeadlines = []time.Duration{200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
+var shutdownDeadlines = []time.Duration{200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second}
 
 // shortConfig is a configuration whose classes all have one deadline.
-func shortConfig(deadline time.Duration, list string) testNode {
+func shortConfig(deadline time.Duration, list string) testNodeConfig {
 	cfg := testConfig(list)
 	for i := range cfg.Classes {
 		cfg.Classes[i].Deadline, cfg.Classes[i].LatencyObjective = config.Duration(deadline), config.Duration(deadline/2)
@@ -34,31 +34,31 @@
 // still leaves time before the kill.
 func TestShutdownFinishesBeforeKill(t *testing.T) {
 	const lastNewConnection = 400 * time.Millisecond // that comes after SIGTERM
-	for _, deadline := range endDeadlines {
+	for _, deadline := range shutdownDeadlines {
 		e := newShutdownSchedule(shortConfig(deadline, testpeer.Whole()).Config)
 		kill := min(deadline, maxKillAfter) + killAfter
-		if e.stopAccepting < lastNewConnection || e.closeConnections < e.stopAccepting || e.answerAll < e.closeConnections+drainStep || e.finish < e.answerAll+drainStep ||
-			e.answerAll+stallAllowance+2*drainStep >= kill || e.finish+stallAllowance >= kill || e.deadline < e.finish || e.deadline >= kill {
+		if e.stopAccepting < lastNewConnection || e.closeConnections < e.stopAccepting || e.answerAll < e.closeConnections+drainPollInterval || e.finish < e.answerAll+drainPollInterval ||
+			e.answerAll+stallAllowance+2*drainPollInterval >= kill || e.finish+stallAllowance >= kill || e.deadline < e.finish || e.deadline >= kill {
 			t.Errorf("deadline %v: accepts until %v, serves until %v, answers all at %v, ends at %v, at %v at the latest, killed at %v",
 				deadline, e.stopAccepting, e.closeConnections, e.answerAll, e.finish, e.deadline, kill)
 		}
 	}
 }
 
-// endClient sends one request after the other while its node ends, on connections that stay open and on new ones while
+// shutdownClient sends one request after the other while its node ends, on connections that stay open and on new ones while
 // those are accepted.
-type endClient struct {
+type shutdownClient struct {
 	name, deadline string
 	address        string
 	pause          time.Duration // between the two halves of a request; 0: it is written at once
 
-	sent  int
-	final sync.Map // ids of answered requests
-	begun *atomic.Int64
+	sent      int
+	answered  sync.Map // ids of answered requests
+	responses *atomic.Int64
 }
 
 // run returns once no connection is accepted any more.
-func (c *endClient) run() {
+func (c *shutdownClient) run() {
 	for {
 		nc, err := net.Dial("tcp", c.address)
 		if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // ask sends a request and reads its answer; false: the connection is of no more use.
-func (c *endClient) ask(nc net.Conn, in *bufio.Reader) bool {
+func (c *shutdownClient) ask(nc net.Conn, in *bufio.Reader) bool {
 	c.sent++
 	id := fmt.Sprint(c.name, "-", c.sent)
 	head := "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: " + c.deadline + "\r\n\r\n"
@@ -84,25 +84,25 @@
 		return false
 	}
 	_, err = io.Copy(io.Discard, r.Body)
-	c.final.Store(id, true)
-	c.begun.Add(1)
+	c.answered.Store(id, true)
+	c.responses.Add(1)
 	return err == nil && !r.Close
 }
 
 // A node that is told to end answers all that it has taken and is over before it would be killed, however short its
 // deadlines, while clients send on, some slowly, and also where no server answers any more.
 func TestShutdownUnderShortDeadlines(t *testing.T) {
-	for _, deadline := range endDeadlines[:5] {
+	for _, deadline := range shutdownDeadlines[:5] {
 		for _, hangs := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v,hangs=%v", deadline, hangs), func(t *testing.T) {
 				t.Parallel()
-				endUnder(t, deadline, hangs)
+				testShutdownUnderLoad(t, deadline, hangs)
 			})
 		}
 	}
 }
 
-func endUnder(t *testing.T, deadline time.Duration, hangs bool) {
+func testShutdownUnderLoad(t *testing.T, deadline time.Duration, hangs bool) {
 	var ending atomic.Bool
 	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if hangs && ending.Load() {
@@ -114,12 +114,12 @@
 	})
 	n, stop := startNode(t, shortConfig(deadline, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	var (
-		clients []*endClient
+		clients []*shutdownClient
 		done    sync.WaitGroup
 		begun   atomic.Int64
 	)
 	for i := range 8 {
-		c := &endClient{name: fmt.Sprint("c", i), deadline: fmt.Sprint(deadline.Seconds()), address: n.Addr("main"), begun: &begun}
+		c := &shutdownClient{name: fmt.Sprint("c", i), deadline: fmt.Sprint(deadline.Seconds()), address: n.Addr("main"), responses: &begun}
 		if i%4 == 3 {
 			c.pause = 30 * time.Millisecond
 		}
@@ -140,7 +140,7 @@
 	for _, id := range s.Requests() {
 		name, _, _ := strings.Cut(id, "-")
 		for _, c := range clients {
-			if _, answered := c.final.Load(id); c.name == name && !answered {
+			if _, answered := c.answered.Load(id); c.name == name && !answered {
 				t.Errorf("%s reached a server and has no answer", id)
 			}
 		}
@@ -168,7 +168,7 @@
 			reading += 9 * time.Millisecond
 			return reading
 		},
-		answer: func() {
+		answerOpenRequests: func() {
 			answered++
 			clients.End(open)
 			clients.Remove(open)
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -21,13 +21,13 @@
 	pending []discovery.List
 	closed  bool
 
-	ready   map[string]bool // ids of the listed servers in service
-	listed  chan struct{}   // closed once a full snapshot has come
-	hasList chan struct{}   // closed once one has come and a server of it is in service
+	readyIDs         map[string]bool // ids of the listed servers in service
+	snapshotReceived chan struct{}   // closed once a full snapshot has come
+	serverReady      chan struct{}   // closed once one has come and a server of it is in service
 }
 
 func newRelay() *relay {
-	return &relay{ready: map[string]bool{}, listed: make(chan struct{}), hasList: make(chan struct{})}
+	return &relay{readyIDs: map[string]bool{}, snapshotReceived: make(chan struct{}), serverReady: make(chan struct{})}
 }
 
 // UpdateList implements discovery.Sink.
@@ -48,18 +48,18 @@
 // trackReadiness follows whether the list has come and has servers in service. The caller holds mu.
 func (r *relay) trackReadiness(l discovery.List) {
 	if l.Full {
-		clear(r.ready)
-		closeOnce(r.listed)
+		clear(r.readyIDs)
+		closeOnce(r.snapshotReceived)
 	}
 	for _, t := range l.Targets {
 		if t.State == balancer.Ready {
-			r.ready[t.ID] = true
+			r.readyIDs[t.ID] = true
 		} else {
-			delete(r.ready, t.ID)
+			delete(r.readyIDs, t.ID)
 		}
 	}
-	if isClosed(r.listed) && len(r.ready) > 0 {
-		closeOnce(r.hasList)
+	if isClosed(r.snapshotReceived) && len(r.readyIDs) > 0 {
+		closeOnce(r.serverReady)
 	}
 }
 
@@ -126,8 +126,8 @@
 	s := &source{relay: newRelay(), pushed: r.Mode != config.Polled, done: make(chan struct{})}
 	s.watch = discovery.NewWatch(r.Address, rev, s.relay, log)
 	s.relay.resubscribe = s.watch.Subscribe
-	if n.options.watch != nil {
-		n.options.watch(s.watch)
+	if n.options.configureWatch != nil {
+		n.options.configureWatch(s.watch)
 	}
 	return s
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -18,8 +18,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// takenPort is a port of loopback that the test has, for TCP and for UDP.
-func takenPort(t *testing.T) (*net.TCPListener, *net.UDPConn) {
+// occupyPort is a port of loopback that the test has, for TCP and for UDP.
+func occupyPort(t *testing.T) (*net.TCPListener, *net.UDPConn) {
 	t.Helper()
 	for range 100 {
 		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -36,14 +36,14 @@
 	return nil, nil
 }
 
-// needsPorts is a configuration with every socket that a node's start opens.
-func needsPorts(t *testing.T, front, management, room net.Addr) *config.Config {
+// configWithPorts is a configuration with every socket that a node's start opens.
+func configWithPorts(t *testing.T, front, management, room net.Addr) *config.Config {
 	t.Helper()
 	key := t.TempDir() + "/key"
 	if err := os.WriteFile(key, []byte("a key of sixteen bytes or more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := ownConfig(pooled("p", newTestServer(t, "a")))
+	cfg := configWithPools(staticPool("p", newTestServer(t, "a")))
 	cfg.Listeners[0].Address = front.String()
 	cfg.Node.Management = management.String()
 	cfg.Node.Peers = config.Peers{Listen: room.String(), KeyFile: key, Period: config.Duration(time.Second)}
@@ -53,13 +53,13 @@
 
 // A start tries its sockets again, each in turn, until whoever has their ports gives them up.
 func TestStartRetriesBinding(t *testing.T) {
-	front, unused := takenPort(t)
+	front, unused := occupyPort(t)
 	unused.Close()
-	management, unused := takenPort(t)
+	management, unused := occupyPort(t)
 	unused.Close()
-	links, room := takenPort(t)
+	links, room := occupyPort(t)
 	log := &testpeer.LogBuffer{}
-	cfg := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr())
+	cfg := configWithPorts(t, front.Addr(), management.Addr(), room.LocalAddr())
 	type started struct {
 		node *Node
 		err  error
@@ -85,17 +85,17 @@
 
 // A start that is told to end waits for no socket any more, says which one it misses, and leaves nothing behind.
 func TestStartIsCancelledWhileBinding(t *testing.T) {
-	front, unused := takenPort(t)
+	front, unused := occupyPort(t)
 	defer front.Close()
 	unused.Close()
-	management, room := takenPort(t)
+	management, room := occupyPort(t)
 	management.Close()
 	room.Close()
-	cfg, known, log := needsPorts(t, front.Addr(), management.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &testpeer.LogBuffer{}
+	cfg, known, log := configWithPorts(t, front.Addr(), management.Addr(), room.LocalAddr()), goleak.IgnoreCurrent(), &testpeer.LogBuffer{}
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
-		_, err := New(cfg, slog.New(slog.NewTextHandler(log, nil)), Options{Start: ctx})
+		_, err := New(cfg, slog.New(slog.NewTextHandler(log, nil)), Options{StartContext: ctx})
 		failed <- err
 	}()
 	testpeer.Until(t, "a try", func() bool { return log.Count("a socket can't be opened and is tried again") > 0 })
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -35,7 +35,7 @@
 		Listeners: map[string]ListenerStatus{},
 		Pools:     map[string]PoolStatus{},
 		Clients:   n.clients.Open(),
-		Ready:     n.requests.Snapshot().Ready() && n.readiness.StateAt(n.clock.Now()).Ready,
+		Ready:     n.dispatcher.Snapshot().Ready() && n.readiness.StateAt(n.clock.Now()).Ready,
 	}
 	for name, l := range n.listeners {
 		s.Listeners[name] = ListenerStatus{l.socket.Addr().String()}
@@ -52,7 +52,7 @@
 		s.Gateway = &st
 	}
 	for name, p := range pools {
-		s.Pools[name] = PoolStatus{p.engine.Status(), p.back.Connections()}
+		s.Pools[name] = PoolStatus{p.engine.Status(), p.backend.Connections()}
 	}
 	return s
 }
