--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -31,47 +31,47 @@
 // openWith opens a transport on loopback with seeds, and with zone state if its options are not nil.
 func openWith(t *testing.T, name, key string, zoneState *zonestate.Options, seeds ...netip.AddrPort) *Transport {
 	t.Helper()
-	o := membership.Defaults()
-	o.ProbeInterval = 50 * time.Millisecond
-	o.ProbeTimeout = 15 * time.Millisecond
-	o.Seeds = seeds
-	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // a free port, which Self has to name before Open
+	members := membership.Defaults()
+	members.ProbeInterval = 50 * time.Millisecond
+	members.ProbeTimeout = 15 * time.Millisecond
+	members.Seeds = seeds
+	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}) // find a free port, as Options.Self must contain it
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := free.LocalAddr().String()
 	free.Close()
-	r, err := Open(Options{
-		Self:      membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
-		Listen:    addr,
-		Key:       []byte(key),
-		Members:   o,
-		ZoneState: zoneState,
-		Clock:     clock.New(),
-		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+	transport, err := Open(Options{
+		Self:       membership.Peer{Name: name, Addr: netip.MustParseAddrPort(addr), Zone: "z"},
+		Listen:     addr,
+		Key:        []byte(key),
+		Membership: members,
+		ZoneState:  zoneState,
+		Clock:      clock.New(),
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return transport
 }
 
-// run runs a transport until the test's end, or until stop.
-func run(t *testing.T, r *Transport) (stop func()) {
+// run runs a transport until stop is called or the test ends.
+func run(t *testing.T, transport *Transport) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	go r.Run(ctx)
-	testpeer.Receive(t, r.started, "its start")
+	go transport.Run(ctx)
+	testpeer.Receive(t, transport.started, "the start of Run")
 	stop = func() {
 		cancel()
-		testpeer.Receive(t, r.done, "its end")
+		testpeer.Receive(t, transport.done, "the end of Run")
 	}
 	t.Cleanup(stop)
 	return stop
 }
 
-// status returns the status that a transport holds of a node; empty: it does not know it.
-func status(r *Transport, name string) string {
-	for _, m := range r.Status().Members {
+// memberStatus returns the status of a node at a transport, or an empty string if the node is unknown there.
+func memberStatus(transport *Transport, name string) string {
+	for _, m := range transport.Status().Members {
 		if m.Name == name {
 			return m.Status
 		}
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// Three transports with one seed discover one another, and one that leaves announces it. Datagrams of another key and malformed
-// ones are counted and change nothing.
+// Three transports with one seed discover each other, and one that leaves announces it. Datagrams of another key and malformed ones
+// are counted and have no effect.
 func TestTransportsDiscoverEachOther(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
 	a := open(t, "a", key)
@@ -88,9 +88,9 @@
 	c := open(t, "c", key, a.Addr())
 	other := open(t, "other", "a key of another cluster", a.Addr())
 	var stop func()
-	for _, r := range []*Transport{a, b, c, other} {
-		stopped := run(t, r)
-		if r == c {
+	for _, transport := range []*Transport{a, b, c, other} {
+		stopped := run(t, transport)
+		if transport == c {
 			stop = stopped
 		}
 	}
@@ -98,11 +98,11 @@
 		r    *Transport
 		name string
 	}{{a, "b"}, {a, "c"}, {b, "a"}, {b, "c"}, {c, "a"}, {c, "b"}} {
-		testpeer.Until(t, pair.name+" is alive for the others", func() bool { return status(pair.r, pair.name) == "alive" })
+		testpeer.Until(t, pair.name+" to be alive for the others", func() bool { return memberStatus(pair.r, pair.name) == "alive" })
 	}
-	testpeer.Until(t, "datagrams of another key are counted", func() bool { return a.Status().Counts.Strange > 0 })
-	if got := status(a, "other"); got != "" || len(other.Status().Members) > 0 {
-		t.Errorf("a node of another cluster has status %q, and knows %+v", got, other.Status().Members)
+	testpeer.Until(t, "datagrams of another key to be counted", func() bool { return a.Status().Counts.WrongKey > 0 })
+	if got := memberStatus(a, "other"); got != "" || len(other.Status().Members) > 0 {
+		t.Errorf("a node of another cluster has status %q and members %+v, want none", got, other.Status().Members)
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
@@ -110,32 +110,32 @@
 	}
 	defer nc.Close()
 	fmt.Fprint(nc, strings.Repeat("x", 400))
-	testpeer.Until(t, "the malformed datagram is counted", func() bool { return a.Status().Counts.Malformed > 0 })
+	testpeer.Until(t, "the malformed datagram to be counted", func() bool { return a.Status().Counts.Malformed > 0 })
 	stop()
-	testpeer.Until(t, "the one that left has left for the others", func() bool { return status(a, "c") == "left" && status(b, "c") == "left" })
+	testpeer.Until(t, "node c to have left for the others", func() bool { return memberStatus(a, "c") == "left" && memberStatus(b, "c") == "left" })
 	if s := c.Status(); len(s.Members) != 0 {
-		t.Errorf("a transport that has ended returns %+v", s)
+		t.Errorf("the status after the end of Run is %+v, want no members", s)
 	}
 }
 
-// A transport never exceeds its send budget, whatever its machine asks for.
+// A transport never exceeds its send budget, however much its state machine sends.
 func TestSendRateIsBounded(t *testing.T) {
-	r := open(t, "a", "a key of sixteen bytes or more")
-	defer r.Close()
+	transport := open(t, "a", "a key of sixteen bytes or more")
+	defer transport.Close()
 	var packets []membership.Packet
 	for range 3000 {
-		packets = append(packets, membership.Packet{To: r.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
+		packets = append(packets, membership.Packet{To: transport.Addr(), Message: membership.Message{Kind: membership.Ping, From: 1}})
 	}
-	r.budgetAt = r.options.Clock.Now()
-	r.sendBudget = maxOutgoing
-	r.send(packets)
-	size := int64(len(membership.Encode(packets[0].Message, r.options.Key)))
-	if sent := r.counts.Sent * size; r.counts.Paced == 0 || sent < maxOutgoing/2 || r.counts.Sent+r.counts.Paced != 3000 {
-		t.Errorf("%d bytes were sent of a burst of %d, %d datagrams were not", sent, maxOutgoing, r.counts.Paced)
+	transport.budgetUpdatedAt = transport.options.Clock.Now()
+	transport.sendBudget = maxSendRate
+	transport.send(packets)
+	size := int64(len(membership.Encode(packets[0].Message, transport.options.Key)))
+	if sent := transport.counts.Sent * size; transport.counts.RateLimited == 0 || sent < maxSendRate/2 || transport.counts.Sent+transport.counts.RateLimited != 3000 {
+		t.Errorf("%d bytes were sent with a burst of %d, and %d of 3000 datagrams were dropped", sent, maxSendRate, transport.counts.RateLimited)
 	}
 }
 
-func TestInvalidKeysAndAddresses(t *testing.T) {
+func TestInvalidKeysAndAddressInUseAreErrors(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"short": "  short \n",
@@ -148,65 +148,67 @@
 		}
 		key, err := LoadKey(path)
 		if (err == nil) != (name == "good") || err == nil && string(key) != "sixteen bytes at least" {
-			t.Errorf("%s: %q, %v", name, key, err)
+			t.Errorf("%s: LoadKey returned %q, %v", name, key, err)
 		}
 		if err != nil && !strings.Contains(err.Error(), path) {
-			t.Errorf("%v does not name the file", err)
+			t.Errorf("error %q does not name the file", err)
 		}
 	}
 	if _, err := LoadKey(filepath.Join(dir, "none")); err == nil {
-		t.Error("a key was read from no file")
+		t.Error("LoadKey of a missing file returned no error")
 	}
 	taken := open(t, "a", "a key of sixteen bytes or more")
 	defer taken.Close()
 	again := taken.options
 	again.Listen = taken.Addr().String()
 	if _, err := Open(again); err == nil {
-		t.Error("an address in use was opened again")
+		t.Error("Open with an address in use returned no error")
 	}
 }
 
-// Transports that exchange zone state run beside one that does not know it, as an older build: that one counts what it does
-// not understand, all are alive for all, and the others have one another's parts.
-func TestZoneStateBesidePeerWithout(t *testing.T) {
+// Transports that exchange zone state run beside one that does not support it, such as an older build. That one counts the messages
+// as unsupported, all nodes are alive for each other, and the other transports have each other's parts.
+func TestZoneStateExchangeBesidePeerWithoutIt(t *testing.T) {
 	const key = "a key of sixteen bytes or more"
-	o := zonestate.Defaults(2 * time.Second)
-	a := openWith(t, "a", key, &o)
-	b := openWith(t, "b", key, &o, a.Addr())
-	c := openWith(t, "c", key, &o, a.Addr())
-	old := open(t, "old", key, a.Addr())
+	options := zonestate.Defaults(2 * time.Second)
+	a := openWith(t, "a", key, &options)
+	b := openWith(t, "b", key, &options, a.Addr())
+	c := openWith(t, "c", key, &options, a.Addr())
+	withoutZoneState := open(t, "old", key, a.Addr())
 	load := Load{Entries: []zonestate.Entry{{Kind: zonestate.Demand, Subject: 5, Value: 1.5}}, Names: map[zonestate.Subject]string{5: "view"}}
-	for _, r := range []*Transport{a, b, c, old} {
-		run(t, r)
+	for _, transport := range []*Transport{a, b, c, withoutZoneState} {
+		run(t, transport)
 	}
-	sum := func(r *Transport) (amount float64, from int) {
-		r.PublishLoad(load)
-		f := r.Status().ZoneState
-		if f == nil || f.Alone {
+	demandSum := func(transport *Transport) (amount float64, from int) {
+		transport.PublishLoad(load)
+		zoneState := transport.Status().ZoneState
+		if zoneState == nil || zoneState.Isolated {
 			return 0, 0
 		}
-		for _, z := range f.Zones {
-			for _, x := range z.Reports {
-				if x.What == "demand" && x.Of == "view" && z.Freshness == "fresh" {
-					return x.Amount, x.From
+		for _, z := range zoneState.Zones {
+			for _, report := range z.Reports {
+				if report.Kind == "demand" && report.Subject == "view" && z.Freshness == "fresh" {
+					return report.Value, report.PartCount
 				}
 			}
 		}
 		return 0, 0
 	}
-	for _, r := range []*Transport{a, b, c} {
+	for _, transport := range []*Transport{a, b, c} {
 		testpeer.Until(t, "the sum of three parts", func() bool {
 			for _, other := range []*Transport{a, b, c} {
 				other.PublishLoad(load)
 			}
-			amount, from := sum(r)
+			amount, from := demandSum(transport)
 			return amount == 4.5 && from == 3
 		})
 	}
-	testpeer.Until(t, "the older one to count messages", func() bool { return old.Status().Counts.Other > 0 && old.Status().ZoneState == nil })
-	for _, r := range []*Transport{a, b, c} {
-		if got := status(r, "old"); got != "alive" {
-			t.Errorf("the older one has status %s", got)
+	testpeer.Until(t, "the node without zone state to count unsupported messages", func() bool {
+		return withoutZoneState.Status().Counts.Unsupported > 0 && withoutZoneState.Status().ZoneState == nil
+	})
+	for _, transport := range []*Transport{a, b, c} {
+		if got := memberStatus(transport, "old"); got != "alive" {
+			t.Errorf("the node without zone state has status %s, want alive", got)
 		}
 	}
 	nc, err := net.Dial("udp", a.Addr().String())
@@ -217,8 +219,8 @@
 	before := a.Status().Counts
 	nc.Write(membership.Seal([]byte{zonestate.Version, 1, 2, 3}, []byte(key)))
 	nc.Write(membership.Seal(append([]byte{zonestate.Version}, make([]byte, 30)...), []byte("a key of another cluster")))
-	testpeer.Until(t, "the malformed one and the one of another key to be counted", func() bool {
-		is := a.Status().Counts
-		return is.Malformed > before.Malformed && is.Strange > before.Strange
+	testpeer.Until(t, "the malformed datagram and the one of another key to be counted", func() bool {
+		counts := a.Status().Counts
+		return counts.Malformed > before.Malformed && counts.WrongKey > before.WrongKey
 	})
 }
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -6,23 +6,23 @@
 	"damsontrestle/internal/membership"
 )
 
-// Counts are numbers of datagrams since the start.
+// Counts are datagram counts since the start.
 type Counts struct {
-	Sent      int64 `json:"sent"`
-	Bytes     int64 `json:"bytes"` // in the datagrams sent, without headers of UDP and IP
-	Received  int64 `json:"received"`
-	Strange   int64 `json:"strange"` // of another key
-	Malformed int64 `json:"malformed"`
-	Other     int64 `json:"other"` // of another version, or zone state at a node without it
-	Lost      int64 `json:"lost"`  // received and dropped, for the queue was full
-	Paced     int64 `json:"paced"` // not sent, for the send budget was spent
+	Sent        int64 `json:"sent"`
+	Bytes       int64 `json:"bytes"` // sent, without UDP and IP headers
+	Received    int64 `json:"received"`
+	WrongKey    int64 `json:"strange"` // received with a tag of another key
+	Malformed   int64 `json:"malformed"`
+	Unsupported int64 `json:"other"` // received with another version, or with zone state while that is disabled
+	QueueFull   int64 `json:"lost"`  // received and dropped because the queue was full
+	RateLimited int64 `json:"paced"` // not sent because the send budget was exhausted
 }
 
-// Status is what a node knows of the others.
+// Status is the state of the gossip at a node.
 type Status struct {
 	Incarnation   uint32           `json:"life"`
 	Health        int              `json:"ill_health"` // local health score; 0: healthy, up to 8
-	NameConflicts int              `json:"twins"`      // updates with later incarnations of this name than this process had
+	NameConflicts int              `json:"twins"`      // updates about this name with a later incarnation than this process had
 	Members       []Member         `json:"members"`
 	Counts        Counts           `json:"datagrams"`
 	ZoneState     *ZoneStateStatus `json:"facts,omitempty"`
@@ -36,43 +36,43 @@
 	Zone        string        `json:"zone,omitempty"`
 	Status      string        `json:"status"` // alive, suspect, dead, left
 	Incarnation uint32        `json:"life"`
-	For         time.Duration `json:"for"`             // for how long it has had this status here
-	Heard       time.Duration `json:"heard,omitempty"` // time since its last message; negative: there was none
+	SinceChange time.Duration `json:"for"`             // time since the status changed at this node
+	SinceHeard  time.Duration `json:"heard,omitempty"` // time since its last message; negative: none was received
 }
 
-// publishMembers makes changes of the membership visible: to Living, and in the log.
+// publishMembers publishes changes of the membership to ActiveMembers and logs them.
 func (t *Transport) publishMembers() {
-	if t.loggedChanges == t.machine.Changes() {
+	if t.publishedChanges == t.machine.Changes() {
 		return
 	}
-	t.loggedChanges = t.machine.Changes()
+	t.publishedChanges = t.machine.Changes()
 	members := t.machine.Members()
 	var active []membership.Peer
-	for _, k := range members {
-		if k.Status <= membership.Suspect {
-			active = append(active, k.Peer)
+	for _, member := range members {
+		if member.Status <= membership.Suspect {
+			active = append(active, member.Peer)
 		}
 	}
 	t.active.Store(&active)
-	for _, k := range members {
-		logged, known := t.loggedStatus[k.Name]
-		if known && logged == k.Status {
+	for _, member := range members {
+		logged, known := t.loggedStatus[member.Name]
+		if known && logged == member.Status {
 			continue
 		}
-		t.loggedStatus[k.Name] = k.Status
-		t.options.Log.Info("member", "name", k.Name, "status", k.Status, "life", k.Incarnation)
+		t.loggedStatus[member.Name] = member.Status
+		t.options.Log.Info("member", "name", member.Name, "status", member.Status, "life", member.Incarnation)
 	}
 }
 
-// Living returns the other members that are alive or suspect; none before Run. The caller must not change the slice.
-func (t *Transport) Living() []membership.Peer {
+// ActiveMembers returns the other members that are alive or suspect. It returns none before Run. Callers must not modify the slice.
+func (t *Transport) ActiveMembers() []membership.Peer {
 	if active := t.active.Load(); active != nil {
 		return *active
 	}
 	return nil
 }
 
-// Status returns what the node knows of the others: nothing before Run and after its end. It waits for the loop of Run.
+// Status returns the status of the gossip. It is zero before Run has started and after it has ended. Status waits for the loop of Run.
 func (t *Transport) Status() Status {
 	reply := make(chan Status, 1)
 	select {
@@ -88,7 +88,7 @@
 	}
 }
 
-// status returns the Status; it runs in the loop of Run.
+// status returns the Status. It must be called in the loop of Run.
 func (t *Transport) status() Status {
 	now := t.options.Clock.Now()
 	_, incarnation := t.machine.Self()
@@ -98,23 +98,23 @@
 		NameConflicts: t.machine.NameConflicts,
 		Counts:        t.counts,
 	}
-	s.Counts.Lost = t.overruns.Load()
+	s.Counts.QueueFull = t.queueFull.Load()
 	if t.exchange != nil {
 		s.ZoneState = t.exchange.status(now)
 	}
-	for _, k := range t.machine.Members() {
+	for _, member := range t.machine.Members() {
 		m := Member{
-			Name:        k.Name,
-			Addr:        k.Addr.String(),
-			Region:      k.Region,
-			Zone:        k.Zone,
-			Status:      k.Status.String(),
-			Incarnation: k.Incarnation,
-			For:         now - k.StatusSince,
-			Heard:       -1,
+			Name:        member.Name,
+			Addr:        member.Addr.String(),
+			Region:      member.Region,
+			Zone:        member.Zone,
+			Status:      member.Status.String(),
+			Incarnation: member.Incarnation,
+			SinceChange: now - member.StatusSince,
+			SinceHeard:  -1,
 		}
-		if k.LastHeard > 0 {
-			m.Heard = now - k.LastHeard
+		if member.LastHeard > 0 {
+			m.SinceHeard = now - member.LastHeard
 		}
 		s.Members = append(s.Members, m)
 	}
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -31,7 +31,7 @@
 	c.switchListeners(&replaced)
 	n.cfg = c.cfg
 	if n.gateway != nil {
-		n.gateway.Announce()
+		n.gateway.AdvertiseChanges()
 	}
 	n.retire(replaced)
 	return nil
@@ -80,7 +80,7 @@
 		n.options.aroundAdopt()
 		defer n.options.aroundAdopt()
 	}
-	n.gateway.Adopt(c)
+	n.gateway.SetConfig(c)
 }
 
 // switchListeners makes exactly the listeners of the new configuration accept connections.
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -126,7 +126,7 @@
 		}
 		return faults.Listener(ln), nil
 	}
-	cfg.Options.configureWatch = func(w *discovery.Watch) { w.DialBy(faults.Dial) }
+	cfg.Options.configureWatch = func(w *discovery.Watch) { w.SetDialer(faults.Dial) }
 	cfg.Options.configureBackend = func(b *upstream.Pool) { b.SetDial(faults.Dial) }
 	node, stop := startNode(t, cfg, nil)
 
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -164,7 +164,7 @@
 			cfg.Listeners[0].Address = address
 		}
 		cfg.Node.Management = "127.0.0.1:0"
-		processes, err := hotrestart.Enter(folder, "node")
+		processes, err := hotrestart.Join(folder, "node")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -53,11 +53,11 @@
 		members.Seeds = append(members.Seeds, seed)
 	}
 	options := gossip.Options{
-		Listen:  p.Listen,
-		Key:     key,
-		Members: members,
-		Clock:   n.clock,
-		Log:     n.log,
+		Listen:     p.Listen,
+		Key:        key,
+		Membership: members,
+		Clock:      n.clock,
+		Log:        n.log,
 		Self: membership.Peer{
 			Name:       c.Name,
 			Addr:       address,
@@ -83,13 +83,13 @@
 	peers := &metrics.Peers{
 		Members: map[string]int{},
 		Zones:   map[string]int{},
-		Dropped: status.Counts.Strange + status.Counts.Malformed + status.Counts.Other + status.Counts.Lost,
+		Dropped: status.Counts.WrongKey + status.Counts.Malformed + status.Counts.Unsupported + status.Counts.QueueFull,
 	}
 	for _, m := range status.Members {
 		peers.Members[m.Status]++
 	}
 	if status.ZoneState != nil {
-		peers.Alone = status.ZoneState.Alone
+		peers.Alone = status.ZoneState.Isolated
 		for _, z := range status.ZoneState.Zones {
 			peers.Zones[z.Freshness]++
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -116,7 +116,7 @@
 	}
 	s.node.log.Info("successor process is running; yielding listeners to it")
 	for _, socket := range s.sockets {
-		if err := hotrestart.Yield(socket.Listener); err != nil {
+		if err := hotrestart.DirectToSuccessor(socket.Listener); err != nil {
 			s.node.log.Warn("yielding a listener failed; clients may still connect to this process", "address", socket.Addr(), "error", err)
 		}
 	}
--- a/internal/peering/dial.go
+++ b/internal/peering/dial.go
@@ -11,39 +11,39 @@
 	"damsontrestle/internal/clock"
 )
 
-// Pauses before a link is dialed again.
+// Delays before a link is dialed again.
 const (
-	minRedial       = 50 * time.Millisecond
-	maxRedial       = time.Second
-	maxSilentRedial = 8 * time.Second // after links that came up and soon fell silent
-	stableSilences  = 5               // a link that lived for so many times Options.Silence did not fall silent soon
+	minRedialDelay        = 50 * time.Millisecond
+	maxRedialDelay        = time.Second
+	maxTimeoutRedialDelay = 8 * time.Second // after links that came up and soon timed out
+	stableLinkTimeouts    = 5               // a link that was up for so many heartbeat timeouts did not time out soon
 )
 
-// maxHandshakes bounds the handshakes that a hub begins at once.
+// maxHandshakes is the maximum number of concurrent handshakes of dialed links.
 const maxHandshakes = 8
 
-// target is an address to which a hub keeps a link.
-type target struct {
+// dialTarget is an address to which a hub maintains a link.
+type dialTarget struct {
 	cancel context.CancelFunc
 	up     bool
-	since  time.Duration // hub time since which the link is up or down
+	since  time.Duration // hub time of the last change of up
 }
 
-// Keep dials the gateway of a partner at an address, and again whenever the link has ended, until Drop or Close. An address
-// that is kept already stays as it is.
-func (h *Hub) Keep(address, partner string) {
+// Connect dials the gateway of a partner at an address, and redials it whenever the link has ended, until Disconnect or Close. It does
+// nothing if the hub already maintains a link to the address.
+func (h *Hub) Connect(address, partner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.targets[address] != nil || h.ctx.Err() != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(h.ctx)
-	h.targets[address] = &target{cancel: cancel, since: h.now()}
+	h.targets[address] = &dialTarget{cancel: cancel, since: h.now()}
 	h.tasks.Go(func() { h.maintain(ctx, address, partner) })
 }
 
-// Drop stops keeping a link to an address and ends the one that is up.
-func (h *Hub) Drop(address string) {
+// Disconnect stops maintaining a link to an address and ends the link.
+func (h *Hub) Disconnect(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t := h.targets[address]; t != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Down returns for how long the link to a kept address has been down; 0: it is up, or the address is not kept.
-func (h *Hub) Down(address string) time.Duration {
+// DownFor returns how long the link to an address has been down. It returns 0 if the link is up or Connect was not called.
+func (h *Hub) DownFor(address string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t := h.targets[address]; t != nil && !t.up {
@@ -62,8 +62,8 @@
 	return 0
 }
 
-// setUp notes that the link to a kept address came up or ended.
-func (h *Hub) setUp(address string, up bool) {
+// setLinkUp records that the link to an address came up or ended.
+func (h *Hub) setLinkUp(address string, up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t := h.targets[address]; t != nil {
@@ -72,36 +72,36 @@
 	}
 }
 
-// attempt is the result of dialing once and of the link that came of it.
-type attempt struct {
+// dialResult is the result of dialing once and serving the link.
+type dialResult struct {
 	up       bool          // a link came up
 	lifetime time.Duration // from the handshake to the end of the link
-	err      error         // why there was no link, or why it ended
+	err      error         // why dialing failed or the link ended
 }
 
-// fellSilent says that a link came up and its other side stopped answering.
-func (a attempt) fellSilent() bool {
-	return a.up && (errors.Is(a.err, ErrSilent) || errors.Is(a.err, ErrStuck))
+// timedOut reports whether a link came up and its peer stopped responding.
+func (result dialResult) timedOut() bool {
+	return result.up && (errors.Is(result.err, ErrHeartbeatTimeout) || errors.Is(result.err, ErrWriteTimeout))
 }
 
-// maintain dials an address again and again until ctx ends.
+// maintain dials an address and serves the link, repeatedly, until ctx ends.
 func (h *Hub) maintain(ctx context.Context, address, partner string) {
 	dialer := h.dialer()
-	wait := minRedial
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		a := h.dial(ctx, dialer, address, partner)
-		if errors.Is(a.err, ErrKey) || errors.Is(a.err, ErrPeer) {
-			h.options.Log.Warn("no link", "to", address, "partner", partner, "error", a.err)
-			wait = maxRedial
+		result := h.dial(ctx, dialer, address, partner)
+		if errors.Is(result.err, ErrKeyMismatch) || errors.Is(result.err, ErrPeerRejected) {
+			h.options.Log.Warn("handshake with gateway failed", "to", address, "partner", partner, "error", result.err)
+			delay = maxRedialDelay
 		}
-		clock.Sleep(ctx, wait/2+rand.N(wait))
-		wait = Redial(wait, a.up, a.fellSilent(), a.lifetime, h.options.Silence)
+		clock.Sleep(ctx, delay/2+rand.N(delay))
+		delay = RedialDelay(delay, result.up, result.timedOut(), result.lifetime, h.options.HeartbeatTimeout)
 	}
 }
 
-// dialer returns a dialer that uses the address on which the hub listens, if it is a particular one.
+// dialer returns a dialer whose source address is the hub's listen address, unless that is a wildcard.
 func (h *Hub) dialer() net.Dialer {
-	d := net.Dialer{Timeout: h.options.Silence, KeepAlive: -1}
+	d := net.Dialer{Timeout: h.options.HeartbeatTimeout, KeepAlive: -1}
 	if own, ok := h.listener.Addr().(*net.TCPAddr); ok && !own.IP.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: own.IP}
 	}
@@ -109,29 +109,29 @@
 }
 
 // dial dials an address once and serves the link until it ends.
-func (h *Hub) dial(ctx context.Context, dialer net.Dialer, address, partner string) attempt {
-	c, err := dialer.DialContext(ctx, "tcp", address)
+func (h *Hub) dial(ctx context.Context, dialer net.Dialer, address, partner string) dialResult {
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return attempt{err: err}
+		return dialResult{err: err}
 	}
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	release := h.acquireHandshake(ctx)
 	defer release()
-	defer h.setUp(address, false)
-	var a attempt
-	begin := time.Now()
-	a.err = h.serve(c, true, partner, func() {
-		a.up = true
+	defer h.setLinkUp(address, false)
+	var result dialResult
+	start := time.Now()
+	result.err = h.serve(conn, true, partner, func() {
+		result.up = true
 		release()
-		h.setUp(address, true)
+		h.setLinkUp(address, true)
 	})
-	a.lifetime = time.Since(begin)
-	return a
+	result.lifetime = time.Since(start)
+	return result
 }
 
-// acquireHandshake waits until fewer than maxHandshakes are under way, and returns what ends this one. A gateway that starts
-// and has many links to dial would otherwise compute all handshakes at once.
+// acquireHandshake waits until fewer than maxHandshakes are in progress, and returns a function that releases the slot. A starting
+// gateway with many links to dial would otherwise compute all handshakes at once.
 func (h *Hub) acquireHandshake(ctx context.Context) (release func()) {
 	select {
 	case h.handshakes <- struct{}{}:
@@ -141,18 +141,18 @@
 	}
 }
 
-// Redial returns the next pause before a link is dialed again, after a pause of wait. up says that a link came up, silent
-// that it fell silent, lifetime for how long it was up; silence is Options.Silence. After a link that was stable the pauses
-// begin anew. A link that came up and soon fell silent had a peer that is there and too slow: handshakes and full tables
-// take much processor time, which an overloaded group must not spend on links that it loses again, so there the pauses grow
-// further.
-func Redial(wait time.Duration, up, silent bool, lifetime, silence time.Duration) time.Duration {
+// RedialDelay returns the delay before a link is dialed again, given the last delay. up reports whether a link came up, timedOut
+// whether it ended because its peer stopped responding, and lifetime how long it was up. heartbeatTimeout is
+// Options.HeartbeatTimeout. The delay is reset after a stable link. It grows beyond maxRedialDelay after a link that soon timed out, as
+// its peer is reachable but too slow: handshakes and full route tables take much CPU time, which an overloaded group must not spend on
+// links that it loses again.
+func RedialDelay(lastDelay time.Duration, up, timedOut bool, lifetime, heartbeatTimeout time.Duration) time.Duration {
 	switch {
-	case up && silent && lifetime < stableSilences*silence:
-		return min(max(2*wait, silence), maxSilentRedial)
-	case up && lifetime > maxRedial:
-		return minRedial
+	case up && timedOut && lifetime < stableLinkTimeouts*heartbeatTimeout:
+		return min(max(2*lastDelay, heartbeatTimeout), maxTimeoutRedialDelay)
+	case up && lifetime > maxRedialDelay:
+		return minRedialDelay
 	default:
-		return max(wait, min(2*wait, maxRedial))
+		return max(lastDelay, min(2*lastDelay, maxRedialDelay))
 	}
 }
