--- a/internal/node/atomic_change_test.go
+++ b/internal/node/atomic_change_test.go
@@ -17,7 +17,7 @@
 )
 
 // dispatchWait is how long the test waits for a request to be dispatched during a change. A node that blocks the request,
-// as it should, uses up the whole time.
+// as it should, uses up all of this time.
 const dispatchWait = 20 * time.Millisecond
 
 // noHeaders are the headers of a request without headers.
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -96,7 +96,7 @@
 }
 
 func (c *Change) prepare(ctx context.Context, wait time.Duration) error {
-	if err := c.checkDescriptors(); err != nil {
+	if err := c.checkLimits(); err != nil {
 		return err
 	}
 	for _, l := range c.cfg.Listeners {
@@ -115,8 +115,9 @@
 	return c.awaitLists(ctx, wait)
 }
 
-// checkDescriptors checks the configuration's resource needs, plus the connections of retiring pools, against its limits.
-func (c *Change) checkDescriptors() error {
+// checkLimits checks the resource needs of the configuration, including the connections of retiring pools, against its
+// limits.
+func (c *Change) checkLimits() error {
 	if err := c.injectFault("check limits"); err != nil {
 		return fmt.Errorf("limits: %w", err)
 	}
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -72,15 +72,15 @@
 	if err := <-ended; err != nil {
 		b.Fatal(err)
 	}
-	v := audit.Heard()
-	slices.Sort(v.Times)
+	verdict := audit.Heard()
+	slices.Sort(verdict.Times)
 	slices.Sort(swaps)
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64(v.Calls), "calls")
+	b.ReportMetric(float64(verdict.Calls), "calls")
 	b.ReportMetric(float64(changes), "changes")
-	b.ReportMetric(float64(v.Refused+v.Failed+v.NotTaken), "not-served")
-	b.ReportMetric(float64(v.Times[len(v.Times)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(v.Times[len(v.Times)*99/100].Microseconds()), "p99-us")
+	b.ReportMetric(float64(verdict.Refused+verdict.Failed+verdict.NotTaken), "not-served")
+	b.ReportMetric(float64(verdict.Times[len(verdict.Times)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(verdict.Times[len(verdict.Times)*99/100].Microseconds()), "p99-us")
 	if len(swaps) > 0 {
 		b.ReportMetric(float64(swaps[len(swaps)/2].Microseconds()), "commit-p50-us")
 	}
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -424,17 +424,17 @@
 	stop()
 	testpeer.Receive(t, done, "the clients' last responses")
 	testpeer.Until(t, "all retired pools to be closed", func() bool { return len(n.Retiring()) == 0 })
-	v := audit.Judge(backends...)
-	for i, w := range v.Wrong {
+	verdict := audit.Judge(backends...)
+	for i, w := range verdict.Wrong {
 		if i < 10 {
 			t.Error(w)
 		}
 	}
-	if v.Calls < 500 || v.Served < v.Calls/2 {
-		t.Errorf("got %d requests and %d served, want at least 500 and half of them served", v.Calls, v.Served)
+	if verdict.Calls < 500 || verdict.Served < verdict.Calls/2 {
+		t.Errorf("got %d requests and %d served, want at least 500 and half of them served", verdict.Calls, verdict.Served)
 	}
-	t.Logf("%d changes; %d requests: %d served, %d rejected (%.2f %%), %d failed, %d not accepted", changes, v.Calls, v.Served, v.Refused,
-		100*float64(v.Refused)/float64(v.Calls), v.Failed, v.NotTaken)
+	t.Logf("%d changes; %d requests: %d served, %d rejected (%.2f %%), %d failed, %d not accepted", changes, verdict.Calls, verdict.Served, verdict.Refused,
+		100*float64(verdict.Refused)/float64(verdict.Calls), verdict.Failed, verdict.NotTaken)
 }
 
 // A listener whose protocol changes while its accepts fail is switched at once, without waiting for an accept to succeed.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -123,14 +123,14 @@
 	return newNode(cfg, nil, log, o)
 }
 
-func newNode(cfg *config.Config, start *initialState, log *slog.Logger, o Options) (*Node, error) {
-	if o.Listen == nil {
-		o.Listen = net.Listen
+func newNode(cfg *config.Config, start *initialState, log *slog.Logger, options Options) (*Node, error) {
+	if options.Listen == nil {
+		options.Listen = net.Listen
 	}
 	n := &Node{
 		clock:             clock.New(),
 		log:               log,
-		options:           o,
+		options:           options,
 		logPoolNames:      start == nil,
 		initial:           start,
 		serverDescriptors: descriptors.NewShare(0),
@@ -145,11 +145,11 @@
 	}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
 	n.clients = downstream.New(n.clock, downstream.Share{}, n.serverDescriptors.Used)
-	if o.Processes != nil {
-		n.sharesLimits = !o.Processes.TakePrimary()
+	if options.Processes != nil {
+		n.sharesLimits = !options.Processes.TakePrimary()
 	}
 	n.resize(cfg)
-	starting, cancel := o.Starting()
+	starting, cancel := options.Starting()
 	defer cancel()
 	c, err := n.Prepare(starting, cfg, 0)
 	if err != nil {
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -87,7 +87,7 @@
 			rate(zonestate.Attempts, name, float64(zoneBefore.Ended), float64(zone.Ended))
 			rate(zonestate.FailedAttempts, name, float64(zoneBefore.Failures), float64(zone.Failures))
 			rate(zonestate.AttemptTime, name, zoneBefore.TotalLatency.Seconds(), zone.TotalLatency.Seconds())
-			if _, lists := s.Zones[current.zone]; name == current.zone || !lists { // the nodes of a zone publish its servers
+			if _, listsOwn := s.Zones[current.zone]; name == current.zone || !listsOwn { // the nodes of a zone publish its servers
 				add(zonestate.ReadyServers, name, float64(zone.Ready))
 				add(zonestate.WarmServers, name, float64(zone.WarmedUp))
 			}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -66,8 +66,8 @@
 // drain shuts the node down gracefully and answers all accepted requests. For a while it keeps serving clients on their
 // open connections, because their requests would fail elsewhere until the clients are routed to another node. After that
 // each response closes its connection. drain returns once all connections are closed, or an error if the deadline passes
-// first. http.Server.Shutdown is not suitable: it would wait past SIGKILL for connections that never sent a request, and
-// would close an idle connection whose next request was just read.
+// first. http.Server.Shutdown is not suitable: it would wait for seconds, past SIGKILL, for connections that never sent a
+// request, and would close an idle connection whose next request was just read.
 func (n *Node) drain() error {
 	s := n.beginShutdown()
 	s.announce()
