--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,8 +18,8 @@
 	AllScope:  balancer.ScopeAll,
 }
 
-// ForModule is the class as the decision module has it.
-func (c Class) ForModule() balancer.Class {
+// BalancerClass returns the class as the balancer represents it.
+func (c Class) BalancerClass() balancer.Class {
 	return balancer.Class{
 		Name:             c.Name,
 		Effect:           effects[c.Effect],
@@ -32,33 +32,34 @@
 	}
 }
 
-// Settings are what the Balancer of a pool is told.
-func (c *Config) Settings(p Pool) balancer.Settings {
-	s := balancer.Settings{
-		Balancers:        p.Copies.Count,
-		Index:            p.Copies.Index,
-		Tier:             p.Tier,
-		TotalWeight:      p.Shedding.Total,
-		ClassWeight:      p.Shedding.WorstClass,
-		PollChoices:      p.LoadReports.Poll,
-		MaxAttempts:      p.Attempts,
-		MayCancel:        p.Cancel,
-		Tick:             time.Duration(p.Tick),
-		MaxRetryAfter:    time.Duration(p.RetryAfter),
-		SlowStartMinimum: p.SlowStart.From,
-		SlowStartWindow:  time.Duration(p.SlowStart.Over),
+// BalancerSettings returns the settings of the Balancer of a pool.
+func (c *Config) BalancerSettings(pool Pool) balancer.Settings {
+	settings := balancer.Settings{
+		Balancers:        pool.Balancers.Count,
+		Index:            pool.Balancers.Index,
+		Tier:             pool.Tier,
+		TotalWeight:      pool.Shedding.Total,
+		ClassWeight:      pool.Shedding.WorstClass,
+		PollChoices:      pool.LoadReports.PollChoices,
+		MaxAttempts:      pool.MaxAttempts,
+		MayCancel:        pool.MayCancel,
+		Tick:             time.Duration(pool.Tick),
+		MaxRetryAfter:    time.Duration(pool.MaxRetryAfter),
+		SlowStartMinimum: pool.SlowStart.Minimum,
+		SlowStartWindow:  time.Duration(pool.SlowStart.Window),
 	}
 	for _, class := range c.Classes {
-		m := class.ForModule()
-		if _, partners := PartnerOf(p.Name); partners && m.Effect == balancer.Keyed {
-			// Which servers of a partner discard duplicates isn't known here: the partner is asked for the outcome.
-			m.Effect = balancer.Unsafe
+		balancerClass := class.BalancerClass()
+		if _, isPartner := PartnerOfPool(pool.Name); isPartner && balancerClass.Effect == balancer.Keyed {
+			// It isn't known here which servers of a partner discard duplicates, so the partner is asked for the outcome
+			// instead of repeating the request.
+			balancerClass.Effect = balancer.Unsafe
 		}
-		s.Classes = append(s.Classes, m)
+		settings.Classes = append(settings.Classes, balancerClass)
 	}
-	if p.Registry != nil {
-		s.PollDiscovery = p.Registry.Mode == Polled
-		s.PollInterval = time.Duration(p.Registry.PollInterval)
+	if pool.Registry != nil {
+		settings.PollDiscovery = pool.Registry.Mode == Polled
+		settings.PollInterval = time.Duration(pool.Registry.PollInterval)
 	}
-	return s
+	return settings
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -49,14 +49,14 @@
 	if !known {
 		return replication.GiveUp
 	}
-	return replication.NextStep(class.ForModule().Effect, intents, timeLeft, isPartnerPool)
+	return replication.NextStep(class.BalancerClass().Effect, intents, timeLeft, isPartnerPool)
 }
 
 // run sends the request to the engine of this partner's pool that its route names, or to a partner whose advertisement matches it. A
 // request that may have run is sent only to the pool where it may have: other servers and partners know nothing of it. The outcome's
 // kind is 0 if ctx ended first.
 func (e *execution) run(ctx context.Context) replication.Outcome {
-	switch replication.NextStep(e.class.ForModule().Effect, e.priorIntents, e.timeLeft(ctx), isPartnerPool) {
+	switch replication.NextStep(e.class.BalancerClass().Effect, e.priorIntents, e.timeLeft(ctx), isPartnerPool) {
 	case replication.GiveUp:
 		return replication.Outcome{Kind: replication.Failed}
 	case replication.Resend:
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -15,31 +15,31 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// desk is a Control that notes what is asked of it.
-type desk struct {
-	sick  error
-	calls []string
+// fakeControl is a Control that records its calls.
+type fakeControl struct {
+	healthErr error
+	calls     []string
 }
 
-func (d *desk) Health() error { return d.sick }
-func (d *desk) Metrics() metrics.Report {
-	var s metrics.Set
-	s.Know("view")
-	return s.Report()
+func (c *fakeControl) Health() error { return c.healthErr }
+func (c *fakeControl) Metrics() metrics.Report {
+	var recorder metrics.Recorder
+	recorder.RegisterClasses("view")
+	return recorder.Report()
 }
-func (d *desk) Quiesce() error { d.calls = append(d.calls, "quiesce"); return nil }
-func (d *desk) Resume() error {
-	d.calls = append(d.calls, "resume")
+func (c *fakeControl) Quiesce() error { c.calls = append(c.calls, "quiesce"); return nil }
+func (c *fakeControl) Resume() error {
+	c.calls = append(c.calls, "resume")
 	return errors.New("the node is ending")
 }
 
-func open(t *testing.T, d *desk) string {
+func startServer(t *testing.T, control *fakeControl) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Serve(ln, d, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s := Serve(ln, control, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	t.Cleanup(func() { s.Close(); goleak.VerifyNone(t) })
 	return ln.Addr().String()
 }
@@ -55,8 +55,8 @@
 	return c
 }
 
-// ask sends pieces of a line and returns all that comes back.
-func ask(t *testing.T, address string, pieces ...string) string {
+// roundTrip sends a command line in pieces and returns the complete response.
+func roundTrip(t *testing.T, address string, pieces ...string) string {
 	t.Helper()
 	c := dial(t, address)
 	for _, p := range pieces {
@@ -71,9 +71,9 @@
 	return string(got)
 }
 
-func TestEachLineIsAnswered(t *testing.T) {
-	d := &desk{}
-	at := open(t, d)
+func TestCommands(t *testing.T) {
+	control := &fakeControl{}
+	address := startServer(t, control)
 	for _, c := range []struct{ line, want string }{
 		{"health\n", "+OK ready\n"},
 		{"health\r\n", "+OK ready\n"},
@@ -83,40 +83,40 @@
 		{"HEALTH\n", "-ERR \"HEALTH\" is no call; there are health, counters, quiesce and resume\n"},
 		{"\n", "-ERR \"\" is no call; there are health, counters, quiesce and resume\n"},
 	} {
-		if got := ask(t, at, c.line); got != c.want {
+		if got := roundTrip(t, address, c.line); got != c.want {
 			t.Errorf("%q: got %q, want %q", c.line, got, c.want)
 		}
 	}
-	if got := ask(t, at, "hea", "lth", "\nmore that nobody asked for"); got != "+OK ready\n" {
-		t.Errorf("in pieces: got %q", got)
+	if got := roundTrip(t, address, "hea", "lth", "\ntrailing text that is ignored"); got != "+OK ready\n" {
+		t.Errorf("command in pieces: got %q", got)
 	}
-	if got := ask(t, at, strings.Repeat("x", maxLine)); !strings.HasPrefix(got, "-ERR a line holds") {
-		t.Errorf("too long: got %q", got)
+	if got := roundTrip(t, address, strings.Repeat("x", maxLineBytes)); !strings.HasPrefix(got, "-ERR a line holds") {
+		t.Errorf("command that is too long: got %q", got)
 	}
-	if strings.Join(d.calls, " ") != "quiesce resume" {
-		t.Errorf("asked for %v", d.calls)
+	if strings.Join(control.calls, " ") != "quiesce resume" {
+		t.Errorf("got calls %v, want quiesce and resume", control.calls)
 	}
 }
 
-func TestNotReadyIsAnError(t *testing.T) {
-	if got := ask(t, open(t, &desk{sick: errors.New("no server is listed")}), "health\n"); got != "-ERR no server is listed\n" {
+func TestHealthReturnsError(t *testing.T) {
+	if got := roundTrip(t, startServer(t, &fakeControl{healthErr: errors.New("no server is listed")}), "health\n"); got != "-ERR no server is listed\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// Clients that hold a connection and send half a line must not keep others from being answered, however many
-// they are; the ones that came first are let go.
+// Any number of clients that hold a connection with an incomplete command must not block others: the oldest connections are
+// closed.
 func TestSilentClientsDoNotBlockManagement(t *testing.T) {
-	at := open(t, &desk{})
-	first := dial(t, at)
+	address := startServer(t, &fakeControl{})
+	first := dial(t, address)
 	io.WriteString(first, "heal")
-	for range 4 * Connections {
-		io.WriteString(dial(t, at), "heal")
+	for range 4 * MaxConnections {
+		io.WriteString(dial(t, address), "heal")
 	}
-	if got := ask(t, at, "health\n"); got != "+OK ready\n" {
+	if got := roundTrip(t, address, "health\n"); got != "+OK ready\n" {
 		t.Errorf("got %q", got)
 	}
 	if _, err := io.ReadAll(first); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the one that came first is still there: %v", err)
+		t.Errorf("the oldest connection is still open: %v", err)
 	}
 }
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -32,7 +32,7 @@
 // emptyAdmin is an admin control whose Show is empty.
 type emptyAdmin struct{ admin.Control }
 
-func (emptyAdmin) Show() admin.Show { return admin.Show{} }
+func (emptyAdmin) Show() admin.ShowResponse { return admin.ShowResponse{} }
 
 // listenerKind is a kind of listener that the process opens.
 type listenerKind struct {
--- a/internal/node/bad_clients_test.go
+++ b/internal/node/bad_clients_test.go
@@ -119,7 +119,7 @@
 	}
 	close(stopClients)
 	bad.Wait()
-	testpeer.Until(t, "all requests to be closed", func() bool { return n.metrics.Report().Open == 0 })
+	testpeer.Until(t, "all requests to be closed", func() bool { return n.metrics.Report().OpenRequests == 0 })
 }
 
 // sendHealthyRequests sends requests one after the other and waits for each response. It reuses the connection while it
--- a/internal/node/change.go
+++ b/internal/node/change.go
@@ -212,7 +212,7 @@
 // starts a new watch.
 func (c *Change) prepareUpdate(old *pool, p config.Pool) error {
 	n := c.node
-	u := update{pool: old, cfg: p, settings: c.cfg.Settings(p)}
+	u := update{pool: old, cfg: p, settings: c.cfg.BalancerSettings(p)}
 	if u.registryChanged() && p.Registry != nil {
 		if err := c.injectFault("watch for pool " + p.Name); err != nil {
 			return fmt.Errorf("pool %q: %w", p.Name, err)
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -23,7 +23,7 @@
 	replaced := c.swap()
 	n.resize(c.cfg)
 	for _, class := range c.cfg.Classes {
-		n.metrics.Know(class.Name)
+		n.metrics.RegisterClasses(class.Name)
 	}
 	for _, u := range c.updates {
 		u.pool.backend.SetLimits(n.limitsOf(c.cfg, u.cfg))
@@ -67,7 +67,7 @@
 		}
 		for _, p := range replaced.pools {
 			// A retiring pool must not retry an in-flight attempt of a class that has become unsafe either.
-			p.engine.Reconfigure(c.cfg.Settings(p.cfg), !p.settings.PollDiscovery)
+			p.engine.Reconfigure(c.cfg.BalancerSettings(p.cfg), !p.settings.PollDiscovery)
 		}
 	})
 	n.pools = pools
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -46,7 +46,7 @@
 // updateGateways updates the endpoint list of a partner's pool to the partner's gateways.
 func (n *Node) updateGateways(partner string, list discovery.List) {
 	n.mu.Lock()
-	p := n.pools[config.PartnerPool(partner)]
+	p := n.pools[config.PartnerPoolName(partner)]
 	n.mu.Unlock()
 	if p != nil {
 		p.engine.UpdateList(list)
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -59,8 +59,8 @@
 	n.mu.Unlock()
 	for _, e := range engines {
 		status := e.Status()
-		report.Listed += status.Ready + status.Draining
-		report.Avoided += status.Avoided
+		report.RegistryEntries += status.Ready + status.Draining
+		report.OutOfRotation += status.Avoided
 	}
 	report.Peers = n.peerMetrics()
 	return report
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 	logPoolNames      bool               // adds the name of a pool to its log messages
 	initial           *initialState      // nil: pools start with a random seed and no list
 	serverDescriptors *descriptors.Share // descriptors for connections to servers
-	metrics           metrics.Set
+	metrics           metrics.Recorder
 	management        *mgmt.Server      // nil: none
 	peers             *gossip.Transport // nil: the node has no peers
 	gateway           *gateway.Gateway  // nil: the node is not a gateway
@@ -108,8 +108,8 @@
 
 // NewPlatform creates a node from the platform's configuration, like New. If the known endpoint list is invalid, it logs
 // the error and starts without a list.
-func NewPlatform(cfg *config.Config, start config.Start, log *slog.Logger, o Options) (*Node, error) {
-	known, err := discovery.Parse(start.Known)
+func NewPlatform(cfg *config.Config, start config.InitialState, log *slog.Logger, o Options) (*Node, error) {
+	known, err := discovery.Parse(start.EndpointList)
 	if err != nil {
 		log.Warn("known endpoint list is invalid; starting without it", "error", err)
 		known = discovery.List{Full: true, Rev: -1}
@@ -175,8 +175,8 @@
 // everything. The caller holds mu or has exclusive access.
 func (n *Node) resize(cfg *config.Config) {
 	limits := cfg.Node.Limits
-	capacity := limits.Descriptors - cfg.OwnDescriptors()
-	spare := config.Reserved / 2
+	capacity := limits.Descriptors - cfg.InternalDescriptors()
+	spare := config.ReservedDescriptors / 2
 	if n.sharesLimits {
 		limits.Memory /= 2
 		capacity /= 2
@@ -230,7 +230,7 @@
 	if old.Node.Limits != cfg.Node.Limits {
 		needsRestart("limits")
 	}
-	if !reflect.DeepEqual(old.Settings(old.Pools[0]), cfg.Settings(cfg.Pools[0])) {
+	if !reflect.DeepEqual(old.BalancerSettings(old.Pools[0]), cfg.BalancerSettings(cfg.Pools[0])) {
 		needsRestart("settings")
 	}
 	address := cfg.Pools[0].Registry.Address
@@ -251,7 +251,7 @@
 	defer n.close()
 	if n.peers != nil {
 		n.inBackground(func() { n.peers.Run(n.incarnation) })
-		n.inBackground(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.Fresh)) })
+		n.inBackground(func() { n.publishToPeers(n.incarnation, time.Duration(n.Config().Node.Peers.MaxZoneStateAge)) })
 	}
 	if n.options.Processes != nil {
 		n.inBackground(func() { n.options.Processes.Watch(n.incarnation, n.setLimitsShared) })
--- a/internal/node/sample.go
+++ b/internal/node/sample.go
@@ -40,7 +40,7 @@
 func (n *Node) takeSample() sample {
 	current := sample{at: n.clock.Now(), stats: map[string]engine.Stats{}}
 	n.mu.Lock()
-	current.sharedConfig, current.zone = n.cfg.Shared(), n.cfg.Node.Zone
+	current.sharedConfig, current.zone = n.cfg.SharedDigest(), n.cfg.Node.Zone
 	pools := n.pools
 	n.mu.Unlock()
 	for name, p := range pools {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -145,8 +145,8 @@
 			}
 		}
 	}
-	if report := n.metrics.Report(); report.Open != 0 {
-		t.Errorf("got %d open requests, want 0", report.Open)
+	if report := n.metrics.Report(); report.OpenRequests != 0 {
+		t.Errorf("got %d open requests, want 0", report.OpenRequests)
 	}
 }
 
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -26,7 +26,7 @@
 func newRecord(t testing.TB, serial int64) *Record {
 	newEntry := func(serial int64) Entry {
 		c := loadExample(t)
-		c.Pools[0].Attempts = 1 + int(serial)%10
+		c.Pools[0].MaxAttempts = 1 + int(serial)%10
 		return Entry{Serial: serial, Fingerprint: c.Fingerprint(), By: "apply", At: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), Config: c}
 	}
 	previous := newEntry(serial - 1)
@@ -137,7 +137,7 @@
 		"a wrong fingerprint":                    {saved(func(r *Record) { r.Running.Fingerprint = "x" }), ErrDamaged, "annot-1"},
 		"a previous entry without configuration": {saved(func(r *Record) { r.Previous.Config = nil }), ErrDamaged, "annot-1"},
 		"an invalid configuration": {saved(func(r *Record) {
-			r.Running.Config.Pools[0].Attempts = 99
+			r.Running.Config.Pools[0].MaxAttempts = 99
 			r.Running.Fingerprint = r.Running.Config.Fingerprint()
 		}), ErrDamaged, "annot-1"},
 		"a newer format":               {replace(`"format":1`, `"format":2`), ErrNewer, "annot-1"},
