--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -132,7 +132,7 @@
 	cancel()
 	startError := func() error {
 		o := fx.options
-		o.Node.Start = endedCtx // sockets that can't be opened are not retried
+		o.Node.StartContext = endedCtx // sockets that can't be opened are not retried
 		o.File, o.Log = fx.file, slog.New(slog.NewTextHandler(io.Discard, nil))
 		d, err := Start(o)
 		if err == nil {
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -12,31 +12,31 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// BenchmarkLatencyWithAndWithoutChanges has 16 clients ask for two seconds, first of a node that nobody changes,
-// then of one that is changed every 10 ms: a pool and a route come and go, and the pool that serves gets another
-// list.
+// BenchmarkLatencyWithAndWithoutChanges has 16 clients send requests for two seconds, first to a node without changes, then
+// to one that is reconfigured every 10 ms: a pool and a route are added and removed, and the endpoint list of the serving
+// pool changes.
 func BenchmarkLatencyWithAndWithoutChanges(b *testing.B) {
 	for _, changing := range []bool{false, true} {
 		b.Run(fmt.Sprintf("changing=%v", changing), func(b *testing.B) {
 			for range b.N {
-				measure(b, changing)
+				measureLatency(b, changing)
 			}
 		})
 	}
 }
 
-func measure(b *testing.B, changing bool) {
+func measureLatency(b *testing.B, changing bool) {
 	var servers []*testpeer.Server
 	for i := range 4 {
 		server := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i)})
 		servers = append(servers, testpeer.NewServer(b, server.Serve))
 	}
 	configOf := func(i int) *config.Config {
-		c := ownConfig(pooled("stays", servers[0], servers[1], servers[2+i%2]), pooled(fmt.Sprint("p", i%3), servers[3]))
+		c := configWithPools(staticPool("stays", servers[0], servers[1], servers[2+i%2]), staticPool(fmt.Sprint("p", i%3), servers[3]))
 		c.Routes = append(c.Routes, route.Route{Name: fmt.Sprint("r", i%3), Hosts: []string{"x"}, To: []route.Target{{Pool: c.Pools[1].Name, Weight: 1}}})
 		return c
 	}
-	n, err := New(configOf(0), quiet(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
+	n, err := New(configOf(0), discardLog(), Options{schedule: &shutdownSchedule{answerAll: 100 * time.Millisecond, finish: testpeer.Limit}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -72,15 +72,15 @@
 	if err := <-ended; err != nil {
 		b.Fatal(err)
 	}
-	v := audit.Heard()
-	slices.Sort(v.Times)
+	verdict := audit.Heard()
+	slices.Sort(verdict.Times)
 	slices.Sort(swaps)
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64(v.Calls), "calls")
+	b.ReportMetric(float64(verdict.Calls), "calls")
 	b.ReportMetric(float64(changes), "changes")
-	b.ReportMetric(float64(v.Refused+v.Failed+v.NotTaken), "not-served")
-	b.ReportMetric(float64(v.Times[len(v.Times)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(v.Times[len(v.Times)*99/100].Microseconds()), "p99-us")
+	b.ReportMetric(float64(verdict.Refused+verdict.Failed+verdict.NotTaken), "not-served")
+	b.ReportMetric(float64(verdict.Times[len(verdict.Times)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(verdict.Times[len(verdict.Times)*99/100].Microseconds()), "p99-us")
 	if len(swaps) > 0 {
 		b.ReportMetric(float64(swaps[len(swaps)/2].Microseconds()), "commit-p50-us")
 	}
