--- a/cmd/damsontrestle/shutdown_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -158,7 +158,7 @@
 	text := strings.Replace(platformConfig(testpeer.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, settings), "127.0.0.1:0", taken.Addr().String(), 1)
 	for _, free := range []bool{false, true} {
 		cmd, log := launch(t, build(t).run, path, text)
-		await(t, log, "a socket can't be opened and is tried again")
+		await(t, log, "opening a socket failed; retrying")
 		if free {
 			taken.Close()
 			await(t, log, "msg=serving")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -41,7 +41,7 @@
 	case err == nil:
 		c.Close()
 		return nil, fmt.Errorf("admin socket: %s: another daemon answers on it", path)
-	case listener.Passes(err) || errors.Is(err, os.ErrDeadlineExceeded):
+	case listener.IsTransient(err) || errors.Is(err, os.ErrDeadlineExceeded):
 		// A shortage here, or a queue that is full there: a daemon that runs must not lose its socket for it.
 		return nil, fmt.Errorf("admin socket: whether another daemon answers on it: %w", err)
 	}
--- a/internal/descriptors/share.go
+++ b/internal/descriptors/share.go
@@ -1,11 +1,11 @@
 // Package descriptors counts the sockets that several parts of the process open within one limit, so that none of them
-// meets EMFILE. It opens and closes nothing itself: whoever does, acquires before and releases after.
+// fails with EMFILE. It opens and closes nothing itself: a caller acquires a descriptor before opening a socket and releases it
+// after closing.
 package descriptors
 
 import "sync/atomic"
 
-// Share is a number of descriptors that may be in use at once. Its methods are safe for any number of
-// goroutines.
+// Share is a number of descriptors that may be in use at once. Its methods are safe for concurrent use.
 type Share struct {
 	limit atomic.Int64
 	used  atomic.Int64
@@ -18,7 +18,7 @@
 	return s
 }
 
-// TryAcquire takes one descriptor into use. It reports false, and takes none, if all are.
+// TryAcquire acquires one descriptor. It reports false if all are in use.
 func (s *Share) TryAcquire() bool {
 	if s.used.Add(1) > s.limit.Load() {
 		s.used.Add(-1)
@@ -27,14 +27,14 @@
 	return true
 }
 
-// Release gives back one descriptor that was acquired.
+// Release returns one acquired descriptor.
 func (s *Share) Release() { s.used.Add(-1) }
 
-// Used returns how many descriptors are in use. While acquires that fail are under way it may count them too.
+// Used returns how many descriptors are in use. It may also count calls of TryAcquire that are about to fail.
 func (s *Share) Used() int { return int(s.used.Load()) }
 
 // Limit returns how many descriptors may be in use.
 func (s *Share) Limit() int { return int(s.limit.Load()) }
 
-// Resize changes the limit. Descriptors in use beyond it stay so until they are released.
+// Resize changes the limit. Descriptors in use beyond it stay in use until they are released.
 func (s *Share) Resize(limit int) { s.limit.Store(int64(limit)) }
--- a/internal/descriptors/share_test.go
+++ b/internal/descriptors/share_test.go
@@ -6,29 +6,29 @@
 	"testing"
 )
 
-// However many acquire and release at once, no more are in use than the limit, and none is lost.
+// With concurrent acquires and releases no more descriptors are in use than the limit, and none is lost.
 func TestShareIsNeverExceeded(t *testing.T) {
 	const limit = 7
 	s := NewShare(limit)
-	var inUse, worst atomic.Int64
-	var all sync.WaitGroup
+	var inUse, highest atomic.Int64
+	var workers sync.WaitGroup
 	for range 20 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 2000 {
 				if !s.TryAcquire() {
 					continue
 				}
-				if n := inUse.Add(1); n > worst.Load() {
-					worst.Store(n)
+				if n := inUse.Add(1); n > highest.Load() {
+					highest.Store(n)
 				}
 				inUse.Add(-1)
 				s.Release()
 			}
 		})
 	}
-	all.Wait()
-	if worst.Load() > limit || s.Used() != 0 {
-		t.Errorf("%d in use at once of %d, %d left", worst.Load(), limit, s.Used())
+	workers.Wait()
+	if highest.Load() > limit || s.Used() != 0 {
+		t.Errorf("%d descriptors in use at once, limit %d; %d in use at the end, want none", highest.Load(), limit, s.Used())
 	}
 }
 
@@ -37,17 +37,17 @@
 	s := NewShare(3)
 	for range 3 {
 		if !s.TryAcquire() {
-			t.Fatal("none left")
+			t.Fatal("TryAcquire failed below the limit")
 		}
 	}
 	s.Resize(1)
 	for i := range 3 {
 		if s.TryAcquire() {
-			t.Errorf("acquired with %d in use of %d", s.Used()-1, s.Limit())
+			t.Errorf("TryAcquire succeeded with %d in use, limit %d", s.Used()-1, s.Limit())
 		}
 		s.Release()
 		if i == 2 && !s.TryAcquire() {
-			t.Error("none left once all were released")
+			t.Error("TryAcquire failed after all were released")
 		}
 	}
 }
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -1,6 +1,6 @@
-// Package downstream keeps the clients' connections of all front ends within their share of the node's descriptors.
-// Whoever holds a place without a request makes room first; only if nobody does, requests are refused. It knows
-// what each connection does, and nothing of what is spoken on it.
+// Package downstream keeps the client connections of all front ends within their part of the node's descriptors. When there
+// are too many, connections without an open request are closed first; requests are rejected only if there are none. The package
+// knows the phase of each connection, but not the protocol spoken on it.
 package downstream
 
 import (
@@ -15,82 +15,83 @@
 	"damsontrestle/internal/clock"
 )
 
-// Conn is a client's connection, as its front end has it. Its methods must not call back.
+// Conn is a client connection as implemented by a front end. Its methods must not call the Set.
 type Conn interface {
-	// CloseIdle has it closed unless a request has begun on it; it tells whether it goes.
+	// CloseIdle closes the connection unless a request has started on it, and reports whether it does.
 	CloseIdle() bool
-	// CutOff ends the wait for the rest of a request; the client may get an answer that says so.
-	CutOff()
-	// IsCut says that CutOff was called.
-	IsCut() bool
-	// HasBegun says that bytes of a request were read since the last answer.
-	HasBegun() bool
-	// Owes says that a request was read to which no byte of an answer is written.
-	Owes() bool
-	// Quiet is how long ago the last bytes were.
-	Quiet() time.Duration
-	// Abort closes it at once.
+	// AbortRead ends the wait for the rest of a request; the client may get a response that reports it.
+	AbortRead()
+	// ReadAborted reports whether AbortRead was called.
+	ReadAborted() bool
+	// RequestStarted reports whether bytes of a request were read since the last response.
+	RequestStarted() bool
+	// ResponsePending reports whether a request was read for which no byte of a response is written.
+	ResponsePending() bool
+	// SinceLastRead returns the time since bytes were last read.
+	SinceLastRead() time.Duration
+	// Abort closes the connection at once.
 	Abort() error
 }
 
-// Graces tell how long a client's connection is spared, when there are too many, in each of the states in
-// which it holds a place and no request is open on it. Half counts from the last bytes of a request that came.
-type Graces struct{ Lingering, Silent, Half, Idle time.Duration }
+// GracePeriods are the minimum times that a connection without an open request spends in a phase before it may be closed to
+// free a descriptor. Partial is for an incomplete request and counts from its last bytes.
+type GracePeriods struct{ Lingering, New, Partial, Idle time.Duration }
 
-// pressing shortens the graces while descriptors are about to run out.
-const pressing = 5
+// graceDivisor shortens the grace periods while descriptors are about to run out.
+const graceDivisor = 5
 
-// DefaultGraces spare a good client, which sends its request as soon as it has connected, and in one piece; one
-// idle for a moment may meet its next request on the way.
-func DefaultGraces() Graces {
-	return Graces{Lingering: 50 * time.Millisecond, Silent: 100 * time.Millisecond, Half: time.Second,
+// DefaultGracePeriods spare a client that sends its request in one piece as soon as it has connected. A connection that has
+// only just become idle is kept because its next request may be on the way.
+func DefaultGracePeriods() GracePeriods {
+	return GracePeriods{Lingering: 50 * time.Millisecond, New: 100 * time.Millisecond, Partial: time.Second,
 		Idle: 500 * time.Millisecond}
 }
 
-// Phase is what a connection does.
+// Phase is what a connection is doing.
 type Phase int
 
 // Phases.
 const (
-	Silent    Phase = iota // new, no request read
-	Reading                // a request's head is read, its body may not be
-	Open                   // requests are with the module
-	Idle                   // answered
-	Lingering              // answered for good; what still comes is thrown away
+	PhaseNew       Phase = iota // no request read yet
+	PhaseReading                // the head of a request is read; its body may be incomplete
+	PhaseActive                 // requests are open
+	PhaseIdle                   // the last response is written
+	PhaseLingering              // the final response is written; further input is discarded
 )
 
-// Set are the clients' connections of all front ends.
+// Set holds the client connections of all front ends. Its methods are safe for concurrent use.
 type Set struct {
-	clock   clock.Clock
-	servers func() int // how many descriptors the servers' connections have
-
-	mu      sync.Mutex
-	share   Share
-	conns   map[Conn]*activity
-	leaving int // let go and not closed yet
-	opened  int // requests that are open
-	grace   Graces
-	counts  counts
+	clock       clock.Clock
+	serverConns func() int // descriptors that server connections use
+
+	mu           sync.Mutex
+	limits       Limits
+	conns        map[Conn]*connInfo
+	closing      int // connections that were evicted and are not closed yet
+	requests     int // open requests
+	gracePeriods GracePeriods
+	counts       counts
 }
 
-// counts tell, for the log, what became of connections.
-type counts struct{ accepted, evicted, nearLimit, rejected int }
+// counts are the connection counters for the log.
+type counts struct{ accepted, evicted, refused, rejected int }
 
-// activity is what a connection does, and since when.
-type activity struct {
-	group any // its front end
-	phase Phase
-	since time.Duration
-	open  int  // requests with the module
-	going bool // let go, and counted as leaving
+// connInfo is the phase of a connection and when it began.
+type connInfo struct {
+	frontEnd any
+	phase    Phase
+	since    time.Duration
+	requests int  // open requests
+	closing  bool // evicted, and counted in Set.closing
 }
 
-// ErrReleased ends the accepting from a listener that goes on without its front end. net/http would take the deadline
-// that releases it for a failure that passes, and try again.
-var ErrReleased = errors.New("the listener is released")
+// ErrReleased is returned by Accept when the front end stops and its listener stays open. net/http would treat the deadline
+// error that releases the listener as temporary and retry.
+var ErrReleased = errors.New("accept: the listener was released by its front end")
 
-// Accept never lets the node run out of descriptors, or nobody could be accepted for a while: beyond the hard limit
-// whoever came last is closed unheard. Errors are the listener's as they are, but for its deadline.
+// Accept waits for the next connection. Beyond the hard limit it closes a new connection unread: a node without descriptors
+// could accept no connection for a while. It returns the listener's errors unchanged, except that a passed deadline becomes
+// ErrReleased.
 func (s *Set) Accept(ln net.Listener) (net.Conn, error) {
 	for {
 		c, err := ln.Accept()
@@ -106,252 +107,250 @@
 	}
 }
 
-// Share is how descriptors are shared out.
-type Share struct {
-	Capacity int // for clients and servers together
-	Minimum  int // of these the servers' connections may always have
-	Spare    int // beyond these, for clients whose requests are read only to be refused
+// Limits divide the node's descriptors between clients and servers.
+type Limits struct {
+	Capacity      int // for client and server connections together
+	ServerMinimum int // of these reserved for server connections
+	Reserve       int // beyond Capacity, for clients whose requests are read only to be rejected
 }
 
-// New returns the clients' side of a share of descriptors, of which servers tells how many the servers'
-// connections have.
-func New(c clock.Clock, share Share, servers func() int) *Set {
-	return &Set{clock: c, share: share, servers: servers, conns: map[Conn]*activity{}, grace: DefaultGraces()}
+// New returns an empty Set. serverConns returns the number of descriptors that server connections use.
+func New(c clock.Clock, limits Limits, serverConns func() int) *Set {
+	return &Set{clock: c, limits: limits, serverConns: serverConns, conns: map[Conn]*connInfo{}, gracePeriods: DefaultGracePeriods()}
 }
 
-// SetGrace changes how long connections are spared.
-func (s *Set) SetGrace(g Graces) {
+func (s *Set) SetGracePeriods(periods GracePeriods) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grace = g
+	s.gracePeriods = periods
 }
 
-// most is how many connections clients may hold now: what servers leave. The caller holds mu.
-func (s *Set) most() int {
-	return max(s.share.Capacity/2, s.share.Capacity-max(s.share.Minimum, s.servers()))
+// maxConns returns how many client connections may be open now: what server connections leave. The caller holds mu.
+func (s *Set) maxConns() int {
+	return max(s.limits.Capacity/2, s.limits.Capacity-max(s.limits.ServerMinimum, s.serverConns()))
 }
 
-// Add notes a new connection of a front end, and makes room when there are too many.
-func (s *Set) Add(c Conn, group any) {
+// Add adds a new connection of a front end, and closes others if there are too many.
+func (s *Set) Add(c Conn, frontEnd any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.accepted++
-	s.conns[c] = &activity{group: group, phase: Silent, since: s.clock.Now()}
-	s.evictOne()
+	s.conns[c] = &connInfo{frontEnd: frontEnd, phase: PhaseNew, since: s.clock.Now()}
+	s.evictExcess()
 }
 
-// Move notes what a connection does from now on, and makes room when there are too many.
-func (s *Set) Move(c Conn, p Phase) {
+// SetPhase sets the phase of a connection, and closes connections if there are too many.
+func (s *Set) SetPhase(c Conn, p Phase) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.conns[c]; a != nil {
-		s.move(a, p)
-		if p != Lingering {
-			s.evictOne()
+		s.setPhase(a, p)
+		if p != PhaseLingering {
+			s.evictExcess()
 		}
 	}
 }
 
-// Remove forgets a connection.
 func (s *Set) Remove(c Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.conns[c]; a != nil {
-		s.move(a, Lingering)
+		s.setPhase(a, PhaseLingering)
 		delete(s.conns, c)
 	}
 }
 
-// move notes what a connection does. The caller holds mu.
-func (s *Set) move(a *activity, p Phase) {
-	if a.going {
-		s.leaving--
+// setPhase sets the phase of a connection. The caller holds mu.
+func (s *Set) setPhase(a *connInfo, p Phase) {
+	if a.closing {
+		s.closing--
 	}
-	if p != Open {
-		s.opened -= a.open
-		a.open = 0
+	if p != PhaseActive {
+		s.requests -= a.requests
+		a.requests = 0
 	}
-	a.phase, a.since, a.going = p, s.clock.Now(), false
+	a.phase, a.since, a.closing = p, s.clock.Now(), false
 }
 
-// Begin notes that a request of a connection goes to the module, unless as many are there as servers'
-// connections are kept for, or the connection was to be cut off: its client would seem to have gone. That there
-// are too many connections is no reason: others' silence must not cost a good client its answer.
-func (s *Set) Begin(c Conn) bool {
+// BeginRequest counts a request of a connection as open. It reports false, so that the request is rejected, if more requests
+// are open than there are descriptors for server connections (half of the capacity), or if AbortRead was called on the
+// connection: its client would look disconnected. Too many connections are no reason to reject: silent clients must not cost a
+// good client its response.
+func (s *Set) BeginRequest(c Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.conns[c]
 	if a == nil {
 		return false
 	}
-	s.move(a, Open)
-	a.open++
-	s.opened++
-	if s.opened > s.share.Capacity/2 || c.IsCut() {
-		s.counts.nearLimit++
+	s.setPhase(a, PhaseActive)
+	a.requests++
+	s.requests++
+	if s.requests > s.limits.Capacity/2 || c.ReadAborted() {
+		s.counts.refused++
 		return false
 	}
 	return true
 }
 
-// End notes that one of a connection's requests is answered, and tells how many are left with the module.
-func (s *Set) End(c Conn) (left int) {
+// EndRequest counts one request of a connection as answered, and returns how many of its requests are still open.
+func (s *Set) EndRequest(c Conn) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.conns[c]
-	if a == nil || a.open == 0 {
+	if a == nil || a.requests == 0 {
 		return 0
 	}
-	a.open--
-	s.opened--
-	return a.open
+	a.requests--
+	s.requests--
+	return a.requests
 }
 
-// over is by how many there are too many. The caller holds mu.
-func (s *Set) over() int { return len(s.conns) - s.leaving - s.most() }
+// excess returns the number of connections beyond maxConns. The caller holds mu.
+func (s *Set) excess() int { return len(s.conns) - s.closing - s.maxConns() }
 
-// NearLimit says that there are too many: each answer had better close its connection.
-func (s *Set) NearLimit() bool {
+// OverLimit reports whether there are too many connections: each response should close its connection.
+func (s *Set) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over() > 0
+	return s.excess() > 0
 }
 
-// Full says that one more would leave the node without a descriptor.
+// Full reports whether one more connection would leave the node without a descriptor, and counts it as rejected.
 func (s *Set) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.share.Capacity+s.share.Spare-s.servers() {
+	if len(s.conns) < s.limits.Capacity+s.limits.Reserve-s.serverConns() {
 		return false
 	}
 	s.counts.rejected++
 	return true
 }
 
-// evictOne lets connections without a request go while there are too many: those first that are of least
-// use to a good client, and of these who has been so for longest. One idle for a moment only is spared:
-// a client sends again just once what crosses a close. While there are too many, each answer closes its
-// connection, which nothing can cross. The caller holds mu.
-func (s *Set) evictOne() {
-	if s.over() <= 0 {
+// evictExcess closes connections without an open request while there are too many, in the order of evictionRank and, within a
+// rank, the longest in its phase first. A connection that has just become idle is kept, because a client resends only once a
+// request that crosses a close. While there are too many connections each response closes its connection, and no request can
+// cross that. The caller holds mu.
+func (s *Set) evictExcess() {
+	if s.excess() <= 0 {
 		return
 	}
 	now := s.clock.Now()
-	type place struct {
+	type candidate struct {
 		conn Conn
-		a    *activity
+		info *connInfo
 		rank int
 	}
-	var free []place
+	var candidates []candidate
 	for c, a := range s.conns {
-		if rank := s.useless(c, a, now); !a.going && rank > 0 {
-			free = append(free, place{c, a, rank})
+		if rank := s.evictionRank(c, a, now); !a.closing && rank > 0 {
+			candidates = append(candidates, candidate{c, a, rank})
 		}
 	}
-	slices.SortFunc(free, func(x, y place) int {
-		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.a.since, y.a.since))
+	slices.SortFunc(candidates, func(x, y candidate) int {
+		return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.info.since, y.info.since))
 	})
-	for _, f := range free {
-		if s.evict(f.conn, f.a); s.over() <= 0 {
+	for _, victim := range candidates {
+		if s.evict(victim.conn, victim.info); s.excess() <= 0 {
 			return
 		}
 	}
 }
 
-// useless ranks the connections that may be closed, from 1; 0 is none of them.
-func (s *Set) useless(c Conn, a *activity, now time.Duration) int {
+// evictionRank returns the order in which a connection may be closed, from 1, or 0 if it may not.
+func (s *Set) evictionRank(c Conn, a *connInfo, now time.Duration) int {
 	age := now - a.since
-	quiet := c.Quiet()
-	if s.over() > s.share.Spare/2 {
-		age, quiet = age*pressing, quiet*pressing
+	sinceRead := c.SinceLastRead()
+	if s.excess() > s.limits.Reserve/2 {
+		age, sinceRead = age*graceDivisor, sinceRead*graceDivisor
 	}
-	switch half := a.phase == Reading || a.phase != Open && c.HasBegun(); {
-	case a.phase == Lingering && age >= s.grace.Lingering:
+	switch partial := a.phase == PhaseReading || a.phase != PhaseActive && c.RequestStarted(); {
+	case a.phase == PhaseLingering && age >= s.gracePeriods.Lingering:
 		return 1
-	case half && min(age, quiet) >= s.grace.Half: // one that goes on sending is slow, and no worse
+	case partial && min(age, sinceRead) >= s.gracePeriods.Partial: // a client that keeps sending is only slow
 		return 2
-	case a.phase == Silent && !half && age >= s.grace.Silent:
+	case a.phase == PhaseNew && !partial && age >= s.gracePeriods.New:
 		return 3
-	case a.phase == Idle && !half && age >= s.grace.Idle:
+	case a.phase == PhaseIdle && !partial && age >= s.gracePeriods.Idle:
 		return 4
 	}
 	return 0
 }
 
-// evict lets a connection go if it may be, and counts it as leaving. The caller holds mu.
-func (s *Set) evict(c Conn, a *activity) {
-	gone := true
+// evict closes a connection if that is allowed, and counts it as closing. The caller holds mu.
+func (s *Set) evict(c Conn, a *connInfo) {
+	closing := true
 	switch {
-	case a.going:
-	case a.phase == Lingering:
+	case a.closing:
+	case a.phase == PhaseLingering:
 		c.Abort()
-	case a.phase == Reading || a.phase == Silent && c.HasBegun():
-		c.CutOff()
+	case a.phase == PhaseReading || a.phase == PhaseNew && c.RequestStarted():
+		c.AbortRead()
 	default:
-		gone = c.CloseIdle()
+		closing = c.CloseIdle()
 	}
-	s.note(a, gone)
+	s.markClosing(a, closing)
 }
 
-// note counts a connection as leaving once it goes. The caller holds mu.
-func (s *Set) note(a *activity, goes bool) {
-	if goes && !a.going {
-		a.going = true
-		s.leaving++
+// markClosing counts a connection as closing if it closes and was not counted yet. The caller holds mu.
+func (s *Set) markClosing(a *connInfo, closing bool) {
+	if closing && !a.closing {
+		a.closing = true
+		s.closing++
 		s.counts.evicted++
 	}
 }
 
-// CloseQuiet closes the idle connections of a front end, and those that have sent nothing yet. One that sends in that very
-// moment is read and answered. It returns how many of all that it has are left.
-func (s *Set) CloseQuiet(group any) (left int) {
+// CloseIdle closes the connections of a front end that are idle or have sent nothing yet. If a request arrives on one at that
+// moment, it is read and answered. It returns how many connections the front end had before.
+func (s *Set) CloseIdle(frontEnd any) (left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, a := range s.conns {
-		if a.group != group {
+		if a.frontEnd != frontEnd {
 			continue
 		}
 		left++
-		if a.phase == Idle || a.phase == Silent {
-			s.note(a, c.CloseIdle())
+		if a.phase == PhaseIdle || a.phase == PhaseNew {
+			s.markClosing(a, c.CloseIdle())
 		}
 	}
 	return left
 }
 
-// CutHalf ends the wait for the rest of every request that has not come completely. It is for the node's end: a request that
-// came whole in that very moment is refused, and its connection reads no other.
-func (s *Set) CutHalf() {
+// AbortPartialRequests ends the wait for the rest of every incomplete request. It is used when the node shuts down: a request
+// that is completed at that moment is rejected, and its connection reads no other.
+func (s *Set) AbortPartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, a := range s.conns {
-		if a.phase == Reading || (a.phase == Silent || a.phase == Idle) && c.HasBegun() {
-			c.CutOff()
+		if a.phase == PhaseReading || (a.phase == PhaseNew || a.phase == PhaseIdle) && c.RequestStarted() {
+			c.AbortRead()
 		}
 	}
 }
 
-// Owed is how many connections wait for an answer of which no byte is written.
-func (s *Set) Owed() (n int) {
+// PendingResponses returns how many connections wait for a response of which no byte is written.
+func (s *Set) PendingResponses() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.Owes() {
+		if c.ResponsePending() {
 			n++
 		}
 	}
 	return n
 }
 
-// Open is how many connections there are.
-func (s *Set) Open() int {
+// Len returns the number of connections.
+func (s *Set) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// In is how many connections are in a phase.
-func (s *Set) In(p Phase) (n int) {
+// CountPhase returns the number of connections in a phase.
+func (s *Set) CountPhase(p Phase) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.conns {
@@ -362,20 +361,20 @@
 	return n
 }
 
-// Resize changes how descriptors are shared out. Clients beyond are closed now and as others come.
-func (s *Set) Resize(share Share) {
+// Resize changes the limits. Excess connections are closed now and whenever a connection is added or changes its phase.
+func (s *Set) Resize(limits Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.share = share
-	s.evictOne()
+	s.limits = limits
+	s.evictExcess()
 }
 
-// Report tells, for the log, what became of connections since the last report, and how many there are.
+// Report returns log attributes: the number of connections, and the counters since the last report, which it resets.
 func (s *Set) Report() []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
 	s.counts = counts{}
-	return []any{"callers", len(s.conns), "accepted", c.accepted, "let_go", c.evicted, "crowded", c.nearLimit,
+	return []any{"callers", len(s.conns), "accepted", c.accepted, "let_go", c.evicted, "crowded", c.refused,
 		"turned_away", c.rejected}
 }
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -9,184 +9,184 @@
 	"damsontrestle/internal/clock"
 )
 
-// fake is a connection that notes what is done to it.
-type fake struct {
-	name  string
-	begun bool
-	cut   bool
-	quiet time.Duration
-	done  *[]string
+// fakeConn is a connection that records the calls that end it.
+type fakeConn struct {
+	name          string
+	started       bool
+	aborted       bool
+	sinceLastRead time.Duration
+	calls         *[]string
 }
 
-func (f *fake) CloseIdle() bool {
-	if f.begun {
+func (f *fakeConn) CloseIdle() bool {
+	if f.started {
 		return false
 	}
-	*f.done = append(*f.done, f.name+" let go")
+	*f.calls = append(*f.calls, f.name+" closed idle")
 	return true
 }
 
-func (f *fake) CutOff()        { f.cut = true; *f.done = append(*f.done, f.name+" cut off") }
-func (f *fake) IsCut() bool    { return f.cut }
-func (f *fake) HasBegun() bool { return f.begun }
-func (f *fake) Owes() bool     { return f.begun }
+func (f *fakeConn) AbortRead()            { f.aborted = true; *f.calls = append(*f.calls, f.name+" read aborted") }
+func (f *fakeConn) ReadAborted() bool     { return f.aborted }
+func (f *fakeConn) RequestStarted() bool  { return f.started }
+func (f *fakeConn) ResponsePending() bool { return f.started }
 
-func (f *fake) Quiet() time.Duration { return f.quiet }
-func (f *fake) Abort() error         { *f.done = append(*f.done, f.name+" closed"); return nil }
+func (f *fakeConn) SinceLastRead() time.Duration { return f.sinceLastRead }
+func (f *fakeConn) Abort() error                 { *f.calls = append(*f.calls, f.name+" aborted"); return nil }
 
-func newSet(room int, servers int) *Set {
-	s := New(clock.New(), Share{Capacity: room, Minimum: room / 4, Spare: 100}, func() int { return servers })
-	s.SetGrace(Graces{})
+func newTestSet(capacity int, serverConns int) *Set {
+	s := New(clock.New(), Limits{Capacity: capacity, ServerMinimum: capacity / 4, Reserve: 100}, func() int { return serverConns })
+	s.SetGracePeriods(GracePeriods{})
 	return s
 }
 
-// When there are too many, those that are of least use to a good client go first: answered for good, then half a
-// request, then silent, then idle. One with a request that is open never does.
+// Excess connections are closed in the order of their use to a good client: lingering, partial request, no request yet, idle.
+// A connection with an open request is never closed.
 func TestEvictionOrder(t *testing.T) {
-	var done []string
-	s := newSet(100, 0)
-	add := func(name string, begun bool, p Phase) *fake {
-		f := &fake{name: name, begun: begun, done: &done}
+	var calls []string
+	s := newTestSet(100, 0)
+	add := func(name string, started bool, p Phase) *fakeConn {
+		f := &fakeConn{name: name, started: started, calls: &calls}
 		s.Add(f, nil)
-		if p == Open {
-			s.Begin(f)
-		} else if p != Silent {
-			s.Move(f, p)
+		if p == PhaseActive {
+			s.BeginRequest(f)
+		} else if p != PhaseNew {
+			s.SetPhase(f, p)
 		}
 		return f
 	}
-	add("idle", false, Idle)
-	add("silent", false, Silent)
-	add("half", true, Silent)
-	add("reading", false, Reading)
-	add("lingering", false, Lingering)
-	add("open", true, Open)
-	add("next request", true, Idle)
-	for room := 14; room >= 2; room -= 2 { // clients may have half of it
-		s.Resize(Share{Capacity: room, Minimum: room / 2, Spare: 100})
-	}
-	want := []string{"lingering closed", "half cut off", "reading cut off", "silent let go", "idle let go"}
-	if len(done) < len(want) || !slices.Equal(done[:1], want[:1]) || !slices.Contains(done[1:4], "half cut off") || !slices.Contains(done[1:4], "reading cut off") ||
-		!slices.Equal(done[len(done)-2:], want[3:]) {
-		t.Errorf("%v", done)
+	add("idle", false, PhaseIdle)
+	add("new", false, PhaseNew)
+	add("partial", true, PhaseNew)
+	add("reading", false, PhaseReading)
+	add("lingering", false, PhaseLingering)
+	add("open", true, PhaseActive)
+	add("next request", true, PhaseIdle)
+	for capacity := 14; capacity >= 2; capacity -= 2 { // clients may hold half of it
+		s.Resize(Limits{Capacity: capacity, ServerMinimum: capacity / 2, Reserve: 100})
+	}
+	want := []string{"lingering aborted", "partial read aborted", "reading read aborted", "new closed idle", "idle closed idle"}
+	if len(calls) < len(want) || !slices.Equal(calls[:1], want[:1]) || !slices.Contains(calls[1:4], "partial read aborted") || !slices.Contains(calls[1:4], "reading read aborted") ||
+		!slices.Equal(calls[len(calls)-2:], want[3:]) {
+		t.Errorf("calls %v", calls)
 	}
 }
 
-// Of two clients with half a request each, the one that has stopped sending goes, though the other began before it.
-func TestSlowClientIsKeptSilentOneIsEvicted(t *testing.T) {
-	var done []string
-	s := newSet(100, 0)
-	s.SetGrace(Graces{Half: time.Minute})
-	slow := &fake{name: "slow", begun: true, quiet: time.Second, done: &done}
-	silent := &fake{name: "silent", begun: true, quiet: time.Hour, done: &done}
+// Of two clients with a partial request, the one that has stopped sending is evicted, though the other began before it.
+func TestStalledClientIsEvictedBeforeSlowOne(t *testing.T) {
+	var calls []string
+	s := newTestSet(100, 0)
+	s.SetGracePeriods(GracePeriods{Partial: time.Minute})
+	slow := &fakeConn{name: "slow", started: true, sinceLastRead: time.Second, calls: &calls}
+	stalled := &fakeConn{name: "stalled", started: true, sinceLastRead: time.Hour, calls: &calls}
 	s.Add(slow, nil)
-	s.Add(silent, nil)
+	s.Add(stalled, nil)
 	for _, a := range s.conns {
 		a.since -= 2 * time.Hour
 	}
-	s.Resize(Share{Capacity: 2, Minimum: 1, Spare: 100})
-	if !slices.Equal(done, []string{"silent cut off"}) {
-		t.Errorf("%v", done)
+	s.Resize(Limits{Capacity: 2, ServerMinimum: 1, Reserve: 100})
+	if !slices.Equal(calls, []string{"stalled read aborted"}) {
+		t.Errorf("calls %v", calls)
 	}
 }
 
-// Requests that are open count, not connections; beyond what servers' connections are kept for, more are
-// refused, and so are those of a connection that was to be cut off.
-func TestRequestsThatAreOpen(t *testing.T) {
-	var done []string
-	s := newSet(8, 0)
-	f, other := &fake{name: "f", done: &done}, &fake{name: "other", done: &done}
+// The limit counts open requests, not connections. Requests beyond the descriptors reserved for server connections are
+// rejected, and so are those of a connection whose read was aborted.
+func TestOpenRequestLimit(t *testing.T) {
+	var calls []string
+	s := newTestSet(8, 0)
+	f, other := &fakeConn{name: "f", calls: &calls}, &fakeConn{name: "other", calls: &calls}
 	s.Add(f, nil)
 	s.Add(other, nil)
 	for i := range 4 {
-		if !s.Begin(f) {
-			t.Fatalf("request %d is refused", i)
+		if !s.BeginRequest(f) {
+			t.Fatalf("request %d was rejected", i)
 		}
 	}
-	if s.Begin(other) {
-		t.Error("a fifth request of four that may be open")
+	if s.BeginRequest(other) {
+		t.Error("a fifth request was accepted; the limit is 4")
 	}
-	s.Move(other, Idle)
+	s.SetPhase(other, PhaseIdle)
 	for want := 3; want >= 0; want-- {
-		if left := s.End(f); left != want {
-			t.Errorf("%d left, want %d", left, want)
+		if left := s.EndRequest(f); left != want {
+			t.Errorf("EndRequest returned %d, want %d", left, want)
 		}
 	}
-	if s.End(f) != 0 {
-		t.Error("more ends than requests")
+	if s.EndRequest(f) != 0 {
+		t.Error("EndRequest without an open request did not return 0")
 	}
-	other.cut = true
-	if s.Begin(other) {
-		t.Error("a connection that was cut off")
+	other.aborted = true
+	if s.BeginRequest(other) {
+		t.Error("a connection that was read aborted")
 	}
-	if s.Begin(&fake{}) {
-		t.Error("a connection that nobody added")
+	if s.BeginRequest(&fakeConn{}) {
+		t.Error("a request was accepted on an unknown connection")
 	}
 	s.Remove(other)
 	s.Remove(f)
-	if s.Open() != 0 || s.opened != 0 || s.leaving != 0 {
-		t.Errorf("%d held, %d open, %d leaving", s.Open(), s.opened, s.leaving)
+	if s.Len() != 0 || s.requests != 0 || s.closing != 0 {
+		t.Errorf("%d connections, %d requests, %d closing; want none", s.Len(), s.requests, s.closing)
 	}
 }
 
-// A front end lets go its own only.
-func TestCloseQuiet(t *testing.T) {
-	var done []string
-	s := newSet(1000, 0)
+// CloseIdle closes only connections of the given front end.
+func TestCloseIdleOfOneFrontEnd(t *testing.T) {
+	var calls []string
+	s := newTestSet(1000, 0)
 	for i := range 6 {
-		f := &fake{name: fmt.Sprint(i), done: &done}
+		f := &fakeConn{name: fmt.Sprint(i), calls: &calls}
 		s.Add(f, i%2)
 		if i < 4 {
-			s.Move(f, Idle)
+			s.SetPhase(f, PhaseIdle)
 		}
 		if i == 2 {
-			s.Begin(f)
+			s.BeginRequest(f)
 		}
 	}
-	if left := s.CloseQuiet(0); left != 3 || !slices.Equal(slices.Sorted(slices.Values(done)), []string{"0 let go", "4 let go"}) {
-		t.Errorf("%d left, %v", left, done)
+	if left := s.CloseIdle(0); left != 3 || !slices.Equal(slices.Sorted(slices.Values(calls)), []string{"0 closed idle", "4 closed idle"}) {
+		t.Errorf("CloseIdle returned %d, calls %v", left, calls)
 	}
 }
 
-// One that has been so for a moment only is spared, unless descriptors are about to run out.
-func TestGraces(t *testing.T) {
-	var done []string
-	s := New(clock.New(), Share{Capacity: 4, Minimum: 4, Spare: 2}, func() int { return 0 })
-	s.SetGrace(Graces{Lingering: time.Hour, Silent: time.Hour, Half: time.Hour, Idle: time.Hour})
+// A connection is kept during its grace period, unless descriptors are about to run out.
+func TestGracePeriods(t *testing.T) {
+	var calls []string
+	s := New(clock.New(), Limits{Capacity: 4, ServerMinimum: 4, Reserve: 2}, func() int { return 0 })
+	s.SetGracePeriods(GracePeriods{Lingering: time.Hour, New: time.Hour, Partial: time.Hour, Idle: time.Hour})
 	for i := range 4 {
-		f := &fake{name: fmt.Sprint(i), done: &done}
+		f := &fakeConn{name: fmt.Sprint(i), calls: &calls}
 		s.Add(f, nil)
-		s.Move(f, Idle)
+		s.SetPhase(f, PhaseIdle)
 	}
-	if len(done) != 0 || !s.NearLimit() || s.Full() {
-		t.Errorf("%v, crowded %v, full %v", done, s.NearLimit(), s.Full())
+	if len(calls) != 0 || !s.OverLimit() || s.Full() {
+		t.Errorf("calls %v, over limit %v, full %v", calls, s.OverLimit(), s.Full())
 	}
 	for i := range 2 {
-		s.Add(&fake{name: fmt.Sprint("more", i), done: &done}, nil)
+		s.Add(&fakeConn{name: fmt.Sprint("more", i), calls: &calls}, nil)
 	}
 	if !s.Full() {
-		t.Error("not full with all and the spare ones held")
+		t.Error("Full reports false with the capacity and the reserve in use")
 	}
 }
 
-// racingConn begins a request in the moment in which it is asked whether it has.
-type racingConn struct{ fake }
+// racingConn starts a request at the moment at which RequestStarted is called.
+type racingConn struct{ fakeConn }
 
-func (c *racingConn) HasBegun() bool {
-	was := c.begun
-	c.begun = true
+func (c *racingConn) RequestStarted() bool {
+	was := c.started
+	c.started = true
 	return was
 }
 
-// A request whose first bytes come while quiet connections are closed is read: it is not cut off.
-func TestClosingQuietConnectionsCutsNoRequest(t *testing.T) {
-	var done []string
-	s := newSet(100, 0)
-	c := &racingConn{fake{name: "crossed", done: &done}}
+// A request whose first bytes arrive while idle connections are closed is read: it is not aborted.
+func TestCloseIdleAbortsNoRequest(t *testing.T) {
+	var calls []string
+	s := newTestSet(100, 0)
+	c := &racingConn{fakeConn{name: "racing", calls: &calls}}
 	s.Add(c, nil)
-	begun := &fake{name: "begun", begun: true, done: &done}
-	s.Add(begun, nil)
-	if left := s.CloseQuiet(nil); left != 2 || c.cut || begun.cut {
-		t.Errorf("%d left, %v", left, done)
+	startedConn := &fakeConn{name: "started", started: true, calls: &calls}
+	s.Add(startedConn, nil)
+	if left := s.CloseIdle(nil); left != 2 || c.aborted || startedConn.aborted {
+		t.Errorf("CloseIdle returned %d, calls %v", left, calls)
 	}
 }
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -127,7 +127,7 @@
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if ended && ok && half.CloseWrite() == nil {
-		c.front.callers.Move(c, downstream.Lingering)
+		c.front.callers.SetPhase(c, downstream.PhaseLingering)
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 		io.CopyN(io.Discard, c.Conn, lingerBytes)
 	}
@@ -194,11 +194,11 @@
 func (c *client) hasLeft(r *call) bool {
 	for until := time.Now().Add(c.front.unread); ; time.Sleep(unreadStep) {
 		waits := c.inRead.Load()
-		state := downstream.StateOf(c.Conn)
+		state := downstream.PeekSocket(c.Conn)
 		switch {
-		case r.left.Load() || state == downstream.Ended:
+		case r.left.Load() || state == downstream.SocketClosed:
 			return true
-		case waits && state == downstream.Quiet || time.Now().After(until):
+		case waits && state == downstream.SocketOpen || time.Now().After(until):
 			return r.left.Load()
 		}
 	}
@@ -246,7 +246,7 @@
 	err := c.out.Flush()
 	if err != nil {
 		c.markUnwritable()
-		c.CutOff() // its reader ends, and closes it
+		c.AbortRead() // its reader ends, and closes it
 	}
 	return err
 }
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -87,9 +87,9 @@
 	f := c.front
 	f.figures.Begin()
 	view := f.calls.Snapshot()
-	if !f.callers.Begin(c) {
+	if !f.callers.BeginRequest(c) {
 		c.answer(r, engine.Response{Kind: engine.Rejected, RetryAfter: view.RetryAfter()})
-		f.callers.End(c)
+		f.callers.EndRequest(c)
 		return
 	}
 	r.in.Request.ClientDisconnected = func() bool { return c.hasLeft(r) }
@@ -97,7 +97,7 @@
 	if err != nil {
 		f.figures.End(r.in.Class, metrics.Faulted)
 		c.say(r, wordsOf(err))
-		f.callers.End(c)
+		f.callers.EndRequest(c)
 		c.phase()
 		return
 	}
@@ -133,7 +133,7 @@
 	case <-r.gone:
 		c.owes(-1)
 	}
-	f.callers.End(c)
+	f.callers.EndRequest(c)
 	c.mu.Lock()
 	c.phase()
 	c.mu.Unlock()
@@ -209,12 +209,12 @@
 	close(r.gone)
 	delete(c.calls, r.id)
 	keep, err := c.app.Finish(r.id, e)
-	if !keep || c.front.closing.Load() || c.front.callers.NearLimit() {
+	if !keep || c.front.closing.Load() || c.front.callers.OverLimit() {
 		c.ended = true
 	}
 	if err != nil || c.ended && len(c.calls) == 0 {
 		c.flush()
-		c.CutOff() // its reader ends, and closes it
+		c.AbortRead() // its reader ends, and closes it
 	}
 	c.phase()
 }
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -14,9 +14,9 @@
 		}
 	}
 	if len(c.calls) > 0 {
-		c.front.callers.Move(c, downstream.Reading)
+		c.front.callers.SetPhase(c, downstream.PhaseReading)
 	} else {
-		c.front.callers.Move(c, downstream.Idle)
+		c.front.callers.SetPhase(c, downstream.PhaseIdle)
 	}
 }
 
@@ -50,37 +50,37 @@
 // Abort implements downstream.Conn.
 func (c *client) Abort() error { return c.Conn.Close() }
 
-// CutOff implements downstream.Conn.
-func (c *client) CutOff() {
+// AbortRead implements downstream.Conn.
+func (c *client) AbortRead() {
 	c.state.Lock()
 	defer c.state.Unlock()
 	c.leaving, c.cut = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements downstream.Conn.
-func (c *client) IsCut() bool {
+// ReadAborted implements downstream.Conn.
+func (c *client) ReadAborted() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.cut
 }
 
-// HasBegun implements downstream.Conn.
-func (c *client) HasBegun() bool {
+// RequestStarted implements downstream.Conn.
+func (c *client) RequestStarted() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.midway || c.reading > 0
 }
 
-// Owes implements downstream.Conn.
-func (c *client) Owes() bool {
+// ResponsePending implements downstream.Conn.
+func (c *client) ResponsePending() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return c.owed > 0
 }
 
-// Quiet implements downstream.Conn.
-func (c *client) Quiet() time.Duration {
+// SinceLastRead implements downstream.Conn.
+func (c *client) SinceLastRead() time.Duration {
 	c.state.Lock()
 	defer c.state.Unlock()
 	return time.Since(c.heard)
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -59,8 +59,8 @@
 // SetClosing says whether each connection from now on ends with its last answer.
 func (f *Front) SetClosing(is bool) { f.closing.Store(is) }
 
-// CloseQuiet closes the connections on which nothing is asked. It returns how many are left.
-func (f *Front) CloseQuiet() int { return f.callers.CloseQuiet(f) }
+// CloseIdle closes the connections on which nothing is asked. It returns how many are left.
+func (f *Front) CloseIdle() int { return f.callers.CloseIdle(f) }
 
 // health tells whoever asks whether to send clients here.
 func (c *client) health(r *call) {
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -57,7 +57,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, count := clock.New(), &metrics.Set{}
 	n := &rig{back: upstream.NewPool(c, descriptors.NewShare(488), count, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
-	n.callers = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, n.back.Connections)
+	n.callers = downstream.New(c, downstream.Limits{Capacity: 976, ServerMinimum: 244, Reserve: 24}, n.back.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.back,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
@@ -265,7 +265,7 @@
 		}
 		w.wantClosed(t, name)
 	}
-	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Open() == 1 })
+	testpeer.Until(t, "the connections to be forgotten", func() bool { return n.callers.Len() == 1 })
 }
 
 // Fifty requests on one connection, of which some are aborted while servers have them: each ends once, the others are
@@ -356,7 +356,7 @@
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
 	testpeer.Until(t, "nothing to be left", func() bool {
-		return n.callers.Open() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
+		return n.callers.Len() == 0 && n.engine.Status().Open == 0 && n.front.figures.Report().Open == 0
 	})
 	if s.Seen() != 5 {
 		t.Errorf("%d requests", s.Seen())
@@ -417,14 +417,14 @@
 
 	idle := connect(t, n)
 	idle.hear(t, 0)
-	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Open() == 2 })
+	testpeer.Until(t, "the idle one to be there", func() bool { return n.callers.Len() == 2 })
 	n.front.SetClosing(true)
 	id = w.ask(t, variables("GET", "/view/k", "last"), "")
 	if a := w.hear(t, 1)[id]; a.body() != "for last" {
 		t.Errorf("%q", a.text)
 	}
 	w.wantClosed(t, "a connection behind its last answer")
-	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.CloseQuiet() == 0 })
+	testpeer.Until(t, "quiet ones to be let go", func() bool { return n.front.CloseIdle() == 0 })
 	idle.wantClosed(t, "a quiet connection")
 }
 
@@ -467,7 +467,7 @@
 			}
 			quiet = append(quiet, c)
 		}
-		testpeer.Until(b, "all to be there", func() bool { return n.callers.Open() == held })
+		testpeer.Until(b, "all to be there", func() bool { return n.callers.Len() == held })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// The test's own side of each connection is among it.
@@ -475,7 +475,7 @@
 		for _, c := range quiet {
 			c.Close()
 		}
-		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Open() == 0 })
+		testpeer.Until(b, "all to be gone", func() bool { return n.callers.Len() == 0 })
 	}
 }
 
@@ -551,7 +551,7 @@
 		close(hold)
 		testpeer.Receive(t, gone, "the other attempt's end")
 		w.wantClosed(t, errno.Error())
-		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Open() == 0 })
+		testpeer.Until(t, "the connection to be forgotten", func() bool { return n.callers.Len() == 0 })
 	}
 }
 
--- a/internal/fastcgi/left_test.go
+++ b/internal/fastcgi/left_test.go
@@ -47,7 +47,7 @@
 		r := &call{}
 		c.cross(ours, r, theirs)
 		if c.done {
-			testpeer.Until(t, "the system to know", func() bool { return downstream.StateOf(ours.Conn) == downstream.Ended })
+			testpeer.Until(t, "the system to know", func() bool { return downstream.PeekSocket(ours.Conn) == downstream.SocketClosed })
 		}
 		if got := ours.hasLeft(r); got != c.want {
 			t.Errorf("%s: has left: %v", c.name, got)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault has points at which a test may end or stop the process, by their count and not by time. In the program as it
-// is built for use there are none: Point does nothing there. A build with the tag "rig" goes by DAMSONTRESTLE_FAULT, as in
-// "custody.intended:2:kill": the second time that the point is passed, the process kills itself; "stop" stops it instead,
-// until somebody lets it go on.
+// Package fault defines points at which a test can kill or stop the process, selected by how often they were passed and not by
+// time. In the normal build Point does nothing. In a build with the tag "rig" the environment variable DAMSONTRESTLE_FAULT arms a
+// point: with "custody.intended:2:kill" the process kills itself when it passes that point for the second time; with "stop" it
+// stops itself until it gets a SIGCONT.
 package fault
--- a/internal/http1/begin_test.go
+++ b/internal/http1/begin_test.go
@@ -115,12 +115,12 @@
 	testpeer.Receive(t, dial.Dialing, "the attempt to dial")
 	c.Close()
 	ours := testpeer.Receive(t, accepted, "the connection")
-	testpeer.Until(t, "the system to know of the close", func() bool { return downstream.StateOf(ours) == downstream.Ended })
+	testpeer.Until(t, "the system to know of the close", func() bool { return downstream.PeekSocket(ours) == downstream.SocketClosed })
 	close(dial.Up)
 	if text := testpeer.Receive(t, written, "the close"); text != "" {
 		t.Errorf("%d bytes were written, %.40q", len(text), text)
 	}
-	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.clients.Open() == 0 })
+	testpeer.Until(t, "the request to end", func() bool { return n.engine.Status().Open == 0 && n.clients.Len() == 0 })
 	if got := n.engine.Status(); got.Disconnected != 1 {
 		t.Errorf("%d have gone, want 1", got.Disconnected)
 	}
--- a/internal/http1/broken_test.go
+++ b/internal/http1/broken_test.go
@@ -59,7 +59,7 @@
 		conn.Fail(errno, 0)
 		io.WriteString(c, "G")
 		testpeer.Receive(t, ended, "the attempt's end")
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Open() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Len() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Disconnected != 1 || st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
@@ -77,7 +77,7 @@
 		if len(text) == 0 || len(text) > 60 {
 			t.Errorf("%v: the client got %q", errno, text)
 		}
-		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Open() == 0 })
+		testpeer.Until(t, "the client's connection to be over", func() bool { return n.clients.Len() == 0 })
 		testpeer.Until(t, "the request to be over", func() bool { return n.engine.Status().Open == 0 })
 		if st := n.engine.Status(); st.Sends != 1 {
 			t.Errorf("%v: %+v", errno, st)
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -22,8 +22,8 @@
 )
 
 // idleFor are the usual graces, but for idle connections.
-func idleFor(d time.Duration) downstream.Graces {
-	g := downstream.DefaultGraces()
+func idleFor(d time.Duration) downstream.GracePeriods {
+	g := downstream.DefaultGracePeriods()
 	g.Idle = d
 	return g
 }
@@ -31,7 +31,7 @@
 // untilIdle waits for a connection to be idle: a request is over a little after its answer.
 func untilIdle(t *testing.T, n *testNode) {
 	t.Helper()
-	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.In(downstream.Idle) > 0 })
+	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.CountPhase(downstream.PhaseIdle) > 0 })
 }
 
 // serverThatHolds returns a server that tells got of each request whose id begins with "held", and answers it once hold is
@@ -53,8 +53,8 @@
 	s, hold, got := serverThatHolds(t)
 	const most = 4
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.clients.Resize(downstream.Share{Capacity: 2 * most, Minimum: most, Spare: 24})
-		n.clients.SetGrace(idleFor(0))
+		n.clients.Resize(downstream.Limits{Capacity: 2 * most, ServerMinimum: most, Reserve: 24})
+		n.clients.SetGracePeriods(idleFor(0))
 	})
 	idle := testpeer.Dial(t, n.Addr())
 	idle.Get("idle")
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	set := downstream.New(clock.New(), downstream.Share{Capacity: 2, Spare: 10}, func() int { return 1 })
+	set := downstream.New(clock.New(), downstream.Limits{Capacity: 2, Reserve: 10}, func() int { return 1 })
 	f := &Front{clients: set}
 	pair := func() (ours *clientConn, theirs net.Conn) {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
@@ -124,20 +124,20 @@
 	say(client, a, request[:1]) // the next request's first byte
 	f.track(a, http.StateIdle)
 	f.track(b, http.StateNew) // one too many
-	if a.closing || !set.NearLimit() {
+	if a.closing || !set.OverLimit() {
 		t.Fatal("a connection with a request on it was let go")
 	}
 	say(client, a, request[1:])
 	a.takeHead(false)
 	say(a, client, "its answer")
-	set.SetGrace(idleFor(testpeer.Limit))
+	set.SetGracePeriods(idleFor(testpeer.Limit))
 	f.track(a, http.StateIdle)
-	if a.closing || !set.NearLimit() {
+	if a.closing || !set.OverLimit() {
 		t.Fatal("a connection idle for a moment only was let go")
 	}
-	set.SetGrace(idleFor(0))
+	set.SetGracePeriods(idleFor(0))
 	f.track(b, http.StateActive)
-	if !a.closing || set.NearLimit() {
+	if !a.closing || set.OverLimit() {
 		t.Fatal("the idle connection was not let go")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
@@ -145,8 +145,8 @@
 		t.Errorf("the wait goes on: %v", err)
 	}
 	f.track(a, http.StateClosed)
-	if set.Open() != 1 || set.NearLimit() {
-		t.Errorf("%d held, crowded %v", set.Open(), set.NearLimit())
+	if set.Len() != 1 || set.OverLimit() {
+		t.Errorf("%d held, crowded %v", set.Len(), set.OverLimit())
 	}
 }
 
@@ -155,8 +155,8 @@
 func TestCloseIdleLosesNoReadRequest(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.clients.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
-		n.clients.SetGrace(idleFor(0))
+		n.clients.Resize(downstream.Limits{Capacity: 8, ServerMinimum: 4, Reserve: 24})
+		n.clients.SetGracePeriods(idleFor(0))
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -229,7 +229,7 @@
 	var accepting countedListener
 	n := start(t, cfg, func(n *testNode) {
 		n.front.server.ReadHeaderTimeout, n.front.grace = 2*testpeer.Limit, 2*testpeer.Limit // what is closed is closed for want of room
-		n.clients.SetGrace(downstream.Graces{Idle: testpeer.Limit})
+		n.clients.SetGracePeriods(downstream.GracePeriods{Idle: testpeer.Limit})
 		accepting.Listener = n.listener
 		n.listener = &accepting
 	})
@@ -249,7 +249,7 @@
 			fresh.Close()
 		}
 	}
-	testpeer.Until(t, "the rest to be let go", func() bool { return !n.clients.NearLimit() })
+	testpeer.Until(t, "the rest to be let go", func() bool { return !n.clients.OverLimit() })
 }
 
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
@@ -294,6 +294,6 @@
 		round(50 + i)
 	}
 	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
-		return n.clients.Open() == 0 && n.backend.count() == 1 && n.upstream.Connections() <= 1 && runtime.NumGoroutine() <= before+5
+		return n.clients.Len() == 0 && n.backend.count() == 1 && n.upstream.Connections() <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -110,7 +110,7 @@
 // hasDisconnected reports whether the other side has ended the connection, or its sending, by what the system knows: an end that
 // nobody has read yet, or that stands behind bytes which nobody has, is one all the same.
 func (c *clientConn) hasDisconnected() bool {
-	if !c.hasEnded() && downstream.StateOf(c.Conn) != downstream.Ended {
+	if !c.hasEnded() && downstream.PeekSocket(c.Conn) != downstream.SocketClosed {
 		return false
 	}
 	c.mu.Lock()
@@ -138,8 +138,8 @@
 	return netio.Write(c.Conn, p)
 }
 
-// Quiet implements downstream.Conn.
-func (c *clientConn) Quiet() time.Duration {
+// SinceLastRead implements downstream.Conn.
+func (c *clientConn) SinceLastRead() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastRead)
@@ -202,30 +202,30 @@
 	return c.closing
 }
 
-// CutOff implements downstream.Conn.
-func (c *clientConn) CutOff() {
+// AbortRead implements downstream.Conn.
+func (c *clientConn) AbortRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements downstream.Conn.
-func (c *clientConn) IsCut() bool {
+// ReadAborted implements downstream.Conn.
+func (c *clientConn) ReadAborted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cutOff
 }
 
-// HasBegun implements downstream.Conn.
-func (c *clientConn) HasBegun() bool {
+// RequestStarted implements downstream.Conn.
+func (c *clientConn) RequestStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending()
 }
 
-// Owes implements downstream.Conn.
-func (c *clientConn) Owes() bool {
+// ResponsePending implements downstream.Conn.
+func (c *clientConn) ResponsePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.served > c.answered
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -97,7 +97,7 @@
 		x.control.EnableFullDuplex() // the response may come while the body still does
 		defer rest.end()
 	}
-	if !f.clients.Begin(x.conn) {
+	if !f.clients.BeginRequest(x.conn) {
 		x.respond(engine.Response{Kind: engine.Rejected, RetryAfter: x.snapshot.RetryAfter()})
 		return
 	}
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -74,5 +74,5 @@
 // SetClosing says whether each response from now on closes its connection.
 func (f *Front) SetClosing(closing bool) { f.closing.Store(closing) }
 
-// CloseQuiet closes the connections without a request. It returns how many are left.
-func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
+// CloseIdle closes the connections without a request. It returns how many are left.
+func (f *Front) CloseIdle() int { return f.clients.CloseIdle(f) }
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -395,7 +395,7 @@
 			n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, n.Addr())
 			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
-			testpeer.Until(t, "its head to be read", func() bool { return n.clients.In(downstream.Reading) > 0 })
+			testpeer.Until(t, "its head to be read", func() bool { return n.clients.CountPhase(downstream.PhaseReading) > 0 })
 			before := s.Seen()
 			next := testpeer.Config()
 			c.change(next)
--- a/internal/http1/gone_test.go
+++ b/internal/http1/gone_test.go
@@ -80,7 +80,7 @@
 			}
 			client.Close()
 			testpeer.Receive(t, at.gone, "the attempt to be called off")
-			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Open() == 0 })
+			testpeer.Until(t, "the connection to be forgotten", func() bool { return n.clients.Len() == 0 })
 			testpeer.Until(t, "the engine to be rid of it", func() bool { return n.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
 				t.Errorf("servers got %q", all)
@@ -113,7 +113,7 @@
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	n := start(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *testNode) {
-		n.clients.SetGrace(idleFor(0))
+		n.clients.SetGracePeriods(idleFor(0))
 	})
 	stop := make(chan struct{})
 	defer close(stop)
@@ -123,7 +123,7 @@
 			case <-stop:
 				return
 			default:
-				n.front.CloseQuiet()
+				n.front.CloseIdle()
 			}
 		}
 	}()
@@ -162,11 +162,11 @@
 		ours, theirs := connPair(t)
 		ours.set.Add(ours, nil)
 		if c.cut {
-			ours.CutOff() // for want of descriptors, or at the node's end: its client is told
+			ours.AbortRead() // for want of descriptors, or at the node's end: its client is told
 		}
 		if early {
 			io.WriteString(theirs, "GET /behind")
-			testpeer.Until(t, "the bytes to arrive", func() bool { return downstream.StateOf(ours.Conn) == downstream.Unread })
+			testpeer.Until(t, "the bytes to arrive", func() bool { return downstream.PeekSocket(ours.Conn) == downstream.SocketUnread })
 		}
 		closed := make(chan struct{})
 		go func() {
@@ -175,7 +175,7 @@
 			close(closed)
 		}()
 		if !early {
-			testpeer.Until(t, "the close to begin", func() bool { return ours.set.In(downstream.Lingering) == 1 })
+			testpeer.Until(t, "the close to begin", func() bool { return ours.set.CountPhase(downstream.PhaseLingering) == 1 })
 			io.WriteString(theirs, strings.Repeat("GET /behind", 100))
 		}
 		theirs.SetDeadline(time.Now().Add(testpeer.Limit))
@@ -199,7 +199,7 @@
 	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	set := downstream.New(clock.New(), downstream.Share{Capacity: 10, Spare: 10}, func() int { return 0 })
+	set := downstream.New(clock.New(), downstream.Limits{Capacity: 10, Reserve: 10}, func() int { return 0 })
 	c, err := clientListener{ln, set, new(atomic.Int64)}.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/linger.go
+++ b/internal/http1/linger.go
@@ -42,7 +42,7 @@
 	if !c.closing {
 		return true
 	}
-	return c.wroteAfterCut && downstream.StateOf(c.Conn) == downstream.Unread
+	return c.wroteAfterCut && downstream.PeekSocket(c.Conn) == downstream.SocketUnread
 }
 
 // Abort implements downstream.Conn.
@@ -51,7 +51,7 @@
 // CloseWrite lets net/http linger after a response to a request that it did not read completely: at once
 // closed, the connection would be reset, and the response could be lost.
 func (c *clientConn) CloseWrite() error {
-	c.set.Move(c, downstream.Lingering)
+	c.set.SetPhase(c, downstream.PhaseLingering)
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		return half.CloseWrite()
 	}
--- a/internal/http1/listener.go
+++ b/internal/http1/listener.go
@@ -49,9 +49,9 @@
 	case http.StateNew:
 		f.clients.Add(c, f)
 	case http.StateActive:
-		f.clients.Move(c, downstream.Reading)
+		f.clients.SetPhase(c, downstream.PhaseReading)
 	case http.StateIdle:
-		f.clients.Move(c, downstream.Idle)
+		f.clients.SetPhase(c, downstream.PhaseIdle)
 	default:
 		f.clients.Remove(c)
 	}
--- a/internal/http1/request_bench_test.go
+++ b/internal/http1/request_bench_test.go
@@ -86,7 +86,7 @@
 	for i := range servers {
 		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), plainServer(b, service, &accepted), "in_service"))
 	}
-	n := start(b, testConfig(testpeer.Whole(entries...)), func(n *testNode) { n.setSettle(upstream.DefaultSettle) })
+	n := start(b, testConfig(testpeer.Whole(entries...)), func(n *testNode) { n.setSettle(upstream.DefaultSettleDelay) })
 	var (
 		mu  sync.Mutex
 		all sync.WaitGroup
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -70,7 +70,7 @@
 	if must || !may {
 		return must
 	}
-	return x.front.clients.NearLimit() || x.front.closing.Load() || response.TryOtherNode
+	return x.front.clients.OverLimit() || x.front.closing.Load() || response.TryOtherNode
 }
 
 // write gives the response to the client. With an error it was begun and is not complete.
--- a/internal/http1/rig_test.go
+++ b/internal/http1/rig_test.go
@@ -87,7 +87,7 @@
 	n := &testNode{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
 	n.upstream = upstream.NewPool(c, descriptors.NewShare(connections), &metrics.Set{}, n.limits)
 	n.backend = &listedBackend{Pool: n.upstream, servers: map[string]discovery.Target{}}
-	n.clients = downstream.New(c, downstream.Share{Capacity: cfg.Capacity, Minimum: cfg.Capacity / 4, Spare: 24}, n.upstream.Connections)
+	n.clients = downstream.New(c, downstream.Limits{Capacity: cfg.Capacity, ServerMinimum: cfg.Capacity / 4, Reserve: 24}, n.upstream.Connections)
 	var err error
 	if n.engine, err = engine.New(engine.Options{Settings: cfg.Settings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: n.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
@@ -149,6 +149,6 @@
 
 // setSettle changes how long a connection to a server settles.
 func (n *testNode) setSettle(settle time.Duration) {
-	n.limits.Settle = settle
+	n.limits.SettleDelay = settle
 	n.upstream.SetLimits(n.limits)
 }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener keeps listening sockets in service while system calls fail. Accept tries again after every
-// failure but the listener's own end, and Open does so for the sockets of a start.
+// Package listener keeps listening sockets in service while system calls fail. Accept retries every failure other than the
+// listener's close and deadline, and Open retries opening sockets at startup.
 package listener
 
 import (
@@ -14,30 +14,30 @@
 
 // Pauses after a failed accept.
 const (
-	// One that concerns a single connection has taken it out of the queue: those behind it should not wait. The
-	// pause only bounds what a failure that stays would cost, to 1,000 requests a second.
-	onePause = time.Millisecond
-	// One for want of descriptors or memory needs somebody to give some back. The pauses double from shortageFrom
-	// to shortageMost: 50 requests a second cost nothing, and once the shortage is over connections wait no longer
-	// than a small part of the shortest deadlines.
-	shortageFrom = 5 * time.Millisecond
-	shortageMost = 20 * time.Millisecond
+	// A failure of a single connection has removed it from the queue; connections behind it should not wait. The pause
+	// bounds the cost of a persistent failure to 1,000 calls a second.
+	connErrorPause = time.Millisecond
+	// A shortage of descriptors or memory lasts until some are freed. The pauses double from minShortagePause to
+	// maxShortagePause: 50 calls a second cost little, and after the shortage a connection waits no longer than a small part
+	// of the shortest deadlines.
+	minShortagePause = 5 * time.Millisecond
+	maxShortagePause = 20 * time.Millisecond
 )
 
-// logEvery is the least time between two lines about failures of one listener.
-const logEvery = time.Second
+// logInterval is the minimum time between two log messages about failures of one listener.
+const logInterval = time.Second
 
 // Listener is a net.Listener whose Accept fails only once it is closed or its deadline has passed.
 type Listener struct {
 	net.Listener
 	log *slog.Logger
 
-	mu       sync.Mutex
-	closed   bool
-	deadline time.Time     // zero: none
-	changed  chan struct{} // closed, and replaced, whenever closed or deadline changes
-	logged   time.Time     // when the last line was written
-	failures int           // since then
+	mu         sync.Mutex
+	closed     bool
+	deadline   time.Time     // zero if none
+	changed    chan struct{} // closed, and replaced, whenever closed or deadline changes
+	lastLogged time.Time     // when the last failure was logged
+	failures   int           // not logged yet
 }
 
 // New returns a Listener that accepts from ln and closes it.
@@ -45,8 +45,8 @@
 	return &Listener{Listener: ln, log: log, changed: make(chan struct{})}
 }
 
-// Accept waits for the next connection. A failure is logged, and tried again after a pause, which ends at once
-// when the listener is closed or its deadline passes. Errors wrap net.ErrClosed or os.ErrDeadlineExceeded.
+// Accept waits for the next connection. A failure is logged and retried after a pause, which ends at once when the
+// listener is closed or its deadline passes. Errors wrap net.ErrClosed or os.ErrDeadlineExceeded.
 func (l *Listener) Accept() (net.Conn, error) {
 	for pause := time.Duration(0); ; {
 		c, err := l.Listener.Accept()
@@ -64,17 +64,17 @@
 	}
 }
 
-// nextPause is how long to wait after a failure that follows a pause of last.
+// nextPause returns how long to wait after a failure, where last is the pause after the failure before.
 func nextPause(last time.Duration, err error) time.Duration {
-	if concernsOneConnection(err) {
-		return onePause
+	if isConnectionError(err) {
+		return connErrorPause
 	}
-	return min(max(2*last, shortageFrom), shortageMost)
+	return min(max(2*last, minShortagePause), maxShortagePause)
 }
 
-// concernsOneConnection says that an accept failed for the connection that it took from the queue. Linux passes
-// network errors that are pending on a new socket to accept, and firewall rules may forbid one (accept(2)).
-func concernsOneConnection(err error) bool {
+// isConnectionError reports whether an accept failed for the connection that it took from the queue. Linux returns
+// network errors that are pending on the new socket from accept, and firewall rules may forbid one connection (accept(2)).
+func isConnectionError(err error) bool {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EPERM, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP,
 		syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ENONET, syscall.EHOSTDOWN, syscall.EHOSTUNREACH,
@@ -86,24 +86,24 @@
 	return false
 }
 
-// report logs a failure, unless a line was written less than logEvery ago.
+// report logs a failure, unless one was logged less than logInterval ago.
 func (l *Listener) report(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures++
-	if !l.logged.IsZero() && time.Since(l.logged) < logEvery {
+	if !l.lastLogged.IsZero() && time.Since(l.lastLogged) < logInterval {
 		return
 	}
-	l.log.Warn("accept fails and is tried again", "address", l.Addr().String(), "error", err, "failures", l.failures)
-	l.logged, l.failures = time.Now(), 0
+	l.log.Warn("accept failed; retrying", "address", l.Addr().String(), "error", err, "failures", l.failures)
+	l.lastLogged, l.failures = time.Now(), 0
 }
 
-// sleep waits for a pause to be over. It returns early, with the reason, when the listener is closed or its
-// deadline passes.
+// sleep waits for the pause. It returns early, with the error for Accept, when the listener is closed or its deadline
+// passes.
 func (l *Listener) sleep(pause time.Duration) error {
 	end := time.Now().Add(pause)
 	for {
-		until, changed, err := l.wakeAt(end)
+		until, changed, err := l.pauseUntil(end)
 		if err != nil {
 			return err
 		}
@@ -120,9 +120,9 @@
 	}
 }
 
-// wakeAt is until when a pause that would last to end may go on, and what tells that this has changed. It fails if
-// the listener is closed or its deadline has passed.
-func (l *Listener) wakeAt(end time.Time) (until time.Time, changed <-chan struct{}, err error) {
+// pauseUntil returns the end of a pause that is due to end at end, shortened by the deadline, and a channel that is closed
+// when the deadline or the listener's state changes. It fails if the listener is closed or its deadline has passed.
+func (l *Listener) pauseUntil(end time.Time) (until time.Time, changed <-chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -140,11 +140,12 @@
 
 // Close closes the listener. An Accept that waits, or pauses after a failure, returns.
 func (l *Listener) Close() error {
-	l.change(func() { l.closed = true })
+	l.update(func() { l.closed = true })
 	return l.Listener.Close()
 }
 
-// SetDeadline has Accept fail from a time on; zero: it no longer does. It fails where the listener has no deadlines.
+// SetDeadline sets the time from which Accept fails; the zero time means none. It returns errors.ErrUnsupported if the
+// underlying listener has no deadlines.
 func (l *Listener) SetDeadline(t time.Time) error {
 	d, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
@@ -153,20 +154,20 @@
 	if err := d.SetDeadline(t); err != nil {
 		return err
 	}
-	l.change(func() { l.deadline = t })
+	l.update(func() { l.deadline = t })
 	return nil
 }
 
-// change changes what a pause goes by, and has pauses look again.
-func (l *Listener) change(do func()) {
+// update changes closed or deadline by calling set, and wakes pauses so that they check them again.
+func (l *Listener) update(set func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	do()
+	set()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// SyscallConn implements syscall.Conn where the listener does.
+// SyscallConn implements syscall.Conn if the underlying listener does.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
 	if c, ok := l.Listener.(syscall.Conn); ok {
 		return c.SyscallConn()
--- a/internal/listener/open_test.go
+++ b/internal/listener/open_test.go
@@ -15,58 +15,58 @@
 	"time"
 )
 
-// opError is what package net makes of a system call that fails.
+// opError returns a failed system call's error as package net wraps it.
 func opError(errno syscall.Errno) error {
 	return fmt.Errorf("listener: %w", &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", errno)})
 }
 
-// What may pass is tried again until it has, or for as long as a start may try, or until that is told to end; what
-// can't is tried once.
-func TestSocketsOfAStartAreTriedAgain(t *testing.T) {
+// A transient failure is retried until it passes, until OpenTimeout is over or until the startup is cancelled; a permanent
+// one is returned at once.
+func TestOpenReattemptsTransientFailures(t *testing.T) {
 	_, badAddress := net.Listen("tcp", "127.0.0.1:99999")
-	_, noSuchFolder := net.Listen("unix", t.TempDir()+"/none/socket")
-	passing := []error{}
+	_, missingFolder := net.Listen("unix", t.TempDir()+"/none/socket")
+	transient := []error{}
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR, syscall.EADDRINUSE,
 		syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EPERM, syscall.EPROTO,
 	} {
-		passing = append(passing, opError(errno))
+		transient = append(transient, opError(errno))
 	}
-	lasting := []error{badAddress, noSuchFolder, opError(syscall.EACCES), opError(syscall.EAFNOSUPPORT), opError(syscall.EINVAL), errors.New("no key")}
+	permanent := []error{badAddress, missingFolder, opError(syscall.EACCES), opError(syscall.EAFNOSUPPORT), opError(syscall.EINVAL), errors.New("the key is missing")}
 	for _, c := range []struct {
 		name     string
 		errs     []error
-		failures int           // the tries that fail
-		end      time.Duration // when the start is told to end
+		failures int           // attempts that fail
+		cancel   time.Duration // when the startup is cancelled
 		opened   bool
 		took     time.Duration
 	}{
-		{"passes", passing, 10, time.Hour, true, 10 * openPause},
-		{"does not pass in time", passing, 1 << 30, time.Hour, false, Patience},
-		{"is told to end", passing, 1 << 30, 130 * time.Millisecond, false, 130 * time.Millisecond},
-		{"can't pass", lasting, 1 << 30, time.Hour, false, 0},
+		{"transient failure that passes", transient, 10, time.Hour, true, 10 * openRetryInterval},
+		{"transient failure beyond the timeout", transient, 1 << 30, time.Hour, false, OpenTimeout},
+		{"cancelled startup", transient, 1 << 30, 130 * time.Millisecond, false, 130 * time.Millisecond},
+		{"permanent failure", permanent, 1 << 30, time.Hour, false, 0},
 	} {
 		for _, failure := range c.errs {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(t.Context(), Patience)
+				ctx, cancel := context.WithTimeout(t.Context(), OpenTimeout)
 				defer cancel()
-				defer time.AfterFunc(c.end, cancel).Stop()
+				defer time.AfterFunc(c.cancel, cancel).Stop()
 				var log bytes.Buffer
-				begin, tries := time.Now(), 0
-				v, err := Open(ctx, slog.New(slog.NewTextHandler(&log, nil)), func() (string, error) {
-					if tries++; tries <= c.failures {
+				begin, attempts := time.Now(), 0
+				got, err := Open(ctx, slog.New(slog.NewTextHandler(&log, nil)), func() (string, error) {
+					if attempts++; attempts <= c.failures {
 						return "", failure
 					}
 					return "open", nil
 				})
-				if took := time.Since(begin); (err == nil) != c.opened || (v == "open") != c.opened || took != c.took {
-					t.Errorf("%s, %v: %q, %v after %v; want it after %v", c.name, failure, v, err, took, c.took)
+				if took := time.Since(begin); (err == nil) != c.opened || (got == "open") != c.opened || took != c.took {
+					t.Errorf("%s, %v: result %q, error %v after %v; want the end after %v", c.name, failure, got, err, took, c.took)
 				}
 				if err != nil && !errors.Is(err, failure) {
-					t.Errorf("%s, %v: ended with %v", c.name, failure, err)
+					t.Errorf("%s, %v: returned the error %v", c.name, failure, err)
 				}
 				if lines := strings.Count(log.String(), "\n"); lines > 1 {
-					t.Errorf("%s, %v: %d lines", c.name, failure, lines)
+					t.Errorf("%s, %v: %d log messages, want at most 1", c.name, failure, lines)
 				}
 			})
 		}
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,6 +1,6 @@
-// Package netio reads and writes open connections through failures of system calls that pass: the kernel was short of
-// memory for a moment, or the call was interrupted. Such a failure loses no byte and says nothing of the other side. Every
-// other error is returned as the connection gave it; deadlines and closes stay with the caller.
+// Package netio reads and writes open connections and retries transient failures of system calls: the kernel was short of
+// memory for a moment, or the call was interrupted. Such a failure loses no byte and is no evidence about the peer. All other
+// errors are returned unchanged; deadlines and closes are left to the caller.
 package netio
 
 import (
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// RetryPause is the time between two system calls of which the first failed in passing.
+// RetryPause is the time between a system call that failed transiently and its retry.
 const RetryPause = 5 * time.Millisecond
 
-// IsTransient reports whether a read or write of an open connection failed although the connection has not: the same call
-// may succeed a moment later, and nothing was lost.
+// IsTransient reports whether a read or write failed although the connection is intact: a retry may succeed, and nothing was
+// lost.
 func IsTransient(err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EINTR)
 }
 
-// Read reads from a connection once, repeating reads that fail in passing. The connection's deadline or its close ends it.
+// Read reads from a connection once, retrying transient failures. It ends when the connection is closed or its deadline passes.
 func Read(c net.Conn, p []byte) (int, error) {
 	for {
 		n, err := c.Read(p)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Write writes all of p to a connection, repeating writes that fail in passing. It returns how many bytes the kernel has
-// taken, which with an error are fewer than all.
+// Write writes all of p to a connection, retrying transient failures. It returns how many bytes the kernel has accepted;
+// with an error these are fewer than len(p).
 func Write(c net.Conn, p []byte) (int, error) {
 	written := 0
 	for {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -10,9 +10,9 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// A read or write that fails in passing is repeated and loses no byte; every other failure is returned at once, a write's
-// with the number of bytes that have left.
-func TestReadAndWriteRepeatTransientFailuresAlone(t *testing.T) {
+// A read or write that fails transiently is retried and loses no byte. Every other failure is returned at once; a write
+// returns with it the number of bytes that the kernel accepted.
+func TestReadAndWriteRetryOnlyTransientFailures(t *testing.T) {
 	const text = "a request"
 	for _, c := range []struct {
 		errno     syscall.Errno
@@ -27,8 +27,8 @@
 		{syscall.ENETDOWN, false},
 	} {
 		t.Run(os.NewSyscallError("call", c.errno).Error(), func(t *testing.T) {
-			near, far := testpeer.Pair(t)
-			faulty := &testpeer.FaultyConn{Conn: near}
+			local, remote := testpeer.Pair(t)
+			faulty := &testpeer.FaultyConn{Conn: local}
 			faulty.Fail(c.errno, c.errno)
 			n, err := Write(faulty, []byte(text))
 			if c.transient && (n != len(text) || err != nil) {
@@ -37,7 +37,7 @@
 			if !c.transient && (n != len(text)/3 || !errors.Is(err, c.errno)) {
 				t.Errorf("wrote %d bytes, %v; want %d, %v", n, err, len(text)/3, c.errno)
 			}
-			io.WriteString(far, text)
+			io.WriteString(remote, text)
 			buf := make([]byte, 100)
 			n, err = Read(faulty, buf)
 			if c.transient && (string(buf[:n]) != text || err != nil) {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -154,7 +154,7 @@
 			kind.ask(t, address, len(failures)+1) // the accept that waits takes it
 			testpeer.Until(t, "failures", func() bool { return ln.Failed() > 2*len(failures)+3 })
 			stop()
-			lines, most := log.Count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
+			lines, most := log.Count("accept failed; retrying"), int(time.Since(begin)/time.Second)+1
 			if lines < 1 || lines > most {
 				t.Errorf("%d lines, want 1 to %d", lines, most)
 			}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -95,8 +95,8 @@
 	SetReady(bool)
 	// SetClosing sets whether each response from now on closes its connection.
 	SetClosing(bool)
-	// CloseQuiet closes idle connections, on which no request is open, and returns how many are left of all.
-	CloseQuiet() int
+	// CloseIdle closes idle connections, on which no request is open, and returns how many are left of all.
+	CloseIdle() int
 }
 
 // newFront is a front end for a listener; nothing is accepted before Serve.
@@ -116,7 +116,7 @@
 // retireFront closes the connections of a front end after their responses, until none is left or the node ends.
 func (n *Node) retireFront(f front) {
 	f.SetClosing(true)
-	for f.CloseQuiet() > 0 {
+	for f.CloseIdle() > 0 {
 		clock.Sleep(n.incarnation, closeIdleStep)
 		if n.incarnation.Err() != nil {
 			return
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -95,7 +95,7 @@
 			n.applyReadiness(s)
 			for _, l := range n.listeners {
 				if s.CloseConnections {
-					l.front.CloseQuiet()
+					l.front.CloseIdle()
 				}
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,10 +84,10 @@
 	Listen    func(network, address string) (net.Listener, error) // nil: net.Listen
 	Limit     func(config.Limits)                                 // keeps the process within its limits; nil: nothing does
 	Processes *hotrestart.Processes                               // of this node's processes; nil: this one is alone
-	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.Patience
+	Start     context.Context                                     // once it ends, the start waits for no socket; nil: it does so for netlistener.OpenTimeout
 	Fault     func(point string) error                            // for tests: an error has a step of a change fail
 	schedule  *shutdownSchedule                                   // for tests: instead of what follows from the configuration
-	settle    *time.Duration                                      // for tests: instead of upstream.DefaultSettle
+	settle    *time.Duration                                      // for tests: instead of upstream.DefaultSettleDelay
 	watch     func(*discovery.Watch)                              // for tests: changes a watch before it begins
 	back      func(*upstream.Pool)                                // for tests: the same of a pool's connections
 	adopt     func()                                              // for tests: called just before and after a change's rules are adopted
@@ -98,7 +98,7 @@
 	if o.Start == nil {
 		o.Start = context.Background()
 	}
-	return context.WithTimeout(o.Start, netlistener.Patience)
+	return context.WithTimeout(o.Start, netlistener.OpenTimeout)
 }
 
 // Limit keeps the process within its cores and its memory.
@@ -145,7 +145,7 @@
 		closingSockets:    map[string]chan struct{}{},
 	}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
-	n.clients = downstream.New(n.clock, downstream.Share{}, n.servers.Used)
+	n.clients = downstream.New(n.clock, downstream.Limits{}, n.servers.Used)
 	if o.Processes != nil {
 		n.hasSuccessor = !o.Processes.TakePrimary()
 	}
@@ -184,7 +184,7 @@
 		spare /= 2
 	}
 	n.servers.Resize(capacity / 2)
-	n.clients.Resize(downstream.Share{Capacity: capacity, Minimum: capacity / 4, Spare: spare})
+	n.clients.Resize(downstream.Limits{Capacity: capacity, ServerMinimum: capacity / 4, Reserve: spare})
 	if n.options.Limit != nil {
 		n.options.Limit(limits)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -64,7 +64,7 @@
 	cfg := testConfig(list)
 	*cfg.registry() = ag.Address()
 	n, _ := startNode(t, cfg, nil)
-	if got := n.limitsOf(cfg.Config, cfg.Pools[0]).Settle; got != upstream.DefaultSettle {
+	if got := n.limitsOf(cfg.Config, cfg.Pools[0]).SettleDelay; got != upstream.DefaultSettleDelay {
 		t.Errorf("connections to servers settle for %v", got)
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -31,7 +31,7 @@
 
 // limitsOf are the limits on a pool's connections to servers.
 func (n *Node) limitsOf(c *config.Config, p config.Pool) upstream.Limits {
-	settle := upstream.DefaultSettle
+	settle := upstream.DefaultSettleDelay
 	if n.options.settle != nil {
 		settle = *n.options.settle
 	}
@@ -39,7 +39,7 @@
 		MaxConnections: p.Connections.Most,
 		ConnectTimeout: time.Duration(p.Connections.ConnectTimeout),
 		IdleTimeout:    time.Duration(p.Connections.Idle),
-		Settle:         settle,
+		SettleDelay:    settle,
 		LoadField:      p.LoadReports.Busy,
 		PollPath:       p.LoadReports.PollPath,
 		LocalIP:        c.LeavesFrom(p),
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -133,7 +133,7 @@
 
 // serveConnections has open connections serve for as long as the schedule says, and while there are any.
 func (s *shutdown) serveConnections() {
-	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Open() > 0 {
+	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Len() > 0 {
 		clock.Sleep(s.node.incarnation, drainStep)
 	}
 }
@@ -156,9 +156,9 @@
 			s.answer()
 		}
 		if isDue {
-			clients.CutHalf() // a request completed at this moment is rejected, whatever comes later is not read
+			clients.AbortPartialRequests() // a request completed at this moment is rejected, whatever comes later is not read
 		}
-		owed := clients.Owed()
+		owed := clients.PendingResponses()
 		if answered && owed == 0 && elapsed >= s.schedule.finish {
 			return nil // who is left has not closed, or doesn't take its response
 		}
@@ -180,7 +180,7 @@
 // closeIdle closes idle client connections and returns how many connections are left of all.
 func (s *shutdown) closeIdle() int {
 	for _, f := range s.fronts {
-		f.CloseQuiet()
+		f.CloseIdle()
 	}
-	return s.node.clients.Open()
+	return s.node.clients.Len()
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -153,10 +153,10 @@
 // A step of a shutdown that is stalled between two looks at the clock still answers what is open: the clock moves on by more
 // than the time to the last responses with each reading.
 func TestStalledShutdownStepAnswersOpenRequests(t *testing.T) {
-	clients := downstream.New(clock.New(), downstream.Share{Capacity: 10, Minimum: 1}, func() int { return 0 })
+	clients := downstream.New(clock.New(), downstream.Limits{Capacity: 10, ServerMinimum: 1}, func() int { return 0 })
 	open := &openConn{}
 	clients.Add(open, nil)
-	if !clients.Begin(open) {
+	if !clients.BeginRequest(open) {
 		t.Fatal("the request was not taken")
 	}
 	reading := time.Duration(0)
@@ -170,7 +170,7 @@
 		},
 		answer: func() {
 			answered++
-			clients.End(open)
+			clients.EndRequest(open)
 			clients.Remove(open)
 		},
 	}
@@ -182,9 +182,9 @@
 // openConn is a client connection with an open request.
 type openConn struct{ downstream.Conn }
 
-func (c *openConn) CloseIdle() bool      { return false }
-func (c *openConn) IsCut() bool          { return false }
-func (c *openConn) CutOff()              {}
-func (c *openConn) HasBegun() bool       { return false }
-func (c *openConn) Owes() bool           { return true }
-func (c *openConn) Quiet() time.Duration { return 0 }
+func (c *openConn) CloseIdle() bool              { return false }
+func (c *openConn) ReadAborted() bool            { return false }
+func (c *openConn) AbortRead()                   {}
+func (c *openConn) RequestStarted() bool         { return false }
+func (c *openConn) ResponsePending() bool        { return true }
+func (c *openConn) SinceLastRead() time.Duration { return 0 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -70,7 +70,7 @@
 		done <- started{n, err}
 	}()
 	for i, held := range []io.Closer{front, management, room, links} {
-		testpeer.Until(t, "the next socket to be tried", func() bool { return log.Count("a socket can't be opened and is tried again") > i })
+		testpeer.Until(t, "the next socket to be tried", func() bool { return log.Count("opening a socket failed; retrying") > i })
 		held.Close()
 	}
 	got := testpeer.Receive(t, done, "the start")
@@ -98,7 +98,7 @@
 		_, err := New(cfg, slog.New(slog.NewTextHandler(log, nil)), Options{Start: ctx})
 		failed <- err
 	}()
-	testpeer.Until(t, "a try", func() bool { return log.Count("a socket can't be opened and is tried again") > 0 })
+	testpeer.Until(t, "a try", func() bool { return log.Count("opening a socket failed; retrying") > 0 })
 	cancel()
 	err := testpeer.Receive(t, failed, "the start's end")
 	if !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), `listener "main": `+front.Addr().String()) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -34,7 +34,7 @@
 	s := Status{
 		Listeners: map[string]ListenerStatus{},
 		Pools:     map[string]PoolStatus{},
-		Clients:   n.clients.Open(),
+		Clients:   n.clients.Len(),
 		Ready:     n.requests.Snapshot().Ready() && n.readiness.StateAt(n.clock.Now()).Ready,
 	}
 	for name, l := range n.listeners {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -33,7 +33,7 @@
 	if c == nil {
 		return engine.Outcome{Result: result}
 	}
-	if result, begins := p.mayBegin(ctx, a, c); !begins {
+	if result, begins := p.tryStart(ctx, a, c); !begins {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: result}
 	}
@@ -64,7 +64,7 @@
 			p.abandon(c, waiter)
 			return nil, nil, balancer.NotStarted
 		}
-		err = p.begin(c, waiter)
+		err = p.beginExchange(c, waiter)
 		switch {
 		case err == nil:
 			return c, waiter, 0
@@ -76,9 +76,9 @@
 	}
 }
 
-// mayBegin reports whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
+// tryStart reports whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
 // long: its client may have disconnected by then, its time may be over, and its server may have been told to drain.
-func (p *Pool) mayBegin(ctx context.Context, a *engine.Attempt, c *conn) (result balancer.Result, begins bool) {
+func (p *Pool) tryStart(ctx context.Context, a *engine.Attempt, c *conn) (result balancer.Result, begins bool) {
 	p.mu.Lock()
 	ready := p.isReady(c.host)
 	p.mu.Unlock()
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -87,20 +87,20 @@
 		return pool.idle[h][0]
 	}
 	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
-	pool.limits.Settle = 20 * time.Millisecond
-	testpeer.Until(t, "the connection to settle", func() bool { return pool.clock.Now()-idle().idleSince >= pool.limits.Settle })
+	pool.limits.SettleDelay = 20 * time.Millisecond
+	testpeer.Until(t, "the connection to settle", func() bool { return pool.clock.Now()-idle().idleSince >= pool.limits.SettleDelay })
 	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
 	if pool.dialed != 1 {
 		t.Fatalf("%d connections made, want 1", pool.dialed)
 	}
-	pool.limits.Settle = 100 * time.Millisecond
+	pool.limits.SettleDelay = 100 * time.Millisecond
 	pool.mu.Lock()
 	pool.idle[h][0].exchangeTime = testpeer.Limit // as if the exchange had been long against that
 	rested := pool.idle[h][0].idleSince
 	pool.mu.Unlock()
 	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
-	if c := idle(); pool.dialed != 1 || c.begunAt-rested < pool.limits.Settle {
-		t.Errorf("%d connections made, begun %v behind the answer before; want 1, %v", pool.dialed, c.begunAt-rested, pool.limits.Settle)
+	if c := idle(); pool.dialed != 1 || c.startedAt-rested < pool.limits.SettleDelay {
+		t.Errorf("%d connections made, begun %v behind the answer before; want 1, %v", pool.dialed, c.startedAt-rested, pool.limits.SettleDelay)
 	}
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -21,7 +21,7 @@
 	reader       *bufio.Reader // over limited; empty between replies
 	dialTime     time.Duration // that it took to come up: what is written takes less to arrive
 	idleSince    time.Duration // clock time of its last reply's end
-	begunAt      time.Duration // clock time at which the request on it was begun
+	startedAt    time.Duration // clock time at which the request on it was begun
 	exchangeTime time.Duration // from there to the end of the reply, the last time
 
 	// Guarded by Pool.mu.
@@ -76,23 +76,23 @@
 
 // maxSettleWait is how long the connection is waited for to settle rather than another opened.
 func (c *conn) maxSettleWait() time.Duration {
-	return max(c.dialTime, time.Duration(maxSettleShare*float64(c.exchangeTime)))
+	return max(c.dialTime, time.Duration(maxSettleFraction*float64(c.exchangeTime)))
 }
 
-// begin has a request written next, unless the server has closed the connection or sent something meanwhile, which can be
+// beginExchange has a request written next, unless the server has closed the connection or sent something meanwhile, which can be
 // no reply to it: then the connection is closed, and another will do. The error is errUnsolicited, or errNoCapacity where the
 // system could not tell.
-func (p *Pool) begin(c *conn, waiter chan reply) error {
+func (p *Pool) beginExchange(c *conn, waiter chan reply) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.waiter != waiter {
 		return errUnsolicited
 	}
 	err := errUnsolicited
-	switch inputOf(c.Conn, p.receive) {
+	switch inputStateOf(c.Conn, p.recvfrom) {
 	case inputNone:
 		c.stage = stageWriting
-		c.begunAt = p.clock.Now()
+		c.startedAt = p.clock.Now()
 		return nil
 	case inputUnknown:
 		err = errNoCapacity
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -12,15 +12,17 @@
 )
 
 // halfConn breaks in the middle of a write.
-type halfConn struct{ net.Conn }
+type partialWriteConn struct{ net.Conn }
 
-func (c halfConn) Write(p []byte) (int, error) {
+func (c partialWriteConn) Write(p []byte) (int, error) {
 	n, _ := c.Conn.Write(p[:len(p)-1])
 	c.Conn.Close()
 	return n, errors.New("broken")
 }
 
-func (c halfConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
+func (c partialWriteConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
 
 func TestBreakBeforeTheLastByteIsUnreachable(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
@@ -29,7 +31,7 @@
 		t.Fatal(err)
 	}
 	pool := newTestPool(10)
-	pool.addIdle(halfConn{nc}, listServer(pool, s.Address()))
+	pool.addIdle(partialWriteConn{nc}, listServer(pool, s.Address()))
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Unreachable || pool.open != 0 {
 		t.Errorf("result %d, %d open", r.Result, pool.open)
 	}
@@ -103,7 +105,7 @@
 	pool.open = 1
 	pool.share.TryAcquire()
 	c := pool.newConn(nc, listServer(pool, "127.0.0.1:1"), waiter)
-	if pool.begin(c, waiter) == nil || pool.open != 0 {
+	if pool.beginExchange(c, waiter) == nil || pool.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", pool.open)
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,9 +10,9 @@
 	"damsontrestle/internal/discovery"
 )
 
-// lateDialAfter is how long a connect may take before its attempt takes another connection that is free. It is longer than
+// lateDialThreshold is how long a connect may take before its attempt takes another connection that is free. It is longer than
 // any takes that comes up at once, and as short as a wait for one to settle.
-const lateDialAfter = 10 * time.Millisecond
+const lateDialThreshold = 10 * time.Millisecond
 
 // MaxDials is how many connects one attempt makes at most, the further ones after failures for want of something on this
 // machine.
@@ -23,9 +23,9 @@
 
 // dialResult is how the opening of a connection ended.
 type dialResult struct {
-	conn net.Conn
-	took time.Duration
-	err  error
+	conn     net.Conn
+	duration time.Duration
+	err      error
 }
 
 // dialOrReuse opens a connection to a server in a place that take has reserved. Where that is late to come up, one to the same
@@ -39,7 +39,7 @@
 		defer cancel()
 		up <- p.dialWithRetries(dialCtx, ctx, to)
 	}()
-	late := time.NewTimer(lateDialAfter)
+	late := time.NewTimer(lateDialThreshold)
 	defer late.Stop()
 	select {
 	case d := <-up:
@@ -49,11 +49,11 @@
 	case <-late.C:
 	}
 	want := &wantConn{waiter: waiter, delivered: make(chan *conn, 1)}
-	p.queueWant(to, want)
+	p.queueForIdleConn(to, want)
 	select {
 	case d := <-up:
 		detach()
-		p.cancelWant(to, want)
+		p.cancelWantConn(to, want)
 		c, err = p.dialDone(d, to, waiter)
 		return c, true, 0, err
 	case c = <-want.delivered:
@@ -62,7 +62,7 @@
 	go p.keepLateConn(up, to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c, false, p.settleTime(c, p.clock.Now()), nil
+	return c, false, p.remainingSettleDelay(c, p.clock.Now()), nil
 }
 
 // dialWithRetries opens a connection in a place that reserve has taken, and gives the place back if it can't. What the node
@@ -94,7 +94,7 @@
 	}
 	begin := p.clock.Now()
 	nc, err := dial(ctx, "tcp", to.Endpoint)
-	return dialResult{conn: nc, took: p.clock.Now() - begin, err: err}
+	return dialResult{conn: nc, duration: p.clock.Now() - begin, err: err}
 }
 
 // netDialer returns a dialer within the limits of now.
@@ -117,7 +117,7 @@
 		return nil, fmt.Errorf("connect to %s: %w", to.Endpoint, d.err)
 	}
 	c := p.newConn(d.conn, to, waiter)
-	c.dialTime = d.took
+	c.dialTime = d.duration
 	return c, nil
 }
 
@@ -133,7 +133,7 @@
 	if c.discarded {
 		return
 	}
-	c.dialTime = d.took
+	c.dialTime = d.duration
 	c.idleSince = p.clock.Now()
 	p.putIdle(c)
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -49,10 +49,10 @@
 }
 
 // wantCount counts the attempts that would take another connection than their own.
-func (p *Pool) wantCount() int {
+func (p *Pool) wantConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return total(p.wanting)
+	return total(p.wantConns)
 }
 
 // idleCount counts the idle connections.
@@ -81,7 +81,7 @@
 	testpeer.Receive(t, got, "the first request at its server")
 	go attempt()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return pool.wantCount() == 1 })
+	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return pool.wantConnCount() == 1 })
 	release()
 	for range 2 {
 		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Result != balancer.Success {
@@ -109,13 +109,13 @@
 	a := newTestAttempt(pool, s.Address())
 	go func() { second <- pool.Run(a) }()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantCount() == 1 })
+	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantConnCount() == 1 })
 	a.Cancel()
 	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
-	if pool.wantCount() != 0 || pool.Connections() != 1 {
-		t.Errorf("%d would borrow, %d connections; want none, 1", pool.wantCount(), pool.Connections())
+	if pool.wantConnCount() != 0 || pool.Connections() != 1 {
+		t.Errorf("%d would borrow, %d connections; want none, 1", pool.wantConnCount(), pool.Connections())
 	}
 	release()
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success || s.Seen() != 1 {
@@ -131,13 +131,13 @@
 	testpeer.Until(t, "the connection to rest", func() bool { return pool.idleCount() == 1 })
 	to := listServer(pool, s.Address())
 	w := &wantConn{waiter: make(chan reply, 1), delivered: make(chan *conn, 1)}
-	pool.queueWant(to, w)
+	pool.queueForIdleConn(to, w)
 	if pool.idleCount() != 0 || len(w.delivered) != 1 {
 		t.Fatal("the idle connection was not lent")
 	}
-	pool.cancelWant(to, w)
-	if pool.idleCount() != 1 || pool.wantCount() != 0 {
-		t.Errorf("%d rest, %d borrow; want 1, 0", pool.idleCount(), pool.wantCount())
+	pool.cancelWantConn(to, w)
+	if pool.idleCount() != 1 || pool.wantConnCount() != 0 {
+		t.Errorf("%d rest, %d borrow; want 1, 0", pool.idleCount(), pool.wantConnCount())
 	}
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 {
 		t.Errorf("result %d, %d connections made", r.Result, pool.dialed)
@@ -161,7 +161,7 @@
 		lent <- c
 	}()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantCount() == 1 })
+	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantConnCount() == 1 })
 	release()
 	c := testpeer.Receive(t, lent, "the first attempt's connection")
 	testpeer.Until(t, "the connection's end to be seen", func() bool {
@@ -169,7 +169,7 @@
 		defer pool.mu.Unlock()
 		return c.discarded
 	})
-	if pool.begin(c, waiter) == nil {
+	if pool.beginExchange(c, waiter) == nil {
 		t.Error("a request was to be written to a connection that its server had closed")
 	}
 	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -55,5 +55,5 @@
 
 // hasInput reports whether a connection has something to read, or has ended.
 func hasInput(nc net.Conn) bool {
-	return inputOf(nc, syscall.Recvfrom) == inputPending
+	return inputStateOf(nc, syscall.Recvfrom) == inputPending
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -28,7 +28,7 @@
 func (p *Pool) take(to discovery.Host, waiter chan reply) (c *conn, settles time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, settles = p.soonest(to)
+	c, settles = p.earliestUsable(to)
 	if (c == nil || settles > c.maxSettleWait()) && p.reserve() {
 		return nil, 0, nil
 	}
@@ -46,14 +46,14 @@
 	return nil, 0, errNoCapacity
 }
 
-// soonest returns the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none.
+// earliestUsable returns the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none.
 // Of those that have settled it is the one used last: one that has been idle for longer is likelier to be closed by its server
 // just then. Only where none has settled one is waited for, and rather one that may be. The caller holds mu.
-func (p *Pool) soonest(to discovery.Host) (c *conn, settles time.Duration) {
+func (p *Pool) earliestUsable(to discovery.Host) (c *conn, settles time.Duration) {
 	now := p.clock.Now()
 	mayWait := false // for c
 	for _, candidate := range slices.Backward(p.idle[to]) {
-		remaining := p.settleTime(candidate, now)
+		remaining := p.remainingSettleDelay(candidate, now)
 		if remaining <= 0 {
 			return candidate, 0
 		}
@@ -65,9 +65,9 @@
 	return c, settles
 }
 
-// settleTime returns how long a connection has yet to settle at a clock time; not positive: it has. The caller holds mu.
-func (p *Pool) settleTime(c *conn, now time.Duration) time.Duration {
-	return c.idleSince + p.limits.Settle - now
+// remainingSettleDelay returns how long a connection has yet to settle at a clock time; not positive: it has. The caller holds mu.
+func (p *Pool) remainingSettleDelay(c *conn, now time.Duration) time.Duration {
+	return c.idleSince + p.limits.SettleDelay - now
 }
 
 // reserve takes a place for one more connection, if there is one. The caller holds mu.
@@ -93,7 +93,7 @@
 		p.discard(c)
 		return
 	}
-	if p.deliver(c) {
+	if p.deliverIdleConn(c) {
 		return
 	}
 	p.idle[c.host] = append(p.idle[c.host], c)
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -10,19 +10,19 @@
 	MaxConnections int           // open or being opened
 	ConnectTimeout time.Duration // for one connect
 	IdleTimeout    time.Duration // after which servers close an idle connection
-	Settle         time.Duration // behind a reply, before the next request may follow: see DefaultSettle
+	SettleDelay    time.Duration // behind a reply, before the next request may follow: see DefaultSettleDelay
 	LoadField      string        // name that X-Load has for the requests in flight at a server; empty: no report is read
 	PollPath       string        // where servers answer with their load report alone; empty: they are not polled
 	LocalIP        net.IP        // that connections go out from; nil: any
 }
 
-// DefaultSettle is longer than a second reply comes behind the first where a server gives two, which is some
+// DefaultSettleDelay is longer than a second reply comes behind the first where a server gives two, which is some
 // milliseconds: written before it has come, the next request would get it for its own.
-const DefaultSettle = 10 * time.Millisecond
+const DefaultSettleDelay = 10 * time.Millisecond
 
-// maxSettleShare is the part of an exchange's time that the next one may wait for its connection to settle, rather than have
+// maxSettleFraction is the part of an exchange's time that the next one may wait for its connection to settle, rather than have
 // one more opened: a handshake costs the server work, and may take longer than expected.
-const maxSettleShare = 0.25
+const maxSettleFraction = 0.25
 
 // maxIdle returns how long a connection may be idle: closed a little before the server does, or a request might cross
 // its close and end as a reset.
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -22,8 +22,8 @@
 // that has come.
 const pollGrace = time.Second
 
-// loadOf returns the load report that came with a reply, or nil.
-func (p *Pool) loadOf(h http.Header) *balancer.Load {
+// loadReport returns the load report that came with a reply, or nil.
+func (p *Pool) loadReport(h http.Header) *balancer.Load {
 	p.mu.Lock()
 	field := p.limits.LoadField
 	p.mu.Unlock()
@@ -83,7 +83,7 @@
 		if err != nil {
 			return reply{err: err}
 		}
-		err = p.begin(c, waiter)
+		err = p.beginExchange(c, waiter)
 		if err == nil {
 			return p.pollOn(ctx, c, waiter, path)
 		}
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -73,7 +73,7 @@
 }
 
 // withPolls has a backend read reports and ask for them.
-func withPolls(pool *Pool) *Pool {
+func enablePolls(pool *Pool) *Pool {
 	l := pool.limits
 	l.LoadField, l.PollPath = "inflight", "/stats"
 	pool.SetLimits(l)
@@ -97,7 +97,7 @@
 	if _, ok := pool.Poll(to, testpeer.Limit); ok {
 		t.Error("a server was asked though the pool says nothing of it")
 	}
-	withPolls(pool)
+	enablePolls(pool)
 	for range 3 {
 		if busy, ok := pool.Poll(to, testpeer.Limit); !ok || busy != 5 {
 			t.Errorf("it says %v, %v; want 5", busy, ok)
@@ -121,7 +121,7 @@
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
-	pool := withPolls(newTestPool(10))
+	pool := enablePolls(newTestPool(10))
 	if busy, ok := pool.Poll(listServer(pool, s.Address()), time.Millisecond); ok {
 		t.Errorf("it says %v before it has answered", busy)
 	}
@@ -132,7 +132,7 @@
 		return len(pool.idle) == 1 && pool.open == 1 || pool.open == 0 // or it took longer than it may
 	})
 	pool.Close()
-	dead := withPolls(newTestPool(10))
+	dead := enablePolls(newTestPool(10))
 	if _, ok := dead.Poll(listServer(dead, "127.0.0.1:1"), testpeer.Limit); ok {
 		t.Error("nobody listens there, and it answered")
 	}
@@ -143,7 +143,7 @@
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
-	back := withPolls(newTestPool(10))
+	back := enablePolls(newTestPool(10))
 	to := listServer(back, s.Address())
 	for b.Loop() {
 		if _, ok := back.Poll(to, testpeer.Limit); !ok {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -26,16 +26,16 @@
 	share    *descriptors.Share // of all connections to servers, over all pools
 	counters *metrics.Set
 	dial     dialFunc // nil: a net.Dialer's
-	receive  receiver
-
-	mu      sync.Mutex
-	limits  Limits
-	idle    map[discovery.Host][]*conn     // the oldest first
-	wanting map[discovery.Host][]*wantConn // attempts whose own connections are late, the longest waiting first
-	open    int                            // connections that are open or being opened
-	dialed  int                            // connections that were ever opened, or tried to
-	listed  map[string]discovery.Target    // the listed servers by id
-	closed  bool
+	recvfrom recvfromFunc
+
+	mu        sync.Mutex
+	limits    Limits
+	idle      map[discovery.Host][]*conn     // the oldest first
+	wantConns map[discovery.Host][]*wantConn // attempts whose own connections are late, the longest waiting first
+	open      int                            // connections that are open or being opened
+	dialed    int                            // connections that were ever opened, or tried to
+	listed    map[string]discovery.Target    // the listed servers by id
+	closed    bool
 }
 
 // dialFunc opens a connection as net.Dialer.DialContext does.
@@ -44,14 +44,14 @@
 // NewPool returns a Pool that knows no servers yet. All its connections count against the share.
 func NewPool(c clock.Clock, share *descriptors.Share, counters *metrics.Set, limits Limits) *Pool {
 	return &Pool{
-		clock:    c,
-		share:    share,
-		counters: counters,
-		receive:  syscall.Recvfrom,
-		limits:   limits,
-		idle:     map[discovery.Host][]*conn{},
-		wanting:  map[discovery.Host][]*wantConn{},
-		listed:   map[string]discovery.Target{},
+		clock:     c,
+		share:     share,
+		counters:  counters,
+		recvfrom:  syscall.Recvfrom,
+		limits:    limits,
+		idle:      map[discovery.Host][]*conn{},
+		wantConns: map[discovery.Host][]*wantConn{},
+		listed:    map[string]discovery.Target{},
 	}
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -199,6 +199,6 @@
 	testpeer.Until(t, "all that has gone to be forgotten", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return len(pool.listed) == 1 && len(pool.idle) <= 1 && len(pool.wanting) == 0 && pool.open <= 1 && runtime.NumGoroutine() <= before+5
+		return len(pool.listed) == 1 && len(pool.idle) <= 1 && len(pool.wantConns) == 0 && pool.open <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -51,12 +51,12 @@
 
 // watchReplies hands each reply on a connection to the attempt that waits for it, and discards the connection when it ends or
 // brings something that no request asked for. Until a request is being written it leaves what comes to the kernel, where
-// begin sees it.
+// beginExchange sees it.
 func (p *Pool) watchReplies(c *conn) {
 	for {
-		awaitInput(c.Conn, p.receive)
+		awaitInput(c.Conn, p.recvfrom)
 		r, reusable := p.nextReply(c)
-		if !p.handOver(c, r, reusable) {
+		if !p.deliverReply(c, r, reusable) {
 			return
 		}
 	}
@@ -73,8 +73,8 @@
 	return p.readReply(c)
 }
 
-// handOver gives a reply to the attempt that waits for it. It reports whether the connection's reader goes on.
-func (p *Pool) handOver(c *conn, r reply, reusable bool) (goesOn bool) {
+// deliverReply gives a reply to the attempt that waits for it. It reports whether the connection's reader goes on.
+func (p *Pool) deliverReply(c *conn, r reply, reusable bool) (goesOn bool) {
 	p.mu.Lock()
 	waiter := c.waiter
 	c.waiter = nil
@@ -84,7 +84,7 @@
 	case waiter != nil && reusable:
 		goesOn = true
 		c.idleSince = r.At
-		c.exchangeTime = r.At - c.begunAt
+		c.exchangeTime = r.At - c.startedAt
 		if c.stage == stageWritten { // a reply that came early must not let another request into this one
 			p.putIdle(c)
 		}
@@ -136,7 +136,7 @@
 	}
 	reusable = isFramed(resp) && !resp.Close
 	r.At = p.clock.Now()
-	r.Load = p.loadOf(resp.Header)
+	r.Load = p.loadReport(resp.Header)
 	r.Result = balancer.Success
 	r.Reply.ContentType = resp.Header.Get("Content-Type")
 	r.Reply.Length = resp.ContentLength
@@ -161,7 +161,7 @@
 // readFailure reads a reply that is no 200. Its body is read for the connection's sake alone.
 func (p *Pool) readFailure(c *conn, resp *http.Response) (r reply, reusable bool) {
 	r.At = p.clock.Now()
-	r.Load = p.loadOf(resp.Header)
+	r.Load = p.loadReport(resp.Header)
 	r.Result = balancer.Failure
 	if isRejection(resp) {
 		r.Result = balancer.Overloaded
--- a/internal/upstream/settled_test.go
+++ b/internal/upstream/settle_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			pool := newTestPool(10)
-			pool.limits.Settle = settle
+			pool.limits.SettleDelay = settle
 			h := listServer(pool, "127.0.0.1:1")
 			var idle []*conn
 			for _, i := range c.idle {
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -31,8 +31,8 @@
 	return "input state " + strconv.Itoa(int(s))
 }
 
-// receiver is syscall.Recvfrom, or what a test has instead.
-type receiver func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
+// recvfromFunc is syscall.Recvfrom, or what a test has instead.
+type recvfromFunc func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
 // rawConn returns the connection below the runtime's, or nil if there is none.
 func rawConn(nc net.Conn) syscall.RawConn {
@@ -48,7 +48,7 @@
 }
 
 // peekInput looks into the kernel's buffer of a connection without reading it.
-func peekInput(fd uintptr, receive receiver) inputState {
+func peekInput(fd uintptr, receive recvfromFunc) inputState {
 	var one [1]byte
 	for {
 		_, _, err := receive(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -65,7 +65,7 @@
 }
 
 // awaitInput waits until a connection has bytes to read, has been closed by either side, or has failed.
-func awaitInput(nc net.Conn, receive receiver) {
+func awaitInput(nc net.Conn, receive recvfromFunc) {
 	raw := rawConn(nc)
 	if raw == nil {
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// inputOf returns the state of a connection's input now. A connection that can't be looked into counts as pending, one
+// inputStateOf returns the state of a connection's input now. A connection that can't be looked into counts as pending, one
 // without a socket as none.
-func inputOf(nc net.Conn, receive receiver) inputState {
+func inputStateOf(nc net.Conn, receive recvfromFunc) inputState {
 	raw := rawConn(nc)
 	if raw == nil {
 		return inputNone
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -83,7 +83,7 @@
 }
 
 // failingReceiver has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
-func failingReceiver(errnos ...syscall.Errno) (receive receiver, requests *atomic.Int32) {
+func failingReceiver(errnos ...syscall.Errno) (receive recvfromFunc, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
 	return func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
 		if n := int(requests.Add(1)); n <= len(errnos) {
@@ -99,7 +99,7 @@
 	ours, theirs := testpeer.Pair(t)
 	peek := func(errnos ...syscall.Errno) inputState {
 		receive, _ := failingReceiver(errnos...)
-		return inputOf(ours, receive)
+		return inputStateOf(ours, receive)
 	}
 	if got := peek(syscall.EINTR); got != inputNone {
 		t.Errorf("silent, interrupted: input %v, want none", got)
@@ -154,7 +154,7 @@
 	s := testpeer.NewServer(t, testpeer.Echo)
 	pool := newTestPool(10)
 	var short atomic.Bool
-	pool.receive = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
+	pool.recvfrom = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
 		if short.Load() {
 			return -1, nil, syscall.ENOMEM
 		}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -19,8 +19,8 @@
 	writeResultGrace = 200 * time.Millisecond // that a reply may be ahead of the word that its request is written completely
 )
 
-// errAttemptOver ends reads of a request for an attempt that has ended.
-var errAttemptOver = errors.New("the attempt is over")
+// errAttemptEnded ends reads of a request for an attempt that has ended.
+var errAttemptEnded = errors.New("the attempt is over")
 
 // attemptBody reads the rest of a request's body for one attempt, and notes what became of it.
 type attemptBody struct {
@@ -37,7 +37,7 @@
 // Read implements io.Reader.
 func (b *attemptBody) Read(p []byte) (int, error) {
 	if !b.mayRead() {
-		return 0, errAttemptOver
+		return 0, errAttemptEnded
 	}
 	n, err := b.Reader.Read(p)
 	b.mu.Lock()
