--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -143,8 +143,8 @@
 func (s *Set) SetPhase(c Conn, p Phase) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.conns[c]; a != nil {
-		s.setPhase(a, p)
+	if info := s.conns[c]; info != nil {
+		s.setPhase(info, p)
 		if p != PhaseLingering {
 			s.evictExcess()
 		}
@@ -154,22 +154,22 @@
 func (s *Set) Remove(c Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a := s.conns[c]; a != nil {
-		s.setPhase(a, PhaseLingering)
+	if info := s.conns[c]; info != nil {
+		s.setPhase(info, PhaseLingering)
 		delete(s.conns, c)
 	}
 }
 
 // setPhase sets the phase of a connection. The caller holds mu.
-func (s *Set) setPhase(a *connInfo, p Phase) {
-	if a.closing {
+func (s *Set) setPhase(info *connInfo, p Phase) {
+	if info.closing {
 		s.closing--
 	}
 	if p != PhaseActive {
-		s.requests -= a.requests
-		a.requests = 0
+		s.requests -= info.requests
+		info.requests = 0
 	}
-	a.phase, a.since, a.closing = p, s.clock.Now(), false
+	info.phase, info.since, info.closing = p, s.clock.Now(), false
 }
 
 // BeginRequest counts a request of a connection as open. It reports false, so that the request is rejected, if more requests
@@ -179,12 +179,12 @@
 func (s *Set) BeginRequest(c Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.conns[c]
-	if a == nil {
+	info := s.conns[c]
+	if info == nil {
 		return false
 	}
-	s.setPhase(a, PhaseActive)
-	a.requests++
+	s.setPhase(info, PhaseActive)
+	info.requests++
 	s.requests++
 	if s.requests > s.limits.Capacity/2 || c.ReadAborted() {
 		s.counts.refused++
@@ -194,16 +194,16 @@
 }
 
 // EndRequest counts one request of a connection as answered, and returns how many of its requests are still open.
-func (s *Set) EndRequest(c Conn) (left int) {
+func (s *Set) EndRequest(c Conn) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.conns[c]
-	if a == nil || a.requests == 0 {
+	info := s.conns[c]
+	if info == nil || info.requests == 0 {
 		return 0
 	}
-	a.requests--
+	info.requests--
 	s.requests--
-	return a.requests
+	return info.requests
 }
 
 // excess returns the number of connections beyond maxConns. The caller holds mu.
@@ -242,9 +242,9 @@
 		rank int
 	}
 	var candidates []candidate
-	for c, a := range s.conns {
-		if rank := s.evictionRank(c, a, now); !a.closing && rank > 0 {
-			candidates = append(candidates, candidate{c, a, rank})
+	for c, info := range s.conns {
+		if rank := s.evictionRank(c, info, now); !info.closing && rank > 0 {
+			candidates = append(candidates, candidate{c, info, rank})
 		}
 	}
 	slices.SortFunc(candidates, func(x, y candidate) int {
@@ -258,44 +258,44 @@
 }
 
 // evictionRank returns the order in which a connection may be closed, from 1, or 0 if it may not.
-func (s *Set) evictionRank(c Conn, a *connInfo, now time.Duration) int {
-	age := now - a.since
+func (s *Set) evictionRank(c Conn, info *connInfo, now time.Duration) int {
+	age := now - info.since
 	sinceRead := c.SinceLastRead()
 	if s.excess() > s.limits.Reserve/2 {
 		age, sinceRead = age*graceDivisor, sinceRead*graceDivisor
 	}
-	switch partial := a.phase == PhaseReading || a.phase != PhaseActive && c.RequestStarted(); {
-	case a.phase == PhaseLingering && age >= s.gracePeriods.Lingering:
+	switch partial := info.phase == PhaseReading || info.phase != PhaseActive && c.RequestStarted(); {
+	case info.phase == PhaseLingering && age >= s.gracePeriods.Lingering:
 		return 1
 	case partial && min(age, sinceRead) >= s.gracePeriods.Partial: // a client that keeps sending is only slow
 		return 2
-	case a.phase == PhaseNew && !partial && age >= s.gracePeriods.New:
+	case info.phase == PhaseNew && !partial && age >= s.gracePeriods.New:
 		return 3
-	case a.phase == PhaseIdle && !partial && age >= s.gracePeriods.Idle:
+	case info.phase == PhaseIdle && !partial && age >= s.gracePeriods.Idle:
 		return 4
 	}
 	return 0
 }
 
 // evict closes a connection if that is allowed, and counts it as closing. The caller holds mu.
-func (s *Set) evict(c Conn, a *connInfo) {
+func (s *Set) evict(c Conn, info *connInfo) {
 	closing := true
 	switch {
-	case a.closing:
-	case a.phase == PhaseLingering:
+	case info.closing:
+	case info.phase == PhaseLingering:
 		c.Abort()
-	case a.phase == PhaseReading || a.phase == PhaseNew && c.RequestStarted():
+	case info.phase == PhaseReading || info.phase == PhaseNew && c.RequestStarted():
 		c.AbortRead()
 	default:
 		closing = c.CloseIdle()
 	}
-	s.markClosing(a, closing)
+	s.markClosing(info, closing)
 }
 
 // markClosing counts a connection as closing if it closes and was not counted yet. The caller holds mu.
-func (s *Set) markClosing(a *connInfo, closing bool) {
-	if closing && !a.closing {
-		a.closing = true
+func (s *Set) markClosing(info *connInfo, closing bool) {
+	if closing && !info.closing {
+		info.closing = true
 		s.closing++
 		s.counts.evicted++
 	}
@@ -303,19 +303,19 @@
 
 // CloseIdle closes the connections of a front end that are idle or have sent nothing yet. If a request arrives on one at that
 // moment, it is read and answered. It returns how many connections the front end had before.
-func (s *Set) CloseIdle(frontEnd any) (left int) {
+func (s *Set) CloseIdle(frontEnd any) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, a := range s.conns {
-		if a.frontEnd != frontEnd {
+	for c, info := range s.conns {
+		if info.frontEnd != frontEnd {
 			continue
 		}
-		left++
-		if a.phase == PhaseIdle || a.phase == PhaseNew {
-			s.markClosing(a, c.CloseIdle())
+		count++
+		if info.phase == PhaseIdle || info.phase == PhaseNew {
+			s.markClosing(info, c.CloseIdle())
 		}
 	}
-	return left
+	return count
 }
 
 // AbortPartialRequests ends the wait for the rest of every incomplete request. It is used when the node shuts down: a request
@@ -323,8 +323,8 @@
 func (s *Set) AbortPartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, a := range s.conns {
-		if a.phase == PhaseReading || (a.phase == PhaseNew || a.phase == PhaseIdle) && c.RequestStarted() {
+	for c, info := range s.conns {
+		if info.phase == PhaseReading || (info.phase == PhaseNew || info.phase == PhaseIdle) && c.RequestStarted() {
 			c.AbortRead()
 		}
 	}
@@ -353,8 +353,8 @@
 func (s *Set) CountPhase(p Phase) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, a := range s.conns {
-		if a.phase == p {
+	for _, info := range s.conns {
+		if info.phase == p {
 			n++
 		}
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,7 +8,7 @@
 	"damsontrestle/internal/engine"
 )
 
-// Run implements engine.Backend: it makes an attempt and returns how it ended. Its connection is closed by then, or idle again.
+// Run implements engine.Backend: it makes an attempt and returns its outcome. Its connection is then closed or idle again.
 func (p *Pool) Run(a *engine.Attempt) engine.Outcome {
 	ctx, cancel := p.attemptContext(a)
 	defer cancel()
@@ -19,7 +19,8 @@
 	return outcome
 }
 
-// attemptContext ends with an attempt's time, and when it is called off. Of an upload the time begins with its end.
+// attemptContext returns a context that ends at the attempt's deadline or when it is cancelled. The deadline of an upload begins
+// only once its body is written completely, so its context has none.
 func (p *Pool) attemptContext(a *engine.Attempt) (context.Context, context.CancelFunc) {
 	if a.Request.Message.Rest != nil {
 		return context.WithCancel(a.Context())
@@ -27,13 +28,13 @@
 	return context.WithTimeout(a.Context(), p.clock.Until(a.Deadline))
 }
 
-// try makes an attempt on a connection of its own.
+// try makes an attempt on a connection that no other request uses meanwhile.
 func (p *Pool) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
 	c, waiter, result := p.acquire(ctx, a)
 	if c == nil {
 		return engine.Outcome{Result: result}
 	}
-	if result, begins := p.tryStart(ctx, a, c); !begins {
+	if result, ok := p.tryStart(ctx, a, c); !ok {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: result}
 	}
@@ -46,8 +47,8 @@
 	return p.exchange(ctx, a, c, waiter)
 }
 
-// acquire returns a connection on which the attempt's request may be written next, and the channel that takes the reply; or,
-// with no connection, how the attempt ends. Idle connections that turn out to be closed are replaced, fresh ones are not.
+// acquire returns a connection on which the attempt's request may be written next, and the channel that receives the reply; or,
+// without a connection, the result of the attempt. Idle connections that turn out to be closed are replaced, fresh ones are not.
 func (p *Pool) acquire(ctx context.Context, a *engine.Attempt) (c *conn, waiter chan reply, result balancer.Result) {
 	for {
 		waiter = make(chan reply, 1)
@@ -76,9 +77,9 @@
 	}
 }
 
-// tryStart reports whether an attempt may begin on its connection, and how it ends if not. What it waited for may have taken
-// long: its client may have disconnected by then, its time may be over, and its server may have been told to drain.
-func (p *Pool) tryStart(ctx context.Context, a *engine.Attempt, c *conn) (result balancer.Result, begins bool) {
+// tryStart reports whether an attempt may start on its connection, and its result if not. Waiting for the connection may have
+// taken long: meanwhile the client may have disconnected, the deadline passed, or the server been set to drain.
+func (p *Pool) tryStart(ctx context.Context, a *engine.Attempt, c *conn) (result balancer.Result, ok bool) {
 	p.mu.Lock()
 	ready := p.isReady(c.host)
 	p.mu.Unlock()
@@ -93,8 +94,8 @@
 	return balancer.NotStarted, false
 }
 
-// exchange writes a request whose body is complete and waits for its reply. The request goes in one write: what Write
-// returns tells whether its last byte left.
+// exchange writes a request whose body is complete and waits for its reply. The request goes in one write, whose result tells
+// whether the last byte was sent.
 func (p *Pool) exchange(ctx context.Context, a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	text, result := p.requestText(a)
 	if text == nil {
@@ -117,7 +118,7 @@
 	case sent < len(text) && isLocalShortage(err):
 		return engine.Outcome{Result: balancer.NotStarted}
 	case sent < len(text):
-		// The server never got the last byte, so it has not begun: sending again is harmless.
+		// The server did not get the last byte, so it cannot have run the request: a retry is safe.
 		return engine.Outcome{Result: balancer.Unreachable}
 	case ctx.Err() != nil:
 		return engine.Outcome{Result: balancer.TimedOut}
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -14,32 +14,32 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// An attempt whose connection comes up late does not begin if it may not by then: no byte of it is written, and its end
-// says that it never ran.
-func TestAttemptThatMayNoLongerBeginWritesNothing(t *testing.T) {
+// An attempt that may no longer start once its connection is open writes no byte of its request, and its result shows that it
+// never ran.
+func TestAttemptThatMayNotStartWritesNothing(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		cross func(*Pool, *engine.Attempt)
-		want  balancer.Result
+		name   string
+		action func(*Pool, *engine.Attempt)
+		want   balancer.Result
 	}{
-		{"called off", func(_ *Pool, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
-		{"its caller gone, where what has begun is not called off", func(_ *Pool, a *engine.Attempt) { a.CancelIfNotStarted() }, balancer.Cancelled},
-		{"its client gone, which its engine has not heard yet", func(pool *Pool, a *engine.Attempt) { a.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
-		{"its client gone, as the system alone knows", func(_ *Pool, a *engine.Attempt) {
+		{"cancelled", func(_ *Pool, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
+		{"client disconnected, started attempts are not cancelled", func(_ *Pool, a *engine.Attempt) { a.CancelIfNotStarted() }, balancer.Cancelled},
+		{"client disconnected, the engine not notified yet", func(pool *Pool, a *engine.Attempt) { a.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
+		{"client disconnected, known only to the kernel", func(_ *Pool, a *engine.Attempt) {
 			a.Request.Message.ClientDisconnected = func() bool { return true }
 		}, balancer.Cancelled},
-		{"its client gone, as the system alone knows, and its body still to come", func(_ *Pool, a *engine.Attempt) {
+		{"client disconnected, known only to the kernel, body incomplete", func(_ *Pool, a *engine.Attempt) {
 			a.Request.Message.ClientDisconnected, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
 		}, balancer.Cancelled},
-		{"its time over", func(pool *Pool, a *engine.Attempt) {
-			a.Deadline = a.SentAt + 1 // as it was decided on; Run has its own clock
+		{"deadline passed", func(pool *Pool, a *engine.Attempt) {
+			a.Deadline = a.SentAt + 1 // Run reads the clock later
 		}, balancer.NotStarted},
-		{"its keys' window over", func(pool *Pool, a *engine.Attempt) { a.NotAfter = pool.clock.Now() }, balancer.NotStarted},
-		{"its server drained", func(pool *Pool, a *engine.Attempt) {
+		{"idempotency window over", func(pool *Pool, a *engine.Attempt) { a.NotAfter = pool.clock.Now() }, balancer.NotStarted},
+		{"server draining", func(pool *Pool, a *engine.Attempt) {
 			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Draining}, Endpoint: a.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
-		{"its server gone from the whole list", func(pool *Pool, a *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
-		{"its server started anew", func(pool *Pool, a *engine.Attempt) {
+		{"server missing from a full snapshot", func(pool *Pool, a *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
+		{"server restarted", func(pool *Pool, a *engine.Attempt) {
 			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
 	} {
@@ -52,7 +52,7 @@
 			defer ln.Close()
 			go func() {
 				if conn, err := ln.Accept(); err == nil {
-					n, _ := conn.Read(make([]byte, 1)) // until the node closes it
+					n, _ := conn.Read(make([]byte, 1)) // blocks until the pool closes it
 					closed <- n
 					conn.Close()
 				}
@@ -61,82 +61,82 @@
 			dial := testpeer.NewLateDial()
 			pool.dial = dial.Dial
 			a := newTestAttempt(pool, ln.Addr().String())
-			end := make(chan engine.Outcome, 1)
-			go func() { end <- pool.Run(a) }()
+			outcome := make(chan engine.Outcome, 1)
+			go func() { outcome <- pool.Run(a) }()
 			testpeer.Receive(t, dial.Dialing, "the attempt to dial")
-			c.cross(pool, a)
+			c.action(pool, a)
 			close(dial.Up)
-			if r := testpeer.Receive(t, end, "the attempt's end"); r.Result != c.want || pool.Connections() != 0 {
-				t.Errorf("result %d, %d open; want %d", r.Result, pool.Connections(), c.want)
+			if r := testpeer.Receive(t, outcome, "the outcome of the attempt"); r.Result != c.want || pool.Connections() != 0 {
+				t.Errorf("result %d, %d connections; want result %d, no connection", r.Result, pool.Connections(), c.want)
 			}
 			if n := testpeer.Receive(t, closed, "the close"); n != 0 {
-				t.Error("a byte of it was written")
+				t.Error("a byte of the request was written")
 			}
 		})
 	}
 }
 
-// A connection that has settled is used again; one that soon will have is waited for rather than another opened.
+// A settled connection is reused; for one that settles soon the attempt waits rather than opening another.
 func TestSettledConnectionIsReused(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
+	server := testpeer.NewServer(t, testpeer.Echo)
 	pool := newTestPool(10)
-	h := listServer(pool, s.Address())
+	host := listServer(pool, server.Address())
 	idle := func() *conn {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return pool.idle[h][0]
+		return pool.idle[host][0]
 	}
-	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	runAttempt(t, pool, newTestAttempt(pool, server.Address()))
 	pool.limits.SettleDelay = 20 * time.Millisecond
 	testpeer.Until(t, "the connection to settle", func() bool { return pool.clock.Now()-idle().idleSince >= pool.limits.SettleDelay })
-	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+	runAttempt(t, pool, newTestAttempt(pool, server.Address()))
 	if pool.dialed != 1 {
-		t.Fatalf("%d connections made, want 1", pool.dialed)
+		t.Fatalf("%d dials, want 1", pool.dialed)
 	}
 	pool.limits.SettleDelay = 100 * time.Millisecond
 	pool.mu.Lock()
-	pool.idle[h][0].exchangeTime = testpeer.Limit // as if the exchange had been long against that
-	rested := pool.idle[h][0].idleSince
+	pool.idle[host][0].exchangeTime = testpeer.Limit // as if the exchange had been much longer than the settle delay
+	idleSince := pool.idle[host][0].idleSince
 	pool.mu.Unlock()
-	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
-	if c := idle(); pool.dialed != 1 || c.startedAt-rested < pool.limits.SettleDelay {
-		t.Errorf("%d connections made, begun %v behind the answer before; want 1, %v", pool.dialed, c.startedAt-rested, pool.limits.SettleDelay)
+	runAttempt(t, pool, newTestAttempt(pool, server.Address()))
+	if c := idle(); pool.dialed != 1 || c.startedAt-idleSince < pool.limits.SettleDelay {
+		t.Errorf("%d dials, request started %v after the last reply; want 1, at least %v", pool.dialed, c.startedAt-idleSince, pool.limits.SettleDelay)
 	}
 }
 
-// A process that is held up between reading its clock and writing tells its server what is left by then.
+// An attempt that is delayed between reading the clock and writing sends the deadline that then remains.
 func TestDelayedAttemptSendsRemainingDeadline(t *testing.T) {
-	const held = 100 * time.Millisecond
-	told := make(chan time.Duration, 1)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		left, _ := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
-		told <- time.Duration(left * float64(time.Second))
+	const delay = 100 * time.Millisecond
+	sent := make(chan time.Duration, 1)
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		remaining, _ := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
+		sent <- time.Duration(remaining * float64(time.Second))
 		return testpeer.Echo(c, r, body)
 	})
 	pool := newTestPool(10)
-	a := newTestAttempt(pool, s.Address())
-	looks, left := 0, time.Duration(0)
+	a := newTestAttempt(pool, server.Address())
+	checks, remaining := 0, time.Duration(0)
 	a.Request.Message.ClientDisconnected = func() bool {
-		if looks++; looks == 1 {
-			time.Sleep(held)
-			left = pool.clock.Until(a.Deadline)
+		if checks++; checks == 1 {
+			time.Sleep(delay)
+			remaining = pool.clock.Until(a.Deadline)
 		}
 		return false
 	}
 	runAttempt(t, pool, a)
-	if got := testpeer.Receive(t, told, "the request"); got <= 0 || got > left+maxTextAge || looks < 2 {
-		t.Errorf("told %v after %d looks, %v were left", got, looks, left)
+	if got := testpeer.Receive(t, sent, "the request"); got <= 0 || got > remaining+maxTextAge || checks < 2 {
+		t.Errorf("X-Deadline is %v after %d checks, %v remained", got, checks, remaining)
 	}
 }
 
-// What is told of the time that is left is never more than that.
+// The deadline sent to a server is never longer than the remaining time.
 func TestDeadlineHeaderIsNotRoundedUp(t *testing.T) {
-	for left, want := range map[time.Duration]string{
+	for remaining, want := range map[time.Duration]string{
 		480 * time.Millisecond: "0.480000", time.Second - 1: "0.999999", 1999: "0.000001", time.Microsecond: "0.000001",
 		3*time.Second + 1500: "3.000001", 90 * time.Second: "90.000000",
 	} {
-		if got := string(appendDeadline(nil, left)); got != want {
-			t.Errorf("%v: told %s, want %s", left, got, want)
+		if got := string(appendDeadline(nil, remaining)); got != want {
+			t.Errorf("%v: X-Deadline %s, want %s", remaining, got, want)
 		}
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,41 +12,41 @@
 	"damsontrestle/internal/netio"
 )
 
-// conn is a connection to a server. A goroutine of its own reads it for as long as it is open, so that one that the server
-// closes leaves the idle ones at once.
+// conn is a connection to a server. A goroutine of its own reads it as long as it is open, so that a connection closed by the
+// server is removed from the idle ones at once.
 type conn struct {
 	net.Conn
 	host         discovery.Host
 	limited      *limitedReader
-	reader       *bufio.Reader // over limited; empty between replies
-	dialTime     time.Duration // that it took to come up: what is written takes less to arrive
-	idleSince    time.Duration // clock time of its last reply's end
-	startedAt    time.Duration // clock time at which the request on it was begun
-	exchangeTime time.Duration // from there to the end of the reply, the last time
+	reader       *bufio.Reader // reads from limited; empty between replies
+	dialTime     time.Duration // duration of the connect, an upper bound of the time that a write takes to arrive
+	idleSince    time.Duration // clock time at which its last reply ended
+	startedAt    time.Duration // clock time at which the current request started
+	exchangeTime time.Duration // from the start of the last request to the end of its reply
 
 	// Guarded by Pool.mu.
-	waiter    chan reply // takes the one reply for the attempt on it; nil while idle
+	waiter    chan reply // receives the reply for the current attempt; nil while idle
 	stage     stage
 	discarded bool
-	streaming bool // the rest of a reply is read by a replyStream
+	streaming bool // a replyStream reads the rest of a reply
 }
 
-// Read goes on through failures that pass.
+// Read retries transient failures.
 func (c *conn) Read(p []byte) (int, error) { return netio.Read(c.Conn, p) }
 
-// Write goes on through failures that pass. How much was written proves how far the request came.
+// Write retries transient failures. The number of bytes written proves how much of the request was sent.
 func (c *conn) Write(p []byte) (int, error) { return netio.Write(c.Conn, p) }
 
-// stage is how far the request on a connection is.
+// stage is the progress of the request on a connection.
 type stage int
 
 const (
-	stageIdle    stage = iota // no byte of a request is written: whatever comes in answers none
-	stageWriting              // some of the request may be written
-	stageWritten              // all of it is
+	stageIdle    stage = iota // no byte of a request is written: input is unsolicited
+	stageWriting              // part of the request may be written
+	stageWritten              // the request is written completely
 )
 
-// String names the stage.
+// String implements fmt.Stringer.
 func (s stage) String() string {
 	switch s {
 	case stageIdle:
@@ -61,11 +61,12 @@
 
 // Errors of connections that carry no request.
 var (
-	errNoCapacity  = errors.New("the node has no resources left for a connection") // which is no server's fault
+	errNoCapacity  = errors.New("the node has no resources for a connection") // not caused by a server
 	errUnsolicited = errors.New("the server sent bytes or closed before a request was written")
 )
 
-// newConn starts the reader of a connection that has come up, for the attempt that waits on it or, with nil, for none yet.
+// newConn starts the reader of a new connection. waiter belongs to the attempt that waits for the connection, and is nil if there
+// is none yet.
 func (p *Pool) newConn(nc net.Conn, host discovery.Host, waiter chan reply) *conn {
 	c := &conn{Conn: nc, host: host, waiter: waiter}
 	c.limited = &limitedReader{Reader: c}
@@ -74,14 +75,14 @@
 	return c
 }
 
-// maxSettleWait is how long the connection is waited for to settle rather than another opened.
+// maxSettleWait is the longest time to wait for the connection to settle; beyond it, another connection is opened instead.
 func (c *conn) maxSettleWait() time.Duration {
 	return max(c.dialTime, time.Duration(maxSettleFraction*float64(c.exchangeTime)))
 }
 
-// beginExchange has a request written next, unless the server has closed the connection or sent something meanwhile, which can be
-// no reply to it: then the connection is closed, and another will do. The error is errUnsolicited, or errNoCapacity where the
-// system could not tell.
+// beginExchange marks a connection as written to by its attempt. If the server has closed it or sent bytes meanwhile, which
+// cannot be a reply to a request not yet written, the connection is closed instead and the attempt needs another. The error is
+// errUnsolicited, or errNoCapacity if the state of the connection could not be read.
 func (p *Pool) beginExchange(c *conn, waiter chan reply) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +103,7 @@
 	return err
 }
 
-// markWritten notes that a request is written completely, and frees the connection if its reply has come already.
+// markWritten records that a request is written completely, and makes the connection idle if its reply was read already.
 func (p *Pool) markWritten(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,8 +113,8 @@
 	}
 }
 
-// abandon closes a connection under the attempt that waits on it, unless its reply has come: then the
-// connection may serve another attempt already.
+// abandon closes the connection of an attempt that waits for a reply, unless the reply has arrived: then the connection may
+// serve another attempt already.
 func (p *Pool) abandon(c *conn, waiter chan reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +125,7 @@
 	}
 }
 
-// discard closes a connection and forgets it. The caller holds mu.
+// discard closes a connection and removes it from the pool. The caller holds mu.
 func (p *Pool) discard(c *conn) {
 	if c.discarded {
 		return
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -11,13 +11,13 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// halfConn breaks in the middle of a write.
+// partialWriteConn closes the connection after writing all but the last byte.
 type partialWriteConn struct{ net.Conn }
 
 func (c partialWriteConn) Write(p []byte) (int, error) {
 	n, _ := c.Conn.Write(p[:len(p)-1])
 	c.Conn.Close()
-	return n, errors.New("broken")
+	return n, errors.New("write: connection broken by the test")
 }
 
 func (c partialWriteConn) SyscallConn() (syscall.RawConn, error) {
@@ -33,57 +33,57 @@
 	pool := newTestPool(10)
 	pool.addIdle(partialWriteConn{nc}, listServer(pool, s.Address()))
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Unreachable || pool.open != 0 {
-		t.Errorf("result %d, %d open", r.Result, pool.open)
+		t.Errorf("result %d, %d connections open", r.Result, pool.open)
 	}
 	if s.Seen() != 0 {
-		t.Error("the server got the request")
+		t.Error("the server received the complete request")
 	}
 }
 
-// What came in before a request was written is no answer to it, and a close that the connection's reader
-// has not seen yet, as on a busy core, is found all the same: another connection is used.
+// Input that arrived before a request was written is no reply to it. It is detected, as is a close, even if the connection's
+// reader has not run yet, as on a busy core: another connection is used.
 func TestInputOrCloseBeforeRequestIsDetected(t *testing.T) {
-	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
+	for name, input := range map[string]string{"close": "", "unsolicited reply": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
-			s := testpeer.NewServer(t, testpeer.Echo)
-			early, err := net.Listen("tcp", "127.0.0.1:0")
+			server := testpeer.NewServer(t, testpeer.Echo)
+			silent, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer early.Close()
-			nc, err := net.Dial("tcp", early.Addr().String())
+			defer silent.Close()
+			nc, err := net.Dial("tcp", silent.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer nc.Close()
 			if hasInput(nc) {
-				t.Fatal("a silent open connection is said to have spoken or closed")
+				t.Fatal("an open connection without input is reported to have input")
 			}
-			other, err := early.Accept()
+			peer, err := silent.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer other.Close()
+			defer peer.Close()
 			pool := newTestPool(10)
-			h := listServer(pool, s.Address())
+			host := listServer(pool, server.Address())
 			pool.open = 1
 			pool.share.TryAcquire()
-			pool.idle[h] = []*conn{{Conn: nc, host: h}} // with no reader
-			if say == "" {
-				other.Close()
+			pool.idle[host] = []*conn{{Conn: nc, host: host}} // without a reader goroutine
+			if input == "" {
+				peer.Close()
 			} else {
-				io.WriteString(other, say)
+				io.WriteString(peer, input)
 			}
-			testpeer.Until(t, "it to arrive", func() bool { return hasInput(nc) })
-			if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || pool.open != 1 {
-				t.Errorf("result %d, body %q, %d open", r.Result, r.Reply.Body, pool.open)
+			testpeer.Until(t, "the input or close to arrive", func() bool { return hasInput(nc) })
+			if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success || string(r.Reply.Body) != "for id" || pool.open != 1 {
+				t.Errorf("result %d, body %q, %d connections open", r.Result, r.Reply.Body, pool.open)
 			}
 		})
 	}
 }
 
-// A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
-// ends, and does not dial without end.
+// A fresh connection on which the server sends bytes or closes before a request does not count: the attempt ends, and does not
+// redial endlessly.
 func TestServerThatClosesOnAcceptIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,11 +94,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := ln.Accept()
+	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.Close()
+	peer.Close()
 	testpeer.Until(t, "the close to arrive", func() bool { return hasInput(nc) })
 	pool := newTestPool(10)
 	waiter := make(chan reply, 1)
@@ -106,6 +106,6 @@
 	pool.share.TryAcquire()
 	c := pool.newConn(nc, listServer(pool, "127.0.0.1:1"), waiter)
 	if pool.beginExchange(c, waiter) == nil || pool.open != 0 {
-		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", pool.open)
+		t.Errorf("beginExchange accepted a closed connection, or it is still counted: %d connections open", pool.open)
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,94 +10,92 @@
 	"damsontrestle/internal/discovery"
 )
 
-// lateDialThreshold is how long a connect may take before its attempt takes another connection that is free. It is longer than
-// any takes that comes up at once, and as short as a wait for one to settle.
+// lateDialThreshold is the duration of a connect after which its attempt takes a connection that becomes idle instead. It is
+// longer than a connect without packet loss takes, and as short as the settle delay.
 const lateDialThreshold = 10 * time.Millisecond
 
-// MaxDials is how many connects one attempt makes at most, the further ones after failures for want of something on this
-// machine.
+// MaxDials is the maximum number of connects of one attempt. Only connects that failed for lack of local resources are retried.
 const MaxDials = 4
 
-// dialBackoff is the pause before the second connect; it doubles with each.
+// dialBackoff is the pause before the second connect; it doubles for each further one.
 const dialBackoff = 5 * time.Millisecond
 
-// dialResult is how the opening of a connection ended.
+// dialResult is the result of opening a connection.
 type dialResult struct {
 	conn     net.Conn
 	duration time.Duration
 	err      error
 }
 
-// dialOrReuse opens a connection to a server in a place that take has reserved. Where that is late to come up, one to the same
-// server that is free sooner is taken instead, with the time that it has yet to settle, and the late one is kept for another
-// attempt: on a network that loses a handshake it comes up a second later than the replies of others take.
-func (p *Pool) dialOrReuse(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, settles time.Duration, err error) {
+// dialOrReuse opens a connection to a server for which take has reserved a place. If the connect is late, a connection to the same
+// server that becomes idle first is returned instead, with its remaining settle delay, and the late one is kept for another
+// attempt: on a network that loses a handshake packet, a connect takes a second longer, by which time other replies have come.
+func (p *Pool) dialOrReuse(ctx context.Context, host discovery.Host, waiter chan reply) (c *conn, fresh bool, settleDelay time.Duration, err error) {
 	dialCtx, cancel := context.WithCancel(context.Background())
-	detach := context.AfterFunc(ctx, cancel) // the dial ends with the attempt, unless another connection has taken its place
-	up := make(chan dialResult, 1)
+	detach := context.AfterFunc(ctx, cancel) // the dial ends with the attempt, unless the attempt takes another connection
+	dialed := make(chan dialResult, 1)
 	go func() {
 		defer cancel()
-		up <- p.dialWithRetries(dialCtx, ctx, to)
+		dialed <- p.dialWithRetries(dialCtx, ctx, host)
 	}()
-	late := time.NewTimer(lateDialThreshold)
-	defer late.Stop()
+	lateTimer := time.NewTimer(lateDialThreshold)
+	defer lateTimer.Stop()
 	select {
-	case d := <-up:
+	case result := <-dialed:
 		detach()
-		c, err = p.dialDone(d, to, waiter)
+		c, err = p.dialDone(result, host, waiter)
 		return c, true, 0, err
-	case <-late.C:
+	case <-lateTimer.C:
 	}
 	want := &wantConn{waiter: waiter, delivered: make(chan *conn, 1)}
-	p.queueForIdleConn(to, want)
+	p.queueForIdleConn(host, want)
 	select {
-	case d := <-up:
+	case result := <-dialed:
 		detach()
-		p.cancelWantConn(to, want)
-		c, err = p.dialDone(d, to, waiter)
+		p.cancelWantConn(host, want)
+		c, err = p.dialDone(result, host, waiter)
 		return c, true, 0, err
 	case c = <-want.delivered:
 	}
 	detach()
-	go p.keepLateConn(up, to)
+	go p.keepLateConn(dialed, host)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c, false, p.remainingSettleDelay(c, p.clock.Now()), nil
 }
 
-// dialWithRetries opens a connection in a place that reserve has taken, and gives the place back if it can't. What the node
-// itself is short of for a moment is waited for: other servers would be dialed in vain as well.
-func (p *Pool) dialWithRetries(ctx, attempt context.Context, to discovery.Host) dialResult {
-	d := p.dialOnce(ctx, to)
+// dialWithRetries opens a connection for which reserve has taken a place, and releases the place if it fails. A lack of local
+// resources is retried after a pause: dialing other servers would fail as well.
+func (p *Pool) dialWithRetries(ctx, attemptCtx context.Context, host discovery.Host) dialResult {
+	result := p.dialOnce(ctx, host)
 	backoff := dialBackoff
-	for dials := 1; dials < MaxDials && isLocalShortage(d.err); dials++ {
+	for dials := 1; dials < MaxDials && isLocalShortage(result.err); dials++ {
 		clock.Sleep(ctx, backoff)
-		if ctx.Err() != nil || attempt.Err() != nil { // an attempt's end takes a moment to reach its dial
+		if ctx.Err() != nil || attemptCtx.Err() != nil { // the end of the attempt takes a moment to cancel ctx
 			break
 		}
 		backoff *= 2
-		d = p.dialOnce(ctx, to)
+		result = p.dialOnce(ctx, host)
 	}
-	if d.err != nil {
+	if result.err != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.release()
 	}
-	return d
+	return result
 }
 
-// dialOnce makes one connect.
-func (p *Pool) dialOnce(ctx context.Context, to discovery.Host) dialResult {
+func (p *Pool) dialOnce(ctx context.Context, host discovery.Host) dialResult {
 	dial := p.dial
 	if dial == nil {
 		dial = p.netDialer().DialContext
 	}
-	begin := p.clock.Now()
-	nc, err := dial(ctx, "tcp", to.Endpoint)
-	return dialResult{conn: nc, duration: p.clock.Now() - begin, err: err}
+	start := p.clock.Now()
+	nc, err := dial(ctx, "tcp", host.Endpoint)
+	return dialResult{conn: nc, duration: p.clock.Now() - start, err: err}
 }
 
-// netDialer returns a dialer within the limits of now.
+// netDialer returns a dialer with the current limits.
 func (p *Pool) netDialer() *net.Dialer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,32 +106,32 @@
 	return dialer
 }
 
-// dialDone returns the connection that has come up for an attempt, or why there is none.
-func (p *Pool) dialDone(d dialResult, to discovery.Host, waiter chan reply) (*conn, error) {
-	if isLocalShortage(d.err) {
-		return nil, fmt.Errorf("connect to %s: %w: %w", to.Endpoint, errNoCapacity, d.err)
+// dialDone returns the connection that was opened for an attempt, or the error that wraps the failure.
+func (p *Pool) dialDone(result dialResult, host discovery.Host, waiter chan reply) (*conn, error) {
+	if isLocalShortage(result.err) {
+		return nil, fmt.Errorf("connect to %s: %w: %w", host.Endpoint, errNoCapacity, result.err)
 	}
-	if d.err != nil {
-		return nil, fmt.Errorf("connect to %s: %w", to.Endpoint, d.err)
+	if result.err != nil {
+		return nil, fmt.Errorf("connect to %s: %w", host.Endpoint, result.err)
 	}
-	c := p.newConn(d.conn, to, waiter)
-	c.dialTime = d.duration
+	c := p.newConn(result.conn, host, waiter)
+	c.dialTime = result.duration
 	return c, nil
 }
 
-// keepLateConn keeps a connection that comes up when its attempt has gone on by another.
-func (p *Pool) keepLateConn(up <-chan dialResult, to discovery.Host) {
-	d := <-up
-	if d.err != nil {
+// keepLateConn makes a connection idle that comes up after its attempt has taken another one.
+func (p *Pool) keepLateConn(dialed <-chan dialResult, host discovery.Host) {
+	result := <-dialed
+	if result.err != nil {
 		return
 	}
-	c := p.newConn(d.conn, to, nil)
+	c := p.newConn(result.conn, host, nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.discarded {
 		return
 	}
-	c.dialTime = d.duration
+	c.dialTime = result.duration
 	c.idleSince = p.clock.Now()
 	p.putIdle(c)
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -12,57 +12,57 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// delayLaterDials has all connections but the first come up only when the test lets them, or when their attempt ends.
-func delayLaterDials(pool *Pool) (dialing <-chan struct{}, let func()) {
-	begun, up := make(chan struct{}, 10), make(chan struct{})
+// delayLaterDials delays every dial but the first until release is called or the attempt ends.
+func delayLaterDials(pool *Pool) (dialing <-chan struct{}, release func()) {
+	started, proceed := make(chan struct{}, 10), make(chan struct{})
 	first := true
 	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if first {
 			first = false
 			return net.Dial(network, address)
 		}
-		begun <- struct{}{}
+		started <- struct{}{}
 		select {
-		case <-up:
+		case <-proceed:
 			return net.Dial(network, address)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	return begun, func() { close(up) }
+	return started, func() { close(proceed) }
 }
 
-// holdFirstRequest is a server that keeps its first request until it is released. behind is run once its answer is written.
-func holdFirstRequest(t *testing.T, behind func(net.Conn) bool) (s *testpeer.Server, got <-chan struct{}, release func()) {
-	came, let := make(chan struct{}, 1), make(chan struct{})
+// holdFirstRequest returns a server that holds its first request until it is released. afterReply is called once the reply is
+// written.
+func holdFirstRequest(t *testing.T, afterReply func(net.Conn) bool) (s *testpeer.Server, received <-chan struct{}, release func()) {
+	arrived, proceed := make(chan struct{}, 1), make(chan struct{})
 	first := true
 	s = testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if !first {
 			return testpeer.Echo(c, r, body)
 		}
 		first = false
-		came <- struct{}{}
-		<-let
-		return testpeer.Echo(c, r, body) && behind(c)
+		arrived <- struct{}{}
+		<-proceed
+		return testpeer.Echo(c, r, body) && afterReply(c)
 	})
-	return s, came, func() { close(let) }
+	return s, arrived, func() { close(proceed) }
 }
 
-// wantCount counts the attempts that would take another connection than their own.
+// wantConnCount returns the number of attempts that wait for an idle connection because their connect is late.
 func (p *Pool) wantConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return total(p.wantConns)
 }
 
-// idleCount counts the idle connections.
 func (p *Pool) idleCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return total(p.idle)
 }
 
-// total counts the entries of all hosts.
+// total returns the number of entries of all hosts.
 func total[T any](byHost map[discovery.Host][]T) (n int) {
 	for _, list := range byHost {
 		n += len(list)
@@ -70,109 +70,110 @@
 	return n
 }
 
-// An attempt whose connection is late goes over another to the same server once that is free. The late one serves the next.
+// An attempt whose connect is late takes another connection to the same server once that is idle. The late one serves the next
+// attempt.
 func TestIdleConnectionIsTakenWhileDialIsLate(t *testing.T) {
-	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return true })
+	server, received, release := holdFirstRequest(t, func(net.Conn) bool { return true })
 	pool := newTestPool(10)
-	dialing, let := delayLaterDials(pool)
-	ends := make(chan engine.Outcome, 2)
-	attempt := func() { ends <- pool.Run(newTestAttempt(pool, s.Address())) }
+	dialing, releaseDials := delayLaterDials(pool)
+	outcomes := make(chan engine.Outcome, 2)
+	attempt := func() { outcomes <- pool.Run(newTestAttempt(pool, server.Address())) }
 	go attempt()
-	testpeer.Receive(t, got, "the first request at its server")
+	testpeer.Receive(t, received, "the first request at the server")
 	go attempt()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "the second attempt's connection to be late", func() bool { return pool.wantConnCount() == 1 })
+	testpeer.Until(t, "the second connect to be late", func() bool { return pool.wantConnCount() == 1 })
 	release()
 	for range 2 {
-		if r := testpeer.Receive(t, ends, "an answer, with the second connection still on its way"); r.Result != balancer.Success {
+		if r := testpeer.Receive(t, outcomes, "a reply while the second connect is pending"); r.Result != balancer.Success {
 			t.Errorf("result %d", r.Result)
 		}
 	}
-	if s.Opened() != 1 {
-		t.Errorf("%d connections were opened, want 1", s.Opened())
+	if server.Opened() != 1 {
+		t.Errorf("%d connections opened, want 1", server.Opened())
 	}
-	let()
+	releaseDials()
 	testpeer.Until(t, "the late connection to be kept", func() bool { return pool.idleCount() == 2 })
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.Connections() != 2 || pool.dialed != 2 {
-		t.Errorf("result %d over %d connections, %d made; want two", r.Result, pool.Connections(), pool.dialed)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success || pool.Connections() != 2 || pool.dialed != 2 {
+		t.Errorf("result %d with %d connections, %d dials; want 2 each", r.Result, pool.Connections(), pool.dialed)
 	}
 }
 
-// An attempt that ends while its connection is on its way gives the connection's place back, and takes no other one.
+// An attempt that ends during its connect releases the connection's place, and takes no other connection.
 func TestDialEndsWithItsAttempt(t *testing.T) {
-	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return true })
+	server, received, release := holdFirstRequest(t, func(net.Conn) bool { return true })
 	pool := newTestPool(10)
 	dialing, _ := delayLaterDials(pool)
 	first, second := make(chan engine.Outcome, 1), make(chan engine.Outcome, 1)
-	go func() { first <- pool.Run(newTestAttempt(pool, s.Address())) }()
-	testpeer.Receive(t, got, "the first request at its server")
-	a := newTestAttempt(pool, s.Address())
+	go func() { first <- pool.Run(newTestAttempt(pool, server.Address())) }()
+	testpeer.Receive(t, received, "the first request at the server")
+	a := newTestAttempt(pool, server.Address())
 	go func() { second <- pool.Run(a) }()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantConnCount() == 1 })
+	testpeer.Until(t, "the second connect to be late", func() bool { return pool.wantConnCount() == 1 })
 	a.Cancel()
 	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
 	if pool.wantConnCount() != 0 || pool.Connections() != 1 {
-		t.Errorf("%d would borrow, %d connections; want none, 1", pool.wantConnCount(), pool.Connections())
+		t.Errorf("%d attempts wait for an idle connection, %d connections; want 0, 1", pool.wantConnCount(), pool.Connections())
 	}
 	release()
-	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success || s.Seen() != 1 {
-		t.Errorf("result %d, %d requests at the server", r.Result, s.Seen())
+	if r := testpeer.Receive(t, first, "the first reply"); r.Result != balancer.Success || server.Seen() != 1 {
+		t.Errorf("result %d, %d requests at the server", r.Result, server.Seen())
 	}
 }
 
-// A connection that is lent in the moment in which the attempt's own comes up goes back, and serves another.
+// A connection that is delivered when the attempt's own connect has just succeeded becomes idle, and serves another attempt.
 func TestUnneededDeliveredConnectionIsIdleAgain(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
+	server := testpeer.NewServer(t, testpeer.Echo)
 	pool := newTestPool(10)
-	runAttempt(t, pool, newTestAttempt(pool, s.Address()))
-	testpeer.Until(t, "the connection to rest", func() bool { return pool.idleCount() == 1 })
-	to := listServer(pool, s.Address())
-	w := &wantConn{waiter: make(chan reply, 1), delivered: make(chan *conn, 1)}
-	pool.queueForIdleConn(to, w)
-	if pool.idleCount() != 0 || len(w.delivered) != 1 {
-		t.Fatal("the idle connection was not lent")
+	runAttempt(t, pool, newTestAttempt(pool, server.Address()))
+	testpeer.Until(t, "the connection to be idle", func() bool { return pool.idleCount() == 1 })
+	host := listServer(pool, server.Address())
+	want := &wantConn{waiter: make(chan reply, 1), delivered: make(chan *conn, 1)}
+	pool.queueForIdleConn(host, want)
+	if pool.idleCount() != 0 || len(want.delivered) != 1 {
+		t.Fatal("the idle connection was not delivered")
 	}
-	pool.cancelWantConn(to, w)
+	pool.cancelWantConn(host, want)
 	if pool.idleCount() != 1 || pool.wantConnCount() != 0 {
-		t.Errorf("%d rest, %d borrow; want 1, 0", pool.idleCount(), pool.wantConnCount())
+		t.Errorf("%d idle connections, %d waiting attempts; want 1, 0", pool.idleCount(), pool.wantConnCount())
 	}
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 {
-		t.Errorf("result %d, %d connections made", r.Result, pool.dialed)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success || pool.dialed != 1 {
+		t.Errorf("result %d, %d dials", r.Result, pool.dialed)
 	}
 }
 
-// A connection that its server closes right behind the answer, when it is lent already, carries no other request.
+// A connection that the server closes right after the reply, when it is delivered already, carries no other request.
 func TestBrokenDeliveredConnectionIsNotUsed(t *testing.T) {
-	s, got, release := holdFirstRequest(t, func(net.Conn) bool { return false })
+	server, received, release := holdFirstRequest(t, func(net.Conn) bool { return false })
 	pool := newTestPool(10)
 	dialing, _ := delayLaterDials(pool)
 	first := make(chan engine.Outcome, 1)
-	go func() { first <- pool.Run(newTestAttempt(pool, s.Address())) }()
-	testpeer.Receive(t, got, "the first request at its server")
-	waiter, lent := make(chan reply, 1), make(chan *conn, 1)
-	if c, _, err := pool.take(listServer(pool, s.Address()), waiter); c != nil || err != nil {
-		t.Fatalf("%v, %v; want room for another connection", c, err)
+	go func() { first <- pool.Run(newTestAttempt(pool, server.Address())) }()
+	testpeer.Receive(t, received, "the first request at the server")
+	waiter, delivered := make(chan reply, 1), make(chan *conn, 1)
+	if c, _, err := pool.take(listServer(pool, server.Address()), waiter); c != nil || err != nil {
+		t.Fatalf("take returned %v, %v; want a reserved place", c, err)
 	}
 	go func() {
-		c, _, _, _ := pool.dialOrReuse(t.Context(), listServer(pool, s.Address()), waiter)
-		lent <- c
+		c, _, _, _ := pool.dialOrReuse(t.Context(), listServer(pool, server.Address()), waiter)
+		delivered <- c
 	}()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
-	testpeer.Until(t, "its connection to be late", func() bool { return pool.wantConnCount() == 1 })
+	testpeer.Until(t, "the second connect to be late", func() bool { return pool.wantConnCount() == 1 })
 	release()
-	c := testpeer.Receive(t, lent, "the first attempt's connection")
-	testpeer.Until(t, "the connection's end to be seen", func() bool {
+	c := testpeer.Receive(t, delivered, "the first attempt's connection")
+	testpeer.Until(t, "the close by the server to be noticed", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
 		return c.discarded
 	})
 	if pool.beginExchange(c, waiter) == nil {
-		t.Error("a request was to be written to a connection that its server had closed")
+		t.Error("beginExchange accepted a connection that the server had closed")
 	}
-	if r := testpeer.Receive(t, first, "the first answer"); r.Result != balancer.Success {
+	if r := testpeer.Receive(t, first, "the first reply"); r.Result != balancer.Success {
 		t.Errorf("result %d", r.Result)
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -15,33 +15,33 @@
 	"damsontrestle/internal/testpeer"
 )
 
-func newTestPool(most int) *Pool {
-	return NewPool(clock.New(), descriptors.NewShare(most), &metrics.Set{}, Limits{MaxConnections: most, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
+func newTestPool(limit int) *Pool {
+	return NewPool(clock.New(), descriptors.NewShare(limit), &metrics.Set{}, Limits{MaxConnections: limit, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
 }
 
-// listServer has the backend know a server that is named by its endpoint.
+// listServer adds a server that is named by its endpoint to the pool's endpoint list.
 func listServer(pool *Pool, endpoint string) discovery.Host {
 	t := discovery.Target{Server: balancer.Server{ID: endpoint, State: balancer.Ready}, Endpoint: endpoint}
 	pool.Servers([]discovery.Target{t}, false)
 	return t.Host()
 }
 
-// newTestAttempt is an attempt at an endpoint with all the time in the world.
+// newTestAttempt returns an attempt at an endpoint with a deadline after testpeer.Limit.
 func newTestAttempt(pool *Pool, endpoint string) *engine.Attempt {
 	now := pool.clock.Now()
-	c := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
-	return engine.NewAttempt(c, 0, listServer(pool, endpoint), now, now+testpeer.Limit)
+	request := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Body: []byte("body")})
+	return engine.NewAttempt(request, 0, listServer(pool, endpoint), now, now+testpeer.Limit)
 }
 
-// runAttempt makes an attempt that must end within the testpeer.Limit.
+// runAttempt runs an attempt, which must end within testpeer.Limit.
 func runAttempt(t *testing.T, pool *Pool, a *engine.Attempt) engine.Outcome {
 	t.Helper()
-	end := make(chan engine.Outcome, 1)
-	go func() { end <- pool.Run(a) }()
-	return testpeer.Receive(t, end, "the attempt's end")
+	outcome := make(chan engine.Outcome, 1)
+	go func() { outcome <- pool.Run(a) }()
+	return testpeer.Receive(t, outcome, "the outcome of the attempt")
 }
 
-// addIdle puts a connection among the idle ones.
+// addIdle adds an idle connection.
 func (p *Pool) addIdle(nc net.Conn, to discovery.Host) {
 	waiter := make(chan reply, 1)
 	p.open++
@@ -53,7 +53,7 @@
 	p.idle[to] = append(p.idle[to], c)
 }
 
-// hasInput reports whether a connection has something to read, or has ended.
+// hasInput reports whether a connection has unread input or was closed.
 func hasInput(nc net.Conn) bool {
 	return inputStateOf(nc, syscall.Recvfrom) == inputPending
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -9,34 +9,34 @@
 	"damsontrestle/internal/discovery"
 )
 
-// connect returns an idle connection to a server, the one used last, or a fresh one. The error wraps errNoCapacity if the
-// node itself is short of something.
-func (p *Pool) connect(ctx context.Context, to discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
-	c, settles, err := p.take(to, waiter)
+// connect returns the idle connection to a server that was used last, or a fresh one. The error wraps errNoCapacity if the node
+// itself lacks resources.
+func (p *Pool) connect(ctx context.Context, host discovery.Host, waiter chan reply) (c *conn, fresh bool, err error) {
+	c, settleDelay, err := p.take(host, waiter)
 	if c == nil && err == nil {
-		c, fresh, settles, err = p.dialOrReuse(ctx, to, waiter)
+		c, fresh, settleDelay, err = p.dialOrReuse(ctx, host, waiter)
 	}
-	if settles > 0 {
-		clock.Sleep(ctx, settles)
+	if settleDelay > 0 {
+		clock.Sleep(ctx, settleDelay)
 	}
 	return c, fresh, err
 }
 
-// take returns an idle connection and how long it has yet to settle, or nil once a place to open one is reserved. One that
-// has not settled is taken if it soon will have, or if no other can be opened. When short, idle connections to other servers
-// are closed.
-func (p *Pool) take(to discovery.Host, waiter chan reply) (c *conn, settles time.Duration, err error) {
+// take returns an idle connection and its remaining settle delay, or nil once a place for a new connection is reserved. A
+// connection that has not settled is taken if it will soon, or if no other can be opened. If there is no place, idle connections
+// to other servers are closed.
+func (p *Pool) take(host discovery.Host, waiter chan reply) (c *conn, settleDelay time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, settles = p.earliestUsable(to)
-	if (c == nil || settles > c.maxSettleWait()) && p.reserve() {
+	c, settleDelay = p.earliestUsable(host)
+	if (c == nil || settleDelay > c.maxSettleWait()) && p.reserve() {
 		return nil, 0, nil
 	}
 	if c != nil {
 		p.removeIdle(c)
 		c.waiter = waiter
 		c.stage = stageIdle
-		return c, settles, nil
+		return c, settleDelay, nil
 	}
 	for p.discardOldestIdle() {
 		if p.reserve() {
@@ -46,31 +46,33 @@
 	return nil, 0, errNoCapacity
 }
 
-// earliestUsable returns the idle connection to a host that is of use first, and how long it has yet to settle; nil: there is none.
-// Of those that have settled it is the one used last: one that has been idle for longer is likelier to be closed by its server
-// just then. Only where none has settled one is waited for, and rather one that may be. The caller holds mu.
-func (p *Pool) earliestUsable(to discovery.Host) (c *conn, settles time.Duration) {
+// earliestUsable returns the idle connection to a host that is usable first and its remaining settle delay, or nil if there is
+// none. Of the settled ones it is the one used last: the longer a connection has been idle, the likelier its server is about to
+// close it. If none has settled, a connection whose wait is within its maxSettleWait is preferred, then the shortest wait. The
+// caller holds mu.
+func (p *Pool) earliestUsable(host discovery.Host) (c *conn, settleDelay time.Duration) {
 	now := p.clock.Now()
-	mayWait := false // for c
-	for _, candidate := range slices.Backward(p.idle[to]) {
+	shortWait := false // c settles within its maxSettleWait
+	for _, candidate := range slices.Backward(p.idle[host]) {
 		remaining := p.remainingSettleDelay(candidate, now)
 		if remaining <= 0 {
 			return candidate, 0
 		}
-		may := remaining <= candidate.maxSettleWait()
-		if c == nil || may && !mayWait || may == mayWait && remaining < settles {
-			c, settles, mayWait = candidate, remaining, may
+		short := remaining <= candidate.maxSettleWait()
+		if c == nil || short && !shortWait || short == shortWait && remaining < settleDelay {
+			c, settleDelay, shortWait = candidate, remaining, short
 		}
 	}
-	return c, settles
+	return c, settleDelay
 }
 
-// remainingSettleDelay returns how long a connection has yet to settle at a clock time; not positive: it has. The caller holds mu.
+// remainingSettleDelay returns how long a connection still has to settle at a clock time; it is not positive once the connection
+// has settled. The caller holds mu.
 func (p *Pool) remainingSettleDelay(c *conn, now time.Duration) time.Duration {
 	return c.idleSince + p.limits.SettleDelay - now
 }
 
-// reserve takes a place for one more connection, if there is one. The caller holds mu.
+// reserve reserves a place for one more connection, and reports whether there was one. The caller holds mu.
 func (p *Pool) reserve() bool {
 	if p.open >= p.limits.MaxConnections || !p.share.TryAcquire() {
 		return false
@@ -80,14 +82,14 @@
 	return true
 }
 
-// release gives a connection's place back. The caller holds mu.
+// release releases a connection's place. The caller holds mu.
 func (p *Pool) release() {
 	p.open--
 	p.share.Release()
 }
 
-// putIdle keeps a connection for the next attempt, if its server is still the incarnation that it was opened to. The caller
-// holds mu.
+// putIdle makes a connection available to the next attempt. It closes the connection if the pool is closed or the server is no
+// longer ready as the incarnation that it was opened to. The caller holds mu.
 func (p *Pool) putIdle(c *conn) {
 	if p.closed || !p.isReady(c.host) {
 		p.discard(c)
@@ -99,7 +101,7 @@
 	p.idle[c.host] = append(p.idle[c.host], c)
 }
 
-// removeIdle takes a connection from the idle ones, if it is among them. The caller holds mu.
+// removeIdle removes a connection from the idle ones, if it is idle. The caller holds mu.
 func (p *Pool) removeIdle(c *conn) {
 	idle := p.idle[c.host]
 	if i := slices.Index(idle, c); i >= 0 {
@@ -110,7 +112,8 @@
 	}
 }
 
-// discardOldestIdle closes the connection that has been idle for longest. It reports whether there was one. The caller holds mu.
+// discardOldestIdle closes the connection that has been idle for longest, and reports whether there was one. The caller holds
+// mu.
 func (p *Pool) discardOldestIdle() bool {
 	var oldest *conn
 	for _, idle := range p.idle {
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Limits bound a pool's connections to servers, and say what is read of their replies.
+// Limits bound a pool's connections to servers and configure their load reports.
 type Limits struct {
 	MaxConnections int           // open or being opened
 	ConnectTimeout time.Duration // for one connect
 	IdleTimeout    time.Duration // after which servers close an idle connection
-	SettleDelay    time.Duration // behind a reply, before the next request may follow: see DefaultSettleDelay
-	LoadField      string        // name that X-Load has for the requests in flight at a server; empty: no report is read
-	PollPath       string        // where servers answer with their load report alone; empty: they are not polled
-	LocalIP        net.IP        // that connections go out from; nil: any
+	SettleDelay    time.Duration // between a reply and the next request, see DefaultSettleDelay
+	LoadField      string        // key in X-Load of the requests in flight at a server; if empty, no report is read
+	PollPath       string        // path at which servers return only their load report; if empty, they are not polled
+	LocalIP        net.IP        // source address of connections; nil for any
 }
 
-// DefaultSettleDelay is longer than a second reply comes behind the first where a server gives two, which is some
-// milliseconds: written before it has come, the next request would get it for its own.
+// DefaultSettleDelay is longer than the time by which a second reply follows the first where a server sends two, which is some
+// milliseconds: a request written before it arrives would be given the second reply as its own.
 const DefaultSettleDelay = 10 * time.Millisecond
 
-// maxSettleFraction is the part of an exchange's time that the next one may wait for its connection to settle, rather than have
-// one more opened: a handshake costs the server work, and may take longer than expected.
+// maxSettleFraction is the fraction of the last exchange's duration that the next request may wait for its connection to settle,
+// instead of opening another one: a handshake costs the server work and may take longer than expected.
 const maxSettleFraction = 0.25
 
-// maxIdle returns how long a connection may be idle: closed a little before the server does, or a request might cross
-// its close and end as a reset.
+// maxIdle returns how long a connection may be idle. It is closed a little before the server does, or a request could cross the
+// server's close and be reset.
 func (l Limits) maxIdle() time.Duration { return l.IdleTimeout - l.IdleTimeout/10 }
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -12,17 +12,17 @@
 	"damsontrestle/internal/discovery"
 )
 
-// Bounds of a load report. A longer one is noise.
+// Bounds of a load report. Reports beyond them are ignored as malformed.
 const (
 	maxReport = 1 << 10 // bytes
-	maxLoad   = 1e6     // requests that a server may say it has in flight
+	maxLoad   = 1e6     // requests in flight that a server may report
 )
 
-// pollGrace is how much longer a connection is kept for a reply that nobody waits for any more: it is of use again once
-// that has come.
+// pollGrace is how much longer a connection is kept open for the reply of a poll that has timed out: the connection is usable
+// again once the reply has arrived.
 const pollGrace = time.Second
 
-// loadReport returns the load report that came with a reply, or nil.
+// loadReport returns the load report in the header of a reply, or nil.
 func (p *Pool) loadReport(h http.Header) *balancer.Load {
 	p.mu.Lock()
 	field := p.limits.LoadField
@@ -37,9 +37,9 @@
 	return &balancer.Load{Busy: busy, Service: -1}
 }
 
-// Poll implements engine.Backend: a GET without an id, on a connection that requests use too. Like any reply, one that comes
-// too late frees its connection; one that does not come closes it.
-func (p *Pool) Poll(to discovery.Host, within time.Duration) (busy float64, ok bool) {
+// Poll implements engine.Backend: it sends a GET without a request id on a connection shared with requests. A late reply makes
+// the connection idle, as any reply does; without a reply the connection is closed.
+func (p *Pool) Poll(host discovery.Host, timeout time.Duration) (busy float64, ok bool) {
 	p.mu.Lock()
 	path := p.limits.PollPath
 	field := p.limits.LoadField
@@ -49,21 +49,21 @@
 	}
 	got := make(chan reply, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), within+pollGrace)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout+pollGrace)
 		defer cancel()
-		got <- p.poll(ctx, to, path)
+		got <- p.poll(ctx, host, path)
 	}()
-	timeout := time.NewTimer(within)
-	defer timeout.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case r := <-got:
 		return polledLoad(r, field)
-	case <-timeout.C:
+	case <-timer.C:
 		return 0, false
 	}
 }
 
-// polledLoad returns the load that the reply to a poll reports, in its body or else in its header.
+// polledLoad returns the load reported by the reply to a poll, in its body or otherwise in its header.
 func polledLoad(r reply, field string) (busy float64, ok bool) {
 	if r.err != nil || r.Result != balancer.Success {
 		return 0, false
@@ -75,11 +75,11 @@
 	return busy, ok
 }
 
-// poll polls a server on a connection of its own.
-func (p *Pool) poll(ctx context.Context, to discovery.Host, path string) reply {
+// poll polls a server on a connection that no request uses meanwhile.
+func (p *Pool) poll(ctx context.Context, host discovery.Host, path string) reply {
 	for {
 		waiter := make(chan reply, 1)
-		c, fresh, err := p.connect(ctx, to, waiter)
+		c, fresh, err := p.connect(ctx, host, waiter)
 		if err != nil {
 			return reply{err: err}
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// pollOn writes a poll to a connection and waits for its reply, of which only what is kept is read.
+// pollOn writes a poll to a connection and waits for its reply. Of the body only the buffered part is read.
 func (p *Pool) pollOn(ctx context.Context, c *conn, waiter chan reply, path string) reply {
 	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
 	defer stop()
@@ -108,7 +108,7 @@
 }
 
 // parseLoad returns the value of one field of a load report of the form "TEXT inflight=7, queue=2, util=0.61" (the platform's
-// protocol, Nodes to servers). false: the report is malformed, or the value is out of bounds.
+// protocol, Nodes to servers). It reports false if the report is malformed or the value is out of bounds.
 func parseLoad(report, field string) (float64, bool) {
 	text, ok := strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
 	if !ok || len(report) > maxReport {
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// An answer's report reaches the module only where the pool says what it is called; an error may bring one too.
+// The load report of a reply is read only if the pool configures its field; the reply to a failed request may have one too.
 func TestLoadReportComesWithReply(t *testing.T) {
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		status := "200 OK"
 		if r.URL.Path == "/note/bad" {
 			status = "500 Internal Server Error"
@@ -56,35 +56,35 @@
 		return err == nil
 	})
 	pool := newTestPool(10)
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Load != nil {
-		t.Errorf("a report was read that nobody asked for: %+v", r.Load)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Load != nil {
+		t.Errorf("a report was read without a configured field: %+v", r.Load)
 	}
-	l := pool.limits
-	l.LoadField = "inflight"
-	pool.SetLimits(l)
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Load == nil || r.Load.Busy != 3 || r.Load.Service >= 0 {
-		t.Errorf("the report is %+v, want 3 calls held", r.Load)
+	limits := pool.limits
+	limits.LoadField = "inflight"
+	pool.SetLimits(limits)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Load == nil || r.Load.Busy != 3 || r.Load.Service >= 0 {
+		t.Errorf("the load report is %+v, want 3 requests in flight", r.Load)
 	}
-	a := newTestAttempt(pool, s.Address())
+	a := newTestAttempt(pool, server.Address())
 	a.Request.Message.Target = "/note/bad"
 	if r := runAttempt(t, pool, a); r.Load == nil || r.Load.Busy != 3 {
-		t.Errorf("an error's report is %+v, want 3 calls held", r.Load)
+		t.Errorf("the load report of an error is %+v, want 3 requests in flight", r.Load)
 	}
 }
 
-// withPolls has a backend read reports and ask for them.
+// enablePolls configures the field of load reports and the path of polls.
 func enablePolls(pool *Pool) *Pool {
-	l := pool.limits
-	l.LoadField, l.PollPath = "inflight", "/stats"
-	pool.SetLimits(l)
+	limits := pool.limits
+	limits.LoadField, limits.PollPath = "inflight", "/stats"
+	pool.SetLimits(limits)
 	return pool
 }
 
-// A server that is asked says what it holds; nothing of a request goes there, and its connection serves requests afterwards.
+// A poll returns the server's load. It carries no request id, and its connection serves requests afterwards.
 func TestPollReadsLoadReport(t *testing.T) {
-	ids := make(chan string, 10)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
-		ids <- r.URL.Path + " " + r.Header.Get("X-Request-Id")
+	requests := make(chan string, 10)
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+		requests <- r.URL.Path + " " + r.Header.Get("X-Request-Id")
 		body := "ok"
 		if r.URL.Path == "/stats" {
 			body = "TEXT inflight=5, queue=1\r\n"
@@ -93,61 +93,61 @@
 		return err == nil
 	})
 	pool := newTestPool(10)
-	to := listServer(pool, s.Address())
-	if _, ok := pool.Poll(to, testpeer.Limit); ok {
-		t.Error("a server was asked though the pool says nothing of it")
+	host := listServer(pool, server.Address())
+	if _, ok := pool.Poll(host, testpeer.Limit); ok {
+		t.Error("a server was polled without a configured path")
 	}
 	enablePolls(pool)
 	for range 3 {
-		if busy, ok := pool.Poll(to, testpeer.Limit); !ok || busy != 5 {
-			t.Errorf("it says %v, %v; want 5", busy, ok)
+		if busy, ok := pool.Poll(host, testpeer.Limit); !ok || busy != 5 {
+			t.Errorf("Poll returned %v, %v; want 5", busy, ok)
 		}
 	}
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success || pool.dialed != 1 || pool.open != 1 {
-		t.Errorf("result %d, %d connections made, %d open; want one that serves all", r.Result, pool.dialed, pool.open)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success || pool.dialed != 1 || pool.open != 1 {
+		t.Errorf("result %d, %d dials, %d connections open; want one connection for all", r.Result, pool.dialed, pool.open)
 	}
 	for _, want := range []string{"/stats ", "/stats ", "/stats ", "/note/k id"} {
-		if got := <-ids; got != want {
-			t.Errorf("the server got %q, want %q", got, want)
+		if got := <-requests; got != want {
+			t.Errorf("the server received %q, want %q", got, want)
 		}
 	}
 }
 
-// Nobody waits longer than said for a server that does not answer, and an answer that comes late frees its connection.
+// A poll of a server that does not reply ends after its timeout, and a late reply makes its connection idle.
 func TestPollOfSilentServerTimesOut(t *testing.T) {
-	let := make(chan bool)
-	s := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
-		<-let
+	release := make(chan bool)
+	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+		<-release
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
 	pool := enablePolls(newTestPool(10))
-	if busy, ok := pool.Poll(listServer(pool, s.Address()), time.Millisecond); ok {
-		t.Errorf("it says %v before it has answered", busy)
+	if busy, ok := pool.Poll(listServer(pool, server.Address()), time.Millisecond); ok {
+		t.Errorf("Poll returned %v before the server replied", busy)
 	}
-	close(let)
-	testpeer.Until(t, "that the connection is idle again", func() bool {
+	close(release)
+	testpeer.Until(t, "the connection to be idle again", func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return len(pool.idle) == 1 && pool.open == 1 || pool.open == 0 // or it took longer than it may
+		return len(pool.idle) == 1 && pool.open == 1 || pool.open == 0 // or the poll was longer than pollGrace late
 	})
 	pool.Close()
-	dead := enablePolls(newTestPool(10))
-	if _, ok := dead.Poll(listServer(dead, "127.0.0.1:1"), testpeer.Limit); ok {
-		t.Error("nobody listens there, and it answered")
+	unreachable := enablePolls(newTestPool(10))
+	if _, ok := unreachable.Poll(listServer(unreachable, "127.0.0.1:1"), testpeer.Limit); ok {
+		t.Error("Poll of a closed port succeeded")
 	}
 }
 
 func BenchmarkPoll(b *testing.B) {
-	s := testpeer.NewServer(b, func(c net.Conn, r *http.Request, _ string) bool {
+	server := testpeer.NewServer(b, func(c net.Conn, r *http.Request, _ string) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nTEXT inflight=5")
 		return err == nil
 	})
-	back := enablePolls(newTestPool(10))
-	to := listServer(back, s.Address())
+	pool := enablePolls(newTestPool(10))
+	host := listServer(pool, server.Address())
 	for b.Loop() {
-		if _, ok := back.Poll(to, testpeer.Limit); !ok {
-			b.Fatal("no answer")
+		if _, ok := pool.Poll(host, testpeer.Limit); !ok {
+			b.Fatal("the poll failed")
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,7 @@
-// Package upstream owns the connections to servers: it opens them within a share of descriptors, keeps idle ones, carries
-// attempts over them and reads servers' replies and load reports (RFC 9110, RFC 9112). Of each attempt it promises an outcome
-// with proof of whether the request may have run: what was not written completely has not. It sends nothing twice; which
-// server gets what, and whether an attempt is made again, is the engine's.
+// Package upstream owns the connections to servers: it opens them within a share of descriptors, keeps idle ones, sends
+// attempts on them and reads servers' replies and load reports (RFC 9110, RFC 9112). The outcome of each attempt proves whether
+// the request may have run: a request that was not written completely has not. The package sends nothing twice; choosing a
+// server and retrying is up to the engine.
 package upstream
 
 import (
@@ -18,30 +18,30 @@
 	"damsontrestle/internal/metrics"
 )
 
-// Pool carries attempts over idle connections, the one used last first, and implements engine.Backend. http.Transport would
-// send some requests again by itself, and does not tell whether the last byte was written. Its methods are safe for any
-// number of goroutines.
+// Pool sends attempts on idle connections, the one used last first, and implements engine.Backend. http.Transport is not used
+// because it resends some requests itself and does not report whether the last byte was written. The methods are safe for
+// concurrent use.
 type Pool struct {
 	clock    clock.Clock
-	share    *descriptors.Share // of all connections to servers, over all pools
+	share    *descriptors.Share // shared by all pools, for all connections to servers
 	counters *metrics.Set
-	dial     dialFunc // nil: a net.Dialer's
+	dial     dialFunc // nil for a net.Dialer's
 	recvfrom recvfromFunc
 
 	mu        sync.Mutex
 	limits    Limits
-	idle      map[discovery.Host][]*conn     // the oldest first
-	wantConns map[discovery.Host][]*wantConn // attempts whose own connections are late, the longest waiting first
+	idle      map[discovery.Host][]*conn     // oldest first
+	wantConns map[discovery.Host][]*wantConn // attempts whose connects are late, longest waiting first
 	open      int                            // connections that are open or being opened
-	dialed    int                            // connections that were ever opened, or tried to
-	listed    map[string]discovery.Target    // the listed servers by id
+	dialed    int                            // connects ever started
+	listed    map[string]discovery.Target    // listed servers by id
 	closed    bool
 }
 
-// dialFunc opens a connection as net.Dialer.DialContext does.
+// dialFunc opens a connection like net.Dialer.DialContext.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewPool returns a Pool that knows no servers yet. All its connections count against the share.
+// NewPool returns a Pool without servers. All its connections count against the share.
 func NewPool(c clock.Clock, share *descriptors.Share, counters *metrics.Set, limits Limits) *Pool {
 	return &Pool{
 		clock:     c,
@@ -55,13 +55,13 @@
 	}
 }
 
-// SetDial has connections opened by something else than a net.Dialer, as tests do. It comes before the first attempt.
+// SetDial replaces the net.Dialer, for tests. It must be called before the first attempt.
 func (p *Pool) SetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	p.dial = dial
 }
 
-// SetLimits changes the limits. Connections that are being opened go by the old ones; idle ones beyond the new
-// ones are closed, the oldest first.
+// SetLimits changes the limits. Connects in progress keep the old ones; idle connections beyond the new ones are closed, the
+// oldest first.
 func (p *Pool) SetLimits(limits Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Close closes the idle connections, and from now on every other once its attempt has ended.
+// Close closes the idle connections. From now on, every other connection is closed when its attempt ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,28 +86,28 @@
 	return p.open
 }
 
-// Servers implements engine.Backend: it takes changes of the endpoint list, or a full snapshot. Idle connections to a server
-// that was removed, drains or has restarted are closed.
+// Servers implements engine.Backend: it applies changes of the endpoint list, or a full snapshot. Idle connections to a server
+// that was removed, is draining or has restarted are closed.
 func (p *Pool) Servers(targets []discovery.Target, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	named := map[string]bool{}
+	present := map[string]bool{}
 	for _, t := range targets {
-		named[t.ID] = true
+		present[t.ID] = true
 		p.updateServer(t)
 	}
 	if !full {
 		return
 	}
 	for id, t := range p.listed {
-		if !named[id] {
+		if !present[id] {
 			p.discardIdle(t.Host())
 			delete(p.listed, id)
 		}
 	}
 }
 
-// updateServer takes one entry of the endpoint list. The caller holds mu.
+// updateServer applies one entry of the endpoint list. The caller holds mu.
 func (p *Pool) updateServer(t discovery.Target) {
 	old, known := p.listed[t.ID]
 	p.listed[t.ID] = t
@@ -119,7 +119,7 @@
 	}
 }
 
-// isReady reports whether a server is listed as the incarnation that a host names, and takes requests. The caller holds mu.
+// isReady reports whether a server is listed as the incarnation in h and is ready for requests. The caller holds mu.
 func (p *Pool) isReady(h discovery.Host) bool {
 	t, listed := p.listed[h.Server]
 	return listed && t.State == balancer.Ready && t.Host() == h
@@ -132,7 +132,7 @@
 	p.discardIdle(h)
 }
 
-// Sweep closes connections that have been idle for too long, until ctx ends.
+// Sweep closes connections that have been idle for longer than maxIdle, until ctx ends.
 func (p *Pool) Sweep(ctx context.Context) {
 	for {
 		maxIdle := p.sweepOnce()
@@ -143,7 +143,7 @@
 	}
 }
 
-// sweepOnce closes the connections that have been idle for longer than they may, and returns how long that is.
+// sweepOnce closes the connections that have been idle for maxIdle, and returns maxIdle.
 func (p *Pool) sweepOnce() (maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/reply.go
+++ b/internal/upstream/reply.go
@@ -14,32 +14,32 @@
 
 // Bounds of a reply, in bytes.
 const (
-	maxReplyOverhead = 16 << 10             // all but its body: heads, 1xx before them, chunks' sizes
-	maxPreallocated  = 16 << 10             // allocated for a body because its head says so, before it has come
-	maxStreamed      = validation.MaxLength // a body that passes through
-	chunkOverhead    = 8                    // on the wire for each byte of a body, in chunks of any size
+	maxReplyOverhead = 16 << 10             // everything but the body: heads, 1xx replies, chunk sizes
+	maxPreallocated  = 16 << 10             // allocated for a body by its Content-Length, before any of it has arrived
+	maxStreamed      = validation.MaxLength // a body that is streamed to the client
+	chunkOverhead    = 8                    // per byte of a chunked body, for chunks of any size
 )
 
 // Errors of replies.
 var (
 	errReplyTooLong = errors.New("the reply is too long")
-	errIncomplete   = errors.New("the reply is incomplete") // or can't be told to be complete
+	errIncomplete   = errors.New("the reply is incomplete") // or its end is not known
 )
 
-// reply is what came back on a connection: a reply that was read completely, or why there is none.
+// reply is the result of reading a connection: a complete reply, or the error.
 type reply struct {
 	engine.Outcome
 	err error
 }
 
-// limitedReader reads up to a number of bytes that is set anew for each reply. Neither http.ReadResponse
-// nor io.ReadAll has a bound of its own: one endless head would fill the memory.
+// limitedReader limits the bytes of each reply. Neither http.ReadResponse nor io.ReadAll has a limit of its own: an endless head
+// would exhaust the memory.
 type limitedReader struct {
 	io.Reader
 	remaining int
 }
 
-// Read implements io.Reader. Beyond the bound it returns errReplyTooLong.
+// Read implements io.Reader. Beyond the limit it returns errReplyTooLong.
 func (l *limitedReader) Read(p []byte) (int, error) {
 	if l.remaining <= 0 {
 		return 0, errReplyTooLong
@@ -49,9 +49,9 @@
 	return n, err
 }
 
-// watchReplies hands each reply on a connection to the attempt that waits for it, and discards the connection when it ends or
-// brings something that no request asked for. Until a request is being written it leaves what comes to the kernel, where
-// beginExchange sees it.
+// watchReplies delivers each reply on a connection to the attempt that waits for it. It discards the connection when it ends or
+// has unsolicited input. While no request is being written, input stays in the kernel's buffer, where beginExchange checks for
+// it.
 func (p *Pool) watchReplies(c *conn) {
 	for {
 		awaitInput(c.Conn, p.recvfrom)
@@ -62,7 +62,7 @@
 	}
 }
 
-// nextReply reads what has come on a connection. It reports whether the connection is of use behind it.
+// nextReply reads the next reply on a connection, and reports whether the connection is reusable afterwards.
 func (p *Pool) nextReply(c *conn) (r reply, reusable bool) {
 	p.mu.Lock()
 	expected := c.waiter != nil && c.stage != stageIdle
@@ -73,19 +73,19 @@
 	return p.readReply(c)
 }
 
-// deliverReply gives a reply to the attempt that waits for it. It reports whether the connection's reader goes on.
-func (p *Pool) deliverReply(c *conn, r reply, reusable bool) (goesOn bool) {
+// deliverReply delivers a reply to the waiting attempt, and reports whether the connection's reader continues.
+func (p *Pool) deliverReply(c *conn, r reply, reusable bool) (keepReading bool) {
 	p.mu.Lock()
 	waiter := c.waiter
 	c.waiter = nil
 	switch {
 	case waiter != nil && r.Reply.Rest != nil:
-		c.streaming = true // whoever reads the rest has the connection from now on
+		c.streaming = true // the replyStream owns the connection from now on
 	case waiter != nil && reusable:
-		goesOn = true
+		keepReading = true
 		c.idleSince = r.At
 		c.exchangeTime = r.At - c.startedAt
-		if c.stage == stageWritten { // a reply that came early must not let another request into this one
+		if c.stage == stageWritten { // with an early reply, another request must not be written into this one
 			p.putIdle(c)
 		}
 	default:
@@ -95,12 +95,12 @@
 	if waiter != nil {
 		waiter <- r
 	}
-	return goesOn
+	return keepReading
 }
 
-// readReply reads one reply, and reports whether the connection is of further use. Only a complete 200 is a success. What
-// can't be read may have run. A reply is good even if more follows that belongs to none, but then the next reply could not be
-// told from that.
+// readReply reads one reply, and reports whether the connection is reusable. Only a complete 200 is a success; if a reply can't
+// be read, the request may have run. A reply is valid even if unsolicited bytes follow it, but then the connection is not
+// reusable: they could not be told from the next reply.
 func (p *Pool) readReply(c *conn) (r reply, reusable bool) {
 	resp, err := readFinalHead(c)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return p.readFailure(c, resp)
 }
 
-// readFinalHead reads a reply's head, and those of interim replies before it (RFC 9110 section 15.2).
+// readFinalHead reads the head of a reply, and skips interim replies before it (RFC 9110 section 15.2).
 func readFinalHead(c *conn) (*http.Response, error) {
 	c.limited.remaining = maxReplyOverhead
 	for {
@@ -123,13 +123,13 @@
 	}
 }
 
-// isFramed reports whether a reply says where its body ends. Without a length the connection's end in order ends the body
-// (RFC 9112 section 6.3); a server that dies resets it.
+// isFramed reports whether a reply marks the end of its body. Otherwise the body ends when the connection is closed in order
+// (RFC 9112 section 6.3); a server that crashes resets it.
 func isFramed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// readSuccess reads the body of a 200, or as much of it as is kept: the rest is read as the client takes it.
+// readSuccess reads the body of a 200 up to the buffered length; the rest is read as the client takes it.
 func (p *Pool) readSuccess(c *conn, resp *http.Response) (r reply, reusable bool) {
 	if resp.ContentLength > maxStreamed {
 		return reply{err: errIncomplete}, false
@@ -158,7 +158,7 @@
 	return r, reusable && c.reader.Buffered() == 0
 }
 
-// readFailure reads a reply that is no 200. Its body is read for the connection's sake alone.
+// readFailure reads a reply other than 200. Its body is read only to make the connection reusable.
 func (p *Pool) readFailure(c *conn, resp *http.Response) (r reply, reusable bool) {
 	r.At = p.clock.Now()
 	r.Load = p.loadReport(resp.Header)
@@ -177,7 +177,7 @@
 	return r, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// isRejection reports whether a reply says that nothing of the request has run.
+// isRejection reports whether a reply states that no part of the request has run.
 func isRejection(resp *http.Response) bool {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -186,17 +186,17 @@
 	return false
 }
 
-// replyBody reads a reply's body, but no more than one byte beyond the longest that is kept.
+// replyBody reads a reply's body up to one byte more than the maximum that is buffered.
 func replyBody(c *conn, resp *http.Response) ([]byte, error) {
 	c.limited.remaining += chunkOverhead * validation.MaxBody
 	var body bytes.Buffer
-	announced := max(0, min(resp.ContentLength, maxPreallocated))
-	body.Grow(int(announced) + bytes.MinRead) // ReadFrom wants room to meet the end in
+	expected := max(0, min(resp.ContentLength, maxPreallocated))
+	body.Grow(int(expected) + bytes.MinRead) // ReadFrom needs spare capacity to detect the end
 	_, err := body.ReadFrom(io.LimitReader(resp.Body, validation.MaxBody+1))
 	return body.Bytes(), err
 }
 
-// streamRest returns what follows of a reply that passes through.
+// streamRest returns a reader of the rest of a streamed reply.
 func (p *Pool) streamRest(c *conn, body io.Reader, reusable bool) io.ReadCloser {
 	c.limited.remaining = chunkOverhead * maxStreamed
 	return &replyStream{pool: p, conn: c, body: body, remaining: maxStreamed, reusable: reusable}
--- a/internal/upstream/reply_test.go
+++ b/internal/upstream/reply_test.go
@@ -11,11 +11,11 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// replyCases are what a server may send, and what its attempt comes to.
+// replyCases are replies of a server and the outcome of their attempt.
 var replyCases = []struct {
-	name, answer string // "-": the server breaks the connection
-	want         balancer.Result
-	keeps        bool
+	name, reply string // "-": the server resets the connection
+	want        balancer.Result
+	reusable    bool
 }{
 	{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 	{"served in chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Success, true},
@@ -31,12 +31,12 @@
 	{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
 	{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
 	{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
-	{"no length, but an end", "200 OK\r\n\r\nok", balancer.Success, false},
+	{"no length, but a close", "200 OK\r\n\r\nok", balancer.Success, false},
 	{"no length, and a reset", "200 OK\r\n\r\nok", balancer.ConnectionLost, false},
 	{"half a status line", "200", balancer.ConnectionLost, false},
-	{"a 1xx, and an end", "102 Processing\r\n\r\n", balancer.ConnectionLost, false},
-	{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
-	{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
+	{"a 1xx, and a close", "102 Processing\r\n\r\n", balancer.ConnectionLost, false},
+	{"Content-Length too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
+	{"error with Content-Length too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
 	{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxReplyOverhead/10), balancer.ConnectionLost, false},
 	{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxReplyOverhead), balancer.ConnectionLost, false},
 	{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxReplyOverhead/20), balancer.ConnectionLost, false},
@@ -44,10 +44,10 @@
 	{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
 	{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
 	{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
-	{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost, false},
-	{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
+	{"malformed chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost, false},
+	{"served, with noise after the reply", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
 	{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", balancer.Success, false},
-	{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+	{"served with a malformed load report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 	{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 	{"no HTTP", "what?\r\n\r\n", balancer.ConnectionLost, false},
 }
@@ -55,48 +55,48 @@
 func TestOutcomeOfReplies(t *testing.T) {
 	for _, c := range replyCases {
 		t.Run(c.name, func(t *testing.T) {
-			s := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
-				if c.answer == "-" {
+			server := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+				if c.reply == "-" {
 					conn.(*net.TCPConn).SetLinger(0)
 					return false
 				}
-				io.WriteString(conn, "HTTP/1.1 "+c.answer)
+				io.WriteString(conn, "HTTP/1.1 "+c.reply)
 				if strings.Contains(c.name, "a reset") {
 					conn.(*net.TCPConn).SetLinger(0)
 					return false
 				}
-				if strings.Contains(c.name, "half a status") || strings.Contains(c.name, "and an end") {
+				if strings.Contains(c.name, "half a status") || strings.Contains(c.name, "and a close") {
 					return false
 				}
-				if !c.keeps && !strings.Contains(c.name, "cut") && !strings.Contains(c.name, "but an end") {
-					io.Copy(io.Discard, conn) // it stays open until the node closes it
+				if !c.reusable && !strings.Contains(c.name, "cut") && !strings.Contains(c.name, "but a close") {
+					io.Copy(io.Discard, conn) // stays open until the pool closes it
 				}
-				return c.keeps
+				return c.reusable
 			})
 			pool := newTestPool(10)
-			h := listServer(pool, s.Address())
-			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
+			host := listServer(pool, server.Address())
+			r := runAttempt(t, pool, newTestAttempt(pool, server.Address()))
 			if r.Result != c.want || c.want == balancer.Success && string(r.Reply.Body) != "ok" {
 				t.Errorf("result %d, body %q; want %d", r.Result, r.Reply.Body, c.want)
 			}
 			pool.mu.Lock()
 			defer pool.mu.Unlock()
-			if kept := len(pool.idle[h]) == 1; kept != c.keeps || pool.open != len(pool.idle[h]) {
-				t.Errorf("kept %v, %d open; want kept %v", kept, pool.open, c.keeps)
+			if idle := len(pool.idle[host]) == 1; idle != c.reusable || pool.open != len(pool.idle[host]) {
+				t.Errorf("idle %v, %d connections open; want idle %v", idle, pool.open, c.reusable)
 			}
 		})
 	}
 }
 
-// A gateway's refusal that is the one answer to a request is told apart from one that says nothing of it.
+// A gateway's final rejection of a request is told apart from one that does not settle the request.
 func TestSettledRejectionIsReported(t *testing.T) {
 	for header, settled := range map[string]bool{"": false, "X-Settled: 1\r\n": true, "X-Settled: 0\r\n": false} {
-		s := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		server := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"+header+"Content-Length: 0\r\n\r\n")
 			return true
 		})
 		pool := newTestPool(10)
-		if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
+		if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Overloaded || r.Settled != settled {
 			t.Errorf("%q: result %d, settled %v", header, r.Result, r.Settled)
 		}
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -17,12 +17,12 @@
 // backendHost is the Host field of every request to a server.
 const backendHost = "backend.local"
 
-// maxTextAge is how much older a request's text may be than the look at its client that goes before its writing: a process may
-// be held up between the two.
+// maxTextAge is the maximum time between building the text of a request and checking that its client is still connected, right
+// before the write: the process may be delayed between the two.
 const maxTextAge = 10 * time.Millisecond
 
-// requestText returns the request of an attempt as it is to be written now; or, with nil, how the attempt ends because its time
-// is over or its client has disconnected.
+// requestText returns the text of an attempt's request to be written now. If the text is nil, the attempt ends with the result
+// because its deadline has passed, its client has disconnected, or the request is invalid.
 func (p *Pool) requestText(a *engine.Attempt) (text []byte, result balancer.Result) {
 	for {
 		remaining := p.clock.Until(a.Deadline)
@@ -42,8 +42,8 @@
 	}
 }
 
-// newRequest returns what goes to a server, to be answered within the remaining time. Method, target, body, id and idempotency
-// key go on as they came.
+// newRequest returns the request to a server, to be answered within the remaining time. Method, target, body, id and idempotency
+// key are those of the client's request.
 func newRequest(a *engine.Attempt, remaining time.Duration, body io.Reader) *http.Request {
 	message := &a.Request.Message
 	header := http.Header{
@@ -76,56 +76,56 @@
 	return r
 }
 
-// headCapacity is more than the head of a request takes that has nothing long in it.
+// headCapacity is larger than the head of a request without long fields.
 const headCapacity = 512
 
-// completeRequest returns the text of a request whose body is complete. The usual ones are put together here, byte for byte as
-// net/http would, which takes a header, a URL and readers to do so.
+// completeRequest returns the text of a request whose body is complete. For plain requests the text is built here, byte for byte
+// as net/http writes it, without allocating a header, a URL and readers.
 func completeRequest(a *engine.Attempt, remaining time.Duration) ([]byte, error) {
-	r := &a.Request.Message
-	if !isPlain(r) {
+	message := &a.Request.Message
+	if !isPlain(message) {
 		var out bytes.Buffer
-		err := newRequest(a, remaining, bytes.NewReader(r.Body)).Write(&out)
+		err := newRequest(a, remaining, bytes.NewReader(message.Body)).Write(&out)
 		return out.Bytes(), err
 	}
-	text := make([]byte, 0, headCapacity+len(r.Body))
-	text = append(text, r.Method...)
+	text := make([]byte, 0, headCapacity+len(message.Body))
+	text = append(text, message.Method...)
 	text = append(text, ' ')
-	text = append(text, r.Target...)
+	text = append(text, message.Target...)
 	text = append(text, " HTTP/1.1\r\nHost: "+backendHost+"\r\n"...)
-	if len(r.Body) > 0 || r.Method == http.MethodPost {
+	if len(message.Body) > 0 || message.Method == http.MethodPost {
 		text = append(text, "Content-Length: "...)
-		text = strconv.AppendInt(text, int64(len(r.Body)), 10)
+		text = strconv.AppendInt(text, int64(len(message.Body)), 10)
 		text = append(text, "\r\n"...)
 	}
-	if r.ContentType != "" {
-		text = appendField(text, "Content-Type", r.ContentType)
+	if message.ContentType != "" {
+		text = appendField(text, "Content-Type", message.ContentType)
 	}
-	if r.IdempotencyKey != "" {
-		text = appendField(text, "Idempotency-Key", r.IdempotencyKey)
+	if message.IdempotencyKey != "" {
+		text = appendField(text, "Idempotency-Key", message.IdempotencyKey)
 	}
 	text = append(text, "X-Deadline: "...)
 	text = appendDeadline(text, remaining)
 	text = append(text, "\r\n"...)
 	text = appendField(text, "X-Request-Id", a.Request.ID)
 	text = append(text, "\r\n"...)
-	return append(text, r.Body...), nil
+	return append(text, message.Body...), nil
 }
 
 // isPlain reports whether a request has nothing that net/http would check or rewrite.
-func isPlain(r *engine.Message) bool {
-	if r.Method != http.MethodGet && r.Method != http.MethodPost {
+func isPlain(message *engine.Message) bool {
+	if message.Method != http.MethodGet && message.Method != http.MethodPost {
 		return false
 	}
-	if len(r.ExtraHeaders) > 0 {
+	if len(message.ExtraHeaders) > 0 {
 		return false
 	}
-	return strings.HasPrefix(r.Target, "/") && !strings.HasPrefix(r.Target, "//") && !strings.ContainsFunc(r.Target, isControl)
+	return strings.HasPrefix(message.Target, "/") && !strings.HasPrefix(message.Target, "//") && !strings.ContainsFunc(message.Target, isControl)
 }
 
 func isControl(c rune) bool { return c < ' ' || c == 0x7f }
 
-// appendField adds a header field, its value without what would end its line.
+// appendField appends a header field. Line ends in its value are replaced by spaces.
 func appendField(text []byte, name, value string) []byte {
 	if strings.ContainsAny(value, "\r\n") {
 		value = strings.NewReplacer("\r", " ", "\n", " ").Replace(value)
@@ -136,7 +136,7 @@
 	return append(text, "\r\n"...)
 }
 
-// appendDeadline adds the remaining seconds, rounded down to the microsecond: no server is told more than is left.
+// appendDeadline appends the remaining seconds, rounded down to the microsecond so that no server gets more time than is left.
 func appendDeadline(text []byte, remaining time.Duration) []byte {
 	remaining = max(remaining, time.Microsecond).Truncate(time.Microsecond)
 	return strconv.AppendFloat(text, remaining.Seconds(), 'f', 6, 64)
--- a/internal/upstream/shortage.go
+++ b/internal/upstream/shortage.go
@@ -5,8 +5,9 @@
 	"syscall"
 )
 
-// isLocalShortage reports whether a system call failed for want of something on this machine, or was interrupted: no server is at fault,
-// and the same request may pass a moment later. Of a connect or a write it proves that nothing beyond what was counted has left.
+// isLocalShortage reports whether a system call failed for lack of a resource of this machine, or was interrupted: no server is at
+// fault, and a retry may succeed a moment later. For a connect or a write it proves that nothing was sent beyond the bytes
+// counted.
 func isLocalShortage(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -16,7 +17,7 @@
 	case syscall.EMFILE, syscall.ENFILE, // descriptors
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, // memory
 		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, // local ports
-		syscall.EPERM, syscall.EACCES, syscall.ENETDOWN, // a filter's rules, or an interface, of this machine
+		syscall.EPERM, syscall.EACCES, syscall.ENETDOWN, // local firewall rules or a local interface
 		syscall.EINTR:
 		return true
 	}
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -9,16 +9,16 @@
 	"damsontrestle/internal/netio"
 )
 
-// inputState says what the kernel's buffer of a connection holds.
+// inputState is the state of a connection's receive buffer in the kernel.
 type inputState int
 
 const (
-	inputNone    inputState = iota // open, and everything that came was read
-	inputPending                   // unread bytes, an error, or the other side's close
-	inputUnknown                   // the system was out of memory and could not tell
+	inputNone    inputState = iota // open, and all input was read
+	inputPending                   // unread bytes, an error, or a close by the peer
+	inputUnknown                   // the system call failed for lack of memory
 )
 
-// String names the state.
+// String implements fmt.Stringer.
 func (s inputState) String() string {
 	switch s {
 	case inputNone:
@@ -31,10 +31,10 @@
 	return "input state " + strconv.Itoa(int(s))
 }
 
-// recvfromFunc is syscall.Recvfrom, or what a test has instead.
+// recvfromFunc is the type of syscall.Recvfrom, which tests replace.
 type recvfromFunc func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
-// rawConn returns the connection below the runtime's, or nil if there is none.
+// rawConn returns the raw network connection, or nil if there is none.
 func rawConn(nc net.Conn) syscall.RawConn {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -47,7 +47,7 @@
 	return raw
 }
 
-// peekInput looks into the kernel's buffer of a connection without reading it.
+// peekInput returns the state of a connection's receive buffer without reading it.
 func peekInput(fd uintptr, receive recvfromFunc) inputState {
 	var one [1]byte
 	for {
@@ -64,7 +64,7 @@
 	}
 }
 
-// awaitInput waits until a connection has bytes to read, has been closed by either side, or has failed.
+// awaitInput waits until a connection has bytes to read, was closed by either side, or has failed.
 func awaitInput(nc net.Conn, receive recvfromFunc) {
 	raw := rawConn(nc)
 	if raw == nil {
@@ -74,17 +74,17 @@
 		state := inputNone
 		err := raw.Read(func(fd uintptr) bool {
 			state = peekInput(fd, receive)
-			return state != inputNone // inputUnknown isn't waited on: the bytes may have come already, and wake nobody
+			return state != inputNone // after inputUnknown the poller is not waited for: it may not report bytes that have arrived already
 		})
-		if err != nil || state != inputUnknown { // an error shows at the next read
+		if err != nil || state != inputUnknown { // the next read returns the error
 			return
 		}
 		time.Sleep(netio.RetryPause)
 	}
 }
 
-// inputStateOf returns the state of a connection's input now. A connection that can't be looked into counts as pending, one
-// without a socket as none.
+// inputStateOf returns the current state of a connection's input. If the descriptor is not accessible it returns inputPending,
+// and inputNone for a connection without a socket.
 func inputStateOf(nc net.Conn, receive recvfromFunc) inputState {
 	raw := rawConn(nc)
 	if raw == nil {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// maxReadStall is how long a server may send nothing in the midst of a reply that passes through.
+// maxReadStall is the longest time without input while a reply is streamed.
 const maxReadStall = 10 * time.Second
 
-// replyStream is the rest of a reply that passes through, read from its server's connection as its client takes it.
-// The connection is of use to others once all has been read.
+// replyStream is the rest of a streamed reply, read from the server's connection as the client takes it. The connection is
+// available to other attempts once all of it was read.
 type replyStream struct {
 	pool      *Pool
 	conn      *conn
 	body      io.Reader
-	remaining int64 // bytes that it may still have
-	reusable  bool  // its end leaves the connection fit for another request
+	remaining int64 // bytes until the maximum length
+	reusable  bool  // the connection may serve another request after the end
 	ended     bool
 }
 
-// Read implements io.Reader. Every error but io.EOF is errIncomplete.
+// Read implements io.Reader. Every error other than io.EOF wraps errIncomplete.
 func (s *replyStream) Read(p []byte) (int, error) {
 	if s.ended {
 		return 0, errIncomplete
@@ -40,13 +40,13 @@
 	return n, err
 }
 
-// Close implements io.Closer: it closes the connection unless all was read.
+// Close implements io.Closer. It closes the connection unless the reply was read completely.
 func (s *replyStream) Close() error {
 	s.end(false)
 	return nil
 }
 
-// end gives the connection back, or closes it if the reply was not read completely.
+// end makes the connection idle, or closes it if the reply was not read completely.
 func (s *replyStream) end(complete bool) {
 	if s.ended {
 		return
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -13,8 +13,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// failingDial has the first connects fail with an errno, and counts all.
-func failingDial(pool *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
+// failFirstDials makes the first dials fail with an errno, and counts all.
+func failFirstDials(pool *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
 	dials = new(atomic.Int32)
 	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dials.Add(1) <= failures {
@@ -25,13 +25,13 @@
 	return dials
 }
 
-// What the node itself is short of is waited for a moment, and is no evidence against a server. What the network or the server says
-// is told at once.
+// A connect that fails for lack of local resources is retried after a pause, and is no evidence against a server. A failure of
+// the network or the server ends the attempt at once.
 func TestOutcomeOfFailedConnect(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
+	server := testpeer.NewServer(t, testpeer.Echo)
 	for _, c := range []struct {
 		errno syscall.Errno
-		own   bool
+		local bool
 	}{
 		{syscall.EMFILE, true},
 		{syscall.ENFILE, true},
@@ -51,17 +51,17 @@
 		{syscall.ENETUNREACH, false},
 	} {
 		for failures, want := range map[int32]struct {
-			ending balancer.Result
+			result balancer.Result
 			dials  int32
 		}{1: {balancer.Success, 2}, 1 << 30: {balancer.NotStarted, MaxDials}} {
-			if !c.own {
-				want.ending, want.dials = balancer.Unreachable, 1
+			if !c.local {
+				want.result, want.dials = balancer.Unreachable, 1
 			}
 			pool := newTestPool(10)
-			dials := failingDial(pool, c.errno, failures)
-			r := runAttempt(t, pool, newTestAttempt(pool, s.Address()))
-			if r.Result != want.ending || dials.Load() != want.dials {
-				t.Errorf("%v %d times: result %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.ending, want.dials)
+			dials := failFirstDials(pool, c.errno, failures)
+			r := runAttempt(t, pool, newTestAttempt(pool, server.Address()))
+			if r.Result != want.result || dials.Load() != want.dials {
+				t.Errorf("%v %d times: result %d after %d dials; want %d after %d", c.errno, failures, r.Result, dials.Load(), want.result, want.dials)
 			}
 			pool.Close()
 			if pool.Connections() != 0 || pool.share.Used() != 0 {
@@ -71,10 +71,10 @@
 	}
 }
 
-// An attempt whose time ends while the node is short has not met its server: nothing is said of that.
+// An attempt whose deadline passes while the node lacks resources has not reached its server, and counts as not started.
 func TestAttemptThatEndsDuringShortageIsNotStarted(t *testing.T) {
 	pool := newTestPool(10)
-	dials := failingDial(pool, syscall.ENOMEM, 1<<30)
+	dials := failFirstDials(pool, syscall.ENOMEM, 1<<30)
 	a := newTestAttempt(pool, "127.0.0.1:1")
 	a.Deadline = a.SentAt + dialBackoff/2
 	if r := runAttempt(t, pool, a); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
@@ -82,93 +82,93 @@
 	}
 }
 
-// failingReceiver has the next looks into a kernel's buffer fail with errnos, one after the other, and the later ones look.
-func failingReceiver(errnos ...syscall.Errno) (receive recvfromFunc, requests *atomic.Int32) {
-	requests = new(atomic.Int32)
+// failingRecvfrom returns a recvfrom that fails with each of errnos in turn and then calls the kernel.
+func failingRecvfrom(errnos ...syscall.Errno) (receive recvfromFunc, calls *atomic.Int32) {
+	calls = new(atomic.Int32)
 	return func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
-		if n := int(requests.Add(1)); n <= len(errnos) {
+		if n := int(calls.Add(1)); n <= len(errnos) {
 			return -1, nil, errnos[n-1]
 		}
 		return syscall.Recvfrom(fd, p, flags)
-	}, requests
+	}, calls
 }
 
-// A look into a connection that is interrupted is made again; one that the system has no memory for says neither that the other side
-// is silent nor that it has spoken or closed.
+// An interrupted peek is retried. A peek that fails for lack of memory shows neither that there is no input nor that there is
+// input or a close.
 func TestFailedPeekIsNoInput(t *testing.T) {
-	ours, theirs := testpeer.Pair(t)
+	local, remote := testpeer.Pair(t)
 	peek := func(errnos ...syscall.Errno) inputState {
-		receive, _ := failingReceiver(errnos...)
-		return inputStateOf(ours, receive)
+		receive, _ := failingRecvfrom(errnos...)
+		return inputStateOf(local, receive)
 	}
 	if got := peek(syscall.EINTR); got != inputNone {
-		t.Errorf("silent, interrupted: input %v, want none", got)
+		t.Errorf("no input, interrupted: input state %v, want none", got)
 	}
-	io.WriteString(theirs, "x")
-	testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
+	io.WriteString(remote, "x")
+	testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(local) })
 	if got := peek(syscall.EINTR, syscall.EINTR); got != inputPending {
-		t.Errorf("a byte, interrupted twice: input %v, want pending", got)
+		t.Errorf("a byte, interrupted twice: input state %v, want pending", got)
 	}
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS} {
 		if got := peek(errno); got != inputUnknown {
-			t.Errorf("%v: input %v, want unknown", errno, got)
+			t.Errorf("%v: input state %v, want unknown", errno, got)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE} {
 		if got := peek(errno); got != inputPending {
-			t.Errorf("%v: input %v, want pending", errno, got)
+			t.Errorf("%v: input state %v, want pending", errno, got)
 		}
 	}
 }
 
-// Who waits for bytes waits on through interruptions and want of memory, also where the bytes came before.
+// awaitInput keeps waiting after interrupted calls and a lack of memory, also if the bytes arrived before.
 func TestAwaitInputOutlastsFailedPeeks(t *testing.T) {
-	for _, before := range []bool{true, false} {
-		ours, theirs := testpeer.Pair(t)
-		if before {
-			io.WriteString(theirs, "x")
-			testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(ours) })
+	for _, early := range []bool{true, false} {
+		local, remote := testpeer.Pair(t)
+		if early {
+			io.WriteString(remote, "x")
+			testpeer.Until(t, "the byte to arrive", func() bool { return hasInput(local) })
 		}
-		receive, requests := failingReceiver(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
+		receive, calls := failingRecvfrom(syscall.ENOMEM, syscall.EINTR, syscall.ENOBUFS)
 		ready := make(chan struct{})
-		go func() { awaitInput(ours, receive); close(ready) }()
-		if !before {
-			testpeer.Until(t, "the looks that fail, and one that does not", func() bool { return requests.Load() == 4 })
+		go func() { awaitInput(local, receive); close(ready) }()
+		if !early {
+			testpeer.Until(t, "the failed peeks and a successful one", func() bool { return calls.Load() == 4 })
 			select {
 			case <-ready:
-				t.Fatal("the wait ended without a byte")
+				t.Fatal("awaitInput returned without input")
 			default:
 			}
-			io.WriteString(theirs, "x")
+			io.WriteString(remote, "x")
 		}
-		testpeer.Receive(t, ready, "the wait's end")
-		if requests.Load() < 4 {
-			t.Errorf("it ended after %d looks", requests.Load())
+		testpeer.Receive(t, ready, "awaitInput to return")
+		if calls.Load() < 4 {
+			t.Errorf("awaitInput returned after %d calls, want at least 4", calls.Load())
 		}
 	}
 }
 
-// A fresh connection of which the system can't tell whether its server has spoken carries no request, which is no fault of the
-// server's. One that was idle is replaced.
+// A fresh connection carries no request if it cannot be checked for input, and this counts against no server. An idle connection
+// is replaced.
 func TestConnectionThatCannotBePeekedIsNotUsed(t *testing.T) {
-	s := testpeer.NewServer(t, testpeer.Echo)
+	server := testpeer.NewServer(t, testpeer.Echo)
 	pool := newTestPool(10)
-	var short atomic.Bool
+	var outOfMemory atomic.Bool
 	pool.recvfrom = func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
-		if short.Load() {
+		if outOfMemory.Load() {
 			return -1, nil, syscall.ENOMEM
 		}
 		return syscall.Recvfrom(fd, p, flags)
 	}
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success {
 		t.Fatalf("result %d", r.Result)
 	}
-	short.Store(true)
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || s.Seen() != 1 {
-		t.Errorf("result %d, %d connections, %d requests at the server; want NotStarted, none, 1", r.Result, pool.Connections(), s.Seen())
+	outOfMemory.Store(true)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || server.Seen() != 1 {
+		t.Errorf("result %d, %d connections, %d requests at the server; want NotStarted, 0, 1", r.Result, pool.Connections(), server.Seen())
 	}
-	short.Store(false)
-	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Success {
+	outOfMemory.Store(false)
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success {
 		t.Errorf("after the shortage: result %d", r.Result)
 	}
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -13,24 +13,24 @@
 	"damsontrestle/internal/engine"
 )
 
-// Times of an upload.
+// Limits of an upload.
 const (
-	maxWriteStall    = 5 * time.Second        // that a server may take nothing of it
-	writeResultGrace = 200 * time.Millisecond // that a reply may be ahead of the word that its request is written completely
+	maxWriteStall    = 5 * time.Second        // longest time in which the server accepts nothing
+	writeResultGrace = 200 * time.Millisecond // how long a reply may precede the result of writing its request
 )
 
-// errAttemptEnded ends reads of a request for an attempt that has ended.
-var errAttemptEnded = errors.New("the attempt is over")
+// errAttemptEnded is returned by reads of the request's body after the attempt has ended.
+var errAttemptEnded = errors.New("read request body: the attempt has ended")
 
-// attemptBody reads the rest of a request's body for one attempt, and notes what became of it.
+// attemptBody reads the rest of a request's body for one attempt, and records its progress.
 type attemptBody struct {
 	io.Reader
 
 	mu        sync.Mutex
-	remaining int64 // bytes that are still to be read; negative: not known
-	consumed  bool  // some of it may have been read
-	sawEnd    bool  // its end was read
-	failed    bool  // a read failed: its client has cut it
+	remaining int64 // bytes still to be read; negative if unknown
+	consumed  bool  // some bytes may have been read
+	sawEnd    bool  // the end was read
+	failed    bool  // a read failed: the client has aborted the request
 	ended     bool  // the attempt has ended
 }
 
@@ -52,7 +52,7 @@
 	return n, err
 }
 
-// mayRead reports whether the attempt still reads, and notes that it does.
+// mayRead reports whether the attempt has not ended, and records that the body may be partly read from now on.
 func (b *attemptBody) mayRead() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,14 +63,15 @@
 	return true
 }
 
-// isFullyRead reports whether all of it was read, so that its last byte may be on its way.
+// isFullyRead reports whether the body was read to its end, so that its last byte may have been sent.
 func (b *attemptBody) isFullyRead() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.sawEnd
 }
 
-// end keeps the attempt from reading more, which may be another one's by then, and returns what it has done.
+// end prevents further reads by the attempt, as the body may belong to another attempt by then. It returns whether some of the
+// body may have been read, and whether a read failed.
 func (b *attemptBody) end() (consumed, failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +79,7 @@
 	return b.consumed, b.failed
 }
 
-// stallLimited is a connection whose writes fail if the server takes nothing for too long.
+// stallLimited is a connection whose writes fail if the server accepts nothing for maxWriteStall.
 type stallLimited struct{ *conn }
 
 // Write implements io.Writer.
@@ -87,47 +88,47 @@
 	return s.conn.Write(p)
 }
 
-// uploadAttempt is the attempt of a request whose body still comes from its client.
+// uploadAttempt is an attempt of a request whose body is still being received from the client.
 type uploadAttempt struct {
 	*engine.Attempt
-	pool     *Pool
-	conn     *conn
-	waiter   chan reply
-	rest     *attemptBody
-	written  chan error  // takes how the writing of the request ended
-	complete bool        // the request was written completely
-	timedOut atomic.Bool // its time ended after that
+	pool      *Pool
+	conn      *conn
+	waiter    chan reply
+	body      *attemptBody
+	writeDone chan error  // receives the result of writing the request
+	complete  bool        // the request was written completely
+	timedOut  atomic.Bool // the deadline passed after complete was set
 }
 
-// upload sends a request whose body still comes, as it comes. Its time runs from the last byte on. A reply that comes before
-// that ends it: whatever it says, it is no reply to the complete request.
+// upload sends a request while its body is received from the client. The attempt's deadline counts from the last byte. A reply
+// that arrives before that ends the attempt: it cannot be a reply to the complete request.
 func (p *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	message := &a.Request.Message
-	u := &uploadAttempt{
-		Attempt: a,
-		pool:    p,
-		conn:    c,
-		waiter:  waiter,
-		rest:    &attemptBody{Reader: message.Rest, remaining: message.Length - int64(len(message.Body))},
-		written: make(chan error, 1),
+	upload := &uploadAttempt{
+		Attempt:   a,
+		pool:      p,
+		conn:      c,
+		waiter:    waiter,
+		body:      &attemptBody{Reader: message.Rest, remaining: message.Length - int64(len(message.Body))},
+		writeDone: make(chan error, 1),
 	}
 	if a.Request.IsDisconnected(p.clock.Now) {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
-	body := io.MultiReader(bytes.NewReader(message.Body), u.rest)
-	go func() { u.written <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
-	got := u.await()
-	consumed, failed := u.rest.end()
-	outcome := u.outcome(got, failed)
+	body := io.MultiReader(bytes.NewReader(message.Body), upload.body)
+	go func() { upload.writeDone <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
+	got := upload.await()
+	consumed, failed := upload.body.end()
+	outcome := upload.outcome(got, failed)
 	outcome.NotReplayable = consumed
 	return outcome
 }
 
-// await waits for the reply, or for the end of the connection, and learns whether the request was written completely.
+// await waits for the reply or the end of the connection, and records whether the request was written completely.
 func (u *uploadAttempt) await() reply {
 	select {
-	case err := <-u.written:
+	case err := <-u.writeDone:
 		if err != nil {
 			u.pool.abandon(u.conn, u.waiter)
 		} else {
@@ -140,22 +141,23 @@
 	}
 }
 
-// awaitWriter learns from the writer, behind the reply or the end of the connection, whether the request was written completely.
+// awaitWriter waits for the writer after the reply or the end of the connection, and records whether the request was written
+// completely.
 func (u *uploadAttempt) awaitWriter(got reply) {
 	select {
-	case err := <-u.written:
+	case err := <-u.writeDone:
 		if err == nil {
 			u.markComplete()
 		}
 	case <-time.After(writeResultGrace):
-		// Only the writer can tell whether the last byte left. The connection is closed by now, which ends its write.
-		if got.err != nil && u.rest.isFullyRead() && <-u.written == nil {
+		// Only the writer knows whether the last byte was sent. The connection is closed by now, which ends the write.
+		if got.err != nil && u.body.isFullyRead() && <-u.writeDone == nil {
 			u.markComplete()
 		}
 	}
 }
 
-// markComplete notes that the last byte is written: from now on the attempt's time runs.
+// markComplete records that the last byte was written, and starts the attempt's deadline.
 func (u *uploadAttempt) markComplete() {
 	p := u.pool
 	u.complete = true
@@ -170,7 +172,7 @@
 	context.AfterFunc(u.Context(), func() { timer.Stop() })
 }
 
-// outcome returns how the attempt ended. failed: the client has cut the request's body.
+// outcome returns the outcome of the attempt. failed: reading the request's body from the client has failed.
 func (u *uploadAttempt) outcome(got reply, failed bool) engine.Outcome {
 	outcome := got.Outcome
 	switch {
@@ -191,8 +193,8 @@
 	return outcome
 }
 
-// earlyReply ends an attempt whose reply came before its request was written completely, with its connection. No such reply
-// is a success.
+// earlyReply ends an attempt whose reply arrived before its request was written completely, and closes its connection. Such a
+// reply is never a success.
 func (u *uploadAttempt) earlyReply(got reply) engine.Outcome {
 	u.pool.mu.Lock()
 	u.pool.discard(u.conn)
--- a/internal/upstream/wantconn.go
+++ b/internal/upstream/wantconn.go
@@ -6,25 +6,25 @@
 	"damsontrestle/internal/discovery"
 )
 
-// wantConn is an attempt whose own connection is late to come up. Until it is, the attempt takes one to the same server whose
-// exchange has ended.
+// wantConn is an attempt whose connect is late. Until the connect is done, the attempt takes a connection to the same server that
+// becomes idle.
 type wantConn struct {
 	waiter    chan reply
-	delivered chan *conn // takes one
+	delivered chan *conn // receives the connection
 }
 
-// queueForIdleConn has an attempt take a connection to a server as soon as one is of use.
-func (p *Pool) queueForIdleConn(to discovery.Host, w *wantConn) {
+// queueForIdleConn queues an attempt for the next idle connection to a host; one that is idle already is delivered at once.
+func (p *Pool) queueForIdleConn(host discovery.Host, w *wantConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wantConns[to] = append(p.wantConns[to], w)
-	if c, _ := p.earliestUsable(to); c != nil {
+	p.wantConns[host] = append(p.wantConns[host], w)
+	if c, _ := p.earliestUsable(host); c != nil {
 		p.removeIdle(c)
 		p.deliverIdleConn(c)
 	}
 }
 
-// deliverIdleConn gives a free connection to the attempt that has waited for longest. It reports whether there was one. The caller
+// deliverIdleConn delivers a connection to the attempt that has waited longest, and reports whether there was one. The caller
 // holds mu.
 func (p *Pool) deliverIdleConn(c *conn) bool {
 	if len(p.wantConns[c.host]) == 0 {
@@ -38,11 +38,11 @@
 	return true
 }
 
-// cancelWantConn says that an attempt needs no other connection any more. One that was delivered meanwhile is idle again.
-func (p *Pool) cancelWantConn(to discovery.Host, w *wantConn) {
+// cancelWantConn removes an attempt from the queue. A connection that was delivered meanwhile becomes idle again.
+func (p *Pool) cancelWantConn(host discovery.Host, w *wantConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.removeWantConn(to, w)
+	p.removeWantConn(host, w)
 	select {
 	case c := <-w.delivered:
 		if c.waiter == w.waiter {
@@ -53,10 +53,10 @@
 	}
 }
 
-// removeWantConn takes an attempt from those that wait. The caller holds mu.
-func (p *Pool) removeWantConn(to discovery.Host, w *wantConn) {
-	p.wantConns[to] = slices.DeleteFunc(p.wantConns[to], func(other *wantConn) bool { return other == w })
-	if len(p.wantConns[to]) == 0 {
-		delete(p.wantConns, to)
+// removeWantConn removes an attempt from the queue. The caller holds mu.
+func (p *Pool) removeWantConn(host discovery.Host, w *wantConn) {
+	p.wantConns[host] = slices.DeleteFunc(p.wantConns[host], func(other *wantConn) bool { return other == w })
+	if len(p.wantConns[host]) == 0 {
+		delete(p.wantConns, host)
 	}
 }
