--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -67,8 +67,8 @@
 	mu           sync.Mutex
 	limits       Limits
 	conns        map[Conn]*connInfo
-	closing      int // connections that were evicted and are not closed yet
-	requests     int // open requests
+	closingConns int // connections that were evicted and are not closed yet
+	openRequests int // open requests
 	gracePeriods GracePeriods
 	counts       counts
 }
@@ -82,7 +82,7 @@
 	phase    Phase
 	since    time.Duration
 	requests int  // open requests
-	closing  bool // evicted, and counted in Set.closing
+	closing  bool // evicted, and counted in Set.closingConns
 }
 
 // ErrReleased is returned by Accept when the front end stops and its listener stays open. net/http would treat the deadline
@@ -163,10 +163,10 @@
 // setPhase sets the phase of a connection. The caller holds mu.
 func (s *Set) setPhase(info *connInfo, p Phase) {
 	if info.closing {
-		s.closing--
+		s.closingConns--
 	}
 	if p != PhaseActive {
-		s.requests -= info.requests
+		s.openRequests -= info.requests
 		info.requests = 0
 	}
 	info.phase, info.since, info.closing = p, s.clock.Now(), false
@@ -185,8 +185,8 @@
 	}
 	s.setPhase(info, PhaseActive)
 	info.requests++
-	s.requests++
-	if s.requests > s.limits.Capacity/2 || c.ReadAborted() {
+	s.openRequests++
+	if s.openRequests > s.limits.Capacity/2 || c.ReadAborted() {
 		s.counts.refused++
 		return false
 	}
@@ -202,12 +202,12 @@
 		return 0
 	}
 	info.requests--
-	s.requests--
+	s.openRequests--
 	return info.requests
 }
 
 // excess returns the number of connections beyond maxConns. The caller holds mu.
-func (s *Set) excess() int { return len(s.conns) - s.closing - s.maxConns() }
+func (s *Set) excess() int { return len(s.conns) - s.closingConns - s.maxConns() }
 
 // OverLimit reports whether there are too many connections: each response should close its connection.
 func (s *Set) OverLimit() bool {
@@ -279,7 +279,7 @@
 
 // evict closes a connection if that is allowed, and counts it as closing. The caller holds mu.
 func (s *Set) evict(c Conn, info *connInfo) {
-	closing := true
+	closes := true
 	switch {
 	case info.closing:
 	case info.phase == PhaseLingering:
@@ -287,16 +287,16 @@
 	case info.phase == PhaseReading || info.phase == PhaseNew && c.RequestStarted():
 		c.AbortRead()
 	default:
-		closing = c.CloseIdle()
+		closes = c.CloseIdle()
 	}
-	s.markClosing(info, closing)
+	s.markClosing(info, closes)
 }
 
 // markClosing counts a connection as closing if it closes and was not counted yet. The caller holds mu.
-func (s *Set) markClosing(info *connInfo, closing bool) {
-	if closing && !info.closing {
+func (s *Set) markClosing(info *connInfo, closes bool) {
+	if closes && !info.closing {
 		info.closing = true
-		s.closing++
+		s.closingConns++
 		s.counts.evicted++
 	}
 }
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -44,14 +44,14 @@
 // A connection with an open request is never closed.
 func TestEvictionOrder(t *testing.T) {
 	var calls []string
-	s := newTestSet(100, 0)
+	set := newTestSet(100, 0)
 	add := func(name string, started bool, p Phase) *fakeConn {
 		f := &fakeConn{name: name, started: started, calls: &calls}
-		s.Add(f, nil)
+		set.Add(f, nil)
 		if p == PhaseActive {
-			s.BeginRequest(f)
+			set.BeginRequest(f)
 		} else if p != PhaseNew {
-			s.SetPhase(f, p)
+			set.SetPhase(f, p)
 		}
 		return f
 	}
@@ -63,7 +63,7 @@
 	add("open", true, PhaseActive)
 	add("next request", true, PhaseIdle)
 	for capacity := 14; capacity >= 2; capacity -= 2 { // clients may hold half of it
-		s.Resize(Limits{Capacity: capacity, ServerMinimum: capacity / 2, Reserve: 100})
+		set.Resize(Limits{Capacity: capacity, ServerMinimum: capacity / 2, Reserve: 100})
 	}
 	want := []string{"lingering aborted", "partial read aborted", "reading read aborted", "new closed idle", "idle closed idle"}
 	if len(calls) < len(want) || !slices.Equal(calls[:1], want[:1]) || !slices.Contains(calls[1:4], "partial read aborted") || !slices.Contains(calls[1:4], "reading read aborted") ||
@@ -75,16 +75,16 @@
 // Of two clients with a partial request, the one that has stopped sending is evicted, though the other began before it.
 func TestStalledClientIsEvictedBeforeSlowOne(t *testing.T) {
 	var calls []string
-	s := newTestSet(100, 0)
-	s.SetGracePeriods(GracePeriods{Partial: time.Minute})
+	set := newTestSet(100, 0)
+	set.SetGracePeriods(GracePeriods{Partial: time.Minute})
 	slow := &fakeConn{name: "slow", started: true, sinceLastRead: time.Second, calls: &calls}
 	stalled := &fakeConn{name: "stalled", started: true, sinceLastRead: time.Hour, calls: &calls}
-	s.Add(slow, nil)
-	s.Add(stalled, nil)
-	for _, a := range s.conns {
-		a.since -= 2 * time.Hour
+	set.Add(slow, nil)
+	set.Add(stalled, nil)
+	for _, info := range set.conns {
+		info.since -= 2 * time.Hour
 	}
-	s.Resize(Limits{Capacity: 2, ServerMinimum: 1, Reserve: 100})
+	set.Resize(Limits{Capacity: 2, ServerMinimum: 1, Reserve: 100})
 	if !slices.Equal(calls, []string{"stalled read aborted"}) {
 		t.Errorf("calls %v", calls)
 	}
@@ -94,77 +94,77 @@
 // rejected, and so are those of a connection whose read was aborted.
 func TestOpenRequestLimit(t *testing.T) {
 	var calls []string
-	s := newTestSet(8, 0)
-	f, other := &fakeConn{name: "f", calls: &calls}, &fakeConn{name: "other", calls: &calls}
-	s.Add(f, nil)
-	s.Add(other, nil)
+	set := newTestSet(8, 0)
+	first, other := &fakeConn{name: "first", calls: &calls}, &fakeConn{name: "other", calls: &calls}
+	set.Add(first, nil)
+	set.Add(other, nil)
 	for i := range 4 {
-		if !s.BeginRequest(f) {
+		if !set.BeginRequest(first) {
 			t.Fatalf("request %d was rejected", i)
 		}
 	}
-	if s.BeginRequest(other) {
+	if set.BeginRequest(other) {
 		t.Error("a fifth request was accepted; the limit is 4")
 	}
-	s.SetPhase(other, PhaseIdle)
+	set.SetPhase(other, PhaseIdle)
 	for want := 3; want >= 0; want-- {
-		if left := s.EndRequest(f); left != want {
-			t.Errorf("EndRequest returned %d, want %d", left, want)
+		if remaining := set.EndRequest(first); remaining != want {
+			t.Errorf("EndRequest returned %d, want %d", remaining, want)
 		}
 	}
-	if s.EndRequest(f) != 0 {
+	if set.EndRequest(first) != 0 {
 		t.Error("EndRequest without an open request did not return 0")
 	}
 	other.aborted = true
-	if s.BeginRequest(other) {
-		t.Error("a connection that was read aborted")
+	if set.BeginRequest(other) {
+		t.Error("a request was accepted after AbortRead")
 	}
-	if s.BeginRequest(&fakeConn{}) {
+	if set.BeginRequest(&fakeConn{}) {
 		t.Error("a request was accepted on an unknown connection")
 	}
-	s.Remove(other)
-	s.Remove(f)
-	if s.Len() != 0 || s.requests != 0 || s.closing != 0 {
-		t.Errorf("%d connections, %d requests, %d closing; want none", s.Len(), s.requests, s.closing)
+	set.Remove(other)
+	set.Remove(first)
+	if set.Len() != 0 || set.openRequests != 0 || set.closingConns != 0 {
+		t.Errorf("%d connections, %d requests, %d closing; want none", set.Len(), set.openRequests, set.closingConns)
 	}
 }
 
 // CloseIdle closes only connections of the given front end.
 func TestCloseIdleOfOneFrontEnd(t *testing.T) {
 	var calls []string
-	s := newTestSet(1000, 0)
+	set := newTestSet(1000, 0)
 	for i := range 6 {
 		f := &fakeConn{name: fmt.Sprint(i), calls: &calls}
-		s.Add(f, i%2)
+		set.Add(f, i%2)
 		if i < 4 {
-			s.SetPhase(f, PhaseIdle)
+			set.SetPhase(f, PhaseIdle)
 		}
 		if i == 2 {
-			s.BeginRequest(f)
+			set.BeginRequest(f)
 		}
 	}
-	if left := s.CloseIdle(0); left != 3 || !slices.Equal(slices.Sorted(slices.Values(calls)), []string{"0 closed idle", "4 closed idle"}) {
-		t.Errorf("CloseIdle returned %d, calls %v", left, calls)
+	if count := set.CloseIdle(0); count != 3 || !slices.Equal(slices.Sorted(slices.Values(calls)), []string{"0 closed idle", "4 closed idle"}) {
+		t.Errorf("CloseIdle returned %d, calls %v", count, calls)
 	}
 }
 
 // A connection is kept during its grace period, unless descriptors are about to run out.
 func TestGracePeriods(t *testing.T) {
 	var calls []string
-	s := New(clock.New(), Limits{Capacity: 4, ServerMinimum: 4, Reserve: 2}, func() int { return 0 })
-	s.SetGracePeriods(GracePeriods{Lingering: time.Hour, New: time.Hour, Partial: time.Hour, Idle: time.Hour})
+	set := New(clock.New(), Limits{Capacity: 4, ServerMinimum: 4, Reserve: 2}, func() int { return 0 })
+	set.SetGracePeriods(GracePeriods{Lingering: time.Hour, New: time.Hour, Partial: time.Hour, Idle: time.Hour})
 	for i := range 4 {
 		f := &fakeConn{name: fmt.Sprint(i), calls: &calls}
-		s.Add(f, nil)
-		s.SetPhase(f, PhaseIdle)
+		set.Add(f, nil)
+		set.SetPhase(f, PhaseIdle)
 	}
-	if len(calls) != 0 || !s.OverLimit() || s.Full() {
-		t.Errorf("calls %v, over limit %v, full %v", calls, s.OverLimit(), s.Full())
+	if len(calls) != 0 || !set.OverLimit() || set.Full() {
+		t.Errorf("calls %v, over limit %v, full %v", calls, set.OverLimit(), set.Full())
 	}
 	for i := range 2 {
-		s.Add(&fakeConn{name: fmt.Sprint("more", i), calls: &calls}, nil)
+		set.Add(&fakeConn{name: fmt.Sprint("more", i), calls: &calls}, nil)
 	}
-	if !s.Full() {
+	if !set.Full() {
 		t.Error("Full reports false with the capacity and the reserve in use")
 	}
 }
@@ -181,12 +181,12 @@
 // A request whose first bytes arrive while idle connections are closed is read: it is not aborted.
 func TestCloseIdleAbortsNoRequest(t *testing.T) {
 	var calls []string
-	s := newTestSet(100, 0)
-	c := &racingConn{fakeConn{name: "racing", calls: &calls}}
-	s.Add(c, nil)
+	set := newTestSet(100, 0)
+	racing := &racingConn{fakeConn{name: "racing", calls: &calls}}
+	set.Add(racing, nil)
 	startedConn := &fakeConn{name: "started", started: true, calls: &calls}
-	s.Add(startedConn, nil)
-	if left := s.CloseIdle(nil); left != 2 || c.aborted || startedConn.aborted {
-		t.Errorf("CloseIdle returned %d, calls %v", left, calls)
+	set.Add(startedConn, nil)
+	if count := set.CloseIdle(nil); count != 2 || racing.aborted || startedConn.aborted {
+		t.Errorf("CloseIdle returned %d, calls %v", count, calls)
 	}
 }
--- a/internal/downstream/socket.go
+++ b/internal/downstream/socket.go
@@ -10,7 +10,7 @@
 // SocketState is what the kernel knows of a connection, including input that was not read yet.
 type SocketState int
 
-// States.
+// Socket states.
 const (
 	SocketOpen   SocketState = iota // open, and all input was read; or the connection is no socket
 	SocketUnread                    // open, with unread bytes
@@ -35,9 +35,9 @@
 }
 
 func peekInput(fd int) SocketState {
-	var one [1]byte
+	var buf [1]byte
 	for {
-		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EINTR:
 			continue
--- a/internal/listener/open_test.go
+++ b/internal/listener/open_test.go
@@ -22,7 +22,7 @@
 
 // A transient failure is retried until it passes, until OpenTimeout is over or until the startup is cancelled; a permanent
 // one is returned at once.
-func TestOpenReattemptsTransientFailures(t *testing.T) {
+func TestOpenRetriesTransientFailures(t *testing.T) {
 	_, badAddress := net.Listen("tcp", "127.0.0.1:99999")
 	_, missingFolder := net.Listen("unix", t.TempDir()+"/none/socket")
 	transient := []error{}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -80,9 +80,9 @@
 	return max(c.dialTime, time.Duration(maxSettleFraction*float64(c.exchangeTime)))
 }
 
-// beginExchange marks a connection as written to by its attempt. If the server has closed it or sent bytes meanwhile, which
-// cannot be a reply to a request not yet written, the connection is closed instead and the attempt needs another. The error is
-// errUnsolicited, or errNoCapacity if the state of the connection could not be read.
+// beginExchange prepares a connection for the request that its attempt writes next. If the server has closed it or sent bytes
+// meanwhile, which cannot be a reply to a request not yet written, the connection is closed instead and the attempt needs another
+// one. The error is errUnsolicited, or errNoCapacity if the state of the connection could not be read.
 func (p *Pool) beginExchange(c *conn, waiter chan reply) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/discovery"
 )
 
-// lateDialThreshold is the duration of a connect after which its attempt takes a connection that becomes idle instead. It is
-// longer than a connect without packet loss takes, and as short as the settle delay.
+// lateDialThreshold is the duration of a connect after which its attempt takes another connection that becomes idle. It is longer
+// than a connect without packet loss takes, and as short as the settle delay.
 const lateDialThreshold = 10 * time.Millisecond
 
 // MaxDials is the maximum number of connects of one attempt. Only connects that failed for lack of local resources are retried.
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-// keepLateConn makes a connection idle that comes up after its attempt has taken another one.
+// keepLateConn adds a connection to the idle ones whose connect completes after its attempt has taken another connection.
 func (p *Pool) keepLateConn(dialed <-chan dialResult, host discovery.Host) {
 	result := <-dialed
 	if result.err != nil {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -82,14 +82,14 @@
 	return true
 }
 
-// release releases a connection's place. The caller holds mu.
+// release frees the place of a connection. The caller holds mu.
 func (p *Pool) release() {
 	p.open--
 	p.share.Release()
 }
 
-// putIdle makes a connection available to the next attempt. It closes the connection if the pool is closed or the server is no
-// longer ready as the incarnation that it was opened to. The caller holds mu.
+// putIdle delivers a connection to an attempt that waits for one, or keeps it idle for the next. It closes the connection if the
+// pool is closed or the server is no longer ready as the incarnation that it was opened to. The caller holds mu.
 func (p *Pool) putIdle(c *conn) {
 	if p.closed || !p.isReady(c.host) {
 		p.discard(c)
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -16,8 +16,8 @@
 	LocalIP        net.IP        // source address of connections; nil for any
 }
 
-// DefaultSettleDelay is longer than the time by which a second reply follows the first where a server sends two, which is some
-// milliseconds: a request written before it arrives would be given the second reply as its own.
+// DefaultSettleDelay is longer than the gap between two replies where a server sends two for one request, which is some
+// milliseconds: a request written within the gap would get the second reply as its own.
 const DefaultSettleDelay = 10 * time.Millisecond
 
 // maxSettleFraction is the fraction of the last exchange's duration that the next request may wait for its connection to settle,
--- a/internal/upstream/settle_test.go
+++ b/internal/upstream/settle_test.go
@@ -16,7 +16,7 @@
 		wait bool
 	}{
 		{"the last used of two settled connections", [][2]time.Duration{{3 * settle}, {2 * settle}}, 1, false},
-		{"a settled connection, not one that settleDelay soon", [][2]time.Duration{{3 * settle}, {2 * settle}, {settle / 2, 4 * settle}}, 1, false},
+		{"a settled connection, not one that settles soon", [][2]time.Duration{{3 * settle}, {2 * settle}, {settle / 2, 4 * settle}}, 1, false},
 		{"the only one within its maxSettleWait", [][2]time.Duration{{settle / 2}, {settle / 4, 4 * settle}}, 1, true},
 		{"the first to settle of two within their maxSettleWait", [][2]time.Duration{{settle / 2, 4 * settle}, {settle / 4, 4 * settle}}, 0, true},
 	} {
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -49,9 +49,9 @@
 
 // peekInput returns the state of a connection's receive buffer without reading it.
 func peekInput(fd uintptr, receive recvfromFunc) inputState {
-	var one [1]byte
+	var buf [1]byte
 	for {
-		_, _, err := receive(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, err := receive(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch err {
 		case syscall.EINTR:
 		case syscall.EAGAIN:
@@ -74,7 +74,7 @@
 		state := inputNone
 		err := raw.Read(func(fd uintptr) bool {
 			state = peekInput(fd, receive)
-			return state != inputNone // after inputUnknown the poller is not waited for: it may not report bytes that have arrived already
+			return state != inputNone // not for inputUnknown: bytes that have arrived already would not end the wait
 		})
 		if err != nil || state != inputUnknown { // the next read returns the error
 			return
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -104,7 +104,7 @@
 // that arrives before that ends the attempt: it cannot be a reply to the complete request.
 func (p *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
 	message := &a.Request.Message
-	upload := &uploadAttempt{
+	u := &uploadAttempt{
 		Attempt:   a,
 		pool:      p,
 		conn:      c,
@@ -116,11 +116,11 @@
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
-	body := io.MultiReader(bytes.NewReader(message.Body), upload.body)
-	go func() { upload.writeDone <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
-	got := upload.await()
-	consumed, failed := upload.body.end()
-	outcome := upload.outcome(got, failed)
+	body := io.MultiReader(bytes.NewReader(message.Body), u.body)
+	go func() { u.writeDone <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
+	got := u.await()
+	consumed, failed := u.body.end()
+	outcome := u.outcome(got, failed)
 	outcome.NotReplayable = consumed
 	return outcome
 }
