--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -9,7 +9,7 @@
 
 func (k *checker) routes() {
 	if len(k.Routes) == 0 {
-		k.fail("route", "there is none; at least one must be defined")
+		k.fail("route", "the block is missing; at least one is required")
 		return
 	}
 	for _, r := range k.Routes {
@@ -34,7 +34,7 @@
 		if len(r.To) > 1 {
 			for _, c := range k.Classes {
 				if c.Effect == Keyed && (len(r.Classes) == 0 || slices.Contains(r.Classes, c.Name)) {
-					k.warn("route."+r.Name, "it shares the keyed class %q among pools: calls go by their key, so that a repeat meets the servers that know it, but a change of weights moves keys", c.Name)
+					k.warn("route."+r.Name, "it splits the keyed class %q between pools: requests are assigned by key, so that a retry reaches the same servers, but a change of weights moves keys to other pools", c.Name)
 				}
 			}
 		}
@@ -55,8 +55,8 @@
 	return n
 }
 
-// Table compiles the routes of a checked configuration.
-func (c *Config) Table() (*route.Table, error) {
+// RouteTable compiles the routes of a checked configuration.
+func (c *Config) RouteTable() (*route.Table, error) {
 	t, problems := route.Compile(c.Routes, (&checker{Config: c}).routeNames())
 	if len(problems) > 0 {
 		return nil, fmt.Errorf("config: routes: %s", problems[0])
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -23,7 +23,7 @@
 	gone := c.swap()
 	n.resize(c.cfg)
 	for _, class := range c.cfg.Classes {
-		n.metrics.Know(class.Name)
+		n.metrics.RegisterClasses(class.Name)
 	}
 	for _, u := range c.updates {
 		u.pool.back.SetLimits(n.limitsOf(c.cfg, u.cfg))
@@ -31,7 +31,7 @@
 	c.switchListeners(&gone)
 	n.cfg = c.cfg
 	if n.gateway != nil {
-		n.gateway.Announce()
+		n.gateway.AdvertiseChanges()
 	}
 	n.retire(gone)
 	return nil
@@ -67,7 +67,7 @@
 		}
 		for _, p := range gone.pools {
 			// An attempt in flight of a class that is unsafe from now on must not be retried by a retiring pool either.
-			p.engine.Reconfigure(c.cfg.Settings(p.cfg), !p.settings.PollDiscovery)
+			p.engine.Reconfigure(c.cfg.BalancerSettings(p.cfg), !p.settings.PollDiscovery)
 		}
 	})
 	n.pools = pools
@@ -80,7 +80,7 @@
 		n.options.adopt()
 		defer n.options.adopt()
 	}
-	n.gateway.Adopt(c)
+	n.gateway.SetConfig(c)
 }
 
 // switchListeners has every listener of the new configuration accept, and no other.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -43,7 +43,7 @@
 		return gossip.Options{}, fmt.Errorf("peers: %w", err)
 	}
 	members := membership.Defaults()
-	members.ProbeInterval = time.Duration(p.Period)
+	members.ProbeInterval = time.Duration(p.ProbeInterval)
 	members.ProbeTimeout = members.ProbeInterval * 3 / 10
 	for _, s := range p.Seeds {
 		seed, err := netip.ParseAddrPort(s)
@@ -53,11 +53,11 @@
 		members.Seeds = append(members.Seeds, seed)
 	}
 	options := gossip.Options{
-		Listen:  p.Listen,
-		Key:     key,
-		Members: members,
-		Clock:   n.clock,
-		Log:     n.log,
+		Listen:     p.Listen,
+		Key:        key,
+		Membership: members,
+		Clock:      n.clock,
+		Log:        n.log,
 		Self: membership.Peer{
 			Name:       c.Name,
 			Addr:       address,
@@ -66,9 +66,9 @@
 			ListenOnly: p.ListenOnly,
 		},
 	}
-	if p.Fresh > 0 {
-		state := zonestate.Defaults(time.Duration(p.Fresh))
-		state.Delay = time.Duration(p.Delay)
+	if p.MaxZoneStateAge > 0 {
+		state := zonestate.Defaults(time.Duration(p.MaxZoneStateAge))
+		state.Delay = time.Duration(p.MaxDelay)
 		options.ZoneState = &state
 	}
 	return options, nil
@@ -83,13 +83,13 @@
 	out := &metrics.Peers{
 		Members: map[string]int{},
 		Zones:   map[string]int{},
-		Dropped: s.Counts.Strange + s.Counts.Malformed + s.Counts.Other + s.Counts.Lost,
+		Dropped: s.Counts.WrongKey + s.Counts.Malformed + s.Counts.Unsupported + s.Counts.QueueFull,
 	}
 	for _, m := range s.Members {
 		out.Members[m.Status]++
 	}
 	if s.ZoneState != nil {
-		out.Alone = s.ZoneState.Alone
+		out.Isolated = s.ZoneState.Isolated
 		for _, z := range s.ZoneState.Zones {
 			out.Zones[z.Freshness]++
 		}
--- a/internal/peering/bench_test.go
+++ b/internal/peering/bench_test.go
@@ -11,7 +11,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// BenchmarkRequest measures a request and its reply over loopback.
+// BenchmarkRequest measures the time of a request and its reply over loopback.
 func BenchmarkRequest(b *testing.B) {
 	o := options("b", "b1", 1)
 	o.Topics = map[string]Handler{"x": func(_ *Link, body []byte, reply func(any, error)) { reply(len(body), nil) }}
@@ -25,9 +25,9 @@
 		b.Fatal(err)
 	}
 	defer from.Close()
-	from.Keep(to.Addr(), "b")
+	from.Connect(to.Addr(), "b")
 	var l *Link
-	for ; l == nil; l = from.To(to.Self().ID()) {
+	for ; l == nil; l = from.Link(to.Self().ID()) {
 		time.Sleep(time.Millisecond)
 	}
 	body := make([]byte, 400)
@@ -41,11 +41,11 @@
 	}
 }
 
-// BenchmarkLinkMemory measures the memory of one end of a link after its first heartbeats: heap and stacks of 200 hubs with a
-// link each to one more, less those of the same hubs without links.
+// BenchmarkLinkMemory measures the memory of one end of a link after its first heartbeats: heap and stacks of 200 hubs with one link
+// each to a central hub, minus those of the same hubs without links.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 200
-	used := func() float64 {
+	memoryInUse := func() float64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
@@ -53,30 +53,30 @@
 		return float64(m.HeapInuse + m.StackInuse)
 	}
 	for b.Loop() {
-		hub := func(name string) *Hub {
+		openHub := func(name string) *Hub {
 			o := options("a", name, 1)
-			o.Beat = 20 * time.Millisecond
-			o.Silence = testpeer.Limit
+			o.HeartbeatInterval = 20 * time.Millisecond
+			o.HeartbeatTimeout = testpeer.Limit
 			h, err := Open(o)
 			if err != nil {
 				b.Fatal(err)
 			}
 			return h
 		}
-		center := hub("center")
-		var all []*Hub
+		center := openHub("center")
+		var hubs []*Hub
 		for i := range links {
-			all = append(all, hub(fmt.Sprint("h", i)))
+			hubs = append(hubs, openHub(fmt.Sprint("h", i)))
 		}
-		before := used()
-		for _, h := range all {
-			h.Keep(center.Addr(), "a")
+		before := memoryInUse()
+		for _, h := range hubs {
+			h.Connect(center.Addr(), "a")
 		}
 		for len(center.Links("")) < links || slices.ContainsFunc(center.Links(""), func(l *Link) bool { return l.RTT() == 0 }) {
 			time.Sleep(time.Millisecond)
 		}
-		b.ReportMetric((used()-before)/(2*links), "B/end")
-		for _, h := range append(all, center) {
+		b.ReportMetric((memoryInUse()-before)/(2*links), "B/end")
+		for _, h := range append(hubs, center) {
 			h.Close()
 		}
 	}
--- a/internal/routeexchange/receive.go
+++ b/internal/routeexchange/receive.go
@@ -37,7 +37,7 @@
 	}
 	if err := peering.Decode(body, &m); err != nil || m.Serial != 0 && m.Serial != in.nextSerial {
 		x.mu.Unlock()
-		link.Tell(topicRefresh, struct{}{})
+		link.Notify(topicRefresh, struct{}{})
 		return
 	}
 	in.add(&m)
@@ -55,7 +55,7 @@
 	x.mu.Unlock()
 	switch {
 	case !matches:
-		link.Tell(topicRefresh, struct{}{})
+		link.Notify(topicRefresh, struct{}{})
 	case received.complete != nil:
 		x.options.Table.replace(in.source, received.complete)
 	default:
@@ -112,6 +112,6 @@
 	links := slices.Collect(maps.Keys(x.inbound))
 	x.mu.Unlock()
 	for _, link := range links {
-		link.Tell(topicRefresh, struct{}{})
+		link.Notify(topicRefresh, struct{}{})
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -16,7 +16,7 @@
 )
 
 func newTestPool(limit int) *Pool {
-	return NewPool(clock.New(), descriptors.NewShare(limit), &metrics.Set{}, Limits{MaxConnections: limit, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
+	return NewPool(clock.New(), descriptors.NewShare(limit), &metrics.Recorder{}, Limits{MaxConnections: limit, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
 }
 
 // listServer adds a server that is named by its endpoint to the pool's endpoint list.
