--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -95,18 +95,18 @@
 func TestOpenRequestLimit(t *testing.T) {
 	var calls []string
 	set := newTestSet(8, 0)
-	first, other := &fakeConn{name: "first", calls: &calls}, &fakeConn{name: "other", calls: &calls}
+	first, second := &fakeConn{name: "first", calls: &calls}, &fakeConn{name: "second", calls: &calls}
 	set.Add(first, nil)
-	set.Add(other, nil)
+	set.Add(second, nil)
 	for i := range 4 {
 		if !set.BeginRequest(first) {
 			t.Fatalf("request %d was rejected", i)
 		}
 	}
-	if set.BeginRequest(other) {
+	if set.BeginRequest(second) {
 		t.Error("a fifth request was accepted; the limit is 4")
 	}
-	set.SetPhase(other, PhaseIdle)
+	set.SetPhase(second, PhaseIdle)
 	for want := 3; want >= 0; want-- {
 		if remaining := set.EndRequest(first); remaining != want {
 			t.Errorf("EndRequest returned %d, want %d", remaining, want)
@@ -115,14 +115,14 @@
 	if set.EndRequest(first) != 0 {
 		t.Error("EndRequest without an open request did not return 0")
 	}
-	other.aborted = true
-	if set.BeginRequest(other) {
+	second.aborted = true
+	if set.BeginRequest(second) {
 		t.Error("a request was accepted after AbortRead")
 	}
 	if set.BeginRequest(&fakeConn{}) {
 		t.Error("a request was accepted on an unknown connection")
 	}
-	set.Remove(other)
+	set.Remove(second)
 	set.Remove(first)
 	if set.Len() != 0 || set.openRequests != 0 || set.closingConns != 0 {
 		t.Errorf("%d connections, %d requests, %d closing; want none", set.Len(), set.openRequests, set.closingConns)
--- a/internal/fault/enabled.go
+++ b/internal/fault/enabled.go
@@ -14,7 +14,7 @@
 // armedPoint is the fault point that the environment variable names, and how many passes remain until its signal is sent.
 type armedPoint struct {
 	mu        sync.Mutex
-	name      string
+	point     string
 	remaining int
 	signal    syscall.Signal
 }
@@ -29,13 +29,13 @@
 	if err != nil || signal == 0 {
 		return &armedPoint{}
 	}
-	return &armedPoint{name: parts[0], remaining: count, signal: signal}
+	return &armedPoint{point: parts[0], remaining: count, signal: signal}
 })
 
 // Point marks a moment between two steps at which the process may be killed or stopped.
 func Point(name string) {
 	p := armed()
-	if p.name != name {
+	if p.point != name {
 		return
 	}
 	p.mu.Lock()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -9,10 +9,10 @@
 )
 
 // Run implements engine.Backend: it makes an attempt and returns its outcome. Its connection is then closed or idle again.
-func (p *Pool) Run(a *engine.Attempt) engine.Outcome {
-	ctx, cancel := p.attemptContext(a)
+func (p *Pool) Run(attempt *engine.Attempt) engine.Outcome {
+	ctx, cancel := p.attemptContext(attempt)
 	defer cancel()
-	outcome := p.try(ctx, a)
+	outcome := p.try(ctx, attempt)
 	if outcome.At == 0 {
 		outcome.At = p.clock.Now()
 	}
@@ -21,47 +21,47 @@
 
 // attemptContext returns a context that ends at the attempt's deadline or when it is cancelled. The deadline of an upload begins
 // only once its body is written completely, so its context has none.
-func (p *Pool) attemptContext(a *engine.Attempt) (context.Context, context.CancelFunc) {
-	if a.Request.Message.Rest != nil {
-		return context.WithCancel(a.Context())
+func (p *Pool) attemptContext(attempt *engine.Attempt) (context.Context, context.CancelFunc) {
+	if attempt.Request.Message.Rest != nil {
+		return context.WithCancel(attempt.Context())
 	}
-	return context.WithTimeout(a.Context(), p.clock.Until(a.Deadline))
+	return context.WithTimeout(attempt.Context(), p.clock.Until(attempt.Deadline))
 }
 
 // try makes an attempt on a connection that no other request uses meanwhile.
-func (p *Pool) try(ctx context.Context, a *engine.Attempt) engine.Outcome {
-	c, waiter, result := p.acquire(ctx, a)
+func (p *Pool) try(ctx context.Context, attempt *engine.Attempt) engine.Outcome {
+	c, waiter, result := p.acquire(ctx, attempt)
 	if c == nil {
 		return engine.Outcome{Result: result}
 	}
-	if result, ok := p.tryStart(ctx, a, c); !ok {
+	if result, ok := p.tryStart(ctx, attempt, c); !ok {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: result}
 	}
 	// A timed-out or cancelled attempt closes its connection, which ends the wait for the reply.
 	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
 	defer stop()
-	if a.Request.Message.Rest != nil {
-		return p.upload(a, c, waiter)
+	if attempt.Request.Message.Rest != nil {
+		return p.upload(attempt, c, waiter)
 	}
-	return p.exchange(ctx, a, c, waiter)
+	return p.exchange(ctx, attempt, c, waiter)
 }
 
 // acquire returns a connection on which the attempt's request may be written next, and the channel that receives the reply; or,
 // without a connection, the result of the attempt. Idle connections that turn out to be closed are replaced, fresh ones are not.
-func (p *Pool) acquire(ctx context.Context, a *engine.Attempt) (c *conn, waiter chan reply, result balancer.Result) {
+func (p *Pool) acquire(ctx context.Context, attempt *engine.Attempt) (c *conn, waiter chan reply, result balancer.Result) {
 	for {
 		waiter = make(chan reply, 1)
-		c, fresh, err := p.connect(ctx, a.Host, waiter)
+		c, fresh, err := p.connect(ctx, attempt.Host, waiter)
 		switch {
 		case errors.Is(err, errNoCapacity):
 			return nil, nil, balancer.NotStarted
-		case err != nil && a.Cancelled():
+		case err != nil && attempt.Cancelled():
 			return nil, nil, balancer.Cancelled
 		case err != nil:
 			return nil, nil, balancer.Unreachable
 		}
-		if !a.Allowed() {
+		if !attempt.Allowed() {
 			p.abandon(c, waiter)
 			return nil, nil, balancer.NotStarted
 		}
@@ -79,14 +79,14 @@
 
 // tryStart reports whether an attempt may start on its connection, and its result if not. Waiting for the connection may have
 // taken long: meanwhile the client may have disconnected, the deadline passed, or the server been set to drain.
-func (p *Pool) tryStart(ctx context.Context, a *engine.Attempt, c *conn) (result balancer.Result, ok bool) {
+func (p *Pool) tryStart(ctx context.Context, attempt *engine.Attempt, c *conn) (result balancer.Result, ok bool) {
 	p.mu.Lock()
 	ready := p.isReady(c.host)
 	p.mu.Unlock()
 	switch {
-	case ready && ctx.Err() == nil && a.TryStart(p.clock.Now(), c.dialTime):
+	case ready && ctx.Err() == nil && attempt.TryStart(p.clock.Now(), c.dialTime):
 		return 0, true
-	case a.Cancelled():
+	case attempt.Cancelled():
 		return balancer.Cancelled, false
 	case ctx.Err() != nil:
 		return balancer.Unreachable, false
@@ -96,8 +96,8 @@
 
 // exchange writes a request whose body is complete and waits for its reply. The request goes in one write, whose result tells
 // whether the last byte was sent.
-func (p *Pool) exchange(ctx context.Context, a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
-	text, result := p.requestText(a)
+func (p *Pool) exchange(ctx context.Context, attempt *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
+	text, result := p.requestText(attempt)
 	if text == nil {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: result}
@@ -113,7 +113,7 @@
 	switch {
 	case got.err == nil:
 		return got.Outcome
-	case a.Cancelled():
+	case attempt.Cancelled():
 		return engine.Outcome{Result: balancer.Cancelled}
 	case sent < len(text) && isLocalShortage(err):
 		return engine.Outcome{Result: balancer.NotStarted}
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -22,25 +22,25 @@
 		action func(*Pool, *engine.Attempt)
 		want   balancer.Result
 	}{
-		{"cancelled", func(_ *Pool, a *engine.Attempt) { a.Cancel() }, balancer.Cancelled},
-		{"client disconnected, started attempts are not cancelled", func(_ *Pool, a *engine.Attempt) { a.CancelIfNotStarted() }, balancer.Cancelled},
-		{"client disconnected, the engine not notified yet", func(pool *Pool, a *engine.Attempt) { a.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
-		{"client disconnected, known only to the kernel", func(_ *Pool, a *engine.Attempt) {
-			a.Request.Message.ClientDisconnected = func() bool { return true }
+		{"cancelled", func(_ *Pool, attempt *engine.Attempt) { attempt.Cancel() }, balancer.Cancelled},
+		{"client disconnected, started attempts are not cancelled", func(_ *Pool, attempt *engine.Attempt) { attempt.CancelIfNotStarted() }, balancer.Cancelled},
+		{"client disconnected, the engine not notified yet", func(pool *Pool, attempt *engine.Attempt) { attempt.Request.Disconnect(pool.clock.Now()) }, balancer.Cancelled},
+		{"client disconnected, known only to the kernel", func(_ *Pool, attempt *engine.Attempt) {
+			attempt.Request.Message.ClientDisconnected = func() bool { return true }
 		}, balancer.Cancelled},
-		{"client disconnected, known only to the kernel, body incomplete", func(_ *Pool, a *engine.Attempt) {
-			a.Request.Message.ClientDisconnected, a.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
+		{"client disconnected, known only to the kernel, body incomplete", func(_ *Pool, attempt *engine.Attempt) {
+			attempt.Request.Message.ClientDisconnected, attempt.Request.Message.Rest = func() bool { return true }, strings.NewReader("rest")
 		}, balancer.Cancelled},
-		{"deadline passed", func(pool *Pool, a *engine.Attempt) {
-			a.Deadline = a.SentAt + 1 // Run reads the clock later
+		{"deadline passed", func(pool *Pool, attempt *engine.Attempt) {
+			attempt.Deadline = attempt.SentAt + 1 // Run reads the clock later
 		}, balancer.NotStarted},
-		{"idempotency window over", func(pool *Pool, a *engine.Attempt) { a.NotAfter = pool.clock.Now() }, balancer.NotStarted},
-		{"server draining", func(pool *Pool, a *engine.Attempt) {
-			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Draining}, Endpoint: a.Host.Endpoint}}, false)
+		{"idempotency window over", func(pool *Pool, attempt *engine.Attempt) { attempt.NotAfter = pool.clock.Now() }, balancer.NotStarted},
+		{"server draining", func(pool *Pool, attempt *engine.Attempt) {
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: attempt.Host.Server, State: balancer.Draining}, Endpoint: attempt.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
-		{"server missing from a full snapshot", func(pool *Pool, a *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
-		{"server restarted", func(pool *Pool, a *engine.Attempt) {
-			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: a.Host.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: a.Host.Endpoint}}, false)
+		{"server missing from a full snapshot", func(pool *Pool, attempt *engine.Attempt) { pool.Servers(nil, true) }, balancer.NotStarted},
+		{"server restarted", func(pool *Pool, attempt *engine.Attempt) {
+			pool.Servers([]discovery.Target{{Server: balancer.Server{ID: attempt.Host.Server, State: balancer.Ready, Boot: time.Second}, Endpoint: attempt.Host.Endpoint}}, false)
 		}, balancer.NotStarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,11 +60,11 @@
 			pool := newTestPool(10)
 			dial := testpeer.NewLateDial()
 			pool.dial = dial.Dial
-			a := newTestAttempt(pool, ln.Addr().String())
+			attempt := newTestAttempt(pool, ln.Addr().String())
 			outcome := make(chan engine.Outcome, 1)
-			go func() { outcome <- pool.Run(a) }()
+			go func() { outcome <- pool.Run(attempt) }()
 			testpeer.Receive(t, dial.Dialing, "the attempt to dial")
-			c.action(pool, a)
+			c.action(pool, attempt)
 			close(dial.Up)
 			if r := testpeer.Receive(t, outcome, "the outcome of the attempt"); r.Result != c.want || pool.Connections() != 0 {
 				t.Errorf("result %d, %d connections; want result %d, no connection", r.Result, pool.Connections(), c.want)
@@ -114,16 +114,16 @@
 		return testpeer.Echo(c, r, body)
 	})
 	pool := newTestPool(10)
-	a := newTestAttempt(pool, server.Address())
+	attempt := newTestAttempt(pool, server.Address())
 	checks, remaining := 0, time.Duration(0)
-	a.Request.Message.ClientDisconnected = func() bool {
+	attempt.Request.Message.ClientDisconnected = func() bool {
 		if checks++; checks == 1 {
 			time.Sleep(delay)
-			remaining = pool.clock.Until(a.Deadline)
+			remaining = pool.clock.Until(attempt.Deadline)
 		}
 		return false
 	}
-	runAttempt(t, pool, a)
+	runAttempt(t, pool, attempt)
 	if got := testpeer.Receive(t, sent, "the request"); got <= 0 || got > remaining+maxTextAge || checks < 2 {
 		t.Errorf("X-Deadline is %v after %d checks, %v remained", got, checks, remaining)
 	}
--- a/internal/upstream/connfailure_test.go
+++ b/internal/upstream/connfailure_test.go
@@ -99,9 +99,9 @@
 		rest := io.MultiReader(strings.NewReader(strings.Repeat("x", 5000)), strings.NewReader("the end"))
 		request := engine.NewRequest("id", engine.Message{Method: "POST", Target: "/note/k", Rest: rest, Length: length})
 		now := pool.clock.Now()
-		a := engine.NewAttempt(request, 0, listServer(pool, server.Address()), now, now+testpeer.Limit)
+		attempt := engine.NewAttempt(request, 0, listServer(pool, server.Address()), now, now+testpeer.Limit)
 		outcome := make(chan engine.Outcome, 1)
-		go func() { outcome <- pool.Run(a) }()
+		go func() { outcome <- pool.Run(attempt) }()
 		testpeer.Until(t, "the request at the server", func() bool { return server.Seen() == 1 })
 		testpeer.Until(t, "the connection to be closed", func() bool { return pool.Connections() == 0 })
 		select {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -107,11 +107,11 @@
 	first, second := make(chan engine.Outcome, 1), make(chan engine.Outcome, 1)
 	go func() { first <- pool.Run(newTestAttempt(pool, server.Address())) }()
 	testpeer.Receive(t, received, "the first request at the server")
-	a := newTestAttempt(pool, server.Address())
-	go func() { second <- pool.Run(a) }()
+	attempt := newTestAttempt(pool, server.Address())
+	go func() { second <- pool.Run(attempt) }()
 	testpeer.Receive(t, dialing, "the second attempt to dial")
 	testpeer.Until(t, "the second connect to be late", func() bool { return pool.wantConnCount() == 1 })
-	a.Cancel()
+	attempt.Cancel()
 	if r := testpeer.Receive(t, second, "the second attempt's end"); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -34,10 +34,10 @@
 }
 
 // runAttempt runs an attempt, which must end within testpeer.Limit.
-func runAttempt(t *testing.T, pool *Pool, a *engine.Attempt) engine.Outcome {
+func runAttempt(t *testing.T, pool *Pool, attempt *engine.Attempt) engine.Outcome {
 	t.Helper()
 	outcome := make(chan engine.Outcome, 1)
-	go func() { outcome <- pool.Run(a) }()
+	go func() { outcome <- pool.Run(attempt) }()
 	return testpeer.Receive(t, outcome, "the outcome of the attempt")
 }
 
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -65,9 +65,9 @@
 	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Load == nil || r.Load.Busy != 3 || r.Load.Service >= 0 {
 		t.Errorf("the load report is %+v, want 3 requests in flight", r.Load)
 	}
-	a := newTestAttempt(pool, server.Address())
-	a.Request.Message.Target = "/note/bad"
-	if r := runAttempt(t, pool, a); r.Load == nil || r.Load.Busy != 3 {
+	attempt := newTestAttempt(pool, server.Address())
+	attempt.Request.Message.Target = "/note/bad"
+	if r := runAttempt(t, pool, attempt); r.Load == nil || r.Load.Busy != 3 {
 		t.Errorf("the load report of an error is %+v, want 3 requests in flight", r.Load)
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -66,13 +66,13 @@
 			return false
 		})
 		pool := newTestPool(10)
-		a := newTestAttempt(pool, server.Address())
+		attempt := newTestAttempt(pool, server.Address())
 		if want == balancer.TimedOut {
-			a.Deadline = a.SentAt + 100*time.Millisecond
+			attempt.Deadline = attempt.SentAt + 100*time.Millisecond
 		} else {
-			go func() { <-received; a.Cancel() }()
+			go func() { <-received; attempt.Cancel() }()
 		}
-		if r := runAttempt(t, pool, a); r.Result != want || pool.open != 0 {
+		if r := runAttempt(t, pool, attempt); r.Result != want || pool.open != 0 {
 			t.Errorf("result %d, %d connections open; want result %d, no connection", r.Result, pool.open, want)
 		}
 		testpeer.Receive(t, closed, "the connection to be closed")
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -23,20 +23,20 @@
 
 // requestText returns the text of an attempt's request to be written now. If the text is nil, the attempt ends with the result
 // because its deadline has passed, its client has disconnected, or the request is invalid.
-func (p *Pool) requestText(a *engine.Attempt) (text []byte, result balancer.Result) {
+func (p *Pool) requestText(attempt *engine.Attempt) (text []byte, result balancer.Result) {
 	for {
-		remaining := p.clock.Until(a.Deadline)
+		remaining := p.clock.Until(attempt.Deadline)
 		if remaining <= 0 {
 			return nil, balancer.NotStarted
 		}
-		text, err := completeRequest(a, remaining)
+		text, err := completeRequest(attempt, remaining)
 		if err != nil {
 			return nil, balancer.NotStarted
 		}
-		if a.Request.IsDisconnected(p.clock.Now) {
+		if attempt.Request.IsDisconnected(p.clock.Now) {
 			return nil, balancer.Cancelled
 		}
-		if remaining-p.clock.Until(a.Deadline) <= maxTextAge {
+		if remaining-p.clock.Until(attempt.Deadline) <= maxTextAge {
 			return text, 0
 		}
 	}
@@ -44,11 +44,11 @@
 
 // newRequest returns the request to a server, to be answered within the remaining time. Method, target, body, id and idempotency
 // key are those of the client's request.
-func newRequest(a *engine.Attempt, remaining time.Duration, body io.Reader) *http.Request {
-	message := &a.Request.Message
+func newRequest(attempt *engine.Attempt, remaining time.Duration, body io.Reader) *http.Request {
+	message := &attempt.Request.Message
 	header := http.Header{
 		"User-Agent":   {""}, // none
-		"X-Request-Id": {a.Request.ID},
+		"X-Request-Id": {attempt.Request.ID},
 		"X-Deadline":   {string(appendDeadline(nil, remaining))},
 	}
 	if message.IdempotencyKey != "" {
@@ -60,7 +60,7 @@
 	if message.ContentType != "" {
 		header["Content-Type"] = []string{message.ContentType}
 	}
-	r := &http.Request{
+	request := &http.Request{
 		Method:        message.Method,
 		URL:           &url.URL{Opaque: message.Target},
 		Host:          backendHost,
@@ -68,12 +68,12 @@
 		ContentLength: int64(len(message.Body)),
 	}
 	if message.Rest != nil {
-		r.ContentLength = message.Length
+		request.ContentLength = message.Length
 	}
-	if r.ContentLength != 0 {
-		r.Body = io.NopCloser(body)
+	if request.ContentLength != 0 {
+		request.Body = io.NopCloser(body)
 	}
-	return r
+	return request
 }
 
 // headCapacity is larger than the head of a request without long fields.
@@ -81,11 +81,11 @@
 
 // completeRequest returns the text of a request whose body is complete. For plain requests the text is built here, byte for byte
 // as net/http writes it, without allocating a header, a URL and readers.
-func completeRequest(a *engine.Attempt, remaining time.Duration) ([]byte, error) {
-	message := &a.Request.Message
+func completeRequest(attempt *engine.Attempt, remaining time.Duration) ([]byte, error) {
+	message := &attempt.Request.Message
 	if !isPlain(message) {
 		var out bytes.Buffer
-		err := newRequest(a, remaining, bytes.NewReader(message.Body)).Write(&out)
+		err := newRequest(attempt, remaining, bytes.NewReader(message.Body)).Write(&out)
 		return out.Bytes(), err
 	}
 	text := make([]byte, 0, headCapacity+len(message.Body))
@@ -107,7 +107,7 @@
 	text = append(text, "X-Deadline: "...)
 	text = appendDeadline(text, remaining)
 	text = append(text, "\r\n"...)
-	text = appendField(text, "X-Request-Id", a.Request.ID)
+	text = appendField(text, "X-Request-Id", attempt.Request.ID)
 	text = append(text, "\r\n"...)
 	return append(text, message.Body...), nil
 }
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -29,10 +29,10 @@
 			plain++
 		}
 		remaining := time.Duration(random.Int64N(int64(10*time.Second))) - time.Second
-		a := engine.NewAttempt(engine.NewRequest(value(), message), 0, discovery.Host{}, 0, 0)
+		attempt := engine.NewAttempt(engine.NewRequest(value(), message), 0, discovery.Host{}, 0, 0)
 		var want bytes.Buffer
-		wantErr := newRequest(a, remaining, bytes.NewReader(message.Body)).Write(&want)
-		got, err := completeRequest(a, remaining)
+		wantErr := newRequest(attempt, remaining, bytes.NewReader(message.Body)).Write(&want)
+		got, err := completeRequest(attempt, remaining)
 		if (err != nil) != (wantErr != nil) || err == nil && !bytes.Equal(got, want.Bytes()) {
 			t.Fatalf("request %d, %+v:\n%q, %v\nwant\n%q, %v", i, message, got, err, want.Bytes(), wantErr)
 		}
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -14,10 +14,10 @@
 )
 
 // failFirstDials makes the first dials fail with an errno, and counts all.
-func failFirstDials(pool *Pool, errno syscall.Errno, failures int32) (dials *atomic.Int32) {
+func failFirstDials(pool *Pool, errno syscall.Errno, failCount int32) (dials *atomic.Int32) {
 	dials = new(atomic.Int32)
 	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if dials.Add(1) <= failures {
+		if dials.Add(1) <= failCount {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
 		return new(net.Dialer).DialContext(ctx, network, address)
@@ -75,9 +75,9 @@
 func TestAttemptThatEndsDuringShortageIsNotStarted(t *testing.T) {
 	pool := newTestPool(10)
 	dials := failFirstDials(pool, syscall.ENOMEM, 1<<30)
-	a := newTestAttempt(pool, "127.0.0.1:1")
-	a.Deadline = a.SentAt + dialBackoff/2
-	if r := runAttempt(t, pool, a); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
+	attempt := newTestAttempt(pool, "127.0.0.1:1")
+	attempt.Deadline = attempt.SentAt + dialBackoff/2
+	if r := runAttempt(t, pool, attempt); r.Result != balancer.NotStarted || dials.Load() != 1 || pool.Connections() != 0 {
 		t.Errorf("result %d after %d dials, %d connections", r.Result, dials.Load(), pool.Connections())
 	}
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -91,35 +91,37 @@
 // uploadAttempt is an attempt of a request whose body is still being received from the client.
 type uploadAttempt struct {
 	*engine.Attempt
-	pool      *Pool
-	conn      *conn
-	waiter    chan reply
-	body      *attemptBody
-	writeDone chan error  // receives the result of writing the request
-	complete  bool        // the request was written completely
-	timedOut  atomic.Bool // the deadline passed after complete was set
+	pool       *Pool
+	conn       *conn
+	waiter     chan reply
+	clientBody *attemptBody
+	writeDone  chan error  // receives the result of writing the request
+	complete   bool        // the request was written completely
+	timedOut   atomic.Bool // the deadline passed after complete was set
 }
 
 // upload sends a request while its body is received from the client. The attempt's deadline counts from the last byte. A reply
 // that arrives before that ends the attempt: it cannot be a reply to the complete request.
-func (p *Pool) upload(a *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
-	message := &a.Request.Message
+func (p *Pool) upload(attempt *engine.Attempt, c *conn, waiter chan reply) engine.Outcome {
+	message := &attempt.Request.Message
 	u := &uploadAttempt{
-		Attempt:   a,
-		pool:      p,
-		conn:      c,
-		waiter:    waiter,
-		body:      &attemptBody{Reader: message.Rest, remaining: message.Length - int64(len(message.Body))},
-		writeDone: make(chan error, 1),
+		Attempt:    attempt,
+		pool:       p,
+		conn:       c,
+		waiter:     waiter,
+		clientBody: &attemptBody{Reader: message.Rest, remaining: message.Length - int64(len(message.Body))},
+		writeDone:  make(chan error, 1),
 	}
-	if a.Request.IsDisconnected(p.clock.Now) {
+	if attempt.Request.IsDisconnected(p.clock.Now) {
 		p.abandon(c, waiter)
 		return engine.Outcome{Result: balancer.Cancelled}
 	}
-	body := io.MultiReader(bytes.NewReader(message.Body), u.body)
-	go func() { u.writeDone <- newRequest(a, a.Deadline-a.SentAt, body).Write(stallLimited{c}) }()
+	body := io.MultiReader(bytes.NewReader(message.Body), u.clientBody)
+	go func() {
+		u.writeDone <- newRequest(attempt, attempt.Deadline-attempt.SentAt, body).Write(stallLimited{c})
+	}()
 	got := u.await()
-	consumed, failed := u.body.end()
+	consumed, failed := u.clientBody.end()
 	outcome := u.outcome(got, failed)
 	outcome.NotReplayable = consumed
 	return outcome
@@ -151,7 +153,7 @@
 		}
 	case <-time.After(writeResultGrace):
 		// Only the writer knows whether the last byte was sent. The connection is closed by now, which ends the write.
-		if got.err != nil && u.body.isFullyRead() && <-u.writeDone == nil {
+		if got.err != nil && u.clientBody.isFullyRead() && <-u.writeDone == nil {
 			u.markComplete()
 		}
 	}
