--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -88,9 +88,9 @@
 	f := c.front
 	f.counters.RequestStarted()
 	snapshot := f.dispatcher.Snapshot()
-	if !f.clients.Begin(c) {
+	if !f.clients.BeginRequest(c) {
 		c.respond(req, engine.Response{Kind: engine.Rejected, RetryAfter: snapshot.RetryAfter()})
-		f.clients.End(c)
+		f.clients.EndRequest(c)
 		return
 	}
 	req.checked.Message.ClientDisconnected = func() bool { return c.isDisconnected(req) }
@@ -98,7 +98,7 @@
 	if err != nil {
 		f.counters.RequestEnded(req.checked.Class, metrics.Faulted)
 		c.respondText(req, errorResponse(err))
-		f.clients.End(c)
+		f.clients.EndRequest(c)
 		c.updatePhase()
 		return
 	}
@@ -134,7 +134,7 @@
 	case <-req.done:
 		c.addUnanswered(-1)
 	}
-	f.clients.End(c)
+	f.clients.EndRequest(c)
 	c.mu.Lock()
 	c.updatePhase()
 	c.mu.Unlock()
@@ -211,12 +211,12 @@
 	close(req.done)
 	delete(c.requests, req.id)
 	keep, err := c.app.Finish(req.id, e)
-	if !keep || c.front.closing.Load() || c.front.clients.NearLimit() {
+	if !keep || c.front.closing.Load() || c.front.clients.OverLimit() {
 		c.closing = true
 	}
 	if err != nil || c.closing && len(c.requests) == 0 {
 		c.flush()
-		c.CutOff() // the reader returns, and serve closes the connection
+		c.AbortRead() // the reader returns, and serve closes the connection
 	}
 	c.updatePhase()
 }
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -14,9 +14,9 @@
 		}
 	}
 	if len(c.requests) > 0 {
-		c.front.clients.Move(c, downstream.Reading)
+		c.front.clients.SetPhase(c, downstream.PhaseReading)
 	} else {
-		c.front.clients.Move(c, downstream.Idle)
+		c.front.clients.SetPhase(c, downstream.PhaseIdle)
 	}
 }
 
@@ -50,37 +50,37 @@
 // Abort implements downstream.Conn.
 func (c *client) Abort() error { return c.Conn.Close() }
 
-// CutOff implements downstream.Conn.
-func (c *client) CutOff() {
+// AbortRead implements downstream.Conn.
+func (c *client) AbortRead() {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	c.interrupted, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements downstream.Conn.
-func (c *client) IsCut() bool {
+// ReadAborted implements downstream.Conn.
+func (c *client) ReadAborted() bool {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	return c.cutOff
 }
 
-// HasBegun implements downstream.Conn.
-func (c *client) HasBegun() bool {
+// RequestStarted implements downstream.Conn.
+func (c *client) RequestStarted() bool {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	return c.midRecord || c.incomplete > 0
 }
 
-// Owes implements downstream.Conn.
-func (c *client) Owes() bool {
+// ResponsePending implements downstream.Conn.
+func (c *client) ResponsePending() bool {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	return c.unanswered > 0
 }
 
-// Quiet implements downstream.Conn.
-func (c *client) Quiet() time.Duration {
+// SinceLastRead implements downstream.Conn.
+func (c *client) SinceLastRead() time.Duration {
 	c.stateMu.Lock()
 	defer c.stateMu.Unlock()
 	return time.Since(c.lastRead)
--- a/internal/fastcgi/front.go
+++ b/internal/fastcgi/front.go
@@ -59,8 +59,8 @@
 // SetClosing sets whether connections close after the response to their last open request.
 func (f *Front) SetClosing(closing bool) { f.closing.Store(closing) }
 
-// CloseQuiet closes the connections without a request. It returns how many are left.
-func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
+// CloseIdle closes the connections without a request. It returns how many are left.
+func (f *Front) CloseIdle() int { return f.clients.CloseIdle(f) }
 
 // respondHealth answers a readiness check.
 func (c *client) respondHealth(req *request) {
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -57,7 +57,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, counters := clock.New(), &metrics.Recorder{}
 	env := &testEnv{backend: upstream.NewPool(c, descriptors.NewShare(488), counters, upstream.Limits{MaxConnections: 488, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})}
-	env.clients = downstream.New(c, downstream.Share{Capacity: 976, Minimum: 244, Spare: 24}, env.backend.Connections)
+	env.clients = downstream.New(c, downstream.Limits{Capacity: 976, ServerMinimum: 244, Reserve: 24}, env.backend.Connections)
 	var err error
 	if env.engine, err = engine.New(engine.Options{Settings: cfg.BalancerSettings(cfg.Pools[0]), Seed: 1, Clock: c, Backend: env.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
@@ -265,7 +265,7 @@
 		}
 		webServer.expectClosed(t, name)
 	}
-	testpeer.Until(t, "the connections to be closed", func() bool { return env.clients.Open() == 1 })
+	testpeer.Until(t, "the connections to be closed", func() bool { return env.clients.Len() == 1 })
 }
 
 // With 50 requests on one connection, some aborted while servers handle them, each request ends once, the others are
@@ -356,7 +356,7 @@
 		testpeer.Receive(t, gone, "the attempt's end")
 	}
 	testpeer.Until(t, "all connections and requests to end", func() bool {
-		return env.clients.Open() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().OpenRequests == 0
+		return env.clients.Len() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().OpenRequests == 0
 	})
 	if server.Seen() != 5 {
 		t.Errorf("server got %d requests, want 5", server.Seen())
@@ -417,14 +417,14 @@
 
 	idle := connect(t, env)
 	idle.receive(t, 0)
-	testpeer.Until(t, "the idle connection to be accepted", func() bool { return env.clients.Open() == 2 })
+	testpeer.Until(t, "the idle connection to be accepted", func() bool { return env.clients.Len() == 2 })
 	env.front.SetClosing(true)
 	id = webServer.sendRequest(t, requestParams("GET", "/view/k", "last"), "")
 	if resp := webServer.receive(t, 1)[id]; resp.body() != "for last" {
 		t.Errorf("got %q", resp.text)
 	}
 	webServer.expectClosed(t, "connection after its last response")
-	testpeer.Until(t, "idle connections to be closed", func() bool { return env.front.CloseQuiet() == 0 })
+	testpeer.Until(t, "idle connections to be closed", func() bool { return env.front.CloseIdle() == 0 })
 	idle.expectClosed(t, "idle connection")
 }
 
@@ -467,7 +467,7 @@
 			}
 			conns = append(conns, c)
 		}
-		testpeer.Until(b, "all connections to be accepted", func() bool { return env.clients.Open() == count })
+		testpeer.Until(b, "all connections to be accepted", func() bool { return env.clients.Len() == count })
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// This includes the test's own end of each connection.
@@ -475,7 +475,7 @@
 		for _, c := range conns {
 			c.Close()
 		}
-		testpeer.Until(b, "all connections to be closed", func() bool { return env.clients.Open() == 0 })
+		testpeer.Until(b, "all connections to be closed", func() bool { return env.clients.Len() == 0 })
 	}
 }
 
@@ -551,7 +551,7 @@
 		close(hold)
 		testpeer.Receive(t, gone, "the second attempt's end")
 		webServer.expectClosed(t, errno.Error())
-		testpeer.Until(t, "the connection to be closed", func() bool { return env.clients.Open() == 0 })
+		testpeer.Until(t, "the connection to be closed", func() bool { return env.clients.Len() == 0 })
 	}
 }
 
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -22,8 +22,8 @@
 )
 
 // gracesWithIdle returns the default graces with another one for idle connections.
-func gracesWithIdle(d time.Duration) downstream.Graces {
-	g := downstream.DefaultGraces()
+func gracesWithIdle(d time.Duration) downstream.GracePeriods {
+	g := downstream.DefaultGracePeriods()
 	g.Idle = d
 	return g
 }
@@ -31,7 +31,7 @@
 // waitUntilIdle waits for a connection to become idle, which happens shortly after a request's response.
 func waitUntilIdle(t *testing.T, n *testNode) {
 	t.Helper()
-	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.In(downstream.Idle) > 0 })
+	testpeer.Until(t, "a connection to be idle", func() bool { return n.clients.CountPhase(downstream.PhaseIdle) > 0 })
 }
 
 // startHoldingServer returns a server that signals on got each request whose id begins with "held", and replies to it once hold
@@ -53,8 +53,8 @@
 	server, hold, got := startHoldingServer(t)
 	const capacity = 4
 	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
-		node.clients.Resize(downstream.Share{Capacity: 2 * capacity, Minimum: capacity, Spare: 24})
-		node.clients.SetGrace(gracesWithIdle(0))
+		node.clients.Resize(downstream.Limits{Capacity: 2 * capacity, ServerMinimum: capacity, Reserve: 24})
+		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
 	idle := testpeer.Dial(t, node.Addr())
 	idle.Get("idle")
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	set := downstream.New(clock.New(), downstream.Share{Capacity: 2, Spare: 10}, func() int { return 1 })
+	set := downstream.New(clock.New(), downstream.Limits{Capacity: 2, Reserve: 10}, func() int { return 1 })
 	front := &Front{clients: set}
 	pair := func() (conn *clientConn, peer net.Conn) {
 		peer, err := net.Dial("tcp", ln.Addr().String())
@@ -124,20 +124,20 @@
 	send(client, first, request[:1]) // the next request's first byte
 	front.trackConnState(first, http.StateIdle)
 	front.trackConnState(second, http.StateNew) // exceeds the limit by one
-	if first.closing || !set.NearLimit() {
+	if first.closing || !set.OverLimit() {
 		t.Fatal("a connection with a started request was closed")
 	}
 	send(client, first, request[1:])
 	first.consumeHead(false)
 	send(first, client, "its answer")
-	set.SetGrace(gracesWithIdle(testpeer.Limit))
+	set.SetGracePeriods(gracesWithIdle(testpeer.Limit))
 	front.trackConnState(first, http.StateIdle)
-	if first.closing || !set.NearLimit() {
+	if first.closing || !set.OverLimit() {
 		t.Fatal("a connection was closed within its idle grace")
 	}
-	set.SetGrace(gracesWithIdle(0))
+	set.SetGracePeriods(gracesWithIdle(0))
 	front.trackConnState(second, http.StateActive)
-	if !first.closing || set.NearLimit() {
+	if !first.closing || set.OverLimit() {
 		t.Fatal("the idle connection was not closed")
 	}
 	first.SetReadDeadline(time.Time{}) // net/http does this after it has reported StateIdle
@@ -145,8 +145,8 @@
 		t.Errorf("read after the close returned %v, want a timeout", err)
 	}
 	front.trackConnState(first, http.StateClosed)
-	if set.Open() != 1 || set.NearLimit() {
-		t.Errorf("%d connections open, near the limit %v; want 1, false", set.Open(), set.NearLimit())
+	if set.Len() != 1 || set.OverLimit() {
+		t.Errorf("%d connections open, near the limit %v; want 1, false", set.Len(), set.OverLimit())
 	}
 }
 
@@ -155,8 +155,8 @@
 func TestCloseIdleLosesNoReadRequest(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
 	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
-		node.clients.Resize(downstream.Share{Capacity: 8, Minimum: 4, Spare: 24})
-		node.clients.SetGrace(gracesWithIdle(0))
+		node.clients.Resize(downstream.Limits{Capacity: 8, ServerMinimum: 4, Reserve: 24})
+		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -230,7 +230,7 @@
 	node := startNode(t, cfg, func(node *testNode) {
 		// These timeouts are too long to be reached, so connections are closed only because of the limit.
 		node.front.server.ReadHeaderTimeout, node.front.bodyGrace = 2*testpeer.Limit, 2*testpeer.Limit
-		node.clients.SetGrace(downstream.Graces{Idle: testpeer.Limit})
+		node.clients.SetGracePeriods(downstream.GracePeriods{Idle: testpeer.Limit})
 		accepting.Listener = node.listener
 		node.listener = &accepting
 	})
@@ -250,7 +250,7 @@
 			fresh.Close()
 		}
 	}
-	testpeer.Until(t, "the silent connections to be closed", func() bool { return !node.clients.NearLimit() })
+	testpeer.Until(t, "the silent connections to be closed", func() bool { return !node.clients.OverLimit() })
 }
 
 // Connections without a request, with an incomplete head, or idle after a response are closed by timeouts.
@@ -295,6 +295,6 @@
 		round(50 + i)
 	}
 	testpeer.Until(t, "the state of former clients and servers to be released", func() bool {
-		return node.clients.Open() == 0 && node.backend.count() == 1 && node.upstream.Connections() <= 1 && runtime.NumGoroutine() <= before+5
+		return node.clients.Len() == 0 && node.backend.count() == 1 && node.upstream.Connections() <= 1 && runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -35,8 +35,8 @@
 	lastRead         time.Time // when bytes were last read
 	lastWrite        time.Time // when bytes of a response were last written
 	closing          bool
-	cutOff           bool      // CutOff was called: further bytes don't reverse closing
-	wroteAfterCut    bool      // the last write came after CutOff
+	cutOff           bool      // AbortRead was called: further bytes don't reverse closing
+	wroteAfterCut    bool      // the last write came after AbortRead
 	deadline         time.Time // the read deadline that net/http has set
 
 	readAheadBuffer   []byte        // bytes read ahead that Read has not returned yet
@@ -113,7 +113,7 @@
 // hasDisconnected reports whether the client has closed the connection or its write side, according to the operating system:
 // an end that has not been read yet counts, also one behind unread bytes.
 func (c *clientConn) hasDisconnected() bool {
-	if !c.hasEnded() && downstream.StateOf(c.Conn) != downstream.Ended {
+	if !c.hasEnded() && downstream.PeekSocket(c.Conn) != downstream.SocketClosed {
 		return false
 	}
 	c.mu.Lock()
@@ -141,8 +141,8 @@
 	return netio.Write(c.Conn, p)
 }
 
-// Quiet implements downstream.Conn.
-func (c *clientConn) Quiet() time.Duration {
+// SinceLastRead implements downstream.Conn.
+func (c *clientConn) SinceLastRead() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastRead)
@@ -205,30 +205,30 @@
 	return c.closing
 }
 
-// CutOff implements downstream.Conn.
-func (c *clientConn) CutOff() {
+// AbortRead implements downstream.Conn.
+func (c *clientConn) AbortRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// IsCut implements downstream.Conn.
-func (c *clientConn) IsCut() bool {
+// ReadAborted implements downstream.Conn.
+func (c *clientConn) ReadAborted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cutOff
 }
 
-// HasBegun implements downstream.Conn.
-func (c *clientConn) HasBegun() bool {
+// RequestStarted implements downstream.Conn.
+func (c *clientConn) RequestStarted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasUnansweredRequest()
 }
 
-// Owes implements downstream.Conn.
-func (c *clientConn) Owes() bool {
+// ResponsePending implements downstream.Conn.
+func (c *clientConn) ResponsePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestsReceived > c.requestsAnswered
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -99,7 +99,7 @@
 		x.control.EnableFullDuplex() // the response may begin before the body has been received
 		defer rest.stop()
 	}
-	if !front.clients.Begin(x.conn) {
+	if !front.clients.BeginRequest(x.conn) {
 		x.respond(engine.Response{Kind: engine.Rejected, RetryAfter: x.snapshot.RetryAfter()})
 		return
 	}
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -395,7 +395,7 @@
 			node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, node.Addr())
 			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
-			testpeer.Until(t, "the request's head to be read", func() bool { return node.clients.In(downstream.Reading) > 0 })
+			testpeer.Until(t, "the request's head to be read", func() bool { return node.clients.CountPhase(downstream.PhaseReading) > 0 })
 			before := server.Seen()
 			next := testpeer.Config()
 			c.change(next)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -70,7 +70,7 @@
 	if mustClose || !mayClose {
 		return mustClose
 	}
-	return x.front.clients.NearLimit() || x.front.closeAfterResponse.Load() || response.TryOtherNode
+	return x.front.clients.OverLimit() || x.front.closeAfterResponse.Load() || response.TryOtherNode
 }
 
 // write sends the response to the client. After an error, part of the response may have been sent.
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -154,7 +154,7 @@
 			kind.request(t, address, len(failures)+1) // accepted by the pending accept call
 			testpeer.Until(t, "failures", func() bool { return ln.Failed() > 2*len(failures)+3 })
 			stop()
-			lines, maxLines := log.Count("accept fails and is tried again"), int(time.Since(begin)/time.Second)+1
+			lines, maxLines := log.Count("accept failed; retrying"), int(time.Since(begin)/time.Second)+1
 			if lines < 1 || lines > maxLines {
 				t.Errorf("got %d log lines, want 1 to %d", lines, maxLines)
 			}
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -95,8 +95,8 @@
 	SetReady(bool)
 	// SetClosing sets whether each response closes its connection.
 	SetClosing(bool)
-	// CloseQuiet closes idle connections, those without an open request, and returns the number of all that are left.
-	CloseQuiet() int
+	// CloseIdle closes idle connections, those without an open request, and returns the number of all that are left.
+	CloseIdle() int
 }
 
 // newFrontend creates the front end of a listener. It accepts nothing before Serve.
@@ -117,7 +117,7 @@
 // closed.
 func (n *Node) retireFrontend(f frontend) {
 	f.SetClosing(true)
-	for f.CloseQuiet() > 0 {
+	for f.CloseIdle() > 0 {
 		clock.Sleep(n.incarnation, closeIdleInterval)
 		if n.incarnation.Err() != nil {
 			return
--- a/internal/node/management.go
+++ b/internal/node/management.go
@@ -96,7 +96,7 @@
 			n.applyReadiness(state)
 			for _, l := range n.listeners {
 				if state.CloseConnections {
-					l.frontend.CloseQuiet()
+					l.frontend.CloseIdle()
 				}
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,10 +83,10 @@
 	Listen           func(network, address string) (net.Listener, error) // nil: net.Listen
 	SetLimits        func(config.Limits)                                 // applies the limits to the process; nil: no limits are applied
 	Processes        *hotrestart.Processes                               // the processes of this node; nil: this is the only one
-	StartContext     context.Context                                     // once done, the start no longer waits for sockets; the wait is limited to netlistener.Patience in any case
+	StartContext     context.Context                                     // once done, the start no longer waits for sockets; the wait is limited to netlistener.OpenTimeout in any case
 	Fault            func(point string) error                            // for tests: an error makes a step of a change fail
 	schedule         *shutdownSchedule                                   // for tests: replaces the schedule derived from the configuration
-	settle           *time.Duration                                      // for tests: replaces upstream.DefaultSettle
+	settle           *time.Duration                                      // for tests: replaces upstream.DefaultSettleDelay
 	configureWatch   func(*discovery.Watch)                              // for tests: called with each watch before it starts
 	configureBackend func(*upstream.Pool)                                // for tests: called with each pool's backend before it starts
 	aroundAdopt      func()                                              // for tests: called just before and after the gateway adopts a change's rules
@@ -97,7 +97,7 @@
 	if o.StartContext == nil {
 		o.StartContext = context.Background()
 	}
-	return context.WithTimeout(o.StartContext, netlistener.Patience)
+	return context.WithTimeout(o.StartContext, netlistener.OpenTimeout)
 }
 
 // SetProcessLimits applies limits on cores and memory to the Go runtime.
@@ -144,7 +144,7 @@
 		closingSockets:    map[string]chan struct{}{},
 	}
 	n.incarnation, n.stop = context.WithCancel(context.Background())
-	n.clients = downstream.New(n.clock, downstream.Share{}, n.serverDescriptors.Used)
+	n.clients = downstream.New(n.clock, downstream.Limits{}, n.serverDescriptors.Used)
 	if options.Processes != nil {
 		n.sharesLimits = !options.Processes.TakePrimary()
 	}
@@ -183,7 +183,7 @@
 		spare /= 2
 	}
 	n.serverDescriptors.Resize(capacity / 2)
-	n.clients.Resize(downstream.Share{Capacity: capacity, Minimum: capacity / 4, Spare: spare})
+	n.clients.Resize(downstream.Limits{Capacity: capacity, ServerMinimum: capacity / 4, Reserve: spare})
 	if n.options.SetLimits != nil {
 		n.options.SetLimits(limits)
 	}
