--- a/cmd/damsontrestle/hotrestart_test.go
+++ b/cmd/damsontrestle/hotrestart_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// manage sends a line to the management endpoint of a process.
-func manage(t *testing.T, address, request string) string {
+// sendManagement sends a line to a process's management endpoint and returns the reply.
+func sendManagement(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(limit))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintln(c, request)
 	got, err := io.ReadAll(c)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return string(got)
 }
 
-// freeAddress is one that nobody listens at now.
+// freeAddress returns a loopback address without a listener.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,9 +43,9 @@
 	return ln.Addr().String()
 }
 
-// TestHotRestart runs the real program twice at one address, as the platform does for an upgrade: once
-// the second says that it is ready the first is told to end. Requests go on all the while, half of them on connections of
-// their own, and each is served.
+// TestHotRestart runs two processes of the program at one address, as the platform does for an upgrade. After the second
+// process reports that it is ready, the first gets SIGTERM. Every request sent meanwhile must be served, half of them on
+// connections of their own.
 func TestHotRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 	}))
 	defer server.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-r.Context().Done() // nothing new
+		<-r.Context().Done() // no update
 	}))
 	defer discovery.Close()
 	address, endpoints, folder := freeAddress(t), []string{freeAddress(t), freeAddress(t)}, t.TempDir()
@@ -61,19 +61,19 @@
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"rev":1,"all":true,"targets":[
 		{"uid":"s-1","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}]},"settings":%s}`, address, endpoints[0], strings.TrimPrefix(discovery.URL, "http://"),
-		strings.TrimPrefix(server.URL, "http://"), settings)
-	first, _, log := start(t, path, config, "TMPDIR="+folder)
+		strings.TrimPrefix(server.URL, "http://"), platformSettings)
+	first, _, log := startNode(t, path, config, "TMPDIR="+folder)
 
-	var asked atomic.Int64
-	over := make(chan struct{})
+	var answered atomic.Int64
+	stopLoad := make(chan struct{})
 	var load sync.WaitGroup
 	for i := range 6 {
 		load.Go(func() {
-			client := http.Client{Timeout: limit, Transport: &http.Transport{DisableKeepAlives: i%2 == 0}}
+			client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: i%2 == 0}}
 			defer client.CloseIdleConnections()
 			for k := 0; ; k++ {
 				select {
-				case <-over:
+				case <-stopLoad:
 					return
 				default:
 				}
@@ -91,41 +91,41 @@
 				if err != nil || string(body) != "for "+id {
 					t.Errorf("%s: %d %q, %v", id, resp.StatusCode, body, err)
 				}
-				asked.Add(1)
+				answered.Add(1)
 			}
 		})
 	}
 	progress := func() {
 		t.Helper()
-		for was, end := asked.Load(), time.Now().Add(limit); asked.Load() < was+200; time.Sleep(time.Millisecond) {
+		for was, end := answered.Load(), time.Now().Add(testTimeout); answered.Load() < was+200; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("no calls are answered any more")
+				t.Fatal("timed out waiting for 200 more replies")
 			}
 		}
 	}
 	progress()
-	second, _, _ := start(t, path, config, "TMPDIR="+folder, "BALANCER_MGMT="+endpoints[1])
+	second, _, _ := startNode(t, path, config, "TMPDIR="+folder, "BALANCER_MGMT="+endpoints[1])
 	for _, d := range endpoints {
-		if got := manage(t, d, "health"); got != "+OK ready\n" {
-			t.Errorf("health: %q", got)
+		if got := sendManagement(t, d, "health"); got != "+OK ready\n" {
+			t.Errorf("health: %q, want \"+OK ready\"", got)
 		}
 	}
-	await(t, log, "by_two=true")
+	awaitLog(t, log, "by_two=true")
 	progress()
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, log, "another process of this node goes on")
+	awaitLog(t, log, "another process of this node goes on")
 	if err := first.Wait(); err != nil {
-		t.Errorf("the first process: %v", err)
+		t.Errorf("exit of the first process: %v", err)
 	}
 	progress()
-	close(over)
+	close(stopLoad)
 	load.Wait()
 	if err := second.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := second.Wait(); err != nil {
-		t.Errorf("the second process: %v", err)
+		t.Errorf("exit of the second process: %v", err)
 	}
 }
--- a/cmd/damsontrestle/main.go
+++ b/cmd/damsontrestle/main.go
@@ -1,5 +1,5 @@
-// Command damsontrestle is one load-balancing node on real sockets. With no arguments it is the node that the
-// platform starts, told all by BALANCER_CONFIG; its commands run a node by a file of our own and change it.
+// Command damsontrestle runs a load-balancing node on real sockets. Without arguments it runs the node that the
+// platform configures through BALANCER_CONFIG. Its subcommands run a node from an HCL configuration file and change it.
 package main
 
 import (
@@ -19,17 +19,17 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
+		os.Exit(runCommand(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 	}
-	if err := platform(); err != nil {
+	if err := servePlatform(); err != nil {
 		fmt.Fprintf(os.Stderr, "damsontrestle: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// platform serves until SIGTERM or SIGINT and the end of what was taken. SIGHUP, which ends a program that
-// does not catch it, is caught before anything else: it has the configuration read again.
-func platform() error {
+// servePlatform runs the platform's node until SIGTERM or SIGINT and until every admitted request is answered. SIGHUP
+// reloads the configuration; its handler is installed first because an unhandled SIGHUP ends the process.
+func servePlatform() error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, start, err := config.LoadPlatform()
@@ -42,13 +42,13 @@
 	n, err := node.NewPlatform(cfg, start, log, node.Options{
 		Limit:     node.Limit,
 		Listen:    hotrestart.Listen,
-		Processes: enter(log),
+		Processes: joinProcesses(log),
 		Start:     ctx,
 	})
 	if err != nil {
 		if ctx.Err() != nil {
-			log.Info("told to end before it listened", "error", err)
-			return nil // nothing was taken
+			log.Info("shutdown requested before the node was listening", "error", err)
+			return nil // no request was admitted
 		}
 		return err
 	}
@@ -57,7 +57,7 @@
 		for range hangups {
 			cfg, _, err := config.ReloadPlatform()
 			if err != nil {
-				log.Error("the new configuration is bad; the old one stays", "error", err)
+				log.Error("configuration reload failed; the running configuration stays in place", "error", err)
 				continue
 			}
 			n.Reload(cfg)
@@ -66,38 +66,39 @@
 	return n.Run(ctx)
 }
 
-// enter joins the processes of the node that the platform has in its folder while one takes over from another.
-func enter(log *slog.Logger) *hotrestart.Processes {
+// joinProcesses registers this process, for a hot restart, with the node's other process in the folder TMPDIR. It returns nil
+// if hot restart is not possible.
+func joinProcesses(log *slog.Logger) *hotrestart.Processes {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
-		return nil // what is not the node's own could hold another's files
+		return nil // a folder shared with other nodes could hold their lock files
 	}
 	processes, err := hotrestart.Join(folder, "node")
 	if err != nil {
-		log.Warn("this process knows of no other of its node", "error", err)
+		log.Warn("joining the node's other process failed; hot restart is disabled", "error", err)
 	}
 	return processes
 }
 
-// exit is an error with the code that the program ends with.
-type exit struct {
+// exitError is an error with the exit code of the program.
+type exitError struct {
 	code int
-	err  error // nil: the code alone says it
+	err  error // nil if there is no message to print
 }
 
-func (e exit) Error() string {
+func (e exitError) Error() string {
 	if e.err == nil {
 		return ""
 	}
 	return e.err.Error()
 }
 
-func (e exit) Unwrap() error { return e.err }
+func (e exitError) Unwrap() error { return e.err }
 
-// command runs one of the commands and returns the program's exit code.
-func command(args []string, in *os.File, out, errs *os.File) int {
+// runCommand runs the subcommand in args and returns the program's exit code.
+func runCommand(args []string, in *os.File, out, errs *os.File) int {
 	root := newRoot()
-	root.SetArgs(longFlags(args))
+	root.SetArgs(doubleDashFlags(args))
 	root.SetIn(in)
 	root.SetOut(out)
 	root.SetErr(errs)
@@ -106,7 +107,7 @@
 		return 0
 	}
 	code := 1
-	var e exit
+	var e exitError
 	if errors.As(err, &e) {
 		code = e.code
 	}
@@ -116,18 +117,18 @@
 	return code
 }
 
-// longFlags lets flags stand with one dash, as in -out, as well as with two.
-func longFlags(args []string) []string {
+// doubleDashFlags returns args with long flags that have a single dash, such as -out, rewritten to two.
+func doubleDashFlags(args []string) []string {
 	out := make([]string, len(args))
-	for i, a := range args {
-		if a == "--" {
+	for i, arg := range args {
+		if arg == "--" {
 			copy(out[i:], args[i:])
 			break
 		}
-		if len(a) > 2 && a[0] == '-' && a[1] != '-' && strings.Trim(a[1:2], "abcdefghijklmnopqrstuvwxyz") == "" {
-			a = "-" + a
+		if len(arg) > 2 && arg[0] == '-' && arg[1] != '-' && strings.Trim(arg[1:2], "abcdefghijklmnopqrstuvwxyz") == "" {
+			arg = "-" + arg
 		}
-		out[i] = a
+		out[i] = arg
 	}
 	return out
 }
--- a/cmd/damsontrestle/main_test.go
+++ b/cmd/damsontrestle/main_test.go
@@ -21,18 +21,18 @@
 	"time"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
-const limit = 60 * time.Second
+// testTimeout bounds each wait of a test. Only a failing test waits that long.
+const testTimeout = 60 * time.Second
 
-const settings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
+const platformSettings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
 	"limits":{"max-attempts":3,"conn-idle-ms":60000,"connect-timeout-ms":20000,"cancelling":true,
 	"retry-after":true,"max-retry-after-ms":2000},"tick-ms":5,"balancers":1,"registry-mode":"pushed"}`
 
-// built is what deploy/balancer.toml builds, made once for all tests in a folder of their own, and the commands
-// that it names.
-type built struct{ dir, run, sim string }
+// buildResult holds the folder of the programs that deploy/balancer.toml builds, once for all tests, and the commands in
+// that file.
+type buildResult struct{ dir, run, sim string }
 
-var buildOnce = sync.OnceValues(func() (b built, err error) {
+var buildOnce = sync.OnceValues(func() (b buildResult, err error) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		return b, err
@@ -53,7 +53,7 @@
 	return b, nil
 })
 
-// TestMain removes what was built.
+// TestMain removes the build folder after the tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if b, err := buildOnce(); err == nil {
@@ -62,7 +62,7 @@
 	os.Exit(code)
 }
 
-func build(t *testing.T) built {
+func build(t *testing.T) buildResult {
 	t.Helper()
 	b, err := buildOnce()
 	if err != nil {
@@ -71,12 +71,12 @@
 	return b
 }
 
-// program is the path of the node's program.
-func program(t *testing.T) string { return filepath.Join(build(t).dir, "bin", "damsontrestle") }
+// programPath returns the path of the built damsontrestle program.
+func programPath(t *testing.T) string { return filepath.Join(build(t).dir, "bin", "damsontrestle") }
 
-// The platform loads a library into each process, which takes a program that the machine's dynamic linker starts.
+// The platform preloads a library into each process, so the program must be started by the dynamic linker.
 func TestProgramIsLinkedToLibc(t *testing.T) {
-	f, err := elf.Open(program(t))
+	f, err := elf.Open(programPath(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,14 +84,14 @@
 	interpreted := slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP })
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !interpreted || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
-		t.Errorf("asks for a dynamic linker: %v; needs %v, %v", interpreted, libraries, err)
+		t.Errorf("dynamic linker requested: %v; imported libraries %v, %v", interpreted, libraries, err)
 	}
 	if !strings.HasPrefix(build(t).run, "exec ") {
-		t.Errorf("run is %q: the platform's signals and its library are for the one process that it ends in", build(t).run)
+		t.Errorf("run is %q; it must exec the program, since the platform signals and preloads only that process", build(t).run)
 	}
 }
 
-func TestSimStarts(t *testing.T) {
+func TestSimulatorStarts(t *testing.T) {
 	b := build(t)
 	cmd := exec.Command("/bin/sh", "-c", b.sim)
 	cmd.Dir, cmd.Stdin = b.dir, strings.NewReader("sync\t1\neob\n")
@@ -101,23 +101,23 @@
 	}
 }
 
-// start runs the node with a configuration, written to a path, and more in its environment, until it serves. It returns its log from then
-// on.
-func start(t *testing.T, path, config string, env ...string) (cmd *exec.Cmd, address string, log <-chan string) {
+// startNode writes a configuration to path, starts the node with additional environment variables, and waits until it
+// serves. The returned log begins after that line.
+func startNode(t *testing.T, path, config string, env ...string) (cmd *exec.Cmd, address string, log <-chan string) {
 	t.Helper()
-	return startBy(t, build(t).run, path, config, env...)
+	return startNodeWith(t, build(t).run, path, config, env...)
 }
 
-// startBy does so by a shell's command.
-func startBy(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, address string, log <-chan string) {
+// startNodeWith is startNode with a shell command that runs the node.
+func startNodeWith(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, address string, log <-chan string) {
 	t.Helper()
-	cmd, log = launch(t, command, path, config, env...)
-	serving := await(t, log, "msg=serving")
+	cmd, log = launchNode(t, command, path, config, env...)
+	serving := awaitLog(t, log, "msg=serving")
 	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], log
 }
 
-// launch starts the node and does not wait until it serves.
-func launch(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, log <-chan string) {
+// launchNode starts the node without waiting until it serves.
+func launchNode(t *testing.T, command, path, config string, env ...string) (cmd *exec.Cmd, log <-chan string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -132,39 +132,39 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
-	said := make(chan string, 1000)
+	logLines := make(chan string, 1000)
 	go func() {
-		defer close(said)
+		defer close(logLines)
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
-			said <- lines.Text()
+			logLines <- lines.Text()
 		}
 	}()
-	return cmd, said
+	return cmd, logLines
 }
 
-// await returns the first line of a log that holds what is wanted.
-func await(t *testing.T, log <-chan string, want string) string {
+// awaitLog returns the first line of a log that contains want.
+func awaitLog(t *testing.T, log <-chan string, want string) string {
 	t.Helper()
-	over := time.After(limit)
+	over := time.After(testTimeout)
 	for {
 		select {
 		case line, ok := <-log:
 			if !ok {
-				t.Fatalf("the log ends without %q", want)
+				t.Fatalf("the log ended without %q", want)
 			}
 			if strings.Contains(line, want) {
 				return line
 			}
 		case <-over:
-			t.Fatalf("the log never says %q", want)
+			t.Fatalf("timed out waiting for %q in the log", want)
 		}
 	}
 }
 
-// TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
-// changes nothing, nor does the same once more, and a new one moves the node to the servers that another
-// discovery names. No request is lost, and the client's connection is kept.
+// TestSIGHUPUnderLoad reloads the configuration between the requests of a client. A broken file is logged and changes
+// nothing, an unchanged file changes nothing, and a new file moves the node to the servers of another discovery service.
+// No request is lost, and the client's connection stays open.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	list := func(name string) *httptest.Server {
@@ -176,7 +176,7 @@
 			"pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`, name, strings.TrimPrefix(server.URL, "http://"))
 		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
-				<-r.Context().Done() // nothing new
+				<-r.Context().Done() // no update
 				return
 			}
 			fmt.Fprint(w, text)
@@ -187,30 +187,30 @@
 	old, next := list("old"), list("next")
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":%s}`,
-		strings.TrimPrefix(old.URL, "http://"), settings)
-	cmd, address, log := start(t, path, config)
-	c, err := net.Dial("tcp", address)
+		strings.TrimPrefix(old.URL, "http://"), platformSettings)
+	cmd, address, log := startNode(t, path, config)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(4 * limit))
-	br := bufio.NewReader(c)
-	asked := 0
-	ask := func() string {
-		asked++
-		fmt.Fprintf(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r%d\r\nX-Deadline: 40\r\n\r\n", asked)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(4 * testTimeout))
+	br := bufio.NewReader(conn)
+	requests := 0
+	sendRequest := func() string {
+		requests++
+		fmt.Fprintf(conn, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r%d\r\nX-Deadline: 40\r\n\r\n", requests)
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
-			t.Fatalf("request %d: %v", asked, err)
+			t.Fatalf("request %d: %v", requests, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("request %d: %d %q, %v", asked, resp.StatusCode, body, err)
+			t.Fatalf("request %d: %d %q, %v", requests, resp.StatusCode, body, err)
 		}
 		return string(body)
 	}
-	hup := func(text string) {
+	reload := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -220,35 +220,35 @@
 		}
 	}
 	for _, text := range []string{config[:len(config)/2], config} {
-		hup(text)
+		reload(text)
 		if text != config {
-			await(t, log, "the new configuration is bad")
+			awaitLog(t, log, "configuration reload failed")
 		} else {
-			await(t, log, "the configuration is read again")
+			awaitLog(t, log, "the configuration is read again")
 		}
 		for range 20 {
-			if body := ask(); body != "old" {
-				t.Fatalf("served by %q", body)
+			if body := sendRequest(); body != "old" {
+				t.Fatalf("served by %q, want \"old\"", body)
 			}
 		}
 	}
-	hup(strings.Replace(config, strings.TrimPrefix(old.URL, "http://"), strings.TrimPrefix(next.URL, "http://"), 1))
-	for end := time.Now().Add(limit); ask() != "next"; {
+	reload(strings.Replace(config, strings.TrimPrefix(old.URL, "http://"), strings.TrimPrefix(next.URL, "http://"), 1))
+	for end := time.Now().Add(testTimeout); sendRequest() != "next"; {
 		if time.Now().After(end) {
-			t.Fatal("the new discovery's server gets nothing")
+			t.Fatal("timed out waiting for a reply of the new discovery service's server")
 		}
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("exit after SIGTERM: %v", err)
 	}
 }
 
-// TestRunServesAndEndsOnSIGTERM runs the real program: it serves a request, is told to end while
-// another is out, answers that one too, and exits with 0.
-func TestRunServesAndEndsOnSIGTERM(t *testing.T) {
+// TestSIGTERMDrainsRequestsAndExitsZero sends SIGTERM to the program while a request is in flight. The node answers that
+// request and exits with 0.
+func TestSIGTERMDrainsRequestsAndExitsZero(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -261,16 +261,16 @@
 	defer server.Close()
 	endpoint := strings.TrimPrefix(server.URL, "http://")
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-r.Context().Done() // nothing new
+		<-r.Context().Done() // no update
 	}))
 	defer discovery.Close()
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[
 		{"uid":"s-1","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}]},"settings":%s}`,
-		strings.TrimPrefix(discovery.URL, "http://"), endpoint, settings)
-	cmd, address, _ := start(t, path, config)
-	ask := func(id, key string) (string, error) {
+		strings.TrimPrefix(discovery.URL, "http://"), endpoint, platformSettings)
+	cmd, address, _ := startNode(t, path, config)
+	sendRequest := func(id, key string) (string, error) {
 		req, _ := http.NewRequest("GET", "http://"+address+"/view/"+key, nil)
 		req.Header.Set("X-Request-Id", id)
 		req.Header.Set("X-Deadline", "40")
@@ -283,20 +283,20 @@
 		_, err = body.ReadFrom(resp.Body)
 		return body.String(), err
 	}
-	if body, err := ask("one", "fast"); err != nil || body != "made by the server for one" {
-		t.Fatalf("got %q, %v", body, err)
+	if body, err := sendRequest("one", "fast"); err != nil || body != "made by the server for one" {
+		t.Fatalf("response %q, %v", body, err)
 	}
 	idle, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(limit))
+	idle.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(idle, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	ready := bufio.NewReader(idle)
 	resp, err := http.ReadResponse(ready, nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("not ready: %v, %v", resp, err)
+		t.Fatalf("readiness check: %v, %v", resp, err)
 	}
 	type reply struct {
 		body string
@@ -304,26 +304,26 @@
 	}
 	slow := make(chan reply, 1)
 	go func() {
-		body, err := ask("two", "slow")
+		body, err := sendRequest("two", "slow")
 		slow <- reply{body, err}
 	}()
 	<-got
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it lets its idle clients go
-		t.Fatalf("an idle connection after SIGTERM: %v", err)
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // the node closes idle connections
+		t.Fatalf("read of an idle connection after SIGTERM: %v, want EOF", err)
 	}
 	close(hold)
 	if r := <-slow; r.err != nil || r.body != "made by the server for two" {
-		t.Fatalf("the request in flight: %q, %v", r.body, r.err)
+		t.Fatalf("response to the request in flight: %q, %v", r.body, r.err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v", err)
+		t.Fatalf("exit after SIGTERM: %v", err)
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Fatal("still listening after its end")
+		t.Fatal("a connection was accepted after the node exited")
 	}
 }
 
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -16,7 +16,7 @@
 	"damsontrestle/internal/plan"
 )
 
-// Exit codes of plan with -detailed-exitcode, as Terraform has them.
+// Exit codes of plan with -detailed-exitcode, the same as those of Terraform.
 const (
 	exitNoChange = 0
 	exitChanges  = 2
@@ -24,30 +24,30 @@
 
 // planOptions are the flags of plan.
 type planOptions struct {
-	out      string
-	socket   string
-	json     bool
-	detailed bool // changes have an exit code of their own
+	out              string
+	socket           string
+	json             bool
+	detailedExitCode bool // exit with exitChanges if there are changes
 }
 
 func newPlan() *cobra.Command {
 	var o planOptions
 	cmd := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Show what a file would change in the running node",
-		Long: "plan reads a file and shows what it would change in the node that runs, down to the field, and what each\n" +
-			"change does. It changes nothing. With -out the plan is written to a file that apply carries out exactly.",
+		Short: "Show the changes that a configuration file would make to the running node",
+		Long: "plan reads a configuration file and shows each field that it would change in the running node, and the effect of\n" +
+			"each change. It changes nothing. With -out it saves the plan to a file, which apply applies exactly.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return runPlan(cmd, args[0], o) },
 	}
-	cmd.Flags().StringVar(&o.out, "out", "", "write the plan to this file, for apply")
+	cmd.Flags().StringVar(&o.out, "out", "", "save the plan to this file, for apply")
 	cmd.Flags().StringVar(&o.socket, "socket", "", "the node's admin socket (default: the file's)")
-	cmd.Flags().BoolVar(&o.json, "json", false, "write the plan as JSON, for programs")
-	cmd.Flags().BoolVar(&o.detailed, "detailed-exitcode", false, "end with 0 for no change, 2 for changes, 1 for an error")
+	cmd.Flags().BoolVar(&o.json, "json", false, "write the plan as JSON")
+	cmd.Flags().BoolVar(&o.detailedExitCode, "detailed-exitcode", false, "exit with 0 for no changes, 2 for changes, 1 for an error")
 	return cmd
 }
 
-// runPlan plans the change from what runs to the file at a path, and writes it out.
+// runPlan plans the change from the running configuration to the file at path, and writes the plan.
 func runPlan(cmd *cobra.Command, path string, o planOptions) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,23 +77,23 @@
 	} else {
 		writePlanText(cmd.OutOrStdout(), p, cfg, problems.Warnings(), o.out)
 	}
-	if o.detailed && len(p.Changes) > 0 {
-		return exit{code: exitChanges}
+	if o.detailedExitCode && len(p.Changes) > 0 {
+		return exitError{code: exitChanges}
 	}
 	return nil
 }
 
-// makePlan plans the change from what the daemon at a socket runs to a configuration, which was read from a file. An
-// empty socket is the configuration's own.
+// makePlan plans the change from the configuration of the daemon at socket to cfg, which was read from the file at path
+// with the contents text. If socket is empty, the admin socket of cfg is used.
 func makePlan(ctx context.Context, cfg *config.Config, path string, text []byte, socket string) (*plan.Plan, error) {
 	if socket == "" {
 		socket = cfg.Node.AdminSocket
 	}
-	socket, err := socketOf(socket, nil)
+	socket, err := resolveSocket(socket, nil)
 	if err != nil {
 		return nil, err
 	}
-	_, show, err := askRunning(ctx, socket)
+	_, show, err := queryDaemon(ctx, socket)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	return p, nil
 }
 
-// planJSON is a plan for programs.
+// planJSON is the JSON output of plan.
 type planJSON struct {
 	Format   int             `json:"format_version"`
 	Base     plan.Running    `json:"base"`
@@ -151,7 +151,7 @@
 		fmt.Fprintln(to, w.Error())
 	}
 	if len(p.Changes) == 0 {
-		fmt.Fprintf(to, "No changes. Node %q runs what the file says (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
+		fmt.Fprintf(to, "No changes. Node %q already runs this configuration (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
 		return
 	}
 	fmt.Fprintf(to, "Node %q runs serial %d (%s). The file would change:\n\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
@@ -162,9 +162,9 @@
 		fmt.Fprintf(to, "%s.\n", w)
 	}
 	if r := plan.RestartFields(p.Changes); len(r) > 0 {
-		fmt.Fprintf(to, "Takes effect at the next start only: %s.\n", join(r))
+		fmt.Fprintf(to, "Takes effect only after a restart: %s.\n", commaSeparated(r))
 	}
 	if path != "" {
-		fmt.Fprintf(to, "\nSaved to %s. To do exactly this:\n    damsontrestle apply %s\n", path, path)
+		fmt.Fprintf(to, "\nSaved to %s. To apply exactly these changes, run:\n    damsontrestle apply %s\n", path, path)
 	}
 }
--- a/cmd/damsontrestle/rollback.go
+++ b/cmd/damsontrestle/rollback.go
@@ -15,51 +15,51 @@
 
 func newRollback() *cobra.Command {
 	var (
-		socket      string
-		wait        time.Duration
-		yes, asJSON bool
+		socket              string
+		wait                time.Duration
+		autoApprove, asJSON bool
 	)
 	cmd := &cobra.Command{
 		Use:   "rollback [FILE]",
-		Short: "Go back to the configuration before the one that runs",
-		Long: "rollback shows what going back to the configuration before would change, asks, and does it like an apply.\n" +
-			"The file only names the node, by its admin socket. A second rollback undoes the first.",
+		Short: "Restore the previous configuration",
+		Long: "rollback shows the changes back to the previous configuration, asks for confirmation, and applies them as apply does.\n" +
+			"The file is only read for the node's admin socket. A second rollback undoes the first.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path, err := socketOf(socket, args)
+			path, err := resolveSocket(socket, args)
 			if err != nil {
 				return err
 			}
-			client, show, err := askRunning(cmd.Context(), path)
+			client, show, err := queryDaemon(cmd.Context(), path)
 			if err != nil {
 				return err
 			}
 			if show.Previous == nil {
-				return fmt.Errorf("node %q has no configuration before this one (serial %d)", show.Node, show.Serial)
+				return fmt.Errorf("node %q has no previous configuration (serial %d)", show.Node, show.Serial)
 			}
 			out := cmd.OutOrStdout()
 			if !asJSON {
-				fmt.Fprintf(out, "Node %q runs serial %d (%s). Going back to that of serial %d (%s) would change:\n\n", show.Node, show.Serial,
+				fmt.Fprintf(out, "Node %q runs serial %d (%s). Restoring serial %d (%s) would change:\n\n", show.Node, show.Serial,
 					plan.ShortFingerprint(show.Fingerprint), show.Previous.Serial, plan.ShortFingerprint(show.Previous.Fingerprint))
 				io.WriteString(out, plan.FormatChanges(plan.Diff(show.Config, show.PreviousConfig)))
 			}
-			if !yes && !confirmed(cmd.InOrStdin(), out) {
-				return fmt.Errorf("not confirmed; nothing was changed (-auto-approve skips the question)")
+			if !autoApprove && !confirmed(cmd.InOrStdin(), out) {
+				return fmt.Errorf("rollback not confirmed; nothing was changed (-auto-approve skips the confirmation)")
 			}
 			running, err := client.Rollback(cmd.Context(), show.Running, wait, stepPrinter(out, asJSON))
 			return printOutcome(out, running, err, asJSON, "Rollback complete")
 		},
 	}
 	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the file's)")
-	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for new lists of servers")
-	cmd.Flags().BoolVar(&yes, "auto-approve", false, "do not ask")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "write a line of JSON for each step")
+	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for the server lists of new pools")
+	cmd.Flags().BoolVar(&autoApprove, "auto-approve", false, "skip the confirmation")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "write one line of JSON per step")
 	return cmd
 }
 
-// confirmed asks for a confirmation, which is "yes" alone.
+// confirmed asks for confirmation and reports whether the answer is "yes".
 func confirmed(in io.Reader, out io.Writer) bool {
-	fmt.Fprint(out, "\nOnly \"yes\" will be taken for a yes: ")
+	fmt.Fprint(out, "\nEnter \"yes\" to confirm: ")
 	line, _ := bufio.NewReader(in).ReadString('\n')
 	fmt.Fprintln(out)
 	return strings.TrimSpace(line) == "yes"
--- a/cmd/damsontrestle/root.go
+++ b/cmd/damsontrestle/root.go
@@ -13,15 +13,15 @@
 	"damsontrestle/internal/config"
 )
 
-// newRoot returns the commands.
+// newRoot returns the root command with all subcommands.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "damsontrestle",
-		Short: "A load-balancing node, and the commands that preview and change what it runs",
-		Long: "damsontrestle balances calls over servers.\n\n" +
-			"With no arguments it is the node that the platform starts (BALANCER_CONFIG). With a file of its own it is\n" +
-			"started by serve and changed by plan and apply: plan shows what a file would change in the running node,\n" +
-			"apply does exactly that.",
+		Short: "Run a load-balancing node, and preview and apply configuration changes",
+		Long: "damsontrestle balances requests across servers.\n\n" +
+			"Without arguments it runs the node that the platform configures through BALANCER_CONFIG. With a configuration\n" +
+			"file, serve starts a node, plan shows the changes that the file would make to the running node, and apply\n" +
+			"makes exactly these changes.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -32,7 +32,7 @@
 func newVersion() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Tell what this program was built from",
+		Short: "Show the revision and the Go version of this build",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			version := "devel"
@@ -50,11 +50,11 @@
 	}
 }
 
-// socketVariable names the admin socket where no flag and no file does.
+// socketVariable is the environment variable with the admin socket's path, used if neither a flag nor a file sets it.
 const socketVariable = "DAMSONTRESTLE_SOCKET"
 
-// socketOf settles on the admin socket: the flag, then the file's, then the environment's.
-func socketOf(flag string, files []string) (string, error) {
+// resolveSocket returns the path of the admin socket from the flag, the configuration file or the environment, in this order.
+func resolveSocket(flag string, files []string) (string, error) {
 	if flag != "" {
 		return flag, nil
 	}
@@ -70,15 +70,15 @@
 	if s := os.Getenv(socketVariable); s != "" {
 		return s, nil
 	}
-	return "", fmt.Errorf("no admin socket is named: give -socket, a file whose node block has admin_socket, or %s", socketVariable)
+	return "", fmt.Errorf("no admin socket is configured: set -socket, pass a file whose node block sets admin_socket, or set %s", socketVariable)
 }
 
-// askRunning asks a daemon what it runs.
-func askRunning(ctx context.Context, socket string) (*admin.Client, admin.ShowResponse, error) {
+// queryDaemon returns a client of the daemon at socket and the daemon's current status.
+func queryDaemon(ctx context.Context, socket string) (*admin.Client, admin.ShowResponse, error) {
 	client := admin.NewClient(socket)
 	show, err := client.Show(ctx)
 	if errors.Is(err, admin.ErrNoDaemon) {
-		err = fmt.Errorf("%w: start one with serve FILE, or name its socket with -socket", err)
+		err = fmt.Errorf("%w: start one with serve FILE, or set its socket with -socket", err)
 	}
 	return client, show, err
 }
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -18,11 +18,11 @@
 	var o daemon.Options
 	cmd := &cobra.Command{
 		Use:   "serve FILE",
-		Short: "Run a node by a file",
-		Long: "serve runs a node by a file. Where the file names a state folder that holds a configuration which was\n" +
-			"applied since, that one runs, and the log says so: a file takes effect by plan and apply.\n\n" +
-			"SIGHUP reads the file again and puts it in place, if it passes. SIGTERM and SIGINT end the node once\n" +
-			"all that it has taken is answered.",
+		Short: "Run a node from a configuration file",
+		Long: "serve runs a node from a configuration file. If the file's state folder holds a configuration that was applied\n" +
+			"since, the node runs that one and logs it: changes to the file take effect through plan and apply.\n\n" +
+			"SIGHUP reloads the file and applies it if it is valid. SIGTERM and SIGINT stop the node after every admitted\n" +
+			"request is answered.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o.File = args[0]
@@ -30,14 +30,14 @@
 			return serve(cmd.Context(), o)
 		},
 	}
-	cmd.Flags().BoolVar(&o.FromFile, "from-file", false, "run the file, whatever the state folder holds")
-	cmd.Flags().DurationVar(&o.Wait, "wait", admin.DefaultWait, "how long a reload waits for new lists of servers")
+	cmd.Flags().BoolVar(&o.FromFile, "from-file", false, "run the file, even if the state folder holds another configuration")
+	cmd.Flags().DurationVar(&o.Wait, "wait", admin.DefaultWait, "how long a reload waits for the server lists of new pools")
 	return cmd
 }
 
-// serve runs a daemon until SIGTERM or SIGINT; SIGHUP has it reload its file.
+// serve runs a daemon until SIGTERM or SIGINT. SIGHUP reloads its file.
 func serve(ctx context.Context, o daemon.Options) error {
-	// SIGHUP ends a program that does not catch it: it is caught before anything else.
+	// An unhandled SIGHUP ends the process, so its handler is installed first.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -47,8 +47,8 @@
 	d, err := daemon.Start(o)
 	if err != nil {
 		if ctx.Err() != nil {
-			o.Log.Info("told to end before it listened", "error", err)
-			return nil // nothing was admitted
+			o.Log.Info("shutdown requested before the node was listening", "error", err)
+			return nil // no request was admitted
 		}
 		return err
 	}
--- a/cmd/damsontrestle/shutdown_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -18,21 +18,21 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// platformConfig is a file of the platform's for one node.
+// platformConfig returns the platform's configuration file of one node.
 func platformConfig(discovery string, sockets int, known, settings string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`, discovery, sockets, known, settings)
 }
 
-// caller connects to a node for as long as a test may take.
-func caller(t *testing.T, address string) *testpeer.Caller {
+// dialNode connects to a node, with testTimeout as the connection's deadline.
+func dialNode(t *testing.T, address string) *testpeer.Caller {
 	t.Helper()
 	c := testpeer.Dial(t, address)
-	c.SetDeadline(time.Now().Add(limit))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// Signals that come while the node ends change nothing of its end: what was taken is answered, and it exits with 0.
+// SIGTERM and SIGHUP during the shutdown do not disturb it: the admitted request is answered, and the node exits with 0.
 func TestSignalsDuringShutdown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
@@ -40,10 +40,10 @@
 	agent := testpeer.NewAgent(t)
 	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
-	config := platformConfig(agent.Address(), 256, list, settings)
-	cmd, address, log := start(t, path, config)
-	c := caller(t, address)
-	c.Send("GET", "/view/k", "held", "", "40")
+	config := platformConfig(agent.Address(), 256, list, platformSettings)
+	cmd, address, log := startNode(t, path, config)
+	client := dialNode(t, address)
+	client.Send("GET", "/view/k", "held", "", "40")
 	testpeer.Receive(t, got, "the request at the server")
 	signal := func(s syscall.Signal) {
 		t.Helper()
@@ -52,65 +52,65 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	await(t, log, "msg=draining")
+	awaitLog(t, log, "msg=draining")
 	signal(syscall.SIGTERM)
-	for text, says := range map[string]string{config[:40]: "the new configuration is bad", config: "the configuration is read again"} {
+	for text, wantLog := range map[string]string{config[:40]: "configuration reload failed", config: "the configuration is read again"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		signal(syscall.SIGHUP)
-		await(t, log, says)
+		awaitLog(t, log, wantLog)
 	}
 	close(hold)
-	c.Want(t, http.StatusOK, "for held")
+	client.Want(t, http.StatusOK, "for held")
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// A node that is told to end before it has heard of any server refuses what it has taken, and exits with 0.
+// A node that gets SIGTERM before it knows any server rejects the admitted request, and exits with 0.
 func TestSIGTERMBeforeReady(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
-	short := strings.Replace(settings, `"deadline-ms":40000`, `"deadline-ms":20000`, 1)
-	cmd, address, log := start(t, path, platformConfig(agent.Address(), 256, `{"rev":0,"all":true,"targets":[]}`, short))
-	unready := caller(t, address)
+	short := strings.Replace(platformSettings, `"deadline-ms":40000`, `"deadline-ms":20000`, 1)
+	cmd, address, log := startNode(t, path, platformConfig(agent.Address(), 256, `{"rev":0,"all":true,"targets":[]}`, short))
+	unready := dialNode(t, address)
 	io.WriteString(unready, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	unready.Want(t, http.StatusServiceUnavailable, "not ready\n")
-	c := caller(t, address)
-	c.Send("GET", "/view/k", "waiting", "", "40")
+	client := dialNode(t, address)
+	client.Send("GET", "/view/k", "waiting", "", "40")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, log, "msg=draining")
-	if r, _ := c.Answer(t); r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || !r.Close {
-		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
+	awaitLog(t, log, "msg=draining")
+	if r, _ := client.Answer(t); r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || !r.Close {
+		t.Errorf("response: status %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// Idle clients that fill the process's descriptors while discovery is down keep the node neither from discovery once it is
-// back, nor from servers, nor from its end.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+// Idle clients that use up the process's descriptors while discovery is down must not prevent the node from polling
+// discovery after it recovers, from connecting to servers, or from shutting down.
+func TestIdleClientsAtDescriptorLimitDuringDiscoveryOutage(t *testing.T) {
 	const sockets = 128
 	path := filepath.Join(t.TempDir(), "config.json")
 	server := testpeer.NewServer(t, testpeer.Echo)
 	discovery := testpeer.ClosedPort(t)
-	cmd, address, log := startBy(t, fmt.Sprintf("ulimit -n %d; %s", sockets, build(t).run), path,
-		platformConfig(discovery, sockets, `{"rev":0,"all":true,"targets":[]}`, settings))
+	cmd, address, log := startNodeWith(t, fmt.Sprintf("ulimit -n %d; %s", sockets, build(t).run), path,
+		platformConfig(discovery, sockets, `{"rev":0,"all":true,"targets":[]}`, platformSettings))
 	for i := range 3 * sockets {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if i%2 == 0 { // half of them idle behind an answer, the others silent
+		if i%2 == 0 { // half of them are idle after a response, the others never send a request
 			io.WriteString(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-			c.SetReadDeadline(time.Now().Add(limit))
-			http.ReadResponse(bufio.NewReader(c), nil) // or it was rejected
+			c.SetReadDeadline(time.Now().Add(testTimeout))
+			http.ReadResponse(bufio.NewReader(c), nil) // fails if the connection was rejected
 		}
 	}
 	ln, err := net.Listen("tcp", discovery)
@@ -120,7 +120,7 @@
 	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	registry := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "1" {
-			<-r.Context().Done() // nothing new
+			<-r.Context().Done() // no update
 			return
 		}
 		io.WriteString(w, list)
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(limit))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 1\r\n\r\n")
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		return err == nil && r.StatusCode == http.StatusOK
@@ -141,56 +141,56 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, log, "msg=draining")
+	awaitLog(t, log, "msg=draining")
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// A node whose port another has tries again, and serves once it is free. SIGTERM ends the tries at once, with exit code 0:
-// nothing was taken.
-func TestStartRetriesItsPort(t *testing.T) {
+// A node whose port is in use retries, and serves once the port is free. SIGTERM ends the retries at once with exit code 0,
+// since no request was admitted.
+func TestStartRetriesPortInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(platformConfig(testpeer.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, settings), "127.0.0.1:0", taken.Addr().String(), 1)
+	text := strings.Replace(platformConfig(testpeer.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, platformSettings), "127.0.0.1:0", taken.Addr().String(), 1)
 	for _, free := range []bool{false, true} {
-		cmd, log := launch(t, build(t).run, path, text)
-		await(t, log, "a socket can't be opened and is tried again")
+		cmd, log := launchNode(t, build(t).run, path, text)
+		awaitLog(t, log, "a socket can't be opened and is tried again")
 		if free {
 			taken.Close()
-			await(t, log, "msg=serving")
+			awaitLog(t, log, "msg=serving")
 		}
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if !free {
-			await(t, log, "told to end before it listened")
+			awaitLog(t, log, "shutdown requested before the node was listening")
 		}
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("port free: %v; exit: %v", free, err)
+			t.Errorf("port free: %v; exit after SIGTERM: %v", free, err)
 		}
 	}
 }
 
-// endClient sends one request after the other on connections to a node until it connects to nobody any more. It
-// keeps the ids of those that were answered.
-type endClient struct {
+// shutdownClient sends requests to a node one at a time until it can't connect any more. It records the ids of the answered
+// requests.
+type shutdownClient struct {
 	name, address, deadline string
 	pause                   time.Duration // in the middle of each request's head
 	answered                map[string]bool
 }
 
-func (c *endClient) run(first chan<- struct{}) {
+func (c *shutdownClient) run(first chan<- struct{}) {
 	for {
 		nc, err := net.Dial("tcp", c.address)
 		if err != nil {
 			return
 		}
-		nc.SetDeadline(time.Now().Add(limit))
-		for in := bufio.NewReader(nc); c.ask(nc, in); {
+		nc.SetDeadline(time.Now().Add(testTimeout))
+		for in := bufio.NewReader(nc); c.sendRequest(nc, in); {
 			select {
 			case first <- struct{}{}:
 			default:
@@ -200,8 +200,8 @@
 	}
 }
 
-// ask says whether the connection is of further use.
-func (c *endClient) ask(nc net.Conn, in *bufio.Reader) bool {
+// sendRequest sends a request and reports whether the connection can be reused.
+func (c *shutdownClient) sendRequest(nc net.Conn, in *bufio.Reader) bool {
 	id := fmt.Sprint(c.name, len(c.answered))
 	io.WriteString(nc, "GET /view/k HT")
 	time.Sleep(c.pause)
@@ -215,23 +215,24 @@
 	return err == nil && !r.Close
 }
 
-// The program is over before it would be killed, with 0 and all answered, while clients send on and no server answers any more.
+// The program exits with 0 before the platform would kill it, with all requests answered, while clients keep sending and no
+// server replies.
 func TestShutdownFinishesBeforeKill(t *testing.T) {
 	for _, deadline := range []time.Duration{200 * time.Millisecond, 300 * time.Millisecond} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			if took, kill := endOfProgram(t, deadline, nil), deadline+700*time.Millisecond; took >= kill {
-				t.Errorf("over after %v of %v", took, kill)
+			if took, kill := measureShutdown(t, deadline, nil), deadline+700*time.Millisecond; took >= kill {
+				t.Errorf("exited after %v, want less than %v", took, kill)
 			}
 		})
 	}
 }
 
-// endOfProgram tells how long the program takes to end. during is called when SIGTERM was sent; nil: nothing is.
-func endOfProgram(t *testing.T, deadline time.Duration, during func(*os.Process)) (took time.Duration) {
-	var hangs atomic.Bool
+// measureShutdown returns how long the program takes to exit after SIGTERM. during, unless nil, is called after SIGTERM is sent.
+func measureShutdown(t *testing.T, deadline time.Duration, during func(*os.Process)) (took time.Duration) {
+	var hung atomic.Bool
 	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if hangs.Load() {
+		if hung.Load() {
 			io.Copy(io.Discard, c)
 			return false
 		}
@@ -240,21 +241,21 @@
 	agent := testpeer.NewAgent(t)
 	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
 	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
-	short := strings.NewReplacer("40000", fmt.Sprint(deadline.Milliseconds()), `"target-ms":20000`, fmt.Sprintf(`"target-ms":%d`, deadline.Milliseconds()/2)).Replace(settings)
-	cmd, address, _ := start(t, filepath.Join(t.TempDir(), "config.json"), platformConfig(agent.Address(), 256, list, short))
+	shortSettings := strings.NewReplacer("40000", fmt.Sprint(deadline.Milliseconds()), `"target-ms":20000`, fmt.Sprintf(`"target-ms":%d`, deadline.Milliseconds()/2)).Replace(platformSettings)
+	cmd, address, _ := startNode(t, filepath.Join(t.TempDir(), "config.json"), platformConfig(agent.Address(), 256, list, shortSettings))
 	first := make(chan struct{}, 1)
 	var clients sync.WaitGroup
 	answered := map[string]map[string]bool{}
 	for i := range 6 {
-		c := &endClient{name: fmt.Sprintf("c%d-", i), address: address, deadline: fmt.Sprint(deadline.Seconds()), answered: map[string]bool{}}
+		c := &shutdownClient{name: fmt.Sprintf("c%d-", i), address: address, deadline: fmt.Sprint(deadline.Seconds()), answered: map[string]bool{}}
 		if i > 3 {
 			c.pause = 30 * time.Millisecond
 		}
 		answered[c.name] = c.answered
 		clients.Go(func() { c.run(first) })
 	}
-	testpeer.Receive(t, first, "an answer")
-	hangs.Store(true)
+	testpeer.Receive(t, first, "a response")
+	hung.Store(true)
 	begin := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -263,13 +264,13 @@
 		during(cmd.Process)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 	took = time.Since(begin)
 	clients.Wait()
 	for _, id := range server.Requests() {
 		if name, _, _ := strings.Cut(id, "-"); !answered[name+"-"][id] {
-			t.Errorf("%s reached a server and has no answer", id)
+			t.Errorf("request %s reached a server and got no response", id)
 		}
 	}
 	return took
--- a/cmd/damsontrestle/validate.go
+++ b/cmd/damsontrestle/validate.go
@@ -13,8 +13,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "validate FILE",
-		Short: "Check a file without asking any node",
-		Long:  "validate checks a file and tells all that is wrong with it. It ends with 0 if a node could run it, else with 1.",
+		Short: "Check a configuration file without contacting a node",
+		Long:  "validate checks a configuration file and reports every problem. It exits with 0 if a node could run the file, and with 1 otherwise.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, problems := config.Load(args[0])
@@ -31,7 +31,7 @@
 					return err
 				}
 				if !r.Valid {
-					return exit{code: 1}
+					return exitError{code: 1}
 				}
 				return nil
 			}
@@ -39,7 +39,7 @@
 				fmt.Fprintln(cmd.ErrOrStderr(), p.Error())
 			}
 			if e := problems.Errors(); len(e) > 0 {
-				return exit{1, fmt.Errorf("%d in %s", len(e), args[0])}
+				return exitError{1, fmt.Errorf("%d validation errors in %s", len(e), args[0])}
 			}
 			n := cfg.Needs()
 			fmt.Fprintf(out, "%s is valid: %d classes, %d listeners, %d pools, %d routes; needs %d of %d descriptors and about %v of %v memory.\n",
--- a/cmd/testserver/main.go
+++ b/cmd/testserver/main.go
@@ -1,5 +1,5 @@
-// Command testserver is a stand-in for a log server: it answers HTTP/1.1 with a stated service time and faults,
-// and tells at its end what it did. The body of a good answer is its name and the request's id.
+// Command testserver simulates a log server: it serves HTTP/1.1 with a configurable service time and fault rates,
+// and prints its request counts when it stops. The body of a successful reply is the server's name and the request's id.
 package main
 
 import (
@@ -23,43 +23,43 @@
 }
 
 func run(args []string) error {
-	f := flag.NewFlagSet("testserver", flag.ContinueOnError)
-	var o testpeer.BoxOptions
-	listen := f.String("listen", "127.0.0.1:9001", "addresses to listen at, with commas; each is a box of its own")
-	f.StringVar(&o.Name, "name", "box", "the name in its answers; several are numbered")
-	f.DurationVar(&o.Service, "service", 20*time.Millisecond, "mean time that a request takes")
-	f.IntVar(&o.Room, "room", 0, "requests at once, beyond which it refuses; 0: any number")
-	f.Float64Var(&o.Faults.Fail, "fail", 0, "share of requests that it answers with 500")
-	f.Float64Var(&o.Faults.Refuse, "refuse", 0, "share that it refuses without running them")
-	f.Float64Var(&o.Faults.Reset, "reset", 0, "share whose connection it resets after running them")
-	f.Float64Var(&o.Faults.Cut, "cut", 0, "share whose answer it cuts short")
-	f.Float64Var(&o.Faults.Hang, "hang", 0, "share that it never answers")
-	f.Uint64Var(&o.Seed, "seed", 1, "for what it draws")
-	if err := f.Parse(args); err != nil {
+	flags := flag.NewFlagSet("testserver", flag.ContinueOnError)
+	var options testpeer.BoxOptions
+	listen := flags.String("listen", "127.0.0.1:9001", "comma-separated addresses to listen at; each is a server of its own")
+	flags.StringVar(&options.Name, "name", "box", "the name in replies; numbered if there are several servers")
+	flags.DurationVar(&options.Service, "service", 20*time.Millisecond, "mean service time of a request")
+	flags.IntVar(&options.Room, "room", 0, "concurrent requests, beyond which requests are rejected; 0: no limit")
+	flags.Float64Var(&options.Faults.Fail, "fail", 0, "share of requests answered with 500")
+	flags.Float64Var(&options.Faults.Refuse, "refuse", 0, "share of requests rejected without being run")
+	flags.Float64Var(&options.Faults.Reset, "reset", 0, "share of requests whose connection is reset after they ran")
+	flags.Float64Var(&options.Faults.Cut, "cut", 0, "share of requests whose reply is truncated")
+	flags.Float64Var(&options.Faults.Hang, "hang", 0, "share of requests that are never answered")
+	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the random number generator")
+	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	var servers []*testpeer.Box
-	name := o.Name
+	name := options.Name
 	for i, address := range strings.Split(*listen, ",") {
 		if strings.Contains(*listen, ",") {
-			o.Name = fmt.Sprintf("%s-%d", name, i+1)
+			options.Name = fmt.Sprintf("%s-%d", name, i+1)
 		}
-		o.Seed += uint64(i)
-		b := testpeer.NewBox(o)
-		s, err := testpeer.Listen(address, b.Serve)
+		options.Seed += uint64(i)
+		server := testpeer.NewBox(options)
+		listener, err := testpeer.Listen(address, server.Serve)
 		if err != nil {
 			return err
 		}
-		defer s.Close()
-		fmt.Printf("%s listens at %s\n", o.Name, s.Address())
-		servers = append(servers, b)
+		defer listener.Close()
+		fmt.Printf("%s listens at %s\n", options.Name, listener.Address())
+		servers = append(servers, server)
 	}
 	<-ctx.Done()
-	for _, b := range servers {
-		c := b.Counts()
-		fmt.Printf("%s: %d requests, %d run, %d failed, %d refused, %d reset, %d cut, %d hung\n", b.Name(), c.Requests, c.Ran, c.Failed, c.Refused, c.Reset, c.Cut, c.Hung)
+	for _, server := range servers {
+		counts := server.Counts()
+		fmt.Printf("%s: %d requests, %d run, %d failed, %d refused, %d reset, %d cut, %d hung\n", server.Name(), counts.Requests, counts.Ran, counts.Failed, counts.Refused, counts.Reset, counts.Cut, counts.Hung)
 	}
 	return nil
 }
--- a/internal/codestyle/codestyle.go
+++ b/internal/codestyle/codestyle.go
@@ -1,3 +1,3 @@
-// Package codestyle holds checks of how the code reads and of what the program is built from. They are tests; the package itself is
-// empty and nothing imports it.
+// Package codestyle contains tests that check the vocabulary of the code and the packages that the program imports. It has no
+// code besides tests, and no package imports it.
 package codestyle
--- a/internal/codestyle/glossary_test.go
+++ b/internal/codestyle/glossary_test.go
@@ -16,26 +16,26 @@
 	glossary = root + "/docs/glossary.md"
 )
 
-// glossaryWords are the words that the glossary retires: those in code spans in the third column of its table of terms.
-type glossaryWords struct {
-	names map[string]bool // with a capital letter, as LetGo: refused as whole identifiers
-	words map[string]bool // all in small letters: refused as words of identifiers, comments and log texts
+// retiredWords holds the words that the glossary retires: the code spans in the third column of its table of terms.
+type retiredWords struct {
+	names map[string]bool // words with a capital letter, such as LetGo: not allowed as whole identifiers
+	words map[string]bool // lower-case words: not allowed as words of identifiers, comments and log texts
 }
 
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
-func readGlossary(t *testing.T) glossaryWords {
+func readGlossary(t *testing.T) retiredWords {
 	t.Helper()
 	page, err := os.ReadFile(glossary)
 	if err != nil {
 		t.Fatal(err)
 	}
-	retired := glossaryWords{names: map[string]bool{}, words: map[string]bool{}}
+	retired := retiredWords{names: map[string]bool{}, words: map[string]bool{}}
 	_, terms, _ := strings.Cut(string(page), "\n## Terms\n")
 	terms, _, _ = strings.Cut(terms, "\n## ")
 	for line := range strings.Lines(terms) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
-		if len(cells) != 5 { // what is before the first bar and behind the last one is empty
+		if len(cells) != 5 { // the parts before the first bar and after the last one are empty
 			continue
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(cells[3], -1) {
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(retired.words) < 10 || len(retired.names) < 5 {
-		t.Fatalf("%s retires %d words and %d names; that is too few to be true", glossary, len(retired.words), len(retired.names))
+		t.Fatalf("%s retires %d words and %d names, want at least 10 and 5; its table of terms was probably not parsed", glossary, len(retired.words), len(retired.names))
 	}
 	return retired
 }
@@ -56,24 +56,24 @@
 	nameWord = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
 	textWord = regexp.MustCompile(`[A-Za-z]+`)
 
-	// quoted are the parts of a text that name something of the code, of a file or of the wire rather than use a term.
+	// quoted matches the parts of a text that quote a name of the code, a file or the wire protocol.
 	quoted = regexp.MustCompile("`[^`]*`" + `|"[^"]*"|\S*\w[./_]\w\S*`)
 )
 
 // inName returns the retired words of an identifier.
-func (g glossaryWords) inName(name string) (found []string) {
+func (g retiredWords) inName(name string) (found []string) {
 	if g.names[name] {
 		return []string{name}
 	}
-	return g.among(nameWord.FindAllString(name, -1))
+	return g.filter(nameWord.FindAllString(name, -1))
 }
 
 // inText returns the retired words of a comment or a log text.
-func (g glossaryWords) inText(text string) (found []string) {
-	return g.among(textWord.FindAllString(quoted.ReplaceAllString(text, " "), -1))
+func (g retiredWords) inText(text string) (found []string) {
+	return g.filter(textWord.FindAllString(quoted.ReplaceAllString(text, " "), -1))
 }
 
-func (g glossaryWords) among(words []string) (found []string) {
+func (g retiredWords) filter(words []string) (found []string) {
 	for _, word := range words {
 		word = strings.ToLower(word)
 		if g.words[word] {
@@ -83,22 +83,22 @@
 	return found
 }
 
-// finding is one retired word at its place.
+// finding is a retired word and its position.
 type finding struct {
-	at   token.Position
-	kind string // what has it, for people
-	word string
+	position token.Position
+	kind     string // the kind of text that contains the word, for messages
+	word     string
 }
 
 func (f finding) String() string {
-	return f.at.String() + ": " + f.kind + " has " + strconv.Quote(f.word)
+	return f.position.String() + ": " + f.kind + " has " + strconv.Quote(f.word)
 }
 
-// messageFuncs are the functions and methods whose text operators read in logs and errors.
+// messageFuncs are the functions and methods that write log messages or make errors.
 var messageFuncs = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "Errorf": true, "New": true}
 
-// fileFindings returns the retired words in what a Go file declares, in its comments and in its log texts and errors.
-func (g glossaryWords) fileFindings(t *testing.T, path string) (found []finding) {
+// fileFindings returns the retired words in the declared names, comments, log messages and errors of a Go file.
+func (g retiredWords) fileFindings(t *testing.T, path string) (found []finding) {
 	t.Helper()
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, parser.ParseComments|parser.SkipObjectResolution)
@@ -127,7 +127,7 @@
 	return found
 }
 
-// declaredBy returns the names that a node declares.
+// declaredBy returns the names that a syntax node declares.
 func declaredBy(n ast.Node) []*ast.Ident {
 	switch n := n.(type) {
 	case *ast.File:
@@ -161,7 +161,7 @@
 	return names
 }
 
-// messagesOf returns the literal texts of a call that writes a log line or makes an error.
+// messagesOf returns the string literals of a call that writes a log message or makes an error.
 func messagesOf(n ast.Node) (texts []*ast.BasicLit) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
@@ -177,7 +177,7 @@
 	return texts
 }
 
-// literalsOf returns the string literals that an argument is put together from, unquoted.
+// literalsOf returns the unquoted string literals that an argument concatenates.
 func literalsOf(argument ast.Expr) (texts []*ast.BasicLit) {
 	switch e := argument.(type) {
 	case *ast.BinaryExpr:
@@ -190,9 +190,9 @@
 	return nil
 }
 
-// The check finds what it is for, and lets ordinary words be.
-func TestRetiredWordsAreRecognised(t *testing.T) {
-	g := glossaryWords{names: map[string]bool{"LetGo": true}, words: map[string]bool{"heir": true, "cold": true}}
+// Retired words are found as whole words only; words that merely contain them are not.
+func TestRetiredWordsAreRecognized(t *testing.T) {
+	g := retiredWords{names: map[string]bool{"LetGo": true}, words: map[string]bool{"heir": true, "cold": true}}
 	for name, want := range map[string]int{"LetGo": 1, "LetGoAll": 0, "heirOf": 1, "coldHeir": 2, "theirs": 0, "scold": 0} {
 		if found := g.inName(name); len(found) != want {
 			t.Errorf("name %s: found %q, want %d words", name, found, want)
@@ -205,9 +205,9 @@
 	}
 }
 
-// Each kind of place where a word may stand is looked at.
-func TestRetiredWordsAreFoundInEveryPlace(t *testing.T) {
-	g := glossaryWords{words: map[string]bool{"heir": true}}
+// Retired words are found in every kind of declared name, in comments and in log texts.
+func TestRetiredWordsAreFoundInNamesCommentsAndTexts(t *testing.T) {
+	g := retiredWords{words: map[string]bool{"heir": true}}
 	path := t.TempDir() + "/heir.go"
 	source := `package heir // heir
 type heirType struct{ heirField int }
--- a/internal/codestyle/imports_test.go
+++ b/internal/codestyle/imports_test.go
@@ -8,7 +8,7 @@
 
 const module = "damsontrestle"
 
-// testOnly are the folders below internal whose packages serve tests and benches. The program must not be built from them.
+// testOnly lists the folders below internal whose packages are for tests and benchmarks. The program must not import them.
 var testOnly = []string{
 	"codestyle",
 	"config/configtest",
@@ -21,8 +21,8 @@
 	"testpeer",
 }
 
-// isTestOnly says whether a package is for tests and benches alone: by its folder, or because its name ends in "test" as those of
-// net/http/httptest do.
+// isTestOnly reports whether a package is only for tests and benchmarks: it is in a folder of testOnly, or its name ends in
+// "test" as that of net/http/httptest does.
 func isTestOnly(path string) bool {
 	inside, ok := strings.CutPrefix(path, module+"/internal/")
 	if !ok {
@@ -55,11 +55,11 @@
 func TestProgramImportsNoTestPackage(t *testing.T) {
 	packages := goList(t, "-deps", "./cmd/damsontrestle")
 	if len(packages) < 20 {
-		t.Fatalf("the program is built from %d packages; that is too few to be true", len(packages))
+		t.Fatalf("go list -deps returned %d packages, want at least 20", len(packages))
 	}
 	for _, path := range packages {
 		if isTestOnly(path) {
-			t.Errorf("cmd/damsontrestle is built from %s, which is for tests", path)
+			t.Errorf("cmd/damsontrestle imports %s, which is only for tests", path)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 			exists = exists || inside == folder || strings.HasPrefix(inside, folder+"/")
 		}
 		if !exists {
-			t.Errorf("internal/%s is listed as a folder for tests and has no package", folder)
+			t.Errorf("testOnly lists internal/%s, which has no package", folder)
 		}
 	}
 }
--- a/internal/codestyle/pages_test.go
+++ b/internal/codestyle/pages_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// productFiles parses the Go files that the program is made of.
+// productFiles parses the Go files of the program, without tests and packages for tests.
 func productFiles(t *testing.T) (files []*ast.File) {
 	t.Helper()
 	for _, top := range []string{"cmd/damsontrestle", "internal"} {
@@ -46,7 +46,7 @@
 	return files
 }
 
-// declarations returns what a file declares at package level, as package.Name and, for methods, as package.Type.Name.
+// declarations returns the names that a file declares at package level, as package.Name or, for methods, package.Type.Name.
 func declarations(file *ast.File) map[string]bool {
 	names := map[string]bool{}
 	prefix := file.Name.Name + "."
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// qualifiedName is how a page names what a package declares.
+// qualifiedName matches a declaration of a package in the text of a page.
 var qualifiedName = regexp.MustCompile("`([a-z][a-z0-9]*\\.[A-Z]\\w*(?:\\.[A-Z]\\w*)?)`")
 
 func TestArchitecturePageNamesWhatTheCodeDeclares(t *testing.T) {
@@ -95,7 +95,7 @@
 	}
 	named := qualifiedName.FindAllStringSubmatch(string(page), -1)
 	if len(named) < 30 {
-		t.Errorf("the page names %d declarations; that is too few to be true", len(named))
+		t.Errorf("the page names %d declarations, want at least 30", len(named))
 	}
 	for _, m := range named {
 		if !declared[m[1]] {
@@ -104,7 +104,7 @@
 	}
 }
 
-// texts returns the string literals of a file and the names of its JSON fields.
+// texts returns the string literals and the JSON field names of a file.
 func texts(file *ast.File) map[string]bool {
 	found := map[string]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -125,7 +125,7 @@
 	return found
 }
 
-// Every log line, log attribute and metric in the second column of the on-call page's tables of symptoms is one that the program has.
+// Every log message, log attribute and metric in the second column of the on-call page's symptom tables exists in the program.
 func TestOnCallPageQuotesLogLinesAndMetricsThatExist(t *testing.T) {
 	page, err := os.ReadFile(root + "/docs/operate/on-call.md")
 	if err != nil {
@@ -146,11 +146,11 @@
 		for _, span := range codeSpan.FindAllStringSubmatch(cells[2], -1) {
 			checked++
 			if !known[span[1]] {
-				t.Errorf("docs/operate/on-call.md quotes %q, which the program neither logs nor counts", span[1])
+				t.Errorf("docs/operate/on-call.md quotes %q, which is not a text of the program", span[1])
 			}
 		}
 	}
 	if checked < 30 {
-		t.Errorf("the tables of symptoms quote %d texts; that is too few to be true", checked)
+		t.Errorf("the symptom tables quote %d texts, want at least 30", checked)
 	}
 }
--- a/internal/codestyle/retired_test.go
+++ b/internal/codestyle/retired_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-// allowList says how many retired words each package may still have, one package a line. Its numbers only shrink. Names of the wire
-// and of stored records that a package maps at its edge stay in it.
+// allowList is the file with the number of retired words that each package may still have, one package per line. The numbers
+// may only decrease. They include names of the wire protocol and of stored records that a package has to use.
 const allowList = "testdata/retired.txt"
 
-var update = flag.Bool("update", false, "lower the numbers of "+allowList+" to the present counts; none is raised")
+var update = flag.Bool("update", false, "lower the numbers in "+allowList+" to the current counts; no number is raised")
 
 func readAllowList(t *testing.T) map[string]int {
 	t.Helper()
@@ -33,7 +33,7 @@
 		folder, number, _ := strings.Cut(lines.Text(), " ")
 		count, err := strconv.Atoi(number)
 		if err != nil || count < 1 {
-			t.Fatalf("%s: %q is not a folder and a count of 1 or more", allowList, lines.Text())
+			t.Fatalf("%s: %q is not a folder followed by a count of at least 1", allowList, lines.Text())
 		}
 		allowed[folder] = count
 	}
@@ -43,7 +43,7 @@
 	return allowed
 }
 
-// findingsByPackage returns the retired words of all Go files, tests among them, by their folder seen from the root.
+// findingsByPackage returns the retired words of all Go files, including tests, by folder relative to the root.
 func findingsByPackage(t *testing.T) map[string][]finding {
 	t.Helper()
 	g := readGlossary(t)
@@ -57,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			if folder != "internal/codestyle" { // whose tests have the words as samples
+			if folder != "internal/codestyle" { // its tests contain the words as samples
 				found[folder] = append(found[folder], g.fileFindings(t, path)...)
 			}
 			return nil
@@ -69,12 +69,12 @@
 	return found
 }
 
-// A package has no retired word, or at most as many as the allow-list says. Fewer pass: the number is lowered with the next update.
+// A package has no more retired words than the allow list permits. The number of a package with fewer is lowered by -update.
 func TestNoRetiredWordsAreAdded(t *testing.T) {
 	found, allowed := findingsByPackage(t), readAllowList(t)
 	for _, folder := range slices.Sorted(maps.Keys(found)) {
 		if count := len(found[folder]); count > allowed[folder] {
-			t.Errorf("%s has %d words that %s retires, at most %d are allowed:", folder, count, glossary, allowed[folder])
+			t.Errorf("%s has %d words that %s retires, want at most %d:", folder, count, glossary, allowed[folder])
 			for _, f := range found[folder] {
 				t.Error(f)
 			}
--- a/internal/spectest/spectest.go
+++ b/internal/spectest/spectest.go
@@ -1,4 +1,4 @@
-// Package spectest reads the tables of the design pages, so that tests play each row of what the pages say.
+// Package spectest reads the tables of the design pages, so that tests can run each row as a test case.
 package spectest
 
 import (
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Row is a row of a table, by the names of its columns.
+// Row is a row of a table, with its cells by column name.
 type Row struct {
-	Line  int // of the page
+	Line  int // line number in the page, from 1
 	Cells map[string]string
 }
 
-// At is the text of a cell; a column that the table does not have is a defect of whoever asks.
+// At returns the text of the cell in a column. It panics if the table has no such column.
 func (r Row) At(column string) string {
 	text, ok := r.Cells[column]
 	if !ok {
@@ -22,13 +22,13 @@
 	return text
 }
 
-// TB is what a test gives.
+// TB is the part of testing.TB that Rows uses.
 type TB interface {
 	Helper()
 	Fatal(...any)
 }
 
-// Rows are those of Table; a page that has no such table ends the test.
+// Rows returns the rows that Table reads. An error fails the test.
 func Rows(t TB, path, heading string) []Row {
 	t.Helper()
 	rows, err := Table(path, heading)
@@ -38,11 +38,11 @@
 	return rows
 }
 
-// Table is the first table below a heading of a page. Backquotes round a cell are left out.
+// Table returns the rows of the first table below a heading of the page at path. Backquotes around a cell are removed.
 func Table(path, heading string) ([]Row, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("pages: %w", err)
+		return nil, fmt.Errorf("spectest: read page: %w", err)
 	}
 	var (
 		rows    []Row
@@ -67,7 +67,7 @@
 				columns = cells
 			case strings.Trim(strings.Join(cells, ""), "-: ") == "":
 			case len(cells) != len(columns):
-				return nil, fmt.Errorf("pages: %s:%d: %d cells, the table has %d columns", path, i+1, len(cells), len(columns))
+				return nil, fmt.Errorf("spectest: %s:%d: the row has %d cells, the table has %d columns", path, i+1, len(cells), len(columns))
 			default:
 				r := Row{i + 1, map[string]string{}}
 				for k, c := range columns {
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(rows) == 0 {
-		return nil, fmt.Errorf("pages: %s: no table below %q", path, heading)
+		return nil, fmt.Errorf("spectest: %s: no table below the heading %q", path, heading)
 	}
 	return rows, nil
 }
