--- a/cmd/damsontrestle/peers.go
+++ b/cmd/damsontrestle/peers.go
@@ -36,7 +36,7 @@
 	counts := status.Counts
 	fmt.Fprintf(out, "\ndatagrams: %d sent, %d received; dropped: %d with a wrong key, %d malformed, %d of an unsupported version, %d with the queue full, %d rate limited\n", counts.Sent, counts.Received, counts.WrongKey, counts.Malformed, counts.Unsupported, counts.QueueFull, counts.RateLimited)
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "NAME\tSTATUS\tFOR\tHEARD\tLIFE\tREGION\tZONE\tADDRESS")
+	fmt.Fprintln(table, "NAME\tSTATUS\tFOR\tHEARD\tINCARNATION\tREGION\tZONE\tADDRESS")
 	for _, m := range status.Members {
 		heard := "never"
 		if m.SinceHeard >= 0 {
@@ -68,7 +68,7 @@
 	fmt.Fprintf(out, "\nsent: %d parts, %d rows, %d queries, %d replies; dropped: %d rows and parts without a bound on their delay, %d too old, %d from unknown authors or senders, %d with too many parts, %d entries beyond the row size, %d queries rate limited\n",
 		status.Sent["parts"], status.Sent["rows"], status.Sent["questions"], status.Sent["answers"], dropped.Unbounded, dropped.Expired, dropped.Foreign, dropped.TooManyParts, dropped.Truncated, dropped.RateLimited)
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "REGION\tZONE\tFACTS\tFOR\tAGE\tFROM\tNODES")
+	fmt.Fprintln(table, "REGION\tZONE\tFRESHNESS\tFOR\tAGE\tFROM\tNODES")
 	for _, zone := range status.Zones {
 		age := "-"
 		if zone.PartCount > 0 {
@@ -76,7 +76,7 @@
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\t%d\t%d\n", zone.Region, zone.Zone, zone.Freshness, zone.SinceChange.Round(100*time.Millisecond), age, zone.PartCount, zone.ActiveNodes)
 	}
-	fmt.Fprintln(table, "\nZONE\tWHAT\tOF\tAMOUNT\tAGE\tFROM")
+	fmt.Fprintln(table, "\nZONE\tKIND\tSUBJECT\tVALUE\tAGE\tFROM")
 	for _, zone := range status.Zones {
 		for _, report := range zone.Reports {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%v\t%d\n", zone.Zone, report.Kind, report.Subject, report.Value, report.Age.Round(time.Millisecond), report.PartCount)
