--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -85,16 +85,16 @@
 func (s *testNode) runCommand(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
 	cmd := exec.Command(programPath(t), args...)
-	var o, e strings.Builder
-	cmd.Stdout, cmd.Stderr = &o, &e
+	var stdout, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Run(); err != nil {
-		var x *exec.ExitError
-		if !errors.As(err, &x) {
+		var exitErr *exec.ExitError
+		if !errors.As(err, &exitErr) {
 			t.Fatal(err)
 		}
-		code = x.ExitCode()
+		code = exitErr.ExitCode()
 	}
-	return o.String(), e.String(), code
+	return stdout.String(), stderr.String(), code
 }
 
 // wantOutput runs the program, checks its exit code and that its output or errors contain wantText, and returns the output.
--- a/cmd/damsontrestle/hotrestart_test.go
+++ b/cmd/damsontrestle/hotrestart_test.go
@@ -71,13 +71,13 @@
 		load.Go(func() {
 			client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: i%2 == 0}}
 			defer client.CloseIdleConnections()
-			for k := 0; ; k++ {
+			for n := 0; ; n++ {
 				select {
 				case <-stopLoad:
 					return
 				default:
 				}
-				id := fmt.Sprint(i, "-", k)
+				id := fmt.Sprint(i, "-", n)
 				req, _ := http.NewRequest("GET", "http://"+address+"/view/k", nil)
 				req.Header.Set("X-Request-Id", id)
 				req.Header.Set("X-Deadline", "40")
@@ -105,8 +105,8 @@
 	}
 	progress()
 	second, _, _ := startNode(t, path, config, "TMPDIR="+folder, "BALANCER_MGMT="+endpoints[1])
-	for _, d := range endpoints {
-		if got := sendManagement(t, d, "health"); got != "+OK ready\n" {
+	for _, endpoint := range endpoints {
+		if got := sendManagement(t, endpoint, "health"); got != "+OK ready\n" {
 			t.Errorf("health: %q, want \"+OK ready\"", got)
 		}
 	}
--- a/cmd/damsontrestle/main_test.go
+++ b/cmd/damsontrestle/main_test.go
@@ -167,7 +167,7 @@
 // No request is lost, and the client's connection stays open.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	list := func(name string) *httptest.Server {
+	newDiscovery := func(name string) *httptest.Server {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			fmt.Fprint(w, name)
 		}))
@@ -184,7 +184,7 @@
 		t.Cleanup(discovery.Close)
 		return discovery
 	}
-	old, next := list("old"), list("next")
+	old, next := newDiscovery("old"), newDiscovery("next")
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":%s}`,
 		strings.TrimPrefix(old.URL, "http://"), platformSettings)
@@ -195,12 +195,12 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(4 * testTimeout))
-	br := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	requests := 0
 	sendRequest := func() string {
 		requests++
 		fmt.Fprintf(conn, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r%d\r\nX-Deadline: 40\r\n\r\n", requests)
-		resp, err := http.ReadResponse(br, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", requests, err)
 		}
--- a/cmd/damsontrestle/plan.go
+++ b/cmd/damsontrestle/plan.go
@@ -31,24 +31,24 @@
 }
 
 func newPlan() *cobra.Command {
-	var o planOptions
+	var options planOptions
 	cmd := &cobra.Command{
 		Use:   "plan FILE",
 		Short: "Show the changes that a configuration file would make to the running node",
 		Long: "plan reads a configuration file and shows each field that it would change in the running node, and the effect of\n" +
 			"each change. It changes nothing. With -out it saves the plan to a file, which apply applies exactly.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error { return runPlan(cmd, args[0], o) },
+		RunE: func(cmd *cobra.Command, args []string) error { return runPlan(cmd, args[0], options) },
 	}
-	cmd.Flags().StringVar(&o.out, "out", "", "save the plan to this file, for apply")
-	cmd.Flags().StringVar(&o.socket, "socket", "", "the node's admin socket (default: the file's)")
-	cmd.Flags().BoolVar(&o.json, "json", false, "write the plan as JSON")
-	cmd.Flags().BoolVar(&o.detailedExitCode, "detailed-exitcode", false, "exit with 0 for no changes, 2 for changes, 1 for an error")
+	cmd.Flags().StringVar(&options.out, "out", "", "save the plan to this file, for apply")
+	cmd.Flags().StringVar(&options.socket, "socket", "", "the node's admin socket (default: the file's)")
+	cmd.Flags().BoolVar(&options.json, "json", false, "write the plan as JSON")
+	cmd.Flags().BoolVar(&options.detailedExitCode, "detailed-exitcode", false, "exit with 0 for no changes, 2 for changes, 1 for an error")
 	return cmd
 }
 
 // runPlan plans the change from the running configuration to the file at path, and writes the plan.
-func runPlan(cmd *cobra.Command, path string, o planOptions) error {
+func runPlan(cmd *cobra.Command, path string, options planOptions) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -57,27 +57,27 @@
 	if err := problems.Err(); err != nil {
 		return err
 	}
-	p, err := makePlan(cmd.Context(), cfg, path, text, o.socket)
+	p, err := makePlan(cmd.Context(), cfg, path, text, options.socket)
 	if err != nil {
 		return err
 	}
-	if o.out != "" {
+	if options.out != "" {
 		encoded, err := p.Encode()
 		if err != nil {
 			return err
 		}
-		if err := renameio.WriteFile(o.out, encoded, 0o600); err != nil {
+		if err := renameio.WriteFile(options.out, encoded, 0o600); err != nil {
 			return fmt.Errorf("plan: %w", err)
 		}
 	}
-	if o.json {
+	if options.json {
 		if err := writePlanJSON(cmd.OutOrStdout(), p, cfg, problems.Warnings()); err != nil {
 			return err
 		}
 	} else {
-		writePlanText(cmd.OutOrStdout(), p, cfg, problems.Warnings(), o.out)
+		writePlanText(cmd.OutOrStdout(), p, cfg, problems.Warnings(), options.out)
 	}
-	if o.detailedExitCode && len(p.Changes) > 0 {
+	if options.detailedExitCode && len(p.Changes) > 0 {
 		return exitError{code: exitChanges}
 	}
 	return nil
@@ -146,25 +146,25 @@
 	return json.NewEncoder(to).Encode(out)
 }
 
-func writePlanText(to io.Writer, p *plan.Plan, cfg *config.Config, warnings config.Problems, path string) {
+func writePlanText(out io.Writer, p *plan.Plan, cfg *config.Config, warnings config.Problems, path string) {
 	for _, w := range warnings {
-		fmt.Fprintln(to, w.Error())
+		fmt.Fprintln(out, w.Error())
 	}
 	if len(p.Changes) == 0 {
-		fmt.Fprintf(to, "No changes. Node %q already runs this configuration (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
+		fmt.Fprintf(out, "No changes. Node %q already runs this configuration (serial %d, %s).\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
 		return
 	}
-	fmt.Fprintf(to, "Node %q runs serial %d (%s). The file would change:\n\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
-	io.WriteString(to, plan.FormatChanges(p.Changes))
-	n := cfg.Needs()
-	fmt.Fprintf(to, "Needs %d of %d descriptors and about %v of %v memory.\n", n.Descriptors, cfg.Node.Limits.Descriptors, n.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
+	fmt.Fprintf(out, "Node %q runs serial %d (%s). The file would change:\n\n", p.Base.Node, p.Base.Serial, plan.ShortFingerprint(p.Base.Fingerprint))
+	io.WriteString(out, plan.FormatChanges(p.Changes))
+	needs := cfg.Needs()
+	fmt.Fprintf(out, "Needs %d of %d descriptors and about %v of %v memory.\n", needs.Descriptors, cfg.Node.Limits.Descriptors, needs.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
 	for _, w := range cfg.FederationSummary() {
-		fmt.Fprintf(to, "%s.\n", w)
+		fmt.Fprintf(out, "%s.\n", w)
 	}
 	if r := plan.RestartFields(p.Changes); len(r) > 0 {
-		fmt.Fprintf(to, "Takes effect only after a restart: %s.\n", commaSeparated(r))
+		fmt.Fprintf(out, "Takes effect only after a restart: %s.\n", commaSeparated(r))
 	}
 	if path != "" {
-		fmt.Fprintf(to, "\nSaved to %s. To apply exactly these changes, run:\n    damsontrestle apply %s\n", path, path)
+		fmt.Fprintf(out, "\nSaved to %s. To apply exactly these changes, run:\n    damsontrestle apply %s\n", path, path)
 	}
 }
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -15,7 +15,7 @@
 )
 
 func newServe() *cobra.Command {
-	var o daemon.Options
+	var options daemon.Options
 	cmd := &cobra.Command{
 		Use:   "serve FILE",
 		Short: "Run a node from a configuration file",
@@ -25,29 +25,29 @@
 			"request is answered.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			o.File = args[0]
-			o.Log = slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			return serve(cmd.Context(), o)
+			options.File = args[0]
+			options.Log = slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
+			return serve(cmd.Context(), options)
 		},
 	}
-	cmd.Flags().BoolVar(&o.FromFile, "from-file", false, "run the file, even if the state folder holds another configuration")
-	cmd.Flags().DurationVar(&o.Wait, "wait", admin.DefaultWait, "how long a reload waits for the server lists of new pools")
+	cmd.Flags().BoolVar(&options.FromFile, "from-file", false, "run the file, even if the state folder holds another configuration")
+	cmd.Flags().DurationVar(&options.Wait, "wait", admin.DefaultWait, "how long a reload waits for the server lists of new pools")
 	return cmd
 }
 
 // serve runs a daemon until SIGTERM or SIGINT. SIGHUP reloads its file.
-func serve(ctx context.Context, o daemon.Options) error {
+func serve(ctx context.Context, options daemon.Options) error {
 	// An unhandled SIGHUP ends the process, so its handler is installed first.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	o.Node.Limit = node.Limit
-	o.Node.Start = ctx
-	d, err := daemon.Start(o)
+	options.Node.Limit = node.Limit
+	options.Node.Start = ctx
+	d, err := daemon.Start(options)
 	if err != nil {
 		if ctx.Err() != nil {
-			o.Log.Info("shutdown requested before the node was listening", "error", err)
+			options.Log.Info("shutdown requested before the node was listening", "error", err)
 			return nil // no request was admitted
 		}
 		return err
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -55,63 +55,63 @@
 	return cmd
 }
 
-func writeShow(out io.Writer, s admin.ShowResponse) {
+func writeShow(out io.Writer, response admin.ShowResponse) {
 	printLine := func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }
 	ready := "ready"
-	if !s.Status.Ready {
+	if !response.Status.Ready {
 		ready = "not ready"
 	}
-	printLine("node         %s, %s", s.Node, ready)
-	printLine("running      serial %d, %s, by %s at %s", s.Serial, plan.ShortFingerprint(s.Fingerprint), s.By, s.Since.Format(time.RFC3339))
-	printLine("started from %s", s.StartSource)
-	if s.Previous != nil {
-		printLine("previous     serial %d, %s", s.Previous.Serial, plan.ShortFingerprint(s.Previous.Fingerprint))
+	printLine("node         %s, %s", response.Node, ready)
+	printLine("running      serial %d, %s, by %s at %s", response.Serial, plan.ShortFingerprint(response.Fingerprint), response.By, response.Since.Format(time.RFC3339))
+	printLine("started from %s", response.StartSource)
+	if response.Previous != nil {
+		printLine("previous     serial %d, %s", response.Previous.Serial, plan.ShortFingerprint(response.Previous.Fingerprint))
 	}
-	if s.InMemoryOnly {
+	if response.InMemoryOnly {
 		printLine("state        in memory only: applied changes are lost at a restart")
 	}
-	if s.Diverged {
+	if response.Diverged {
 		printLine("state        may differ from the running configuration: the write is retried until it succeeds; see the log for errors")
 	}
-	if len(s.NeedsRestart) > 0 {
-		printLine("restart      needed for %s", commaSeparated(s.NeedsRestart))
+	if len(response.NeedsRestart) > 0 {
+		printLine("restart      needed for %s", commaSeparated(response.NeedsRestart))
 	}
-	printLine("needs        %d of %d descriptors, about %v of %v memory", s.Needs.Descriptors, s.Config.Node.Limits.Descriptors, s.Needs.Memory.RoundUpToMiB(), s.Config.Node.Limits.Memory)
-	if s.CurrentStep != "" {
-		printLine("in progress  %s", s.CurrentStep)
+	printLine("needs        %d of %d descriptors, about %v of %v memory", response.Needs.Descriptors, response.Config.Node.Limits.Descriptors, response.Needs.Memory.RoundUpToMiB(), response.Config.Node.Limits.Memory)
+	if response.CurrentStep != "" {
+		printLine("in progress  %s", response.CurrentStep)
 	}
-	if s.LastChange != nil {
+	if response.LastChange != nil {
 		outcome := "done"
-		if s.LastChange.Error != "" {
-			outcome = "failed: " + s.LastChange.Error
+		if response.LastChange.Error != "" {
+			outcome = "failed: " + response.LastChange.Error
 		}
-		printLine("last change  %s at %s, %s", s.LastChange.By, s.LastChange.At.Format(time.RFC3339), outcome)
+		printLine("last change  %s at %s, %s", response.LastChange.By, response.LastChange.At.Format(time.RFC3339), outcome)
 	}
-	printLine("clients      %d connections", s.Status.Clients)
-	for _, name := range slices.Sorted(maps.Keys(s.Status.Listeners)) {
-		printLine("listener     %s at %s", name, s.Status.Listeners[name].Address)
+	printLine("clients      %d connections", response.Status.Clients)
+	for _, name := range slices.Sorted(maps.Keys(response.Status.Listeners)) {
+		printLine("listener     %s at %s", name, response.Status.Listeners[name].Address)
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Status.Pools)) {
-		pool := s.Status.Pools[name]
-		c := pool.Requests
+	for _, name := range slices.Sorted(maps.Keys(response.Status.Pools)) {
+		pool := response.Status.Pools[name]
+		counts := pool.Requests
 		printLine("pool         %s: %d servers ready, %d draining, %d connections; requests: %d open, %d accepted, %d served, %d rejected, %d failed, %d abandoned by their clients",
-			name, c.Ready, c.Draining, pool.Connections, c.Open, c.Requests, c.Served, c.Rejected, c.Failed, c.Disconnected)
+			name, counts.Ready, counts.Draining, pool.Connections, counts.Open, counts.Requests, counts.Served, counts.Rejected, counts.Failed, counts.Disconnected)
 	}
-	if s.Status.Gateway != nil {
-		writeGateway(printLine, *s.Status.Gateway)
+	if response.Status.Gateway != nil {
+		writeGateway(printLine, *response.Status.Gateway)
 	}
-	for _, name := range s.Status.Draining {
+	for _, name := range response.Status.Draining {
 		printLine("draining     %s of an earlier configuration", name)
 	}
 }
 
 // writeGateway writes a gateway's status through printLine.
-func writeGateway(printLine func(format string, args ...any), g gateway.Status) {
-	printLine("gateway      of %s: %d links, %d offers (%d of stale partners), %d active requests, %d replicated for others", g.Partner, len(g.Links), g.Routes.Advertisements, len(g.Routes.Stale), g.Replication.Active, g.Replication.Replica.Entries)
-	c := g.Replication
-	printLine("custody      %d owned, %d without a quorum, %d taken over by others, %d taken over here; %d queries, %d answered", c.Taken, c.NoQuorum, c.Fenced, c.Claimed, c.Queries, c.QueriesAnswered)
-	for _, name := range slices.Sorted(maps.Keys(g.Quotas)) {
-		q := g.Quotas[name]
-		printLine("quota        %s: leader %s (term %d), %d tokens drawn, %d requests rejected, %d tokens available; partitioned: %v", name, q.Leader, q.Term, q.Drawn, q.Rejected, q.Available, q.Partitioned)
+func writeGateway(printLine func(format string, args ...any), status gateway.Status) {
+	printLine("gateway      of %s: %d links, %d offers (%d of stale partners), %d active requests, %d replicated for others", status.Partner, len(status.Links), status.Routes.Advertisements, len(status.Routes.Stale), status.Replication.Active, status.Replication.Replica.Entries)
+	counts := status.Replication
+	printLine("custody      %d owned, %d without a quorum, %d taken over by others, %d taken over here; %d queries, %d answered", counts.Taken, counts.NoQuorum, counts.Fenced, counts.Claimed, counts.Queries, counts.QueriesAnswered)
+	for _, name := range slices.Sorted(maps.Keys(status.Quotas)) {
+		quota := status.Quotas[name]
+		printLine("quota        %s: leader %s (term %d), %d tokens drawn, %d requests rejected, %d tokens available; partitioned: %v", name, quota.Leader, quota.Term, quota.Drawn, quota.Rejected, quota.Available, quota.Partitioned)
 	}
 }
--- a/cmd/damsontrestle/shutdown_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -185,34 +185,34 @@
 
 func (c *shutdownClient) run(first chan<- struct{}) {
 	for {
-		nc, err := net.Dial("tcp", c.address)
+		conn, err := net.Dial("tcp", c.address)
 		if err != nil {
 			return
 		}
-		nc.SetDeadline(time.Now().Add(testTimeout))
-		for in := bufio.NewReader(nc); c.sendRequest(nc, in); {
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		for reader := bufio.NewReader(conn); c.sendRequest(conn, reader); {
 			select {
 			case first <- struct{}{}:
 			default:
 			}
 		}
-		nc.Close()
+		conn.Close()
 	}
 }
 
 // sendRequest sends a request and reports whether the connection can be reused.
-func (c *shutdownClient) sendRequest(nc net.Conn, in *bufio.Reader) bool {
+func (c *shutdownClient) sendRequest(conn net.Conn, reader *bufio.Reader) bool {
 	id := fmt.Sprint(c.name, len(c.answered))
-	io.WriteString(nc, "GET /view/k HT")
+	io.WriteString(conn, "GET /view/k HT")
 	time.Sleep(c.pause)
-	fmt.Fprintf(nc, "TP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %s\r\n\r\n", id, c.deadline)
-	r, err := http.ReadResponse(in, nil)
+	fmt.Fprintf(conn, "TP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %s\r\n\r\n", id, c.deadline)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return false
 	}
-	_, err = io.Copy(io.Discard, r.Body)
+	_, err = io.Copy(io.Discard, resp.Body)
 	c.answered[id] = err == nil
-	return err == nil && !r.Close
+	return err == nil && !resp.Close
 }
 
 // The program exits with 0 before the platform would kill it, with all requests answered, while clients keep sending and no
@@ -230,9 +230,9 @@
 
 // measureShutdown returns how long the program takes to exit after SIGTERM. during, unless nil, is called after SIGTERM is sent.
 func measureShutdown(t *testing.T, deadline time.Duration, during func(*os.Process)) (took time.Duration) {
-	var hung atomic.Bool
+	var serverHangs atomic.Bool
 	server := testpeer.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if hung.Load() {
+		if serverHangs.Load() {
 			io.Copy(io.Discard, c)
 			return false
 		}
@@ -255,7 +255,7 @@
 		clients.Go(func() { c.run(first) })
 	}
 	testpeer.Receive(t, first, "a response")
-	hung.Store(true)
+	serverHangs.Store(true)
 	begin := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/damsontrestle/validate.go
+++ b/cmd/damsontrestle/validate.go
@@ -20,17 +20,17 @@
 			cfg, problems := config.Load(args[0])
 			out := cmd.OutOrStdout()
 			if asJSON {
-				r := struct {
+				result := struct {
 					Valid    bool            `json:"valid"`
 					Problems config.Problems `json:"problems"`
 				}{problems.Err() == nil, problems}
-				if r.Problems == nil {
-					r.Problems = config.Problems{}
+				if result.Problems == nil {
+					result.Problems = config.Problems{}
 				}
-				if err := json.NewEncoder(out).Encode(r); err != nil {
+				if err := json.NewEncoder(out).Encode(result); err != nil {
 					return err
 				}
-				if !r.Valid {
+				if !result.Valid {
 					return exitError{code: 1}
 				}
 				return nil
@@ -41,10 +41,10 @@
 			if e := problems.Errors(); len(e) > 0 {
 				return exitError{1, fmt.Errorf("%d validation errors in %s", len(e), args[0])}
 			}
-			n := cfg.Needs()
+			needs := cfg.Needs()
 			fmt.Fprintf(out, "%s is valid: %d classes, %d listeners, %d pools, %d routes; needs %d of %d descriptors and about %v of %v memory.\n",
-				args[0], len(cfg.Classes), len(cfg.Listeners), len(cfg.Pools), len(cfg.Routes), n.Descriptors, cfg.Node.Limits.Descriptors,
-				n.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
+				args[0], len(cfg.Classes), len(cfg.Listeners), len(cfg.Pools), len(cfg.Routes), needs.Descriptors, cfg.Node.Limits.Descriptors,
+				needs.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
 			return nil
 		},
 	}
