--- a/cmd/damsontrestle/apply.go
+++ b/cmd/damsontrestle/apply.go
@@ -51,7 +51,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the socket recorded in the plan)")
-	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for the server lists of new pools")
+	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for new endpoint lists")
 	cmd.Flags().BoolVar(&allowChanged, "allow-changed-file", false, "apply the plan even if the configuration file has changed since it was made")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "write one line of JSON per step")
 	return cmd
--- a/cmd/damsontrestle/rollback.go
+++ b/cmd/damsontrestle/rollback.go
@@ -51,7 +51,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&socket, "socket", "", "the node's admin socket (default: the file's)")
-	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for the server lists of new pools")
+	cmd.Flags().DurationVar(&wait, "wait", admin.DefaultWait, "how long to wait for new endpoint lists")
 	cmd.Flags().BoolVar(&autoApprove, "auto-approve", false, "skip the confirmation")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "write one line of JSON per step")
 	return cmd
--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -31,7 +31,7 @@
 		},
 	}
 	cmd.Flags().BoolVar(&options.FromFile, "from-file", false, "run the file, even if the state folder holds another configuration")
-	cmd.Flags().DurationVar(&options.Wait, "wait", admin.DefaultWait, "how long a reload waits for the server lists of new pools")
+	cmd.Flags().DurationVar(&options.Wait, "wait", admin.DefaultWait, "how long a reload waits for new endpoint lists")
 	return cmd
 }
 
--- a/cmd/damsontrestle/show.go
+++ b/cmd/damsontrestle/show.go
@@ -107,11 +107,11 @@
 
 // writeGateway writes a gateway's status through printLine.
 func writeGateway(printLine func(format string, args ...any), status gateway.Status) {
-	printLine("gateway      of %s: %d links, %d offers (%d of stale partners), %d active requests, %d replicated for others", status.Partner, len(status.Links), status.Routes.Advertisements, len(status.Routes.Stale), status.Replication.Active, status.Replication.Replica.Entries)
+	printLine("gateway      of %s: %d links, %d offers (%d of stale partners), %d active requests, %d stored for others", status.Partner, len(status.Links), status.Routes.Advertisements, len(status.Routes.Stale), status.Replication.Active, status.Replication.Replica.Entries)
 	counts := status.Replication
-	printLine("custody      %d owned, %d without a quorum, %d taken over by others, %d taken over here; %d queries, %d answered", counts.Taken, counts.NoQuorum, counts.Fenced, counts.Claimed, counts.Queries, counts.QueriesAnswered)
+	printLine("custody      %d owned, %d without a quorum, %d taken over by others, %d taken over here; %d queries for earlier requests, %d answered", counts.Taken, counts.NoQuorum, counts.Fenced, counts.Claimed, counts.Queries, counts.QueriesAnswered)
 	for _, name := range slices.Sorted(maps.Keys(status.Quotas)) {
 		quota := status.Quotas[name]
-		printLine("quota        %s: leader %s (term %d), %d tokens drawn, %d requests rejected, %d tokens available; partitioned: %v", name, quota.Leader, quota.Term, quota.Drawn, quota.Rejected, quota.Available, quota.Partitioned)
+		printLine("quota        %s: leader %s (term %d), %d requests drew a token, %d rejected, %d tokens available; partitioned: %v", name, quota.Leader, quota.Term, quota.Drawn, quota.Rejected, quota.Available, quota.Partitioned)
 	}
 }
