--- a/cmd/damsontrestle/validate.go
+++ b/cmd/damsontrestle/validate.go
@@ -13,25 +13,25 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "validate FILE",
-		Short: "Check a file without asking any node",
-		Long:  "validate checks a file and tells all that is wrong with it. It ends with 0 if a node could run it, else with 1.",
+		Short: "Check a configuration file without contacting a node",
+		Long:  "validate checks a configuration file and reports every problem. It exits with 0 if a node could run the file, and with 1 otherwise.",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, problems := config.Load(args[0])
 			out := cmd.OutOrStdout()
 			if asJSON {
-				r := struct {
+				result := struct {
 					Valid    bool            `json:"valid"`
 					Problems config.Problems `json:"problems"`
 				}{problems.Err() == nil, problems}
-				if r.Problems == nil {
-					r.Problems = config.Problems{}
+				if result.Problems == nil {
+					result.Problems = config.Problems{}
 				}
-				if err := json.NewEncoder(out).Encode(r); err != nil {
+				if err := json.NewEncoder(out).Encode(result); err != nil {
 					return err
 				}
-				if !r.Valid {
-					return exit{code: 1}
+				if !result.Valid {
+					return exitError{code: 1}
 				}
 				return nil
 			}
@@ -39,12 +39,12 @@
 				fmt.Fprintln(cmd.ErrOrStderr(), p.Error())
 			}
 			if e := problems.Errors(); len(e) > 0 {
-				return exit{1, fmt.Errorf("%d in %s", len(e), args[0])}
+				return exitError{1, fmt.Errorf("%d validation errors in %s", len(e), args[0])}
 			}
-			n := cfg.Needs()
+			needs := cfg.Needs()
 			fmt.Fprintf(out, "%s is valid: %d classes, %d listeners, %d pools, %d routes; needs %d of %d descriptors and about %v of %v memory.\n",
-				args[0], len(cfg.Classes), len(cfg.Listeners), len(cfg.Pools), len(cfg.Routes), n.Descriptors, cfg.Node.Limits.Descriptors,
-				n.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
+				args[0], len(cfg.Classes), len(cfg.Listeners), len(cfg.Pools), len(cfg.Routes), needs.Descriptors, cfg.Node.Limits.Descriptors,
+				needs.Memory.RoundUpToMiB(), cfg.Node.Limits.Memory)
 			return nil
 		},
 	}
