--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -13,67 +13,67 @@
 	"damsontrestle/internal/netio"
 )
 
-// clientConn is a client's connection that can be closed while it waits for a request, and only then.
+// clientConn is a client connection that can be closed while it waits for a request without losing one.
 //
-// Close, in the gap between net/http's read of a request and its report of StateActive, would lose
-// that request. A read deadline in the past ends the wait, or comes too late for it: the request is
-// then either read and answered, or left unread, and its client sends it again. Whether one has
-// begun to be read is noted here, since net/http reads ahead of the request that it serves.
+// Calling Close between net/http's read of a request and its report of StateActive would lose that request. Setting a read
+// deadline in the past instead either ends the wait or takes effect too late: the request is then either read and answered,
+// or left unread, and the client sends it again. clientConn itself tracks whether a request has started to arrive, since
+// net/http reads beyond the request that it serves.
 //
-// While a request is served net/http waits for one more byte, to see the connection's end. Once that byte has come it
-// sees no end any more, so that what follows is read ahead here.
+// While a request is served, net/http reads one more byte to detect the end of the connection. Once it has received that
+// byte it no longer detects the end, so clientConn reads ahead itself from there.
 type clientConn struct {
 	net.Conn
-	set        *downstream.Set
-	totalAhead *atomic.Int64 // bytes that all connections of the front end have read ahead
-
-	mu            sync.Mutex
-	scanner       requestScan
-	served        int       // requests that net/http has brought to the front end
-	answered      int       // of them
-	begunAt       time.Time // when the first bytes of the request that is read were, or could have been
-	lastRead      time.Time // when any were last
-	lastWrite     time.Time // when bytes of a response were written last
-	closing       bool
-	cutOff        bool      // leaving, whatever still comes
-	wroteAfterCut bool      // a response was written once it was cut
-	deadline      time.Time // as net/http wants it
-
-	ahead         []byte        // read ahead and not handed out yet
-	aheadDone     chan struct{} // closed once the goroutine that reads ahead has ended; nil: none was started
-	stoppingAhead bool          // it is told to end
-	aheadOverflow bool          // more came than is read ahead
-	readErr       error         // why nothing more can be read
-	ended         chan struct{} // closed once end is known
-	disconnected  chan struct{} // closed once hasDisconnected has said yes
-}
-
-func newClientConn(c net.Conn, set *downstream.Set, total *atomic.Int64) *clientConn {
-	return &clientConn{Conn: c, set: set, totalAhead: total, ended: make(chan struct{}), disconnected: make(chan struct{})}
-}
-
-// Read hands out what was read ahead, or reads.
+	set            *downstream.Set
+	totalReadAhead *atomic.Int64 // bytes read ahead by all connections of the front end
+
+	mu               sync.Mutex
+	scanner          requestScanner
+	requestsReceived int       // requests that net/http has passed to the front end
+	requestsAnswered int       // requests whose response has begun
+	requestStart     time.Time // when the first bytes of the current request arrived, or could have been read
+	lastRead         time.Time // when bytes were last read
+	lastWrite        time.Time // when bytes of a response were last written
+	closing          bool
+	cutOff           bool      // CutOff was called: further bytes don't reverse closing
+	wroteAfterCut    bool      // the last write came after CutOff
+	deadline         time.Time // the read deadline that net/http has set
+
+	readAheadBuffer   []byte        // bytes read ahead that Read has not returned yet
+	readAheadDone     chan struct{} // closed when the read-ahead goroutine has ended; nil: none is running
+	stoppingReadAhead bool          // the read-ahead goroutine is being stopped
+	readAheadOverflow bool          // bytes were dropped since the read-ahead limits were exceeded
+	readErr           error         // the error that ended reading
+	readEnded         chan struct{} // closed when readErr is set
+	disconnected      chan struct{} // closed when hasDisconnected has reported true
+}
+
+func newClientConn(conn net.Conn, set *downstream.Set, totalReadAhead *atomic.Int64) *clientConn {
+	return &clientConn{Conn: conn, set: set, totalReadAhead: totalReadAhead, readEnded: make(chan struct{}), disconnected: make(chan struct{})}
+}
+
+// Read returns bytes that were read ahead, or else reads from the connection.
 func (c *clientConn) Read(p []byte) (int, error) {
-	c.stopAhead()
-	n, err := c.takeAhead(p)
+	c.stopReadAhead()
+	n, err := c.consumeReadAhead(p)
 	if n == 0 && err == nil {
 		n, err = netio.Read(c.Conn, p)
-		c.noteRead(p[:n], err)
+		c.recordRead(p[:n], err)
 	}
-	if n == 1 && len(p) == 1 { // net/http has its byte behind a request, and watches no more
-		c.startAhead()
+	if n == 1 && len(p) == 1 { // net/http's one-byte read behind a request: it no longer detects the end of the connection
+		c.startReadAhead()
 	}
 	return n, err
 }
 
-// noteRead notes what a read brought, for the scan of requests and the connection's times.
-func (c *clientConn) noteRead(p []byte, err error) {
+// recordRead passes the bytes of a read to the request scanner and updates the times and the read error.
+func (c *clientConn) recordRead(p []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(p) > 0 {
 		c.lastRead = time.Now()
-		if !c.pending() {
-			c.begunAt = c.lastRead
+		if !c.hasUnansweredRequest() {
+			c.requestStart = c.lastRead
 		}
 		c.scanner.feed(p)
 		if c.closing && !c.cutOff {
@@ -82,33 +82,36 @@
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.finish(err)
+		c.setReadErr(err)
 	}
 }
 
-// finish notes that nothing more can be read. The caller holds mu.
-func (c *clientConn) finish(err error) {
+// setReadErr records the error that ended reading. The caller holds mu.
+func (c *clientConn) setReadErr(err error) {
 	if c.readErr == nil {
 		c.readErr = err
-		close(c.ended)
+		close(c.readEnded)
 	}
 }
 
-// pending reports whether bytes of a request were read that is not answered. The caller holds mu.
-func (c *clientConn) pending() bool { return c.scanner.begun > c.answered }
+// hasUnansweredRequest reports whether bytes of a request without a response were read. The caller holds mu.
+func (c *clientConn) hasUnansweredRequest() bool {
+	return c.scanner.requestsStarted > c.requestsAnswered
+}
 
-// hasEnded reports whether the other side has ended the connection, or its sending.
+// hasEnded reports whether reading has ended: the client has closed the connection or its write side, or the connection has
+// failed.
 func (c *clientConn) hasEnded() bool {
 	select {
-	case <-c.ended:
+	case <-c.readEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-// hasDisconnected reports whether the other side has ended the connection, or its sending, by what the system knows: an end that
-// nobody has read yet, or that stands behind bytes which nobody has, is one all the same.
+// hasDisconnected reports whether the client has closed the connection or its write side, according to the operating system:
+// an end that has not been read yet counts, also one behind unread bytes.
 func (c *clientConn) hasDisconnected() bool {
 	if !c.hasEnded() && downstream.StateOf(c.Conn) != downstream.Ended {
 		return false
@@ -123,15 +126,15 @@
 	return true
 }
 
-// Write begins before the client can have seen its response.
+// Write implements net.Conn. It records the response before any byte of it can reach the client.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.lastWrite = time.Now()
 	c.wroteAfterCut = c.cutOff
-	if !bytes.HasPrefix(p, []byte("HTTP/1.1 100 ")) { // the body that this asks for is still the request's
-		c.answered = c.served
-		if c.pending() {
-			c.begunAt = c.lastWrite // the next one was not waited for before
+	if !bytes.HasPrefix(p, []byte("HTTP/1.1 100 ")) { // the body sent after 100 Continue belongs to the same request
+		c.requestsAnswered = c.requestsReceived
+		if c.hasUnansweredRequest() {
+			c.requestStart = c.lastWrite // the node did not wait for the next request until now
 		}
 	}
 	c.mu.Unlock()
@@ -145,36 +148,36 @@
 	return time.Since(c.lastRead)
 }
 
-// Begun returns when the first bytes of the request that is read were.
-func (c *clientConn) Begun() time.Time {
+// requestStartTime returns when the first bytes of the current request arrived.
+func (c *clientConn) requestStartTime() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begunAt
+	return c.requestStart
 }
 
-// takeHead reports whether the end of the body can be read in two ways, of the request that net/http has just read; see
-// headScan.take.
-func (c *clientConn) takeHead(coded bool) (unframed bool) {
+// consumeHead reports whether the end of the body of the request that net/http has just read can be determined in two ways;
+// see headScanner.consume.
+func (c *clientConn) consumeHead(hasTransferCoding bool) (ambiguousLength bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.served++
-	return c.scanner.take(coded)
+	c.requestsReceived++
+	return c.scanner.consumeHead(hasTransferCoding)
 }
 
-// SetReadDeadline implements net.Conn. While the connection is being
-// closed, or reading ahead stopped, the deadline is kept for when it goes on.
+// SetReadDeadline implements net.Conn. While the connection is closing or reading ahead is being stopped, the deadline is
+// only stored, to be set if reading continues.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.closing || c.stoppingAhead {
+	if c.closing || c.stoppingReadAhead {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// reset has the connection's close tell that something was cut.
-func (c *clientConn) reset() {
+// resetOnClose makes Close reset the connection, so that the client can tell that the response is truncated.
+func (c *clientConn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -183,19 +186,19 @@
 	c.lastWrite = time.Time{}
 }
 
-// isLast reports whether the response under way may be the last on the connection, since no other request was read behind its
-// own, and whether it must be, since more came than is read ahead.
-func (c *clientConn) isLast() (may, must bool) {
+// isLastResponse reports whether the current response may be the last on the connection, since no further request was read,
+// and whether it must be, since bytes beyond the read-ahead limits were dropped.
+func (c *clientConn) isLastResponse() (mayClose, mustClose bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.scanner.begun <= c.served, c.aheadOverflow
+	return c.scanner.requestsStarted <= c.requestsReceived, c.readAheadOverflow
 }
 
 // CloseIdle implements downstream.Conn.
 func (c *clientConn) CloseIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.pending() {
+	if !c.hasUnansweredRequest() {
 		c.closing = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -221,12 +224,12 @@
 func (c *clientConn) HasBegun() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending()
+	return c.hasUnansweredRequest()
 }
 
 // Owes implements downstream.Conn.
 func (c *clientConn) Owes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.served > c.answered
+	return c.requestsReceived > c.requestsAnswered
 }
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -76,7 +76,7 @@
 }
 
 // longBody is a request or response body that is streamed, because it is too long to be buffered completely.
-var longBody = strings.Repeat("x", 2*validation.MaxBody)
+var longBody = strings.Repeat("x", 2*validation.MaxBufferedBody)
 
 // responseTo returns the body of a server's response to a request. Some responses are long enough to be streamed.
 func responseTo(id string) string {
@@ -233,7 +233,7 @@
 		}
 	}
 	switch {
-	case result.cut && ran > 0 && len(responseTo(result.id)) > validation.MaxBody: // the server's connection closed during the response
+	case result.cut && ran > 0 && len(responseTo(result.id)) > validation.MaxBufferedBody: // the server's connection closed during the response
 	case result.status == 0 && !faults.Ended(result.from):
 		t.Errorf("%s %s: no response on a connection that no failure closed: %v, ran %d times", result.class, result.id, result.err, ran)
 	case result.status == http.StatusOK && (result.response != responseTo(result.id) || ran == 0):
