--- a/internal/fastcgi/application.go
+++ b/internal/fastcgi/application.go
@@ -64,8 +64,8 @@
 }
 
 // NewApplication returns an Application without open requests, which writes its answers to out.
-func NewApplication(b ConnLimits, out *Writer) *Application {
-	return &Application{limits: b, out: out, requests: map[uint16]*incomingRequest{}}
+func NewApplication(limits ConnLimits, out *Writer) *Application {
+	return &Application{limits: limits, out: out, requests: map[uint16]*incomingRequest{}}
 }
 
 // Open returns the number of open requests.
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -126,8 +126,8 @@
 	c.mu.Lock()
 	closing := c.closing
 	c.mu.Unlock()
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if closing && ok && half.CloseWrite() == nil {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if closing && ok && halfCloser.CloseWrite() == nil {
 		c.front.clients.Move(c, downstream.Lingering)
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.Conn, lingerBytes)
@@ -178,8 +178,8 @@
 	switch {
 	case c.incomplete > 0:
 		c.readDeadline = now.Add(c.front.progressTimeout)
-		if last := c.readStart.Add(requestTimeout); last.Before(c.readDeadline) {
-			c.readDeadline = last
+		if limit := c.readStart.Add(requestTimeout); limit.Before(c.readDeadline) {
+			c.readDeadline = limit
 		}
 	case open > 0:
 		c.readDeadline = time.Time{} // no deadline: the end of the connection cancels the open requests
@@ -194,13 +194,13 @@
 // isDisconnected reports whether a request was aborted or its connection has ended. Received bytes that are still
 // unread may hold an abort, so it waits up to Front.unreadTimeout for them to be read.
 func (c *client) isDisconnected(req *request) bool {
-	for until := time.Now().Add(c.front.unreadTimeout); ; time.Sleep(unreadPollInterval) {
+	for deadline := time.Now().Add(c.front.unreadTimeout); ; time.Sleep(unreadPollInterval) {
 		blocked := c.blockedInRead.Load()
 		state := downstream.StateOf(c.Conn)
 		switch {
 		case req.disconnected.Load() || state == downstream.Ended:
 			return true
-		case blocked && state == downstream.Quiet || time.Now().After(until):
+		case blocked && state == downstream.Quiet || time.Now().After(deadline):
 			return req.disconnected.Load()
 		}
 	}
@@ -230,7 +230,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.app.Open()
-	e, err := c.app.HandleRecord(rec)
+	event, err := c.app.HandleRecord(rec)
 	if err != nil {
 		return err
 	}
@@ -239,8 +239,8 @@
 		c.startReading()
 		c.updatePhase()
 	}
-	if req := c.requests[e.ID]; e.Kind != NoEvent && req != nil {
-		c.handleEvent(req, e)
+	if req := c.requests[event.ID]; event.Kind != NoEvent && req != nil {
+		c.handleEvent(req, event)
 	}
 	return c.flush()
 }
--- a/internal/fastcgi/client_request.go
+++ b/internal/fastcgi/client_request.go
@@ -23,18 +23,18 @@
 	done         chan struct{}   // closed when finished is set
 }
 
-func (c *client) handleEvent(req *request, e Event) {
-	switch e.Kind {
+func (c *client) handleEvent(req *request, event Event) {
+	switch event.Kind {
 	case ParamsEnd:
-		c.handleParams(req, e.Params)
+		c.handleParams(req, event.Params)
 	case Body:
 		switch {
-		case len(req.body)+len(e.Data) > validation.MaxBufferedBody:
+		case len(req.body)+len(event.Data) > validation.MaxBufferedBody:
 			c.reject(req, errTooLong)
-		case req.head.ContentLength >= 0 && int64(len(req.body)+len(e.Data)) > req.head.ContentLength:
+		case req.head.ContentLength >= 0 && int64(len(req.body)+len(event.Data)) > req.head.ContentLength:
 			c.reject(req, errLengthMismatch)
 		default:
-			req.body = append(req.body, e.Data...)
+			req.body = append(req.body, event.Data...)
 		}
 	case BodyEnd:
 		if req.head.ContentLength >= 0 && int64(len(req.body)) != req.head.ContentLength {
@@ -72,14 +72,14 @@
 	snapshot := c.front.dispatcher.Snapshot()
 	probe := head
 	probe.ContentLength = max(0, head.ContentLength)
-	in, err := validation.Check(snapshot, &probe)
+	checked, err := validation.Check(snapshot, &probe)
 	switch {
 	case err != nil:
 		c.reject(req, err)
 	case head.ContentLength > validation.MaxBufferedBody:
 		c.reject(req, errTooLong)
 	}
-	req.checked = in
+	req.checked = checked
 }
 
 // dispatch passes a complete request to the dispatcher, or answers it at once if downstream.Set or the dispatcher
@@ -206,11 +206,11 @@
 
 // finish ends a request. If the connection is not to be kept, it closes after its last open request. The caller
 // holds mu.
-func (c *client) finish(req *request, e End) {
+func (c *client) finish(req *request, end End) {
 	req.finished = true
 	close(req.done)
 	delete(c.requests, req.id)
-	keep, err := c.app.Finish(req.id, e)
+	keep, err := c.app.Finish(req.id, end)
 	if !keep || c.front.closing.Load() || c.front.clients.NearLimit() {
 		c.closing = true
 	}
--- a/internal/fastcgi/pairs.go
+++ b/internal/fastcgi/pairs.go
@@ -52,7 +52,7 @@
 }
 
 // NewPairs returns a decoder of one stream.
-func NewPairs(l PairLimits) *Pairs { return &Pairs{limits: l} }
+func NewPairs(limits PairLimits) *Pairs { return &Pairs{limits: limits} }
 
 // Reset prepares for another stream, with the same limits and buffer.
 func (p *Pairs) Reset() { *p = Pairs{limits: p.limits, partial: p.partial[:0]} }
@@ -85,32 +85,32 @@
 
 // missing returns how many bytes the incomplete pair is known to lack, at least one.
 func (p *Pairs) missing() int {
-	name, value, size, ok := parseLengths(p.partial)
+	nameLen, valueLen, size, ok := parseLengths(p.partial)
 	if !ok {
 		return 1
 	}
-	return size + name + value - len(p.partial)
+	return size + nameLen + valueLen - len(p.partial)
 }
 
 // parsePair decodes the pair at the start of data and returns its size, or 0 if it is incomplete.
 func (p *Pairs) parsePair(data []byte, fn func(name, value []byte)) (used int, err error) {
-	name, value, size, ok := parseLengths(data)
+	nameLen, valueLen, size, ok := parseLengths(data)
 	if !ok {
 		return 0, nil
 	}
 	switch {
-	case name > p.limits.Bytes-p.bytes || value > p.limits.Bytes-p.bytes-name:
-		return 0, p.wrapError(fmt.Errorf("name of %d bytes and value of %d bytes: %w of %d", name, value, ErrPairsTooLong, p.limits.Bytes))
+	case nameLen > p.limits.Bytes-p.bytes || valueLen > p.limits.Bytes-p.bytes-nameLen:
+		return 0, p.wrapError(fmt.Errorf("name of %d bytes and value of %d bytes: %w of %d", nameLen, valueLen, ErrPairsTooLong, p.limits.Bytes))
 	case p.count >= p.limits.Count:
 		return 0, p.wrapError(fmt.Errorf("%w: limit is %d", ErrTooManyPairs, p.limits.Count))
 	}
-	if used = size + name + value; len(data) < used {
+	if used = size + nameLen + valueLen; len(data) < used {
 		return 0, nil
 	}
-	p.bytes += name + value
+	p.bytes += nameLen + valueLen
 	p.count++
 	p.offset += int64(used)
-	fn(data[size:size+name], data[size+name:used])
+	fn(data[size:size+nameLen], data[size+nameLen:used])
 	return used, nil
 }
 
@@ -128,7 +128,7 @@
 
 // parseLengths decodes the two lengths of a pair and returns how many bytes they take. It is not ok if they are
 // incomplete.
-func parseLengths(data []byte) (name, value, size int, ok bool) {
+func parseLengths(data []byte) (nameLen, valueLen, size int, ok bool) {
 	var n, v uint32
 	if n, size, ok = parseLength(data, 0); ok {
 		v, size, ok = parseLength(data, size)
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -125,12 +125,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, bad := rec.Begin()
+		_, bodyErr := rec.Begin()
 		if rec.Type == EndRequest {
-			_, bad = rec.End()
+			_, bodyErr = rec.End()
 		}
-		if !errors.Is(bad, ErrInvalidBody) {
-			t.Errorf("%v body of %d bytes: got error %v, want ErrInvalidBody", rec.Type, len(rec.Content), bad)
+		if !errors.Is(bodyErr, ErrInvalidBody) {
+			t.Errorf("%v body of %d bytes: got error %v, want ErrInvalidBody", rec.Type, len(rec.Content), bodyErr)
 		}
 	}
 }
--- a/internal/fastcgi/webserver.go
+++ b/internal/fastcgi/webserver.go
@@ -167,8 +167,8 @@
 	return Reply{Kind: Ended, ID: rec.ID, End: end, OutputComplete: req.stdoutEnded}, nil
 }
 
-// handleValues sets the request limit of the connection. Values that are not numbers are ignored. The limit
-// is one request unless the application multiplexes.
+// handleValues sets the request limit of the connection. It ignores values that are not numbers. The limit is one
+// request unless the application multiplexes.
 func (s *WebServer) handleValues(rec Record) (Reply, error) {
 	maxRequests, multiplexes := 1, false
 	p := NewPairs(PairLimits{Bytes: maxContent, Count: maxContent})
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -128,9 +128,9 @@
 // aborted request only once it has ended.
 func TestWebServerCapacityAndIDReuse(t *testing.T) {
 	webServer := NewWebServer(NewWriter(io.Discard))
-	one, err := webServer.Begin(nil, true)
-	if err != nil || one != 1 || webServer.Available() != 0 {
-		t.Fatalf("id %d, error %v, %d available", one, err, webServer.Available())
+	first, err := webServer.Begin(nil, true)
+	if err != nil || first != 1 || webServer.Available() != 0 {
+		t.Fatalf("id %d, error %v, %d available", first, err, webServer.Available())
 	}
 	if _, err := webServer.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
 		t.Errorf("second request: got error %v, want ErrTooManyRequests", err)
@@ -145,19 +145,19 @@
 			t.Errorf("got %q, error %v; want %q", got, err, c.want)
 		}
 	}
-	two, _ := webServer.Begin(nil, true)
-	if webServer.Abort(one); two != 2 {
-		t.Errorf("id %d", two)
+	second, _ := webServer.Begin(nil, true)
+	if webServer.Abort(first); second != 2 {
+		t.Errorf("id %d", second)
 	}
-	three, _ := webServer.Begin(nil, true)
-	if three != 3 {
-		t.Errorf("got id %d while an aborted request is open, want 3", three)
+	third, _ := webServer.Begin(nil, true)
+	if third != 3 {
+		t.Errorf("got id %d while an aborted request is open, want 3", third)
 	}
-	got, err := webServerLines(t, webServer, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
+	got, err := webServerLines(t, webServer, encode(t, streamData(Stdout, first, "late"), endRequest(first, Complete)))
 	if err != nil || got != "1 ended, status 0, complete false, not started false" {
 		t.Errorf("end of the aborted request: got %q, error %v", got, err)
 	}
-	if again, err := webServer.Begin(nil, true); again != one || err != nil {
+	if again, err := webServer.Begin(nil, true); again != first || err != nil {
 		t.Errorf("got id %d, error %v; want the free one", again, err)
 	}
 	if webServer.Send(9, nil) == nil || webServer.CloseSend(9) == nil || webServer.Abort(9) != nil {
