--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -13,18 +13,18 @@
 	"damsontrestle/internal/downstream"
 )
 
-// Limits on what a web server may make the node wait for.
+// Limits on how long the node waits for a web server.
 const (
-	partTimeout  = 2800 * time.Millisecond // for the next bytes of a request that has begun
-	wholeTimeout = 30 * time.Second        // for all of it
-	idleTimeout  = time.Minute             // a connection on which nothing is asked is closed
-	writeTimeout = 5 * time.Second         // for a part of an answer to be taken
-	stall        = 10 * time.Second        // the same of an answer that passes through
-	passSize     = 16 << 10                // of such an answer held at once
-	unreadMost   = 10 * time.Millisecond   // for what has come, which may hold an abort, to be read before an attempt begins
-	unreadStep   = 100 * time.Microsecond
-	lingerTime   = 500 * time.Millisecond // behind the last answer, for the web server to close
-	lingerBytes  = 1 << 20
+	progressTimeout    = 2800 * time.Millisecond // for the next bytes of an incomplete request
+	requestTimeout     = 30 * time.Second        // for a complete request
+	idleTimeout        = time.Minute             // for the next request on a connection without one
+	writeTimeout       = 5 * time.Second         // for each write of a response
+	streamWriteTimeout = 10 * time.Second        // for each write of a streamed response
+	streamBufferSize   = 16 << 10                // bytes of a streamed response held at once
+	unreadTimeout      = 10 * time.Millisecond   // for received bytes, which may hold an abort, to be read before an attempt starts
+	unreadPollInterval = 100 * time.Microsecond
+	lingerTimeout      = 500 * time.Millisecond // for the web server to close after the last response
+	lingerBytes        = 1 << 20
 )
 
 // client is a web server's connection.
@@ -33,220 +33,225 @@
 	front *Front
 	in    *bufio.Reader
 
-	// The protocol's state. Held while something is written; downstream.Set never waits for it.
-	mu    sync.Mutex
-	app   *Application
-	out   *Writer
-	calls map[uint16]*call
-	ended bool
+	// mu guards the protocol state. It is held during writes; downstream.Set never waits for it.
+	mu       sync.Mutex
+	app      *Application
+	out      *Writer
+	requests map[uint16]*request
+	closing  bool // the connection ends once the open requests are answered
 
-	patience time.Duration // with which a write is waited for
-	inRead   atomic.Bool   // its reader waits for the next bytes
+	writeTimeout  time.Duration // of each write
+	blockedInRead atomic.Bool   // the reader is in Conn.Read
 
-	// unwritable is closed by the first write that fails: no answer can follow it.
+	// unwritable is closed by the first write that fails, after which no response can be sent.
 	unwritable     chan struct{}
 	markUnwritable func()
 
-	// What downstream.Set asks for. Never held while something is read or written.
-	state    sync.Mutex
-	midway   bool // within a record, as far as is known
-	reading  int  // requests that have begun and are not complete
-	owed     int  // requests that are complete and of whose answers no byte is written
-	oldest   time.Time
-	heard    time.Time
-	leaving  bool
-	cut      bool
-	deadline time.Time
+	// stateMu guards the state that downstream.Set queries. It is never held during reads or writes.
+	stateMu      sync.Mutex
+	midRecord    bool      // bytes of an incomplete record may have been read
+	incomplete   int       // requests whose STDIN has not ended
+	unanswered   int       // dispatched requests whose response has no byte written
+	readStart    time.Time // start of the requestTimeout of incomplete requests
+	lastRead     time.Time
+	interrupted  bool // the read deadline is in the past so that the reader returns
+	cutOff       bool // interrupted for good: bytes that still arrive do not undo it
+	readDeadline time.Time
 }
 
-func (f *Front) serve(nc net.Conn) {
-	c := &client{Conn: nc, front: f, calls: map[uint16]*call{}, patience: writeTimeout, unwritable: make(chan struct{})}
+func (f *Front) serve(conn net.Conn) {
+	c := &client{Conn: conn, front: f, requests: map[uint16]*request{}, writeTimeout: writeTimeout, unwritable: make(chan struct{})}
 	c.markUnwritable = sync.OnceFunc(func() { close(c.unwritable) })
-	c.out = NewWriter(writes{c})
-	c.app = NewApplication(f.bounds, c.out)
-	c.in = bufio.NewReader(reads{c})
-	f.callers.Add(c, f)
-	defer f.callers.Remove(c)
+	c.out = NewWriter(connWriter{c})
+	c.app = NewApplication(f.limits, c.out)
+	c.in = bufio.NewReader(connReader{c})
+	f.clients.Add(c, f)
+	defer f.clients.Remove(c)
 	defer c.close()
 	records := NewReader(c.in)
 	for {
-		c.await()
+		c.setReadDeadline()
 		rec, err := records.Next()
-		stuck := errors.Is(err, os.ErrDeadlineExceeded)
+		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 		if err == nil {
-			err = c.take(rec)
+			err = c.handleRecord(rec)
 		}
 		if err == nil {
 			continue
 		}
-		var named *Error
-		if errors.As(err, &named) && !errors.Is(err, ErrCut) {
-			f.log.Debug("a FastCGI connection ends", "from", nc.RemoteAddr(), "error", err)
+		var recordErr *Error
+		if errors.As(err, &recordErr) && !errors.Is(err, ErrTruncated) {
+			f.log.Debug("closing FastCGI connection after an error", "from", conn.RemoteAddr(), "error", err)
 		}
-		if stuck || isMalformed(err) {
-			c.settle()
+		if timedOut || isMalformed(err) {
+			c.awaitOpenRequests()
 		}
-		c.leave()
+		c.disconnectAll()
 		return
 	}
 }
 
-// isMalformed says that a web server has sent what can't be understood, and is still there.
+// isMalformed reports whether the web server has sent an invalid record and may still be connected.
 func isMalformed(err error) bool {
-	var named *Error
-	var network net.Error
-	return errors.As(err, &named) && !errors.Is(err, ErrCut) && !errors.As(err, &network)
+	var recordErr *Error
+	var netErr net.Error
+	return errors.As(err, &recordErr) && !errors.Is(err, ErrTruncated) && !errors.As(err, &netErr)
 }
 
-// settle returns once all that the module has is answered, or no answer can be written any more. No record can be read any more, but the web server is still there:
-// a request that stopped in its middle, or a record that makes no sense, costs the others on its connection nothing.
-func (c *client) settle() {
+// awaitOpenRequests waits until all dispatched requests are answered or a write has failed. After a timeout or an
+// invalid record nothing more can be read, but the web server is still connected: an incomplete request or a bad
+// record must not cost the other requests on the connection their responses.
+func (c *client) awaitOpenRequests() {
 	c.mu.Lock()
-	var open []*call
-	for _, r := range c.calls {
-		if r.with != nil {
-			open = append(open, r)
+	var open []*request
+	for _, req := range c.requests {
+		if req.dispatched != nil {
+			open = append(open, req)
 		}
 	}
-	c.ended = c.ended || len(open) > 0
+	c.closing = c.closing || len(open) > 0
 	c.mu.Unlock()
-	for _, r := range open {
+	for _, req := range open {
 		select {
-		case <-r.gone:
+		case <-req.done:
 		case <-c.unwritable:
 			return
 		}
 	}
 }
 
-// close ends the connection. Closed over bytes that nobody has read it would be reset, and an answer on its way with it: so
-// behind the last answer only the sending ends, and what still comes is thrown away for a while.
+// close closes the connection. Closing with unread bytes would reset it and lose a response in flight. After the last
+// response it therefore closes the sending side only, and discards input for up to lingerTimeout and lingerBytes.
 func (c *client) close() {
 	c.mu.Lock()
-	ended := c.ended
+	closing := c.closing
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if ended && ok && half.CloseWrite() == nil {
-		c.front.callers.SetPhase(c, downstream.PhaseLingering)
-		c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
+	if closing && ok && half.CloseWrite() == nil {
+		c.front.clients.SetPhase(c, downstream.PhaseLingering)
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.Conn, lingerBytes)
 	}
 	c.Conn.Close()
 }
 
-// reads notes what is read.
-type reads struct{ c *client }
+// connReader reads from the connection and records when bytes arrive.
+type connReader struct{ c *client }
 
-func (r reads) Read(p []byte) (int, error) {
+func (r connReader) Read(p []byte) (int, error) {
 	c := r.c
-	c.inRead.Store(true)
+	c.blockedInRead.Store(true)
 	n, err := c.Conn.Read(p)
-	c.inRead.Store(false)
+	c.blockedInRead.Store(false)
 	if n > 0 {
-		c.state.Lock()
-		defer c.state.Unlock()
-		c.midway, c.heard = true, time.Now()
-		if c.leaving && !c.cut {
-			c.leaving = false
-			c.Conn.SetReadDeadline(c.deadline)
+		c.stateMu.Lock()
+		defer c.stateMu.Unlock()
+		c.midRecord, c.lastRead = true, time.Now()
+		if c.interrupted && !c.cutOff {
+			c.interrupted = false
+			c.Conn.SetReadDeadline(c.readDeadline)
 		}
 	}
 	return n, err
 }
 
-// writes gives each write its time: what does not fit in with the rest of an answer is written before the answer is flushed.
-type writes struct{ c *client }
+// connWriter sets a new deadline before each write: a response that does not fit into the Writer's buffer is written
+// in part before it is flushed.
+type connWriter struct{ c *client }
 
-func (w writes) Write(p []byte) (int, error) {
-	w.c.Conn.SetWriteDeadline(time.Now().Add(w.c.patience))
+func (w connWriter) Write(p []byte) (int, error) {
+	w.c.Conn.SetWriteDeadline(time.Now().Add(w.c.writeTimeout))
 	return w.c.Conn.Write(p)
 }
 
-// await sets until when the next record may come.
-func (c *client) await() {
+// setReadDeadline sets the deadline of the next record.
+func (c *client) setReadDeadline() {
 	c.mu.Lock()
-	open := len(c.calls)
+	open := len(c.requests)
 	c.mu.Unlock()
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
 	if c.in.Buffered() == 0 {
-		c.midway = false
+		c.midRecord = false
 	}
 	now := time.Now()
 	switch {
-	case c.reading > 0:
-		c.deadline = now.Add(c.front.part)
-		if last := c.oldest.Add(wholeTimeout); last.Before(c.deadline) {
-			c.deadline = last
+	case c.incomplete > 0:
+		c.readDeadline = now.Add(c.front.progressTimeout)
+		if last := c.readStart.Add(requestTimeout); last.Before(c.readDeadline) {
+			c.readDeadline = last
 		}
 	case open > 0:
-		c.deadline = time.Time{} // its end tells that nobody waits any more
+		c.readDeadline = time.Time{} // no deadline: the end of the connection cancels the open requests
 	default:
-		c.deadline = now.Add(idleTimeout)
+		c.readDeadline = now.Add(idleTimeout)
 	}
-	if !c.leaving {
-		c.Conn.SetReadDeadline(c.deadline)
+	if !c.interrupted {
+		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// hasLeft says that a request was aborted, or that its connection has ended. What the system holds unread may say so too:
-// it is waited for until that is read.
-func (c *client) hasLeft(r *call) bool {
-	for until := time.Now().Add(c.front.unread); ; time.Sleep(unreadStep) {
-		waits := c.inRead.Load()
+// isDisconnected reports whether a request was aborted or its connection has ended. Received bytes that are still
+// unread may hold an abort, so it waits up to Front.unreadTimeout for them to be read.
+func (c *client) isDisconnected(req *request) bool {
+	for until := time.Now().Add(c.front.unreadTimeout); ; time.Sleep(unreadPollInterval) {
+		blocked := c.blockedInRead.Load()
 		state := downstream.PeekSocket(c.Conn)
 		switch {
-		case r.left.Load() || state == downstream.SocketClosed:
+		case req.disconnected.Load() || state == downstream.SocketClosed:
 			return true
-		case waits && state == downstream.SocketOpen || time.Now().After(until):
-			return r.left.Load()
+		case blocked && state == downstream.SocketOpen || time.Now().After(until):
+			return req.disconnected.Load()
 		}
 	}
 }
 
-// begins and whole follow how many requests are being read.
-func (c *client) begins() {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if c.reading++; c.reading == 1 {
-		c.oldest = time.Now()
+// startReading counts another incomplete request, and starts the requestTimeout for the first one.
+func (c *client) startReading() {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if c.incomplete++; c.incomplete == 1 {
+		c.readStart = time.Now()
 	}
 }
 
-func (c *client) whole() {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if c.reading--; c.reading > 0 {
-		c.oldest = time.Now()
+// finishReading counts an incomplete request as complete, rejected or aborted, and restarts the requestTimeout of the
+// others.
+func (c *client) finishReading() {
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if c.incomplete--; c.incomplete > 0 {
+		c.readStart = time.Now()
 	}
 }
 
-// take does what a record comes to. An error ends the connection.
-func (c *client) take(rec Record) error {
+// handleRecord processes a record. An error ends the connection.
+func (c *client) handleRecord(rec Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.app.Open()
-	e, err := c.app.Take(rec)
+	e, err := c.app.HandleRecord(rec)
 	if err != nil {
 		return err
 	}
 	if c.app.Open() > before {
-		c.calls[rec.ID] = &call{id: rec.ID, gone: make(chan struct{})}
-		c.begins()
-		c.phase()
+		c.requests[rec.ID] = &request{id: rec.ID, done: make(chan struct{})}
+		c.startReading()
+		c.updatePhase()
 	}
-	if r := c.calls[e.ID]; e.Kind != Nothing && r != nil {
-		c.event(r, e)
+	if req := c.requests[e.ID]; e.Kind != NoEvent && req != nil {
+		c.handleEvent(req, e)
 	}
 	return c.flush()
 }
 
-// flush writes what is kept. A connection on which that fails carries no other answer, so that it ends. The caller holds mu.
+// flush writes buffered records. If that fails the connection ends, as it can carry no further response. The caller
+// holds mu.
 func (c *client) flush() error {
 	err := c.out.Flush()
 	if err != nil {
 		c.markUnwritable()
-		c.AbortRead() // its reader ends, and closes it
+		c.AbortRead() // the reader returns, and serve closes the connection
 	}
 	return err
 }
--- a/internal/fastcgi/client_state.go
+++ b/internal/fastcgi/client_state.go
@@ -6,45 +6,45 @@
 	"damsontrestle/internal/downstream"
 )
 
-// phase tells downstream.Set what the connection does. The caller holds mu.
-func (c *client) phase() {
-	for _, r := range c.calls {
-		if r.with != nil {
-			return // Open, by Begin
+// updatePhase sets the connection's phase in downstream.Set. The caller holds mu.
+func (c *client) updatePhase() {
+	for _, req := range c.requests {
+		if req.dispatched != nil {
+			return // Set.Begin has made the phase Open
 		}
 	}
-	if len(c.calls) > 0 {
-		c.front.callers.SetPhase(c, downstream.PhaseReading)
+	if len(c.requests) > 0 {
+		c.front.clients.SetPhase(c, downstream.PhaseReading)
 	} else {
-		c.front.callers.SetPhase(c, downstream.PhaseIdle)
+		c.front.clients.SetPhase(c, downstream.PhaseIdle)
 	}
 }
 
-// leave ends all that is open: the web server has gone, or can't be talked to any more.
-func (c *client) leave() {
+// disconnectAll ends all open requests: the web server has disconnected, or the connection is unusable.
+func (c *client) disconnectAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.calls {
-		if r.with != nil {
-			r.with.Disconnect(c.front.clock.Now())
-			c.front.figures.ClientDisconnected()
+	for _, req := range c.requests {
+		if req.dispatched != nil {
+			req.dispatched.Disconnect(c.front.clock.Now())
+			c.front.counters.ClientDisconnected()
 		}
-		r.over = true
-		r.left.Store(true)
-		close(r.gone)
+		req.finished = true
+		req.disconnected.Store(true)
+		close(req.done)
 	}
-	clear(c.calls)
+	clear(c.requests)
 }
 
 // CloseIdle implements downstream.Conn.
 func (c *client) CloseIdle() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if !c.midway && c.reading == 0 {
-		c.leaving = true
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	if !c.midRecord && c.incomplete == 0 {
+		c.interrupted = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
-	return c.leaving
+	return c.interrupted
 }
 
 // Abort implements downstream.Conn.
@@ -52,36 +52,36 @@
 
 // AbortRead implements downstream.Conn.
 func (c *client) AbortRead() {
-	c.state.Lock()
-	defer c.state.Unlock()
-	c.leaving, c.cut = true, true
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	c.interrupted, c.cutOff = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
 // ReadAborted implements downstream.Conn.
 func (c *client) ReadAborted() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.cut
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.cutOff
 }
 
 // RequestStarted implements downstream.Conn.
 func (c *client) RequestStarted() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.midway || c.reading > 0
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.midRecord || c.incomplete > 0
 }
 
 // ResponsePending implements downstream.Conn.
 func (c *client) ResponsePending() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return c.owed > 0
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return c.unanswered > 0
 }
 
 // SinceLastRead implements downstream.Conn.
 func (c *client) SinceLastRead() time.Duration {
-	c.state.Lock()
-	defer c.state.Unlock()
-	return time.Since(c.heard)
+	c.stateMu.Lock()
+	defer c.stateMu.Unlock()
+	return time.Since(c.lastRead)
 }
--- a/internal/fastcgi/record_test.go
+++ b/internal/fastcgi/record_test.go
@@ -10,13 +10,13 @@
 	"testing/iotest"
 )
 
-// written is what a writer makes of requests.
-func written(t testing.TB, requests ...func(*Writer) error) []byte {
+// encode returns the records that the functions write.
+func encode(t testing.TB, writes ...func(*Writer) error) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, request := range requests {
-		if err := request(w); err != nil {
+	for _, write := range writes {
+		if err := write(w); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -26,9 +26,9 @@
 	return out.Bytes()
 }
 
-// exchange is a request and its answer, with all that a connection may carry beside them.
+// exchange returns the records of a request and its response, among other records that a connection may carry.
 func exchange(t testing.TB, body int) []byte {
-	return written(t,
+	return encode(t,
 		func(w *Writer) error { return w.Values(GetValues, AppendPair(nil, "FCGI_MPXS_CONNS", "")) },
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
 		func(w *Writer) error { return w.Begin(0x1234, Begin{Role: Filter}) },
@@ -41,12 +41,12 @@
 		func(w *Writer) error { return w.CloseStream(Stdin, 1) },
 		func(w *Writer) error { return w.Stream(Stdout, 1, []byte("Status: 200 OK\r\n\r\nok")) },
 		func(w *Writer) error { return w.Stream(Stderr, 1, []byte("!")) },
-		func(w *Writer) error { return w.End(1, End{App: 0xfffffffe, Status: Overloaded}) },
+		func(w *Writer) error { return w.End(1, End{AppStatus: 0xfffffffe, Status: Overloaded}) },
 		func(w *Writer) error { return w.Unknown(77) })
 }
 
-// script tells records in words.
-func script(r *Reader) (lines []string, err error) {
+// recordLines describes each record in a line.
+func recordLines(r *Reader) (lines []string, err error) {
 	for {
 		rec, err := r.Next()
 		if err != nil {
@@ -59,13 +59,13 @@
 			line += fmt.Sprintf(" role %d keep %v %v", b.Role, b.Keep, err)
 		case EndRequest:
 			e, err := rec.End()
-			line += fmt.Sprintf(" app %#x status %d %v", e.App, e.Status, err)
+			line += fmt.Sprintf(" app %#x status %d %v", e.AppStatus, e.Status, err)
 		}
 		lines = append(lines, line)
 	}
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestWriterOutputIsReadBack(t *testing.T) {
 	want := strings.Split(`GET_VALUES 0 17 bytes
 BEGIN_REQUEST 1 8 bytes role 1 keep true <nil>
 BEGIN_REQUEST 4660 8 bytes role 3 keep false <nil>
@@ -82,31 +82,31 @@
 UNKNOWN_TYPE 0 8 bytes`, "\n")
 	text := exchange(t, 150000)
 	if len(text)%8 != 0 {
-		t.Errorf("%d bytes: records are padded to a multiple of 8", len(text))
+		t.Errorf("got %d bytes, want a multiple of 8", len(text))
 	}
-	for name, in := range map[string]io.Reader{"whole": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
-		got, err := script(NewReader(in))
+	for name, in := range map[string]io.Reader{"one read": bytes.NewReader(text), "byte by byte": iotest.OneByteReader(bytes.NewReader(text))} {
+		got, err := recordLines(NewReader(in))
 		if err != io.EOF || strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Errorf("%s: %v\n%s", name, err, strings.Join(got, "\n"))
+			t.Errorf("%s: got error %v, want io.EOF; records\n%s", name, err, strings.Join(got, "\n"))
 		}
 	}
 }
 
-// A record that can't be is named with its type, its request and its place, and nothing is read behind it.
-func TestBadRecordsAreNamed(t *testing.T) {
-	before := written(t, func(w *Writer) error { return w.Abort(9) })
+// An invalid record is reported with its type, request and offset, and nothing is read after it.
+func TestRecordErrorsReportPosition(t *testing.T) {
+	before := encode(t, func(w *Writer) error { return w.Abort(9) })
 	for _, c := range []struct {
 		name, record string
 		want         error
-		says         string
+		message      string
 	}{
-		{"another version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: its version is not 1 but 2"},
-		{"a management record of a request", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagement, "GET_VALUES of request 1 at byte 8"},
-		{"a request's record of none", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrNoRequest, "PARAMS of request 0 at byte 8"},
-		{"an unknown type of a request", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrType, "type 99 of request 5 at byte 8"},
-		{"half a header", "\x01\x05\x00", ErrCut, "STDIN of request 0 at byte 8"},
-		{"half a content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrCut, "STDIN of request 2 at byte 8"},
-		{"half a padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrCut, "STDIN of request 2 at byte 8"},
+		{"unsupported version", "\x02\x05\x00\x07\x00\x00\x00\x00", ErrVersion, "fastcgi: STDIN of request 7 at byte 8: unsupported protocol version: got 2, want 1"},
+		{"management record with a request id", "\x01\x09\x00\x01\x00\x00\x00\x00", ErrManagementID, "GET_VALUES of request 1 at byte 8"},
+		{"request record with id 0", "\x01\x04\x00\x00\x00\x00\x00\x00", ErrZeroID, "PARAMS of request 0 at byte 8"},
+		{"unknown type of a request record", "\x01\x63\x00\x05\x00\x00\x00\x00", ErrUnknownType, "type 99 of request 5 at byte 8"},
+		{"incomplete header", "\x01\x05\x00", ErrTruncated, "STDIN of request 0 at byte 8"},
+		{"incomplete content", "\x01\x05\x00\x02\x00\x05\x00\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
+		{"incomplete padding", "\x01\x05\x00\x02\x00\x01\xff\x00abc", ErrTruncated, "STDIN of request 2 at byte 8"},
 	} {
 		r := NewReader(strings.NewReader(string(before) + c.record))
 		if _, err := r.Next(); err != nil {
@@ -115,8 +115,8 @@
 		for range 2 {
 			_, err := r.Next()
 			var e *Error
-			if !errors.Is(err, c.want) || !errors.As(err, &e) || e.Offset != 8 || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s: %v", c.name, err)
+			if !errors.Is(err, c.want) || !errors.As(err, &e) || e.Offset != 8 || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%s: got error %v, want %v with %q", c.name, err, c.want, c.message)
 			}
 		}
 	}
@@ -129,32 +129,32 @@
 		if rec.Type == EndRequest {
 			_, bad = rec.End()
 		}
-		if !errors.Is(bad, ErrBody) {
-			t.Errorf("%v of %d bytes: %v", rec.Type, len(rec.Content), bad)
+		if !errors.Is(bad, ErrInvalidBody) {
+			t.Errorf("%v body of %d bytes: got error %v, want ErrInvalidBody", rec.Type, len(rec.Content), bad)
 		}
 	}
 }
 
-// An unknown management record, a thousand empty ones and padding of 255 are no reason to end.
-func TestOddRecordsAreRead(t *testing.T) {
+// An unknown management record, 255 bytes of padding and 1000 empty records are valid.
+func TestReaderAcceptsUnusualRecords(t *testing.T) {
 	text := "\x01\x63\x00\x00\x00\x02\xff\x00ab" + strings.Repeat("p", 255) + strings.Repeat("\x01\x05\x00\x03\x00\x00\x00\x00", 1000)
-	got, err := script(NewReader(strings.NewReader(text)))
+	got, err := recordLines(NewReader(strings.NewReader(text)))
 	if err != io.EOF || len(got) != 1001 || got[0] != "type 99 0 2 bytes" || got[1000] != "STDIN 3 0 bytes" {
-		t.Errorf("%d records, %v, the first %q", len(got), err, got[:1])
+		t.Errorf("got %d records, error %v, first record %q", len(got), err, got[:1])
 	}
 }
 
-func TestSteadyPathAllocatesNothing(t *testing.T) {
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	text := exchange(t, 150000)
 	in := bytes.NewReader(text)
 	r := NewReader(in)
 	w := NewWriter(io.Discard)
-	pairs := NewPairs(Limits{Bytes: 1 << 16, Count: 100})
+	pairs := NewPairs(PairLimits{Bytes: 1 << 16, Count: 100})
 	text = text[:len(text):len(text)]
 	round := func() {
 		in.Reset(text)
 		r.offset = 0
-		r.failed = nil
+		r.err = nil
 		pairs.Reset()
 		for {
 			rec, err := r.Next()
@@ -172,11 +172,11 @@
 	}
 	round()
 	if n := testing.AllocsPerRun(100, round); n > 0 {
-		t.Errorf("%v allocations for %d bytes", n, len(text))
+		t.Errorf("%v allocations per %d bytes", n, len(text))
 	}
 }
 
-// Whatever comes is read as records that are the same once written, or refused with its place.
+// Any input either decodes to records that are unchanged after writing and reading them, or fails with an *Error.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(exchange(f, 50))
@@ -184,40 +184,40 @@
 	f.Add([]byte("\x01\x63\x00\x00\x00\x02\xff\x00ab"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := NewReader(bytes.NewReader(text))
-		var again bytes.Buffer
-		w := NewWriter(&again)
-		var first []string
+		var rewritten bytes.Buffer
+		w := NewWriter(&rewritten)
+		var records []string
 		for {
 			rec, err := r.Next()
 			var e *Error
 			if err != nil {
 				if err != io.EOF && !errors.As(err, &e) {
-					t.Fatalf("%v names no record", err)
+					t.Fatalf("got %v, want an *Error", err)
 				}
 				break
 			}
-			first = append(first, fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content))
-			if err := w.record(rec.Type, rec.ID, rec.Content); err != nil {
+			records = append(records, fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content))
+			if err := w.writeRecord(rec.Type, rec.ID, rec.Content); err != nil {
 				t.Fatal(err)
 			}
 		}
 		w.Flush()
-		r = NewReader(&again)
-		for i, want := range first {
+		r = NewReader(&rewritten)
+		for i, want := range records {
 			rec, err := r.Next()
 			if got := fmt.Sprintf("%v %d %x", rec.Type, rec.ID, rec.Content); err != nil || got != want {
 				t.Fatalf("record %d: %s, %v; want %s", i, got, err, want)
 			}
 		}
 		if _, err := r.Next(); err != io.EOF {
-			t.Fatalf("more is read than was written: %v", err)
+			t.Fatalf("after the last record: got %v, want io.EOF", err)
 		}
 	})
 }
 
-// BenchmarkExchange reads and writes a small request's records.
+// BenchmarkExchange reads the records of a small request and writes those of a response.
 func BenchmarkExchange(b *testing.B) {
-	text := written(b,
+	text := encode(b,
 		func(w *Writer) error { return w.Begin(1, Begin{Responder, true}) },
 		func(w *Writer) error {
 			var pairs []byte
@@ -233,12 +233,12 @@
 	in := bytes.NewReader(text)
 	r := NewReader(in)
 	w := NewWriter(io.Discard)
-	pairs := NewPairs(Limits{Bytes: 1 << 16, Count: 100})
+	pairs := NewPairs(PairLimits{Bytes: 1 << 16, Count: 100})
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
 		in.Reset(text)
-		r.failed = nil
+		r.err = nil
 		pairs.Reset()
 		for {
 			rec, err := r.Next()
--- a/internal/fastcgi/webserver_test.go
+++ b/internal/fastcgi/webserver_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// heard gives a web server a stream of records and tells what it comes to, line by line.
-func heard(t testing.TB, s *WebServer, text []byte) (lines string, failed error) {
+// webServerLines passes a stream of records to a web server and returns its replies, one per line.
+func webServerLines(t testing.TB, webServer *WebServer, text []byte) (lines string, lastErr error) {
 	t.Helper()
 	r := NewReader(bytes.NewReader(text))
 	var all []string
@@ -23,30 +23,30 @@
 		if err == io.EOF {
 			break
 		}
-		var e Reply
+		var reply Reply
 		if err == nil {
-			e, err = s.Take(rec)
+			reply, err = webServer.HandleRecord(rec)
 		}
-		if failed = err; err != nil {
+		if lastErr = err; err != nil {
 			break
 		}
-		switch e.Kind {
+		switch reply.Kind {
 		case Output:
-			all = append(all, fmt.Sprintf("%d says %q", e.ID, e.Data))
+			all = append(all, fmt.Sprintf("%d output %q", reply.ID, reply.Data))
 		case OutputEnd:
-			all = append(all, fmt.Sprintf("%d has said all", e.ID))
-		case Complaint:
-			all = append(all, fmt.Sprintf("%d complains %q", e.ID, e.Data))
+			all = append(all, fmt.Sprintf("%d output end", reply.ID))
+		case ErrorOutput:
+			all = append(all, fmt.Sprintf("%d error output %q", reply.ID, reply.Data))
 		case Ended:
-			all = append(all, fmt.Sprintf("%d ended, status %d, whole %v, unrun %v", e.ID, e.End.Status, e.Whole, e.Unrun()))
-		case Learned:
-			all = append(all, fmt.Sprintf("room for %d", s.Room()))
+			all = append(all, fmt.Sprintf("%d ended, status %d, complete %v, not started %v", reply.ID, reply.End.Status, reply.OutputComplete, reply.NotStarted()))
+		case ValuesReceived:
+			all = append(all, fmt.Sprintf("available %d", webServer.Available()))
 		}
 	}
-	return strings.Join(all, "\n"), failed
+	return strings.Join(all, "\n"), lastErr
 }
 
-func values(pairs ...string) step {
+func valuesResult(pairs ...string) writeFunc {
 	var text []byte
 	for i := 0; i < len(pairs); i += 2 {
 		text = AppendPair(text, pairs[i], pairs[i+1])
@@ -54,121 +54,120 @@
 	return func(w *Writer) error { return w.Values(GetValuesResult, text) }
 }
 
-func ended(id uint16, status Status) step {
+func endRequest(id uint16, status Status) writeFunc {
 	return func(w *Writer) error { return w.End(id, End{Status: status}) }
 }
 
-// began is a web server with requests 1 to n begun, those whose bodies are to be complete closed.
-func began(t *testing.T, n int, complete bool) *WebServer {
+// startWebServer returns a WebServer with open requests 1 to n, whose bodies have ended if complete is set.
+func startWebServer(t *testing.T, n int, complete bool) *WebServer {
 	t.Helper()
-	s := NewWebServer(NewWriter(io.Discard))
-	s.most = n
+	webServer := NewWebServer(NewWriter(io.Discard))
+	webServer.maxRequests = n
 	for range n {
-		id, err := s.Begin(nil, true)
+		id, err := webServer.Begin(nil, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if complete {
-			if err := s.CloseSend(id); err != nil {
+			if err := webServer.CloseSend(id); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	return s
+	return webServer
 }
 
 func TestWebServerScripts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		whole bool // bodies are sent complete
-		calls []step
-		want  string
+		name      string
+		bodyEnded bool
+		calls     []writeFunc
+		want      string
 	}{
-		{"two answers interleaved", true, []step{stream(Stdout, 1, "a"), stream(Stdout, 2, "b"), stream(Stderr, 2, "!"), closed(Stderr, 2),
-			stream(Stdout, 1, "c"), closed(Stdout, 1), ended(1, Complete), closed(Stdout, 2), ended(2, Complete)},
-			"1 says \"a\"\n2 says \"b\"\n2 complains \"!\"\n1 says \"c\"\n1 has said all\n1 ended, status 0, whole true, unrun false\n" +
-				"2 has said all\n2 ended, status 0, whole true, unrun false"},
-		{"ended without the end of STDOUT", true, []step{stream(Stdout, 1, "a"), ended(1, Complete)}, "1 says \"a\"\n1 ended, status 0, whole false, unrun false"},
-		{"turned away", true, []step{ended(1, Overloaded), ended(2, CantMultiplex)},
-			"1 ended, status 2, whole false, unrun true\n2 ended, status 1, whole false, unrun true"},
-		{"another role", true, []step{ended(1, UnknownRole)}, "1 ended, status 3, whole false, unrun false"},
-		{"ended before the body was whole", false, []step{closed(Stdout, 1), ended(1, Complete)}, "1 has said all\n1 ended, status 0, whole true, unrun false"},
-		{"knows no values", true, []step{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
+		{"two responses interleaved", true, []writeFunc{streamData(Stdout, 1, "a"), streamData(Stdout, 2, "b"), streamData(Stderr, 2, "!"), closeStream(Stderr, 2),
+			streamData(Stdout, 1, "c"), closeStream(Stdout, 1), endRequest(1, Complete), closeStream(Stdout, 2), endRequest(2, Complete)},
+			"1 output \"a\"\n2 output \"b\"\n2 error output \"!\"\n1 output \"c\"\n1 output end\n1 ended, status 0, complete true, not started false\n" +
+				"2 output end\n2 ended, status 0, complete true, not started false"},
+		{"ended without the end of STDOUT", true, []writeFunc{streamData(Stdout, 1, "a"), endRequest(1, Complete)}, "1 output \"a\"\n1 ended, status 0, complete false, not started false"},
+		{"refused", true, []writeFunc{endRequest(1, Overloaded), endRequest(2, CantMultiplex)},
+			"1 ended, status 2, complete false, not started true\n2 ended, status 1, complete false, not started true"},
+		{"unsupported role", true, []writeFunc{endRequest(1, UnknownRole)}, "1 ended, status 3, complete false, not started false"},
+		{"ended before the end of the body", false, []writeFunc{closeStream(Stdout, 1), endRequest(1, Complete)}, "1 output end\n1 ended, status 0, complete true, not started false"},
+		{"GET_VALUES not supported", true, []writeFunc{func(w *Writer) error { return w.Unknown(GetValues) }}, ""},
 	} {
-		if got, err := heard(t, began(t, 2, c.whole), written(t, c.calls...)); err != nil || got != c.want {
-			t.Errorf("%s: %v\n%s\nwant\n%s", c.name, err, got, c.want)
+		if got, err := webServerLines(t, startWebServer(t, 2, c.bodyEnded), encode(t, c.calls...)); err != nil || got != c.want {
+			t.Errorf("%s: error %v, got\n%s\nwant\n%s", c.name, err, got, c.want)
 		}
 	}
 }
 
-func TestWhatSpillsEndsTheConnection(t *testing.T) {
+func TestWebServerRejectsInvalidRecordSequences(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		calls []step
+		calls []writeFunc
 		want  error
 	}{
-		{"a record of no request", []step{stream(Stdout, 3, "x")}, ErrSpill},
-		{"a record behind the end", []step{ended(1, Complete), stream(Stdout, 1, "x")}, ErrSpill},
-		{"an end behind the end", []step{ended(1, Complete), ended(1, Complete)}, ErrSpill},
-		{"STDOUT behind its end", []step{closed(Stdout, 1), stream(Stdout, 1, "x")}, ErrEnded},
-		{"a request", []step{begin(5, Responder)}, ErrDirection},
-		{"a status that does not exist", []step{ended(1, 9)}, ErrBody},
-		{"half an END_REQUEST", []step{func(w *Writer) error { return w.record(EndRequest, 1, []byte("half")) }}, ErrBody},
-		{"values that are cut", []step{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrPairCut},
+		{"record of an unknown request", []writeFunc{streamData(Stdout, 3, "x")}, ErrUnknownRequest},
+		{"record after the end of its request", []writeFunc{endRequest(1, Complete), streamData(Stdout, 1, "x")}, ErrUnknownRequest},
+		{"second END_REQUEST", []writeFunc{endRequest(1, Complete), endRequest(1, Complete)}, ErrUnknownRequest},
+		{"STDOUT after its end", []writeFunc{closeStream(Stdout, 1), streamData(Stdout, 1, "x")}, ErrStreamEnded},
+		{"BEGIN_REQUEST from the application", []writeFunc{beginRequest(5, Responder)}, ErrWrongDirection},
+		{"unknown status", []writeFunc{endRequest(1, 9)}, ErrInvalidBody},
+		{"incomplete END_REQUEST", []writeFunc{func(w *Writer) error { return w.writeRecord(EndRequest, 1, []byte("half")) }}, ErrInvalidBody},
+		{"incomplete values", []writeFunc{func(w *Writer) error { return w.Values(GetValuesResult, []byte("\x05")) }}, ErrTruncatedPair},
 	} {
-		_, err := heard(t, began(t, 1, true), written(t, c.calls...))
+		_, err := webServerLines(t, startWebServer(t, 1, true), encode(t, c.calls...))
 		var e *Error
 		if !errors.Is(err, c.want) || !errors.As(err, &e) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// One request at a time until the application says otherwise, and as many as it says; ids that are free are used
-// again, that of an aborted request only once it has ended.
-func TestRoomOnAConnection(t *testing.T) {
-	s := NewWebServer(NewWriter(io.Discard))
-	one, err := s.Begin(nil, true)
-	if err != nil || one != 1 || s.Room() != 0 {
-		t.Fatalf("id %d, %v, room %d", one, err, s.Room())
+// A connection carries one request until the application reports a higher limit. Free ids are reused, and that of an
+// aborted request only once it has ended.
+func TestWebServerCapacityAndIDReuse(t *testing.T) {
+	webServer := NewWebServer(NewWriter(io.Discard))
+	one, err := webServer.Begin(nil, true)
+	if err != nil || one != 1 || webServer.Available() != 0 {
+		t.Fatalf("id %d, error %v, %d available", one, err, webServer.Available())
 	}
-	if _, err := s.Begin(nil, true); !errors.Is(err, ErrFull) {
-		t.Errorf("a second one: %v", err)
+	if _, err := webServer.Begin(nil, true); !errors.Is(err, ErrTooManyRequests) {
+		t.Errorf("second request: got error %v, want ErrTooManyRequests", err)
 	}
-	for _, c := range []struct{ said, want string }{
-		{written2(t, values(mpxConns, "1", maxReqs, "3")), "room for 2"},
-		{written2(t, values(mpxConns, "0", maxReqs, "3")), "room for 0"},
-		{written2(t, values(mpxConns, "1", maxReqs, "many")), "room for 0"},
-		{written2(t, values(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "room for 2"},
+	for _, c := range []struct{ values, want string }{
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "3")), "available 2"},
+		{encodeString(t, valuesResult(mpxConns, "0", maxReqs, "3")), "available 0"},
+		{encodeString(t, valuesResult(mpxConns, "1", maxReqs, "many")), "available 0"},
+		{encodeString(t, valuesResult(maxReqs, "3", "OTHER", "x", mpxConns, "1")), "available 2"},
 	} {
-		if got, err := heard(t, s, []byte(c.said)); err != nil || got != c.want {
-			t.Errorf("%q, %v; want %q", got, err, c.want)
+		if got, err := webServerLines(t, webServer, []byte(c.values)); err != nil || got != c.want {
+			t.Errorf("got %q, error %v; want %q", got, err, c.want)
 		}
 	}
-	two, _ := s.Begin(nil, true)
-	if s.Abort(one); two != 2 {
+	two, _ := webServer.Begin(nil, true)
+	if webServer.Abort(one); two != 2 {
 		t.Errorf("id %d", two)
 	}
-	three, _ := s.Begin(nil, true)
+	three, _ := webServer.Begin(nil, true)
 	if three != 3 {
-		t.Errorf("id %d while an aborted one is open", three)
+		t.Errorf("got id %d while an aborted request is open, want 3", three)
 	}
-	got, err := heard(t, s, written(t, stream(Stdout, one, "late"), ended(one, Complete)))
-	if err != nil || got != "1 ended, status 0, whole false, unrun false" {
-		t.Errorf("%q, %v", got, err)
+	got, err := webServerLines(t, webServer, encode(t, streamData(Stdout, one, "late"), endRequest(one, Complete)))
+	if err != nil || got != "1 ended, status 0, complete false, not started false" {
+		t.Errorf("end of the aborted request: got %q, error %v", got, err)
 	}
-	if again, err := s.Begin(nil, true); again != one || err != nil {
-		t.Errorf("id %d, %v; want the one that is free", again, err)
+	if again, err := webServer.Begin(nil, true); again != one || err != nil {
+		t.Errorf("got id %d, error %v; want the free one", again, err)
 	}
-	if s.Send(9, nil) == nil || s.CloseSend(9) == nil || s.Abort(9) != nil {
-		t.Error("an id that was never begun")
+	if webServer.Send(9, nil) == nil || webServer.CloseSend(9) == nil || webServer.Abort(9) != nil {
+		t.Error("unknown id: Send or CloseSend succeeded, or Abort failed")
 	}
 }
 
-func written2(t testing.TB, requests ...step) string { return string(written(t, requests...)) }
+func encodeString(t testing.TB, writes ...writeFunc) string { return string(encode(t, writes...)) }
 
-// The standard library's responder as an application not written here: what goes out is understood, bodies of
-// several records among it, and what comes back is what it was told to answer.
+// WebServer interoperates with the responder of net/http/fcgi, with bodies of several records in both directions.
 func TestStandardLibraryAsApplication(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -187,17 +186,17 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(30 * time.Second))
 	w := NewWriter(c)
-	s, r := NewWebServer(w), NewReader(c)
+	webServer, r := NewWebServer(w), NewReader(c)
 	for i := range 3 {
-		if err := s.Ask(); err != nil {
+		if err := webServer.RequestValues(); err != nil {
 			t.Fatal(err)
 		}
-		id, err := s.Begin([]Param{{"REQUEST_METHOD", "POST"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"REQUEST_URI", "/add-note/k?q"},
+		id, err := webServer.Begin([]Param{{"REQUEST_METHOD", "POST"}, {"SERVER_PROTOCOL", "HTTP/1.1"}, {"REQUEST_URI", "/add-note/k?q"},
 			{"HTTP_HOST", "h"}, {"CONTENT_LENGTH", "100000"}, {"HTTP_X_REQUEST_ID", fmt.Sprint("id", i)}}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(s.Send(id, make([]byte, 100000)), s.CloseSend(id), w.Flush()); err != nil {
+		if err := errors.Join(webServer.Send(id, make([]byte, 100000)), webServer.CloseSend(id), w.Flush()); err != nil {
 			t.Fatal(err)
 		}
 		var answer bytes.Buffer
@@ -206,64 +205,64 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := s.Take(rec)
+			reply, err := webServer.HandleRecord(rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			switch e.Kind {
+			switch reply.Kind {
 			case Output:
-				answer.Write(e.Data)
+				answer.Write(reply.Data)
 			case Ended:
-				if over = true; e.Unrun() || !e.Whole || e.End != (End{}) {
-					t.Errorf("%+v", e)
+				if over = true; reply.NotStarted() || !reply.OutputComplete || reply.End != (End{}) {
+					t.Errorf("got end %+v, want a complete response with status 0", reply)
 				}
 			}
 		}
 		head, body, _ := strings.Cut(answer.String(), "\r\n\r\n")
 		if want := fmt.Sprintf("X-Told: POST /add-note/k?q id%d 100000 <nil>", i); !strings.Contains(head, want) || body != strings.Repeat("answer", 20000) {
-			t.Errorf("%q and %d bytes; want %q", head, len(body), want)
+			t.Errorf("got header %q and %d bytes, want %q", head, len(body), want)
 		}
 	}
 }
 
-// Whatever an application sends, no reply is of a request that is not open, and each ends once.
+// For any input, replies belong to open requests only, each request ends once, and errors are *Error.
 func FuzzWebServer(f *testing.F) {
-	f.Add(written(f, stream(Stdout, 1, "Status: 200\r\n\r\nok"), closed(Stdout, 1), ended(1, Complete)))
-	f.Add(written(f, values(mpxConns, "1", maxReqs, "50"), stream(Stderr, 2, "!"), ended(2, Overloaded), ended(1, 9)))
+	f.Add(encode(f, streamData(Stdout, 1, "Status: 200\r\n\r\nok"), closeStream(Stdout, 1), endRequest(1, Complete)))
+	f.Add(encode(f, valuesResult(mpxConns, "1", maxReqs, "50"), streamData(Stderr, 2, "!"), endRequest(2, Overloaded), endRequest(1, 9)))
 	f.Add([]byte("\x01\x0a\x00\x00\x00\x03\x00\x00\x80\xff\xff"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := NewWebServer(NewWriter(io.Discard))
-		s.most = 3
+		webServer := NewWebServer(NewWriter(io.Discard))
+		webServer.maxRequests = 3
 		open := map[uint16]bool{}
 		for range 3 {
-			id, err := s.Begin([]Param{{"A", "b"}}, true)
+			id, err := webServer.Begin([]Param{{"A", "b"}}, true)
 			if err != nil {
 				t.Fatal(err)
 			}
 			open[id] = true
 		}
-		s.Abort(2)
+		webServer.Abort(2)
 		r := NewReader(bytes.NewReader(text))
 		for {
 			rec, err := r.Next()
 			if err != nil {
 				return
 			}
-			e, err := s.Take(rec)
+			reply, err := webServer.HandleRecord(rec)
 			if err != nil {
 				var named *Error
 				if !errors.As(err, &named) {
-					t.Fatalf("%v names no record", err)
+					t.Fatalf("got %v, want an *Error", err)
 				}
 				return
 			}
 			switch {
-			case e.Kind != None && e.Kind != Learned && !open[e.ID]:
-				t.Fatalf("%+v of a request that is not open", e)
-			case e.Kind == Output && e.ID == 2:
-				t.Fatalf("%+v of a request that was aborted", e)
-			case e.Kind == Ended:
-				delete(open, e.ID)
+			case reply.Kind != NoReply && reply.Kind != ValuesReceived && !open[reply.ID]:
+				t.Fatalf("reply %+v of a request that is not open", reply)
+			case reply.Kind == Output && reply.ID == 2:
+				t.Fatalf("reply %+v of an aborted request", reply)
+			case reply.Kind == Ended:
+				delete(open, reply.ID)
 			}
 		}
 	})
