--- a/cmd/damsontrestle/serve.go
+++ b/cmd/damsontrestle/serve.go
@@ -42,8 +42,8 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	options.Node.Limit = node.Limit
-	options.Node.Start = ctx
+	options.Node.SetLimits = node.SetProcessLimits
+	options.Node.StartContext = ctx
 	d, err := daemon.Start(options)
 	if err != nil {
 		if ctx.Err() != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,7 @@
 	}
 	starting, cancel := o.Node.Starting()
 	defer cancel()
-	o.Node.Start = starting // one deadline for the sockets of the node and the admin socket
+	o.Node.StartContext = starting // one deadline for the sockets of the node and the admin socket
 	d := &Daemon{
 		options:       o,
 		divergence:    make(chan struct{}, 1),
