--- a/cmd/damsontrestle/shutdown_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -158,7 +158,7 @@
 	text := strings.Replace(platformConfig(testpeer.NewAgent(t).Address(), 256, `{"rev":1,"all":true,"targets":[]}`, platformSettings), "127.0.0.1:0", taken.Addr().String(), 1)
 	for _, free := range []bool{false, true} {
 		cmd, log := launchNode(t, build(t).run, path, text)
-		awaitLog(t, log, "a socket can't be opened and is tried again")
+		awaitLog(t, log, "opening a socket failed; retrying")
 		if free {
 			taken.Close()
 			awaitLog(t, log, "msg=serving")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -41,7 +41,7 @@
 	case err == nil:
 		c.Close()
 		return nil, fmt.Errorf("admin socket: %s: another daemon answers on it", path)
-	case listener.Passes(err) || errors.Is(err, os.ErrDeadlineExceeded):
+	case listener.IsTransient(err) || errors.Is(err, os.ErrDeadlineExceeded):
 		// A shortage of resources here, or a full accept queue there: a running daemon must not lose its socket for either.
 		return nil, fmt.Errorf("admin socket: checking whether another daemon answers on it: %w", err)
 	}
--- a/internal/fastcgi/client.go
+++ b/internal/fastcgi/client.go
@@ -128,7 +128,7 @@
 	c.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if closing && ok && half.CloseWrite() == nil {
-		c.front.clients.Move(c, downstream.Lingering)
+		c.front.clients.SetPhase(c, downstream.PhaseLingering)
 		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.Conn, lingerBytes)
 	}
@@ -196,11 +196,11 @@
 func (c *client) isDisconnected(req *request) bool {
 	for until := time.Now().Add(c.front.unreadTimeout); ; time.Sleep(unreadPollInterval) {
 		blocked := c.blockedInRead.Load()
-		state := downstream.StateOf(c.Conn)
+		state := downstream.PeekSocket(c.Conn)
 		switch {
-		case req.disconnected.Load() || state == downstream.Ended:
+		case req.disconnected.Load() || state == downstream.SocketClosed:
 			return true
-		case blocked && state == downstream.Quiet || time.Now().After(until):
+		case blocked && state == downstream.SocketOpen || time.Now().After(until):
 			return req.disconnected.Load()
 		}
 	}
@@ -251,7 +251,7 @@
 	err := c.out.Flush()
 	if err != nil {
 		c.markUnwritable()
-		c.CutOff() // the reader returns, and serve closes the connection
+		c.AbortRead() // the reader returns, and serve closes the connection
 	}
 	return err
 }
--- a/internal/fastcgi/disconnect_test.go
+++ b/internal/fastcgi/disconnect_test.go
@@ -47,7 +47,7 @@
 		req := &request{}
 		c.cross(ours, req, theirs)
 		if c.done {
-			testpeer.Until(t, "the kernel to report the end of the connection", func() bool { return downstream.StateOf(ours.Conn) == downstream.Ended })
+			testpeer.Until(t, "the kernel to report the end of the connection", func() bool { return downstream.PeekSocket(ours.Conn) == downstream.SocketClosed })
 		}
 		if got := ours.isDisconnected(req); got != c.want {
 			t.Errorf("%s: isDisconnected returned %v", c.name, got)
--- a/internal/http1/disconnect_test.go
+++ b/internal/http1/disconnect_test.go
@@ -81,7 +81,7 @@
 			}
 			client.Close()
 			testpeer.Receive(t, holder.closed, "the attempt to be cancelled")
-			testpeer.Until(t, "the client's connection to be removed", func() bool { return node.clients.Open() == 0 })
+			testpeer.Until(t, "the client's connection to be removed", func() bool { return node.clients.Len() == 0 })
 			testpeer.Until(t, "the engine to have no open request", func() bool { return node.engine.Status().Open == 0 })
 			if all := append(one.Requests(), two.Requests()...); len(all) != 1 || all[0] != "first" {
 				t.Errorf("servers received %q, want only the first request", all)
@@ -114,7 +114,7 @@
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
 	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
-		node.clients.SetGrace(gracesWithIdle(0))
+		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
 	stop := make(chan struct{})
 	defer close(stop)
@@ -124,7 +124,7 @@
 			case <-stop:
 				return
 			default:
-				node.front.CloseQuiet()
+				node.front.CloseIdle()
 			}
 		}
 	}()
@@ -163,11 +163,11 @@
 		conn, peer := connPair(t)
 		conn.set.Add(conn, nil)
 		if c.cut {
-			conn.CutOff() // at the descriptor limit or at shutdown; the client still gets a response
+			conn.AbortRead() // at the descriptor limit or at shutdown; the client still gets a response
 		}
 		if early {
 			io.WriteString(peer, "GET /behind")
-			testpeer.Until(t, "the bytes to arrive", func() bool { return downstream.StateOf(conn.Conn) == downstream.Unread })
+			testpeer.Until(t, "the bytes to arrive", func() bool { return downstream.PeekSocket(conn.Conn) == downstream.SocketUnread })
 		}
 		closed := make(chan struct{})
 		go func() {
@@ -176,7 +176,7 @@
 			close(closed)
 		}()
 		if !early {
-			testpeer.Until(t, "the close to begin", func() bool { return conn.set.In(downstream.Lingering) == 1 })
+			testpeer.Until(t, "the close to begin", func() bool { return conn.set.CountPhase(downstream.PhaseLingering) == 1 })
 			io.WriteString(peer, strings.Repeat("GET /behind", 100))
 		}
 		peer.SetDeadline(time.Now().Add(testpeer.Limit))
@@ -200,7 +200,7 @@
 	if peer, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	set := downstream.New(clock.New(), downstream.Share{Capacity: 10, Spare: 10}, func() int { return 0 })
+	set := downstream.New(clock.New(), downstream.Limits{Capacity: 10, Reserve: 10}, func() int { return 0 })
 	c, err := clientListener{ln, set, new(atomic.Int64)}.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/front.go
+++ b/internal/http1/front.go
@@ -74,5 +74,5 @@
 // SetClosing sets whether each response closes its connection.
 func (f *Front) SetClosing(closing bool) { f.closeAfterResponse.Store(closing) }
 
-// CloseQuiet closes the connections without an open request and returns the number of connections left.
-func (f *Front) CloseQuiet() int { return f.clients.CloseQuiet(f) }
+// CloseIdle closes the connections without an open request and returns the number of connections left.
+func (f *Front) CloseIdle() int { return f.clients.CloseIdle(f) }
--- a/internal/http1/linger.go
+++ b/internal/http1/linger.go
@@ -42,7 +42,7 @@
 	if !c.closing {
 		return true
 	}
-	return c.wroteAfterCut && downstream.StateOf(c.Conn) == downstream.Unread
+	return c.wroteAfterCut && downstream.PeekSocket(c.Conn) == downstream.SocketUnread
 }
 
 // Abort implements downstream.Conn.
@@ -51,7 +51,7 @@
 // CloseWrite closes the write side. net/http calls it to linger after the response to a request that it did not read
 // completely: an immediate close would reset the connection, and the response could be lost.
 func (c *clientConn) CloseWrite() error {
-	c.set.Move(c, downstream.Lingering)
+	c.set.SetPhase(c, downstream.PhaseLingering)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
 	}
--- a/internal/http1/testnode_test.go
+++ b/internal/http1/testnode_test.go
@@ -87,7 +87,7 @@
 	node := &testNode{limits: upstream.Limits{MaxConnections: connections, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute}}
 	node.upstream = upstream.NewPool(clk, descriptors.NewShare(connections), &metrics.Recorder{}, node.limits)
 	node.backend = &listedBackend{Pool: node.upstream, servers: map[string]discovery.Target{}}
-	node.clients = downstream.New(clk, downstream.Share{Capacity: cfg.Capacity, Minimum: cfg.Capacity / 4, Spare: 24}, node.upstream.Connections)
+	node.clients = downstream.New(clk, downstream.Limits{Capacity: cfg.Capacity, ServerMinimum: cfg.Capacity / 4, Reserve: 24}, node.upstream.Connections)
 	var err error
 	if node.engine, err = engine.New(engine.Options{Settings: cfg.BalancerSettings(cfg.Pools[0]), Seed: 1, Clock: clk, Backend: node.backend,
 		Subscribe: func() {}, ListsPushed: true, Log: log}); err != nil {
@@ -149,6 +149,6 @@
 
 // setSettle sets the settle time of connections to servers.
 func (n *testNode) setSettle(settle time.Duration) {
-	n.limits.Settle = settle
+	n.limits.SettleDelay = settle
 	n.upstream.SetLimits(n.limits)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -134,7 +134,7 @@
 
 // serveConnections keeps connections open until the scheduled time, or until none is left.
 func (s *shutdown) serveConnections() {
-	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Open() > 0 {
+	for s.elapsed() < s.schedule.closeConnections && s.node.clients.Len() > 0 {
 		clock.Sleep(s.node.incarnation, drainPollInterval)
 	}
 }
@@ -157,9 +157,9 @@
 			s.answerOpenRequests()
 		}
 		if mustAnswer {
-			clients.CutHalf() // a request completed right now is rejected, and later data is not read
+			clients.AbortPartialRequests() // a request completed right now is rejected, and later data is not read
 		}
-		outstanding := clients.Owed()
+		outstanding := clients.PendingResponses()
 		if answered && outstanding == 0 && elapsed >= s.schedule.finish {
 			return nil // the remaining clients did not close their connections or do not read their responses
 		}
@@ -181,7 +181,7 @@
 // closeIdle closes idle client connections and returns the number of all client connections that are left.
 func (s *shutdown) closeIdle() int {
 	for _, f := range s.frontends {
-		f.CloseQuiet()
+		f.CloseIdle()
 	}
-	return s.node.clients.Open()
+	return s.node.clients.Len()
 }
