--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -341,7 +341,7 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	part, err := link.TakePart()
+	part, err := link.AcquireSubnet()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -32,7 +32,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d nodes, %d servers, %d faults, %v: %s\n", path, len(e.NodeZones()), e.Places(), len(e.Faults), e.Length(), e.Note)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d nodes, %d servers, %d faults, %v: %s\n", path, len(e.NodeZones()), e.ServerCount(), len(e.Faults), e.TotalDuration(), e.Note)
 			}
 			return nil
 		}}
--- a/cmd/faultbench/run.go
+++ b/cmd/faultbench/run.go
@@ -80,13 +80,13 @@
 							notes = append(notes, fmt.Sprintf("%s %s: %d processes ready in %v, %.0f MB resident each, %v of processor time a call; %d asks; rig %v, %.0f MB, %d descriptors; late %v, one in a hundred %v",
 								e.Name, name, res.Cost.Processes, res.Cost.Starting.Round(time.Millisecond), float64(res.Cost.NodeMemory)/1e6, res.Cost.CPUPerCall.Round(time.Microsecond), res.Cost.Asks,
 								res.Cost.RigCPU.Round(time.Millisecond), float64(res.Cost.RigMemory)/1e6, res.Cost.MostOpenRig, res.Cost.LateMost.Round(time.Millisecond), res.Cost.LateP99.Round(time.Microsecond)))
-							if e.Peers > 0 {
+							if e.ProbeInterval > 0 {
 								d := res.Deaths(len(e.NodeZones()))
 								notes = append(notes, fmt.Sprintf("  peers: %d nodes struck, known for dead by %.3f of the others, after %v (median), %v (most); %d times one that was not struck was held for dead",
 									d.Struck, d.Known, d.Median.Round(time.Millisecond), d.Most.Round(time.Millisecond), d.Wrongly))
 							}
-							if e.Fresh > 0 {
-								k := res.Fresh(len(e.NodeZones()), e.WarmUp, e.Length())
+							if e.ZoneStateMaxAge > 0 {
+								k := res.Fresh(len(e.NodeZones()), e.WarmUp, e.TotalDuration())
 								notes = append(notes, fmt.Sprintf("  facts: fresh for %.4f of node, zone and time; %d stretches without, %v (median), %v (longest); a node sent %.1f datagrams and %.0f bytes a second, the one that sent most %.0f bytes",
 									k.Share, k.Gaps, k.Median.Round(time.Millisecond), k.Longest.Round(time.Millisecond), res.Cost.Datagrams, res.Cost.DatagramBytes, res.Cost.MostBytes))
 							}
@@ -134,12 +134,12 @@
 // vary changes how much is asked and how many nodes there are.
 func vary(e *experiment.Experiment, utilisation float64, nodes int) {
 	if utilisation > 0 {
-		e.Callers.Rate, e.Callers.Utilisation = 0, utilisation
+		e.Clients.Rate, e.Clients.Utilisation = 0, utilisation
 	}
 	if nodes > 0 {
 		was := len(e.NodeZones())
-		if e.Callers.Rate > 0 {
-			e.Callers.Rate *= float64(was) / float64(nodes)
+		if e.Clients.Rate > 0 {
+			e.Clients.Rate *= float64(was) / float64(nodes)
 		}
 		for i := range e.Nodes {
 			e.Nodes[i].Count = max(1, e.Nodes[i].Count*nodes/was)
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -24,7 +24,7 @@
 
 func newWeigh() *cobra.Command {
 	var seeds, asks int
-	var told virtual.Told
+	var told virtual.LoadExchange
 	var policies []string
 	var utilisation []float64
 	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Play experiments on virtual time, with the module in place of processes",
@@ -42,9 +42,9 @@
 						}
 						e.Seed += uint64(s)
 						if len(utilisation) > 0 {
-							e.Callers.Rate, e.Callers.Utilisation = 0, utilisation[0]
+							e.Clients.Rate, e.Clients.Utilisation = 0, utilisation[0]
 						}
-						a, f, err := virtual.PlayTold(e, experiment.Policy(policy), func(s *balancer.Settings) {
+						a, f, err := virtual.PlayWithExchange(e, experiment.Policy(policy), func(s *balancer.Settings) {
 							if asks >= 0 {
 								s.PollChoices = asks
 							}
@@ -65,7 +65,7 @@
 		}}
 	cmd.Flags().StringSliceVar(&policies, "policy", []string{"random", "program", "jsq"}, "random, program or jsq; several with commas")
 	cmd.Flags().DurationVar(&told.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
-	cmd.Flags().Float64Var(&told.Cut, "cut", 0, "share of the links between nodes over which no such counts come")
+	cmd.Flags().Float64Var(&told.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
 	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node asks before a call, in place of the file's")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from the file's on")
 	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "of all slots, in place of the file's")
@@ -76,7 +76,7 @@
 	fmt.Fprintln(w, "experiment\tpolicy\tseed\tcalls\tin aim\tserved\trefused\tfailed\tp50\tp99\tutil\twaiting\tidle while queued\tvariation\t1s most\t10s least..most (chance)\tlongest idle\tconnections, most\tattempts\tcrossings")
 }
 
-func line(w io.Writer, name, policy string, seed uint64, f audit.Figures) {
+func line(w io.Writer, name, policy string, seed uint64, f audit.Metrics) {
 	ten := f.Spread.Windows["10s"]
 	fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f ms\t%.0f ms\t%.2f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f..%.2f (%.2f..%.2f)\t%.1f s\t%.1f, %.2f\t%.2f\t%.2f\n", name, policy, seed,
 		f.Calls, f.InAim, f.Served, f.Refused, f.Failed+f.NotTaken, f.P50.Seconds()*1e3, f.P99.Seconds()*1e3, f.Utilisation, f.Waiting,
--- a/internal/faultbench/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -15,23 +15,23 @@
 )
 
 // Heard is what a client heard of a request.
-type Heard int
+type Outcome int
 
 // What clients hear.
 const (
-	Nothing  Heard = iota // until the time was up
-	Served                // with the answer that a server made for it
-	Refused               // trying again is harmless
-	Failed                // promises nothing
-	NotTaken              // no connection came up, or it ended before the request was taken
-	Broken                // the connection ended after it was taken
-	Wrong                 // an answer that is none to this request, or two
-	Gone                  // its client left with nothing
+	NoResponse    Outcome = iota // until the time was up
+	Served                       // with the answer that a server made for it
+	Refused                      // trying again is harmless
+	Failed                       // promises nothing
+	NotAccepted                  // no connection came up, or it ended before the request was taken
+	Disconnected                 // the connection ended after it was taken
+	WrongResponse                // an answer that is none to this request, or two
+	ClientLeft                   // its client left with nothing
 )
 
-var heardNames = [...]string{"nothing", "served", "refused", "failed", "not taken", "a broken connection", "a wrong answer", "nothing before its caller left"}
+var outcomeNames = [...]string{"nothing", "served", "refused", "failed", "not taken", "a broken connection", "a wrong answer", "nothing before its caller left"}
 
-func (h Heard) String() string { return heardNames[h] }
+func (h Outcome) String() string { return outcomeNames[h] }
 
 // Slack is what the protocol adds to each limit of time, and DrainGrace how long after it was told a node may still
 // send to a server that drains.
@@ -41,39 +41,39 @@
 )
 
 // Race is by how much the fault bench may see two things of one node in the wrong order: they come on two connections.
-const Race = 20 * time.Millisecond
+const ReorderTolerance = 20 * time.Millisecond
 
 // Call is one request, as its client sees it.
-type Call struct {
-	ID       string
-	First    string // of its client's first attempt, which a retry belongs to; empty: this is it
-	Node     int
-	Class    int
-	Unsafe   bool
-	At       time.Duration
-	Aim      time.Duration // from At
-	Deadline time.Duration // from At
-	Worth    float64       // of an answer within the latency objective
-	Heard    Heard
-	HeardAt  time.Duration
-	Says     string // what else was heard: the refusal's advice, a wrong answer's beginning
-	attempts []*Attempt
+type Request struct {
+	ID               string
+	FirstID          string // of its client's first attempt, which a retry belongs to; empty: this is it
+	Node             int
+	Class            int
+	Unsafe           bool
+	At               time.Duration
+	LatencyObjective time.Duration // from At
+	Deadline         time.Duration // from At
+	PriorityWeight   float64       // of an answer within the latency objective
+	Outcome          Outcome
+	OutcomeAt        time.Duration
+	Detail           string // what else was heard: the refusal's advice, a wrong answer's beginning
+	attempts         []*Attempt
 }
 
 // Attempt is one send of a request, as the fault bench's relays and servers see it.
 type Attempt struct {
-	Call   string
-	Server string // uid
-	Index  int    // of the server's place
-	Cross  bool   // between zones
-	Out    time.Duration
-	Back   time.Duration // the node has its answer, or has closed the connection; 0: never
-	Ran    bool          // its work began, or could not be told not to have
-	End    string
+	RequestID string
+	Server    string // uid
+	Index     int    // of the server's place
+	CrossZone bool   // between zones
+	SentAt    time.Duration
+	EndedAt   time.Duration // the node has its answer, or has closed the connection; 0: never
+	Ran       bool          // its work began, or could not be told not to have
+	EndReason string
 }
 
 // Excuse is a stretch in which what a node does not do is not its fault: it was killed, stopped, or starting.
-type Excuse struct {
+type Outage struct {
 	Node     int
 	From, To time.Duration
 }
@@ -97,15 +97,15 @@
 
 // Audit collects what happens. Its methods may be called from anywhere.
 type Audit struct {
-	mu       sync.Mutex
-	calls    map[string]*Call
-	orphans  []*Attempt // of requests that nobody made
-	told     map[int]map[string]time.Duration
-	excuses  []Excuse
-	breaches []Breach
-	samples  []Sample
-	arrivals []arrival
-	cold     float64 // most that came to a server in slow start, of what the rule allows
+	mu            sync.Mutex
+	requests      map[string]*Request
+	orphans       []*Attempt // of requests that nobody made
+	removals      map[int]map[string]time.Duration
+	outages       []Outage
+	breaches      []Breach
+	samples       []Sample
+	arrivals      []arrival
+	slowStartLoad float64 // most that came to a server in slow start, of what the rule allows
 }
 
 type arrival struct {
@@ -115,42 +115,42 @@
 
 // New returns an Audit that knows nothing yet.
 func New() *Audit {
-	return &Audit{calls: map[string]*Call{}, told: map[int]map[string]time.Duration{}}
+	return &Audit{requests: map[string]*Request{}, removals: map[int]map[string]time.Duration{}}
 }
 
 // Ask notes that a client sends a request.
-func (a *Audit) Ask(c Call) {
+func (a *Audit) RecordRequest(c Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.calls[c.ID] = &c
+	a.requests[c.ID] = &c
 }
 
 // Hear notes what its client heard, once a request; more is a breach.
-func (a *Audit) Hear(id string, h Heard, at time.Duration, says string) {
+func (a *Audit) RecordOutcome(id string, h Outcome, at time.Duration, says string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := a.calls[id]
+	c := a.requests[id]
 	if c == nil {
 		return
 	}
-	if c.HeardAt > 0 {
-		h, says = Wrong, fmt.Sprintf("%v after %v", h, c.Heard)
+	if c.OutcomeAt > 0 {
+		h, says = WrongResponse, fmt.Sprintf("%v after %v", h, c.Outcome)
 	}
-	c.Heard, c.HeardAt, c.Says = h, at, says
+	c.Outcome, c.OutcomeAt, c.Detail = h, at, says
 }
 
 // Send notes that the last byte of an attempt has come to a relay, and returns it for what follows.
-func (a *Audit) Send(request, server string, index int, cross bool, at time.Duration) *Attempt {
+func (a *Audit) RecordAttempt(request, server string, index int, cross bool, at time.Duration) *Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := &Attempt{Call: request, Server: server, Index: index, Cross: cross, Out: at}
+	t := &Attempt{RequestID: request, Server: server, Index: index, CrossZone: cross, SentAt: at}
 	a.arrivals = append(a.arrivals, arrival{at, index})
-	c := a.calls[request]
+	c := a.requests[request]
 	if c == nil {
 		a.orphans = append(a.orphans, t)
 		return t
 	}
-	if told, yes := a.told[c.Node][server]; yes && at > told+DrainGrace {
+	if told, yes := a.removals[c.Node][server]; yes && at > told+DrainGrace {
 		a.breaches = append(a.breaches, Breach{Rule: "drain", Call: request, At: at,
 			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was told that it drains or has gone", c.Node, request, server, (at - told).Round(time.Millisecond))})
 	}
@@ -159,53 +159,53 @@
 }
 
 // Run notes that an attempt's work has begun, or that nobody can tell that it has not.
-func (a *Audit) Run(t *Attempt) {
+func (a *Audit) RecordRun(t *Attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t.Ran = true
 }
 
 // Over notes that the node has an attempt's answer, or has closed its connection. The first word holds.
-func (a *Audit) Over(t *Attempt, at time.Duration, how string) {
+func (a *Audit) RecordEnd(t *Attempt, at time.Duration, how string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if t.Back == 0 {
-		t.Back, t.End = at, how
+	if t.EndedAt == 0 {
+		t.EndedAt, t.EndReason = at, how
 	}
 }
 
 // Told notes that a node was told that a server drains or has gone.
-func (a *Audit) Told(node int, server string, at time.Duration) {
+func (a *Audit) RecordRemoval(node int, server string, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.told[node] == nil {
-		a.told[node] = map[string]time.Duration{}
+	if a.removals[node] == nil {
+		a.removals[node] = map[string]time.Duration{}
 	}
-	if _, known := a.told[node][server]; !known {
-		a.told[node][server] = at
+	if _, known := a.removals[node][server]; !known {
+		a.removals[node][server] = at
 	}
 }
 
 // Excuse notes a stretch in which a node was not at fault.
-func (a *Audit) Excuse(e Excuse) {
+func (a *Audit) RecordOutage(e Outage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.excuses = append(a.excuses, e)
+	a.outages = append(a.outages, e)
 }
 
 // LifeOver notes what came to a server while it was cold, once its incarnation or the run is over.
-func (a *Audit) LifeOver(s *world.Server, at time.Duration) {
+func (a *Audit) RecordServerEnd(s *world.Server, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.cold = max(a.cold, s.Pressed())
-	if n := s.PushedOver(); n > 0 {
+	a.slowStartLoad = max(a.slowStartLoad, s.SlowStartLoad())
+	if n := s.SlowStartOverloads(); n > 0 {
 		a.breaches = append(a.breaches, Breach{Rule: "cold", At: at, Words: fmt.Sprintf("%s got more than it could bear while it was cold, %d times", s.ID, n)})
 	}
 }
 
 // excused says that a node was not at fault at some instant of a stretch.
-func (a *Audit) excused(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(a.excuses, func(e Excuse) bool { return e.Node == node && e.From <= to && from <= e.To })
+func (a *Audit) hadOutage(node int, from, to time.Duration) bool {
+	return slices.ContainsFunc(a.outages, func(e Outage) bool { return e.Node == node && e.From <= to && from <= e.To })
 }
 
 // Breaches judges all that was noted, in the order of time. late is by how much the fault bench itself lagged at most.
@@ -213,48 +213,48 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := slices.Clone(a.breaches)
-	fault := func(rule string, c *Call, at time.Duration, format string, args ...any) {
-		out = append(out, Breach{Rule: rule, Call: c.ID, At: at, Words: fmt.Sprintf(format, args...), Events: c.story()})
+	fault := func(rule string, c *Request, at time.Duration, format string, args ...any) {
+		out = append(out, Breach{Rule: rule, Call: c.ID, At: at, Words: fmt.Sprintf(format, args...), Events: c.events()})
 	}
-	for _, c := range a.calls {
+	for _, c := range a.requests {
 		due := c.At + c.Deadline + AnswerSlack + late
 		switch {
-		case c.Heard == Wrong:
-			fault("answer", c, c.HeardAt, "%s was answered wrongly: %s", c.ID, c.Says)
-		case c.Heard == Gone: // nothing is owed to it
-		case a.excused(c.Node, c.At-time.Second, due):
-		case c.HeardAt == 0 || c.Heard == Nothing:
+		case c.Outcome == WrongResponse:
+			fault("answer", c, c.OutcomeAt, "%s was answered wrongly: %s", c.ID, c.Detail)
+		case c.Outcome == ClientLeft: // nothing is owed to it
+		case a.hadOutage(c.Node, c.At-time.Second, due):
+		case c.OutcomeAt == 0 || c.Outcome == NoResponse:
 			fault("answer", c, due, "%s got no answer", c.ID)
-		case c.HeardAt > due:
-			fault("answer", c, c.HeardAt, "%s was answered %v after its time", c.ID, (c.HeardAt - c.At - c.Deadline).Round(time.Millisecond))
-		case c.Heard == Broken:
-			fault("answer", c, c.HeardAt, "%s was taken, and its connection ended with no answer", c.ID)
-		case c.Heard == Refused && c.Says == "":
-			fault("answer", c, c.HeardAt, "%s was refused with no word of when to come back", c.ID)
+		case c.OutcomeAt > due:
+			fault("answer", c, c.OutcomeAt, "%s was answered %v after its time", c.ID, (c.OutcomeAt - c.At - c.Deadline).Round(time.Millisecond))
+		case c.Outcome == Disconnected:
+			fault("answer", c, c.OutcomeAt, "%s was taken, and its connection ended with no answer", c.ID)
+		case c.Outcome == Refused && c.Detail == "":
+			fault("answer", c, c.OutcomeAt, "%s was refused with no word of when to come back", c.ID)
 		}
 		ran := 0
-		slices.SortStableFunc(c.attempts, func(x, y *Attempt) int { return int(x.Out - y.Out) })
+		slices.SortStableFunc(c.attempts, func(x, y *Attempt) int { return int(x.SentAt - y.SentAt) })
 		for i, t := range c.attempts {
 			if t.Ran {
 				ran++
 			}
 			for _, o := range c.attempts[:i] {
-				if o.Back == 0 || o.Back > t.Out+Race+late {
-					fault("once", c, t.Out, "%s was sent to %s while an attempt at %s was out", c.ID, t.Server, o.Server)
+				if o.EndedAt == 0 || o.EndedAt > t.SentAt+ReorderTolerance+late {
+					fault("once", c, t.SentAt, "%s was sent to %s while an attempt at %s was out", c.ID, t.Server, o.Server)
 				}
 			}
 		}
 		switch {
 		case c.Unsafe && ran > 1:
 			fault("once", c, c.At, "%s must not run twice, and ran %d times", c.ID, ran)
-		case c.Unsafe && c.Heard == Refused && ran > 0:
-			fault("once", c, c.HeardAt, "%s was refused though it ran, and must not run twice", c.ID)
-		case c.Heard == Served && ran == 0:
-			fault("answer", c, c.HeardAt, "%s was served, and no server ran it", c.ID)
+		case c.Unsafe && c.Outcome == Refused && ran > 0:
+			fault("once", c, c.OutcomeAt, "%s was refused though it ran, and must not run twice", c.ID)
+		case c.Outcome == Served && ran == 0:
+			fault("answer", c, c.OutcomeAt, "%s was served, and no server ran it", c.ID)
 		}
 	}
 	for _, t := range a.orphans {
-		out = append(out, Breach{Rule: "answer", Call: t.Call, At: t.Out, Words: fmt.Sprintf("%s came to %s, and nobody asked for it", t.Call, t.Server)})
+		out = append(out, Breach{Rule: "answer", Call: t.RequestID, At: t.SentAt, Words: fmt.Sprintf("%s came to %s, and nobody asked for it", t.RequestID, t.Server)})
 	}
 	slices.SortFunc(out, func(x, y Breach) int {
 		if x.At != y.At {
@@ -266,20 +266,20 @@
 }
 
 // story tells what happened to a request, in the order of time.
-func (c *Call) story() []string {
+func (c *Request) events() []string {
 	type line struct {
 		at   time.Duration
 		text string
 	}
 	lines := []line{{c.At, fmt.Sprintf("asked of node %d, time until %v", c.Node, (c.At + c.Deadline).Round(time.Millisecond))}}
 	for i, t := range c.attempts {
-		lines = append(lines, line{t.Out, fmt.Sprintf("attempt %d at %s", i, t.Server)})
-		if t.Back > 0 {
-			lines = append(lines, line{t.Back, fmt.Sprintf("attempt %d over: %s, ran: %v", i, t.End, t.Ran)})
+		lines = append(lines, line{t.SentAt, fmt.Sprintf("attempt %d at %s", i, t.Server)})
+		if t.EndedAt > 0 {
+			lines = append(lines, line{t.EndedAt, fmt.Sprintf("attempt %d over: %s, ran: %v", i, t.EndReason, t.Ran)})
 		}
 	}
-	if c.HeardAt > 0 {
-		lines = append(lines, line{c.HeardAt, fmt.Sprintf("heard: %v %s", c.Heard, c.Says)})
+	if c.OutcomeAt > 0 {
+		lines = append(lines, line{c.OutcomeAt, fmt.Sprintf("heard: %v %s", c.Outcome, c.Detail)})
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return int(a.at - b.at) })
 	var out []string
@@ -290,6 +290,6 @@
 }
 
 // Histogram is for latencies in microseconds, up to a minute, within one in a thousand.
-func Histogram() *hdrhistogram.Histogram {
+func NewHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
--- a/internal/faultbench/audit/figures.go
+++ b/internal/faultbench/audit/metrics.go
@@ -27,14 +27,14 @@
 }
 
 // Sample notes how the servers stand.
-func (a *Audit) Sample(s Sample) {
+func (a *Audit) RecordSample(s Sample) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.samples = append(a.samples, s)
 }
 
 // Figures are what a run comes to, over the stretch that is measured.
-type Figures struct {
+type Metrics struct {
 	Calls       int     // a client's tries are one
 	InAim       float64 // share of requests that were served within their latency objective
 	Worth       float64 // of what all requests are worth, the share that was served within the latency objective
@@ -112,29 +112,29 @@
 }
 
 // tries are all that one client asked for one thing.
-type tries struct {
-	first *Call
-	calls []*Call
+type requestChain struct {
+	first    *Request
+	requests []*Request
 }
 
 // tries are the requests by the first of each client's. The caller holds mu.
-func (a *Audit) tries() map[string]*tries {
-	all := map[string]*tries{}
-	for _, c := range a.calls {
-		first := cmp.Or(c.First, c.ID)
+func (a *Audit) requestChains() map[string]*requestChain {
+	all := map[string]*requestChain{}
+	for _, c := range a.requests {
+		first := cmp.Or(c.FirstID, c.ID)
 		if all[first] == nil {
-			all[first] = &tries{first: a.calls[first]}
+			all[first] = &requestChain{first: a.requests[first]}
 		}
-		all[first].calls = append(all[first].calls, c)
+		all[first].requests = append(all[first].requests, c)
 	}
 	return all
 }
 
 // last is the try that was served, or the last one that was made.
-func (t *tries) last() *Call {
-	last := t.calls[0]
-	for _, c := range t.calls {
-		if c.Heard == Served || last.Heard != Served && c.At > last.At {
+func (t *requestChain) final() *Request {
+	last := t.requests[0]
+	for _, c := range t.requests {
+		if c.Outcome == Served || last.Outcome != Served && c.At > last.At {
 			last = c
 		}
 	}
@@ -142,16 +142,16 @@
 }
 
 // ClassFigures are what became of the requests of a class, or of another group, over a stretch.
-type ClassFigures struct {
+type ClassMetrics struct {
 	Calls      int
 	InAim      float64 // share that was served within the latency objective
 	Unanswered float64 // share that heard nothing until the time was up
 }
 
 // ByClass works them out for each class, in the order of the experiment.
-func (a *Audit) ByClass(from, to time.Duration, classes int) []ClassFigures {
-	by := a.By(from, to, func(c Call) string { return strconv.Itoa(c.Class) })
-	out := make([]ClassFigures, classes)
+func (a *Audit) ByClass(from, to time.Duration, classes int) []ClassMetrics {
+	by := a.ByGroup(from, to, func(c Request) string { return strconv.Itoa(c.Class) })
+	out := make([]ClassMetrics, classes)
 	for i := range out {
 		out[i] = by[strconv.Itoa(i)]
 	}
@@ -159,21 +159,21 @@
 }
 
 // By works them out for each group of requests, by the first of each client's.
-func (a *Audit) By(from, to time.Duration, group func(Call) string) map[string]ClassFigures {
+func (a *Audit) ByGroup(from, to time.Duration, group func(Request) string) map[string]ClassMetrics {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := map[string]ClassFigures{}
-	for _, t := range a.tries() {
+	out := map[string]ClassMetrics{}
+	for _, t := range a.requestChains() {
 		if t.first.At < from || t.first.At >= to {
 			continue
 		}
 		name := group(*t.first)
-		f, last := out[name], t.last()
+		f, last := out[name], t.final()
 		f.Calls++
-		if last.Heard == Served && last.HeardAt-t.first.At <= t.first.Aim {
+		if last.Outcome == Served && last.OutcomeAt-t.first.At <= t.first.LatencyObjective {
 			f.InAim++
 		}
-		if last.Heard == Nothing {
+		if last.Outcome == NoResponse {
 			f.Unanswered++
 		}
 		out[name] = f
@@ -187,46 +187,46 @@
 }
 
 // Figures works them out over a stretch, of requests that were made in it.
-func (a *Audit) Figures(from, to time.Duration, capacity []Capacity) Figures {
+func (a *Audit) Metrics(from, to time.Duration, capacity []Capacity) Metrics {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var f Figures
-	times := Histogram()
+	var f Metrics
+	times := NewHistogram()
 	var seconds []Second
 	var attempts, crossings int
 	var weight, asked float64
-	for _, all := range a.tries() {
-		c, last := all.first, all.last()
+	for _, all := range a.requestChains() {
+		c, last := all.first, all.final()
 		sec := int(c.At / time.Second)
 		for len(seconds) <= sec {
 			seconds = append(seconds, Second{})
 		}
-		took := last.HeardAt - c.At
-		inAim := last.Heard == Served && took <= c.Aim
+		took := last.OutcomeAt - c.At
+		inAim := last.Outcome == Served && took <= c.LatencyObjective
 		seconds[sec].Calls++
 		if inAim {
 			seconds[sec].InAim++
 		}
-		if last.Heard != Served && last.Heard != Refused && last.Heard != Gone {
+		if last.Outcome != Served && last.Outcome != Refused && last.Outcome != ClientLeft {
 			seconds[sec].Failed++
 		}
 		if c.At < from || c.At >= to {
 			continue
 		}
 		f.Calls++
-		asked += c.Worth
+		asked += c.PriorityWeight
 		if inAim {
-			weight += c.Worth
+			weight += c.PriorityWeight
 		}
-		for _, t := range all.calls {
+		for _, t := range all.requests {
 			attempts += len(t.attempts)
 			for _, one := range t.attempts {
-				if one.Cross {
+				if one.CrossZone {
 					crossings++
 				}
 			}
 		}
-		switch last.Heard {
+		switch last.Outcome {
 		case Served:
 			f.Served++
 			times.RecordValue(max(1, took.Microseconds()))
@@ -237,9 +237,9 @@
 			}
 		case Refused:
 			f.Refused++
-		case NotTaken:
+		case NotAccepted:
 			f.NotTaken++
-		case Gone:
+		case ClientLeft:
 			f.Left++
 		default:
 			f.Failed++
@@ -249,7 +249,7 @@
 	for _, share := range []*float64{&f.InAim, &f.Served, &f.Refused, &f.Failed, &f.NotTaken, &f.Late, &f.Left} {
 		*share /= n
 	}
-	f.Worth, f.Cold = weight/max(asked, 1e-9), a.cold
+	f.Worth, f.Cold = weight/max(asked, 1e-9), a.slowStartLoad
 	f.Attempts, f.Crossings = float64(attempts)/n, float64(crossings)/float64(max(1, attempts))
 	for i := range seconds {
 		k := float64(max(1, seconds[i].Calls))
@@ -258,7 +258,7 @@
 	f.BySecond = seconds
 	at := func(q float64) time.Duration { return time.Duration(times.ValueAtQuantile(q)) * time.Microsecond }
 	f.P50, f.P90, f.P99, f.P999 = at(50), at(90), at(99), at(99.9)
-	a.load(&f, from, to, capacity)
+	a.addLoadMetrics(&f, from, to, capacity)
 	if text, err := times.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
 		f.Latency = text
 	}
@@ -271,7 +271,7 @@
 	f.Spread.Windows = map[string]Window{}
 	for _, w := range windows {
 		if to-from >= w.len {
-			f.Spread.Windows[w.name] = a.window(from, to, w.len, capacity)
+			f.Spread.Windows[w.name] = a.compareWindows(from, to, w.len, capacity)
 		}
 	}
 	f.Spread.LongestIdle = a.longestIdle(from, to, len(capacity))
@@ -279,7 +279,7 @@
 }
 
 // load works out the figures of samples.
-func (a *Audit) load(f *Figures, from, to time.Duration, capacity []Capacity) {
+func (a *Audit) addLoadMetrics(f *Metrics, from, to time.Duration, capacity []Capacity) {
 	var n, working, waiting, variation, idle, conns, most float64
 	slots := 0
 	for _, c := range capacity {
@@ -298,7 +298,7 @@
 			loads = append(loads, float64(s.Working[i]+s.Waiting[i])/float64(c.Slots))
 			open = append(open, float64(s.Connections[i]))
 		}
-		f.note(s.At, float64(busy)/float64(slots), float64(wait)/float64(slots), float64(min(free, wait))/float64(slots))
+		f.addPoint(s.At, float64(busy)/float64(slots), float64(wait)/float64(slots), float64(min(free, wait))/float64(slots))
 		if s.At < from || s.At >= to {
 			continue
 		}
@@ -321,7 +321,7 @@
 }
 
 // note adds a sample to the tenth of a second that it lies in.
-func (f *Figures) note(at time.Duration, working, waiting, idle float64) {
+func (f *Metrics) addPoint(at time.Duration, working, waiting, idle float64) {
 	at = at.Truncate(100 * time.Millisecond)
 	if k := len(f.Series) - 1; k >= 0 && f.Series[k].At == at {
 		p := &f.Series[k] // a mean that leans to the later ones is good enough to look at
@@ -332,7 +332,7 @@
 }
 
 // window compares the servers by the requests that came to them.
-func (a *Audit) window(from, to, length time.Duration, capacity []Capacity) (w Window) {
+func (a *Audit) compareWindows(from, to, length time.Duration, capacity []Capacity) (w Window) {
 	count := int((to - from) / length)
 	counts := make([][]float64, count)
 	for i := range counts {
@@ -361,7 +361,7 @@
 		for i, v := range byServer {
 			part := float64(capacity[i].Slots) * capacity[i].Speed / all
 			mean := total * part
-			high, low := chance(total, part, 0.025/float64(len(capacity)))
+			high, low := chanceBounds(total, part, 0.025/float64(len(capacity)))
 			most, least = max(most, v/mean), min(least, v/mean)
 			highest, lowest = max(highest, high/mean), min(lowest, low/mean)
 			within = within && v <= high && v >= low
@@ -378,7 +378,7 @@
 
 // chance is between how many of n requests a server that is drawn with probability p has, but for the given share of
 // cases on either side.
-func chance(n, p, share float64) (high, low float64) {
+func chanceBounds(n, p, share float64) (high, low float64) {
 	b := distuv.Binomial{N: n, P: p}
 	mean, dev := n*p, math.Sqrt(n*p*(1-p))
 	high, low = mean, mean
--- a/internal/faultbench/audit/figures_test.go
+++ b/internal/faultbench/audit/metrics_test.go
@@ -20,9 +20,9 @@
 		if i >= 25 {
 			s.Working, s.Waiting = []int{1, 1}, []int{0, 0}
 		}
-		a.Sample(s)
+		a.RecordSample(s)
 	}
-	f := a.Figures(0, time.Second, capacity)
+	f := a.Metrics(0, time.Second, capacity)
 	// 2 free slots of 4 while 2 wait, for half of the time; loads of 2 and 0 a slot vary by sqrt 2, equal ones by 0.
 	if !near(f.Spread.IdleWhileQueued, 0.25, 1e-9) || !near(f.Spread.Variation, math.Sqrt2/2, 1e-9) || !near(f.Utilisation, 0.5, 1e-9) ||
 		!near(f.Waiting, 0.25, 1e-9) || !near(f.Connections, 2, 1e-9) || !near(f.MostConns, 1.5, 1e-9) {
@@ -46,9 +46,9 @@
 			if rng.Float64() < herd {
 				k = 0
 			}
-			a.Send(fmt.Sprint(i), "s", k, false, time.Duration(i)*time.Millisecond/2)
+			a.RecordAttempt(fmt.Sprint(i), "s", k, false, time.Duration(i)*time.Millisecond/2)
 		}
-		return a.Figures(0, 10*time.Second, capacity).Spread.Windows
+		return a.Metrics(0, 10*time.Second, capacity).Spread.Windows
 	}
 	if w := play(0)["100ms"]; w.Within < 0.9 || w.Most > w.ChanceMost || w.Least < w.ChanceLeast {
 		t.Errorf("by chance alone: %+v", w)
@@ -61,15 +61,15 @@
 // A client's tries are one request, which is served in its latency objective if one of them is, counted from the first.
 func TestTriesAreOneCall(t *testing.T) {
 	a := New()
-	a.Ask(Call{ID: "x", At: 10 * ms, Aim: 100 * ms, Deadline: 500 * ms})
-	a.Hear("x", Refused, 20*ms, "1")
-	a.Ask(Call{ID: "x-1", First: "x", At: 60 * ms, Aim: 50 * ms, Deadline: 450 * ms})
-	a.Hear("x-1", Served, 90*ms, "")
-	a.Ask(Call{ID: "y", At: 10 * ms, Aim: 100 * ms, Deadline: 500 * ms})
-	a.Hear("y", Failed, 20*ms, "")
-	a.Ask(Call{ID: "y-1", First: "y", At: 60 * ms, Aim: 50 * ms, Deadline: 450 * ms})
-	a.Hear("y-1", Served, 190*ms, "")
-	f := a.Figures(0, time.Second, nil)
+	a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 500 * ms})
+	a.RecordOutcome("x", Refused, 20*ms, "1")
+	a.RecordRequest(Request{ID: "x-1", FirstID: "x", At: 60 * ms, LatencyObjective: 50 * ms, Deadline: 450 * ms})
+	a.RecordOutcome("x-1", Served, 90*ms, "")
+	a.RecordRequest(Request{ID: "y", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 500 * ms})
+	a.RecordOutcome("y", Failed, 20*ms, "")
+	a.RecordRequest(Request{ID: "y-1", FirstID: "y", At: 60 * ms, LatencyObjective: 50 * ms, Deadline: 450 * ms})
+	a.RecordOutcome("y-1", Served, 190*ms, "")
+	f := a.Metrics(0, time.Second, nil)
 	if f.Calls != 2 || f.InAim != 0.5 || f.Served != 1 || f.Late != 0.5 || !near(f.P99.Seconds(), 0.18, 0.001) {
 		t.Errorf("%+v", f)
 	}
@@ -78,10 +78,10 @@
 func TestTheLongestIdle(t *testing.T) {
 	a := New()
 	for _, at := range []time.Duration{100, 200, 900} {
-		a.Send("x", "s", 0, false, at*ms)
+		a.RecordAttempt("x", "s", 0, false, at*ms)
 	}
-	a.Send("y", "s", 1, false, 600*ms)
-	if f := a.Figures(0, time.Second, []Capacity{{1, 1}, {1, 1}}); f.Spread.LongestIdle != 700*ms {
+	a.RecordAttempt("y", "s", 1, false, 600*ms)
+	if f := a.Metrics(0, time.Second, []Capacity{{1, 1}, {1, 1}}); f.Spread.LongestIdle != 700*ms {
 		t.Errorf("%v; want the 700 ms between 200 and 900", f.Spread.LongestIdle)
 	}
 }
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -43,7 +43,7 @@
 }
 
 // call makes a request, and those that its client makes after it as long as there is time.
-func (n *node) call(ctx context.Context, c world.Call) {
+func (n *node) call(ctx context.Context, c world.Request) {
 	f := n.fleet
 	class := f.e.Classes[c.Class]
 	first := f.now()
@@ -54,12 +54,12 @@
 		}
 		now := f.now()
 		left := first + class.Deadline - now
-		f.audit.Ask(audit.Call{ID: id, First: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: now, Aim: first + class.Aim - now, Deadline: left, Worth: class.Worth})
+		f.audit.RecordRequest(audit.Request{ID: id, FirstID: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: now, LatencyObjective: first + class.LatencyObjective - now, Deadline: left, PriorityWeight: class.PriorityWeight})
 		heard, says, wait := n.ask(id, class, left)
-		f.audit.Hear(id, heard, f.now(), says)
-		again := heard == audit.Refused || heard == audit.NotTaken || heard == audit.Failed && class.Effect == "safe"
-		wait = max(wait, f.e.Callers.Wait)
-		if !again || try >= f.e.Callers.Retries || f.now()+wait >= first+class.Deadline {
+		f.audit.RecordOutcome(id, heard, f.now(), says)
+		again := heard == audit.Refused || heard == audit.NotAccepted || heard == audit.Failed && class.Effect == "safe"
+		wait = max(wait, f.e.Clients.RetryDelay)
+		if !again || try >= f.e.Clients.Retries || f.now()+wait >= first+class.Deadline {
 			return
 		}
 		f.await(ctx, f.now()+wait)
@@ -67,7 +67,7 @@
 }
 
 // ask sends one request and tells what is heard: of a node, or where the fault bench picks, of a server.
-func (n *node) ask(id string, class experiment.Class, left time.Duration) (heard audit.Heard, says string, wait time.Duration) {
+func (n *node) ask(id string, class experiment.Class, left time.Duration) (heard audit.Outcome, says string, wait time.Duration) {
 	to := n.listen
 	if n.fleet.o.Policy != experiment.Program {
 		if to = n.pick(); to == "" {
@@ -79,7 +79,7 @@
 		if !kept {
 			var err error
 			if c, err = net.DialTimeout("tcp4", to, min(left, time.Second)); err != nil {
-				return audit.NotTaken, err.Error(), 0
+				return audit.NotAccepted, err.Error(), 0
 			}
 		}
 		heard, says, wait, open := n.on(c, id, class, left)
@@ -89,7 +89,7 @@
 			c.Close()
 		}
 		// What crosses the close of a connection that was kept is sent once more on a new one.
-		if heard == audit.Broken && kept {
+		if heard == audit.Disconnected && kept {
 			continue
 		}
 		if n.fleet.o.Policy != experiment.Program && heard == audit.Refused {
@@ -100,8 +100,8 @@
 }
 
 // on makes a request on a connection. open: it is of further use.
-func (n *node) on(c net.Conn, id string, class experiment.Class, left time.Duration) (heard audit.Heard, says string, wait time.Duration, open bool) {
-	leaves := n.fleet.e.Callers.Patience
+func (n *node) on(c net.Conn, id string, class experiment.Class, left time.Duration) (heard audit.Outcome, says string, wait time.Duration, open bool) {
+	leaves := n.fleet.e.Clients.Patience
 	if leaves == 0 || leaves > left {
 		leaves = left + audit.AnswerSlack
 	}
@@ -117,18 +117,18 @@
 	}
 	fmt.Fprintf(&out, "\r\n%s", body)
 	if _, err := io.WriteString(c, out.String()); err != nil {
-		return audit.Broken, err.Error(), 0, false
+		return audit.Disconnected, err.Error(), 0, false
 	}
 	in := bufio.NewReader(c)
 	r, err := http.ReadResponse(in, nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if leaves <= left {
-			return audit.Gone, "", 0, false
+			return audit.ClientLeft, "", 0, false
 		}
-		return audit.Nothing, "", 0, false
+		return audit.NoResponse, "", 0, false
 	}
 	if err != nil {
-		return audit.Broken, err.Error(), 0, false
+		return audit.Disconnected, err.Error(), 0, false
 	}
 	text, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	r.Body.Close()
@@ -140,7 +140,7 @@
 	case r.StatusCode == http.StatusOK && strings.HasSuffix(string(text), " "+id):
 		return audit.Served, "", 0, open
 	case r.StatusCode == http.StatusOK:
-		return audit.Wrong, fmt.Sprintf("%.60q", text), 0, false
+		return audit.WrongResponse, fmt.Sprintf("%.60q", text), 0, false
 	case r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests:
 		var seconds float64
 		fmt.Sscan(advice, &seconds)
@@ -148,7 +148,7 @@
 	case r.StatusCode >= 500:
 		return audit.Failed, r.Status, 0, open
 	}
-	return audit.Wrong, r.Status, 0, false
+	return audit.WrongResponse, r.Status, 0, false
 }
 
 // take returns an idle connection, if there is one.
--- a/internal/faultbench/experiment/file.go
+++ b/internal/faultbench/experiment/file.go
@@ -14,13 +14,13 @@
 )
 
 // MaxFile is how long a file may be.
-const MaxFile = 1 << 20
+const MaxFileBytes = 1 << 20
 
 // Bounds of an experiment.
 const (
 	maxProcesses = 1000
 	maxServers   = 5000
-	maxLength    = time.Hour
+	maxDuration  = time.Hour
 	maxNesting   = 16
 )
 
@@ -38,15 +38,15 @@
 }
 
 // Beside finds the text of another experiment by its name, and what it is called in messages.
-type Beside func(name string) (text []byte, path string, err error)
+type Resolver func(name string) (text []byte, path string, err error)
 
 // Parse reads and checks the text of a file; name is for the messages. Where it says that it is like another, beside finds
 // that one, and each kind of block that the file has takes the place of the other's; nil: it may not say so. The error is
 // Problems.
-func Parse(text []byte, name string, beside Beside) (*Experiment, error) {
+func Parse(text []byte, name string, beside Resolver) (*Experiment, error) {
 	r := &reader{}
-	f := r.form(text, name)
-	r.like(f, beside, 0)
+	f := r.decode(text, name)
+	r.resolveBase(f, beside, 0)
 	if len(r.problems) > 0 {
 		return nil, r.problems
 	}
@@ -58,63 +58,63 @@
 }
 
 // maxLike is how many files there may be of which each is like the next.
-const maxLike = 4
+const maxBaseDepth = 4
 
 // like fills up what a file leaves to another, if it is like one.
-func (r *reader) like(f *file, beside Beside, depth int) {
+func (r *reader) resolveBase(f *file, beside Resolver, depth int) {
 	if f == nil || f.Experiment == nil || f.Experiment.Like == "" {
 		return
 	}
 	b := block{r, f.Experiment.Body, "experiment." + f.Experiment.Name}
-	if beside == nil || !goodName(f.Experiment.Like) {
-		b.bad("like", "found %q; allowed: the name of an experiment whose file lies beside this one", f.Experiment.Like)
+	if beside == nil || !validName(f.Experiment.Like) {
+		b.errorf("like", "found %q; allowed: the name of an experiment whose file lies beside this one", f.Experiment.Like)
 		return
 	}
 	text, path, err := beside(f.Experiment.Like)
 	if err != nil {
-		b.bad("like", "%v", err)
+		b.errorf("like", "%v", err)
 		return
 	}
-	if depth >= maxLike {
-		b.bad("like", "found %q; allowed: up to %d files that are like one another, and none like itself", f.Experiment.Like, maxLike)
+	if depth >= maxBaseDepth {
+		b.errorf("like", "found %q; allowed: up to %d files that are like one another, and none like itself", f.Experiment.Like, maxBaseDepth)
 		return
 	}
-	base := r.form(text, path)
+	base := r.decode(text, path)
 	if base == nil || base.Experiment == nil {
-		b.bad("like", "found %q, which can't be read", f.Experiment.Like)
+		b.errorf("like", "found %q, which can't be read", f.Experiment.Like)
 		return
 	}
-	r.like(base, beside, depth+1)
-	f.over(base)
+	r.resolveBase(base, beside, depth+1)
+	f.inherit(base)
 }
 
 // over gives a file all that it does not have itself of another.
-func (f *file) over(base *file) {
-	fill(&f.Zones, base.Zones)
-	fill(&f.Nodes, base.Nodes)
-	fill(&f.Servers, base.Servers)
-	fill(&f.Classes, base.Classes)
-	fill(&f.Links, base.Links)
-	fill(&f.Faults, base.Faults)
+func (f *file) inherit(base *file) {
+	inheritList(&f.Zones, base.Zones)
+	inheritList(&f.Nodes, base.Nodes)
+	inheritList(&f.Servers, base.Servers)
+	inheritList(&f.Classes, base.Classes)
+	inheritList(&f.Links, base.Links)
+	inheritList(&f.Faults, base.Faults)
 	f.Callers, f.Registry = cmp.Or(f.Callers, base.Callers), cmp.Or(f.Registry, base.Registry)
 	e, o := f.Experiment, base.Experiment
 	e.Fresh = cmp.Or(e.Fresh, o.Fresh)
 	e.Seed, e.WarmUp, e.Measure, e.Peers = cmp.Or(e.Seed, o.Seed), cmp.Or(e.WarmUp, o.WarmUp), cmp.Or(e.Measure, o.Measure), cmp.Or(e.Peers, o.Peers)
 }
 
-func fill[T any](list *[]T, base []T) {
+func inheritList[T any](list *[]T, base []T) {
 	if len(*list) == 0 {
 		*list = base
 	}
 }
 
 // form reads a text into the form of a file; nil, with what is wrong noted, if that can't be.
-func (r *reader) form(text []byte, name string) *file {
-	if len(text) > MaxFile {
-		r.problems = append(r.problems, fmt.Sprintf("%s: the file has %d bytes; allowed: %d", name, len(text), MaxFile))
+func (r *reader) decode(text []byte, name string) *file {
+	if len(text) > MaxFileBytes {
+		r.problems = append(r.problems, fmt.Sprintf("%s: the file has %d bytes; allowed: %d", name, len(text), MaxFileBytes))
 		return nil
 	}
-	if r.deep(text, name); len(r.problems) > 0 { // the parser recurses
+	if r.checkNesting(text, name); len(r.problems) > 0 { // the parser recurses
 		return nil
 	}
 	parsed, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
@@ -127,7 +127,7 @@
 		if d.Subject != nil {
 			at = *d.Subject
 		}
-		r.fail(at, "", "%s: %s", d.Summary, strings.Join(strings.Fields(d.Detail), " "))
+		r.errorAt(at, "", "%s: %s", d.Summary, strings.Join(strings.Fields(d.Detail), " "))
 	}
 	if diags.HasErrors() {
 		return nil
--- a/internal/faultbench/experiment/file_test.go
+++ b/internal/faultbench/experiment/file_test.go
@@ -73,19 +73,19 @@
 	if got, want := e.NodeZones(), []string{"a", "b", "a", "b"}; !slices.Equal(got, want) {
 		t.Errorf("nodes lie in %v, want %v", got, want)
 	}
-	if got, want := e.Rates(), []float64{4.0 / 3, 4.0 / 3, 4.0 / 3, 8}; !slices.Equal(got, want) {
+	if got, want := e.NodeRates(), []float64{4.0 / 3, 4.0 / 3, 4.0 / 3, 8}; !slices.Equal(got, want) {
 		t.Errorf("rates are %v, want %v: twelve in all, six times as many at the hot node", got, want)
 	}
 	f := e.Faults[0]
-	if f.Kind != CutThere || f.To != 4*time.Second || !slices.Equal(f.Near, []string{"a"}) || !slices.Equal(f.Far, []string{"a", "b"}) {
+	if f.Kind != CutForward || f.To != 4*time.Second || !slices.Equal(f.NodeZones, []string{"a"}) || !slices.Equal(f.ServerZones, []string{"a", "b"}) {
 		t.Errorf("the fault is %+v", f)
 	}
-	if got := f.Struck(e.Seed, 4); len(got) != 2 || !slices.Equal(got, f.Struck(e.Seed, 4)) {
+	if got := f.Select(e.Seed, 4); len(got) != 2 || !slices.Equal(got, f.Select(e.Seed, 4)) {
 		t.Errorf("it strikes %v", got)
 	}
-	e.Callers = Callers{Utilisation: 0.5}
+	e.Clients = Clients{Utilisation: 0.5}
 	var all float64
-	for _, r := range e.Rates() {
+	for _, r := range e.NodeRates() {
 		all += r
 	}
 	if all < 39.9 || all > 40.1 {
@@ -96,7 +96,7 @@
 // A file that is like another has what it says itself, and of each kind of block that it does not have, the other's. What is
 // wrong with the other is told where it stands.
 func TestAFileLikeAnother(t *testing.T) {
-	beside := func(text string) Beside {
+	beside := func(text string) Resolver {
 		return func(name string) ([]byte, string, error) {
 			if name != "x" {
 				return nil, "", os.ErrNotExist
@@ -126,13 +126,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e.Name != "y" || e.Seed != 9 || e.Measure != 10*time.Second || len(e.NodeZones()) != 2 || e.Slots() != 8 || len(e.Faults) != 1 ||
-		!slices.Equal(e.Faults[0].Far, []string{RegistrySide}) || e.Callers.Patience != 300*time.Millisecond {
+	if e.Name != "y" || e.Seed != 9 || e.Measure != 10*time.Second || len(e.NodeZones()) != 2 || e.TotalSlots() != 8 || len(e.Faults) != 1 ||
+		!slices.Equal(e.Faults[0].ServerZones, []string{RegistryZone}) || e.Clients.Patience != 300*time.Millisecond {
 		t.Errorf("got %+v", e)
 	}
 	for _, c := range []struct {
 		text, want string
-		beside     Beside
+		beside     Resolver
 	}{
 		{like, `y.hcl:2:3: experiment.y.like: found "x"; allowed: the name of an experiment whose file lies beside`, nil},
 		{strings.Replace(like, `"x"`, `"../x"`, 1), `found "../x"; allowed: the name of an experiment`, beside(good)},
@@ -196,11 +196,11 @@
 			return
 		}
 		// What passes can be played: there are nodes, servers, rates and classes, within bounds.
-		if n := len(e.NodeZones()); n < 1 || n > maxProcesses || e.Slots() < 1 || len(e.Rates()) != n || e.Length() > 2*maxLength {
+		if n := len(e.NodeZones()); n < 1 || n > maxProcesses || e.TotalSlots() < 1 || len(e.NodeRates()) != n || e.TotalDuration() > 2*maxDuration {
 			t.Errorf("%+v passes", e)
 		}
 		for _, ft := range e.Faults {
-			for _, i := range e.Struck(ft) {
+			for _, i := range e.Targets(ft) {
 				if i < 0 {
 					t.Errorf("%+v strikes %d", ft, i)
 				}
--- a/internal/faultbench/experiment/model.go
+++ b/internal/faultbench/experiment/model.go
@@ -10,26 +10,26 @@
 
 // Experiment is one day on the bench. Times of faults count from the first request.
 type Experiment struct {
-	Name    string
-	Note    string // what it is for, in a sentence
-	Seed    uint64
-	WarmUp  time.Duration // not measured
-	Measure time.Duration
-	Peers   time.Duration // between two probes of nodes by nodes; 0: they do not know one another
-	Fresh   time.Duration // what nodes tell one another of zones is fresh until it is as old; 0: they tell nothing
+	Name            string
+	Note            string // what it is for, in a sentence
+	Seed            uint64
+	WarmUp          time.Duration // not measured
+	Measure         time.Duration
+	ProbeInterval   time.Duration // between two probes of nodes by nodes; 0: they do not know one another
+	ZoneStateMaxAge time.Duration // what nodes tell one another of zones is fresh until it is as old; 0: they tell nothing
 
 	Zones    []Zone
 	Nodes    []Nodes
 	Servers  []Servers
 	Classes  []Class
-	Callers  Callers
+	Clients  Clients
 	Links    []Link
 	Registry Registry
 	Faults   []Fault
 }
 
 // Length is how long clients ask.
-func (e *Experiment) Length() time.Duration { return e.WarmUp + e.Measure }
+func (e *Experiment) TotalDuration() time.Duration { return e.WarmUp + e.Measure }
 
 // Policy says who picks the server of a request.
 type Policy string
@@ -46,40 +46,40 @@
 
 // Nodes is a group of nodes, dealt out over its zones in turn.
 type Nodes struct {
-	Name  string
-	Count int
-	Zones []string
-	Times float64 // requests against the mean of all nodes
-	Asks  int     // servers that a node asks how much they hold before it sends a request to one; 0: none
+	Name        string
+	Count       int
+	Zones       []string
+	RateFactor  float64 // requests against the mean of all nodes
+	PollChoices int     // servers that a node asks how much they hold before it sends a request to one; 0: none
 }
 
 // Servers is a group of servers, dealt out over its zones in turn.
 type Servers struct {
-	Name     string
-	Count    int
-	Zones    []string
-	Slots    int           // requests in work at once
-	Queue    int           // that wait; more are rejected
-	Service  time.Duration // mean time of a request's work
-	Draw     Draw
-	Size     float64 // as listed; 0: not told
-	Reports  bool    // answers say how many requests the server holds
-	ColdFrom float64 // share of its speed that a server has when it starts
-	ColdOver time.Duration
+	Name                string
+	Count               int
+	Zones               []string
+	Slots               int           // requests in work at once
+	Queue               int           // that wait; more are rejected
+	Service             time.Duration // mean time of a request's work
+	ServiceDistribution Distribution
+	Size                float64 // as listed; 0: not told
+	ReportsLoad         bool    // answers say how many requests the server holds
+	SlowStartMinimum    float64 // share of its speed that a server has when it starts
+	SlowStartWindow     time.Duration
 }
 
 // Draw is how times of service vary.
-type Draw string
+type Distribution string
 
 // Draws.
 const (
-	Exponential Draw = "exponential"
-	Uniform     Draw = "uniform" // half to one and a half of the mean
-	Constant    Draw = "constant"
+	Exponential Distribution = "exponential"
+	Uniform     Distribution = "uniform" // half to one and a half of the mean
+	Constant    Distribution = "constant"
 )
 
 // Time draws a time of service.
-func (d Draw) Time(rng *rand.Rand, mean time.Duration) time.Duration {
+func (d Distribution) Sample(rng *rand.Rand, mean time.Duration) time.Duration {
 	switch d {
 	case Constant:
 		return mean
@@ -91,20 +91,20 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name     string
-	Effect   string // safe or unsafe
-	Aim      time.Duration
-	Deadline time.Duration
-	Share    float64 // of all requests
-	Worth    float64 // of one that is served within its latency objective
+	Name             string
+	Effect           string // safe or unsafe
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+	Share            float64 // of all requests
+	PriorityWeight   float64 // of one that is served within its latency objective
 }
 
 // Callers come in an open stream: they do not wait for answers.
-type Callers struct {
+type Clients struct {
 	Rate        float64 // requests a second at a node, on average over all; 0: what Utilisation asks for
 	Utilisation float64 // of all slots of all servers
 	Retries     int     // that a client makes after a refusal or a failed safe request
-	Wait        time.Duration
+	RetryDelay  time.Duration
 	Patience    time.Duration // after which a client leaves; 0: it waits until the deadline
 }
 
@@ -116,8 +116,8 @@
 
 // Registry tells nodes of servers.
 type Registry struct {
-	Lag     time.Duration // after which a node hears of a change, and
-	LagMost time.Duration // the longest: each node has a lag of its own between the two
+	MinLag time.Duration // after which a node hears of a change, and
+	MaxLag time.Duration // the longest: each node has a lag of its own between the two
 }
 
 // Kind says what a fault does.
@@ -125,27 +125,27 @@
 
 // Faults of links act on all traffic between two sets of zones, those of node processes and of servers on some of a group.
 const (
-	Cut      Kind = "cut"       // says nothing in either direction; new connections never come up
-	CutThere Kind = "cut_there" // nothing from a node reaches a server
-	CutBack  Kind = "cut_back"  // nothing from a server reaches a node: requests run and no answer comes
-	Reset    Kind = "reset"     // connections are reset, new ones too
-	Refuse   Kind = "refuse"    // new connections are refused
-	Slow     Kind = "slow"      // Delay, Jitter, Loss and Bandwidth are added
-
-	Kill    Kind = "kill"    // SIGKILL; started again at the end
-	Stop    Kind = "stop"    // SIGSTOP, and SIGCONT at the end
-	Restart Kind = "restart" // SIGTERM, and started again
-	Recount Kind = "recount" // a reload that changes how many copies there are said to be
-	Skew    Kind = "skew"    // SIGKILL, and started again with a clock that is off
-
-	Crash   Kind = "crash"   // the server's process dies: connections are reset, new ones refused; cold at the end
-	Lose    Kind = "lose"    // its machine vanishes: silence; cold at the end
-	Hang    Kind = "hang"    // takes requests and answers none
-	Errors  Kind = "errors"  // answers 500 at once
-	Drag    Kind = "drag"    // works Factor times as long
-	Replace Kind = "replace" // drained, and another under a new id in its place
-
-	Mute Kind = "mute" // the registry says nothing
+	Cut        Kind = "cut"       // says nothing in either direction; new connections never come up
+	CutForward Kind = "cut_there" // nothing from a node reaches a server
+	CutReturn  Kind = "cut_back"  // nothing from a server reaches a node: requests run and no answer comes
+	Reset      Kind = "reset"     // connections are reset, new ones too
+	Refuse     Kind = "refuse"    // new connections are refused
+	Slow       Kind = "slow"      // Delay, Jitter, Loss and Bandwidth are added
+
+	Kill            Kind = "kill"    // SIGKILL; started again at the end
+	Stop            Kind = "stop"    // SIGSTOP, and SIGCONT at the end
+	Restart         Kind = "restart" // SIGTERM, and started again
+	ChangeNodeCount Kind = "recount" // a reload that changes how many copies there are said to be
+	ClockSkew       Kind = "skew"    // SIGKILL, and started again with a clock that is off
+
+	Crash       Kind = "crash"   // the server's process dies: connections are reset, new ones refused; cold at the end
+	MachineLoss Kind = "lose"    // its machine vanishes: silence; cold at the end
+	Hang        Kind = "hang"    // takes requests and answers none
+	Errors      Kind = "errors"  // answers 500 at once
+	Slowdown    Kind = "drag"    // works Factor times as long
+	Replace     Kind = "replace" // drained, and another under a new id in its place
+
+	RegistryOutage Kind = "mute" // the registry says nothing
 )
 
 // Target is what kind of thing a fault strikes.
@@ -153,54 +153,54 @@
 
 // Targets.
 const (
-	OfLinks Target = iota
-	OfNodes
-	OfServers
-	OfRegistry
+	TargetLinks Target = iota
+	TargetNodes
+	TargetServers
+	TargetRegistry
 )
 
 // Targets of each kind.
-var targets = map[Kind]Target{Cut: OfLinks, CutThere: OfLinks, CutBack: OfLinks, Reset: OfLinks, Refuse: OfLinks, Slow: OfLinks,
-	Kill: OfNodes, Stop: OfNodes, Restart: OfNodes, Recount: OfNodes, Skew: OfNodes,
-	Crash: OfServers, Lose: OfServers, Hang: OfServers, Errors: OfServers, Drag: OfServers, Replace: OfServers, Mute: OfRegistry}
+var targets = map[Kind]Target{Cut: TargetLinks, CutForward: TargetLinks, CutReturn: TargetLinks, Reset: TargetLinks, Refuse: TargetLinks, Slow: TargetLinks,
+	Kill: TargetNodes, Stop: TargetNodes, Restart: TargetNodes, ChangeNodeCount: TargetNodes, ClockSkew: TargetNodes,
+	Crash: TargetServers, MachineLoss: TargetServers, Hang: TargetServers, Errors: TargetServers, Slowdown: TargetServers, Replace: TargetServers, RegistryOutage: TargetRegistry}
 
 // Target is what the kind strikes.
 func (k Kind) Target() Target { return targets[k] }
 
 // RegistrySide is what a fault's Far requests the links between nodes and the registry.
-const RegistrySide = "registry"
+const RegistryZone = "registry"
 
 // Fault is one thing that goes wrong from one instant to another.
 type Fault struct {
-	Name     string
-	Kind     Kind
-	From, To time.Duration
-	Over     time.Duration // the onset is spread over so long
+	Name        string
+	Kind        Kind
+	From, To    time.Duration
+	OnsetSpread time.Duration // the onset is spread over so long
 
-	Near, Far []string // zones of the nodes, and of the servers, that links lie between; RegistrySide is the registry's side
-	Both      bool     // of cut: the links from nodes in Far to servers in Near as well
-	Part      float64  // share of the links, nodes or servers that are struck
-	Group     string   // of nodes or servers; empty: all
-	Count     int      // that are struck, instead of a share; for recount: copies that there are said to be
+	NodeZones, ServerZones []string // zones of the nodes, and of the servers, that links lie between; RegistrySide is the registry's side
+	BothDirections         bool     // of cut: the links from nodes in Far to servers in Near as well
+	Fraction               float64  // share of the links, nodes or servers that are struck
+	Group                  string   // of nodes or servers; empty: all
+	Count                  int      // that are struck, instead of a share; for recount: copies that there are said to be
 
 	Factor        float64       // of drag
 	Offset        time.Duration // of skew
 	Delay, Jitter time.Duration // of slow
 	Loss          float64       // of slow: share of pieces that come a retransmission later, and of datagrams that don't come
-	Double        float64       // of slow: share of datagrams that come twice
+	Duplicate     float64       // of slow: share of datagrams that come twice
 	Reorder       float64       // of slow: share of datagrams that are held back behind later ones
 	Bandwidth     int64         // of slow: bytes a second; 0: no bound
 }
 
 // Lies says that links from nodes in one zone to servers in another are among those that the fault is of.
-func (f Fault) Lies(near, far string) bool {
-	return slices.Contains(f.Near, near) && slices.Contains(f.Far, far) || f.Both && slices.Contains(f.Far, near) && slices.Contains(f.Near, far)
+func (f Fault) AffectsLink(near, far string) bool {
+	return slices.Contains(f.NodeZones, near) && slices.Contains(f.ServerZones, far) || f.BothDirections && slices.Contains(f.ServerZones, near) && slices.Contains(f.NodeZones, far)
 }
 
 // Struck draws which of n things the fault strikes, the same for the same seed.
-func (f Fault) Struck(seed uint64, n int) []int {
-	want := int(f.Part*float64(n) + 0.5)
-	if f.Count > 0 && f.Kind != Recount {
+func (f Fault) Select(seed uint64, n int) []int {
+	want := int(f.Fraction*float64(n) + 0.5)
+	if f.Count > 0 && f.Kind != ChangeNodeCount {
 		want = min(f.Count, n)
 	}
 	h := uint64(14695981039346656037)
@@ -233,17 +233,17 @@
 }
 
 // Lags are how long after the registry each node hears of a change.
-func (e *Experiment) Lags() []time.Duration {
+func (e *Experiment) RegistryLags() []time.Duration {
 	rng := rand.New(rand.NewPCG(e.Seed, 0xa6e7))
 	lags := make([]time.Duration, len(e.NodeZones()))
 	for i := range lags {
-		lags[i] = e.Registry.Lag + time.Duration(rng.Float64()*float64(max(0, e.Registry.LagMost-e.Registry.Lag)))
+		lags[i] = e.Registry.MinLag + time.Duration(rng.Float64()*float64(max(0, e.Registry.MaxLag-e.Registry.MinLag)))
 	}
 	return lags
 }
 
 // Slots is how many requests all servers have in work at most.
-func (e *Experiment) Slots() (n int) {
+func (e *Experiment) TotalSlots() (n int) {
 	for _, g := range e.Servers {
 		n += g.Count * g.Slots
 	}
@@ -251,20 +251,20 @@
 }
 
 // Rates are the requests a second of each node.
-func (e *Experiment) Rates() (rates []float64) {
+func (e *Experiment) NodeRates() (rates []float64) {
 	var all, times float64
 	for _, g := range e.Nodes {
-		times += float64(g.Count) * g.Times
+		times += float64(g.Count) * g.RateFactor
 	}
 	for _, g := range e.Nodes {
 		for range g.Count {
-			rates = append(rates, g.Times)
+			rates = append(rates, g.RateFactor)
 		}
 	}
-	all = e.Callers.Rate * float64(len(rates))
-	if e.Callers.Rate == 0 {
+	all = e.Clients.Rate * float64(len(rates))
+	if e.Clients.Rate == 0 {
 		for _, g := range e.Servers {
-			all += e.Callers.Utilisation * float64(g.Count*g.Slots) / g.Service.Seconds()
+			all += e.Clients.Utilisation * float64(g.Count*g.Slots) / g.Service.Seconds()
 		}
 	}
 	for i := range rates {
@@ -274,7 +274,7 @@
 }
 
 // Region is the region of a zone.
-func (e *Experiment) Region(zone string) string {
+func (e *Experiment) ZoneRegion(zone string) string {
 	for _, z := range e.Zones {
 		if z.Name == zone {
 			return z.Region
@@ -284,7 +284,7 @@
 }
 
 // Between is the link between two zones, in either order.
-func (e *Experiment) Between(a, b string) Link {
+func (e *Experiment) LinkBetween(a, b string) Link {
 	for _, l := range e.Links {
 		if l.From == a && l.To == b || l.From == b && l.To == a {
 			return l
@@ -294,7 +294,7 @@
 }
 
 // Places is how many servers there are.
-func (e *Experiment) Places() (n int) {
+func (e *Experiment) ServerCount() (n int) {
 	for _, g := range e.Servers {
 		n += g.Count
 	}
@@ -302,9 +302,9 @@
 }
 
 // Struck are the places of the nodes or servers that a fault strikes, of its group.
-func (e *Experiment) Struck(f Fault) (struck []int) {
+func (e *Experiment) Targets(f Fault) (struck []int) {
 	var groups []string
-	if f.Kind.Target() == OfNodes {
+	if f.Kind.Target() == TargetNodes {
 		for _, g := range e.Nodes {
 			groups = append(groups, slices.Repeat([]string{g.Name}, g.Count)...)
 		}
@@ -319,7 +319,7 @@
 			in = append(in, i)
 		}
 	}
-	for _, k := range f.Struck(e.Seed, len(in)) {
+	for _, k := range f.Select(e.Seed, len(in)) {
 		struck = append(struck, in[k])
 	}
 	return struck
--- a/internal/faultbench/experiment/problems.go
+++ b/internal/faultbench/experiment/problems.go
@@ -19,7 +19,7 @@
 // reader turns the form into an Experiment and collects what is wrong.
 type reader struct{ problems Problems }
 
-func (r *reader) fail(at hcl.Range, field, format string, args ...any) {
+func (r *reader) errorAt(at hcl.Range, field, format string, args ...any) {
 	if field != "" {
 		field += ": "
 	}
@@ -27,14 +27,14 @@
 }
 
 // deep refuses brackets that are nested too deeply.
-func (r *reader) deep(text []byte, name string) {
+func (r *reader) checkNesting(text []byte, name string) {
 	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos)
 	depth := 0
 	for _, t := range tokens {
 		switch t.Type {
 		case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen, hclsyntax.TokenTemplateInterp:
 			if depth++; depth > maxNesting {
-				r.fail(t.Range, "", "brackets are nested more than %d deep", maxNesting)
+				r.errorAt(t.Range, "", "brackets are nested more than %d deep", maxNesting)
 				return
 			}
 		case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
@@ -51,7 +51,7 @@
 }
 
 // at is where a field stands, or its block.
-func (b block) at(field string) hcl.Range {
+func (b block) rangeOf(field string) hcl.Range {
 	body, ok := b.body.(*hclsyntax.Body)
 	if !ok {
 		return b.body.MissingItemRange()
@@ -62,8 +62,8 @@
 	return body.SrcRange
 }
 
-func (b block) bad(field, format string, args ...any) {
-	b.fail(b.at(field), b.path+"."+field, format, args...)
+func (b block) errorf(field, format string, args ...any) {
+	b.errorAt(b.rangeOf(field), b.path+"."+field, format, args...)
 }
 
 // duration reads a length of time, within bounds.
@@ -73,32 +73,32 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
-		b.bad(field, "found %q; allowed: %v to %v, with a unit, such as \"250ms\"", text, least, most)
+		b.errorf(field, "found %q; allowed: %v to %v, with a unit, such as \"250ms\"", text, least, most)
 		return 0
 	}
 	return d
 }
 
-func (b block) number(field string, v, least, most float64) {
+func (b block) inRange(field string, v, least, most float64) {
 	if !(v >= least && v <= most) {
-		b.bad(field, "found %v; allowed: %v to %v", v, least, most)
+		b.errorf(field, "found %v; allowed: %v to %v", v, least, most)
 	}
 }
 
-func (b block) word(field, v string, allowed ...string) {
+func (b block) oneOf(field, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
-		b.bad(field, "found %q; allowed: %s", v, strings.Join(allowed, ", "))
+		b.errorf(field, "found %q; allowed: %s", v, strings.Join(allowed, ", "))
 	}
 }
 
-func goodName(name string) bool {
+func validName(name string) bool {
 	return name != "" && len(name) <= 64 && strings.Trim(strings.ToLower(name), "abcdefghijklmnopqrstuvwxyz0123456789-_") == ""
 }
 
 // within checks names of zones; all stands for none.
-func (b block) within(field string, names, known []string) []string {
+func (b block) zoneNames(field string, names, known []string) []string {
 	for _, n := range names {
-		b.word(field, n, known...)
+		b.oneOf(field, n, known...)
 	}
 	if len(names) == 0 {
 		return known
--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -45,10 +45,10 @@
 type League struct {
 	o       Options
 	dir     string
-	part    *link.Part
+	part    *link.Subnet
 	spawner *child.Spawner
 	mesh    *link.Mesh
-	dice    *link.Dice
+	dice    *link.Random
 	began   time.Time
 	Audit   *Audit
 
@@ -85,7 +85,7 @@
 	if o.Deadline == 0 {
 		o.Deadline = 5 * time.Second
 	}
-	l = &League{o: o, dice: link.NewDice(o.Seed), began: time.Now(), shapes: map[[2]string]link.Shape{}, Audit: newAudit()}
+	l = &League{o: o, dice: link.NewRandom(o.Seed), began: time.Now(), shapes: map[[2]string]link.Shape{}, Audit: newAudit()}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -94,7 +94,7 @@
 	if l.dir, err = os.MkdirTemp("", "league"); err != nil {
 		return nil, fmt.Errorf("league: %w", err)
 	}
-	if l.part, err = link.TakePart(); err != nil {
+	if l.part, err = link.AcquireSubnet(); err != nil {
 		return nil, err
 	}
 	l.spawner = child.NewSpawner()
--- a/internal/faultbench/federation/links.go
+++ b/internal/faultbench/federation/links.go
@@ -18,16 +18,16 @@
 	l.shapes[[2]string{from.IP, to.IP}] = s
 	there, back := l.shapes[[2]string{from.IP, to.IP}], l.shapes[[2]string{to.IP, from.IP}]
 	l.mu.Unlock()
-	to.links.SetFrom(from.IP, pair(there, back))
-	to.calls.SetFrom(from.IP, pair(there, back))
-	from.links.SetFrom(to.IP, pair(back, there))
-	from.calls.SetFrom(to.IP, pair(back, there))
+	to.links.SetForSource(from.IP, pair(there, back))
+	to.calls.SetForSource(from.IP, pair(there, back))
+	from.links.SetForSource(to.IP, pair(back, there))
+	from.calls.SetForSource(to.IP, pair(back, there))
 }
 
 // pair is the shape of a connection whose near side speaks by one shape, and its far side by another.
 func pair(there, back link.Shape) link.Shape {
-	s := there.Over(back)
-	s.CutThere, s.CutBack = there.CutThere, back.CutThere
+	s := there.Combine(back)
+	s.CutForward, s.CutReturn = there.CutForward, back.CutForward
 	return s
 }
 
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	set(link.Shape{CutThere: true})
+	set(link.Shape{CutForward: true})
 	return func() { set(link.Shape{}) }
 }
 
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -35,7 +35,7 @@
 	go func() {
 		defer breaker.Done()
 		over(stop, func(i int) {
-			l.Gateways[i%len(l.Gateways)].links.Break()
+			l.Gateways[i%len(l.Gateways)].links.ResetAll()
 			time.Sleep(5 * time.Millisecond) // the faults' pace; nothing waits for it
 		})
 	}()
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -35,9 +35,9 @@
 type fleet struct {
 	e       *experiment.Experiment
 	o       Options
-	net     *link.Part
+	net     *link.Subnet
 	audit   *audit.Audit
-	dice    *link.Dice
+	dice    *link.Random
 	zones   []string
 	hosts   []*host // by place
 	nodes   []*node
@@ -66,7 +66,7 @@
 	Seed       uint64
 	Policy     string
 	Program    string `json:",omitempty"` // what the build that was run is called
-	Figures    audit.Figures
+	Figures    audit.Metrics
 	Breaches   []audit.Breach
 	Slow       string `json:",omitempty"` // why nothing is judged: the fault bench was too slow
 	Cost       Cost
@@ -111,11 +111,11 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	f := &fleet{e: e, o: o, audit: audit.New(), dice: link.NewDice(e.Seed), place: map[string]*host{}}
+	f := &fleet{e: e, o: o, audit: audit.New(), dice: link.NewRandom(e.Seed), place: map[string]*host{}}
 	for _, z := range e.Zones {
 		f.zones = append(f.zones, z.Name)
 	}
-	if f.net, err = link.TakePart(); err != nil {
+	if f.net, err = link.AcquireSubnet(); err != nil {
 		return nil, err
 	}
 	defer f.net.Close()
@@ -156,7 +156,7 @@
 		f.hosts = append(f.hosts, h)
 		f.place[s.ID] = h
 	}
-	lags := f.e.Lags()
+	lags := f.e.RegistryLags()
 	for i, zone := range f.e.NodeZones() {
 		n := &node{fleet: f, index: i, zone: zone, lag: lags[i], copies: len(f.e.NodeZones()), rng: rand.New(rand.NewPCG(f.e.Seed, uint64(i)+1<<32))}
 		if err := n.open(); err != nil {
@@ -220,7 +220,7 @@
 // play has clients ask and faults strike until all is over.
 func (f *fleet) play(ctx context.Context) {
 	f.begin(time.Now().Add(50 * time.Millisecond))
-	f.mesh.Forget()
+	f.mesh.ResetTraffic()
 	f.mu.Lock()
 	for i := range f.words { // what was said before is so when the run begins
 		f.words[i].At = 0
@@ -266,7 +266,7 @@
 			s.Working, s.Waiting = append(s.Working, working), append(s.Waiting, waiting)
 			s.Connections, s.Down = append(s.Connections, conns), append(s.Down, down)
 		}
-		f.audit.Sample(s)
+		f.audit.RecordSample(s)
 	}
 }
 
@@ -275,13 +275,13 @@
 	asks := 0
 	for _, h := range f.hosts {
 		h.mu.Lock()
-		f.audit.LifeOver(h.server, f.now())
+		f.audit.RecordServerEnd(h.server, f.now())
 		asks += h.asked
 		h.mu.Unlock()
 	}
 	after := f.cost()
 	r := &Result{Version: ResultVersion, Experiment: f.e.Name, Seed: f.e.Seed, Policy: string(f.o.Policy), Program: f.o.Name,
-		Figures: f.audit.Figures(f.e.WarmUp, f.e.Length(), audit.Capacities(f.e)), Cost: after}
+		Figures: f.audit.Metrics(f.e.WarmUp, f.e.TotalDuration(), audit.Capacities(f.e)), Cost: after}
 	r.Cost.RigCPU -= before.RigCPU
 	r.Cost.NodesCPU -= before.NodesCPU
 	r.Cost.Asks = asks
@@ -304,7 +304,7 @@
 	r.Breaches = f.audit.Breaches(f.worst)
 	r.Sights, r.Strikes, r.Words = f.sights, f.strikes, f.words
 	r.Breaches = append(r.Breaches, f.short...)
-	if seconds := f.now().Seconds(); f.e.Peers > 0 && seconds > 0 {
+	if seconds := f.now().Seconds(); f.e.ProbeInterval > 0 && seconds > 0 {
 		datagrams, bytes, most := f.mesh.Traffic()
 		n := float64(len(f.nodes))
 		r.Cost.Datagrams, r.Cost.DatagramBytes, r.Cost.MostBytes = float64(datagrams)/seconds/n, float64(bytes)/seconds/n, float64(most)/seconds
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -97,11 +97,11 @@
 	f, id := h.fleet, r.Header.Get("X-Request-Id")
 	h.mu.Lock()
 	s, incarnation := h.server, h.life
-	t := f.audit.Send(id, s.ID, h.place, zone != s.Zone, f.of(c.Stamp()))
+	t := f.audit.RecordAttempt(id, s.ID, h.place, zone != s.Zone, f.of(c.LastArrival()))
 	if h.down != "" { // its process or machine is gone: what was on its way is lost
 		h.mu.Unlock()
-		<-c.Gone()
-		f.audit.Over(t, f.of(c.Ended()), "its server was gone")
+		<-c.CloseDelivered()
+		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "its server was gone")
 		return false
 	}
 	v := &visit{attempt: t, conn: c, done: make(chan struct{})}
@@ -114,26 +114,26 @@
 	case world.Queued:
 		h.visits[j] = v
 	case world.Failed, world.Hung:
-		f.audit.Run(t)
+		f.audit.RecordRun(t)
 	}
 	load := h.load()
 	h.mu.Unlock()
 	switch verdict {
-	case world.TurnedAway:
+	case world.Rejected:
 		return h.say(c, t, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
 	case world.Failed:
 		return h.say(c, t, "500 Internal Server Error", load, "", "error")
 	case world.Hung:
-		<-c.Gone()
-		f.audit.Over(t, f.of(c.Ended()), "given up")
+		<-c.CloseDelivered()
+		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
 		return false
 	}
 	select {
 	case <-v.done:
-	case <-c.Gone():
-		f.audit.Over(t, f.of(c.Ended()), "given up")
+	case <-c.CloseDelivered():
+		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
 		h.mu.Lock()
-		s.Leave(j)
+		s.Abandon(j)
 		h.mu.Unlock()
 		return false
 	}
@@ -141,8 +141,8 @@
 	gone, load := h.life != incarnation || h.down != "", h.load()
 	h.mu.Unlock()
 	if gone {
-		<-c.Gone()
-		f.audit.Over(t, f.of(c.Ended()), "its server was gone")
+		<-c.CloseDelivered()
+		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "its server was gone")
 		return false
 	}
 	return h.say(c, t, "200 OK", load, s.ID+" "+id, "served")
@@ -155,7 +155,7 @@
 	h.asked++
 	h.mu.Unlock()
 	if down {
-		<-c.Gone()
+		<-c.CloseDelivered()
 		return false
 	}
 	status, body := "200 OK", strings.TrimPrefix(load, "X-Load: ")
@@ -167,7 +167,7 @@
 
 // load is the report that goes with an answer. The caller holds mu.
 func (h *host) load() string {
-	if !h.server.Spec.Reports {
+	if !h.server.Spec.ReportsLoad {
 		return ""
 	}
 	return fmt.Sprintf("X-Load: TEXT inflight=%d, queue=%d\r\n", h.server.Working()+h.server.Waiting(), h.server.Waiting())
@@ -179,7 +179,7 @@
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	over := make(chan struct{})
 	err := c.Send([]byte(text), func(at time.Time) {
-		f.audit.Over(t, f.of(at), how)
+		f.audit.RecordEnd(t, f.of(at), how)
 		close(over)
 	})
 	if err != nil {
@@ -188,8 +188,8 @@
 	select {
 	case <-over:
 		return true
-	case <-c.Gone():
-		f.audit.Over(t, f.of(c.Ended()), "given up")
+	case <-c.CloseDelivered():
+		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
 		return false
 	}
 }
@@ -197,8 +197,8 @@
 // work has a job that began end in time. The caller holds mu.
 func (h *host) work(j *world.Job, v *visit) {
 	f, s := h.fleet, h.server
-	f.audit.Run(v.attempt)
-	time.AfterFunc(j.Ends-f.now(), func() {
+	f.audit.RecordRun(v.attempt)
+	time.AfterFunc(j.EndsAt-f.now(), func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		close(v.done)
@@ -219,12 +219,12 @@
 	f := h.fleet
 	h.mu.Lock()
 	switch ft.Kind {
-	case experiment.Crash, experiment.Lose:
+	case experiment.Crash, experiment.MachineLoss:
 		h.down = ft.Kind
 		h.life++
 	case experiment.Hang, experiment.Errors:
 		h.server.Fault = ft.Kind
-	case experiment.Drag:
+	case experiment.Slowdown:
 		h.server.Factor = ft.Factor
 	case experiment.Replace:
 		h.state = balancer.Draining
@@ -237,20 +237,20 @@
 	f.reshape()
 	if ft.Kind == experiment.Crash {
 		for _, r := range h.relays {
-			r.Break()
+			r.ResetAll()
 		}
 	}
 }
 
 func (h *host) heal(ft experiment.Fault) {
 	switch ft.Kind {
-	case experiment.Crash, experiment.Lose:
+	case experiment.Crash, experiment.MachineLoss:
 		h.renew(false)
 	case experiment.Hang, experiment.Errors:
 		h.mu.Lock()
 		h.server.Fault = ""
 		h.mu.Unlock()
-	case experiment.Drag:
+	case experiment.Slowdown:
 		h.mu.Lock()
 		h.server.Factor = 1
 		h.mu.Unlock()
@@ -264,8 +264,8 @@
 	f.mu.Lock()
 	h.mu.Lock()
 	old := h.server
-	f.audit.LifeOver(old, f.now())
-	h.server = f.world.Renew(h.place, f.now(), replacement)
+	f.audit.RecordServerEnd(old, f.now())
+	h.server = f.world.Replace(h.place, f.now(), replacement)
 	h.state, h.down = balancer.Ready, ""
 	h.life++
 	if replacement {
@@ -276,7 +276,7 @@
 	h.mu.Unlock()
 	f.mu.Unlock()
 	for _, r := range h.relays {
-		r.Break()
+		r.ResetAll()
 	}
 	f.reshape()
 	if replacement {
--- a/internal/faultbench/link/conn.go
+++ b/internal/faultbench/link/conn.go
@@ -9,10 +9,10 @@
 
 // piece is what goes through a link in one go.
 type piece struct {
-	data  []byte
-	in    time.Time // when it came into the link
-	due   time.Time
-	after func(time.Time) // told when it has gone out
+	data    []byte
+	arrived time.Time // when it came into the link
+	due     time.Time
+	onSent  func(time.Time) // told when it has gone out
 }
 
 // Conn is the far side of a connection. One goroutine reads, and one writes.
@@ -21,57 +21,57 @@
 	source string // IP address of the near side
 	tcp    *net.TCPConn
 
-	mu      sync.Mutex
-	pieces  []piece // that came from the near side
-	held    int     // bytes of them
-	ended   bool    // the near side has closed; nothing more comes
-	broken  bool    // by the relay: what was under way is lost
-	endedAt time.Time
-	there   lane
-	back    lane
-	wake    chan struct{}
-	gone    chan struct{} // closed when the far side sees the near side's end
-	stamp   time.Time
-	out     chan piece
-	once    sync.Once
+	mu             sync.Mutex
+	pieces         []piece // that came from the near side
+	buffered       int     // bytes of them
+	nearClosed     bool    // the near side has closed; nothing more comes
+	broken         bool    // by the relay: what was under way is lost
+	nearClosedAt   time.Time
+	forward        delayLine
+	backward       delayLine
+	wake           chan struct{}
+	closeDelivered chan struct{} // closed when the far side sees the near side's end
+	lastArrival    time.Time
+	outgoing       chan piece
+	once           sync.Once
 }
 
 // most that a connection holds in one direction.
-const most = 256 << 10
+const maxBuffered = 256 << 10
 
 // Gone is closed once the far side sees that the near side has closed.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+func (c *Conn) CloseDelivered() <-chan struct{} { return c.closeDelivered }
 
 // Stamp is when the bytes that were read last had come into the link.
-func (c *Conn) Stamp() time.Time {
+func (c *Conn) LastArrival() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.stamp
+	return c.lastArrival
 }
 
 // Ended is when the near side closed the connection, whether the far side can know yet or not; zero: it has not.
-func (c *Conn) Ended() time.Time {
+func (c *Conn) NearClosedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.endedAt
+	return c.nearClosedAt
 }
 
 // state is the shape of the link for this connection.
-func (c *Conn) state() (Shape, <-chan struct{}, bool) {
+func (c *Conn) currentShape() (Shape, <-chan struct{}, bool) {
 	r := c.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.shape
-	if own, ok := r.from[c.source]; ok {
-		s = s.Over(own)
+	if own, ok := r.sourceShapes[c.source]; ok {
+		s = s.Combine(own)
 	}
 	return s, r.changed, r.closed
 }
 
 // pass waits until a piece is due and its direction is open. false: the relay has closed.
-func (c *Conn) pass(due time.Time, cut func(Shape) bool) bool {
+func (c *Conn) waitUntilOpen(due time.Time, cut func(Shape) bool) bool {
 	for {
-		s, changed, closed := c.state()
+		s, changed, closed := c.currentShape()
 		if closed {
 			return false
 		}
@@ -92,9 +92,9 @@
 	}
 }
 
-func cutThere(s Shape) bool { return s.CutThere }
+func cutThere(s Shape) bool { return s.CutForward }
 
-func cutBack(s Shape) bool { return s.CutBack }
+func cutBack(s Shape) bool { return s.CutReturn }
 
 // read takes what the near side sends into the link.
 func (c *Conn) read() {
@@ -103,39 +103,39 @@
 	for {
 		n, err := c.tcp.Read(buf)
 		now := time.Now()
-		s, _, _ := c.state()
+		s, _, _ := c.currentShape()
 		c.mu.Lock()
-		due := c.there.due(now, n, s, c.relay.dice)
+		due := c.forward.deliveryTime(now, n, s, c.relay.dice)
 		if n > 0 && !c.broken {
-			c.pieces = append(c.pieces, piece{data: append([]byte(nil), buf[:n]...), in: now, due: due})
-			c.held += n
+			c.pieces = append(c.pieces, piece{data: append([]byte(nil), buf[:n]...), arrived: now, due: due})
+			c.buffered += n
 		}
 		if err != nil {
-			c.ended, c.endedAt = true, now
+			c.nearClosed, c.nearClosedAt = true, now
 		}
-		full := c.held > most
+		full := c.buffered > maxBuffered
 		c.mu.Unlock()
-		c.ring()
+		c.notify()
 		if err != nil {
-			if c.pass(due, cutThere) {
-				close(c.gone)
-				c.ring()
+			if c.waitUntilOpen(due, cutThere) {
+				close(c.closeDelivered)
+				c.notify()
 			}
 			return
 		}
 		for full { // nobody reads: the near side has to wait
 			time.Sleep(5 * time.Millisecond)
 			c.mu.Lock()
-			full = c.held > most && !c.ended
+			full = c.buffered > maxBuffered && !c.nearClosed
 			c.mu.Unlock()
-			if _, _, closed := c.state(); closed {
+			if _, _, closed := c.currentShape(); closed {
 				return
 			}
 		}
 	}
 }
 
-func (c *Conn) ring() {
+func (c *Conn) notify() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -149,7 +149,7 @@
 		if len(c.pieces) > 0 {
 			due := c.pieces[0].due
 			c.mu.Unlock()
-			if !c.pass(due, cutThere) {
+			if !c.waitUntilOpen(due, cutThere) {
 				return 0, net.ErrClosed
 			}
 			c.mu.Lock()
@@ -160,24 +160,24 @@
 			first := &c.pieces[0]
 			n := copy(p, first.data)
 			first.data = first.data[n:]
-			c.held -= n
-			c.stamp = first.in
+			c.buffered -= n
+			c.lastArrival = first.arrived
 			if len(first.data) == 0 {
 				c.pieces = c.pieces[1:]
 			}
 			c.mu.Unlock()
 			return n, nil
 		}
-		ended, broken := c.ended, c.broken
+		ended, broken := c.nearClosed, c.broken
 		c.mu.Unlock()
 		if broken {
 			return 0, net.ErrClosed
 		}
-		if _, changed, closed := c.state(); closed {
+		if _, changed, closed := c.currentShape(); closed {
 			return 0, net.ErrClosed
 		} else if ended {
 			select {
-			case <-c.gone:
+			case <-c.closeDelivered:
 				return 0, io.EOF
 			case <-changed:
 			}
@@ -194,21 +194,21 @@
 // Send has bytes go to the near side; after is told when the last has been handed to its socket. It blocks only when
 // much is under way.
 func (c *Conn) Send(data []byte, after func(time.Time)) error {
-	s, changed, closed := c.state()
+	s, changed, closed := c.currentShape()
 	if closed {
 		return net.ErrClosed
 	}
 	now := time.Now()
 	c.mu.Lock()
-	due := c.back.due(now, len(data), s, c.relay.dice)
+	due := c.backward.deliveryTime(now, len(data), s, c.relay.dice)
 	c.mu.Unlock()
-	p := piece{data: append([]byte(nil), data...), in: now, due: due, after: after}
+	p := piece{data: append([]byte(nil), data...), arrived: now, due: due, onSent: after}
 	for {
 		select {
-		case c.out <- p:
+		case c.outgoing <- p:
 			return nil
 		case <-changed:
-			if _, changed, closed = c.state(); closed {
+			if _, changed, closed = c.currentShape(); closed {
 				return net.ErrClosed
 			}
 		}
@@ -232,9 +232,9 @@
 		delete(c.relay.conns, c)
 		c.relay.mu.Unlock()
 	}()
-	for p := range c.out {
-		if !c.pass(p.due, cutBack) {
-			for range c.out {
+	for p := range c.outgoing {
+		if !c.waitUntilOpen(p.due, cutBack) {
+			for range c.outgoing {
 			}
 			return
 		}
@@ -242,25 +242,25 @@
 			c.tcp.SetLinger(0)
 			continue
 		}
-		if _, err := c.tcp.Write(p.data); err == nil && p.after != nil {
-			p.after(time.Now())
+		if _, err := c.tcp.Write(p.data); err == nil && p.onSent != nil {
+			p.onSent(time.Now())
 		}
 	}
-	c.pass(time.Time{}, cutBack)
+	c.waitUntilOpen(time.Time{}, cutBack)
 }
 
 // Break resets the connection, once all before it has gone out.
-func (c *Conn) Break() {
-	s, _, _ := c.state()
+func (c *Conn) Reset() {
+	s, _, _ := c.currentShape()
 	c.mu.Lock()
-	due := c.back.due(time.Now(), 0, s, c.relay.dice)
+	due := c.backward.deliveryTime(time.Now(), 0, s, c.relay.dice)
 	c.mu.Unlock()
 	select {
-	case c.out <- piece{due: due}:
+	case c.outgoing <- piece{due: due}:
 	default:
 	}
 	c.Close()
 }
 
 // Close ends the connection in order, once all before it has gone out. Nothing may be sent afterwards.
-func (c *Conn) Close() { c.once.Do(func() { close(c.out) }) }
+func (c *Conn) Close() { c.once.Do(func() { close(c.outgoing) }) }
--- a/internal/faultbench/link/forward.go
+++ b/internal/faultbench/link/forward.go
@@ -8,11 +8,11 @@
 )
 
 // Forward opens a relay whose far side is an address of another process: connections go on there, through the link.
-func Forward(addr, to string, dice *Dice) (*Relay, error) {
+func Forward(addr, to string, dice *Random) (*Relay, error) {
 	return Listen(addr, dice, func(c *Conn) {
 		far, err := net.DialTimeout("tcp4", to, time.Second)
 		if err != nil {
-			c.Break()
+			c.Reset()
 			return
 		}
 		defer far.Close()
@@ -28,7 +28,7 @@
 		go func() {
 			defer both.Done()
 			if _, err := io.Copy(c, far); err != nil {
-				c.Break()
+				c.Reset()
 				return
 			}
 			c.Close()
--- a/internal/faultbench/link/mesh_test.go
+++ b/internal/faultbench/link/mesh_test.go
@@ -58,7 +58,7 @@
 func TestDatagramsComeFromTheSendersAddressAndFailAsTheShapeSays(t *testing.T) {
 	var mu sync.Mutex
 	shapes := map[string]Shape{}
-	m := NewMesh(NewDice(5), func(from, to string) Shape {
+	m := NewMesh(NewRandom(5), func(from, to string) Shape {
 		mu.Lock()
 		defer mu.Unlock()
 		return shapes[from+to]
@@ -80,7 +80,7 @@
 		t.Fatalf("x heard %v", got)
 	}
 
-	shape("ab", Shape{CutThere: true}) // one way
+	shape("ab", Shape{CutForward: true}) // one way
 	x.send(t, y.seen, "lost")
 	y.send(t, x.seen, "comes")
 	if got, _ := x.hears(1); len(got) != 1 {
@@ -90,7 +90,7 @@
 		t.Errorf("the way that is cut brought %v", got)
 	}
 
-	shape("ab", Shape{Double: 1})
+	shape("ab", Shape{Duplicate: 1})
 	x.send(t, y.seen, "twice")
 	if got, _ := y.hears(2); len(got) != 2 {
 		t.Errorf("%v; want it twice", got)
--- a/internal/faultbench/link/relay.go
+++ b/internal/faultbench/link/relay.go
@@ -14,25 +14,25 @@
 // the far side of the link.
 type Relay struct {
 	addr  string
-	dice  *Dice
+	dice  *Random
 	serve func(*Conn)
 
-	mu      sync.Mutex
-	shape   Shape
-	from    map[string]Shape // on top, for connections from an IP address
-	changed chan struct{}    // closed at each change
-	ln      *net.TCPListener
-	filler  net.Conn // fills the accept queue while the link is cut
-	conns   map[*Conn]bool
-	closed  bool
-	work    sync.WaitGroup
+	mu            sync.Mutex
+	shape         Shape
+	sourceShapes  map[string]Shape // on top, for connections from an IP address
+	changed       chan struct{}    // closed at each change
+	ln            *net.TCPListener
+	backlogFiller net.Conn // fills the accept queue while the link is cut
+	conns         map[*Conn]bool
+	closed        bool
+	work          sync.WaitGroup
 }
 
 // backlog of a listener that takes connections.
 const backlog = 1024
 
 // Listen opens a relay at an address; port 0 lets the system choose. serve runs on a goroutine of its own for each connection.
-func Listen(addr string, dice *Dice, serve func(*Conn)) (*Relay, error) {
+func Listen(addr string, dice *Random, serve func(*Conn)) (*Relay, error) {
 	r := &Relay{addr: addr, dice: dice, serve: serve, changed: make(chan struct{}), conns: map[*Conn]bool{}}
 	if err := r.open(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	defer r.work.Done()
 	for {
 		r.mu.Lock()
-		for r.shape.silent() && !r.closed && r.ln == ln {
+		for r.shape.hasCut() && !r.closed && r.ln == ln {
 			changed := r.changed
 			r.mu.Unlock()
 			<-changed
@@ -97,16 +97,16 @@
 		if err != nil {
 			continue // woken for a change
 		}
-		r.take(c)
+		r.handleConn(c)
 	}
 }
 
-func (r *Relay) take(c *net.TCPConn) {
+func (r *Relay) handleConn(c *net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.filler != nil && c.RemoteAddr().String() == r.filler.LocalAddr().String() {
-		r.filler.Close()
-		r.filler = nil
+	if r.backlogFiller != nil && c.RemoteAddr().String() == r.backlogFiller.LocalAddr().String() {
+		r.backlogFiller.Close()
+		r.backlogFiller = nil
 		c.Close()
 		return
 	}
@@ -119,12 +119,12 @@
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		source = a.IP.String()
 	}
-	if r.from[source].Reset {
+	if r.sourceShapes[source].Reset {
 		c.SetLinger(0)
 		c.Close()
 		return
 	}
-	k := &Conn{relay: r, source: source, tcp: c, gone: make(chan struct{}), wake: make(chan struct{}, 1), out: make(chan piece, 64)}
+	k := &Conn{relay: r, source: source, tcp: c, closeDelivered: make(chan struct{}), wake: make(chan struct{}, 1), outgoing: make(chan piece, 64)}
 	r.conns[k] = true
 	r.work.Add(3)
 	go k.read()
@@ -159,20 +159,20 @@
 	}
 	switch {
 	case s.Refuse && !was.Refuse:
-		r.dropFiller()
+		r.closeBacklogFiller()
 		r.ln.Close()
 		r.ln = nil
 	case !s.Refuse && was.Refuse:
 		if err := r.open(); err != nil {
 			return err
 		}
-		if s.silent() {
-			return r.fill()
+		if s.hasCut() {
+			return r.fillBacklog()
 		}
 	case s.Refuse:
-	case s.silent() && !was.silent():
-		return r.fill()
-	case !s.silent() && was.silent():
+	case s.hasCut() && !was.hasCut():
+		return r.fillBacklog()
+	case !s.hasCut() && was.hasCut():
 		r.ln.SetDeadline(time.Time{})
 		if err := r.setBacklog(backlog); err != nil {
 			return err
@@ -183,66 +183,66 @@
 
 // SetFrom gives the link another shape for what comes from one IP address, on top of Set's. A connection that is cut so does
 // come up, and says nothing.
-func (r *Relay) SetFrom(ip string, s Shape) {
+func (r *Relay) SetForSource(ip string, s Shape) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.from[ip] == s {
+	if r.closed || r.sourceShapes[ip] == s {
 		return
 	}
-	if r.from == nil {
-		r.from = map[string]Shape{}
+	if r.sourceShapes == nil {
+		r.sourceShapes = map[string]Shape{}
 	}
-	was := r.from[ip]
-	r.from[ip] = s
+	was := r.sourceShapes[ip]
+	r.sourceShapes[ip] = s
 	close(r.changed)
 	r.changed = make(chan struct{})
 	if s.Reset && !was.Reset {
-		r.breakFrom(ip)
+		r.resetFrom(ip)
 	}
 }
 
 // fill keeps new connections from coming up: the accept loop stops, the queue gets room for one, and that one is ours.
 // The caller holds mu.
-func (r *Relay) fill() error {
+func (r *Relay) fillBacklog() error {
 	r.ln.SetDeadline(time.Unix(1, 0)) // until the cut is over: the runtime forgets one that is taken back at once
 	if err := r.setBacklog(0); err != nil {
 		return err
 	}
 	c, err := net.DialTimeout("tcp4", r.addr, 100*time.Millisecond)
 	if err == nil {
-		r.filler = c
+		r.backlogFiller = c
 	}
 	return nil // a queue that is full already needs no filler
 }
 
 // dropFiller is called with mu held.
-func (r *Relay) dropFiller() {
-	if r.filler != nil {
-		r.filler.Close()
-		r.filler = nil
+func (r *Relay) closeBacklogFiller() {
+	if r.backlogFiller != nil {
+		r.backlogFiller.Close()
+		r.backlogFiller = nil
 	}
 }
 
 // reset breaks all connections, with all that was under way on them. The caller holds mu.
-func (r *Relay) reset() { r.breakFrom("") }
+func (r *Relay) reset() { r.resetFrom("") }
 
 // breakFrom breaks the connections from an address; empty: all. The caller holds mu.
-func (r *Relay) breakFrom(ip string) {
+func (r *Relay) resetFrom(ip string) {
 	for c := range r.conns {
 		if ip != "" && c.source != ip {
 			continue
 		}
 		c.mu.Lock()
-		c.pieces, c.held, c.broken = nil, 0, true
+		c.pieces, c.buffered, c.broken = nil, 0, true
 		c.mu.Unlock()
 		c.tcp.SetLinger(0)
 		c.tcp.Close()
-		c.ring()
+		c.notify()
 	}
 }
 
 // Break resets all connections, as a machine does that is back and knows nothing of them.
-func (r *Relay) Break() {
+func (r *Relay) ResetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
@@ -256,7 +256,7 @@
 		close(r.changed)
 		r.changed = make(chan struct{})
 		close(r.changed)
-		r.dropFiller()
+		r.closeBacklogFiller()
 		if r.ln != nil {
 			r.ln.Close()
 		}
--- a/internal/faultbench/link/relay_test.go
+++ b/internal/faultbench/link/relay_test.go
@@ -21,7 +21,7 @@
 func echo(t *testing.T) (*Relay, *atomic.Int32) {
 	t.Helper()
 	heard := &atomic.Int32{}
-	r, err := Listen("127.0.0.1:0", NewDice(1), func(c *Conn) {
+	r, err := Listen("127.0.0.1:0", NewRandom(1), func(c *Conn) {
 		in := bufio.NewReader(c)
 		for {
 			line, err := in.ReadString('\n')
@@ -101,7 +101,7 @@
 	r, heard := echo(t)
 	c := dial(t, r)
 	talk(t, c, "before")
-	set(t, r, Shape{CutThere: true, CutBack: true})
+	set(t, r, Shape{CutForward: true, CutReturn: true})
 	say(t, c, "during")
 	silent(t, c)
 	if n := heard.Load(); n != 1 {
@@ -123,11 +123,11 @@
 	r, heard := echo(t)
 	c := dial(t, r)
 	talk(t, c, "one")
-	set(t, r, Shape{CutBack: true})
+	set(t, r, Shape{CutReturn: true})
 	say(t, c, "two")
 	testpeer.Until(t, "that the far side hears through a cut of the way back", func() bool { return heard.Load() == 2 })
 	silent(t, c)
-	set(t, r, Shape{CutThere: true})
+	set(t, r, Shape{CutForward: true})
 	hear(t, c, "two")
 	say(t, c, "three")
 	silent(t, c)
@@ -147,7 +147,7 @@
 		t.Errorf("a new connection: %v; want it refused", err)
 	}
 	talk(t, c, "two") // one that is up stays
-	set(t, r, Shape{Refuse: true, CutThere: true, CutBack: true})
+	set(t, r, Shape{Refuse: true, CutForward: true, CutReturn: true})
 	set(t, r, Shape{})
 	k := dial(t, r)
 	talk(t, k, "three")
@@ -163,7 +163,7 @@
 	r, heard := echo(t)
 	c := dial(t, r)
 	talk(t, c, "one")
-	set(t, r, Shape{CutThere: true, CutBack: true})
+	set(t, r, Shape{CutForward: true, CutReturn: true})
 	say(t, c, "two")
 	r.mu.Lock()
 	far := r.conns
@@ -173,7 +173,7 @@
 		defer r.mu.Unlock()
 		for k := range far {
 			k.mu.Lock()
-			held := k.held
+			held := k.buffered
 			k.mu.Unlock()
 			if held > 0 {
 				return true
@@ -181,7 +181,7 @@
 		}
 		return false
 	})
-	r.Break()
+	r.ResetAll()
 	set(t, r, Shape{})
 	testpeer.Until(t, "that no connection is left", func() bool { return r.Connections() == 0 })
 	if n := heard.Load(); n != 1 {
@@ -191,9 +191,9 @@
 
 func TestTheFarSideLearnsOfACloseOnlyThroughAnOpenLink(t *testing.T) {
 	conns := make(chan *Conn, 1)
-	r, err := Listen("127.0.0.1:0", NewDice(1), func(c *Conn) {
+	r, err := Listen("127.0.0.1:0", NewRandom(1), func(c *Conn) {
 		conns <- c
-		<-c.Gone()
+		<-c.CloseDelivered()
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -201,17 +201,17 @@
 	defer r.Close()
 	c := dial(t, r)
 	far := <-conns
-	set(t, r, Shape{CutThere: true})
+	set(t, r, Shape{CutForward: true})
 	c.Close()
-	testpeer.Until(t, "that the relay sees the close", func() bool { return !far.Ended().IsZero() })
+	testpeer.Until(t, "that the relay sees the close", func() bool { return !far.NearClosedAt().IsZero() })
 	select {
-	case <-far.Gone():
+	case <-far.CloseDelivered():
 		t.Error("the far side learned of a close through a cut")
 	case <-time.After(short):
 	}
 	set(t, r, Shape{})
 	select {
-	case <-far.Gone():
+	case <-far.CloseDelivered():
 	case <-time.After(testpeer.Limit):
 		t.Error("the far side never learned of the close")
 	}
@@ -223,7 +223,7 @@
 		least time.Duration
 	}{
 		"a delay each way":        {Shape{Delay: 40 * time.Millisecond}, 80 * time.Millisecond},
-		"a loss is a resend late": {Shape{Loss: 1}, 2 * Resend},
+		"a loss is a resend late": {Shape{Loss: 1}, 2 * RetransmitDelay},
 		"a narrow link":           {Shape{Bandwidth: 100}, 100 * time.Millisecond}, // 5 bytes and a line's end each way
 	} {
 		r, _ := echo(t)
@@ -238,12 +238,12 @@
 }
 
 func TestALaneKeepsTheOrder(t *testing.T) {
-	var l lane
+	var l delayLine
 	now, last := time.Now(), time.Time{}
-	d := NewDice(3)
+	d := NewRandom(3)
 	for range 1000 {
 		now = now.Add(time.Millisecond)
-		at := l.due(now, 10, Shape{Delay: time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.1, Bandwidth: 20000}, d)
+		at := l.deliveryTime(now, 10, Shape{Delay: time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.1, Bandwidth: 20000}, d)
 		if at.Before(last) || at.Before(now.Add(time.Millisecond)) {
 			t.Fatalf("a piece that goes in at %v comes at %v, the one before at %v", now, at, last)
 		}
--- a/internal/faultbench/link/shape.go
+++ b/internal/faultbench/link/shape.go
@@ -12,29 +12,29 @@
 
 // Shape is how a link is now. The zero Shape is a perfect one.
 type Shape struct {
-	CutThere  bool // nothing from the near side (a node) comes to the far side
-	CutBack   bool // nothing from the far side comes to the near one
-	Reset     bool
-	Refuse    bool
-	Delay     time.Duration // one way
-	Jitter    time.Duration // evenly from 0 to this on top
-	Loss      float64       // share of pieces; of a stream they come Resend later, datagrams don't come
-	Double    float64       // share of datagrams that come twice
-	Reorder   float64       // share of datagrams that are held back by up to Delay + Jitter + 10 ms more
-	Bandwidth int64         // bytes a second one way; 0: no bound
+	CutForward bool // nothing from the near side (a node) comes to the far side
+	CutReturn  bool // nothing from the far side comes to the near one
+	Reset      bool
+	Refuse     bool
+	Delay      time.Duration // one way
+	Jitter     time.Duration // evenly from 0 to this on top
+	Loss       float64       // share of pieces; of a stream they come Resend later, datagrams don't come
+	Duplicate  float64       // share of datagrams that come twice
+	Reorder    float64       // share of datagrams that are held back by up to Delay + Jitter + 10 ms more
+	Bandwidth  int64         // bytes a second one way; 0: no bound
 }
 
 // Resend is how much later a lost piece of a stream comes: the least that Linux waits for an acknowledgement.
-const Resend = 200 * time.Millisecond
+const RetransmitDelay = 200 * time.Millisecond
 
-func (s Shape) silent() bool { return s.CutThere || s.CutBack }
+func (s Shape) hasCut() bool { return s.CutForward || s.CutReturn }
 
 // Over is both shapes at once.
-func (s Shape) Over(o Shape) Shape {
-	s.CutThere, s.CutBack = s.CutThere || o.CutThere, s.CutBack || o.CutBack
+func (s Shape) Combine(o Shape) Shape {
+	s.CutForward, s.CutReturn = s.CutForward || o.CutForward, s.CutReturn || o.CutReturn
 	s.Reset, s.Refuse = s.Reset || o.Reset, s.Refuse || o.Refuse
 	s.Delay, s.Jitter = s.Delay+o.Delay, s.Jitter+o.Jitter
-	s.Loss, s.Double, s.Reorder = max(s.Loss, o.Loss), max(s.Double, o.Double), max(s.Reorder, o.Reorder)
+	s.Loss, s.Duplicate, s.Reorder = max(s.Loss, o.Loss), max(s.Duplicate, o.Duplicate), max(s.Reorder, o.Reorder)
 	if s.Bandwidth == 0 || o.Bandwidth > 0 && o.Bandwidth < s.Bandwidth {
 		s.Bandwidth = o.Bandwidth
 	}
@@ -42,16 +42,16 @@
 }
 
 // Dice are draws that many links share.
-type Dice struct {
+type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
 // NewDice returns Dice of a seed.
-func NewDice(seed uint64) *Dice { return &Dice{rng: rand.New(rand.NewPCG(seed, 0xd1ce))} }
+func NewRandom(seed uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, 0xd1ce))} }
 
 // under says yes for a share of cases.
-func (d *Dice) under(share float64) bool {
+func (d *Random) occurs(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -61,7 +61,7 @@
 }
 
 // upTo draws a length of time.
-func (d *Dice) upTo(most time.Duration) time.Duration {
+func (d *Random) durationUpTo(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
 	}
@@ -71,25 +71,25 @@
 }
 
 // lane is one direction of a link: when what goes in now comes out.
-type lane struct{ free, last time.Time }
+type delayLine struct{ freeAt, lastDelivery time.Time }
 
 // due is when a piece of n bytes that goes in now comes out, never before the piece before it.
-func (l *lane) due(now time.Time, n int, s Shape, d *Dice) time.Time {
+func (l *delayLine) deliveryTime(now time.Time, n int, s Shape, d *Random) time.Time {
 	start := now
 	if s.Bandwidth > 0 {
-		if l.free.After(start) {
-			start = l.free
+		if l.freeAt.After(start) {
+			start = l.freeAt
 		}
 		start = start.Add(time.Duration(float64(n) / float64(s.Bandwidth) * float64(time.Second)))
-		l.free = start
+		l.freeAt = start
 	}
-	at := start.Add(s.Delay + d.upTo(s.Jitter))
-	if d.under(s.Loss) {
-		at = at.Add(Resend)
+	at := start.Add(s.Delay + d.durationUpTo(s.Jitter))
+	if d.occurs(s.Loss) {
+		at = at.Add(RetransmitDelay)
 	}
-	if at.Before(l.last) {
-		at = l.last
+	if at.Before(l.lastDelivery) {
+		at = l.lastDelivery
 	}
-	l.last = at
+	l.lastDelivery = at
 	return at
 }
--- a/internal/faultbench/links.go
+++ b/internal/faultbench/links.go
@@ -9,14 +9,14 @@
 
 // shape is how the link from a zone's nodes to the server at a place is now.
 func (f *fleet) shape(near, far string, place int) link.Shape {
-	l := f.e.Between(near, far)
+	l := f.e.LinkBetween(near, far)
 	s := link.Shape{Delay: l.Delay, Jitter: l.Jitter}
 	f.mu.Lock()
 	faults := slices.Clone(f.faults)
 	f.mu.Unlock()
 	for _, ft := range faults {
-		if ft.Lies(near, far) && (place < 0 || slices.Contains(ft.Struck(f.e.Seed, len(f.world.Servers)), place)) {
-			s = s.Over(shapeOf(ft))
+		if ft.AffectsLink(near, far) && (place < 0 || slices.Contains(ft.Select(f.e.Seed, len(f.world.Servers)), place)) {
+			s = s.Combine(shapeOf(ft))
 		}
 	}
 	return s
@@ -26,25 +26,25 @@
 func shapeOf(ft experiment.Fault) link.Shape {
 	switch ft.Kind {
 	case experiment.Cut:
-		return link.Shape{CutThere: true, CutBack: true}
-	case experiment.CutThere:
-		return link.Shape{CutThere: true}
-	case experiment.CutBack:
-		return link.Shape{CutBack: true}
+		return link.Shape{CutForward: true, CutReturn: true}
+	case experiment.CutForward:
+		return link.Shape{CutForward: true}
+	case experiment.CutReturn:
+		return link.Shape{CutReturn: true}
 	case experiment.Reset:
 		return link.Shape{Reset: true}
 	case experiment.Refuse:
 		return link.Shape{Refuse: true}
 	}
-	return link.Shape{Delay: ft.Delay, Jitter: ft.Jitter, Loss: ft.Loss, Double: ft.Double, Reorder: ft.Reorder, Bandwidth: ft.Bandwidth}
+	return link.Shape{Delay: ft.Delay, Jitter: ft.Jitter, Loss: ft.Loss, Duplicate: ft.Duplicate, Reorder: ft.Reorder, Bandwidth: ft.Bandwidth}
 }
 
 // betweenNodes is how datagrams go from one zone to another now: a cut between nodes and servers of two zones is one between
 // their nodes too.
 func (f *fleet) betweenNodes(from, to string) link.Shape {
 	s := f.shape(from, to, -1)
-	if f.shape(to, from, -1).CutBack { // what comes back there goes out here
-		s.CutThere = true
+	if f.shape(to, from, -1).CutReturn { // what comes back there goes out here
+		s.CutForward = true
 	}
 	return s
 }
@@ -60,15 +60,15 @@
 			switch down {
 			case experiment.Crash:
 				s = link.Shape{Refuse: true, Reset: true}
-			case experiment.Lose:
-				s.CutThere, s.CutBack = true, true
+			case experiment.MachineLoss:
+				s.CutForward, s.CutReturn = true, true
 			}
 			f.fail(r.Set(s))
 		}
 	}
 	for _, n := range f.nodes {
 		if n.agent != nil {
-			f.fail(n.agent.Set(f.shape(n.zone, experiment.RegistrySide, -1)))
+			f.fail(n.agent.Set(f.shape(n.zone, experiment.RegistryZone, -1)))
 		}
 	}
 }
--- a/internal/faultbench/list.go
+++ b/internal/faultbench/list.go
@@ -66,8 +66,8 @@
 	for _, h := range l.fleet.hosts {
 		h.mu.Lock()
 		t := target{UID: h.server.ID, Zone: h.server.Zone, Model: h.server.Spec.Name, State: stateNames[h.state], Size: h.server.Spec.Size, place: h.place}
-		if h.server.Born >= 0 {
-			t.Boot = float64(l.fleet.began.Load().Add(h.server.Born).UnixMilli())
+		if h.server.SlowStartAt >= 0 {
+			t.Boot = float64(l.fleet.began.Load().Add(h.server.SlowStartAt).UnixMilli())
 		}
 		h.mu.Unlock()
 		targets = append(targets, t)
@@ -150,13 +150,13 @@
 		select {
 		case <-t.C:
 		case <-changed:
-		case <-c.Gone():
+		case <-c.CloseDelivered():
 			t.Stop()
 			return v, false
 		}
 		t.Stop()
 		if muted { // what was asked while the agent was silent is lost
-			<-c.Gone()
+			<-c.CloseDelivered()
 			return v, false
 		}
 	}
@@ -191,7 +191,7 @@
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
 	return c.Send(append([]byte(head), text...), func(at time.Time) {
 		for _, id := range leaving {
-			f.audit.Told(n.index, id, f.of(at))
+			f.audit.RecordRemoval(n.index, id, f.of(at))
 		}
 	}) == nil
 }
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if f.e.Peers > 0 {
+	if f.e.ProbeInterval > 0 {
 		n.own = f.net.Address(140+n.index/200, 1+n.index%200, 7946)
 		if n.seen, err = f.mesh.Join(n.name(), n.zone, netip.MustParseAddrPort(n.own)); err != nil {
 			return err
@@ -80,7 +80,7 @@
 	f := n.fleet
 	d := nodefile.Node{Index: n.index, Copies: n.copies, Zone: n.zone, Listen: n.listen, Registry: n.agent.Addr()}
 	if n.key != nil {
-		d.Peers = &nodefile.Peers{Listen: n.own, Advertise: n.seen, KeyFile: "/proc/self/fd/4", Region: f.e.Region(n.zone), Seeds: f.seeds(), Period: f.e.Peers, Fresh: f.e.Fresh}
+		d.Peers = &nodefile.Peers{Listen: n.own, Advertise: n.seen, KeyFile: "/proc/self/fd/4", Region: f.e.ZoneRegion(n.zone), Seeds: f.seeds(), Period: f.e.ProbeInterval, Fresh: f.e.ZoneStateMaxAge}
 	}
 	return nodefile.Text(f.e, d)
 }
@@ -244,14 +244,14 @@
 	}
 	again := func(skew time.Duration) {
 		f.fail(n.start(ctx, skew))
-		f.audit.Excuse(audit.Excuse{Node: n.index, From: from, To: f.now()})
+		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: f.now()})
 	}
 	switch ft.Kind {
-	case experiment.Kill, experiment.Skew:
-		f.audit.Excuse(audit.Excuse{Node: n.index, From: from, To: ft.To})
+	case experiment.Kill, experiment.ClockSkew:
+		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: ft.To})
 		f.struck(Strike{ft.Name, n.index, from, ft.To})
 		n.stop(syscall.SIGKILL, 0)
-		if ft.Kind == experiment.Skew {
+		if ft.Kind == experiment.ClockSkew {
 			again(ft.Offset)
 			return
 		}
@@ -260,17 +260,17 @@
 			again(0)
 		}
 	case experiment.Stop:
-		f.audit.Excuse(audit.Excuse{Node: n.index, From: from, To: ft.To + 100*time.Millisecond})
+		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: ft.To + 100*time.Millisecond})
 		f.struck(Strike{ft.Name, n.index, from, ft.To})
 		f.fail(p.Signal(syscall.SIGSTOP))
 		f.await(ctx, ft.To)
 		f.fail(p.Signal(syscall.SIGCONT))
 	case experiment.Restart:
 		n.stop(syscall.SIGTERM, 15*time.Second)
-		f.audit.Excuse(audit.Excuse{Node: n.index, From: f.now() - 100*time.Millisecond, To: f.now()})
+		f.audit.RecordOutage(audit.Outage{Node: n.index, From: f.now() - 100*time.Millisecond, To: f.now()})
 		from = f.now()
 		again(0)
-	case experiment.Recount:
+	case experiment.ChangeNodeCount:
 		n.copies = ft.Count
 		text, err := n.text()
 		if err == nil {
--- a/internal/faultbench/nodefile/nodefile.go
+++ b/internal/faultbench/nodefile/nodefile.go
@@ -59,9 +59,9 @@
 {{range .Classes}}
 class "{{.Name}}" {
   effect   = "{{.Effect}}"
-  aim      = "{{.Aim}}"
+  aim      = "{{.LatencyObjective}}"
   deadline = "{{.Deadline}}"
-  worth    = {{.Worth}}
+  worth    = {{.PriorityWeight}}
 }
 {{end}}
 listener "callers" {
@@ -104,11 +104,11 @@
 
 // Text is the file of a node.
 func Text(e *experiment.Experiment, n Node) ([]byte, error) {
-	slowStarting := experiment.Servers{ColdFrom: 1}
+	slowStarting := experiment.Servers{SlowStartMinimum: 1}
 	reports := true
 	for _, g := range e.Servers {
-		reports = reports && g.Reports
-		if g.ColdOver > slowStarting.ColdOver { // of several, the longest holds
+		reports = reports && g.ReportsLoad
+		if g.SlowStartWindow > slowStarting.SlowStartWindow { // of several, the longest holds
 			slowStarting = g
 		}
 	}
@@ -126,7 +126,7 @@
 		ColdOver any
 		Reports  bool
 		Asks     int
-	}{n, e.Classes, slowStarting.ColdFrom, slowStarting.ColdOver, reports, e.NodeGroup(n.Index).Asks})
+	}{n, e.Classes, slowStarting.SlowStartMinimum, slowStarting.SlowStartWindow, reports, e.NodeGroup(n.Index).PollChoices})
 	if err != nil {
 		return nil, fmt.Errorf("the file of node %d: %w", n.Index, err)
 	}
--- a/internal/faultbench/report/report_test.go
+++ b/internal/faultbench/report/report_test.go
@@ -16,12 +16,12 @@
 // results are days of some seeds, with a figure that grows by seed and one that differs by a step between sets.
 func results(step float64, seeds ...uint64) (out []*faultbench.Result) {
 	for _, s := range seeds {
-		h := audit.Histogram()
+		h := audit.NewHistogram()
 		for i := range 100 {
 			h.RecordValue(int64(1000 * (i + 1)))
 		}
 		latency, _ := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-		out = append(out, &faultbench.Result{Version: faultbench.ResultVersion, Experiment: "day", Seed: s, Policy: "program", Figures: audit.Figures{
+		out = append(out, &faultbench.Result{Version: faultbench.ResultVersion, Experiment: "day", Seed: s, Policy: "program", Figures: audit.Metrics{
 			InAim: 0.5 + float64(s)/100 + step, P99: time.Duration(s) * time.Millisecond, Latency: latency,
 			BySecond: []audit.Second{{Calls: 2, InAim: 1}, {Calls: 2, InAim: 0.5}},
 			Series:   []audit.Point{{At: 0, Waiting: 1}, {At: time.Second, Waiting: 2}},
--- a/internal/faultbench/timetable.go
+++ b/internal/faultbench/timetable.go
@@ -40,7 +40,7 @@
 // run plays one fault from its beginning to its end.
 func (f *fleet) run(ctx context.Context, ft experiment.Fault) {
 	switch ft.Kind.Target() {
-	case experiment.OfLinks:
+	case experiment.TargetLinks:
 		f.mu.Lock()
 		f.faults = append(f.faults, ft)
 		f.mu.Unlock()
@@ -50,19 +50,19 @@
 		f.faults = slices.DeleteFunc(f.faults, func(o experiment.Fault) bool { return o.Name == ft.Name })
 		f.mu.Unlock()
 		f.reshape()
-	case experiment.OfRegistry:
+	case experiment.TargetRegistry:
 		f.list.mute(true)
 		f.await(ctx, ft.To)
 		f.list.mute(false)
-	case experiment.OfServers:
-		struck := f.e.Struck(ft)
+	case experiment.TargetServers:
+		struck := f.e.Targets(ft)
 		f.each(ctx, ft, len(struck), func(k int) { f.hosts[struck[k]].strike(ft) })
 		f.await(ctx, ft.To)
 		for _, i := range struck {
 			f.hosts[i].heal(ft)
 		}
-	case experiment.OfNodes:
-		struck := f.e.Struck(ft)
+	case experiment.TargetNodes:
+		struck := f.e.Targets(ft)
 		f.each(ctx, ft, len(struck), func(k int) { f.nodes[struck[k]].strike(ctx, ft) })
 	}
 }
@@ -74,7 +74,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			f.await(ctx, ft.From+ft.Over*time.Duration(k)/time.Duration(n))
+			f.await(ctx, ft.From+ft.OnsetSpread*time.Duration(k)/time.Duration(n))
 			if ctx.Err() == nil {
 				strike(k)
 			}
--- a/internal/faultbench/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	possible := 1 / e.Callers.Utilisation
+	possible := 1 / e.Clients.Utilisation
 	if figures.InAim < floorOfAll*possible {
 		found = append(found, fmt.Sprintf("all: %.3f served in time, want %.3f", figures.InAim, floorOfAll*possible))
 	}
@@ -35,9 +35,9 @@
 			found = append(found, underFloor(what+", "+e.Classes[i].Name, got, floor*possible)...)
 		}
 	}
-	check("the whole", e.WarmUp, e.Length(), floorOfClass)
+	check("the whole", e.WarmUp, e.TotalDuration(), floorOfClass)
 	const thirds = 3
-	length := (e.Length() - e.WarmUp) / thirds
+	length := (e.TotalDuration() - e.WarmUp) / thirds
 	for i := range thirds {
 		from := e.WarmUp + time.Duration(i)*length
 		check(fmt.Sprint("third ", i+1), from, from+length, floorOfThird)
@@ -46,7 +46,7 @@
 }
 
 // underFloor tells in what a class is served too little.
-func underFloor(what string, got audit.ClassFigures, floor float64) (found []string) {
+func underFloor(what string, got audit.ClassMetrics, floor float64) (found []string) {
 	if got.InAim < floor {
 		found = append(found, fmt.Sprintf("%s: %.3f of %d served in time, want %.3f", what, got.InAim, got.Calls, floor))
 	}
@@ -77,7 +77,7 @@
 // ofEachEffect are classes of each effect, some of them of little worth.
 func ofEachEffect() []experiment.Class {
 	class := func(name, effect string, share, weight float64) experiment.Class {
-		return experiment.Class{Name: name, Effect: effect, Aim: time.Second, Deadline: 3 * time.Second, Share: share, Worth: weight}
+		return experiment.Class{Name: name, Effect: effect, LatencyObjective: time.Second, Deadline: 3 * time.Second, Share: share, PriorityWeight: weight}
 	}
 	return []experiment.Class{class("view", "safe", 0.3, 12), class("list", "safe", 0.15, 1), class("note", "unsafe", 0.15, 4),
 		class("log", "unsafe", 0.1, 1), class("pay", "unsafe", 0.2, 6), class("mark", "unsafe", 0.1, 1)}
@@ -98,11 +98,11 @@
 // each with eight times the requests of the others.
 const loudNodes = 2
 
-func tenantOf(classes []experiment.Class, c audit.Call) string {
+func tenantOf(classes []experiment.Class, c audit.Request) string {
 	switch {
 	case c.Node < loudNodes:
 		return "loud"
-	case classes[c.Class].Worth == 1:
+	case classes[c.Class].PriorityWeight == 1:
 		return "of little worth"
 	case c.Node%2 == 0:
 		return "mixed"
@@ -111,17 +111,17 @@
 }
 
 // groupsOf are the groups of requests that have a floor each.
-func groupsOf(e *experiment.Experiment) map[string]func(audit.Call) string {
-	effect := func(c audit.Call) string {
+func groupsOf(e *experiment.Experiment) map[string]func(audit.Request) string {
+	effect := func(c audit.Request) string {
 		if slices.Contains(keyedClasses, e.Classes[c.Class].Name) {
 			return "keyed"
 		}
 		return e.Classes[c.Class].Effect
 	}
-	return map[string]func(audit.Call) string{
-		"class":  func(c audit.Call) string { return e.Classes[c.Class].Name },
+	return map[string]func(audit.Request) string{
+		"class":  func(c audit.Request) string { return e.Classes[c.Class].Name },
 		"effect": effect,
-		"tenant": func(c audit.Call) string { return tenantOf(e.Classes, c) },
+		"tenant": func(c audit.Request) string { return tenantOf(e.Classes, c) },
 	}
 }
 
@@ -132,13 +132,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late, _, err := Play(e, Late, nil)
+	late, _, err := Play(e, DelayedState, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for by, group := range groupsOf(e) {
-		got := played.By(e.WarmUp, e.Length(), group)
-		for name, want := range late.By(e.WarmUp, e.Length(), group) {
+		got := played.ByGroup(e.WarmUp, e.TotalDuration(), group)
+		for name, want := range late.ByGroup(e.WarmUp, e.TotalDuration(), group) {
 			t.Logf("%s, %s %s: %.3f of %d served in time, late-seeing %.3f", policy, by, name, got[name].InAim, got[name].Calls, want.InAim)
 			if want.InAim < 0.1 {
 				t.Errorf("%s %s: the late-seeing policy serves %.3f: it tells nothing", by, name, want.InAim)
@@ -160,19 +160,19 @@
 		faults      []experiment.Fault
 	}{
 		{"overload", 1.4, nil},
-		{"hang", 0.7, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Part: 0.25}}},
-		{"errors", 0.7, []experiment.Fault{{Kind: experiment.Errors, From: from, To: to, Part: 0.25}}},
-		{"lose", 0.7, []experiment.Fault{{Kind: experiment.Lose, From: from, To: to, Part: 0.25}}},
-		{"drag", 0.7, []experiment.Fault{{Kind: experiment.Drag, From: from, To: to, Part: 0.25, Factor: 5}}},
-		{"overload and hang", 1.2, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Part: 0.25}}},
+		{"hang", 0.7, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Fraction: 0.25}}},
+		{"errors", 0.7, []experiment.Fault{{Kind: experiment.Errors, From: from, To: to, Fraction: 0.25}}},
+		{"lose", 0.7, []experiment.Fault{{Kind: experiment.MachineLoss, From: from, To: to, Fraction: 0.25}}},
+		{"drag", 0.7, []experiment.Fault{{Kind: experiment.Slowdown, From: from, To: to, Fraction: 0.25, Factor: 5}}},
+		{"overload and hang", 1.2, []experiment.Fault{{Kind: experiment.Hang, From: from, To: to, Fraction: 0.25}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := load(t, "overload")
-			e.Classes, e.Callers.Utilisation, e.Faults = ofEachEffect(), c.utilisation, c.faults
+			e.Classes, e.Clients.Utilisation, e.Faults = ofEachEffect(), c.utilisation, c.faults
 			e.Measure, e.Nodes[0].Count, e.Servers[0].Count = 10*time.Second, e.Nodes[0].Count/2, e.Servers[0].Count/2
 			rest := e.Nodes[0]
 			loud := rest
-			loud.Name, loud.Count, loud.Times = "loud", loudNodes, 8
+			loud.Name, loud.Count, loud.RateFactor = "loud", loudNodes, 8
 			rest.Count -= loudNodes
 			e.Nodes = []experiment.Nodes{loud, rest}
 			for _, found := range underLate(t, e, experiment.Program) {
--- a/internal/faultbench/virtual/told.go
+++ b/internal/faultbench/virtual/loadexchange.go
@@ -8,17 +8,17 @@
 
 // Told is an exchange of counts between nodes: each is told how many requests the others have at each server, as things stood
 // Age ago. The zero value is none.
-type Told struct {
-	Age time.Duration
-	Cut float64 // share of the links from node to node over which nothing comes
+type LoadExchange struct {
+	Age      time.Duration
+	CutShare float64 // share of the links from node to node over which nothing comes
 }
 
 // links draws which nodes hear which.
-func (p *player) links() (hears [][]bool) {
+func (p *player) drawLinks() (hears [][]bool) {
 	for range p.nodes {
 		row := make([]bool, len(p.nodes))
 		for j := range row {
-			row[j] = p.rng.Float64() >= p.told.Cut
+			row[j] = p.rng.Float64() >= p.exchangeSettings.CutShare
 		}
 		hears = append(hears, row)
 	}
@@ -31,7 +31,7 @@
 	counts := make([][]float64, len(p.nodes))
 	for j, n := range p.nodes {
 		counts[j] = make([]float64, len(p.state))
-		for _, k := range n.calls {
+		for _, k := range n.requests {
 			for _, t := range k.attempts {
 				if !t.ended {
 					counts[j][t.place]++
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	p.at(p.now+p.told.Age, func() {
+	p.at(p.now+p.exchangeSettings.Age, func() {
 		for i, n := range p.nodes {
 			if n.balancer == nil {
 				continue
@@ -52,10 +52,10 @@
 						busy += counts[j][place]
 					}
 				}
-				known.Loads = append(known.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.told.Age})
+				known.Loads = append(known.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.exchangeSettings.Age})
 			}
 			p.handle(n, known)
 		}
 	})
-	p.at(p.now+p.told.Age, func() { p.exchange(hears) })
+	p.at(p.now+p.exchangeSettings.Age, func() { p.exchange(hears) })
 }
--- a/internal/faultbench/virtual/play_test.go
+++ b/internal/faultbench/virtual/play_test.go
@@ -32,7 +32,7 @@
 	return e
 }
 
-func play(t testing.TB, e *experiment.Experiment, p experiment.Policy, tune Tune) audit.Figures {
+func play(t testing.TB, e *experiment.Experiment, p experiment.Policy, tune Tune) audit.Metrics {
 	t.Helper()
 	a, f, err := Play(e, p, tune)
 	if err != nil {
@@ -66,7 +66,7 @@
 			t.Errorf("%s: %.3f; want at most %.3f", name, c.got, c.most)
 		}
 	}
-	for name, f := range map[string]audit.Figures{"own counts": own, "servers' words": words, "servers asked": asked} {
+	for name, f := range map[string]audit.Metrics{"own counts": own, "servers' words": words, "servers asked": asked} {
 		if w := f.Spread.Windows["10s"]; w.Least < w.ChanceLeast || w.Most > w.ChanceMost {
 			t.Errorf("%s: calls at a server lie between %.2f and %.2f of the mean, chance alone explains %.2f to %.2f", name, w.Least, w.Most, w.ChanceLeast, w.ChanceMost)
 		}
--- a/internal/faultbench/world/layout.go
+++ b/internal/faultbench/world/fleet.go
@@ -32,7 +32,7 @@
 }
 
 // Renew puts a new incarnation in the place of the i-th server: the same machine started anew or, as replacement, another id.
-func (f *Fleet) Renew(i int, now time.Duration, replacement bool) *Server {
+func (f *Fleet) Replace(i int, now time.Duration, replacement bool) *Server {
 	old := f.Servers[i]
 	id := old.ID
 	if replacement {
--- a/internal/faultbench/world/server.go
+++ b/internal/faultbench/world/server.go
@@ -11,51 +11,51 @@
 
 // Job is a request at a server, from its arrival until its work is over or it is taken back.
 type Job struct {
-	ID    string
-	Began time.Duration // of its work; negative: it waits
-	Ends  time.Duration // of its work
-	Lost  bool          // nobody waits for it: it left while in work, which goes on to the end
+	ID        string
+	StartedAt time.Duration // of its work; negative: it waits
+	EndsAt    time.Duration // of its work
+	Abandoned bool          // nobody waits for it: it left while in work, which goes on to the end
 
 	queued bool
 }
 
 // Verdict is what a server does with a request that arrives.
-type Verdict int
+type ArrivalResult int
 
 // Verdicts.
 const (
-	Started Verdict = iota
+	Started ArrivalResult = iota
 	Queued
-	TurnedAway // for want of room; it never runs
-	Failed     // answered with an error at once
-	Hung       // taken, and never answered
+	Rejected // for want of room; it never runs
+	Failed   // answered with an error at once
+	Hung     // taken, and never answered
 )
 
 // Cold-start rule: what comes to a server in slow start within a span stays under a multiple of what it could do by then.
 const (
-	ColdSpan     = time.Second
-	ColdMultiple = 3
-	coldSlack    = 4 // requests above that are chance
+	SlowStartSpan     = time.Second
+	SlowStartMultiple = 3
+	slowStartSlack    = 4 // requests above that are chance
 )
 
 // Server is one incarnation of a server: a machine of slots and a queue. It belongs to one goroutine or one lock.
 type Server struct {
-	Spec experiment.Servers
-	ID   string
-	Zone string
-	Born time.Duration // when it started cold; negative: long ago
+	Spec        experiment.Servers
+	ID          string
+	Zone        string
+	SlowStartAt time.Duration // when it started cold; negative: long ago
 
 	Fault  experiment.Kind // Hang, Errors or none
 	Factor float64         // of its times of work, by drag
 
-	rng     *rand.Rand
-	work    int
-	queue   []*Job
-	recent  []arrival // to a server in slow start, within the span
-	pushed  int
-	pressed float64
-	Ran     int // requests whose work began
-	Turned  int
+	rng                *rand.Rand
+	work               int
+	queue              []*Job
+	recent             []arrival // to a server in slow start, within the span
+	slowStartOverloads int
+	slowStartLoad      float64
+	Ran                int // requests whose work began
+	Rejected           int
 }
 
 type arrival struct {
@@ -65,21 +65,21 @@
 
 // NewServer returns a server that has nothing to do.
 func NewServer(spec experiment.Servers, id, zone string, born time.Duration, seed uint64) *Server {
-	return &Server{Spec: spec, ID: id, Zone: zone, Born: born, Factor: 1, rng: rand.New(rand.NewPCG(seed, 0x5e47e4))}
+	return &Server{Spec: spec, ID: id, Zone: zone, SlowStartAt: born, Factor: 1, rng: rand.New(rand.NewPCG(seed, 0x5e47e4))}
 }
 
 // Speed is the share of its full speed that it has, as it warms up.
 func (s *Server) Speed(now time.Duration) float64 {
-	if s.Born < 0 || s.Spec.ColdOver == 0 || now >= s.Born+s.Spec.ColdOver {
+	if s.SlowStartAt < 0 || s.Spec.SlowStartWindow == 0 || now >= s.SlowStartAt+s.Spec.SlowStartWindow {
 		return 1
 	}
-	return s.Spec.ColdFrom + (1-s.Spec.ColdFrom)*float64(now-s.Born)/float64(s.Spec.ColdOver)
+	return s.Spec.SlowStartMinimum + (1-s.Spec.SlowStartMinimum)*float64(now-s.SlowStartAt)/float64(s.Spec.SlowStartWindow)
 }
 
 // Arrive takes a request. After Started its work ends at job.Ends, when Finish is due.
-func (s *Server) Arrive(now time.Duration, j *Job) Verdict {
-	j.Began = -1
-	s.press(now)
+func (s *Server) Arrive(now time.Duration, j *Job) ArrivalResult {
+	j.StartedAt = -1
+	s.recordArrival(now)
 	switch {
 	case s.Fault == experiment.Errors:
 		return Failed
@@ -93,16 +93,16 @@
 		s.queue = append(s.queue, j)
 		return Queued
 	}
-	s.Turned++
-	return TurnedAway
+	s.Rejected++
+	return Rejected
 }
 
 func (s *Server) begin(now time.Duration, j *Job) {
 	s.work++
 	s.Ran++
-	took := s.Spec.Draw.Time(s.rng, s.Spec.Service)
-	j.queued, j.Began = false, now
-	j.Ends = now + time.Duration(float64(took)*s.Factor/s.Speed(now))
+	took := s.Spec.ServiceDistribution.Sample(s.rng, s.Spec.Service)
+	j.queued, j.StartedAt = false, now
+	j.EndsAt = now + time.Duration(float64(took)*s.Factor/s.Speed(now))
 }
 
 // Finish ends the work of a job that Arrive, Finish or Leave has started. It returns the next one whose work begins.
@@ -123,8 +123,8 @@
 }
 
 // Leave takes back a request that nobody waits for any more. One that waits never runs; work that has begun goes on.
-func (s *Server) Leave(j *Job) {
-	j.Lost = true
+func (s *Server) Abandon(j *Job) {
+	j.Abandoned = true
 	if !j.queued {
 		return
 	}
@@ -144,12 +144,12 @@
 func (s *Server) Waiting() int { return len(s.queue) }
 
 // press counts what comes to a server in slow start, all of it, whether it is taken or not.
-func (s *Server) press(now time.Duration) {
+func (s *Server) recordArrival(now time.Duration) {
 	if s.Speed(now) == 1 {
 		s.recent = nil
 		return
 	}
-	for len(s.recent) > 0 && s.recent[0].at <= now-ColdSpan {
+	for len(s.recent) > 0 && s.recent[0].at <= now-SlowStartSpan {
 		s.recent = s.recent[1:]
 	}
 	s.recent = append(s.recent, arrival{now, s.Spec.Service})
@@ -157,16 +157,16 @@
 	for _, a := range s.recent {
 		sent += a.work
 	}
-	can := float64(s.Spec.Slots)*s.Speed(now)*float64(ColdSpan)*ColdMultiple + coldSlack*float64(s.Spec.Service)
-	s.pressed = max(s.pressed, float64(sent)/can)
+	can := float64(s.Spec.Slots)*s.Speed(now)*float64(SlowStartSpan)*SlowStartMultiple + slowStartSlack*float64(s.Spec.Service)
+	s.slowStartLoad = max(s.slowStartLoad, float64(sent)/can)
 	if float64(sent) > can {
-		s.pushed++
+		s.slowStartOverloads++
 		s.recent = nil
 	}
 }
 
 // Pressed is the most that came to it within a span while it was cold, of what the rule allows.
-func (s *Server) Pressed() float64 { return s.pressed }
+func (s *Server) SlowStartLoad() float64 { return s.slowStartLoad }
 
 // PushedOver counts the spans in which more came to it while it was cold than the rule allows.
-func (s *Server) PushedOver() int { return s.pushed }
+func (s *Server) SlowStartOverloads() int { return s.slowStartOverloads }
--- a/internal/faultbench/world/server_test.go
+++ b/internal/faultbench/world/server_test.go
@@ -10,52 +10,52 @@
 const ms = time.Millisecond
 
 func spec() experiment.Servers {
-	return experiment.Servers{Slots: 2, Queue: 2, Service: 100 * ms, Draw: experiment.Constant, ColdFrom: 1}
+	return experiment.Servers{Slots: 2, Queue: 2, Service: 100 * ms, ServiceDistribution: experiment.Constant, SlowStartMinimum: 1}
 }
 
 func TestSlotsQueueAndTurningAway(t *testing.T) {
 	s := NewServer(spec(), "s", "a", -1, 1)
 	jobs := make([]*Job, 5)
-	for i, want := range []Verdict{Started, Started, Queued, Queued, TurnedAway} {
+	for i, want := range []ArrivalResult{Started, Started, Queued, Queued, Rejected} {
 		jobs[i] = &Job{}
 		if got := s.Arrive(time.Duration(i)*ms, jobs[i]); got != want {
 			t.Fatalf("call %d: verdict %d, want %d", i, got, want)
 		}
 	}
-	s.Leave(jobs[2]) // waits: it never runs
-	s.Leave(jobs[1]) // works: that goes on
+	s.Abandon(jobs[2]) // waits: it never runs
+	s.Abandon(jobs[1]) // works: that goes on
 	if s.Working() != 2 || s.Waiting() != 1 {
 		t.Fatalf("%d work and %d wait", s.Working(), s.Waiting())
 	}
-	if next := s.Finish(100*ms, jobs[0]); next != jobs[3] || next.Began != 100*ms || next.Ends != 200*ms {
+	if next := s.Finish(100*ms, jobs[0]); next != jobs[3] || next.StartedAt != 100*ms || next.EndsAt != 200*ms {
 		t.Fatalf("next is %+v, want the fourth call", next)
 	}
-	if next := s.Finish(101*ms, jobs[1]); next != nil || s.Working() != 1 || s.Ran != 3 || s.Turned != 1 {
-		t.Fatalf("next is %+v, %d work, %d ran, %d were turned away", next, s.Working(), s.Ran, s.Turned)
+	if next := s.Finish(101*ms, jobs[1]); next != nil || s.Working() != 1 || s.Ran != 3 || s.Rejected != 1 {
+		t.Fatalf("next is %+v, %d work, %d ran, %d were turned away", next, s.Working(), s.Ran, s.Rejected)
 	}
 }
 
 func TestColdServersAreSlowAndPushedOverByMoreThanTheyBear(t *testing.T) {
 	c := spec()
-	c.ColdFrom, c.ColdOver, c.Queue = 0.25, 10*time.Second, 1000
+	c.SlowStartMinimum, c.SlowStartWindow, c.Queue = 0.25, 10*time.Second, 1000
 	s := NewServer(c, "s", "a", 0, 1)
 	j := &Job{}
-	if s.Arrive(0, j); j.Ends != 400*ms {
-		t.Errorf("at a quarter of its speed 100 ms of work end at %v", j.Ends)
+	if s.Arrive(0, j); j.EndsAt != 400*ms {
+		t.Errorf("at a quarter of its speed 100 ms of work end at %v", j.EndsAt)
 	}
 	// In a second it could do two slots' work at a quarter of their speed: five requests; three times that and a little
 	// more may come.
 	for i := range 17 {
 		s.Arrive(time.Duration(i)*50*ms, &Job{})
 	}
-	if s.PushedOver() != 0 {
+	if s.SlowStartOverloads() != 0 {
 		t.Error("18 calls in a second pushed it over")
 	}
 	for range 10 {
 		s.Arrive(900*ms, &Job{})
 	}
-	if s.PushedOver() != 1 {
-		t.Errorf("28 calls in a second pushed it over %d times", s.PushedOver())
+	if s.SlowStartOverloads() != 1 {
+		t.Errorf("28 calls in a second pushed it over %d times", s.SlowStartOverloads())
 	}
 	if s.Speed(5*time.Second) != 0.625 || s.Speed(10*time.Second) != 1 {
 		t.Errorf("its speed is %v halfway, %v at the end", s.Speed(5*time.Second), s.Speed(10*time.Second))
@@ -64,8 +64,8 @@
 
 // The same seed brings the same requests, whatever becomes of them, and about as many as were asked for.
 func TestStreams(t *testing.T) {
-	e := &experiment.Experiment{Seed: 5, Measure: 100 * time.Second, Callers: experiment.Callers{Rate: 3},
-		Nodes:   []experiment.Nodes{{Count: 2, Zones: []string{"a"}, Times: 1}, {Count: 1, Zones: []string{"a"}, Times: 4}},
+	e := &experiment.Experiment{Seed: 5, Measure: 100 * time.Second, Clients: experiment.Clients{Rate: 3},
+		Nodes:   []experiment.Nodes{{Count: 2, Zones: []string{"a"}, RateFactor: 1}, {Count: 1, Zones: []string{"a"}, RateFactor: 4}},
 		Classes: []experiment.Class{{Name: "x", Share: 1}, {Name: "y", Share: 3}}}
 	counts, classes := []int{0, 0, 0}, []int{0, 0}
 	s, again := NewStreams(e, "c"), NewStreams(e, "c")
--- a/internal/faultbench/world/stream.go
+++ b/internal/faultbench/world/streams.go
@@ -9,7 +9,7 @@
 )
 
 // Call is one request of a client.
-type Call struct {
+type Request struct {
 	ID    string
 	Node  int
 	Class int
@@ -30,7 +30,7 @@
 
 // NewStreams returns the streams of an experiment. The tag sets ids of runs apart.
 func NewStreams(e *experiment.Experiment, tag string) *Streams {
-	s := &Streams{e: e, rates: e.Rates(), tag: tag}
+	s := &Streams{e: e, rates: e.NodeRates(), tag: tag}
 	for i, rate := range s.rates {
 		rng := rand.New(rand.NewPCG(e.Seed, uint64(i)+1))
 		s.rngs = append(s.rngs, rng)
@@ -41,10 +41,10 @@
 }
 
 // Next is the next request to a node and true, or false once the day is over.
-func (s *Streams) Next(node int) (Call, bool) {
+func (s *Streams) Next(node int) (Request, bool) {
 	at := s.next[node]
-	if at >= s.e.Length() {
-		return Call{}, false
+	if at >= s.e.TotalDuration() {
+		return Request{}, false
 	}
 	rng := s.rngs[node]
 	var all float64
@@ -60,5 +60,5 @@
 	}
 	s.count[node]++
 	s.next[node] += time.Duration(rng.ExpFloat64() / s.rates[node] * float64(time.Second))
-	return Call{ID: fmt.Sprintf("%s%d.%d", s.tag, node, s.count[node]), Node: node, Class: class, At: at}, true
+	return Request{ID: fmt.Sprintf("%s%d.%d", s.tag, node, s.count[node]), Node: node, Class: class, At: at}, true
 }
