--- a/internal/faultbench/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit compares what clients heard with what servers ran, call by call, and finds every breach of the four
-// rules: one answer in time; nothing unsafe twice, and no two attempts of a request at once; drains kept; no server in slow start
-// pushed over. It also works out the figures of a run (figures.go). It does no I/O and has no clock.
+// Package audit compares the outcomes seen by clients with the requests run by servers and finds every breach of four rules:
+// one response in time; no unsafe request run twice and no two concurrent attempts of a request; no requests to draining
+// servers; no overload of a server in slow start. It also computes the metrics of a run. It does no I/O and has no clock.
 package audit
 
 import (
@@ -14,77 +14,77 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// Heard is what a client heard of a request.
+// Outcome is the result of a request as seen by its client.
 type Outcome int
 
-// What clients hear.
+// Outcomes.
 const (
-	NoResponse    Outcome = iota // until the time was up
-	Served                       // with the answer that a server made for it
-	Refused                      // trying again is harmless
-	Failed                       // promises nothing
-	NotAccepted                  // no connection came up, or it ended before the request was taken
-	Disconnected                 // the connection ended after it was taken
-	WrongResponse                // an answer that is none to this request, or two
-	ClientLeft                   // its client left with nothing
+	NoResponse    Outcome = iota // no response until the time limit
+	Served                       // received the response made for this request
+	Refused                      // rejected; safe to retry
+	Failed                       // failed; may have run
+	NotAccepted                  // no connection was established, or it ended before the request was accepted
+	Disconnected                 // the connection ended after the request was accepted
+	WrongResponse                // received a response to another request, or two responses
+	ClientLeft                   // the client disconnected before a response
 )
 
-var outcomeNames = [...]string{"nothing", "served", "refused", "failed", "not taken", "a broken connection", "a wrong answer", "nothing before its caller left"}
+var outcomeNames = [...]string{"nothing", "served", "refused", "failed", "not accepted", "a broken connection", "a wrong response", "nothing before the client disconnected"}
 
 func (h Outcome) String() string { return outcomeNames[h] }
 
-// Slack is what the protocol adds to each limit of time, and DrainGrace how long after it was told a node may still
-// send to a server that drains.
+// AnswerSlack is the tolerance that the protocol adds to a deadline. DrainGrace is how long a node may still send requests
+// to a server after it was notified that the server drains.
 const (
-	AnswerSlack = 550 * time.Millisecond // up to half a second an answer only earns nothing
+	AnswerSlack = 550 * time.Millisecond // a response up to 500 ms late is no breach; it only counts as late
 	DrainGrace  = 1050 * time.Millisecond
 )
 
-// Race is by how much the fault bench may see two things of one node in the wrong order: they come on two connections.
+// ReorderTolerance is the tolerance for the order of two events of a node, which arrive on separate connections.
 const ReorderTolerance = 20 * time.Millisecond
 
-// Call is one request, as its client sees it.
+// Request is a request as seen by its client.
 type Request struct {
 	ID               string
-	FirstID          string // of its client's first attempt, which a retry belongs to; empty: this is it
+	FirstID          string // ID of the first request, for a client retry; empty: this is the first
 	Node             int
 	Class            int
 	Unsafe           bool
 	At               time.Duration
 	LatencyObjective time.Duration // from At
 	Deadline         time.Duration // from At
-	PriorityWeight   float64       // of an answer within the latency objective
+	PriorityWeight   float64       // of a response within the latency objective
 	Outcome          Outcome
 	OutcomeAt        time.Duration
-	Detail           string // what else was heard: the refusal's advice, a wrong answer's beginning
+	Detail           string // Retry-After of a rejection, or the beginning of a wrong response
 	attempts         []*Attempt
 }
 
-// Attempt is one send of a request, as the fault bench's relays and servers see it.
+// Attempt is one attempt of a request as seen by the relays and servers of the fault bench.
 type Attempt struct {
 	RequestID string
 	Server    string // uid
-	Index     int    // of the server's place
+	Index     int    // of the server
 	CrossZone bool   // between zones
 	SentAt    time.Duration
-	EndedAt   time.Duration // the node has its answer, or has closed the connection; 0: never
-	Ran       bool          // its work began, or could not be told not to have
+	EndedAt   time.Duration // when the node received the reply or closed the connection; 0: never
+	Ran       bool          // service started, or may have started
 	EndReason string
 }
 
-// Excuse is a stretch in which what a node does not do is not its fault: it was killed, stopped, or starting.
+// Outage is a period in which missing responses of a node are no breach, as it was killed, stopped or starting.
 type Outage struct {
 	Node     int
 	From, To time.Duration
 }
 
-// Breach is one rule that was broken.
+// Breach is a violation of one of the rules.
 type Breach struct {
 	Rule   string // answer, once, drain or cold
 	Call   string `json:",omitempty"`
 	At     time.Duration
 	Words  string
-	Events []string `json:",omitempty"` // round it
+	Events []string `json:",omitempty"` // of the request
 }
 
 func (b Breach) String() string {
@@ -95,17 +95,17 @@
 	return s
 }
 
-// Audit collects what happens. Its methods may be called from anywhere.
+// Audit records the events of a run. It is safe for concurrent use.
 type Audit struct {
 	mu            sync.Mutex
 	requests      map[string]*Request
-	orphans       []*Attempt // of requests that nobody made
+	orphans       []*Attempt // attempts of unknown requests
 	removals      map[int]map[string]time.Duration
 	outages       []Outage
 	breaches      []Breach
 	samples       []Sample
 	arrivals      []arrival
-	slowStartLoad float64 // most that came to a server in slow start, of what the rule allows
+	slowStartLoad float64 // maximum load of a server in slow start, relative to what the rule allows
 }
 
 type arrival struct {
@@ -113,19 +113,19 @@
 	index int
 }
 
-// New returns an Audit that knows nothing yet.
+// New returns an empty Audit.
 func New() *Audit {
 	return &Audit{requests: map[string]*Request{}, removals: map[int]map[string]time.Duration{}}
 }
 
-// Ask notes that a client sends a request.
+// RecordRequest records that a client sends a request.
 func (a *Audit) RecordRequest(c Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requests[c.ID] = &c
 }
 
-// Hear notes what its client heard, once a request; more is a breach.
+// RecordOutcome records the outcome of a request. A second outcome of the same request is recorded as WrongResponse.
 func (a *Audit) RecordOutcome(id string, h Outcome, at time.Duration, says string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -139,33 +139,34 @@
 	c.Outcome, c.OutcomeAt, c.Detail = h, at, says
 }
 
-// Send notes that the last byte of an attempt has come to a relay, and returns it for what follows.
+// RecordAttempt records that the last byte of an attempt has reached a relay. The returned Attempt is passed to RecordRun
+// and RecordEnd.
 func (a *Audit) RecordAttempt(request, server string, index int, cross bool, at time.Duration) *Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := &Attempt{RequestID: request, Server: server, Index: index, CrossZone: cross, SentAt: at}
+	attempt := &Attempt{RequestID: request, Server: server, Index: index, CrossZone: cross, SentAt: at}
 	a.arrivals = append(a.arrivals, arrival{at, index})
 	c := a.requests[request]
 	if c == nil {
-		a.orphans = append(a.orphans, t)
-		return t
+		a.orphans = append(a.orphans, attempt)
+		return attempt
 	}
-	if told, yes := a.removals[c.Node][server]; yes && at > told+DrainGrace {
+	if removedAt, yes := a.removals[c.Node][server]; yes && at > removedAt+DrainGrace {
 		a.breaches = append(a.breaches, Breach{Rule: "drain", Call: request, At: at,
-			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was told that it drains or has gone", c.Node, request, server, (at - told).Round(time.Millisecond))})
+			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was notified that the server drains or was removed", c.Node, request, server, (at - removedAt).Round(time.Millisecond))})
 	}
-	c.attempts = append(c.attempts, t)
-	return t
+	c.attempts = append(c.attempts, attempt)
+	return attempt
 }
 
-// Run notes that an attempt's work has begun, or that nobody can tell that it has not.
+// RecordRun records that the service of an attempt has started or may have started.
 func (a *Audit) RecordRun(t *Attempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t.Ran = true
 }
 
-// Over notes that the node has an attempt's answer, or has closed its connection. The first word holds.
+// RecordEnd records that the node received the reply to an attempt or closed its connection. Only the first call counts.
 func (a *Audit) RecordEnd(t *Attempt, at time.Duration, how string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,7 +175,7 @@
 	}
 }
 
-// Told notes that a node was told that a server drains or has gone.
+// RecordRemoval records that a node was notified that a server drains or was removed.
 func (a *Audit) RecordRemoval(node int, server string, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,75 +187,76 @@
 	}
 }
 
-// Excuse notes a stretch in which a node was not at fault.
+// RecordOutage records an outage of a node.
 func (a *Audit) RecordOutage(e Outage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.outages = append(a.outages, e)
 }
 
-// LifeOver notes what came to a server while it was cold, once its incarnation or the run is over.
+// RecordServerEnd records the slow start load of a server at the end of its incarnation or of the run.
 func (a *Audit) RecordServerEnd(s *world.Server, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.slowStartLoad = max(a.slowStartLoad, s.SlowStartLoad())
 	if n := s.SlowStartOverloads(); n > 0 {
-		a.breaches = append(a.breaches, Breach{Rule: "cold", At: at, Words: fmt.Sprintf("%s got more than it could bear while it was cold, %d times", s.ID, n)})
+		a.breaches = append(a.breaches, Breach{Rule: "cold", At: at, Words: fmt.Sprintf("%s received more than the slow start rule allows, %d times", s.ID, n)})
 	}
 }
 
-// excused says that a node was not at fault at some instant of a stretch.
+// hadOutage reports whether a node had an outage at any time in a period.
 func (a *Audit) hadOutage(node int, from, to time.Duration) bool {
 	return slices.ContainsFunc(a.outages, func(e Outage) bool { return e.Node == node && e.From <= to && from <= e.To })
 }
 
-// Breaches judges all that was noted, in the order of time. late is by how much the fault bench itself lagged at most.
+// Breaches checks all records and returns the breaches in time order. late is the maximum lag of the fault bench itself,
+// which is tolerated.
 func (a *Audit) Breaches(late time.Duration) []Breach {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := slices.Clone(a.breaches)
-	fault := func(rule string, c *Request, at time.Duration, format string, args ...any) {
-		out = append(out, Breach{Rule: rule, Call: c.ID, At: at, Words: fmt.Sprintf(format, args...), Events: c.events()})
+	addBreach := func(rule string, req *Request, at time.Duration, format string, args ...any) {
+		out = append(out, Breach{Rule: rule, Call: req.ID, At: at, Words: fmt.Sprintf(format, args...), Events: req.events()})
 	}
-	for _, c := range a.requests {
-		due := c.At + c.Deadline + AnswerSlack + late
+	for _, req := range a.requests {
+		due := req.At + req.Deadline + AnswerSlack + late
 		switch {
-		case c.Outcome == WrongResponse:
-			fault("answer", c, c.OutcomeAt, "%s was answered wrongly: %s", c.ID, c.Detail)
-		case c.Outcome == ClientLeft: // nothing is owed to it
-		case a.hadOutage(c.Node, c.At-time.Second, due):
-		case c.OutcomeAt == 0 || c.Outcome == NoResponse:
-			fault("answer", c, due, "%s got no answer", c.ID)
-		case c.OutcomeAt > due:
-			fault("answer", c, c.OutcomeAt, "%s was answered %v after its time", c.ID, (c.OutcomeAt - c.At - c.Deadline).Round(time.Millisecond))
-		case c.Outcome == Disconnected:
-			fault("answer", c, c.OutcomeAt, "%s was taken, and its connection ended with no answer", c.ID)
-		case c.Outcome == Refused && c.Detail == "":
-			fault("answer", c, c.OutcomeAt, "%s was refused with no word of when to come back", c.ID)
+		case req.Outcome == WrongResponse:
+			addBreach("answer", req, req.OutcomeAt, "%s received a wrong response: %s", req.ID, req.Detail)
+		case req.Outcome == ClientLeft: // no response is required
+		case a.hadOutage(req.Node, req.At-time.Second, due):
+		case req.OutcomeAt == 0 || req.Outcome == NoResponse:
+			addBreach("answer", req, due, "%s received no response", req.ID)
+		case req.OutcomeAt > due:
+			addBreach("answer", req, req.OutcomeAt, "%s received its response %v after its deadline", req.ID, (req.OutcomeAt - req.At - req.Deadline).Round(time.Millisecond))
+		case req.Outcome == Disconnected:
+			addBreach("answer", req, req.OutcomeAt, "%s was accepted, but its connection ended without a response", req.ID)
+		case req.Outcome == Refused && req.Detail == "":
+			addBreach("answer", req, req.OutcomeAt, "%s was refused without Retry-After", req.ID)
 		}
 		ran := 0
-		slices.SortStableFunc(c.attempts, func(x, y *Attempt) int { return int(x.SentAt - y.SentAt) })
-		for i, t := range c.attempts {
-			if t.Ran {
+		slices.SortStableFunc(req.attempts, func(x, y *Attempt) int { return int(x.SentAt - y.SentAt) })
+		for i, attempt := range req.attempts {
+			if attempt.Ran {
 				ran++
 			}
-			for _, o := range c.attempts[:i] {
-				if o.EndedAt == 0 || o.EndedAt > t.SentAt+ReorderTolerance+late {
-					fault("once", c, t.SentAt, "%s was sent to %s while an attempt at %s was out", c.ID, t.Server, o.Server)
+			for _, earlier := range req.attempts[:i] {
+				if earlier.EndedAt == 0 || earlier.EndedAt > attempt.SentAt+ReorderTolerance+late {
+					addBreach("once", req, attempt.SentAt, "%s was sent to %s while an attempt at %s was in progress", req.ID, attempt.Server, earlier.Server)
 				}
 			}
 		}
 		switch {
-		case c.Unsafe && ran > 1:
-			fault("once", c, c.At, "%s must not run twice, and ran %d times", c.ID, ran)
-		case c.Unsafe && c.Outcome == Refused && ran > 0:
-			fault("once", c, c.OutcomeAt, "%s was refused though it ran, and must not run twice", c.ID)
-		case c.Outcome == Served && ran == 0:
-			fault("answer", c, c.OutcomeAt, "%s was served, and no server ran it", c.ID)
+		case req.Unsafe && ran > 1:
+			addBreach("once", req, req.At, "%s is unsafe and ran %d times", req.ID, ran)
+		case req.Unsafe && req.Outcome == Refused && ran > 0:
+			addBreach("once", req, req.OutcomeAt, "%s is unsafe and was refused although it ran", req.ID)
+		case req.Outcome == Served && ran == 0:
+			addBreach("answer", req, req.OutcomeAt, "%s was served, but no server ran it", req.ID)
 		}
 	}
-	for _, t := range a.orphans {
-		out = append(out, Breach{Rule: "answer", Call: t.RequestID, At: t.SentAt, Words: fmt.Sprintf("%s came to %s, and nobody asked for it", t.RequestID, t.Server)})
+	for _, attempt := range a.orphans {
+		out = append(out, Breach{Rule: "answer", Call: attempt.RequestID, At: attempt.SentAt, Words: fmt.Sprintf("%s reached %s, but no client sent it", attempt.RequestID, attempt.Server)})
 	}
 	slices.SortFunc(out, func(x, y Breach) int {
 		if x.At != y.At {
@@ -265,21 +267,21 @@
 	return out
 }
 
-// story tells what happened to a request, in the order of time.
+// events lists the events of a request in time order.
 func (c *Request) events() []string {
 	type line struct {
 		at   time.Duration
 		text string
 	}
-	lines := []line{{c.At, fmt.Sprintf("asked of node %d, time until %v", c.Node, (c.At + c.Deadline).Round(time.Millisecond))}}
-	for i, t := range c.attempts {
-		lines = append(lines, line{t.SentAt, fmt.Sprintf("attempt %d at %s", i, t.Server)})
-		if t.EndedAt > 0 {
-			lines = append(lines, line{t.EndedAt, fmt.Sprintf("attempt %d over: %s, ran: %v", i, t.EndReason, t.Ran)})
+	lines := []line{{c.At, fmt.Sprintf("sent to node %d, deadline %v", c.Node, (c.At + c.Deadline).Round(time.Millisecond))}}
+	for i, attempt := range c.attempts {
+		lines = append(lines, line{attempt.SentAt, fmt.Sprintf("attempt %d at %s", i, attempt.Server)})
+		if attempt.EndedAt > 0 {
+			lines = append(lines, line{attempt.EndedAt, fmt.Sprintf("attempt %d ended: %s, ran: %v", i, attempt.EndReason, attempt.Ran)})
 		}
 	}
 	if c.OutcomeAt > 0 {
-		lines = append(lines, line{c.OutcomeAt, fmt.Sprintf("heard: %v %s", c.Outcome, c.Detail)})
+		lines = append(lines, line{c.OutcomeAt, fmt.Sprintf("outcome: %v %s", c.Outcome, c.Detail)})
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return int(a.at - b.at) })
 	var out []string
@@ -289,7 +291,7 @@
 	return out
 }
 
-// Histogram is for latencies in microseconds, up to a minute, within one in a thousand.
+// NewHistogram returns a histogram of latencies in microseconds, up to one minute, with three significant digits.
 func NewHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
--- a/internal/faultbench/audit/audit_test.go
+++ b/internal/faultbench/audit/audit_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// sound is a request that was served by the one server that it was sent to.
-func sound(a *Audit, id string, unsafe bool) *Attempt {
+// recordServed records a request that was served by the only server it was sent to.
+func recordServed(a *Audit, id string, unsafe bool) *Attempt {
 	a.RecordRequest(Request{ID: id, Unsafe: unsafe, At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 	t := a.RecordAttempt(id, "s1", 0, false, 20*ms)
 	a.RecordRun(t)
@@ -21,8 +21,8 @@
 	return t
 }
 
-// Each breach is planted in a run that is otherwise sound, and is found, once.
-func TestEveryBreachIsFound(t *testing.T) {
+// Each case adds one breach to a run without breaches. It must be found exactly once.
+func TestBreachesFindsEachRuleViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		plant func(*Audit)
 		rule  string
@@ -31,82 +31,82 @@
 		"none": {func(*Audit) {}, "", ""},
 		"no answer": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
-		}, "answer", "x got no answer"},
+		}, "answer", "x received no response"},
 		"late": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			a.RecordOutcome("x", Failed, 800*ms, "")
-		}, "answer", "after its time"},
-		"two answers": {func(a *Audit) {
-			sound(a, "x", false)
+		}, "answer", "after its deadline"},
+		"two responses": {func(a *Audit) {
+			recordServed(a, "x", false)
 			a.RecordOutcome("x", Refused, 60*ms, "1")
 		}, "answer", "refused after served"},
-		"a connection that ended": {func(a *Audit) {
+		"connection ended": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			a.RecordOutcome("x", Disconnected, 20*ms, "EOF")
 		}, "answer", "its connection ended"},
-		"a refusal that does not say when": {func(a *Audit) {
+		"refusal without Retry-After": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			a.RecordOutcome("x", Refused, 20*ms, "")
-		}, "answer", "no word of when"},
-		"served by nobody": {func(a *Audit) {
+		}, "answer", "refused without Retry-After"},
+		"served but not run": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			a.RecordOutcome("x", Served, 20*ms, "")
 		}, "answer", "no server ran it"},
-		"asked by nobody": {func(a *Audit) { a.RecordAttempt("x", "s1", 0, false, 20*ms) }, "answer", "nobody asked for it"},
+		"unknown request": {func(a *Audit) { a.RecordAttempt("x", "s1", 0, false, 20*ms) }, "answer", "no client sent it"},
 		"unsafe twice": {func(a *Audit) {
-			sound(a, "x", true)
+			recordServed(a, "x", true)
 			a.RecordRun(a.RecordAttempt("x", "s2", 1, false, 90*ms))
 		}, "once", "ran 2 times"},
-		"two attempts at once": {func(a *Audit) {
-			sound(a, "x", false)
+		"concurrent attempts": {func(a *Audit) {
+			recordServed(a, "x", false)
 			second := a.RecordAttempt("x", "s2", 1, false, 25*ms)
 			a.RecordEnd(second, 60*ms, "served")
-		}, "once", "while an attempt at s1 was out"},
-		"two attempts at once, the later one noted first": {func(a *Audit) {
+		}, "once", "while an attempt at s1 was in progress"},
+		"concurrent attempts, the later one recorded first": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			later := a.RecordAttempt("x", "s2", 1, false, 100*ms)
 			a.RecordRun(later)
 			a.RecordEnd(later, 120*ms, "served")
-			held := a.RecordAttempt("x", "s1", 0, false, 20*ms) // it lay in a link that was cut
+			held := a.RecordAttempt("x", "s1", 0, false, 20*ms) // it was held in a link that was cut
 			a.RecordEnd(held, 150*ms, "given up")
 			a.RecordOutcome("x", Served, 121*ms, "")
 		}, "once", "sent to s2 while an attempt at s1"},
-		"refused though it ran": {func(a *Audit) {
+		"refused although it ran": {func(a *Audit) {
 			a.RecordRequest(Request{ID: "x", Unsafe: true, At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			r := a.RecordAttempt("x", "s1", 0, false, 20*ms)
 			a.RecordRun(r)
 			a.RecordEnd(r, 50*ms, "error")
 			a.RecordOutcome("x", Refused, 51*ms, "1")
-		}, "once", "refused though it ran"},
-		"sent to one that drains": {func(a *Audit) {
+		}, "once", "refused although it ran"},
+		"sent to a draining server": {func(a *Audit) {
 			a.RecordRemoval(0, "s1", 10*ms)
 			a.RecordRequest(Request{ID: "x", At: 2000 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
 			r := a.RecordAttempt("x", "s1", 0, false, 2000*ms)
 			a.RecordRun(r)
 			a.RecordEnd(r, 2010*ms, "served")
 			a.RecordOutcome("x", Served, 2011*ms, "")
-		}, "drain", "after it was told"},
-		"a cold server": {func(a *Audit) {
+		}, "drain", "after it was notified"},
+		"overload in slow start": {func(a *Audit) {
 			s := world.NewServer(experiment.Servers{Slots: 1, Service: 100 * ms, SlowStartMinimum: 0.2, SlowStartWindow: time.Minute}, "s1", "a", 0, 1)
 			for range 30 {
 				s.Arrive(ms, &world.Job{})
 			}
 			a.RecordServerEnd(s, 10*ms)
-		}, "cold", "s1 got more than it could bear"},
+		}, "cold", "s1 received more than the slow start rule allows"},
 	} {
 		a := New()
-		sound(a, "fine", true)
-		a.RecordRemoval(0, "s1", 15*ms) // a drain that was told a moment ago is none yet
+		recordServed(a, "fine", true)
+		a.RecordRemoval(0, "s1", 15*ms) // within DrainGrace, no breach
 		c.plant(a)
 		got := a.Breaches(0)
 		if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule || !strings.Contains(got[0].Words, c.words)) {
-			t.Errorf("%s: found %v; want one of %q with %q", name, got, c.rule, c.words)
+			t.Errorf("%s: found breaches %v; want one of rule %q with %q", name, got, c.rule, c.words)
 		}
 	}
 }
 
-// What a node does not do while it is killed or stopped is not its fault; what runs twice is.
-func TestWhatIsExcused(t *testing.T) {
+// An outage of a node excuses missing responses, but not a request that runs twice.
+func TestOutageExcusesOnlyMissingResponses(t *testing.T) {
 	a := New()
 	a.RecordOutage(Outage{Node: 1, From: 100 * ms, To: 300 * ms})
 	a.RecordRequest(Request{ID: "x", Node: 1, At: 150 * ms, LatencyObjective: 100 * ms, Deadline: 200 * ms})
@@ -119,6 +119,6 @@
 	}
 	got := a.Breaches(0)
 	if len(got) != 2 || got[0].Call != "z" || got[1].Call != "y" {
-		t.Errorf("found %v; want z, which ran twice, and y, which nobody answered", got)
+		t.Errorf("found breaches %v; want z, which ran twice, and y, which received no response", got)
 	}
 }
--- a/internal/faultbench/audit/metrics.go
+++ b/internal/faultbench/audit/metrics.go
@@ -14,80 +14,80 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// SampleEvery is how often the servers are looked at.
+// SampleEvery is the interval at which the state of the servers is sampled.
 const SampleEvery = 20 * time.Millisecond
 
-// Sample is how all servers stand at an instant, in the order of their places.
+// Sample is the state of all servers at an instant, by server index.
 type Sample struct {
 	At          time.Duration
 	Working     []int
 	Waiting     []int
 	Connections []int
-	Down        []bool // crashed, lost or hung: no load is meant for it
+	Down        []bool // crashed, lost or hung: not expected to take load
 }
 
-// Sample notes how the servers stand.
+// RecordSample records a sample of the servers.
 func (a *Audit) RecordSample(s Sample) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.samples = append(a.samples, s)
 }
 
-// Figures are what a run comes to, over the stretch that is measured.
+// Metrics are the results of a run over the measured period.
 type Metrics struct {
-	Calls       int     // a client's tries are one
-	InAim       float64 // share of requests that were served within their latency objective
-	Worth       float64 // of what all requests are worth, the share that was served within the latency objective
-	Served      float64 // shares of all requests
+	Calls       int     // a request and its client retries count as one
+	InAim       float64 // fraction of requests served within their latency objective
+	Worth       float64 // InAim, weighted by priority weight
+	Served      float64 // fraction of all requests, as the five below
 	Refused     float64
 	Failed      float64
 	NotTaken    float64
 	Late        float64 // served after the latency objective
-	Left        float64 // clients that left with nothing
-	Cold        float64 // most work that came to a server in slow start in a second, of what the rule allows
-	Attempts    float64 // a request
-	Crossings   float64 // share of attempts that left their zone
+	Left        float64 // clients that disconnected before a response
+	Cold        float64 // maximum work that arrived at a server in slow start in a second, relative to what the rule allows
+	Attempts    float64 // per request
+	Crossings   float64 // fraction of attempts sent to another zone
 	P50, P90    time.Duration
-	P99, P999   time.Duration // of those served
-	Utilisation float64       // slots that worked
-	Waiting     float64       // requests that waited, for each slot
+	P99, P999   time.Duration // latency of served requests
+	Utilisation float64       // mean fraction of busy slots
+	Waiting     float64       // mean queued requests per slot
 	Spread      Spread
-	Connections float64  // open to a server, on average
-	MostConns   float64  // at the server that had most, against the mean
-	BySecond    []Second // since the first request
-	Series      []Point  // of the whole run
-	Latency     []byte   // of those served, in microseconds: an HdrHistogram, encoded as version 2
+	Connections float64  // mean open connections per server
+	MostConns   float64  // at the server with most, relative to the mean
+	BySecond    []Second // from the first request on
+	Series      []Point  // over the whole run
+	Latency     []byte   // of served requests, in microseconds: an HdrHistogram in V2 compressed encoding
 }
 
-// Point is how the servers stood over a tenth of a second.
+// Point is the state of the servers over 100 ms.
 type Point struct {
 	At      time.Duration
-	Working float64 // share of slots
-	Waiting float64 // requests, for each slot
-	Idle    float64 // free slots while requests wait elsewhere, as a share of all slots
+	Working float64 // fraction of slots
+	Waiting float64 // requests per slot
+	Idle    float64 // free slots while requests are queued elsewhere, as a fraction of all slots
 }
 
-// Second is what became of the requests of a second.
+// Second holds the outcomes of the requests sent in one second.
 type Second struct {
 	Calls  int
 	InAim  float64
 	Failed float64 // neither served nor refused
 }
 
-// Spread says how evenly servers were loaded. See docs/operate/faultbench.md for the definitions.
+// Spread describes how evenly the servers were loaded. See docs/operate/faultbench.md for the definitions.
 type Spread struct {
-	Variation       float64           // coefficient of variation of requests a slot over servers, by instant, averaged
-	IdleWhileQueued float64           // free slots while requests wait elsewhere, as a share of all slots
-	Windows         map[string]Window // by length
-	Counts          []int             // requests that came to each place
-	LongestIdle     time.Duration     // that a server which was up went without a request
+	Variation       float64           // coefficient of variation of requests per slot across servers, averaged over samples
+	IdleWhileQueued float64           // free slots while requests are queued elsewhere, as a fraction of all slots
+	Windows         map[string]Window // by window length
+	Counts          []int             // requests that arrived at each server
+	LongestIdle     time.Duration     // longest time a server that was up received no request
 }
 
-// Window compares servers by the requests that came to them within windows of one length, against their part of capacity.
+// Window compares the requests that servers received within windows of one length, relative to their share of the capacity.
 type Window struct {
-	Most, Least             float64 // of the server with most and with least, against the mean; averaged over windows
-	ChanceMost, ChanceLeast float64 // beyond which one server goes in one window of twenty by chance alone
-	Within                  float64 // share of windows in which all servers lie within these
+	Most, Least             float64 // at the servers with most and least, relative to the mean; averaged over windows
+	ChanceMost, ChanceLeast float64 // bounds that random selection exceeds at some server in 5% of windows
+	Within                  float64 // fraction of windows in which all servers are within these bounds
 }
 
 var windows = []struct {
@@ -95,13 +95,13 @@
 	len  time.Duration
 }{{"100ms", 100 * time.Millisecond}, {"1s", time.Second}, {"10s", 10 * time.Second}}
 
-// Capacity is what each server's place can do: slots, and how its speed compares.
+// Capacity is the capacity of a server.
 type Capacity struct {
 	Slots int
-	Speed float64 // requests a second that one slot works off
+	Speed float64 // requests per second of one slot
 }
 
-// Capacities are those of an experiment's servers, in the order of their places.
+// Capacities returns the capacities of an experiment's servers, by server index.
 func Capacities(e *experiment.Experiment) (c []Capacity) {
 	for _, g := range e.Servers {
 		for range g.Count {
@@ -111,26 +111,26 @@
 	return c
 }
 
-// tries are all that one client asked for one thing.
+// requestChain is a client's first request with its retries.
 type requestChain struct {
 	first    *Request
 	requests []*Request
 }
 
-// tries are the requests by the first of each client's. The caller holds mu.
+// requestChains groups the requests by the ID of the first request. The caller must hold mu.
 func (a *Audit) requestChains() map[string]*requestChain {
-	all := map[string]*requestChain{}
+	chains := map[string]*requestChain{}
 	for _, c := range a.requests {
 		first := cmp.Or(c.FirstID, c.ID)
-		if all[first] == nil {
-			all[first] = &requestChain{first: a.requests[first]}
+		if chains[first] == nil {
+			chains[first] = &requestChain{first: a.requests[first]}
 		}
-		all[first].requests = append(all[first].requests, c)
+		chains[first].requests = append(chains[first].requests, c)
 	}
-	return all
+	return chains
 }
 
-// last is the try that was served, or the last one that was made.
+// final returns the request that was served, or else the last one that was sent.
 func (t *requestChain) final() *Request {
 	last := t.requests[0]
 	for _, c := range t.requests {
@@ -141,14 +141,14 @@
 	return last
 }
 
-// ClassFigures are what became of the requests of a class, or of another group, over a stretch.
+// ClassMetrics are the results of the requests of a class or another group over a period.
 type ClassMetrics struct {
 	Calls      int
-	InAim      float64 // share that was served within the latency objective
-	Unanswered float64 // share that heard nothing until the time was up
+	InAim      float64 // fraction served within the latency objective
+	Unanswered float64 // fraction without a response until the time limit
 }
 
-// ByClass works them out for each class, in the order of the experiment.
+// ByClass returns the metrics of each class, in the order of the experiment.
 func (a *Audit) ByClass(from, to time.Duration, classes int) []ClassMetrics {
 	by := a.ByGroup(from, to, func(c Request) string { return strconv.Itoa(c.Class) })
 	out := make([]ClassMetrics, classes)
@@ -158,7 +158,7 @@
 	return out
 }
 
-// By works them out for each group of requests, by the first of each client's.
+// ByGroup returns the metrics of each group of requests. A client's retries belong to the group of its first request.
 func (a *Audit) ByGroup(from, to time.Duration, group func(Request) string) map[string]ClassMetrics {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -186,23 +186,23 @@
 	return out
 }
 
-// Figures works them out over a stretch, of requests that were made in it.
+// Metrics computes the metrics of the requests sent within a period.
 func (a *Audit) Metrics(from, to time.Duration, capacity []Capacity) Metrics {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var f Metrics
-	times := NewHistogram()
+	var m Metrics
+	latencies := NewHistogram()
 	var seconds []Second
 	var attempts, crossings int
-	var weight, asked float64
-	for _, all := range a.requestChains() {
-		c, last := all.first, all.final()
-		sec := int(c.At / time.Second)
+	var earned, asked float64
+	for _, chain := range a.requestChains() {
+		first, last := chain.first, chain.final()
+		sec := int(first.At / time.Second)
 		for len(seconds) <= sec {
 			seconds = append(seconds, Second{})
 		}
-		took := last.OutcomeAt - c.At
-		inAim := last.Outcome == Served && took <= c.LatencyObjective
+		took := last.OutcomeAt - first.At
+		inAim := last.Outcome == Served && took <= first.LatencyObjective
 		seconds[sec].Calls++
 		if inAim {
 			seconds[sec].InAim++
@@ -210,76 +210,76 @@
 		if last.Outcome != Served && last.Outcome != Refused && last.Outcome != ClientLeft {
 			seconds[sec].Failed++
 		}
-		if c.At < from || c.At >= to {
+		if first.At < from || first.At >= to {
 			continue
 		}
-		f.Calls++
-		asked += c.PriorityWeight
+		m.Calls++
+		asked += first.PriorityWeight
 		if inAim {
-			weight += c.PriorityWeight
+			earned += first.PriorityWeight
 		}
-		for _, t := range all.requests {
-			attempts += len(t.attempts)
-			for _, one := range t.attempts {
-				if one.CrossZone {
+		for _, req := range chain.requests {
+			attempts += len(req.attempts)
+			for _, attempt := range req.attempts {
+				if attempt.CrossZone {
 					crossings++
 				}
 			}
 		}
 		switch last.Outcome {
 		case Served:
-			f.Served++
-			times.RecordValue(max(1, took.Microseconds()))
+			m.Served++
+			latencies.RecordValue(max(1, took.Microseconds()))
 			if inAim {
-				f.InAim++
+				m.InAim++
 			} else {
-				f.Late++
+				m.Late++
 			}
 		case Refused:
-			f.Refused++
+			m.Refused++
 		case NotAccepted:
-			f.NotTaken++
+			m.NotTaken++
 		case ClientLeft:
-			f.Left++
+			m.Left++
 		default:
-			f.Failed++
+			m.Failed++
 		}
 	}
-	n := float64(max(1, f.Calls))
-	for _, share := range []*float64{&f.InAim, &f.Served, &f.Refused, &f.Failed, &f.NotTaken, &f.Late, &f.Left} {
+	n := float64(max(1, m.Calls))
+	for _, share := range []*float64{&m.InAim, &m.Served, &m.Refused, &m.Failed, &m.NotTaken, &m.Late, &m.Left} {
 		*share /= n
 	}
-	f.Worth, f.Cold = weight/max(asked, 1e-9), a.slowStartLoad
-	f.Attempts, f.Crossings = float64(attempts)/n, float64(crossings)/float64(max(1, attempts))
+	m.Worth, m.Cold = earned/max(asked, 1e-9), a.slowStartLoad
+	m.Attempts, m.Crossings = float64(attempts)/n, float64(crossings)/float64(max(1, attempts))
 	for i := range seconds {
 		k := float64(max(1, seconds[i].Calls))
 		seconds[i].InAim, seconds[i].Failed = seconds[i].InAim/k, seconds[i].Failed/k
 	}
-	f.BySecond = seconds
-	at := func(q float64) time.Duration { return time.Duration(times.ValueAtQuantile(q)) * time.Microsecond }
-	f.P50, f.P90, f.P99, f.P999 = at(50), at(90), at(99), at(99.9)
-	a.addLoadMetrics(&f, from, to, capacity)
-	if text, err := times.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
-		f.Latency = text
+	m.BySecond = seconds
+	at := func(q float64) time.Duration { return time.Duration(latencies.ValueAtQuantile(q)) * time.Microsecond }
+	m.P50, m.P90, m.P99, m.P999 = at(50), at(90), at(99), at(99.9)
+	a.addLoadMetrics(&m, from, to, capacity)
+	if text, err := latencies.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
+		m.Latency = text
 	}
-	f.Spread.Counts = make([]int, len(capacity))
+	m.Spread.Counts = make([]int, len(capacity))
 	for _, r := range a.arrivals {
 		if r.at >= from && r.at < to {
-			f.Spread.Counts[r.index]++
+			m.Spread.Counts[r.index]++
 		}
 	}
-	f.Spread.Windows = map[string]Window{}
+	m.Spread.Windows = map[string]Window{}
 	for _, w := range windows {
 		if to-from >= w.len {
-			f.Spread.Windows[w.name] = a.compareWindows(from, to, w.len, capacity)
+			m.Spread.Windows[w.name] = a.compareWindows(from, to, w.len, capacity)
 		}
 	}
-	f.Spread.LongestIdle = a.longestIdle(from, to, len(capacity))
-	return f
+	m.Spread.LongestIdle = a.longestIdle(from, to, len(capacity))
+	return m
 }
 
-// load works out the figures of samples.
-func (a *Audit) addLoadMetrics(f *Metrics, from, to time.Duration, capacity []Capacity) {
+// addLoadMetrics computes the metrics that are based on samples.
+func (a *Audit) addLoadMetrics(m *Metrics, from, to time.Duration, capacity []Capacity) {
 	var n, working, waiting, variation, idle, conns, most float64
 	slots := 0
 	for _, c := range capacity {
@@ -298,7 +298,7 @@
 			loads = append(loads, float64(s.Working[i]+s.Waiting[i])/float64(c.Slots))
 			open = append(open, float64(s.Connections[i]))
 		}
-		f.addPoint(s.At, float64(busy)/float64(slots), float64(wait)/float64(slots), float64(min(free, wait))/float64(slots))
+		m.addPoint(s.At, float64(busy)/float64(slots), float64(wait)/float64(slots), float64(min(free, wait))/float64(slots))
 		if s.At < from || s.At >= to {
 			continue
 		}
@@ -315,23 +315,23 @@
 		}
 	}
 	n = max(n, 1)
-	f.Utilisation, f.Waiting = working/n, waiting/n
-	f.Spread.Variation, f.Spread.IdleWhileQueued = variation/n, idle/n
-	f.Connections, f.MostConns = conns/n, most/n
+	m.Utilisation, m.Waiting = working/n, waiting/n
+	m.Spread.Variation, m.Spread.IdleWhileQueued = variation/n, idle/n
+	m.Connections, m.MostConns = conns/n, most/n
 }
 
-// note adds a sample to the tenth of a second that it lies in.
+// addPoint adds a sample to the point of its 100 ms interval.
 func (f *Metrics) addPoint(at time.Duration, working, waiting, idle float64) {
 	at = at.Truncate(100 * time.Millisecond)
 	if k := len(f.Series) - 1; k >= 0 && f.Series[k].At == at {
-		p := &f.Series[k] // a mean that leans to the later ones is good enough to look at
+		p := &f.Series[k] // this average favors later samples, which is sufficient for a chart
 		p.Working, p.Waiting, p.Idle = (p.Working+working)/2, (p.Waiting+waiting)/2, (p.Idle+idle)/2
 		return
 	}
 	f.Series = append(f.Series, Point{at, working, waiting, idle})
 }
 
-// window compares the servers by the requests that came to them.
+// compareWindows compares the servers by the requests that they received within windows of the given length.
 func (a *Audit) compareWindows(from, to, length time.Duration, capacity []Capacity) (w Window) {
 	count := int((to - from) / length)
 	counts := make([][]float64, count)
@@ -376,8 +376,8 @@
 	return Window{w.Most / used, w.Least / used, w.ChanceMost / used, w.ChanceLeast / used, w.Within / used}
 }
 
-// chance is between how many of n requests a server that is drawn with probability p has, but for the given share of
-// cases on either side.
+// chanceBounds returns the bounds on how many of n requests a server selected with probability p receives. Each bound is
+// exceeded with at most the probability share.
 func chanceBounds(n, p, share float64) (high, low float64) {
 	b := distuv.Binomial{N: n, P: p}
 	mean, dev := n*p, math.Sqrt(n*p*(1-p))
@@ -392,13 +392,13 @@
 	return math.Floor(high), max(0, math.Ceil(low))
 }
 
-// longestIdle is the longest that a server which was up went without a request coming to it.
+// longestIdle returns the longest time that a server which was up received no request.
 func (a *Audit) longestIdle(from, to time.Duration, places int) (longest time.Duration) {
 	last := make([]time.Duration, places)
 	for i := range last {
 		last[i] = from
 	}
-	for _, s := range a.samples { // one that is down begins anew
+	for _, s := range a.samples { // the idle time of a server that is down restarts
 		for i, down := range s.Down {
 			if down && s.At >= from && s.At < to {
 				last[i] = max(last[i], s.At)
--- a/internal/faultbench/audit/metrics_test.go
+++ b/internal/faultbench/audit/metrics_test.go
@@ -10,8 +10,8 @@
 
 func near(got, want, by float64) bool { return math.Abs(got-want) <= by }
 
-// Two servers of two slots: at first one works on two requests and holds two more while the other is idle, then each
-// works on one.
+// Two servers with two slots each: at first one serves two requests and queues two while the other is idle, then each serves
+// one.
 func TestIdleWhileQueuedAndVariation(t *testing.T) {
 	a := New()
 	capacity := []Capacity{{Slots: 2, Speed: 1}, {Slots: 2, Speed: 1}}
@@ -23,15 +23,16 @@
 		a.RecordSample(s)
 	}
 	f := a.Metrics(0, time.Second, capacity)
-	// 2 free slots of 4 while 2 wait, for half of the time; loads of 2 and 0 a slot vary by sqrt 2, equal ones by 0.
+	// Half of the time 2 of 4 slots are free while 2 requests wait. Loads of 2 and 0 per slot have a variation of sqrt 2, equal
+	// ones of 0.
 	if !near(f.Spread.IdleWhileQueued, 0.25, 1e-9) || !near(f.Spread.Variation, math.Sqrt2/2, 1e-9) || !near(f.Utilisation, 0.5, 1e-9) ||
 		!near(f.Waiting, 0.25, 1e-9) || !near(f.Connections, 2, 1e-9) || !near(f.MostConns, 1.5, 1e-9) {
 		t.Errorf("%+v", f)
 	}
 }
 
-// What is drawn by chance alone lies within what chance explains, and a herd does not.
-func TestWhatChanceExplains(t *testing.T) {
+// Random selection stays within the chance bounds; additional requests to one server exceed them.
+func TestChanceBoundsSeparateRandomFromSkewedLoad(t *testing.T) {
 	capacity := make([]Capacity, 20)
 	for i := range capacity {
 		capacity[i] = Capacity{Slots: 1 + i%2, Speed: 1}
@@ -40,7 +41,7 @@
 		a, rng := New(), rand.New(rand.NewPCG(1, 1))
 		for i := range 20000 {
 			k := rng.IntN(30)
-			if k >= 20 { // the larger ones have twice the part
+			if k >= 20 { // larger servers have twice the share
 				k = 2*(k-20) + 1
 			}
 			if rng.Float64() < herd {
@@ -51,15 +52,15 @@
 		return a.Metrics(0, 10*time.Second, capacity).Spread.Windows
 	}
 	if w := play(0)["100ms"]; w.Within < 0.9 || w.Most > w.ChanceMost || w.Least < w.ChanceLeast {
-		t.Errorf("by chance alone: %+v", w)
+		t.Errorf("random selection: %+v is outside the chance bounds", w)
 	}
 	if w := play(0.05)["1s"]; w.Within > 0.1 || w.Most < w.ChanceMost {
-		t.Errorf("one call in twenty goes to one server on top: %+v", w)
+		t.Errorf("with 5%% of additional requests at one server: %+v is within the chance bounds", w)
 	}
 }
 
-// A client's tries are one request, which is served in its latency objective if one of them is, counted from the first.
-func TestTriesAreOneCall(t *testing.T) {
+// A request and its client retries count as one request. Its latency is measured from the first one.
+func TestRetriesCountAsOneRequest(t *testing.T) {
 	a := New()
 	a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 500 * ms})
 	a.RecordOutcome("x", Refused, 20*ms, "1")
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestTheLongestIdle(t *testing.T) {
+func TestLongestIdle(t *testing.T) {
 	a := New()
 	for _, at := range []time.Duration{100, 200, 900} {
 		a.RecordAttempt("x", "s", 0, false, at*ms)
--- a/internal/faultbench/experiment/convert.go
+++ b/internal/faultbench/experiment/convert.go
@@ -19,7 +19,7 @@
 	e.Name, e.Note, e.Seed = f.Experiment.Name, f.Experiment.Note, f.Experiment.Seed
 	e.ProbeInterval = b.duration("peers", f.Experiment.Peers, 100*time.Millisecond, time.Minute)
 	if e.ZoneStateMaxAge = b.duration("fresh", f.Experiment.Fresh, zonestate.MinFreshAge(zonestate.DefaultDelay), time.Minute); e.ZoneStateMaxAge > 0 && e.ProbeInterval == 0 {
-		b.errorf("fresh", "found %q; allowed: with peers", f.Experiment.Fresh)
+		b.errorf("fresh", "found %q; allowed: only if peers is set", f.Experiment.Fresh)
 	}
 	e.WarmUp = b.duration("warm_up", f.Experiment.WarmUp, 0, maxDuration)
 	e.Measure = b.duration("measure", f.Experiment.Measure, 100*time.Millisecond, maxDuration)
@@ -27,13 +27,13 @@
 		b.errorf("", "found the name %q; allowed: letters, digits, \"-\" and \"_\"", e.Name)
 	}
 	if e.Seed == 0 || e.Measure == 0 && f.Experiment.Measure == "" {
-		b.errorf("", "seed or measure is missing; allowed: a seed above 0, and a time")
+		b.errorf("", "seed or measure is missing; allowed: a seed above 0 and a duration")
 	}
 	var zones []string
 	for _, z := range f.Zones {
 		zb := block{r, z.Body, "zone." + z.Name}
 		if slices.Contains(zones, z.Name) || z.Name == "" || len(z.Name) > 16 || z.Name == RegistryZone {
-			zb.errorf("", "the name is taken, empty, longer than 16 bytes or %q", RegistryZone)
+			zb.errorf("", "invalid zone name: duplicate, empty, longer than 16 bytes, or %q", RegistryZone)
 		}
 		zones = append(zones, z.Name)
 		e.Zones = append(e.Zones, Zone{z.Name, z.Region})
@@ -48,7 +48,7 @@
 	c.inRange("utilisation", e.Clients.Utilisation, 0, 10)
 	c.inRange("retries", float64(e.Clients.Retries), 0, 10)
 	if (e.Clients.Rate == 0) == (e.Clients.Utilisation == 0) {
-		c.errorf("rate", "allowed: either rate or utilisation, above 0")
+		c.errorf("rate", "allowed: exactly one of rate and utilisation, above 0")
 	}
 	for _, l := range f.Links {
 		lb := block{r, l.Body, "link." + l.From + "." + l.To}
@@ -77,10 +77,10 @@
 		b.inRange("times", g.RateFactor, 0.001, 1e4)
 		b.inRange("asks", float64(n.Asks), 0, 16)
 		if all += max(0, min(n.Count, maxProcesses)); all > maxProcesses {
-			b.errorf("count", "there are more than %d nodes in all", maxProcesses)
+			b.errorf("count", "the experiment has more than %d nodes", maxProcesses)
 		}
 		if slices.ContainsFunc(f.Nodes[:i], func(o nodesBlock) bool { return o.Name == n.Name }) {
-			b.errorf("", "the name is used twice")
+			b.errorf("", "duplicate name")
 		}
 		e.Nodes = append(e.Nodes, g)
 	}
@@ -106,13 +106,13 @@
 			cb.inRange("from", s.Cold.From, 0.01, 1)
 		}
 		if all += max(0, min(s.Count, maxServers)); all > maxServers {
-			b.errorf("count", "there are more than %d servers in all", maxServers)
+			b.errorf("count", "the experiment has more than %d servers", maxServers)
 		}
 		if slices.ContainsFunc(f.Servers[:i], func(o serversBlock) bool { return o.Name == s.Name }) {
-			b.errorf("", "the name is used twice")
+			b.errorf("", "duplicate name")
 		}
 		if g.Service == 0 {
-			g.Service = time.Second // said above
+			g.Service = time.Second // an invalid value is reported above
 		}
 		e.Servers = append(e.Servers, g)
 	}
@@ -130,10 +130,10 @@
 		b.oneOf("effect", c.Effect, "safe", "unsafe")
 		b.inRange("share", c.Share, 0, 1e6)
 		if k.LatencyObjective > k.Deadline {
-			b.errorf("aim", "found %v, beyond the deadline %v", k.LatencyObjective, k.Deadline)
+			b.errorf("aim", "found %v; allowed: at most the deadline, %v", k.LatencyObjective, k.Deadline)
 		}
 		if slices.ContainsFunc(f.Classes[:i], func(o classBlock) bool { return o.Name == c.Name }) {
-			b.errorf("", "the name is used twice")
+			b.errorf("", "duplicate name")
 		}
 		e.Classes = append(e.Classes, k)
 	}
@@ -165,7 +165,7 @@
 			v.Fraction = *t.Part
 		}
 		if t.Both && (v.Kind != Cut || slices.Contains(t.Far, RegistryZone)) {
-			b.errorf("both", "found with %s of %v; allowed: with cut between zones", v.Kind, t.Far)
+			b.errorf("both", "found with kind %s and far %v; allowed: only with cut between zones", v.Kind, t.Far)
 		}
 		b.oneOf("kind", t.Kind, kinds...)
 		b.inRange("part", v.Fraction, 0, 1)
@@ -184,17 +184,17 @@
 			case TargetServers:
 				b.oneOf("group", v.Group, servers...)
 			default:
-				b.errorf("group", "found %q; allowed: only where nodes or servers are struck", v.Group)
+				b.errorf("group", "found %q; allowed: only for faults of nodes or servers", v.Group)
 			}
 		}
 		if (v.Factor != 0) != (v.Kind == Slowdown) || v.Kind == Slowdown && !(v.Factor >= 0.01 && v.Factor <= 1000) {
-			b.errorf("factor", "found %v; allowed: 0.01 to 1000, for drag and only there", v.Factor)
+			b.errorf("factor", "found %v; allowed: 0.01 to 1000, only for drag", v.Factor)
 		}
 		if v.Kind == ChangeNodeCount && v.Count == 0 {
-			b.errorf("count", "allowed: how many copies there are said to be")
+			b.errorf("count", "missing; allowed: the node count to configure")
 		}
 		if slices.ContainsFunc(f.Faults[:i], func(o faultBlock) bool { return o.Name == t.Name }) {
-			b.errorf("", "the name is used twice")
+			b.errorf("", "duplicate name")
 		}
 		e.Faults = append(e.Faults, v)
 	}
--- a/internal/faultbench/experiment/file.go
+++ b/internal/faultbench/experiment/file.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// MaxFile is how long a file may be.
+// MaxFileBytes is the maximum size of an experiment file.
 const MaxFileBytes = 1 << 20
 
-// Bounds of an experiment.
+// Limits of an experiment.
 const (
 	maxProcesses = 1000
 	maxServers   = 5000
@@ -24,29 +24,29 @@
 	maxNesting   = 16
 )
 
-// Load reads and checks a file.
+// Load reads and validates an experiment file. Base experiments are looked up in the folder of the file.
 func Load(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	return Parse(text, path, func(like string) ([]byte, string, error) {
-		beside := filepath.Join(filepath.Dir(path), like+".hcl")
-		text, err := os.ReadFile(beside)
-		return text, beside, err
+		basePath := filepath.Join(filepath.Dir(path), like+".hcl")
+		text, err := os.ReadFile(basePath)
+		return text, basePath, err
 	})
 }
 
-// Beside finds the text of another experiment by its name, and what it is called in messages.
+// Resolver returns the text of the named experiment and the path that error messages give for it.
 type Resolver func(name string) (text []byte, path string, err error)
 
-// Parse reads and checks the text of a file; name is for the messages. Where it says that it is like another, beside finds
-// that one, and each kind of block that the file has takes the place of the other's; nil: it may not say so. The error is
-// Problems.
-func Parse(text []byte, name string, beside Resolver) (*Experiment, error) {
+// Parse decodes and validates the text of a file; name identifies it in error messages. If the file names a base experiment
+// in like, resolve loads it, and each kind of block that the file has replaces that of the base. A nil resolve disallows
+// like. Validation errors are of type Problems.
+func Parse(text []byte, name string, resolve Resolver) (*Experiment, error) {
 	r := &reader{}
 	f := r.decode(text, name)
-	r.resolveBase(f, beside, 0)
+	r.resolveBase(f, resolve, 0)
 	if len(r.problems) > 0 {
 		return nil, r.problems
 	}
@@ -57,38 +57,38 @@
 	return e, nil
 }
 
-// maxLike is how many files there may be of which each is like the next.
+// maxBaseDepth is the maximum length of a chain of base experiments.
 const maxBaseDepth = 4
 
-// like fills up what a file leaves to another, if it is like one.
-func (r *reader) resolveBase(f *file, beside Resolver, depth int) {
+// resolveBase completes a file with the settings of its base experiment, if it names one.
+func (r *reader) resolveBase(f *file, resolve Resolver, depth int) {
 	if f == nil || f.Experiment == nil || f.Experiment.Like == "" {
 		return
 	}
 	b := block{r, f.Experiment.Body, "experiment." + f.Experiment.Name}
-	if beside == nil || !validName(f.Experiment.Like) {
-		b.errorf("like", "found %q; allowed: the name of an experiment whose file lies beside this one", f.Experiment.Like)
+	if resolve == nil || !validName(f.Experiment.Like) {
+		b.errorf("like", "found %q; allowed: the name of an experiment in the same folder", f.Experiment.Like)
 		return
 	}
-	text, path, err := beside(f.Experiment.Like)
+	text, path, err := resolve(f.Experiment.Like)
 	if err != nil {
 		b.errorf("like", "%v", err)
 		return
 	}
 	if depth >= maxBaseDepth {
-		b.errorf("like", "found %q; allowed: up to %d files that are like one another, and none like itself", f.Experiment.Like, maxBaseDepth)
+		b.errorf("like", "found %q; allowed: a chain of at most %d base experiments without a cycle", f.Experiment.Like, maxBaseDepth)
 		return
 	}
 	base := r.decode(text, path)
 	if base == nil || base.Experiment == nil {
-		b.errorf("like", "found %q, which can't be read", f.Experiment.Like)
+		b.errorf("like", "found %q, which can't be decoded", f.Experiment.Like)
 		return
 	}
-	r.resolveBase(base, beside, depth+1)
+	r.resolveBase(base, resolve, depth+1)
 	f.inherit(base)
 }
 
-// over gives a file all that it does not have itself of another.
+// inherit takes the blocks and settings that the file lacks from its base.
 func (f *file) inherit(base *file) {
 	inheritList(&f.Zones, base.Zones)
 	inheritList(&f.Nodes, base.Nodes)
@@ -108,13 +108,13 @@
 	}
 }
 
-// form reads a text into the form of a file; nil, with what is wrong noted, if that can't be.
+// decode parses text into a file. On failure it records the errors and returns nil.
 func (r *reader) decode(text []byte, name string) *file {
 	if len(text) > MaxFileBytes {
-		r.problems = append(r.problems, fmt.Sprintf("%s: the file has %d bytes; allowed: %d", name, len(text), MaxFileBytes))
+		r.problems = append(r.problems, fmt.Sprintf("%s: the file has %d bytes; allowed: at most %d", name, len(text), MaxFileBytes))
 		return nil
 	}
-	if r.checkNesting(text, name); len(r.problems) > 0 { // the parser recurses
+	if r.checkNesting(text, name); len(r.problems) > 0 { // bounds the recursion of the parser
 		return nil
 	}
 	parsed, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
--- a/internal/faultbench/experiment/model.go
+++ b/internal/faultbench/experiment/model.go
@@ -1,5 +1,5 @@
-// Package experiment holds what the fault bench is to play: a fleet of nodes and servers in zones, clients, and a timetable of
-// faults, read from a file in HCL and checked whole. It plays nothing itself.
+// Package experiment describes an experiment of the fault bench: a fleet of nodes and servers in zones, clients, and a
+// schedule of faults, read from an HCL file and validated. It does not run experiments.
 package experiment
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Experiment is one day on the bench. Times of faults count from the first request.
+// Experiment describes one run of the fault bench. Fault times are relative to the first request.
 type Experiment struct {
 	Name            string
-	Note            string // what it is for, in a sentence
+	Note            string // purpose, in one sentence
 	Seed            uint64
-	WarmUp          time.Duration // not measured
+	WarmUp          time.Duration // excluded from the metrics
 	Measure         time.Duration
-	ProbeInterval   time.Duration // between two probes of nodes by nodes; 0: they do not know one another
-	ZoneStateMaxAge time.Duration // what nodes tell one another of zones is fresh until it is as old; 0: they tell nothing
+	ProbeInterval   time.Duration // of membership between nodes; 0: nodes do not know each other
+	ZoneStateMaxAge time.Duration // after which exchanged zone state is stale; 0: none is exchanged
 
 	Zones    []Zone
 	Nodes    []Nodes
@@ -28,57 +28,57 @@
 	Faults   []Fault
 }
 
-// Length is how long clients ask.
+// TotalDuration returns how long clients send requests, warm-up included.
 func (e *Experiment) TotalDuration() time.Duration { return e.WarmUp + e.Measure }
 
-// Policy says who picks the server of a request.
+// Policy selects how the server of a request is picked.
 type Policy string
 
 // Policies. All but Program are for comparison.
 const (
-	Program Policy = "program" // the decision module, in processes or on virtual time
-	Random  Policy = "random"  // any server that the node's list has in service
-	JSQ     Policy = "jsq"     // the server that holds least for its slots, by what all hold now: no node can know that
+	Program Policy = "program" // the balancer, in node processes or in virtual time
+	Random  Policy = "random"  // a random server that is in service by the node's list
+	JSQ     Policy = "jsq"     // the server with the fewest requests per slot at this instant, which no real node can know
 )
 
-// Zone is a place whose links to others can fail.
+// Zone is a zone whose links to other zones can fail.
 type Zone struct{ Name, Region string }
 
-// Nodes is a group of nodes, dealt out over its zones in turn.
+// Nodes is a group of nodes, assigned to its zones round-robin.
 type Nodes struct {
 	Name        string
 	Count       int
 	Zones       []string
-	RateFactor  float64 // requests against the mean of all nodes
-	PollChoices int     // servers that a node asks how much they hold before it sends a request to one; 0: none
+	RateFactor  float64 // request rate relative to the other nodes
+	PollChoices int     // servers polled for their load per request; 0: none
 }
 
-// Servers is a group of servers, dealt out over its zones in turn.
+// Servers is a group of servers, assigned to its zones round-robin.
 type Servers struct {
 	Name                string
 	Count               int
 	Zones               []string
-	Slots               int           // requests in work at once
-	Queue               int           // that wait; more are rejected
-	Service             time.Duration // mean time of a request's work
+	Slots               int           // requests served concurrently
+	Queue               int           // maximum queued requests; more are rejected
+	Service             time.Duration // mean service time
 	ServiceDistribution Distribution
-	Size                float64 // as listed; 0: not told
-	ReportsLoad         bool    // answers say how many requests the server holds
-	SlowStartMinimum    float64 // share of its speed that a server has when it starts
+	Size                float64 // in the server list; 0: omitted
+	ReportsLoad         bool    // replies carry the number of requests at the server
+	SlowStartMinimum    float64 // fraction of full speed at the start
 	SlowStartWindow     time.Duration
 }
 
-// Draw is how times of service vary.
+// Distribution is the distribution of service times.
 type Distribution string
 
-// Draws.
+// Distributions.
 const (
 	Exponential Distribution = "exponential"
-	Uniform     Distribution = "uniform" // half to one and a half of the mean
+	Uniform     Distribution = "uniform" // 0.5 to 1.5 times the mean
 	Constant    Distribution = "constant"
 )
 
-// Time draws a time of service.
+// Sample returns a random service time.
 func (d Distribution) Sample(rng *rand.Rand, mean time.Duration) time.Duration {
 	switch d {
 	case Constant:
@@ -95,60 +95,60 @@
 	Effect           string // safe or unsafe
 	LatencyObjective time.Duration
 	Deadline         time.Duration
-	Share            float64 // of all requests
-	PriorityWeight   float64 // of one that is served within its latency objective
+	Share            float64 // relative to the other classes
+	PriorityWeight   float64 // of a request served within its latency objective
 }
 
-// Callers come in an open stream: they do not wait for answers.
+// Clients send requests in an open loop, without waiting for responses.
 type Clients struct {
-	Rate        float64 // requests a second at a node, on average over all; 0: what Utilisation asks for
-	Utilisation float64 // of all slots of all servers
-	Retries     int     // that a client makes after a refusal or a failed safe request
+	Rate        float64 // mean requests per second per node; 0: derived from Utilisation
+	Utilisation float64 // fraction of the capacity of all servers
+	Retries     int     // maximum retries after a rejection or a failed safe request
 	RetryDelay  time.Duration
-	Patience    time.Duration // after which a client leaves; 0: it waits until the deadline
+	Patience    time.Duration // after which a client disconnects; 0: it waits until the deadline
 }
 
-// Link is what lies between two zones, in both directions.
+// Link is the network link between two zones, in both directions.
 type Link struct {
 	From, To      string
 	Delay, Jitter time.Duration // one way
 }
 
-// Registry tells nodes of servers.
+// Registry describes the registry that provides nodes with the server list.
 type Registry struct {
-	MinLag time.Duration // after which a node hears of a change, and
-	MaxLag time.Duration // the longest: each node has a lag of its own between the two
+	MinLag time.Duration // minimum delay until a node receives a change
+	MaxLag time.Duration // maximum delay; each node has a random lag between the two
 }
 
-// Kind says what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
-// Faults of links act on all traffic between two sets of zones, those of node processes and of servers on some of a group.
+// Link faults affect all traffic between two sets of zones; node and server faults affect a selection of a group.
 const (
-	Cut        Kind = "cut"       // says nothing in either direction; new connections never come up
-	CutForward Kind = "cut_there" // nothing from a node reaches a server
-	CutReturn  Kind = "cut_back"  // nothing from a server reaches a node: requests run and no answer comes
-	Reset      Kind = "reset"     // connections are reset, new ones too
-	Refuse     Kind = "refuse"    // new connections are refused
-	Slow       Kind = "slow"      // Delay, Jitter, Loss and Bandwidth are added
-
-	Kill            Kind = "kill"    // SIGKILL; started again at the end
+	Cut        Kind = "cut"       // drops traffic in both directions; new connections are never established
+	CutForward Kind = "cut_there" // drops traffic from nodes to servers
+	CutReturn  Kind = "cut_back"  // drops traffic from servers to nodes: requests run and no reply arrives
+	Reset      Kind = "reset"     // resets connections, new ones included
+	Refuse     Kind = "refuse"    // refuses new connections
+	Slow       Kind = "slow"      // adds Delay, Jitter, Loss, Duplicate, Reorder and Bandwidth
+
+	Kill            Kind = "kill"    // SIGKILL; restarted at the end
 	Stop            Kind = "stop"    // SIGSTOP, and SIGCONT at the end
-	Restart         Kind = "restart" // SIGTERM, and started again
-	ChangeNodeCount Kind = "recount" // a reload that changes how many copies there are said to be
-	ClockSkew       Kind = "skew"    // SIGKILL, and started again with a clock that is off
-
-	Crash       Kind = "crash"   // the server's process dies: connections are reset, new ones refused; cold at the end
-	MachineLoss Kind = "lose"    // its machine vanishes: silence; cold at the end
-	Hang        Kind = "hang"    // takes requests and answers none
-	Errors      Kind = "errors"  // answers 500 at once
-	Slowdown    Kind = "drag"    // works Factor times as long
-	Replace     Kind = "replace" // drained, and another under a new id in its place
-
-	RegistryOutage Kind = "mute" // the registry says nothing
+	Restart         Kind = "restart" // SIGTERM, then restarted
+	ChangeNodeCount Kind = "recount" // reload with another configured node count
+	ClockSkew       Kind = "skew"    // SIGKILL, then restarted with a clock offset
+
+	Crash       Kind = "crash"   // the server process dies: connections are reset, new ones refused; slow start at the end
+	MachineLoss Kind = "lose"    // the machine is lost: no traffic at all; slow start at the end
+	Hang        Kind = "hang"    // accepts requests and never replies
+	Errors      Kind = "errors"  // replies with status 500 immediately
+	Slowdown    Kind = "drag"    // multiplies service times by Factor
+	Replace     Kind = "replace" // drained, then replaced by a server with a new id
+
+	RegistryOutage Kind = "mute" // the registry does not reply
 )
 
-// Target is what kind of thing a fault strikes.
+// Target is the type of component that a fault affects.
 type Target int
 
 // Targets.
@@ -159,45 +159,45 @@
 	TargetRegistry
 )
 
-// Targets of each kind.
+// targets maps each kind of fault to its target.
 var targets = map[Kind]Target{Cut: TargetLinks, CutForward: TargetLinks, CutReturn: TargetLinks, Reset: TargetLinks, Refuse: TargetLinks, Slow: TargetLinks,
 	Kill: TargetNodes, Stop: TargetNodes, Restart: TargetNodes, ChangeNodeCount: TargetNodes, ClockSkew: TargetNodes,
 	Crash: TargetServers, MachineLoss: TargetServers, Hang: TargetServers, Errors: TargetServers, Slowdown: TargetServers, Replace: TargetServers, RegistryOutage: TargetRegistry}
 
-// Target is what the kind strikes.
+// Target returns the type of component that faults of the kind affect.
 func (k Kind) Target() Target { return targets[k] }
 
-// RegistrySide is what a fault's Far requests the links between nodes and the registry.
+// RegistryZone is the name in Fault.ServerZones that selects the links between nodes and the registry.
 const RegistryZone = "registry"
 
-// Fault is one thing that goes wrong from one instant to another.
+// Fault is a fault that lasts from From to To.
 type Fault struct {
 	Name        string
 	Kind        Kind
 	From, To    time.Duration
-	OnsetSpread time.Duration // the onset is spread over so long
-
-	NodeZones, ServerZones []string // zones of the nodes, and of the servers, that links lie between; RegistrySide is the registry's side
-	BothDirections         bool     // of cut: the links from nodes in Far to servers in Near as well
-	Fraction               float64  // share of the links, nodes or servers that are struck
-	Group                  string   // of nodes or servers; empty: all
-	Count                  int      // that are struck, instead of a share; for recount: copies that there are said to be
-
-	Factor        float64       // of drag
-	Offset        time.Duration // of skew
-	Delay, Jitter time.Duration // of slow
-	Loss          float64       // of slow: share of pieces that come a retransmission later, and of datagrams that don't come
-	Duplicate     float64       // of slow: share of datagrams that come twice
-	Reorder       float64       // of slow: share of datagrams that are held back behind later ones
-	Bandwidth     int64         // of slow: bytes a second; 0: no bound
+	OnsetSpread time.Duration // the targets fail one after the other over this time
+
+	NodeZones, ServerZones []string // endpoints of the affected links; ServerZones may contain RegistryZone
+	BothDirections         bool     // for Cut: also affects links from nodes in ServerZones to servers in NodeZones
+	Fraction               float64  // fraction of the links, nodes or servers that is affected
+	Group                  string   // of nodes or servers; empty: all groups
+	Count                  int      // affected targets, overrides Fraction; for ChangeNodeCount: the configured node count
+
+	Factor        float64       // for Slowdown
+	Offset        time.Duration // for ClockSkew
+	Delay, Jitter time.Duration // for Slow
+	Loss          float64       // for Slow: fraction of segments delayed by a retransmission and of datagrams dropped
+	Duplicate     float64       // for Slow: fraction of datagrams delivered twice
+	Reorder       float64       // for Slow: fraction of datagrams delayed so that later ones overtake them
+	Bandwidth     int64         // for Slow: bytes per second; 0: unlimited
 }
 
-// Lies says that links from nodes in one zone to servers in another are among those that the fault is of.
+// AffectsLink reports whether the fault affects links from nodes in one zone to servers in another.
 func (f Fault) AffectsLink(near, far string) bool {
 	return slices.Contains(f.NodeZones, near) && slices.Contains(f.ServerZones, far) || f.BothDirections && slices.Contains(f.ServerZones, near) && slices.Contains(f.NodeZones, far)
 }
 
-// Struck draws which of n things the fault strikes, the same for the same seed.
+// Select returns the sorted indices of the targets among n candidates. The selection is deterministic for a seed.
 func (f Fault) Select(seed uint64, n int) []int {
 	want := int(f.Fraction*float64(n) + 0.5)
 	if f.Count > 0 && f.Kind != ChangeNodeCount {
@@ -212,7 +212,7 @@
 	return struck
 }
 
-// NodeZones are the zones of all nodes, in their order.
+// NodeZones returns the zone of each node, in order.
 func (e *Experiment) NodeZones() (zones []string) {
 	for _, g := range e.Nodes {
 		for i := range g.Count {
@@ -222,7 +222,7 @@
 	return zones
 }
 
-// NodeGroup is the group of the i-th node.
+// NodeGroup returns the group of the i-th node.
 func (e *Experiment) NodeGroup(i int) Nodes {
 	for _, g := range e.Nodes {
 		if i -= g.Count; i < 0 {
@@ -232,7 +232,7 @@
 	return Nodes{}
 }
 
-// Lags are how long after the registry each node hears of a change.
+// RegistryLags returns the delay with which each node receives changes from the registry.
 func (e *Experiment) RegistryLags() []time.Duration {
 	rng := rand.New(rand.NewPCG(e.Seed, 0xa6e7))
 	lags := make([]time.Duration, len(e.NodeZones()))
@@ -242,7 +242,7 @@
 	return lags
 }
 
-// Slots is how many requests all servers have in work at most.
+// TotalSlots returns the total number of slots of all servers.
 func (e *Experiment) TotalSlots() (n int) {
 	for _, g := range e.Servers {
 		n += g.Count * g.Slots
@@ -250,7 +250,7 @@
 	return n
 }
 
-// Rates are the requests a second of each node.
+// NodeRates returns the request rate of each node, in requests per second.
 func (e *Experiment) NodeRates() (rates []float64) {
 	var all, times float64
 	for _, g := range e.Nodes {
@@ -273,7 +273,7 @@
 	return rates
 }
 
-// Region is the region of a zone.
+// ZoneRegion returns the region of a zone.
 func (e *Experiment) ZoneRegion(zone string) string {
 	for _, z := range e.Zones {
 		if z.Name == zone {
@@ -283,7 +283,7 @@
 	return ""
 }
 
-// Between is the link between two zones, in either order.
+// LinkBetween returns the link between two zones, in either order.
 func (e *Experiment) LinkBetween(a, b string) Link {
 	for _, l := range e.Links {
 		if l.From == a && l.To == b || l.From == b && l.To == a {
@@ -293,7 +293,7 @@
 	return Link{From: a, To: b}
 }
 
-// Places is how many servers there are.
+// ServerCount returns the number of servers.
 func (e *Experiment) ServerCount() (n int) {
 	for _, g := range e.Servers {
 		n += g.Count
@@ -301,7 +301,7 @@
 	return n
 }
 
-// Struck are the places of the nodes or servers that a fault strikes, of its group.
+// Targets returns the indices of the nodes or servers that a fault affects, among those of its group.
 func (e *Experiment) Targets(f Fault) (struck []int) {
 	var groups []string
 	if f.Kind.Target() == TargetNodes {
--- a/internal/faultbench/experiment/problems.go
+++ b/internal/faultbench/experiment/problems.go
@@ -10,13 +10,13 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Problems are all that is wrong with a file, a line for each: file, line, column, field, what was found and what is
+// Problems lists the validation errors of a file, one line each: file, line, column, field, the value found and the values
 // allowed.
 type Problems []string
 
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-// reader turns the form into an Experiment and collects what is wrong.
+// reader converts a decoded file to an Experiment and collects the validation errors.
 type reader struct{ problems Problems }
 
 func (r *reader) errorAt(at hcl.Range, field, format string, args ...any) {
@@ -26,7 +26,7 @@
 	r.problems = append(r.problems, fmt.Sprintf("%s:%d:%d: %s%s", at.Filename, at.Start.Line, at.Start.Column, field, fmt.Sprintf(format, args...)))
 }
 
-// deep refuses brackets that are nested too deeply.
+// checkNesting reports an error if brackets are nested more than maxNesting deep.
 func (r *reader) checkNesting(text []byte, name string) {
 	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos)
 	depth := 0
@@ -43,14 +43,14 @@
 	}
 }
 
-// block is one block of the file: where its fields stand, and what it is called.
+// block is one block of the file, with its path for error messages.
 type block struct {
 	*reader
 	body hcl.Body
 	path string
 }
 
-// at is where a field stands, or its block.
+// rangeOf returns the source range of a field, or that of the block if the field is absent.
 func (b block) rangeOf(field string) hcl.Range {
 	body, ok := b.body.(*hclsyntax.Body)
 	if !ok {
@@ -66,7 +66,7 @@
 	b.errorAt(b.rangeOf(field), b.path+"."+field, format, args...)
 }
 
-// duration reads a length of time, within bounds.
+// duration parses a duration and checks its bounds. It returns 0 for an empty or invalid text.
 func (b block) duration(field, text string, least, most time.Duration) time.Duration {
 	if text == "" {
 		return 0
@@ -95,7 +95,7 @@
 	return name != "" && len(name) <= 64 && strings.Trim(strings.ToLower(name), "abcdefghijklmnopqrstuvwxyz0123456789-_") == ""
 }
 
-// within checks names of zones; all stands for none.
+// zoneNames checks names against the known zones. An empty list selects all of them.
 func (b block) zoneNames(field string, names, known []string) []string {
 	for _, n := range names {
 		b.oneOf(field, n, known...)
--- a/internal/faultbench/experiment/schema.go
+++ b/internal/faultbench/experiment/schema.go
@@ -4,7 +4,7 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// The form of the file; gohcl reads it.
+// The schema of an experiment file, decoded by gohcl.
 type (
 	file struct {
 		Experiment *experimentBlock `hcl:"experiment,block"`
--- a/internal/faultbench/link/conn.go
+++ b/internal/faultbench/link/conn.go
@@ -7,56 +7,57 @@
 	"time"
 )
 
-// piece is what goes through a link in one go.
+// piece is a chunk of data that passes through a link as a unit.
 type piece struct {
 	data    []byte
-	arrived time.Time // when it came into the link
+	arrived time.Time // when it entered the link
 	due     time.Time
-	onSent  func(time.Time) // told when it has gone out
+	onSent  func(time.Time) // called after it has been written
 }
 
-// Conn is the far side of a connection. One goroutine reads, and one writes.
+// Conn is the far side of a connection. At most one goroutine may read and one may write.
 type Conn struct {
 	relay  *Relay
 	source string // IP address of the near side
 	tcp    *net.TCPConn
 
 	mu             sync.Mutex
-	pieces         []piece // that came from the near side
-	buffered       int     // bytes of them
-	nearClosed     bool    // the near side has closed; nothing more comes
-	broken         bool    // by the relay: what was under way is lost
+	pieces         []piece // received from the near side
+	buffered       int     // bytes in pieces
+	nearClosed     bool    // the near side has closed the connection
+	broken         bool    // reset by the relay; data in transit is lost
 	nearClosedAt   time.Time
 	forward        delayLine
 	backward       delayLine
 	wake           chan struct{}
-	closeDelivered chan struct{} // closed when the far side sees the near side's end
+	closeDelivered chan struct{} // closed once the far side may see that the near side has closed
 	lastArrival    time.Time
 	outgoing       chan piece
 	once           sync.Once
 }
 
-// most that a connection holds in one direction.
+// maxBuffered is the maximum number of bytes a connection buffers from the near side.
 const maxBuffered = 256 << 10
 
-// Gone is closed once the far side sees that the near side has closed.
+// CloseDelivered returns a channel that is closed once the close of the near side reaches the far side.
 func (c *Conn) CloseDelivered() <-chan struct{} { return c.closeDelivered }
 
-// Stamp is when the bytes that were read last had come into the link.
+// LastArrival returns when the bytes read last entered the link.
 func (c *Conn) LastArrival() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastArrival
 }
 
-// Ended is when the near side closed the connection, whether the far side can know yet or not; zero: it has not.
+// NearClosedAt returns when the near side closed the connection, even if that has not reached the far side; zero if open.
 func (c *Conn) NearClosedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nearClosedAt
 }
 
-// state is the shape of the link for this connection.
+// currentShape returns the shape of the link for this connection, a channel closed at the next change, and whether the
+// relay is closed.
 func (c *Conn) currentShape() (Shape, <-chan struct{}, bool) {
 	r := c.relay
 	r.mu.Lock()
@@ -68,7 +69,7 @@
 	return s, r.changed, r.closed
 }
 
-// pass waits until a piece is due and its direction is open. false: the relay has closed.
+// waitUntilOpen waits until a piece is due and its direction is not cut. It returns false if the relay is closed.
 func (c *Conn) waitUntilOpen(due time.Time, cut func(Shape) bool) bool {
 	for {
 		s, changed, closed := c.currentShape()
@@ -96,7 +97,7 @@
 
 func cutBack(s Shape) bool { return s.CutReturn }
 
-// read takes what the near side sends into the link.
+// read moves data from the near side's socket into the link.
 func (c *Conn) read() {
 	defer c.relay.work.Done()
 	buf := make([]byte, 16<<10)
@@ -105,7 +106,7 @@
 		now := time.Now()
 		s, _, _ := c.currentShape()
 		c.mu.Lock()
-		due := c.forward.deliveryTime(now, n, s, c.relay.dice)
+		due := c.forward.deliveryTime(now, n, s, c.relay.random)
 		if n > 0 && !c.broken {
 			c.pieces = append(c.pieces, piece{data: append([]byte(nil), buf[:n]...), arrived: now, due: due})
 			c.buffered += n
@@ -123,7 +124,7 @@
 			}
 			return
 		}
-		for full { // nobody reads: the near side has to wait
+		for full { // the far side is not reading: apply backpressure to the near side
 			time.Sleep(5 * time.Millisecond)
 			c.mu.Lock()
 			full = c.buffered > maxBuffered && !c.nearClosed
@@ -153,7 +154,7 @@
 				return 0, net.ErrClosed
 			}
 			c.mu.Lock()
-			if len(c.pieces) == 0 { // broken meanwhile
+			if len(c.pieces) == 0 { // reset in the meantime
 				c.mu.Unlock()
 				continue
 			}
@@ -191,8 +192,8 @@
 	}
 }
 
-// Send has bytes go to the near side; after is told when the last has been handed to its socket. It blocks only when
-// much is under way.
+// Send queues data for the near side. after, if not nil, is called once the data has been written to the near side's
+// socket. Send blocks only while the queue is full.
 func (c *Conn) Send(data []byte, after func(time.Time)) error {
 	s, changed, closed := c.currentShape()
 	if closed {
@@ -200,7 +201,7 @@
 	}
 	now := time.Now()
 	c.mu.Lock()
-	due := c.backward.deliveryTime(now, len(data), s, c.relay.dice)
+	due := c.backward.deliveryTime(now, len(data), s, c.relay.random)
 	c.mu.Unlock()
 	p := piece{data: append([]byte(nil), data...), arrived: now, due: due, onSent: after}
 	for {
@@ -223,7 +224,7 @@
 	return len(p), nil
 }
 
-// write hands what the far side sends to the near side, and closes it at the end.
+// write sends queued pieces to the near side and closes its socket at the end.
 func (c *Conn) write() {
 	defer c.relay.work.Done()
 	defer func() {
@@ -249,11 +250,11 @@
 	c.waitUntilOpen(time.Time{}, cutBack)
 }
 
-// Break resets the connection, once all before it has gone out.
+// Reset resets the connection after the queued data has been sent.
 func (c *Conn) Reset() {
 	s, _, _ := c.currentShape()
 	c.mu.Lock()
-	due := c.backward.deliveryTime(time.Now(), 0, s, c.relay.dice)
+	due := c.backward.deliveryTime(time.Now(), 0, s, c.relay.random)
 	c.mu.Unlock()
 	select {
 	case c.outgoing <- piece{due: due}:
@@ -262,5 +263,5 @@
 	c.Close()
 }
 
-// Close ends the connection in order, once all before it has gone out. Nothing may be sent afterwards.
+// Close closes the connection after the queued data has been sent. Send must not be called afterwards.
 func (c *Conn) Close() { c.once.Do(func() { close(c.outgoing) }) }
--- a/internal/faultbench/link/forward.go
+++ b/internal/faultbench/link/forward.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Forward opens a relay whose far side is an address of another process: connections go on there, through the link.
-func Forward(addr, to string, dice *Random) (*Relay, error) {
-	return Listen(addr, dice, func(c *Conn) {
-		far, err := net.DialTimeout("tcp4", to, time.Second)
+// Forward opens a relay that forwards connections through the link to the address to, which may be in another process.
+func Forward(addr, to string, random *Random) (*Relay, error) {
+	return Listen(addr, random, func(c *Conn) {
+		target, err := net.DialTimeout("tcp4", to, time.Second)
 		if err != nil {
 			c.Reset()
 			return
 		}
-		defer far.Close()
-		var both sync.WaitGroup
-		both.Add(2)
-		go func() { // from the near side on
-			defer both.Done()
-			if _, err := io.Copy(far, c); err != nil {
-				far.(*net.TCPConn).SetLinger(0)
+		defer target.Close()
+		var copies sync.WaitGroup
+		copies.Add(2)
+		go func() { // from the near side to the target
+			defer copies.Done()
+			if _, err := io.Copy(target, c); err != nil {
+				target.(*net.TCPConn).SetLinger(0)
 			}
-			far.Close()
+			target.Close()
 		}()
 		go func() {
-			defer both.Done()
-			if _, err := io.Copy(c, far); err != nil {
+			defer copies.Done()
+			if _, err := io.Copy(c, target); err != nil {
 				c.Reset()
 				return
 			}
 			c.Close()
 		}()
-		both.Wait()
+		copies.Wait()
 	})
 }
--- a/internal/faultbench/link/mesh.go
+++ b/internal/faultbench/link/mesh.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Mesh carries datagrams between members in zones. All others see a member at one address of the mesh's; what is sent
-// there comes to the member's own socket, from the address that the sender is seen at.
+// Mesh forwards datagrams between members in zones. Each member has one public address, which the mesh listens at.
+// Datagrams sent there are delivered to the member's own socket, with the sender's public address as their source.
 type Mesh struct {
-	dice  *Random
-	shape func(from, to string) Shape // how the link from one zone to another is now, each way by itself
+	random *Random
+	shape  func(from, to string) Shape // current shape of the link from one zone to another, per direction
 
 	mu           sync.Mutex
 	members      map[string]*member
@@ -26,20 +26,20 @@
 
 type member struct {
 	name, zone string
-	listenAddr netip.AddrPort // where its process listens
-	publicConn *net.UDPConn   // where all others see it
-	bytesSent  int            // that it sent
+	listenAddr netip.AddrPort // address of its process
+	publicConn *net.UDPConn   // socket at its public address
+	bytesSent  int
 }
 
-// MaxDatagram is the most that a datagram holds.
+// MaxDatagram is the maximum size of a datagram in bytes.
 const MaxDatagram = 2048
 
 // NewMesh returns a Mesh without members.
-func NewMesh(dice *Random, shape func(from, to string) Shape) *Mesh {
-	return &Mesh{dice: dice, shape: shape, members: map[string]*member{}, byListenAddr: map[netip.AddrPort]*member{}, lanes: map[[2]string]*delayLine{}}
+func NewMesh(random *Random, shape func(from, to string) Shape) *Mesh {
+	return &Mesh{random: random, shape: shape, members: map[string]*member{}, byListenAddr: map[netip.AddrPort]*member{}, lanes: map[[2]string]*delayLine{}}
 }
 
-// Join gives a member that listens at own the address at which all others see it.
+// Join adds a member that listens at own and returns its public address. A member that joins again replaces the old one.
 func (m *Mesh) Join(name, zone string, own netip.AddrPort) (string, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -47,18 +47,18 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if old := m.members[name]; old != nil { // it joins anew: nobody comes by the address of before
+	if old := m.members[name]; old != nil { // it joins again: stop serving the previous public address
 		old.publicConn.Close()
 	}
-	k := &member{name: name, zone: zone, listenAddr: own, publicConn: c}
-	m.members[name] = k
-	m.byListenAddr[own] = k
+	joined := &member{name: name, zone: zone, listenAddr: own, publicConn: c}
+	m.members[name] = joined
+	m.byListenAddr[own] = joined
 	m.work.Add(1)
-	go m.receive(k)
+	go m.receive(joined)
 	return c.LocalAddr().String(), nil
 }
 
-// carry takes what others send to a member.
+// receive forwards the datagrams that arrive at a member's public address.
 func (m *Mesh) receive(to *member) {
 	defer m.work.Done()
 	buf := make([]byte, MaxDatagram)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Traffic is what members have sent: datagrams and bytes of all, and the bytes of the one that sent most.
+// Traffic returns the datagrams and bytes sent by all members, and the bytes sent by the member that sent most.
 func (m *Mesh) Traffic() (datagrams, bytes, most int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +87,7 @@
 	return m.Stats.Sent, m.Stats.Bytes, most
 }
 
-// Forget has Traffic begin anew.
+// ResetTraffic resets the counters that Traffic returns.
 func (m *Mesh) ResetTraffic() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,7 +113,7 @@
 	m.Stats.Sent++
 	m.Stats.Bytes += len(data)
 	from.bytesSent += len(data)
-	if s.CutForward || m.dice.occurs(s.Loss) {
+	if s.CutForward || m.random.occurs(s.Loss) {
 		m.Stats.Lost++
 		return
 	}
@@ -121,32 +121,32 @@
 	if m.lanes[pair] == nil {
 		m.lanes[pair] = &delayLine{}
 	}
-	at := now.Add(s.Delay + m.dice.durationUpTo(s.Jitter))
+	deliverAt := now.Add(s.Delay + m.random.durationUpTo(s.Jitter))
 	if s.Bandwidth > 0 {
 		l := m.lanes[pair]
 		if l.freeAt.Before(now) {
 			l.freeAt = now
 		}
-		if l.freeAt.Sub(now) > time.Second { // a queue of a second is full
+		if l.freeAt.Sub(now) > time.Second { // the queue holds at most one second of traffic
 			m.Stats.Lost++
 			return
 		}
 		l.freeAt = l.freeAt.Add(time.Duration(float64(len(data)) / float64(s.Bandwidth) * float64(time.Second)))
-		at = at.Add(l.freeAt.Sub(now))
+		deliverAt = deliverAt.Add(l.freeAt.Sub(now))
 	}
-	if m.dice.occurs(s.Reorder) {
-		at = at.Add(m.dice.durationUpTo(s.Delay + s.Jitter + 10*time.Millisecond))
+	if m.random.occurs(s.Reorder) {
+		deliverAt = deliverAt.Add(m.random.durationUpTo(s.Delay + s.Jitter + 10*time.Millisecond))
 	}
-	times := 1
-	if m.dice.occurs(s.Duplicate) {
-		times, m.Stats.Doubled = 2, m.Stats.Doubled+1
+	copies := 1
+	if m.random.occurs(s.Duplicate) {
+		copies, m.Stats.Doubled = 2, m.Stats.Doubled+1
 	}
-	for range times {
-		time.AfterFunc(time.Until(at), func() { from.publicConn.WriteToUDPAddrPort(data, to.listenAddr) })
+	for range copies {
+		time.AfterFunc(time.Until(deliverAt), func() { from.publicConn.WriteToUDPAddrPort(data, to.listenAddr) })
 	}
 }
 
-// Close ends the mesh.
+// Close stops the mesh and closes the sockets of all members.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/internal/faultbench/link/mesh_test.go
+++ b/internal/faultbench/link/mesh_test.go
@@ -11,10 +11,10 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// peer is a member's own socket.
+// peer is a member's socket.
 type peer struct {
 	*net.UDPConn
-	seen string // where others see it
+	publicAddr string
 }
 
 func newPeer(t *testing.T, m *Mesh, name, zone string) *peer {
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	seen, err := m.Join(name, zone, netip.MustParseAddrPort(c.LocalAddr().String()))
+	publicAddr, err := m.Join(name, zone, netip.MustParseAddrPort(c.LocalAddr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &peer{c, seen}
+	return &peer{c, publicAddr}
 }
 
 func (p *peer) send(t *testing.T, to, text string) {
@@ -38,13 +38,14 @@
 	}
 }
 
-// hears returns what comes, until nothing does for a while once there were so many.
-func (p *peer) hears(want int) (texts []string, from string) {
+// receive returns the datagrams received and the source of the last one. Once want have arrived, it stops after a quiet
+// period.
+func (p *peer) receive(want int) (texts []string, from string) {
 	buf := make([]byte, MaxDatagram)
 	for {
 		wait := testpeer.Limit
 		if len(texts) >= want {
-			wait = short
+			wait = quietPeriod
 		}
 		p.SetReadDeadline(time.Now().Add(wait))
 		n, addr, err := p.ReadFromUDPAddrPort(buf)
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestDatagramsComeFromTheSendersAddressAndFailAsTheShapeSays(t *testing.T) {
+func TestMeshForwardsFromPublicAddressAndAppliesShape(t *testing.T) {
 	var mu sync.Mutex
 	shapes := map[string]Shape{}
 	m := NewMesh(NewRandom(5), func(from, to string) Shape {
@@ -71,36 +72,36 @@
 	}
 	x, y := newPeer(t, m, "x", "a"), newPeer(t, m, "y", "b")
 
-	x.send(t, y.seen, "hello")
-	if got, from := y.hears(1); len(got) != 1 || from != x.seen {
-		t.Fatalf("%v from %s; want one from %s, where x is seen", got, from, x.seen)
+	x.send(t, y.publicAddr, "hello")
+	if got, from := y.receive(1); len(got) != 1 || from != x.publicAddr {
+		t.Fatalf("received %v from %s; want one datagram from the public address of x, %s", got, from, x.publicAddr)
 	}
-	y.send(t, x.seen, "back")
-	if got, _ := x.hears(1); len(got) != 1 {
-		t.Fatalf("x heard %v", got)
+	y.send(t, x.publicAddr, "back")
+	if got, _ := x.receive(1); len(got) != 1 {
+		t.Fatalf("x received %v, want one datagram", got)
 	}
 
-	shape("ab", Shape{CutForward: true}) // one way
-	x.send(t, y.seen, "lost")
-	y.send(t, x.seen, "comes")
-	if got, _ := x.hears(1); len(got) != 1 {
-		t.Errorf("the way that is open brought %v", got)
+	shape("ab", Shape{CutForward: true}) // one direction
+	x.send(t, y.publicAddr, "lost")
+	y.send(t, x.publicAddr, "comes")
+	if got, _ := x.receive(1); len(got) != 1 {
+		t.Errorf("the open direction delivered %v, want one datagram", got)
 	}
-	if got, _ := y.hears(0); len(got) != 0 {
-		t.Errorf("the way that is cut brought %v", got)
+	if got, _ := y.receive(0); len(got) != 0 {
+		t.Errorf("the cut direction delivered %v", got)
 	}
 
 	shape("ab", Shape{Duplicate: 1})
-	x.send(t, y.seen, "twice")
-	if got, _ := y.hears(2); len(got) != 2 {
-		t.Errorf("%v; want it twice", got)
+	x.send(t, y.publicAddr, "twice")
+	if got, _ := y.receive(2); len(got) != 2 {
+		t.Errorf("received %v; want the datagram twice", got)
 	}
 
 	shape("ab", Shape{Delay: time.Millisecond, Reorder: 0.5, Loss: 0.3})
 	for i := range 100 {
-		x.send(t, y.seen, fmt.Sprint(i))
+		x.send(t, y.publicAddr, fmt.Sprint(i))
 	}
-	got, _ := y.hears(40)
+	got, _ := y.receive(40)
 	swapped := 0
 	for i := range got[1:] {
 		var p, q int
@@ -111,7 +112,7 @@
 		}
 	}
 	if len(got) < 40 || len(got) > 95 || swapped == 0 {
-		t.Errorf("%d of 100 came, %d out of order, with 0.3 lost and half of the rest held back", len(got), swapped)
+		t.Errorf("%d of 100 received, %d out of order, with a loss of 0.3 and half of the rest reordered", len(got), swapped)
 	}
 
 	stranger, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -120,8 +121,8 @@
 	}
 	defer stranger.Close()
 	shape("ab", Shape{})
-	stranger.WriteToUDPAddrPort([]byte("hi"), netip.MustParseAddrPort(y.seen))
-	if got, _ := y.hears(0); len(got) != 0 {
-		t.Errorf("a stranger was heard: %v", got)
+	stranger.WriteToUDPAddrPort([]byte("hi"), netip.MustParseAddrPort(y.publicAddr))
+	if got, _ := y.receive(0); len(got) != 0 {
+		t.Errorf("a datagram from an unknown sender was delivered: %v", got)
 	}
 }
--- a/internal/faultbench/link/relay.go
+++ b/internal/faultbench/link/relay.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Relay listens at one address of a link's near side. Each connection that comes up there is handed to Serve as a Conn,
-// the far side of the link.
+// Relay listens at an address on the near side of a link. It passes each accepted connection to serve as a Conn, the far
+// side of the link.
 type Relay struct {
-	addr  string
-	dice  *Random
-	serve func(*Conn)
+	addr   string
+	random *Random
+	serve  func(*Conn)
 
 	mu            sync.Mutex
 	shape         Shape
-	sourceShapes  map[string]Shape // on top, for connections from an IP address
-	changed       chan struct{}    // closed at each change
+	sourceShapes  map[string]Shape // additional shapes by source IP address
+	changed       chan struct{}    // closed and replaced at each change
 	ln            *net.TCPListener
 	backlogFiller net.Conn // fills the accept queue while the link is cut
 	conns         map[*Conn]bool
@@ -28,24 +28,24 @@
 	work          sync.WaitGroup
 }
 
-// backlog of a listener that takes connections.
+// backlog of a listener that accepts connections.
 const backlog = 1024
 
-// Listen opens a relay at an address; port 0 lets the system choose. serve runs on a goroutine of its own for each connection.
-func Listen(addr string, dice *Random, serve func(*Conn)) (*Relay, error) {
-	r := &Relay{addr: addr, dice: dice, serve: serve, changed: make(chan struct{}), conns: map[*Conn]bool{}}
+// Listen opens a relay at an address; port 0 selects a free port. serve runs in a separate goroutine for each connection.
+func Listen(addr string, random *Random, serve func(*Conn)) (*Relay, error) {
+	r := &Relay{addr: addr, random: random, serve: serve, changed: make(chan struct{}), conns: map[*Conn]bool{}}
 	if err := r.open(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address the relay listens at.
 func (r *Relay) Addr() string { return r.addr }
 
-// open begins to listen. The caller holds mu, or is alone.
+// open starts listening. The caller must hold mu or have exclusive access.
 func (r *Relay) open() error {
-	// Go's listeners are of Multipath TCP by default, which refuses to listen anew with another backlog.
+	// Go listeners use Multipath TCP by default, which does not allow another listen call to change the backlog.
 	lc := net.ListenConfig{}
 	lc.SetMultipathTCP(false)
 	ln, err := lc.Listen(context.Background(), "tcp4", r.addr)
@@ -67,14 +67,14 @@
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	var did error
-	if err := raw.Control(func(fd uintptr) { did = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	return did
+	return listenErr
 }
 
-// accept takes connections while the link is not cut.
+// accept accepts connections while the link is not cut.
 func (r *Relay) accept(ln *net.TCPListener) {
 	defer r.work.Done()
 	for {
@@ -85,9 +85,9 @@
 			<-changed
 			r.mu.Lock()
 		}
-		over := r.closed || r.ln != ln
+		stopped := r.closed || r.ln != ln
 		r.mu.Unlock()
-		if over {
+		if stopped {
 			return
 		}
 		c, err := ln.AcceptTCP()
@@ -95,7 +95,7 @@
 			return
 		}
 		if err != nil {
-			continue // woken for a change
+			continue // woken by the deadline because the shape changed
 		}
 		r.handleConn(c)
 	}
@@ -124,45 +124,46 @@
 		c.Close()
 		return
 	}
-	k := &Conn{relay: r, source: source, tcp: c, closeDelivered: make(chan struct{}), wake: make(chan struct{}, 1), outgoing: make(chan piece, 64)}
-	r.conns[k] = true
+	conn := &Conn{relay: r, source: source, tcp: c, closeDelivered: make(chan struct{}), wake: make(chan struct{}, 1), outgoing: make(chan piece, 64)}
+	r.conns[conn] = true
 	r.work.Add(3)
-	go k.read()
-	go k.write()
+	go conn.read()
+	go conn.write()
 	go func() {
 		defer r.work.Done()
-		r.serve(k)
-		k.Close()
+		r.serve(conn)
+		conn.Close()
 	}()
 }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (r *Relay) Connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
 }
 
-// Set gives the link another shape. What is under way in a cut waits, as retransmissions would, and comes once it is over.
+// Set changes the shape of the link. Data in transit during a cut is held and delivered once the cut ends, as TCP would
+// retransmit it.
 func (r *Relay) Set(s Shape) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || s == r.shape {
 		return nil
 	}
-	was := r.shape
+	old := r.shape
 	r.shape = s
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if s.Reset && !was.Reset {
+	if s.Reset && !old.Reset {
 		r.reset()
 	}
 	switch {
-	case s.Refuse && !was.Refuse:
+	case s.Refuse && !old.Refuse:
 		r.closeBacklogFiller()
 		r.ln.Close()
 		r.ln = nil
-	case !s.Refuse && was.Refuse:
+	case !s.Refuse && old.Refuse:
 		if err := r.open(); err != nil {
 			return err
 		}
@@ -170,9 +171,9 @@
 			return r.fillBacklog()
 		}
 	case s.Refuse:
-	case s.hasCut() && !was.hasCut():
+	case s.hasCut() && !old.hasCut():
 		return r.fillBacklog()
-	case !s.hasCut() && was.hasCut():
+	case !s.hasCut() && old.hasCut():
 		r.ln.SetDeadline(time.Time{})
 		if err := r.setBacklog(backlog); err != nil {
 			return err
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// SetFrom gives the link another shape for what comes from one IP address, on top of Set's. A connection that is cut so does
-// come up, and says nothing.
+// SetForSource sets a shape for connections from one IP address, in addition to the shape given to Set. With a cut, such
+// connections are still established but carry no data.
 func (r *Relay) SetForSource(ip string, s Shape) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,19 +193,19 @@
 	if r.sourceShapes == nil {
 		r.sourceShapes = map[string]Shape{}
 	}
-	was := r.sourceShapes[ip]
+	old := r.sourceShapes[ip]
 	r.sourceShapes[ip] = s
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if s.Reset && !was.Reset {
+	if s.Reset && !old.Reset {
 		r.resetFrom(ip)
 	}
 }
 
-// fill keeps new connections from coming up: the accept loop stops, the queue gets room for one, and that one is ours.
-// The caller holds mu.
+// fillBacklog keeps new connections from being established: it stops the accept loop, shrinks the accept queue to one
+// entry and occupies that entry with a connection of its own. The caller must hold mu.
 func (r *Relay) fillBacklog() error {
-	r.ln.SetDeadline(time.Unix(1, 0)) // until the cut is over: the runtime forgets one that is taken back at once
+	r.ln.SetDeadline(time.Unix(1, 0)) // kept until the cut ends: the runtime ignores a deadline that is cleared immediately
 	if err := r.setBacklog(0); err != nil {
 		return err
 	}
@@ -212,10 +213,10 @@
 	if err == nil {
 		r.backlogFiller = c
 	}
-	return nil // a queue that is full already needs no filler
+	return nil // on failure the queue is already full
 }
 
-// dropFiller is called with mu held.
+// closeBacklogFiller frees the accept queue entry taken by fillBacklog. The caller must hold mu.
 func (r *Relay) closeBacklogFiller() {
 	if r.backlogFiller != nil {
 		r.backlogFiller.Close()
@@ -223,10 +224,10 @@
 	}
 }
 
-// reset breaks all connections, with all that was under way on them. The caller holds mu.
+// reset resets all connections and discards their data in transit. The caller must hold mu.
 func (r *Relay) reset() { r.resetFrom("") }
 
-// breakFrom breaks the connections from an address; empty: all. The caller holds mu.
+// resetFrom resets the connections from an IP address, or all if it is empty. The caller must hold mu.
 func (r *Relay) resetFrom(ip string) {
 	for c := range r.conns {
 		if ip != "" && c.source != ip {
@@ -241,14 +242,14 @@
 	}
 }
 
-// Break resets all connections, as a machine does that is back and knows nothing of them.
+// ResetAll resets all connections, as a rebooted machine does that has lost their state.
 func (r *Relay) ResetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
 }
 
-// Close ends the relay and all its connections.
+// Close closes the relay, resets its connections and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if !r.closed {
--- a/internal/faultbench/link/shape.go
+++ b/internal/faultbench/link/shape.go
@@ -1,7 +1,7 @@
-// Package link carries traffic between the fault bench's groups over loopback and has it fail on purpose: cut in silence, one
-// way or both, reset, refused, delayed, lost, doubled, reordered, throttled. A Relay takes TCP connections and hands
-// their far side to whoever serves in this process; a Mesh carries datagrams between processes. Nothing here needs
-// privileges: a cut keeps new connections from coming up by a full accept queue, which drops SYNs as a dead wire does.
+// Package link carries traffic between groups of the fault bench over loopback and injects faults: traffic silently dropped
+// in one or both directions, reset, refused, delayed, lost, duplicated, reordered or throttled. A Relay accepts TCP
+// connections and serves their far side in this process; a Mesh forwards datagrams between processes. No privileges are
+// needed: to cut new connections, a Relay keeps its accept queue full, so that the kernel drops SYNs as a dead link would.
 package link
 
 import (
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Shape is how a link is now. The zero Shape is a perfect one.
+// Shape is the current condition of a link. The zero Shape is a link without faults.
 type Shape struct {
-	CutForward bool // nothing from the near side (a node) comes to the far side
-	CutReturn  bool // nothing from the far side comes to the near one
+	CutForward bool // drops traffic from the near side (a node) to the far side
+	CutReturn  bool // drops traffic from the far side to the near side
 	Reset      bool
 	Refuse     bool
-	Delay      time.Duration // one way
-	Jitter     time.Duration // evenly from 0 to this on top
-	Loss       float64       // share of pieces; of a stream they come Resend later, datagrams don't come
-	Duplicate  float64       // share of datagrams that come twice
-	Reorder    float64       // share of datagrams that are held back by up to Delay + Jitter + 10 ms more
-	Bandwidth  int64         // bytes a second one way; 0: no bound
+	Delay      time.Duration // one-way
+	Jitter     time.Duration // additional delay, uniform between 0 and this value
+	Loss       float64       // fraction lost; stream data is delayed by RetransmitDelay, datagrams are dropped
+	Duplicate  float64       // fraction of datagrams delivered twice
+	Reorder    float64       // fraction of datagrams delayed by up to Delay + Jitter + 10 ms more
+	Bandwidth  int64         // bytes per second in each direction; 0: unlimited
 }
 
-// Resend is how much later a lost piece of a stream comes: the least that Linux waits for an acknowledgement.
+// RetransmitDelay is the delay of lost stream data. It equals the minimum retransmission timeout of Linux.
 const RetransmitDelay = 200 * time.Millisecond
 
 func (s Shape) hasCut() bool { return s.CutForward || s.CutReturn }
 
-// Over is both shapes at once.
+// Combine returns the shape of a link that both shapes apply to.
 func (s Shape) Combine(o Shape) Shape {
 	s.CutForward, s.CutReturn = s.CutForward || o.CutForward, s.CutReturn || o.CutReturn
 	s.Reset, s.Refuse = s.Reset || o.Reset, s.Refuse || o.Refuse
@@ -41,16 +41,16 @@
 	return s
 }
 
-// Dice are draws that many links share.
+// Random is a random source that is safe for concurrent use by several links.
 type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewDice returns Dice of a seed.
+// NewRandom returns a Random with the given seed.
 func NewRandom(seed uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, 0xd1ce))} }
 
-// under says yes for a share of cases.
+// occurs reports true with the given probability.
 func (d *Random) occurs(share float64) bool {
 	if share <= 0 {
 		return false
@@ -60,7 +60,7 @@
 	return d.rng.Float64() < share
 }
 
-// upTo draws a length of time.
+// durationUpTo returns a random duration below most.
 func (d *Random) durationUpTo(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
@@ -70,10 +70,10 @@
 	return time.Duration(d.rng.Float64() * float64(most))
 }
 
-// lane is one direction of a link: when what goes in now comes out.
+// delayLine computes delivery times for one direction of a link.
 type delayLine struct{ freeAt, lastDelivery time.Time }
 
-// due is when a piece of n bytes that goes in now comes out, never before the piece before it.
+// deliveryTime returns when n bytes that enter now are delivered, never earlier than the previous piece.
 func (l *delayLine) deliveryTime(now time.Time, n int, s Shape, d *Random) time.Time {
 	start := now
 	if s.Bandwidth > 0 {
@@ -83,13 +83,13 @@
 		start = start.Add(time.Duration(float64(n) / float64(s.Bandwidth) * float64(time.Second)))
 		l.freeAt = start
 	}
-	at := start.Add(s.Delay + d.durationUpTo(s.Jitter))
+	deliverAt := start.Add(s.Delay + d.durationUpTo(s.Jitter))
 	if d.occurs(s.Loss) {
-		at = at.Add(RetransmitDelay)
+		deliverAt = deliverAt.Add(RetransmitDelay)
 	}
-	if at.Before(l.lastDelivery) {
-		at = l.lastDelivery
+	if deliverAt.Before(l.lastDelivery) {
+		deliverAt = l.lastDelivery
 	}
-	l.lastDelivery = at
-	return at
+	l.lastDelivery = deliverAt
+	return deliverAt
 }
--- a/internal/faultbench/link/subnet.go
+++ b/internal/faultbench/link/subnet.go
@@ -7,13 +7,13 @@
 	"net"
 )
 
-// Part is a part of 127.0.0.0/8 that no other rig uses.
+// Subnet is a /16 subnet of 127.0.0.0/8 that no other fault bench uses.
 type Subnet struct {
 	lock   net.Listener
 	number int
 }
 
-// TakePart takes a part: whoever holds its first address has it.
+// AcquireSubnet reserves a subnet by listening at port 7000 of its first address.
 func AcquireSubnet() (*Subnet, error) {
 	for range 100 {
 		number := 16 + rand.IntN(200)
@@ -22,14 +22,18 @@
 			return &Subnet{ln, number}, nil
 		}
 	}
-	return nil, errors.New("link: no part of 127.0.0.0/8 is free")
+	return nil, errors.New("link: no free subnet of 127.0.0.0/8 found in 100 tries")
 }
 
-// IP is one of the part's.
-func (p *Subnet) IP(a, b int) string { return fmt.Sprintf("127.%d.%d.%d", p.number, a, b) }
+// IP returns an address of the subnet by its last two bytes.
+func (p *Subnet) IP(third, fourth int) string {
+	return fmt.Sprintf("127.%d.%d.%d", p.number, third, fourth)
+}
 
-// Address is one of the part's.
-func (p *Subnet) Address(a, b, port int) string { return fmt.Sprintf("%s:%d", p.IP(a, b), port) }
+// Address returns an address of the subnet with a port.
+func (p *Subnet) Address(third, fourth, port int) string {
+	return fmt.Sprintf("%s:%d", p.IP(third, fourth), port)
+}
 
-// Close gives the part back.
+// Close releases the subnet.
 func (p *Subnet) Close() { p.lock.Close() }
--- a/internal/faultbench/virtual/faults.go
+++ b/internal/faultbench/virtual/faults.go
@@ -54,23 +54,23 @@
 	p.audit.RecordOutage(audit.Outage{Node: n.index, From: p.now, To: f.To})
 	n.incarnation++
 	n.balancer = nil
-	for _, k := range n.requests {
-		for _, t := range k.attempts {
-			t.ended = true
-			p.audit.RecordEnd(t.Attempt, p.now, "its node died")
-			p.abandon(t)
+	for _, req := range n.requests {
+		for _, att := range req.attempts {
+			att.ended = true
+			p.audit.RecordEnd(att.Attempt, p.now, "its node died")
+			p.abandon(att)
 		}
-		if !k.answered {
-			p.audit.RecordOutcome(k.ID, audit.Disconnected, p.now, "")
+		if !req.answered {
+			p.audit.RecordOutcome(req.ID, audit.Disconnected, p.now, "")
 		}
 	}
 	clear(n.requests)
 	clear(n.open)
-	back := f.To
+	restartAt := f.To
 	if f.Kind == experiment.Restart {
-		back = p.now + 500*time.Millisecond
+		restartAt = p.now + 500*time.Millisecond
 	}
-	p.at(back, func() { p.start(n) })
+	p.at(restartAt, func() { p.start(n) })
 }
 
 func (p *player) applyServerFault(f experiment.Fault, i int) {
--- a/internal/faultbench/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -13,44 +13,44 @@
 
 // Floors of service under overload, against the share of requests that the servers could serve if none of their time were lost.
 const (
-	floorOfAll     = 0.85
-	floorOfClass   = 0.6
-	floorOfThird   = 0.5
-	mostUnanswered = 0.002 // of all requests
+	totalFloor    = 0.85
+	classFloor    = 0.6
+	thirdFloor    = 0.5
+	maxUnanswered = 0.002 // of all requests
 )
 
 // shortfalls plays an experiment and tells where it is under its floors.
-func shortfalls(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
+func findShortfalls(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
 	t.Helper()
 	played, figures, err := Play(e, policy, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	possible := 1 / e.Clients.Utilisation
-	if figures.InAim < floorOfAll*possible {
-		found = append(found, fmt.Sprintf("all: %.3f served in time, want %.3f", figures.InAim, floorOfAll*possible))
+	if figures.InAim < totalFloor*possible {
+		found = append(found, fmt.Sprintf("all: %.3f served in time, want %.3f", figures.InAim, totalFloor*possible))
 	}
 	check := func(what string, from, to time.Duration, floor float64) {
 		for i, got := range played.ByClass(from, to, len(e.Classes)) {
-			found = append(found, underFloor(what+", "+e.Classes[i].Name, got, floor*possible)...)
+			found = append(found, belowFloor(what+", "+e.Classes[i].Name, got, floor*possible)...)
 		}
 	}
-	check("the whole", e.WarmUp, e.TotalDuration(), floorOfClass)
+	check("the whole", e.WarmUp, e.TotalDuration(), classFloor)
 	const thirds = 3
 	length := (e.TotalDuration() - e.WarmUp) / thirds
 	for i := range thirds {
 		from := e.WarmUp + time.Duration(i)*length
-		check(fmt.Sprint("third ", i+1), from, from+length, floorOfThird)
+		check(fmt.Sprint("third ", i+1), from, from+length, thirdFloor)
 	}
 	return found
 }
 
 // underFloor tells in what a class is served too little.
-func underFloor(what string, got audit.ClassMetrics, floor float64) (found []string) {
+func belowFloor(what string, got audit.ClassMetrics, floor float64) (found []string) {
 	if got.InAim < floor {
 		found = append(found, fmt.Sprintf("%s: %.3f of %d served in time, want %.3f", what, got.InAim, got.Calls, floor))
 	}
-	if got.Unanswered > mostUnanswered {
+	if got.Unanswered > maxUnanswered {
 		found = append(found, fmt.Sprintf("%s: %.4f of %d heard nothing", what, got.Unanswered, got.Calls))
 	}
 	return found
@@ -62,20 +62,20 @@
 	for seed := range uint64(3) {
 		e := load(t, "overload")
 		e.Seed = seed + 1
-		for _, found := range shortfalls(t, e, experiment.Program) {
+		for _, found := range findShortfalls(t, e, experiment.Program) {
 			t.Errorf("seed %d: %s", e.Seed, found)
 		}
 	}
-	if len(shortfalls(t, load(t, "overload"), experiment.JSQ)) == 0 {
+	if len(findShortfalls(t, load(t, "overload"), experiment.JSQ)) == 0 {
 		t.Error("the floors hold without any admission: they tell nothing")
 	}
 }
 
 // ofLate is the share of what Late serves that a fleet has to serve of each group.
-const ofLate = 1.0 / 3
+const delayedStateFraction = 1.0 / 3
 
 // ofEachEffect are classes of each effect, some of them of little worth.
-func ofEachEffect() []experiment.Class {
+func mixedClasses() []experiment.Class {
 	class := func(name, effect string, share, weight float64) experiment.Class {
 		return experiment.Class{Name: name, Effect: effect, LatencyObjective: time.Second, Deadline: 3 * time.Second, Share: share, PriorityWeight: weight}
 	}
@@ -86,7 +86,7 @@
 // keyedClasses repeat by a key, which an experiment's file does not say of a class.
 var keyedClasses = []string{"note", "log"}
 
-func keyed(s *balancer.Settings) {
+func setKeyedClasses(s *balancer.Settings) {
 	for i := range s.Classes {
 		if slices.Contains(keyedClasses, s.Classes[i].Name) {
 			s.Classes[i].Effect, s.Classes[i].Scope, s.Classes[i].Window = balancer.Keyed, balancer.ScopeAll, time.Second
@@ -126,9 +126,9 @@
 }
 
 // underLate plays an experiment by a policy and by Late, and tells what groups get less than their part of what Late serves.
-func underLate(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
+func belowDelayedState(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
 	t.Helper()
-	played, _, err := Play(e, policy, keyed)
+	played, _, err := Play(e, policy, setKeyedClasses)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 			if want.InAim < 0.1 {
 				t.Errorf("%s %s: the late-seeing policy serves %.3f: it tells nothing", by, name, want.InAim)
 			}
-			found = append(found, underFloor(by+" "+name, got[name], ofLate*want.InAim)...)
+			found = append(found, belowFloor(by+" "+name, got[name], delayedStateFraction*want.InAim)...)
 		}
 	}
 	return found
@@ -168,17 +168,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := load(t, "overload")
-			e.Classes, e.Clients.Utilisation, e.Faults = ofEachEffect(), c.utilisation, c.faults
+			e.Classes, e.Clients.Utilisation, e.Faults = mixedClasses(), c.utilisation, c.faults
 			e.Measure, e.Nodes[0].Count, e.Servers[0].Count = 10*time.Second, e.Nodes[0].Count/2, e.Servers[0].Count/2
 			rest := e.Nodes[0]
 			loud := rest
 			loud.Name, loud.Count, loud.RateFactor = "loud", loudNodes, 8
 			rest.Count -= loudNodes
 			e.Nodes = []experiment.Nodes{loud, rest}
-			for _, found := range underLate(t, e, experiment.Program) {
+			for _, found := range belowDelayedState(t, e, experiment.Program) {
 				t.Error(found)
 			}
-			if c.utilisation > 1.3 && len(underLate(t, e, experiment.JSQ)) == 0 {
+			if c.utilisation > 1.3 && len(belowDelayedState(t, e, experiment.JSQ)) == 0 {
 				t.Error("the floors hold without any admission: they tell nothing")
 			}
 		})
--- a/internal/faultbench/virtual/loadexchange.go
+++ b/internal/faultbench/virtual/loadexchange.go
@@ -14,27 +14,27 @@
 }
 
 // links draws which nodes hear which.
-func (p *player) drawLinks() (hears [][]bool) {
+func (p *player) drawLinks() (connected [][]bool) {
 	for range p.nodes {
 		row := make([]bool, len(p.nodes))
 		for j := range row {
 			row[j] = p.rng.Float64() >= p.exchangeSettings.CutShare
 		}
-		hears = append(hears, row)
+		connected = append(connected, row)
 	}
-	return hears
+	return connected
 }
 
 // exchange tells nodes of one another's counts, from now on, as often as they are old: a word of each server at a time, for
 // all that it holds.
-func (p *player) exchange(hears [][]bool) {
+func (p *player) exchange(connected [][]bool) {
 	counts := make([][]float64, len(p.nodes))
 	for j, n := range p.nodes {
 		counts[j] = make([]float64, len(p.state))
-		for _, k := range n.requests {
-			for _, t := range k.attempts {
-				if !t.ended {
-					counts[j][t.place]++
+		for _, req := range n.requests {
+			for _, att := range req.attempts {
+				if !att.ended {
+					counts[j][att.place]++
 				}
 			}
 		}
@@ -44,18 +44,18 @@
 			if n.balancer == nil {
 				continue
 			}
-			known := balancer.LoadUpdate{}
+			update := balancer.LoadUpdate{}
 			for place, s := range p.fleet.Servers {
 				busy := 0.0
 				for j := range p.nodes {
-					if i == j || hears[i][j] {
+					if i == j || connected[i][j] {
 						busy += counts[j][place]
 					}
 				}
-				known.Loads = append(known.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.exchangeSettings.Age})
+				update.Loads = append(update.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.exchangeSettings.Age})
 			}
-			p.handle(n, known)
+			p.handle(n, update)
 		}
 	})
-	p.at(p.now+p.exchangeSettings.Age, func() { p.exchange(hears) })
+	p.at(p.now+p.exchangeSettings.Age, func() { p.exchange(connected) })
 }
--- a/internal/faultbench/virtual/play.go
+++ b/internal/faultbench/virtual/play.go
@@ -93,8 +93,8 @@
 }
 
 // PlayTold is Play with nodes that tell one another what they have at servers.
-func PlayWithExchange(e *experiment.Experiment, policy experiment.Policy, tune Tune, told LoadExchange) (*audit.Audit, audit.Metrics, error) {
-	p := &player{e: e, policy: policy, tune: tune, exchangeSettings: told, audit: audit.New(), fleet: world.NewFleet(e), place: map[string]int{},
+func PlayWithExchange(e *experiment.Experiment, policy experiment.Policy, tune Tune, exchange LoadExchange) (*audit.Audit, audit.Metrics, error) {
+	p := &player{e: e, policy: policy, tune: tune, exchangeSettings: exchange, audit: audit.New(), fleet: world.NewFleet(e), place: map[string]int{},
 		replaced: map[string]bool{}, waiting: map[*world.Job]*attempt{}, streams: world.NewStreams(e, "c"), rng: rand.New(rand.NewPCG(e.Seed, 0x1ab))}
 	p.state = make([]balancer.ServerState, len(p.fleet.Servers))
 	p.unreachable, p.crashed = make([]bool, len(p.state)), make([]bool, len(p.state))
@@ -116,7 +116,7 @@
 			return nil, audit.Metrics{}, err
 		}
 	}
-	if told.Age > 0 {
+	if exchange.Age > 0 {
 		p.exchange(p.drawLinks())
 	}
 	p.at(0, p.sample)
@@ -164,34 +164,34 @@
 }
 
 // tell gives a node the list as it stands now; names are the uids that have gone since.
-func (p *player) sendList(n *node, gone []string) {
-	l := balancer.ServerList{Full: len(gone) == 0}
+func (p *player) sendList(n *node, removed []string) {
+	list := balancer.ServerList{Full: len(removed) == 0}
 	n.listed = n.listed[:0]
 	for i, s := range p.fleet.Servers {
-		v := balancer.Server{ID: s.ID, Zone: s.Zone, State: p.state[i], Size: s.Spec.Size}
+		server := balancer.Server{ID: s.ID, Zone: s.Zone, State: p.state[i], Size: s.Spec.Size}
 		if s.SlowStartAt >= 0 {
-			v.Boot = epoch + s.SlowStartAt
+			server.Boot = epoch + s.SlowStartAt
 		}
-		if v.State == balancer.Ready {
+		if server.State == balancer.Ready {
 			n.listed = append(n.listed, s.ID)
 		} else {
 			p.audit.RecordRemoval(n.index, s.ID, p.now)
 		}
-		l.Servers = append(l.Servers, v)
+		list.Servers = append(list.Servers, server)
 	}
-	for _, id := range gone {
-		l.Servers = append(l.Servers, balancer.Server{ID: id, State: balancer.Removed})
+	for _, id := range removed {
+		list.Servers = append(list.Servers, balancer.Server{ID: id, State: balancer.Removed})
 		p.audit.RecordRemoval(n.index, id, p.now)
 	}
 	if p.policy == experiment.Program && n.balancer != nil {
-		p.handle(n, l)
+		p.handle(n, list)
 	}
 }
 
 // tellAll has every node hear of the list as it stands, each after its lag.
-func (p *player) sendListToAll(gone ...string) {
+func (p *player) sendListToAll(removed ...string) {
 	for _, n := range p.nodes {
-		p.at(p.now+n.lag, func() { p.sendList(n, gone) })
+		p.at(p.now+n.lag, func() { p.sendList(n, removed) })
 	}
 }
 
--- a/internal/faultbench/virtual/play_test.go
+++ b/internal/faultbench/virtual/play_test.go
@@ -22,7 +22,7 @@
 }
 
 // smaller has a quarter of an example's nodes and servers.
-func smaller(e *experiment.Experiment) *experiment.Experiment {
+func shrink(e *experiment.Experiment) *experiment.Experiment {
 	for i := range e.Nodes {
 		e.Nodes[i].Count = max(1, e.Nodes[i].Count/4)
 	}
@@ -79,7 +79,7 @@
 // The four rules hold on every example that virtual time can play, whatever fails.
 func TestRulesHoldOnTheExamples(t *testing.T) {
 	for _, name := range []string{"restarts", "errors", "hang", "cold", "replaced", "lists", "recount", "one-way", "zone-silent", "zone-lost", "impatient"} {
-		e := smaller(load(t, name))
+		e := shrink(load(t, name))
 		least := 0.8
 		if name == "impatient" { // whose clients wait for two mean times of service
 			least = 0.6
@@ -92,7 +92,7 @@
 
 // One seed, one history.
 func TestOneSeedOneHistory(t *testing.T) {
-	first, again := play(t, smaller(load(t, "hang")), experiment.Program, nil), play(t, smaller(load(t, "hang")), experiment.Program, nil)
+	first, again := play(t, shrink(load(t, "hang")), experiment.Program, nil), play(t, shrink(load(t, "hang")), experiment.Program, nil)
 	if first.P999 != again.P999 || first.Served != again.Served || first.Spread.Variation != again.Spread.Variation {
 		t.Errorf("%+v and %+v", first, again)
 	}
--- a/internal/faultbench/virtual/requests.go
+++ b/internal/faultbench/virtual/requests.go
@@ -28,19 +28,19 @@
 		p.audit.RecordOutcome(c.ID, audit.NotAccepted, p.now+1, "")
 		return
 	}
-	k := &request{Request: c, class: class}
-	n.requests[c.ID] = k
+	req := &request{Request: c, class: class}
+	n.requests[c.ID] = req
 	if patience := p.e.Clients.Patience; patience > 0 && patience < class.Deadline {
-		p.at(p.now+patience, func() { p.disconnectClient(n, k) })
+		p.at(p.now+patience, func() { p.disconnectClient(n, req) })
 	}
 	if p.policy == experiment.Program {
 		p.handle(n, balancer.Request{ID: c.ID, Class: class.Name, Deadline: epoch + p.now + class.Deadline})
 		return
 	}
 	if id := p.pick(n, class); id != "" {
-		p.send(n, k, id, class.Deadline)
+		p.send(n, req, id, class.Deadline)
 	} else {
-		p.finish(n, k, audit.Refused, "now")
+		p.finish(n, req, audit.Refused, "now")
 	}
 }
 
@@ -108,14 +108,14 @@
 	for _, a := range n.balancer.Handle(epoch+p.now, e) {
 		switch a := a.(type) {
 		case balancer.Send:
-			if k := n.requests[a.ID]; k != nil {
-				p.send(n, k, a.Server, a.Timeout)
+			if req := n.requests[a.ID]; req != nil {
+				p.send(n, req, a.Server, a.Timeout)
 			}
 		case balancer.Poll:
 			p.poll(n, a)
 		case balancer.Cancel:
-			if k := n.requests[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-				p.end(k.attempts[a.Attempt], balancer.Cancelled, nil)
+			if req := n.requests[a.ID]; req != nil && a.Attempt < len(req.attempts) {
+				p.end(req.attempts[a.Attempt], balancer.Cancelled, nil)
 			}
 		case balancer.Reject:
 			p.finish(n, n.requests[a.ID], audit.Refused, a.RetryAfter.String())
@@ -137,17 +137,17 @@
 	for _, id := range a.Servers {
 		place := p.place[id]
 		s := p.fleet.Servers[place]
-		there, comes := p.delay(n.zone, s.Zone, true, place)
-		if !comes || s.ID != id || p.unreachable[place] || p.crashed[place] {
+		forward, delivered := p.delay(n.zone, s.Zone, true, place)
+		if !delivered || s.ID != id || p.unreachable[place] || p.crashed[place] {
 			continue
 		}
 		p.polls++
-		p.at(p.now+there, func() {
+		p.at(p.now+forward, func() {
 			busy := float64(s.Working() + s.Waiting())
-			if back, comes := p.delay(s.Zone, n.zone, false, place); comes && s.Fault != experiment.Hang {
-				p.at(p.now+back, func() {
+			if backward, delivered := p.delay(s.Zone, n.zone, false, place); delivered && s.Fault != experiment.Hang {
+				p.at(p.now+backward, func() {
 					if n.incarnation == incarnation && n.balancer != nil {
-						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
+						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: forward + backward}}})
 					}
 				})
 			}
@@ -156,32 +156,32 @@
 }
 
 // hear ends a request for its client.
-func (p *player) finish(n *node, k *request, h audit.Outcome, says string) {
-	if k == nil || k.answered {
+func (p *player) finish(n *node, req *request, outcome audit.Outcome, detail string) {
+	if req == nil || req.answered {
 		return
 	}
-	k.answered = true
-	p.audit.RecordOutcome(k.ID, h, p.now, says)
-	p.forget(n, k)
+	req.answered = true
+	p.audit.RecordOutcome(req.ID, outcome, p.now, detail)
+	p.forget(n, req)
 }
 
 // leaveNode has a client leave that has heard nothing.
-func (p *player) disconnectClient(n *node, k *request) {
-	if k.answered || n.requests[k.ID] != k {
+func (p *player) disconnectClient(n *node, req *request) {
+	if req.answered || n.requests[req.ID] != req {
 		return
 	}
-	p.finish(n, k, audit.ClientLeft, "")
+	p.finish(n, req, audit.ClientLeft, "")
 	if p.policy == experiment.Program {
-		p.handle(n, balancer.ClientDisconnected{ID: k.ID})
+		p.handle(n, balancer.ClientDisconnected{ID: req.ID})
 		return
 	}
-	for _, t := range k.attempts {
-		p.end(t, balancer.Cancelled, nil)
+	for _, att := range req.attempts {
+		p.end(att, balancer.Cancelled, nil)
 	}
 }
 
-func (p *player) forget(n *node, k *request) {
-	if k.answered && !slices.ContainsFunc(k.attempts, func(t *attempt) bool { return !t.ended }) {
-		delete(n.requests, k.ID)
+func (p *player) forget(n *node, req *request) {
+	if req.answered && !slices.ContainsFunc(req.attempts, func(t *attempt) bool { return !t.ended }) {
+		delete(n.requests, req.ID)
 	}
 }
--- a/internal/faultbench/world/fleet.go
+++ b/internal/faultbench/world/fleet.go
@@ -8,14 +8,14 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Fleet is all servers of an experiment, in the order of its groups; their ids tell nothing of zones or groups.
+// Fleet holds all servers of an experiment, in the order of its groups. Server ids do not reveal zones or groups.
 type Fleet struct {
 	Servers []*Server
 	next    int
 	rng     *rand.Rand
 }
 
-// NewFleet returns warm servers.
+// NewFleet returns a fleet of servers that are past slow start.
 func NewFleet(e *experiment.Experiment) *Fleet {
 	f := &Fleet{rng: rand.New(rand.NewPCG(e.Seed, 0xf1ee7))}
 	for _, g := range e.Servers {
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("s%06x%04d", f.rng.Uint32()&0xffffff, f.next)
 }
 
-// Renew puts a new incarnation in the place of the i-th server: the same machine started anew or, as replacement, another id.
+// Replace replaces the i-th server by a new incarnation in slow start, under the same id or, as a replacement, a new one.
 func (f *Fleet) Replace(i int, now time.Duration, replacement bool) *Server {
 	old := f.Servers[i]
 	id := old.ID
--- a/internal/faultbench/world/server.go
+++ b/internal/faultbench/world/server.go
@@ -1,5 +1,5 @@
-// Package world models what the fault bench's nodes meet: servers with slots, a queue and a slow start, and streams of requests.
-// It does no I/O and has no clock: whoever plays it, on sockets or on virtual time, says when things happen.
+// Package world models the environment of the fault bench's nodes: servers with slots, a queue and a slow start, and streams
+// of requests. It does no I/O and has no clock: the caller, on sockets or in virtual time, passes the current time.
 package world
 
 import (
@@ -9,52 +9,53 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Job is a request at a server, from its arrival until its work is over or it is taken back.
+// Job is a request at a server, from its arrival until it is finished or removed from the queue.
 type Job struct {
 	ID        string
-	StartedAt time.Duration // of its work; negative: it waits
-	EndsAt    time.Duration // of its work
-	Abandoned bool          // nobody waits for it: it left while in work, which goes on to the end
+	StartedAt time.Duration // start of service; negative: not started
+	EndsAt    time.Duration // end of service
+	Abandoned bool          // its client gave up; service that has started continues to the end
 
 	queued bool
 }
 
-// Verdict is what a server does with a request that arrives.
+// ArrivalResult is how a server handles an arriving request.
 type ArrivalResult int
 
-// Verdicts.
+// Arrival results.
 const (
 	Started ArrivalResult = iota
 	Queued
-	Rejected // for want of room; it never runs
-	Failed   // answered with an error at once
-	Hung     // taken, and never answered
+	Rejected // the queue is full; it never runs
+	Failed   // an error is returned immediately
+	Hung     // accepted, but no reply is ever sent
 )
 
-// Cold-start rule: what comes to a server in slow start within a span stays under a multiple of what it could do by then.
+// Slow start rule: the work that arrives at a server in slow start within a span must not exceed a multiple of the work that
+// it can do in that span.
 const (
 	SlowStartSpan     = time.Second
 	SlowStartMultiple = 3
-	slowStartSlack    = 4 // requests above that are chance
+	slowStartSlack    = 4 // additional requests allowed for random variation
 )
 
-// Server is one incarnation of a server: a machine of slots and a queue. It belongs to one goroutine or one lock.
+// Server is one incarnation of a server with slots and a queue. It is not safe for concurrent use.
 type Server struct {
 	Spec        experiment.Servers
 	ID          string
 	Zone        string
-	SlowStartAt time.Duration // when it started cold; negative: long ago
+	SlowStartAt time.Duration // start of slow start; negative: long past
 
-	Fault  experiment.Kind // Hang, Errors or none
-	Factor float64         // of its times of work, by drag
+	Fault  experiment.Kind // Hang, Errors or empty
+	Factor float64         // multiplies service times; set by the Slowdown fault
 
 	rng                *rand.Rand
 	work               int
 	queue              []*Job
-	recent             []arrival // to a server in slow start, within the span
+	recent             []arrival // arrivals within the span, during slow start
 	slowStartOverloads int
 	slowStartLoad      float64
-	Ran                int // requests whose work began
+	Ran                int // requests whose service started
 	Rejected           int
 }
 
@@ -63,12 +64,12 @@
 	work time.Duration
 }
 
-// NewServer returns a server that has nothing to do.
+// NewServer returns an idle server.
 func NewServer(spec experiment.Servers, id, zone string, born time.Duration, seed uint64) *Server {
 	return &Server{Spec: spec, ID: id, Zone: zone, SlowStartAt: born, Factor: 1, rng: rand.New(rand.NewPCG(seed, 0x5e47e4))}
 }
 
-// Speed is the share of its full speed that it has, as it warms up.
+// Speed returns the fraction of full speed that the server has reached in slow start.
 func (s *Server) Speed(now time.Duration) float64 {
 	if s.SlowStartAt < 0 || s.Spec.SlowStartWindow == 0 || now >= s.SlowStartAt+s.Spec.SlowStartWindow {
 		return 1
@@ -76,7 +77,7 @@
 	return s.Spec.SlowStartMinimum + (1-s.Spec.SlowStartMinimum)*float64(now-s.SlowStartAt)/float64(s.Spec.SlowStartWindow)
 }
 
-// Arrive takes a request. After Started its work ends at job.Ends, when Finish is due.
+// Arrive handles an arriving request. If it returns Started, the caller must call Finish at j.EndsAt.
 func (s *Server) Arrive(now time.Duration, j *Job) ArrivalResult {
 	j.StartedAt = -1
 	s.recordArrival(now)
@@ -100,12 +101,12 @@
 func (s *Server) begin(now time.Duration, j *Job) {
 	s.work++
 	s.Ran++
-	took := s.Spec.ServiceDistribution.Sample(s.rng, s.Spec.Service)
+	service := s.Spec.ServiceDistribution.Sample(s.rng, s.Spec.Service)
 	j.queued, j.StartedAt = false, now
-	j.EndsAt = now + time.Duration(float64(took)*s.Factor/s.Speed(now))
+	j.EndsAt = now + time.Duration(float64(service)*s.Factor/s.Speed(now))
 }
 
-// Finish ends the work of a job that Arrive, Finish or Leave has started. It returns the next one whose work begins.
+// Finish ends the service of a started job. It returns the queued job that starts next, if any.
 func (s *Server) Finish(now time.Duration, j *Job) *Job {
 	s.work--
 	return s.next(now)
@@ -122,7 +123,7 @@
 	return j
 }
 
-// Leave takes back a request that nobody waits for any more. One that waits never runs; work that has begun goes on.
+// Abandon marks a request whose client gave up. A queued request is removed and never runs; started service continues.
 func (s *Server) Abandon(j *Job) {
 	j.Abandoned = true
 	if !j.queued {
@@ -137,13 +138,13 @@
 	}
 }
 
-// Working and Waiting are its requests.
+// Working returns the number of requests in service.
 func (s *Server) Working() int { return s.work }
 
-// Waiting is how many requests are in its queue.
+// Waiting returns the number of queued requests.
 func (s *Server) Waiting() int { return len(s.queue) }
 
-// press counts what comes to a server in slow start, all of it, whether it is taken or not.
+// recordArrival checks arrivals against the slow start rule. It counts all requests, rejected ones included.
 func (s *Server) recordArrival(now time.Duration) {
 	if s.Speed(now) == 1 {
 		s.recent = nil
@@ -153,20 +154,20 @@
 		s.recent = s.recent[1:]
 	}
 	s.recent = append(s.recent, arrival{now, s.Spec.Service})
-	var sent time.Duration
+	var arrived time.Duration
 	for _, a := range s.recent {
-		sent += a.work
+		arrived += a.work
 	}
-	can := float64(s.Spec.Slots)*s.Speed(now)*float64(SlowStartSpan)*SlowStartMultiple + slowStartSlack*float64(s.Spec.Service)
-	s.slowStartLoad = max(s.slowStartLoad, float64(sent)/can)
-	if float64(sent) > can {
+	allowed := float64(s.Spec.Slots)*s.Speed(now)*float64(SlowStartSpan)*SlowStartMultiple + slowStartSlack*float64(s.Spec.Service)
+	s.slowStartLoad = max(s.slowStartLoad, float64(arrived)/allowed)
+	if float64(arrived) > allowed {
 		s.slowStartOverloads++
 		s.recent = nil
 	}
 }
 
-// Pressed is the most that came to it within a span while it was cold, of what the rule allows.
+// SlowStartLoad returns the maximum work that arrived within a span during slow start, relative to what the rule allows.
 func (s *Server) SlowStartLoad() float64 { return s.slowStartLoad }
 
-// PushedOver counts the spans in which more came to it while it was cold than the rule allows.
+// SlowStartOverloads returns how many spans exceeded the work that the slow start rule allows.
 func (s *Server) SlowStartOverloads() int { return s.slowStartOverloads }
--- a/internal/faultbench/world/streams.go
+++ b/internal/faultbench/world/streams.go
@@ -8,17 +8,17 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Call is one request of a client.
+// Request is one request of a client.
 type Request struct {
 	ID    string
 	Node  int
 	Class int
 	At    time.Duration
-	Try   int // 0 for the first; a client's retry is a request of its own, with a new id
+	Try   int // 0 for the first; each client retry is a separate request with a new id
 }
 
-// Streams draws the requests that come to each node: open Poisson streams, the same for the same seed whatever becomes
-// of the requests.
+// Streams generates the requests that arrive at each node: open-loop Poisson streams, which depend on the seed only and not
+// on the outcome of requests.
 type Streams struct {
 	e     *experiment.Experiment
 	rates []float64
@@ -28,7 +28,7 @@
 	tag   string
 }
 
-// NewStreams returns the streams of an experiment. The tag sets ids of runs apart.
+// NewStreams returns the streams of an experiment. The tag is a prefix that distinguishes the request ids of runs.
 func NewStreams(e *experiment.Experiment, tag string) *Streams {
 	s := &Streams{e: e, rates: e.NodeRates(), tag: tag}
 	for i, rate := range s.rates {
@@ -40,7 +40,7 @@
 	return s
 }
 
-// Next is the next request to a node and true, or false once the day is over.
+// Next returns the next request to a node, or false at the end of the experiment.
 func (s *Streams) Next(node int) (Request, bool) {
 	at := s.next[node]
 	if at >= s.e.TotalDuration() {
