--- a/internal/faultbench/audit/audit.go
+++ b/internal/faultbench/audit/audit.go
@@ -126,17 +126,17 @@
 }
 
 // RecordOutcome records the outcome of a request. A second outcome of the same request is recorded as WrongResponse.
-func (a *Audit) RecordOutcome(id string, h Outcome, at time.Duration, says string) {
+func (a *Audit) RecordOutcome(id string, outcome Outcome, at time.Duration, detail string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := a.requests[id]
-	if c == nil {
+	req := a.requests[id]
+	if req == nil {
 		return
 	}
-	if c.OutcomeAt > 0 {
-		h, says = WrongResponse, fmt.Sprintf("%v after %v", h, c.Outcome)
+	if req.OutcomeAt > 0 {
+		outcome, detail = WrongResponse, fmt.Sprintf("%v after %v", outcome, req.Outcome)
 	}
-	c.Outcome, c.OutcomeAt, c.Detail = h, at, says
+	req.Outcome, req.OutcomeAt, req.Detail = outcome, at, detail
 }
 
 // RecordAttempt records that the last byte of an attempt has reached a relay. The returned Attempt is passed to RecordRun
@@ -146,16 +146,16 @@
 	defer a.mu.Unlock()
 	attempt := &Attempt{RequestID: request, Server: server, Index: index, CrossZone: cross, SentAt: at}
 	a.arrivals = append(a.arrivals, arrival{at, index})
-	c := a.requests[request]
-	if c == nil {
+	req := a.requests[request]
+	if req == nil {
 		a.orphans = append(a.orphans, attempt)
 		return attempt
 	}
-	if removedAt, yes := a.removals[c.Node][server]; yes && at > removedAt+DrainGrace {
+	if removedAt, yes := a.removals[req.Node][server]; yes && at > removedAt+DrainGrace {
 		a.breaches = append(a.breaches, Breach{Rule: "drain", Call: request, At: at,
-			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was notified that the server drains or was removed", c.Node, request, server, (at - removedAt).Round(time.Millisecond))})
+			Words: fmt.Sprintf("node %d sent %s to %s, %v after it was notified that the server drains or was removed", req.Node, request, server, (at - removedAt).Round(time.Millisecond))})
 	}
-	c.attempts = append(c.attempts, attempt)
+	req.attempts = append(req.attempts, attempt)
 	return attempt
 }
 
@@ -167,11 +167,11 @@
 }
 
 // RecordEnd records that the node received the reply to an attempt or closed its connection. Only the first call counts.
-func (a *Audit) RecordEnd(t *Attempt, at time.Duration, how string) {
+func (a *Audit) RecordEnd(t *Attempt, at time.Duration, reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if t.EndedAt == 0 {
-		t.EndedAt, t.EndReason = at, how
+		t.EndedAt, t.EndReason = at, reason
 	}
 }
 
@@ -219,26 +219,26 @@
 		out = append(out, Breach{Rule: rule, Call: req.ID, At: at, Words: fmt.Sprintf(format, args...), Events: req.events()})
 	}
 	for _, req := range a.requests {
-		due := req.At + req.Deadline + AnswerSlack + late
+		deadline := req.At + req.Deadline + AnswerSlack + late
 		switch {
 		case req.Outcome == WrongResponse:
 			addBreach("answer", req, req.OutcomeAt, "%s received a wrong response: %s", req.ID, req.Detail)
 		case req.Outcome == ClientLeft: // no response is required
-		case a.hadOutage(req.Node, req.At-time.Second, due):
+		case a.hadOutage(req.Node, req.At-time.Second, deadline):
 		case req.OutcomeAt == 0 || req.Outcome == NoResponse:
-			addBreach("answer", req, due, "%s received no response", req.ID)
-		case req.OutcomeAt > due:
+			addBreach("answer", req, deadline, "%s received no response", req.ID)
+		case req.OutcomeAt > deadline:
 			addBreach("answer", req, req.OutcomeAt, "%s received its response %v after its deadline", req.ID, (req.OutcomeAt - req.At - req.Deadline).Round(time.Millisecond))
 		case req.Outcome == Disconnected:
 			addBreach("answer", req, req.OutcomeAt, "%s was accepted, but its connection ended without a response", req.ID)
 		case req.Outcome == Refused && req.Detail == "":
 			addBreach("answer", req, req.OutcomeAt, "%s was refused without Retry-After", req.ID)
 		}
-		ran := 0
+		runs := 0
 		slices.SortStableFunc(req.attempts, func(x, y *Attempt) int { return int(x.SentAt - y.SentAt) })
 		for i, attempt := range req.attempts {
 			if attempt.Ran {
-				ran++
+				runs++
 			}
 			for _, earlier := range req.attempts[:i] {
 				if earlier.EndedAt == 0 || earlier.EndedAt > attempt.SentAt+ReorderTolerance+late {
@@ -247,11 +247,11 @@
 			}
 		}
 		switch {
-		case req.Unsafe && ran > 1:
-			addBreach("once", req, req.At, "%s is unsafe and ran %d times", req.ID, ran)
-		case req.Unsafe && req.Outcome == Refused && ran > 0:
+		case req.Unsafe && runs > 1:
+			addBreach("once", req, req.At, "%s is unsafe and ran %d times", req.ID, runs)
+		case req.Unsafe && req.Outcome == Refused && runs > 0:
 			addBreach("once", req, req.OutcomeAt, "%s is unsafe and was refused although it ran", req.ID)
-		case req.Outcome == Served && ran == 0:
+		case req.Outcome == Served && runs == 0:
 			addBreach("answer", req, req.OutcomeAt, "%s was served, but no server ran it", req.ID)
 		}
 	}
--- a/internal/faultbench/audit/metrics.go
+++ b/internal/faultbench/audit/metrics.go
@@ -163,25 +163,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]ClassMetrics{}
-	for _, t := range a.requestChains() {
-		if t.first.At < from || t.first.At >= to {
+	for _, chain := range a.requestChains() {
+		if chain.first.At < from || chain.first.At >= to {
 			continue
 		}
-		name := group(*t.first)
-		f, last := out[name], t.final()
-		f.Calls++
-		if last.Outcome == Served && last.OutcomeAt-t.first.At <= t.first.LatencyObjective {
-			f.InAim++
+		name := group(*chain.first)
+		metrics, last := out[name], chain.final()
+		metrics.Calls++
+		if last.Outcome == Served && last.OutcomeAt-chain.first.At <= chain.first.LatencyObjective {
+			metrics.InAim++
 		}
 		if last.Outcome == NoResponse {
-			f.Unanswered++
+			metrics.Unanswered++
 		}
-		out[name] = f
+		out[name] = metrics
 	}
-	for name, f := range out {
-		n := float64(f.Calls)
-		f.InAim, f.Unanswered = f.InAim/n, f.Unanswered/n
-		out[name] = f
+	for name, metrics := range out {
+		n := float64(metrics.Calls)
+		metrics.InAim, metrics.Unanswered = metrics.InAim/n, metrics.Unanswered/n
+		out[name] = metrics
 	}
 	return out
 }
@@ -360,10 +360,10 @@
 		most, least, highest, lowest, within := 0.0, math.Inf(1), 0.0, math.Inf(1), true
 		for i, v := range byServer {
 			part := float64(capacity[i].Slots) * capacity[i].Speed / all
-			mean := total * part
+			expected := total * part
 			high, low := chanceBounds(total, part, 0.025/float64(len(capacity)))
-			most, least = max(most, v/mean), min(least, v/mean)
-			highest, lowest = max(highest, high/mean), min(lowest, low/mean)
+			most, least = max(most, v/expected), min(least, v/expected)
+			highest, lowest = max(highest, high/expected), min(lowest, low/expected)
 			within = within && v <= high && v >= low
 		}
 		w.Most, w.Least = w.Most+most, w.Least+least
@@ -377,16 +377,16 @@
 }
 
 // chanceBounds returns the bounds on how many of n requests a server selected with probability p receives. Each bound is
-// exceeded with at most the probability share.
-func chanceBounds(n, p, share float64) (high, low float64) {
+// exceeded with at most the given probability.
+func chanceBounds(n, p, probability float64) (high, low float64) {
 	b := distuv.Binomial{N: n, P: p}
 	mean, dev := n*p, math.Sqrt(n*p*(1-p))
 	high, low = mean, mean
 	step := max(1, math.Floor(dev/8))
-	for high < n && b.Survival(math.Floor(high)) > share {
+	for high < n && b.Survival(math.Floor(high)) > probability {
 		high += step
 	}
-	for low > 0 && b.CDF(math.Ceil(low)-1) > share {
+	for low > 0 && b.CDF(math.Ceil(low)-1) > probability {
 		low -= step
 	}
 	return math.Floor(high), max(0, math.Ceil(low))
--- a/internal/faultbench/experiment/model.go
+++ b/internal/faultbench/experiment/model.go
@@ -15,7 +15,7 @@
 	Seed            uint64
 	WarmUp          time.Duration // excluded from the metrics
 	Measure         time.Duration
-	ProbeInterval   time.Duration // of membership between nodes; 0: nodes do not know each other
+	ProbeInterval   time.Duration // between membership probes; 0: nodes do not know each other
 	ZoneStateMaxAge time.Duration // after which exchanged zone state is stale; 0: none is exchanged
 
 	Zones    []Zone
@@ -199,17 +199,17 @@
 
 // Select returns the sorted indices of the targets among n candidates. The selection is deterministic for a seed.
 func (f Fault) Select(seed uint64, n int) []int {
-	want := int(f.Fraction*float64(n) + 0.5)
+	count := int(f.Fraction*float64(n) + 0.5)
 	if f.Count > 0 && f.Kind != ChangeNodeCount {
-		want = min(f.Count, n)
+		count = min(f.Count, n)
 	}
 	h := uint64(14695981039346656037)
 	for _, c := range f.Name {
 		h = (h ^ uint64(c)) * 1099511628211
 	}
-	struck := rand.New(rand.NewPCG(seed, h)).Perm(n)[:want]
-	slices.Sort(struck)
-	return struck
+	selected := rand.New(rand.NewPCG(seed, h)).Perm(n)[:count]
+	slices.Sort(selected)
+	return selected
 }
 
 // NodeZones returns the zone of each node, in order.
@@ -252,23 +252,23 @@
 
 // NodeRates returns the request rate of each node, in requests per second.
 func (e *Experiment) NodeRates() (rates []float64) {
-	var all, times float64
+	var total, factors float64
 	for _, g := range e.Nodes {
-		times += float64(g.Count) * g.RateFactor
+		factors += float64(g.Count) * g.RateFactor
 	}
 	for _, g := range e.Nodes {
 		for range g.Count {
 			rates = append(rates, g.RateFactor)
 		}
 	}
-	all = e.Clients.Rate * float64(len(rates))
+	total = e.Clients.Rate * float64(len(rates))
 	if e.Clients.Rate == 0 {
 		for _, g := range e.Servers {
-			all += e.Clients.Utilisation * float64(g.Count*g.Slots) / g.Service.Seconds()
+			total += e.Clients.Utilisation * float64(g.Count*g.Slots) / g.Service.Seconds()
 		}
 	}
 	for i := range rates {
-		rates[i] *= all / times
+		rates[i] *= total / factors
 	}
 	return rates
 }
@@ -302,7 +302,7 @@
 }
 
 // Targets returns the indices of the nodes or servers that a fault affects, among those of its group.
-func (e *Experiment) Targets(f Fault) (struck []int) {
+func (e *Experiment) Targets(f Fault) (targets []int) {
 	var groups []string
 	if f.Kind.Target() == TargetNodes {
 		for _, g := range e.Nodes {
@@ -313,14 +313,14 @@
 			groups = append(groups, slices.Repeat([]string{g.Name}, g.Count)...)
 		}
 	}
-	var in []int
+	var candidates []int
 	for i, g := range groups {
 		if f.Group == "" || g == f.Group {
-			in = append(in, i)
+			candidates = append(candidates, i)
 		}
 	}
-	for _, k := range f.Select(e.Seed, len(in)) {
-		struck = append(struck, in[k])
+	for _, k := range f.Select(e.Seed, len(candidates)) {
+		targets = append(targets, candidates[k])
 	}
-	return struck
+	return targets
 }
--- a/internal/faultbench/link/conn.go
+++ b/internal/faultbench/link/conn.go
@@ -192,9 +192,9 @@
 	}
 }
 
-// Send queues data for the near side. after, if not nil, is called once the data has been written to the near side's
+// Send queues data for the near side. onSent, if not nil, is called once the data has been written to the near side's
 // socket. Send blocks only while the queue is full.
-func (c *Conn) Send(data []byte, after func(time.Time)) error {
+func (c *Conn) Send(data []byte, onSent func(time.Time)) error {
 	s, changed, closed := c.currentShape()
 	if closed {
 		return net.ErrClosed
@@ -203,7 +203,7 @@
 	c.mu.Lock()
 	due := c.backward.deliveryTime(now, len(data), s, c.relay.random)
 	c.mu.Unlock()
-	p := piece{data: append([]byte(nil), data...), arrived: now, due: due, onSent: after}
+	p := piece{data: append([]byte(nil), data...), arrived: now, due: due, onSent: onSent}
 	for {
 		select {
 		case c.outgoing <- p:
--- a/internal/faultbench/link/mesh.go
+++ b/internal/faultbench/link/mesh.go
@@ -39,8 +39,8 @@
 	return &Mesh{random: random, shape: shape, members: map[string]*member{}, byListenAddr: map[netip.AddrPort]*member{}, lanes: map[[2]string]*delayLine{}}
 }
 
-// Join adds a member that listens at own and returns its public address. A member that joins again replaces the old one.
-func (m *Mesh) Join(name, zone string, own netip.AddrPort) (string, error) {
+// Join adds a member that listens at listenAddr and returns its public address. A member that joins again replaces the old one.
+func (m *Mesh) Join(name, zone string, listenAddr netip.AddrPort) (string, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", fmt.Errorf("link: %w", err)
@@ -50,9 +50,9 @@
 	if old := m.members[name]; old != nil { // it joins again: stop serving the previous public address
 		old.publicConn.Close()
 	}
-	joined := &member{name: name, zone: zone, listenAddr: own, publicConn: c}
+	joined := &member{name: name, zone: zone, listenAddr: listenAddr, publicConn: c}
 	m.members[name] = joined
-	m.byListenAddr[own] = joined
+	m.byListenAddr[listenAddr] = joined
 	m.work.Add(1)
 	go m.receive(joined)
 	return c.LocalAddr().String(), nil
--- a/internal/faultbench/link/shape.go
+++ b/internal/faultbench/link/shape.go
@@ -50,17 +50,17 @@
 // NewRandom returns a Random with the given seed.
 func NewRandom(seed uint64) *Random { return &Random{rng: rand.New(rand.NewPCG(seed, 0xd1ce))} }
 
-// occurs reports true with the given probability.
-func (d *Random) occurs(share float64) bool {
-	if share <= 0 {
+// occurs returns true with the given probability.
+func (d *Random) occurs(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.rng.Float64() < share
+	return d.rng.Float64() < probability
 }
 
-// durationUpTo returns a random duration below most.
+// durationUpTo returns a random duration between 0 and most.
 func (d *Random) durationUpTo(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
--- a/internal/faultbench/virtual/faults.go
+++ b/internal/faultbench/virtual/faults.go
@@ -10,12 +10,12 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// plan puts a fault on the timetable.
+// schedule schedules the events of a fault.
 func (p *player) schedule(f experiment.Fault) error {
 	switch f.Kind.Target() {
 	case experiment.TargetLinks:
 		if f.Kind == experiment.Reset || f.Kind == experiment.Refuse || f.Loss > 0 || f.Bandwidth > 0 || slices.Contains(f.ServerZones, experiment.RegistryZone) {
-			return fmt.Errorf("fault %q: %s of links is played with processes only", f.Name, f.Kind)
+			return fmt.Errorf("fault %q: %s of links with these settings is not supported in virtual time", f.Name, f.Kind)
 		}
 		p.at(f.From, func() { p.linkFaults = append(p.linkFaults, f) })
 		p.at(f.To, func() {
@@ -23,27 +23,27 @@
 		})
 	case experiment.TargetNodes:
 		if f.Kind == experiment.Stop || f.Kind == experiment.ClockSkew {
-			return fmt.Errorf("fault %q: %s is played with processes only", f.Name, f.Kind)
+			return fmt.Errorf("fault %q: kind %s is not supported in virtual time", f.Name, f.Kind)
 		}
-		struck := p.e.Targets(f)
+		struck := p.experiment.Targets(f)
 		for k, i := range struck {
 			p.atOnset(f, k, len(struck), func() { p.applyNodeFault(f, p.nodes[i]) })
 		}
 	case experiment.TargetServers:
-		struck := p.e.Targets(f)
+		struck := p.experiment.Targets(f)
 		for k, i := range struck {
 			p.atOnset(f, k, len(struck), func() { p.applyServerFault(f, i) })
 			p.at(f.To, func() { p.clearServerFault(f, i) })
 		}
 	case experiment.TargetRegistry:
-		return fmt.Errorf("fault %q: %s is played with processes only", f.Name, f.Kind)
+		return fmt.Errorf("fault %q: kind %s is not supported in virtual time", f.Name, f.Kind)
 	}
 	return nil
 }
 
-// atStep is when the k-th of n things is struck.
-func (p *player) atOnset(f experiment.Fault, k, n int, do func()) {
-	p.at(f.From+f.OnsetSpread*time.Duration(k)/time.Duration(max(1, n)), do)
+// atOnset schedules the onset of a fault at the k-th of n targets.
+func (p *player) atOnset(f experiment.Fault, k, n int, apply func()) {
+	p.at(f.From+f.OnsetSpread*time.Duration(k)/time.Duration(max(1, n)), apply)
 }
 
 func (p *player) applyNodeFault(f experiment.Fault, n *node) {
@@ -57,7 +57,7 @@
 	for _, req := range n.requests {
 		for _, att := range req.attempts {
 			att.ended = true
-			p.audit.RecordEnd(att.Attempt, p.now, "its node died")
+			p.audit.RecordEnd(att.Attempt, p.now, "node was killed")
 			p.abandon(att)
 		}
 		if !req.answered {
@@ -85,7 +85,7 @@
 	case experiment.Slowdown:
 		s.Factor = f.Factor
 	case experiment.Replace:
-		p.state[i] = balancer.Draining
+		p.serverStates[i] = balancer.Draining
 		p.sendListToAll()
 		p.at(p.now+time.Second, func() {
 			p.replaced[s.ID] = true
@@ -95,13 +95,13 @@
 	}
 }
 
-// renew puts an incarnation in slow start in a server's place.
+// replaceServer replaces a server by a new incarnation in slow start.
 func (p *player) replaceServer(i int, replacement bool) {
 	old := p.fleet.Servers[i]
 	p.audit.RecordServerEnd(old, p.now)
-	p.state[i], p.unreachable[i], p.crashed[i] = balancer.Ready, false, false
+	p.serverStates[i], p.unreachable[i], p.crashed[i] = balancer.Ready, false, false
 	s := p.fleet.Replace(i, p.now, replacement)
-	p.place[s.ID] = i
+	p.serverIndex[s.ID] = i
 }
 
 func (p *player) clearServerFault(f experiment.Fault, i int) {
--- a/internal/faultbench/virtual/floors_test.go
+++ b/internal/faultbench/virtual/floors_test.go
@@ -11,7 +11,8 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Floors of service under overload, against the share of requests that the servers could serve if none of their time were lost.
+// Minimum fractions of requests served in time under overload, relative to the fraction that the servers could serve without
+// any lost capacity.
 const (
 	totalFloor    = 0.85
 	classFloor    = 0.6
@@ -19,23 +20,23 @@
 	maxUnanswered = 0.002 // of all requests
 )
 
-// shortfalls plays an experiment and tells where it is under its floors.
+// findShortfalls plays an experiment and returns where it is below its floors.
 func findShortfalls(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
 	t.Helper()
-	played, figures, err := Play(e, policy, nil)
+	played, metrics, err := Play(e, policy, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	possible := 1 / e.Clients.Utilisation
-	if figures.InAim < totalFloor*possible {
-		found = append(found, fmt.Sprintf("all: %.3f served in time, want %.3f", figures.InAim, totalFloor*possible))
+	if metrics.InAim < totalFloor*possible {
+		found = append(found, fmt.Sprintf("all: %.3f served in time, want %.3f", metrics.InAim, totalFloor*possible))
 	}
 	check := func(what string, from, to time.Duration, floor float64) {
 		for i, got := range played.ByClass(from, to, len(e.Classes)) {
 			found = append(found, belowFloor(what+", "+e.Classes[i].Name, got, floor*possible)...)
 		}
 	}
-	check("the whole", e.WarmUp, e.TotalDuration(), classFloor)
+	check("whole run", e.WarmUp, e.TotalDuration(), classFloor)
 	const thirds = 3
 	length := (e.TotalDuration() - e.WarmUp) / thirds
 	for i := range thirds {
@@ -45,20 +46,20 @@
 	return found
 }
 
-// underFloor tells in what a class is served too little.
+// belowFloor returns in which respects a class is below its floor.
 func belowFloor(what string, got audit.ClassMetrics, floor float64) (found []string) {
 	if got.InAim < floor {
 		found = append(found, fmt.Sprintf("%s: %.3f of %d served in time, want %.3f", what, got.InAim, got.Calls, floor))
 	}
 	if got.Unanswered > maxUnanswered {
-		found = append(found, fmt.Sprintf("%s: %.4f of %d heard nothing", what, got.Unanswered, got.Calls))
+		found = append(found, fmt.Sprintf("%s: %.4f of %d received no response", what, got.Unanswered, got.Calls))
 	}
 	return found
 }
 
-// At 1.4 times what the servers can do, no class and no third of the day falls under its floor, and nobody is left without an
-// answer. Who turns nobody away serves hardly anybody in time there.
-func TestFloorsOfServiceHoldUnderOverload(t *testing.T) {
+// At 1.4 times the capacity of the servers, each class stays above its floor in each third of the run, and all requests
+// receive a response. A policy that rejects no requests serves hardly any in time at this load.
+func TestServiceFloorsUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		e := load(t, "overload")
 		e.Seed = seed + 1
@@ -67,14 +68,14 @@
 		}
 	}
 	if len(findShortfalls(t, load(t, "overload"), experiment.JSQ)) == 0 {
-		t.Error("the floors hold without any admission: they tell nothing")
+		t.Error("the floors hold without admission control, so they cannot detect its failure")
 	}
 }
 
-// ofLate is the share of what Late serves that a fleet has to serve of each group.
+// delayedStateFraction is the floor of each group, relative to what DelayedState serves of it.
 const delayedStateFraction = 1.0 / 3
 
-// ofEachEffect are classes of each effect, some of them of little worth.
+// mixedClasses returns classes of each effect, some with a low priority weight.
 func mixedClasses() []experiment.Class {
 	class := func(name, effect string, share, weight float64) experiment.Class {
 		return experiment.Class{Name: name, Effect: effect, LatencyObjective: time.Second, Deadline: 3 * time.Second, Share: share, PriorityWeight: weight}
@@ -83,7 +84,7 @@
 		class("log", "unsafe", 0.1, 1), class("pay", "unsafe", 0.2, 6), class("mark", "unsafe", 0.1, 1)}
 }
 
-// keyedClasses repeat by a key, which an experiment's file does not say of a class.
+// keyedClasses are idempotent by key, which an experiment file cannot configure.
 var keyedClasses = []string{"note", "log"}
 
 func setKeyedClasses(s *balancer.Settings) {
@@ -94,8 +95,8 @@
 	}
 }
 
-// Tenants, of which a request's is told by its class and node: the module knows none. The loud one sends from two nodes,
-// each with eight times the requests of the others.
+// Tenants of requests are derived from class and node; the balancer is not aware of them. The loud tenant sends from two
+// nodes, each with eight times the request rate of the others.
 const loudNodes = 2
 
 func tenantOf(classes []experiment.Class, c audit.Request) string {
@@ -103,14 +104,14 @@
 	case c.Node < loudNodes:
 		return "loud"
 	case classes[c.Class].PriorityWeight == 1:
-		return "of little worth"
+		return "low priority"
 	case c.Node%2 == 0:
 		return "mixed"
 	}
-	return "of much worth"
+	return "high priority"
 }
 
-// groupsOf are the groups of requests that have a floor each.
+// groupsOf returns the groupings of requests. Each group has a floor.
 func groupsOf(e *experiment.Experiment) map[string]func(audit.Request) string {
 	effect := func(c audit.Request) string {
 		if slices.Contains(keyedClasses, e.Classes[c.Class].Name) {
@@ -125,23 +126,24 @@
 	}
 }
 
-// underLate plays an experiment by a policy and by Late, and tells what groups get less than their part of what Late serves.
+// belowDelayedState plays an experiment with a policy and with DelayedState, and returns the groups that are served less
+// than their floor relative to DelayedState.
 func belowDelayedState(t *testing.T, e *experiment.Experiment, policy experiment.Policy) (found []string) {
 	t.Helper()
 	played, _, err := Play(e, policy, setKeyedClasses)
 	if err != nil {
 		t.Fatal(err)
 	}
-	late, _, err := Play(e, DelayedState, nil)
+	delayed, _, err := Play(e, DelayedState, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for by, group := range groupsOf(e) {
 		got := played.ByGroup(e.WarmUp, e.TotalDuration(), group)
-		for name, want := range late.ByGroup(e.WarmUp, e.TotalDuration(), group) {
-			t.Logf("%s, %s %s: %.3f of %d served in time, late-seeing %.3f", policy, by, name, got[name].InAim, got[name].Calls, want.InAim)
+		for name, want := range delayed.ByGroup(e.WarmUp, e.TotalDuration(), group) {
+			t.Logf("%s, %s %s: %.3f of %d served in time, DelayedState %.3f", policy, by, name, got[name].InAim, got[name].Calls, want.InAim)
 			if want.InAim < 0.1 {
-				t.Errorf("%s %s: the late-seeing policy serves %.3f: it tells nothing", by, name, want.InAim)
+				t.Errorf("%s %s: DelayedState serves %.3f, too little for a meaningful floor", by, name, want.InAim)
 			}
 			found = append(found, belowFloor(by+" "+name, got[name], delayedStateFraction*want.InAim)...)
 		}
@@ -149,10 +151,10 @@
 	return found
 }
 
-// Under overload, and where a quarter of the servers hangs, fails, vanishes or drags, each class, the classes of each
-// effect and each tenant get at least a third of what a policy serves that sees the true state late. Whoever turns nobody
-// away falls under these floors.
-func TestFloorsOfServiceByEffectAndTenant(t *testing.T) {
+// Under overload, or with a quarter of the servers hung, failing, lost or slow, each class, each effect and each tenant gets
+// at least a third of the service of a policy that sees the actual state with a delay. A policy that rejects no requests is
+// below these floors.
+func TestServiceFloorsByClassEffectAndTenant(t *testing.T) {
 	const from, to = 7 * time.Second, 12 * time.Second
 	for _, c := range []struct {
 		name        string
@@ -179,7 +181,7 @@
 				t.Error(found)
 			}
 			if c.utilisation > 1.3 && len(belowDelayedState(t, e, experiment.JSQ)) == 0 {
-				t.Error("the floors hold without any admission: they tell nothing")
+				t.Error("the floors hold without admission control, so they cannot detect its failure")
 			}
 		})
 	}
--- a/internal/faultbench/virtual/loadexchange.go
+++ b/internal/faultbench/virtual/loadexchange.go
@@ -6,14 +6,14 @@
 	"damsontrestle/internal/balancer"
 )
 
-// Told is an exchange of counts between nodes: each is told how many requests the others have at each server, as things stood
-// Age ago. The zero value is none.
+// LoadExchange configures an exchange of request counts between nodes: each node receives the number of requests that the
+// others have at each server, as of Age ago. The zero value disables it.
 type LoadExchange struct {
 	Age      time.Duration
-	CutShare float64 // share of the links from node to node over which nothing comes
+	CutShare float64 // fraction of the links between nodes that deliver nothing
 }
 
-// links draws which nodes hear which.
+// drawLinks selects at random which nodes receive the counts of which others.
 func (p *player) drawLinks() (connected [][]bool) {
 	for range p.nodes {
 		row := make([]bool, len(p.nodes))
@@ -25,16 +25,16 @@
 	return connected
 }
 
-// exchange tells nodes of one another's counts, from now on, as often as they are old: a word of each server at a time, for
-// all that it holds.
+// exchange sends nodes one another's counts at intervals of Age. Each update carries one value per server, the sum over all
+// connected nodes.
 func (p *player) exchange(connected [][]bool) {
 	counts := make([][]float64, len(p.nodes))
 	for j, n := range p.nodes {
-		counts[j] = make([]float64, len(p.state))
+		counts[j] = make([]float64, len(p.serverStates))
 		for _, req := range n.requests {
 			for _, att := range req.attempts {
 				if !att.ended {
-					counts[j][att.place]++
+					counts[j][att.serverIndex]++
 				}
 			}
 		}
@@ -45,11 +45,11 @@
 				continue
 			}
 			update := balancer.LoadUpdate{}
-			for place, s := range p.fleet.Servers {
+			for index, s := range p.fleet.Servers {
 				busy := 0.0
 				for j := range p.nodes {
 					if i == j || connected[i][j] {
-						busy += counts[j][place]
+						busy += counts[j][index]
 					}
 				}
 				update.Loads = append(update.Loads, balancer.ServerLoad{Server: s.ID, Busy: busy, Age: p.exchangeSettings.Age})
--- a/internal/faultbench/virtual/play.go
+++ b/internal/faultbench/virtual/play.go
@@ -1,6 +1,6 @@
-// Package virtual plays an experiment in one process on virtual time: the same servers, streams, auditor and figures
-// as on sockets, with the decision module in place of whole nodes. A day of seconds takes a fraction of one, so that
-// ways to spread load can be weighed over many seeds; what the weighing finds is then shown with processes.
+// Package virtual simulates an experiment in one process in virtual time. It uses the same servers, request streams, audit
+// and metrics as runs on sockets, with the balancer in place of node processes. A run of seconds takes a fraction of a
+// second, so that policies can be compared over many seeds; the results are then verified with processes.
 package virtual
 
 import (
@@ -16,23 +16,23 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// Tune changes what a module is told, for weighing; nil changes nothing.
+// Tune modifies the balancer settings of a run; nil keeps them.
 type Tune func(*balancer.Settings)
 
-// node is one node: a module, or a policy that needs none.
+// node is a simulated node: a balancer, or a policy that works without one.
 type node struct {
 	index       int
 	zone        string
-	balancer    *balancer.Balancer // nil while it is down, or by another policy
+	balancer    *balancer.Balancer // nil while the node is down; empty for other policies
 	incarnation int
 	requests    map[string]*request
-	lag         time.Duration // of its list
-	listed      []string      // uids in service, by its list
-	open        map[int]bool  // places that it has a connection to
+	lag         time.Duration // delay of changes to the server list
+	listed      []string      // ids of the servers in service, by the node's list
+	open        map[int]bool  // indices of the servers that it has a connection to
 	nodeCount   int
 }
 
-// call is a request that a node has taken.
+// request is a request that a node has accepted.
 type request struct {
 	world.Request
 	class    experiment.Class
@@ -40,22 +40,22 @@
 	answered bool
 }
 
-// try is one attempt.
+// attempt is an attempt of a request at a server.
 type attempt struct {
 	*audit.Attempt
-	index   int
-	node    *node
-	request *request
-	server  *world.Server // the incarnation that it was sent to
-	place   int
-	job     *world.Job
-	ended   bool
-	sent    time.Duration
+	index       int
+	node        *node
+	request     *request
+	server      *world.Server // incarnation that it was sent to
+	serverIndex int
+	job         *world.Job
+	ended       bool
+	sentAt      time.Duration
 }
 
-// player plays one day.
+// player simulates one run.
 type player struct {
-	e                *experiment.Experiment
+	experiment       *experiment.Experiment
 	policy           experiment.Policy
 	tune             Tune
 	exchangeSettings LoadExchange
@@ -63,43 +63,44 @@
 	events           eventqueue.Queue[func()]
 	audit            *audit.Audit
 	fleet            *world.Fleet
-	place            map[string]int
-	state            []balancer.ServerState // of each place
-	replaced         map[string]bool        // uids that were replaced
-	unreachable      []bool                 // of each place: its machine says nothing
+	serverIndex      map[string]int
+	serverStates     []balancer.ServerState // by server index
+	replaced         map[string]bool        // ids of replaced servers
+	unreachable      []bool                 // by server index; the machine is lost
 	crashed          []bool
 	nodes            []*node
 	streams          *world.Streams
 	rng              *rand.Rand
-	linkFaults       []experiment.Fault // of links, in force
-	waiting          map[*world.Job]*attempt
-	polls            int   // servers, how much they hold
-	observedLoads    []int // by Late: what each place held when it looked last; -1: it is down
+	linkFaults       []experiment.Fault // active link faults
+	queued           map[*world.Job]*attempt
+	polls            int   // number of load polls
+	observedLoads    []int // for DelayedState: requests at each server when last observed; -1: down
 }
 
-// Late is a policy for comparison that plays on virtual time only: the one of two servers that held less when all were
-// seen last, and a refusal where even that one would take half of the latency objective. What a fleet serves is held against it.
+// DelayedState is a reference policy, available in virtual time only. It picks the less loaded of two random servers by an
+// earlier observation of all servers, and rejects the request if even that server would take more than half of the latency
+// objective. The service of the balancer is compared with it.
 const DelayedState experiment.Policy = "late"
 
-// lateBy is how old the sight of Late becomes.
+// delayedStateInterval is the interval of DelayedState's observations, and so their maximum age.
 const delayedStateInterval = 200 * time.Millisecond
 
-// epoch is the clock time of the first request: the module takes 0 for long ago.
+// epoch is the clock time of the first request. It is not 0, which the balancer takes as long past.
 const epoch = time.Hour
 
-// Play plays an experiment once.
+// Play simulates an experiment once.
 func Play(e *experiment.Experiment, policy experiment.Policy, tune Tune) (*audit.Audit, audit.Metrics, error) {
 	return PlayWithExchange(e, policy, tune, LoadExchange{})
 }
 
-// PlayTold is Play with nodes that tell one another what they have at servers.
+// PlayWithExchange is Play with nodes that exchange their request counts per server.
 func PlayWithExchange(e *experiment.Experiment, policy experiment.Policy, tune Tune, exchange LoadExchange) (*audit.Audit, audit.Metrics, error) {
-	p := &player{e: e, policy: policy, tune: tune, exchangeSettings: exchange, audit: audit.New(), fleet: world.NewFleet(e), place: map[string]int{},
-		replaced: map[string]bool{}, waiting: map[*world.Job]*attempt{}, streams: world.NewStreams(e, "c"), rng: rand.New(rand.NewPCG(e.Seed, 0x1ab))}
-	p.state = make([]balancer.ServerState, len(p.fleet.Servers))
-	p.unreachable, p.crashed = make([]bool, len(p.state)), make([]bool, len(p.state))
+	p := &player{experiment: e, policy: policy, tune: tune, exchangeSettings: exchange, audit: audit.New(), fleet: world.NewFleet(e), serverIndex: map[string]int{},
+		replaced: map[string]bool{}, queued: map[*world.Job]*attempt{}, streams: world.NewStreams(e, "c"), rng: rand.New(rand.NewPCG(e.Seed, 0x1ab))}
+	p.serverStates = make([]balancer.ServerState, len(p.fleet.Servers))
+	p.unreachable, p.crashed = make([]bool, len(p.serverStates)), make([]bool, len(p.serverStates))
 	for i, s := range p.fleet.Servers {
-		p.place[s.ID] = i
+		p.serverIndex[s.ID] = i
 	}
 	zones := e.NodeZones()
 	lags := e.RegistryLags()
@@ -127,9 +128,9 @@
 	for _, c := range e.Classes {
 		end = max(end, e.TotalDuration()+c.Deadline+time.Second)
 	}
-	for at, do, ok := p.events.Next(); ok && at <= end; at, do, ok = p.events.Next() {
+	for at, event, ok := p.events.Next(); ok && at <= end; at, event, ok = p.events.Next() {
 		p.now = at
-		do()
+		event()
 	}
 	for _, s := range p.fleet.Servers {
 		p.audit.RecordServerEnd(s, p.now)
@@ -137,11 +138,11 @@
 	return p.audit, p.audit.Metrics(e.WarmUp, e.TotalDuration(), audit.Capacities(e)), nil
 }
 
-func (p *player) at(t time.Duration, do func()) {
-	p.events.Add(max(t, p.now), do)
+func (p *player) at(t time.Duration, event func()) {
+	p.events.Add(max(t, p.now), event)
 }
 
-// start gives a node a module that knows the list.
+// start starts a node with a new balancer and the current server list.
 func (p *player) start(n *node) error {
 	n.incarnation++
 	if p.policy != experiment.Program {
@@ -149,7 +150,7 @@
 		p.sendList(n, nil)
 		return nil
 	}
-	set, err := nodefile.Settings(p.e, nodefile.Node{Index: n.index, Copies: n.nodeCount, Zone: n.zone})
+	set, err := nodefile.Settings(p.experiment, nodefile.Node{Index: n.index, Copies: n.nodeCount, Zone: n.zone})
 	if err != nil {
 		return err
 	}
@@ -163,12 +164,12 @@
 	return nil
 }
 
-// tell gives a node the list as it stands now; names are the uids that have gone since.
+// sendList sends a node the current server list; removed are the ids of servers removed since.
 func (p *player) sendList(n *node, removed []string) {
 	list := balancer.ServerList{Full: len(removed) == 0}
 	n.listed = n.listed[:0]
 	for i, s := range p.fleet.Servers {
-		server := balancer.Server{ID: s.ID, Zone: s.Zone, State: p.state[i], Size: s.Spec.Size}
+		server := balancer.Server{ID: s.ID, Zone: s.Zone, State: p.serverStates[i], Size: s.Spec.Size}
 		if s.SlowStartAt >= 0 {
 			server.Boot = epoch + s.SlowStartAt
 		}
@@ -188,19 +189,19 @@
 	}
 }
 
-// tellAll has every node hear of the list as it stands, each after its lag.
+// sendListToAll sends the server list to every node, each after its lag.
 func (p *player) sendListToAll(removed ...string) {
 	for _, n := range p.nodes {
 		p.at(p.now+n.lag, func() { p.sendList(n, removed) })
 	}
 }
 
-// isDown says that no load is meant for the server at a place.
-func (p *player) isDown(place int) bool {
-	return p.unreachable[place] || p.crashed[place] || p.fleet.Servers[place].Fault == experiment.Hang || p.state[place] != balancer.Ready
+// isDown reports whether a server is not expected to take load.
+func (p *player) isDown(index int) bool {
+	return p.unreachable[index] || p.crashed[index] || p.fleet.Servers[index].Fault == experiment.Hang || p.serverStates[index] != balancer.Ready
 }
 
-// sample looks at all servers.
+// sample records a sample of all servers and schedules the next one.
 func (p *player) sample() {
 	s := audit.Sample{At: p.now}
 	for i, v := range p.fleet.Servers {
--- a/internal/faultbench/virtual/requests.go
+++ b/internal/faultbench/virtual/requests.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// arrive has the next request come to a node.
+// arrive schedules the next request to a node.
 func (p *player) arrive(n *node) {
 	c, more := p.streams.Next(n.index)
 	if !more {
@@ -22,7 +22,7 @@
 }
 
 func (p *player) submit(n *node, c world.Request) {
-	class := p.e.Classes[c.Class]
+	class := p.experiment.Classes[c.Class]
 	p.audit.RecordRequest(audit.Request{ID: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: p.now, LatencyObjective: class.LatencyObjective, Deadline: class.Deadline, PriorityWeight: class.PriorityWeight})
 	if n.balancer == nil {
 		p.audit.RecordOutcome(c.ID, audit.NotAccepted, p.now+1, "")
@@ -30,7 +30,7 @@
 	}
 	req := &request{Request: c, class: class}
 	n.requests[c.ID] = req
-	if patience := p.e.Clients.Patience; patience > 0 && patience < class.Deadline {
+	if patience := p.experiment.Clients.Patience; patience > 0 && patience < class.Deadline {
 		p.at(p.now+patience, func() { p.disconnectClient(n, req) })
 	}
 	if p.policy == experiment.Program {
@@ -44,7 +44,7 @@
 	}
 }
 
-// pick is how the policies that are no module pick.
+// pick picks a server for policies without a balancer. It returns an empty id to reject the request.
 func (p *player) pick(n *node, class experiment.Class) (id string) {
 	if len(n.listed) == 0 {
 		return ""
@@ -57,7 +57,7 @@
 	}
 	least := 0.0
 	for _, c := range n.listed {
-		s := p.fleet.Servers[p.place[c]]
+		s := p.fleet.Servers[p.serverIndex[c]]
 		if load := (float64(s.Working()+s.Waiting()) + p.rng.Float64()/100) / float64(s.Spec.Slots); id == "" || load < least {
 			id, least = c, load
 		}
@@ -65,7 +65,7 @@
 	return id
 }
 
-// look has Late see all servers, again and again.
+// observeLoads updates the observations of DelayedState at regular intervals.
 func (p *player) observeLoads() {
 	p.observedLoads = p.observedLoads[:0]
 	for i, s := range p.fleet.Servers {
@@ -78,11 +78,11 @@
 	p.at(p.now+delayedStateInterval, p.observeLoads)
 }
 
-// pickLate is how Late picks.
+// pickByDelayedState picks a server for the policy DelayedState.
 func (p *player) pickByDelayedState(n *node, class experiment.Class) (id string) {
 	up := make([]string, 0, len(n.listed))
 	for _, c := range n.listed {
-		if p.observedLoads[p.place[c]] >= 0 {
+		if p.observedLoads[p.serverIndex[c]] >= 0 {
 			up = append(up, c)
 		}
 	}
@@ -92,12 +92,12 @@
 	least := 0.0
 	for range 2 {
 		c := up[p.rng.IntN(len(up))]
-		spec := p.fleet.Servers[p.place[c]].Spec
-		if load := float64(p.observedLoads[p.place[c]]+1) / float64(spec.Slots) * spec.Service.Seconds(); id == "" || load < least {
+		spec := p.fleet.Servers[p.serverIndex[c]].Spec
+		if load := float64(p.observedLoads[p.serverIndex[c]]+1) / float64(spec.Slots) * spec.Service.Seconds(); id == "" || load < least {
 			id, least = c, load
 		}
 	}
-	if least > class.LatencyObjective.Seconds()/2 { // what others have sent since is not in sight
+	if least > class.LatencyObjective.Seconds()/2 { // half leaves room for requests that other nodes have sent since the observation
 		return ""
 	}
 	return id
@@ -131,20 +131,20 @@
 	}
 }
 
-// poll asks servers how much they hold; those that say nothing are not heard of.
+// poll polls servers for their load. Servers that do not reply are left out of the results.
 func (p *player) poll(n *node, a balancer.Poll) {
 	incarnation := n.incarnation
 	for _, id := range a.Servers {
-		place := p.place[id]
-		s := p.fleet.Servers[place]
-		forward, delivered := p.delay(n.zone, s.Zone, true, place)
-		if !delivered || s.ID != id || p.unreachable[place] || p.crashed[place] {
+		index := p.serverIndex[id]
+		s := p.fleet.Servers[index]
+		forward, delivered := p.delay(n.zone, s.Zone, true, index)
+		if !delivered || s.ID != id || p.unreachable[index] || p.crashed[index] {
 			continue
 		}
 		p.polls++
 		p.at(p.now+forward, func() {
 			busy := float64(s.Working() + s.Waiting())
-			if backward, delivered := p.delay(s.Zone, n.zone, false, place); delivered && s.Fault != experiment.Hang {
+			if backward, delivered := p.delay(s.Zone, n.zone, false, index); delivered && s.Fault != experiment.Hang {
 				p.at(p.now+backward, func() {
 					if n.incarnation == incarnation && n.balancer != nil {
 						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: forward + backward}}})
@@ -155,7 +155,7 @@
 	}
 }
 
-// hear ends a request for its client.
+// finish records the outcome of a request for its client.
 func (p *player) finish(n *node, req *request, outcome audit.Outcome, detail string) {
 	if req == nil || req.answered {
 		return
@@ -165,7 +165,7 @@
 	p.forget(n, req)
 }
 
-// leaveNode has a client leave that has heard nothing.
+// disconnectClient disconnects a client that has not received a response.
 func (p *player) disconnectClient(n *node, req *request) {
 	if req.answered || n.requests[req.ID] != req {
 		return
--- a/internal/faultbench/world/streams.go
+++ b/internal/faultbench/world/streams.go
@@ -47,11 +47,11 @@
 		return Request{}, false
 	}
 	rng := s.rngs[node]
-	var all float64
+	var shares float64
 	for _, c := range s.e.Classes {
-		all += c.Share
+		shares += c.Share
 	}
-	class, x := 0, rng.Float64()*all
+	class, x := 0, rng.Float64()*shares
 	for i, c := range s.e.Classes {
 		if x -= c.Share; x < 0 {
 			class = i
