--- a/internal/http1/attempts_test.go
+++ b/internal/http1/attempts_test.go
@@ -115,12 +115,12 @@
 	testpeer.Receive(t, dial.Dialing, "the start of the dial")
 	client.Close()
 	clientSide := testpeer.Receive(t, accepted, "the client's connection")
-	testpeer.Until(t, "the operating system to report the close", func() bool { return downstream.StateOf(clientSide) == downstream.Ended })
+	testpeer.Until(t, "the operating system to report the close", func() bool { return downstream.PeekSocket(clientSide) == downstream.SocketClosed })
 	close(dial.Up)
 	if text := testpeer.Receive(t, written, "the close of the server's connection"); text != "" {
 		t.Errorf("the server received %d bytes: %.40q", len(text), text)
 	}
-	testpeer.Until(t, "the request to end", func() bool { return node.engine.Status().Open == 0 && node.clients.Open() == 0 })
+	testpeer.Until(t, "the request to end", func() bool { return node.engine.Status().Open == 0 && node.clients.Len() == 0 })
 	if got := node.engine.Status(); got.Disconnected != 1 {
 		t.Errorf("%d clients counted as disconnected, want 1", got.Disconnected)
 	}
--- a/internal/node/retire.go
+++ b/internal/node/retire.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// replaced is what a change has replaced and what has to be retired.
-type replaced struct {
-	pools   []*pool
-	sources []*source
-	fronts  []*listener
-	sockets []*socket
+// replacedParts holds the parts that a change has replaced and that have to be retired.
+type replacedParts struct {
+	pools     []*pool
+	sources   []*source
+	listeners []*listener
+	sockets   []*socket
 }
 
-// retire closes what a change has replaced, in the background, once its open requests are answered. The caller holds mu.
-func (n *Node) retire(gone replaced) {
-	for _, s := range gone.sources {
+// retire closes replaced parts in the background once their open requests are answered. The caller holds mu.
+func (n *Node) retire(replaced replacedParts) {
+	for _, s := range replaced.sources {
 		n.inBackground(func() { s.stop() })
 	}
-	for _, s := range gone.sockets {
+	for _, s := range replaced.sockets {
 		closed := make(chan struct{})
 		n.closingSockets[s.key] = closed
 		n.inBackground(func() {
@@ -26,22 +26,22 @@
 				n.mu.Unlock()
 			}()
 			if err := s.release(acceptGrace); err != nil {
-				n.log.Warn("a listener's socket", "address", s.Addr(), "error", err)
+				n.log.Warn("releasing a replaced listener failed", "address", s.Addr(), "error", err)
 			}
 			s.shutdown()
 		})
 	}
-	for _, l := range gone.fronts {
-		l.front.SetReady(false)
+	for _, l := range replaced.listeners {
+		l.frontend.SetReady(false)
 		n.retiringListeners[l] = true
 		n.inBackground(func() {
-			n.retireFront(l.front)
+			n.retireFrontend(l.frontend)
 			n.mu.Lock()
 			delete(n.retiringListeners, l)
 			n.mu.Unlock()
 		})
 	}
-	for _, p := range gone.pools {
+	for _, p := range replaced.pools {
 		n.retiringPools[p] = true
 		n.inBackground(func() {
 			p.retire()
@@ -61,24 +61,25 @@
 	}()
 }
 
-// retiringConnections counts the connections to servers that retiring pools have open.
+// retiringConnections returns the number of open connections from retiring pools to servers.
 func (n *Node) retiringConnections() (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.retiringPools {
-		sum += p.back.Connections()
+		sum += p.backend.Connections()
 	}
 	return sum
 }
 
-// StillDraining names what earlier changes have replaced and is not closed yet: "pool a", "listener b".
-func (n *Node) StillDraining() (names []string) {
+// Retiring returns the names of pools and listeners that were replaced by earlier changes and are not closed yet, as "pool
+// a" or "listener b".
+func (n *Node) Retiring() (names []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.retiringNames()
 }
 
-// retiringNames names what is being retired. The caller holds mu.
+// retiringNames implements Retiring. The caller holds mu.
 func (n *Node) retiringNames() (names []string) {
 	for p := range n.retiringPools {
 		names = append(names, "pool "+p.name)
