--- a/internal/faultbench/audit/metrics_test.go
+++ b/internal/faultbench/audit/metrics_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// A request and its client retries count as one request. Its latency is measured from the first one.
+// A request and its client retries count as one request, which is in its latency objective if one of them is, measured from
+// the start of the first.
 func TestRetriesCountAsOneRequest(t *testing.T) {
 	a := New()
 	a.RecordRequest(Request{ID: "x", At: 10 * ms, LatencyObjective: 100 * ms, Deadline: 500 * ms})
