--- a/internal/faultbench/virtual/attempts.go
+++ b/internal/faultbench/virtual/attempts.go
@@ -11,27 +11,28 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// delay is how long something takes from one zone to another, and whether it comes at all.
-func (p *player) delay(from, to string, there bool, place int) (time.Duration, bool) {
-	l := p.e.Between(from, to)
+// delay returns the latency of a message from one zone to another and whether it is delivered. The direction is to or from
+// the server with the given index.
+func (p *player) delay(from, to string, toServer bool, index int) (time.Duration, bool) {
+	l := p.experiment.LinkBetween(from, to)
 	d := l.Delay + time.Duration(p.rng.Float64()*float64(l.Jitter))
-	for _, f := range p.cuts {
+	for _, f := range p.linkFaults {
 		near, far := from, to
-		if !there {
+		if !toServer {
 			near, far = to, from
 		}
-		if !f.Lies(near, far) || !slices.Contains(f.Struck(p.e.Seed, len(p.state)), place) {
+		if !f.AffectsLink(near, far) || !slices.Contains(f.Select(p.experiment.Seed, len(p.serverStates)), index) {
 			continue
 		}
 		switch f.Kind {
 		case experiment.Cut:
 			return 0, false
-		case experiment.CutThere:
-			if there {
+		case experiment.CutForward:
+			if toServer {
 				return 0, false
 			}
-		case experiment.CutBack:
-			if !there {
+		case experiment.CutReturn:
+			if !toServer {
 				return 0, false
 			}
 		case experiment.Slow:
@@ -41,105 +42,105 @@
 	return d, true
 }
 
-func (p *player) send(n *node, k *call, id string, timeout time.Duration) {
-	place := p.place[id]
-	s := p.fleet.Servers[place]
-	t := &try{n: len(k.attempts), node: n, call: k, server: s, place: place, sent: p.now, job: &world.Job{ID: k.ID}}
-	k.attempts = append(k.attempts, t)
-	t.Attempt = p.audit.Send(k.ID, id, place, n.zone != s.Zone, p.now)
-	p.at(p.now+timeout, func() { p.end(t, balancer.TimedOut, nil) })
-	there, comes := p.delay(n.zone, s.Zone, true, place)
+func (p *player) send(n *node, req *request, id string, timeout time.Duration) {
+	index := p.serverIndex[id]
+	s := p.fleet.Servers[index]
+	att := &attempt{index: len(req.attempts), node: n, request: req, server: s, serverIndex: index, sentAt: p.now, job: &world.Job{ID: req.ID}}
+	req.attempts = append(req.attempts, att)
+	att.Attempt = p.audit.RecordAttempt(req.ID, id, index, n.zone != s.Zone, p.now)
+	p.at(p.now+timeout, func() { p.end(att, balancer.TimedOut, nil) })
+	latency, delivered := p.delay(n.zone, s.Zone, true, index)
 	switch {
-	case p.gone[id] || s.ID != id || p.crashed[place]:
-		p.at(p.now+2*there, func() { p.end(t, balancer.Unreachable, nil) })
-	case !comes || p.lost[place]: // a new connection never comes up, an old one says nothing
-		if !n.open[place] {
-			p.at(p.now+time.Second, func() { p.end(t, balancer.Unreachable, nil) })
+	case p.replaced[id] || s.ID != id || p.crashed[index]:
+		p.at(p.now+2*latency, func() { p.end(att, balancer.Unreachable, nil) })
+	case !delivered || p.unreachable[index]: // a new connection is never established, an existing one carries no data
+		if !n.open[index] {
+			p.at(p.now+time.Second, func() { p.end(att, balancer.Unreachable, nil) })
 		}
 	default:
-		n.open[place] = true
-		p.at(p.now+there, func() { p.reach(t) })
+		n.open[index] = true
+		p.at(p.now+latency, func() { p.arriveAtServer(att) })
 	}
 }
 
-// reach has an attempt come to its server.
-func (p *player) reach(t *try) {
-	if t.ended && p.now > t.Back || t.server != p.fleet.Servers[t.place] || p.crashed[t.place] || p.lost[t.place] {
+// arriveAtServer handles the arrival of an attempt at its server.
+func (p *player) arriveAtServer(att *attempt) {
+	if att.ended && p.now > att.EndedAt || att.server != p.fleet.Servers[att.serverIndex] || p.crashed[att.serverIndex] || p.unreachable[att.serverIndex] {
 		return
 	}
-	switch t.server.Arrive(p.now, t.job) {
+	switch att.server.Arrive(p.now, att.job) {
 	case world.Started:
-		p.work(t, t.server)
+		p.runJob(att, att.server)
 	case world.Queued:
-		p.waiting[t.job] = t
-	case world.TurnedAway:
-		p.back(t, balancer.Overloaded, nil)
+		p.queued[att.job] = att
+	case world.Rejected:
+		p.reply(att, balancer.Overloaded, nil)
 	case world.Failed:
-		p.audit.Run(t.Attempt)
-		p.back(t, balancer.Failure, nil)
+		p.audit.RecordRun(att.Attempt)
+		p.reply(att, balancer.Failure, nil)
 	case world.Hung:
-		p.audit.Run(t.Attempt)
+		p.audit.RecordRun(att.Attempt)
 	}
 }
 
-// work has a job that began end in time.
-func (p *player) work(t *try, s *world.Server) {
-	p.audit.Run(t.Attempt)
-	p.at(t.job.Ends, func() {
-		if s != p.fleet.Servers[t.place] || p.crashed[t.place] {
+// runJob schedules the end of a job that has started.
+func (p *player) runJob(att *attempt, s *world.Server) {
+	p.audit.RecordRun(att.Attempt)
+	p.at(att.job.EndsAt, func() {
+		if s != p.fleet.Servers[att.serverIndex] || p.crashed[att.serverIndex] {
 			return
 		}
-		next := s.Finish(p.now, t.job)
+		next := s.Finish(p.now, att.job)
 		load := &balancer.Load{Busy: float64(s.Working() + s.Waiting()), Service: -1}
-		if !s.Spec.Reports {
+		if !s.Spec.ReportsLoad {
 			load = nil
 		}
-		if !t.job.Lost && !p.lost[t.place] && s.Fault != experiment.Hang {
-			p.back(t, balancer.Success, load)
+		if !att.job.Abandoned && !p.unreachable[att.serverIndex] && s.Fault != experiment.Hang {
+			p.reply(att, balancer.Success, load)
 		}
 		if next != nil {
-			t := p.waiting[next]
-			delete(p.waiting, next)
-			p.work(t, s)
+			att := p.queued[next]
+			delete(p.queued, next)
+			p.runJob(att, s)
 		}
 	})
 }
 
-// back has a server's answer come to the node.
-func (p *player) back(t *try, e balancer.Result, load *balancer.Load) {
-	if d, comes := p.delay(t.server.Zone, t.node.zone, false, t.place); comes {
-		p.at(p.now+d, func() { p.end(t, e, load) })
+// reply schedules the arrival of a server's reply at the node.
+func (p *player) reply(att *attempt, result balancer.Result, load *balancer.Load) {
+	if d, delivered := p.delay(att.server.Zone, att.node.zone, false, att.serverIndex); delivered {
+		p.at(p.now+d, func() { p.end(att, result, load) })
 	}
 }
 
-// end ends an attempt at its node.
-func (p *player) end(t *try, e balancer.Result, load *balancer.Load) {
-	if t.ended {
+// end handles the end of an attempt at its node.
+func (p *player) end(att *attempt, result balancer.Result, load *balancer.Load) {
+	if att.ended {
 		return
 	}
-	t.ended = true
-	n, k := t.node, t.call
-	p.audit.Over(t.Attempt, p.now, fmt.Sprint(e))
-	if e == balancer.TimedOut || e == balancer.Cancelled || e == balancer.Unreachable {
-		delete(n.open, t.place) // its connection is closed
-		if d, comes := p.delay(n.zone, t.server.Zone, true, t.place); comes {
-			p.at(p.now+d, func() { p.leave(t) })
+	att.ended = true
+	n, req := att.node, att.request
+	p.audit.RecordEnd(att.Attempt, p.now, fmt.Sprint(result))
+	if result == balancer.TimedOut || result == balancer.Cancelled || result == balancer.Unreachable {
+		delete(n.open, att.serverIndex) // the connection is closed
+		if d, delivered := p.delay(n.zone, att.server.Zone, true, att.serverIndex); delivered {
+			p.at(p.now+d, func() { p.abandon(att) })
 		}
 	}
-	if e == balancer.Success {
-		p.hear(n, k, audit.Served, "")
+	if result == balancer.Success {
+		p.finish(n, req, audit.Served, "")
 	}
 	switch {
 	case p.policy == experiment.Program && n.balancer != nil:
-		p.handle(n, balancer.Outcome{ID: k.ID, Attempt: t.n, Server: t.Server, Result: e, Latency: p.now - t.sent, Ended: k.answered, Load: load})
-	case e != balancer.Success:
-		p.hear(n, k, audit.Failed, "")
+		p.handle(n, balancer.Outcome{ID: req.ID, Attempt: att.index, Server: att.Server, Result: result, Latency: p.now - att.sentAt, Ended: req.answered, Load: load})
+	case result != balancer.Success:
+		p.finish(n, req, audit.Failed, "")
 	}
-	p.forget(n, k)
+	p.forget(n, req)
 }
 
-// leave has a server see that nobody waits for a request any more.
-func (p *player) leave(t *try) {
-	t.server.Leave(t.job)
-	delete(p.waiting, t.job)
+// abandon handles at the server that the client or node gave up on an attempt.
+func (p *player) abandon(att *attempt) {
+	att.server.Abandon(att.job)
+	delete(p.queued, att.job)
 }
--- a/internal/faultbench/virtual/requests.go
+++ b/internal/faultbench/virtual/requests.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// arrive has the next request come to a node.
+// arrive schedules the next request to a node.
 func (p *player) arrive(n *node) {
 	c, more := p.streams.Next(n.index)
 	if !more {
@@ -17,34 +17,34 @@
 	}
 	p.at(c.At, func() {
 		p.arrive(n)
-		p.ask(n, c)
+		p.submit(n, c)
 	})
 }
 
-func (p *player) ask(n *node, c world.Call) {
-	class := p.e.Classes[c.Class]
-	p.audit.Ask(audit.Call{ID: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: p.now, Aim: class.Aim, Deadline: class.Deadline, Worth: class.Worth})
+func (p *player) submit(n *node, c world.Request) {
+	class := p.experiment.Classes[c.Class]
+	p.audit.RecordRequest(audit.Request{ID: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: p.now, LatencyObjective: class.LatencyObjective, Deadline: class.Deadline, PriorityWeight: class.PriorityWeight})
 	if n.balancer == nil {
-		p.audit.Hear(c.ID, audit.NotTaken, p.now+1, "")
+		p.audit.RecordOutcome(c.ID, audit.NotAccepted, p.now+1, "")
 		return
 	}
-	k := &call{Call: c, class: class}
-	n.calls[c.ID] = k
-	if patience := p.e.Callers.Patience; patience > 0 && patience < class.Deadline {
-		p.at(p.now+patience, func() { p.leaveNode(n, k) })
+	req := &request{Request: c, class: class}
+	n.requests[c.ID] = req
+	if patience := p.experiment.Clients.Patience; patience > 0 && patience < class.Deadline {
+		p.at(p.now+patience, func() { p.disconnectClient(n, req) })
 	}
 	if p.policy == experiment.Program {
 		p.handle(n, balancer.Request{ID: c.ID, Class: class.Name, Deadline: epoch + p.now + class.Deadline})
 		return
 	}
 	if id := p.pick(n, class); id != "" {
-		p.send(n, k, id, class.Deadline)
+		p.send(n, req, id, class.Deadline)
 	} else {
-		p.hear(n, k, audit.Refused, "now")
+		p.finish(n, req, audit.Refused, "now")
 	}
 }
 
-// pick is how the policies that are no module pick.
+// pick picks a server for policies without a balancer. It returns an empty id to reject the request.
 func (p *player) pick(n *node, class experiment.Class) (id string) {
 	if len(n.listed) == 0 {
 		return ""
@@ -52,12 +52,12 @@
 	switch p.policy {
 	case experiment.Random:
 		return n.listed[p.rng.IntN(len(n.listed))]
-	case Late:
-		return p.pickLate(n, class)
+	case DelayedState:
+		return p.pickByDelayedState(n, class)
 	}
 	least := 0.0
 	for _, c := range n.listed {
-		s := p.fleet.Servers[p.place[c]]
+		s := p.fleet.Servers[p.serverIndex[c]]
 		if load := (float64(s.Working()+s.Waiting()) + p.rng.Float64()/100) / float64(s.Spec.Slots); id == "" || load < least {
 			id, least = c, load
 		}
@@ -65,24 +65,24 @@
 	return id
 }
 
-// look has Late see all servers, again and again.
-func (p *player) look() {
-	p.seen = p.seen[:0]
+// observeLoads updates the observations of DelayedState at regular intervals.
+func (p *player) observeLoads() {
+	p.observedLoads = p.observedLoads[:0]
 	for i, s := range p.fleet.Servers {
 		held := s.Working() + s.Waiting()
 		if p.isDown(i) {
 			held = -1
 		}
-		p.seen = append(p.seen, held)
+		p.observedLoads = append(p.observedLoads, held)
 	}
-	p.at(p.now+lateBy, p.look)
+	p.at(p.now+delayedStateInterval, p.observeLoads)
 }
 
-// pickLate is how Late picks.
-func (p *player) pickLate(n *node, class experiment.Class) (id string) {
+// pickByDelayedState picks a server for the policy DelayedState.
+func (p *player) pickByDelayedState(n *node, class experiment.Class) (id string) {
 	up := make([]string, 0, len(n.listed))
 	for _, c := range n.listed {
-		if p.seen[p.place[c]] >= 0 {
+		if p.observedLoads[p.serverIndex[c]] >= 0 {
 			up = append(up, c)
 		}
 	}
@@ -92,38 +92,38 @@
 	least := 0.0
 	for range 2 {
 		c := up[p.rng.IntN(len(up))]
-		spec := p.fleet.Servers[p.place[c]].Spec
-		if load := float64(p.seen[p.place[c]]+1) / float64(spec.Slots) * spec.Service.Seconds(); id == "" || load < least {
+		spec := p.fleet.Servers[p.serverIndex[c]].Spec
+		if load := float64(p.observedLoads[p.serverIndex[c]]+1) / float64(spec.Slots) * spec.Service.Seconds(); id == "" || load < least {
 			id, least = c, load
 		}
 	}
-	if least > class.Aim.Seconds()/2 { // what others have sent since is not in sight
+	if least > class.LatencyObjective.Seconds()/2 { // half leaves room for requests that other nodes have sent since the observation
 		return ""
 	}
 	return id
 }
 
 func (p *player) handle(n *node, e balancer.Event) {
-	incarnation := n.life
+	incarnation := n.incarnation
 	for _, a := range n.balancer.Handle(epoch+p.now, e) {
 		switch a := a.(type) {
 		case balancer.Send:
-			if k := n.calls[a.ID]; k != nil {
-				p.send(n, k, a.Server, a.Timeout)
+			if req := n.requests[a.ID]; req != nil {
+				p.send(n, req, a.Server, a.Timeout)
 			}
 		case balancer.Poll:
 			p.poll(n, a)
 		case balancer.Cancel:
-			if k := n.calls[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-				p.end(k.attempts[a.Attempt], balancer.Cancelled, nil)
+			if req := n.requests[a.ID]; req != nil && a.Attempt < len(req.attempts) {
+				p.end(req.attempts[a.Attempt], balancer.Cancelled, nil)
 			}
 		case balancer.Reject:
-			p.hear(n, n.calls[a.ID], audit.Refused, a.RetryAfter.String())
+			p.finish(n, n.requests[a.ID], audit.Refused, a.RetryAfter.String())
 		case balancer.Fail:
-			p.hear(n, n.calls[a.ID], audit.Failed, "")
+			p.finish(n, n.requests[a.ID], audit.Failed, "")
 		case balancer.SetTimer:
 			p.at(a.At-epoch, func() {
-				if n.life == incarnation && n.balancer != nil {
+				if n.incarnation == incarnation && n.balancer != nil {
 					p.handle(n, balancer.Timer{Token: a.Token})
 				}
 			})
@@ -131,23 +131,23 @@
 	}
 }
 
-// poll asks servers how much they hold; those that say nothing are not heard of.
+// poll polls servers for their load. Servers that do not reply are left out of the results.
 func (p *player) poll(n *node, a balancer.Poll) {
-	incarnation := n.life
+	incarnation := n.incarnation
 	for _, id := range a.Servers {
-		place := p.place[id]
-		s := p.fleet.Servers[place]
-		there, comes := p.delay(n.zone, s.Zone, true, place)
-		if !comes || s.ID != id || p.lost[place] || p.crashed[place] {
+		index := p.serverIndex[id]
+		s := p.fleet.Servers[index]
+		forward, delivered := p.delay(n.zone, s.Zone, true, index)
+		if !delivered || s.ID != id || p.unreachable[index] || p.crashed[index] {
 			continue
 		}
-		p.asked++
-		p.at(p.now+there, func() {
+		p.polls++
+		p.at(p.now+forward, func() {
 			busy := float64(s.Working() + s.Waiting())
-			if back, comes := p.delay(s.Zone, n.zone, false, place); comes && s.Fault != experiment.Hang {
-				p.at(p.now+back, func() {
-					if n.life == incarnation && n.balancer != nil {
-						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: there + back}}})
+			if backward, delivered := p.delay(s.Zone, n.zone, false, index); delivered && s.Fault != experiment.Hang {
+				p.at(p.now+backward, func() {
+					if n.incarnation == incarnation && n.balancer != nil {
+						p.handle(n, balancer.LoadUpdate{ID: a.ID, Loads: []balancer.ServerLoad{{Server: id, Busy: busy, Age: forward + backward}}})
 					}
 				})
 			}
@@ -155,33 +155,33 @@
 	}
 }
 
-// hear ends a request for its client.
-func (p *player) hear(n *node, k *call, h audit.Heard, says string) {
-	if k == nil || k.answered {
+// finish records the outcome of a request for its client.
+func (p *player) finish(n *node, req *request, outcome audit.Outcome, detail string) {
+	if req == nil || req.answered {
 		return
 	}
-	k.answered = true
-	p.audit.Hear(k.ID, h, p.now, says)
-	p.forget(n, k)
+	req.answered = true
+	p.audit.RecordOutcome(req.ID, outcome, p.now, detail)
+	p.forget(n, req)
 }
 
-// leaveNode has a client leave that has heard nothing.
-func (p *player) leaveNode(n *node, k *call) {
-	if k.answered || n.calls[k.ID] != k {
+// disconnectClient disconnects a client that has not received a response.
+func (p *player) disconnectClient(n *node, req *request) {
+	if req.answered || n.requests[req.ID] != req {
 		return
 	}
-	p.hear(n, k, audit.Gone, "")
+	p.finish(n, req, audit.ClientLeft, "")
 	if p.policy == experiment.Program {
-		p.handle(n, balancer.ClientDisconnected{ID: k.ID})
+		p.handle(n, balancer.ClientDisconnected{ID: req.ID})
 		return
 	}
-	for _, t := range k.attempts {
-		p.end(t, balancer.Cancelled, nil)
+	for _, att := range req.attempts {
+		p.end(att, balancer.Cancelled, nil)
 	}
 }
 
-func (p *player) forget(n *node, k *call) {
-	if k.answered && !slices.ContainsFunc(k.attempts, func(t *try) bool { return !t.ended }) {
-		delete(n.calls, k.ID)
+func (p *player) forget(n *node, req *request) {
+	if req.answered && !slices.ContainsFunc(req.attempts, func(t *attempt) bool { return !t.ended }) {
+		delete(n.requests, req.ID)
 	}
 }
--- a/internal/faultbench/world/stream.go
+++ b/internal/faultbench/world/streams.go
@@ -8,17 +8,17 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Call is one request of a client.
-type Call struct {
+// Request is one request of a client.
+type Request struct {
 	ID    string
 	Node  int
 	Class int
 	At    time.Duration
-	Try   int // 0 for the first; a client's retry is a request of its own, with a new id
+	Try   int // 0 for the first; each client retry is a separate request with a new id
 }
 
-// Streams draws the requests that come to each node: open Poisson streams, the same for the same seed whatever becomes
-// of the requests.
+// Streams generates the requests that arrive at each node: open-loop Poisson streams, which depend on the seed only and not
+// on the outcome of requests.
 type Streams struct {
 	e     *experiment.Experiment
 	rates []float64
@@ -28,9 +28,9 @@
 	tag   string
 }
 
-// NewStreams returns the streams of an experiment. The tag sets ids of runs apart.
+// NewStreams returns the streams of an experiment. The tag is a prefix that distinguishes the request ids of runs.
 func NewStreams(e *experiment.Experiment, tag string) *Streams {
-	s := &Streams{e: e, rates: e.Rates(), tag: tag}
+	s := &Streams{e: e, rates: e.NodeRates(), tag: tag}
 	for i, rate := range s.rates {
 		rng := rand.New(rand.NewPCG(e.Seed, uint64(i)+1))
 		s.rngs = append(s.rngs, rng)
@@ -40,18 +40,18 @@
 	return s
 }
 
-// Next is the next request to a node and true, or false once the day is over.
-func (s *Streams) Next(node int) (Call, bool) {
+// Next returns the next request to a node, or false at the end of the experiment.
+func (s *Streams) Next(node int) (Request, bool) {
 	at := s.next[node]
-	if at >= s.e.Length() {
-		return Call{}, false
+	if at >= s.e.TotalDuration() {
+		return Request{}, false
 	}
 	rng := s.rngs[node]
-	var all float64
+	var shares float64
 	for _, c := range s.e.Classes {
-		all += c.Share
+		shares += c.Share
 	}
-	class, x := 0, rng.Float64()*all
+	class, x := 0, rng.Float64()*shares
 	for i, c := range s.e.Classes {
 		if x -= c.Share; x < 0 {
 			class = i
@@ -60,5 +60,5 @@
 	}
 	s.count[node]++
 	s.next[node] += time.Duration(rng.ExpFloat64() / s.rates[node] * float64(time.Second))
-	return Call{ID: fmt.Sprintf("%s%d.%d", s.tag, node, s.count[node]), Node: node, Class: class, At: at}, true
+	return Request{ID: fmt.Sprintf("%s%d.%d", s.tag, node, s.count[node]), Node: node, Class: class, At: at}, true
 }
