--- a/cmd/faultbench/explore.go
+++ b/cmd/faultbench/explore.go
@@ -20,17 +20,17 @@
 	large func() (modelcheck.State, error)
 }{
 	"members": {
-		func() (modelcheck.State, error) { return swim.New(swim.Small()) },
+		func() (modelcheck.State, error) { return swim.New(swim.SmallBounds()) },
 		func() (modelcheck.State, error) {
-			return swim.New(swim.Bounds{Nodes: 5, Ticks: 200, Drops: 60, Doubles: 20, Crashes: 5, Leaves: 1, Stops: 5,
-				Skew: 10 * time.Second, Options: membership.Defaults(), MostFlying: 60})
+			return swim.New(swim.Bounds{Nodes: 5, Ticks: 200, Drops: 60, Duplicates: 20, Crashes: 5, Leaves: 1, Stops: 5,
+				MaxClockSkew: 10 * time.Second, Options: membership.Defaults(), MaxInFlight: 60})
 		},
 	},
 	"facts": {
-		func() (modelcheck.State, error) { return exchange.New(exchange.Small()) },
+		func() (modelcheck.State, error) { return exchange.New(exchange.SmallBounds()) },
 		func() (modelcheck.State, error) {
-			return exchange.New(exchange.Bounds{Zones: []int{0, 0, 0, 1, 1, 2}, Ticks: 1000, Drops: 100, Doubles: 50, Crashes: 5, Waits: 8,
-				Wait: 900 * time.Millisecond, MostFlying: 60, Fresh: 2 * time.Second})
+			return exchange.New(exchange.Bounds{Zones: []int{0, 0, 0, 1, 1, 2}, Ticks: 1000, Drops: 100, Duplicates: 50, Crashes: 5, Waits: 8,
+				WaitTime: 900 * time.Millisecond, MaxInFlight: 60, Fresh: 2 * time.Second})
 		},
 	},
 }
@@ -61,7 +61,7 @@
 			if breach != nil {
 				return breach
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "all orders: %d states, %d moves, %d deep, whole: %v, %v\n", r.States, r.Moves, r.Depth, r.Whole, time.Since(begin).Round(time.Millisecond))
+			fmt.Fprintf(cmd.OutOrStdout(), "all orders: %d states, %d moves, %d deep, whole: %v, %v\n", r.States, r.Moves, r.Depth, r.Complete, time.Since(begin).Round(time.Millisecond))
 			if start, err = x.large(); err != nil {
 				return err
 			}
--- a/cmd/faultbench/simulate.go
+++ b/cmd/faultbench/simulate.go
@@ -61,17 +61,17 @@
 	f.IntVar(&seeds, "seeds", 1, "how many seeds, from the first on")
 	f.DurationVar(&fresh, "fresh", 2*time.Second, "of facts: until how old what is known is fresh")
 	f.IntVar(&w.Zones, "zones", 6, "how many zones")
-	f.IntVar(&w.Big, "big", 0, "nodes of the first zone; 0: as many as in the others")
+	f.IntVar(&w.FirstZoneNodes, "big", 0, "nodes of the first zone; 0: as many as in the others")
 	f.DurationVar(&w.Delay, "delay", 10*time.Millisecond, "of a datagram, from a tenth of it up to it")
-	f.Float64Var(&w.Tail, "tail", 0, "share of datagrams that take up to fifty times as long")
-	f.Float64Var(&w.Asleep, "asleep", 0, "share of nodes that sleep at a time")
-	f.DurationVar(&w.SleepFor, "sleep", 3*time.Second, "for how long each does")
-	f.Float64Var(&w.Die, "die", 0, "share of nodes that die half way")
+	f.Float64Var(&w.TailShare, "tail", 0, "share of datagrams that take up to fifty times as long")
+	f.Float64Var(&w.SleepShare, "asleep", 0, "share of nodes that sleep at a time")
+	f.DurationVar(&w.SleepTime, "sleep", 3*time.Second, "for how long each does")
+	f.Float64Var(&w.DeathShare, "die", 0, "share of nodes that die half way")
 	f.DurationVar(&w.CutFrom, "cut-from", 0, "when the first zone is cut off")
 	f.DurationVar(&w.CutTo, "cut-to", 0, "and until when")
 	f.BoolVar(&w.OneWay, "one-way", false, "only what the cut zone sends is lost")
 	f.BoolVar(&w.BadLink, "bad-link", false, "three in four of the first node's datagrams are lost")
-	f.DurationVar(&w.For, "for", time.Minute, "how long to play")
+	f.DurationVar(&w.Duration, "for", time.Minute, "how long to play")
 	f.Uint64Var(&w.Seed, "seed", 1, "of what is drawn")
 	return cmd
 }
@@ -91,7 +91,7 @@
 		return err
 	}
 	begin := time.Now()
-	var all swim.Seen
+	var all swim.Result
 	longest := func(a *time.Duration, b time.Duration, i int) {
 		if i == 0 || b < 0 || *a >= 0 && b > *a {
 			*a = b
@@ -102,19 +102,19 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", w.Seed, err)
 		}
-		for _, x := range [][2]*time.Duration{{&all.Joined, &s.Joined}, {&all.JoinedAll, &s.JoinedAll}, {&all.Dead, &s.Dead}, {&all.DeadAll, &s.DeadAll},
-			{&all.Parted, &s.Parted}, {&all.Back, &s.Back}, {&all.BackAll, &s.BackAll}} {
+		for _, x := range [][2]*time.Duration{{&all.Joined95, &s.Joined95}, {&all.JoinedAll, &s.JoinedAll}, {&all.Dead95, &s.Dead95}, {&all.DeadAll, &s.DeadAll},
+			{&all.Partitioned95, &s.Partitioned95}, {&all.Rejoined95, &s.Rejoined95}, {&all.RejoinedAll, &s.RejoinedAll}} {
 			longest(x[0], *x[1], i)
 		}
-		all.False += s.False
+		all.FalseDeaths += s.FalseDeaths
 		all.MemberMinutes += s.MemberMinutes
-		all.Datagrams += s.Datagrams / float64(len(worlds))
-		all.Bytes += s.Bytes / float64(len(worlds))
-		all.MostSent, all.Ill = max(all.MostSent, s.MostSent), max(all.Ill, s.Ill)
+		all.DatagramRate += s.DatagramRate / float64(len(worlds))
+		all.ByteRate += s.ByteRate / float64(len(worlds))
+		all.MaxByteRate, all.MaxHealthScore = max(all.MaxByteRate, s.MaxByteRate), max(all.MaxHealthScore, s.MaxHealthScore)
 	}
-	_, err := fmt.Fprintf(out, "%d\t%.2f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%.1f\t%.0f\t%.0f\t%d\t%v\n", worlds[0].Nodes, worlds[0].Loss, since(all.Joined), since(all.JoinedAll),
-		since(all.Dead), since(all.DeadAll), since(all.Parted), since(all.Back), since(all.BackAll), all.False, all.MemberMinutes,
-		all.Datagrams, all.Bytes, all.MostSent, all.Ill, time.Since(begin).Round(10*time.Millisecond))
+	_, err := fmt.Fprintf(out, "%d\t%.2f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%.1f\t%.0f\t%.0f\t%d\t%v\n", worlds[0].Nodes, worlds[0].Loss, since(all.Joined95), since(all.JoinedAll),
+		since(all.Dead95), since(all.DeadAll), since(all.Partitioned95), since(all.Rejoined95), since(all.RejoinedAll), all.FalseDeaths, all.MemberMinutes,
+		all.DatagramRate, all.ByteRate, all.MaxByteRate, all.MaxHealthScore, time.Since(begin).Round(10*time.Millisecond))
 	return err
 }
 
@@ -125,23 +125,23 @@
 		return err
 	}
 	begin := time.Now()
-	var all exchange.Seen
+	var all exchange.Result
 	n := float64(len(worlds))
 	for _, w := range worlds {
 		s, err := exchange.Play(exchange.World{World: w, Fresh: fresh})
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", w.Seed, err)
 		}
-		all.Fresh, all.Counted, all.Whole = all.Fresh+s.Fresh/n, all.Counted+s.Counted/n, all.Whole+s.Whole/n
-		all.Age, all.Slack = all.Age+s.Age/time.Duration(n), all.Slack+s.Slack/time.Duration(n)
-		all.Packets, all.Bytes = all.Packets+s.Packets/n, all.Bytes+s.Bytes/n
-		all.AgeMost, all.MostSent, all.Rows, all.Back = max(all.AgeMost, s.AgeMost), max(all.MostSent, s.MostSent), max(all.Rows, s.Rows), max(all.Back, s.Back)
+		all.FreshShare, all.CountedShare, all.CompleteShare = all.FreshShare+s.FreshShare/n, all.CountedShare+s.CountedShare/n, all.CompleteShare+s.CompleteShare/n
+		all.MeanAge, all.MeanSlack = all.MeanAge+s.MeanAge/time.Duration(n), all.MeanSlack+s.MeanSlack/time.Duration(n)
+		all.PacketRate, all.ByteRate = all.PacketRate+s.PacketRate/n, all.ByteRate+s.ByteRate/n
+		all.MaxAge, all.MaxByteRate, all.MaxRows, all.RecoveryTime = max(all.MaxAge, s.MaxAge), max(all.MaxByteRate, s.MaxByteRate), max(all.MaxRows, s.MaxRows), max(all.RecoveryTime, s.RecoveryTime)
 	}
 	if worlds[0].CutTo == 0 {
-		all.Back = -1
+		all.RecoveryTime = -1
 	}
 	ms := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
-	_, err := fmt.Fprintf(out, "%d\t%.2f\t%.4f\t%.4f\t%.3f\t%v\t%v\t%v\t%.1f\t%.0f\t%.0f\t%d\t%s\t%v\n", worlds[0].Nodes, worlds[0].Loss, all.Fresh, all.Counted, all.Whole,
-		ms(all.Age), ms(all.AgeMost), ms(all.Slack), all.Packets, all.Bytes, all.MostSent, all.Rows, since(all.Back), time.Since(begin).Round(10*time.Millisecond))
+	_, err := fmt.Fprintf(out, "%d\t%.2f\t%.4f\t%.4f\t%.3f\t%v\t%v\t%v\t%.1f\t%.0f\t%.0f\t%d\t%s\t%v\n", worlds[0].Nodes, worlds[0].Loss, all.FreshShare, all.CountedShare, all.CompleteShare,
+		ms(all.MeanAge), ms(all.MaxAge), ms(all.MeanSlack), all.PacketRate, all.ByteRate, all.MaxByteRate, all.MaxRows, since(all.RecoveryTime), time.Since(begin).Round(10*time.Millisecond))
 	return err
 }
--- a/internal/modelcheck/exchange/small.go
+++ b/internal/modelcheck/exchange/model.go
@@ -13,19 +13,19 @@
 
 // Bounds are how often each thing may happen in one history of a small fleet.
 type Bounds struct {
-	Zones                   []int // of each node
-	Ticks                   int   // in all
-	Drops, Doubles, Crashes int
-	Waits                   int           // times that nothing happens for a while, as where all are stopped or messages lie in queues
-	Wait                    time.Duration // how long
-	MostFlying              int           // messages on their way at once; more are lost
-	Fresh                   time.Duration
-	Defect                  string // planted, to show that the checks see; empty: none
+	Zones                      []int // of each node
+	Ticks                      int   // in all
+	Drops, Duplicates, Crashes int
+	Waits                      int           // times that nothing happens for a while, as where all are stopped or messages lie in queues
+	WaitTime                   time.Duration // how long
+	MaxInFlight                int           // messages on their way at once; more are lost
+	Fresh                      time.Duration
+	Defect                     string // planted, to show that the checks see; empty: none
 }
 
 // Small are bounds whose states can all be tried.
-func Small() Bounds {
-	return Bounds{Zones: []int{0, 0}, Ticks: 12, Drops: 1, Crashes: 1, Waits: 1, Wait: 1500 * time.Millisecond, MostFlying: 2, Fresh: 2 * time.Second}
+func SmallBounds() Bounds {
+	return Bounds{Zones: []int{0, 0}, Ticks: 12, Drops: 1, Crashes: 1, Waits: 1, WaitTime: 1500 * time.Millisecond, MaxInFlight: 2, Fresh: 2 * time.Second}
 }
 
 // Defects are what can be planted, each a way to break a promise.
@@ -34,31 +34,31 @@
 
 // process is one node, or its absence.
 type process struct {
-	peer    zonestate.Peer
-	machine *zonestate.Machine // nil: it has crashed
-	lives   uint32
-	offset  time.Duration // of its clock
-	made    uint32        // the latest sequence of its rows
+	peer        zonestate.Peer
+	machine     *zonestate.Machine // nil: it has crashed
+	incarnation uint32
+	offset      time.Duration // of its clock
+	lastSeq     uint32        // the latest sequence of its rows
 }
 
 // fleet is a state.
 type fleet struct {
-	b     Bounds
-	nodes []process
-	view  *zonestate.View
-	air   modelcheck.Air
-	now   time.Duration
-	used  struct{ ticks, crashes, waits int }
-	wrong error
+	bounds  Bounds
+	nodes   []process
+	view    *zonestate.View
+	network modelcheck.Network
+	now     time.Duration
+	used    struct{ ticks, crashes, waits int }
+	failure error
 }
 
 // New is the start of a small fleet.
 func New(b Bounds) (modelcheck.State, error) {
-	f := &fleet{b: b, now: time.Second, air: modelcheck.Air{Most: b.MostFlying, Drops: b.Drops, Doubles: b.Doubles}}
+	f := &fleet{bounds: b, now: time.Second, network: modelcheck.Network{MaxInFlight: b.MaxInFlight, DropsLeft: b.Drops, DuplicatesLeft: b.Duplicates}}
 	var all []zonestate.Peer
 	for i, z := range b.Zones {
-		p := process{offset: time.Duration(i) * 7 * time.Hour, lives: 1,
-			peer: zonestate.Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), ZoneID: place(z)}}
+		p := process{offset: time.Duration(i) * 7 * time.Hour, incarnation: 1,
+			peer: zonestate.Peer{ID: uint64(i) + 1, Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i)}), 1), ZoneID: zoneID(z)}}
 		f.nodes = append(f.nodes, p)
 		all = append(all, p.peer)
 	}
@@ -73,30 +73,30 @@
 
 func (f *fleet) start(i int) error {
 	n := &f.nodes[i]
-	m, err := zonestate.New(f.clock(i), n.peer, zonestate.Defaults(f.b.Fresh), uint64(i)<<8|uint64(n.lives))
+	m, err := zonestate.New(f.clock(i), n.peer, zonestate.Defaults(f.bounds.Fresh), uint64(i)<<8|uint64(n.incarnation))
 	if err != nil {
 		return fmt.Errorf("exchange: %w", err)
 	}
 	m.SetView(f.clock(i), f.view)
-	m.SetIncarnation(n.lives)
-	n.machine, n.made = m, 0
+	m.SetIncarnation(n.incarnation)
+	n.machine, n.lastSeq = m, 0
 	return nil
 }
 
 // clock is what a node's clock shows now.
 func (f *fleet) clock(i int) time.Duration {
-	if f.slow(i) {
+	if f.hasSlowClock(i) {
 		return f.nodes[i].offset + f.now/2
 	}
 	return f.nodes[i].offset + f.now
 }
 
 // slow says that a node's clock goes half as fast.
-func (f *fleet) slow(i int) bool { return f.b.Defect == "clock half as fast" && i == 0 }
+func (f *fleet) hasSlowClock(i int) bool { return f.bounds.Defect == "clock half as fast" && i == 0 }
 
 func (f *fleet) clone() *fleet {
 	c := *f
-	c.nodes, c.air = slices.Clone(f.nodes), f.air.Clone()
+	c.nodes, c.network = slices.Clone(f.nodes), f.network.Clone()
 	for i := range c.nodes {
 		if m := c.nodes[i].machine; m != nil {
 			c.nodes[i].machine = m.Clone()
@@ -112,42 +112,42 @@
 		case n.machine == nil:
 			moves = append(moves, fmt.Sprint("restart ", i))
 		default:
-			if f.used.ticks < f.b.Ticks {
+			if f.used.ticks < f.bounds.Ticks {
 				moves = append(moves, fmt.Sprint("tick ", i))
 			}
-			if f.used.crashes < f.b.Crashes {
+			if f.used.crashes < f.bounds.Crashes {
 				moves = append(moves, fmt.Sprint("crash ", i))
 			}
 		}
 	}
-	if f.used.waits < f.b.Waits {
+	if f.used.waits < f.bounds.Waits {
 		moves = append(moves, "wait 0")
 	}
-	return append(moves, f.air.Moves()...)
+	return append(moves, f.network.Moves()...)
 }
 
 // Apply implements modelcheck.State.
 func (f *fleet) Apply(move string) (modelcheck.State, bool) {
-	what, at, ok := modelcheck.Move(move, f.Moves())
+	action, index, ok := modelcheck.ParseMove(move, f.Moves())
 	if !ok {
 		return nil, false
 	}
 	c := f.clone()
-	switch what {
+	switch action {
 	case "tick":
 		c.used.ticks++
-		c.tick(at)
+		c.tick(index)
 	case "crash":
 		c.used.crashes++
-		c.nodes[at].machine = nil
+		c.nodes[index].machine = nil
 	case "restart":
-		c.nodes[at].lives++
-		c.wrong = c.start(at)
+		c.nodes[index].incarnation++
+		c.failure = c.start(index)
 	case "wait":
 		c.used.waits++
-		c.now += c.b.Wait
+		c.now += c.bounds.WaitTime
 	default:
-		if p, arrived := c.air.Apply(what, at); arrived {
+		if p, arrived := c.network.Apply(action, index); arrived {
 			c.now += time.Millisecond
 			c.deliver(p)
 		}
@@ -159,7 +159,7 @@
 func (f *fleet) tick(i int) {
 	n := &f.nodes[i]
 	due := n.machine.Next() - n.offset
-	if f.slow(i) {
+	if f.hasSlowClock(i) {
 		due *= 2
 	}
 	f.now = max(f.now, due)
@@ -168,14 +168,14 @@
 	f.send(i, n.machine.Tick(f.clock(i)))
 }
 
-func (f *fleet) deliver(p modelcheck.Flight) {
+func (f *fleet) deliver(p modelcheck.Message) {
 	n := &f.nodes[p.To]
 	if n.machine == nil {
 		return
 	}
 	m, err := zonestate.Parse([]byte(p.Data))
 	if err != nil {
-		f.wrong = err
+		f.failure = err
 		return
 	}
 	f.send(p.To, n.machine.Receive(f.clock(p.To), m))
@@ -184,23 +184,23 @@
 func (f *fleet) send(i int, packets []zonestate.Packet) {
 	for _, p := range packets {
 		for k := range p.Rows {
-			f.spoil(&p.Message, k)
+			f.injectDefect(&p.Message, k)
 			if r := p.Rows[k]; r.Author.ID == f.nodes[i].peer.ID && p.Kind != zonestate.PartUpdate {
-				f.nodes[i].made = max(f.nodes[i].made, r.Seq)
+				f.nodes[i].lastSeq = max(f.nodes[i].lastSeq, r.Seq)
 			}
 		}
 		data := string(zonestate.Append(nil, p.Message))
 		if len(data) > zonestate.MaxMessage {
-			f.wrong = fmt.Errorf("node %d sends %d bytes", i, len(data))
+			f.failure = fmt.Errorf("node %d sends %d bytes", i, len(data))
 		}
-		f.air.Send(modelcheck.Flight{From: i, To: int(p.To.Addr().As4()[3]), Data: data})
+		f.network.Send(modelcheck.Message{From: i, To: int(p.To.Addr().As4()[3]), Data: data})
 	}
 }
 
 // spoil plants the defect in a message.
-func (f *fleet) spoil(m *zonestate.Message, k int) {
+func (f *fleet) injectDefect(m *zonestate.Message, k int) {
 	r := &m.Rows[k]
-	switch f.b.Defect {
+	switch f.bounds.Defect {
 	case "age not sent":
 		r.Age = 0
 	case "age halved":
@@ -226,7 +226,7 @@
 			r.Entries = nil
 		}
 	case "zone mistaken":
-		r.ZoneID = place(7)
+		r.ZoneID = zoneID(7)
 	case "first page lost":
 		r.Page = max(r.Page, 1)
 		r.Entries = nil
@@ -237,39 +237,39 @@
 func (f *fleet) Key() string {
 	var b strings.Builder
 	for _, n := range f.nodes {
-		fmt.Fprintf(&b, "%d,%d;", n.lives, n.made)
+		fmt.Fprintf(&b, "%d,%d;", n.incarnation, n.lastSeq)
 		if n.machine != nil {
 			b.WriteString(n.machine.Fingerprint())
 		}
 	}
-	fmt.Fprint(&b, f.used, f.now%time.Millisecond, f.air)
+	fmt.Fprint(&b, f.used, f.now%time.Millisecond, f.network)
 	return b.String()
 }
 
 // Check implements modelcheck.State: nothing that a node is told is older than it is told, each node counts once, and no row
 // is of a version that its author never made.
 func (f *fleet) Check() error {
-	if f.wrong != nil {
-		return f.wrong
+	if f.failure != nil {
+		return f.failure
 	}
 	for i, n := range f.nodes {
 		if n.machine == nil {
 			continue
 		}
 		now := f.clock(i)
-		for _, z := range f.b.Zones {
-			v := n.machine.Read(now, place(z), zonestate.MadeAt, 1)
-			d := n.machine.Read(now, place(z), zonestate.Demand, 2)
+		for _, z := range f.bounds.Zones {
+			v := n.machine.Read(now, zoneID(z), zonestate.MadeAt, 1)
+			d := n.machine.Read(now, zoneID(z), zonestate.Demand, 2)
 			if real := f.now - time.Duration(v.Amount)*time.Millisecond; v.PartCount > 0 && real > v.Age {
 				return fmt.Errorf("node %d is given a fact of zone %d that is %v old, for %v at most", i, z, real, v.Age)
 			}
 			if d.Amount != float64(d.PartCount) || d.PartCount > len(f.nodes) {
 				return fmt.Errorf("node %d is told that %d nodes of zone %d, 1 each, have %v", i, d.PartCount, z, d.Amount)
 			}
-			row, found := n.machine.Row(now, place(z), zonestate.MadeAt)
+			row, found := n.machine.Row(now, zoneID(z), zonestate.MadeAt)
 			for k, a := range f.nodes {
-				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Incarnation == a.lives && row.Seq > a.made {
-					return fmt.Errorf("node %d holds row %d of author %d, who made %d", i, row.Seq, a.peer.ID, a.made)
+				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Incarnation == a.incarnation && row.Seq > a.lastSeq {
+					return fmt.Errorf("node %d holds row %d of author %d, who made %d", i, row.Seq, a.peer.ID, a.lastSeq)
 				}
 			}
 		}
@@ -281,7 +281,7 @@
 // all zones in which anybody runs, with every node counted.
 func (f *fleet) Settle() error {
 	c := f.clone()
-	c.air.Most = 1000
+	c.network.MaxInFlight = 1000
 	var all []zonestate.Peer
 	count := map[zonestate.ZoneID]int{}
 	for _, n := range c.nodes {
@@ -297,9 +297,9 @@
 			n.machine.SetView(c.clock(i), c.view)
 		}
 	}
-	for end := c.now + 5*c.b.Fresh; c.now < end && c.wrong == nil; {
-		for len(c.air.Flying) > 0 && c.wrong == nil {
-			p, _ := c.air.Apply("deliver", 0)
+	for end := c.now + 5*c.bounds.Fresh; c.now < end && c.failure == nil; {
+		for len(c.network.InFlight) > 0 && c.failure == nil {
+			p, _ := c.network.Apply("deliver", 0)
 			c.deliver(p)
 		}
 		c.now += 5 * time.Millisecond
@@ -314,7 +314,7 @@
 	}
 	for i, n := range c.nodes {
 		for at, of := range count {
-			if n.machine == nil || c.wrong != nil {
+			if n.machine == nil || c.failure != nil {
 				continue
 			}
 			if v := n.machine.Read(c.clock(i), at, zonestate.MadeAt, 1); v.Freshness != zonestate.Fresh || v.PartCount != of {
@@ -322,5 +322,5 @@
 			}
 		}
 	}
-	return c.wrong
+	return c.failure
 }
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -39,21 +39,21 @@
 
 // Result is what a search has seen.
 type Result struct {
-	States int  // that differ
-	Moves  int  // that were made
-	Depth  int  // of the deepest state
-	Whole  bool // nothing is left that was not tried
+	States   int  // that differ
+	Moves    int  // that were made
+	Depth    int  // of the deepest state
+	Complete bool // nothing is left that was not tried
 }
 
 // node is a state and how it was come to.
-type node struct {
+type searchNode struct {
 	state State
-	from  *node
+	from  *searchNode
 	move  string
 	depth int
 }
 
-func (n *node) script() (moves []string) {
+func (n *searchNode) script() (moves []string) {
 	for ; n.from != nil; n = n.from {
 		moves = append(moves, n.move)
 	}
@@ -63,8 +63,8 @@
 
 // Search tries every order from the start, the shortest first, up to a number of different states. The first breach that
 // it meets is one of the shortest. Every settleEvery-th state that is a Settler is settled too; 0: none is.
-func Search(start State, most, settleEvery int) (r Result, breach *Breach) {
-	queue := []*node{{state: start}}
+func Search(start State, maxStates, settleEvery int) (r Result, breach *Breach) {
+	queue := []*searchNode{{state: start}}
 	seen := map[string]bool{start.Key(): true}
 	for len(queue) > 0 {
 		n := queue[0]
@@ -79,7 +79,7 @@
 		if err != nil {
 			return r, Shorten(start, &Breach{n.script(), err})
 		}
-		if r.States == most {
+		if r.States == maxStates {
 			return r, nil
 		}
 		for _, m := range n.state.Moves() {
@@ -88,13 +88,13 @@
 				continue
 			}
 			r.Moves++
-			if key := next.Key(); !seen[key] && len(seen) < 4*most {
+			if key := next.Key(); !seen[key] && len(seen) < 4*maxStates {
 				seen[key] = true
-				queue = append(queue, &node{next, n, m, n.depth + 1})
+				queue = append(queue, &searchNode{next, n, m, n.depth + 1})
 			}
 		}
 	}
-	r.Whole = true
+	r.Complete = true
 	return r, nil
 }
 
@@ -166,13 +166,13 @@
 	best := &Breach{slices.Clone(b.Script), b.Err}
 	for size := max(1, len(best.Script)/2); ; {
 		shorter := false
-		for at := 0; at+size <= len(best.Script); {
-			try := slices.Concat(best.Script[:at], best.Script[at+size:])
-			if err, played := Play(start, try); played && err != nil {
-				best, shorter = &Breach{try, err}, true
+		for begin := 0; begin+size <= len(best.Script); {
+			candidate := slices.Concat(best.Script[:begin], best.Script[begin+size:])
+			if err, played := Play(start, candidate); played && err != nil {
+				best, shorter = &Breach{candidate, err}, true
 				continue
 			}
-			at++
+			begin++
 		}
 		if size == 1 && !shorter {
 			return best
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -8,18 +8,18 @@
 
 // counter is a system of two cells that each go up to a bound; a defect makes some sum wrong.
 type counter struct {
-	a, b, most int
-	wrong      func(a, b int) bool
-	stuck      bool
+	a, b, limit int
+	violates    func(a, b int) bool
+	stuck       bool
 }
 
 func (c counter) Moves() []string { return []string{"a", "b", "swap"} }
 
 func (c counter) Apply(m string) (State, bool) {
 	switch {
-	case m == "a" && c.a < c.most:
+	case m == "a" && c.a < c.limit:
 		c.a++
-	case m == "b" && c.b < c.most:
+	case m == "b" && c.b < c.limit:
 		c.b++
 	case m == "swap":
 		c.a, c.b = c.b, c.a
@@ -32,7 +32,7 @@
 func (c counter) Key() string { return fmt.Sprint(c.a, c.b) }
 
 func (c counter) Check() error {
-	if c.wrong != nil && c.wrong(c.a, c.b) {
+	if c.violates != nil && c.violates(c.a, c.b) {
 		return fmt.Errorf("%d and %d", c.a, c.b)
 	}
 	return nil
@@ -45,18 +45,18 @@
 	return nil
 }
 
-func TestSearchTriesEveryStateOnce(t *testing.T) {
-	r, b := Search(counter{most: 9}, 1000, 1)
-	if b != nil || !r.Whole || r.States != 100 || r.Depth < 18 {
+func TestSearchVisitsEveryStateOnce(t *testing.T) {
+	r, b := Search(counter{limit: 9}, 1000, 1)
+	if b != nil || !r.Complete || r.States != 100 || r.Depth < 18 {
 		t.Errorf("%+v, %v; want all of a hundred states", r, b)
 	}
-	if r, _ := Search(counter{most: 9}, 50, 0); r.Whole || r.States != 50 {
+	if r, _ := Search(counter{limit: 9}, 50, 0); r.Complete || r.States != 50 {
 		t.Errorf("%+v; want it to end at fifty", r)
 	}
 }
 
-func TestBreachesAreFoundAndAsShortAsTheyCanBe(t *testing.T) {
-	wrong := counter{most: 9, wrong: func(a, b int) bool { return a == 4 && b == 1 }}
+func TestBreachIsFoundAndShortened(t *testing.T) {
+	wrong := counter{limit: 9, violates: func(a, b int) bool { return a == 4 && b == 1 }}
 	if _, b := Search(wrong, 1000, 0); b == nil || len(b.Script) != 5 {
 		t.Errorf("%v; want five steps", b)
 	}
@@ -75,7 +75,7 @@
 	if found == 0 {
 		t.Error("twenty walks of 400 steps found nothing")
 	}
-	if _, b := Search(counter{most: 9, stuck: true}, 1000, 1); b == nil || len(b.Script) != 2 {
+	if _, b := Search(counter{limit: 9, stuck: true}, 1000, 1); b == nil || len(b.Script) != 2 {
 		t.Errorf("%v; want the two steps after which something never comes about", b)
 	}
 	if _, played := Play(wrong, []string{"a", "c"}); played {
--- a/internal/modelcheck/modelchecktest/modelchecktest.go
+++ b/internal/modelcheck/modelchecktest/modelchecktest.go
@@ -8,7 +8,7 @@
 )
 
 // Start is the start of a system; an error ends the test.
-func Start(t testing.TB, s modelcheck.State, err error) modelcheck.State {
+func RequireStart(t testing.TB, s modelcheck.State, err error) modelcheck.State {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -17,19 +17,19 @@
 }
 
 // Orders tries all orders up to a number of states; a breach ends the test.
-func Orders(t *testing.T, start modelcheck.State, most int) {
+func RequireSearchPasses(t *testing.T, start modelcheck.State, maxStates int) {
 	t.Helper()
-	r, breach := modelcheck.Search(start, most, 50)
+	r, breach := modelcheck.Search(start, maxStates, 50)
 	if breach != nil {
 		t.Fatal(breach)
 	}
-	if t.Logf("%+v", r); r.States < most && !r.Whole {
+	if t.Logf("%+v", r); r.States < maxStates && !r.Complete {
 		t.Errorf("%+v", r)
 	}
 }
 
 // Holds makes walks, none of which may meet a breach.
-func Holds(t *testing.T, start modelcheck.State, walks, steps int) {
+func RequireWalksPass(t *testing.T, start modelcheck.State, walks, steps int) {
 	t.Helper()
 	if seed, breach := modelcheck.Walks(start, 0, walks, steps); breach != nil {
 		t.Fatalf("seed %d: %v", seed, modelcheck.Shorten(start, breach))
@@ -37,7 +37,7 @@
 }
 
 // Found makes walks from a seed on, one of which must meet a breach.
-func Found(t *testing.T, start modelcheck.State, first uint64, walks, steps int) {
+func RequireBreachFound(t *testing.T, start modelcheck.State, first uint64, walks, steps int) {
 	t.Helper()
 	seed, breach := modelcheck.Walks(start, first, walks, steps)
 	if breach == nil {
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -15,41 +15,41 @@
 
 // Bounds are how often each thing may happen in one history.
 type Bounds struct {
-	Nodes                           int
-	Ticks                           int           // of each node
-	Drops, Doubles, Crashes, Leaves int           // in all
-	Stops                           int           // that are woken again with their old view
-	Skew                            time.Duration // by which nodes' clocks may lie apart
-	Defect                          string        // planted, to show that the checks see; empty: none
-	Options                         membership.Options
-	MostFlying                      int // messages on their way at once; more are lost
+	Nodes                              int
+	Ticks                              int           // of each node
+	Drops, Duplicates, Crashes, Leaves int           // in all
+	Stops                              int           // that are woken again with their old view
+	MaxClockSkew                       time.Duration // by which nodes' clocks may lie apart
+	Defect                             string        // planted, to show that the checks see; empty: none
+	Options                            membership.Options
+	MaxInFlight                        int // messages on their way at once; more are lost
 }
 
 // Small are bounds whose states can all be tried.
-func Small() Bounds {
+func SmallBounds() Bounds {
 	o := membership.Defaults()
 	o.RetransmitFactor, o.OwnZoneProbes = 1, 1
-	return Bounds{Nodes: 2, Ticks: 3, Drops: 1, Crashes: 1, Skew: 2 * time.Second, Options: o, MostFlying: 3}
+	return Bounds{Nodes: 2, Ticks: 3, Drops: 1, Crashes: 1, MaxClockSkew: 2 * time.Second, Options: o, MaxInFlight: 3}
 }
 
 // node is one process, or its absence.
 type node struct {
-	name    string
-	machine *membership.Machine // nil: it has crashed
-	clock   time.Duration
-	ticks   int
-	asleep  bool
-	gone    bool // it left in order
-	top     uint32
+	name           string
+	machine        *membership.Machine // nil: it has crashed
+	clock          time.Duration
+	ticks          int
+	asleep         bool
+	left           bool // it left in order
+	maxIncarnation uint32
 }
 
 // fleet is a state.
 type fleet struct {
-	b     Bounds
-	nodes []node
-	air   modelcheck.Air
-	used  struct{ crashes, leaves, stops int }
-	wrong error
+	bounds  Bounds
+	nodes   []node
+	network modelcheck.Network
+	used    struct{ crashes, leaves, stops int }
+	failure error
 }
 
 var key = []byte("key")
@@ -64,10 +64,10 @@
 // New is the start: nodes that know one another's addresses as seeds, and nothing else. With one seed only, who never
 // met it before it left knows nobody, and no machine can mend that.
 func New(b Bounds) (modelcheck.State, error) {
-	f := &fleet{b: b, air: modelcheck.Air{Most: b.MostFlying, Drops: b.Drops, Doubles: b.Doubles}}
-	f.b.Options.Seeds = nil
+	f := &fleet{bounds: b, network: modelcheck.Network{MaxInFlight: b.MaxInFlight, DropsLeft: b.Drops, DuplicatesLeft: b.Duplicates}}
+	f.bounds.Options.Seeds = nil
 	for i := range b.Nodes {
-		f.b.Options.Seeds = append(f.b.Options.Seeds, addr(i))
+		f.bounds.Options.Seeds = append(f.bounds.Options.Seeds, addr(i))
 	}
 	for i := range b.Nodes {
 		f.nodes = append(f.nodes, node{name: fmt.Sprint("n", i)})
@@ -79,18 +79,18 @@
 }
 
 func (f *fleet) start(i int) error {
-	m, err := membership.New(membership.Peer{Name: f.nodes[i].name, Addr: addr(i), Zone: "z"}, f.b.Options, uint64(i)+1)
+	m, err := membership.New(membership.Peer{Name: f.nodes[i].name, Addr: addr(i), Zone: "z"}, f.bounds.Options, uint64(i)+1)
 	if err != nil {
 		return fmt.Errorf("swim: %w", err)
 	}
-	f.nodes[i].machine, f.nodes[i].gone, f.nodes[i].asleep = m, false, false
+	f.nodes[i].machine, f.nodes[i].left, f.nodes[i].asleep = m, false, false
 	return nil
 }
 
 func (f *fleet) clone() *fleet {
 	c := *f
 	c.nodes = slices.Clone(f.nodes)
-	c.air = f.air.Clone()
+	c.network = f.network.Clone()
 	for i := range c.nodes {
 		if m := c.nodes[i].machine; m != nil {
 			c.nodes[i].machine = m.Clone()
@@ -100,10 +100,10 @@
 }
 
 // slowest is the clock of the running node that is most behind.
-func (f *fleet) slowest() time.Duration {
+func (f *fleet) slowestClock() time.Duration {
 	least := time.Duration(1 << 62)
 	for _, n := range f.nodes {
-		if n.machine != nil && !n.asleep && !n.gone {
+		if n.machine != nil && !n.asleep && !n.left {
 			least = min(least, n.clock)
 		}
 	}
@@ -113,19 +113,19 @@
 // Moves implements modelcheck.State.
 func (f *fleet) Moves() (moves []string) {
 	for i, n := range f.nodes {
-		running := n.machine != nil && !n.asleep && !n.gone
+		running := n.machine != nil && !n.asleep && !n.left
 		switch {
 		case running:
-			if n.ticks < f.b.Ticks && n.clock <= f.slowest()+f.b.Skew {
+			if n.ticks < f.bounds.Ticks && n.clock <= f.slowestClock()+f.bounds.MaxClockSkew {
 				moves = append(moves, fmt.Sprint("tick ", i))
 			}
-			if f.used.crashes < f.b.Crashes {
+			if f.used.crashes < f.bounds.Crashes {
 				moves = append(moves, fmt.Sprint("crash ", i))
 			}
-			if f.used.stops < f.b.Stops {
+			if f.used.stops < f.bounds.Stops {
 				moves = append(moves, fmt.Sprint("stop ", i))
 			}
-			if f.used.leaves < f.b.Leaves {
+			if f.used.leaves < f.bounds.Leaves {
 				moves = append(moves, fmt.Sprint("leave ", i))
 			}
 		case n.machine == nil:
@@ -134,39 +134,39 @@
 			moves = append(moves, fmt.Sprint("wake ", i))
 		}
 	}
-	return append(moves, f.air.Moves()...)
+	return append(moves, f.network.Moves()...)
 }
 
 // Apply implements modelcheck.State.
 func (f *fleet) Apply(move string) (modelcheck.State, bool) {
-	what, at, ok := modelcheck.Move(move, f.Moves())
+	action, index, ok := modelcheck.ParseMove(move, f.Moves())
 	if !ok {
 		return nil, false
 	}
 	c := f.clone()
-	switch what {
+	switch action {
 	case "tick":
-		n := &c.nodes[at]
+		n := &c.nodes[index]
 		n.clock = max(n.clock, n.machine.Next())
 		n.ticks++
-		c.act(at, func(m *membership.Machine) []membership.Packet { return m.Tick(n.clock) })
+		c.step(index, func(m *membership.Machine) []membership.Packet { return m.Tick(n.clock) })
 	case "crash":
 		c.used.crashes++
-		c.nodes[at].machine = nil
+		c.nodes[index].machine = nil
 	case "restart":
-		c.wrong = c.start(at)
-		c.nodes[at].clock = max(c.nodes[at].clock, 0)
+		c.failure = c.start(index)
+		c.nodes[index].clock = max(c.nodes[index].clock, 0)
 	case "stop":
 		c.used.stops++
-		c.nodes[at].asleep = true
+		c.nodes[index].asleep = true
 	case "wake":
-		c.nodes[at].asleep = false
+		c.nodes[index].asleep = false
 	case "leave":
 		c.used.leaves++
-		c.act(at, func(m *membership.Machine) []membership.Packet { return m.Leave(c.nodes[at].clock) })
-		c.nodes[at].gone = true
+		c.step(index, func(m *membership.Machine) []membership.Packet { return m.Leave(c.nodes[index].clock) })
+		c.nodes[index].left = true
 	default:
-		if p, arrived := c.air.Apply(what, at); arrived {
+		if p, arrived := c.network.Apply(action, index); arrived {
 			c.deliver(p)
 		}
 	}
@@ -174,12 +174,12 @@
 }
 
 // act has a machine do something, notes what goes out, and checks what must hold of any step.
-func (f *fleet) act(i int, do func(*membership.Machine) []membership.Packet) {
+func (f *fleet) step(i int, do func(*membership.Machine) []membership.Packet) {
 	n := &f.nodes[i]
 	before := n.machine.Members()
 	packets := do(n.machine)
 	_, incarnation := n.machine.Self()
-	n.top = max(n.top, incarnation)
+	n.maxIncarnation = max(n.maxIncarnation, incarnation)
 	after := map[membership.ID]membership.Member{}
 	for _, k := range n.machine.Members() {
 		after[k.ID] = k
@@ -187,16 +187,16 @@
 	for _, was := range before {
 		is, kept := after[was.ID]
 		if kept && (is.Incarnation < was.Incarnation || is.Incarnation == was.Incarnation && is.Status < was.Status) {
-			f.wrong = fmt.Errorf("%s held %s for %v at life %d, and now for %v at life %d", n.name, was.Name, was.Status, was.Incarnation, is.Status, is.Incarnation)
+			f.failure = fmt.Errorf("%s held %s for %v at life %d, and now for %v at life %d", n.name, was.Name, was.Status, was.Incarnation, is.Status, is.Incarnation)
 		}
 	}
 	for _, p := range packets {
-		f.spoil(n, &p)
+		f.injectDefect(n, &p)
 		data := membership.Encode(p.Message, key)
 		if len(data) > membership.MaxDatagram {
-			f.wrong = fmt.Errorf("%s sends %d bytes", n.name, len(data))
+			f.failure = fmt.Errorf("%s sends %d bytes", n.name, len(data))
 		}
-		f.air.Send(modelcheck.Flight{From: i, To: int(p.To.Port()) - firstPort, Data: string(data)})
+		f.network.Send(modelcheck.Message{From: i, To: int(p.To.Port()) - firstPort, Data: string(data)})
 	}
 }
 
@@ -205,7 +205,7 @@
 	"another's name", "too long", "says nothing of itself", "answers mixed up"}
 
 // spoil plants the defect in what a node sends.
-func (f *fleet) spoil(n *node, p *membership.Packet) {
+func (f *fleet) injectDefect(n *node, p *membership.Packet) {
 	self, _ := n.machine.Self()
 	edit := func(change func(u *membership.Update) (keep bool)) {
 		p.Updates = slices.Clone(p.Updates)
@@ -217,7 +217,7 @@
 		}
 		p.Updates = kept
 	}
-	switch f.b.Defect {
+	switch f.bounds.Defect {
 	case "raises others":
 		edit(func(u *membership.Update) bool {
 			if u.Status == membership.Suspect {
@@ -265,40 +265,40 @@
 	}
 }
 
-func (f *fleet) deliver(p modelcheck.Flight) {
+func (f *fleet) deliver(p modelcheck.Message) {
 	if p.To >= len(f.nodes) { // nobody is there
 		return
 	}
 	n := &f.nodes[p.To]
-	if n.machine == nil || n.asleep || n.gone {
+	if n.machine == nil || n.asleep || n.left {
 		return
 	}
 	m, err := membership.Decode([]byte(p.Data), key)
 	if err != nil {
-		f.wrong = err
+		f.failure = err
 		return
 	}
-	f.act(p.To, func(k *membership.Machine) []membership.Packet { return k.Receive(n.clock, addr(p.From), m) })
+	f.step(p.To, func(k *membership.Machine) []membership.Packet { return k.Receive(n.clock, addr(p.From), m) })
 }
 
 // Key implements modelcheck.State.
 func (f *fleet) Key() string {
 	var b strings.Builder
-	base := f.slowest()
+	base := f.slowestClock()
 	for _, n := range f.nodes {
-		fmt.Fprintf(&b, "%v,%d,%v,%v,%d;", n.clock-base, n.ticks, n.asleep, n.gone, n.top)
+		fmt.Fprintf(&b, "%v,%d,%v,%v,%d;", n.clock-base, n.ticks, n.asleep, n.left, n.maxIncarnation)
 		if n.machine != nil {
 			b.WriteString(n.machine.Fingerprint())
 		}
 	}
-	fmt.Fprint(&b, f.used, f.air)
+	fmt.Fprint(&b, f.used, f.network)
 	return b.String()
 }
 
 // Check implements modelcheck.State.
 func (f *fleet) Check() error {
-	if f.wrong != nil {
-		return f.wrong
+	if f.failure != nil {
+		return f.failure
 	}
 	for _, n := range f.nodes {
 		if n.machine == nil {
@@ -306,8 +306,8 @@
 		}
 		for _, k := range n.machine.Members() {
 			for _, o := range f.nodes {
-				if o.name == k.Name && k.Incarnation > o.top {
-					return fmt.Errorf("%s holds %s at life %d, which never was beyond %d", n.name, k.Name, k.Incarnation, o.top)
+				if o.name == k.Name && k.Incarnation > o.maxIncarnation {
+					return fmt.Errorf("%s holds %s at life %d, which never was beyond %d", n.name, k.Name, k.Incarnation, o.maxIncarnation)
 				}
 			}
 		}
@@ -327,29 +327,29 @@
 		c.nodes[i].asleep = false
 		now = max(now, c.nodes[i].clock)
 	}
-	c.air.Most = 1000
+	c.network.MaxInFlight = 1000
 	for range settleRounds {
-		for len(c.air.Flying) > 0 {
-			p, _ := c.air.Apply("deliver", 0)
+		for len(c.network.InFlight) > 0 {
+			p, _ := c.network.Apply("deliver", 0)
 			c.deliver(p)
 		}
-		if c.wrong != nil {
-			return c.wrong
+		if c.failure != nil {
+			return c.failure
 		}
-		now += c.b.Options.ProbeInterval / 4
+		now += c.bounds.Options.ProbeInterval / 4
 		for i := range c.nodes {
 			n := &c.nodes[i]
-			if n.machine == nil || n.gone {
+			if n.machine == nil || n.left {
 				continue
 			}
 			n.clock = max(n.clock, now)
 			if n.machine.Next() <= n.clock {
-				c.act(i, func(m *membership.Machine) []membership.Packet { return m.Tick(n.clock) })
+				c.step(i, func(m *membership.Machine) []membership.Packet { return m.Tick(n.clock) })
 			}
 		}
 	}
 	for _, n := range c.nodes {
-		if n.machine == nil || n.gone {
+		if n.machine == nil || n.left {
 			continue
 		}
 		held := map[string]membership.Status{}
@@ -358,7 +358,7 @@
 		}
 		for _, o := range c.nodes {
 			status, known := held[o.name]
-			runs := o.machine != nil && !o.gone
+			runs := o.machine != nil && !o.left
 			switch {
 			case o.name == n.name:
 			case runs && (!known || status != membership.Alive):
