--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck plays machines without I/O through orders of what can happen to them: for small systems all orders, with
-// states that were seen before left out; beyond that random walks from a seed. A breach is shortened to the fewest steps
-// that still bring it about, and told as a script. It is for tests and tools, never in the node.
+// Package modelcheck explores the interleavings of events in systems of state machines without I/O. Small systems are searched
+// exhaustively, visiting each state once; larger ones are sampled by random walks from a seed. A breach is minimized to a
+// short script that still reproduces it. Only tests and tools use the package, never the node.
 package modelcheck
 
 import (
@@ -10,24 +10,24 @@
 	"strings"
 )
 
-// State is one state of a system. Its methods must not change it, but for what Apply returns.
+// State is one state of a system. Its methods must not modify the receiver; Apply returns a new state.
 type State interface {
-	// Moves are what can happen next, in an order that depends on the state alone. Each is named so that a script of
-	// names can be played again.
+	// Moves returns the names of the possible next events, in an order that depends only on the state. A script of names
+	// can be replayed.
 	Moves() []string
-	// Apply is the state after a move. false: the move can't happen here.
+	// Apply returns the state after a move, or false if the move is not possible in this state.
 	Apply(move string) (State, bool)
-	// Key tells states apart: two of one key have the same future.
+	// Key identifies the state: two states with the same key have the same future.
 	Key() string
-	// Check tells what is wrong with the state; nil: nothing.
+	// Check returns an error if the state violates an invariant.
 	Check() error
 }
 
-// Settler is a State that knows what must come about in the end: Settle plays on in a fair order, with nothing lost from
-// here on, and tells what has still not come about after a bound.
+// Settler is a State with a liveness property. Settle continues from the state in a fair order, without further losses, and
+// returns an error if the expected outcome is not reached within a bound.
 type Settler interface{ Settle() error }
 
-// Breach is a script that leads from the start to what is wrong.
+// Breach is a property violation and the script of moves that leads to it from the start state.
 type Breach struct {
 	Script []string
 	Err    error
@@ -37,15 +37,15 @@
 	return fmt.Sprintf("%v\nafter:\n\t%s", b.Err, strings.Join(b.Script, "\n\t"))
 }
 
-// Result is what a search has seen.
+// Result holds the statistics of a search or a walk.
 type Result struct {
-	States   int  // that differ
-	Moves    int  // that were made
-	Depth    int  // of the deepest state
-	Complete bool // nothing is left that was not tried
+	States   int  // distinct states visited
+	Moves    int  // moves applied
+	Depth    int  // moves to the deepest state
+	Complete bool // every reachable state was visited
 }
 
-// node is a state and how it was come to.
+// searchNode is a state and the move that reached it.
 type searchNode struct {
 	state State
 	from  *searchNode
@@ -61,8 +61,8 @@
 	return moves
 }
 
-// Search tries every order from the start, the shortest first, up to a number of different states. The first breach that
-// it meets is one of the shortest. Every settleEvery-th state that is a Settler is settled too; 0: none is.
+// Search explores all interleavings breadth-first from start, up to maxStates distinct states, so the first breach found is
+// one of the shortest. It also calls Settle on every settleEvery-th state that is a Settler; 0 disables that.
 func Search(start State, maxStates, settleEvery int) (r Result, breach *Breach) {
 	queue := []*searchNode{{state: start}}
 	seen := map[string]bool{start.Key(): true}
@@ -98,8 +98,8 @@
 	return r, nil
 }
 
-// Walk makes random moves from the start, and settles where the walk ends. A breach is told as it was met: Shorten shortens
-// it.
+// Walk makes up to steps random moves from start and calls Settle on the last state if it is a Settler. The breach it returns
+// is not minimized; see Shorten.
 func Walk(start State, seed uint64, steps int) (r Result, breach *Breach) {
 	rng := rand.New(rand.NewPCG(seed, 0xe4b107e))
 	state := start
@@ -130,7 +130,7 @@
 	return r, nil
 }
 
-// Walks makes one walk for each seed from the first on, until one meets a breach.
+// Walks makes one walk per seed, counting up from first, and stops at the first breach.
 func Walks(start State, first uint64, walks, steps int) (seed uint64, breach *Breach) {
 	for k := range walks {
 		seed = first + uint64(k)
@@ -141,7 +141,8 @@
 	return seed, nil
 }
 
-// Play plays a script and tells what is wrong at its end, or on the way; played: every move could be made.
+// Play replays a script and returns the first error of Check, or that of Settle at the end. played reports whether every
+// move up to there was possible.
 func Play(start State, script []string) (err error, played bool) {
 	state := start
 	for _, m := range script {
@@ -160,8 +161,8 @@
 	return nil, true
 }
 
-// Shorten leaves out of a script what the breach does not need: runs of half its length, then of a quarter, down to
-// single moves (Zeller and Hildebrandt's delta debugging), until none can go.
+// Shorten minimizes a script by delta debugging (Zeller and Hildebrandt): it removes moves that the breach does not need, in
+// runs of half the script's length, then a quarter, down to single moves, until no single move can be removed.
 func Shorten(start State, b *Breach) *Breach {
 	best := &Breach{slices.Clone(b.Script), b.Err}
 	for size := max(1, len(best.Script)/2); ; {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// counter is a system of two cells that each go up to a bound; a defect makes some sum wrong.
+// counter is a system of two counters with an upper limit. violates injects an invariant violation, stuck a liveness violation.
 type counter struct {
 	a, b, limit int
 	violates    func(a, b int) bool
@@ -33,14 +33,14 @@
 
 func (c counter) Check() error {
 	if c.violates != nil && c.violates(c.a, c.b) {
-		return fmt.Errorf("%d and %d", c.a, c.b)
+		return fmt.Errorf("invalid counters: %d and %d", c.a, c.b)
 	}
 	return nil
 }
 
 func (c counter) Settle() error {
 	if c.stuck && c.a > 1 {
-		return fmt.Errorf("%d never falls", c.a)
+		return fmt.Errorf("counter stays at %d", c.a)
 	}
 	return nil
 }
@@ -48,37 +48,37 @@
 func TestSearchVisitsEveryStateOnce(t *testing.T) {
 	r, b := Search(counter{limit: 9}, 1000, 1)
 	if b != nil || !r.Complete || r.States != 100 || r.Depth < 18 {
-		t.Errorf("%+v, %v; want all of a hundred states", r, b)
+		t.Errorf("Search = %+v, %v; want a complete search of 100 states", r, b)
 	}
 	if r, _ := Search(counter{limit: 9}, 50, 0); r.Complete || r.States != 50 {
-		t.Errorf("%+v; want it to end at fifty", r)
+		t.Errorf("Search = %+v; want it to stop at 50 states", r)
 	}
 }
 
 func TestBreachIsFoundAndShortened(t *testing.T) {
 	wrong := counter{limit: 9, violates: func(a, b int) bool { return a == 4 && b == 1 }}
 	if _, b := Search(wrong, 1000, 0); b == nil || len(b.Script) != 5 {
-		t.Errorf("%v; want five steps", b)
+		t.Errorf("Search found %v; want a breach of 5 moves", b)
 	}
 	found := 0
 	for seed := range uint64(20) {
 		if _, b := Walk(wrong, seed, 400); b != nil {
 			found++
 			if len(b.Script) > 8 || !strings.Contains(b.Error(), "4 and 1") {
-				t.Errorf("%v; want at most three steps more than the five that it takes", b)
+				t.Errorf("Walk found %v; want at most 3 moves more than the 5 that are needed", b)
 			}
 			if err, played := Play(wrong, b.Script); err == nil || !played {
-				t.Errorf("its script leads to %v", err)
+				t.Errorf("replay of the breach's script returned %v", err)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("twenty walks of 400 steps found nothing")
+		t.Error("20 walks of 400 steps found no breach")
 	}
 	if _, b := Search(counter{limit: 9, stuck: true}, 1000, 1); b == nil || len(b.Script) != 2 {
-		t.Errorf("%v; want the two steps after which something never comes about", b)
+		t.Errorf("Search found %v; want a liveness breach of 2 moves", b)
 	}
 	if _, played := Play(wrong, []string{"a", "c"}); played {
-		t.Error("a move that can't be made was played")
+		t.Error("Play accepted an impossible move")
 	}
 }
--- a/internal/modelcheck/modelchecktest/modelchecktest.go
+++ b/internal/modelcheck/modelchecktest/modelchecktest.go
@@ -1,4 +1,4 @@
-// Package modelchecktest is what tests of systems that are explored have in common.
+// Package modelchecktest provides helpers for tests that model-check a system.
 package modelchecktest
 
 import (
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/modelcheck"
 )
 
-// Start is the start of a system; an error ends the test.
+// RequireStart returns the start state s, or fails the test at once if err is not nil.
 func RequireStart(t testing.TB, s modelcheck.State, err error) modelcheck.State {
 	t.Helper()
 	if err != nil {
@@ -16,19 +16,19 @@
 	return s
 }
 
-// Orders tries all orders up to a number of states; a breach ends the test.
+// RequireSearchPasses searches up to maxStates states and fails the test on a breach.
 func RequireSearchPasses(t *testing.T, start modelcheck.State, maxStates int) {
 	t.Helper()
 	r, breach := modelcheck.Search(start, maxStates, 50)
 	if breach != nil {
 		t.Fatal(breach)
 	}
-	if t.Logf("%+v", r); r.States < maxStates && !r.Complete {
-		t.Errorf("%+v", r)
+	if t.Logf("search: %+v", r); r.States < maxStates && !r.Complete {
+		t.Errorf("search ended early: %+v", r)
 	}
 }
 
-// Holds makes walks, none of which may meet a breach.
+// RequireWalksPass makes random walks from seed 0 on and fails the test on a breach.
 func RequireWalksPass(t *testing.T, start modelcheck.State, walks, steps int) {
 	t.Helper()
 	if seed, breach := modelcheck.Walks(start, 0, walks, steps); breach != nil {
@@ -36,12 +36,12 @@
 	}
 }
 
-// Found makes walks from a seed on, one of which must meet a breach.
+// RequireBreachFound makes random walks, counting seeds up from first, and fails the test if none finds a breach.
 func RequireBreachFound(t *testing.T, start modelcheck.State, first uint64, walks, steps int) {
 	t.Helper()
 	seed, breach := modelcheck.Walks(start, first, walks, steps)
 	if breach == nil {
-		t.Fatalf("%d walks did not find it", walks)
+		t.Fatalf("%d walks found no breach", walks)
 	}
 	t.Logf("seed %d, %d moves: %v", seed, len(breach.Script), breach.Err)
 }
--- a/internal/modelcheck/network.go
+++ b/internal/modelcheck/network.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// Flight is a message on its way between nodes.
+// Message is a message in flight between two nodes.
 type Message struct {
 	From, To int
-	Data     string // as on the wire
+	Data     string // wire encoding
 }
 
-// Air holds the messages of a system that are on their way: each may be delivered, dropped or doubled next, within bounds. It
-// keeps them in an order of its own, so that states do not differ by the order in which they were sent.
+// Network holds the messages in flight. Each may be delivered next, or dropped or duplicated within bounds. Messages are kept
+// sorted, so that states do not differ by the order in which messages were sent.
 type Network struct {
-	MaxInFlight               int // at once; more are lost
-	DropsLeft, DuplicatesLeft int // that are left
+	MaxInFlight               int // messages beyond it are lost
+	DropsLeft, DuplicatesLeft int // remaining budget
 	InFlight                  []Message
 }
 
-// Clone is a copy.
+// Clone returns a copy that shares no messages with a.
 func (a Network) Clone() Network {
 	a.InFlight = slices.Clone(a.InFlight)
 	return a
 }
 
-// Send puts a message on its way.
+// Send adds a message, or loses it if MaxInFlight messages are in flight.
 func (a *Network) Send(f Message) {
 	if len(a.InFlight) >= a.MaxInFlight {
 		return
@@ -38,7 +38,7 @@
 	a.InFlight = slices.Insert(a.InFlight, i, f)
 }
 
-// Moves are what can happen to messages next.
+// Moves returns the possible moves; equal messages get them once.
 func (a *Network) Moves() (moves []string) {
 	for k, f := range a.InFlight {
 		if k > 0 && f == a.InFlight[k-1] {
@@ -55,7 +55,7 @@
 	return moves
 }
 
-// Apply makes one of the moves; of a delivery it gives the message that arrives.
+// Apply makes one of the moves. For a delivery it returns the message and true.
 func (a *Network) Apply(action string, index int) (arrived Message, ok bool) {
 	f := a.InFlight[index]
 	switch action {
@@ -70,7 +70,7 @@
 	return f, action == "deliver"
 }
 
-// Move reads a move's name, if it is one of those that can be made.
+// ParseMove splits a move into its action and index. ok reports whether it is one of moves.
 func ParseMove(move string, moves []string) (action string, index int, ok bool) {
 	n, _ := fmt.Sscan(move, &action, &index)
 	return action, index, n == 2 && slices.Contains(moves, move)
