--- a/internal/modelcheck/exchange/model.go
+++ b/internal/modelcheck/exchange/model.go
@@ -11,37 +11,37 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// Bounds are how often each thing may happen in one history of a small fleet.
+// Bounds limits how often each event may happen in one run of a small fleet.
 type Bounds struct {
-	Zones                      []int // of each node
-	Ticks                      int   // in all
+	Zones                      []int // zone of each node
+	Ticks                      int   // of all nodes together
 	Drops, Duplicates, Crashes int
-	Waits                      int           // times that nothing happens for a while, as where all are stopped or messages lie in queues
-	WaitTime                   time.Duration // how long
-	MaxInFlight                int           // messages on their way at once; more are lost
+	Waits                      int           // periods without events, as when all processes are stopped or messages wait in queues
+	WaitTime                   time.Duration // length of such a period
+	MaxInFlight                int           // messages in flight; those beyond it are lost
 	Fresh                      time.Duration
-	Defect                     string // planted, to show that the checks see; empty: none
+	Defect                     string // injected to show that the checks detect it; empty: none
 }
 
-// Small are bounds whose states can all be tried.
+// SmallBounds returns bounds whose states can all be searched.
 func SmallBounds() Bounds {
 	return Bounds{Zones: []int{0, 0}, Ticks: 12, Drops: 1, Crashes: 1, Waits: 1, WaitTime: 1500 * time.Millisecond, MaxInFlight: 2, Fresh: 2 * time.Second}
 }
 
-// Defects are what can be planted, each a way to break a promise.
+// Defects lists the defects that can be injected; each violates a guarantee of the exchange.
 var Defects = []string{"age not sent", "age halved", "hop hidden", "token mixed up", "clock half as fast", "sequence raised on the way",
 	"sequence not raised", "part counted twice", "part not added", "zone mistaken", "first page lost"}
 
-// process is one node, or its absence.
+// process is one node, running or crashed.
 type process struct {
 	peer        zonestate.Peer
-	machine     *zonestate.Machine // nil: it has crashed
+	machine     *zonestate.Machine // nil: crashed
 	incarnation uint32
-	offset      time.Duration // of its clock
-	lastSeq     uint32        // the latest sequence of its rows
+	offset      time.Duration // of its clock from the fleet's
+	lastSeq     uint32        // highest sequence number of its own rows
 }
 
-// fleet is a state.
+// fleet is the modelcheck.State of a small fleet.
 type fleet struct {
 	bounds  Bounds
 	nodes   []process
@@ -52,7 +52,7 @@
 	failure error
 }
 
-// New is the start of a small fleet.
+// New returns the start state of a small fleet.
 func New(b Bounds) (modelcheck.State, error) {
 	f := &fleet{bounds: b, now: time.Second, network: modelcheck.Network{MaxInFlight: b.MaxInFlight, DropsLeft: b.Drops, DuplicatesLeft: b.Duplicates}}
 	var all []zonestate.Peer
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// clock is what a node's clock shows now.
+// clock returns the time on a node's clock.
 func (f *fleet) clock(i int) time.Duration {
 	if f.hasSlowClock(i) {
 		return f.nodes[i].offset + f.now/2
@@ -91,7 +91,7 @@
 	return f.nodes[i].offset + f.now
 }
 
-// slow says that a node's clock goes half as fast.
+// hasSlowClock reports whether a node's clock runs at half speed.
 func (f *fleet) hasSlowClock(i int) bool { return f.bounds.Defect == "clock half as fast" && i == 0 }
 
 func (f *fleet) clone() *fleet {
@@ -155,7 +155,7 @@
 	return c, true
 }
 
-// tick has a node do what is due to it next; time goes on until then for all.
+// tick advances the fleet's time to a node's next deadline and runs the node's tick.
 func (f *fleet) tick(i int) {
 	n := &f.nodes[i]
 	due := n.machine.Next() - n.offset
@@ -191,13 +191,13 @@
 		}
 		data := string(zonestate.Append(nil, p.Message))
 		if len(data) > zonestate.MaxMessage {
-			f.failure = fmt.Errorf("node %d sends %d bytes", i, len(data))
+			f.failure = fmt.Errorf("node %d sent a message that is too long: %d bytes", i, len(data))
 		}
 		f.network.Send(modelcheck.Message{From: i, To: int(p.To.Addr().As4()[3]), Data: data})
 	}
 }
 
-// spoil plants the defect in a message.
+// injectDefect applies the configured defect to a message's k-th row.
 func (f *fleet) injectDefect(m *zonestate.Message, k int) {
 	r := &m.Rows[k]
 	switch f.bounds.Defect {
@@ -206,7 +206,7 @@
 	case "age halved":
 		r.Age /= 2
 	case "hop hidden":
-		if m.HeldMillis += 300; k > 0 { // it pretends to have held the token for longer
+		if m.HeldMillis += 300; k > 0 { // claims to have held the token for longer than it did
 			m.HeldMillis -= 300
 		}
 	case "token mixed up":
@@ -233,7 +233,7 @@
 	}
 }
 
-// Key implements modelcheck.State: times as of now, and what is on its way in an order of its own.
+// Key implements modelcheck.State. Times are relative to now, and the network keeps its messages sorted.
 func (f *fleet) Key() string {
 	var b strings.Builder
 	for _, n := range f.nodes {
@@ -246,8 +246,8 @@
 	return b.String()
 }
 
-// Check implements modelcheck.State: nothing that a node is told is older than it is told, each node counts once, and no row
-// is of a version that its author never made.
+// Check implements modelcheck.State: no reported age is below the true age, each node counts once, and no row has a sequence
+// number that its author never issued.
 func (f *fleet) Check() error {
 	if f.failure != nil {
 		return f.failure
@@ -261,15 +261,15 @@
 			v := n.machine.Read(now, zoneID(z), zonestate.MadeAt, 1)
 			d := n.machine.Read(now, zoneID(z), zonestate.Demand, 2)
 			if real := f.now - time.Duration(v.Amount)*time.Millisecond; v.PartCount > 0 && real > v.Age {
-				return fmt.Errorf("node %d is given a fact of zone %d that is %v old, for %v at most", i, z, real, v.Age)
+				return fmt.Errorf("node %d read an entry of zone %d that is %v old; the reported maximum age is %v", i, z, real, v.Age)
 			}
 			if d.Amount != float64(d.PartCount) || d.PartCount > len(f.nodes) {
-				return fmt.Errorf("node %d is told that %d nodes of zone %d, 1 each, have %v", i, d.PartCount, z, d.Amount)
+				return fmt.Errorf("node %d read a demand for %d nodes of zone %d, with 1 each, of %v", i, d.PartCount, z, d.Amount)
 			}
 			row, found := n.machine.Row(now, zoneID(z), zonestate.MadeAt)
 			for k, a := range f.nodes {
 				if found && k != i && row.Author.ID == a.peer.ID && a.machine != nil && row.Author.Incarnation == a.incarnation && row.Seq > a.lastSeq {
-					return fmt.Errorf("node %d holds row %d of author %d, who made %d", i, row.Seq, a.peer.ID, a.lastSeq)
+					return fmt.Errorf("node %d holds a row with sequence number %d of author %d, whose highest is %d", i, row.Seq, a.peer.ID, a.lastSeq)
 				}
 			}
 		}
@@ -277,8 +277,8 @@
 	return nil
 }
 
-// Settle implements modelcheck.Settler: from here on all is delivered in order and at once; in the end all know fresh rows of
-// all zones in which anybody runs, with every node counted.
+// Settle implements modelcheck.Settler: it delivers every message at once and in order. In the end each node must hold fresh
+// rows of every zone with running nodes, with every running node counted.
 func (f *fleet) Settle() error {
 	c := f.clone()
 	c.network.MaxInFlight = 1000
@@ -318,7 +318,7 @@
 				continue
 			}
 			if v := n.machine.Read(c.clock(i), at, zonestate.MadeAt, 1); v.Freshness != zonestate.Fresh || v.PartCount != of {
-				return fmt.Errorf("in the end node %d knows of a zone of %d, %v, from %d nodes", i, of, v.Freshness, v.PartCount)
+				return fmt.Errorf("after settling, node %d reads a zone of %d nodes as %v with %d nodes counted", i, of, v.Freshness, v.PartCount)
 			}
 		}
 	}
--- a/internal/modelcheck/exchange/sim.go
+++ b/internal/modelcheck/exchange/sim.go
@@ -1,6 +1,6 @@
-// Package exchange plays fleets of internal/zonestate: whole fleets on virtual time with loss, delays, cuts, deaths and sleep, for
-// figures; and small ones in every order, for the explorer. Both know the truth of what nodes tell one another, and check
-// every answer against it.
+// Package exchange tests the exchange of zone state (internal/zonestate) in two ways: it simulates large fleets on virtual time
+// with loss, delay, partitions, node deaths and pauses and measures the result, and it models small fleets for modelcheck.
+// Both know the true state of each node and check every read against it.
 package exchange
 
 import (
@@ -12,40 +12,40 @@
 	"damsontrestle/internal/zonestate"
 )
 
-// World is a fleet to be played.
+// World describes a fleet to simulate.
 type World struct {
 	simulation.World
 	Fresh time.Duration
 }
 
-// Seen is what came of it, after a warm-up of two fresh.
+// Result holds what a simulation measured after a warm-up of twice World.Fresh.
 type Result struct {
-	FreshShare     float64       // share of (node, zone, instant) at which the node that lives said fresh of a zone of which somebody does
-	CompleteShare  float64       // of these, the share in which every living node of the zone was counted
-	CountedShare   float64       // of these, the part of the zone's living nodes that was counted, mean
-	MeanAge        time.Duration // that these said, mean
-	MaxAge         time.Duration // and at most
-	MeanSlack      time.Duration // mean of said age less true age, of the oldest part
-	MaxUnderReport time.Duration // by which an age was under-reported at most; above 0 is a breach
-	MaxOvercount   float64       // most parts counted beyond those that live, as a share of them
-	ByteRate       float64       // a second that a node sent, mean, of what a datagram holds, with the room's tag
-	MaxByteRate    float64       // and the node that sent most
-	PacketRate     float64       // a second that a node sent
-	MaxRows        int           // most that a node held
-	RecoveryTime   time.Duration // from the end of the cut until all say fresh of all; negative: never
+	FreshShare     float64       // share of reads, by awake nodes of zones with live nodes, that were fresh
+	CompleteShare  float64       // share of the fresh reads that counted every live node of the zone
+	CountedShare   float64       // mean share of the zone's live nodes that the fresh reads counted
+	MeanAge        time.Duration // reported by the fresh reads
+	MaxAge         time.Duration // reported by a fresh read
+	MeanSlack      time.Duration // mean of the reported age less the true age of the oldest part
+	MaxUnderReport time.Duration // most by which an age was under-reported; above 0 is a breach
+	MaxOvercount   float64       // most parts counted beyond the live nodes, as a share of these
+	ByteRate       float64       // payload bytes per second and node, authentication tag included, mean
+	MaxByteRate    float64       // bytes per second of the node that sent most
+	PacketRate     float64       // packets per second and node, mean
+	MaxRows        int           // most rows that a node held
+	RecoveryTime   time.Duration // from the partition's end until every read is fresh; negative: never
 	Dropped        zonestate.Dropped
 }
 
-// tagSize is what the room adds to a message.
+// tagSize is the length in bytes of the authentication tag that is added to each message.
 const tagSize = 12
 
-// When membership comes to hold a dead node for suspect, and for dead.
+// The times after its death at which membership reports a node as suspect and as dead.
 const (
 	suspectAfter = 2500 * time.Millisecond
 	deadAfter    = 10 * time.Second
 )
 
-// actor is one node of a world: its machine, as the crowd drives it.
+// simNode is a node's state machine with what the simulation needs to drive it.
 type simNode struct {
 	*zonestate.Machine
 	p    *simulator
@@ -58,7 +58,7 @@
 	fresh      time.Duration
 	simNodes   []*simNode
 	diedAt     time.Duration
-	viewDelays []time.Duration // after that, at which membership comes to know more
+	viewDelays []time.Duration // delays after diedAt at which membership's view still has to be updated
 	result     Result
 	sums       struct {
 		all, fresh, whole int
@@ -68,10 +68,10 @@
 	failure error
 }
 
-// look is how often answers are checked.
+// observeInterval is the time between two checks of all reads.
 const observeInterval = 100 * time.Millisecond
 
-// Play plays a world. The error tells of what must never be: an age under-reported, a datagram too long or malformed.
+// Play simulates a world. It returns an error on a violation: an under-reported age, or a datagram that is too long or malformed.
 func Play(w World) (Result, error) {
 	f, err := simulation.New(w.World)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return p.result, p.failure
 }
 
-// sum works out what was seen.
+// summarize computes shares, means and totals once the simulation has ended.
 func (p *simulator) summarize() {
 	s := &p.result
 	s.PacketRate, s.ByteRate, s.MaxByteRate = p.Traffic()
@@ -120,13 +120,13 @@
 
 // Tick implements simulation.Machine.
 func (a *simNode) Tick(now time.Duration) []simulation.Datagram {
-	// When it was so, and one request a second of a class.
+	// The own part holds the time at which it was made, and a demand of one request per second for a class.
 	made := float64((a.p.Now + time.Millisecond - 1).Milliseconds())
 	a.SetOwnPart(now, zonestate.GroupByPage([]zonestate.Entry{{Kind: zonestate.MadeAt, Subject: 1, Value: made}, {Kind: zonestate.Demand, Subject: 2, Value: 1}}))
 	return a.p.encode(a.Machine.Tick(now))
 }
 
-// Next implements simulation.Machine: a node looks at itself from time to time.
+// Next implements simulation.Machine. A node ticks at least every fresh/8 to renew its own part.
 func (a *simNode) Next() time.Duration {
 	return min(a.Machine.Next(), a.p.Now+a.p.Nodes[a.index()].Offset+a.p.fresh/8)
 }
@@ -146,12 +146,12 @@
 	return a.p.encode(a.Machine.Receive(now, m))
 }
 
-// written is packets as datagrams.
+// encode returns packets as datagrams and records one that is too long as a failure.
 func (p *simulator) encode(packets []zonestate.Packet) (out []simulation.Datagram) {
 	for _, x := range packets {
 		data := zonestate.Append(nil, x.Message)
 		if len(data) > zonestate.MaxMessage {
-			p.failure = fmt.Errorf("exchange: %d bytes", len(data))
+			p.failure = fmt.Errorf("exchange: message is too long: %d bytes", len(data))
 		}
 		b := x.To.Addr().As4()
 		out = append(out, simulation.Datagram{To: int(b[1])<<16 | int(b[2])<<8 | int(b[3]), Data: append(data, make([]byte, tagSize)...)})
@@ -159,7 +159,7 @@
 	return out
 }
 
-// view is what membership has, so long after a death.
+// view returns membership's view at the given time since the deaths.
 func (p *simulator) view(since time.Duration) *zonestate.View {
 	var all []zonestate.Peer
 	for i, a := range p.simNodes {
@@ -172,7 +172,7 @@
 
 func zoneID(zone int) zonestate.ZoneID { return zonestate.ZoneIDOf("r", fmt.Sprint("z", zone)) }
 
-// look checks what nodes say against the truth, after a warm-up of twice fresh.
+// observe updates membership's views after deaths and, after a warm-up of twice fresh, checks all reads against the true state.
 func (p *simulator) observe() error {
 	if len(p.viewDelays) > 0 && p.Now >= p.diedAt+p.viewDelays[0] {
 		v := p.view(p.viewDelays[0])
@@ -215,7 +215,7 @@
 	return p.failure
 }
 
-// answer checks what a node says of a zone in which so many live.
+// checkRead checks a node's reads of a zone with n live nodes.
 func (p *simulator) checkRead(a *simNode, clock time.Duration, zone, n int) (fresh bool, err error) {
 	v := a.Read(clock, zoneID(zone), zonestate.MadeAt, 1)
 	d := a.Read(clock, zoneID(zone), zonestate.Demand, 2)
@@ -223,14 +223,14 @@
 	if v.PartCount > 0 && v.Freshness != zonestate.Unknown {
 		real := p.Now - time.Duration(v.Amount)*time.Millisecond
 		if p.result.MaxUnderReport = max(p.result.MaxUnderReport, real-v.Age); real > v.Age {
-			return false, fmt.Errorf("exchange: at %v a node of zone %d was given a fact of zone %d that is %v old, for %v at most", p.Now, a.zone, zone, real, v.Age)
+			return false, fmt.Errorf("exchange: at %v a node of zone %d read an entry of zone %d that is %v old; the reported maximum age is %v", p.Now, a.zone, zone, real, v.Age)
 		}
 		if v.Freshness == zonestate.Fresh {
 			p.sums.slack += v.Age - real
 		}
 		p.result.MaxOvercount = max(p.result.MaxOvercount, float64(v.PartCount-max(v.ActiveNodes, n))/float64(max(v.ActiveNodes, n)))
 		if d.Amount != float64(d.PartCount) {
-			return false, fmt.Errorf("exchange: a row of %d nodes that tell 1 each has %v", d.PartCount, d.Amount)
+			return false, fmt.Errorf("exchange: a row of %d nodes with a demand of 1 each holds %v", d.PartCount, d.Amount)
 		}
 	}
 	if v.Freshness != zonestate.Fresh {
