--- a/internal/modelcheck/swim/sim.go
+++ b/internal/modelcheck/swim/sim.go
@@ -9,35 +9,35 @@
 	"damsontrestle/internal/simulation"
 )
 
-// Seen is what came of a fleet that was played.
+// Result holds what the simulation of a fleet measured. Pairs are ordered pairs of live nodes; a negative time means never.
 type Result struct {
-	Joined95, JoinedAll     time.Duration // from the start until 95 in 100 of all pairs, and all, held each other for alive; negative: never
-	Dead95, DeadAll         time.Duration // from the deaths, until 95 in 100 of those that live, and all, held all of these for dead
-	Partitioned95           time.Duration // from a cut's begin, until 95 in 100 of the pairs across it held each other for dead
-	Rejoined95, RejoinedAll time.Duration // from its end, until they held each other for alive
-	FalseDeaths             int           // times that a member that lived came to be held for dead, by however many, but across a cut
-	MemberMinutes           float64       // that members lived, in all
-	DatagramRate, ByteRate  float64       // a second that a node sent
-	MaxByteRate             float64       // bytes, of the node that sent most
-	MaxHealthScore          int           // most of any node's ill health
-	MaxSuspects             int           // most suspicions that a node held at once
+	Joined95, JoinedAll     time.Duration // from the start until 95 %, and all, of the pairs saw each other as alive
+	Dead95, DeadAll         time.Duration // from the deaths until 95 %, and all, of the pairs of a live and a dead node were detected
+	Partitioned95           time.Duration // from a partition's start until 95 % of the pairs across it saw each other as dead
+	Rejoined95, RejoinedAll time.Duration // from its end until 95 %, and all, of these saw each other as alive
+	FalseDeaths             int           // times a live member was declared dead, counted once for all nodes that did, except across a partition
+	MemberMinutes           float64       // total lifetime of all members
+	DatagramRate, ByteRate  float64       // per second and node, mean
+	MaxByteRate             float64       // bytes per second of the node that sent most
+	MaxHealthScore          int           // highest local health score of any node; 0 is healthy
+	MaxSuspects             int           // most members that a node suspected at once
 }
 
-// player plays one.
+// simulator simulates a fleet and measures the result.
 type simulator struct {
 	*simulation.Fleet
 	simNodes    []*simNode
-	statuses    [][]membership.Status // by node and member
+	statuses    [][]membership.Status // by observing node and member
 	result      Result
-	falselyDead []int // nodes that hold a member, which lives, for dead
+	falselyDead []int // by live member: number of nodes that see it as dead
 	diedAt      time.Duration
 	failure     error
 }
 
-// unheard of members are held for.
+// statusUnknown is the status of members that a node has not heard of.
 const statusUnknown = membership.Left + 1
 
-// actor is one node.
+// simNode is a node's state machine with what the simulation needs to drive it.
 type simNode struct {
 	*membership.Machine
 	p       *simulator
@@ -45,8 +45,8 @@
 	changes int
 }
 
-// Play plays a fleet whose nodes begin within a second and know three of them. The error tells of a datagram too long or
-// malformed.
+// Play simulates a fleet whose nodes start within a second and have three of them as seeds. It returns an error if a datagram is
+// too long or malformed.
 func Play(w simulation.World, o membership.Options) (Result, error) {
 	f, err := simulation.New(w)
 	if err != nil {
@@ -64,7 +64,7 @@
 		}
 		p.simNodes = append(p.simNodes, a)
 		f.Nodes[i].Machine = a
-		f.Nodes[i].Offset = 0 // the machine's own draws have it begin at once; clocks that lie apart are for the explorer
+		f.Nodes[i].Offset = 0 // the machine draws its own start times, so it begins at once; clock skew is left to the model checker
 		held := make([]membership.Status, w.Nodes)
 		for k := range held {
 			held[k] = statusUnknown
@@ -107,14 +107,14 @@
 	for _, x := range packets {
 		data := membership.Encode(x.Message, key)
 		if len(data) > membership.MaxDatagram {
-			p.failure = fmt.Errorf("swim: %d bytes", len(data))
+			p.failure = fmt.Errorf("swim: datagram is too long: %d bytes", len(data))
 		}
 		out = append(out, simulation.Datagram{To: indexOf(x.To), Data: data})
 	}
 	return out
 }
 
-// look notes what has come about.
+// observe counts the pairs in each state and records the times at which the shares are reached.
 func (p *simulator) observe() error {
 	var pairs, alive, dying, dead, across, parted, rejoined int
 	for i, a := range p.simNodes {
@@ -171,7 +171,7 @@
 	return p.failure
 }
 
-// take notes what a node holds of others.
+// recordStatuses records how a node sees the others and counts false deaths, if its view has changed.
 func (p *simulator) recordStatuses(i int, a *simNode) {
 	if a.changes == a.Changes() {
 		return
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -1,5 +1,5 @@
-// Package swim lets the explorer play small fleets of internal/membership: every order of delivery, loss, doubling, crash,
-// restart, stop and ticking, within bounds on how often each may happen.
+// Package swim models small fleets of internal/membership for modelcheck: every interleaving of delivery, loss, duplication,
+// crash, restart, pause and tick, within bounds on how often each may happen. It also simulates large fleets on virtual time.
 package swim
 
 import (
@@ -13,37 +13,37 @@
 	"damsontrestle/internal/modelcheck"
 )
 
-// Bounds are how often each thing may happen in one history.
+// Bounds limits how often each event may happen in one run.
 type Bounds struct {
 	Nodes                              int
-	Ticks                              int           // of each node
-	Drops, Duplicates, Crashes, Leaves int           // in all
-	Stops                              int           // that are woken again with their old view
-	MaxClockSkew                       time.Duration // by which nodes' clocks may lie apart
-	Defect                             string        // planted, to show that the checks see; empty: none
+	Ticks                              int           // per node
+	Drops, Duplicates, Crashes, Leaves int           // of all nodes together
+	Stops                              int           // pauses, after which the node resumes with its old view
+	MaxClockSkew                       time.Duration // by which a node's clock may be ahead of the slowest
+	Defect                             string        // injected to show that the checks detect it; empty: none
 	Options                            membership.Options
-	MaxInFlight                        int // messages on their way at once; more are lost
+	MaxInFlight                        int // messages in flight; those beyond it are lost
 }
 
-// Small are bounds whose states can all be tried.
+// SmallBounds returns bounds whose states can all be searched.
 func SmallBounds() Bounds {
 	o := membership.Defaults()
 	o.RetransmitFactor, o.OwnZoneProbes = 1, 1
 	return Bounds{Nodes: 2, Ticks: 3, Drops: 1, Crashes: 1, MaxClockSkew: 2 * time.Second, Options: o, MaxInFlight: 3}
 }
 
-// node is one process, or its absence.
+// node is one process, running or crashed.
 type node struct {
 	name           string
-	machine        *membership.Machine // nil: it has crashed
+	machine        *membership.Machine // nil: crashed
 	clock          time.Duration
 	ticks          int
 	asleep         bool
-	left           bool // it left in order
+	left           bool // it left the fleet in an orderly way
 	maxIncarnation uint32
 }
 
-// fleet is a state.
+// fleet is the modelcheck.State of a small fleet.
 type fleet struct {
 	bounds  Bounds
 	nodes   []node
@@ -54,15 +54,15 @@
 
 var key = []byte("key")
 
-// firstPort is where the first node is; the others follow.
+// firstPort is the port of the first node; the others' ports follow it.
 const firstPort = 7001
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(firstPort+i))
 }
 
-// New is the start: nodes that know one another's addresses as seeds, and nothing else. With one seed only, who never
-// met it before it left knows nobody, and no machine can mend that.
+// New returns the start state: nodes that know only one another's addresses, as seeds. With a single seed, a node that had not
+// contacted the seed before the seed left would know no other node, from which no state machine could recover.
 func New(b Bounds) (modelcheck.State, error) {
 	f := &fleet{bounds: b, network: modelcheck.Network{MaxInFlight: b.MaxInFlight, DropsLeft: b.Drops, DuplicatesLeft: b.Duplicates}}
 	f.bounds.Options.Seeds = nil
@@ -99,7 +99,7 @@
 	return &c
 }
 
-// slowest is the clock of the running node that is most behind.
+// slowestClock returns the clock of the running node that is furthest behind.
 func (f *fleet) slowestClock() time.Duration {
 	least := time.Duration(1 << 62)
 	for _, n := range f.nodes {
@@ -173,7 +173,7 @@
 	return c, true
 }
 
-// act has a machine do something, notes what goes out, and checks what must hold of any step.
+// step runs one operation of a machine, sends its packets and checks that no member's incarnation or status went backwards.
 func (f *fleet) step(i int, do func(*membership.Machine) []membership.Packet) {
 	n := &f.nodes[i]
 	before := n.machine.Members()
@@ -187,24 +187,24 @@
 	for _, was := range before {
 		is, kept := after[was.ID]
 		if kept && (is.Incarnation < was.Incarnation || is.Incarnation == was.Incarnation && is.Status < was.Status) {
-			f.failure = fmt.Errorf("%s held %s for %v at life %d, and now for %v at life %d", n.name, was.Name, was.Status, was.Incarnation, is.Status, is.Incarnation)
+			f.failure = fmt.Errorf("%s had %s as %v at incarnation %d and now has it as %v at incarnation %d", n.name, was.Name, was.Status, was.Incarnation, is.Status, is.Incarnation)
 		}
 	}
 	for _, p := range packets {
 		f.injectDefect(n, &p)
 		data := membership.Encode(p.Message, key)
 		if len(data) > membership.MaxDatagram {
-			f.failure = fmt.Errorf("%s sends %d bytes", n.name, len(data))
+			f.failure = fmt.Errorf("%s sent a datagram that is too long: %d bytes", n.name, len(data))
 		}
 		f.network.Send(modelcheck.Message{From: i, To: int(p.To.Port()) - firstPort, Data: string(data)})
 	}
 }
 
-// Defects are what can be planted, each a way to break a promise.
+// Defects lists the defects that can be injected; each violates a guarantee of the membership protocol.
 var Defects = []string{"raises others", "life not raised", "suspicion never cleared", "not answered", "probes nobody", "forgets who left",
 	"another's name", "too long", "says nothing of itself", "answers mixed up"}
 
-// spoil plants the defect in what a node sends.
+// injectDefect applies the configured defect to a packet that a node sends.
 func (f *fleet) injectDefect(n *node, p *membership.Packet) {
 	self, _ := n.machine.Self()
 	edit := func(change func(u *membership.Update) (keep bool)) {
@@ -266,7 +266,7 @@
 }
 
 func (f *fleet) deliver(p modelcheck.Message) {
-	if p.To >= len(f.nodes) { // nobody is there
+	if p.To >= len(f.nodes) { // no node has this address
 		return
 	}
 	n := &f.nodes[p.To]
@@ -307,7 +307,7 @@
 		for _, k := range n.machine.Members() {
 			for _, o := range f.nodes {
 				if o.name == k.Name && k.Incarnation > o.maxIncarnation {
-					return fmt.Errorf("%s holds %s at life %d, which never was beyond %d", n.name, k.Name, k.Incarnation, o.maxIncarnation)
+					return fmt.Errorf("%s has %s at incarnation %d, but its highest is %d", n.name, k.Name, k.Incarnation, o.maxIncarnation)
 				}
 			}
 		}
@@ -315,11 +315,11 @@
 	return nil
 }
 
-// settleRounds bounds how long the end may take: suspicions of two members pass within it many times.
+// settleRounds bounds Settle; the suspicions of two members time out many times within it.
 const settleRounds = 400
 
-// Settle implements modelcheck.Settler: from here on all is delivered in order, whoever sleeps wakes, clocks go on together;
-// in the end all that run hold one another for alive, and nobody else.
+// Settle implements modelcheck.Settler: it delivers every message in order, wakes paused nodes and advances all clocks together.
+// In the end the running nodes must see one another as alive and no other node as alive or suspect.
 func (f *fleet) Settle() error {
 	c := f.clone()
 	var now time.Duration
@@ -362,9 +362,9 @@
 			switch {
 			case o.name == n.name:
 			case runs && (!known || status != membership.Alive):
-				return fmt.Errorf("in the end %s holds %s for %v (known: %v), and it runs", n.name, o.name, status, known)
+				return fmt.Errorf("after settling, %s has %s as %v (known: %v), but it is running", n.name, o.name, status, known)
 			case !runs && known && status <= membership.Suspect:
-				return fmt.Errorf("in the end %s holds %s for %v, and it does not run", n.name, o.name, status)
+				return fmt.Errorf("after settling, %s has %s as %v, but it is not running", n.name, o.name, status)
 			}
 		}
 	}
