--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package simulation plays large fleets of machines without I/O on virtual time: their datagrams get lost, come late, their nodes
-// sleep, die and are cut off from one another, all from a seed. What the machines are it does not know.
+// Package simulation runs large fleets of state machines without I/O on virtual time. Datagrams are lost or delayed and nodes
+// pause, die and are partitioned, all reproducibly from a seed. It is independent of the protocol that the machines implement.
 package simulation
 
 import (
@@ -10,41 +10,41 @@
 	"damsontrestle/internal/eventqueue"
 )
 
-// World is what happens to a fleet.
+// World configures a fleet and its faults. Shares are from 0 to 1.
 type World struct {
 	Nodes, Zones   int
-	FirstZoneNodes int           // nodes of the first zone; 0: as many as in the others
-	Delay          time.Duration // of a datagram: from a tenth of it up to it
-	Loss           float64       // share of datagrams
-	TailShare      float64       // share that takes up to fifty times as long
-	SleepShare     float64       // share of the nodes that sleep for SleepFor at a time, again and again
+	FirstZoneNodes int           // nodes of the first zone; 0: as many as in each other zone
+	Delay          time.Duration // maximum delay of a datagram; the minimum is a tenth of it
+	Loss           float64       // share of datagrams that are lost
+	TailShare      float64       // share of datagrams whose delay is 50 times as long
+	SleepShare     float64       // share of nodes that are paused at any time, for SleepTime each time
 	SleepTime      time.Duration
-	DeathShare     float64       // share of the nodes that die half way
-	CutFrom        time.Duration // the first zone is cut off from here on
+	DeathShare     float64       // share of nodes that die halfway through Duration
+	CutFrom        time.Duration // the first zone is partitioned from CutFrom until CutTo
 	CutTo          time.Duration
-	OneWay         bool // what the first zone sends is lost, what it is sent is not
-	BadLink        bool // three in four of the first node's datagrams are lost, each way
+	OneWay         bool // the partition drops only what the first zone sends
+	BadLink        bool // 75 % of the datagrams from and to the first node are lost
 	Duration       time.Duration
 	Seed           uint64
 }
 
-// Check says what of a world is out of range.
+// Check returns an error if a field is out of range.
 func (w World) Check() error {
 	share := func(v float64) bool { return v >= 0 && v < 1 }
 	switch {
 	case w.Nodes < 1 || w.Nodes > 20000 || w.Zones < 1 || w.Zones > w.Nodes:
-		return fmt.Errorf("crowd: %d nodes in %d zones; allowed: 1 to 20000, in up to as many", w.Nodes, w.Zones)
+		return fmt.Errorf("simulation: %d nodes in %d zones; allowed: 1 to 20000 nodes, and 1 to as many zones", w.Nodes, w.Zones)
 	case w.FirstZoneNodes < 0 || w.FirstZoneNodes > w.Nodes-w.Zones+1 || w.FirstZoneNodes > 0 && w.FirstZoneNodes < w.Nodes && w.Zones == 1:
-		return fmt.Errorf("crowd: %d nodes of %d in the first of %d zones; allowed: so many that each has one", w.FirstZoneNodes, w.Nodes, w.Zones)
+		return fmt.Errorf("simulation: %d nodes of %d in the first of %d zones; allowed: numbers that leave each zone a node", w.FirstZoneNodes, w.Nodes, w.Zones)
 	case w.Delay <= 0 || w.Duration <= 0 || w.Duration > time.Hour:
-		return fmt.Errorf("crowd: a delay of %v over %v; allowed: above 0, and up to 1h", w.Delay, w.Duration)
+		return fmt.Errorf("simulation: delay of %v, duration of %v; allowed: both above 0, and a duration of up to 1h", w.Delay, w.Duration)
 	case !share(w.Loss) || !share(w.TailShare) || !share(w.SleepShare) || !(w.DeathShare >= 0 && w.DeathShare <= 1) || w.SleepShare > 0 && w.SleepTime <= 0:
-		return fmt.Errorf("crowd: loss %v, tail %v, asleep %v for %v, die %v; allowed: shares, and a time to sleep", w.Loss, w.TailShare, w.SleepShare, w.SleepTime, w.DeathShare)
+		return fmt.Errorf("simulation: loss %v, tail %v, asleep %v for %v, die %v; allowed: shares, and a sleep time above 0 if nodes sleep", w.Loss, w.TailShare, w.SleepShare, w.SleepTime, w.DeathShare)
 	}
 	return nil
 }
 
-// ZoneOf is the zone of the i-th node.
+// ZoneOf returns the zone of the i-th node.
 func (w World) ZoneOf(i int) int {
 	big := w.FirstZoneNodes
 	if big == 0 {
@@ -56,56 +56,56 @@
 	return 1 + (i-big)*(w.Zones-1)/(w.Nodes-big)
 }
 
-// cut says that nothing comes from one node to another now.
+// blocks reports whether the partition drops datagrams between the two nodes at the given time.
 func (w World) blocks(from, to int, now time.Duration) bool {
 	a, b := w.ZoneOf(from), w.ZoneOf(to)
 	return now >= w.CutFrom && now < w.CutTo && a != b && (a == 0 || b == 0 && !w.OneWay)
 }
 
-// Datagram is one on its way out.
+// Datagram is an outgoing datagram.
 type Datagram struct {
 	To   int
 	Data []byte
 }
 
-// Machine is what a node does. Times are of the node's own clock.
+// Machine is a node's state machine. Times are those of the node's own clock.
 type Machine interface {
-	// Tick does what is due, and says when the next is.
+	// Tick performs what is due. Next returns when the next tick is due.
 	Tick(now time.Duration) []Datagram
 	Next() time.Duration
 	Receive(now time.Duration, from int, data []byte) []Datagram
 }
 
-// Node is one of a fleet.
+// Node is one node of a fleet.
 type Node struct {
 	Machine       Machine
-	Offset        time.Duration // of its clock
+	Offset        time.Duration // of its clock from the fleet's
 	Dead          bool
-	BytesSent     int // that it sent
-	DatagramsSent int // datagrams
+	BytesSent     int // total
+	DatagramsSent int // total of datagrams sent
 
-	asleepUntil time.Duration // it sleeps
-	queued      []event       // what came meanwhile
-	nextTick    time.Duration // when the next comes
+	asleepUntil time.Duration // in the fleet's time
+	queued      []event       // datagrams that arrived during the pause
+	nextTick    time.Duration // in the fleet's time; events of other ticks are superseded
 }
 
-// event is something that happens to a node.
+// event is a datagram or a tick for a node.
 type event struct {
 	node     int
 	from     int
-	datagram []byte // nil: the time for a tick
+	datagram []byte // nil: tick
 }
 
-// mostHeld is how many datagrams wait for a sleeper.
+// maxQueued is the number of datagrams that are queued for a paused node; more are lost.
 const maxQueued = 200
 
-// Fleet is a world that is played.
+// Fleet is a simulation of a World.
 type Fleet struct {
 	World
 	Nodes []*Node
 	Now   time.Duration
-	Rand  *rand.Rand // of what is drawn
-	// Look is called every LookEvery; an error ends the play. Died is called when nodes have died.
+	Rand  *rand.Rand // seeded; the source of all random choices
+	// Observe is called every ObserveInterval; its error ends the simulation. OnDeaths, if set, is called once nodes have died.
 	Observe         func() error
 	ObserveInterval time.Duration
 	OnDeaths        func()
@@ -113,7 +113,7 @@
 	queue eventqueue.Queue[event]
 }
 
-// New is a fleet without machines.
+// New returns a fleet whose nodes have no machines yet.
 func New(w World) (*Fleet, error) {
 	if err := w.Check(); err != nil {
 		return nil, err
@@ -125,19 +125,19 @@
 	return f, nil
 }
 
-// Clock is what a node's clock shows.
+// Clock returns the time on a node's clock.
 func (f *Fleet) Clock(i int) time.Duration { return f.Nodes[i].Offset + f.Now }
 
-// Awake says that a node is there and does not sleep.
+// Awake reports whether a node is alive and not paused.
 func (f *Fleet) Awake(i int) bool { return !f.Nodes[i].Dead && f.Nodes[i].asleepUntil <= f.Now }
 
-// wake has a node tick at a time, instead of at any other.
+// scheduleTick sets the time of a node's next tick and supersedes any tick scheduled before.
 func (f *Fleet) scheduleTick(node int, at time.Duration) {
 	f.Nodes[node].nextTick = at
 	f.queue.Add(at, event{node: node})
 }
 
-// Play plays it to its end. Nodes begin within a while of one another.
+// Play runs the simulation to its end, or to the first error of Observe. Each node starts at a random time below startSpread.
 func (f *Fleet) Play(startSpread time.Duration) error {
 	for i := range f.Nodes {
 		f.scheduleTick(i, time.Duration(f.Rand.Int64N(int64(startSpread))))
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// happen has an event happen to its node.
+// handle delivers an event to its node. A paused node handles what was queued with its first event after the pause.
 func (f *Fleet) handle(e event) {
 	n := f.Nodes[e.node]
 	if n.Dead {
@@ -192,7 +192,7 @@
 		return
 	}
 	if f.Now != n.nextTick {
-		return // another came in its stead
+		return // superseded by another tick
 	}
 	f.send(e.node, n.Machine.Tick(f.Clock(e.node)))
 	wait := max(time.Millisecond, n.Machine.Next()-f.Clock(e.node))
@@ -218,7 +218,7 @@
 	}
 }
 
-// Traffic is what nodes that live have sent in a second, on average, and the one that sent most.
+// Traffic returns the live nodes' mean datagrams and bytes sent per second, and the highest byte rate of any of them.
 func (f *Fleet) Traffic() (datagrams, bytes, maxByteRate float64) {
 	living := 0
 	for _, n := range f.Nodes {
