--- a/internal/modelcheck/exchange/model.go
+++ b/internal/modelcheck/exchange/model.go
@@ -29,8 +29,8 @@
 }
 
 // Defects lists the defects that can be injected; each violates a guarantee of the exchange.
-var Defects = []string{"age not sent", "age halved", "hop hidden", "token mixed up", "clock half as fast", "sequence raised on the way",
-	"sequence not raised", "part counted twice", "part not added", "zone mistaken", "first page lost"}
+var Defects = []string{"age omitted", "age halved", "hop time hidden", "wrong token echoed", "clock at half speed", "sequence raised in transit",
+	"sequence not raised", "part counted twice", "part omitted", "wrong zone", "first page lost"}
 
 // process is one node, running or crashed.
 type process struct {
@@ -92,7 +92,7 @@
 }
 
 // hasSlowClock reports whether a node's clock runs at half speed.
-func (f *fleet) hasSlowClock(i int) bool { return f.bounds.Defect == "clock half as fast" && i == 0 }
+func (f *fleet) hasSlowClock(i int) bool { return f.bounds.Defect == "clock at half speed" && i == 0 }
 
 func (f *fleet) clone() *fleet {
 	c := *f
@@ -201,17 +201,17 @@
 func (f *fleet) injectDefect(m *zonestate.Message, k int) {
 	r := &m.Rows[k]
 	switch f.bounds.Defect {
-	case "age not sent":
+	case "age omitted":
 		r.Age = 0
 	case "age halved":
 		r.Age /= 2
-	case "hop hidden":
+	case "hop time hidden":
 		if m.HeldMillis += 300; k > 0 { // claims to have held the token for longer than it did
 			m.HeldMillis -= 300
 		}
-	case "token mixed up":
+	case "wrong token echoed":
 		m.Echo = m.Token
-	case "sequence raised on the way":
+	case "sequence raised in transit":
 		if r.Author.ID != m.From {
 			r.Seq++
 		}
@@ -221,11 +221,11 @@
 		if m.Kind == zonestate.PartUpdate {
 			r.PartCount *= 2
 		}
-	case "part not added":
+	case "part omitted":
 		if m.Kind == zonestate.PartUpdate {
 			r.Entries = nil
 		}
-	case "zone mistaken":
+	case "wrong zone":
 		r.ZoneID = zoneID(7)
 	case "first page lost":
 		r.Page = max(r.Page, 1)
@@ -260,8 +260,8 @@
 		for _, z := range f.bounds.Zones {
 			v := n.machine.Read(now, zoneID(z), zonestate.MadeAt, 1)
 			d := n.machine.Read(now, zoneID(z), zonestate.Demand, 2)
-			if real := f.now - time.Duration(v.Amount)*time.Millisecond; v.PartCount > 0 && real > v.Age {
-				return fmt.Errorf("node %d read an entry of zone %d that is %v old; the reported maximum age is %v", i, z, real, v.Age)
+			if trueAge := f.now - time.Duration(v.Amount)*time.Millisecond; v.PartCount > 0 && trueAge > v.Age {
+				return fmt.Errorf("node %d read an entry of zone %d that is %v old; the reported maximum age is %v", i, z, trueAge, v.Age)
 			}
 			if d.Amount != float64(d.PartCount) || d.PartCount > len(f.nodes) {
 				return fmt.Errorf("node %d read a demand for %d nodes of zone %d, with 1 each, of %v", i, d.PartCount, z, d.Amount)
--- a/internal/modelcheck/exchange/sim.go
+++ b/internal/modelcheck/exchange/sim.go
@@ -61,9 +61,9 @@
 	viewDelays []time.Duration // delays after diedAt at which membership's view still has to be updated
 	result     Result
 	sums       struct {
-		all, fresh, whole int
-		counted           float64
-		age, slack        time.Duration
+		reads, fresh, complete int
+		counted                float64
+		age, slack             time.Duration
 	}
 	failure error
 }
@@ -113,8 +113,8 @@
 		t.Unbounded, t.Expired, t.Foreign, t.TooManyParts, t.Truncated, t.RateLimited = t.Unbounded+d.Unbounded, t.Expired+d.Expired, t.Foreign+d.Foreign, t.TooManyParts+d.TooManyParts, t.Truncated+d.Truncated, t.RateLimited+d.RateLimited
 	}
 	n := float64(max(1, p.sums.fresh))
-	s.FreshShare = float64(p.sums.fresh) / float64(max(1, p.sums.all))
-	s.CompleteShare, s.CountedShare = float64(p.sums.whole)/n, p.sums.counted/n
+	s.FreshShare = float64(p.sums.fresh) / float64(max(1, p.sums.reads))
+	s.CompleteShare, s.CountedShare = float64(p.sums.complete)/n, p.sums.counted/n
 	s.MeanAge, s.MeanSlack = time.Duration(float64(p.sums.age)/n), time.Duration(float64(p.sums.slack)/n)
 }
 
@@ -186,10 +186,10 @@
 	if p.Now < 2*p.fresh {
 		return p.failure
 	}
-	living := make([]int, p.Zones)
+	liveNodes := make([]int, p.Zones)
 	for i, a := range p.simNodes {
 		if !p.Nodes[i].Dead {
-			living[a.zone]++
+			liveNodes[a.zone]++
 		}
 	}
 	all := true
@@ -198,7 +198,7 @@
 			continue
 		}
 		p.result.MaxRows = max(p.result.MaxRows, a.Size())
-		for zone, n := range living {
+		for zone, n := range liveNodes {
 			if n == 0 {
 				continue
 			}
@@ -219,14 +219,14 @@
 func (p *simulator) checkRead(a *simNode, clock time.Duration, zone, n int) (fresh bool, err error) {
 	v := a.Read(clock, zoneID(zone), zonestate.MadeAt, 1)
 	d := a.Read(clock, zoneID(zone), zonestate.Demand, 2)
-	p.sums.all++
+	p.sums.reads++
 	if v.PartCount > 0 && v.Freshness != zonestate.Unknown {
-		real := p.Now - time.Duration(v.Amount)*time.Millisecond
-		if p.result.MaxUnderReport = max(p.result.MaxUnderReport, real-v.Age); real > v.Age {
-			return false, fmt.Errorf("exchange: at %v a node of zone %d read an entry of zone %d that is %v old; the reported maximum age is %v", p.Now, a.zone, zone, real, v.Age)
+		trueAge := p.Now - time.Duration(v.Amount)*time.Millisecond
+		if p.result.MaxUnderReport = max(p.result.MaxUnderReport, trueAge-v.Age); trueAge > v.Age {
+			return false, fmt.Errorf("exchange: at %v a node of zone %d read an entry of zone %d that is %v old; the reported maximum age is %v", p.Now, a.zone, zone, trueAge, v.Age)
 		}
 		if v.Freshness == zonestate.Fresh {
-			p.sums.slack += v.Age - real
+			p.sums.slack += v.Age - trueAge
 		}
 		p.result.MaxOvercount = max(p.result.MaxOvercount, float64(v.PartCount-max(v.ActiveNodes, n))/float64(max(v.ActiveNodes, n)))
 		if d.Amount != float64(d.PartCount) {
@@ -241,7 +241,7 @@
 	p.sums.counted += min(1, float64(v.PartCount)/float64(n))
 	p.result.MaxAge = max(p.result.MaxAge, v.Age)
 	if v.PartCount == n {
-		p.sums.whole++
+		p.sums.complete++
 	}
 	return true, nil
 }
--- a/internal/modelcheck/swim/swim.go
+++ b/internal/modelcheck/swim/swim.go
@@ -201,8 +201,8 @@
 }
 
 // Defects lists the defects that can be injected; each violates a guarantee of the membership protocol.
-var Defects = []string{"raises others", "life not raised", "suspicion never cleared", "not answered", "probes nobody", "forgets who left",
-	"another's name", "too long", "says nothing of itself", "answers mixed up"}
+var Defects = []string{"incarnations of others raised", "incarnation not raised", "suspicion never cleared", "probes not acknowledged", "probes sent to no node", "departures forgotten",
+	"wrong member ID", "datagrams too long", "own updates omitted", "wrong sequence number in acknowledgments"}
 
 // injectDefect applies the configured defect to a packet that a node sends.
 func (f *fleet) injectDefect(n *node, p *membership.Packet) {
@@ -218,14 +218,14 @@
 		p.Updates = kept
 	}
 	switch f.bounds.Defect {
-	case "raises others":
+	case "incarnations of others raised":
 		edit(func(u *membership.Update) bool {
 			if u.Status == membership.Suspect {
 				u.Incarnation++
 			}
 			return true
 		})
-	case "life not raised":
+	case "incarnation not raised":
 		edit(func(u *membership.Update) bool {
 			if u.ID == self {
 				u.Incarnation, u.PeerIncarnation = 0, 0
@@ -234,31 +234,31 @@
 		})
 	case "suspicion never cleared":
 		edit(func(u *membership.Update) bool { return u.Status != membership.Alive || u.Incarnation == 0 })
-	case "not answered":
+	case "probes not acknowledged":
 		if p.Kind == membership.Ack {
 			p.Kind = membership.Nack
 		}
-	case "probes nobody":
+	case "probes sent to no node":
 		if p.Kind == membership.Ping {
 			p.To = addr(len(f.nodes))
 		}
-	case "forgets who left":
+	case "departures forgotten":
 		edit(func(u *membership.Update) bool {
 			if u.Status == membership.Left {
 				u.Status, u.Incarnation = membership.Alive, u.Incarnation+1
 			}
 			return true
 		})
-	case "another's name":
+	case "wrong member ID":
 		edit(func(u *membership.Update) bool {
 			u.ID++
 			return true
 		})
-	case "too long":
+	case "datagrams too long":
 		p.Updates = append(slices.Clone(p.Updates), slices.Repeat(p.Updates, 4)...)
-	case "says nothing of itself":
+	case "own updates omitted":
 		edit(func(u *membership.Update) bool { return u.ID != self })
-	case "answers mixed up":
+	case "wrong sequence number in acknowledgments":
 		if p.Kind == membership.Ack {
 			p.Seq++
 		}
--- a/internal/modelcheck/swim/swim_test.go
+++ b/internal/modelcheck/swim/swim_test.go
@@ -31,7 +31,7 @@
 // Random walks find each defect that can be injected. Some defects take many walks; their subtest starts near the first seed
 // that finds them.
 func TestInjectedDefectsAreFound(t *testing.T) {
-	first := map[string]uint64{"raises others": 18, "not answered": 23, "answers mixed up": 17}
+	first := map[string]uint64{"incarnations of others raised": 18, "probes not acknowledged": 23, "wrong sequence number in acknowledgments": 17}
 	for _, d := range Defects {
 		t.Run(d, func(t *testing.T) {
 			b := Bounds{Nodes: 3, Ticks: 60, Drops: 30, Crashes: 1, Leaves: 1, Stops: 1, Options: membership.Defaults(), MaxInFlight: 20, MaxClockSkew: time.Hour, Defect: d}
