--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -15,7 +15,7 @@
 func newLeague() *cobra.Command {
 	var (
 		o        federation.Options
-		d        federation.Day
+		d        federation.Scenario
 		binary   string
 		seeds    int
 		quota    float64
@@ -46,11 +46,11 @@
 				if quota > 0 {
 					var text string
 					part := quota
-					if o.Apart {
+					if o.QuotaPerPartner {
 						part /= float64(o.Partners)
 					}
 					d.Bound, text = leagueQuota(part, o.Partners, o.Gateways)
-					if o.Apart {
+					if o.QuotaPerPartner {
 						complete, _ := leagueQuota(quota, o.Partners, o.Gateways)
 						d.Bound = complete
 					}
@@ -96,7 +96,7 @@
 	fl.StringVar(&binary, "program", "bin/damsontrestle", "the program; one that is built with -tags rig for faults at points")
 	fl.IntVar(&o.Partners, "partners", 6, "")
 	fl.IntVar(&o.Gateways, "gateways", 10, "of each partner")
-	fl.IntVar(&o.Boxes, "boxes", 8, "of each partner")
+	fl.IntVar(&o.Servers, "boxes", 8, "of each partner")
 	fl.IntVar(&o.Zones, "zones", 2, "of each partner")
 	fl.IntVar(&o.Links, "links", 2, "that each gateway holds to each partner")
 	fl.DurationVar(&o.Service, "service", 100*time.Millisecond, "that a box takes for a call")
@@ -107,11 +107,11 @@
 	fl.Float64Var(&d.Rate, "rate", 5, "calls a second that come to each gateway")
 	fl.Float64Var(&d.Away, "away", 0.3, "share of calls for another partner")
 	fl.StringVar(&d.Fault, "fault", "none", fmt.Sprint(federation.Faults))
-	fl.DurationVar(&d.Every, "every", 200*time.Millisecond, "between two faults")
-	fl.DurationVar(&d.For, "for", time.Second, "that a fault lasts")
+	fl.DurationVar(&d.FaultInterval, "every", 200*time.Millisecond, "between two faults")
+	fl.DurationVar(&d.FaultDuration, "for", time.Second, "that a fault lasts")
 	fl.IntVar(&seeds, "seeds", 1, "")
 	fl.Float64Var(&quota, "quota", 0, "notes a second that all partners may call together; 0: no quota")
-	fl.BoolVar(&o.Apart, "apart", false, "each partner has its part of the quota for itself")
+	fl.BoolVar(&o.QuotaPerPartner, "apart", false, "each partner has its part of the quota for itself")
 	fl.Float64Var(&d.Uneven, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
 	fl.BoolVar(&baseline, "baseline", false, "without custody")
 	return cmd
@@ -122,8 +122,8 @@
 	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
 	for p := range partners {
-		t.Partners = append(t.Partners, budget.Partner{Name: federation.Name(p), Weight: 1, Gateways: gateways})
-		text += fmt.Sprintf(" partner %q {\n gateways = %d\n }\n", federation.Name(p), gateways)
+		t.Partners = append(t.Partners, budget.Partner{Name: federation.PartnerName(p), Weight: 1, Gateways: gateways})
+		text += fmt.Sprintf(" partner %q {\n gateways = %d\n }\n", federation.PartnerName(p), gateways)
 	}
 	return t.Bound, text
 }
--- a/internal/faultbench/child/build.go
+++ b/internal/faultbench/child/build.go
@@ -30,7 +30,7 @@
 }
 
 // Main is a package's TestMain: it runs the tests, removes what was built for them, and ends the process.
-func (b *Builder) Main(m interface{ Run() int }) {
+func (b *Builder) RunTests(m interface{ Run() int }) {
 	code := m.Run()
 	if b.dir != "" {
 		os.RemoveAll(b.dir)
--- a/internal/faultbench/child/child.go
+++ b/internal/faultbench/child/child.go
@@ -20,18 +20,18 @@
 // Spawner starts processes from one thread that lives as long as it does: the kernel ends children when the thread that
 // started them ends, and a thread of Go's may end at any time.
 type Spawner struct {
-	asked chan func()
-	once  sync.Once
-	done  chan struct{}
+	starts chan func()
+	once   sync.Once
+	done   chan struct{}
 }
 
 // NewSpawner returns one whose thread lives until Close.
 func NewSpawner() *Spawner {
-	s := &Spawner{asked: make(chan func()), done: make(chan struct{})}
+	s := &Spawner{starts: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
 		defer close(s.done)
-		for do := range s.asked {
+		for do := range s.starts {
 			do()
 		}
 	}()
@@ -43,13 +43,13 @@
 func (s *Spawner) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err := make(chan error)
-	s.asked <- func() { err <- cmd.Start() }
+	s.starts <- func() { err <- cmd.Start() }
 	return <-err
 }
 
 // Close ends the thread, and with it every child that is left.
 func (s *Spawner) Close() {
-	s.once.Do(func() { close(s.asked) })
+	s.once.Do(func() { close(s.starts) })
 	<-s.done
 }
 
@@ -77,37 +77,37 @@
 }
 
 // tail keeps the end of what is written to it.
-type tail struct {
-	heard func(line string)
+type logTail struct {
+	onLine func(line string)
 
-	mu   sync.Mutex
-	most int
-	text []byte
-	part []byte // of a line that has not ended
+	mu      sync.Mutex
+	limit   int
+	text    []byte
+	partial []byte // of a line that has not ended
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	t.part = append(t.part, p...)
+	t.partial = append(t.partial, p...)
 	for {
-		line, rest, complete := bytes.Cut(t.part, []byte("\n"))
+		line, rest, complete := bytes.Cut(t.partial, []byte("\n"))
 		if !complete {
 			break
 		}
-		t.part = rest
-		if t.heard != nil {
-			t.heard(string(line))
+		t.partial = rest
+		if t.onLine != nil {
+			t.onLine(string(line))
 		}
 	}
-	if over := len(t.text) - t.most; over > 0 {
+	if over := len(t.text) - t.limit; over > 0 {
 		t.text = bytes.Clone(t.text[over:])
 	}
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
@@ -116,12 +116,12 @@
 // Process is one incarnation of a node.
 type Process struct {
 	Cmd  *exec.Cmd
-	Log  *tail
+	Log  *logTail
 	Done chan struct{} // closed once it has ended
 	Err  error         // how
 
-	mu     sync.Mutex
-	wanted bool // its end is the fault bench's doing
+	mu            sync.Mutex
+	stopRequested bool // its end is the fault bench's doing
 }
 
 // Launch starts the program with a file in memory as its third descriptor.
@@ -136,7 +136,7 @@
 
 // Run starts a command with files as its descriptors from the third on. keep is how many bytes of its log are kept.
 func (s *Spawner) Run(cmd *exec.Cmd, files []*os.File, keep int, env []string, heard func(string)) (*Process, error) {
-	p := &Process{Cmd: cmd, Log: &tail{most: keep, heard: heard}, Done: make(chan struct{})}
+	p := &Process{Cmd: cmd, Log: &logTail{limit: keep, onLine: heard}, Done: make(chan struct{})}
 	p.Cmd.ExtraFiles = files
 	p.Cmd.Stderr = p.Log
 	p.Cmd.Env = append(os.Environ(), env...)
@@ -164,9 +164,9 @@
 }
 
 // End ends it with a signal, and by SIGKILL if that has no effect in time.
-func (p *Process) End(sig syscall.Signal, within time.Duration) {
+func (p *Process) Stop(sig syscall.Signal, within time.Duration) {
 	p.mu.Lock()
-	p.wanted = true
+	p.stopRequested = true
 	p.mu.Unlock()
 	p.Signal(sig)
 	t := time.NewTimer(within)
@@ -180,7 +180,7 @@
 }
 
 // Died says in words that it ended by itself, or nothing.
-func (p *Process) Died() string {
+func (p *Process) UnexpectedExit() string {
 	select {
 	case <-p.Done:
 	default:
@@ -188,14 +188,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted {
+	if p.stopRequested {
 		return ""
 	}
 	return fmt.Sprintf("ended by itself: %v\n%s", p.Err, p.Log)
 }
 
 // Use is the processor time and the resident memory of a process that runs.
-func Use(pid int) (cpu time.Duration, resident int64) {
+func ResourceUsage(pid int) (cpu time.Duration, resident int64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
--- a/internal/faultbench/cost.go
+++ b/internal/faultbench/cost.go
@@ -8,7 +8,7 @@
 
 // cost is what all processes took so far.
 func (f *fleet) cost() (c Cost) {
-	c.RigCPU, c.RigMemory = child.Use(os.Getpid())
+	c.RigCPU, c.RigMemory = child.ResourceUsage(os.Getpid())
 	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
 		c.MostOpenRig = len(entries)
 	}
@@ -18,7 +18,7 @@
 		p, before := n.process, n.spent
 		n.mu.Unlock()
 		if p != nil {
-			cpu, resident := child.Use(p.Cmd.Process.Pid)
+			cpu, resident := child.ResourceUsage(p.Cmd.Process.Pid)
 			c.NodesCPU += cpu + before
 			memory += resident
 			c.Processes++
--- a/internal/faultbench/faultbench_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -13,7 +13,7 @@
 
 var program child.Builder
 
-func TestMain(m *testing.M) { program.Main(m) }
+func TestMain(m *testing.M) { program.RunTests(m) }
 
 // play plays an experiment with processes and returns what it came to. What rests on time is judged only where the fault bench
 // kept up.
--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -20,49 +20,49 @@
 
 // Options are how a league is made.
 type Options struct {
-	Binary   string // of the program, built with -tags rig where faults are asked for
-	Partners int
-	Gateways int // of each partner
-	Boxes    int // of each partner, dealt out over two cells
-	Zones    int // that each partner's gateways lie in; 0: 1
-	Service  time.Duration
-	Silence  time.Duration // that ends a link; 0: 1 s
-	Period   time.Duration // of membership; 0: 300 ms
-	Custody  string        // when_alone of all classes; empty: no replication
-	Quota    string        // the body of the block quota "notes"; quota candidates are added
-	Apart    bool          // each partner keeps the quota by itself: Quota is one partner's part
-	Exports  func(l *League, partner int) string
-	Edit     func(g *Gateway, text string) string // changes a gateway's file; nil: nothing does
-	Stale    time.Duration                        // that offers are used whose links have all ended; 0: 30 s
-	Links    int                                  // that each gateway holds to gateways of each partner; 0: 2
-	Memory   string                               // for requests that are held; empty: 8MiB
-	Deadline time.Duration                        // of classes; 0: 5 s
-	Seed     uint64
-	Log      func(format string, args ...any)
+	Binary          string // of the program, built with -tags rig where faults are asked for
+	Partners        int
+	Gateways        int // of each partner
+	Servers         int // of each partner, dealt out over two cells
+	Zones           int // that each partner's gateways lie in; 0: 1
+	Service         time.Duration
+	Silence         time.Duration // that ends a link; 0: 1 s
+	Period          time.Duration // of membership; 0: 300 ms
+	Custody         string        // when_alone of all classes; empty: no replication
+	Quota           string        // the body of the block quota "notes"; quota candidates are added
+	QuotaPerPartner bool          // each partner keeps the quota by itself: Quota is one partner's part
+	Exports         func(l *Federation, partner int) string
+	Edit            func(g *Gateway, text string) string // changes a gateway's file; nil: nothing does
+	Stale           time.Duration                        // that offers are used whose links have all ended; 0: 30 s
+	Links           int                                  // that each gateway holds to gateways of each partner; 0: 2
+	Memory          string                               // for requests that are held; empty: 8MiB
+	Deadline        time.Duration                        // of classes; 0: 5 s
+	Seed            uint64
+	Log             func(format string, args ...any)
 }
 
 // League is one under way.
-type League struct {
-	o       Options
-	dir     string
-	part    *link.Part
-	spawner *child.Spawner
-	mesh    *link.Mesh
-	dice    *link.Dice
-	began   time.Time
-	Audit   *Audit
+type Federation struct {
+	options   Options
+	dir       string
+	part      *link.Part
+	spawner   *child.Spawner
+	mesh      *link.Mesh
+	dice      *link.Dice
+	startTime time.Time
+	Auditor   *Auditor
 
 	mu       sync.Mutex
 	Gateways []*Gateway // of all partners, those of one after another
-	Boxes    []*Box
+	Servers  []*Server
 	shapes   map[[2]string]link.Shape // of datagrams, between gateways by their IP addresses
 }
 
 // Name is what a partner is called.
-func Name(partner int) string { return fmt.Sprintf("p%d", partner) }
+func PartnerName(partner int) string { return fmt.Sprintf("p%d", partner) }
 
 // Start starts all gateways and returns once each is ready, has links to its group and to each partner, and knows their offers.
-func Start(ctx context.Context, o Options) (l *League, err error) {
+func Start(ctx context.Context, o Options) (l *Federation, err error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
@@ -85,7 +85,7 @@
 	if o.Deadline == 0 {
 		o.Deadline = 5 * time.Second
 	}
-	l = &League{o: o, dice: link.NewDice(o.Seed), began: time.Now(), shapes: map[[2]string]link.Shape{}, Audit: newAudit()}
+	l = &Federation{options: o, dice: link.NewDice(o.Seed), startTime: time.Now(), shapes: map[[2]string]link.Shape{}, Auditor: newAuditor()}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -98,22 +98,22 @@
 		return nil, err
 	}
 	l.spawner = child.NewSpawner()
-	l.mesh = link.NewMesh(l.dice, l.between)
+	l.mesh = link.NewMesh(l.dice, l.datagramShape)
 	for p := range o.Partners {
-		if err := os.WriteFile(l.groupKey(p), []byte(fmt.Sprintf("the key of the group %s", Name(p))), 0o600); err != nil {
+		if err := os.WriteFile(l.groupKey(p), []byte(fmt.Sprintf("the key of the group %s", PartnerName(p))), 0o600); err != nil {
 			return nil, fmt.Errorf("league: %w", err)
 		}
-		for i := range o.Boxes {
-			b, err := newBox(l, p, i)
+		for i := range o.Servers {
+			b, err := newServer(l, p, i)
 			if err != nil {
 				return nil, err
 			}
-			l.Boxes = append(l.Boxes, b)
+			l.Servers = append(l.Servers, b)
 		}
 	}
 	for p := range o.Partners {
 		for q := range p {
-			if err := os.WriteFile(l.pairKey(p, q), []byte(fmt.Sprintf("the key of %s and %s", Name(q), Name(p))), 0o600); err != nil {
+			if err := os.WriteFile(l.pairKey(p, q), []byte(fmt.Sprintf("the key of %s and %s", PartnerName(q), PartnerName(p))), 0o600); err != nil {
 				return nil, fmt.Errorf("league: %w", err)
 			}
 		}
@@ -144,17 +144,17 @@
 	return l, nil
 }
 
-func (l *League) groupKey(p int) string { return filepath.Join(l.dir, Name(p)+".key") }
+func (l *Federation) groupKey(p int) string { return filepath.Join(l.dir, PartnerName(p)+".key") }
 
-func (l *League) pairKey(p, q int) string {
+func (l *Federation) pairKey(p, q int) string {
 	if p < q {
 		p, q = q, p
 	}
-	return filepath.Join(l.dir, Name(q)+Name(p)+".key")
+	return filepath.Join(l.dir, PartnerName(q)+PartnerName(p)+".key")
 }
 
 // Close ends all.
-func (l *League) Close() {
+func (l *Federation) Close() {
 	if l.spawner != nil {
 		l.spawner.Close()
 	}
@@ -171,7 +171,7 @@
 			}
 		}()
 	}
-	for _, b := range l.Boxes {
+	for _, b := range l.Servers {
 		b.close()
 	}
 	if l.mesh != nil {
@@ -187,69 +187,71 @@
 }
 
 // Gateway is the i-th of a partner.
-func (l *League) Gateway(partner, i int) *Gateway { return l.Gateways[partner*l.o.Gateways+i] }
+func (l *Federation) Gateway(partner, i int) *Gateway {
+	return l.Gateways[partner*l.options.Gateways+i]
+}
 
 // DefaultExports has each partner offer all three classes below its own name to all.
-func DefaultExports(l *League, p int) string {
+func DefaultExports(l *Federation, p int) string {
 	var b strings.Builder
 	for class, effect := range map[string]string{"view": "safe", "note": "unsafe", "log": "keyed"} {
-		fmt.Fprintf(&b, "export \"%s\" {\n class = %q\n path = \"/%s/%s/\"\n all = true\n effects = [%q]\n}\n", class, class, class, Name(p), effect)
+		fmt.Fprintf(&b, "export \"%s\" {\n class = %q\n path = \"/%s/%s/\"\n all = true\n effects = [%q]\n}\n", class, class, class, PartnerName(p), effect)
 	}
 	return b.String()
 }
 
 // Keepers are the blocks of a quota that name its quota candidates: the first gateways of the first partners.
-func (l *League) Keepers(n int) string {
+func (l *Federation) QuotaCandidates(n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(l.Gateway(i%l.o.Partners, i/l.o.Partners).keeper())
+		b.WriteString(l.Gateway(i%l.options.Partners, i/l.options.Partners).quotaCandidate())
 	}
 	return b.String()
 }
 
 // keepersOf are such blocks of a partner's first gateways alone.
-func (l *League) keepersOf(partner int) string {
+func (l *Federation) partnerQuotaCandidates(partner int) string {
 	var b strings.Builder
-	for i := range min(3, (l.o.Gateways-1)|1) {
-		b.WriteString(l.Gateway(partner, i).keeper())
+	for i := range min(3, (l.options.Gateways-1)|1) {
+		b.WriteString(l.Gateway(partner, i).quotaCandidate())
 	}
 	return b.String()
 }
 
 // now is the time of the run.
-func (l *League) now() time.Duration { return time.Since(l.began) }
+func (l *Federation) elapsed() time.Duration { return time.Since(l.startTime) }
 
 // Settle waits until every gateway that runs has links to all of its group, to each partner, and knows as many offers.
-func (l *League) Settle(ctx context.Context, advertisements int) error {
-	why := ""
+func (l *Federation) Settle(ctx context.Context, advertisements int) error {
+	missing := ""
 	for ctx.Err() == nil {
-		why = ""
+		missing = ""
 		for _, g := range l.Gateways {
 			if g.Log() == "" {
 				continue
 			}
-			if w := g.unsettled(ctx, advertisements); w != "" {
-				why = g.Name + ": " + w
+			if w := g.missing(ctx, advertisements); w != "" {
+				missing = g.Name + ": " + w
 				break
 			}
 		}
-		if why == "" {
+		if missing == "" {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("league: not settled: %s", why)
+	return fmt.Errorf("league: not settled: %s", missing)
 }
 
 // Cost is the resident memory of a process, on average, and the processor time of all that run.
-func (l *League) Cost() (memory int64, cpu time.Duration) {
+func (l *Federation) Cost() (memory int64, cpu time.Duration) {
 	n := int64(0)
 	for _, g := range l.Gateways {
 		g.mu.Lock()
 		p := g.process
 		g.mu.Unlock()
 		if p != nil {
-			c, m := child.Use(p.Cmd.Process.Pid)
+			c, m := child.ResourceUsage(p.Cmd.Process.Pid)
 			cpu += c
 			memory += m
 			n++
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -16,11 +16,11 @@
 
 var program child.Builder
 
-func TestMain(m *testing.M) { program.Main(m) }
+func TestMain(m *testing.M) { program.RunTests(m) }
 
 // start starts nine gateways of three partners, unless the options say otherwise, and waits until they know one another and
 // all advertisements. They end with the test, and so do all breaches of the rules.
-func start(t *testing.T, o Options) *League {
+func startFederation(t *testing.T, o Options) *Federation {
 	t.Helper()
 	path, err := program.Path()
 	if err != nil {
@@ -33,8 +33,8 @@
 	if o.Gateways == 0 {
 		o.Gateways = 3
 	}
-	if o.Boxes == 0 {
-		o.Boxes = 4
+	if o.Servers == 0 {
+		o.Servers = 4
 	}
 	if o.Silence == 0 {
 		o.Silence = testpeer.Limit // a machine that is slow looks like no silence
@@ -49,34 +49,34 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, b := range l.Audit.Breaches() {
+		for _, b := range l.Auditor.Breaches() {
 			t.Errorf("breach: %s", b)
 		}
 		if t.Failed() {
 			for _, g := range l.Gateways[:min(4, len(l.Gateways))] {
-				t.Logf("%s:\n%s", g.Name, tail(g.Log(), 800))
+				t.Logf("%s:\n%s", g.Name, lastBytes(g.Log(), 800))
 			}
 		}
 		l.Close()
 	})
-	settle(t, l)
+	waitSettled(t, l)
 	return l
 }
 
 // settle waits until all that run know one another and all advertisements.
-func settle(t *testing.T, l *League) {
+func waitSettled(t *testing.T, l *Federation) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*testpeer.Limit)
 	defer cancel()
-	if err := l.Settle(ctx, 3*l.o.Partners); err != nil {
+	if err := l.Settle(ctx, 3*l.options.Partners); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func tail(s string, n int) string { return s[max(0, len(s)-n):] }
+func lastBytes(s string, n int) string { return s[max(0, len(s)-n):] }
 
 // done counts the runs of a request that did something, and those that a cell discarded.
-func done(runs []Run) (done, dropped int) {
+func countRuns(runs []Run) (done, dropped int) {
 	for _, r := range runs {
 		if r.Dropped {
 			dropped++
@@ -88,7 +88,7 @@
 }
 
 // over does something over and over until it is to stop.
-func over(stop <-chan struct{}, do func(i int)) {
+func repeat(stop <-chan struct{}, do func(i int)) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -100,7 +100,7 @@
 }
 
 // behind runs something and returns a channel that takes its result.
-func behind[T any](f func() T) <-chan T {
+func async[T any](f func() T) <-chan T {
 	c := make(chan T, 1)
 	go func() { c <- f() }()
 	return c
@@ -109,7 +109,7 @@
 // Given a gateway that is killed while it has a request in hand, at each of its steps: another goes on with it, once, and all who
 // ask hear the same. What is unsafe and may have run ends as failed.
 func TestSuccessorTakesOverOnceAfterKill(t *testing.T) {
-	l := start(t, Options{Custody: "refuse"})
+	l := startFederation(t, Options{Custody: "refuse"})
 	victim := l.Gateway(0, 0)
 	n := 0
 	for _, c := range []struct {
@@ -132,28 +132,28 @@
 	} {
 		n++
 		victim.Kill()
-		victim.With(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
+		victim.SetEnv(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
 		if err := victim.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
-		request := Call{ID: fmt.Sprintf("c%d-%s-%s", n, c.class, c.point), Class: c.class, Path: "p0/x"}
+		waitSettled(t, l)
+		request := Request{ID: fmt.Sprintf("c%d-%s-%s", n, c.class, c.point), Class: c.class, Path: "p0/x"}
 		of := request.ID
 		if c.class == "log" {
 			request.Key = "key-" + request.ID
 			of = request.Key
 		}
-		first := l.Ask(t.Context(), victim, request)
+		first := l.Send(t.Context(), victim, request)
 		testpeer.Receive(t, victim.Ended(), "the kill")
 		if first.Status != 0 {
 			t.Errorf("%s %s: the caller of the killed gateway heard %+v", c.class, c.point, first)
 		}
-		var answers []<-chan Heard
-		for i, g := range l.Of(0, victim) {
+		var answers []<-chan Outcome
+		for i, g := range l.PartnerGateways(0, victim) {
 			again := request
-			again.ID, again.Of = fmt.Sprintf("%s-again%d", request.ID, i), request.ID
-			answers = append(answers, behind(func() Heard {
-				h, _ := l.Insist(t.Context(), g, again)
+			again.ID, again.RetryOf = fmt.Sprintf("%s-again%d", request.ID, i), request.ID
+			answers = append(answers, async(func() Outcome {
+				h, _ := l.SendWithRetry(t.Context(), g, again)
 				return h
 			}))
 		}
@@ -163,16 +163,16 @@
 				t.Errorf("%s %s: %+v, want a settled %d", c.class, c.point, h, c.status)
 			}
 		}
-		ran, dropped := done(l.Audit.Runs(of))
+		ran, dropped := countRuns(l.Auditor.Runs(of))
 		if c.done >= 0 && (ran != c.done || dropped != c.dropped) || c.done < 0 && ran > -c.done {
-			t.Errorf("%s %s: %d runs and %d repeats, want %d and %d: %+v", c.class, c.point, ran, dropped, c.done, c.dropped, l.Audit.Runs(of))
+			t.Errorf("%s %s: %d runs and %d repeats, want %d and %d: %+v", c.class, c.point, ran, dropped, c.done, c.dropped, l.Auditor.Runs(of))
 		}
 	}
 }
 
 // A gateway that is killed as a successor, once it has claimed a request or has an attempt allowed, is followed by the next.
 func TestNextSuccessorTakesOverAfterSuccessorIsKilled(t *testing.T) {
-	l := start(t, Options{Partners: 1, Gateways: 5, Boxes: 8, Custody: "refuse"})
+	l := startFederation(t, Options{Partners: 1, Gateways: 5, Servers: 8, Custody: "refuse"})
 	owner := l.Gateway(0, 0)
 	for i, c := range []struct {
 		class, point string
@@ -181,17 +181,17 @@
 		// Whoever is the successor dies by its own first claim: all others have the fault.
 		for k, g := range l.Gateways {
 			g.Kill()
-			g.With(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
+			g.SetEnv(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
 			if k == 0 {
-				g.With("DAMSONTRESTLE_FAULT=custody.intended:1:kill")
+				g.SetEnv("DAMSONTRESTLE_FAULT=custody.intended:1:kill")
 			}
 			if err := g.Start(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		settle(t, l)
-		request := Call{ID: fmt.Sprintf("h%d", i), Class: c.class, Path: "p0/x"}
-		l.Ask(t.Context(), owner, request)
+		waitSettled(t, l)
+		request := Request{ID: fmt.Sprintf("h%d", i), Class: c.class, Path: "p0/x"}
+		l.Send(t.Context(), owner, request)
 		testpeer.Receive(t, owner.Ended(), "the owner's kill")
 		var successor *Gateway
 		testpeer.Until(t, "the first heir's kill", func() bool {
@@ -206,15 +206,15 @@
 			return false
 		})
 		// The next one must live: a claim that it makes is its own first one.
-		if ran, _ := done(l.Audit.Runs(request.ID)); ran > 0 && c.class != "view" {
+		if ran, _ := countRuns(l.Auditor.Runs(request.ID)); ran > 0 && c.class != "view" {
 			t.Errorf("%s %s: it ran %d times before the heir's end", c.class, c.point, ran)
 		}
 		// Two of three replicas are gone: nobody may go on, and nobody is told anything that is not so.
 		for _, g := range l.Gateways[1:] {
 			if g != successor {
 				again := request
-				again.ID, again.Of, again.Wait = request.ID+"-again", request.ID, 2*time.Second
-				if h := l.Ask(t.Context(), g, again); h.Settled && h.Status != c.status {
+				again.ID, again.RetryOf, again.Timeout = request.ID+"-again", request.ID, 2*time.Second
+				if h := l.Send(t.Context(), g, again); h.Settled && h.Status != c.status {
 					t.Errorf("%s %s: %+v", c.class, c.point, h)
 				}
 				break
@@ -226,34 +226,34 @@
 // A gateway that is stopped with an attempt allowed, and awakes after another has taken its request over, begins nothing; and
 // whoever waited at it hears what all hear.
 func TestSuspendedGatewayStartsNothingOnResume(t *testing.T) {
-	l := start(t, Options{Custody: "refuse", Silence: time.Second, Period: time.Second})
+	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second, Period: time.Second})
 	owner := l.Gateway(0, 0)
 	for i, class := range []string{"view", "note", "log"} {
 		owner.Kill()
-		owner.With("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
+		owner.SetEnv("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
 		if err := owner.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
-		request := Call{ID: fmt.Sprintf("s%d", i), Class: class, Path: "p0/x"}
+		waitSettled(t, l)
+		request := Request{ID: fmt.Sprintf("s%d", i), Class: class, Path: "p0/x"}
 		of := request.ID
 		if class == "log" {
 			request.Key, of = "key-"+request.ID, "key-"+request.ID
 		}
-		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
+		waits := async(func() Outcome { return l.Send(t.Context(), owner, request) })
 		// Whoever asks before anybody else holds the request is told that nobody knows it, and comes to the stopped gateway in the end.
 		testpeer.Until(t, "the call to be held by another", func() bool {
-			return l.Gateway(0, 1).Custody(t.Context()).Replica.Undecided+l.Gateway(0, 2).Custody(t.Context()).Replica.Undecided > 0
+			return l.Gateway(0, 1).ReplicationStatus(t.Context()).Replica.Undecided+l.Gateway(0, 2).ReplicationStatus(t.Context()).Replica.Undecided > 0
 		})
 		again := request
-		again.ID, again.Of = request.ID+"-again", request.ID
-		var h Heard
+		again.ID, again.RetryOf = request.ID+"-again", request.ID
+		var h Outcome
 		testpeer.Until(t, "the call to be taken over", func() bool {
 			again.ID += "'"
-			h, _ = l.Insist(t.Context(), l.Gateway(0, 1), again)
+			h, _ = l.SendWithRetry(t.Context(), l.Gateway(0, 1), again)
 			return h.Settled
 		})
-		before, _ := done(l.Audit.Runs(of))
+		before, _ := countRuns(l.Auditor.Runs(of))
 		if class == "note" && (before > 0 || h.Status != 502) || class != "note" && (before != 1 || h.Status != 200) {
 			t.Errorf("%s: %d runs, and %+v", class, before, h)
 		}
@@ -264,7 +264,7 @@
 		if first.Status != h.Status || first.Settled && first.Body != h.Body {
 			t.Errorf("%s: who waited heard %+v, others %+v", class, first, h)
 		}
-		if after, _ := done(l.Audit.Runs(of)); after != before {
+		if after, _ := countRuns(l.Auditor.Runs(of)); after != before {
 			t.Errorf("%s: %d runs before it awoke, %d after", class, before, after)
 		}
 	}
@@ -275,31 +275,31 @@
 func TestPartitionedPartner(t *testing.T) {
 	for _, how := range []string{"both ways", "there", "back"} {
 		t.Run(how, func(t *testing.T) {
-			l := start(t, Options{Custody: "refuse", Silence: time.Second, Stale: 20 * time.Second})
-			from, to := l.Of(0), l.Of(1)
+			l := startFederation(t, Options{Custody: "refuse", Silence: time.Second, Stale: 20 * time.Second})
+			from, to := l.PartnerGateways(0), l.PartnerGateways(1)
 			if how == "back" {
 				from, to = to, from
 			}
-			held := Call{ID: "held-" + how, Class: "note", Path: "p1/x"}
-			got, release := l.Audit.Hold(held.ID)
+			held := Request{ID: "held-" + how, Class: "note", Path: "p1/x"}
+			got, release := l.Auditor.Hold(held.ID)
 			defer release()
-			waits := behind(func() Heard { return l.Ask(t.Context(), l.Gateway(0, 0), held) })
+			waits := async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), held) })
 			testpeer.Receive(t, got, "the call at its box")
 			mend := l.Cut(from, to, how == "both ways")
 			for i := range 6 { // others are served as ever, both sides of the cut among them
-				for _, c := range []Call{{Class: "note", Path: "p0/x"}, {Class: "note", Path: "p2/x"}} {
+				for _, c := range []Request{{Class: "note", Path: "p0/x"}, {Class: "note", Path: "p2/x"}} {
 					c.ID = fmt.Sprint(how, i, c.Path)
-					if h := l.Ask(t.Context(), l.Gateway(0, i%3), c); h.Status != 200 {
+					if h := l.Send(t.Context(), l.Gateway(0, i%3), c); h.Status != 200 {
 						t.Errorf("%+v", h)
 					}
 				}
-				c := Call{ID: fmt.Sprint(how, i, "from p2"), Class: "note", Path: "p1/x"}
-				if h := l.Ask(t.Context(), l.Gateway(2, i%3), c); h.Status != 200 {
+				c := Request{ID: fmt.Sprint(how, i, "from p2"), Class: "note", Path: "p1/x"}
+				if h := l.Send(t.Context(), l.Gateway(2, i%3), c); h.Status != 200 {
 					t.Errorf("%+v", h)
 				}
 			}
-			lost := Call{ID: "lost-" + how, Class: "note", Path: "p1/x", Wait: 2 * time.Second}
-			if h := l.Ask(t.Context(), l.Gateway(0, 1), lost); h.Status != 502 && h.Status != 503 || h.Took > lost.Wait+500*time.Millisecond {
+			lost := Request{ID: "lost-" + how, Class: "note", Path: "p1/x", Timeout: 2 * time.Second}
+			if h := l.Send(t.Context(), l.Gateway(0, 1), lost); h.Status != 502 && h.Status != 503 || h.Latency > lost.Timeout+500*time.Millisecond {
 				t.Errorf("a call into the cut: %+v", h)
 			}
 			release()
@@ -307,11 +307,11 @@
 			if h := testpeer.Receive(t, waits, "the answer of the call that was there"); h.Status != 200 || !h.Settled {
 				t.Errorf("%+v", h)
 			}
-			if ran, _ := done(l.Audit.Runs(held.ID)); ran != 1 {
+			if ran, _ := countRuns(l.Auditor.Runs(held.ID)); ran != 1 {
 				t.Errorf("it ran %d times", ran)
 			}
-			settle(t, l)
-			if h := l.Ask(t.Context(), l.Gateway(0, 2), Call{ID: "after-" + how, Class: "note", Path: "p1/x"}); h.Status != 200 {
+			waitSettled(t, l)
+			if h := l.Send(t.Context(), l.Gateway(0, 2), Request{ID: "after-" + how, Class: "note", Path: "p1/x"}); h.Status != 200 {
 				t.Errorf("after the cut: %+v", h)
 			}
 		})
@@ -321,13 +321,13 @@
 // A partner's gateway that is killed under a request from another partner: whoever has it in hand there then tells what became
 // of it, and the client hears that from its own gateway.
 func TestPartnerGatewayKilledDuringRequest(t *testing.T) {
-	l := start(t, Options{Custody: "refuse"})
+	l := startFederation(t, Options{Custody: "refuse"})
 	for _, c := range []struct {
 		class        string
 		status, runs int
 	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} { // keys first: who was started anew votes on none for a while
-		of, got, release, waits := l.held(t, Call{ID: "under-" + c.class, Class: c.class, Path: "p1/x"})
-		has := l.owner(t, 1)
+		of, got, release, waits := l.sendHeld(t, Request{ID: "under-" + c.class, Class: c.class, Path: "p1/x"})
+		has := l.activeGateway(t, 1)
 		has.Kill()
 		if c.class == "view" {
 			testpeer.Receive(t, got, "the call at another box")
@@ -337,41 +337,41 @@
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
-		if ran, _ := done(l.Audit.Runs(of)); ran != c.runs {
+		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
 			t.Errorf("%s: it ran %d times, want %d", c.class, ran, c.runs)
 		}
 		if err := has.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
+		waitSettled(t, l)
 	}
 }
 
 // forbidden are requests of p0's clients: their ids say so.
-func forbidden(r Run) bool { return strings.HasPrefix(r.ID, "p0-") }
+func fromPartner0(r Run) bool { return strings.HasPrefix(r.ID, "p0-") }
 
 // A rule that is tightened while the partner concerned is cut off holds at its owner from the apply on, whatever the other
 // still believes; and who is refused by it knows at once.
 func TestExportRuleTightenedDuringPartition(t *testing.T) {
-	l := start(t, Options{Custody: "refuse", Silence: time.Second})
-	ask := func(p, i int, id string) Heard {
-		return l.Ask(t.Context(), l.Gateway(p, i), Call{ID: fmt.Sprintf("p%d-%s", p, id), Class: "note", Path: "p1/x", Wait: 5 * time.Second})
+	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second})
+	ask := func(p, i int, id string) Outcome {
+		return l.Send(t.Context(), l.Gateway(p, i), Request{ID: fmt.Sprintf("p%d-%s", p, id), Class: "note", Path: "p1/x", Timeout: 5 * time.Second})
 	}
 	if h := ask(0, 0, "before"); h.Status != 200 {
 		t.Fatalf("%+v", h)
 	}
-	mend := l.Cut(l.Of(0), l.Of(1), true)
-	for _, g := range l.Of(1) {
-		err := g.Change(t.Context(), func(text string) string {
+	mend := l.Cut(l.PartnerGateways(0), l.PartnerGateways(1), true)
+	for _, g := range l.PartnerGateways(1) {
+		err := g.Reconfigure(t.Context(), func(text string) string {
 			return strings.Replace(text, "path = \"/note/p1/\"\n all = true", "path = \"/note/p1/\"\n to = [\"p2\"]", 1)
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Audit.Forbid(l.now(), 1, "p1 lets p0 have it no more", forbidden)
+	l.Auditor.Forbid(l.elapsed(), 1, "p1 lets p0 have it no more", fromPartner0)
 	testpeer.Until(t, "p0 to be cut off", func() bool {
-		return len(l.Gateway(0, 0).Offers(t.Context()).Stale) > 0
+		return len(l.Gateway(0, 0).RouteStatus(t.Context()).Stale) > 0
 	})
 	mend()
 	for i := range 9 { // some come before p0 has heard anything
@@ -383,8 +383,8 @@
 		}
 	}
 	testpeer.Until(t, "p0's tables to agree", func() bool {
-		for _, g := range l.Of(0) {
-			if g.Offers(t.Context()).Advertisements != 8 {
+		for _, g := range l.PartnerGateways(0) {
+			if g.RouteStatus(t.Context()).Advertisements != 8 {
 				return false
 			}
 		}
@@ -395,10 +395,10 @@
 // A gateway whose links pass next to nothing on is lost to its group within the silence that the file says, and to nobody
 // else: requests that do not need it go on, replicated of those that are left.
 func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
-	l := start(t, Options{Partners: 2, Gateways: 4, Custody: "refuse", Silence: time.Second})
+	l := startFederation(t, Options{Partners: 2, Gateways: 4, Custody: "refuse", Silence: time.Second})
 	slow := l.Gateway(0, 3)
-	for _, g := range l.But(slow) {
-		l.Set(g, slow, link.Shape{Bandwidth: 20})
+	for _, g := range l.GatewaysExcept(slow) {
+		l.SetShape(g, slow, link.Shape{Bandwidth: 20})
 	}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -406,8 +406,8 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			over(stop, func(i int) {
-				h := l.Ask(t.Context(), l.Gateway(0, w%3), Call{ID: fmt.Sprintf("w%d-%d", w, i), Class: "note", Path: fmt.Sprintf("p%d/x", i%2)})
+			repeat(stop, func(i int) {
+				h := l.Send(t.Context(), l.Gateway(0, w%3), Request{ID: fmt.Sprintf("w%d-%d", w, i), Class: "note", Path: fmt.Sprintf("p%d/x", i%2)})
 				if h.Status != 200 {
 					t.Errorf("%+v", h)
 				}
@@ -415,7 +415,7 @@
 		}()
 	}
 	testpeer.Until(t, "its links to end", func() bool {
-		_, to := l.Gateway(0, 0).Links(t.Context())
+		_, to := l.Gateway(0, 0).LinkStats(t.Context())
 		return len(to) > 0 && to["p0/"+slow.Name] == 0
 	})
 	close(stop)
@@ -424,12 +424,12 @@
 
 // A gateway that ends in order gives what it has in hand to another, which goes on with it; nothing waits for a failure.
 func TestShutdownGatewayHandsOver(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Deadline: 20 * time.Second})
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Deadline: 20 * time.Second})
 	owner := l.Gateway(0, 0)
-	got, release := l.Audit.Hold("handed")
+	got, release := l.Auditor.Hold("handed")
 	defer release()
-	request := Call{ID: "handed", Class: "view", Path: "p0/x"}
-	first := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
+	request := Request{ID: "handed", Class: "view", Path: "p0/x"}
+	first := async(func() Outcome { return l.Send(t.Context(), owner, request) })
 	testpeer.Receive(t, got, "the call at its box")
 	if err := owner.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -437,8 +437,8 @@
 	testpeer.Receive(t, got, "the call at another box, by another gateway")
 	release()
 	again := request
-	again.ID, again.Of = "handed-again", "handed"
-	h, _ := l.Insist(t.Context(), l.Gateway(0, 1), again)
+	again.ID, again.RetryOf = "handed-again", "handed"
+	h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), again)
 	if h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
@@ -449,66 +449,66 @@
 }
 
 // Alone, a gateway does what its file says, and a holder that was started anew is no replica in what its earlier incarnation had taken.
-func TestAloneAndAmnesia(t *testing.T) {
+func TestIsolatedGatewayAndRestartedReplica(t *testing.T) {
 	for _, when := range []string{"serve", "refuse"} {
-		l := start(t, Options{Partners: 1, Custody: when})
+		l := startFederation(t, Options{Partners: 1, Custody: when})
 		for _, g := range l.Gateways[1:] {
 			g.Kill()
 		}
 		testpeer.Until(t, "it to be alone", func() bool {
-			return len(l.Gateway(0, 0).Look(t.Context()).Links) == 0
+			return len(l.Gateway(0, 0).Status(t.Context()).Links) == 0
 		})
-		h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "alone-" + when, Class: "note", Path: "p0/x"})
-		if when == "serve" && (h.Status != 200 || h.Settled) || when == "refuse" && (h.Status != 503 || h.Retry <= 0) {
+		h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "alone-" + when, Class: "note", Path: "p0/x"})
+		if when == "serve" && (h.Status != 200 || h.Settled) || when == "refuse" && (h.Status != 503 || h.RetryAfter <= 0) {
 			t.Errorf("%s: %+v", when, h)
 		}
 	}
-	l := start(t, Options{Partners: 1, Custody: "refuse"})
-	got, release := l.Audit.Hold("forgotten")
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse"})
+	got, release := l.Auditor.Hold("forgotten")
 	defer release()
-	behind(func() Heard {
-		return l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "forgotten", Class: "view", Path: "p0/x"})
+	async(func() Outcome {
+		return l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "forgotten", Class: "view", Path: "p0/x"})
 	})
 	testpeer.Receive(t, got, "the call at its box")
 	l.Gateway(0, 1).Kill()
 	if err := l.Gateway(0, 1).Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	settle(t, l)
+	waitSettled(t, l)
 	l.Gateway(0, 0).Kill()
 	// Of its three replicas one is dead and one has forgotten: the third alone decides nothing.
-	h := l.Ask(t.Context(), l.Gateway(0, 1), Call{ID: "forgotten-again", Of: "forgotten", Class: "view", Path: "p0/x", Wait: 2 * time.Second})
+	h := l.Send(t.Context(), l.Gateway(0, 1), Request{ID: "forgotten-again", RetryOf: "forgotten", Class: "view", Path: "p0/x", Timeout: 2 * time.Second})
 	if h.Settled || h.Status == 200 {
 		t.Errorf("%+v", h)
 	}
-	if ran, _ := done(l.Audit.Runs("forgotten")); ran != 1 {
+	if ran, _ := countRuns(l.Auditor.Runs("forgotten")); ran != 1 {
 		t.Errorf("it ran %d times", ran)
 	}
 }
 
 // Past its memory a gateway takes no more into replication, and refuses at once with a time to come back.
 func TestReplicasWithoutCapacityReject(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Memory: "64KiB"})
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Memory: "64KiB"})
 	var releases []func()
 	refused := 0
-	var all []<-chan Heard
+	var all []<-chan Outcome
 	for i := range 120 {
 		id := fmt.Sprint("big", i)
-		_, release := l.Audit.Hold(id)
+		_, release := l.Auditor.Hold(id)
 		releases = append(releases, release)
-		all = append(all, behind(func() Heard {
-			return l.Ask(t.Context(), l.Gateway(0, i%3), Call{ID: id, Class: "note", Path: "p0/x"})
+		all = append(all, async(func() Outcome {
+			return l.Send(t.Context(), l.Gateway(0, i%3), Request{ID: id, Class: "note", Path: "p0/x"})
 		}))
 	}
 	testpeer.Until(t, "a refusal", func() bool {
-		return l.Gateway(0, 0).Custody(t.Context()).Replica.NoCapacity > 0
+		return l.Gateway(0, 0).ReplicationStatus(t.Context()).Replica.NoCapacity > 0
 	})
 	for _, r := range releases {
 		r()
 	}
 	for _, c := range all {
 		h := testpeer.Receive(t, c, "an answer")
-		if h.Status == 503 && h.Retry > 0 {
+		if h.Status == 503 && h.RetryAfter > 0 {
 			refused++
 		} else if h.Status != 200 {
 			t.Errorf("%+v", h)
@@ -520,21 +520,21 @@
 }
 
 // In a group of two the other one takes over by itself; a body that is not kept whole is served, and in nobody's replication.
-func TestAGroupOfTwoAndLongBodies(t *testing.T) {
-	l := start(t, Options{Partners: 1, Gateways: 2, Custody: "refuse"})
-	h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "long", Class: "note", Path: "p0/x", Size: 200_000})
+func TestTwoGatewayGroupAndLongBodies(t *testing.T) {
+	l := startFederation(t, Options{Partners: 1, Gateways: 2, Custody: "refuse"})
+	h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "long", Class: "note", Path: "p0/x", Size: 200_000})
 	if h.Status != 200 || h.Settled || !strings.HasSuffix(h.Body, fmt.Sprintf(" %d bytes", 200_000+len("the work of long"))) {
 		t.Errorf("a long body: %+v", h)
 	}
 	owner := l.Gateway(0, 0)
-	got, release := l.Audit.Hold("two")
+	got, release := l.Auditor.Hold("two")
 	defer release()
-	behind(func() Heard { return l.Ask(t.Context(), owner, Call{ID: "two", Class: "view", Path: "p0/x"}) })
+	async(func() Outcome { return l.Send(t.Context(), owner, Request{ID: "two", Class: "view", Path: "p0/x"}) })
 	testpeer.Receive(t, got, "the call at its box")
 	owner.Kill()
 	testpeer.Receive(t, got, "the call at another box, by the other gateway")
 	release()
-	if h, _ := l.Insist(t.Context(), l.Gateway(0, 1), Call{ID: "two-again", Of: "two", Class: "view", Path: "p0/x"}); h.Status != 200 || !h.Settled {
+	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), Request{ID: "two-again", RetryOf: "two", Class: "view", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/faultbench/federation/gateway.go
+++ b/internal/faultbench/federation/gateway.go
@@ -20,17 +20,17 @@
 
 // Gateway is one gateway.
 type Gateway struct {
-	league  *League
-	Partner int
-	Index   int // among its partner's
-	Name    string
-	IP      string
-	Zone    string
+	federation *Federation
+	Partner    int
+	Index      int // among its partner's
+	Name       string
+	IP         string
+	Zone       string
 
-	seen  string      // where others reach its links and datagrams
-	links *link.Relay // in front of its links
-	calls *link.Relay // in front of partners' requests
-	file  string
+	advertised string      // where others reach its links and datagrams
+	links      *link.Relay // in front of its links
+	calls      *link.Relay // in front of partners' requests
+	file       string
 
 	mu      sync.Mutex
 	process *child.Process
@@ -39,8 +39,8 @@
 }
 
 // newGateway opens what stands before a gateway.
-func (l *League) newGateway(p, i int) (*Gateway, error) {
-	g := &Gateway{league: l, Partner: p, Index: i, Name: fmt.Sprintf("%s-g%d", Name(p), i), Zone: fmt.Sprintf("z%d", i%l.o.Zones),
+func (l *Federation) newGateway(p, i int) (*Gateway, error) {
+	g := &Gateway{federation: l, Partner: p, Index: i, Name: fmt.Sprintf("%s-g%d", PartnerName(p), i), Zone: fmt.Sprintf("z%d", i%l.options.Zones),
 		IP: l.part.IP(1+p, 1+i)}
 	own := netip.MustParseAddrPort(g.IP + ":7946")
 	for range 50 { // the same port has to be free for datagrams and for links
@@ -49,7 +49,7 @@
 			return nil, err
 		}
 		if g.links, err = link.Forward(seen, own.String(), l.dice); err == nil {
-			g.seen = seen
+			g.advertised = seen
 			break
 		}
 	}
@@ -64,23 +64,23 @@
 	return g, nil
 }
 
-func (g *Gateway) keeper() string {
-	return fmt.Sprintf(" keeper \"%s/%s\" {\n address = %q\n }\n", Name(g.Partner), g.Name, g.seen)
+func (g *Gateway) quotaCandidate() string {
+	return fmt.Sprintf(" keeper \"%s/%s\" {\n address = %q\n }\n", PartnerName(g.Partner), g.Name, g.advertised)
 }
 
 // text is a gateway's file.
-func (g *Gateway) text() string {
-	l, o := g.league, g.league.o
+func (g *Gateway) configText() string {
+	l, o := g.federation, g.federation.options
 	var b strings.Builder
 	w := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	w("node %q {\n zone = %q\n admin_socket = %q\n limits {\n memory = \"128MiB\"\n descriptors = 2048\n }", g.Name, g.Zone, g.socket())
 	var seeds []string
-	for _, s := range l.Of(g.Partner) {
+	for _, s := range l.PartnerGateways(g.Partner) {
 		if len(seeds) < 3 {
-			seeds = append(seeds, fmt.Sprintf("%q", s.seen))
+			seeds = append(seeds, fmt.Sprintf("%q", s.advertised))
 		}
 	}
-	w(" peers {\n listen = \"%s:7946\"\n advertise = %q\n key_file = %q\n period = %q\n seeds = [%s]\n }\n}", g.IP, g.seen, l.groupKey(g.Partner), o.Period, strings.Join(seeds, ", "))
+	w(" peers {\n listen = \"%s:7946\"\n advertise = %q\n key_file = %q\n period = %q\n seeds = [%s]\n }\n}", g.IP, g.advertised, l.groupKey(g.Partner), o.Period, strings.Join(seeds, ", "))
 	for _, c := range [][2]string{{"view", "safe"}, {"note", "unsafe"}, {"log", "keyed"}} {
 		w("class %q {\n effect = %q\n aim = %q\n deadline = %q", c[0], c[1], o.Deadline, o.Deadline)
 		if c[1] == "keyed" {
@@ -93,12 +93,12 @@
 	}
 	w("listener \"callers\" {\n address = \"%s:7070\"\n}\nlistener \"partners\" {\n address = \"%s:7071\"\n}", g.IP, g.IP)
 	w("pool \"boxes\" {\n attempts = 3\n copies {\n count = %d\n index = %d\n }\n connections {\n most = 100\n idle = \"60s\"\n connect_timeout = \"1s\"\n }", o.Gateways, g.Index)
-	for _, x := range l.Boxes {
+	for _, x := range l.Servers {
 		if x.Partner == g.Partner {
 			w(" server %q {\n address = %q\n cell = %d\n }", x.Name, x.address, x.Cell)
 		}
 	}
-	n := Name(g.Partner)
+	n := PartnerName(g.Partner)
 	w("}\nroute \"own\" {\n paths = [\"/view/%s/*\", \"/note/%s/*\", \"/log/%s/*\"]\n pool = \"boxes\"\n}", n, n, n)
 	w("federation %q {\n listener = \"partners\"\n calls = %q\n silence = %q\n stale = %q\n memory = %q\n}", n, g.calls.Addr(), o.Silence, o.Stale, o.Memory)
 	for q := range o.Partners {
@@ -106,10 +106,10 @@
 			continue
 		}
 		var at []string
-		for _, x := range l.Of(q) {
-			at = append(at, fmt.Sprintf("%q", x.seen))
+		for _, x := range l.PartnerGateways(q) {
+			at = append(at, fmt.Sprintf("%q", x.advertised))
 		}
-		w("partner %q {\n key_file = %q\n gateways = [%s]\n links = %d\n accept = [\"/view/%s/\", \"/note/%s/\", \"/log/%s/\"]\n}", Name(q), l.pairKey(g.Partner, q), strings.Join(at, ", "), max(1, o.Links), Name(q), Name(q), Name(q))
+		w("partner %q {\n key_file = %q\n gateways = [%s]\n links = %d\n accept = [\"/view/%s/\", \"/note/%s/\", \"/log/%s/\"]\n}", PartnerName(q), l.pairKey(g.Partner, q), strings.Join(at, ", "), max(1, o.Links), PartnerName(q), PartnerName(q), PartnerName(q))
 	}
 	exports := o.Exports
 	if exports == nil {
@@ -117,9 +117,9 @@
 	}
 	w("%s", exports(l, g.Partner))
 	if o.Quota != "" {
-		candidates := l.Keepers(min(3, o.Partners))
-		if o.Apart {
-			candidates = l.keepersOf(g.Partner)
+		candidates := l.QuotaCandidates(min(3, o.Partners))
+		if o.QuotaPerPartner {
+			candidates = l.partnerQuotaCandidates(g.Partner)
 		}
 		w("quota \"notes\" {\n%s\n%s}", o.Quota, candidates)
 	}
@@ -136,17 +136,17 @@
 	return text
 }
 
-func (g *Gateway) socket() string { return filepath.Join(g.league.dir, g.Name+".sock") }
+func (g *Gateway) socket() string { return filepath.Join(g.federation.dir, g.Name+".sock") }
 
 // Calls is where its clients come.
-func (g *Gateway) Calls() string { return g.IP + ":7070" }
+func (g *Gateway) Address() string { return g.IP + ":7070" }
 
 // Start starts its process and returns once that answers.
 func (g *Gateway) Start(ctx context.Context) error {
-	if err := os.WriteFile(g.file, []byte(g.text()), 0o600); err != nil {
+	if err := os.WriteFile(g.file, []byte(g.configText()), 0o600); err != nil {
 		return fmt.Errorf("league: %w", err)
 	}
-	p, err := g.league.spawner.Run(exec.Command(g.league.o.Binary, "serve", g.file), nil, 64<<10, g.env, nil)
+	p, err := g.federation.spawner.Run(exec.Command(g.federation.options.Binary, "serve", g.file), nil, 64<<10, g.env, nil)
 	if err != nil {
 		return fmt.Errorf("league: %w", err)
 	}
@@ -161,7 +161,7 @@
 		}
 		select {
 		case <-p.Done:
-			return fmt.Errorf("league: %s: %s", g.Name, p.Died())
+			return fmt.Errorf("league: %s: %s", g.Name, p.UnexpectedExit())
 		case <-ctx.Done():
 			return fmt.Errorf("league: %s does not answer: %w\n%s", g.Name, ctx.Err(), p.Log)
 		case <-time.After(20 * time.Millisecond):
@@ -170,7 +170,7 @@
 }
 
 // With has the next Start find something in the environment.
-func (g *Gateway) With(env ...string) { g.env = env }
+func (g *Gateway) SetEnv(env ...string) { g.env = env }
 
 // Show is what the gateway tells of itself.
 func (g *Gateway) Show(ctx context.Context) (admin.ShowResponse, error) {
@@ -178,7 +178,7 @@
 }
 
 // Change has the gateway go by an edited file, by plan and apply at once, and returns when it does.
-func (g *Gateway) Change(ctx context.Context, edit func(string) string) error {
+func (g *Gateway) Reconfigure(ctx context.Context, edit func(string) string) error {
 	before, err := g.Show(ctx)
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 	g.edit = edit
 	p := g.process
 	g.mu.Unlock()
-	if err := os.WriteFile(g.file, []byte(g.text()), 0o600); err != nil {
+	if err := os.WriteFile(g.file, []byte(g.configText()), 0o600); err != nil {
 		return fmt.Errorf("league: %w", err)
 	}
 	if err := p.Signal(syscall.SIGHUP); err != nil {
@@ -224,16 +224,16 @@
 }
 
 // Kill ends its process at once.
-func (g *Gateway) Kill() { g.End(syscall.SIGKILL, 0) }
+func (g *Gateway) Kill() { g.Stop(syscall.SIGKILL, 0) }
 
 // End ends its process by a signal, and at once if that has no effect in time.
-func (g *Gateway) End(sig syscall.Signal, within time.Duration) {
+func (g *Gateway) Stop(sig syscall.Signal, within time.Duration) {
 	g.mu.Lock()
 	p := g.process
 	g.process = nil
 	g.mu.Unlock()
 	if p != nil {
-		p.End(sig, within)
+		p.Stop(sig, within)
 	}
 }
 
@@ -250,7 +250,7 @@
 }
 
 // unsettled is what a gateway still lacks.
-func (g *Gateway) unsettled(ctx context.Context, advertisements int) string {
+func (g *Gateway) missing(ctx context.Context, advertisements int) string {
 	s, err := g.Show(ctx)
 	if err != nil || s.Status.Gateway == nil {
 		return fmt.Sprint(err)
@@ -261,25 +261,25 @@
 		to[p]++
 	}
 	living := 0
-	for _, o := range g.league.Of(g.Partner, g) {
+	for _, o := range g.federation.PartnerGateways(g.Partner, g) {
 		if o.Log() != "" {
 			living++
 		}
 	}
-	if to[Name(g.Partner)] < living {
-		return fmt.Sprintf("%d links to its group, want %d", to[Name(g.Partner)], living)
+	if to[PartnerName(g.Partner)] < living {
+		return fmt.Sprintf("%d links to its group, want %d", to[PartnerName(g.Partner)], living)
 	}
-	for p := range g.league.o.Partners {
-		if p != g.Partner && to[Name(p)] == 0 {
-			return "no link to " + Name(p)
+	for p := range g.federation.options.Partners {
+		if p != g.Partner && to[PartnerName(p)] == 0 {
+			return "no link to " + PartnerName(p)
 		}
 	}
 	if n := s.Status.Gateway.Routes.Advertisements; n != advertisements {
 		return fmt.Sprintf("%d offers, want %d", n, advertisements)
 	}
-	for p := range g.league.o.Partners {
-		if p != g.Partner && s.Status.Pools["partner:"+Name(p)].Requests.Ready == 0 {
-			return "no gateway of " + Name(p) + " is known"
+	for p := range g.federation.options.Partners {
+		if p != g.Partner && s.Status.Pools["partner:"+PartnerName(p)].Requests.Ready == 0 {
+			return "no gateway of " + PartnerName(p) + " is known"
 		}
 	}
 	return ""
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -12,20 +12,20 @@
 
 // Links that are reset in the middle of frames, again and again, under requests whose bodies fill many of them: nothing of a half
 // frame is taken, links come back, and each request has one answer.
-func TestLinksThatAreResetInTheMiddleOfFrames(t *testing.T) {
-	l := start(t, Options{Partners: 2, Custody: "refuse"})
+func TestLinksResetMidFrame(t *testing.T) {
+	l := startFederation(t, Options{Partners: 2, Custody: "refuse"})
 	stop := make(chan struct{})
 	var clients, breaker sync.WaitGroup
 	for w := range 6 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			over(stop, func(i int) {
-				c := Call{ID: fmt.Sprintf("r%d-%d", w, i), Class: []string{"note", "log"}[i%2], Path: fmt.Sprintf("p%d/x", i%2), Size: 60_000}
+			repeat(stop, func(i int) {
+				c := Request{ID: fmt.Sprintf("r%d-%d", w, i), Class: []string{"note", "log"}[i%2], Path: fmt.Sprintf("p%d/x", i%2), Size: 60_000}
 				if c.Class == "log" {
 					c.Key = "key-" + c.ID
 				}
-				if h, _ := l.Insist(t.Context(), l.Gateway(w%2, w%3), c); h.Status != 200 && h.Status != 502 {
+				if h, _ := l.SendWithRetry(t.Context(), l.Gateway(w%2, w%3), c); h.Status != 200 && h.Status != 502 {
 					t.Errorf("%+v", h)
 				}
 			})
@@ -34,24 +34,24 @@
 	breaker.Add(1)
 	go func() {
 		defer breaker.Done()
-		over(stop, func(i int) {
+		repeat(stop, func(i int) {
 			l.Gateways[i%len(l.Gateways)].links.Break()
 			time.Sleep(5 * time.Millisecond) // the faults' pace; nothing waits for it
 		})
 	}()
 	testpeer.Until(t, "many links to break", func() bool {
-		s, _ := l.Gateway(0, 0).Links(t.Context())
+		s, _ := l.Gateway(0, 0).LinkStats(t.Context())
 		return s.Ended["broken"] > 30
 	})
 	close(stop)
 	breaker.Wait()
 	clients.Wait()
-	settle(t, l)
+	waitSettled(t, l)
 	for i, g := range l.Gateways {
-		if s, _ := g.Links(t.Context()); s.Ended["malformed"] > 0 {
+		if s, _ := g.LinkStats(t.Context()); s.Ended["malformed"] > 0 {
 			t.Errorf("%s: %+v", g.Name, s)
 		}
-		if h := l.Ask(t.Context(), g, Call{ID: fmt.Sprint("after", i), Class: "note", Path: Name(g.Partner) + "/x"}); h.Status != 200 || !h.Settled {
+		if h := l.Send(t.Context(), g, Request{ID: fmt.Sprint("after", i), Class: "note", Path: PartnerName(g.Partner) + "/x"}); h.Status != 200 || !h.Settled {
 			t.Errorf("%+v", h)
 		}
 	}
@@ -59,38 +59,38 @@
 
 // A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another incarnation: the links that were
 // left half open end by their silence, the new incarnation's take their place, and it holds requests again.
-func TestHalfOpenLink(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
+func TestHalfOpenLinkIsReplaced(t *testing.T) {
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
 	gone := l.Gateway(0, 1)
-	_, before := l.Gateway(0, 0).Links(t.Context())
+	_, before := l.Gateway(0, 0).LinkStats(t.Context())
 	who := "p0/" + gone.Name
-	mend := l.Cut([]*Gateway{gone}, l.But(gone), true)
+	mend := l.Cut([]*Gateway{gone}, l.GatewaysExcept(gone), true)
 	gone.Kill()
 	testpeer.Until(t, "the half-open links to end", func() bool {
-		for _, g := range l.But(gone) {
-			if s, to := g.Links(t.Context()); to[who] != 0 || s.Ended["silent"] == 0 {
+		for _, g := range l.GatewaysExcept(gone) {
+			if s, to := g.LinkStats(t.Context()); to[who] != 0 || s.Ended["silent"] == 0 {
 				return false
 			}
 		}
 		return true
 	})
 	// One holder fewer is no reason to wait: two of three are a majority.
-	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
+	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
 	if err := gone.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	mend()
-	settle(t, l)
-	if _, after := l.Gateway(0, 0).Links(t.Context()); after[who] == 0 || after[who] == before[who] {
+	waitSettled(t, l)
+	if _, after := l.Gateway(0, 0).LinkStats(t.Context()); after[who] == 0 || after[who] == before[who] {
 		t.Errorf("the life at the other end was %d and is %d", before[who], after[who])
 	}
-	held := gone.Custody(t.Context()).Replica.Entries
-	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
+	held := gone.ReplicationStatus(t.Context()).Replica.Entries
+	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Entries > held })
+	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.ReplicationStatus(t.Context()).Replica.Entries > held })
 }
 
 // p2 knows p0 only through p1, which passes p0's offers on: a request goes through p1's hands, and draws and is held on the way as
@@ -114,25 +114,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Boxes: 2, Custody: "refuse", Silence: testpeer.Limit, Deadline: 30 * time.Second, Edit: transit})
+	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Servers: 2, Custody: "refuse", Silence: testpeer.Limit, Deadline: 30 * time.Second, Edit: transit})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, b := range l.Audit.Breaches() {
+		for _, b := range l.Auditor.Breaches() {
 			t.Errorf("breach: %s", b)
 		}
 		l.Close()
 	})
 	has := func(g *Gateway) (is bool) {
-		for _, o := range g.Offers(t.Context()).Routes {
+		for _, o := range g.RouteStatus(t.Context()).Routes {
 			is = is || o.ID == "p0/note" && o.Best && strings.Join(o.Path, " ") == "p1 p0"
 		}
 		return is
 	}
 	all := func(want bool) func() bool {
 		return func() bool {
-			for _, g := range l.Of(2) {
+			for _, g := range l.PartnerGateways(2) {
 				if has(g) != want {
 					return false
 				}
@@ -142,29 +142,29 @@
 	}
 	testpeer.Until(t, "p2 to have p0's offer through p1", all(true))
 	for i := range 3 {
-		h, _ := l.Insist(t.Context(), l.Gateway(2, i), Call{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
+		h, _ := l.SendWithRetry(t.Context(), l.Gateway(2, i), Request{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
 		if h.Status != 200 || !h.Settled || !strings.HasPrefix(h.Body, "p0-b") {
 			t.Errorf("%+v", h)
 		}
 	}
-	for _, g := range l.Of(0) {
-		err := g.Change(t.Context(), func(text string) string {
+	for _, g := range l.PartnerGateways(0) {
+		err := g.Reconfigure(t.Context(), func(text string) string {
 			return strings.ReplaceAll(text, " all = true\n transit = true\n hands = 2\n", " all = true\n")
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Audit.Forbid(l.now(), 0, "p0 lets nobody pass it on", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
+	l.Auditor.Forbid(l.elapsed(), 0, "p0 lets nobody pass it on", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
 	for i := range 6 { // some come before p2 has heard anything
-		h := l.Ask(t.Context(), l.Gateway(2, i%3), Call{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Wait: 2 * time.Second})
+		h := l.Send(t.Context(), l.Gateway(2, i%3), Request{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Timeout: 2 * time.Second})
 		if h.Status == 200 {
 			t.Errorf("%+v", h)
 		}
 	}
 	testpeer.Until(t, "the withdrawal to reach p2", all(false))
 	// Its group may not have linked by now, which is refused with a time to come again.
-	if h, _ := l.Insist(t.Context(), l.Gateway(1, 0), Call{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
+	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(1, 0), Request{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
 		t.Errorf("p1 itself: %+v", h)
 	}
 }
--- /dev/null
+++ b/internal/faultbench/federation/scenario.go
@@ -0,0 +1,457 @@
+package federation
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"damsontrestle/internal/faultbench/link"
+	"damsontrestle/internal/quota"
+)
+
+// Day is what a league is put through.
+type Scenario struct {
+	Name          string
+	Fault         string        // none, kill, stop, cut, one-way, stall, quota leader, rules
+	FaultInterval time.Duration // between two faults
+	FaultDuration time.Duration // that each lasts
+	Length        time.Duration
+	Rate          float64 // requests a second that come to each gateway
+	Away          float64 // share of requests for another partner
+	Uneven        float64 // by how much more come to the gateways of the first partner, the third and so on, and less to the others'
+	Patience      time.Duration
+	Doubt         time.Duration // after which a client without an answer asks another gateway
+	Seed          uint64
+	Bound         func(window time.Duration) float64 // of notes; nil: there is no quota
+}
+
+// Faults are the kinds of a Day's.
+var Faults = []string{"none", "kill", "stop", "cut", "one-way", "stall", "keeper", "rules"}
+
+// Figures are what a day came to.
+type Figures struct {
+	Calls, Served, Refused, Failed, Unanswered int
+	FailedBy                                   map[string]int // by class, and whether it was settled
+	Struck                                     int            // faults
+	// Requests that a gateway had in hand when it was killed or stopped, with a second left at least.
+	InHand, InHandServed int
+	MayRepeat, MayServed int           // of them, such as may be sent again: safe and keyed ones
+	Takeover             time.Duration // median, from the kill to the answer elsewhere
+	P50, P99             time.Duration
+	P99Apart             time.Duration // of requests that came neither to a gateway that was stalled nor went to its partner
+	Agree                time.Duration // longest until all tables of each partner agreed, after a fault or a change
+	Disagreed            int           // times that they did not within 2 s
+	MostIn1s, MostIn10s  int           // notes
+	Over                 float64       // most notes in a window, against what the terms bound in it
+	Breaches             []string
+	Late                 time.Duration // most by which a request was sent after it was due
+	Purses               quota.Counts  // of all gateways that run at the end together
+	Notes                float64       // that began a second
+}
+
+// open is a request that a client waits for.
+type openRequest struct {
+	class           string
+	deadline        time.Time
+	gateway         *Gateway
+	struckAt        time.Time // when its gateway was struck
+	affectedByStall bool      // a gateway was stalled that it needed, or might have
+}
+
+// Play plays a day on a league that has started.
+func (l *Federation) Play(ctx context.Context, scenario Scenario) *Figures {
+	figures := &Figures{}
+	var (
+		mu                  sync.Mutex
+		requests            = map[string]*openRequest{}
+		latencies           []time.Duration
+		unaffectedLatencies []time.Duration
+		stalledGateway      *Gateway // that is stalled
+		takeovers           []time.Duration
+		all                 sync.WaitGroup
+	)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	begin := time.Now()
+	markAffected := func(g *Gateway) {
+		mu.Lock()
+		defer mu.Unlock()
+		now := time.Now()
+		for _, c := range requests {
+			if c.gateway == g && c.struckAt.IsZero() && c.deadline.Sub(now) >= time.Second {
+				c.struckAt = now
+				figures.InHand++
+				if c.class != "note" {
+					figures.MayRepeat++
+				}
+			}
+		}
+	}
+	runRequest := func(rng *rand.Rand, g *Gateway, id string) {
+		defer all.Done()
+		c := Request{ID: id, Timeout: scenario.Patience, AttemptTimeout: scenario.Doubt}
+		switch x := rng.Float64(); {
+		case x < 0.4:
+			c.Class = "view"
+		case x < 0.7:
+			c.Class = "note"
+		default:
+			c.Class, c.Key = "log", "key-"+id
+		}
+		to := g.Partner
+		if rng.Float64() < scenario.Away {
+			to = (to + 1 + rng.IntN(l.options.Partners-1)) % l.options.Partners
+		}
+		c.Path = PartnerName(to) + "/x"
+		o := &openRequest{class: c.Class, deadline: time.Now().Add(scenario.Patience), gateway: g}
+		near := func() bool {
+			return stalledGateway != nil && (stalledGateway == g || to != g.Partner && to == stalledGateway.Partner)
+		}
+		mu.Lock()
+		requests[id] = o
+		o.affectedByStall = near()
+		mu.Unlock()
+		sent := time.Now()
+		var h Outcome
+		if l.options.Custody != "" {
+			h, _ = l.SendWithRetry(ctx, g, c)
+		} else {
+			h = l.sendUnreplicated(ctx, g, c)
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		delete(requests, id)
+		if ctx.Err() != nil {
+			return
+		}
+		figures.Calls++
+		inTime := h.Status == 200 && time.Since(sent) <= scenario.Patience+50*time.Millisecond
+		switch {
+		case inTime:
+			figures.Served++
+			latencies = append(latencies, time.Since(sent))
+			if !o.affectedByStall && !near() {
+				unaffectedLatencies = append(unaffectedLatencies, time.Since(sent))
+			}
+		case h.Status == 503:
+			figures.Refused++
+		case h.Status != 0:
+			figures.Failed++
+			if figures.FailedBy == nil {
+				figures.FailedBy = map[string]int{}
+			}
+			by := c.Class
+			if h.Settled {
+				by += " settled"
+			}
+			if to != g.Partner {
+				by += " away"
+			}
+			figures.FailedBy[by]++
+		default:
+			figures.Unanswered++
+		}
+		if !o.struckAt.IsZero() {
+			if inTime {
+				figures.InHandServed++
+				if c.Class != "note" {
+					figures.MayServed++
+				}
+				if h.Gateway != g.Name {
+					takeovers = append(takeovers, time.Since(o.struckAt))
+				}
+			}
+		}
+	}
+	var streams sync.WaitGroup
+	for i, g := range l.Gateways {
+		streams.Add(1)
+		go func() {
+			defer streams.Done()
+			rng := rand.New(rand.NewPCG(scenario.Seed, uint64(i)))
+			rate := scenario.Rate * (1 + scenario.Uneven)
+			if g.Partner%2 == 1 {
+				rate = scenario.Rate * (1 - scenario.Uneven)
+			}
+			due := begin
+			for n := 0; ; n++ {
+				due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+				if due.Sub(begin) > scenario.Length {
+					return
+				}
+				select {
+				case <-ctx.Done():
+					return
+				case <-time.After(time.Until(due)):
+				}
+				mu.Lock()
+				figures.Late = max(figures.Late, time.Since(due))
+				mu.Unlock()
+				all.Add(1)
+				go runRequest(rand.New(rand.NewPCG(scenario.Seed+uint64(n)<<20, uint64(i))), g, fmt.Sprintf("%s-%d-%d", PartnerName(g.Partner), i, n))
+			}
+		}()
+	}
+	faults := make(chan struct{})
+	go func() {
+		defer close(faults)
+		l.injectFaults(ctx, scenario, begin, figures, markAffected, func(g *Gateway) {
+			mu.Lock()
+			defer mu.Unlock()
+			stalledGateway = g
+		})
+	}()
+	streams.Wait()
+	<-faults
+	all.Wait()
+	slices.Sort(latencies)
+	slices.Sort(takeovers)
+	if n := len(latencies); n > 0 {
+		figures.P50, figures.P99 = latencies[n/2], latencies[n*99/100]
+	}
+	slices.Sort(unaffectedLatencies)
+	if n := len(unaffectedLatencies); n > 0 {
+		figures.P99Apart = unaffectedLatencies[n*99/100]
+	}
+	if n := len(takeovers); n > 0 {
+		figures.Takeover = takeovers[n/2]
+	}
+	for _, g := range l.Gateways {
+		c := g.QuotaStatus(ctx).Counts
+		figures.Purses.Drawn, figures.Purses.Rejected, figures.Purses.OwnFloor = figures.Purses.Drawn+c.Drawn, figures.Purses.Rejected+c.Rejected, figures.Purses.OwnFloor+c.OwnFloor
+		figures.Purses.Wasted, figures.Purses.Granted, figures.Purses.OnTimeRetries = figures.Purses.Wasted+c.Wasted, figures.Purses.Granted+c.Granted, figures.Purses.OnTimeRetries+c.OnTimeRetries
+	}
+	figures.Notes = float64(l.Auditor.CountRuns("note", begin.Sub(l.startTime), begin.Sub(l.startTime)+scenario.Length)) / scenario.Length.Seconds()
+	figures.MostIn1s, _ = l.Auditor.MaxInWindow("note", time.Second)
+	figures.MostIn10s, _ = l.Auditor.MaxInWindow("note", 10*time.Second)
+	if scenario.Bound != nil {
+		for w, most := range map[time.Duration]int{time.Second: figures.MostIn1s, 10 * time.Second: figures.MostIn10s} {
+			// A request comes to its server a little after its draw: windows of draws may be that much longer.
+			figures.Over = max(figures.Over, float64(most)/scenario.Bound(w+figures.P99))
+		}
+	}
+	figures.Breaches = l.Auditor.Breaches()
+	return figures
+}
+
+// byThemselves is a client's without replication: it asks another gateway for what is harmless to send again, and for nothing else.
+func (l *Federation) sendUnreplicated(ctx context.Context, at *Gateway, c Request) Outcome {
+	group := l.PartnerGateways(at.Partner)
+	until := time.Now().Add(c.Timeout)
+	first, i := c.ID, at.Index
+	for try := 1; ; try++ {
+		c.Timeout = time.Until(until)
+		h := l.Send(ctx, group[i%len(group)], c)
+		again := h.Status == 503 || h.Status == 0 && c.Class != "note"
+		if !again || time.Until(until) < 20*time.Millisecond || ctx.Err() != nil {
+			return h
+		}
+		time.Sleep(max(h.RetryAfter, 5*time.Millisecond))
+		c.RetryOf, c.OmitRetryOf, c.ID = first, true, fmt.Sprintf("%s-%d", first, try)
+		i++
+	}
+}
+
+// faults strikes until the day is over.
+func (l *Federation) injectFaults(ctx context.Context, scenario Scenario, begin time.Time, figures *Figures, markAffected, setStalled func(*Gateway)) {
+	if scenario.Fault == "none" {
+		return
+	}
+	rng := rand.New(rand.NewPCG(scenario.Seed, 1<<40))
+	var recoveries sync.WaitGroup
+	defer recoveries.Wait()
+	down := map[*Gateway]bool{}
+	var mu sync.Mutex
+	pause := func(t time.Duration) bool {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(t):
+			return true
+		}
+	}
+	pick := func() *Gateway {
+		mu.Lock()
+		defer mu.Unlock()
+		for range 100 {
+			if g := l.Gateways[rng.IntN(len(l.Gateways))]; !down[g] {
+				down[g] = true
+				return g
+			}
+		}
+		return nil
+	}
+	markUp := func(g *Gateway) {
+		mu.Lock()
+		defer mu.Unlock()
+		delete(down, g)
+	}
+	for n := 0; time.Since(begin) < scenario.Length-scenario.FaultDuration; n++ {
+		if !pause(scenario.FaultInterval) {
+			return
+		}
+		figures.Struck++
+		switch scenario.Fault {
+		case "kill", "keeper":
+			g := pick()
+			if scenario.Fault == "keeper" {
+				for _, k := range l.Gateways {
+					if k.QuotaStatus(ctx).IsLeader {
+						markUp(g)
+						g = k
+					}
+				}
+			}
+			if g == nil {
+				continue
+			}
+			markAffected(g)
+			g.Kill()
+			recoveries.Add(1)
+			go func() {
+				defer recoveries.Done()
+				defer markUp(g)
+				if pause(scenario.FaultDuration) {
+					if err := g.Start(ctx); err != nil && ctx.Err() == nil {
+						l.options.Log("%v", err)
+					}
+				}
+			}()
+		case "stop":
+			g := pick()
+			if g == nil {
+				continue
+			}
+			markAffected(g)
+			g.Signal(syscall.SIGSTOP)
+			recoveries.Add(1)
+			go func() {
+				defer recoveries.Done()
+				defer markUp(g)
+				pause(scenario.FaultDuration)
+				g.Signal(syscall.SIGCONT)
+			}()
+		case "cut", "one-way":
+			p := n % l.options.Partners
+			heal := l.Cut(l.PartnerGateways(p), l.GatewaysExcept(l.PartnerGateways(p)...), scenario.Fault == "cut")
+			pause(scenario.FaultDuration)
+			heal()
+			l.awaitAgreement(ctx, figures)
+		case "stall":
+			g := pick()
+			setStalled(g)
+			for _, o := range l.GatewaysExcept(g) {
+				l.SetShape(o, g, link.Shape{Bandwidth: 20})
+			}
+			pause(scenario.FaultDuration)
+			setStalled(nil)
+			for _, o := range l.GatewaysExcept(g) {
+				l.SetShape(o, g, link.Shape{})
+			}
+			markUp(g)
+		case "rules":
+			p := n % l.options.Partners
+			excluded := (p + 1) % l.options.Partners
+			var to []string
+			for q := range l.options.Partners {
+				if q != p && q != excluded {
+					to = append(to, fmt.Sprintf("%q", PartnerName(q)))
+				}
+			}
+			oldRule := fmt.Sprintf("path = \"/note/%s/\"\n all = true", PartnerName(p))
+			newRule := fmt.Sprintf("path = \"/note/%s/\"\n to = [%s]", PartnerName(p), strings.Join(to, ", "))
+			l.reconfigure(ctx, l.PartnerGateways(p), func(text string) string { return strings.Replace(text, oldRule, newRule, 1) })
+			from := l.elapsed()
+			end := make(chan struct{})
+			l.Auditor.Forbid(from, p, fmt.Sprintf("%s lets %s have it no more", PartnerName(p), PartnerName(excluded)), func(r Run) bool {
+				select {
+				case <-end:
+					return false
+				default:
+				}
+				return r.Class == "note" && strings.HasPrefix(r.ID, PartnerName(excluded)+"-") && r.At > from+200*time.Millisecond
+			})
+			l.awaitAgreement(ctx, figures)
+			pause(scenario.FaultDuration)
+			runs := l.Auditor.Breaches()
+			close(end)
+			figures.Breaches = append(figures.Breaches, runs...)
+			l.reconfigure(ctx, l.PartnerGateways(p), func(text string) string { return text })
+			l.awaitAgreement(ctx, figures)
+		}
+	}
+}
+
+// each changes some gateways' files at once.
+func (l *Federation) reconfigure(ctx context.Context, some []*Gateway, edit func(string) string) {
+	var all sync.WaitGroup
+	for _, g := range some {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			if err := g.Reconfigure(ctx, edit); err != nil && ctx.Err() == nil {
+				l.options.Log("%v", err)
+			}
+		}()
+	}
+	all.Wait()
+}
+
+// agree waits until all gateways of each partner act on one table, and notes how long that took.
+func (l *Federation) awaitAgreement(ctx context.Context, figures *Figures) {
+	begin := time.Now()
+	for ctx.Err() == nil && time.Since(begin) < 10*time.Second {
+		digests := map[int]map[uint64]bool{}
+		var mu sync.Mutex
+		var all sync.WaitGroup
+		for _, g := range l.Gateways {
+			all.Add(1)
+			go func() {
+				defer all.Done()
+				if s := g.Status(ctx); s.Partner != "" {
+					mu.Lock()
+					defer mu.Unlock()
+					if digests[g.Partner] == nil {
+						digests[g.Partner] = map[uint64]bool{}
+					}
+					digests[g.Partner][s.Routes.Digest] = true
+				}
+			}()
+		}
+		all.Wait()
+		if !slices.ContainsFunc(slices.Collect(func(yield func(int) bool) {
+			for _, m := range digests {
+				if !yield(len(m)) {
+					return
+				}
+			}
+		}), func(n int) bool { return n != 1 }) {
+			break
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	took := time.Since(begin)
+	figures.Agree = max(figures.Agree, took)
+	if took > 2*time.Second {
+		figures.Disagreed++
+	}
+}
+
+// Line is the figures in a row for people.
+func (f *Figures) Line() string {
+	share := func(a, b int) string {
+		if b == 0 {
+			return "-"
+		}
+		return fmt.Sprintf("%.3f", float64(a)/float64(b))
+	}
+	return fmt.Sprintf("served %s of %d (refused %d, failed %d %v, unanswered %d); %d faults; in hand %d, served %s, of those that may be sent again %s; takeover %v; p50 %v, p99 %v, apart from what was stalled %v; tables agree after %v (%d times not in 2 s); notes %.1f a second, %d in 1 s, %d in 10 s, %.2f of the bound, tokens drawn %d of %d given, %d wasted, %d of %d refused came when they were told; late %v; %d breaches",
+		share(f.Served, f.Calls), f.Calls, f.Refused, f.Failed, f.FailedBy, f.Unanswered, f.Struck, f.InHand, share(f.InHandServed, f.InHand), share(f.MayServed, f.MayRepeat),
+		f.Takeover.Round(time.Millisecond), f.P50.Round(100*time.Microsecond), f.P99.Round(time.Millisecond), f.P99Apart.Round(time.Millisecond), f.Agree.Round(10*time.Millisecond), f.Disagreed,
+		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Granted, f.Purses.Wasted, f.Purses.OnTimeRetries, f.Purses.Rejected, f.Late.Round(time.Millisecond), len(f.Breaches))
+}
--- a/internal/faultbench/federation/server.go
+++ b/internal/faultbench/federation/server.go
@@ -11,93 +11,93 @@
 )
 
 // Box is a log server of a partner: it takes a while for each request, and discards repeats of a key as all of its cell do.
-type Box struct {
-	league  *League
-	Partner int
-	Name    string
-	Cell    int
-	address string
-	srv     *http.Server
+type Server struct {
+	federation *Federation
+	Partner    int
+	Name       string
+	Cell       int
+	address    string
+	httpServer *http.Server
 }
 
 // cell is what the servers of a partner's cell remember together.
 type cell struct {
-	mu   sync.Mutex
-	ran  map[string]string        // answers by key
-	busy map[string]chan struct{} // keys in work
+	mu         sync.Mutex
+	responses  map[string]string        // answers by key
+	inProgress map[string]chan struct{} // keys in work
 }
 
-func newBox(l *League, partner, i int) (*Box, error) {
+func newServer(l *Federation, partner, i int) (*Server, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("league: %w", err)
 	}
-	b := &Box{league: l, Partner: partner, Name: fmt.Sprintf("%s-b%d", Name(partner), i), Cell: i % 2, address: ln.Addr().String()}
-	b.srv = &http.Server{Handler: b}
-	go b.srv.Serve(ln)
+	b := &Server{federation: l, Partner: partner, Name: fmt.Sprintf("%s-b%d", PartnerName(partner), i), Cell: i % 2, address: ln.Addr().String()}
+	b.httpServer = &http.Server{Handler: b}
+	go b.httpServer.Serve(ln)
 	return b, nil
 }
 
-func (b *Box) close() { b.srv.Close() }
+func (b *Server) close() { b.httpServer.Close() }
 
 // ServeHTTP runs a request.
-func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		return
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	id, key := r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")
-	a := b.league.Audit
+	a := b.federation.Auditor
 	c := a.cellOf(b.Partner, b.Cell)
 	if key != "" {
-		if text, done := c.before(r, key); done {
-			a.ran(Run{ID: id, Key: key, Class: class, Path: r.URL.Path, Box: b.Name, Partner: b.Partner, At: b.league.now(), Dropped: true})
+		if text, done := c.claim(r, key); done {
+			a.recordRun(Run{ID: id, Key: key, Class: class, Path: r.URL.Path, Server: b.Name, Partner: b.Partner, At: b.federation.elapsed(), Dropped: true})
 			io.WriteString(w, text)
 			return
 		}
 	}
-	n := a.ran(Run{ID: id, Key: key, Class: class, Path: r.URL.Path, Box: b.Name, Partner: b.Partner, At: b.league.now()})
+	n := a.recordRun(Run{ID: id, Key: key, Class: class, Path: r.URL.Path, Server: b.Name, Partner: b.Partner, At: b.federation.elapsed()})
 	text := fmt.Sprintf("%s ran %s, time %d, %d bytes", b.Name, id, n, len(body))
-	if h := a.held(id); h != nil {
-		h.got <- b.Name
+	if h := a.holdFor(id); h != nil {
+		h.received <- b.Name
 		<-h.release
-	} else if d := b.league.o.Service; d > 0 {
+	} else if d := b.federation.options.Service; d > 0 {
 		time.Sleep(d)
 	}
 	if key != "" {
-		c.done(key, text)
+		c.complete(key, text)
 	}
 	io.WriteString(w, text)
 }
 
 // before waits for the work of a key that another has begun. false: this one begins it.
-func (c *cell) before(r *http.Request, key string) (string, bool) {
+func (c *cell) claim(r *http.Request, key string) (string, bool) {
 	for {
 		c.mu.Lock()
-		if text, ok := c.ran[key]; ok {
+		if text, ok := c.responses[key]; ok {
 			c.mu.Unlock()
 			return text, true
 		}
-		wait, under := c.busy[key]
-		if !under {
-			c.busy[key] = make(chan struct{})
+		finished, claimed := c.inProgress[key]
+		if !claimed {
+			c.inProgress[key] = make(chan struct{})
 			c.mu.Unlock()
 			return "", false
 		}
 		c.mu.Unlock()
 		select {
-		case <-wait:
+		case <-finished:
 		case <-r.Context().Done():
 			return "", true
 		}
 	}
 }
 
-func (c *cell) done(key, text string) {
+func (c *cell) complete(key, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ran[key] = text
-	close(c.busy[key])
-	delete(c.busy, key)
+	c.responses[key] = text
+	close(c.inProgress[key])
+	delete(c.inProgress, key)
 }
--- a/internal/faultbench/federation/look.go
+++ b/internal/faultbench/federation/status.go
@@ -11,7 +11,7 @@
 )
 
 // Look is what a gateway's process tells of its part in the federation; nothing where it does not answer.
-func (g *Gateway) Look(ctx context.Context) gateway.Status {
+func (g *Gateway) Status(ctx context.Context) gateway.Status {
 	s, err := g.Show(ctx)
 	if err != nil || s.Status.Gateway == nil {
 		return gateway.Status{}
@@ -20,8 +20,8 @@
 }
 
 // Links are what its links did, and the incarnation of each gateway that it has one to.
-func (g *Gateway) Links(ctx context.Context) (peering.Stats, map[string]uint64) {
-	s := g.Look(ctx)
+func (g *Gateway) LinkStats(ctx context.Context) (peering.Stats, map[string]uint64) {
+	s := g.Status(ctx)
 	to := map[string]uint64{}
 	for _, l := range s.Links {
 		to[l.Gateway] = l.Incarnation
@@ -30,10 +30,12 @@
 }
 
 // Custody is its part replicated.
-func (g *Gateway) Custody(ctx context.Context) replication.Status { return g.Look(ctx).Replication }
+func (g *Gateway) ReplicationStatus(ctx context.Context) replication.Status {
+	return g.Status(ctx).Replication
+}
 
 // Offers is its table.
-func (g *Gateway) Offers(ctx context.Context) routeexchange.Status { return g.Look(ctx).Routes }
+func (g *Gateway) RouteStatus(ctx context.Context) routeexchange.Status { return g.Status(ctx).Routes }
 
 // Notes is its limiter of the quota "notes".
-func (g *Gateway) Notes(ctx context.Context) quota.Status { return g.Look(ctx).Quotas["notes"] }
+func (g *Gateway) QuotaStatus(ctx context.Context) quota.Status { return g.Status(ctx).Quotas["notes"] }
--- a/internal/faultbench/federation/silent_test.go
+++ b/internal/faultbench/federation/suspend_test.go
@@ -11,10 +11,10 @@
 )
 
 // owner is the gateway of a partner that has a request in hand.
-func (l *League) owner(t *testing.T, partner int) (has *Gateway) {
+func (l *Federation) activeGateway(t *testing.T, partner int) (has *Gateway) {
 	t.Helper()
-	for _, g := range l.Of(partner) {
-		if g.Custody(t.Context()).Active > 0 {
+	for _, g := range l.PartnerGateways(partner) {
+		if g.ReplicationStatus(t.Context()).Active > 0 {
 			has = g
 		}
 	}
@@ -26,14 +26,14 @@
 
 // held asks p0's first gateway for a request and waits until a server has it, which keeps it until release. of is what the auditor knows
 // it by, got hears of further servers.
-func (l *League) held(t *testing.T, c Call) (of string, got <-chan string, release func(), waits <-chan Heard) {
+func (l *Federation) sendHeld(t *testing.T, c Request) (of string, got <-chan string, release func(), waits <-chan Outcome) {
 	t.Helper()
 	of = c.ID
 	if c.Class == "log" {
 		c.Key, of = "key-"+c.ID, "key-"+c.ID
 	}
-	got, release = l.Audit.Hold(c.ID)
-	waits = behind(func() Heard { return l.Ask(t.Context(), l.Gateway(0, 0), c) })
+	got, release = l.Auditor.Hold(c.ID)
+	waits = async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), c) })
 	testpeer.Receive(t, got, "the call at its box")
 	return of, got, release, waits
 }
@@ -41,13 +41,13 @@
 // A partner's gateway is stopped while it has a request of ours in hand: its connection stands and says nothing. Others of its
 // group have lost it, and tell what became of the request; nobody waits for the deadline. Awake, it begins nothing.
 func TestPartnerGatewaySuspendedDuringRequest(t *testing.T) {
-	l := start(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
+	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
 	for _, c := range []struct {
 		class        string
 		status, runs int
 	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} {
-		of, got, release, waits := l.held(t, Call{ID: "stopped-" + c.class, Class: c.class, Path: "p1/x"})
-		has := l.owner(t, 1)
+		of, got, release, waits := l.sendHeld(t, Request{ID: "stopped-" + c.class, Class: c.class, Path: "p1/x"})
+		has := l.activeGateway(t, 1)
 		if err := has.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
@@ -62,8 +62,8 @@
 		if err := has.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
-		if ran, _ := done(l.Audit.Runs(of)); ran != c.runs {
+		waitSettled(t, l)
+		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
 			t.Errorf("%s: it ran %d times, want %d", c.class, ran, c.runs)
 		}
 	}
@@ -73,28 +73,28 @@
 // one sooner, and another serves the request while the link still stands.
 func TestSilentReplicaIsSuspectedBeforeLinkEnds(t *testing.T) {
 	const silence = 6 * time.Second
-	l := start(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
+	l := startFederation(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
 	owner, successor := l.Gateway(0, 0), l.Gateway(0, 1)
 	n := 0
 	testpeer.Until(t, "a call to be served by an heir whose link to the stopped owner stands", func() bool {
 		n++
 		owner.Kill()
-		owner.With("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
+		owner.SetEnv("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
 		if err := owner.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
-		incarnation := owner.Look(t.Context()).Incarnation
-		request := Call{ID: "short" + strings.Repeat("'", n), Class: "view", Path: "p0/x", Wait: 10 * time.Second}
-		waits := behind(func() Heard { return l.Ask(t.Context(), owner, request) })
+		waitSettled(t, l)
+		incarnation := owner.Status(t.Context()).Incarnation
+		request := Request{ID: "short" + strings.Repeat("'", n), Class: "view", Path: "p0/x", Timeout: 10 * time.Second}
+		waits := async(func() Outcome { return l.Send(t.Context(), owner, request) })
 		again := request
-		again.ID, again.Of = request.ID+"-again", request.ID
-		var h Heard
+		again.ID, again.RetryOf = request.ID+"-again", request.ID
+		var h Outcome
 		for begin := time.Now(); !h.Settled && time.Since(begin) < testpeer.Limit; { // at first nobody may hold it
 			again.ID += "'"
-			h, _ = l.Insist(t.Context(), successor, again)
+			h, _ = l.SendWithRetry(t.Context(), successor, again)
 		}
-		_, links := successor.Links(t.Context())
+		_, links := successor.LinkStats(t.Context())
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
@@ -106,9 +106,9 @@
 // Gateways of a group are restarted one after another, faster than the longest deadline: each learns again which keys its earlier
 // life may have voted for, so that new keys are taken at once and what was asked for before is told and not run again.
 func TestRestartedGroupAcceptsKeys(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * testpeer.Limit})
-	ask := func(at *Gateway, id, key string) Heard {
-		return l.Ask(t.Context(), at, Call{ID: id, Class: "log", Path: "p0/x", Key: key, Wait: testpeer.Limit})
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * testpeer.Limit})
+	ask := func(at *Gateway, id, key string) Outcome {
+		return l.Send(t.Context(), at, Request{ID: id, Class: "log", Path: "p0/x", Key: key, Timeout: testpeer.Limit})
 	}
 	var keys []string
 	for round := range 2 * len(l.Gateways) {
@@ -128,12 +128,12 @@
 		if err := at.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		settle(t, l)
-		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.Custody(t.Context()).Recovered > 0 })
+		waitSettled(t, l)
+		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.ReplicationStatus(t.Context()).Recovered > 0 })
 	}
 	for i, key := range keys {
 		h := ask(l.Gateways[i%len(l.Gateways)], "again-"+key, key)
-		ran, dropped := done(l.Audit.Runs(key))
+		ran, dropped := countRuns(l.Auditor.Runs(key))
 		if ran != 1 || h.Status == 200 && !h.Settled {
 			t.Errorf("%s: it ran %d times and %d times as a repeat; asked for again: %+v", key, ran, dropped, h)
 		}
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -157,7 +157,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("node %d: not ready in time: %w\n%s", n.index, ctx.Err(), p.Log)
 		case <-p.Done:
-			return fmt.Errorf("node %d: %s", n.index, p.Died())
+			return fmt.Errorf("node %d: %s", n.index, p.UnexpectedExit())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -190,8 +190,8 @@
 	if p == nil {
 		return
 	}
-	cpu, _ := child.Use(p.Cmd.Process.Pid)
-	p.End(sig, within)
+	cpu, _ := child.ResourceUsage(p.Cmd.Process.Pid)
+	p.Stop(sig, within)
 	n.mu.Lock()
 	n.process = nil
 	n.spent += cpu
@@ -203,7 +203,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		if words := n.process.Died(); words != "" {
+		if words := n.process.UnexpectedExit(); words != "" {
 			n.deaths = append(n.deaths, words)
 		}
 	}
--- a/internal/faultbench/nodefile/nodefile.go
+++ b/internal/faultbench/nodefile/nodefile.go
@@ -33,7 +33,7 @@
 // Pool is the name of the one pool.
 const Pool = "servers"
 
-var form = template.Must(template.New("node").Parse(`node "n{{.Index}}" {
+var fileTemplate = template.Must(template.New("node").Parse(`node "n{{.Index}}" {
   zone = "{{.Zone}}"
   limits {
     memory      = "64MiB"
@@ -119,7 +119,7 @@
 		n.Connections = 200
 	}
 	var out bytes.Buffer
-	err := form.Execute(&out, struct {
+	err := fileTemplate.Execute(&out, struct {
 		Node
 		Classes  []experiment.Class
 		ColdFrom float64
--- a/internal/faultbench/report/compare.go
+++ b/internal/faultbench/report/compare.go
@@ -65,12 +65,12 @@
 }
 
 // figure is one that is compared.
-type figure struct {
+type comparedFigure struct {
 	name, unit string
-	of         func(*faultbench.Result) float64
+	value      func(*faultbench.Result) float64
 }
 
-var figures = []figure{
+var comparedFigures = []comparedFigure{
 	{"served within the aim", "share", func(r *faultbench.Result) float64 { return r.Figures.InAim }},
 	{"worth, within the aim", "share", func(r *faultbench.Result) float64 { return r.Figures.Worth }},
 	{"served", "share", func(r *faultbench.Result) float64 { return r.Figures.Served }},
@@ -101,24 +101,24 @@
 
 // Pairs sorts two sets of runs into pairs of the same experiment and seed. What has no partner, or was played on a
 // machine that was too slow, is left out, and said.
-func Pairs(a, b []*faultbench.Result) (pairs []Pair, left []string) {
+func Pairs(a, b []*faultbench.Result) (pairs []Pair, excluded []string) {
 	type day struct {
 		experiment string
 		seed       uint64
 	}
-	of := map[day]*faultbench.Result{}
+	byDay := map[day]*faultbench.Result{}
 	for _, r := range b {
-		of[day{r.Experiment, r.Seed}] = r
+		byDay[day{r.Experiment, r.Seed}] = r
 	}
 	used := map[day]bool{}
 	for _, r := range a {
 		k := day{r.Experiment, r.Seed}
-		other := of[k]
+		other := byDay[k]
 		switch {
 		case used[k] || other == nil:
-			left = append(left, fmt.Sprintf("%s, seed %d: no partner", r.Experiment, r.Seed))
+			excluded = append(excluded, fmt.Sprintf("%s, seed %d: no partner", r.Experiment, r.Seed))
 		case r.Slow != "" || other.Slow != "":
-			left = append(left, fmt.Sprintf("%s, seed %d: the machine was too slow", r.Experiment, r.Seed))
+			excluded = append(excluded, fmt.Sprintf("%s, seed %d: the machine was too slow", r.Experiment, r.Seed))
 		default:
 			pairs = append(pairs, Pair{r, other})
 		}
@@ -126,21 +126,21 @@
 	}
 	for _, r := range b {
 		if !used[day{r.Experiment, r.Seed}] {
-			left = append(left, fmt.Sprintf("%s, seed %d: no partner", r.Experiment, r.Seed))
+			excluded = append(excluded, fmt.Sprintf("%s, seed %d: no partner", r.Experiment, r.Seed))
 		}
 	}
-	return pairs, left
+	return pairs, excluded
 }
 
 // resamples of the pairs for an interval.
-const resamples = 2000
+const bootstrapResamples = 2000
 
 // Compare works out every figure over pairs.
 func Compare(pairs []Pair) (rows []Row) {
-	for _, f := range figures {
+	for _, f := range comparedFigures {
 		var as, bs, ds []float64
 		for _, p := range pairs {
-			x, y := f.of(p.A), f.of(p.B)
+			x, y := f.value(p.A), f.value(p.B)
 			as, bs, ds = append(as, x), append(bs, y), append(ds, y-x)
 		}
 		if len(ds) == 0 {
@@ -155,7 +155,7 @@
 // bootstrap is the 95 percent interval of a mean, by resampling (Efron 1979). The draws are always the same.
 func bootstrap(values []float64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	for i := range means {
 		var sum float64
 		for range values {
@@ -164,6 +164,6 @@
 		means[i] = sum / float64(len(values))
 	}
 	slices.Sort(means)
-	at := func(q float64) float64 { return means[int(math.Round(q*float64(resamples-1)))] }
+	at := func(q float64) float64 { return means[int(math.Round(q*float64(bootstrapResamples-1)))] }
 	return at(0.025), at(0.975)
 }
--- a/internal/faultbench/report/page.go
+++ b/internal/faultbench/report/page.go
@@ -31,7 +31,7 @@
 difference in 95 of 100 resamples of the pairs; it is in bold where it leaves out nought.</p>
 <table><tr><th>figure</th><th>A</th><th>B</th><th>B - A</th><th>interval</th></tr>
 {{range .Rows}}<tr><td>{{.Name}}{{if .Unit}} ({{.Unit}}){{end}}</td><td>{{printf "%.3f" .A}}</td><td>{{printf "%.3f" .B}}</td>
-<td>{{printf "%+.3f" .Difference}}</td><td{{if .Sure}} class="sure"{{end}}>{{printf "%+.3f to %+.3f" .Low .High}}</td></tr>
+<td>{{printf "%+.3f" .Difference}}</td><td{{if .Significant}} class="sure"{{end}}>{{printf "%+.3f to %+.3f" .Low .High}}</td></tr>
 {{end}}</table>
 {{range .Left}}<p>Left out: {{.}}</p>{{end}}
 {{range .Plots}}<figure>{{.SVG}}<figcaption>{{.Caption}}</figcaption></figure>{{end}}
@@ -40,9 +40,9 @@
 `))
 
 // Sure says that the difference is none of chance, as far as the pairs tell.
-func (r Row) Sure() bool { return r.Low > 0 || r.High < 0 }
+func (r Row) Significant() bool { return r.Low > 0 || r.High < 0 }
 
-type picture struct {
+type renderedPlot struct {
 	SVG     template.HTML
 	Caption string
 }
@@ -54,7 +54,7 @@
 		Pairs       []Pair
 		Rows        []Row
 		Left        []string
-		Plots       []picture
+		Plots       []renderedPlot
 		Breaches    []string
 	}{Title: title, A: a, B: b, Pairs: pairs, Rows: Compare(pairs), Left: left}
 	for i, p := range pairs {
@@ -71,7 +71,7 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			view.Plots = append(view.Plots, picture{template.HTML(svg), fmt.Sprintf("%s, seed %d: %s", p.A.Experiment, p.A.Seed, kind.caption)})
+			view.Plots = append(view.Plots, renderedPlot{template.HTML(svg), fmt.Sprintf("%s, seed %d: %s", p.A.Experiment, p.A.Seed, kind.caption)})
 		}
 	}
 	if err := page.Execute(w, view); err != nil {
--- a/internal/faultbench/report/report_test.go
+++ b/internal/faultbench/report/report_test.go
@@ -31,7 +31,7 @@
 }
 
 // Days differ much more from one another than the two sets do: only the pairs show the step.
-func TestPairsShowASmallStep(t *testing.T) {
+func TestPairedComparisonDetectsSmallDifference(t *testing.T) {
 	slow := results(0, 9)
 	slow[0].Slow = "too slow"
 	pairs, left := Pairs(append(results(0, 1, 2, 3, 4, 5), slow...), results(0.02, 5, 4, 3, 2, 7, 9))
@@ -39,11 +39,11 @@
 		t.Fatalf("%d pairs, left %v; want four, and 1, 7 and 9 left", len(pairs), left)
 	}
 	rows := Compare(pairs)
-	if r := rows[0]; r.Name != "served within the aim" || r.Difference < 0.0199 || r.Difference > 0.0201 || !r.Sure() {
+	if r := rows[0]; r.Name != "served within the aim" || r.Difference < 0.0199 || r.Difference > 0.0201 || !r.Significant() {
 		t.Errorf("%+v; want a sure step of 0.02", r)
 	}
 	for _, r := range rows[1:] {
-		if r.Sure() {
+		if r.Significant() {
 			t.Errorf("%+v: nothing else differs", r)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOtherVersionsAndFieldsAreRefused(t *testing.T) {
+func TestParseRejectsOtherVersionsAndUnknownFields(t *testing.T) {
 	good, err := json.Marshal(results(0, 1)[0])
 	if err != nil {
 		t.Fatal(err)
