--- a/internal/faultbench/federation/auditor.go
+++ b/internal/faultbench/federation/auditor.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Run is a request at a server.
+// Run records the execution of a request by a server.
 type Run struct {
 	ID, Key, Class, Path, Server string
 	Partner                      int
 	At                           time.Duration
-	Dropped                      bool // it was a repeat of its key, and nothing was done
+	Dropped                      bool // duplicate of its idempotency key; not executed
 }
 
-// Heard is what a client heard once.
+// Outcome is the result of one attempt of a client.
 type Outcome struct {
-	Request    string // the first id that it was asked for by
-	ID         string // of this asking
+	Request    string // identifies the request across attempts: its key, or the ID of its first attempt
+	ID         string // of this attempt
 	Gateway    string
-	Status     int // 0: the connection broke, or nothing came
+	Status     int // 0 if the connection broke or no response arrived
 	Settled    bool
 	Body       string
-	Error      string // of an error
-	NotSent    bool   // nobody took it
+	Error      string // error text, if the attempt failed
+	NotSent    bool   // the connection was not established
 	RetryAfter time.Duration
 	At         time.Duration
 	Latency    time.Duration
 }
 
-// Audit holds what servers ran against what clients heard.
+// Auditor compares the runs of servers with the outcomes seen by clients.
 type Auditor struct {
 	mu        sync.Mutex
-	runs      map[string][]Run // by what a request is known by: its key, or its first id
+	runs      map[string][]Run // by idempotency key, or by the ID of the first attempt
 	originals map[string]string
 	outcomes  map[string][]Outcome
 	cells     map[[2]int]*cell
@@ -49,7 +49,7 @@
 	release  chan struct{}
 }
 
-// rule forbids requests from an instant on.
+// rule forbids a partner's servers to run some requests from a point in time on.
 type rule struct {
 	from    time.Duration
 	partner int // whose servers must not run them
@@ -71,7 +71,7 @@
 	return a.cells[k]
 }
 
-// ran notes a run, and tells how many there were of the request.
+// recordRun records a run and returns the number of runs of its request so far.
 func (a *Auditor) recordRun(r Run) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,14 +87,15 @@
 	return len(a.runs[k])
 }
 
-// Runs are the runs of a request, by its first id or its key.
+// Runs returns the runs of a request, given the ID of its first attempt or its key.
 func (a *Auditor) Runs(request string) []Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.runs[request])
 }
 
-// Hold has servers keep the request of an id until release is closed; each server that has it says its name.
+// Hold makes servers delay the request with the given ID until release is called. Each server that receives it sends its name on
+// received.
 func (a *Auditor) Hold(id string) (got <-chan string, release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,7 +115,7 @@
 	return a.holds[id]
 }
 
-// asks notes that a request is asked for by another id.
+// recordOriginal records that an attempt belongs to an earlier request.
 func (a *Auditor) recordOriginal(id, first string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,15 +128,15 @@
 	a.outcomes[h.Request] = append(a.outcomes[h.Request], h)
 }
 
-// Forbid notes that a partner's servers must not begin some requests from an instant on.
+// Forbid adds a rule: from the given time on, a partner's servers must not start the requests that forbids matches.
 func (a *Auditor) Forbid(from time.Duration, partner int, words string, forbids func(Run) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rules = append(a.rules, rule{from, partner, words, forbids})
 }
 
-// Breaches are all that is against the rules: what is unsafe ran twice, a key's work was done twice, two that asked about one
-// call heard different settled answers, a settled success that no server ran, a request on a forbidden path.
+// Breaches returns all violations: an unsafe request or a key that was executed twice, different settled responses to the same
+// request, a settled success that no server produced, and a request that a rule forbids.
 func (a *Auditor) Breaches() (out []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +149,7 @@
 			}
 		}
 		if runs[0].Class != "view" && done > 1 {
-			report("%s: the %s call was run %d times: %s; heard: %s", request, runs[0].Class, done, summarize(runs), summarize(a.outcomes[request]))
+			report("%s: the %s request ran %d times: %s; outcomes: %s", request, runs[0].Class, done, summarize(runs), summarize(a.outcomes[request]))
 		}
 		for _, r := range runs {
 			for _, f := range a.rules {
@@ -162,16 +163,16 @@
 		first := -1
 		for i, h := range all {
 			if !h.Settled || h.Status == 503 {
-				continue // what was refused may be asked for anew
+				continue // a rejected request may be sent as a new one
 			}
 			if first < 0 {
 				first = i
 			}
 			if h.Status != all[first].Status || h.Status == 200 && h.Body != all[first].Body {
-				report("%s: one heard %d %q at %s, another %d %q at %s", request, all[first].Status, all[first].Body, all[first].Gateway, h.Status, h.Body, h.Gateway)
+				report("%s: settled responses differ: %d %q at %s, %d %q at %s", request, all[first].Status, all[first].Body, all[first].Gateway, h.Status, h.Body, h.Gateway)
 			}
 			if h.Status == 200 && !slices.ContainsFunc(a.runs[request], func(r Run) bool { return strings.HasPrefix(h.Body, r.Server+" ran ") }) {
-				report("%s: heard %q at %s, which no box made", request, h.Body, h.Gateway)
+				report("%s: response %q at %s was not produced by any server", request, h.Body, h.Gateway)
 			}
 		}
 	}
@@ -179,7 +180,7 @@
 	return out
 }
 
-// some are the first few of a list and the last one, for people.
+// summarize formats the first few elements of a list and the last one.
 func summarize[T any](list []T) string {
 	const first = 12
 	if len(list) <= first+1 {
@@ -188,7 +189,7 @@
 	return fmt.Sprintf("%+v ... %d more ... %+v", list[:first], len(list)-first-1, list[len(list)-1])
 }
 
-// Count is how many runs of a class began between two times.
+// CountRuns returns the number of runs of a class that started in [from, to).
 func (a *Auditor) CountRuns(class string, from, to time.Duration) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,7 +201,8 @@
 	return n
 }
 
-// Most is the most runs of a class that began within any window, and when that window began.
+// MaxInWindow returns the maximum number of runs of a class that started within any window of the given length, and the start of
+// that window.
 func (a *Auditor) MaxInWindow(class string, window time.Duration) (most int, at time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faultbench/federation/client.go
+++ b/internal/faultbench/federation/client.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Call is what a client asks for.
+// Request describes a client request.
 type Request struct {
-	ID             string // of this asking
-	AuditKey       string // by which the auditor knows it; empty: Of, or this one
-	RetryOf        string // the id that it was asked for by before
+	ID             string // of this attempt
+	AuditKey       string // identifies the request to the auditor; defaults to RetryOf, then ID
+	RetryOf        string // ID of the earlier attempt, sent as X-Retry-Of
 	Class          string
-	Path           string // behind the class
+	Path           string // after the class
 	Key            string
 	Tenant         string
-	Size           int // of its body, in bytes; 0: a few words
+	Size           int // padding added to the body, in bytes
 	Timeout        time.Duration
-	RejectedID     string        // the id that it was refused by
-	OmitRetryOf    bool          // it does not say what it had asked for
-	AttemptTimeout time.Duration // after which, without an answer, it leaves and asks another gateway; 0: it waits
+	RejectedID     string        // ID of the rejected attempt, sent as X-Come-Back
+	OmitRetryOf    bool          // X-Retry-Of is not sent
+	AttemptTimeout time.Duration // without a response, the client tries another gateway; 0: it waits for Timeout
 }
 
-// Ask asks a gateway once, on a connection of its own.
+// Send sends a request to a gateway once, on a new connection.
 func (l *Federation) Send(ctx context.Context, g *Gateway, req Request) Outcome {
 	if req.Timeout == 0 {
 		req.Timeout = l.options.Deadline
@@ -81,7 +81,7 @@
 	outcome.Latency, outcome.At = time.Since(begin), l.elapsed()
 	if err != nil {
 		outcome.Error = err.Error()
-		outcome.NotSent = strings.Contains(outcome.Error, "connect:") // nobody took it
+		outcome.NotSent = strings.Contains(outcome.Error, "connect:") // the connection was not established
 		return outcome
 	}
 	defer resp.Body.Close()
@@ -98,9 +98,9 @@
 	return outcome
 }
 
-// Insist asks at one gateway and, when its connection breaks or it is told to come again, at the next ones of the group, until
-// it has an answer or its time is over. What was refused, or came to nobody, it asks for anew; what was taken and not answered
-// it asks for by its id. It returns the last that it heard, and how often it asked.
+// SendWithRetry sends a request to a gateway and, when the connection breaks or the request is rejected, to the next gateways of
+// the group, until it has a response or the timeout expires. A request that was rejected or not sent is sent as a new one; a
+// request that was accepted but got no response is retried by its ID. It returns the last outcome and the number of attempts.
 func (l *Federation) SendWithRetry(ctx context.Context, gateway *Gateway, req Request) (outcome Outcome, attempts int) {
 	if req.Timeout == 0 {
 		req.Timeout = l.options.Deadline
@@ -130,7 +130,7 @@
 		case req.RetryOf == "" && (outcome.Status == 502 || outcome.Status == 0 && !outcome.NotSent): // it may have run
 			req.RetryOf = last
 		}
-		if outcome.Status != 503 || req.RejectedID == "" { // who was told when to come comes to the same gateway
+		if outcome.Status != 503 || req.RejectedID == "" { // a rejected request returns to the same gateway after its Retry-After
 			i++
 		}
 		select {
--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -1,7 +1,7 @@
-// Package federation plays a federation with real processes: gateways of several partners by `damsontrestle serve`, with their
-// log servers, the links between gateways and requests to partners through relays that fail on purpose, clients who come to another
-// gateway with what they had asked for, and an auditor that holds what servers ran against what clients heard. It leaves nothing
-// behind: processes end with this one, and files lie in a folder that is removed.
+// Package federation runs a federation of real processes: gateways of several partners started by `damsontrestle serve`, their log
+// servers, relays that inject faults into links between gateways and requests to partners, clients that retry at other gateways,
+// and an auditor that compares the runs of servers with the outcomes seen by clients. It cleans up after itself: child processes
+// end with this process, and files are kept in a temporary folder that is removed.
 package federation
 
 import (
@@ -18,30 +18,30 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// Options are how a league is made.
+// Options configures a federation.
 type Options struct {
-	Binary          string // of the program, built with -tags rig where faults are asked for
+	Binary          string // path of the program; built with -tags rig if faults are injected
 	Partners        int
 	Gateways        int // of each partner
-	Servers         int // of each partner, dealt out over two cells
-	Zones           int // that each partner's gateways lie in; 0: 1
+	Servers         int // of each partner, distributed over two cells
+	Zones           int // of each partner's gateways; 0: 1
 	Service         time.Duration
-	Silence         time.Duration // that ends a link; 0: 1 s
-	Period          time.Duration // of membership; 0: 300 ms
+	Silence         time.Duration // after which a silent link is closed; 0: 1 s
+	Period          time.Duration // of membership probes; 0: 300 ms
 	Custody         string        // when_alone of all classes; empty: no replication
-	Quota           string        // the body of the block quota "notes"; quota candidates are added
-	QuotaPerPartner bool          // each partner keeps the quota by itself: Quota is one partner's part
+	Quota           string        // body of the block quota "notes"; quota candidates are appended
+	QuotaPerPartner bool          // each partner has its own quota; Quota is one partner's share
 	Exports         func(l *Federation, partner int) string
-	Edit            func(g *Gateway, text string) string // changes a gateway's file; nil: nothing does
-	Stale           time.Duration                        // that offers are used whose links have all ended; 0: 30 s
-	Links           int                                  // that each gateway holds to gateways of each partner; 0: 2
-	Memory          string                               // for requests that are held; empty: 8MiB
+	Edit            func(g *Gateway, text string) string // edits a gateway's file; optional
+	Stale           time.Duration                        // how long advertisements are used after all their links have closed; 0: 30 s
+	Links           int                                  // from each gateway to gateways of each partner; 0: 2
+	Memory          string                               // for replicated requests; empty: 8MiB
 	Deadline        time.Duration                        // of classes; 0: 5 s
 	Seed            uint64
 	Log             func(format string, args ...any)
 }
 
-// League is one under way.
+// Federation is a running federation.
 type Federation struct {
 	options   Options
 	dir       string
@@ -53,15 +53,15 @@
 	Auditor   *Auditor
 
 	mu       sync.Mutex
-	Gateways []*Gateway // of all partners, those of one after another
+	Gateways []*Gateway // grouped by partner
 	Servers  []*Server
-	shapes   map[[2]string]link.Shape // of datagrams, between gateways by their IP addresses
+	shapes   map[[2]string]link.Shape // of datagrams, by source and destination IP address
 }
 
-// Name is what a partner is called.
+// PartnerName returns the name of a partner.
 func PartnerName(partner int) string { return fmt.Sprintf("p%d", partner) }
 
-// Start starts all gateways and returns once each is ready, has links to its group and to each partner, and knows their offers.
+// Start starts all gateways and servers and returns once every gateway answers on its admin socket.
 func Start(ctx context.Context, o Options) (l *Federation, err error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -92,7 +92,7 @@
 		}
 	}()
 	if l.dir, err = os.MkdirTemp("", "league"); err != nil {
-		return nil, fmt.Errorf("league: %w", err)
+		return nil, fmt.Errorf("federation: %w", err)
 	}
 	if l.part, err = link.TakePart(); err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	l.mesh = link.NewMesh(l.dice, l.datagramShape)
 	for p := range o.Partners {
 		if err := os.WriteFile(l.groupKey(p), []byte(fmt.Sprintf("the key of the group %s", PartnerName(p))), 0o600); err != nil {
-			return nil, fmt.Errorf("league: %w", err)
+			return nil, fmt.Errorf("federation: %w", err)
 		}
 		for i := range o.Servers {
 			b, err := newServer(l, p, i)
@@ -114,7 +114,7 @@
 	for p := range o.Partners {
 		for q := range p {
 			if err := os.WriteFile(l.pairKey(p, q), []byte(fmt.Sprintf("the key of %s and %s", PartnerName(q), PartnerName(p))), 0o600); err != nil {
-				return nil, fmt.Errorf("league: %w", err)
+				return nil, fmt.Errorf("federation: %w", err)
 			}
 		}
 		for i := range o.Gateways {
@@ -153,7 +153,7 @@
 	return filepath.Join(l.dir, PartnerName(q)+PartnerName(p)+".key")
 }
 
-// Close ends all.
+// Close stops all processes, servers and relays and removes the files.
 func (l *Federation) Close() {
 	if l.spawner != nil {
 		l.spawner.Close()
@@ -186,12 +186,12 @@
 	}
 }
 
-// Gateway is the i-th of a partner.
+// Gateway returns the i-th gateway of a partner.
 func (l *Federation) Gateway(partner, i int) *Gateway {
 	return l.Gateways[partner*l.options.Gateways+i]
 }
 
-// DefaultExports has each partner offer all three classes below its own name to all.
+// DefaultExports returns export blocks that offer all three classes under the partner's own name to all partners.
 func DefaultExports(l *Federation, p int) string {
 	var b strings.Builder
 	for class, effect := range map[string]string{"view": "safe", "note": "unsafe", "log": "keyed"} {
@@ -200,7 +200,7 @@
 	return b.String()
 }
 
-// Keepers are the blocks of a quota that name its quota candidates: the first gateways of the first partners.
+// QuotaCandidates returns the keeper blocks of a quota with n candidates: the first gateways of the partners in turn.
 func (l *Federation) QuotaCandidates(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -209,7 +209,7 @@
 	return b.String()
 }
 
-// keepersOf are such blocks of a partner's first gateways alone.
+// partnerQuotaCandidates returns the keeper blocks for the first gateways of one partner.
 func (l *Federation) partnerQuotaCandidates(partner int) string {
 	var b strings.Builder
 	for i := range min(3, (l.options.Gateways-1)|1) {
@@ -218,10 +218,11 @@
 	return b.String()
 }
 
-// now is the time of the run.
+// elapsed returns the time since the start of the run.
 func (l *Federation) elapsed() time.Duration { return time.Since(l.startTime) }
 
-// Settle waits until every gateway that runs has links to all of its group, to each partner, and knows as many offers.
+// Settle waits until every running gateway has links to its whole group and to each partner, and has as many advertisements as
+// given.
 func (l *Federation) Settle(ctx context.Context, advertisements int) error {
 	missing := ""
 	for ctx.Err() == nil {
@@ -240,10 +241,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("league: not settled: %s", missing)
+	return fmt.Errorf("federation: wait for gateways to settle: %s", missing)
 }
 
-// Cost is the resident memory of a process, on average, and the processor time of all that run.
+// Cost returns the mean resident memory of a running gateway and the total processor time of all running gateways.
 func (l *Federation) Cost() (memory int64, cpu time.Duration) {
 	n := int64(0)
 	for _, g := range l.Gateways {
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -18,8 +18,8 @@
 
 func TestMain(m *testing.M) { program.RunTests(m) }
 
-// start starts nine gateways of three partners, unless the options say otherwise, and waits until they know one another and
-// all advertisements. They end with the test, and so do all breaches of the rules.
+// startFederation starts nine gateways of three partners, unless the options differ, and waits until they have links and all
+// advertisements. When the test ends, it reports all breaches found by the auditor and stops the gateways.
 func startFederation(t *testing.T, o Options) *Federation {
 	t.Helper()
 	path, err := program.Path()
@@ -37,7 +37,7 @@
 		o.Servers = 4
 	}
 	if o.Silence == 0 {
-		o.Silence = testpeer.Limit // a machine that is slow looks like no silence
+		o.Silence = testpeer.Limit // so that a slow machine is not mistaken for a silent link
 	}
 	if o.Deadline == 0 {
 		o.Deadline = 30 * time.Second
@@ -63,7 +63,7 @@
 	return l
 }
 
-// settle waits until all that run know one another and all advertisements.
+// waitSettled waits until all running gateways have their links and all advertisements.
 func waitSettled(t *testing.T, l *Federation) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*testpeer.Limit)
@@ -75,7 +75,7 @@
 
 func lastBytes(s string, n int) string { return s[max(0, len(s)-n):] }
 
-// done counts the runs of a request that did something, and those that a cell discarded.
+// countRuns counts the runs that were executed and those that a cell discarded as duplicates.
 func countRuns(runs []Run) (done, dropped int) {
 	for _, r := range runs {
 		if r.Dropped {
@@ -87,7 +87,7 @@
 	return done, dropped
 }
 
-// over does something over and over until it is to stop.
+// repeat calls do until stop is closed.
 func repeat(stop <-chan struct{}, do func(i int)) {
 	for i := 0; ; i++ {
 		select {
@@ -99,23 +99,23 @@
 	}
 }
 
-// behind runs something and returns a channel that takes its result.
+// async calls f in a goroutine and returns a channel that receives its result.
 func async[T any](f func() T) <-chan T {
 	c := make(chan T, 1)
 	go func() { c <- f() }()
 	return c
 }
 
-// Given a gateway that is killed while it has a request in hand, at each of its steps: another goes on with it, once, and all who
-// ask hear the same. What is unsafe and may have run ends as failed.
+// A gateway is killed at each step of processing a request. One successor takes the request over, and all retries get the same
+// response. An unsafe request that may have run ends as failed.
 func TestSuccessorTakesOverOnceAfterKill(t *testing.T) {
 	l := startFederation(t, Options{Custody: "refuse"})
 	victim := l.Gateway(0, 0)
 	n := 0
 	for _, c := range []struct {
 		class, point  string
-		status        int // 0: 200 or 502, as the kill met the intent on its way
-		done, dropped int // runs; negative: up to as many
+		status        int // 0: 200 or 502, depending on whether the intent was replicated before the kill
+		done, dropped int // runs; negative: at most that many
 	}{
 		{"view", "recorded", 200, -2, 0},
 		{"note", "recorded", 0, -1, 0},
@@ -146,7 +146,7 @@
 		first := l.Send(t.Context(), victim, request)
 		testpeer.Receive(t, victim.Ended(), "the kill")
 		if first.Status != 0 {
-			t.Errorf("%s %s: the caller of the killed gateway heard %+v", c.class, c.point, first)
+			t.Errorf("%s %s: client of the killed gateway got %+v, want no response", c.class, c.point, first)
 		}
 		var answers []<-chan Outcome
 		for i, g := range l.PartnerGateways(0, victim) {
@@ -158,7 +158,7 @@
 			}))
 		}
 		for _, a := range answers {
-			h := testpeer.Receive(t, a, "an answer")
+			h := testpeer.Receive(t, a, "a response")
 			if !h.Settled || h.Status != c.status && (c.status != 0 || h.Status != 200 && h.Status != 502) {
 				t.Errorf("%s %s: %+v, want a settled %d", c.class, c.point, h, c.status)
 			}
@@ -170,7 +170,8 @@
 	}
 }
 
-// A gateway that is killed as a successor, once it has claimed a request or has an attempt allowed, is followed by the next.
+// A successor is killed after claiming a request or after an attempt was authorized. The next successor must not start a second
+// attempt or settle the request differently.
 func TestNextSuccessorTakesOverAfterSuccessorIsKilled(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Gateways: 5, Servers: 8, Custody: "refuse"})
 	owner := l.Gateway(0, 0)
@@ -178,7 +179,7 @@
 		class, point string
 		status, done int
 	}{{"view", "claimed", 200, 1}, {"note", "claimed", 502, 0}, {"view", "intended", 200, 1}} {
-		// Whoever is the successor dies by its own first claim: all others have the fault.
+		// All other gateways have the fault, so that the successor is killed by its own first claim.
 		for k, g := range l.Gateways {
 			g.Kill()
 			g.SetEnv(fmt.Sprintf("DAMSONTRESTLE_FAULT=custody.%s:1:kill", c.point))
@@ -194,7 +195,7 @@
 		l.Send(t.Context(), owner, request)
 		testpeer.Receive(t, owner.Ended(), "the owner's kill")
 		var successor *Gateway
-		testpeer.Until(t, "the first heir's kill", func() bool {
+		testpeer.Until(t, "the first successor's kill", func() bool {
 			for _, g := range l.Gateways[1:] {
 				select {
 				case <-g.Ended():
@@ -205,11 +206,11 @@
 			}
 			return false
 		})
-		// The next one must live: a claim that it makes is its own first one.
+		// Nothing may have run yet, except a safe request.
 		if ran, _ := countRuns(l.Auditor.Runs(request.ID)); ran > 0 && c.class != "view" {
-			t.Errorf("%s %s: it ran %d times before the heir's end", c.class, c.point, ran)
+			t.Errorf("%s %s: ran %d times before the successor was killed", c.class, c.point, ran)
 		}
-		// Two of three replicas are gone: nobody may go on, and nobody is told anything that is not so.
+		// Two of three replicas are gone: no gateway may continue the request, and no wrong settled response may be returned.
 		for _, g := range l.Gateways[1:] {
 			if g != successor {
 				again := request
@@ -223,8 +224,8 @@
 	}
 }
 
-// A gateway that is stopped with an attempt allowed, and awakes after another has taken its request over, begins nothing; and
-// whoever waited at it hears what all hear.
+// A gateway is suspended after an attempt was authorized and resumes after another gateway has taken the request over. It must not
+// start the attempt, and the client that waited at it gets the same response as the others.
 func TestSuspendedGatewayStartsNothingOnResume(t *testing.T) {
 	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second, Period: time.Second})
 	owner := l.Gateway(0, 0)
@@ -241,14 +242,14 @@
 			request.Key, of = "key-"+request.ID, "key-"+request.ID
 		}
 		waits := async(func() Outcome { return l.Send(t.Context(), owner, request) })
-		// Whoever asks before anybody else holds the request is told that nobody knows it, and comes to the stopped gateway in the end.
-		testpeer.Until(t, "the call to be held by another", func() bool {
+		// A retry before another replica holds the request is answered as unknown, and would end up at the suspended gateway.
+		testpeer.Until(t, "the request to be held by another", func() bool {
 			return l.Gateway(0, 1).ReplicationStatus(t.Context()).Replica.Undecided+l.Gateway(0, 2).ReplicationStatus(t.Context()).Replica.Undecided > 0
 		})
 		again := request
 		again.ID, again.RetryOf = request.ID+"-again", request.ID
 		var h Outcome
-		testpeer.Until(t, "the call to be taken over", func() bool {
+		testpeer.Until(t, "the request to be taken over", func() bool {
 			again.ID += "'"
 			h, _ = l.SendWithRetry(t.Context(), l.Gateway(0, 1), again)
 			return h.Settled
@@ -260,18 +261,18 @@
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		first := testpeer.Receive(t, waits, "the answer at the gateway that was stopped")
+		first := testpeer.Receive(t, waits, "the response at the suspended gateway")
 		if first.Status != h.Status || first.Settled && first.Body != h.Body {
-			t.Errorf("%s: who waited heard %+v, others %+v", class, first, h)
+			t.Errorf("%s: the waiting client got %+v, others %+v", class, first, h)
 		}
 		if after, _ := countRuns(l.Auditor.Runs(of)); after != before {
-			t.Errorf("%s: %d runs before it awoke, %d after", class, before, after)
+			t.Errorf("%s: %d runs before it resumed, %d after", class, before, after)
 		}
 	}
 }
 
-// While a partner is cut off, one way or both, its requests cost others nothing and its own are answered in time; a request that was
-// with it when the cut came is told as it was settled there, once the cut is over.
+// While a partner is partitioned in one or both directions, requests between other partners are not delayed and requests to it are
+// answered in time. A request that it was processing when the partition began gets its settled response once the partition heals.
 func TestPartitionedPartner(t *testing.T) {
 	for _, how := range []string{"both ways", "there", "back"} {
 		t.Run(how, func(t *testing.T) {
@@ -284,9 +285,9 @@
 			got, release := l.Auditor.Hold(held.ID)
 			defer release()
 			waits := async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), held) })
-			testpeer.Receive(t, got, "the call at its box")
+			testpeer.Receive(t, got, "the request at its server")
 			mend := l.Cut(from, to, how == "both ways")
-			for i := range 6 { // others are served as ever, both sides of the cut among them
+			for i := range 6 { // requests that do not cross the partition are served, on both sides
 				for _, c := range []Request{{Class: "note", Path: "p0/x"}, {Class: "note", Path: "p2/x"}} {
 					c.ID = fmt.Sprint(how, i, c.Path)
 					if h := l.Send(t.Context(), l.Gateway(0, i%3), c); h.Status != 200 {
@@ -300,45 +301,45 @@
 			}
 			lost := Request{ID: "lost-" + how, Class: "note", Path: "p1/x", Timeout: 2 * time.Second}
 			if h := l.Send(t.Context(), l.Gateway(0, 1), lost); h.Status != 502 && h.Status != 503 || h.Latency > lost.Timeout+500*time.Millisecond {
-				t.Errorf("a call into the cut: %+v", h)
+				t.Errorf("request across the partition: %+v", h)
 			}
 			release()
 			mend()
-			if h := testpeer.Receive(t, waits, "the answer of the call that was there"); h.Status != 200 || !h.Settled {
+			if h := testpeer.Receive(t, waits, "the response of the call that was there"); h.Status != 200 || !h.Settled {
 				t.Errorf("%+v", h)
 			}
 			if ran, _ := countRuns(l.Auditor.Runs(held.ID)); ran != 1 {
-				t.Errorf("it ran %d times", ran)
+				t.Errorf("ran %d times", ran)
 			}
 			waitSettled(t, l)
 			if h := l.Send(t.Context(), l.Gateway(0, 2), Request{ID: "after-" + how, Class: "note", Path: "p1/x"}); h.Status != 200 {
-				t.Errorf("after the cut: %+v", h)
+				t.Errorf("after the partition: %+v", h)
 			}
 		})
 	}
 }
 
-// A partner's gateway that is killed under a request from another partner: whoever has it in hand there then tells what became
-// of it, and the client hears that from its own gateway.
+// A partner's gateway is killed while it processes a request from another partner. Its successor reports the outcome, and the
+// client gets it from its own gateway.
 func TestPartnerGatewayKilledDuringRequest(t *testing.T) {
 	l := startFederation(t, Options{Custody: "refuse"})
 	for _, c := range []struct {
 		class        string
 		status, runs int
-	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} { // keys first: who was started anew votes on none for a while
+	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} { // keyed first: a restarted gateway does not vote on keys for a while
 		of, got, release, waits := l.sendHeld(t, Request{ID: "under-" + c.class, Class: c.class, Path: "p1/x"})
 		has := l.activeGateway(t, 1)
 		has.Kill()
 		if c.class == "view" {
-			testpeer.Receive(t, got, "the call at another box")
+			testpeer.Receive(t, got, "the request at another server")
 		}
 		release()
-		h := testpeer.Receive(t, waits, "the answer")
+		h := testpeer.Receive(t, waits, "the response")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
 		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
-			t.Errorf("%s: it ran %d times, want %d", c.class, ran, c.runs)
+			t.Errorf("%s: ran %d times, want %d", c.class, ran, c.runs)
 		}
 		if err := has.Start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -347,11 +348,11 @@
 	}
 }
 
-// forbidden are requests of p0's clients: their ids say so.
+// fromPartner0 reports whether the run's request came from a client of p0, by its ID.
 func fromPartner0(r Run) bool { return strings.HasPrefix(r.ID, "p0-") }
 
-// A rule that is tightened while the partner concerned is cut off holds at its owner from the apply on, whatever the other
-// still believes; and who is refused by it knows at once.
+// An export rule that is tightened while the affected partner is partitioned is enforced by its owner from the apply on, even if
+// the partner still has the old advertisement.
 func TestExportRuleTightenedDuringPartition(t *testing.T) {
 	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second})
 	ask := func(p, i int, id string) Outcome {
@@ -369,12 +370,12 @@
 			t.Fatal(err)
 		}
 	}
-	l.Auditor.Forbid(l.elapsed(), 1, "p1 lets p0 have it no more", fromPartner0)
+	l.Auditor.Forbid(l.elapsed(), 1, "p1 no longer exports it to p0", fromPartner0)
 	testpeer.Until(t, "p0 to be cut off", func() bool {
 		return len(l.Gateway(0, 0).RouteStatus(t.Context()).Stale) > 0
 	})
 	mend()
-	for i := range 9 { // some come before p0 has heard anything
+	for i := range 9 { // some are sent before p0 receives the withdrawal
 		if h := ask(0, i%3, fmt.Sprint("after", i)); h.Status == 200 {
 			t.Errorf("%+v", h)
 		}
@@ -392,8 +393,8 @@
 	})
 }
 
-// A gateway whose links pass next to nothing on is lost to its group within the silence that the file says, and to nobody
-// else: requests that do not need it go on, replicated of those that are left.
+// A gateway with almost no link bandwidth is dropped by its group within the configured silence. Requests that do not need it
+// continue, replicated by the remaining gateways.
 func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
 	l := startFederation(t, Options{Partners: 2, Gateways: 4, Custody: "refuse", Silence: time.Second})
 	slow := l.Gateway(0, 3)
@@ -422,7 +423,7 @@
 	all.Wait()
 }
 
-// A gateway that ends in order gives what it has in hand to another, which goes on with it; nothing waits for a failure.
+// A gateway that shuts down gracefully hands its requests over to another, which continues them without waiting for a failure.
 func TestShutdownGatewayHandsOver(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Deadline: 20 * time.Second})
 	owner := l.Gateway(0, 0)
@@ -430,11 +431,11 @@
 	defer release()
 	request := Request{ID: "handed", Class: "view", Path: "p0/x"}
 	first := async(func() Outcome { return l.Send(t.Context(), owner, request) })
-	testpeer.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the request at its server")
 	if err := owner.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Receive(t, got, "the call at another box, by another gateway")
+	testpeer.Receive(t, got, "the request at another server, by another gateway")
 	release()
 	again := request
 	again.ID, again.RetryOf = "handed-again", "handed"
@@ -448,14 +449,14 @@
 	testpeer.Receive(t, owner.Ended(), "its end")
 }
 
-// Alone, a gateway does what its file says, and a holder that was started anew is no replica in what its earlier incarnation had taken.
+// An isolated gateway follows when_alone, and a restarted replica does not vote on requests that its earlier incarnation held.
 func TestIsolatedGatewayAndRestartedReplica(t *testing.T) {
 	for _, when := range []string{"serve", "refuse"} {
 		l := startFederation(t, Options{Partners: 1, Custody: when})
 		for _, g := range l.Gateways[1:] {
 			g.Kill()
 		}
-		testpeer.Until(t, "it to be alone", func() bool {
+		testpeer.Until(t, "the gateway to lose all links", func() bool {
 			return len(l.Gateway(0, 0).Status(t.Context()).Links) == 0
 		})
 		h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "alone-" + when, Class: "note", Path: "p0/x"})
@@ -469,24 +470,24 @@
 	async(func() Outcome {
 		return l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "forgotten", Class: "view", Path: "p0/x"})
 	})
-	testpeer.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the request at its server")
 	l.Gateway(0, 1).Kill()
 	if err := l.Gateway(0, 1).Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	waitSettled(t, l)
 	l.Gateway(0, 0).Kill()
-	// Of its three replicas one is dead and one has forgotten: the third alone decides nothing.
+	// Of three replicas one is dead and one has lost its state: the third alone is no majority.
 	h := l.Send(t.Context(), l.Gateway(0, 1), Request{ID: "forgotten-again", RetryOf: "forgotten", Class: "view", Path: "p0/x", Timeout: 2 * time.Second})
 	if h.Settled || h.Status == 200 {
 		t.Errorf("%+v", h)
 	}
 	if ran, _ := countRuns(l.Auditor.Runs("forgotten")); ran != 1 {
-		t.Errorf("it ran %d times", ran)
+		t.Errorf("ran %d times", ran)
 	}
 }
 
-// Past its memory a gateway takes no more into replication, and refuses at once with a time to come back.
+// A gateway whose replication memory is full rejects new requests at once with a Retry-After.
 func TestReplicasWithoutCapacityReject(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Memory: "64KiB"})
 	var releases []func()
@@ -507,7 +508,7 @@
 		r()
 	}
 	for _, c := range all {
-		h := testpeer.Receive(t, c, "an answer")
+		h := testpeer.Receive(t, c, "a response")
 		if h.Status == 503 && h.RetryAfter > 0 {
 			refused++
 		} else if h.Status != 200 {
@@ -515,11 +516,11 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("nothing was refused")
+		t.Error("no request was rejected")
 	}
 }
 
-// In a group of two the other one takes over by itself; a body that is not kept whole is served, and in nobody's replication.
+// In a group of two the other gateway takes over alone. A request whose body is too long to be kept is served but not replicated.
 func TestTwoGatewayGroupAndLongBodies(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Gateways: 2, Custody: "refuse"})
 	h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "long", Class: "note", Path: "p0/x", Size: 200_000})
@@ -530,9 +531,9 @@
 	got, release := l.Auditor.Hold("two")
 	defer release()
 	async(func() Outcome { return l.Send(t.Context(), owner, Request{ID: "two", Class: "view", Path: "p0/x"}) })
-	testpeer.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the request at its server")
 	owner.Kill()
-	testpeer.Receive(t, got, "the call at another box, by the other gateway")
+	testpeer.Receive(t, got, "the request at another server, by the other gateway")
 	release()
 	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), Request{ID: "two-again", RetryOf: "two", Class: "view", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
--- a/internal/faultbench/federation/gateway.go
+++ b/internal/faultbench/federation/gateway.go
@@ -18,18 +18,18 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// Gateway is one gateway.
+// Gateway is a gateway process with the relays in front of it.
 type Gateway struct {
 	federation *Federation
 	Partner    int
-	Index      int // among its partner's
+	Index      int // within its partner
 	Name       string
 	IP         string
 	Zone       string
 
-	advertised string      // where others reach its links and datagrams
-	links      *link.Relay // in front of its links
-	calls      *link.Relay // in front of partners' requests
+	advertised string      // address at which others reach its links and datagrams
+	links      *link.Relay // for links
+	calls      *link.Relay // for requests of partners
 	file       string
 
 	mu      sync.Mutex
@@ -38,12 +38,12 @@
 	env     []string
 }
 
-// newGateway opens what stands before a gateway.
+// newGateway opens the relays in front of a gateway.
 func (l *Federation) newGateway(p, i int) (*Gateway, error) {
 	g := &Gateway{federation: l, Partner: p, Index: i, Name: fmt.Sprintf("%s-g%d", PartnerName(p), i), Zone: fmt.Sprintf("z%d", i%l.options.Zones),
 		IP: l.part.IP(1+p, 1+i)}
 	own := netip.MustParseAddrPort(g.IP + ":7946")
-	for range 50 { // the same port has to be free for datagrams and for links
+	for range 50 { // the same port must be free for datagrams and for links
 		seen, err := l.mesh.Join(g.Name, g.IP, own)
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 		}
 	}
 	if g.links == nil {
-		return nil, errors.New("league: no port is free for a gateway's links")
+		return nil, errors.New("federation: reserve port for links: no port is free for both UDP and TCP")
 	}
 	var err error
 	if g.calls, err = link.Forward("127.0.0.1:0", g.IP+":7071", l.dice); err != nil {
@@ -68,7 +68,7 @@
 	return fmt.Sprintf(" keeper \"%s/%s\" {\n address = %q\n }\n", PartnerName(g.Partner), g.Name, g.advertised)
 }
 
-// text is a gateway's file.
+// configText returns the gateway's configuration file.
 func (g *Gateway) configText() string {
 	l, o := g.federation, g.federation.options
 	var b strings.Builder
@@ -138,17 +138,17 @@
 
 func (g *Gateway) socket() string { return filepath.Join(g.federation.dir, g.Name+".sock") }
 
-// Calls is where its clients come.
+// Address returns the address for clients.
 func (g *Gateway) Address() string { return g.IP + ":7070" }
 
-// Start starts its process and returns once that answers.
+// Start starts the process and returns once it answers on its admin socket.
 func (g *Gateway) Start(ctx context.Context) error {
 	if err := os.WriteFile(g.file, []byte(g.configText()), 0o600); err != nil {
-		return fmt.Errorf("league: %w", err)
+		return fmt.Errorf("federation: %w", err)
 	}
 	p, err := g.federation.spawner.Run(exec.Command(g.federation.options.Binary, "serve", g.file), nil, 64<<10, g.env, nil)
 	if err != nil {
-		return fmt.Errorf("league: %w", err)
+		return fmt.Errorf("federation: %w", err)
 	}
 	g.mu.Lock()
 	g.process = p
@@ -161,23 +161,23 @@
 		}
 		select {
 		case <-p.Done:
-			return fmt.Errorf("league: %s: %s", g.Name, p.UnexpectedExit())
+			return fmt.Errorf("federation: %s: %s", g.Name, p.UnexpectedExit())
 		case <-ctx.Done():
-			return fmt.Errorf("league: %s does not answer: %w\n%s", g.Name, ctx.Err(), p.Log)
+			return fmt.Errorf("federation: %s: wait for admin socket: %w\n%s", g.Name, ctx.Err(), p.Log)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// With has the next Start find something in the environment.
+// SetEnv sets additional environment variables for the next Start.
 func (g *Gateway) SetEnv(env ...string) { g.env = env }
 
-// Show is what the gateway tells of itself.
+// Show returns the response of the admin endpoint show.
 func (g *Gateway) Show(ctx context.Context) (admin.ShowResponse, error) {
 	return admin.NewClient(g.socket()).Show(ctx)
 }
 
-// Change has the gateway go by an edited file, by plan and apply at once, and returns when it does.
+// Reconfigure edits the gateway's file, sends SIGHUP, and returns once the new configuration is applied.
 func (g *Gateway) Reconfigure(ctx context.Context, edit func(string) string) error {
 	before, err := g.Show(ctx)
 	if err != nil {
@@ -188,7 +188,7 @@
 	p := g.process
 	g.mu.Unlock()
 	if err := os.WriteFile(g.file, []byte(g.configText()), 0o600); err != nil {
-		return fmt.Errorf("league: %w", err)
+		return fmt.Errorf("federation: %w", err)
 	}
 	if err := p.Signal(syscall.SIGHUP); err != nil {
 		return err
@@ -199,10 +199,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return fmt.Errorf("league: %s does not take its file over: %w\n%s", g.Name, ctx.Err(), g.Log())
+	return fmt.Errorf("federation: %s: wait for configuration to be applied: %w\n%s", g.Name, ctx.Err(), g.Log())
 }
 
-// Log is the end of its log.
+// Log returns the end of the process's log, or "" if no process was started or it was stopped.
 func (g *Gateway) Log() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,7 +212,7 @@
 	return g.process.Log.String()
 }
 
-// Signal sends its process a signal.
+// Signal sends a signal to the process, if there is one.
 func (g *Gateway) Signal(sig syscall.Signal) error {
 	g.mu.Lock()
 	p := g.process
@@ -223,10 +223,10 @@
 	return p.Signal(sig)
 }
 
-// Kill ends its process at once.
+// Kill stops the process with SIGKILL.
 func (g *Gateway) Kill() { g.Stop(syscall.SIGKILL, 0) }
 
-// End ends its process by a signal, and at once if that has no effect in time.
+// Stop sends a signal to the process, and SIGKILL if it has not exited in time.
 func (g *Gateway) Stop(sig syscall.Signal, within time.Duration) {
 	g.mu.Lock()
 	p := g.process
@@ -237,7 +237,7 @@
 	}
 }
 
-// Ended is closed once its process has ended by itself.
+// Ended returns a channel that is closed once the process has exited.
 func (g *Gateway) Ended() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -249,7 +249,7 @@
 	return g.process.Done
 }
 
-// unsettled is what a gateway still lacks.
+// missing describes the first thing that the gateway still lacks to be settled, or returns "".
 func (g *Gateway) missing(ctx context.Context, advertisements int) string {
 	s, err := g.Show(ctx)
 	if err != nil || s.Status.Gateway == nil {
@@ -275,7 +275,7 @@
 		}
 	}
 	if n := s.Status.Gateway.Routes.Advertisements; n != advertisements {
-		return fmt.Sprintf("%d offers, want %d", n, advertisements)
+		return fmt.Sprintf("%d advertisements, want %d", n, advertisements)
 	}
 	for p := range g.federation.options.Partners {
 		if p != g.Partner && s.Status.Pools["partner:"+PartnerName(p)].Requests.Ready == 0 {
--- a/internal/faultbench/federation/links.go
+++ b/internal/faultbench/federation/links.go
@@ -4,16 +4,16 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// between is how datagrams pass between two gateways.
+// datagramShape returns the shape of datagrams from one gateway to another.
 func (l *Federation) datagramShape(from, to string) link.Shape {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shapes[[2]string{from, to}]
 }
 
-// Set has everything that goes from one gateway to another pass so: links, requests and datagrams, by whoever they were opened.
+// SetShape shapes all traffic from one gateway to another: links, requests and datagrams, whichever side opened the connection.
 func (l *Federation) SetShape(from, to *Gateway, s link.Shape) {
-	// What a link says in one direction goes over the relay before the one it was opened to, or before the one that opened it.
+	// Traffic in one direction passes the relay of the accepting gateway, which is either of the two.
 	l.mu.Lock()
 	l.shapes[[2]string{from.IP, to.IP}] = s
 	there, back := l.shapes[[2]string{from.IP, to.IP}], l.shapes[[2]string{to.IP, from.IP}]
@@ -24,14 +24,14 @@
 	from.calls.SetFrom(to.IP, connectionShape(back, there))
 }
 
-// pair is the shape of a connection whose near side speaks by one shape, and its far side by another.
+// connectionShape combines the shapes of the two directions of a connection.
 func connectionShape(there, back link.Shape) link.Shape {
 	s := there.Over(back)
 	s.CutThere, s.CutBack = there.CutThere, back.CutThere
 	return s
 }
 
-// Cut cuts all that goes from some gateways to others, and back where both is set. It returns what mends it.
+// Cut drops all traffic from some gateways to others, and the reverse traffic too if both is set. Calling heal ends the partition.
 func (l *Federation) Cut(from, to []*Gateway, both bool) (heal func()) {
 	set := func(s link.Shape) {
 		for _, a := range from {
@@ -50,7 +50,7 @@
 	return func() { set(link.Shape{}) }
 }
 
-// Of are the gateways of a partner, but for some.
+// PartnerGateways returns the gateways of a partner except those listed.
 func (l *Federation) PartnerGateways(partner int, but ...*Gateway) (out []*Gateway) {
 	for _, g := range l.Gateways {
 		if g.Partner == partner && !contains(but, g) {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// But are all gateways but some.
+// GatewaysExcept returns all gateways except those listed.
 func (l *Federation) GatewaysExcept(but ...*Gateway) (out []*Gateway) {
 	for _, g := range l.Gateways {
 		if !contains(but, g) {
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -10,8 +10,8 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Links that are reset in the middle of frames, again and again, under requests whose bodies fill many of them: nothing of a half
-// frame is taken, links come back, and each request has one answer.
+// Links are reset repeatedly in the middle of frames, under requests whose bodies span many frames. Partial frames are discarded,
+// links are reestablished, and each request gets one response.
 func TestLinksResetMidFrame(t *testing.T) {
 	l := startFederation(t, Options{Partners: 2, Custody: "refuse"})
 	stop := make(chan struct{})
@@ -36,7 +36,7 @@
 		defer breaker.Done()
 		repeat(stop, func(i int) {
 			l.Gateways[i%len(l.Gateways)].links.Break()
-			time.Sleep(5 * time.Millisecond) // the faults' pace; nothing waits for it
+			time.Sleep(5 * time.Millisecond) // interval between resets
 		})
 	}()
 	testpeer.Until(t, "many links to break", func() bool {
@@ -57,8 +57,8 @@
 	}
 }
 
-// A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another incarnation: the links that were
-// left half open end by their silence, the new incarnation's take their place, and it holds requests again.
+// A partitioned gateway is killed, so that its peers do not see the links close, and restarts as a new incarnation. The half-open
+// links are closed for silence, links to the new incarnation replace them, and it replicates requests again.
 func TestHalfOpenLinkIsReplaced(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
 	gone := l.Gateway(0, 1)
@@ -74,7 +74,7 @@
 		}
 		return true
 	})
-	// One holder fewer is no reason to wait: two of three are a majority.
+	// Two of three replicas are a majority, so requests are still settled.
 	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
@@ -84,25 +84,25 @@
 	mend()
 	waitSettled(t, l)
 	if _, after := l.Gateway(0, 0).LinkStats(t.Context()); after[who] == 0 || after[who] == before[who] {
-		t.Errorf("the life at the other end was %d and is %d", before[who], after[who])
+		t.Errorf("incarnation of the peer was %d and is %d, want a new one", before[who], after[who])
 	}
 	held := gone.ReplicationStatus(t.Context()).Replica.Entries
 	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
 		t.Errorf("%+v", h)
 	}
-	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.ReplicationStatus(t.Context()).Replica.Entries > held })
+	testpeer.Until(t, "the new incarnation to hold the request", func() bool { return gone.ReplicationStatus(t.Context()).Replica.Entries > held })
 }
 
-// p2 knows p0 only through p1, which passes p0's offers on: a request goes through p1's hands, and draws and is held on the way as
-// any other. Once p0 says that nobody may pass it on, not one more runs there, whatever the others still believe; and the
-// withdrawal reaches p2.
+// p2 reaches p0 only through p1, which forwards p0's advertisements. A request is forwarded by p1, which replicates it and draws
+// quota as for any other. Once p0 disallows transit, no more requests from p2 run there, even if others still have the old
+// advertisement, and the withdrawal reaches p2.
 func TestRequestForwardedThroughPartner(t *testing.T) {
 	transit := func(g *Gateway, text string) string {
 		text = strings.ReplaceAll(text, " all = true\n", " all = true\n transit = true\n hands = 2\n")
 		switch g.Partner {
 		case 1:
 			return strings.Replace(text, "partner \"p0\" {", "partner \"p0\" {\n pass_on_to = [\"p2\"]", 1)
-		case 2: // it has no word with p0, and takes p0's paths from p1
+		case 2: // it has no partnership with p0 and accepts p0's paths from p1
 			i := strings.Index(text, "partner \"p0\" {")
 			j := i + strings.Index(text[i:], "}\n") + 2
 			text = text[:i] + text[j:]
@@ -155,15 +155,15 @@
 			t.Fatal(err)
 		}
 	}
-	l.Auditor.Forbid(l.elapsed(), 0, "p0 lets nobody pass it on", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
-	for i := range 6 { // some come before p2 has heard anything
+	l.Auditor.Forbid(l.elapsed(), 0, "p0 allows no transit", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
+	for i := range 6 { // some are sent before p2 receives the withdrawal
 		h := l.Send(t.Context(), l.Gateway(2, i%3), Request{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Timeout: 2 * time.Second})
 		if h.Status == 200 {
 			t.Errorf("%+v", h)
 		}
 	}
 	testpeer.Until(t, "the withdrawal to reach p2", all(false))
-	// Its group may not have linked by now, which is refused with a time to come again.
+	// Its group may not have links yet; the request is then rejected with a Retry-After.
 	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(1, 0), Request{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
 		t.Errorf("p1 itself: %+v", h)
 	}
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -14,10 +14,10 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// crowd asks for notes at all gateways that run, over and over, until stop; it counts what it heard.
+// loadGenerator repeatedly sends notes to all gateways until stop is called, and counts the outcomes.
 type loadGenerator struct {
 	served, refused atomic.Int64
-	slowest         atomic.Int64 // ns that a served request took
+	slowest         atomic.Int64 // latency of a served request, in ns
 	stop            func()
 }
 
@@ -55,29 +55,29 @@
 	return c
 }
 
-// more waits until as many more requests have been served.
+// waitServed waits until n more requests have been served.
 func (c *loadGenerator) waitServed(t *testing.T, n int64) {
 	t.Helper()
 	was := c.served.Load()
-	testpeer.Until(t, "more calls to be served", func() bool { return c.served.Load() >= was+n })
+	testpeer.Until(t, "more requests to be served", func() bool { return c.served.Load() >= was+n })
 }
 
-// held says that no window saw more requests than the terms bound. A request comes to its server as long after its draw as the slowest
-// took at most, so that the windows of draws are that much longer.
+// checkQuotaBound checks that no window has more requests than the terms allow. A request reaches its server after its draw by at most
+// the latency of the slowest request, so the window of draws is longer by that.
 func checkQuotaBound(t *testing.T, l *Federation, c *loadGenerator, terms budget.Terms) {
 	t.Helper()
 	for _, w := range []time.Duration{time.Second, 10 * time.Second} {
 		most, at := l.Auditor.MaxInWindow("note", w)
 		if bound := terms.Bound(w + time.Duration(c.slowest.Load())); float64(most) > bound {
-			t.Errorf("%d calls began in %v from %v on, bound %.1f", most, w, at, bound)
+			t.Errorf("%d requests started in %v from %v on, bound %.1f", most, w, at, bound)
 		}
 	}
 }
 
-// keeper is the gateway that keeps the quota.
+// waitQuotaLeader waits until a gateway is the quota leader and returns it.
 func waitQuotaLeader(t *testing.T, l *Federation) (k *Gateway) {
 	t.Helper()
-	testpeer.Until(t, "a keeper", func() bool {
+	testpeer.Until(t, "a quota leader", func() bool {
 		for _, g := range l.Gateways {
 			if g.Log() == "" {
 				continue
@@ -102,8 +102,8 @@
 	return t, text
 }
 
-// Nine gateways of three partners draw from one budget while its quota leader is killed, a quota leader is stopped and awakes, and a partner
-// is cut off: no window sees more than the file's terms bound, and after each fault there is a quota leader again.
+// Nine gateways of three partners draw from one quota while its leader is killed, the next leader's partner is partitioned, and the
+// rate is lowered. No window exceeds the configured bound, and a new quota leader is elected after each fault.
 func TestQuotaBoundHoldsUnderFaults(t *testing.T) {
 	terms, text := quotaConfig(60, 60, budget.Floor, 6)
 	l := startFederation(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
@@ -113,14 +113,14 @@
 	first.Kill()
 	second := waitQuotaLeader(t, l)
 	if second == first {
-		t.Errorf("%s is the keeper though it was killed", first.Name)
+		t.Errorf("%s is the quota leader though it was killed", first.Name)
 	}
 	c.waitServed(t, 100)
 	if err := first.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	mend := l.Cut(l.PartnerGateways(second.Partner), l.GatewaysExcept(l.PartnerGateways(second.Partner)...), true)
-	testpeer.Until(t, "another keeper on the other side", func() bool {
+	testpeer.Until(t, "another quota leader on the other side", func() bool {
 		for _, g := range l.GatewaysExcept(l.PartnerGateways(second.Partner)...) {
 			if g.QuotaStatus(t.Context()).IsLeader {
 				return true
@@ -128,12 +128,12 @@
 		}
 		return false
 	})
-	testpeer.Until(t, "the part that is cut off to draw of its floor", func() bool {
+	testpeer.Until(t, "the partitioned side to draw from its floor", func() bool {
 		return second.QuotaStatus(t.Context()).OwnFloor > 0
 	})
 	mend()
 	c.waitServed(t, 100)
-	// Lowered to a tenth, with tokens out.
+	// Lower the rate to a tenth while tokens are leased.
 	low, lowText := quotaConfig(6, 30, budget.Closed, 0)
 	setQuota(t, l, lowText)
 	lowered := l.elapsed()
@@ -141,7 +141,7 @@
 	c.stop()
 	checkQuotaBound(t, l, c, terms)
 	if c.refused.Load() == 0 {
-		t.Error("nothing was refused: the budget was never met")
+		t.Error("no request was rejected: the quota was never reached")
 	}
 	l.Auditor.mu.Lock()
 	defer l.Auditor.mu.Unlock()
@@ -152,11 +152,11 @@
 		}
 	}
 	if bound := low.Bound(l.elapsed() - lowered); float64(n) > bound {
-		t.Errorf("%d calls began in %v after the budget was lowered, bound %.1f", n, l.elapsed()-lowered, bound)
+		t.Errorf("%d requests started in %v after the budget was lowered, bound %.1f", n, l.elapsed()-lowered, bound)
 	}
 }
 
-// A request draws once in all, however many partners and gateways it comes through, and whoever takes it over.
+// A request draws quota once, regardless of how many partners and gateways forward it and which gateway takes it over.
 func TestRequestDrawsQuotaOnce(t *testing.T) {
 	_, text := quotaConfig(1000, 1000, budget.Closed, 0)
 	l := startFederation(t, Options{Quota: text, Custody: "refuse"})
@@ -169,7 +169,7 @@
 	}
 	served := func(at *Gateway, c Request) {
 		t.Helper()
-		testpeer.Until(t, "the call to be served", func() bool { // at first a token may be late
+		testpeer.Until(t, "the request to be served", func() bool { // the first tokens may arrive late
 			h := l.Send(t.Context(), at, c)
 			if h.Status != 200 && h.Status != 503 {
 				t.Fatalf("%+v", h)
@@ -184,14 +184,14 @@
 		served(l.Gateway(i%3, i%2), Request{ID: fmt.Sprint("d", i), Class: "note", Path: PartnerName((i+1)%3) + "/x"})
 	}
 	if n := drawn(l.Gateways) - before; n != calls {
-		t.Errorf("%d calls drew %d times", calls, n)
+		t.Errorf("%d requests drew %d times", calls, n)
 	}
-	// Taken over: the owner is killed before any attempt, and the successor draws nothing.
+	// The owner is killed during the attempt; its successors must not draw again.
 	owner := l.Gateway(0, 0)
 	got, release := l.Auditor.Hold("over")
 	defer release()
 	async(func() Outcome { return l.Send(t.Context(), owner, Request{ID: "over", Class: "note", Path: "p0/x"}) })
-	testpeer.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the request at its server")
 	all := drawn(l.GatewaysExcept(owner))
 	owner.Kill()
 	h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), Request{ID: "over-again", RetryOf: "over", Class: "note", Path: "p0/x"})
@@ -199,11 +199,11 @@
 		t.Errorf("%+v", h)
 	}
 	if n := drawn(l.GatewaysExcept(owner)); n != all {
-		t.Errorf("the heirs drew %d times", n-all)
+		t.Errorf("the successors drew %d times, want 0", n-all)
 	}
 }
 
-// withQuota has all gateways go by another body of the quota's block; an empty one removes it.
+// setQuota replaces the body of the quota block at all gateways; an empty body removes the quota.
 func setQuota(t *testing.T, l *Federation, body string) {
 	t.Helper()
 	for _, g := range l.Gateways {
@@ -220,8 +220,8 @@
 	}
 }
 
-// A quota leader that is stopped for longer than its term gives nothing out when it awakes, for another keeps the budget then: no
-// window sees more than the terms bound. It comes to draw again as any other.
+// A quota leader that is suspended for longer than its term grants nothing when it resumes, since another has been elected. No
+// window exceeds the bound, and the gateway draws from the new leader like any other.
 func TestSuspendedQuotaLeaderGrantsNothingOnResume(t *testing.T) {
 	terms, text := quotaConfig(60, 60, budget.Closed, 0)
 	l := startFederation(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
@@ -232,7 +232,7 @@
 		t.Fatal(err)
 	}
 	var second *Gateway
-	testpeer.Until(t, "another keeper", func() bool {
+	testpeer.Until(t, "another quota leader", func() bool {
 		for _, g := range l.GatewaysExcept(first) {
 			if g.QuotaStatus(t.Context()).IsLeader {
 				second = g
@@ -245,7 +245,7 @@
 	if err := first.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	testpeer.Until(t, "the one that was stopped to draw under a later keeper", func() bool {
+	testpeer.Until(t, "the suspended gateway to draw under a later quota leader", func() bool {
 		s := first.QuotaStatus(t.Context())
 		return !s.IsLeader && s.Term >= term && s.Drawn > 0 || s.IsLeader && s.Term > term
 	})
@@ -254,24 +254,24 @@
 	checkQuotaBound(t, l, c, terms)
 }
 
-// A quota that is raised gives more from then on, and one that is removed refuses nobody.
+// A raised quota admits more requests from then on, and a removed quota rejects none.
 func TestQuotaIsRaisedAndRemoved(t *testing.T) {
 	_, text := quotaConfig(2, 10, budget.Closed, 0)
 	l := startFederation(t, Options{Quota: text, Custody: "serve"})
 	waitQuotaLeader(t, l)
 	c := startLoad(t, l, 2)
-	testpeer.Until(t, "the budget to be met", func() bool { return c.refused.Load() > 50 })
+	testpeer.Until(t, "the quota to be reached", func() bool { return c.refused.Load() > 50 })
 	_, text = quotaConfig(400, 400, budget.Closed, 0)
 	setQuota(t, l, text)
-	// At two a second it would take minutes.
+	// At the old rate of 2 per second this would take minutes.
 	c.waitServed(t, 200)
 	setQuota(t, l, "")
 	for _, g := range l.Gateways {
 		if q := g.Status(t.Context()).Quotas; len(q) > 0 {
-			t.Errorf("%s still has a purse: %+v", g.Name, q)
+			t.Errorf("%s still has a quota limiter: %+v", g.Name, q)
 		}
 	}
-	testpeer.Until(t, "those that were refused before to have heard so", func() bool {
+	testpeer.Until(t, "requests rejected earlier to have been answered", func() bool {
 		was, served := c.refused.Load(), c.served.Load()
 		c.waitServed(t, 100)
 		return c.refused.Load() == was && c.served.Load() >= served+100
--- a/internal/faultbench/federation/scenario.go
+++ b/internal/faultbench/federation/scenario.go
@@ -14,56 +14,56 @@
 	"damsontrestle/internal/quota"
 )
 
-// Day is what a league is put through.
+// Scenario describes the load and the faults of a run.
 type Scenario struct {
 	Name          string
-	Fault         string        // none, kill, stop, cut, one-way, stall, quota leader, rules
-	FaultInterval time.Duration // between two faults
-	FaultDuration time.Duration // that each lasts
+	Fault         string        // one of Faults
+	FaultInterval time.Duration // between faults
+	FaultDuration time.Duration // of each fault
 	Length        time.Duration
-	Rate          float64 // requests a second that come to each gateway
+	Rate          float64 // requests per second and gateway
 	Away          float64 // share of requests for another partner
-	Uneven        float64 // by how much more come to the gateways of the first partner, the third and so on, and less to the others'
+	Uneven        float64 // relative excess of load at odd-numbered partners (first, third, ...), and deficit at the others
 	Patience      time.Duration
-	Doubt         time.Duration // after which a client without an answer asks another gateway
+	Doubt         time.Duration // time without a response after which a client tries another gateway
 	Seed          uint64
-	Bound         func(window time.Duration) float64 // of notes; nil: there is no quota
+	Bound         func(window time.Duration) float64 // maximum number of notes in a window; nil if there is no quota
 }
 
-// Faults are the kinds of a Day's.
+// Faults lists the values of Scenario.Fault.
 var Faults = []string{"none", "kill", "stop", "cut", "one-way", "stall", "keeper", "rules"}
 
-// Figures are what a day came to.
+// Figures holds the results of a scenario.
 type Figures struct {
 	Calls, Served, Refused, Failed, Unanswered int
-	FailedBy                                   map[string]int // by class, and whether it was settled
-	Struck                                     int            // faults
-	// Requests that a gateway had in hand when it was killed or stopped, with a second left at least.
+	FailedBy                                   map[string]int // by class, whether the failure was settled, and whether it was for another partner
+	Struck                                     int            // number of faults
+	// Requests in progress at a gateway when it was killed or stopped, with at least 1 s left.
 	InHand, InHandServed int
-	MayRepeat, MayServed int           // of them, such as may be sent again: safe and keyed ones
-	Takeover             time.Duration // median, from the kill to the answer elsewhere
+	MayRepeat, MayServed int           // those of them that may be retried: safe and keyed requests
+	Takeover             time.Duration // median time from the fault to the response at another gateway
 	P50, P99             time.Duration
-	P99Apart             time.Duration // of requests that came neither to a gateway that was stalled nor went to its partner
-	Agree                time.Duration // longest until all tables of each partner agreed, after a fault or a change
-	Disagreed            int           // times that they did not within 2 s
+	P99Apart             time.Duration // of requests that neither arrived at a stalled gateway nor went to its partner
+	Agree                time.Duration // longest time until the route tables of each partner agreed after a fault or a change
+	Disagreed            int           // number of times that this took more than 2 s
 	MostIn1s, MostIn10s  int           // notes
-	Over                 float64       // most notes in a window, against what the terms bound in it
+	Over                 float64       // maximum ratio of the notes in a window to the quota's bound
 	Breaches             []string
-	Late                 time.Duration // most by which a request was sent after it was due
-	Purses               quota.Counts  // of all gateways that run at the end together
-	Notes                float64       // that began a second
+	Late                 time.Duration // maximum delay of a request after its scheduled time
+	Purses               quota.Counts  // sum over all gateways that run at the end
+	Notes                float64       // started per second
 }
 
-// open is a request that a client waits for.
+// openRequest is a request whose client waits for a response.
 type openRequest struct {
 	class           string
 	deadline        time.Time
 	gateway         *Gateway
-	struckAt        time.Time // when its gateway was struck
-	affectedByStall bool      // a gateway was stalled that it needed, or might have
+	struckAt        time.Time // time of the fault at its gateway
+	affectedByStall bool      // a stalled gateway was, or may have been, on its path
 }
 
-// Play plays a day on a league that has started.
+// Play runs a scenario on a started federation.
 func (l *Federation) Play(ctx context.Context, scenario Scenario) *Figures {
 	figures := &Figures{}
 	var (
@@ -71,7 +71,7 @@
 		requests            = map[string]*openRequest{}
 		latencies           []time.Duration
 		unaffectedLatencies []time.Duration
-		stalledGateway      *Gateway // that is stalled
+		stalledGateway      *Gateway // currently stalled, or nil
 		takeovers           []time.Duration
 		all                 sync.WaitGroup
 	)
@@ -231,7 +231,7 @@
 	figures.MostIn10s, _ = l.Auditor.MaxInWindow("note", 10*time.Second)
 	if scenario.Bound != nil {
 		for w, most := range map[time.Duration]int{time.Second: figures.MostIn1s, 10 * time.Second: figures.MostIn10s} {
-			// A request comes to its server a little after its draw: windows of draws may be that much longer.
+			// A request reaches its server shortly after its quota draw, so the window of draws may be longer by that delay.
 			figures.Over = max(figures.Over, float64(most)/scenario.Bound(w+figures.P99))
 		}
 	}
@@ -239,7 +239,8 @@
 	return figures
 }
 
-// byThemselves is a client's without replication: it asks another gateway for what is harmless to send again, and for nothing else.
+// sendUnreplicated is the client's retry loop without replication: it retries at other gateways only requests that were rejected, or
+// that got no response and are not unsafe.
 func (l *Federation) sendUnreplicated(ctx context.Context, at *Gateway, c Request) Outcome {
 	group := l.PartnerGateways(at.Partner)
 	until := time.Now().Add(c.Timeout)
@@ -257,7 +258,7 @@
 	}
 }
 
-// faults strikes until the day is over.
+// injectFaults injects faults until the scenario ends.
 func (l *Federation) injectFaults(ctx context.Context, scenario Scenario, begin time.Time, figures *Figures, markAffected, setStalled func(*Gateway)) {
 	if scenario.Fault == "none" {
 		return
@@ -368,7 +369,7 @@
 			l.reconfigure(ctx, l.PartnerGateways(p), func(text string) string { return strings.Replace(text, oldRule, newRule, 1) })
 			from := l.elapsed()
 			end := make(chan struct{})
-			l.Auditor.Forbid(from, p, fmt.Sprintf("%s lets %s have it no more", PartnerName(p), PartnerName(excluded)), func(r Run) bool {
+			l.Auditor.Forbid(from, p, fmt.Sprintf("%s no longer exports it to %s", PartnerName(p), PartnerName(excluded)), func(r Run) bool {
 				select {
 				case <-end:
 					return false
@@ -387,7 +388,7 @@
 	}
 }
 
-// each changes some gateways' files at once.
+// reconfigure edits the files of some gateways concurrently.
 func (l *Federation) reconfigure(ctx context.Context, some []*Gateway, edit func(string) string) {
 	var all sync.WaitGroup
 	for _, g := range some {
@@ -402,7 +403,7 @@
 	all.Wait()
 }
 
-// agree waits until all gateways of each partner act on one table, and notes how long that took.
+// awaitAgreement waits up to 10 s until all gateways of each partner use the same route table, and records how long that took.
 func (l *Federation) awaitAgreement(ctx context.Context, figures *Figures) {
 	begin := time.Now()
 	for ctx.Err() == nil && time.Since(begin) < 10*time.Second {
@@ -442,7 +443,7 @@
 	}
 }
 
-// Line is the figures in a row for people.
+// Line formats the figures as one line of text.
 func (f *Figures) Line() string {
 	share := func(a, b int) string {
 		if b == 0 {
--- a/internal/faultbench/federation/server.go
+++ b/internal/faultbench/federation/server.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Box is a log server of a partner: it takes a while for each request, and discards repeats of a key as all of its cell do.
+// Server is a log server of a partner. It takes a configured service time per request and, together with the other servers of its
+// cell, discards duplicates of an idempotency key.
 type Server struct {
 	federation *Federation
 	Partner    int
@@ -20,17 +21,17 @@
 	httpServer *http.Server
 }
 
-// cell is what the servers of a partner's cell remember together.
+// cell is the state shared by the servers of a partner's cell.
 type cell struct {
 	mu         sync.Mutex
-	responses  map[string]string        // answers by key
-	inProgress map[string]chan struct{} // keys in work
+	responses  map[string]string        // by idempotency key
+	inProgress map[string]chan struct{} // by idempotency key; closed on completion
 }
 
 func newServer(l *Federation, partner, i int) (*Server, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("league: %w", err)
+		return nil, fmt.Errorf("federation: %w", err)
 	}
 	b := &Server{federation: l, Partner: partner, Name: fmt.Sprintf("%s-b%d", PartnerName(partner), i), Cell: i % 2, address: ln.Addr().String()}
 	b.httpServer = &http.Server{Handler: b}
@@ -40,7 +41,7 @@
 
 func (b *Server) close() { b.httpServer.Close() }
 
-// ServeHTTP runs a request.
+// ServeHTTP executes a request.
 func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
@@ -71,7 +72,8 @@
 	io.WriteString(w, text)
 }
 
-// before waits for the work of a key that another has begun. false: this one begins it.
+// claim returns the response of a key that another request executes or has executed, waiting for it if necessary. It returns false
+// if the caller must execute the request itself.
 func (c *cell) claim(r *http.Request, key string) (string, bool) {
 	for {
 		c.mu.Lock()
--- a/internal/faultbench/federation/status.go
+++ b/internal/faultbench/federation/status.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/routeexchange"
 )
 
-// Look is what a gateway's process tells of its part in the federation; nothing where it does not answer.
+// Status returns the federation status of the gateway, or the zero value if it does not answer.
 func (g *Gateway) Status(ctx context.Context) gateway.Status {
 	s, err := g.Show(ctx)
 	if err != nil || s.Status.Gateway == nil {
@@ -19,7 +19,7 @@
 	return *s.Status.Gateway
 }
 
-// Links are what its links did, and the incarnation of each gateway that it has one to.
+// LinkStats returns the link statistics and the incarnation of each gateway that it has a link to.
 func (g *Gateway) LinkStats(ctx context.Context) (peering.Stats, map[string]uint64) {
 	s := g.Status(ctx)
 	to := map[string]uint64{}
@@ -29,13 +29,13 @@
 	return s.Stats, to
 }
 
-// Custody is its part replicated.
+// ReplicationStatus returns the status of its request replication.
 func (g *Gateway) ReplicationStatus(ctx context.Context) replication.Status {
 	return g.Status(ctx).Replication
 }
 
-// Offers is its table.
+// RouteStatus returns the status of its route table.
 func (g *Gateway) RouteStatus(ctx context.Context) routeexchange.Status { return g.Status(ctx).Routes }
 
-// Notes is its limiter of the quota "notes".
+// QuotaStatus returns the status of its limiter for the quota "notes".
 func (g *Gateway) QuotaStatus(ctx context.Context) quota.Status { return g.Status(ctx).Quotas["notes"] }
--- a/internal/faultbench/federation/suspend_test.go
+++ b/internal/faultbench/federation/suspend_test.go
@@ -10,7 +10,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// owner is the gateway of a partner that has a request in hand.
+// activeGateway returns a gateway of the partner that is processing a request.
 func (l *Federation) activeGateway(t *testing.T, partner int) (has *Gateway) {
 	t.Helper()
 	for _, g := range l.PartnerGateways(partner) {
@@ -19,13 +19,13 @@
 		}
 	}
 	if has == nil {
-		t.Fatal("no gateway of the partner has the call in hand")
+		t.Fatal("no gateway of the partner has an active request")
 	}
 	return has
 }
 
-// held asks p0's first gateway for a request and waits until a server has it, which keeps it until release. of is what the auditor knows
-// it by, got hears of further servers.
+// sendHeld sends a request to p0's first gateway and waits until a server has it; servers delay it until release is called. of
+// identifies the request to the auditor, and got receives the names of further servers.
 func (l *Federation) sendHeld(t *testing.T, c Request) (of string, got <-chan string, release func(), waits <-chan Outcome) {
 	t.Helper()
 	of = c.ID
@@ -34,12 +34,12 @@
 	}
 	got, release = l.Auditor.Hold(c.ID)
 	waits = async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), c) })
-	testpeer.Receive(t, got, "the call at its box")
+	testpeer.Receive(t, got, "the request at its server")
 	return of, got, release, waits
 }
 
-// A partner's gateway is stopped while it has a request of ours in hand: its connection stands and says nothing. Others of its
-// group have lost it, and tell what became of the request; nobody waits for the deadline. Awake, it begins nothing.
+// A partner's gateway is suspended while it processes a request: its connection stays open but silent. Others of its group detect
+// this and report the outcome, long before the deadline. When it resumes, it starts nothing.
 func TestPartnerGatewaySuspendedDuringRequest(t *testing.T) {
 	l := startFederation(t, Options{Custody: "refuse", Silence: time.Second, Deadline: 10 * testpeer.Limit})
 	for _, c := range []struct {
@@ -52,10 +52,10 @@
 			t.Fatal(err)
 		}
 		if c.class == "view" {
-			testpeer.Receive(t, got, "the call at another box")
+			testpeer.Receive(t, got, "the request at another server")
 		}
 		release()
-		h := testpeer.Receive(t, waits, "the answer, long before the deadline")
+		h := testpeer.Receive(t, waits, "the response, long before the deadline")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
@@ -64,19 +64,19 @@
 		}
 		waitSettled(t, l)
 		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
-			t.Errorf("%s: it ran %d times, want %d", c.class, ran, c.runs)
+			t.Errorf("%s: ran %d times, want %d", c.class, ran, c.runs)
 		}
 	}
 }
 
-// A request whose time is short does not wait until the link to the gateway that has it in hand has ended: its replicas doubt that
-// one sooner, and another serves the request while the link still stands.
+// A request with a short deadline does not wait until the link to its owner is closed: its replicas suspect the owner earlier, and
+// another gateway serves the request while the link is still open.
 func TestSilentReplicaIsSuspectedBeforeLinkEnds(t *testing.T) {
 	const silence = 6 * time.Second
 	l := startFederation(t, Options{Custody: "refuse", Silence: silence, Period: 10 * time.Second})
 	owner, successor := l.Gateway(0, 0), l.Gateway(0, 1)
 	n := 0
-	testpeer.Until(t, "a call to be served by an heir whose link to the stopped owner stands", func() bool {
+	testpeer.Until(t, "a request to be served by a successor whose link to the suspended owner is open", func() bool {
 		n++
 		owner.Kill()
 		owner.SetEnv("DAMSONTRESTLE_FAULT=custody.intended:1:stop")
@@ -90,7 +90,7 @@
 		again := request
 		again.ID, again.RetryOf = request.ID+"-again", request.ID
 		var h Outcome
-		for begin := time.Now(); !h.Settled && time.Since(begin) < testpeer.Limit; { // at first nobody may hold it
+		for begin := time.Now(); !h.Settled && time.Since(begin) < testpeer.Limit; { // at first no replica may hold it
 			again.ID += "'"
 			h, _ = l.SendWithRetry(t.Context(), successor, again)
 		}
@@ -98,13 +98,13 @@
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Receive(t, waits, "the answer at the gateway that was stopped")
+		testpeer.Receive(t, waits, "the response at the suspended gateway")
 		return h.Status == 200 && links["p0/"+owner.Name] == incarnation
 	})
 }
 
-// Gateways of a group are restarted one after another, faster than the longest deadline: each learns again which keys its earlier
-// life may have voted for, so that new keys are taken at once and what was asked for before is told and not run again.
+// Gateways of a group are restarted in turn, faster than the longest deadline. Each recovers the keys that its earlier incarnation
+// may have voted for, so that new keys are accepted at once and earlier requests are answered without running again.
 func TestRestartedGroupAcceptsKeys(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second, Deadline: 20 * testpeer.Limit})
 	ask := func(at *Gateway, id, key string) Outcome {
@@ -116,7 +116,7 @@
 		for i := range 4 {
 			key := fmt.Sprintf("key-%d-%d", round, i)
 			keys = append(keys, key)
-			testpeer.Until(t, "a new key to be taken", func() bool { // where two of its replicas have just started anew it is refused
+			testpeer.Until(t, "a new key to be taken", func() bool { // rejected while two of its replicas have just restarted
 				h := ask(at, "first-"+key, key)
 				if h.Status != 200 && h.Status != 503 {
 					t.Fatalf("%+v", h)
@@ -129,13 +129,13 @@
 			t.Fatal(err)
 		}
 		waitSettled(t, l)
-		testpeer.Until(t, "the new life to know what the old one voted for", func() bool { return at.ReplicationStatus(t.Context()).Recovered > 0 })
+		testpeer.Until(t, "the new incarnation to recover the votes of the old one", func() bool { return at.ReplicationStatus(t.Context()).Recovered > 0 })
 	}
 	for i, key := range keys {
 		h := ask(l.Gateways[i%len(l.Gateways)], "again-"+key, key)
 		ran, dropped := countRuns(l.Auditor.Runs(key))
 		if ran != 1 || h.Status == 200 && !h.Settled {
-			t.Errorf("%s: it ran %d times and %d times as a repeat; asked for again: %+v", key, ran, dropped, h)
+			t.Errorf("%s: ran %d times and %d times as a duplicate; retried: %+v", key, ran, dropped, h)
 		}
 	}
 }
