--- a/internal/faultbench/child/build.go
+++ b/internal/faultbench/child/build.go
@@ -8,14 +8,14 @@
 	"sync"
 )
 
-// Builder builds the program once for all that ask, with its faults (the tag "rig"). The zero value will do.
+// Builder builds the program once, with its fault points (build tag "rig"). The zero value is ready to use.
 type Builder struct {
 	once sync.Once
 	dir  string
 	err  error
 }
 
-// Path is where the program is. It builds with the module of the folder that it is called in.
+// Path returns the path of the program. The first call builds it from the module of the working directory.
 func (b *Builder) Path() (string, error) {
 	b.once.Do(func() {
 		if b.dir, b.err = os.MkdirTemp("", "built"); b.err != nil {
@@ -29,7 +29,7 @@
 	return filepath.Join(b.dir, "damsontrestle"), b.err
 }
 
-// Main is a package's TestMain: it runs the tests, removes what was built for them, and ends the process.
+// RunTests implements a package's TestMain: it runs the tests, removes the built program, and exits.
 func (b *Builder) RunTests(m interface{ Run() int }) {
 	code := m.Run()
 	if b.dir != "" {
--- a/internal/faultbench/child/child.go
+++ b/internal/faultbench/child/child.go
@@ -1,4 +1,4 @@
-// Package child starts processes that end with this one, whatever ends it, and files in memory that nothing is left of.
+// Package child starts processes that end with this one, however it ends, and creates files in memory that leave nothing on disk.
 package child
 
 import (
@@ -17,19 +17,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Spawner starts processes from one thread that lives as long as it does: the kernel ends children when the thread that
-// started them ends, and a thread of Go's may end at any time.
+// Spawner starts processes from one dedicated thread. The kernel kills children with Pdeathsig when the thread that started them
+// ends, and an ordinary thread of the Go runtime may end at any time.
 type Spawner struct {
 	starts chan func()
 	once   sync.Once
 	done   chan struct{}
 }
 
-// NewSpawner returns one whose thread lives until Close.
+// NewSpawner returns a Spawner whose thread runs until Close.
 func NewSpawner() *Spawner {
 	s := &Spawner{starts: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // never unlocked, so that the thread ends with the goroutine
 		defer close(s.done)
 		for do := range s.starts {
 			do()
@@ -38,8 +38,8 @@
 	return s
 }
 
-// Start starts a command so that it ends when this process does, however that ends, and in a process group of its own,
-// so that a terminal's interrupt reaches this process only.
+// Start starts a command that is killed when this process ends for any reason. The command gets its own process group, so that an
+// interrupt from the terminal reaches this process only.
 func (s *Spawner) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	err := make(chan error)
@@ -47,20 +47,20 @@
 	return <-err
 }
 
-// Close ends the thread, and with it every child that is left.
+// Close ends the thread and thereby kills all remaining children.
 func (s *Spawner) Close() {
 	s.once.Do(func() { close(s.starts) })
 	<-s.done
 }
 
-// Memfile is a file in memory: nothing of it is left when its last user has ended.
+// Memfile is a file in memory that is freed when its last descriptor is closed.
 type Memfile struct{ *os.File }
 
-// NewMemfile returns one that holds a text.
+// NewMemfile creates a file in memory with the given content.
 func NewMemfile(name string, text []byte) (*Memfile, error) {
 	fd, err := unix.MemfdCreate(name, unix.MFD_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("child: a file in memory: %w", err)
+		return nil, fmt.Errorf("child: create memfd: %w", err)
 	}
 	m := &Memfile{os.NewFile(uintptr(fd), name)}
 	return m, m.Rewrite(text)
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// tail keeps the end of what is written to it.
+// logTail keeps the last limit bytes written to it and passes each complete line to onLine.
 type logTail struct {
 	onLine func(line string)
 
 	mu      sync.Mutex
 	limit   int
 	text    []byte
-	partial []byte // of a line that has not ended
+	partial []byte // last line, not yet terminated
 }
 
 func (t *logTail) Write(p []byte) (int, error) {
@@ -113,30 +113,30 @@
 	return string(t.text)
 }
 
-// Process is one incarnation of a node.
+// Process is a started child process.
 type Process struct {
 	Cmd  *exec.Cmd
 	Log  *logTail
-	Done chan struct{} // closed once it has ended
-	Err  error         // how
+	Done chan struct{} // closed after the process has exited
+	Err  error         // result of Wait, valid once Done is closed
 
 	mu            sync.Mutex
-	stopRequested bool // its end is the fault bench's doing
+	stopRequested bool // Stop was called, so the exit is expected
 }
 
-// Launch starts the program with a file in memory as its third descriptor.
-// key, if it has one, is the fourth. heard is told of each complete line of its log.
-func (s *Spawner) Launch(binary string, file, key *Memfile, keep int, env []string, heard func(string)) (*Process, error) {
+// Launch starts the program with its configuration file as descriptor 3 and, if not nil, the key as descriptor 4. onLine is called
+// with each complete line of its log.
+func (s *Spawner) Launch(binary string, file, key *Memfile, keep int, env []string, onLine func(string)) (*Process, error) {
 	files := []*os.File{file.File}
 	if key != nil {
 		files = append(files, key.File)
 	}
-	return s.Run(exec.Command(binary, "serve", "/proc/self/fd/3"), files, keep, env, heard)
+	return s.Run(exec.Command(binary, "serve", "/proc/self/fd/3"), files, keep, env, onLine)
 }
 
-// Run starts a command with files as its descriptors from the third on. keep is how many bytes of its log are kept.
-func (s *Spawner) Run(cmd *exec.Cmd, files []*os.File, keep int, env []string, heard func(string)) (*Process, error) {
-	p := &Process{Cmd: cmd, Log: &logTail{limit: keep, onLine: heard}, Done: make(chan struct{})}
+// Run starts a command with files as its descriptors from 3 on. It keeps the last keep bytes of the command's standard error.
+func (s *Spawner) Run(cmd *exec.Cmd, files []*os.File, keep int, env []string, onLine func(string)) (*Process, error) {
+	p := &Process{Cmd: cmd, Log: &logTail{limit: keep, onLine: onLine}, Done: make(chan struct{})}
 	p.Cmd.ExtraFiles = files
 	p.Cmd.Stderr = p.Log
 	p.Cmd.Env = append(os.Environ(), env...)
@@ -150,7 +150,7 @@
 	return p, nil
 }
 
-// Signal sends one signal. A process that has ended takes none.
+// Signal sends a signal to the process. It does nothing if the process has exited.
 func (p *Process) Signal(sig syscall.Signal) error {
 	select {
 	case <-p.Done:
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// End ends it with a signal, and by SIGKILL if that has no effect in time.
+// Stop sends a signal, then SIGKILL if the process has not exited in time, and waits for the exit.
 func (p *Process) Stop(sig syscall.Signal, within time.Duration) {
 	p.mu.Lock()
 	p.stopRequested = true
@@ -179,7 +179,7 @@
 	}
 }
 
-// Died says in words that it ended by itself, or nothing.
+// UnexpectedExit describes an exit that Stop did not cause, or returns "".
 func (p *Process) UnexpectedExit() string {
 	select {
 	case <-p.Done:
@@ -191,16 +191,16 @@
 	if p.stopRequested {
 		return ""
 	}
-	return fmt.Sprintf("ended by itself: %v\n%s", p.Err, p.Log)
+	return fmt.Sprintf("exited unexpectedly: %v\n%s", p.Err, p.Log)
 }
 
-// Use is the processor time and the resident memory of a process that runs.
+// ResourceUsage returns the processor time and the resident memory, in bytes, of a running process, or zeros if it cannot be read.
 func ResourceUsage(pid int) (cpu time.Duration, resident int64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	// The name in brackets may hold anything; utime and stime are the 14th and 15th field, rss the 24th (proc(5)).
+	// The name in parentheses may contain any character; utime and stime are fields 14 and 15, rss is field 24 (proc(5)).
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) < 22 {
 		return 0, 0
@@ -209,6 +209,6 @@
 		n, _ := strconv.ParseInt(fields[i], 10, 64)
 		return n
 	}
-	const ticks = 100 // a second, on every Linux that Go runs on
+	const ticks = 100 // per second, on every Linux platform that Go supports
 	return time.Duration(number(11)+number(12)) * time.Second / ticks, number(21) * int64(os.Getpagesize())
 }
--- a/internal/faultbench/federation/scenario.go
+++ b/internal/faultbench/federation/scenario.go
@@ -451,7 +451,7 @@
 		}
 		return fmt.Sprintf("%.3f", float64(a)/float64(b))
 	}
-	return fmt.Sprintf("served %s of %d (refused %d, failed %d %v, unanswered %d); %d faults; in hand %d, served %s, of those that may be sent again %s; takeover %v; p50 %v, p99 %v, apart from what was stalled %v; tables agree after %v (%d times not in 2 s); notes %.1f a second, %d in 1 s, %d in 10 s, %.2f of the bound, tokens drawn %d of %d given, %d wasted, %d of %d refused came when they were told; late %v; %d breaches",
+	return fmt.Sprintf("served %s of %d (refused %d, failed %d %v, unanswered %d); %d faults; in progress at a fault %d, served %s, of the retryable ones %s; takeover %v; p50 %v, p99 %v, unaffected by stalls %v; route tables agreed after %v (%d times more than 2 s); notes %.1f per second, %d in 1 s, %d in 10 s, %.2f of the bound, tokens drawn %d of %d granted, %d wasted, %d of %d rejected retried on time; sent late by up to %v; %d breaches",
 		share(f.Served, f.Calls), f.Calls, f.Refused, f.Failed, f.FailedBy, f.Unanswered, f.Struck, f.InHand, share(f.InHandServed, f.InHand), share(f.MayServed, f.MayRepeat),
 		f.Takeover.Round(time.Millisecond), f.P50.Round(100*time.Microsecond), f.P99.Round(time.Millisecond), f.P99Apart.Round(time.Millisecond), f.Agree.Round(10*time.Millisecond), f.Disagreed,
 		f.Notes, f.MostIn1s, f.MostIn10s, f.Over, f.Purses.Drawn, f.Purses.Granted, f.Purses.Wasted, f.Purses.OnTimeRetries, f.Purses.Rejected, f.Late.Round(time.Millisecond), len(f.Breaches))
--- a/internal/faultbench/nodefile/nodefile.go
+++ b/internal/faultbench/nodefile/nodefile.go
@@ -1,4 +1,4 @@
-// Package nodefile writes the file by which a node of an experiment serves.
+// Package nodefile generates the configuration file of a node in an experiment.
 package nodefile
 
 import (
@@ -12,25 +12,25 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// Node is what a node's file says beside the experiment.
+// Node holds the settings of a node that are not part of the experiment.
 type Node struct {
 	Index, Copies int
 	Zone          string
 	Listen        string // address
-	Registry      string // address of its agent
+	Registry      string // address of its registry agent
 	Descriptors   int
-	Connections   int // to servers, at most
+	Connections   int // maximum number, to servers
 	Peers         *Peers
 }
 
-// Peers is how a node comes to know others.
+// Peers configures the membership of a node.
 type Peers struct {
 	Listen, Advertise, KeyFile, Region string
 	Seeds                              []string
 	Period, Fresh                      time.Duration
 }
 
-// Pool is the name of the one pool.
+// Pool is the name of the only pool.
 const Pool = "servers"
 
 var fileTemplate = template.Must(template.New("node").Parse(`node "n{{.Index}}" {
@@ -102,13 +102,13 @@
 }
 `))
 
-// Text is the file of a node.
+// Text returns the configuration file of a node.
 func Text(e *experiment.Experiment, n Node) ([]byte, error) {
 	slowStarting := experiment.Servers{ColdFrom: 1}
 	reports := true
 	for _, g := range e.Servers {
 		reports = reports && g.Reports
-		if g.ColdOver > slowStarting.ColdOver { // of several, the longest holds
+		if g.ColdOver > slowStarting.ColdOver { // the longest slow start applies to all servers
 			slowStarting = g
 		}
 	}
@@ -128,12 +128,12 @@
 		Asks     int
 	}{n, e.Classes, slowStarting.ColdFrom, slowStarting.ColdOver, reports, e.NodeGroup(n.Index).Asks})
 	if err != nil {
-		return nil, fmt.Errorf("the file of node %d: %w", n.Index, err)
+		return nil, fmt.Errorf("generate configuration of node %d: %w", n.Index, err)
 	}
 	return out.Bytes(), nil
 }
 
-// Settings are what the module of a node goes by: what the program makes of its file.
+// Settings returns the balancer settings that the program derives from the node's file.
 func Settings(e *experiment.Experiment, n Node) (balancer.Settings, error) {
 	n.Listen, n.Registry = "127.0.0.1:1", "127.0.0.1:2"
 	text, err := Text(e, n)
--- a/internal/faultbench/report/compare.go
+++ b/internal/faultbench/report/compare.go
@@ -1,5 +1,5 @@
-// Package report reads results of the fault bench and sets two sets of runs side by side, paired by seed: a table with intervals
-// and, as one HTML page that needs nothing else, plots.
+// Package report reads results of the fault bench and compares two sets of runs, paired by seed, in a table with confidence
+// intervals and in a self-contained HTML page with plots.
 package report
 
 import (
@@ -16,10 +16,10 @@
 	"damsontrestle/internal/faultbench"
 )
 
-// MaxResult is how long a file with a result may be.
+// MaxResult is the maximum size of a result file, in bytes.
 const MaxResult = 64 << 20
 
-// Load reads a result. One of another version is refused: its figures may mean something else.
+// Load reads a result file. It rejects results of another version, whose figures may have another meaning.
 func Load(path string) (*faultbench.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,10 +32,10 @@
 	return r, nil
 }
 
-// Parse reads the text of a result.
+// Parse parses a result in JSON.
 func Parse(text []byte) (*faultbench.Result, error) {
 	if len(text) > MaxResult {
-		return nil, fmt.Errorf("result: it has %d bytes; allowed: %d", len(text), MaxResult)
+		return nil, fmt.Errorf("result: found %d bytes; allowed: %d", len(text), MaxResult)
 	}
 	var version struct{ Version int }
 	if err := json.Unmarshal(text, &version); err != nil {
@@ -51,20 +51,20 @@
 		return nil, fmt.Errorf("result: %w", err)
 	}
 	if r.Experiment == "" || r.Policy == "" {
-		return nil, fmt.Errorf("result: it names no experiment or no policy")
+		return nil, fmt.Errorf("result: no experiment or no policy given")
 	}
 	return r, nil
 }
 
-// Row compares one figure of two sets of runs.
+// Row is the comparison of one figure between two sets of runs.
 type Row struct {
 	Name, Unit string
 	A, B       float64 // means over the pairs
-	Difference float64 // B - A, mean over the pairs
-	Low, High  float64 // between which it lies in 95 of 100 resamples of the pairs; equal to it where there is one pair
+	Difference float64 // mean of B - A over the pairs
+	Low, High  float64 // 95 % bootstrap interval of Difference; both equal it if there is one pair
 }
 
-// figure is one that is compared.
+// comparedFigure is a figure of a result that Compare compares.
 type comparedFigure struct {
 	name, unit string
 	value      func(*faultbench.Result) float64
@@ -76,31 +76,31 @@
 	{"served", "share", func(r *faultbench.Result) float64 { return r.Figures.Served }},
 	{"refused", "share", func(r *faultbench.Result) float64 { return r.Figures.Refused }},
 	{"failed or not taken", "share", func(r *faultbench.Result) float64 { return r.Figures.Failed + r.Figures.NotTaken }},
-	{"callers that left", "share", func(r *faultbench.Result) float64 { return r.Figures.Left }},
-	{"most to a cold server", "of the rule", func(r *faultbench.Result) float64 { return r.Figures.Cold }},
+	{"clients that left", "share", func(r *faultbench.Result) float64 { return r.Figures.Left }},
+	{"peak on cold server", "of the rule", func(r *faultbench.Result) float64 { return r.Figures.Cold }},
 	{"latency, median", "ms", func(r *faultbench.Result) float64 { return r.Figures.P50.Seconds() * 1e3 }},
-	{"latency, 99 of 100", "ms", func(r *faultbench.Result) float64 { return r.Figures.P99.Seconds() * 1e3 }},
-	{"slots at work", "share", func(r *faultbench.Result) float64 { return r.Figures.Utilisation }},
-	{"calls that wait, a slot", "", func(r *faultbench.Result) float64 { return r.Figures.Waiting }},
+	{"latency, p99", "ms", func(r *faultbench.Result) float64 { return r.Figures.P99.Seconds() * 1e3 }},
+	{"busy slots", "share", func(r *faultbench.Result) float64 { return r.Figures.Utilisation }},
+	{"waiting per slot", "", func(r *faultbench.Result) float64 { return r.Figures.Waiting }},
 	{"idle while queued", "share", func(r *faultbench.Result) float64 { return r.Figures.Spread.IdleWhileQueued }},
-	{"variation over servers", "", func(r *faultbench.Result) float64 { return r.Figures.Spread.Variation }},
-	{"most calls in 1 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["1s"].Most }},
-	{"most calls in 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Most }},
-	{"fewest calls in 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Least }},
-	{"longest without a call", "s", func(r *faultbench.Result) float64 { return r.Figures.Spread.LongestIdle.Seconds() }},
+	{"server variation", "", func(r *faultbench.Result) float64 { return r.Figures.Spread.Variation }},
+	{"most requests in 1 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["1s"].Most }},
+	{"most requests in 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Most }},
+	{"fewest requests, 10 s", "of mean", func(r *faultbench.Result) float64 { return r.Figures.Spread.Windows["10s"].Least }},
+	{"longest idle time", "s", func(r *faultbench.Result) float64 { return r.Figures.Spread.LongestIdle.Seconds() }},
 	{"connections to a server", "", func(r *faultbench.Result) float64 { return r.Figures.Connections }},
 	{"most connections", "of mean", func(r *faultbench.Result) float64 { return r.Figures.MostConns }},
-	{"attempts a call", "", func(r *faultbench.Result) float64 { return r.Figures.Attempts }},
+	{"attempts per request", "", func(r *faultbench.Result) float64 { return r.Figures.Attempts }},
 	{"attempts to other zones", "share", func(r *faultbench.Result) float64 { return r.Figures.Crossings }},
-	{"processor time a call", "ms", func(r *faultbench.Result) float64 { return r.Cost.CPUPerCall.Seconds() * 1e3 }},
-	{"breaches of rules", "", func(r *faultbench.Result) float64 { return float64(len(r.Breaches)) }},
+	{"CPU time per request", "ms", func(r *faultbench.Result) float64 { return r.Cost.CPUPerCall.Seconds() * 1e3 }},
+	{"rule breaches", "", func(r *faultbench.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
-// Pair is one day, played twice.
+// Pair holds two results of the same experiment and seed.
 type Pair struct{ A, B *faultbench.Result }
 
-// Pairs sorts two sets of runs into pairs of the same experiment and seed. What has no partner, or was played on a
-// machine that was too slow, is left out, and said.
+// Pairs pairs the results of two sets by experiment and seed. Results without a counterpart, and pairs with a run on a machine that
+// was too slow, are excluded; excluded lists them with the reason.
 func Pairs(a, b []*faultbench.Result) (pairs []Pair, excluded []string) {
 	type day struct {
 		experiment string
@@ -132,10 +132,10 @@
 	return pairs, excluded
 }
 
-// resamples of the pairs for an interval.
+// bootstrapResamples is the number of resamples for an interval.
 const bootstrapResamples = 2000
 
-// Compare works out every figure over pairs.
+// Compare compares every figure over the pairs.
 func Compare(pairs []Pair) (rows []Row) {
 	for _, f := range comparedFigures {
 		var as, bs, ds []float64
@@ -152,7 +152,8 @@
 	return rows
 }
 
-// bootstrap is the 95 percent interval of a mean, by resampling (Efron 1979). The draws are always the same.
+// bootstrap returns the 95 % interval of the mean by bootstrap resampling (Efron 1979). The random seed is fixed, so results are
+// reproducible.
 func bootstrap(values []float64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
 	means := make([]float64, bootstrapResamples)
--- a/internal/faultbench/report/page.go
+++ b/internal/faultbench/report/page.go
@@ -28,7 +28,7 @@
 </style></head><body>
 <h1>{{.Title}}</h1>
 <p><span class="a">A: {{.A}}</span>, <span class="b">B: {{.B}}</span>; {{len .Pairs}} pairs by seed. The interval holds the
-difference in 95 of 100 resamples of the pairs; it is in bold where it leaves out nought.</p>
+difference in 95 of 100 resamples of the pairs; it is in bold if it excludes zero.</p>
 <table><tr><th>figure</th><th>A</th><th>B</th><th>B - A</th><th>interval</th></tr>
 {{range .Rows}}<tr><td>{{.Name}}{{if .Unit}} ({{.Unit}}){{end}}</td><td>{{printf "%.3f" .A}}</td><td>{{printf "%.3f" .B}}</td>
 <td>{{printf "%+.3f" .Difference}}</td><td{{if .Significant}} class="sure"{{end}}>{{printf "%+.3f to %+.3f" .Low .High}}</td></tr>
@@ -39,7 +39,7 @@
 </body></html>
 `))
 
-// Sure says that the difference is none of chance, as far as the pairs tell.
+// Significant reports whether the interval of the difference excludes zero.
 func (r Row) Significant() bool { return r.Low > 0 || r.High < 0 }
 
 type renderedPlot struct {
@@ -47,7 +47,7 @@
 	Caption string
 }
 
-// Page writes the comparison of pairs as one HTML page. A and B are what the two sets are called.
+// Page writes the comparison of pairs as one HTML page. a and b are the names of the two sets.
 func Page(w io.Writer, title, a, b string, pairs []Pair, left []string) error {
 	view := struct {
 		Title, A, B string
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// maxPlots is how many pairs are drawn; a page of hundreds would be of no use.
+// maxPlots is the maximum number of pairs that are plotted, which keeps the page readable.
 const maxPlots = 6
 
 var plots = []struct {
 	caption string
 	draw    func(Pair) (string, error)
 }{
-	{"share of the calls of each second that were served within their aim", func(p Pair) (string, error) {
+	{"share of the requests of each second that were served within their aim", func(p Pair) (string, error) {
 		return curves("second", "share", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			for i, s := range r.Figures.BySecond {
 				if s.Calls > 0 {
@@ -97,7 +97,7 @@
 			return xy
 		})
 	}},
-	{"calls that came to each server, from the one with fewest to the one with most, against their mean", func(p Pair) (string, error) {
+	{"requests per server relative to the mean, in ascending order", func(p Pair) (string, error) {
 		return curves("server", "of mean", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			counts, all := slices.Clone(r.Figures.Spread.Counts), 0
 			slices.Sort(counts)
@@ -110,7 +110,7 @@
 			return xy
 		})
 	}},
-	{"calls that wait, for each slot, by tenths of a second", func(p Pair) (string, error) {
+	{"waiting requests per slot, by tenths of a second", func(p Pair) (string, error) {
 		return curves("second", "calls", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			for _, s := range r.Figures.Series {
 				xy = append(xy, plotter.XY{X: s.At.Seconds(), Y: s.Waiting})
@@ -118,7 +118,7 @@
 			return xy
 		})
 	}},
-	{"share of the served calls that were answered within a time", func(p Pair) (string, error) {
+	{"cumulative share of served requests by latency", func(p Pair) (string, error) {
 		return curves("ms", "share", p, func(r *faultbench.Result) (xy plotter.XYs) {
 			h, err := hdrhistogram.Decode(r.Figures.Latency)
 			if err != nil {
@@ -132,7 +132,7 @@
 	}},
 }
 
-// curves draws one curve for each side of a pair.
+// curves plots one line for each side of a pair and returns it as SVG.
 func curves(x, y string, p Pair, of func(*faultbench.Result) plotter.XYs) (string, error) {
 	chart := plot.New()
 	chart.X.Label.Text, chart.Y.Label.Text = x, y
@@ -158,7 +158,7 @@
 		return "", err
 	}
 	text := out.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // the declaration of an XML file has no place in a page
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // drop the XML declaration, which is invalid inside HTML
 		text = text[i:]
 	}
 	return string(text), nil
--- a/internal/faultbench/report/report_test.go
+++ b/internal/faultbench/report/report_test.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/faultbench/audit"
 )
 
-// results are days of some seeds, with a figure that grows by seed and one that differs by a step between sets.
+// results returns one result per seed. P99 and InAim grow with the seed, and step is added to InAim.
 func results(step float64, seeds ...uint64) (out []*faultbench.Result) {
 	for _, s := range seeds {
 		h := audit.Histogram()
@@ -30,21 +30,21 @@
 	return out
 }
 
-// Days differ much more from one another than the two sets do: only the pairs show the step.
+// The seeds differ much more from one another than the two sets do, so only pairing reveals the difference.
 func TestPairedComparisonDetectsSmallDifference(t *testing.T) {
 	slow := results(0, 9)
 	slow[0].Slow = "too slow"
 	pairs, left := Pairs(append(results(0, 1, 2, 3, 4, 5), slow...), results(0.02, 5, 4, 3, 2, 7, 9))
 	if len(pairs) != 4 || len(left) != 3 {
-		t.Fatalf("%d pairs, left %v; want four, and 1, 7 and 9 left", len(pairs), left)
+		t.Fatalf("%d pairs, excluded %v; want four pairs, and 1, 7 and 9 excluded", len(pairs), left)
 	}
 	rows := Compare(pairs)
 	if r := rows[0]; r.Name != "served within the aim" || r.Difference < 0.0199 || r.Difference > 0.0201 || !r.Significant() {
-		t.Errorf("%+v; want a sure step of 0.02", r)
+		t.Errorf("%+v; want a significant difference of 0.02", r)
 	}
 	for _, r := range rows[1:] {
 		if r.Significant() {
-			t.Errorf("%+v: nothing else differs", r)
+			t.Errorf("%+v: significant, but only the first figure differs", r)
 		}
 	}
 	var out bytes.Buffer
