--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -42,17 +42,17 @@
 			for s := range seeds {
 				d.Seed = uint64(s + 1)
 				o.Seed = d.Seed
-				d.Bound = nil
+				d.NotesBound = nil
 				if quota > 0 {
 					var text string
 					part := quota
 					if o.QuotaPerPartner {
 						part /= float64(o.Partners)
 					}
-					d.Bound, text = leagueQuota(part, o.Partners, o.Gateways)
+					d.NotesBound, text = leagueQuota(part, o.Partners, o.Gateways)
 					if o.QuotaPerPartner {
 						complete, _ := leagueQuota(quota, o.Partners, o.Gateways)
-						d.Bound = complete
+						d.NotesBound = complete
 					}
 					o.Quota = text
 				}
@@ -101,18 +101,18 @@
 	fl.IntVar(&o.Links, "links", 2, "that each gateway holds to each partner")
 	fl.DurationVar(&o.Service, "service", 100*time.Millisecond, "that a box takes for a call")
 	fl.DurationVar(&o.Silence, "silence", time.Second, "that ends a link")
-	fl.DurationVar(&d.Patience, "patience", 3*time.Second, "of callers")
-	fl.DurationVar(&d.Doubt, "doubt", 750*time.Millisecond, "of callers, after which they ask another gateway")
-	fl.DurationVar(&d.Length, "length", 20*time.Second, "")
+	fl.DurationVar(&d.RequestTimeout, "patience", 3*time.Second, "of callers")
+	fl.DurationVar(&d.AttemptTimeout, "doubt", 750*time.Millisecond, "of callers, after which they ask another gateway")
+	fl.DurationVar(&d.Duration, "length", 20*time.Second, "")
 	fl.Float64Var(&d.Rate, "rate", 5, "calls a second that come to each gateway")
-	fl.Float64Var(&d.Away, "away", 0.3, "share of calls for another partner")
+	fl.Float64Var(&d.RemoteShare, "away", 0.3, "share of calls for another partner")
 	fl.StringVar(&d.Fault, "fault", "none", fmt.Sprint(federation.Faults))
 	fl.DurationVar(&d.FaultInterval, "every", 200*time.Millisecond, "between two faults")
 	fl.DurationVar(&d.FaultDuration, "for", time.Second, "that a fault lasts")
 	fl.IntVar(&seeds, "seeds", 1, "")
 	fl.Float64Var(&quota, "quota", 0, "notes a second that all partners may call together; 0: no quota")
 	fl.BoolVar(&o.QuotaPerPartner, "apart", false, "each partner has its part of the quota for itself")
-	fl.Float64Var(&d.Uneven, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
+	fl.Float64Var(&d.LoadImbalance, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
 	fl.BoolVar(&baseline, "baseline", false, "without custody")
 	return cmd
 }
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -138,15 +138,15 @@
 		}
 		waitSettled(t, l)
 		request := Request{ID: fmt.Sprintf("c%d-%s-%s", n, c.class, c.point), Class: c.class, Path: "p0/x"}
-		of := request.ID
+		auditKey := request.ID
 		if c.class == "log" {
 			request.Key = "key-" + request.ID
-			of = request.Key
+			auditKey = request.Key
 		}
 		first := l.Send(t.Context(), victim, request)
 		testpeer.Receive(t, victim.Ended(), "the kill")
 		if first.Status != 0 {
-			t.Errorf("%s %s: client of the killed gateway got %+v, want no response", c.class, c.point, first)
+			t.Errorf("%s %s: the client of the killed gateway got %+v, want no response", c.class, c.point, first)
 		}
 		var answers []<-chan Outcome
 		for i, g := range l.PartnerGateways(0, victim) {
@@ -163,9 +163,9 @@
 				t.Errorf("%s %s: %+v, want a settled %d", c.class, c.point, h, c.status)
 			}
 		}
-		ran, dropped := countRuns(l.Auditor.Runs(of))
+		ran, dropped := countRuns(l.Auditor.Runs(auditKey))
 		if c.done >= 0 && (ran != c.done || dropped != c.dropped) || c.done < 0 && ran > -c.done {
-			t.Errorf("%s %s: %d runs and %d repeats, want %d and %d: %+v", c.class, c.point, ran, dropped, c.done, c.dropped, l.Auditor.Runs(of))
+			t.Errorf("%s %s: %d runs and %d repeats, want %d and %d: %+v", c.class, c.point, ran, dropped, c.done, c.dropped, l.Auditor.Runs(auditKey))
 		}
 	}
 }
@@ -237,11 +237,11 @@
 		}
 		waitSettled(t, l)
 		request := Request{ID: fmt.Sprintf("s%d", i), Class: class, Path: "p0/x"}
-		of := request.ID
+		auditKey := request.ID
 		if class == "log" {
-			request.Key, of = "key-"+request.ID, "key-"+request.ID
+			request.Key, auditKey = "key-"+request.ID, "key-"+request.ID
 		}
-		waits := async(func() Outcome { return l.Send(t.Context(), owner, request) })
+		pending := async(func() Outcome { return l.Send(t.Context(), owner, request) })
 		// A retry before another replica holds the request is answered as unknown, and would end up at the suspended gateway.
 		testpeer.Until(t, "the request to be held by another", func() bool {
 			return l.Gateway(0, 1).ReplicationStatus(t.Context()).Replica.Undecided+l.Gateway(0, 2).ReplicationStatus(t.Context()).Replica.Undecided > 0
@@ -254,18 +254,18 @@
 			h, _ = l.SendWithRetry(t.Context(), l.Gateway(0, 1), again)
 			return h.Settled
 		})
-		before, _ := countRuns(l.Auditor.Runs(of))
+		before, _ := countRuns(l.Auditor.Runs(auditKey))
 		if class == "note" && (before > 0 || h.Status != 502) || class != "note" && (before != 1 || h.Status != 200) {
 			t.Errorf("%s: %d runs, and %+v", class, before, h)
 		}
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		first := testpeer.Receive(t, waits, "the response at the suspended gateway")
+		first := testpeer.Receive(t, pending, "the response at the suspended gateway")
 		if first.Status != h.Status || first.Settled && first.Body != h.Body {
 			t.Errorf("%s: the waiting client got %+v, others %+v", class, first, h)
 		}
-		if after, _ := countRuns(l.Auditor.Runs(of)); after != before {
+		if after, _ := countRuns(l.Auditor.Runs(auditKey)); after != before {
 			t.Errorf("%s: %d runs before it resumed, %d after", class, before, after)
 		}
 	}
@@ -284,19 +284,19 @@
 			held := Request{ID: "held-" + how, Class: "note", Path: "p1/x"}
 			got, release := l.Auditor.Hold(held.ID)
 			defer release()
-			waits := async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), held) })
+			pending := async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), held) })
 			testpeer.Receive(t, got, "the request at its server")
-			mend := l.Cut(from, to, how == "both ways")
+			heal := l.Cut(from, to, how == "both ways")
 			for i := range 6 { // requests that do not cross the partition are served, on both sides
 				for _, c := range []Request{{Class: "note", Path: "p0/x"}, {Class: "note", Path: "p2/x"}} {
 					c.ID = fmt.Sprint(how, i, c.Path)
 					if h := l.Send(t.Context(), l.Gateway(0, i%3), c); h.Status != 200 {
-						t.Errorf("%+v", h)
+						t.Errorf("unexpected outcome: %+v", h)
 					}
 				}
 				c := Request{ID: fmt.Sprint(how, i, "from p2"), Class: "note", Path: "p1/x"}
 				if h := l.Send(t.Context(), l.Gateway(2, i%3), c); h.Status != 200 {
-					t.Errorf("%+v", h)
+					t.Errorf("unexpected outcome: %+v", h)
 				}
 			}
 			lost := Request{ID: "lost-" + how, Class: "note", Path: "p1/x", Timeout: 2 * time.Second}
@@ -304,9 +304,9 @@
 				t.Errorf("request across the partition: %+v", h)
 			}
 			release()
-			mend()
-			if h := testpeer.Receive(t, waits, "the response of the call that was there"); h.Status != 200 || !h.Settled {
-				t.Errorf("%+v", h)
+			heal()
+			if h := testpeer.Receive(t, pending, "the response of the held request"); h.Status != 200 || !h.Settled {
+				t.Errorf("unexpected outcome: %+v", h)
 			}
 			if ran, _ := countRuns(l.Auditor.Runs(held.ID)); ran != 1 {
 				t.Errorf("ran %d times", ran)
@@ -327,21 +327,21 @@
 		class        string
 		status, runs int
 	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} { // keyed first: a restarted gateway does not vote on keys for a while
-		of, got, release, waits := l.sendHeld(t, Request{ID: "under-" + c.class, Class: c.class, Path: "p1/x"})
-		has := l.activeGateway(t, 1)
-		has.Kill()
+		auditKey, got, release, pending := l.sendHeld(t, Request{ID: "under-" + c.class, Class: c.class, Path: "p1/x"})
+		active := l.activeGateway(t, 1)
+		active.Kill()
 		if c.class == "view" {
 			testpeer.Receive(t, got, "the request at another server")
 		}
 		release()
-		h := testpeer.Receive(t, waits, "the response")
+		h := testpeer.Receive(t, pending, "the response")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
-		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
+		if ran, _ := countRuns(l.Auditor.Runs(auditKey)); ran != c.runs {
 			t.Errorf("%s: ran %d times, want %d", c.class, ran, c.runs)
 		}
-		if err := has.Start(t.Context()); err != nil {
+		if err := active.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		waitSettled(t, l)
@@ -359,9 +359,9 @@
 		return l.Send(t.Context(), l.Gateway(p, i), Request{ID: fmt.Sprintf("p%d-%s", p, id), Class: "note", Path: "p1/x", Timeout: 5 * time.Second})
 	}
 	if h := ask(0, 0, "before"); h.Status != 200 {
-		t.Fatalf("%+v", h)
+		t.Fatalf("unexpected outcome: %+v", h)
 	}
-	mend := l.Cut(l.PartnerGateways(0), l.PartnerGateways(1), true)
+	heal := l.Cut(l.PartnerGateways(0), l.PartnerGateways(1), true)
 	for _, g := range l.PartnerGateways(1) {
 		err := g.Reconfigure(t.Context(), func(text string) string {
 			return strings.Replace(text, "path = \"/note/p1/\"\n all = true", "path = \"/note/p1/\"\n to = [\"p2\"]", 1)
@@ -374,13 +374,13 @@
 	testpeer.Until(t, "p0 to be cut off", func() bool {
 		return len(l.Gateway(0, 0).RouteStatus(t.Context()).Stale) > 0
 	})
-	mend()
+	heal()
 	for i := range 9 { // some are sent before p0 receives the withdrawal
 		if h := ask(0, i%3, fmt.Sprint("after", i)); h.Status == 200 {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 		if h := ask(2, i%3, fmt.Sprint("after", i)); h.Status != 200 {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
 	testpeer.Until(t, "p0's tables to agree", func() bool {
@@ -410,7 +410,7 @@
 			repeat(stop, func(i int) {
 				h := l.Send(t.Context(), l.Gateway(0, w%3), Request{ID: fmt.Sprintf("w%d-%d", w, i), Class: "note", Path: fmt.Sprintf("p%d/x", i%2)})
 				if h.Status != 200 {
-					t.Errorf("%+v", h)
+					t.Errorf("unexpected outcome: %+v", h)
 				}
 			})
 		}()
@@ -441,9 +441,9 @@
 	again.ID, again.RetryOf = "handed-again", "handed"
 	h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), again)
 	if h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
-	if f := testpeer.Receive(t, first, "what its first caller heard"); f.Status == 200 && f.Body != h.Body {
+	if f := testpeer.Receive(t, first, "the response of the first client"); f.Status == 200 && f.Body != h.Body {
 		t.Errorf("%+v, others %+v", f, h)
 	}
 	testpeer.Receive(t, owner.Ended(), "its end")
@@ -480,7 +480,7 @@
 	// Of three replicas one is dead and one has lost its state: the third alone is no majority.
 	h := l.Send(t.Context(), l.Gateway(0, 1), Request{ID: "forgotten-again", RetryOf: "forgotten", Class: "view", Path: "p0/x", Timeout: 2 * time.Second})
 	if h.Settled || h.Status == 200 {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
 	if ran, _ := countRuns(l.Auditor.Runs("forgotten")); ran != 1 {
 		t.Errorf("ran %d times", ran)
@@ -512,7 +512,7 @@
 		if h.Status == 503 && h.RetryAfter > 0 {
 			refused++
 		} else if h.Status != 200 {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
 	if refused == 0 {
@@ -536,6 +536,6 @@
 	testpeer.Receive(t, got, "the request at another server, by the other gateway")
 	release()
 	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), Request{ID: "two-again", RetryOf: "two", Class: "view", Path: "p0/x"}); h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
 }
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -26,7 +26,7 @@
 					c.Key = "key-" + c.ID
 				}
 				if h, _ := l.SendWithRetry(t.Context(), l.Gateway(w%2, w%3), c); h.Status != 200 && h.Status != 502 {
-					t.Errorf("%+v", h)
+					t.Errorf("unexpected outcome: %+v", h)
 				}
 			})
 		}()
@@ -52,7 +52,7 @@
 			t.Errorf("%s: %+v", g.Name, s)
 		}
 		if h := l.Send(t.Context(), g, Request{ID: fmt.Sprint("after", i), Class: "note", Path: PartnerName(g.Partner) + "/x"}); h.Status != 200 || !h.Settled {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
 }
@@ -61,14 +61,14 @@
 // links are closed for silence, links to the new incarnation replace them, and it replicates requests again.
 func TestHalfOpenLinkIsReplaced(t *testing.T) {
 	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
-	gone := l.Gateway(0, 1)
+	restarted := l.Gateway(0, 1)
 	_, before := l.Gateway(0, 0).LinkStats(t.Context())
-	who := "p0/" + gone.Name
-	mend := l.Cut([]*Gateway{gone}, l.GatewaysExcept(gone), true)
-	gone.Kill()
+	peer := "p0/" + restarted.Name
+	heal := l.Cut([]*Gateway{restarted}, l.GatewaysExcept(restarted), true)
+	restarted.Kill()
 	testpeer.Until(t, "the half-open links to end", func() bool {
-		for _, g := range l.GatewaysExcept(gone) {
-			if s, to := g.LinkStats(t.Context()); to[who] != 0 || s.Ended["silent"] == 0 {
+		for _, g := range l.GatewaysExcept(restarted) {
+			if s, to := g.LinkStats(t.Context()); to[peer] != 0 || s.Ended["silent"] == 0 {
 				return false
 			}
 		}
@@ -76,21 +76,21 @@
 	})
 	// Two of three replicas are a majority, so requests are still settled.
 	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
-	if err := gone.Start(t.Context()); err != nil {
+	if err := restarted.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	mend()
+	heal()
 	waitSettled(t, l)
-	if _, after := l.Gateway(0, 0).LinkStats(t.Context()); after[who] == 0 || after[who] == before[who] {
-		t.Errorf("incarnation of the peer was %d and is %d, want a new one", before[who], after[who])
+	if _, after := l.Gateway(0, 0).LinkStats(t.Context()); after[peer] == 0 || after[peer] == before[peer] {
+		t.Errorf("incarnation of the peer was %d and is %d, want a new one", before[peer], after[peer])
 	}
-	held := gone.ReplicationStatus(t.Context()).Replica.Entries
+	held := restarted.ReplicationStatus(t.Context()).Replica.Entries
 	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
-	testpeer.Until(t, "the new incarnation to hold the request", func() bool { return gone.ReplicationStatus(t.Context()).Replica.Entries > held })
+	testpeer.Until(t, "the new incarnation to hold the request", func() bool { return restarted.ReplicationStatus(t.Context()).Replica.Entries > held })
 }
 
 // p2 reaches p0 only through p1, which forwards p0's advertisements. A request is forwarded by p1, which replicates it and draws
@@ -124,27 +124,27 @@
 		}
 		l.Close()
 	})
-	has := func(g *Gateway) (is bool) {
+	hasTransitRoute := func(g *Gateway) (is bool) {
 		for _, o := range g.RouteStatus(t.Context()).Routes {
 			is = is || o.ID == "p0/note" && o.Best && strings.Join(o.Path, " ") == "p1 p0"
 		}
 		return is
 	}
-	all := func(want bool) func() bool {
+	allHaveRoute := func(want bool) func() bool {
 		return func() bool {
 			for _, g := range l.PartnerGateways(2) {
-				if has(g) != want {
+				if hasTransitRoute(g) != want {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	testpeer.Until(t, "p2 to have p0's offer through p1", all(true))
+	testpeer.Until(t, "p2 to have p0's offer through p1", allHaveRoute(true))
 	for i := range 3 {
 		h, _ := l.SendWithRetry(t.Context(), l.Gateway(2, i), Request{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
 		if h.Status != 200 || !h.Settled || !strings.HasPrefix(h.Body, "p0-b") {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
 	for _, g := range l.PartnerGateways(0) {
@@ -159,10 +159,10 @@
 	for i := range 6 { // some are sent before p2 receives the withdrawal
 		h := l.Send(t.Context(), l.Gateway(2, i%3), Request{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Timeout: 2 * time.Second})
 		if h.Status == 200 {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
-	testpeer.Until(t, "the withdrawal to reach p2", all(false))
+	testpeer.Until(t, "the withdrawal to reach p2", allHaveRoute(false))
 	// Its group may not have links yet; the request is then rejected with a Retry-After.
 	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(1, 0), Request{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
 		t.Errorf("p1 itself: %+v", h)
--- a/internal/faultbench/federation/quota_test.go
+++ b/internal/faultbench/federation/quota_test.go
@@ -22,7 +22,7 @@
 }
 
 func startLoad(t *testing.T, l *Federation, each int) *loadGenerator {
-	c := &loadGenerator{}
+	load := &loadGenerator{}
 	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	for gi, g := range l.Gateways {
@@ -34,13 +34,13 @@
 					h := l.Send(ctx, g, Request{ID: fmt.Sprintf("q%d-%d-%d", gi, w, i), Class: "note", Path: PartnerName(g.Partner) + "/x"})
 					switch {
 					case h.Status == 200:
-						c.served.Add(1)
-						for was := c.slowest.Load(); int64(h.Latency) > was && !c.slowest.CompareAndSwap(was, int64(h.Latency)); was = c.slowest.Load() {
+						load.served.Add(1)
+						for was := load.slowest.Load(); int64(h.Latency) > was && !load.slowest.CompareAndSwap(was, int64(h.Latency)); was = load.slowest.Load() {
 						}
 					case h.Status == 503 && h.RetryAfter > 0:
-						c.refused.Add(1)
+						load.refused.Add(1)
 					case h.Status != 0 && ctx.Err() == nil:
-						t.Errorf("%+v", h)
+						t.Errorf("unexpected outcome: %+v", h)
 					}
 					select {
 					case <-ctx.Done():
@@ -50,9 +50,9 @@
 			}()
 		}
 	}
-	c.stop = sync.OnceFunc(func() { cancel(); all.Wait() })
-	t.Cleanup(c.stop)
-	return c
+	load.stop = sync.OnceFunc(func() { cancel(); all.Wait() })
+	t.Cleanup(load.stop)
+	return load
 }
 
 // waitServed waits until n more requests have been served.
@@ -64,18 +64,18 @@
 
 // checkQuotaBound checks that no window has more requests than the terms allow. A request reaches its server after its draw by at most
 // the latency of the slowest request, so the window of draws is longer by that.
-func checkQuotaBound(t *testing.T, l *Federation, c *loadGenerator, terms budget.Terms) {
+func checkQuotaBound(t *testing.T, l *Federation, load *loadGenerator, terms budget.Terms) {
 	t.Helper()
-	for _, w := range []time.Duration{time.Second, 10 * time.Second} {
-		most, at := l.Auditor.MaxInWindow("note", w)
-		if bound := terms.Bound(w + time.Duration(c.slowest.Load())); float64(most) > bound {
-			t.Errorf("%d requests started in %v from %v on, bound %.1f", most, w, at, bound)
+	for _, window := range []time.Duration{time.Second, 10 * time.Second} {
+		most, at := l.Auditor.MaxInWindow("note", window)
+		if bound := terms.Bound(window + time.Duration(load.slowest.Load())); float64(most) > bound {
+			t.Errorf("%d requests started in %v from %v on, bound %.1f", most, window, at, bound)
 		}
 	}
 }
 
 // waitQuotaLeader waits until a gateway is the quota leader and returns it.
-func waitQuotaLeader(t *testing.T, l *Federation) (k *Gateway) {
+func waitQuotaLeader(t *testing.T, l *Federation) (leader *Gateway) {
 	t.Helper()
 	testpeer.Until(t, "a quota leader", func() bool {
 		for _, g := range l.Gateways {
@@ -83,13 +83,13 @@
 				continue
 			}
 			if g.QuotaStatus(t.Context()).IsLeader {
-				k = g
+				leader = g
 				return true
 			}
 		}
 		return false
 	})
-	return k
+	return leader
 }
 
 func quotaConfig(rate, burst float64, cut budget.Fallback, floor float64) (budget.Terms, string) {
@@ -107,19 +107,19 @@
 func TestQuotaBoundHoldsUnderFaults(t *testing.T) {
 	terms, text := quotaConfig(60, 60, budget.Floor, 6)
 	l := startFederation(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
-	c := startLoad(t, l, 3)
+	load := startLoad(t, l, 3)
 	first := waitQuotaLeader(t, l)
-	c.waitServed(t, 100)
+	load.waitServed(t, 100)
 	first.Kill()
 	second := waitQuotaLeader(t, l)
 	if second == first {
 		t.Errorf("%s is the quota leader though it was killed", first.Name)
 	}
-	c.waitServed(t, 100)
+	load.waitServed(t, 100)
 	if err := first.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	mend := l.Cut(l.PartnerGateways(second.Partner), l.GatewaysExcept(l.PartnerGateways(second.Partner)...), true)
+	heal := l.Cut(l.PartnerGateways(second.Partner), l.GatewaysExcept(l.PartnerGateways(second.Partner)...), true)
 	testpeer.Until(t, "another quota leader on the other side", func() bool {
 		for _, g := range l.GatewaysExcept(l.PartnerGateways(second.Partner)...) {
 			if g.QuotaStatus(t.Context()).IsLeader {
@@ -131,23 +131,23 @@
 	testpeer.Until(t, "the partitioned side to draw from its floor", func() bool {
 		return second.QuotaStatus(t.Context()).OwnFloor > 0
 	})
-	mend()
-	c.waitServed(t, 100)
+	heal()
+	load.waitServed(t, 100)
 	// Lower the rate to a tenth while tokens are leased.
 	low, lowText := quotaConfig(6, 30, budget.Closed, 0)
 	setQuota(t, l, lowText)
 	lowered := l.elapsed()
-	c.waitServed(t, 20)
-	c.stop()
-	checkQuotaBound(t, l, c, terms)
-	if c.refused.Load() == 0 {
+	load.waitServed(t, 20)
+	load.stop()
+	checkQuotaBound(t, l, load, terms)
+	if load.refused.Load() == 0 {
 		t.Error("no request was rejected: the quota was never reached")
 	}
 	l.Auditor.mu.Lock()
 	defer l.Auditor.mu.Unlock()
 	n := 0
 	for _, r := range l.Auditor.allRuns {
-		if r.Class == "note" && r.At > lowered+time.Duration(c.slowest.Load())+terms.Lease {
+		if r.Class == "note" && r.At > lowered+time.Duration(load.slowest.Load())+terms.Lease {
 			n++
 		}
 	}
@@ -172,7 +172,7 @@
 		testpeer.Until(t, "the request to be served", func() bool { // the first tokens may arrive late
 			h := l.Send(t.Context(), at, c)
 			if h.Status != 200 && h.Status != 503 {
-				t.Fatalf("%+v", h)
+				t.Fatalf("unexpected outcome: %+v", h)
 			}
 			c.ID += "'"
 			return h.Status == 200
@@ -196,7 +196,7 @@
 	owner.Kill()
 	h, _ := l.SendWithRetry(t.Context(), l.Gateway(0, 1), Request{ID: "over-again", RetryOf: "over", Class: "note", Path: "p0/x"})
 	if !h.Settled || h.Status != 502 {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected outcome: %+v", h)
 	}
 	if n := drawn(l.GatewaysExcept(owner)); n != all {
 		t.Errorf("the successors drew %d times, want 0", n-all)
@@ -225,9 +225,9 @@
 func TestSuspendedQuotaLeaderGrantsNothingOnResume(t *testing.T) {
 	terms, text := quotaConfig(60, 60, budget.Closed, 0)
 	l := startFederation(t, Options{Quota: text, Custody: "serve", Silence: time.Second})
-	c := startLoad(t, l, 3)
+	load := startLoad(t, l, 3)
 	first := waitQuotaLeader(t, l)
-	c.waitServed(t, 60)
+	load.waitServed(t, 60)
 	if err := first.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 		}
 		return second != nil
 	})
-	c.waitServed(t, 60)
+	load.waitServed(t, 60)
 	term := second.QuotaStatus(t.Context()).Term
 	if err := first.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
@@ -249,9 +249,9 @@
 		s := first.QuotaStatus(t.Context())
 		return !s.IsLeader && s.Term >= term && s.Drawn > 0 || s.IsLeader && s.Term > term
 	})
-	c.waitServed(t, 60)
-	c.stop()
-	checkQuotaBound(t, l, c, terms)
+	load.waitServed(t, 60)
+	load.stop()
+	checkQuotaBound(t, l, load, terms)
 }
 
 // A raised quota admits more requests from then on, and a removed quota rejects none.
@@ -259,12 +259,12 @@
 	_, text := quotaConfig(2, 10, budget.Closed, 0)
 	l := startFederation(t, Options{Quota: text, Custody: "serve"})
 	waitQuotaLeader(t, l)
-	c := startLoad(t, l, 2)
-	testpeer.Until(t, "the quota to be reached", func() bool { return c.refused.Load() > 50 })
+	load := startLoad(t, l, 2)
+	testpeer.Until(t, "the quota to be reached", func() bool { return load.refused.Load() > 50 })
 	_, text = quotaConfig(400, 400, budget.Closed, 0)
 	setQuota(t, l, text)
 	// At the old rate of 2 per second this would take minutes.
-	c.waitServed(t, 200)
+	load.waitServed(t, 200)
 	setQuota(t, l, "")
 	for _, g := range l.Gateways {
 		if q := g.Status(t.Context()).Quotas; len(q) > 0 {
@@ -272,8 +272,8 @@
 		}
 	}
 	testpeer.Until(t, "requests rejected earlier to have been answered", func() bool {
-		was, served := c.refused.Load(), c.served.Load()
-		c.waitServed(t, 100)
-		return c.refused.Load() == was && c.served.Load() >= served+100
+		was, served := load.refused.Load(), load.served.Load()
+		load.waitServed(t, 100)
+		return load.refused.Load() == was && load.served.Load() >= served+100
 	})
 }
--- a/internal/faultbench/federation/scenario.go
+++ b/internal/faultbench/federation/scenario.go
@@ -16,18 +16,18 @@
 
 // Scenario describes the load and the faults of a run.
 type Scenario struct {
-	Name          string
-	Fault         string        // one of Faults
-	FaultInterval time.Duration // between faults
-	FaultDuration time.Duration // of each fault
-	Length        time.Duration
-	Rate          float64 // requests per second and gateway
-	Away          float64 // share of requests for another partner
-	Uneven        float64 // relative excess of load at odd-numbered partners (first, third, ...), and deficit at the others
-	Patience      time.Duration
-	Doubt         time.Duration // time without a response after which a client tries another gateway
-	Seed          uint64
-	Bound         func(window time.Duration) float64 // maximum number of notes in a window; nil if there is no quota
+	Name           string
+	Fault          string        // one of Faults
+	FaultInterval  time.Duration // between faults
+	FaultDuration  time.Duration // of each fault
+	Duration       time.Duration
+	Rate           float64 // requests per second and gateway
+	RemoteShare    float64 // share of requests for another partner
+	LoadImbalance  float64 // relative excess of load at odd-numbered partners (first, third, ...), and deficit at the others
+	RequestTimeout time.Duration
+	AttemptTimeout time.Duration // time without a response after which a client tries another gateway
+	Seed           uint64
+	NotesBound     func(window time.Duration) float64 // maximum number of notes in a window; nil if there is no quota
 }
 
 // Faults lists the values of Scenario.Fault.
@@ -73,7 +73,7 @@
 		unaffectedLatencies []time.Duration
 		stalledGateway      *Gateway // currently stalled, or nil
 		takeovers           []time.Duration
-		all                 sync.WaitGroup
+		pending             sync.WaitGroup
 	)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,46 +82,46 @@
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
-		for _, c := range requests {
-			if c.gateway == g && c.struckAt.IsZero() && c.deadline.Sub(now) >= time.Second {
-				c.struckAt = now
+		for _, req := range requests {
+			if req.gateway == g && req.struckAt.IsZero() && req.deadline.Sub(now) >= time.Second {
+				req.struckAt = now
 				figures.InHand++
-				if c.class != "note" {
+				if req.class != "note" {
 					figures.MayRepeat++
 				}
 			}
 		}
 	}
 	runRequest := func(rng *rand.Rand, g *Gateway, id string) {
-		defer all.Done()
-		c := Request{ID: id, Timeout: scenario.Patience, AttemptTimeout: scenario.Doubt}
+		defer pending.Done()
+		req := Request{ID: id, Timeout: scenario.RequestTimeout, AttemptTimeout: scenario.AttemptTimeout}
 		switch x := rng.Float64(); {
 		case x < 0.4:
-			c.Class = "view"
+			req.Class = "view"
 		case x < 0.7:
-			c.Class = "note"
+			req.Class = "note"
 		default:
-			c.Class, c.Key = "log", "key-"+id
+			req.Class, req.Key = "log", "key-"+id
 		}
 		to := g.Partner
-		if rng.Float64() < scenario.Away {
+		if rng.Float64() < scenario.RemoteShare {
 			to = (to + 1 + rng.IntN(l.options.Partners-1)) % l.options.Partners
 		}
-		c.Path = PartnerName(to) + "/x"
-		o := &openRequest{class: c.Class, deadline: time.Now().Add(scenario.Patience), gateway: g}
-		near := func() bool {
+		req.Path = PartnerName(to) + "/x"
+		open := &openRequest{class: req.Class, deadline: time.Now().Add(scenario.RequestTimeout), gateway: g}
+		needsStalled := func() bool {
 			return stalledGateway != nil && (stalledGateway == g || to != g.Partner && to == stalledGateway.Partner)
 		}
 		mu.Lock()
-		requests[id] = o
-		o.affectedByStall = near()
+		requests[id] = open
+		open.affectedByStall = needsStalled()
 		mu.Unlock()
 		sent := time.Now()
-		var h Outcome
+		var outcome Outcome
 		if l.options.Custody != "" {
-			h, _ = l.SendWithRetry(ctx, g, c)
+			outcome, _ = l.SendWithRetry(ctx, g, req)
 		} else {
-			h = l.sendUnreplicated(ctx, g, c)
+			outcome = l.sendUnreplicated(ctx, g, req)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -130,23 +130,23 @@
 			return
 		}
 		figures.Calls++
-		inTime := h.Status == 200 && time.Since(sent) <= scenario.Patience+50*time.Millisecond
+		inTime := outcome.Status == 200 && time.Since(sent) <= scenario.RequestTimeout+50*time.Millisecond
 		switch {
 		case inTime:
 			figures.Served++
 			latencies = append(latencies, time.Since(sent))
-			if !o.affectedByStall && !near() {
+			if !open.affectedByStall && !needsStalled() {
 				unaffectedLatencies = append(unaffectedLatencies, time.Since(sent))
 			}
-		case h.Status == 503:
+		case outcome.Status == 503:
 			figures.Refused++
-		case h.Status != 0:
+		case outcome.Status != 0:
 			figures.Failed++
 			if figures.FailedBy == nil {
 				figures.FailedBy = map[string]int{}
 			}
-			by := c.Class
-			if h.Settled {
+			by := req.Class
+			if outcome.Settled {
 				by += " settled"
 			}
 			if to != g.Partner {
@@ -156,14 +156,14 @@
 		default:
 			figures.Unanswered++
 		}
-		if !o.struckAt.IsZero() {
+		if !open.struckAt.IsZero() {
 			if inTime {
 				figures.InHandServed++
-				if c.Class != "note" {
+				if req.Class != "note" {
 					figures.MayServed++
 				}
-				if h.Gateway != g.Name {
-					takeovers = append(takeovers, time.Since(o.struckAt))
+				if outcome.Gateway != g.Name {
+					takeovers = append(takeovers, time.Since(open.struckAt))
 				}
 			}
 		}
@@ -174,14 +174,14 @@
 		go func() {
 			defer streams.Done()
 			rng := rand.New(rand.NewPCG(scenario.Seed, uint64(i)))
-			rate := scenario.Rate * (1 + scenario.Uneven)
+			rate := scenario.Rate * (1 + scenario.LoadImbalance)
 			if g.Partner%2 == 1 {
-				rate = scenario.Rate * (1 - scenario.Uneven)
+				rate = scenario.Rate * (1 - scenario.LoadImbalance)
 			}
 			due := begin
 			for n := 0; ; n++ {
 				due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-				if due.Sub(begin) > scenario.Length {
+				if due.Sub(begin) > scenario.Duration {
 					return
 				}
 				select {
@@ -192,7 +192,7 @@
 				mu.Lock()
 				figures.Late = max(figures.Late, time.Since(due))
 				mu.Unlock()
-				all.Add(1)
+				pending.Add(1)
 				go runRequest(rand.New(rand.NewPCG(scenario.Seed+uint64(n)<<20, uint64(i))), g, fmt.Sprintf("%s-%d-%d", PartnerName(g.Partner), i, n))
 			}
 		}()
@@ -208,7 +208,7 @@
 	}()
 	streams.Wait()
 	<-faults
-	all.Wait()
+	pending.Wait()
 	slices.Sort(latencies)
 	slices.Sort(takeovers)
 	if n := len(latencies); n > 0 {
@@ -222,17 +222,17 @@
 		figures.Takeover = takeovers[n/2]
 	}
 	for _, g := range l.Gateways {
-		c := g.QuotaStatus(ctx).Counts
-		figures.Purses.Drawn, figures.Purses.Rejected, figures.Purses.OwnFloor = figures.Purses.Drawn+c.Drawn, figures.Purses.Rejected+c.Rejected, figures.Purses.OwnFloor+c.OwnFloor
-		figures.Purses.Wasted, figures.Purses.Granted, figures.Purses.OnTimeRetries = figures.Purses.Wasted+c.Wasted, figures.Purses.Granted+c.Granted, figures.Purses.OnTimeRetries+c.OnTimeRetries
+		req := g.QuotaStatus(ctx).Counts
+		figures.Purses.Drawn, figures.Purses.Rejected, figures.Purses.OwnFloor = figures.Purses.Drawn+req.Drawn, figures.Purses.Rejected+req.Rejected, figures.Purses.OwnFloor+req.OwnFloor
+		figures.Purses.Wasted, figures.Purses.Granted, figures.Purses.OnTimeRetries = figures.Purses.Wasted+req.Wasted, figures.Purses.Granted+req.Granted, figures.Purses.OnTimeRetries+req.OnTimeRetries
 	}
-	figures.Notes = float64(l.Auditor.CountRuns("note", begin.Sub(l.startTime), begin.Sub(l.startTime)+scenario.Length)) / scenario.Length.Seconds()
+	figures.Notes = float64(l.Auditor.CountRuns("note", begin.Sub(l.startTime), begin.Sub(l.startTime)+scenario.Duration)) / scenario.Duration.Seconds()
 	figures.MostIn1s, _ = l.Auditor.MaxInWindow("note", time.Second)
 	figures.MostIn10s, _ = l.Auditor.MaxInWindow("note", 10*time.Second)
-	if scenario.Bound != nil {
+	if scenario.NotesBound != nil {
 		for w, most := range map[time.Duration]int{time.Second: figures.MostIn1s, 10 * time.Second: figures.MostIn10s} {
 			// A request reaches its server shortly after its quota draw, so the window of draws may be longer by that delay.
-			figures.Over = max(figures.Over, float64(most)/scenario.Bound(w+figures.P99))
+			figures.Over = max(figures.Over, float64(most)/scenario.NotesBound(w+figures.P99))
 		}
 	}
 	figures.Breaches = l.Auditor.Breaches()
@@ -241,19 +241,19 @@
 
 // sendUnreplicated is the client's retry loop without replication: it retries at other gateways only requests that were rejected, or
 // that got no response and are not unsafe.
-func (l *Federation) sendUnreplicated(ctx context.Context, at *Gateway, c Request) Outcome {
-	group := l.PartnerGateways(at.Partner)
-	until := time.Now().Add(c.Timeout)
-	first, i := c.ID, at.Index
-	for try := 1; ; try++ {
-		c.Timeout = time.Until(until)
-		h := l.Send(ctx, group[i%len(group)], c)
-		again := h.Status == 503 || h.Status == 0 && c.Class != "note"
-		if !again || time.Until(until) < 20*time.Millisecond || ctx.Err() != nil {
-			return h
+func (l *Federation) sendUnreplicated(ctx context.Context, gateway *Gateway, req Request) Outcome {
+	group := l.PartnerGateways(gateway.Partner)
+	deadline := time.Now().Add(req.Timeout)
+	first, i := req.ID, gateway.Index
+	for attempt := 1; ; attempt++ {
+		req.Timeout = time.Until(deadline)
+		outcome := l.Send(ctx, group[i%len(group)], req)
+		retry := outcome.Status == 503 || outcome.Status == 0 && req.Class != "note"
+		if !retry || time.Until(deadline) < 20*time.Millisecond || ctx.Err() != nil {
+			return outcome
 		}
-		time.Sleep(max(h.RetryAfter, 5*time.Millisecond))
-		c.RetryOf, c.OmitRetryOf, c.ID = first, true, fmt.Sprintf("%s-%d", first, try)
+		time.Sleep(max(outcome.RetryAfter, 5*time.Millisecond))
+		req.RetryOf, req.OmitRetryOf, req.ID = first, true, fmt.Sprintf("%s-%d", first, attempt)
 		i++
 	}
 }
@@ -292,7 +292,7 @@
 		defer mu.Unlock()
 		delete(down, g)
 	}
-	for n := 0; time.Since(begin) < scenario.Length-scenario.FaultDuration; n++ {
+	for n := 0; time.Since(begin) < scenario.Duration-scenario.FaultDuration; n++ {
 		if !pause(scenario.FaultInterval) {
 			return
 		}
--- a/internal/faultbench/federation/suspend_test.go
+++ b/internal/faultbench/federation/suspend_test.go
@@ -11,31 +11,31 @@
 )
 
 // activeGateway returns a gateway of the partner that is processing a request.
-func (l *Federation) activeGateway(t *testing.T, partner int) (has *Gateway) {
+func (l *Federation) activeGateway(t *testing.T, partner int) (active *Gateway) {
 	t.Helper()
 	for _, g := range l.PartnerGateways(partner) {
 		if g.ReplicationStatus(t.Context()).Active > 0 {
-			has = g
+			active = g
 		}
 	}
-	if has == nil {
+	if active == nil {
 		t.Fatal("no gateway of the partner has an active request")
 	}
-	return has
+	return active
 }
 
-// sendHeld sends a request to p0's first gateway and waits until a server has it; servers delay it until release is called. of
-// identifies the request to the auditor, and got receives the names of further servers.
-func (l *Federation) sendHeld(t *testing.T, c Request) (of string, got <-chan string, release func(), waits <-chan Outcome) {
+// sendHeld sends a request to p0's first gateway and waits until a server has it; servers delay it until release is called.
+// auditKey identifies the request to the auditor, and got receives the names of further servers.
+func (l *Federation) sendHeld(t *testing.T, c Request) (auditKey string, got <-chan string, release func(), pending <-chan Outcome) {
 	t.Helper()
-	of = c.ID
+	auditKey = c.ID
 	if c.Class == "log" {
-		c.Key, of = "key-"+c.ID, "key-"+c.ID
+		c.Key, auditKey = "key-"+c.ID, "key-"+c.ID
 	}
 	got, release = l.Auditor.Hold(c.ID)
-	waits = async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), c) })
+	pending = async(func() Outcome { return l.Send(t.Context(), l.Gateway(0, 0), c) })
 	testpeer.Receive(t, got, "the request at its server")
-	return of, got, release, waits
+	return auditKey, got, release, pending
 }
 
 // A partner's gateway is suspended while it processes a request: its connection stays open but silent. Others of its group detect
@@ -46,24 +46,24 @@
 		class        string
 		status, runs int
 	}{{"log", 200, 1}, {"view", 200, 2}, {"note", 502, 1}} {
-		of, got, release, waits := l.sendHeld(t, Request{ID: "stopped-" + c.class, Class: c.class, Path: "p1/x"})
-		has := l.activeGateway(t, 1)
-		if err := has.Signal(syscall.SIGSTOP); err != nil {
+		auditKey, got, release, pending := l.sendHeld(t, Request{ID: "stopped-" + c.class, Class: c.class, Path: "p1/x"})
+		active := l.activeGateway(t, 1)
+		if err := active.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
 		if c.class == "view" {
 			testpeer.Receive(t, got, "the request at another server")
 		}
 		release()
-		h := testpeer.Receive(t, waits, "the response, long before the deadline")
+		h := testpeer.Receive(t, pending, "the response, long before the deadline")
 		if h.Status != c.status || !h.Settled || h.Status == 200 && !strings.HasPrefix(h.Body, "p1-b") {
 			t.Errorf("%s: %+v, want %d", c.class, h, c.status)
 		}
-		if err := has.Signal(syscall.SIGCONT); err != nil {
+		if err := active.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
 		waitSettled(t, l)
-		if ran, _ := countRuns(l.Auditor.Runs(of)); ran != c.runs {
+		if ran, _ := countRuns(l.Auditor.Runs(auditKey)); ran != c.runs {
 			t.Errorf("%s: ran %d times, want %d", c.class, ran, c.runs)
 		}
 	}
@@ -86,7 +86,7 @@
 		waitSettled(t, l)
 		incarnation := owner.Status(t.Context()).Incarnation
 		request := Request{ID: "short" + strings.Repeat("'", n), Class: "view", Path: "p0/x", Timeout: 10 * time.Second}
-		waits := async(func() Outcome { return l.Send(t.Context(), owner, request) })
+		pending := async(func() Outcome { return l.Send(t.Context(), owner, request) })
 		again := request
 		again.ID, again.RetryOf = request.ID+"-again", request.ID
 		var h Outcome
@@ -98,7 +98,7 @@
 		if err := owner.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		testpeer.Receive(t, waits, "the response at the suspended gateway")
+		testpeer.Receive(t, pending, "the response at the suspended gateway")
 		return h.Status == 200 && links["p0/"+owner.Name] == incarnation
 	})
 }
@@ -119,7 +119,7 @@
 			testpeer.Until(t, "a new key to be taken", func() bool { // rejected while two of its replicas have just restarted
 				h := ask(at, "first-"+key, key)
 				if h.Status != 200 && h.Status != 503 {
-					t.Fatalf("%+v", h)
+					t.Fatalf("unexpected outcome: %+v", h)
 				}
 				return h.Status == 200
 			})
