--- a/internal/faultbench/federation/client.go
+++ b/internal/faultbench/federation/client.go
@@ -98,9 +98,9 @@
 	return outcome
 }
 
-// SendWithRetry sends a request to a gateway and, when the connection breaks or the request is rejected, to the next gateways of
-// the group, until it has a response or the timeout expires. A request that was rejected or not sent is sent as a new one; a
-// request that was accepted but got no response is retried by its ID. It returns the last outcome and the number of attempts.
+// SendWithRetry sends a request until it has a final response or the timeout expires. A rejected request is sent again as a new one
+// to the same gateway. If the connection cannot be established, it is sent as a new one to the next gateway of the group; if it was
+// accepted but got no response, it is retried there by its ID. It returns the last outcome and the number of attempts.
 func (l *Federation) SendWithRetry(ctx context.Context, gateway *Gateway, req Request) (outcome Outcome, attempts int) {
 	if req.Timeout == 0 {
 		req.Timeout = l.options.Deadline
--- a/internal/faultbench/federation/federation_test.go
+++ b/internal/faultbench/federation/federation_test.go
@@ -144,7 +144,7 @@
 			auditKey = request.Key
 		}
 		first := l.Send(t.Context(), victim, request)
-		testpeer.Receive(t, victim.Ended(), "the kill")
+		testpeer.Receive(t, victim.Ended(), "the exit of the killed gateway")
 		if first.Status != 0 {
 			t.Errorf("%s %s: the client of the killed gateway got %+v, want no response", c.class, c.point, first)
 		}
@@ -206,7 +206,7 @@
 			}
 			return false
 		})
-		// Nothing may have run yet, except a safe request.
+		// The next successor has the same fault at its own first claim, so nothing but a safe request may have run.
 		if ran, _ := countRuns(l.Auditor.Runs(request.ID)); ran > 0 && c.class != "view" {
 			t.Errorf("%s %s: ran %d times before the successor was killed", c.class, c.point, ran)
 		}
@@ -371,7 +371,7 @@
 		}
 	}
 	l.Auditor.Forbid(l.elapsed(), 1, "p1 no longer exports it to p0", fromPartner0)
-	testpeer.Until(t, "p0 to be cut off", func() bool {
+	testpeer.Until(t, "p0 to be partitioned", func() bool {
 		return len(l.Gateway(0, 0).RouteStatus(t.Context()).Stale) > 0
 	})
 	heal()
@@ -415,7 +415,7 @@
 			})
 		}()
 	}
-	testpeer.Until(t, "its links to end", func() bool {
+	testpeer.Until(t, "the links to the slow gateway to close", func() bool {
 		_, to := l.Gateway(0, 0).LinkStats(t.Context())
 		return len(to) > 0 && to["p0/"+slow.Name] == 0
 	})
@@ -446,7 +446,7 @@
 	if f := testpeer.Receive(t, first, "the response of the first client"); f.Status == 200 && f.Body != h.Body {
 		t.Errorf("%+v, others %+v", f, h)
 	}
-	testpeer.Receive(t, owner.Ended(), "its end")
+	testpeer.Receive(t, owner.Ended(), "the exit of the owner")
 }
 
 // An isolated gateway follows when_alone, and a restarted replica does not vote on requests that its earlier incarnation held.
@@ -501,7 +501,7 @@
 			return l.Send(t.Context(), l.Gateway(0, i%3), Request{ID: id, Class: "note", Path: "p0/x"})
 		}))
 	}
-	testpeer.Until(t, "a refusal", func() bool {
+	testpeer.Until(t, "a rejection for lack of capacity", func() bool {
 		return l.Gateway(0, 0).ReplicationStatus(t.Context()).Replica.NoCapacity > 0
 	})
 	for _, r := range releases {
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -165,6 +165,6 @@
 	testpeer.Until(t, "the withdrawal to reach p2", allHaveRoute(false))
 	// Its group may not have links yet; the request is then rejected with a Retry-After.
 	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(1, 0), Request{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
-		t.Errorf("p1 itself: %+v", h)
+		t.Errorf("request from p1: %+v", h)
 	}
 }
