--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -10,23 +10,23 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// Links that are reset in the middle of frames, again and again, under requests whose bodies fill many of them: nothing of a half
-// frame is taken, links come back, and each request has one answer.
-func TestLinksThatAreResetInTheMiddleOfFrames(t *testing.T) {
-	l := start(t, Options{Partners: 2, Custody: "refuse"})
+// Links are reset repeatedly in the middle of frames, under requests whose bodies span many frames. Partial frames are discarded,
+// links are reestablished, and each request gets one response.
+func TestLinksResetMidFrame(t *testing.T) {
+	l := startFederation(t, Options{Partners: 2, Custody: "refuse"})
 	stop := make(chan struct{})
 	var clients, breaker sync.WaitGroup
 	for w := range 6 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			over(stop, func(i int) {
-				c := Call{ID: fmt.Sprintf("r%d-%d", w, i), Class: []string{"note", "log"}[i%2], Path: fmt.Sprintf("p%d/x", i%2), Size: 60_000}
+			repeat(stop, func(i int) {
+				c := Request{ID: fmt.Sprintf("r%d-%d", w, i), Class: []string{"note", "log"}[i%2], Path: fmt.Sprintf("p%d/x", i%2), Size: 60_000}
 				if c.Class == "log" {
 					c.Key = "key-" + c.ID
 				}
-				if h, _ := l.Insist(t.Context(), l.Gateway(w%2, w%3), c); h.Status != 200 && h.Status != 502 {
-					t.Errorf("%+v", h)
+				if h, _ := l.SendWithRetry(t.Context(), l.Gateway(w%2, w%3), c); h.Status != 200 && h.Status != 502 {
+					t.Errorf("unexpected outcome: %+v", h)
 				}
 			})
 		}()
@@ -34,75 +34,75 @@
 	breaker.Add(1)
 	go func() {
 		defer breaker.Done()
-		over(stop, func(i int) {
+		repeat(stop, func(i int) {
 			l.Gateways[i%len(l.Gateways)].links.ResetAll()
-			time.Sleep(5 * time.Millisecond) // the faults' pace; nothing waits for it
+			time.Sleep(5 * time.Millisecond) // interval between resets
 		})
 	}()
 	testpeer.Until(t, "many links to break", func() bool {
-		s, _ := l.Gateway(0, 0).Links(t.Context())
+		s, _ := l.Gateway(0, 0).LinkStats(t.Context())
 		return s.Ended["broken"] > 30
 	})
 	close(stop)
 	breaker.Wait()
 	clients.Wait()
-	settle(t, l)
+	waitSettled(t, l)
 	for i, g := range l.Gateways {
-		if s, _ := g.Links(t.Context()); s.Ended["malformed"] > 0 {
+		if s, _ := g.LinkStats(t.Context()); s.Ended["malformed"] > 0 {
 			t.Errorf("%s: %+v", g.Name, s)
 		}
-		if h := l.Ask(t.Context(), g, Call{ID: fmt.Sprint("after", i), Class: "note", Path: Name(g.Partner) + "/x"}); h.Status != 200 || !h.Settled {
-			t.Errorf("%+v", h)
+		if h := l.Send(t.Context(), g, Request{ID: fmt.Sprint("after", i), Class: "note", Path: PartnerName(g.Partner) + "/x"}); h.Status != 200 || !h.Settled {
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
 }
 
-// A gateway whose machine is cut off dies, so that its end reaches nobody, and comes back as another incarnation: the links that were
-// left half open end by their silence, the new incarnation's take their place, and it holds requests again.
-func TestHalfOpenLink(t *testing.T) {
-	l := start(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
-	gone := l.Gateway(0, 1)
-	_, before := l.Gateway(0, 0).Links(t.Context())
-	who := "p0/" + gone.Name
-	mend := l.Cut([]*Gateway{gone}, l.But(gone), true)
-	gone.Kill()
+// A partitioned gateway is killed, so that its peers do not see the links close, and restarts as a new incarnation. The half-open
+// links are closed for silence, links to the new incarnation replace them, and it replicates requests again.
+func TestHalfOpenLinkIsReplaced(t *testing.T) {
+	l := startFederation(t, Options{Partners: 1, Custody: "refuse", Silence: time.Second})
+	restarted := l.Gateway(0, 1)
+	_, before := l.Gateway(0, 0).LinkStats(t.Context())
+	peer := "p0/" + restarted.Name
+	heal := l.Cut([]*Gateway{restarted}, l.GatewaysExcept(restarted), true)
+	restarted.Kill()
 	testpeer.Until(t, "the half-open links to end", func() bool {
-		for _, g := range l.But(gone) {
-			if s, to := g.Links(t.Context()); to[who] != 0 || s.Ended["silent"] == 0 {
+		for _, g := range l.GatewaysExcept(restarted) {
+			if s, to := g.LinkStats(t.Context()); to[peer] != 0 || s.Ended["silent"] == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	// One holder fewer is no reason to wait: two of three are a majority.
-	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+	// Two of three replicas are a majority, so requests are still settled.
+	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with two", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
+		t.Errorf("unexpected outcome: %+v", h)
 	}
-	if err := gone.Start(t.Context()); err != nil {
+	if err := restarted.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	mend()
-	settle(t, l)
-	if _, after := l.Gateway(0, 0).Links(t.Context()); after[who] == 0 || after[who] == before[who] {
-		t.Errorf("the life at the other end was %d and is %d", before[who], after[who])
+	heal()
+	waitSettled(t, l)
+	if _, after := l.Gateway(0, 0).LinkStats(t.Context()); after[peer] == 0 || after[peer] == before[peer] {
+		t.Errorf("incarnation of the peer was %d and is %d, want a new one", before[peer], after[peer])
 	}
-	held := gone.Custody(t.Context()).Replica.Entries
-	if h := l.Ask(t.Context(), l.Gateway(0, 0), Call{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
-		t.Errorf("%+v", h)
+	held := restarted.ReplicationStatus(t.Context()).Replica.Entries
+	if h := l.Send(t.Context(), l.Gateway(0, 0), Request{ID: "with three", Class: "note", Path: "p0/x"}); h.Status != 200 || !h.Settled {
+		t.Errorf("unexpected outcome: %+v", h)
 	}
-	testpeer.Until(t, "the new life to hold the call", func() bool { return gone.Custody(t.Context()).Replica.Entries > held })
+	testpeer.Until(t, "the new incarnation to hold the request", func() bool { return restarted.ReplicationStatus(t.Context()).Replica.Entries > held })
 }
 
-// p2 knows p0 only through p1, which passes p0's offers on: a request goes through p1's hands, and draws and is held on the way as
-// any other. Once p0 says that nobody may pass it on, not one more runs there, whatever the others still believe; and the
-// withdrawal reaches p2.
+// p2 reaches p0 only through p1, which forwards p0's advertisements. A request is forwarded by p1, which replicates it and draws
+// quota as for any other. Once p0 disallows transit, no more requests from p2 run there, even if others still have the old
+// advertisement, and the withdrawal reaches p2.
 func TestRequestForwardedThroughPartner(t *testing.T) {
 	transit := func(g *Gateway, text string) string {
 		text = strings.ReplaceAll(text, " all = true\n", " all = true\n transit = true\n hands = 2\n")
 		switch g.Partner {
 		case 1:
 			return strings.Replace(text, "partner \"p0\" {", "partner \"p0\" {\n pass_on_to = [\"p2\"]", 1)
-		case 2: // it has no word with p0, and takes p0's paths from p1
+		case 2: // it has no partnership with p0 and accepts p0's paths from p1
 			i := strings.Index(text, "partner \"p0\" {")
 			j := i + strings.Index(text[i:], "}\n") + 2
 			text = text[:i] + text[j:]
@@ -114,57 +114,57 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Boxes: 2, Custody: "refuse", Silence: testpeer.Limit, Deadline: 30 * time.Second, Edit: transit})
+	l, err := Start(t.Context(), Options{Binary: path, Partners: 3, Gateways: 3, Servers: 2, Custody: "refuse", Silence: testpeer.Limit, Deadline: 30 * time.Second, Edit: transit})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, b := range l.Audit.Breaches() {
+		for _, b := range l.Auditor.Breaches() {
 			t.Errorf("breach: %s", b)
 		}
 		l.Close()
 	})
-	has := func(g *Gateway) (is bool) {
-		for _, o := range g.Offers(t.Context()).Routes {
+	hasTransitRoute := func(g *Gateway) (is bool) {
+		for _, o := range g.RouteStatus(t.Context()).Routes {
 			is = is || o.ID == "p0/note" && o.Best && strings.Join(o.Path, " ") == "p1 p0"
 		}
 		return is
 	}
-	all := func(want bool) func() bool {
+	allHaveRoute := func(want bool) func() bool {
 		return func() bool {
-			for _, g := range l.Of(2) {
-				if has(g) != want {
+			for _, g := range l.PartnerGateways(2) {
+				if hasTransitRoute(g) != want {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	testpeer.Until(t, "p2 to have p0's offer through p1", all(true))
+	testpeer.Until(t, "p2 to have p0's offer through p1", allHaveRoute(true))
 	for i := range 3 {
-		h, _ := l.Insist(t.Context(), l.Gateway(2, i), Call{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
+		h, _ := l.SendWithRetry(t.Context(), l.Gateway(2, i), Request{ID: fmt.Sprint("p2-through", i), Class: "note", Path: "p0/x"})
 		if h.Status != 200 || !h.Settled || !strings.HasPrefix(h.Body, "p0-b") {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
-	for _, g := range l.Of(0) {
-		err := g.Change(t.Context(), func(text string) string {
+	for _, g := range l.PartnerGateways(0) {
+		err := g.Reconfigure(t.Context(), func(text string) string {
 			return strings.ReplaceAll(text, " all = true\n transit = true\n hands = 2\n", " all = true\n")
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Audit.Forbid(l.now(), 0, "p0 lets nobody pass it on", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
-	for i := range 6 { // some come before p2 has heard anything
-		h := l.Ask(t.Context(), l.Gateway(2, i%3), Call{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Wait: 2 * time.Second})
+	l.Auditor.Forbid(l.elapsed(), 0, "p0 allows no transit", func(r Run) bool { return strings.HasPrefix(r.ID, "p2-") })
+	for i := range 6 { // some are sent before p2 receives the withdrawal
+		h := l.Send(t.Context(), l.Gateway(2, i%3), Request{ID: fmt.Sprint("p2-after", i), Class: "note", Path: "p0/x", Timeout: 2 * time.Second})
 		if h.Status == 200 {
-			t.Errorf("%+v", h)
+			t.Errorf("unexpected outcome: %+v", h)
 		}
 	}
-	testpeer.Until(t, "the withdrawal to reach p2", all(false))
-	// Its group may not have linked by now, which is refused with a time to come again.
-	if h, _ := l.Insist(t.Context(), l.Gateway(1, 0), Call{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
-		t.Errorf("p1 itself: %+v", h)
+	testpeer.Until(t, "the withdrawal to reach p2", allHaveRoute(false))
+	// Its group may not have links yet; the request is then rejected with a Retry-After.
+	if h, _ := l.SendWithRetry(t.Context(), l.Gateway(1, 0), Request{ID: "p1-after", Class: "note", Path: "p0/x"}); h.Status != 200 {
+		t.Errorf("request from p1: %+v", h)
 	}
 }
