--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -74,7 +74,7 @@
 	Name       string           `json:"name"`
 	Rate       float64          `json:"rate"` // requests per second
 	Burst      float64          `json:"burst"`
-	Overshoot  float64          `json:"over"`
+	Overdraw  float64          `json:"over"`
 	TokenLease Duration         `json:"lease"`
 	LeaderTerm Duration         `json:"term"`
 	MaxWait    Duration         `json:"wait,omitempty"`
@@ -106,7 +106,7 @@
 
 // Terms returns the quota's terms as internal/budget represents them.
 func (q Quota) Terms() budget.Terms {
-	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Overdraw: q.Overshoot, Lease: time.Duration(q.TokenLease), LeaderTerm: time.Duration(q.LeaderTerm),
+	t := budget.Terms{Name: q.Name, Rate: q.Rate, Burst: q.Burst, Overdraw: q.Overdraw, Lease: time.Duration(q.TokenLease), LeaderTerm: time.Duration(q.LeaderTerm),
 		MaxWait: time.Duration(q.MaxWait), Fallback: q.Fallback}
 	for _, p := range q.Partners {
 		t.Partners = append(t.Partners, budget.Partner{Name: p.Name, Floor: p.Floor, Weight: p.Weight, Gateways: p.Gateways})
--- a/internal/config/federation_blocks.go
+++ b/internal/config/federation_blocks.go
@@ -75,7 +75,7 @@
 func (r *reader) quota(b *hclsyntax.Body, path, name string) Quota {
 	quota := Quota{
 		Name:       name,
-		Overshoot:  0.05,
+		Overdraw:  0.05,
 		TokenLease: Duration(300 * time.Millisecond),
 		LeaderTerm: Duration(1500 * time.Millisecond),
 		Fallback:   budget.Floor,
@@ -83,7 +83,7 @@
 	r.body(b, path, []field{
 		{"rate", true, decimal(&quota.Rate)},
 		{"burst", true, decimal(&quota.Burst)},
-		{"over", false, decimal(&quota.Overshoot)},
+		{"over", false, decimal(&quota.Overdraw)},
 		{"lease", false, duration(&quota.TokenLease)},
 		{"term", false, duration(&quota.LeaderTerm)},
 		{"wait", false, duration(&quota.MaxWait)},
