--- a/internal/faultbench/federation/federation.go
+++ b/internal/faultbench/federation/federation.go
@@ -45,10 +45,10 @@
 type Federation struct {
 	options   Options
 	dir       string
-	part      *link.Part
+	part      *link.Subnet
 	spawner   *child.Spawner
 	mesh      *link.Mesh
-	dice      *link.Dice
+	dice      *link.Random
 	startTime time.Time
 	Auditor   *Auditor
 
@@ -85,7 +85,7 @@
 	if o.Deadline == 0 {
 		o.Deadline = 5 * time.Second
 	}
-	l = &Federation{options: o, dice: link.NewDice(o.Seed), startTime: time.Now(), shapes: map[[2]string]link.Shape{}, Auditor: newAuditor()}
+	l = &Federation{options: o, dice: link.NewRandom(o.Seed), startTime: time.Now(), shapes: map[[2]string]link.Shape{}, Auditor: newAuditor()}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -94,7 +94,7 @@
 	if l.dir, err = os.MkdirTemp("", "league"); err != nil {
 		return nil, fmt.Errorf("federation: %w", err)
 	}
-	if l.part, err = link.TakePart(); err != nil {
+	if l.part, err = link.AcquireSubnet(); err != nil {
 		return nil, err
 	}
 	l.spawner = child.NewSpawner()
--- a/internal/faultbench/federation/links.go
+++ b/internal/faultbench/federation/links.go
@@ -18,16 +18,16 @@
 	l.shapes[[2]string{from.IP, to.IP}] = s
 	there, back := l.shapes[[2]string{from.IP, to.IP}], l.shapes[[2]string{to.IP, from.IP}]
 	l.mu.Unlock()
-	to.links.SetFrom(from.IP, connectionShape(there, back))
-	to.calls.SetFrom(from.IP, connectionShape(there, back))
-	from.links.SetFrom(to.IP, connectionShape(back, there))
-	from.calls.SetFrom(to.IP, connectionShape(back, there))
+	to.links.SetForSource(from.IP, connectionShape(there, back))
+	to.calls.SetForSource(from.IP, connectionShape(there, back))
+	from.links.SetForSource(to.IP, connectionShape(back, there))
+	from.calls.SetForSource(to.IP, connectionShape(back, there))
 }
 
 // connectionShape combines the shapes of the two directions of a connection.
 func connectionShape(there, back link.Shape) link.Shape {
-	s := there.Over(back)
-	s.CutThere, s.CutBack = there.CutThere, back.CutThere
+	s := there.Combine(back)
+	s.CutForward, s.CutReturn = there.CutForward, back.CutForward
 	return s
 }
 
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	set(link.Shape{CutThere: true})
+	set(link.Shape{CutForward: true})
 	return func() { set(link.Shape{}) }
 }
 
--- a/internal/faultbench/federation/links_test.go
+++ b/internal/faultbench/federation/links_test.go
@@ -35,7 +35,7 @@
 	go func() {
 		defer breaker.Done()
 		repeat(stop, func(i int) {
-			l.Gateways[i%len(l.Gateways)].links.Break()
+			l.Gateways[i%len(l.Gateways)].links.ResetAll()
 			time.Sleep(5 * time.Millisecond) // interval between resets
 		})
 	}()
