--- a/internal/config/federation.go
+++ b/internal/config/federation.go
@@ -74,7 +74,7 @@
 	Name       string           `json:"name"`
 	Rate       float64          `json:"rate"` // requests per second
 	Burst      float64          `json:"burst"`
-	Overdraw  float64          `json:"over"`
+	Overdraw   float64          `json:"over"`
 	TokenLease Duration         `json:"lease"`
 	LeaderTerm Duration         `json:"term"`
 	MaxWait    Duration         `json:"wait,omitempty"`
--- a/internal/config/federation_blocks.go
+++ b/internal/config/federation_blocks.go
@@ -75,7 +75,7 @@
 func (r *reader) quota(b *hclsyntax.Body, path, name string) Quota {
 	quota := Quota{
 		Name:       name,
-		Overdraw:  0.05,
+		Overdraw:   0.05,
 		TokenLease: Duration(300 * time.Millisecond),
 		LeaderTerm: Duration(1500 * time.Millisecond),
 		Fallback:   budget.Floor,
