--- a/cmd/faultbench/compare.go
+++ b/cmd/faultbench/compare.go
@@ -17,11 +17,11 @@
 	cmd := &cobra.Command{Use: "compare FOLDER-A FOLDER-B", Short: "Set the results of two folders side by side, paired by seed",
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			a, err := results(args[0])
+			a, err := loadResults(args[0])
 			if err != nil {
 				return err
 			}
-			b, err := results(args[1])
+			b, err := loadResults(args[1])
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 }
 
 // results reads all of a folder.
-func results(folder string) (out []*faultbench.Result, err error) {
+func loadResults(folder string) (out []*faultbench.Result, err error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil || len(paths) == 0 {
 		return nil, fmt.Errorf("%s holds no results", folder)
--- a/cmd/faultbench/explore.go
+++ b/cmd/faultbench/explore.go
@@ -15,7 +15,7 @@
 )
 
 // explored are the systems that can be played, each small enough to be searched, and larger for walks.
-var explored = map[string]struct {
+var machines = map[string]struct {
 	small func() (modelcheck.State, error)
 	large func() (modelcheck.State, error)
 }{
@@ -39,7 +39,7 @@
 	var states, walks, steps int
 	var seed uint64
 	var names []string
-	for n := range explored {
+	for n := range machines {
 		names = append(names, n)
 	}
 	sort.Strings(names)
@@ -48,7 +48,7 @@
 			"shortened, told as a script, and makes the command fail. Names: " + strings.Join(names, ", ") + ".",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			x, known := explored[args[0]]
+			x, known := machines[args[0]]
 			if !known {
 				return fmt.Errorf("found %q; allowed: %s", args[0], strings.Join(names, ", "))
 			}
--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -49,9 +49,9 @@
 					if o.QuotaPerPartner {
 						part /= float64(o.Partners)
 					}
-					d.NotesBound, text = leagueQuota(part, o.Partners, o.Gateways)
+					d.NotesBound, text = quotaSettings(part, o.Partners, o.Gateways)
 					if o.QuotaPerPartner {
-						complete, _ := leagueQuota(quota, o.Partners, o.Gateways)
+						complete, _ := quotaSettings(quota, o.Partners, o.Gateways)
 						d.NotesBound = complete
 					}
 					o.Quota = text
@@ -118,7 +118,7 @@
 }
 
 // leagueQuota is a budget of all partners alike, without floors, and its bound.
-func leagueQuota(rate float64, partners, gateways int) (func(time.Duration) float64, string) {
+func quotaSettings(rate float64, partners, gateways int) (func(time.Duration) float64, string) {
 	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
 	for p := range partners {
--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -28,7 +28,7 @@
 	return &cobra.Command{Use: "validate FILE...", Short: "Check files of experiments", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, path := range args {
-				e, err := load(path, 0)
+				e, err := loadExperiment(path, 0)
 				if err != nil {
 					return err
 				}
--- a/cmd/faultbench/main_test.go
+++ b/cmd/faultbench/main_test.go
@@ -26,7 +26,7 @@
 }
 
 // children are the processes that a process has started and that run, by their ids and the times of their start.
-func children(t *testing.T, parent int) map[string]bool {
+func childProcesses(t *testing.T, parent int) map[string]bool {
 	t.Helper()
 	paths, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	out := map[string]bool{}
 	for _, p := range paths {
-		if id, of := identity(p); of == parent {
+		if id, of := processIdentity(p); of == parent {
 			out[id] = true
 		}
 	}
@@ -42,7 +42,7 @@
 }
 
 // identity tells a process by its id and its start, and who its parent is; nothing of one that has ended.
-func identity(stat string) (id string, parent int) {
+func processIdentity(stat string) (id string, parent int) {
 	text, err := os.ReadFile(stat)
 	if err != nil {
 		return "", 0
@@ -56,7 +56,7 @@
 }
 
 // listening are the sockets on this machine that listen, by their inodes.
-func listening(t *testing.T) map[string]bool {
+func listeningSockets(t *testing.T) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // owned are those of the sockets that some processes have, told by the paths of their stat files.
-func owned(ports map[string]bool, processes []string) map[string]bool {
+func socketsOf(ports map[string]bool, processes []string) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range processes {
 		links, _ := filepath.Glob(filepath.Dir(strings.Fields(p)[0]) + "/fd/*")
@@ -87,7 +87,7 @@
 }
 
 // A fault bench that is killed leaves no process, no file and no port behind.
-func TestAKilledRigLeavesNothing(t *testing.T) {
+func TestKilledFaultBenchLeavesNoProcessesSocketsOrFiles(t *testing.T) {
 	dir, temp := build(t), t.TempDir()
 	cmd := exec.Command(filepath.Join(dir, "faultbench"), "run", "../../deploy/experiments/even.hcl", "--nodes", "6", "--program", filepath.Join(dir, "damsontrestle"))
 	cmd.Env = append(os.Environ(), "TMPDIR="+temp)
@@ -115,12 +115,12 @@
 		}
 	}()
 	testpeer.Receive(t, ready, "that the nodes are ready")
-	nodes := children(t, cmd.Process.Pid)
+	nodes := childProcesses(t, cmd.Process.Pid)
 	if len(nodes) != 6 {
 		t.Fatalf("the rig has %d children, want 6: %v", len(nodes), nodes)
 	}
-	ports := listening(t)
-	own := owned(ports, append(slices.Collect(maps.Keys(nodes)), fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)))
+	ports := listeningSockets(t)
+	own := socketsOf(ports, append(slices.Collect(maps.Keys(nodes)), fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)))
 	if len(own) < 6+60 {
 		t.Errorf("the rig and its nodes listen at %d places; want one at least for each node and server", len(own))
 	}
@@ -131,14 +131,14 @@
 	killed = true
 	testpeer.Until(t, "all that the rig has started ends with it", func() bool {
 		for id := range nodes {
-			if now, _ := identity(strings.Fields(id)[0]); now != id {
+			if now, _ := processIdentity(strings.Fields(id)[0]); now != id {
 				delete(nodes, id)
 			}
 		}
 		return len(nodes) == 0
 	})
 	testpeer.Until(t, "its ports are free", func() bool {
-		now := listening(t)
+		now := listeningSockets(t)
 		for inode := range own {
 			if now[inode] {
 				return false
--- a/cmd/faultbench/run.go
+++ b/cmd/faultbench/run.go
@@ -50,7 +50,7 @@
 				}
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
-			heading(w)
+			writeHeading(w)
 			broken, slow := 0, 0
 			var notes []string
 			for _, path := range args {
@@ -60,12 +60,12 @@
 							if u == 0 && len(at) > 0 {
 								continue
 							}
-							e, err := load(path, 0)
+							e, err := loadExperiment(path, 0)
 							if err != nil {
 								return err
 							}
 							e.Seed += uint64(s)
-							vary(e, u, nodes)
+							override(e, u, nodes)
 							if !quiet {
 								o.Log = func(format string, args ...any) {
 									fmt.Fprintf(cmd.ErrOrStderr(), time.Now().Format("15:04:05.000")+" "+format+"\n", args...)
@@ -76,17 +76,17 @@
 								return err
 							}
 							name := strings.TrimSuffix(res.Policy+" "+res.Program, " ")
-							line(w, e.Name, name, e.Seed, res.Figures)
+							writeLine(w, e.Name, name, e.Seed, res.Figures)
 							notes = append(notes, fmt.Sprintf("%s %s: %d processes ready in %v, %.0f MB resident each, %v of processor time a call; %d asks; rig %v, %.0f MB, %d descriptors; late %v, one in a hundred %v",
 								e.Name, name, res.Cost.Processes, res.Cost.Starting.Round(time.Millisecond), float64(res.Cost.NodeMemory)/1e6, res.Cost.CPUPerCall.Round(time.Microsecond), res.Cost.Asks,
 								res.Cost.RigCPU.Round(time.Millisecond), float64(res.Cost.RigMemory)/1e6, res.Cost.MostOpenRig, res.Cost.LateMost.Round(time.Millisecond), res.Cost.LateP99.Round(time.Microsecond)))
 							if e.ProbeInterval > 0 {
-								d := res.Deaths(len(e.NodeZones()))
+								d := res.DeathDetection(len(e.NodeZones()))
 								notes = append(notes, fmt.Sprintf("  peers: %d nodes struck, known for dead by %.3f of the others, after %v (median), %v (most); %d times one that was not struck was held for dead",
 									d.Struck, d.Known, d.Median.Round(time.Millisecond), d.Most.Round(time.Millisecond), d.Wrongly))
 							}
 							if e.ZoneStateMaxAge > 0 {
-								k := res.Fresh(len(e.NodeZones()), e.WarmUp, e.TotalDuration())
+								k := res.Freshness(len(e.NodeZones()), e.WarmUp, e.TotalDuration())
 								notes = append(notes, fmt.Sprintf("  facts: fresh for %.4f of node, zone and time; %d stretches without, %v (median), %v (longest); a node sent %.1f datagrams and %.0f bytes a second, the one that sent most %.0f bytes",
 									k.Share, k.Gaps, k.Median.Round(time.Millisecond), k.Longest.Round(time.Millisecond), res.Cost.Datagrams, res.Cost.DatagramBytes, res.Cost.MostBytes))
 							}
@@ -103,7 +103,7 @@
 								notes = append(notes, "  "+b.String())
 							}
 							if out != "" {
-								if err := save(out, res, u); err != nil {
+								if err := saveResult(out, res, u); err != nil {
 									return err
 								}
 							}
@@ -132,7 +132,7 @@
 }
 
 // vary changes how much is asked and how many nodes there are.
-func vary(e *experiment.Experiment, utilisation float64, nodes int) {
+func override(e *experiment.Experiment, utilisation float64, nodes int) {
 	if utilisation > 0 {
 		e.Clients.Rate, e.Clients.Utilisation = 0, utilisation
 	}
@@ -148,7 +148,7 @@
 }
 
 // save writes a result to a file of its own.
-func save(folder string, r *faultbench.Result, utilisation float64) error {
+func saveResult(folder string, r *faultbench.Result, utilisation float64) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("result: %w", err)
 	}
--- a/cmd/faultbench/simulate.go
+++ b/cmd/faultbench/simulate.go
@@ -30,9 +30,9 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
 			defer out.Flush()
-			line := membersLine
+			line := writeMembershipLine
 			if args[0] == "facts" {
-				line = func(out io.Writer, worlds []simulation.World) error { return factsLine(out, worlds, fresh) }
+				line = func(out io.Writer, worlds []simulation.World) error { return writeZoneStateLine(out, worlds, fresh) }
 			}
 			if err := line(out, nil); err != nil {
 				return err
@@ -77,7 +77,7 @@
 }
 
 // since is a time for the table; negative: it never came.
-func since(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	if d < 0 {
 		return "-"
 	}
@@ -85,7 +85,7 @@
 }
 
 // membersLine plays worlds that differ in their seeds and prints a line; of none, the head. Times are the longest.
-func membersLine(out io.Writer, worlds []simulation.World) error {
+func writeMembershipLine(out io.Writer, worlds []simulation.World) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tjoined 95 %\tall\tdead known 95 %\tall\tparted 95 %\tback 95 %\tall\tfalse deaths\tmember-minutes\tdatagrams/s\tbytes/s\tmost\till health\ttook")
 		return err
@@ -112,14 +112,14 @@
 		all.ByteRate += s.ByteRate / float64(len(worlds))
 		all.MaxByteRate, all.MaxHealthScore = max(all.MaxByteRate, s.MaxByteRate), max(all.MaxHealthScore, s.MaxHealthScore)
 	}
-	_, err := fmt.Fprintf(out, "%d\t%.2f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%.1f\t%.0f\t%.0f\t%d\t%v\n", worlds[0].Nodes, worlds[0].Loss, since(all.Joined95), since(all.JoinedAll),
-		since(all.Dead95), since(all.DeadAll), since(all.Partitioned95), since(all.Rejoined95), since(all.RejoinedAll), all.FalseDeaths, all.MemberMinutes,
+	_, err := fmt.Fprintf(out, "%d\t%.2f\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f\t%.1f\t%.0f\t%.0f\t%d\t%v\n", worlds[0].Nodes, worlds[0].Loss, formatDuration(all.Joined95), formatDuration(all.JoinedAll),
+		formatDuration(all.Dead95), formatDuration(all.DeadAll), formatDuration(all.Partitioned95), formatDuration(all.Rejoined95), formatDuration(all.RejoinedAll), all.FalseDeaths, all.MemberMinutes,
 		all.DatagramRate, all.ByteRate, all.MaxByteRate, all.MaxHealthScore, time.Since(begin).Round(10*time.Millisecond))
 	return err
 }
 
 // factsLine is as membersLine, of facts. Shares and rates are means.
-func factsLine(out io.Writer, worlds []simulation.World, fresh time.Duration) error {
+func writeZoneStateLine(out io.Writer, worlds []simulation.World, fresh time.Duration) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tfresh\tcounted\twhole\tage\tmost\tbeyond the truth\tdatagrams/s\tbytes/s\tmost\trows\tback after a cut\ttook")
 		return err
@@ -142,6 +142,6 @@
 	}
 	ms := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	_, err := fmt.Fprintf(out, "%d\t%.2f\t%.4f\t%.4f\t%.3f\t%v\t%v\t%v\t%.1f\t%.0f\t%.0f\t%d\t%s\t%v\n", worlds[0].Nodes, worlds[0].Loss, all.FreshShare, all.CountedShare, all.CompleteShare,
-		ms(all.MeanAge), ms(all.MaxAge), ms(all.MeanSlack), all.PacketRate, all.ByteRate, all.MaxByteRate, all.MaxRows, since(all.RecoveryTime), time.Since(begin).Round(10*time.Millisecond))
+		ms(all.MeanAge), ms(all.MaxAge), ms(all.MeanSlack), all.PacketRate, all.ByteRate, all.MaxByteRate, all.MaxRows, formatDuration(all.RecoveryTime), time.Since(begin).Round(10*time.Millisecond))
 	return err
 }
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -14,7 +14,7 @@
 )
 
 // load reads an experiment, with another seed where one is given.
-func load(path string, seed uint64) (*experiment.Experiment, error) {
+func loadExperiment(path string, seed uint64) (*experiment.Experiment, error) {
 	e, err := experiment.Load(path)
 	if err == nil && seed > 0 {
 		e.Seed = seed
@@ -32,11 +32,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
 			defer w.Flush()
-			heading(w)
+			writeHeading(w)
 			for _, path := range args {
 				for _, policy := range policies {
 					for s := range seeds {
-						e, err := load(path, 0)
+						e, err := loadExperiment(path, 0)
 						if err != nil {
 							return err
 						}
@@ -52,7 +52,7 @@
 						if err != nil {
 							return err
 						}
-						line(w, e.Name, policy, e.Seed, f)
+						writeLine(w, e.Name, policy, e.Seed, f)
 						for i, b := range a.Breaches(0) {
 							if i < 5 {
 								fmt.Fprintln(w, b)
@@ -72,11 +72,11 @@
 	return cmd
 }
 
-func heading(w io.Writer) {
+func writeHeading(w io.Writer) {
 	fmt.Fprintln(w, "experiment\tpolicy\tseed\tcalls\tin aim\tserved\trefused\tfailed\tp50\tp99\tutil\twaiting\tidle while queued\tvariation\t1s most\t10s least..most (chance)\tlongest idle\tconnections, most\tattempts\tcrossings")
 }
 
-func line(w io.Writer, name, policy string, seed uint64, f audit.Metrics) {
+func writeLine(w io.Writer, name, policy string, seed uint64, f audit.Metrics) {
 	ten := f.Spread.Windows["10s"]
 	fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f ms\t%.0f ms\t%.2f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f..%.2f (%.2f..%.2f)\t%.1f s\t%.1f, %.2f\t%.2f\t%.2f\n", name, policy, seed,
 		f.Calls, f.InAim, f.Served, f.Refused, f.Failed+f.NotTaken, f.P50.Seconds()*1e3, f.P99.Seconds()*1e3, f.Utilisation, f.Waiting,
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -20,7 +20,7 @@
 )
 
 // callers has a node's requests come when they are due, whatever becomes of them, and returns once all have been heard of.
-func (n *node) callers(ctx context.Context, streams *world.Streams) {
+func (n *node) sendRequests(ctx context.Context, streams *world.Streams) {
 	f := n.fleet
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -29,89 +29,89 @@
 		if !more {
 			return
 		}
-		f.await(ctx, c.At)
+		f.waitUntil(ctx, c.At)
 		if ctx.Err() != nil {
 			return
 		}
-		f.late(f.now() - c.At)
+		f.recordLateness(f.now() - c.At)
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			n.call(ctx, c)
+			n.sendWithRetries(ctx, c)
 		}()
 	}
 }
 
 // call makes a request, and those that its client makes after it as long as there is time.
-func (n *node) call(ctx context.Context, c world.Request) {
+func (n *node) sendWithRetries(ctx context.Context, request world.Request) {
 	f := n.fleet
-	class := f.e.Classes[c.Class]
-	first := f.now()
-	for try := 0; ; try++ {
-		id := c.ID
-		if try > 0 {
-			id = fmt.Sprintf("%s-%d", c.ID, try)
+	class := f.experiment.Classes[request.Class]
+	start := f.now()
+	for attempt := 0; ; attempt++ {
+		id := request.ID
+		if attempt > 0 {
+			id = fmt.Sprintf("%s-%d", request.ID, attempt)
 		}
 		now := f.now()
-		left := first + class.Deadline - now
-		f.audit.RecordRequest(audit.Request{ID: id, FirstID: c.ID, Node: n.index, Class: c.Class, Unsafe: class.Effect == "unsafe", At: now, LatencyObjective: first + class.LatencyObjective - now, Deadline: left, PriorityWeight: class.PriorityWeight})
-		heard, says, wait := n.ask(id, class, left)
-		f.audit.RecordOutcome(id, heard, f.now(), says)
-		again := heard == audit.Refused || heard == audit.NotAccepted || heard == audit.Failed && class.Effect == "safe"
-		wait = max(wait, f.e.Clients.RetryDelay)
-		if !again || try >= f.e.Clients.Retries || f.now()+wait >= first+class.Deadline {
+		remaining := start + class.Deadline - now
+		f.audit.RecordRequest(audit.Request{ID: id, FirstID: request.ID, Node: n.index, Class: request.Class, Unsafe: class.Effect == "unsafe", At: now, LatencyObjective: start + class.LatencyObjective - now, Deadline: remaining, PriorityWeight: class.PriorityWeight})
+		outcome, detail, wait := n.send(id, class, remaining)
+		f.audit.RecordOutcome(id, outcome, f.now(), detail)
+		retryable := outcome == audit.Refused || outcome == audit.NotAccepted || outcome == audit.Failed && class.Effect == "safe"
+		wait = max(wait, f.experiment.Clients.RetryDelay)
+		if !retryable || attempt >= f.experiment.Clients.Retries || f.now()+wait >= start+class.Deadline {
 			return
 		}
-		f.await(ctx, f.now()+wait)
+		f.waitUntil(ctx, f.now()+wait)
 	}
 }
 
 // ask sends one request and tells what is heard: of a node, or where the fault bench picks, of a server.
-func (n *node) ask(id string, class experiment.Class, left time.Duration) (heard audit.Outcome, says string, wait time.Duration) {
-	to := n.listen
-	if n.fleet.o.Policy != experiment.Program {
-		if to = n.pick(); to == "" {
+func (n *node) send(id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration) {
+	addr := n.listen
+	if n.fleet.options.Policy != experiment.Program {
+		if addr = n.pickServer(); addr == "" {
 			return audit.Refused, "no server", 0
 		}
 	}
 	for {
-		c, kept := n.take(to)
+		c, kept := n.takeIdle(addr)
 		if !kept {
 			var err error
-			if c, err = net.DialTimeout("tcp4", to, min(left, time.Second)); err != nil {
+			if c, err = net.DialTimeout("tcp4", addr, min(remaining, time.Second)); err != nil {
 				return audit.NotAccepted, err.Error(), 0
 			}
 		}
-		heard, says, wait, open := n.on(c, id, class, left)
+		outcome, detail, wait, open := n.roundTrip(c, id, class, remaining)
 		if open {
-			n.keep(to, c)
+			n.putIdle(addr, c)
 		} else {
 			c.Close()
 		}
 		// What crosses the close of a connection that was kept is sent once more on a new one.
-		if heard == audit.Disconnected && kept {
+		if outcome == audit.Disconnected && kept {
 			continue
 		}
-		if n.fleet.o.Policy != experiment.Program && heard == audit.Refused {
-			heard = audit.Failed // rejected by the one server that was picked
+		if n.fleet.options.Policy != experiment.Program && outcome == audit.Refused {
+			outcome = audit.Failed // rejected by the one server that was picked
 		}
-		return heard, says, wait
+		return outcome, detail, wait
 	}
 }
 
 // on makes a request on a connection. open: it is of further use.
-func (n *node) on(c net.Conn, id string, class experiment.Class, left time.Duration) (heard audit.Outcome, says string, wait time.Duration, open bool) {
-	leaves := n.fleet.e.Clients.Patience
-	if leaves == 0 || leaves > left {
-		leaves = left + audit.AnswerSlack
+func (n *node) roundTrip(c net.Conn, id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration, reusable bool) {
+	timeout := n.fleet.experiment.Clients.Patience
+	if timeout == 0 || timeout > remaining {
+		timeout = remaining + audit.AnswerSlack
 	}
-	c.SetDeadline(time.Now().Add(leaves))
+	c.SetDeadline(time.Now().Add(timeout))
 	method, body := "GET", ""
 	if class.Effect != "safe" {
 		method, body = "POST", "body of "+id
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s /%s/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Deadline: %.4f\r\n", method, class.Name, id, left.Seconds())
+	fmt.Fprintf(&out, "%s /%s/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Deadline: %.4f\r\n", method, class.Name, id, remaining.Seconds())
 	if method == "POST" {
 		fmt.Fprintf(&out, "Content-Length: %d\r\n", len(body))
 	}
@@ -122,7 +122,7 @@
 	in := bufio.NewReader(c)
 	r, err := http.ReadResponse(in, nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		if leaves <= left {
+		if timeout <= remaining {
 			return audit.ClientLeft, "", 0, false
 		}
 		return audit.NoResponse, "", 0, false
@@ -132,27 +132,27 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	r.Body.Close()
-	open = err == nil && !r.Close && in.Buffered() == 0
-	advice := r.Header.Get("Retry-After")
+	reusable = err == nil && !r.Close && in.Buffered() == 0
+	retryAfter := r.Header.Get("Retry-After")
 	switch {
 	case err != nil:
 		return audit.Failed, "an answer that broke off", 0, false
 	case r.StatusCode == http.StatusOK && strings.HasSuffix(string(text), " "+id):
-		return audit.Served, "", 0, open
+		return audit.Served, "", 0, reusable
 	case r.StatusCode == http.StatusOK:
 		return audit.WrongResponse, fmt.Sprintf("%.60q", text), 0, false
 	case r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests:
 		var seconds float64
-		fmt.Sscan(advice, &seconds)
-		return audit.Refused, advice, time.Duration(seconds * float64(time.Second)), open
+		fmt.Sscan(retryAfter, &seconds)
+		return audit.Refused, retryAfter, time.Duration(seconds * float64(time.Second)), reusable
 	case r.StatusCode >= 500:
-		return audit.Failed, r.Status, 0, open
+		return audit.Failed, r.Status, 0, reusable
 	}
 	return audit.WrongResponse, r.Status, 0, false
 }
 
 // take returns an idle connection, if there is one.
-func (n *node) take(to string) (c net.Conn, kept bool) {
+func (n *node) takeIdle(to string) (c net.Conn, kept bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	free := n.idle[to]
@@ -164,16 +164,16 @@
 	return c, true
 }
 
-func (n *node) keep(to string, c net.Conn) {
+func (n *node) putIdle(to string, c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.idle[to] = append(n.idle[to], c)
 }
 
 // pick is where a policy of the fault bench's own sends a request.
-func (n *node) pick() (addr string) {
+func (n *node) pickServer() (addr string) {
 	f := n.fleet
-	v, _, _, _ := f.list.known(n.lag)
+	v, _, _, _ := f.registry.visibleVersion(n.registryLag)
 	var ready []*host
 	for _, t := range v.targets {
 		if t.State == stateNames[balancer.Ready] {
@@ -186,11 +186,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	best := ready[n.rng.IntN(len(ready))]
-	if f.o.Policy == experiment.JSQ {
+	if f.options.Policy == experiment.JSQ {
 		least := 0.0
 		best = nil
 		for _, h := range ready {
-			working, waiting, _, down := h.look()
+			working, waiting, _, down := h.status()
 			load := (float64(working+waiting) + n.rng.Float64()/100) / float64(h.server.Spec.Slots)
 			if !down && (best == nil || load < least) {
 				best, least = h, load
--- a/internal/faultbench/cost.go
+++ b/internal/faultbench/cost.go
@@ -15,7 +15,7 @@
 	var memory int64
 	for _, n := range f.nodes {
 		n.mu.Lock()
-		p, before := n.process, n.spent
+		p, before := n.process, n.previousCPU
 		n.mu.Unlock()
 		if p != nil {
 			cpu, resident := child.ResourceUsage(p.Cmd.Process.Pid)
--- a/internal/faultbench/faultbench_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := Run(t.Context(), e, Options{Policy: experiment.Program, Binary: path, Starts: 4, Log: t.Logf})
+	res, err := Run(t.Context(), e, Options{Policy: experiment.Program, Binary: path, ParallelStarts: 4, Log: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	return res
 }
 
-const dozen = `experiment "dozen" {
+const dozenNodes = `experiment "dozen" {
   seed    = 3
   warm_up = "1s"
   measure = "8s"
@@ -79,8 +79,8 @@
 
 // Twelve processes, and for three seconds nothing from one zone's nodes comes to another's servers: the rules hold,
 // every request of a zone that can reach servers is served, and all servers carry their part.
-func TestTwelveProcessesAndAZoneCutOffOneWay(t *testing.T) {
-	res := play(t, dozen+`
+func TestZoneCutOffInOneDirection(t *testing.T) {
+	res := play(t, dozenNodes+`
 fault "cut" {
   kind = "cut_there"
   from = "3s"
@@ -109,14 +109,14 @@
 }
 
 // asking has nodes ask three servers what they hold before each request.
-func asking(text string) string {
+func withLoadPolls(text string) string {
 	return strings.NewReplacer("count = 12\n}", "count = 12\n  asks  = 3\n}", "queue   = 100", "queue   = 100\n  reports = true").Replace(text)
 }
 
 // A node that is stopped while servers are replaced wakes with an old view, a zone's nodes hear nothing of the registry, others are killed or end in order, and
 // one has a clock that is an hour off: the rules hold.
-func TestProcessesThatSleepDieAndReturn(t *testing.T) {
-	res := play(t, asking(dozen)+`
+func TestNodesStoppedKilledAndRestarted(t *testing.T) {
+	res := play(t, withLoadPolls(dozenNodes)+`
 fault "asleep" {
   kind  = "stop"
   from  = "2s"
@@ -176,8 +176,8 @@
 // Twelve processes come to know one another by datagrams; one is killed, and a zone is cut off from the others for a
 // while: the dead one is dead for the others, who hear of it, the cut parts hold each other for dead, and when all is over
 // everybody is alive for everybody, the killed one in a later incarnation.
-func TestProcessesKnowOneAnother(t *testing.T) {
-	text := strings.NewReplacer(`measure = "8s"`, "measure = \"23s\"\n  peers   = \"200ms\"\n  fresh   = \"2s\"", `rate = 5`, `rate = 1`).Replace(dozen)
+func TestNodesDetectDeathsAndPartitions(t *testing.T) {
+	text := strings.NewReplacer(`measure = "8s"`, "measure = \"23s\"\n  peers   = \"200ms\"\n  fresh   = \"2s\"", `rate = 5`, `rate = 1`).Replace(dozenNodes)
 	res := play(t, text+`
 fault "dead" {
   kind  = "kill"
@@ -195,7 +195,7 @@
 }
 `)
 	const n = 12
-	before := res.Holds(n, 3*time.Second)
+	before := res.Statuses(n, 3*time.Second)
 	for i := range n {
 		for j := range n {
 			if i != j && before[i][j] != "alive" && res.Slow == "" {
@@ -203,10 +203,10 @@
 			}
 		}
 	}
-	if d := res.Deaths(n); res.Slow == "" && (d.Struck != 1 || d.Known < 1 || d.Most > 7*time.Second) {
+	if d := res.DeathDetection(n); res.Slow == "" && (d.Struck != 1 || d.Known < 1 || d.Most > 7*time.Second) {
 		t.Errorf("one was killed for six seconds: %+v", d)
 	}
-	dead := res.Holds(n, 9*time.Second)
+	dead := res.Statuses(n, 9*time.Second)
 	for j := range n {
 		for i := range n {
 			if dead[i][j] == "dead" && j != res.Strikes[0].Node && res.Slow == "" {
@@ -229,11 +229,11 @@
 		from, to    time.Duration
 		least, most float64
 	}{{time.Second, 9 * time.Second, 0.9, 1}, {14 * time.Second, 16 * time.Second, 0, 0.7}, {19 * time.Second, 24 * time.Second, 0.9, 1}} {
-		if k := res.Fresh(n, c.from, c.to); res.Slow == "" && (k.Share < c.least || k.Share > c.most) {
+		if k := res.Freshness(n, c.from, c.to); res.Slow == "" && (k.Share < c.least || k.Share > c.most) {
 			t.Errorf("from %v to %v zones were fresh for %.3f of the time", c.from, c.to, k.Share)
 		}
 	}
-	end := res.Holds(n, time.Hour)
+	end := res.Statuses(n, time.Hour)
 	for i := range n {
 		for j := range n {
 			if i != j && end[i][j] != "alive" && res.Slow == "" {
@@ -244,20 +244,20 @@
 }
 
 // A fault bench that was late says so and names the figures, and the command does not judge.
-func TestARigThatIsTooSlowSaysSo(t *testing.T) {
-	e, err := experiment.Parse([]byte(dozen), "dozen", nil)
+func TestResultReportsSlowFaultBench(t *testing.T) {
+	e, err := experiment.Parse([]byte(dozenNodes), "dozen", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		lates []time.Duration
 		slow  bool
-	}{{nil, false}, {[]time.Duration{time.Millisecond, 2 * time.Millisecond}, false}, {[]time.Duration{time.Millisecond, lateMost + 1}, true},
-		{slices.Repeat([]time.Duration{lateP99 + time.Millisecond}, 10), true}} {
-		f := &fleet{e: e, audit: audit.New()}
-		f.begin(time.Now())
+	}{{nil, false}, {[]time.Duration{time.Millisecond, 2 * time.Millisecond}, false}, {[]time.Duration{time.Millisecond, lateMostLimit + 1}, true},
+		{slices.Repeat([]time.Duration{lateP99Limit + time.Millisecond}, 10), true}} {
+		f := &fleet{experiment: e, audit: audit.New()}
+		f.setStart(time.Now())
 		for _, late := range c.lates {
-			f.late(late)
+			f.recordLateness(late)
 		}
 		if got := f.result(Cost{}).Slow; (got != "") != c.slow {
 			t.Errorf("late by %v: %q", c.lates, got)
@@ -266,8 +266,8 @@
 }
 
 // What a run did is told by the same auditor whoever picks; the fault bench's own policies need no process.
-func TestTheRigsOwnPolicies(t *testing.T) {
-	e, err := experiment.Parse([]byte(strings.NewReplacer(`"8s"`, `"1s"`, `"1s"`, `"200ms"`).Replace(dozen)), "dozen", nil)
+func TestBuiltInPolicies(t *testing.T) {
+	e, err := experiment.Parse([]byte(strings.NewReplacer(`"8s"`, `"1s"`, `"1s"`, `"200ms"`).Replace(dozenNodes)), "dozen", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/faultbench/faults.go
@@ -0,0 +1,84 @@
+package faultbench
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"damsontrestle/internal/faultbench/experiment"
+)
+
+// await waits until a time of the run.
+func (f *fleet) waitUntil(ctx context.Context, at time.Duration) {
+	t := time.NewTimer(at - f.now())
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
+
+// timetable has every fault begin and end when it is due. It returns once all that it began is over.
+func (f *fleet) injectFaults(ctx context.Context) {
+	var all sync.WaitGroup
+	for _, ft := range f.experiment.Faults {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			f.waitUntil(ctx, ft.From)
+			if ctx.Err() == nil {
+				f.options.Log("%v %s: %s begins", f.now().Round(time.Millisecond), ft.Name, ft.Kind)
+				f.runFault(ctx, ft)
+				f.options.Log("%v %s: over", f.now().Round(time.Millisecond), ft.Name)
+			}
+		}()
+	}
+	all.Wait()
+}
+
+// run plays one fault from its beginning to its end.
+func (f *fleet) runFault(ctx context.Context, ft experiment.Fault) {
+	switch ft.Kind.Target() {
+	case experiment.TargetLinks:
+		f.mu.Lock()
+		f.linkFaults = append(f.linkFaults, ft)
+		f.mu.Unlock()
+		f.updateLinks()
+		f.waitUntil(ctx, ft.To)
+		f.mu.Lock()
+		f.linkFaults = slices.DeleteFunc(f.linkFaults, func(o experiment.Fault) bool { return o.Name == ft.Name })
+		f.mu.Unlock()
+		f.updateLinks()
+	case experiment.TargetRegistry:
+		f.registry.setMuted(true)
+		f.waitUntil(ctx, ft.To)
+		f.registry.setMuted(false)
+	case experiment.TargetServers:
+		targets := f.experiment.Targets(ft)
+		f.forEachTarget(ctx, ft, len(targets), func(k int) { f.hosts[targets[k]].applyFault(ft) })
+		f.waitUntil(ctx, ft.To)
+		for _, i := range targets {
+			f.hosts[i].clearFault(ft)
+		}
+	case experiment.TargetNodes:
+		targets := f.experiment.Targets(ft)
+		f.forEachTarget(ctx, ft, len(targets), func(k int) { f.nodes[targets[k]].applyFault(ctx, ft) })
+	}
+}
+
+// each strikes n things, spread over the fault's onset, and returns once the last has been.
+func (f *fleet) forEachTarget(ctx context.Context, ft experiment.Fault, n int, strike func(k int)) {
+	var all sync.WaitGroup
+	for k := range n {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			f.waitUntil(ctx, ft.From+ft.OnsetSpread*time.Duration(k)/time.Duration(n))
+			if ctx.Err() == nil {
+				strike(k)
+			}
+		}()
+	}
+	all.Wait()
+}
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -23,40 +23,40 @@
 
 // Options are how a run is made.
 type Options struct {
-	Policy  experiment.Policy
-	Binary  string // of the program
-	Name    string // of that build, for the result
-	Log     func(format string, args ...any)
-	Starts  int // processes that start at once; 0: 16
-	KeepLog int // bytes of each node's log that are kept; 0: 16 KiB
+	Policy         experiment.Policy
+	Binary         string // of the program
+	Name           string // of that build, for the result
+	Log            func(format string, args ...any)
+	ParallelStarts int // processes that start at once; 0: 16
+	LogBytes       int // bytes of each node's log that are kept; 0: 16 KiB
 }
 
 // fleet is one run under way.
 type fleet struct {
-	e       *experiment.Experiment
-	o       Options
-	net     *link.Subnet
-	audit   *audit.Audit
-	dice    *link.Random
-	zones   []string
-	hosts   []*host // by place
-	nodes   []*node
-	spawner *child.Spawner
-	list    *list
-	mesh    *link.Mesh
-	began   atomic.Pointer[time.Time] // when the first request is due
+	experiment *experiment.Experiment
+	options    Options
+	subnet     *link.Subnet
+	audit      *audit.Audit
+	random     *link.Random
+	zones      []string
+	hosts      []*host // by place
+	nodes      []*node
+	spawner    *child.Spawner
+	registry   *registry
+	mesh       *link.Mesh
+	startTime  atomic.Pointer[time.Time] // when the first request is due
 
-	mu      sync.Mutex
-	faults  []experiment.Fault // of links, in force
-	place   map[string]*host   // by uid
-	world   *world.Fleet
-	worst   time.Duration // by which the fault bench was late, and
-	lates   []float64     // all lateness, in seconds
-	errs    []error
-	sights  []Sight
-	words   []Word
-	short   []audit.Breach // ages that were under-reported
-	strikes []Strike
+	mu               sync.Mutex
+	linkFaults       []experiment.Fault // of links, in force
+	hostsByID        map[string]*host   // by uid
+	world            *world.Fleet
+	maxLateness      time.Duration // by which the fault bench was late, and
+	lateness         []float64     // all lateness, in seconds
+	errs             []error
+	statusChanges    []StatusChange
+	zoneStateChanges []ZoneStateChange
+	ageBreaches      []audit.Breach // ages that were under-reported
+	strikes          []Strike
 }
 
 // Result is what a run came to. The version tells its form.
@@ -70,10 +70,10 @@
 	Breaches   []audit.Breach
 	Slow       string `json:",omitempty"` // why nothing is judged: the fault bench was too slow
 	Cost       Cost
-	Strikes    []Strike `json:",omitempty"`
-	Sights     []Sight  `json:",omitempty"` // what nodes came to hold of one another
-	Words      []Word   `json:",omitempty"` // what they came to say of what they know of zones
-	Logs       []string `json:",omitempty"` // the ends of the logs of nodes that ended by themselves
+	Strikes    []Strike          `json:",omitempty"`
+	Sights     []StatusChange    `json:",omitempty"` // what nodes came to hold of one another
+	Words      []ZoneStateChange `json:",omitempty"` // what they came to say of what they know of zones
+	Logs       []string          `json:",omitempty"` // the ends of the logs of nodes that ended by themselves
 }
 
 // ResultVersion is the form that this build writes.
@@ -102,8 +102,8 @@
 
 // Beyond these the fault bench was too slow to judge others.
 const (
-	lateP99  = 20 * time.Millisecond
-	lateMost = 400 * time.Millisecond
+	lateP99Limit  = 20 * time.Millisecond
+	lateMostLimit = 400 * time.Millisecond
 )
 
 // Run plays an experiment once.
@@ -111,16 +111,16 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	f := &fleet{e: e, o: o, audit: audit.New(), dice: link.NewRandom(e.Seed), place: map[string]*host{}}
+	f := &fleet{experiment: e, options: o, audit: audit.New(), random: link.NewRandom(e.Seed), hostsByID: map[string]*host{}}
 	for _, z := range e.Zones {
 		f.zones = append(f.zones, z.Name)
 	}
-	if f.net, err = link.AcquireSubnet(); err != nil {
+	if f.subnet, err = link.AcquireSubnet(); err != nil {
 		return nil, err
 	}
-	defer f.net.Close()
-	defer f.end()
-	f.begin(time.Now())
+	defer f.subnet.Close()
+	defer f.close()
+	f.setStart(time.Now())
 	if err := f.build(); err != nil {
 		return nil, err
 	}
@@ -145,20 +145,20 @@
 
 // build opens the servers' relays, the registry and the nodes' places.
 func (f *fleet) build() error {
-	f.world = world.NewFleet(f.e)
-	f.list = newList(f)
-	f.mesh = link.NewMesh(f.dice, f.betweenNodes)
+	f.world = world.NewFleet(f.experiment)
+	f.registry = newRegistry(f)
+	f.mesh = link.NewMesh(f.random, f.nodeLinkShape)
 	for i, s := range f.world.Servers {
 		h, err := f.newHost(i, s)
 		if err != nil {
 			return err
 		}
 		f.hosts = append(f.hosts, h)
-		f.place[s.ID] = h
+		f.hostsByID[s.ID] = h
 	}
-	lags := f.e.RegistryLags()
-	for i, zone := range f.e.NodeZones() {
-		n := &node{fleet: f, index: i, zone: zone, lag: lags[i], copies: len(f.e.NodeZones()), rng: rand.New(rand.NewPCG(f.e.Seed, uint64(i)+1<<32))}
+	lags := f.experiment.RegistryLags()
+	for i, zone := range f.experiment.NodeZones() {
+		n := &node{fleet: f, index: i, zone: zone, registryLag: lags[i], copies: len(f.experiment.NodeZones()), rng: rand.New(rand.NewPCG(f.experiment.Seed, uint64(i)+1<<32))}
 		if err := n.open(); err != nil {
 			return err
 		}
@@ -168,7 +168,7 @@
 }
 
 // end ends every child and closes every socket.
-func (f *fleet) end() {
+func (f *fleet) close() {
 	if f.spawner != nil {
 		f.spawner.Close()
 	}
@@ -193,20 +193,20 @@
 }
 
 // now is the time of the run: since the first request was due.
-func (f *fleet) now() time.Duration { return time.Since(*f.began.Load()) }
+func (f *fleet) now() time.Duration { return time.Since(*f.startTime.Load()) }
 
 // of is the time of the run of an instant.
-func (f *fleet) of(t time.Time) time.Duration { return t.Sub(*f.began.Load()) }
+func (f *fleet) runTime(t time.Time) time.Duration { return t.Sub(*f.startTime.Load()) }
 
 // begin has the time of the run start at an instant.
-func (f *fleet) begin(at time.Time) { f.began.Store(&at) }
+func (f *fleet) setStart(at time.Time) { f.startTime.Store(&at) }
 
 // late notes by how much the fault bench was late for something that was due.
-func (f *fleet) late(by time.Duration) {
+func (f *fleet) recordLateness(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.worst = max(f.worst, by)
-	f.lates = append(f.lates, by.Seconds())
+	f.maxLateness = max(f.maxLateness, by)
+	f.lateness = append(f.lateness, by.Seconds())
 }
 
 func (f *fleet) fail(err error) {
@@ -219,11 +219,11 @@
 
 // play has clients ask and faults strike until all is over.
 func (f *fleet) play(ctx context.Context) {
-	f.begin(time.Now().Add(50 * time.Millisecond))
+	f.setStart(time.Now().Add(50 * time.Millisecond))
 	f.mesh.ResetTraffic()
 	f.mu.Lock()
-	for i := range f.words { // what was said before is so when the run begins
-		f.words[i].At = 0
+	for i := range f.zoneStateChanges { // what was said before is so when the run begins
+		f.zoneStateChanges[i].At = 0
 	}
 	f.mu.Unlock()
 	ctx, stop := context.WithCancel(ctx)
@@ -235,14 +235,14 @@
 	}()
 	go func() {
 		defer sampling.Done()
-		f.timetable(ctx)
+		f.injectFaults(ctx)
 	}()
-	streams := world.NewStreams(f.e, "c")
+	streams := world.NewStreams(f.experiment, "c")
 	for _, n := range f.nodes {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			n.callers(ctx, streams)
+			n.sendRequests(ctx, streams)
 		}()
 	}
 	all.Wait()
@@ -262,7 +262,7 @@
 		}
 		s := audit.Sample{At: f.now()}
 		for _, h := range f.hosts {
-			working, waiting, conns, down := h.look()
+			working, waiting, conns, down := h.status()
 			s.Working, s.Waiting = append(s.Working, working), append(s.Waiting, waiting)
 			s.Connections, s.Down = append(s.Connections, conns), append(s.Down, down)
 		}
@@ -276,12 +276,12 @@
 	for _, h := range f.hosts {
 		h.mu.Lock()
 		f.audit.RecordServerEnd(h.server, f.now())
-		asks += h.asked
+		asks += h.loadPolls
 		h.mu.Unlock()
 	}
 	after := f.cost()
-	r := &Result{Version: ResultVersion, Experiment: f.e.Name, Seed: f.e.Seed, Policy: string(f.o.Policy), Program: f.o.Name,
-		Figures: f.audit.Metrics(f.e.WarmUp, f.e.TotalDuration(), audit.Capacities(f.e)), Cost: after}
+	r := &Result{Version: ResultVersion, Experiment: f.experiment.Name, Seed: f.experiment.Seed, Policy: string(f.options.Policy), Program: f.options.Name,
+		Figures: f.audit.Metrics(f.experiment.WarmUp, f.experiment.TotalDuration(), audit.Capacities(f.experiment)), Cost: after}
 	r.Cost.RigCPU -= before.RigCPU
 	r.Cost.NodesCPU -= before.NodesCPU
 	r.Cost.Asks = asks
@@ -292,25 +292,25 @@
 	r.Cost.CPUPerCall = r.Cost.NodesCPU / time.Duration(max(1, requests))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	slices.Sort(f.lates)
-	if n := len(f.lates); n > 0 {
-		r.Cost.LateP99 = time.Duration(f.lates[n*99/100] * float64(time.Second))
+	slices.Sort(f.lateness)
+	if n := len(f.lateness); n > 0 {
+		r.Cost.LateP99 = time.Duration(f.lateness[n*99/100] * float64(time.Second))
 	}
-	r.Cost.LateMost = f.worst
-	if r.Cost.LateP99 > lateP99 || r.Cost.LateMost > lateMost {
+	r.Cost.LateMost = f.maxLateness
+	if r.Cost.LateP99 > lateP99Limit || r.Cost.LateMost > lateMostLimit {
 		r.Slow = fmt.Sprintf("calls were sent up to %v late, one in a hundred by over %v: the machine is too slow for this experiment, and nothing is judged",
 			r.Cost.LateMost.Round(time.Millisecond), r.Cost.LateP99.Round(time.Millisecond))
 	}
-	r.Breaches = f.audit.Breaches(f.worst)
-	r.Sights, r.Strikes, r.Words = f.sights, f.strikes, f.words
-	r.Breaches = append(r.Breaches, f.short...)
-	if seconds := f.now().Seconds(); f.e.ProbeInterval > 0 && seconds > 0 {
+	r.Breaches = f.audit.Breaches(f.maxLateness)
+	r.Sights, r.Strikes, r.Words = f.statusChanges, f.strikes, f.zoneStateChanges
+	r.Breaches = append(r.Breaches, f.ageBreaches...)
+	if seconds := f.now().Seconds(); f.experiment.ProbeInterval > 0 && seconds > 0 {
 		datagrams, bytes, most := f.mesh.Traffic()
 		n := float64(len(f.nodes))
 		r.Cost.Datagrams, r.Cost.DatagramBytes, r.Cost.MostBytes = float64(datagrams)/seconds/n, float64(bytes)/seconds/n, float64(most)/seconds
 	}
 	for _, n := range f.nodes {
-		if words := n.crashed(); words != "" {
+		if words := n.crashReport(); words != "" {
 			r.Cost.NodesCrashed++
 			r.Logs = append(r.Logs, words)
 			r.Breaches = append(r.Breaches, audit.Breach{Rule: "crash", At: f.now(), Words: words})
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -22,31 +22,31 @@
 	place  int
 	relays []*link.Relay // by zone
 
-	mu     sync.Mutex
-	server *world.Server
-	visits map[*world.Job]*visit // requests that wait or work
-	state  balancer.ServerState
-	down   experiment.Kind // Crash or Lose
-	life   int
-	asked  int
+	mu          sync.Mutex
+	server      *world.Server
+	pending     map[*world.Job]*pendingRequest // requests that wait or work
+	state       balancer.ServerState
+	down        experiment.Kind // Crash or Lose
+	incarnation int
+	loadPolls   int
 }
 
 // visit is a request at a server, from its arrival to its answer.
-type visit struct {
+type pendingRequest struct {
 	attempt *audit.Attempt
 	conn    *link.Conn
 	done    chan struct{} // closed once its work is over
 }
 
 func (f *fleet) newHost(place int, s *world.Server) (*host, error) {
-	h := &host{fleet: f, place: place, server: s, visits: map[*world.Job]*visit{}}
+	h := &host{fleet: f, place: place, server: s, pending: map[*world.Job]*pendingRequest{}}
 	for z, zone := range f.zones {
-		r, err := link.Listen(f.net.Address(1+z, 1+place/250, 10000+place%250), f.dice, func(c *link.Conn) { h.serve(c, zone) })
+		r, err := link.Listen(f.subnet.Address(1+z, 1+place/250, 10000+place%250), f.random, func(c *link.Conn) { h.serve(c, zone) })
 		if err != nil {
 			return nil, err
 		}
 		h.relays = append(h.relays, r)
-		if err := r.Set(f.shape(zone, s.Zone, place)); err != nil {
+		if err := r.Set(f.linkShape(zone, s.Zone, place)); err != nil {
 			return nil, err
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // look tells how it stands.
-func (h *host) look() (working, waiting, conns int, down bool) {
+func (h *host) status() (working, waiting, conns int, down bool) {
 	for _, r := range h.relays {
 		conns += r.Connections()
 	}
@@ -81,78 +81,78 @@
 			return
 		}
 		if r.URL.Path == "/stats" {
-			if !h.report(c) {
+			if !h.reportLoad(c) {
 				return
 			}
 			continue
 		}
-		if !h.answer(c, r, zone) {
+		if !h.handle(c, r, zone) {
 			return
 		}
 	}
 }
 
 // answer has a request run and answers it. It tells whether the connection is of further use.
-func (h *host) answer(c *link.Conn, r *http.Request, zone string) bool {
+func (h *host) handle(c *link.Conn, r *http.Request, zone string) bool {
 	f, id := h.fleet, r.Header.Get("X-Request-Id")
 	h.mu.Lock()
-	s, incarnation := h.server, h.life
-	t := f.audit.RecordAttempt(id, s.ID, h.place, zone != s.Zone, f.of(c.LastArrival()))
+	server, incarnation := h.server, h.incarnation
+	attempt := f.audit.RecordAttempt(id, server.ID, h.place, zone != server.Zone, f.runTime(c.LastArrival()))
 	if h.down != "" { // its process or machine is gone: what was on its way is lost
 		h.mu.Unlock()
 		<-c.CloseDelivered()
-		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "its server was gone")
+		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "its server was gone")
 		return false
 	}
-	v := &visit{attempt: t, conn: c, done: make(chan struct{})}
-	j := &world.Job{ID: id}
-	verdict := s.Arrive(f.now(), j)
+	pending := &pendingRequest{attempt: attempt, conn: c, done: make(chan struct{})}
+	job := &world.Job{ID: id}
+	verdict := server.Arrive(f.now(), job)
 	switch verdict {
 	case world.Started:
-		h.visits[j] = v
-		h.work(j, v)
+		h.pending[job] = pending
+		h.scheduleCompletion(job, pending)
 	case world.Queued:
-		h.visits[j] = v
+		h.pending[job] = pending
 	case world.Failed, world.Hung:
-		f.audit.RecordRun(t)
+		f.audit.RecordRun(attempt)
 	}
-	load := h.load()
+	load := h.loadHeader()
 	h.mu.Unlock()
 	switch verdict {
 	case world.Rejected:
-		return h.say(c, t, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
+		return h.respond(c, attempt, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
 	case world.Failed:
-		return h.say(c, t, "500 Internal Server Error", load, "", "error")
+		return h.respond(c, attempt, "500 Internal Server Error", load, "", "error")
 	case world.Hung:
 		<-c.CloseDelivered()
-		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
 		return false
 	}
 	select {
-	case <-v.done:
+	case <-pending.done:
 	case <-c.CloseDelivered():
-		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
 		h.mu.Lock()
-		s.Abandon(j)
+		server.Abandon(job)
 		h.mu.Unlock()
 		return false
 	}
 	h.mu.Lock()
-	gone, load := h.life != incarnation || h.down != "", h.load()
+	gone, load := h.incarnation != incarnation || h.down != "", h.loadHeader()
 	h.mu.Unlock()
 	if gone {
 		<-c.CloseDelivered()
-		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "its server was gone")
+		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "its server was gone")
 		return false
 	}
-	return h.say(c, t, "200 OK", load, s.ID+" "+id, "served")
+	return h.respond(c, attempt, "200 OK", load, server.ID+" "+id, "served")
 }
 
 // report answers a node that asks how much the server holds.
-func (h *host) report(c *link.Conn) bool {
+func (h *host) reportLoad(c *link.Conn) bool {
 	h.mu.Lock()
-	down, load := h.down != "" || h.server.Fault == experiment.Hang, h.load()
-	h.asked++
+	down, load := h.down != "" || h.server.Fault == experiment.Hang, h.loadHeader()
+	h.loadPolls++
 	h.mu.Unlock()
 	if down {
 		<-c.CloseDelivered()
@@ -166,7 +166,7 @@
 }
 
 // load is the report that goes with an answer. The caller holds mu.
-func (h *host) load() string {
+func (h *host) loadHeader() string {
 	if !h.server.Spec.ReportsLoad {
 		return ""
 	}
@@ -174,54 +174,54 @@
 }
 
 // say sends an answer; it is over once its last byte has been handed to the node's socket, or the node has closed that.
-func (h *host) say(c *link.Conn, t *audit.Attempt, status, headers, body, how string) bool {
+func (h *host) respond(c *link.Conn, attempt *audit.Attempt, status, headers, body, outcome string) bool {
 	f := h.fleet
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	err := c.Send([]byte(text), func(at time.Time) {
-		f.audit.RecordEnd(t, f.of(at), how)
-		close(over)
+		f.audit.RecordEnd(attempt, f.runTime(at), outcome)
+		close(done)
 	})
 	if err != nil {
 		return false
 	}
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-c.CloseDelivered():
-		f.audit.RecordEnd(t, f.of(c.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
 		return false
 	}
 }
 
 // work has a job that began end in time. The caller holds mu.
-func (h *host) work(j *world.Job, v *visit) {
+func (h *host) scheduleCompletion(job *world.Job, pending *pendingRequest) {
 	f, s := h.fleet, h.server
-	f.audit.RecordRun(v.attempt)
-	time.AfterFunc(j.EndsAt-f.now(), func() {
+	f.audit.RecordRun(pending.attempt)
+	time.AfterFunc(job.EndsAt-f.now(), func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		close(v.done)
-		delete(h.visits, j)
+		close(pending.done)
+		delete(h.pending, job)
 		if s != h.server {
 			return
 		}
-		for next := s.Finish(f.now(), j); next != nil; next = nil {
-			if w := h.visits[next]; w != nil {
-				h.work(next, w)
+		for next := s.Finish(f.now(), job); next != nil; next = nil {
+			if w := h.pending[next]; w != nil {
+				h.scheduleCompletion(next, w)
 			}
 		}
 	})
 }
 
 // strike has a fault begin at the place, and heal has it end.
-func (h *host) strike(ft experiment.Fault) {
+func (h *host) applyFault(ft experiment.Fault) {
 	f := h.fleet
 	h.mu.Lock()
 	switch ft.Kind {
 	case experiment.Crash, experiment.MachineLoss:
 		h.down = ft.Kind
-		h.life++
+		h.incarnation++
 	case experiment.Hang, experiment.Errors:
 		h.server.Fault = ft.Kind
 	case experiment.Slowdown:
@@ -229,12 +229,12 @@
 	case experiment.Replace:
 		h.state = balancer.Draining
 		h.mu.Unlock()
-		f.list.news()
-		time.AfterFunc(time.Second, func() { h.renew(true) })
+		f.registry.publish()
+		time.AfterFunc(time.Second, func() { h.restartServer(true) })
 		return
 	}
 	h.mu.Unlock()
-	f.reshape()
+	f.updateLinks()
 	if ft.Kind == experiment.Crash {
 		for _, r := range h.relays {
 			r.ResetAll()
@@ -242,10 +242,10 @@
 	}
 }
 
-func (h *host) heal(ft experiment.Fault) {
+func (h *host) clearFault(ft experiment.Fault) {
 	switch ft.Kind {
 	case experiment.Crash, experiment.MachineLoss:
-		h.renew(false)
+		h.restartServer(false)
 	case experiment.Hang, experiment.Errors:
 		h.mu.Lock()
 		h.server.Fault = ""
@@ -259,7 +259,7 @@
 
 // renew puts a server in slow start in the place: the same one started anew, or another under a new id. Connections of before
 // are reset.
-func (h *host) renew(replacement bool) {
+func (h *host) restartServer(replacement bool) {
 	f := h.fleet
 	f.mu.Lock()
 	h.mu.Lock()
@@ -267,20 +267,20 @@
 	f.audit.RecordServerEnd(old, f.now())
 	h.server = f.world.Replace(h.place, f.now(), replacement)
 	h.state, h.down = balancer.Ready, ""
-	h.life++
+	h.incarnation++
 	if replacement {
-		delete(f.place, old.ID)
-		f.place[h.server.ID] = h
+		delete(f.hostsByID, old.ID)
+		f.hostsByID[h.server.ID] = h
 	}
-	clear(h.visits)
+	clear(h.pending)
 	h.mu.Unlock()
 	f.mu.Unlock()
 	for _, r := range h.relays {
 		r.ResetAll()
 	}
-	f.reshape()
+	f.updateLinks()
 	if replacement {
-		f.list.gone(old.ID)
+		f.registry.remove(old.ID)
 	}
-	f.list.news()
+	f.registry.publish()
 }
--- a/internal/faultbench/links.go
+++ b/internal/faultbench/links.go
@@ -8,22 +8,22 @@
 )
 
 // shape is how the link from a zone's nodes to the server at a place is now.
-func (f *fleet) shape(near, far string, place int) link.Shape {
-	l := f.e.LinkBetween(near, far)
+func (f *fleet) linkShape(near, far string, place int) link.Shape {
+	l := f.experiment.LinkBetween(near, far)
 	s := link.Shape{Delay: l.Delay, Jitter: l.Jitter}
 	f.mu.Lock()
-	faults := slices.Clone(f.faults)
+	faults := slices.Clone(f.linkFaults)
 	f.mu.Unlock()
 	for _, ft := range faults {
-		if ft.AffectsLink(near, far) && (place < 0 || slices.Contains(ft.Select(f.e.Seed, len(f.world.Servers)), place)) {
-			s = s.Combine(shapeOf(ft))
+		if ft.AffectsLink(near, far) && (place < 0 || slices.Contains(ft.Select(f.experiment.Seed, len(f.world.Servers)), place)) {
+			s = s.Combine(faultShape(ft))
 		}
 	}
 	return s
 }
 
 // shapeOf is what a fault of links does to one.
-func shapeOf(ft experiment.Fault) link.Shape {
+func faultShape(ft experiment.Fault) link.Shape {
 	switch ft.Kind {
 	case experiment.Cut:
 		return link.Shape{CutForward: true, CutReturn: true}
@@ -41,22 +41,22 @@
 
 // betweenNodes is how datagrams go from one zone to another now: a cut between nodes and servers of two zones is one between
 // their nodes too.
-func (f *fleet) betweenNodes(from, to string) link.Shape {
-	s := f.shape(from, to, -1)
-	if f.shape(to, from, -1).CutReturn { // what comes back there goes out here
+func (f *fleet) nodeLinkShape(from, to string) link.Shape {
+	s := f.linkShape(from, to, -1)
+	if f.linkShape(to, from, -1).CutReturn { // what comes back there goes out here
 		s.CutForward = true
 	}
 	return s
 }
 
 // reshape puts all links in their present shape.
-func (f *fleet) reshape() {
+func (f *fleet) updateLinks() {
 	for _, h := range f.hosts {
 		h.mu.Lock()
 		down, zone := h.down, h.server.Zone
 		h.mu.Unlock()
 		for z, r := range h.relays {
-			s := f.shape(f.zones[z], zone, h.place)
+			s := f.linkShape(f.zones[z], zone, h.place)
 			switch down {
 			case experiment.Crash:
 				s = link.Shape{Refuse: true, Reset: true}
@@ -68,7 +68,7 @@
 	}
 	for _, n := range f.nodes {
 		if n.agent != nil {
-			f.fail(n.agent.Set(f.shape(n.zone, experiment.RegistryZone, -1)))
+			f.fail(n.agent.Set(f.linkShape(n.zone, experiment.RegistryZone, -1)))
 		}
 	}
 }
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -23,28 +23,28 @@
 
 // node is one node of the fleet: a process, or a policy of the fault bench's own.
 type node struct {
-	fleet  *fleet
-	index  int
-	zone   string
-	lag    time.Duration // of its list
-	copies int
-	listen string
-	agent  *link.Relay
-	file   *child.Memfile
-	key    *child.Memfile // of the cluster; nil: nodes do not know one another
-	own    string         // where it listens for peers, and
-	seen   string         // where they see it
+	fleet         *fleet
+	index         int
+	zone          string
+	registryLag   time.Duration // of its list
+	copies        int
+	listen        string
+	agent         *link.Relay
+	file          *child.Memfile
+	key           *child.Memfile // of the cluster; nil: nodes do not know one another
+	peerListen    string         // where it listens for peers, and
+	peerAdvertise string         // where they see it
 
-	mu      sync.Mutex
-	process *child.Process // nil while it is down
-	spent   time.Duration
-	deaths  []string
-	rng     *rand.Rand
-	idle    map[string][]net.Conn
+	mu              sync.Mutex
+	process         *child.Process // nil while it is down
+	previousCPU     time.Duration
+	unexpectedExits []string
+	rng             *rand.Rand
+	idle            map[string][]net.Conn
 }
 
 // startLimit bounds how long a node may take until it is ready.
-const startLimit = time.Minute
+const startTimeout = time.Minute
 
 func (n *node) zoneIndex() int { return slices.Index(n.fleet.zones, n.zone) }
 
@@ -52,18 +52,18 @@
 func (n *node) open() error {
 	f := n.fleet
 	n.idle = map[string][]net.Conn{}
-	n.listen = f.net.Address(100+n.index/200, 1+n.index%200, 7070)
-	if f.o.Policy != experiment.Program {
+	n.listen = f.subnet.Address(100+n.index/200, 1+n.index%200, 7070)
+	if f.options.Policy != experiment.Program {
 		return nil
 	}
 	var err error
-	n.agent, err = link.Listen(f.net.Address(120+n.index/200, 1+n.index%200, 7080), f.dice, func(c *link.Conn) { f.list.serve(n, c) })
+	n.agent, err = link.Listen(f.subnet.Address(120+n.index/200, 1+n.index%200, 7080), f.random, func(c *link.Conn) { f.registry.serve(n, c) })
 	if err != nil {
 		return err
 	}
-	if f.e.ProbeInterval > 0 {
-		n.own = f.net.Address(140+n.index/200, 1+n.index%200, 7946)
-		if n.seen, err = f.mesh.Join(n.name(), n.zone, netip.MustParseAddrPort(n.own)); err != nil {
+	if f.experiment.ProbeInterval > 0 {
+		n.peerListen = f.subnet.Address(140+n.index/200, 1+n.index%200, 7946)
+		if n.peerAdvertise, err = f.mesh.Join(n.name(), n.zone, netip.MustParseAddrPort(n.peerListen)); err != nil {
 			return err
 		}
 		if n.key, err = child.NewMemfile("key", []byte("the key of one experiment's cluster")); err != nil {
@@ -76,36 +76,36 @@
 
 func (n *node) name() string { return fmt.Sprintf("n%d", n.index) }
 
-func (n *node) text() ([]byte, error) {
+func (n *node) configText() ([]byte, error) {
 	f := n.fleet
 	d := nodefile.Node{Index: n.index, Copies: n.copies, Zone: n.zone, Listen: n.listen, Registry: n.agent.Addr()}
 	if n.key != nil {
-		d.Peers = &nodefile.Peers{Listen: n.own, Advertise: n.seen, KeyFile: "/proc/self/fd/4", Region: f.e.ZoneRegion(n.zone), Seeds: f.seeds(), Period: f.e.ProbeInterval, Fresh: f.e.ZoneStateMaxAge}
+		d.Peers = &nodefile.Peers{Listen: n.peerListen, Advertise: n.peerAdvertise, KeyFile: "/proc/self/fd/4", Region: f.experiment.ZoneRegion(n.zone), Seeds: f.seeds(), Period: f.experiment.ProbeInterval, Fresh: f.experiment.ZoneStateMaxAge}
 	}
-	return nodefile.Text(f.e, d)
+	return nodefile.Text(f.experiment, d)
 }
 
 // seeds are where three nodes are seen that lie in different zones, as far as there are as many.
 func (f *fleet) seeds() (seeds []string) {
 	for _, k := range f.nodes[:min(3, len(f.nodes))] {
-		seeds = append(seeds, k.seen)
+		seeds = append(seeds, k.peerAdvertise)
 	}
 	return seeds
 }
 
 // startNodes starts all processes, some at a time, and returns once all are ready.
 func (f *fleet) startNodes(ctx context.Context) error {
-	f.list.news()
-	if f.o.Policy != experiment.Program {
+	f.registry.publish()
+	if f.options.Policy != experiment.Program {
 		return nil
 	}
 	f.spawner = child.NewSpawner()
-	at := f.o.Starts
-	if at <= 0 {
-		at = 16
+	parallel := f.options.ParallelStarts
+	if parallel <= 0 {
+		parallel = 16
 	}
 	for _, n := range f.nodes {
-		text, err := n.text()
+		text, err := n.configText()
 		if err == nil {
 			err = n.file.Rewrite(text)
 		}
@@ -113,15 +113,15 @@
 			return err
 		}
 	}
-	turn := make(chan struct{}, at)
+	slots := make(chan struct{}, parallel)
 	errs := make([]error, len(f.nodes))
 	var all sync.WaitGroup
 	for i, n := range f.nodes {
-		turn <- struct{}{}
+		slots <- struct{}{}
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			defer func() { <-turn }()
+			defer func() { <-slots }()
 			errs[i] = n.start(ctx, 0)
 		}()
 	}
@@ -132,7 +132,7 @@
 // start starts the process and waits until it is ready.
 func (n *node) start(ctx context.Context, skew time.Duration) error {
 	f := n.fleet
-	keep := f.o.KeepLog
+	keep := f.options.LogBytes
 	if keep <= 0 {
 		keep = 16 << 10
 	}
@@ -140,9 +140,9 @@
 	if skew != 0 {
 		env = append(env, "DAMSONTRESTLE_CLOCK_OFF="+skew.String())
 	}
-	p, err := f.spawner.Launch(f.o.Binary, n.file, n.key, keep, env, func(line string) {
-		f.sight(n, line)
-		f.word(n, line)
+	p, err := f.spawner.Launch(f.options.Binary, n.file, n.key, keep, env, func(line string) {
+		f.recordStatusChange(n, line)
+		f.recordZoneStateChange(n, line)
 	})
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
@@ -150,7 +150,7 @@
 	n.mu.Lock()
 	n.process = p
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for !n.ready(ctx) {
 		select {
@@ -162,7 +162,7 @@
 		}
 	}
 	if skew != 0 && !strings.Contains(p.Log.String(), "the clock is off") {
-		return fmt.Errorf("node %d: %s takes no clock that is off; build it with -tags rig", n.index, f.o.Binary)
+		return fmt.Errorf("node %d: %s takes no clock that is off; build it with -tags rig", n.index, f.options.Binary)
 	}
 	return nil
 }
@@ -194,23 +194,23 @@
 	p.Stop(sig, within)
 	n.mu.Lock()
 	n.process = nil
-	n.spent += cpu
+	n.previousCPU += cpu
 	n.mu.Unlock()
 }
 
 // crashed tells of a process that ended by itself.
-func (n *node) crashed() string {
+func (n *node) crashReport() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
 		if words := n.process.UnexpectedExit(); words != "" {
-			n.deaths = append(n.deaths, words)
+			n.unexpectedExits = append(n.unexpectedExits, words)
 		}
 	}
-	if len(n.deaths) == 0 {
+	if len(n.unexpectedExits) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("node %d %s", n.index, strings.Join(n.deaths, "; "))
+	return fmt.Sprintf("node %d %s", n.index, strings.Join(n.unexpectedExits, "; "))
 }
 
 func (n *node) close() {
@@ -233,7 +233,7 @@
 }
 
 // strike has a fault of nodes begin, and returns what ends it, or nil.
-func (n *node) strike(ctx context.Context, ft experiment.Fault) {
+func (n *node) applyFault(ctx context.Context, ft experiment.Fault) {
 	f := n.fleet
 	from := f.now()
 	n.mu.Lock()
@@ -242,37 +242,37 @@
 	if p == nil {
 		return
 	}
-	again := func(skew time.Duration) {
+	restart := func(skew time.Duration) {
 		f.fail(n.start(ctx, skew))
 		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: f.now()})
 	}
 	switch ft.Kind {
 	case experiment.Kill, experiment.ClockSkew:
 		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: ft.To})
-		f.struck(Strike{ft.Name, n.index, from, ft.To})
+		f.recordStrike(Strike{ft.Name, n.index, from, ft.To})
 		n.stop(syscall.SIGKILL, 0)
 		if ft.Kind == experiment.ClockSkew {
-			again(ft.Offset)
+			restart(ft.Offset)
 			return
 		}
-		f.await(ctx, ft.To)
+		f.waitUntil(ctx, ft.To)
 		if ctx.Err() == nil {
-			again(0)
+			restart(0)
 		}
 	case experiment.Stop:
 		f.audit.RecordOutage(audit.Outage{Node: n.index, From: from, To: ft.To + 100*time.Millisecond})
-		f.struck(Strike{ft.Name, n.index, from, ft.To})
+		f.recordStrike(Strike{ft.Name, n.index, from, ft.To})
 		f.fail(p.Signal(syscall.SIGSTOP))
-		f.await(ctx, ft.To)
+		f.waitUntil(ctx, ft.To)
 		f.fail(p.Signal(syscall.SIGCONT))
 	case experiment.Restart:
 		n.stop(syscall.SIGTERM, 15*time.Second)
 		f.audit.RecordOutage(audit.Outage{Node: n.index, From: f.now() - 100*time.Millisecond, To: f.now()})
 		from = f.now()
-		again(0)
+		restart(0)
 	case experiment.ChangeNodeCount:
 		n.copies = ft.Count
-		text, err := n.text()
+		text, err := n.configText()
 		if err == nil {
 			err = n.file.Rewrite(text)
 		}
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -11,7 +11,7 @@
 )
 
 // Sight is what a node came to hold of another, when its log said so.
-type Sight struct {
+type StatusChange struct {
 	At     time.Duration
 	Node   int // that holds it
 	Of     int
@@ -19,12 +19,12 @@
 }
 
 // sight takes a line of a node's log, if it tells of a member.
-func (f *fleet) sight(n *node, line string) {
+func (f *fleet) recordStatusChange(n *node, line string) {
 	_, rest, found := strings.Cut(line, "msg=member ")
 	if !found {
 		return
 	}
-	s := Sight{At: f.now(), Node: n.index, Of: -1}
+	s := StatusChange{At: f.now(), Node: n.index, Of: -1}
 	for _, word := range strings.Fields(rest) {
 		if name, is := strings.CutPrefix(word, "name=n"); is {
 			fmt.Sscan(name, &s.Of)
@@ -35,7 +35,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sights = append(f.sights, s)
+	f.statusChanges = append(f.statusChanges, s)
 }
 
 // Strike is a node that a fault has struck: from when until when it was no good to others.
@@ -46,14 +46,14 @@
 }
 
 // struck notes one.
-func (f *fleet) struck(s Strike) {
+func (f *fleet) recordStrike(s Strike) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.strikes = append(f.strikes, s)
 }
 
 // Deaths tells how well nodes came to know of one another's deaths.
-type Deaths struct {
+type DeathDetection struct {
 	Struck  int           // nodes that were killed or stopped
 	Known   float64       // share of the others, over all of these, that came to hold them for dead
 	Median  time.Duration // from the strike until a node held it for dead, of those that did
@@ -62,11 +62,11 @@
 }
 
 // Deaths works it out over a run of so many nodes.
-func (r *Result) Deaths(nodes int) (d Deaths) {
-	var took []time.Duration
-	by := map[int][]Strike{}
+func (r *Result) DeathDetection(nodes int) (d DeathDetection) {
+	var delays []time.Duration
+	strikesByNode := map[int][]Strike{}
 	for _, s := range r.Strikes {
-		by[s.Node] = append(by[s.Node], s)
+		strikesByNode[s.Node] = append(strikesByNode[s.Node], s)
 		d.Struck++
 	}
 	seen := map[[3]int]bool{}
@@ -75,13 +75,13 @@
 			continue
 		}
 		found := false
-		for k, x := range by[s.Of] {
+		for k, x := range strikesByNode[s.Of] {
 			// A word of a death may still come when the dead one is back.
 			if s.At >= x.From && s.At <= x.To+10*time.Second {
 				found = true
 				if key := [3]int{s.Of, k, s.Node}; !seen[key] {
 					seen[key] = true
-					took = append(took, s.At-x.From)
+					delays = append(delays, s.At-x.From)
 				}
 			}
 		}
@@ -89,17 +89,17 @@
 			d.Wrongly++
 		}
 	}
-	if len(took) > 0 {
-		slices.Sort(took)
-		d.Known = float64(len(took)) / float64(d.Struck*(nodes-1))
-		d.Median, d.Most = took[len(took)/2], took[len(took)-1]
+	if len(delays) > 0 {
+		slices.Sort(delays)
+		d.Known = float64(len(delays)) / float64(d.Struck*(nodes-1))
+		d.Median, d.Most = delays[len(delays)/2], delays[len(delays)-1]
 	}
 	return d
 }
 
 // Holds is what each node holds of each other at a time of the run, by the sights until then: "" of one that it never
 // heard of.
-func (r *Result) Holds(nodes int, at time.Duration) [][]string {
+func (r *Result) Statuses(nodes int, at time.Duration) [][]string {
 	held := make([][]string, nodes)
 	for i := range held {
 		held[i] = make([]string, nodes)
@@ -113,7 +113,7 @@
 }
 
 // Word is what a node came to say of what it knows of a zone, when its log said so.
-type Word struct {
+type ZoneStateChange struct {
 	At       time.Duration
 	Node     int
 	Zone     string
@@ -123,17 +123,17 @@
 
 // word takes a line of a node's log, if it tells of a zone, or of an age that was under-reported: only a build for the fault bench
 // knows of that.
-func (f *fleet) word(n *node, line string) {
+func (f *fleet) recordZoneStateChange(n *node, line string) {
 	_, rest, found := strings.Cut(line, "msg=zone ")
 	if !found {
 		if strings.Contains(line, `msg="an age was under-reported"`) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.short = append(f.short, audit.Breach{Rule: "age", At: f.now(), Words: fmt.Sprintf("node %d: %s", n.index, line)})
+			f.ageBreaches = append(f.ageBreaches, audit.Breach{Rule: "age", At: f.now(), Words: fmt.Sprintf("node %d: %s", n.index, line)})
 		}
 		return
 	}
-	w := Word{At: f.now(), Node: n.index}
+	w := ZoneStateChange{At: f.now(), Node: n.index}
 	for _, word := range strings.Fields(rest) {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
@@ -149,7 +149,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.words = append(f.words, w)
+	f.zoneStateChanges = append(f.zoneStateChanges, w)
 }
 
 // Freshness tells how much of the time nodes had fresh zone state.
@@ -161,23 +161,23 @@
 }
 
 // Fresh works it out from one time of the run to another, over the zones that nodes spoke of.
-func (r *Result) Fresh(nodes int, from, to time.Duration) (out Freshness) {
+func (r *Result) Freshness(nodes int, from, to time.Duration) (out Freshness) {
 	zones := map[string]bool{}
-	by := map[int][]Word{}
+	changesByNode := map[int][]ZoneStateChange{}
 	for _, w := range r.Words {
 		zones[w.Zone] = true
-		by[w.Node] = append(by[w.Node], w)
+		changesByNode[w.Node] = append(changesByNode[w.Node], w)
 	}
 	var gaps []time.Duration
 	var fresh, all time.Duration
 	for i := range nodes {
 		for zone := range zones {
 			// What it said, cut into stretches by what it said and by what struck it.
-			at, word := time.Duration(0), ""
+			at, state := time.Duration(0), ""
 			stretch := func(until time.Duration) {
 				a, b := max(at, from), min(until, to)
-				if b > a && word != "struck" {
-					if all += b - a; word == "fresh" {
+				if b > a && state != "struck" {
+					if all += b - a; state == "fresh" {
 						fresh += b - a
 					} else {
 						gaps = append(gaps, b-a)
@@ -189,28 +189,28 @@
 			same := func(a, b string) bool {
 				return a == b || a != "fresh" && b != "fresh" && a != "struck" && b != "struck"
 			}
-			type turn struct {
+			type change struct {
 				at   time.Duration
 				word string
 			}
-			var turns []turn
-			for _, w := range by[i] {
+			var changes []change
+			for _, w := range changesByNode[i] {
 				if w.Zone == zone {
-					turns = append(turns, turn{w.At, w.Facts})
+					changes = append(changes, change{w.At, w.Facts})
 				}
 			}
 			for _, s := range r.Strikes {
 				if s.Node == i {
-					turns = slices.DeleteFunc(turns, func(t turn) bool { return t.at >= s.From && t.at < s.To })
-					turns = append(turns, turn{s.From, "struck"}, turn{s.To, "unknown"})
+					changes = slices.DeleteFunc(changes, func(t change) bool { return t.at >= s.From && t.at < s.To })
+					changes = append(changes, change{s.From, "struck"}, change{s.To, "unknown"})
 				}
 			}
-			slices.SortStableFunc(turns, func(a, b turn) int { return cmp.Compare(a.at, b.at) })
-			for _, t := range turns {
-				if !same(word, t.word) {
+			slices.SortStableFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
+			for _, t := range changes {
+				if !same(state, t.word) {
 					stretch(t.at)
 				}
-				word = t.word
+				state = t.word
 			}
 			stretch(to)
 		}
--- a/internal/faultbench/list.go
+++ b/internal/faultbench/registry.go
@@ -15,19 +15,19 @@
 )
 
 // list is the registry: every node asks an agent of its own, which knows of each change after the node's lag.
-type list struct {
+type registry struct {
 	fleet *fleet
 
-	mu      sync.Mutex
-	rev     int
-	gones   []string
-	changed chan struct{}
-	muted   bool
-	history []version // the latest last
+	mu         sync.Mutex
+	rev        int
+	removedIDs []string
+	changed    chan struct{}
+	muted      bool
+	history    []registryVersion // the latest last
 }
 
 // version is the list as it was told at a time.
-type version struct {
+type registryVersion struct {
 	at      time.Time
 	rev     int
 	targets []target
@@ -49,25 +49,25 @@
 
 var stateNames = map[balancer.ServerState]string{balancer.Ready: "in_service", balancer.Draining: "terminating"}
 
-func newList(f *fleet) *list {
-	return &list{fleet: f, changed: make(chan struct{})}
+func newRegistry(f *fleet) *registry {
+	return &registry{fleet: f, changed: make(chan struct{})}
 }
 
 // gone notes that an id is of no server any more.
-func (l *list) gone(id string) {
+func (l *registry) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gones = append(l.gones, id)
+	l.removedIDs = append(l.removedIDs, id)
 }
 
 // news puts the servers as they are now on the list.
-func (l *list) news() {
+func (l *registry) publish() {
 	var targets []target
 	for _, h := range l.fleet.hosts {
 		h.mu.Lock()
 		t := target{UID: h.server.ID, Zone: h.server.Zone, Model: h.server.Spec.Name, State: stateNames[h.state], Size: h.server.Spec.Size, place: h.place}
 		if h.server.SlowStartAt >= 0 {
-			t.Boot = float64(l.fleet.began.Load().Add(h.server.SlowStartAt).UnixMilli())
+			t.Boot = float64(l.fleet.startTime.Load().Add(h.server.SlowStartAt).UnixMilli())
 		}
 		h.mu.Unlock()
 		targets = append(targets, t)
@@ -75,21 +75,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rev++
-	for _, id := range l.gones {
+	for _, id := range l.removedIDs {
 		targets = append(targets, target{UID: id, State: "terminated"})
 	}
-	l.history = append(l.history, version{time.Now(), l.rev, targets})
+	l.history = append(l.history, registryVersion{time.Now(), l.rev, targets})
 	l.wake()
 }
 
 // wake tells those that wait. The caller holds mu.
-func (l *list) wake() {
+func (l *registry) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // mute has agents say nothing, or speak again.
-func (l *list) mute(is bool) {
+func (l *registry) setMuted(is bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.muted = is
@@ -97,7 +97,7 @@
 }
 
 // known is the newest version that a node with a lag may hear of, and when the next one is due for it.
-func (l *list) known(lag time.Duration) (v version, next time.Time, changed <-chan struct{}, muted bool) {
+func (l *registry) visibleVersion(lag time.Duration) (v registryVersion, next time.Time, changed <-chan struct{}, muted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -111,7 +111,7 @@
 }
 
 // serve is a node's agent.
-func (l *list) serve(n *node, c *link.Conn) {
+func (l *registry) serve(n *node, c *link.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -121,21 +121,21 @@
 		io.Copy(io.Discard, r.Body)
 		from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-		v, ok := l.wait(n, c, from, time.Duration(hold)*time.Millisecond)
+		v, ok := l.waitForVersion(n, c, from, time.Duration(hold)*time.Millisecond)
 		if !ok {
 			return
 		}
-		if !l.tell(n, c, v, v.rev == from) {
+		if !l.writeSnapshot(n, c, v, v.rev == from) {
 			return
 		}
 	}
 }
 
 // wait is for something newer than a version, or for the time to be up. false: the node has left.
-func (l *list) wait(n *node, c *link.Conn, from int, hold time.Duration) (version, bool) {
+func (l *registry) waitForVersion(n *node, c *link.Conn, from int, hold time.Duration) (registryVersion, bool) {
 	over := time.Now().Add(hold)
 	for {
-		v, next, changed, muted := l.known(n.lag)
+		v, next, changed, muted := l.visibleVersion(n.registryLag)
 		if !muted && (v.rev != from || !time.Now().Before(over)) {
 			return v, true
 		}
@@ -163,7 +163,7 @@
 }
 
 // tell writes a version to a node, as a full snapshot.
-func (l *list) tell(n *node, c *link.Conn, v version, nothing bool) bool {
+func (l *registry) writeSnapshot(n *node, c *link.Conn, v registryVersion, nothing bool) bool {
 	f := l.fleet
 	out := struct {
 		Rev     int      `json:"rev"`
@@ -191,7 +191,7 @@
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
 	return c.Send(append([]byte(head), text...), func(at time.Time) {
 		for _, id := range leaving {
-			f.audit.RecordRemoval(n.index, id, f.of(at))
+			f.audit.RecordRemoval(n.index, id, f.runTime(at))
 		}
 	}) == nil
 }
