--- a/cmd/faultbench/compare.go
+++ b/cmd/faultbench/compare.go
@@ -14,7 +14,7 @@
 
 func newCompare() *cobra.Command {
 	var page, title string
-	cmd := &cobra.Command{Use: "compare FOLDER-A FOLDER-B", Short: "Set the results of two folders side by side, paired by seed",
+	cmd := &cobra.Command{Use: "compare FOLDER-A FOLDER-B", Short: "Compare the results in two folders, paired by seed",
 		Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := loadResults(args[0])
@@ -27,7 +27,7 @@
 			}
 			pairs, left := report.Pairs(a, b)
 			if len(pairs) == 0 {
-				return fmt.Errorf("no experiment was played with the same seed in %s and %s", args[0], args[1])
+				return fmt.Errorf("compare: %s and %s have no experiment with the same seed", args[0], args[1])
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
 			fmt.Fprintf(w, "%d pairs\tA\tB\tB - A\t95 of 100 resamples\n", len(pairs))
@@ -36,7 +36,7 @@
 			}
 			w.Flush()
 			for _, l := range left {
-				fmt.Fprintf(cmd.OutOrStdout(), "left out: %s\n", l)
+				fmt.Fprintf(cmd.OutOrStdout(), "excluded: %s\n", l)
 			}
 			if page == "" {
 				return nil
@@ -51,16 +51,16 @@
 			}
 			return f.Close()
 		}}
-	cmd.Flags().StringVar(&page, "page", "", "file that takes an HTML page with plots")
-	cmd.Flags().StringVar(&title, "title", "Two sets of runs", "of the page")
+	cmd.Flags().StringVar(&page, "page", "", "output file for an HTML page with plots")
+	cmd.Flags().StringVar(&title, "title", "Two sets of runs", "title of the page")
 	return cmd
 }
 
-// results reads all of a folder.
+// loadResults reads all results in a folder.
 func loadResults(folder string) (out []*faultbench.Result, err error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil || len(paths) == 0 {
-		return nil, fmt.Errorf("%s holds no results", folder)
+		return nil, fmt.Errorf("load results: no result files in %s", folder)
 	}
 	for _, p := range paths {
 		r, err := report.Load(p)
--- a/cmd/faultbench/explore.go
+++ b/cmd/faultbench/explore.go
@@ -14,7 +14,7 @@
 	"damsontrestle/internal/modelcheck/swim"
 )
 
-// explored are the systems that can be played, each small enough to be searched, and larger for walks.
+// machines are the systems that can be explored: small for exhaustive search, large for random walks.
 var machines = map[string]struct {
 	small func() (modelcheck.State, error)
 	large func() (modelcheck.State, error)
@@ -43,14 +43,14 @@
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	cmd := &cobra.Command{Use: "explore NAME", Short: "Play every order of what can happen to a machine, and random histories",
-		Long: "explore tries all orders for a small system and then random histories of a larger one. The first breach is\n" +
-			"shortened, told as a script, and makes the command fail. Names: " + strings.Join(names, ", ") + ".",
+	cmd := &cobra.Command{Use: "explore NAME", Short: "Search all event orders of a state machine, and random histories",
+		Long: "explore searches all orders for a small system, then runs random histories of a larger one. The first breach is\n" +
+			"shortened, printed as a script, and makes the command fail. Names: " + strings.Join(names, ", ") + ".",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			x, known := machines[args[0]]
 			if !known {
-				return fmt.Errorf("found %q; allowed: %s", args[0], strings.Join(names, ", "))
+				return fmt.Errorf("unknown system %q; allowed: %s", args[0], strings.Join(names, ", "))
 			}
 			start, err := x.small()
 			if err != nil {
@@ -73,9 +73,9 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntVar(&states, "states", 50000, "how many different states to try at most")
-	f.IntVar(&walks, "walks", 200, "how many random histories")
-	f.IntVar(&steps, "steps", 1000, "moves of each")
-	f.Uint64Var(&seed, "seed", 1, "of the first")
+	f.IntVar(&states, "states", 50000, "maximum number of distinct states")
+	f.IntVar(&walks, "walks", 200, "number of random histories")
+	f.IntVar(&steps, "steps", 1000, "steps per history")
+	f.Uint64Var(&seed, "seed", 1, "seed of the first history")
 	return cmd
 }
--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -21,14 +21,14 @@
 		quota    float64
 		baseline bool
 	)
-	cmd := &cobra.Command{Use: "league", Short: "Play gateways of several partners as processes, with faults between them",
+	cmd := &cobra.Command{Use: "league", Short: "Run gateways of several partners as processes, with injected faults",
 		Long: "league starts gateways of several partners, their boxes and callers, strikes them with one kind of fault over and\n" +
 			"over, and prints what callers heard against what boxes ran. A breach of a rule makes the command fail. -baseline\n" +
 			"plays the same without custody: callers send again by themselves what is harmless to send again.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !slices.Contains(federation.Faults, d.Fault) {
-				return fmt.Errorf("found the fault %q; allowed: %v", d.Fault, federation.Faults)
+				return fmt.Errorf("unknown fault %q; allowed: %v", d.Fault, federation.Faults)
 			}
 			if _, err := os.Stat(binary); err != nil {
 				return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
@@ -117,7 +117,7 @@
 	return cmd
 }
 
-// leagueQuota is a budget of all partners alike, without floors, and its bound.
+// quotaSettings returns the bound and settings of a budget with equal weights for all partners and no floors.
 func quotaSettings(rate float64, partners, gateways int) (func(time.Duration) float64, string) {
 	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
 	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -1,5 +1,5 @@
-// Command faultbench plays experiments: hundreds of nodes as processes of their own, servers and clients, and faults
-// between them, and tells how evenly load was spread and which rules were broken.
+// Command faultbench runs experiments with hundreds of node processes, servers, clients and injected faults, and reports how
+// evenly load was distributed and which rules were breached.
 package main
 
 import (
@@ -15,7 +15,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	root := &cobra.Command{Use: "faultbench", Short: "Play experiments with hundreds of nodes, and faults between them",
+	root := &cobra.Command{Use: "faultbench", Short: "Run experiments with hundreds of nodes and injected faults",
 		SilenceErrors: true, SilenceUsage: true}
 	root.AddCommand(newRun(), newWeigh(), newCompare(), newExplore(), newCrowd(), newLeague(), newValidate())
 	if err := root.ExecuteContext(ctx); err != nil {
@@ -25,7 +25,7 @@
 }
 
 func newValidate() *cobra.Command {
-	return &cobra.Command{Use: "validate FILE...", Short: "Check files of experiments", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "validate FILE...", Short: "Validate experiment files", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, path := range args {
 				e, err := loadExperiment(path, 0)
--- a/cmd/faultbench/main_test.go
+++ b/cmd/faultbench/main_test.go
@@ -15,7 +15,7 @@
 	"damsontrestle/internal/testpeer"
 )
 
-// build makes the fault bench and the node's program in a folder of their own.
+// build builds the fault bench and the node program in a temporary folder.
 func build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -25,7 +25,7 @@
 	return dir
 }
 
-// children are the processes that a process has started and that run, by their ids and the times of their start.
+// childProcesses returns the running children of a process, keyed by stat path and start time.
 func childProcesses(t *testing.T, parent int) map[string]bool {
 	t.Helper()
 	paths, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -41,7 +41,7 @@
 	return out
 }
 
-// identity tells a process by its id and its start, and who its parent is; nothing of one that has ended.
+// processIdentity returns a process's stat path with its start time, and its parent; zero values if it has ended.
 func processIdentity(stat string) (id string, parent int) {
 	text, err := os.ReadFile(stat)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return stat + " " + f[19], parent
 }
 
-// listening are the sockets on this machine that listen, by their inodes.
+// listeningSockets returns the inodes of all listening TCP sockets on this machine.
 func listeningSockets(t *testing.T) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("/proc/net/tcp")
@@ -71,7 +71,7 @@
 	return out
 }
 
-// owned are those of the sockets that some processes have, told by the paths of their stat files.
+// socketsOf returns those of the sockets that the processes have open; processes begin with the path of their stat file.
 func socketsOf(ports map[string]bool, processes []string) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range processes {
@@ -117,19 +117,19 @@
 	testpeer.Receive(t, ready, "that the nodes are ready")
 	nodes := childProcesses(t, cmd.Process.Pid)
 	if len(nodes) != 6 {
-		t.Fatalf("the rig has %d children, want 6: %v", len(nodes), nodes)
+		t.Fatalf("the fault bench has %d children, want 6: %v", len(nodes), nodes)
 	}
 	ports := listeningSockets(t)
 	own := socketsOf(ports, append(slices.Collect(maps.Keys(nodes)), fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)))
 	if len(own) < 6+60 {
-		t.Errorf("the rig and its nodes listen at %d places; want one at least for each node and server", len(own))
+		t.Errorf("the fault bench and its nodes have %d listening sockets; want at least one for each node and server", len(own))
 	}
 	if err := cmd.Process.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Wait()
 	killed = true
-	testpeer.Until(t, "all that the rig has started ends with it", func() bool {
+	testpeer.Until(t, "child processes exit with the fault bench", func() bool {
 		for id := range nodes {
 			if now, _ := processIdentity(strings.Fields(id)[0]); now != id {
 				delete(nodes, id)
@@ -137,7 +137,7 @@
 		}
 		return len(nodes) == 0
 	})
-	testpeer.Until(t, "its ports are free", func() bool {
+	testpeer.Until(t, "the ports of the fault bench are free", func() bool {
 		now := listeningSockets(t)
 		for inode := range own {
 			if now[inode] {
@@ -147,6 +147,6 @@
 		return true
 	})
 	if left, err := os.ReadDir(temp); err != nil || len(left) > 0 {
-		t.Errorf("it leaves files: %v, %v", left, err)
+		t.Errorf("the fault bench left files: %v, %v", left, err)
 	}
 }
--- a/cmd/faultbench/run.go
+++ b/cmd/faultbench/run.go
@@ -25,11 +25,11 @@
 		nodes    int
 		quiet    bool
 	)
-	cmd := &cobra.Command{Use: "run FILE...", Short: "Play experiments with processes",
-		Long: "run plays each experiment with every policy and every seed in turn, and prints a line for each. A policy is\n" +
-			"program (processes of the program), random or jsq (the rig picks, for comparison). -program NAME=PATH names a\n" +
-			"build, and may be given several times; the rig must have the machine to itself. A breach of a rule, or a\n" +
-			"process that ends by itself, makes the command fail; where the rig itself was too slow nothing is judged.",
+	cmd := &cobra.Command{Use: "run FILE...", Short: "Run experiments with processes",
+		Long: "run runs each experiment with every policy and every seed in turn, and prints a line for each. A policy is\n" +
+			"program (processes of the program), random or jsq (the fault bench picks, for comparison). -program NAME=PATH names a\n" +
+			"build, and may be repeated; the fault bench needs the machine to itself. A breach of a rule, or a\n" +
+			"unexpected process exit makes the command fail, unless the fault bench itself was too slow to judge the result.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var runs []faultbench.Options
@@ -44,7 +44,7 @@
 						name, path = "", program
 					}
 					if _, err := os.Stat(path); err != nil {
-						return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
+						return fmt.Errorf("find the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
 					}
 					runs = append(runs, faultbench.Options{Policy: experiment.Program, Binary: path, Name: name})
 				}
@@ -82,7 +82,7 @@
 								res.Cost.RigCPU.Round(time.Millisecond), float64(res.Cost.RigMemory)/1e6, res.Cost.MostOpenRig, res.Cost.LateMost.Round(time.Millisecond), res.Cost.LateP99.Round(time.Microsecond)))
 							if e.ProbeInterval > 0 {
 								d := res.DeathDetection(len(e.NodeZones()))
-								notes = append(notes, fmt.Sprintf("  peers: %d nodes struck, known for dead by %.3f of the others, after %v (median), %v (most); %d times one that was not struck was held for dead",
+								notes = append(notes, fmt.Sprintf("  peers: %d nodes struck, detected by %.3f of the others after %v (median), %v (most); %d false detections",
 									d.Struck, d.Known, d.Median.Round(time.Millisecond), d.Most.Round(time.Millisecond), d.Wrongly))
 							}
 							if e.ZoneStateMaxAge > 0 {
@@ -121,17 +121,17 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntVar(&seeds, "seeds", 1, "how many seeds, from the file's on")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
 	f.StringSliceVar(&policies, "policy", []string{"program"}, "program, random or jsq; several with commas")
 	f.StringArrayVar(&programs, "program", []string{"bin/damsontrestle"}, "the program, or NAME=PATH")
 	f.Float64SliceVar(&at, "utilisation", nil, "of all slots, in place of the file's; several with commas")
-	f.StringVar(&out, "out", "", "folder that takes a result in JSON for each run")
-	f.IntVar(&nodes, "nodes", 0, "how many nodes, shared out as the file does; their calls in all stay the same")
-	f.BoolVar(&quiet, "quiet", false, "do not tell what is done when")
+	f.StringVar(&out, "out", "", "output folder for a JSON result of each run")
+	f.IntVar(&nodes, "nodes", 0, "number of nodes, distributed as in the file; the total request rate stays the same")
+	f.BoolVar(&quiet, "quiet", false, "do not log progress")
 	return cmd
 }
 
-// vary changes how much is asked and how many nodes there are.
+// override replaces the utilisation and the number of nodes where they are given.
 func override(e *experiment.Experiment, utilisation float64, nodes int) {
 	if utilisation > 0 {
 		e.Clients.Rate, e.Clients.Utilisation = 0, utilisation
@@ -147,21 +147,21 @@
 	}
 }
 
-// save writes a result to a file of its own.
+// saveResult writes a result to its own file.
 func saveResult(folder string, r *faultbench.Result, utilisation float64) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("result: %w", err)
+		return fmt.Errorf("save result: %w", err)
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("result: %w", err)
+		return fmt.Errorf("save result: %w", err)
 	}
 	name := fmt.Sprintf("%s-%s-%d.json", r.Experiment, strings.Trim(r.Policy+"-"+r.Program, "-"), r.Seed)
 	if utilisation > 0 {
 		name = fmt.Sprintf("%s-%.2f-%s-%d.json", r.Experiment, utilisation, strings.Trim(r.Policy+"-"+r.Program, "-"), r.Seed)
 	}
 	if err := os.WriteFile(filepath.Join(folder, name), append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("result: %w", err)
+		return fmt.Errorf("save result: %w", err)
 	}
 	return nil
 }
--- a/cmd/faultbench/simulate.go
+++ b/cmd/faultbench/simulate.go
@@ -22,10 +22,10 @@
 		seeds int
 		fresh time.Duration
 	)
-	cmd := &cobra.Command{Use: "crowd members|facts", Short: "Play large fleets of a machine on virtual time",
-		Long: "crowd plays fleets of the membership's or the exchange's machine in one process, without sockets, and prints a line for\n" +
-			"each number of nodes and share of losses, over all seeds. The truth is known: an age that was under-reported, or a\n" +
-			"datagram that nobody could read, makes the command fail.",
+	cmd := &cobra.Command{Use: "crowd members|facts", Short: "Simulate large fleets of a state machine on virtual time",
+		Long: "crowd simulates fleets of the membership or exchange state machine in one process, without sockets, and prints a line for\n" +
+			"each number of nodes and share of losses, over all seeds. The true state is known: an under-reported age or\n" +
+			"a malformed datagram makes the command fail.",
 		Args: cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"members", "facts"},
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
@@ -56,11 +56,11 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntSliceVar(&nodes, "nodes", []int{300}, "how many nodes; several with commas")
-	f.Float64SliceVar(&loss, "loss", []float64{0}, "share of datagrams that get lost; several with commas")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds, from the first on")
-	f.DurationVar(&fresh, "fresh", 2*time.Second, "of facts: until how old what is known is fresh")
-	f.IntVar(&w.Zones, "zones", 6, "how many zones")
+	f.IntSliceVar(&nodes, "nodes", []int{300}, "number of nodes; several with commas")
+	f.Float64SliceVar(&loss, "loss", []float64{0}, "share of lost datagrams; several with commas")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds, starting from the first")
+	f.DurationVar(&fresh, "fresh", 2*time.Second, "of facts: maximum age of fresh zone state")
+	f.IntVar(&w.Zones, "zones", 6, "number of zones")
 	f.IntVar(&w.FirstZoneNodes, "big", 0, "nodes of the first zone; 0: as many as in the others")
 	f.DurationVar(&w.Delay, "delay", 10*time.Millisecond, "of a datagram, from a tenth of it up to it")
 	f.Float64Var(&w.TailShare, "tail", 0, "share of datagrams that take up to fifty times as long")
@@ -76,7 +76,7 @@
 	return cmd
 }
 
-// since is a time for the table; negative: it never came.
+// formatDuration formats a time for the table; negative: the event did not occur.
 func formatDuration(d time.Duration) string {
 	if d < 0 {
 		return "-"
@@ -84,7 +84,8 @@
 	return d.Round(100 * time.Millisecond).String()
 }
 
-// membersLine plays worlds that differ in their seeds and prints a line; of none, the head. Times are the longest.
+// writeMembershipLine simulates worlds that differ in their seeds and prints a line; without worlds, it prints the heading.
+// Times are the longest over all seeds.
 func writeMembershipLine(out io.Writer, worlds []simulation.World) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tjoined 95 %\tall\tdead known 95 %\tall\tparted 95 %\tback 95 %\tall\tfalse deaths\tmember-minutes\tdatagrams/s\tbytes/s\tmost\till health\ttook")
@@ -118,7 +119,7 @@
 	return err
 }
 
-// factsLine is as membersLine, of facts. Shares and rates are means.
+// writeZoneStateLine is like writeMembershipLine, for zone state. Shares and rates are means over all seeds.
 func writeZoneStateLine(out io.Writer, worlds []simulation.World, fresh time.Duration) error {
 	if worlds == nil {
 		_, err := fmt.Fprintln(out, "nodes\tloss\tfresh\tcounted\twhole\tage\tmost\tbeyond the truth\tdatagrams/s\tbytes/s\tmost\trows\tback after a cut\ttook")
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -13,7 +13,7 @@
 	"damsontrestle/internal/faultbench/virtual"
 )
 
-// load reads an experiment, with another seed where one is given.
+// loadExperiment reads an experiment; a seed above 0 replaces the file's.
 func loadExperiment(path string, seed uint64) (*experiment.Experiment, error) {
 	e, err := experiment.Load(path)
 	if err == nil && seed > 0 {
@@ -27,7 +27,7 @@
 	var told virtual.LoadExchange
 	var policies []string
 	var utilisation []float64
-	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Play experiments on virtual time, with the module in place of processes",
+	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Run experiments on virtual time, with the balancer module in place of processes",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
@@ -67,7 +67,7 @@
 	cmd.Flags().DurationVar(&told.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
 	cmd.Flags().Float64Var(&told.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
 	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node asks before a call, in place of the file's")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from the file's on")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
 	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "of all slots, in place of the file's")
 	return cmd
 }
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -19,7 +19,8 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// callers has a node's requests come when they are due, whatever becomes of them, and returns once all have been heard of.
+// sendRequests sends the node's requests when they are due, without waiting for earlier ones, and returns once all have an
+// outcome.
 func (n *node) sendRequests(ctx context.Context, streams *world.Streams) {
 	f := n.fleet
 	var all sync.WaitGroup
@@ -42,7 +43,7 @@
 	}
 }
 
-// call makes a request, and those that its client makes after it as long as there is time.
+// sendWithRetries sends a request and the client's retries, as long as the deadline and the number of retries allow.
 func (n *node) sendWithRetries(ctx context.Context, request world.Request) {
 	f := n.fleet
 	class := f.experiment.Classes[request.Class]
@@ -66,7 +67,7 @@
 	}
 }
 
-// ask sends one request and tells what is heard: of a node, or where the fault bench picks, of a server.
+// send sends one request and returns its outcome. It goes to the node or, under a policy of the fault bench, to a server.
 func (n *node) send(id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration) {
 	addr := n.listen
 	if n.fleet.options.Policy != experiment.Program {
@@ -88,18 +89,18 @@
 		} else {
 			c.Close()
 		}
-		// What crosses the close of a connection that was kept is sent once more on a new one.
+		// A request that raced with the close of a reused connection is sent again.
 		if outcome == audit.Disconnected && kept {
 			continue
 		}
 		if n.fleet.options.Policy != experiment.Program && outcome == audit.Refused {
-			outcome = audit.Failed // rejected by the one server that was picked
+			outcome = audit.Failed // the only picked server rejected it
 		}
 		return outcome, detail, wait
 	}
 }
 
-// on makes a request on a connection. open: it is of further use.
+// roundTrip sends a request on a connection and reads the response. reusable reports whether the connection can be reused.
 func (n *node) roundTrip(c net.Conn, id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration, reusable bool) {
 	timeout := n.fleet.experiment.Clients.Patience
 	if timeout == 0 || timeout > remaining {
@@ -136,7 +137,7 @@
 	retryAfter := r.Header.Get("Retry-After")
 	switch {
 	case err != nil:
-		return audit.Failed, "an answer that broke off", 0, false
+		return audit.Failed, "truncated response", 0, false
 	case r.StatusCode == http.StatusOK && strings.HasSuffix(string(text), " "+id):
 		return audit.Served, "", 0, reusable
 	case r.StatusCode == http.StatusOK:
@@ -151,7 +152,7 @@
 	return audit.WrongResponse, r.Status, 0, false
 }
 
-// take returns an idle connection, if there is one.
+// takeIdle returns an idle connection, if there is one.
 func (n *node) takeIdle(to string) (c net.Conn, kept bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,7 +171,7 @@
 	n.idle[to] = append(n.idle[to], c)
 }
 
-// pick is where a policy of the fault bench's own sends a request.
+// pickServer returns the address of the server that the fault bench's policy selects, or "" if there is none.
 func (n *node) pickServer() (addr string) {
 	f := n.fleet
 	v, _, _, _ := f.registry.visibleVersion(n.registryLag)
--- a/internal/faultbench/cost.go
+++ b/internal/faultbench/cost.go
@@ -6,7 +6,7 @@
 	"damsontrestle/internal/faultbench/child"
 )
 
-// cost is what all processes took so far.
+// cost returns the resources that all processes have used so far.
 func (f *fleet) cost() (c Cost) {
 	c.RigCPU, c.RigMemory = child.ResourceUsage(os.Getpid())
 	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
--- a/internal/faultbench/faultbench_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { program.RunTests(m) }
 
-// play plays an experiment with processes and returns what it came to. What rests on time is judged only where the fault bench
-// kept up.
+// play runs an experiment with processes and returns its result. Breaches that depend on timing fail the test only if the
+// fault bench kept up.
 func play(t *testing.T, text string) *Result {
 	t.Helper()
 	path, err := program.Path()
@@ -77,8 +77,8 @@
 }
 `
 
-// Twelve processes, and for three seconds nothing from one zone's nodes comes to another's servers: the rules hold,
-// every request of a zone that can reach servers is served, and all servers carry their part.
+// For three seconds nothing from the nodes of one zone reaches the servers of another: the rules hold, most requests are
+// served, and all servers carry their part of the load.
 func TestZoneCutOffInOneDirection(t *testing.T) {
 	res := play(t, dozenNodes+`
 fault "cut" {
@@ -108,13 +108,13 @@
 	}
 }
 
-// asking has nodes ask three servers what they hold before each request.
+// withLoadPolls makes nodes poll the load of three servers before each request.
 func withLoadPolls(text string) string {
 	return strings.NewReplacer("count = 12\n}", "count = 12\n  asks  = 3\n}", "queue   = 100", "queue   = 100\n  reports = true").Replace(text)
 }
 
-// A node that is stopped while servers are replaced wakes with an old view, a zone's nodes hear nothing of the registry, others are killed or end in order, and
-// one has a clock that is an hour off: the rules hold.
+// The rules hold when nodes stopped during server replacement resume with an old list, the nodes of a zone cannot reach the
+// registry, others are killed or restarted gracefully, and one has a clock that is an hour off.
 func TestNodesStoppedKilledAndRestarted(t *testing.T) {
 	res := play(t, withLoadPolls(dozenNodes)+`
 fault "asleep" {
@@ -166,16 +166,16 @@
 }
 `)
 	if res.Cost.Asks < res.Figures.Calls {
-		t.Errorf("servers were asked %d times for %d calls", res.Cost.Asks, res.Figures.Calls)
+		t.Errorf("servers received %d load polls for %d requests", res.Cost.Asks, res.Figures.Calls)
 	}
 	if f := res.Figures; f.Served < 0.6 || res.Cost.Processes != 12 {
-		t.Errorf("%.3f served by %d processes at the end", f.Served, res.Cost.Processes)
+		t.Errorf("share served: %.3f; processes at the end: %d, want 12", f.Served, res.Cost.Processes)
 	}
 }
 
-// Twelve processes come to know one another by datagrams; one is killed, and a zone is cut off from the others for a
-// while: the dead one is dead for the others, who hear of it, the cut parts hold each other for dead, and when all is over
-// everybody is alive for everybody, the killed one in a later incarnation.
+// Twelve processes discover one another by datagrams. One is killed, and later a zone is cut off from the others for a while:
+// the others detect the death, the two sides of the cut see each other as dead, and in the end every node sees every other as
+// alive, the killed one in a later incarnation.
 func TestNodesDetectDeathsAndPartitions(t *testing.T) {
 	text := strings.NewReplacer(`measure = "8s"`, "measure = \"23s\"\n  peers   = \"200ms\"\n  fresh   = \"2s\"", `rate = 5`, `rate = 1`).Replace(dozenNodes)
 	res := play(t, text+`
@@ -199,18 +199,18 @@
 	for i := range n {
 		for j := range n {
 			if i != j && before[i][j] != "alive" && res.Slow == "" {
-				t.Fatalf("after three seconds n%d holds n%d for %q", i, j, before[i][j])
+				t.Fatalf("after three seconds n%d sees n%d as %q, want alive", i, j, before[i][j])
 			}
 		}
 	}
 	if d := res.DeathDetection(n); res.Slow == "" && (d.Struck != 1 || d.Known < 1 || d.Most > 7*time.Second) {
-		t.Errorf("one was killed for six seconds: %+v", d)
+		t.Errorf("death detection of one node killed for six seconds: %+v", d)
 	}
 	dead := res.Statuses(n, 9*time.Second)
 	for j := range n {
 		for i := range n {
 			if dead[i][j] == "dead" && j != res.Strikes[0].Node && res.Slow == "" {
-				t.Errorf("n%d lives, and n%d holds it for dead", j, i)
+				t.Errorf("n%d is alive but n%d sees it as dead", j, i)
 			}
 		}
 	}
@@ -220,30 +220,30 @@
 			apart++
 		}
 	}
-	if apart < 32 && res.Slow == "" { // each of four and each of eight; half of these
-		t.Errorf("%d of 64 pairs across the cut came to hold each other for dead", apart)
+	if apart < 32 && res.Slow == "" { // half of the 64 directed pairs: 4 x 8 in each direction
+		t.Errorf("%d of 64 directed pairs across the cut detected the other as dead, want at least 32", apart)
 	}
-	// What nodes say that they know of zones: fresh before and after, not fresh across the cut once it is older than that, and
-	// never older than was said (play would tell).
+	// Zone state is fresh before and after the cut, not fresh across it once older than the limit, and never older than
+	// reported (play checks this).
 	for _, c := range []struct {
 		from, to    time.Duration
 		least, most float64
 	}{{time.Second, 9 * time.Second, 0.9, 1}, {14 * time.Second, 16 * time.Second, 0, 0.7}, {19 * time.Second, 24 * time.Second, 0.9, 1}} {
 		if k := res.Freshness(n, c.from, c.to); res.Slow == "" && (k.Share < c.least || k.Share > c.most) {
-			t.Errorf("from %v to %v zones were fresh for %.3f of the time", c.from, c.to, k.Share)
+			t.Errorf("from %v to %v zone state was fresh for %.3f of the time", c.from, c.to, k.Share)
 		}
 	}
 	end := res.Statuses(n, time.Hour)
 	for i := range n {
 		for j := range n {
 			if i != j && end[i][j] != "alive" && res.Slow == "" {
-				t.Errorf("in the end n%d holds n%d for %q", i, j, end[i][j])
+				t.Errorf("at the end n%d sees n%d as %q, want alive", i, j, end[i][j])
 			}
 		}
 	}
 }
 
-// A fault bench that was late says so and names the figures, and the command does not judge.
+// A result whose fault bench was too slow reports the lateness, so that the command does not judge it.
 func TestResultReportsSlowFaultBench(t *testing.T) {
 	e, err := experiment.Parse([]byte(dozenNodes), "dozen", nil)
 	if err != nil {
@@ -260,12 +260,12 @@
 			f.recordLateness(late)
 		}
 		if got := f.result(Cost{}).Slow; (got != "") != c.slow {
-			t.Errorf("late by %v: %q", c.lates, got)
+			t.Errorf("result with lateness %v: Slow = %q", c.lates, got)
 		}
 	}
 }
 
-// What a run did is told by the same auditor whoever picks; the fault bench's own policies need no process.
+// The fault bench's own policies are checked by the same auditor and need no processes.
 func TestBuiltInPolicies(t *testing.T) {
 	e, err := experiment.Parse([]byte(strings.NewReplacer(`"8s"`, `"1s"`, `"1s"`, `"200ms"`).Replace(dozenNodes)), "dozen", nil)
 	if err != nil {
--- a/internal/faultbench/faults.go
+++ b/internal/faultbench/faults.go
@@ -9,7 +9,7 @@
 	"damsontrestle/internal/faultbench/experiment"
 )
 
-// await waits until a time of the run.
+// waitUntil waits until a run time or the end of the context.
 func (f *fleet) waitUntil(ctx context.Context, at time.Duration) {
 	t := time.NewTimer(at - f.now())
 	defer t.Stop()
@@ -19,7 +19,7 @@
 	}
 }
 
-// timetable has every fault begin and end when it is due. It returns once all that it began is over.
+// injectFaults starts and ends every fault when it is due. It returns once all started faults are over.
 func (f *fleet) injectFaults(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, ft := range f.experiment.Faults {
@@ -28,16 +28,16 @@
 			defer all.Done()
 			f.waitUntil(ctx, ft.From)
 			if ctx.Err() == nil {
-				f.options.Log("%v %s: %s begins", f.now().Round(time.Millisecond), ft.Name, ft.Kind)
+				f.options.Log("%v %s: fault %s started", f.now().Round(time.Millisecond), ft.Name, ft.Kind)
 				f.runFault(ctx, ft)
-				f.options.Log("%v %s: over", f.now().Round(time.Millisecond), ft.Name)
+				f.options.Log("%v %s: fault ended", f.now().Round(time.Millisecond), ft.Name)
 			}
 		}()
 	}
 	all.Wait()
 }
 
-// run plays one fault from its beginning to its end.
+// runFault runs one fault from start to end.
 func (f *fleet) runFault(ctx context.Context, ft experiment.Fault) {
 	switch ft.Kind.Target() {
 	case experiment.TargetLinks:
@@ -67,7 +67,7 @@
 	}
 }
 
-// each strikes n things, spread over the fault's onset, and returns once the last has been.
+// forEachTarget calls strike for n targets, spread over the fault's onset, and returns once all calls have returned.
 func (f *fleet) forEachTarget(ctx context.Context, ft experiment.Fault, n int, strike func(k int)) {
 	var all sync.WaitGroup
 	for k := range n {
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -1,7 +1,7 @@
-// Package faultbench plays an experiment with real processes: N nodes by `damsontrestle serve`, with servers, their registry
-// and clients in this process, all traffic between zones through relays that fail on purpose (internal/faultbench/link), and
-// an auditor that joins what clients heard with what servers ran (internal/faultbench/audit). It leaves nothing behind: files
-// of nodes are in memory only, and children end with the fault bench, also when that is killed.
+// Package faultbench runs an experiment with real processes: N nodes run `damsontrestle serve`, while servers, their registry
+// and clients run in this process. All traffic between zones goes through fault-injecting relays (internal/faultbench/link),
+// and an auditor joins the outcomes at clients with the executions at servers (internal/faultbench/audit). It leaves nothing
+// behind: the nodes' files are in memory only, and children exit with the fault bench, even when it is killed.
 package faultbench
 
 import (
@@ -21,17 +21,17 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// Options are how a run is made.
+// Options configures a run.
 type Options struct {
 	Policy         experiment.Policy
-	Binary         string // of the program
-	Name           string // of that build, for the result
+	Binary         string // path of the program
+	Name           string // name of that build, for the result
 	Log            func(format string, args ...any)
-	ParallelStarts int // processes that start at once; 0: 16
-	LogBytes       int // bytes of each node's log that are kept; 0: 16 KiB
+	ParallelStarts int // processes started in parallel; 0: 16
+	LogBytes       int // bytes kept of each node's log; 0: 16 KiB
 }
 
-// fleet is one run under way.
+// fleet is one run in progress.
 type fleet struct {
 	experiment *experiment.Experiment
 	options    Options
@@ -47,39 +47,39 @@
 	startTime  atomic.Pointer[time.Time] // when the first request is due
 
 	mu               sync.Mutex
-	linkFaults       []experiment.Fault // of links, in force
-	hostsByID        map[string]*host   // by uid
+	linkFaults       []experiment.Fault // active link faults
+	hostsByID        map[string]*host   // by server ID
 	world            *world.Fleet
-	maxLateness      time.Duration // by which the fault bench was late, and
-	lateness         []float64     // all lateness, in seconds
+	maxLateness      time.Duration // maximum lateness of the fault bench
+	lateness         []float64     // every lateness, in seconds
 	errs             []error
 	statusChanges    []StatusChange
 	zoneStateChanges []ZoneStateChange
-	ageBreaches      []audit.Breach // ages that were under-reported
+	ageBreaches      []audit.Breach // under-reported ages
 	strikes          []Strike
 }
 
-// Result is what a run came to. The version tells its form.
+// Result is the outcome of a run. Version is the version of its format.
 type Result struct {
 	Version    int
 	Experiment string
 	Seed       uint64
 	Policy     string
-	Program    string `json:",omitempty"` // what the build that was run is called
+	Program    string `json:",omitempty"` // name of the build
 	Figures    audit.Metrics
 	Breaches   []audit.Breach
-	Slow       string `json:",omitempty"` // why nothing is judged: the fault bench was too slow
+	Slow       string `json:",omitempty"` // why the result is not judged: the fault bench was too slow
 	Cost       Cost
 	Strikes    []Strike          `json:",omitempty"`
-	Sights     []StatusChange    `json:",omitempty"` // what nodes came to hold of one another
-	Words      []ZoneStateChange `json:",omitempty"` // what they came to say of what they know of zones
-	Logs       []string          `json:",omitempty"` // the ends of the logs of nodes that ended by themselves
+	Sights     []StatusChange    `json:",omitempty"` // changes in the membership status that nodes saw of one another
+	Words      []ZoneStateChange `json:",omitempty"` // changes in the zone state that nodes reported
+	Logs       []string          `json:",omitempty"` // last part of the log of each node that exited unexpectedly
 }
 
-// ResultVersion is the form that this build writes.
+// ResultVersion is the version of the result format that this build writes.
 const ResultVersion = 1
 
-// Cost is what the run took.
+// Cost holds the resources that a run used.
 type Cost struct {
 	Processes    int
 	RigCPU       time.Duration // of this process
@@ -87,26 +87,26 @@
 	CPUPerCall   time.Duration // of the nodes
 	NodeMemory   int64         // resident bytes, mean
 	RigMemory    int64
-	LateP99      time.Duration // by which requests were sent after they were due
+	LateP99      time.Duration // delay between a request's due time and its sending
 	LateMost     time.Duration
-	Starting     time.Duration // until all were ready
-	MostOpenRig  int           // descriptors of this process
+	Starting     time.Duration // time until all nodes were ready
+	MostOpenRig  int           // open descriptors of this process
 	NodesCrashed int
-	Asks         int // of nodes to servers, how much they hold
+	Asks         int // load polls from nodes to servers
 
-	// Of what nodes tell one another, over the whole run.
-	Datagrams     float64 `json:",omitempty"` // a second that a node sent
-	DatagramBytes float64 `json:",omitempty"` // in them, without headers of UDP and IP
-	MostBytes     float64 `json:",omitempty"` // of the node that sent most
+	// Datagrams between nodes, over the whole run.
+	Datagrams     float64 `json:",omitempty"` // sent per node and second
+	DatagramBytes float64 `json:",omitempty"` // payload per node and second, without UDP and IP headers
+	MostBytes     float64 `json:",omitempty"` // per second, of the node that sent the most
 }
 
-// Beyond these the fault bench was too slow to judge others.
+// Lateness limits, beyond which the fault bench was too slow for the result to be judged.
 const (
 	lateP99Limit  = 20 * time.Millisecond
 	lateMostLimit = 400 * time.Millisecond
 )
 
-// Run plays an experiment once.
+// Run runs an experiment once.
 func Run(ctx context.Context, e *experiment.Experiment, o Options) (res *Result, err error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -133,17 +133,17 @@
 	before := f.cost()
 	f.play(ctx)
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("fault bench: %w", err)
 	}
 	res = f.result(before)
 	res.Cost.Starting = starting
 	if err := errors.Join(f.errs...); err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("fault bench: %w", err)
 	}
 	return res, nil
 }
 
-// build opens the servers' relays, the registry and the nodes' places.
+// build opens the servers' relays, the registry and the nodes' addresses.
 func (f *fleet) build() error {
 	f.world = world.NewFleet(f.experiment)
 	f.registry = newRegistry(f)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// end ends every child and closes every socket.
+// close terminates every child process and closes every socket.
 func (f *fleet) close() {
 	if f.spawner != nil {
 		f.spawner.Close()
@@ -192,16 +192,16 @@
 	all.Wait()
 }
 
-// now is the time of the run: since the first request was due.
+// now returns the run time: the time since the first request was due.
 func (f *fleet) now() time.Duration { return time.Since(*f.startTime.Load()) }
 
-// of is the time of the run of an instant.
+// runTime converts an instant to run time.
 func (f *fleet) runTime(t time.Time) time.Duration { return t.Sub(*f.startTime.Load()) }
 
-// begin has the time of the run start at an instant.
+// setStart sets the instant at which run time starts.
 func (f *fleet) setStart(at time.Time) { f.startTime.Store(&at) }
 
-// late notes by how much the fault bench was late for something that was due.
+// recordLateness records how late the fault bench was for something that was due.
 func (f *fleet) recordLateness(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,12 +217,12 @@
 	}
 }
 
-// play has clients ask and faults strike until all is over.
+// play runs clients and faults until every request has an outcome.
 func (f *fleet) play(ctx context.Context) {
 	f.setStart(time.Now().Add(50 * time.Millisecond))
 	f.mesh.ResetTraffic()
 	f.mu.Lock()
-	for i := range f.zoneStateChanges { // what was said before is so when the run begins
+	for i := range f.zoneStateChanges { // state reported before the run holds at its start
 		f.zoneStateChanges[i].At = 0
 	}
 	f.mu.Unlock()
@@ -250,7 +250,7 @@
 	sampling.Wait()
 }
 
-// sample looks at all servers every audit.SampleEvery.
+// sample records the state of all servers every audit.SampleEvery.
 func (f *fleet) sample(ctx context.Context) {
 	tick := time.NewTicker(audit.SampleEvery)
 	defer tick.Stop()
@@ -270,7 +270,7 @@
 	}
 }
 
-// result works out what the run came to.
+// result computes the result of the run.
 func (f *fleet) result(before Cost) *Result {
 	asks := 0
 	for _, h := range f.hosts {
@@ -298,7 +298,7 @@
 	}
 	r.Cost.LateMost = f.maxLateness
 	if r.Cost.LateP99 > lateP99Limit || r.Cost.LateMost > lateMostLimit {
-		r.Slow = fmt.Sprintf("calls were sent up to %v late, one in a hundred by over %v: the machine is too slow for this experiment, and nothing is judged",
+		r.Slow = fmt.Sprintf("requests were sent up to %v late (p99 %v): the machine is too slow for this experiment; the result is not judged",
 			r.Cost.LateMost.Round(time.Millisecond), r.Cost.LateP99.Round(time.Millisecond))
 	}
 	r.Breaches = f.audit.Breaches(f.maxLateness)
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -16,7 +16,7 @@
 	"damsontrestle/internal/faultbench/world"
 )
 
-// host is a place for one server after another, with a relay for each zone that sends to it.
+// host runs one server at a time at a fixed place, with a relay for each zone that sends to it.
 type host struct {
 	fleet  *fleet
 	place  int
@@ -24,14 +24,14 @@
 
 	mu          sync.Mutex
 	server      *world.Server
-	pending     map[*world.Job]*pendingRequest // requests that wait or work
+	pending     map[*world.Job]*pendingRequest // queued or running requests
 	state       balancer.ServerState
 	down        experiment.Kind // Crash or Lose
 	incarnation int
 	loadPolls   int
 }
 
-// visit is a request at a server, from its arrival to its answer.
+// pendingRequest is a request at a server, from its arrival to its response.
 type pendingRequest struct {
 	attempt *audit.Attempt
 	conn    *link.Conn
@@ -59,7 +59,7 @@
 	}
 }
 
-// look tells how it stands.
+// status returns the server's running and queued requests, its connections, and whether it is out of service.
 func (h *host) status() (working, waiting, conns int, down bool) {
 	for _, r := range h.relays {
 		conns += r.Connections()
@@ -69,7 +69,7 @@
 	return h.server.Working(), h.server.Waiting(), conns, h.down != "" || h.server.Fault == experiment.Hang || h.state != balancer.Ready
 }
 
-// serve answers one request after another on a connection from a zone.
+// serve handles requests one after another on a connection from a zone.
 func (h *host) serve(c *link.Conn, zone string) {
 	in := bufio.NewReader(c)
 	for {
@@ -92,13 +92,13 @@
 	}
 }
 
-// answer has a request run and answers it. It tells whether the connection is of further use.
+// handle runs a request and sends its response. It reports whether the connection can be reused.
 func (h *host) handle(c *link.Conn, r *http.Request, zone string) bool {
 	f, id := h.fleet, r.Header.Get("X-Request-Id")
 	h.mu.Lock()
 	server, incarnation := h.server, h.incarnation
 	attempt := f.audit.RecordAttempt(id, server.ID, h.place, zone != server.Zone, f.runTime(c.LastArrival()))
-	if h.down != "" { // its process or machine is gone: what was on its way is lost
+	if h.down != "" { // the process or machine is gone: requests in transit are lost
 		h.mu.Unlock()
 		<-c.CloseDelivered()
 		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "its server was gone")
@@ -148,7 +148,7 @@
 	return h.respond(c, attempt, "200 OK", load, server.ID+" "+id, "served")
 }
 
-// report answers a node that asks how much the server holds.
+// reportLoad answers a node's load poll.
 func (h *host) reportLoad(c *link.Conn) bool {
 	h.mu.Lock()
 	down, load := h.down != "" || h.server.Fault == experiment.Hang, h.loadHeader()
@@ -165,7 +165,7 @@
 	return c.Send([]byte(fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)), nil) == nil
 }
 
-// load is the report that goes with an answer. The caller holds mu.
+// loadHeader returns the load report that is sent with a response. The caller holds mu.
 func (h *host) loadHeader() string {
 	if !h.server.Spec.ReportsLoad {
 		return ""
@@ -173,7 +173,7 @@
 	return fmt.Sprintf("X-Load: TEXT inflight=%d, queue=%d\r\n", h.server.Working()+h.server.Waiting(), h.server.Waiting())
 }
 
-// say sends an answer; it is over once its last byte has been handed to the node's socket, or the node has closed that.
+// respond sends a response. It returns once the last byte has been written to the node's socket or the node has closed it.
 func (h *host) respond(c *link.Conn, attempt *audit.Attempt, status, headers, body, outcome string) bool {
 	f := h.fleet
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
@@ -194,7 +194,7 @@
 	}
 }
 
-// work has a job that began end in time. The caller holds mu.
+// scheduleCompletion schedules the end of a job that has started. The caller holds mu.
 func (h *host) scheduleCompletion(job *world.Job, pending *pendingRequest) {
 	f, s := h.fleet, h.server
 	f.audit.RecordRun(pending.attempt)
@@ -214,7 +214,7 @@
 	})
 }
 
-// strike has a fault begin at the place, and heal has it end.
+// applyFault starts a fault at the host; clearFault ends it.
 func (h *host) applyFault(ft experiment.Fault) {
 	f := h.fleet
 	h.mu.Lock()
@@ -257,8 +257,8 @@
 	}
 }
 
-// renew puts a server in slow start in the place: the same one started anew, or another under a new id. Connections of before
-// are reset.
+// restartServer puts a server in slow start at the place: the same one restarted, or a replacement with a new ID. It resets
+// existing connections.
 func (h *host) restartServer(replacement bool) {
 	f := h.fleet
 	f.mu.Lock()
--- a/internal/faultbench/links.go
+++ b/internal/faultbench/links.go
@@ -7,7 +7,7 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// shape is how the link from a zone's nodes to the server at a place is now.
+// linkShape returns the present shape of the link from a zone's nodes to the server at a place; place < 0 matches any server.
 func (f *fleet) linkShape(near, far string, place int) link.Shape {
 	l := f.experiment.LinkBetween(near, far)
 	s := link.Shape{Delay: l.Delay, Jitter: l.Jitter}
@@ -22,7 +22,7 @@
 	return s
 }
 
-// shapeOf is what a fault of links does to one.
+// faultShape returns the effect of a link fault on a link.
 func faultShape(ft experiment.Fault) link.Shape {
 	switch ft.Kind {
 	case experiment.Cut:
@@ -39,17 +39,17 @@
 	return link.Shape{Delay: ft.Delay, Jitter: ft.Jitter, Loss: ft.Loss, Duplicate: ft.Duplicate, Reorder: ft.Reorder, Bandwidth: ft.Bandwidth}
 }
 
-// betweenNodes is how datagrams go from one zone to another now: a cut between nodes and servers of two zones is one between
-// their nodes too.
+// nodeLinkShape returns the present shape of datagram links between two zones: a cut between nodes and servers of two zones
+// also cuts their nodes off from one another.
 func (f *fleet) nodeLinkShape(from, to string) link.Shape {
 	s := f.linkShape(from, to, -1)
-	if f.linkShape(to, from, -1).CutReturn { // what comes back there goes out here
+	if f.linkShape(to, from, -1).CutReturn { // the return direction there is the forward direction here
 		s.CutForward = true
 	}
 	return s
 }
 
-// reshape puts all links in their present shape.
+// updateLinks applies the present shape to all links.
 func (f *fleet) updateLinks() {
 	for _, h := range f.hosts {
 		h.mu.Lock()
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -21,19 +21,19 @@
 	"damsontrestle/internal/faultbench/nodefile"
 )
 
-// node is one node of the fleet: a process, or a policy of the fault bench's own.
+// node is one node of the fleet: a process, or a policy of the fault bench.
 type node struct {
 	fleet         *fleet
 	index         int
 	zone          string
-	registryLag   time.Duration // of its list
+	registryLag   time.Duration // until its agent sees a registry change
 	copies        int
 	listen        string
 	agent         *link.Relay
 	file          *child.Memfile
-	key           *child.Memfile // of the cluster; nil: nodes do not know one another
-	peerListen    string         // where it listens for peers, and
-	peerAdvertise string         // where they see it
+	key           *child.Memfile // cluster key; nil: no membership between nodes
+	peerListen    string         // address where it listens for peers
+	peerAdvertise string         // address that peers use
 
 	mu              sync.Mutex
 	process         *child.Process // nil while it is down
@@ -43,12 +43,12 @@
 	idle            map[string][]net.Conn
 }
 
-// startLimit bounds how long a node may take until it is ready.
+// startTimeout limits the time until a node is ready.
 const startTimeout = time.Minute
 
 func (n *node) zoneIndex() int { return slices.Index(n.fleet.zones, n.zone) }
 
-// open takes the node's addresses and opens its agent.
+// open assigns the node's addresses and opens its agent.
 func (n *node) open() error {
 	f := n.fleet
 	n.idle = map[string][]net.Conn{}
@@ -85,7 +85,7 @@
 	return nodefile.Text(f.experiment, d)
 }
 
-// seeds are where three nodes are seen that lie in different zones, as far as there are as many.
+// seeds returns the peer addresses of three nodes, in different zones if there are enough zones.
 func (f *fleet) seeds() (seeds []string) {
 	for _, k := range f.nodes[:min(3, len(f.nodes))] {
 		seeds = append(seeds, k.peerAdvertise)
@@ -93,7 +93,7 @@
 	return seeds
 }
 
-// startNodes starts all processes, some at a time, and returns once all are ready.
+// startNodes starts all processes, a limited number in parallel, and returns once all are ready.
 func (f *fleet) startNodes(ctx context.Context) error {
 	f.registry.publish()
 	if f.options.Policy != experiment.Program {
@@ -162,12 +162,12 @@
 		}
 	}
 	if skew != 0 && !strings.Contains(p.Log.String(), "the clock is off") {
-		return fmt.Errorf("node %d: %s takes no clock that is off; build it with -tags rig", n.index, f.options.Binary)
+		return fmt.Errorf("node %d: %s does not support clock skew; build it with -tags rig", n.index, f.options.Binary)
 	}
 	return nil
 }
 
-// ready asks the node whether it is.
+// ready reports whether the node answers its readiness check with success.
 func (n *node) ready(ctx context.Context) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.listen+"/health/ready", nil)
 	if err != nil {
@@ -182,7 +182,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// stop ends the process; what it took until now is kept in the books.
+// stop ends the process and adds its CPU time so far to previousCPU.
 func (n *node) stop(sig syscall.Signal, within time.Duration) {
 	n.mu.Lock()
 	p := n.process
@@ -198,7 +198,7 @@
 	n.mu.Unlock()
 }
 
-// crashed tells of a process that ended by itself.
+// crashReport describes the node's unexpected process exits, or returns "" if there were none.
 func (n *node) crashReport() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// strike has a fault of nodes begin, and returns what ends it, or nil.
+// applyFault applies a node fault and returns once the node runs without interruption again.
 func (n *node) applyFault(ctx context.Context, ft experiment.Fault) {
 	f := n.fleet
 	from := f.now()
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -10,15 +10,15 @@
 	"damsontrestle/internal/faultbench/audit"
 )
 
-// Sight is what a node came to hold of another, when its log said so.
+// StatusChange is a change in the membership status of one node as seen by another, at the time of its log line.
 type StatusChange struct {
 	At     time.Duration
-	Node   int // that holds it
-	Of     int
+	Node   int    // the observer
+	Of     int    // the node observed; -1: unknown
 	Status string // alive, suspect, dead, left
 }
 
-// sight takes a line of a node's log, if it tells of a member.
+// recordStatusChange records a node's log line if it reports a member's status.
 func (f *fleet) recordStatusChange(n *node, line string) {
 	_, rest, found := strings.Cut(line, "msg=member ")
 	if !found {
@@ -38,30 +38,30 @@
 	f.statusChanges = append(f.statusChanges, s)
 }
 
-// Strike is a node that a fault has struck: from when until when it was no good to others.
+// Strike is a fault at a node, and the period in which the node was unavailable.
 type Strike struct {
 	Fault    string
 	Node     int
 	From, To time.Duration
 }
 
-// struck notes one.
+// recordStrike records a node fault.
 func (f *fleet) recordStrike(s Strike) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.strikes = append(f.strikes, s)
 }
 
-// Deaths tells how well nodes came to know of one another's deaths.
+// DeathDetection summarizes how well nodes detected the deaths of others.
 type DeathDetection struct {
 	Struck  int           // nodes that were killed or stopped
-	Known   float64       // share of the others, over all of these, that came to hold them for dead
-	Median  time.Duration // from the strike until a node held it for dead, of those that did
+	Known   float64       // share of the other nodes, over all strikes, that detected the death
+	Median  time.Duration // from the strike until detection, of the nodes that detected it
 	Most    time.Duration
-	Wrongly int // times that a node came to hold for dead one that was not struck by then, links cut or not
+	Wrongly int // times that a node declared dead one that was not struck by then, links cut or not
 }
 
-// Deaths works it out over a run of so many nodes.
+// DeathDetection computes the summary for a run with the given number of nodes.
 func (r *Result) DeathDetection(nodes int) (d DeathDetection) {
 	var delays []time.Duration
 	strikesByNode := map[int][]Strike{}
@@ -76,7 +76,7 @@
 		}
 		found := false
 		for k, x := range strikesByNode[s.Of] {
-			// A word of a death may still come when the dead one is back.
+			// A death may still be reported after the node has returned.
 			if s.At >= x.From && s.At <= x.To+10*time.Second {
 				found = true
 				if key := [3]int{s.Of, k, s.Node}; !seen[key] {
@@ -97,8 +97,8 @@
 	return d
 }
 
-// Holds is what each node holds of each other at a time of the run, by the sights until then: "" of one that it never
-// heard of.
+// Statuses returns the status of each node as seen by each other at a run time: "" for a node never heard of. The first
+// index is the observer.
 func (r *Result) Statuses(nodes int, at time.Duration) [][]string {
 	held := make([][]string, nodes)
 	for i := range held {
@@ -112,17 +112,17 @@
 	return held
 }
 
-// Word is what a node came to say of what it knows of a zone, when its log said so.
+// ZoneStateChange is a change in a node's state of a zone, at the time of its log line.
 type ZoneStateChange struct {
 	At       time.Duration
 	Node     int
 	Zone     string
 	Facts    string // fresh, stale, unknown
-	From, Of int    // nodes of the zone that were in it, and that it holds for alive
+	From, Of int    // nodes of the zone included in the state, and those seen as alive
 }
 
-// word takes a line of a node's log, if it tells of a zone, or of an age that was under-reported: only a build for the fault bench
-// knows of that.
+// recordZoneStateChange records a node's log line if it reports zone state or an under-reported age. Only a build for the
+// fault bench detects the latter.
 func (f *fleet) recordZoneStateChange(n *node, line string) {
 	_, rest, found := strings.Cut(line, "msg=zone ")
 	if !found {
@@ -152,15 +152,15 @@
 	f.zoneStateChanges = append(f.zoneStateChanges, w)
 }
 
-// Freshness tells how much of the time nodes had fresh zone state.
+// Freshness summarizes the time for which nodes had fresh zone state.
 type Freshness struct {
 	Share   float64       // of node, zone and time, while the node was not struck
-	Longest time.Duration // that a node was without fresh zone state of a zone
-	Median  time.Duration // of the stretches without
-	Gaps    int           // such stretches
+	Longest time.Duration // longest time that a node had no fresh state of a zone
+	Median  time.Duration // of the gaps
+	Gaps    int           // periods without fresh state
 }
 
-// Fresh works it out from one time of the run to another, over the zones that nodes spoke of.
+// Freshness computes the summary between two run times, over the zones that nodes reported.
 func (r *Result) Freshness(nodes int, from, to time.Duration) (out Freshness) {
 	zones := map[string]bool{}
 	changesByNode := map[int][]ZoneStateChange{}
@@ -172,7 +172,7 @@
 	var fresh, all time.Duration
 	for i := range nodes {
 		for zone := range zones {
-			// What it said, cut into stretches by what it said and by what struck it.
+			// Divide the time into periods at each change of state and each strike.
 			at, state := time.Duration(0), ""
 			stretch := func(until time.Duration) {
 				a, b := max(at, from), min(until, to)
@@ -185,7 +185,7 @@
 				}
 				at = max(at, until)
 			}
-			// Stale and unknown are one stretch without.
+			// Adjacent stale and unknown periods form one gap.
 			same := func(a, b string) bool {
 				return a == b || a != "fresh" && b != "fresh" && a != "struck" && b != "struck"
 			}
--- a/internal/faultbench/registry.go
+++ b/internal/faultbench/registry.go
@@ -14,7 +14,7 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// list is the registry: every node asks an agent of its own, which knows of each change after the node's lag.
+// registry is the server registry. Each node polls its own agent, which sees every change after the node's lag.
 type registry struct {
 	fleet *fleet
 
@@ -23,17 +23,17 @@
 	removedIDs []string
 	changed    chan struct{}
 	muted      bool
-	history    []registryVersion // the latest last
+	history    []registryVersion // oldest first
 }
 
-// version is the list as it was told at a time.
+// registryVersion is the list as published at a time.
 type registryVersion struct {
 	at      time.Time
 	rev     int
 	targets []target
 }
 
-// target is an entry, in the registry's form but for its address, which each zone sees at one of its own.
+// target is an entry in the registry's format. Its endpoint is set per zone, as each zone has its own relay address.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -53,14 +53,14 @@
 	return &registry{fleet: f, changed: make(chan struct{})}
 }
 
-// gone notes that an id is of no server any more.
+// remove records that an ID no longer belongs to a server.
 func (l *registry) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removedIDs = append(l.removedIDs, id)
 }
 
-// news puts the servers as they are now on the list.
+// publish appends a version with the servers' present state.
 func (l *registry) publish() {
 	var targets []target
 	for _, h := range l.fleet.hosts {
@@ -82,13 +82,13 @@
 	l.wake()
 }
 
-// wake tells those that wait. The caller holds mu.
+// wake notifies waiting polls. The caller holds mu.
 func (l *registry) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// mute has agents say nothing, or speak again.
+// setMuted makes agents stop or resume answering.
 func (l *registry) setMuted(is bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,13 +96,13 @@
 	l.wake()
 }
 
-// known is the newest version that a node with a lag may hear of, and when the next one is due for it.
+// visibleVersion returns the newest version visible after a lag, and the time at which the next one becomes visible.
 func (l *registry) visibleVersion(lag time.Duration) (v registryVersion, next time.Time, changed <-chan struct{}, muted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, o := range l.history {
-		if o.rev > 1 && o.at.Add(lag).After(now) { // the first is there from the start
+		if o.rev > 1 && o.at.Add(lag).After(now) { // the first version is visible at once
 			return v, o.at.Add(lag), l.changed, l.muted
 		}
 		v = o
@@ -110,7 +110,7 @@
 	return v, time.Time{}, l.changed, l.muted
 }
 
-// serve is a node's agent.
+// serve handles the polls of a node to its agent.
 func (l *registry) serve(n *node, c *link.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -131,7 +131,8 @@
 	}
 }
 
-// wait is for something newer than a version, or for the time to be up. false: the node has left.
+// waitForVersion waits for a version other than from, or until the hold time is over. It returns false if the node closed the
+// connection or its poll was lost.
 func (l *registry) waitForVersion(n *node, c *link.Conn, from int, hold time.Duration) (registryVersion, bool) {
 	over := time.Now().Add(hold)
 	for {
@@ -155,14 +156,14 @@
 			return v, false
 		}
 		t.Stop()
-		if muted { // what was asked while the agent was silent is lost
+		if muted { // polls to a muted agent are lost
 			<-c.CloseDelivered()
 			return v, false
 		}
 	}
 }
 
-// tell writes a version to a node, as a full snapshot.
+// writeSnapshot sends a version to a node as a full snapshot.
 func (l *registry) writeSnapshot(n *node, c *link.Conn, v registryVersion, nothing bool) bool {
 	f := l.fleet
 	out := struct {
@@ -185,7 +186,7 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		f.fail(fmt.Errorf("list: %w", err))
+		f.fail(fmt.Errorf("encode registry list: %w", err))
 		return false
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
