--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -13,8 +13,8 @@
 	"damsontrestle/internal/faultbench/virtual"
 )
 
-// load reads an experiment, with another seed where one is given.
-func load(path string, seed uint64) (*experiment.Experiment, error) {
+// loadExperiment reads an experiment; a seed above 0 replaces the file's.
+func loadExperiment(path string, seed uint64) (*experiment.Experiment, error) {
 	e, err := experiment.Load(path)
 	if err == nil && seed > 0 {
 		e.Seed = seed
@@ -27,16 +27,16 @@
 	var told virtual.LoadExchange
 	var policies []string
 	var utilisation []float64
-	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Play experiments on virtual time, with the module in place of processes",
+	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Run experiments on virtual time, with the balancer module in place of processes",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
 			defer w.Flush()
-			heading(w)
+			writeHeading(w)
 			for _, path := range args {
 				for _, policy := range policies {
 					for s := range seeds {
-						e, err := load(path, 0)
+						e, err := loadExperiment(path, 0)
 						if err != nil {
 							return err
 						}
@@ -52,7 +52,7 @@
 						if err != nil {
 							return err
 						}
-						line(w, e.Name, policy, e.Seed, f)
+						writeLine(w, e.Name, policy, e.Seed, f)
 						for i, b := range a.Breaches(0) {
 							if i < 5 {
 								fmt.Fprintln(w, b)
@@ -67,16 +67,16 @@
 	cmd.Flags().DurationVar(&told.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
 	cmd.Flags().Float64Var(&told.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
 	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node asks before a call, in place of the file's")
-	cmd.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from the file's on")
+	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
 	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "of all slots, in place of the file's")
 	return cmd
 }
 
-func heading(w io.Writer) {
+func writeHeading(w io.Writer) {
 	fmt.Fprintln(w, "experiment\tpolicy\tseed\tcalls\tin aim\tserved\trefused\tfailed\tp50\tp99\tutil\twaiting\tidle while queued\tvariation\t1s most\t10s least..most (chance)\tlongest idle\tconnections, most\tattempts\tcrossings")
 }
 
-func line(w io.Writer, name, policy string, seed uint64, f audit.Metrics) {
+func writeLine(w io.Writer, name, policy string, seed uint64, f audit.Metrics) {
 	ten := f.Spread.Windows["10s"]
 	fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f ms\t%.0f ms\t%.2f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f..%.2f (%.2f..%.2f)\t%.1f s\t%.1f, %.2f\t%.2f\t%.2f\n", name, policy, seed,
 		f.Calls, f.InAim, f.Served, f.Refused, f.Failed+f.NotTaken, f.P50.Seconds()*1e3, f.P99.Seconds()*1e3, f.Utilisation, f.Waiting,
--- a/internal/faultbench/list.go
+++ b/internal/faultbench/registry.go
@@ -14,26 +14,26 @@
 	"damsontrestle/internal/faultbench/link"
 )
 
-// list is the registry: every node asks an agent of its own, which knows of each change after the node's lag.
-type list struct {
+// registry is the server registry. Each node polls its own agent, which sees every change after the node's lag.
+type registry struct {
 	fleet *fleet
 
-	mu      sync.Mutex
-	rev     int
-	gones   []string
-	changed chan struct{}
-	muted   bool
-	history []version // the latest last
+	mu         sync.Mutex
+	rev        int
+	removedIDs []string
+	changed    chan struct{}
+	muted      bool
+	history    []registryVersion // oldest first
 }
 
-// version is the list as it was told at a time.
-type version struct {
+// registryVersion is the list as published at a time.
+type registryVersion struct {
 	at      time.Time
 	rev     int
 	targets []target
 }
 
-// target is an entry, in the registry's form but for its address, which each zone sees at one of its own.
+// target is an entry in the registry's format. Its endpoint is set per zone, as each zone has its own relay address.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -49,25 +49,25 @@
 
 var stateNames = map[balancer.ServerState]string{balancer.Ready: "in_service", balancer.Draining: "terminating"}
 
-func newList(f *fleet) *list {
-	return &list{fleet: f, changed: make(chan struct{})}
+func newRegistry(f *fleet) *registry {
+	return &registry{fleet: f, changed: make(chan struct{})}
 }
 
-// gone notes that an id is of no server any more.
-func (l *list) gone(id string) {
+// remove records that an ID no longer belongs to a server.
+func (l *registry) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gones = append(l.gones, id)
+	l.removedIDs = append(l.removedIDs, id)
 }
 
-// news puts the servers as they are now on the list.
-func (l *list) news() {
+// publish appends a version with the servers' present state.
+func (l *registry) publish() {
 	var targets []target
 	for _, h := range l.fleet.hosts {
 		h.mu.Lock()
 		t := target{UID: h.server.ID, Zone: h.server.Zone, Model: h.server.Spec.Name, State: stateNames[h.state], Size: h.server.Spec.Size, place: h.place}
 		if h.server.SlowStartAt >= 0 {
-			t.Boot = float64(l.fleet.began.Load().Add(h.server.SlowStartAt).UnixMilli())
+			t.Boot = float64(l.fleet.startTime.Load().Add(h.server.SlowStartAt).UnixMilli())
 		}
 		h.mu.Unlock()
 		targets = append(targets, t)
@@ -75,34 +75,34 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rev++
-	for _, id := range l.gones {
+	for _, id := range l.removedIDs {
 		targets = append(targets, target{UID: id, State: "terminated"})
 	}
-	l.history = append(l.history, version{time.Now(), l.rev, targets})
+	l.history = append(l.history, registryVersion{time.Now(), l.rev, targets})
 	l.wake()
 }
 
-// wake tells those that wait. The caller holds mu.
-func (l *list) wake() {
+// wake notifies waiting polls. The caller holds mu.
+func (l *registry) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// mute has agents say nothing, or speak again.
-func (l *list) mute(is bool) {
+// setMuted makes agents stop or resume answering.
+func (l *registry) setMuted(is bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.muted = is
 	l.wake()
 }
 
-// known is the newest version that a node with a lag may hear of, and when the next one is due for it.
-func (l *list) known(lag time.Duration) (v version, next time.Time, changed <-chan struct{}, muted bool) {
+// visibleVersion returns the newest version visible after a lag, and the time at which the next one becomes visible.
+func (l *registry) visibleVersion(lag time.Duration) (v registryVersion, next time.Time, changed <-chan struct{}, muted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, o := range l.history {
-		if o.rev > 1 && o.at.Add(lag).After(now) { // the first is there from the start
+		if o.rev > 1 && o.at.Add(lag).After(now) { // the first version is visible at once
 			return v, o.at.Add(lag), l.changed, l.muted
 		}
 		v = o
@@ -110,8 +110,8 @@
 	return v, time.Time{}, l.changed, l.muted
 }
 
-// serve is a node's agent.
-func (l *list) serve(n *node, c *link.Conn) {
+// serve handles the polls of a node to its agent.
+func (l *registry) serve(n *node, c *link.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -121,21 +121,22 @@
 		io.Copy(io.Discard, r.Body)
 		from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-		v, ok := l.wait(n, c, from, time.Duration(hold)*time.Millisecond)
+		v, ok := l.waitForVersion(n, c, from, time.Duration(hold)*time.Millisecond)
 		if !ok {
 			return
 		}
-		if !l.tell(n, c, v, v.rev == from) {
+		if !l.writeSnapshot(n, c, v, v.rev == from) {
 			return
 		}
 	}
 }
 
-// wait is for something newer than a version, or for the time to be up. false: the node has left.
-func (l *list) wait(n *node, c *link.Conn, from int, hold time.Duration) (version, bool) {
+// waitForVersion waits for a version other than from, or until the hold time is over. It returns false if the node closed the
+// connection or its poll was lost.
+func (l *registry) waitForVersion(n *node, c *link.Conn, from int, hold time.Duration) (registryVersion, bool) {
 	over := time.Now().Add(hold)
 	for {
-		v, next, changed, muted := l.known(n.lag)
+		v, next, changed, muted := l.visibleVersion(n.registryLag)
 		if !muted && (v.rev != from || !time.Now().Before(over)) {
 			return v, true
 		}
@@ -155,15 +156,15 @@
 			return v, false
 		}
 		t.Stop()
-		if muted { // what was asked while the agent was silent is lost
+		if muted { // polls to a muted agent are lost
 			<-c.CloseDelivered()
 			return v, false
 		}
 	}
 }
 
-// tell writes a version to a node, as a full snapshot.
-func (l *list) tell(n *node, c *link.Conn, v version, nothing bool) bool {
+// writeSnapshot sends a version to a node as a full snapshot.
+func (l *registry) writeSnapshot(n *node, c *link.Conn, v registryVersion, nothing bool) bool {
 	f := l.fleet
 	out := struct {
 		Rev     int      `json:"rev"`
@@ -185,13 +186,13 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		f.fail(fmt.Errorf("list: %w", err))
+		f.fail(fmt.Errorf("encode registry list: %w", err))
 		return false
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
 	return c.Send(append([]byte(head), text...), func(at time.Time) {
 		for _, id := range leaving {
-			f.audit.RecordRemoval(n.index, id, f.of(at))
+			f.audit.RecordRemoval(n.index, id, f.runTime(at))
 		}
 	}) == nil
 }
