--- a/cmd/damsontrestle/command_test.go
+++ b/cmd/damsontrestle/command_test.go
@@ -248,7 +248,7 @@
 			}
 			c := testpeer.Dial(t, node.listen)
 			c.Send("GET", "/view/k", fmt.Sprint("kill-", kill), "", "15")
-			if _, body := c.Answer(t); !poolHasServer(show.Config, addresses, body) {
+			if _, body := c.ReadResponse(t); !poolHasServer(show.Config, addresses, body) {
 				t.Fatalf("kill %d: reply %q is not of a configured server", kill, body)
 			}
 			c.Close()
--- a/cmd/damsontrestle/shutdown_test.go
+++ b/cmd/damsontrestle/shutdown_test.go
@@ -25,7 +25,7 @@
 }
 
 // dialNode connects to a node, with testTimeout as the connection's deadline.
-func dialNode(t *testing.T, address string) *testpeer.Caller {
+func dialNode(t *testing.T, address string) *testpeer.ClientConn {
 	t.Helper()
 	c := testpeer.Dial(t, address)
 	c.SetDeadline(time.Now().Add(testTimeout))
@@ -36,10 +36,10 @@
 func TestSignalsDuringShutdown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	server := testpeer.NewServer(t, testpeer.Held(hold, got))
+	server := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
 	agent := testpeer.NewAgent(t)
-	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+	list := strings.Replace(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
 	config := platformConfig(agent.Address(), 256, list, platformSettings)
 	cmd, address, log := startNode(t, path, config)
 	client := dialNode(t, address)
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	awaitLog(t, log, "msg=draining")
-	if r, _ := client.Answer(t); r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || !r.Close {
+	if r, _ := client.ReadResponse(t); r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("response: status %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
 	if err := cmd.Wait(); err != nil {
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	list := strings.Replace(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	registry := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "1" {
 			<-r.Context().Done() // no update
@@ -239,8 +239,8 @@
 		return testpeer.Echo(c, r, body)
 	})
 	agent := testpeer.NewAgent(t)
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
-	list := strings.Replace(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
+	list := strings.Replace(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")), "%d", "1", 1)
 	shortSettings := strings.NewReplacer("40000", fmt.Sprint(deadline.Milliseconds()), `"target-ms":20000`, fmt.Sprintf(`"target-ms":%d`, deadline.Milliseconds()/2)).Replace(platformSettings)
 	cmd, address, _ := startNode(t, filepath.Join(t.TempDir(), "config.json"), platformConfig(agent.Address(), 256, list, shortSettings))
 	first := make(chan struct{}, 1)
--- a/cmd/testload/main.go
+++ b/cmd/testload/main.go
@@ -28,23 +28,23 @@
 	view := flags.String("view", "view-interval", "class of the requests that may be retried (reads)")
 	note := flags.String("note", "add-note", "class of the requests that may not be retried (writes)")
 	load := testpeer.Load{Audit: testpeer.NewAudit()}
-	flags.IntVar(&load.Callers, "callers", 8, "number of clients, each with one request at a time")
-	flags.Float64Var(&load.Notes, "notes", 0.5, "share of requests of the -note class")
+	flags.IntVar(&load.Clients, "callers", 8, "number of clients, each with one request at a time")
+	flags.Float64Var(&load.UnsafeShare, "notes", 0.5, "share of requests of the -note class")
 	flags.DurationVar(&load.Deadline, "deadline", 4*time.Second, "deadline of each request")
 	flags.DurationVar(&load.Pause, "pause", 10*time.Millisecond, "mean pause between the requests of a client")
 	flags.Uint64Var(&load.Seed, "seed", 1, "seed of the random number generator")
-	flags.StringVar(&load.Prefix, "prefix", "load-", "prefix of the request ids")
+	flags.StringVar(&load.IDPrefix, "prefix", "load-", "prefix of the request ids")
 	duration := flags.Duration("for", 5*time.Second, "duration of the load; 0: send one request and print its response")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	addresses := strings.Split(*to, ",")
 	load.Addresses = func() []string { return addresses }
-	load.View, load.Note = *view, *note
+	load.SafeClass, load.UnsafeClass = *view, *note
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if *duration == 0 {
-		text, err := load.One()
+		text, err := load.SendOne()
 		if err != nil {
 			return err
 		}
@@ -55,21 +55,21 @@
 	defer cancel()
 	begin := time.Now()
 	load.Run(ctx)
-	totals := load.Audit.Heard()
-	slices.Sort(totals.Times)
+	totals := load.Audit.Outcomes()
+	slices.Sort(totals.Latencies)
 	percentile := func(q float64) time.Duration {
-		if len(totals.Times) == 0 {
+		if len(totals.Latencies) == 0 {
 			return 0
 		}
-		return totals.Times[int(q*float64(len(totals.Times)-1))].Round(10 * time.Microsecond)
+		return totals.Latencies[int(q*float64(len(totals.Latencies)-1))].Round(10 * time.Microsecond)
 	}
 	fmt.Printf("%d calls in %v: %d served, %d refused, %d failed, %d not taken; served in %v median, %v 99th percentile\n",
-		totals.Calls, time.Since(begin).Round(time.Millisecond), totals.Served, totals.Refused, totals.Failed, totals.NotTaken, percentile(0.5), percentile(0.99))
-	for _, wrong := range totals.Wrong {
+		totals.Requests, time.Since(begin).Round(time.Millisecond), totals.Served, totals.Refused, totals.Failed, totals.NoResponse, percentile(0.5), percentile(0.99))
+	for _, wrong := range totals.Violations {
 		fmt.Println("wrong:", wrong)
 	}
-	if len(totals.Wrong) > 0 {
-		return fmt.Errorf("%d requests got a wrong response", len(totals.Wrong))
+	if len(totals.Violations) > 0 {
+		return fmt.Errorf("%d requests got a wrong response", len(totals.Violations))
 	}
 	return nil
 }
--- a/cmd/testserver/main.go
+++ b/cmd/testserver/main.go
@@ -24,11 +24,11 @@
 
 func run(args []string) error {
 	flags := flag.NewFlagSet("testserver", flag.ContinueOnError)
-	var options testpeer.BoxOptions
+	var options testpeer.FaultyServerOptions
 	listen := flags.String("listen", "127.0.0.1:9001", "comma-separated addresses to listen at; each is a server of its own")
 	flags.StringVar(&options.Name, "name", "box", "the name in replies; numbered if there are several servers")
-	flags.DurationVar(&options.Service, "service", 20*time.Millisecond, "mean service time of a request")
-	flags.IntVar(&options.Room, "room", 0, "concurrent requests, beyond which requests are rejected; 0: no limit")
+	flags.DurationVar(&options.MeanServiceTime, "service", 20*time.Millisecond, "mean service time of a request")
+	flags.IntVar(&options.MaxRequests, "room", 0, "concurrent requests, beyond which requests are rejected; 0: no limit")
 	flags.Float64Var(&options.Faults.Fail, "fail", 0, "share of requests answered with 500")
 	flags.Float64Var(&options.Faults.Refuse, "refuse", 0, "share of requests rejected without being run")
 	flags.Float64Var(&options.Faults.Reset, "reset", 0, "share of requests whose connection is reset after they ran")
@@ -40,14 +40,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	var servers []*testpeer.Box
+	var servers []*testpeer.FaultyServer
 	name := options.Name
 	for i, address := range strings.Split(*listen, ",") {
 		if strings.Contains(*listen, ",") {
 			options.Name = fmt.Sprintf("%s-%d", name, i+1)
 		}
 		options.Seed += uint64(i)
-		server := testpeer.NewBox(options)
+		server := testpeer.NewFaultyServer(options)
 		listener, err := testpeer.Listen(address, server.Serve)
 		if err != nil {
 			return err
--- a/internal/daemon/change_test.go
+++ b/internal/daemon/change_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("%v", err)
 	}
 	fx.wantServed(t, "a")
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("b", serverB.Address(), "in_service")))
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("b", serverB.Address(), "in_service")))
 	testpeer.Until(t, "the apply to be complete", func() bool { return fx.show(t).Serial == 3 })
 	fx.wantServed(t, "b")
 }
@@ -156,7 +156,7 @@
 func TestApplyRollsBackOnEveryFault(t *testing.T) {
 	serverA, serverB := newNamedServer(t, "a"), newNamedServer(t, "b")
 	agent := testpeer.NewAgent(t)
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("b", serverB.Address(), "in_service")))
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("b", serverB.Address(), "in_service")))
 	var (
 		mu     sync.Mutex
 		points []string
@@ -360,10 +360,10 @@
 	if testing.Short() {
 		plans = 30
 	}
-	var servers []*testpeer.Box
+	var servers []*testpeer.FaultyServer
 	var addresses []string
 	for i := range 4 {
-		b := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i),
+		b := testpeer.NewFaultyServer(testpeer.FaultyServerOptions{Name: fmt.Sprint("b", i), MeanServiceTime: 2 * time.Millisecond, Seed: uint64(i),
 			Faults: testpeer.Faults{Fail: 0.01, Refuse: 0.02, Reset: 0.01, Cut: 0.005}})
 		servers = append(servers, b)
 		addresses = append(addresses, testpeer.NewServer(t, b.Serve).Address())
@@ -385,7 +385,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		testpeer.Load{Audit: audit, Callers: 16, Addresses: func() []string { return []string{fx.listen, fx.listen, side} }, Notes: 0.5,
+		testpeer.Load{Audit: audit, Clients: 16, Addresses: func() []string { return []string{fx.listen, fx.listen, side} }, UnsafeShare: 0.5,
 			Deadline: 15 * time.Second, Pause: time.Millisecond, Seed: 1}.Run(ctx)
 		close(done)
 	}()
@@ -402,17 +402,17 @@
 	stop()
 	testpeer.Receive(t, done, "the load to stop")
 	testpeer.Until(t, "all removed listeners and pools to be drained", func() bool { return len(fx.show(t).Status.Draining) == 0 })
-	verdict := audit.Judge(servers...)
-	for i, w := range verdict.Wrong {
+	verdict := audit.Check(servers...)
+	for i, w := range verdict.Violations {
 		if i < 10 {
 			t.Error(w)
 		}
 	}
-	if verdict.Calls < 300 || verdict.Served < verdict.Calls/2 {
-		t.Errorf("%d calls, %d served, want at least 300 calls and half of them served", verdict.Calls, verdict.Served)
+	if verdict.Requests < 300 || verdict.Served < verdict.Requests/2 {
+		t.Errorf("%d calls, %d served, want at least 300 calls and half of them served", verdict.Requests, verdict.Served)
 	}
-	t.Logf("%d plans and %d rollbacks; %d calls: %d served, %d refused (%.2f %%), %d failed, %d not taken", plans, plans/10, verdict.Calls, verdict.Served,
-		verdict.Refused, 100*float64(verdict.Refused)/float64(verdict.Calls), verdict.Failed, verdict.NotTaken)
+	t.Logf("%d plans and %d rollbacks; %d calls: %d served, %d refused (%.2f %%), %d failed, %d not taken", plans, plans/10, verdict.Requests, verdict.Served,
+		verdict.Refused, 100*float64(verdict.Refused)/float64(verdict.Requests), verdict.Failed, verdict.NoResponse)
 }
 
 // Reload waits for a file that is missing while another one is renamed to its name. A file that stays missing changes nothing
--- a/internal/daemon/fixture_test.go
+++ b/internal/daemon/fixture_test.go
@@ -177,7 +177,7 @@
 	c := testpeer.Dial(t, address)
 	defer c.Close()
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %d\r\nX-Deadline: 4\r\n\r\n", path, host, rand.Uint64())
-	resp, body := c.Answer(t)
+	resp, body := c.ReadResponse(t)
 	if resp.StatusCode != 200 {
 		return resp.Status
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 	for i, c := range []struct {
 		text string
 		want int
-	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.Whole(), 1},
+	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {testpeer.FullSnapshot(), 1},
 		{`{"rev":%d,"all":false,"targets":[` + testpeer.Entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
 		registry.Tell(false, c.text)
 		if err := watch.pollOnce(t.Context(), watch.agent()); err != nil {
@@ -55,24 +55,24 @@
 	registry := testpeer.NewAgent(t)
 	events := make(sink, 10)
 	watch := NewWatch(registry.Address(), 7, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+	registry.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go watch.Poll(ctx)
 	watch.Subscribe()
-	if query := testpeer.Receive(t, registry.Asked, "a watch"); !strings.HasPrefix(query, "from=7&") {
+	if query := testpeer.Receive(t, registry.Queries, "a watch"); !strings.HasPrefix(query, "from=7&") {
 		t.Errorf("polled %q, want from=7", query)
 	}
 	if e := testpeer.Receive(t, events, "the list"); e.failed || len(e.list.Targets) != 1 {
 		t.Errorf("got %v", e)
 	}
-	testpeer.Receive(t, registry.Asked, "the next poll of the subscription")
+	testpeer.Receive(t, registry.Queries, "the next poll of the subscription")
 	registry.Tell(false, "{bad %d")
 	if e := testpeer.Receive(t, events, "the failure"); !e.failed {
 		t.Errorf("got %v", e)
 	}
 	select {
-	case query := <-registry.Asked:
+	case query := <-registry.Queries:
 		t.Errorf("polled %q without a Subscribe", query)
 	default:
 	}
@@ -119,7 +119,7 @@
 // limit: however many there were, the list arrives once a connection succeeds.
 func TestHangingConnectionsDoNotBlockPolling(t *testing.T) {
 	registry := testpeer.NewAgent(t)
-	registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+	registry.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(sink, 10)
 	watch := NewWatch(registry.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	watch.LongPollTimeout, watch.Grace = 5*time.Millisecond, 5*time.Millisecond
--- a/internal/discovery/errno_test.go
+++ b/internal/discovery/errno_test.go
@@ -31,7 +31,7 @@
 		syscall.ETIMEDOUT} {
 		for _, reads := range []bool{false, true} {
 			registry := testpeer.NewAgent(t)
-			registry.Tell(false, testpeer.Whole(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
+			registry.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", "127.0.0.1:1", "in_service")))
 			for _, pushed := range []bool{true, false} {
 				events := make(sink, 10)
 				watch := NewWatch(registry.Address(), -1, events, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/fastcgi/disconnect_test.go
+++ b/internal/fastcgi/disconnect_test.go
@@ -67,7 +67,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold, got := make(chan struct{}), make(chan struct{}, 1)
-			server := testpeer.NewServer(t, testpeer.Held(hold, got))
+			server := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
 			env := startFront(t, testpeer.Entry("s1", server.Address(), "in_service"))
 			log := &writeSignal{written: make(chan struct{})}
 			env.front.progressTimeout, env.front.log = 50*time.Millisecond, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
--- a/internal/fastcgi/front_test.go
+++ b/internal/fastcgi/front_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := discovery.Parse([]byte(strings.Replace(testpeer.Whole(servers...), "%d", "1", 1)))
+	list, err := discovery.Parse([]byte(strings.Replace(testpeer.FullSnapshot(servers...), "%d", "1", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,8 +244,8 @@
 			t.Errorf("%s: got %q, end %+v; want %s", c.name, resp.text, resp.end, c.want)
 		}
 	}
-	if server.Seen() != 0 {
-		t.Errorf("%d invalid requests reached the server", server.Seen())
+	if server.RequestCount() != 0 {
+		t.Errorf("%d invalid requests reached the server", server.RequestCount())
 	}
 	id := webServer.sendRequest(t, requestParams("GET", "/view/k", "good"), "")
 	if resp := webServer.receive(t, 1)[id]; resp.body() != "for good" {
@@ -358,8 +358,8 @@
 	testpeer.Until(t, "all connections and requests to end", func() bool {
 		return env.clients.Len() == 0 && env.engine.Status().Open == 0 && env.front.counters.Report().OpenRequests == 0
 	})
-	if server.Seen() != 5 {
-		t.Errorf("server got %d requests, want 5", server.Seen())
+	if server.RequestCount() != 5 {
+		t.Errorf("server got %d requests, want 5", server.RequestCount())
 	}
 }
 
--- a/internal/http1/attempts_test.go
+++ b/internal/http1/attempts_test.go
@@ -22,7 +22,7 @@
 func TestIdempotentRetryAfterItsWindowIsNotSent(t *testing.T) {
 	closeUnanswered := func(conn net.Conn, _ *http.Request, _ string) bool { return false } // the attempt may have run
 	one, two := testpeer.NewServer(t, closeUnanswered), testpeer.NewServer(t, closeUnanswered)
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service")))
 	for i := range cfg.Classes {
 		if cfg.Classes[i].Effect == config.Keyed {
 			cfg.Classes[i].Window = config.Duration(200 * time.Millisecond)
@@ -39,13 +39,13 @@
 	})
 	client := testpeer.Dial(t, node.Addr())
 	testpeer.Until(t, "a retry to be scheduled", func() bool {
-		before := one.Seen() + two.Seen()
+		before := one.RequestCount() + two.RequestCount()
 		io.WriteString(client, "POST /keyed/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: keyed\r\nX-Deadline: 60\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx")
-		r, _ := client.Answer(t)
+		r, _ := client.ReadResponse(t)
 		if r.StatusCode == http.StatusOK {
 			t.Fatalf("status %d, want a failure", r.StatusCode)
 		}
-		if got := one.Seen() + two.Seen() - before; got > 1 {
+		if got := one.RequestCount() + two.RequestCount() - before; got > 1 {
 			t.Fatalf("%d attempts reached servers, want at most 1", got)
 		}
 		return node.engine.Status().Sends > 1
@@ -57,18 +57,18 @@
 func TestDisconnectDuringDialSendsNothing(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		server := testpeer.NewServer(t, testpeer.Echo)
-		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+		cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
 		cfg.Pools[0].MayCancel = cancels
-		dial := testpeer.NewLateDial()
+		dial := testpeer.NewHeldDialer()
 		node := startNode(t, cfg, func(node *testNode) { node.upstream.SetDial(dial.Dial) })
 		client := testpeer.Dial(t, node.Addr())
 		client.Get("leaving")
 		testpeer.Receive(t, dial.Dialing, "the start of the dial")
 		client.Close()
 		testpeer.Until(t, "the engine to count the disconnect", func() bool { return node.engine.Status().Disconnected == 1 })
-		close(dial.Up)
+		close(dial.Release)
 		testpeer.Until(t, "the attempt to end", func() bool { return node.upstream.Connections() == 0 && node.engine.Status().Open == 0 })
-		if server.Seen() != 0 {
+		if server.RequestCount() != 0 {
 			t.Errorf("cancel %v: the server received the request", cancels)
 		}
 	}
@@ -104,9 +104,9 @@
 			conn.Close()
 		}
 	}()
-	dial := testpeer.NewLateDial()
+	dial := testpeer.NewHeldDialer()
 	accepted := make(chan net.Conn, 1)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", ln.Addr().String(), "in_service"))), func(node *testNode) {
 		node.upstream.SetDial(dial.Dial)
 		node.listener = recordingListener{node.listener, accepted}
 	})
@@ -116,7 +116,7 @@
 	client.Close()
 	clientSide := testpeer.Receive(t, accepted, "the client's connection")
 	testpeer.Until(t, "the operating system to report the close", func() bool { return downstream.PeekSocket(clientSide) == downstream.SocketClosed })
-	close(dial.Up)
+	close(dial.Release)
 	if text := testpeer.Receive(t, written, "the close of the server's connection"); text != "" {
 		t.Errorf("the server received %d bytes: %.40q", len(text), text)
 	}
@@ -144,7 +144,7 @@
 		}
 		return testpeer.Echo(conn, r, body)
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.setSettle(testpeer.Limit) // long enough for a slow machine
 	})
 	client := testpeer.Dial(t, node.Addr())
@@ -152,8 +152,8 @@
 		client.Get(id)
 		client.Want(t, http.StatusOK, "for "+id)
 	}
-	if server.Opened() != 2 {
-		t.Errorf("%d connections were opened, want 2", server.Opened())
+	if server.AcceptedConnections() != 2 {
+		t.Errorf("%d connections were opened, want 2", server.AcceptedConnections())
 	}
 }
 
@@ -175,7 +175,7 @@
 		return testpeer.Echo(conn, r, body)
 	}
 	one, two := testpeer.NewServer(t, reply), testpeer.NewServer(t, reply)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	client.Send("GET", "/view/k", "again", "", "20")
 	client.Want(t, http.StatusOK, "for again")
--- a/internal/http1/clients_test.go
+++ b/internal/http1/clients_test.go
@@ -52,7 +52,7 @@
 func TestConnectionLimitClosesIdleAndRejectsNew(t *testing.T) {
 	server, hold, got := startHoldingServer(t)
 	const capacity = 4
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.clients.Resize(downstream.Limits{Capacity: 2 * capacity, ServerMinimum: capacity, Reserve: 24})
 		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
@@ -60,7 +60,7 @@
 	idle.Get("idle")
 	idle.Want(t, 200, "for idle")
 	waitUntilIdle(t, node)
-	var held []*testpeer.Caller
+	var held []*testpeer.ClientConn
 	for i := range capacity {
 		client := testpeer.Dial(t, node.Addr())
 		client.Get(fmt.Sprint("held-", i))
@@ -70,7 +70,7 @@
 	idle.WantClosed(t, "the idle connection above the limit")
 	excess := testpeer.Dial(t, node.Addr()) // read and rejected, never left unread
 	excess.Get("over")
-	r, _ := excess.Answer(t)
+	r, _ := excess.ReadResponse(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("status %d, Retry-After %q, close %v; want 503 with Retry-After and close", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
@@ -154,7 +154,7 @@
 // in the meantime.
 func TestCloseIdleLosesNoReadRequest(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.clients.Resize(downstream.Limits{Capacity: 8, ServerMinimum: 4, Reserve: 24})
 		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
@@ -204,7 +204,7 @@
 			t.Errorf("%s was sent to the server, but its client got no response", id)
 		}
 	}
-	if server.Seen() == 0 {
+	if server.RequestCount() == 0 {
 		t.Error("no request reached the server")
 	}
 }
@@ -224,7 +224,7 @@
 // closed first, before they would time out, and the client is served.
 func TestClientIsServedDespiteHundredsOfSilentConnections(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
 	cfg.Capacity = 256 - 48
 	var accepting countingListener
 	node := startNode(t, cfg, func(node *testNode) {
@@ -256,7 +256,7 @@
 // Connections without a request, with an incomplete head, or idle after a response are closed by timeouts.
 func TestConnectionsWithoutRequestTimeOut(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.front.server.ReadTimeout = 300 * time.Millisecond
 		node.front.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -277,7 +277,7 @@
 // Ever new clients, requests and servers leave no state behind.
 func TestStateStaysBounded(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s0", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s0", server.Address(), "in_service"))), nil)
 	round := func(i int) {
 		l := discovery.List{Full: true, Rev: int64(i), Targets: []discovery.Target{{Endpoint: server.Address()}}}
 		l.Targets[0].ID = fmt.Sprint("s", i)
--- a/internal/http1/connerrors_test.go
+++ b/internal/http1/connerrors_test.go
@@ -27,7 +27,7 @@
 }
 
 // startHeldRequest sends a request to a server that holds it, from a client whose connection can be made to fail.
-func startHeldRequest(t *testing.T) (node *testNode, client *testpeer.Caller, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
+func startHeldRequest(t *testing.T) (node *testNode, client *testpeer.ClientConn, conn *testpeer.FaultyConn, release func(), ended <-chan struct{}) {
 	released, received, attemptEnded := make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	server := testpeer.NewServer(t, func(serverSide net.Conn, r *http.Request, body string) bool {
 		received <- struct{}{}
@@ -42,7 +42,7 @@
 		return false
 	})
 	accepted := make(chan *testpeer.FaultyConn, 10)
-	node = startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node = startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.listener = faultyConnListener{node.listener, accepted}
 	})
 	client = testpeer.Dial(t, node.Addr())
--- a/internal/http1/dialshortage_test.go
+++ b/internal/http1/dialshortage_test.go
@@ -16,7 +16,7 @@
 // run.
 func TestUnsafeRequestSurvivesDialShortage(t *testing.T) {
 	server, other := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"), testpeer.Entry("s2", other.Address(), "in_service"))), func(node *testNode) {
 		var dials atomic.Int32
 		node.upstream.SetDial(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials.Add(1) <= upstream.MaxDials+1 {
@@ -28,7 +28,7 @@
 	client := testpeer.Dial(t, node.Addr())
 	client.Send("POST", "/note/k", "once", "x", "60")
 	client.Want(t, 200, "for once")
-	if seen := server.Seen() + other.Seen(); seen != 1 {
+	if seen := server.RequestCount() + other.RequestCount(); seen != 1 {
 		t.Errorf("the servers received %d requests, want 1", seen)
 	}
 }
--- a/internal/http1/disconnect_test.go
+++ b/internal/http1/disconnect_test.go
@@ -57,7 +57,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			one, two := newHoldingServer(t), newHoldingServer(t)
-			node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
+			node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", one.Address(), "in_service"), testpeer.Entry("s2", two.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, node.Addr())
 			io.WriteString(client, getRequest("first")+c.with)
 			var holder *holdingServer
@@ -97,13 +97,13 @@
 // success that no server sent.
 func TestHalfClosedClientGetsBadGateway(t *testing.T) {
 	server := newHoldingServer(t)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	client.Get("half")
 	testpeer.Receive(t, server.received, "an attempt")
 	client.Conn.(*net.TCPConn).CloseWrite()
 	testpeer.Receive(t, server.closed, "the attempt to be cancelled")
-	r, _ := client.Answer(t)
+	r, _ := client.ReadResponse(t)
 	if r.StatusCode != http.StatusBadGateway || !r.Close {
 		t.Errorf("status %d, close %v; want 502, true", r.StatusCode, r.Close)
 	}
@@ -113,7 +113,7 @@
 // them: a connection with a read request is not idle.
 func TestPipelinedRequestsAreAllAnswered(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.clients.SetGracePeriods(gracesWithIdle(0))
 	})
 	stop := make(chan struct{})
@@ -212,12 +212,12 @@
 // Requests that were read together all get a response, even if each response should close its connection.
 func TestPipelinedRequestsAreAnsweredBeforeClose(t *testing.T) {
 	server := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	node.front.SetClosing(true)
 	client := testpeer.Dial(t, node.Addr())
 	io.WriteString(client, getRequest("a")+getRequest("b")+getRequest("c"))
 	for i, id := range []string{"a", "b", "c"} {
-		r, body := client.Answer(t)
+		r, body := client.ReadResponse(t)
 		if r.StatusCode != http.StatusOK || body != "for "+id || r.Close != (i == 2) {
 			t.Errorf("status %d, body %q, close %v", r.StatusCode, body, r.Close)
 		}
@@ -228,8 +228,8 @@
 // A request that arrives while another is served gets a response too, even if each response should close its connection.
 func TestRequestReadAheadIsAnsweredBeforeClose(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	server := testpeer.NewServer(t, testpeer.Held(hold, got))
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	server := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	node.front.SetClosing(true)
 	client := testpeer.Dial(t, node.Addr())
 	client.Get("held")
@@ -238,7 +238,7 @@
 	testpeer.Until(t, "the next request to be read", func() bool { return hasReadAhead(node) })
 	close(hold)
 	for i, id := range []string{"held", "behind"} {
-		r, body := client.Answer(t)
+		r, body := client.ReadResponse(t)
 		if r.StatusCode != http.StatusOK || body != "for "+id || r.Close != (i == 1) {
 			t.Errorf("status %d, body %q, close %v", r.StatusCode, body, r.Close)
 		}
--- a/internal/http1/front_test.go
+++ b/internal/http1/front_test.go
@@ -29,7 +29,7 @@
 		got <- receivedRequest{r, body}
 		return testpeer.Reply200(conn, responseBody)
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	longBody := strings.Repeat("b\r\n\x00", validation.MaxBufferedBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
@@ -53,8 +53,8 @@
 		forwarded.r.ContentLength != 0 {
 		t.Errorf("forwarded as %s %v", forwarded.r.Method, forwarded.r.Header)
 	}
-	if server.Opened() != 1 {
-		t.Errorf("%d connections for sequential requests, want 1", server.Opened())
+	if server.AcceptedConnections() != 1 {
+		t.Errorf("%d connections for sequential requests, want 1", server.AcceptedConnections())
 	}
 }
 
@@ -68,7 +68,7 @@
 		}
 		return testpeer.Reply200(conn, "")
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	for i := range 2 {
 		client.Send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
@@ -76,8 +76,8 @@
 		id := fmt.Sprint("break-", i)
 		client.Send("POST", "/note/k", id, "x", "60")
 		client.Want(t, http.StatusBadGateway, "")
-		if server.Seen() != 2*(i+1) {
-			t.Fatalf("%d requests reached the server, want %d", server.Seen(), 2*(i+1))
+		if server.RequestCount() != 2*(i+1) {
+			t.Fatalf("%d requests reached the server, want %d", server.RequestCount(), 2*(i+1))
 		}
 	}
 }
@@ -90,15 +90,15 @@
 		closing <- struct{}{}
 		return false
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	for i := range 50 {
 		client.Send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
 		client.Want(t, 200, "ok")
 		testpeer.Receive(t, closing, "the close")
 	}
-	if server.Seen() != 50 || server.Opened() != 50 {
-		t.Errorf("%d requests on %d connections, want 50 on 50", server.Seen(), server.Opened())
+	if server.RequestCount() != 50 || server.AcceptedConnections() != 50 {
+		t.Errorf("%d requests on %d connections, want 50 on 50", server.RequestCount(), server.AcceptedConnections())
 	}
 }
 
@@ -115,7 +115,7 @@
 		})
 		return replies && testpeer.Echo(conn, r, body)
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	client.Send("POST", "/note/k", "leaving", "x", "60")
 	testpeer.Receive(t, received, "the attempt")
@@ -124,7 +124,7 @@
 	again := testpeer.Dial(t, node.Addr())
 	testpeer.Until(t, "the id to be free for reuse", func() bool {
 		again.Send("POST", "/note/k", "leaving", "x", "60")
-		r, _ := again.Answer(t)
+		r, _ := again.ReadResponse(t)
 		return r.StatusCode == 200
 	})
 }
@@ -136,7 +136,7 @@
 		closedAt <- struct{}{}
 		return false
 	})
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = config.Duration(300 * time.Millisecond)
 	}
@@ -146,24 +146,24 @@
 	client.Want(t, http.StatusBadGateway, "") // the request may have run, so it is not rejected with 503
 	testpeer.Receive(t, closedAt, "the close")
 	client.Get("safe")
-	r, _ := client.Answer(t)
+	r, _ := client.ReadResponse(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q; want 503 with Retry-After", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	testpeer.Receive(t, closedAt, "the close")
-	if server.Seen() != 2 {
-		t.Errorf("%d requests reached the server, want 2", server.Seen())
+	if server.RequestCount() != 2 {
+		t.Errorf("%d requests reached the server, want 2", server.RequestCount())
 	}
 }
 
 // A request that the balancer gives up is rejected at once with Retry-After, though its deadline is far away.
 func TestUnreachableServerIsRejectedAtOnceWithRetryAfter(t *testing.T) {
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service")))
 	node := startNode(t, cfg, nil)
 	client := testpeer.Dial(t, node.Addr())
 	begin := time.Now()
 	client.Send("POST", "/note/k", "x", "x", "60")
-	r, _ := client.Answer(t)
+	r, _ := client.ReadResponse(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > testpeer.Limit {
 		t.Errorf("status %d, Retry-After %q after %v; want 503 with Retry-After", r.StatusCode, r.Header.Get("Retry-After"), time.Since(begin))
 	}
@@ -173,8 +173,8 @@
 // restarted server: whatever still arrives on them belongs to the old one.
 func TestConnectionsBelongToOneServerIncarnation(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	server := testpeer.NewServer(t, testpeer.Held(hold, got))
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	server := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	held, client := testpeer.Dial(t, node.Addr()), testpeer.Dial(t, node.Addr())
 	held.Get("held")
 	testpeer.Receive(t, got, "the attempt")
@@ -182,12 +182,12 @@
 	client.Want(t, 200, "for one")
 	for i, next := range []string{testpeer.Entry("s2", server.Address(), "in_service"),
 		strings.Replace(testpeer.Entry("s2", server.Address(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1)} {
-		list, err := discovery.Parse([]byte(strings.Replace(testpeer.Whole(next), "%d", "9", 1)))
+		list, err := discovery.Parse([]byte(strings.Replace(testpeer.FullSnapshot(next), "%d", "9", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		node.engine.UpdateList(list)
-		before := server.Opened()
+		before := server.AcceptedConnections()
 		testpeer.Until(t, "the list to be applied", func() bool {
 			got, _ := node.backend.server("s2")
 			want := list.Targets[0]
@@ -201,8 +201,8 @@
 		}
 		client.Get(fmt.Sprint("next-", i))
 		client.Want(t, 200, fmt.Sprint("for next-", i))
-		if server.Opened() != before+1 {
-			t.Errorf("incarnation %d: %d connections after %d, want one more", i, server.Opened(), before)
+		if server.AcceptedConnections() != before+1 {
+			t.Errorf("incarnation %d: %d connections after %d, want one more", i, server.AcceptedConnections(), before)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 		<-hold
 		return testpeer.Echo(c, r, body)
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), func(node *testNode) {
 		node.front.server.ReadHeaderTimeout, node.front.bodyGrace = 300*time.Millisecond, 300*time.Millisecond
 	})
 	first := testpeer.Dial(t, node.Addr())
@@ -283,8 +283,8 @@
 	io.WriteString(halfClosed, "POST /note/k HTTP/1.1\r\n"+validHeaders+"Content-Length: 10\r\n\r\nhalf")
 	halfClosed.Conn.(*net.TCPConn).CloseWrite()
 	io.Copy(io.Discard, halfClosed.Reader) // a response or none, and the connection closes
-	if server.Seen() != 1 {
-		t.Errorf("%d requests reached the server, want only the valid one", server.Seen())
+	if server.RequestCount() != 1 {
+		t.Errorf("%d requests reached the server, want only the valid one", server.RequestCount())
 	}
 	close(hold)
 	first.Want(t, 200, "for used")
@@ -294,7 +294,7 @@
 // attempts of other clients look like retries whose latency objective has passed, which are rejected at once.
 func TestLongLastAttemptDoesNotAffectFirstAttempts(t *testing.T) {
 	server, hold, got := startHoldingServer(t)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	getView := func(id, deadline string) {
 		t.Helper()
@@ -305,7 +305,7 @@
 		getView(fmt.Sprint("first-", i), "25")
 	}
 	getView("last", "59.9")
-	var busy []*testpeer.Caller // with these in flight there is capacity for a first attempt, but none for a retry
+	var busy []*testpeer.ClientConn // with these in flight there is capacity for a first attempt, but none for a retry
 	for i := range 9 {
 		busy = append(busy, testpeer.Dial(t, node.Addr()))
 		busy[i].Send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
@@ -315,7 +315,7 @@
 		getView(fmt.Sprint("another-", i), "25")
 	}
 	client.Send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
-	if r, _ := client.Answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
+	if r, _ := client.ReadResponse(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("a retry past its latency objective: status %d, Retry-After %q; want 503 with Retry-After", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	close(hold)
@@ -354,12 +354,12 @@
 		{config.AsSentPaths, "GET", "/view/..%2fnote/k", 400, ""},
 		{config.AsSentPaths, "GET", `/view/..\note`, 400, ""},
 	} {
-		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service")))
+		cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service")))
 		cfg.Listeners[0].Paths = c.paths
 		node := startNode(t, cfg, nil)
 		client := testpeer.Dial(t, node.Addr())
 		client.Send(c.method, c.target, "id", "", "60")
-		r, body := client.Answer(t)
+		r, body := client.ReadResponse(t)
 		sent := ""
 		if r.StatusCode == 200 {
 			sent = testpeer.Receive(t, got, "the request")
@@ -392,18 +392,18 @@
 		{"path rejected by strict paths", func(c *config.Config) { c.Listeners[0].Paths = config.StrictPaths }, 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+			node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 			client := testpeer.Dial(t, node.Addr())
 			fmt.Fprint(client, "POST /note//k HTTP/1.1\r\nHost: h\r\nX-Request-Id: id\r\nX-Deadline: 60\r\nContent-Length: 2\r\n\r\no")
 			testpeer.Until(t, "the request's head to be read", func() bool { return node.clients.CountPhase(downstream.PhaseReading) > 0 })
-			before := server.Seen()
+			before := server.RequestCount()
 			next := testpeer.Config()
 			c.change(next)
 			node.dispatcher.Swap(node.snapshot(t, next), func() {})
 			io.WriteString(client, "k")
-			r, body := client.Answer(t)
-			if r.StatusCode != c.status || (server.Seen() > before) != (c.status == 200) {
-				t.Errorf("status %d, body %q, %d requests reached the server; want status %d", r.StatusCode, body, server.Seen()-before, c.status)
+			r, body := client.ReadResponse(t)
+			if r.StatusCode != c.status || (server.RequestCount() > before) != (c.status == 200) {
+				t.Errorf("status %d, body %q, %d requests reached the server; want status %d", r.StatusCode, body, server.RequestCount()-before, c.status)
 			}
 			if c.status == 503 && (r.Header.Get("Retry-After") == "" || !r.Close) {
 				t.Errorf("Retry-After %q, close %v; want a Retry-After and a close", r.Header.Get("Retry-After"), r.Close)
--- a/internal/http1/request_bench_test.go
+++ b/internal/http1/request_bench_test.go
@@ -86,7 +86,7 @@
 	for i := range servers {
 		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), startMinimalServer(b, serviceTime, &accepted), "in_service"))
 	}
-	node := startNode(b, testConfig(testpeer.Whole(entries...)), func(node *testNode) { node.setSettle(upstream.DefaultSettleDelay) })
+	node := startNode(b, testConfig(testpeer.FullSnapshot(entries...)), func(node *testNode) { node.setSettle(upstream.DefaultSettleDelay) })
 	var (
 		mu sync.Mutex
 		wg sync.WaitGroup
--- a/internal/http1/serverhealth_test.go
+++ b/internal/http1/serverhealth_test.go
@@ -139,11 +139,11 @@
 		t.Run(fmt.Sprint("one served in ", servedOneIn), func(t *testing.T) {
 			fleet := newTestFleet(servedOneIn, 0, "s3 view", "s4 view", "s5 view", "s6 view")
 			list := []string{fleet.serve(t, "s1"), fleet.serve(t, "s2"), fleet.serve(t, "s3"), fleet.serve(t, "s4")}
-			node := startNode(t, testConfig(testpeer.Whole(list...)), nil)
+			node := startNode(t, testConfig(testpeer.FullSnapshot(list...)), nil)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = fleet.serve(t, "s5"), fleet.serve(t, "s6")
-					node.updateList(t, testpeer.Whole(list...))
+					node.updateList(t, testpeer.FullSnapshot(list...))
 					testpeer.Until(t, "the new list to be applied", func() bool {
 						_, listed := node.backend.server("s6")
 						return listed
@@ -171,7 +171,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, fleet.serve(t, uid))
 	}
-	cfg := testConfig(testpeer.Whole(list...))
+	cfg := testConfig(testpeer.FullSnapshot(list...))
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = config.Duration(900 * time.Millisecond)
 	}
@@ -189,7 +189,7 @@
 func TestHangingRequestsAreRetriedInTime(t *testing.T) {
 	fleet := newTestFleet(0, 0)
 	fleet.hangsOneIn = 5
-	cfg := testConfig(testpeer.Whole(fleet.serve(t, "s1"), fleet.serve(t, "s2"), fleet.serve(t, "s3"), fleet.serve(t, "s4")))
+	cfg := testConfig(testpeer.FullSnapshot(fleet.serve(t, "s1"), fleet.serve(t, "s2"), fleet.serve(t, "s3"), fleet.serve(t, "s4")))
 	cfg.Pools[0].Tier = 1
 	node := startNode(t, cfg, nil)
 	const clients, requestsEach = 8, 20
@@ -232,7 +232,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, fleet.serve(t, uid))
 	}
-	node := startNode(t, testConfig(testpeer.Whole(list...)), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(list...)), nil)
 	runLoad(t, node, 20, 100)
 	fleet.mu.Lock()
 	clear(fleet.failing)
@@ -259,7 +259,7 @@
 			for _, uid := range uids {
 				list = append(list, fleet.serve(t, uid))
 			}
-			node := startNode(t, testConfig(testpeer.Whole(list...)), nil)
+			node := startNode(t, testConfig(testpeer.FullSnapshot(list...)), nil)
 			runLoad(t, node, 6, 60)
 			share := fleet.countRequests()
 			runLoad(t, node, 6, 200)
--- a/internal/http1/streaming_bench_test.go
+++ b/internal/http1/streaming_bench_test.go
@@ -21,7 +21,7 @@
 		_, err := conn.Write(text)
 		return err == nil
 	})
-	node := startNode(b, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(b, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(b, node.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
@@ -41,7 +41,7 @@
 func BenchmarkLongBody(b *testing.B) {
 	text := randomBytes(benchSize)
 	ln := startRawServer(b, func(conn net.Conn, r *http.Request) {
-		for in := testpeer.On(conn); ; {
+		for in := testpeer.NewClientConn(conn); ; {
 			if got, err := io.Copy(io.Discard, r.Body); got != benchSize || err != nil || !testpeer.Reply200(conn, "") {
 				return
 			}
@@ -51,7 +51,7 @@
 			}
 		}
 	})
-	node := startNode(b, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	node := startNode(b, testConfig(testpeer.FullSnapshot(entry("s1", ln))), nil)
 	client := testpeer.Dial(b, node.Addr())
 	b.SetBytes(benchSize)
 	b.ReportAllocs()
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -50,7 +50,7 @@
 			wg.Go(func() {
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(2 * testpeer.Limit))
-				reader := testpeer.On(c)
+				reader := testpeer.NewClientConn(c)
 				if r, err := http.ReadRequest(reader.Reader); err == nil {
 					serve(c, r)
 				}
@@ -88,11 +88,11 @@
 		}
 		return true
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	for i, framing := range []string{"length", "chunks", "none", "end", "none"} {
 		client.Send("GET", "/view/k?"+framing, fmt.Sprint("r", i), "", "60")
-		r, got := client.Answer(t)
+		r, got := client.ReadResponse(t)
 		if framing == "none" {
 			if got != fmt.Sprint("for r", i) {
 				t.Errorf("response after a long one: %q", got)
@@ -103,8 +103,8 @@
 			t.Errorf("%s: status %d, %d of %d bytes, or different bytes", framing, r.StatusCode, len(got), len(want))
 		}
 	}
-	if server.Opened() != 2 {
-		t.Errorf("%d connections to the server, want 2: one is used until a response that ends with the connection", server.Opened())
+	if server.AcceptedConnections() != 2 {
+		t.Errorf("%d connections to the server, want 2: one is used until a response that ends with the connection", server.AcceptedConnections())
 	}
 }
 
@@ -123,7 +123,7 @@
 			}
 		}
 	})
-	node := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	client.Get("slow")
 	r, err := http.ReadResponse(client.Reader, nil)
@@ -155,7 +155,7 @@
 			}
 			conn.Write(randomBytes(100000))
 		})
-		node := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+		node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln))), nil)
 		client := testpeer.Dial(t, node.Addr())
 		client.Get("cut")
 		r, err := http.ReadResponse(client.Reader, nil)
@@ -185,7 +185,7 @@
 			}
 		}
 	})
-	node := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	client.Get("leaving")
 	if _, err := http.ReadResponse(client.Reader, nil); err != nil {
@@ -197,7 +197,7 @@
 }
 
 // sendUpload sends a request's head and returns functions that send parts of its body and its end.
-func sendUpload(client *testpeer.Caller, id string, size int, chunked bool) (write func([]byte) error, end func()) {
+func sendUpload(client *testpeer.ClientConn, id string, size int, chunked bool) (write func([]byte) error, end func()) {
 	frame := fmt.Sprintf("Content-Length: %d", size)
 	if chunked {
 		frame = "Transfer-Encoding: chunked"
@@ -215,7 +215,7 @@
 	server := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		return testpeer.Reply200(conn, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	for _, size := range []int{1, validation.MaxBufferedBody, validation.MaxBufferedBody + 1, longBodySize} {
 		for _, chunked := range []bool{false, true} {
 			client := testpeer.Dial(t, node.Addr())
@@ -237,8 +237,8 @@
 			}
 		}
 	}
-	if server.Opened() != 1 {
-		t.Errorf("%d connections to the server for sequential requests, want 1", server.Opened())
+	if server.AcceptedConnections() != 1 {
+		t.Errorf("%d connections to the server for sequential requests, want 1", server.AcceptedConnections())
 	}
 }
 
@@ -246,7 +246,7 @@
 // server that broke off never received all of it, so it can't have run.
 func TestUploadBrokenByServer(t *testing.T) {
 	good := testpeer.NewServer(t, testpeer.Echo)
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", testpeer.ClosedPort(t), "in_service"),
 		testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	for i := range 10 { // sometimes the server with the closed port is chosen first
 		client := testpeer.Dial(t, node.Addr())
@@ -262,11 +262,11 @@
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		conn.(*net.TCPConn).SetLinger(0)
 	})
-	brokenNode := startNode(t, testConfig(testpeer.Whole(entry("s1", ln), entry("s2", ln))), nil)
+	brokenNode := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln), entry("s2", ln))), nil)
 	client := testpeer.Dial(t, brokenNode.Addr())
 	write, _ := sendUpload(client, "broken", longBodySize, false)
 	go write(randomBytes(longBodySize))
-	r, _ := client.Answer(t)
+	r, _ := client.ReadResponse(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("status %d, Retry-After %q, close %v; want 503 with Retry-After and close", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
@@ -283,7 +283,7 @@
 		io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, conn)
 	})
-	node := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	write, _ := sendUpload(client, "early", 10<<20, false)
 	if err := write(randomBytes(200 << 10)); err != nil { // the rest is never sent
@@ -305,7 +305,7 @@
 	good := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		return testpeer.Reply200(conn, fmt.Sprintf("%x", sha256.Sum256([]byte(body))))
 	})
-	node := startNode(t, testConfig(testpeer.Whole(entry("s1", full), testpeer.Entry("s2", good.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", full), testpeer.Entry("s2", good.Address(), "in_service"))), nil)
 	statuses := map[int]int{}
 	for i := range 60 {
 		client := testpeer.Dial(t, node.Addr())
@@ -318,7 +318,7 @@
 			}
 			end()
 		}()
-		r, body := client.Answer(t)
+		r, body := client.ReadResponse(t)
 		if statuses[r.StatusCode]++; r.StatusCode == 200 && body != fmt.Sprintf("%x", sha256.Sum256(upload)) {
 			t.Errorf("upload %d was altered on the way to the server", i)
 		}
@@ -337,7 +337,7 @@
 		_, err := io.Copy(io.Discard, r.Body)
 		complete <- err
 	})
-	node := startNode(t, testConfig(testpeer.Whole(entry("s1", ln))), func(node *testNode) { node.front.bodyGrace = 300 * time.Millisecond })
+	node := startNode(t, testConfig(testpeer.FullSnapshot(entry("s1", ln))), func(node *testNode) { node.front.bodyGrace = 300 * time.Millisecond })
 	for _, leaves := range []bool{true, false} {
 		client := testpeer.Dial(t, node.Addr())
 		write, _ := sendUpload(client, fmt.Sprint("cut", leaves), longBodySize, false)
@@ -366,7 +366,7 @@
 // A request may arrive in pieces split at any byte, as long as the body is not slower than the minimum rate with its grace.
 func TestBodyInSmallPiecesIsAccepted(t *testing.T) {
 	server := testpeer.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool { return testpeer.Reply200(conn, body) })
-	node := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
+	node := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", server.Address(), "in_service"))), nil)
 	client := testpeer.Dial(t, node.Addr())
 	text := "POST http://backend.local/note/k HTTP/1.1\r\nhost:h\r\nX-Request-Id:  pieces \r\nx-deadline: 60\r\n" +
 		"TRANSFER-ENCODING: Chunked\r\n\r\n2\r\nok\r\n1;x=y\r\n!\r\n0\r\nTrailer: t\r\n\r\n"
@@ -438,7 +438,7 @@
 		if complete.state != pieces.state || complete.hasContentLength != pieces.hasContentLength || complete.hasTransferCoding != pieces.hasTransferCoding {
 			t.Fatalf("%q: %+v in one piece, %+v in pieces of %d bytes", text, complete, pieces, int(size)+1)
 		}
-		r, err := http.ReadRequest(testpeer.On(&readOnlyConn{Reader: bytes.NewReader(text)}).Reader)
+		r, err := http.ReadRequest(testpeer.NewClientConn(&readOnlyConn{Reader: bytes.NewReader(text)}).Reader)
 		if err != nil || len(r.TransferEncoding) == 0 {
 			return
 		}
--- a/internal/node/bad_clients_test.go
+++ b/internal/node/bad_clients_test.go
@@ -86,7 +86,7 @@
 	}
 	hung := testpeer.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool { io.Copy(io.Discard, c); return false })
 	one, two := testpeer.NewServer(t, hangsSometimes), testpeer.NewServer(t, hangsSometimes)
-	n, stop := startNode(t, shortConfig(time.Second, testpeer.Whole(testpeer.Entry("s1", one.Address(), "in_service"),
+	n, stop := startNode(t, shortConfig(time.Second, testpeer.FullSnapshot(testpeer.Entry("s1", one.Address(), "in_service"),
 		testpeer.Entry("s2", two.Address(), "in_service"), testpeer.Entry("s3", hung.Address(), "in_service"))), nil)
 	stopClients := make(chan struct{})
 	var bad, good sync.WaitGroup
--- a/internal/node/change_bench_test.go
+++ b/internal/node/change_bench_test.go
@@ -28,7 +28,7 @@
 func measureLatency(b *testing.B, changing bool) {
 	var servers []*testpeer.Server
 	for i := range 4 {
-		server := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i)})
+		server := testpeer.NewFaultyServer(testpeer.FaultyServerOptions{Name: fmt.Sprint("b", i), MeanServiceTime: 2 * time.Millisecond, Seed: uint64(i)})
 		servers = append(servers, testpeer.NewServer(b, server.Serve))
 	}
 	configOf := func(i int) *config.Config {
@@ -48,7 +48,7 @@
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
-		testpeer.Load{Audit: audit, Callers: 16, Addresses: func() []string { return []string{n.Addr("main")} }, Notes: 0.5,
+		testpeer.Load{Audit: audit, Clients: 16, Addresses: func() []string { return []string{n.Addr("main")} }, UnsafeShare: 0.5,
 			Deadline: testpeer.Limit, Seed: 1}.Run(ctx)
 		close(done)
 	}()
@@ -72,15 +72,15 @@
 	if err := <-ended; err != nil {
 		b.Fatal(err)
 	}
-	verdict := audit.Heard()
-	slices.Sort(verdict.Times)
+	verdict := audit.Outcomes()
+	slices.Sort(verdict.Latencies)
 	slices.Sort(swaps)
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(float64(verdict.Calls), "calls")
+	b.ReportMetric(float64(verdict.Requests), "calls")
 	b.ReportMetric(float64(changes), "changes")
-	b.ReportMetric(float64(verdict.Refused+verdict.Failed+verdict.NotTaken), "not-served")
-	b.ReportMetric(float64(verdict.Times[len(verdict.Times)/2].Microseconds()), "p50-us")
-	b.ReportMetric(float64(verdict.Times[len(verdict.Times)*99/100].Microseconds()), "p99-us")
+	b.ReportMetric(float64(verdict.Refused+verdict.Failed+verdict.NoResponse), "not-served")
+	b.ReportMetric(float64(verdict.Latencies[len(verdict.Latencies)/2].Microseconds()), "p50-us")
+	b.ReportMetric(float64(verdict.Latencies[len(verdict.Latencies)*99/100].Microseconds()), "p99-us")
 	if len(swaps) > 0 {
 		b.ReportMetric(float64(swaps[len(swaps)/2].Microseconds()), "commit-p50-us")
 	}
--- a/internal/node/change_rollback_test.go
+++ b/internal/node/change_rollback_test.go
@@ -30,8 +30,8 @@
 func TestChangeRollsBackOnEveryFault(t *testing.T) {
 	a, b := newTestServer(t, "a"), newTestServer(t, "b")
 	agent, other := testpeer.NewAgent(t), testpeer.NewAgent(t)
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "in_service")))
-	other.Tell(false, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")))
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("a", a.Address(), "in_service")))
+	other.Tell(false, testpeer.FullSnapshot(testpeer.Entry("b", b.Address(), "in_service")))
 	registered := func(name string, at *testpeer.Agent) config.Pool {
 		p := staticPool(name)
 		p.Registry = &config.Registry{Address: at.Address(), Mode: config.Pushed}
--- a/internal/node/change_test.go
+++ b/internal/node/change_test.go
@@ -33,7 +33,7 @@
 	kept := testpeer.Dial(t, main)
 	kept.Get("kept")
 	kept.Want(t, 200, "a")
-	opened := a.Opened()
+	opened := a.AcceptedConnections()
 	applyConfig(t, n, second)
 	if n.Addr("main") != main {
 		t.Errorf("listener moved from %s to %s", main, n.Addr("main"))
@@ -43,8 +43,8 @@
 	wantServed(t, n, "side", "/view/k", "b")
 	kept.Get("kept again") // the connection stays open with its listener
 	kept.Want(t, 200, "a")
-	if a.Opened() != opened {
-		t.Errorf("pool that stayed opened %d more connections to its server", a.Opened()-opened)
+	if a.AcceptedConnections() != opened {
+		t.Errorf("pool that stayed opened %d more connections to its server", a.AcceptedConnections()-opened)
 	}
 
 	side := n.Addr("side")
@@ -113,8 +113,8 @@
 	served.Want(t, 200, "old")
 	broken.Want(t, http.StatusBadGateway, "")
 	testpeer.Until(t, "the old pool to be closed", func() bool { return len(n.Retiring()) == 0 })
-	if next.Seen() != 1 || old.Seen() != 2 {
-		t.Errorf("got %d requests at the new server and %d at the old, want 1 and 2", next.Seen(), old.Seen())
+	if next.RequestCount() != 1 || old.RequestCount() != 2 {
+		t.Errorf("got %d requests at the new server and %d at the old, want 1 and 2", next.RequestCount(), old.RequestCount())
 	}
 }
 
@@ -138,8 +138,8 @@
 		applyConfig(t, n, next)
 		close(hold)
 		c.Want(t, http.StatusBadGateway, "")
-		if s.Seen() != 1 || other.Seen() != 0 {
-			t.Errorf("pool %s: got %d and %d attempts, want 1 and 0", pool, s.Seen(), other.Seen())
+		if s.RequestCount() != 1 || other.RequestCount() != 0 {
+			t.Errorf("pool %s: got %d and %d attempts, want 1 and 0", pool, s.RequestCount(), other.RequestCount())
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	n := startWithConfig(t, configWithPools(staticPool("p", a)), Options{})
 	silent, empty, late := testpeer.NewAgent(t), testpeer.NewAgent(t), testpeer.NewAgent(t)
 	silent.Tell(true, "")
-	empty.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "terminating")))
+	empty.Tell(false, testpeer.FullSnapshot(testpeer.Entry("a", a.Address(), "terminating")))
 	late.Tell(true, "")
 	with := func(name string, at *testpeer.Agent) *config.Config {
 		p := staticPool(name)
@@ -228,8 +228,8 @@
 		}
 		done <- err
 	}()
-	testpeer.Receive(t, late.Asked, "a poll")
-	late.Tell(false, testpeer.Whole(testpeer.Entry("a", a.Address(), "in_service")))
+	testpeer.Receive(t, late.Queries, "a poll")
+	late.Tell(false, testpeer.FullSnapshot(testpeer.Entry("a", a.Address(), "in_service")))
 	if err := testpeer.Receive(t, done, "the change"); err != nil {
 		t.Error(err)
 	}
@@ -249,7 +249,7 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 				close(rejected)
 			case 2:
-				fmt.Fprintf(w, testpeer.Whole(testpeer.Entry("b", b.Address(), "in_service")), 1)
+				fmt.Fprintf(w, testpeer.FullSnapshot(testpeer.Entry("b", b.Address(), "in_service")), 1)
 			default:
 				<-r.Context().Done()
 			}
@@ -336,7 +336,7 @@
 		_, err := n.Prepare(t.Context(), configWithPools(waiting), testpeer.Limit)
 		prepared <- err
 	}()
-	testpeer.Receive(t, silent.Asked, "the first request of the new watch")
+	testpeer.Receive(t, silent.Queries, "the first request of the new watch")
 	cancel()
 	if err := testpeer.Receive(t, prepared, "the change"); !errors.Is(err, ErrShuttingDown) {
 		t.Errorf("got error %v, want ErrShuttingDown", err)
@@ -387,10 +387,10 @@
 	if testing.Short() {
 		changes = 30
 	}
-	var backends []*testpeer.Box
+	var backends []*testpeer.FaultyServer
 	var servers []*testpeer.Server
 	for i := range 4 {
-		b := testpeer.NewBox(testpeer.BoxOptions{Name: fmt.Sprint("b", i), Service: 2 * time.Millisecond, Seed: uint64(i),
+		b := testpeer.NewFaultyServer(testpeer.FaultyServerOptions{Name: fmt.Sprint("b", i), MeanServiceTime: 2 * time.Millisecond, Seed: uint64(i),
 			Faults: testpeer.Faults{Fail: 0.01, Refuse: 0.02, Reset: 0.01, Cut: 0.005}})
 		backends = append(backends, b)
 		servers = append(servers, testpeer.NewServer(t, b.Serve))
@@ -413,7 +413,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		testpeer.Load{Audit: audit, Callers: 16, Addresses: func() []string { return []string{one, one, two} }, Notes: 0.5,
+		testpeer.Load{Audit: audit, Clients: 16, Addresses: func() []string { return []string{one, one, two} }, UnsafeShare: 0.5,
 			Deadline: testpeer.Limit, Pause: time.Millisecond, Seed: 1}.Run(ctx)
 		close(done)
 	}()
@@ -424,17 +424,17 @@
 	stop()
 	testpeer.Receive(t, done, "the clients' last responses")
 	testpeer.Until(t, "all retired pools to be closed", func() bool { return len(n.Retiring()) == 0 })
-	verdict := audit.Judge(backends...)
-	for i, w := range verdict.Wrong {
+	verdict := audit.Check(backends...)
+	for i, w := range verdict.Violations {
 		if i < 10 {
 			t.Error(w)
 		}
 	}
-	if verdict.Calls < 500 || verdict.Served < verdict.Calls/2 {
-		t.Errorf("got %d requests and %d served, want at least 500 and half of them served", verdict.Calls, verdict.Served)
+	if verdict.Requests < 500 || verdict.Served < verdict.Requests/2 {
+		t.Errorf("got %d requests and %d served, want at least 500 and half of them served", verdict.Requests, verdict.Served)
 	}
-	t.Logf("%d changes; %d requests: %d served, %d rejected (%.2f %%), %d failed, %d not accepted", changes, verdict.Calls, verdict.Served, verdict.Refused,
-		100*float64(verdict.Refused)/float64(verdict.Calls), verdict.Failed, verdict.NotTaken)
+	t.Logf("%d changes; %d requests: %d served, %d rejected (%.2f %%), %d failed, %d not accepted", changes, verdict.Requests, verdict.Served, verdict.Refused,
+		100*float64(verdict.Refused)/float64(verdict.Requests), verdict.Failed, verdict.NoResponse)
 }
 
 // A listener whose protocol changes while its accepts fail is switched at once, without waiting for an accept to succeed.
--- a/internal/node/failures_test.go
+++ b/internal/node/failures_test.go
@@ -112,9 +112,9 @@
 		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), s.Address(), "in_service"))
 	}
 	agent := testpeer.NewAgent(t)
-	agent.Tell(false, testpeer.Whole(entries...))
-	faults := testpeer.NewCallFaults(seed, 0.25, 0.05)
-	cfg := testConfig(testpeer.Whole(entries...))
+	agent.Tell(false, testpeer.FullSnapshot(entries...))
+	faults := testpeer.NewSyscallFaults(seed, 0.25, 0.05)
+	cfg := testConfig(testpeer.FullSnapshot(entries...))
 	*cfg.registry() = agent.Address()
 	settle := time.Millisecond
 	cfg.Options.settle = &settle
@@ -135,7 +135,7 @@
 	for c := range clients {
 		clientGroup.Go(func() { runClient(node.Addr("main"), c, requests, results) })
 	}
-	agent.Tell(false, testpeer.Whole(entries[1:]...)) // during the failures
+	agent.Tell(false, testpeer.FullSnapshot(entries[1:]...)) // during the failures
 	clientGroup.Wait()
 	close(results)
 	for result := range results {
@@ -222,7 +222,7 @@
 }
 
 // checkResult checks the result of a request.
-func checkResult(t *testing.T, result clientResult, faults *testpeer.CallFaults, backends []*testpeer.Server) {
+func checkResult(t *testing.T, result clientResult, faults *testpeer.SyscallFaults, backends []*testpeer.Server) {
 	t.Helper()
 	ran := 0
 	for _, s := range backends {
--- a/internal/node/fastcgi_test.go
+++ b/internal/node/fastcgi_test.go
@@ -83,7 +83,7 @@
 func TestListenerChangesProtocol(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	echoServer := testpeer.NewServer(t, testpeer.Echo)
-	heldServer := testpeer.NewServer(t, testpeer.Held(hold, got))
+	heldServer := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
 	cfg := configWithPools(staticPool("boxes", heldServer))
 	n := startWithConfig(t, cfg, Options{})
 	address := n.Addr("main")
@@ -99,7 +99,7 @@
 		t.Errorf("got FastCGI response %q", got)
 	}
 	close(hold)
-	if r, body := old.Answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
+	if r, body := old.ReadResponse(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held request: got %d %q, close %v; want 200, close true", r.StatusCode, body, r.Close)
 	}
 	applyConfig(t, n, cfg)
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -102,7 +102,7 @@
 	client := testpeer.Dial(t, address)
 	defer client.Close()
 	client.Send(method, target, fmt.Sprint("ask-", rand.Uint64()), "x", "60")
-	response, body := client.Answer(t)
+	response, body := client.ReadResponse(t)
 	return response.StatusCode, body
 }
 
--- a/internal/node/management_test.go
+++ b/internal/node/management_test.go
@@ -46,7 +46,7 @@
 	c := testpeer.Dial(t, address)
 	defer c.Close()
 	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	r, _ := c.Answer(t)
+	r, _ := c.ReadResponse(t)
 	return r.StatusCode, r.Close
 }
 
@@ -54,8 +54,8 @@
 // their connections are closed afterwards. Resume makes the node ready and keeps connections open again.
 func TestQuiesceAndResume(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := testpeer.NewServer(t, testpeer.Held(hold, got))
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
+	s := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
 	cfg.Node.Management = "127.0.0.1:0"
 	n, _ := startNode(t, cfg, nil)
 	testpeer.Until(t, "the node to be ready", func() bool { return management(t, n, "health") == "+OK ready\n" })
@@ -79,11 +79,11 @@
 	idle.WantClosed(t, "an idle connection after quiesce")
 	late := testpeer.Dial(t, n.Addr("main"))
 	late.Get("late")
-	if r, body := late.Answer(t); r.StatusCode != 200 || body != "for late" || !r.Close {
+	if r, body := late.ReadResponse(t); r.StatusCode != 200 || body != "for late" || !r.Close {
 		t.Errorf("late request: got %d %q, close %v; want 200, close true", r.StatusCode, body, r.Close)
 	}
 	close(hold)
-	if r, body := held.Answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
+	if r, body := held.ReadResponse(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held request: got %d %q, close %v; want 200, close true", r.StatusCode, body, r.Close)
 	}
 
@@ -114,7 +114,7 @@
 		}
 		return testpeer.Echo(c, r, body)
 	})
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", s.Address(), "terminating")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service"), testpeer.Entry("s2", s.Address(), "terminating")))
 	cfg.Node.Management = "127.0.0.1:0"
 	n, _ := startNode(t, cfg, nil)
 	statuses := map[string]map[int]int64{"view": {}, "note": {}}
@@ -125,7 +125,7 @@
 			class, method = "note", "POST"
 		}
 		c.Send(method, "/"+class+"/k", fmt.Sprint([]string{"ok", "fail", "ok", "full"}[i/2%4], i), "", "60")
-		r, _ := c.Answer(t)
+		r, _ := c.ReadResponse(t)
 		statuses[class][r.StatusCode]++
 	}
 	var got struct {
@@ -147,8 +147,8 @@
 			t.Errorf("%s: clients got %v, metrics are %+v", class, counts, got)
 		}
 	}
-	if got.Relayed != int64(s.Seen()) || got.Listed != 2 || got.Avoided < 1 || got.Avoided > 2 { // s1 may be avoided because of its failures
-		t.Errorf("%d requests reached the servers, metrics are %+v", s.Seen(), got)
+	if got.Relayed != int64(s.RequestCount()) || got.Listed != 2 || got.Avoided < 1 || got.Avoided > 2 { // s1 may be avoided because of its failures
+		t.Errorf("%d requests reached the servers, metrics are %+v", s.RequestCount(), got)
 	}
 }
 
@@ -159,7 +159,7 @@
 	s := testpeer.NewServer(t, testpeer.Echo)
 	folder := t.TempDir()
 	process := func(address string) (*Node, func() error) {
-		cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
+		cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
 		if address != "" {
 			cfg.Listeners[0].Address = address
 		}
@@ -182,7 +182,7 @@
 	var load sync.WaitGroup
 	for i := range 8 {
 		load.Go(func() {
-			var c *testpeer.Caller
+			var c *testpeer.ClientConn
 			for k := 0; ; k++ {
 				select {
 				case <-stopLoad:
@@ -196,7 +196,7 @@
 						return
 					}
 					nc.SetDeadline(time.Now().Add(testpeer.Limit))
-					c = testpeer.On(nc)
+					c = testpeer.NewClientConn(nc)
 					connections.Add(1)
 				}
 				id := fmt.Sprint(i, "-", k)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -59,7 +59,7 @@
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	agent := testpeer.NewAgent(t)
-	list := testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service"), testpeer.Entry("s2", b.Address(), "in_service"))
+	list := testpeer.FullSnapshot(testpeer.Entry("s1", a.Address(), "in_service"), testpeer.Entry("s2", b.Address(), "in_service"))
 	agent.Tell(false, list)
 	cfg := testConfig(list)
 	*cfg.registry() = agent.Address()
@@ -75,23 +75,23 @@
 		c.Want(t, 200, fmt.Sprint("for r", i))
 	}
 	awaitPoll := func() {
-		for revision := agent.Rev(); !strings.Contains(testpeer.Receive(t, agent.Asked, "the next watch"), fmt.Sprint("from=", revision)); {
+		for revision := agent.Rev(); !strings.Contains(testpeer.Receive(t, agent.Queries, "the next watch"), fmt.Sprint("from=", revision)); {
 		}
 	}
 	awaitPoll()
-	for a.Seen() == 0 || b.Seen() == 0 {
+	for a.RequestCount() == 0 || b.RequestCount() == 0 {
 		send()
 	}
 	for _, state := range []string{"terminating", "terminated"} {
 		agent.Tell(false, `{"rev":%d,"all":false,"targets":[`+testpeer.Entry("s1", a.Address(), state)+`]}`)
 		awaitPoll()
-		testpeer.Until(t, "the idle connections to be closed", func() bool { return a.Open() == 0 })
-		before := a.Seen()
+		testpeer.Until(t, "the idle connections to be closed", func() bool { return a.OpenConnections() == 0 })
+		before := a.RequestCount()
 		for range 30 {
 			send()
 		}
-		if a.Seen() != before {
-			t.Errorf("%s: got %d requests at the server, want 0", state, a.Seen()-before)
+		if a.RequestCount() != before {
+			t.Errorf("%s: got %d requests at the server, want 0", state, a.RequestCount()-before)
 		}
 	}
 }
@@ -101,22 +101,22 @@
 	s := testpeer.NewServer(t, testpeer.Echo)
 	agent := testpeer.NewAgent(t)
 	agent.Tell(true, "")
-	cfg := testConfig(testpeer.Whole())
+	cfg := testConfig(testpeer.FullSnapshot())
 	*cfg.registry() = agent.Address()
 	cfg.Options.configureWatch = func(w *discovery.Watch) { w.LongPollTimeout, w.Grace = 20*time.Millisecond, 20*time.Millisecond }
 	n, _ := startNode(t, cfg, nil)
 	for range 3 {
-		if q := testpeer.Receive(t, agent.Asked, "a watch"); q != "" { // requests the full list, whatever list is known
+		if q := testpeer.Receive(t, agent.Queries, "a watch"); q != "" { // requests the full list, whatever list is known
 			t.Fatalf("got query %q", q)
 		}
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
 	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.Want(t, 503, "")
-	agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
+	agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
 	testpeer.Until(t, "readiness", func() bool {
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-		r, _ := c.Answer(t)
+		r, _ := c.ReadResponse(t)
 		return r.StatusCode == 200
 	})
 	c.Get("late")
@@ -128,14 +128,14 @@
 func TestReloadChangesRegistryAddress(t *testing.T) {
 	a, b := testpeer.NewServer(t, testpeer.Echo), testpeer.NewServer(t, testpeer.Echo)
 	old, next := testpeer.NewAgent(t), testpeer.NewAgent(t)
-	old.Start(1000)
-	old.Tell(false, testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service")))
-	next.Tell(false, testpeer.Whole(testpeer.Entry("s2", b.Address(), "in_service")))
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", a.Address(), "in_service")))
+	old.SetRev(1000)
+	old.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", a.Address(), "in_service")))
+	next.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s2", b.Address(), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", a.Address(), "in_service")))
 	*cfg.registry() = old.Address()
 	cfg.Options.configureWatch = func(w *discovery.Watch) { w.LongPollTimeout = testpeer.Limit }
 	n, _ := startNode(t, cfg, nil)
-	for !strings.Contains(testpeer.Receive(t, old.Asked, "the watch"), "from=1001&") {
+	for !strings.Contains(testpeer.Receive(t, old.Queries, "the watch"), "from=1001&") {
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
 	c.Get("before")
@@ -144,29 +144,29 @@
 	moved := testConfig("")
 	*moved.registry() = next.Address()
 	n.Reload(moved.Config)
-	if q := testpeer.Receive(t, next.Asked, "the full snapshot"); q != "" {
+	if q := testpeer.Receive(t, next.Queries, "the full snapshot"); q != "" {
 		t.Errorf("got query %q at the new address, want the full snapshot", q)
 	}
-	if q := testpeer.Receive(t, next.Asked, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.Rev())) {
+	if q := testpeer.Receive(t, next.Queries, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.Rev())) {
 		t.Errorf("got query %q", q)
 	}
-	if len(old.Asked) > 0 {
-		t.Errorf("got query %q at the old address after the reload", <-old.Asked)
+	if len(old.Queries) > 0 {
+		t.Errorf("got query %q at the old address after the reload", <-old.Queries)
 	}
-	before := a.Seen()
+	before := a.RequestCount()
 	for i := range 20 { // on the same connection
 		c.Get(fmt.Sprint("after-", i))
 		c.Want(t, 200, fmt.Sprint("for after-", i))
 	}
-	if a.Seen() != before || b.Seen() != 20 {
-		t.Errorf("got %d requests at the old server and %d at the new one, want 0 and 20", a.Seen()-before, b.Seen())
+	if a.RequestCount() != before || b.RequestCount() != 20 {
+		t.Errorf("got %d requests at the old server and %d at the new one, want 0 and 20", a.RequestCount()-before, b.RequestCount())
 	}
 }
 
 func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := testpeer.NewServer(t, testpeer.Held(hold, got))
-	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
+	s := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
+	n, stop := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.options.schedule = &shutdownSchedule{stopAccepting: time.Second, closeConnections: 2 * time.Second, answerAll: testpeer.Limit, finish: 2 * testpeer.Limit}
 	})
 	idle, held, mute := testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main")), testpeer.Dial(t, n.Addr("main"))
@@ -180,20 +180,20 @@
 		probe := testpeer.Dial(t, n.Addr("main"))
 		defer probe.Close()
 		fmt.Fprint(probe, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-		r, _ := probe.Answer(t)
+		r, _ := probe.ReadResponse(t)
 		return r.StatusCode == http.StatusServiceUnavailable && r.Close
 	})
 	idle.Get("during") // open connections are still served for a while
 	idle.Want(t, 200, "for during")
 	late := testpeer.Dial(t, n.Addr("main")) // new connections are still accepted for a while
 	late.Get("late")
-	r, body := late.Answer(t)
+	r, body := late.ReadResponse(t)
 	if r.StatusCode != 200 || body != "for late" {
 		t.Errorf("late request: got %d %q", r.StatusCode, body)
 	}
 	idle.WantClosed(t, "an idle connection in the shutdown")
 	close(hold)
-	if r, body := held.Answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
+	if r, body := held.ReadResponse(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held request: got %d %q, close %v; want 200, close true", r.StatusCode, body, r.Close)
 	}
 	mute.WantClosed(t, "a connection that never sent a request")
@@ -210,7 +210,7 @@
 		io.Copy(io.Discard, c) // never answers
 		return false
 	})
-	n, stop := startNode(t, testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
+	n, stop := startNode(t, testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.options.schedule = &shutdownSchedule{answerAll: 500 * time.Millisecond, finish: testpeer.Limit}
 	})
 	c := testpeer.Dial(t, n.Addr("main"))
@@ -236,10 +236,10 @@
 		t.Run(name, func(t *testing.T) {
 			hold, got := make(chan struct{}), make(chan struct{}, 1)
 			defer close(hold)
-			s := testpeer.NewServer(t, testpeer.Held(hold, got))
+			s := testpeer.NewServer(t, testpeer.HoldRequest(hold, got))
 			agent := testpeer.NewAgent(t)
-			agent.Tell(false, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
-			cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
+			agent.Tell(false, testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
+			cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
 			*cfg.registry() = agent.Address()
 			cfg.Options.schedule = &shutdownSchedule{stopAccepting: time.Millisecond, closeConnections: time.Millisecond, answerAll: 500 * time.Millisecond, finish: 800 * time.Millisecond}
 			n, stop := startNode(t, cfg, nil)
@@ -253,7 +253,7 @@
 			}
 			end := make(chan error, 1)
 			go func() { end <- stop() }()
-			if r, _ := c.Answer(t); r.StatusCode != 502 {
+			if r, _ := c.ReadResponse(t); r.StatusCode != 502 {
 				t.Errorf("got status %d, want 502", r.StatusCode)
 			}
 			if err := testpeer.Receive(t, end, "the node to stop"); err != nil {
@@ -267,12 +267,12 @@
 func TestMalformedListKeepsPreviousOne(t *testing.T) {
 	s := testpeer.NewServer(t, testpeer.Echo)
 	agent := testpeer.NewAgent(t)
-	cfg := testConfig(testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service")))
+	cfg := testConfig(testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service")))
 	*cfg.registry() = agent.Address()
 	n, _ := startNode(t, cfg, nil)
-	testpeer.Receive(t, agent.Asked, "the first watch")
+	testpeer.Receive(t, agent.Queries, "the first watch")
 	agent.Tell(false, `{"rev":%d,"all":true,"targets":[`+testpeer.Entry("s1", s.Address(), "terminated")+`,{"uid":""}]}`)
-	if q := testpeer.Receive(t, agent.Asked, "the request after the malformed list"); q != "" {
+	if q := testpeer.Receive(t, agent.Queries, "the request after the malformed list"); q != "" {
 		t.Errorf("got query %q, want the full snapshot", q)
 	}
 	c := testpeer.Dial(t, n.Addr("main"))
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -35,7 +35,7 @@
 func TestShutdownFinishesBeforeKill(t *testing.T) {
 	const lastNewConnection = 400 * time.Millisecond // arrives this long after SIGTERM
 	for _, deadline := range shutdownDeadlines {
-		schedule := newShutdownSchedule(shortConfig(deadline, testpeer.Whole()).Config)
+		schedule := newShutdownSchedule(shortConfig(deadline, testpeer.FullSnapshot()).Config)
 		kill := min(deadline, maxKillAfter) + killAfter
 		if schedule.stopAccepting < lastNewConnection || schedule.closeConnections < schedule.stopAccepting || schedule.answerAll < schedule.closeConnections+drainPollInterval || schedule.finish < schedule.answerAll+drainPollInterval ||
 			schedule.answerAll+stallAllowance+2*drainPollInterval >= kill || schedule.finish+stallAllowance >= kill || schedule.deadline < schedule.finish || schedule.deadline >= kill {
@@ -112,7 +112,7 @@
 		time.Sleep(5 * time.Millisecond) // simulates work
 		return testpeer.Echo(conn, r, body)
 	})
-	n, stop := startNode(t, shortConfig(deadline, testpeer.Whole(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
+	n, stop := startNode(t, shortConfig(deadline, testpeer.FullSnapshot(testpeer.Entry("s1", s.Address(), "in_service"))), nil)
 	var (
 		clients []*shutdownClient
 		done    sync.WaitGroup
--- a/internal/testpeer/agent.go
+++ b/internal/testpeer/agent.go
@@ -9,36 +9,36 @@
 	"sync"
 )
 
-// Agent is the registry's agent: it answers watches with what it was given last, or is silent.
+// Agent is a fake registry agent. It answers watches with the last text set by Tell, or leaves them unanswered.
 type Agent struct {
 	net.Listener
-	Asked chan string // the query of each request, as far as there is room
+	Queries chan string // the query of each request; dropped when the channel is full
 
-	mu     sync.Mutex
-	rev    int
-	text   string
-	silent bool
-	news   chan struct{} // closed at each change
+	mu      sync.Mutex
+	rev     int
+	text    string
+	silent  bool
+	changed chan struct{} // closed and replaced at each change
 }
 
-// NewAgent listens on loopback until the test ends. Its first version is 1.
+// NewAgent starts an agent on loopback that stops when the test ends. Its first version is 1.
 func NewAgent(t TB) *Agent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	a := &Agent{Listener: ln, rev: 1, news: make(chan struct{}), Asked: make(chan string, 1000)}
+	a := &Agent{Listener: ln, rev: 1, changed: make(chan struct{}), Queries: make(chan string, 1000)}
 	srv := &http.Server{Handler: a}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
 	return a
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (a *Agent) Address() string { return a.Addr().String() }
 
-// Rev is the version of what it was told last.
+// Rev returns the current version.
 func (a *Agent) Rev() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,14 +48,14 @@
 // ServeHTTP answers a watch.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.Asked <- r.URL.RawQuery:
+	case a.Queries <- r.URL.RawQuery:
 	default:
 	}
 	a.mu.Lock()
-	text, silent, news := a.text, a.silent, a.news
+	text, silent, news := a.text, a.silent, a.changed
 	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
 	a.mu.Unlock()
-	if silent { // also once it is back, as a request that was lost
+	if silent { // stays unanswered after the agent recovers, like a lost request
 		<-r.Context().Done()
 		return
 	}
@@ -76,7 +76,8 @@
 	io.WriteString(w, text)
 }
 
-// Tell sets what the agent has; text may hold %d for its version, and an empty one changes nothing.
+// Tell sets whether the agent is silent and, unless text is empty, increments the version and sets the answer. A %d in
+// text stands for the version.
 func (a *Agent) Tell(silent bool, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,29 +86,29 @@
 		a.rev++
 		a.text = strings.Replace(text, "%d", fmt.Sprint(a.rev), 1)
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// Start has versions count from another number.
-func (a *Agent) Start(rev int) {
+// SetRev sets the current version, from which later ones count.
+func (a *Agent) SetRev(rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev = rev
 }
 
-// Entry is a list's entry of a server.
+// Entry returns the JSON entry of a server in a list.
 func Entry(uid, endpoint, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":%q,`+
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
-// Whole is a full snapshot, its version still %d.
-func Whole(entries ...string) string {
+// FullSnapshot returns a full snapshot for Tell, with %d as its version.
+func FullSnapshot(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
 
-// Changes is a list of changed entries, its version still %d.
+// Changes returns an incremental update for Tell, with %d as its version.
 func Changes(entries ...string) string {
 	return `{"rev":%d,"all":false,"targets":[` + strings.Join(entries, ",") + `]}`
 }
--- a/internal/testpeer/config.go
+++ b/internal/testpeer/config.go
@@ -7,8 +7,8 @@
 	"damsontrestle/internal/route"
 )
 
-// Config is a small deployment as the platform describes one, with long limits: a class of each kind (view,
-// note, keyed), the listener main, the pool servers whose list a registry tells, and the route default.
+// Config returns a small configuration with long time limits: one class of each effect (view, note, keyed), the listener
+// main, the pool servers with a registry, and the route default.
 func Config() *config.Config {
 	class := func(name string, e config.Effect) config.Class {
 		return config.Class{Name: name, Effect: e, LatencyObjective: config.Duration(Limit), Deadline: config.Duration(2 * Limit), PriorityWeight: 1}
--- a/internal/testpeer/failing.go
+++ b/internal/testpeer/failinglistener.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// AcceptErrors are what accept may fail with for a moment (accept(2)), and one that nobody has heard of.
+// AcceptErrors returns the errors with which accept may fail temporarily (see accept(2)), and an unknown errno.
 func AcceptErrors() []error {
 	var all []error
 	for _, errno := range []syscall.Errno{
@@ -19,18 +19,18 @@
 	return all
 }
 
-// FailingListener is a listener whose accepts fail as a test says.
+// FailingListener is a listener whose Accept fails as the test specifies.
 type FailingListener struct {
 	*net.TCPListener
 
 	mu      sync.Mutex
-	next    []error // of the next accepts, in this order
-	forever error   // of all accepts behind them; nil: they succeed
+	next    []error // errors of the next accepts, in this order
+	forever error   // error of all accepts after those in next; nil if they succeed
 	failed  int
-	waiting bool // an accept that is not to fail is under way
+	waiting bool // an accept without an injected error is in progress
 }
 
-// NewFailingListener listens on loopback; whoever gets it closes it.
+// NewFailingListener listens on loopback. The caller must close the listener.
 func NewFailingListener(t TB) *FailingListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,32 +40,32 @@
 	return &FailingListener{TCPListener: ln.(*net.TCPListener)}
 }
 
-// FailNext has the accepts that begin from now on fail, one with each error.
+// FailNext makes the next accepts that begin fail, one with each error in order.
 func (l *FailingListener) FailNext(errs ...error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next = append(l.next, errs...)
 }
 
-// FailAlways has all accepts that begin from now on fail; nil: no longer.
+// FailAlways makes all accepts that begin from now on fail with err; nil ends that.
 func (l *FailingListener) FailAlways(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.forever = err
 }
 
-// AwaitAccept waits until an accept that is not to fail is under way: the next connection is accepted, whatever is said
-// of the accepts behind it.
+// AwaitAccept waits until an accept without an injected error is in progress. It will accept the next connection even if
+// errors are set afterwards.
 func (l *FailingListener) AwaitAccept(t TB) {
 	t.Helper()
-	Until(t, "an accept", func() bool {
+	Until(t, "accept in progress", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.waiting
 	})
 }
 
-// Failed is how many accepts have failed as the test said.
+// Failed returns the number of accepts that failed with an injected error.
 func (l *FailingListener) Failed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,7 @@
 
 // Accept implements net.Listener.
 func (l *FailingListener) Accept() (net.Conn, error) {
-	if err := l.fault(); err != nil {
+	if err := l.nextError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: err}
 	}
 	defer l.accepted()
@@ -87,8 +87,8 @@
 	l.waiting = false
 }
 
-// fault is what the accept that begins now fails with; nil: it does not.
-func (l *FailingListener) fault() error {
+// nextError returns the injected error of the accept that begins now, or nil.
+func (l *FailingListener) nextError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.forever
--- a/internal/testpeer/faultyconn.go
+++ b/internal/testpeer/faultyconn.go
@@ -7,14 +7,15 @@
 	"syscall"
 )
 
-// FaultyConn is a connection on which single reads and writes fail. A read that fails keeps what came for the next one.
+// FaultyConn is a connection on which single reads and writes can be made to fail. A failed read keeps the received
+// data for the next read.
 type FaultyConn struct {
 	net.Conn
 
 	mu        sync.Mutex
-	failRead  syscall.Errno // of the next read that brings anything; 0: none
-	failWrite syscall.Errno // of the next write, in its middle; 0: none
-	kept      []byte
+	failRead  syscall.Errno // error of the next read that receives data; 0 means none
+	failWrite syscall.Errno // error of the next write, after a part of it; 0 means none
+	unread    []byte
 }
 
 func (c *FaultyConn) SyscallConn() (syscall.RawConn, error) {
@@ -23,7 +24,7 @@
 
 func (c *FaultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// Fail has the next read that brings anything fail with one errno, and the next write with the other; 0: it does not.
+// Fail makes the next read that receives data and the next write fail with the given errnos; 0 means no failure.
 func (c *FaultyConn) Fail(read, write syscall.Errno) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,8 +33,8 @@
 
 func (c *FaultyConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	n := copy(p, c.kept)
-	c.kept = c.kept[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	c.mu.Unlock()
 	if n > 0 {
 		return n, nil
@@ -42,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if errno := c.failRead; n > 0 && errno != 0 {
-		c.failRead, c.kept = 0, append([]byte(nil), p[:n]...)
+		c.failRead, c.unread = 0, append([]byte(nil), p[:n]...)
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 	}
 	return n, err
@@ -63,7 +64,7 @@
 	return n, err
 }
 
-// ReadPending reports whether the read that is to fail has not yet.
+// ReadPending reports whether a read failure is set and has not occurred yet.
 func (c *FaultyConn) ReadPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testpeer/heap/heap.go
+++ b/internal/testpeer/heap/heap.go
@@ -1,14 +1,14 @@
-// Package heap tells tests how much memory is reachable. It stands apart from the other stand-ins, which know the
-// decision module, so that the module's own tests can use it.
+// Package heap measures reachable memory for tests. It is separate from package testpeer, which imports the decision
+// module, so that the module's own tests can use it.
 package heap
 
 import "runtime"
 
-// Reachable is how many bytes of the heap are reachable now.
+// Reachable returns the number of reachable heap bytes.
 func Reachable() int64 {
 	var m runtime.MemStats
 	runtime.GC()
-	runtime.GC() // the first only queues what finalizers hold
+	runtime.GC() // the first run only queues finalizers, whose objects are still held
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
--- a/internal/testpeer/load.go
+++ b/internal/testpeer/load.go
@@ -15,82 +15,83 @@
 	"time"
 )
 
-// Heard is what a client heard of a request.
-type Heard int
+// Outcome is the outcome of a request as its client saw it.
+type Outcome int
 
-// What clients hear.
+// Outcomes of requests.
 const (
-	HeardServed Heard = iota
-	HeardRefused
-	HeardFailed
-	HeardNotTaken // no connection came up, or it ended with nothing said
-	HeardWrong    // an answer that is none to this request
+	OutcomeServed Outcome = iota
+	OutcomeRefused
+	OutcomeFailed
+	OutcomeNoResponse // the connection failed, or ended without a response
+	OutcomeInvalid    // timeout, unexpected status or body, or a refusal without Retry-After
 )
 
-// Audit compares what clients heard with what servers ran.
+// Audit compares the outcomes that clients saw with the requests that servers ran.
 type Audit struct {
-	mu    sync.Mutex
-	heard map[string][]Heard
-	notes map[string]bool // ids of requests that must not run twice
-	wrong []string
-	late  []time.Duration
+	mu         sync.Mutex
+	outcomes   map[string][]Outcome
+	unsafeIDs  map[string]bool // IDs of requests that must not run twice
+	violations []string
+	latencies  []time.Duration
 }
 
-// NewAudit returns an Audit that knows nothing yet.
-func NewAudit() *Audit { return &Audit{heard: map[string][]Heard{}, notes: map[string]bool{}} }
+// NewAudit returns an empty Audit.
+func NewAudit() *Audit { return &Audit{outcomes: map[string][]Outcome{}, unsafeIDs: map[string]bool{}} }
 
-func (a *Audit) note(id string, unsafe bool, h Heard, took time.Duration, what string) {
+func (a *Audit) record(id string, unsafe bool, outcome Outcome, latency time.Duration, violation string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heard[id] = append(a.heard[id], h)
+	a.outcomes[id] = append(a.outcomes[id], outcome)
 	if unsafe {
-		a.notes[id] = true
+		a.unsafeIDs[id] = true
 	}
-	if h == HeardWrong {
-		a.wrong = append(a.wrong, what)
+	if outcome == OutcomeInvalid {
+		a.violations = append(a.violations, violation)
 	}
-	if h == HeardServed {
-		a.late = append(a.late, took)
+	if outcome == OutcomeServed {
+		a.latencies = append(a.latencies, latency)
 	}
 }
 
-// Verdict is what an Audit finds.
-type Verdict struct {
-	Calls, Served, Refused, Failed, NotTaken int
-	Wrong                                    []string // what broke a rule, in words
-	Times                                    []time.Duration
+// AuditResult holds the totals and rule violations that an Audit found.
+type AuditResult struct {
+	Requests, Served, Refused, Failed, NoResponse int
+	Violations                                    []string // descriptions of broken rules
+	Latencies                                     []time.Duration
 }
 
-// Heard is what clients heard, with no look at what servers ran.
-func (a *Audit) Heard() Verdict {
+// Outcomes returns the totals of what clients saw, without comparing them with what servers ran.
+func (a *Audit) Outcomes() AuditResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tally()
 }
 
-// tally counts what clients heard. The caller holds mu.
-func (a *Audit) tally() (v Verdict) {
-	v.Wrong = append(v.Wrong, a.wrong...)
-	v.Times = append(v.Times, a.late...)
-	for _, heard := range a.heard {
-		v.Calls++
-		switch heard[0] {
-		case HeardServed:
+// tally counts the outcomes that clients saw. The caller holds mu.
+func (a *Audit) tally() (v AuditResult) {
+	v.Violations = append(v.Violations, a.violations...)
+	v.Latencies = append(v.Latencies, a.latencies...)
+	for _, outcomes := range a.outcomes {
+		v.Requests++
+		switch outcomes[0] {
+		case OutcomeServed:
 			v.Served++
-		case HeardRefused:
+		case OutcomeRefused:
 			v.Refused++
-		case HeardFailed:
+		case OutcomeFailed:
 			v.Failed++
-		case HeardNotTaken:
-			v.NotTaken++
+		case OutcomeNoResponse:
+			v.NoResponse++
 		}
 	}
 	return v
 }
 
-// Judge holds what clients heard against what servers ran: every request was heard of once, what was served ran,
-// what was refused or not taken has not run unless it may run again, and nothing unsafe ran twice.
-func (a *Audit) Judge(servers ...*Box) Verdict {
+// Check compares the outcomes that clients saw with what servers ran. Each request must have exactly one outcome, a
+// served request must have run, a refused one must not have run if it is unsafe, one without a response must not have
+// run at all, no unsafe request may have run twice, and servers must not have run a request that no client sent.
+func (a *Audit) Check(servers ...*FaultyServer) AuditResult {
 	ran := map[string]int{}
 	for _, b := range servers {
 		for id, n := range b.Ran() {
@@ -100,56 +101,56 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := a.tally()
-	fault := func(format string, args ...any) { v.Wrong = append(v.Wrong, fmt.Sprintf(format, args...)) }
-	for id, heard := range a.heard {
+	addViolation := func(format string, args ...any) { v.Violations = append(v.Violations, fmt.Sprintf(format, args...)) }
+	for id, outcomes := range a.outcomes {
 		n := ran[id]
 		switch {
-		case len(heard) != 1:
-			fault("%s was heard of %d times", id, len(heard))
-		case heard[0] == HeardServed && n == 0:
-			fault("%s was served and no box ran it", id)
-		case heard[0] == HeardRefused && a.notes[id] && n > 0:
-			fault("%s was refused though it ran, and must not run twice", id)
-		case heard[0] == HeardNotTaken && n > 0:
-			fault("%s ran, and its caller heard nothing", id)
+		case len(outcomes) != 1:
+			addViolation("%s has %d outcomes, want 1", id, len(outcomes))
+		case outcomes[0] == OutcomeServed && n == 0:
+			addViolation("%s was served but no server ran it", id)
+		case outcomes[0] == OutcomeRefused && a.unsafeIDs[id] && n > 0:
+			addViolation("%s is unsafe and was refused although it ran", id)
+		case outcomes[0] == OutcomeNoResponse && n > 0:
+			addViolation("%s ran but its client got no response", id)
 		}
-		if a.notes[id] && n > 1 {
-			fault("%s ran %d times", id, n)
+		if a.unsafeIDs[id] && n > 1 {
+			addViolation("%s ran %d times", id, n)
 		}
 	}
 	for id := range ran {
-		if a.heard[id] == nil {
-			fault("%s ran and nobody asked for it", id)
+		if a.outcomes[id] == nil {
+			addViolation("%s ran but no client sent it", id)
 		}
 	}
 	return v
 }
 
-// Load has clients ask for views and notes until ctx ends, each one request at a time on a connection that it
-// keeps, and notes in an Audit what they hear.
+// Load generates load: each client sends safe and unsafe requests, one at a time on a persistent connection, until the
+// context of Run ends. Outcomes are recorded in Audit.
 type Load struct {
-	Audit     *Audit
-	Callers   int
-	Addresses func() []string // where listeners are now
-	Notes     float64         // share of requests that are notes, which must not run twice; the rest are views
-	Deadline  time.Duration
-	Pause     time.Duration // mean, between the requests of one client
-	Seed      uint64
-	Prefix    string // of ids
-	View      string // class of the requests that may be repeated; empty: view
-	Note      string // class of those that may not; empty: note
+	Audit       *Audit
+	Clients     int
+	Addresses   func() []string // current listener addresses
+	UnsafeShare float64         // share of requests that are unsafe: they must not run twice
+	Deadline    time.Duration
+	Pause       time.Duration // mean pause between the requests of one client
+	Seed        uint64
+	IDPrefix    string // prefix of request IDs
+	SafeClass   string // class of requests that may be repeated; view if empty
+	UnsafeClass string // class of requests that must not be repeated; note if empty
 }
 
-// One sends one view and returns the answer as it came.
-func (l Load) One() (string, error) {
+// SendOne sends one safe request and returns the status and body of its response.
+func (l Load) SendOne() (string, error) {
 	nc, err := net.Dial("tcp", l.Addresses()[0])
 	if err != nil {
 		return "", err
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
-	c := &Caller{nc, bufio.NewReader(nc)}
-	c.Send("GET", "/"+cmp.Or(l.View, "view")+"/k", fmt.Sprintf("%sone-%d", l.Prefix, time.Now().UnixNano()), "", fmt.Sprint(l.Deadline.Seconds()))
+	c := &ClientConn{nc, bufio.NewReader(nc)}
+	c.Send("GET", "/"+cmp.Or(l.SafeClass, "view")+"/k", fmt.Sprintf("%sone-%d", l.IDPrefix, time.Now().UnixNano()), "", fmt.Sprint(l.Deadline.Seconds()))
 	r, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		return "", err
@@ -161,90 +162,92 @@
 	return fmt.Sprintf("%s\n%s\n", r.Status, body), nil
 }
 
-// Run returns once every client has heard of its last call.
+// Run runs the clients until ctx ends, and returns once each has the outcome of its last request.
 func (l Load) Run(ctx context.Context) {
 	var all sync.WaitGroup
-	for i := range l.Callers {
+	for i := range l.Clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			l.caller(ctx, i)
+			l.runClient(ctx, i)
 		}()
 	}
 	all.Wait()
 }
 
-func (l Load) caller(ctx context.Context, n int) {
+func (l Load) runClient(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(n)))
-	var c *Caller
+	var c *ClientConn
 	defer func() {
 		if c != nil {
 			c.Close()
 		}
 	}()
 	for k := 0; ctx.Err() == nil; k++ {
-		id := fmt.Sprintf("%s%d-%d", l.Prefix, n, k)
-		unsafe := rng.Float64() < l.Notes
+		id := fmt.Sprintf("%s%d-%d", l.IDPrefix, n, k)
+		unsafe := rng.Float64() < l.UnsafeShare
 		begin := time.Now()
-		h, what := HeardNotTaken, ""
-		// A connection may be closed between requests; what crosses that is sent once more on a new one.
-		for kept := c != nil; ; kept = false {
+		outcome, violation := OutcomeNoResponse, ""
+		// A persistent connection may be closed between requests: a request that got no response on a reused
+		// connection is sent again on a new one.
+		for reused := c != nil; ; reused = false {
 			if c == nil {
 				addresses := l.Addresses()
 				nc, err := net.Dial("tcp", addresses[rng.IntN(len(addresses))])
 				if err != nil {
 					break
 				}
-				c = &Caller{nc, bufio.NewReader(nc)}
+				c = &ClientConn{nc, bufio.NewReader(nc)}
 			}
-			var open bool
-			if h, what, open = l.ask(c, id, unsafe); !open {
+			var reusable bool
+			if outcome, violation, reusable = l.send(c, id, unsafe); !reusable {
 				c.Close()
 				c = nil
 			}
-			if h != HeardNotTaken || !kept {
+			if outcome != OutcomeNoResponse || !reused {
 				break
 			}
 		}
-		l.Audit.note(id, unsafe, h, time.Since(begin), what)
+		l.Audit.record(id, unsafe, outcome, time.Since(begin), violation)
 		if l.Pause > 0 {
 			time.Sleep(time.Duration(rng.Float64() * 2 * float64(l.Pause)))
 		}
 	}
 }
 
-// ask sends a request and tells what is heard of it, and whether the connection is of further use.
-func (l Load) ask(c *Caller, id string, unsafe bool) (h Heard, what string, open bool) {
+// send sends a request and returns its outcome, the description of an invalid one, and whether the connection can be
+// reused.
+func (l Load) send(c *ClientConn, id string, unsafe bool) (outcome Outcome, violation string, reusable bool) {
 	c.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
-	method, target, body := "GET", "/"+cmp.Or(l.View, "view")+"/k", ""
+	method, target, body := "GET", "/"+cmp.Or(l.SafeClass, "view")+"/k", ""
 	if unsafe {
-		method, target, body = "POST", "/"+cmp.Or(l.Note, "note")+"/k", "body of "+id
+		method, target, body = "POST", "/"+cmp.Or(l.UnsafeClass, "note")+"/k", "body of "+id
 	}
 	c.Send(method, target, id, body, fmt.Sprint(l.Deadline.Seconds()))
 	r, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
-			return HeardWrong, id + ": no answer within its time", false
+			return OutcomeInvalid, id + ": no response before the read deadline", false
 		}
-		return HeardNotTaken, "", false
+		return OutcomeNoResponse, "", false
 	}
 	got, err := io.ReadAll(r.Body)
 	if err != nil {
-		return HeardFailed, "", false
+		return OutcomeFailed, "", false
 	}
 	switch {
 	case r.StatusCode == 200 && strings.HasSuffix(string(got), " "+id):
-		return HeardServed, "", !r.Close
+		return OutcomeServed, "", !r.Close
 	case r.StatusCode == 200:
-		return HeardWrong, fmt.Sprintf("%s: served with %.40q", id, got), false
+		return OutcomeInvalid, fmt.Sprintf("%s: status 200 with body %.40q", id, got), false
 	case r.StatusCode == 503 || r.StatusCode == 429:
 		if r.Header.Get("Retry-After") == "" {
-			return HeardWrong, id + ": refused with no word of when to come back", false
+			return OutcomeInvalid, id + ": refused without a Retry-After header", false
 		}
-		return HeardRefused, "", !r.Close
+		return OutcomeRefused, "", !r.Close
 	case r.StatusCode >= 500:
-		return HeardFailed, "", !r.Close
+		return OutcomeFailed, "", !r.Close
 	}
-	return HeardWrong, fmt.Sprintf("%s: %d %.60q", id, r.StatusCode, got), false
+	return OutcomeInvalid, fmt.Sprintf("%s: unexpected status %d with body %.60q", id, r.StatusCode, got), false
 }
--- a/internal/testpeer/log.go
+++ b/internal/testpeer/log.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// LogBuffer keeps what a log writes, for tests that look for lines in it. Any goroutine may use it.
+// LogBuffer collects log output for tests that search it. It is safe for concurrent use.
 type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -18,12 +18,12 @@
 	return l.text.Write(p)
 }
 
-// String returns all that was written.
+// String returns everything written so far.
 func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Count returns how often a text was written.
+// Count returns the number of occurrences of text in the output.
 func (l *LogBuffer) Count(text string) int { return strings.Count(l.String(), text) }
--- a/internal/testpeer/pair.go
+++ b/internal/testpeer/pair.go
@@ -2,8 +2,7 @@
 
 import "net"
 
-// Pair returns the two ends of a TCP connection over loopback: the one that connected, and the one that accepted. Both are
-// closed with the test.
+// Pair returns both ends of a TCP connection over loopback. They are closed when the test ends.
 func Pair(t TB) (connected, accepted net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testpeer/seeded/seeded.go
+++ b/internal/testpeer/seeded/seeded.go
@@ -1,6 +1,6 @@
-// Package seeded has the tests that import it draw the same cases each time, so that a run's verdict is the commit's and not
-// chance's: rapid (pgregory.net/rapid) draws by the clock unless it is told a seed. A seed on the command line, -rapid.seed,
-// still goes before.
+// Package seeded sets a fixed seed for property tests that use rapid (pgregory.net/rapid), so that a test's result depends
+// on the commit alone. By default rapid seeds from the clock. A -rapid.seed flag on the command line still takes
+// precedence.
 package seeded
 
 import (
@@ -9,11 +9,11 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed is any number but 0, which means the clock.
+// seed may be any number except 0, which makes rapid seed from the clock.
 const seed = "20261202"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic("seeded: " + err.Error())
+		panic("seeded: setting -rapid.seed: " + err.Error())
 	}
 }
--- a/internal/testpeer/server.go
+++ b/internal/testpeer/server.go
@@ -10,22 +10,22 @@
 	"sync"
 )
 
-// Server is an HTTP/1.1 server whose connections a test scripts by hand, and that counts all it gets.
+// Server is an HTTP/1.1 server whose responses are scripted by a Handler. It counts connections and requests.
 type Server struct {
 	net.Listener
-	then Then
+	handler Handler
 
 	mu       sync.Mutex
-	requests []string // ids
-	conns    int
+	requests []string // IDs
+	accepted int
 	open     int
 }
 
-// Then answers a request that was read complete; it returns false to close the connection.
-type Then func(c net.Conn, r *http.Request, body string) bool
+// Handler answers a request that was read completely. It returns false to close the connection.
+type Handler func(c net.Conn, r *http.Request, body string) bool
 
-// NewServer listens on loopback until the test ends.
-func NewServer(t TB, then Then) *Server {
+// NewServer starts a server on loopback that stops listening when the test ends.
+func NewServer(t TB, then Handler) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", then)
 	if err != nil {
@@ -35,13 +35,13 @@
 	return s
 }
 
-// Listen serves at an address until Close.
-func Listen(address string, then Then) (*Server, error) {
+// Listen starts a server on an address that listens until Close.
+func Listen(address string, then Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("starting test server: %w", err)
 	}
-	s := &Server{Listener: ln, then: then}
+	s := &Server{Listener: ln, handler: then}
 	go s.accept()
 	return s, nil
 }
@@ -53,7 +53,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.conns++
+		s.accepted++
 		s.open++
 		s.mu.Unlock()
 		go s.serve(c)
@@ -80,56 +80,57 @@
 		s.mu.Lock()
 		s.requests = append(s.requests, r.Header.Get("X-Request-Id"))
 		s.mu.Unlock()
-		if !s.then(c, r, string(body)) {
+		if !s.handler(c, r, string(body)) {
 			return
 		}
 	}
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (s *Server) Address() string { return s.Addr().String() }
 
-// Seen is how many requests it got whole.
-func (s *Server) Seen() int {
+// RequestCount returns the number of requests received completely.
+func (s *Server) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-// Requests are the ids of the requests that it got whole, in order.
+// Requests returns the IDs of the requests received completely, in the order of arrival.
 func (s *Server) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.requests...)
 }
 
-// Opened is how many connections were made to it.
-func (s *Server) Opened() int {
+// AcceptedConnections returns the number of connections accepted so far.
+func (s *Server) AcceptedConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conns
+	return s.accepted
 }
 
-// Open is how many connections to it are open, as far as it has seen.
-func (s *Server) Open() int {
+// OpenConnections returns the number of accepted connections whose end the server has not yet noticed.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// Reply200 answers 200 with a body.
+// Reply200 writes a 200 response with a body and reports whether that succeeded.
 func Reply200(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
-// Echo serves everything with a body that names the request.
+// Echo is a Handler that answers every request with a body that contains the request ID.
 func Echo(c net.Conn, r *http.Request, body string) bool {
 	return Reply200(c, "for "+r.Header.Get("X-Request-Id"))
 }
 
-// Held serves like Echo, but for the request "held": it tells when it has that one, and answers it once hold is closed.
-func Held(hold <-chan struct{}, got chan<- struct{}) Then {
+// HoldRequest returns a Handler that works like Echo, except that for the request with ID "held" it sends on got and
+// answers once hold is closed.
+func HoldRequest(hold <-chan struct{}, got chan<- struct{}) Handler {
 	return func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "held" {
 			got <- struct{}{}
@@ -139,8 +140,8 @@
 	}
 }
 
-// ClosedPort is an address where nobody listens, and where nobody will by chance: another test that lets the system choose a
-// port, or connects, is given one of 127.0.0.1's, above 32767.
+// ClosedPort returns a loopback address without a listener. No other test can get it by chance: ports that the system
+// chooses for listeners and connections are above 32767, on 127.0.0.1.
 func ClosedPort(t TB) string {
 	t.Helper()
 	address := fmt.Sprintf("127.%d.%d.%d:%d", 220+rand.IntN(30), rand.IntN(256), 1+rand.IntN(254), 10_000+rand.IntN(20_000))
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -1,37 +1,36 @@
-// Package testpeer holds what tests and tools share: stand-ins for servers, for the registry's agent and for
-// clients, all on loopback. They do what they are told, faults included, and count what reached them; the
-// node knows nothing of them.
+// Package testpeer provides fake servers, clients and registry agents on loopback for tests and tools. They behave as
+// scripted, injected faults included, and count what they receive. The node does not depend on this package.
 package testpeer
 
 import "time"
 
-// Limit is how long a test waits for what must come; only a failing one waits so long.
+// Limit is how long tests wait for an expected event. Only a failing test waits this long.
 const Limit = 30 * time.Second
 
-// TB is the part of testing.TB that the stand-ins need.
+// TB is the subset of testing.TB that this package needs.
 type TB interface {
 	Helper()
 	Fatalf(format string, args ...any)
 	Cleanup(func())
 }
 
-// Receive takes what comes on a channel.
+// Receive returns the next value from a channel, and fails the test if none arrives within Limit.
 func Receive[T any](t TB, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(Limit):
-		t.Fatalf("%s: nothing came", what)
+		t.Fatalf("%s: no value received", what)
 	}
 	return v
 }
 
-// Until waits for a condition.
+// Until waits until ok returns true, and fails the test if it does not within Limit.
 func Until(t TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Limit); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, Limit)
+			t.Fatalf("%s: condition not met within %v", what, Limit)
 		}
 	}
 }
--- a/internal/upstream/begin_test.go
+++ b/internal/upstream/begin_test.go
@@ -58,14 +58,14 @@
 				}
 			}()
 			pool := newTestPool(10)
-			dial := testpeer.NewLateDial()
+			dial := testpeer.NewHeldDialer()
 			pool.dial = dial.Dial
 			attempt := newTestAttempt(pool, ln.Addr().String())
 			outcome := make(chan engine.Outcome, 1)
 			go func() { outcome <- pool.Run(attempt) }()
 			testpeer.Receive(t, dial.Dialing, "the attempt to dial")
 			c.action(pool, attempt)
-			close(dial.Up)
+			close(dial.Release)
 			if r := testpeer.Receive(t, outcome, "the outcome of the attempt"); r.Result != c.want || pool.Connections() != 0 {
 				t.Errorf("result %d, %d connections; want result %d, no connection", r.Result, pool.Connections(), c.want)
 			}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -35,7 +35,7 @@
 	if r := runAttempt(t, pool, newTestAttempt(pool, s.Address())); r.Result != balancer.Unreachable || pool.open != 0 {
 		t.Errorf("result %d, %d connections open", r.Result, pool.open)
 	}
-	if s.Seen() != 0 {
+	if s.RequestCount() != 0 {
 		t.Error("the server received the complete request")
 	}
 }
--- a/internal/upstream/connfailure_test.go
+++ b/internal/upstream/connfailure_test.go
@@ -58,9 +58,9 @@
 		if c.want == balancer.Success {
 			open = 1
 		}
-		if r.Result != c.want || server.Seen() != c.seen || pool.Connections() != open {
+		if r.Result != c.want || server.RequestCount() != c.seen || pool.Connections() != open {
 			t.Errorf("read errno %d, write errno %d: result %d, %d requests at the server, %d connections; want %d, %d, %d",
-				c.read, c.write, r.Result, server.Seen(), pool.Connections(), c.want, c.seen, open)
+				c.read, c.write, r.Result, server.RequestCount(), pool.Connections(), c.want, c.seen, open)
 		}
 		pool.Close()
 	}
@@ -102,7 +102,7 @@
 		attempt := engine.NewAttempt(request, 0, listServer(pool, server.Address()), now, now+testpeer.Limit)
 		outcome := make(chan engine.Outcome, 1)
 		go func() { outcome <- pool.Run(attempt) }()
-		testpeer.Until(t, "the request at the server", func() bool { return server.Seen() == 1 })
+		testpeer.Until(t, "the request at the server", func() bool { return server.RequestCount() == 1 })
 		testpeer.Until(t, "the connection to be closed", func() bool { return pool.Connections() == 0 })
 		select {
 		case r := <-outcome:
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -89,8 +89,8 @@
 			t.Errorf("result %d", r.Result)
 		}
 	}
-	if server.Opened() != 1 {
-		t.Errorf("%d connections opened, want 1", server.Opened())
+	if server.AcceptedConnections() != 1 {
+		t.Errorf("%d connections opened, want 1", server.AcceptedConnections())
 	}
 	releaseDials()
 	testpeer.Until(t, "the late connection to be kept", func() bool { return pool.idleCount() == 2 })
@@ -119,8 +119,8 @@
 		t.Errorf("%d attempts wait for an idle connection, %d connections; want 0, 1", pool.wantConnCount(), pool.Connections())
 	}
 	release()
-	if r := testpeer.Receive(t, first, "the first reply"); r.Result != balancer.Success || server.Seen() != 1 {
-		t.Errorf("result %d, %d requests at the server", r.Result, server.Seen())
+	if r := testpeer.Receive(t, first, "the first reply"); r.Result != balancer.Success || server.RequestCount() != 1 {
+		t.Errorf("result %d, %d requests at the server", r.Result, server.RequestCount())
 	}
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -101,8 +101,8 @@
 	if r := testpeer.Receive(t, outcome, "the outcome of the attempt"); r.Result != balancer.Success {
 		t.Errorf("result %d", r.Result)
 	}
-	if first.Seen() != 1 || pool.open != 1 {
-		t.Errorf("%d requests at the first server, %d connections open; want 1 each", first.Seen(), pool.open)
+	if first.RequestCount() != 1 || pool.open != 1 {
+		t.Errorf("%d requests at the first server, %d connections open; want 1 each", first.RequestCount(), pool.open)
 	}
 }
 
@@ -152,8 +152,8 @@
 	if pool.Connections() != 1 || pool.share.Used() != 1 {
 		t.Errorf("%d connections, %d descriptors", pool.Connections(), pool.share.Used())
 	}
-	if r := runAttempt(t, pool, newTestAttempt(pool, second.Address())); r.Result != balancer.Success || second.Opened() != 1 {
-		t.Errorf("result %d on connection %d: the connection idle for longest was not closed", r.Result, second.Opened())
+	if r := runAttempt(t, pool, newTestAttempt(pool, second.Address())); r.Result != balancer.Success || second.AcceptedConnections() != 1 {
+		t.Errorf("result %d on connection %d: the connection idle for longest was not closed", r.Result, second.AcceptedConnections())
 	}
 	other := NewPool(clock.New(), pool.share, pool.counters, Limits{MaxConnections: 10, ConnectTimeout: testpeer.Limit, IdleTimeout: time.Minute})
 	pool.share.Resize(1)
--- a/internal/upstream/syscall_test.go
+++ b/internal/upstream/syscall_test.go
@@ -164,8 +164,8 @@
 		t.Fatalf("result %d", r.Result)
 	}
 	outOfMemory.Store(true)
-	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || server.Seen() != 1 {
-		t.Errorf("result %d, %d connections, %d requests at the server; want NotStarted, 0, 1", r.Result, pool.Connections(), server.Seen())
+	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.NotStarted || pool.Connections() != 0 || server.RequestCount() != 1 {
+		t.Errorf("result %d, %d connections, %d requests at the server; want NotStarted, 0, 1", r.Result, pool.Connections(), server.RequestCount())
 	}
 	outOfMemory.Store(false)
 	if r := runAttempt(t, pool, newTestAttempt(pool, server.Address())); r.Result != balancer.Success {
