--- a/internal/testpeer/agent.go
+++ b/internal/testpeer/agent.go
@@ -52,7 +52,7 @@
 	default:
 	}
 	a.mu.Lock()
-	text, silent, news := a.text, a.silent, a.changed
+	text, silent, changed := a.text, a.silent, a.changed
 	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
 	a.mu.Unlock()
 	if silent { // stays unanswered after the agent recovers, like a lost request
@@ -61,7 +61,7 @@
 	}
 	if current {
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/testpeer/faultyserver.go
+++ b/internal/testpeer/faultyserver.go
@@ -84,25 +84,25 @@
 	defer b.mu.Unlock()
 	b.counts.Requests++
 	took := time.Duration((0.5 + b.rng.Float64()) * float64(b.options.MeanServiceTime))
-	v, x, f := serve, b.rng.Float64(), b.options.Faults
-	for i, share := range []float64{f.Fail, f.Refuse, f.Reset, f.Cut, f.Hang} {
-		if x < share {
-			v = serverOutcome(i + 1)
+	outcome, drawn, faults := serve, b.rng.Float64(), b.options.Faults
+	for i, share := range []float64{faults.Fail, faults.Refuse, faults.Reset, faults.Cut, faults.Hang} {
+		if drawn < share {
+			outcome = serverOutcome(i + 1)
 			break
 		}
-		x -= share
+		drawn -= share
 	}
 	if b.options.MaxRequests > 0 && b.busy >= b.options.MaxRequests {
-		v = refuse
+		outcome = refuse
 	}
-	if v == refuse {
+	if outcome == refuse {
 		b.counts.Refused++
-		return v, 0
+		return outcome, 0
 	}
 	b.busy++
 	b.ran[id]++
 	b.counts.Ran++
-	switch v {
+	switch outcome {
 	case fail:
 		b.counts.Failed++
 	case reset:
@@ -112,14 +112,14 @@
 	case hang:
 		b.counts.Hung++
 	}
-	return v, took
+	return outcome, took
 }
 
 // Serve answers a request that was read completely. It is a Handler.
 func (b *FaultyServer) Serve(c net.Conn, r *http.Request, body string) bool {
 	id := r.Header.Get("X-Request-Id")
-	v, took := b.drawOutcome(id)
-	if v == refuse {
+	outcome, took := b.drawOutcome(id)
+	if outcome == refuse {
 		_, err := io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
@@ -131,7 +131,7 @@
 	time.Sleep(took)
 	text := b.options.Name + " " + id
 	var err error
-	switch v {
+	switch outcome {
 	case fail:
 		_, err = io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case reset:
