--- a/internal/testpeer/load.go
+++ b/internal/testpeer/load.go
@@ -69,23 +69,23 @@
 }
 
 // tally counts the outcomes that clients saw. The caller holds mu.
-func (a *Audit) tally() (v AuditResult) {
-	v.Violations = append(v.Violations, a.violations...)
-	v.Latencies = append(v.Latencies, a.latencies...)
+func (a *Audit) tally() (result AuditResult) {
+	result.Violations = append(result.Violations, a.violations...)
+	result.Latencies = append(result.Latencies, a.latencies...)
 	for _, outcomes := range a.outcomes {
-		v.Requests++
+		result.Requests++
 		switch outcomes[0] {
 		case OutcomeServed:
-			v.Served++
+			result.Served++
 		case OutcomeRefused:
-			v.Refused++
+			result.Refused++
 		case OutcomeFailed:
-			v.Failed++
+			result.Failed++
 		case OutcomeNoResponse:
-			v.NoResponse++
+			result.NoResponse++
 		}
 	}
-	return v
+	return result
 }
 
 // Check compares the outcomes that clients saw with what servers ran. Each request must have exactly one outcome, a
@@ -93,29 +93,31 @@
 // run at all, no unsafe request may have run twice, and servers must not have run a request that no client sent.
 func (a *Audit) Check(servers ...*FaultyServer) AuditResult {
 	ran := map[string]int{}
-	for _, b := range servers {
-		for id, n := range b.Ran() {
-			ran[id] += n
+	for _, server := range servers {
+		for id, runs := range server.Ran() {
+			ran[id] += runs
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	v := a.tally()
-	addViolation := func(format string, args ...any) { v.Violations = append(v.Violations, fmt.Sprintf(format, args...)) }
+	result := a.tally()
+	addViolation := func(format string, args ...any) {
+		result.Violations = append(result.Violations, fmt.Sprintf(format, args...))
+	}
 	for id, outcomes := range a.outcomes {
-		n := ran[id]
+		runs := ran[id]
 		switch {
 		case len(outcomes) != 1:
 			addViolation("%s has %d outcomes, want 1", id, len(outcomes))
-		case outcomes[0] == OutcomeServed && n == 0:
+		case outcomes[0] == OutcomeServed && runs == 0:
 			addViolation("%s was served but no server ran it", id)
-		case outcomes[0] == OutcomeRefused && a.unsafeIDs[id] && n > 0:
+		case outcomes[0] == OutcomeRefused && a.unsafeIDs[id] && runs > 0:
 			addViolation("%s is unsafe and was refused although it ran", id)
-		case outcomes[0] == OutcomeNoResponse && n > 0:
+		case outcomes[0] == OutcomeNoResponse && runs > 0:
 			addViolation("%s ran but its client got no response", id)
 		}
-		if a.unsafeIDs[id] && n > 1 {
-			addViolation("%s ran %d times", id, n)
+		if a.unsafeIDs[id] && runs > 1 {
+			addViolation("%s ran %d times", id, runs)
 		}
 	}
 	for id := range ran {
@@ -123,7 +125,7 @@
 			addViolation("%s ran but no client sent it", id)
 		}
 	}
-	return v
+	return result
 }
 
 // Load generates load: each client sends safe and unsafe requests, one at a time on a persistent connection, until the
@@ -136,7 +138,7 @@
 	Deadline    time.Duration
 	Pause       time.Duration // mean pause between the requests of one client
 	Seed        uint64
-	IDPrefix    string // prefix of request IDs
+	IDPrefix    string
 	SafeClass   string // class of requests that may be repeated; view if empty
 	UnsafeClass string // class of requests that must not be repeated; note if empty
 }
@@ -149,17 +151,17 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
-	c := &ClientConn{nc, bufio.NewReader(nc)}
-	c.Send("GET", "/"+cmp.Or(l.SafeClass, "view")+"/k", fmt.Sprintf("%sone-%d", l.IDPrefix, time.Now().UnixNano()), "", fmt.Sprint(l.Deadline.Seconds()))
-	r, err := http.ReadResponse(c.Reader, nil)
+	conn := &ClientConn{nc, bufio.NewReader(nc)}
+	conn.Send("GET", "/"+cmp.Or(l.SafeClass, "view")+"/k", fmt.Sprintf("%sone-%d", l.IDPrefix, time.Now().UnixNano()), "", fmt.Sprint(l.Deadline.Seconds()))
+	response, err := http.ReadResponse(conn.Reader, nil)
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(r.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s\n%s\n", r.Status, body), nil
+	return fmt.Sprintf("%s\n%s\n", response.Status, body), nil
 }
 
 // Run runs the clients until ctx ends, and returns once each has the outcome of its last request.
@@ -177,38 +179,38 @@
 
 func (l Load) runClient(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(n)))
-	var c *ClientConn
+	var conn *ClientConn
 	defer func() {
-		if c != nil {
-			c.Close()
+		if conn != nil {
+			conn.Close()
 		}
 	}()
-	for k := 0; ctx.Err() == nil; k++ {
-		id := fmt.Sprintf("%s%d-%d", l.IDPrefix, n, k)
+	for sequence := 0; ctx.Err() == nil; sequence++ {
+		id := fmt.Sprintf("%s%d-%d", l.IDPrefix, n, sequence)
 		unsafe := rng.Float64() < l.UnsafeShare
-		begin := time.Now()
+		start := time.Now()
 		outcome, violation := OutcomeNoResponse, ""
 		// A persistent connection may be closed between requests: a request that got no response on a reused
 		// connection is sent again on a new one.
-		for reused := c != nil; ; reused = false {
-			if c == nil {
+		for reused := conn != nil; ; reused = false {
+			if conn == nil {
 				addresses := l.Addresses()
 				nc, err := net.Dial("tcp", addresses[rng.IntN(len(addresses))])
 				if err != nil {
 					break
 				}
-				c = &ClientConn{nc, bufio.NewReader(nc)}
+				conn = &ClientConn{nc, bufio.NewReader(nc)}
 			}
 			var reusable bool
-			if outcome, violation, reusable = l.send(c, id, unsafe); !reusable {
-				c.Close()
-				c = nil
+			if outcome, violation, reusable = l.send(conn, id, unsafe); !reusable {
+				conn.Close()
+				conn = nil
 			}
 			if outcome != OutcomeNoResponse || !reused {
 				break
 			}
 		}
-		l.Audit.record(id, unsafe, outcome, time.Since(begin), violation)
+		l.Audit.record(id, unsafe, outcome, time.Since(start), violation)
 		if l.Pause > 0 {
 			time.Sleep(time.Duration(rng.Float64() * 2 * float64(l.Pause)))
 		}
@@ -217,14 +219,14 @@
 
 // send sends a request and returns its outcome, the description of an invalid one, and whether the connection can be
 // reused.
-func (l Load) send(c *ClientConn, id string, unsafe bool) (outcome Outcome, violation string, reusable bool) {
-	c.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
+func (l Load) send(conn *ClientConn, id string, unsafe bool) (outcome Outcome, violation string, reusable bool) {
+	conn.SetDeadline(time.Now().Add(l.Deadline + 10*time.Second))
 	method, target, body := "GET", "/"+cmp.Or(l.SafeClass, "view")+"/k", ""
 	if unsafe {
 		method, target, body = "POST", "/"+cmp.Or(l.UnsafeClass, "note")+"/k", "body of "+id
 	}
-	c.Send(method, target, id, body, fmt.Sprint(l.Deadline.Seconds()))
-	r, err := http.ReadResponse(c.Reader, nil)
+	conn.Send(method, target, id, body, fmt.Sprint(l.Deadline.Seconds()))
+	response, err := http.ReadResponse(conn.Reader, nil)
 	if err != nil {
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
@@ -232,22 +234,22 @@
 		}
 		return OutcomeNoResponse, "", false
 	}
-	got, err := io.ReadAll(r.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		return OutcomeFailed, "", false
 	}
 	switch {
-	case r.StatusCode == 200 && strings.HasSuffix(string(got), " "+id):
-		return OutcomeServed, "", !r.Close
-	case r.StatusCode == 200:
-		return OutcomeInvalid, fmt.Sprintf("%s: status 200 with body %.40q", id, got), false
-	case r.StatusCode == 503 || r.StatusCode == 429:
-		if r.Header.Get("Retry-After") == "" {
+	case response.StatusCode == 200 && strings.HasSuffix(string(responseBody), " "+id):
+		return OutcomeServed, "", !response.Close
+	case response.StatusCode == 200:
+		return OutcomeInvalid, fmt.Sprintf("%s: status 200 with body %.40q", id, responseBody), false
+	case response.StatusCode == 503 || response.StatusCode == 429:
+		if response.Header.Get("Retry-After") == "" {
 			return OutcomeInvalid, id + ": refused without a Retry-After header", false
 		}
-		return OutcomeRefused, "", !r.Close
-	case r.StatusCode >= 500:
-		return OutcomeFailed, "", !r.Close
+		return OutcomeRefused, "", !response.Close
+	case response.StatusCode >= 500:
+		return OutcomeFailed, "", !response.Close
 	}
-	return OutcomeInvalid, fmt.Sprintf("%s: unexpected status %d with body %.60q", id, r.StatusCode, got), false
+	return OutcomeInvalid, fmt.Sprintf("%s: unexpected status %d with body %.60q", id, response.StatusCode, responseBody), false
 }
