--- a/cmd/faultbench/compare.go
+++ b/cmd/faultbench/compare.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			pairs, left := report.Pairs(a, b)
+			pairs, excluded := report.Pairs(a, b)
 			if len(pairs) == 0 {
 				return fmt.Errorf("compare: %s and %s have no experiment with the same seed", args[0], args[1])
 			}
@@ -35,7 +35,7 @@
 				fmt.Fprintf(w, "%s %s\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\n", r.Name, r.Unit, r.A, r.B, r.Difference, r.Low, r.High)
 			}
 			w.Flush()
-			for _, l := range left {
+			for _, l := range excluded {
 				fmt.Fprintf(cmd.OutOrStdout(), "excluded: %s\n", l)
 			}
 			if page == "" {
@@ -45,7 +45,7 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			if err := report.Page(f, title, args[0], args[1], pairs, left); err != nil {
+			if err := report.Page(f, title, args[0], args[1], pairs, excluded); err != nil {
 				f.Close()
 				return err
 			}
--- a/cmd/faultbench/explore.go
+++ b/cmd/faultbench/explore.go
@@ -48,11 +48,11 @@
 			"shortened, printed as a script, and makes the command fail. Names: " + strings.Join(names, ", ") + ".",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			x, known := machines[args[0]]
+			machine, known := machines[args[0]]
 			if !known {
 				return fmt.Errorf("unknown system %q; allowed: %s", args[0], strings.Join(names, ", "))
 			}
-			start, err := x.small()
+			start, err := machine.small()
 			if err != nil {
 				return err
 			}
@@ -62,7 +62,7 @@
 				return breach
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "all orders: %d states, %d moves, %d deep, whole: %v, %v\n", r.States, r.Moves, r.Depth, r.Complete, time.Since(begin).Round(time.Millisecond))
-			if start, err = x.large(); err != nil {
+			if start, err = machine.large(); err != nil {
 				return err
 			}
 			begin = time.Now()
--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -14,8 +14,8 @@
 
 func newLeague() *cobra.Command {
 	var (
-		o        federation.Options
-		d        federation.Scenario
+		options  federation.Options
+		scenario federation.Scenario
 		binary   string
 		seeds    int
 		quota    float64
@@ -27,103 +27,103 @@
 			"plays the same without custody: callers send again by themselves what is harmless to send again.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if !slices.Contains(federation.Faults, d.Fault) {
-				return fmt.Errorf("unknown fault %q; allowed: %v", d.Fault, federation.Faults)
+			if !slices.Contains(federation.Faults, scenario.Fault) {
+				return fmt.Errorf("unknown fault %q; allowed: %v", scenario.Fault, federation.Faults)
 			}
 			if _, err := os.Stat(binary); err != nil {
 				return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
 			}
-			o.Binary = binary
-			o.Log = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+			options.Binary = binary
+			options.Log = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 			if !baseline {
-				o.Custody = "refuse"
+				options.Custody = "refuse"
 			}
-			broken := 0
+			failures := 0
 			for s := range seeds {
-				d.Seed = uint64(s + 1)
-				o.Seed = d.Seed
-				d.NotesBound = nil
+				scenario.Seed = uint64(s + 1)
+				options.Seed = scenario.Seed
+				scenario.NotesBound = nil
 				if quota > 0 {
 					var text string
-					part := quota
-					if o.QuotaPerPartner {
-						part /= float64(o.Partners)
+					rate := quota
+					if options.QuotaPerPartner {
+						rate /= float64(options.Partners)
 					}
-					d.NotesBound, text = quotaSettings(part, o.Partners, o.Gateways)
-					if o.QuotaPerPartner {
-						complete, _ := quotaSettings(quota, o.Partners, o.Gateways)
-						d.NotesBound = complete
+					scenario.NotesBound, text = quotaSettings(rate, options.Partners, options.Gateways)
+					if options.QuotaPerPartner {
+						complete, _ := quotaSettings(quota, options.Partners, options.Gateways)
+						scenario.NotesBound = complete
 					}
-					o.Quota = text
+					options.Quota = text
 				}
 				begin := time.Now()
-				l, err := federation.Start(cmd.Context(), o)
+				run, err := federation.Start(cmd.Context(), options)
 				if err != nil {
 					return err
 				}
-				if err := l.Settle(cmd.Context(), 3*o.Partners); err != nil {
-					l.Close()
+				if err := run.Settle(cmd.Context(), 3*options.Partners); err != nil {
+					run.Close()
 					return err
 				}
 				ready := time.Since(begin)
-				_, before := l.Cost()
-				f := l.Play(cmd.Context(), d)
-				memory, cpu := l.Cost()
+				_, before := run.Cost()
+				metrics := run.Play(cmd.Context(), scenario)
+				memory, cpu := run.Cost()
 				cpu -= before
-				l.Close()
-				what := "custody"
+				run.Close()
+				mode := "custody"
 				if baseline {
-					what = "none"
+					mode = "none"
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%d x %d, %s, custody %s, seed %d: %s; ready in %v; %.1f MB each, %v of processor time a call\n", o.Partners, o.Gateways, d.Fault, what, d.Seed, f.Line(),
-					ready.Round(10*time.Millisecond), float64(memory)/(1<<20), (cpu / time.Duration(max(1, f.Calls))).Round(time.Microsecond))
-				for i, b := range f.Breaches {
+				fmt.Fprintf(cmd.OutOrStdout(), "%d x %d, %s, custody %s, seed %d: %s; ready in %v; %.1f MB each, %v of processor time a call\n", options.Partners, options.Gateways, scenario.Fault, mode, scenario.Seed, metrics.Line(),
+					ready.Round(10*time.Millisecond), float64(memory)/(1<<20), (cpu / time.Duration(max(1, metrics.Calls))).Round(time.Microsecond))
+				for i, b := range metrics.Breaches {
 					if i < 20 {
 						fmt.Fprintln(cmd.OutOrStdout(), "  breach:", b)
 					}
 				}
-				broken += len(f.Breaches)
-				if f.Over > 1 {
-					broken++
+				failures += len(metrics.Breaches)
+				if metrics.Over > 1 {
+					failures++
 				}
 			}
-			if broken > 0 {
-				return fmt.Errorf("%d breaches", broken)
+			if failures > 0 {
+				return fmt.Errorf("%d breaches", failures)
 			}
 			return nil
 		}}
 	fl := cmd.Flags()
 	fl.StringVar(&binary, "program", "bin/damsontrestle", "the program; one that is built with -tags rig for faults at points")
-	fl.IntVar(&o.Partners, "partners", 6, "")
-	fl.IntVar(&o.Gateways, "gateways", 10, "of each partner")
-	fl.IntVar(&o.Servers, "boxes", 8, "of each partner")
-	fl.IntVar(&o.Zones, "zones", 2, "of each partner")
-	fl.IntVar(&o.Links, "links", 2, "that each gateway holds to each partner")
-	fl.DurationVar(&o.Service, "service", 100*time.Millisecond, "that a box takes for a call")
-	fl.DurationVar(&o.Silence, "silence", time.Second, "that ends a link")
-	fl.DurationVar(&d.RequestTimeout, "patience", 3*time.Second, "of callers")
-	fl.DurationVar(&d.AttemptTimeout, "doubt", 750*time.Millisecond, "of callers, after which they ask another gateway")
-	fl.DurationVar(&d.Duration, "length", 20*time.Second, "")
-	fl.Float64Var(&d.Rate, "rate", 5, "calls a second that come to each gateway")
-	fl.Float64Var(&d.RemoteShare, "away", 0.3, "share of calls for another partner")
-	fl.StringVar(&d.Fault, "fault", "none", fmt.Sprint(federation.Faults))
-	fl.DurationVar(&d.FaultInterval, "every", 200*time.Millisecond, "between two faults")
-	fl.DurationVar(&d.FaultDuration, "for", time.Second, "that a fault lasts")
+	fl.IntVar(&options.Partners, "partners", 6, "")
+	fl.IntVar(&options.Gateways, "gateways", 10, "of each partner")
+	fl.IntVar(&options.Servers, "boxes", 8, "of each partner")
+	fl.IntVar(&options.Zones, "zones", 2, "of each partner")
+	fl.IntVar(&options.Links, "links", 2, "that each gateway holds to each partner")
+	fl.DurationVar(&options.Service, "service", 100*time.Millisecond, "that a box takes for a call")
+	fl.DurationVar(&options.Silence, "silence", time.Second, "that ends a link")
+	fl.DurationVar(&scenario.RequestTimeout, "patience", 3*time.Second, "of callers")
+	fl.DurationVar(&scenario.AttemptTimeout, "doubt", 750*time.Millisecond, "of callers, after which they ask another gateway")
+	fl.DurationVar(&scenario.Duration, "length", 20*time.Second, "")
+	fl.Float64Var(&scenario.Rate, "rate", 5, "calls a second that come to each gateway")
+	fl.Float64Var(&scenario.RemoteShare, "away", 0.3, "share of calls for another partner")
+	fl.StringVar(&scenario.Fault, "fault", "none", fmt.Sprint(federation.Faults))
+	fl.DurationVar(&scenario.FaultInterval, "every", 200*time.Millisecond, "between two faults")
+	fl.DurationVar(&scenario.FaultDuration, "for", time.Second, "that a fault lasts")
 	fl.IntVar(&seeds, "seeds", 1, "")
 	fl.Float64Var(&quota, "quota", 0, "notes a second that all partners may call together; 0: no quota")
-	fl.BoolVar(&o.QuotaPerPartner, "apart", false, "each partner has its part of the quota for itself")
-	fl.Float64Var(&d.LoadImbalance, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
+	fl.BoolVar(&options.QuotaPerPartner, "apart", false, "each partner has its part of the quota for itself")
+	fl.Float64Var(&scenario.LoadImbalance, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
 	fl.BoolVar(&baseline, "baseline", false, "without custody")
 	return cmd
 }
 
 // quotaSettings returns the bound and settings of a budget with equal weights for all partners and no floors.
 func quotaSettings(rate float64, partners, gateways int) (func(time.Duration) float64, string) {
-	t := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
-	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", t.Rate, t.Burst)
+	terms := budget.Terms{Name: "notes", Rate: rate, Burst: max(10, rate), Overdraw: 0.05, Lease: 300 * time.Millisecond, LeaderTerm: time.Second, Fallback: budget.Closed}
+	text := fmt.Sprintf(" rate = %v\n burst = %v\n term = \"1s\"\n wait = \"100ms\"\n when_cut = \"closed\"\n classes = [\"note\"]\n", terms.Rate, terms.Burst)
 	for p := range partners {
-		t.Partners = append(t.Partners, budget.Partner{Name: federation.PartnerName(p), Weight: 1, Gateways: gateways})
+		terms.Partners = append(terms.Partners, budget.Partner{Name: federation.PartnerName(p), Weight: 1, Gateways: gateways})
 		text += fmt.Sprintf(" partner %q {\n gateways = %d\n }\n", federation.PartnerName(p), gateways)
 	}
-	return t.Bound, text
+	return terms.Bound, text
 }
--- a/cmd/faultbench/main_test.go
+++ b/cmd/faultbench/main_test.go
@@ -72,13 +72,13 @@
 }
 
 // socketsOf returns those of the sockets that the processes have open; processes begin with the path of their stat file.
-func socketsOf(ports map[string]bool, processes []string) map[string]bool {
+func socketsOf(sockets map[string]bool, processes []string) map[string]bool {
 	out := map[string]bool{}
 	for _, p := range processes {
 		links, _ := filepath.Glob(filepath.Dir(strings.Fields(p)[0]) + "/fd/*")
 		for _, l := range links {
 			to, _ := os.Readlink(l)
-			if inode, is := strings.CutPrefix(to, "socket:["); is && ports[strings.TrimSuffix(inode, "]")] {
+			if inode, is := strings.CutPrefix(to, "socket:["); is && sockets[strings.TrimSuffix(inode, "]")] {
 				out[strings.TrimSuffix(inode, "]")] = true
 			}
 		}
@@ -119,10 +119,10 @@
 	if len(nodes) != 6 {
 		t.Fatalf("the fault bench has %d children, want 6: %v", len(nodes), nodes)
 	}
-	ports := listeningSockets(t)
-	own := socketsOf(ports, append(slices.Collect(maps.Keys(nodes)), fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)))
-	if len(own) < 6+60 {
-		t.Errorf("the fault bench and its nodes have %d listening sockets; want at least one for each node and server", len(own))
+	sockets := listeningSockets(t)
+	owned := socketsOf(sockets, append(slices.Collect(maps.Keys(nodes)), fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid)))
+	if len(owned) < 6+60 {
+		t.Errorf("the fault bench and its nodes have %d listening sockets; want at least one for each node and server", len(owned))
 	}
 	if err := cmd.Process.Signal(syscall.SIGKILL); err != nil {
 		t.Fatal(err)
@@ -139,14 +139,14 @@
 	})
 	testpeer.Until(t, "the ports of the fault bench are free", func() bool {
 		now := listeningSockets(t)
-		for inode := range own {
+		for inode := range owned {
 			if now[inode] {
 				return false
 			}
 		}
 		return true
 	})
-	if left, err := os.ReadDir(temp); err != nil || len(left) > 0 {
-		t.Errorf("the fault bench left files: %v, %v", left, err)
+	if files, err := os.ReadDir(temp); err != nil || len(files) > 0 {
+		t.Errorf("the fault bench left files: %v, %v", files, err)
 	}
 }
--- a/cmd/faultbench/run.go
+++ b/cmd/faultbench/run.go
@@ -17,13 +17,13 @@
 
 func newRun() *cobra.Command {
 	var (
-		seeds    int
-		policies []string
-		programs []string
-		at       []float64
-		out      string
-		nodes    int
-		quiet    bool
+		seeds        int
+		policies     []string
+		programs     []string
+		utilisations []float64
+		out          string
+		nodes        int
+		quiet        bool
 	)
 	cmd := &cobra.Command{Use: "run FILE...", Short: "Run experiments with processes",
 		Long: "run runs each experiment with every policy and every seed in turn, and prints a line for each. A policy is\n" +
@@ -51,13 +51,13 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
 			writeHeading(w)
-			broken, slow := 0, 0
+			breaches, slowRuns := 0, 0
 			var notes []string
 			for _, path := range args {
 				for s := range seeds {
-					for _, o := range runs {
-						for _, u := range append([]float64{0}, at...) {
-							if u == 0 && len(at) > 0 {
+					for _, options := range runs {
+						for _, utilisation := range append([]float64{0}, utilisations...) {
+							if utilisation == 0 && len(utilisations) > 0 {
 								continue
 							}
 							e, err := loadExperiment(path, 0)
@@ -65,13 +65,13 @@
 								return err
 							}
 							e.Seed += uint64(s)
-							override(e, u, nodes)
+							override(e, utilisation, nodes)
 							if !quiet {
-								o.Log = func(format string, args ...any) {
+								options.Log = func(format string, args ...any) {
 									fmt.Fprintf(cmd.ErrOrStderr(), time.Now().Format("15:04:05.000")+" "+format+"\n", args...)
 								}
 							}
-							res, err := faultbench.Run(cmd.Context(), e, o)
+							res, err := faultbench.Run(cmd.Context(), e, options)
 							if err != nil {
 								return err
 							}
@@ -91,10 +91,10 @@
 									k.Share, k.Gaps, k.Median.Round(time.Millisecond), k.Longest.Round(time.Millisecond), res.Cost.Datagrams, res.Cost.DatagramBytes, res.Cost.MostBytes))
 							}
 							if res.Slow != "" {
-								slow++
+								slowRuns++
 								notes = append(notes, "  "+res.Slow)
 							}
-							broken += len(res.Breaches)
+							breaches += len(res.Breaches)
 							for i, b := range res.Breaches {
 								if i == 10 {
 									notes = append(notes, fmt.Sprintf("  and %d more", len(res.Breaches)-i))
@@ -103,7 +103,7 @@
 								notes = append(notes, "  "+b.String())
 							}
 							if out != "" {
-								if err := saveResult(out, res, u); err != nil {
+								if err := saveResult(out, res, utilisation); err != nil {
 									return err
 								}
 							}
@@ -115,8 +115,8 @@
 			for _, n := range notes {
 				fmt.Fprintln(cmd.OutOrStdout(), n)
 			}
-			if broken > 0 && slow == 0 {
-				return fmt.Errorf("%d breaches of rules", broken)
+			if breaches > 0 && slowRuns == 0 {
+				return fmt.Errorf("%d breaches of rules", breaches)
 			}
 			return nil
 		}}
@@ -124,7 +124,7 @@
 	f.IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
 	f.StringSliceVar(&policies, "policy", []string{"program"}, "program, random or jsq; several with commas")
 	f.StringArrayVar(&programs, "program", []string{"bin/damsontrestle"}, "the program, or NAME=PATH")
-	f.Float64SliceVar(&at, "utilisation", nil, "of all slots, in place of the file's; several with commas")
+	f.Float64SliceVar(&utilisations, "utilisation", nil, "of all slots, in place of the file's; several with commas")
 	f.StringVar(&out, "out", "", "output folder for a JSON result of each run")
 	f.IntVar(&nodes, "nodes", 0, "number of nodes, distributed as in the file; the total request rate stays the same")
 	f.BoolVar(&quiet, "quiet", false, "do not log progress")
@@ -137,12 +137,12 @@
 		e.Clients.Rate, e.Clients.Utilisation = 0, utilisation
 	}
 	if nodes > 0 {
-		was := len(e.NodeZones())
+		oldNodes := len(e.NodeZones())
 		if e.Clients.Rate > 0 {
-			e.Clients.Rate *= float64(was) / float64(nodes)
+			e.Clients.Rate *= float64(oldNodes) / float64(nodes)
 		}
 		for i := range e.Nodes {
-			e.Nodes[i].Count = max(1, e.Nodes[i].Count*nodes/was)
+			e.Nodes[i].Count = max(1, e.Nodes[i].Count*nodes/oldNodes)
 		}
 	}
 }
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -24,7 +24,7 @@
 
 func newWeigh() *cobra.Command {
 	var seeds, asks int
-	var told virtual.LoadExchange
+	var exchange virtual.LoadExchange
 	var policies []string
 	var utilisation []float64
 	cmd := &cobra.Command{Use: "weigh FILE...", Short: "Run experiments on virtual time, with the balancer module in place of processes",
@@ -48,7 +48,7 @@
 							if asks >= 0 {
 								s.PollChoices = asks
 							}
-						}, told)
+						}, exchange)
 						if err != nil {
 							return err
 						}
@@ -64,8 +64,8 @@
 			return nil
 		}}
 	cmd.Flags().StringSliceVar(&policies, "policy", []string{"random", "program", "jsq"}, "random, program or jsq; several with commas")
-	cmd.Flags().DurationVar(&told.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
-	cmd.Flags().Float64Var(&told.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
+	cmd.Flags().DurationVar(&exchange.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
+	cmd.Flags().Float64Var(&exchange.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
 	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node asks before a call, in place of the file's")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
 	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "of all slots, in place of the file's")
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -23,22 +23,22 @@
 // outcome.
 func (n *node) sendRequests(ctx context.Context, streams *world.Streams) {
 	f := n.fleet
-	var all sync.WaitGroup
-	defer all.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	for {
-		c, more := streams.Next(n.index)
+		request, more := streams.Next(n.index)
 		if !more {
 			return
 		}
-		f.waitUntil(ctx, c.At)
+		f.waitUntil(ctx, request.At)
 		if ctx.Err() != nil {
 			return
 		}
-		f.recordLateness(f.now() - c.At)
-		all.Add(1)
+		f.recordLateness(f.now() - request.At)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			n.sendWithRetries(ctx, c)
+			defer wg.Done()
+			n.sendWithRetries(ctx, request)
 		}()
 	}
 }
@@ -76,21 +76,21 @@
 		}
 	}
 	for {
-		c, kept := n.takeIdle(addr)
-		if !kept {
+		conn, reused := n.takeIdle(addr)
+		if !reused {
 			var err error
-			if c, err = net.DialTimeout("tcp4", addr, min(remaining, time.Second)); err != nil {
+			if conn, err = net.DialTimeout("tcp4", addr, min(remaining, time.Second)); err != nil {
 				return audit.NotAccepted, err.Error(), 0
 			}
 		}
-		outcome, detail, wait, open := n.roundTrip(c, id, class, remaining)
+		outcome, detail, wait, open := n.roundTrip(conn, id, class, remaining)
 		if open {
-			n.putIdle(addr, c)
+			n.putIdle(addr, conn)
 		} else {
-			c.Close()
+			conn.Close()
 		}
 		// A request that raced with the close of a reused connection is sent again.
-		if outcome == audit.Disconnected && kept {
+		if outcome == audit.Disconnected && reused {
 			continue
 		}
 		if n.fleet.options.Policy != experiment.Program && outcome == audit.Refused {
@@ -101,12 +101,12 @@
 }
 
 // roundTrip sends a request on a connection and reads the response. reusable reports whether the connection can be reused.
-func (n *node) roundTrip(c net.Conn, id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration, reusable bool) {
+func (n *node) roundTrip(conn net.Conn, id string, class experiment.Class, remaining time.Duration) (outcome audit.Outcome, detail string, wait time.Duration, reusable bool) {
 	timeout := n.fleet.experiment.Clients.Patience
 	if timeout == 0 || timeout > remaining {
 		timeout = remaining + audit.AnswerSlack
 	}
-	c.SetDeadline(time.Now().Add(timeout))
+	conn.SetDeadline(time.Now().Add(timeout))
 	method, body := "GET", ""
 	if class.Effect != "safe" {
 		method, body = "POST", "body of "+id
@@ -117,11 +117,11 @@
 		fmt.Fprintf(&out, "Content-Length: %d\r\n", len(body))
 	}
 	fmt.Fprintf(&out, "\r\n%s", body)
-	if _, err := io.WriteString(c, out.String()); err != nil {
+	if _, err := io.WriteString(conn, out.String()); err != nil {
 		return audit.Disconnected, err.Error(), 0, false
 	}
-	in := bufio.NewReader(c)
-	r, err := http.ReadResponse(in, nil)
+	in := bufio.NewReader(conn)
+	resp, err := http.ReadResponse(in, nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if timeout <= remaining {
 			return audit.ClientLeft, "", 0, false
@@ -131,38 +131,38 @@
 	if err != nil {
 		return audit.Disconnected, err.Error(), 0, false
 	}
-	text, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
-	r.Body.Close()
-	reusable = err == nil && !r.Close && in.Buffered() == 0
-	retryAfter := r.Header.Get("Retry-After")
+	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
+	resp.Body.Close()
+	reusable = err == nil && !resp.Close && in.Buffered() == 0
+	retryAfter := resp.Header.Get("Retry-After")
 	switch {
 	case err != nil:
 		return audit.Failed, "truncated response", 0, false
-	case r.StatusCode == http.StatusOK && strings.HasSuffix(string(text), " "+id):
+	case resp.StatusCode == http.StatusOK && strings.HasSuffix(string(text), " "+id):
 		return audit.Served, "", 0, reusable
-	case r.StatusCode == http.StatusOK:
+	case resp.StatusCode == http.StatusOK:
 		return audit.WrongResponse, fmt.Sprintf("%.60q", text), 0, false
-	case r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusTooManyRequests:
+	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
 		var seconds float64
 		fmt.Sscan(retryAfter, &seconds)
 		return audit.Refused, retryAfter, time.Duration(seconds * float64(time.Second)), reusable
-	case r.StatusCode >= 500:
-		return audit.Failed, r.Status, 0, reusable
+	case resp.StatusCode >= 500:
+		return audit.Failed, resp.Status, 0, reusable
 	}
-	return audit.WrongResponse, r.Status, 0, false
+	return audit.WrongResponse, resp.Status, 0, false
 }
 
 // takeIdle returns an idle connection, if there is one.
-func (n *node) takeIdle(to string) (c net.Conn, kept bool) {
+func (n *node) takeIdle(to string) (conn net.Conn, found bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	free := n.idle[to]
 	if len(free) == 0 {
 		return nil, false
 	}
-	c = free[len(free)-1]
+	conn = free[len(free)-1]
 	n.idle[to] = free[:len(free)-1]
-	return c, true
+	return conn, true
 }
 
 func (n *node) putIdle(to string, c net.Conn) {
@@ -174,9 +174,9 @@
 // pickServer returns the address of the server that the fault bench's policy selects, or "" if there is none.
 func (n *node) pickServer() (addr string) {
 	f := n.fleet
-	v, _, _, _ := f.registry.visibleVersion(n.registryLag)
+	version, _, _, _ := f.registry.visibleVersion(n.registryLag)
 	var ready []*host
-	for _, t := range v.targets {
+	for _, t := range version.targets {
 		if t.State == stateNames[balancer.Ready] {
 			ready = append(ready, f.hosts[t.place])
 		}
--- a/internal/faultbench/faultbench_test.go
+++ b/internal/faultbench/faultbench_test.go
@@ -206,22 +206,22 @@
 	if d := res.DeathDetection(n); res.Slow == "" && (d.Struck != 1 || d.Known < 1 || d.Most > 7*time.Second) {
 		t.Errorf("death detection of one node killed for six seconds: %+v", d)
 	}
-	dead := res.Statuses(n, 9*time.Second)
+	atRestart := res.Statuses(n, 9*time.Second)
 	for j := range n {
 		for i := range n {
-			if dead[i][j] == "dead" && j != res.Strikes[0].Node && res.Slow == "" {
+			if atRestart[i][j] == "dead" && j != res.Strikes[0].Node && res.Slow == "" {
 				t.Errorf("n%d is alive but n%d sees it as dead", j, i)
 			}
 		}
 	}
-	apart := 0
+	detections := 0
 	for _, s := range res.Sights {
 		if s.At > 10*time.Second && s.At < 17*time.Second && s.Status == "dead" && (s.Node%3 == 0) != (s.Of%3 == 0) {
-			apart++
+			detections++
 		}
 	}
-	if apart < 32 && res.Slow == "" { // half of the 64 directed pairs: 4 x 8 in each direction
-		t.Errorf("%d of 64 directed pairs across the cut detected the other as dead, want at least 32", apart)
+	if detections < 32 && res.Slow == "" { // half of the 64 directed pairs: 4 x 8 in each direction
+		t.Errorf("%d of 64 directed pairs across the cut detected the other as dead, want at least 32", detections)
 	}
 	// Zone state is fresh before and after the cut, not fresh across it once older than the limit, and never older than
 	// reported (play checks this).
--- a/internal/faultbench/faults.go
+++ b/internal/faultbench/faults.go
@@ -21,11 +21,11 @@
 
 // injectFaults starts and ends every fault when it is due. It returns once all started faults are over.
 func (f *fleet) injectFaults(ctx context.Context) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, ft := range f.experiment.Faults {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			f.waitUntil(ctx, ft.From)
 			if ctx.Err() == nil {
 				f.options.Log("%v %s: fault %s started", f.now().Round(time.Millisecond), ft.Name, ft.Kind)
@@ -34,7 +34,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // runFault runs one fault from start to end.
@@ -69,16 +69,16 @@
 
 // forEachTarget calls strike for n targets, spread over the fault's onset, and returns once all calls have returned.
 func (f *fleet) forEachTarget(ctx context.Context, ft experiment.Fault, n int, strike func(k int)) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for k := range n {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			f.waitUntil(ctx, ft.From+ft.OnsetSpread*time.Duration(k)/time.Duration(n))
 			if ctx.Err() == nil {
 				strike(k)
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -172,24 +172,24 @@
 	if f.spawner != nil {
 		f.spawner.Close()
 	}
-	var all sync.WaitGroup
-	closing := func(c func()) {
-		all.Add(1)
+	var wg sync.WaitGroup
+	closeInBackground := func(c func()) {
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			c()
 		}()
 	}
 	for _, n := range f.nodes {
-		closing(n.close)
+		closeInBackground(n.close)
 	}
 	for _, h := range f.hosts {
-		closing(h.close)
+		closeInBackground(h.close)
 	}
 	if f.mesh != nil {
-		closing(f.mesh.Close)
+		closeInBackground(f.mesh.Close)
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // now returns the run time: the time since the first request was due.
@@ -272,11 +272,11 @@
 
 // result computes the result of the run.
 func (f *fleet) result(before Cost) *Result {
-	asks := 0
+	polls := 0
 	for _, h := range f.hosts {
 		h.mu.Lock()
 		f.audit.RecordServerEnd(h.server, f.now())
-		asks += h.loadPolls
+		polls += h.loadPolls
 		h.mu.Unlock()
 	}
 	after := f.cost()
@@ -284,7 +284,7 @@
 		Figures: f.audit.Metrics(f.experiment.WarmUp, f.experiment.TotalDuration(), audit.Capacities(f.experiment)), Cost: after}
 	r.Cost.RigCPU -= before.RigCPU
 	r.Cost.NodesCPU -= before.NodesCPU
-	r.Cost.Asks = asks
+	r.Cost.Asks = polls
 	requests := 0
 	for _, s := range r.Figures.BySecond {
 		requests += s.Calls
--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -70,41 +70,41 @@
 }
 
 // serve handles requests one after another on a connection from a zone.
-func (h *host) serve(c *link.Conn, zone string) {
-	in := bufio.NewReader(c)
+func (h *host) serve(conn *link.Conn, zone string) {
+	in := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		if r.URL.Path == "/stats" {
-			if !h.reportLoad(c) {
+		if request.URL.Path == "/stats" {
+			if !h.reportLoad(conn) {
 				return
 			}
 			continue
 		}
-		if !h.handle(c, r, zone) {
+		if !h.handle(conn, request, zone) {
 			return
 		}
 	}
 }
 
 // handle runs a request and sends its response. It reports whether the connection can be reused.
-func (h *host) handle(c *link.Conn, r *http.Request, zone string) bool {
-	f, id := h.fleet, r.Header.Get("X-Request-Id")
+func (h *host) handle(conn *link.Conn, request *http.Request, zone string) bool {
+	f, id := h.fleet, request.Header.Get("X-Request-Id")
 	h.mu.Lock()
 	server, incarnation := h.server, h.incarnation
-	attempt := f.audit.RecordAttempt(id, server.ID, h.place, zone != server.Zone, f.runTime(c.LastArrival()))
+	attempt := f.audit.RecordAttempt(id, server.ID, h.place, zone != server.Zone, f.runTime(conn.LastArrival()))
 	if h.down != "" { // the process or machine is gone: requests in transit are lost
 		h.mu.Unlock()
-		<-c.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "its server was gone")
+		<-conn.CloseDelivered()
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "its server was gone")
 		return false
 	}
-	pending := &pendingRequest{attempt: attempt, conn: c, done: make(chan struct{})}
+	pending := &pendingRequest{attempt: attempt, conn: conn, done: make(chan struct{})}
 	job := &world.Job{ID: id}
 	verdict := server.Arrive(f.now(), job)
 	switch verdict {
@@ -120,18 +120,18 @@
 	h.mu.Unlock()
 	switch verdict {
 	case world.Rejected:
-		return h.respond(c, attempt, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
+		return h.respond(conn, attempt, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
 	case world.Failed:
-		return h.respond(c, attempt, "500 Internal Server Error", load, "", "error")
+		return h.respond(conn, attempt, "500 Internal Server Error", load, "", "error")
 	case world.Hung:
-		<-c.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
+		<-conn.CloseDelivered()
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
 		return false
 	}
 	select {
 	case <-pending.done:
-	case <-c.CloseDelivered():
-		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
+	case <-conn.CloseDelivered():
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
 		h.mu.Lock()
 		server.Abandon(job)
 		h.mu.Unlock()
@@ -141,28 +141,28 @@
 	gone, load := h.incarnation != incarnation || h.down != "", h.loadHeader()
 	h.mu.Unlock()
 	if gone {
-		<-c.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "its server was gone")
+		<-conn.CloseDelivered()
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "its server was gone")
 		return false
 	}
-	return h.respond(c, attempt, "200 OK", load, server.ID+" "+id, "served")
+	return h.respond(conn, attempt, "200 OK", load, server.ID+" "+id, "served")
 }
 
 // reportLoad answers a node's load poll.
-func (h *host) reportLoad(c *link.Conn) bool {
+func (h *host) reportLoad(conn *link.Conn) bool {
 	h.mu.Lock()
 	down, load := h.down != "" || h.server.Fault == experiment.Hang, h.loadHeader()
 	h.loadPolls++
 	h.mu.Unlock()
 	if down {
-		<-c.CloseDelivered()
+		<-conn.CloseDelivered()
 		return false
 	}
 	status, body := "200 OK", strings.TrimPrefix(load, "X-Load: ")
 	if load == "" {
 		status = "404 Not Found"
 	}
-	return c.Send([]byte(fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)), nil) == nil
+	return conn.Send([]byte(fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)), nil) == nil
 }
 
 // loadHeader returns the load report that is sent with a response. The caller holds mu.
@@ -174,11 +174,11 @@
 }
 
 // respond sends a response. It returns once the last byte has been written to the node's socket or the node has closed it.
-func (h *host) respond(c *link.Conn, attempt *audit.Attempt, status, headers, body, outcome string) bool {
+func (h *host) respond(conn *link.Conn, attempt *audit.Attempt, status, headers, body, outcome string) bool {
 	f := h.fleet
 	text := fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	done := make(chan struct{})
-	err := c.Send([]byte(text), func(at time.Time) {
+	err := conn.Send([]byte(text), func(at time.Time) {
 		f.audit.RecordEnd(attempt, f.runTime(at), outcome)
 		close(done)
 	})
@@ -188,8 +188,8 @@
 	select {
 	case <-done:
 		return true
-	case <-c.CloseDelivered():
-		f.audit.RecordEnd(attempt, f.runTime(c.NearClosedAt()), "given up")
+	case <-conn.CloseDelivered():
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
 		return false
 	}
 }
--- a/internal/faultbench/links.go
+++ b/internal/faultbench/links.go
@@ -8,14 +8,14 @@
 )
 
 // linkShape returns the present shape of the link from a zone's nodes to the server at a place; place < 0 matches any server.
-func (f *fleet) linkShape(near, far string, place int) link.Shape {
-	l := f.experiment.LinkBetween(near, far)
+func (f *fleet) linkShape(from, to string, place int) link.Shape {
+	l := f.experiment.LinkBetween(from, to)
 	s := link.Shape{Delay: l.Delay, Jitter: l.Jitter}
 	f.mu.Lock()
 	faults := slices.Clone(f.linkFaults)
 	f.mu.Unlock()
 	for _, ft := range faults {
-		if ft.AffectsLink(near, far) && (place < 0 || slices.Contains(ft.Select(f.experiment.Seed, len(f.world.Servers)), place)) {
+		if ft.AffectsLink(from, to) && (place < 0 || slices.Contains(ft.Select(f.experiment.Seed, len(f.world.Servers)), place)) {
 			s = s.Combine(faultShape(ft))
 		}
 	}
--- a/internal/faultbench/node.go
+++ b/internal/faultbench/node.go
@@ -78,11 +78,11 @@
 
 func (n *node) configText() ([]byte, error) {
 	f := n.fleet
-	d := nodefile.Node{Index: n.index, Copies: n.copies, Zone: n.zone, Listen: n.listen, Registry: n.agent.Addr()}
+	config := nodefile.Node{Index: n.index, Copies: n.copies, Zone: n.zone, Listen: n.listen, Registry: n.agent.Addr()}
 	if n.key != nil {
-		d.Peers = &nodefile.Peers{Listen: n.peerListen, Advertise: n.peerAdvertise, KeyFile: "/proc/self/fd/4", Region: f.experiment.ZoneRegion(n.zone), Seeds: f.seeds(), Period: f.experiment.ProbeInterval, Fresh: f.experiment.ZoneStateMaxAge}
+		config.Peers = &nodefile.Peers{Listen: n.peerListen, Advertise: n.peerAdvertise, KeyFile: "/proc/self/fd/4", Region: f.experiment.ZoneRegion(n.zone), Seeds: f.seeds(), Period: f.experiment.ProbeInterval, Fresh: f.experiment.ZoneStateMaxAge}
 	}
-	return nodefile.Text(f.experiment, d)
+	return nodefile.Text(f.experiment, config)
 }
 
 // seeds returns the peer addresses of three nodes, in different zones if there are enough zones.
@@ -115,32 +115,32 @@
 	}
 	slots := make(chan struct{}, parallel)
 	errs := make([]error, len(f.nodes))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, n := range f.nodes {
 		slots <- struct{}{}
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			defer func() { <-slots }()
 			errs[i] = n.start(ctx, 0)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	return errors.Join(errs...)
 }
 
 // start starts the process and waits until it is ready.
 func (n *node) start(ctx context.Context, skew time.Duration) error {
 	f := n.fleet
-	keep := f.options.LogBytes
-	if keep <= 0 {
-		keep = 16 << 10
+	logBytes := f.options.LogBytes
+	if logBytes <= 0 {
+		logBytes = 16 << 10
 	}
 	var env []string
 	if skew != 0 {
 		env = append(env, "DAMSONTRESTLE_CLOCK_OFF="+skew.String())
 	}
-	p, err := f.spawner.Launch(f.options.Binary, n.file, n.key, keep, env, func(line string) {
+	p, err := f.spawner.Launch(f.options.Binary, n.file, n.key, logBytes, env, func(line string) {
 		f.recordStatusChange(n, line)
 		f.recordZoneStateChange(n, line)
 	})
@@ -169,12 +169,12 @@
 
 // ready reports whether the node answers its readiness check with success.
 func (n *node) ready(ctx context.Context) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.listen+"/health/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.listen+"/health/ready", nil)
 	if err != nil {
 		return false
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Do(r)
+	resp, err := client.Do(request)
 	if err != nil {
 		return false
 	}
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -174,7 +174,7 @@
 		for zone := range zones {
 			// Divide the time into periods at each change of state and each strike.
 			at, state := time.Duration(0), ""
-			stretch := func(until time.Duration) {
+			closePeriod := func(until time.Duration) {
 				a, b := max(at, from), min(until, to)
 				if b > a && state != "struck" {
 					if all += b - a; state == "fresh" {
@@ -186,7 +186,7 @@
 				at = max(at, until)
 			}
 			// Adjacent stale and unknown periods form one gap.
-			same := func(a, b string) bool {
+			samePeriod := func(a, b string) bool {
 				return a == b || a != "fresh" && b != "fresh" && a != "struck" && b != "struck"
 			}
 			type change struct {
@@ -207,12 +207,12 @@
 			}
 			slices.SortStableFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
 			for _, t := range changes {
-				if !same(state, t.word) {
-					stretch(t.at)
+				if !samePeriod(state, t.word) {
+					closePeriod(t.at)
 				}
 				state = t.word
 			}
-			stretch(to)
+			closePeriod(to)
 		}
 	}
 	if all > 0 {
--- a/internal/faultbench/registry.go
+++ b/internal/faultbench/registry.go
@@ -111,21 +111,21 @@
 }
 
 // serve handles the polls of a node to its agent.
-func (l *registry) serve(n *node, c *link.Conn) {
-	in := bufio.NewReader(c)
+func (l *registry) serve(n *node, conn *link.Conn) {
+	in := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, r.Body)
-		from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-		hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-		v, ok := l.waitForVersion(n, c, from, time.Duration(hold)*time.Millisecond)
+		io.Copy(io.Discard, request.Body)
+		from, _ := strconv.Atoi(request.URL.Query().Get("from"))
+		hold, _ := strconv.Atoi(request.URL.Query().Get("hold_ms"))
+		v, ok := l.waitForVersion(n, conn, from, time.Duration(hold)*time.Millisecond)
 		if !ok {
 			return
 		}
-		if !l.writeSnapshot(n, c, v, v.rev == from) {
+		if !l.writeSnapshot(n, conn, v, v.rev == from) {
 			return
 		}
 	}
@@ -133,49 +133,49 @@
 
 // waitForVersion waits for a version other than from, or until the hold time is over. It returns false if the node closed the
 // connection or its poll was lost.
-func (l *registry) waitForVersion(n *node, c *link.Conn, from int, hold time.Duration) (registryVersion, bool) {
-	over := time.Now().Add(hold)
+func (l *registry) waitForVersion(n *node, conn *link.Conn, from int, hold time.Duration) (registryVersion, bool) {
+	end := time.Now().Add(hold)
 	for {
 		v, next, changed, muted := l.visibleVersion(n.registryLag)
-		if !muted && (v.rev != from || !time.Now().Before(over)) {
+		if !muted && (v.rev != from || !time.Now().Before(end)) {
 			return v, true
 		}
-		wait := time.Until(over)
+		wait := time.Until(end)
 		if !next.IsZero() {
 			wait = min(wait, time.Until(next))
 		}
-		t := time.NewTimer(max(wait, time.Millisecond))
+		timer := time.NewTimer(max(wait, time.Millisecond))
 		if muted {
-			t.Stop()
+			timer.Stop()
 		}
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-changed:
-		case <-c.CloseDelivered():
-			t.Stop()
+		case <-conn.CloseDelivered():
+			timer.Stop()
 			return v, false
 		}
-		t.Stop()
+		timer.Stop()
 		if muted { // polls to a muted agent are lost
-			<-c.CloseDelivered()
+			<-conn.CloseDelivered()
 			return v, false
 		}
 	}
 }
 
 // writeSnapshot sends a version to a node as a full snapshot.
-func (l *registry) writeSnapshot(n *node, c *link.Conn, v registryVersion, nothing bool) bool {
+func (l *registry) writeSnapshot(n *node, conn *link.Conn, v registryVersion, unchanged bool) bool {
 	f := l.fleet
 	out := struct {
 		Rev     int      `json:"rev"`
 		All     bool     `json:"all"`
 		Targets []target `json:"targets"`
-	}{v.rev, !nothing, []target{}}
-	var leaving []string
-	if !nothing {
+	}{v.rev, !unchanged, []target{}}
+	var removed []string
+	if !unchanged {
 		for _, t := range v.targets {
 			if t.State != "in_service" {
-				leaving = append(leaving, t.UID)
+				removed = append(removed, t.UID)
 			}
 			if t.State == "terminated" {
 				continue
@@ -190,8 +190,8 @@
 		return false
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(text))
-	return c.Send(append([]byte(head), text...), func(at time.Time) {
-		for _, id := range leaving {
+	return conn.Send(append([]byte(head), text...), func(at time.Time) {
+		for _, id := range removed {
 			f.audit.RecordRemoval(n.index, id, f.runTime(at))
 		}
 	}) == nil
