--- a/cmd/faultbench/federation.go
+++ b/cmd/faultbench/federation.go
@@ -22,16 +22,16 @@
 		baseline bool
 	)
 	cmd := &cobra.Command{Use: "league", Short: "Run gateways of several partners as processes, with injected faults",
-		Long: "league starts gateways of several partners, their boxes and callers, strikes them with one kind of fault over and\n" +
-			"over, and prints what callers heard against what boxes ran. A breach of a rule makes the command fail. -baseline\n" +
-			"plays the same without custody: callers send again by themselves what is harmless to send again.",
+		Long: "league starts gateways of several partners with their servers and clients, injects one kind of fault repeatedly, and\n" +
+			"compares the outcomes at clients with the executions at servers. A breach of a rule makes the command fail. -baseline\n" +
+			"runs the same without custody: clients themselves retry requests that are safe to retry.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !slices.Contains(federation.Faults, scenario.Fault) {
 				return fmt.Errorf("unknown fault %q; allowed: %v", scenario.Fault, federation.Faults)
 			}
 			if _, err := os.Stat(binary); err != nil {
-				return fmt.Errorf("the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
+				return fmt.Errorf("find the program: %w; build it first (go build -o bin/ ./cmd/...)", err)
 			}
 			options.Binary = binary
 			options.Log = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
@@ -93,27 +93,27 @@
 			return nil
 		}}
 	fl := cmd.Flags()
-	fl.StringVar(&binary, "program", "bin/damsontrestle", "the program; one that is built with -tags rig for faults at points")
-	fl.IntVar(&options.Partners, "partners", 6, "")
-	fl.IntVar(&options.Gateways, "gateways", 10, "of each partner")
-	fl.IntVar(&options.Servers, "boxes", 8, "of each partner")
-	fl.IntVar(&options.Zones, "zones", 2, "of each partner")
-	fl.IntVar(&options.Links, "links", 2, "that each gateway holds to each partner")
-	fl.DurationVar(&options.Service, "service", 100*time.Millisecond, "that a box takes for a call")
-	fl.DurationVar(&options.Silence, "silence", time.Second, "that ends a link")
-	fl.DurationVar(&scenario.RequestTimeout, "patience", 3*time.Second, "of callers")
-	fl.DurationVar(&scenario.AttemptTimeout, "doubt", 750*time.Millisecond, "of callers, after which they ask another gateway")
-	fl.DurationVar(&scenario.Duration, "length", 20*time.Second, "")
-	fl.Float64Var(&scenario.Rate, "rate", 5, "calls a second that come to each gateway")
-	fl.Float64Var(&scenario.RemoteShare, "away", 0.3, "share of calls for another partner")
+	fl.StringVar(&binary, "program", "bin/damsontrestle", "path of the program; fault points need a build with -tags rig")
+	fl.IntVar(&options.Partners, "partners", 6, "number of partners")
+	fl.IntVar(&options.Gateways, "gateways", 10, "gateways of each partner")
+	fl.IntVar(&options.Servers, "boxes", 8, "servers of each partner")
+	fl.IntVar(&options.Zones, "zones", 2, "zones of each partner")
+	fl.IntVar(&options.Links, "links", 2, "links from each gateway to each partner")
+	fl.DurationVar(&options.Service, "service", 100*time.Millisecond, "service time of a request at a server")
+	fl.DurationVar(&options.Silence, "silence", time.Second, "silence after which a link is closed")
+	fl.DurationVar(&scenario.RequestTimeout, "patience", 3*time.Second, "request timeout of clients")
+	fl.DurationVar(&scenario.AttemptTimeout, "doubt", 750*time.Millisecond, "attempt timeout of clients, after which they retry at another gateway")
+	fl.DurationVar(&scenario.Duration, "length", 20*time.Second, "duration of the run")
+	fl.Float64Var(&scenario.Rate, "rate", 5, "requests per second to each gateway")
+	fl.Float64Var(&scenario.RemoteShare, "away", 0.3, "share of requests for another partner")
 	fl.StringVar(&scenario.Fault, "fault", "none", fmt.Sprint(federation.Faults))
-	fl.DurationVar(&scenario.FaultInterval, "every", 200*time.Millisecond, "between two faults")
-	fl.DurationVar(&scenario.FaultDuration, "for", time.Second, "that a fault lasts")
-	fl.IntVar(&seeds, "seeds", 1, "")
-	fl.Float64Var(&quota, "quota", 0, "notes a second that all partners may call together; 0: no quota")
-	fl.BoolVar(&options.QuotaPerPartner, "apart", false, "each partner has its part of the quota for itself")
-	fl.Float64Var(&scenario.LoadImbalance, "uneven", 0, "by how much more calls come to every other partner, and less to the rest; 0 to 1")
-	fl.BoolVar(&baseline, "baseline", false, "without custody")
+	fl.DurationVar(&scenario.FaultInterval, "every", 200*time.Millisecond, "time between two faults")
+	fl.DurationVar(&scenario.FaultDuration, "for", time.Second, "duration of a fault")
+	fl.IntVar(&seeds, "seeds", 1, "number of seeds")
+	fl.Float64Var(&quota, "quota", 0, "notes per second of all partners together; 0: no quota")
+	fl.BoolVar(&options.QuotaPerPartner, "apart", false, "give each partner a separate part of the quota")
+	fl.Float64Var(&scenario.LoadImbalance, "uneven", 0, "share by which every other partner receives more requests and the rest fewer; 0 to 1")
+	fl.BoolVar(&baseline, "baseline", false, "run without custody")
 	return cmd
 }
 
--- a/cmd/faultbench/weigh.go
+++ b/cmd/faultbench/weigh.go
@@ -64,11 +64,11 @@
 			return nil
 		}}
 	cmd.Flags().StringSliceVar(&policies, "policy", []string{"random", "program", "jsq"}, "random, program or jsq; several with commas")
-	cmd.Flags().DurationVar(&exchange.Age, "told", 0, "how old the counts of others at servers are that nodes are told; 0: they are told none")
-	cmd.Flags().Float64Var(&exchange.CutShare, "cut", 0, "share of the links between nodes over which no such counts come")
-	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node asks before a call, in place of the file's")
+	cmd.Flags().DurationVar(&exchange.Age, "told", 0, "age of the other nodes' request counts that nodes receive; 0: nodes receive none")
+	cmd.Flags().Float64Var(&exchange.CutShare, "cut", 0, "share of the links between nodes that carry no such counts")
+	cmd.Flags().IntVar(&asks, "asks", -1, "servers that a node polls before a request, in place of the file's")
 	cmd.Flags().IntVar(&seeds, "seeds", 1, "number of seeds, starting from the file's")
-	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "of all slots, in place of the file's")
+	cmd.Flags().Float64SliceVar(&utilisation, "utilisation", nil, "utilisation of all slots, in place of the file's")
 	return cmd
 }
 
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -58,7 +58,7 @@
 	Known   float64       // share of the other nodes, over all strikes, that detected the death
 	Median  time.Duration // from the strike until detection, of the nodes that detected it
 	Most    time.Duration
-	Wrongly int // times that a node declared dead one that was not struck by then, links cut or not
+	Wrongly int // times that a node declared dead one that no strike had hit, even if links were cut
 }
 
 // DeathDetection computes the summary for a run with the given number of nodes.
@@ -154,7 +154,7 @@
 
 // Freshness summarizes the time for which nodes had fresh zone state.
 type Freshness struct {
-	Share   float64       // of node, zone and time, while the node was not struck
+	Share   float64       // of the time of every node and zone, except while the node was struck
 	Longest time.Duration // longest time that a node had no fresh state of a zone
 	Median  time.Duration // of the gaps
 	Gaps    int           // periods without fresh state
