--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -58,7 +58,7 @@
 	Known   float64       // share of the other nodes, over all strikes, that detected the death
 	Median  time.Duration // from the strike until detection, of the nodes that detected it
 	Most    time.Duration
-	Wrongly int // times that a node declared dead one that was not struck by then, links cut or not
+	Wrongly int // times that a node declared dead one that no strike had hit, even if links were cut
 }
 
 // DeathDetection computes the summary for a run with the given number of nodes.
@@ -154,7 +154,7 @@
 
 // Freshness summarizes the time for which nodes had fresh zone state.
 type Freshness struct {
-	Share   float64       // of node, zone and time, while the node was not struck
+	Share   float64       // of the time of every node and zone, except while the node was struck
 	Longest time.Duration // longest time that a node had no fresh state of a zone
 	Median  time.Duration // of the gaps
 	Gaps    int           // periods without fresh state
@@ -174,7 +174,7 @@
 		for zone := range zones {
 			// Divide the time into periods at each change of state and each strike.
 			at, state := time.Duration(0), ""
-			stretch := func(until time.Duration) {
+			closePeriod := func(until time.Duration) {
 				a, b := max(at, from), min(until, to)
 				if b > a && state != "struck" {
 					if all += b - a; state == "fresh" {
@@ -186,7 +186,7 @@
 				at = max(at, until)
 			}
 			// Adjacent stale and unknown periods form one gap.
-			same := func(a, b string) bool {
+			samePeriod := func(a, b string) bool {
 				return a == b || a != "fresh" && b != "fresh" && a != "struck" && b != "struck"
 			}
 			type change struct {
@@ -207,12 +207,12 @@
 			}
 			slices.SortStableFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
 			for _, t := range changes {
-				if !same(state, t.word) {
-					stretch(t.at)
+				if !samePeriod(state, t.word) {
+					closePeriod(t.at)
 				}
 				state = t.word
 			}
-			stretch(to)
+			closePeriod(to)
 		}
 	}
 	if all > 0 {
