--- a/internal/faultbench/host.go
+++ b/internal/faultbench/host.go
@@ -26,7 +26,7 @@
 	server      *world.Server
 	pending     map[*world.Job]*pendingRequest // queued or running requests
 	state       balancer.ServerState
-	down        experiment.Kind // Crash or Lose
+	down        experiment.Kind // Crash or MachineLoss; empty while it is up
 	incarnation int
 	loadPolls   int
 }
@@ -101,7 +101,7 @@
 	if h.down != "" { // the process or machine is gone: requests in transit are lost
 		h.mu.Unlock()
 		<-conn.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "its server was gone")
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "server was down")
 		return false
 	}
 	pending := &pendingRequest{attempt: attempt, conn: conn, done: make(chan struct{})}
@@ -120,18 +120,18 @@
 	h.mu.Unlock()
 	switch verdict {
 	case world.Rejected:
-		return h.respond(conn, attempt, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "turned away")
+		return h.respond(conn, attempt, "503 Service Unavailable", "X-Not-Run: 1\r\n"+load, "", "rejected by the server")
 	case world.Failed:
 		return h.respond(conn, attempt, "500 Internal Server Error", load, "", "error")
 	case world.Hung:
 		<-conn.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "canceled by the node")
 		return false
 	}
 	select {
 	case <-pending.done:
 	case <-conn.CloseDelivered():
-		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "canceled by the node")
 		h.mu.Lock()
 		server.Abandon(job)
 		h.mu.Unlock()
@@ -142,7 +142,7 @@
 	h.mu.Unlock()
 	if gone {
 		<-conn.CloseDelivered()
-		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "its server was gone")
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "server was down")
 		return false
 	}
 	return h.respond(conn, attempt, "200 OK", load, server.ID+" "+id, "served")
@@ -189,7 +189,7 @@
 	case <-done:
 		return true
 	case <-conn.CloseDelivered():
-		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "given up")
+		f.audit.RecordEnd(attempt, f.runTime(conn.NearClosedAt()), "canceled by the node")
 		return false
 	}
 }
--- a/internal/faultbench/observation.go
+++ b/internal/faultbench/observation.go
@@ -58,7 +58,7 @@
 	Known   float64       // share of the other nodes, over all strikes, that detected the death
 	Median  time.Duration // from the strike until detection, of the nodes that detected it
 	Most    time.Duration
-	Wrongly int // times that a node declared dead one that no strike had hit, even if links were cut
+	Wrongly int // times that a node declared dead one that was not struck at the time, whether or not links were cut
 }
 
 // DeathDetection computes the summary for a run with the given number of nodes.
